--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -202,8 +202,7 @@
             shareOut();
         } catch (RuntimeException e) {
             // Guards the node against a fault in a decision: each flow's own deadline still answers it.
-            owed.clear();
-            effects.add(new Effect.Fault(e));
+            fault(e);
         }
         if (closed && unanswered == 0 && !exiting) {
             exiting = true;
@@ -212,6 +211,20 @@
         return effects;
     }
 
+    private void fault(RuntimeException e) {
+        owed.clear();
+        effects.add(new Effect.Fault(e));
+    }
+
+    /** Runs what a fault in a decision must not keep from what comes after it. */
+    private void guarded(Runnable step) {
+        try {
+            step.run();
+        } catch (RuntimeException e) {
+            fault(e);
+        }
+    }
+
     /** Whether a flow could be served: some server is known to run, and the node neither drains nor stops. */
     public boolean ready() {
         return life.phase() == LifeCycle.Phase.SERVING
@@ -436,10 +449,10 @@
         OpenFlow f = flows.get(id);
         if (f != null && !f.isWhole()) {
             f.deadline = now + f.left;
+            effects.add(new Effect.SetTimer(f.deadline, new TimerKey.Deadline(id)));
             if (f.begun) {
                 balancer.onWhole(ModuleTime.micros(now), id);
             }
-            effects.add(new Effect.SetTimer(f.deadline, new TimerKey.Deadline(id)));
         }
     }
 
@@ -451,7 +464,7 @@
         counters.count(Kind.FLOWS_GONE, f.className);
         end(f);
         if (f.begun) {
-            balancer.onGone(ModuleTime.micros(now), id);
+            guarded(() -> balancer.onGone(ModuleTime.micros(now), id));
         }
         // What is not written whole is no attempt yet and is withdrawn whatever the settings say of those that are.
         if (f.out != null && (settings.mayCancel() || !f.out.written)) {
@@ -582,12 +595,21 @@
                                 ? Kind.ANSWERED_REFUSED
                                 : kind == Effect.Fixed.REJECTED ? Kind.ANSWERED_REJECTED : Kind.ANSWERED_FAILED));
         // A refusal says when to come back, whoever decided it.
-        double advice =
-                kind == Effect.Fixed.REFUSED && retryAfterMs == 0 ? ModuleTime.ms(balancer.retryAfter()) : retryAfterMs;
+        double advice = kind == Effect.Fixed.REFUSED && retryAfterMs == 0 ? retryAdviceMs() : retryAfterMs;
         effects.add(new Effect.FixedResponse(f.id, kind, advice));
         end(f);
     }
 
+    /** When the module wants refused clients back; none if it can't say. */
+    private double retryAdviceMs() {
+        try {
+            return ModuleTime.ms(balancer.retryAfter());
+        } catch (RuntimeException e) {
+            fault(e);
+            return 0;
+        }
+    }
+
     private void fired(TimerKey key) {
         if (key instanceof TimerKey.Module k) {
             balancer.onTimer(ModuleTime.micros(now), k.token());
@@ -646,15 +668,18 @@
 
     private void answerNow(OpenFlow f) {
         if (f.out != null) {
-            cancelOut(f, Outcome.TIMEOUT);
-            settle();
+            // No further timer answers this flow: it is answered whatever the module does with the outcome.
+            guarded(() -> {
+                cancelOut(f, Outcome.TIMEOUT);
+                settle();
+            });
         }
         if (!f.ended) {
             // Guards against a flow that the module still holds: the client must not be left without an answer.
             counters.count(Kind.ANSWERED_AT_DEADLINE);
             fixedResponse(f, f.mayHaveRun ? Effect.Fixed.TIMED_OUT : Effect.Fixed.REFUSED, 0);
             if (f.begun) {
-                balancer.onGone(ModuleTime.micros(now), f.id);
+                guarded(() -> balancer.onGone(ModuleTime.micros(now), f.id));
             }
         }
     }
--- a/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
+++ b/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
@@ -30,6 +30,8 @@
         final BiConsumer<Actions, Long> with;
         final List<Outcome> told = new ArrayList<>();
         Runnable next;
+        /** From now on it faults at whatever it is told of a flow's progress. */
+        boolean faults;
 
         Reckless(Actions out, BiConsumer<Actions, Long> with) {
             this.out = out;
@@ -51,10 +53,30 @@
         public void onOutcome(
                 long now, long request, int attempt, boolean ended, Outcome outcome, long latency, Report report) {
             told.add(outcome);
+            faultIfWanted();
         }
 
         @Override
-        public void onGone(long now, long request) {}
+        public void onGone(long now, long request) {
+            faultIfWanted();
+        }
+
+        @Override
+        public void onWhole(long now, long request) {
+            faultIfWanted();
+        }
+
+        @Override
+        public long retryAfter() {
+            faultIfWanted();
+            return 0;
+        }
+
+        private void faultIfWanted() {
+            if (faults) {
+                throw new IllegalStateException("a fault in a decision");
+            }
+        }
 
         @Override
         public void onTimer(long now, String token) {
@@ -165,6 +187,66 @@
                 of(Effect.FixedResponse.class).stream().map(r -> r.kind()).toList());
     }
 
+    private List<Fixed> fixed(long flow) {
+        return of(Effect.FixedResponse.class).stream()
+                .filter(r -> r.flow() == flow)
+                .map(Effect.FixedResponse::kind)
+                .toList();
+    }
+
+    @Test
+    void moduleThatFaultsAtTheOutcomeOfADeadlineLeavesNoFlowUnanswered() {
+        start((out, flow) -> out.send(flow, id("s-0"), 0));
+        tell(NOW + 1, new Event.ForwardWritten(7, 0));
+        module.faults = true;
+        tell(NOW + 995, new Event.TimerFired(new TimerKey.Deadline(7)));
+        assertEquals(List.of(Fixed.TIMED_OUT), fixed(7));
+        assertEquals(List.of(new Effect.CancelForward(7, 0)), of(Effect.CancelForward.class));
+    }
+
+    @Test
+    void moduleThatFaultsAtAStopLeavesNoFlowUnanswered() {
+        start((out, flow) -> out.send(flow, id("s-0"), 0));
+        for (long flow = 8; flow < 12; flow++) {
+            tell(NOW, new Event.FlowOpened(flow, new Flow("file", null, 9000, false, true, "message")));
+        }
+        tell(NOW + 1, new Event.ForwardWritten(7, 0));
+        module.faults = true;
+        tell(NOW + 2, new Event.StopAsked());
+        tell(NOW + 900, new Event.TimerFired(new TimerKey.StopLimit()));
+        assertEquals(List.of(Fixed.TIMED_OUT), fixed(7));
+        for (long flow = 8; flow < 12; flow++) {
+            assertEquals(List.of(Fixed.REFUSED), fixed(flow), "flow " + flow);
+        }
+    }
+
+    @Test
+    void moduleThatCanNotAdviseARetryStillRefuses() {
+        start((out, flow) -> {});
+        module.faults = true;
+        tell(NOW + 995, new Event.TimerFired(new TimerKey.Deadline(7)));
+        assertEquals(List.of(Fixed.REFUSED), fixed(7));
+    }
+
+    @Test
+    void moduleThatFaultsWhenABodyIsWholeStillAnswersAtTheDeadline() {
+        start((out, flow) -> {});
+        tell(NOW, new Event.FlowOpened(8, new Flow("file", null, 1000, false, false, "part")));
+        module.faults = true;
+        effects.clear();
+        tell(NOW + 5000, new Event.FlowWhole(8));
+        assertTrue(of(Effect.SetTimer.class).contains(new Effect.SetTimer(NOW + 5995, new TimerKey.Deadline(8))));
+    }
+
+    @Test
+    void forwardOfAGoneClientIsCalledOffAlsoIfTheModuleFaults() {
+        start((out, flow) -> out.send(flow, id("s-0"), 0));
+        tell(NOW + 1, new Event.ForwardWritten(7, 0));
+        module.faults = true;
+        tell(NOW + 2, new Event.FlowGone(7));
+        assertEquals(List.of(new Effect.CancelForward(7, 0)), of(Effect.CancelForward.class));
+    }
+
     @Test
     void whatMayHaveRunIsNeverRefusedAtTheDeadlineEvenIfTheModuleForgetsIt() {
         start((out, flow) -> out.send(flow, id("s-0"), 900_000));
--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -141,18 +141,16 @@
     /** Answers a flow with what a server made for it: a whole answer, or a long one on its way. */
     void respond(long flow, Object message) {
         Client c = flows.remove(flow);
-        if (message instanceof Download d) {
-            if (c != null) {
-                c.answerLong(d, passedOn(d.head()));
-            } else {
+        if (c == null) {
+            if (message instanceof Download d) {
                 d.body().refuse();
             }
-        } else if (c != null) {
-            HttpResponse response = (HttpResponse) message;
-            c.answer(200, passedOn(response), response.body());
-        }
-        if (c == null) {
             events.raise(new Event.AnswerLeft(flow, Left.ABANDONED));
+        } else if (message instanceof Download d) {
+            c.answerOrFail(() -> c.answerLong(d, passedOn(d.head())));
+        } else {
+            HttpResponse response = (HttpResponse) message;
+            c.answerOrFail(() -> c.answer(200, passedOn(response), response.body()));
         }
     }
 
@@ -177,12 +175,14 @@
         if (retryAfterMs > 0) {
             fields.add("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
         }
-        switch (kind) {
-            case REFUSED -> c.answer(503, fields, text("refused\n"));
-            case FAILED -> c.answer(502, fields, text("failed\n"));
-            case REJECTED -> c.reject(400, "the server rejects this request");
-            default -> c.answer(504, fields, text("no answer in time\n"));
-        }
+        c.answerOrFail(() -> {
+            switch (kind) {
+                case REFUSED -> c.answer(503, fields, text("refused\n"));
+                case FAILED -> c.answer(502, fields, text("failed\n"));
+                case REJECTED -> c.reject(400, "the server rejects this request");
+                default -> c.answer(504, fields, text("no answer in time\n"));
+            }
+        });
     }
 
     private static byte[] text(String s) {
@@ -278,7 +278,7 @@
                 }
             }
             counters.count(Kind.CLIENTS_SHED_FOR_MEMORY);
-            largest.empty();
+            largest.giveUpReading("too much is held");
         }
     }
 
@@ -404,7 +404,20 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            ByteBuf in = (ByteBuf) msg;
+            guarded(() -> received((ByteBuf) msg));
+        }
+
+        /** Reads; a fault of the node's own on the way leaves no request that was read without an answer. */
+        private void guarded(Runnable reading) {
+            try {
+                reading.run();
+            } catch (RuntimeException e) {
+                events.faulted("reading a request failed", e);
+                answerOrFail(() -> giveUpReading("the node failed to read this request"));
+            }
+        }
+
+        private void received(ByteBuf in) {
             arrived += in.readableBytes();
             if (closing || full) {
                 drained += in.readableBytes();
@@ -470,8 +483,10 @@
 
         /** The next request has its turn; what is taken out makes room for more. */
         private void readOn() {
-            read();
-            readOrRest();
+            guarded(() -> {
+                read();
+                readOrRest();
+            });
         }
 
         /** Takes the next request out of the bytes that have come, if none is being served. */
@@ -587,16 +602,16 @@
         }
 
         /** Holds nothing any more: what is being served is answered, nothing behind it is begun. */
-        private void empty() {
+        private void giveUpReading(String why) {
             keepAlive = false;
             if (upload != null) {
-                failLong(503, "too much is held");
+                failLong(503, why);
             } else if (flow >= 0 || writing) {
                 full = true;
                 dropPending();
                 channel.config().setAutoRead(true);
-            } else {
-                bad(503, "too much is held");
+            } else if (!closing) {
+                bad(503, why);
             }
             kept = 0;
             hold(0);
@@ -657,8 +672,8 @@
                 return;
             }
             id = correlation;
-            flow = flowCount++;
             since = clock.nowMs();
+            flow = flowCount++;
             flows.put(flow, this);
             events.raise(new Event.FlowOpened(
                     flow,
@@ -696,6 +711,31 @@
             bad(status, why);
         }
 
+        /** Answers; if the node itself fails at that, the client is told so, once, and its connection ends. */
+        void answerOrFail(Runnable answer) {
+            try {
+                answer.run();
+            } catch (RuntimeException e) {
+                events.faulted("an answer failed", e);
+                answerFailed();
+            }
+        }
+
+        private void answerFailed() {
+            keepAlive = false;
+            if (download != null) {
+                // Its head is out: only the end of the connection tells that the rest is missing.
+                channel.close();
+                return;
+            }
+            try {
+                answer(502, new Headers(), text("failed\n"));
+            } catch (RuntimeException e) {
+                events.faulted("no answer is possible", e);
+                channel.close();
+            }
+        }
+
         void answer(int status, Headers fields, byte[] body) {
             boolean close = beginAnswer();
             channel.writeAndFlush(HttpEncoder.answer(channel.alloc(), status, fields, body, close))
@@ -704,6 +744,8 @@
 
         /** The flow has its answer; whether the connection ends behind it. */
         private boolean beginAnswer() {
+            // What may fail comes first: the answer can then be tried once more.
+            since = clock.nowMs();
             if (upload != null) {
                 // Its request is not whole and never will be: where the next one begins can't be known.
                 keepAlive = false;
@@ -714,12 +756,11 @@
             kept = 0;
             ahead = 0;
             resting = false;
-            answered = flow;
+            answered = flow >= 0 ? flow : answered;
             flow = -1;
             open.remove(id);
             id = null;
             writing = true;
-            since = clock.nowMs();
             return !keepAlive || sayClose;
         }
 
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -312,6 +312,11 @@
         }
     }
 
+    @Override
+    public void faulted(String what, RuntimeException cause) {
+        log.error(what, cause);
+    }
+
     private void run(Effect effect) {
         try {
             if (effect instanceof Effect.SetTimer e) {
@@ -352,6 +357,11 @@
             }
         } catch (RuntimeException e) {
             log.error("effect " + effect.getClass().getSimpleName() + " failed", e);
+            if (effect instanceof Effect.Forward f) {
+                // Guards its flow against waiting in vain: nothing has been sent.
+                forwards.cancel(f.flow(), f.forward());
+                raise(new Event.ForwardNotBegun(f.flow(), f.forward()));
+            }
         }
     }
 
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/ClientNode.java
@@ -0,0 +1,82 @@
+package brackenbridge.net;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.config.Config;
+import brackenbridge.config.ConfigTest;
+import brackenbridge.log.Log;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+/** A node with one server, by a clock that the test rules, and the clients that the test has connected to it. */
+final class ClientNode implements AutoCloseable {
+    static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+    static final String LIVE = "GET /health/live HTTP/1.1\r\n\r\n";
+
+    final HeldClock clock = new HeldClock();
+    final FakeServer server = new FakeServer();
+    final Node node;
+    private final List<Socket> clients = new ArrayList<>();
+
+    ClientNode() throws IOException {
+        this(ConfigTest.TEXT);
+    }
+
+    /** With this configuration, and the server as its only one. */
+    ClientNode(String text) throws IOException {
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        node = new Node(
+                Config.parse(text.replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
+                clock,
+                new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
+        node.start();
+    }
+
+    /** The usual configuration with these deadlines in place of its own, in milliseconds. */
+    static String withDeadlines(long ms) {
+        return ConfigTest.TEXT
+                .replace("\"aim\":4000000,\"giveUp\":8000000", "\"aim\":9000,\"giveUp\":" + ms * 1000)
+                .replace("\"aim\":3000000,\"giveUp\":6000000", "\"aim\":9000,\"giveUp\":" + ms * 1000);
+    }
+
+    Socket connect() throws IOException {
+        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
+        s.setSoTimeout(10_000);
+        clients.add(s);
+        return s;
+    }
+
+    static String file(String id, int leftMs, String body) {
+        return "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + leftMs
+                + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    static void send(Socket s, String text) throws IOException {
+        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    /** The next answer on it; null at the connection's end. */
+    static String answer(Socket s) throws IOException {
+        return FakeServer.message(s.getInputStream());
+    }
+
+    /** Asks something that the node answers by itself. */
+    static void live(Socket s) throws IOException {
+        send(s, LIVE);
+        assertTrue(answer(s).endsWith("live\n"));
+    }
+
+    @Override
+    public void close() throws IOException {
+        for (Socket s : clients) {
+            s.close();
+        }
+        server.close();
+        node.kill();
+    }
+}
--- a/node/src/test/java/brackenbridge/net/HeldClock.java
+++ b/node/src/test/java/brackenbridge/net/HeldClock.java
@@ -4,7 +4,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** The system's clock, which a test can put forward, or stop the node at: its event loop rests where it asks next. */
+/**
+ * The system's clock, which a test can put forward, or stop the node at: its event loop rests where it asks next, or
+ * where a certain method asks. It can also fail where a certain method asks.
+ */
 final class HeldClock extends Clock {
     private final Clock system = Clock.system();
     private final Thread test = Thread.currentThread();
@@ -12,20 +15,34 @@
     private volatile double stands = Double.NaN;
     private volatile CountDownLatch entered;
     private volatile CountDownLatch released;
+    private volatile String onlyIn;
+    private volatile String failsIn;
 
     void pass(double ms) {
         ahead += ms;
+        stands += ms;
     }
 
-    /** From now on no time passes. */
+    /** From now on no time passes by itself. */
     void stand() {
         stands = system.nowMs() + ahead;
     }
 
     /** Returns once the node's event loop rests; what comes to its sockets from now on waits there. */
     void hold() throws InterruptedException {
+        holdIn(null);
+        awaitHold();
+    }
+
+    /** The event loop rests once this method, named as {@code Class.method}, asks for the time. */
+    void holdIn(String method) {
+        onlyIn = method;
         entered = new CountDownLatch(1);
         released = new CountDownLatch(1);
+    }
+
+    /** Returns once the event loop rests. */
+    void awaitHold() throws InterruptedException {
         if (!entered.await(10, TimeUnit.SECONDS)) {
             throw new IllegalStateException("nobody asks for the time");
         }
@@ -37,10 +54,28 @@
         r.countDown();
     }
 
+    /** The next time that this method, named as {@code Class.method}, asks for the time, it gets an exception. */
+    void failIn(String method) {
+        failsIn = method;
+    }
+
+    private static String caller() {
+        return StackWalker.getInstance()
+                .walk(frames -> frames.skip(2)
+                        .findFirst()
+                        .map(f -> f.getClassName().substring(f.getClassName().lastIndexOf('.') + 1) + "."
+                                + f.getMethodName())
+                        .orElse(""));
+    }
+
     @Override
     public double nowMs() {
+        if (failsIn != null && Thread.currentThread() != test && caller().equals(failsIn)) {
+            failsIn = null;
+            throw new IllegalStateException("a fault that the test wants");
+        }
         CountDownLatch r = released;
-        if (r != null && Thread.currentThread() != test) {
+        if (r != null && Thread.currentThread() != test && (onlyIn == null || caller().equals(onlyIn))) {
             entered.countDown();
             try {
                 r.await();
