--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -53,24 +53,6 @@
     static final double SILENCE_MS = 3000;
     /** Longest time that a probe may take. */
     static final double PROBE_MS = 1000;
-    /** A stopping node accepts connections for so long: the front needs a moment to notice. */
-    static final double ACCEPT_MS = 500;
-    /** A stopping node serves the connections that it has for so long. */
-    static final double SERVES_MS = 3100;
-    /** And then lets its last requests finish for so long. */
-    static final double LAST_REQUESTS_MS = 300;
-    /** The platform waits no longer than this for a stopping node, however long the deadlines are. */
-    static final double LONGEST_MS = 3000;
-    /** A stopping node answers all that is open this long after the longest deadline, before it is killed. */
-    static final double STOP_SLACK_MS = 400;
-    /** A process with a successor lets its clients be told with an answer for so long, then ends idle connections. */
-    static final double SUCCEEDED_IDLE_MS = 1000;
-    /** And may exit from then on, once nothing is open. */
-    static final double SUCCEEDED_MS = 1500;
-    /** And its last answers have so long to leave, before connections are ended that carry half a request. */
-    static final double LAST_MS = 50;
-    /** Clients that a stopping node took with its last look at the door have so long to bring a request. */
-    static final double LAST_ACCEPTED_MS = 100;
 
     private static final class OpenFlow {
         final long id;
@@ -161,7 +143,12 @@
     private final Membership membership;
     private long probeCount;
     private final LifeCycle life = new LifeCycle();
+    private final double longestDeadlineAtStartMs;
     private boolean succeeded;
+    /** When the node was told to stop, and how it stood then. */
+    private double stopAskedMs;
+
+    private ShutdownSchedule.Situation situation;
     private boolean closed;
     private boolean exiting;
     private ZoneWeights zones = ZoneWeights.USUAL;
@@ -186,6 +173,7 @@
     public Reducer(Settings settings, Counters counters, BiFunction<Settings, Actions, BalancerApi> decisions) {
         this.settings = settings;
         this.counters = counters;
+        this.longestDeadlineAtStartMs = ShutdownSchedule.longestDeadlineMs(settings);
         settings.classes().forEach(c -> classes.put(c.name(), c));
         this.balancer = decisions.apply(settings, new Acts());
         // Not the module's own draws: its choices must not hang on how often discovery was asked.
@@ -761,8 +749,11 @@
             settings = e.settings();
             classes.clear();
             settings.classes().forEach(c -> classes.put(c.name(), c));
+            if (stopping()) {
+                scheduleStop();
+            }
             refuseChanged();
-            balancer.onSettings(ModuleTime.micros(now), settings);
+            guarded(() -> balancer.onSettings(ModuleTime.micros(now), settings));
         }
         follow(membership.comesFrom(now, source(settings)));
         if (membership.offered(e.known().seq(), false)) {
@@ -938,35 +929,31 @@
         if (!life.stop()) {
             return;
         }
-        double longest = 0;
-        for (RequestClass c : settings.classes()) {
-            longest = Math.max(longest, ModuleTime.ms(c.deadline()));
-        }
-        longest = Math.min(longest, LONGEST_MS);
+        stopAskedMs = now;
+        situation = succeeded
+                ? ShutdownSchedule.Situation.REPLACED
+                : emptied ? ShutdownSchedule.Situation.EMPTIED : ShutdownSchedule.Situation.RESTARTED;
         if (succeeded) {
-            stopSucceeded(now + Math.max(ACCEPT_MS, longest) + STOP_SLACK_MS);
-            return;
+            // Another process serves: no new connection is for this one, and the old ones end as gently as they can.
+            effects.add(new Effect.StopAccepting());
+            effects.add(new Effect.SayClose(true));
         }
-        // Guards clients against finding nobody: the front sends no new connections to a node that stops, but those
-        // that it has go on, whether it has no peer or its peer is only on its way back from the same release.
-        // Staff who have emptied the node first need not wait.
-        double serves = Math.max(ACCEPT_MS + LAST_ACCEPTED_MS, emptied ? 0 : longest * SERVES_MS / LONGEST_MS);
-        // What comes late in that time has little left of it: better some of it fails than all finds nobody.
-        double limit = now + (emptied ? Math.max(ACCEPT_MS, longest) + STOP_SLACK_MS : serves + LAST_REQUESTS_MS);
-        effects.add(new Effect.SetTimer(now + ACCEPT_MS, new TimerKey.StopAccepting()));
-        effects.add(new Effect.SetTimer(now + serves, new TimerKey.StopServing()));
-        effects.add(new Effect.SetTimer(limit, new TimerKey.StopLimit()));
-        effects.add(new Effect.SetTimer(limit + LAST_MS, new TimerKey.StopNow()));
+        scheduleStop();
     }
 
-    /** Another process serves: no new connection is for this one, and the old ones end as gently as they can. */
-    private void stopSucceeded(double limit) {
-        effects.add(new Effect.StopAccepting());
-        effects.add(new Effect.SayClose(true));
-        effects.add(new Effect.SetTimer(now + SUCCEEDED_IDLE_MS, new TimerKey.EndIdle()));
-        effects.add(new Effect.SetTimer(now + SUCCEEDED_MS, new TimerKey.StopServing()));
-        effects.add(new Effect.SetTimer(limit, new TimerKey.StopLimit()));
-        effects.add(new Effect.SetTimer(limit + LAST_MS, new TimerKey.StopNow()));
+    /** Sets the timers of a stop; a step that is due twice does nothing the second time. */
+    private void scheduleStop() {
+        // The platform may go by the settings that it started the node with or by the newest: safe under both.
+        double longest = Math.min(longestDeadlineAtStartMs, ShutdownSchedule.longestDeadlineMs(settings));
+        ShutdownSchedule schedule = ShutdownSchedule.of(situation, longest);
+        if (situation == ShutdownSchedule.Situation.REPLACED) {
+            effects.add(new Effect.SetTimer(stopAskedMs + schedule.endIdleMs(), new TimerKey.EndIdle()));
+        } else {
+            effects.add(new Effect.SetTimer(stopAskedMs + schedule.acceptMs(), new TimerKey.StopAccepting()));
+        }
+        effects.add(new Effect.SetTimer(stopAskedMs + schedule.serveMs(), new TimerKey.StopServing()));
+        effects.add(new Effect.SetTimer(stopAskedMs + schedule.answerMs(), new TimerKey.StopLimit()));
+        effects.add(new Effect.SetTimer(stopAskedMs + schedule.exitMs(), new TimerKey.StopNow()));
     }
 
     /** Time is up before some deadlines: what is open is answered now, since the process will not live longer. */
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -5,6 +5,7 @@
 import brackenbridge.core.Effect;
 import brackenbridge.core.Event;
 import brackenbridge.core.Reducer;
+import brackenbridge.core.ShutdownSchedule;
 import brackenbridge.core.TimerKey;
 import brackenbridge.core.observe.Observer;
 import brackenbridge.core.share.TenantUse;
@@ -39,8 +40,6 @@
 public final class Node implements Events, Staff, Handover.Process {
     private static final long SWEEP_MS = 100;
     private static final long LAST_ANSWERS_MS = 20;
-    /** What is still on its way when time is up has so long to arrive. */
-    private static final long LAST_LINGER_MS = 120;
 
     private Config config;
     private final Clock clock;
@@ -442,7 +441,7 @@
         if (atOnce) {
             // Half a request is refused now: what comes of it later would meet a process that is gone.
             listener.endUnfinished(503);
-            loop.schedule(this::exited, LAST_LINGER_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::exited, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
         }
         awaitQuiet();
     }
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/ShortDeadlinesTest.java
@@ -0,0 +1,80 @@
+package brackenbridge.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.config.Config;
+import brackenbridge.log.Log;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.net.Socket;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** A node whose longest deadline is 0.1 s may be killed 0.8 s after SIGTERM: it has answered all and exits before. */
+class ShortDeadlinesTest {
+    private static final long DEADLINE_MS = 100;
+    private static final double KILL_MS = DEADLINE_MS + 700;
+    /** The end is waited for by real time, of which the node's clock shows a quarter. */
+    private static final double SLOWER = 4;
+
+    private final SlowClock clock = new SlowClock(SLOWER);
+    private FakeServer server;
+    private Node node;
+
+    @BeforeEach
+    void start() throws IOException {
+        server = new FakeServer();
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        node = new Node(
+                Config.parse(ClientNode.withDeadlines(DEADLINE_MS).replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
+                clock,
+                new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
+        node.start();
+    }
+
+    @AfterEach
+    void end() throws IOException {
+        server.close();
+        node.kill();
+    }
+
+    private Socket connect() throws IOException {
+        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
+        s.setSoTimeout(10_000);
+        return s;
+    }
+
+    /** Asks again and again while the connection is open, and says what the last answer was. */
+    private String askUntilItEnds(Socket client) throws IOException {
+        String last = "";
+        for (int i = 0; !last.contains("Connection: close\r\n"); i++) {
+            ClientNode.send(client, ClientNode.file("r" + i, (int) DEADLINE_MS, "a"));
+            last = ClientNode.answer(client);
+            assertTrue(last != null && last.matches("(?s)HTTP/1.1 50[34] .*"), i + " got " + last);
+        }
+        return last;
+    }
+
+    /** Its server hangs, its clients go on asking, one of them stops in the middle of a request. */
+    @Test
+    void nodeThatIsStoppedAnswersAllAndExitsBeforeItIsKilled() throws Exception {
+        try (Socket client = connect();
+                Socket half = connect()) {
+            ClientNode.send(
+                    half, ClientNode.file("half", (int) DEADLINE_MS, "a").substring(0, 40));
+            ClientNode.live(connect());
+            double asked = clock.nowMs();
+            CompletableFuture<Double> ended = node.stop().thenApply(v -> clock.nowMs());
+            askUntilItEnds(client);
+            assertTrue(ClientNode.answer(half).startsWith("HTTP/1.1 503 "));
+            assertEquals(-1, half.getInputStream().read());
+            double took = ended.get(20, TimeUnit.SECONDS) - asked;
+            assertTrue(took < KILL_MS - 100, "it took " + took + " ms");
+        }
+    }
+}
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/SlowClock.java
@@ -0,0 +1,19 @@
+package brackenbridge.net;
+
+import brackenbridge.clock.Clock;
+
+/** Runs slower than real time, so that a crowded machine's delays weigh less against what a test measures by it. */
+final class SlowClock extends Clock {
+    private final Clock system = Clock.system();
+    private final double start = system.nowMs();
+    private final double slower;
+
+    SlowClock(double slower) {
+        this.slower = slower;
+    }
+
+    @Override
+    public double nowMs() {
+        return start + (system.nowMs() - start) / slower;
+    }
+}
