--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -24,6 +24,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -216,7 +217,7 @@
     void closeIdle() {
         for (Client c : List.copyOf(clients)) {
             if (c.isIdle()) {
-                c.end();
+                c.endIfIdle();
             }
         }
     }
@@ -251,21 +252,30 @@
     /** Closes one idle client connection that has asked before, or one that never has or lingers; the longest idle. */
     boolean shed(boolean asked) {
         double now = clock.nowMs();
+        for (Client c = longestIdle(asked, now); c != null; c = longestIdle(asked, now)) {
+            // A request that has come already makes it busy; what is still unread at a close would reset it.
+            c.readWhatHasCome();
+            if (!c.channel.isActive()) {
+                return true;
+            }
+            if (c.mayBeShed(asked, now)) {
+                counters.count(Kind.CONNECTIONS_SHED);
+                // Its descriptor is wanted now: what is not here yet crosses this, and its client sends it anew.
+                c.channel.close();
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private Client longestIdle(boolean asked, double now) {
         Client oldest = null;
         for (Client c : clients) {
-            if ((c.isIdle() && c.asked == asked || c.lingers() && !asked)
-                    && now - c.since > YOUNG_MS
-                    && (oldest == null || c.since < oldest.since)) {
+            if (c.mayBeShed(asked, now) && (oldest == null || c.since < oldest.since)) {
                 oldest = c;
             }
         }
-        if (oldest == null) {
-            return false;
-        }
-        counters.count(Kind.CONNECTIONS_SHED);
-        // Its descriptor is wanted now; an answer has been out for a while, and a request that crosses this comes anew.
-        oldest.channel.close();
-        return true;
+        return oldest;
     }
 
     /** Guards memory against many clients that each stay within their own limit: the largest goes first. */
@@ -346,6 +356,30 @@
             return closing && !writing;
         }
 
+        /** Whether its descriptor may go to others: it is idle, or its last answer has been out for a while. */
+        boolean mayBeShed(boolean havingAsked, double now) {
+            boolean idle = isIdle() && asked == havingAsked;
+            // Guards its last answer: a close over more bytes than are read here would reset the connection.
+            boolean over = lingers() && !havingAsked && drained <= LINGER_BYTES;
+            return (idle || over) && now - since > YOUNG_MS && channel.isActive();
+        }
+
+        /**
+         * Reads what lies at the socket already. Guards a request that is here against the end of a connection that
+         * seems idle only because its turn to be read has not come.
+         */
+        private void readWhatHasCome() {
+            ((AbstractNioChannel) channel).unsafe().read();
+        }
+
+        /** Ends it, unless a request turns out to have come. */
+        private void endIfIdle() {
+            readWhatHasCome();
+            if (isIdle() && channel.isActive()) {
+                end();
+            }
+        }
+
         boolean isReading() {
             return flow < 0 && !writing && !closing && decoder.begun();
         }
@@ -877,7 +911,7 @@
             if (closing ? age > LINGER_MS : writing && age > stalled) {
                 channel.close();
             } else if (isIdle() && age > limit) {
-                end();
+                endIfIdle();
             } else if (isReading() && !decoder.awaitsBody() && age > SLOW_MS) {
                 bad(408, "request too slow");
             } else if (decoder.awaitsBody() && !resting && (isReading() || upload != null)) {
