--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -310,6 +310,8 @@
         boolean toldToGoOn;
         /** How far a body is behind its least pace. */
         double behindMs;
+        /** How long nothing of a body has come. Guards against a client that was quick first and then stopped. */
+        double silentMs;
 
         double sweptAt;
         int arrived;
@@ -916,11 +918,15 @@
                 bad(408, "request too slow");
             } else if (decoder.awaitsBody() && !resting && (isReading() || upload != null)) {
                 behindMs = Math.max(-SLOW_MS, behindMs + now - sweptAt - arrived / LEAST_PACE);
-                if (behindMs > SLOW_MS && upload != null) {
+                silentMs = arrived > 0 ? 0 : silentMs + now - sweptAt;
+                boolean slow = behindMs > SLOW_MS || silentMs > SLOW_MS;
+                if (slow && upload != null) {
                     failLong(408, "body too slow");
-                } else if (behindMs > SLOW_MS) {
+                } else if (slow) {
                     bad(408, "body too slow");
                 }
+            } else {
+                silentMs = 0;
             }
             arrived = 0;
             sweptAt = now;
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/StalledClientTest.java
@@ -0,0 +1,93 @@
+package brackenbridge.net;
+
+import static brackenbridge.net.ClientNode.OK;
+import static brackenbridge.net.ClientNode.answer;
+import static brackenbridge.net.ClientNode.file;
+import static brackenbridge.net.ClientNode.live;
+import static brackenbridge.net.ClientNode.send;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** A client that stops in the middle of a request and stays gets its error within 3 s of its last byte. */
+class StalledClientTest {
+    private static final String BODY = "x".repeat(60_000);
+
+    private ClientNode its;
+    private Socket client;
+
+    @BeforeEach
+    void start() throws IOException {
+        its = new ClientNode();
+        client = its.connect();
+        live(client);
+    }
+
+    @AfterEach
+    void end() throws IOException {
+        its.close();
+    }
+
+    /** Lets the node's sweep see so often what has come, then this much time passes and no more. */
+    private void stall(int sweeps, double ms) throws Exception {
+        for (int i = 0; i < sweeps; i++) {
+            its.clock.holdIn("Listener.sweep");
+            its.clock.awaitHold();
+            its.clock.release();
+        }
+        its.clock.pass(ms);
+        its.clock.stand();
+    }
+
+    private void stall() throws Exception {
+        stall(2, 2800);
+    }
+
+    private void expect408() throws IOException {
+        String a = answer(client);
+        assertTrue(a != null && a.startsWith("HTTP/1.1 408 ") && a.contains("Connection: close\r\n"), a);
+        assertEquals(-1, client.getInputStream().read());
+    }
+
+    @Test
+    void inTheHead() throws Exception {
+        send(client, file("a", 9000, "").substring(0, 40));
+        stall();
+        expect408();
+    }
+
+    @Test
+    void inABodyThatCameQuicklyUntilThen() throws Exception {
+        send(client, file("a", 9000, BODY).substring(0, 55_000));
+        stall();
+        expect408();
+        assertEquals(0, its.server.requests.size());
+    }
+
+    @Test
+    void inALongBodyThatIsOnItsWayToAServer() throws Exception {
+        String whole = file("a", 9000, BODY.repeat(3));
+        send(client, whole.substring(0, 150_000));
+        its.server.connections.take();
+        // The server needs a moment to take what has come; meanwhile its client is not asked for more.
+        stall(10, 1900);
+        expect408();
+        assertEquals(0, its.server.requests.size());
+    }
+
+    @Test
+    void requestsThatArePipelinedBehindAreNotBegun() throws Exception {
+        send(client, file("a", 9000, "a") + file("b", 9000, BODY).substring(0, 55_000));
+        its.server.next();
+        its.server.answers.add(OK);
+        assertTrue(answer(client).endsWith("done"));
+        stall();
+        expect408();
+        assertEquals(0, its.server.requests.size());
+    }
+}
