--- a/core/src/test/java/brackenbridge/core/ReducerTest.java
+++ b/core/src/test/java/brackenbridge/core/ReducerTest.java
@@ -219,6 +219,43 @@
         assertEquals(1, p.counters.of(Kind.RECONFIGURED));
     }
 
+    /** Three times SIGHUP, each while the grace that the first one has begun is on, and discovery moves each time. */
+    @Test
+    void settingsInQuickSuccessionExtendNoGraceAndLeaveOneWatch() {
+        Play p = new Play(1).pass(4100);
+        long f = p.open(Play.FILE, 5000);
+        double first = p.clock.nowMs();
+        for (int i = 0; i < 3; i++) {
+            assertEquals(0, p.of(Effect.CancelForward.class).size(), "after " + (p.clock.nowMs() - first));
+            TargetGroup known = new TargetGroup(
+                    42 + i,
+                    true,
+                    List.of(Play.target("s-0", EndpointState.DRAINING), Play.target("s-new-" + i, EndpointState.UP)));
+            p.tell(new Event.Reconfigured(p.settings, known, true)).pass(100);
+        }
+        assertEquals(
+                List.of(new Effect.CancelForward(f, 0)), p.of(Effect.CancelForward.class), "250 ms after the first");
+        assertEquals("s-new-2", p.forwards(f).get(1).host());
+        List<Effect.Watch> watches = p.of(Effect.Watch.class);
+        assertEquals(4, watches.size());
+        assertEquals(
+                watches.subList(0, 3).stream()
+                        .map(w -> new Effect.EndDiscovery(w.call()))
+                        .toList(),
+                p.of(Effect.EndDiscovery.class));
+        p.tell(new Event.TargetsTold(
+                watches.get(2).call(), new TargetGroup(99, true, List.of(Play.target("s-old", EndpointState.UP)))));
+        p.tell(new Event.TargetsTold(
+                watches.get(3).call(), new TargetGroup(7, true, List.of(Play.target("s-last", EndpointState.UP)))));
+        for (int i = 0; i < 4; i++) {
+            p.open(Play.FILE, 5000);
+        }
+        List<Effect.Forward> forwards = p.of(Effect.Forward.class);
+        assertEquals("s-last", forwards.get(forwards.size() - 1).host());
+        assertEquals(1, forwards.stream().filter(w -> w.host().equals("s-0")).count());
+        assertEquals(0, forwards.stream().filter(w -> w.host().equals("s-old")).count());
+    }
+
     @Test
     void requestThatAServerRejectsIsAnsweredAtOnceAndHarmsNoServer() {
         Play p = new Play(2);
--- a/node/src/test/java/brackenbridge/net/NodeTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeTest.java
@@ -502,6 +502,32 @@
         assertTrue(answer().endsWith("done"));
     }
 
+    @Test
+    void discoveryThatMovesInQuickSuccessionIsAskedWhereItIsNow() throws Exception {
+        try (FakeServer first = new FakeServer();
+                FakeServer second = new FakeServer();
+                FakeServer last = new FakeServer();
+                FakeServer listed = new FakeServer()) {
+            last.answers.add("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":7,\"whole\":true,\"hosts\":"
+                    + "[{\"host\":\"s-2\",\"dial\":\"" + listed.dial() + "\",\"health\":\"active\"}]}\n");
+            for (FakeServer at : List.of(first, second, last)) {
+                node.reconfigure(() -> Config.parse(ConfigTest.TEXT.replace("127.0.0.1:1\"", at.dial() + "\"")));
+            }
+            assertTrue(last.next().startsWith("GET /registry/instances?watch=1"));
+            String counted = "";
+            for (int i = 0; i < 10_000 && !counted.contains("target_lists 1\n"); i++) {
+                send("GET /health/counters HTTP/1.1\r\n\r\n");
+                counted = answer();
+            }
+            assertTrue(counted.contains("target_lists 1\n") && counted.contains("reconfigured 3\n"), counted);
+            listed.answers.add(OK);
+            send(file("a"));
+            assertTrue(answer().endsWith("done"));
+            assertNotNull(listed.next());
+            assertEquals(0, server.requests.size());
+        }
+    }
+
     @Test
     void nodeWhoseListsArePushedOpensItsWatchAtOnceAndHearsOfADrain() throws Exception {
         try (FakeServer agent = new FakeServer()) {
