--- a/node/src/test/java/brackenbridge/net/CrossingRequestsTest.java
+++ b/node/src/test/java/brackenbridge/net/CrossingRequestsTest.java
@@ -62,6 +62,24 @@
         assertEquals(-1, client.getInputStream().read());
     }
 
+    @Test
+    void clientInTheMiddleOfARequestIsNotShedForItsDescriptor() throws Exception {
+        its = new ClientNode(ConfigTest.TEXT.replace("\"sockets\":1024", "\"sockets\":64"));
+        Socket client = its.connect();
+        String whole = file("half", 9000, "a");
+        send(client, whole.substring(0, 30));
+        Socket idle = its.connect();
+        live(idle);
+        its.clock.pass(200);
+        for (int i = 0; i < MOST_CLIENTS - 2; i++) {
+            live(its.connect());
+        }
+        assertEquals(-1, idle.getInputStream().read(), "the one that is idle");
+        its.server.answers.add(OK);
+        send(client, whole.substring(30));
+        served(client, "half");
+    }
+
     @Test
     void requestOfAClientThatHasBeenIdleForTooLongIsServed() throws Exception {
         its = new ClientNode();
