--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -24,6 +24,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -141,18 +142,16 @@
     /** Answers a flow with what a server made for it: a whole answer, or a long one on its way. */
     void respond(long flow, Object message) {
         Client c = flows.remove(flow);
-        if (message instanceof Download d) {
-            if (c != null) {
-                c.answerLong(d, passedOn(d.head()));
-            } else {
+        if (c == null) {
+            if (message instanceof Download d) {
                 d.body().refuse();
             }
-        } else if (c != null) {
-            HttpResponse response = (HttpResponse) message;
-            c.answer(200, passedOn(response), response.body());
-        }
-        if (c == null) {
             events.raise(new Event.AnswerLeft(flow, Left.ABANDONED));
+        } else if (message instanceof Download d) {
+            c.answerOrFail(() -> c.answerLong(d, passedOn(d.head())));
+        } else {
+            HttpResponse response = (HttpResponse) message;
+            c.answerOrFail(() -> c.answer(200, passedOn(response), response.body()));
         }
     }
 
@@ -177,12 +176,14 @@
         if (retryAfterMs > 0) {
             fields.add("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
         }
-        switch (kind) {
-            case REFUSED -> c.answer(503, fields, text("refused\n"));
-            case FAILED -> c.answer(502, fields, text("failed\n"));
-            case REJECTED -> c.reject(400, "the server rejects this request");
-            default -> c.answer(504, fields, text("no answer in time\n"));
-        }
+        c.answerOrFail(() -> {
+            switch (kind) {
+                case REFUSED -> c.answer(503, fields, text("refused\n"));
+                case FAILED -> c.answer(502, fields, text("failed\n"));
+                case REJECTED -> c.reject(400, "the server rejects this request");
+                default -> c.answer(504, fields, text("no answer in time\n"));
+            }
+        });
     }
 
     private static byte[] text(String s) {
@@ -216,7 +217,7 @@
     void closeIdle() {
         for (Client c : List.copyOf(clients)) {
             if (c.isIdle()) {
-                c.end();
+                c.endIfIdle();
             }
         }
     }
@@ -251,21 +252,30 @@
     /** Closes one idle client connection that has asked before, or one that never has or lingers; the longest idle. */
     boolean shed(boolean asked) {
         double now = clock.nowMs();
+        for (Client c = longestIdle(asked, now); c != null; c = longestIdle(asked, now)) {
+            // A request that has come already makes it busy; what is still unread at a close would reset it.
+            c.readWhatHasCome();
+            if (!c.channel.isActive()) {
+                return true;
+            }
+            if (c.mayBeShed(asked, now)) {
+                counters.count(Kind.CONNECTIONS_SHED);
+                // Its descriptor is wanted now: what is not here yet crosses this, and its client sends it anew.
+                c.channel.close();
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private Client longestIdle(boolean asked, double now) {
         Client oldest = null;
         for (Client c : clients) {
-            if ((c.isIdle() && c.asked == asked || c.lingers() && !asked)
-                    && now - c.since > YOUNG_MS
-                    && (oldest == null || c.since < oldest.since)) {
+            if (c.mayBeShed(asked, now) && (oldest == null || c.since < oldest.since)) {
                 oldest = c;
             }
         }
-        if (oldest == null) {
-            return false;
-        }
-        counters.count(Kind.CONNECTIONS_SHED);
-        // Its descriptor is wanted now; an answer has been out for a while, and a request that crosses this comes anew.
-        oldest.channel.close();
-        return true;
+        return oldest;
     }
 
     /** Guards memory against many clients that each stay within their own limit: the largest goes first. */
@@ -278,7 +288,7 @@
                 }
             }
             counters.count(Kind.CLIENTS_SHED_FOR_MEMORY);
-            largest.empty();
+            largest.giveUpReading("too much is held");
         }
     }
 
@@ -300,6 +310,8 @@
         boolean toldToGoOn;
         /** How far a body is behind its least pace. */
         double behindMs;
+        /** How long nothing of a body has come. Guards against a client that was quick first and then stopped. */
+        double silentMs;
 
         double sweptAt;
         int arrived;
@@ -346,6 +358,30 @@
             return closing && !writing;
         }
 
+        /** Whether its descriptor may go to others: it is idle, or its last answer has been out for a while. */
+        boolean mayBeShed(boolean havingAsked, double now) {
+            boolean idle = isIdle() && asked == havingAsked;
+            // Guards its last answer: a close over more bytes than are read here would reset the connection.
+            boolean over = lingers() && !havingAsked && drained <= LINGER_BYTES;
+            return (idle || over) && now - since > YOUNG_MS && channel.isActive();
+        }
+
+        /**
+         * Reads what lies at the socket already. Guards a request that is here against the end of a connection that
+         * seems idle only because its turn to be read has not come.
+         */
+        private void readWhatHasCome() {
+            ((AbstractNioChannel) channel).unsafe().read();
+        }
+
+        /** Ends it, unless a request turns out to have come. */
+        private void endIfIdle() {
+            readWhatHasCome();
+            if (isIdle() && channel.isActive()) {
+                end();
+            }
+        }
+
         boolean isReading() {
             return flow < 0 && !writing && !closing && decoder.begun();
         }
@@ -404,7 +440,20 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            ByteBuf in = (ByteBuf) msg;
+            guarded(() -> received((ByteBuf) msg));
+        }
+
+        /** Reads; a fault of the node's own on the way leaves no request that was read without an answer. */
+        private void guarded(Runnable reading) {
+            try {
+                reading.run();
+            } catch (RuntimeException e) {
+                events.faulted("reading a request failed", e);
+                answerOrFail(() -> giveUpReading("the node failed to read this request"));
+            }
+        }
+
+        private void received(ByteBuf in) {
             arrived += in.readableBytes();
             if (closing || full) {
                 drained += in.readableBytes();
@@ -470,8 +519,10 @@
 
         /** The next request has its turn; what is taken out makes room for more. */
         private void readOn() {
-            read();
-            readOrRest();
+            guarded(() -> {
+                read();
+                readOrRest();
+            });
         }
 
         /** Takes the next request out of the bytes that have come, if none is being served. */
@@ -587,16 +638,16 @@
         }
 
         /** Holds nothing any more: what is being served is answered, nothing behind it is begun. */
-        private void empty() {
+        private void giveUpReading(String why) {
             keepAlive = false;
             if (upload != null) {
-                failLong(503, "too much is held");
+                failLong(503, why);
             } else if (flow >= 0 || writing) {
                 full = true;
                 dropPending();
                 channel.config().setAutoRead(true);
-            } else {
-                bad(503, "too much is held");
+            } else if (!closing) {
+                bad(503, why);
             }
             kept = 0;
             hold(0);
@@ -657,8 +708,8 @@
                 return;
             }
             id = correlation;
-            flow = flowCount++;
             since = clock.nowMs();
+            flow = flowCount++;
             flows.put(flow, this);
             events.raise(new Event.FlowOpened(
                     flow,
@@ -696,6 +747,31 @@
             bad(status, why);
         }
 
+        /** Answers; if the node itself fails at that, the client is told so, once, and its connection ends. */
+        void answerOrFail(Runnable answer) {
+            try {
+                answer.run();
+            } catch (RuntimeException e) {
+                events.faulted("an answer failed", e);
+                answerFailed();
+            }
+        }
+
+        private void answerFailed() {
+            keepAlive = false;
+            if (download != null) {
+                // Its head is out: only the end of the connection tells that the rest is missing.
+                channel.close();
+                return;
+            }
+            try {
+                answer(502, new Headers(), text("failed\n"));
+            } catch (RuntimeException e) {
+                events.faulted("no answer is possible", e);
+                channel.close();
+            }
+        }
+
         void answer(int status, Headers fields, byte[] body) {
             boolean close = beginAnswer();
             channel.writeAndFlush(HttpEncoder.answer(channel.alloc(), status, fields, body, close))
@@ -704,6 +780,8 @@
 
         /** The flow has its answer; whether the connection ends behind it. */
         private boolean beginAnswer() {
+            // What may fail comes first: the answer can then be tried once more.
+            since = clock.nowMs();
             if (upload != null) {
                 // Its request is not whole and never will be: where the next one begins can't be known.
                 keepAlive = false;
@@ -714,12 +792,11 @@
             kept = 0;
             ahead = 0;
             resting = false;
-            answered = flow;
+            answered = flow >= 0 ? flow : answered;
             flow = -1;
             open.remove(id);
             id = null;
             writing = true;
-            since = clock.nowMs();
             return !keepAlive || sayClose;
         }
 
@@ -836,16 +913,20 @@
             if (closing ? age > LINGER_MS : writing && age > stalled) {
                 channel.close();
             } else if (isIdle() && age > limit) {
-                end();
+                endIfIdle();
             } else if (isReading() && !decoder.awaitsBody() && age > SLOW_MS) {
                 bad(408, "request too slow");
             } else if (decoder.awaitsBody() && !resting && (isReading() || upload != null)) {
                 behindMs = Math.max(-SLOW_MS, behindMs + now - sweptAt - arrived / LEAST_PACE);
-                if (behindMs > SLOW_MS && upload != null) {
+                silentMs = arrived > 0 ? 0 : silentMs + now - sweptAt;
+                boolean slow = behindMs > SLOW_MS || silentMs > SLOW_MS;
+                if (slow && upload != null) {
                     failLong(408, "body too slow");
-                } else if (behindMs > SLOW_MS) {
+                } else if (slow) {
                     bad(408, "body too slow");
                 }
+            } else {
+                silentMs = 0;
             }
             arrived = 0;
             sweptAt = now;
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -5,6 +5,7 @@
 import brackenbridge.core.Effect;
 import brackenbridge.core.Event;
 import brackenbridge.core.Reducer;
+import brackenbridge.core.ShutdownSchedule;
 import brackenbridge.core.TimerKey;
 import brackenbridge.core.observe.Observer;
 import brackenbridge.core.share.TenantUse;
@@ -39,8 +40,6 @@
 public final class Node implements Events, Staff, Handover.Process {
     private static final long SWEEP_MS = 100;
     private static final long LAST_ANSWERS_MS = 20;
-    /** What is still on its way when time is up has so long to arrive. */
-    private static final long LAST_LINGER_MS = 120;
 
     private Config config;
     private final Clock clock;
@@ -312,6 +311,11 @@
         }
     }
 
+    @Override
+    public void faulted(String what, RuntimeException cause) {
+        log.error(what, cause);
+    }
+
     private void run(Effect effect) {
         try {
             if (effect instanceof Effect.SetTimer e) {
@@ -352,6 +356,11 @@
             }
         } catch (RuntimeException e) {
             log.error("effect " + effect.getClass().getSimpleName() + " failed", e);
+            if (effect instanceof Effect.Forward f) {
+                // Guards its flow against waiting in vain: nothing has been sent.
+                forwards.cancel(f.flow(), f.forward());
+                raise(new Event.ForwardNotBegun(f.flow(), f.forward()));
+            }
         }
     }
 
@@ -432,7 +441,7 @@
         if (atOnce) {
             // Half a request is refused now: what comes of it later would meet a process that is gone.
             listener.endUnfinished(503);
-            loop.schedule(this::exited, LAST_LINGER_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::exited, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
         }
         awaitQuiet();
     }
