--- a/core/src/main/java/brackenbridge/Balancer.java
+++ b/core/src/main/java/brackenbridge/Balancer.java
@@ -817,9 +817,10 @@
     private void tryAgain(long now, Call c, Outcome outcome) {
         boolean may = c.attempts.size() < c.maxAttempts && now < c.arrival + c.tau
                 && outcome != Outcome.MOOT && outcome != Outcome.CANCELLED;
-        may &= retryBudget >= 1 && (!c.mayHaveRun || c.kind.is.effect() != Effect.UNSAFE);
+        double cost = outcome == Outcome.FAILED_LOCALLY ? 0 : 1;
+        may &= retryBudget >= cost && (!c.mayHaveRun || c.kind.is.effect() != Effect.UNSAFE);
         if (may) {
-            retryBudget--;
+            retryBudget -= cost;
             c.dropAt = Math.max(c.dropAt, c.arrival + (long) (c.tau * F));
             place(now, c);
         } else {
--- a/core/src/main/java/brackenbridge/BalancerApi.java
+++ b/core/src/main/java/brackenbridge/BalancerApi.java
@@ -370,7 +370,9 @@
         /** Withdrawn; it may have run. */
         CANCELLED(false),
         /** Never sent: the request had ended, its time or attempts were used up, or the node has no room for it. */
-        MOOT(true);
+        MOOT(true),
+        /** Never sent: the node failed to connect. It tells nothing of the endpoint, and another try costs none. */
+        FAILED_LOCALLY(true);
 
         /** Whether this outcome proves that the attempt never ran. */
         public final boolean neverRan;
--- a/core/src/main/java/brackenbridge/core/Event.java
+++ b/core/src/main/java/brackenbridge/core/Event.java
@@ -65,6 +65,9 @@
     /** The node itself has no room for another connection: nothing was sent, through no server's fault. */
     record ForwardNotBegun(long flow, int forward) implements Event {}
 
+    /** The node's own system calls failed before the forward was written: it never ran, through no server's fault. */
+    record ForwardFailedLocally(long flow, int forward) implements Event {}
+
     /** A list or a change has come on a call to discovery. */
     record TargetsTold(long call, TargetGroup group) implements Event {}
 
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -303,6 +303,11 @@
             if (f != null) {
                 outcome(f, Outcome.MOOT, f.ended, null);
             }
+        } else if (event instanceof Event.ForwardFailedLocally e) {
+            OpenFlow f = withOut(e.flow(), e.forward());
+            if (f != null) {
+                outcome(f, Outcome.FAILED_LOCALLY, f.ended, null);
+            }
         } else if (event instanceof Event.TimerFired e) {
             fired(e.key());
         } else if (event instanceof Event.ProbeEnded e) {
@@ -546,7 +551,7 @@
             case ERROR -> Kind.FORWARDS_FAILED;
             case FULL -> Kind.FORWARDS_TURNED_AWAY;
             case TIMEOUT -> Kind.FORWARDS_TIMED_OUT;
-            case CONNECT_FAILED -> Kind.FORWARDS_UNCONNECTED;
+            case CONNECT_FAILED, FAILED_LOCALLY -> Kind.FORWARDS_UNCONNECTED;
             case RESET -> Kind.FORWARDS_RESET;
             case CANCELLED -> Kind.FORWARDS_CANCELLED;
             case MOOT -> Kind.FORWARDS_MOOT;
--- a/core/src/main/java/brackenbridge/core/connection/Connections.java
+++ b/core/src/main/java/brackenbridge/core/connection/Connections.java
@@ -27,6 +27,10 @@
     private static final double MOST_PATIENCE = 0.25;
     /** A connection that nobody waits for any more may still come up within so many times that time. */
     private static final double LINGER = 4;
+    /** Openings for one wait that may fail on this machine and are tried again. */
+    private static final int LOCAL_RETRIES = 1;
+    /** The pause before such an opening is tried again. */
+    private static final double LOCAL_RETRY_MS = 4;
     /** What an opening moves the estimate of the median by. */
     private static final double MOVE = 1.15;
     /** Further openings for each first one, over time: guards servers against handshakes of those that wait. */
@@ -66,6 +70,7 @@
         final double until;
         double nextAt;
         int opened;
+        int failedLocally;
 
         Wait(long id, Peer peer, double until) {
             this.id = id;
@@ -157,7 +162,8 @@
         }
         Group g = groups.get(w.peer);
         if (now >= w.until) {
-            giveUp(g, w, Step.Why.UNCONNECTED);
+            boolean local = w.opened == 0 && w.failedLocally > 0;
+            giveUp(g, w, local ? Step.Why.FAILED_LOCALLY : Step.Why.UNCONNECTED);
             tidy(w.peer, g);
             return taken();
         }
@@ -201,6 +207,43 @@
         return ended(now, connection, Step.Why.NO_ROOM);
     }
 
+    /**
+     * A connection could not be opened because a system call failed on this machine. The wait tries once more after a
+     * short pause, as what was lacking may be there again, and then is over: another server may still be within reach.
+     */
+    public List<Step> failedLocally(double now, long connection) {
+        Connection c = all.remove(connection);
+        Group g = c == null ? null : groups.get(c.peer);
+        if (g == null) {
+            return taken();
+        }
+        g.idle.remove(c);
+        if (g.opening.remove(c)) {
+            int without = g.waits.size() - g.opening.size();
+            for (Wait w : List.copyOf(g.waits)) {
+                if (without-- <= 0) {
+                    break;
+                }
+                // A wait that has none opened will have its own when it is due.
+                if (w.opened > 0) {
+                    openAgainLater(now, g, w);
+                }
+            }
+        }
+        tidy(c.peer, g);
+        return taken();
+    }
+
+    private void openAgainLater(double now, Group g, Wait w) {
+        if (w.failedLocally++ >= LOCAL_RETRIES) {
+            giveUp(g, w, Step.Why.FAILED_LOCALLY);
+            return;
+        }
+        w.opened = 0;
+        w.nextAt = Math.min(w.until, now + LOCAL_RETRY_MS);
+        steps.add(new Step.Wake(w.nextAt, w.id));
+    }
+
     private List<Step> ended(double now, long connection, Step.Why why) {
         Connection c = all.remove(connection);
         Group g = c == null ? null : groups.get(c.peer);
--- a/core/src/main/java/brackenbridge/core/connection/Step.java
+++ b/core/src/main/java/brackenbridge/core/connection/Step.java
@@ -22,6 +22,8 @@
         /** None came up: the server refused it, or was silent for all the time that a connection may take. */
         UNCONNECTED,
         /** The node itself has no room for another. */
-        NO_ROOM
+        NO_ROOM,
+        /** The node itself failed to connect, twice with a pause between: nothing is known of the server. */
+        FAILED_LOCALLY
     }
 }
--- a/core/src/test/java/brackenbridge/core/RefusalTest.java
+++ b/core/src/test/java/brackenbridge/core/RefusalTest.java
@@ -152,6 +152,20 @@
         ended(p, f, Fixed.REFUSED, "attempts spent, and none ran: at once, not at its deadline");
     }
 
+    @Test
+    void connectThatFailedOnThisMachineGoesAgainAndBlamesNoServer() {
+        Play p = play(4);
+        for (int i = 0; i < 60; i++) {
+            long f = open(p, Play.FILE, true);
+            for (int attempt = 0; attempt < 5; attempt++) {
+                assertEquals(attempt + 1, p.forwards(f).size(), "flow " + i + " goes again, whatever others have cost");
+                p.tell(new Event.ForwardFailedLocally(f, attempt));
+            }
+            ended(p, f, Fixed.REFUSED, "no attempt left");
+        }
+        assertTrue(p.reducer.figures().contains("proxy.pool_ejected:0|g"));
+    }
+
     @Test
     void nodeWithoutRoomForAConnectionBlamesNoServer() {
         Play p = play(2);
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionsTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionsTest.java
@@ -71,6 +71,59 @@
         assertEquals(0, pool.size());
     }
 
+    @Test
+    void openingThatFailedOnThisMachineIsTriedAgainAfterAPauseAndThenBlamesNoServer() {
+        pool.ask(0, 1, A);
+        assertEquals(List.of(new Step.Wake(5, 1)), pool.failedLocally(1, 0));
+        assertEquals(List.of(), pool.due(4, 1), "the pause");
+        List<Step> again = pool.due(5, 1);
+        assertEquals(1, of(Step.Open.class, again).size());
+        assertEquals(List.of(new Step.GiveUp(1, Step.Why.FAILED_LOCALLY)), pool.failedLocally(6, 1));
+        assertEquals(0, pool.size() + pool.waiting());
+    }
+
+    @Test
+    void openingThatIsTriedAgainServesItsWait() {
+        pool.ask(0, 1, A);
+        pool.failedLocally(1, 0);
+        pool.due(5, 1);
+        assertEquals(lent(1, 1), pool.up(6, 1));
+    }
+
+    @Test
+    void waitWhoseTimeEndsInThePauseBlamesNoServer() {
+        pool.ask(0, 1, A);
+        pool.failedLocally(99, 0);
+        assertEquals(List.of(new Step.GiveUp(1, Step.Why.FAILED_LOCALLY)), pool.due(100, 1));
+    }
+
+    @Test
+    void eachOfSeveralWaitsTriesAgainOnce() {
+        for (int wait = 0; wait < 3; wait++) {
+            pool.ask(0, wait, A);
+        }
+        for (int connection = 0; connection < 3; connection++) {
+            assertEquals(
+                    1, of(Step.Wake.class, pool.failedLocally(1, connection)).size());
+        }
+        for (int wait = 0; wait < 3; wait++) {
+            assertEquals(1, of(Step.Open.class, pool.due(5, wait)).size());
+        }
+        for (int connection = 3; connection < 6; connection++) {
+            assertEquals(
+                    1, of(Step.GiveUp.class, pool.failedLocally(6, connection)).size());
+        }
+        assertEquals(0, pool.size() + pool.waiting());
+    }
+
+    @Test
+    void serverThatRefusesAfterALocalFailureIsBlamed() {
+        pool.ask(0, 1, A);
+        pool.failedLocally(1, 0);
+        pool.due(5, 1);
+        assertEquals(List.of(new Step.GiveUp(1, Step.Why.UNCONNECTED)), pool.ended(6, 1));
+    }
+
     @Test
     void connectionOfAWithdrawnWaitIsTheNextOnes() {
         pool.ask(0, 1, A);
@@ -206,7 +259,12 @@
                         opening.remove(any);
                         up.remove(any);
                         lent.remove(any);
-                        steps.addAll(random.nextBoolean() ? p.ended(now, any) : p.noRoom(now, any));
+                        steps.addAll(
+                                switch (random.nextInt(3)) {
+                                    case 0 -> p.ended(now, any);
+                                    case 1 -> p.noRoom(now, any);
+                                    default -> p.failedLocally(now, any);
+                                });
                     }
                     case 3 -> steps.addAll(random.nextBoolean() ? p.sweep(now) : p.shed());
                     case 4 -> {
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -30,7 +30,17 @@
     /** What the token of a timer begins with that is the membership's and not the module's. */
     private static final String TURN = "discovery ";
 
-    private static final Outcome[] OUTCOMES = Outcome.values();
+    /** By the wire's numbers, from 1 on. */
+    private static final Outcome[] OUTCOMES = {
+        Outcome.OK,
+        Outcome.ERROR,
+        Outcome.FULL,
+        Outcome.TIMEOUT,
+        Outcome.CONNECT_FAILED,
+        Outcome.RESET,
+        Outcome.CANCELLED,
+        Outcome.MOOT
+    };
 
     /** An instance; where lists are pushed, the simulator sends them by itself and there is nothing to follow. */
     private static final class Hosted {
