--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -3,6 +3,8 @@
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.Refusal;
 import brackenbridge.log.Log;
+import brackenbridge.transport.AcceptRecovery;
+import brackenbridge.transport.ConnectAttempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -83,12 +85,7 @@
                 .group(loop)
                 .channel(NioDomainSocketChannel.class)
                 .handler(new ToPredecessor());
-        bootstrap.connect(UnixDomainSocketAddress.of(path)).addListener(f -> {
-            if (!f.isSuccess()) {
-                log.info("no predecessor at " + path);
-                asked.complete(null);
-            }
-        });
+        ConnectAttempt.begin(bootstrap, loop, UnixDomainSocketAddress.of(path), new Asking());
         loop.schedule(
                 () -> {
                     if (asked.complete(null) && predecessor != null) {
@@ -134,6 +131,7 @@
         new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerDomainSocketChannel.class)
+                .handler(new AcceptRecovery(log::warn))
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel ch) {
@@ -145,6 +143,7 @@
                     if (f.isSuccess()) {
                         listening = f.channel();
                     } else {
+                        // Not on the loop where the socket itself was not to be had; only the log is touched.
                         log.warn("no successor can announce itself: " + f.cause());
                     }
                 });
@@ -168,6 +167,26 @@
         }
     }
 
+    /** How the connection to a predecessor comes up. */
+    private final class Asking implements ConnectAttempt.Listener {
+        @Override
+        public void connected() {
+            // The handler speaks first.
+        }
+
+        @Override
+        public void connectFailed(Throwable cause) {
+            log.info("no predecessor at " + path);
+            asked.complete(null);
+        }
+
+        @Override
+        public void notBegun(Throwable cause) {
+            log.warn("no predecessor can be asked, no socket: " + cause.getMessage());
+            asked.complete(null);
+        }
+    }
+
     private final class ToPredecessor extends Lines {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
--- a/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
@@ -2,6 +2,7 @@
 
 import brackenbridge.counters.Refusal;
 import brackenbridge.log.Log;
+import brackenbridge.transport.AcceptRecovery;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -57,6 +58,7 @@
         server = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
+                .handler(new AcceptRecovery(log::warn))
                 .option(ChannelOption.SO_BACKLOG, 256)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -8,13 +8,14 @@
 import brackenbridge.http.HttpException;
 import brackenbridge.http.ResponseDecoder;
 import brackenbridge.log.Log;
+import brackenbridge.transport.ConnectAttempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
@@ -27,13 +28,15 @@
     private static final String LIST = "/registry/instances";
 
     private final Bootstrap bootstrap;
+    private final EventLoop loop;
     private String dial;
     private final Events events;
     private final Log log;
     private final Map<Long, Call> calls = new HashMap<>();
 
-    DiscoveryClient(Bootstrap bootstrap, String dial, Events events, Log log) {
+    DiscoveryClient(Bootstrap bootstrap, EventLoop loop, String dial, Events events, Log log) {
         this.bootstrap = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
+        this.loop = loop;
         this.dial = dial;
         this.events = events;
         this.log = log;
@@ -65,22 +68,18 @@
             c.over("no address: " + dial);
             return;
         }
-        ChannelFuture opened = bootstrap.clone().handler(c).connect(address);
-        c.channel = opened.channel();
-        opened.addListener(f -> {
-            if (f.isSuccess()) {
-                c.channel.writeAndFlush(HttpEncoder.get(c.channel.alloc(), target, dial));
-            } else {
-                c.over("no connection");
-            }
-        });
+        c.target = target;
+        c.dialled = dial;
+        c.channel = ConnectAttempt.begin(bootstrap.clone().handler(c), loop, address, c);
     }
 
     /** One call. */
-    private final class Call extends ChannelInboundHandlerAdapter {
+    private final class Call extends ChannelInboundHandlerAdapter implements ConnectAttempt.Listener {
         final long id;
         final ObjectCutter cutter = new ObjectCutter(LIST_LIMIT);
         final ResponseDecoder decoder = new ResponseDecoder(this::body);
+        String target;
+        String dialled;
         Channel channel;
         boolean answered;
         boolean done;
@@ -89,6 +88,21 @@
             this.id = id;
         }
 
+        @Override
+        public void connected() {
+            channel.writeAndFlush(HttpEncoder.get(channel.alloc(), target, dialled));
+        }
+
+        @Override
+        public void connectFailed(Throwable cause) {
+            over("no connection: " + cause.getMessage());
+        }
+
+        @Override
+        public void notBegun(Throwable cause) {
+            over("no socket: " + cause.getMessage());
+        }
+
         private void body(ByteBuf from, int length) throws HttpException {
             for (int i = 0; i < length; i++) {
                 byte b = from.readByte();
--- a/node/src/main/java/brackenbridge/net/Door.java
+++ b/node/src/main/java/brackenbridge/net/Door.java
@@ -1,6 +1,9 @@
 package brackenbridge.net;
 
 import brackenbridge.clock.Clock;
+import brackenbridge.transport.AcceptBackoff;
+import brackenbridge.transport.AcceptRecovery;
+import brackenbridge.transport.SocketErrors;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
@@ -10,9 +13,9 @@
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
 import java.nio.channels.ServerSocketChannel;
-import java.nio.channels.SocketChannel;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 
 /**
  * The socket at which clients arrive. Other processes of this node may listen at the same address; closing the door
@@ -22,17 +25,35 @@
     /** The selector needs a turn to let go of the channel; until then closing it would only mark it. */
     private static final long OFF_SELECTOR_MS = 2;
 
+    /** Pauses while the backlog is emptied, so a node that can't accept closes after a quarter of a second. */
+    private static final int EMPTYING_PAUSES = 50;
+
     private static final AttributeKey<Double> WAITED = AttributeKey.valueOf(Door.class, "waited");
     private final ServerSocketChannel socket;
     private final Channel channel;
     private final Clock clock;
+    private final SocketCalls.Accept accept;
+    private final Runnable makeRoom;
+    private final AcceptRecovery recovery;
     private boolean closing;
     /** Since when clients may stand in the backlog; not a number if nobody did at the last look. */
     private double waitingSince = Double.NaN;
 
-    /** Listens; fails if it can't. */
-    Door(ServerBootstrap bootstrap, InetSocketAddress address, Clock clock) {
+    /**
+     * Listens; fails if it can't. When an accept fails for lack of descriptors or buffers, {@code makeRoom} is to close
+     * something.
+     */
+    Door(
+            ServerBootstrap bootstrap,
+            InetSocketAddress address,
+            Clock clock,
+            SocketCalls.Accept accept,
+            Runnable makeRoom,
+            Consumer<String> warn) {
         this.clock = clock;
+        this.accept = accept;
+        this.makeRoom = makeRoom;
+        recovery = new AcceptRecovery(makeRoom, warn);
         try {
             socket = ServerSocketChannel.open();
             socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -42,6 +63,7 @@
         }
         channel = bootstrap
                 .channelFactory(() -> new Backlog(socket))
+                .handler(recovery)
                 .bind(address)
                 .syncUninterruptibly()
                 .channel();
@@ -61,15 +83,23 @@
 
         @Override
         protected int doReadMessages(List<Object> taken) throws Exception {
-            int count = super.doReadMessages(taken);
-            if (count <= 0) {
+            NioSocketChannel client;
+            try {
+                client = accept.next(this, socket);
+            } catch (IOException e) {
+                // Whoever the failed accept leaves in the backlog waits from now on.
+                waitingSince = Double.isNaN(waitingSince) ? clock.nowMs() : waitingSince;
+                throw e;
+            }
+            if (client == null) {
                 waitingSince = Double.NaN;
-                return count;
+                return 0;
             }
             double now = clock.nowMs();
             waitingSince = Double.isNaN(waitingSince) ? now : waitingSince;
-            ((Channel) taken.get(taken.size() - 1)).attr(WAITED).set(now - waitingSince);
-            return count;
+            client.attr(WAITED).set(now - waitingSince);
+            taken.add(client);
+            return 1;
         }
     }
 
@@ -81,11 +111,16 @@
         return !closing;
     }
 
+    /** Whether it has been told to close, and clients may still stand in its backlog. */
+    boolean isEmptying() {
+        return closing && socket.isOpen();
+    }
+
     /** Takes clients, or lets them wait in the backlog. */
     void admit(boolean on) {
         if (!closing) {
             waitingSince = on || !Double.isNaN(waitingSince) ? waitingSince : clock.nowMs();
-            channel.config().setAutoRead(on);
+            recovery.admit(channel, on);
         }
     }
 
@@ -98,16 +133,43 @@
             return;
         }
         closing = true;
-        channel.deregister()
-                .addListener(
-                        f -> channel.eventLoop().schedule(this::emptyAndClose, OFF_SELECTOR_MS, TimeUnit.MILLISECONDS));
+        channel.deregister().addListener(f -> scheduleEmptying(OFF_SELECTOR_MS, EMPTYING_PAUSES));
     }
 
-    private void emptyAndClose() {
-        try {
-            for (SocketChannel client = socket.accept(); client != null; client = socket.accept()) {
-                channel.pipeline().fireChannelRead(new NioSocketChannel(channel, client));
+    private void scheduleEmptying(long delayMs, int pausesLeft) {
+        channel.eventLoop().schedule(() -> emptyAndClose(pausesLeft), delayMs, TimeUnit.MILLISECONDS);
+    }
+
+    /** Takes all who wait and closes; an accept that fails is tried again, after so many pauses at most. */
+    private void emptyAndClose(int pausesLeft) {
+        AcceptBackoff backoff = new AcceptBackoff();
+        while (true) {
+            try {
+                NioSocketChannel client = accept.next(channel, socket);
+                if (client == null) {
+                    break;
+                }
+                backoff.accepted();
+                channel.pipeline().fireChannelRead(client);
+            } catch (IOException e) {
+                long pauseMs = backoff.pauseMs(e);
+                if (pauseMs > 0 && pausesLeft == 0) {
+                    break;
+                }
+                if (pauseMs > 0) {
+                    if (SocketErrors.isShortage(e)) {
+                        makeRoom.run();
+                    }
+                    scheduleEmptying(pauseMs, pausesLeft - 1);
+                    return;
+                }
             }
+        }
+        closeSocket();
+    }
+
+    private void closeSocket() {
+        try {
             socket.close();
         } catch (IOException e) {
             channel.pipeline().fireExceptionCaught(e);
--- a/node/src/main/java/brackenbridge/net/Forwards.java
+++ b/node/src/main/java/brackenbridge/net/Forwards.java
@@ -18,15 +18,17 @@
 import brackenbridge.http.LoadReport;
 import brackenbridge.http.ResponseDecoder;
 import brackenbridge.log.Log;
+import brackenbridge.transport.ConnectAttempt;
+import brackenbridge.transport.SocketErrors;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -53,6 +55,8 @@
 
     /** A forward that its connection's end meets so soon may have met a connection that was dead already. */
     private static final double AT_ONCE_MS = 50;
+    /** Connects that failed on this machine are logged so often at most. */
+    private static final double LOCAL_FAILURE_LOG_MS = 1000;
 
     private Bootstrap bootstrap;
     private final EventLoop loop;
@@ -74,6 +78,8 @@
     private final Map<Long, Running> waits = new HashMap<>();
 
     private long waited;
+    /** When a connect that failed on this machine was last logged. */
+    private double localFailureLoggedMs = Double.NEGATIVE_INFINITY;
     /** Connections whose answer is long and on its way to a client. */
     private final Set<Connection> streaming = new HashSet<>();
 
@@ -183,26 +189,27 @@
             return;
         }
         Connection c = new Connection(s.connection(), s.peer());
-        ChannelFuture opened = bootstrap
+        Bootstrap attempt = bootstrap
                 .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(Integer.MAX_VALUE, s.withinMs()))
-                .handler(c)
-                .connect(address);
-        c.channel = opened.channel();
-        connections.put(c.id, c);
+                .handler(c);
+        c.channel = ConnectAttempt.begin(attempt, loop, address, c);
         if (s.further()) {
             counters.count(Counters.Kind.CONNECTIONS_JOINED);
         }
-        sockets.server(1);
-        c.channel.closeFuture().addListener(f -> sockets.server(-1));
-        opened.addListener(f -> {
-            if (f.isSuccess()) {
-                counters.count(Counters.Kind.CONNECTIONS_OPENED);
-                follow(pool.up(clock.nowMs(), c.id));
-            } else {
-                c.forget();
-            }
-        });
+        if (c.channel != null) {
+            connections.put(c.id, c);
+            sockets.server(1);
+            c.channel.closeFuture().addListener(f -> sockets.server(-1));
+        }
+    }
+
+    private void warnOfLocalFailure(Peer peer, Throwable cause) {
+        double now = clock.nowMs();
+        if (now - localFailureLoggedMs >= LOCAL_FAILURE_LOG_MS) {
+            localFailureLoggedMs = now;
+            log.warn("no connection to " + peer.host() + ", failed on this machine: " + cause.getMessage());
+        }
     }
 
     private void lend(Step.Lend s) {
@@ -225,10 +232,14 @@
         if (r == null) {
             return;
         }
-        if (s.why() == Step.Why.UNCONNECTED) {
-            broken(r);
-        } else if (running.remove(r.forward.flow(), r)) {
-            events.raise(new Event.ForwardNotBegun(r.forward.flow(), r.forward.forward()));
+        switch (s.why()) {
+            case UNCONNECTED -> broken(r);
+            case FAILED_LOCALLY -> failedLocally(r);
+            case NO_ROOM -> {
+                if (running.remove(r.forward.flow(), r)) {
+                    events.raise(new Event.ForwardNotBegun(r.forward.flow(), r.forward.forward()));
+                }
+            }
         }
     }
 
@@ -252,6 +263,12 @@
         }
     }
 
+    private void failedLocally(Running r) {
+        if (running.remove(r.forward.flow(), r)) {
+            events.raise(new Event.ForwardFailedLocally(r.forward.flow(), r.forward.forward()));
+        }
+    }
+
     void cancel(long flow, int forward) {
         Running r = running.get(flow);
         if (r != null && r.forward.forward() == forward) {
@@ -297,7 +314,7 @@
     }
 
     /** A connection to a server. */
-    private final class Connection extends ChannelInboundHandlerAdapter implements Body.Giver {
+    private final class Connection extends ChannelInboundHandlerAdapter implements Body.Giver, ConnectAttempt.Listener {
         final long id;
         final Peer peer;
         final ResponseDecoder decoder = new ResponseDecoder();
@@ -309,7 +326,10 @@
         /** The long answer that comes in on it. */
         Body answer;
 
-        boolean broken;
+        /** Why reading from it failed; null if it didn't. */
+        Throwable readFailure;
+        /** Why writing to it failed; null if it didn't. */
+        Throwable writeFailure;
         /** When the latest bytes of the answer came; 0 before them. */
         double answerSince;
         /** Its part of what all answers hold. */
@@ -320,6 +340,32 @@
             this.peer = peer;
         }
 
+        @Override
+        public void connected() {
+            counters.count(Counters.Kind.CONNECTIONS_OPENED);
+            follow(pool.up(clock.nowMs(), id));
+        }
+
+        @Override
+        public void connectFailed(Throwable cause) {
+            if (SocketErrors.isLocal(cause)) {
+                connections.remove(id);
+                warnOfLocalFailure(peer, cause);
+                follow(pool.failedLocally(clock.nowMs(), id));
+            } else {
+                forget();
+            }
+        }
+
+        @Override
+        public void notBegun(Throwable cause) {
+            warnOfLocalFailure(peer, cause);
+            if (SocketErrors.isShortage(cause)) {
+                makeRoom.run();
+            }
+            follow(pool.failedLocally(clock.nowMs(), id));
+        }
+
         void send(Running r) {
             running = r;
             r.connection = this;
@@ -331,21 +377,26 @@
             ByteBuf bytes = HttpEncoder.forward(
                     channel.alloc(), (HttpRequest) r.forward.message(), r.forward.giveUpMs() - clock.nowMs());
             // The promise of the last byte, not its place in a queue, tells whether the request may run.
-            channel.writeAndFlush(bytes).addListener(f -> written(r, f.isSuccess()));
+            channel.writeAndFlush(bytes).addListener(f -> written(r, f.cause()));
         }
 
-        private void written(Running r, boolean success) {
+        private void written(Running r, Throwable cause) {
             if (running != r) {
                 return;
             }
-            if (success) {
+            if (cause == null) {
                 r.written = true;
                 events.raise(new Event.ForwardWritten(r.forward.flow(), r.forward.forward()));
             } else {
-                channel.close();
+                writeFailed(cause);
             }
         }
 
+        private void writeFailed(Throwable cause) {
+            writeFailure = cause;
+            channel.close();
+        }
+
         /** The head and the part that is kept; once they have left, the rest as it comes. */
         private void sendLong(Running r, Upload u) {
             boolean chunked = u.length() < 0;
@@ -360,7 +411,7 @@
                 if (running == r && f.isSuccess()) {
                     u.rest().to(new ToServer(r, chunked));
                 } else if (running == r) {
-                    channel.close();
+                    writeFailed(f.cause());
                 }
             });
         }
@@ -410,7 +461,7 @@
                 if (whole) {
                     sentAt = clock.nowMs();
                     channel.writeAndFlush(chunked ? HttpEncoder.lastChunk(channel.alloc()) : Unpooled.EMPTY_BUFFER)
-                            .addListener(f -> written(r, f.isSuccess()));
+                            .addListener(f -> written(r, f.cause()));
                 } else {
                     channel.close();
                 }
@@ -651,7 +702,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             hold(0);
             if (answer != null) {
-                if (!broken && decoder.ended()) {
+                if (readFailure == null && decoder.ended()) {
                     endStream(true);
                 } else {
                     cut("its connection ended");
@@ -662,12 +713,19 @@
                 forget();
                 return;
             }
-            if (!broken && decoder.ended()) {
+            if (readFailure == null && decoder.ended()) {
                 answered(true);
                 return;
             }
             running = null;
             endUpload();
+            Throwable failure = writeFailure == null ? readFailure : writeFailure;
+            if (!r.written && SocketErrors.isLocal(failure)) {
+                forget();
+                warnOfLocalFailure(peer, failure);
+                failedLocally(r);
+                return;
+            }
             boolean atOnce = answerSince == 0 && clock.nowMs() - sentAt < AT_ONCE_MS;
             if (atOnce && pool.broke(id)) {
                 counters.count(Counters.Kind.CONNECTIONS_STALE);
@@ -679,7 +737,10 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // Guards clients against half an answer: a reset is no end, whatever the answer says of its end.
-            broken = true;
+            readFailure = cause;
+            if (!(cause instanceof IOException)) {
+                log.error("fault on a connection to " + peer.host(), cause);
+            }
             ctx.close();
         }
     }
--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -224,7 +224,8 @@
     /** Whether no client is owed anything, and those whose connection has been ended had time to see it. */
     boolean quiet() {
         double now = clock.nowMs();
-        return clients.stream().allMatch(c -> c.closing && now - c.since > EXIT_LINGER_MS);
+        boolean emptying = door != null && door.isEmptying();
+        return !emptying && clients.stream().allMatch(c -> c.closing && now - c.since > EXIT_LINGER_MS);
     }
 
     /** Ends what takes too long. */
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -23,7 +23,6 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
@@ -51,6 +50,7 @@
     private final PooledByteBufAllocator buffers;
     private final Reducer reducer;
     private final Sockets sockets;
+    private final SocketCalls calls;
     private final Listener listener;
     private final Forwards forwards;
     private final DiscoveryClient discovery;
@@ -78,7 +78,13 @@
 
     /** Makes a node ready to start; at this path it meets the process it replaces, and the one that replaces it. */
     public Node(Config config, Clock clock, Log log, Path meeting) {
+        this(config, clock, log, meeting, SocketCalls.system());
+    }
+
+    /** As the others, with other sockets than the system's. */
+    Node(Config config, Clock clock, Log log, Path meeting, SocketCalls calls) {
         this.config = config;
+        this.calls = calls;
         this.clock = clock;
         this.log = log;
         reducer = new Reducer(config.settings(), counters);
@@ -88,7 +94,7 @@
         sockets = new Sockets(config.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS));
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
-                .channel(NioSocketChannel.class)
+                .channelFactory(calls.outgoing())
                 .option(ChannelOption.ALLOCATOR, buffers)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, received())
@@ -96,7 +102,7 @@
         listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::ready, this::makeRoom);
         forwards =
                 new Forwards(bootstrap, loop, config.settings(), clock, this, sockets, counters, log, this::makeRoom);
-        discovery = new DiscoveryClient(bootstrap, config.discovery(), this, log);
+        discovery = new DiscoveryClient(bootstrap, loop, config.discovery(), this, log);
     }
 
     /** Starts to serve; fails if the address can't be listened on. */
@@ -134,7 +140,10 @@
                         .childOption(ChannelOption.RECVBUF_ALLOCATOR, received().respectMaybeMoreData(false))
                         .childHandler(listener.initializer()),
                 address,
-                clock);
+                clock,
+                calls.accept(),
+                this::makeRoom,
+                log::warn);
         loop.submit(() -> {
                     listener.opened(door);
                     if (handover == null) {
@@ -276,6 +285,16 @@
         return read;
     }
 
+    /** What the loop knows at one moment: the sockets that it counts, and the operators' figures. */
+    record Snapshot(int clients, int servers, String figures) {}
+
+    /** Read on the loop, with nothing in between; for tests. */
+    CompletableFuture<Snapshot> snapshot() {
+        CompletableFuture<Snapshot> read = new CompletableFuture<>();
+        loop.execute(() -> read.complete(new Snapshot(sockets.clients(), sockets.servers(), reducer.figures())));
+        return read;
+    }
+
     /** Begins to stop; the future that is returned completes when all is answered. */
     public CompletableFuture<Void> stop() {
         loop.execute(() -> {
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/SocketCalls.java
@@ -0,0 +1,42 @@
+package brackenbridge.net;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFactory;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.io.IOException;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+
+/**
+ * How a node comes by its sockets; tests put in calls that fail.
+ *
+ * @param outgoing makes the channels of connections to servers and discovery
+ * @param accept takes clients' connections from the listening socket
+ */
+record SocketCalls(ChannelFactory<? extends Channel> outgoing, Accept accept) {
+
+    /** Takes the next connection from a listening socket. */
+    @FunctionalInterface
+    interface Accept {
+        /** Returns the channel of the next client; null if none waits. */
+        NioSocketChannel next(Channel parent, ServerSocketChannel listening) throws IOException;
+    }
+
+    /** The system's own. */
+    static SocketCalls system() {
+        return new SocketCalls(NioSocketChannel::new, SocketCalls::acceptNext);
+    }
+
+    private static NioSocketChannel acceptNext(Channel parent, ServerSocketChannel listening) throws IOException {
+        SocketChannel client = listening.accept();
+        if (client == null) {
+            return null;
+        }
+        try {
+            return new NioSocketChannel(parent, client);
+        } catch (RuntimeException e) {
+            client.close();
+            throw new IOException("Software caused connection abort: " + e.getMessage(), e);
+        }
+    }
+}
--- a/node/src/main/java/brackenbridge/net/Sockets.java
+++ b/node/src/main/java/brackenbridge/net/Sockets.java
@@ -52,6 +52,16 @@
         return clients + servers < forAll;
     }
 
+    /** Connections of clients that are counted now. */
+    int clients() {
+        return clients;
+    }
+
+    /** Connections to servers that are counted now. */
+    int servers() {
+        return servers;
+    }
+
     void client(int change) {
         clients += change;
     }
--- /dev/null
+++ b/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
@@ -0,0 +1,80 @@
+package brackenbridge.transport;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+
+/**
+ * The handler of a listening channel that decides when it accepts: while its owner admits clients, except for a short
+ * pause after an accept that failed for lack of something. It stands before Netty's own acceptor and keeps failed
+ * accepts from it. On the channel's event loop only.
+ */
+public final class AcceptRecovery extends ChannelInboundHandlerAdapter {
+    private final AcceptBackoff backoff = new AcceptBackoff();
+    private final Runnable makeRoom;
+    private final Consumer<String> warn;
+    private boolean failing;
+    private boolean admits = true;
+    private boolean pausing;
+
+    /** For an owner that has nothing to close when descriptors are lacking. */
+    public AcceptRecovery(Consumer<String> warn) {
+        this(() -> {}, warn);
+    }
+
+    /**
+     * For an owner that can close something.
+     *
+     * @param makeRoom runs before each pause for lack of descriptors or buffers
+     * @param warn is told of the first failure after an accept that succeeded
+     */
+    public AcceptRecovery(Runnable makeRoom, Consumer<String> warn) {
+        this.makeRoom = makeRoom;
+        this.warn = warn;
+    }
+
+    /** The owner takes clients, or lets them wait in the backlog. */
+    public void admit(Channel listening, boolean on) {
+        admits = on;
+        apply(listening);
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object accepted) {
+        backoff.accepted();
+        failing = false;
+        context.fireChannelRead(accepted);
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        if (!failing) {
+            failing = true;
+            warn.accept("accept failed: " + cause);
+        }
+        long pauseMs = backoff.pauseMs(cause);
+        // Without a pause the selector reports the same socket in its next turn.
+        if (pauseMs == 0 || pausing) {
+            return;
+        }
+        if (SocketErrors.isShortage(cause)) {
+            makeRoom.run();
+        }
+        pausing = true;
+        apply(context.channel());
+        context.executor().schedule(() -> resume(context.channel()), pauseMs, TimeUnit.MILLISECONDS);
+    }
+
+    private void resume(Channel listening) {
+        pausing = false;
+        if (listening.isRegistered()) {
+            apply(listening);
+        }
+    }
+
+    private void apply(Channel listening) {
+        listening.config().setAutoRead(admits && !pausing);
+    }
+}
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/DoorTest.java
@@ -0,0 +1,120 @@
+package brackenbridge.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.clock.Clock;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Semaphore;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** The listening socket closes while clients stand in its backlog and accepts fail. */
+class DoorTest {
+    private static final int CLIENTS = 4;
+
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final FaultySockets sockets = new FaultySockets("127.0.0.1:1");
+    private final Semaphore accepted = new Semaphore(0);
+    private final AtomicInteger roomMade = new AtomicInteger();
+    private final List<Socket> clients = new ArrayList<>();
+    private Door door;
+
+    @BeforeEach
+    void listen() throws Exception {
+        ServerBootstrap bootstrap = new ServerBootstrap().group(group).childHandler(new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(Channel client) {
+                client.pipeline().addLast(new ChannelInboundHandlerAdapter() {
+                    @Override
+                    public void channelActive(ChannelHandlerContext context) {
+                        accepted.release();
+                    }
+
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+                        // The test's clients end as they like.
+                        context.close();
+                    }
+                });
+            }
+        });
+        door = new Door(
+                bootstrap,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                Clock.system(),
+                sockets.calls().accept(),
+                roomMade::incrementAndGet,
+                text -> {});
+        group.submit(() -> door.admit(false)).sync();
+        for (int i = 0; i < CLIENTS; i++) {
+            Socket client =
+                    new Socket(door.address().getAddress(), door.address().getPort());
+            client.setSoTimeout(10_000);
+            clients.add(client);
+        }
+    }
+
+    @AfterEach
+    void end() throws Exception {
+        for (Socket client : clients) {
+            client.close();
+        }
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2000);
+    }
+
+    private void close() throws InterruptedException {
+        group.submit(door::close).sync();
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "Software caused connection abort",
+                "Too many open files",
+                "No buffer space available",
+                "Unknown error 512"
+            })
+    void failedAcceptsLeaveNobodyInTheBacklog(String error) throws Exception {
+        sockets.fail(FaultySockets.Call.ACCEPT, 20, () -> new IOException(error));
+        close();
+        assertTrue(accepted.tryAcquire(CLIENTS, 10, TimeUnit.SECONDS), "accepted " + accepted.availablePermits());
+        boolean shortage = !error.startsWith("Software") && !error.startsWith("Unknown");
+        assertEquals(shortage ? 20 : 0, roomMade.get());
+    }
+
+    @Test
+    void acceptsThatAlwaysFailEndInTheClose() throws Exception {
+        sockets.fail(FaultySockets.Call.ACCEPT, FaultySockets.ALWAYS, () -> new IOException("Too many open files"));
+        close();
+        for (Socket client : clients) {
+            int read;
+            try {
+                read = client.getInputStream().read();
+            } catch (java.net.SocketTimeoutException e) {
+                throw new AssertionError("the door never closes", e);
+            } catch (IOException e) {
+                read = -1;
+            }
+            assertEquals(-1, read, "reset, or ended");
+        }
+        assertEquals(0, accepted.availablePermits());
+    }
+}
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/FaultySockets.java
@@ -0,0 +1,153 @@
+package brackenbridge.net;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelOutboundBuffer;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.function.Supplier;
+
+/** Real sockets whose system calls fail as a test says; what doesn't fail is the system's own. */
+final class FaultySockets {
+    /** Stands for as many failures as are asked for. */
+    static final int ALWAYS = Integer.MAX_VALUE;
+
+    /** Where a system call can fail. */
+    enum Call {
+        ACCEPT,
+        SOCKET,
+        CONNECT,
+        FINISH_CONNECT,
+        READ,
+        WRITE,
+        CLIENT_READ,
+        CLIENT_WRITE
+    }
+
+    private record Fault(int left, Supplier<IOException> error) {}
+
+    private final Map<Call, Fault> faults = new EnumMap<>(Call.class);
+    private final Queue<Connection> toServer = new ConcurrentLinkedQueue<>();
+    private final InetSocketAddress server;
+    private final CountDownLatch met = new CountDownLatch(1);
+    private int bytesPerRead = Integer.MAX_VALUE;
+
+    /** Only connections to this server have faults. */
+    FaultySockets(String serverDial) {
+        server = Addresses.of(serverDial);
+    }
+
+    synchronized void fail(Call call, int times, Supplier<IOException> error) {
+        faults.put(call, new Fault(times, error));
+    }
+
+    synchronized void failNoMore() {
+        faults.clear();
+    }
+
+    /** From now on each read brings so many bytes at most. */
+    void readShort(int bytes) {
+        bytesPerRead = bytes;
+    }
+
+    /** Waits until a fault has been met. */
+    void awaitFault() throws InterruptedException {
+        met.await();
+    }
+
+    SocketCalls calls() {
+        return new SocketCalls(this::outgoing, this::accept);
+    }
+
+    /** How many sockets to the server are open. */
+    long openToServer() {
+        return toServer.stream().filter(Channel::isOpen).count();
+    }
+
+    private synchronized void meet(Call call) throws IOException {
+        Fault fault = faults.get(call);
+        if (fault != null && fault.left > 0) {
+            faults.put(call, new Fault(fault.left == ALWAYS ? ALWAYS : fault.left - 1, fault.error));
+            met.countDown();
+            throw fault.error.get();
+        }
+    }
+
+    private Channel outgoing() {
+        try {
+            meet(Call.SOCKET);
+        } catch (IOException e) {
+            throw new ChannelException("Failed to open a socket.", e);
+        }
+        return new Connection();
+    }
+
+    private NioSocketChannel accept(Channel parent, ServerSocketChannel listening) throws IOException {
+        meet(Call.ACCEPT);
+        SocketChannel client = listening.accept();
+        return client == null ? null : new Connection(parent, client);
+    }
+
+    /** One connection, to the server or from a client. */
+    private final class Connection extends NioSocketChannel {
+        private final boolean fromClient;
+        private boolean faulty;
+
+        Connection() {
+            fromClient = false;
+        }
+
+        Connection(Channel parent, SocketChannel client) {
+            super(parent, client);
+            fromClient = true;
+            faulty = true;
+        }
+
+        @Override
+        protected boolean doConnect(SocketAddress to, SocketAddress from) throws Exception {
+            faulty = to.equals(server);
+            if (faulty) {
+                toServer.add(this);
+                meet(Call.CONNECT);
+            }
+            return super.doConnect(to, from);
+        }
+
+        @Override
+        protected void doFinishConnect() throws Exception {
+            if (faulty) {
+                meet(Call.FINISH_CONNECT);
+            }
+            super.doFinishConnect();
+        }
+
+        @Override
+        protected int doReadBytes(ByteBuf to) throws Exception {
+            if (faulty) {
+                meet(fromClient ? Call.CLIENT_READ : Call.READ);
+            }
+            if (to.writableBytes() <= bytesPerRead) {
+                return super.doReadBytes(to);
+            }
+            return to.writeBytes(javaChannel(), bytesPerRead);
+        }
+
+        @Override
+        protected void doWrite(ChannelOutboundBuffer out) throws Exception {
+            if (faulty && !out.isEmpty()) {
+                meet(fromClient ? Call.CLIENT_WRITE : Call.WRITE);
+            }
+            super.doWrite(out);
+        }
+    }
+}
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/SystemCallsTest.java
@@ -0,0 +1,282 @@
+package brackenbridge.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import brackenbridge.clock.Clock;
+import brackenbridge.config.Config;
+import brackenbridge.config.ConfigTest;
+import brackenbridge.log.Log;
+import brackenbridge.net.FaultySockets.Call;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.io.UncheckedIOException;
+import java.net.BindException;
+import java.net.ConnectException;
+import java.net.NoRouteToHostException;
+import java.net.Socket;
+import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** System calls fail in the ways that Linux documents: what a client gets, whom it is blamed on, what stays counted. */
+class SystemCallsTest {
+    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+    private static final int ALWAYS = FaultySockets.ALWAYS;
+    /** Netty's own answer, a second without accepting for each, would take longer than a client waits here. */
+    private static final int MANY = 30;
+
+    /** What Java throws for an error number. */
+    private enum Errno {
+        ECONNABORTED(() -> new IOException("Software caused connection abort")),
+        EINTR(() -> new IOException("Interrupted system call")),
+        EPROTO(() -> new IOException("Protocol error")),
+        EMFILE(() -> new SocketException("Too many open files")),
+        ENFILE(() -> new SocketException("Too many open files in system")),
+        ENOBUFS(() -> new SocketException("No buffer space available")),
+        ENOMEM(() -> new SocketException("Cannot allocate memory")),
+        EADDRNOTAVAIL(() -> new BindException("Cannot assign requested address")),
+        EAGAIN(() -> new SocketException("Resource temporarily unavailable")),
+        ENETUNREACH(() -> new SocketException("Network is unreachable")),
+        ENETDOWN(() -> new SocketException("Network is down")),
+        ECONNREFUSED(() -> new ConnectException("Connection refused")),
+        ETIMEDOUT(() -> new ConnectException("Connection timed out")),
+        EHOSTUNREACH(() -> new NoRouteToHostException("No route to host")),
+        ECONNRESET(() -> new SocketException("Connection reset by peer")),
+        EPIPE(() -> new IOException("Broken pipe")),
+        UNKNOWN(() -> new IOException("Unknown error 512"));
+
+        private final Supplier<IOException> error;
+
+        Errno(Supplier<IOException> error) {
+            this.error = error;
+        }
+    }
+
+    /** What the node has when the call fails. */
+    private enum Have {
+        /** No connection to the server. */
+        NONE,
+        /** One that is kept from an earlier request. */
+        KEPT
+    }
+
+    /** Whose fault the node takes it for. */
+    private enum Blame {
+        /** Nobody's: no server is ever avoided. */
+        NONE,
+        /** The server's, which is avoided; as there is no other, the call is refused before its time is over. */
+        SERVER
+    }
+
+    /** One line of the table. */
+    private enum Row {
+        ACCEPT_ECONNABORTED(Call.ACCEPT, Errno.ECONNABORTED, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EINTR(Call.ACCEPT, Errno.EINTR, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EPROTO(Call.ACCEPT, Errno.EPROTO, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENETUNREACH(Call.ACCEPT, Errno.ENETUNREACH, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EMFILE(Call.ACCEPT, Errno.EMFILE, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EMFILE_KEPT(Call.ACCEPT, Errno.EMFILE, MANY, Have.KEPT, "file", 200, Blame.NONE),
+        ACCEPT_ENFILE(Call.ACCEPT, Errno.ENFILE, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENOBUFS(Call.ACCEPT, Errno.ENOBUFS, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENOMEM(Call.ACCEPT, Errno.ENOMEM, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_UNKNOWN(Call.ACCEPT, Errno.UNKNOWN, MANY, Have.NONE, "file", 200, Blame.NONE),
+
+        SOCKET_EMFILE(Call.SOCKET, Errno.EMFILE, 1, Have.NONE, "file", 200, Blame.NONE),
+        SOCKET_ENFILE(Call.SOCKET, Errno.ENFILE, 1, Have.NONE, "file", 200, Blame.NONE),
+        SOCKET_ENOBUFS(Call.SOCKET, Errno.ENOBUFS, 1, Have.NONE, "file", 200, Blame.NONE),
+        SOCKET_ENOMEM(Call.SOCKET, Errno.ENOMEM, 3, Have.NONE, "file", 200, Blame.NONE),
+        SOCKET_EMFILE_ALWAYS(Call.SOCKET, Errno.EMFILE, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
+        SOCKET_EMFILE_ALWAYS_KEPT(Call.SOCKET, Errno.EMFILE, ALWAYS, Have.KEPT, "file", 200, Blame.NONE),
+
+        CONNECT_EADDRNOTAVAIL(Call.CONNECT, Errno.EADDRNOTAVAIL, 1, Have.NONE, "file", 200, Blame.NONE),
+        CONNECT_EADDRNOTAVAIL_ALWAYS(Call.CONNECT, Errno.EADDRNOTAVAIL, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
+        CONNECT_EAGAIN(Call.CONNECT, Errno.EAGAIN, 3, Have.NONE, "file", 200, Blame.NONE),
+        CONNECT_EAGAIN_ALWAYS(Call.CONNECT, Errno.EAGAIN, ALWAYS, Have.NONE, "view", 503, Blame.NONE),
+        CONNECT_ENETUNREACH(Call.CONNECT, Errno.ENETUNREACH, 1, Have.NONE, "file", 200, Blame.NONE),
+        CONNECT_ENETUNREACH_ALWAYS(Call.CONNECT, Errno.ENETUNREACH, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
+        CONNECT_ENETDOWN(Call.CONNECT, Errno.ENETDOWN, 1, Have.NONE, "file", 200, Blame.NONE),
+        CONNECT_ENOBUFS(Call.CONNECT, Errno.ENOBUFS, 1, Have.NONE, "file", 200, Blame.NONE),
+        CONNECT_ENOMEM(Call.CONNECT, Errno.ENOMEM, 1, Have.NONE, "file", 200, Blame.NONE),
+        FINISH_ENETUNREACH(Call.FINISH_CONNECT, Errno.ENETUNREACH, 1, Have.NONE, "file", 200, Blame.NONE),
+        CONNECT_ECONNREFUSED_ALWAYS(Call.CONNECT, Errno.ECONNREFUSED, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+        CONNECT_ECONNRESET_ALWAYS(Call.CONNECT, Errno.ECONNRESET, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+        FINISH_ECONNREFUSED_ALWAYS(
+                Call.FINISH_CONNECT, Errno.ECONNREFUSED, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+        FINISH_ETIMEDOUT_ALWAYS(Call.FINISH_CONNECT, Errno.ETIMEDOUT, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+        FINISH_EHOSTUNREACH_ALWAYS(
+                Call.FINISH_CONNECT, Errno.EHOSTUNREACH, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+        FINISH_ECONNREFUSED(Call.FINISH_CONNECT, Errno.ECONNREFUSED, 1, Have.NONE, "file", 503, Blame.SERVER),
+
+        WRITE_EPIPE(Call.WRITE, Errno.EPIPE, 1, Have.NONE, "file", 503, Blame.SERVER),
+        WRITE_EPIPE_KEPT(Call.WRITE, Errno.EPIPE, 1, Have.KEPT, "file", 503, Blame.SERVER),
+        WRITE_ECONNRESET_KEPT(Call.WRITE, Errno.ECONNRESET, 1, Have.KEPT, "file", 503, Blame.SERVER),
+        WRITE_ETIMEDOUT_KEPT(Call.WRITE, Errno.ETIMEDOUT, 1, Have.KEPT, "file", 503, Blame.SERVER),
+        WRITE_EHOSTUNREACH_KEPT(Call.WRITE, Errno.EHOSTUNREACH, 1, Have.KEPT, "file", 503, Blame.SERVER),
+        WRITE_ENOBUFS_KEPT(Call.WRITE, Errno.ENOBUFS, 1, Have.KEPT, "file", 200, Blame.NONE),
+        WRITE_ENOBUFS_ALWAYS(Call.WRITE, Errno.ENOBUFS, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
+        WRITE_EPIPE_ALWAYS(Call.WRITE, Errno.EPIPE, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+
+        READ_ECONNRESET(Call.READ, Errno.ECONNRESET, 1, Have.NONE, "file", 502, Blame.NONE),
+        READ_ECONNRESET_SAFE(Call.READ, Errno.ECONNRESET, 1, Have.NONE, "view", 200, Blame.NONE),
+        READ_ECONNRESET_KEPT(Call.READ, Errno.ECONNRESET, 1, Have.KEPT, "file", 502, Blame.NONE),
+        READ_ETIMEDOUT(Call.READ, Errno.ETIMEDOUT, 1, Have.NONE, "file", 502, Blame.NONE),
+        READ_ETIMEDOUT_SAFE(Call.READ, Errno.ETIMEDOUT, 1, Have.NONE, "view", 200, Blame.NONE),
+        READ_EHOSTUNREACH(Call.READ, Errno.EHOSTUNREACH, 1, Have.NONE, "file", 502, Blame.NONE),
+        READ_EHOSTUNREACH_SAFE(Call.READ, Errno.EHOSTUNREACH, 1, Have.KEPT, "view", 200, Blame.NONE),
+        READ_ENOMEM(Call.READ, Errno.ENOMEM, 1, Have.NONE, "file", 502, Blame.NONE),
+
+        CLIENT_READ_ECONNRESET(Call.CLIENT_READ, Errno.ECONNRESET, 1, Have.NONE, "file", 0, Blame.NONE),
+        CLIENT_READ_ETIMEDOUT(Call.CLIENT_READ, Errno.ETIMEDOUT, 1, Have.KEPT, "file", 0, Blame.NONE),
+        CLIENT_WRITE_EPIPE(Call.CLIENT_WRITE, Errno.EPIPE, 1, Have.NONE, "file", 0, Blame.NONE),
+        CLIENT_WRITE_ECONNRESET(Call.CLIENT_WRITE, Errno.ECONNRESET, 1, Have.NONE, "file", 0, Blame.NONE);
+
+        private final Call call;
+        private final Errno errno;
+        private final int times;
+        private final Have have;
+        private final String requestClass;
+        /** The answer's status; 0 if the connection ends without one. */
+        private final int status;
+
+        private final Blame blame;
+
+        Row(Call call, Errno errno, int times, Have have, String requestClass, int status, Blame blame) {
+            this.call = call;
+            this.errno = errno;
+            this.times = times;
+            this.have = have;
+            this.requestClass = requestClass;
+            this.status = status;
+            this.blame = blame;
+        }
+    }
+
+    private FakeServer server;
+    private FaultySockets sockets;
+    private Node node;
+
+    @BeforeEach
+    void start() throws Exception {
+        server = new FakeServer();
+        sockets = new FaultySockets(server.dial());
+        Clock clock = Clock.system();
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        node = new Node(
+                Config.parse(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
+                clock,
+                new Log(clock, new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8)),
+                null,
+                sockets.calls());
+        node.start();
+    }
+
+    @AfterEach
+    void end() throws IOException {
+        node.kill();
+        server.close();
+    }
+
+    private Socket connect() throws IOException {
+        Socket client = new Socket(node.address().getAddress(), node.address().getPort());
+        client.setSoTimeout(10_000);
+        return client;
+    }
+
+    /** Asks, and returns the answer's status; 0 if the connection ended without one. */
+    private static int status(Socket client, String requestClass, int timeLeftMs) throws IOException {
+        String method = requestClass.equals("view") ? "GET" : "POST";
+        String request = method + " /" + requestClass + " HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: "
+                + timeLeftMs + "\r\nContent-Length: 0\r\n\r\n";
+        try {
+            client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            String answer = FakeServer.message(client.getInputStream());
+            return answer == null ? 0 : Integer.parseInt(answer.substring(9, 12));
+        } catch (SocketException e) {
+            return 0;
+        }
+    }
+
+    private void awaitSockets(int clients) throws Exception {
+        long start = System.nanoTime();
+        String held;
+        String open;
+        do {
+            open = clients + " clients, " + sockets.openToServer() + " servers";
+            Node.Snapshot now = snapshot();
+            held = now.clients() + " clients, " + now.servers() + " servers";
+        } while (!held.equals(open) && System.nanoTime() - start < 10_000_000_000L);
+        assertEquals(open, held, "sockets that are open, and that are counted");
+    }
+
+    private Node.Snapshot snapshot() throws Exception {
+        return node.snapshot().get(10, TimeUnit.SECONDS);
+    }
+
+    private boolean avoidsServer() throws Exception {
+        return !snapshot().figures().contains("proxy.pool_ejected:0|g");
+    }
+
+    /** Asks on a new connection, and says whether the server was seen avoided meanwhile. */
+    private boolean avoidsServerWhile(Row row) throws Exception {
+        try (Socket client = connect()) {
+            CompletableFuture<Integer> status = CompletableFuture.supplyAsync(() -> statusUnchecked(client, row));
+            boolean avoided = false;
+            while (!status.isDone()) {
+                avoided |= avoidsServer();
+            }
+            assertEquals(row.status, status.get());
+            return avoided | avoidsServer();
+        }
+    }
+
+    private static int statusUnchecked(Socket client, Row row) {
+        try {
+            return status(client, row.requestClass, row.blame == Blame.SERVER ? 600 : 5000);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(Row.class)
+    void whatAClientGetsWhenACallFails(Row row) throws Exception {
+        for (int i = 0; i < 6; i++) {
+            server.answers.add(OK);
+        }
+        if (row.have == Have.KEPT) {
+            try (Socket client = connect()) {
+                assertEquals(200, status(client, "file", 5000));
+            }
+            awaitSockets(0);
+        }
+        sockets.fail(row.call, row.times, row.errno.error);
+        boolean avoided = avoidsServerWhile(row);
+        assertEquals(row.blame == Blame.SERVER, avoided);
+        sockets.failNoMore();
+        awaitSockets(0);
+        if (row.blame == Blame.NONE) {
+            try (Socket client = connect()) {
+                assertEquals(200, status(client, "file", 5000), "afterwards all is as before");
+            }
+        }
+        awaitSockets(0);
+    }
+
+    @Test
+    void shortReadsLoseNothing() throws Exception {
+        sockets.readShort(1);
+        server.answers.add(OK);
+        try (Socket client = connect()) {
+            assertEquals(200, status(client, "file", 5000));
+        }
+        awaitSockets(0);
+    }
+}
