--- a/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
+++ b/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
@@ -15,14 +15,14 @@
  */
 public record ShutdownSchedule(double acceptMs, double endIdleMs, double serveMs, double answerMs, double exitMs) {
     /** Clients have so long to read the last answers before the process exits. */
-    public static final long LAST_LINGER_MS = 110;
+    public static final long LAST_LINGER_MS = 100;
 
     /** The platform counts no deadline as longer than this. */
     static final double LONGEST_DEADLINE_MS = 3000;
     /** A stopping node is killed this long after the longest deadline at the earliest. */
     static final double KILL_AFTER_DEADLINE_MS = 700;
-    /** Room for the signal's way to the node and for the exit itself. */
-    static final double EXIT_SLACK_MS = 100;
+    /** Room for the signal's way to the node and for the exit itself, which took up to 120 ms on a crowded machine. */
+    static final double EXIT_SLACK_MS = 140;
     /** The last answers have so long to leave, before connections are ended that carry half a request. */
     static final double UNFINISHED_MS = 30;
     /** The front needs a moment to notice: new connections keep coming for up to 0.4 s. */
@@ -30,7 +30,7 @@
     /** Clients that were accepted last have so long to bring a request. */
     static final double LAST_ACCEPTED_MS = 100;
     /** And where deadlines are short at least so long. */
-    static final double LEAST_LAST_ACCEPTED_MS = 50;
+    static final double LEAST_LAST_ACCEPTED_MS = 25;
     /** With the longest deadline that counts, the connections that are open are served for so long. */
     static final double SERVE_MS = 3100;
     /** The last requests may take so long, or half of the longest deadline if that is less. */
