--- a/core/src/main/java/brackenbridge/Balancer.java
+++ b/core/src/main/java/brackenbridge/Balancer.java
@@ -165,8 +165,10 @@
         }
         for (Endpoint e : entries) {
             Server s = servers.computeIfAbsent(e.id(), id -> new Server(e, levels, now));
-            if (e.startedAt() > s.is.startedAt()) {
-                s.coldSince = Math.min(e.startedAt(), now);
+            if (e.startedAt() != 0 && e.startedAt() != s.is.startedAt()) {
+                // An earlier start than the one before was told by a wall clock that was set back meanwhile, so it
+                // does not say how long ago it was.
+                s.coldSince = e.startedAt() > s.is.startedAt() ? Math.min(e.startedAt(), now) : now;
                 s.pace = 1;
                 s.latest = 0;
                 s.errors = 0;
--- a/core/src/test/java/brackenbridge/ColdServersTest.java
+++ b/core/src/test/java/brackenbridge/ColdServersTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import brackenbridge.BalancerApi.Endpoint;
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.BalancerApi.ListKind;
 import brackenbridge.BalancerApi.Outcome;
@@ -96,6 +97,35 @@
         }
     }
 
+    /** How many of 41 calls, one after another, go to server 2 of a warm and this one, which is told twice. */
+    private static long callsTo(Endpoint first, Endpoint then) {
+        Script s = new Script(
+                Script.settings(1, false, List.of(), Script.safe("read", 1)).withFall(0.001, SECOND));
+        s.pass(7200 * SECOND);
+        s.list(ListKind.SAVED, Script.up(1, 1), first);
+        s.list(ListKind.CHANGES, then);
+        List<Long> targets = new ArrayList<>();
+        for (int i = 0; i <= 40; i++) {
+            s.ask(i, "read");
+            targets.add(s.target(i));
+            s.pass(Script.MS).answer(i, 0, Outcome.OK, Script.MS);
+        }
+        return targets.stream().filter(t -> t == 2).count();
+    }
+
+    /** Its start is told by a wall clock that was set back: earlier than its start before, long ago by this node's. */
+    @Test
+    void serverThatStartsAgainAfterTheWallClockWasSetBackIsColdFromThen() {
+        long hourAgo = 4600 * SECOND;
+        Endpoint before = Script.at(2, "here", hourAgo, EndpointState.UP);
+        long warm = callsTo(before, before);
+        long startedAgain = callsTo(before, Script.at(2, "here", hourAgo - SECOND, EndpointState.UP));
+        long noLongerTold = callsTo(before, Script.up(2, 1));
+        assertTrue(warm > 10, "warm: " + warm);
+        assertTrue(startedAgain <= 1, "started again: " + startedAgain);
+        assertEquals(warm, noLongerTold, "a start that is no longer told is none");
+    }
+
     @Test
     void callThatAColdServerMayNotTakeGoesToAWarmOneThatIsBusy() {
         Script s = new Script(
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Connection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Connection.java
@@ -29,6 +29,9 @@
     Handshake.Hello hello;
 
     String peer = "";
+    /** This member's own life, as the other side was told. */
+    long toldLife;
+
     double linkedMs;
     volatile double lastReadMs;
     /** Since when a write waits for the other side to take bytes; 0 if none does. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Detector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Detector.java
@@ -39,7 +39,7 @@
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     private final String me;
-    private final long life;
+    private long life;
     private final long instance;
     private final PeerLimits limits;
     private final Random random;
@@ -48,6 +48,8 @@
     private final List<Change> changes = new ArrayList<>();
     private final List<Conflict> conflicts = new ArrayList<>();
     private int incarnation;
+    private double startedMs = NEVER;
+    private long pastLife = Long.MIN_VALUE;
     private long reportedInstance;
     private int doubt;
     private int calmTicks;
@@ -118,6 +120,21 @@
         this.random = new Random(seed);
     }
 
+    /** This member has taken another life; its links, which told the earlier one, are to be closed. */
+    void renew(long nextLife) {
+        life = nextLife;
+        incarnation = 0;
+        reportedInstance = 0;
+    }
+
+    /**
+     * The greatest life, at least its own, by which peers know an ended process of this member: taken before the
+     * time of day went back, or kept on a disk that was lost. {@link Long#MIN_VALUE} if there is none.
+     */
+    long pastLife() {
+        return pastLife >= life ? pastLife : Long.MIN_VALUE;
+    }
+
     /** These are the others from now on; who is no longer among them is gone, and forgotten. */
     void update(Collection<String> names) {
         for (Iterator<Peer> i = order.iterator(); i.hasNext(); ) {
@@ -145,6 +162,7 @@
     List<Out> linked(double now, double begunMs, String name, long itsLife, long itsInstance) {
         List<Out> out = new ArrayList<>();
         Peer p = peers.get(name);
+        started(now);
         if (p == null) {
             return out;
         }
@@ -182,6 +200,7 @@
 
     /** Time goes on; to be called each beat. */
     List<Out> tick(double now) {
+        started(now);
         if (!awake(now) && now - lastTick <= 1.5 * limits.beatMs() && ++calmTicks >= 4) {
             calmTicks = 0;
             doubt = Math.max(0, doubt - 1);
@@ -220,7 +239,11 @@
         awake(now);
         double at = sentAt(now, p, beat);
         if (p.known && (itsLife != p.life || itsInstance != p.instance)) {
-            if (itsLife == p.life || at > p.learnedMs) {
+            if (itsLife < p.life && p.heardMs < p.linkedMs) {
+                // The later life gave no sign since the earlier one linked: it has ended, and its successor, which
+                // began under an earlier time of day, has not heard of it yet.
+                out.add(new Out(from, beat(now, p, Beat.ANSWER, List.of(), List.of(entryOf(now, p)))));
+            } else if (itsLife == p.life || at > p.learnedMs) {
                 // Sent after another process of this name was heard of: both live.
                 conflict(now, from, itsLife, itsInstance);
             }
@@ -471,7 +494,7 @@
     /** What a peer tells of a member. Answers that it should have at once are added to {@code tell}. */
     private void entry(double now, Peer from, double at, Beat.Entry e, List<Beat.Entry> tell) {
         if (e.name().equals(me)) {
-            mine(e);
+            mine(at, e);
             return;
         }
         Peer q = peers.get(e.name());
@@ -509,9 +532,11 @@
     }
 
     /** What a peer holds of this member: doubts are refuted by a greater incarnation. */
-    private void mine(Beat.Entry e) {
+    private void mine(double at, Beat.Entry e) {
         if (e.life() > life || e.life() == life && e.instance() != instance) {
-            if (reportedInstance != e.instance()) {
+            if (ended(at, e)) {
+                pastLife = Math.max(pastLife, e.life());
+            } else if (reportedInstance != e.instance()) {
                 reportedInstance = e.instance();
                 conflicts.add(new Conflict(me, life, instance, e.life(), e.instance()));
             }
@@ -525,6 +550,15 @@
         }
     }
 
+    /** Whether the other process of this member's name is an earlier one, not a second one that lives. */
+    private boolean ended(double at, Beat.Entry e) {
+        return e.standing() == Standing.GONE || e.ageMs() >= 0 && at - e.ageMs() < startedMs;
+    }
+
+    private void started(double now) {
+        startedMs = startedMs == NEVER ? now : startedMs;
+    }
+
     private void report(Peer p, Conflict conflict) {
         long other = conflict.otherInstance();
         if (p.reportedInstance != other) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpLinks.java
@@ -40,9 +40,11 @@
     private static final double LOG_EACH_MS = 1000;
     private static final int UNKNOWN_TIMES = 6;
     private static final double LOG_AGAIN_MS = 600_000;
+    /** Bounds how often two processes of one name, of which neither is known to live, can outdo each other. */
+    private static final int MOST_RENEWALS = 8;
 
     private final String fleet;
-    private final long life;
+    private volatile long life;
     private final long instance = new SecureRandom().nextLong() | 1;
     private final PeerLimits limits;
     private final Clock clock;
@@ -65,6 +67,8 @@
     private volatile boolean closing;
     private ServerSocket listener;
     private long dials;
+    private boolean linkedInThisLife;
+    private int renewals;
 
     /** Hears of what staff must see to: a refusal that lasts, two nodes of one name. */
     @FunctionalInterface
@@ -567,7 +571,9 @@
         if (fault != null) {
             return refuse(connection, fault, detector(hello.from()), described(hello));
         }
-        connection.say(new Handshake.Hello(true, fleet, me.name(), hello.from(), me.address(), life, instance, 0));
+        connection.toldLife = life;
+        connection.say(new Handshake.Hello(
+                true, fleet, me.name(), hello.from(), me.address(), connection.toldLife, instance, 0));
         Handshake.Part last = Handshake.read(connection.in);
         if (last instanceof Handshake.Refuse refuse) {
             refusedBy(hello.from(), refuse);
@@ -671,7 +677,10 @@
         double now = clock.nowMs();
         synchronized (lock) {
             Peer peer = peers.get(hello.from());
-            if (closing || peer == null || hello.life() < detector.lifeOf(hello.from())) {
+            if (closing
+                    || peer == null
+                    || connection.toldLife != life
+                    || hello.life() < detector.lifeOf(hello.from())) {
                 return false;
             }
             Connection has = peer.connection;
@@ -702,6 +711,7 @@
             connection.settle(limits.goneMs());
             connection.linkedMs = now;
             peer.connection = connection;
+            linkedInThisLife = true;
             figures.count("links_made");
             after(detector.linked(now, connection.begunMs, hello.from(), hello.life(), hello.instance()));
             LockSupport.unpark(peer.keeper);
@@ -768,6 +778,15 @@
                 LOG.debug("{} refuses: {}: {}", name, refuse.why().text(), refuse.text());
                 return;
             }
+            if (refuse.why() == Refusal.OLD_LIFE && refuse.life() < life) {
+                // That was said to the life before.
+                return;
+            }
+            if ((refuse.why() == Refusal.OLD_LIFE || refuse.why() == Refusal.DUPLICATE)
+                    && !linkedInThisLife
+                    && renew(refuse.life())) {
+                return;
+            }
             if (refuse.why() == Refusal.UNKNOWN_MEMBER && ++peer.unknownThere < UNKNOWN_TIMES) {
                 // Guards against an alarm at each join: of two lists one is always the first to change.
                 return;
@@ -788,6 +807,35 @@
         }
     }
 
+    /**
+     * With the lock: peers know this member by a life that is not earlier than its own, as after a step back of the
+     * time of day that lives begin with. It refutes by a later one, as members of SWIM do by a greater incarnation:
+     * all links begin again. Where a process of that life still lives, the peer that is linked with it finds both.
+     *
+     * @return whether another life was taken
+     */
+    private boolean renew(long known) {
+        if (known < life || known == Long.MAX_VALUE || renewals >= MOST_RENEWALS) {
+            return false;
+        }
+        long before = life;
+        renewals++;
+        life = known + 1;
+        linkedInThisLife = false;
+        detector.renew(life);
+        figures.count("lives_renewed");
+        LOG.warn("{} began life {}, and peers know {}: takes {}", me.name(), before, known, life);
+        for (Peer peer : peers.values()) {
+            if (peer.connection != null) {
+                peer.connection.close("this member has taken another life");
+            }
+            peer.failures = 0;
+            peer.dialMs = 0;
+            LockSupport.unpark(peer.keeper);
+        }
+        return true;
+    }
+
     private String described(Handshake.Hello hello) {
         return hello.from() + " of fleet " + hello.fleet() + " at " + hello.address() + ", life " + hello.life()
                 + ", for " + hello.to();
@@ -867,6 +915,7 @@
                     new InetSocketAddress(unresolved.getHostString(), unresolved.getPort()), limits.handshakeMs());
             connection = new Connection(socket, true, limits, clock, figures);
             connection.peer = peer.member.name();
+            connection.toldLife = hello.life();
             synchronized (lock) {
                 if (peer.connection != null) {
                     return;
@@ -1057,6 +1106,10 @@
 
     private void after(List<Detector.Out> out) {
         dispatch(out);
+        long past = detector.pastLife();
+        if (past != Long.MIN_VALUE) {
+            renew(past);
+        }
         for (Detector.Change change : detector.changes()) {
             // Not here but on the watchers' thread: a log that blocks holds no lock.
             watcherCalls.add(
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Exchange.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Exchange.java
@@ -73,6 +73,7 @@
         this.catchUp = new CatchUp(terms);
         this.differences = new Differences(store);
         beganMs = nowMs;
+        store.begins(nowMs);
         pushAtMs = nowMs;
         beatAtMs = nowMs + random.nextDouble() * terms.beatMs();
         digestAtMs = nowMs + (1 + random.nextDouble()) * terms.digestMs();
@@ -183,6 +184,7 @@
             int enough = large ? 3 : nowMs > beganMs + 3 * terms.beatMs() ? 1 : reachable.size();
             listened = told > 0 && told >= Math.min(reachable.size(), enough);
             if (listened) {
+                store.tells();
                 wrote(0);
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Store.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Store.java
@@ -77,6 +77,11 @@
     private long life;
     private long beat;
     private boolean hasBeenHeard;
+    /** Whether others may know of this life's writes. */
+    private boolean told = true;
+    /** When this process began; a sign of life of this member before it was another process's. */
+    private double beganMs = Double.NEGATIVE_INFINITY;
+
     private final TreeMap<String, Owner> owners = new TreeMap<>();
     /** The same by hash: with a thousand owners, names are looked up for each mark of each message. */
     private final Map<String, Owner> byName = new HashMap<>();
@@ -112,6 +117,8 @@
         life = s.life;
         beat = s.beat;
         hasBeenHeard = s.hasBeenHeard;
+        told = s.told;
+        beganMs = s.beganMs;
         tracks = false;
         s.owners.forEach((n, o) -> owners.put(n, o.copy()));
         byName.putAll(owners);
@@ -273,6 +280,17 @@
 
     // ---- lives ----
 
+    /** This process begins now, and tells nobody what it writes until {@link #tells}. */
+    void begins(double nowMs) {
+        beganMs = nowMs;
+        told = mine().have > 0;
+    }
+
+    /** From now on others may hear what is written here. */
+    void tells() {
+        told = true;
+    }
+
     /** Gives a sign of life of this member. */
     public void beat() {
         beat++;
@@ -320,7 +338,7 @@
      */
     public boolean took(Message.Mark m, double nowMs) {
         if (m.owner().equals(me)) {
-            return tookOfMine(m);
+            return tookOfMine(m, nowMs);
         }
         Owner o = owner(m.owner());
         if (o == null || m.life() < o.life) {
@@ -350,7 +368,7 @@
     }
 
     /** Hears what others know of this member itself. */
-    private boolean tookOfMine(Message.Mark m) {
+    private boolean tookOfMine(Message.Mark m, double nowMs) {
         Owner o = byName.get(me);
         if (m.life() == life && (m.nonce() == nonce || m.nonce() == 0)) {
             hasBeenHeard = true;
@@ -361,10 +379,13 @@
         if (m.life() < life || m.life() == 0) {
             return false;
         }
-        if (!hasBeenHeard && mine().have == 0) {
-            // Guards against an old disk and a clock that went back: nothing was told in this life yet.
+        boolean untold = !told || !hasBeenHeard && mine().have == 0;
+        boolean ended = nowMs - m.ageMs() < beganMs;
+        if (untold || ended) {
+            // Guards against an old disk and a time of day that went back: the other one is this member's own past,
+            // or nothing was told in this life yet.
             alarm("life " + life + " of " + me + " is not the latest, peers know " + m.life() + ": takes the next");
-            relive(m.life() + 1);
+            relive(m.life() + 1, nowMs);
             return true;
         }
         return aside(
@@ -375,12 +396,32 @@
                         : "another process writes as " + me + " in a later life, " + m.life());
     }
 
-    private void relive(long next) {
+    /**
+     * Goes on in a later life with all that was written in this one. Counts that others may know stay where they are,
+     * as parts of an ended life, so that none is counted twice.
+     */
+    private void relive(long next, double nowMs) {
         Owner o = byName.get(me);
-        o.parts.remove(life);
+        Part before = o.parts.remove(life);
+        List<Entry> written = before.all();
         life = next;
+        hasBeenHeard = false;
         o.life = next;
+        o.aside = null;
         o.parts.put(next, new Part(me, next));
+        before.all().forEach(e -> touch(me, before.life, e.item()));
+        if (told) {
+            before.end();
+            o.parts.put(before.life, before);
+            tidy(me, o, before);
+        }
+        touch(me, before.life, null);
+        for (Entry e : written) {
+            boolean own = e.space().kind() == Space.Kind.OWN;
+            if (!e.gone() && (own || !told)) {
+                write(e.space(), e.key(), e.value(), e.count(), e.below(), nowMs);
+            }
+        }
         touch(me, next, null);
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/peer/DetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/DetectorTest.java
@@ -323,6 +323,34 @@
         assertEquals("n3", w.members[3].conflicts().get(0).name(), "the first process is told itself");
     }
 
+    /** What a peer tells of this member itself, to one that has run for a second. */
+    private static Detector toldOfItself(long life, Standing standing, double ageMs) {
+        Detector d = new Detector("a", 5, 1, LIMITS, 1);
+        d.update(List.of("b"));
+        d.linked(0, 0, "b", 1, 2);
+        d.tick(1000);
+        Beat.Entry e = new Beat.Entry("a", life, 77, 0, standing, false, ageMs);
+        d.took(1000, "b", 1, 2, new Beat(0, 1, 0, 990, 0, List.of(e), List.of()));
+        return d;
+    }
+
+    @Test
+    void laterLifeOfItselfIsItsPastIfItEndedBeforeThisProcessBegan() {
+        assertEquals(9, toldOfItself(9, Standing.GONE, -1).pastLife());
+        assertEquals(9, toldOfItself(9, Standing.SUSPECT, 2000).pastLife());
+        assertEquals(5, toldOfItself(5, Standing.ALIVE, 2000).pastLife());
+        assertEquals(Long.MIN_VALUE, toldOfItself(4, Standing.GONE, 2000).pastLife());
+        for (double ageMs : new double[] {-1, 500}) {
+            Detector second = toldOfItself(9, Standing.ALIVE, ageMs);
+            assertEquals(Long.MIN_VALUE, second.pastLife(), "it lives beside this one, age " + ageMs);
+            assertEquals(1, second.conflicts().size());
+        }
+        Detector renewed = toldOfItself(9, Standing.GONE, -1);
+        renewed.renew(10);
+        assertEquals(Long.MIN_VALUE, renewed.pastLife());
+        assertTrue(renewed.conflicts().isEmpty());
+    }
+
     @Test
     void goneEndsByAGreaterIncarnationOnly() {
         Detector d = new Detector("a", 1, 1, LIMITS, 1);
--- a/fleet/src/test/java/brackenbridge/fleet/replica/StoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/StoreTest.java
@@ -88,6 +88,53 @@
         assertNotNull(before.aside("a"), "the process that still runs under that name stands aside");
     }
 
+    private static Message.Mark markOfA(long life, long ageMs) {
+        return new Message.Mark("a", life, 77, 3, 5, 5, ageMs, false);
+    }
+
+    @Test
+    void whatWasWrittenBeforeAnybodyWasToldGoesOnInTheLifeAfterItsPast() {
+        Store a = store("a", 4);
+        a.begins(10_000);
+        a.put(Space.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
+        a.put(Space.SERVERS, "x", "1".getBytes(UTF_8), 10_000);
+        a.remove(Space.SERVERS, "x", 10_000);
+        a.add(Space.USED, "k", 3, 10_000);
+        assertTrue(a.took(markOfA(9, 500), 11_000));
+        assertEquals(10, a.life());
+        assertNull(a.aside("a"));
+        assertEquals(List.of(10L), a.lives("a"));
+        assertEquals(1, a.seen(Space.SERVERS, 11_000).size());
+        assertEquals(3, a.sum(Space.USED, "k"));
+        assertFalse(a.took(markOfA(9, 500), 12_000), "it is heard of again");
+        Store b = store("b", 1);
+        pull(b, a);
+        assertEquals("1", new String(b.seen(Space.SERVERS, 0).get(0).value(), UTF_8));
+        assertEquals(3, b.sum(Space.USED, "k"));
+    }
+
+    @Test
+    void lifeThatGaveNoSignSinceThisProcessBeganIsItsPastThoughItsWritesAreTold() {
+        Store a = store("a", 4);
+        Store b = store("b", 1);
+        a.begins(10_000);
+        a.put(Space.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
+        a.add(Space.USED, "k", 3, 10_000);
+        a.tells();
+        pull(b, a);
+        assertTrue(a.took(markOfA(9, 2000), 11_000));
+        assertEquals(10, a.life());
+        assertTrue(a.add(Space.USED, "k", 1, 11_000));
+        assertEquals(4, a.sum(Space.USED, "k"), "the earlier part stays, as one of an ended life");
+        pull(b, a);
+        assertEquals(4, b.sum(Space.USED, "k"));
+        assertEquals(1, b.seen(Space.SERVERS, 0).size());
+        // One that gave a sign since is another process: two must not write under one name.
+        assertTrue(a.took(markOfA(12, 500), 11_000));
+        assertNotNull(a.aside("a"));
+        assertEquals(10, a.life());
+    }
+
     @Test
     void ageIsCountedFromTheOwnersSignOverAllWaysAndHoldsOnlyWhatIsHere() {
         Store a = store("a", 1);
