--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedNode.java
@@ -13,7 +13,6 @@
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
-import io.microraft.RaftNodeStatus;
 import io.microraft.exception.NotLeaderException;
 import io.microraft.model.message.RaftMessage;
 import io.microraft.report.RaftGroupMembers;
@@ -61,6 +60,10 @@
     private static final long TICK_MS = 10;
     private static final double AGAIN_MS = 200;
     private static final double JOIN_MS = 500;
+    /** How long after a failure the disk is tried again. */
+    private static final double REOPEN_MS = 1000;
+
+    private static final String DISK_FAILED = "the disk can't be written: this member does not vote until it can";
     /** Messages that wait for this member's thread; more are dropped, as a link might. */
     private static final int MOST_WAITING = 4096;
     /** Entries on their way into the log, and proposals that are staged at once. */
@@ -92,6 +95,9 @@
     private final Clock clock;
     private final AgreedSettings settings;
     private final String me;
+    /** Tells this process from others of the same member; stays what it was if the links take a later life. */
+    private final long processLife;
+
     private final boolean votes;
     private final MemberThread thread;
     private final Cadence cadence;
@@ -120,6 +126,7 @@
     private final List<Hearing> hearings = new ArrayList<>();
     private final Set<Waiter> staging = new HashSet<>();
     private final Map<String, Note.Facts> facts = new HashMap<>();
+    private String scheme = "";
     private Store store;
     private Endpoint endpoint;
     private RaftNode raft;
@@ -128,6 +135,7 @@
     private String follows = "";
     private boolean joining;
     private double helloMs = Double.NEGATIVE_INFINITY;
+    private double reopenAtMs = Double.NEGATIVE_INFINITY;
     private double joinMs = Double.NEGATIVE_INFINITY;
     private double turnSinceMs = Double.NaN;
     private long reignNumber;
@@ -154,11 +162,17 @@
         this.me = links.me().name();
         this.votes = settings.voters().contains(me);
         this.cadence = new Cadence(settings.terms(), new SplittableRandom(settings.seed()));
-        this.part = Part.start(links.life());
+        this.processLife = links.life();
+        this.part = Part.start(processLife);
         this.thread = new MemberThread(me, MILLIS_PER_SECOND / settings.beatMs(), dropped);
         links.receive(Stream.AGREED, this::took);
     }
 
+    /** The voter's files are on a file system of this scheme; before {@link #start}. */
+    void onFilesOf(String fileScheme) {
+        scheme = fileScheme;
+    }
+
     /** Who can use a value's content; without one, every content can be used. Before {@link #start}. */
     public void usable(String name, Predicate<byte[]> predicate) {
         usable.put(name, predicate);
@@ -184,11 +198,11 @@
 
     private void openDisk() throws IOException {
         try {
-            store = Store.open(directory, settings.fleet(), me);
+            store = Store.open(directory, settings.fleet(), me, scheme);
         } catch (Store.Damaged e) {
             Path aside = Store.putAside(directory);
             alarm("disk damaged and put aside as " + aside + ": " + e.getMessage());
-            store = Store.open(directory, settings.fleet(), me);
+            store = Store.open(directory, settings.fleet(), me, scheme);
         }
         endpoint = new Endpoint(me, store.disk());
         joining = store.joining();
@@ -331,11 +345,7 @@
 
     private void voterTick(double now) {
         if (store.failed()) {
-            alarm("the disk can't be written: this member does not vote until it is started again");
-            lead = null;
-            if (raft != null && raft.getStatus() != RaftNodeStatus.TERMINATED) {
-                raft.terminate();
-            }
+            diskFailed(now);
             return;
         }
         if (raft == null) {
@@ -358,6 +368,41 @@
         }
     }
 
+    /** A disk that has failed is tried again from time to time; until it takes writes, this member does not vote. */
+    private void diskFailed(double now) {
+        if (raft != null) {
+            alarm(DISK_FAILED);
+            stopVoting();
+            reopenAtMs = now + REOPEN_MS;
+        }
+        if (now < reopenAtMs) {
+            return;
+        }
+        reopenAtMs = now + REOPEN_MS;
+        store.close();
+        try {
+            openDisk();
+        } catch (IOException e) {
+            alarm(DISK_FAILED + ": " + e.getMessage());
+            return;
+        }
+        alarm = "";
+        helloMs = Double.NEGATIVE_INFINITY;
+        LOG.warn("agreement at {}: the disk takes writes again, this member asks to vote", me);
+    }
+
+    /** The library's part has stopped with the disk; another one begins with what the disk has, as after a start. */
+    private void stopVoting() {
+        raft = null;
+        lead = null;
+        state.restore(new State().image());
+        waiters.clear();
+        turns.clear();
+        staging.clear();
+        facts.clear();
+        turnSinceMs = Double.NaN;
+    }
+
     @FunctionalInterface
     private interface Disk {
         void run() throws IOException;
@@ -377,7 +422,7 @@
 
     private void hello() {
         keep(() -> {
-            Note.Hello h = new Note.Hello(store.disk(), store.starts(), links.life());
+            Note.Hello h = new Note.Hello(store.disk(), store.starts(), processLife);
             links.peers().forEach(p -> post(p.name(), h));
         });
         admit();
@@ -420,8 +465,8 @@
             return;
         }
         keep(() -> {
-            Admission.Self self = new Admission.Self(
-                    endpoint, store.starts(), links.life(), store.founding(), joining, store.since());
+            Admission.Self self =
+                    new Admission.Self(endpoint, store.starts(), processLife, store.founding(), joining, store.since());
             List<String> heard = Admission.founding(self, facts);
             switch (Admission.step(self, settings.voters(), facts)) {
                 case FOUND ->
@@ -474,7 +519,7 @@
                         .setMaxPendingLogEntryCount(MOST_PENDING)
                         .setTransferSnapshotsFromFollowersEnabled(false)
                         .build())
-                .setExecutor(thread)
+                .setExecutor(new FailStopExecutor(thread, store::failed))
                 .setTransport(new LinkTransport(links))
                 .setStateMachine(new Machine())
                 .setStore(store)
@@ -554,11 +599,15 @@
             if (bytes > SNAPSHOT_BYTES) {
                 // Guards the log's memory and disk against few but long contents.
                 bytes = 0;
-                later(() -> raft.takeSnapshot());
+                later(() -> {
+                    if (raft != null) {
+                        raft.takeSnapshot();
+                    }
+                });
             }
             if (operation instanceof Op.Reign r) {
                 boolean mine =
-                        r.leader().equals(endpoint.toString()) && r.life() == links.life() && r.number() == reignNumber;
+                        r.leader().equals(endpoint.toString()) && r.life() == processLife && r.number() == reignNumber;
                 lead = mine ? new Lead(settings.terms(), state, clock.nowMs()) : null;
                 waiters.clear();
                 turns.clear();
@@ -617,7 +666,7 @@
 
         @Override
         public Object getNewTermOperation() {
-            return new Op.Reign(endpoint.toString(), links.life(), ++reignNumber);
+            return new Op.Reign(endpoint.toString(), processLife, ++reignNumber);
         }
     }
 
@@ -873,7 +922,7 @@
     }
 
     private void answer(long life, long number, Note note) {
-        if (life == links.life()) {
+        if (life == processLife) {
             pending.answered(number, note);
         }
     }
@@ -906,7 +955,7 @@
         CompletableFuture<Verdict> verdict = new CompletableFuture<>();
         await(
                 withinMs,
-                n -> new Note.Propose(name, expected, content, links.life(), n),
+                n -> new Note.Propose(name, expected, content, processLife, n),
                 o -> {
                     Note.Outcome came = (Note.Outcome) o;
                     if (came.verdict() == Verdict.IN_FORCE) {
@@ -983,7 +1032,7 @@
         CompletableFuture<Hold> hold = new CompletableFuture<>();
         await(
                 Math.max(2 * AGAIN_MS, Math.min(forMs / 2, 5000)),
-                n -> new Note.Claim(role, forMs, links.life(), n),
+                n -> new Note.Claim(role, forMs, processLife, n),
                 c -> {
                     Note.Claimed came = (Note.Claimed) c;
                     Hold h = new Hold(
@@ -1021,7 +1070,7 @@
         CompletableFuture<Optional<Note.Looked>> looked = new CompletableFuture<>();
         await(
                 withinMs,
-                n -> new Note.Look(name, generation, links.life(), n),
+                n -> new Note.Look(name, generation, processLife, n),
                 l -> looked.complete(Optional.of((Note.Looked) l)),
                 () -> looked.complete(Optional.empty()));
         return looked;
@@ -1055,7 +1104,9 @@
                                 : votes
                                         ? joining
                                                 ? ", joins"
-                                                : raft == null ? ", waits for the other voters" : ", votes"
+                                                : store != null && store.failed()
+                                                        ? ", does not vote: its disk can't be written"
+                                                        : raft == null ? ", waits for the other voters" : ", votes"
                                         : ", does not vote"));
         line(s, "leader", leader.isEmpty() ? "none known" : leader);
         line(
@@ -1147,7 +1198,7 @@
             lead = null;
             pending.end();
             hearings.forEach(h -> h.verdict().complete(Verdict.IN_FORCE));
-            if (raft == null) {
+            if (raft == null || store.failed()) {
                 done.complete(null);
             } else {
                 raft.terminate().whenComplete((r, e) -> done.complete(null));
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Store.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/Store.java
@@ -17,7 +17,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.security.SecureRandom;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -26,21 +25,30 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.zip.CRC32C;
+import org.h2.mvstore.DataUtils;
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
+import org.h2.mvstore.MVStoreException;
 import org.h2.mvstore.type.ByteArrayDataType;
 import org.h2.mvstore.type.DataType;
 import org.h2.mvstore.type.LongDataType;
 import org.h2.mvstore.type.StringDataType;
+import org.h2.store.fs.FilePath;
 
 /**
  * A voter's disk: terms, votes, entries and snapshots in one file of an MVStore, each value with its own checksum, and
  * beside it the count of writes that were forced. What was forced is there when it is opened again, or the disk is
  * {@link Damaged}: a store that goes back to an earlier chunk must not pass for whole.
+ *
+ * <p>Once a write has failed nobody knows which pages of the file reached the disk, and a sync that succeeds later does
+ * not say. So nothing more is written to that file: {@link #open} reads what is there, writes it anew to a fresh file,
+ * and goes on with that once it is synced.
  */
 final class Store implements RaftStore, AutoCloseable {
     private static final String FILE = "agreed.mv";
     private static final String MARK = "agreed.mark";
+    /** What is written anew at an opening, until it is whole. */
+    private static final String FRESH = FILE + ".new";
     /** The two places of the mark lie in different sectors, so that a torn write spoils one only. */
     private static final int SECTOR = 4096;
 
@@ -105,6 +113,11 @@
      * @param directory where; null for memory only, which is a disk that is lost at each end
      */
     static Store open(Path directory, String fleet, String member) throws IOException {
+        return open(directory, fleet, member, "");
+    }
+
+    /** The same, on a file system of this scheme. */
+    static Store open(Path directory, String fleet, String member, String scheme) throws IOException {
         if (directory == null) {
             return ready(new Store(new MVStore.Builder().autoCommitDisabled().open(), null, null), fleet, member);
         }
@@ -114,17 +127,16 @@
         if (Files.exists(marks) && !Files.exists(file)) {
             throw new Damaged(file + " is gone", null);
         }
-        FileChannel mark =
-                FileChannel.open(marks, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+        FileChannel mark = FilePath.get(scheme + marks).open("rw");
         MVStore opened = null;
         try {
             if (mark.tryLock() == null) {
                 throw new IOException(directory + " is in use by another process");
             }
-            opened = new MVStore.Builder()
-                    .fileName(file.toString())
-                    .autoCommitDisabled()
-                    .open();
+            if (Files.exists(file)) {
+                writeAnew(directory, fleet, member, scheme, mark);
+            }
+            opened = opened(scheme + file);
             return ready(new Store(opened, mark, file), fleet, member);
         } catch (OverlappingFileLockException e) {
             close(opened, mark);
@@ -133,12 +145,57 @@
             close(opened, mark);
             throw e;
         } catch (RuntimeException | AssertionError | OutOfMemoryError e) {
-            // Guards against whatever the store makes of bytes that were changed, lengths without end among them.
             close(opened, mark);
+            if (e instanceof MVStoreException m && m.getErrorCode() == DataUtils.ERROR_WRITING_FAILED) {
+                // The disk does not take bytes, which says nothing against those that are there.
+                throw new IOException(file + ": " + e.getMessage(), e);
+            }
+            // Guards against whatever the store makes of bytes that were changed, lengths without end among them.
             throw new Damaged(file + ": " + e, e);
         }
     }
 
+    private static MVStore opened(String name) {
+        return new MVStore.Builder().fileName(name).autoCommitDisabled().open();
+    }
+
+    /**
+     * Writes what is there to a fresh file, which takes the old one's place: the process before may have ended after a
+     * sync that failed, so that what can be read need not be on the disk.
+     */
+    private static void writeAnew(Path directory, String fleet, String member, String scheme, FileChannel mark)
+            throws IOException {
+        FilePath file = FilePath.get(scheme + directory.resolve(FILE));
+        FilePath fresh = FilePath.get(scheme + directory.resolve(FRESH));
+        if (fresh.exists()) {
+            fresh.delete();
+        }
+        MVStore from = opened(file.toString());
+        MVStore to = null;
+        try {
+            Store old = new Store(from, mark, directory.resolve(FILE));
+            if (!old.empty()) {
+                old.verify(fleet, member);
+            }
+            to = opened(fresh.toString());
+            Store anew = new Store(to, null, null);
+            anew.meta.putAll(old.meta);
+            anew.log.putAll(old.log);
+            anew.chunks.putAll(old.chunks);
+            to.commit();
+            to.sync();
+        } finally {
+            from.closeImmediately();
+            if (to != null) {
+                to.closeImmediately();
+            }
+        }
+        fresh.moveTo(file, true);
+        try (FileChannel names = FileChannel.open(directory)) {
+            names.force(true);
+        }
+    }
+
     private static void close(MVStore opened, FileChannel mark) throws IOException {
         if (opened != null) {
             opened.closeImmediately();
@@ -146,10 +203,26 @@
         mark.close();
     }
 
+    private boolean empty() throws IOException {
+        return meta.isEmpty() && log.isEmpty() && marked() == 0;
+    }
+
+    /** What is there is whole, is this member's, and goes as far as was forced. */
+    private void verify(String fleet, String member) throws IOException {
+        check();
+        if (!text("fleet").equals(fleet) || !text("member").equals(member)) {
+            throw new Foreign("disk of fleet '" + text("fleet") + "', member '" + text("member") + "'; this is fleet '"
+                    + fleet + "', member '" + member + "'");
+        }
+        count = Long.parseLong(meta.containsKey("count") ? text("count") : "0");
+        long marked = marked();
+        if (count < marked) {
+            throw new Damaged("write " + marked + " was forced, the store ends with " + count, null);
+        }
+    }
+
     private static Store ready(Store s, String fleet, String member) throws IOException {
-        long marked = s.marked();
-        s.check();
-        if (s.meta.isEmpty() && s.log.isEmpty() && marked == 0) {
+        if (s.empty()) {
             byte[] number = new byte[12];
             new SecureRandom().nextBytes(number);
             s.text("fleet", fleet);
@@ -157,26 +230,26 @@
             s.text("disk", HexFormat.of().formatHex(number));
             s.text("starts", "0");
         }
-        if (!s.text("fleet").equals(fleet) || !s.text("member").equals(member)) {
-            throw new Foreign("disk of fleet '" + s.text("fleet") + "', member '" + s.text("member")
-                    + "'; this is fleet '" + fleet + "', member '" + member + "'");
-        }
-        s.count = Long.parseLong(s.meta.containsKey("count") ? s.text("count") : "0");
-        if (s.count < marked) {
-            throw new Damaged("write " + marked + " was forced, the store ends with " + s.count, null);
-        }
+        s.verify(fleet, member);
         s.restored = s.restore();
         s.text("starts", String.valueOf(s.starts() + 1));
         s.flush();
         return s;
     }
 
-    /** Moves what is in the directory to one beside it, whose name is the answer: staff may look at it. */
+    /** Moves a voter's files to a directory beside theirs, whose name is the answer: staff may look at them. */
     static Path putAside(Path directory) throws IOException {
         for (int i = 1; ; i++) {
             Path aside = directory.resolveSibling(directory.getFileName() + ".aside-" + i);
             if (!Files.exists(aside)) {
-                return Files.move(directory, aside, StandardCopyOption.ATOMIC_MOVE);
+                Files.createDirectory(aside);
+                // The mark last: without it, a file that goes back to an earlier write would pass for whole.
+                for (String name : List.of(FILE, MARK)) {
+                    if (Files.exists(directory.resolve(name))) {
+                        Files.move(directory.resolve(name), aside.resolve(name), StandardCopyOption.ATOMIC_MOVE);
+                    }
+                }
+                return aside;
             }
             if (i >= 1000) {
                 throw new IOException("too many disks put aside beside " + directory);
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -132,6 +132,9 @@
                 .register(metrics);
         Gauge.builder("fleet.replica.level", () -> replica.level().level() ? 1 : 0)
                 .register(metrics);
+        Gauge.builder("fleet.replica.on.disk", () -> replica.figures().onDisk() ? 1 : 0)
+                .description("1 while the disk takes what the replica writes; 0 without a disk")
+                .register(metrics);
         agreed.bind(metrics);
         rooms.put("state", new StateCalls(replica));
         SettingsCalls settings = new SettingsCalls(agreed, PATIENCE_MS);
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Disk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Disk.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -18,12 +18,17 @@
 import org.h2.mvstore.MVStoreException;
 import org.h2.mvstore.type.ByteArrayDataType;
 import org.h2.mvstore.type.StringDataType;
+import org.h2.store.fs.FilePath;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * A member's copy on disk: one file of H2's MVStore, written behind by appended chunks, each commit whole or not at
  * all. Every record carries a checksum of its own. The header says whose it is.
+ *
+ * <p>A write counts once it is synced. After one that failed nobody knows which pages of the file reached the disk, and
+ * a sync that succeeds later does not say: the next write is of everything, to a fresh file that takes the place of
+ * the old one when it is synced. Until then the old file stays as it was left.
  */
 public final class Disk implements AutoCloseable {
     /** The way of writing; another one is not read. */
@@ -31,6 +36,8 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Disk.class);
     private static final String FILE = "replica.mv";
+    /** What is written anew, until it is whole. */
+    private static final String FRESH = FILE + ".new";
 
     /**
      * What is to be written of one life of an owner.
@@ -44,16 +51,37 @@
      */
     record Batch(String owner, long life, Long have, long floor, List<Entry> entries, List<Item> gone) {}
 
-    private final Path file;
+    private final Place file;
     private final String fleet;
     private final String member;
-    private final long life;
+    private long life;
+    private boolean failed;
     private MVStore store;
     private MVMap<String, byte[]> heads;
     private MVMap<String, byte[]> records;
     private MVMap<String, byte[]> header;
 
-    private Disk(Path file, String fleet, String member, MVStore store, long life) {
+    /**
+     * A file, by the name that the store opens it by.
+     *
+     * @param scheme of the file system; empty for the usual one
+     */
+    private record Place(String scheme, Path path) {
+        FilePath at() {
+            return FilePath.get(scheme + path);
+        }
+
+        Place sibling(String name) {
+            return new Place(scheme, path.resolveSibling(name));
+        }
+
+        @Override
+        public String toString() {
+            return path.toString();
+        }
+    }
+
+    private Disk(Place file, String fleet, String member, MVStore store, long life) {
         this.file = file;
         this.fleet = fleet;
         this.member = member;
@@ -76,9 +104,9 @@
                         .valueType(ByteArrayDataType.INSTANCE));
     }
 
-    private static MVStore open(Path file) {
+    private static MVStore open(Place file) {
         return new MVStore.Builder()
-                .fileName(file.toString())
+                .fileName(file.at().toString())
                 .autoCommitDisabled()
                 .cacheSize(4)
                 .open();
@@ -86,47 +114,58 @@
 
     /**
      * Opens a member's directory, and takes the next life: greater than the one before, and at least the time of day
-     * in milliseconds, so that a member whose disk is lost or old begins a later one all the same.
+     * in milliseconds, so that a member whose disk is lost or old begins a later one unless the clock went back.
      *
      * @throws IOException in one line, if it is another fleet's or another member's, or a process has it open
      */
     public static Disk open(Path directory, String fleet, String member, double nowMs) throws IOException {
+        return open(directory, fleet, member, nowMs, "");
+    }
+
+    /** The same, on a file system of this scheme. */
+    static Disk open(Path directory, String fleet, String member, double nowMs, String scheme) throws IOException {
         Files.createDirectories(directory);
-        Path file = directory.resolve(FILE);
+        Place file = new Place(scheme, directory.resolve(FILE));
         MVStore store;
         try {
             store = open(file);
         } catch (MVStoreException e) {
             if (e.getErrorCode() == DataUtils.ERROR_FILE_LOCKED) {
-                throw new IOException(file + " is open in another process");
+                throw new IOException(file + " is open in another process", e);
             }
-            if (e.getErrorCode() == DataUtils.ERROR_READING_FAILED
-                    || e.getErrorCode() == DataUtils.ERROR_WRITING_FAILED) {
-                throw new IOException(file + " can't be opened: " + first(e));
+            if (refuses(e)) {
+                throw new IOException(file + " can't be opened: " + first(e), e);
             }
             store = anew(file, first(e));
         } catch (RuntimeException e) {
             store = anew(file, first(e));
         }
-        Disk d;
         try {
-            d = begun(file, store, fleet, member, nowMs);
+            return begun(file, store, fleet, member, nowMs);
         } catch (RuntimeException e) {
             store.closeImmediately();
-            store = anew(file, first(e));
-            d = begun(file, store, fleet, member, nowMs);
+            if (refuses(e)) {
+                throw new IOException(file + " can't be written: " + first(e), e);
+            }
+            return begun(file, anew(file, first(e)), fleet, member, nowMs);
         }
-        return d;
     }
 
-    private static MVStore anew(Path file, String why) throws IOException {
-        Path broken = file.resolveSibling(FILE + ".broken");
+    /** Whether the disk does not take or give bytes, which says nothing against those that are there. */
+    private static boolean refuses(RuntimeException e) {
+        return e instanceof MVStoreException m
+                && (m.getErrorCode() == DataUtils.ERROR_READING_FAILED
+                        || m.getErrorCode() == DataUtils.ERROR_WRITING_FAILED);
+    }
+
+    private static MVStore anew(Place file, String why) {
+        Place broken = file.sibling(FILE + ".broken");
         LOG.error("{} is broken ({}): kept as {}, begins empty and catches up from peers", file, why, broken);
-        Files.move(file, broken, StandardCopyOption.REPLACE_EXISTING);
+        file.at().moveTo(broken.at(), true);
         return open(file);
     }
 
-    private static Disk begun(Path file, MVStore store, String fleet, String member, double nowMs) throws IOException {
+    private static Disk begun(Place file, MVStore store, String fleet, String member, double nowMs) throws IOException {
         MVMap<String, byte[]> header = map(store, "header");
         String wrong = !header.isEmpty() && !text(header, "schema").equals(Integer.toString(SCHEMA))
                 ? "is written in another way, " + text(header, "schema")
@@ -159,7 +198,10 @@
         header.put("life", text(Long.toString(life)));
     }
 
-    /** The life of a member that has no disk. */
+    /**
+     * The life with which a process begins that has no disk. After the time of day went back it may be earlier than
+     * one that peers know, and is outlived then, by the links and the replica alike.
+     */
     public static long lifeWithout(double nowMs) {
         return (long) nowMs;
     }
@@ -179,11 +221,14 @@
         return life;
     }
 
-    /** Writes a life that was taken later, since peers knew a later one. */
+    /** A life that was taken later, since peers knew a later one; the next write writes it. */
     void took(long later) {
-        header.put("life", text(Long.toString(later)));
-        store.commit();
-        store.sync();
+        life = later;
+    }
+
+    /** Whether the next write must be of everything: one has failed, or what is there was read at a start. */
+    boolean wantsAll() {
+        return failed;
     }
 
     /**
@@ -206,6 +251,8 @@
             return;
         }
         whole.forEach(Runnable::run);
+        // The process before may have ended after a sync that failed: what was read need not be on the disk.
+        failed = true;
     }
 
     private void read(Store to, List<Runnable> whole) {
@@ -269,41 +316,78 @@
     }
 
     /**
-     * Writes what changed, whole or not at all.
+     * Writes what changed, whole or not at all; if {@link #wantsAll}, this must be everything.
      *
      * @throws IOException if the disk does not take it: full, gone, broken
      */
     void write(List<Batch> batches, Map<CatchUp.Of, Integer> sizes) throws IOException {
         try {
-            if (store == null || store.isClosed()) {
-                use(open(file));
+            if (failed || store == null || store.isClosed()) {
+                writeAnew(batches, sizes);
+            } else {
+                put(batches, sizes);
             }
-            for (Batch b : batches) {
-                String of = b.owner() + '\0' + b.life();
-                if (b.have() == null) {
-                    drop(of);
-                    continue;
-                }
-                b.gone().forEach(i -> records.remove(key(of, i)));
-                b.entries().forEach(e -> records.put(key(of, e.item()), checked(Codec.write(e))));
-                heads.put(
-                        of,
-                        checked(ByteBuffer.allocate(20)
-                                .putLong(b.have())
-                                .putLong(b.floor())
-                                .putInt(sizes.get(new CatchUp.Of(b.owner(), b.life())))
-                                .array()));
-            }
-            store.commit();
         } catch (RuntimeException e) {
-            // A store that failed once does not write again: the next attempt opens the file anew.
+            // A store that failed once does not write again.
+            failed = true;
             store.closeImmediately();
             throw new IOException(file + ": " + first(e), e);
         }
     }
 
+    private void writeAnew(List<Batch> batches, Map<CatchUp.Of, Integer> sizes) throws IOException {
+        failed = true;
+        store.closeImmediately();
+        Place fresh = file.sibling(FRESH);
+        if (fresh.at().exists()) {
+            fresh.at().delete();
+        }
+        try {
+            use(open(fresh));
+            put(batches, sizes);
+        } finally {
+            store.closeImmediately();
+        }
+        fresh.at().moveTo(file.at(), true);
+        syncDirectory(file.path().getParent());
+        use(open(file));
+        failed = false;
+    }
+
+    /** The new name of a file lasts once its directory is synced. */
+    private static void syncDirectory(Path directory) throws IOException {
+        try (FileChannel channel = FileChannel.open(directory)) {
+            channel.force(true);
+        }
+    }
+
+    private void put(List<Batch> batches, Map<CatchUp.Of, Integer> sizes) {
+        if (!text(header, "life").equals(Long.toString(life))) {
+            head(header, fleet, member, life);
+        }
+        for (Batch b : batches) {
+            String of = b.owner() + '\0' + b.life();
+            if (b.have() == null) {
+                drop(of);
+                continue;
+            }
+            b.gone().forEach(i -> records.remove(key(of, i)));
+            b.entries().forEach(e -> records.put(key(of, e.item()), checked(Codec.write(e))));
+            heads.put(
+                    of,
+                    checked(ByteBuffer.allocate(20)
+                            .putLong(b.have())
+                            .putLong(b.floor())
+                            .putInt(sizes.get(new CatchUp.Of(b.owner(), b.life())))
+                            .array()));
+        }
+        store.commit();
+        store.sync();
+    }
+
     /** Lets go of the file as a failure would, without writing what is open. */
     void breakOff() {
+        failed = true;
         store.closeImmediately();
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -107,6 +107,7 @@
         if (disk != null) {
             disk.restore(store);
             store.touched();
+            writeEverything();
         }
         exchange = new Exchange(store, terms, new SplittableRandom(nonce), clock.nowMs());
         links.receive(Stream.REPLICA, (peer, of, body) -> turn(() -> exchange.took(peer, of, body, clock.nowMs())));
@@ -280,6 +281,17 @@
         }
     }
 
+    /** All there is, is to be written; with the lock held. */
+    private void writeEverything() {
+        for (String owner : store.owners()) {
+            for (long life : store.lives(owner)) {
+                LinkedHashSet<Item> items =
+                        toWrite.computeIfAbsent(new CatchUp.Of(owner, life), k -> new LinkedHashSet<>());
+                store.all(owner, life).forEach(e -> items.add(e.item()));
+            }
+        }
+    }
+
     private boolean flush() {
         Map<CatchUp.Of, LinkedHashSet<Item>> taken;
         List<Disk.Batch> batches = new ArrayList<>();
@@ -288,6 +300,10 @@
         lock.lock();
         try {
             life = store.life();
+            if (disk.wantsAll()) {
+                // Whatever the file had may be lost with what failed.
+                writeEverything();
+            }
             taken = new TreeMap<>(toWrite);
             toWrite.clear();
             writing = true;
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -0,0 +1,331 @@
+package brackenbridge.fleet;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.nio.channels.FileLock;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentHashMap;
+import org.h2.store.fs.FileBaseDefault;
+import org.h2.store.fs.FilePath;
+import org.h2.store.fs.FilePathWrapper;
+
+/**
+ * A file system with faults below the stores, of the scheme {@code faulty}. Below each directory it counts writes and
+ * syncs, fails those that a test names or a seed draws, and keeps what would be left after a loss of power: what was
+ * written before a sync that succeeded. What was written before one that failed is never synced by a later one, as
+ * Linux drops such pages.
+ */
+public final class FaultyFiles extends FilePathWrapper {
+    /** What names of files begin with. */
+    public static final String SCHEME = "faulty:";
+
+    private static final Map<String, Faults> DIRECTORIES = new ConcurrentHashMap<>();
+
+    static {
+        FilePath.register(new FaultyFiles());
+    }
+
+    /** What goes wrong with one operation. */
+    public enum Fault {
+        /** A write takes nothing: the disk is full. */
+        NO_SPACE,
+        /** A write takes a part, then the disk is full. */
+        SHORT_WRITE,
+        /** A write fails with an error of the device. */
+        WRITE_ERROR,
+        /** A sync fails, and what it was for is dropped. */
+        SYNC_ERROR
+    }
+
+    /**
+     * A write, for a test that leaves it half done.
+     *
+     * @param file which
+     * @param at from where
+     * @param bytes what
+     */
+    public record Write(Path file, long at, byte[] bytes) {
+        /** The file with so many bytes of this write. */
+        public byte[] onto(byte[] before, int prefix) {
+            byte[] torn = Arrays.copyOf(before, (int) Math.max(before.length, prefix == 0 ? 0 : at + prefix));
+            System.arraycopy(bytes, 0, torn, (int) at, prefix);
+            return torn;
+        }
+    }
+
+    /** The part of a file that was written since the last sync. */
+    private record Range(long from, int length) {}
+
+    /** A file as a loss of power would leave it. */
+    private static final class Image {
+        byte[] durable = {};
+        final List<Range> unsynced = new ArrayList<>();
+    }
+
+    /** Faults below one directory. */
+    public static final class Faults {
+        private final Map<String, Image> images = new TreeMap<>();
+        private long operations;
+        private long failed;
+        private long failFrom = Long.MAX_VALUE;
+        private Fault always;
+        private Random random;
+        private double part;
+        private long killAt = Long.MAX_VALUE;
+        private int killPrefix;
+        private List<Write> recorded;
+
+        /** All operations from now on fail so; a fault of writes leaves syncs alone, and the other way round. */
+        public synchronized void fail(Fault fault) {
+            always = fault;
+            failFrom = operations;
+        }
+
+        /** This part of all operations fails, as the seed draws. */
+        public synchronized void draw(long seed, double failingPart) {
+            random = new Random(seed);
+            part = failingPart;
+        }
+
+        /** The process ends within the operation after so many others: a write leaves its first bytes only. */
+        public synchronized void killAt(long operation, int prefix) {
+            killAt = operation;
+            killPrefix = prefix;
+        }
+
+        /** Nothing fails any more. */
+        public synchronized void heal() {
+            failFrom = Long.MAX_VALUE;
+            always = null;
+            random = null;
+            killAt = Long.MAX_VALUE;
+        }
+
+        /** Keeps the writes from now on, until they are taken. */
+        public synchronized void record() {
+            recorded = new ArrayList<>();
+        }
+
+        /** The writes since {@link #record}. */
+        public synchronized List<Write> recorded() {
+            List<Write> taken = recorded;
+            recorded = null;
+            return taken;
+        }
+
+        /** Writes and syncs until now. */
+        public synchronized long operations() {
+            return operations;
+        }
+
+        /** How many of them failed. */
+        public synchronized long failed() {
+            return failed;
+        }
+
+        /** Leaves of each file what was synced. */
+        public synchronized void losePower() throws IOException {
+            for (Map.Entry<String, Image> e : images.entrySet()) {
+                Files.write(Path.of(e.getKey()), e.getValue().durable);
+                e.getValue().unsynced.clear();
+            }
+        }
+
+        private Fault next(boolean sync) {
+            operations++;
+            if (always != null && operations > failFrom) {
+                return (always == Fault.SYNC_ERROR) == sync ? always : null;
+            }
+            if (random == null || random.nextDouble() >= part) {
+                return null;
+            }
+            return sync ? Fault.SYNC_ERROR : Fault.values()[random.nextInt(Fault.SYNC_ERROR.ordinal())];
+        }
+
+        private synchronized Image image(String file) {
+            return images.computeIfAbsent(file, f -> {
+                Image image = new Image();
+                image.durable = bytes(f);
+                return image;
+            });
+        }
+
+        private static byte[] bytes(String file) {
+            try {
+                Path path = Path.of(file);
+                return Files.exists(path) ? Files.readAllBytes(path) : new byte[0];
+            } catch (IOException e) {
+                throw new UncheckedIOException(e);
+            }
+        }
+
+        private synchronized int write(String file, FileChannel to, ByteBuffer bytes, long at) throws IOException {
+            if (operations >= killAt) {
+                int prefix = operations == killAt ? killPrefix : 0;
+                operations++;
+                put(file, to, bytes, at, Math.min(prefix, bytes.remaining()));
+                throw new IOException("killed");
+            }
+            Fault fault = next(false);
+            if (fault == null) {
+                return put(file, to, bytes, at, bytes.remaining());
+            }
+            failed++;
+            if (fault == Fault.SHORT_WRITE) {
+                put(file, to, bytes, at, bytes.remaining() / 2);
+            }
+            throw new IOException(fault == Fault.WRITE_ERROR ? "Input/output error" : "No space left on device");
+        }
+
+        private int put(String file, FileChannel to, ByteBuffer bytes, long at, int length) throws IOException {
+            ByteBuffer piece = bytes.slice(bytes.position(), length);
+            if (recorded != null) {
+                byte[] copy = new byte[length];
+                piece.duplicate().get(copy);
+                recorded.add(new Write(Path.of(file), at, copy));
+            }
+            while (piece.hasRemaining()) {
+                to.write(piece, at + piece.position());
+            }
+            bytes.position(bytes.position() + length);
+            image(file).unsynced.add(new Range(at, length));
+            return length;
+        }
+
+        private synchronized void sync(String file, FileChannel of) throws IOException {
+            if (operations >= killAt) {
+                operations++;
+                throw new IOException("killed");
+            }
+            Image image = image(file);
+            if (next(true) != null) {
+                failed++;
+                image.unsynced.clear();
+                throw new IOException("Input/output error");
+            }
+            byte[] now = bytes(file);
+            byte[] durable = Arrays.copyOf(image.durable, (int) of.size());
+            for (Range r : image.unsynced) {
+                int to = (int) Math.min(now.length, r.from() + r.length());
+                if (r.from() < to) {
+                    System.arraycopy(now, (int) r.from(), durable, (int) r.from(), (int) (to - r.from()));
+                }
+            }
+            image.durable = durable;
+            image.unsynced.clear();
+        }
+
+        private synchronized void truncate(FileChannel of, long size) throws IOException {
+            if (operations >= killAt) {
+                throw new IOException("killed");
+            }
+            of.truncate(size);
+        }
+
+        private synchronized void deleted(String file) {
+            images.remove(file);
+        }
+
+        private synchronized void moved(String from, String to) {
+            Image image = images.remove(from);
+            if (image != null) {
+                images.put(to, image);
+            }
+        }
+    }
+
+    /** Faults below this directory from now on; none until a test asks for one. */
+    public static Faults below(Path directory) {
+        Faults faults = new Faults();
+        DIRECTORIES.put(directory.toString(), faults);
+        return faults;
+    }
+
+    private Faults faults() {
+        String file = unwrap().toString();
+        return DIRECTORIES.entrySet().stream()
+                .filter(e -> file.startsWith(e.getKey()))
+                .map(Map.Entry::getValue)
+                .findFirst()
+                .orElseThrow(() -> new IllegalStateException("no faults below " + file));
+    }
+
+    @Override
+    public String getScheme() {
+        return "faulty";
+    }
+
+    @Override
+    public void moveTo(FilePath to, boolean atomicReplace) {
+        super.moveTo(to, atomicReplace);
+        faults().moved(getBase().toString(), to.unwrap().toString());
+    }
+
+    @Override
+    public void delete() {
+        super.delete();
+        faults().deleted(getBase().toString());
+    }
+
+    @Override
+    public FileChannel open(String mode) throws IOException {
+        return new Channel(getBase().toString(), getBase().open(mode), faults());
+    }
+
+    private static final class Channel extends FileBaseDefault {
+        private final String file;
+        private final FileChannel base;
+        private final Faults faults;
+
+        Channel(String file, FileChannel base, Faults faults) {
+            this.file = file;
+            this.base = base;
+            this.faults = faults;
+            faults.image(file);
+        }
+
+        @Override
+        public long size() throws IOException {
+            return base.size();
+        }
+
+        @Override
+        public int read(ByteBuffer to, long at) throws IOException {
+            return base.read(to, at);
+        }
+
+        @Override
+        public int write(ByteBuffer from, long at) throws IOException {
+            return faults.write(file, base, from, at);
+        }
+
+        @Override
+        protected void implTruncate(long size) throws IOException {
+            faults.truncate(base, size);
+        }
+
+        @Override
+        public void force(boolean metadata) throws IOException {
+            faults.sync(file, base);
+        }
+
+        @Override
+        public FileLock tryLock(long position, long size, boolean shared) throws IOException {
+            return base.tryLock(position, size, shared);
+        }
+
+        @Override
+        protected void implCloseChannel() throws IOException {
+            base.close();
+        }
+    }
+}
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
@@ -21,6 +21,7 @@
 
     final MemoryNet net;
     private final Path root;
+    private final String scheme;
     private final Map<String, AgreedNode> nodes = new TreeMap<>();
     private final Map<String, Links> links = new HashMap<>();
     private final List<String> breaches = new CopyOnWriteArrayList<>();
@@ -31,6 +32,12 @@
     private volatile long looked;
 
     Members(int n, Path root, long seed) throws IOException {
+        this(n, root, seed, "");
+    }
+
+    /** Members whose disks are on a file system of this scheme. */
+    Members(int n, Path root, long seed, String scheme) throws IOException {
+        this.scheme = scheme;
         this.net = new MemoryNet(n, seed);
         this.root = root;
         for (int i = 0; i < n; i++) {
@@ -64,6 +71,7 @@
                 },
                 settings(name));
         n.usable(Agreed.SETTINGS, c -> !new String(c, StandardCharsets.UTF_8).contains("bad at " + name));
+        n.onFilesOf(scheme);
         n.start();
         l.start();
         synchronized (nodes) {
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -0,0 +1,207 @@
+package brackenbridge.fleet.agreed;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.fleet.FaultyFiles;
+import brackenbridge.fleet.FaultyFiles.Fault;
+import io.microraft.model.impl.DefaultRaftModelFactory;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** A voter's disk that fails for a while, a kill between two writes, and a loss of power. */
+class StoreFaultsTest {
+    private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
+    private static final Endpoint ME = new Endpoint("m", "d");
+
+    @TempDir
+    Path root;
+
+    private Path directory;
+    private FaultyFiles.Faults faults;
+    private int term;
+
+    @BeforeEach
+    void fill() throws IOException {
+        directory = root.resolve("m");
+        faults = FaultyFiles.below(directory);
+        try (Store s = open()) {
+            RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
+                    .setLogIndex(0)
+                    .setMembers(Set.of(ME))
+                    .setVotingMembers(Set.of(ME))
+                    .build();
+            s.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
+                    .setLocalEndpoint(ME)
+                    .setVoting(true)
+                    .build());
+            s.persistAndFlushInitialGroupMembers(one);
+            vote(s);
+        }
+    }
+
+    private Store open() throws IOException {
+        return Store.open(directory, "f", "m", FaultyFiles.SCHEME);
+    }
+
+    /** Votes in the next term, and takes an entry of it. */
+    private void vote(Store s) throws IOException {
+        s.persistLogEntries(List.of(entry(term + 1)));
+        s.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
+                .setTerm(term + 1)
+                .setVotedFor(ME)
+                .build());
+        term++;
+    }
+
+    private static LogEntry entry(int index) {
+        return MODEL.createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(index)
+                .setOperation(new Op.Stage("settings", index, new byte[100], "m", 1, index))
+                .build();
+    }
+
+    /** The last term that the disk has a vote of; all entries up to there must be with it. */
+    private int onDisk() throws IOException {
+        try (Store s = open()) {
+            RestoredRaftState r = s.restored().orElseThrow();
+            assertEquals(r.getTermPersistentState().getTerm(), r.getLogEntries().size());
+            return r.getTermPersistentState().getTerm();
+        }
+    }
+
+    @Test
+    void votesOverAFailureAreThereAfterALossOfPower() throws IOException {
+        for (Fault fault : Fault.values()) {
+            Store s = open();
+            vote(s);
+            faults.fail(fault);
+            assertThrows(IOException.class, () -> vote(s));
+            assertTrue(s.failed());
+            assertThrows(IOException.class, this::open, "it can't be written yet");
+            faults.heal();
+            assertThrows(IOException.class, () -> vote(s), "nothing more is promised by what failed");
+            s.close();
+            try (Store again = open()) {
+                // A vote that was not given may be on the disk all the same; it binds, as it would have.
+                term = again.restored().orElseThrow().getTermPersistentState().getTerm();
+                vote(again);
+            }
+            faults.losePower();
+            assertEquals(term, onDisk(), fault.toString());
+        }
+    }
+
+    @Test
+    void aDiskThatIsFullAtTheStartIsNotTakenForADamagedOne() throws IOException {
+        for (Fault fault : Fault.values()) {
+            faults.fail(fault);
+            IOException refused = assertThrows(IOException.class, this::open);
+            assertFalse(refused instanceof Store.Damaged, refused.toString());
+            faults.heal();
+            assertEquals(term, onDisk(), fault.toString());
+        }
+    }
+
+    @Test
+    void randomFaultsAndLossesOfPowerTakeNoVote() throws IOException {
+        for (long seed = 0; seed < 20; seed++) {
+            Random random = new Random(seed);
+            faults.draw(seed, 0.1);
+            for (int i = 0; i < 10; i++) {
+                try (Store s = open()) {
+                    term = s.restored().orElseThrow().getTermPersistentState().getTerm();
+                    vote(s);
+                    vote(s);
+                } catch (Store.Damaged e) {
+                    throw new AssertionError("seed " + seed, e);
+                } catch (IOException refused) {
+                    assertTrue(faults.failed() > 0);
+                }
+            }
+            faults.heal();
+            if (random.nextBoolean()) {
+                faults.losePower();
+            }
+            int there = onDisk();
+            assertTrue(there >= term, "seed " + seed + ": " + there + " of " + term);
+            term = there;
+        }
+        assertTrue(faults.failed() > 20, "failed " + faults.failed());
+    }
+
+    @Test
+    void everyLengthOfATornLastWriteLeavesTheVoteBefore() throws IOException {
+        Store s = open();
+        vote(s);
+        Map<Path, byte[]> before = files();
+        faults.record();
+        vote(s);
+        s.close();
+        Map<Path, byte[]> now = new HashMap<>(before);
+        for (FaultyFiles.Write w : faults.recorded()) {
+            byte[] last = null;
+            for (int prefix = 0; prefix <= w.bytes().length; prefix++) {
+                byte[] torn = w.onto(now.get(w.file()), prefix);
+                if (!Arrays.equals(torn, last)) {
+                    for (Map.Entry<Path, byte[]> e : now.entrySet()) {
+                        Files.write(e.getKey(), e.getValue());
+                    }
+                    Files.write(w.file(), torn);
+                    int there = onDisk();
+                    assertTrue(there >= term - 1, w.file() + " " + w.at() + "+" + prefix + ": " + there);
+                    last = torn;
+                }
+            }
+            now.put(w.file(), last);
+        }
+        assertEquals(term, onDisk());
+    }
+
+    private Map<Path, byte[]> files() throws IOException {
+        Map<Path, byte[]> all = new HashMap<>();
+        for (String name : List.of("agreed.mv", "agreed.mark")) {
+            all.put(directory.resolve(name), Files.readAllBytes(directory.resolve(name)));
+        }
+        return all;
+    }
+
+    @Test
+    void aKillAtAnyWriteOrSyncLeavesWhatWasPromised() throws IOException {
+        for (int at = 0; at < 60; at++) {
+            faults.killAt(faults.operations() + at, at * 37 % 4096);
+            try (Store s = open()) {
+                vote(s);
+                vote(s);
+            } catch (Store.Damaged e) {
+                throw new AssertionError("killed at " + at, e);
+            } catch (IOException killed) {
+                Throwable first = killed;
+                while (first.getCause() != null) {
+                    first = first.getCause();
+                }
+                assertEquals("killed", first.getMessage(), killed.toString());
+            }
+            faults.heal();
+            int there = onDisk();
+            assertTrue(there >= term, "killed at " + at + ": " + there + " of " + term);
+            term = there;
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -0,0 +1,126 @@
+package brackenbridge.fleet.agreed;
+
+import static org.awaitility.Awaitility.await;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.fleet.FaultyFiles;
+import brackenbridge.fleet.FaultyFiles.Fault;
+import brackenbridge.fleet.agreed.Agreed.Verdict;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import org.awaitility.core.ConditionFactory;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Voters whose disks fail for a while and take writes again. */
+class VoterDiskFaultsTest {
+    @TempDir
+    Path root;
+
+    private final Map<String, FaultyFiles.Faults> disks = new TreeMap<>();
+    private Members members;
+
+    private void begin(long seed) throws Exception {
+        for (int i = 0; i < 3; i++) {
+            disks.put("m" + i, FaultyFiles.below(root.resolve("m" + i)));
+        }
+        members = new Members(3, root, seed, FaultyFiles.SCHEME);
+    }
+
+    @AfterEach
+    void nobodyContradicts() {
+        members.close();
+        assertEquals(List.of(), members.breaches());
+    }
+
+    private static ConditionFactory soon() {
+        return await().atMost(Duration.ofSeconds(30)).pollInterval(Duration.ofMillis(5));
+    }
+
+    private String awaitLeader() {
+        return soon().until(() -> members.leader(), l -> !l.isEmpty());
+    }
+
+    private void decide(String at, long expected, String content) throws Exception {
+        Verdict v = members.node(at)
+                .propose(Agreed.SETTINGS, expected, content.getBytes(StandardCharsets.UTF_8), 20_000)
+                .get(25, TimeUnit.SECONDS);
+        assertEquals(Verdict.IN_FORCE, v, () -> members.node(at).status());
+    }
+
+    private void failsAndComesBack(Fault fault, boolean leads) throws Exception {
+        begin(31 + fault.ordinal());
+        String leader = awaitLeader();
+        List<String> names = new ArrayList<>(disks.keySet());
+        names.remove(leader);
+        String failing = leads ? leader : names.get(0);
+        String other = leads ? names.get(0) : leader;
+        String third = names.get(1);
+        decide("m0", 0, "a");
+        disks.get(failing).fail(fault);
+        decide(other, 1, "b");
+        soon().until(() -> members.node(failing).status().contains("does not vote: its disk can't be written"));
+        assertTrue(
+                members.node(failing).alarm().contains("disk"),
+                () -> members.node(failing).alarm());
+        assertFalse(members.node(failing).leads());
+        decide(other, 2, "c");
+        disks.get(failing).heal();
+        soon().until(() -> members.node(failing).alarm().isEmpty()
+                && members.node(failing).status().matches("(?s).*, (votes|leads).*"));
+        // From here on nothing is decided without it.
+        members.kill(third);
+        decide(other, 3, "d");
+        decide(failing, 4, "e");
+    }
+
+    @Test
+    void leaderWhoseSyncsFailStopsVotingAndComesBack() throws Exception {
+        failsAndComesBack(Fault.SYNC_ERROR, true);
+    }
+
+    @Test
+    void voterWhoseSyncsFailStopsVotingAndComesBack() throws Exception {
+        failsAndComesBack(Fault.SYNC_ERROR, false);
+    }
+
+    @Test
+    void leaderWhoseDiskIsFullStopsVotingAndComesBack() throws Exception {
+        failsAndComesBack(Fault.NO_SPACE, true);
+    }
+
+    @Test
+    void voterWhoseWritesFailHalfwayStopsVotingAndComesBack() throws Exception {
+        failsAndComesBack(Fault.SHORT_WRITE, false);
+    }
+
+    /** All disks fail at once, so that there is no majority; then nothing that was decided is lost. */
+    @Test
+    void allVotersWhoseWritesFailDecideNothingAndGoOnWithWhatWasDecided() throws Exception {
+        begin(47);
+        awaitLeader();
+        decide("m0", 0, "a");
+        disks.values().forEach(d -> d.fail(Fault.WRITE_ERROR));
+        Verdict v = members.node("m1")
+                .propose(Agreed.SETTINGS, 1, "b".getBytes(StandardCharsets.UTF_8), 1000)
+                .get(25, TimeUnit.SECONDS);
+        assertEquals(Verdict.UNKNOWN, v);
+        soon().until(() -> members.all().stream().noneMatch(AgreedNode::leads));
+        disks.values().forEach(FaultyFiles.Faults::heal);
+        awaitLeader();
+        soon().until(() ->
+                members.all().stream().allMatch(n -> n.acting(Agreed.SETTINGS).isPresent()));
+        long generation =
+                members.node("m0").acting(Agreed.SETTINGS).orElseThrow().one().generation();
+        assertTrue(generation >= 1, "in force: " + generation);
+    }
+}
