--- /dev/null
+++ b/core/src/test/java/brackenbridge/DecisionModuleTest.java
@@ -0,0 +1,88 @@
+package brackenbridge;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+
+/** What the deploy file names as the decision module is that module, and it can do no input or output. */
+class DecisionModuleTest {
+    /** The repository; tests run in the folder of their module. */
+    private static final Path ROOT = Path.of("..");
+
+    private static final Pattern POLICY = Pattern.compile("(?m)^policy\\s*=\\s*\\[(.*)]");
+    private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
+    private static final Pattern IMPORT = Pattern.compile("(?m)^import (?:static )?([\\w.]+)");
+    /** Ways round the imports to a file, a socket, a thread, the system's time or a process. */
+    private static final Pattern SYSTEM_ACCESS =
+            Pattern.compile("\\b(System|Thread|Runtime|ProcessBuilder|java\\.(io|net|nio|time))\\b");
+
+    @Test
+    void deployFileNamesTheModulesSources() throws IOException {
+        List<Path> sources = policySources();
+
+        assertFalse(sources.isEmpty());
+        assertTrue(sources.stream().anyMatch(source -> source.endsWith("Balancer.java")));
+        for (Path source : sources) {
+            assertTrue(Files.size(source) > 0, () -> source + " is empty");
+        }
+    }
+
+    @Test
+    void moduleUsesNothingButItsOwnTypesAndCollections() throws IOException {
+        for (Path source : policySources()) {
+            String text = Files.readString(source);
+            Matcher imported = IMPORT.matcher(text);
+            while (imported.find()) {
+                String name = imported.group(1);
+                assertTrue(
+                        name.startsWith("java.util.") || name.startsWith("brackenbridge."),
+                        () -> source + " imports " + name);
+                assertFalse(name.startsWith("java.util.concurrent"), () -> source + " imports " + name);
+            }
+            Matcher access = SYSTEM_ACCESS.matcher(withoutComments(text));
+            assertFalse(access.find(), () -> source + " uses " + access.group());
+        }
+    }
+
+    @Test
+    void moduleIsFoundWhereItsInterfaceIsNamed() throws IOException {
+        for (Path source : policySources()) {
+            if (source.endsWith("Balancer.java")) {
+                String beginning = Files.readString(source).lines().limit(60).reduce("", (a, b) -> a + "\n" + b);
+                assertTrue(beginning.contains("BalancerApi"), () -> source + " does not name its interface");
+            }
+        }
+    }
+
+    private static List<Path> policySources() throws IOException {
+        Matcher policy = POLICY.matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
+        assertTrue(policy.find());
+        List<Path> sources = new ArrayList<>();
+        Matcher entry = QUOTED.matcher(policy.group(1));
+        while (entry.find()) {
+            Path named = ROOT.resolve(entry.group(1));
+            if (Files.isDirectory(named)) {
+                try (var inside = Files.walk(named)) {
+                    inside.filter(path -> path.toString().endsWith(".java")).forEach(sources::add);
+                }
+            } else {
+                sources.add(named);
+            }
+        }
+        assertEquals(sources.size(), sources.stream().distinct().count());
+        return sources;
+    }
+
+    private static String withoutComments(String source) {
+        return source.replaceAll("(?s)/\\*.*?\\*/", "").replaceAll("(?m)//.*$", "");
+    }
+}
