--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
@@ -7,11 +7,12 @@
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
+import brackenbridge.transport.ConnectAttempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFactory;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
@@ -85,6 +86,7 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Applier applier;
+    private final ChannelFactory<? extends Channel> sockets;
     private final MachineSelector selector;
     private final HeldResources held;
     private volatile Status status = new Status("", Double.NEGATIVE_INFINITY, 0, 0, 0, 0, 0);
@@ -104,11 +106,23 @@
 
     /** A subscription that is not started. */
     public ControlClient(Settings settings, EventLoop loop, Clock clock, RandomGenerator random, Applier applier) {
+        this(settings, loop, clock, random, applier, NioSocketChannel::new);
+    }
+
+    /** As the other, with other sockets than the system's. */
+    ControlClient(
+            Settings settings,
+            EventLoop loop,
+            Clock clock,
+            RandomGenerator random,
+            Applier applier,
+            ChannelFactory<? extends Channel> sockets) {
         this.settings = settings;
         this.limits = settings.limits();
         this.loop = loop;
         this.clock = clock;
         this.applier = applier;
+        this.sockets = sockets;
         this.selector = new MachineSelector(settings.machines(), settings.region(), limits, random);
         this.held = new HeldResources(settings.resources());
     }
@@ -155,9 +169,9 @@
         Session dialled = new Session(machine);
         session = dialled;
         InetSocketAddress address = addressOf(machine.address());
-        ChannelFuture opened = new Bootstrap()
+        Bootstrap attempt = new Bootstrap()
                 .group(loop)
-                .channel(NioSocketChannel.class)
+                .channelFactory(sockets)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limits.connectMs())
                 .handler(new ChannelInitializer<>() {
@@ -165,14 +179,8 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(ControlFrames.decoder(), dialled);
                     }
-                })
-                .connect(address);
-        dialled.channel = opened.channel();
-        opened.addListener(done -> {
-            if (!done.isSuccess()) {
-                end(dialled, "not connected");
-            }
-        });
+                });
+        dialled.channel = ConnectAttempt.begin(attempt, loop, address, dialled);
     }
 
     private static InetSocketAddress addressOf(String text) {
@@ -190,7 +198,9 @@
 
     private void leave(Session of, String why) {
         of.ended = true;
-        of.channel.close();
+        if (of.channel != null) {
+            of.channel.close();
+        }
         if (session != of) {
             return;
         }
@@ -201,7 +211,7 @@
     }
 
     /** One connection to one machine. */
-    private final class Session extends ChannelInboundHandlerAdapter {
+    private final class Session extends ChannelInboundHandlerAdapter implements ConnectAttempt.Listener {
         private final ControlMachine machine;
         private final double homeAfterMs = selector.homeAfterMs();
         private Channel channel;
@@ -217,6 +227,21 @@
             this.machine = machine;
         }
 
+        @Override
+        public void connected() {
+            // The handler speaks first.
+        }
+
+        @Override
+        public void connectFailed(Throwable cause) {
+            end(this, "not connected: " + cause.getMessage());
+        }
+
+        @Override
+        public void notBegun(Throwable cause) {
+            end(this, "no socket: " + cause.getMessage());
+        }
+
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
@@ -8,6 +8,7 @@
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
+import brackenbridge.transport.AcceptRecovery;
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -160,6 +161,7 @@
             listening = new ServerBootstrap()
                     .group(group)
                     .channel(NioServerSocketChannel.class)
+                    .handler(new AcceptRecovery(LOG::warn))
                     .option(ChannelOption.SO_BACKLOG, BACKLOG)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_MARKS)
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpLinks.java
@@ -1,6 +1,7 @@
 package brackenbridge.fleet.peer;
 
 import brackenbridge.clock.Clock;
+import brackenbridge.transport.AcceptBackoff;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -483,19 +484,29 @@
     // The listener.
 
     private void accept() {
+        AcceptBackoff backoff = new AcceptBackoff();
+        boolean failing = false;
         while (!closing) {
             try {
                 Socket socket = listener.accept();
+                backoff.accepted();
+                failing = false;
                 if (!admitted(socket)) {
                     quietly(socket);
                 }
             } catch (IOException e) {
                 if (!closing) {
                     figures.count("accept_failed");
-                    LOG.warn("accept: {}", e.getMessage());
-                    synchronized (lock) {
-                        // Guards against a busy loop where no socket can be had.
-                        pause(100);
+                    if (!failing) {
+                        failing = true;
+                        LOG.warn("accept: {}", e.getMessage());
+                    }
+                    long pauseMs = backoff.pauseMs(e);
+                    if (pauseMs > 0) {
+                        synchronized (lock) {
+                            // Guards against a busy loop where no socket can be had.
+                            pause(pauseMs);
+                        }
                     }
                 }
             }
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
@@ -10,13 +10,19 @@
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFactory;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.DataInputStream;
 import java.io.EOFException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketAddress;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -27,6 +33,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.awaitility.Awaitility;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -100,6 +107,15 @@
     }
 
     private ControlClient node(String name, String region, ControlLimits limits, Machine... machines) {
+        return node(name, region, limits, NioSocketChannel::new, machines);
+    }
+
+    private ControlClient node(
+            String name,
+            String region,
+            ControlLimits limits,
+            ChannelFactory<? extends Channel> sockets,
+            Machine... machines) {
         List<ControlMachine> addresses =
                 java.util.Arrays.stream(machines).map(Machine::address).toList();
         ControlClient client = new ControlClient(
@@ -113,7 +129,8 @@
                     }
                     applied.merge(name, resource.version(), Math::max);
                     return Optional.empty();
-                });
+                },
+                sockets);
         opened.add(client);
         client.start();
         return client;
@@ -127,6 +144,50 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2000);
     }
 
+    @Test
+    void nodeWithoutASocketConnectsOnceItHasOne() throws Exception {
+        Machine machine = machine("c1", "here", FAST);
+        machine.publish(1, "good");
+        AtomicInteger asked = new AtomicInteger();
+        node(
+                "n1",
+                "here",
+                FAST,
+                () -> {
+                    if (asked.incrementAndGet() <= 3) {
+                        throw new ChannelException(
+                                "Failed to open a socket.", new SocketException("Too many open files"));
+                    }
+                    return new NioSocketChannel();
+                },
+                machine);
+        await(() -> applied.getOrDefault("n1", 0L) == 1);
+        assertEquals(4, asked.get());
+    }
+
+    @Test
+    void nodeWhoseConnectFailsConnectsOnceItDoesNot() throws Exception {
+        Machine machine = machine("c1", "here", FAST);
+        machine.publish(1, "good");
+        AtomicInteger asked = new AtomicInteger();
+        node(
+                "n1",
+                "here",
+                FAST,
+                () -> new NioSocketChannel() {
+                    @Override
+                    protected boolean doConnect(SocketAddress to, SocketAddress from) throws Exception {
+                        if (asked.incrementAndGet() <= 3) {
+                            throw new java.net.BindException("Cannot assign requested address");
+                        }
+                        return super.doConnect(to, from);
+                    }
+                },
+                machine);
+        await(() -> applied.getOrDefault("n1", 0L) == 1);
+        assertEquals(4, asked.get());
+    }
+
     private static void await(java.util.concurrent.Callable<Boolean> condition) {
         Awaitility.await()
                 .atMost(Duration.ofSeconds(20))
