--- a/core/src/main/java/brackenbridge/Balancer.java
+++ b/core/src/main/java/brackenbridge/Balancer.java
@@ -61,6 +61,7 @@
     private Settings settings;
     private final Actions out;
     private final SplittableRandom random;
+    private final SlowStart slowStart;
     private final Map<String, Kind> kinds = new HashMap<>();
     private final Map<String, Bucket> guarantees = new HashMap<>();
     private final Map<String, Bucket> shares = new HashMap<>();
@@ -102,11 +103,13 @@
     public Balancer(Settings settings, Actions actions) {
         this.out = actions;
         this.random = new SplittableRandom(settings.seed());
+        this.slowStart = new SlowStart(settings, actions, random);
         goBy(settings);
     }
 
     @Override
     public void onSettings(long now, Settings next) {
+        slowStart.goBy(now, next);
         goBy(next);
         // Calls keep their class's rules; they are only ranked among the new levels.
         calls.values().forEach(c -> c.level = Math.min(c.level, levels - 1));
@@ -153,6 +156,7 @@
     @Override
     public void onList(long now, ListKind kind, List<Endpoint> entries) {
         start(now);
+        slowStart.beforeChange(now, order, reach);
         if (kind != ListKind.CHANGES) {
             Map<Long, Endpoint> named = new HashMap<>();
             entries.forEach(e -> named.put(e.id(), e));
@@ -167,6 +171,7 @@
             Server s = servers.computeIfAbsent(e.id(), id -> new Server(e, levels, now));
             if (e.startedAt() > s.is.startedAt()) {
                 s.coldSince = Math.min(e.startedAt(), now);
+                s.budget.restarted(s.coldSince);
                 s.pace = 1;
                 s.latest = 0;
                 s.errors = 0;
@@ -283,7 +288,7 @@
     public void onLongRequest(long now, Request r) {
         Call c = admit(now, r, true);
         Server s = c == null ? null : bind(now, c);
-        if (s != null && bears(now, s)) {
+        if (s != null && canAdmit(now, s)) {
             send(now, c, s);
         } else if (c != null) {
             hold(now, c, null);
@@ -382,7 +387,7 @@
             return;
         }
         Server s = bind(now, c);
-        if (s != null && (s.inFlight > 0 || !bears(now, s))) {
+        if (s != null && (s.inFlight > 0 || !canAdmit(now, s))) {
             Server other = idleFor(now, c);
             if (other == null && reach < ownZone) {
                 join(now, order[reach++]);
@@ -392,7 +397,7 @@
                 s = other;
             }
         }
-        if (s != null && s.inFlight < window() && bears(now, s)) {
+        if (s != null && s.inFlight < window() && canAdmit(now, s)) {
             send(now, c, s);
         } else {
             hold(now, c, s);
@@ -424,7 +429,7 @@
             s.pass += stride(now, s);
             rotation.add(s);
             if (allowed(now, c, s)) {
-                if (!c.tried(s) && suits(now, c, s) && bears(now, s)) {
+                if (!c.tried(s) && suits(now, c, s) && canAdmit(now, s)) {
                     return s;
                 }
                 first = first == null ? s : first;
@@ -481,38 +486,13 @@
     private double stride(long now, Server s) {
         // A server clearly slower than its peers gets turns by the capacity it shows.
         double shown = s.pace > SLOW ? Math.min(s.pace, 10) : 1;
-        return shown / (s.is.weight() * warmth(now, s));
+        return shown / (s.is.weight() * slowStart.warmth(now, s));
     }
 
-    private double warmth(long now, Server s) {
-        if (s.coldSince <= 0) {
-            return 1;
-        }
-        double age = Math.max(0, now - s.coldSince) / (double) Math.max(1, settings.warmAfter());
-        return age >= 1 ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * age;
-    }
-
-    /**
-     * Whether a server bears a call now. A cold one falls over if it gets too much from all callers together,
-     * none of whom knows of the others: each keeps to its part. That goes by what it gets answered for each
-     * unit of capacity in its reach, or, if that is more, by its share of one call at a time at each server.
-     */
-    private boolean bears(long now, Server s) {
-        double warmth = warmth(now, s);
-        if (warmth >= 1 || settings.fall() == 0) {
-            return true;
-        }
-        double used = 0;
-        double weights = 0;
-        int near = Math.min(reach, order.length);
-        for (int i = 0; i < near; i++) {
-            used += order[i].is.weight() * warmth(now, order[i]);
-            weights += order[i].is.weight();
-        }
-        double least = near / (weights * meanTime() * settings.peers());
-        double perUnit = Math.max(answeredPerSecond / SECOND / used, least);
-        double part = settings.fallMultiple() * perUnit * s.is.weight() * warmth * settings.fall();
-        return s.inFlight < window() && s.budget.allows(now, part, settings.fall(), random);
+    /** Whether a server may be sent a request now: any warm one, and one that warms up within its budget. */
+    private boolean canAdmit(long now, Server s) {
+        return slowStart.isUnbounded(now, s)
+                || s.inFlight < window() && slowStart.canAdmit(now, s, order, reach, meanTime());
     }
 
     // ---- Queues and the tests of tau f ----
@@ -581,11 +561,11 @@
             }
         }
         if (oldest != null) {
-            if (bears(now, s)) {
+            if (canAdmit(now, s)) {
                 unhold(oldest);
                 send(now, oldest, s);
             }
-        } else if (warmth(now, s) >= 1) {
+        } else if (slowStart.warmth(now, s) >= 1) {
             Call c = oldestWaiting(now, s);
             if (c != null) {
                 send(now, c, s);
@@ -641,10 +621,18 @@
         if (c.attempts.size() == 1) {
             retryBudget = Math.min(10, retryBudget + 0.1);
         }
-        s.budget.spend();
+        slowStart.sent(now, a);
         out.send(c.id, s.id, Math.max(1, c.deadline - now));
     }
 
+    @Override
+    public void onWritten(long now, long request, int attempt) {
+        Call c = calls.get(request);
+        if (c != null && attempt >= 0 && attempt < c.attempts.size()) {
+            slowStart.written(now, c.attempts.get(attempt));
+        }
+    }
+
     private void count(Attempt a) {
         a.counted = true;
         a.server.inFlight++;
@@ -697,6 +685,7 @@
         Attempt a = c.attempts.get(attempt);
         Server s = a.server;
         a.ended = true;
+        slowStart.written(now, a);
         c.outNow--;
         if (a.counted) {
             s.inFlight--;
@@ -805,7 +794,7 @@
         }
         Server s = trials.poll();
         if (s.is.state() != EndpointState.UP || !s.out || s.inFlight > 0 || !allowed(now, c, s)
-                || !bears(now, s)) {
+                || !canAdmit(now, s)) {
             return false;
         }
         s.backAt = Long.MAX_VALUE;
@@ -858,6 +847,7 @@
         }
         started = true;
         lastTick = now;
+        slowStart.started(now);
         out.timer(now + (long) (random.nextDouble() * TICK), "tick");
     }
 
@@ -885,6 +875,7 @@
         lastTick = now;
         answeredPerSecond += Math.min(1, elapsed) * (answered / elapsed - answeredPerSecond);
         ratePerSecond = Math.max(answeredPerSecond, answered / elapsed);
+        slowStart.tick(now, elapsed, answered, order, reach);
         answered = 0;
         common.fill(answeredPerSecond / 20);
         double sum = 0;
--- a/core/src/main/java/brackenbridge/BalancerApi.java
+++ b/core/src/main/java/brackenbridge/BalancerApi.java
@@ -414,6 +414,14 @@
 
         /** Examines an endpoint, at some cost to it. */
         void probe(long endpoint);
+
+        /**
+         * Whether {@link BalancerApi#onWritten} follows each send whose request is written; else a request counts as
+         * written when it is sent.
+         */
+        default boolean tellsWritten() {
+            return false;
+        }
     }
 
     // ---- Events: what an instance is told, each with the time at which it is told ----
@@ -440,6 +448,9 @@
     /** The last byte of a long request has come. */
     default void onWhole(long now, long request) {}
 
+    /** The last byte of an attempt's request has been written to its endpoint. */
+    default void onWritten(long now, long request, int attempt) {}
+
     /** The response of a streamed request has started; the attempt is the client's from now on. */
     void onFirstByte(long now, long request, int attempt);
 
--- /dev/null
+++ b/core/src/main/java/brackenbridge/SlowStart.java
@@ -0,0 +1,134 @@
+package brackenbridge;
+
+import brackenbridge.BalancerApi.Actions;
+import brackenbridge.BalancerApi.Settings;
+import brackenbridge.State.Attempt;
+import brackenbridge.State.Server;
+import java.util.SplittableRandom;
+
+/**
+ * Decides whether a server that warms up may be sent a request. It falls over if it gets too much from all nodes
+ * together, none of which knows what the others send: each keeps to its own share, see docs/design/cold.md.
+ */
+final class SlowStart {
+    private static final long SECOND = 1_000_000;
+
+    private Settings settings;
+    private final Actions out;
+    private final SplittableRandom random;
+    /** Answers in a second for each unit of capacity in reach. */
+    private double answeredPerCapacity;
+    /** The most capacity that was in reach since the last tick. */
+    private double capacityOfTick;
+    /** From when on all that was sent is in the servers' budgets. */
+    private long countedSince;
+
+    SlowStart(Settings settings, Actions out, SplittableRandom random) {
+        this.settings = settings;
+        this.out = out;
+        this.random = random;
+    }
+
+    /** The first event of the instance. */
+    void started(long now) {
+        countedSince = now;
+    }
+
+    /** Other settings hold from now on. */
+    void goBy(long now, Settings next) {
+        if (next.fall() > settings.fall()) {
+            // Of the longer window only so much was counted.
+            countedSince = Math.max(countedSince, now - settings.fall());
+        }
+        settings = next;
+    }
+
+    /** The part of its capacity that a server has now. */
+    double warmth(long now, Server s) {
+        if (s.coldSince <= 0) {
+            return 1;
+        }
+        double age = Math.max(0, now - s.coldSince) / (double) Math.max(1, settings.warmAfter());
+        return age >= 1 ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * age;
+    }
+
+    /** Whether a server may be sent any number of requests. */
+    boolean isUnbounded(long now, Server s) {
+        return settings.fall() == 0 || warmth(now, s) >= 1;
+    }
+
+    /** Whether the budget of a server that warms up has room for a request; the first servers are those in reach. */
+    boolean canAdmit(long now, Server s, Server[] servers, int reach, double meanTime) {
+        long settled = out.tellsWritten() ? s.coldSince + settings.network().connectTimeout() : now;
+        double share = share(now, s, servers, reach, meanTime);
+        return s.budget.allows(now, share, settings.fall(), random, settled);
+    }
+
+    /**
+     * This node's share of the requests that the server takes in a window from all nodes. It goes by what this node
+     * gets answered for each unit of capacity in its reach, or, if that is more, by its share of one request at a
+     * time at each server.
+     */
+    private double share(long now, Server s, Server[] servers, int reach, double meanTime) {
+        int near = Math.min(reach, servers.length);
+        double weights = 0;
+        for (int i = 0; i < near; i++) {
+            weights += servers[i].is.weight();
+        }
+        double least = near / (weights * meanTime * settings.peers());
+        double perUnit = Math.max(answeredPerCapacity / SECOND, least);
+        double share = settings.fallMultiple() * perUnit * s.is.weight() * warmth(now, s) * settings.fall();
+        return share * SlowStartLimit.usable(share, settings.peers()) * (1 - unknownPart(now, s));
+    }
+
+    /**
+     * The part of the last window, within the server's life, of which this process doesn't know what its node sent.
+     * The share of that time counts as sent: by the process before, or under settings that counted a shorter time.
+     */
+    private double unknownPart(long now, Server s) {
+        long from = Math.max(now - settings.fall(), s.coldSince);
+        return Math.max(0, countedSince - from) / (double) settings.fall();
+    }
+
+    /** The servers in reach are about to change. */
+    void beforeChange(long now, Server[] servers, int reach) {
+        capacityOfTick = Math.max(capacityOfTick, capacity(now, servers, reach));
+    }
+
+    /** So many answers came in this part of a second. */
+    void tick(long now, double elapsed, int answered, Server[] servers, int reach) {
+        double capacity = capacity(now, servers, reach);
+        // Guards the budgets against servers that leave: what they answered goes by the capacity there was with them.
+        double most = Math.max(capacity, capacityOfTick);
+        if (most > 0) {
+            answeredPerCapacity += Math.min(1, elapsed) * (answered / elapsed / most - answeredPerCapacity);
+        }
+        capacityOfTick = capacity;
+    }
+
+    private double capacity(long now, Server[] servers, int reach) {
+        double capacity = 0;
+        for (int i = 0; i < servers.length && i < reach; i++) {
+            capacity += servers[i].is.weight() * warmth(now, servers[i]);
+        }
+        return capacity;
+    }
+
+    /** The attempt is being sent; warm servers' requests count too, their start may be told late. */
+    void sent(long now, Attempt a) {
+        if (settings.fall() > 0) {
+            a.held = a.server.budget.spend(now, settings.fall());
+            if (!out.tellsWritten()) {
+                written(now, a);
+            }
+        }
+    }
+
+    /** The attempt's request has reached its server, or never will. */
+    void written(long now, Attempt a) {
+        if (a.held > 0) {
+            a.server.budget.written(now, a.held, Math.max(1, settings.fall()));
+            a.held = 0;
+        }
+    }
+}
--- a/core/src/main/java/brackenbridge/State.java
+++ b/core/src/main/java/brackenbridge/State.java
@@ -8,7 +8,6 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import java.util.SplittableRandom;
 
 /** What an instance of {@link Balancer} keeps in mind: plain data, no decisions. */
 final class State {
@@ -86,47 +85,6 @@
         }
     }
 
-    /**
-     * An instance's part of the calls that a cold server bears in any window of a length. A part of a call is rounded
-     * by chance, and the chance is charged like a call, whether it was won or lost, used or not: many instances
-     * together stay near the sum of their parts, and nothing is made good later.
-     */
-    static final class Budget {
-        private record Charge(long at, double amount) {}
-
-        private final ArrayDeque<Charge> charges = new ArrayDeque<>(2);
-        private double charged;
-        /** A call was won at wonAt and not sent yet; it is good for that instant alone. */
-        private boolean won;
-
-        private long wonAt;
-
-        /** Whether a call may be sent now, if the part is so many calls in each window. */
-        boolean allows(long now, double part, long window, SplittableRandom random) {
-            if (won && wonAt == now) {
-                return true;
-            }
-            while (!charges.isEmpty() && charges.peek().at() <= now - window) {
-                charged -= charges.poll().amount();
-            }
-            // Guards against what is left over of sums and differences.
-            charged = charges.isEmpty() ? 0 : charged;
-            double left = Math.min(1, part - charged);
-            won = left > 0 && random.nextDouble() < left;
-            wonAt = now;
-            if (left > 0) {
-                charges.add(new Charge(now, left));
-                charged += left;
-            }
-            return won;
-        }
-
-        /** The call that was allowed has been sent. */
-        void spend() {
-            won = false;
-        }
-    }
-
     /** One attempt of a call. */
     static final class Attempt {
         final Server server;
@@ -135,6 +93,8 @@
         boolean counted;
 
         boolean ended;
+        /** What the server's budget holds for it until its request has been written; 0 from then on. */
+        double held;
 
         Attempt(Server server, long sentAt) {
             this.server = server;
@@ -218,8 +178,8 @@
         double latest;
 
         int strikes;
-        /** What it may be sent while it is cold. */
-        final Budget budget = new Budget();
+        /** What it was sent of late, and what it may be sent while it warms up. */
+        final SlowStartBudget budget = new SlowStartBudget();
         /** The part of errors among its outcomes, the newest weighted most. */
         double errors;
 
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -290,6 +290,7 @@
                 // A server begins with the last byte: what came before is the client's time, not the server's.
                 f.out.since = f.spent ? now : f.out.since;
                 counters.count(Kind.FORWARDS_WRITTEN);
+                balancer.onWritten(ModuleTime.micros(now), e.flow(), e.forward());
             }
         } else if (event instanceof Event.ForwardAnswered e) {
             answered(e);
@@ -985,6 +986,11 @@
             }
         }
 
+        @Override
+        public boolean tellsWritten() {
+            return true;
+        }
+
         @Override
         public void refuse(long request, long retryAfter) {
             OpenFlow f = flows.get(request);
--- a/core/src/test/java/brackenbridge/ColdFleet.java
+++ b/core/src/test/java/brackenbridge/ColdFleet.java
@@ -32,30 +32,80 @@
         FRESH
     }
 
+    /** What else happens on a day. */
+    enum Trouble {
+        NONE,
+        /** Clients send a second copy of every fifth request, by another node, 30 ms after the first. */
+        HEDGED_BY_CLIENTS,
+        /** Every third connection to a server comes up late, by up to a second. */
+        LATE_CONNECTIONS,
+        /** No request reaches a server in the first second after its start; then all that wait arrive together. */
+        LATE_ACCEPT,
+        /** Servers restart in an instant, and the word of it comes 0.3 s to 1.5 s later. */
+        LATE_WORD,
+        /** The settings name twice the time from 1 s after the servers' start on, as all nodes read in an instant. */
+        LONGER_TIME,
+        /** Half of the nodes are replaced by new processes half a second after the servers' start. */
+        RESTARTED_NODES,
+        /** Each node gets a successor beside it half a second after the servers' start, and ends 2 s later. */
+        SUCCESSORS
+    }
+
+    /**
+     * What is played.
+     *
+     * @param nodes how many nodes there are
+     * @param workers how many requests a server works on at once; with its warmth, this tells what it can do
+     * @param load the traffic as a part of the warm servers' capacity
+     * @param multiple the settings' multiple of a cold server's capacity
+     * @param fall the settings' time
+     */
+    record Plan(Day day, Trouble trouble, int nodes, int workers, double load, double multiple, long fall, long seed) {}
+
     /**
      * What was seen.
      *
-     * @param worst the most that a cold server got in any window, over what it bears in it
+     * @param worst the most that a cold server got in any window, over N + 2 sqrt(N) + 2
+     * @param worstOfLimit the most over the limit in force, with N + 3 sqrt(N) + 3 for N below 30; windows count of
+     *     which over two thirds came from nodes that knew of the server's start
+     * @param leastN the smallest N of any such window
+     * @param mostN the largest
      * @param fallen lives of servers in which they would have fallen over
      * @param lives cold lives of servers
      * @param asked requests
      * @param served those answered
      * @param coldServed those answered by cold servers
+     * @param mostAtOnce the most attempts that were out for one request
+     * @param retries attempts after the first
      */
-    record Seen(double worst, int fallen, int lives, int asked, int served, int coldServed) {}
+    record Seen(
+            double worst,
+            double worstOfLimit,
+            double leastN,
+            double mostN,
+            int fallen,
+            int lives,
+            int asked,
+            int served,
+            int coldServed,
+            int mostAtOnce,
+            int retries) {}
+
+    /** A request that reached a cold server; its node knew of the start when it sent it, or not. */
+    private record Arrival(long at, boolean told) {}
 
     private static final long MS = 1000;
     private static final long SECOND = 1_000_000;
     private static final int SERVERS = 10;
     private static final double[] SHARES = {1, 2, 4, 8};
     /**
-     * Each server has two workers; a request takes one of them 100 ms on average once it is warm. It turns away at
-     * once what finds two waiting: what is turned away weighs as well, and its caller is free for the next.
+     * A server has some workers; a request takes one of them 100 ms on average once it is warm. It turns away at
+     * once what finds as many waiting: what is turned away weighs as well, and its caller is free for the next.
      */
-    private static final int WORKERS = 2;
+    private static final int USUAL_WORKERS = 2;
 
     private static final long WORK = 100 * MS;
-    private static final int QUEUE = 2;
+    private static final long LATE = SECOND;
     private static final double COLD_FROM = 0.3;
     private static final long WARM_AFTER = 8 * SECOND;
     private static final long BEGIN = 1000 * SECOND;
@@ -72,7 +122,12 @@
         int busy;
         boolean fallen;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-        final ArrayDeque<Long> arrivals = new ArrayDeque<>();
+        /** What came while it was cold, and the part of it that is within the last window. */
+        final List<Arrival> arrivals = new ArrayList<>();
+
+        int windowFrom;
+        int windowTold;
+        long windowLength;
 
         Server(long id) {
             this.id = id;
@@ -81,18 +136,34 @@
 
     private final class Node implements Actions {
         final Balancer balancer;
-        final double share;
+        double share;
+        /** The start of each server that it was told of last. */
+        final long[] toldStart = new long[SERVERS];
 
-        Node(int me, int nodes, double share) {
+        Node(int me, int peers, double share) {
             this.share = share;
-            balancer = new Balancer(settings(me, nodes), this);
+            balancer = new Balancer(settings(me, peers), this);
+        }
+
+        void list(ListKind kind, List<Endpoint> entries) {
+            entries.forEach(e -> toldStart[(int) e.id()] = e.startedAt());
+            balancer.onList(now, kind, entries);
         }
 
         @Override
         public void send(long request, long endpoint, long timeout) {
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
+            retries += attempt > 0 ? 1 : 0;
+            mostAtOnce = Math.max(mostAtOnce, out.merge(request, 1, Integer::sum));
             long sent = now;
-            after(MS / 2, () -> arrive(this, request, attempt, servers.get((int) endpoint), sent));
+            Server s = servers.get((int) endpoint);
+            boolean told = toldStart[(int) s.id] == s.startedAt;
+            after(connecting(s) + MS / 2, () -> arrive(this, request, attempt, s, sent, told));
+        }
+
+        @Override
+        public boolean tellsWritten() {
+            return true;
         }
 
         @Override
@@ -107,45 +178,60 @@
         }
 
         @Override
-        public void probe(long endpoint) {}
+        public void probe(long endpoint) {
+            throw new AssertionError("a probe is not counted");
+        }
     }
 
     private final PriorityQueue<Due> queue = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private final Map<Long, Integer> attempts = new HashMap<>();
+    private final Map<Long, Integer> out = new HashMap<>();
     private final List<Server> servers = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
     private final SplittableRandom random;
+    private final Plan plan;
     private final Day day;
-    private final double multiple;
-    private final long fall;
-    private final double load;
+    /** The settings' time, as it is now. */
+    private long fall;
+
+    private final double allShares;
     private long now = BEGIN;
     private long made;
     private long requests;
     private double worst;
+    private double worstOfLimit;
+    private double leastN = Double.POSITIVE_INFINITY;
+    private double mostN;
     private int fallen;
     private int lives;
     private int served;
     private int coldServed;
-
-    private ColdFleet(Day day, int nodeCount, double load, double multiple, long fall, long seed) {
-        this.day = day;
-        this.load = load;
-        this.multiple = multiple;
-        this.fall = fall;
-        random = new SplittableRandom(seed);
+    private int mostAtOnce;
+    private int retries;
+
+    private ColdFleet(Plan plan) {
+        this.plan = plan;
+        this.day = plan.day();
+        this.fall = plan.fall();
+        random = new SplittableRandom(plan.seed());
         for (int i = 0; i < SERVERS; i++) {
             servers.add(new Server(i));
         }
-        for (int i = 0; i < nodeCount; i++) {
-            nodes.add(new Node(i, nodeCount, SHARES[i % SHARES.length]));
+        for (int i = 0; i < plan.nodes(); i++) {
+            nodes.add(new Node(i, plan.nodes(), SHARES[i % SHARES.length]));
         }
+        allShares = nodes.stream().mapToDouble(n -> n.share).sum();
     }
 
-    /** Plays one day. */
+    /** Plays one day with servers of two workers and no further trouble. */
     static Seen play(Day day, int nodes, double load, double multiple, long fall, long seed) {
-        return new ColdFleet(day, nodes, load, multiple, fall, seed).play();
+        return play(new Plan(day, Trouble.NONE, nodes, USUAL_WORKERS, load, multiple, fall, seed));
+    }
+
+    /** Plays one day. */
+    static Seen play(Plan plan) {
+        return new ColdFleet(plan).play();
     }
 
     private Settings settings(int me, int peers) {
@@ -165,11 +251,11 @@
                 2 * SECOND,
                 true,
                 false,
-                false,
+                plan.trouble() == Trouble.HEDGED_BY_CLIENTS,
                 15 * SECOND,
                 COLD_FROM,
                 WARM_AFTER,
-                multiple,
+                plan.multiple(),
                 fall,
                 BalancerApi.Network.UNTOLD);
     }
@@ -182,8 +268,7 @@
             });
         }
         for (Node n : nodes) {
-            n.balancer.onList(
-                    now, ListKind.SAVED, servers.stream().map(this::entry).toList());
+            n.list(ListKind.SAVED, servers.stream().map(this::entry).toList());
             arrivals(n);
         }
         int hit = switch (day) {
@@ -195,15 +280,84 @@
         for (int i = 0; i < hit; i++) {
             Server s = servers.get(i);
             long at = RESTARTS + (day == Day.REPLACED ? i * 7 * SECOND / 6 : 0);
-            at(at, () -> stop(s));
-            at(at + (day == Day.ZONE ? 5 : 1) * SECOND, () -> restart(s));
+            boolean inAnInstant = plan.trouble() == Trouble.LATE_WORD;
+            long back = at + (inAnInstant ? 0 : (day == Day.ZONE ? 5 : 1) * SECOND);
+            at(at, () -> stop(s, !inAnInstant));
+            at(back, () -> restart(s));
+        }
+        long firstStart = day == Day.FRESH ? BEGIN : RESTARTS + (day == Day.ZONE ? 5 : 1) * SECOND;
+        switch (plan.trouble()) {
+            case LONGER_TIME -> at(firstStart + SECOND, this::lengthen);
+            case RESTARTED_NODES -> at(firstStart + SECOND / 2, this::restartNodes);
+            case SUCCESSORS -> at(firstStart + SECOND / 2, this::succeed);
+            default -> {
+                // Nothing happens at one instant.
+            }
         }
         while (!queue.isEmpty() && queue.peek().at() <= END) {
             Due due = queue.poll();
             now = Math.max(now, due.at());
             due.what().run();
         }
-        return new Seen(worst, fallen, lives, (int) requests, served, coldServed);
+        return new Seen(
+                worst,
+                worstOfLimit,
+                leastN,
+                mostN,
+                fallen,
+                lives,
+                (int) requests,
+                served,
+                coldServed,
+                mostAtOnce,
+                retries);
+    }
+
+    /** All nodes read new settings. */
+    private void lengthen() {
+        fall *= 2;
+        for (int i = 0; i < nodes.size(); i++) {
+            nodes.get(i).balancer.onSettings(now, settings(i, plan.nodes()));
+        }
+    }
+
+    /** A new process in the place of every second node, which knows what its first list says. */
+    private void restartNodes() {
+        for (int i = 0; i < nodes.size(); i += 2) {
+            Node old = nodes.get(i);
+            nodes.set(i, process(i, old.share));
+            old.share = 0;
+        }
+    }
+
+    /** A new process beside each, with half of its traffic; in two seconds with all of it. */
+    private void succeed() {
+        List<Node> before = List.copyOf(nodes);
+        for (int i = 0; i < before.size(); i++) {
+            Node old = before.get(i);
+            old.share /= 2;
+            Node next = process(i, old.share);
+            nodes.add(next);
+            after(2 * SECOND, () -> {
+                next.share += old.share;
+                old.share = 0;
+            });
+        }
+    }
+
+    private Node process(int me, double share) {
+        Node n = new Node(me, plan.nodes(), share);
+        n.list(ListKind.SAVED, servers.stream().map(this::entry).toList());
+        arrivals(n);
+        return n;
+    }
+
+    /** How long it takes until a request sent now to this server can be written. */
+    private long connecting(Server s) {
+        if (plan.trouble() == Trouble.LATE_CONNECTIONS) {
+            return random.nextInt(3) == 0 ? random.nextLong(LATE) : 0;
+        }
+        return plan.trouble() == Trouble.LATE_ACCEPT ? Math.max(0, s.startedAt + LATE - now) : 0;
     }
 
     private void at(long when, Runnable what) {
@@ -218,18 +372,22 @@
         return new Endpoint(s.id, 0, "here", 1, s.startedAt, s.down ? EndpointState.REMOVED : EndpointState.UP);
     }
 
-    private void stop(Server s) {
+    private void stop(Server s, boolean told) {
         s.down = true;
         s.life++;
         s.busy = 0;
         s.queue.clear();
-        tell(s);
+        if (told) {
+            tell(s);
+        }
     }
 
     private void restart(Server s) {
         s.down = false;
         s.startedAt = now;
         s.arrivals.clear();
+        s.windowFrom = 0;
+        s.windowTold = 0;
         s.fallen = false;
         lives++;
         tell(s);
@@ -238,15 +396,19 @@
     /** The word comes to each node a little later. */
     private void tell(Server s) {
         Endpoint e = entry(s);
+        boolean late = plan.trouble() == Trouble.LATE_WORD;
         for (Node n : nodes) {
-            after(50 * MS + random.nextLong(250 * MS), () -> n.balancer.onList(now, ListKind.CHANGES, List.of(e)));
+            long delay = late ? 300 * MS + random.nextLong(1200 * MS) : 50 * MS + random.nextLong(250 * MS);
+            after(delay, () -> n.list(ListKind.CHANGES, List.of(e)));
         }
     }
 
     private void arrivals(Node n) {
-        double all = nodes.stream().mapToDouble(x -> x.share).sum();
+        if (n.share == 0) {
+            return;
+        }
         boolean burst = day == Day.BURST && now >= RESTARTS + SECOND && now < RESTARTS + 4 * SECOND;
-        double perSecond = load * SERVERS * perSecond() * n.share / all * (burst ? 2.5 : 1);
+        double perSecond = plan.load() * SERVERS * perSecond() * n.share / allShares * (burst ? 2.5 : 1);
         after((long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND), () -> {
             long id = requests++;
             Request r = new Request(id, id % 4 == 0 ? "write" : "read", null, -1, 2 * SECOND, -1, false);
@@ -256,26 +418,38 @@
             } else {
                 n.balancer.onRequest(now, r);
             }
+            if (plan.trouble() == Trouble.HEDGED_BY_CLIENTS && id % 5 == 0) {
+                hedge(nodes.get((nodes.indexOf(n) + 1) % nodes.size()), r.className());
+            }
             arrivals(n);
         });
     }
 
+    /** The client's second copy, by another node. */
+    private void hedge(Node other, String className) {
+        after(30 * MS, () -> {
+            long id = requests++;
+            other.balancer.onRequest(now, new Request(id, className, null, -1, 2 * SECOND, -1, true));
+        });
+    }
+
     /** What a warm server does in a second. */
-    private static double perSecond() {
-        return WORKERS * (double) SECOND / WORK;
+    private double perSecond() {
+        return plan.workers() * (double) SECOND / WORK;
     }
 
     private double warmth(Server s) {
         return s.startedAt == 0 ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - s.startedAt) / WARM_AFTER);
     }
 
-    private void arrive(Node n, long request, int attempt, Server s, long sent) {
+    private void arrive(Node n, long request, int attempt, Server s, long sent, boolean told) {
         if (s.down) {
             answer(n, request, attempt, Outcome.CONNECT_FAILED, sent);
             return;
         }
-        weigh(s);
-        if (s.queue.size() >= QUEUE) {
+        n.balancer.onWritten(now, request, attempt);
+        weigh(s, told);
+        if (s.queue.size() >= plan.workers()) {
             answer(n, request, attempt, Outcome.FULL, sent);
             return;
         }
@@ -297,7 +471,7 @@
                 s.busy--;
             }
         });
-        if (s.busy < WORKERS) {
+        if (s.busy < plan.workers()) {
             s.busy++;
             work.run();
         } else {
@@ -306,26 +480,44 @@
     }
 
     private void answer(Node n, long request, int attempt, Outcome outcome, long sent) {
-        after(
-                MS / 2,
-                () -> n.balancer.onOutcome(now, request, attempt, outcome == Outcome.OK, outcome, now - sent, null));
+        after(MS / 2, () -> {
+            out.merge(request, -1, Integer::sum);
+            n.balancer.onOutcome(now, request, attempt, outcome == Outcome.OK, outcome, now - sent, null);
+        });
     }
 
     /** Every attempt that reaches a cold server weighs, whatever becomes of it. */
-    private void weigh(Server s) {
+    private void weigh(Server s, boolean told) {
         if (warmth(s) >= 1) {
             return;
         }
-        s.arrivals.add(now);
-        while (s.arrivals.peek() < now - fall) {
-            s.arrivals.poll();
+        s.arrivals.add(new Arrival(now, told));
+        s.windowTold += told ? 1 : 0;
+        if (s.windowLength != fall) {
+            s.windowLength = fall;
+            s.windowFrom = 0;
+            s.windowTold = (int) s.arrivals.stream().filter(Arrival::told).count();
+        }
+        while (s.arrivals.get(s.windowFrom).at() < now - fall) {
+            s.windowTold -= s.arrivals.get(s.windowFrom++).told() ? 1 : 0;
         }
-        double bears = multiple * perSecond() * warmth(s) * fall / SECOND;
-        double ratio = s.arrivals.size() / (bears + 2 * Math.sqrt(bears) + 2);
+        int inWindow = s.arrivals.size() - s.windowFrom;
+        double allowed = plan.multiple() * perSecond() * warmth(s) * fall / SECOND;
+        double ratio = inWindow / (allowed + 2 * Math.sqrt(allowed) + 2);
         worst = Math.max(worst, ratio);
+        leastN = Math.min(leastN, allowed);
+        mostN = Math.max(mostN, allowed);
+        if (3 * s.windowTold > 2 * inWindow) {
+            worstOfLimit = Math.max(worstOfLimit, inWindow / limit(allowed));
+        }
         if (ratio > 1 && !s.fallen) {
             s.fallen = true;
             fallen++;
         }
     }
+
+    /** The rules' terms, written down once more: this is what the module's own limit is held against. */
+    private static double limit(double allowed) {
+        return allowed < 30 ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
+    }
 }
--- a/core/src/test/java/brackenbridge/ColdServersTest.java
+++ b/core/src/test/java/brackenbridge/ColdServersTest.java
@@ -7,7 +7,6 @@
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.BalancerApi.ListKind;
 import brackenbridge.BalancerApi.Outcome;
-import brackenbridge.State.Budget;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -19,19 +18,19 @@
 class ColdServersTest {
     private static final long SECOND = 1_000_000;
 
-    private static List<Budget> budgets(int n) {
-        List<Budget> all = new ArrayList<>();
+    private static List<SlowStartBudget> budgets(int n) {
+        List<SlowStartBudget> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            all.add(new Budget());
+            all.add(new SlowStartBudget());
         }
         return all;
     }
 
-    private static int sent(List<Budget> budgets, long now, double part, SplittableRandom random) {
+    private static int sent(List<SlowStartBudget> budgets, long now, double part, SplittableRandom random) {
         int sent = 0;
-        for (Budget b : budgets) {
+        for (SlowStartBudget b : budgets) {
             while (b.allows(now, part, SECOND, random)) {
-                b.spend();
+                b.written(now, b.spend(now, SECOND), SECOND);
                 sent++;
             }
         }
@@ -56,7 +55,7 @@
         for (double part : new double[] {0.1, 0.5, 1, 2.4}) {
             int all = 0;
             for (int i = 0; i < 300; i++) {
-                List<Budget> nodes = budgets(30);
+                List<SlowStartBudget> nodes = budgets(30);
                 sent(nodes, 0, part, random);
                 long rest = 1 + random.nextLong(20 * SECOND);
                 for (long at = rest; at < rest + SECOND; at += 1 + random.nextLong(SECOND / 5)) {
@@ -71,7 +70,7 @@
 
     @Test
     void callThatWasWonIsGoodForItsInstantOnly() {
-        Budget b = new Budget();
+        SlowStartBudget b = new SlowStartBudget();
         SplittableRandom random = new SplittableRandom(3);
         assertTrue(b.allows(0, 1, SECOND, random));
         assertTrue(b.allows(0, 1, SECOND, random), "not sent yet");
