--- a/core/src/main/java/brackenbridge/Balancer.java
+++ b/core/src/main/java/brackenbridge/Balancer.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -76,8 +77,14 @@
     private final PriorityQueue<Call> expiry = new PriorityQueue<>(
             Comparator.<Call>comparingLong(c -> c.dropAt).thenComparingLong(c -> c.id));
     private final ArrayDeque<Server> trials = new ArrayDeque<>();
-    private Server[] order = {};
-    private int ownZone;
+    private final ServerOrder order = new ServerOrder();
+    /** Those that were in reach when the order was last laid out, or came into it since. */
+    private final Set<Server> reached = new LinkedHashSet<>();
+    /** Those at which calls wait, by the time at which they were first listed. */
+    private final TreeSet<Server> awaited = new TreeSet<>(Comparator.comparingLong(s -> s.number));
+    /** Those that have left the list; each is forgotten with its last call. */
+    private final Set<Server> removed = new LinkedHashSet<>();
+    private long listed;
     private int reach = LEAST_REACH;
     private double virtualTime;
     private double congestion = 1;
@@ -154,17 +161,17 @@
     public void onList(long now, ListKind kind, List<Endpoint> entries) {
         start(now);
         if (kind != ListKind.CHANGES) {
-            Map<Long, Endpoint> named = new HashMap<>();
-            entries.forEach(e -> named.put(e.id(), e));
+            Set<Long> named = new HashSet<>();
+            entries.forEach(e -> named.add(e.id()));
             for (Server s : servers.values()) {
-                if (!named.containsKey(s.id)) {
-                    s.is = new Endpoint(s.id, s.is.cell(), s.is.zone(), s.is.weight(), s.is.startedAt(),
-                            EndpointState.REMOVED);
+                if (!named.contains(s.id)) {
+                    list(s, new Endpoint(s.id, s.is.cell(), s.is.zone(), s.is.weight(), s.is.startedAt(),
+                            EndpointState.REMOVED));
                 }
             }
         }
         for (Endpoint e : entries) {
-            Server s = servers.computeIfAbsent(e.id(), id -> new Server(e, levels, now));
+            Server s = servers.computeIfAbsent(e.id(), id -> new Server(e, listed++, levels, now));
             if (e.startedAt() > s.is.startedAt()) {
                 s.coldSince = Math.min(e.startedAt(), now);
                 s.pace = 1;
@@ -173,72 +180,55 @@
                 s.strikes = 0;
                 comeBack(s);
             }
-            s.is = e;
+            list(s, e);
         }
         arrange(now);
-        List<Server> gone = servers.values().stream()
-                .filter(s -> s.is.state() == EndpointState.REMOVED && s.inFlight == 0).toList();
-        for (Server s : gone) {
-            // Guards the count of those taken out: one that left while out would stay in it for good, and
-            // after a few such no failing server would ever be taken out again.
-            comeBack(s);
-            idle.remove(s);
-            servers.remove(s.id);
+        for (Server s : List.copyOf(removed)) {
+            if (s.inFlight == 0) {
+                // Guards the count of those taken out: one that left while out would stay in it for good, and
+                // after a few such no failing server would ever be taken out again.
+                comeBack(s);
+                idle.remove(s);
+                servers.remove(s.id);
+                removed.remove(s);
+            }
+        }
+    }
+
+    /** What the list says of a server now; its place in the order follows, nothing else does. */
+    private void list(Server s, Endpoint e) {
+        order.remove(s, s.is.zone());
+        removed.remove(s);
+        s.is = e;
+        if (e.state() == EndpointState.UP) {
+            order.add(s);
+        } else if (e.state() == EndpointState.REMOVED) {
+            removed.add(s);
         }
     }
 
     /** Own zone first; in each zone the callers' arcs are spread evenly over the servers. */
     private void arrange(long now) {
-        Map<String, List<Server>> zones = new LinkedHashMap<>();
-        zones.put(settings.zone(), new ArrayList<>());
-        for (Server s : servers.values()) {
-            s.inReach = false;
-            if (s.is.state() == EndpointState.UP) {
-                zones.computeIfAbsent(s.is.zone(), z -> new ArrayList<>()).add(s);
-            }
-        }
-        double start = settings.me() * GOLDEN % 1;
-        List<Server> all = new ArrayList<>();
-        List<Server> own = zones.remove(settings.zone());
-        all.addAll(turned(own, start));
-        ownZone = own.size();
-        List<List<Server>> others = new ArrayList<>();
-        zones.values().forEach(z -> others.add(turned(z, start)));
-        others.sort(Comparator.comparingLong(z -> z.get(0).id));
-        for (int i = 0, left = others.size(); left > 0; i++) {
-            left = 0;
-            for (List<Server> z : others) {
-                if (i < z.size()) {
-                    all.add(z.get(i));
-                    left++;
-                }
-            }
-        }
-        order = all.toArray(new Server[0]);
-        for (int i = 0; i < order.length && i < reach; i++) {
-            order[i].inReach = true;
+        order.turn(settings.zone(), settings.me() * GOLDEN % 1);
+        List<Server> before = List.copyOf(reached);
+        before.forEach(s -> s.inReach = false);
+        reached.clear();
+        for (int i = 0; i < order.size() && i < reach; i++) {
+            order.get(i).inReach = true;
+            reached.add(order.get(i));
         }
         // First all turns, then the calls: guards against a call bound anew to a server that leaves as well.
-        List<Server> left = servers.values().stream().filter(s -> !s.inReach).toList();
-        left.forEach(this::endTurns);
-        for (int i = 0; i < order.length && i < reach; i++) {
-            join(now, order[i]);
+        before.stream().filter(s -> !s.inReach).forEach(this::endTurns);
+        List<Server> left = awaited.stream().filter(s -> !s.inReach).toList();
+        for (Server s : List.copyOf(reached)) {
+            join(now, s);
         }
         left.forEach(s -> leave(now, s));
     }
 
-    private static List<Server> turned(List<Server> zone, double start) {
-        zone.sort(Comparator.<Server>comparingDouble(s -> s.place).thenComparingLong(s -> s.id));
-        List<Server> arc = new ArrayList<>(zone.size());
-        int from = (int) (start * zone.size());
-        for (int i = 0; i < zone.size(); i++) {
-            arc.add(zone.get((from + i) % zone.size()));
-        }
-        return arc;
-    }
-
     private void join(long now, Server s) {
         s.inReach = true;
+        reached.add(s);
         if (s.inRotation || s.out) {
             return;
         }
@@ -384,8 +374,8 @@
         Server s = bind(now, c);
         if (s != null && (s.inFlight > 0 || !bears(now, s))) {
             Server other = idleFor(now, c);
-            if (other == null && reach < ownZone) {
-                join(now, order[reach++]);
+            if (other == null && reach < order.inOwnZone()) {
+                join(now, order.get(reach++));
                 other = idleFor(now, c);
             }
             if (other != null) {
@@ -406,13 +396,13 @@
      * calls wait all the same.
      */
     private int window() {
-        double part = Math.min(reach, order.length) / (double) Math.max(1, order.length);
+        double part = Math.min(reach, order.size()) / (double) Math.max(1, order.size());
         return extra + (int) Math.max(1, Math.ceil(CALLS_A_SERVER / (settings.peers() * part)));
     }
 
     /** Whether more servers in reach would leave the callers at each few, or too few here are in order. */
     private boolean roomToReach() {
-        return settings.peers() * (double) reach / order.length < 2 * CALLS_A_SERVER
+        return settings.peers() * (double) reach / order.size() < 2 * CALLS_A_SERVER
                 || rotation.size() < reach / 2 || congestion < ROOM;
     }
 
@@ -504,10 +494,10 @@
         }
         double used = 0;
         double weights = 0;
-        int near = Math.min(reach, order.length);
+        int near = Math.min(reach, order.size());
         for (int i = 0; i < near; i++) {
-            used += order[i].is.weight() * warmth(now, order[i]);
-            weights += order[i].is.weight();
+            used += order.get(i).is.weight() * warmth(now, order.get(i));
+            weights += order.get(i).is.weight();
         }
         double least = near / (weights * meanTime() * settings.peers());
         double perUnit = Math.max(answeredPerSecond / SECOND / used, least);
@@ -530,6 +520,8 @@
         }
         if (s != null) {
             s.queues[c.level].add(c);
+            s.queued++;
+            awaited.add(s);
         }
         expiry.add(c);
         armExpiry(Math.max(now + 1, c.dropAt));
@@ -540,6 +532,9 @@
         holding--;
         if (c.bound != null) {
             c.bound.queues[c.level].remove(c);
+            if (--c.bound.queued == 0) {
+                awaited.remove(c.bound);
+            }
             c.bound = null;
         }
     }
@@ -778,7 +773,7 @@
     }
 
     private void pause(long now, Server s, long pause) {
-        if (s.out || ejected * 2 < order.length) {
+        if (s.out || ejected * 2 < order.size()) {
             if (!s.out) {
                 s.out = true;
                 ejected++;
@@ -897,26 +892,28 @@
             }
         }
         congestion = n == 0 ? 1 : sum / n;
-        for (Server s : order) {
+        for (int i = 0; i < order.size() && i < reach; i++) {
+            Server s = order.get(i);
             if (s.out && s.inFlight == 0 && s.backAt <= now && s.inReach && !trials.contains(s)) {
                 trials.add(s);
             }
         }
         // The reach grows past the own zone only when calls had to wait there or were dropped.
         peakNeed = Math.max(inFlight + holding, peakNeed * 0.97);
-        if ((holding > 0 || dropped > 0) && reach < order.length && roomToReach()) {
+        if ((holding > 0 || dropped > 0) && reach < order.size() && roomToReach()) {
             int more = Math.max(1, reach / 4);
-            while (more-- > 0 && reach < order.length) {
-                join(now, order[reach++]);
+            while (more-- > 0 && reach < order.size()) {
+                join(now, order.get(reach++));
             }
         } else if (reach > LEAST_REACH && reach > 2 * peakNeed + 2) {
-            Server s = order.length > --reach ? order[reach] : null;
+            Server s = order.size() > --reach ? order.get(reach) : null;
             if (s != null) {
                 s.inReach = false;
+                reached.remove(s);
                 leave(now, s);
             }
         }
-        if (holding > 0 && reach >= order.length && ejected * 3 < order.length && n > 0
+        if (holding > 0 && reach >= order.size() && ejected * 3 < order.size() && n > 0
                 && congestion < ROOM) {
             // Guards the servers that are left against the calls of those taken out: more would choke them.
             extra++;
@@ -925,8 +922,8 @@
         }
         dropped = 0;
         // Besides the wider window: the budget of a cold server comes back with time, without an answer.
-        for (Server s : order) {
-            free(now, s);
+        for (int i = 0; i < order.size() && i < reach; i++) {
+            free(now, order.get(i));
         }
     }
 }
--- a/core/src/main/java/brackenbridge/State.java
+++ b/core/src/main/java/brackenbridge/State.java
@@ -194,6 +194,8 @@
     /** An endpoint that some list has named. */
     static final class Server {
         final long id;
+        /** How many were listed before it. */
+        final long number;
         /** Its place on the ring of its zone, from 0 to 1; the same at every instance. */
         final double place;
 
@@ -202,6 +204,8 @@
         long coldSince;
         /** The calls bound to it, by level. */
         ArrayDeque<Call>[] queues;
+        /** How many they are. */
+        int queued;
 
         int inFlight;
         /** Among the endpoints that this instance uses. */
@@ -229,8 +233,9 @@
 
         long backAt;
 
-        Server(Endpoint is, int levels, long now) {
+        Server(Endpoint is, long number, int levels, long now) {
             this.id = is.id();
+            this.number = number;
             this.is = is;
             this.coldSince = Math.min(is.startedAt(), now);
             this.place = scramble(id) * 0x1p-53;
--- a/core/src/main/java/brackenbridge/core/HostIds.java
+++ b/core/src/main/java/brackenbridge/core/HostIds.java
@@ -35,6 +35,11 @@
         return id;
     }
 
+    /** Whether a name has a number already. */
+    boolean isKnown(String host) {
+        return ids.containsKey(host);
+    }
+
     /** Lets a name go, once nobody knows it by its number. */
     void forget(String host) {
         hosts.remove(ids.remove(host));
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -28,6 +28,7 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -149,6 +150,9 @@
     private final BalancerApi balancer;
     private final HostIds ids = new HostIds();
     private final Map<Long, Target> targets = new HashMap<>();
+    /** Hosts among them that are gone and not forgotten yet. */
+    private final Set<String> removed = new LinkedHashSet<>();
+
     private final Map<String, Double> noSendAfter = new HashMap<>();
     private final Map<Long, OpenFlow> flows = new HashMap<>();
     private final Map<Long, Leaving> leaving = new HashMap<>();
@@ -242,10 +246,7 @@
 
     /** The operators' figures by now. */
     public String figures() {
-        int listed = 0;
-        for (Target t : targets.values()) {
-            listed += t.state() == EndpointState.REMOVED ? 0 : 1;
-        }
+        int listed = targets.size() - removed.size();
         return Figures.lines(
                 counters,
                 classes.keySet(),
@@ -680,7 +681,11 @@
         counters.count(Kind.TARGET_LISTS);
         List<Target> told = new ArrayList<>(group.targets());
         // Guards a server that serves against one unreadable word of it: left out, it would count as gone.
-        targets.values().stream().filter(t -> group.unread().contains(t.host())).forEach(told::add);
+        for (String host : Set.copyOf(group.unread())) {
+            if (ids.isKnown(host)) {
+                told.add(targets.get(ids.of(host)));
+            }
+        }
         list(group.whole() ? ListKind.FULL : ListKind.CHANGES, told);
     }
 
@@ -822,18 +827,22 @@
      * soon as no forward is out to it; the module lets go of it by the same rule and at the same moment.
      */
     private void forgetRemoved() {
+        if (removed.isEmpty()) {
+            return;
+        }
         Set<String> inUse = new HashSet<>();
         for (OpenFlow f : flows.values()) {
             if (f.out != null) {
                 inUse.add(f.out.host);
             }
         }
-        for (Target t : List.copyOf(targets.values())) {
-            if (t.state() == EndpointState.REMOVED && !inUse.contains(t.host())) {
-                targets.remove(ids.of(t.host()));
-                ids.forget(t.host());
-                noSendAfter.remove(t.host());
-                effects.add(new Effect.CloseIdle(t.host(), t.dial()));
+        for (String host : List.copyOf(removed)) {
+            if (!inUse.contains(host)) {
+                Target gone = targets.remove(ids.of(host));
+                ids.forget(host);
+                noSendAfter.remove(host);
+                removed.remove(host);
+                effects.add(new Effect.CloseIdle(host, gone.dial()));
             }
         }
     }
@@ -848,6 +857,11 @@
         if (before != null && (!before.dial().equals(t.dial()) || t.state() == EndpointState.REMOVED)) {
             effects.add(new Effect.CloseIdle(before.host(), before.dial()));
         }
+        if (t.state() == EndpointState.REMOVED) {
+            removed.add(t.host());
+        } else {
+            removed.remove(t.host());
+        }
         if (t.state() == EndpointState.UP) {
             noSendAfter.remove(t.host());
         } else if (!noSendAfter.containsKey(t.host())) {
--- /dev/null
+++ b/core/src/test/java/brackenbridge/ServerOrderTest.java
@@ -0,0 +1,89 @@
+package brackenbridge;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import brackenbridge.BalancerApi.Endpoint;
+import brackenbridge.BalancerApi.EndpointState;
+import brackenbridge.State.Server;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+
+/** The order that is kept from change to change against one that is laid out anew from all servers. */
+class ServerOrderTest {
+    private static final String[] ZONES = {"a", "b", "c"};
+    private static final int CHANGES = 2000;
+    private static final int MOST_SERVERS = 60;
+
+    private final SplittableRandom random = new SplittableRandom(11);
+    private final ServerOrder order = new ServerOrder();
+    private final List<Server> up = new ArrayList<>();
+
+    private Server server(long id) {
+        Endpoint endpoint = new Endpoint(id, -1, ZONES[random.nextInt(ZONES.length)], 1, 0, EndpointState.UP);
+        return new Server(endpoint, id, 1, 0);
+    }
+
+    @Test
+    void changesOneByOneGiveTheOrderOfAllServersLaidOutAnew() {
+        for (int change = 0; change < CHANGES; change++) {
+            if (up.size() < MOST_SERVERS && random.nextInt(up.size() + 1) < MOST_SERVERS / 2) {
+                Server joins = server(change);
+                up.add(joins);
+                order.add(joins);
+                order.add(joins);
+            } else {
+                Server leaves = up.remove(random.nextInt(up.size()));
+                order.remove(leaves, leaves.is.zone());
+                order.remove(leaves, leaves.is.zone());
+            }
+            String zone = random.nextInt(10) == 0 ? "nowhere" : ZONES[random.nextInt(ZONES.length)];
+            double start = random.nextDouble();
+            order.turn(zone, start);
+            assertEquals(laidOut(zone, start), kept());
+        }
+    }
+
+    private List<Long> kept() {
+        List<Long> ids = new ArrayList<>();
+        for (int i = 0; i < order.size(); i++) {
+            ids.add(order.get(i).id);
+        }
+        return ids;
+    }
+
+    private List<Long> laidOut(String zone, double start) {
+        TreeMap<String, List<Server>> zones = new TreeMap<>();
+        for (Server s : up) {
+            zones.computeIfAbsent(s.is.zone(), z -> new ArrayList<>()).add(s);
+        }
+        zones.replaceAll((name, servers) -> turned(servers, start));
+        List<Server> own = zones.getOrDefault(zone, List.of());
+        assertEquals(own.size(), order.inOwnZone());
+        List<Long> all = new ArrayList<>();
+        own.forEach(s -> all.add(s.id));
+        zones.remove(zone);
+        List<List<Server>> others = new ArrayList<>(zones.values());
+        others.sort(Comparator.comparingLong(servers -> servers.get(0).id));
+        for (int i = 0; all.size() < up.size(); i++) {
+            for (List<Server> servers : others) {
+                if (i < servers.size()) {
+                    all.add(servers.get(i).id);
+                }
+            }
+        }
+        return all;
+    }
+
+    private static List<Server> turned(List<Server> zone, double start) {
+        List<Server> sorted = new ArrayList<>(zone);
+        sorted.sort(Comparator.<Server>comparingDouble(s -> s.place).thenComparingLong(s -> s.id));
+        int from = (int) (start * sorted.size());
+        List<Server> arc = new ArrayList<>(sorted.subList(from, sorted.size()));
+        arc.addAll(sorted.subList(0, from));
+        return arc;
+    }
+}
