--- a/core/src/main/java/brackenbridge/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/ServerOrder.java
@@ -14,51 +14,92 @@
  *
  * <p>A change of one server costs a search in its zone's ring, whatever the number of servers. The order beyond the own
  * zone is laid out only when somebody asks for it.
+ *
+ * <p>Where a caller begins is exact to a part of the ring: in a large zone it stays where it is until the changes of
+ * others have moved it by more. Guards warm connections: each step would bring a server into reach that has none.
  */
 final class ServerOrder {
     private static final Comparator<Server> BY_PLACE =
             Comparator.<Server>comparingDouble(s -> s.place).thenComparingLong(s -> s.id);
 
-    /** The servers of each zone, sorted by their places; no zone is empty. */
-    private final Map<String, List<Server>> zones = new HashMap<>();
+    /** The part of a ring to which a caller's beginning is exact; a ring with fewer servers is exact to one. */
+    private static final int GRAINS = 256;
+
+    /** The servers of one zone, sorted by their places. */
+    private static final class Ring {
+        final List<Server> servers = new ArrayList<>();
+        /** The server at which the caller began when the order was last laid out; null before. */
+        private Server first;
+
+        private int from;
+
+        int find(Server s) {
+            return Collections.binarySearch(servers, s, BY_PLACE);
+        }
+
+        /** Begins at this part of the ring, or stays near it. */
+        void turn(double start) {
+            int exact = (int) (start * servers.size());
+            int at = first == null ? exact : place(first);
+            from = distance(at, exact) <= servers.size() / GRAINS ? at : exact;
+            first = servers.get(from);
+        }
+
+        /** The place of a server, or of the one that follows if it has left. */
+        private int place(Server s) {
+            int at = find(s);
+            return (at >= 0 ? at : -at - 1) % servers.size();
+        }
+
+        private int distance(int a, int b) {
+            int apart = Math.abs(a - b);
+            return Math.min(apart, servers.size() - apart);
+        }
+
+        Server get(int place) {
+            return servers.get((from + place) % servers.size());
+        }
+    }
+
+    private static final Ring NONE = new Ring();
+
+    /** No zone is empty. */
+    private final Map<String, Ring> zones = new HashMap<>();
 
     private int size;
-    private double start;
     private String ownZone;
-    private List<Server> own = List.of();
-    private int ownFrom;
+    private Ring own = NONE;
     /** What follows the own zone; null until it is asked for. */
     private List<Server> others;
 
     /** Adds a server under the zone that its endpoint names now. */
     void add(Server s) {
-        List<Server> ring = zones.computeIfAbsent(s.is.zone(), z -> new ArrayList<>());
-        int at = Collections.binarySearch(ring, s, BY_PLACE);
+        Ring ring = zones.computeIfAbsent(s.is.zone(), z -> new Ring());
+        int at = ring.find(s);
         if (at < 0) {
-            ring.add(-at - 1, s);
+            ring.servers.add(-at - 1, s);
             size++;
         }
     }
 
     /** Removes a server from the zone that it was added under. */
     void remove(Server s, String zone) {
-        List<Server> ring = zones.get(zone);
-        int at = ring == null ? -1 : Collections.binarySearch(ring, s, BY_PLACE);
+        Ring ring = zones.getOrDefault(zone, NONE);
+        int at = ring.find(s);
         if (at >= 0) {
-            ring.remove(at);
+            ring.servers.remove(at);
             size--;
-        }
-        if (ring != null && ring.isEmpty()) {
-            zones.remove(zone);
+            if (ring.servers.isEmpty()) {
+                zones.remove(zone);
+            }
         }
     }
 
     /** Lays the order out as it is now, for a caller in this zone that begins at this part of each ring. */
-    void turn(String zone, double from) {
+    void turn(String zone, double start) {
         ownZone = zone;
-        start = from;
-        own = zones.getOrDefault(zone, List.of());
-        ownFrom = first(own);
+        zones.values().forEach(ring -> ring.turn(start));
+        own = zones.getOrDefault(zone, NONE);
         others = null;
     }
 
@@ -69,42 +110,35 @@
 
     /** How many of them are in the own zone. */
     int inOwnZone() {
-        return own.size();
+        return own.servers.size();
     }
 
     /** The server at this place of the order, from 0. */
     Server get(int place) {
-        if (place < own.size()) {
-            return turned(own, ownFrom, place);
+        if (place < inOwnZone()) {
+            return own.get(place);
         }
         if (others == null) {
             others = layOutOthers();
         }
-        return others.get(place - own.size());
-    }
-
-    private int first(List<Server> ring) {
-        return (int) (start * ring.size());
-    }
-
-    private static Server turned(List<Server> ring, int from, int place) {
-        return ring.get((from + place) % ring.size());
+        return others.get(place - inOwnZone());
     }
 
     /** One server of each other zone by turns, the zone whose first has the lowest number before the others. */
     private List<Server> layOutOthers() {
-        List<List<Server>> rings = new ArrayList<>();
+        List<Ring> rings = new ArrayList<>();
         zones.forEach((zone, ring) -> {
             if (!zone.equals(ownZone)) {
                 rings.add(ring);
             }
         });
-        rings.sort(Comparator.comparingLong(ring -> turned(ring, first(ring), 0).id));
-        List<Server> order = new ArrayList<>(size - own.size());
-        for (int i = 0; order.size() < size - own.size(); i++) {
-            for (List<Server> ring : rings) {
-                if (i < ring.size()) {
-                    order.add(turned(ring, first(ring), i));
+        rings.sort(Comparator.comparingLong(ring -> ring.get(0).id));
+        int beyond = size - inOwnZone();
+        List<Server> order = new ArrayList<>(beyond);
+        for (int i = 0; order.size() < beyond; i++) {
+            for (Ring ring : rings) {
+                if (i < ring.servers.size()) {
+                    order.add(ring.get(i));
                 }
             }
         }
--- a/core/src/test/java/brackenbridge/ServerOrderTest.java
+++ b/core/src/test/java/brackenbridge/ServerOrderTest.java
@@ -1,13 +1,16 @@
 package brackenbridge;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.BalancerApi.Endpoint;
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.State.Server;
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
@@ -86,4 +89,59 @@
         arc.addAll(sorted.subList(0, from));
         return arc;
     }
+
+    @Test
+    void inALargeZoneChangesElsewhereLeaveTheFirstServersAsTheyAre() {
+        int servers = 3200;
+        int reach = 16;
+        int grain = servers / 256;
+        double start = 0.56;
+        for (int id = 0; id < servers; id++) {
+            Server joins = serverIn("a", id);
+            up.add(joins);
+            order.add(joins);
+        }
+        order.turn("a", start);
+        Set<Long> first = new HashSet<>(kept().subList(0, reach));
+        int entered = 0;
+        for (int change = 0; change < 2 * servers; change++) {
+            if (up.size() < servers) {
+                Server joins = serverIn("a", servers + change);
+                up.add(joins);
+                order.add(joins);
+            } else {
+                Server leaves = up.remove(random.nextInt(up.size()));
+                order.remove(leaves, "a");
+            }
+            order.turn("a", start);
+            if (change % 64 == 0) {
+                assertTrue(fromExact("a", start) <= grain, "it stays near the part of the ring that is its own");
+            }
+            Set<Long> now = new HashSet<>(prefix(reach));
+            entered += reach;
+            first.retainAll(now);
+            entered -= first.size();
+            first = now;
+        }
+        // Those that leave among the first have to be replaced: 16 of 3,200 leaves in 3,200, and as many join there.
+        assertTrue(entered < 10 * reach, "servers that came into reach: " + entered);
+    }
+
+    private Server serverIn(String zone, long id) {
+        return new Server(new Endpoint(id, -1, zone, 1, 0, EndpointState.UP), id, 1, 0);
+    }
+
+    private List<Long> prefix(int length) {
+        List<Long> ids = new ArrayList<>();
+        for (int i = 0; i < length; i++) {
+            ids.add(order.get(i).id);
+        }
+        return ids;
+    }
+
+    /** How many servers lie between the exact beginning and the one that is kept. */
+    private int fromExact(String zone, double start) {
+        int place = laidOut(zone, start).indexOf(order.get(0).id);
+        return Math.min(place, up.size() - place);
+    }
 }
