--- a/lab/src/main/java/brackenbridge/lab/cli/LabCommand.java
+++ b/lab/src/main/java/brackenbridge/lab/cli/LabCommand.java
@@ -244,6 +244,7 @@
         Fleets fleet = new Fleets();
         Evacuate evacuate = new Evacuate();
         Scale scale = new Scale();
+        Grow grow = new Grow();
         JCommander line = JCommander.newBuilder()
                 .programName("brackenbridge lab")
                 .addCommand("demo", demo)
@@ -265,6 +266,7 @@
                 .addCommand("fleet", fleet)
                 .addCommand("evacuate", evacuate)
                 .addCommand("scale", scale)
+                .addCommand("grow", grow)
                 .build();
         try {
             line.parse(args);
@@ -301,6 +303,7 @@
                 case "fleet" -> fleet.run();
                 case "evacuate" -> evacuate.run();
                 case "scale" -> scale.run();
+                case "grow" -> grow.run();
                 case "capacity" -> capacity(capacity);
                 case "hop" -> hop(hop);
                 case "bench" -> bench(bench);
--- a/lab/src/main/java/brackenbridge/lab/fleet/FleetRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/fleet/FleetRunner.java
@@ -66,6 +66,7 @@
                     folder,
                     results,
                     relays,
+                    LiveRunner.ALL_NODES,
                     (scheduler, nodes) -> {
                         List<String> names = nodes.stream().map(Control::name).toList();
                         played.addAll(faults != null ? faults : plan.faults(seed, relays.names(), names));
--- a/lab/src/main/java/brackenbridge/lab/live/LiveRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LiveRunner.java
@@ -23,9 +23,14 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.IntPredicate;
+import java.util.stream.IntStream;
 
 /** Plays a run on real sockets with real node processes. */
 public final class LiveRunner {
+    /** Every node before the first tier runs. */
+    public static final IntPredicate ALL_NODES = number -> true;
+
     private static final int CONNECTIONS = 4000;
 
     /**
@@ -36,8 +41,11 @@
      * @param sent first tries that were due
      * @param late first tries that the load tool wrote late
      * @param overrun whether so many that the run is marked
+     * @param connections connections that servers of the first tier have accepted
+     * @param listBytes bytes of lists that discovery of the first tier has written
      */
-    public record Outcome(Scoreboard board, Ledger ledger, long sent, long late, boolean overrun) {}
+    public record Outcome(
+            Scoreboard board, Ledger ledger, long sent, long late, boolean overrun, long connections, long listBytes) {}
 
     private LiveRunner() {}
 
@@ -50,18 +58,22 @@
     public static Outcome play(
             Experiment experiment, Experiment.Run run, Path home, String command, Path folder, Results results)
             throws IOException, InterruptedException {
-        return play(experiment, run, home, command, folder, results, Links.DIRECT, (scheduler, nodes) -> {});
+        return play(experiment, run, home, command, folder, results, Links.DIRECT, ALL_NODES, (scheduler, nodes) -> {});
     }
 
     /** Hears that the load begins: the time, and the processes that may be struck. */
     public interface Begun {
         /** It begins now. */
         void now(Scheduler scheduler, List<? extends Control> nodes);
+
+        /** All requests have ended, on the caller's thread; the processes still run. */
+        default void ended(List<? extends Control> nodes) throws IOException {}
     }
 
     /**
      * The same with links between the processes.
      *
+     * @param runs which nodes before the first tier run, by their numbers; the others are only told of as peers
      * @param begun hears when the load begins, on the event loop of the stand-ins
      */
     public static Outcome play(
@@ -72,6 +84,7 @@
             Path folder,
             Results results,
             Links links,
+            IntPredicate runs,
             Begun begun)
             throws IOException, InterruptedException {
         World world = run.world();
@@ -85,7 +98,7 @@
         List<NodeProcess> nodes = new ArrayList<>();
         Thread interrupted = null;
         try {
-            for (int i = 0; i < world.nodes(0); i++) {
+            for (int i : IntStream.range(0, world.nodes(0)).filter(runs).toArray()) {
                 InetSocketAddress at = freePort();
                 String name = "n0-" + i;
                 InetSocketAddress front = Wire.address(links.through("clients", name, Wire.dial(at)));
@@ -133,10 +146,18 @@
                 sample(live, board, scheduler, (int) Math.ceil(world.seconds()));
             });
             load.start().get();
+            begun.ended(nodes);
             if (written.compareAndSet(false, true)) {
                 results.add(line(experiment, run, board, live.ledger(), load), board.latency(), live.ledger());
             }
-            return new Outcome(board, live.ledger(), load.sent(), load.late(), load.overrun());
+            return new Outcome(
+                    board,
+                    live.ledger(),
+                    load.sent(),
+                    load.late(),
+                    load.overrun(),
+                    live.connections(),
+                    live.discovery(0).listBytes());
         } catch (ExecutionException e) {
             throw new IOException(e.getCause());
         } finally {
--- a/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
@@ -411,6 +411,11 @@
         nodes = processes;
     }
 
+    /** Connections that servers of the first tier have accepted so far. */
+    long connections() {
+        return tiers.get(0).stream().mapToLong(StandInServer::accepted).sum();
+    }
+
     Ledger ledger() {
         return ledger;
     }
--- a/lab/src/main/java/brackenbridge/lab/live/LoadRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LoadRunner.java
@@ -86,7 +86,7 @@
             if (written.compareAndSet(false, true)) {
                 results.add(line(experiment, run, board, ledger, load), board.latency(), ledger);
             }
-            return new LiveRunner.Outcome(board, ledger, load.sent(), load.late(), load.overrun());
+            return new LiveRunner.Outcome(board, ledger, load.sent(), load.late(), load.overrun(), 0, 0);
         } catch (ExecutionException e) {
             throw new IOException(e.getCause());
         } finally {
--- a/lab/src/main/java/brackenbridge/lab/live/NodeProcess.java
+++ b/lab/src/main/java/brackenbridge/lab/live/NodeProcess.java
@@ -148,6 +148,11 @@
         return killed || stalled;
     }
 
+    @Override
+    public long pid() {
+        return process.pid();
+    }
+
     /** What it had while it stood still is owed by nobody. */
     @Override
     public void stall(boolean on) {
--- a/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
@@ -95,10 +95,10 @@
                     return;
                 }
                 TargetGroup whole = list.whole();
-                answer(
-                        200,
-                        new Headers(),
-                        SettingsJson.group(seen.apply(node, whole)).toString().getBytes(StandardCharsets.UTF_8));
+                byte[] text =
+                        SettingsJson.group(seen.apply(node, whole)).toString().getBytes(StandardCharsets.UTF_8);
+                listBytes += text.length;
+                answer(200, new Headers(), text);
                 tell(whole);
             });
         }
@@ -116,6 +116,7 @@
 
         private void chunk(String text) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+            listBytes += bytes.length;
             write(
                     Unpooled.copiedBuffer(
                             Unpooled.copiedBuffer(
@@ -166,6 +167,9 @@
     private double callMs;
     private double busyUntilMs;
     private boolean down;
+    /** Bytes of lists and changes so far; read by other threads once the load is over. */
+    private volatile long listBytes;
+
     private final List<Target> held = new ArrayList<>();
     private final List<Runnable> heldCalls = new ArrayList<>();
 
@@ -190,6 +194,11 @@
         this.seen = seen;
     }
 
+    /** Bytes of lists, changes and empty lines that it has written so far. */
+    long listBytes() {
+        return listBytes;
+    }
+
     ServiceList list() {
         return list;
     }
--- a/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
@@ -62,6 +62,7 @@
         public void channelActive(ChannelHandlerContext ctx) {
             super.channelActive(ctx);
             connections.add(this);
+            accepted++;
             idleSinceMs = scheduler.nowMs();
             channel.config().setAutoRead(false);
             model.connect(ok -> {
@@ -239,6 +240,9 @@
     private final ServerModel model;
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final String dial;
+    /** Connections so far; read by other threads once nobody connects any more. */
+    private volatile long accepted;
+
     private Channel listening;
     private String host;
     private double bornMs;
@@ -314,6 +318,11 @@
         return host;
     }
 
+    /** Connections that it has accepted so far. */
+    long accepted() {
+        return accepted;
+    }
+
     /** Where it listens. */
     String dial() {
         return dial;
