--- a/core/src/main/java/brackenbridge/SlowStart.java
+++ b/core/src/main/java/brackenbridge/SlowStart.java
@@ -58,7 +58,7 @@
     }
 
     /** Whether the budget of a server that warms up has room for a request; the first servers are those in reach. */
-    boolean canAdmit(long now, Server s, Server[] servers, int reach, double meanTime) {
+    boolean canAdmit(long now, Server s, ServerOrder servers, int reach, double meanTime) {
         long settled = out.tellsWritten() ? s.coldSince + settings.network().connectTimeout() : now;
         double share = share(now, s, servers, reach, meanTime);
         return s.budget.allows(now, share, settings.fall(), random, settled);
@@ -69,11 +69,11 @@
      * gets answered for each unit of capacity in its reach, or, if that is more, by its share of one request at a
      * time at each server.
      */
-    private double share(long now, Server s, Server[] servers, int reach, double meanTime) {
-        int near = Math.min(reach, servers.length);
+    private double share(long now, Server s, ServerOrder servers, int reach, double meanTime) {
+        int near = Math.min(reach, servers.size());
         double weights = 0;
         for (int i = 0; i < near; i++) {
-            weights += servers[i].is.weight();
+            weights += servers.get(i).is.weight();
         }
         double least = near / (weights * meanTime * settings.peers());
         double perUnit = Math.max(answeredPerCapacity / SECOND, least);
@@ -91,12 +91,12 @@
     }
 
     /** The servers in reach are about to change. */
-    void beforeChange(long now, Server[] servers, int reach) {
+    void beforeChange(long now, ServerOrder servers, int reach) {
         capacityOfTick = Math.max(capacityOfTick, capacity(now, servers, reach));
     }
 
     /** So many answers came in this part of a second. */
-    void tick(long now, double elapsed, int answered, Server[] servers, int reach) {
+    void tick(long now, double elapsed, int answered, ServerOrder servers, int reach) {
         double capacity = capacity(now, servers, reach);
         // Guards the budgets against servers that leave: what they answered goes by the capacity there was with them.
         double most = Math.max(capacity, capacityOfTick);
@@ -106,10 +106,10 @@
         capacityOfTick = capacity;
     }
 
-    private double capacity(long now, Server[] servers, int reach) {
+    private double capacity(long now, ServerOrder servers, int reach) {
         double capacity = 0;
-        for (int i = 0; i < servers.length && i < reach; i++) {
-            capacity += servers[i].is.weight() * warmth(now, servers[i]);
+        for (int i = 0; i < servers.size() && i < reach; i++) {
+            capacity += servers.get(i).is.weight() * warmth(now, servers.get(i));
         }
         return capacity;
     }
