--- a/core/src/main/java/brackenbridge/Balancer.java
+++ b/core/src/main/java/brackenbridge/Balancer.java
@@ -56,6 +56,8 @@
     private static final double OFTEN = 0.4;
     /** Part of errors below which a server's strikes are forgotten. */
     private static final double FORGIVEN = 0.1;
+    /** Servers may drop a call with less time left than this without a word, which then tells nothing of them. */
+    private static final long BRIEF = SECOND / 40;
     private static final double GOLDEN = 0.6180339887498949;
 
     private Settings settings;
@@ -725,6 +727,10 @@
 
     private void learn(long now, Call c, Attempt a, Outcome outcome, long latency) {
         Server s = a.server;
+        boolean silent = outcome == Outcome.TIMEOUT || outcome == Outcome.RESET;
+        if (silent && c.deadline - a.sentAt < BRIEF) {
+            return;
+        }
         boolean failed = outcome == Outcome.ERROR || outcome == Outcome.RESET;
         s.errors += NEWEST * ((failed ? 1 : 0) - s.errors);
         c.kind.errors += NEWEST / 10 * ((outcome == Outcome.ERROR ? 1 : 0) - c.kind.errors);
--- a/core/src/test/java/brackenbridge/DesignTest.java
+++ b/core/src/test/java/brackenbridge/DesignTest.java
@@ -594,4 +594,25 @@
         }
         assertTrue(untilTried(s, 100, sick) < 1500 * MS, "as if it had failed again and again");
     }
+
+    /** Servers may drop it without a word, or end its connection; also before any answer has told what is usual. */
+    @Test
+    void callWithVeryLittleTimeLeftTellsNothingOfItsServer() {
+        for (Outcome silence : List.of(Outcome.TIMEOUT, Outcome.RESET)) {
+            for (int known : new int[] {0, 40}) {
+                Script s = new Script(settings(safe("read", 1))).servers(4);
+                for (int id = 0; id < known; id++) {
+                    s.ask(id, "read").pass(MS).answer(id, 0, Outcome.OK, MS);
+                }
+                for (int left = 1; left <= 20; left++) {
+                    int id = 100 + left;
+                    s.ask(id, "read", null, -1, left * MS).pass(left * MS);
+                    s.balancer.onOutcome(s.now, id, 0, true, silence, 200 * MS, null);
+                }
+                assertEquals(0, s.balancer.avoided(), silence + " after " + known);
+                s.ask(200, "read").pass(3 * SECOND).answer(200, 0, Outcome.TIMEOUT, 3 * SECOND);
+                assertEquals(1, s.balancer.avoided(), "one that had its time does");
+            }
+        }
+    }
 }
