--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -49,6 +49,10 @@
      * which no margin covers and which would only cost calls their time.
      */
     static final double MOST_LATE_MS = 20;
+    /** A node may be held up for so long between reading its clock and writing: what a write must keep allows for it. */
+    static final double HELD_UP_MS = 150;
+    /** Least time that a server is told. */
+    private static final double LEAST_TOLD_MS = 1;
     /** Discovery says something every 2 s: a call without a word for so long has failed. */
     static final double SILENCE_MS = 3000;
     /** Longest time that a probe may take. */
@@ -101,6 +105,8 @@
         boolean ended;
         boolean timedOut;
         boolean mayHaveRun;
+        /** When the first forward was sent that may have run. */
+        double ranSinceMs;
 
         OpenFlow(long id, Flow request, RequestClass rules, int maxAttempts, double left, double deadline) {
             this.id = id;
@@ -124,15 +130,22 @@
     private static final class Out {
         final int number;
         final String host;
+        final double sentMs;
+        /** The module gives it up then, before its flow's deadline; infinite if not. */
+        double limitMs = Double.POSITIVE_INFINITY;
+        /** Its server is told no more of its client's time than until then. */
+        double tellUntilMs = Double.POSITIVE_INFINITY;
+
         double since;
         boolean written;
         /** As what it is counted; null where nobody counts. */
         Observer.Key seen;
 
-        Out(int number, String host, double since) {
+        Out(int number, String host, double sentMs) {
             this.number = number;
             this.host = host;
-            this.since = since;
+            this.sentMs = sentMs;
+            this.since = sentMs;
         }
     }
 
@@ -301,7 +314,8 @@
         } else if (event instanceof Event.ForwardNotBegun e) {
             OpenFlow f = withOut(e.flow(), e.forward());
             if (f != null) {
-                outcome(f, Outcome.MOOT, f.ended, null);
+                // As at the cut-off itself: another host may take it.
+                outcome(f, isCutOff(f.out.host, now) ? Outcome.CONNECT_FAILED : Outcome.MOOT, f.ended, null);
             }
         } else if (event instanceof Event.TimerFired e) {
             fired(e.key());
@@ -520,7 +534,10 @@
     private void conclude(OpenFlow f, Outcome outcome, boolean endedBefore, Report report) {
         Out o = f.out;
         f.out = null;
-        f.mayHaveRun |= !outcome.neverRan;
+        if (!outcome.neverRan && !f.mayHaveRun) {
+            f.mayHaveRun = true;
+            f.ranSinceMs = o.sentMs;
+        }
         if (o.seen != null) {
             observer.ended(o.seen, outcome == Outcome.OK, !outcome.neverRan, now - o.since);
         }
@@ -540,6 +557,38 @@
                 ModuleTime.micros(now), f.id, o.number, ended, outcome, ModuleTime.micros(now - o.since), report);
     }
 
+    /**
+     * What a forward may tell its server of its client's time, in milliseconds; 0 if it must not begin any more. To be
+     * asked when its first byte is about to be written: it may have waited long for its connection.
+     */
+    public double timeLeftMs(double nowMs, long flow, int forward) {
+        OpenFlow f = withOut(flow, forward);
+        if (f == null || f.ended || isCutOff(f.out.host, nowMs) || isRepeatedTooLate(f, nowMs)) {
+            return 0;
+        }
+        // The first attempt is made beyond what is surely left: its client may not have waited unseen at all.
+        double end = f.out.number == 0 ? f.deadline : f.deadline - f.unseen;
+        if (nowMs >= Math.min(end, f.out.limitMs)) {
+            return 0;
+        }
+        // The last byte of a request that was not whole when it was sent may have come long before it was read.
+        double surely = Math.min(f.deadline - f.unseen, f.out.tellUntilMs);
+        return Math.max(LEAST_TOLD_MS, surely - nowMs);
+    }
+
+    /** Whether nothing may be sent to this host any more. */
+    private boolean isCutOff(String host, double nowMs) {
+        Double cutoff = noSendAfter.get(host);
+        return cutoff != null && nowMs >= cutoff;
+    }
+
+    /** Whether servers may have forgotten that they have run it when another forward of it reaches them. */
+    private static boolean isRepeatedTooLate(OpenFlow f, double nowMs) {
+        return f.mayHaveRun
+                && f.rules.effect() == BalancerApi.Effect.KEYED
+                && nowMs >= f.ranSinceMs + ModuleTime.ms(f.rules.keyTtl()) - HELD_UP_MS;
+    }
+
     private static Kind kind(Outcome outcome) {
         return switch (outcome) {
             case OK -> Kind.FORWARDS_SERVED;
@@ -851,8 +900,10 @@
         if (t.state() == EndpointState.UP) {
             noSendAfter.remove(t.host());
         } else if (!noSendAfter.containsKey(t.host())) {
-            // Half of the grace: the word was under way before it came, and a send takes a moment to leave.
-            double cutoff = now + ModuleTime.ms(settings.network().drainGrace()) / 2;
+            // Half of the grace: the word was under way before it came, and a send takes a moment to leave. Where the
+            // grace is short, what a node may be held up for is more than the other half.
+            double grace = ModuleTime.ms(settings.network().drainGrace());
+            double cutoff = now + Math.max(0, Math.min(grace / 2, grace - HELD_UP_MS));
             noSendAfter.put(t.host(), cutoff);
             effects.add(new Effect.SetTimer(cutoff, new TimerKey.DrainCutoff(t.host())));
         }
@@ -860,8 +911,7 @@
 
     /** Forwards that still wait for a connection to a draining host must not begin after the grace. */
     private void cutOff(String host) {
-        Double cutoff = noSendAfter.get(host);
-        if (cutoff == null || now < cutoff) {
+        if (!isCutOff(host, now)) {
             return;
         }
         for (OpenFlow f : List.copyOf(flows.values())) {
@@ -959,7 +1009,6 @@
             }
             int number = f.attempts++;
             Target t = targets.get(endpoint);
-            Double cutoff = t == null ? null : noSendAfter.get(t.host());
             // A further attempt must not outlast a client that has waited longer than the node could see.
             double end = number == 0 ? f.deadline : f.deadline - f.unseen;
             if (f.ended
@@ -967,7 +1016,8 @@
                     || number >= f.maxAttempts
                     || t == null
                     || now >= end
-                    || cutoff != null && now >= cutoff) {
+                    || isCutOff(t.host(), now)
+                    || isRepeatedTooLate(f, now)) {
                 owed.add(new Owed(request, number, Outcome.MOOT));
                 return;
             }
@@ -980,7 +1030,9 @@
             double last = f.isWhole() ? end : now + f.left;
             double giveUp = Math.min(last, timeout > 0 && f.isWhole() ? now + ModuleTime.ms(timeout) : last);
             effects.add(new Effect.Forward(f.id, number, t.host(), t.dial(), giveUp, f.message));
+            f.out.tellUntilMs = giveUp;
             if (giveUp < last) {
+                f.out.limitMs = giveUp;
                 effects.add(new Effect.SetTimer(giveUp, new TimerKey.ForwardLimit(f.id, number)));
             }
         }
--- a/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
+++ b/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
@@ -11,6 +11,8 @@
 import brackenbridge.BalancerApi.Outcome;
 import brackenbridge.BalancerApi.Report;
 import brackenbridge.BalancerApi.Request;
+import brackenbridge.BalancerApi.RequestClass;
+import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.Effect.Fixed;
 import brackenbridge.core.Event.Reply;
 import brackenbridge.counters.Counters;
@@ -67,10 +69,11 @@
     private final List<Effect> effects = new ArrayList<>();
 
     private void start(BiConsumer<Actions, Long> with) {
-        reducer = new Reducer(
-                Play.settings(1, 3, Play.VIEW, Play.FILE),
-                new Counters(),
-                (settings, actions) -> module = new Reckless(actions, with));
+        start(Play.settings(1, 3, Play.VIEW, Play.FILE), with);
+    }
+
+    private void start(Settings rules, BiConsumer<Actions, Long> with) {
+        reducer = new Reducer(rules, new Counters(), (settings, actions) -> module = new Reckless(actions, with));
         tell(
                 NOW,
                 new Event.Started(new TargetGroup(
@@ -202,4 +205,92 @@
         assertEquals(List.of(new Effect.CancelForward(7, 0)), of(Effect.CancelForward.class));
         assertEquals(List.of(Outcome.CONNECT_FAILED), module.told);
     }
+
+    private void startDraining(String host) {
+        tell(NOW, new Event.Inherited(new TargetGroup(2, true, List.of(Play.target(host, EndpointState.UP)))));
+        long watch = of(Effect.Watch.class).get(0).call();
+        tell(
+                NOW,
+                new Event.TargetsTold(
+                        watch, new TargetGroup(3, true, List.of(Play.target(host, EndpointState.DRAINING)))));
+    }
+
+    @Test
+    void forwardIsToldWhatIsLeftWhenItIsWritten() {
+        start((out, flow) -> out.send(flow, id("s-1"), 900_000));
+        assertEquals(900, reducer.timeLeftMs(NOW, 7, 0), 1e-6);
+        assertEquals(300, reducer.timeLeftMs(NOW + 600, 7, 0), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(NOW + 900, 7, 0), "the module gives it up then");
+        assertEquals(0, reducer.timeLeftMs(NOW, 7, 1), "one that is not out");
+        assertEquals(0, reducer.timeLeftMs(NOW, 8, 0), "of a flow that is not open");
+    }
+
+    @Test
+    void nothingIsLeftForAForwardToAHostWhoseGraceIsOver() {
+        start((out, flow) -> out.send(flow, id("s-1"), 0));
+        startDraining("s-1");
+        assertEquals(995 - 249, reducer.timeLeftMs(NOW + 249, 7, 0), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(NOW + 250, 7, 0), "though its timer has not fired");
+        tell(NOW + 251, new Event.ForwardNotBegun(7, 0));
+        assertEquals(List.of(Outcome.CONNECT_FAILED), module.told, "it may go elsewhere");
+    }
+
+    @Test
+    void forwardThatMustNotBeginHasNeverRun() {
+        start((out, flow) -> out.send(flow, id("s-1"), 0));
+        tell(NOW + 999, new Event.ForwardNotBegun(7, 0));
+        assertEquals(List.of(Outcome.MOOT), module.told);
+    }
+
+    /** Its last byte may have waited in the kernel as long as its connection. */
+    @Test
+    void clientThatMayHaveWaitedUnseenHasItsFirstAttemptWithWhatIsSurelyLeft() {
+        start((out, flow) -> out.send(flow, id("s-1"), 0));
+        tell(NOW, new Event.FlowOpened(8, new Flow("file", null, 1000, false, true, 600, "message")));
+        assertEquals(395, reducer.timeLeftMs(NOW, 8, 0), 1e-6);
+        assertEquals(1, reducer.timeLeftMs(NOW + 500, 8, 0), 1e-6, "it may still be waiting");
+        assertEquals(0, reducer.timeLeftMs(NOW + 995, 8, 0));
+        tell(NOW + 100, new Event.ForwardBroken(8, 0));
+        does(NOW + 100, out -> out.send(8, id("s-0"), 0));
+        assertEquals(295, reducer.timeLeftMs(NOW + 100, 8, 1), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(NOW + 395, 8, 1), "a further one is not made beyond it");
+    }
+
+    @Test
+    void longRequestIsToldNoMoreThanIfItHadBeenWholeWhenItWasSentAndMayBeginLater() {
+        start((out, flow) -> out.send(flow, id("s-1"), 0));
+        tell(NOW, new Event.FlowOpened(8, new Flow("file", null, 1000, false, false, "message")));
+        does(NOW, out -> out.send(8, id("s-0"), 0));
+        assertEquals(495, reducer.timeLeftMs(NOW + 500, 8, 0), 1e-6);
+        assertEquals(1, reducer.timeLeftMs(NOW + 4000, 8, 0), 1e-6);
+        tell(NOW + 4000, new Event.FlowWhole(8));
+        assertEquals(1, reducer.timeLeftMs(NOW + 4100, 8, 0), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(NOW + 4995, 8, 0));
+    }
+
+    /** Its servers remember for so long what they have run; a write may come 150 ms later than decided. */
+    @Test
+    void repeatOfAKeyedRequestDoesNotOutlastTheWindowHoweverLateItsConnection() {
+        RequestClass keyed = new RequestClass(
+                "file",
+                3_000_000,
+                6_000_000,
+                BalancerApi.Effect.KEYED,
+                BalancerApi.DedupScope.ALL,
+                400_000,
+                false,
+                1,
+                0);
+        start(Play.settings(1, 5, keyed), (out, flow) -> out.send(flow, id("s-0"), 0));
+        tell(NOW + 10, new Event.ForwardWritten(7, 0));
+        tell(NOW + 20, new Event.ForwardBroken(7, 0));
+        does(NOW + 30, out -> out.send(7, id("s-0"), 0));
+        assertEquals(2, of(Effect.Forward.class).size());
+        assertTrue(reducer.timeLeftMs(NOW + 249, 7, 1) > 0);
+        assertEquals(0, reducer.timeLeftMs(NOW + 250, 7, 1));
+        tell(NOW + 260, new Event.ForwardNotBegun(7, 1));
+        does(NOW + 260, out -> out.send(7, id("s-1"), 0));
+        assertEquals(2, of(Effect.Forward.class).size(), "nor is another begun");
+        assertEquals(List.of(Outcome.RESET, Outcome.MOOT, Outcome.MOOT), module.told);
+    }
 }
--- a/node/src/main/java/brackenbridge/http/ResponseDecoder.java
+++ b/node/src/main/java/brackenbridge/http/ResponseDecoder.java
@@ -14,7 +14,7 @@
     private boolean http11;
     private boolean framed;
 
-    /** Keeps each body whole, up to the limit; a success must name its framing. */
+    /** Keeps each body whole, up to the limit; that of a success without framing ends with its connection. */
     public ResponseDecoder() {
         super(null, BODY_LIMIT);
         toEnd = false;
@@ -58,15 +58,9 @@
         if (framed) {
             return framing;
         }
-        // Guards clients against a body cut short: without framing nobody can tell that it is, unless the server says
-        // that the connection's end is the body's. Of any other status the head alone says all that counts.
-        if (toEnd || status == 200 && (!http11 || fields.lists("Connection", "close"))) {
-            return Framing.TO_END;
-        }
-        if (status == 200) {
-            throw new HttpException(502, "success without framing");
-        }
-        return Framing.NONE;
+        // Such a body ends where its sender ends the connection in order; whoever reads it has to tell that from a
+        // reset. Of any other status than success the head alone says all that counts.
+        return toEnd || status == 200 ? Framing.TO_END : Framing.NONE;
     }
 
     @Override
--- a/node/src/main/java/brackenbridge/net/Forwards.java
+++ b/node/src/main/java/brackenbridge/net/Forwards.java
@@ -27,6 +27,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
+import io.netty.channel.socket.ChannelInputShutdownEvent;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -54,12 +55,22 @@
     /** A forward that its connection's end meets so soon may have met a connection that was dead already. */
     private static final double AT_ONCE_MS = 50;
 
+    /** A forward that begins so long after it was decided is looked at once more: its client may have gone. */
+    private static final double HELD_MS = 50;
+
+    /** What a forward may tell its server of its client's time, asked just before its first byte is written. */
+    interface TimeLeft {
+        /** In milliseconds; 0 if the forward must not begin any more. */
+        double ms(long flow, int forward);
+    }
+
     private Bootstrap bootstrap;
     private final EventLoop loop;
     private final Log log;
     private Settings settings;
     private final Clock clock;
     private final Events events;
+    private final TimeLeft timeLeft;
     private final Sockets sockets;
     private final Counters counters;
     private final Runnable makeRoom;
@@ -100,6 +111,7 @@
             Settings settings,
             Clock clock,
             Events events,
+            TimeLeft timeLeft,
             Sockets sockets,
             Counters counters,
             Log log,
@@ -108,6 +120,7 @@
         this.log = log;
         this.clock = clock;
         this.events = events;
+        this.timeLeft = timeLeft;
         this.sockets = sockets;
         this.counters = counters;
         this.makeRoom = makeRoom;
@@ -136,14 +149,21 @@
         running.put(forward.flow(), r);
         // Not before all that has come by now is read: among it may be the end of the very connection that this
         // forward would take, or bytes that make it worthless.
+        double decidedMs = clock.nowMs();
         loop.execute(() -> {
-            if (running.get(forward.flow()) == r) {
+            if (clock.nowMs() - decidedMs < HELD_MS) {
                 dispatch(r);
+            } else {
+                // Only what is scheduled surely runs behind another look at all sockets.
+                loop.schedule(() -> dispatch(r), 0, TimeUnit.NANOSECONDS);
             }
         });
     }
 
     private void dispatch(Running r) {
+        if (running.get(r.forward.flow()) != r) {
+            return;
+        }
         r.wait = waited++;
         waits.put(r.wait, r);
         follow(pool.ask(clock.nowMs(), r.wait, r.peer()));
@@ -186,6 +206,9 @@
         ChannelFuture opened = bootstrap
                 .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(Integer.MAX_VALUE, s.withinMs()))
+                // So that the server's end of sending is told as such: a closed channel may as well be one that was
+                // reset, or one whose writes failed.
+                .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .handler(c)
                 .connect(address);
         c.channel = opened.channel();
@@ -198,7 +221,8 @@
         opened.addListener(f -> {
             if (f.isSuccess()) {
                 counters.count(Counters.Kind.CONNECTIONS_OPENED);
-                follow(pool.up(clock.nowMs(), c.id));
+                // As in begin: the end of the client that waits for it may be there as well.
+                loop.execute(() -> follow(pool.up(clock.nowMs(), c.id)));
             } else {
                 c.forget();
             }
@@ -212,7 +236,10 @@
             // Called off by what an earlier step has raised.
             follow(pool.free(clock.nowMs(), s.connection()));
         } else if (c != null && c.channel.isActive()) {
-            c.send(r);
+            if (!c.send(r)) {
+                follow(pool.free(clock.nowMs(), s.connection()));
+                notBegun(r);
+            }
         } else {
             // It has ended, and its end is not told yet.
             follow(pool.ended(clock.nowMs(), s.connection()));
@@ -227,8 +254,8 @@
         }
         if (s.why() == Step.Why.UNCONNECTED) {
             broken(r);
-        } else if (running.remove(r.forward.flow(), r)) {
-            events.raise(new Event.ForwardNotBegun(r.forward.flow(), r.forward.forward()));
+        } else {
+            notBegun(r);
         }
     }
 
@@ -246,6 +273,12 @@
                 TimeUnit.NANOSECONDS);
     }
 
+    private void notBegun(Running r) {
+        if (running.remove(r.forward.flow(), r)) {
+            events.raise(new Event.ForwardNotBegun(r.forward.flow(), r.forward.forward()));
+        }
+    }
+
     private void broken(Running r) {
         if (running.remove(r.forward.flow(), r)) {
             events.raise(new Event.ForwardBroken(r.forward.flow(), r.forward.forward()));
@@ -309,6 +342,9 @@
         /** The long answer that comes in on it. */
         Body answer;
 
+        /** The server has ended its sending in order, and no error came before. */
+        boolean finished;
+
         boolean broken;
         /** When the latest bytes of the answer came; 0 before them. */
         double answerSince;
@@ -320,18 +356,23 @@
             this.peer = peer;
         }
 
-        void send(Running r) {
+        /** False if the forward must not begin any more. */
+        boolean send(Running r) {
+            sentAt = clock.nowMs();
+            double left = timeLeft.ms(r.forward.flow(), r.forward.forward());
+            if (left <= 0) {
+                return false;
+            }
             running = r;
             r.connection = this;
-            sentAt = clock.nowMs();
             if (r.forward.message() instanceof Upload u) {
-                sendLong(r, u);
-                return;
+                sendLong(r, u, left);
+            } else {
+                ByteBuf bytes = HttpEncoder.forward(channel.alloc(), (HttpRequest) r.forward.message(), left);
+                // The promise of the last byte, not its place in a queue, tells whether the request may run.
+                channel.writeAndFlush(bytes).addListener(f -> written(r, f.isSuccess()));
             }
-            ByteBuf bytes = HttpEncoder.forward(
-                    channel.alloc(), (HttpRequest) r.forward.message(), r.forward.giveUpMs() - clock.nowMs());
-            // The promise of the last byte, not its place in a queue, tells whether the request may run.
-            channel.writeAndFlush(bytes).addListener(f -> written(r, f.isSuccess()));
+            return true;
         }
 
         private void written(Running r, boolean success) {
@@ -347,14 +388,11 @@
         }
 
         /** The head and the part that is kept; once they have left, the rest as it comes. */
-        private void sendLong(Running r, Upload u) {
+        private void sendLong(Running r, Upload u, double left) {
             boolean chunked = u.length() < 0;
             upload = u;
             channel.write(HttpEncoder.forwardHead(
-                    channel.alloc(),
-                    u.head(),
-                    r.forward.giveUpMs() - clock.nowMs(),
-                    chunked ? HttpEncoder.CHUNKED : u.length()));
+                    channel.alloc(), u.head(), left, chunked ? HttpEncoder.CHUNKED : u.length()));
             writePiece(Unpooled.wrappedBuffer(u.head().body()), chunked);
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> {
                 if (running == r && f.isSuccess()) {
@@ -647,11 +685,24 @@
             return away ? Reply.TURNED_AWAY : rejected ? Reply.REJECTED : Reply.ERROR;
         }
 
+        /** The connection has ended: whether its end is that of the answer. */
+        private boolean isWhole() {
+            return finished && !broken && decoder.ended();
+        }
+
+        @Override
+        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+            if (event == ChannelInputShutdownEvent.INSTANCE) {
+                finished = true;
+                ctx.close();
+            }
+        }
+
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             hold(0);
             if (answer != null) {
-                if (!broken && decoder.ended()) {
+                if (isWhole()) {
                     endStream(true);
                 } else {
                     cut("its connection ended");
@@ -662,7 +713,7 @@
                 forget();
                 return;
             }
-            if (!broken && decoder.ended()) {
+            if (isWhole()) {
                 answered(true);
                 return;
             }
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -94,8 +94,17 @@
                 .option(ChannelOption.RECVBUF_ALLOCATOR, received())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
         listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::ready, this::makeRoom);
-        forwards =
-                new Forwards(bootstrap, loop, config.settings(), clock, this, sockets, counters, log, this::makeRoom);
+        forwards = new Forwards(
+                bootstrap,
+                loop,
+                config.settings(),
+                clock,
+                this,
+                (flow, forward) -> reducer.timeLeftMs(clock.nowMs(), flow, forward),
+                sockets,
+                counters,
+                log,
+                this::makeRoom);
         discovery = new DiscoveryClient(bootstrap, config.discovery(), this, log);
     }
 
--- a/node/src/test/java/brackenbridge/http/DecoderTest.java
+++ b/node/src/test/java/brackenbridge/http/DecoderTest.java
@@ -169,18 +169,43 @@
     }
 
     @Test
-    void answerMayEndWithItsConnectionIfItSaysSo() throws HttpException {
-        ResponseDecoder d = new ResponseDecoder();
-        assertFalse(answered(d, "HTTP/1.1 200 OK\r\nConnection: x, Close\r\n\r\nhel"));
-        assertTrue(d.ended());
-        HttpResponse r = d.take();
-        assertEquals("hel", new String(r.body(), StandardCharsets.US_ASCII));
-        assertFalse(r.keepAlive());
+    void successWithoutFramingEndsWithItsConnection() throws HttpException {
+        for (String head : new String[] {
+            "HTTP/1.1 200 OK\r\nConnection: x, Close\r\n",
+            "HTTP/1.1 200 OK\r\n",
+            "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n",
+            "HTTP/1.0 200 OK\r\n",
+            "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n"
+        }) {
+            ResponseDecoder d = new ResponseDecoder();
+            assertFalse(answered(d, head + "\r\n"), "an empty body has no end yet either");
+            assertFalse(answered(d, "hel"));
+            assertFalse(answered(d, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "all is body up to the connection's end");
+            assertTrue(d.ended());
+            HttpResponse r = d.take();
+            assertEquals("hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(r.body(), StandardCharsets.US_ASCII), head);
+            assertFalse(r.keepAlive(), head);
+        }
+    }
+
+    @Test
+    void endOfTheConnectionIsNoEndOfAHeadOrOfABodyThatIsFramed() throws HttpException {
+        for (String half : new String[] {
+            "",
+            "HTTP/1.1 200 OK\r\n",
+            "HTTP/1.1 200 OK\r\nConnection: close\r",
+            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nhel",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhell\r\n",
+            "HTTP/1.1 100 Continue\r\n\r\n"
+        }) {
+            ResponseDecoder d = new ResponseDecoder();
+            assertFalse(answered(d, half));
+            assertFalse(d.ended(), half);
+        }
     }
 
     @Test
-    void successWithoutFramingIsNoAnswerAndOtherStatusesNeedNone() throws HttpException {
-        assertThrows(HttpException.class, () -> answered(new ResponseDecoder(), "HTTP/1.1 200 OK\r\n\r\n"));
+    void otherStatusesNeedNoFraming() throws HttpException {
         ResponseDecoder d = new ResponseDecoder();
         assertTrue(answered(d, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
         assertFalse(d.take().keepAlive());
--- a/node/src/test/java/brackenbridge/net/FakeServer.java
+++ b/node/src/test/java/brackenbridge/net/FakeServer.java
@@ -8,7 +8,9 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
@@ -21,6 +23,7 @@
     final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
     final LinkedBlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
     private final List<Socket> fillers = new ArrayList<>();
+    private final Set<Integer> fillerPorts = new HashSet<>();
     private final ServerSocket listening;
 
     FakeServer() throws IOException {
@@ -40,6 +43,7 @@
                 Socket filler = new Socket();
                 filler.connect(s.listening.getLocalSocketAddress(), 100);
                 s.fillers.add(filler);
+                s.fillerPorts.add(filler.getLocalPort());
             }
         } catch (SocketTimeoutException e) {
             return s;
@@ -72,6 +76,10 @@
         try {
             while (true) {
                 Socket s = listening.accept();
+                if (fillerPorts.contains(s.getPort())) {
+                    s.close();
+                    continue;
+                }
                 connections.add(s);
                 daemon(() -> serve(s));
             }
--- a/node/src/test/java/brackenbridge/net/HeldClock.java
+++ b/node/src/test/java/brackenbridge/net/HeldClock.java
@@ -12,6 +12,8 @@
     private volatile double stands = Double.NaN;
     private volatile CountDownLatch entered;
     private volatile CountDownLatch released;
+    /** The method in which the event loop is to rest; null if anywhere. */
+    private volatile String where;
 
     void pass(double ms) {
         ahead += ms;
@@ -22,32 +24,73 @@
         stands = system.nowMs() + ahead;
     }
 
-    /** Returns once the node's event loop rests; what comes to its sockets from now on waits there. */
-    void hold() throws InterruptedException {
+    /** The time that stands is put forward. */
+    void standAhead(double ms) {
+        stands += ms;
+    }
+
+    /**
+     * From now on the node's event loop rests as soon as it has read the clock in a method of this name: it goes on with
+     * that reading, however late. To be followed by {@link #awaitHeld}.
+     */
+    void holdBehindReadingIn(String method) {
         entered = new CountDownLatch(1);
+        where = method;
         released = new CountDownLatch(1);
+    }
+
+    /** Returns once the node's event loop rests. */
+    void awaitHeld() throws InterruptedException {
         if (!entered.await(10, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("nobody asks for the time");
+            throw new IllegalStateException("nobody asks for the time there");
         }
     }
 
+    /** Returns once the node's event loop rests; what comes to its sockets from now on waits there. */
+    void hold() throws InterruptedException {
+        entered = new CountDownLatch(1);
+        where = null;
+        released = new CountDownLatch(1);
+        awaitHeld();
+    }
+
     void release() {
         CountDownLatch r = released;
         released = null;
-        r.countDown();
+        if (r != null) {
+            r.countDown();
+        }
     }
 
     @Override
     public double nowMs() {
         CountDownLatch r = released;
-        if (r != null && Thread.currentThread() != test) {
-            entered.countDown();
-            try {
-                r.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
+        if (r == null || Thread.currentThread() == test) {
+            return reading();
+        }
+        String method = where;
+        if (method == null) {
+            rest(r);
+            return reading();
+        }
+        double before = reading();
+        if (StackWalker.getInstance()
+                .walk(frames -> frames.anyMatch(f -> f.getMethodName().equals(method)))) {
+            rest(r);
         }
+        return before;
+    }
+
+    private void rest(CountDownLatch until) {
+        entered.countDown();
+        try {
+            until.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private double reading() {
         return Double.isNaN(stands) ? system.nowMs() + ahead : stands;
     }
 }
--- a/node/src/test/java/brackenbridge/net/LateBytesTest.java
+++ b/node/src/test/java/brackenbridge/net/LateBytesTest.java
@@ -41,6 +41,7 @@
 
     @AfterEach
     void end() throws IOException {
+        clock.release();
         client.close();
         server.close();
         node.kill();
@@ -95,17 +96,101 @@
         }
     }
 
-    @Test
-    void resetIsNoEndOfAnAnswerThatHasNoLength() throws Exception {
+    /** Heads of answers that end with their connection. */
+    private static final String[] NO_LENGTH = {
+        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n\r\n",
+        "HTTP/1.0 200 OK\r\n\r\n"
+    };
+
+    /** When the connection ends behind the last byte. */
+    private enum When {
+        /** The node has read all that came before. */
+        LATER,
+        /** All is there at the node's next look. */
+        TOGETHER
+    }
+
+    /** The server says this and ends the connection, with a reset or in order; gives the node's answer back. */
+    private String answerThatEnds(String text, When when, boolean reset) throws Exception {
+        // With a new node each: one that meets breaks again and again takes its server out for a while.
+        end();
+        start();
         ask("a", 5000);
         assertNotNull(server.next());
         Socket connection = server.connections.take();
-        write(connection, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf");
+        if (when == When.TOGETHER) {
+            clock.hold();
+        }
+        write(connection, text);
+        if (when == When.LATER) {
+            node.tenantUse().get(10, TimeUnit.SECONDS);
+            node.tenantUse().get(10, TimeUnit.SECONDS);
+        }
+        connection.setSoLinger(reset, 0);
+        connection.close();
+        if (when == When.TOGETHER) {
+            clock.release();
+        }
+        return answer();
+    }
+
+    @Test
+    void answerThatHasNoLengthEndsWithItsConnection() throws Exception {
+        for (String head : NO_LENGTH) {
+            for (When when : When.values()) {
+                for (String body : new String[] {"whole", "", "x".repeat(60_000)}) {
+                    String back = answerThatEnds(head + body, when, false);
+                    assertTrue(back.startsWith("HTTP/1.1 200 "), head + when + back);
+                    assertEquals(body, back.substring(back.indexOf("\r\n\r\n") + 4));
+                }
+            }
+        }
+    }
+
+    @Test
+    void resetIsNoEndOfAnAnswerThatHasNoLength() throws Exception {
+        for (String head : NO_LENGTH) {
+            for (When when : When.values()) {
+                String back = answerThatEnds(head + "half", when, true);
+                assertTrue(back.startsWith("HTTP/1.1 502 "), head + when + back);
+            }
+        }
+    }
+
+    @Test
+    void endOfTheConnectionIsNoEndOfAnAnswerThatSaysItsLength() throws Exception {
+        for (String half : new String[] {
+            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n"
+        }) {
+            for (When when : When.values()) {
+                assertTrue(answerThatEnds(half, when, false).startsWith("HTTP/1.1 502 "), half + when);
+            }
+        }
+    }
+
+    /** A write that fails takes the reset's word away from the read behind it, which then sees an end in order. */
+    @Test
+    void resetThatAWriteMeetsFirstIsNoEndOfAnAnswerEither() throws Exception {
+        write(
+                client,
+                "POST /file HTTP/1.1\r\nX-Correlation-Id: w\r\nX-Time-Left-Ms: 5000\r\nContent-Length: 300000\r\n\r\n"
+                        + "x".repeat(100_000));
+        Socket connection = server.connections.poll(10, TimeUnit.SECONDS);
+        assertNotNull(connection);
+        write(connection, "HTTP/1.1 200 OK\r\n\r\nhalf");
         node.tenantUse().get(10, TimeUnit.SECONDS);
         node.tenantUse().get(10, TimeUnit.SECONDS);
+        clock.hold();
+        write(client, "x".repeat(100_000));
         connection.setSoLinger(true, 0);
         connection.close();
-        assertTrue(answer().startsWith("HTTP/1.1 502 "));
+        clock.release();
+        String back = answer();
+        assertTrue(!back.startsWith("HTTP/1.1 200 "), back);
     }
 
     @Test
--- a/node/src/test/java/brackenbridge/net/LongBodyTest.java
+++ b/node/src/test/java/brackenbridge/net/LongBodyTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.clock.Clock;
@@ -194,7 +195,8 @@
             write(s, "0\r\nTrailer: t\r\n\r\n");
         });
         scripts.add(answers("Connection: close\r\n", body, SIZE));
-        for (int i = 0; i < 2; i++) {
+        scripts.add(answers("", body, SIZE));
+        for (int i = 0; i < 3; i++) {
             ask("1.1", "");
             assertTrue(head(client.getInputStream()).contains("Transfer-Encoding: chunked\r\n"));
             assertArrayEquals(body, chunks(client.getInputStream()));
@@ -226,6 +228,37 @@
         await("proxy.errors.view:2|c");
     }
 
+    /** The client can tell by a last chunk that is missing, or by a reset where there are no chunks. */
+    @Test
+    void longAnswerWithoutALengthThatIsResetIsCut() throws Exception {
+        byte[] body = body(SIZE);
+        for (String version : new String[] {"1.1", "1.0"}) {
+            client = connect();
+            scripts.add(s -> {
+                answers("", body, 1_000_000).play(s);
+                seen.poll(10, TimeUnit.SECONDS);
+                s.setSoLinger(true, 0);
+            });
+            ask(version, "");
+            String head = head(client.getInputStream());
+            assertTrue(head.startsWith("HTTP/1.1 200 "), head);
+            if (version.equals("1.1")) {
+                client.getInputStream().read();
+                seen.add("begun");
+                byte[] rest = client.getInputStream().readAllBytes();
+                String end = new String(
+                        rest, Math.max(0, rest.length - 5), Math.min(5, rest.length), StandardCharsets.ISO_8859_1);
+                assertTrue(!end.equals("0\r\n\r\n"), "no last chunk");
+            } else {
+                client.getInputStream().read();
+                seen.add("begun");
+                assertThrows(IOException.class, () -> client.getInputStream().readAllBytes());
+            }
+            client.close();
+        }
+        await("proxy.errors.view:2|c");
+    }
+
     /** Waits until a figure has this value. */
     private void await(String figure) throws InterruptedException {
         for (int i = 0; i < 2000 && !node.figures().contains(figure); i++) {
--- a/node/src/test/java/brackenbridge/net/NodeTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeTest.java
@@ -273,7 +273,7 @@
 
     /** What it waits in the backlog the node can't see, but it knows how long nobody was taken. */
     @Test
-    void furtherAttemptOfAClientThatWaitedInTheBacklogIsToldWhatIsSurelyLeft() throws Exception {
+    void attemptsForAClientThatWaitedInTheBacklogAreToldWhatIsSurelyLeft() throws Exception {
         node.kill();
         node = node(64);
         Socket[] busy = new Socket[40];
@@ -295,7 +295,8 @@
         for (Socket s : busy) {
             s.close();
         }
-        assertTrue(timeLeft(server.next()) > 4800, "nothing is known against the first attempt");
+        int first = timeLeft(server.next());
+        assertTrue(first > 2000 && first <= 3800, "told " + first);
         int second = timeLeft(server.next());
         assertTrue(second > 2000 && second <= 3800, "told " + second);
         assertTrue(answer().endsWith("done"));
