--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -49,7 +49,7 @@
      * which no margin covers and which would only cost calls their time.
      */
     static final double MOST_LATE_MS = 20;
-    /** A node may be held up for so long between reading its clock and writing: what a write must keep allows for it. */
+    /** A node may be held up for so long between reading its clock and writing: limits of writes allow for it. */
     static final double HELD_UP_MS = 150;
     /** Least time that a server is told. */
     private static final double LEAST_TOLD_MS = 1;
--- a/node/src/test/java/brackenbridge/net/HeldClock.java
+++ b/node/src/test/java/brackenbridge/net/HeldClock.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * From now on the node's event loop rests as soon as it has read the clock in a method of this name: it goes on with
-     * that reading, however late. To be followed by {@link #awaitHeld}.
+     * From now on the node's event loop rests as soon as it has read the clock in a method of this name: it goes on
+     * with that reading, however late. To be followed by {@link #awaitHeld}.
      */
     void holdBehindReadingIn(String method) {
         entered = new CountDownLatch(1);
