--- a/node/src/test/java/brackenbridge/net/CrossingRequestsTest.java
+++ b/node/src/test/java/brackenbridge/net/CrossingRequestsTest.java
@@ -43,7 +43,7 @@
         }
         its.clock.holdIn("Listener.shed");
         its.connect();
-        its.clock.awaitHold();
+        its.clock.awaitHeld();
         send(client, file("late", 9000, "a"));
         its.server.answers.add(OK);
         its.clock.release();
@@ -86,7 +86,7 @@
         Socket client = its.connect();
         live(client);
         its.clock.holdIn("Listener.sweep");
-        its.clock.awaitHold();
+        its.clock.awaitHeld();
         its.clock.pass(61_000);
         send(client, file("late", 9000, "a"));
         its.server.answers.add(OK);
@@ -103,7 +103,7 @@
         live(client);
         its.clock.holdIn("Listener$Client.end");
         its.node.stop();
-        its.clock.awaitHold();
+        its.clock.awaitHeld();
         send(client, file("late", 9000, "a"));
         its.server.answers.add(OK);
         its.clock.stand();
@@ -126,7 +126,7 @@
         // A later connection is answered: this one has been accepted.
         live(its.connect());
         its.clock.holdIn("Listener.sweep");
-        its.clock.awaitHold();
+        its.clock.awaitHeld();
         send(client, file("late", 9000, "a"));
         its.server.answers.add(OK);
         its.clock.pass(200);
--- a/node/src/test/java/brackenbridge/net/StalledClientTest.java
+++ b/node/src/test/java/brackenbridge/net/StalledClientTest.java
@@ -37,7 +37,7 @@
     private void stall(int sweeps, double ms) throws Exception {
         for (int i = 0; i < sweeps; i++) {
             its.clock.holdIn("Listener.sweep");
-            its.clock.awaitHold();
+            its.clock.awaitHeld();
             its.clock.release();
         }
         its.clock.pass(ms);
