--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Agreed.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/Agreed.java
@@ -1,5 +1,6 @@
 package brackenbridge.fleet.agreed;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
@@ -18,14 +19,19 @@
     /** What came of a proposal. */
     enum Verdict {
         /** In force: nobody acts by the one before any more. */
+        @JsonProperty("IN_FORCE")
         IN_FORCE,
         /** Another generation is in force than the one it was made against. */
+        @JsonProperty("OVERTAKEN")
         OVERTAKEN,
         /** Another one is staged. */
+        @JsonProperty("ANOTHER_STAGED")
         ANOTHER_STAGED,
         /** A member can't use it. */
+        @JsonProperty("REFUSED")
         REFUSED,
         /** No majority within the time: it may come into force later, or never. */
+        @JsonProperty("UNKNOWN")
         UNKNOWN
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Note.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/Note.java
@@ -1,6 +1,7 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.core.generation.Word;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
@@ -28,7 +29,10 @@
      *
      * @param starts how often its disk was started with
      */
-    record Hello(String disk, long starts, long life) implements Note {}
+    record Hello(
+            @JsonProperty("disk") String disk,
+            @JsonProperty("starts") long starts,
+            @JsonProperty("life") long life) implements Note {}
 
     /**
      * The answer to a hello.
@@ -43,18 +47,18 @@
      * @param seenLife the asker's life then
      */
     record Facts(
-            String disk,
-            List<String> founding,
-            String follows,
-            List<String> members,
-            long membersSince,
-            String seenDisk,
-            long seenStarts,
-            long seenLife)
+            @JsonProperty("disk") String disk,
+            @JsonProperty("founding") List<String> founding,
+            @JsonProperty("follows") String follows,
+            @JsonProperty("members") List<String> members,
+            @JsonProperty("membersSince") long membersSince,
+            @JsonProperty("seenDisk") String seenDisk,
+            @JsonProperty("seenStarts") long seenStarts,
+            @JsonProperty("seenLife") long seenLife)
             implements Note {}
 
     /** A voter with a new disk asks to take its old one's place. */
-    record Join(String endpoint) implements Note {}
+    record Join(@JsonProperty("endpoint") String endpoint) implements Note {}
 
     /**
      * What a member holds of a name.
@@ -63,57 +67,113 @@
      * @param refused the generation that it can't use; 0 if none
      * @param has the generations whose content it has
      */
-    record Heard(String name, long version, long refused, List<Long> has) {}
+    record Heard(
+            @JsonProperty("name") String name,
+            @JsonProperty("version") long version,
+            @JsonProperty("refused") long refused,
+            @JsonProperty("has") List<Long> has) {}
 
     /** A member asks whether it may go on, and by what: one question for all names. */
-    record Question(long life, long number, List<Heard> heard) implements Note {}
+    record Question(
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("heard") List<Heard> heard)
+            implements Note {}
 
     /** A generation's content. */
-    record Item(long generation, byte[] content, String by) {}
+    record Item(
+            @JsonProperty("generation") long generation,
+            @JsonProperty("content") byte[] content,
+            @JsonProperty("by") String by) {}
 
     /** What is decided of a name, with the contents that the asker lacks. */
-    record Told(String name, Word word, List<Item> items) {}
+    record Told(
+            @JsonProperty("name") String name,
+            @JsonProperty("word") Word word,
+            @JsonProperty("items") List<Item> items) {}
 
     /**
      * The answer to a question; a name whose contents had no room is not in it and is asked for again.
      *
      * @param whole whether all names had room
      */
-    record Answer(long life, long number, String founding, double leaseMs, List<Told> told, boolean whole)
+    record Answer(
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("founding") String founding,
+            @JsonProperty("leaseMs") double leaseMs,
+            @JsonProperty("told") List<Told> told,
+            @JsonProperty("whole") boolean whole)
             implements Note {}
 
     /** The asked one does not lead; empty if it does not know who does. */
-    record Elsewhere(String leader) implements Note {}
+    record Elsewhere(@JsonProperty("leader") String leader) implements Note {}
 
     /** There is news, or another leader: the sender. Carries no promise. */
-    record Hint(long reign) implements Note {}
+    record Hint(@JsonProperty("reign") long reign) implements Note {}
 
     /** A proposal; sent again until there is an outcome. */
-    record Propose(String name, long expected, byte[] content, long life, long number) implements Note {}
+    record Propose(
+            @JsonProperty("name") String name,
+            @JsonProperty("expected") long expected,
+            @JsonProperty("content") byte[] content,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number)
+            implements Note {}
 
     /**
      * What came of a proposal.
      *
      * @param generation the number that it was given; 0 if none
      */
-    record Outcome(long life, long number, Agreed.Verdict verdict, long generation) implements Note {}
+    record Outcome(
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("verdict") Agreed.Verdict verdict,
+            @JsonProperty("generation") long generation)
+            implements Note {}
 
     /** A member asks to act in a role, or to go on in it. */
-    record Claim(String role, double forMs, long life, long number) implements Note {}
+    record Claim(
+            @JsonProperty("role") String role,
+            @JsonProperty("forMs") double forMs,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number)
+            implements Note {}
 
     /**
      * Who acts in it.
      *
      * @param forMs for how long from the moment of the claim, if it is the asker; else 0
      */
-    record Claimed(long life, long number, String holder, long token, double forMs) implements Note {}
+    record Claimed(
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("holder") String holder,
+            @JsonProperty("token") long token,
+            @JsonProperty("forMs") double forMs)
+            implements Note {}
 
     /** Staff ask for a name's generations; a generation of 0 asks for the list, without contents. */
-    record Look(String name, long generation, long life, long number) implements Note {}
+    record Look(
+            @JsonProperty("name") String name,
+            @JsonProperty("generation") long generation,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number)
+            implements Note {}
 
     /** A generation of a name's history: {@code came} is what came of it. */
-    record Line(long generation, String by, int bytes, String came) {}
+    record Line(
+            @JsonProperty("generation") long generation,
+            @JsonProperty("by") String by,
+            @JsonProperty("bytes") int bytes,
+            @JsonProperty("came") String came) {}
 
     /** The answer for staff. */
-    record Looked(long life, long number, List<Line> lines, byte[] content) implements Note {}
+    record Looked(
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("lines") List<Line> lines,
+            @JsonProperty("content") byte[] content)
+            implements Note {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Op.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/Op.java
@@ -1,5 +1,6 @@
 package brackenbridge.fleet.agreed;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
@@ -20,14 +21,24 @@
      * @param life in which of its lives
      * @param number counts its reigns in this life
      */
-    record Reign(String leader, long life, long number) implements Op {}
+    record Reign(
+            @JsonProperty("leader") String leader,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number) implements Op {}
 
     /**
      * A proposal; repeated ones of the same proposer, life and number count once.
      *
      * @param expected the generation that it was made against
      */
-    record Stage(String name, long expected, byte[] content, String by, long life, long number) implements Op {}
+    record Stage(
+            @JsonProperty("name") String name,
+            @JsonProperty("expected") long expected,
+            @JsonProperty("content") byte[] content,
+            @JsonProperty("by") String by,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number)
+            implements Op {}
 
     /**
      * Whoever acted by another generation has heard of the staged one or can't act any more.
@@ -35,10 +46,18 @@
      * @param version the word's version for which that was found
      * @param reign the reign that found it: no other knows the leases that it looked at
      */
-    record Activate(String name, long version, long reign) implements Op {}
+    record Activate(
+            @JsonProperty("name") String name,
+            @JsonProperty("version") long version,
+            @JsonProperty("reign") long reign) implements Op {}
 
     /** A member can't use what is staged. */
-    record Abandon(String name, long version, long reign, String by) implements Op {}
+    record Abandon(
+            @JsonProperty("name") String name,
+            @JsonProperty("version") long version,
+            @JsonProperty("reign") long reign,
+            @JsonProperty("by") String by)
+            implements Op {}
 
     /**
      * A role has a new holder, or its holder a longer lease.
@@ -46,5 +65,12 @@
      * @param forMs the lease, milliseconds
      * @param token the token that the reign found there
      */
-    record Take(String role, String holder, long life, double forMs, long token, long reign) implements Op {}
+    record Take(
+            @JsonProperty("role") String role,
+            @JsonProperty("holder") String holder,
+            @JsonProperty("life") long life,
+            @JsonProperty("forMs") double forMs,
+            @JsonProperty("token") long token,
+            @JsonProperty("reign") long reign)
+            implements Op {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/State.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/State.java
@@ -3,6 +3,7 @@
 import brackenbridge.core.generation.Authority;
 import brackenbridge.core.generation.Terms;
 import brackenbridge.core.generation.Word;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -30,26 +31,47 @@
 
     /** What came of a generation. */
     enum Came {
+        @JsonProperty("STAGED")
         STAGED,
+        @JsonProperty("IN_FORCE")
         IN_FORCE,
+        @JsonProperty("ABANDONED")
         ABANDONED
     }
 
     /** A generation that is kept. */
-    record Kept(long generation, byte[] content, String by, long life, long number, Came came) {
+    record Kept(
+            @JsonProperty("generation") long generation,
+            @JsonProperty("content") byte[] content,
+            @JsonProperty("by") String by,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("came") Came came) {
         Kept with(Came next) {
             return new Kept(generation, content, by, life, number, next);
         }
     }
 
     /** All that is decided of a name. */
-    record Named(String name, Word word, long last, List<Kept> history) {}
+    record Named(
+            @JsonProperty("name") String name,
+            @JsonProperty("word") Word word,
+            @JsonProperty("last") long last,
+            @JsonProperty("history") List<Kept> history) {}
 
     /** Who acts in a role, since when by count, and with which longest lease. */
-    record Role(String role, String holder, long life, long token, double forMs) {}
+    record Role(
+            @JsonProperty("role") String role,
+            @JsonProperty("holder") String holder,
+            @JsonProperty("life") long life,
+            @JsonProperty("token") long token,
+            @JsonProperty("forMs") double forMs) {}
 
     /** A copy of all of it. */
-    record Image(long reign, List<Named> names, List<Role> roles) {}
+    record Image(
+            @JsonProperty("reign") long reign,
+            @JsonProperty("names") List<Named> names,
+            @JsonProperty("roles") List<Role> roles) {}
 
     /** What came of an entry. */
     enum Result {
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
@@ -0,0 +1,161 @@
+package brackenbridge.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.lang.reflect.Field;
+import java.lang.reflect.Modifier;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.Iterator;
+import java.util.Map;
+import java.util.TreeSet;
+
+/**
+ * Serialized forms as files under {@code src/test/resources/golden}, against which what is written and read now is
+ * compared. With the system property {@value #WRITE_PROPERTY} the files are written first; see the README beside them.
+ */
+public final class GoldenFiles {
+    /** Set to the directory of the golden files, their content is replaced by what is written now. */
+    public static final String WRITE_PROPERTY = "golden.write";
+
+    private static final int BYTES_PER_LINE = 40;
+
+    private GoldenFiles() {}
+
+    /** Reads an object from its serialized form. */
+    @FunctionalInterface
+    public interface Reader<T> {
+        /** The object. */
+        T read(byte[] form) throws IOException;
+    }
+
+    /** Writes an object's serialized form. */
+    @FunctionalInterface
+    public interface Writer<T> {
+        /** The form. */
+        byte[] write(T object) throws IOException;
+    }
+
+    /** The object is written as the golden file has it, and is read from there with the same values. */
+    public static <T> void check(String name, T object, Writer<? super T> writer, Reader<? extends T> reader)
+            throws IOException {
+        byte[] written = writer.write(object);
+        replaceIfAsked(name, written);
+        byte[] golden = bytes(name);
+        assertEquals(lines(golden), lines(written), () -> name + ": written differently than " + text(golden));
+        T read = reader.read(golden);
+        assertSame(name, object, read);
+        assertArrayEquals(golden, writer.write(read), name + ": read and written again");
+    }
+
+    /** Whether golden files are to be written first. */
+    public static boolean writing() {
+        return System.getProperty(WRITE_PROPERTY) != null;
+    }
+
+    /** Replaces a golden file's content if that was asked for. */
+    public static void replaceIfAsked(String name, byte[] content) throws IOException {
+        if (writing()) {
+            Path file = Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex");
+            Files.createDirectories(file.getParent());
+            Files.writeString(file, lines(content));
+        }
+    }
+
+    /** A golden file's content. */
+    public static byte[] bytes(String name) throws IOException {
+        if (writing()) {
+            return parse(Files.readString(Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex")));
+        }
+        try (InputStream in = GoldenFiles.class.getResourceAsStream("/golden/" + name + ".hex")) {
+            assertNotNull(in, "no golden file " + name);
+            return parse(new String(in.readAllBytes(), StandardCharsets.US_ASCII));
+        }
+    }
+
+    private static byte[] parse(String hex) {
+        return HexFormat.of().parseHex(hex.replace("\n", ""));
+    }
+
+    private static String lines(byte[] content) {
+        StringBuilder hex = new StringBuilder();
+        for (int from = 0; from < content.length; from += BYTES_PER_LINE) {
+            int to = Math.min(content.length, from + BYTES_PER_LINE);
+            hex.append(HexFormat.of().formatHex(content, from, to)).append('\n');
+        }
+        return hex.toString();
+    }
+
+    private static String text(byte[] content) {
+        return new String(content, StandardCharsets.ISO_8859_1).replaceAll("[^ -~]", ".");
+    }
+
+    /** Both have the same class and the same values throughout; arrays are compared by content. */
+    public static void assertSame(String place, Object expected, Object actual) {
+        if (expected instanceof byte[] bytes) {
+            assertArrayEquals(bytes, (byte[]) actual, place);
+        } else if (expected instanceof Map<?, ?> map) {
+            assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), place);
+            map.forEach((key, value) -> assertSame(place + "." + key, value, ((Map<?, ?>) actual).get(key)));
+        } else if (expected instanceof Iterable<?> all) {
+            assertSameElements(place, all, (Iterable<?>) actual);
+        } else if (expected != null && hasFieldsOfItsOwn(expected.getClass())) {
+            assertEquals(expected.getClass(), actual == null ? null : actual.getClass(), place);
+            assertSameFields(place, expected, actual);
+        } else {
+            assertEquals(expected, actual, place);
+        }
+    }
+
+    private static boolean hasFieldsOfItsOwn(Class<?> type) {
+        return type.isRecord() || type.getName().startsWith("io.microraft.model.");
+    }
+
+    private static void assertSameElements(String place, Iterable<?> expected, Iterable<?> actual) {
+        Iterator<?> others = actual.iterator();
+        int index = 0;
+        for (Object element : expected) {
+            assertEquals(true, others.hasNext(), place + " ends before " + index);
+            assertSame(place + "[" + index + "]", element, others.next());
+            index++;
+        }
+        assertEquals(false, others.hasNext(), place + " goes on after " + index);
+    }
+
+    private static void assertSameFields(String place, Object expected, Object actual) {
+        for (Class<?> type = expected.getClass(); type != null && type != Object.class; type = type.getSuperclass()) {
+            for (Field field : type.getDeclaredFields()) {
+                if (!Modifier.isStatic(field.getModifiers())) {
+                    field.setAccessible(true);
+                    assertSame(place + "." + field.getName(), value(field, expected), value(field, actual));
+                }
+            }
+        }
+    }
+
+    private static Object value(Field field, Object of) {
+        try {
+            return field.get(of);
+        } catch (IllegalAccessException e) {
+            throw new UncheckedIOException(new IOException(e));
+        }
+    }
+
+    /** Each concrete type that a sealed type permits is among those that were checked. */
+    public static void assertAllCovered(Class<?> sealedType, Iterable<?> checked) {
+        TreeSet<String> permitted = new TreeSet<>();
+        for (Class<?> type : sealedType.getPermittedSubclasses()) {
+            permitted.add(type.getName());
+        }
+        TreeSet<String> seen = new TreeSet<>();
+        checked.forEach(one -> seen.add(one.getClass().getName()));
+        assertEquals(permitted, seen, "types without a golden file, or of another kind");
+    }
+}
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -0,0 +1,381 @@
+package brackenbridge.fleet.agreed;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.core.generation.Word;
+import brackenbridge.fleet.GoldenFiles;
+import io.microraft.MembershipChangeMode;
+import io.microraft.RaftEndpoint;
+import io.microraft.model.impl.DefaultRaftModelFactory;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.message.RaftMessage;
+import io.microraft.model.persistence.RaftTermPersistentState;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The forms of the agreement's messages and of a voter's disk, against the golden files. */
+class GoldenFormsTest {
+    private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
+    private static final Endpoint ME = new Endpoint("m1", "0123456789ab");
+    private static final Collection<RaftEndpoint> ALL =
+            new LinkedHashSet<>(List.of(ME, new Endpoint("m2", "ba9876543210")));
+    private static final RaftGroupMembersView VIEW = MODEL.createRaftGroupMembersViewBuilder()
+            .setLogIndex(4)
+            .setMembers(ALL)
+            .setVotingMembers(List.of(ME))
+            .build();
+    private static final byte[] CONTENT = {0, 1, 127, -128, -1};
+    private static final List<String> DISK_FILES = List.of("agreed.mv", "agreed.mark");
+
+    @TempDir
+    Path directory;
+
+    private static Map<String, Note> notes() {
+        Map<String, Note> notes = new LinkedHashMap<>();
+        notes.put("hello", new Note.Hello("0123456789ab", 3, 1_700_000_000_001L));
+        notes.put(
+                "facts",
+                new Note.Facts(
+                        "ba9876543210", List.of("m1@1", "m2@2"), "m1@1", List.of("m1@1"), 17, "0123456789ab", 2, 5));
+        notes.put("join", new Note.Join("m1@0123456789ab"));
+        notes.put(
+                "question",
+                new Note.Question(7, 8, List.of(new Note.Heard("settings/tier-1", 9, 10, List.of(11L, 12L)))));
+        notes.put(
+                "answer",
+                new Note.Answer(
+                        7,
+                        8,
+                        "m1@1",
+                        1600.5,
+                        List.of(new Note.Told(
+                                "shares", new Word(5, 2, 3), List.of(new Note.Item(3, CONTENT, "staff")))),
+                        true));
+        notes.put("elsewhere", new Note.Elsewhere("m2"));
+        notes.put("hint", new Note.Hint(300));
+        notes.put("propose", new Note.Propose("shares", 2, CONTENT, 7, 9));
+        List<Agreed.Verdict> verdicts = verdicts();
+        for (int i = 0; i < verdicts.size(); i++) {
+            notes.put("outcome-" + i, new Note.Outcome(7, 9, verdicts.get(i), 4));
+        }
+        notes.put("claim", new Note.Claim("lessor/pool", 2500.25, 7, 10));
+        notes.put("claimed", new Note.Claimed(7, 10, "m2", 77, 2500.25));
+        notes.put("look", new Note.Look("shares", 3, 7, 11));
+        notes.put("looked", new Note.Looked(7, 11, List.of(new Note.Line(3, "staff", 5, "in force")), CONTENT));
+        return notes;
+    }
+
+    /** Listed one by one, so that each keeps its file when it is renamed. */
+    private static List<Agreed.Verdict> verdicts() {
+        return List.of(
+                Agreed.Verdict.IN_FORCE,
+                Agreed.Verdict.OVERTAKEN,
+                Agreed.Verdict.ANOTHER_STAGED,
+                Agreed.Verdict.REFUSED,
+                Agreed.Verdict.UNKNOWN);
+    }
+
+    private static Map<String, Op> operations() {
+        Map<String, Op> operations = new LinkedHashMap<>();
+        operations.put("reign", new Op.Reign("m1@1", 5, 6));
+        operations.put("stage", new Op.Stage("shares", 2, CONTENT, "m2", 7, 9));
+        operations.put("activate", new Op.Activate("shares", 4, 3));
+        operations.put("abandon", new Op.Abandon("shares", 4, 3, "m3"));
+        operations.put("take", new Op.Take("lessor/pool", "m2", 7, 2500.25, 77, 3));
+        return operations;
+    }
+
+    private static LogEntry entry(long index, Object operation) {
+        return MODEL.createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(2)
+                .setOperation(operation)
+                .build();
+    }
+
+    private static SnapshotChunk chunk() {
+        return MODEL.createSnapshotChunkBuilder()
+                .setIndex(3)
+                .setTerm(1)
+                .setOperation(CONTENT)
+                .setSnapshotChunkIndex(0)
+                .setSnapshotChunkCount(1)
+                .setGroupMembersView(VIEW)
+                .build();
+    }
+
+    private static Object membership(MembershipChangeMode mode) {
+        return MODEL.createUpdateRaftGroupMembersOpBuilder()
+                .setMembers(ALL)
+                .setVotingMembers(List.of(ME))
+                .setEndpoint(ME)
+                .setMode(mode)
+                .build();
+    }
+
+    private static Map<String, RaftMessage> raftMessages() {
+        Map<String, RaftMessage> messages = new LinkedHashMap<>();
+        messages.put(
+                "append",
+                MODEL.createAppendEntriesRequestBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setPreviousLogTerm(1)
+                        .setPreviousLogIndex(3)
+                        .setCommitIndex(4)
+                        .setQuerySequenceNumber(5)
+                        .setFlowControlSequenceNumber(6)
+                        .setLogEntries(List.of(
+                                entry(4, new Op.Reign("m1@1", 5, 6)),
+                                entry(5, membership(MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER))))
+                        .build());
+        messages.put(
+                "appended",
+                MODEL.createAppendEntriesSuccessResponseBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setLastLogIndex(7)
+                        .setQuerySequenceNumber(5)
+                        .setFlowControlSequenceNumber(6)
+                        .build());
+        messages.put(
+                "not-appended",
+                MODEL.createAppendEntriesFailureResponseBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setExpectedNextIndex(7)
+                        .setQuerySequenceNumber(5)
+                        .setFlowControlSequenceNumber(6)
+                        .build());
+        messages.put("install", install(chunk()));
+        messages.put("install-without-chunk", install(null));
+        messages.put(
+                "installed",
+                MODEL.createInstallSnapshotResponseBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setSnapshotIndex(3)
+                        .setRequestedSnapshotChunkIndex(1)
+                        .setQuerySequenceNumber(5)
+                        .setFlowControlSequenceNumber(6)
+                        .build());
+        messages.put(
+                "pre-vote",
+                MODEL.createPreVoteRequestBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setLastLogTerm(1)
+                        .setLastLogIndex(7)
+                        .build());
+        messages.put(
+                "pre-voted",
+                MODEL.createPreVoteResponseBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setGranted(true)
+                        .build());
+        messages.put(
+                "vote",
+                MODEL.createVoteRequestBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setLastLogTerm(1)
+                        .setLastLogIndex(7)
+                        .setSticky(true)
+                        .build());
+        messages.put(
+                "voted",
+                MODEL.createVoteResponseBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setGranted(true)
+                        .build());
+        messages.put(
+                "trigger-election",
+                MODEL.createTriggerLeaderElectionRequestBuilder()
+                        .setGroupId("fleet")
+                        .setSender(ME)
+                        .setTerm(2)
+                        .setLastLogTerm(1)
+                        .setLastLogIndex(7)
+                        .build());
+        return messages;
+    }
+
+    private static RaftMessage install(SnapshotChunk chunk) {
+        return MODEL.createInstallSnapshotRequestBuilder()
+                .setGroupId("fleet")
+                .setSender(ME)
+                .setTerm(2)
+                .setSenderLeader(true)
+                .setSnapshotTerm(1)
+                .setSnapshotIndex(3)
+                .setTotalSnapshotChunkCount(1)
+                .setSnapshotChunk(chunk)
+                .setSnapshottedMembers(ALL)
+                .setGroupMembersView(VIEW)
+                .setQuerySequenceNumber(5)
+                .setFlowControlSequenceNumber(6)
+                .build();
+    }
+
+    private static State.Image image() {
+        List<State.Kept> history = List.of(
+                new State.Kept(1, CONTENT, "staff", 7, 8, State.Came.ABANDONED),
+                new State.Kept(2, CONTENT, "staff", 7, 9, State.Came.IN_FORCE),
+                new State.Kept(3, CONTENT, "m2", 7, 10, State.Came.STAGED));
+        return new State.Image(
+                6,
+                List.of(new State.Named("shares", new Word(5, 2, 3), 3, history)),
+                List.of(new State.Role("lessor/pool", "m2", 7, 77, 2500.25)));
+    }
+
+    private static RaftTermPersistentState term(RaftEndpoint votedFor) {
+        return MODEL.createRaftTermPersistentStateBuilder()
+                .setTerm(7)
+                .setVotedFor(votedFor)
+                .build();
+    }
+
+    @Test
+    void eachNote() throws IOException {
+        GoldenFiles.assertAllCovered(Note.class, notes().values());
+        assertEquals(Agreed.Verdict.values().length, verdicts().size());
+        for (Map.Entry<String, Note> note : notes().entrySet()) {
+            GoldenFiles.check(
+                    "agreed/note-" + note.getKey(),
+                    note.getValue(),
+                    Codec::frame,
+                    form -> Codec.frame(form).note());
+        }
+    }
+
+    @Test
+    void eachOperation() throws IOException {
+        GoldenFiles.assertAllCovered(Op.class, operations().values());
+        for (Map.Entry<String, Op> operation : operations().entrySet()) {
+            GoldenFiles.check(
+                    "agreed/entry-" + operation.getKey(), entry(4, operation.getValue()), Codec::entry, Codec::entry);
+        }
+        for (MembershipChangeMode mode : MembershipChangeMode.values()) {
+            GoldenFiles.check(
+                    "agreed/entry-members-" + mode.ordinal(), entry(5, membership(mode)), Codec::entry, Codec::entry);
+        }
+        GoldenFiles.check("agreed/entry-bytes", entry(6, CONTENT), Codec::entry, Codec::entry);
+    }
+
+    @Test
+    void eachMessageOfTheRaftLibrary() throws IOException {
+        for (Map.Entry<String, RaftMessage> message : raftMessages().entrySet()) {
+            GoldenFiles.check(
+                    "agreed/raft-" + message.getKey(),
+                    message.getValue(),
+                    Codec::frame,
+                    form -> Codec.frame(form).raft());
+        }
+    }
+
+    @Test
+    void valuesOnDisk() throws IOException {
+        assertEquals(3, State.Came.values().length);
+        GoldenFiles.check("agreed/image", image(), Codec::image, Codec::image);
+        GoldenFiles.check("agreed/snapshot-chunk", chunk(), Codec::chunk, Codec::chunk);
+        GoldenFiles.check("agreed/members", VIEW, Codec::members, Codec::members);
+        GoldenFiles.check("agreed/term", term(ME), Codec::term, Codec::term);
+        GoldenFiles.check("agreed/term-without-vote", term(null), Codec::term, Codec::term);
+        GoldenFiles.check(
+                "agreed/local-endpoint",
+                MODEL.createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(ME)
+                        .setVoting(true)
+                        .build(),
+                Codec::self,
+                Codec::self);
+    }
+
+    @Test
+    void diskOfAVoter() throws IOException {
+        if (GoldenFiles.writing()) {
+            writeDisk();
+        }
+        Path copy = Files.createDirectories(directory.resolve("copy"));
+        for (String file : DISK_FILES) {
+            Files.write(copy.resolve(file), GoldenFiles.bytes("agreed/voter-disk-" + file));
+        }
+        try (Store store = Store.open(copy, "fleet", "m1")) {
+            assertTrue(store.disk().matches("[0-9a-f]{24}"), store.disk());
+            assertEquals(2, store.starts());
+            assertEquals(List.of("m1", "m2"), store.founding());
+            assertEquals(false, store.joining());
+            assertEquals(17, store.since());
+            assertEquals(Optional.of("ba9876543210 2 5"), store.seen("m2"));
+            assertEquals(Optional.empty(), store.seen("m3"));
+            assertRestored(store.restored().orElseThrow());
+        }
+    }
+
+    private static void assertRestored(RestoredRaftState restored) {
+        GoldenFiles.assertSame(
+                "me", ME, restored.getLocalEndpointPersistentState().getLocalEndpoint());
+        assertEquals(true, restored.getLocalEndpointPersistentState().isVoting());
+        GoldenFiles.assertSame("members", VIEW, restored.getInitialGroupMembers());
+        GoldenFiles.assertSame("term", term(ME), restored.getTermPersistentState());
+        assertEquals(3, restored.getSnapshotEntry().getIndex());
+        assertEquals(1, restored.getSnapshotEntry().getTerm());
+        GoldenFiles.assertSame("snapshot", List.of(chunk()), (Iterable<?>)
+                restored.getSnapshotEntry().getOperation());
+        GoldenFiles.assertSame("entries", diskEntries(), restored.getLogEntries());
+    }
+
+    private static List<LogEntry> diskEntries() {
+        List<LogEntry> entries = new ArrayList<>();
+        long index = 4;
+        for (Op operation : operations().values()) {
+            entries.add(entry(index++, operation));
+        }
+        entries.add(entry(index, membership(MembershipChangeMode.REMOVE_MEMBER)));
+        return entries;
+    }
+
+    private void writeDisk() throws IOException {
+        Path written = directory.resolve("written");
+        try (Store store = Store.open(written, "fleet", "m1")) {
+            store.found(List.of("m1", "m2"), true);
+            store.joined(17);
+            store.seen("m2", "ba9876543210 2 5");
+            store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
+                    .setLocalEndpoint(ME)
+                    .setVoting(true)
+                    .build());
+            store.persistAndFlushInitialGroupMembers(VIEW);
+            store.persistSnapshotChunk(chunk());
+            store.persistLogEntries(diskEntries());
+            store.persistAndFlushTerm(term(ME));
+        }
+        for (String file : DISK_FILES) {
+            GoldenFiles.replaceIfAsked("agreed/voter-disk-" + file, Files.readAllBytes(written.resolve(file)));
+        }
+    }
+}
