--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -0,0 +1,112 @@
+package brackenbridge.fleet.control;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import brackenbridge.clock.Clock;
+import brackenbridge.fleet.GoldenFiles;
+import brackenbridge.fleet.control.ControlMessage.HeldVersion;
+import brackenbridge.fleet.control.MachineReport.NodeBehind;
+import brackenbridge.fleet.control.MachineReport.RegionReport;
+import brackenbridge.fleet.control.MachineReport.VersionCount;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.io.IOException;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** The forms of the messages between nodes and control machines, against the golden files. */
+class GoldenFormsTest {
+    private static final byte[] CONTENT = {0, 1, 127, -128, -1};
+    /** Listed one by one, so that each keeps its file when it is renamed. */
+    private static final List<Refusal> REFUSALS = List.of(
+            Refusal.UNREADABLE,
+            Refusal.FRAME_TOO_LONG,
+            Refusal.UNKNOWN_PROTOCOL_VERSION,
+            Refusal.OTHER_FLEET,
+            Refusal.UNKNOWN_NODE,
+            Refusal.TOO_MANY_RESOURCES,
+            Refusal.NO_SUBSCRIPTION,
+            Refusal.BUSY,
+            Refusal.FULL,
+            Refusal.SLOW_READER,
+            Refusal.SILENT,
+            Refusal.REPLACED,
+            Refusal.STOPPING);
+
+    private static final MachineReport REPORT = new MachineReport(
+            "c1",
+            true,
+            List.of(new RegionReport(
+                    "eu-1",
+                    30,
+                    29,
+                    List.of(new VersionCount("shares", 3, 29), new VersionCount("shares", 2, 1)),
+                    List.of(new NodeBehind("n7", "shares", 2, 3, "floor: is over the ceiling")))));
+
+    private static Map<String, ControlMessage> messages() {
+        Map<String, ControlMessage> messages = new LinkedHashMap<>();
+        messages.put(
+                "subscribe",
+                new ControlMessage.Subscribe(
+                        "fleet",
+                        "n7",
+                        "eu-1",
+                        1_700_000_000_001L,
+                        List.of(new HeldVersion("settings/tier-1", 9, 8), new HeldVersion("shares", 0, 0))));
+        messages.put("acknowledge", new ControlMessage.Acknowledge("shares", 3, false, "floor: is over the ceiling"));
+        messages.put("node-heartbeat", new ControlMessage.NodeHeartbeat(70_000));
+        messages.put("welcome", new ControlMessage.Welcome("c1", 1000.5));
+        messages.put("update", new ControlMessage.Update(new Resource("shares", 3, CONTENT)));
+        messages.put("machine-heartbeat", new ControlMessage.MachineHeartbeat(70_001, true));
+        for (int i = 0; i < REFUSALS.size(); i++) {
+            messages.put("refuse-" + i, new ControlMessage.Refuse(REFUSALS.get(i), 250.25));
+        }
+        return messages;
+    }
+
+    @Test
+    void eachMessageWithItsFrame() throws IOException {
+        GoldenFiles.assertAllCovered(ControlMessage.class, messages().values());
+        assertEquals(Refusal.values().length, REFUSALS.size());
+        for (Map.Entry<String, ControlMessage> message : messages().entrySet()) {
+            GoldenFiles.check(
+                    "control/" + message.getKey(),
+                    message.getValue(),
+                    ControlFrames::bytes,
+                    GoldenFormsTest::readFrame);
+        }
+    }
+
+    private static ControlMessage readFrame(byte[] form) throws IOException {
+        EmbeddedChannel channel = new EmbeddedChannel(ControlFrames.decoder());
+        channel.writeInbound(Unpooled.wrappedBuffer(form));
+        ByteBuf frame = channel.readInbound();
+        try {
+            return ControlFrames.read(frame);
+        } finally {
+            frame.release();
+            channel.finishAndReleaseAll();
+        }
+    }
+
+    @Test
+    void reportOfAMachine() throws IOException {
+        GoldenFiles.check("control/machine-report", REPORT, GoldenFormsTest::sent, GoldenFormsTest::received);
+    }
+
+    private static byte[] sent(MachineReport report) {
+        RecordingLinks recording = new RecordingLinks();
+        new ReportExchange(recording, Clock.system()).send(report);
+        return recording.sent;
+    }
+
+    private static MachineReport received(byte[] form) {
+        RecordingLinks recording = new RecordingLinks();
+        ReportExchange exchange = new ReportExchange(recording, Clock.system());
+        recording.receiver.took("c1", 1, form);
+        return exchange.all().get(0).report();
+    }
+}
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
@@ -0,0 +1,59 @@
+package brackenbridge.fleet.control;
+
+import brackenbridge.fleet.peer.Links;
+import brackenbridge.fleet.peer.Member;
+import brackenbridge.fleet.peer.Standing;
+import brackenbridge.fleet.peer.Stream;
+import java.util.List;
+
+/** Links to one peer that keep the last message sent and who receives. */
+final class RecordingLinks implements Links {
+    byte[] sent;
+    Receiver receiver;
+
+    @Override
+    public Member me() {
+        return new Member("c1", "127.0.0.1:1", "z1");
+    }
+
+    @Override
+    public long life() {
+        return 1;
+    }
+
+    @Override
+    public List<Member> peers() {
+        return List.of(new Member("c2", "127.0.0.1:2", "z2"));
+    }
+
+    @Override
+    public Standing standing(String peer) {
+        return Standing.ALIVE;
+    }
+
+    @Override
+    public boolean send(String peer, Stream stream, byte[] body) {
+        sent = body;
+        return true;
+    }
+
+    @Override
+    public void receive(Stream stream, Receiver newReceiver) {
+        receiver = newReceiver;
+    }
+
+    @Override
+    public void watch(Watcher watcher) {
+        // Nobody's standing changes.
+    }
+
+    @Override
+    public void start() {
+        // Nothing to open.
+    }
+
+    @Override
+    public void close() {
+        // Nothing to close.
+    }
+}
