--- a/fleet/src/main/java/brackenbridge/fleet/share/Message.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/Message.java
@@ -1,5 +1,6 @@
 package brackenbridge.fleet.share;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import com.fasterxml.jackson.core.StreamReadConstraints;
@@ -37,16 +38,16 @@
      * @param demand what each tenant wants and uses there
      */
     record Ask(
-            String pool,
-            long life,
-            long number,
-            long acting,
-            long token,
-            long heard,
-            int held,
-            double leftMs,
-            int busy,
-            Map<String, PoolUse> demand)
+            @JsonProperty("pool") String pool,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("acting") long acting,
+            @JsonProperty("token") long token,
+            @JsonProperty("heard") long heard,
+            @JsonProperty("held") int held,
+            @JsonProperty("leftMs") double leftMs,
+            @JsonProperty("busy") int busy,
+            @JsonProperty("demand") Map<String, PoolUse> demand)
             implements Message {
         /** Keeps its own copy. */
         public Ask {
@@ -66,14 +67,14 @@
      * @param tenants connections for each tenant; together a whole number
      */
     record Grant(
-            String pool,
-            long life,
-            long number,
-            long token,
-            double leaseMs,
-            int capacity,
-            int members,
-            Map<String, Double> tenants)
+            @JsonProperty("pool") String pool,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("token") long token,
+            @JsonProperty("leaseMs") double leaseMs,
+            @JsonProperty("capacity") int capacity,
+            @JsonProperty("members") int members,
+            @JsonProperty("tenants") Map<String, Double> tenants)
             implements Message {
         /** Keeps its own copy. */
         public Grant {
@@ -94,14 +95,21 @@
      * @param number the question
      * @param busy connections that it uses: those beyond the lease are still to be given back
      */
-    record Ack(String pool, long life, long number, int busy) implements Message {}
+    record Ack(
+            @JsonProperty("pool") String pool,
+            @JsonProperty("life") long life,
+            @JsonProperty("number") long number,
+            @JsonProperty("busy") int busy)
+            implements Message {}
 
     /**
      * There is another lease to be had: ask now. It carries no promise.
      *
      * @param token the lessor's
      */
-    record Nudge(String pool, long token) implements Message {}
+    record Nudge(
+            @JsonProperty("pool") String pool,
+            @JsonProperty("token") long token) implements Message {}
 
     /** As bytes. */
     static byte[] bytes(Message m) {
--- a/fleet/src/main/java/brackenbridge/fleet/share/PoolUse.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/PoolUse.java
@@ -1,5 +1,7 @@
 package brackenbridge.fleet.share;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * What a node's tenant wants and uses of a pool: a record of space {@code DEMAND}, as JSON.
  *
@@ -8,4 +10,8 @@
  * @param refused calls a second that were turned away for want of its share
  * @param meanMs how long one of its calls holds a connection, in milliseconds
  */
-public record PoolUse(double wanted, double used, double refused, double meanMs) {}
+public record PoolUse(
+        @JsonProperty("wanted") double wanted,
+        @JsonProperty("used") double used,
+        @JsonProperty("refused") double refused,
+        @JsonProperty("meanMs") double meanMs) {}
