--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -6,6 +6,7 @@
 import brackenbridge.fleet.evacuation.Picture.Missing;
 import brackenbridge.fleet.evacuation.Picture.Pool;
 import com.fasterxml.jackson.annotation.JsonInclude;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -43,12 +44,16 @@
     /** What becomes of a pool. */
     public enum Verdict {
         /** It serves what comes. */
+        @JsonProperty("HOLDS")
         HOLDS,
         /** It serves what is expected, with little room or by luck. */
+        @JsonProperty("TIGHT")
         TIGHT,
         /** A stated part of what comes fails for want of room or time. */
+        @JsonProperty("SATURATES")
         SATURATES,
         /** Nothing can be said; the reason stands beside it. Not a guess: it counts as no permission. */
+        @JsonProperty("UNKNOWN")
         UNKNOWN
     }
 
@@ -69,7 +74,10 @@
      * @param low the lower bound
      * @param high the upper bound
      */
-    public record Within(double expected, double low, double high) {
+    public record Within(
+            @JsonProperty("expected") double expected,
+            @JsonProperty("low") double low,
+            @JsonProperty("high") double high) {
         /** Whether it lies between the bounds. */
         public boolean holds(double value) {
             return value >= low && value <= high;
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Order.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Order.java
@@ -1,5 +1,6 @@
 package brackenbridge.fleet.evacuation;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -14,7 +15,11 @@
  * @param parts the part of its usual load that each zone keeps
  * @param forMs for how long it holds from its arrival
  */
-public record Order(long token, long epoch, Map<String, Double> parts, double forMs) {
+public record Order(
+        @JsonProperty("token") long token,
+        @JsonProperty("epoch") long epoch,
+        @JsonProperty("parts") Map<String, Double> parts,
+        @JsonProperty("forMs") double forMs) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MOST_BYTES = 64 * 1024;
     private static final double LONGEST_MS = 120_000;
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Plan.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Plan.java
@@ -1,6 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -22,15 +23,15 @@
  */
 @JsonIgnoreProperties(ignoreUnknown = false)
 public record Plan(
-        String name,
-        String zone,
-        double startDayMs,
-        List<Step> steps,
-        double rehearsalPart,
-        double rehearsalMs,
-        List<Step> back,
-        double backAfterMs,
-        List<Comes> comes) {
+        @JsonProperty("name") String name,
+        @JsonProperty("zone") String zone,
+        @JsonProperty("startDayMs") double startDayMs,
+        @JsonProperty("steps") List<Step> steps,
+        @JsonProperty("rehearsalPart") double rehearsalPart,
+        @JsonProperty("rehearsalMs") double rehearsalMs,
+        @JsonProperty("back") List<Step> back,
+        @JsonProperty("backAfterMs") double backAfterMs,
+        @JsonProperty("comes") List<Comes> comes) {
     /** Steps and pools that a plan may name: it travels in an agreed record. */
     public static final int MOST = 64;
 
@@ -43,7 +44,9 @@
      * @param part the part of the zone's usual load that it moves
      * @param pauseMs how long it is held before the next
      */
-    public record Step(double part, double pauseMs) {}
+    public record Step(
+            @JsonProperty("part") double part,
+            @JsonProperty("pauseMs") double pauseMs) {}
 
     /**
      * Servers that come.
@@ -52,7 +55,10 @@
      * @param servers how many, of the pool's sort, cold
      * @param afterMs after the first step's begin
      */
-    public record Comes(PoolName pool, int servers, double afterMs) {}
+    public record Comes(
+            @JsonProperty("pool") PoolName pool,
+            @JsonProperty("servers") int servers,
+            @JsonProperty("afterMs") double afterMs) {}
 
     /** Keeps its own copies; what is absent is empty. */
     public Plan {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
@@ -2,6 +2,7 @@
 
 import brackenbridge.fleet.evacuation.Forecast.Verdict;
 import brackenbridge.fleet.evacuation.Forecast.Within;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.StreamReadConstraints;
@@ -27,14 +28,14 @@
  * @param history what became of it, the latest last; bounded
  */
 public record PlanState(
-        Plan plan,
-        Status status,
-        int step,
-        List<Foretold> foretold,
-        Verdict verdict,
-        boolean override,
-        long token,
-        List<Entry> history) {
+        @JsonProperty("plan") Plan plan,
+        @JsonProperty("status") Status status,
+        @JsonProperty("step") int step,
+        @JsonProperty("foretold") List<Foretold> foretold,
+        @JsonProperty("verdict") Verdict verdict,
+        @JsonProperty("override") boolean override,
+        @JsonProperty("token") long token,
+        @JsonProperty("history") List<Entry> history) {
     /** Pools whose figures an agreed record carries. */
     public static final int MOST_POOLS = 128;
 
@@ -58,7 +59,12 @@
      * @param rehearsal tries a second while the rehearsal holds
      * @param steps tries a second while each step holds
      */
-    public record Foretold(PoolName pool, int servers, double before, Within rehearsal, List<Within> steps) {}
+    public record Foretold(
+            @JsonProperty("pool") PoolName pool,
+            @JsonProperty("servers") int servers,
+            @JsonProperty("before") double before,
+            @JsonProperty("rehearsal") Within rehearsal,
+            @JsonProperty("steps") List<Within> steps) {}
 
     /**
      * What has happened.
@@ -68,7 +74,11 @@
      * @param by who did it
      * @param why the reason
      */
-    public record Entry(Status status, int step, String by, String why) {}
+    public record Entry(
+            @JsonProperty("status") Status status,
+            @JsonProperty("step") int step,
+            @JsonProperty("by") String by,
+            @JsonProperty("why") String why) {}
 
     /** Keeps its own copies, and the latest of its history. */
     public PlanState {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSeen.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSeen.java
@@ -1,5 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * What one node sees of a class at a pool: a record of space {@code POOLS}, as JSON. A pool is the servers of one tier,
  * zone and kind; its name is {@code tier/zone/kind}. Figures of the pool as a whole (servers to {@code slowAt}) are the
@@ -24,20 +26,20 @@
  * @param slowAt calls at a server from which on that was so; 0 if none was ever seen
  */
 public record PoolSeen(
-        double arrivals,
-        double attempts,
-        double refused,
-        int servers,
-        double slots,
-        double busy,
-        double serviceMs,
-        double latencyMs,
-        double squaredVariation,
-        double failed,
-        double overMs,
-        double utilisation,
-        double connections,
-        double coldFrom,
-        double coldMs,
-        double slowPart,
-        double slowAt) {}
+        @JsonProperty("arrivals") double arrivals,
+        @JsonProperty("attempts") double attempts,
+        @JsonProperty("refused") double refused,
+        @JsonProperty("servers") int servers,
+        @JsonProperty("slots") double slots,
+        @JsonProperty("busy") double busy,
+        @JsonProperty("serviceMs") double serviceMs,
+        @JsonProperty("latencyMs") double latencyMs,
+        @JsonProperty("squaredVariation") double squaredVariation,
+        @JsonProperty("failed") double failed,
+        @JsonProperty("overMs") double overMs,
+        @JsonProperty("utilisation") double utilisation,
+        @JsonProperty("connections") double connections,
+        @JsonProperty("coldFrom") double coldFrom,
+        @JsonProperty("coldMs") double coldMs,
+        @JsonProperty("slowPart") double slowPart,
+        @JsonProperty("slowAt") double slowAt) {}
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Status.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Status.java
@@ -1,29 +1,40 @@
 package brackenbridge.fleet.evacuation;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.EnumSet;
 import java.util.Set;
 
 /** Where a plan stands. */
 public enum Status {
     /** Written down. */
+    @JsonProperty("DRAFTED")
     DRAFTED,
     /** It is known what it would do. */
+    @JsonProperty("FORECAST")
     FORECAST,
     /** A small part of the load is moved for a while. */
+    @JsonProperty("REHEARSING")
     REHEARSING,
     /** Something passed its bound or was not as foretold, or staff said so: all load is where it usually is. */
+    @JsonProperty("HALTED")
     HALTED,
     /** The rehearsal was as foretold. */
+    @JsonProperty("PASSED")
     PASSED,
     /** Load is moved step by step. */
+    @JsonProperty("EVACUATING")
     EVACUATING,
     /** All load is moved. */
+    @JsonProperty("EVACUATED")
     EVACUATED,
     /** Load comes back step by step. */
+    @JsonProperty("RETURNING")
     RETURNING,
     /** Done: all load is where it usually is. */
+    @JsonProperty("CLOSED")
     CLOSED,
     /** Given up before it was done. */
+    @JsonProperty("ABANDONED")
     ABANDONED;
 
     /** What may come after it. */
