--- /dev/null
+++ b/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
@@ -0,0 +1,38 @@
+package brackenbridge.wire;
+
+import brackenbridge.BalancerApi.Actions;
+import brackenbridge.testing.GoldenText;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+/** The simulator's wire, against the golden files. */
+class GoldenFormsTest {
+    @Test
+    void eachMessageToTheSimulator() throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        WireWriter writer = new WireWriter(out);
+        Actions first = writer.of(3);
+        first.send(7, 101, 900_000);
+        first.refuse(8, 250_000);
+        first.fail(9);
+        first.timer(1_700_000, "tick \u00e4");
+        writer.of(4).probe(102);
+        writer.watch(4);
+        writer.broken(5, "java.lang.IllegalStateException: of\nits own");
+        writer.finished(12);
+        writer.of(4).fail(-1);
+        writer.finished(13);
+        GoldenText.check("wire-actions.txt", out.toString(StandardCharsets.UTF_8));
+    }
+
+    @Test
+    void aScriptIsAnsweredAsEver() throws IOException {
+        byte[] script = GoldenText.read("wire-script-in.txt").getBytes(StandardCharsets.UTF_8);
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        new WireHost(new ByteArrayInputStream(script), out).run();
+        GoldenText.check("wire-script-out.txt", out.toString(StandardCharsets.UTF_8));
+    }
+}
