--- a/core/src/main/java/brackenbridge/core/Flow.java
+++ b/core/src/main/java/brackenbridge/core/ClientRequest.java
@@ -11,7 +11,7 @@
  * @param unseenMs it may have waited for so long before the node could see it, at the most; in milliseconds
  * @param message what to forward; nothing in the core looks into it
  */
-public record Flow(
+public record ClientRequest(
         String className,
         String tenant,
         double timeLeftMs,
@@ -21,7 +21,8 @@
         Object message) {
 
     /** A request that was seen as soon as it came. */
-    public Flow(String className, String tenant, double timeLeftMs, boolean repeat, boolean whole, Object message) {
+    public ClientRequest(
+            String className, String tenant, double timeLeftMs, boolean repeat, boolean whole, Object message) {
         this(className, tenant, timeLeftMs, repeat, whole, 0, message);
     }
 }
--- a/core/src/main/java/brackenbridge/core/TargetGroup.java
+++ b/core/src/main/java/brackenbridge/core/EndpointList.java
@@ -10,15 +10,15 @@
  * @param targets its entries
  * @param unread hosts that it names with something that can't be read: they stay as they were
  */
-public record TargetGroup(long seq, boolean whole, List<Target> targets, List<String> unread) {
+public record EndpointList(long seq, boolean whole, List<ServerEndpoint> targets, List<String> unread) {
     /** Keeps its own copies. */
-    public TargetGroup {
+    public EndpointList {
         targets = List.copyOf(targets);
         unread = List.copyOf(unread);
     }
 
     /** A list of which all was read. */
-    public TargetGroup(long seq, boolean whole, List<Target> targets) {
+    public EndpointList(long seq, boolean whole, List<ServerEndpoint> targets) {
         this(seq, whole, targets, List.of());
     }
 }
--- a/core/src/main/java/brackenbridge/core/Event.java
+++ b/core/src/main/java/brackenbridge/core/Event.java
@@ -2,22 +2,22 @@
 
 import brackenbridge.BalancerApi.Report;
 import brackenbridge.BalancerApi.Settings;
-import brackenbridge.core.share.Allowances;
+import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.core.share.ZoneWeights;
 
 /** What happens to the node: all that the reducer ever learns. */
 public sealed interface Event {
     /** The node starts, with the target group as it last held it. */
-    record Started(TargetGroup known) implements Event {}
+    record Started(EndpointList known) implements Event {}
 
     /** Another process of this node hands over what it knows of the target group. */
-    record Inherited(TargetGroup list) implements Event {}
+    record Inherited(EndpointList list) implements Event {}
 
     /** Another process of this node serves clients as well and is to take this one's place, or does so no more. */
     record SuccessorServes(boolean on) implements Event {}
 
     /** A listener has taken a flow, under a number of the node's own. */
-    record FlowOpened(long flow, Flow request) implements Event {}
+    record FlowOpened(long flow, ClientRequest request) implements Event {}
 
     /** The last byte of a flow has come that was opened before it. */
     record FlowWhole(long flow) implements Event {}
@@ -69,7 +69,7 @@
     record ForwardFailedLocally(long flow, int forward) implements Event {}
 
     /** A list or a change has come on a call to discovery. */
-    record TargetsTold(long call, TargetGroup group) implements Event {}
+    record TargetsTold(long call, EndpointList group) implements Event {}
 
     /** Discovery has said on a watch that nothing has changed. */
     record DiscoveryBeat(long call) implements Event {}
@@ -90,10 +90,10 @@
      * @param known the target group that it holds, perhaps old
      * @param discoveryMoved whether it names another address for discovery
      */
-    record Reconfigured(Settings settings, TargetGroup known, boolean discoveryMoved) implements Event {}
+    record Reconfigured(Settings settings, EndpointList known, boolean discoveryMoved) implements Event {}
 
     /** The fleet says what each tenant may hold here. */
-    record SharesTold(Allowances allowances) implements Event {}
+    record SharesTold(TenantQuotas allowances) implements Event {}
 
     /** The fleet says how much of its usual load each zone's servers are to get. */
     record ZonesWeighed(ZoneWeights weights) implements Event {}
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -12,14 +12,14 @@
 import brackenbridge.BalancerApi.RequestClass;
 import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.Event.Reply;
-import brackenbridge.core.membership.Membership;
-import brackenbridge.core.membership.Source;
-import brackenbridge.core.membership.Step;
+import brackenbridge.core.membership.DiscoveryCommand;
+import brackenbridge.core.membership.DiscoverySource;
+import brackenbridge.core.membership.DiscoveryWatch;
 import brackenbridge.core.observe.Observer;
-import brackenbridge.core.share.Allowances;
+import brackenbridge.core.share.SchedulingResult;
+import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.core.share.TenantScheduler;
 import brackenbridge.core.share.TenantUse;
-import brackenbridge.core.share.Turn;
 import brackenbridge.core.share.ZoneWeights;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.Counters.Kind;
@@ -91,7 +91,7 @@
         /** When the first forward was sent that may have run. */
         double ranSinceMs;
 
-        OpenFlow(long id, Flow request, RequestClass rules, int maxAttempts, double left, double deadline) {
+        OpenFlow(long id, ClientRequest request, RequestClass rules, int maxAttempts, double left, double deadline) {
             this.id = id;
             this.className = request.className();
             this.rules = rules;
@@ -144,7 +144,7 @@
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final BalancerApi balancer;
     private final HostIds ids = new HostIds();
-    private final Map<Long, Target> targets = new HashMap<>();
+    private final Map<Long, ServerEndpoint> targets = new HashMap<>();
     /** Hosts among them that are gone and not forgotten yet. */
     private final Set<String> removed = new LinkedHashSet<>();
 
@@ -157,7 +157,7 @@
     private double now;
     private int unanswered;
     private final TimerLateness lateness = new TimerLateness();
-    private final Membership membership;
+    private final DiscoveryWatch membership;
     private long probeCount;
     private final LifeCycle life = new LifeCycle();
     private final double longestDeadlineAtStartMs;
@@ -194,7 +194,7 @@
         settings.classes().forEach(c -> classes.put(c.name(), c));
         this.balancer = decisions.apply(settings, new Acts());
         // Not the module's own draws: its choices must not hang on how often discovery was asked.
-        this.membership = new Membership(source(settings), SILENCE_MS, new SplittableRandom(~settings.seed()));
+        this.membership = new DiscoveryWatch(source(settings), SILENCE_MS, new SplittableRandom(~settings.seed()));
     }
 
     /** Takes an event in; the effects are to be run in order. */
@@ -349,7 +349,7 @@
 
     // ---- Flows ----
 
-    private void open(long id, Flow request) {
+    private void open(long id, ClientRequest request) {
         counters.count(Kind.FLOWS_IN, request.className());
         if (request.repeat()) {
             counters.count(Kind.FLOWS_REPEATED);
@@ -406,7 +406,7 @@
     // ---- Tenants ----
 
     /** From now on tenants have what they are told here. */
-    private void shared(Allowances told) {
+    private void shared(TenantQuotas told) {
         if (tenants == null) {
             tenants = new TenantScheduler(TenantScheduler.Limits.USUAL);
             // What is open already holds connections too.
@@ -417,8 +417,8 @@
         turn(tenants.told(now, told));
     }
 
-    private void turn(Turn t) {
-        for (Turn.Refused r : t.refuse()) {
+    private void turn(SchedulingResult t) {
+        for (SchedulingResult.Refused r : t.refuse()) {
             OpenFlow f = flows.get(r.flow());
             if (f != null && !f.ended) {
                 counters.count(Kind.FLOWS_OVER_SHARE);
@@ -745,9 +745,9 @@
         }
     }
 
-    private void told(TargetGroup group) {
+    private void told(EndpointList group) {
         counters.count(Kind.TARGET_LISTS);
-        List<Target> told = new ArrayList<>(group.targets());
+        List<ServerEndpoint> told = new ArrayList<>(group.targets());
         // Guards a server that serves against one unreadable word of it: left out, it would count as gone.
         for (String host : Set.copyOf(group.unread())) {
             if (ids.isKnown(host)) {
@@ -757,31 +757,31 @@
         list(group.whole() ? ListKind.FULL : ListKind.CHANGES, told);
     }
 
-    private static Source source(Settings s) {
-        return new Source(s.askDiscovery(), ModuleTime.ms(s.mustAskWithin()));
+    private static DiscoverySource source(Settings s) {
+        return new DiscoverySource(s.askDiscovery(), ModuleTime.ms(s.mustAskWithin()));
     }
 
-    private void follow(List<Step> steps) {
-        for (Step step : steps) {
-            if (step instanceof Step.Open o) {
+    private void follow(List<DiscoveryCommand> steps) {
+        for (DiscoveryCommand step : steps) {
+            if (step instanceof DiscoveryCommand.Open o) {
                 counters.count(Kind.DISCOVERY_CALLS);
                 effects.add(new Effect.Watch(o.call(), o.afterSeq()));
-            } else if (step instanceof Step.End e) {
+            } else if (step instanceof DiscoveryCommand.End e) {
                 if (e.silent()) {
                     counters.count(Kind.DISCOVERY_FAILED);
                 }
                 effects.add(new Effect.EndDiscovery(e.call()));
-            } else if (step instanceof Step.Wake w) {
+            } else if (step instanceof DiscoveryCommand.Wake w) {
                 effects.add(new Effect.SetTimer(w.atMs(), new TimerKey.Discovery(w.turn())));
             }
         }
     }
 
     /** The target group as the process before this one holds it: what it was told binds this one too. */
-    private void inherited(TargetGroup list) {
+    private void inherited(EndpointList list) {
         if (membership.offered(list.seq(), true)) {
             list(ListKind.SAVED, list.targets());
-            for (Target t : list.targets()) {
+            for (ServerEndpoint t : list.targets()) {
                 if (t.state() != EndpointState.UP) {
                     // Its grace began when the other process was told, no later than now.
                     noSendAfter.put(t.host(), now);
@@ -793,8 +793,8 @@
     }
 
     /** What is known of the target group, for a process that takes this one's place. */
-    public TargetGroup targetGroup() {
-        return new TargetGroup(
+    public EndpointList targetGroup() {
+        return new EndpointList(
                 membership.seq(),
                 true,
                 targets.values().stream()
@@ -838,19 +838,19 @@
         }
     }
 
-    private void list(ListKind kind, List<Target> told) {
+    private void list(ListKind kind, List<ServerEndpoint> told) {
         if (kind == ListKind.FULL || kind == ListKind.SAVED) {
             Set<String> named = new HashSet<>();
             told.forEach(t -> named.add(t.host()));
-            for (Target t : List.copyOf(targets.values())) {
+            for (ServerEndpoint t : List.copyOf(targets.values())) {
                 if (!named.contains(t.host()) && t.state() != EndpointState.REMOVED) {
-                    keep(new Target(
+                    keep(new ServerEndpoint(
                             t.host(), t.dial(), t.zone(), t.cell(), t.weight(), t.bornMs(), EndpointState.REMOVED));
                 }
             }
         }
         List<Endpoint> entries = new ArrayList<>();
-        for (Target t : told) {
+        for (ServerEndpoint t : told) {
             keep(t);
             entries.add(weighed(t));
         }
@@ -859,7 +859,7 @@
     }
 
     /** A server as the module is told of it. */
-    private Endpoint weighed(Target t) {
+    private Endpoint weighed(ServerEndpoint t) {
         double part = zones.part(t.zone(), now);
         // One that is to get nothing is told as one that takes nothing new: its weight could only be small.
         return new Endpoint(
@@ -909,7 +909,7 @@
         }
         for (String host : List.copyOf(removed)) {
             if (!inUse.contains(host)) {
-                Target gone = targets.remove(ids.of(host));
+                ServerEndpoint gone = targets.remove(ids.of(host));
                 ids.forget(host);
                 noSendAfter.remove(host);
                 removed.remove(host);
@@ -923,8 +923,8 @@
         return targets.size();
     }
 
-    private void keep(Target t) {
-        Target before = targets.put(ids.of(t.host()), t);
+    private void keep(ServerEndpoint t) {
+        ServerEndpoint before = targets.put(ids.of(t.host()), t);
         if (before != null && (!before.dial().equals(t.dial()) || t.state() == EndpointState.REMOVED)) {
             effects.add(new Effect.CloseIdle(before.host(), before.dial()));
         }
@@ -1040,7 +1040,7 @@
                 return;
             }
             int number = f.attempts++;
-            Target t = targets.get(endpoint);
+            ServerEndpoint t = targets.get(endpoint);
             // A further attempt must not outlast a client that has waited longer than the node could see.
             double end = number == 0 ? f.deadline : f.deadline - f.unseen;
             if (f.ended
@@ -1097,7 +1097,7 @@
 
         @Override
         public void probe(long endpoint) {
-            Target t = targets.get(endpoint);
+            ServerEndpoint t = targets.get(endpoint);
             if (t == null || !settings.mayProbe()) {
                 return;
             }
--- a/core/src/main/java/brackenbridge/core/Target.java
+++ b/core/src/main/java/brackenbridge/core/ServerEndpoint.java
@@ -13,5 +13,5 @@
  * @param bornMs when it last started, in Unix milliseconds; 0 for long ago
  * @param state what discovery says of it
  */
-public record Target(
+public record ServerEndpoint(
         String host, String dial, String zone, long cell, double weight, double bornMs, EndpointState state) {}
--- a/core/src/main/java/brackenbridge/core/connection/Step.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionCommand.java
@@ -1,21 +1,22 @@
 package brackenbridge.core.connection;
 
-/** What {@link Connections} wants done. */
-public sealed interface Step {
+/** What {@link ConnectionPool} wants done. */
+public sealed interface ConnectionCommand {
     /** Open a connection under this number, or a further one beside a late one; it must be up within this time. */
-    record Open(long connection, Peer peer, double withinMs, boolean further) implements Step {}
+    record Open(long connection, EndpointIdentity peer, double withinMs, boolean further)
+            implements ConnectionCommand {}
 
     /** The wait is over: its forward goes out on this connection, alone. */
-    record Lend(long connection, long ticket) implements Step {}
+    record Lend(long connection, long ticket) implements ConnectionCommand {}
 
     /** Close this connection, which carries nothing. */
-    record Close(long connection) implements Step {}
+    record Close(long connection) implements ConnectionCommand {}
 
     /** The wait is over without a connection, and nothing was sent. */
-    record GiveUp(long ticket, Why why) implements Step {}
+    record GiveUp(long ticket, Why why) implements ConnectionCommand {}
 
-    /** Call {@link Connections#due} for this wait at this time or soon after, in milliseconds. */
-    record Wake(double atMs, long ticket) implements Step {}
+    /** Call {@link ConnectionPool#due} for this wait at this time or soon after, in milliseconds. */
+    record Wake(double atMs, long ticket) implements ConnectionCommand {}
 
     /** Why a wait got no connection. */
     enum Why {
--- a/core/src/main/java/brackenbridge/core/connection/Connections.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
@@ -16,7 +16,7 @@
  * <p>Nothing here sends or reads: time and values go in, steps come out, to be run in order. Times are milliseconds of
  * one clock. Unknown numbers are passed over, since what they name may have ended meanwhile.
  */
-public final class Connections {
+public final class ConnectionPool {
     /** Connections that one wait may have opened at most. */
     private static final int MOST = 3;
     /** A connection is late when it takes so many times the median. */
@@ -50,14 +50,14 @@
 
     private static final class Connection {
         final long id;
-        final Peer peer;
+        final EndpointIdentity peer;
         State state = State.OPENING;
         /** Since when it is in this state. */
         double since;
         /** How long it had been idle when it was lent; negative if it was new. */
         double rested = -1;
 
-        Connection(long id, Peer peer, double since) {
+        Connection(long id, EndpointIdentity peer, double since) {
             this.id = id;
             this.peer = peer;
             this.since = since;
@@ -66,13 +66,13 @@
 
     private static final class Wait {
         final long id;
-        final Peer peer;
+        final EndpointIdentity peer;
         final double until;
         double nextAt;
         int opened;
         int failedLocally;
 
-        Wait(long id, Peer peer, double until) {
+        Wait(long id, EndpointIdentity peer, double until) {
             this.id = id;
             this.peer = peer;
             this.until = until;
@@ -86,10 +86,10 @@
         final ArrayDeque<Wait> waits = new ArrayDeque<>();
     }
 
-    private final Map<Peer, Group> groups = new HashMap<>();
+    private final Map<EndpointIdentity, Group> groups = new HashMap<>();
     private final Map<Long, Connection> all = new HashMap<>();
     private final Map<Long, Wait> waits = new HashMap<>();
-    private List<Step> steps = new ArrayList<>();
+    private List<ConnectionCommand> steps = new ArrayList<>();
     private long opened;
     private double connectMs;
     private double idleMs;
@@ -109,7 +109,7 @@
      * @param connectMs how long a forward waits for a connection
      * @param idleMs for how long one that carries nothing is kept
      */
-    public Connections(double connectMs, double idleMs) {
+    public ConnectionPool(double connectMs, double idleMs) {
         goBy(connectMs, idleMs);
         median = connectMs * MOST_PATIENCE / LATE;
     }
@@ -121,7 +121,7 @@
     }
 
     /** A forward asks for a connection, under a number never used before. */
-    public List<Step> ask(double now, long wait, Peer peer) {
+    public List<ConnectionCommand> ask(double now, long wait, EndpointIdentity peer) {
         Group g = groups.computeIfAbsent(peer, p -> new Group());
         while (!g.idle.isEmpty()) {
             Connection c = g.idle.pollLast();
@@ -144,7 +144,7 @@
     }
 
     /** The forward waits no longer; nothing was sent for it. What was opened for it is another's when it comes up. */
-    public List<Step> withdraw(long wait) {
+    public List<ConnectionCommand> withdraw(long wait) {
         Wait w = waits.remove(wait);
         if (w != null) {
             Group g = groups.get(w.peer);
@@ -155,7 +155,7 @@
     }
 
     /** A moment has come at which something may be due for a wait. */
-    public List<Step> due(double now, long wait) {
+    public List<ConnectionCommand> due(double now, long wait) {
         Wait w = waits.get(wait);
         if (w == null || now < w.nextAt) {
             return taken();
@@ -163,7 +163,7 @@
         Group g = groups.get(w.peer);
         if (now >= w.until) {
             boolean local = w.opened == 0 && w.failedLocally > 0;
-            giveUp(g, w, local ? Step.Why.FAILED_LOCALLY : Step.Why.UNCONNECTED);
+            giveUp(g, w, local ? ConnectionCommand.Why.FAILED_LOCALLY : ConnectionCommand.Why.UNCONNECTED);
             tidy(w.peer, g);
             return taken();
         }
@@ -177,7 +177,7 @@
     }
 
     /** A connection is up. */
-    public List<Step> up(double now, long connection) {
+    public List<ConnectionCommand> up(double now, long connection) {
         Connection c = all.get(connection);
         if (c != null && c.state == State.OPENING) {
             Group g = groups.get(c.peer);
@@ -189,7 +189,7 @@
     }
 
     /** The forward that had it is done with it, and it can carry another. */
-    public List<Step> free(double now, long connection) {
+    public List<ConnectionCommand> free(double now, long connection) {
         Connection c = all.get(connection);
         if (c != null && c.state == State.LENT) {
             offer(now, groups.computeIfAbsent(c.peer, p -> new Group()), c);
@@ -198,20 +198,20 @@
     }
 
     /** A connection has failed or ended, or is about to be closed. */
-    public List<Step> ended(double now, long connection) {
-        return ended(now, connection, Step.Why.UNCONNECTED);
+    public List<ConnectionCommand> ended(double now, long connection) {
+        return ended(now, connection, ConnectionCommand.Why.UNCONNECTED);
     }
 
     /** A connection could not be begun: the node has no room for it. */
-    public List<Step> noRoom(double now, long connection) {
-        return ended(now, connection, Step.Why.NO_ROOM);
+    public List<ConnectionCommand> noRoom(double now, long connection) {
+        return ended(now, connection, ConnectionCommand.Why.NO_ROOM);
     }
 
     /**
      * A connection could not be opened because a system call failed on this machine. The wait tries once more after a
      * short pause, as what was lacking may be there again, and then is over: another server may still be within reach.
      */
-    public List<Step> failedLocally(double now, long connection) {
+    public List<ConnectionCommand> failedLocally(double now, long connection) {
         Connection c = all.remove(connection);
         Group g = c == null ? null : groups.get(c.peer);
         if (g == null) {
@@ -236,15 +236,15 @@
 
     private void openAgainLater(double now, Group g, Wait w) {
         if (w.failedLocally++ >= LOCAL_RETRIES) {
-            giveUp(g, w, Step.Why.FAILED_LOCALLY);
+            giveUp(g, w, ConnectionCommand.Why.FAILED_LOCALLY);
             return;
         }
         w.opened = 0;
         w.nextAt = Math.min(w.until, now + LOCAL_RETRY_MS);
-        steps.add(new Step.Wake(w.nextAt, w.id));
+        steps.add(new ConnectionCommand.Wake(w.nextAt, w.id));
     }
 
-    private List<Step> ended(double now, long connection, Step.Why why) {
+    private List<ConnectionCommand> ended(double now, long connection, ConnectionCommand.Why why) {
         Connection c = all.remove(connection);
         Group g = c == null ? null : groups.get(c.peer);
         if (g == null) {
@@ -255,7 +255,7 @@
             // Each wait has a connection under way, or none: then it opens its first, or has failed.
             int without = g.waits.size() - g.opening.size();
             for (Wait w : List.copyOf(g.waits)) {
-                if (without > 0 && w.opened == 0 && why != Step.Why.NO_ROOM) {
+                if (without > 0 && w.opened == 0 && why != ConnectionCommand.Why.NO_ROOM) {
                     without--;
                     open(now, g, w);
                 } else if (without > 0) {
@@ -293,9 +293,9 @@
     }
 
     /** Closes what has been idle for long; trust comes back. */
-    public List<Step> sweep(double now) {
+    public List<ConnectionCommand> sweep(double now) {
         limitMs = limitMs < idleMs ? limitMs * 1.01 + 0.1 : Double.POSITIVE_INFINITY;
-        for (Iterator<Map.Entry<Peer, Group>> i = groups.entrySet().iterator(); i.hasNext(); ) {
+        for (Iterator<Map.Entry<EndpointIdentity, Group>> i = groups.entrySet().iterator(); i.hasNext(); ) {
             Group g = i.next().getValue();
             while (!g.idle.isEmpty() && now - g.idle.peekFirst().since >= idleMs) {
                 close(g.idle.pollFirst());
@@ -308,7 +308,7 @@
     }
 
     /** Closes all to this server that carry nothing. */
-    public List<Step> closeIdle(Peer peer) {
+    public List<ConnectionCommand> closeIdle(EndpointIdentity peer) {
         Group g = groups.get(peer);
         if (g != null) {
             while (!g.idle.isEmpty()) {
@@ -320,7 +320,7 @@
     }
 
     /** Closes one idle connection; no step if there is none. */
-    public List<Step> shed() {
+    public List<ConnectionCommand> shed() {
         for (Group g : groups.values()) {
             if (!g.idle.isEmpty()) {
                 close(g.idle.pollFirst());
@@ -366,7 +366,7 @@
         }
         c.state = State.LENT;
         c.since = now;
-        steps.add(new Step.Lend(c.id, wait));
+        steps.add(new ConnectionCommand.Lend(c.id, wait));
     }
 
     /** To the oldest wait, or kept. */
@@ -389,7 +389,7 @@
         all.put(c.id, c);
         g.opening.add(c);
         w.opened++;
-        steps.add(new Step.Open(c.id, c.peer, connectMs * LINGER, w.opened > 1));
+        steps.add(new ConnectionCommand.Open(c.id, c.peer, connectMs * LINGER, w.opened > 1));
     }
 
     /** Connections under way that may well be up soon. */
@@ -403,18 +403,18 @@
 
     private void wake(Wait w, double now) {
         w.nextAt = w.opened < MOST ? Math.min(w.until, now + patienceMs()) : w.until;
-        steps.add(new Step.Wake(w.nextAt, w.id));
+        steps.add(new ConnectionCommand.Wake(w.nextAt, w.id));
     }
 
-    private void giveUp(Group g, Wait w, Step.Why why) {
+    private void giveUp(Group g, Wait w, ConnectionCommand.Why why) {
         waits.remove(w.id);
         g.waits.remove(w);
-        steps.add(new Step.GiveUp(w.id, why));
+        steps.add(new ConnectionCommand.GiveUp(w.id, why));
     }
 
     private void close(Connection c) {
         all.remove(c.id);
-        steps.add(new Step.Close(c.id));
+        steps.add(new ConnectionCommand.Close(c.id));
     }
 
     private static boolean isEmpty(Group g) {
@@ -422,14 +422,14 @@
     }
 
     /** Guards memory: servers come and go under ever new names. */
-    private void tidy(Peer peer, Group g) {
+    private void tidy(EndpointIdentity peer, Group g) {
         if (isEmpty(g)) {
             groups.remove(peer);
         }
     }
 
-    private List<Step> taken() {
-        List<Step> taken = steps;
+    private List<ConnectionCommand> taken() {
+        List<ConnectionCommand> taken = steps;
         steps = new ArrayList<>();
         return taken;
     }
--- a/core/src/main/java/brackenbridge/core/connection/Peer.java
+++ b/core/src/main/java/brackenbridge/core/connection/EndpointIdentity.java
@@ -7,4 +7,4 @@
  * @param host its name
  * @param dial where it is reached, as {@code address:port}
  */
-public record Peer(String host, String dial) {}
+public record EndpointIdentity(String host, String dial) {}
--- a/core/src/main/java/brackenbridge/core/generation/Acts.java
+++ b/core/src/main/java/brackenbridge/core/generation/EffectiveVersions.java
@@ -8,18 +8,18 @@
  * @param one a generation; 0 in doubt
  * @param other another one, or the same
  */
-public record Acts(long one, long other) {
+public record EffectiveVersions(long one, long other) {
     /** Keeps to every generation there may be: does only what all of them allow. */
-    public static final Acts IN_DOUBT = new Acts(0, 0);
+    public static final EffectiveVersions IN_DOUBT = new EffectiveVersions(0, 0);
 
     /** Keeps to one generation. */
-    public static Acts by(long generation) {
-        return new Acts(generation, generation);
+    public static EffectiveVersions by(long generation) {
+        return new EffectiveVersions(generation, generation);
     }
 
     /** Keeps to both. */
-    public static Acts byBoth(long one, long other) {
-        return new Acts(one, other);
+    public static EffectiveVersions byBoth(long one, long other) {
+        return new EffectiveVersions(one, other);
     }
 
     /** Whether it knows of no generation that it may act by. */
@@ -33,7 +33,7 @@
     }
 
     /** Whether no generation allows what both may do. */
-    public boolean contradicts(Acts that) {
+    public boolean contradicts(EffectiveVersions that) {
         return !inDoubt() && !that.inDoubt() && !that.keeps(one) && !that.keeps(other);
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/Authority.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
@@ -19,7 +19,8 @@
  * @param settledMs until when holders that it knows nothing of may act by what an earlier authority told them
  * @param holders those that may act by what they were told
  */
-public record Authority(Terms terms, Word word, long last, double settledMs, Map<Integer, Held> holders) {
+public record LeaseAuthority(
+        LeaseTerms terms, DecidedVersion word, long last, double settledMs, Map<Integer, Held> holders) {
     /**
      * A holder that was granted a lease.
      *
@@ -39,13 +40,13 @@
     }
 
     /** Keeps its own copy. */
-    public Authority {
+    public LeaseAuthority {
         holders = Map.copyOf(holders);
     }
 
     /** One that takes over at this time, with what is durable; it knows nothing of the leases that were granted. */
-    public static Authority start(Terms terms, double nowMs, Word word, long last) {
-        return new Authority(terms, word, last, nowMs + terms.waitMs(), Map.of());
+    public static LeaseAuthority start(LeaseTerms terms, double nowMs, DecidedVersion word, long last) {
+        return new LeaseAuthority(terms, word, last, nowMs + terms.waitMs(), Map.of());
     }
 
     /** What a proposal against this generation would come to. */
@@ -56,7 +57,7 @@
     }
 
     /** A new generation is staged; its number is {@link #last} from then on. */
-    public Authority stage() {
+    public LeaseAuthority stage() {
         if (word.staged() != 0) {
             throw new IllegalStateException("generation " + word.staged() + " is staged");
         }
@@ -86,7 +87,7 @@
     }
 
     /** The staged generation is in force. */
-    public Authority activate(double nowMs) {
+    public LeaseAuthority activate(double nowMs) {
         if (!mayActivate(nowMs)) {
             throw new IllegalStateException("not before " + mayActivateAtMs() + " ms, it is " + nowMs);
         }
@@ -94,17 +95,17 @@
     }
 
     /** The staged generation will never be in force; its number is not used again. */
-    public Authority abandon() {
+    public LeaseAuthority abandon() {
         return with(word.abandon(), last, holders);
     }
 
     /** Whether the asker can't use the generation that is staged. */
-    public boolean refusedBy(Ask a) {
+    public boolean refusedBy(LeaseRequest a) {
         return a.refused() != 0 && a.refused() == word.staged();
     }
 
     /** A holder has asked; {@link #grant} is the answer. */
-    public Authority asked(double nowMs, Ask a) {
+    public LeaseAuthority asked(double nowMs, LeaseRequest a) {
         Map<Integer, Held> next = new TreeMap<>();
         // Leases that have run out bind nobody: guards memory against holders that are gone for good.
         holders.forEach((id, h) -> {
@@ -121,11 +122,11 @@
     }
 
     /** The answer to a question, with what is decided now. */
-    public Grant grant(Ask a) {
-        return new Grant(a.life(), a.number(), word, terms.leaseMs());
+    public LeaseGrant grant(LeaseRequest a) {
+        return new LeaseGrant(a.life(), a.number(), word, terms.leaseMs());
     }
 
-    private Authority with(Word nextWord, long nextLast, Map<Integer, Held> nextHolders) {
-        return new Authority(terms, nextWord, nextLast, settledMs, nextHolders);
+    private LeaseAuthority with(DecidedVersion nextWord, long nextLast, Map<Integer, Held> nextHolders) {
+        return new LeaseAuthority(terms, nextWord, nextLast, settledMs, nextHolders);
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/Grant.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseGrant.java
@@ -8,4 +8,4 @@
  * @param word what was decided when the answer was given
  * @param leaseMs for how long the holder may act by it, from the moment at which it asked; milliseconds of its clock
  */
-public record Grant(long life, long number, Word word, double leaseMs) {}
+public record LeaseGrant(long life, long number, DecidedVersion word, double leaseMs) {}
--- a/core/src/main/java/brackenbridge/core/generation/Ask.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseRequest.java
@@ -9,4 +9,4 @@
  * @param heard the version of the word that it acts by; 0 if it has none
  * @param refused the generation that it can't use; 0 if none
  */
-public record Ask(int holder, long life, long number, long heard, long refused) {}
+public record LeaseRequest(int holder, long life, long number, long heard, long refused) {}
--- a/core/src/main/java/brackenbridge/core/generation/Terms.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseTerms.java
@@ -7,9 +7,9 @@
  *     milliseconds
  * @param drift by what part the rate of any clock may be off, such as 0.01
  */
-public record Terms(double leaseMs, double drift) {
+public record LeaseTerms(double leaseMs, double drift) {
     /** Terms that no clock could keep are rejected. */
-    public Terms {
+    public LeaseTerms {
         if (!(leaseMs > 0) || !Double.isFinite(leaseMs)) {
             throw new IllegalArgumentException("leaseMs: " + leaseMs);
         }
--- a/core/src/main/java/brackenbridge/core/generation/Cadence.java
+++ b/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
@@ -7,7 +7,7 @@
  * {@link #gapMs} over all causes. Guards the authority against hundreds of holders that all have a reason at once: each
  * first, hinted and failed question is spread by a random part of its time (full jitter).
  */
-public final class Cadence {
+public final class RenewalSchedule {
     /** Questions of a lease at rest. */
     private static final double AT_REST = 4;
     /** Questions of a lease at the most. */
@@ -17,13 +17,13 @@
     /** Longest time between two questions that fail, in leases. */
     private static final double LONGEST = 4;
 
-    private final Terms terms;
+    private final LeaseTerms terms;
     private final RandomGenerator random;
     private double lastMs = Double.NEGATIVE_INFINITY;
     private int failures;
 
     /** The cadence of one holder. */
-    public Cadence(Terms terms, RandomGenerator random) {
+    public RenewalSchedule(LeaseTerms terms, RandomGenerator random) {
         this.terms = terms;
         this.random = random;
     }
--- a/core/src/main/java/brackenbridge/core/generation/Narrower.java
+++ b/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
@@ -15,8 +15,8 @@
  * smaller share. What a generation does not name it does not allow. Who a node is (number, tier, zone, seed) and what
  * its machine tells it are no rules, and are the first's.
  */
-public final class Narrower {
-    private Narrower() {}
+public final class RuleIntersection {
+    private RuleIntersection() {}
 
     /** What both allow; empty if they have no class in common, so that nothing may be done. */
     public static Optional<Settings> of(Settings a, Settings b) {
--- a/core/src/main/java/brackenbridge/core/membership/Source.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoverySource.java
@@ -9,7 +9,7 @@
  *     node's own, which answers at once and at no cost
  * @param mustAskWithinMs a node that has not asked the service for so long counts as told all the same; milliseconds
  */
-public record Source(boolean shared, double mustAskWithinMs) {
+public record DiscoverySource(boolean shared, double mustAskWithinMs) {
     private static final double LONGEST_FIRST_MS = 4000;
     /**
      * What a change that discovery has, and can be asked for, may take until it counts as told is 6 s. Of these a call
--- a/core/src/main/java/brackenbridge/core/membership/Membership.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
@@ -16,11 +16,11 @@
  * in the same moment. At a service the next one is soon out as well, since what a silent watch misses counts as told
  * 6 s after its last word.
  */
-public final class Membership {
+public final class DiscoveryWatch {
     /** A watch that ended sooner has failed, whatever it had said: guards against an end that follows each list. */
     private static final double STOOD_MS = 1000;
 
-    private Source source;
+    private DiscoverySource source;
     private final double silenceMs;
     private final RandomGenerator random;
     private long seq = -1;
@@ -42,14 +42,14 @@
      *
      * @param silenceMs how long a watch may say nothing, in milliseconds; infinite where each call's end is told
      */
-    public Membership(Source source, double silenceMs, RandomGenerator random) {
+    public DiscoveryWatch(DiscoverySource source, double silenceMs, RandomGenerator random) {
         this.source = source;
         this.silenceMs = silenceMs;
         this.random = random;
     }
 
     /** The node starts with a list of this version, -1 if it has none. */
-    public List<Step> start(double now, long heldSeq) {
+    public List<DiscoveryCommand> start(double now, long heldSeq) {
         seq = heldSeq;
         openAt = now + source.firstMs(random);
         return go(now);
@@ -68,7 +68,7 @@
     }
 
     /** Lists come this way from now on; a next call that was put off goes by what it costs here. */
-    public List<Step> comesFrom(double now, Source next) {
+    public List<DiscoveryCommand> comesFrom(double now, DiscoverySource next) {
         if (call < 0 && openAt < Double.POSITIVE_INFINITY && !next.equals(source)) {
             openAt = Math.min(openAt, now + next.againMs(Math.max(1, failures), random));
         }
@@ -81,14 +81,14 @@
      *
      * @param elsewhere discovery has moved: its versions say nothing beside the old one's
      */
-    public List<Step> askNow(double now, boolean elsewhere) {
+    public List<DiscoveryCommand> askNow(double now, boolean elsewhere) {
         moved |= elsewhere;
         // Guards the new address against what the old one did: its callers were never turned away.
         failures = elsewhere ? 0 : failures;
         openAt = now;
-        List<Step> steps = new ArrayList<>();
+        List<DiscoveryCommand> steps = new ArrayList<>();
         if (call >= 0) {
-            steps.add(new Step.End(call, false));
+            steps.add(new DiscoveryCommand.End(call, false));
             call = -1;
         }
         steps.addAll(go(now));
@@ -125,7 +125,7 @@
     }
 
     /** This call has ended or failed; nothing if it was over already. */
-    public List<Step> ended(double now, long on) {
+    public List<DiscoveryCommand> ended(double now, long on) {
         if (!isOpen(on)) {
             return List.of();
         }
@@ -146,7 +146,7 @@
     }
 
     /** The turn that was asked for has come; one that was overtaken does nothing. */
-    public List<Step> wake(double now, long ofTurn) {
+    public List<DiscoveryCommand> wake(double now, long ofTurn) {
         if (ofTurn != turn) {
             return List.of();
         }
@@ -155,10 +155,10 @@
     }
 
     /** Does what is due, and asks to be woken when the next thing is. */
-    private List<Step> go(double now) {
-        List<Step> steps = new ArrayList<>();
+    private List<DiscoveryCommand> go(double now) {
+        List<DiscoveryCommand> steps = new ArrayList<>();
         if (call >= 0 && now >= heardAt() + silenceMs) {
-            steps.add(new Step.End(call, true));
+            steps.add(new DiscoveryCommand.End(call, true));
             call = -1;
             // Silence is no word of a caller too many.
             failures = 0;
@@ -169,12 +169,12 @@
             toldOnCall = false;
             openedAt = now;
             openAt = Double.POSITIVE_INFINITY;
-            steps.add(new Step.Open(call, seq));
+            steps.add(new DiscoveryCommand.Open(call, seq));
         }
         double due = call >= 0 ? heardAt() + silenceMs : openAt;
         if (due < turnAt) {
             turnAt = due;
-            steps.add(new Step.Wake(due, ++turn));
+            steps.add(new DiscoveryCommand.Wake(due, ++turn));
         }
         return steps;
     }
--- a/core/src/main/java/brackenbridge/core/share/Turn.java
+++ b/core/src/main/java/brackenbridge/core/share/SchedulingResult.java
@@ -8,9 +8,9 @@
  * @param begin flows that waited and go now, in this order
  * @param refuse flows that waited and can't be served in time any more
  */
-public record Turn(List<Long> begin, List<Refused> refuse) {
+public record SchedulingResult(List<Long> begin, List<Refused> refuse) {
     /** Nothing follows. */
-    public static final Turn NONE = new Turn(List.of(), List.of());
+    public static final SchedulingResult NONE = new SchedulingResult(List.of(), List.of());
 
     /**
      * A flow that is refused.
--- a/core/src/main/java/brackenbridge/core/share/Allowances.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantQuotas.java
@@ -13,7 +13,7 @@
  * @param untilMs from then on {@code guaranteed} holds instead of {@code tenants} and {@code others}
  * @param guaranteed connections that each tenant may hold here whatever becomes of the rest of the fleet
  */
-public record Allowances(
+public record TenantQuotas(
         long epoch,
         Map<String, Double> tenants,
         double others,
@@ -21,7 +21,7 @@
         double untilMs,
         Map<String, Double> guaranteed) {
     /** Keeps its own copies. */
-    public Allowances {
+    public TenantQuotas {
         tenants = Map.copyOf(tenants);
         weights = Map.copyOf(weights);
         guaranteed = Map.copyOf(guaranteed);
--- a/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
@@ -22,7 +22,7 @@
  * before all that hold more. What nobody may claim is lent, by weights, to tenants whose calls are short enough to
  * be given back within {@link Limits#returnMs}.
  *
- * <p>Tenants that are not named in {@link Allowances} share what is for all others, by the same method among
+ * <p>Tenants that are not named in {@link TenantQuotas} share what is for all others, by the same method among
  * themselves. At no time begins a call while as many run as all allowances make together. Until allowances are told
  * for the first time every call goes.
  *
@@ -65,7 +65,7 @@
     public enum Verdict {
         /** Forward it now. */
         GO,
-        /** It waits for its turn: a later {@link Turn} names it. */
+        /** It waits for its turn: a later {@link SchedulingResult} names it. */
         WAIT,
         /** It can't be served in time. */
         REFUSE
@@ -198,7 +198,7 @@
             new TreeSet<>(Comparator.<Share>comparingDouble(s -> s.refillKey).thenComparingLong(s -> s.number));
 
     private final PriorityQueue<Call> latest = new PriorityQueue<>(Comparator.comparingDouble(c -> c.latestMs));
-    private Allowances told;
+    private TenantQuotas told;
     private boolean byGuarantee;
     private int total = Integer.MAX_VALUE;
     private double rate = 1;
@@ -217,9 +217,9 @@
     }
 
     /** What may be held from now on; a lower epoch than was told before is passed over. */
-    public Turn told(double nowMs, Allowances a) {
+    public SchedulingResult told(double nowMs, TenantQuotas a) {
         if (told != null && a.epoch() < told.epoch()) {
-            return Turn.NONE;
+            return SchedulingResult.NONE;
         }
         advance(nowMs);
         told = a;
@@ -275,10 +275,10 @@
     }
 
     /** A flow has its answer, or is given up, whether it runs or waits; unknown ones are passed over. */
-    public Turn done(double nowMs, long flow) {
+    public SchedulingResult done(double nowMs, long flow) {
         Call c = calls.remove(flow);
         if (c == null) {
-            return Turn.NONE;
+            return SchedulingResult.NONE;
         }
         advance(nowMs);
         if (c.running()) {
@@ -290,12 +290,12 @@
     }
 
     /** A flow that waits is gone; the same as {@link #done}. */
-    public Turn gone(double nowMs, long flow) {
+    public SchedulingResult gone(double nowMs, long flow) {
         return done(nowMs, flow);
     }
 
     /** The time of {@link #wakeMs} has come. */
-    public Turn due(double nowMs) {
+    public SchedulingResult due(double nowMs) {
         advance(nowMs);
         if (told != null && !byGuarantee && !(nowMs < told.untilMs())) {
             byGuarantee = true;
@@ -645,8 +645,8 @@
         place(t.share, nowMs);
     }
 
-    private Turn turn(double nowMs) {
-        List<Turn.Refused> refused = null;
+    private SchedulingResult turn(double nowMs) {
+        List<SchedulingResult.Refused> refused = null;
         while (!latest.isEmpty()
                 && (latest.peek().gone || latest.peek().running() || latest.peek().latestMs <= nowMs)) {
             Call c = latest.poll();
@@ -655,7 +655,7 @@
                 drop(c, nowMs);
                 c.tenant.refused++;
                 refused = refused == null ? new ArrayList<>() : refused;
-                refused.add(new Turn.Refused(c.flow, retryMs(waitMs(c.tenant, nowMs), c.expectedMs)));
+                refused.add(new SchedulingResult.Refused(c.flow, retryMs(waitMs(c.tenant, nowMs), c.expectedMs)));
             }
         }
         while (!later.isEmpty() && later.first().refillKey <= virtual + ROUNDING) {
@@ -677,8 +677,8 @@
             begin.add(c.flow);
         }
         return begin == null && refused == null
-                ? Turn.NONE
-                : new Turn(begin == null ? List.of() : begin, refused == null ? List.of() : refused);
+                ? SchedulingResult.NONE
+                : new SchedulingResult(begin == null ? List.of() : begin, refused == null ? List.of() : refused);
     }
 
     private Share next(double nowMs) {
--- a/core/src/main/java/brackenbridge/counters/Counters.java
+++ b/core/src/main/java/brackenbridge/counters/Counters.java
@@ -91,7 +91,8 @@
 
     private final EnumMap<Kind, Long> counts = new EnumMap<>(Kind.class);
     private final Map<String, EnumMap<Kind, Long>> byClass = new TreeMap<>();
-    private final EnumMap<Refusal.Port, EnumMap<Refusal, Long>> refused = new EnumMap<>(Refusal.Port.class);
+    private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> refused =
+            new EnumMap<>(RejectionReason.Port.class);
 
     /** Counts one. */
     public void count(Kind kind) {
@@ -99,8 +100,8 @@
     }
 
     /** Counts one refusal, or one close, at a port. */
-    public void refuse(Refusal.Port port, Refusal why) {
-        refused.computeIfAbsent(port, p -> new EnumMap<>(Refusal.class)).merge(why, 1L, Long::sum);
+    public void refuse(RejectionReason.Port port, RejectionReason why) {
+        refused.computeIfAbsent(port, p -> new EnumMap<>(RejectionReason.class)).merge(why, 1L, Long::sum);
     }
 
     /** Counts one of a class of request. The class keeps its counts when it is dropped from the settings. */
@@ -160,7 +161,7 @@
         return line.toString();
     }
 
-    private static String name(Refusal.Port port, Refusal why) {
+    private static String name(RejectionReason.Port port, RejectionReason why) {
         return "refused_" + port.name().toLowerCase(java.util.Locale.ROOT) + "_" + why.text();
     }
 
--- a/core/src/main/java/brackenbridge/counters/Refusal.java
+++ b/core/src/main/java/brackenbridge/counters/RejectionReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why what came in at a port was turned down, or its connection closed; counters and log use the same words. */
-public enum Refusal {
+public enum RejectionReason {
     /** It can't be read as what is due there. */
     MALFORMED,
     /** It is longer than what is due there, or too much of it is held. */
@@ -32,7 +32,7 @@
     }
 
     /** The refusal of a request with this status. */
-    public static Refusal ofStatus(int status) {
+    public static RejectionReason ofStatus(int status) {
         return switch (status) {
             case 408 -> SLOW;
             case 413, 414, 431 -> OVERSIZED;
--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -124,7 +124,7 @@
         }
         p.tell(new Event.FlowOpened(
                 id,
-                new Flow(
+                new ClientRequest(
                         c.name(),
                         r.nextBoolean() ? "acme" : null,
                         r.nextInt(3) == 0 ? -1 : r.nextInt(600),
@@ -135,17 +135,17 @@
 
     private void change(SplittableRandom r, Play p) {
         settings = settings(r);
-        p.tell(new Event.Reconfigured(settings, new TargetGroup(41, true, List.of()), r.nextInt(4) == 0));
+        p.tell(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), r.nextInt(4) == 0));
     }
 
     private void list(SplittableRandom r, Play p) {
-        List<Target> targets = new ArrayList<>();
+        List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             if (r.nextInt(4) > 0) {
                 targets.add(Play.target("s-" + i, r.nextInt(5) > 0 ? EndpointState.UP : EndpointState.DRAINING));
             }
         }
-        p.tell(new Event.Inherited(new TargetGroup(version++, true, targets)));
+        p.tell(new Event.Inherited(new EndpointList(version++, true, targets)));
     }
 
     private void forward(SplittableRandom r, Play p, long f) {
@@ -225,13 +225,13 @@
     /** Every server has room again: one call after the other finds one at once, and none is forgotten. */
     private void freeAgain(Play p) {
         settings = Play.settings(1, 5, Play.VIEW);
-        p.tell(new Event.Reconfigured(settings, new TargetGroup(41, true, List.of()), false));
-        List<Target> targets = new ArrayList<>();
+        p.tell(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), false));
+        List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            Target t = Play.target("s-" + i, EndpointState.UP);
-            targets.add(new Target(t.host(), t.dial(), t.zone(), t.cell(), 1, p.clock.nowMs(), t.state()));
+            ServerEndpoint t = Play.target("s-" + i, EndpointState.UP);
+            targets.add(new ServerEndpoint(t.host(), t.dial(), t.zone(), t.cell(), 1, p.clock.nowMs(), t.state()));
         }
-        p.tell(new Event.Inherited(new TargetGroup(version++, true, targets)));
+        p.tell(new Event.Inherited(new EndpointList(version++, true, targets)));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 40; i++) {
             long f = p.open(Play.VIEW, 5000);
--- a/core/src/test/java/brackenbridge/core/LifeCycleTest.java
+++ b/core/src/test/java/brackenbridge/core/LifeCycleTest.java
@@ -68,7 +68,7 @@
     @Test
     void newSettingsLeaveADrainAsItIs() {
         Play p = new Play(4, 2).tell(DRAIN).pass(700);
-        p.tell(new Event.Reconfigured(Play.settings(2, 3, Play.FILE), new TargetGroup(41, true, List.of()), false));
+        p.tell(new Event.Reconfigured(Play.settings(2, 3, Play.FILE), new EndpointList(41, true, List.of()), false));
         assertFalse(p.reducer.ready());
         assertEquals(List.of(Fixed.REFUSED), p.pass(1200).fixed(p.open(Play.FILE, 5000)));
         assertTrue(p.tell(RETURN).reducer.ready());
--- a/core/src/test/java/brackenbridge/core/Play.java
+++ b/core/src/test/java/brackenbridge/core/Play.java
@@ -40,11 +40,11 @@
     Play(int servers, int peers, RequestClass... classes) {
         settings = settings(peers, 5, classes);
         reducer = new Reducer(settings, counters);
-        List<Target> targets = new ArrayList<>();
+        List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             targets.add(target("s-" + i, EndpointState.UP));
         }
-        tell(new Event.Started(new TargetGroup(41, true, targets)));
+        tell(new Event.Started(new EndpointList(41, true, targets)));
     }
 
     static Settings settings(int peers, int attempts, RequestClass... classes) {
@@ -71,8 +71,9 @@
                 new Network(120_000, 500_000, false, List.of("depth")));
     }
 
-    static Target target(String host, EndpointState state) {
-        return new Target(host, "127.0.0.1:" + (9000 + Math.abs(host.hashCode() % 1000)), "room", -1, 1, 0, state);
+    static ServerEndpoint target(String host, EndpointState state) {
+        return new ServerEndpoint(
+                host, "127.0.0.1:" + (9000 + Math.abs(host.hashCode() % 1000)), "room", -1, 1, 0, state);
     }
 
     Play tell(Event event) {
@@ -88,7 +89,7 @@
 
     /** Opens a flow and gives its number back. */
     long open(RequestClass c, double leftMs) {
-        tell(new Event.FlowOpened(flows, new Flow(c.name(), null, leftMs, false, true, "message " + flows)));
+        tell(new Event.FlowOpened(flows, new ClientRequest(c.name(), null, leftMs, false, true, "message " + flows)));
         return flows++;
     }
 
--- a/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
+++ b/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
@@ -98,9 +98,9 @@
         reducer = new Reducer(rules, new Counters(), (settings, actions) -> module = new Reckless(actions, with));
         tell(
                 NOW,
-                new Event.Started(new TargetGroup(
+                new Event.Started(new EndpointList(
                         1, true, List.of(Play.target("s-0", EndpointState.UP), Play.target("s-1", EndpointState.UP)))));
-        tell(NOW, new Event.FlowOpened(7, new Flow("file", null, 1000, false, true, "message")));
+        tell(NOW, new Event.FlowOpened(7, new ClientRequest("file", null, 1000, false, true, "message")));
     }
 
     private void tell(double now, Event event) {
@@ -211,7 +211,7 @@
     void moduleThatFaultsAtAStopLeavesNoFlowUnanswered() {
         start((out, flow) -> out.send(flow, id("s-0"), 0));
         for (long flow = 8; flow < 12; flow++) {
-            tell(NOW, new Event.FlowOpened(flow, new Flow("file", null, 9000, false, true, "message")));
+            tell(NOW, new Event.FlowOpened(flow, new ClientRequest("file", null, 9000, false, true, "message")));
         }
         tell(NOW + 1, new Event.ForwardWritten(7, 0));
         module.faults = true;
@@ -234,7 +234,7 @@
     @Test
     void moduleThatFaultsWhenABodyIsWholeStillAnswersAtTheDeadline() {
         start((out, flow) -> {});
-        tell(NOW, new Event.FlowOpened(8, new Flow("file", null, 1000, false, false, "part")));
+        tell(NOW, new Event.FlowOpened(8, new ClientRequest("file", null, 1000, false, false, "part")));
         module.faults = true;
         effects.clear();
         tell(NOW + 5000, new Event.FlowWhole(8));
@@ -264,13 +264,13 @@
     @Test
     void hostThatDrainsGetsNothingAfterHalfOfItsGrace() {
         start((out, flow) -> {});
-        tell(NOW, new Event.Inherited(new TargetGroup(2, true, List.of(Play.target("s-1", EndpointState.UP)))));
+        tell(NOW, new Event.Inherited(new EndpointList(2, true, List.of(Play.target("s-1", EndpointState.UP)))));
         long watch = of(Effect.Watch.class).get(0).call();
         tell(
                 NOW + 1,
                 new Event.TargetsTold(
-                        watch, new TargetGroup(3, true, List.of(Play.target("s-1", EndpointState.DRAINING)))));
-        tell(NOW + 240, new Event.FlowOpened(8, new Flow("file", null, 1000, false, true, "message")));
+                        watch, new EndpointList(3, true, List.of(Play.target("s-1", EndpointState.DRAINING)))));
+        tell(NOW + 240, new Event.FlowOpened(8, new ClientRequest("file", null, 1000, false, true, "message")));
         does(NOW + 240, out -> out.send(8, id("s-1"), 900_000));
         does(NOW + 255, out -> out.send(7, id("s-1"), 900_000));
         assertEquals(
@@ -282,19 +282,19 @@
     @Test
     void forwardThatWaitsForItsConnectionAtTheEndOfTheGraceIsCalledOff() {
         start((out, flow) -> out.send(flow, id("s-1"), 900_000));
-        tell(NOW, new Event.Inherited(new TargetGroup(2, true, List.of(Play.target("s-1", EndpointState.DRAINING)))));
+        tell(NOW, new Event.Inherited(new EndpointList(2, true, List.of(Play.target("s-1", EndpointState.DRAINING)))));
         tell(NOW + 250, new Event.TimerFired(new TimerKey.DrainCutoff("s-1")));
         assertEquals(List.of(new Effect.CancelForward(7, 0)), of(Effect.CancelForward.class));
         assertEquals(List.of(Outcome.CONNECT_FAILED), module.told);
     }
 
     private void startDraining(String host) {
-        tell(NOW, new Event.Inherited(new TargetGroup(2, true, List.of(Play.target(host, EndpointState.UP)))));
+        tell(NOW, new Event.Inherited(new EndpointList(2, true, List.of(Play.target(host, EndpointState.UP)))));
         long watch = of(Effect.Watch.class).get(0).call();
         tell(
                 NOW,
                 new Event.TargetsTold(
-                        watch, new TargetGroup(3, true, List.of(Play.target(host, EndpointState.DRAINING)))));
+                        watch, new EndpointList(3, true, List.of(Play.target(host, EndpointState.DRAINING)))));
     }
 
     @Test
@@ -328,7 +328,7 @@
     @Test
     void clientThatMayHaveWaitedUnseenHasItsFirstAttemptWithWhatIsSurelyLeft() {
         start((out, flow) -> out.send(flow, id("s-1"), 0));
-        tell(NOW, new Event.FlowOpened(8, new Flow("file", null, 1000, false, true, 600, "message")));
+        tell(NOW, new Event.FlowOpened(8, new ClientRequest("file", null, 1000, false, true, 600, "message")));
         assertEquals(395, reducer.timeLeftMs(NOW, 8, 0), 1e-6);
         assertEquals(1, reducer.timeLeftMs(NOW + 500, 8, 0), 1e-6, "it may still be waiting");
         assertEquals(0, reducer.timeLeftMs(NOW + 995, 8, 0));
@@ -341,7 +341,7 @@
     @Test
     void longRequestIsToldNoMoreThanIfItHadBeenWholeWhenItWasSentAndMayBeginLater() {
         start((out, flow) -> out.send(flow, id("s-1"), 0));
-        tell(NOW, new Event.FlowOpened(8, new Flow("file", null, 1000, false, false, "message")));
+        tell(NOW, new Event.FlowOpened(8, new ClientRequest("file", null, 1000, false, false, "message")));
         does(NOW, out -> out.send(8, id("s-0"), 0));
         assertEquals(495, reducer.timeLeftMs(NOW + 500, 8, 0), 1e-6);
         assertEquals(1, reducer.timeLeftMs(NOW + 4000, 8, 0), 1e-6);
--- a/core/src/test/java/brackenbridge/core/ReducerTest.java
+++ b/core/src/test/java/brackenbridge/core/ReducerTest.java
@@ -70,13 +70,13 @@
     void furtherAttemptIsToldWhatIsSurelyLeftAndIsNotMadeBeyondIt() {
         Play p = new Play(4);
         long f = 70;
-        p.tell(new Event.FlowOpened(f, new Flow(Play.FILE.name(), null, 5000, false, true, 1500, "m")));
+        p.tell(new Event.FlowOpened(f, new ClientRequest(Play.FILE.name(), null, 5000, false, true, 1500, "m")));
         double opened = p.clock.nowMs();
         assertEquals(opened + 4995, p.forwards(f).get(0).giveUpMs(), 1e-6);
         p.tell(new Event.ForwardBroken(f, 0));
         assertEquals(opened + 3495, p.forwards(f).get(1).giveUpMs(), 1e-6);
         long late = 71;
-        p.tell(new Event.FlowOpened(late, new Flow(Play.FILE.name(), null, 1000, false, true, 1500, "m")))
+        p.tell(new Event.FlowOpened(late, new ClientRequest(Play.FILE.name(), null, 1000, false, true, 1500, "m")))
                 .tell(new Event.ForwardBroken(late, 0));
         assertEquals(1, p.forwards(late).size());
         assertEquals(List.of(Fixed.REFUSED), p.fixed(late));
@@ -157,11 +157,11 @@
         Play p = new Play(1).pass(4100);
         long call = p.of(Effect.Watch.class).get(0).call();
         p.tell(new Event.TargetsTold(
-                call, new TargetGroup(50, false, List.of(Play.target("s-0", EndpointState.DRAINING)))));
+                call, new EndpointList(50, false, List.of(Play.target("s-0", EndpointState.DRAINING)))));
         assertFalse(p.reducer.ready());
-        p.tell(new Event.TargetsTold(call, new TargetGroup(49, true, List.of(Play.target("s-0", EndpointState.UP)))));
+        p.tell(new Event.TargetsTold(call, new EndpointList(49, true, List.of(Play.target("s-0", EndpointState.UP)))));
         assertFalse(p.reducer.ready());
-        p.tell(new Event.TargetsTold(call, new TargetGroup(51, false, List.of(Play.target("s-0", EndpointState.UP)))));
+        p.tell(new Event.TargetsTold(call, new EndpointList(51, false, List.of(Play.target("s-0", EndpointState.UP)))));
         assertTrue(p.reducer.ready());
     }
 
@@ -171,7 +171,7 @@
         long f = p.open(Play.FILE, 5000);
         p.tell(new Event.TargetsTold(
                         p.of(Effect.Watch.class).get(0).call(),
-                        new TargetGroup(50, false, List.of(Play.target("s-0", EndpointState.REMOVED)))))
+                        new EndpointList(50, false, List.of(Play.target("s-0", EndpointState.REMOVED)))))
                 .pass(490);
         assertEquals(List.of(new Effect.CancelForward(f, 0)), p.of(Effect.CancelForward.class));
         assertEquals(1, p.forwards(f).size());
@@ -180,9 +180,9 @@
     @Test
     void newDialIsUsedFromThenOn() {
         Play p = new Play(1).pass(4100);
-        Target moved = new Target("s-0", "127.0.0.9:9", "room", -1, 1, 0, EndpointState.UP);
+        ServerEndpoint moved = new ServerEndpoint("s-0", "127.0.0.9:9", "room", -1, 1, 0, EndpointState.UP);
         p.tell(new Event.TargetsTold(
-                p.of(Effect.Watch.class).get(0).call(), new TargetGroup(50, false, List.of(moved))));
+                p.of(Effect.Watch.class).get(0).call(), new EndpointList(50, false, List.of(moved))));
         assertEquals("127.0.0.9:9", p.forwards(p.open(Play.FILE, 5000)).get(0).dial());
         assertEquals(
                 List.of(new Effect.CloseIdle(
@@ -194,16 +194,16 @@
     void movedDiscoveryIsAskedAtOnceAndItsWholeListHolds() {
         Play p = new Play(1).pass(4100);
         long old = p.of(Effect.Watch.class).get(0).call();
-        TargetGroup known = new TargetGroup(40, true, List.of(Play.target("s-old", EndpointState.UP)));
+        EndpointList known = new EndpointList(40, true, List.of(Play.target("s-old", EndpointState.UP)));
         p.tell(new Event.Reconfigured(p.settings, known, true));
         assertEquals(List.of(new Effect.EndDiscovery(old)), p.of(Effect.EndDiscovery.class));
         Effect.Watch w = p.of(Effect.Watch.class).get(1);
         assertEquals(41, w.afterSeq());
         p.tell(new Event.DiscoveryEnded(old));
-        p.tell(new Event.TargetsTold(old, new TargetGroup(99, true, List.of())));
+        p.tell(new Event.TargetsTold(old, new EndpointList(99, true, List.of())));
         assertTrue(p.reducer.ready());
         p.tell(new Event.TargetsTold(
-                w.call(), new TargetGroup(7, true, List.of(Play.target("s-new", EndpointState.UP)))));
+                w.call(), new EndpointList(7, true, List.of(Play.target("s-new", EndpointState.UP)))));
         assertEquals("s-new", p.forwards(p.open(Play.FILE, 5000)).get(0).host());
         p.pass(1000).tell(new Event.DiscoveryBeat(w.call())).pass(2500);
         assertEquals(2, p.of(Effect.Watch.class).size(), "the module's own pause brings no further call");
@@ -213,7 +213,7 @@
     void reconfiguredNodeTakesANewerListAndKeepsItsWatch() {
         Play p = new Play(1).pass(4100);
         p.tell(new Event.Reconfigured(
-                p.settings, new TargetGroup(42, true, List.of(Play.target("s-new", EndpointState.UP))), false));
+                p.settings, new EndpointList(42, true, List.of(Play.target("s-new", EndpointState.UP))), false));
         assertEquals("s-new", p.forwards(p.open(Play.FILE, 5000)).get(0).host());
         assertEquals(0, p.of(Effect.EndDiscovery.class).size());
         assertEquals(1, p.counters.of(Kind.RECONFIGURED));
@@ -227,7 +227,7 @@
         double first = p.clock.nowMs();
         for (int i = 0; i < 3; i++) {
             assertEquals(0, p.of(Effect.CancelForward.class).size(), "after " + (p.clock.nowMs() - first));
-            TargetGroup known = new TargetGroup(
+            EndpointList known = new EndpointList(
                     42 + i,
                     true,
                     List.of(Play.target("s-0", EndpointState.DRAINING), Play.target("s-new-" + i, EndpointState.UP)));
@@ -244,9 +244,9 @@
                         .toList(),
                 p.of(Effect.EndDiscovery.class));
         p.tell(new Event.TargetsTold(
-                watches.get(2).call(), new TargetGroup(99, true, List.of(Play.target("s-old", EndpointState.UP)))));
+                watches.get(2).call(), new EndpointList(99, true, List.of(Play.target("s-old", EndpointState.UP)))));
         p.tell(new Event.TargetsTold(
-                watches.get(3).call(), new TargetGroup(7, true, List.of(Play.target("s-last", EndpointState.UP)))));
+                watches.get(3).call(), new EndpointList(7, true, List.of(Play.target("s-last", EndpointState.UP)))));
         for (int i = 0; i < 4; i++) {
             p.open(Play.FILE, 5000);
         }
@@ -337,10 +337,10 @@
         p.tell(new Event.ForwardWritten(f, 0));
         for (int i = 0; i < 100; i++) {
             p.tell(new Event.TargetsTold(
-                    call, new TargetGroup(50 + 2 * i, false, List.of(Play.target("n-" + i, EndpointState.UP)))));
+                    call, new EndpointList(50 + 2 * i, false, List.of(Play.target("n-" + i, EndpointState.UP)))));
             p.tell(new Event.TargetsTold(
                     call,
-                    new TargetGroup(
+                    new EndpointList(
                             51 + 2 * i,
                             false,
                             List.of(
@@ -350,7 +350,7 @@
         }
         p.tell(answer(f, 0, Reply.SERVED));
         assertEquals(1, p.of(Effect.Respond.class).size());
-        p.tell(new Event.TargetsTold(call, new TargetGroup(900, false, List.of())));
+        p.tell(new Event.TargetsTold(call, new EndpointList(900, false, List.of())));
         assertEquals(1, p.reducer.hosts());
     }
 
@@ -388,7 +388,8 @@
                 0.25);
         RequestClass other = new RequestClass(
                 "other", 1_000_000, 3_000_000, BalancerApi.Effect.SAFE, BalancerApi.DedupScope.ALL, 0, false, 5, 0.25);
-        p.tell(new Event.Reconfigured(Play.settings(2, 2, strict, other), new TargetGroup(41, true, List.of()), false));
+        p.tell(new Event.Reconfigured(
+                Play.settings(2, 2, strict, other), new EndpointList(41, true, List.of()), false));
         for (int i = 0; i < 4; i++) {
             p.tell(new Event.ForwardWritten(old, i)).tell(new Event.ForwardBroken(old, i));
         }
@@ -413,7 +414,7 @@
         }
         int before = p.of(Effect.Forward.class).size();
         assertTrue(before < 12, "some wait");
-        p.tell(new Event.Reconfigured(Play.settings(1, 5, Play.FILE), new TargetGroup(41, true, List.of()), false));
+        p.tell(new Event.Reconfigured(Play.settings(1, 5, Play.FILE), new EndpointList(41, true, List.of()), false));
         for (int i = 0; i < 12; i++) {
             for (Effect.Forward f : p.of(Effect.Forward.class)) {
                 p.tell(new Event.ForwardWritten(f.flow(), f.forward()));
@@ -430,7 +431,7 @@
 
     /** A flow whose body is still coming. */
     private static long openLong(Play p) {
-        p.tell(new Event.FlowOpened(900, new Flow("file", null, 1000, false, false, "part")));
+        p.tell(new Event.FlowOpened(900, new ClientRequest("file", null, 1000, false, false, "part")));
         return 900;
     }
 
@@ -477,7 +478,7 @@
     void longRequestsHoldNoServerUntilTheyAreWhole() {
         Play p = new Play(2, 2);
         for (long f = 500; f < 530; f++) {
-            p.tell(new Event.FlowOpened(f, new Flow("file", null, 5000, false, false, "part")));
+            p.tell(new Event.FlowOpened(f, new ClientRequest("file", null, 5000, false, false, "part")));
             assertEquals(1, p.forwards(f).size(), "the " + f + " goes out at once");
         }
         long other = p.open(Play.FILE, 5000);
@@ -497,13 +498,13 @@
         long call = p.of(Effect.Watch.class).get(0).call();
         p.tell(new Event.TargetsTold(
                 call,
-                new TargetGroup(
+                new EndpointList(
                         42, true, List.of(Play.target("s-1", EndpointState.UP)), List.of("s-0", "s-never-seen"))));
         assertEquals(2, p.reducer.hosts());
         for (int i = 0; i < 2; i++) {
             assertEquals(1, p.forwards(p.open(Play.FILE, 5000)).size(), "both still serve");
         }
-        p.tell(new Event.TargetsTold(call, new TargetGroup(43, true, List.of(Play.target("s-1", EndpointState.UP)))));
+        p.tell(new Event.TargetsTold(call, new EndpointList(43, true, List.of(Play.target("s-1", EndpointState.UP)))));
         assertEquals(2, p.reducer.hosts(), "gone, but a forward is out there");
         assertTrue(p.reducer.figures().contains("proxy.pool_size:1|g"));
     }
--- a/core/src/test/java/brackenbridge/core/RefusalTest.java
+++ b/core/src/test/java/brackenbridge/core/RefusalTest.java
@@ -39,7 +39,7 @@
                         0.3,
                         8_500_000,
                         s.network()),
-                new TargetGroup(41, true, List.of()),
+                new EndpointList(41, true, List.of()),
                 false));
         return p;
     }
@@ -56,7 +56,7 @@
 
     private static long open(Play p, RequestClass c, boolean whole) {
         long id = 5000 + p.effects.size();
-        p.tell(new Event.FlowOpened(id, new Flow(c.name(), null, 1000, false, whole, "message")));
+        p.tell(new Event.FlowOpened(id, new ClientRequest(c.name(), null, 1000, false, whole, "message")));
         return id;
     }
 
--- a/core/src/test/java/brackenbridge/core/SharesToldTest.java
+++ b/core/src/test/java/brackenbridge/core/SharesToldTest.java
@@ -5,7 +5,7 @@
 
 import brackenbridge.core.Effect.Fixed;
 import brackenbridge.core.Event.Reply;
-import brackenbridge.core.share.Allowances;
+import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.counters.Counters.Kind;
 import java.util.Map;
 import java.util.stream.LongStream;
@@ -17,12 +17,12 @@
     private long next = 1000;
 
     private long open(String tenant, double leftMs) {
-        p.tell(new Event.FlowOpened(next, new Flow("view", tenant, leftMs, false, true, "message")));
+        p.tell(new Event.FlowOpened(next, new ClientRequest("view", tenant, leftMs, false, true, "message")));
         return next++;
     }
 
     private void shares(long epoch, double a, double b, double forMs) {
-        p.tell(new Event.SharesTold(new Allowances(
+        p.tell(new Event.SharesTold(new TenantQuotas(
                 epoch, Map.of("a", a, "b", b), 1, Map.of(), p.clock.nowMs() + forMs, Map.of("a", 1.0, "b", 1.0))));
     }
 
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -39,7 +39,7 @@
 
     private static Event newDeadline(double ms) {
         return new Event.Reconfigured(
-                Play.settings(1, 5, withDeadline(ms)), new TargetGroup(41, true, List.of()), false);
+                Play.settings(1, 5, withDeadline(ms)), new EndpointList(41, true, List.of()), false);
     }
 
     private static Play with(double deadlineMs, Situation situation) {
--- a/core/src/test/java/brackenbridge/core/ZonesWeighedTest.java
+++ b/core/src/test/java/brackenbridge/core/ZonesWeighedTest.java
@@ -18,12 +18,12 @@
 
     private static Play twoZones() {
         Play p = new Play(0);
-        List<Target> targets = new ArrayList<>();
+        List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            Target t = Play.target("s-" + i, EndpointState.UP);
-            targets.add(new Target(t.host(), t.dial(), i % 2 == 0 ? "a" : "b", -1, 1, 0, EndpointState.UP));
+            ServerEndpoint t = Play.target("s-" + i, EndpointState.UP);
+            targets.add(new ServerEndpoint(t.host(), t.dial(), i % 2 == 0 ? "a" : "b", -1, 1, 0, EndpointState.UP));
         }
-        return p.tell(new Event.Started(new TargetGroup(42, true, targets)));
+        return p.tell(new Event.Started(new EndpointList(42, true, targets)));
     }
 
     /** How many of so many calls, one after the other, went to zone a. */
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionsTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
@@ -13,18 +13,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ConnectionsTest {
-    private static final Peer A = new Peer("a", "10.0.0.1:80");
-    private static final Peer B = new Peer("b", "10.0.0.2:80");
+class ConnectionPoolTest {
+    private static final EndpointIdentity A = new EndpointIdentity("a", "10.0.0.1:80");
+    private static final EndpointIdentity B = new EndpointIdentity("b", "10.0.0.2:80");
 
-    private final Connections pool = new Connections(100, 10_000);
+    private final ConnectionPool pool = new ConnectionPool(100, 10_000);
 
-    private static List<Step> of(Class<?> kind, List<Step> steps) {
+    private static List<ConnectionCommand> of(Class<?> kind, List<ConnectionCommand> steps) {
         return steps.stream().filter(kind::isInstance).toList();
     }
 
-    private static List<Step> lent(long connection, long ticket) {
-        return List.of(new Step.Lend(connection, ticket));
+    private static List<ConnectionCommand> lent(long connection, long ticket) {
+        return List.of(new ConnectionCommand.Lend(connection, ticket));
     }
 
     @Test
@@ -44,9 +44,9 @@
     void lateConnectionIsJoinedByOthersAndServesAsSpareInTheEnd() {
         pool.ask(0, 1, A);
         double late = pool.patienceMs();
-        assertEquals(1, of(Step.Open.class, pool.due(late, 1)).size());
-        assertEquals(1, of(Step.Open.class, pool.due(late * 2, 1)).size());
-        assertEquals(List.of(), of(Step.Open.class, pool.due(late * 3, 1)), "three at most");
+        assertEquals(1, of(ConnectionCommand.Open.class, pool.due(late, 1)).size());
+        assertEquals(1, of(ConnectionCommand.Open.class, pool.due(late * 2, 1)).size());
+        assertEquals(List.of(), of(ConnectionCommand.Open.class, pool.due(late * 3, 1)), "three at most");
         assertEquals(lent(2, 1), pool.up(late * 3, 2));
         assertEquals(List.of(), pool.up(150, 0), "up after the time that a forward may wait");
         assertEquals(lent(0, 2), pool.ask(160, 2, A));
@@ -55,30 +55,32 @@
     @Test
     void waitEndsWhenNoneComesUpInTime() {
         pool.ask(0, 1, A);
-        assertEquals(List.of(), of(Step.GiveUp.class, pool.due(99, 1)));
-        assertEquals(List.of(new Step.GiveUp(1, Step.Why.UNCONNECTED)), pool.due(100, 1));
+        assertEquals(List.of(), of(ConnectionCommand.GiveUp.class, pool.due(99, 1)));
+        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.UNCONNECTED)), pool.due(100, 1));
         assertEquals(0, pool.waiting());
     }
 
     @Test
     void refusalEndsAWaitAtOnceUnlessAnotherIsUnderWay() {
         pool.ask(0, 1, A);
-        assertEquals(List.of(new Step.GiveUp(1, Step.Why.UNCONNECTED)), pool.ended(1, 0));
+        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.UNCONNECTED)), pool.ended(1, 0));
         pool.ask(2, 2, A);
         pool.due(2 + pool.patienceMs(), 2);
         assertEquals(List.of(), pool.ended(40, 1));
-        assertEquals(List.of(new Step.GiveUp(2, Step.Why.NO_ROOM)), pool.noRoom(41, 2));
+        assertEquals(List.of(new ConnectionCommand.GiveUp(2, ConnectionCommand.Why.NO_ROOM)), pool.noRoom(41, 2));
         assertEquals(0, pool.size());
     }
 
     @Test
     void openingThatFailedOnThisMachineIsTriedAgainAfterAPauseAndThenBlamesNoServer() {
         pool.ask(0, 1, A);
-        assertEquals(List.of(new Step.Wake(5, 1)), pool.failedLocally(1, 0));
+        assertEquals(List.of(new ConnectionCommand.Wake(5, 1)), pool.failedLocally(1, 0));
         assertEquals(List.of(), pool.due(4, 1), "the pause");
-        List<Step> again = pool.due(5, 1);
-        assertEquals(1, of(Step.Open.class, again).size());
-        assertEquals(List.of(new Step.GiveUp(1, Step.Why.FAILED_LOCALLY)), pool.failedLocally(6, 1));
+        List<ConnectionCommand> again = pool.due(5, 1);
+        assertEquals(1, of(ConnectionCommand.Open.class, again).size());
+        assertEquals(
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.FAILED_LOCALLY)),
+                pool.failedLocally(6, 1));
         assertEquals(0, pool.size() + pool.waiting());
     }
 
@@ -94,7 +96,7 @@
     void waitWhoseTimeEndsInThePauseBlamesNoServer() {
         pool.ask(0, 1, A);
         pool.failedLocally(99, 0);
-        assertEquals(List.of(new Step.GiveUp(1, Step.Why.FAILED_LOCALLY)), pool.due(100, 1));
+        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.FAILED_LOCALLY)), pool.due(100, 1));
     }
 
     @Test
@@ -104,14 +106,18 @@
         }
         for (int connection = 0; connection < 3; connection++) {
             assertEquals(
-                    1, of(Step.Wake.class, pool.failedLocally(1, connection)).size());
+                    1,
+                    of(ConnectionCommand.Wake.class, pool.failedLocally(1, connection))
+                            .size());
         }
         for (int wait = 0; wait < 3; wait++) {
-            assertEquals(1, of(Step.Open.class, pool.due(5, wait)).size());
+            assertEquals(1, of(ConnectionCommand.Open.class, pool.due(5, wait)).size());
         }
         for (int connection = 3; connection < 6; connection++) {
             assertEquals(
-                    1, of(Step.GiveUp.class, pool.failedLocally(6, connection)).size());
+                    1,
+                    of(ConnectionCommand.GiveUp.class, pool.failedLocally(6, connection))
+                            .size());
         }
         assertEquals(0, pool.size() + pool.waiting());
     }
@@ -121,19 +127,19 @@
         pool.ask(0, 1, A);
         pool.failedLocally(1, 0);
         pool.due(5, 1);
-        assertEquals(List.of(new Step.GiveUp(1, Step.Why.UNCONNECTED)), pool.ended(6, 1));
+        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.UNCONNECTED)), pool.ended(6, 1));
     }
 
     @Test
     void connectionOfAWithdrawnWaitIsTheNextOnes() {
         pool.ask(0, 1, A);
         pool.withdraw(1);
-        assertEquals(List.of(), of(Step.Open.class, pool.ask(1, 2, A)), "one is under way and has nobody");
+        assertEquals(List.of(), of(ConnectionCommand.Open.class, pool.ask(1, 2, A)), "one is under way and has nobody");
         assertEquals(lent(0, 2), pool.up(2, 0));
         pool.ask(3, 3, A);
         pool.withdraw(3);
         pool.ask(4, 4, A);
-        assertEquals(1, of(Step.Open.class, pool.ended(5, 1)).size(), "its own first one, not a failure");
+        assertEquals(1, of(ConnectionCommand.Open.class, pool.ended(5, 1)).size(), "its own first one, not a failure");
     }
 
     @Test
@@ -143,7 +149,7 @@
             double at = i * 1000.0;
             pool.ask(at, i, A);
             for (int j = 1; j < 4; j++) {
-                further += of(Step.Open.class, pool.due(at + j * pool.patienceMs(), i))
+                further += of(ConnectionCommand.Open.class, pool.due(at + j * pool.patienceMs(), i))
                         .size();
             }
             pool.withdraw(i);
@@ -164,7 +170,9 @@
     /** A connection idle for 400 ms is lent and breaks at once. */
     private boolean keptBreaks(int from) {
         pool.ask(from, from, A);
-        long id = ((Step.Open) of(Step.Open.class, pool.ask(from, from + 1, A)).get(0)).connection();
+        long id = ((ConnectionCommand.Open) of(ConnectionCommand.Open.class, pool.ask(from, from + 1, A))
+                        .get(0))
+                .connection();
         pool.withdraw(from + 1);
         pool.up(from, id - 1);
         pool.up(from, id);
@@ -224,7 +232,7 @@
         pool.up(0, 3);
         pool.free(0, 3);
         assertEquals(List.of(), pool.sweep(9_999));
-        assertEquals(List.of(new Step.Close(3)), pool.sweep(10_000));
+        assertEquals(List.of(new ConnectionCommand.Close(3)), pool.sweep(10_000));
     }
 
     /** Any order of events: one lending a wait at most, none to two at once, each wait ends, nothing is left over. */
@@ -232,7 +240,7 @@
     void inAnyOrderEachWaitEndsOnceAndAConnectionCarriesOneForward() {
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Connections p = new Connections(100, 300);
+            ConnectionPool p = new ConnectionPool(100, 300);
             Set<Long> opening = new HashSet<>();
             Set<Long> up = new HashSet<>();
             Map<Long, Long> lent = new HashMap<>();
@@ -240,7 +248,7 @@
             double now = 0;
             for (long turn = 0; turn < 400; turn++) {
                 now += random.nextInt(20);
-                List<Step> steps = new ArrayList<>();
+                List<ConnectionCommand> steps = new ArrayList<>();
                 List<Long> mine = new ArrayList<>(random.nextBoolean() ? opening : up);
                 long any = mine.isEmpty() ? -1 : mine.get(random.nextInt(mine.size()));
                 switch (random.nextInt(turn < 300 ? 8 : 4)) {
@@ -283,16 +291,16 @@
                 for (long w : List.copyOf(asked.keySet())) {
                     steps.addAll(p.due(now, w));
                 }
-                for (Step s : steps) {
-                    if (s instanceof Step.Open o) {
+                for (ConnectionCommand s : steps) {
+                    if (s instanceof ConnectionCommand.Open o) {
                         assertTrue(opening.add(o.connection()), "a number used twice");
-                    } else if (s instanceof Step.Lend l) {
+                    } else if (s instanceof ConnectionCommand.Lend l) {
                         assertTrue(up.contains(l.connection()), "lent before it is up, or after its end");
                         assertTrue(asked.remove(l.ticket()) != null, "a wait that has ended");
                         assertEquals(null, lent.put(l.connection(), l.ticket()), "lent twice");
-                    } else if (s instanceof Step.Close c) {
+                    } else if (s instanceof ConnectionCommand.Close c) {
                         assertTrue(up.remove(c.connection()) && !lent.containsKey(c.connection()), "closed in use");
-                    } else if (s instanceof Step.GiveUp g) {
+                    } else if (s instanceof ConnectionCommand.GiveUp g) {
                         assertTrue(asked.remove(g.ticket()) != null, "a wait that has ended");
                     }
                 }
--- a/core/src/test/java/brackenbridge/core/generation/NarrowerTest.java
+++ b/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class NarrowerTest {
+class RuleIntersectionTest {
     private static Settings draw(SplittableRandom r) {
         List<RequestClass> classes = new ArrayList<>();
         List<Tenant> tenants = new ArrayList<>();
@@ -103,7 +103,7 @@
         SplittableRandom r = new SplittableRandom(seed);
         Settings a = draw(r);
         Settings b = draw(r);
-        Optional<Settings> n = Narrower.of(a, b);
+        Optional<Settings> n = RuleIntersection.of(a, b);
         List<String> common = a.classes().stream()
                 .map(RequestClass::name)
                 .filter(x -> b.classes().stream().anyMatch(c -> c.name().equals(x)))
@@ -116,10 +116,10 @@
             within(s, a);
             within(s, b);
         });
-        assertEquals(a, Narrower.of(a, a).orElseThrow(), "of one generation alone, that one");
-        Settings doubt = Narrower.inDoubt(a);
+        assertEquals(a, RuleIntersection.of(a, a).orElseThrow(), "of one generation alone, that one");
+        Settings doubt = RuleIntersection.inDoubt(a);
         within(doubt, a);
-        within(Narrower.of(doubt, b).orElse(doubt), doubt);
+        within(RuleIntersection.of(doubt, b).orElse(doubt), doubt);
     }
 
     @Test
@@ -128,11 +128,13 @@
         Settings any = draw(r);
         RequestClass safe = new RequestClass("x", 10, 20, Effect.SAFE, DedupScope.ALL, 0, false, 1, 0);
         RequestClass keyed = new RequestClass("x", 10, 20, Effect.KEYED, DedupScope.ZONE, 7, false, 1, 0);
-        Settings n = Narrower.of(with(any, safe), with(any, keyed)).orElseThrow();
+        Settings n = RuleIntersection.of(with(any, safe), with(any, keyed)).orElseThrow();
         assertEquals(keyed, n.classes().get(0));
         assertEquals(
                 n.classes(),
-                Narrower.of(with(any, keyed), with(any, safe)).orElseThrow().classes());
+                RuleIntersection.of(with(any, keyed), with(any, safe))
+                        .orElseThrow()
+                        .classes());
     }
 
     private static Settings with(Settings s, RequestClass c) {
--- a/core/src/test/java/brackenbridge/core/membership/MembershipTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
@@ -13,33 +13,33 @@
 import org.junit.jupiter.api.Test;
 
 /** A discovery played by hand, which may say anything at any time; the node's own timers fire as asked. */
-class MembershipTest {
+class DiscoveryWatchTest {
     private static final double SILENCE_MS = 3000;
-    private static final Source AGENT = new Source(false, 0);
-    private static final Source SERVICE = new Source(true, 10_000);
+    private static final DiscoverySource AGENT = new DiscoverySource(false, 0);
+    private static final DiscoverySource SERVICE = new DiscoverySource(true, 10_000);
 
-    private final List<Step.Open> opened = new ArrayList<>();
-    private final List<Step.End> ended = new ArrayList<>();
+    private final List<DiscoveryCommand.Open> opened = new ArrayList<>();
+    private final List<DiscoveryCommand.End> ended = new ArrayList<>();
     private double now = 1000;
-    private Step.Wake next;
-    private Membership m;
+    private DiscoveryCommand.Wake next;
+    private DiscoveryWatch m;
 
-    private MembershipTest start(Source source, long seed) {
+    private DiscoveryWatchTest start(DiscoverySource source, long seed) {
         opened.clear();
         ended.clear();
         next = null;
-        m = new Membership(source, SILENCE_MS, new SplittableRandom(seed));
+        m = new DiscoveryWatch(source, SILENCE_MS, new SplittableRandom(seed));
         run(m.start(now, 41));
         return this;
     }
 
-    private void run(List<Step> steps) {
-        for (Step step : steps) {
-            if (step instanceof Step.Open o) {
+    private void run(List<DiscoveryCommand> steps) {
+        for (DiscoveryCommand step : steps) {
+            if (step instanceof DiscoveryCommand.Open o) {
                 opened.add(o);
-            } else if (step instanceof Step.End e) {
+            } else if (step instanceof DiscoveryCommand.End e) {
                 ended.add(e);
-            } else if (step instanceof Step.Wake w) {
+            } else if (step instanceof DiscoveryCommand.Wake w) {
                 assertTrue(next == null || next.turn() < w.turn(), "each turn is asked for once");
                 next = w;
             }
@@ -51,7 +51,7 @@
         double until = now + ms;
         while (next != null && next.atMs() <= until) {
             now = Math.max(now, next.atMs());
-            Step.Wake due = next;
+            DiscoveryCommand.Wake due = next;
             next = null;
             run(m.wake(now, due.turn()));
         }
@@ -65,7 +65,7 @@
     @Test
     void agentIsAskedAtOnceAndAServiceAfterAWhile() {
         start(AGENT, 1);
-        assertEquals(List.of(new Step.Open(0, 41)), opened);
+        assertEquals(List.of(new DiscoveryCommand.Open(0, 41)), opened);
         start(SERVICE, 1);
         assertEquals(List.of(), opened);
         pass(4000);
@@ -79,7 +79,7 @@
         pass(2999);
         assertEquals(0, ended.size());
         pass(1);
-        assertEquals(List.of(new Step.End(0, true)), ended);
+        assertEquals(List.of(new DiscoveryCommand.End(0, true)), ended);
         assertEquals(2, opened.size());
         pass(30_000);
         assertEquals(12, opened.size(), "one call each 3 s, however long it is silent");
@@ -212,7 +212,7 @@
     @Test
     void movedDiscoveryDoesNotInheritTheOldOnesFailures() {
         // The longest draws: a further failure would be put off longer than a first one.
-        m = new Membership(SERVICE, SILENCE_MS, new java.util.Random() {
+        m = new DiscoveryWatch(SERVICE, SILENCE_MS, new java.util.Random() {
             @Override
             public double nextDouble() {
                 return 0.999;
@@ -233,7 +233,7 @@
 
     @Test
     void callThatWasPutOffGoesByTheNewSettings() {
-        start(new Source(true, 60_000), 7);
+        start(new DiscoverySource(true, 60_000), 7);
         run(m.comesFrom(now, AGENT));
         pass(75);
         assertEquals(1, opened.size(), "the first call would have been seconds away");
@@ -259,7 +259,7 @@
         assertFalse(m.told(now, call(), 44, false));
         assertFalse(m.told(now, call() + 1, 50, true), "no such call");
         run(m.askNow(now, true));
-        assertEquals(List.of(new Step.End(0, false)), ended);
+        assertEquals(List.of(new DiscoveryCommand.End(0, false)), ended);
         assertFalse(m.told(now, 0, 60, true), "a call that is over");
         assertFalse(m.told(now, call(), 7, false), "changes of another discovery say nothing");
         assertTrue(m.told(now, call(), 7, true));
@@ -279,12 +279,12 @@
         long last = -1;
         boolean open = false;
         for (int i = 0; i < 400; i++) {
-            for (Step.Open o : opened.subList((int) Math.min(opened.size(), last + 1), opened.size())) {
+            for (DiscoveryCommand.Open o : opened.subList((int) Math.min(opened.size(), last + 1), opened.size())) {
                 assertEquals(last + 1, o.call());
                 last = o.call();
                 open = true;
             }
-            for (Step.End e : ended) {
+            for (DiscoveryCommand.End e : ended) {
                 open &= e.call() != last;
             }
             ended.clear();
--- a/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
@@ -53,10 +53,10 @@
     /** One history. */
     private static final class History {
         final Machine machine;
-        final Membership m;
-        final Source source;
+        final DiscoveryWatch m;
+        final DiscoverySource source;
         double now = 1000;
-        Step.Wake next;
+        DiscoveryCommand.Wake next;
         long open = -1;
         double heard;
         boolean spoke;
@@ -79,7 +79,7 @@
 
         History(Machine machine, boolean shared, double draw) {
             this.machine = machine;
-            source = new Source(shared, MUST_ASK_MS);
+            source = new DiscoverySource(shared, MUST_ASK_MS);
             RandomGenerator fixed = new RandomGenerator() {
                 @Override
                 public long nextLong() {
@@ -91,7 +91,7 @@
                     return draw;
                 }
             };
-            m = new Membership(source, machine == Machine.DEAF_TO_SILENCE ? 1e9 : SILENCE_MS, fixed);
+            m = new DiscoveryWatch(source, machine == Machine.DEAF_TO_SILENCE ? 1e9 : SILENCE_MS, fixed);
             dueBy = now + (shared ? 4000 : 0);
             could = now;
             run(m.start(now, held));
@@ -101,9 +101,9 @@
             wrong = wrong == null ? what + " at " + now : wrong;
         }
 
-        void run(List<Step> steps) {
-            for (Step step : steps) {
-                if (step instanceof Step.Open o) {
+        void run(List<DiscoveryCommand> steps) {
+            for (DiscoveryCommand step : steps) {
+                if (step instanceof DiscoveryCommand.Open o) {
                     if (open >= 0) {
                         fail("two calls are open");
                     }
@@ -118,7 +118,7 @@
                     heard = now;
                     spoke = false;
                     refused = down && source.shared();
-                } else if (step instanceof Step.End e && machine != Machine.NEVER_ENDS) {
+                } else if (step instanceof DiscoveryCommand.End e && machine != Machine.NEVER_ENDS) {
                     if (e.call() != open) {
                         fail("ends a call that is not open");
                     }
@@ -129,7 +129,7 @@
                         failures = 0;
                         dueBy = now + (source.shared() ? 250 : 0);
                     }
-                } else if (step instanceof Step.Wake w) {
+                } else if (step instanceof DiscoveryCommand.Wake w) {
                     next = w;
                 }
             }
@@ -165,7 +165,7 @@
             double late = machine == Machine.WAKES_LATE ? 1500 : 0;
             while (next != null && next.atMs() + late <= until) {
                 now = Math.max(now, next.atMs() + late);
-                Step.Wake due = next;
+                DiscoveryCommand.Wake due = next;
                 next = null;
                 run(m.wake(now, due.turn()));
                 refuse();
--- a/core/src/test/java/brackenbridge/core/membership/ReturningService.java
+++ b/core/src/test/java/brackenbridge/core/membership/ReturningService.java
@@ -41,7 +41,7 @@
 
     /** One node and its call. */
     private static final class Caller {
-        private final Membership membership;
+        private final DiscoveryWatch membership;
         private double wakeAt = Double.POSITIVE_INFINITY;
         private long turn;
         private long call = -1;
@@ -49,15 +49,15 @@
         private double answeredAt = -1;
 
         Caller(long seed) {
-            membership = new Membership(new Source(true, 10_000), SILENCE_MS, new SplittableRandom(seed));
+            membership = new DiscoveryWatch(new DiscoverySource(true, 10_000), SILENCE_MS, new SplittableRandom(seed));
         }
 
-        void run(double now, List<Step> steps) {
-            for (Step step : steps) {
-                if (step instanceof Step.Open open) {
+        void run(double now, List<DiscoveryCommand> steps) {
+            for (DiscoveryCommand step : steps) {
+                if (step instanceof DiscoveryCommand.Open open) {
                     call = open.call();
                     askedAt = now;
-                } else if (step instanceof Step.Wake wake) {
+                } else if (step instanceof DiscoveryCommand.Wake wake) {
                     wakeAt = wake.atMs();
                     turn = wake.turn();
                 }
--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -21,8 +21,8 @@
 class TenantSchedulerTest {
     private static final double FOREVER = Double.POSITIVE_INFINITY;
 
-    private static Allowances allow(Map<String, Double> tenants, double others) {
-        return new Allowances(1, tenants, others, Map.of(), FOREVER, Map.of());
+    private static TenantQuotas allow(Map<String, Double> tenants, double others) {
+        return new TenantQuotas(1, tenants, others, Map.of(), FOREVER, Map.of());
     }
 
     /** Tenants with arrivals at a steady mean, each call holding its connection for a while; time is played. */
@@ -78,7 +78,7 @@
             }
         }
 
-        void took(Turn t) {
+        void took(SchedulingResult t) {
             t.refuse().forEach(r -> begin.remove(r.flow()));
             t.begin().forEach(f -> begin.remove(f).run());
         }
@@ -109,7 +109,7 @@
         }
     }
 
-    private static World world(Allowances a) {
+    private static World world(TenantQuotas a) {
         TenantScheduler s = new TenantScheduler(Limits.USUAL);
         s.told(0, a);
         return new World(s);
@@ -152,7 +152,7 @@
         TenantScheduler s = new TenantScheduler(Limits.USUAL);
         s.told(
                 0,
-                new Allowances(
+                new TenantQuotas(
                         1, Map.of("idle", 6.0, "a", 3.0, "b", 3.0), 0, Map.of("a", 2.0, "b", 1.0), FOREVER, Map.of()));
         World w = new World(s);
         w.arrivals("a", 500, t -> 50, 300);
@@ -222,14 +222,14 @@
         assertEquals(700, s.wakeMs());
         assertEquals(
                 List.of(3L),
-                s.due(701).refuse().stream().map(Turn.Refused::flow).toList());
+                s.due(701).refuse().stream().map(SchedulingResult.Refused::flow).toList());
         assertEquals(0, s.waiting());
     }
 
     @Test
     void guaranteedPartsHoldOnceTheTimeIsOver() {
         TenantScheduler s = new TenantScheduler(Limits.USUAL);
-        s.told(0, new Allowances(5, Map.of("a", 8.0), 0, Map.of(), 1000, Map.of("a", 2.0)));
+        s.told(0, new TenantQuotas(5, Map.of("a", 8.0), 0, Map.of(), 1000, Map.of("a", 2.0)));
         for (int i = 0; i < 8; i++) {
             assertEquals(Verdict.GO, s.open(1, i, "a", 100_000, 10).verdict());
         }
@@ -238,7 +238,7 @@
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), s.overstaying(11_000));
         assertEquals(2, s.total());
         assertEquals(Verdict.WAIT, s.open(11_000, 9, "a", 1_000_000, 10).verdict());
-        s.told(11_001, new Allowances(4, Map.of("a", 80.0), 0, Map.of(), FOREVER, Map.of()));
+        s.told(11_001, new TenantQuotas(4, Map.of("a", 80.0), 0, Map.of(), FOREVER, Map.of()));
         assertEquals(2, s.total(), "an older epoch is passed over");
     }
 
@@ -266,7 +266,7 @@
         for (int i = 0; i < 400; i++) {
             now += r.nextDouble() * 40;
             int before = s.running();
-            Turn t = Turn.NONE;
+            SchedulingResult t = SchedulingResult.NONE;
             switch (r.nextInt(6)) {
                 case 0, 1, 2 -> {
                     Verdict v = s.open(now, i, "t" + r.nextInt(names), now + r.nextInt(500), r.nextInt(100))
@@ -287,7 +287,7 @@
                     }
                     t = s.told(
                             now,
-                            new Allowances(
+                            new TenantQuotas(
                                     i, a, r.nextDouble() * 2, Map.of(), now + r.nextInt(400), Map.of("t0", 1.0)));
                     s.read(now);
                 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedSettings.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedSettings.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.core.generation.Terms;
+import brackenbridge.core.generation.LeaseTerms;
 import brackenbridge.fleet.peer.Member;
 import java.util.List;
 
@@ -16,7 +16,13 @@
  * @param seed seeds the jitter of elections and questions
  */
 public record AgreedSettings(
-        String fleet, List<String> voters, Terms terms, double beatMs, int patienceBeats, double maxRoleMs, long seed) {
+        String fleet,
+        List<String> voters,
+        LeaseTerms terms,
+        double beatMs,
+        int patienceBeats,
+        double maxRoleMs,
+        long seed) {
     /** Most voters that are taken from a file: more make each decision slower and none safer. */
     public static final int MOST_VOTERS = 5;
 
@@ -39,7 +45,7 @@
 
     /** The usual terms: leases of 1.6 s at 1% of drift, beats of 150 ms of which five may be missed. */
     public static AgreedSettings of(String fleet, List<Member> members, long seed) {
-        return new AgreedSettings(fleet, voters(members), new Terms(1600, 0.01), 150, 5, 10_000, seed);
+        return new AgreedSettings(fleet, voters(members), new LeaseTerms(1600, 0.01), 150, 5, 10_000, seed);
     }
 
     /** Who votes: the first members of the file, the largest odd number up to {@link #MOST_VOTERS}. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/State.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.core.generation.Authority;
-import brackenbridge.core.generation.Terms;
-import brackenbridge.core.generation.Word;
+import brackenbridge.core.generation.DecidedVersion;
+import brackenbridge.core.generation.LeaseAuthority;
+import brackenbridge.core.generation.LeaseTerms;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
  * What is decided, as far as this voter knows: the same at each voter after the same entries. Its bounds are constants,
  * for each voter must come to the same result.
  */
-final class State {
+final class AgreedState {
     /** Longest content, in bytes. */
     static final int MAX_CONTENT = 256 * 1024;
     /** Longest name of a value or role. */
@@ -27,7 +27,7 @@
     private static final int ROLES = 256;
     private static final int KEEP = 16;
     private static final int KEEP_BYTES = 512 * 1024;
-    private static final Terms ANY = new Terms(1, 0);
+    private static final LeaseTerms ANY = new LeaseTerms(1, 0);
 
     /** What came of a generation. */
     enum Came {
@@ -55,7 +55,7 @@
     /** All that is decided of a name. */
     record Named(
             @JsonProperty("name") String name,
-            @JsonProperty("word") Word word,
+            @JsonProperty("word") DecidedVersion word,
             @JsonProperty("last") long last,
             @JsonProperty("history") List<Kept> history) {}
 
@@ -126,23 +126,23 @@
                 .findFirst();
     }
 
-    Result apply(Op op) {
-        if (op instanceof Op.Reign) {
+    Result apply(LogCommand op) {
+        if (op instanceof LogCommand.Reign) {
             reign++;
             return Result.DONE;
         }
-        if (op instanceof Op.Stage s) {
+        if (op instanceof LogCommand.Stage s) {
             return stage(s);
         }
-        if (op instanceof Op.Activate a) {
+        if (op instanceof LogCommand.Activate a) {
             Named n = names.get(a.name());
             return current(n, a.version(), a.reign()) ? settle(n, Came.IN_FORCE) : Result.VOID;
         }
-        if (op instanceof Op.Abandon a) {
+        if (op instanceof LogCommand.Abandon a) {
             Named n = names.get(a.name());
             return current(n, a.version(), a.reign()) ? settle(n, Came.ABANDONED) : Result.VOID;
         }
-        return take((Op.Take) op);
+        return take((LogCommand.Take) op);
     }
 
     // Guards against a finding of an earlier reign, or of a word that was overtaken on the way.
@@ -153,7 +153,7 @@
                 && n.word().staged() != 0;
     }
 
-    private Result stage(Op.Stage s) {
+    private Result stage(LogCommand.Stage s) {
         Optional<Kept> again = proposed(s.name(), s.by(), s.life(), s.number());
         if (again.isPresent()) {
             return Result.valueOf(again.get().came().name());
@@ -164,13 +164,13 @@
                 || bytes + s.content().length > MAX_BYTES) {
             return Result.FULL;
         }
-        Named n = names.getOrDefault(s.name(), new Named(s.name(), Word.NONE, 0, List.of()));
-        Authority a = alone(n);
-        Authority.Verdict v = a.judge(s.expected());
-        if (v != Authority.Verdict.STAGED) {
+        Named n = names.getOrDefault(s.name(), new Named(s.name(), DecidedVersion.NONE, 0, List.of()));
+        LeaseAuthority a = alone(n);
+        LeaseAuthority.Verdict v = a.judge(s.expected());
+        if (v != LeaseAuthority.Verdict.STAGED) {
             return Result.valueOf(v.name());
         }
-        Authority staged = a.stage();
+        LeaseAuthority staged = a.stage();
         List<Kept> history = new ArrayList<>(n.history());
         history.add(new Kept(staged.last(), s.content(), s.by(), s.life(), s.number(), Came.STAGED));
         keep(new Named(s.name(), staged.word(), staged.last(), trimmed(history, staged.word())));
@@ -178,9 +178,9 @@
     }
 
     private Result settle(Named n, Came came) {
-        Authority a = alone(n);
+        LeaseAuthority a = alone(n);
         long settled = n.word().staged();
-        Authority next = came == Came.IN_FORCE ? a.activate(0) : a.abandon();
+        LeaseAuthority next = came == Came.IN_FORCE ? a.activate(0) : a.abandon();
         List<Kept> history = n.history().stream()
                 .map(k -> k.generation() == settled ? k.with(came) : k)
                 .toList();
@@ -198,11 +198,11 @@
     }
 
     /** The rules of words and numbers are the authority's; the leases that it waits for are the leader's to know. */
-    private static Authority alone(Named n) {
-        return new Authority(ANY, n.word(), n.last(), Double.NEGATIVE_INFINITY, Map.of());
+    private static LeaseAuthority alone(Named n) {
+        return new LeaseAuthority(ANY, n.word(), n.last(), Double.NEGATIVE_INFINITY, Map.of());
     }
 
-    private static List<Kept> trimmed(List<Kept> history, Word word) {
+    private static List<Kept> trimmed(List<Kept> history, DecidedVersion word) {
         List<Kept> kept = new ArrayList<>();
         int count = 0;
         long bytes = 0;
@@ -219,7 +219,7 @@
         return List.copyOf(kept);
     }
 
-    private Result take(Op.Take t) {
+    private Result take(LogCommand.Take t) {
         Role r = roles.get(t.role());
         if (t.reign() != reign || t.token() != (r == null ? 0 : r.token())) {
             return Result.VOID;
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Agreed.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedValues.java
@@ -8,7 +8,7 @@
  * What a majority of the members has decided. Values have a name; at no moment do two members act by two values of one
  * name that have no generation in common ({@code docs/design/agreement.md}).
  */
-public interface Agreed {
+public interface AgreedValues {
     /** Names of values that are known to the fleet; others may be used as well. */
     String SETTINGS = "settings";
     /** Tenants' weights, floors and ceilings. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Codec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
@@ -40,7 +40,7 @@
  * Notes, the Raft library's messages and what is written to disk, as CBOR. Whatever can't be read is an
  * {@link IOException} and nothing else.
  */
-final class Codec {
+final class AgreementCodec {
     /** Longest message; a link's frames must have room for it. */
     static final int MAX_MESSAGE = 900 * 1024;
     /** Entries in one message: their contents stay below {@link #MAX_MESSAGE}. */
@@ -53,7 +53,7 @@
     private static final ObjectMapper MAPPER = mapper(MAX_MESSAGE);
     private static final ObjectMapper IMAGES = mapper(MAX_IMAGE);
 
-    private Codec() {}
+    private AgreementCodec() {}
 
     private static ObjectMapper mapper(long longest) {
         CBORFactory factory = CBORFactory.builder()
@@ -74,7 +74,7 @@
     }
 
     /** What a frame carried: one of the two is null. */
-    record Frame(Note note, RaftMessage raft) {}
+    record Frame(AgreementMessage note, RaftMessage raft) {}
 
     @FunctionalInterface
     private interface Reader<T> {
@@ -102,7 +102,7 @@
         }
     }
 
-    static byte[] frame(Note note) {
+    static byte[] frame(AgreementMessage note) {
         ObjectNode n = MAPPER.createObjectNode();
         n.set("n", MAPPER.valueToTree(note));
         return bytes(n);
@@ -121,12 +121,12 @@
         return read(() -> {
             JsonNode n = MAPPER.readTree(body);
             return n.has("n")
-                    ? new Frame(MAPPER.treeToValue(n.get("n"), Note.class), null)
+                    ? new Frame(MAPPER.treeToValue(n.get("n"), AgreementMessage.class), null)
                     : new Frame(null, message(some(n, "r")));
         });
     }
 
-    static byte[] image(State.Image image) {
+    static byte[] image(AgreedState.Image image) {
         try {
             return IMAGES.writeValueAsBytes(image);
         } catch (JsonProcessingException e) {
@@ -134,8 +134,8 @@
         }
     }
 
-    static State.Image image(byte[] body) throws IOException {
-        return read(() -> IMAGES.readValue(body, State.Image.class));
+    static AgreedState.Image image(byte[] body) throws IOException {
+        return read(() -> IMAGES.readValue(body, AgreedState.Image.class));
     }
 
     static byte[] entry(LogEntry e) {
@@ -371,7 +371,7 @@
     private static ObjectNode tree(BaseLogEntry e) {
         ObjectNode n = MAPPER.createObjectNode().put("i", e.getIndex()).put("t", e.getTerm());
         Object op = e.getOperation();
-        if (op instanceof Op o) {
+        if (op instanceof LogCommand o) {
             n.set("o", MAPPER.valueToTree(o));
         } else if (op instanceof byte[] b) {
             n.put("b", b);
@@ -393,7 +393,7 @@
 
     private static Object operation(JsonNode n) throws IOException {
         if (n.has("o")) {
-            return read(() -> MAPPER.treeToValue(n.get("o"), Op.class));
+            return read(() -> MAPPER.treeToValue(n.get("o"), LogCommand.class));
         }
         if (n.has("b")) {
             return read(() -> n.get("b").binaryValue());
@@ -443,7 +443,7 @@
 
     private static ArrayNode ids(Collection<RaftEndpoint> all) {
         ArrayNode n = MAPPER.createArrayNode();
-        Endpoint.ids(all).forEach(n::add);
+        VoterEndpoint.ids(all).forEach(n::add);
         return n;
     }
 
@@ -451,7 +451,7 @@
         // The library's members keep the order in which they came.
         Collection<RaftEndpoint> all = new java.util.LinkedHashSet<>();
         for (JsonNode e : some(n, key)) {
-            all.add(Endpoint.parse(e.asText()));
+            all.add(VoterEndpoint.parse(e.asText()));
         }
         return all;
     }
@@ -465,7 +465,7 @@
     }
 
     private static RaftEndpoint endpoint(JsonNode n, String key) throws IOException {
-        return Endpoint.parse(text(n, key));
+        return VoterEndpoint.parse(text(n, key));
     }
 
     private static String text(JsonNode n, String key) throws IOException {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.core.generation.Cadence;
-import brackenbridge.core.generation.Word;
-import brackenbridge.fleet.peer.Links;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.core.generation.DecidedVersion;
+import brackenbridge.core.generation.RenewalSchedule;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import io.micrometer.core.instrument.FunctionCounter;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -54,8 +54,8 @@
  * words are those of {@code core.generation}. All of it runs on one thread of this member's; what others ask
  * ({@link #acting}, {@link #holds}) is read from values that never change.
  */
-public final class AgreedNode implements Agreed, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(AgreedNode.class);
+public final class AgreementMember implements AgreedValues, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(AgreementMember.class);
     private static final double MILLIS_PER_SECOND = 1000;
     private static final long TICK_MS = 10;
     private static final double AGAIN_MS = 200;
@@ -90,7 +90,7 @@
     /** Questions that are answered once a majority has said that it follows this reign. */
     private record Turn(Runnable run) {}
 
-    private final Links links;
+    private final PeerLinks links;
     private final Path directory;
     private final Clock clock;
     private final AgreedSettings settings;
@@ -100,7 +100,7 @@
 
     private final boolean votes;
     private final MemberThread thread;
-    private final Cadence cadence;
+    private final RenewalSchedule cadence;
     private final Map<String, Predicate<byte[]>> usable = new ConcurrentHashMap<>();
     private final List<Consumer<String>> listeners = new CopyOnWriteArrayList<>();
     private final AtomicInteger waiting = new AtomicInteger();
@@ -112,25 +112,25 @@
     private final LongAdder decided = new LongAdder();
 
     // What other threads read.
-    private volatile Part part;
+    private volatile LeaseView part;
     private volatile Map<String, Hold> held = Map.of();
     private volatile double answeredMs = Double.NEGATIVE_INFINITY;
     private volatile double majorityMs = Double.NEGATIVE_INFINITY;
     private volatile String alarm = "";
 
     // This member's thread only, from here on.
-    private final State state = new State();
+    private final AgreedState state = new AgreedState();
     private final PendingRequests pending = new PendingRequests(note -> post(target(), note));
     private final Deque<DoubleConsumer> turns = new ArrayDeque<>();
     private final List<Waiter> waiters = new ArrayList<>();
     private final List<Hearing> hearings = new ArrayList<>();
     private final Set<Waiter> staging = new HashSet<>();
-    private final Map<String, Note.Facts> facts = new HashMap<>();
+    private final Map<String, AgreementMessage.Facts> facts = new HashMap<>();
     private String scheme = "";
-    private Store store;
-    private Endpoint endpoint;
+    private VoterStore store;
+    private VoterEndpoint endpoint;
     private RaftNode raft;
-    private Lead lead;
+    private LeaderLeases lead;
     private String founding = "";
     private String follows = "";
     private boolean joining;
@@ -154,18 +154,18 @@
      * @param clock its clock
      * @param settings the same at all members, but for the seed
      */
-    public AgreedNode(Links links, Path directory, Clock clock, AgreedSettings settings) {
+    public AgreementMember(PeerLinks links, Path directory, Clock clock, AgreedSettings settings) {
         this.links = links;
         this.directory = directory;
         this.clock = clock;
         this.settings = settings;
         this.me = links.me().name();
         this.votes = settings.voters().contains(me);
-        this.cadence = new Cadence(settings.terms(), new SplittableRandom(settings.seed()));
+        this.cadence = new RenewalSchedule(settings.terms(), new SplittableRandom(settings.seed()));
         this.processLife = links.life();
-        this.part = Part.start(processLife);
+        this.part = LeaseView.start(processLife);
         this.thread = new MemberThread(me, MILLIS_PER_SECOND / settings.beatMs(), dropped);
-        links.receive(Stream.AGREED, this::took);
+        links.receive(MessageStream.AGREED, this::took);
     }
 
     /** The voter's files are on a file system of this scheme; before {@link #start}. */
@@ -198,13 +198,13 @@
 
     private void openDisk() throws IOException {
         try {
-            store = Store.open(directory, settings.fleet(), me, scheme);
-        } catch (Store.Damaged e) {
-            Path aside = Store.putAside(directory);
+            store = VoterStore.open(directory, settings.fleet(), me, scheme);
+        } catch (VoterStore.Damaged e) {
+            Path aside = VoterStore.putAside(directory);
             alarm("disk damaged and put aside as " + aside + ": " + e.getMessage());
-            store = Store.open(directory, settings.fleet(), me, scheme);
+            store = VoterStore.open(directory, settings.fleet(), me, scheme);
         }
-        endpoint = new Endpoint(me, store.disk());
+        endpoint = new VoterEndpoint(me, store.disk());
         joining = store.joining();
     }
 
@@ -226,9 +226,9 @@
             dropped.increment();
             return;
         }
-        Codec.Frame frame;
+        AgreementCodec.Frame frame;
         try {
-            frame = Codec.frame(body);
+            frame = AgreementCodec.frame(body);
         } catch (IOException e) {
             spoilt.increment();
             LOG.warn("agreement at {}: message of {} not readable: {}", me, peer, e.getMessage());
@@ -249,7 +249,7 @@
     }
 
     private void took(String peer, RaftMessage m) {
-        if (raft == null || !((Endpoint) m.getSender()).name().equals(peer)) {
+        if (raft == null || !((VoterEndpoint) m.getSender()).name().equals(peer)) {
             return;
         }
         if (!m.getGroupId().equals(founding)) {
@@ -260,56 +260,56 @@
         raft.handle(m);
     }
 
-    private boolean post(String peer, Note note) {
+    private boolean post(String peer, AgreementMessage note) {
         if (peer.equals(me)) {
             later(() -> took(me, note));
             return true;
         }
-        return links.send(peer, Stream.AGREED, Codec.frame(note));
+        return links.send(peer, MessageStream.AGREED, AgreementCodec.frame(note));
     }
 
-    private void took(String peer, Note note) {
-        if (note instanceof Note.Question q) {
+    private void took(String peer, AgreementMessage note) {
+        if (note instanceof AgreementMessage.Question q) {
             questions.increment();
             if (leadsOrSays(peer)) {
                 turn(now -> post(peer, lead.asked(now, peer, q, founding)));
             }
-        } else if (note instanceof Note.Answer a) {
+        } else if (note instanceof AgreementMessage.Answer a) {
             answered(peer, a);
-        } else if (note instanceof Note.Hint h) {
+        } else if (note instanceof AgreementMessage.Hint h) {
             hinted(peer, h);
-        } else if (note instanceof Note.Elsewhere e) {
+        } else if (note instanceof AgreementMessage.Elsewhere e) {
             elsewhere(peer, e);
-        } else if (note instanceof Note.Propose p) {
+        } else if (note instanceof AgreementMessage.Propose p) {
             if (leadsOrSays(peer)) {
                 proposed(peer, p);
             }
-        } else if (note instanceof Note.Claim c) {
+        } else if (note instanceof AgreementMessage.Claim c) {
             if (leadsOrSays(peer)
                     && c.forMs() > 0
                     && c.forMs() <= settings.maxRoleMs()
-                    && c.role().length() <= State.MAX_NAME) {
+                    && c.role().length() <= AgreedState.MAX_NAME) {
                 turn(now -> claimed(now, peer, c));
             }
-        } else if (note instanceof Note.Look l) {
+        } else if (note instanceof AgreementMessage.Look l) {
             // Guards whoever looks before proposing again: a voter that is behind does not know what is acknowledged.
             if (leadsOrSays(peer)) {
                 turn(now -> post(peer, looked(l)));
             }
-        } else if (note instanceof Note.Outcome o) {
+        } else if (note instanceof AgreementMessage.Outcome o) {
             answer(o.life(), o.number(), o);
-        } else if (note instanceof Note.Claimed c) {
+        } else if (note instanceof AgreementMessage.Claimed c) {
             answer(c.life(), c.number(), c);
-        } else if (note instanceof Note.Looked l) {
+        } else if (note instanceof AgreementMessage.Looked l) {
             answer(l.life(), l.number(), l);
-        } else if (note instanceof Note.Hello h) {
+        } else if (note instanceof AgreementMessage.Hello h) {
             post(peer, facts(peer, h));
-        } else if (note instanceof Note.Facts f) {
+        } else if (note instanceof AgreementMessage.Facts f) {
             if (raft == null && votes) {
                 facts.put(peer, f);
                 admit();
             }
-        } else if (note instanceof Note.Join j && lead != null) {
+        } else if (note instanceof AgreementMessage.Join j && lead != null) {
             join(peer, j);
         }
     }
@@ -317,7 +317,7 @@
     private boolean leadsOrSays(String peer) {
         if (lead == null) {
             String leader = raft == null ? "" : leader();
-            post(peer, new Note.Elsewhere(leader));
+            post(peer, new AgreementMessage.Elsewhere(leader));
         }
         return lead != null;
     }
@@ -363,7 +363,7 @@
                 alarm = "";
                 LOG.info("agreement at {}: votes as {}", me, endpoint);
             } else {
-                post(target(), new Note.Join(endpoint.toString()));
+                post(target(), new AgreementMessage.Join(endpoint.toString()));
             }
         }
     }
@@ -395,7 +395,7 @@
     private void stopVoting() {
         raft = null;
         lead = null;
-        state.restore(new State().image());
+        state.restore(new AgreedState().image());
         waiters.clear();
         turns.clear();
         staging.clear();
@@ -422,13 +422,13 @@
 
     private void hello() {
         keep(() -> {
-            Note.Hello h = new Note.Hello(store.disk(), store.starts(), processLife);
+            AgreementMessage.Hello h = new AgreementMessage.Hello(store.disk(), store.starts(), processLife);
             links.peers().forEach(p -> post(p.name(), h));
         });
         admit();
     }
 
-    private Note.Facts facts(String peer, Note.Hello h) {
+    private AgreementMessage.Facts facts(String peer, AgreementMessage.Hello h) {
         List<String> members = List.of();
         List<String> founded = List.of();
         long since = 0;
@@ -442,14 +442,14 @@
                     store.seen(peer, said);
                 }
                 if (raft != null) {
-                    members = Endpoint.ids(raft.getCommittedMembers().getVotingMembers());
+                    members = VoterEndpoint.ids(raft.getCommittedMembers().getVotingMembers());
                     since = raft.getCommittedMembers().getLogIndex();
                 }
             }
         } catch (IOException e) {
             alarm("disk: " + e.getMessage());
         }
-        return new Note.Facts(
+        return new AgreementMessage.Facts(
                 endpoint == null ? "" : endpoint.disk(),
                 founded,
                 follows,
@@ -465,14 +465,14 @@
             return;
         }
         keep(() -> {
-            Admission.Self self =
-                    new Admission.Self(endpoint, store.starts(), processLife, store.founding(), joining, store.since());
-            List<String> heard = Admission.founding(self, facts);
-            switch (Admission.step(self, settings.voters(), facts)) {
+            VoterAdmission.Self self = new VoterAdmission.Self(
+                    endpoint, store.starts(), processLife, store.founding(), joining, store.since());
+            List<String> heard = VoterAdmission.founding(self, facts);
+            switch (VoterAdmission.step(self, settings.voters(), facts)) {
                 case FOUND ->
                     begin(
                             settings.voters().stream()
-                                    .map(v -> new Endpoint(
+                                    .map(v -> new VoterEndpoint(
                                                     v,
                                                     v.equals(me)
                                                             ? endpoint.disk()
@@ -485,7 +485,7 @@
                 case PUT_ASIDE -> {
                     store.close();
                     alarm("the disk is old, copied or was replaced; put aside as "
-                            + (directory == null ? "nothing" : Store.putAside(directory)));
+                            + (directory == null ? "nothing" : VoterStore.putAside(directory)));
                     facts.clear();
                     openDisk();
                 }
@@ -502,9 +502,9 @@
             store.found(founders, asNew);
         }
         joining = asNew;
-        founding = Admission.id(founders);
+        founding = VoterAdmission.id(founders);
         List<RaftEndpoint> initial = new ArrayList<>();
-        founders.forEach(f -> initial.add(Endpoint.parse(f)));
+        founders.forEach(f -> initial.add(VoterEndpoint.parse(f)));
         RaftNode.RaftNodeBuilder b = RaftNode.newBuilder()
                 .setGroupId(founding)
                 .setConfig(RaftConfig.newBuilder()
@@ -514,7 +514,7 @@
                                         + LATER_BEATS * settings.voters().indexOf(me))))
                         .setLeaderHeartbeatPeriodSecs(1)
                         .setLeaderHeartbeatTimeoutSecs(settings.patienceBeats())
-                        .setAppendEntriesRequestBatchSize(Codec.BATCH)
+                        .setAppendEntriesRequestBatchSize(AgreementCodec.BATCH)
                         .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
                         .setMaxPendingLogEntryCount(MOST_PENDING)
                         .setTransferSnapshotsFromFollowersEnabled(false)
@@ -524,7 +524,7 @@
                 .setStateMachine(new Machine())
                 .setStore(store)
                 .setRandom(new Random(settings.seed()))
-                .setClock(new BeatClock(clock, MILLIS_PER_SECOND / settings.beatMs()))
+                .setClock(new HeartbeatClock(clock, MILLIS_PER_SECOND / settings.beatMs()))
                 .setRaftNodeReportListener(r -> {});
         raft = (store.restored().isPresent()
                         ? b.setRestoredState(store.restored().get())
@@ -540,11 +540,11 @@
     }
 
     /** A voter with a new disk asks for its old one's place: one change of members after another, by the log. */
-    private void join(String peer, Note.Join j) {
+    private void join(String peer, AgreementMessage.Join j) {
         RaftGroupMembers now = raft.getCommittedMembers();
-        Endpoint asks;
+        VoterEndpoint asks;
         try {
-            asks = Endpoint.parse(j.endpoint());
+            asks = VoterEndpoint.parse(j.endpoint());
         } catch (IllegalArgumentException e) {
             spoilt.increment();
             return;
@@ -555,7 +555,7 @@
             return;
         }
         Optional<RaftEndpoint> old = now.getMembers().stream()
-                .filter(e -> ((Endpoint) e).name().equals(peer) && !e.equals(asks))
+                .filter(e -> ((VoterEndpoint) e).name().equals(peer) && !e.equals(asks))
                 .findFirst();
         if (old.isPresent()) {
             change(old.get(), MembershipChangeMode.REMOVE_MEMBER, now);
@@ -594,8 +594,8 @@
                 t.run().run();
                 return null;
             }
-            State.Result result = state.apply((Op) operation);
-            bytes += operation instanceof Op.Stage s ? s.content().length : 0;
+            AgreedState.Result result = state.apply((LogCommand) operation);
+            bytes += operation instanceof LogCommand.Stage s ? s.content().length : 0;
             if (bytes > SNAPSHOT_BYTES) {
                 // Guards the log's memory and disk against few but long contents.
                 bytes = 0;
@@ -605,10 +605,10 @@
                     }
                 });
             }
-            if (operation instanceof Op.Reign r) {
+            if (operation instanceof LogCommand.Reign r) {
                 boolean mine =
                         r.leader().equals(endpoint.toString()) && r.life() == processLife && r.number() == reignNumber;
-                lead = mine ? new Lead(settings.terms(), state, clock.nowMs()) : null;
+                lead = mine ? new LeaderLeases(settings.terms(), state, clock.nowMs()) : null;
                 waiters.clear();
                 turns.clear();
                 if (mine) {
@@ -616,12 +616,12 @@
                     LOG.info("agreement at {}: leads in reign {}", me, state.reign());
                     hintAll();
                 }
-            } else if (lead != null && result != State.Result.VOID) {
-                if (operation instanceof Op.Stage s) {
-                    changed(s.name(), result == State.Result.STAGED);
-                } else if (operation instanceof Op.Activate a) {
+            } else if (lead != null && result != AgreedState.Result.VOID) {
+                if (operation instanceof LogCommand.Stage s) {
+                    changed(s.name(), result == AgreedState.Result.STAGED);
+                } else if (operation instanceof LogCommand.Activate a) {
                     changed(a.name(), true);
-                } else if (operation instanceof Op.Abandon a) {
+                } else if (operation instanceof LogCommand.Abandon a) {
                     LOG.warn(
                             "agreement at {}: {} of {} can't be used by {}: abandoned",
                             me,
@@ -645,9 +645,9 @@
 
         @Override
         public void takeSnapshot(long commitIndex, Consumer<Object> pieces) {
-            byte[] all = Codec.image(state.image());
-            for (int at = 0; at < all.length; at += Codec.PIECE) {
-                pieces.accept(Arrays.copyOfRange(all, at, Math.min(all.length, at + Codec.PIECE)));
+            byte[] all = AgreementCodec.image(state.image());
+            for (int at = 0; at < all.length; at += AgreementCodec.PIECE) {
+                pieces.accept(Arrays.copyOfRange(all, at, Math.min(all.length, at + AgreementCodec.PIECE)));
             }
         }
 
@@ -656,7 +656,7 @@
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             pieces.forEach(p -> all.writeBytes((byte[]) p));
             try {
-                state.restore(Codec.image(all.toByteArray()));
+                state.restore(AgreementCodec.image(all.toByteArray()));
                 lead = null;
             } catch (IOException e) {
                 // It is the library's to stop this voter then: its state is unknown.
@@ -666,12 +666,12 @@
 
         @Override
         public Object getNewTermOperation() {
-            return new Op.Reign(endpoint.toString(), processLife, ++reignNumber);
+            return new LogCommand.Reign(endpoint.toString(), processLife, ++reignNumber);
         }
     }
 
     private void hintAll() {
-        Note.Hint h = new Note.Hint(state.reign());
+        AgreementMessage.Hint h = new AgreementMessage.Hint(state.reign());
         links.peers().forEach(p -> post(p.name(), h));
         post(me, h);
     }
@@ -693,7 +693,7 @@
         while (!turns.isEmpty() && batch.size() < MOST_IN_TURN) {
             batch.add(turns.poll());
         }
-        Lead of = lead;
+        LeaderLeases of = lead;
         turnSinceMs = now;
         Turn t = new Turn(() -> {
             // Guards against an answer in a later reign, which knows other leases.
@@ -716,8 +716,8 @@
                 }));
     }
 
-    private void write(List<Op> ops) {
-        Lead of = lead;
+    private void write(List<LogCommand> ops) {
+        LeaderLeases of = lead;
         ops.forEach(op -> raft.replicate(op)
                 .whenComplete((r, e) -> later(() -> {
                     if (e != null && lead == of) {
@@ -726,12 +726,12 @@
                 })));
     }
 
-    private void proposed(String peer, Note.Propose p) {
+    private void proposed(String peer, AgreementMessage.Propose p) {
         Waiter w = new Waiter(peer, p.name(), p.life(), p.number());
         if (staging.contains(w)
                 || staging.size() >= MOST_PENDING
-                || p.name().length() > State.MAX_NAME
-                || p.content().length > State.MAX_CONTENT) {
+                || p.name().length() > AgreedState.MAX_NAME
+                || p.content().length > AgreedState.MAX_CONTENT) {
             return;
         }
         if (!waiters.contains(w) && waiters.size() < 4 * MOST_PENDING) {
@@ -742,8 +742,8 @@
             return;
         }
         staging.add(w);
-        Op.Stage s = new Op.Stage(p.name(), p.expected(), p.content(), peer, p.life(), p.number());
-        raft.<State.Result>replicate(s)
+        LogCommand.Stage s = new LogCommand.Stage(p.name(), p.expected(), p.content(), peer, p.life(), p.number());
+        raft.<AgreedState.Result>replicate(s)
                 .whenComplete((r, e) -> later(() -> {
                     staging.remove(w);
                     Verdict v = e != null
@@ -756,7 +756,7 @@
                             };
                     if (v != null) {
                         waiters.remove(w);
-                        post(peer, new Note.Outcome(p.life(), p.number(), v, 0));
+                        post(peer, new AgreementMessage.Outcome(p.life(), p.number(), v, 0));
                     }
                 }));
     }
@@ -764,36 +764,36 @@
     private void outcomes(String name) {
         for (Iterator<Waiter> i = waiters.iterator(); i.hasNext(); ) {
             Waiter w = i.next();
-            Optional<State.Kept> kept =
+            Optional<AgreedState.Kept> kept =
                     w.name().equals(name) ? state.proposed(name, w.peer(), w.life(), w.number()) : Optional.empty();
-            if (kept.isPresent() && kept.get().came() != State.Came.STAGED) {
+            if (kept.isPresent() && kept.get().came() != AgreedState.Came.STAGED) {
                 i.remove();
                 post(
                         w.peer(),
-                        new Note.Outcome(
+                        new AgreementMessage.Outcome(
                                 w.life(),
                                 w.number(),
-                                kept.get().came() == State.Came.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED,
+                                kept.get().came() == AgreedState.Came.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED,
                                 kept.get().generation()));
             }
         }
     }
 
-    private void claimed(double now, String peer, Note.Claim c) {
-        Lead.Claim came = lead.claimed(now, peer, c);
+    private void claimed(double now, String peer, AgreementMessage.Claim c) {
+        LeaderLeases.Claim came = lead.claimed(now, peer, c);
         if (came.answer() != null) {
             post(peer, came.answer());
         }
         if (came.first() == null) {
             return;
         }
-        Lead of = lead;
-        raft.<State.Result>replicate(came.first())
+        LeaderLeases of = lead;
+        raft.<AgreedState.Result>replicate(came.first())
                 .whenComplete((r, e) -> later(() -> {
                     if (lead != of) {
                         return;
                     }
-                    if (e == null && r.getResult() == State.Result.DONE) {
+                    if (e == null && r.getResult() == AgreedState.Result.DONE) {
                         post(peer, of.taken(clock.nowMs(), c));
                     } else {
                         of.notWritten(came.first());
@@ -801,15 +801,16 @@
                 }));
     }
 
-    private Note.Looked looked(Note.Look l) {
-        byte[] content =
-                state.kept(l.name(), l.generation()).map(State.Kept::content).orElse(new byte[0]);
-        return new Note.Looked(
+    private AgreementMessage.Looked looked(AgreementMessage.Look l) {
+        byte[] content = state.kept(l.name(), l.generation())
+                .map(AgreedState.Kept::content)
+                .orElse(new byte[0]);
+        return new AgreementMessage.Looked(
                 l.life(),
                 l.number(),
                 state.named(l.name()).stream()
                         .flatMap(n -> n.history().stream()
-                                .map(k -> new Note.Line(
+                                .map(k -> new AgreementMessage.Line(
                                         k.generation(),
                                         k.by(),
                                         k.content().length,
@@ -823,7 +824,7 @@
 
     private String leader() {
         RaftEndpoint e = raft == null ? null : raft.getTerm().getLeaderEndpoint();
-        return lead != null ? me : e != null ? ((Endpoint) e).name() : "";
+        return lead != null ? me : e != null ? ((VoterEndpoint) e).name() : "";
     }
 
     /** Whom to ask: the leader as far as known, else one voter after another. */
@@ -853,14 +854,14 @@
         post(target(), part.question());
     }
 
-    private void answered(String peer, Note.Answer a) {
+    private void answered(String peer, AgreementMessage.Answer a) {
         if (!follows.isEmpty() && !follows.equals(a.founding())) {
             foreign.increment();
             alarm(peer + " answers for another founding, " + a.founding() + "; here it is " + follows);
             return;
         }
-        Part before = part;
-        Part next = before.told(a, this::canUse);
+        LeaseView before = part;
+        LeaseView next = before.told(a, this::canUse);
         if (next == before) {
             return;
         }
@@ -869,7 +870,7 @@
         part = next;
         answeredMs = clock.nowMs();
         List<String> news = a.told().stream()
-                .map(Note.Told::name)
+                .map(AgreementMessage.Told::name)
                 .filter(n -> next.word(n).version() > before.word(n).version())
                 .toList();
         double at = cadence.answeredMs(answeredMs, !news.isEmpty());
@@ -894,7 +895,7 @@
         }
     }
 
-    private void hinted(String peer, Note.Hint h) {
+    private void hinted(String peer, AgreementMessage.Hint h) {
         if (h.reign() < lastReign) {
             return;
         }
@@ -907,7 +908,7 @@
         }
     }
 
-    private void elsewhere(String peer, Note.Elsewhere e) {
+    private void elsewhere(String peer, AgreementMessage.Elsewhere e) {
         if (!e.leader().isEmpty()
                 && links.peers().stream().anyMatch(p -> p.name().equals(e.leader()))) {
             believed = e.leader();
@@ -921,7 +922,7 @@
         }
     }
 
-    private void answer(long life, long number, Note note) {
+    private void answer(long life, long number, AgreementMessage note) {
         if (life == processLife) {
             pending.answered(number, note);
         }
@@ -929,7 +930,10 @@
 
     /** Waits for an answer of the leader's. */
     private void await(
-            double withinMs, java.util.function.LongFunction<Note> note, Consumer<Note> answer, Runnable over) {
+            double withinMs,
+            java.util.function.LongFunction<AgreementMessage> note,
+            Consumer<AgreementMessage> answer,
+            Runnable over) {
         double untilMs = clock.nowMs() + withinMs;
         later(() -> {
             if (closed) {
@@ -945,9 +949,12 @@
 
     @Override
     public CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs) {
-        if (name.isEmpty() || name.length() > State.MAX_NAME || content.length > State.MAX_CONTENT || expected < 0) {
+        if (name.isEmpty()
+                || name.length() > AgreedState.MAX_NAME
+                || content.length > AgreedState.MAX_CONTENT
+                || expected < 0) {
             throw new IllegalArgumentException("name '" + name + "', expected " + expected + ", " + content.length
-                    + " bytes of at most " + State.MAX_CONTENT);
+                    + " bytes of at most " + AgreedState.MAX_CONTENT);
         }
         if (!canUse(name, content)) {
             return CompletableFuture.completedFuture(Verdict.REFUSED);
@@ -955,9 +962,9 @@
         CompletableFuture<Verdict> verdict = new CompletableFuture<>();
         await(
                 withinMs,
-                n -> new Note.Propose(name, expected, content, processLife, n),
+                n -> new AgreementMessage.Propose(name, expected, content, processLife, n),
                 o -> {
-                    Note.Outcome came = (Note.Outcome) o;
+                    AgreementMessage.Outcome came = (AgreementMessage.Outcome) o;
                     if (came.verdict() == Verdict.IN_FORCE) {
                         hearings.add(new Hearing(
                                 name,
@@ -986,7 +993,7 @@
 
     @Override
     public Optional<Acting> acting(String name) {
-        Part p = part;
+        LeaseView p = part;
         return p.acting(name, clock.nowMs());
     }
 
@@ -999,7 +1006,7 @@
     }
 
     /** What it was told, and what it holds, for a check of all members at one moment. */
-    Part part() {
+    LeaseView part() {
         return part;
     }
 
@@ -1023,7 +1030,7 @@
 
     @Override
     public CompletableFuture<Hold> hold(String role, double forMs) {
-        if (role.isEmpty() || role.length() > State.MAX_NAME || !(forMs > 0) || forMs > settings.maxRoleMs()) {
+        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME || !(forMs > 0) || forMs > settings.maxRoleMs()) {
             throw new IllegalArgumentException(
                     "role '" + role + "' for " + forMs + " ms of at most " + settings.maxRoleMs());
         }
@@ -1032,9 +1039,9 @@
         CompletableFuture<Hold> hold = new CompletableFuture<>();
         await(
                 Math.max(2 * AGAIN_MS, Math.min(forMs / 2, 5000)),
-                n -> new Note.Claim(role, forMs, processLife, n),
+                n -> new AgreementMessage.Claim(role, forMs, processLife, n),
                 c -> {
-                    Note.Claimed came = (Note.Claimed) c;
+                    AgreementMessage.Claimed came = (AgreementMessage.Claimed) c;
                     Hold h = new Hold(
                             came.holder(),
                             came.token(),
@@ -1066,12 +1073,12 @@
     }
 
     /** The generations of a name that are kept, oldest first; empty if no voter answers within the time. */
-    CompletableFuture<Optional<Note.Looked>> look(String name, long generation, double withinMs) {
-        CompletableFuture<Optional<Note.Looked>> looked = new CompletableFuture<>();
+    CompletableFuture<Optional<AgreementMessage.Looked>> look(String name, long generation, double withinMs) {
+        CompletableFuture<Optional<AgreementMessage.Looked>> looked = new CompletableFuture<>();
         await(
                 withinMs,
-                n -> new Note.Look(name, generation, processLife, n),
-                l -> looked.complete(Optional.of((Note.Looked) l)),
+                n -> new AgreementMessage.Look(name, generation, processLife, n),
+                l -> looked.complete(Optional.of((AgreementMessage.Looked) l)),
                 () -> looked.complete(Optional.empty()));
         return looked;
     }
@@ -1133,7 +1140,7 @@
                             + " writes forced");
         }
         for (String n : part.names()) {
-            Word w = part.word(n);
+            DecidedVersion w = part.word(n);
             line(
                     s,
                     n,
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Note.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.core.generation.Word;
+import brackenbridge.core.generation.DecidedVersion;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
@@ -9,21 +9,21 @@
 /** What members tell each other beside the Raft library's messages. Any of it may be lost, late or repeated. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "note")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = Note.Hello.class, name = "hello"),
-    @JsonSubTypes.Type(value = Note.Facts.class, name = "facts"),
-    @JsonSubTypes.Type(value = Note.Join.class, name = "join"),
-    @JsonSubTypes.Type(value = Note.Question.class, name = "question"),
-    @JsonSubTypes.Type(value = Note.Answer.class, name = "answer"),
-    @JsonSubTypes.Type(value = Note.Elsewhere.class, name = "elsewhere"),
-    @JsonSubTypes.Type(value = Note.Hint.class, name = "hint"),
-    @JsonSubTypes.Type(value = Note.Propose.class, name = "propose"),
-    @JsonSubTypes.Type(value = Note.Outcome.class, name = "outcome"),
-    @JsonSubTypes.Type(value = Note.Claim.class, name = "claim"),
-    @JsonSubTypes.Type(value = Note.Claimed.class, name = "claimed"),
-    @JsonSubTypes.Type(value = Note.Look.class, name = "look"),
-    @JsonSubTypes.Type(value = Note.Looked.class, name = "looked"),
+    @JsonSubTypes.Type(value = AgreementMessage.Hello.class, name = "hello"),
+    @JsonSubTypes.Type(value = AgreementMessage.Facts.class, name = "facts"),
+    @JsonSubTypes.Type(value = AgreementMessage.Join.class, name = "join"),
+    @JsonSubTypes.Type(value = AgreementMessage.Question.class, name = "question"),
+    @JsonSubTypes.Type(value = AgreementMessage.Answer.class, name = "answer"),
+    @JsonSubTypes.Type(value = AgreementMessage.Elsewhere.class, name = "elsewhere"),
+    @JsonSubTypes.Type(value = AgreementMessage.Hint.class, name = "hint"),
+    @JsonSubTypes.Type(value = AgreementMessage.Propose.class, name = "propose"),
+    @JsonSubTypes.Type(value = AgreementMessage.Outcome.class, name = "outcome"),
+    @JsonSubTypes.Type(value = AgreementMessage.Claim.class, name = "claim"),
+    @JsonSubTypes.Type(value = AgreementMessage.Claimed.class, name = "claimed"),
+    @JsonSubTypes.Type(value = AgreementMessage.Look.class, name = "look"),
+    @JsonSubTypes.Type(value = AgreementMessage.Looked.class, name = "looked"),
 })
-sealed interface Note {
+sealed interface AgreementMessage {
     /**
      * A voter has started and asks what the others know of it.
      *
@@ -32,7 +32,7 @@
     record Hello(
             @JsonProperty("disk") String disk,
             @JsonProperty("starts") long starts,
-            @JsonProperty("life") long life) implements Note {}
+            @JsonProperty("life") long life) implements AgreementMessage {}
 
     /**
      * The answer to a hello.
@@ -55,10 +55,10 @@
             @JsonProperty("seenDisk") String seenDisk,
             @JsonProperty("seenStarts") long seenStarts,
             @JsonProperty("seenLife") long seenLife)
-            implements Note {}
+            implements AgreementMessage {}
 
     /** A voter with a new disk asks to take its old one's place. */
-    record Join(@JsonProperty("endpoint") String endpoint) implements Note {}
+    record Join(@JsonProperty("endpoint") String endpoint) implements AgreementMessage {}
 
     /**
      * What a member holds of a name.
@@ -78,7 +78,7 @@
             @JsonProperty("life") long life,
             @JsonProperty("number") long number,
             @JsonProperty("heard") List<Heard> heard)
-            implements Note {}
+            implements AgreementMessage {}
 
     /** A generation's content. */
     record Item(
@@ -89,7 +89,7 @@
     /** What is decided of a name, with the contents that the asker lacks. */
     record Told(
             @JsonProperty("name") String name,
-            @JsonProperty("word") Word word,
+            @JsonProperty("word") DecidedVersion word,
             @JsonProperty("items") List<Item> items) {}
 
     /**
@@ -104,13 +104,13 @@
             @JsonProperty("leaseMs") double leaseMs,
             @JsonProperty("told") List<Told> told,
             @JsonProperty("whole") boolean whole)
-            implements Note {}
+            implements AgreementMessage {}
 
     /** The asked one does not lead; empty if it does not know who does. */
-    record Elsewhere(@JsonProperty("leader") String leader) implements Note {}
+    record Elsewhere(@JsonProperty("leader") String leader) implements AgreementMessage {}
 
     /** There is news, or another leader: the sender. Carries no promise. */
-    record Hint(@JsonProperty("reign") long reign) implements Note {}
+    record Hint(@JsonProperty("reign") long reign) implements AgreementMessage {}
 
     /** A proposal; sent again until there is an outcome. */
     record Propose(
@@ -119,7 +119,7 @@
             @JsonProperty("content") byte[] content,
             @JsonProperty("life") long life,
             @JsonProperty("number") long number)
-            implements Note {}
+            implements AgreementMessage {}
 
     /**
      * What came of a proposal.
@@ -129,9 +129,9 @@
     record Outcome(
             @JsonProperty("life") long life,
             @JsonProperty("number") long number,
-            @JsonProperty("verdict") Agreed.Verdict verdict,
+            @JsonProperty("verdict") AgreedValues.Verdict verdict,
             @JsonProperty("generation") long generation)
-            implements Note {}
+            implements AgreementMessage {}
 
     /** A member asks to act in a role, or to go on in it. */
     record Claim(
@@ -139,7 +139,7 @@
             @JsonProperty("forMs") double forMs,
             @JsonProperty("life") long life,
             @JsonProperty("number") long number)
-            implements Note {}
+            implements AgreementMessage {}
 
     /**
      * Who acts in it.
@@ -152,7 +152,7 @@
             @JsonProperty("holder") String holder,
             @JsonProperty("token") long token,
             @JsonProperty("forMs") double forMs)
-            implements Note {}
+            implements AgreementMessage {}
 
     /** Staff ask for a name's generations; a generation of 0 asks for the list, without contents. */
     record Look(
@@ -160,7 +160,7 @@
             @JsonProperty("generation") long generation,
             @JsonProperty("life") long life,
             @JsonProperty("number") long number)
-            implements Note {}
+            implements AgreementMessage {}
 
     /** A generation of a name's history: {@code came} is what came of it. */
     record Line(
@@ -175,5 +175,5 @@
             @JsonProperty("number") long number,
             @JsonProperty("lines") List<Line> lines,
             @JsonProperty("content") byte[] content)
-            implements Note {}
+            implements AgreementMessage {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/BeatClock.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/HeartbeatClock.java
@@ -6,12 +6,12 @@
 import java.time.ZoneOffset;
 
 /** The Raft library's clock. It counts heartbeats in whole seconds: here one of its seconds is one heartbeat. */
-final class BeatClock extends java.time.Clock {
+final class HeartbeatClock extends java.time.Clock {
     private final Clock clock;
     private final double speed;
 
     /** A clock that runs so many times as fast as the other. */
-    BeatClock(Clock clock, double speed) {
+    HeartbeatClock(Clock clock, double speed) {
         this.clock = clock;
         this.speed = speed;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Lead.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.core.generation.Ask;
-import brackenbridge.core.generation.Authority;
-import brackenbridge.core.generation.Grant;
-import brackenbridge.core.generation.Terms;
-import brackenbridge.core.generation.Word;
+import brackenbridge.core.generation.DecidedVersion;
+import brackenbridge.core.generation.LeaseAuthority;
+import brackenbridge.core.generation.LeaseGrant;
+import brackenbridge.core.generation.LeaseRequest;
+import brackenbridge.core.generation.LeaseTerms;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -22,20 +22,20 @@
  * <p>Whatever grants a lease ({@link #asked}, {@link #claimed}) must be called only after a majority has said, since
  * the question came, that it follows this reign.
  */
-final class Lead {
+final class LeaderLeases {
     /** Room for contents in one answer, in bytes. */
     private static final int ROOM = 600 * 1024;
 
     /** What comes of a claim: an answer, an entry to be written first, or nothing yet. */
-    record Claim(Note.Claimed answer, Op.Take first) {}
+    record Claim(AgreementMessage.Claimed answer, LogCommand.Take first) {}
 
     private record RoleLease(double untilMs, boolean inFlight) {}
 
-    private final Terms terms;
-    private final State state;
+    private final LeaseTerms terms;
+    private final AgreedState state;
     private final long reign;
     private final double settledMs;
-    private final Map<String, Authority> authorities = new TreeMap<>();
+    private final Map<String, LeaseAuthority> authorities = new TreeMap<>();
     private final Map<String, String> refused = new HashMap<>();
     private final Map<String, Integer> ids = new HashMap<>();
     private final Map<Integer, Double> leases = new HashMap<>();
@@ -43,14 +43,14 @@
     private final Set<String> inFlight = new HashSet<>();
 
     /** A reign that begins now. */
-    Lead(Terms terms, State state, double nowMs) {
+    LeaderLeases(LeaseTerms terms, AgreedState state, double nowMs) {
         this.terms = terms;
         this.state = state;
         this.reign = state.reign();
         this.settledMs = nowMs + terms.waitMs();
         state.names()
                 .values()
-                .forEach(n -> authorities.put(n.name(), Authority.start(terms, nowMs, n.word(), n.last())));
+                .forEach(n -> authorities.put(n.name(), LeaseAuthority.start(terms, nowMs, n.word(), n.last())));
         state.roles().values().forEach(r -> roles.put(r.role(), new RoleLease(nowMs + waitMs(r.forMs()), false)));
     }
 
@@ -64,39 +64,40 @@
     }
 
     private double waitMs(double forMs) {
-        return new Terms(forMs, terms.drift()).waitMs();
+        return new LeaseTerms(forMs, terms.drift()).waitMs();
     }
 
     /** What is decided of this name has changed. */
     void applied(String name) {
-        State.Named n = state.named(name).orElseThrow();
-        Authority before = authorities.get(name);
-        Map<Integer, Authority.Held> holders = new TreeMap<>();
+        AgreedState.Named n = state.named(name).orElseThrow();
+        LeaseAuthority before = authorities.get(name);
+        Map<Integer, LeaseAuthority.Held> holders = new TreeMap<>();
         if (before == null) {
             // Whoever may act by other names is waited for here as well, so that it can refuse the first.
-            leases.forEach((id, untilMs) -> holders.put(id, new Authority.Held(untilMs, 0)));
+            leases.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.Held(untilMs, 0)));
         } else {
             holders.putAll(before.holders());
         }
-        authorities.put(name, new Authority(terms, n.word(), n.last(), settledMs, holders));
+        authorities.put(name, new LeaseAuthority(terms, n.word(), n.last(), settledMs, holders));
         inFlight.remove(name);
         refused.remove(name);
     }
 
     /** The answer to a question; from now on its asker is waited for. */
-    Note.Answer asked(double nowMs, String asker, Note.Question q, String founding) {
+    AgreementMessage.Answer asked(double nowMs, String asker, AgreementMessage.Question q, String founding) {
         int id = ids.computeIfAbsent(asker, a -> ids.size() + 1);
         leases.put(id, nowMs + terms.waitMs());
-        Map<String, Note.Heard> heard = new HashMap<>();
+        Map<String, AgreementMessage.Heard> heard = new HashMap<>();
         q.heard().forEach(h -> heard.put(h.name(), h));
-        List<Note.Told> told = new ArrayList<>();
+        List<AgreementMessage.Told> told = new ArrayList<>();
         int room = ROOM;
         boolean whole = true;
-        for (Map.Entry<String, Authority> e : authorities.entrySet()) {
-            Note.Heard h = heard.getOrDefault(e.getKey(), new Note.Heard(e.getKey(), 0, 0, List.of()));
-            Ask ask = new Ask(id, q.life(), q.number(), h.version(), h.refused());
-            Authority a = e.getValue();
-            List<Note.Item> items = items(a.word(), e.getKey(), h.has());
+        for (Map.Entry<String, LeaseAuthority> e : authorities.entrySet()) {
+            AgreementMessage.Heard h =
+                    heard.getOrDefault(e.getKey(), new AgreementMessage.Heard(e.getKey(), 0, 0, List.of()));
+            LeaseRequest ask = new LeaseRequest(id, q.life(), q.number(), h.version(), h.refused());
+            LeaseAuthority a = e.getValue();
+            List<AgreementMessage.Item> items = items(a.word(), e.getKey(), h.has());
             int bytes = items.stream().mapToInt(i -> i.content().length).sum();
             if (bytes > room) {
                 whole = false;
@@ -106,37 +107,37 @@
             if (a.refusedBy(ask)) {
                 refused.put(e.getKey(), asker);
             }
-            Authority next = a.asked(nowMs, ask);
+            LeaseAuthority next = a.asked(nowMs, ask);
             e.setValue(next);
-            Grant g = next.grant(ask);
-            told.add(new Note.Told(e.getKey(), g.word(), items));
+            LeaseGrant g = next.grant(ask);
+            told.add(new AgreementMessage.Told(e.getKey(), g.word(), items));
         }
-        return new Note.Answer(q.life(), q.number(), founding, terms.leaseMs(), told, whole);
+        return new AgreementMessage.Answer(q.life(), q.number(), founding, terms.leaseMs(), told, whole);
     }
 
-    private List<Note.Item> items(Word word, String name, List<Long> has) {
-        List<Note.Item> items = new ArrayList<>();
+    private List<AgreementMessage.Item> items(DecidedVersion word, String name, List<Long> has) {
+        List<AgreementMessage.Item> items = new ArrayList<>();
         for (long g : new long[] {word.inForce(), word.staged()}) {
             if (g != 0 && !has.contains(g)) {
-                State.Kept k = state.kept(name, g).orElseThrow();
-                items.add(new Note.Item(g, k.content(), k.by()));
+                AgreedState.Kept k = state.kept(name, g).orElseThrow();
+                items.add(new AgreementMessage.Item(g, k.content(), k.by()));
             }
         }
         return items;
     }
 
     /** The entries that may be written now; each once, until {@link #applied} or {@link #notWritten}. */
-    List<Op> due(double nowMs) {
-        List<Op> due = new ArrayList<>();
+    List<LogCommand> due(double nowMs) {
+        List<LogCommand> due = new ArrayList<>();
         authorities.forEach((name, a) -> {
             if (a.word().staged() == 0 || inFlight.contains(name)) {
                 return;
             }
             if (refused.containsKey(name)) {
-                due.add(new Op.Abandon(name, a.word().version(), reign, refused.get(name)));
+                due.add(new LogCommand.Abandon(name, a.word().version(), reign, refused.get(name)));
                 inFlight.add(name);
             } else if (a.mayActivate(nowMs)) {
-                due.add(new Op.Activate(name, a.word().version(), reign));
+                due.add(new LogCommand.Activate(name, a.word().version(), reign));
                 inFlight.add(name);
             }
         });
@@ -144,19 +145,19 @@
     }
 
     /** This entry was not taken by the log: it may be tried again. */
-    void notWritten(Op op) {
-        if (op instanceof Op.Activate a) {
+    void notWritten(LogCommand op) {
+        if (op instanceof LogCommand.Activate a) {
             inFlight.remove(a.name());
-        } else if (op instanceof Op.Abandon a) {
+        } else if (op instanceof LogCommand.Abandon a) {
             inFlight.remove(a.name());
-        } else if (op instanceof Op.Take t) {
+        } else if (op instanceof LogCommand.Take t) {
             roles.computeIfPresent(t.role(), (r, l) -> new RoleLease(l.untilMs(), false));
         }
     }
 
     /** A member claims a role. */
-    Claim claimed(double nowMs, String member, Note.Claim c) {
-        Optional<State.Role> role = state.role(c.role());
+    Claim claimed(double nowMs, String member, AgreementMessage.Claim c) {
+        Optional<AgreedState.Role> role = state.role(c.role());
         RoleLease lease = roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
             // Guards against a lease that is lengthened while the role goes to another.
@@ -172,46 +173,46 @@
             roles.put(c.role(), new RoleLease(lease.untilMs(), true));
             return new Claim(
                     null,
-                    new Op.Take(
+                    new LogCommand.Take(
                             c.role(),
                             member,
                             c.life(),
                             c.forMs(),
-                            role.map(State.Role::token).orElse(0L),
+                            role.map(AgreedState.Role::token).orElse(0L),
                             reign));
         }
         return new Claim(
-                new Note.Claimed(
+                new AgreementMessage.Claimed(
                         c.life(),
                         c.number(),
-                        role.map(State.Role::holder).orElse(""),
-                        role.map(State.Role::token).orElse(0L),
+                        role.map(AgreedState.Role::holder).orElse(""),
+                        role.map(AgreedState.Role::token).orElse(0L),
                         0),
                 null);
     }
 
     /** The claim's entry was applied in this reign: it is granted. */
-    Note.Claimed taken(double nowMs, Note.Claim c) {
+    AgreementMessage.Claimed taken(double nowMs, AgreementMessage.Claim c) {
         roles.computeIfPresent(c.role(), (r, l) -> new RoleLease(l.untilMs(), false));
         return granted(nowMs, c);
     }
 
-    private Note.Claimed granted(double nowMs, Note.Claim c) {
-        State.Role role = state.role(c.role()).orElseThrow();
+    private AgreementMessage.Claimed granted(double nowMs, AgreementMessage.Claim c) {
+        AgreedState.Role role = state.role(c.role()).orElseThrow();
         double until = Math.max(
                 nowMs + waitMs(c.forMs()),
                 roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
                         .untilMs());
         roles.put(c.role(), new RoleLease(until, false));
-        return new Note.Claimed(c.life(), c.number(), role.holder(), role.token(), c.forMs());
+        return new AgreementMessage.Claimed(c.life(), c.number(), role.holder(), role.token(), c.forMs());
     }
 
     /** Who is waited for before what is staged can be in force, for staff. */
     List<String> waitsFor(String name, double nowMs) {
-        Authority a = authorities.get(name);
+        LeaseAuthority a = authorities.get(name);
         List<String> who = new ArrayList<>();
         ids.forEach((member, id) -> {
-            Authority.Held h = a == null ? null : a.holders().get(id);
+            LeaseAuthority.Held h = a == null ? null : a.holders().get(id);
             if (h != null
                     && a.word().staged() != 0
                     && nowMs < h.untilMs()
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Part.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -1,11 +1,11 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.core.generation.Acts;
-import brackenbridge.core.generation.Grant;
-import brackenbridge.core.generation.Holder;
-import brackenbridge.core.generation.Word;
-import brackenbridge.fleet.agreed.Agreed.Acting;
-import brackenbridge.fleet.agreed.Agreed.Value;
+import brackenbridge.core.generation.DecidedVersion;
+import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.LeaseGrant;
+import brackenbridge.core.generation.LeaseHolder;
+import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.Value;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -17,42 +17,42 @@
  * A member's side: what it may act by, for all names, by one question. Immutable; each event makes another. A name has
  * a holder of its own, with a word of its own; the lease of all runs from the same question.
  */
-final class Part {
+final class LeaseView {
     /** A name's holder with the contents that it knows. */
-    private record Known(Holder holder, Map<Long, Value> values) {}
+    private record Known(LeaseHolder holder, Map<Long, Value> values) {}
 
     /** Asks as all holders do; the holder of a name that was not heard of before. */
-    private final Holder fresh;
+    private final LeaseHolder fresh;
 
     private final Map<String, Known> names;
     private final double leaseUntilMs;
 
-    private Part(Holder fresh, Map<String, Known> names, double leaseUntilMs) {
+    private LeaseView(LeaseHolder fresh, Map<String, Known> names, double leaseUntilMs) {
         this.fresh = fresh;
         this.names = names;
         this.leaseUntilMs = leaseUntilMs;
     }
 
     /** A process that has just started. */
-    static Part start(long life) {
-        return new Part(Holder.start(0, life), Map.of(), Double.NEGATIVE_INFINITY);
+    static LeaseView start(long life) {
+        return new LeaseView(LeaseHolder.start(0, life), Map.of(), Double.NEGATIVE_INFINITY);
     }
 
     /** It asks now. */
-    Part asks(double nowMs) {
+    LeaseView asks(double nowMs) {
         Map<String, Known> next = new TreeMap<>();
         names.forEach((n, k) -> next.put(n, new Known(k.holder().asks(nowMs), k.values())));
-        return new Part(fresh.asks(nowMs), next, leaseUntilMs);
+        return new LeaseView(fresh.asks(nowMs), next, leaseUntilMs);
     }
 
-    Note.Question question() {
-        List<Note.Heard> heard = new ArrayList<>();
-        names.forEach((n, k) -> heard.add(new Note.Heard(
+    AgreementMessage.Question question() {
+        List<AgreementMessage.Heard> heard = new ArrayList<>();
+        names.forEach((n, k) -> heard.add(new AgreementMessage.Heard(
                 n,
                 k.holder().word().version(),
                 k.holder().refused(),
                 List.copyOf(k.values().keySet()))));
-        return new Note.Question(fresh.life(), fresh.asked(), heard);
+        return new AgreementMessage.Question(fresh.life(), fresh.asked(), heard);
     }
 
     /**
@@ -60,30 +60,30 @@
      *
      * @param usable whether this member can use a content under a name
      */
-    Part told(Note.Answer a, BiPredicate<String, byte[]> usable) {
+    LeaseView told(AgreementMessage.Answer a, BiPredicate<String, byte[]> usable) {
         if (a.life() != fresh.life() || a.number() != fresh.asked()) {
             return this;
         }
         Map<String, Known> next = new TreeMap<>(names);
-        for (Note.Told t : a.told()) {
+        for (AgreementMessage.Told t : a.told()) {
             Known before = names.getOrDefault(t.name(), new Known(fresh, Map.of()));
-            Holder told = before.holder().told(new Grant(a.life(), a.number(), t.word(), a.leaseMs()));
+            LeaseHolder told = before.holder().told(new LeaseGrant(a.life(), a.number(), t.word(), a.leaseMs()));
             if (told == before.holder()) {
                 continue;
             }
             Map<Long, Value> values = new TreeMap<>();
-            Word w = told.word();
+            DecidedVersion w = told.word();
             before.values().forEach((g, v) -> keep(values, w, v));
             t.items().forEach(i -> keep(values, w, new Value(t.name(), i.generation(), i.content(), i.by())));
             long refused =
                     !can(w.staged(), values, usable) ? w.staged() : !can(w.inForce(), values, usable) ? w.inForce() : 0;
             next.put(t.name(), new Known(told.cannotUse(refused), values));
         }
-        return new Part(
+        return new LeaseView(
                 fresh, next, a.whole() ? Math.max(leaseUntilMs, fresh.askedAtMs() + a.leaseMs()) : leaseUntilMs);
     }
 
-    private static void keep(Map<Long, Value> values, Word w, Value v) {
+    private static void keep(Map<Long, Value> values, DecidedVersion w, Value v) {
         if (v.generation() == w.inForce() || v.generation() == w.staged()) {
             values.put(v.generation(), v);
         }
@@ -94,13 +94,13 @@
         return generation == 0 || v != null && usable.test(v.name(), v.content());
     }
 
-    Acts acts(String name, double nowMs) {
+    EffectiveVersions acts(String name, double nowMs) {
         Known k = names.get(name);
-        return k == null ? Acts.IN_DOUBT : k.holder().acts(nowMs);
+        return k == null ? EffectiveVersions.IN_DOUBT : k.holder().acts(nowMs);
     }
 
     Optional<Acting> acting(String name, double nowMs) {
-        Acts a = acts(name, nowMs);
+        EffectiveVersions a = acts(name, nowMs);
         if (a.inDoubt()) {
             return Optional.empty();
         }
@@ -114,8 +114,8 @@
                 .map(k -> k.values().get(k.holder().word().inForce()));
     }
 
-    Word word(String name) {
-        return names.containsKey(name) ? names.get(name).holder().word() : Word.NONE;
+    DecidedVersion word(String name) {
+        return names.containsKey(name) ? names.get(name).holder().word() : DecidedVersion.NONE;
     }
 
     /** The generation of this name that it can't use; 0 if none. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Op.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LogCommand.java
@@ -7,13 +7,13 @@
 /** What is written to the log that all voters share; each has the same effect at each of them. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "op")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = Op.Reign.class, name = "reign"),
-    @JsonSubTypes.Type(value = Op.Stage.class, name = "stage"),
-    @JsonSubTypes.Type(value = Op.Activate.class, name = "activate"),
-    @JsonSubTypes.Type(value = Op.Abandon.class, name = "abandon"),
-    @JsonSubTypes.Type(value = Op.Take.class, name = "take"),
+    @JsonSubTypes.Type(value = LogCommand.Reign.class, name = "reign"),
+    @JsonSubTypes.Type(value = LogCommand.Stage.class, name = "stage"),
+    @JsonSubTypes.Type(value = LogCommand.Activate.class, name = "activate"),
+    @JsonSubTypes.Type(value = LogCommand.Abandon.class, name = "abandon"),
+    @JsonSubTypes.Type(value = LogCommand.Take.class, name = "take"),
 })
-sealed interface Op {
+sealed interface LogCommand {
     /**
      * A voter leads from here on; the first entry of each of its terms.
      *
@@ -24,7 +24,7 @@
     record Reign(
             @JsonProperty("leader") String leader,
             @JsonProperty("life") long life,
-            @JsonProperty("number") long number) implements Op {}
+            @JsonProperty("number") long number) implements LogCommand {}
 
     /**
      * A proposal; repeated ones of the same proposer, life and number count once.
@@ -38,7 +38,7 @@
             @JsonProperty("by") String by,
             @JsonProperty("life") long life,
             @JsonProperty("number") long number)
-            implements Op {}
+            implements LogCommand {}
 
     /**
      * Whoever acted by another generation has heard of the staged one or can't act any more.
@@ -49,7 +49,7 @@
     record Activate(
             @JsonProperty("name") String name,
             @JsonProperty("version") long version,
-            @JsonProperty("reign") long reign) implements Op {}
+            @JsonProperty("reign") long reign) implements LogCommand {}
 
     /** A member can't use what is staged. */
     record Abandon(
@@ -57,7 +57,7 @@
             @JsonProperty("version") long version,
             @JsonProperty("reign") long reign,
             @JsonProperty("by") String by)
-            implements Op {}
+            implements LogCommand {}
 
     /**
      * A role has a new holder, or its holder a longer lease.
@@ -72,5 +72,5 @@
             @JsonProperty("forMs") double forMs,
             @JsonProperty("token") long token,
             @JsonProperty("reign") long reign)
-            implements Op {}
+            implements LogCommand {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
@@ -15,13 +15,18 @@
     private static final int MAX_PENDING = 256;
 
     private static final class Request {
-        private final Note note;
+        private final AgreementMessage note;
         private final double untilMs;
-        private final Consumer<Note> answered;
+        private final Consumer<AgreementMessage> answered;
         private final Runnable timedOut;
         private double sentMs;
 
-        Request(Note note, double sentMs, double untilMs, Consumer<Note> answered, Runnable timedOut) {
+        Request(
+                AgreementMessage note,
+                double sentMs,
+                double untilMs,
+                Consumer<AgreementMessage> answered,
+                Runnable timedOut) {
             this.note = note;
             this.sentMs = sentMs;
             this.untilMs = untilMs;
@@ -30,17 +35,22 @@
         }
     }
 
-    private final Consumer<Note> sender;
+    private final Consumer<AgreementMessage> sender;
     private final Map<Long, Request> requests = new TreeMap<>();
     private long numbers;
 
     /** Sends by this, to whoever leads. */
-    PendingRequests(Consumer<Note> sender) {
+    PendingRequests(Consumer<AgreementMessage> sender) {
         this.sender = sender;
     }
 
     /** Sends a request with a number of its own; too many at once are over at once. */
-    void send(double nowMs, double untilMs, LongFunction<Note> note, Consumer<Note> answered, Runnable timedOut) {
+    void send(
+            double nowMs,
+            double untilMs,
+            LongFunction<AgreementMessage> note,
+            Consumer<AgreementMessage> answered,
+            Runnable timedOut) {
         if (requests.size() >= MAX_PENDING) {
             timedOut.run();
             return;
@@ -51,7 +61,7 @@
         sender.accept(request.note);
     }
 
-    void answered(long number, Note answer) {
+    void answered(long number, AgreementMessage answer) {
         Request request = requests.remove(number);
         if (request != null) {
             request.answered.accept(answer);
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsCalls.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.fleet.agreed.Agreed.Acting;
-import brackenbridge.fleet.agreed.Agreed.Value;
-import brackenbridge.fleet.agreed.Agreed.Verdict;
+import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.Value;
+import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeoutException;
 
 /** What staff do with agreed values, as text in and out; each call waits for its answer, at most for the time given. */
-public final class SettingsCalls {
-    private final AgreedNode node;
+public final class SettingsAdminHandler {
+    private final AgreementMember node;
     private final double withinMs;
 
     /**
@@ -23,7 +23,7 @@
      *
      * @param withinMs how long an answer is waited for
      */
-    public SettingsCalls(AgreedNode node, double withinMs) {
+    public SettingsAdminHandler(AgreementMember node, double withinMs) {
         this.node = node;
         this.withinMs = withinMs;
     }
@@ -45,8 +45,8 @@
         long expected =
                 against >= 0 ? against : node.known(name).map(Value::generation).orElse(0L);
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > State.MAX_CONTENT) {
-            return new Reply(false, bytes.length + " bytes; at most " + State.MAX_CONTENT);
+        if (bytes.length > AgreedState.MAX_CONTENT) {
+            return new Reply(false, bytes.length + " bytes; at most " + AgreedState.MAX_CONTENT);
         }
         Optional<Verdict> v = wait(node.propose(name, expected, bytes, withinMs));
         return new Reply(
@@ -84,7 +84,7 @@
 
     /** The generations that are kept, oldest first. */
     public Reply history(String name) {
-        Optional<Note.Looked> l = look(name, 0);
+        Optional<AgreementMessage.Looked> l = look(name, 0);
         if (l.isEmpty()) {
             return silent();
         }
@@ -115,7 +115,7 @@
     }
 
     private Reply content(String name, long generation) {
-        Optional<Note.Looked> l = look(name, generation);
+        Optional<AgreementMessage.Looked> l = look(name, generation);
         return l.isEmpty()
                 ? silent()
                 : l.get().lines().stream().noneMatch(i -> i.generation() == generation)
@@ -123,7 +123,7 @@
                         : new Reply(true, new String(l.get().content(), StandardCharsets.UTF_8));
     }
 
-    private Optional<Note.Looked> look(String name, long generation) {
+    private Optional<AgreementMessage.Looked> look(String name, long generation) {
         return wait(node.look(name, generation, withinMs)).flatMap(o -> o);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Admission.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterAdmission.java
@@ -20,8 +20,8 @@
  * heard of with a later start, is put aside; it comes back as an empty one.
  * </ul>
  */
-final class Admission {
-    private Admission() {}
+final class VoterAdmission {
+    private VoterAdmission() {}
 
     /** What to do. */
     enum Step {
@@ -46,21 +46,21 @@
      * @param joining whether it has asked for its old disk's place and is not known to have it yet
      * @param since the change of members by which it became one; 0 for the founding
      */
-    record Self(Endpoint endpoint, long starts, long life, List<String> founding, boolean joining, long since) {}
+    record Self(VoterEndpoint endpoint, long starts, long life, List<String> founding, boolean joining, long since) {}
 
     /** The founding among the answers and on the disk; empty if there is none. */
-    static List<String> founding(Self self, Map<String, Note.Facts> answers) {
+    static List<String> founding(Self self, Map<String, AgreementMessage.Facts> answers) {
         return !self.founding().isEmpty()
                 ? self.founding()
                 : answers.values().stream()
-                        .map(Note.Facts::founding)
+                        .map(AgreementMessage.Facts::founding)
                         .filter(f -> !f.isEmpty())
                         .findFirst()
                         .orElse(List.of());
     }
 
     /** The next step, by the answers that have come. */
-    static Step step(Self self, List<String> voters, Map<String, Note.Facts> answers) {
+    static Step step(Self self, List<String> voters, Map<String, AgreementMessage.Facts> answers) {
         String me = self.endpoint().toString();
         List<String> founding = founding(self, answers);
         String id = founding.isEmpty() ? "" : id(founding);
@@ -74,7 +74,7 @@
         if (founding.isEmpty()) {
             return voters.get(0).equals(self.endpoint().name()) && heard == voters.size() - 1 ? Step.FOUND : Step.WAIT;
         }
-        for (Note.Facts f : answers.values()) {
+        for (AgreementMessage.Facts f : answers.values()) {
             boolean later = f.seenDisk().equals(self.endpoint().disk())
                     && (f.seenStarts() > self.starts()
                             || f.seenStarts() == self.starts() && f.seenLife() != self.life());
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Endpoint.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
@@ -11,10 +11,10 @@
  * @param name the member
  * @param disk the disk's number, drawn when it was empty
  */
-record Endpoint(String name, String disk) implements RaftEndpoint {
+record VoterEndpoint(String name, String disk) implements RaftEndpoint {
     private static final int LONGEST = 128;
 
-    Endpoint {
+    VoterEndpoint {
         if (name.isEmpty()
                 || disk.isEmpty()
                 || name.length() > LONGEST
@@ -25,12 +25,12 @@
         }
     }
 
-    static Endpoint parse(String id) {
+    static VoterEndpoint parse(String id) {
         int at = id.indexOf('@');
         if (at < 0) {
             throw new IllegalArgumentException("voter: " + id);
         }
-        return new Endpoint(id.substring(0, at), id.substring(at + 1));
+        return new VoterEndpoint(id.substring(0, at), id.substring(at + 1));
     }
 
     static List<String> ids(Collection<? extends RaftEndpoint> all) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/Store.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -44,7 +44,7 @@
  * not say. So nothing more is written to that file: {@link #open} reads what is there, writes it anew to a fresh file,
  * and goes on with that once it is synced.
  */
-final class Store implements RaftStore, AutoCloseable {
+final class VoterStore implements RaftStore, AutoCloseable {
     private static final String FILE = "agreed.mv";
     private static final String MARK = "agreed.mark";
     /** What is written anew at an opening, until it is whole. */
@@ -90,7 +90,7 @@
     private volatile long forced;
     private RestoredRaftState restored;
 
-    private Store(MVStore store, FileChannel mark, Path file) {
+    private VoterStore(MVStore store, FileChannel mark, Path file) {
         this.store = store;
         this.mark = mark;
         this.file = file;
@@ -112,14 +112,15 @@
      *
      * @param directory where; null for memory only, which is a disk that is lost at each end
      */
-    static Store open(Path directory, String fleet, String member) throws IOException {
+    static VoterStore open(Path directory, String fleet, String member) throws IOException {
         return open(directory, fleet, member, "");
     }
 
     /** The same, on a file system of this scheme. */
-    static Store open(Path directory, String fleet, String member, String scheme) throws IOException {
+    static VoterStore open(Path directory, String fleet, String member, String scheme) throws IOException {
         if (directory == null) {
-            return ready(new Store(new MVStore.Builder().autoCommitDisabled().open(), null, null), fleet, member);
+            return ready(
+                    new VoterStore(new MVStore.Builder().autoCommitDisabled().open(), null, null), fleet, member);
         }
         Files.createDirectories(directory);
         Path file = directory.resolve(FILE);
@@ -137,7 +138,7 @@
                 writeAnew(directory, fleet, member, scheme, mark);
             }
             opened = opened(scheme + file);
-            return ready(new Store(opened, mark, file), fleet, member);
+            return ready(new VoterStore(opened, mark, file), fleet, member);
         } catch (OverlappingFileLockException e) {
             close(opened, mark);
             throw new IOException(directory + " is in use by this process", e);
@@ -173,12 +174,12 @@
         MVStore from = opened(file.toString());
         MVStore to = null;
         try {
-            Store old = new Store(from, mark, directory.resolve(FILE));
+            VoterStore old = new VoterStore(from, mark, directory.resolve(FILE));
             if (!old.empty()) {
                 old.verify(fleet, member);
             }
             to = opened(fresh.toString());
-            Store anew = new Store(to, null, null);
+            VoterStore anew = new VoterStore(to, null, null);
             anew.meta.putAll(old.meta);
             anew.log.putAll(old.log);
             anew.chunks.putAll(old.chunks);
@@ -221,7 +222,7 @@
         }
     }
 
-    private static Store ready(Store s, String fleet, String member) throws IOException {
+    private static VoterStore ready(VoterStore s, String fleet, String member) throws IOException {
         if (s.empty()) {
             byte[] number = new byte[12];
             new SecureRandom().nextBytes(number);
@@ -390,7 +391,7 @@
             List<LogEntry> entries = new ArrayList<>();
             long next = snapshot == null ? 1 : snapshot.getIndex() + 1;
             for (Map.Entry<Long, byte[]> e : log.entrySet()) {
-                LogEntry entry = Codec.entry(unsealed(e.getKey().toString(), e.getValue()));
+                LogEntry entry = AgreementCodec.entry(unsealed(e.getKey().toString(), e.getValue()));
                 if (entry.getIndex() != e.getKey()) {
                     throw new Damaged("entry " + entry.getIndex() + " in place " + e.getKey(), null);
                 }
@@ -403,9 +404,9 @@
                 entries.add(entry);
             }
             return new RestoredRaftState(
-                    Codec.self(unsealed("endpoint", meta.get("endpoint"))),
-                    Codec.members(unsealed("initial", meta.get("initial"))),
-                    Codec.term(unsealed("term", meta.get("term"))),
+                    AgreementCodec.self(unsealed("endpoint", meta.get("endpoint"))),
+                    AgreementCodec.members(unsealed("initial", meta.get("initial"))),
+                    AgreementCodec.term(unsealed("term", meta.get("term"))),
                     snapshot,
                     entries);
         } catch (Damaged e) {
@@ -420,7 +421,7 @@
         List<SnapshotChunk> of = new ArrayList<>();
         List<SnapshotChunk> whole = List.of();
         for (Map.Entry<String, byte[]> e : chunks.entrySet()) {
-            SnapshotChunk c = Codec.chunk(unsealed(e.getKey(), e.getValue()));
+            SnapshotChunk c = AgreementCodec.chunk(unsealed(e.getKey(), e.getValue()));
             if (!of.isEmpty() && of.get(0).getIndex() != c.getIndex()) {
                 of = new ArrayList<>();
             }
@@ -494,31 +495,32 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState e) throws IOException {
-        write(() -> meta.put("endpoint", sealed("endpoint", Codec.self(e))));
+        write(() -> meta.put("endpoint", sealed("endpoint", AgreementCodec.self(e))));
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) throws IOException {
-        write(() -> meta.put("initial", sealed("initial", Codec.members(v))));
+        write(() -> meta.put("initial", sealed("initial", AgreementCodec.members(v))));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        write(() -> meta.put("term", sealed("term", Codec.term(t))));
+        write(() -> meta.put("term", sealed("term", AgreementCodec.term(t))));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        write(() -> entries.forEach(e -> log.put(e.getIndex(), sealed(String.valueOf(e.getIndex()), Codec.entry(e)))));
+        write(() -> entries.forEach(
+                e -> log.put(e.getIndex(), sealed(String.valueOf(e.getIndex()), AgreementCodec.entry(e)))));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
         String key = key(c.getIndex(), c.getSnapshotChunkIndex());
-        write(() -> chunks.put(key, sealed(key, Codec.chunk(c))));
+        write(() -> chunks.put(key, sealed(key, AgreementCodec.chunk(c))));
     }
 
     private static String key(long index, int chunk) {
--- a/fleet/src/main/java/brackenbridge/fleet/cli/StaffCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
@@ -22,7 +22,7 @@
  * A command that a running member answers: its words go to the member's page, what comes back is printed. Exit status:
  * 0; 1 where the member said no or did not answer; 2 for a command line that can't be used.
  */
-abstract class StaffCommand implements Extension {
+abstract class AdminCommand implements Extension {
     private static final Duration PATIENCE = Duration.ofSeconds(30);
 
     private static final class Line {
@@ -42,7 +42,7 @@
     private final String name;
     private final String usage;
 
-    StaffCommand(String name, String usage) {
+    AdminCommand(String name, String usage) {
         this.name = name;
         this.usage = usage;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/EvacuationCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/EvacuationCommand.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.cli;
 
 /** Plans of a zone's evacuation. */
-public final class EvacuationCommand extends StaffCommand {
+public final class EvacuationCommand extends AdminCommand {
     /** For the ServiceLoader. */
     public EvacuationCommand() {
         super("evacuation", "evacuation forecast | rehearse | run --file PLAN | status | halt | history");
--- a/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
@@ -4,8 +4,8 @@
 import brackenbridge.cli.Main;
 import brackenbridge.fleet.config.FileFaults;
 import brackenbridge.fleet.config.FleetFile;
+import brackenbridge.fleet.node.FleetParticipant;
 import brackenbridge.fleet.node.NodeSubscription;
-import brackenbridge.fleet.node.Together;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
@@ -68,7 +68,7 @@
         Main.serve(
                 line.config,
                 config -> line.fleet != null
-                        ? new Together(file, config)
+                        ? new FleetParticipant(file, config)
                         : new NodeSubscription(file, Path.of(line.config), line.region, config));
         // The signal ends the process; what returns here would end it at once.
         try {
--- a/fleet/src/main/java/brackenbridge/fleet/cli/SharesCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/SharesCommand.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.cli;
 
 /** Tenants' shares of connections. */
-public final class SharesCommand extends StaffCommand {
+public final class SharesCommand extends AdminCommand {
     /** For the ServiceLoader. */
     public SharesCommand() {
         super("shares", "shares status | hungry | set --file FILE");
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
@@ -316,12 +316,12 @@
                 }
             } else {
                 throw new ProtocolException(
-                        Refusal.UNREADABLE, message.getClass().getSimpleName() + " is not expected here");
+                        SubscriptionRejection.UNREADABLE, message.getClass().getSimpleName() + " is not expected here");
             }
         }
 
         private void refused(Refuse refuse) {
-            if (refuse.refusal() == Refusal.BUSY && refuse.retryAfterMs() > 0) {
+            if (refuse.refusal() == SubscriptionRejection.BUSY && refuse.retryAfterMs() > 0) {
                 selector.askedToWait(Math.min(refuse.retryAfterMs(), limits.homeMaxMs()));
                 leave(this, "busy");
             } else if (refuse.refusal().isTransient()) {
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
@@ -71,25 +71,26 @@
 
     static ControlMessage read(byte[] all) throws ProtocolException {
         if (all.length < HEAD) {
-            throw new ProtocolException(Refusal.UNREADABLE, "a frame of " + all.length + " bytes");
+            throw new ProtocolException(SubscriptionRejection.UNREADABLE, "a frame of " + all.length + " bytes");
         }
         if (all[0] != VERSION) {
-            throw new ProtocolException(Refusal.UNKNOWN_PROTOCOL_VERSION, "version " + all[0]);
+            throw new ProtocolException(SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, "version " + all[0]);
         }
         if (all[1] < 0 || all[1] >= KINDS.size()) {
-            throw new ProtocolException(Refusal.UNREADABLE, "kind " + all[1]);
+            throw new ProtocolException(SubscriptionRejection.UNREADABLE, "kind " + all[1]);
         }
         try {
             ControlMessage message = READERS.get(all[1]).readValue(all, HEAD, all.length - HEAD);
             if (message == null) {
-                throw new ProtocolException(Refusal.UNREADABLE, "an empty message");
+                throw new ProtocolException(SubscriptionRejection.UNREADABLE, "an empty message");
             }
             return message;
         } catch (ProtocolException e) {
             throw e;
         } catch (IOException | RuntimeException e) {
             // Records reject what is out of bounds, and a parser may have faults of its own.
-            throw new ProtocolException(Refusal.UNREADABLE, e.getClass().getSimpleName());
+            throw new ProtocolException(
+                    SubscriptionRejection.UNREADABLE, e.getClass().getSimpleName());
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
@@ -109,5 +109,5 @@
      * @param retryAfterMs when to come back to this machine, in milliseconds; 0 if it makes no difference
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Refuse(Refusal refusal, double retryAfterMs) implements ControlMessage {}
+    record Refuse(SubscriptionRejection refusal, double retryAfterMs) implements ControlMessage {}
 }
