--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
@@ -80,7 +80,7 @@
     private final BooleanSupplier confirmed;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Map<Refusal, Counter> refusals = new EnumMap<>(Refusal.class);
+    private final Map<SubscriptionRejection, Counter> refusals = new EnumMap<>(SubscriptionRejection.class);
     private final Counter subscriptions;
     private final Counter updates;
     private final Counter bytesOut;
@@ -115,7 +115,7 @@
         this.confirmed = confirmed;
         this.admissions = new AdmissionLimiter(limits.admissionsPerSecond(), limits.admissionBurst());
         this.report = new MachineReport(settings.machine(), false, List.of());
-        for (Refusal refusal : Refusal.values()) {
+        for (SubscriptionRejection refusal : SubscriptionRejection.values()) {
             refusals.put(
                     refusal,
                     Counter.builder("control.refused")
@@ -285,7 +285,7 @@
         }
     }
 
-    private void count(Refusal refusal, String who, String why) {
+    private void count(SubscriptionRejection refusal, String who, String why) {
         refusals.get(refusal).increment();
         double now = clock.nowMs();
         if (now >= loggedSinceMs + 1000) {
@@ -321,9 +321,9 @@
         public void channelActive(ChannelHandlerContext context) {
             connections.add(this);
             if (stopping) {
-                refuse(Refusal.STOPPING, 0, "");
+                refuse(SubscriptionRejection.STOPPING, 0, "");
             } else if (connections.size() - byNode.size() > limits.maxUnsubscribed()) {
-                refuse(Refusal.BUSY, limits.retryMaxMs(), "too many connections without a subscription");
+                refuse(SubscriptionRejection.BUSY, limits.retryMaxMs(), "too many connections without a subscription");
             }
         }
 
@@ -365,9 +365,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                refuse(Refusal.FRAME_TOO_LONG, 0, String.valueOf(cause.getMessage()));
+                refuse(SubscriptionRejection.FRAME_TOO_LONG, 0, String.valueOf(cause.getMessage()));
             } else if (cause instanceof DecoderException) {
-                refuse(Refusal.UNREADABLE, 0, String.valueOf(cause.getMessage()));
+                refuse(SubscriptionRejection.UNREADABLE, 0, String.valueOf(cause.getMessage()));
             } else {
                 channel.close();
             }
@@ -394,42 +394,42 @@
                 }
             } else {
                 throw new ProtocolException(
-                        Refusal.UNREADABLE, message.getClass().getSimpleName() + " is not expected here");
+                        SubscriptionRejection.UNREADABLE, message.getClass().getSimpleName() + " is not expected here");
             }
         }
 
         private void subscribe(Subscribe request) {
             if (!request.fleet().equals(settings.fleet())) {
-                refuse(Refusal.OTHER_FLEET, 0, request.node() + " of fleet " + request.fleet());
+                refuse(SubscriptionRejection.OTHER_FLEET, 0, request.node() + " of fleet " + request.fleet());
                 return;
             }
             if (!settings.nodes().contains(request.node())) {
-                refuse(Refusal.UNKNOWN_NODE, 0, request.node());
+                refuse(SubscriptionRejection.UNKNOWN_NODE, 0, request.node());
                 return;
             }
             if (request.resources().size() > ControlMessage.MAX_RESOURCES) {
                 refuse(
-                        Refusal.TOO_MANY_RESOURCES,
+                        SubscriptionRejection.TOO_MANY_RESOURCES,
                         0,
                         request.node() + ": " + request.resources().size());
                 return;
             }
             NodeConnection before = byNode.get(request.node());
             if (before != null && before.number >= request.connection()) {
-                refuse(Refusal.REPLACED, 0, request.node() + ": a later connection is here");
+                refuse(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection is here");
                 return;
             }
             if (before == null && byNode.size() >= limits.maxSubscribers()) {
-                refuse(Refusal.FULL, 0, request.node());
+                refuse(SubscriptionRejection.FULL, 0, request.node());
                 return;
             }
             OptionalDouble retryAfterMs = admissions.admit(clock.nowMs());
             if (retryAfterMs.isPresent()) {
-                refuse(Refusal.BUSY, retryAfterMs.getAsDouble(), request.node());
+                refuse(SubscriptionRejection.BUSY, retryAfterMs.getAsDouble(), request.node());
                 return;
             }
             if (before != null) {
-                before.refuse(Refusal.REPLACED, 0, request.node() + ": a later connection has come");
+                before.refuse(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection has come");
             }
             admitted(request);
         }
@@ -494,13 +494,13 @@
             }
             if (subscription == null) {
                 if (nowMs - acceptedMs > limits.silenceMs()) {
-                    refuse(Refusal.NO_SUBSCRIPTION, 0, "");
+                    refuse(SubscriptionRejection.NO_SUBSCRIPTION, 0, "");
                 }
             } else if (nowMs - lastReadMs > limits.silenceMs()) {
-                refuse(Refusal.SILENT, 0, node);
+                refuse(SubscriptionRejection.SILENT, 0, node);
             } else if (nowMs - blockedSinceMs > limits.slowReaderMs()
                     || nowMs - unansweredSinceMs > limits.slowReaderMs()) {
-                refuse(Refusal.SLOW_READER, 0, node);
+                refuse(SubscriptionRejection.SLOW_READER, 0, node);
             } else if (channel.isWritable()) {
                 write(heartbeat);
                 channel.flush();
@@ -513,7 +513,7 @@
         }
 
         /** Tells why, and closes; what still comes in is dropped for a moment, else it would reset the connection. */
-        void refuse(Refusal refusal, double retryAfterMs, String why) {
+        void refuse(SubscriptionRejection refusal, double retryAfterMs, String why) {
             if (ended) {
                 return;
             }
@@ -537,7 +537,8 @@
         try {
             loop.submit(() -> {
                         stopping = true;
-                        List.copyOf(connections).forEach(connection -> connection.refuse(Refusal.STOPPING, 0, ""));
+                        List.copyOf(connections)
+                                .forEach(connection -> connection.refuse(SubscriptionRejection.STOPPING, 0, ""));
                         if (listening != null) {
                             listening.close();
                         }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
@@ -7,16 +7,16 @@
     private static final long serialVersionUID = 1L;
 
     /** What is refused. */
-    private final Refusal refusal;
+    private final SubscriptionRejection refusal;
 
     /** With the reason to tell and to count, and a text for the log. */
-    public ProtocolException(Refusal refusal, String text) {
+    public ProtocolException(SubscriptionRejection refusal, String text) {
         super(text);
         this.refusal = refusal;
     }
 
     /** The reason. */
-    public Refusal refusal() {
+    public SubscriptionRejection refusal() {
         return refusal;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.control;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.peer.Links;
 import brackenbridge.fleet.peer.Member;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -47,15 +47,15 @@
 
     private record Received(MachineReport report, double atMs) {}
 
-    private final Links links;
+    private final PeerLinks links;
     private final Clock clock;
     private final Map<String, Received> received = new ConcurrentHashMap<>();
 
     /** Exchanges over these links, which are not started yet. */
-    public ReportExchange(Links links, Clock clock) {
+    public ReportExchange(PeerLinks links, Clock clock) {
         this.links = links;
         this.clock = clock;
-        links.receive(Stream.CONTROL, (peer, life, body) -> take(peer, body));
+        links.receive(MessageStream.CONTROL, (peer, life, body) -> take(peer, body));
     }
 
     private void take(String peer, byte[] body) {
@@ -80,7 +80,7 @@
             throw new IllegalStateException(e);
         }
         for (Member peer : links.peers()) {
-            links.send(peer.name(), Stream.CONTROL, body);
+            links.send(peer.name(), MessageStream.CONTROL, body);
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/control/Refusal.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/SubscriptionRejection.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /** Why a control machine does not serve a connection, or ends one. Counted and logged by this name. */
-public enum Refusal {
+public enum SubscriptionRejection {
     /** A frame that is no message of this protocol, or one that is not allowed at this point. */
     @JsonProperty("UNREADABLE")
     UNREADABLE(false),
@@ -46,7 +46,7 @@
 
     private final boolean transientFault;
 
-    Refusal(boolean transientFault) {
+    SubscriptionRejection(boolean transientFault) {
         this.transientFault = transientFault;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/OrdersTaken.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
@@ -8,17 +8,17 @@
  * A node's side: which orders it follows. One of an earlier driver, or of an earlier record of the same driver, is
  * passed over, however late it comes. Plain; from one thread.
  */
-public final class OrdersTaken {
+public final class CommandFilter {
     private final double drift;
     private ZoneWeights last = new ZoneWeights(0, 0, Map.of(), 0);
 
     /** At a node whose clock's rate is off by this part at the most. */
-    public OrdersTaken(double drift) {
+    public CommandFilter(double drift) {
         this.drift = drift;
     }
 
     /** An order has come; what holds from now on, or nothing if it is passed over. */
-    public Optional<ZoneWeights> take(Order o, double nowMs) {
+    public Optional<ZoneWeights> take(WeightCommand o, double nowMs) {
         if (o.token() < last.token() || o.token() == last.token() && o.epoch() < last.epoch()) {
             return Optional.empty();
         }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Swing.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DailyProfile.java
@@ -7,7 +7,7 @@
  * How the load of an origin goes over the day: a mean for each quarter of an hour, learnt from day to day. Says nothing
  * until it has seen both quarters that are compared on two days.
  */
-final class Swing {
+final class DailyProfile {
     private static final int QUARTERS = 96;
     private static final double QUARTER_MS = 15 * 60_000.0;
     /** A new day's part of a quarter's mean. */
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
@@ -108,43 +108,45 @@
         double held = nowMs - beganMs;
         double since = nowMs - lastMs;
         lastMs = nowMs;
-        if (state.status() == Status.EVACUATED) {
+        if (state.status() == EvacuationStatus.EVACUATED) {
             return state.plan().backAfterMs() > 0 && held >= state.plan().backAfterMs()
-                    ? next(state.to(Status.RETURNING, 0, token, me, "its time is over"))
+                    ? next(state.to(EvacuationStatus.RETURNING, 0, token, me, "its time is over"))
                     : Turn.STAY;
         }
-        if (state.status() == Status.RETURNING) {
+        if (state.status() == EvacuationStatus.RETURNING) {
             return returning(state, token, held);
         }
         String why = watch(state, seen, held, since);
         if (why != null) {
-            List<Correction> learnt = state.status() == Status.REHEARSING ? corrections(state, held) : List.of();
-            return new Turn(state.to(Status.HALTED, state.step(), token, me, why), learnt);
+            List<Correction> learnt =
+                    state.status() == EvacuationStatus.REHEARSING ? corrections(state, held) : List.of();
+            return new Turn(state.to(EvacuationStatus.HALTED, state.step(), token, me, why), learnt);
         }
-        if (state.status() == Status.REHEARSING) {
+        if (state.status() == EvacuationStatus.REHEARSING) {
             return held < state.plan().rehearsalMs()
                     ? Turn.STAY
-                    : new Turn(state.to(Status.PASSED, 0, token, me, "as foretold"), corrections(state, held));
+                    : new Turn(
+                            state.to(EvacuationStatus.PASSED, 0, token, me, "as foretold"), corrections(state, held));
         }
-        List<Plan.Step> steps = state.plan().steps();
+        List<EvacuationPlan.Step> steps = state.plan().steps();
         if (held < steps.get(Math.min(state.step(), steps.size() - 1)).pauseMs()) {
             return Turn.STAY;
         }
         return next(
                 state.step() + 1 < steps.size()
-                        ? state.to(Status.EVACUATING, state.step() + 1, token, me, "")
-                        : state.to(Status.EVACUATED, 0, token, me, ""));
+                        ? state.to(EvacuationStatus.EVACUATING, state.step() + 1, token, me, "")
+                        : state.to(EvacuationStatus.EVACUATED, 0, token, me, ""));
     }
 
     private Turn returning(PlanState state, long token, double held) {
-        List<Plan.Step> back = state.plan().back();
+        List<EvacuationPlan.Step> back = state.plan().back();
         if (state.step() < back.size() && held < back.get(state.step()).pauseMs()) {
             return Turn.STAY;
         }
         return next(
                 state.step() + 1 < back.size()
-                        ? state.to(Status.RETURNING, state.step() + 1, token, me, "")
-                        : state.to(Status.CLOSED, 0, token, me, "all load is back"));
+                        ? state.to(EvacuationStatus.RETURNING, state.step() + 1, token, me, "")
+                        : state.to(EvacuationStatus.CLOSED, 0, token, me, "all load is back"));
     }
 
     private static Turn next(PlanState state) {
@@ -171,7 +173,7 @@
                         ? text("%s passed its bound: %.1f%% of tries fail", f.pool(), 100 * s.failing())
                         : text("%s passed its bound: %.0f%% in use", f.pool(), 100 * s.utilisation());
             }
-            if (state.status() == Status.REHEARSING && s.servers() != f.servers()) {
+            if (state.status() == EvacuationStatus.REHEARSING && s.servers() != f.servers()) {
                 return text("%s has %d servers, not %d: forecast again", f.pool(), s.servers(), f.servers());
             }
             if (held < limits.graceMs()) {
@@ -199,7 +201,7 @@
     }
 
     private static Within expected(PlanState state, Foretold f) {
-        if (state.status() == Status.REHEARSING) {
+        if (state.status() == EvacuationStatus.REHEARSING) {
             return f.rehearsal();
         }
         return state.step() < f.steps().size() ? f.steps().get(state.step()) : null;
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -1,15 +1,15 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.agreed.Agreed;
-import brackenbridge.fleet.agreed.Agreed.Acting;
-import brackenbridge.fleet.agreed.Agreed.Hold;
-import brackenbridge.fleet.agreed.Agreed.Verdict;
+import brackenbridge.fleet.agreed.AgreedValues;
+import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.Hold;
+import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import brackenbridge.fleet.evacuation.Driver.Correction;
 import brackenbridge.fleet.evacuation.Driver.Seen;
 import brackenbridge.fleet.evacuation.Driver.Turn;
-import brackenbridge.fleet.peer.Links;
 import brackenbridge.fleet.peer.Member;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.List;
@@ -48,13 +48,13 @@
         public static final Times USUAL = new Times(3000, 500, 10_000, 2500);
     }
 
-    private final Agreed agreed;
-    private final Links links;
+    private final AgreedValues agreed;
+    private final PeerLinks links;
     private final Driver driver;
     private final Times times;
     private final Supplier<List<Seen>> seen;
     private final Consumer<Correction> learns;
-    private final Consumer<Order> local;
+    private final Consumer<WeightCommand> local;
     private CompletableFuture<Hold> asked;
     private CompletableFuture<Verdict> proposed;
     private double askedMs = Double.NEGATIVE_INFINITY;
@@ -70,13 +70,13 @@
      * @param local takes the orders for this member's own node
      */
     public DriverTask(
-            Agreed agreed,
-            Links links,
+            AgreedValues agreed,
+            PeerLinks links,
             Driver driver,
             Times times,
             Supplier<List<Seen>> seen,
             Consumer<Correction> learns,
-            Consumer<Order> local) {
+            Consumer<WeightCommand> local) {
         this.agreed = agreed;
         this.links = links;
         this.driver = driver;
@@ -88,7 +88,7 @@
 
     /** One turn. */
     public void tick(double nowMs) {
-        Optional<Acting> acting = agreed.acting(Agreed.EVACUATION);
+        Optional<Acting> acting = agreed.acting(AgreedValues.EVACUATION);
         if (acting.isEmpty() || acting.get().one() == null) {
             return;
         }
@@ -128,7 +128,8 @@
                                         .history()
                                         .get(turn.next().history().size() - 1)
                                         .why());
-                proposed = agreed.propose(Agreed.EVACUATION, epoch, turn.next().bytes(), times.withinMs());
+                proposed = agreed.propose(
+                        AgreedValues.EVACUATION, epoch, turn.next().bytes(), times.withinMs());
             }
         }
         if (nowMs - orderedMs >= times.orderMs() || epoch != orderedEpoch) {
@@ -162,18 +163,18 @@
     }
 
     private void order(double nowMs, Map<String, Double> parts, long epoch) {
-        Order o = new Order(token, epoch, parts, times.forMs());
+        WeightCommand o = new WeightCommand(token, epoch, parts, times.forMs());
         byte[] body = o.bytes();
         for (Member m : links.peers()) {
             // A full queue loses one; the next comes soon.
-            links.send(m.name(), Stream.EVACUATION, body);
+            links.send(m.name(), MessageStream.EVACUATION, body);
         }
         local.accept(o);
         orderedMs = nowMs;
         orderedEpoch = epoch;
     }
 
-    private static PlanState read(Agreed.Value v) {
+    private static PlanState read(AgreedValues.Value v) {
         try {
             return PlanState.read(v.content());
         } catch (IOException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Plan.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationPlan.java
@@ -22,7 +22,7 @@
  * @param comes servers that come to pools meanwhile
  */
 @JsonIgnoreProperties(ignoreUnknown = false)
-public record Plan(
+public record EvacuationPlan(
         @JsonProperty("name") String name,
         @JsonProperty("zone") String zone,
         @JsonProperty("startDayMs") double startDayMs,
@@ -61,24 +61,24 @@
             @JsonProperty("afterMs") double afterMs) {}
 
     /** Keeps its own copies; what is absent is empty. */
-    public Plan {
+    public EvacuationPlan {
         steps = steps == null ? List.of() : List.copyOf(steps);
         back = back == null ? List.of() : List.copyOf(back);
         comes = comes == null ? List.of() : List.copyOf(comes);
     }
 
     /** A plan of equal steps, rehearsed with a twentieth of the load for eight seconds. */
-    public static Plan even(String name, String zone, int steps, double pauseMs) {
+    public static EvacuationPlan even(String name, String zone, int steps, double pauseMs) {
         List<Step> all = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
             all.add(new Step(1.0 / steps, pauseMs));
         }
-        return new Plan(name, zone, -1, all, 0.05, 8000, List.of(), 0, List.of());
+        return new EvacuationPlan(name, zone, -1, all, 0.05, 8000, List.of(), 0, List.of());
     }
 
     /** The same plan with other steps. */
-    public Plan with(List<Step> others) {
-        return new Plan(name, zone, startDayMs, others, rehearsalPart, rehearsalMs, back, backAfterMs, comes);
+    public EvacuationPlan with(List<Step> others) {
+        return new EvacuationPlan(name, zone, startDayMs, others, rehearsalPart, rehearsalMs, back, backAfterMs, comes);
     }
 
     /** The part that is moved once so many steps have begun. */
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Status.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationStatus.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** Where a plan stands. */
-public enum Status {
+public enum EvacuationStatus {
     /** Written down. */
     @JsonProperty("DRAFTED")
     DRAFTED,
@@ -38,7 +38,7 @@
     ABANDONED;
 
     /** What may come after it. */
-    public Set<Status> next() {
+    public Set<EvacuationStatus> next() {
         return switch (this) {
             case DRAFTED -> EnumSet.of(FORECAST, ABANDONED);
             case FORECAST -> EnumSet.of(FORECAST, REHEARSING, EVACUATING, ABANDONED);
@@ -48,7 +48,7 @@
             case EVACUATING -> EnumSet.of(EVACUATING, EVACUATED, HALTED, RETURNING);
             case EVACUATED -> EnumSet.of(RETURNING, HALTED);
             case RETURNING -> EnumSet.of(RETURNING, HALTED, CLOSED);
-            case CLOSED, ABANDONED -> EnumSet.noneOf(Status.class);
+            case CLOSED, ABANDONED -> EnumSet.noneOf(EvacuationStatus.class);
         };
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Fluid.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.evacuation;
 
 import brackenbridge.fleet.evacuation.Forecast.Resource;
-import brackenbridge.fleet.evacuation.Picture.Flow;
-import brackenbridge.fleet.evacuation.Picture.Pool;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Flow;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Pool;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -18,7 +18,7 @@
  * On queues in heavy traffic, 1962), and the number waiting is left out. Tries call the next tier while they hold
  * their slot, so that a slow pool fills the slots of those before it, and a full one spares those behind it.
  */
-final class Fluid {
+final class FluidModel {
     private static final double STEP_MS = 50;
     private static final double STEP_S = STEP_MS / 1000;
     /** Before the plan: long enough that what lies in the pools is what their load puts there. */
@@ -87,12 +87,12 @@
         }
     }
 
-    private final Picture picture;
-    private final Terms terms;
+    private final PoolSnapshot picture;
+    private final ForecastSettings terms;
     private final List<Pool> pools;
     private final List<String> zones;
     private final int planZone;
-    private final Plan plan;
+    private final EvacuationPlan plan;
     private final double[] movedAt;
     private final double[] endsMs;
     /** By tier: its pools. */
@@ -112,7 +112,7 @@
     private final double[] chance;
 
     /** The courses of this plan; moved parts may be told apart from the plan's own steps. */
-    Fluid(Picture picture, Plan plan, double[] movedAt) {
+    FluidModel(PoolSnapshot picture, EvacuationPlan plan, double[] movedAt) {
         this.picture = picture;
         this.plan = plan;
         this.terms = picture.terms();
@@ -442,7 +442,7 @@
 
     private double servers(Pool p, double at) {
         double servers = p.servers();
-        for (Plan.Comes c : plan.comes()) {
+        for (EvacuationPlan.Comes c : plan.comes()) {
             if (c.pool().equals(p.name()) && at >= c.afterMs()) {
                 double warm = p.coldMs() <= 0
                         ? 1
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.Fluid.Course;
-import brackenbridge.fleet.evacuation.Fluid.Draw;
-import brackenbridge.fleet.evacuation.Picture.Flow;
-import brackenbridge.fleet.evacuation.Picture.Missing;
-import brackenbridge.fleet.evacuation.Picture.Pool;
+import brackenbridge.fleet.evacuation.FluidModel.Course;
+import brackenbridge.fleet.evacuation.FluidModel.Draw;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Flow;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Missing;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Pool;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
@@ -136,7 +136,7 @@
             List<StepForecast> steps) {}
 
     /** Forecasts a plan that has no faults; the same seed gives the same forecast. */
-    public static Forecast of(Picture picture, Plan plan, Shares shares, long seed) {
+    public static Forecast of(PoolSnapshot picture, EvacuationPlan plan, Shares shares, long seed) {
         double[] moved = new double[plan.steps().size()];
         for (int i = 0; i < moved.length; i++) {
             moved[i] = plan.moved(i + 1);
@@ -145,13 +145,14 @@
     }
 
     /** Forecasts a rehearsal of it: one step, held for its time. */
-    public static Forecast rehearsal(Picture picture, Plan plan, Shares shares, long seed) {
-        Plan one = plan.with(List.of(new Plan.Step(plan.rehearsalPart(), plan.rehearsalMs())));
+    public static Forecast rehearsal(PoolSnapshot picture, EvacuationPlan plan, Shares shares, long seed) {
+        EvacuationPlan one = plan.with(List.of(new EvacuationPlan.Step(plan.rehearsalPart(), plan.rehearsalMs())));
         return of(picture, one, new double[] {plan.rehearsalPart()}, shares, seed, COURSES);
     }
 
-    static Forecast of(Picture picture, Plan plan, double[] moved, Shares shares, long seed, int courses) {
-        Fluid fluid = new Fluid(picture, plan, moved);
+    static Forecast of(
+            PoolSnapshot picture, EvacuationPlan plan, double[] moved, Shares shares, long seed, int courses) {
+        FluidModel fluid = new FluidModel(picture, plan, moved);
         RandomGenerator random = new Well19937c(seed);
         Course central =
                 fluid.run(new Draw(picture.pools().size(), picture.flows().size(), null));
@@ -177,7 +178,7 @@
         return rank[a.ordinal()] >= rank[b.ordinal()] ? a : b;
     }
 
-    private static Draw draw(Picture picture, RandomGenerator random) {
+    private static Draw draw(PoolSnapshot picture, RandomGenerator random) {
         Draw d = new Draw(picture.pools().size(), picture.flows().size(), random);
         for (int i = 0; i < d.capacity.length; i++) {
             Pool p = picture.pools().get(i);
@@ -198,10 +199,10 @@
     }
 
     private static PoolForecast pool(
-            Picture picture,
-            Plan plan,
+            PoolSnapshot picture,
+            EvacuationPlan plan,
             double[] moved,
-            Fluid fluid,
+            FluidModel fluid,
             Shares shares,
             int i,
             Course central,
@@ -267,7 +268,7 @@
         return next;
     }
 
-    private static String why(Picture picture, Plan plan, Pool p) {
+    private static String why(PoolSnapshot picture, EvacuationPlan plan, Pool p) {
         if (p.unknown() != null) {
             return p.unknown();
         }
@@ -302,7 +303,7 @@
     }
 
     private static StepForecast step(
-            Picture picture, Pool p, Shares shares, int s, int i, Course central, List<Course> drawn) {
+            PoolSnapshot picture, Pool p, Shares shares, int s, int i, Course central, List<Course> drawn) {
         List<Double> loads = new ArrayList<>();
         for (Course c : drawn) {
             loads.add(c.load[s][i]);
@@ -331,10 +332,10 @@
                 refused(picture, p, shares, load));
     }
 
-    private static Map<String, Double> refused(Picture picture, Pool p, Shares shares, double load) {
+    private static Map<String, Double> refused(PoolSnapshot picture, Pool p, Shares shares, double load) {
         Map<String, Double> wanted = new TreeMap<>();
         double grown = p.attempts() > 0 ? load / p.attempts() : 1;
-        for (Picture.Want w : picture.tenants()) {
+        for (PoolSnapshot.Want w : picture.tenants()) {
             if (w.pool().equals(p.name())) {
                 wanted.merge(w.tenant(), w.wanted() * grown, Double::sum);
             }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Terms.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
@@ -17,7 +17,7 @@
  * @param drift the part by which clocks' rates may be off
  * @param halfLifeMs after what time an observation counts half
  */
-public record Terms(
+public record ForecastSettings(
         List<String> tiers,
         Map<String, ClassTerms> classes,
         int attempts,
@@ -37,7 +37,7 @@
     public record ClassTerms(double deadlineMs, boolean repeatable) {}
 
     /** Keeps its own copies; rejects what no fleet could be. */
-    public Terms {
+    public ForecastSettings {
         tiers = List.copyOf(tiers);
         classes = Map.copyOf(classes);
         if (tiers.isEmpty()
@@ -54,8 +54,8 @@
     }
 
     /** The usual figures for these tiers and classes. */
-    public static Terms of(List<String> tiers, Map<String, ClassTerms> classes) {
-        return new Terms(tiers, classes, 3, 0.2, 3, 0.05, 2000, 15_000, 0.01, 20_000);
+    public static ForecastSettings of(List<String> tiers, Map<String, ClassTerms> classes) {
+        return new ForecastSettings(tiers, classes, 3, 0.2, 3, 0.05, 2000, 15_000, 0.01, 20_000);
     }
 
     /** The time that a try of this class waits; a class that is not named waits as long as the longest. */
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Learnt.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
@@ -4,7 +4,7 @@
  * A figure that is learnt by exponentially weighted mean and variance (Finch, Incremental calculation of weighted mean
  * and variance, 2009), with a spread that widens with age and with thin data.
  */
-final class Learnt {
+final class MovingEstimate {
     /** What one observation says of the next, at the least: figures of neighbouring seconds are not independent. */
     private static final double CORRELATED = 2;
     /** Relative spread that a single observation leaves open. */
@@ -18,7 +18,7 @@
     private double weight;
     private double lastMs = Double.NEGATIVE_INFINITY;
 
-    Learnt(double halfLifeMs) {
+    MovingEstimate(double halfLifeMs) {
         this.halfLifeMs = halfLifeMs;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
@@ -28,8 +28,8 @@
  * @param history what became of it, the latest last; bounded
  */
 public record PlanState(
-        @JsonProperty("plan") Plan plan,
-        @JsonProperty("status") Status status,
+        @JsonProperty("plan") EvacuationPlan plan,
+        @JsonProperty("status") EvacuationStatus status,
         @JsonProperty("step") int step,
         @JsonProperty("foretold") List<Foretold> foretold,
         @JsonProperty("verdict") Verdict verdict,
@@ -75,7 +75,7 @@
      * @param why the reason
      */
     public record Entry(
-            @JsonProperty("status") Status status,
+            @JsonProperty("status") EvacuationStatus status,
             @JsonProperty("step") int step,
             @JsonProperty("by") String by,
             @JsonProperty("why") String why) {}
@@ -89,9 +89,16 @@
     }
 
     /** A new plan. */
-    public static PlanState drafted(Plan plan, String by) {
+    public static PlanState drafted(EvacuationPlan plan, String by) {
         return new PlanState(
-                plan, Status.DRAFTED, 0, List.of(), null, false, 0, List.of(new Entry(Status.DRAFTED, 0, by, "")));
+                plan,
+                EvacuationStatus.DRAFTED,
+                0,
+                List.of(),
+                null,
+                false,
+                0,
+                List.of(new Entry(EvacuationStatus.DRAFTED, 0, by, "")));
     }
 
     /**
@@ -99,15 +106,15 @@
      *
      * @throws IllegalStateException if that may not come after where it stands
      */
-    public PlanState to(Status next, int nextStep, long byToken, String by, String why) {
+    public PlanState to(EvacuationStatus next, int nextStep, long byToken, String by, String why) {
         if (!status.next().contains(next)) {
             throw new IllegalStateException(
                     plan.name() + " is " + name(status) + "; it can't be " + name(next) + " next");
         }
-        if (next == Status.EVACUATING && status == Status.FORECAST && !override) {
+        if (next == EvacuationStatus.EVACUATING && status == EvacuationStatus.FORECAST && !override) {
             throw new IllegalStateException(plan.name() + " has not passed a rehearsal; staff may override that");
         }
-        if (next == status && next != Status.FORECAST && nextStep != step + 1) {
+        if (next == status && next != EvacuationStatus.FORECAST && nextStep != step + 1) {
             throw new IllegalStateException("step " + nextStep + " does not follow step " + step);
         }
         List<Entry> longer = new ArrayList<>(history);
@@ -117,7 +124,7 @@
 
     /** The same with what a forecast says. */
     public PlanState foretold(List<Foretold> now, Verdict of, String by) {
-        PlanState next = to(Status.FORECAST, 0, 0, by, name(of));
+        PlanState next = to(EvacuationStatus.FORECAST, 0, 0, by, name(of));
         return new PlanState(plan, next.status(), 0, now, of, false, 0, next.history());
     }
 
@@ -167,8 +174,8 @@
                 || s.status() == null
                 || s.plan().zone() == null
                 || s.step() < 0
-                || s.step() > Plan.MOST
-                || s.plan().steps().size() > Plan.MOST
+                || s.step() > EvacuationPlan.MOST
+                || s.plan().steps().size() > EvacuationPlan.MOST
                 || s.foretold().size() > MOST_POOLS) {
             throw new IOException("not a plan's record");
         }
@@ -176,11 +183,11 @@
     }
 
     /** What the forecasts of a plan and of its rehearsal say, as the record carries it. */
-    public static List<Foretold> foretold(Picture picture, Forecast all, Forecast rehearsal) {
+    public static List<Foretold> foretold(PoolSnapshot picture, Forecast all, Forecast rehearsal) {
         List<Foretold> out = new ArrayList<>();
         for (Forecast.PoolForecast p : all.pools()) {
             Forecast.PoolForecast r = rehearsal.of(p.pool());
-            Picture.Pool now = picture.pool(p.pool());
+            PoolSnapshot.Pool now = picture.pool(p.pool());
             if (out.size() < MOST_POOLS
                     && now != null
                     && r != null
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Model.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.Picture.Flow;
-import brackenbridge.fleet.evacuation.Picture.Missing;
-import brackenbridge.fleet.evacuation.Picture.Pool;
-import brackenbridge.fleet.evacuation.Picture.Want;
-import brackenbridge.fleet.replica.Version;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Flow;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Missing;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Pool;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Want;
+import brackenbridge.fleet.replica.RecordVersion;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -20,7 +20,7 @@
  * queueing network models, 1978): tries a second over the utilisation that servers tell. It needs no guess of what a
  * server is like, and no load near the limit.
  */
-public final class Model {
+public final class PoolModel {
     /** Nodes, pools and classes together that are kept: what comes from peers must not fill the memory. */
     private static final int MOST = 200_000;
 
@@ -56,8 +56,8 @@
             String zone,
             PoolName pool,
             String className,
-            Version version,
-            PoolSeen seen,
+            RecordVersion version,
+            PoolObservation seen,
             double heardMs) {}
 
     private record Key(String node, PoolName pool, String className) {}
@@ -68,49 +68,49 @@
 
     private static final class Kept {
         String zone;
-        Version version;
-        PoolSeen seen;
+        RecordVersion version;
+        PoolObservation seen;
         double heldMs;
     }
 
     private final class Learning {
-        final Learnt attempts = new Learnt(terms.halfLifeMs() * SLOWER);
-        final Learnt now = new Learnt(terms.halfLifeMs());
-        final Learnt busyServers = new Learnt(terms.halfLifeMs() * SLOWER);
-        final Learnt each = new Learnt(terms.halfLifeMs() * SLOWER);
-        final Learnt serviceMs = new Learnt(terms.halfLifeMs() * SLOWER);
-        final Learnt variation = new Learnt(terms.halfLifeMs() * SLOWER);
-        final Map<String, Learnt> classes = new HashMap<>();
-        PoolSeen last;
+        final MovingEstimate attempts = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+        final MovingEstimate now = new MovingEstimate(terms.halfLifeMs());
+        final MovingEstimate busyServers = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+        final MovingEstimate each = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+        final MovingEstimate serviceMs = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+        final MovingEstimate variation = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+        final Map<String, MovingEstimate> classes = new HashMap<>();
+        PoolObservation last;
         int servers;
         double correction = 1;
         double correctionSpread = UNREHEARSED;
     }
 
     private final class Calls {
-        final Learnt made = new Learnt(terms.halfLifeMs() * SLOWER);
-        final Learnt by = new Learnt(terms.halfLifeMs() * SLOWER);
-        final Learnt ratio = new Learnt(terms.halfLifeMs() * SLOWER);
+        final MovingEstimate made = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+        final MovingEstimate by = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+        final MovingEstimate ratio = new MovingEstimate(terms.halfLifeMs() * SLOWER);
     }
 
-    private final Terms terms;
+    private final ForecastSettings terms;
     private final Map<Key, Kept> kept = new HashMap<>();
     private final Map<String, Double> heardAt = new TreeMap<>();
     private final Map<PoolName, Learning> pools = new TreeMap<>();
-    private final Map<Origin, Learnt> origins = new HashMap<>();
+    private final Map<Origin, MovingEstimate> origins = new HashMap<>();
     private final Map<Caller, Calls> callers = new HashMap<>();
-    private final Swing swing = new Swing();
+    private final DailyProfile swing = new DailyProfile();
     private Map<String, String> expected = Map.of();
     private List<Want> wants = List.of();
     private double dayMs;
 
     /** Knows nothing yet. */
-    public Model(Terms terms) {
+    public PoolModel(ForecastSettings terms) {
         this.terms = terms;
     }
 
     /** What it takes as given. */
-    public Terms terms() {
+    public ForecastSettings terms() {
         return terms;
     }
 
@@ -164,7 +164,7 @@
     }
 
     /** Guards against figures that a faulty node sends: they must not spoil what others see. */
-    private static boolean sane(PoolSeen s) {
+    private static boolean sane(PoolObservation s) {
         return s != null
                 && fine(s.arrivals())
                 && fine(s.attempts())
@@ -201,7 +201,7 @@
         double serviced;
         double variation;
         int servers;
-        PoolSeen last;
+        PoolObservation last;
         final Map<String, Double> classes = new TreeMap<>();
     }
 
@@ -213,7 +213,7 @@
             if (k.seen == null || nowMs - k.heldMs > terms.freshMs()) {
                 continue;
             }
-            PoolSeen s = k.seen;
+            PoolObservation s = k.seen;
             Sum sum = sums.computeIfAbsent(e.getKey().pool(), p -> new Sum());
             sum.attempts += s.attempts();
             sum.good += s.attempts() * (1 - s.failed());
@@ -234,8 +234,8 @@
             from.merge(new Origin(k.zone, e.getKey().pool()), s.arrivals(), Double::sum);
         }
         sums.forEach((name, sum) -> learn(nowMs, pools.computeIfAbsent(name, n -> new Learning()), sum));
-        from.forEach((o, rate) ->
-                origins.computeIfAbsent(o, n -> new Learnt(terms.halfLifeMs())).take(nowMs, rate));
+        from.forEach((o, rate) -> origins.computeIfAbsent(o, n -> new MovingEstimate(terms.halfLifeMs()))
+                .take(nowMs, rate));
         calls(nowMs, sums, from);
         if (!terms.tiers().isEmpty()) {
             Map<String, Double> first = new HashMap<>();
@@ -263,7 +263,7 @@
             l.variation.take(nowMs, sum.variation / sum.serviced);
         }
         sum.classes.forEach((c, rate) -> l.classes
-                .computeIfAbsent(c, k -> new Learnt(terms.halfLifeMs() * SLOWER))
+                .computeIfAbsent(c, k -> new MovingEstimate(terms.halfLifeMs() * SLOWER))
                 .take(nowMs, rate));
     }
 
@@ -310,13 +310,13 @@
     }
 
     /** How the pools are now, for a plan that starts at this time of the day; negative for now. */
-    public Picture picture(double nowMs, double startDayMs) {
+    public PoolSnapshot picture(double nowMs, double startDayMs) {
         List<Pool> out = new ArrayList<>();
         for (Map.Entry<PoolName, Learning> e : pools.entrySet()) {
             out.add(pool(nowMs, e.getKey(), e.getValue()));
         }
         List<Flow> flows = new ArrayList<>();
-        Map<Origin, Learnt> sorted = new TreeMap<>((a, b) -> {
+        Map<Origin, MovingEstimate> sorted = new TreeMap<>((a, b) -> {
             int by = a.zone().compareTo(b.zone());
             return by != 0 ? by : a.pool().compareTo(b.pool());
         });
@@ -343,7 +343,7 @@
                         String.format(Locale.ROOT, "%s was last heard %.0f s ago", node, (nowMs - at) / 1000)));
             }
         });
-        return new Picture(terms, out, flows, missing, wants);
+        return new PoolSnapshot(terms, out, flows, missing, wants);
     }
 
     private Pool pool(double nowMs, PoolName name, Learning l) {
@@ -358,13 +358,14 @@
         double work = Math.max(0.1 * service, service - within);
         String unknown = unknown(nowMs, l, spread);
         Map<String, Double> mix = new TreeMap<>();
-        double all = l.classes.values().stream().mapToDouble(Learnt::mean).sum();
+        double all =
+                l.classes.values().stream().mapToDouble(MovingEstimate::mean).sum();
         if (all > 0) {
             l.classes.forEach((k, v) -> mix.put(k, v.mean() / all));
         }
         double capacity = each * l.servers;
         double parallel = Math.max(l.servers, capacity * work / 1000);
-        PoolSeen s = l.last;
+        PoolObservation s = l.last;
         double variation = l.variation.known() ? l.variation.mean() : 1;
         return new Pool(
                 name,
@@ -398,7 +399,7 @@
         double sum = 0;
         double weight = 0;
         for (Map.Entry<PoolName, Learning> e : pools.entrySet()) {
-            Learnt service = e.getValue().serviceMs;
+            MovingEstimate service = e.getValue().serviceMs;
             if (e.getKey().tier().equals(next) && service.known()) {
                 double w = e.getKey().zone().equals(name.zone()) ? 1 : 1e-3;
                 sum += w * service.mean();
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSeen.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolObservation.java
@@ -25,7 +25,7 @@
  * @param slowPart the part of its speed that was left to a server after a backlog; 1 if none was ever seen
  * @param slowAt calls at a server from which on that was so; 0 if none was ever seen
  */
-public record PoolSeen(
+public record PoolObservation(
         @JsonProperty("arrivals") double arrivals,
         @JsonProperty("attempts") double attempts,
         @JsonProperty("refused") double refused,
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Picture.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
@@ -13,7 +13,8 @@
  * @param missing nodes that are not heard, with the reason
  * @param tenants connections that tenants want of a pool, and for how many there is room by their shares
  */
-public record Picture(Terms terms, List<Pool> pools, List<Flow> flows, List<Missing> missing, List<Want> tenants) {
+public record PoolSnapshot(
+        ForecastSettings terms, List<Pool> pools, List<Flow> flows, List<Missing> missing, List<Want> tenants) {
     /**
      * A pool.
      *
@@ -120,7 +121,7 @@
     public record Want(PoolName pool, String tenant, double wanted) {}
 
     /** Keeps its own copies. */
-    public Picture {
+    public PoolSnapshot {
         pools = List.copyOf(pools);
         flows = List.copyOf(flows);
         missing = List.copyOf(missing);
@@ -140,7 +141,7 @@
     }
 
     /** The same with other pools. */
-    Picture with(List<Pool> others) {
-        return new Picture(terms, others, flows, missing, tenants);
+    PoolSnapshot with(List<Pool> others) {
+        return new PoolSnapshot(terms, others, flows, missing, tenants);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.fleet.evacuation.Forecast.PoolForecast;
 import brackenbridge.fleet.evacuation.Forecast.Verdict;
-import brackenbridge.fleet.evacuation.Picture.Pool;
+import brackenbridge.fleet.evacuation.PoolSnapshot.Pool;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -27,7 +27,7 @@
      * @param missing servers by pool with which one step would do; empty if there is a plan or nothing can be said
      * @param why why there is none; null if there is
      */
-    public record Proposal(Plan plan, Forecast forecast, Map<PoolName, Integer> missing, String why) {}
+    public record Proposal(EvacuationPlan plan, Forecast forecast, Map<PoolName, Integer> missing, String why) {}
 
     private Proposer() {}
 
@@ -37,10 +37,11 @@
      * @param wanted its name, zone, rehearsal, return and servers that come; its steps are replaced
      * @param pauseMs the shortest pause between two steps
      */
-    public static Proposal propose(Picture picture, Plan wanted, double pauseMs, Shares shares, long seed) {
+    public static Proposal propose(
+            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, Shares shares, long seed) {
         Forecast atOnce = null;
         for (int n : STEPS) {
-            Plan p = wanted.with(even(1, n, pauseMs));
+            EvacuationPlan p = wanted.with(even(1, n, pauseMs));
             Forecast f = forecast(picture, p, shares, seed);
             if (f.verdict() == Verdict.UNKNOWN || f.pools().stream().anyMatch(x -> x.verdict() == Verdict.UNKNOWN)) {
                 return new Proposal(null, f, Map.of(), "not all pools are known");
@@ -50,7 +51,7 @@
             }
             atOnce = atOnce == null ? f : atOnce;
         }
-        Plan later = afterServersCame(picture, wanted, pauseMs, shares, seed);
+        EvacuationPlan later = afterServersCame(picture, wanted, pauseMs, shares, seed);
         if (later != null) {
             return new Proposal(later, forecast(picture, later, shares, seed), Map.of(), null);
         }
@@ -64,7 +65,7 @@
                         : "no order of steps does it without more servers");
     }
 
-    private static Forecast forecast(Picture picture, Plan p, Shares shares, long seed) {
+    private static Forecast forecast(PoolSnapshot picture, EvacuationPlan p, Shares shares, long seed) {
         double[] moved = new double[p.steps().size()];
         for (int i = 0; i < moved.length; i++) {
             moved[i] = p.moved(i + 1);
@@ -76,18 +77,19 @@
         return f.pools().stream().allMatch(p -> p.verdict() != Verdict.UNKNOWN && p.part() < MOST_PART);
     }
 
-    private static List<Plan.Step> even(double part, int n, double pauseMs) {
-        List<Plan.Step> steps = new ArrayList<>();
+    private static List<EvacuationPlan.Step> even(double part, int n, double pauseMs) {
+        List<EvacuationPlan.Step> steps = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            steps.add(new Plan.Step(part / n, pauseMs));
+            steps.add(new EvacuationPlan.Step(part / n, pauseMs));
         }
         return steps;
     }
 
     /** What holds at once, then a wait until the servers that come are warm, then the rest. */
-    private static Plan afterServersCame(Picture picture, Plan wanted, double pauseMs, Shares shares, long seed) {
+    private static EvacuationPlan afterServersCame(
+            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, Shares shares, long seed) {
         double warm = 0;
-        for (Plan.Comes c : wanted.comes()) {
+        for (EvacuationPlan.Comes c : wanted.comes()) {
             Pool p = picture.pool(c.pool());
             warm = Math.max(warm, c.afterMs() + (p == null ? 0 : p.coldMs()));
         }
@@ -96,10 +98,10 @@
         }
         for (double first : FIRST) {
             for (int n : STEPS) {
-                List<Plan.Step> steps = new ArrayList<>();
-                steps.add(new Plan.Step(first, Math.max(pauseMs, warm)));
+                List<EvacuationPlan.Step> steps = new ArrayList<>();
+                steps.add(new EvacuationPlan.Step(first, Math.max(pauseMs, warm)));
                 steps.addAll(even(1 - first, n, pauseMs));
-                Plan p = wanted.with(steps);
+                EvacuationPlan p = wanted.with(steps);
                 if (holds(forecast(picture, p, shares, seed))) {
                     return p;
                 }
@@ -109,7 +111,8 @@
     }
 
     /** Grows the pools that fall until none does, then takes back what was too much. */
-    private static Map<PoolName, Integer> missing(Picture picture, Plan atOnce, Shares shares, long seed) {
+    private static Map<PoolName, Integer> missing(
+            PoolSnapshot picture, EvacuationPlan atOnce, Shares shares, long seed) {
         Map<PoolName, Integer> more = new TreeMap<>();
         boolean done = false;
         for (int round = 0; round < ROUNDS && !done; round++) {
@@ -140,7 +143,7 @@
         return more;
     }
 
-    private static Picture grown(Picture picture, Map<PoolName, Integer> more) {
+    private static PoolSnapshot grown(PoolSnapshot picture, Map<PoolName, Integer> more) {
         List<Pool> pools = new ArrayList<>();
         for (Pool p : picture.pools()) {
             pools.add(p.with(more.getOrDefault(p.name(), 0)));
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Order.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
@@ -15,7 +15,7 @@
  * @param parts the part of its usual load that each zone keeps
  * @param forMs for how long it holds from its arrival
  */
-public record Order(
+public record WeightCommand(
         @JsonProperty("token") long token,
         @JsonProperty("epoch") long epoch,
         @JsonProperty("parts") Map<String, Double> parts,
@@ -25,7 +25,7 @@
     private static final double LONGEST_MS = 120_000;
 
     /** Keeps its own copy. */
-    public Order {
+    public WeightCommand {
         parts = parts == null ? Map.of() : Map.copyOf(parts);
     }
 
@@ -43,8 +43,8 @@
      *
      * @throws IOException if it is not one, or asks for what no plan may
      */
-    public static Order read(byte[] bytes) throws IOException {
-        Order o = bytes.length > MOST_BYTES ? null : JSON.readValue(bytes, Order.class);
+    public static WeightCommand read(byte[] bytes) throws IOException {
+        WeightCommand o = bytes.length > MOST_BYTES ? null : JSON.readValue(bytes, WeightCommand.class);
         if (o == null
                 || !(o.forMs() > 0 && o.forMs() <= LONGEST_MS)
                 || o.parts().values().stream().anyMatch(p -> !(p >= 0 && p <= 1))) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/StaffPage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
@@ -21,13 +21,13 @@
  * Where staff and a metrics system reach a member: {@code GET /metrics} for Prometheus, {@code POST /call/ROOM/WORD...}
  * for the commands, each word of the command a part of the path, a file of the command as the body.
  */
-public final class StaffPage implements AutoCloseable {
+public final class AdminHttpServer implements AutoCloseable {
     /** The longest body of a call: a plan or settings. */
     private static final int LONGEST = 1 << 20;
 
     private static final int THREADS = 4;
     private static final int WAITING = 16;
-    private static final Logger LOG = LoggerFactory.getLogger(StaffPage.class);
+    private static final Logger LOG = LoggerFactory.getLogger(AdminHttpServer.class);
 
     /**
      * What a room answers.
@@ -54,7 +54,7 @@
     private final ThreadPoolExecutor threads;
 
     /** Listens; fails if the address is not to be had. */
-    public StaffPage(InetSocketAddress at, PrometheusMeterRegistry metrics, Map<String, Calls> rooms)
+    public AdminHttpServer(InetSocketAddress at, PrometheusMeterRegistry metrics, Map<String, Calls> rooms)
             throws IOException {
         // Guards the few threads against callers that send nothing: by default the server waits for them for ever.
         System.setProperty("sun.net.httpserver.maxReqTime", "10");
--- a/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.node;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.agreed.AgreedNode;
+import brackenbridge.fleet.agreed.AgreementMember;
 import brackenbridge.fleet.config.FleetFile;
 import brackenbridge.fleet.control.ControlMachine;
 import brackenbridge.fleet.control.ControlServer;
@@ -43,7 +43,7 @@
             throw new IllegalArgumentException("the fleet's file names no control machine '" + name + "'");
         }
         member = new FleetNode(file, name, clock);
-        AgreedNode agreed = member.agreed();
+        AgreementMember agreed = member.agreed();
         int colon = machine.address().lastIndexOf(':');
         InetSocketAddress address = new InetSocketAddress(
                 machine.address().substring(0, colon),
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -1,17 +1,18 @@
 package brackenbridge.fleet.node;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.core.generation.Terms;
-import brackenbridge.fleet.agreed.Agreed;
-import brackenbridge.fleet.agreed.AgreedNode;
+import brackenbridge.core.generation.LeaseTerms;
 import brackenbridge.fleet.agreed.AgreedSettings;
-import brackenbridge.fleet.agreed.SettingsCalls;
+import brackenbridge.fleet.agreed.AgreedValues;
+import brackenbridge.fleet.agreed.AgreementMember;
+import brackenbridge.fleet.agreed.SettingsAdminHandler;
 import brackenbridge.fleet.config.FleetFile;
 import brackenbridge.fleet.peer.Member;
 import brackenbridge.fleet.peer.PeerLimits;
-import brackenbridge.fleet.peer.TcpLinks;
-import brackenbridge.fleet.replica.Disk;
+import brackenbridge.fleet.peer.TcpPeerLinks;
+import brackenbridge.fleet.replica.ReplicaDisk;
 import brackenbridge.fleet.replica.ReplicaNode;
+import brackenbridge.fleet.replica.ReplicationLimits;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
@@ -53,13 +54,13 @@
 
     private final FleetFile file;
     private final Member me;
-    private final Disk disk;
-    private final TcpLinks links;
+    private final ReplicaDisk disk;
+    private final TcpPeerLinks links;
     private final ReplicaNode replica;
-    private final AgreedNode agreed;
+    private final AgreementMember agreed;
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final Map<String, StaffPage.Calls> rooms = new LinkedHashMap<>();
-    private StaffPage page;
+    private final Map<String, AdminHttpServer.Calls> rooms = new LinkedHashMap<>();
+    private AdminHttpServer page;
     private Supplier<String> statusOfNodes = () -> "";
 
     /**
@@ -75,14 +76,14 @@
             throw new IllegalArgumentException("the fleet's file names no member '" + name + "'");
         }
         Path directory = file.directory() == null ? null : file.directory().resolve(name);
-        disk = directory == null ? null : Disk.open(directory, file.fleet(), name, clock.nowMs());
-        long life = disk == null ? Disk.lifeWithout(clock.nowMs()) : disk.life();
+        disk = directory == null ? null : ReplicaDisk.open(directory, file.fleet(), name, clock.nowMs());
+        long life = disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life();
         PeerLimits usual = PeerLimits.standard();
         FleetFile.Links l = file.links();
         List<Member> peers =
                 file.members().stream().filter(m -> !m.name().equals(name)).toList();
         String listenAddress = file.listen().getOrDefault(name, me.address());
-        links = new TcpLinks(
+        links = new TcpPeerLinks(
                 me,
                 listenAddress,
                 life,
@@ -105,9 +106,9 @@
                 links,
                 disk,
                 clock,
-                brackenbridge.fleet.replica.Terms.DEFAULT.sending(file.replica().bytesPerSecond()));
+                ReplicationLimits.DEFAULT.sending(file.replica().bytesPerSecond()));
         FleetFile.Agreement a = file.agreed();
-        agreed = new AgreedNode(
+        agreed = new AgreementMember(
                 links,
                 directory,
                 clock,
@@ -117,7 +118,7 @@
                                 .map(Member::name)
                                 .limit(a.voters())
                                 .toList(),
-                        new Terms(a.leaseMs(), a.drift()),
+                        new LeaseTerms(a.leaseMs(), a.drift()),
                         AGREED_BEAT_MS,
                         AGREED_PATIENCE,
                         LONGEST_ROLE_MS,
@@ -136,22 +137,22 @@
                 .description("1 while the disk takes what the replica writes; 0 without a disk")
                 .register(metrics);
         agreed.bind(metrics);
-        rooms.put("state", new StateCalls(replica));
-        SettingsCalls settings = new SettingsCalls(agreed, PATIENCE_MS);
+        rooms.put("state", new StateAdminHandler(replica));
+        SettingsAdminHandler settings = new SettingsAdminHandler(agreed, PATIENCE_MS);
         rooms.put("settings", (words, body, json) -> {
-            SettingsCalls.Reply r = settings(settings, words, new String(body, StandardCharsets.UTF_8));
-            return new StaffPage.Answer(
+            SettingsAdminHandler.Reply r = settings(settings, words, new String(body, StandardCharsets.UTF_8));
+            return new AdminHttpServer.Answer(
                     r.done(), words.equals(List.of("status")) ? r.text() + statusOfNodes.get() : r.text());
         });
     }
 
-    private static SettingsCalls.Reply settings(SettingsCalls calls, List<String> words, String file) {
-        String name = words.size() > 1 && !words.get(0).equals("withdraw") ? words.get(1) : Agreed.SETTINGS;
+    private static SettingsAdminHandler.Reply settings(SettingsAdminHandler calls, List<String> words, String file) {
+        String name = words.size() > 1 && !words.get(0).equals("withdraw") ? words.get(1) : AgreedValues.SETTINGS;
         return switch (words.get(0)) {
             case "propose" -> calls.propose(name, file, -1);
             case "show" -> calls.show(name);
             case "history" -> calls.history(name);
-            case "withdraw" -> calls.withdraw(Agreed.SETTINGS, generation(words));
+            case "withdraw" -> calls.withdraw(AgreedValues.SETTINGS, generation(words));
             case "status" -> calls.status();
             default ->
                 throw new IllegalArgumentException(
@@ -179,7 +180,7 @@
     }
 
     /** Its links. */
-    public TcpLinks links() {
+    public TcpPeerLinks links() {
         return links;
     }
 
@@ -189,7 +190,7 @@
     }
 
     /** Its part of the agreement. */
-    public AgreedNode agreed() {
+    public AgreementMember agreed() {
         return agreed;
     }
 
@@ -204,7 +205,7 @@
     }
 
     /** A room of this member that staff may call; before {@link #start}. */
-    public void room(String name, StaffPage.Calls calls) {
+    public void room(String name, AdminHttpServer.Calls calls) {
         rooms.put(name, calls);
     }
 
@@ -216,7 +217,7 @@
         String at = file.page().get(me.name());
         if (at != null) {
             int colon = at.lastIndexOf(':');
-            page = new StaffPage(
+            page = new AdminHttpServer(
                     new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
                     metrics,
                     rooms);
--- a/fleet/src/main/java/brackenbridge/fleet/node/Together.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -6,10 +6,10 @@
 import brackenbridge.core.Event;
 import brackenbridge.core.share.TenantUse;
 import brackenbridge.fleet.config.FleetFile;
-import brackenbridge.fleet.evacuation.Order;
-import brackenbridge.fleet.evacuation.OrdersTaken;
-import brackenbridge.fleet.peer.Stream;
-import brackenbridge.fleet.replica.Space;
+import brackenbridge.fleet.evacuation.CommandFilter;
+import brackenbridge.fleet.evacuation.WeightCommand;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.replica.RecordSpace;
 import brackenbridge.fleet.share.PoolUse;
 import brackenbridge.net.Node;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -30,8 +30,8 @@
  * A node and its part of the fleet in one process: what the node sees goes into records, what the fleet decides goes to
  * the node's reducer as events. The node's loop waits for nothing here.
  */
-public final class Together implements Main.Beside {
-    private static final Logger LOG = LoggerFactory.getLogger(Together.class);
+public final class FleetParticipant implements Main.Beside {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetParticipant.class);
     private static final long POOLS_MS = 1000;
     private static final long DEMAND_MS = 500;
 
@@ -49,7 +49,7 @@
     private final Set<String> reported = new HashSet<>();
 
     /** The part of the node that this configuration names. */
-    public Together(FleetFile file, Config config) {
+    public FleetParticipant(FleetFile file, Config config) {
         this.file = file;
         this.config = config;
         pool = "tier-" + config.settings().tier();
@@ -62,35 +62,35 @@
         double slots = file.shares() == null ? 0 : file.shares().connectionsPerServer();
         PoolReports reports = new PoolReports(
                 pool, slots, config.settings().coldFrom(), config.settings().warmAfter() / 1000.0);
-        OrdersTaken orders = new OrdersTaken(file.agreed().drift());
-        fleet.links().receive(Stream.EVACUATION, (peer, life, body) -> {
+        CommandFilter orders = new CommandFilter(file.agreed().drift());
+        fleet.links().receive(MessageStream.EVACUATION, (peer, life, body) -> {
             try {
-                take(orders, Order.read(body), clock.nowMs(), node);
+                take(orders, WeightCommand.read(body), clock.nowMs(), node);
             } catch (IOException e) {
                 LOG.warn("{} sends what is no order: {}", peer, e.getMessage());
             }
         });
         fleet.start();
         node.observe();
-        every(POOLS_MS, () -> publish(Space.POOLS, reports.report(node.observed()), reported));
+        every(POOLS_MS, () -> publish(RecordSpace.POOLS, reports.report(node.observed()), reported));
         every(DEMAND_MS, () -> {
             List<TenantUse> all = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
             all.forEach(
                     u -> uses.put(pool + "/" + u.tenant(), new PoolUse(u.wanted(), u.used(), u.refused(), u.meanMs())));
-            publish(Space.DEMAND, uses, wanted);
+            publish(RecordSpace.DEMAND, uses, wanted);
         });
     }
 
     /** Peers' threads bring orders; one at a time is looked at. */
-    private static void take(OrdersTaken orders, Order order, double nowMs, Node node) {
+    private static void take(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
         synchronized (orders) {
             orders.take(order, nowMs).ifPresent(w -> node.tell(new Event.ZonesWeighed(w)));
         }
     }
 
     /** Writes these records and removes those that were written before and are not among them. */
-    private void publish(Space space, Map<String, ?> now, Set<String> before) {
+    private void publish(RecordSpace space, Map<String, ?> now, Set<String> before) {
         now.forEach((key, value) -> {
             try {
                 fleet.replica().put(space, key, json.writeValueAsBytes(value));
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReports.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReports.java
@@ -4,7 +4,7 @@
 import brackenbridge.core.observe.Observer.Snapshot;
 import brackenbridge.core.observe.Observer.Tally;
 import brackenbridge.fleet.evacuation.PoolName;
-import brackenbridge.fleet.evacuation.PoolSeen;
+import brackenbridge.fleet.evacuation.PoolObservation;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -45,11 +45,11 @@
     }
 
     /** The records by key, {@code tier/zone/kind/class}, as they are once this snapshot was taken. */
-    Map<String, PoolSeen> report(Snapshot now) {
+    Map<String, PoolObservation> report(Snapshot now) {
         while (seen.size() > 1 && now.atMs() - seen.peekFirst().atMs() > OVER_MS) {
             seen.pollFirst();
         }
-        Map<String, PoolSeen> all = new TreeMap<>();
+        Map<String, PoolObservation> all = new TreeMap<>();
         Snapshot before = seen.peekFirst();
         if (before != null && now.atMs() > before.atMs()) {
             double seconds = (now.atMs() - before.atMs()) / 1000;
@@ -89,7 +89,7 @@
         return new PoolName(tier, k.zone().isEmpty() ? "-" : k.zone().replace('/', '_'), "w" + k.weight());
     }
 
-    private PoolSeen one(Key k, Tally now, Tally was, double seconds, double refused, int servers) {
+    private PoolObservation one(Key k, Tally now, Tally was, double seconds, double refused, int servers) {
         long served = now.served() - was.served();
         long ended = served + now.failed() - was.failed();
         double mean = served == 0 ? 0 : (now.sumMs() - was.sumMs()) / served;
@@ -97,7 +97,7 @@
         if (served >= ENOUGH) {
             leastMs.merge(k, mean, (old, m) -> Math.min(old * RISE, m));
         }
-        return new PoolSeen(
+        return new PoolObservation(
                 (now.first() - was.first()) / seconds,
                 (now.attempts() - was.attempts()) / seconds,
                 refused,
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateCalls.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.node;
 
-import brackenbridge.fleet.replica.Differences.Difference;
+import brackenbridge.fleet.replica.AntiEntropy.Difference;
 import brackenbridge.fleet.replica.Replica;
 import brackenbridge.fleet.replica.ReplicaNode;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -11,16 +11,16 @@
 import java.util.Map;
 
 /** Answers {@code state status} and {@code state diff}: how far each member is, and which copies differ. */
-final class StateCalls implements StaffPage.Calls {
+final class StateAdminHandler implements AdminHttpServer.Calls {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final ReplicaNode replica;
 
-    StateCalls(ReplicaNode replica) {
+    StateAdminHandler(ReplicaNode replica) {
         this.replica = replica;
     }
 
     @Override
-    public StaffPage.Answer call(List<String> words, byte[] body, boolean json) {
+    public AdminHttpServer.Answer call(List<String> words, byte[] body, boolean json) {
         return switch (words.isEmpty() ? "" : words.get(0)) {
             case "status" -> status(json);
             case "diff" -> diff(json);
@@ -28,7 +28,7 @@
         };
     }
 
-    private StaffPage.Answer status(boolean json) {
+    private AdminHttpServer.Answer status(boolean json) {
         Replica.Level level = replica.level();
         List<ReplicaNode.Status> all = replica.status();
         if (json) {
@@ -36,7 +36,7 @@
             out.put("level", level);
             out.put("members", all);
             out.put("figures", replica.figures());
-            return new StaffPage.Answer(true, json(out));
+            return new AdminHttpServer.Answer(true, json(out));
         }
         StringBuilder s = new StringBuilder(String.format(
                 Locale.ROOT,
@@ -64,19 +64,19 @@
                     m.standing(),
                     m.aside() == null ? "" : m.aside()));
         }
-        return new StaffPage.Answer(true, s.toString());
+        return new AdminHttpServer.Answer(true, s.toString());
     }
 
-    private StaffPage.Answer diff(boolean json) {
+    private AdminHttpServer.Answer diff(boolean json) {
         List<Difference> found = replica.diff();
         if (json) {
-            return new StaffPage.Answer(true, json(found));
+            return new AdminHttpServer.Answer(true, json(found));
         }
         StringBuilder s = new StringBuilder(found.size() + " differences found\n");
         for (Difference d : found) {
             s.append(d).append('\n');
         }
-        return new StaffPage.Answer(true, s.toString());
+        return new AdminHttpServer.Answer(true, s.toString());
     }
 
     private static String json(Object o) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -1,18 +1,18 @@
 package brackenbridge.fleet.node;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.agreed.Agreed;
-import brackenbridge.fleet.agreed.AgreedNode;
 import brackenbridge.fleet.agreed.AgreedSettings;
-import brackenbridge.fleet.peer.Links;
+import brackenbridge.fleet.agreed.AgreedValues;
+import brackenbridge.fleet.agreed.AgreementMember;
 import brackenbridge.fleet.peer.Member;
 import brackenbridge.fleet.peer.PeerLimits;
-import brackenbridge.fleet.peer.TcpLinks;
-import brackenbridge.fleet.replica.Disk;
+import brackenbridge.fleet.peer.PeerLinks;
+import brackenbridge.fleet.peer.TcpPeerLinks;
+import brackenbridge.fleet.replica.RecordSpace;
 import brackenbridge.fleet.replica.Replica;
+import brackenbridge.fleet.replica.ReplicaDisk;
 import brackenbridge.fleet.replica.ReplicaNode;
-import brackenbridge.fleet.replica.Space;
-import brackenbridge.fleet.replica.Terms;
+import brackenbridge.fleet.replica.ReplicationLimits;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
@@ -51,9 +51,9 @@
  */
 public final class StateMember implements AutoCloseable {
     /** Own records of this space are written and told of. */
-    private static final Space OWN = Space.SERVERS;
+    private static final RecordSpace OWN = RecordSpace.SERVERS;
 
-    private static final Space COUNTED = Space.ATTEMPTS;
+    private static final RecordSpace COUNTED = RecordSpace.ATTEMPTS;
     private static final double PROPOSED_WITHIN_MS = 5000;
     private static final long SAMPLE_MS = 10;
     private static final double SAY_EACH_MS = 200;
@@ -114,9 +114,9 @@
     private final ObjectMapper json = new ObjectMapper();
     private final BlockingQueue<String> out = new ArrayBlockingQueue<>(MOST_WAITING);
     private final AtomicLong dropped = new AtomicLong();
-    private final Links links;
+    private final PeerLinks links;
     private final Replica replica;
-    private final Agreed agreed;
+    private final AgreedValues agreed;
     private final Map<String, Span> watched = new ConcurrentHashMap<>();
     private final Map<String, Span> roles = new ConcurrentHashMap<>();
     private final Map<String, List<String>> contents = new ConcurrentHashMap<>();
@@ -127,7 +127,7 @@
     private final Span level = new Span();
 
     /** A member with its parts, which are not started yet; its lines go there. */
-    StateMember(Links links, Replica replica, Agreed agreed, PrintStream to) {
+    StateMember(PeerLinks links, Replica replica, AgreedValues agreed, PrintStream to) {
         this.links = links;
         this.replica = replica;
         this.agreed = agreed;
@@ -185,7 +185,7 @@
         }
     }
 
-    private void changed(Space space, String owner, String key, Replica.Seen now) {
+    private void changed(RecordSpace space, String owner, String key, Replica.Seen now) {
         if (space != OWN || owner.equals(links.me().name())) {
             return;
         }
@@ -250,14 +250,15 @@
 
     private void sampleActs(String name, Span s) {
         double before = now();
-        List<Agreed.Value> values = new ArrayList<>();
+        List<AgreedValues.Value> values = new ArrayList<>();
         agreed.acting(name).ifPresent(a -> {
             values.add(a.one());
             if (a.other() != null) {
                 values.add(a.other());
             }
         });
-        List<Long> generations = values.stream().map(Agreed.Value::generation).toList();
+        List<Long> generations =
+                values.stream().map(AgreedValues.Value::generation).toList();
         Runnable tell = () -> {
             if (!((List<?>) s.state).isEmpty()) {
                 say(
@@ -356,7 +357,7 @@
                                     "level",
                                     replica.level().level(),
                                     "links",
-                                    links instanceof TcpLinks t ? t.figures() : Map.of(),
+                                    links instanceof TcpPeerLinks t ? t.figures() : Map.of(),
                                     "replica",
                                     replica instanceof ReplicaNode n ? n.figures() : Map.of()));
                 case "propose" -> propose(w[1], w[2]);
@@ -403,7 +404,7 @@
     }
 
     private Map<String, Object> known(String name) {
-        Optional<Agreed.Value> v = agreed.known(name);
+        Optional<AgreedValues.Value> v = agreed.known(name);
         return v.isEmpty()
                 ? Map.of()
                 : Map.of(
@@ -414,7 +415,7 @@
     }
 
     private void propose(String name, String content) {
-        long expected = agreed.known(name).map(Agreed.Value::generation).orElse(0L);
+        long expected = agreed.known(name).map(AgreedValues.Value::generation).orElse(0L);
         agreed.propose(name, expected, content.getBytes(StandardCharsets.UTF_8), PROPOSED_WITHIN_MS)
                 .whenComplete((verdict, fault) -> say(
                         now(),
@@ -488,10 +489,11 @@
     private static void run(Options o, List<Member> members, PrintStream to) throws IOException, InterruptedException {
         Clock clock = Clock.system();
         Path disk = Path.of(o.disk);
-        try (Disk records = Disk.open(disk.resolve("replica"), o.fleet, o.name, clock.nowMs());
-                TcpLinks links = new TcpLinks(o.me(), records.life(), o.fleet, members, clock, PeerLimits.standard());
-                ReplicaNode replica = new ReplicaNode(links, records, clock, Terms.DEFAULT);
-                AgreedNode agreed = new AgreedNode(
+        try (ReplicaDisk records = ReplicaDisk.open(disk.resolve("replica"), o.fleet, o.name, clock.nowMs());
+                TcpPeerLinks links =
+                        new TcpPeerLinks(o.me(), records.life(), o.fleet, members, clock, PeerLimits.standard());
+                ReplicaNode replica = new ReplicaNode(links, records, clock, ReplicationLimits.DEFAULT);
+                AgreementMember agreed = new AgreementMember(
                         links,
                         disk.resolve("agreed"),
                         clock,
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Detector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -24,7 +24,7 @@
  *
  * <p>Not for several threads at once. Times are milliseconds of one clock that never goes back.
  */
-public final class Detector {
+public final class FailureDetector {
     /** Silence in beats after which others are asked. */
     static final double ASK_BEATS = 3;
     /** Greatest doubt of oneself: times of suspicion are multiplied by one more than it at most. */
@@ -65,10 +65,10 @@
     private long deaths;
 
     /** A peer's standing is another. */
-    record Change(String peer, Standing standing, long life) {}
+    record Change(String peer, MemberStatus standing, long life) {}
 
     /** A beat that is to be sent. */
-    record Out(String to, Beat beat) {}
+    record Out(String to, SwimMessage beat) {}
 
     /** Two processes live under one name; it may be this member's own. */
     record Conflict(String name, long life, long instance, long otherLife, long otherInstance) {}
@@ -78,7 +78,7 @@
         final double[] sentMs = new double[SENT];
         final Set<String> confirmed = new HashSet<>();
         final Set<String> waiting = new HashSet<>();
-        Standing standing = Standing.UNKNOWN;
+        MemberStatus standing = MemberStatus.UNKNOWN;
         long life;
         long instance;
         int incarnation;
@@ -112,7 +112,7 @@
     }
 
     /** For this member in this life. */
-    Detector(String me, long life, long instance, PeerLimits limits, long seed) {
+    FailureDetector(String me, long life, long instance, PeerLimits limits, long seed) {
         this.me = me;
         this.life = life;
         this.instance = instance;
@@ -140,8 +140,8 @@
         for (Iterator<Peer> i = order.iterator(); i.hasNext(); ) {
             Peer p = i.next();
             if (!names.contains(p.name)) {
-                if (p.standing != Standing.GONE && p.standing != Standing.UNKNOWN) {
-                    changes.add(new Change(p.name, Standing.GONE, p.life));
+                if (p.standing != MemberStatus.GONE && p.standing != MemberStatus.UNKNOWN) {
+                    changes.add(new Change(p.name, MemberStatus.GONE, p.life));
                 }
                 peers.remove(p.name);
                 i.remove();
@@ -176,7 +176,7 @@
         p.heardSequenceMs = now;
         p.deafMs = 0;
         if (!p.known || itsLife > p.life) {
-            born(now, p, itsLife, itsInstance, Standing.ALIVE);
+            born(now, p, itsLife, itsInstance, MemberStatus.ALIVE);
         } else if (itsLife < p.life || itsInstance != p.instance) {
             conflict(now, name, itsLife, itsInstance);
             return out;
@@ -210,7 +210,7 @@
         List<String> silent = new ArrayList<>();
         for (Peer p : order) {
             judge(now, p);
-            boolean doubted = p.known && !p.left && p.standing != Standing.GONE;
+            boolean doubted = p.known && !p.left && p.standing != MemberStatus.GONE;
             if (doubted && now - p.directMs - p.forgivenMs > ASK_BEATS * limits.beatMs()) {
                 silent.add(p.name);
             } else if (!doubted || p.heardMs == p.directMs) {
@@ -222,14 +222,14 @@
         for (Peer p : order) {
             if (p.linked) {
                 List<String> wanted = asks.getOrDefault(p.name, List.of());
-                out.add(new Out(p.name, beat(now, p, wanted.isEmpty() ? 0 : Beat.NOW, wanted)));
+                out.add(new Out(p.name, beat(now, p, wanted.isEmpty() ? 0 : SwimMessage.NOW, wanted)));
             }
         }
         return out;
     }
 
     /** A beat has come over the link to this peer. What is to be sent at once comes back. */
-    List<Out> took(double now, String from, long itsLife, long itsInstance, Beat beat) {
+    List<Out> took(double now, String from, long itsLife, long itsInstance, SwimMessage beat) {
         List<Out> out = new ArrayList<>();
         Peer p = peers.get(from);
         if (p == null) {
@@ -242,7 +242,7 @@
             if (itsLife < p.life && p.heardMs < p.linkedMs) {
                 // The later life gave no sign since the earlier one linked: it has ended, and its successor, which
                 // began under an earlier time of day, has not heard of it yet.
-                out.add(new Out(from, beat(now, p, Beat.ANSWER, List.of(), List.of(entryOf(now, p)))));
+                out.add(new Out(from, beat(now, p, SwimMessage.ANSWER, List.of(), List.of(entryOf(now, p)))));
             } else if (itsLife == p.life || at > p.learnedMs) {
                 // Sent after another process of this name was heard of: both live.
                 conflict(now, from, itsLife, itsInstance);
@@ -257,14 +257,14 @@
             p.deafMs = p.sequence == p.echo ? 0 : Math.max(0, at - unheardSince(p));
         }
         incarnation(now, p, beat.incarnation());
-        if (beat.has(Beat.FAREWELL)) {
+        if (beat.has(SwimMessage.FAREWELL)) {
             left(now, p);
         }
-        if (beat.has(Beat.ANSWER)) {
+        if (beat.has(SwimMessage.ANSWER)) {
             answered = true;
         }
-        List<Beat.Entry> tell = new ArrayList<>();
-        for (Beat.Entry e : beat.entries()) {
+        List<SwimMessage.Entry> tell = new ArrayList<>();
+        for (SwimMessage.Entry e : beat.entries()) {
             entry(now, p, at, e, tell);
         }
         judge(now, p);
@@ -274,20 +274,20 @@
                 tell.add(entryOf(now, q));
                 if (q.linked && now - q.directMs > limits.beatMs()) {
                     if (q.waiting.isEmpty()) {
-                        out.add(new Out(name, beat(now, q, Beat.NOW, List.of())));
+                        out.add(new Out(name, beat(now, q, SwimMessage.NOW, List.of())));
                     }
                     q.waiting.add(from);
                 }
             }
         }
-        if (!tell.isEmpty() || beat.has(Beat.NOW)) {
-            int flags = beat.asks().isEmpty() ? 0 : Beat.ANSWER;
+        if (!tell.isEmpty() || beat.has(SwimMessage.NOW)) {
+            int flags = beat.asks().isEmpty() ? 0 : SwimMessage.ANSWER;
             out.add(new Out(from, beat(now, p, flags, List.of(), tell)));
         }
         for (String asker : p.waiting) {
             Peer q = peers.get(asker);
             if (q != null && q.linked) {
-                out.add(new Out(asker, beat(now, q, Beat.ANSWER, List.of(), List.of(entryOf(now, p)))));
+                out.add(new Out(asker, beat(now, q, SwimMessage.ANSWER, List.of(), List.of(entryOf(now, p)))));
             }
         }
         p.waiting.clear();
@@ -299,7 +299,7 @@
         List<Out> out = new ArrayList<>();
         for (Peer p : order) {
             if (p.linked) {
-                out.add(new Out(p.name, beat(now, p, Beat.FAREWELL, List.of())));
+                out.add(new Out(p.name, beat(now, p, SwimMessage.FAREWELL, List.of())));
             }
         }
         return out;
@@ -337,9 +337,9 @@
         return taken;
     }
 
-    Standing standing(String name) {
+    MemberStatus standing(String name) {
         Peer p = peers.get(name);
-        return p == null ? Standing.UNKNOWN : p.standing;
+        return p == null ? MemberStatus.UNKNOWN : p.standing;
     }
 
     /** The latest life heard of; {@link Long#MIN_VALUE} if none. */
@@ -393,7 +393,7 @@
     }
 
     /** How many peers stand so. */
-    int count(Standing standing) {
+    int count(MemberStatus standing) {
         int count = 0;
         for (Peer p : order) {
             count += p.standing == standing ? 1 : 0;
@@ -405,7 +405,7 @@
     int oneWay() {
         int count = 0;
         for (Peer p : order) {
-            count += p.linked && p.standing == Standing.ALIVE && p.deafMs > limits.suspectMs() ? 1 : 0;
+            count += p.linked && p.standing == MemberStatus.ALIVE && p.deafMs > limits.suspectMs() ? 1 : 0;
         }
         return count;
     }
@@ -413,7 +413,7 @@
     // Evidence.
 
     /** No later than the sending of this beat. */
-    private double sentAt(double now, Peer p, Beat beat) {
+    private double sentAt(double now, Peer p, SwimMessage beat) {
         if (beat.echo() > p.echo && beat.echo() <= p.sequence) {
             p.echoMs = beat.echo() > p.sequence - SENT ? p.sentMs[beat.echo() % SENT] : p.echoMs;
             p.echo = beat.echo();
@@ -458,7 +458,7 @@
         p.forgivenAt = now;
     }
 
-    private void born(double now, Peer p, long itsLife, long itsInstance, Standing standing) {
+    private void born(double now, Peer p, long itsLife, long itsInstance, MemberStatus standing) {
         p.known = true;
         p.life = itsLife;
         p.instance = itsInstance;
@@ -479,7 +479,7 @@
         if (!p.left) {
             p.left = true;
             p.changedMs = now;
-            stand(now, p, Standing.GONE, false);
+            stand(now, p, MemberStatus.GONE, false);
         }
     }
 
@@ -492,19 +492,19 @@
     }
 
     /** What a peer tells of a member. Answers that it should have at once are added to {@code tell}. */
-    private void entry(double now, Peer from, double at, Beat.Entry e, List<Beat.Entry> tell) {
+    private void entry(double now, Peer from, double at, SwimMessage.Entry e, List<SwimMessage.Entry> tell) {
         if (e.name().equals(me)) {
             mine(at, e);
             return;
         }
         Peer q = peers.get(e.name());
-        if (q == null || q == from || e.standing() == Standing.UNKNOWN || q.known && e.life() < q.life) {
+        if (q == null || q == from || e.standing() == MemberStatus.UNKNOWN || q.known && e.life() < q.life) {
             return;
         }
         if (!q.known || e.life() > q.life) {
             // A process that is dead already is none to be told as alive first.
             born(now, q, e.life(), e.instance(), e.standing());
-            q.goneIncarnation = e.standing() == Standing.GONE ? e.incarnation() : -1;
+            q.goneIncarnation = e.standing() == MemberStatus.GONE ? e.incarnation() : -1;
             if (e.ageMs() < 0) {
                 evidence(q, at);
             }
@@ -520,7 +520,7 @@
         }
         if (e.left()) {
             left(now, q);
-        } else if (e.standing() == Standing.ALIVE) {
+        } else if (e.standing() == MemberStatus.ALIVE) {
             q.confirmed.remove(from.name);
         } else if (e.incarnation() >= q.incarnation) {
             q.confirmed.add(from.name);
@@ -532,7 +532,7 @@
     }
 
     /** What a peer holds of this member: doubts are refuted by a greater incarnation. */
-    private void mine(double at, Beat.Entry e) {
+    private void mine(double at, SwimMessage.Entry e) {
         if (e.life() > life || e.life() == life && e.instance() != instance) {
             if (ended(at, e)) {
                 pastLife = Math.max(pastLife, e.life());
@@ -541,8 +541,8 @@
                 conflicts.add(new Conflict(me, life, instance, e.life(), e.instance()));
             }
         } else if (e.life() == life
-                && e.standing() != Standing.ALIVE
-                && e.standing() != Standing.UNKNOWN
+                && e.standing() != MemberStatus.ALIVE
+                && e.standing() != MemberStatus.UNKNOWN
                 && e.incarnation() >= incarnation
                 && e.incarnation() < Integer.MAX_VALUE) {
             incarnation = e.incarnation() + 1;
@@ -551,8 +551,8 @@
     }
 
     /** Whether the other process of this member's name is an earlier one, not a second one that lives. */
-    private boolean ended(double at, Beat.Entry e) {
-        return e.standing() == Standing.GONE || e.ageMs() >= 0 && at - e.ageMs() < startedMs;
+    private boolean ended(double at, SwimMessage.Entry e) {
+        return e.standing() == MemberStatus.GONE || e.ageMs() >= 0 && at - e.ageMs() < startedMs;
     }
 
     private void started(double now) {
@@ -579,17 +579,17 @@
         }
         double silence = silence(now, p);
         double suspect = limits.suspectMs() * (1 + doubt);
-        if (p.standing == Standing.GONE) {
+        if (p.standing == MemberStatus.GONE) {
             if (p.incarnation > p.goneIncarnation && silence < suspect) {
-                stand(now, p, Standing.ALIVE, false);
+                stand(now, p, MemberStatus.ALIVE, false);
             }
         } else if (silence < suspect) {
-            stand(now, p, Standing.ALIVE, false);
+            stand(now, p, MemberStatus.ALIVE, false);
         } else if (silence < goneMs(p)) {
-            stand(now, p, Standing.SUSPECT, false);
+            stand(now, p, MemberStatus.SUSPECT, false);
         } else {
             p.goneIncarnation = p.incarnation;
-            stand(now, p, Standing.GONE, false);
+            stand(now, p, MemberStatus.GONE, false);
         }
     }
 
@@ -598,7 +598,7 @@
         int others = 0;
         int agree = 0;
         for (Peer p : order) {
-            if (p != suspect && p.linked && p.standing == Standing.ALIVE) {
+            if (p != suspect && p.linked && p.standing == MemberStatus.ALIVE) {
                 others++;
                 agree += suspect.confirmed.contains(p.name) ? 1 : 0;
             }
@@ -608,18 +608,18 @@
         return limits.goneMs() * (2 - part) * (1 + doubt);
     }
 
-    private void stand(double now, Peer p, Standing standing, boolean newLife) {
+    private void stand(double now, Peer p, MemberStatus standing, boolean newLife) {
         if (p.standing == standing && !newLife) {
             return;
         }
-        if (standing == Standing.SUSPECT) {
+        if (standing == MemberStatus.SUSPECT) {
             suspicions++;
-        } else if (standing == Standing.GONE && !p.left) {
+        } else if (standing == MemberStatus.GONE && !p.left) {
             deaths++;
-        } else if (p.standing == Standing.SUSPECT && !newLife) {
+        } else if (p.standing == MemberStatus.SUSPECT && !newLife) {
             falseSuspicions++;
         }
-        if (standing == Standing.ALIVE) {
+        if (standing == MemberStatus.ALIVE) {
             p.confirmed.clear();
         }
         p.standing = standing;
@@ -668,15 +668,15 @@
     }
 
     private static boolean ask(Map<String, List<String>> asks, Peer helper, String name) {
-        if (helper == null || !helper.linked || helper.standing != Standing.ALIVE) {
+        if (helper == null || !helper.linked || helper.standing != MemberStatus.ALIVE) {
             return false;
         }
         List<String> list = asks.computeIfAbsent(helper.name, k -> new ArrayList<>());
-        return list.size() < Beat.ASKS && list.add(name);
+        return list.size() < SwimMessage.ASKS && list.add(name);
     }
 
-    private Beat beat(double now, Peer to, int flags, List<String> asks) {
-        List<Beat.Entry> entries = new ArrayList<>();
+    private SwimMessage beat(double now, Peer to, int flags, List<String> asks) {
+        List<SwimMessage.Entry> entries = new ArrayList<>();
         int suspects = 0;
         int news = 0;
         int start = order.isEmpty() ? 0 : random.nextInt(order.size());
@@ -685,7 +685,7 @@
             if (p == to || !p.known) {
                 continue;
             }
-            if (p.standing == Standing.SUSPECT && suspects < SUSPECTS_TOLD) {
+            if (p.standing == MemberStatus.SUSPECT && suspects < SUSPECTS_TOLD) {
                 suspects++;
                 entries.add(entryOf(now, p));
             } else if (now - p.changedMs < NEWS_BEATS * limits.beatMs() && news < NEWS_TOLD) {
@@ -698,36 +698,36 @@
         return beat(now, to, flags, asks, entries);
     }
 
-    private Beat beat(double now, Peer to, int flags, List<String> asks, List<Beat.Entry> told) {
-        List<Beat.Entry> entries = new ArrayList<>();
+    private SwimMessage beat(double now, Peer to, int flags, List<String> asks, List<SwimMessage.Entry> told) {
+        List<SwimMessage.Entry> entries = new ArrayList<>();
         if (now - to.conflictMs < 4 * NEWS_BEATS * limits.beatMs()) {
             Conflict c = to.conflict;
             boolean first = to.linkInstance == c.instance();
-            entries.add(new Beat.Entry(
+            entries.add(new SwimMessage.Entry(
                     to.name,
                     first ? c.otherLife() : c.life(),
                     first ? c.otherInstance() : c.instance(),
                     0,
-                    Standing.ALIVE,
+                    MemberStatus.ALIVE,
                     false,
                     -1));
-        } else if (to.known && (to.standing == Standing.SUSPECT || to.standing == Standing.GONE)) {
+        } else if (to.known && (to.standing == MemberStatus.SUSPECT || to.standing == MemberStatus.GONE)) {
             // The one that is doubted hears of it first, and can refute.
             entries.add(entryOf(now, to));
         }
-        for (Beat.Entry e : told) {
-            if (entries.size() < Beat.ENTRIES) {
+        for (SwimMessage.Entry e : told) {
+            if (entries.size() < SwimMessage.ENTRIES) {
                 entries.add(e);
             }
         }
         to.sequence++;
         to.sentMs[to.sequence % SENT] = now;
         double held = Math.max(0, now - to.heardSequenceMs);
-        return new Beat(flags, to.sequence, to.heardSequence, held, incarnation, entries, asks);
+        return new SwimMessage(flags, to.sequence, to.heardSequence, held, incarnation, entries, asks);
     }
 
-    private Beat.Entry entryOf(double now, Peer p) {
+    private SwimMessage.Entry entryOf(double now, Peer p) {
         double age = p.heardMs == NEVER ? -1 : now - p.heardMs;
-        return new Beat.Entry(p.name, p.life, p.instance, p.incarnation, p.standing, p.left, age);
+        return new SwimMessage.Entry(p.name, p.life, p.instance, p.incarnation, p.standing, p.left, age);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Frames.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FrameCodec.java
@@ -10,20 +10,20 @@
  * (4), the body. The head has a sum of its own so that a spoilt length is found at once and not after a wait for bytes
  * that never come. All numbers are big-endian.
  */
-final class Frames {
+final class FrameCodec {
     static final int HEAD = 13;
-    private static final Stream[] STREAMS = Stream.values();
+    private static final MessageStream[] STREAMS = MessageStream.values();
 
-    private Frames() {}
+    private FrameCodec() {}
 
     /** One message. */
-    record Frame(Stream stream, byte[] body) {}
+    record Frame(MessageStream stream, byte[] body) {}
 
     /** The bytes that go before the body. */
-    static byte[] head(Stream stream, byte[] body) {
+    static byte[] head(MessageStream stream, byte[] body) {
         ByteBuffer out = ByteBuffer.allocate(HEAD);
-        out.putInt(body.length).put((byte) stream.ordinal()).putInt(Wire.crc(body, 0, body.length));
-        out.putInt(Wire.crc(out.array(), 0, HEAD - 4));
+        out.putInt(body.length).put((byte) stream.ordinal()).putInt(WireFormat.crc(body, 0, body.length));
+        out.putInt(WireFormat.crc(out.array(), 0, HEAD - 4));
         return out.array();
     }
 
@@ -42,7 +42,7 @@
         int length = fields.getInt();
         int stream = fields.get() & 0xff;
         int sum = fields.getInt();
-        if (fields.getInt() != Wire.crc(head, 0, HEAD - 4)) {
+        if (fields.getInt() != WireFormat.crc(head, 0, HEAD - 4)) {
             throw new WireException("the sum of a message's head is wrong");
         }
         if (length < 0 || length > most) {
@@ -55,7 +55,7 @@
         if (body.length < length) {
             throw new EOFException("ended within a message");
         }
-        if (Wire.crc(body, 0, length) != sum) {
+        if (WireFormat.crc(body, 0, length) != sum) {
             throw new WireException("the sum of a message is wrong");
         }
         return new Frame(STREAMS[stream], body);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -20,7 +20,7 @@
 
     private static final int MAGIC = 0x42425031;
     private static final int HEAD = 9;
-    private static final Refusal[] REFUSALS = Refusal.values();
+    private static final HandshakeRejection[] REFUSALS = HandshakeRejection.values();
 
     private Handshake() {}
 
@@ -50,10 +50,10 @@
      * No link.
      *
      * @param why the reason
-     * @param life a life that the refusing side knows, for {@link Refusal#OLD_LIFE}
+     * @param life a life that the refusing side knows, for {@link HandshakeRejection#OLD_LIFE}
      * @param text what staff should read
      */
-    record Refuse(Refusal why, long life, String text) implements Part {}
+    record Refuse(HandshakeRejection why, long life, String text) implements Part {}
 
     /** A part whose versions have none in common with ours: its fields are not read. */
     record Foreign(int lowest, int highest) implements Part {}
@@ -65,23 +65,23 @@
         int length = out.position() - HEAD;
         out.putInt(0, MAGIC).putShort(4, (short) length).put(6, (byte) kind).put(7, (byte) LOWEST);
         out.put(8, (byte) HIGHEST);
-        out.putInt(Wire.crc(out.array(), 0, HEAD + length));
+        out.putInt(WireFormat.crc(out.array(), 0, HEAD + length));
         return Arrays.copyOf(out.array(), out.position());
     }
 
     private static int write(Part part, ByteBuffer out) {
         if (part instanceof Hello hello) {
-            Wire.text(out, hello.fleet());
-            Wire.text(out, hello.from());
-            Wire.text(out, hello.to());
-            Wire.text(out, hello.address());
+            WireFormat.text(out, hello.fleet());
+            WireFormat.text(out, hello.from());
+            WireFormat.text(out, hello.to());
+            WireFormat.text(out, hello.address());
             out.putLong(hello.life()).putLong(hello.instance()).putLong(hello.dial());
             return hello.welcome() ? 2 : 1;
         }
         if (part instanceof Refuse refuse) {
             String text = refuse.text();
             out.put((byte) refuse.why().ordinal()).putLong(refuse.life());
-            Wire.text(out, text.length() > 80 ? text.substring(0, 80) : text);
+            WireFormat.text(out, text.length() > 80 ? text.substring(0, 80) : text);
             return 4;
         }
         return 3;
@@ -109,7 +109,7 @@
         byte[] rest = exactly(in, length + 4);
         byte[] all = Arrays.copyOf(head, HEAD + length);
         System.arraycopy(rest, 0, all, HEAD, length);
-        if (ByteBuffer.wrap(rest).getInt(length) != Wire.crc(all, 0, all.length)) {
+        if (ByteBuffer.wrap(rest).getInt(length) != WireFormat.crc(all, 0, all.length)) {
             throw new WireException("the sum of a handshake is wrong");
         }
         if (lowest > highest) {
@@ -118,7 +118,7 @@
         if (lowest > HIGHEST || highest < LOWEST) {
             return new Foreign(lowest, highest);
         }
-        return Wire.whole(Arrays.copyOf(rest, length), body -> part(kind, body));
+        return WireFormat.whole(Arrays.copyOf(rest, length), body -> part(kind, body));
     }
 
     private static Part part(int kind, ByteBuffer in) throws WireException {
@@ -127,10 +127,10 @@
             case 2:
                 return new Hello(
                         kind == 2,
-                        Wire.name(in),
-                        Wire.name(in),
-                        Wire.name(in),
-                        Wire.text(in),
+                        WireFormat.name(in),
+                        WireFormat.name(in),
+                        WireFormat.name(in),
+                        WireFormat.text(in),
                         in.getLong(),
                         in.getLong(),
                         in.getLong());
@@ -139,9 +139,9 @@
             case 4:
                 int why = in.get() & 0xff;
                 long life = in.getLong();
-                String text = Wire.text(in);
+                String text = WireFormat.text(in);
                 // Guards against a reason of a later build: it is still a refusal.
-                return new Refuse(why < REFUSALS.length ? REFUSALS[why] : Refusal.UNREADABLE, life, text);
+                return new Refuse(why < REFUSALS.length ? REFUSALS[why] : HandshakeRejection.UNREADABLE, life, text);
             default:
                 throw new WireException("a handshake of the unknown kind " + kind);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Refusal.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.peer;
 
 /** Why a handshake was refused; both sides log it. The order is the wire's: new ones are added at the end. */
-public enum Refusal {
+public enum HandshakeRejection {
     /** The bytes were no handshake. */
     UNREADABLE("unreadable", false),
     /** The two sides have no version of the protocol in common. */
@@ -24,7 +24,7 @@
     private final String text;
     private final boolean lasting;
 
-    Refusal(String text, boolean lasting) {
+    HandshakeRejection(String text, boolean lasting) {
         this.text = text;
         this.lasting = lasting;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Figures.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LinkMetrics.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts by name, from any thread. The names are this package's own, so there is a bounded number of them. */
-final class Figures {
+final class LinkMetrics {
     private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
 
     void count(String name) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Standing.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberStatus.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.peer;
 
 /** What a member holds of another's life. */
-public enum Standing {
+public enum MemberStatus {
     /** Never heard of since the start. */
     UNKNOWN,
     /** Heard of lately, by itself or through others. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Stream.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MessageStream.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.peer;
 
 /** Whose message a frame carries; each has a bounded queue of its own at a link, so that none starves another. */
-public enum Stream {
+public enum MessageStream {
     /** Liveness: beats, suspicion, refutation. */
     LIVENESS,
     /** Agreement: the Raft library's messages. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Connection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
@@ -11,7 +11,7 @@
 /**
  * A socket to another member, in its handshake or after it. One thread reads, one writes; a third may close it.
  */
-final class Connection {
+final class PeerConnection {
     private static final int CHUNK = 16 << 10;
     private static final int BUFFER = 64 << 10;
 
@@ -19,10 +19,10 @@
     final boolean dialled;
     final InputStream in;
     final double begunMs;
-    final Outbox outbox;
+    final SendQueue outbox;
     private final OutputStream out;
     private final Clock clock;
-    private final Figures figures;
+    private final LinkMetrics figures;
     private final byte[] gathered = new byte[BUFFER];
     private double deadline;
     /** The other side's hello, once it was read. */
@@ -42,7 +42,8 @@
     volatile boolean closed;
     volatile String why = "";
 
-    Connection(Socket socket, boolean dialled, PeerLimits limits, Clock clock, Figures figures) throws IOException {
+    PeerConnection(Socket socket, boolean dialled, PeerLimits limits, Clock clock, LinkMetrics figures)
+            throws IOException {
         this.socket = socket;
         this.dialled = dialled;
         this.clock = clock;
@@ -51,7 +52,7 @@
         begunMs = clock.nowMs();
         lastReadMs = begunMs;
         deadline = begunMs + limits.handshakeMs();
-        outbox = new Outbox(limits.queueBytes(), limits.queueMessages());
+        outbox = new SendQueue(limits.queueBytes(), limits.queueMessages());
         InputStream raw = socket.getInputStream();
         in = new BufferedInputStream(
                 new InputStream() {
@@ -101,14 +102,14 @@
         while (!closed) {
             outbox.await();
             int filled = 0;
-            Frames.Frame frame = outbox.poll();
+            FrameCodec.Frame frame = outbox.poll();
             if (frame == null && outbox.ended()) {
                 // What was said last arrives before the end: the other side reads it and then the end.
                 socket.shutdownOutput();
                 return;
             }
             while (frame != null) {
-                filled = gather(filled, Frames.head(frame.stream(), frame.body()), frame.body());
+                filled = gather(filled, FrameCodec.head(frame.stream(), frame.body()), frame.body());
                 figures.count("frames_out");
                 frame = filled < BUFFER / 2 ? outbox.poll() : null;
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Links.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
@@ -6,7 +6,7 @@
  * A member's links to all the others. Messages between two members may be lost, late and, over a broken link, repeated
  * or out of order; those that arrive are whole and unchanged. Sending never blocks.
  */
-public interface Links extends AutoCloseable {
+public interface PeerLinks extends AutoCloseable {
     /** Takes what a peer has sent; called on that peer's own thread, one message after another. */
     @FunctionalInterface
     interface Receiver {
@@ -24,7 +24,7 @@
     @FunctionalInterface
     interface Watcher {
         /** The peer's standing is another from now on. */
-        void changed(String peer, Standing standing, long life);
+        void changed(String peer, MemberStatus standing, long life);
     }
 
     /** This member. */
@@ -37,13 +37,13 @@
     List<Member> peers();
 
     /** What is held of this peer's life. */
-    Standing standing(String peer);
+    MemberStatus standing(String peer);
 
     /** Queues a message; false if there is no link to this peer or its queue is full: nothing was taken then. */
-    boolean send(String peer, Stream stream, byte[] body);
+    boolean send(String peer, MessageStream stream, byte[] body);
 
     /** Who takes this stream's messages; before {@link #start}. */
-    void receive(Stream stream, Receiver receiver);
+    void receive(MessageStream stream, Receiver receiver);
 
     /** Who hears of standings; before {@link #start}. */
     void watch(Watcher watcher);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Outbox.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SendQueue.java
@@ -7,11 +7,11 @@
  * short; the others take turns by bytes (deficit round robin, Shreedhar and Varghese, SIGCOMM 1995), so that a stream
  * of long messages takes no more than its part.
  */
-final class Outbox {
+final class SendQueue {
     /** What a stream may write in one turn; a longer message waits for several turns. */
     static final int QUANTUM = 32 << 10;
 
-    private static final Stream[] STREAMS = Stream.values();
+    private static final MessageStream[] STREAMS = MessageStream.values();
 
     private final long bytesMost;
     private final int messagesMost;
@@ -26,7 +26,7 @@
         long deficit;
     }
 
-    Outbox(long bytesMost, int messagesMost) {
+    SendQueue(long bytesMost, int messagesMost) {
         this.bytesMost = bytesMost;
         this.messagesMost = messagesMost;
         for (int i = 0; i < queues.length; i++) {
@@ -35,7 +35,7 @@
     }
 
     /** Takes the message, or says that the stream's queue is full. */
-    synchronized boolean offer(Stream stream, byte[] body) {
+    synchronized boolean offer(MessageStream stream, byte[] body) {
         Queue queue = queues[stream.ordinal()];
         if (ended || queue.messages.size() >= messagesMost || queue.bytes + body.length > bytesMost) {
             return false;
@@ -47,7 +47,7 @@
     }
 
     /** The next message by turn; null if there is none now. */
-    synchronized Frames.Frame poll() {
+    synchronized FrameCodec.Frame poll() {
         if (!queues[0].messages.isEmpty()) {
             return taken(0);
         }
@@ -61,7 +61,7 @@
                     queue.deficit += QUANTUM;
                     granted = true;
                 }
-                int cost = queue.messages.peek().length + Frames.HEAD;
+                int cost = queue.messages.peek().length + FrameCodec.HEAD;
                 if (cost <= queue.deficit) {
                     queue.deficit -= cost;
                     return taken(turn);
@@ -93,7 +93,7 @@
     }
 
     /** Messages that wait in a stream. */
-    synchronized int waiting(Stream stream) {
+    synchronized int waiting(MessageStream stream) {
         return queues[stream.ordinal()].messages.size();
     }
 
@@ -106,9 +106,9 @@
         return true;
     }
 
-    private Frames.Frame taken(int stream) {
+    private FrameCodec.Frame taken(int stream) {
         byte[] body = queues[stream].messages.poll();
         queues[stream].bytes -= body.length;
-        return new Frames.Frame(STREAMS[stream], body);
+        return new FrameCodec.Frame(STREAMS[stream], body);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Beat.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -16,7 +16,8 @@
  * @param entries what the sender holds of members
  * @param asks of whom the sender would like to hear
  */
-record Beat(int flags, int sequence, int echo, double heldMs, int incarnation, List<Entry> entries, List<String> asks) {
+record SwimMessage(
+        int flags, int sequence, int echo, double heldMs, int incarnation, List<Entry> entries, List<String> asks) {
     /** The receiver is to answer at once. */
     static final int NOW = 1;
     /** It answers a question. */
@@ -26,7 +27,7 @@
 
     static final int ENTRIES = 64;
     static final int ASKS = 32;
-    private static final Standing[] STANDINGS = Standing.values();
+    private static final MemberStatus[] STANDINGS = MemberStatus.values();
 
     /**
      * What a member holds of another.
@@ -40,7 +41,13 @@
      * @param ageMs how long ago it was surely alive; negative if that is not known
      */
     record Entry(
-            String name, long life, long instance, int incarnation, Standing standing, boolean left, double ageMs) {}
+            String name,
+            long life,
+            long instance,
+            int incarnation,
+            MemberStatus standing,
+            boolean left,
+            double ageMs) {}
 
     boolean has(int flag) {
         return (flags & flag) != 0;
@@ -56,25 +63,25 @@
                 .putInt(incarnation);
         out.put((byte) entries.size()).put((byte) asks.size());
         for (Entry e : entries) {
-            Wire.text(out, e.name());
+            WireFormat.text(out, e.name());
             out.putLong(e.life()).putLong(e.instance()).putInt(e.incarnation());
             out.put((byte) (e.standing().ordinal() | (e.left() ? 16 : 0))).putFloat((float) Math.max(-1, e.ageMs()));
         }
         for (String ask : asks) {
-            Wire.text(out, ask);
+            WireFormat.text(out, ask);
         }
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static Beat of(byte[] bytes) throws WireException {
-        return Wire.whole(bytes, Beat::read);
+    static SwimMessage of(byte[] bytes) throws WireException {
+        return WireFormat.whole(bytes, SwimMessage::read);
     }
 
-    private static Beat read(ByteBuffer in) throws WireException {
+    private static SwimMessage read(ByteBuffer in) throws WireException {
         int flags = in.get() & 0xff;
         int sequence = in.getInt();
         int echo = in.getInt();
-        double held = Wire.length(in);
+        double held = WireFormat.length(in);
         int incarnation = in.getInt();
         int entries = in.get() & 0xff;
         int asks = in.get() & 0xff;
@@ -87,13 +94,13 @@
         }
         List<String> wanted = new ArrayList<>(asks);
         for (int i = 0; i < asks; i++) {
-            wanted.add(Wire.name(in));
+            wanted.add(WireFormat.name(in));
         }
-        return new Beat(flags, sequence, echo, held, incarnation, known, wanted);
+        return new SwimMessage(flags, sequence, echo, held, incarnation, known, wanted);
     }
 
     private static Entry entry(ByteBuffer in) throws WireException {
-        String name = Wire.name(in);
+        String name = WireFormat.name(in);
         long life = in.getLong();
         long instance = in.getLong();
         int incarnation = in.getInt();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
@@ -35,8 +35,8 @@
  *
  * <p>Receivers are called on the reading thread: while one works, nothing more is read from that peer.
  */
-public final class TcpLinks implements Links {
-    private static final Logger LOG = LoggerFactory.getLogger(TcpLinks.class);
+public final class TcpPeerLinks implements PeerLinks {
+    private static final Logger LOG = LoggerFactory.getLogger(TcpPeerLinks.class);
     private static final double FAREWELL_MS = 500;
     private static final double LOG_EACH_MS = 1000;
     private static final int UNKNOWN_TIMES = 6;
@@ -50,18 +50,18 @@
     private final PeerLimits limits;
     private final Clock clock;
     private final Random random = new Random(instance);
-    private final Figures figures = new Figures();
+    private final LinkMetrics figures = new LinkMetrics();
     private final WatcherQueue watcherCalls = new WatcherQueue(figures);
-    private final Map<Stream, Receiver> receivers = new EnumMap<>(Stream.class);
+    private final Map<MessageStream, Receiver> receivers = new EnumMap<>(MessageStream.class);
     private final List<Watcher> watchers = new ArrayList<>();
     private final List<Alarm> alarms = new ArrayList<>();
-    private final Map<Refusal, Double> logged = new EnumMap<>(Refusal.class);
+    private final Map<HandshakeRejection, Double> logged = new EnumMap<>(HandshakeRejection.class);
     /** Guards all that follows, the detector too. */
     private final Object lock = new Object();
 
     private final Map<String, Peer> peers = new ConcurrentHashMap<>();
-    private final Detector detector;
-    private final Set<Connection> strangers = new LinkedHashSet<>();
+    private final FailureDetector detector;
+    private final Set<PeerConnection> strangers = new LinkedHashSet<>();
     private final Set<Thread> threads = new HashSet<>();
     private final String listenAddress;
     private volatile Member me;
@@ -81,16 +81,16 @@
          * @param why the reason
          * @param text in words
          */
-        void raised(String name, Refusal why, String text);
+        void raised(String name, HandshakeRejection why, String text);
     }
 
     /** A peer as this member has it configured, and the connection with it. */
     private static final class Peer {
         final Member member;
-        volatile Connection connection;
+        volatile PeerConnection connection;
         String toldAddress;
         Socket dialling;
-        Connection meeting;
+        PeerConnection meeting;
         Thread keeper;
         volatile boolean removed;
         double dialMs;
@@ -98,9 +98,9 @@
         int dialCount;
         long lastDialSeen;
         long lastDialInstance;
-        Refusal lastRefusal;
+        HandshakeRejection lastRefusal;
         int unknownThere;
-        Refusal refused;
+        HandshakeRejection refused;
         double refusedMs;
 
         Peer(Member member) {
@@ -118,7 +118,7 @@
      * @param clock the source of time
      * @param limits what the links are granted
      */
-    public TcpLinks(Member me, long life, String fleet, List<Member> peers, Clock clock, PeerLimits limits) {
+    public TcpPeerLinks(Member me, long life, String fleet, List<Member> peers, Clock clock, PeerLimits limits) {
         this(me, me.address(), life, fleet, peers, clock, limits);
     }
 
@@ -133,7 +133,7 @@
      * @param clock the source of time
      * @param limits what the links are granted
      */
-    public TcpLinks(
+    public TcpPeerLinks(
             Member me,
             String listenAddress,
             long life,
@@ -148,7 +148,7 @@
         this.fleet = checkedName(fleet);
         this.clock = clock;
         this.limits = limits;
-        detector = new Detector(me.name(), life, instance, limits, instance);
+        detector = new FailureDetector(me.name(), life, instance, limits, instance);
         update(peers);
     }
 
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public Standing standing(String peer) {
+    public MemberStatus standing(String peer) {
         synchronized (lock) {
             return detector.standing(peer);
         }
@@ -220,15 +220,15 @@
     }
 
     @Override
-    public boolean send(String peer, Stream stream, byte[] body) {
-        if (stream == Stream.LIVENESS) {
+    public boolean send(String peer, MessageStream stream, byte[] body) {
+        if (stream == MessageStream.LIVENESS) {
             throw new IllegalArgumentException("the stream of liveness is the links' own");
         }
         if (body.length > limits.frameBytes()) {
             throw new IllegalArgumentException(body.length + " bytes, over " + limits.frameBytes());
         }
         Peer known = peers.get(peer);
-        Connection connection = known == null ? null : known.connection;
+        PeerConnection connection = known == null ? null : known.connection;
         if (connection == null) {
             figures.count("unsent_no_link");
             return false;
@@ -241,8 +241,8 @@
     }
 
     @Override
-    public void receive(Stream stream, Receiver receiver) {
-        if (stream == Stream.LIVENESS) {
+    public void receive(MessageStream stream, Receiver receiver) {
+        if (stream == MessageStream.LIVENESS) {
             throw new IllegalArgumentException("the stream of liveness is the links' own");
         }
         receivers.put(stream, receiver);
@@ -266,10 +266,10 @@
                     peers.values().stream().filter(p -> p.connection != null).count());
             all.put("strangers", (double) strangers.size());
             all.put("threads", (double) threads.size());
-            all.put("peers_alive", (double) detector.count(Standing.ALIVE));
-            all.put("peers_suspect", (double) detector.count(Standing.SUSPECT));
-            all.put("peers_gone", (double) detector.count(Standing.GONE));
-            all.put("peers_unknown", (double) detector.count(Standing.UNKNOWN));
+            all.put("peers_alive", (double) detector.count(MemberStatus.ALIVE));
+            all.put("peers_suspect", (double) detector.count(MemberStatus.SUSPECT));
+            all.put("peers_gone", (double) detector.count(MemberStatus.GONE));
+            all.put("peers_unknown", (double) detector.count(MemberStatus.UNKNOWN));
             all.put("peers_one_way", (double) detector.oneWay());
             all.put("suspicions", (double) detector.suspicions());
             all.put("suspicions_false", (double) detector.falseSuspicions());
@@ -357,7 +357,7 @@
     }
 
     private void stop(boolean farewell) {
-        List<Connection> open = new ArrayList<>();
+        List<PeerConnection> open = new ArrayList<>();
         List<Thread> running;
         synchronized (lock) {
             if (closing) {
@@ -369,7 +369,7 @@
             closing = true;
             watcherCalls.end();
             for (Peer peer : peers.values()) {
-                Connection connection = peer.connection;
+                PeerConnection connection = peer.connection;
                 if (connection != null) {
                     open.add(connection);
                     connection.outbox.end();
@@ -389,7 +389,7 @@
             running = new ArrayList<>(threads);
         }
         double until = clock.nowMs() + (farewell ? FAREWELL_MS : 0);
-        for (Connection connection : open) {
+        for (PeerConnection connection : open) {
             synchronized (lock) {
                 for (double left = until - clock.nowMs();
                         left >= 1 && !connection.closed;
@@ -528,9 +528,9 @@
                 strangers.iterator().next().close("too many strangers");
                 return false;
             }
-            Connection connection;
+            PeerConnection connection;
             try {
-                connection = new Connection(socket, false, limits, clock, figures);
+                connection = new PeerConnection(socket, false, limits, clock, figures);
             } catch (IOException e) {
                 LOG.debug("gone before it was taken: {}", e.getMessage());
                 return false;
@@ -541,12 +541,12 @@
         }
     }
 
-    private void answer(Connection connection) {
+    private void answer(PeerConnection connection) {
         boolean linked = false;
         try {
             linked = welcomed(connection);
         } catch (WireException e) {
-            refused(connection, Refusal.UNREADABLE, e.getMessage());
+            refused(connection, HandshakeRejection.UNREADABLE, e.getMessage());
         } catch (IOException e) {
             figures.count("handshakes_broken");
             LOG.debug("handshake from {}: {}", connection.socket, e.getMessage());
@@ -563,12 +563,12 @@
         }
     }
 
-    private boolean welcomed(Connection connection) throws IOException {
+    private boolean welcomed(PeerConnection connection) throws IOException {
         Handshake.Part part = Handshake.read(connection.in);
         if (part instanceof Handshake.Foreign foreign) {
             return refuse(
                     connection,
-                    Refusal.VERSION,
+                    HandshakeRejection.VERSION,
                     0,
                     "speaks " + foreign.lowest() + " to " + foreign.highest() + ", we " + Handshake.LOWEST + " to "
                             + Handshake.HIGHEST);
@@ -578,7 +578,7 @@
         }
         connection.hello = hello;
         connection.peer = hello.from();
-        Refusal fault = fault(connection, hello);
+        HandshakeRejection fault = fault(connection, hello);
         if (fault != null) {
             return refuse(connection, fault, detector(hello.from()), described(hello));
         }
@@ -603,45 +603,45 @@
     }
 
     /** What is wrong with a hello or a welcome; null if nothing is. Waits where two processes may have one name. */
-    private Refusal fault(Connection connection, Handshake.Hello hello) {
+    private HandshakeRejection fault(PeerConnection connection, Handshake.Hello hello) {
         if (!hello.fleet().equals(fleet)) {
-            return Refusal.ANOTHER_FLEET;
+            return HandshakeRejection.ANOTHER_FLEET;
         }
         if (!hello.to().equals(me.name())) {
-            return Refusal.NOT_THE_ONE;
+            return HandshakeRejection.NOT_THE_ONE;
         }
         if (hello.from().equals(me.name())) {
-            return hello.instance() == instance ? Refusal.NOT_THE_ONE : Refusal.DUPLICATE;
+            return hello.instance() == instance ? HandshakeRejection.NOT_THE_ONE : HandshakeRejection.DUPLICATE;
         }
         synchronized (lock) {
             Peer peer = peers.get(hello.from());
             if (closing) {
-                return Refusal.CLOSING;
+                return HandshakeRejection.CLOSING;
             }
             if (peer == null) {
-                return Refusal.UNKNOWN_MEMBER;
+                return HandshakeRejection.UNKNOWN_MEMBER;
             }
             long known = detector.lifeOf(hello.from());
             if (hello.life() < known) {
-                return Refusal.OLD_LIFE;
+                return HandshakeRejection.OLD_LIFE;
             }
             if (hello.life() == known && hello.instance() != detector.instanceOf(hello.from())) {
                 detector.conflict(clock.nowMs(), hello.from(), hello.life(), hello.instance());
                 after(List.of());
-                return Refusal.DUPLICATE;
+                return HandshakeRejection.DUPLICATE;
             }
             if (peer.connection != null && hello.life() > known && oldLives(peer, hello)) {
                 detector.conflict(clock.nowMs(), hello.from(), hello.life(), hello.instance());
                 after(List.of());
-                return Refusal.DUPLICATE;
+                return HandshakeRejection.DUPLICATE;
             }
             if (!connection.dialled && hello.life() == known) {
                 if (hello.instance() == peer.lastDialInstance && hello.dial() <= peer.lastDialSeen) {
-                    return Refusal.LINKED;
+                    return HandshakeRejection.LINKED;
                 }
-                Connection has = peer.connection;
+                PeerConnection has = peer.connection;
                 if (has != null && !replaces(connection, has)) {
-                    return Refusal.LINKED;
+                    return HandshakeRejection.LINKED;
                 }
             }
             return null;
@@ -653,7 +653,7 @@
      * earlier one sends after this moment tells.
      */
     private boolean oldLives(Peer peer, Handshake.Hello hello) {
-        Connection old = peer.connection;
+        PeerConnection old = peer.connection;
         double asked = clock.nowMs();
         double until = asked + Math.min(limits.suspectMs(), limits.handshakeMs() * 0.75);
         while (!closing && !old.closed && peer.connection == old) {
@@ -673,17 +673,17 @@
     }
 
     /** With the lock: whether a new connection with the same process takes the place of the one that is there. */
-    private boolean replaces(Connection fresh, Connection has) {
+    private boolean replaces(PeerConnection fresh, PeerConnection has) {
         if (has.closed || fresh.dialled == has.dialled) {
             return true;
         }
         boolean lower = me.name().compareTo(fresh.peer) < 0;
         boolean stays = has.dialled == lower;
         // Who dials has no link any more, if nothing comes over the one we think there is.
-        return !stays || clock.nowMs() - has.lastReadMs > Detector.ASK_BEATS * limits.beatMs();
+        return !stays || clock.nowMs() - has.lastReadMs > FailureDetector.ASK_BEATS * limits.beatMs();
     }
 
-    private boolean attach(Connection connection) throws IOException {
+    private boolean attach(PeerConnection connection) throws IOException {
         Handshake.Hello hello = connection.hello;
         double now = clock.nowMs();
         synchronized (lock) {
@@ -694,7 +694,7 @@
                     || hello.life() < detector.lifeOf(hello.from())) {
                 return false;
             }
-            Connection has = peer.connection;
+            PeerConnection has = peer.connection;
             if (has != null && hello.life() == has.hello.life() && !replaces(connection, has)) {
                 return false;
             }
@@ -739,14 +739,16 @@
 
     // Refusals.
 
-    private boolean refuse(Connection connection, Refusal why, long known, String text) throws IOException {
+    private boolean refuse(PeerConnection connection, HandshakeRejection why, long known, String text)
+            throws IOException {
         refused(connection, why, text);
-        String told = why == Refusal.OLD_LIFE ? "life " + known + " is known" : "by " + me.name() + " of " + fleet;
+        String told =
+                why == HandshakeRejection.OLD_LIFE ? "life " + known + " is known" : "by " + me.name() + " of " + fleet;
         connection.say(new Handshake.Refuse(why, known, told));
         return false;
     }
 
-    private void refused(Connection connection, Refusal why, String text) {
+    private void refused(PeerConnection connection, HandshakeRejection why, String text) {
         figures.count("refused_" + why.name().toLowerCase(Locale.ROOT));
         boolean loud;
         synchronized (lock) {
@@ -770,7 +772,7 @@
                 }
             }
         }
-        if (loud || why == Refusal.UNREADABLE) {
+        if (loud || why == HandshakeRejection.UNREADABLE) {
             LOG.atLevel(loud ? Level.WARN : Level.DEBUG)
                     .log(
                             "refused {} from {}: {}: {}",
@@ -789,16 +791,16 @@
                 LOG.debug("{} refuses: {}: {}", name, refuse.why().text(), refuse.text());
                 return;
             }
-            if (refuse.why() == Refusal.OLD_LIFE && refuse.life() < life) {
+            if (refuse.why() == HandshakeRejection.OLD_LIFE && refuse.life() < life) {
                 // That was said to the life before.
                 return;
             }
-            if ((refuse.why() == Refusal.OLD_LIFE || refuse.why() == Refusal.DUPLICATE)
+            if ((refuse.why() == HandshakeRejection.OLD_LIFE || refuse.why() == HandshakeRejection.DUPLICATE)
                     && !linkedInThisLife
                     && renew(refuse.life())) {
                 return;
             }
-            if (refuse.why() == Refusal.UNKNOWN_MEMBER && ++peer.unknownThere < UNKNOWN_TIMES) {
+            if (refuse.why() == HandshakeRejection.UNKNOWN_MEMBER && ++peer.unknownThere < UNKNOWN_TIMES) {
                 // Guards against an alarm at each join: of two lists one is always the first to change.
                 return;
             }
@@ -812,7 +814,8 @@
                         peer.member.address(),
                         refuse.why().text(),
                         refuse.text());
-                boolean own = refuse.why() == Refusal.DUPLICATE || refuse.why() == Refusal.OLD_LIFE;
+                boolean own =
+                        refuse.why() == HandshakeRejection.DUPLICATE || refuse.why() == HandshakeRejection.OLD_LIFE;
                 raise(own ? me.name() : name, refuse.why(), refuse.text());
             }
         }
@@ -856,7 +859,7 @@
 
     private void keep(Peer peer) {
         while (!closing && !peer.removed) {
-            Connection connection;
+            PeerConnection connection;
             double left;
             synchronized (lock) {
                 connection = peer.connection;
@@ -881,7 +884,7 @@
         }
     }
 
-    private void write(Peer peer, Connection connection) {
+    private void write(Peer peer, PeerConnection connection) {
         try {
             connection.write();
         } catch (IOException e) {
@@ -919,12 +922,12 @@
                     false, fleet, me.name(), peer.member.name(), me.address(), life, instance, ++dials);
         }
         boolean linked = false;
-        Connection connection = null;
+        PeerConnection connection = null;
         try {
             InetSocketAddress unresolved = address(target);
             socket.connect(
                     new InetSocketAddress(unresolved.getHostString(), unresolved.getPort()), limits.handshakeMs());
-            connection = new Connection(socket, true, limits, clock, figures);
+            connection = new PeerConnection(socket, true, limits, clock, figures);
             connection.peer = peer.member.name();
             connection.toldLife = hello.life();
             synchronized (lock) {
@@ -940,7 +943,7 @@
             }
             linked = introduced(peer, connection, hello);
             if (linked) {
-                Connection read = connection;
+                PeerConnection read = connection;
                 synchronized (lock) {
                     thread("peer-from-" + peer.member.name(), () -> read(read));
                 }
@@ -963,7 +966,7 @@
         }
     }
 
-    private boolean introduced(Peer peer, Connection connection, Handshake.Hello hello) throws IOException {
+    private boolean introduced(Peer peer, PeerConnection connection, Handshake.Hello hello) throws IOException {
         connection.say(hello);
         Handshake.Part part = Handshake.read(connection.in);
         String name = peer.member.name();
@@ -972,14 +975,15 @@
             return false;
         }
         if (part instanceof Handshake.Foreign) {
-            refusedBy(name, new Handshake.Refuse(Refusal.VERSION, 0, "answers in another version"));
+            refusedBy(name, new Handshake.Refuse(HandshakeRejection.VERSION, 0, "answers in another version"));
             return false;
         }
         if (!(part instanceof Handshake.Hello welcome) || !welcome.welcome()) {
             throw new WireException("no welcome");
         }
         connection.hello = welcome;
-        Refusal fault = welcome.from().equals(name) ? fault(connection, welcome) : Refusal.NOT_THE_ONE;
+        HandshakeRejection fault =
+                welcome.from().equals(name) ? fault(connection, welcome) : HandshakeRejection.NOT_THE_ONE;
         if (fault != null) {
             synchronized (lock) {
                 peer.failures = Math.max(peer.failures, fault.lasting() ? 16 : 0);
@@ -999,14 +1003,14 @@
 
     // A connection's reader.
 
-    private void read(Connection connection) {
+    private void read(PeerConnection connection) {
         String peer = connection.peer;
         try {
             while (!connection.closed) {
-                Frames.Frame frame = Frames.read(connection.in, limits.frameBytes());
+                FrameCodec.Frame frame = FrameCodec.read(connection.in, limits.frameBytes());
                 figures.count("frames_in");
-                if (frame.stream() == Stream.LIVENESS) {
-                    liveness(connection, Beat.of(frame.body()));
+                if (frame.stream() == MessageStream.LIVENESS) {
+                    liveness(connection, SwimMessage.of(frame.body()));
                 } else {
                     deliver(connection, frame);
                 }
@@ -1023,7 +1027,7 @@
         }
     }
 
-    private void deliver(Connection connection, Frames.Frame frame) {
+    private void deliver(PeerConnection connection, FrameCodec.Frame frame) {
         Receiver receiver = receivers.get(frame.stream());
         if (receiver == null) {
             figures.count("frames_unwanted");
@@ -1040,7 +1044,7 @@
         }
     }
 
-    private void liveness(Connection connection, Beat beat) {
+    private void liveness(PeerConnection connection, SwimMessage beat) {
         synchronized (lock) {
             Peer peer = peers.get(connection.peer);
             if (peer == null || peer.connection != connection) {
@@ -1052,7 +1056,7 @@
         }
     }
 
-    private void detach(Connection connection) {
+    private void detach(PeerConnection connection) {
         synchronized (lock) {
             Peer peer = peers.get(connection.peer);
             if (peer != null && peer.connection == connection) {
@@ -1082,7 +1086,7 @@
                 due = Math.max(due + limits.beatMs(), now);
                 boolean late = now - last > 2 * limits.beatMs();
                 for (Peer peer : peers.values()) {
-                    Connection connection = peer.connection;
+                    PeerConnection connection = peer.connection;
                     if (connection != null) {
                         look(connection, now, now - last, late);
                     }
@@ -1094,7 +1098,7 @@
     }
 
     /** With the lock: closes a connection that has stood still for too long. */
-    private void look(Connection connection, double now, double passed, boolean late) {
+    private void look(PeerConnection connection, double now, double passed, boolean late) {
         double receiving = connection.receivingMs;
         if (receiving > 0 && now - receiving > limits.beatMs()) {
             figures.count("receiver_slow_beats");
@@ -1115,13 +1119,13 @@
 
     // What the detector wants, and events. All with the lock.
 
-    private void after(List<Detector.Out> out) {
+    private void after(List<FailureDetector.Out> out) {
         dispatch(out);
         long past = detector.pastLife();
         if (past != Long.MIN_VALUE) {
             renew(past);
         }
-        for (Detector.Change change : detector.changes()) {
+        for (FailureDetector.Change change : detector.changes()) {
             // Not here but on the watchers' thread: a log that blocks holds no lock.
             watcherCalls.add(
                     change.peer(),
@@ -1131,28 +1135,29 @@
                 watcherCalls.add(change.peer(), () -> watcher.changed(change.peer(), change.standing(), change.life()));
             }
         }
-        for (Detector.Conflict c : detector.conflicts()) {
+        for (FailureDetector.Conflict c : detector.conflicts()) {
             figures.count("conflicts");
             raise(
                     c.name(),
-                    Refusal.DUPLICATE,
+                    HandshakeRejection.DUPLICATE,
                     "lives " + c.life() + " and " + c.otherLife() + ", processes " + Long.toHexString(c.instance())
                             + " and " + Long.toHexString(c.otherInstance()));
         }
     }
 
-    private void dispatch(List<Detector.Out> out) {
-        for (Detector.Out beat : out) {
+    private void dispatch(List<FailureDetector.Out> out) {
+        for (FailureDetector.Out beat : out) {
             Peer peer = peers.get(beat.to());
-            Connection connection = peer == null ? null : peer.connection;
+            PeerConnection connection = peer == null ? null : peer.connection;
             if (connection != null
-                    && !connection.outbox.offer(Stream.LIVENESS, beat.beat().bytes())) {
+                    && !connection.outbox.offer(
+                            MessageStream.LIVENESS, beat.beat().bytes())) {
                 figures.count("beats_unsent");
             }
         }
     }
 
-    private void raise(String name, Refusal why, String text) {
+    private void raise(String name, HandshakeRejection why, String text) {
         watcherCalls.add(
                 name,
                 () -> LOG.error(
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
@@ -16,11 +16,11 @@
     private record Call(String peer, Runnable run) {}
 
     private final ArrayDeque<Call> calls = new ArrayDeque<>();
-    private final Figures figures;
+    private final LinkMetrics figures;
     private boolean ending;
 
     /** An empty queue that counts calls that were lost or failed. */
-    WatcherQueue(Figures figures) {
+    WatcherQueue(LinkMetrics figures) {
         this.figures = figures;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Wire.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WireFormat.java
@@ -7,8 +7,8 @@
 import java.util.zip.CRC32C;
 
 /** Small parts of the wire that several readers share. */
-final class Wire {
-    private Wire() {}
+final class WireFormat {
+    private WireFormat() {}
 
     /** A reader's body: faults of the bytes come as {@link WireException} only. */
     @FunctionalInterface
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Differences.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -20,7 +20,7 @@
  * <li>two contents of one write are two writers: both are put aside; of sums, the greater count stays.
  * </ol>
  */
-public final class Differences {
+public final class AntiEntropy {
     /** Comparisons with the owner that still find a difference after the rule, until the copy is given up. */
     static final int STRIKES = 3;
 
@@ -55,14 +55,14 @@
             double atMs,
             String owner,
             long life,
-            Space space,
+            RecordSpace space,
             String key,
             String peer,
             String mine,
             String theirs,
             Verdict verdict) {}
 
-    private final Store store;
+    private final RecordStore store;
     private final ArrayDeque<Difference> found = new ArrayDeque<>();
     private final Map<CatchUp.Of, Integer> strikes = new HashMap<>();
     private final Set<CatchUp.Of> open = new TreeSet<>();
@@ -72,12 +72,12 @@
     private long total;
 
     /** Of this copy. */
-    public Differences(Store store) {
+    public AntiEntropy(RecordStore store) {
         this.store = store;
     }
 
     /** The next lives to compare with this peer; all come in turn, the peer's own one is always among them. */
-    public Message.Digests next(String peer) {
+    public ReplicationMessage.Digests next(String peer) {
         Set<CatchUp.Of> of = new LinkedHashSet<>();
         of.add(new CatchUp.Of(peer, store.newest(peer)));
         of.add(new CatchUp.Of(store.me(), store.life()));
@@ -91,26 +91,26 @@
             of.add(all.get((from + i) % all.size()));
         }
         next = all.isEmpty() ? next : all.get((from + Math.min(all.size(), MOST_LIVES - 2)) % all.size());
-        List<Message.Digest> digests = new ArrayList<>();
+        List<ReplicationMessage.Digest> digests = new ArrayList<>();
         for (CatchUp.Of o : of) {
             long[] d = store.digests(o.owner(), o.life());
             if (d != null) {
-                digests.add(new Message.Digest(
-                        o.owner(), o.life(), store.have(o.owner(), o.life()).orElse(0), Part.digest(d)));
+                digests.add(new ReplicationMessage.Digest(
+                        o.owner(), o.life(), store.have(o.owner(), o.life()).orElse(0), OwnerLog.digest(d)));
             }
         }
-        return new Message.Digests(digests);
+        return new ReplicationMessage.Digests(digests);
     }
 
     /** Takes a peer's digests; answers with ranges where they differ. */
-    public List<Message> took(String peer, Message.Digests m) {
-        List<Message> answers = new ArrayList<>();
-        for (Message.Digest d : m.digests()) {
+    public List<ReplicationMessage> took(String peer, ReplicationMessage.Digests m) {
+        List<ReplicationMessage> answers = new ArrayList<>();
+        for (ReplicationMessage.Digest d : m.digests()) {
             long[] mine = same(d.owner(), d.life(), d.have());
             if (mine == null) {
                 continue;
             }
-            if (Part.digest(mine) == d.digest()) {
+            if (OwnerLog.digest(mine) == d.digest()) {
                 agreed(peer, d.owner(), d.life());
             } else {
                 answers.add(ranges(d.owner(), d.life(), d.have(), mine));
@@ -119,12 +119,12 @@
         return answers;
     }
 
-    private static Message.Ranges ranges(String owner, long life, long have, long[] digests) {
+    private static ReplicationMessage.Ranges ranges(String owner, long life, long have, long[] digests) {
         List<Long> list = new ArrayList<>();
         for (long d : digests) {
             list.add(d);
         }
-        return new Message.Ranges(owner, life, have, list);
+        return new ReplicationMessage.Ranges(owner, life, have, list);
     }
 
     /** Only copies that are equally far are compared. */
@@ -142,8 +142,8 @@
     }
 
     /** Takes a peer's digests by range; answers with the records of ranges that differ. */
-    public List<Message> took(String peer, Message.Ranges m) {
-        List<Message> answers = new ArrayList<>();
+    public List<ReplicationMessage> took(String peer, ReplicationMessage.Ranges m) {
+        List<ReplicationMessage> answers = new ArrayList<>();
         long[] mine = same(m.owner(), m.life(), m.have());
         if (mine == null) {
             return answers;
@@ -178,41 +178,41 @@
         }
     }
 
-    private List<Message> copies(String owner, long life, long have, int range, boolean ask) {
-        List<Message> pieces = new ArrayList<>();
-        List<Entry> piece = new ArrayList<>();
+    private List<ReplicationMessage> copies(String owner, long life, long have, int range, boolean ask) {
+        List<ReplicationMessage> pieces = new ArrayList<>();
+        List<ReplicatedRecord> piece = new ArrayList<>();
         int bytes = 0;
-        for (Entry e : store.range(owner, life, range)) {
-            if (!piece.isEmpty() && (bytes + e.bytes() > PIECE_BYTES || piece.size() == Message.MOST)) {
-                pieces.add(new Message.Copies(owner, life, have, range, pieces.size(), false, ask, piece));
+        for (ReplicatedRecord e : store.range(owner, life, range)) {
+            if (!piece.isEmpty() && (bytes + e.bytes() > PIECE_BYTES || piece.size() == ReplicationMessage.MOST)) {
+                pieces.add(new ReplicationMessage.Copies(owner, life, have, range, pieces.size(), false, ask, piece));
                 piece = new ArrayList<>();
                 bytes = 0;
             }
             piece.add(e);
             bytes += e.bytes();
         }
-        pieces.add(new Message.Copies(owner, life, have, range, pieces.size(), true, ask, piece));
+        pieces.add(new ReplicationMessage.Copies(owner, life, have, range, pieces.size(), true, ask, piece));
         return pieces;
     }
 
     /** Takes a peer's records of a range, and applies the rule; answers with those here if asked to. */
-    public List<Message> took(String peer, Message.Copies m, double nowMs) {
+    public List<ReplicationMessage> took(String peer, ReplicationMessage.Copies m, double nowMs) {
         if (store.have(m.owner(), m.life()).orElse(0) != m.have() || store.digests(m.owner(), m.life()) == null) {
             return List.of();
         }
-        List<Message> answer =
+        List<ReplicationMessage> answer =
                 m.ask() && m.last() ? copies(m.owner(), m.life(), m.have(), m.range(), false) : List.of();
-        Map<Item, Entry> theirs = new TreeMap<>();
+        Map<RecordKey, ReplicatedRecord> theirs = new TreeMap<>();
         m.entries().forEach(e -> theirs.put(e.item(), e));
-        Set<Item> items = new TreeSet<>(theirs.keySet());
-        Item first =
+        Set<RecordKey> items = new TreeSet<>(theirs.keySet());
+        RecordKey first =
                 m.part() == 0 || theirs.isEmpty() ? null : m.entries().get(0).item();
-        Item last = m.last()
+        RecordKey last = m.last()
                 ? null
                 : m.entries().isEmpty()
                         ? first
                         : m.entries().get(m.entries().size() - 1).item();
-        for (Entry e : store.range(m.owner(), m.life(), m.range())) {
+        for (ReplicatedRecord e : store.range(m.owner(), m.life(), m.range())) {
             if ((first == null || e.item().compareTo(first) >= 0)
                     && (last == null || e.item().compareTo(last) <= 0)) {
                 items.add(e.item());
@@ -221,8 +221,8 @@
         if (!peer.equals(m.owner()) || !m.ask()) {
             open.add(new CatchUp.Of(m.owner(), m.life()));
         }
-        for (Item i : items) {
-            Entry t = theirs.get(i);
+        for (RecordKey i : items) {
+            ReplicatedRecord t = theirs.get(i);
             if (t == null
                     || t.item().range() == m.range()
                             && t.version().life() == m.life()
@@ -236,8 +236,8 @@
         return answer;
     }
 
-    private void rule(String peer, String owner, long life, Item item, Entry theirs, double nowMs) {
-        Entry mine = store.entry(owner, life, item);
+    private void rule(String peer, String owner, long life, RecordKey item, ReplicatedRecord theirs, double nowMs) {
+        ReplicatedRecord mine = store.entry(owner, life, item);
         boolean goneHere = mine == null || mine.gone();
         boolean goneThere = theirs == null || theirs.gone();
         if (goneHere && goneThere
@@ -281,7 +281,7 @@
         }
     }
 
-    private static String text(String owner, Entry e) {
+    private static String text(String owner, ReplicatedRecord e) {
         return e == null ? "nothing" : e.intact(owner) ? e.toString() : e + " (not what was written)";
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -38,12 +38,12 @@
 
     private static final double UNNAMED_MS = 5000;
 
-    private final Terms terms;
+    private final ReplicationLimits terms;
     private final Map<Of, Lack> lacks = new TreeMap<>();
     private boolean wasLevel;
 
     /** Nothing was named yet. */
-    public CatchUp(Terms terms) {
+    public CatchUp(ReplicationLimits terms) {
         this.terms = terms;
     }
 
@@ -54,7 +54,7 @@
         }
         Lack l = lacks.get(of);
         if (l == null) {
-            if (lacks.size() >= 2 * Store.MOST_OWNERS) {
+            if (lacks.size() >= 2 * RecordStore.MOST_OWNERS) {
                 return;
             }
             l = new Lack();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Part.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
@@ -14,7 +14,7 @@
  * what is missing after any write is its tail. Removals stand in it for a bounded time; below {@link #floor} they are
  * forgotten, and who needs that far back gets a snapshot.
  */
-final class Part {
+final class OwnerLog {
     /** Removals that are remembered, at the most. */
     static final int MOST_REMOVALS = 1024;
 
@@ -31,17 +31,17 @@
     /** The snapshot is taken up to this write. */
     long cursor;
 
-    private final TreeMap<Long, Entry> bySequence = new TreeMap<>();
-    private final Map<Item, Entry> byItem = new HashMap<>();
+    private final TreeMap<Long, ReplicatedRecord> bySequence = new TreeMap<>();
+    private final Map<RecordKey, ReplicatedRecord> byItem = new HashMap<>();
     private final ArrayDeque<Removal> removals = new ArrayDeque<>();
 
-    Part(String owner, long life) {
+    OwnerLog(String owner, long life) {
         this.owner = owner;
         this.life = life;
     }
 
-    Part copy() {
-        Part p = new Part(owner, life);
+    OwnerLog copy() {
+        OwnerLog p = new OwnerLog(owner, life);
         p.have = have;
         p.floor = floor;
         p.base = base;
@@ -52,16 +52,16 @@
         return p;
     }
 
-    Entry get(Item item) {
+    ReplicatedRecord get(RecordKey item) {
         return byItem.get(item);
     }
 
-    Entry at(long sequence) {
+    ReplicatedRecord at(long sequence) {
         return bySequence.get(sequence);
     }
 
     /** All, in the order of writes. */
-    List<Entry> all() {
+    List<ReplicatedRecord> all() {
         return List.copyOf(bySequence.values());
     }
 
@@ -70,8 +70,8 @@
     }
 
     /** Takes a write if it is later than what is here of its key. */
-    boolean apply(Entry e, double nowMs) {
-        Entry now = byItem.get(e.item());
+    boolean apply(ReplicatedRecord e, double nowMs) {
+        ReplicatedRecord now = byItem.get(e.item());
         if (now != null && now.version().sequence() >= e.version().sequence()) {
             return false;
         }
@@ -80,12 +80,12 @@
     }
 
     /** Puts this one in the place of whatever is here of its key. */
-    void replace(Entry e, double nowMs) {
-        Entry before = byItem.put(e.item(), e);
+    void replace(ReplicatedRecord e, double nowMs) {
+        ReplicatedRecord before = byItem.put(e.item(), e);
         if (before != null) {
             bySequence.remove(before.version().sequence());
         }
-        Entry other = bySequence.put(e.version().sequence(), e);
+        ReplicatedRecord other = bySequence.put(e.version().sequence(), e);
         if (other != null && !other.item().equals(e.item())) {
             byItem.remove(other.item());
         }
@@ -94,21 +94,23 @@
         }
     }
 
-    void drop(Item item) {
-        Entry e = byItem.remove(item);
+    void drop(RecordKey item) {
+        ReplicatedRecord e = byItem.remove(item);
         if (e != null) {
             bySequence.remove(e.version().sequence());
         }
     }
 
     /** Drops what lies between these writes and is none of those kept. */
-    List<Item> dropBetween(long from, long to, List<Entry> kept) {
+    List<RecordKey> dropBetween(long from, long to, List<ReplicatedRecord> kept) {
         Set<Long> keep = new HashSet<>();
         kept.forEach(e -> keep.add(e.version().sequence()));
-        List<Item> dropped = new ArrayList<>();
-        for (Entry e : List.copyOf(bySequence.subMap(from, false, to, true).values())) {
+        List<RecordKey> dropped = new ArrayList<>();
+        for (ReplicatedRecord e :
+                List.copyOf(bySequence.subMap(from, false, to, true).values())) {
             // Guards a count that only this copy has: its later value may never come.
-            if (e.space().kind() == Space.Kind.OWN && !keep.contains(e.version().sequence())) {
+            if (e.space().kind() == RecordSpace.Kind.OWN
+                    && !keep.contains(e.version().sequence())) {
                 drop(e.item());
                 dropped.add(e.item());
             }
@@ -117,10 +119,10 @@
     }
 
     /** Its life has ended: only parts of sums are kept. */
-    List<Item> end() {
-        List<Item> dropped = new ArrayList<>();
-        for (Entry e : List.copyOf(bySequence.values())) {
-            if (e.space().kind() == Space.Kind.OWN) {
+    List<RecordKey> end() {
+        List<RecordKey> dropped = new ArrayList<>();
+        for (ReplicatedRecord e : List.copyOf(bySequence.values())) {
+            if (e.space().kind() == RecordSpace.Kind.OWN) {
                 drop(e.item());
                 dropped.add(e.item());
             }
@@ -137,13 +139,13 @@
      * Forgets removals that are older than this, and the oldest above the bound. Whoever still lacks one of them is
      * below the floor from then on and gets a snapshot, and what that does not name is gone.
      */
-    List<Item> forget(double nowMs, double afterMs) {
-        List<Item> forgotten = new ArrayList<>();
+    List<RecordKey> forget(double nowMs, double afterMs) {
+        List<RecordKey> forgotten = new ArrayList<>();
         while (!removals.isEmpty()
                 && (removals.size() > MOST_REMOVALS || removals.peek().atMs() <= nowMs - afterMs)
                 && removals.peek().sequence() <= have) {
             Removal r = removals.poll();
-            Entry e = bySequence.get(r.sequence());
+            ReplicatedRecord e = bySequence.get(r.sequence());
             if (e != null && e.gone()) {
                 drop(e.item());
                 forgotten.add(e.item());
@@ -154,25 +156,26 @@
     }
 
     /** What was written last after a write, up to so many bytes; {@code end} is how far it may go. */
-    Message.Chunk piece(long from, long end, long snapshot, long newest, int mostBytes) {
-        List<Entry> entries = new ArrayList<>();
+    ReplicationMessage.Chunk piece(long from, long end, long snapshot, long newest, int mostBytes) {
+        List<ReplicatedRecord> entries = new ArrayList<>();
         int bytes = 0;
         long to = end;
-        for (Entry e : bySequence.subMap(from, false, Math.max(from, end), true).values()) {
-            if (!entries.isEmpty() && (bytes + e.bytes() > mostBytes || entries.size() == Message.MOST)) {
+        for (ReplicatedRecord e :
+                bySequence.subMap(from, false, Math.max(from, end), true).values()) {
+            if (!entries.isEmpty() && (bytes + e.bytes() > mostBytes || entries.size() == ReplicationMessage.MOST)) {
                 to = entries.get(entries.size() - 1).version().sequence();
                 break;
             }
             entries.add(e);
             bytes += e.bytes();
         }
-        return new Message.Chunk(owner, life, newest, from, Math.max(from, to), snapshot, floor, entries);
+        return new ReplicationMessage.Chunk(owner, life, newest, from, Math.max(from, to), snapshot, floor, entries);
     }
 
     /** A digest for each range of keys, over what the copy holds by now: nothing is remembered from when it came. */
     long[] digests() {
-        long[] d = new long[Item.RANGES];
-        for (Entry e : bySequence.values()) {
+        long[] d = new long[RecordKey.RANGES];
+        for (ReplicatedRecord e : bySequence.values()) {
             if (!e.gone()) {
                 d[e.item().range()] += mix(e.actual(owner));
             }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Item.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
@@ -6,7 +6,7 @@
  * @param space the space
  * @param key the key in it
  */
-public record Item(Space space, String key) implements Comparable<Item> {
+public record RecordKey(RecordSpace space, String key) implements Comparable<RecordKey> {
     /** Ranges of keys by which copies are compared. */
     static final int RANGES = 16;
 
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public int compareTo(Item o) {
+    public int compareTo(RecordKey o) {
         return space != o.space ? space.compareTo(o.space) : key.compareTo(o.key);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Space.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -6,7 +6,7 @@
  * <p>The file {@code docs/design/replication.md} has for each: owner, kind, how old it may be before it is not acted
  * on, and what a node does without it.
  */
-public enum Space {
+public enum RecordSpace {
     /** What a node sees of each server: key is the host. */
     SERVERS(Kind.OWN, 10_000),
     /** What a node's tenants want and use of each pool: key is {@code pool/tenant}. */
@@ -31,7 +31,7 @@
     private final Kind kind;
     private final double freshMs;
 
-    Space(Kind kind, double freshMs) {
+    RecordSpace(Kind kind, double freshMs) {
         this.kind = kind;
         this.freshMs = freshMs;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Store.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
@@ -19,7 +19,7 @@
  * are a grow-only counter for each owner and life (Shapiro, Preguica, Baquero, Zawirski: Conflict-free replicated data
  * types, 2011) that outlives both.
  */
-public final class Store {
+public final class RecordStore {
     /** Owners that are held, at the most. */
     public static final int MOST_OWNERS = 4096;
     /** Records of one life of an owner, at the most. */
@@ -46,7 +46,7 @@
      * @param life of which life
      * @param item which one; null: how far the copy is, the life itself
      */
-    record Touched(String owner, long life, Item item) {}
+    record Touched(String owner, long life, RecordKey item) {}
 
     private static final class Owner {
         long life;
@@ -56,7 +56,7 @@
         double heardAtMs = Double.NEGATIVE_INFINITY;
         double heldAtMs = Double.NEGATIVE_INFINITY;
         String aside;
-        final TreeMap<Long, Part> parts = new TreeMap<>();
+        final TreeMap<Long, OwnerLog> parts = new TreeMap<>();
 
         Owner copy() {
             Owner o = new Owner();
@@ -98,7 +98,7 @@
      * @param nonce drawn at random by this process
      * @param tracks whether it remembers what has changed, for {@link #touched}
      */
-    public Store(String me, long life, long nonce, boolean tracks) {
+    public RecordStore(String me, long life, long nonce, boolean tracks) {
         this.me = me;
         this.life = life;
         this.nonce = nonce;
@@ -108,10 +108,10 @@
         o.nonce = nonce;
         owners.put(me, o);
         byName.put(me, o);
-        o.parts.put(life, new Part(me, life));
+        o.parts.put(life, new OwnerLog(me, life));
     }
 
-    private Store(Store s) {
+    private RecordStore(RecordStore s) {
         me = s.me;
         nonce = s.nonce;
         life = s.life;
@@ -125,8 +125,8 @@
     }
 
     /** A copy that goes its own way. */
-    public Store copy() {
-        return new Store(this);
+    public RecordStore copy() {
+        return new RecordStore(this);
     }
 
     /** This member. */
@@ -169,38 +169,38 @@
         return t;
     }
 
-    private void touch(String owner, long of, Item item) {
+    private void touch(String owner, long of, RecordKey item) {
         if (tracks) {
             touched.add(new Touched(owner, of, item));
         }
     }
 
-    private Part mine() {
+    private OwnerLog mine() {
         return byName.get(me).parts.get(life);
     }
 
     // ---- writing ----
 
     /** Writes a record of this member's own; false if this life was put aside or the bound is met. */
-    public boolean put(Space space, String key, byte[] value, double nowMs) {
-        require(space, Space.Kind.OWN);
+    public boolean put(RecordSpace space, String key, byte[] value, double nowMs) {
+        require(space, RecordSpace.Kind.OWN);
         return write(space, key, Objects.requireNonNull(value), 0, 0, nowMs);
     }
 
     /** Removes a record of this member's own, if there is one. */
-    public boolean remove(Space space, String key, double nowMs) {
-        require(space, Space.Kind.OWN);
-        Entry e = mine().get(new Item(space, key));
+    public boolean remove(RecordSpace space, String key, double nowMs) {
+        require(space, RecordSpace.Kind.OWN);
+        ReplicatedRecord e = mine().get(new RecordKey(space, key));
         return e != null && !e.gone() && write(space, key, null, 0, 0, nowMs);
     }
 
     /** Adds to this life's part of a sum. */
-    public boolean add(Space space, String key, long by, double nowMs) {
-        require(space, Space.Kind.COUNTED);
+    public boolean add(RecordSpace space, String key, long by, double nowMs) {
+        require(space, RecordSpace.Kind.COUNTED);
         if (by < 0) {
             throw new IllegalArgumentException("a part of a sum only grows: " + by);
         }
-        Entry e = mine().get(new Item(space, key));
+        ReplicatedRecord e = mine().get(new RecordKey(space, key));
         long count = e == null ? 0 : e.count();
         return write(
                 space,
@@ -211,18 +211,22 @@
                 nowMs);
     }
 
-    private boolean write(Space space, String key, byte[] value, long count, long below, double nowMs) {
-        Part p = mine();
-        if (byName.get(me).aside != null || p.size() >= MOST_RECORDS && p.get(new Item(space, key)) == null) {
+    private boolean write(RecordSpace space, String key, byte[] value, long count, long below, double nowMs) {
+        OwnerLog p = mine();
+        if (byName.get(me).aside != null || p.size() >= MOST_RECORDS && p.get(new RecordKey(space, key)) == null) {
             return false;
         }
-        apply(byName.get(me), p, Entry.of(me, space, key, new Version(life, p.have + 1), value, count, below), nowMs);
+        apply(
+                byName.get(me),
+                p,
+                ReplicatedRecord.of(me, space, key, new RecordVersion(life, p.have + 1), value, count, below),
+                nowMs);
         p.have++;
         touch(me, life, null);
         return true;
     }
 
-    private static void require(Space space, Space.Kind kind) {
+    private static void require(RecordSpace space, RecordSpace.Kind kind) {
         if (space.kind() != kind) {
             throw new IllegalArgumentException(space + " is not of kind " + kind);
         }
@@ -240,16 +244,18 @@
         if (below > life) {
             throw new IllegalArgumentException("only ended lives are folded");
         }
-        TreeSet<Item> items = new TreeSet<>();
+        TreeSet<RecordKey> items = new TreeSet<>();
         Owner o = byName.get(me);
-        for (Part p : o.parts.headMap(below).values()) {
-            p.all().stream().filter(e -> e.space().kind() == Space.Kind.COUNTED).forEach(e -> items.add(e.item()));
+        for (OwnerLog p : o.parts.headMap(below).values()) {
+            p.all().stream()
+                    .filter(e -> e.space().kind() == RecordSpace.Kind.COUNTED)
+                    .forEach(e -> items.add(e.item()));
         }
         int folded = 0;
-        for (Item i : items) {
-            Entry e = mine().get(i);
+        for (RecordKey i : items) {
+            ReplicatedRecord e = mine().get(i);
             long count = e == null ? 0 : e.count();
-            for (Part p : o.parts.headMap(below).values()) {
+            for (OwnerLog p : o.parts.headMap(below).values()) {
                 count += p.get(i) == null ? 0 : p.get(i).count();
             }
             folded += write(i.space(), i.key(), null, count, below, nowMs) ? 1 : 0;
@@ -271,7 +277,7 @@
     /** Forgets removals older than this. */
     public void forget(double nowMs, double afterMs) {
         for (Owner o : owners.values()) {
-            Part p = o.parts.get(o.life);
+            OwnerLog p = o.parts.get(o.life);
             if (p != null) {
                 p.forget(nowMs, afterMs).forEach(i -> touch(p.owner, p.life, i));
             }
@@ -297,16 +303,16 @@
     }
 
     /** The marks of these owners. */
-    public List<Message.Mark> marks(Iterable<String> of, double nowMs) {
-        List<Message.Mark> marks = new ArrayList<>();
+    public List<ReplicationMessage.Mark> marks(Iterable<String> of, double nowMs) {
+        List<ReplicationMessage.Mark> marks = new ArrayList<>();
         for (String n : of) {
             Owner o = byName.get(n);
             if (o != null) {
-                Part p = o.parts.get(o.life);
+                OwnerLog p = o.parts.get(o.life);
                 long have = p == null ? 0 : p.have;
                 boolean self = n.equals(me) && o.life == life;
                 double age = self ? 0 : Math.min(1e15, Math.max(0, nowMs - o.heardAtMs));
-                marks.add(new Message.Mark(
+                marks.add(new ReplicationMessage.Mark(
                         n,
                         o.life,
                         o.nonce,
@@ -321,11 +327,11 @@
     }
 
     /** Ended lives of which parts of sums are kept. */
-    public List<Message.Have> ended() {
-        List<Message.Have> ended = new ArrayList<>();
+    public List<ReplicationMessage.Have> ended() {
+        List<ReplicationMessage.Have> ended = new ArrayList<>();
         owners.forEach((n, o) -> o.parts.headMap(o.life).forEach((l, p) -> {
             if (p.size() > 0) {
-                ended.add(new Message.Have(n, l, p.have));
+                ended.add(new ReplicationMessage.Have(n, l, p.have));
             }
         }));
         return ended;
@@ -336,7 +342,7 @@
      *
      * @return whether it was news
      */
-    public boolean took(Message.Mark m, double nowMs) {
+    public boolean took(ReplicationMessage.Mark m, double nowMs) {
         if (m.owner().equals(me)) {
             return tookOfMine(m, nowMs);
         }
@@ -368,7 +374,7 @@
     }
 
     /** Hears what others know of this member itself. */
-    private boolean tookOfMine(Message.Mark m, double nowMs) {
+    private boolean tookOfMine(ReplicationMessage.Mark m, double nowMs) {
         Owner o = byName.get(me);
         if (m.life() == life && (m.nonce() == nonce || m.nonce() == 0)) {
             hasBeenHeard = true;
@@ -402,13 +408,13 @@
      */
     private void relive(long next, double nowMs) {
         Owner o = byName.get(me);
-        Part before = o.parts.remove(life);
-        List<Entry> written = before.all();
+        OwnerLog before = o.parts.remove(life);
+        List<ReplicatedRecord> written = before.all();
         life = next;
         hasBeenHeard = false;
         o.life = next;
         o.aside = null;
-        o.parts.put(next, new Part(me, next));
+        o.parts.put(next, new OwnerLog(me, next));
         before.all().forEach(e -> touch(me, before.life, e.item()));
         if (told) {
             before.end();
@@ -416,8 +422,8 @@
             tidy(me, o, before);
         }
         touch(me, before.life, null);
-        for (Entry e : written) {
-            boolean own = e.space().kind() == Space.Kind.OWN;
+        for (ReplicatedRecord e : written) {
+            boolean own = e.space().kind() == RecordSpace.Kind.OWN;
             if (!e.gone() && (own || !told)) {
                 write(e.space(), e.key(), e.value(), e.count(), e.below(), nowMs);
             }
@@ -451,7 +457,7 @@
         o.said = 0;
         o.heldAtMs = Double.NEGATIVE_INFINITY;
         o.aside = null;
-        for (Part p : List.copyOf(o.parts.headMap(newest).values())) {
+        for (OwnerLog p : List.copyOf(o.parts.headMap(newest).values())) {
             p.end().forEach(i -> touch(name, p.life, i));
             tidy(name, o, p);
         }
@@ -459,13 +465,13 @@
         return true;
     }
 
-    private void tidy(String name, Owner o, Part p) {
+    private void tidy(String name, Owner o, OwnerLog p) {
         if (p.life < o.life && p.size() == 0) {
             o.parts.remove(p.life);
             touch(name, p.life, null);
         }
         while (o.parts.size() > MOST_LIVES + 1) {
-            Part first = o.parts.pollFirstEntry().getValue();
+            OwnerLog first = o.parts.pollFirstEntry().getValue();
             alarm(name + " has more than " + MOST_LIVES + " lives whose sums are not folded: life " + first.life
                     + " is dropped with " + first.all());
             first.all().forEach(e -> touch(name, first.life, e.item()));
@@ -480,7 +486,7 @@
         }
         o.aside = why;
         alarm(why + ": its records are put aside until a later life");
-        Part p = o.parts.get(o.life);
+        OwnerLog p = o.parts.get(o.life);
         if (p != null) {
             p.all().forEach(e -> touch(name, o.life, e.item()));
         }
@@ -494,7 +500,7 @@
     }
 
     private static void held(Owner o) {
-        Part p = o.parts.get(o.life);
+        OwnerLog p = o.parts.get(o.life);
         if ((p == null ? 0 : p.have) >= o.said) {
             o.heldAtMs = Math.max(o.heldAtMs, o.heardAtMs);
         }
@@ -505,7 +511,7 @@
     /** How far the copy of this life is; empty if the life has ended and nothing of it is kept. */
     public OptionalLong have(String owner, long of) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p != null
                 ? OptionalLong.of(p.have)
                 : o != null && of < o.life ? OptionalLong.empty() : OptionalLong.of(0);
@@ -518,10 +524,12 @@
     }
 
     /** What to ask for to get on with this life. */
-    public Message.Want want(String owner, long of) {
+    public ReplicationMessage.Want want(String owner, long of) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
-        return p == null ? new Message.Want(owner, of, 0, 0, 0) : new Message.Want(owner, of, p.have, p.cursor, p.base);
+        OwnerLog p = o == null ? null : o.parts.get(of);
+        return p == null
+                ? new ReplicationMessage.Want(owner, of, 0, 0, 0)
+                : new ReplicationMessage.Want(owner, of, p.have, p.cursor, p.base);
     }
 
     /**
@@ -531,9 +539,9 @@
      * @param mostBytes about how many bytes
      * @return null if there is nothing here that the other lacks
      */
-    public Message.Chunk since(Message.Want w, int mostBytes) {
+    public ReplicationMessage.Chunk since(ReplicationMessage.Want w, int mostBytes) {
         Owner o = byName.get(w.owner());
-        Part p = o == null ? null : o.parts.get(w.life());
+        OwnerLog p = o == null ? null : o.parts.get(w.life());
         if (p == null || p.have <= w.have()) {
             return null;
         }
@@ -548,19 +556,19 @@
     }
 
     /** What was written after one write, without a look at what a certain peer has. */
-    public Message.Chunk after(String owner, long of, long from, int mostBytes) {
+    public ReplicationMessage.Chunk after(String owner, long of, long from, int mostBytes) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p == null || from >= p.have || from < p.floor ? null : p.piece(from, p.have, 0, o.life, mostBytes);
     }
 
     /** Takes a piece of a log or of a snapshot. */
-    public Took took(Message.Chunk c, double nowMs) {
+    public Took took(ReplicationMessage.Chunk c, double nowMs) {
         Owner o = owner(c.owner());
         if (o == null) {
             return Took.REFUSED;
         }
-        for (Entry e : c.entries()) {
+        for (ReplicatedRecord e : c.entries()) {
             if (!e.intact(c.owner())) {
                 alarm("a peer sent a record of " + c.owner() + " that is not what it wrote: " + e);
                 return Took.REFUSED;
@@ -576,7 +584,7 @@
         if (!c.owner().equals(me)) {
             later(c.owner(), o, c.newest());
         }
-        Part p = o.parts.computeIfAbsent(c.life(), l -> new Part(c.owner(), l));
+        OwnerLog p = o.parts.computeIfAbsent(c.life(), l -> new OwnerLog(c.owner(), l));
         clashes(o, p, c.entries());
         Took t = p.size() + c.entries().size() > MOST_RECORDS ? Took.REFUSED : place(o, p, c, nowMs);
         held(o);
@@ -585,7 +593,7 @@
         return t;
     }
 
-    private Took place(Owner o, Part p, Message.Chunk c, double nowMs) {
+    private Took place(Owner o, OwnerLog p, ReplicationMessage.Chunk c, double nowMs) {
         boolean ended = p.life < o.life;
         if (c.base() == 0 || ended) {
             if (c.from() > p.have) {
@@ -594,7 +602,7 @@
             if (c.to() <= p.have) {
                 return Took.KNOWN;
             }
-            for (Entry e : c.entries()) {
+            for (ReplicatedRecord e : c.entries()) {
                 if (e.version().sequence() > p.have) {
                     apply(o, p, e, nowMs);
                 }
@@ -621,7 +629,7 @@
             return Took.KNOWN;
         }
         p.dropBetween(p.cursor, c.to(), c.entries()).forEach(i -> touch(p.owner, p.life, i));
-        for (Entry e : c.entries()) {
+        for (ReplicatedRecord e : c.entries()) {
             if (e.version().sequence() > p.cursor) {
                 apply(o, p, e, nowMs);
             }
@@ -637,22 +645,22 @@
     }
 
     /** One write of one life: parts of sums that are within it go, and it stays out if it is within a later one. */
-    private void apply(Owner o, Part p, Entry e, double nowMs) {
-        if (e.space().kind() == Space.Kind.OWN) {
+    private void apply(Owner o, OwnerLog p, ReplicatedRecord e, double nowMs) {
+        if (e.space().kind() == RecordSpace.Kind.OWN) {
             if (p.life == o.life && p.apply(e, nowMs)) {
                 touch(p.owner, p.life, e.item());
             }
             return;
         }
-        for (Part later : o.parts.tailMap(p.life, false).values()) {
-            Entry l = later.get(e.item());
+        for (OwnerLog later : o.parts.tailMap(p.life, false).values()) {
+            ReplicatedRecord l = later.get(e.item());
             if (l != null && l.below() > p.life) {
                 return;
             }
         }
         if (p.apply(e, nowMs)) {
             touch(p.owner, p.life, e.item());
-            for (Part earlier :
+            for (OwnerLog earlier :
                     List.copyOf(o.parts.headMap(Math.min(e.below(), p.life)).values())) {
                 earlier.drop(e.item());
                 touch(p.owner, earlier.life, e.item());
@@ -661,16 +669,16 @@
         }
     }
 
-    private void clashes(Owner o, Part p, List<Entry> entries) {
-        for (Entry e : entries) {
-            Entry mine = p.at(e.version().sequence());
+    private void clashes(Owner o, OwnerLog p, List<ReplicatedRecord> entries) {
+        for (ReplicatedRecord e : entries) {
+            ReplicatedRecord mine = p.at(e.version().sequence());
             if (mine != null && mine.sum() != e.sum() && mine.intact(p.owner)) {
                 clash(o, p, mine, e);
             }
         }
     }
 
-    private void clash(Owner o, Part p, Entry mine, Entry theirs) {
+    private void clash(Owner o, OwnerLog p, ReplicatedRecord mine, ReplicatedRecord theirs) {
         String both = "one write of " + p.owner + " with two contents: here " + mine + ", there " + theirs;
         if (p.life == o.life) {
             aside(p.owner, o, both);
@@ -686,7 +694,7 @@
     /** Digests of this copy by range; null if it has none of this life, or a snapshot is under way. */
     public long[] digests(String owner, long of) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p == null || p.base != 0 || p.have == 0 ? null : p.digests();
     }
 
@@ -697,9 +705,9 @@
     }
 
     /** Records of one life in a range of keys, in the order of keys, removals that are not forgotten among them. */
-    public List<Entry> range(String owner, long of, int range) {
+    public List<ReplicatedRecord> range(String owner, long of, int range) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p == null
                 ? List.of()
                 : p.all().stream()
@@ -709,23 +717,23 @@
     }
 
     /** All records of one life, removals that are not forgotten among them, in the order of writes. */
-    public List<Entry> all(String owner, long of) {
+    public List<ReplicatedRecord> all(String owner, long of) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p == null ? List.of() : p.all();
     }
 
     /** The last write of this key by this life, a removal too; null if there is none. */
-    public Entry entry(String owner, long of, Item item) {
+    public ReplicatedRecord entry(String owner, long of, RecordKey item) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p == null ? null : p.get(item);
     }
 
     /** Puts a record in the place of a copy that the rule found to be the wrong one; null drops it. */
-    public void mend(String owner, long of, Item item, Entry by, double nowMs) {
+    public void mend(String owner, long of, RecordKey item, ReplicatedRecord by, double nowMs) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         if (p != null && (by == null || by.intact(owner))) {
             if (by == null) {
                 p.drop(item);
@@ -737,9 +745,9 @@
     }
 
     /** Two contents of one write were found side by side. */
-    void clash(String owner, long of, Entry mine, Entry theirs) {
+    void clash(String owner, long of, ReplicatedRecord mine, ReplicatedRecord theirs) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         if (p != null) {
             clash(o, p, mine, theirs);
         }
@@ -748,7 +756,7 @@
     /** Gives a copy up, so that it is fetched whole. */
     public void again(String owner, long of) {
         Owner o = byName.get(owner);
-        Part p = o == null || owner.equals(me) && of == life ? null : o.parts.get(of);
+        OwnerLog p = o == null || owner.equals(me) && of == life ? null : o.parts.get(of);
         if (p != null) {
             p.all().forEach(e -> {
                 p.drop(e.item());
@@ -766,13 +774,13 @@
     // ---- reading ----
 
     /** The sum over all owners and lives. */
-    public long sum(Space space, String key) {
-        require(space, Space.Kind.COUNTED);
-        Item item = new Item(space, key);
+    public long sum(RecordSpace space, String key) {
+        require(space, RecordSpace.Kind.COUNTED);
+        RecordKey item = new RecordKey(space, key);
         long sum = 0;
         for (Owner o : owners.values()) {
-            for (Part p : o.parts.values()) {
-                Entry e = p.get(item);
+            for (OwnerLog p : o.parts.values()) {
+                ReplicatedRecord e = p.get(item);
                 sum = e == null ? sum : e.count() > Long.MAX_VALUE - sum ? Long.MAX_VALUE : sum + e.count();
             }
         }
@@ -780,11 +788,11 @@
     }
 
     /** All records of a space that may be looked at. */
-    public List<Replica.Seen> seen(Space space, double nowMs) {
+    public List<Replica.Seen> seen(RecordSpace space, double nowMs) {
         List<Replica.Seen> seen = new ArrayList<>();
         owners.forEach((n, o) -> {
-            for (Part p : o.parts.values()) {
-                for (Entry e : p.all()) {
+            for (OwnerLog p : o.parts.values()) {
+                for (ReplicatedRecord e : p.all()) {
                     Replica.Seen s = e.space() == space ? seen(n, o, p, e, nowMs) : null;
                     if (s != null) {
                         seen.add(s);
@@ -796,15 +804,15 @@
     }
 
     /** One record of an owner's newest life; null if there is none that may be looked at. */
-    public Replica.Seen seen(String owner, Space space, String key, double nowMs) {
+    public Replica.Seen seen(String owner, RecordSpace space, String key, double nowMs) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(o.life);
-        Entry e = p == null ? null : p.get(new Item(space, key));
+        OwnerLog p = o == null ? null : o.parts.get(o.life);
+        ReplicatedRecord e = p == null ? null : p.get(new RecordKey(space, key));
         return e == null ? null : seen(owner, o, p, e, nowMs);
     }
 
-    private Replica.Seen seen(String name, Owner o, Part p, Entry e, double nowMs) {
-        boolean own = e.space().kind() == Space.Kind.OWN;
+    private Replica.Seen seen(String name, Owner o, OwnerLog p, ReplicatedRecord e, double nowMs) {
+        boolean own = e.space().kind() == RecordSpace.Kind.OWN;
         if (e.gone() || own && (o.aside != null || p.life < o.life)) {
             return null;
         }
@@ -829,20 +837,20 @@
     public long size() {
         return owners.values().stream()
                 .flatMap(o -> o.parts.values().stream())
-                .mapToLong(Part::size)
+                .mapToLong(OwnerLog::size)
                 .sum();
     }
 
     // ---- disk ----
 
     /** Puts back what a disk had of one life. */
-    public void restore(String owner, long of, long have, long floor, List<Entry> entries) {
+    public void restore(String owner, long of, long have, long floor, List<ReplicatedRecord> entries) {
         Owner o = owner(owner);
         if (o == null || owner.equals(me) && of >= life) {
             return;
         }
         later(owner, o, of);
-        Part p = o.parts.computeIfAbsent(of, l -> new Part(owner, l));
+        OwnerLog p = o.parts.computeIfAbsent(of, l -> new OwnerLog(owner, l));
         entries.forEach(e -> apply(o, p, e, 0));
         p.have = have;
         p.floor = floor;
@@ -852,14 +860,14 @@
     /** How many records of this life are here. */
     public int size(String owner, long of) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p == null ? 0 : p.size();
     }
 
     /** How far removals of this life are forgotten. */
     public long floor(String owner, long of) {
         Owner o = byName.get(owner);
-        Part p = o == null ? null : o.parts.get(of);
+        OwnerLog p = o == null ? null : o.parts.get(of);
         return p == null ? 0 : p.floor;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Version.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
@@ -6,9 +6,9 @@
  * @param life the owner's life
  * @param sequence counts the owner's writes in this life, over all spaces, from 1
  */
-public record Version(long life, long sequence) implements Comparable<Version> {
+public record RecordVersion(long life, long sequence) implements Comparable<RecordVersion> {
     @Override
-    public int compareTo(Version o) {
+    public int compareTo(RecordVersion o) {
         return life != o.life ? Long.compare(life, o.life) : Long.compare(sequence, o.sequence);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
@@ -17,9 +17,9 @@
      * @param heardMs how long ago its owner was last known to hold it so, in milliseconds; by this member's clock, so
      *     that it is never too small by more than a message's way
      */
-    record Seen(String owner, String key, Version version, byte[] value, double heardMs) {
+    record Seen(String owner, String key, RecordVersion version, byte[] value, double heardMs) {
         /** Whether it may be acted on. */
-        public boolean fresh(Space space) {
+        public boolean fresh(RecordSpace space) {
             return heardMs <= space.freshMs();
         }
     }
@@ -38,23 +38,23 @@
     @FunctionalInterface
     interface Listener {
         /** This record is another from now on; null if it is gone. */
-        void changed(Space space, String owner, String key, Seen now);
+        void changed(RecordSpace space, String owner, String key, Seen now);
     }
 
     /** Writes a record of this member's own. */
-    void put(Space space, String key, byte[] value);
+    void put(RecordSpace space, String key, byte[] value);
 
     /** Removes a record of this member's own. */
-    void remove(Space space, String key);
+    void remove(RecordSpace space, String key);
 
     /** Adds to this member's part of a sum; never negative. */
-    void add(Space space, String key, long by);
+    void add(RecordSpace space, String key, long by);
 
     /** The sum over all members, those that have ended included. */
-    long sum(Space space, String key);
+    long sum(RecordSpace space, String key);
 
     /** All records of a space, of all owners, this one included. */
-    List<Seen> seen(Space space);
+    List<Seen> seen(RecordSpace space);
 
     /** How far it is. */
     Level level();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Disk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
@@ -30,11 +30,11 @@
  * a sync that succeeds later does not say: the next write is of everything, to a fresh file that takes the place of
  * the old one when it is synced. Until then the old file stays as it was left.
  */
-public final class Disk implements AutoCloseable {
+public final class ReplicaDisk implements AutoCloseable {
     /** The way of writing; another one is not read. */
     static final int SCHEMA = 1;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Disk.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ReplicaDisk.class);
     private static final String FILE = "replica.mv";
     /** What is written anew, until it is whole. */
     private static final String FRESH = FILE + ".new";
@@ -49,7 +49,8 @@
      * @param entries records that changed
      * @param gone records that are gone
      */
-    record Batch(String owner, long life, Long have, long floor, List<Entry> entries, List<Item> gone) {}
+    record Batch(
+            String owner, long life, Long have, long floor, List<ReplicatedRecord> entries, List<RecordKey> gone) {}
 
     private final Place file;
     private final String fleet;
@@ -81,7 +82,7 @@
         }
     }
 
-    private Disk(Place file, String fleet, String member, MVStore store, long life) {
+    private ReplicaDisk(Place file, String fleet, String member, MVStore store, long life) {
         this.file = file;
         this.fleet = fleet;
         this.member = member;
@@ -118,12 +119,13 @@
      *
      * @throws IOException in one line, if it is another fleet's or another member's, or a process has it open
      */
-    public static Disk open(Path directory, String fleet, String member, double nowMs) throws IOException {
+    public static ReplicaDisk open(Path directory, String fleet, String member, double nowMs) throws IOException {
         return open(directory, fleet, member, nowMs, "");
     }
 
     /** The same, on a file system of this scheme. */
-    static Disk open(Path directory, String fleet, String member, double nowMs, String scheme) throws IOException {
+    static ReplicaDisk open(Path directory, String fleet, String member, double nowMs, String scheme)
+            throws IOException {
         Files.createDirectories(directory);
         Place file = new Place(scheme, directory.resolve(FILE));
         MVStore store;
@@ -165,7 +167,8 @@
         return open(file);
     }
 
-    private static Disk begun(Place file, MVStore store, String fleet, String member, double nowMs) throws IOException {
+    private static ReplicaDisk begun(Place file, MVStore store, String fleet, String member, double nowMs)
+            throws IOException {
         MVMap<String, byte[]> header = map(store, "header");
         String wrong = !header.isEmpty() && !text(header, "schema").equals(Integer.toString(SCHEMA))
                 ? "is written in another way, " + text(header, "schema")
@@ -188,7 +191,7 @@
         head(header, fleet, member, life);
         store.commit();
         store.sync();
-        return new Disk(file, fleet, member, store, life);
+        return new ReplicaDisk(file, fleet, member, store, life);
     }
 
     private static void head(MVMap<String, byte[]> header, String fleet, String member, long life) {
@@ -237,7 +240,7 @@
      *
      * @throws IOException if no file can be written there
      */
-    public void restore(Store to) throws IOException {
+    public void restore(RecordStore to) throws IOException {
         List<Runnable> whole = new ArrayList<>();
         try {
             read(to, whole);
@@ -255,14 +258,14 @@
         failed = true;
     }
 
-    private void read(Store to, List<Runnable> whole) {
-        Map<String, List<Entry>> entries = new HashMap<>();
+    private void read(RecordStore to, List<Runnable> whole) {
+        Map<String, List<ReplicatedRecord>> entries = new HashMap<>();
         Map<String, Integer> bad = new HashMap<>();
         for (Map.Entry<String, byte[]> e : records.entrySet()) {
             String of = e.getKey().substring(0, second(e.getKey()));
             byte[] b = unchecked(e.getValue());
             try {
-                Entry entry = b == null ? null : Codec.readEntry(b);
+                ReplicatedRecord entry = b == null ? null : ReplicationCodec.readEntry(b);
                 if (entry == null || !entry.intact(of.substring(0, of.indexOf('\0')))) {
                     bad.merge(of, 1, Integer::sum);
                 } else {
@@ -277,7 +280,7 @@
             int cut = e.getKey().indexOf('\0');
             String owner = e.getKey().substring(0, cut);
             long of = Long.parseLong(e.getKey().substring(cut + 1));
-            List<Entry> of1 = entries.getOrDefault(e.getKey(), List.of());
+            List<ReplicatedRecord> of1 = entries.getOrDefault(e.getKey(), List.of());
             if (b == null
                     || b.length != 20
                     || bad.containsKey(e.getKey())
@@ -372,7 +375,7 @@
                 continue;
             }
             b.gone().forEach(i -> records.remove(key(of, i)));
-            b.entries().forEach(e -> records.put(key(of, e.item()), checked(Codec.write(e))));
+            b.entries().forEach(e -> records.put(key(of, e.item()), checked(ReplicationCodec.write(e))));
             heads.put(
                     of,
                     checked(ByteBuffer.allocate(20)
@@ -391,7 +394,7 @@
         store.closeImmediately();
     }
 
-    private static String key(String of, Item i) {
+    private static String key(String of, RecordKey i) {
         return of + '\0' + i.space() + '\0' + i.key();
     }
 
