--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.replica;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.peer.Links;
 import brackenbridge.fleet.peer.Member;
-import brackenbridge.fleet.peer.Standing;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.fleet.peer.MemberStatus;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's replica in a process: links, threads and a disk round {@link Exchange}. One thread gives the exchange its
- * time, one writes behind to the disk, one tells listeners; peers' threads bring messages. The lock is held for one
- * message or one turn.
+ * A member's replica in a process: links, threads and a disk around {@link ReplicationProtocol}. One thread drives the
+ * protocol's timers, one writes behind to the disk, one calls listeners; peers' threads deliver messages. The lock is
+ * held for one message or one turn.
  */
 public final class ReplicaNode implements Replica, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaNode.class);
@@ -42,7 +42,7 @@
      * @param aside why its present life was put aside; null if it was not
      */
     public record Status(
-            String member, long life, long wrote, long have, double heardMs, Standing standing, String aside) {}
+            String member, long life, long wrote, long have, double heardMs, MemberStatus standing, String aside) {}
 
     /**
      * What a member's exchange has done.
@@ -64,19 +64,19 @@
             long records,
             boolean onDisk) {}
 
-    private record Key(Space space, String owner, String key) {}
+    private record Key(RecordSpace space, String owner, String key) {}
 
-    private final Links links;
-    private final Disk disk;
+    private final PeerLinks links;
+    private final ReplicaDisk disk;
     private final Clock clock;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
     private final Condition ticks = lock.newCondition();
-    private final Store store;
-    private final Exchange exchange;
+    private final RecordStore store;
+    private final ReplicationProtocol exchange;
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
     private final LinkedHashSet<Key> toTell = new LinkedHashSet<>();
-    private final Map<CatchUp.Of, LinkedHashSet<Item>> toWrite = new TreeMap<>();
+    private final Map<CatchUp.Of, LinkedHashSet<RecordKey>> toWrite = new TreeMap<>();
     private final List<Thread> threads = new ArrayList<>();
     private long diskLife;
     private boolean onDisk;
@@ -95,13 +95,13 @@
      * @param terms how it exchanges
      * @throws IOException if the disk can be neither read nor begun anew
      */
-    public ReplicaNode(Links links, Disk disk, Clock clock, Terms terms) throws IOException {
+    public ReplicaNode(PeerLinks links, ReplicaDisk disk, Clock clock, ReplicationLimits terms) throws IOException {
         this.links = links;
         this.disk = disk;
         this.clock = clock;
         long nonce = new java.security.SecureRandom().nextLong() | 1;
-        long life = Math.max(links.life(), disk == null ? Disk.lifeWithout(clock.nowMs()) : disk.life());
-        store = new Store(links.me().name(), life, nonce, true);
+        long life = Math.max(links.life(), disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life());
+        store = new RecordStore(links.me().name(), life, nonce, true);
         diskLife = disk == null ? life : disk.life();
         onDisk = disk != null;
         if (disk != null) {
@@ -109,11 +109,12 @@
             store.touched();
             writeEverything();
         }
-        exchange = new Exchange(store, terms, new SplittableRandom(nonce), clock.nowMs());
-        links.receive(Stream.REPLICA, (peer, of, body) -> turn(() -> exchange.took(peer, of, body, clock.nowMs())));
+        exchange = new ReplicationProtocol(store, terms, new SplittableRandom(nonce), clock.nowMs());
+        links.receive(
+                MessageStream.REPLICA, (peer, of, body) -> turn(() -> exchange.took(peer, of, body, clock.nowMs())));
         links.watch((peer, standing, of) -> turn(() -> {
             peersChanged = true;
-            if (standing == Standing.ALIVE) {
+            if (standing == MemberStatus.ALIVE) {
                 exchange.linked(peer);
             }
             return List.of();
@@ -138,8 +139,8 @@
 
     // ---- turns ----
 
-    private void turn(Supplier<List<Exchange.Out>> what) {
-        List<Exchange.Out> out;
+    private void turn(Supplier<List<ReplicationProtocol.Out>> what) {
+        List<ReplicationProtocol.Out> out;
         List<String> alarms;
         lock.lock();
         try {
@@ -156,7 +157,7 @@
         }
         alarms.forEach(LOG::error);
         long lost = out.stream()
-                .filter(o -> !links.send(o.peer(), Stream.REPLICA, o.body()))
+                .filter(o -> !links.send(o.peer(), MessageStream.REPLICA, o.body()))
                 .count();
         if (lost > 0) {
             lock.lock();
@@ -171,8 +172,8 @@
     /** Takes note of what a turn has changed; with the lock held. */
     private List<String> settle() {
         boolean listens = !listeners.isEmpty();
-        for (Store.Touched t : store.touched()) {
-            LinkedHashSet<Item> items = disk == null
+        for (RecordStore.Touched t : store.touched()) {
+            LinkedHashSet<RecordKey> items = disk == null
                     ? null
                     : toWrite.computeIfAbsent(new CatchUp.Of(t.owner(), t.life()), k -> new LinkedHashSet<>());
             if (t.item() != null) {
@@ -199,7 +200,7 @@
                     exchange.peers(
                             all,
                             all.stream()
-                                    .filter(p -> links.standing(p) != Standing.GONE)
+                                    .filter(p -> links.standing(p) != MemberStatus.GONE)
                                     .toList());
                 }
                 return exchange.tick(clock.nowMs());
@@ -285,7 +286,7 @@
     private void writeEverything() {
         for (String owner : store.owners()) {
             for (long life : store.lives(owner)) {
-                LinkedHashSet<Item> items =
+                LinkedHashSet<RecordKey> items =
                         toWrite.computeIfAbsent(new CatchUp.Of(owner, life), k -> new LinkedHashSet<>());
                 store.all(owner, life).forEach(e -> items.add(e.item()));
             }
@@ -293,8 +294,8 @@
     }
 
     private boolean flush() {
-        Map<CatchUp.Of, LinkedHashSet<Item>> taken;
-        List<Disk.Batch> batches = new ArrayList<>();
+        Map<CatchUp.Of, LinkedHashSet<RecordKey>> taken;
+        List<ReplicaDisk.Batch> batches = new ArrayList<>();
         Map<CatchUp.Of, Integer> sizes = new TreeMap<>();
         long life;
         lock.lock();
@@ -308,10 +309,10 @@
             toWrite.clear();
             writing = true;
             taken.forEach((of, items) -> {
-                List<Entry> entries = new ArrayList<>();
-                List<Item> gone = new ArrayList<>();
-                for (Item i : items) {
-                    Entry e = store.entry(of.owner(), of.life(), i);
+                List<ReplicatedRecord> entries = new ArrayList<>();
+                List<RecordKey> gone = new ArrayList<>();
+                for (RecordKey i : items) {
+                    ReplicatedRecord e = store.entry(of.owner(), of.life(), i);
                     if (e == null) {
                         gone.add(i);
                     } else {
@@ -320,7 +321,7 @@
                 }
                 boolean there = store.lives(of.owner()).contains(of.life());
                 sizes.put(of, store.size(of.owner(), of.life()));
-                batches.add(new Disk.Batch(
+                batches.add(new ReplicaDisk.Batch(
                         of.owner(),
                         of.life(),
                         there ? store.have(of.owner(), of.life()).orElse(0) : null,
@@ -365,18 +366,18 @@
     // ---- for the process ----
 
     @Override
-    public void put(Space space, String key, byte[] value) {
+    public void put(RecordSpace space, String key, byte[] value) {
         byte[] mine = value.clone();
         write(() -> store.put(space, key, mine, clock.nowMs()));
     }
 
     @Override
-    public void remove(Space space, String key) {
+    public void remove(RecordSpace space, String key) {
         write(() -> store.remove(space, key, clock.nowMs()));
     }
 
     @Override
-    public void add(Space space, String key, long by) {
+    public void add(RecordSpace space, String key, long by) {
         write(() -> by > 0 ? store.add(space, key, by, clock.nowMs()) : by < 0 && refuse(by));
     }
 
@@ -407,12 +408,12 @@
     }
 
     @Override
-    public long sum(Space space, String key) {
+    public long sum(RecordSpace space, String key) {
         return locked(() -> store.sum(space, key));
     }
 
     @Override
-    public List<Seen> seen(Space space) {
+    public List<Seen> seen(RecordSpace space) {
         return locked(() -> store.seen(space, clock.nowMs()));
     }
 
@@ -432,21 +433,21 @@
     }
 
     /** This member's last write. */
-    public Version version() {
-        return locked(() ->
-                new Version(store.life(), store.have(store.me(), store.life()).orElse(0)));
+    public RecordVersion version() {
+        return locked(() -> new RecordVersion(
+                store.life(), store.have(store.me(), store.life()).orElse(0)));
     }
 
     /** The last differences that were found, with both values; what {@code state diff} shows. */
-    public List<Differences.Difference> diff() {
+    public List<AntiEntropy.Difference> diff() {
         return locked(() -> exchange.differences().found());
     }
 
     /** What is held of each member; what {@code state status} shows. */
     public List<Status> status() {
-        Map<String, Standing> standings = new TreeMap<>();
+        Map<String, MemberStatus> standings = new TreeMap<>();
         links.peers().forEach(p -> standings.put(p.name(), links.standing(p.name())));
-        standings.put(store.me(), Standing.ALIVE);
+        standings.put(store.me(), MemberStatus.ALIVE);
         return locked(() -> {
             List<Status> all = new ArrayList<>();
             LinkedHashSet<String> names = new LinkedHashSet<>(standings.keySet());
@@ -459,7 +460,7 @@
                         store.said(n),
                         store.have(n, newest).orElse(0),
                         store.heardMs(n, clock.nowMs()),
-                        standings.getOrDefault(n, Standing.UNKNOWN),
+                        standings.getOrDefault(n, MemberStatus.UNKNOWN),
                         store.aside(n)));
             }
             return all;
@@ -479,7 +480,7 @@
     }
 
     /** How many peers have said that they hold all writes of this member up to this one. */
-    public int heldBy(Version version) {
+    public int heldBy(RecordVersion version) {
         return locked(() -> version.life() == store.life() ? exchange.heldBy(version.sequence()) : 0);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Entry.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
@@ -17,14 +17,15 @@
  * @param below parts of earlier lives than this one are within {@code count}; 0 if none is
  * @param sum a checksum over all of it and the owner's name, made by the owner at the write
  */
-public record Entry(Space space, String key, Version version, byte[] value, long count, long below, long sum) {
+public record ReplicatedRecord(
+        RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below, long sum) {
     /** Characters of a key, at the most. */
     public static final int MOST_KEY = 512;
     /** Bytes of a value, at the most. */
     public static final int MOST_VALUE = 16 << 10;
 
     /** Checks what can be checked without the owner's name. */
-    public Entry {
+    public ReplicatedRecord {
         if (space == null
                 || key == null
                 || key.length() > MOST_KEY
@@ -36,15 +37,15 @@
                 || count < 0
                 || below < 0
                 || below > version.life()
-                || space.kind() == Space.Kind.COUNTED && value != null) {
+                || space.kind() == RecordSpace.Kind.COUNTED && value != null) {
             throw new IllegalArgumentException("not a record");
         }
     }
 
     /** A record with its checksum. */
-    public static Entry of(
-            String owner, Space space, String key, Version version, byte[] value, long count, long below) {
-        return new Entry(
+    public static ReplicatedRecord of(
+            String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
+        return new ReplicatedRecord(
                 space, key, version, value, count, below, sum(owner, space, key, version, value, count, below));
     }
 
@@ -56,7 +57,7 @@
 
     /** Whether it says that the key is gone. */
     public boolean gone() {
-        return value == null && space.kind() == Space.Kind.OWN;
+        return value == null && space.kind() == RecordSpace.Kind.OWN;
     }
 
     /** Whether it still is what its owner wrote: guards against a bit that flipped in memory, on a disk or a way. */
@@ -70,8 +71,8 @@
     }
 
     /** What it is found by. */
-    public Item item() {
-        return new Item(space, key);
+    public RecordKey item() {
+        return new RecordKey(space, key);
     }
 
     /** About how many bytes it takes in a message. */
@@ -81,7 +82,7 @@
 
     /** Two cyclic checksums of different polynomials side by side: 64 bits against accidents, not against intent. */
     private static long sum(
-            String owner, Space space, String key, Version version, byte[] value, long count, long below) {
+            String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
         byte[] o = owner.getBytes(StandardCharsets.UTF_8);
         byte[] k = key.getBytes(StandardCharsets.UTF_8);
         ByteBuffer b = ByteBuffer.allocate(o.length + k.length + (value == null ? 0 : value.length) + 48);
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Codec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
@@ -17,31 +17,31 @@
  * Messages and records as bytes: one byte that says which message it is, then CBOR (RFC 8949) by Jackson. Reading is
  * bounded in length and depth, and answers anything else than a message with an {@link IOException}.
  */
-public final class Codec {
+public final class ReplicationCodec {
     /** Bytes of a message, at the most. */
     public static final int MOST_BYTES = 256 << 10;
 
-    private static final List<Class<? extends Message>> KINDS = List.of(
-            Message.Marks.class,
-            Message.Wants.class,
-            Message.Chunk.class,
-            Message.Digests.class,
-            Message.Ranges.class,
-            Message.Copies.class);
+    private static final List<Class<? extends ReplicationMessage>> KINDS = List.of(
+            ReplicationMessage.Marks.class,
+            ReplicationMessage.Wants.class,
+            ReplicationMessage.Chunk.class,
+            ReplicationMessage.Digests.class,
+            ReplicationMessage.Ranges.class,
+            ReplicationMessage.Copies.class);
     private static final ObjectMapper MAPPER = mapper();
     private static final List<ObjectReader> READERS =
             KINDS.stream().map(k -> MAPPER.readerFor(k)).toList();
-    private static final ObjectReader ENTRY = MAPPER.readerFor(Entry.class);
+    private static final ObjectReader ENTRY = MAPPER.readerFor(ReplicatedRecord.class);
     private static final ObjectWriter WRITER = MAPPER.writer();
 
-    private Codec() {}
+    private ReplicationCodec() {}
 
     private static ObjectMapper mapper() {
         CBORFactory factory = CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
                         .maxNestingDepth(6)
                         .maxDocumentLength(MOST_BYTES)
-                        .maxStringLength(2 * Entry.MOST_VALUE)
+                        .maxStringLength(2 * ReplicatedRecord.MOST_VALUE)
                         .maxNameLength(64)
                         .maxNumberLength(32)
                         .build())
@@ -52,13 +52,13 @@
                 .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
                 .enable(SerializationFeature.WRITE_ENUMS_USING_INDEX)
                 .build();
-        m.configOverride(Entry.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
-        m.configOverride(Version.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
+        m.configOverride(ReplicatedRecord.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
+        m.configOverride(RecordVersion.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
         return m;
     }
 
     /** A message as bytes. */
-    public static byte[] write(Message m) {
+    public static byte[] write(ReplicationMessage m) {
         byte[] body = bytes(m);
         byte[] all = new byte[body.length + 1];
         all[0] = (byte) KINDS.indexOf(m.getClass());
@@ -71,7 +71,7 @@
      *
      * @throws IOException if they are none, or go past a bound
      */
-    public static Message read(byte[] all) throws IOException {
+    public static ReplicationMessage read(byte[] all) throws IOException {
         if (all.length < 2 || all.length > MOST_BYTES || all[0] < 0 || all[0] >= KINDS.size()) {
             throw new IOException("not a message of replication, " + all.length + " bytes");
         }
@@ -79,12 +79,12 @@
     }
 
     /** A record as bytes. */
-    static byte[] write(Entry e) {
+    static byte[] write(ReplicatedRecord e) {
         return bytes(e);
     }
 
     /** A record from bytes. */
-    static Entry readEntry(byte[] bytes) throws IOException {
+    static ReplicatedRecord readEntry(byte[] bytes) throws IOException {
         return read(ENTRY, bytes, 0, bytes.length);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Terms.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
@@ -14,7 +14,7 @@
  * @param fanOut to how many news are passed on, above that
  * @param pieceBytes the size of a piece of a log, about
  */
-public record Terms(
+public record ReplicationLimits(
         double bytesASecond,
         double pushMs,
         double beatMs,
@@ -26,10 +26,11 @@
         int fanOut,
         int pieceBytes) {
     /** What holds without a word in the file. */
-    public static final Terms DEFAULT = new Terms(1_000_000, 20, 1000, 2000, 300, 2000, 60_000, 32, 4, 32 << 10);
+    public static final ReplicationLimits DEFAULT =
+            new ReplicationLimits(1_000_000, 20, 1000, 2000, 300, 2000, 60_000, 32, 4, 32 << 10);
 
     /** Checks bounds. */
-    public Terms {
+    public ReplicationLimits {
         if (!(pushMs >= 1
                         && beatMs >= pushMs
                         && digestMs >= pushMs
@@ -45,7 +46,8 @@
     }
 
     /** The same with another bound on what it sends. */
-    public Terms sending(double most) {
-        return new Terms(most, pushMs, beatMs, digestMs, againMs, lagMs, removalMs, mesh, fanOut, pieceBytes);
+    public ReplicationLimits sending(double most) {
+        return new ReplicationLimits(
+                most, pushMs, beatMs, digestMs, againMs, lagMs, removalMs, mesh, fanOut, pieceBytes);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Message.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
@@ -8,7 +8,7 @@
  * What members tell each other about own and counted records. All are idempotent, and each may be lost, late, repeated
  * or out of order.
  */
-public sealed interface Message {
+public sealed interface ReplicationMessage {
     /** Elements of any list of a message, at the most. */
     int MOST = 1024;
 
@@ -58,7 +58,7 @@
      * @param ended ended lives of which parts of sums are kept
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Marks(boolean ask, boolean whole, List<Mark> marks, List<Have> ended) implements Message {
+    record Marks(boolean ask, boolean whole, List<Mark> marks, List<Have> ended) implements ReplicationMessage {
         /** Checks bounds. */
         public Marks {
             most(marks, ended);
@@ -89,7 +89,7 @@
      * @param wants of which lives
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Wants(List<Want> wants) implements Message {
+    record Wants(List<Want> wants) implements ReplicationMessage {
         /** Checks bounds. */
         public Wants {
             most(wants);
@@ -111,15 +111,23 @@
      * @param entries the writes, earliest first
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Chunk(String owner, long life, long newest, long from, long to, long base, long floor, List<Entry> entries)
-            implements Message {
+    record Chunk(
+            String owner,
+            long life,
+            long newest,
+            long from,
+            long to,
+            long base,
+            long floor,
+            List<ReplicatedRecord> entries)
+            implements ReplicationMessage {
         /** Checks bounds and order. */
         public Chunk {
             name(owner);
             notNegative(life, newest, from, to, base, floor);
             most(entries);
             long last = from;
-            for (Entry e : entries) {
+            for (ReplicatedRecord e : entries) {
                 if (e.version().life() != life
                         || e.version().sequence() <= last
                         || e.version().sequence() > to) {
@@ -156,7 +164,7 @@
      * @param digests of which lives
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Digests(List<Digest> digests) implements Message {
+    record Digests(List<Digest> digests) implements ReplicationMessage {
         /** Checks bounds. */
         public Digests {
             most(digests);
@@ -172,13 +180,13 @@
      * @param digests one for each range
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Ranges(String owner, long life, long have, List<Long> digests) implements Message {
+    record Ranges(String owner, long life, long have, List<Long> digests) implements ReplicationMessage {
         /** Checks bounds. */
         public Ranges {
             name(owner);
             notNegative(life, have);
             if (digests == null
-                    || digests.size() != Item.RANGES
+                    || digests.size() != RecordKey.RANGES
                     || digests.stream().anyMatch(Objects::isNull)) {
                 throw new IllegalArgumentException("not as many ranges as there are");
             }
@@ -199,21 +207,28 @@
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Copies(
-            String owner, long life, long have, int range, int part, boolean last, boolean ask, List<Entry> entries)
-            implements Message {
+            String owner,
+            long life,
+            long have,
+            int range,
+            int part,
+            boolean last,
+            boolean ask,
+            List<ReplicatedRecord> entries)
+            implements ReplicationMessage {
         /** Checks bounds. */
         public Copies {
             name(owner);
             notNegative(life, have, range, part);
             most(entries);
-            if (range >= Item.RANGES) {
+            if (range >= RecordKey.RANGES) {
                 throw new IllegalArgumentException("no such range");
             }
         }
     }
 
     private static void name(String name) {
-        if (name == null || name.isEmpty() || name.length() > 128 || !Entry.text(name)) {
+        if (name == null || name.isEmpty() || name.length() > 128 || !ReplicatedRecord.text(name)) {
             throw new IllegalArgumentException("not a member's name");
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Exchange.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -19,7 +19,7 @@
  *
  * <p>Times and messages in, messages out. One thread at a time.
  */
-public final class Exchange {
+public final class ReplicationProtocol {
     private static final int MOST_PENDING = 1024;
 
     /**
@@ -37,15 +37,15 @@
         double helloAtMs = Double.NEGATIVE_INFINITY;
         Map<Long, Long> mineEnded = Map.of();
         Map<Long, Long> mineEndedNew = new TreeMap<>();
-        final Map<CatchUp.Of, Message.Want> pending = new LinkedHashMap<>();
+        final Map<CatchUp.Of, ReplicationMessage.Want> pending = new LinkedHashMap<>();
     }
 
-    private final Store store;
-    private final Terms terms;
+    private final RecordStore store;
+    private final ReplicationLimits terms;
     private final SplittableRandom random;
-    private final Bucket bucket;
+    private final TokenBucket bucket;
     private final CatchUp catchUp;
-    private final Differences differences;
+    private final AntiEntropy differences;
     private final Map<String, Peer> peers = new TreeMap<>();
     private List<String> configured = List.of();
     private List<String> reachable = List.of();
@@ -65,13 +65,13 @@
     private long unreadable;
 
     /** An exchange for this copy; it begins at this time. */
-    public Exchange(Store store, Terms terms, SplittableRandom random, double nowMs) {
+    public ReplicationProtocol(RecordStore store, ReplicationLimits terms, SplittableRandom random, double nowMs) {
         this.store = store;
         this.terms = terms;
         this.random = random;
-        this.bucket = new Bucket(terms.bytesASecond());
+        this.bucket = new TokenBucket(terms.bytesASecond());
         this.catchUp = new CatchUp(terms);
-        this.differences = new Differences(store);
+        this.differences = new AntiEntropy(store);
         beganMs = nowMs;
         store.begins(nowMs);
         pushAtMs = nowMs;
@@ -140,7 +140,7 @@
         if (nowMs >= digestAtMs && listened && !reachable.isEmpty()) {
             digestAtMs = nowMs + terms.digestMs() * (0.75 + 0.5 * random.nextDouble());
             String p = reachable.get(compareWith++ % reachable.size());
-            Message.Digests d = differences.next(p);
+            ReplicationMessage.Digests d = differences.next(p);
             if (!d.digests().isEmpty() && bucket.spare(nowMs)) {
                 send(p, d, nowMs, out);
             }
@@ -148,12 +148,12 @@
         return out;
     }
 
-    private void send(String peer, Message m, double nowMs, List<Out> out) {
+    private void send(String peer, ReplicationMessage m, double nowMs, List<Out> out) {
         if (!bucket.urgent(nowMs)) {
             dropped++;
             return;
         }
-        byte[] body = Codec.write(m);
+        byte[] body = ReplicationCodec.write(m);
         bucket.spent(body.length);
         sentBytes += body.length;
         out.add(new Out(peer, body));
@@ -197,18 +197,18 @@
             // Guards against a life that was used before: nobody tells before it has listened.
             names.remove(store.me());
         }
-        List<Message.Mark> marks = store.marks(names, nowMs);
-        List<Message.Have> ended = store.ended();
-        int pieces = 1 + Math.max(marks.size(), ended.size()) / Message.MOST;
+        List<ReplicationMessage.Mark> marks = store.marks(names, nowMs);
+        List<ReplicationMessage.Have> ended = store.ended();
+        int pieces = 1 + Math.max(marks.size(), ended.size()) / ReplicationMessage.MOST;
         for (int i = 0; i < pieces; i++) {
             boolean last = i == pieces - 1;
-            send(peer, new Message.Marks(ask && last, last, slice(marks, i), slice(ended, i)), nowMs, out);
+            send(peer, new ReplicationMessage.Marks(ask && last, last, slice(marks, i), slice(ended, i)), nowMs, out);
         }
     }
 
     private static <T> List<T> slice(List<T> list, int piece) {
-        int from = Math.min(list.size(), piece * Message.MOST);
-        return list.subList(from, Math.min(list.size(), from + Message.MOST));
+        int from = Math.min(list.size(), piece * ReplicationMessage.MOST);
+        return list.subList(from, Math.min(list.size(), from + ReplicationMessage.MOST));
     }
 
     private List<String> some(int many) {
@@ -232,13 +232,13 @@
             if (of.contains(store.me()) && advanced.containsKey(store.me())) {
                 store.beat();
             }
-            List<Message> messages = new ArrayList<>();
-            List<Message.Mark> marks = store.marks(of, nowMs);
-            for (int i = 0; i * Message.MOST < marks.size(); i++) {
-                messages.add(new Message.Marks(false, false, slice(marks, i), List.of()));
+            List<ReplicationMessage> messages = new ArrayList<>();
+            List<ReplicationMessage.Mark> marks = store.marks(of, nowMs);
+            for (int i = 0; i * ReplicationMessage.MOST < marks.size(); i++) {
+                messages.add(new ReplicationMessage.Marks(false, false, slice(marks, i), List.of()));
             }
             for (String o : of) {
-                Message.Chunk c = advanced.containsKey(o)
+                ReplicationMessage.Chunk c = advanced.containsKey(o)
                         ? store.after(o, store.newest(o), advanced.get(o), terms.pieceBytes())
                         : null;
                 if (c != null) {
@@ -246,7 +246,7 @@
                 }
             }
             for (String p : large ? some(terms.fanOut()) : reachable) {
-                for (Message m : messages) {
+                for (ReplicationMessage m : messages) {
                     send(p, m, nowMs, out);
                 }
             }
@@ -259,7 +259,7 @@
         catchUp.due(nowMs)
                 .forEach((peer, of) -> send(
                         peer,
-                        new Message.Wants(of.stream()
+                        new ReplicationMessage.Wants(of.stream()
                                 .map(o -> store.want(o.owner(), o.life()))
                                 .toList()),
                         nowMs,
@@ -276,7 +276,7 @@
                 continue;
             }
             CatchUp.Of of = p.pending.keySet().iterator().next();
-            Message.Chunk c = store.since(p.pending.remove(of), terms.pieceBytes());
+            ReplicationMessage.Chunk c = store.since(p.pending.remove(of), terms.pieceBytes());
             if (c != null) {
                 send(n, c, nowMs, out);
             }
@@ -323,45 +323,45 @@
             return out;
         }
         p.life = life;
-        Message m;
+        ReplicationMessage m;
         try {
-            m = Codec.read(body);
+            m = ReplicationCodec.read(body);
         } catch (java.io.IOException e) {
             unreadable++;
             return out;
         }
-        if (m instanceof Message.Marks marks) {
+        if (m instanceof ReplicationMessage.Marks marks) {
             marks(peer, p, marks, nowMs, out);
-        } else if (m instanceof Message.Wants wants) {
-            for (Message.Want w : wants.wants()) {
+        } else if (m instanceof ReplicationMessage.Wants wants) {
+            for (ReplicationMessage.Want w : wants.wants()) {
                 if (p.pending.size() < MOST_PENDING) {
                     p.pending.put(new CatchUp.Of(w.owner(), w.life()), w);
                 }
             }
             waiting.add(peer);
             serve(nowMs, out);
-        } else if (m instanceof Message.Chunk c) {
+        } else if (m instanceof ReplicationMessage.Chunk c) {
             chunk(peer, c, nowMs, out);
-        } else if (m instanceof Message.Digests d) {
+        } else if (m instanceof ReplicationMessage.Digests d) {
             answer(peer, differences.took(peer, d), nowMs, out);
-        } else if (m instanceof Message.Ranges r) {
+        } else if (m instanceof ReplicationMessage.Ranges r) {
             answer(peer, differences.took(peer, r), nowMs, out);
-        } else if (m instanceof Message.Copies c) {
+        } else if (m instanceof ReplicationMessage.Copies c) {
             answer(peer, differences.took(peer, c, nowMs), nowMs, out);
         }
         return out;
     }
 
-    private void answer(String peer, List<Message> answers, double nowMs, List<Out> out) {
-        for (Message a : answers) {
+    private void answer(String peer, List<ReplicationMessage> answers, double nowMs, List<Out> out) {
+        for (ReplicationMessage a : answers) {
             if (bucket.spare(nowMs)) {
                 send(peer, a, nowMs, out);
             }
         }
     }
 
-    private void marks(String peer, Peer p, Message.Marks m, double nowMs, List<Out> out) {
-        for (Message.Mark mark : m.marks()) {
+    private void marks(String peer, Peer p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
+        for (ReplicationMessage.Mark mark : m.marks()) {
             long newest = store.newest(mark.owner());
             if (store.took(mark, nowMs)) {
                 news.add(mark.owner());
@@ -375,7 +375,7 @@
                 p.mineHeld = Math.max(p.mineHeld, mark.have());
             }
         }
-        for (Message.Have h : m.ended()) {
+        for (ReplicationMessage.Have h : m.ended()) {
             named(peer, h.owner(), h.life(), h.have(), nowMs);
             if (h.owner().equals(store.me())) {
                 p.mineEndedNew.put(h.life(), h.have());
@@ -406,23 +406,23 @@
 
     private long oldestKept(String owner) {
         List<Long> lives = store.lives(owner);
-        return lives.size() > Store.MOST_LIVES ? lives.get(0) : 0;
+        return lives.size() > RecordStore.MOST_LIVES ? lives.get(0) : 0;
     }
 
-    private void chunk(String peer, Message.Chunk c, double nowMs, List<Out> out) {
+    private void chunk(String peer, ReplicationMessage.Chunk c, double nowMs, List<Out> out) {
         long had = store.have(c.owner(), c.life()).orElse(0);
-        Store.Took t = store.took(c, nowMs);
+        RecordStore.Took t = store.took(c, nowMs);
         CatchUp.Of of = new CatchUp.Of(c.owner(), c.life());
-        if (t == Store.Took.NEW) {
+        if (t == RecordStore.Took.NEW) {
             if (c.life() == store.newest(c.owner())) {
                 news.add(c.owner());
                 advanced.merge(c.owner(), had, Math::min);
             }
             catchUp.held(of, store.have(c.owner(), c.life()).orElse(c.to()), nowMs);
             ask(nowMs, out);
-        } else if (t == Store.Took.GAP) {
+        } else if (t == RecordStore.Took.GAP) {
             named(peer, c.owner(), c.life(), c.base() == 0 ? c.to() : c.base(), nowMs);
-        } else if (t == Store.Took.KNOWN) {
+        } else if (t == RecordStore.Took.KNOWN) {
             catchUp.held(of, Math.max(had, c.life() < store.newest(c.owner()) ? c.to() : 0), nowMs);
         }
     }
@@ -439,7 +439,7 @@
     }
 
     /** The copies that differ. */
-    public Differences differences() {
+    public AntiEntropy differences() {
         return differences;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Bucket.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/TokenBucket.java
@@ -1,13 +1,13 @@
 package brackenbridge.fleet.replica;
 
 /** Bytes that may be sent: they come in at a rate and are kept up to a quarter of a second's worth. */
-public final class Bucket {
+public final class TokenBucket {
     private final double rate;
     private double tokens;
     private double atMs = Double.NaN;
 
     /** Bytes a second. */
-    public Bucket(double bytesASecond) {
+    public TokenBucket(double bytesASecond) {
         if (!(bytesASecond >= 1000)) {
             throw new IllegalArgumentException("at least 1000 bytes a second: " + bytesASecond);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/share/Lessee.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.share;
 
-import brackenbridge.core.share.Allowances;
+import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.core.share.TenantUse;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -19,7 +19,7 @@
  * lent its part. Where the pool is smaller by its own list than the lessor knew, it takes its part of that. Plain:
  * times and values in, values out; times by one clock that never goes back.
  */
-public final class Lessee {
+public final class QuotaLeaseClient {
     /** Tenants that a question names; the smaller ones count together. */
     static final int MOST_NAMED = 1000;
     /** How fast demand's estimate follows, in milliseconds. */
@@ -28,7 +28,7 @@
     private static final double GIVE_UP = 0.85;
 
     private final String pool;
-    private final LeaseTerms terms;
+    private final QuotaLeaseTerms terms;
     private final long life;
     private final Map<String, PoolUse> demand = new HashMap<>();
     private double readAtMs = Double.NaN;
@@ -54,7 +54,7 @@
     private double tellAtMs = Double.NEGATIVE_INFINITY;
 
     /** A node that starts now. */
-    public Lessee(String pool, LeaseTerms terms, long life, double nowMs) {
+    public QuotaLeaseClient(String pool, QuotaLeaseTerms terms, long life, double nowMs) {
         this.pool = pool;
         this.terms = terms;
         this.life = life;
@@ -111,13 +111,13 @@
     }
 
     /** It asks now. */
-    public Message.Ask ask(double nowMs) {
+    public QuotaLeaseMessage.Ask ask(double nowMs) {
         asked++;
         askedAtMs = nowMs;
         lowest = capacity;
         nudged = false;
         toAck = false;
-        return new Message.Ask(
+        return new QuotaLeaseMessage.Ask(
                 pool,
                 life,
                 asked,
@@ -131,16 +131,16 @@
     }
 
     /** What is to be said of connections given back; empty if nothing. */
-    public Optional<Message.Ack> ack() {
+    public Optional<QuotaLeaseMessage.Ack> ack() {
         if (!toAck || acting == 0) {
             return Optional.empty();
         }
         toAck = false;
-        return Optional.of(new Message.Ack(pool, life, acting, busy));
+        return Optional.of(new QuotaLeaseMessage.Ack(pool, life, acting, busy));
     }
 
     /** An answer has come. */
-    public void took(double nowMs, Message.Grant g) {
+    public void took(double nowMs, QuotaLeaseMessage.Grant g) {
         // Guards against answers to another life or an older question, whose lease runs from another moment, and
         // against a lessor that was replaced.
         if (g.life() != life
@@ -164,7 +164,7 @@
     }
 
     /** There is another lease to be had. */
-    public void took(Message.Nudge n) {
+    public void took(QuotaLeaseMessage.Nudge n) {
         nudged |= n.token() >= heard;
         heard = Math.max(heard, n.token());
     }
@@ -175,7 +175,7 @@
     }
 
     /** What the node's tenants may hold now. */
-    public Allowances allowances(double nowMs) {
+    public TenantQuotas allowances(double nowMs) {
         epoch++;
         int guaranteed = terms.guaranteed(capacity, members);
         int between = Math.min(leased, guaranteed);
@@ -219,9 +219,9 @@
         }
     }
 
-    private Allowances allow(int now, double until, int then) {
+    private TenantQuotas allow(int now, double until, int then) {
         Map<String, Double> tenants = split(now);
-        return new Allowances(epoch, tenants, 0, Map.of(), until, split(then));
+        return new TenantQuotas(epoch, tenants, 0, Map.of(), until, split(then));
     }
 
     /** Connections split as the last lease was; all tenants together where there was none. */
--- a/fleet/src/main/java/brackenbridge/fleet/share/Message.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseMessage.java
@@ -12,12 +12,12 @@
 /** What a lessor and the nodes say to each other, over a stream of their own; each may be lost, late or repeated. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = Message.Ask.class, name = "ask"),
-    @JsonSubTypes.Type(value = Message.Grant.class, name = "grant"),
-    @JsonSubTypes.Type(value = Message.Ack.class, name = "ack"),
-    @JsonSubTypes.Type(value = Message.Nudge.class, name = "nudge")
+    @JsonSubTypes.Type(value = QuotaLeaseMessage.Ask.class, name = "ask"),
+    @JsonSubTypes.Type(value = QuotaLeaseMessage.Grant.class, name = "grant"),
+    @JsonSubTypes.Type(value = QuotaLeaseMessage.Ack.class, name = "ack"),
+    @JsonSubTypes.Type(value = QuotaLeaseMessage.Nudge.class, name = "nudge")
 })
-public sealed interface Message {
+public sealed interface QuotaLeaseMessage {
     /** The longest message; bytes. */
     int MOST_BYTES = 1 << 18;
 
@@ -48,7 +48,7 @@
             @JsonProperty("leftMs") double leftMs,
             @JsonProperty("busy") int busy,
             @JsonProperty("demand") Map<String, PoolUse> demand)
-            implements Message {
+            implements QuotaLeaseMessage {
         /** Keeps its own copy. */
         public Ask {
             demand = Map.copyOf(demand);
@@ -75,7 +75,7 @@
             @JsonProperty("capacity") int capacity,
             @JsonProperty("members") int members,
             @JsonProperty("tenants") Map<String, Double> tenants)
-            implements Message {
+            implements QuotaLeaseMessage {
         /** Keeps its own copy. */
         public Grant {
             tenants = Map.copyOf(tenants);
@@ -100,7 +100,7 @@
             @JsonProperty("life") long life,
             @JsonProperty("number") long number,
             @JsonProperty("busy") int busy)
-            implements Message {}
+            implements QuotaLeaseMessage {}
 
     /**
      * There is another lease to be had: ask now. It carries no promise.
@@ -109,10 +109,10 @@
      */
     record Nudge(
             @JsonProperty("pool") String pool,
-            @JsonProperty("token") long token) implements Message {}
+            @JsonProperty("token") long token) implements QuotaLeaseMessage {}
 
     /** As bytes. */
-    static byte[] bytes(Message m) {
+    static byte[] bytes(QuotaLeaseMessage m) {
         try {
             return Codec.CBOR.writeValueAsBytes(m);
         } catch (IOException e) {
@@ -125,12 +125,12 @@
      *
      * @throws IOException if they are none
      */
-    static Message of(byte[] bytes) throws IOException {
+    static QuotaLeaseMessage of(byte[] bytes) throws IOException {
         if (bytes.length > MOST_BYTES) {
             throw new IOException("a message of " + bytes.length + " bytes");
         }
         try {
-            return Codec.CBOR.readValue(bytes, Message.class);
+            return Codec.CBOR.readValue(bytes, QuotaLeaseMessage.class);
         } catch (RuntimeException e) {
             throw new IOException(e);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/share/Lessor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
@@ -15,7 +15,7 @@
  * <p>Promise: what all members may use together never passes the pool's capacity, whatever messages are lost, late or
  * repeated, whoever stalls, starts again or is cut off, and whoever was the lessor before. Assumed: clocks' rates
  * differ by the drift at most; the role has one holder at a time, who asks before each act whether it is; a node
- * acts as {@link Lessee} does; nodes hear of a smaller pool by their own lists as soon as the lessor does.
+ * acts as {@link QuotaLeaseClient} does; nodes hear of a smaller pool by their own lists as soon as the lessor does.
  *
  * <p>What a member may use at the most is the largest of: the answers that it may act by, those being the last that
  * it has said that it acts by and all later ones, until they have run out and drained; what it last said that it
@@ -27,7 +27,7 @@
  * the guaranteed parts of those it has not heard of are of the pool: together with them that is no more than there
  * was.
  */
-public final class Lessor {
+public final class QuotaLeaseServer {
     /** How often it divides anew; milliseconds. */
     private static final double TURN_MS = 25;
     /** A node's demand is believed for as long as this after its question, in leases. */
@@ -38,7 +38,7 @@
     private static final double OFF_LEAST = 0.2;
 
     private final String pool;
-    private final LeaseTerms terms;
+    private final QuotaLeaseTerms terms;
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<String, Hunger> hungers = new TreeMap<>();
     private ShareRules rules = ShareRules.NONE;
@@ -59,7 +59,7 @@
      * @param to the node
      * @param message what
      */
-    public record Out(String to, Message message) {}
+    public record Out(String to, QuotaLeaseMessage message) {}
 
     /**
      * A tenant that is under its floor though it wants more: an alarm.
@@ -118,7 +118,7 @@
     }
 
     /** A lessor that does not act yet. */
-    public Lessor(String pool, LeaseTerms terms) {
+    public QuotaLeaseServer(String pool, QuotaLeaseTerms terms) {
         this.pool = pool;
         this.terms = terms;
     }
@@ -193,15 +193,15 @@
     }
 
     /** A message has come. */
-    public List<Out> took(double nowMs, String from, Message m) {
+    public List<Out> took(double nowMs, String from, QuotaLeaseMessage m) {
         Node n = nodes.get(from);
         if (!acts || n == null) {
             return List.of();
         }
-        if (m instanceof Message.Ask a) {
+        if (m instanceof QuotaLeaseMessage.Ask a) {
             return asked(nowMs, from, n, a);
         }
-        if (m instanceof Message.Ack a && a.life() == n.life) {
+        if (m instanceof QuotaLeaseMessage.Ack a && a.life() == n.life) {
             acted(n, a.number());
             if (n.acting != null && n.acting.number() == a.number()) {
                 n.busy = Math.max(0, a.busy());
@@ -222,7 +222,7 @@
             nodes.forEach((name, n) -> {
                 if (nowMs >= n.nudgedMs + hearMs() && (heard ? n.base > 0 && n.out.isEmpty() : !n.based)) {
                     n.nudgedMs = nowMs;
-                    out.add(new Out(name, new Message.Nudge(pool, token)));
+                    out.add(new Out(name, new QuotaLeaseMessage.Nudge(pool, token)));
                 }
             });
             return out;
@@ -236,7 +236,7 @@
                     && nowMs < n.heardMs + terms.leaseMs()
                     && worth(e.getKey(), n, left)) {
                 n.nudgedMs = nowMs;
-                out.add(new Out(e.getKey(), new Message.Nudge(pool, token)));
+                out.add(new Out(e.getKey(), new QuotaLeaseMessage.Nudge(pool, token)));
             }
         }
         return out;
@@ -279,7 +279,7 @@
         return terms.askMs() / 2;
     }
 
-    private List<Out> asked(double nowMs, String from, Node n, Message.Ask a) {
+    private List<Out> asked(double nowMs, String from, Node n, QuotaLeaseMessage.Ask a) {
         if (a.life() < n.life || a.life() == n.life && a.number() <= n.number) {
             // Guards against old demand that is said again.
             return List.of();
@@ -302,7 +302,7 @@
         n.busy = Math.max(0, a.busy());
         if (waits(nowMs) && a.heard() < token) {
             // Guards against a question from before it took over: what it shows may have been given to others since.
-            return List.of(new Out(from, new Message.Nudge(pool, token)));
+            return List.of(new Out(from, new QuotaLeaseMessage.Nudge(pool, token)));
         }
         if (!n.based) {
             n.based = true;
@@ -321,7 +321,8 @@
             n.out.add(new Granted(a.number(), total, nowMs, give));
             out.add(new Out(
                     from,
-                    new Message.Grant(pool, n.life, a.number(), token, terms.leaseMs(), capacity, membersNow, give)));
+                    new QuotaLeaseMessage.Grant(
+                            pool, n.life, a.number(), token, terms.leaseMs(), capacity, membersNow, give)));
         }
         out.addAll(due(nowMs));
         return out;
--- a/fleet/src/main/java/brackenbridge/fleet/share/LeaseTerms.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseTerms.java
@@ -11,12 +11,12 @@
  * @param guaranteed the part of a pool that is divided evenly among the members as what each may use whatever
  *     becomes of the others; at most a half, so that a member more never makes it too much
  */
-public record LeaseTerms(double leaseMs, double drift, double drainMs, double guaranteed) {
+public record QuotaLeaseTerms(double leaseMs, double drift, double drainMs, double guaranteed) {
     /** A lease of 1.6 s. */
-    public static final LeaseTerms USUAL = new LeaseTerms(1600, 0.01, 400, 0.5);
+    public static final QuotaLeaseTerms USUAL = new QuotaLeaseTerms(1600, 0.01, 400, 0.5);
 
     /** Terms that can't be kept are rejected. */
-    public LeaseTerms {
+    public QuotaLeaseTerms {
         if (!(leaseMs >= 100 && leaseMs <= 60_000)
                 || !(drift >= 0 && drift < 0.5)
                 || !(drainMs >= 0)
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.agreed.Agreed.Verdict;
-import brackenbridge.fleet.peer.Links;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.fleet.agreed.AgreedValues.Verdict;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,8 +19,8 @@
     private static final int MEMBERS = 12;
 
     private final MemoryNet net = new MemoryNet(MEMBERS, 1);
-    private final Map<String, AgreedNode> nodes = new TreeMap<>();
-    private final Map<String, Links> links = new TreeMap<>();
+    private final Map<String, AgreementMember> nodes = new TreeMap<>();
+    private final Map<String, PeerLinks> links = new TreeMap<>();
     private final Path root;
 
     private AgreedFigures(Path root) {
@@ -33,8 +33,8 @@
     }
 
     private void start(String name) throws Exception {
-        Links l = net.links(name);
-        AgreedNode n = new AgreedNode(
+        PeerLinks l = net.links(name);
+        AgreementMember n = new AgreementMember(
                 l, root.resolve(name), Clock.system(), AgreedSettings.of("f", net.members(), name.hashCode()));
         n.start();
         nodes.put(name, n);
@@ -67,15 +67,15 @@
 
     private long inForce(String at) {
         return nodes.get(at)
-                .known(Agreed.SETTINGS)
-                .map(Agreed.Value::generation)
+                .known(AgreedValues.SETTINGS)
+                .map(AgreedValues.Value::generation)
                 .orElse(0L);
     }
 
     private double propose(String at, int bytes) throws Exception {
         long from = System.nanoTime();
         Verdict v = nodes.get(at)
-                .propose(Agreed.SETTINGS, inForce(at), new byte[bytes], 20_000)
+                .propose(AgreedValues.SETTINGS, inForce(at), new byte[bytes], 20_000)
                 .get();
         if (v != Verdict.IN_FORCE) {
             throw new IllegalStateException(v.toString());
@@ -99,7 +99,7 @@
         return nodes.entrySet().stream()
                 .allMatch(e -> e.getKey().equals(but)
                         || e.getValue()
-                                .acting(Agreed.SETTINGS)
+                                .acting(AgreedValues.SETTINGS)
                                 .map(a -> a.other() == null && a.one().generation() == g)
                                 .orElse(false));
     }
@@ -128,7 +128,7 @@
             force.add(propose("m10", 4096));
             net.cut();
             until(() -> nodes.values().stream()
-                    .allMatch(n -> n.acting(Agreed.SETTINGS)
+                    .allMatch(n -> n.acting(AgreedValues.SETTINGS)
                             .map(a -> a.other() == null && a.one().generation() == inForce("m10"))
                             .orElse(false)));
         }
@@ -141,7 +141,7 @@
         List<Double> again = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             String old = leader();
-            AgreedNode n = nodes.remove(old);
+            AgreementMember n = nodes.remove(old);
             links.get(old).close();
             long from = System.nanoTime();
             n.halt();
@@ -155,7 +155,7 @@
         say("takeover: another leads after", leads);
         say("takeover: a proposal made then is in force after", again);
         System.out.println("bytes on disk at the end: " + bytes("m0"));
-        nodes.values().forEach(AgreedNode::halt);
+        nodes.values().forEach(AgreementMember::halt);
     }
 
     private long bytes(String name) throws Exception {
@@ -164,17 +164,19 @@
 
     /** Questions as fast as the leader answers them, at most 200 on their way. */
     private void flood(String leader) {
-        Links l = links.get("m8");
+        PeerLinks l = links.get("m8");
         AtomicLong answers = new AtomicLong();
         nodes.remove("m8").halt();
-        l.receive(Stream.AGREED, (p, life, b) -> answers.incrementAndGet());
-        byte[] q = Codec.frame(new Note.Question(
-                l.life(), 1, List.of(new Note.Heard(Agreed.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
+        l.receive(MessageStream.AGREED, (p, life, b) -> answers.incrementAndGet());
+        byte[] q = AgreementCodec.frame(new AgreementMessage.Question(
+                l.life(),
+                1,
+                List.of(new AgreementMessage.Heard(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
         long from = System.nanoTime();
         long sent = 0;
         while (System.nanoTime() - from < 5_000_000_000L) {
             if (sent - answers.get() < 200) {
-                l.send(leader, Stream.AGREED, q);
+                l.send(leader, MessageStream.AGREED, q);
                 sent++;
             }
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/CodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import brackenbridge.core.generation.Word;
+import brackenbridge.core.generation.DecidedVersion;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.impl.DefaultRaftModelFactory;
@@ -27,9 +27,9 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class CodecTest {
+class AgreementCodecTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final Endpoint A = new Endpoint("a", "1");
+    private static final VoterEndpoint A = new VoterEndpoint("a", "1");
     private static final Set<RaftEndpoint> ALL = Set.of(A);
     private static final RaftGroupMembersView VIEW = MODEL.createRaftGroupMembersViewBuilder()
             .setLogIndex(4)
@@ -42,11 +42,11 @@
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(400);
         Arbitrary<Long> number = Arbitraries.longs().between(0, Long.MAX_VALUE);
         return Arbitraries.oneOf(
-                Combinators.combine(bytes, number, number).as((b, n, m) -> new Op.Stage("s", n, b, "a", m, n)),
-                number.map(n -> new Op.Reign("a@1", n, n)),
-                number.map(n -> new Op.Activate("s", n, n)),
-                number.map(n -> new Op.Abandon("s", n, n, "b")),
-                number.map(n -> new Op.Take("r", "a", n, 1.5, n, n)),
+                Combinators.combine(bytes, number, number).as((b, n, m) -> new LogCommand.Stage("s", n, b, "a", m, n)),
+                number.map(n -> new LogCommand.Reign("a@1", n, n)),
+                number.map(n -> new LogCommand.Activate("s", n, n)),
+                number.map(n -> new LogCommand.Abandon("s", n, n, "b")),
+                number.map(n -> new LogCommand.Take("r", "a", n, 1.5, n, n)),
                 Arbitraries.of(MembershipChangeMode.class)
                         .map(m -> MODEL.createUpdateRaftGroupMembersOpBuilder()
                                 .setMembers(ALL)
@@ -173,10 +173,10 @@
 
     @Property(tries = 400, seed = "5")
     void eachMessageOfTheLibraryIsTheSameAfterItsWay(@ForAll("messages") RaftMessage m) throws IOException {
-        byte[] once = Codec.frame(m);
-        RaftMessage back = Codec.frame(once).raft();
+        byte[] once = AgreementCodec.frame(m);
+        RaftMessage back = AgreementCodec.frame(once).raft();
         assertEquals(m.getClass(), back.getClass());
-        assertArrayEquals(once, Codec.frame(back));
+        assertArrayEquals(once, AgreementCodec.frame(back));
     }
 
     @Property(tries = 600, seed = "6")
@@ -185,7 +185,7 @@
             @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 1 << 20) Integer> at,
             @ForAll byte with,
             @ForAll boolean cut) {
-        byte[] b = Codec.frame(m);
+        byte[] b = AgreementCodec.frame(m);
         for (int i : at) {
             b[i % b.length] ^= with;
         }
@@ -200,7 +200,7 @@
 
     private static void readOrRefused(byte[] b) {
         try {
-            Codec.Frame f = Codec.frame(b);
+            AgreementCodec.Frame f = AgreementCodec.frame(b);
             assertEquals(f.note() == null, f.raft() != null);
         } catch (IOException e) {
             assertNotNull(e.getMessage());
@@ -209,20 +209,22 @@
 
     @Example
     void notesAreTheSameAfterTheirWayAndWithoutAFieldTheyAreRefused() throws IOException {
-        Note.Answer a = new Note.Answer(
+        AgreementMessage.Answer a = new AgreementMessage.Answer(
                 3,
                 4,
                 "f",
                 1600,
-                List.of(new Note.Told("s", new Word(5, 2, 3), List.of(new Note.Item(3, new byte[] {7}, "m")))),
+                List.of(new AgreementMessage.Told(
+                        "s", new DecidedVersion(5, 2, 3), List.of(new AgreementMessage.Item(3, new byte[] {7}, "m")))),
                 true);
-        Note.Answer back = (Note.Answer) Codec.frame(Codec.frame(a)).note();
+        AgreementMessage.Answer back = (AgreementMessage.Answer)
+                AgreementCodec.frame(AgreementCodec.frame(a)).note();
         assertEquals(a.told().get(0).word(), back.told().get(0).word());
         assertArrayEquals(new byte[] {7}, back.told().get(0).items().get(0).content());
-        byte[] whole = Codec.frame(new Note.Hint(9));
+        byte[] whole = AgreementCodec.frame(new AgreementMessage.Hint(9));
         String as = new String(whole, StandardCharsets.ISO_8859_1);
         byte[] other = as.replace("reign", "reigm").getBytes(StandardCharsets.ISO_8859_1);
-        assertThrows(IOException.class, () -> Codec.frame(other));
-        assertThrows(IOException.class, () -> Codec.frame(new byte[Codec.MAX_MESSAGE + 1]));
+        assertThrows(IOException.class, () -> AgreementCodec.frame(other));
+        assertThrows(IOException.class, () -> AgreementCodec.frame(new byte[AgreementCodec.MAX_MESSAGE + 1]));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedNodeTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.fleet.agreed.Agreed.Hold;
-import brackenbridge.fleet.agreed.Agreed.Verdict;
+import brackenbridge.fleet.agreed.AgreedValues.Hold;
+import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class AgreedNodeTest {
+class AgreementMemberTest {
     @TempDir
     Path root;
 
@@ -37,7 +37,7 @@
     }
 
     private CompletableFuture<Verdict> proposing(String at, long expected, String content, double withinMs) {
-        return members.node(at).propose(Agreed.SETTINGS, expected, bytes(content), withinMs);
+        return members.node(at).propose(AgreedValues.SETTINGS, expected, bytes(content), withinMs);
     }
 
     private Verdict propose(String at, long expected, String content) throws Exception {
@@ -52,8 +52,8 @@
         return soon().until(() -> members.leader(), l -> !l.isEmpty());
     }
 
-    private boolean acts(AgreedNode n, long generation) {
-        return n.acting(Agreed.SETTINGS)
+    private boolean acts(AgreementMember n, long generation) {
+        return n.acting(AgreedValues.SETTINGS)
                 .map(a -> a.other() == null && a.one().generation() == generation)
                 .orElse(false);
     }
@@ -64,7 +64,7 @@
 
     private String known(String at) {
         return members.node(at)
-                .known(Agreed.SETTINGS)
+                .known(AgreedValues.SETTINGS)
                 .map(v -> new String(v.content(), StandardCharsets.UTF_8))
                 .orElse("");
     }
@@ -101,16 +101,19 @@
         assertEquals(Verdict.REFUSED, propose("m0", 1, "bad at m2"));
         assertEquals(Verdict.IN_FORCE, propose("m0", 1, "b"));
         awaitActs(3);
-        SettingsCalls calls = new SettingsCalls(members.node("m1"), 3000);
+        SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m1"), 3000);
         assertTrue(
-                calls.history(Agreed.SETTINGS).text().matches("(?s).*1  in_force .*2  abandoned .*3  in_force, now.*"),
-                calls.history(Agreed.SETTINGS).text());
+                calls.history(AgreedValues.SETTINGS)
+                        .text()
+                        .matches("(?s).*1  in_force .*2  abandoned .*3  in_force, now.*"),
+                calls.history(AgreedValues.SETTINGS).text());
         assertEquals(
-                "from line 1\n- a\n+ b\n", calls.diff(Agreed.SETTINGS, 1, 3).text());
-        assertTrue(calls.withdraw(Agreed.SETTINGS, 1).done());
+                "from line 1\n- a\n+ b\n",
+                calls.diff(AgreedValues.SETTINGS, 1, 3).text());
+        assertTrue(calls.withdraw(AgreedValues.SETTINGS, 1).done());
         awaitActs(4);
-        assertTrue(calls.show(Agreed.SETTINGS).text().startsWith("generation 4 by m1\na"));
-        assertFalse(calls.withdraw(Agreed.SETTINGS, 9).done());
+        assertTrue(calls.show(AgreedValues.SETTINGS).text().startsWith("generation 4 by m1\na"));
+        assertFalse(calls.withdraw(AgreedValues.SETTINGS, 9).done());
     }
 
     @Test
@@ -123,7 +126,7 @@
         CompletableFuture<Verdict> alone = proposing(old, 1, "alone", 1500);
         String other = old.equals("m0") ? "m1" : "m0";
         assertEquals(Verdict.IN_FORCE, propose(other, 1, "b"));
-        assertTrue(members.node(old).acting(Agreed.SETTINGS).isEmpty(), "cut off for longer than a lease");
+        assertTrue(members.node(old).acting(AgreedValues.SETTINGS).isEmpty(), "cut off for longer than a lease");
         assertEquals(Verdict.UNKNOWN, alone.get(5, TimeUnit.SECONDS));
         members.net.cut();
         awaitActs(2);
@@ -169,10 +172,12 @@
         String lost = leader.equals("m1") ? "m2" : "m1";
         // So much that the log's beginning is gone: the new disk starts from a snapshot of several pieces.
         for (int g = 1; g < 20; g++) {
-            byte[] large = new byte[State.MAX_CONTENT];
+            byte[] large = new byte[AgreedState.MAX_CONTENT];
             assertEquals(
                     Verdict.IN_FORCE,
-                    members.node("m0").propose(Agreed.SETTINGS, g, large, 8000).get(10, TimeUnit.SECONDS));
+                    members.node("m0")
+                            .propose(AgreedValues.SETTINGS, g, large, 8000)
+                            .get(10, TimeUnit.SECONDS));
         }
         members.kill(lost);
         lose(lost);
@@ -229,7 +234,7 @@
         assertTrue(longer.untilMs() > first.untilMs());
         // Its thread stands still: an answer that lay in its queue must not lengthen what is over.
         CountDownLatch still = new CountDownLatch(1);
-        AgreedNode stalled = members.node(holder);
+        AgreementMember stalled = members.node(holder);
         CompletableFuture<Hold> late = stalled.hold("driver", 500);
         stalled.next(() -> {
             try {
@@ -272,8 +277,8 @@
             List<CompletableFuture<Hold>> claims = new ArrayList<>();
             members.all().forEach(n -> claims.add(n.hold("driver", 300)));
             long expected = members.node(at)
-                    .known(Agreed.SETTINGS)
-                    .map(Agreed.Value::generation)
+                    .known(AgreedValues.SETTINGS)
+                    .map(AgreedValues.Value::generation)
                     .orElse(0L);
             String content = "round " + round;
             if (proposing(at, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
@@ -289,15 +294,15 @@
         }
         assertTrue(acknowledged.size() >= 4, "acknowledged " + acknowledged);
         members.net.faults(0, 0, 300);
-        SettingsCalls calls = new SettingsCalls(members.node("m0"), 5000);
-        String all = soon().until(() -> calls.history(Agreed.SETTINGS), SettingsCalls.Reply::done)
+        SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m0"), 5000);
+        String all = soon().until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::done)
                 .text();
         List<String> kept = new ArrayList<>();
         for (String line : all.split("\n")) {
             long g = Long.parseLong(line.trim().split(" ")[0]);
             kept.add(new String(
                     members.node("m0")
-                            .look(Agreed.SETTINGS, g, 5000)
+                            .look(AgreedValues.SETTINGS, g, 5000)
                             .get(8, TimeUnit.SECONDS)
                             .orElseThrow()
                             .content(),
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.generation.Word;
+import brackenbridge.core.generation.DecidedVersion;
 import brackenbridge.fleet.GoldenFiles;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -30,9 +30,9 @@
 /** The forms of the agreement's messages and of a voter's disk, against the golden files. */
 class GoldenFormsTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final Endpoint ME = new Endpoint("m1", "0123456789ab");
+    private static final VoterEndpoint ME = new VoterEndpoint("m1", "0123456789ab");
     private static final Collection<RaftEndpoint> ALL =
-            new LinkedHashSet<>(List.of(ME, new Endpoint("m2", "ba9876543210")));
+            new LinkedHashSet<>(List.of(ME, new VoterEndpoint("m2", "ba9876543210")));
     private static final RaftGroupMembersView VIEW = MODEL.createRaftGroupMembersViewBuilder()
             .setLogIndex(4)
             .setMembers(ALL)
@@ -44,58 +44,64 @@
     @TempDir
     Path directory;
 
-    private static Map<String, Note> notes() {
-        Map<String, Note> notes = new LinkedHashMap<>();
-        notes.put("hello", new Note.Hello("0123456789ab", 3, 1_700_000_000_001L));
+    private static Map<String, AgreementMessage> notes() {
+        Map<String, AgreementMessage> notes = new LinkedHashMap<>();
+        notes.put("hello", new AgreementMessage.Hello("0123456789ab", 3, 1_700_000_000_001L));
         notes.put(
                 "facts",
-                new Note.Facts(
+                new AgreementMessage.Facts(
                         "ba9876543210", List.of("m1@1", "m2@2"), "m1@1", List.of("m1@1"), 17, "0123456789ab", 2, 5));
-        notes.put("join", new Note.Join("m1@0123456789ab"));
+        notes.put("join", new AgreementMessage.Join("m1@0123456789ab"));
         notes.put(
                 "question",
-                new Note.Question(7, 8, List.of(new Note.Heard("settings/tier-1", 9, 10, List.of(11L, 12L)))));
+                new AgreementMessage.Question(
+                        7, 8, List.of(new AgreementMessage.Heard("settings/tier-1", 9, 10, List.of(11L, 12L)))));
         notes.put(
                 "answer",
-                new Note.Answer(
+                new AgreementMessage.Answer(
                         7,
                         8,
                         "m1@1",
                         1600.5,
-                        List.of(new Note.Told(
-                                "shares", new Word(5, 2, 3), List.of(new Note.Item(3, CONTENT, "staff")))),
+                        List.of(new AgreementMessage.Told(
+                                "shares",
+                                new DecidedVersion(5, 2, 3),
+                                List.of(new AgreementMessage.Item(3, CONTENT, "staff")))),
                         true));
-        notes.put("elsewhere", new Note.Elsewhere("m2"));
-        notes.put("hint", new Note.Hint(300));
-        notes.put("propose", new Note.Propose("shares", 2, CONTENT, 7, 9));
-        List<Agreed.Verdict> verdicts = verdicts();
+        notes.put("elsewhere", new AgreementMessage.Elsewhere("m2"));
+        notes.put("hint", new AgreementMessage.Hint(300));
+        notes.put("propose", new AgreementMessage.Propose("shares", 2, CONTENT, 7, 9));
+        List<AgreedValues.Verdict> verdicts = verdicts();
         for (int i = 0; i < verdicts.size(); i++) {
-            notes.put("outcome-" + i, new Note.Outcome(7, 9, verdicts.get(i), 4));
+            notes.put("outcome-" + i, new AgreementMessage.Outcome(7, 9, verdicts.get(i), 4));
         }
-        notes.put("claim", new Note.Claim("lessor/pool", 2500.25, 7, 10));
-        notes.put("claimed", new Note.Claimed(7, 10, "m2", 77, 2500.25));
-        notes.put("look", new Note.Look("shares", 3, 7, 11));
-        notes.put("looked", new Note.Looked(7, 11, List.of(new Note.Line(3, "staff", 5, "in force")), CONTENT));
+        notes.put("claim", new AgreementMessage.Claim("lessor/pool", 2500.25, 7, 10));
+        notes.put("claimed", new AgreementMessage.Claimed(7, 10, "m2", 77, 2500.25));
+        notes.put("look", new AgreementMessage.Look("shares", 3, 7, 11));
+        notes.put(
+                "looked",
+                new AgreementMessage.Looked(
+                        7, 11, List.of(new AgreementMessage.Line(3, "staff", 5, "in force")), CONTENT));
         return notes;
     }
 
     /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static List<Agreed.Verdict> verdicts() {
+    private static List<AgreedValues.Verdict> verdicts() {
         return List.of(
-                Agreed.Verdict.IN_FORCE,
-                Agreed.Verdict.OVERTAKEN,
-                Agreed.Verdict.ANOTHER_STAGED,
-                Agreed.Verdict.REFUSED,
-                Agreed.Verdict.UNKNOWN);
+                AgreedValues.Verdict.IN_FORCE,
+                AgreedValues.Verdict.OVERTAKEN,
+                AgreedValues.Verdict.ANOTHER_STAGED,
+                AgreedValues.Verdict.REFUSED,
+                AgreedValues.Verdict.UNKNOWN);
     }
 
-    private static Map<String, Op> operations() {
-        Map<String, Op> operations = new LinkedHashMap<>();
-        operations.put("reign", new Op.Reign("m1@1", 5, 6));
-        operations.put("stage", new Op.Stage("shares", 2, CONTENT, "m2", 7, 9));
-        operations.put("activate", new Op.Activate("shares", 4, 3));
-        operations.put("abandon", new Op.Abandon("shares", 4, 3, "m3"));
-        operations.put("take", new Op.Take("lessor/pool", "m2", 7, 2500.25, 77, 3));
+    private static Map<String, LogCommand> operations() {
+        Map<String, LogCommand> operations = new LinkedHashMap<>();
+        operations.put("reign", new LogCommand.Reign("m1@1", 5, 6));
+        operations.put("stage", new LogCommand.Stage("shares", 2, CONTENT, "m2", 7, 9));
+        operations.put("activate", new LogCommand.Activate("shares", 4, 3));
+        operations.put("abandon", new LogCommand.Abandon("shares", 4, 3, "m3"));
+        operations.put("take", new LogCommand.Take("lessor/pool", "m2", 7, 2500.25, 77, 3));
         return operations;
     }
 
@@ -141,7 +147,7 @@
                         .setQuerySequenceNumber(5)
                         .setFlowControlSequenceNumber(6)
                         .setLogEntries(List.of(
-                                entry(4, new Op.Reign("m1@1", 5, 6)),
+                                entry(4, new LogCommand.Reign("m1@1", 5, 6)),
                                 entry(5, membership(MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER))))
                         .build());
         messages.put(
@@ -241,15 +247,15 @@
                 .build();
     }
 
-    private static State.Image image() {
-        List<State.Kept> history = List.of(
-                new State.Kept(1, CONTENT, "staff", 7, 8, State.Came.ABANDONED),
-                new State.Kept(2, CONTENT, "staff", 7, 9, State.Came.IN_FORCE),
-                new State.Kept(3, CONTENT, "m2", 7, 10, State.Came.STAGED));
-        return new State.Image(
+    private static AgreedState.Image image() {
+        List<AgreedState.Kept> history = List.of(
+                new AgreedState.Kept(1, CONTENT, "staff", 7, 8, AgreedState.Came.ABANDONED),
+                new AgreedState.Kept(2, CONTENT, "staff", 7, 9, AgreedState.Came.IN_FORCE),
+                new AgreedState.Kept(3, CONTENT, "m2", 7, 10, AgreedState.Came.STAGED));
+        return new AgreedState.Image(
                 6,
-                List.of(new State.Named("shares", new Word(5, 2, 3), 3, history)),
-                List.of(new State.Role("lessor/pool", "m2", 7, 77, 2500.25)));
+                List.of(new AgreedState.Named("shares", new DecidedVersion(5, 2, 3), 3, history)),
+                List.of(new AgreedState.Role("lessor/pool", "m2", 7, 77, 2500.25)));
     }
 
     private static RaftTermPersistentState term(RaftEndpoint votedFor) {
@@ -261,29 +267,35 @@
 
     @Test
     void eachNote() throws IOException {
-        GoldenFiles.assertAllCovered(Note.class, notes().values());
-        assertEquals(Agreed.Verdict.values().length, verdicts().size());
-        for (Map.Entry<String, Note> note : notes().entrySet()) {
+        GoldenFiles.assertAllCovered(AgreementMessage.class, notes().values());
+        assertEquals(AgreedValues.Verdict.values().length, verdicts().size());
+        for (Map.Entry<String, AgreementMessage> note : notes().entrySet()) {
             GoldenFiles.check(
                     "agreed/note-" + note.getKey(),
                     note.getValue(),
-                    Codec::frame,
-                    form -> Codec.frame(form).note());
+                    AgreementCodec::frame,
+                    form -> AgreementCodec.frame(form).note());
         }
     }
 
     @Test
     void eachOperation() throws IOException {
-        GoldenFiles.assertAllCovered(Op.class, operations().values());
-        for (Map.Entry<String, Op> operation : operations().entrySet()) {
+        GoldenFiles.assertAllCovered(LogCommand.class, operations().values());
+        for (Map.Entry<String, LogCommand> operation : operations().entrySet()) {
             GoldenFiles.check(
-                    "agreed/entry-" + operation.getKey(), entry(4, operation.getValue()), Codec::entry, Codec::entry);
+                    "agreed/entry-" + operation.getKey(),
+                    entry(4, operation.getValue()),
+                    AgreementCodec::entry,
+                    AgreementCodec::entry);
         }
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
             GoldenFiles.check(
-                    "agreed/entry-members-" + mode.ordinal(), entry(5, membership(mode)), Codec::entry, Codec::entry);
+                    "agreed/entry-members-" + mode.ordinal(),
+                    entry(5, membership(mode)),
+                    AgreementCodec::entry,
+                    AgreementCodec::entry);
         }
-        GoldenFiles.check("agreed/entry-bytes", entry(6, CONTENT), Codec::entry, Codec::entry);
+        GoldenFiles.check("agreed/entry-bytes", entry(6, CONTENT), AgreementCodec::entry, AgreementCodec::entry);
     }
 
     @Test
@@ -292,27 +304,27 @@
             GoldenFiles.check(
                     "agreed/raft-" + message.getKey(),
                     message.getValue(),
-                    Codec::frame,
-                    form -> Codec.frame(form).raft());
+                    AgreementCodec::frame,
+                    form -> AgreementCodec.frame(form).raft());
         }
     }
 
     @Test
     void valuesOnDisk() throws IOException {
-        assertEquals(3, State.Came.values().length);
-        GoldenFiles.check("agreed/image", image(), Codec::image, Codec::image);
-        GoldenFiles.check("agreed/snapshot-chunk", chunk(), Codec::chunk, Codec::chunk);
-        GoldenFiles.check("agreed/members", VIEW, Codec::members, Codec::members);
-        GoldenFiles.check("agreed/term", term(ME), Codec::term, Codec::term);
-        GoldenFiles.check("agreed/term-without-vote", term(null), Codec::term, Codec::term);
+        assertEquals(3, AgreedState.Came.values().length);
+        GoldenFiles.check("agreed/image", image(), AgreementCodec::image, AgreementCodec::image);
+        GoldenFiles.check("agreed/snapshot-chunk", chunk(), AgreementCodec::chunk, AgreementCodec::chunk);
+        GoldenFiles.check("agreed/members", VIEW, AgreementCodec::members, AgreementCodec::members);
+        GoldenFiles.check("agreed/term", term(ME), AgreementCodec::term, AgreementCodec::term);
+        GoldenFiles.check("agreed/term-without-vote", term(null), AgreementCodec::term, AgreementCodec::term);
         GoldenFiles.check(
                 "agreed/local-endpoint",
                 MODEL.createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(ME)
                         .setVoting(true)
                         .build(),
-                Codec::self,
-                Codec::self);
+                AgreementCodec::self,
+                AgreementCodec::self);
     }
 
     @Test
@@ -324,7 +336,7 @@
         for (String file : DISK_FILES) {
             Files.write(copy.resolve(file), GoldenFiles.bytes("agreed/voter-disk-" + file));
         }
-        try (Store store = Store.open(copy, "fleet", "m1")) {
+        try (VoterStore store = VoterStore.open(copy, "fleet", "m1")) {
             assertTrue(store.disk().matches("[0-9a-f]{24}"), store.disk());
             assertEquals(2, store.starts());
             assertEquals(List.of("m1", "m2"), store.founding());
@@ -352,7 +364,7 @@
     private static List<LogEntry> diskEntries() {
         List<LogEntry> entries = new ArrayList<>();
         long index = 4;
-        for (Op operation : operations().values()) {
+        for (LogCommand operation : operations().values()) {
             entries.add(entry(index++, operation));
         }
         entries.add(entry(index, membership(MembershipChangeMode.REMOVE_MEMBER)));
@@ -361,7 +373,7 @@
 
     private void writeDisk() throws IOException {
         Path written = directory.resolve("written");
-        try (Store store = Store.open(written, "fleet", "m1")) {
+        try (VoterStore store = VoterStore.open(written, "fleet", "m1")) {
             store.found(List.of("m1", "m2"), true);
             store.joined(17);
             store.seen("m2", "ba9876543210 2 5");
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -1,12 +1,12 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.core.generation.Acts;
-import brackenbridge.core.generation.Terms;
-import brackenbridge.fleet.agreed.Agreed.Hold;
+import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.LeaseTerms;
+import brackenbridge.fleet.agreed.AgreedValues.Hold;
 import brackenbridge.fleet.peer.Member;
 import brackenbridge.fleet.peer.PeerLimits;
-import brackenbridge.fleet.peer.TcpLinks;
+import brackenbridge.fleet.peer.TcpPeerLinks;
 import java.io.BufferedReader;
 import java.io.InputStreamReader;
 import java.nio.charset.StandardCharsets;
@@ -31,15 +31,16 @@
         }
         Member me = members.get(Integer.parseInt(args[0]));
         Clock clock = Clock.system();
-        TcpLinks links = new TcpLinks(me, System.currentTimeMillis(), "f", members, clock, PeerLimits.standard());
-        AgreedNode node = new AgreedNode(
+        TcpPeerLinks links =
+                new TcpPeerLinks(me, System.currentTimeMillis(), "f", members, clock, PeerLimits.standard());
+        AgreementMember node = new AgreementMember(
                 links,
                 Path.of(args[1]),
                 clock,
                 new AgreedSettings(
                         "f",
                         AgreedSettings.voters(members),
-                        new Terms(400, 0.01),
+                        new LeaseTerms(400, 0.01),
                         40,
                         5,
                         2000,
@@ -55,19 +56,19 @@
             String[] words = line.split(" ");
             if (words[0].equals("propose")) {
                 long expected = Long.parseLong(words[1]);
-                node.propose(Agreed.SETTINGS, expected, words[2].getBytes(StandardCharsets.UTF_8), 8000)
+                node.propose(AgreedValues.SETTINGS, expected, words[2].getBytes(StandardCharsets.UTF_8), 8000)
                         .thenAccept(v -> say("verdict " + words[2] + " " + v));
             } else if (words[0].equals("history")) {
                 for (long g = 1; g < 100; g++) {
                     long at = g;
-                    node.look(Agreed.SETTINGS, g, 4000)
+                    node.look(AgreedValues.SETTINGS, g, 4000)
                             .thenAccept(l -> l.ifPresent(
                                     k -> say("kept " + at + " " + new String(k.content(), StandardCharsets.UTF_8))));
                 }
             } else if (words[0].equals("who")) {
                 say("who " + node.leads() + " "
-                        + node.known(Agreed.SETTINGS)
-                                .map(Agreed.Value::generation)
+                        + node.known(AgreedValues.SETTINGS)
+                                .map(AgreedValues.Value::generation)
                                 .orElse(0L));
             }
         }
@@ -80,18 +81,19 @@
         System.out.flush();
     }
 
-    private static void claim(AgreedNode node) {
+    private static void claim(AgreementMember node) {
         node.hold("driver", 300)
                 .thenRunAsync(() -> claim(node), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
     }
 
-    private static void talk(AgreedNode node) {
+    private static void talk(AgreementMember node) {
         while (true) {
             long before = System.nanoTime();
             boolean holds = node.holds("driver");
             Hold h = node.held().get("driver");
             long token = h == null ? 0 : h.token();
-            Acts a = node.part().acts(Agreed.SETTINGS, node.clock().nowMs());
+            EffectiveVersions a =
+                    node.part().acts(AgreedValues.SETTINGS, node.clock().nowMs());
             long after = System.nanoTime();
             say("sees " + before + " " + after + " " + (holds ? token : 0) + " " + Math.min(a.one(), a.other()) + " "
                     + Math.max(a.one(), a.other()));
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.core.generation.Acts;
-import brackenbridge.core.generation.Terms;
-import brackenbridge.fleet.peer.Links;
+import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.LeaseTerms;
+import brackenbridge.fleet.peer.PeerLinks;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -22,8 +22,8 @@
     final MemoryNet net;
     private final Path root;
     private final String scheme;
-    private final Map<String, AgreedNode> nodes = new TreeMap<>();
-    private final Map<String, Links> links = new HashMap<>();
+    private final Map<String, AgreementMember> nodes = new TreeMap<>();
+    private final Map<String, PeerLinks> links = new HashMap<>();
     private final List<String> breaches = new CopyOnWriteArrayList<>();
     private final Map<String, Long> tokens = new HashMap<>();
     private final Clock base = Clock.system();
@@ -50,7 +50,13 @@
 
     AgreedSettings settings(String name) {
         return new AgreedSettings(
-                "f", AgreedSettings.voters(net.members()), new Terms(LEASE_MS, DRIFT), 40, 5, 2000, name.hashCode());
+                "f",
+                AgreedSettings.voters(net.members()),
+                new LeaseTerms(LEASE_MS, DRIFT),
+                40,
+                5,
+                2000,
+                name.hashCode());
     }
 
     Path disk(String name) {
@@ -58,9 +64,9 @@
     }
 
     /** Starts a member whose clock has this rate. */
-    AgreedNode start(String name, double rate) throws IOException {
-        Links l = net.links(name);
-        AgreedNode n = new AgreedNode(
+    AgreementMember start(String name, double rate) throws IOException {
+        PeerLinks l = net.links(name);
+        AgreementMember n = new AgreementMember(
                 l,
                 disk(name),
                 new Clock() {
@@ -70,7 +76,7 @@
                     }
                 },
                 settings(name));
-        n.usable(Agreed.SETTINGS, c -> !new String(c, StandardCharsets.UTF_8).contains("bad at " + name));
+        n.usable(AgreedValues.SETTINGS, c -> !new String(c, StandardCharsets.UTF_8).contains("bad at " + name));
         n.onFilesOf(scheme);
         n.start();
         l.start();
@@ -83,8 +89,8 @@
 
     /** Ends it as a kill does. */
     void kill(String name) {
-        AgreedNode n;
-        Links l;
+        AgreementMember n;
+        PeerLinks l;
         synchronized (nodes) {
             n = nodes.remove(name);
             l = links.remove(name);
@@ -93,13 +99,13 @@
         n.halt();
     }
 
-    AgreedNode node(String name) {
+    AgreementMember node(String name) {
         synchronized (nodes) {
             return nodes.get(name);
         }
     }
 
-    List<AgreedNode> all() {
+    List<AgreementMember> all() {
         synchronized (nodes) {
             return new ArrayList<>(nodes.values());
         }
@@ -135,7 +141,7 @@
 
     /** Two collects that are the same: all of it was so at the moment between them. */
     private void look() {
-        List<AgreedNode> all = all();
+        List<AgreementMember> all = all();
         List<Object> once = collect(all);
         double[] now = all.stream().mapToDouble(n -> n.clock().nowMs()).toArray();
         List<Object> again = collect(all);
@@ -145,11 +151,11 @@
             }
         }
         looked++;
-        for (String name : List.of(Agreed.SETTINGS, Agreed.SHARES)) {
+        for (String name : List.of(AgreedValues.SETTINGS, AgreedValues.SHARES)) {
             for (int i = 0; i < all.size(); i++) {
                 for (int j = 0; j < i; j++) {
-                    Acts a = ((Part) once.get(2 * i)).acts(name, now[i]);
-                    Acts b = ((Part) once.get(2 * j)).acts(name, now[j]);
+                    EffectiveVersions a = ((LeaseView) once.get(2 * i)).acts(name, now[i]);
+                    EffectiveVersions b = ((LeaseView) once.get(2 * j)).acts(name, now[j]);
                     if (a.contradicts(b)) {
                         breaches.add(name + ": " + a + " beside " + b);
                     }
@@ -160,7 +166,7 @@
         for (int i = 0; i < all.size(); i++) {
             int at = i;
             @SuppressWarnings("unchecked")
-            Map<String, Agreed.Hold> held = (Map<String, Agreed.Hold>) once.get(2 * i + 1);
+            Map<String, AgreedValues.Hold> held = (Map<String, AgreedValues.Hold>) once.get(2 * i + 1);
             held.forEach((role, h) -> {
                 if (h.untilMs() > now[at]) {
                     String other = holders.put(role, h.holder());
@@ -176,9 +182,9 @@
         }
     }
 
-    private static List<Object> collect(List<AgreedNode> all) {
+    private static List<Object> collect(List<AgreementMember> all) {
         List<Object> collected = new ArrayList<>();
-        for (AgreedNode n : all) {
+        for (AgreementMember n : all) {
             collected.add(n.part());
             collected.add(n.held());
         }
@@ -194,7 +200,7 @@
             Thread.currentThread().interrupt();
         }
         synchronized (nodes) {
-            nodes.values().forEach(AgreedNode::halt);
+            nodes.values().forEach(AgreementMember::halt);
         }
         net.close();
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemoryNet.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemoryNet.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.fleet.peer.Links;
 import brackenbridge.fleet.peer.Member;
-import brackenbridge.fleet.peer.Standing;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.fleet.peer.MemberStatus;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -42,7 +42,7 @@
     }
 
     /** Links of a member's new life. */
-    Links links(String name) {
+    PeerLinks links(String name) {
         Ends e = new Ends(
                 members.stream().filter(m -> m.name().equals(name)).findFirst().orElseThrow());
         ends.put(name, e);
@@ -67,11 +67,11 @@
         new HashSet<>(ends.values()).forEach(Ends::close);
     }
 
-    private final class Ends implements Links {
+    private final class Ends implements PeerLinks {
         private final Member me;
         private final long life = lives.incrementAndGet();
         private final ExecutorService thread = Executors.newSingleThreadExecutor();
-        private final Map<Stream, Receiver> receivers = new ConcurrentHashMap<>();
+        private final Map<MessageStream, Receiver> receivers = new ConcurrentHashMap<>();
 
         Ends(Member me) {
             this.me = me;
@@ -93,12 +93,12 @@
         }
 
         @Override
-        public Standing standing(String peer) {
-            return Standing.ALIVE;
+        public MemberStatus standing(String peer) {
+            return MemberStatus.ALIVE;
         }
 
         @Override
-        public boolean send(String peer, Stream stream, byte[] body) {
+        public boolean send(String peer, MessageStream stream, byte[] body) {
             int copies;
             long us;
             synchronized (random) {
@@ -115,7 +115,7 @@
             return true;
         }
 
-        private void arrives(String peer, Stream stream, byte[] body) {
+        private void arrives(String peer, MessageStream stream, byte[] body) {
             Ends to = ends.get(peer);
             if (to == null || cut.contains(peer) != cut.contains(me.name())) {
                 return;
@@ -129,7 +129,7 @@
         }
 
         @Override
-        public void receive(Stream stream, Receiver receiver) {
+        public void receive(MessageStream stream, Receiver receiver) {
             receivers.put(stream, receiver);
         }
 
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -27,7 +27,7 @@
 /** A voter's disk that fails for a while, a kill between two writes, and a loss of power. */
 class StoreFaultsTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final Endpoint ME = new Endpoint("m", "d");
+    private static final VoterEndpoint ME = new VoterEndpoint("m", "d");
 
     @TempDir
     Path root;
@@ -40,7 +40,7 @@
     void fill() throws IOException {
         directory = root.resolve("m");
         faults = FaultyFiles.below(directory);
-        try (Store s = open()) {
+        try (VoterStore s = open()) {
             RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
                     .setMembers(Set.of(ME))
@@ -55,12 +55,12 @@
         }
     }
 
-    private Store open() throws IOException {
-        return Store.open(directory, "f", "m", FaultyFiles.SCHEME);
+    private VoterStore open() throws IOException {
+        return VoterStore.open(directory, "f", "m", FaultyFiles.SCHEME);
     }
 
     /** Votes in the next term, and takes an entry of it. */
-    private void vote(Store s) throws IOException {
+    private void vote(VoterStore s) throws IOException {
         s.persistLogEntries(List.of(entry(term + 1)));
         s.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(term + 1)
@@ -73,13 +73,13 @@
         return MODEL.createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(index)
-                .setOperation(new Op.Stage("settings", index, new byte[100], "m", 1, index))
+                .setOperation(new LogCommand.Stage("settings", index, new byte[100], "m", 1, index))
                 .build();
     }
 
     /** The last term that the disk has a vote of; all entries up to there must be with it. */
     private int onDisk() throws IOException {
-        try (Store s = open()) {
+        try (VoterStore s = open()) {
             RestoredRaftState r = s.restored().orElseThrow();
             assertEquals(r.getTermPersistentState().getTerm(), r.getLogEntries().size());
             return r.getTermPersistentState().getTerm();
@@ -89,7 +89,7 @@
     @Test
     void votesOverAFailureAreThereAfterALossOfPower() throws IOException {
         for (Fault fault : Fault.values()) {
-            Store s = open();
+            VoterStore s = open();
             vote(s);
             faults.fail(fault);
             assertThrows(IOException.class, () -> vote(s));
@@ -98,7 +98,7 @@
             faults.heal();
             assertThrows(IOException.class, () -> vote(s), "nothing more is promised by what failed");
             s.close();
-            try (Store again = open()) {
+            try (VoterStore again = open()) {
                 // A vote that was not given may be on the disk all the same; it binds, as it would have.
                 term = again.restored().orElseThrow().getTermPersistentState().getTerm();
                 vote(again);
@@ -113,7 +113,7 @@
         for (Fault fault : Fault.values()) {
             faults.fail(fault);
             IOException refused = assertThrows(IOException.class, this::open);
-            assertFalse(refused instanceof Store.Damaged, refused.toString());
+            assertFalse(refused instanceof VoterStore.Damaged, refused.toString());
             faults.heal();
             assertEquals(term, onDisk(), fault.toString());
         }
@@ -125,11 +125,11 @@
             Random random = new Random(seed);
             faults.draw(seed, 0.1);
             for (int i = 0; i < 10; i++) {
-                try (Store s = open()) {
+                try (VoterStore s = open()) {
                     term = s.restored().orElseThrow().getTermPersistentState().getTerm();
                     vote(s);
                     vote(s);
-                } catch (Store.Damaged e) {
+                } catch (VoterStore.Damaged e) {
                     throw new AssertionError("seed " + seed, e);
                 } catch (IOException refused) {
                     assertTrue(faults.failed() > 0);
@@ -148,7 +148,7 @@
 
     @Test
     void everyLengthOfATornLastWriteLeavesTheVoteBefore() throws IOException {
-        Store s = open();
+        VoterStore s = open();
         vote(s);
         Map<Path, byte[]> before = files();
         faults.record();
@@ -186,10 +186,10 @@
     void aKillAtAnyWriteOrSyncLeavesWhatWasPromised() throws IOException {
         for (int at = 0; at < 60; at++) {
             faults.killAt(faults.operations() + at, at * 37 % 4096);
-            try (Store s = open()) {
+            try (VoterStore s = open()) {
                 vote(s);
                 vote(s);
-            } catch (Store.Damaged e) {
+            } catch (VoterStore.Damaged e) {
                 throw new AssertionError("killed at " + at, e);
             } catch (IOException killed) {
                 Throwable first = killed;
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AdmissionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterAdmissionTest.java
@@ -2,18 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import brackenbridge.fleet.agreed.Admission.Self;
-import brackenbridge.fleet.agreed.Admission.Step;
+import brackenbridge.fleet.agreed.VoterAdmission.Self;
+import brackenbridge.fleet.agreed.VoterAdmission.Step;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class AdmissionTest {
+class VoterAdmissionTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
     private static final List<String> FOUNDING = List.of("a@1", "b@1", "c@1");
-    private static final Note.Facts EMPTY = facts(List.of(), "", List.of(), 0, "", 0, 0);
+    private static final AgreementMessage.Facts EMPTY = facts(List.of(), "", List.of(), 0, "", 0, 0);
 
-    private static Note.Facts facts(
+    private static AgreementMessage.Facts facts(
             List<String> founding,
             String follows,
             List<String> members,
@@ -21,15 +21,15 @@
             String seenDisk,
             long seenStarts,
             long seenLife) {
-        return new Note.Facts("1", founding, follows, members, since, seenDisk, seenStarts, seenLife);
+        return new AgreementMessage.Facts("1", founding, follows, members, since, seenDisk, seenStarts, seenLife);
     }
 
     private static Self empty(String name, String disk) {
-        return new Self(new Endpoint(name, disk), 1, 9, List.of(), false, 0);
+        return new Self(new VoterEndpoint(name, disk), 1, 9, List.of(), false, 0);
     }
 
-    private static Step step(Self self, Map<String, Note.Facts> answers) {
-        return Admission.step(self, VOTERS, answers);
+    private static Step step(Self self, Map<String, AgreementMessage.Facts> answers) {
+        return VoterAdmission.step(self, VOTERS, answers);
     }
 
     @Test
@@ -47,7 +47,7 @@
 
     @Test
     void anEmptyDiskTakesPartAsItselfOnlyIfItIsTheOneThatWasFoundedWith() {
-        Note.Facts founded = facts(FOUNDING, "", List.of(), 0, "", 0, 0);
+        AgreementMessage.Facts founded = facts(FOUNDING, "", List.of(), 0, "", 0, 0);
         assertEquals(Step.START, step(empty("b", "1"), Map.of("a", founded)));
         // A copy from before the founding, of a disk that has been started since.
         assertEquals(Step.PUT_ASIDE, step(empty("b", "1"), Map.of("a", facts(FOUNDING, "", List.of(), 0, "1", 2, 8))));
@@ -60,7 +60,7 @@
 
     @Test
     void aDiskStartsWithAMajoritysWordUnlessItIsOldCopiedOrReplaced() {
-        Self self = new Self(new Endpoint("b", "1"), 5, 9, FOUNDING, false, 0);
+        Self self = new Self(new VoterEndpoint("b", "1"), 5, 9, FOUNDING, false, 0);
         assertEquals(Step.WAIT, step(self, Map.of()));
         assertEquals(Step.START, step(self, Map.of("a", facts(FOUNDING, "", FOUNDING, 0, "1", 4, 8))));
         assertEquals(Step.START, step(self, Map.of("a", facts(FOUNDING, "", FOUNDING, 0, "1", 5, 9))));
@@ -69,9 +69,9 @@
         List<String> without = List.of("a@1", "c@1", "b@2");
         assertEquals(Step.PUT_ASIDE, step(self, Map.of("a", facts(FOUNDING, "", without, 7, "2", 1, 8))));
         // Members of before it joined say nothing against it.
-        Self later = new Self(new Endpoint("b", "2"), 5, 9, FOUNDING, false, 8);
+        Self later = new Self(new VoterEndpoint("b", "2"), 5, 9, FOUNDING, false, 8);
         assertEquals(Step.START, step(later, Map.of("a", facts(FOUNDING, "", FOUNDING, 0, "2", 4, 8))));
-        Self joining = new Self(new Endpoint("b", "3"), 5, 9, FOUNDING, true, 0);
+        Self joining = new Self(new VoterEndpoint("b", "3"), 5, 9, FOUNDING, true, 0);
         assertEquals(Step.JOIN, step(joining, Map.of("a", facts(FOUNDING, "", without, 7, "", 0, 0))));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -7,7 +7,7 @@
 
 import brackenbridge.fleet.FaultyFiles;
 import brackenbridge.fleet.FaultyFiles.Fault;
-import brackenbridge.fleet.agreed.Agreed.Verdict;
+import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -52,7 +52,7 @@
 
     private void decide(String at, long expected, String content) throws Exception {
         Verdict v = members.node(at)
-                .propose(Agreed.SETTINGS, expected, content.getBytes(StandardCharsets.UTF_8), 20_000)
+                .propose(AgreedValues.SETTINGS, expected, content.getBytes(StandardCharsets.UTF_8), 20_000)
                 .get(25, TimeUnit.SECONDS);
         assertEquals(Verdict.IN_FORCE, v, () -> members.node(at).status());
     }
@@ -111,16 +111,19 @@
         decide("m0", 0, "a");
         disks.values().forEach(d -> d.fail(Fault.WRITE_ERROR));
         Verdict v = members.node("m1")
-                .propose(Agreed.SETTINGS, 1, "b".getBytes(StandardCharsets.UTF_8), 1000)
+                .propose(AgreedValues.SETTINGS, 1, "b".getBytes(StandardCharsets.UTF_8), 1000)
                 .get(25, TimeUnit.SECONDS);
         assertEquals(Verdict.UNKNOWN, v);
-        soon().until(() -> members.all().stream().noneMatch(AgreedNode::leads));
+        soon().until(() -> members.all().stream().noneMatch(AgreementMember::leads));
         disks.values().forEach(FaultyFiles.Faults::heal);
         awaitLeader();
-        soon().until(() ->
-                members.all().stream().allMatch(n -> n.acting(Agreed.SETTINGS).isPresent()));
-        long generation =
-                members.node("m0").acting(Agreed.SETTINGS).orElseThrow().one().generation();
+        soon().until(() -> members.all().stream()
+                .allMatch(n -> n.acting(AgreedValues.SETTINGS).isPresent()));
+        long generation = members.node("m0")
+                .acting(AgreedValues.SETTINGS)
+                .orElseThrow()
+                .one()
+                .generation();
         assertTrue(generation >= 1, "in force: " + generation);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class StoreTest {
+class VoterStoreTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final Endpoint ME = new Endpoint("m", "d");
+    private static final VoterEndpoint ME = new VoterEndpoint("m", "d");
 
     @TempDir
     Path root;
@@ -32,7 +32,7 @@
     @BeforeEach
     void fill() throws IOException {
         disk = root.resolve("m");
-        try (Store s = Store.open(disk, "f", "m")) {
+        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
                     .setMembers(Set.of(ME))
@@ -75,13 +75,13 @@
         return MODEL.createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(1)
-                .setOperation(new Op.Stage("settings", index, new byte[3000], "m", 1, index))
+                .setOperation(new LogCommand.Stage("settings", index, new byte[3000], "m", 1, index))
                 .build();
     }
 
     @Test
     void whatWasForcedIsThereAgainAndWhatWasNotIsNot() throws IOException {
-        try (Store s = Store.open(disk, "f", "m")) {
+        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             RestoredRaftState r = s.restored().orElseThrow();
             assertEquals(7, r.getTermPersistentState().getTerm());
             assertEquals(ME, r.getTermPersistentState().getVotedFor());
@@ -95,11 +95,11 @@
 
     @Test
     void theDiskOfAnotherFleetOrMemberOrInUseIsRefused() throws IOException {
-        assertThrows(Store.Foreign.class, () -> Store.open(disk, "g", "m"));
-        assertThrows(Store.Foreign.class, () -> Store.open(disk, "f", "n"));
-        try (Store s = Store.open(disk, "f", "m")) {
+        assertThrows(VoterStore.Foreign.class, () -> VoterStore.open(disk, "g", "m"));
+        assertThrows(VoterStore.Foreign.class, () -> VoterStore.open(disk, "f", "n"));
+        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             assertTrue(
-                    assertThrows(IOException.class, () -> Store.open(disk, "f", "m"))
+                    assertThrows(IOException.class, () -> VoterStore.open(disk, "f", "m"))
                             .getMessage()
                             .contains("in use"),
                     () -> "forced " + s.forced());
@@ -111,15 +111,15 @@
         Path file = disk.resolve("agreed.mv");
         byte[] before = Files.readAllBytes(file);
         String number;
-        try (Store s = Store.open(disk, "f", "m")) {
+        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             number = s.disk();
             s.found(List.of("m@d"), false);
         }
         Files.write(file, before);
-        assertThrows(Store.Damaged.class, () -> Store.open(disk, "f", "m"));
-        Path aside = Store.putAside(disk);
+        assertThrows(VoterStore.Damaged.class, () -> VoterStore.open(disk, "f", "m"));
+        Path aside = VoterStore.putAside(disk);
         assertTrue(Files.exists(aside.resolve("agreed.mv")));
-        try (Store s = Store.open(disk, "f", "m")) {
+        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             assertNotEquals(number, s.disk());
             assertTrue(s.restored().isEmpty());
         }
@@ -144,16 +144,17 @@
                     f.write(whole[at] ^ 1 << random.nextInt(8));
                 }
             }
-            try (Store s = Store.open(disk, "f", "m")) {
+            try (VoterStore s = VoterStore.open(disk, "f", "m")) {
                 RestoredRaftState r = s.restored().orElseThrow();
                 assertEquals(7, r.getTermPersistentState().getTerm(), "round " + i);
                 assertEquals(
                         List.of(4L, 5L),
                         r.getLogEntries().stream().map(LogEntry::getIndex).toList());
                 for (LogEntry e : r.getLogEntries()) {
-                    assertEquals(new String(Codec.entry(entry(e.getIndex()))), new String(Codec.entry(e)));
+                    assertEquals(
+                            new String(AgreementCodec.entry(entry(e.getIndex()))), new String(AgreementCodec.entry(e)));
                 }
-            } catch (Store.Damaged e) {
+            } catch (VoterStore.Damaged e) {
                 found++;
             }
         }
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
@@ -28,7 +28,7 @@
             new NodeHeartbeat(12),
             new Welcome("c1", 750),
             new MachineHeartbeat(13, true),
-            new Refuse(Refusal.BUSY, 1250));
+            new Refuse(SubscriptionRejection.BUSY, 1250));
 
     @Test
     void everyMessageIsTheSameAfterItsWay() throws ProtocolException {
@@ -49,7 +49,7 @@
         assertTrue(ControlFrames.bytes(new NodeHeartbeat(1_000_000)).length <= 16);
     }
 
-    private static Refusal refusalOf(byte[] bytes) {
+    private static SubscriptionRejection refusalOf(byte[] bytes) {
         return assertThrows(ProtocolException.class, () -> ControlCodec.read(bytes))
                 .refusal();
     }
@@ -59,13 +59,13 @@
         byte[] whole = ControlCodec.write(ALL.get(0));
         byte[] other = whole.clone();
         other[0] = 2;
-        assertEquals(Refusal.UNKNOWN_PROTOCOL_VERSION, refusalOf(other));
+        assertEquals(SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, refusalOf(other));
         byte[] kind = whole.clone();
         kind[1] = 99;
-        assertEquals(Refusal.UNREADABLE, refusalOf(kind));
-        assertEquals(Refusal.UNREADABLE, refusalOf(new byte[] {1}));
-        assertEquals(Refusal.UNREADABLE, refusalOf(Arrays.copyOf(whole, whole.length - 3)));
-        assertEquals(Refusal.UNREADABLE, refusalOf(Arrays.copyOf(whole, whole.length + 3)));
+        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(kind));
+        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(new byte[] {1}));
+        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(Arrays.copyOf(whole, whole.length - 3)));
+        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(Arrays.copyOf(whole, whole.length + 3)));
     }
 
     @Test
@@ -99,7 +99,8 @@
         try {
             ControlCodec.read(bytes);
         } catch (ProtocolException e) {
-            assertTrue(e.refusal() == Refusal.UNREADABLE || e.refusal() == Refusal.UNKNOWN_PROTOCOL_VERSION);
+            assertTrue(e.refusal() == SubscriptionRejection.UNREADABLE
+                    || e.refusal() == SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
@@ -77,7 +77,7 @@
             server.publish(new Resource(SETTINGS, version, content.getBytes(StandardCharsets.UTF_8)));
         }
 
-        double refused(Refusal refusal) {
+        double refused(SubscriptionRejection refusal) {
             return metrics.get("control.refused")
                     .tag("reason", refusal.name().toLowerCase(Locale.ROOT))
                     .counter()
@@ -261,7 +261,7 @@
         machine.publish(1, "one");
         await(() -> applied.size() == 2);
         slow.pauseReading(true);
-        await(() -> machine.refused(Refusal.SLOW_READER) >= 1);
+        await(() -> machine.refused(SubscriptionRejection.SLOW_READER) >= 1);
         machine.publish(2, "two");
         await(() -> applied.get("n2") == 2);
         assertEquals(1, applied.get("n1"));
@@ -277,7 +277,7 @@
             node("n" + i, "north", narrow, machine);
         }
         await(() -> machine.nodes() == 12);
-        assertTrue(machine.refused(Refusal.BUSY) >= 1);
+        assertTrue(machine.refused(SubscriptionRejection.BUSY) >= 1);
     }
 
     @Test
@@ -289,7 +289,7 @@
             node("n" + i, "north", two, home, away);
         }
         await(() -> home.nodes() == 2 && away.nodes() == 3);
-        assertTrue(home.refused(Refusal.FULL) >= 3);
+        assertTrue(home.refused(SubscriptionRejection.FULL) >= 3);
     }
 
     /** A connection that speaks the protocol by hand. */
@@ -319,7 +319,7 @@
         }
 
         /** The reason that it is told, before the connection ends. */
-        Refusal refusal() throws IOException {
+        SubscriptionRejection refusal() throws IOException {
             ControlMessage message = read();
             while (!(message instanceof Refuse)) {
                 message = read();
@@ -346,7 +346,7 @@
         return new Subscribe(fleet, node, "north", 1, versions);
     }
 
-    private void isRefused(Machine machine, byte[] bytes, Refusal expected) throws IOException {
+    private void isRefused(Machine machine, byte[] bytes, SubscriptionRejection expected) throws IOException {
         double before = machine.refused(expected);
         try (Raw raw = new Raw(machine)) {
             raw.send(bytes);
@@ -363,27 +363,27 @@
         byte[] good = ControlFrames.bytes(subscribe("fleet", "n9", 1));
         byte[] otherVersion = good.clone();
         otherVersion[ControlFrames.LENGTH_BYTES] = 9;
-        isRefused(machine, otherVersion, Refusal.UNKNOWN_PROTOCOL_VERSION);
-        isRefused(machine, new byte[] {0x7f, 0, 0, 0, 1}, Refusal.FRAME_TOO_LONG);
-        isRefused(machine, new byte[] {-1, -1, -1, -1, 1}, Refusal.FRAME_TOO_LONG);
-        isRefused(machine, new byte[] {0, 0, 0, 3, 1, 0, 0}, Refusal.UNREADABLE);
+        isRefused(machine, otherVersion, SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
+        isRefused(machine, new byte[] {0x7f, 0, 0, 0, 1}, SubscriptionRejection.FRAME_TOO_LONG);
+        isRefused(machine, new byte[] {-1, -1, -1, -1, 1}, SubscriptionRejection.FRAME_TOO_LONG);
+        isRefused(machine, new byte[] {0, 0, 0, 3, 1, 0, 0}, SubscriptionRejection.UNREADABLE);
         isRefused(
                 machine,
                 "GET / HTTP/1.1\r\nHost: c1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
-                Refusal.FRAME_TOO_LONG);
-        isRefused(machine, ControlFrames.bytes(new NodeHeartbeat(1)), Refusal.UNREADABLE);
-        isRefused(machine, ControlFrames.bytes(subscribe("other", "n9", 1)), Refusal.OTHER_FLEET);
-        isRefused(machine, ControlFrames.bytes(subscribe("fleet", "stranger", 1)), Refusal.UNKNOWN_NODE);
+                SubscriptionRejection.FRAME_TOO_LONG);
+        isRefused(machine, ControlFrames.bytes(new NodeHeartbeat(1)), SubscriptionRejection.UNREADABLE);
+        isRefused(machine, ControlFrames.bytes(subscribe("other", "n9", 1)), SubscriptionRejection.OTHER_FLEET);
+        isRefused(machine, ControlFrames.bytes(subscribe("fleet", "stranger", 1)), SubscriptionRejection.UNKNOWN_NODE);
         isRefused(
                 machine,
                 ControlFrames.bytes(subscribe("fleet", "n9", ControlMessage.MAX_RESOURCES + 1)),
-                Refusal.TOO_MANY_RESOURCES);
-        isRefused(machine, new byte[0], Refusal.NO_SUBSCRIPTION);
-        isRefused(machine, java.util.Arrays.copyOf(good, good.length / 2), Refusal.NO_SUBSCRIPTION);
+                SubscriptionRejection.TOO_MANY_RESOURCES);
+        isRefused(machine, new byte[0], SubscriptionRejection.NO_SUBSCRIPTION);
+        isRefused(machine, java.util.Arrays.copyOf(good, good.length / 2), SubscriptionRejection.NO_SUBSCRIPTION);
         try (Raw silent = new Raw(machine)) {
             silent.send(good);
             assertTrue(silent.read() instanceof Welcome);
-            assertEquals(Refusal.SILENT, silent.refusal());
+            assertEquals(SubscriptionRejection.SILENT, silent.refusal());
         }
         machine.publish(5, "after all that");
         await(() -> applied.getOrDefault("n1", 0L) == 5);
@@ -400,9 +400,9 @@
             assertTrue(first.read() instanceof Welcome);
             second.send(new Subscribe("fleet", "exact", "north", 6, List.of()));
             assertTrue(second.read() instanceof Welcome);
-            assertEquals(Refusal.REPLACED, first.refusal());
+            assertEquals(SubscriptionRejection.REPLACED, first.refusal());
             late.send(new Subscribe("fleet", "exact", "north", 4, List.of()));
-            assertEquals(Refusal.REPLACED, late.refusal());
+            assertEquals(SubscriptionRejection.REPLACED, late.refusal());
         }
     }
 
@@ -414,7 +414,7 @@
             for (int i = 0; i < FAST.maxUnsubscribed() + 5; i++) {
                 idle.add(new Raw(machine));
             }
-            await(() -> machine.refused(Refusal.BUSY) >= 5);
+            await(() -> machine.refused(SubscriptionRejection.BUSY) >= 5);
         } finally {
             for (Raw raw : idle) {
                 raw.close();
@@ -427,10 +427,17 @@
     /** A machine or a node that is short of processor time is late with its first message, not wrong. */
     @Test
     void whatTimeAloneCausedIsTriedAgainSoon() {
-        for (Refusal refusal : List.of(Refusal.NO_SUBSCRIPTION, Refusal.SILENT, Refusal.SLOW_READER, Refusal.BUSY)) {
+        for (SubscriptionRejection refusal : List.of(
+                SubscriptionRejection.NO_SUBSCRIPTION,
+                SubscriptionRejection.SILENT,
+                SubscriptionRejection.SLOW_READER,
+                SubscriptionRejection.BUSY)) {
             assertTrue(refusal.isTransient(), refusal + " would keep a node away for 30 to 90 s");
         }
-        for (Refusal refusal : List.of(Refusal.OTHER_FLEET, Refusal.UNKNOWN_NODE, Refusal.TOO_MANY_RESOURCES)) {
+        for (SubscriptionRejection refusal : List.of(
+                SubscriptionRejection.OTHER_FLEET,
+                SubscriptionRejection.UNKNOWN_NODE,
+                SubscriptionRejection.TOO_MANY_RESOURCES)) {
             assertTrue(!refusal.isTransient(), refusal + " needs another configuration");
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -8,33 +8,36 @@
 import brackenbridge.fleet.control.MachineReport.NodeBehind;
 import brackenbridge.fleet.control.MachineReport.RegionReport;
 import brackenbridge.fleet.control.MachineReport.VersionCount;
+import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
 /** The forms of the messages between nodes and control machines, against the golden files. */
 class GoldenFormsTest {
     private static final byte[] CONTENT = {0, 1, 127, -128, -1};
     /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static final List<Refusal> REFUSALS = List.of(
-            Refusal.UNREADABLE,
-            Refusal.FRAME_TOO_LONG,
-            Refusal.UNKNOWN_PROTOCOL_VERSION,
-            Refusal.OTHER_FLEET,
-            Refusal.UNKNOWN_NODE,
-            Refusal.TOO_MANY_RESOURCES,
-            Refusal.NO_SUBSCRIPTION,
-            Refusal.BUSY,
-            Refusal.FULL,
-            Refusal.SLOW_READER,
-            Refusal.SILENT,
-            Refusal.REPLACED,
-            Refusal.STOPPING);
+    private static final List<SubscriptionRejection> REFUSALS = List.of(
+            SubscriptionRejection.UNREADABLE,
+            SubscriptionRejection.FRAME_TOO_LONG,
+            SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION,
+            SubscriptionRejection.OTHER_FLEET,
+            SubscriptionRejection.UNKNOWN_NODE,
+            SubscriptionRejection.TOO_MANY_RESOURCES,
+            SubscriptionRejection.NO_SUBSCRIPTION,
+            SubscriptionRejection.BUSY,
+            SubscriptionRejection.FULL,
+            SubscriptionRejection.SLOW_READER,
+            SubscriptionRejection.SILENT,
+            SubscriptionRejection.REPLACED,
+            SubscriptionRejection.STOPPING);
 
     private static final MachineReport REPORT = new MachineReport(
             "c1",
@@ -70,7 +73,7 @@
     @Test
     void eachMessageWithItsFrame() throws IOException {
         GoldenFiles.assertAllCovered(ControlMessage.class, messages().values());
-        assertEquals(Refusal.values().length, REFUSALS.size());
+        assertEquals(SubscriptionRejection.values().length, REFUSALS.size());
         for (Map.Entry<String, ControlMessage> message : messages().entrySet()) {
             GoldenFiles.check(
                     "control/" + message.getKey(),
@@ -109,4 +112,21 @@
         recording.receiver.took("c1", 1, form);
         return exchange.all().get(0).report();
     }
+
+    @Test
+    void namesOfTheMetrics() throws IOException {
+        SimpleMeterRegistry metrics = new SimpleMeterRegistry();
+        ControlServer.Settings settings = new ControlServer.Settings(
+                "fleet",
+                "c1",
+                new InetSocketAddress("127.0.0.1", 0),
+                new NodeNames(List.of("n*")),
+                ControlLimits.STANDARD);
+        new ControlServer(settings, Clock.system(), () -> true, metrics).close();
+        String names = metrics.getMeters().stream()
+                .map(meter -> meter.getId().getName() + " " + meter.getId().getTags() + "\n")
+                .sorted()
+                .collect(Collectors.joining());
+        GoldenFiles.check("control/metrics", names, String::getBytes, String::new);
+    }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
@@ -1,13 +1,13 @@
 package brackenbridge.fleet.control;
 
-import brackenbridge.fleet.peer.Links;
 import brackenbridge.fleet.peer.Member;
-import brackenbridge.fleet.peer.Standing;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.fleet.peer.MemberStatus;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import java.util.List;
 
 /** Links to one peer that keep the last message sent and who receives. */
-final class RecordingLinks implements Links {
+final class RecordingLinks implements PeerLinks {
     byte[] sent;
     Receiver receiver;
 
@@ -27,18 +27,18 @@
     }
 
     @Override
-    public Standing standing(String peer) {
-        return Standing.ALIVE;
+    public MemberStatus standing(String peer) {
+        return MemberStatus.ALIVE;
     }
 
     @Override
-    public boolean send(String peer, Stream stream, byte[] body) {
+    public boolean send(String peer, MessageStream stream, byte[] body) {
         sent = body;
         return true;
     }
 
     @Override
-    public void receive(Stream stream, Receiver newReceiver) {
+    public void receive(MessageStream stream, Receiver newReceiver) {
         receiver = newReceiver;
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
@@ -14,17 +14,17 @@
     private static final PoolName PARCEL_B = PoolName.parse("parcel/b/std");
     private final Observed observed = new Observed();
 
-    private static Forecast forecast(Model m, Plan plan) {
+    private static Forecast forecast(PoolModel m, EvacuationPlan plan) {
         return Forecast.of(m.picture(60_000, -1), plan, Shares.maxMin(Map.of()), 7);
     }
 
-    private static Plan plan() {
-        return Plan.even("p", "a", 4, 10_000);
+    private static EvacuationPlan plan() {
+        return EvacuationPlan.even("p", "a", 4, 10_000);
     }
 
     @Test
     void learnsWhatPoolsCanDoAndHoldsWhereThereIsRoom() {
-        Picture picture = observed.learnt(60).picture(60_000, -1);
+        PoolSnapshot picture = observed.learnt(60).picture(60_000, -1);
         assertEquals(5 * Observed.FRONT, picture.pool(FRONT_B).capacity(), 5);
         assertEquals(Observed.CALLS, picture.pool(FRONT_B).calls(), 0.05);
         Forecast f = forecast(observed.learnt(60), plan());
@@ -77,7 +77,7 @@
 
     @Test
     void intervalsWidenWithAgeAndThinData() {
-        Model m = observed.learnt(60);
+        PoolModel m = observed.learnt(60);
         m.expect(Map.of());
         double young = width(Forecast.of(m.picture(60_000, -1), plan(), Shares.maxMin(Map.of()), 3));
         double old = width(Forecast.of(m.picture(150_000, -1), plan(), Shares.maxMin(Map.of()), 3));
@@ -106,8 +106,8 @@
 
     @Test
     void namesTheTenantsThatSharesWouldRefuse() {
-        Model m = observed.learnt(60);
-        m.wanted(List.of(new Picture.Want(FRONT_B, "large", 120), new Picture.Want(FRONT_B, "small", 5)));
+        PoolModel m = observed.learnt(60);
+        m.wanted(List.of(new PoolSnapshot.Want(FRONT_B, "large", 120), new PoolSnapshot.Want(FRONT_B, "small", 5)));
         Map<String, Double> refused =
                 forecast(m, plan()).of(FRONT_B).steps().get(3).refusedTenants();
         assertEquals(List.of("large"), List.copyOf(refused.keySet()));
@@ -117,37 +117,37 @@
 
     @Test
     void aDayThatWasSeenTwiceMovesTheForecast() {
-        Swing s = new Swing();
+        DailyProfile s = new DailyProfile();
         for (int day = 0; day < 3; day++) {
             for (int q = 0; q < 96; q++) {
                 s.take("a", q * 900_000.0, q == 40 ? 200 : 100);
             }
         }
         assertEquals(2, s.factor("a", 0, 40 * 900_000.0), 1e-9);
-        assertEquals(1, new Swing().factor("a", 0, 40 * 900_000.0), 1e-9);
+        assertEquals(1, new DailyProfile().factor("a", 0, 40 * 900_000.0), 1e-9);
     }
 
     @Test
     void checksAPlanWhole() {
         List<PoolName> pools = observed.learnt(5).names();
         assertEquals(List.of(), plan().faults(pools));
-        Plan bad = new Plan(
+        EvacuationPlan bad = new EvacuationPlan(
                 "no name",
                 "z",
                 -1,
-                List.of(new Plan.Step(0.5, 10_000), new Plan.Step(0.2, 5)),
+                List.of(new EvacuationPlan.Step(0.5, 10_000), new EvacuationPlan.Step(0.2, 5)),
                 0.9,
                 8000,
                 null,
                 0,
-                List.of(new Plan.Comes(PoolName.parse("front/a/gone"), 1, 0)));
+                List.of(new EvacuationPlan.Comes(PoolName.parse("front/a/gone"), 1, 0)));
         List<String> faults = bad.faults(pools);
         assertEquals(6, faults.size(), faults::toString);
-        assertTrue(Plan.even("p", "a", 2, 5000)
+        assertTrue(EvacuationPlan.even("p", "a", 2, 5000)
                 .faults(List.of(PoolName.parse("front/a/std")))
                 .get(0)
                 .contains("last one"));
-        assertTrue(Plan.even("p", "a", 2, 5000)
+        assertTrue(EvacuationPlan.even("p", "a", 2, 5000)
                 .faults(List.of(PoolName.parse("front/a/std"), PARCEL_B))
                 .get(0)
                 .contains("last one with [front]"));
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
@@ -16,36 +16,36 @@
 class GoldenFormsTest {
     private static final PoolName POOL = new PoolName("tier-1", "zone-a", "large");
     /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static final List<Status> STATUSES = List.of(
-            Status.DRAFTED,
-            Status.FORECAST,
-            Status.REHEARSING,
-            Status.HALTED,
-            Status.PASSED,
-            Status.EVACUATING,
-            Status.EVACUATED,
-            Status.RETURNING,
-            Status.CLOSED,
-            Status.ABANDONED);
+    private static final List<EvacuationStatus> STATUSES = List.of(
+            EvacuationStatus.DRAFTED,
+            EvacuationStatus.FORECAST,
+            EvacuationStatus.REHEARSING,
+            EvacuationStatus.HALTED,
+            EvacuationStatus.PASSED,
+            EvacuationStatus.EVACUATING,
+            EvacuationStatus.EVACUATED,
+            EvacuationStatus.RETURNING,
+            EvacuationStatus.CLOSED,
+            EvacuationStatus.ABANDONED);
 
     private static final List<Verdict> VERDICTS =
             List.of(Verdict.HOLDS, Verdict.TIGHT, Verdict.SATURATES, Verdict.UNKNOWN);
 
-    private static PlanState state(Status status, Verdict verdict) {
-        Plan plan = new Plan(
+    private static PlanState state(EvacuationStatus status, Verdict verdict) {
+        EvacuationPlan plan = new EvacuationPlan(
                 "move-a",
                 "zone-a",
                 3_600_000,
-                List.of(new Plan.Step(0.25, 1000), new Plan.Step(0.75, 2000)),
+                List.of(new EvacuationPlan.Step(0.25, 1000), new EvacuationPlan.Step(0.75, 2000)),
                 0.05,
                 8000,
-                List.of(new Plan.Step(1, 500)),
+                List.of(new EvacuationPlan.Step(1, 500)),
                 60_000,
-                List.of(new Plan.Comes(POOL, 3, 1500)));
+                List.of(new EvacuationPlan.Comes(POOL, 3, 1500)));
         PlanState.Foretold foretold =
                 new PlanState.Foretold(POOL, 7, 100.5, new Within(101, 95, 107.5), List.of(new Within(120, 110, 130)));
         List<PlanState.Entry> history = new ArrayList<>();
-        for (Status before : STATUSES) {
+        for (EvacuationStatus before : STATUSES) {
             history.add(new PlanState.Entry(before, 1, "staff", "because"));
         }
         return new PlanState(plan, status, 1, List.of(foretold), verdict, true, 77, history);
@@ -55,7 +55,10 @@
     void order() throws IOException {
         // A map of one key: the order of more is not defined.
         GoldenFiles.check(
-                "evacuation/order", new Order(77, 12, Map.of("zone-a", 0.75), 2500.5), Order::bytes, Order::read);
+                "evacuation/order",
+                new WeightCommand(77, 12, Map.of("zone-a", 0.75), 2500.5),
+                WeightCommand::bytes,
+                WeightCommand::read);
     }
 
     @Test
@@ -63,25 +66,35 @@
         ObjectMapper mapper = new ObjectMapper();
         GoldenFiles.check(
                 "evacuation/pool-seen",
-                new PoolSeen(1.5, 2.5, 3.5, 4, 5.5, 6.5, 7.5, 8.5, 9.5, 0.25, 11.5, 0.75, 13.5, 0.5, 15.5, 0.875, 17.5),
+                new PoolObservation(
+                        1.5, 2.5, 3.5, 4, 5.5, 6.5, 7.5, 8.5, 9.5, 0.25, 11.5, 0.75, 13.5, 0.5, 15.5, 0.875, 17.5),
                 mapper::writeValueAsBytes,
-                form -> mapper.readValue(form, PoolSeen.class));
+                form -> mapper.readValue(form, PoolObservation.class));
     }
 
     @Test
     void planOfEachStatusAndVerdict() throws IOException {
-        assertEquals(Status.values().length, STATUSES.size());
+        assertEquals(EvacuationStatus.values().length, STATUSES.size());
         assertEquals(Verdict.values().length, VERDICTS.size());
         for (int i = 0; i < STATUSES.size(); i++) {
             check("status-" + i, state(STATUSES.get(i), Verdict.HOLDS));
         }
         for (int i = 0; i < VERDICTS.size(); i++) {
-            check("verdict-" + i, state(Status.FORECAST, VERDICTS.get(i)));
+            check("verdict-" + i, state(EvacuationStatus.FORECAST, VERDICTS.get(i)));
         }
-        check("drafted", PlanState.drafted(Plan.even("move-b", "zone-b", 4, 1000), "staff"));
+        check("drafted", PlanState.drafted(EvacuationPlan.even("move-b", "zone-b", 4, 1000), "staff"));
     }
 
     private static void check(String name, PlanState state) throws IOException {
         GoldenFiles.check("evacuation/plan-" + name, state, PlanState::bytes, PlanState::read);
     }
+
+    /** Histories keep them, and staff read them. */
+    @Test
+    void wordsForStatusesAndVerdicts() throws IOException {
+        StringBuilder words = new StringBuilder();
+        STATUSES.forEach(status -> words.append(PlanState.name(status)).append('\n'));
+        VERDICTS.forEach(verdict -> words.append(PlanState.name(verdict)).append('\n'));
+        GoldenFiles.check("evacuation/words", words.toString(), String::getBytes, String::new);
+    }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/Observed.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/Observed.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.Model.Observation;
-import brackenbridge.fleet.replica.Version;
+import brackenbridge.fleet.evacuation.PoolModel.Observation;
+import brackenbridge.fleet.replica.RecordVersion;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,9 +10,13 @@
 
 /** Records as nodes of three zones would write them: front servers that call parcel servers, in each zone. */
 final class Observed {
-    static final Terms TERMS = Terms.of(
+    static final ForecastSettings TERMS = ForecastSettings.of(
             List.of("front", "parcel"),
-            Map.of("view", new Terms.ClassTerms(8000, true), "file", new Terms.ClassTerms(7500, false)));
+            Map.of(
+                    "view",
+                    new ForecastSettings.ClassTerms(8000, true),
+                    "file",
+                    new ForecastSettings.ClassTerms(7500, false)));
     static final List<String> ZONES = List.of("a", "b", "c");
 
     /** First tries a second of each zone, evenly over its two nodes. */
@@ -71,8 +75,8 @@
                     zone,
                     new PoolName(tier, zone, "std"),
                     c,
-                    new Version(1, sequence),
-                    new PoolSeen(
+                    new RecordVersion(1, sequence),
+                    new PoolObservation(
                             mine,
                             mine,
                             0,
@@ -95,8 +99,8 @@
     }
 
     /** A model that has seen so many seconds of it. */
-    Model learnt(int seconds) {
-        Model m = new Model(TERMS);
+    PoolModel learnt(int seconds) {
+        PoolModel m = new PoolModel(TERMS);
         m.expect(nodes());
         for (int i = 0; i < seconds; i++) {
             m.take(1000.0 * i, 0, records());
--- a/fleet/src/test/java/brackenbridge/fleet/node/StaffPageTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/AdminHttpServerTest.java
@@ -21,24 +21,24 @@
 import org.junit.jupiter.api.Test;
 
 /** Staff's commands reach the room they name, and what it says decides the exit status. */
-class StaffPageTest {
+class AdminHttpServerTest {
     private final PrintStream out = System.out;
     private final PrintStream err = System.err;
     private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private StaffPage page;
+    private AdminHttpServer page;
 
     @BeforeEach
     void open() throws Exception {
         PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         metrics.counter("fleet.tests", "kind", "page").increment(3);
-        page = new StaffPage(
+        page = new AdminHttpServer(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 metrics,
                 Map.of("state", (words, body, json) -> {
                     if (words.get(0).equals("fault")) {
                         throw new IllegalStateException("broken");
                     }
-                    return new StaffPage.Answer(!words.get(0).equals("no"), words + " " + json);
+                    return new AdminHttpServer.Answer(!words.get(0).equals("no"), words + " " + json);
                 }));
         System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
         System.setErr(System.out);
--- a/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
@@ -4,7 +4,7 @@
 
 import brackenbridge.core.observe.Observer;
 import brackenbridge.core.observe.Observer.Key;
-import brackenbridge.fleet.evacuation.PoolSeen;
+import brackenbridge.fleet.evacuation.PoolObservation;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
@@ -16,7 +16,7 @@
     private final PoolReports reports = new PoolReports("tier-0", 4, 0.3, 8500);
     private double now = 1_000_000;
 
-    private Map<String, PoolSeen> second(int toA, int toB, double ms, int refused) {
+    private Map<String, PoolObservation> second(int toA, int toB, double ms, int refused) {
         for (int i = 0; i < toA; i++) {
             observer.sent(A, true);
             observer.ended(A, true, true, ms);
@@ -35,9 +35,9 @@
     @Test
     void ratesTimesAndServersOfEachPool() {
         second(0, 0, 0, 0);
-        Map<String, PoolSeen> all = second(40, 20, 50, 10);
-        PoolSeen a = all.get("tier-0/a/w1.0/view");
-        PoolSeen b = all.get("tier-0/b/w2.0/view");
+        Map<String, PoolObservation> all = second(40, 20, 50, 10);
+        PoolObservation a = all.get("tier-0/a/w1.0/view");
+        PoolObservation b = all.get("tier-0/b/w2.0/view");
         assertEquals(40, a.arrivals(), 1e-9);
         assertEquals(2, a.busy(), 1e-9, "forty calls of 50 ms in a second");
         assertEquals(50, a.latencyMs(), 1e-9);
@@ -57,7 +57,7 @@
         for (int i = 0; i < 12; i++) {
             second(50, 0, 200, 0);
         }
-        PoolSeen a = second(50, 0, 200, 0).get("tier-0/a/w1.0/view");
+        PoolObservation a = second(50, 0, 200, 0).get("tier-0/a/w1.0/view");
         assertEquals(20, a.serviceMs(), 0.5);
         assertEquals(200, a.latencyMs(), 1e-9, "the fast second is out of the window");
     }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/DetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
@@ -10,14 +10,14 @@
 import java.util.function.BiPredicate;
 import org.junit.jupiter.api.Test;
 
-class DetectorTest {
+class FailureDetectorTest {
     private static final PeerLimits LIMITS = PeerLimits.standard();
 
     /** Members that exchange beats over simulated lines; one seed gives one history. */
     private static final class World {
         final int size;
         final Random random;
-        final Detector[] members;
+        final FailureDetector[] members;
         final long[] lives;
         final double[] stoppedUntil;
         final double[] offset;
@@ -32,7 +32,7 @@
         BiPredicate<Integer, Integer> cut = (from, to) -> false;
         long order;
 
-        record Seen(int by, int of, Standing standing, double at) {}
+        record Seen(int by, int of, MemberStatus standing, double at) {}
 
         record Event(double at, long order, Runnable work) implements Comparable<Event> {
             @Override
@@ -44,7 +44,7 @@
         World(int size, long seed) {
             this.size = size;
             random = new Random(seed);
-            members = new Detector[size];
+            members = new FailureDetector[size];
             lives = new long[size];
             stoppedUntil = new double[size];
             offset = new double[size];
@@ -64,7 +64,7 @@
         void begin(int i, long life) {
             lives[i] = life;
             offset[i] = random.nextDouble() * 1e6;
-            Detector d = new Detector(names.get(i), life, instance(i, life), LIMITS, random.nextLong());
+            FailureDetector d = new FailureDetector(names.get(i), life, instance(i, life), LIMITS, random.nextLong());
             d.update(names);
             members[i] = d;
             in(random.nextDouble() * LIMITS.beatMs(), () -> tick(i, d));
@@ -89,7 +89,7 @@
             events.add(new Event(now + ms, order++, work));
         }
 
-        void tick(int i, Detector d) {
+        void tick(int i, FailureDetector d) {
             if (members[i] != d) {
                 return;
             }
@@ -102,19 +102,19 @@
             in(LIMITS.beatMs(), () -> tick(i, d));
         }
 
-        void send(int i, List<Detector.Out> out) {
-            for (Detector.Out o : out) {
+        void send(int i, List<FailureDetector.Out> out) {
+            for (FailureDetector.Out o : out) {
                 int j = names.indexOf(o.to());
                 if (random.nextDouble() >= loss && !cut.test(i, j)) {
                     byte[] wire = o.beat().bytes();
                     long life = lives[i];
-                    Detector target = members[j];
+                    FailureDetector target = members[j];
                     in(delayMs * (0.5 + random.nextDouble()), () -> take(j, target, i, life, wire));
                 }
             }
         }
 
-        void take(int j, Detector target, int from, long life, byte[] wire) {
+        void take(int j, FailureDetector target, int from, long life, byte[] wire) {
             if (members[j] != target) {
                 return;
             }
@@ -123,7 +123,7 @@
                 return;
             }
             try {
-                send(j, target.took(local(j), names.get(from), life, instance(from, life), Beat.of(wire)));
+                send(j, target.took(local(j), names.get(from), life, instance(from, life), SwimMessage.of(wire)));
             } catch (WireException e) {
                 throw new AssertionError(e);
             }
@@ -131,7 +131,7 @@
         }
 
         void note(int i) {
-            for (Detector.Change c : members[i].changes()) {
+            for (FailureDetector.Change c : members[i].changes()) {
                 seen.add(new Seen(i, names.indexOf(c.peer()), c.standing(), now));
             }
         }
@@ -155,11 +155,11 @@
             now = until;
         }
 
-        long count(Standing standing) {
+        long count(MemberStatus standing) {
             return seen.stream().filter(s -> s.standing() == standing).count();
         }
 
-        void awaitAll(int of, Standing standing) {
+        void awaitAll(int of, MemberStatus standing) {
             for (int i = 0; i < size; i++) {
                 if (i != of && members[i] != null) {
                     assertEquals(standing, members[i].standing(names.get(of)), names.get(i) + " of " + names.get(of));
@@ -179,12 +179,12 @@
             double died = w.now;
             w.end(0);
             w.run(2 * LIMITS.goneMs() + 3 * LIMITS.beatMs());
-            w.awaitAll(0, Standing.GONE);
+            w.awaitAll(0, MemberStatus.GONE);
             for (World.Seen s : w.seen) {
-                if (s.standing() == Standing.GONE) {
+                if (s.standing() == MemberStatus.GONE) {
                     assertEquals(0, s.of(), "a live one is gone, seed " + seed);
                     took.add(s.at() - died);
-                } else if (s.standing() == Standing.SUSPECT && s.of() != 0) {
+                } else if (s.standing() == MemberStatus.SUSPECT && s.of() != 0) {
                     wrong++;
                 }
             }
@@ -210,8 +210,8 @@
             int friend = 1 + (int) (seed % (w.size - 1));
             w.cut = (from, to) -> from == 0 && to != friend || to == 0 && from != friend;
             w.run(20_000);
-            w.awaitAll(0, Standing.ALIVE);
-            assertEquals(0, w.count(Standing.GONE), "seed " + seed);
+            w.awaitAll(0, MemberStatus.ALIVE);
+            assertEquals(0, w.count(MemberStatus.GONE), "seed " + seed);
         }
     }
 
@@ -225,9 +225,9 @@
             assertTrue(w.members[0].deafMs("n1") > 9000, "n0 knows that n1 does not hear it");
             assertEquals(1, w.members[0].oneWay());
             assertEquals(0, w.members[1].deafMs("n0"));
-            assertEquals(Standing.ALIVE, w.members[1].standing("n0"));
-            assertEquals(Standing.ALIVE, w.members[0].standing("n1"));
-            assertEquals(0, w.count(Standing.GONE));
+            assertEquals(MemberStatus.ALIVE, w.members[1].standing("n0"));
+            assertEquals(MemberStatus.ALIVE, w.members[0].standing("n1"));
+            assertEquals(0, w.count(MemberStatus.GONE));
             w.cut = (from, to) -> false;
             w.run(1000);
             assertEquals(0, w.members[0].oneWay());
@@ -241,7 +241,7 @@
             w.delayMs = 250;
             w.loss = 0.3;
             w.run(60_000);
-            assertEquals(0, w.count(Standing.GONE), "seed " + seed);
+            assertEquals(0, w.count(MemberStatus.GONE), "seed " + seed);
         }
     }
 
@@ -252,12 +252,12 @@
             w.run(3000);
             w.stoppedUntil[0] = w.now + 10_000 + seed * 50;
             w.run(9_900);
-            w.awaitAll(0, Standing.GONE);
+            w.awaitAll(0, MemberStatus.GONE);
             w.run(8_000);
             for (World.Seen s : w.seen) {
-                assertTrue(s.by() != 0 || s.standing() == Standing.ALIVE, "it doubts others: " + s);
+                assertTrue(s.by() != 0 || s.standing() == MemberStatus.ALIVE, "it doubts others: " + s);
             }
-            w.awaitAll(0, Standing.ALIVE);
+            w.awaitAll(0, MemberStatus.ALIVE);
             assertTrue(w.members[0].refutations() > 0);
             assertTrue(w.members[0].lateTicks() > 0);
         }
@@ -273,9 +273,9 @@
         double died = w.now;
         w.end(0);
         w.run(LIMITS.goneMs() + 3 * LIMITS.beatMs());
-        assertEquals(Standing.GONE, w.members[1].standing("n0"), "by " + (w.now - died));
+        assertEquals(MemberStatus.GONE, w.members[1].standing("n0"), "by " + (w.now - died));
         w.run(10_000);
-        assertEquals(Standing.GONE, w.members[1].standing("n0"));
+        assertEquals(MemberStatus.GONE, w.members[1].standing("n0"));
     }
 
     @Test
@@ -285,10 +285,10 @@
             w.run(2000);
             w.cut = (from, to) -> from < 3 != to < 3;
             w.run(12_000);
-            assertEquals(3, w.members[0].count(Standing.GONE));
+            assertEquals(3, w.members[0].count(MemberStatus.GONE));
             w.cut = (from, to) -> false;
             w.run(2000);
-            assertEquals(5, w.members[0].count(Standing.ALIVE));
+            assertEquals(5, w.members[0].count(MemberStatus.ALIVE));
             w.end(2);
             w.run(10_000);
             w.begin(2, 2);
@@ -296,7 +296,7 @@
             w.link(2, 4);
             w.link(4, 2);
             w.run(2000);
-            w.awaitAll(2, Standing.ALIVE);
+            w.awaitAll(2, MemberStatus.ALIVE);
             assertEquals(2, w.members[0].lifeOf("n2"));
         }
     }
@@ -306,10 +306,10 @@
         World w = new World(4, 1);
         w.run(2000);
         // n3 lives on at n0 and n1; a copy of it, of the same life, has linked with n2 only.
-        w.members[2] = new Detector("n2", 2, World.instance(2, 2), LIMITS, 9);
+        w.members[2] = new FailureDetector("n2", 2, World.instance(2, 2), LIMITS, 9);
         w.members[2].update(w.names);
         w.lives[2] = 2;
-        Detector d = w.members[2];
+        FailureDetector d = w.members[2];
         w.in(1, () -> w.tick(2, d));
         for (int i = 0; i < 2; i++) {
             w.link(2, i);
@@ -317,35 +317,35 @@
         }
         d.linked(w.local(2), w.local(2), "n3", 1, 4711);
         w.run(2000);
-        List<Detector.Conflict> told = w.members[0].conflicts();
+        List<FailureDetector.Conflict> told = w.members[0].conflicts();
         assertEquals(1, told.size(), "once: " + told);
         assertEquals("n3", told.get(0).name());
         assertEquals("n3", w.members[3].conflicts().get(0).name(), "the first process is told itself");
     }
 
     /** What a peer tells of this member itself, to one that has run for a second. */
-    private static Detector toldOfItself(long life, Standing standing, double ageMs) {
-        Detector d = new Detector("a", 5, 1, LIMITS, 1);
+    private static FailureDetector toldOfItself(long life, MemberStatus standing, double ageMs) {
+        FailureDetector d = new FailureDetector("a", 5, 1, LIMITS, 1);
         d.update(List.of("b"));
         d.linked(0, 0, "b", 1, 2);
         d.tick(1000);
-        Beat.Entry e = new Beat.Entry("a", life, 77, 0, standing, false, ageMs);
-        d.took(1000, "b", 1, 2, new Beat(0, 1, 0, 990, 0, List.of(e), List.of()));
+        SwimMessage.Entry e = new SwimMessage.Entry("a", life, 77, 0, standing, false, ageMs);
+        d.took(1000, "b", 1, 2, new SwimMessage(0, 1, 0, 990, 0, List.of(e), List.of()));
         return d;
     }
 
     @Test
     void laterLifeOfItselfIsItsPastIfItEndedBeforeThisProcessBegan() {
-        assertEquals(9, toldOfItself(9, Standing.GONE, -1).pastLife());
-        assertEquals(9, toldOfItself(9, Standing.SUSPECT, 2000).pastLife());
-        assertEquals(5, toldOfItself(5, Standing.ALIVE, 2000).pastLife());
-        assertEquals(Long.MIN_VALUE, toldOfItself(4, Standing.GONE, 2000).pastLife());
+        assertEquals(9, toldOfItself(9, MemberStatus.GONE, -1).pastLife());
+        assertEquals(9, toldOfItself(9, MemberStatus.SUSPECT, 2000).pastLife());
+        assertEquals(5, toldOfItself(5, MemberStatus.ALIVE, 2000).pastLife());
+        assertEquals(Long.MIN_VALUE, toldOfItself(4, MemberStatus.GONE, 2000).pastLife());
         for (double ageMs : new double[] {-1, 500}) {
-            Detector second = toldOfItself(9, Standing.ALIVE, ageMs);
+            FailureDetector second = toldOfItself(9, MemberStatus.ALIVE, ageMs);
             assertEquals(Long.MIN_VALUE, second.pastLife(), "it lives beside this one, age " + ageMs);
             assertEquals(1, second.conflicts().size());
         }
-        Detector renewed = toldOfItself(9, Standing.GONE, -1);
+        FailureDetector renewed = toldOfItself(9, MemberStatus.GONE, -1);
         renewed.renew(10);
         assertEquals(Long.MIN_VALUE, renewed.pastLife());
         assertTrue(renewed.conflicts().isEmpty());
@@ -353,19 +353,19 @@
 
     @Test
     void goneEndsByAGreaterIncarnationOnly() {
-        Detector d = new Detector("a", 1, 1, LIMITS, 1);
+        FailureDetector d = new FailureDetector("a", 1, 1, LIMITS, 1);
         d.update(List.of("b"));
         d.linked(0, 0, "b", 1, 2);
         int sent = 0;
         double now = 0;
-        while (d.standing("b") != Standing.GONE) {
+        while (d.standing("b") != MemberStatus.GONE) {
             now += LIMITS.beatMs();
             sent = d.tick(now).get(0).beat().sequence();
         }
         assertEquals(LIMITS.goneMs(), now, LIMITS.beatMs());
-        d.took(now + 10, "b", 1, 2, new Beat(0, 1, sent, 5, 0, List.of(), List.of()));
-        assertEquals(Standing.GONE, d.standing("b"), "it does not know yet that it was held gone");
-        d.took(now + 20, "b", 1, 2, new Beat(0, 2, sent, 15, 1, List.of(), List.of()));
-        assertEquals(Standing.ALIVE, d.standing("b"));
+        d.took(now + 10, "b", 1, 2, new SwimMessage(0, 1, sent, 5, 0, List.of(), List.of()));
+        assertEquals(MemberStatus.GONE, d.standing("b"), "it does not know yet that it was held gone");
+        d.took(now + 20, "b", 1, 2, new SwimMessage(0, 2, sent, 15, 1, List.of(), List.of()));
+        assertEquals(MemberStatus.ALIVE, d.standing("b"));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
@@ -15,36 +15,48 @@
     private static final byte[] CONTENT = {0, 1, 127, -128, -1};
     private static final int LONGEST = 1024;
     /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static final List<Standing> STANDINGS =
-            List.of(Standing.UNKNOWN, Standing.ALIVE, Standing.SUSPECT, Standing.GONE);
+    private static final List<MemberStatus> STANDINGS =
+            List.of(MemberStatus.UNKNOWN, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.GONE);
 
-    private static final List<Refusal> REFUSALS = List.of(
-            Refusal.UNREADABLE,
-            Refusal.VERSION,
-            Refusal.ANOTHER_FLEET,
-            Refusal.NOT_THE_ONE,
-            Refusal.UNKNOWN_MEMBER,
-            Refusal.OLD_LIFE,
-            Refusal.DUPLICATE,
-            Refusal.LINKED,
-            Refusal.CLOSING);
-    private static final List<Stream> STREAMS =
-            List.of(Stream.LIVENESS, Stream.AGREED, Stream.REPLICA, Stream.SHARE, Stream.EVACUATION, Stream.CONTROL);
+    private static final List<HandshakeRejection> REFUSALS = List.of(
+            HandshakeRejection.UNREADABLE,
+            HandshakeRejection.VERSION,
+            HandshakeRejection.ANOTHER_FLEET,
+            HandshakeRejection.NOT_THE_ONE,
+            HandshakeRejection.UNKNOWN_MEMBER,
+            HandshakeRejection.OLD_LIFE,
+            HandshakeRejection.DUPLICATE,
+            HandshakeRejection.LINKED,
+            HandshakeRejection.CLOSING);
+    private static final List<MessageStream> STREAMS = List.of(
+            MessageStream.LIVENESS,
+            MessageStream.AGREED,
+            MessageStream.REPLICA,
+            MessageStream.SHARE,
+            MessageStream.EVACUATION,
+            MessageStream.CONTROL);
 
     @Test
     void beats() throws IOException {
-        assertEquals(Standing.values().length, STANDINGS.size());
-        List<Beat.Entry> entries = new ArrayList<>();
-        for (Standing standing : STANDINGS) {
-            entries.add(new Beat.Entry("n" + entries.size(), 1_700_000_000_001L, -9, 3, standing, false, 1500.5));
+        assertEquals(MemberStatus.values().length, STANDINGS.size());
+        List<SwimMessage.Entry> entries = new ArrayList<>();
+        for (MemberStatus standing : STANDINGS) {
+            entries.add(
+                    new SwimMessage.Entry("n" + entries.size(), 1_700_000_000_001L, -9, 3, standing, false, 1500.5));
         }
-        entries.add(new Beat.Entry("n9", 4, 5, 6, Standing.GONE, true, -1));
-        Beat all =
-                new Beat(Beat.NOW | Beat.ANSWER | Beat.FAREWELL, 70_000, 69_999, 12.5, 3, entries, List.of("n3", "n4"));
-        GoldenFiles.check("peer/beat", all, Beat::bytes, Beat::of);
-        for (int flag : List.of(Beat.NOW, Beat.ANSWER, Beat.FAREWELL)) {
-            Beat flagged = new Beat(flag, 1, 0, 0, 0, List.of(), List.of());
-            GoldenFiles.check("peer/beat-flag-" + flag, flagged, Beat::bytes, Beat::of);
+        entries.add(new SwimMessage.Entry("n9", 4, 5, 6, MemberStatus.GONE, true, -1));
+        SwimMessage all = new SwimMessage(
+                SwimMessage.NOW | SwimMessage.ANSWER | SwimMessage.FAREWELL,
+                70_000,
+                69_999,
+                12.5,
+                3,
+                entries,
+                List.of("n3", "n4"));
+        GoldenFiles.check("peer/beat", all, SwimMessage::bytes, SwimMessage::of);
+        for (int flag : List.of(SwimMessage.NOW, SwimMessage.ANSWER, SwimMessage.FAREWELL)) {
+            SwimMessage flagged = new SwimMessage(flag, 1, 0, 0, 0, List.of(), List.of());
+            GoldenFiles.check("peer/beat-flag-" + flag, flagged, SwimMessage::bytes, SwimMessage::of);
         }
     }
 
@@ -53,7 +65,7 @@
         check("hello", hello(false));
         check("welcome", hello(true));
         check("ready", new Handshake.Ready());
-        assertEquals(Refusal.values().length, REFUSALS.size());
+        assertEquals(HandshakeRejection.values().length, REFUSALS.size());
         for (int i = 0; i < REFUSALS.size(); i++) {
             check("refuse-" + i, new Handshake.Refuse(REFUSALS.get(i), 70_000, "n1 has begun a later life"));
         }
@@ -73,18 +85,18 @@
 
     @Test
     void aFrameOfEachStream() throws IOException {
-        assertEquals(Stream.values().length, STREAMS.size());
+        assertEquals(MessageStream.values().length, STREAMS.size());
         for (int i = 0; i < STREAMS.size(); i++) {
             GoldenFiles.check(
                     "peer/frame-" + i,
-                    new Frames.Frame(STREAMS.get(i), CONTENT),
+                    new FrameCodec.Frame(STREAMS.get(i), CONTENT),
                     GoldenFormsTest::written,
-                    form -> Frames.read(new ByteArrayInputStream(form), LONGEST));
+                    form -> FrameCodec.read(new ByteArrayInputStream(form), LONGEST));
         }
     }
 
-    private static byte[] written(Frames.Frame frame) {
-        byte[] head = Frames.head(frame.stream(), frame.body());
+    private static byte[] written(FrameCodec.Frame frame) {
+        byte[] head = FrameCodec.head(frame.stream(), frame.body());
         return ByteBuffer.allocate(head.length + frame.body().length)
                 .put(head)
                 .put(frame.body())
--- a/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
@@ -12,7 +12,7 @@
 /** What a full mesh of members in one process costs at rest, and how soon one that ends is found. Not a test. */
 final class MeshCost {
     private final Clock clock = Clock.system();
-    private final List<TcpLinks> all = new ArrayList<>();
+    private final List<TcpPeerLinks> all = new ArrayList<>();
     private final Map<String, Double> gone = new ConcurrentHashMap<>();
 
     private MeshCost() {}
@@ -23,11 +23,11 @@
         System.exit(0);
     }
 
-    private TcpLinks begin(int i, long life) throws Exception {
-        TcpLinks links = new TcpLinks(
+    private TcpPeerLinks begin(int i, long life) throws Exception {
+        TcpPeerLinks links = new TcpPeerLinks(
                 new Member("node-" + i, "127.0.0.1:0", "zone"), life, "fleet", List.of(), clock, PeerLimits.standard());
         links.watch((peer, standing, its) -> {
-            if (standing == Standing.GONE) {
+            if (standing == MemberStatus.GONE) {
                 gone.put(links.me().name() + " " + peer + " " + its, clock.nowMs());
             }
         });
@@ -36,7 +36,7 @@
     }
 
     private void meet() {
-        List<Member> members = all.stream().map(TcpLinks::me).toList();
+        List<Member> members = all.stream().map(TcpPeerLinks::me).toList();
         all.forEach(l -> l.update(members));
         Awaitility.await()
                 .atMost(java.time.Duration.ofMinutes(1))
@@ -78,7 +78,7 @@
                 (system.getProcessCpuTime() - cpu) / 1e7 / passed / members);
         List<Double> took = new ArrayList<>();
         for (int d = 0; d < deaths; d++) {
-            TcpLinks victim = all.remove(d % members);
+            TcpPeerLinks victim = all.remove(d % members);
             double died = clock.nowMs();
             victim.halt();
             String key = " " + victim.me().name() + " " + victim.life();
@@ -99,6 +99,6 @@
                     sum("suspicions_false"),
                     sorted.length);
         }
-        all.forEach(TcpLinks::close);
+        all.forEach(TcpPeerLinks::close);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
@@ -9,13 +9,13 @@
 
 /** A member as a process of its own: tells its address and each standing; its members come line by line. */
 final class PeerProcess {
-    static final PeerLimits LIMITS = TcpLinksTest.QUICK.beating(50, 400, 1200);
+    static final PeerLimits LIMITS = TcpPeerLinksTest.QUICK.beating(50, 400, 1200);
 
     private PeerProcess() {}
 
     /** Name and life. Each line on standard input is the whole list of members: name=address, in between blanks. */
     public static void main(String[] args) throws IOException {
-        TcpLinks links = new TcpLinks(
+        TcpPeerLinks links = new TcpPeerLinks(
                 new Member(args[0], "127.0.0.1:0", "z"),
                 Long.parseLong(args[1]),
                 "f",
--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class TcpLinksTest {
+class TcpPeerLinksTest {
     static final PeerLimits QUICK = new PeerLimits(64 << 10, 256 << 10, 64, 20, 150, 500, 400, 10, 100, 4, 3);
 
     /** Waits longer than the other side, so that the other side is the one that closes. */
@@ -27,7 +27,7 @@
     /** A busy machine does not break a link by itself. */
     static final PeerLimits CALM = QUICK.beating(20, 300, 1500);
 
-    private final List<TcpLinks> open = new ArrayList<>();
+    private final List<TcpPeerLinks> open = new ArrayList<>();
     private final List<Relay> relays = new CopyOnWriteArrayList<>();
     private final Queue<String> heard = new ConcurrentLinkedQueue<>();
     private final Queue<String> alarms = new ConcurrentLinkedQueue<>();
@@ -37,8 +37,8 @@
         for (Relay relay : relays) {
             relay.close();
         }
-        open.forEach(TcpLinks::close);
-        for (TcpLinks links : open) {
+        open.forEach(TcpPeerLinks::close);
+        for (TcpPeerLinks links : open) {
             assertEquals(
                     0,
                     links.figures().get("threads"),
@@ -46,11 +46,12 @@
         }
     }
 
-    private TcpLinks links(String name, long life, String fleet, PeerLimits limits) throws Exception {
-        TcpLinks links =
-                new TcpLinks(new Member(name, "127.0.0.1:0", "z"), life, fleet, List.of(), Clock.system(), limits);
+    private TcpPeerLinks links(String name, long life, String fleet, PeerLimits limits) throws Exception {
+        TcpPeerLinks links =
+                new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), life, fleet, List.of(), Clock.system(), limits);
         open.add(links);
-        links.receive(Stream.REPLICA, (peer, from, body) -> heard.add(name + "<" + peer + from + new String(body)));
+        links.receive(
+                MessageStream.REPLICA, (peer, from, body) -> heard.add(name + "<" + peer + from + new String(body)));
         links.alarm((who, why, text) -> alarms.add(name + ":" + who + ":" + why));
         links.start();
         return links;
@@ -65,7 +66,7 @@
         volatile boolean holdToDialler;
         volatile boolean spoil;
 
-        Relay(TcpLinks listener) throws IOException {
+        Relay(TcpPeerLinks listener) throws IOException {
             String address = listener.me().address();
             target = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             relays.add(this);
@@ -80,7 +81,7 @@
             });
         }
 
-        Member stands(TcpLinks listener) {
+        Member stands(TcpPeerLinks listener) {
             return new Member(listener.me().name(), "127.0.0.1:" + door.getLocalPort(), "z");
         }
 
@@ -141,12 +142,12 @@
         thread.start();
     }
 
-    private static double figure(TcpLinks links, String name) {
+    private static double figure(TcpPeerLinks links, String name) {
         return links.figures().getOrDefault(name, 0.0);
     }
 
     /** a and b, whose link goes through the relay only: b does not know where a is. */
-    private Relay through(TcpLinks a, TcpLinks b) throws IOException {
+    private Relay through(TcpPeerLinks a, TcpPeerLinks b) throws IOException {
         Relay relay = new Relay(b);
         b.update(List.of(new Member(a.me().name(), "127.0.0.1:1", "z")));
         a.update(List.of(relay.stands(b)));
@@ -154,52 +155,52 @@
         return relay;
     }
 
-    private static void meet(TcpLinks... all) {
+    private static void meet(TcpPeerLinks... all) {
         List<Member> members = new ArrayList<>();
-        for (TcpLinks links : all) {
+        for (TcpPeerLinks links : all) {
             members.add(links.me());
         }
-        for (TcpLinks links : all) {
+        for (TcpPeerLinks links : all) {
             links.update(members);
         }
     }
 
-    private static void awaitLinks(int each, TcpLinks... all) {
-        for (TcpLinks links : all) {
+    private static void awaitLinks(int each, TcpPeerLinks... all) {
+        for (TcpPeerLinks links : all) {
             await().until(() -> links.links().size() == each);
         }
     }
 
     @Test
     void threeMembersLinkSpeakAndSayFarewell() throws Exception {
-        TcpLinks a = links("a", 1, "f", QUICK);
-        TcpLinks b = links("b", 7, "f", QUICK);
-        TcpLinks c = links("c", 1, "f", QUICK);
+        TcpPeerLinks a = links("a", 1, "f", QUICK);
+        TcpPeerLinks b = links("b", 7, "f", QUICK);
+        TcpPeerLinks c = links("c", 1, "f", QUICK);
         meet(a, b, c);
         awaitLinks(2, a, b, c);
-        assertEquals(Standing.ALIVE, a.standing("b"));
-        assertTrue(b.send("a", Stream.REPLICA, "x".getBytes()));
-        assertTrue(b.send("c", Stream.REPLICA, "y".getBytes()));
+        assertEquals(MemberStatus.ALIVE, a.standing("b"));
+        assertTrue(b.send("a", MessageStream.REPLICA, "x".getBytes()));
+        assertTrue(b.send("c", MessageStream.REPLICA, "y".getBytes()));
         await().until(() -> heard.contains("a<b7x") && heard.contains("c<b7y"));
         b.close();
-        await().until(() -> a.standing("b") == Standing.GONE && c.standing("b") == Standing.GONE);
-        assertFalse(a.send("b", Stream.REPLICA, "z".getBytes()));
+        await().until(() -> a.standing("b") == MemberStatus.GONE && c.standing("b") == MemberStatus.GONE);
+        assertFalse(a.send("b", MessageStream.REPLICA, "z".getBytes()));
         assertEquals(0, a.figures().get("deaths"), "a farewell is no death");
         assertEquals(0, b.figures().get("threads"));
-        TcpLinks again = links("b", 8, "f", QUICK);
+        TcpPeerLinks again = links("b", 8, "f", QUICK);
         meet(a, again, c);
-        await().until(() -> a.standing("b") == Standing.ALIVE && c.standing("b") == Standing.ALIVE);
+        await().until(() -> a.standing("b") == MemberStatus.ALIVE && c.standing("b") == MemberStatus.ALIVE);
         assertTrue(alarms.isEmpty(), alarms::toString);
     }
 
     @Test
     void wrongOnesAreRefusedOnBothSidesAndAllAreTold() throws Exception {
-        TcpLinks a = links("a", 5, "f", QUICK);
-        TcpLinks b = links("b", 1, "g", QUICK);
+        TcpPeerLinks a = links("a", 5, "f", QUICK);
+        TcpPeerLinks b = links("b", 1, "g", QUICK);
         meet(a, b);
         await().until(() -> figure(a, "refused_another_fleet") > 0 && figure(b, "refused_by_another_fleet") > 0);
         assertTrue(alarms.contains("b:a:ANOTHER_FLEET"), alarms::toString);
-        TcpLinks c = links("c", 1, "f", QUICK);
+        TcpPeerLinks c = links("c", 1, "f", QUICK);
         c.update(List.of(a.me()));
         await().until(() -> figure(a, "refused_unknown_member") > 0);
         // d is listed at the address that a has now.
@@ -210,66 +211,66 @@
 
     @Test
     void laterLifeReplacesTheEarlier() throws Exception {
-        TcpLinks a = links("a", 1, "f", QUICK);
-        TcpLinks b = links("b", 5, "f", QUICK);
+        TcpPeerLinks a = links("a", 1, "f", QUICK);
+        TcpPeerLinks b = links("b", 5, "f", QUICK);
         meet(a, b);
         awaitLinks(1, a, b);
         b.halt();
-        TcpLinks later = links("b", 6, "f", QUICK);
+        TcpPeerLinks later = links("b", 6, "f", QUICK);
         meet(a, later);
         awaitLinks(1, a, later);
-        assertTrue(later.send("a", Stream.REPLICA, "x".getBytes()));
+        assertTrue(later.send("a", MessageStream.REPLICA, "x".getBytes()));
         await().until(() -> heard.contains("a<b6x"));
     }
 
     @Test
     void earlierProcessThatWasLinkedIsRefusedOnceALaterOneIsKnown() throws Exception {
-        TcpLinks a = links("a", 1, "f", QUICK);
-        TcpLinks earlier = links("b", 4, "f", QUICK);
+        TcpPeerLinks a = links("a", 1, "f", QUICK);
+        TcpPeerLinks earlier = links("b", 4, "f", QUICK);
         meet(a, earlier);
         awaitLinks(1, a, earlier);
         earlier.update(List.of());
         awaitLinks(0, a, earlier);
-        TcpLinks later = links("b", 6, "f", QUICK);
+        TcpPeerLinks later = links("b", 6, "f", QUICK);
         meet(a, later);
         awaitLinks(1, a, later);
         earlier.update(List.of(a.me()));
         await().until(() -> alarms.contains("b:b:OLD_LIFE") && alarms.contains("a:b:OLD_LIFE"));
         assertEquals(4, earlier.life());
         assertTrue(earlier.links().isEmpty());
-        assertTrue(later.send("a", Stream.REPLICA, "x".getBytes()));
+        assertTrue(later.send("a", MessageStream.REPLICA, "x".getBytes()));
         await().until(() -> heard.contains("a<b6x"));
     }
 
     /** Lives begin with the time of day: an hour's step back between two processes of a member. */
     @Test
     void processThatBeganUnderAnEarlierTimeOfDayOutlivesItsOwnPast() throws Exception {
-        TcpLinks a = links("a", 1, "f", QUICK);
-        TcpLinks before = links("b", 3_600_000, "f", QUICK);
+        TcpPeerLinks a = links("a", 1, "f", QUICK);
+        TcpPeerLinks before = links("b", 3_600_000, "f", QUICK);
         meet(a, before);
         awaitLinks(1, a, before);
         before.halt();
-        TcpLinks after = links("b", 1000, "f", QUICK);
+        TcpPeerLinks after = links("b", 1000, "f", QUICK);
         meet(a, after);
         awaitLinks(1, a, after);
-        await().until(() -> after.send("a", Stream.REPLICA, "x".getBytes()));
+        await().until(() -> after.send("a", MessageStream.REPLICA, "x".getBytes()));
         await().until(() -> heard.contains("a<b3600001x"));
         assertEquals(3_600_001, after.life());
-        await().until(() -> a.standing("b") == Standing.ALIVE);
+        await().until(() -> a.standing("b") == MemberStatus.ALIVE);
         assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE")), alarms::toString);
     }
 
     /** c began after the later life had ended, so it links with the earlier number before it hears of the later. */
     @Test
     void pastLifeIsOutlivedThoughOneThatDoesNotKnowItHasLinked() throws Exception {
-        TcpLinks a = links("a", 1, "f", QUICK);
-        TcpLinks before = links("b", 9, "f", QUICK);
+        TcpPeerLinks a = links("a", 1, "f", QUICK);
+        TcpPeerLinks before = links("b", 9, "f", QUICK);
         meet(a, before);
         awaitLinks(1, a, before);
         before.halt();
-        await().until(() -> a.standing("b") == Standing.GONE);
-        TcpLinks after = links("b", 4, "f", QUICK);
-        TcpLinks c = links("c", 1, "f", QUICK);
+        await().until(() -> a.standing("b") == MemberStatus.GONE);
+        TcpPeerLinks after = links("b", 4, "f", QUICK);
+        TcpPeerLinks c = links("c", 1, "f", QUICK);
         c.update(List.of(after.me()));
         after.update(List.of(c.me()));
         awaitLinks(1, after, c);
@@ -277,17 +278,17 @@
         meet(a, after, c);
         awaitLinks(2, a, after, c);
         assertEquals(10, after.life());
-        await().until(() -> a.standing("b") == Standing.ALIVE && c.standing("b") == Standing.ALIVE);
+        await().until(() -> a.standing("b") == MemberStatus.ALIVE && c.standing("b") == MemberStatus.ALIVE);
         assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE")), alarms::toString);
     }
 
     @Test
     void twoProcessesOfOneNameAreFoundAndBothAreTold() throws Exception {
-        TcpLinks a = links("a", 1, "f", QUICK);
-        TcpLinks b = links("b", 5, "f", QUICK);
+        TcpPeerLinks a = links("a", 1, "f", QUICK);
+        TcpPeerLinks b = links("b", 5, "f", QUICK);
         meet(a, b);
         awaitLinks(1, a, b);
-        TcpLinks copy = links("b", 6, "f", QUICK);
+        TcpPeerLinks copy = links("b", 6, "f", QUICK);
         copy.update(List.of(a.me()));
         await().until(() -> alarms.contains("a:b:DUPLICATE"));
         await().until(() ->
@@ -297,37 +298,37 @@
 
     @Test
     void spoiltByteEndsTheConnectionAndNothingSpoiltArrives() throws Exception {
-        TcpLinks a = links("a", 1, "f", CALM);
-        TcpLinks b = links("b", 1, "f", CALM);
+        TcpPeerLinks a = links("a", 1, "f", CALM);
+        TcpPeerLinks b = links("b", 1, "f", CALM);
         Relay relay = through(a, b);
         relay.spoil = true;
         await().until(() -> figure(a, "frames_unreadable") + figure(b, "frames_unreadable") > 0);
-        await().until(() -> a.send("b", Stream.REPLICA, "whole".getBytes()) && !heard.isEmpty());
+        await().until(() -> a.send("b", MessageStream.REPLICA, "whole".getBytes()) && !heard.isEmpty());
         assertTrue(heard.stream().allMatch("b<a1whole"::equals), heard::toString);
         assertEquals(0, figure(a, "deaths") + figure(b, "deaths"));
     }
 
     @Test
     void fullQueueIsAnAnswerAndLineThatTakesNothingIsClosed() throws Exception {
-        TcpLinks a = links("a", 1, "f", CALM);
-        TcpLinks b = links("b", 1, "f", PATIENT);
+        TcpPeerLinks a = links("a", 1, "f", CALM);
+        TcpPeerLinks b = links("b", 1, "f", PATIENT);
         Relay relay = through(a, b);
         relay.hold(true, false);
         byte[] body = new byte[60_000];
-        await().pollInterval(Duration.ofMillis(1)).until(() -> !a.send("b", Stream.REPLICA, body));
-        assertTrue(a.send("b", Stream.SHARE, body), "another stream has its own room");
+        await().pollInterval(Duration.ofMillis(1)).until(() -> !a.send("b", MessageStream.REPLICA, body));
+        assertTrue(a.send("b", MessageStream.SHARE, body), "another stream has its own room");
         assertTrue(figure(a, "unsent_queue_full") > 0);
         await().until(() -> figure(a, "writes_stalled") + figure(a, "one_way_closed") > 0);
         relay.hold(false, false);
         awaitLinks(1, a, b);
-        await().until(() -> a.standing("b") == Standing.ALIVE && b.standing("a") == Standing.ALIVE);
+        await().until(() -> a.standing("b") == MemberStatus.ALIVE && b.standing("a") == MemberStatus.ALIVE);
     }
 
     @Test
     void oneWayLineIsNoDeathAmongThree() throws Exception {
-        TcpLinks a = links("a", 1, "f", CALM);
-        TcpLinks b = links("b", 1, "f", PATIENT);
-        TcpLinks c = links("c", 1, "f", CALM);
+        TcpPeerLinks a = links("a", 1, "f", CALM);
+        TcpPeerLinks b = links("b", 1, "f", PATIENT);
+        TcpPeerLinks c = links("c", 1, "f", CALM);
         Relay relay = new Relay(b);
         b.update(List.of(new Member("a", "127.0.0.1:1", "z"), c.me()));
         a.update(List.of(relay.stands(b), c.me()));
@@ -337,13 +338,13 @@
         await().until(() -> figure(a, "one_way_closed") > 0);
         // b has told where it listens: the next dial goes there, past the broken line.
         await().until(() -> figure(a, "links_made") > 2 && a.linked("b"));
-        assertEquals(Standing.ALIVE, b.standing("a"), "c hears it");
+        assertEquals(MemberStatus.ALIVE, b.standing("a"), "c hears it");
         assertEquals(0, figure(a, "deaths") + figure(b, "deaths") + figure(c, "deaths"));
     }
 
     @Test
     void strangersHoldNoThreadsAndKeepNobodyOut() throws Exception {
-        TcpLinks a = links("a", 1, "f", QUICK);
+        TcpPeerLinks a = links("a", 1, "f", QUICK);
         List<Socket> held = new ArrayList<>();
         String address = a.me().address();
         for (int i = 0; i < 40; i++) {
@@ -352,7 +353,7 @@
         held.get(39).getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
         await().until(() -> figure(a, "strangers_refused") > 0);
         assertTrue(figure(a, "strangers") <= QUICK.strangers());
-        TcpLinks b = links("b", 1, "f", QUICK);
+        TcpPeerLinks b = links("b", 1, "f", QUICK);
         meet(a, b);
         awaitLinks(1, a, b);
         await().until(() -> figure(a, "strangers") == 0);
@@ -363,18 +364,18 @@
 
     @Test
     void crossingDialsLeaveOneConnectionEachTime() throws Exception {
-        List<TcpLinks> all = new ArrayList<>();
+        List<TcpPeerLinks> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             all.add(links("m" + i, 1, "f", QUICK));
         }
-        TcpLinks[] members = all.toArray(new TcpLinks[0]);
+        TcpPeerLinks[] members = all.toArray(new TcpPeerLinks[0]);
         meet(members);
         awaitLinks(7, members);
         await().until(() ->
                 all.stream().allMatch(m -> figure(m, "threads") == 3 + 2 * 7 && figure(m, "peers_alive") == 7));
-        for (TcpLinks from : members) {
-            for (TcpLinks to : members) {
-                assertTrue(from == to || from.send(to.me().name(), Stream.REPLICA, "!".getBytes()));
+        for (TcpPeerLinks from : members) {
+            for (TcpPeerLinks to : members) {
+                assertTrue(from == to || from.send(to.me().name(), MessageStream.REPLICA, "!".getBytes()));
             }
         }
         await().until(() -> heard.size() == 56);
--- a/fleet/src/test/java/brackenbridge/fleet/peer/WireTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
@@ -21,16 +21,16 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class WireFormatTest {
     private static final int MOST = 4096;
     private static final Handshake.Hello HELLO = new Handshake.Hello(false, "fleet", "a", "b", "127.0.0.1:9", 3, 5, 7);
-    private static final Beat BEAT = new Beat(
-            Beat.NOW,
+    private static final SwimMessage BEAT = new SwimMessage(
+            SwimMessage.NOW,
             9,
             8,
             12.5,
             2,
-            List.of(new Beat.Entry("b", 4, 5, 6, Standing.SUSPECT, true, 17)),
+            List.of(new SwimMessage.Entry("b", 4, 5, 6, MemberStatus.SUSPECT, true, 17)),
             List.of("c", "d"));
 
     /** Hands out whole requests and notes the greatest that was asked for at once. */
@@ -70,8 +70,8 @@
         assertTrue(in.greatest <= MOST, "asked for " + in.greatest);
     }
 
-    private static byte[] frame(byte[] body, Stream stream) {
-        byte[] head = Frames.head(stream, body);
+    private static byte[] frame(byte[] body, MessageStream stream) {
+        byte[] head = FrameCodec.head(stream, body);
         byte[] all = Arrays.copyOf(head, head.length + body.length);
         System.arraycopy(body, 0, all, head.length, body.length);
         return all;
@@ -79,9 +79,9 @@
 
     @Property(tries = 2000, seed = "29")
     void anyBytesAreReadOrRefused(@ForAll @Size(max = 200) byte[] bytes) {
-        bounded(bytes, in -> Frames.read(in, MOST));
+        bounded(bytes, in -> FrameCodec.read(in, MOST));
         bounded(bytes, Handshake::read);
-        bounded(bytes, in -> Beat.of(bytes));
+        bounded(bytes, in -> SwimMessage.of(bytes));
     }
 
     @Property(tries = 2000, seed = "29")
@@ -93,62 +93,63 @@
                 .put((byte) (kind & 7))
                 .put((byte) 1)
                 .put((byte) 1);
-        shake.put(fields).putInt(Wire.crc(shake.array(), 0, 9 + fields.length));
+        shake.put(fields).putInt(WireFormat.crc(shake.array(), 0, 9 + fields.length));
         bounded(shake.array(), Handshake::read);
-        ByteBuffer head = ByteBuffer.allocate(Frames.HEAD + fields.length);
+        ByteBuffer head = ByteBuffer.allocate(FrameCodec.HEAD + fields.length);
         head.putInt(length)
                 .put(stream)
                 .putInt(0)
-                .putInt(Wire.crc(head.array(), 0, 9))
+                .putInt(WireFormat.crc(head.array(), 0, 9))
                 .put(fields);
-        bounded(head.array(), in -> Frames.read(in, MOST));
+        bounded(head.array(), in -> FrameCodec.read(in, MOST));
     }
 
     @Property(tries = 1000, seed = "29")
     void oneFlippedBitIsNeverReadAsAMessage(@ForAll @IntRange(max = 1 << 20) int place) {
         byte[] body = BEAT.bytes();
-        byte[] frame = frame(body, Stream.SHARE);
+        byte[] frame = frame(body, MessageStream.SHARE);
         byte[] hello = Handshake.bytes(HELLO);
         frame[place / 8 % frame.length] ^= (byte) (1 << place % 8);
         hello[place / 8 % hello.length] ^= (byte) (1 << place % 8);
-        assertThrows(IOException.class, () -> Frames.read(new ByteArrayInputStream(frame), MOST));
+        assertThrows(IOException.class, () -> FrameCodec.read(new ByteArrayInputStream(frame), MOST));
         assertThrows(IOException.class, () -> Handshake.read(new ByteArrayInputStream(hello)));
     }
 
     @Test
     void whatIsWrittenIsReadBack() throws IOException {
         assertEquals(HELLO, Handshake.read(new ByteArrayInputStream(Handshake.bytes(HELLO))));
-        Handshake.Part no = new Handshake.Refuse(Refusal.OLD_LIFE, 9, "x".repeat(80));
+        Handshake.Part no = new Handshake.Refuse(HandshakeRejection.OLD_LIFE, 9, "x".repeat(80));
         assertEquals(no, Handshake.read(new ByteArrayInputStream(Handshake.bytes(no))));
-        assertEquals(BEAT, Beat.of(BEAT.bytes()));
-        Frames.Frame frame = Frames.read(new ByteArrayInputStream(frame(BEAT.bytes(), Stream.AGREED)), MOST);
-        assertEquals(Stream.AGREED, frame.stream());
+        assertEquals(BEAT, SwimMessage.of(BEAT.bytes()));
+        FrameCodec.Frame frame =
+                FrameCodec.read(new ByteArrayInputStream(frame(BEAT.bytes(), MessageStream.AGREED)), MOST);
+        assertEquals(MessageStream.AGREED, frame.stream());
         assertArrayEquals(BEAT.bytes(), frame.body());
         byte[] later = Handshake.bytes(HELLO);
         later[7] = 2;
         later[8] = 9;
-        ByteBuffer.wrap(later).putInt(later.length - 4, Wire.crc(later, 0, later.length - 4));
+        ByteBuffer.wrap(later).putInt(later.length - 4, WireFormat.crc(later, 0, later.length - 4));
         assertInstanceOf(Handshake.Foreign.class, Handshake.read(new ByteArrayInputStream(later)));
     }
 
     @Test
     void streamsTakeTurnsByBytesAndAreBoundedEach() {
-        Outbox box = new Outbox(1 << 20, 100);
+        SendQueue box = new SendQueue(1 << 20, 100);
         for (int i = 0; i < 100; i++) {
-            box.offer(Stream.SHARE, new byte[100]);
+            box.offer(MessageStream.SHARE, new byte[100]);
         }
-        assertFalse(box.offer(Stream.SHARE, new byte[1]), "a hundred messages");
+        assertFalse(box.offer(MessageStream.SHARE, new byte[1]), "a hundred messages");
         int taken = 0;
-        while (box.offer(Stream.REPLICA, new byte[100_000])) {
+        while (box.offer(MessageStream.REPLICA, new byte[100_000])) {
             taken++;
         }
         assertEquals(10, taken, "bytes");
-        assertTrue(box.offer(Stream.LIVENESS, new byte[1]), "each stream has its own bounds");
-        assertEquals(Stream.LIVENESS, box.poll().stream());
+        assertTrue(box.offer(MessageStream.LIVENESS, new byte[1]), "each stream has its own bounds");
+        assertEquals(MessageStream.LIVENESS, box.poll().stream());
         int share = 0;
         int replica = 0;
         while (share < 100) {
-            if (box.poll().stream() == Stream.SHARE) {
+            if (box.poll().stream() == MessageStream.SHARE) {
                 share++;
             } else {
                 replica++;
@@ -156,7 +157,7 @@
         }
         assertTrue(replica <= 1, "a megabyte before ten kilobytes: " + replica);
         while (replica < 10) {
-            assertEquals(Stream.REPLICA, box.poll().stream());
+            assertEquals(MessageStream.REPLICA, box.poll().stream());
             replica++;
         }
         assertNull(box.poll());
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -24,7 +24,8 @@
 
 /** A disk that fails for a while, a kill between two writes, and a loss of power. */
 class DiskFaultsTest {
-    private static final Terms FAST = new Terms(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
+    private static final ReplicationLimits FAST =
+            new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
 
     /** So many zeros on both sides of a cut are no record's. */
     private static final int FILLING = 64;
@@ -33,39 +34,39 @@
     private Path folder;
 
     private FaultyFiles.Faults faults;
-    private final Store owner = new Store("a", 3, 9, false);
-    private final Store copy = new Store("b", 1, 7, false);
+    private final RecordStore owner = new RecordStore("a", 3, 9, false);
+    private final RecordStore copy = new RecordStore("b", 1, 7, false);
 
     @BeforeEach
     void below() {
         faults = FaultyFiles.below(folder);
     }
 
-    private Disk open() throws IOException {
-        return Disk.open(folder, "fleet", "b", 1, FaultyFiles.SCHEME);
+    private ReplicaDisk open() throws IOException {
+        return ReplicaDisk.open(folder, "fleet", "b", 1, FaultyFiles.SCHEME);
     }
 
     /** The owner writes, and the copy has it. */
     private void written(String value) {
-        owner.put(Space.SERVERS, "h", value.getBytes(UTF_8), 0);
-        owner.add(Space.USED, "k", 1, 0);
+        owner.put(RecordSpace.SERVERS, "h", value.getBytes(UTF_8), 0);
+        owner.add(RecordSpace.USED, "k", 1, 0);
         copy.took(owner.since(copy.want("a", 3), 1 << 20), 0);
     }
 
-    private void write(Disk d) throws IOException {
-        List<Entry> all = copy.all("a", 3);
+    private void write(ReplicaDisk d) throws IOException {
+        List<ReplicatedRecord> all = copy.all("a", 3);
         d.write(
-                List.of(new Disk.Batch("a", 3, copy.have("a", 3).orElseThrow(), 0, all, List.of())),
+                List.of(new ReplicaDisk.Batch("a", 3, copy.have("a", 3).orElseThrow(), 0, all, List.of())),
                 Map.of(new CatchUp.Of("a", 3), all.size()));
     }
 
     /** How far the copy is that is on the disk now; what is there must be what was written up to there. */
     private long onDisk() throws IOException {
-        try (Disk d = open()) {
-            Store s = new Store("b", d.life(), 8, false);
+        try (ReplicaDisk d = open()) {
+            RecordStore s = new RecordStore("b", d.life(), 8, false);
             d.restore(s);
             long have = s.have("a", 3).orElse(0);
-            assertEquals(have / 2, s.sum(Space.USED, "k"));
+            assertEquals(have / 2, s.sum(RecordSpace.USED, "k"));
             d.breakOff();
             return have;
         }
@@ -74,7 +75,7 @@
     @Test
     void whatWasWrittenOverAFailureIsThereAfterALossOfPower() throws IOException {
         for (Fault fault : Fault.values()) {
-            Disk d = open();
+            ReplicaDisk d = open();
             written("before " + fault);
             write(d);
             written("lost " + fault);
@@ -93,7 +94,7 @@
 
     @Test
     void whatWasReadAfterAFailedSyncIsSyncedAnewByTheNextProcess() throws IOException {
-        Disk d = open();
+        ReplicaDisk d = open();
         written("first");
         write(d);
         written("second");
@@ -102,8 +103,8 @@
         d.breakOff();
         faults.heal();
         // The next process reads the second from memory that was never synced.
-        Disk next = open();
-        Store s = new Store("b", next.life(), 8, false);
+        ReplicaDisk next = open();
+        RecordStore s = new RecordStore("b", next.life(), 8, false);
         next.restore(s);
         assertTrue(next.wantsAll());
         write(next);
@@ -114,7 +115,7 @@
 
     @Test
     void aDiskThatIsFullAtTheStartIsNotPutAside() throws IOException {
-        try (Disk d = open()) {
+        try (ReplicaDisk d = open()) {
             written("first");
             write(d);
         }
@@ -133,7 +134,7 @@
         for (long seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             long acknowledged = onDisk();
-            Disk d = open();
+            ReplicaDisk d = open();
             faults.draw(seed, 0.15);
             for (int i = 0; i < 20; i++) {
                 written(seed + "/" + i);
@@ -189,7 +190,7 @@
     @Test
     void everyLengthOfATornLastWriteLeavesWhatWasWrittenBefore() throws IOException {
         Path file = folder.resolve("replica.mv");
-        Disk d = open();
+        ReplicaDisk d = open();
         written("first");
         write(d);
         byte[] before = Files.readAllBytes(file);
@@ -204,7 +205,7 @@
     @Test
     void everyLengthOfATornFreshFileLeavesTheOldOne() throws IOException {
         Path fresh = folder.resolve("replica.mv.new");
-        Disk d = open();
+        ReplicaDisk d = open();
         written("first");
         write(d);
         d.breakOff();
@@ -226,8 +227,8 @@
             }
             now = w.file().equals(fresh) ? w.onto(now, w.bytes().length) : now;
         }
-        try (Disk next = open()) {
-            Store s = new Store("b", next.life(), 8, false);
+        try (ReplicaDisk next = open()) {
+            RecordStore s = new RecordStore("b", next.life(), 8, false);
             next.restore(s);
             write(next);
         }
@@ -238,7 +239,7 @@
     @Test
     void aKillAtAnyWriteOrSyncLeavesWhatWasAcknowledged() throws IOException {
         for (long at = 0; at < 40; at++) {
-            Disk d = open();
+            ReplicaDisk d = open();
             long acknowledged = copy.have("a", 3).orElse(0);
             faults.killAt(faults.operations() + at, (int) (at * 37 % 4096));
             try {
@@ -254,7 +255,7 @@
             faults.heal();
             assertTrue(onDisk() >= acknowledged, "killed at " + at);
             // The next process goes on with all that the copy holds.
-            Disk next = open();
+            ReplicaDisk next = open();
             next.breakOff();
             write(next);
             next.breakOff();
@@ -265,26 +266,26 @@
     @Test
     void aNodeGoesOnWhileItsDiskFailsAndWritesAllOnceItTakesIt() throws Exception {
         try (Wires wires = new Wires("b")) {
-            Disk d = open();
+            ReplicaDisk d = open();
             ReplicaNode n = new ReplicaNode(wires.end("b", d.life()), d, Clock.system(), FAST);
             n.start();
-            n.put(Space.SERVERS, "h", "1".getBytes(UTF_8));
+            n.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8));
             assertTrue(n.awaitDisk(10_000));
             faults.fail(Fault.SYNC_ERROR);
-            n.put(Space.SERVERS, "h", "2".getBytes(UTF_8));
+            n.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8));
             await().atMost(Duration.ofSeconds(20)).until(() -> !n.figures().onDisk());
             assertFalse(n.awaitDisk(1));
-            n.add(Space.USED, "k", 5);
+            n.add(RecordSpace.USED, "k", 5);
             faults.heal();
             await().atMost(Duration.ofSeconds(20)).until(() -> n.figures().onDisk());
             assertTrue(n.awaitDisk(10_000));
             n.close();
             faults.losePower();
         }
-        try (Disk d = open()) {
-            Store s = new Store("b", d.life(), 8, false);
+        try (ReplicaDisk d = open()) {
+            RecordStore s = new RecordStore("b", d.life(), 8, false);
             d.restore(s);
-            assertEquals(5, s.sum(Space.USED, "k"));
+            assertEquals(5, s.sum(RecordSpace.USED, "k"));
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -22,81 +22,91 @@
     private static final long LIFE = 1_700_000_000_001L;
     private static final double DISK_LIFE = 1_700_000_000_777.0;
     /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static final List<Space> SPACES =
-            List.of(Space.SERVERS, Space.DEMAND, Space.POOLS, Space.NODES, Space.USED, Space.ATTEMPTS);
+    private static final List<RecordSpace> SPACES = List.of(
+            RecordSpace.SERVERS,
+            RecordSpace.DEMAND,
+            RecordSpace.POOLS,
+            RecordSpace.NODES,
+            RecordSpace.USED,
+            RecordSpace.ATTEMPTS);
 
     @TempDir
     Path directory;
 
-    private static Entry entry(Space space, int sequence) {
-        boolean counted = space.kind() == Space.Kind.COUNTED;
-        return Entry.of(
+    private static ReplicatedRecord entry(RecordSpace space, int sequence) {
+        boolean counted = space.kind() == RecordSpace.Kind.COUNTED;
+        return ReplicatedRecord.of(
                 OWNER,
                 space,
                 "pool/tenant-" + sequence,
-                new Version(LIFE, sequence),
+                new RecordVersion(LIFE, sequence),
                 counted ? null : "{\"wanted\":1}".getBytes(StandardCharsets.UTF_8),
                 counted ? 70_000L + sequence : 0,
                 counted ? LIFE - 1 : 0);
     }
 
-    private static Entry removed(int sequence) {
-        return Entry.of(OWNER, Space.SERVERS, "gone", new Version(LIFE, sequence), null, 0, 0);
+    private static ReplicatedRecord removed(int sequence) {
+        return ReplicatedRecord.of(OWNER, RecordSpace.SERVERS, "gone", new RecordVersion(LIFE, sequence), null, 0, 0);
     }
 
-    private static List<Entry> entries() {
-        List<Entry> entries = new ArrayList<>();
-        for (Space space : SPACES) {
+    private static List<ReplicatedRecord> entries() {
+        List<ReplicatedRecord> entries = new ArrayList<>();
+        for (RecordSpace space : SPACES) {
             entries.add(entry(space, entries.size() + 1));
         }
         entries.add(removed(entries.size() + 1));
         return entries;
     }
 
-    private static Map<String, Message> messages() {
-        Map<String, Message> messages = new LinkedHashMap<>();
+    private static Map<String, ReplicationMessage> messages() {
+        Map<String, ReplicationMessage> messages = new LinkedHashMap<>();
         messages.put(
                 "marks",
-                new Message.Marks(
+                new ReplicationMessage.Marks(
                         true,
                         false,
-                        List.of(new Message.Mark(OWNER, LIFE, -7, 8, 9, 10, 11, true)),
-                        List.of(new Message.Have("n2", 3, 4))));
-        messages.put("wants", new Message.Wants(List.of(new Message.Want(OWNER, LIFE, 5, 6, 7))));
-        messages.put("chunk", new Message.Chunk(OWNER, LIFE, LIFE + 1, 0, 7, 8, 2, entries()));
-        messages.put("digests", new Message.Digests(List.of(new Message.Digest(OWNER, LIFE, 9, -123_456_789_012L))));
+                        List.of(new ReplicationMessage.Mark(OWNER, LIFE, -7, 8, 9, 10, 11, true)),
+                        List.of(new ReplicationMessage.Have("n2", 3, 4))));
+        messages.put("wants", new ReplicationMessage.Wants(List.of(new ReplicationMessage.Want(OWNER, LIFE, 5, 6, 7))));
+        messages.put("chunk", new ReplicationMessage.Chunk(OWNER, LIFE, LIFE + 1, 0, 7, 8, 2, entries()));
+        messages.put(
+                "digests",
+                new ReplicationMessage.Digests(
+                        List.of(new ReplicationMessage.Digest(OWNER, LIFE, 9, -123_456_789_012L))));
         messages.put(
                 "ranges",
-                new Message.Ranges(
+                new ReplicationMessage.Ranges(
                         OWNER,
                         LIFE,
                         9,
-                        LongStream.range(0, Item.RANGES)
+                        LongStream.range(0, RecordKey.RANGES)
                                 .mapToObj(i -> i * 1_000_003L - 5)
                                 .toList()));
-        messages.put("copies", new Message.Copies(OWNER, LIFE, 9, 3, 1, true, false, entries()));
+        messages.put("copies", new ReplicationMessage.Copies(OWNER, LIFE, 9, 3, 1, true, false, entries()));
         return messages;
     }
 
     @Test
     void eachMessage() throws IOException {
-        GoldenFiles.assertAllCovered(Message.class, messages().values());
-        for (Map.Entry<String, Message> message : messages().entrySet()) {
-            GoldenFiles.check("replica/" + message.getKey(), message.getValue(), Codec::write, Codec::read);
+        GoldenFiles.assertAllCovered(ReplicationMessage.class, messages().values());
+        for (Map.Entry<String, ReplicationMessage> message : messages().entrySet()) {
+            GoldenFiles.check(
+                    "replica/" + message.getKey(), message.getValue(), ReplicationCodec::write, ReplicationCodec::read);
         }
     }
 
     @Test
     void aRecordOfEachSpace() throws IOException {
-        assertEquals(Space.values().length, SPACES.size());
+        assertEquals(RecordSpace.values().length, SPACES.size());
         for (int i = 0; i < SPACES.size(); i++) {
-            Entry entry = entry(SPACES.get(i), 70);
-            GoldenFiles.check("replica/entry-" + i, entry, Codec::write, Codec::readEntry);
+            ReplicatedRecord entry = entry(SPACES.get(i), 70);
+            GoldenFiles.check("replica/entry-" + i, entry, ReplicationCodec::write, ReplicationCodec::readEntry);
             assertEquals(
                     true,
-                    Codec.readEntry(GoldenFiles.bytes("replica/entry-" + i)).intact(OWNER));
+                    ReplicationCodec.readEntry(GoldenFiles.bytes("replica/entry-" + i))
+                            .intact(OWNER));
         }
-        GoldenFiles.check("replica/entry-removed", removed(71), Codec::write, Codec::readEntry);
+        GoldenFiles.check("replica/entry-removed", removed(71), ReplicationCodec::write, ReplicationCodec::readEntry);
     }
 
     @Test
@@ -106,9 +116,9 @@
         }
         Path copy = Files.createDirectories(directory.resolve("copy"));
         Files.write(copy.resolve("replica.mv"), GoldenFiles.bytes("replica/replica-disk-replica.mv"));
-        try (Disk disk = Disk.open(copy, "fleet", "n2", 0)) {
+        try (ReplicaDisk disk = ReplicaDisk.open(copy, "fleet", "n2", 0)) {
             assertEquals((long) DISK_LIFE + 1, disk.life());
-            Store store = new Store("n2", disk.life(), 8, false);
+            RecordStore store = new RecordStore("n2", disk.life(), 8, false);
             disk.restore(store);
             GoldenFiles.assertSame("records", entries(), store.all(OWNER, LIFE));
             assertEquals(OptionalLong.of(7), store.have(OWNER, LIFE));
@@ -118,9 +128,9 @@
 
     private void writeDisk() throws IOException {
         Path written = directory.resolve("written");
-        try (Disk disk = Disk.open(written, "fleet", "n2", DISK_LIFE)) {
+        try (ReplicaDisk disk = ReplicaDisk.open(written, "fleet", "n2", DISK_LIFE)) {
             disk.write(
-                    List.of(new Disk.Batch(OWNER, LIFE, 7L, 2, entries(), List.of())),
+                    List.of(new ReplicaDisk.Batch(OWNER, LIFE, 7L, 2, entries(), List.of())),
                     Map.of(new CatchUp.Of(OWNER, LIFE), entries().size()));
         }
         GoldenFiles.replaceIfAsked(
