--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
@@ -17,33 +17,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class DiskTest {
+class ReplicaDiskTest {
     @TempDir
     private Path folder;
 
-    private final Store full = new Store("b", 1, 7, false);
+    private final RecordStore full = new RecordStore("b", 1, 7, false);
 
     @BeforeEach
     void copies() {
-        Store a = new Store("a", 3, 9, false);
+        RecordStore a = new RecordStore("a", 3, 9, false);
         for (int i = 0; i < 300; i++) {
-            a.put(Space.SERVERS, "h" + i % 100, ("value " + i).getBytes(UTF_8), 0);
+            a.put(RecordSpace.SERVERS, "h" + i % 100, ("value " + i).getBytes(UTF_8), 0);
         }
-        full.took(a.since(new Message.Want("a", 3, 0, 0, 0), 1 << 20), 0);
+        full.took(a.since(new ReplicationMessage.Want("a", 3, 0, 0, 0), 1 << 20), 0);
     }
 
-    private Disk open(double nowMs) throws IOException {
-        return Disk.open(folder, "fleet", "b", nowMs);
+    private ReplicaDisk open(double nowMs) throws IOException {
+        return ReplicaDisk.open(folder, "fleet", "b", nowMs);
     }
 
-    private void write(Disk d) throws IOException {
+    private void write(ReplicaDisk d) throws IOException {
         d.write(
-                List.of(new Disk.Batch("a", 3, 300L, 0, full.all("a", 3), List.of())),
+                List.of(new ReplicaDisk.Batch("a", 3, 300L, 0, full.all("a", 3), List.of())),
                 Map.of(new CatchUp.Of("a", 3), 100));
     }
 
-    private Store read(Disk d) throws IOException {
-        Store s = new Store("b", d.life(), 8, false);
+    private RecordStore read(ReplicaDisk d) throws IOException {
+        RecordStore s = new RecordStore("b", d.life(), 8, false);
         d.restore(s);
         return s;
     }
@@ -51,20 +51,20 @@
     @Test
     void whatWasWrittenIsReadAndLivesGrowWhateverTheClockSays() throws IOException {
         long first;
-        try (Disk d = open(1000)) {
+        try (ReplicaDisk d = open(1000)) {
             first = d.life();
             write(d);
         }
-        try (Disk d = open(10)) {
+        try (ReplicaDisk d = open(10)) {
             assertEquals(first + 1, d.life());
-            Store s = read(d);
+            RecordStore s = read(d);
             assertEquals(full.all("a", 3).toString(), s.all("a", 3).toString());
             assertEquals(300, s.have("a", 3).orElseThrow());
-            assertTrue(s.seen(Space.SERVERS, 0).stream().noneMatch(e -> e.fresh(Space.SERVERS)));
+            assertTrue(s.seen(RecordSpace.SERVERS, 0).stream().noneMatch(e -> e.fresh(RecordSpace.SERVERS)));
             assertTrue(
                     assertThrows(IOException.class, () -> open(0)).getMessage().contains("another process"));
         }
-        try (Disk d = open(1e12)) {
+        try (ReplicaDisk d = open(1e12)) {
             assertEquals(1_000_000_000_000L, d.life());
         }
     }
@@ -72,9 +72,9 @@
     @Test
     void anotherFleetsOrMembersDiskIsRefusedInOneLine() throws IOException {
         open(1).close();
-        String fleet = assertThrows(IOException.class, () -> Disk.open(folder, "other", "b", 1))
+        String fleet = assertThrows(IOException.class, () -> ReplicaDisk.open(folder, "other", "b", 1))
                 .getMessage();
-        String member = assertThrows(IOException.class, () -> Disk.open(folder, "fleet", "x", 1))
+        String member = assertThrows(IOException.class, () -> ReplicaDisk.open(folder, "fleet", "x", 1))
                 .getMessage();
         assertTrue(
                 fleet.contains("belongs to the fleet fleet, not to other")
@@ -86,7 +86,7 @@
     /** A file cut anywhere, or with any bit flipped: what is read is what was written, or nothing of that life. */
     @Test
     void tornTailsAndFlippedBitsAreNeverReadAsRecords() throws IOException {
-        try (Disk d = open(1)) {
+        try (ReplicaDisk d = open(1)) {
             write(d);
         }
         Path file = folder.resolve("replica.mv");
@@ -99,7 +99,7 @@
                 bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
             }
             Files.write(file, bad);
-            try (Disk d = open(1)) {
+            try (ReplicaDisk d = open(1)) {
                 String read = read(d).all("a", 3).toString();
                 assertTrue(read.equals("[]") || read.equals(full.all("a", 3).toString()), read);
                 whole += read.equals("[]") ? 0 : 1;
@@ -113,7 +113,7 @@
 
     @Test
     void aDiskThatFailsSaysSoAndTakesItUpAgain() throws IOException {
-        try (Disk d = open(1)) {
+        try (ReplicaDisk d = open(1)) {
             write(d);
             d.breakOff();
             Path file = folder.resolve("replica.mv");
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
@@ -19,7 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ReplicaNodeTest {
-    private static final Terms FAST = new Terms(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
+    private static final ReplicationLimits FAST =
+            new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
 
     @TempDir
     private Path folder;
@@ -40,7 +41,7 @@
         wires.close();
     }
 
-    private ReplicaNode start(String name, Disk disk) throws IOException {
+    private ReplicaNode start(String name, ReplicaDisk disk) throws IOException {
         Wires.End end = wires.end(name, disk == null ? (long) clock.nowMs() : disk.life());
         ReplicaNode n = new ReplicaNode(end, disk, clock, FAST);
         n.start();
@@ -49,8 +50,8 @@
         return n;
     }
 
-    private Disk disk(String name) throws IOException {
-        return Disk.open(folder.resolve(name), "fleet", name, clock.nowMs());
+    private ReplicaDisk disk(String name) throws IOException {
+        return ReplicaDisk.open(folder.resolve(name), "fleet", name, clock.nowMs());
     }
 
     private void stop(String name) {
@@ -58,13 +59,13 @@
         wires.end(name, 0).close();
     }
 
-    private static Map<String, String> at(ReplicaNode n, Space space) {
+    private static Map<String, String> at(ReplicaNode n, RecordSpace space) {
         Map<String, String> all = new TreeMap<>();
         n.seen(space).forEach(s -> all.put(s.owner() + "/" + s.key(), new String(s.value(), UTF_8)));
         return all;
     }
 
-    private void allHold(Space space, Map<String, String> want) {
+    private void allHold(RecordSpace space, Map<String, String> want) {
         await().untilAsserted(() -> {
             for (ReplicaNode n : nodes.values()) {
                 assertEquals(want, at(n, space));
@@ -79,15 +80,16 @@
         ReplicaNode b = start("b", null);
         ReplicaNode c = start("c", null);
         for (int i = 0; i < 200; i++) {
-            a.put(Space.SERVERS, "h" + i % 20, ("v" + i).getBytes(UTF_8));
-            b.add(Space.ATTEMPTS, "pool", 2);
-            c.add(Space.ATTEMPTS, "pool", 1);
+            a.put(RecordSpace.SERVERS, "h" + i % 20, ("v" + i).getBytes(UTF_8));
+            b.add(RecordSpace.ATTEMPTS, "pool", 2);
+            c.add(RecordSpace.ATTEMPTS, "pool", 1);
         }
         for (int i = 2; i < 20; i++) {
-            a.remove(Space.SERVERS, "h" + i);
+            a.remove(RecordSpace.SERVERS, "h" + i);
         }
-        allHold(Space.SERVERS, Map.of("a/h0", "v180", "a/h1", "v181"));
-        await().untilAsserted(() -> nodes.values().forEach(n -> assertEquals(600, n.sum(Space.ATTEMPTS, "pool"))));
+        allHold(RecordSpace.SERVERS, Map.of("a/h0", "v180", "a/h1", "v181"));
+        await().untilAsserted(() ->
+                nodes.values().forEach(n -> assertEquals(600, n.sum(RecordSpace.ATTEMPTS, "pool"))));
         await().untilAsserted(
                         () -> nodes.values().forEach(n -> assertTrue(n.level().level(), n.level()::toString)));
         assertEquals(0, a.figures().differences());
@@ -98,23 +100,23 @@
         start("a", null);
         start("b", disk("b"));
         start("c", null);
-        nodes.get("b").add(Space.USED, "k", 5);
-        nodes.get("c").add(Space.USED, "k", 7);
-        nodes.get("a").put(Space.POOLS, "p", "1".getBytes(UTF_8));
-        nodes.get("b").put(Space.POOLS, "gone with its life", "1".getBytes(UTF_8));
-        await().untilAsserted(() -> nodes.values().forEach(n -> assertEquals(12, n.sum(Space.USED, "k"))));
+        nodes.get("b").add(RecordSpace.USED, "k", 5);
+        nodes.get("c").add(RecordSpace.USED, "k", 7);
+        nodes.get("a").put(RecordSpace.POOLS, "p", "1".getBytes(UTF_8));
+        nodes.get("b").put(RecordSpace.POOLS, "gone with its life", "1".getBytes(UTF_8));
+        await().untilAsserted(() -> nodes.values().forEach(n -> assertEquals(12, n.sum(RecordSpace.USED, "k"))));
         stop("b");
         stop("c");
-        nodes.get("a").put(Space.POOLS, "p", "2".getBytes(UTF_8));
+        nodes.get("a").put(RecordSpace.POOLS, "p", "2".getBytes(UTF_8));
         for (String n : new String[] {"b", "c"}) {
             ReplicaNode r = start(n, n.equals("b") ? disk("b") : null);
             await().until(() -> r.level().level());
-            assertEquals(n.equals("b") ? 12 : 13, r.sum(Space.USED, "k"));
-            assertEquals("2", at(r, Space.POOLS).get("a/p"));
-            r.add(Space.USED, "k", 1);
+            assertEquals(n.equals("b") ? 12 : 13, r.sum(RecordSpace.USED, "k"));
+            assertEquals("2", at(r, RecordSpace.POOLS).get("a/p"));
+            r.add(RecordSpace.USED, "k", 1);
         }
-        await().untilAsserted(() -> nodes.values().forEach(n -> assertEquals(14, n.sum(Space.USED, "k"))));
-        allHold(Space.POOLS, Map.of("a/p", "2"));
+        await().untilAsserted(() -> nodes.values().forEach(n -> assertEquals(14, n.sum(RecordSpace.USED, "k"))));
+        allHold(RecordSpace.POOLS, Map.of("a/p", "2"));
     }
 
     @Test
@@ -126,8 +128,8 @@
         wires.cut("c", "a");
         Map<String, String> heard = new ConcurrentHashMap<>();
         c.listen((space, owner, key, now) -> heard.put(owner + key, new String(now.value(), UTF_8)));
-        a.put(Space.DEMAND, "p/t", "9".getBytes(UTF_8));
+        a.put(RecordSpace.DEMAND, "p/t", "9".getBytes(UTF_8));
         await().until(() -> "9".equals(heard.get("ap/t")));
-        await().until(() -> c.seen(Space.DEMAND).get(0).fresh(Space.DEMAND));
+        await().until(() -> c.seen(RecordSpace.DEMAND).get(0).fresh(RecordSpace.DEMAND));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/CodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
@@ -14,37 +14,41 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-class CodecTest {
+class ReplicationCodecTest {
     private static final Arbitrary<Long> COUNT = Arbitraries.longs().between(0, Long.MAX_VALUE);
     private static final Arbitrary<String> NAME =
             Arbitraries.strings().withCharRange(' ', '\ud7ff').ofMinLength(1).ofMaxLength(128);
 
     @Provide
-    Arbitrary<Message> messages() {
-        Arbitrary<Message.Mark> mark = Combinators.combine(NAME, COUNT, Arbitraries.longs(), COUNT, COUNT, COUNT, COUNT)
-                .as((n, l, x, b, s, h, a) -> new Message.Mark(n, l, x, b, s, h, a, h % 2 == 0));
-        Arbitrary<Message.Have> have = Combinators.combine(NAME, COUNT, COUNT).as(Message.Have::new);
-        Arbitrary<Message.Want> want =
-                Combinators.combine(NAME, COUNT, COUNT, COUNT, COUNT).as(Message.Want::new);
-        Arbitrary<Message.Digest> digest =
-                Combinators.combine(NAME, COUNT, COUNT, Arbitraries.longs()).as(Message.Digest::new);
+    Arbitrary<ReplicationMessage> messages() {
+        Arbitrary<ReplicationMessage.Mark> mark = Combinators.combine(
+                        NAME, COUNT, Arbitraries.longs(), COUNT, COUNT, COUNT, COUNT)
+                .as((n, l, x, b, s, h, a) -> new ReplicationMessage.Mark(n, l, x, b, s, h, a, h % 2 == 0));
+        Arbitrary<ReplicationMessage.Have> have =
+                Combinators.combine(NAME, COUNT, COUNT).as(ReplicationMessage.Have::new);
+        Arbitrary<ReplicationMessage.Want> want =
+                Combinators.combine(NAME, COUNT, COUNT, COUNT, COUNT).as(ReplicationMessage.Want::new);
+        Arbitrary<ReplicationMessage.Digest> digest =
+                Combinators.combine(NAME, COUNT, COUNT, Arbitraries.longs()).as(ReplicationMessage.Digest::new);
         return Arbitraries.oneOf(
                 Combinators.combine(mark.list().ofMaxSize(20), have.list().ofMaxSize(5))
-                        .as((m, h) -> new Message.Marks(m.isEmpty(), true, m, h)),
-                want.list().ofMaxSize(20).map(Message.Wants::new),
-                digest.list().ofMaxSize(20).map(Message.Digests::new),
+                        .as((m, h) -> new ReplicationMessage.Marks(m.isEmpty(), true, m, h)),
+                want.list().ofMaxSize(20).map(ReplicationMessage.Wants::new),
+                digest.list().ofMaxSize(20).map(ReplicationMessage.Digests::new),
                 Combinators.combine(
-                                NAME, COUNT, COUNT, Arbitraries.longs().list().ofSize(Item.RANGES))
-                        .as(Message.Ranges::new),
-                Combinators.combine(NAME, entries(9)).as((n, e) -> new Message.Chunk(n, 9, 9, 0, 100, 0, 0, e)),
-                Combinators.combine(NAME, entries(9)).as((n, e) -> new Message.Copies(n, 9, 100, 3, 0, true, true, e)));
+                                NAME, COUNT, COUNT, Arbitraries.longs().list().ofSize(RecordKey.RANGES))
+                        .as(ReplicationMessage.Ranges::new),
+                Combinators.combine(NAME, entries(9))
+                        .as((n, e) -> new ReplicationMessage.Chunk(n, 9, 9, 0, 100, 0, 0, e)),
+                Combinators.combine(NAME, entries(9))
+                        .as((n, e) -> new ReplicationMessage.Copies(n, 9, 100, 3, 0, true, true, e)));
     }
 
-    private static Arbitrary<List<Entry>> entries(long life) {
+    private static Arbitrary<List<ReplicatedRecord>> entries(long life) {
         Arbitrary<byte[]> value =
                 Arbitraries.bytes().array(byte[].class).ofMaxSize(40).injectNull(0.2);
         return Combinators.combine(
-                        Arbitraries.of(Space.values()),
+                        Arbitraries.of(RecordSpace.values()),
                         Arbitraries.strings().withCharRange(' ', '\ud7ff').ofMaxLength(40),
                         value,
                         COUNT)
@@ -52,16 +56,16 @@
                 .list()
                 .ofMaxSize(20)
                 .map(list -> {
-                    Entry[] all = new Entry[list.size()];
+                    ReplicatedRecord[] all = new ReplicatedRecord[list.size()];
                     for (int i = 0; i < all.length; i++) {
                         Object[] o = list.get(i);
-                        Space s = (Space) o[0];
-                        boolean own = s.kind() == Space.Kind.OWN;
-                        all[i] = Entry.of(
+                        RecordSpace s = (RecordSpace) o[0];
+                        boolean own = s.kind() == RecordSpace.Kind.OWN;
+                        all[i] = ReplicatedRecord.of(
                                 "o",
                                 s,
                                 (String) o[1],
-                                new Version(life, i + 1),
+                                new RecordVersion(life, i + 1),
                                 own ? (byte[]) o[2] : null,
                                 own ? 0 : (Long) o[3],
                                 own ? 0 : life - 1);
@@ -71,11 +75,11 @@
     }
 
     @Property(tries = 300, seed = "11")
-    void whatIsWrittenIsRead(@ForAll("messages") Message m) throws IOException {
-        Message read = Codec.read(Codec.write(m));
+    void whatIsWrittenIsRead(@ForAll("messages") ReplicationMessage m) throws IOException {
+        ReplicationMessage read = ReplicationCodec.read(ReplicationCodec.write(m));
         // Values are arrays, which records do not compare by content; their checksums do.
         assertEquals(m.toString(), read.toString());
-        if (read instanceof Message.Chunk c) {
+        if (read instanceof ReplicationMessage.Chunk c) {
             assertTrue(c.entries().stream().allMatch(e -> e.intact("o")));
         }
     }
@@ -83,9 +87,9 @@
     /** Bytes changed, cut or added in any place: another message of the same bounds, or refused; nothing else. */
     @Property(tries = 3000, seed = "12")
     void bytesFromOutsideAreReadWithinBoundsOrRefused(
-            @ForAll("messages") Message m, @ForAll long where, @ForAll byte with, @ForAll byte[] tail)
+            @ForAll("messages") ReplicationMessage m, @ForAll long where, @ForAll byte with, @ForAll byte[] tail)
             throws IOException {
-        byte[] b = Codec.write(m);
+        byte[] b = ReplicationCodec.write(m);
         b[(int) Long.remainderUnsigned(where, b.length)] ^= with;
         byte[] all = Arrays.copyOf(
                 b,
@@ -96,8 +100,10 @@
             System.arraycopy(tail, 0, all, b.length, tail.length);
         }
         try {
-            Message read = Codec.read(all);
-            assertEquals(read.toString(), Codec.read(Codec.write(read)).toString());
+            ReplicationMessage read = ReplicationCodec.read(all);
+            assertEquals(
+                    read.toString(),
+                    ReplicationCodec.read(ReplicationCodec.write(read)).toString());
         } catch (IOException refused) {
             assertTrue(refused.getMessage() != null);
         }
@@ -106,7 +112,7 @@
     @Property(tries = 3000, seed = "13")
     void anyBytesAtAllAreRefusedOrAMessage(@ForAll byte[] bytes) {
         try {
-            Codec.read(bytes);
+            ReplicationCodec.read(bytes);
         } catch (IOException refused) {
             assertTrue(refused.getMessage() != null);
         }
@@ -117,12 +123,12 @@
         byte[] deep = new byte[1000];
         Arrays.fill(deep, (byte) 0x81);
         deep[0] = 0;
-        assertThrows(IOException.class, () -> Codec.read(deep));
-        assertThrows(IOException.class, () -> Codec.read(new byte[Codec.MOST_BYTES + 1]));
+        assertThrows(IOException.class, () -> ReplicationCodec.read(deep));
+        assertThrows(IOException.class, () -> ReplicationCodec.read(new byte[ReplicationCodec.MOST_BYTES + 1]));
         // A text whose length is said to be two thousand million bytes.
         assertThrows(
                 IOException.class,
-                () -> Codec.read(
+                () -> ReplicationCodec.read(
                         new byte[] {1, (byte) 0x81, (byte) 0x81, (byte) 0x85, 0x7a, 0x7f, 0x7f, 0x7f, 0x7f, 1}));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -8,9 +8,9 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.fleet.peer.Member;
+import brackenbridge.fleet.peer.MemberStatus;
 import brackenbridge.fleet.peer.PeerLimits;
-import brackenbridge.fleet.peer.Standing;
-import brackenbridge.fleet.peer.TcpLinks;
+import brackenbridge.fleet.peer.TcpPeerLinks;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -23,7 +23,8 @@
 
 /** A member starts again after its wall clock was stepped; links, replica and disk as in a node. */
 class SteppedClockTest {
-    private static final Terms FAST = new Terms(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
+    private static final ReplicationLimits FAST =
+            new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
     private static final PeerLimits LIMITS =
             new PeerLimits(64 << 10, 256 << 10, 64, 20, 300, 1500, 1000, 10, 100, 4, 3);
     private static final long HOUR_MS = 3_600_000;
@@ -35,19 +36,19 @@
     private final List<Process> processes = new ArrayList<>();
 
     /** What one process of a member holds. */
-    private record Process(TcpLinks links, ReplicaNode replica) {
+    private record Process(TcpPeerLinks links, ReplicaNode replica) {
         void end() {
             links.close();
             replica.close();
         }
 
         void put(String value) {
-            replica.put(Space.NODES, "state", value.getBytes(UTF_8));
+            replica.put(RecordSpace.NODES, "state", value.getBytes(UTF_8));
         }
 
         /** The value that a member has written, as this one holds it. */
         String sees(String owner) {
-            return replica.seen(Space.NODES).stream()
+            return replica.seen(RecordSpace.NODES).stream()
                     .filter(s -> s.owner().equals(owner))
                     .map(s -> new String(s.value(), UTF_8))
                     .findFirst()
@@ -63,13 +64,14 @@
     /** A process whose clock takes its origin now. It has written before it meets anybody, as a node does. */
     private Process start(String name, boolean withDisk, String value) throws IOException {
         Clock clock = Clock.from(() -> System.currentTimeMillis() + stepMs.get(), System::nanoTime);
-        Disk disk = withDisk ? Disk.open(folder.resolve(name), "f", name, clock.nowMs()) : null;
-        long life = disk == null ? Disk.lifeWithout(clock.nowMs()) : disk.life();
-        TcpLinks links = new TcpLinks(new Member(name, "127.0.0.1:0", "z"), life, "f", List.of(), clock, LIMITS);
+        ReplicaDisk disk = withDisk ? ReplicaDisk.open(folder.resolve(name), "f", name, clock.nowMs()) : null;
+        long life = disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life();
+        TcpPeerLinks links =
+                new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), life, "f", List.of(), clock, LIMITS);
         Process p = new Process(links, new ReplicaNode(links, disk, clock, FAST));
         processes.add(p);
         p.put(value);
-        p.replica().add(Space.USED, "k", 1);
+        p.replica().add(RecordSpace.USED, "k", 1);
         p.replica().start();
         links.start();
         return p;
@@ -96,7 +98,7 @@
                 .pollInterval(Duration.ofMillis(5))
                 .untilAsserted(() -> {
                     assertEquals(value, by.sees(name));
-                    assertEquals(Standing.ALIVE, by.links().standing(name));
+                    assertEquals(MemberStatus.ALIVE, by.links().standing(name));
                 });
     }
 
@@ -117,8 +119,8 @@
                     .pollInterval(Duration.ofMillis(5))
                     .untilAsserted(() -> {
                         assertTrue(again.replica().level().level());
-                        assertEquals(sum, again.replica().sum(Space.USED, "k"));
-                        assertEquals(sum, a.replica().sum(Space.USED, "k"));
+                        assertEquals(sum, again.replica().sum(RecordSpace.USED, "k"));
+                        assertEquals(sum, a.replica().sum(RecordSpace.USED, "k"));
                     });
             assertNull(b.replica().status().stream()
                     .filter(s -> s.member().equals("b"))
--- a/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.replica;
 
-import brackenbridge.fleet.peer.Links;
 import brackenbridge.fleet.peer.Member;
-import brackenbridge.fleet.peer.Standing;
-import brackenbridge.fleet.peer.Stream;
+import brackenbridge.fleet.peer.MemberStatus;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -58,7 +58,7 @@
         ends.values().forEach(End::close);
     }
 
-    final class End implements Links {
+    final class End implements PeerLinks {
         private final String name;
         private final long life;
         private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> {
@@ -93,12 +93,12 @@
         }
 
         @Override
-        public Standing standing(String peer) {
-            return ends.containsKey(peer) ? Standing.ALIVE : Standing.GONE;
+        public MemberStatus standing(String peer) {
+            return ends.containsKey(peer) ? MemberStatus.ALIVE : MemberStatus.GONE;
         }
 
         @Override
-        public boolean send(String peer, Stream stream, byte[] body) {
+        public boolean send(String peer, MessageStream stream, byte[] body) {
             End to = ends.get(peer);
             if (to == null || cut.contains(name + ">" + peer) || draw(lost)) {
                 return to != null;
@@ -126,7 +126,7 @@
         }
 
         @Override
-        public void receive(Stream stream, Receiver r) {
+        public void receive(MessageStream stream, Receiver r) {
             receiver = r;
         }
 
@@ -140,7 +140,7 @@
             names.stream().filter(n -> !n.equals(name)).forEach(n -> {
                 End e = ends.get(n);
                 if (e != null) {
-                    e.watchers.forEach(w -> w.changed(name, Standing.ALIVE, life));
+                    e.watchers.forEach(w -> w.changed(name, MemberStatus.ALIVE, life));
                 }
             });
         }
--- a/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
@@ -144,16 +144,17 @@
 
     @Test
     void messagesComeThroughAndRubbishIsAnError() throws IOException {
-        Message m = new Message.Ask("tier-0", 3, 7, 6, 2, 2, 10, 800, 4, Map.of("a", new PoolUse(1.5, 1, 0, 20)));
-        assertEquals(m, Message.of(Message.bytes(m)));
-        Message g = new Message.Grant("tier-0", 3, 7, 2, 1600, 100, 4, Map.of("a", 2.5, "b", 1.5));
-        assertEquals(g, Message.of(Message.bytes(g)));
+        QuotaLeaseMessage m =
+                new QuotaLeaseMessage.Ask("tier-0", 3, 7, 6, 2, 2, 10, 800, 4, Map.of("a", new PoolUse(1.5, 1, 0, 20)));
+        assertEquals(m, QuotaLeaseMessage.of(QuotaLeaseMessage.bytes(m)));
+        QuotaLeaseMessage g = new QuotaLeaseMessage.Grant("tier-0", 3, 7, 2, 1600, 100, 4, Map.of("a", 2.5, "b", 1.5));
+        assertEquals(g, QuotaLeaseMessage.of(QuotaLeaseMessage.bytes(g)));
         Random r = new Random(9);
         for (int i = 0; i < 2000; i++) {
-            byte[] b = Message.bytes(g);
+            byte[] b = QuotaLeaseMessage.bytes(g);
             b[r.nextInt(b.length)] ^= (byte) (1 + r.nextInt(255));
             try {
-                Message.of(b);
+                QuotaLeaseMessage.of(b);
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
             }
--- a/fleet/src/test/java/brackenbridge/fleet/share/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/share/GoldenFormsTest.java
@@ -10,24 +10,26 @@
 
 /** The forms of the messages about leases of connections and of the rules, against the golden files. */
 class GoldenFormsTest {
-    private static Map<String, Message> messages() {
-        Map<String, Message> messages = new LinkedHashMap<>();
+    private static Map<String, QuotaLeaseMessage> messages() {
+        Map<String, QuotaLeaseMessage> messages = new LinkedHashMap<>();
         // Maps of one key: the order of more is not defined.
         messages.put(
                 "ask",
-                new Message.Ask(
+                new QuotaLeaseMessage.Ask(
                         "tier/zone/kind", 7, 8, 6, 77, 78, 12, 900.5, 11, Map.of("t1", new PoolUse(3, 2, 1.5, 20.25))));
-        messages.put("grant", new Message.Grant("tier/zone/kind", 7, 8, 77, 1500.5, 40, 5, Map.of("t1", 12.0)));
-        messages.put("ack", new Message.Ack("tier/zone/kind", 7, 8, 11));
-        messages.put("nudge", new Message.Nudge("tier/zone/kind", 78));
+        messages.put(
+                "grant", new QuotaLeaseMessage.Grant("tier/zone/kind", 7, 8, 77, 1500.5, 40, 5, Map.of("t1", 12.0)));
+        messages.put("ack", new QuotaLeaseMessage.Ack("tier/zone/kind", 7, 8, 11));
+        messages.put("nudge", new QuotaLeaseMessage.Nudge("tier/zone/kind", 78));
         return messages;
     }
 
     @Test
     void eachMessage() throws IOException {
-        GoldenFiles.assertAllCovered(Message.class, messages().values());
-        for (Map.Entry<String, Message> message : messages().entrySet()) {
-            GoldenFiles.check("share/" + message.getKey(), message.getValue(), Message::bytes, Message::of);
+        GoldenFiles.assertAllCovered(QuotaLeaseMessage.class, messages().values());
+        for (Map.Entry<String, QuotaLeaseMessage> message : messages().entrySet()) {
+            GoldenFiles.check(
+                    "share/" + message.getKey(), message.getValue(), QuotaLeaseMessage::bytes, QuotaLeaseMessage::of);
         }
     }
 
--- a/lab/src/main/java/brackenbridge/lab/agree/Mistake.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/AgreementMistake.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.agree;
 
 /** Mistakes that an implementation of the agreement could make; exploring it with one of them must find a breach. */
-public enum Mistake {
+public enum AgreementMistake {
     /** None: the machines as they are. */
     NONE,
     /** A holder that was stalled goes on before it looks at its lease. */
--- a/lab/src/main/java/brackenbridge/lab/agree/Model.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/AgreementModel.java
@@ -1,12 +1,12 @@
 package brackenbridge.lab.agree;
 
-import brackenbridge.core.generation.Acts;
-import brackenbridge.core.generation.Ask;
-import brackenbridge.core.generation.Authority;
-import brackenbridge.core.generation.Grant;
-import brackenbridge.core.generation.Holder;
-import brackenbridge.core.generation.Terms;
-import brackenbridge.core.generation.Word;
+import brackenbridge.core.generation.DecidedVersion;
+import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.LeaseAuthority;
+import brackenbridge.core.generation.LeaseGrant;
+import brackenbridge.core.generation.LeaseHolder;
+import brackenbridge.core.generation.LeaseRequest;
+import brackenbridge.core.generation.LeaseTerms;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -22,65 +22,65 @@
  * arrive never, late, twice and in any order; a process that is not moved is stalled; time passes for all, and a
  * holder's clock may miss a tick as often as the terms allow.
  */
-public final class Model {
+public final class AgreementModel {
     /** The part by which clocks may be off so that a lease of 2 ticks may last 3. */
-    private static final Terms TERMS = new Terms(Bounds.LEASE, 0.2);
+    private static final LeaseTerms TERMS = new LeaseTerms(Bounds.LEASE, 0.2);
 
     /** A holder's process, with its clock. */
-    record Node(Holder holder, int lag, int laggedAt, int seenAt, int starts) {}
+    record Node(LeaseHolder holder, int lag, int laggedAt, int seenAt, int starts) {}
 
     /** A grant on its way. */
-    record Sent(int to, Grant grant) {}
+    record Sent(int to, LeaseGrant grant) {}
 
     /** One moment. */
     record State(
             int time,
             List<Node> nodes,
-            Authority authority,
-            Authority deposed,
-            Word before,
-            Set<Ask> asks,
+            LeaseAuthority authority,
+            LeaseAuthority deposed,
+            DecidedVersion before,
+            Set<LeaseRequest> asks,
             Set<Sent> grants,
             int proposals,
             int takeovers) {}
 
     private final Bounds bounds;
-    private final Mistake mistake;
+    private final AgreementMistake mistake;
 
     /** Histories within these bounds, of an implementation that makes this mistake. */
-    public Model(Bounds bounds, Mistake mistake) {
+    public AgreementModel(Bounds bounds, AgreementMistake mistake) {
         this.bounds = bounds;
         this.mistake = mistake;
     }
 
     /** The first moment: one generation is in force, and nobody has heard of it. */
     State first() {
-        Authority a = new Authority(
-                mistake == Mistake.DRIFT_FORGOTTEN ? new Terms(Bounds.LEASE, 0) : TERMS,
-                new Word(1, 1, 0),
+        LeaseAuthority a = new LeaseAuthority(
+                mistake == AgreementMistake.DRIFT_FORGOTTEN ? new LeaseTerms(Bounds.LEASE, 0) : TERMS,
+                new DecidedVersion(1, 1, 0),
                 1,
                 0,
                 Map.of());
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < bounds.holders(); i++) {
-            nodes.add(new Node(Holder.start(i, 0), 0, -Bounds.LAG_EVERY, 0, 0));
+            nodes.add(new Node(LeaseHolder.start(i, 0), 0, -Bounds.LAG_EVERY, 0, 0));
         }
         return new State(0, nodes, a, null, a.word(), Set.of(), Set.of(), 0, 0);
     }
 
     /** What a holder would do if it decided something now. */
-    Acts acts(State s, int i) {
+    EffectiveVersions acts(State s, int i) {
         Node n = s.nodes().get(i);
         int clock = s.time() - n.lag();
-        Acts acts = n.holder().acts(mistake == Mistake.LEASE_NOT_LOOKED_AT ? n.seenAt() : clock);
+        EffectiveVersions acts = n.holder().acts(mistake == AgreementMistake.LEASE_NOT_LOOKED_AT ? n.seenAt() : clock);
         boolean both = acts.one() != acts.other();
-        return both && mistake == Mistake.STAGED_ALONE ? Acts.by(acts.other()) : acts;
+        return both && mistake == AgreementMistake.STAGED_ALONE ? EffectiveVersions.by(acts.other()) : acts;
     }
 
     /** What is wrong at this moment; null if nothing is. */
     String breach(State s) {
         for (int i = 0; i < s.nodes().size(); i++) {
-            Acts acts = acts(s, i);
+            EffectiveVersions acts = acts(s, i);
             if (!acts.keeps(s.authority().word().inForce())) {
                 return "node " + i + " acts by " + text(acts) + ", in force is "
                         + s.authority().word().inForce();
@@ -94,7 +94,7 @@
         return null;
     }
 
-    private static String text(Acts a) {
+    private static String text(EffectiveVersions a) {
         return a.inDoubt() ? "none" : a.one() == a.other() ? Long.toString(a.one()) : a.one() + " and " + a.other();
     }
 
@@ -105,7 +105,7 @@
         for (int i = 0; i < s.nodes().size(); i++) {
             node(s, i, next);
         }
-        for (Ask a : s.asks()) {
+        for (LeaseRequest a : s.asks()) {
             next.put("asked " + a, asked(s, s.authority(), a, true));
             if (s.deposed() != null) {
                 next.put("deposed asked " + a, asked(s, s.deposed(), a, false));
@@ -114,22 +114,22 @@
         for (Sent g : s.grants()) {
             next.put("told " + g, told(s, g));
         }
-        Authority a = s.authority();
-        if (s.proposals() < bounds.proposals() && a.judge(a.word().inForce()) == Authority.Verdict.STAGED) {
+        LeaseAuthority a = s.authority();
+        if (s.proposals() < bounds.proposals() && a.judge(a.word().inForce()) == LeaseAuthority.Verdict.STAGED) {
             next.put("propose", decided(s, a.stage(), s.proposals() + 1));
         }
         if (a.word().staged() != 0) {
             next.put("abandon", decided(s, a.abandon(), s.proposals()));
             if (a.mayActivate(s.time())) {
                 next.put("activate", decided(s, a.activate(s.time()), s.proposals()));
-            } else if (mistake == Mistake.NOBODY_WAITED_FOR) {
+            } else if (mistake == AgreementMistake.NOBODY_WAITED_FOR) {
                 next.put(
                         "activate",
                         decided(
                                 s,
-                                new Authority(
+                                new LeaseAuthority(
                                         a.terms(),
-                                        new Word(
+                                        new DecidedVersion(
                                                 a.word().version() + 1, a.word().staged(), 0),
                                         a.last(),
                                         a.settledMs(),
@@ -178,8 +178,8 @@
         Node n = s.nodes().get(i);
         int clock = s.time() - n.lag();
         if (n.holder().asked() < bounds.asks()) {
-            Holder h = n.holder().asks(clock);
-            Set<Ask> asks = new TreeSet<>(Model::order);
+            LeaseHolder h = n.holder().asks(clock);
+            Set<LeaseRequest> asks = new TreeSet<>(AgreementModel::order);
             asks.addAll(s.asks());
             asks.add(h.ask());
             State moved = with(s, i, h, clock, n.starts());
@@ -197,7 +197,7 @@
                             moved.takeovers()));
         }
         if (n.starts() < bounds.starts()) {
-            State moved = with(s, i, Holder.start(i, n.holder().life() + 1), clock, n.starts() + 1);
+            State moved = with(s, i, LeaseHolder.start(i, n.holder().life() + 1), clock, n.starts() + 1);
             next.put(
                     "node " + i + " starts again",
                     new State(
@@ -215,7 +215,7 @@
 
     /** Answers to questions before the last one change nothing any more, whenever they come: not to be told apart. */
     private Set<Sent> without(Set<Sent> grants, int to) {
-        if (mistake == Mistake.ANY_ANSWER_TAKEN) {
+        if (mistake == AgreementMistake.ANY_ANSWER_TAKEN) {
             return grants;
         }
         Set<Sent> left = new LinkedHashSet<>(grants);
@@ -223,16 +223,16 @@
         return left;
     }
 
-    private static int order(Ask a, Ask b) {
+    private static int order(LeaseRequest a, LeaseRequest b) {
         return a.holder() != b.holder()
                 ? Integer.compare(a.holder(), b.holder())
                 : a.life() != b.life() ? Long.compare(a.life(), b.life()) : Long.compare(a.number(), b.number());
     }
 
-    private State with(State s, int i, Holder h, int clock, int starts) {
+    private State with(State s, int i, LeaseHolder h, int clock, int starts) {
         List<Node> nodes = new ArrayList<>(s.nodes());
         Node n = nodes.get(i);
-        int seen = mistake == Mistake.LEASE_NOT_LOOKED_AT ? clock : 0;
+        int seen = mistake == AgreementMistake.LEASE_NOT_LOOKED_AT ? clock : 0;
         nodes.set(i, new Node(h, n.lag(), n.laggedAt(), seen, starts));
         return new State(
                 s.time(),
@@ -246,23 +246,25 @@
                 s.takeovers());
     }
 
-    private State asked(State s, Authority by, Ask a, boolean current) {
-        Authority next = by.asked(s.time(), a);
-        Grant g = next.grant(a);
-        if (mistake == Mistake.HEARD_WHEN_SAID || mistake == Mistake.RENEWAL_FORGOTTEN) {
-            Authority.Held before = by.holders().get(a.holder());
-            Authority.Held after = next.holders().get(a.holder());
-            Map<Integer, Authority.Held> holders = new TreeMap<>(next.holders());
+    private State asked(State s, LeaseAuthority by, LeaseRequest a, boolean current) {
+        LeaseAuthority next = by.asked(s.time(), a);
+        LeaseGrant g = next.grant(a);
+        if (mistake == AgreementMistake.HEARD_WHEN_SAID || mistake == AgreementMistake.RENEWAL_FORGOTTEN) {
+            LeaseAuthority.Held before = by.holders().get(a.holder());
+            LeaseAuthority.Held after = next.holders().get(a.holder());
+            Map<Integer, LeaseAuthority.Held> holders = new TreeMap<>(next.holders());
             holders.put(
                     a.holder(),
-                    mistake == Mistake.HEARD_WHEN_SAID
-                            ? new Authority.Held(after.untilMs(), next.word().version())
-                            : new Authority.Held(before == null ? after.untilMs() : before.untilMs(), after.heard()));
-            next = new Authority(next.terms(), next.word(), next.last(), next.settledMs(), holders);
+                    mistake == AgreementMistake.HEARD_WHEN_SAID
+                            ? new LeaseAuthority.Held(
+                                    after.untilMs(), next.word().version())
+                            : new LeaseAuthority.Held(
+                                    before == null ? after.untilMs() : before.untilMs(), after.heard()));
+            next = new LeaseAuthority(next.terms(), next.word(), next.last(), next.settledMs(), holders);
         }
         Set<Sent> sent = new LinkedHashSet<>(s.grants());
-        Holder asker = s.nodes().get(a.holder()).holder();
-        if (a.life() == asker.life() && a.number() == asker.asked() || mistake == Mistake.ANY_ANSWER_TAKEN) {
+        LeaseHolder asker = s.nodes().get(a.holder()).holder();
+        if (a.life() == asker.life() && a.number() == asker.asked() || mistake == AgreementMistake.ANY_ANSWER_TAKEN) {
             sent.add(new Sent(a.holder(), g));
         }
         return new State(
@@ -279,21 +281,21 @@
 
     private State told(State s, Sent sent) {
         Node n = s.nodes().get(sent.to());
-        Holder h = n.holder();
+        LeaseHolder h = n.holder();
         int clock = s.time() - n.lag();
-        Grant g = sent.grant();
-        if (mistake == Mistake.ANY_ANSWER_TAKEN) {
-            g = new Grant(h.life(), h.asked(), g.word(), g.leaseMs());
+        LeaseGrant g = sent.grant();
+        if (mistake == AgreementMistake.ANY_ANSWER_TAKEN) {
+            g = new LeaseGrant(h.life(), h.asked(), g.word(), g.leaseMs());
         }
-        Holder after = h.told(g);
-        if (after != h && mistake == Mistake.LEASE_FROM_ANSWER) {
-            after = new Holder(
+        LeaseHolder after = h.told(g);
+        if (after != h && mistake == AgreementMistake.LEASE_FROM_ANSWER) {
+            after = new LeaseHolder(
                     h.id(), h.life(), h.asked(), h.askedAtMs(), after.word(), clock + g.leaseMs(), h.refused());
         }
         return with(s, sent.to(), after, clock, n.starts());
     }
 
-    private static State decided(State s, Authority a, int proposals) {
+    private static State decided(State s, LeaseAuthority a, int proposals) {
         return new State(
                 s.time(),
                 s.nodes(),
@@ -307,17 +309,17 @@
     }
 
     private State takeover(State s) {
-        Authority old = s.authority();
-        Word known = mistake == Mistake.WORD_NOT_DURABLE ? s.before() : old.word();
-        Authority next = Authority.start(old.terms(), s.time(), known, old.last());
-        if (mistake == Mistake.TAKEOVER_WITHOUT_WAIT) {
-            next = new Authority(next.terms(), next.word(), next.last(), s.time(), Map.of());
+        LeaseAuthority old = s.authority();
+        DecidedVersion known = mistake == AgreementMistake.WORD_NOT_DURABLE ? s.before() : old.word();
+        LeaseAuthority next = LeaseAuthority.start(old.terms(), s.time(), known, old.last());
+        if (mistake == AgreementMistake.TAKEOVER_WITHOUT_WAIT) {
+            next = new LeaseAuthority(next.terms(), next.word(), next.last(), s.time(), Map.of());
         }
         return new State(
                 s.time(),
                 s.nodes(),
                 next,
-                mistake == Mistake.DEPOSED_GRANTS ? old : null,
+                mistake == AgreementMistake.DEPOSED_GRANTS ? old : null,
                 s.before(),
                 s.asks(),
                 s.grants(),
@@ -328,7 +330,7 @@
     /** Whether all nodes act by a generation that was proposed. */
     boolean reached(State s) {
         for (int i = 0; i < s.nodes().size(); i++) {
-            if (!Objects.equals(acts(s, i), Acts.by(2))) {
+            if (!Objects.equals(acts(s, i), EffectiveVersions.by(2))) {
                 return false;
             }
         }
--- a/lab/src/main/java/brackenbridge/lab/agree/Explorer.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/Explorer.java
@@ -22,15 +22,15 @@
     public record Found(
             long states, long steps, int depth, long reached, String breach, List<String> history, boolean whole) {}
 
-    private record From(Model.State state, String by) {}
+    private record From(AgreementModel.State state, String by) {}
 
     private Explorer() {}
 
     /** Goes through histories until so many moments were seen. */
-    public static Found explore(Model model, long most) {
-        Model.State first = model.first();
-        Map<Model.State, From> seen = new HashMap<>();
-        ArrayDeque<Model.State> open = new ArrayDeque<>();
+    public static Found explore(AgreementModel model, long most) {
+        AgreementModel.State first = model.first();
+        Map<AgreementModel.State, From> seen = new HashMap<>();
+        ArrayDeque<AgreementModel.State> open = new ArrayDeque<>();
         ArrayDeque<Integer> depths = new ArrayDeque<>();
         seen.put(first, new From(null, ""));
         open.add(first);
@@ -39,7 +39,7 @@
         long reached = 0;
         int depth = 0;
         while (!open.isEmpty()) {
-            Model.State s = open.poll();
+            AgreementModel.State s = open.poll();
             depth = depths.poll();
             String breach = model.breach(s);
             if (breach != null) {
@@ -49,7 +49,7 @@
             if (seen.size() >= most) {
                 return new Found(seen.size(), steps, depth, reached, null, List.of(), false);
             }
-            for (Map.Entry<String, Model.State> e : model.next(s).entrySet()) {
+            for (Map.Entry<String, AgreementModel.State> e : model.next(s).entrySet()) {
                 steps++;
                 if (!seen.containsKey(e.getValue())) {
                     seen.put(e.getValue(), new From(s, e.getKey()));
@@ -61,7 +61,7 @@
         return new Found(seen.size(), steps, depth, reached, null, List.of(), true);
     }
 
-    private static List<String> history(Map<Model.State, From> seen, Model.State last) {
+    private static List<String> history(Map<AgreementModel.State, From> seen, AgreementModel.State last) {
         List<String> lines = new ArrayList<>();
         for (From f = seen.get(last); f.state() != null; f = seen.get(f.state())) {
             lines.add(0, f.by());
--- a/lab/src/main/java/brackenbridge/lab/agree/Fleet.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/SimulatedAgreementFleet.java
@@ -1,13 +1,13 @@
 package brackenbridge.lab.agree;
 
-import brackenbridge.core.generation.Acts;
-import brackenbridge.core.generation.Ask;
-import brackenbridge.core.generation.Authority;
-import brackenbridge.core.generation.Cadence;
-import brackenbridge.core.generation.Grant;
-import brackenbridge.core.generation.Holder;
-import brackenbridge.core.generation.Terms;
-import brackenbridge.core.generation.Word;
+import brackenbridge.core.generation.DecidedVersion;
+import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.LeaseAuthority;
+import brackenbridge.core.generation.LeaseGrant;
+import brackenbridge.core.generation.LeaseHolder;
+import brackenbridge.core.generation.LeaseRequest;
+import brackenbridge.core.generation.LeaseTerms;
+import brackenbridge.core.generation.RenewalSchedule;
 import brackenbridge.lab.random.Streams;
 import brackenbridge.lab.sim.EventQueue;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
  * A fleet that follows one authority in simulated time: links with delays, clocks whose rates differ, a part of the
  * nodes out of reach, and an authority that is replaced.
  */
-public final class Fleet {
+public final class SimulatedAgreementFleet {
     private static final double WARM_MS = 10_000;
     private static final double BETWEEN_MS = 6000;
     private static final double END_MS = 10_000;
@@ -40,7 +40,7 @@
      * @param terms the terms of leases
      * @param seed the seed
      */
-    public record Plan(int nodes, double outOfReach, int proposals, boolean takeover, Terms terms, long seed) {}
+    public record Plan(int nodes, double outOfReach, int proposals, boolean takeover, LeaseTerms terms, long seed) {}
 
     /**
      * What came of it; times in milliseconds.
@@ -66,8 +66,8 @@
         final int id;
         final double rate;
         final boolean dark;
-        final Cadence cadence;
-        Holder holder;
+        final RenewalSchedule cadence;
+        LeaseHolder holder;
         long turn;
         /** The last generation that it was seen to act by. */
         long seen = 1;
@@ -76,8 +76,8 @@
             this.id = id;
             this.dark = dark;
             this.rate = 1 + plan.terms().drift() * (2 * random.nextDouble() - 1);
-            this.cadence = new Cadence(plan.terms(), new SplittableRandom(random.nextLong()));
-            this.holder = Holder.start(id, 1);
+            this.cadence = new RenewalSchedule(plan.terms(), new SplittableRandom(random.nextLong()));
+            this.holder = LeaseHolder.start(id, 1);
         }
 
         double clock() {
@@ -88,7 +88,7 @@
             return !dark || queue.nowMs() < darkFromMs;
         }
 
-        Acts acts() {
+        EffectiveVersions acts() {
             return holder.acts(clock());
         }
 
@@ -105,7 +105,7 @@
         private void ask() {
             holder = holder.asks(clock());
             cadence.asked(clock());
-            Ask a = holder.ask();
+            LeaseRequest a = holder.ask();
             boolean leaves = reached();
             if (leaves) {
                 questions(queue.nowMs());
@@ -119,12 +119,12 @@
             });
         }
 
-        void told(Grant g) {
+        void told(LeaseGrant g) {
             if (!reached()) {
                 return;
             }
             long before = holder.word().version();
-            Holder next = holder.told(g);
+            LeaseHolder next = holder.told(g);
             if (next != holder) {
                 holder = next;
                 askAt(cadence.answeredMs(clock(), holder.word().version() > before));
@@ -147,7 +147,7 @@
     private final Histogram nodesMs = new Histogram(600_000, 3);
     private final List<Double> inForceMs = new ArrayList<>();
     private final double darkFromMs = WARM_MS - 50;
-    private Authority authority;
+    private LeaseAuthority authority;
     private boolean leads = true;
     private double busyUntilMs;
     private double proposedMs;
@@ -157,10 +157,10 @@
     private double lastDarkMs;
 
     /** A fleet before its first moment; one generation is in force. */
-    public Fleet(Plan plan) {
+    public SimulatedAgreementFleet(Plan plan) {
         this.plan = plan;
         this.random = new Streams(plan.seed()).take();
-        this.authority = new Authority(plan.terms(), new Word(1, 1, 0), 1, 0, Map.of());
+        this.authority = new LeaseAuthority(plan.terms(), new DecidedVersion(1, 1, 0), 1, 0, Map.of());
         for (int i = 0; i < plan.nodes(); i++) {
             nodes.add(new Node(i, i < plan.nodes() * plan.outOfReach(), random));
         }
@@ -178,7 +178,7 @@
         seconds.set(second, seconds.get(second) + 1);
     }
 
-    private void arrives(Node from, Ask a) {
+    private void arrives(Node from, LeaseRequest a) {
         busyUntilMs = Math.max(busyUntilMs, queue.nowMs()) + WORK_MS;
         queue.at(busyUntilMs, () -> {
             if (!leads) {
@@ -186,7 +186,7 @@
             }
             authority = authority.asked(queue.nowMs(), a);
             look();
-            Grant g = authority.grant(a);
+            LeaseGrant g = authority.grant(a);
             queue.at(queue.nowMs() + way(), () -> from.told(g));
         });
     }
@@ -220,7 +220,7 @@
 
     private void acted(Node n) {
         long last = authority.word().inForce();
-        if (n.seen < last && n.acts().equals(Acts.by(last))) {
+        if (n.seen < last && n.acts().equals(EffectiveVersions.by(last))) {
             n.seen = last;
             nodesMs.recordValue(Math.min(600_000, Math.round(queue.nowMs() - proposedMs)));
         }
@@ -231,7 +231,7 @@
         long low = Long.MAX_VALUE;
         long high = 0;
         for (Node n : nodes) {
-            Acts acts = n.acts();
+            EffectiveVersions acts = n.acts();
             if (acts.inDoubt()) {
                 doubtMs += n.dark || queue.nowMs() < WARM_MS ? 0 : 1;
                 continue;
@@ -266,7 +266,7 @@
                 leads = false;
                 queue.at(queue.nowMs() + ELECTION_MS, () -> {
                     leads = true;
-                    authority = Authority.start(plan.terms(), queue.nowMs(), authority.word(), authority.last());
+                    authority = LeaseAuthority.start(plan.terms(), queue.nowMs(), authority.word(), authority.last());
                     nodes.forEach(n -> n.askAt(n.cadence.firstMs(n.clock())));
                     look();
                 });
--- a/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
+++ b/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
@@ -5,12 +5,12 @@
 import brackenbridge.BalancerApi.Network;
 import brackenbridge.BalancerApi.RequestClass;
 import brackenbridge.BalancerApi.Settings;
+import brackenbridge.core.ClientRequest;
 import brackenbridge.core.Effect;
+import brackenbridge.core.EndpointList;
 import brackenbridge.core.Event;
-import brackenbridge.core.Flow;
 import brackenbridge.core.Reducer;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.counters.Counters;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -86,11 +86,11 @@
         timers.clear();
         out.clear();
         unset.clear();
-        List<Target> targets = new ArrayList<>();
+        List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            targets.add(new Target("s-" + i, "127.0.0.1:" + (1 + i), "room", -1, 1, 0, EndpointState.UP));
+            targets.add(new ServerEndpoint("s-" + i, "127.0.0.1:" + (1 + i), "room", -1, 1, 0, EndpointState.UP));
         }
-        tell(new Event.Started(new TargetGroup(1, true, targets)));
+        tell(new Event.Started(new EndpointList(1, true, targets)));
         for (int i = 0; i < OPEN; i++) {
             open();
         }
@@ -115,7 +115,8 @@
     }
 
     private void open() {
-        tell(new Event.FlowOpened(flows, new Flow((flows & 3) == 0 ? "file" : "view", null, 5000, false, true, "")));
+        tell(new Event.FlowOpened(
+                flows, new ClientRequest((flows & 3) == 0 ? "file" : "view", null, 5000, false, true, "")));
         flows++;
     }
 
--- a/lab/src/main/java/brackenbridge/lab/cli/Agree.java
+++ b/lab/src/main/java/brackenbridge/lab/cli/Agree.java
@@ -1,12 +1,12 @@
 package brackenbridge.lab.cli;
 
-import brackenbridge.core.generation.Terms;
+import brackenbridge.core.generation.LeaseTerms;
+import brackenbridge.lab.agree.AgreementMistake;
+import brackenbridge.lab.agree.AgreementModel;
 import brackenbridge.lab.agree.Bounds;
 import brackenbridge.lab.agree.Explorer;
-import brackenbridge.lab.agree.Fleet;
-import brackenbridge.lab.agree.Mistake;
-import brackenbridge.lab.agree.Model;
 import brackenbridge.lab.agree.Search;
+import brackenbridge.lab.agree.SimulatedAgreementFleet;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
@@ -51,9 +51,9 @@
         if (bounds.size() != 6 || bounds.stream().anyMatch(b -> b < 0 || b > 20)) {
             throw new ParameterException("--bounds wants six numbers within 0 to 20");
         }
-        Terms terms;
+        LeaseTerms terms;
         try {
-            terms = new Terms(lease, drift);
+            terms = new LeaseTerms(lease, drift);
         } catch (IllegalArgumentException e) {
             throw new ParameterException(e.getMessage());
         }
@@ -62,7 +62,7 @@
 
     private int explore() {
         Explorer.Found all = Explorer.explore(
-                new Model(
+                new AgreementModel(
                         new Bounds(
                                 bounds.get(0),
                                 bounds.get(1),
@@ -70,7 +70,7 @@
                                 bounds.get(3),
                                 bounds.get(4),
                                 bounds.get(5)),
-                        Mistake.NONE),
+                        AgreementMistake.NONE),
                 most);
         System.out.printf(
                 Locale.ROOT,
@@ -81,11 +81,11 @@
                 all.whole() ? "all there are" : "and more",
                 all.reached());
         boolean failed = tell("as it is", all, false);
-        for (Mistake m : Mistake.values()) {
-            if (m != Mistake.NONE) {
+        for (AgreementMistake m : AgreementMistake.values()) {
+            if (m != AgreementMistake.NONE) {
                 failed |= tell(
                         m.name().toLowerCase(Locale.ROOT),
-                        Explorer.explore(new Model(Search.bounds(m), m), most),
+                        Explorer.explore(new AgreementModel(Search.bounds(m), m), most),
                         true);
             }
         }
@@ -103,7 +103,7 @@
         return f.breach() == null == wanted;
     }
 
-    private int fleet(Terms terms) {
+    private int fleet(LeaseTerms terms) {
         System.out.printf(
                 Locale.ROOT,
                 "%d nodes, lease %.0f ms, drift %.3f; times in ms from the proposal%n",
@@ -125,7 +125,9 @@
         boolean broken = false;
         for (double out : OUT_OF_REACH) {
             for (boolean takeover : new boolean[] {false, true}) {
-                Fleet.Outcome o = new Fleet(new Fleet.Plan(nodes, out, proposals, takeover, terms, seed)).run();
+                SimulatedAgreementFleet.Outcome o = new SimulatedAgreementFleet(
+                                new SimulatedAgreementFleet.Plan(nodes, out, proposals, takeover, terms, seed))
+                        .run();
                 System.out.printf(
                         Locale.ROOT,
                         "%-13s %-9s %-30s %6d %6d %6d %13.0f %8.0f %8d%n",
--- a/lab/src/main/java/brackenbridge/lab/cli/Fleets.java
+++ b/lab/src/main/java/brackenbridge/lab/cli/Fleets.java
@@ -8,7 +8,7 @@
 import brackenbridge.lab.fleet.MembersFile;
 import brackenbridge.lab.fleet.Shrinking;
 import brackenbridge.lab.report.HtmlReport;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.world.FileFault;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
@@ -92,7 +92,7 @@
     /** The first breach, and the lines that led to it. */
     private static void breach(FleetPlan plan, long seed, FleetRunner.Outcome o) {
         if (o.run().ledger().broken() > 0) {
-            Ledger.Breach first = o.run().ledger().breaches().get(0);
+            RuleChecker.Breach first = o.run().ledger().breaches().get(0);
             System.out.println("seed " + seed + ": " + first.text());
         } else {
             System.out.printf(
--- a/lab/src/main/java/brackenbridge/lab/cli/LabCommand.java
+++ b/lab/src/main/java/brackenbridge/lab/cli/LabCommand.java
@@ -4,7 +4,7 @@
 import brackenbridge.lab.experiment.Results;
 import brackenbridge.lab.experiment.SimRunner;
 import brackenbridge.lab.experiment.Theory;
-import brackenbridge.lab.live.Bare;
+import brackenbridge.lab.live.BareRelay;
 import brackenbridge.lab.live.Capacity;
 import brackenbridge.lab.live.HopCost;
 import brackenbridge.lab.live.LiveRunner;
@@ -14,7 +14,7 @@
 import brackenbridge.lab.random.Distribution;
 import brackenbridge.lab.report.Compare;
 import brackenbridge.lab.report.HtmlReport;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.world.Experiment;
 import brackenbridge.lab.world.ExperimentFile;
 import brackenbridge.lab.world.FileFault;
@@ -307,10 +307,10 @@
                 case "capacity" -> capacity(capacity);
                 case "hop" -> hop(hop);
                 case "bench" -> bench(bench);
-                case "echo" -> stand(Bare.echo(echo.addresses));
+                case "echo" -> stand(BareRelay.echo(echo.addresses));
                 case "relay" -> {
                     InetSocketAddress to = target("--to", relay.to);
-                    yield stand(List.of(Bare.relay(to)));
+                    yield stand(List.of(BareRelay.relay(to)));
                 }
                 default -> USAGE;
             };
@@ -370,7 +370,7 @@
         // Real nodes decide by the module alone; what may differ is the jar.
         Experiment e = all.withPolicies(all.jars().isEmpty() ? List.of(Policies.MODULE) : all.jars());
         long broken = 0;
-        List<Ledger.Breach> breaches = new ArrayList<>();
+        List<RuleChecker.Breach> breaches = new ArrayList<>();
         try (Results results = new Results(out)) {
             results.keep("experiment.toml", toml);
             for (Experiment.Run run : e.runs()) {
@@ -583,7 +583,7 @@
         return rules(s.broken(), s.breaches());
     }
 
-    private static int rules(long broken, List<Ledger.Breach> breaches) {
+    private static int rules(long broken, List<RuleChecker.Breach> breaches) {
         if (broken == 0) {
             System.out.println("rules: none broken");
             return 0;
--- a/lab/src/main/java/brackenbridge/lab/cli/Replicate.java
+++ b/lab/src/main/java/brackenbridge/lab/cli/Replicate.java
@@ -1,11 +1,11 @@
 package brackenbridge.lab.cli;
 
-import brackenbridge.fleet.replica.Terms;
+import brackenbridge.fleet.replica.ReplicationLimits;
 import brackenbridge.lab.replica.Bounds;
 import brackenbridge.lab.replica.Explorer;
-import brackenbridge.lab.replica.Fleet;
-import brackenbridge.lab.replica.Mistake;
-import brackenbridge.lab.replica.Model;
+import brackenbridge.lab.replica.ReplicationMistake;
+import brackenbridge.lab.replica.ReplicationModel;
+import brackenbridge.lab.replica.SimulatedReplicaFleet;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
@@ -68,9 +68,10 @@
     }
 
     private int fleet() {
-        Terms terms = Terms.DEFAULT.sending(budget);
-        Fleet f = new Fleet(new Fleet.Plan(nodes, keys, writes, lost, change, terms, seed));
-        Fleet.Outcome o = f.run();
+        ReplicationLimits terms = ReplicationLimits.DEFAULT.sending(budget);
+        SimulatedReplicaFleet f = new SimulatedReplicaFleet(
+                new SimulatedReplicaFleet.Plan(nodes, keys, writes, lost, change, terms, seed));
+        SimulatedReplicaFleet.Outcome o = f.run();
         System.out.printf(
                 Locale.ROOT,
                 "%d members of %d records, %s, %d level after the warm-up%n",
@@ -100,7 +101,7 @@
         System.out.printf(Locale.ROOT, "oldest sign of life of anyone at anyone: %.0f ms%n", o.oldestMs());
         boolean broken = o.level() < nodes;
         for (double away : AWAY_MS) {
-            Fleet.Returned r = f.away(away);
+            SimulatedReplicaFleet.Returned r = f.away(away);
             System.out.printf(
                     Locale.ROOT,
                     "away for %.0f s: behind by %d, %s after %.0f ms, all sent %d bytes%n",
@@ -116,7 +117,7 @@
 
     private int explore() {
         Explorer.Found all = Explorer.explore(
-                new Model(
+                new ReplicationModel(
                         new Bounds(
                                 bounds.get(0),
                                 bounds.get(1),
@@ -125,7 +126,7 @@
                                 bounds.get(4),
                                 bounds.get(5),
                                 bounds.get(6)),
-                        Mistake.NONE),
+                        ReplicationMistake.NONE),
                 most);
         System.out.printf(
                 Locale.ROOT,
@@ -135,10 +136,12 @@
                 all.depth(),
                 all.whole() ? "all there are" : "and more");
         boolean failed = tell("as it is", all, false);
-        for (Mistake m : Mistake.values()) {
-            if (m != Mistake.NONE) {
+        for (ReplicationMistake m : ReplicationMistake.values()) {
+            if (m != ReplicationMistake.NONE) {
                 failed |= tell(
-                        m.name().toLowerCase(Locale.ROOT), Explorer.explore(new Model(Bounds.of(m), m), most), true);
+                        m.name().toLowerCase(Locale.ROOT),
+                        Explorer.explore(new ReplicationModel(Bounds.of(m), m), most),
+                        true);
             }
         }
         return failed ? LabCommand.BROKEN : 0;
--- a/lab/src/main/java/brackenbridge/lab/evacuation/Evacuations.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/Evacuations.java
@@ -3,17 +3,17 @@
 import brackenbridge.fleet.evacuation.Driver;
 import brackenbridge.fleet.evacuation.Driver.Limits;
 import brackenbridge.fleet.evacuation.Driver.Turn;
+import brackenbridge.fleet.evacuation.EvacuationPlan;
+import brackenbridge.fleet.evacuation.EvacuationStatus;
 import brackenbridge.fleet.evacuation.Forecast;
 import brackenbridge.fleet.evacuation.Forecast.PoolForecast;
 import brackenbridge.fleet.evacuation.Forecast.Verdict;
-import brackenbridge.fleet.evacuation.Model;
-import brackenbridge.fleet.evacuation.Picture;
-import brackenbridge.fleet.evacuation.Plan;
+import brackenbridge.fleet.evacuation.ForecastSettings;
 import brackenbridge.fleet.evacuation.PlanState;
+import brackenbridge.fleet.evacuation.PoolModel;
 import brackenbridge.fleet.evacuation.PoolName;
+import brackenbridge.fleet.evacuation.PoolSnapshot;
 import brackenbridge.fleet.evacuation.Shares;
-import brackenbridge.fleet.evacuation.Status;
-import brackenbridge.fleet.evacuation.Terms;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -68,29 +68,29 @@
     private Evacuations() {}
 
     /** Plays one; with a surprise in its rehearsal, it ends there. */
-    static Result play(String experiment, Drawn drawn, long seed, boolean surprise) {
-        Plan plan = drawn.plan();
-        Terms terms = drawn.terms();
+    static Result play(String experiment, RandomPlan drawn, long seed, boolean surprise) {
+        EvacuationPlan plan = drawn.plan();
+        ForecastSettings terms = drawn.terms();
         ZoneWorld world = new ZoneWorld(drawn, LEARN_MS + plan.rehearsalMs() + REST_MS + plan.lengthMs() + 1000);
-        Model model = new Model(terms);
+        PoolModel model = new PoolModel(terms);
         Map<String, String> nodes = new HashMap<>();
         for (String zone : drawn.zones()) {
-            for (int i = 0; i < Drawn.NODES_A_ZONE; i++) {
+            for (int i = 0; i < RandomPlan.NODES_A_ZONE; i++) {
                 nodes.put("n-" + zone + "-" + i, zone);
             }
         }
         model.expect(nodes);
         learn(world, model, 3000, LEARN_MS);
         Shares shares = Shares.maxMin(Map.of());
-        Picture before = model.picture(world.nowMs(), -1);
+        PoolSnapshot before = model.picture(world.nowMs(), -1);
         Forecast first = Forecast.of(before, plan, shares, drawn.seed());
         Forecast small = Forecast.rehearsal(before, plan, shares, drawn.seed());
         PlanState state = PlanState.drafted(plan, "lab")
                 .foretold(PlanState.foretold(before, first, small), first.verdict(), "lab")
-                .to(Status.REHEARSING, 0, 1, "lab", "");
+                .to(EvacuationStatus.REHEARSING, 0, 1, "lab", "");
         double rehearsalAt = world.nowMs();
         state = rehearse(world, model, state, surprise);
-        String halted = state.status() == Status.HALTED
+        String halted = state.status() == EvacuationStatus.HALTED
                 ? state.history().get(state.history().size() - 1).why()
                 : null;
         if (surprise) {
@@ -102,7 +102,7 @@
                     halted != null && world.nowMs() - rehearsalAt <= saturates + IN_TIME_MS);
         }
         learn(world, model, world.nowMs() + 3000, world.nowMs() + REST_MS);
-        Picture picture = model.picture(world.nowMs(), -1);
+        PoolSnapshot picture = model.picture(world.nowMs(), -1);
         Forecast forecast = Forecast.of(picture, plan, shares, drawn.seed());
         double start = world.nowMs();
         for (int i = 0; i < plan.steps().size(); i++) {
@@ -136,8 +136,8 @@
     }
 
     /** When a first pool saturates in the same rehearsal that nobody halts, from its begin; infinite if none does. */
-    private static double unhalted(Drawn drawn, Terms terms) {
-        Plan plan = drawn.plan();
+    private static double unhalted(RandomPlan drawn, ForecastSettings terms) {
+        EvacuationPlan plan = drawn.plan();
         double longest = drawn.world().classes().stream()
                 .mapToDouble(c -> c.deadlineMs())
                 .max()
@@ -159,7 +159,7 @@
         return first;
     }
 
-    private static void learn(ZoneWorld world, Model model, double fromMs, double toMs) {
+    private static void learn(ZoneWorld world, PoolModel model, double fromMs, double toMs) {
         while (world.nowMs() + 1000 <= toMs) {
             world.runUntil(world.nowMs() + 1000);
             if (world.nowMs() >= fromMs) {
@@ -168,12 +168,12 @@
         }
     }
 
-    private static PlanState rehearse(ZoneWorld world, Model model, PlanState begun, boolean surprise) {
+    private static PlanState rehearse(ZoneWorld world, PoolModel model, PlanState begun, boolean surprise) {
         Driver driver = new Driver("lab", Limits.USUAL);
         PlanState state = begun;
         boolean struck = false;
         double began = world.nowMs();
-        while (state.status() == Status.REHEARSING) {
+        while (state.status() == EvacuationStatus.REHEARSING) {
             world.part(state.plan().zone(), state.keeps());
             world.runUntil(world.nowMs() + TICK_MS);
             if (surprise && !struck && world.nowMs() - began >= STRIKE_MS) {
@@ -189,7 +189,7 @@
     }
 
     /** A surge of a zone's clients as the step begins, or a pool that turns slow. */
-    private static void strike(ZoneWorld world, Plan plan) {
+    private static void strike(ZoneWorld world, EvacuationPlan plan) {
         List<ZoneWorld.Pool> others = world.pools().stream()
                 .filter(p -> !p.name.zone().equals(plan.zone()))
                 .toList();
@@ -203,14 +203,19 @@
 
     /** Every pool's load grows as the others' part of the whole shrinks; against what it can do, or its last peak. */
     private static double proportional(
-            Drawn drawn, ZoneWorld world, Picture picture, ZoneWorld.Pool p, Plan plan, boolean peak) {
+            RandomPlan drawn,
+            ZoneWorld world,
+            PoolSnapshot picture,
+            ZoneWorld.Pool p,
+            EvacuationPlan plan,
+            boolean peak) {
         double all = 0;
         double leaves = 0;
         for (int z = 0; z < drawn.zones().size(); z++) {
             all += drawn.rates()[z];
             leaves += drawn.zones().get(z).equals(plan.zone()) ? drawn.rates()[z] : 0;
         }
-        Picture.Pool now = picture.pool(p.name);
+        PoolSnapshot.Pool now = picture.pool(p.name);
         double most = peak ? ZoneWorld.peak(p, LEARN_MS) : now.capacity();
         double at = 0;
         for (int i = 0; i < plan.steps().size(); i++) {
@@ -222,10 +227,10 @@
         return Double.NaN;
     }
 
-    private static List<Double> loads(ZoneWorld.Pool p, Plan plan, double start) {
+    private static List<Double> loads(ZoneWorld.Pool p, EvacuationPlan plan, double start) {
         List<Double> out = new ArrayList<>();
         double at = start;
-        for (Plan.Step s : plan.steps()) {
+        for (EvacuationPlan.Step s : plan.steps()) {
             out.add(ZoneWorld.load(p, at + s.pauseMs() / 2, at + s.pauseMs()));
             at += s.pauseMs();
         }
--- a/lab/src/main/java/brackenbridge/lab/evacuation/Measure.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/Measure.java
@@ -36,7 +36,7 @@
             for (Experiment e : experiments) {
                 for (long seed : seeds) {
                     for (int i = 0; i < draws; i++) {
-                        Drawn drawn = Drawn.of(e.name(), e.world(), seed, i);
+                        RandomPlan drawn = RandomPlan.of(e.name(), e.world(), seed, i);
                         tasks.add(() -> Evacuations.play(e.name(), drawn, seed, false));
                         if (i % SURPRISES_EVERY == 0) {
                             tasks.add(() -> Evacuations.play(e.name(), drawn, seed, true));
--- a/lab/src/main/java/brackenbridge/lab/evacuation/Drawn.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/RandomPlan.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.evacuation;
 
-import brackenbridge.fleet.evacuation.Plan;
-import brackenbridge.fleet.evacuation.Terms;
+import brackenbridge.fleet.evacuation.EvacuationPlan;
+import brackenbridge.fleet.evacuation.ForecastSettings;
 import brackenbridge.lab.random.Streams;
 import brackenbridge.lab.world.World;
 import brackenbridge.lab.world.World.ClassSpec;
@@ -26,7 +26,7 @@
  * @param slowKnown whether nodes have seen what a backlog does to servers
  * @param seed of the run
  */
-record Drawn(
+record RandomPlan(
         World world,
         List<String> zones,
         int[][][] servers,
@@ -34,7 +34,7 @@
         double[] rates,
         double elsewhere,
         double[] tilt,
-        Plan plan,
+        EvacuationPlan plan,
         boolean slowKnown,
         long seed) {
     static final int NODES_A_ZONE = 4;
@@ -42,7 +42,7 @@
     private static final double MOST_FINAL = 1.6;
 
     /** The draw of this number and seed. */
-    static Drawn of(String experiment, World world, long seed, int number) {
+    static RandomPlan of(String experiment, World world, long seed, int number) {
         long own = (experiment.hashCode() * 31L + seed) * 7919 + number;
         UniformRandomProvider r = new Streams(own).take();
         int zones = 3 + r.nextInt(2);
@@ -93,13 +93,14 @@
             parts[i] = 0.5 + r.nextDouble();
             sum += parts[i];
         }
-        List<Plan.Step> steps = new ArrayList<>();
+        List<EvacuationPlan.Step> steps = new ArrayList<>();
         double pause = 1000 * Math.round(6 + 6 * r.nextDouble());
         for (int i = 0; i < n; i++) {
-            steps.add(new Plan.Step(parts[i] / sum, pause));
+            steps.add(new EvacuationPlan.Step(parts[i] / sum, pause));
         }
-        Plan plan = new Plan("drawn-" + number, names.get(leaves), -1, steps, 0.1, 8000, List.of(), 0, List.of());
-        return new Drawn(
+        EvacuationPlan plan =
+                new EvacuationPlan("drawn-" + number, names.get(leaves), -1, steps, 0.1, 8000, List.of(), 0, List.of());
+        return new RandomPlan(
                 world,
                 names,
                 servers,
@@ -147,13 +148,13 @@
     }
 
     /** What the fleet's settings say. */
-    Terms terms() {
-        Map<String, Terms.ClassTerms> classes = new HashMap<>();
+    ForecastSettings terms() {
+        Map<String, ForecastSettings.ClassTerms> classes = new HashMap<>();
         double waits = (world.clients().tryLeast() + world.clients().tryMost()) / 2;
         for (ClassSpec c : world.classes()) {
-            classes.put(c.name(), new Terms.ClassTerms(c.deadlineMs() * waits, !c.unsafe()));
+            classes.put(c.name(), new ForecastSettings.ClassTerms(c.deadlineMs() * waits, !c.unsafe()));
         }
-        return new Terms(
+        return new ForecastSettings(
                 world.tiers().stream().map(TierSpec::name).toList(),
                 classes,
                 world.limits().maxAttempts(),
--- a/lab/src/main/java/brackenbridge/lab/evacuation/ZoneWorld.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/ZoneWorld.java
@@ -1,10 +1,10 @@
 package brackenbridge.lab.evacuation;
 
 import brackenbridge.fleet.evacuation.Driver.Seen;
-import brackenbridge.fleet.evacuation.Model.Observation;
+import brackenbridge.fleet.evacuation.PoolModel.Observation;
 import brackenbridge.fleet.evacuation.PoolName;
-import brackenbridge.fleet.evacuation.PoolSeen;
-import brackenbridge.fleet.replica.Version;
+import brackenbridge.fleet.evacuation.PoolObservation;
+import brackenbridge.fleet.replica.RecordVersion;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.model.ServerModel.Verdict;
 import brackenbridge.lab.model.ServerProfile;
@@ -103,7 +103,7 @@
         }
     }
 
-    private final Drawn drawn;
+    private final RandomPlan drawn;
     private final EventQueue queue = new EventQueue(0);
     private final int bins;
     private final List<Pool> pools = new ArrayList<>();
@@ -116,7 +116,7 @@
     private long second;
 
     /** Sets it up for so long. */
-    ZoneWorld(Drawn drawn, double lengthMs) {
+    ZoneWorld(RandomPlan drawn, double lengthMs) {
         this.drawn = drawn;
         this.bins = (int) Math.ceil(lengthMs / BIN_MS) + 1;
         Streams streams = new Streams(drawn.seed());
@@ -136,7 +136,7 @@
         }
         for (int z = 0; z < drawn.zones().size(); z++) {
             List<Node> of = new ArrayList<>();
-            for (int i = 0; i < Drawn.NODES_A_ZONE; i++) {
+            for (int i = 0; i < RandomPlan.NODES_A_ZONE; i++) {
                 of.add(new Node(z, i));
             }
             nodes.add(of);
@@ -171,7 +171,7 @@
             double place = n == 1 ? 0 : 2.0 * i / (n - 1) - 1;
             pool.servers.add(new ServerModel(
                     sized.withSpeed(p.speed() * (1 + spec.speedSpread() * place)), queue, streams.take()));
-            pool.out.add(new int[drawn.zones().size() * Drawn.NODES_A_ZONE]);
+            pool.out.add(new int[drawn.zones().size() * RandomPlan.NODES_A_ZONE]);
         }
         pools.add(pool);
     }
@@ -286,7 +286,7 @@
             this.ofClass = ofClass;
             this.deadlineMs = deadlineMs;
             this.done = done;
-            this.node = nodes.get(origin).get(random.nextInt(Drawn.NODES_A_ZONE));
+            this.node = nodes.get(origin).get(random.nextInt(RandomPlan.NODES_A_ZONE));
             TierSpec t = drawn.world().tiers().get(tier);
             int calls = tier + 1 >= drawn.world().tiers().size()
                     ? 0
@@ -303,7 +303,7 @@
         }
 
         private int index() {
-            return node.zone * Drawn.NODES_A_ZONE + nodes.get(node.zone).indexOf(node);
+            return node.zone * RandomPlan.NODES_A_ZONE + nodes.get(node.zone).indexOf(node);
         }
 
         private void attempt() {
@@ -468,7 +468,7 @@
     }
 
     private void tell(Pool p, int at, Node n) {
-        int me = n.zone * Drawn.NODES_A_ZONE + nodes.get(n.zone).indexOf(n);
+        int me = n.zone * RandomPlan.NODES_A_ZONE + nodes.get(n.zone).indexOf(n);
         double busy = p.out.stream().mapToInt(o -> o[me]).sum();
         ServerProfile.Choke choke = p.profile.choke();
         boolean slows = drawn.slowKnown() && choke.part() < 1;
@@ -476,7 +476,7 @@
         for (int c = 0; c < n.counts[at].length; c++) {
             Count k = n.counts[at][c];
             n.counts[at][c] = new Count();
-            PoolSeen seen = new PoolSeen(
+            PoolObservation seen = new PoolObservation(
                     k.arrivals,
                     k.attempts,
                     k.refused,
@@ -499,7 +499,7 @@
                     drawn.zones().get(n.zone),
                     p.name,
                     drawn.world().classes().get(c).name(),
-                    new Version(1, second),
+                    new RecordVersion(1, second),
                     seen,
                     100));
         }
--- a/lab/src/main/java/brackenbridge/lab/experiment/Results.java
+++ b/lab/src/main/java/brackenbridge/lab/experiment/Results.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.experiment;
 
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.stats.Scoreboard;
 import brackenbridge.lab.world.Experiment;
 import com.eclipsesource.json.Json;
@@ -50,9 +50,9 @@
 
     /** One run's line. */
     public static JsonObject line(
-            Experiment experiment, Experiment.Run run, String mode, Scoreboard board, Ledger ledger) {
+            Experiment experiment, Experiment.Run run, String mode, Scoreboard board, RuleChecker ledger) {
         JsonObject rules = Json.object();
-        for (Ledger.Rule rule : Ledger.Rule.values()) {
+        for (RuleChecker.Rule rule : RuleChecker.Rule.values()) {
             rules.add(rule.name().toLowerCase(Locale.ROOT), ledger.broken(rule));
         }
         return Json.object()
@@ -70,7 +70,7 @@
     }
 
     /** Adds a run's line, its histogram and its breaches. */
-    public void add(JsonObject line, Histogram latency, Ledger ledger) {
+    public void add(JsonObject line, Histogram latency, RuleChecker ledger) {
         try {
             Files.writeString(folder.resolve(LINES), line + "\n", StandardOpenOption.APPEND);
             int run = line.getInt("run", 0);
@@ -80,7 +80,7 @@
             latency.setTag("run-" + run);
             log.outputIntervalHistogram(latency);
             histograms.flush();
-            for (Ledger.Breach b : ledger.breaches()) {
+            for (RuleChecker.Breach b : ledger.breaches()) {
                 breaches.append("run ")
                         .append(run)
                         .append(' ')
--- a/lab/src/main/java/brackenbridge/lab/experiment/SimRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/experiment/SimRunner.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.experiment;
 
 import brackenbridge.lab.policy.Policies;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.sim.Simulation;
 import brackenbridge.lab.world.Experiment;
 import java.io.IOException;
@@ -27,7 +27,7 @@
      * @param requests requests checked
      * @param events events that reducers took in
      */
-    public record Summary(int runs, long broken, List<Ledger.Breach> breaches, long requests, long events) {}
+    public record Summary(int runs, long broken, List<RuleChecker.Breach> breaches, long requests, long events) {}
 
     private SimRunner() {}
 
@@ -48,7 +48,7 @@
         long requests = 0;
         long events = 0;
         int played = 0;
-        List<Ledger.Breach> breaches = new ArrayList<>();
+        List<RuleChecker.Breach> breaches = new ArrayList<>();
         try (Results results = new Results(out);
                 ProgressBar progress = bar
                         ? new ProgressBarBuilder()
--- a/lab/src/main/java/brackenbridge/lab/fleet/Relays.java
+++ b/lab/src/main/java/brackenbridge/lab/fleet/Relays.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.fleet;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.lab.live.Links;
+import brackenbridge.lab.live.ProcessLinks;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /** A relay on every link, made when the link is first asked for. */
-final class Relays implements Links, AutoCloseable {
+final class Relays implements ProcessLinks, AutoCloseable {
     private record Link(String from, String to, Relay relay) {}
 
     private final EventLoop loop;
--- a/lab/src/main/java/brackenbridge/lab/grow/GrowRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/grow/GrowRunner.java
@@ -1,9 +1,9 @@
 package brackenbridge.lab.grow;
 
 import brackenbridge.lab.experiment.Results;
-import brackenbridge.lab.live.Links;
 import brackenbridge.lab.live.LiveRunner;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.live.ProcessLinks;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.world.Experiment;
 import brackenbridge.lab.world.FileFault;
 import java.io.IOException;
@@ -40,7 +40,7 @@
      * @param overrun whether the load tool was too slow, so that the figures are its own too
      * @param breaches broken rules, with each request's history
      */
-    public record Outcome(int servers, Needs needs, boolean overrun, List<Ledger.Breach> breaches) {}
+    public record Outcome(int servers, Needs needs, boolean overrun, List<RuleChecker.Breach> breaches) {}
 
     /** Plays a fleet of so many servers for so long. */
     public Outcome play(int servers, double seconds, long seed, GrowWorld.Ends ends)
@@ -56,7 +56,7 @@
                     command,
                     place.resolve("node"),
                     results,
-                    Links.DIRECT,
+                    ProcessLinks.DIRECT,
                     number -> number == GrowWorld.NODE,
                     meter);
             Needs needs = new Needs(
@@ -74,7 +74,7 @@
     public Outcome playMean(int servers, double seconds, long firstSeed, int seeds, GrowWorld.Ends ends)
             throws FileFault, IOException, InterruptedException {
         List<Needs> needs = new ArrayList<>();
-        List<Ledger.Breach> breaches = new ArrayList<>();
+        List<RuleChecker.Breach> breaches = new ArrayList<>();
         boolean overrun = false;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
             Outcome outcome = play(servers, seconds, seed, ends);
--- a/lab/src/main/java/brackenbridge/lab/live/Bare.java
+++ b/lab/src/main/java/brackenbridge/lab/live/BareRelay.java
@@ -19,8 +19,8 @@
 import java.util.List;
 
 /** What a node is measured beside: servers that answer at once, and a relay that only passes bytes on. */
-public final class Bare {
-    private Bare() {}
+public final class BareRelay {
+    private BareRelay() {}
 
     private static EventLoop loop() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -31,12 +31,12 @@
         EventLoop loop = loop();
         List<String> dials = new ArrayList<>();
         for (int i = 0; i < addresses; i++) {
-            dials.add(Wire.dial(Wire.listen(loop, new InetSocketAddress("127.0.0.1", 0), Echo::new)));
+            dials.add(StandInHttp.dial(StandInHttp.listen(loop, new InetSocketAddress("127.0.0.1", 0), Echo::new)));
         }
         return dials;
     }
 
-    private static final class Echo extends Wire.Serving {
+    private static final class Echo extends StandInHttp.Serving {
         @Override
         void request(HttpRequest r) {
             answer(200, new Headers(), StandInServer.body(r.headers().get("X-Correlation-Id"), "echo"));
@@ -60,8 +60,9 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel client) {
-                        ChannelFuture opened =
-                                Wire.bootstrap(loop).handler(new Pass(client)).connect(to);
+                        ChannelFuture opened = StandInHttp.bootstrap(loop)
+                                .handler(new Pass(client))
+                                .connect(to);
                         client.pipeline().addLast(new Pass(opened.channel()));
                         opened.addListener(f -> {
                             if (f.isSuccess()) {
@@ -75,7 +76,7 @@
                 .bind(new InetSocketAddress("127.0.0.1", 0))
                 .syncUninterruptibly()
                 .channel();
-        return Wire.dial(listening);
+        return StandInHttp.dial(listening);
     }
 
     private static final class Pass extends ChannelInboundHandlerAdapter {
--- a/lab/src/main/java/brackenbridge/lab/live/Capacity.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Capacity.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.live;
 
 import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.lab.experiment.Results;
 import brackenbridge.lab.world.Experiment;
 import java.io.IOException;
@@ -68,9 +68,9 @@
                 .split(" ");
         String relay = processes.lab("1", flags, "relay", "--to", echoes[0]);
         InetSocketAddress node = LiveRunner.freePort();
-        List<Target> targets = new ArrayList<>();
+        List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < echoes.length; i++) {
-            targets.add(new Target("echo-" + i, echoes[i], "room", -1, 1, 0, EndpointState.UP));
+            targets.add(new ServerEndpoint("echo-" + i, echoes[i], "room", -1, 1, 0, EndpointState.UP));
         }
         Path config = out.resolve("node.json");
         Files.writeString(
@@ -81,7 +81,7 @@
                                 "127.0.0.1:1",
                                 4096,
                                 experiment.world().settings(0, 0, 1),
-                                new TargetGroup(1, true, targets))
+                                new EndpointList(1, true, targets))
                         .toString());
         processes.node("1", run, home, config, out.resolve("node.log"));
         Thread.sleep(2000);
--- a/lab/src/main/java/brackenbridge/lab/live/HopCost.java
+++ b/lab/src/main/java/brackenbridge/lab/live/HopCost.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.live;
 
 import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.lab.world.Experiment;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -142,7 +142,8 @@
     private InetSocketAddress startNode(PinnedProcesses processes, String run, InetSocketAddress echo)
             throws IOException, InterruptedException {
         InetSocketAddress node = LiveRunner.freePort();
-        List<Target> targets = List.of(new Target("echo", dial(echo), "room", -1, 1, 0, EndpointState.UP));
+        List<ServerEndpoint> targets =
+                List.of(new ServerEndpoint("echo", dial(echo), "room", -1, 1, 0, EndpointState.UP));
         Path config = out.resolve("node.json");
         Files.writeString(
                 config,
@@ -152,7 +153,7 @@
                                 "127.0.0.1:1",
                                 1024,
                                 experiment.world().settings(0, 0, 1),
-                                new TargetGroup(1, true, targets))
+                                new EndpointList(1, true, targets))
                         .toString());
         processes.node(NODE_CORE, run, home, config, out.resolve("node.log"));
         long end = System.currentTimeMillis() + LISTENS_WITHIN_MS;
--- a/lab/src/main/java/brackenbridge/lab/live/LiveRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LiveRunner.java
@@ -3,9 +3,9 @@
 import brackenbridge.clock.Clock;
 import brackenbridge.lab.experiment.Results;
 import brackenbridge.lab.model.Scheduler;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.stats.Scoreboard;
-import brackenbridge.lab.trouble.Troubles;
+import brackenbridge.lab.trouble.Faults;
 import brackenbridge.lab.world.Experiment;
 import brackenbridge.lab.world.World;
 import com.eclipsesource.json.JsonObject;
@@ -45,7 +45,13 @@
      * @param listBytes bytes of lists that discovery of the first tier has written
      */
     public record Outcome(
-            Scoreboard board, Ledger ledger, long sent, long late, boolean overrun, long connections, long listBytes) {}
+            Scoreboard board,
+            RuleChecker ledger,
+            long sent,
+            long late,
+            boolean overrun,
+            long connections,
+            long listBytes) {}
 
     private LiveRunner() {}
 
@@ -58,7 +64,16 @@
     public static Outcome play(
             Experiment experiment, Experiment.Run run, Path home, String command, Path folder, Results results)
             throws IOException, InterruptedException {
-        return play(experiment, run, home, command, folder, results, Links.DIRECT, ALL_NODES, (scheduler, nodes) -> {});
+        return play(
+                experiment,
+                run,
+                home,
+                command,
+                folder,
+                results,
+                ProcessLinks.DIRECT,
+                ALL_NODES,
+                (scheduler, nodes) -> {});
     }
 
     /** Hears that the load begins: the time, and the processes that may be struck. */
@@ -83,7 +98,7 @@
             String command,
             Path folder,
             Results results,
-            Links links,
+            ProcessLinks links,
             IntPredicate runs,
             Begun begun)
             throws IOException, InterruptedException {
@@ -101,7 +116,7 @@
             for (int i : IntStream.range(0, world.nodes(0)).filter(runs).toArray()) {
                 InetSocketAddress at = freePort();
                 String name = "n0-" + i;
-                InetSocketAddress front = Wire.address(links.through("clients", name, Wire.dial(at)));
+                InetSocketAddress front = StandInHttp.address(links.through("clients", name, StandInHttp.dial(at)));
                 nodes.add(new NodeProcess(
                         name,
                         at,
@@ -109,7 +124,7 @@
                         folder,
                         List.of("/bin/sh", "-c", command),
                         home,
-                        live.nodeConfig(name, i, Wire.dial(at)),
+                        live.nodeConfig(name, i, StandInHttp.dial(at)),
                         loop,
                         scheduler,
                         died -> live.registry().nodeDied(died, clock.nowMs())));
@@ -141,7 +156,7 @@
                     "interrupted");
             Runtime.getRuntime().addShutdownHook(interrupted);
             loop.execute(() -> {
-                new Troubles(live).schedule(world.troubles(), clock.nowMs());
+                new Faults(live).schedule(world.troubles(), clock.nowMs());
                 begun.now(scheduler, nodes);
                 sample(live, board, scheduler, (int) Math.ceil(world.seconds()));
             });
@@ -182,7 +197,7 @@
     }
 
     private static JsonObject line(
-            Experiment experiment, Experiment.Run run, Scoreboard board, Ledger ledger, LoadClient load) {
+            Experiment experiment, Experiment.Run run, Scoreboard board, RuleChecker ledger, LoadClient load) {
         return Results.line(experiment, run, "live", board, ledger)
                 .add("overrun", load.overrun())
                 .add("late", load.late())
--- a/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
@@ -3,8 +3,8 @@
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.clock.Clock;
 import brackenbridge.config.Config;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.HttpRequest;
@@ -13,7 +13,7 @@
 import brackenbridge.lab.model.Scheduler;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.random.Streams;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.stats.Scoreboard;
 import brackenbridge.lab.trouble.Stage;
 import brackenbridge.lab.world.World;
@@ -86,7 +86,7 @@
                     new Log(clock, new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8)));
             n.start();
             node = n;
-            address = Wire.address(links.through("callers", name, Wire.dial(n.address())));
+            address = StandInHttp.address(links.through("callers", name, StandInHttp.dial(n.address())));
         }
 
         /** Starts and kills wait for the node's own loop: not on the loop of the stand-ins. */
@@ -112,7 +112,7 @@
         private final Inner to;
         private final ResponseDecoder decoder = new ResponseDecoder();
         private Channel channel;
-        private Ledger.Entry entry;
+        private RuleChecker.Entry entry;
         private String id;
         private Consumer<Boolean> done;
 
@@ -122,7 +122,7 @@
 
         void send(
                 String sentId,
-                Ledger.Entry sent,
+                RuleChecker.Entry sent,
                 String className,
                 boolean unsafe,
                 double leftMs,
@@ -153,8 +153,8 @@
                     entry.answered(
                             clock.nowMs(),
                             r.status() == 200
-                                    ? Ledger.Answer.SERVED
-                                    : r.status() == 503 ? Ledger.Answer.REFUSED : Ledger.Answer.FAILED);
+                                    ? RuleChecker.Answer.SERVED
+                                    : r.status() == 503 ? RuleChecker.Answer.REFUSED : RuleChecker.Answer.FAILED);
                     if (r.keepAlive() && channel.isActive()) {
                         to.idle.add(this);
                     } else {
@@ -235,7 +235,7 @@
                 return;
             }
             Caller c = new Caller(to);
-            Wire.bootstrap(loop).handler(c).connect(to.address).addListener(f -> {
+            StandInHttp.bootstrap(loop).handler(c).connect(to.address).addListener(f -> {
                 if (!f.isSuccess()) {
                     done.accept(false);
                     return;
@@ -259,7 +259,7 @@
         private void send(Caller c, String named, boolean unsafe, double deadlineMs, Consumer<Boolean> done) {
             double now = clock.nowMs();
             String id = HexFormat.of().toHexDigits(random.nextLong());
-            Ledger.Entry entry = ledger.taken(now, id, named, c.to.name, unsafe, deadlineMs);
+            RuleChecker.Entry entry = ledger.taken(now, id, named, c.to.name, unsafe, deadlineMs);
             registry.add(id, entry, now, deadlineMs);
             c.send(id, entry, named, unsafe, deadlineMs - now, done);
             scheduler.at(deadlineMs + SLACK_MS, () -> {
@@ -272,7 +272,7 @@
 
     private final World spec;
     private final Scoreboard board;
-    private final Links links;
+    private final ProcessLinks links;
     /** Servers' places by their addresses. */
     private final Map<String, String> places = new HashMap<>();
 
@@ -280,7 +280,7 @@
     private final EventLoop loop;
     private final Clock clock;
     private final LoopScheduler scheduler;
-    private final Ledger ledger;
+    private final RuleChecker ledger;
     private final Registry registry = new Registry();
     private final List<List<StandInServer>> tiers = new ArrayList<>();
     private final List<StandInDiscovery> discoveries = new ArrayList<>();
@@ -288,7 +288,7 @@
     private List<NodeProcess> nodes = List.of();
 
     /** Servers, lists and inner nodes of a world, all running; not on the loop. */
-    LiveWorld(World spec, long seed, EventLoop loop, Clock clock, Scoreboard board, Links links) {
+    LiveWorld(World spec, long seed, EventLoop loop, Clock clock, Scoreboard board, ProcessLinks links) {
         this.spec = spec;
         this.links = links;
         this.board = board;
@@ -296,7 +296,7 @@
         this.loop = loop;
         this.clock = clock;
         this.scheduler = new LoopScheduler(loop, clock);
-        this.ledger = new Ledger(SLACK_MS, spec.limits().drainGraceMs() + GRACE_SLACK_MS);
+        this.ledger = new RuleChecker(SLACK_MS, spec.limits().drainGraceMs() + GRACE_SLACK_MS);
         Streams streams = new Streams(seed);
         for (int t = 0; t < spec.tiers().size(); t++) {
             StandInDiscovery d =
@@ -349,10 +349,10 @@
     }
 
     /** A list as a node sees it: servers are where the links to them begin. */
-    private TargetGroup seenFrom(String node, TargetGroup g) {
-        List<Target> targets = new ArrayList<>();
-        for (Target t : g.targets()) {
-            targets.add(new Target(
+    private EndpointList seenFrom(String node, EndpointList g) {
+        List<ServerEndpoint> targets = new ArrayList<>();
+        for (ServerEndpoint t : g.targets()) {
+            targets.add(new ServerEndpoint(
                     t.host(),
                     links.through(node, places.getOrDefault(t.dial(), t.host()), t.dial()),
                     t.zone(),
@@ -361,7 +361,7 @@
                     t.bornMs(),
                     t.state()));
         }
-        return new TargetGroup(g.seq(), g.whole(), targets);
+        return new EndpointList(g.seq(), g.whole(), targets);
     }
 
     private void moveNode(String name, String moved) {
@@ -416,7 +416,7 @@
         return tiers.get(0).stream().mapToLong(StandInServer::accepted).sum();
     }
 
-    Ledger ledger() {
+    RuleChecker ledger() {
         return ledger;
     }
 
--- a/lab/src/main/java/brackenbridge/lab/live/LoadClient.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LoadClient.java
@@ -5,11 +5,11 @@
 import brackenbridge.http.HttpResponse;
 import brackenbridge.http.ResponseDecoder;
 import brackenbridge.lab.load.Arrivals;
-import brackenbridge.lab.load.Habits;
+import brackenbridge.lab.load.ClientBehaviour;
 import brackenbridge.lab.load.Mix;
 import brackenbridge.lab.random.Streams;
-import brackenbridge.lab.rules.Ledger;
-import brackenbridge.lab.rules.Ledger.Answer;
+import brackenbridge.lab.rules.RuleChecker;
+import brackenbridge.lab.rules.RuleChecker.Answer;
 import brackenbridge.lab.stats.Scoreboard;
 import brackenbridge.lab.stats.Scoreboard.End;
 import brackenbridge.lab.world.World;
@@ -160,7 +160,7 @@
         double tryEndsMs;
         Gate gate;
         String id;
-        Ledger.Entry entry;
+        RuleChecker.Entry entry;
         Connection connection;
 
         Attempted(double dueMs) {
@@ -220,7 +220,7 @@
             connections++;
             Connection c = new Connection(gate);
             c.keep = kept;
-            Wire.bootstrap(loop).handler(c).connect(gate.address()).addListener(f -> {
+            StandInHttp.bootstrap(loop).handler(c).connect(gate.address()).addListener(f -> {
                 if (!f.isSuccess()) {
                     connections--;
                     if (!over) {
@@ -346,7 +346,7 @@
 
         private void failed(Answer how, boolean taken, double retryAfterMs) {
             double now = clock.nowMs();
-            Habits.Next next =
+            ClientBehaviour.Next next =
                     habits.afterFailure(how, taken, spec.unsafe(), tries, heeds, retryAfterMs, now, deadline());
             if (next.end() != null) {
                 end(next.end());
@@ -413,13 +413,13 @@
     private final LoopScheduler scheduler;
     private final List<? extends Gate> gates;
     private final Scoreboard board;
-    private final Ledger ledger;
+    private final RuleChecker ledger;
     private final Registry registry;
     private final boolean checkBodies;
     private final int mostConnections;
     private final Arrivals arrivals;
     private final Mix mix;
-    private final Habits habits;
+    private final ClientBehaviour habits;
     private final UniformRandomProvider ids;
     private final UniformRandomProvider front;
     private final org.apache.commons.rng.sampling.distribution.ContinuousSampler workSampler;
@@ -442,7 +442,7 @@
             Clock clock,
             List<? extends Gate> gates,
             Scoreboard board,
-            Ledger ledger,
+            RuleChecker ledger,
             Registry registry,
             boolean checkBodies,
             int mostConnections) {
@@ -459,7 +459,7 @@
         Streams streams = new Streams(seed);
         arrivals = new Arrivals(world, streams.take(), world.warmupS() * 1000);
         mix = new Mix(world, streams.take());
-        habits = new Habits(world.clients(), streams.take());
+        habits = new ClientBehaviour(world.clients(), streams.take());
         ids = streams.take();
         front = streams.take();
         workSampler = world.tiers().get(0).work().sampler(streams.take());
--- a/lab/src/main/java/brackenbridge/lab/live/LoadRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LoadRunner.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.lab.experiment.Results;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.stats.Scoreboard;
 import brackenbridge.lab.world.Experiment;
 import com.eclipsesource.json.JsonObject;
@@ -52,7 +52,7 @@
             throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         Scoreboard board = new Scoreboard(run.world());
-        Ledger ledger = new Ledger(SLACK_MS, 0);
+        RuleChecker ledger = new RuleChecker(SLACK_MS, 0);
         LoadClient load = new LoadClient(
                 run.world(),
                 run.seed(),
@@ -95,7 +95,7 @@
     }
 
     private static JsonObject line(
-            Experiment experiment, Experiment.Run run, Scoreboard board, Ledger ledger, LoadClient load) {
+            Experiment experiment, Experiment.Run run, Scoreboard board, RuleChecker ledger, LoadClient load) {
         return Results.line(experiment, run, "load", board, ledger)
                 .add("overrun", load.overrun())
                 .add("late", load.late())
--- a/lab/src/main/java/brackenbridge/lab/live/Links.java
+++ b/lab/src/main/java/brackenbridge/lab/live/ProcessLinks.java
@@ -1,9 +1,9 @@
 package brackenbridge.lab.live;
 
 /** Puts something on the way from one process to another; each way is known by the names of its ends. */
-public interface Links {
+public interface ProcessLinks {
     /** Nothing on any way. */
-    Links DIRECT = (from, to, dial) -> dial;
+    ProcessLinks DIRECT = (from, to, dial) -> dial;
 
     /**
      * The address at which one process finds another.
--- a/lab/src/main/java/brackenbridge/lab/live/Registry.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Registry.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.live;
 
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -13,11 +13,11 @@
 
     /** A request and its last attempt. */
     static final class Known {
-        final Ledger.Entry entry;
+        final RuleChecker.Entry entry;
         final double deadlineMs;
-        Ledger.Attempt last;
+        RuleChecker.Attempt last;
 
-        Known(Ledger.Entry entry, double deadlineMs) {
+        Known(RuleChecker.Entry entry, double deadlineMs) {
             this.entry = entry;
             this.deadlineMs = deadlineMs;
         }
@@ -29,7 +29,7 @@
     private final ArrayDeque<Old> old = new ArrayDeque<>();
     private Function<String, Known> unknown;
 
-    Known add(String id, Ledger.Entry entry, double nowMs, double deadlineMs) {
+    Known add(String id, RuleChecker.Entry entry, double nowMs, double deadlineMs) {
         while (!old.isEmpty() && old.peek().untilMs() < nowMs) {
             known.remove(old.poll().id());
         }
--- a/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.live;
 
 import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.world.World;
@@ -70,11 +70,12 @@
         this.run = run;
         this.say = say;
         Files.createDirectories(out.resolve("tmp"));
-        List<Target> targets = new ArrayList<>();
+        List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            targets.add(new Target(
+            targets.add(new ServerEndpoint(
                     "s-" + i,
-                    Wire.dial(Wire.listen(group.next(), new InetSocketAddress("127.0.0.1", 0), Server::new)),
+                    StandInHttp.dial(
+                            StandInHttp.listen(group.next(), new InetSocketAddress("127.0.0.1", 0), Server::new)),
                     "room",
                     -1,
                     1,
@@ -87,7 +88,7 @@
                 "127.0.0.1:1",
                 SOCKETS,
                 world.settings(0, 0, 1),
-                new TargetGroup(1, true, targets));
+                new EndpointList(1, true, targets));
         config.get("limits").asObject().set("memory_mb", MEMORY_MB);
     }
 
@@ -96,7 +97,7 @@
     }
 
     /** A server: a short answer at once, or a long one where the query asks for it. */
-    private static final class Server extends Wire.Serving {
+    private static final class Server extends StandInHttp.Serving {
         @Override
         void request(HttpRequest r) {
             if (r.target().endsWith("?long")) {
--- a/lab/src/main/java/brackenbridge/lab/live/Servers.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Servers.java
@@ -1,9 +1,9 @@
 package brackenbridge.lab.live;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.stats.Scoreboard;
-import brackenbridge.lab.trouble.Troubles;
+import brackenbridge.lab.trouble.Faults;
 import brackenbridge.lab.world.World;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -27,7 +27,7 @@
     public Servers(World world, long seed, Path folder) throws IOException {
         EventLoop loop = group.next();
         Clock clock = Clock.system();
-        live = new LiveWorld(world, seed, loop, clock, new Scoreboard(world), Links.DIRECT);
+        live = new LiveWorld(world, seed, loop, clock, new Scoreboard(world), ProcessLinks.DIRECT);
         live.registry().open(id -> {
             // What another process sends is known by its id alone: whether it may run twice is not, so it may.
             double deadline = clock.nowMs()
@@ -35,7 +35,7 @@
                             .mapToDouble(World.ClassSpec::deadlineMs)
                             .max()
                             .orElse(1000);
-            Ledger.Entry entry = live.ledger().taken(clock.nowMs(), id, "-", "any", false, deadline);
+            RuleChecker.Entry entry = live.ledger().taken(clock.nowMs(), id, "-", "any", false, deadline);
             return live.registry().add(id, entry, clock.nowMs(), deadline);
         });
         Files.createDirectories(folder);
@@ -50,7 +50,7 @@
             configs.add(file);
             addresses.add(at);
         }
-        loop.execute(() -> new Troubles(live)
+        loop.execute(() -> new Faults(live)
                 .schedule(
                         world.troubles().stream()
                                 .filter(t -> !t.kind().ofNodes())
--- a/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
+++ b/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
@@ -3,8 +3,8 @@
 import brackenbridge.BalancerApi.RequestClass;
 import brackenbridge.BalancerApi.Settings;
 import brackenbridge.BalancerApi.Tenant;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
@@ -15,7 +15,8 @@
     private SettingsJson() {}
 
     /** A node's whole configuration. */
-    static JsonObject config(String name, String listen, String discovery, int sockets, Settings s, TargetGroup known) {
+    static JsonObject config(
+            String name, String listen, String discovery, int sockets, Settings s, EndpointList known) {
         return Json.object()
                 .add("name", name)
                 .add("listen", listen)
@@ -87,9 +88,9 @@
     }
 
     /** A list as discovery tells it. */
-    static JsonObject group(TargetGroup g) {
+    static JsonObject group(EndpointList g) {
         JsonArray hosts = new JsonArray();
-        for (Target t : g.targets()) {
+        for (ServerEndpoint t : g.targets()) {
             hosts.add(Json.object()
                     .add("host", t.host())
                     .add("dial", t.dial())
--- a/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
@@ -1,11 +1,11 @@
 package brackenbridge.lab.live;
 
 import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.trouble.Stage;
 import brackenbridge.lab.world.ServiceList;
 import brackenbridge.lab.world.World;
@@ -33,7 +33,7 @@
     /** A call that would wait longer than this in the queue fails. */
     private static final double LONGEST_WAIT_MS = 1000;
 
-    private final class Call extends Wire.Serving {
+    private final class Call extends StandInHttp.Serving {
         private final String node;
         private boolean watching;
         private boolean over;
@@ -75,7 +75,7 @@
                     false);
             watching = true;
             watches.add(this);
-            TargetGroup since = list.since(version);
+            EndpointList since = list.since(version);
             told = list.seq();
             line(since);
             beat();
@@ -94,7 +94,7 @@
                     reset();
                     return;
                 }
-                TargetGroup whole = list.whole();
+                EndpointList whole = list.whole();
                 byte[] text =
                         SettingsJson.group(seen.apply(node, whole)).toString().getBytes(StandardCharsets.UTF_8);
                 listBytes += text.length;
@@ -103,13 +103,13 @@
             });
         }
 
-        private void tell(TargetGroup g) {
-            for (Target t : g.targets()) {
+        private void tell(EndpointList g) {
+            for (ServerEndpoint t : g.targets()) {
                 ledger.told(scheduler.nowMs(), node, t.host(), t.state() == EndpointState.UP);
             }
         }
 
-        private void line(TargetGroup g) {
+        private void line(EndpointList g) {
             chunk(SettingsJson.group(seen.apply(node, g)) + "\n");
             tell(g);
         }
@@ -139,7 +139,7 @@
 
         void changed() {
             if (!over && !down && told < list.seq()) {
-                TargetGroup since = list.since(told);
+                EndpointList since = list.since(told);
                 told = list.seq();
                 line(since);
             }
@@ -157,12 +157,12 @@
     private final EventLoop loop;
     private final LoopScheduler scheduler;
     private final World.DiscoverySpec spec;
-    private final Ledger ledger;
+    private final RuleChecker ledger;
     private final ServiceList list = new ServiceList();
     private final Map<String, Channel> listening = new LinkedHashMap<>();
     private final List<Call> watches = new ArrayList<>();
     private final BiConsumer<String, String> nodeMoves;
-    private final BiFunction<String, TargetGroup, TargetGroup> seen;
+    private final BiFunction<String, EndpointList, EndpointList> seen;
     private double extraMs;
     private double callMs;
     private double busyUntilMs;
@@ -170,7 +170,7 @@
     /** Bytes of lists and changes so far; read by other threads once the load is over. */
     private volatile long listBytes;
 
-    private final List<Target> held = new ArrayList<>();
+    private final List<ServerEndpoint> held = new ArrayList<>();
     private final List<Runnable> heldCalls = new ArrayList<>();
 
     /**
@@ -183,9 +183,9 @@
             EventLoop loop,
             LoopScheduler scheduler,
             World.DiscoverySpec spec,
-            Ledger ledger,
+            RuleChecker ledger,
             BiConsumer<String, String> nodeMoves,
-            BiFunction<String, TargetGroup, TargetGroup> seen) {
+            BiFunction<String, EndpointList, EndpointList> seen) {
         this.loop = loop;
         this.scheduler = scheduler;
         this.spec = spec;
@@ -205,15 +205,15 @@
 
     /** The address at which this node finds it. */
     String addressFor(String node) {
-        return Wire.dial(listening.computeIfAbsent(node, n -> listen(n)));
+        return StandInHttp.dial(listening.computeIfAbsent(node, n -> listen(n)));
     }
 
     private Channel listen(String node) {
-        return Wire.listen(loop, new InetSocketAddress("127.0.0.1", 0), () -> new Call(node));
+        return StandInHttp.listen(loop, new InetSocketAddress("127.0.0.1", 0), () -> new Call(node));
     }
 
     /** A server has changed; it is listed so after the notice. */
-    void changed(Target t, boolean silent) {
+    void changed(ServerEndpoint t, boolean silent) {
         double wait = (silent ? spec.silentNoticeMs() : spec.noticeMs()) + extraMs;
         scheduler.at(scheduler.nowMs() + wait, () -> {
             if (down && spec.pushed()) {
@@ -224,7 +224,7 @@
         });
     }
 
-    private void list(Target t) {
+    private void list(ServerEndpoint t) {
         list.change(t);
         if (spec.pushed()) {
             // Guards the rule on drains against a node that does not listen to its agent.
@@ -242,7 +242,7 @@
     public void silent(boolean on) {
         down = on;
         if (on && !spec.pushed()) {
-            List.copyOf(watches).forEach(Wire.Serving::reset);
+            List.copyOf(watches).forEach(StandInHttp.Serving::reset);
         } else if (!on) {
             List<Runnable> calls = List.copyOf(heldCalls);
             heldCalls.clear();
@@ -263,12 +263,12 @@
         List<Call> open = List.copyOf(watches);
         listening.clear();
         for (String node : old.keySet()) {
-            Wire.listenLater(loop, new InetSocketAddress("127.0.0.1", 0), () -> new Call(node))
+            StandInHttp.listenLater(loop, new InetSocketAddress("127.0.0.1", 0), () -> new Call(node))
                     .addListener(f -> {
                         if (f.isSuccess()) {
                             Channel moved = ((ChannelFuture) f).channel();
                             listening.put(node, moved);
-                            nodeMoves.accept(node, Wire.dial(moved));
+                            nodeMoves.accept(node, StandInHttp.dial(moved));
                         }
                     });
         }
--- a/lab/src/main/java/brackenbridge/lab/live/Wire.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInHttp.java
@@ -21,8 +21,8 @@
 import java.util.function.Supplier;
 
 /** What stand-ins share: listening on loopback, and reading one request after another from a connection. */
-final class Wire {
-    private Wire() {}
+final class StandInHttp {
+    private StandInHttp() {}
 
     /** A connection's server side: one request at a time. */
     abstract static class Serving extends ChannelInboundHandlerAdapter {
@@ -86,7 +86,7 @@
 
         /** Ends the connection with a reset. */
         void reset() {
-            Wire.reset(channel);
+            StandInHttp.reset(channel);
         }
 
         @Override
--- a/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
@@ -2,12 +2,12 @@
 
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.BalancerApi.Report;
-import brackenbridge.core.Target;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.model.ServerModel.Verdict;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.trouble.Stage;
 import brackenbridge.lab.world.World;
 import io.netty.buffer.Unpooled;
@@ -50,9 +50,9 @@
         double wayMs(StandInServer at, String node);
     }
 
-    private final class Connection extends Wire.Serving {
+    private final class Connection extends StandInHttp.Serving {
         private ServerModel.Job job;
-        private Ledger.Attempt attempt;
+        private RuleChecker.Attempt attempt;
         private double idleSinceMs;
         private int uses;
         private boolean taken;
@@ -135,7 +135,7 @@
 
         private void begin(HttpRequest r, String id, Registry.Known known, double now) {
             boolean crossing = known.entry.out() > 0;
-            Ledger.Attempt before = known.last;
+            RuleChecker.Attempt before = known.last;
             attempt = known.entry.arrived(now, host, !crossing);
             known.last = attempt;
             if (crossing) {
@@ -148,7 +148,7 @@
             String left = r.headers().get("X-Time-Left-Ms");
             double deadline =
                     left == null || !TIME.matcher(left).matches() ? known.deadlineMs : now + Long.parseLong(left);
-            Ledger.Attempt mine = attempt;
+            RuleChecker.Attempt mine = attempt;
             ServerModel.Job[] begun = new ServerModel.Job[1];
             boolean[] over = {false};
             begun[0] = model.begin(
@@ -163,7 +163,7 @@
             job = over[0] ? null : begun[0];
         }
 
-        private void replied(Verdict v, String id, Ledger.Attempt of) {
+        private void replied(Verdict v, String id, RuleChecker.Attempt of) {
             job = null;
             double now = scheduler.nowMs();
             idleSinceMs = now;
@@ -231,7 +231,7 @@
     final int index;
     private final EventLoop loop;
     private final LoopScheduler scheduler;
-    private final Ledger ledger;
+    private final RuleChecker ledger;
     private final Registry registry;
     private final Behaviour behaviour;
     private final StandInDiscovery discovery;
@@ -262,7 +262,7 @@
             EventLoop loop,
             LoopScheduler scheduler,
             ServerModel model,
-            Ledger ledger,
+            RuleChecker ledger,
             Registry registry,
             Behaviour behaviour,
             StandInDiscovery discovery,
@@ -280,8 +280,8 @@
         this.zone = zone;
         this.limits = limits;
         this.host = "s-" + tier + "-" + index;
-        listening = Wire.listen(loop, new InetSocketAddress("127.0.0.1", 0), Connection::new);
-        dial = Wire.dial(listening);
+        listening = StandInHttp.listen(loop, new InetSocketAddress("127.0.0.1", 0), Connection::new);
+        dial = StandInHttp.dial(listening);
         model.onPushedOver(() -> {
             ledger.pushedOver(scheduler.nowMs(), host);
             die();
@@ -306,8 +306,8 @@
                 r.errorsPerSecond());
     }
 
-    Target target(EndpointState state) {
-        return new Target(host, dial, zone, -1, 1, bornMs, state);
+    ServerEndpoint target(EndpointState state) {
+        return new ServerEndpoint(host, dial, zone, -1, 1, bornMs, state);
     }
 
     String zone() {
@@ -361,7 +361,7 @@
         cutOff = on;
         connections.forEach(c -> c.channel.config().setAutoRead(!on));
         if (!on) {
-            List.copyOf(connections).forEach(Wire.Serving::reset);
+            List.copyOf(connections).forEach(StandInHttp.Serving::reset);
         }
     }
 
@@ -377,7 +377,7 @@
             listening.close();
             listening = null;
         }
-        List.copyOf(connections).forEach(Wire.Serving::reset);
+        List.copyOf(connections).forEach(StandInHttp.Serving::reset);
         onDie.run();
     }
 
@@ -386,7 +386,7 @@
         if (renamed) {
             host = "s-" + tier + "-" + index + "-r" + ++names;
         }
-        InetSocketAddress at = Wire.address(dial);
+        InetSocketAddress at = StandInHttp.address(dial);
         listening = null;
         model.start();
         bornMs = scheduler.nowMs();
@@ -397,7 +397,7 @@
 
     /** The old process's sockets may take a moment to go. */
     private void bind(InetSocketAddress at, int tries) {
-        Wire.listenLater(loop, at, Connection::new).addListener(f -> {
+        StandInHttp.listenLater(loop, at, Connection::new).addListener(f -> {
             if (f.isSuccess()) {
                 listening = ((ChannelFuture) f).channel();
             } else if (tries < 50) {
--- a/lab/src/main/java/brackenbridge/lab/load/Habits.java
+++ b/lab/src/main/java/brackenbridge/lab/load/ClientBehaviour.java
@@ -1,12 +1,12 @@
 package brackenbridge.lab.load;
 
-import brackenbridge.lab.rules.Ledger.Answer;
+import brackenbridge.lab.rules.RuleChecker.Answer;
 import brackenbridge.lab.stats.Scoreboard.End;
 import brackenbridge.lab.world.World;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** What clients do when they are not served: try again after a pause, heed advice, or go away. */
-public final class Habits {
+public final class ClientBehaviour {
     /** Advice is followed so much later at the most, so that clients do not all come back at once. */
     private static final double SPREAD = 0.1;
 
@@ -24,7 +24,7 @@
     public record Next(End end, double waitMs) {}
 
     /** Drawn from this stream. */
-    public Habits(World.ClientSpec spec, UniformRandomProvider random) {
+    public ClientBehaviour(World.ClientSpec spec, UniformRandomProvider random) {
         this.spec = spec;
         this.random = random;
     }
--- a/lab/src/main/java/brackenbridge/lab/replica/Bounds.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/Bounds.java
@@ -13,7 +13,7 @@
  */
 public record Bounds(int writes, int wants, int pieces, int ends, int saves, int forgets, int folds) {
     /** Bounds for a search for this mistake: as small as they can be so that it shows. */
-    public static Bounds of(Mistake m) {
+    public static Bounds of(ReplicationMistake m) {
         return switch (m) {
             case SNAPSHOT_AS_TAIL -> new Bounds(3, 1, 1, 0, 0, 1, 0);
             case SNAPSHOT_DONE_EARLY -> new Bounds(4, 1, 1, 0, 0, 1, 0);
--- a/lab/src/main/java/brackenbridge/lab/replica/Explorer.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/Explorer.java
@@ -22,15 +22,15 @@
 
     private record From(String key, String by) {}
 
-    private record Open(Model.State state, String key, int depth) {}
+    private record Open(ReplicationModel.State state, String key, int depth) {}
 
     private Explorer() {}
 
     /** Goes through histories until so many moments were seen. */
-    public static Found explore(Model model, long most) {
+    public static Found explore(ReplicationModel model, long most) {
         Map<String, From> seen = new HashMap<>();
         ArrayDeque<Open> open = new ArrayDeque<>();
-        Model.State first = model.first();
+        ReplicationModel.State first = model.first();
         seen.put(first.key(), new From(null, ""));
         open.add(new Open(first, first.key(), 0));
         long steps = 0;
@@ -45,7 +45,8 @@
             if (seen.size() >= most) {
                 return new Found(seen.size(), steps, depth, null, List.of(), false);
             }
-            for (Map.Entry<String, Model.State> e : model.next(o.state()).entrySet()) {
+            for (Map.Entry<String, ReplicationModel.State> e :
+                    model.next(o.state()).entrySet()) {
                 steps++;
                 String key = e.getValue().key();
                 if (seen.putIfAbsent(key, new From(o.key(), e.getKey())) == null) {
--- a/lab/src/main/java/brackenbridge/lab/replica/Mistake.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/ReplicationMistake.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.replica;
 
 /** Mistakes that an implementation of the exchange could make; exploring it with one of them must find a breach. */
-public enum Mistake {
+public enum ReplicationMistake {
     /** None: the classes as they are. */
     NONE,
     /** A piece of a log is taken though what lies before it is missing. */
--- a/lab/src/main/java/brackenbridge/lab/replica/Model.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/ReplicationModel.java
@@ -1,11 +1,11 @@
 package brackenbridge.lab.replica;
 
-import brackenbridge.fleet.replica.Entry;
-import brackenbridge.fleet.replica.Item;
-import brackenbridge.fleet.replica.Message;
-import brackenbridge.fleet.replica.Space;
-import brackenbridge.fleet.replica.Store;
-import brackenbridge.fleet.replica.Version;
+import brackenbridge.fleet.replica.RecordKey;
+import brackenbridge.fleet.replica.RecordSpace;
+import brackenbridge.fleet.replica.RecordStore;
+import brackenbridge.fleet.replica.RecordVersion;
+import brackenbridge.fleet.replica.ReplicatedRecord;
+import brackenbridge.fleet.replica.ReplicationMessage;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -24,7 +24,7 @@
  * now on messages come through: all equal, each holding exactly what a replay of the owner's writes gives, and no sum
  * below what a living member had counted.
  */
-public final class Model {
+public final class ReplicationModel {
     private static final String[] NAMES = {"a", "b", "c"};
     private static final String OWNER = "a";
     /** So small that each piece carries one record. */
@@ -33,15 +33,15 @@
     private static final String SUM = "s";
 
     /** What was written, by life; the whole of a log, for the replay. */
-    private record Written(Map<Long, List<Entry>> logs, long added) {}
+    private record Written(Map<Long, List<ReplicatedRecord>> logs, long added) {}
 
     /** A message on its way, for ever. */
-    private record Sent(int to, Message message) {}
+    private record Sent(int to, ReplicationMessage message) {}
 
     /** One moment. */
     static final class State {
-        private final Store[] stores = new Store[NAMES.length];
-        private final Store[] disks = new Store[NAMES.length];
+        private final RecordStore[] stores = new RecordStore[NAMES.length];
+        private final RecordStore[] disks = new RecordStore[NAMES.length];
         private final Map<String, Sent> sent = new TreeMap<>();
         private Written written = new Written(Map.of(), 0);
         private long lives;
@@ -96,10 +96,10 @@
     }
 
     private final Bounds bounds;
-    private final Mistake mistake;
+    private final ReplicationMistake mistake;
 
     /** Histories within these bounds, of an implementation that makes this mistake. */
-    public Model(Bounds bounds, Mistake mistake) {
+    public ReplicationModel(Bounds bounds, ReplicationMistake mistake) {
         this.bounds = bounds;
         this.mistake = mistake;
     }
@@ -109,7 +109,7 @@
         State s = new State();
         s.lives = 1;
         for (int i = 0; i < NAMES.length; i++) {
-            s.stores[i] = new Store(NAMES[i], 1, 1, false);
+            s.stores[i] = new RecordStore(NAMES[i], 1, 1, false);
         }
         return s;
     }
@@ -135,11 +135,12 @@
         }
         if (s.folds < bounds.folds()
                 && !s.stores[0].endedOfMine().isEmpty()
-                && (mistake == Mistake.FOLD_TOO_SOON || allHoldAsMuch(s))) {
+                && (mistake == ReplicationMistake.FOLD_TOO_SOON || allHoldAsMuch(s))) {
             State n = s.copy();
             n.folds++;
             // Assumed: nothing of an ended life is on its way for as long as a fold waits.
-            n.sent.values().removeIf(m -> m.message() instanceof Message.Chunk c && c.life() < n.stores[0].life());
+            n.sent.values()
+                    .removeIf(m -> m.message() instanceof ReplicationMessage.Chunk c && c.life() < n.stores[0].life());
             fold(n);
             next.put("a folds", n);
         }
@@ -148,21 +149,21 @@
 
     private State write(State s) {
         State n = s.copy();
-        Store a = n.stores[0];
+        RecordStore a = n.stores[0];
         long had = a.have(OWNER, a.life()).orElse(0);
         long added = 0;
         // With folds, sums come first: what is at stake then.
         boolean wrote = switch (bounds.folds() > 0 ? (n.writes + 3) % 5 : n.writes) {
-            case 0 -> a.put(Space.SERVERS, "k", new byte[] {'1'}, 0);
-            case 1 -> a.remove(Space.SERVERS, "k", 0) || a.put(Space.SERVERS, "j", new byte[] {'2'}, 0);
-            case 2 -> a.put(Space.SERVERS, "i", new byte[] {'3'}, 0);
+            case 0 -> a.put(RecordSpace.SERVERS, "k", new byte[] {'1'}, 0);
+            case 1 -> a.remove(RecordSpace.SERVERS, "k", 0) || a.put(RecordSpace.SERVERS, "j", new byte[] {'2'}, 0);
+            case 2 -> a.put(RecordSpace.SERVERS, "i", new byte[] {'3'}, 0);
             case 3 -> {
                 added = 5;
-                yield a.add(Space.USED, SUM, 5, 0);
+                yield a.add(RecordSpace.USED, SUM, 5, 0);
             }
             default -> {
                 added = 7;
-                yield a.add(Space.USED, SUM, 7, 0);
+                yield a.add(RecordSpace.USED, SUM, 7, 0);
             }
         };
         n.writes++;
@@ -175,15 +176,15 @@
 
     /** The owner's writes since this one go to the log for the replay, and out to both. */
     private static void log(State n, long had) {
-        Store a = n.stores[0];
-        Map<Long, List<Entry>> logs = new TreeMap<>(n.written.logs());
-        List<Entry> log = new ArrayList<>(logs.getOrDefault(a.life(), List.of()));
+        RecordStore a = n.stores[0];
+        Map<Long, List<ReplicatedRecord>> logs = new TreeMap<>(n.written.logs());
+        List<ReplicatedRecord> log = new ArrayList<>(logs.getOrDefault(a.life(), List.of()));
         a.all(OWNER, a.life()).stream()
                 .filter(e -> e.version().sequence() > had)
                 .forEach(log::add);
         logs.put(a.life(), log);
         n.written = new Written(logs, n.written.added());
-        Message.Chunk c = a.after(OWNER, a.life(), had, 1 << 10);
+        ReplicationMessage.Chunk c = a.after(OWNER, a.life(), had, 1 << 10);
         if (c != null) {
             for (int i = 1; i < NAMES.length; i++) {
                 put(n, i, c);
@@ -191,7 +192,7 @@
         }
     }
 
-    private static void put(State n, int to, Message m) {
+    private static void put(State n, int to, ReplicationMessage m) {
         n.sent.put(NAMES[to] + " gets " + m, new Sent(to, m));
     }
 
@@ -227,17 +228,17 @@
         }
     }
 
-    private Store born(State s, int i) {
+    private RecordStore born(State s, int i) {
         // Lives are of the owner only: what the others write is of no concern here.
-        long life = i > 0 ? 1 : mistake == Mistake.LIFE_REUSED ? s.stores[0].life() : ++s.lives;
-        return new Store(NAMES[i], life, life, false);
+        long life = i > 0 ? 1 : mistake == ReplicationMistake.LIFE_REUSED ? s.stores[0].life() : ++s.lives;
+        return new RecordStore(NAMES[i], life, life, false);
     }
 
-    private void restore(Store to, Store disk) {
+    private void restore(RecordStore to, RecordStore disk) {
         for (String owner : disk.owners()) {
             for (long life : disk.lives(owner)) {
-                List<Entry> all = disk.all(owner, life);
-                if (mistake == Mistake.DISK_HALF_WRITTEN && !all.isEmpty()) {
+                List<ReplicatedRecord> all = disk.all(owner, life);
+                if (mistake == ReplicationMistake.DISK_HALF_WRITTEN && !all.isEmpty()) {
                     all = all.subList(0, all.size() - 1);
                 }
                 to.restore(owner, life, disk.have(owner, life).orElse(0), disk.floor(owner, life), all);
@@ -248,19 +249,19 @@
     /** One asks another for what it lacks of each life of the owner; question and answer may each be late. */
     private void asks(State s, int i, int j, Map<String, State> next) {
         for (long life : s.stores[j].lives(OWNER)) {
-            Message.Want w = s.stores[i].want(OWNER, life);
+            ReplicationMessage.Want w = s.stores[i].want(OWNER, life);
             if (s.wants < bounds.wants() && lacks(s, i, j, life)) {
                 State n = s.copy();
                 n.wants++;
-                put(n, j, new Message.Wants(List.of(w)));
+                put(n, j, new ReplicationMessage.Wants(List.of(w)));
                 next.put(NAMES[i] + " asks " + NAMES[j] + " for " + w, n);
             }
         }
         for (Sent m : s.sent.values()) {
-            if (m.to() == j && m.message() instanceof Message.Wants w && s.pieces < bounds.pieces()) {
+            if (m.to() == j && m.message() instanceof ReplicationMessage.Wants w && s.pieces < bounds.pieces()) {
                 State n = s.copy();
                 n.pieces++;
-                Message.Chunk c = piece(s.stores[j], w.wants().get(0));
+                ReplicationMessage.Chunk c = piece(s.stores[j], w.wants().get(0));
                 if (c != null) {
                     put(n, i, c);
                     next.put(NAMES[j] + " answers " + NAMES[i] + " with " + c, n);
@@ -275,21 +276,22 @@
                         > s.stores[i].have(OWNER, life).orElse(0);
     }
 
-    private Message.Chunk piece(Store from, Message.Want w) {
-        Message.Chunk c = from.since(w, PIECE);
+    private ReplicationMessage.Chunk piece(RecordStore from, ReplicationMessage.Want w) {
+        ReplicationMessage.Chunk c = from.since(w, PIECE);
         if (c == null) {
             return null;
         }
         long end = c.base() != 0 ? c.base() : from.have(c.owner(), c.life()).orElse(0);
         return switch (mistake) {
             case PIECE_SAYS_ALL ->
-                new Message.Chunk(c.owner(), c.life(), c.newest(), c.from(), end, c.base(), c.floor(), c.entries());
+                new ReplicationMessage.Chunk(
+                        c.owner(), c.life(), c.newest(), c.from(), end, c.base(), c.floor(), c.entries());
             case SNAPSHOT_AS_TAIL ->
                 c.base() == 0
                         ? c
                         : from.copy()
                                                 .since(
-                                                        new Message.Want(
+                                                        new ReplicationMessage.Want(
                                                                 w.owner(),
                                                                 w.life(),
                                                                 from.floor(w.owner(), w.life()),
@@ -297,40 +299,43 @@
                                                                 0),
                                                         PIECE)
                                         == null
-                                ? new Message.Chunk(c.owner(), c.life(), c.newest(), w.have(), end, 0, 0, List.of())
+                                ? new ReplicationMessage.Chunk(
+                                        c.owner(), c.life(), c.newest(), w.have(), end, 0, 0, List.of())
                                 : tail(from, w, c, end);
             case SNAPSHOT_DONE_EARLY ->
                 c.base() == 0
                         ? c
-                        : new Message.Chunk(
+                        : new ReplicationMessage.Chunk(
                                 c.owner(), c.life(), c.newest(), c.from(), end, end, c.floor(), c.entries());
             default -> c;
         };
     }
 
-    private static Message.Chunk tail(Store from, Message.Want w, Message.Chunk c, long end) {
-        List<Entry> entries = from.all(w.owner(), w.life()).stream()
+    private static ReplicationMessage.Chunk tail(
+            RecordStore from, ReplicationMessage.Want w, ReplicationMessage.Chunk c, long end) {
+        List<ReplicatedRecord> entries = from.all(w.owner(), w.life()).stream()
                 .filter(e -> e.version().sequence() > w.have())
                 .toList();
-        return new Message.Chunk(c.owner(), c.life(), c.newest(), w.have(), end, 0, 0, entries);
+        return new ReplicationMessage.Chunk(c.owner(), c.life(), c.newest(), w.have(), end, 0, 0, entries);
     }
 
     private void arrives(State n, Sent sent) {
-        if (sent.message() instanceof Message.Chunk c) {
+        if (sent.message() instanceof ReplicationMessage.Chunk c) {
             take(n.stores[sent.to()], c);
         }
     }
 
-    private void take(Store to, Message.Chunk c) {
+    private void take(RecordStore to, ReplicationMessage.Chunk c) {
         long have = to.have(c.owner(), c.life()).orElse(0);
-        Message.Chunk taken = c;
-        if (mistake == Mistake.GAP_FORGIVEN && c.from() > have && c.base() == 0) {
-            taken = new Message.Chunk(c.owner(), c.life(), c.newest(), have, c.to(), 0, c.floor(), c.entries());
-        } else if (mistake == Mistake.OLD_LIFE_INTO_NEW
+        ReplicationMessage.Chunk taken = c;
+        if (mistake == ReplicationMistake.GAP_FORGIVEN && c.from() > have && c.base() == 0) {
+            taken = new ReplicationMessage.Chunk(
+                    c.owner(), c.life(), c.newest(), have, c.to(), 0, c.floor(), c.entries());
+        } else if (mistake == ReplicationMistake.OLD_LIFE_INTO_NEW
                 && c.life() < to.newest(c.owner())
                 && !to.me().equals(OWNER)) {
             long life = to.newest(c.owner());
-            taken = new Message.Chunk(
+            taken = new ReplicationMessage.Chunk(
                     c.owner(),
                     life,
                     life,
@@ -339,17 +344,17 @@
                     c.base(),
                     c.floor(),
                     c.entries().stream()
-                            .map(e -> Entry.of(
+                            .map(e -> ReplicatedRecord.of(
                                     OWNER,
                                     e.space(),
                                     e.key(),
-                                    new Version(life, e.version().sequence()),
+                                    new RecordVersion(life, e.version().sequence()),
                                     e.value(),
                                     e.count(),
                                     e.below()))
                             .toList());
-        } else if (mistake == Mistake.COUNT_ADDED_ON_MERGE) {
-            taken = new Message.Chunk(
+        } else if (mistake == ReplicationMistake.COUNT_ADDED_ON_MERGE) {
+            taken = new ReplicationMessage.Chunk(
                     c.owner(),
                     c.life(),
                     c.newest(),
@@ -359,10 +364,10 @@
                     c.floor(),
                     c.entries().stream()
                             .map(e -> {
-                                Entry mine = to.entry(OWNER, c.life(), e.item());
+                                ReplicatedRecord mine = to.entry(OWNER, c.life(), e.item());
                                 return mine == null || e.count() == 0
                                         ? e
-                                        : Entry.of(
+                                        : ReplicatedRecord.of(
                                                 OWNER,
                                                 e.space(),
                                                 e.key(),
@@ -374,15 +379,15 @@
                             .toList());
         }
         to.took(taken, 0);
-        if (mistake == Mistake.LAST_COME_WINS && c.life() == to.newest(OWNER)) {
+        if (mistake == ReplicationMistake.LAST_COME_WINS && c.life() == to.newest(OWNER)) {
             c.entries().forEach(e -> to.mend(OWNER, c.life(), e.item(), e, 0));
-        } else if (mistake == Mistake.COUNT_ADDED_ON_MERGE) {
-            for (Entry e : taken.entries()) {
+        } else if (mistake == ReplicationMistake.COUNT_ADDED_ON_MERGE) {
+            for (ReplicatedRecord e : taken.entries()) {
                 if (e.count() > 0) {
                     to.mend(OWNER, c.life(), e.item(), e, 0);
                 }
             }
-        } else if (mistake == Mistake.SUMS_END_WITH_LIFE) {
+        } else if (mistake == ReplicationMistake.SUMS_END_WITH_LIFE) {
             to.lives(OWNER).stream().filter(l -> l < to.newest(OWNER)).forEach(l -> to.again(OWNER, l));
         }
     }
@@ -401,10 +406,10 @@
     }
 
     private void fold(State n) {
-        Store a = n.stores[0];
+        RecordStore a = n.stores[0];
         long had = a.have(OWNER, a.life()).orElse(0);
-        if (mistake == Mistake.FOLD_KEEPS_ENDED) {
-            a.add(Space.USED, SUM, a.sum(Space.USED, SUM), 0);
+        if (mistake == ReplicationMistake.FOLD_KEEPS_ENDED) {
+            a.add(RecordSpace.USED, SUM, a.sum(RecordSpace.USED, SUM), 0);
         } else {
             a.fold(a.life(), 0);
         }
@@ -415,14 +420,14 @@
 
     /** What is wrong at this moment; null if nothing is. */
     String breach(State s) {
-        Map<Version, Long> contents = new TreeMap<>();
-        for (Store store : s.stores) {
-            long sum = store.sum(Space.USED, SUM);
+        Map<RecordVersion, Long> contents = new TreeMap<>();
+        for (RecordStore store : s.stores) {
+            long sum = store.sum(RecordSpace.USED, SUM);
             if (sum > s.written.added()) {
                 return store.me() + " counts " + sum + ", added were " + s.written.added();
             }
             for (long life : store.aside(OWNER) == null ? store.lives(OWNER) : List.<Long>of()) {
-                for (Entry e : store.all(OWNER, life)) {
+                for (ReplicatedRecord e : store.all(OWNER, life)) {
                     Long other = contents.putIfAbsent(e.version(), e.sum());
                     if (other != null && other != e.sum()) {
                         return "two contents of write " + e.version();
@@ -440,23 +445,23 @@
     private String differs(State s) {
         State n = s.copy();
         long counted = 0;
-        for (Store store : n.stores) {
-            counted = Math.max(counted, store.sum(Space.USED, SUM));
+        for (RecordStore store : n.stores) {
+            counted = Math.max(counted, store.sum(RecordSpace.USED, SUM));
         }
         for (int round = 0; moved(n); round++) {
             if (round > 50) {
                 return "the members never come to rest";
             }
         }
-        for (Store store : n.stores) {
+        for (RecordStore store : n.stores) {
             long life = store.newest(OWNER);
             if (life != n.stores[0].life()) {
                 return store.me() + " has not heard of life " + n.stores[0].life();
             }
-            Map<Item, Entry> want = new TreeMap<>();
+            Map<RecordKey, ReplicatedRecord> want = new TreeMap<>();
             s.written.logs().getOrDefault(life, List.of()).forEach(e -> want.put(e.item(), e));
-            want.values().removeIf(Entry::gone);
-            Map<Item, Entry> has = new TreeMap<>();
+            want.values().removeIf(ReplicatedRecord::gone);
+            Map<RecordKey, ReplicatedRecord> has = new TreeMap<>();
             store.all(OWNER, life).stream().filter(e -> !e.gone()).forEach(e -> has.put(e.item(), e));
             if (!want.keySet().equals(has.keySet())
                     || want.entrySet().stream()
@@ -464,10 +469,10 @@
                                     has.get(e.getKey()).sum() != e.getValue().sum())) {
                 return store.me() + " has " + has.values() + " in the end, written were " + want.values();
             }
-            long sum = store.sum(Space.USED, SUM);
-            if (sum < counted || sum != n.stores[0].sum(Space.USED, SUM)) {
+            long sum = store.sum(RecordSpace.USED, SUM);
+            if (sum < counted || sum != n.stores[0].sum(RecordSpace.USED, SUM)) {
                 return store.me() + " counts " + sum + " in the end, a member had " + counted + ", a has "
-                        + n.stores[0].sum(Space.USED, SUM);
+                        + n.stores[0].sum(RecordSpace.USED, SUM);
             }
         }
         return null;
@@ -480,7 +485,7 @@
                 if (i == j) {
                     continue;
                 }
-                for (Message.Mark m : n.stores[j].marks(List.of(OWNER), 0)) {
+                for (ReplicationMessage.Mark m : n.stores[j].marks(List.of(OWNER), 0)) {
                     moved |= n.stores[i].newest(OWNER) < m.life();
                     if (i != 0) {
                         n.stores[i].took(m, 0);
@@ -490,7 +495,7 @@
                     boolean named = life == n.stores[j].newest(OWNER) || n.stores[j].size(OWNER, life) > 0;
                     if (named && lacks(n, i, j, life)) {
                         String before = Objects.toString(n.stores[i]);
-                        Message.Chunk c = piece(n.stores[j], n.stores[i].want(OWNER, life));
+                        ReplicationMessage.Chunk c = piece(n.stores[j], n.stores[i].want(OWNER, life));
                         if (c != null) {
                             take(n.stores[i], c);
                             moved |= !before.equals(n.stores[i].toString());
--- a/lab/src/main/java/brackenbridge/lab/replica/Fleet.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/SimulatedReplicaFleet.java
@@ -1,10 +1,10 @@
 package brackenbridge.lab.replica;
 
-import brackenbridge.fleet.replica.Exchange;
-import brackenbridge.fleet.replica.Message;
-import brackenbridge.fleet.replica.Space;
-import brackenbridge.fleet.replica.Store;
-import brackenbridge.fleet.replica.Terms;
+import brackenbridge.fleet.replica.RecordSpace;
+import brackenbridge.fleet.replica.RecordStore;
+import brackenbridge.fleet.replica.ReplicationLimits;
+import brackenbridge.fleet.replica.ReplicationMessage;
+import brackenbridge.fleet.replica.ReplicationProtocol;
 import brackenbridge.lab.random.Streams;
 import brackenbridge.lab.sim.EventQueue;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Members with the real exchange in simulated time: ways of 0.5 to 5 ms, a part of the messages lost. */
-public final class Fleet {
+public final class SimulatedReplicaFleet {
     private static final double WARM_MS = 6000;
     private static final double STEP_MS = 5;
 
@@ -32,7 +32,13 @@
      * @param seed the seed
      */
     public record Plan(
-            int nodes, int keys, double writesASecond, double lost, double changeMs, Terms terms, long seed) {}
+            int nodes,
+            int keys,
+            double writesASecond,
+            double lost,
+            double changeMs,
+            ReplicationLimits terms,
+            long seed) {}
 
     /**
      * What came of it.
@@ -61,15 +67,16 @@
     private final class Node {
         final int id;
         final String name;
-        final Store store;
-        final Exchange exchange;
+        final RecordStore store;
+        final ReplicationProtocol exchange;
         boolean away;
 
         Node(int id, long life) {
             this.id = id;
             name = "n" + id;
-            store = new Store(name, life, random.nextLong() | 1, false);
-            exchange = new Exchange(store, plan.terms(), new SplittableRandom(random.nextLong()), queue.nowMs());
+            store = new RecordStore(name, life, random.nextLong() | 1, false);
+            exchange = new ReplicationProtocol(
+                    store, plan.terms(), new SplittableRandom(random.nextLong()), queue.nowMs());
         }
 
         void turn() {
@@ -79,8 +86,8 @@
             queue.at(Math.max(queue.nowMs() + 1, exchange.nextMs()), this::turn);
         }
 
-        void send(List<Exchange.Out> out) {
-            for (Exchange.Out o : out) {
+        void send(List<ReplicationProtocol.Out> out) {
+            for (ReplicationProtocol.Out o : out) {
                 Node to = nodes.get(Integer.parseInt(o.peer().substring(1)));
                 if (random.nextDouble() >= plan.lost()) {
                     queue.at(queue.nowMs() + 0.5 + 4.5 * random.nextDouble(), () -> to.took(this, o.body()));
@@ -131,7 +138,7 @@
     private long sampled;
 
     /** Members before their first moment, each with its records. */
-    public Fleet(Plan plan) {
+    public SimulatedReplicaFleet(Plan plan) {
         this.plan = plan;
         random = new Streams(plan.seed()).take();
         for (int i = 0; i < plan.nodes(); i++) {
@@ -142,7 +149,7 @@
             List<String> peers = names.stream().filter(p -> !p.equals(n.name)).toList();
             n.exchange.peers(peers, peers);
             for (int k = 0; k < plan.keys(); k++) {
-                n.store.put(Space.SERVERS, "host" + k, value(k), 0);
+                n.store.put(RecordSpace.SERVERS, "host" + k, value(k), 0);
             }
             queue.at(random.nextDouble() * plan.terms().pushMs(), n::turn);
         }
@@ -212,7 +219,7 @@
 
     private void write(Node n, long v) {
         long had = n.store.have(n.name, n.store.life()).orElse(0);
-        n.store.put(Space.SERVERS, "host" + random.nextInt(plan.keys()), value(v), queue.nowMs());
+        n.store.put(RecordSpace.SERVERS, "host" + random.nextInt(plan.keys()), value(v), queue.nowMs());
         n.exchange.wrote(had);
     }
 
@@ -229,13 +236,14 @@
                     String key = "host" + random.nextInt(plan.keys());
                     // One in ten is a removal; after an hour nobody remembers it, so that a snapshot is needed.
                     if (i % 10 == 9) {
-                        o.store.remove(Space.SERVERS, key, now);
+                        o.store.remove(RecordSpace.SERVERS, key, now);
                     } else {
-                        o.store.put(Space.SERVERS, key, value(i), now);
+                        o.store.put(RecordSpace.SERVERS, key, value(i), now);
                     }
                 }
                 o.store.forget(now + awayMs, plan.terms().removalMs());
-                Message.Chunk c = o.store.since(new Message.Want(o.name, o.store.life(), had, 0, 0), 1 << 20);
+                ReplicationMessage.Chunk c =
+                        o.store.since(new ReplicationMessage.Want(o.name, o.store.life(), had, 0, 0), 1 << 20);
                 nodes.stream().filter(n -> n != one && n != o).forEach(n -> {
                     n.store.took(c, now);
                     n.store.forget(now + awayMs, plan.terms().removalMs());
--- a/lab/src/main/java/brackenbridge/lab/rules/Ledger.java
+++ b/lab/src/main/java/brackenbridge/lab/rules/RuleChecker.java
@@ -12,7 +12,7 @@
  * seen outside the node: arrivals at servers, how they ended there, answers at clients, and words of discovery as
  * they were delivered. One thread at a time.
  */
-public final class Ledger {
+public final class RuleChecker {
     /** Histories that are printed whole; later ones are only counted. */
     private static final int KEPT = 20;
     /** Entries that a history keeps. */
@@ -264,7 +264,7 @@
      * @param slackMs how much past its deadline an answer still counts
      * @param graceMs how long after the word a send to a draining or gone server is forgiven
      */
-    public Ledger(double slackMs, double graceMs) {
+    public RuleChecker(double slackMs, double graceMs) {
         this.slackMs = slackMs;
         this.graceMs = graceMs;
     }
--- a/lab/src/main/java/brackenbridge/lab/sim/SimDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimDiscovery.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.sim;
 
+import brackenbridge.core.EndpointList;
 import brackenbridge.core.Event;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.lab.trouble.Stage;
 import brackenbridge.lab.world.ServiceList;
 import brackenbridge.lab.world.World;
@@ -46,7 +46,7 @@
     private boolean down;
     private double callMs;
     private double busyUntilMs;
-    private final List<Target> held = new ArrayList<>();
+    private final List<ServerEndpoint> held = new ArrayList<>();
 
     /** Discovery whose list is still empty, for these nodes. */
     SimDiscovery(
@@ -58,17 +58,17 @@
     }
 
     /** The list as the first nodes know it. */
-    TargetGroup whole() {
+    EndpointList whole() {
         return list.whole();
     }
 
     /** Lists a server at once, before the run begins. */
-    void begin(Target t) {
+    void begin(ServerEndpoint t) {
         list.begin(t);
     }
 
     /** A server has changed; it is listed so after the notice. */
-    void changed(Target t, boolean silent) {
+    void changed(ServerEndpoint t, boolean silent) {
         double wait = (silent ? spec.silentNoticeMs() : spec.noticeMs()) + extraMs;
         queue.at(queue.nowMs() + wait, () -> {
             if (down && spec.pushed()) {
@@ -79,7 +79,7 @@
         });
     }
 
-    private void list(Target t) {
+    private void list(ServerEndpoint t) {
         list.change(t);
         if (down) {
             return;
@@ -101,7 +101,7 @@
             if (w.over || down || w.told >= list.seq() || w.life != w.node.life()) {
                 return;
             }
-            TargetGroup changes = list.since(w.told);
+            EndpointList changes = list.since(w.told);
             w.told = list.seq();
             w.node.told(w.call, changes);
         });
--- a/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
@@ -5,18 +5,18 @@
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.BalancerApi.Report;
 import brackenbridge.BalancerApi.Settings;
+import brackenbridge.core.ClientRequest;
 import brackenbridge.core.Effect;
+import brackenbridge.core.EndpointList;
 import brackenbridge.core.Event;
-import brackenbridge.core.Flow;
 import brackenbridge.core.Reducer;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.core.TimerKey;
 import brackenbridge.counters.Counters;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.model.ServerModel.Verdict;
-import brackenbridge.lab.rules.Ledger;
-import brackenbridge.lab.rules.Ledger.Answer;
+import brackenbridge.lab.rules.RuleChecker;
+import brackenbridge.lab.rules.RuleChecker.Answer;
 import brackenbridge.lab.trouble.Stage;
 import brackenbridge.lab.world.World;
 import java.util.ArrayDeque;
@@ -66,7 +66,7 @@
         final SimRequest request;
         Connection connection;
         ServerModel.Job job;
-        Ledger.Attempt attempt;
+        RuleChecker.Attempt attempt;
         boolean over;
 
         Out(Effect.Forward e) {
@@ -81,7 +81,7 @@
     private final Simulation world;
     private final EventQueue queue;
     private final UniformRandomProvider random;
-    private final Ledger ledger;
+    private final RuleChecker ledger;
     private final int tier;
     private final int index;
     private final String name;
@@ -132,7 +132,7 @@
         ledger.forget(name);
         settings = world.spec().settings(tier, index, world.nodeSeed(tier, index, life));
         reducer = new Reducer(settings, counters, decisions);
-        TargetGroup known = world.discovery(tier).whole();
+        EndpointList known = world.discovery(tier).whole();
         raise(new Event.Started(known));
     }
 
@@ -236,7 +236,7 @@
         request.flow = flow;
         flows.put(flow, request);
         raise(new Event.FlowOpened(
-                flow, new Flow(request.plan.className(), tenant, timeLeftMs, repeat, true, request)));
+                flow, new ClientRequest(request.plan.className(), tenant, timeLeftMs, repeat, true, request)));
         return true;
     }
 
@@ -285,13 +285,13 @@
     }
 
     /** Discovery tells this node something. */
-    void told(long call, TargetGroup group) {
+    void told(long call, EndpointList group) {
         group.targets().forEach(this::owes);
         raise(new Event.TargetsTold(call, group));
     }
 
     /** From now on this counts as told, whether the node has heard it or not. */
-    void owes(Target t) {
+    void owes(ServerEndpoint t) {
         ledger.told(queue.nowMs(), name, t.host(), t.state() == EndpointState.UP);
     }
 
@@ -455,7 +455,7 @@
             return;
         }
         SimRequest request = out.request;
-        Ledger.Attempt attempt = request.entry.arrived(queue.nowMs(), server.host, !out.over);
+        RuleChecker.Attempt attempt = request.entry.arrived(queue.nowMs(), server.host, !out.over);
         world.board().sent(crosses(server));
         out.attempt = attempt;
         out.job = server.model.begin(
--- a/lab/src/main/java/brackenbridge/lab/sim/SimRequest.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimRequest.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.sim;
 
-import brackenbridge.lab.rules.Ledger;
-import brackenbridge.lab.rules.Ledger.Answer;
+import brackenbridge.lab.rules.RuleChecker;
+import brackenbridge.lab.rules.RuleChecker.Answer;
 
 /** A request on its way: what it asks of servers, and who hears of its end. */
 final class SimRequest {
@@ -24,7 +24,7 @@
     final double deadlineMs;
     final boolean unsafe;
     final Caller caller;
-    Ledger.Entry entry;
+    RuleChecker.Entry entry;
     /** Its number at the node that has taken it. */
     long flow = -1;
 
--- a/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
@@ -5,21 +5,21 @@
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.HostIds;
-import brackenbridge.core.Target;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.lab.load.Arrivals;
-import brackenbridge.lab.load.Habits;
+import brackenbridge.lab.load.ClientBehaviour;
 import brackenbridge.lab.load.Mix;
 import brackenbridge.lab.model.Scheduler;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.model.ServerProfile;
 import brackenbridge.lab.random.Streams;
-import brackenbridge.lab.rules.Ledger;
-import brackenbridge.lab.rules.Ledger.Answer;
+import brackenbridge.lab.rules.RuleChecker;
+import brackenbridge.lab.rules.RuleChecker.Answer;
 import brackenbridge.lab.sim.SimRequest.Plan;
 import brackenbridge.lab.stats.Scoreboard;
 import brackenbridge.lab.stats.Scoreboard.End;
+import brackenbridge.lab.trouble.Faults;
 import brackenbridge.lab.trouble.Stage;
-import brackenbridge.lab.trouble.Troubles;
 import brackenbridge.lab.world.World;
 import brackenbridge.lab.world.World.TierSpec;
 import java.util.ArrayList;
@@ -67,12 +67,12 @@
      * @param events events that reducers took in
      * @param tasks steps of the simulation
      */
-    public record Result(Scoreboard board, Ledger ledger, long events, long tasks) {}
+    public record Result(Scoreboard board, RuleChecker ledger, long events, long tasks) {}
 
     private final World spec;
     private final long seed;
     private final EventQueue queue = new EventQueue(START_MS);
-    private final Ledger ledger;
+    private final RuleChecker ledger;
     private final Scoreboard board;
     private final List<List<SimServer>> tiers = new ArrayList<>();
     private final List<List<SimNode>> nodes = new ArrayList<>();
@@ -86,7 +86,7 @@
     private final UniformRandomProvider planRandom;
     private final Arrivals arrivals;
     private final Mix mix;
-    private final Habits habits;
+    private final ClientBehaviour habits;
     private final List<ContinuousSampler> work = new ArrayList<>();
     private long requests;
     private long replacements;
@@ -95,14 +95,14 @@
     public Simulation(World spec, long seed, PolicyMaker policy) {
         this.spec = spec;
         this.seed = seed;
-        this.ledger = new Ledger(SLACK_MS, spec.limits().drainGraceMs());
+        this.ledger = new RuleChecker(SLACK_MS, spec.limits().drainGraceMs());
         this.board = new Scoreboard(spec);
         Streams streams = new Streams(seed);
         arrivals = new Arrivals(spec, streams.take());
         mix = new Mix(spec, streams.take());
         planRandom = streams.take();
         clientRandom = streams.take();
-        habits = new Habits(spec.clients(), clientRandom);
+        habits = new ClientBehaviour(spec.clients(), clientRandom);
         frontRandom = streams.take();
         callRandom = streams.take();
         for (TierSpec t : spec.tiers()) {
@@ -165,7 +165,7 @@
         return queue;
     }
 
-    Ledger ledger() {
+    RuleChecker ledger() {
         return ledger;
     }
 
@@ -214,8 +214,8 @@
         return s == null || s.cutOff || !s.model.well() ? Double.POSITIVE_INFINITY : s.model.expectedStretch();
     }
 
-    Target target(SimServer s, EndpointState state) {
-        return new Target(s.host, s.dial, spec.zone(s.index), -1, 1, s.bornMs, state);
+    ServerEndpoint target(SimServer s, EndpointState state) {
+        return new ServerEndpoint(s.host, s.dial, spec.zone(s.index), -1, 1, s.bornMs, state);
     }
 
     /** A server calls the next tier for a request that it has in hand. */
@@ -350,7 +350,7 @@
                 end(now <= dueMs + spec.aimMs() ? End.IN_AIM : now <= deadline() ? End.LATE : End.UNANSWERED);
                 return;
             }
-            Habits.Next next =
+            ClientBehaviour.Next next =
                     habits.afterFailure(answer, taken, spec.unsafe(), tries, heeds, retryAfterMs, now, deadline());
             if (next.end() != null) {
                 end(next.end());
@@ -439,7 +439,7 @@
     /** Plays it to its end. */
     public Result run() {
         nodes.forEach(of -> of.forEach(SimNode::start));
-        new Troubles(this).schedule(spec.troubles(), START_MS);
+        new Faults(this).schedule(spec.troubles(), START_MS);
         arrive();
         for (int i = 1; i <= Math.ceil(spec.seconds()); i++) {
             queue.at(START_MS + i * 1000.0, this::sample);
--- a/lab/src/main/java/brackenbridge/lab/trouble/Troubles.java
+++ b/lab/src/main/java/brackenbridge/lab/trouble/Faults.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** Brings the world's troubles about, each at its time, and ends them. */
-public final class Troubles {
+public final class Faults {
     /** A drained server is given this long to finish before its process ends. */
     private static final double DRAINED_MS = 5000;
     /** A neighbour takes and gives back by turns of this length. */
@@ -19,7 +19,7 @@
     private final Scheduler queue;
 
     /** Troubles of this stage. */
-    public Troubles(Stage world) {
+    public Faults(Stage world) {
         this.world = world;
         this.queue = world.scheduler();
     }
--- a/lab/src/main/java/brackenbridge/lab/world/ServiceList.java
+++ b/lab/src/main/java/brackenbridge/lab/world/ServiceList.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.world;
 
 import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,7 +10,7 @@
 
 /** What discovery lists of one tier, with the version at which each entry last changed. */
 public final class ServiceList {
-    private final Map<String, Target> listed = new LinkedHashMap<>();
+    private final Map<String, ServerEndpoint> listed = new LinkedHashMap<>();
     private final Map<String, Long> changedAt = new LinkedHashMap<>();
     private long seq = 1;
 
@@ -20,21 +20,21 @@
     }
 
     /** Lists an entry in the first version. */
-    public void begin(Target t) {
+    public void begin(ServerEndpoint t) {
         listed.put(t.host(), t);
         changedAt.put(t.host(), seq);
     }
 
     /** Lists a changed entry in a version of its own. */
-    public void change(Target t) {
+    public void change(ServerEndpoint t) {
         seq++;
         listed.put(t.host(), t);
         changedAt.put(t.host(), seq);
     }
 
     /** All that is not gone. */
-    public TargetGroup whole() {
-        return new TargetGroup(
+    public EndpointList whole() {
+        return new EndpointList(
                 seq,
                 true,
                 listed.values().stream()
@@ -43,16 +43,16 @@
     }
 
     /** What has changed since a version; all if the version is of before the first. */
-    public TargetGroup since(long version) {
+    public EndpointList since(long version) {
         if (version < 0) {
             return whole();
         }
-        List<Target> changes = new ArrayList<>();
+        List<ServerEndpoint> changes = new ArrayList<>();
         for (Map.Entry<String, Long> e : changedAt.entrySet()) {
             if (e.getValue() > version) {
                 changes.add(listed.get(e.getKey()));
             }
         }
-        return new TargetGroup(seq, false, changes);
+        return new EndpointList(seq, false, changes);
     }
 }
--- a/lab/src/test/java/brackenbridge/lab/live/LoadClientTest.java
+++ b/lab/src/test/java/brackenbridge/lab/live/LoadClientTest.java
@@ -10,7 +10,7 @@
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.experiment.Results;
 import brackenbridge.lab.policy.Policies;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.stats.Scoreboard.End;
 import brackenbridge.lab.world.Experiment;
 import brackenbridge.lab.world.ExperimentFile;
@@ -83,25 +83,26 @@
     private Path folder;
 
     private interface Answering {
-        void answer(Wire.Serving to, HttpRequest r);
+        void answer(StandInHttp.Serving to, HttpRequest r);
     }
 
     private InetSocketAddress server(Answering answering) {
-        Channel listening = Wire.listen(loop, new InetSocketAddress("127.0.0.1", 0), () -> new Wire.Serving() {
-            @Override
-            void request(HttpRequest r) {
-                answering.answer(this, r);
-            }
-
-            @Override
-            void ended() {
-                // Nothing is kept.
-            }
-        });
+        Channel listening =
+                StandInHttp.listen(loop, new InetSocketAddress("127.0.0.1", 0), () -> new StandInHttp.Serving() {
+                    @Override
+                    void request(HttpRequest r) {
+                        answering.answer(this, r);
+                    }
+
+                    @Override
+                    void ended() {
+                        // Nothing is kept.
+                    }
+                });
         return (InetSocketAddress) listening.localAddress();
     }
 
-    private static void served(Wire.Serving to, HttpRequest r) {
+    private static void served(StandInHttp.Serving to, HttpRequest r) {
         to.answer(200, new Headers(), StandInServer.body(r.headers().get("X-Correlation-Id"), "here"));
     }
 
@@ -153,11 +154,11 @@
     void brokenRulesAreSeenAtTheClient() throws Exception {
         InetSocketAddress forger = server((to, r) -> to.answer(200, new Headers(), new byte[] {'x'}));
         LiveRunner.Outcome forged = load(forger, "", 20, 100);
-        assertTrue(forged.ledger().broken(Ledger.Rule.FORGED) > 10);
+        assertTrue(forged.ledger().broken(RuleChecker.Rule.FORGED) > 10);
         assertTrue(forged.ledger().breaches().get(0).text().contains("taken by"));
         InetSocketAddress mute = server((to, r) -> {});
         LiveRunner.Outcome lost = load(mute, "", 20, 100);
-        assertTrue(lost.ledger().broken(Ledger.Rule.LOST) > 10);
+        assertTrue(lost.ledger().broken(RuleChecker.Rule.LOST) > 10);
         assertEquals(0, lost.board().count(End.IN_AIM));
     }
 
--- a/lab/src/test/java/brackenbridge/lab/replica/ReplicateTest.java
+++ b/lab/src/test/java/brackenbridge/lab/replica/ReplicateTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.fleet.replica.Terms;
+import brackenbridge.fleet.replica.ReplicationLimits;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,27 +18,30 @@
     void everyHistoryEndsWithMembersThatAreOne(
             int writes, int wants, int pieces, int ends, int saves, int forgets, int folds) {
         Explorer.Found f = Explorer.explore(
-                new Model(new Bounds(writes, wants, pieces, ends, saves, forgets, folds), Mistake.NONE), 100_000);
+                new ReplicationModel(
+                        new Bounds(writes, wants, pieces, ends, saves, forgets, folds), ReplicationMistake.NONE),
+                100_000);
         assertNull(f.breach(), f::toString);
         assertTrue(f.whole() && f.states() > 100, f.states() + " moments");
     }
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void eachMistakeIsFound(Mistake mistake) {
-        Explorer.Found f = Explorer.explore(new Model(Bounds.of(mistake), mistake), 100_000);
+    void eachMistakeIsFound(ReplicationMistake mistake) {
+        Explorer.Found f = Explorer.explore(new ReplicationModel(Bounds.of(mistake), mistake), 100_000);
         assertNotNull(f.breach(), mistake + " was not found in " + f.states() + " moments");
     }
 
     @Test
     void aFleetIsOneSoonAfterAWriteAndOneThatWasAwayIsLevelWithinItsBytes() {
-        Terms terms = Terms.DEFAULT.sending(200_000);
-        Fleet f = new Fleet(new Fleet.Plan(40, 5, 2, 0.05, 2000, terms, 3));
-        Fleet.Outcome o = f.run();
+        ReplicationLimits terms = ReplicationLimits.DEFAULT.sending(200_000);
+        SimulatedReplicaFleet f =
+                new SimulatedReplicaFleet(new SimulatedReplicaFleet.Plan(40, 5, 2, 0.05, 2000, terms, 3));
+        SimulatedReplicaFleet.Outcome o = f.run();
         assertEquals(40, o.level());
         assertTrue(o.all().getMaxValue() < 3000, "slowest " + o.all().getMaxValue());
         assertTrue(o.underChange() <= 200_000, "sent " + o.underChange());
-        Fleet.Returned r = f.away(3_600_000);
+        SimulatedReplicaFleet.Returned r = f.away(3_600_000);
         assertTrue(r.right() && r.levelMs() < 10_000, r::toString);
     }
 }
--- a/lab/src/test/java/brackenbridge/lab/sim/SimulationTest.java
+++ b/lab/src/test/java/brackenbridge/lab/sim/SimulationTest.java
@@ -7,7 +7,7 @@
 import brackenbridge.lab.experiment.Results;
 import brackenbridge.lab.experiment.SimRunner;
 import brackenbridge.lab.policy.Policies;
-import brackenbridge.lab.rules.Ledger;
+import brackenbridge.lab.rules.RuleChecker;
 import brackenbridge.lab.stats.Scoreboard.End;
 import brackenbridge.lab.world.Experiment;
 import brackenbridge.lab.world.ExperimentFile;
@@ -232,7 +232,7 @@
                         "test.toml", WORLD.replace("\"12s\"", "\"25s\"") + fault, Path.of("."), Policies.names())
                 .runs()
                 .get(0);
-        Ledger ledger = new Simulation(run.world(), run.seed(), Policies.of("module"))
+        RuleChecker ledger = new Simulation(run.world(), run.seed(), Policies.of("module"))
                 .run()
                 .ledger();
         assertEquals(0, ledger.broken(), () -> ledger.breaches().get(0).text());
@@ -268,28 +268,28 @@
 
     @Test
     void aBrokenRuleIsTold() {
-        Ledger ledger = new Ledger(50, 500);
-        Ledger.Entry e = ledger.taken(0, "r1", "sign", "n", true, 1000);
-        Ledger.Attempt a = e.arrived(1, "s1", true);
+        RuleChecker ledger = new RuleChecker(50, 500);
+        RuleChecker.Entry e = ledger.taken(0, "r1", "sign", "n", true, 1000);
+        RuleChecker.Attempt a = e.arrived(1, "s1", true);
         a.ended(5, "error");
         e.arrived(6, "s2", true);
-        e.answered(7, Ledger.Answer.REFUSED);
-        e.answered(8, Ledger.Answer.SERVED);
-        assertEquals(2, ledger.broken(Ledger.Rule.DUPLICATE), "sent again, and refused");
-        assertEquals(1, ledger.broken(Ledger.Rule.LOST), "a second answer");
-        assertEquals(0, ledger.broken(Ledger.Rule.TWO_AT_ONCE));
-        Ledger.Entry f = ledger.taken(0, "r2", "sign", "n", true, 1000);
+        e.answered(7, RuleChecker.Answer.REFUSED);
+        e.answered(8, RuleChecker.Answer.SERVED);
+        assertEquals(2, ledger.broken(RuleChecker.Rule.DUPLICATE), "sent again, and refused");
+        assertEquals(1, ledger.broken(RuleChecker.Rule.LOST), "a second answer");
+        assertEquals(0, ledger.broken(RuleChecker.Rule.TWO_AT_ONCE));
+        RuleChecker.Entry f = ledger.taken(0, "r2", "sign", "n", true, 1000);
         f.arrived(1, "s1", true).turnedAway(2);
         f.arrived(3, "s2", true);
         f.arrived(4, "s3", true);
-        assertEquals(1, ledger.broken(Ledger.Rule.TWO_AT_ONCE));
+        assertEquals(1, ledger.broken(RuleChecker.Rule.TWO_AT_ONCE));
         ledger.told(10, "n", "s9", false);
         ledger.sent(400, "n", "s9", f);
-        assertEquals(0, ledger.broken(Ledger.Rule.DRAIN));
+        assertEquals(0, ledger.broken(RuleChecker.Rule.DRAIN));
         ledger.sent(511, "n", "s9", f);
-        assertEquals(1, ledger.broken(Ledger.Rule.DRAIN));
+        assertEquals(1, ledger.broken(RuleChecker.Rule.DRAIN));
         f.close(2000);
-        assertEquals(2, ledger.broken(Ledger.Rule.LOST));
+        assertEquals(2, ledger.broken(RuleChecker.Rule.LOST));
         assertTrue(
                 ledger.breaches().get(0).text().contains("s1: error"),
                 ledger.breaches().get(0).text());
--- a/node/src/main/java/brackenbridge/cli/Hangup.java
+++ b/node/src/main/java/brackenbridge/cli/HangupSignal.java
@@ -3,8 +3,8 @@
 import java.lang.reflect.Proxy;
 
 /** The signal SIGHUP. The platform's own class for it is reached by name, since it is no part of the API. */
-final class Hangup {
-    private Hangup() {}
+final class HangupSignal {
+    private HangupSignal() {}
 
     /**
      * Runs this at each SIGHUP from now on, on a thread of its own. Guards against the default, which ends the
--- a/node/src/main/java/brackenbridge/cli/Main.java
+++ b/node/src/main/java/brackenbridge/cli/Main.java
@@ -176,7 +176,7 @@
                 clock,
                 log,
                 directory == null ? null : Handover.path(directory, config.name(), config.listen()));
-        if (!Hangup.handle(() -> node.reconfigure(() -> Config.read(Path.of(file))))) {
+        if (!HangupSignal.handle(() -> node.reconfigure(() -> Config.read(Path.of(file))))) {
             log.warn("no SIGHUP will be heard, it is ignored here (as under nohup) or unknown: the configuration is"
                     + " read at the start only");
         }
--- a/node/src/main/java/brackenbridge/config/Config.java
+++ b/node/src/main/java/brackenbridge/config/Config.java
@@ -1,9 +1,9 @@
 package brackenbridge.config;
 
 import brackenbridge.BalancerApi.Settings;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.discovery.EndpointListParser;
 import brackenbridge.discovery.StrictJson;
-import brackenbridge.discovery.TargetGroupParser;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import io.netty.util.NetUtil;
@@ -39,8 +39,8 @@
         String management,
         int sockets,
         Settings settings,
-        TargetGroup known,
-        Shape shape) {
+        EndpointList known,
+        ConfigSchema shape) {
 
     /** The longest file: guards the heap against one that was named by mistake. */
     private static final int LONGEST = 4 << 20;
@@ -85,7 +85,7 @@
                     sockets(json),
                     new SettingsParser(pairs).parse(seed(json)),
                     known(json),
-                    Shape.of(json));
+                    ConfigSchema.of(json));
         } catch (RuntimeException e) {
             String why = String.valueOf(e.getMessage()).replaceAll("[\\s\\p{Cntrl}]+", " ");
             throw new IllegalArgumentException(why.substring(0, Math.min(why.length(), LONGEST_REASON)), e);
@@ -117,10 +117,10 @@
         }
     }
 
-    private static TargetGroup known(JsonObject json) {
+    private static EndpointList known(JsonObject json) {
         JsonObject told = object(json, "known");
         try {
-            TargetGroup known = TargetGroupParser.group(told);
+            EndpointList known = EndpointListParser.group(told);
             if (!known.unread().isEmpty()) {
                 throw new IllegalArgumentException("entry of " + known.unread().get(0));
             }
--- a/node/src/main/java/brackenbridge/config/Shape.java
+++ b/node/src/main/java/brackenbridge/config/ConfigSchema.java
@@ -9,23 +9,23 @@
  * Which keys a configuration has, and values of which type. The running configuration is the pattern for those that
  * come after it: guards against a file that was cut, or from which a key was lost, and still reads as one.
  */
-public final class Shape {
+public final class ConfigSchema {
     private final Map<String, String> types;
 
-    private Shape(Map<String, String> types) {
+    private ConfigSchema(Map<String, String> types) {
         this.types = types;
     }
 
     /** The shape of this configuration; of the list of hosts, which changes all the time, only that it is there. */
-    static Shape of(JsonObject json) {
+    static ConfigSchema of(JsonObject json) {
         Map<String, String> types = new TreeMap<>();
         walk("", json, types);
         types.keySet().removeIf(path -> path.startsWith("known.hosts[]"));
-        return new Shape(types);
+        return new ConfigSchema(types);
     }
 
     /** Turns another configuration down that lacks one of these keys or has another type of value there. */
-    public void requireOf(Shape other) {
+    public void requireOf(ConfigSchema other) {
         types.forEach((path, type) -> {
             String there = other.types.get(path);
             String list = path.lastIndexOf("[]") < 0 ? null : path.substring(0, path.lastIndexOf("[]"));
--- a/node/src/main/java/brackenbridge/discovery/TargetGroupParser.java
+++ b/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
@@ -1,8 +1,8 @@
 package brackenbridge.discovery;
 
 import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
@@ -11,14 +11,14 @@
 import java.util.List;
 
 /** Reads discovery's lists: the whole one, or one line of a watch. */
-public final class TargetGroupParser {
+public final class EndpointListParser {
     /** Beyond it a number on the wire is no longer exact. */
     private static final double MOST_VERSIONS = 0x1p53 - 1;
 
-    private TargetGroupParser() {}
+    private EndpointListParser() {}
 
     /** Reads a list; what is not one is an IllegalArgumentException. */
-    public static TargetGroup parse(String text) {
+    public static EndpointList parse(String text) {
         try {
             return group(StrictJson.parse(text).asObject());
         } catch (RuntimeException e) {
@@ -30,8 +30,8 @@
      * Reads a list that has been parsed. An entry that can't be read costs only itself, as long as it says whose it
      * is; of anybody else's the whole list is spoilt, since what it leaves out would count as gone.
      */
-    public static TargetGroup group(JsonObject json) {
-        List<Target> targets = new ArrayList<>();
+    public static EndpointList group(JsonObject json) {
+        List<ServerEndpoint> targets = new ArrayList<>();
         List<String> unread = new ArrayList<>();
         for (JsonValue v : required(json, "hosts").asArray()) {
             String host = required(v.asObject(), "host").asString();
@@ -44,7 +44,7 @@
                 unread.add(host);
             }
         }
-        return new TargetGroup(version(required(json, "seq")), json.getBoolean("whole", false), targets, unread);
+        return new EndpointList(version(required(json, "seq")), json.getBoolean("whole", false), targets, unread);
     }
 
     /** Guards all later lists: beside a version that no counter holds they would be stale for good. */
@@ -57,9 +57,9 @@
     }
 
     /** Words a list as discovery would. */
-    public static JsonObject json(TargetGroup group) {
+    public static JsonObject json(EndpointList group) {
         JsonArray hosts = new JsonArray();
-        for (Target t : group.targets()) {
+        for (ServerEndpoint t : group.targets()) {
             String health = switch (t.state()) {
                 case UP -> "active";
                 case DRAINING -> "leaving";
@@ -77,13 +77,13 @@
         return Json.object().add("seq", group.seq()).add("whole", group.whole()).add("hosts", hosts);
     }
 
-    private static Target target(String host, JsonObject o) {
+    private static ServerEndpoint target(String host, JsonObject o) {
         String dial = required(o, "dial").asString();
         int port = dial.matches("[^\\s:]+:[0-9]{1,5}") ? Integer.parseInt(dial.substring(dial.indexOf(':') + 1)) : 0;
         if (port < 1 || port > 65535) {
             throw new IllegalArgumentException("dial '" + dial + "'");
         }
-        return new Target(
+        return new ServerEndpoint(
                 host,
                 dial,
                 o.getString("site", "-"),
--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -1,7 +1,7 @@
 package brackenbridge.handover;
 
 import brackenbridge.counters.Counters;
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import brackenbridge.log.Log;
 import brackenbridge.transport.AcceptRecovery;
 import brackenbridge.transport.ConnectAttempt;
@@ -38,7 +38,7 @@
     /** The process that hands over or takes over. */
     public interface Process {
         /** A successor has come: what it gets. The process gives that up. */
-        Offer offer();
+        HandoverState offer();
 
         /** The successor serves clients, or there is none any more. */
         void successorServes(boolean on);
@@ -55,7 +55,7 @@
     private Channel listening;
     private Channel predecessor;
     private Channel successor;
-    private CompletableFuture<Offer> asked;
+    private CompletableFuture<HandoverState> asked;
     private Runnable go;
     private boolean over;
 
@@ -75,7 +75,7 @@
     }
 
     /** Asks for a predecessor; completes with its offer, or with null if there is none that can be understood. */
-    public CompletableFuture<Offer> ask() {
+    public CompletableFuture<HandoverState> ask() {
         asked = new CompletableFuture<>();
         if (!Files.exists(path)) {
             asked.complete(null);
@@ -89,7 +89,7 @@
         loop.schedule(
                 () -> {
                     if (asked.complete(null) && predecessor != null) {
-                        refuse("predecessor", Refusal.SLOW);
+                        refuse("predecessor", RejectionReason.SLOW);
                         predecessor.close();
                     }
                 },
@@ -110,7 +110,7 @@
             listen();
             then.run();
         };
-        Lines.say(predecessor, READY);
+        LineProtocolHandler.say(predecessor, READY);
         loop.schedule(this::goOn, STEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -155,8 +155,8 @@
         leavePath();
     }
 
-    private void refuse(String whom, Refusal why) {
-        counters.refuse(Refusal.Port.HANDOVERS, why);
+    private void refuse(String whom, RejectionReason why) {
+        counters.refuse(RejectionReason.Port.HANDOVERS, why);
         log.warn("a " + whom + " is refused: " + why.text());
     }
 
@@ -187,7 +187,7 @@
         }
     }
 
-    private final class ToPredecessor extends Lines {
+    private final class ToPredecessor extends LineProtocolHandler {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             predecessor = ctx.channel();
@@ -200,20 +200,20 @@
                 goOn();
             } else if (text.startsWith(HELLO)) {
                 try {
-                    asked.complete(Offer.parse(text.substring(HELLO.length())));
+                    asked.complete(HandoverState.parse(text.substring(HELLO.length())));
                 } catch (IllegalArgumentException e) {
                     log.warn("the predecessor can't be understood: " + e.getMessage());
-                    refused(Refusal.MALFORMED);
+                    refused(RejectionReason.MALFORMED);
                     channel.close();
                 }
             } else {
-                refused(Refusal.MALFORMED);
+                refused(RejectionReason.MALFORMED);
                 channel.close();
             }
         }
 
         @Override
-        void refused(Refusal why) {
+        void refused(RejectionReason why) {
             refuse("predecessor", why);
         }
 
@@ -226,7 +226,7 @@
         }
     }
 
-    private final class ToSuccessor extends Lines {
+    private final class ToSuccessor extends LineProtocolHandler {
         private boolean ready;
 
         @Override
@@ -234,7 +234,7 @@
             loop.schedule(
                     () -> {
                         if (successor != ctx.channel() && ctx.channel().isActive()) {
-                            refused(Refusal.SLOW);
+                            refused(RejectionReason.SLOW);
                             ctx.close();
                         }
                     },
@@ -243,7 +243,7 @@
         }
 
         @Override
-        void refused(Refusal why) {
+        void refused(RejectionReason why) {
             refuse("successor", why);
         }
 
@@ -252,7 +252,7 @@
             loop.schedule(
                     () -> {
                         if (!ready && channel.isActive()) {
-                            refused(Refusal.SLOW);
+                            refused(RejectionReason.SLOW);
                             channel.close();
                         }
                     },
@@ -275,7 +275,10 @@
                 log.info("the successor serves");
                 say(channel, GO);
             } else {
-                refused(text.equals(SUCCESSOR) || text.equals(READY) ? Refusal.OUT_OF_TURN : Refusal.MALFORMED);
+                refused(
+                        text.equals(SUCCESSOR) || text.equals(READY)
+                                ? RejectionReason.OUT_OF_TURN
+                                : RejectionReason.MALFORMED);
                 channel.close();
             }
         }
--- a/node/src/main/java/brackenbridge/handover/Offer.java
+++ b/node/src/main/java/brackenbridge/handover/HandoverState.java
@@ -1,8 +1,8 @@
 package brackenbridge.handover;
 
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.discovery.EndpointListParser;
 import brackenbridge.discovery.StrictJson;
-import brackenbridge.discovery.TargetGroupParser;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 
@@ -12,22 +12,22 @@
  * @param sockets the successor's part of the descriptors
  * @param list the target group with its version
  */
-public record Offer(int sockets, TargetGroup list) {
+public record HandoverState(int sockets, EndpointList list) {
 
     String json() {
         return Json.object()
                 .add("sockets", sockets)
-                .add("list", TargetGroupParser.json(list))
+                .add("list", EndpointListParser.json(list))
                 .toString();
     }
 
     /** Reads an offer; what can't be read is an IllegalArgumentException. */
-    static Offer parse(String text) {
+    static HandoverState parse(String text) {
         try {
             JsonObject json = StrictJson.parse(text).asObject();
-            return new Offer(
+            return new HandoverState(
                     json.get("sockets").asInt(),
-                    TargetGroupParser.group(json.get("list").asObject()));
+                    EndpointListParser.group(json.get("list").asObject()));
         } catch (RuntimeException e) {
             throw new IllegalArgumentException("not an offer: " + e.getMessage(), e);
         }
--- a/node/src/main/java/brackenbridge/handover/Lines.java
+++ b/node/src/main/java/brackenbridge/handover/LineProtocolHandler.java
@@ -1,6 +1,6 @@
 package brackenbridge.handover;
 
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One end of a handover's connection: lines in and out, bounded. */
-abstract class Lines extends ChannelInboundHandlerAdapter {
+abstract class LineProtocolHandler extends ChannelInboundHandlerAdapter {
     private static final int LONGEST = 1 << 20;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
@@ -18,7 +18,7 @@
     abstract void line(Channel channel, String text);
 
     /** What came can't be used, and the connection ends. */
-    abstract void refused(Refusal why);
+    abstract void refused(RejectionReason why);
 
     /** The connection has ended. */
     abstract void ended(Channel channel);
@@ -40,7 +40,7 @@
                 } else if (line.size() < LONGEST) {
                     line.write(b);
                 } else {
-                    refused(Refusal.OVERSIZED);
+                    refused(RejectionReason.OVERSIZED);
                     line.reset();
                     ctx.close();
                 }
@@ -53,7 +53,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (line.size() > 0) {
-            refused(Refusal.CUT);
+            refused(RejectionReason.CUT);
         }
         ended(ctx.channel());
     }
--- a/node/src/main/java/brackenbridge/mgmt/Staff.java
+++ b/node/src/main/java/brackenbridge/mgmt/AdminOperations.java
@@ -1,10 +1,10 @@
 package brackenbridge.mgmt;
 
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import java.util.concurrent.CompletableFuture;
 
 /** What staff may ask of a running node; called on the management listener's own thread. */
-public interface Staff {
+public interface AdminOperations {
     /** Whether this process accepts clients; as published last. */
     boolean takesClients();
 
@@ -15,5 +15,5 @@
     CompletableFuture<Boolean> drain(boolean on);
 
     /** A call was turned down, or its connection closed. */
-    void refused(Refusal why);
+    void refused(RejectionReason why);
 }
--- a/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
@@ -1,6 +1,6 @@
 package brackenbridge.mgmt;
 
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import brackenbridge.log.Log;
 import brackenbridge.transport.AcceptRecovery;
 import io.netty.bootstrap.ServerBootstrap;
@@ -37,7 +37,7 @@
     /** And its answer taken within so long. */
     private static final long ANSWER_MS = 2000;
 
-    private final Staff staff;
+    private final AdminOperations staff;
     private final Log log;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("management", true), NioIoHandler.newFactory());
@@ -45,7 +45,7 @@
     private Channel server;
 
     /** Ready to listen; nothing happens before that. */
-    public ManagementListener(Staff staff, Log log) {
+    public ManagementListener(AdminOperations staff, Log log) {
         this.staff = staff;
         this.log = log;
     }
@@ -98,14 +98,14 @@
                 Channel longest = callers.iterator().next();
                 callers.remove(longest);
                 longest.close();
-                staff.refused(Refusal.SHED);
+                staff.refused(RejectionReason.SHED);
             }
             ctx.executor()
                     .schedule(
                             () -> {
                                 if (!called && callers.remove(ctx.channel())) {
                                     ctx.close();
-                                    staff.refused(Refusal.SLOW);
+                                    staff.refused(RejectionReason.SLOW);
                                 }
                             },
                             SILENCE_MS,
@@ -115,7 +115,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (callers.remove(ctx.channel()) && !called && !line.isEmpty()) {
-                staff.refused(Refusal.CUT);
+                staff.refused(RejectionReason.CUT);
             }
         }
 
@@ -130,10 +130,10 @@
                         call(ctx, line.toString());
                     } else if (b >= 0x7f || b < ' ' && b != '\r') {
                         called = true;
-                        refuse(ctx, Refusal.MALFORMED, "not a call");
+                        refuse(ctx, RejectionReason.MALFORMED, "not a call");
                     } else if (line.length() == LONGEST_CALL) {
                         called = true;
-                        refuse(ctx, Refusal.OVERSIZED, "not a call");
+                        refuse(ctx, RejectionReason.OVERSIZED, "not a call");
                     } else {
                         line.append((char) b);
                     }
@@ -152,11 +152,11 @@
                     staff.drain(name.equals("LAMEDUCK"))
                             .thenAccept(taken -> ctx.executor()
                                     .execute(() -> answer(ctx, taken ? "+OK\n" : "-ERR the node is stopping\n")));
-                default -> refuse(ctx, Refusal.UNKNOWN, "unknown call");
+                default -> refuse(ctx, RejectionReason.UNKNOWN, "unknown call");
             }
         }
 
-        private void refuse(ChannelHandlerContext ctx, Refusal why, String text) {
+        private void refuse(ChannelHandlerContext ctx, RejectionReason why, String text) {
             staff.refused(why);
             answer(ctx, "-ERR " + text + "\n");
         }
--- a/node/src/main/java/brackenbridge/net/Body.java
+++ b/node/src/main/java/brackenbridge/net/BodyStream.java
@@ -7,7 +7,7 @@
  * A long body on its way from one connection to another, piece by piece, with demand flowing back: the giver rests
  * until there is a taker, and whenever the taker has enough. On the event loop only.
  */
-final class Body {
+final class BodyStream {
     /** The connection that the body comes from. */
     interface Giver {
         /** Read on, or rest. */
@@ -37,7 +37,7 @@
     private boolean refused;
 
     /** The giver rests from now on. */
-    Body(Giver giver) {
+    BodyStream(Giver giver) {
         this.giver = giver;
         giver.read(false);
     }
