--- a/node/src/main/java/brackenbridge/net/Door.java
+++ b/node/src/main/java/brackenbridge/net/ConnectionAcceptor.java
@@ -21,14 +21,14 @@
  * The socket at which clients arrive. Other processes of this node may listen at the same address; closing the door
  * turns nobody away who stands before it.
  */
-final class Door {
+final class ConnectionAcceptor {
     /** The selector needs a turn to let go of the channel; until then closing it would only mark it. */
     private static final long OFF_SELECTOR_MS = 2;
 
     /** Pauses while the backlog is emptied, so a node that can't accept closes after a quarter of a second. */
     private static final int EMPTYING_PAUSES = 50;
 
-    private static final AttributeKey<Double> WAITED = AttributeKey.valueOf(Door.class, "waited");
+    private static final AttributeKey<Double> WAITED = AttributeKey.valueOf(ConnectionAcceptor.class, "waited");
     private final ServerSocketChannel socket;
     private final Channel channel;
     private final Clock clock;
@@ -43,7 +43,7 @@
      * Listens; fails if it can't. When an accept fails for lack of descriptors or buffers, {@code makeRoom} is to close
      * something.
      */
-    Door(
+    ConnectionAcceptor(
             ServerBootstrap bootstrap,
             InetSocketAddress address,
             Clock clock,
--- a/node/src/main/java/brackenbridge/net/Sockets.java
+++ b/node/src/main/java/brackenbridge/net/DescriptorBudget.java
@@ -3,7 +3,7 @@
 import java.io.File;
 
 /** Counts the sockets that the node holds, against its limit on file descriptors. */
-final class Sockets {
+final class DescriptorBudget {
     /** Descriptors kept back for discovery and what the runtime opens by itself. */
     private static final int RESERVE = 24;
 
@@ -15,7 +15,7 @@
     private int clients;
     private int servers;
 
-    Sockets(int limit) {
+    DescriptorBudget(int limit) {
         String[] open = new File("/proc/self/fd").list();
         held = open == null ? 32 : open.length;
         limit(limit);
--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -1,9 +1,9 @@
 package brackenbridge.net;
 
+import brackenbridge.core.EndpointList;
 import brackenbridge.core.Event;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.discovery.EndpointListParser;
 import brackenbridge.discovery.ObjectCutter;
-import brackenbridge.discovery.TargetGroupParser;
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.ResponseDecoder;
@@ -30,11 +30,11 @@
     private final Bootstrap bootstrap;
     private final EventLoop loop;
     private String dial;
-    private final Events events;
+    private final EventSink events;
     private final Log log;
     private final Map<Long, Call> calls = new HashMap<>();
 
-    DiscoveryClient(Bootstrap bootstrap, EventLoop loop, String dial, Events events, Log log) {
+    DiscoveryClient(Bootstrap bootstrap, EventLoop loop, String dial, EventSink events, Log log) {
         this.bootstrap = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
         this.loop = loop;
         this.dial = dial;
@@ -123,7 +123,7 @@
 
         private void told(String text) {
             try {
-                TargetGroup group = TargetGroupParser.parse(text);
+                EndpointList group = EndpointListParser.parse(text);
                 if (!group.unread().isEmpty()) {
                     log.warn("entries that can't be read, so these hosts stay as they were: " + group.unread());
                 }
--- a/node/src/main/java/brackenbridge/net/Events.java
+++ b/node/src/main/java/brackenbridge/net/EventSink.java
@@ -3,7 +3,7 @@
 import brackenbridge.core.Event;
 
 /** Where the transport tells what has happened; on the event loop only. */
-interface Events {
+interface EventSink {
     void raise(Event event);
 
     /** Something of the node's own has failed, and what it was for has been ended properly. */
--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -4,13 +4,13 @@
 import brackenbridge.BalancerApi.RequestClass;
 import brackenbridge.BalancerApi.Settings;
 import brackenbridge.clock.Clock;
+import brackenbridge.core.ClientRequest;
 import brackenbridge.core.Effect.Fixed;
 import brackenbridge.core.Event;
 import brackenbridge.core.Event.Left;
-import brackenbridge.core.Flow;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.Counters.Kind;
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpException;
@@ -85,8 +85,8 @@
 
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Clock clock;
-    private final Events events;
-    private final Sockets sockets;
+    private final EventSink events;
+    private final DescriptorBudget sockets;
     private final Counters counters;
     private final BooleanSupplier ready;
     private final Runnable makeRoom;
@@ -96,7 +96,7 @@
     private final Set<String> open = new HashSet<>();
 
     private int held;
-    private Door door;
+    private ConnectionAcceptor door;
     private long flowCount;
     private boolean sayClose;
     private boolean keepNone;
@@ -104,8 +104,8 @@
     Listener(
             Settings settings,
             Clock clock,
-            Events events,
-            Sockets sockets,
+            EventSink events,
+            DescriptorBudget sockets,
             Counters counters,
             BooleanSupplier ready,
             Runnable makeRoom) {
@@ -133,7 +133,7 @@
         settings.classes().forEach(c -> classes.put(c.name(), c));
     }
 
-    void opened(Door opened) {
+    void opened(ConnectionAcceptor opened) {
         door = opened;
     }
 
@@ -143,11 +143,11 @@
     void respond(long flow, Object message) {
         Client c = flows.remove(flow);
         if (c == null) {
-            if (message instanceof Download d) {
+            if (message instanceof StreamedResponse d) {
                 d.body().refuse();
             }
             events.raise(new Event.AnswerLeft(flow, Left.ABANDONED));
-        } else if (message instanceof Download d) {
+        } else if (message instanceof StreamedResponse d) {
             c.answerOrFail(() -> c.answerLong(d, passedOn(d.head())));
         } else {
             HttpResponse response = (HttpResponse) message;
@@ -294,7 +294,7 @@
     }
 
     /** A client's connection: one request at a time, in order. */
-    private final class Client extends ChannelInboundHandlerAdapter implements Body.Giver {
+    private final class Client extends ChannelInboundHandlerAdapter implements BodyStream.Giver {
         final Channel channel;
         final RequestDecoder decoder = new RequestDecoder();
         ByteBuf pending;
@@ -317,9 +317,9 @@
         double sweptAt;
         int arrived;
         /** The rest of a long request, until its last byte has come. */
-        Body upload;
+        BodyStream upload;
         /** The long answer that is being written. */
-        Body download;
+        BodyStream download;
 
         boolean http11;
         /** A whole request has come on it. */
@@ -347,7 +347,7 @@
             this.channel = channel;
             this.since = clock.nowMs();
             this.sweptAt = since;
-            this.unseen = Door.waitedMs(channel);
+            this.unseen = ConnectionAcceptor.waitedMs(channel);
         }
 
         boolean isIdle() {
@@ -564,8 +564,8 @@
         private void takeLong() throws HttpException {
             long length = decoder.length();
             HttpRequest head = decoder.part(decoder.stream((from, n) -> upload.piece(from.readRetainedSlice(n))));
-            upload = new Body(this);
-            take(new Upload(head, length, upload), head, false);
+            upload = new BodyStream(this);
+            take(new StreamedRequest(head, length, upload), head, false);
             if (flow < 0) {
                 upload = null;
             } else {
@@ -596,7 +596,7 @@
         /** The request itself is at fault, in the middle of its body: its flow ends as if its client had left. */
         private void failLong(int status, String why) {
             long gone = flow;
-            Body rest = upload;
+            BodyStream rest = upload;
             upload = null;
             flow = -1;
             flows.remove(gone);
@@ -607,7 +607,7 @@
 
         private void endUpload(boolean whole) {
             if (upload != null) {
-                Body b = upload;
+                BodyStream b = upload;
                 upload = null;
                 b.end(whole);
             }
@@ -657,7 +657,7 @@
         /** Says what is wrong and ends the connection: where the next request begins can't be known. */
         private void bad(int status, String why) {
             counters.count(Kind.BAD_REQUESTS);
-            counters.refuse(Refusal.Port.REQUESTS, Refusal.ofStatus(status));
+            counters.refuse(RejectionReason.Port.REQUESTS, RejectionReason.ofStatus(status));
             keepAlive = false;
             answer(status, new Headers(), text(why + "\n"));
         }
@@ -714,7 +714,7 @@
             flows.put(flow, this);
             events.raise(new Event.FlowOpened(
                     flow,
-                    new Flow(
+                    new ClientRequest(
                             c.name(),
                             r.headers().get("X-Account"),
                             left == null ? -1 : Integer.parseInt(left),
@@ -738,7 +738,7 @@
 
         private void wrongMethod(String right) {
             counters.count(Kind.BAD_REQUESTS);
-            counters.refuse(Refusal.Port.REQUESTS, Refusal.ofStatus(405));
+            counters.refuse(RejectionReason.Port.REQUESTS, RejectionReason.ofStatus(405));
             keepAlive = false;
             answer(405, new Headers().add("Allow", right), text("only " + right + "\n"));
         }
@@ -786,7 +786,7 @@
             if (upload != null) {
                 // Its request is not whole and never will be: where the next one begins can't be known.
                 keepAlive = false;
-                Body rest = upload;
+                BodyStream rest = upload;
                 upload = null;
                 rest.refuse();
             }
@@ -801,7 +801,7 @@
             return !keepAlive || sayClose;
         }
 
-        void answerLong(Download d, Headers fields) {
+        void answerLong(StreamedResponse d, Headers fields) {
             boolean chunked = d.length() < 0 && http11;
             keepAlive &= d.length() >= 0 || chunked;
             boolean close = beginAnswer();
@@ -816,7 +816,7 @@
         }
 
         /** Writes a long answer as its client takes it. */
-        private final class ToClient implements Body.Taker {
+        private final class ToClient implements BodyStream.Taker {
             private final boolean chunked;
             private final boolean close;
             private final boolean keepsNoLength;
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -10,12 +10,12 @@
 import brackenbridge.core.observe.Observer;
 import brackenbridge.core.share.TenantUse;
 import brackenbridge.counters.Counters;
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import brackenbridge.handover.Handover;
-import brackenbridge.handover.Offer;
+import brackenbridge.handover.HandoverState;
 import brackenbridge.log.Log;
+import brackenbridge.mgmt.AdminOperations;
 import brackenbridge.mgmt.ManagementListener;
-import brackenbridge.mgmt.Staff;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.PooledByteBufAllocator;
@@ -36,7 +36,7 @@
 import java.util.function.Supplier;
 
 /** A running node: hands events to the reducer and runs the effects, all on one event loop. */
-public final class Node implements Events, Staff, Handover.Process {
+public final class Node implements EventSink, AdminOperations, Handover.Process {
     private static final long SWEEP_MS = 100;
     private static final long LAST_ANSWERS_MS = 20;
 
@@ -48,10 +48,10 @@
     private final EventLoop loop = group.next();
     private final PooledByteBufAllocator buffers;
     private final Reducer reducer;
-    private final Sockets sockets;
+    private final DescriptorBudget sockets;
     private final SocketCalls calls;
     private final Listener listener;
-    private final Forwards forwards;
+    private final UpstreamConnections forwards;
     private final DiscoveryClient discovery;
     private final ArrayDeque<Event> inbox = new ArrayDeque<>();
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
@@ -68,7 +68,7 @@
     private boolean serves;
     private final ManagementListener management;
     private final Handover handover;
-    private Door door;
+    private ConnectionAcceptor door;
 
     /** Makes a node ready to start that no other process can replace while it serves. */
     public Node(Config config, Clock clock, Log log) {
@@ -90,7 +90,7 @@
         buffers = new PooledByteBufAllocator(false, 1, 0, 8192, 7, 64, 32, false);
         handover = meeting == null ? null : new Handover(loop, meeting, this, counters, log);
         management = config.management() == null ? null : new ManagementListener(this, log);
-        sockets = new Sockets(config.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS));
+        sockets = new DescriptorBudget(config.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS));
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
                 .channelFactory(calls.outgoing())
@@ -99,7 +99,7 @@
                 .option(ChannelOption.RECVBUF_ALLOCATOR, received())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
         listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::ready, this::makeRoom);
-        forwards = new Forwards(
+        forwards = new UpstreamConnections(
                 bootstrap,
                 loop,
                 config.settings(),
@@ -119,7 +119,7 @@
         if (address == null) {
             throw new IllegalArgumentException("listen: not a literal address: " + config.listen());
         }
-        Offer offer = inherit();
+        HandoverState offer = inherit();
         loop.submit(() -> {
                     raise(new Event.Started(config.known()));
                     if (offer != null) {
@@ -137,7 +137,7 @@
                 throw new IllegalArgumentException("mgmt " + config.management() + ": " + e.getMessage(), e);
             }
         }
-        door = new Door(
+        door = new ConnectionAcceptor(
                 new ServerBootstrap()
                         .group(group)
                         .option(ChannelOption.SO_BACKLOG, 1024)
@@ -167,13 +167,13 @@
     }
 
     /** What the process that serves here already hands over; null if there is none. */
-    private Offer inherit() {
+    private HandoverState inherit() {
         if (handover == null) {
             return null;
         }
-        CompletableFuture<Offer> answered = new CompletableFuture<>();
+        CompletableFuture<HandoverState> answered = new CompletableFuture<>();
         loop.execute(() -> handover.ask().thenAccept(answered::complete));
-        Offer offer = answered.join();
+        HandoverState offer = answered.join();
         if (offer != null) {
             log.info("takes the place of another process; its list has version "
                     + offer.list().seq());
@@ -187,9 +187,9 @@
     }
 
     @Override
-    public Offer offer() {
+    public HandoverState offer() {
         sockets.share(true);
-        return new Offer(config.sockets() / 2, reducer.targetGroup());
+        return new HandoverState(config.sockets() / 2, reducer.targetGroup());
     }
 
     @Override
@@ -444,8 +444,8 @@
     }
 
     @Override
-    public void refused(Refusal why) {
-        loop.execute(() -> counters.refuse(Refusal.Port.CALLS, why));
+    public void refused(RejectionReason why) {
+        loop.execute(() -> counters.refuse(RejectionReason.Port.CALLS, why));
     }
 
     private void sweep() {
--- a/node/src/main/java/brackenbridge/net/Upload.java
+++ b/node/src/main/java/brackenbridge/net/StreamedRequest.java
@@ -9,4 +9,4 @@
  * @param length the body's length, or -1 if it comes in chunks
  * @param rest what follows the first part
  */
-record Upload(HttpRequest head, long length, Body rest) {}
+record StreamedRequest(HttpRequest head, long length, BodyStream rest) {}
--- a/node/src/main/java/brackenbridge/net/Download.java
+++ b/node/src/main/java/brackenbridge/net/StreamedResponse.java
@@ -9,4 +9,4 @@
  * @param length the body's length, or -1 if only its end will tell
  * @param body the body from its first byte
  */
-record Download(HttpResponse head, long length, Body body) {}
+record StreamedResponse(HttpResponse head, long length, BodyStream body) {}
--- a/node/src/main/java/brackenbridge/net/Forwards.java
+++ b/node/src/main/java/brackenbridge/net/UpstreamConnections.java
@@ -6,11 +6,11 @@
 import brackenbridge.core.Effect;
 import brackenbridge.core.Event;
 import brackenbridge.core.Event.Reply;
-import brackenbridge.core.connection.Connections;
-import brackenbridge.core.connection.Peer;
-import brackenbridge.core.connection.Step;
+import brackenbridge.core.connection.ConnectionCommand;
+import brackenbridge.core.connection.ConnectionPool;
+import brackenbridge.core.connection.EndpointIdentity;
 import brackenbridge.counters.Counters;
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.HttpRequest;
@@ -39,7 +39,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Sends forwards to servers, each alone on a connection, and keeps connections for the next. */
-final class Forwards {
+final class UpstreamConnections {
     /**
      * A connection rests for so long after an answer. Guards the next forward against what a server may still
      * send behind its answer: it would be read as the answer to the next.
@@ -73,14 +73,14 @@
     private final Log log;
     private Settings settings;
     private final Clock clock;
-    private final Events events;
+    private final EventSink events;
     private final TimeLeft timeLeft;
-    private final Sockets sockets;
+    private final DescriptorBudget sockets;
     private final Counters counters;
     private final Runnable makeRoom;
     private int held;
     /** Who gets which connection, and when one is opened; here is only what is sent and read on them. */
-    private final Connections pool;
+    private final ConnectionPool pool;
     /** Connections by their number in the pool. */
     private final Map<Long, Connection> connections = new HashMap<>();
 
@@ -106,19 +106,19 @@
             this.forward = forward;
         }
 
-        Peer peer() {
-            return new Peer(forward.host(), forward.dial());
+        EndpointIdentity peer() {
+            return new EndpointIdentity(forward.host(), forward.dial());
         }
     }
 
-    Forwards(
+    UpstreamConnections(
             Bootstrap bootstrap,
             EventLoop loop,
             Settings settings,
             Clock clock,
-            Events events,
+            EventSink events,
             TimeLeft timeLeft,
-            Sockets sockets,
+            DescriptorBudget sockets,
             Counters counters,
             Log log,
             Runnable makeRoom) {
@@ -132,7 +132,7 @@
         this.makeRoom = makeRoom;
         this.bootstrap = bootstrap;
         this.settings = settings;
-        this.pool = new Connections(connectMs(settings), idleMs(settings));
+        this.pool = new ConnectionPool(connectMs(settings), idleMs(settings));
     }
 
     /** Forwards that begin from now on go by these settings. */
@@ -175,26 +175,26 @@
         follow(pool.ask(clock.nowMs(), r.wait, r.peer()));
     }
 
-    private void follow(List<Step> steps) {
-        for (Step step : steps) {
-            if (step instanceof Step.Open s) {
+    private void follow(List<ConnectionCommand> steps) {
+        for (ConnectionCommand step : steps) {
+            if (step instanceof ConnectionCommand.Open s) {
                 open(s);
-            } else if (step instanceof Step.Lend s) {
+            } else if (step instanceof ConnectionCommand.Lend s) {
                 lend(s);
-            } else if (step instanceof Step.Close s) {
+            } else if (step instanceof ConnectionCommand.Close s) {
                 Connection c = connections.remove(s.connection());
                 if (c != null) {
                     c.channel.close();
                 }
-            } else if (step instanceof Step.GiveUp s) {
+            } else if (step instanceof ConnectionCommand.GiveUp s) {
                 giveUp(s);
-            } else if (step instanceof Step.Wake s) {
+            } else if (step instanceof ConnectionCommand.Wake s) {
                 wake(s);
             }
         }
     }
 
-    private void open(Step.Open s) {
+    private void open(ConnectionCommand.Open s) {
         InetSocketAddress address = Addresses.of(s.peer().dial());
         if (!sockets.serverFits()) {
             makeRoom.run();
@@ -227,7 +227,7 @@
         }
     }
 
-    private void warnOfLocalFailure(Peer peer, Throwable cause) {
+    private void warnOfLocalFailure(EndpointIdentity peer, Throwable cause) {
         double now = clock.nowMs();
         if (now - localFailureLoggedMs >= LOCAL_FAILURE_LOG_MS) {
             localFailureLoggedMs = now;
@@ -235,7 +235,7 @@
         }
     }
 
-    private void lend(Step.Lend s) {
+    private void lend(ConnectionCommand.Lend s) {
         Connection c = connections.get(s.connection());
         Running r = waits.remove(s.ticket());
         if (r == null) {
@@ -253,7 +253,7 @@
         }
     }
 
-    private void giveUp(Step.GiveUp s) {
+    private void giveUp(ConnectionCommand.GiveUp s) {
         Running r = waits.remove(s.ticket());
         if (r == null) {
             return;
@@ -265,7 +265,7 @@
         }
     }
 
-    private void wake(Step.Wake s) {
+    private void wake(ConnectionCommand.Wake s) {
         double wait = s.atMs() - clock.nowMs();
         loop.schedule(
                 () -> {
@@ -312,7 +312,7 @@
     }
 
     void closeIdle(String host, String dial) {
-        follow(pool.closeIdle(new Peer(host, dial)));
+        follow(pool.closeIdle(new EndpointIdentity(host, dial)));
     }
 
     /** Closes connections that have been idle for long, and those whose answer has stopped half way. */
@@ -332,7 +332,7 @@
 
     /** Closes one idle connection, if there is one. */
     boolean shed() {
-        List<Step> steps = pool.shed();
+        List<ConnectionCommand> steps = pool.shed();
         if (steps.isEmpty()) {
             return false;
         }
@@ -342,17 +342,18 @@
     }
 
     /** A connection to a server. */
-    private final class Connection extends ChannelInboundHandlerAdapter implements Body.Giver, ConnectAttempt.Listener {
+    private final class Connection extends ChannelInboundHandlerAdapter
+            implements BodyStream.Giver, ConnectAttempt.Listener {
         final long id;
-        final Peer peer;
+        final EndpointIdentity peer;
         final ResponseDecoder decoder = new ResponseDecoder();
         Channel channel;
         Running running;
         double sentAt;
         /** The long body that goes out on it. */
-        Upload upload;
+        StreamedRequest upload;
         /** The long answer that comes in on it. */
-        Body answer;
+        BodyStream answer;
 
         /** The server has ended its sending in order. */
         boolean finished;
@@ -366,7 +367,7 @@
         /** Its part of what all answers hold. */
         int holds;
 
-        Connection(long id, Peer peer) {
+        Connection(long id, EndpointIdentity peer) {
             this.id = id;
             this.peer = peer;
         }
@@ -407,7 +408,7 @@
             }
             running = r;
             r.connection = this;
-            if (r.forward.message() instanceof Upload u) {
+            if (r.forward.message() instanceof StreamedRequest u) {
                 sendLong(r, u, left);
             } else {
                 ByteBuf bytes = HttpEncoder.forward(channel.alloc(), (HttpRequest) r.forward.message(), left);
@@ -435,7 +436,7 @@
         }
 
         /** The head and the part that is kept; once they have left, the rest as it comes. */
-        private void sendLong(Running r, Upload u, double left) {
+        private void sendLong(Running r, StreamedRequest u, double left) {
             boolean chunked = u.length() < 0;
             upload = u;
             channel.write(HttpEncoder.forwardHead(
@@ -461,7 +462,7 @@
         }
 
         /** Sends the rest of a long body. */
-        private final class ToServer implements Body.Taker {
+        private final class ToServer implements BodyStream.Taker {
             private final Running r;
             private final boolean chunked;
             private boolean spent;
@@ -513,7 +514,7 @@
         /** Nothing more of a long body goes out on it. */
         private void endUpload() {
             if (upload != null) {
-                Upload u = upload;
+                StreamedRequest u = upload;
                 upload = null;
                 if (u.rest().isTaken()) {
                     u.rest().refuse();
@@ -525,9 +526,9 @@
             if (answerSince > 0 && decoder.saysLong() && decoder.status() == 200 && now - answerSince > FIRST_PART_MS) {
                 startStream();
             } else if (answerSince > 0 && now - answerSince > ANSWER_MS) {
-                spoilt(Refusal.SLOW, "stopped half way");
+                spoilt(RejectionReason.SLOW, "stopped half way");
             } else if (upload != null && !running.written && !channel.isWritable() && now - sentAt > STREAM_MS) {
-                spoilt(Refusal.SLOW, "takes no more of a long body");
+                spoilt(RejectionReason.SLOW, "takes no more of a long body");
             }
         }
 
@@ -547,9 +548,9 @@
             running = null;
             endUpload();
             hold(0);
-            Forwards.this.running.remove(r.forward.flow(), r);
+            UpstreamConnections.this.running.remove(r.forward.flow(), r);
             answerSince = clock.nowMs();
-            answer = new Body(this);
+            answer = new BodyStream(this);
             streaming.add(this);
             counters.count(Counters.Kind.ANSWERS_STREAMED);
             answer.piece(Unpooled.wrappedBuffer(decoder.stream((from, n) -> answer.piece(from.readRetainedSlice(n)))));
@@ -558,7 +559,7 @@
                     r.forward.flow(),
                     r.forward.forward(),
                     Reply.SERVED,
-                    new Download(head, length(), answer),
+                    new StreamedResponse(head, length(), answer),
                     report(head)));
         }
 
@@ -611,7 +612,7 @@
         private void endStream(boolean whole) {
             streaming.remove(this);
             channel.config().setAutoRead(true);
-            Body b = answer;
+            BodyStream b = answer;
             answer = null;
             b.end(whole);
         }
@@ -637,13 +638,13 @@
          * Nothing that comes here can be trusted any more: the forward that is out has failed and may have run. For
          * the module it is as good as a broken connection, which says less of a server than its word of an error.
          */
-        void spoilt(Refusal reason, String why) {
+        void spoilt(RejectionReason reason, String why) {
             hold(0);
             Running r = running;
             running = null;
             endUpload();
             counters.count(Counters.Kind.ANSWERS_SPOILT);
-            counters.refuse(Refusal.Port.ANSWERS, reason);
+            counters.refuse(RejectionReason.Port.ANSWERS, reason);
             log.warn("answer of " + peer.host() + " spoilt, " + reason.text() + ": " + why);
             close();
             if (r != null) {
@@ -675,11 +676,11 @@
                     hold(decoder.held());
                     if (held > HELD_LIMIT) {
                         // Guards memory against many long answers at once.
-                        spoilt(Refusal.OVERSIZED, "too much is held of answers");
+                        spoilt(RejectionReason.OVERSIZED, "too much is held of answers");
                     }
                 }
             } catch (HttpException e) {
-                spoilt(Refusal.ofStatus(e.status()), e.getMessage());
+                spoilt(RejectionReason.ofStatus(e.status()), e.getMessage());
             } finally {
                 in.release();
             }
@@ -694,7 +695,7 @@
             boolean early = !r.written;
             endUpload();
             hold(0);
-            Forwards.this.running.remove(r.forward.flow(), r);
+            UpstreamConnections.this.running.remove(r.forward.flow(), r);
             keepOrClose(response, more || early);
             events.raise(new Event.ForwardAnswered(
                     r.forward.flow(), r.forward.forward(), reply(response), response, report(response)));
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -9,9 +9,9 @@
 import brackenbridge.BalancerApi.Request;
 import brackenbridge.BalancerApi.Settings;
 import brackenbridge.config.SettingsParser;
-import brackenbridge.core.membership.Membership;
-import brackenbridge.core.membership.Source;
-import brackenbridge.core.membership.Step;
+import brackenbridge.core.membership.DiscoveryCommand;
+import brackenbridge.core.membership.DiscoverySource;
+import brackenbridge.core.membership.DiscoveryWatch;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -45,10 +45,10 @@
     /** An instance; where lists are pushed, the simulator sends them by itself and there is nothing to follow. */
     private static final class Hosted {
         final Balancer balancer;
-        final Membership membership;
+        final DiscoveryWatch membership;
         long call = -1;
 
-        Hosted(Balancer balancer, Membership membership) {
+        Hosted(Balancer balancer, DiscoveryWatch membership) {
             this.balancer = balancer;
             this.membership = membership;
         }
@@ -171,12 +171,12 @@
         }
     }
 
-    private void follow(Hosted h, List<Step> steps) {
-        for (Step step : steps) {
-            if (step instanceof Step.Open o) {
+    private void follow(Hosted h, List<DiscoveryCommand> steps) {
+        for (DiscoveryCommand step : steps) {
+            if (step instanceof DiscoveryCommand.Open o) {
                 h.call = o.call();
                 writer.watch(instance);
-            } else if (step instanceof Step.Wake w) {
+            } else if (step instanceof DiscoveryCommand.Wake w) {
                 writer.of(instance).timer((long) Math.ceil(w.atMs() * 1000), TURN + w.turn());
             }
         }
@@ -213,10 +213,10 @@
         long seed = reader.number("prng");
         Settings settings = settings(seed);
         // The end of each call is told here, so silence says nothing.
-        Membership membership = !settings.askDiscovery()
+        DiscoveryWatch membership = !settings.askDiscovery()
                 ? null
-                : new Membership(
-                        new Source(true, settings.mustAskWithin() / 1000.0),
+                : new DiscoveryWatch(
+                        new DiscoverySource(true, settings.mustAskWithin() / 1000.0),
                         Double.POSITIVE_INFINITY,
                         new SplittableRandom(~seed));
         guarded(() -> instances.put(instance, new Hosted(new Balancer(settings, writer.of(instance)), membership)));
--- a/node/src/test/java/brackenbridge/cli/HangupTest.java
+++ b/node/src/test/java/brackenbridge/cli/HangupSignalTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The real signal, sent to the process that runs the tests. */
-class HangupTest {
+class HangupSignalTest {
     @Test
     void eachSignalRunsTheWorkAndEndsNothing() throws Exception {
         Semaphore heard = new Semaphore(0);
-        assertTrue(Hangup.handle(heard::release));
+        assertTrue(HangupSignal.handle(heard::release));
         for (int i = 0; i < 2; i++) {
             new ProcessBuilder(
                             "kill",
@@ -28,7 +28,7 @@
     /** Says whether the signal will be heard. */
     static final class Asked {
         public static void main(String[] args) {
-            System.out.println("heard: " + Hangup.handle(() -> {}));
+            System.out.println("heard: " + HangupSignal.handle(() -> {}));
         }
     }
 
--- a/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
@@ -15,8 +15,8 @@
                 counters.count(kind, "read");
             }
         }
-        for (Refusal.Port port : Refusal.Port.values()) {
-            for (Refusal why : Refusal.values()) {
+        for (RejectionReason.Port port : RejectionReason.Port.values()) {
+            for (RejectionReason why : RejectionReason.values()) {
                 for (int i = 0; i <= port.ordinal() * 10 + why.ordinal(); i++) {
                     counters.refuse(port, why);
                 }
--- a/node/src/test/java/brackenbridge/discovery/TargetGroupParserTest.java
+++ b/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.testing.Bytes;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class TargetGroupParserTest {
+class EndpointListParserTest {
     private static final String LINE = "{\"seq\":43,\"whole\":false,\"hosts\":[{\"host\":\"s-5b\","
             + "\"dial\":\"127.1.0.18:9000\","
             + "\"site\":\"a\",\"class\":\"m2\",\"block\":3,\"health\":\"leaving\",\"share\":1.5,\"born_ms\":7}]}";
@@ -23,18 +23,18 @@
     @Test
     void readsALine() {
         assertEquals(
-                new TargetGroup(
+                new EndpointList(
                         43,
                         false,
-                        List.of(new Target("s-5b", "127.1.0.18:9000", "a", 3, 1.5, 7, EndpointState.DRAINING))),
-                TargetGroupParser.parse(LINE));
-        assertThrows(IllegalArgumentException.class, () -> TargetGroupParser.parse("[".repeat(100_000)));
+                        List.of(new ServerEndpoint("s-5b", "127.1.0.18:9000", "a", 3, 1.5, 7, EndpointState.DRAINING))),
+                EndpointListParser.parse(LINE));
+        assertThrows(IllegalArgumentException.class, () -> EndpointListParser.parse("[".repeat(100_000)));
     }
 
     @Property(seed = "21", tries = 1000)
     void garbageIsAListOrAnIllegalArgument(@ForAll long seed) {
         try {
-            TargetGroupParser.parse(Bytes.garbage(LINE, seed))
+            EndpointListParser.parse(Bytes.garbage(LINE, seed))
                     .targets()
                     .forEach(t -> assertFalse(t.host().isEmpty()));
         } catch (IllegalArgumentException e) {
@@ -42,8 +42,8 @@
         }
     }
 
-    private static TargetGroup list(String... entries) {
-        return TargetGroupParser.parse("{\"seq\":7,\"whole\":true,\"hosts\":[" + String.join(",", entries) + "]}");
+    private static EndpointList list(String... entries) {
+        return EndpointListParser.parse("{\"seq\":7,\"whole\":true,\"hosts\":[" + String.join(",", entries) + "]}");
     }
 
     private static String entry(String host, String change) {
@@ -66,9 +66,10 @@
                 "\"active\"->\"active\",\"site\":5"
             })
     void unreadableEntryCostsOnlyItself(String change) {
-        TargetGroup read = list(entry("a", "a->a"), entry("b", change), entry("c", "c->c"));
+        EndpointList read = list(entry("a", "a->a"), entry("b", change), entry("c", "c->c"));
         assertEquals(
-                List.of("a", "c"), read.targets().stream().map(Target::host).toList());
+                List.of("a", "c"),
+                read.targets().stream().map(ServerEndpoint::host).toList());
         assertEquals(List.of("b"), read.unread());
     }
 
@@ -91,7 +92,7 @@
     @ValueSource(strings = {"1e300", "9007199254740993", "-2", "4.5", "\"4\"", "null", "true"})
     void versionThatNoCounterHoldsCostsTheLine(String version) {
         // Taken as the greatest number it would make every later list stale.
-        assertThrows(IllegalArgumentException.class, () -> TargetGroupParser.parse(LINE.replace("43", version)));
+        assertThrows(IllegalArgumentException.class, () -> EndpointListParser.parse(LINE.replace("43", version)));
     }
 
     @Test
@@ -99,6 +100,6 @@
         String many = "{},".repeat(300_000);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> TargetGroupParser.parse(LINE.replace("\"hosts\"", "\"more\":[" + many + "{}],\"hosts\"")));
+                () -> EndpointListParser.parse(LINE.replace("\"hosts\"", "\"more\":[" + many + "{}],\"hosts\"")));
     }
 }
--- a/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
@@ -4,8 +4,8 @@
 
 import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.clock.Clock;
-import brackenbridge.core.Target;
-import brackenbridge.core.TargetGroup;
+import brackenbridge.core.EndpointList;
+import brackenbridge.core.ServerEndpoint;
 import brackenbridge.counters.Counters;
 import brackenbridge.log.Log;
 import brackenbridge.testing.GoldenText;
@@ -31,18 +31,19 @@
 
 /** The lines between a process and its successor, and the name of the path where they meet, against golden files. */
 class GoldenFormsTest {
-    private static final Offer OFFER = new Offer(
+    private static final HandoverState OFFER = new HandoverState(
             500,
-            new TargetGroup(
+            new EndpointList(
                     41,
                     true,
                     List.of(
-                            new Target("s-1", "127.0.0.1:7001", "a", 3, 1.5, 1_700_000_000_001.0, EndpointState.UP),
-                            new Target("s-2", "127.0.0.1:7002", "b", -1, 1, 0, EndpointState.DRAINING),
-                            new Target("s-3", "127.0.0.1:7003", "b", -1, 1, 0, EndpointState.REMOVED))));
+                            new ServerEndpoint(
+                                    "s-1", "127.0.0.1:7001", "a", 3, 1.5, 1_700_000_000_001.0, EndpointState.UP),
+                            new ServerEndpoint("s-2", "127.0.0.1:7002", "b", -1, 1, 0, EndpointState.DRAINING),
+                            new ServerEndpoint("s-3", "127.0.0.1:7003", "b", -1, 1, 0, EndpointState.REMOVED))));
     private static final Handover.Process PROCESS = new Handover.Process() {
         @Override
-        public Offer offer() {
+        public HandoverState offer() {
             return OFFER;
         }
 
@@ -91,7 +92,7 @@
     @Test
     void offerIsWordedAndReadAsEver() throws IOException {
         GoldenText.check("handover-offer.txt", OFFER.json());
-        assertEquals(OFFER, Offer.parse(GoldenText.read("handover-offer.txt")));
+        assertEquals(OFFER, HandoverState.parse(GoldenText.read("handover-offer.txt")));
     }
 
     @Test
@@ -113,7 +114,7 @@
         try (ServerSocketChannel listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             listening.bind(UnixDomainSocketAddress.of(path()));
             Handover handover = handover();
-            CompletableFuture<Offer> asked = loop.submit(handover::ask).get();
+            CompletableFuture<HandoverState> asked = loop.submit(handover::ask).get();
             try (SocketChannel predecessor = listening.accept()) {
                 String said = hear(predecessor);
                 say(predecessor, "brackenbridge-handover 1 " + OFFER.json() + "\n");
--- a/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
+++ b/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.counters.Refusal;
+import brackenbridge.counters.RejectionReason;
 import brackenbridge.log.Log;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -24,10 +24,10 @@
 /** Staff's calls, good and bad. */
 class ManagementListenerTest {
     private final List<Boolean> drains = new ArrayList<>();
-    private final List<Refusal> refused = Collections.synchronizedList(new ArrayList<>());
+    private final List<RejectionReason> refused = Collections.synchronizedList(new ArrayList<>());
     private boolean stopping;
     private final ManagementListener listener = new ManagementListener(
-            new Staff() {
+            new AdminOperations() {
                 @Override
                 public boolean takesClients() {
                     return !stopping;
@@ -45,7 +45,7 @@
                 }
 
                 @Override
-                public void refused(Refusal why) {
+                public void refused(RejectionReason why) {
                     refused.add(why);
                 }
             },
@@ -95,7 +95,13 @@
         assertEquals("-ERR not a call\n", raw("x".repeat(257).getBytes(StandardCharsets.US_ASCII)));
         assertEquals("-ERR not a call\n", raw(new byte[] {'P', (byte) 0xff}));
         assertEquals(List.of(), drains);
-        assertEquals(List.of(Refusal.UNKNOWN, Refusal.UNKNOWN, Refusal.OVERSIZED, Refusal.MALFORMED), refused);
+        assertEquals(
+                List.of(
+                        RejectionReason.UNKNOWN,
+                        RejectionReason.UNKNOWN,
+                        RejectionReason.OVERSIZED,
+                        RejectionReason.MALFORMED),
+                refused);
     }
 
     @Test
@@ -125,9 +131,10 @@
         assertEquals(
                 List.of(),
                 refused.stream()
-                        .filter(r -> r != Refusal.SHED && r != Refusal.SLOW)
+                        .filter(r -> r != RejectionReason.SHED && r != RejectionReason.SLOW)
                         .toList());
-        assertTrue(refused.contains(Refusal.SLOW) && refused.contains(Refusal.SHED), refused.toString());
+        assertTrue(
+                refused.contains(RejectionReason.SLOW) && refused.contains(RejectionReason.SHED), refused.toString());
         assertTrue(refused.size() <= 300, "each is counted once: " + refused.size());
         for (Socket s : silent) {
             s.close();
--- a/node/src/test/java/brackenbridge/net/ClassRulesTest.java
+++ b/node/src/test/java/brackenbridge/net/ClassRulesTest.java
@@ -8,7 +8,7 @@
 import brackenbridge.config.Config;
 import brackenbridge.config.ConfigTest;
 import brackenbridge.core.Event;
-import brackenbridge.core.share.Allowances;
+import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.log.Log;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -35,7 +35,7 @@
         node.start();
         // One connection in all: the next flow waits for its tenant's turn.
         node.tell(new Event.SharesTold(
-                new Allowances(1, Map.of("a", 1.0), 0, Map.of(), clock.nowMs() + 60_000, Map.of("a", 1.0))));
+                new TenantQuotas(1, Map.of("a", 1.0), 0, Map.of(), clock.nowMs() + 60_000, Map.of("a", 1.0))));
     }
 
     @AfterEach
--- a/node/src/test/java/brackenbridge/net/DoorTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The listening socket closes while clients stand in its backlog and accepts fail. */
-class DoorTest {
+class ConnectionAcceptorTest {
     private static final int CLIENTS = 4;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -35,7 +35,7 @@
     private final Semaphore accepted = new Semaphore(0);
     private final AtomicInteger roomMade = new AtomicInteger();
     private final List<Socket> clients = new ArrayList<>();
-    private Door door;
+    private ConnectionAcceptor door;
 
     @BeforeEach
     void listen() throws Exception {
@@ -56,7 +56,7 @@
                 });
             }
         });
-        door = new Door(
+        door = new ConnectionAcceptor(
                 bootstrap,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 Clock.system(),
--- a/node/src/test/java/brackenbridge/net/SocketsTest.java
+++ b/node/src/test/java/brackenbridge/net/DescriptorBudgetTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Limits at both ends of their range leave room for clients and for servers. */
-class SocketsTest {
+class DescriptorBudgetTest {
     @Test
     void anyLimitAdmitsClientsAndServers() {
         for (int limit : new int[] {64, 1024, 1 << 20, 300_000_000, Integer.MAX_VALUE}) {
-            Sockets s = new Sockets(limit);
+            DescriptorBudget s = new DescriptorBudget(limit);
             assertTrue(s.clientFits() && s.serverFits(), "limit " + limit);
             assertFalse(s.crowded(), "limit " + limit);
             s.share(true);
