--- a/node/src/test/java/brackenbridge/net/TimeToldTest.java
+++ b/node/src/test/java/brackenbridge/net/TimeToldTest.java
@@ -111,8 +111,9 @@
         assertTrue(counted.contains(count + "\n"), count + " is not among\n" + counted);
     }
 
-    /** While the node rests, the connection that a request waits for comes up. */
+    /** While the node rests, the connection that a request waits for comes up: it must have begun to connect before. */
     private void comesUpWhileTheNodeRests() throws Exception {
+        settle();
         clock.hold();
         server.accept();
         assertNotNull(server.connections.poll(20, TimeUnit.SECONDS));
@@ -124,7 +125,6 @@
             notUpYet();
             ask("POST", "/file", 5000, length);
             await("flows_in 1");
-            settle();
             comesUpWhileTheNodeRests();
             clock.pass(1500);
             clock.release();
@@ -133,6 +133,23 @@
         }
     }
 
+    @Test
+    void attemptThatHasNothingLeftWhenItsConnectionComesUpIsNotSent() throws Exception {
+        notUpYet();
+        ask("POST", "/file", 60_000, 1);
+        await("flows_in 1");
+        comesUpWhileTheNodeRests();
+        clock.pass(60_000);
+        clock.release();
+        assertTrue(answer().startsWith("HTTP/1.1 503 "), "refused: it never began");
+        await("forwards_moot 1");
+        await("forwards_written 0");
+        server.answers.add(OK);
+        ask("POST", "/file", 5000, 2);
+        assertTrue(answer().endsWith("done"), "the connection serves the next, and its server is in use");
+        assertTrue(server.next().endsWith("\r\n\r\nxx"), "the first request that the server sees");
+    }
+
     @Test
     void retryIsToldWhatIsLeftThen() throws Exception {
         ask("GET", "/view", 5000, 0);
