--- a/core/src/main/java/brackenbridge/Balancer.java
+++ b/core/src/main/java/brackenbridge/Balancer.java
@@ -101,6 +101,8 @@
     private double answeredPerSecond;
     private double ratePerSecond;
     private int answered;
+    /** Whether a request was there to be answered at any time since the last tick. */
+    private boolean asked;
     private int dropped;
     private long lastTick;
     private long expiryTimer = Long.MAX_VALUE;
@@ -294,6 +296,7 @@
         Call c = calls.get(request);
         if (c != null && c.coming) {
             c.coming = false;
+            asked = true;
             open += c.done ? 0 : 1;
             c.attempts.stream().filter(a -> !a.ended).forEach(this::count);
         }
@@ -312,6 +315,7 @@
         Call c = new Call(r, kind, settings.maxAttempts(), now, tau, left);
         calls.put(c.id, c);
         c.coming = coming;
+        asked |= !coming;
         open += coming ? 0 : 1;
         // Guards the first clients: they may come seconds after the start, while no rate is known yet.
         firstAt = firstAt == Long.MIN_VALUE ? now : firstAt;
@@ -874,11 +878,22 @@
         }
     }
 
+    /**
+     * What the servers can answer shows only while there is something to answer: an idle time leaves the rate as it
+     * was. It would fade to nothing otherwise, and most of a burst that follows would be refused before idle servers.
+     */
+    private void measureRate(double elapsed) {
+        if (asked || answered > 0) {
+            answeredPerSecond += Math.min(1, elapsed) * (answered / elapsed - answeredPerSecond);
+            ratePerSecond = Math.max(answeredPerSecond, answered / elapsed);
+        }
+        asked = open > 0 || inFlight > 0;
+    }
+
     private void tick(long now) {
         double elapsed = Math.max(1, now - lastTick) / (double) SECOND;
         lastTick = now;
-        answeredPerSecond += Math.min(1, elapsed) * (answered / elapsed - answeredPerSecond);
-        ratePerSecond = Math.max(answeredPerSecond, answered / elapsed);
+        measureRate(elapsed);
         slowStart.tick(now, elapsed, answered, order, reach);
         answered = 0;
         common.fill(answeredPerSecond / 20);
--- a/core/src/test/java/brackenbridge/DesignTest.java
+++ b/core/src/test/java/brackenbridge/DesignTest.java
@@ -240,6 +240,38 @@
         assertEquals(7, s.of("refuse").size());
     }
 
+    /** Calls of a burst that are refused on arrival, after a while with one call at a time and an idle time. */
+    private static int refusedAfterIdle(long idle, boolean openMeanwhile) {
+        Script s = new Script(settings(safe("low", 1), unsafe("high", 9))).servers(9);
+        for (int i = 0; i < 40; i++) {
+            s.ask(i, "high").pass(50 * MS).answer(i, 0, Outcome.OK, 50 * MS);
+        }
+        if (openMeanwhile) {
+            s.ask(90, "high", null, -1, 60 * SECOND);
+        }
+        s.pass(idle);
+        int before = s.of("refuse").size();
+        for (int i = 100; i < 109; i++) {
+            s.ask(i, "low");
+        }
+        return s.of("refuse").size() - before;
+    }
+
+    @Test
+    void idleTimeLeavesTheRateOfAnswersAsItWas() {
+        assertEquals(0, refusedAfterIdle(0, false));
+        for (long idle : new long[] {SECOND, 12 * SECOND, 3600 * SECOND}) {
+            assertEquals(0, refusedAfterIdle(idle, false), "after idle microseconds: " + idle);
+        }
+    }
+
+    /** Not idle: a call is out all the time and no server answers it. */
+    @Test
+    void rateOfAnswersFallsWhileACallIsOpenThatNoneAnswers() {
+        int refused = refusedAfterIdle(12 * SECOND, true);
+        assertTrue(refused >= 7, "refused of 9: " + refused);
+    }
+
     @Test
     void windowWidensWhereCallsWaitThoughTheWholeFleetHasRoom() {
         // Incident i98a42f: one of a few callers had most of the traffic and refused a third beside idle servers.
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/QuietTimeTest.java
@@ -0,0 +1,259 @@
+package brackenbridge.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.config.Config;
+import brackenbridge.config.ConfigTest;
+import brackenbridge.log.Log;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** All connections that are kept to servers end in the same quiet time, and requests come all at once behind it. */
+class QuietTimeTest {
+    private static final int SERVERS = 8;
+    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+    private static final double QUIET_MS = 12_000;
+    /** More than the time between two ticks of the decision module. */
+    private static final long TICK_MS = 300;
+    /** More than the time for which a connection rests behind an answer. */
+    private static final long REST_MS = 8;
+
+    private static final int ROUNDS = 3;
+
+    private final HeldClock clock = new HeldClock();
+    private final List<Server> servers = new ArrayList<>();
+    /** The requests that servers have read whole, on connections that they knew. */
+    private final LinkedBlockingQueue<String> served = new LinkedBlockingQueue<>();
+    /** Those that they have read whole on connections that they had forgotten. */
+    private final LinkedBlockingQueue<String> lost = new LinkedBlockingQueue<>();
+
+    private Node node;
+    private final List<Socket> clients = new ArrayList<>();
+
+    /** Serves each request on each connection that it knows, and answers others with a reset. */
+    private final class Server {
+        final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        final List<Socket> connections = new CopyOnWriteArrayList<>();
+        final List<Thread> readers = new CopyOnWriteArrayList<>();
+        /** So many of its connections it has forgotten, the oldest. */
+        volatile int forgotten;
+
+        Server() throws IOException {
+            daemon(this::accept);
+        }
+
+        private void accept() {
+            try {
+                while (true) {
+                    Socket s = listening.accept();
+                    connections.add(s);
+                    int number = connections.size();
+                    readers.add(daemon(() -> serve(s, number)));
+                }
+            } catch (IOException e) {
+                return;
+            }
+        }
+
+        private void serve(Socket s, int number) {
+            try (s) {
+                String request;
+                while ((request = FakeServer.message(s.getInputStream())) != null) {
+                    if (number <= forgotten) {
+                        lost.add(request);
+                        s.setSoLinger(true, 0);
+                        return;
+                    }
+                    served.add(request);
+                    s.getOutputStream().write(OK.getBytes(StandardCharsets.US_ASCII));
+                }
+            } catch (IOException e) {
+                return;
+            }
+        }
+
+        void forgetAll() {
+            forgotten = connections.size();
+        }
+
+        /** Returns once the ends have left: a socket that a thread reads ends with that thread's read. */
+        void endAll(boolean reset) throws Exception {
+            for (Socket s : connections) {
+                s.setSoLinger(reset, 0);
+                s.close();
+            }
+            for (Thread t : readers) {
+                t.join(10_000);
+                assertFalse(t.isAlive());
+            }
+        }
+    }
+
+    private static Thread daemon(Runnable work) {
+        Thread t = new Thread(work);
+        t.setDaemon(true);
+        t.start();
+        return t;
+    }
+
+    @BeforeEach
+    void start() throws Exception {
+        StringBuilder hosts = new StringBuilder();
+        for (int i = 0; i < SERVERS; i++) {
+            Server s = new Server();
+            servers.add(s);
+            hosts.append(i == 0 ? "" : ",")
+                    .append("{\"host\":\"s-" + i + "\",\"dial\":\"127.0.0.1:" + s.listening.getLocalPort()
+                            + "\",\"health\":\"active\"}");
+        }
+        node = new Node(
+                Config.parse(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + hosts + "]")),
+                clock,
+                new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
+        node.start();
+        for (int i = 0; i < SERVERS; i++) {
+            Socket s = new Socket(node.address().getAddress(), node.address().getPort());
+            s.setSoTimeout(10_000);
+            clients.add(s);
+        }
+        for (int i = 0; i < ROUNDS; i++) {
+            // Requests that are out together open a connection to each server.
+            clock.hold();
+            askAll("first", "POST", "/file");
+            clock.release();
+            assertEquals(SERVERS, answers("200"));
+            letRun(REST_MS);
+        }
+        assertTrue(servers.stream().noneMatch(s -> s.connections.isEmpty()), "a server without a kept connection");
+        served.clear();
+        // The tick that takes in the last answers is over before the quiet begins, and one falls into the quiet.
+        letRun(TICK_MS);
+        clock.pass(QUIET_MS);
+        letRun(TICK_MS);
+    }
+
+    @AfterEach
+    void end() throws IOException {
+        clock.release();
+        for (Socket s : clients) {
+            s.close();
+        }
+        node.kill();
+        for (Server s : servers) {
+            s.listening.close();
+        }
+    }
+
+    /** What the node's event loop was to do within this time, it has done: it asks the system for the delay. */
+    private void letRun(long ms) throws Exception {
+        long start = System.nanoTime();
+        while (System.nanoTime() - start < ms * 1_000_000) {
+            node.tenantUse().get(10, TimeUnit.SECONDS);
+        }
+        for (int i = 0; i < 3; i++) {
+            node.tenantUse().get(10, TimeUnit.SECONDS);
+        }
+    }
+
+    private int counted(String name) throws IOException {
+        try (Socket s = new Socket(node.address().getAddress(), node.address().getPort())) {
+            s.setSoTimeout(10_000);
+            s.getOutputStream().write("GET /health/counters HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            String all = FakeServer.message(s.getInputStream());
+            return Integer.parseInt(all.replaceAll("(?s).*\n" + name + " ([0-9]+)\n.*", "$1"));
+        }
+    }
+
+    private void askAll(String round, String method, String path) throws IOException {
+        for (int i = 0; i < SERVERS; i++) {
+            String text = method + " " + path + " HTTP/1.1\r\nX-Correlation-Id: " + round + i
+                    + "\r\nX-Time-Left-Ms: 3000\r\nContent-Length: 0\r\n\r\n";
+            clients.get(i).getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+        }
+    }
+
+    /** How many of the clients' answers have this status; each client gets one. */
+    private int answers(String status) throws IOException {
+        int n = 0;
+        for (Socket s : clients) {
+            String a = String.valueOf(FakeServer.message(s.getInputStream()));
+            assertTrue(a.startsWith("HTTP/1.1 "), a);
+            n += a.startsWith("HTTP/1.1 " + status + " ") ? 1 : 0;
+        }
+        return n;
+    }
+
+    private static Set<String> ids(Iterable<String> requests) {
+        Set<String> ids = new HashSet<>();
+        for (String r : requests) {
+            assertTrue(ids.add(r.replaceAll("(?s).*X-Correlation-Id: ([a-z0-9]+)\r.*", "$1")), "read twice: " + r);
+        }
+        return ids;
+    }
+
+    /** Servers end all of them in the very moment in which the requests come; the node sees both at once. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void connectionsThatServersHaveEndedAllAtOnceCostNoRequest(boolean reset) throws Exception {
+        int opened = counted("connections_opened") - counted("connections_joined");
+        clock.hold();
+        for (Server s : servers) {
+            s.endAll(reset);
+        }
+        askAll("next", "POST", "/file");
+        clock.release();
+        assertEquals(SERVERS, answers("200"));
+        assertEquals(SERVERS, ids(served).size());
+        int now = counted("connections_opened") - counted("connections_joined");
+        assertTrue(now - opened <= SERVERS, "connections for " + SERVERS + " requests: " + (now - opened));
+    }
+
+    @Test
+    void safeRequestsOnConnectionsThatServersHaveForgottenAreServedAllTheSame() throws Exception {
+        servers.forEach(Server::forgetAll);
+        clock.hold();
+        askAll("next", "GET", "/view");
+        clock.release();
+        assertEquals(SERVERS, answers("200"));
+        assertEquals(SERVERS, ids(served).size());
+        assertTrue(lost.size() >= 1, "some went out on a connection that was dead");
+    }
+
+    /** Nobody can tell whether they have run: they fail at once, and only they. */
+    @Test
+    void unsafeRequestsOnConnectionsThatServersHaveForgottenFailAtOnceAndAreNotRepeated() throws Exception {
+        servers.forEach(Server::forgetAll);
+        clock.hold();
+        askAll("next", "POST", "/file");
+        clock.release();
+        int failed = answers("502");
+        assertTrue(failed >= 1, "some went out on a connection that was dead");
+        assertEquals(failed, ids(lost).size(), "each that was lost, once");
+        assertEquals(SERVERS - failed, ids(served).size());
+        assertTrue(Collections.disjoint(ids(lost), ids(served)), "lost and sent again");
+        served.clear();
+        askAll("then", "POST", "/file");
+        assertEquals(SERVERS, answers("200"), "no kept connection is trusted now");
+        assertEquals(SERVERS, ids(served).size());
+    }
+}
