--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedNode.java
@@ -355,6 +355,9 @@
             }
             return;
         }
+        if (StalePreVote.replace(raft)) {
+            LOG.warn("agreement at {}: the leader is silent and an old pre-vote was left: votes anew", me);
+        }
         if (joining && now >= joinMs + JOIN_MS) {
             joinMs = now;
             if (raft.getCommittedMembers().getVotingMembers().contains(endpoint)) {
