--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -85,9 +85,14 @@
         private List<Write> recorded;
 
         /** All operations from now on fail so; a fault of writes leaves syncs alone, and the other way round. */
-        public synchronized void fail(Fault fault) {
+        public void fail(Fault fault) {
+            failAfter(0, fault);
+        }
+
+        /** So many operations succeed, all later ones fail as with {@link #fail}. */
+        public synchronized void failAfter(long succeeding, Fault fault) {
             always = fault;
-            failFrom = operations;
+            failFrom = operations + succeeding;
         }
 
         /** This part of all operations fails, as the seed draws. */
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -28,6 +28,8 @@
 class StoreFaultsTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final Endpoint ME = new Endpoint("m", "d");
+    /** More writes and syncs than any opening needs. */
+    private static final int MOST_OPERATIONS_OF_AN_OPENING = 200;
 
     @TempDir
     Path root;
@@ -119,6 +121,27 @@
         }
     }
 
+    /** Each fault from each write or sync of an opening on, until the opening needs no more of them. */
+    @Test
+    void aFaultAtAnyOperationOfAnOpeningIsToldAsADiskThatFails() throws IOException {
+        for (Fault fault : Fault.values()) {
+            int refusals = 0;
+            for (boolean opened = false; !opened; ) {
+                assertTrue(refusals < MOST_OPERATIONS_OF_AN_OPENING, fault + ": it never opens");
+                faults.failAfter(refusals, fault);
+                try (Store s = open()) {
+                    opened = s.restored().isPresent();
+                } catch (IOException refused) {
+                    assertFalse(refused instanceof Store.Damaged, fault + " after " + refusals + ": " + refused);
+                    refusals++;
+                }
+                faults.heal();
+                assertEquals(term, onDisk(), fault + " after " + refusals);
+            }
+            assertTrue(refusals > 2, fault + " was refused only " + refusals + " times");
+        }
+    }
+
     @Test
     void randomFaultsAndLossesOfPowerTakeNoVote() throws IOException {
         for (long seed = 0; seed < 20; seed++) {
