--- a/core/src/main/java/brackenbridge/core/Event.java
+++ b/core/src/main/java/brackenbridge/core/Event.java
@@ -41,6 +41,9 @@
     /** The flow's client has gone away. */
     record FlowGone(long flow) implements Event {}
 
+    /** Unread bytes hide whether the flow's client is still there: nothing may begin for it any more. */
+    record ClientHidden(long flow) implements Event {}
+
     /** The forward's last byte has been written: from now on it may run. */
     record ForwardWritten(long flow, int forward) implements Event {}
 
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -280,6 +280,8 @@
             open(e.flow(), e.request());
         } else if (event instanceof Event.FlowGone e) {
             gone(e.flow());
+        } else if (event instanceof Event.ClientHidden e) {
+            withdraw(e.flow());
         } else if (event instanceof Event.AnswerLeft e) {
             Leaving l = leaving.remove(e.flow());
             if (l != null) {
@@ -481,6 +483,21 @@
         }
     }
 
+    /** Nothing may begin for this flow any more: unless a forward of it has been written, it is answered at once. */
+    private void withdraw(long id) {
+        OpenFlow f = flows.get(id);
+        if (f == null || f.ended || f.out != null && f.out.written) {
+            return;
+        }
+        fixedResponse(f, f.mayHaveRun ? Effect.Fixed.FAILED : Effect.Fixed.REFUSED, 0);
+        if (f.begun) {
+            guarded(() -> balancer.onGone(ModuleTime.micros(now), id));
+        }
+        if (f.out != null) {
+            cancelOut(f, Outcome.CANCELLED);
+        }
+    }
+
     private void answered(Event.ForwardAnswered e) {
         OpenFlow f = withOut(e.flow(), e.forward());
         if (f == null) {
--- a/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
+++ b/core/src/test/java/brackenbridge/core/RecklessModuleTest.java
@@ -131,6 +131,21 @@
         assertEquals(List.of(Outcome.MOOT), module.told);
     }
 
+    @Test
+    void forwardForAClientThatIsGoneOrHiddenNeverBegins() {
+        for (Event end : List.of(new Event.FlowGone(7), new Event.ClientHidden(7))) {
+            start((out, flow) -> {});
+            tell(NOW + 1, end);
+            does(NOW + 2, out -> out.send(7, id("s-0"), 900_000));
+        }
+        assertEquals(List.of(), of(Effect.Forward.class), "first");
+        start((out, flow) -> out.send(flow, id("s-0"), 900_000));
+        tell(NOW + 1, new Event.ForwardWritten(7, 0));
+        tell(NOW + 2, new Event.FlowGone(7));
+        does(NOW + 3, out -> out.send(7, id("s-1"), 900_000));
+        assertEquals(1, of(Effect.Forward.class).size(), "or further");
+    }
+
     @Test
     void secondAnswerIsNeverGiven() {
         start((out, flow) -> {
--- a/core/src/test/java/brackenbridge/core/ReducerTest.java
+++ b/core/src/test/java/brackenbridge/core/ReducerTest.java
@@ -136,6 +136,59 @@
         assertEquals(1, p.counters.of(Kind.FORWARDS_MOOT));
     }
 
+    @Test
+    void hiddenClientsForwardThatIsNotWrittenIsCalledOffAndRefusedAtOnce() {
+        Play p = new Play(4);
+        long f = p.open(Play.FILE, 5000);
+        p.tell(new Event.ClientHidden(f)).tell(new Event.ClientHidden(f));
+        assertEquals(List.of(new Effect.CancelForward(f, 0)), p.of(Effect.CancelForward.class));
+        assertEquals(List.of(Fixed.REFUSED), p.fixed(f));
+        p.pass(9000);
+        assertEquals(1, p.forwards(f).size());
+        assertEquals(List.of(Fixed.REFUSED), p.fixed(f));
+        assertEquals(1, p.counters.of(Kind.FORWARDS_MOOT));
+    }
+
+    @Test
+    void hiddenClientsForwardThatIsWrittenGoesOnAndItsFlowIsRefusedWhenItIsTurnedAway() {
+        Play p = new Play(1);
+        long f = p.open(Play.FILE, 5000);
+        p.tell(new Event.ForwardWritten(f, 0)).tell(new Event.ClientHidden(f));
+        assertEquals(List.of(), p.fixed(f));
+        p.tell(new Event.ForwardAnswered(f, 0, Reply.TURNED_AWAY, null, null)).tell(new Event.ClientHidden(f));
+        assertEquals(List.of(Fixed.REFUSED), p.fixed(f));
+        p.pass(9000);
+        int further = p.forwards(f).size() - 1;
+        assertEquals(further, p.of(Effect.CancelForward.class).size(), "what was to go out again is called off");
+    }
+
+    @Test
+    void hiddenClientsFlowThatMayHaveRunIsFailedNotRefused() {
+        Play p = new Play(4);
+        long f = p.open(Play.VIEW, 5000);
+        p.tell(new Event.ForwardWritten(f, 0)).tell(new Event.ForwardBroken(f, 0));
+        assertEquals(2, p.forwards(f).size(), "safe, so it goes out again");
+        p.tell(new Event.ClientHidden(f));
+        assertEquals(List.of(Fixed.FAILED), p.fixed(f));
+        assertEquals(List.of(new Effect.CancelForward(f, 1)), p.of(Effect.CancelForward.class));
+    }
+
+    @Test
+    void flowThatTheModuleHoldsForAHiddenOrGoneClientNeverBegins() {
+        Play p = new Play(0);
+        long hidden = p.open(Play.VIEW, 8000);
+        long gone = p.open(Play.VIEW, 8000);
+        long other = p.open(Play.VIEW, 8000);
+        p.tell(new Event.ClientHidden(hidden)).tell(new Event.FlowGone(gone));
+        assertEquals(List.of(Fixed.REFUSED), p.fixed(hidden));
+        p.tell(new Event.Reconfigured(
+                p.settings, new TargetGroup(42, true, List.of(Play.target("s-0", EndpointState.UP))), false));
+        p.pass(100);
+        assertEquals(1, p.forwards(other).size());
+        assertEquals(List.of(), p.forwards(hidden));
+        assertEquals(List.of(), p.forwards(gone));
+    }
+
     @Test
     void silentWatchFailsAndIsAskedForAgain() {
         Play p = new Play(4).pass(4100);
--- a/core/src/test/java/brackenbridge/core/SharesToldTest.java
+++ b/core/src/test/java/brackenbridge/core/SharesToldTest.java
@@ -7,6 +7,7 @@
 import brackenbridge.core.Event.Reply;
 import brackenbridge.core.share.Allowances;
 import brackenbridge.counters.Counters.Kind;
+import java.util.List;
 import java.util.Map;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
@@ -103,6 +104,32 @@
         assertEquals(12, begun(LongStream.range(1000, next)));
     }
 
+    @Test
+    void flowWhoseClientIsGoneOrHiddenNeverGetsItsTurn() {
+        shares(1, 2, 2, 60_000);
+        for (int i = 0; i < 12; i++) {
+            open("a", 5000);
+        }
+        List<Long> withdrawn = LongStream.range(1000, next)
+                .filter(f -> p.forwards(f).isEmpty())
+                .limit(4)
+                .boxed()
+                .toList();
+        assertEquals(4, withdrawn.size());
+        p.tell(new Event.FlowGone(withdrawn.get(0))).tell(new Event.ClientHidden(withdrawn.get(1)));
+        p.tell(new Event.FlowGone(withdrawn.get(2))).tell(new Event.ClientHidden(withdrawn.get(3)));
+        for (long f = 1000; f < next; f++) {
+            p.pass(3);
+            if (!p.forwards(f).isEmpty()) {
+                serve(f);
+            }
+        }
+        assertEquals(8, p.of(Effect.Respond.class).size(), "all others had their turn");
+        assertEquals(0, begun(withdrawn.stream().mapToLong(f -> f)));
+        assertEquals(List.of(Fixed.REFUSED), p.fixed(withdrawn.get(1)));
+        assertEquals(List.of(), p.fixed(withdrawn.get(0)));
+    }
+
     @Test
     void whenTheWordRunsOutTheGuaranteedPartIsLeft() {
         shares(1, 6, 1, 500);
--- a/node/src/main/java/brackenbridge/net/Forwards.java
+++ b/node/src/main/java/brackenbridge/net/Forwards.java
@@ -62,10 +62,25 @@
     /** A forward that begins so long after it was decided is looked at once more: its client may have gone. */
     private static final double HELD_MS = 50;
 
-    /** What a forward may tell its server of its client's time, asked just before its first byte is written. */
-    interface TimeLeft {
-        /** In milliseconds; 0 if the forward must not begin any more. */
-        double ms(long flow, int forward);
+    /** A forward whose client is not known to be present is looked at again after so long. */
+    private static final long LOOK_AGAIN_MS = 1;
+
+    /** What is asked of a forward just before its first byte is written. */
+    interface BeginCheck {
+        /** What it may tell its server of its client's time, in milliseconds; 0 if it must not begin any more. */
+        double timeLeftMs(long flow, int forward);
+
+        /** Whether its client is known to be present. */
+        boolean isClientPresent(long flow);
+    }
+
+    /** What became of a forward that was to be sent. */
+    private enum Sending {
+        BEGUN,
+        /** It must not begin any more. */
+        TOO_LATE,
+        /** Its client may have gone: it begins once the client is known to be present. */
+        CLIENT_UNKNOWN
     }
 
     private Bootstrap bootstrap;
@@ -74,7 +89,7 @@
     private Settings settings;
     private final Clock clock;
     private final Events events;
-    private final TimeLeft timeLeft;
+    private final BeginCheck beginCheck;
     private final Sockets sockets;
     private final Counters counters;
     private final Runnable makeRoom;
@@ -117,7 +132,7 @@
             Settings settings,
             Clock clock,
             Events events,
-            TimeLeft timeLeft,
+            BeginCheck beginCheck,
             Sockets sockets,
             Counters counters,
             Log log,
@@ -126,7 +141,7 @@
         this.log = log;
         this.clock = clock;
         this.events = events;
-        this.timeLeft = timeLeft;
+        this.beginCheck = beginCheck;
         this.sockets = sockets;
         this.counters = counters;
         this.makeRoom = makeRoom;
@@ -239,13 +254,10 @@
         Connection c = connections.get(s.connection());
         Running r = waits.remove(s.ticket());
         if (r == null) {
-            // Called off by what an earlier step has raised.
+            // Called off by what an earlier step has raised, or while its client was looked for.
             follow(pool.free(clock.nowMs(), s.connection()));
         } else if (c != null && c.channel.isActive()) {
-            if (!c.send(r)) {
-                follow(pool.free(clock.nowMs(), s.connection()));
-                notBegun(r);
-            }
+            lend(s, c, r);
         } else {
             // It has ended, and its end is not told yet.
             follow(pool.ended(clock.nowMs(), s.connection()));
@@ -253,6 +265,18 @@
         }
     }
 
+    private void lend(Step.Lend s, Connection c, Running r) {
+        Sending sending = c.send(r);
+        if (sending == Sending.TOO_LATE) {
+            follow(pool.free(clock.nowMs(), s.connection()));
+            notBegun(r);
+        } else if (sending == Sending.CLIENT_UNKNOWN) {
+            // Ends by itself: soon the client is seen, is found to have gone, or counts as hidden.
+            waits.put(s.ticket(), r);
+            loop.schedule(() -> lend(s), LOOK_AGAIN_MS, TimeUnit.MILLISECONDS);
+        }
+    }
+
     private void giveUp(Step.GiveUp s) {
         Running r = waits.remove(s.ticket());
         if (r == null) {
@@ -398,12 +422,14 @@
             follow(pool.failedLocally(clock.nowMs(), id));
         }
 
-        /** False if the forward must not begin any more. */
-        boolean send(Running r) {
+        Sending send(Running r) {
             sentAt = clock.nowMs();
-            double left = timeLeft.ms(r.forward.flow(), r.forward.forward());
+            double left = beginCheck.timeLeftMs(r.forward.flow(), r.forward.forward());
             if (left <= 0) {
-                return false;
+                return Sending.TOO_LATE;
+            }
+            if (!beginCheck.isClientPresent(r.forward.flow())) {
+                return Sending.CLIENT_UNKNOWN;
             }
             running = r;
             r.connection = this;
@@ -414,7 +440,7 @@
                 // The promise of the last byte, not its place in a queue, tells whether the request may run.
                 channel.writeAndFlush(bytes).addListener(f -> written(r, f.cause()));
             }
-            return true;
+            return Sending.BEGUN;
         }
 
         private void written(Running r, Throwable cause) {
--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -71,7 +71,8 @@
     /**
      * Bytes that may wait behind a request that is being served, or of a body that nobody takes yet. Java sees that a
      * client has gone only by reading, so what it sent before it went is read first: hundreds of requests at once.
-     * Beyond this, and what the looks below add, an end stays hidden behind bytes that the kernel holds.
+     * Beyond this, and what the looks below add, an end stays hidden behind bytes that the kernel holds, and nothing
+     * begins for this client.
      */
     private static final int AHEAD = 256 * 1024;
     /** And so many once all clients hold half of what they may: to see an end must cost nobody his connection. */
@@ -80,6 +81,10 @@
     private static final long LOOK_MS = 50;
     /** Looks may add so many bytes. */
     private static final int LOOKS = 64 * 1024;
+    /** An attempt begins only for a client that was present so long ago at most, a little under the promised 100 ms. */
+    private static final double PRESENT_MS = 80;
+    /** Reads of one connection before the next has its turn; fewer than these have found all that had come. */
+    static final int READS_A_TURN = 4;
     /** Bytes that all clients together may have here in requests that are not whole or not begun. */
     private static final int HELD_LIMIT = 8 * 1024 * 1024;
 
@@ -172,6 +177,10 @@
             events.raise(new Event.AnswerLeft(flow, Left.ABANDONED));
             return;
         }
+        if (c.isHiddenFromWaiting(clock.nowMs())) {
+            // Behind more than may wait, each further request would only be withdrawn as well.
+            c.keepAlive = false;
+        }
         Headers fields = new Headers();
         if (retryAfterMs > 0) {
             fields.add("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
@@ -229,6 +238,15 @@
         return !emptying && clients.stream().allMatch(c -> c.closing && now - c.since > EXIT_LINGER_MS);
     }
 
+    /**
+     * Whether the flow's client is known to have been present within {@link #PRESENT_MS}. No attempt begins without
+     * this; a client that stays hidden has its flow withdrawn by the sweep.
+     */
+    boolean isClientPresent(long flow) {
+        Client c = flows.get(flow);
+        return c != null && c.isPresent();
+    }
+
     /** Ends what takes too long. */
     void sweep() {
         double now = clock.nowMs();
@@ -342,11 +360,28 @@
         double unseen;
         /** It is not read, but looked at. */
         boolean looks;
+        /** The latest look has found nothing yet. */
+        boolean lookFindsNothing;
+        /** Reads in this turn of the loop. */
+        int reads;
+        /** Grows with each read, and whenever reading begins again. */
+        int readings;
+        /** It will be checked whether anything was left to read. */
+        boolean checksForMore;
+        /** All that had come by the latest turn of the loop is read, and no end was among it: the client is present. */
+        boolean readOut;
+        /** When that last began to hold. */
+        double presentAt = Double.NEGATIVE_INFINITY;
+        /** Since when it does not hold. */
+        double hiddenSince;
+        /** The last byte of a long body is here, and is passed on once its client is known to be present. */
+        boolean endHeld;
 
         Client(Channel channel) {
             this.channel = channel;
             this.since = clock.nowMs();
             this.sweptAt = since;
+            this.hiddenSince = since;
             this.unseen = Door.waitedMs(channel);
         }
 
@@ -456,10 +491,14 @@
 
         private void received(ByteBuf in) {
             arrived += in.readableBytes();
+            reads++;
+            readings++;
+            lookFindsNothing = false;
+            hidden();
             if (closing || full) {
                 drained += in.readableBytes();
                 if (drained > LINGER_BYTES) {
-                    channel.config().setAutoRead(false);
+                    autoRead(false);
                 }
                 in.release();
                 return;
@@ -496,7 +535,7 @@
                 return;
             }
             boolean on = waiting() <= most();
-            channel.config().setAutoRead(on);
+            autoRead(on);
             if (!on && !looks) {
                 looks = true;
                 look();
@@ -511,13 +550,99 @@
         private void look() {
             looks = !closing && !full && !channel.config().isAutoRead() && channel.isActive();
             if (looks) {
-                if (waiting() <= most() + LOOKS) {
+                if (lookFindsNothing) {
+                    present();
+                } else if (waiting() <= most() + LOOKS) {
+                    lookFindsNothing = true;
                     channel.read();
                 }
                 channel.eventLoop().schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
             }
         }
 
+        private void autoRead(boolean on) {
+            if (on == channel.config().isAutoRead()) {
+                return;
+            }
+            hidden();
+            lookFindsNothing = false;
+            channel.config().setAutoRead(on);
+            if (on) {
+                readings++;
+                checkForMore();
+            }
+        }
+
+        // ---- Whether the client is present ----
+
+        @Override
+        public void channelReadComplete(ChannelHandlerContext ctx) {
+            boolean all = reads < READS_A_TURN;
+            reads = 0;
+            if (!channel.config().isAutoRead()) {
+                return;
+            }
+            if (all) {
+                present();
+            } else {
+                checkForMore();
+            }
+        }
+
+        /** Nothing comes to read by the next turn of the loop: then nothing is left. */
+        private void checkForMore() {
+            if (!checksForMore) {
+                checksForMore = true;
+                int before = readings;
+                // What is scheduled surely runs behind another look at all sockets.
+                channel.eventLoop().schedule(() -> checked(before), FIRST_LOOK_MS, TimeUnit.MILLISECONDS);
+            }
+        }
+
+        private void checked(int before) {
+            checksForMore = false;
+            if (closing || readOut || !channel.config().isAutoRead()) {
+                return;
+            }
+            if (readings == before) {
+                present();
+            } else {
+                checkForMore();
+            }
+        }
+
+        private void present() {
+            readOut = true;
+            presentAt = clock.nowMs();
+            if (endHeld) {
+                // Not at once: if this read has found the client's end, the connection is closed in the same turn.
+                channel.eventLoop().execute(() -> guarded(this::passEnd));
+            }
+        }
+
+        private void hidden() {
+            if (readOut) {
+                readOut = false;
+                hiddenSince = clock.nowMs();
+            }
+        }
+
+        boolean isPresent() {
+            if (readOut) {
+                return true;
+            }
+            // A body that is still to come shows its client at the flow's begin: its last byte is not passed on before
+            // the client has been seen again.
+            double last = upload == null ? presentAt : Math.max(presentAt, since);
+            return clock.nowMs() - last <= PRESENT_MS;
+        }
+
+        /** Nobody can tell whether the client is present, and won't soon: what has not begun for it never begins. */
+        private boolean isHiddenFromWaiting(double now) {
+            boolean waits = upload == null || !upload.isTaken() || endHeld;
+            return flow >= 0 && waits && !readOut && now - Math.max(hiddenSince, since) > PRESENT_MS;
+        }
+
         /** The next request has its turn; what is taken out makes room for more. */
         private void readOn() {
             guarded(() -> {
@@ -565,6 +690,7 @@
             long length = decoder.length();
             HttpRequest head = decoder.part(decoder.stream((from, n) -> upload.piece(from.readRetainedSlice(n))));
             upload = new Body(this);
+            endHeld = false;
             take(new Upload(head, length, upload), head, false);
             if (flow < 0) {
                 upload = null;
@@ -577,14 +703,12 @@
 
         private void readLong() {
             try {
-                if (pending == null) {
+                if (pending == null || endHeld) {
                     return;
                 }
                 if (decoder.decode(pending)) {
                     decoder.take();
-                    endUpload(true);
-                    resting = false;
-                    events.raise(new Event.FlowWhole(flow));
+                    endHeld = true;
                 } else {
                     upload.flush();
                 }
@@ -593,6 +717,15 @@
             }
         }
 
+        /** The last byte of a long body goes on: from then on it may run, so its client must be present. */
+        private void passEnd() {
+            if (upload != null && endHeld && readOut) {
+                endUpload(true);
+                resting = false;
+                events.raise(new Event.FlowWhole(flow));
+            }
+        }
+
         /** The request itself is at fault, in the middle of its body: its flow ends as if its client had left. */
         private void failLong(int status, String why) {
             long gone = flow;
@@ -646,7 +779,7 @@
             } else if (flow >= 0 || writing) {
                 full = true;
                 dropPending();
-                channel.config().setAutoRead(true);
+                autoRead(true);
             } else if (!closing) {
                 bad(503, why);
             }
@@ -903,11 +1036,14 @@
             since = clock.nowMs();
             dropPending();
             hold(0);
-            channel.config().setAutoRead(true);
+            autoRead(true);
             ((SocketChannel) channel).shutdownOutput();
         }
 
         void sweep(double now) {
+            if (isHiddenFromWaiting(now)) {
+                events.raise(new Event.ClientHidden(flow));
+            }
             double age = now - since;
             double limit = keepNone ? YOUNG_MS : !asked ? SLOW_MS : sockets.crowded() ? CROWDED_IDLE_MS : IDLE_MS;
             double stalled = download != null ? STALLED_STREAM_MS : STALLED_MS;
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -100,19 +100,24 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
         listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::ready, this::makeRoom);
         forwards = new Forwards(
-                bootstrap,
-                loop,
-                config.settings(),
-                clock,
-                this,
-                (flow, forward) -> reducer.timeLeftMs(clock.nowMs(), flow, forward),
-                sockets,
-                counters,
-                log,
-                this::makeRoom);
+                bootstrap, loop, config.settings(), clock, this, beginCheck(), sockets, counters, log, this::makeRoom);
         discovery = new DiscoveryClient(bootstrap, loop, config.discovery(), this, log);
     }
 
+    private Forwards.BeginCheck beginCheck() {
+        return new Forwards.BeginCheck() {
+            @Override
+            public double timeLeftMs(long flow, int forward) {
+                return reducer.timeLeftMs(clock.nowMs(), flow, forward);
+            }
+
+            @Override
+            public boolean isClientPresent(long flow) {
+                return listener.isClientPresent(flow);
+            }
+        };
+    }
+
     /** Starts to serve; fails if the address can't be listened on. */
     public void start() {
         InetSocketAddress address = Addresses.of(config.listen());
@@ -210,7 +215,7 @@
      */
     private static AdaptiveRecvByteBufAllocator received() {
         AdaptiveRecvByteBufAllocator received = new AdaptiveRecvByteBufAllocator(512, 2048, 8192);
-        received.maxMessagesPerRead(4);
+        received.maxMessagesPerRead(Listener.READS_A_TURN);
         return received;
     }
 
--- a/node/src/test/java/brackenbridge/net/GoneClientTest.java
+++ b/node/src/test/java/brackenbridge/net/GoneClientTest.java
@@ -12,6 +12,8 @@
 import java.io.PrintStream;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -19,7 +21,13 @@
 /** A client that has closed its connection, or ended its sending, is gone: nothing begins for it any more. */
 class GoneClientTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+    private static final String TURNED_AWAY =
+            "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     private static final String COUNTERS = "GET /health/counters HTTP/1.1\r\n\r\n";
+    /** More than the node keeps for one client, and little enough that the kernels of both sides hold the rest. */
+    private static final int BEYOND = 700_000;
+    /** What a new connection gets in four reads, and no more: an end behind it is not read in the same turn. */
+    private static final int FOUR_READS = 24_000;
     /** A wait for a connection outlasts every test. */
     private static final String PATIENT =
             ConfigTest.TEXT.replace("\"connectTimeout\":120000", "\"connectTimeout\":10000000");
@@ -52,12 +60,16 @@
         client = connect();
     }
 
+    private static String host(String name, FakeServer server) {
+        return "{\"host\":\"" + name + "\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+    }
+
     private Node node(String text) {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
-        Node n = new Node(
-                Config.parse(text.replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
-                clock,
-                new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
+        return started(text.replace("\"hosts\":[]", "\"hosts\":[" + host("s-1", server) + "]"));
+    }
+
+    private Node started(String text) {
+        Node n = new Node(Config.parse(text), clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
         n.start();
         return n;
     }
@@ -71,6 +83,19 @@
         client = connect();
     }
 
+    /** The node knows no server until it is told of the one there is. */
+    private void withoutServers() throws IOException {
+        node.kill();
+        node = started(ConfigTest.TEXT);
+        client = connect();
+    }
+
+    private void serverIsTold() {
+        node.reconfigure(() -> Config.parse(ConfigTest.TEXT
+                .replace("\"hosts\":[]", "\"hosts\":[" + host("s-1", server) + "]")
+                .replace("\"seq\":41", "\"seq\":42")));
+    }
+
     private Socket connect() throws IOException {
         Socket s = new Socket(node.address().getAddress(), node.address().getPort());
         s.setSoTimeout(10_000);
@@ -79,6 +104,8 @@
 
     @AfterEach
     void end() throws IOException {
+        // Guards the run against a test that fails while its node rests.
+        clock.release();
         client.close();
         server.close();
         node.kill();
@@ -110,12 +137,21 @@
         assertTrue(counted.contains(count + "\n"), count + " is not among\n" + counted);
     }
 
+    /** Returns once the node has called for a connection to its server. */
+    private void awaitConnectBegun() throws Exception {
+        long start = System.nanoTime();
+        while (node.snapshot().get().servers() == 0) {
+            assertTrue(System.nanoTime() - start < 10_000_000_000L, "no connection is called for");
+        }
+    }
+
     /** Another client's request is the first that the server ever sees. */
     private void onlyTheNextIsServed() throws Exception {
         server.answers.add(OK);
         client = connect();
         send(client, file("next", "next"));
-        assertTrue(FakeServer.message(client.getInputStream()).endsWith("done"));
+        String answer = FakeServer.message(client.getInputStream());
+        assertTrue(answer != null && answer.endsWith("done"), answer + "\n" + counted());
         assertTrue(server.next().endsWith("next"));
         await("forwards_written 1");
         assertEquals(0, server.requests.size());
@@ -198,20 +234,12 @@
 
     @Test
     void requestThatTheModuleHoldsIsNotSentOnceAServerComes() throws Exception {
-        node.kill();
-        Node none = new Node(
-                Config.parse(ConfigTest.TEXT), clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
-        none.start();
-        node = none;
-        client = connect();
+        withoutServers();
         send(client, file("a", "a"));
         await("flows_in 1");
         client.shutdownOutput();
         await("flows_gone 1");
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
-        node.reconfigure(() -> Config.parse(ConfigTest.TEXT
-                .replace("\"hosts\":[]", "\"hosts\":[" + host + "]")
-                .replace("\"seq\":41", "\"seq\":42")));
+        serverIsTold();
         onlyTheNextIsServed();
     }
 
@@ -238,4 +266,143 @@
         assertTrue(FakeServer.message(client.getInputStream()).endsWith("done"));
         assertTrue(server.next().endsWith("behind"));
     }
+
+    // ---- An end that is hidden, or that comes in the very turn in which an attempt could begin ----
+
+    /** Pipelined requests of so many bytes together. */
+    private static String pipelined(int bytes) {
+        String one = file("b", "b");
+        return one.repeat(bytes / one.length());
+    }
+
+    /** Many turns of the loop: the node has read all that it keeps. Then it has not seen the client for too long. */
+    private void clientIsLongUnseen() throws IOException {
+        for (int i = 0; i < 50; i++) {
+            counted();
+        }
+        clock.pass(200);
+    }
+
+    @Test
+    void requestThatTheModuleHoldsIsRefusedOnceUnreadBytesHideItsClient() throws Exception {
+        withoutServers();
+        send(client, file("a", "a") + pipelined(BEYOND));
+        String answer = FakeServer.message(client.getInputStream());
+        assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), answer);
+        client.close();
+        serverIsTold();
+        onlyTheNextIsServed();
+    }
+
+    @Test
+    void requestWhoseClientsEndIsHiddenIsNotSentOnceAServerComes() throws Exception {
+        for (End end : List.of(End.CLOSE, End.END_OF_SENDING)) {
+            withoutServers();
+            send(client, file("a", "a") + pipelined(BEYOND));
+            end.of(client);
+            await("flows_in 1");
+            clientIsLongUnseen();
+            serverIsTold();
+            onlyTheNextIsServed();
+        }
+    }
+
+    @Test
+    void longBodyWhoseClientsEndIsHiddenIsNotSentOnceAConnectionOpens() throws Exception {
+        notUpYet(PATIENT);
+        send(client, file("a", "x".repeat(BEYOND)));
+        client.close();
+        await("requests_streamed 1");
+        server.accept();
+        onlyTheNextIsServed();
+    }
+
+    @Test
+    void longBodyThatWaitsIsRefusedOnceUnreadBytesHideItsClient() throws Exception {
+        notUpYet(PATIENT);
+        send(client, file("a", "x".repeat(BEYOND)));
+        String answer = FakeServer.message(client.getInputStream());
+        assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
+        await("forwards_moot 1");
+        server.accept();
+        onlyTheNextIsServed();
+    }
+
+    @Test
+    void nothingIsSentAgainOnceUnreadBytesHideTheClient() throws Exception {
+        node.kill();
+        try (FakeServer other = new FakeServer()) {
+            String hosts = host("s-1", server) + "," + host("s-2", other);
+            node = started(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + hosts + "]"));
+            client = connect();
+            send(client, file("a", "a"));
+            await("forwards_written 1");
+            send(client, pipelined(BEYOND));
+            client.close();
+            clientIsLongUnseen();
+            server.answers.add(TURNED_AWAY);
+            other.answers.add(TURNED_AWAY);
+            await("forwards_turned_away 1");
+            await("forwards_moot 1");
+            await("forwards_written 1");
+            assertEquals(1, server.requests.size() + other.requests.size());
+        }
+    }
+
+    @Test
+    void whatIsOutWhenUnreadBytesHideItsClientIsAnswered() throws Exception {
+        send(client, file("a", "a"));
+        assertTrue(server.next().endsWith("a"));
+        send(client, pipelined(BEYOND));
+        clientIsLongUnseen();
+        // The node's sweep has time to find it.
+        clientIsLongUnseen();
+        server.answers.add(OK);
+        assertTrue(FakeServer.message(client.getInputStream()).endsWith("done"));
+        await("answered_served 1");
+    }
+
+    @Test
+    void requestWhoseClientsEndIsBehindTheReadsOfOneTurnIsNotSent() throws Exception {
+        String request = file("a", "x".repeat(FOUR_READS));
+        int gone = 0;
+        for (End end : List.of(End.CLOSE, End.END_OF_SENDING)) {
+            client = connect();
+            clock.hold();
+            send(client, request);
+            end.of(client);
+            clock.release();
+            await("flows_gone " + ++gone);
+        }
+        onlyTheNextIsServed();
+    }
+
+    @Test
+    void connectionThatOpensInTheTurnOfItsClientsEndCarriesNothing() throws Exception {
+        notUpYet(PATIENT);
+        send(client, file("a", "a"));
+        awaitConnectBegun();
+        clock.hold();
+        server.accept();
+        // The kernel opens it while the node rests; then the node finds the connection up, and the end behind it.
+        assertNotNull(server.connections.poll(20, TimeUnit.SECONDS), "nobody connects");
+        client.close();
+        clock.release();
+        onlyTheNextIsServed();
+    }
+
+    @Test
+    void lastBytesOfALongBodyAreNotPassedOnIfTheClientsEndIsBehindThem() throws Exception {
+        String body = "x".repeat(200_000);
+        String request = file("a", body);
+        int first = request.length() - 100;
+        send(client, request.substring(0, first));
+        await("forwards_sent 1");
+        clock.hold();
+        send(client, request.substring(first));
+        client.close();
+        clock.release();
+        await("flows_gone 1");
+        onlyTheNextIsServed();
+    }
 }
