--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
@@ -0,0 +1,160 @@
+package brackenbridge.fleet.peer;
+
+import java.io.IOException;
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.concurrent.locks.LockSupport;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * A connection from the end of its handshake: attaches it to its peer, reads its frames and delivers them to the
+ * receivers, and detaches it at its end. Receivers are called on the reading thread.
+ */
+final class ConnectionReader {
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionReader.class);
+
+    private final LinkContext context;
+    private final ConnectionRegistry registry;
+    private final Membership membership;
+    private final Map<MessageStream, PeerLinks.Receiver> receivers = new EnumMap<>(MessageStream.class);
+
+    ConnectionReader(LinkContext context, ConnectionRegistry registry, Membership membership) {
+        this.context = context;
+        this.registry = registry;
+        this.membership = membership;
+    }
+
+    /** Sets the receiver of a stream; before the links are started. */
+    void setReceiver(MessageStream stream, PeerLinks.Receiver receiver) {
+        receivers.put(stream, receiver);
+    }
+
+    /**
+     * Makes a connection whose handshake is done its peer's own.
+     *
+     * @return false if the peer has a better one, is no member any more or has a later life
+     */
+    boolean attach(PeerConnection connection) throws IOException {
+        Handshake.Hello hello = connection.remoteHello;
+        double now = context.clock.nowMs();
+        synchronized (context.lock) {
+            Peer peer = registry.peer(hello.from());
+            if (context.closing()
+                    || peer == null
+                    || connection.announcedLife != context.life()
+                    || hello.life() < membership.detector().lifeOf(hello.from())) {
+                return false;
+            }
+            PeerConnection present = peer.connection;
+            if (present != null) {
+                if (hello.life() == present.remoteHello.life() && !registry.replaces(connection, present)) {
+                    return false;
+                }
+                present.close("another connection takes its place");
+            }
+            if (!connection.outbound) {
+                peer.lastInboundDial = hello.dial();
+                peer.lastInboundInstance = hello.instance();
+                Peer.closeQuietly(peer.dialingSocket);
+            }
+            noteAnnouncedAddress(peer, hello.address());
+            peer.lastRejectionByPeer = null;
+            peer.lastLoggedRejection = null;
+            peer.unknownMemberRejections = 0;
+            connection.completeHandshake(context.limits.goneMs());
+            connection.establishedAtMs = now;
+            peer.connection = connection;
+            context.metrics.count("links_made");
+            membership.onConnected(connection, now);
+            LockSupport.unpark(peer.dialerThread);
+            context.signalChange();
+        }
+        LOG.info(
+                "connected with {} at {}, life {}, {}",
+                hello.from(),
+                hello.address(),
+                hello.life(),
+                connection.outbound ? "outbound" : "inbound");
+        return true;
+    }
+
+    private void noteAnnouncedAddress(Peer peer, String address) {
+        if (!address.equals(peer.member.address()) && !address.equals(peer.announcedAddress)) {
+            context.metrics.count("address_differs");
+            LOG.warn("{} is listed at {} and announces {}", peer.name(), peer.member.address(), address);
+        }
+        peer.announcedAddress = address;
+    }
+
+    /** Reads until the connection ends, then detaches it. */
+    void read(PeerConnection connection) {
+        try {
+            while (!connection.closed) {
+                FrameCodec.Frame frame = FrameCodec.read(connection.in, context.limits.frameBytes());
+                context.metrics.count("frames_in");
+                if (frame.stream() == MessageStream.LIVENESS) {
+                    onSwimMessage(connection, SwimMessage.of(frame.body()));
+                } else {
+                    deliver(connection, frame);
+                }
+            }
+        } catch (WireException e) {
+            context.metrics.count("frames_unreadable");
+            connection.close("unreadable: " + e.getMessage());
+        } catch (IOException e) {
+            connection.close("read: " + e.getMessage());
+        } finally {
+            connection.close("ended");
+            detach(connection);
+            LOG.info("connection with {} ended: {}", connection.peerName, connection.closeReason);
+        }
+    }
+
+    private void deliver(PeerConnection connection, FrameCodec.Frame frame) {
+        PeerLinks.Receiver receiver = receivers.get(frame.stream());
+        if (receiver == null) {
+            context.metrics.count("frames_unwanted");
+            return;
+        }
+        connection.receiveStartedAtMs = context.clock.nowMs();
+        try {
+            receiver.took(connection.peerName, connection.remoteHello.life(), frame.body());
+        } catch (RuntimeException e) {
+            context.metrics.count("receiver_failed");
+            LOG.error("the receiver of {} failed on a message from {}", frame.stream(), connection.peerName, e);
+        } finally {
+            connection.receiveStartedAtMs = 0;
+        }
+    }
+
+    private void onSwimMessage(PeerConnection connection, SwimMessage message) {
+        synchronized (context.lock) {
+            if (registry.connection(connection.peerName) != connection) {
+                // Guards against messages left in a connection that was replaced.
+                return;
+            }
+            Handshake.Hello hello = connection.remoteHello;
+            membership.process(membership
+                    .detector()
+                    .took(context.clock.nowMs(), connection.peerName, hello.life(), hello.instance(), message));
+        }
+    }
+
+    /** The connection has ended: its peer has none, if it was the peer's. */
+    void detach(PeerConnection connection) {
+        synchronized (context.lock) {
+            Peer peer = registry.peer(connection.peerName);
+            if (peer != null && peer.connection == connection) {
+                peer.connection = null;
+                context.metrics.count("links_lost");
+                membership.detector().unlinked(connection.peerName);
+                double durationMs = context.clock.nowMs() - connection.establishedAtMs;
+                // After a connection that lasted, the next dial is soon again.
+                peer.dialFailures = durationMs > context.limits.goneMs() ? 0 : peer.dialFailures + 1;
+                registry.backOff(peer);
+            }
+            context.signalChange();
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
@@ -0,0 +1,207 @@
+package brackenbridge.fleet.peer;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.concurrent.locks.LockSupport;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Dials the peers. Each peer has one thread, which dials with backoff while there is no connection and writes the
+ * queued messages while there is one, also one that the peer has dialled.
+ */
+final class Dialer {
+    private static final Logger LOG = LoggerFactory.getLogger(Dialer.class);
+
+    private final LinkContext context;
+    private final ConnectionRegistry registry;
+    private final HandshakeValidator validator;
+    private final RejectionHandler rejections;
+    private final ConnectionReader reader;
+    /** Numbers the dials of this process, so that a peer can ignore one that was overtaken; guarded by the lock. */
+    private long dialNumber;
+
+    Dialer(
+            LinkContext context,
+            ConnectionRegistry registry,
+            HandshakeValidator validator,
+            RejectionHandler rejections,
+            ConnectionReader reader) {
+        this.context = context;
+        this.registry = registry;
+        this.validator = validator;
+        this.rejections = rejections;
+        this.reader = reader;
+    }
+
+    /** With the lock: starts the peer's thread. The lower name dials first, so that dials seldom cross. */
+    void start(Peer peer) {
+        double waitMs = context.self().name().compareTo(peer.name()) < 0 ? 0 : context.limits.dialMinMs();
+        peer.nextDialAtMs = context.clock.nowMs() + waitMs * (1 + context.random.nextDouble());
+        peer.dialerThread = context.startThread("peer-to-" + peer.name(), () -> keepConnected(peer));
+    }
+
+    private void keepConnected(Peer peer) {
+        while (!context.closing() && !peer.removed) {
+            PeerConnection connection;
+            double leftMs;
+            synchronized (context.lock) {
+                connection = peer.connection;
+                leftMs = peer.nextDialAtMs - context.clock.nowMs();
+            }
+            if (connection != null) {
+                write(peer, connection);
+            } else if (leftMs > 0) {
+                // Parked, not waiting on the lock: changes of other peers wake nobody here.
+                LockSupport.parkNanos(this, (long) Math.ceil(leftMs * 1e6));
+            } else {
+                dial(peer);
+            }
+            if (Thread.interrupted() && context.closing()) {
+                return;
+            }
+        }
+        synchronized (context.lock) {
+            if (peer.connection != null) {
+                peer.connection.close("no member any more");
+            }
+        }
+    }
+
+    private void write(Peer peer, PeerConnection connection) {
+        try {
+            connection.write();
+        } catch (IOException e) {
+            connection.close("write: " + e.getMessage());
+        } catch (InterruptedException e) {
+            connection.close("this member ends");
+        }
+        if (context.closing()) {
+            // The farewell is under way; the reader closes the connection.
+            return;
+        }
+        connection.close("ended");
+        reader.detach(connection);
+        synchronized (context.lock) {
+            if (peer.connection == connection) {
+                peer.connection = null;
+            }
+        }
+    }
+
+    private void dial(Peer peer) {
+        Handshake.Hello hello;
+        Socket socket = new Socket();
+        String target;
+        synchronized (context.lock) {
+            if (context.closing() || peer.removed || peer.connection != null) {
+                return;
+            }
+            peer.dialingSocket = socket;
+            peer.dialAttempts++;
+            // The address that a peer has announced is dialled in turn with the configured one.
+            boolean announced = peer.announcedAddress != null && peer.dialAttempts % 2 == 0;
+            target = announced ? peer.announcedAddress : peer.member.address();
+            hello = newHello(peer);
+        }
+        PeerConnection connection = null;
+        boolean attached = false;
+        try {
+            connection = connect(peer, socket, target, hello.life());
+            attached = beginHandshake(peer, connection) && exchangeHellos(peer, connection, hello);
+            if (attached) {
+                startReader(peer, connection);
+            }
+        } catch (IOException | IllegalArgumentException e) {
+            context.metrics.count("dials_failed");
+            LOG.debug("dial {} at {}: {}", peer.name(), target, e.getMessage());
+        } finally {
+            endDial(peer, socket, connection, attached);
+        }
+    }
+
+    private Handshake.Hello newHello(Peer peer) {
+        Member self = context.self();
+        return new Handshake.Hello(
+                false,
+                context.fleet,
+                self.name(),
+                peer.name(),
+                self.address(),
+                context.life(),
+                context.instance,
+                ++dialNumber);
+    }
+
+    private PeerConnection connect(Peer peer, Socket socket, String target, long life) throws IOException {
+        InetSocketAddress address = PeerAddress.parse(target);
+        socket.connect(new InetSocketAddress(address.getHostString(), address.getPort()), context.limits.handshakeMs());
+        PeerConnection connection = new PeerConnection(socket, true, context.limits, context.clock, context.metrics);
+        connection.peerName = peer.name();
+        connection.announcedLife = life;
+        return connection;
+    }
+
+    /** From here on an accepted connection does not end this dial; false if the dial is of no use any more. */
+    private boolean beginHandshake(Peer peer, PeerConnection connection) {
+        synchronized (context.lock) {
+            if (peer.connection != null) {
+                return false;
+            }
+            peer.dialingSocket = null;
+            peer.handshaking = connection;
+            return !context.closing() && !peer.removed;
+        }
+    }
+
+    private boolean exchangeHellos(Peer peer, PeerConnection connection, Handshake.Hello hello) throws IOException {
+        connection.send(hello);
+        Handshake.Part part = Handshake.read(connection.in);
+        String name = peer.name();
+        if (part instanceof Handshake.Refuse refuse) {
+            rejections.onRejectedBy(name, refuse);
+            return false;
+        }
+        if (part instanceof Handshake.Foreign) {
+            rejections.onRejectedBy(
+                    name, new Handshake.Refuse(HandshakeRejection.VERSION, 0, "answers in another version"));
+            return false;
+        }
+        if (!(part instanceof Handshake.Hello welcome) || !welcome.welcome()) {
+            throw new WireException("no welcome");
+        }
+        connection.remoteHello = welcome;
+        HandshakeRejection rejection =
+                welcome.from().equals(name) ? validator.validate(connection, welcome) : HandshakeRejection.NOT_THE_ONE;
+        if (rejection != null) {
+            synchronized (context.lock) {
+                peer.dialFailures = Math.max(peer.dialFailures, rejection.lasting() ? Peer.MAX_DIAL_FAILURES : 0);
+            }
+            rejections.reject(connection, rejection, validator.knownLife(name), welcome);
+            return false;
+        }
+        connection.send(new Handshake.Ready());
+        return reader.attach(connection);
+    }
+
+    private void startReader(Peer peer, PeerConnection connection) {
+        synchronized (context.lock) {
+            context.startThread("peer-from-" + peer.name(), () -> reader.read(connection));
+        }
+    }
+
+    private void endDial(Peer peer, Socket socket, PeerConnection connection, boolean attached) {
+        synchronized (context.lock) {
+            peer.dialingSocket = null;
+            peer.handshaking = null;
+            if (!attached) {
+                Peer.closeQuietly(socket);
+                if (connection != null) {
+                    connection.close("no link");
+                }
+                registry.backOff(peer);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
@@ -0,0 +1,106 @@
+package brackenbridge.fleet.peer;
+
+import brackenbridge.clock.Clock;
+
+/** Decides whether a peer's hello or welcome is accepted. */
+final class HandshakeValidator {
+    /** Part of the handshake's deadline that may be spent on waiting for the earlier life's next message. */
+    private static final double PROBE_SHARE = 0.75;
+
+    private final LinkContext context;
+    private final Clock clock;
+    private final ConnectionRegistry registry;
+    private final Membership membership;
+
+    HandshakeValidator(LinkContext context, ConnectionRegistry registry, Membership membership) {
+        this.context = context;
+        this.clock = context.clock;
+        this.registry = registry;
+        this.membership = membership;
+    }
+
+    /**
+     * Why this hello or welcome is rejected; null if it is accepted. Blocks for a bounded time where two processes may
+     * have one name.
+     */
+    HandshakeRejection validate(PeerConnection connection, Handshake.Hello hello) {
+        if (!hello.fleet().equals(context.fleet)) {
+            return HandshakeRejection.ANOTHER_FLEET;
+        }
+        String self = context.self().name();
+        if (!hello.to().equals(self)) {
+            return HandshakeRejection.NOT_THE_ONE;
+        }
+        if (hello.from().equals(self)) {
+            return hello.instance() == context.instance ? HandshakeRejection.NOT_THE_ONE : HandshakeRejection.DUPLICATE;
+        }
+        synchronized (context.lock) {
+            Peer peer = registry.peer(hello.from());
+            if (context.closing()) {
+                return HandshakeRejection.CLOSING;
+            }
+            if (peer == null) {
+                return HandshakeRejection.UNKNOWN_MEMBER;
+            }
+            // Read once: the lock is released while an answer of the earlier life is awaited.
+            long known = membership.detector().lifeOf(hello.from());
+            HandshakeRejection rejection = validateLife(peer, hello, known);
+            return rejection != null ? rejection : validateDial(connection, peer, hello, known);
+        }
+    }
+
+    private HandshakeRejection validateLife(Peer peer, Handshake.Hello hello, long known) {
+        FailureDetector detector = membership.detector();
+        if (hello.life() < known) {
+            return HandshakeRejection.OLD_LIFE;
+        }
+        boolean sameLifeElsewhere = hello.life() == known && hello.instance() != detector.instanceOf(hello.from());
+        if (sameLifeElsewhere || peer.connection != null && hello.life() > known && earlierLifeAnswers(peer, hello)) {
+            membership.onConflict(hello);
+            return HandshakeRejection.DUPLICATE;
+        }
+        return null;
+    }
+
+    private HandshakeRejection validateDial(PeerConnection connection, Peer peer, Handshake.Hello hello, long known) {
+        if (connection.outbound || hello.life() != known) {
+            return null;
+        }
+        if (hello.instance() == peer.lastInboundInstance && hello.dial() <= peer.lastInboundDial) {
+            return HandshakeRejection.LINKED;
+        }
+        PeerConnection present = peer.connection;
+        return present != null && !registry.replaces(connection, present) ? HandshakeRejection.LINKED : null;
+    }
+
+    /**
+     * With the lock: a later life has come while the earlier one is connected. Only a message that the earlier one
+     * sends after this moment tells a second process from a restart.
+     */
+    private boolean earlierLifeAnswers(Peer peer, Handshake.Hello hello) {
+        PeerConnection earlier = peer.connection;
+        double startedAtMs = clock.nowMs();
+        double untilMs = startedAtMs + Math.min(context.limits.suspectMs(), context.limits.handshakeMs() * PROBE_SHARE);
+        while (!context.closing() && !earlier.closed && peer.connection == earlier) {
+            if (membership.detector().directMs(hello.from()) > startedAtMs) {
+                return true;
+            }
+            double left = untilMs - clock.nowMs();
+            if (left <= 0) {
+                return false;
+            }
+            context.awaitChange(Math.min(left, context.limits.beatMs() / 2));
+            if (Thread.currentThread().isInterrupted()) {
+                return false;
+            }
+        }
+        return false;
+    }
+
+    /** The latest life known of this peer; {@link Long#MIN_VALUE} if none. */
+    long knownLife(String name) {
+        synchronized (context.lock) {
+            return membership.detector().lifeOf(name);
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
@@ -0,0 +1,160 @@
+package brackenbridge.fleet.peer;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Connects the {@link FailureDetector} with the links: sends its messages, passes its status changes to watchers and
+ * its conflicts to alarms, and takes a later life for this member when peers know one. All methods but {@link #watch}
+ * and {@link #alarm} are called with the lock of {@link LinkContext}.
+ */
+final class Membership {
+    private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
+    /** Bounds how often two processes of one name, of which neither is known to live, can outdo each other. */
+    private static final int MAX_RENEWALS = 8;
+
+    private final LinkContext context;
+    private final ConnectionRegistry registry;
+    private final FailureDetector detector;
+    private final WatcherQueue watcherCalls;
+    private final List<PeerLinks.Watcher> watchers = new ArrayList<>();
+    private final List<TcpPeerLinks.Alarm> alarms = new ArrayList<>();
+    private boolean connectedInThisLife;
+    private int renewals;
+
+    Membership(LinkContext context, ConnectionRegistry registry) {
+        this.context = context;
+        this.registry = registry;
+        watcherCalls = new WatcherQueue(context.metrics);
+        detector = new FailureDetector(
+                context.self().name(), context.life(), context.instance, context.limits, context.instance);
+    }
+
+    FailureDetector detector() {
+        return detector;
+    }
+
+    void watch(PeerLinks.Watcher watcher) {
+        watchers.add(watcher);
+    }
+
+    void alarm(TcpPeerLinks.Alarm alarm) {
+        alarms.add(alarm);
+    }
+
+    /** Starts the thread that calls watchers and alarms. */
+    void start() {
+        context.startThread("peer-watch", watcherCalls::run);
+    }
+
+    /** No call is added any more; the thread ends after those that wait. */
+    void close() {
+        watcherCalls.end();
+    }
+
+    /** A connection with a peer was established under the present life. */
+    void onConnected(PeerConnection connection, double nowMs) {
+        Handshake.Hello hello = connection.remoteHello;
+        connectedInThisLife = true;
+        process(detector.linked(nowMs, connection.openedAtMs, hello.from(), hello.life(), hello.instance()));
+    }
+
+    /** Whether any connection was established under the present life. */
+    boolean connectedInThisLife() {
+        return connectedInThisLife;
+    }
+
+    /** Reports another live process of this name to the detector. */
+    void onConflict(Handshake.Hello hello) {
+        detector.conflict(context.clock.nowMs(), hello.from(), hello.life(), hello.instance());
+        process(List.of());
+    }
+
+    /** Sends the detector's messages and handles the events it has collected. */
+    void process(List<FailureDetector.Out> messages) {
+        registry.send(messages);
+        long past = detector.pastLife();
+        if (past != Long.MIN_VALUE) {
+            renewLife(past);
+        }
+        for (FailureDetector.Change change : detector.changes()) {
+            publish(change);
+        }
+        for (FailureDetector.Conflict conflict : detector.conflicts()) {
+            context.metrics.count("conflicts");
+            raise(
+                    conflict.name(),
+                    HandshakeRejection.DUPLICATE,
+                    "lives " + conflict.life() + " and " + conflict.otherLife() + ", processes "
+                            + Long.toHexString(conflict.instance())
+                            + " and " + Long.toHexString(conflict.otherInstance()));
+        }
+    }
+
+    private void publish(FailureDetector.Change change) {
+        // On the watchers' thread, so that a log that blocks holds no lock.
+        watcherCalls.add(
+                change.peer(),
+                () -> LOG.info(
+                        "{}: status of {} is {}, life {}",
+                        context.self().name(),
+                        change.peer(),
+                        change.standing(),
+                        change.life()));
+        for (PeerLinks.Watcher watcher : watchers) {
+            watcherCalls.add(change.peer(), () -> watcher.changed(change.peer(), change.standing(), change.life()));
+        }
+    }
+
+    /** Logs a fault that operators must see to and passes it to the alarms. */
+    void raise(String name, HandshakeRejection reason, String text) {
+        String self = context.self().name();
+        watcherCalls.add(
+                name,
+                () -> LOG.error("{}: {}: {}", name.equals(self) ? "this member, " + name : name, reason.text(), text));
+        for (TcpPeerLinks.Alarm alarm : alarms) {
+            watcherCalls.add(name, () -> alarm.raised(name, reason, text));
+        }
+    }
+
+    /**
+     * Peers know this member by a life that is not earlier than its own, as after a step back of the time of day from
+     * which lives are taken. It takes a later one, as a member of SWIM refutes by a greater incarnation (Das, Gupta and
+     * Motivala, DSN 2002, section 4.2), and connects again. Where a process of the known life still runs, the peer that
+     * is connected with it finds both.
+     *
+     * @return whether another life was taken
+     */
+    boolean renewLife(long known) {
+        long before = context.life();
+        if (known < before || known == Long.MAX_VALUE || renewals >= MAX_RENEWALS) {
+            return false;
+        }
+        renewals++;
+        context.setLife(known + 1);
+        connectedInThisLife = false;
+        detector.renew(known + 1);
+        context.metrics.count("lives_renewed");
+        LOG.warn("{} began life {}, and peers know {}: takes {}", context.self().name(), before, known, known + 1);
+        registry.reconnectAll("this member has taken another life");
+        return true;
+    }
+
+    /** Adds the detector's gauges and counters to these metrics. */
+    void addMetrics(Map<String, Double> all) {
+        all.put("peers_alive", (double) detector.count(MemberStatus.ALIVE));
+        all.put("peers_suspect", (double) detector.count(MemberStatus.SUSPECT));
+        all.put("peers_gone", (double) detector.count(MemberStatus.GONE));
+        all.put("peers_unknown", (double) detector.count(MemberStatus.UNKNOWN));
+        all.put("peers_one_way", (double) detector.oneWay());
+        all.put("suspicions", (double) detector.suspicions());
+        all.put("suspicions_false", (double) detector.falseSuspicions());
+        all.put("refutations", (double) detector.refutations());
+        all.put("deaths", (double) detector.deaths());
+        all.put("late_beats", (double) detector.lateTicks());
+        all.put("doubt", (double) detector.doubt());
+    }
+}
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
@@ -12,47 +12,47 @@
  * A socket to another member, in its handshake or after it. One thread reads, one writes; a third may close it.
  */
 final class PeerConnection {
-    private static final int CHUNK = 16 << 10;
-    private static final int BUFFER = 64 << 10;
+    private static final int CHUNK_BYTES = 16 << 10;
+    private static final int WRITE_BUFFER_BYTES = 64 << 10;
 
     final Socket socket;
-    final boolean dialled;
+    final boolean outbound;
     final InputStream in;
-    final double begunMs;
-    final SendQueue outbox;
+    final double openedAtMs;
+    final SendQueue sendQueue;
     private final OutputStream out;
     private final Clock clock;
-    private final LinkMetrics figures;
-    private final byte[] gathered = new byte[BUFFER];
-    private double deadline;
+    private final LinkMetrics metrics;
+    private final byte[] writeBuffer = new byte[WRITE_BUFFER_BYTES];
+    private double handshakeDeadlineMs;
     /** The other side's hello, once it was read. */
-    Handshake.Hello hello;
+    Handshake.Hello remoteHello;
 
-    String peer = "";
+    String peerName = "";
     /** This member's own life, as the other side was told. */
-    long toldLife;
+    long announcedLife;
 
-    double linkedMs;
-    volatile double lastReadMs;
+    double establishedAtMs;
+    volatile double lastReadAtMs;
     /** Since when a write waits for the other side to take bytes; 0 if none does. */
-    volatile double writingMs;
+    volatile double writeStartedAtMs;
     /** Since when a receiver has a message in work; 0 if none has. */
-    volatile double receivingMs;
+    volatile double receiveStartedAtMs;
 
     volatile boolean closed;
-    volatile String why = "";
+    volatile String closeReason = "";
 
-    PeerConnection(Socket socket, boolean dialled, PeerLimits limits, Clock clock, LinkMetrics figures)
+    PeerConnection(Socket socket, boolean outbound, PeerLimits limits, Clock clock, LinkMetrics metrics)
             throws IOException {
         this.socket = socket;
-        this.dialled = dialled;
+        this.outbound = outbound;
         this.clock = clock;
-        this.figures = figures;
+        this.metrics = metrics;
         socket.setTcpNoDelay(true);
-        begunMs = clock.nowMs();
-        lastReadMs = begunMs;
-        deadline = begunMs + limits.handshakeMs();
-        outbox = new SendQueue(limits.queueBytes(), limits.queueMessages());
+        openedAtMs = clock.nowMs();
+        lastReadAtMs = openedAtMs;
+        handshakeDeadlineMs = openedAtMs + limits.handshakeMs();
+        sendQueue = new SendQueue(limits.queueBytes(), limits.queueMessages());
         InputStream raw = socket.getInputStream();
         in = new BufferedInputStream(
                 new InputStream() {
@@ -64,10 +64,10 @@
 
                     @Override
                     public int read(byte[] bytes, int from, int length) throws IOException {
-                        if (deadline > 0) {
+                        if (handshakeDeadlineMs > 0) {
                             // Guards against a stranger that sends a byte at a time: the whole handshake has one
                             // deadline.
-                            double left = deadline - clock.nowMs();
+                            double left = handshakeDeadlineMs - clock.nowMs();
                             if (left < 1) {
                                 throw new SocketTimeoutException("no whole handshake in time");
                             }
@@ -75,84 +75,84 @@
                         }
                         int count = raw.read(bytes, from, length);
                         if (count > 0) {
-                            lastReadMs = clock.nowMs();
-                            figures.count("bytes_in", count);
+                            lastReadAtMs = clock.nowMs();
+                            metrics.count("bytes_in", count);
                         }
                         return count;
                     }
                 },
-                CHUNK);
+                CHUNK_BYTES);
         out = socket.getOutputStream();
     }
 
     /** The handshake is done: from now on a silence of so long ends the connection. */
-    void settle(double silenceMs) throws IOException {
-        deadline = 0;
+    void completeHandshake(double silenceMs) throws IOException {
+        handshakeDeadlineMs = 0;
         socket.setSoTimeout((int) Math.max(1, silenceMs));
     }
 
-    void say(Handshake.Part part) throws IOException {
+    void send(Handshake.Part part) throws IOException {
         byte[] bytes = Handshake.bytes(part);
         out.write(bytes);
-        figures.count("bytes_out", bytes.length);
+        metrics.count("bytes_out", bytes.length);
     }
 
     /** Writes what waits, until the connection ends. */
     void write() throws IOException, InterruptedException {
         while (!closed) {
-            outbox.await();
+            sendQueue.await();
             int filled = 0;
-            FrameCodec.Frame frame = outbox.poll();
-            if (frame == null && outbox.ended()) {
+            FrameCodec.Frame frame = sendQueue.poll();
+            if (frame == null && sendQueue.ended()) {
                 // What was said last arrives before the end: the other side reads it and then the end.
                 socket.shutdownOutput();
                 return;
             }
             while (frame != null) {
-                filled = gather(filled, FrameCodec.head(frame.stream(), frame.body()), frame.body());
-                figures.count("frames_out");
-                frame = filled < BUFFER / 2 ? outbox.poll() : null;
+                filled = appendFrame(filled, FrameCodec.head(frame.stream(), frame.body()), frame.body());
+                metrics.count("frames_out");
+                frame = filled < WRITE_BUFFER_BYTES / 2 ? sendQueue.poll() : null;
             }
-            put(gathered, filled);
+            writeChunks(writeBuffer, filled);
         }
     }
 
     /** Adds a message to those that are written at once; a long one is written by itself. */
-    private int gather(int filled, byte[] head, byte[] body) throws IOException {
+    private int appendFrame(int filled, byte[] head, byte[] body) throws IOException {
         int at = filled;
-        if (at + head.length + body.length > BUFFER) {
-            put(gathered, at);
+        if (at + head.length + body.length > WRITE_BUFFER_BYTES) {
+            writeChunks(writeBuffer, at);
             at = 0;
         }
-        System.arraycopy(head, 0, gathered, at, head.length);
+        System.arraycopy(head, 0, writeBuffer, at, head.length);
         at += head.length;
-        if (body.length > BUFFER - at) {
-            put(gathered, at);
-            put(body, body.length);
+        if (body.length > WRITE_BUFFER_BYTES - at) {
+            writeChunks(writeBuffer, at);
+            writeChunks(body, body.length);
             return 0;
         }
-        System.arraycopy(body, 0, gathered, at, body.length);
+        System.arraycopy(body, 0, writeBuffer, at, body.length);
         return at + body.length;
     }
 
     /** In pieces, so that a slow line that takes some is told from one that takes nothing. */
-    private void put(byte[] bytes, int length) throws IOException {
-        for (int at = 0; at < length; at += CHUNK) {
-            writingMs = clock.nowMs();
-            int count = Math.min(CHUNK, length - at);
+    private void writeChunks(byte[] bytes, int length) throws IOException {
+        for (int at = 0; at < length; at += CHUNK_BYTES) {
+            writeStartedAtMs = clock.nowMs();
+            int count = Math.min(CHUNK_BYTES, length - at);
             out.write(bytes, at, count);
-            figures.count("bytes_out", count);
+            metrics.count("bytes_out", count);
         }
-        writingMs = 0;
+        writeStartedAtMs = 0;
     }
 
     /** Closes it now; the first reason stays. */
     void close(String reason) {
         if (!closed) {
-            why = why.isEmpty() ? reason : why;
+            closeReason = closeReason.isEmpty() ? reason : closeReason;
             closed = true;
         }
-        outbox.end();
+        sendQueue.end();
         try {
             socket.close();
         } catch (IOException e) {
