--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -0,0 +1,84 @@
+package brackenbridge.fleet.peer;
+
+import java.util.List;
+
+/** Applies what peers tell of members (SWIM, section 4.1), with the age of the evidence. */
+final class GossipReceiver {
+    /** So many suspected members are told of in one message at most. */
+    static final int MAX_SUSPECTS = 16;
+
+    private final String self;
+    private final PeerLimits limits;
+    private final MemberTable members;
+    private final Suspicion suspicion;
+    private final SelfRefutation refutation;
+
+    GossipReceiver(
+            String self, PeerLimits limits, MemberTable members, Suspicion suspicion, SelfRefutation refutation) {
+        this.self = self;
+        this.limits = limits;
+        this.members = members;
+        this.suspicion = suspicion;
+        this.refutation = refutation;
+    }
+
+    /**
+     * Applies one entry of a message.
+     *
+     * @param sentMs a time no later than the sending of the message
+     * @param replies receives the entries that the sender should have at once
+     */
+    void apply(double now, MemberState from, double sentMs, SwimMessage.Entry entry, List<SwimMessage.Entry> replies) {
+        if (entry.name().equals(self)) {
+            refutation.onEntry(sentMs, entry);
+            return;
+        }
+        MemberState member = members.get(entry.name());
+        boolean useless = member == null || member == from || entry.standing() == MemberStatus.UNKNOWN;
+        if (useless || member.known && entry.life() < member.life) {
+            return;
+        }
+        if (!member.known || entry.life() > member.life) {
+            beginLife(now, member, sentMs, entry);
+        }
+        if (entry.instance() != member.instance) {
+            members.recordConflict(now, member, entry.life(), entry.instance());
+            return;
+        }
+        member.raiseIncarnation(now, entry.incarnation());
+        if (entry.ageMs() >= 0 && sentMs - entry.ageMs() > member.lastAliveMs) {
+            member.helper = from.name;
+            member.recordAlive(sentMs - entry.ageMs());
+        }
+        applyStatus(now, from, member, entry, replies);
+        suspicion.evaluate(now, member);
+    }
+
+    private void beginLife(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
+        // A process that is dead already is not reported as alive first.
+        suspicion.beginLife(now, member, entry.life(), entry.instance(), entry.standing());
+        member.deadIncarnation = entry.standing() == MemberStatus.GONE ? entry.incarnation() : -1;
+        if (entry.ageMs() < 0) {
+            member.recordAlive(sentMs);
+        }
+    }
+
+    private void applyStatus(
+            double now,
+            MemberState from,
+            MemberState member,
+            SwimMessage.Entry entry,
+            List<SwimMessage.Entry> replies) {
+        if (entry.left()) {
+            suspicion.markLeft(now, member);
+        } else if (entry.standing() == MemberStatus.ALIVE) {
+            member.suspectedBy.remove(from.name);
+        } else if (entry.incarnation() >= member.incarnation) {
+            member.suspectedBy.add(from.name);
+            boolean heardHere = member.silenceMs(now) < FailureDetector.ASK_BEATS * limits.beatMs();
+            if (!member.left && heardHere && replies.size() < MAX_SUSPECTS) {
+                replies.add(member.toEntry(now));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
@@ -0,0 +1,93 @@
+package brackenbridge.fleet.peer;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+
+/**
+ * Builds the messages to peers. What is held of members travels with the heartbeats (SWIM's piggybacked dissemination,
+ * section 4.1); a doubted member is told first that it is (Lifeguard's buddy system).
+ */
+final class GossipSender {
+    /** A change is told for so many heartbeat intervals. */
+    private static final int CHANGE_INTERVALS = 6;
+    /** A conflict is told for so many heartbeat intervals. */
+    private static final int CONFLICT_INTERVALS = 4 * CHANGE_INTERVALS;
+
+    private static final int MAX_SUSPECTS = GossipReceiver.MAX_SUSPECTS;
+    private static final int MAX_CHANGES = 16;
+    /** So many members are told of in turn, changed or not. */
+    private static final int ROTATED = 2;
+
+    private final double intervalMs;
+    private final MemberTable members;
+    private final SelfRefutation refutation;
+    private final Random random;
+
+    GossipSender(double intervalMs, MemberTable members, SelfRefutation refutation, Random random) {
+        this.intervalMs = intervalMs;
+        this.members = members;
+        this.refutation = refutation;
+        this.random = random;
+    }
+
+    /** A message to this member with what is to be gossiped. */
+    FailureDetector.Out newMessage(double now, MemberState to, int flags, List<String> probeRequests) {
+        return newMessage(now, to, flags, probeRequests, selectEntries(now, to));
+    }
+
+    private List<SwimMessage.Entry> selectEntries(double now, MemberState to) {
+        List<MemberState> order = members.all();
+        List<SwimMessage.Entry> entries = new ArrayList<>();
+        int suspects = 0;
+        int changes = 0;
+        int start = order.isEmpty() ? 0 : random.nextInt(order.size());
+        for (int i = 0; i < order.size(); i++) {
+            MemberState member = order.get((start + i) % order.size());
+            if (member == to || !member.known) {
+                continue;
+            }
+            if (member.status == MemberStatus.SUSPECT && suspects < MAX_SUSPECTS) {
+                suspects++;
+                entries.add(member.toEntry(now));
+            } else if (now - member.changedMs < CHANGE_INTERVALS * intervalMs && changes < MAX_CHANGES) {
+                changes++;
+                entries.add(member.toEntry(now));
+            } else if (i < ROTATED) {
+                entries.add(member.toEntry(now));
+            }
+        }
+        return entries;
+    }
+
+    /** A message to this member with these entries, after what it must know of itself. */
+    FailureDetector.Out newMessage(
+            double now, MemberState to, int flags, List<String> probeRequests, List<SwimMessage.Entry> selected) {
+        List<SwimMessage.Entry> entries = new ArrayList<>();
+        if (now - to.conflictMs < CONFLICT_INTERVALS * intervalMs) {
+            entries.add(otherProcess(to));
+        } else if (to.known && (to.status == MemberStatus.SUSPECT || to.status == MemberStatus.GONE)) {
+            // The doubted member is told, so that it can refute.
+            entries.add(to.toEntry(now));
+        }
+        for (SwimMessage.Entry entry : selected) {
+            if (entries.size() < SwimMessage.ENTRIES) {
+                entries.add(entry);
+            }
+        }
+        int sequence = to.nextSequence(now);
+        double heldMs = Math.max(0, now - to.receivedAtMs);
+        SwimMessage message = new SwimMessage(
+                flags, sequence, to.receivedSequence, heldMs, refutation.incarnation(), entries, probeRequests);
+        return new FailureDetector.Out(to.name, message);
+    }
+
+    /** Of two processes of one name, the one that is not at the other end of the connection. */
+    private static SwimMessage.Entry otherProcess(MemberState to) {
+        FailureDetector.Conflict conflict = to.conflict;
+        boolean first = to.connectionInstance == conflict.instance();
+        long life = first ? conflict.otherLife() : conflict.life();
+        long instance = first ? conflict.otherInstance() : conflict.instance();
+        return new SwimMessage.Entry(to.name, life, instance, 0, MemberStatus.ALIVE, false, -1);
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -0,0 +1,83 @@
+package brackenbridge.fleet.peer;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** SWIM's indirect probe (section 3.1, ping-req): others are asked for a silent member before it is suspected. */
+final class IndirectProber {
+    private final PeerLimits limits;
+    private final MemberTable members;
+    private final LocalHealth localHealth;
+
+    IndirectProber(PeerLimits limits, MemberTable members, LocalHealth localHealth) {
+        this.limits = limits;
+        this.members = members;
+        this.localHealth = localHealth;
+    }
+
+    /** Whether others are to be asked for this member now; forgets its helper where there is no need. */
+    boolean needsProbe(double now, MemberState member) {
+        boolean watched = member.known && !member.left && member.status != MemberStatus.GONE;
+        double directSilenceMs = now - member.lastDirectMs - member.excusedMs;
+        if (watched && directSilenceMs > FailureDetector.ASK_BEATS * limits.beatMs()) {
+            return true;
+        }
+        if (!watched || member.lastAliveMs == member.lastDirectMs) {
+            member.helper = null;
+        }
+        return false;
+    }
+
+    /** Chooses helpers: the silent members that each of them is asked for, by the helper's name. */
+    Map<String, List<String>> chooseHelpers(List<MemberState> silent) {
+        Map<String, List<String>> requests = new HashMap<>();
+        for (MemberState target : silent) {
+            chooseHelpers(target, requests);
+        }
+        if (!requests.isEmpty()) {
+            localHealth.onProbesSent();
+        }
+        return requests;
+    }
+
+    private void chooseHelpers(MemberState target, Map<String, List<String>> requests) {
+        List<MemberState> order = members.all();
+        int missing = limits.asked();
+        if (target.helper != null && addRequest(requests, members.get(target.helper), target.name)) {
+            missing--;
+        }
+        for (int i = 0; i < order.size() && missing > 0; i++) {
+            MemberState helper = order.get(target.helperTurn++ % order.size());
+            if (target.helperTurn == Integer.MAX_VALUE) {
+                target.helperTurn = 0;
+            }
+            if (helper != target && !helper.name.equals(target.helper) && addRequest(requests, helper, target.name)) {
+                missing--;
+            }
+        }
+    }
+
+    private static boolean addRequest(Map<String, List<String>> requests, MemberState helper, String target) {
+        if (helper == null || !helper.connected || helper.status != MemberStatus.ALIVE) {
+            return false;
+        }
+        List<String> targets = requests.computeIfAbsent(helper.name, k -> new ArrayList<>());
+        return targets.size() < SwimMessage.ASKS && targets.add(target);
+    }
+
+    /**
+     * A peer asks for this member: its present entry is to be told.
+     *
+     * @return whether the member is to be probed now on the peer's behalf
+     */
+    boolean onRequest(double now, MemberState target, String requester) {
+        if (!target.connected || now - target.lastDirectMs <= limits.beatMs()) {
+            return false;
+        }
+        boolean first = target.probeRequesters.isEmpty();
+        target.probeRequesters.add(requester);
+        return first;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
@@ -0,0 +1,110 @@
+package brackenbridge.fleet.peer;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+
+/** The other members by name, and the changes and conflicts that were found with them. */
+final class MemberTable {
+    private final String self;
+    private final Random random;
+    private final Map<String, MemberState> byName = new HashMap<>();
+    private final List<MemberState> order = new ArrayList<>();
+    private final List<FailureDetector.Change> changes = new ArrayList<>();
+    private final List<FailureDetector.Conflict> conflicts = new ArrayList<>();
+
+    MemberTable(String self, Random random) {
+        this.self = self;
+        this.random = random;
+    }
+
+    /** The member of this name; null if there is none. */
+    MemberState get(String name) {
+        return byName.get(name);
+    }
+
+    /** All members, in an order that differs from one table to the next. */
+    List<MemberState> all() {
+        return order;
+    }
+
+    /** Replaces the names: a member that is no longer among them is reported dead and forgotten. */
+    void update(Collection<String> names) {
+        for (Iterator<MemberState> i = order.iterator(); i.hasNext(); ) {
+            MemberState member = i.next();
+            if (!names.contains(member.name)) {
+                if (member.status != MemberStatus.GONE && member.status != MemberStatus.UNKNOWN) {
+                    changes.add(new FailureDetector.Change(member.name, MemberStatus.GONE, member.life));
+                }
+                byName.remove(member.name);
+                i.remove();
+            }
+        }
+        for (String name : names) {
+            if (!name.equals(self) && !byName.containsKey(name)) {
+                MemberState member = new MemberState(name);
+                byName.put(name, member);
+                order.add(member);
+            }
+        }
+        // The order of probes and gossip differs from member to member (SWIM, section 4.3).
+        Collections.shuffle(order, random);
+    }
+
+    /** How many members have this status. */
+    int count(MemberStatus status) {
+        int count = 0;
+        for (MemberState member : order) {
+            count += member.status == status ? 1 : 0;
+        }
+        return count;
+    }
+
+    /** How many members are heard but have not heard this one for longer than so. */
+    int countOneWay(double unheardMs) {
+        int count = 0;
+        for (MemberState member : order) {
+            boolean oneWay = member.connected && member.status == MemberStatus.ALIVE && member.unheardForMs > unheardMs;
+            count += oneWay ? 1 : 0;
+        }
+        return count;
+    }
+
+    void addChange(MemberState member) {
+        changes.add(new FailureDetector.Change(member.name, member.status, member.life));
+    }
+
+    /** Another process of a known member was found; it is gossiped, and reported once for each process. */
+    void recordConflict(double now, MemberState member, long otherLife, long otherInstance) {
+        member.conflict =
+                new FailureDetector.Conflict(member.name, member.life, member.instance, otherLife, otherInstance);
+        member.conflictMs = now;
+        if (member.reportedInstance != otherInstance) {
+            member.reportedInstance = otherInstance;
+            conflicts.add(member.conflict);
+        }
+    }
+
+    void addConflict(FailureDetector.Conflict conflict) {
+        conflicts.add(conflict);
+    }
+
+    /** The changes since the last call. */
+    List<FailureDetector.Change> drainChanges() {
+        List<FailureDetector.Change> taken = List.copyOf(changes);
+        changes.clear();
+        return taken;
+    }
+
+    /** The conflicts since the last call. */
+    List<FailureDetector.Conflict> drainConflicts() {
+        List<FailureDetector.Conflict> taken = List.copyOf(conflicts);
+        conflicts.clear();
+        return taken;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
@@ -0,0 +1,81 @@
+package brackenbridge.fleet.peer;
+
+/**
+ * What peers hold of this member itself. Suspicions are refuted by a greater incarnation (SWIM, section 4.2); other
+ * processes of this member's name are told apart into ended ones and a second one that lives.
+ */
+final class SelfRefutation {
+    private final String self;
+    private final long instance;
+    private final MemberTable members;
+    private long life;
+    private int incarnation;
+    private double startedMs = MemberState.NEVER;
+    private long endedLife = Long.MIN_VALUE;
+    private long reportedInstance;
+    private long refutations;
+
+    SelfRefutation(String self, long life, long instance, MemberTable members) {
+        this.self = self;
+        this.life = life;
+        this.instance = instance;
+        this.members = members;
+    }
+
+    /** This member has taken another life. */
+    void beginLife(long nextLife) {
+        life = nextLife;
+        incarnation = 0;
+        reportedInstance = 0;
+    }
+
+    /** Notes the time of the first call as that of this member's start. */
+    void onStarted(double now) {
+        startedMs = startedMs == MemberState.NEVER ? now : startedMs;
+    }
+
+    /** A peer tells at this time what it holds of this member. */
+    void onEntry(double at, SwimMessage.Entry entry) {
+        if (entry.life() > life || entry.life() == life && entry.instance() != instance) {
+            onOtherProcess(at, entry);
+            return;
+        }
+        boolean doubted = entry.standing() == MemberStatus.SUSPECT || entry.standing() == MemberStatus.GONE;
+        if (entry.life() == life
+                && doubted
+                && entry.incarnation() >= incarnation
+                && entry.incarnation() < Integer.MAX_VALUE) {
+            incarnation = entry.incarnation() + 1;
+            refutations++;
+        }
+    }
+
+    private void onOtherProcess(double at, SwimMessage.Entry entry) {
+        if (hasEnded(at, entry)) {
+            endedLife = Math.max(endedLife, entry.life());
+        } else if (reportedInstance != entry.instance()) {
+            reportedInstance = entry.instance();
+            members.addConflict(new FailureDetector.Conflict(self, life, instance, entry.life(), entry.instance()));
+        }
+    }
+
+    /** Whether the other process is an earlier one, not a second one that lives. */
+    private boolean hasEnded(double at, SwimMessage.Entry entry) {
+        return entry.standing() == MemberStatus.GONE || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
+    }
+
+    /** See {@link FailureDetector#pastLife}. */
+    long endedLife() {
+        return endedLife >= life ? endedLife : Long.MIN_VALUE;
+    }
+
+    /** This member's incarnation number in its present life. */
+    int incarnation() {
+        return incarnation;
+    }
+
+    /** Suspicions of this member that it has refuted. */
+    long refutations() {
+        return refutations;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
@@ -0,0 +1,112 @@
+package brackenbridge.fleet.peer;
+
+/**
+ * Decides from a member's silence whether it is alive, suspect or dead. Suspicion comes before death and can be refuted
+ * (SWIM, section 4.2); its timeout shrinks as other members confirm it and grows with the local health multiplier
+ * (Lifeguard's LHA-Suspicion).
+ */
+final class Suspicion {
+    /** Confirmations after which the timeout is at its least; Lifeguard's K. */
+    private static final int MAX_CONFIRMATIONS = 3;
+    /** The timeout without any confirmation, in units of the least one. */
+    private static final double UNCONFIRMED_FACTOR = 2;
+
+    private final PeerLimits limits;
+    private final MemberTable members;
+    private final LocalHealth localHealth;
+    private long suspicions;
+    private long falseSuspicions;
+    private long deaths;
+
+    Suspicion(PeerLimits limits, MemberTable members, LocalHealth localHealth) {
+        this.limits = limits;
+        this.members = members;
+        this.localHealth = localHealth;
+    }
+
+    /** Sets the member's status by its silence. */
+    void evaluate(double now, MemberState member) {
+        if (!member.known || member.left) {
+            return;
+        }
+        double silenceMs = member.silenceMs(now);
+        double suspectMs = limits.suspectMs() * localHealth.multiplier();
+        if (member.status == MemberStatus.GONE) {
+            if (member.incarnation > member.deadIncarnation && silenceMs < suspectMs) {
+                setStatus(now, member, MemberStatus.ALIVE, false);
+            }
+        } else if (silenceMs < suspectMs) {
+            setStatus(now, member, MemberStatus.ALIVE, false);
+        } else if (silenceMs < deadAfterMs(member)) {
+            setStatus(now, member, MemberStatus.SUSPECT, false);
+        } else {
+            member.deadIncarnation = member.incarnation;
+            setStatus(now, member, MemberStatus.GONE, false);
+        }
+    }
+
+    /**
+     * Lifeguard's timeout of suspicion: it falls with the logarithm of the number of members that suspect the same one,
+     * from twice the configured time to that time.
+     */
+    private double deadAfterMs(MemberState suspect) {
+        int others = 0;
+        int confirmations = 0;
+        for (MemberState other : members.all()) {
+            if (other != suspect && other.connected && other.status == MemberStatus.ALIVE) {
+                others++;
+                confirmations += suspect.suspectedBy.contains(other.name) ? 1 : 0;
+            }
+        }
+        int expected = Math.min(MAX_CONFIRMATIONS, others);
+        double confirmed = expected == 0 ? 1 : Math.log(1 + Math.min(confirmations, expected)) / Math.log(1 + expected);
+        return limits.goneMs() * (UNCONFIRMED_FACTOR - confirmed) * localHealth.multiplier();
+    }
+
+    /** Another process of the member was heard of, with this status. */
+    void beginLife(double now, MemberState member, long life, long instance, MemberStatus status) {
+        member.beginLife(now, life, instance);
+        setStatus(now, member, status, true);
+    }
+
+    /** The member has said farewell. */
+    void markLeft(double now, MemberState member) {
+        if (!member.left) {
+            member.left = true;
+            member.changedMs = now;
+            setStatus(now, member, MemberStatus.GONE, false);
+        }
+    }
+
+    private void setStatus(double now, MemberState member, MemberStatus status, boolean newLife) {
+        if (member.status == status && !newLife) {
+            return;
+        }
+        if (status == MemberStatus.SUSPECT) {
+            suspicions++;
+        } else if (status == MemberStatus.GONE && !member.left) {
+            deaths++;
+        } else if (member.status == MemberStatus.SUSPECT && !newLife) {
+            falseSuspicions++;
+        }
+        if (status == MemberStatus.ALIVE) {
+            member.suspectedBy.clear();
+        }
+        member.status = status;
+        member.changedMs = now;
+        members.addChange(member);
+    }
+
+    long suspicions() {
+        return suspicions;
+    }
+
+    /** Suspicions that ended with the member alive in the same life. */
+    long falseSuspicions() {
+        return falseSuspicions;
+    }
+
+    long deaths() {
+        return deaths;
+    }
+}
