--- a/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
@@ -61,7 +61,7 @@
                     m.wrote(),
                     m.have(),
                     m.heardMs(),
-                    m.standing(),
+                    m.standing().label(),
                     m.aside() == null ? "" : m.aside()));
         }
         return new AdminHttpServer.Answer(true, s.toString());
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -398,8 +398,7 @@
 
     private Map<String, String> peers() {
         Map<String, String> all = new LinkedHashMap<>();
-        links.peers()
-                .forEach(p -> all.put(p.name(), links.standing(p.name()).name().toLowerCase(Locale.ROOT)));
+        links.peers().forEach(p -> all.put(p.name(), links.standing(p.name()).text()));
         return all;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
@@ -145,7 +145,7 @@
         try {
             attached = answerHandshake(connection);
         } catch (WireException e) {
-            rejections.onRejected(connection, HandshakeRejection.UNREADABLE, e.getMessage());
+            rejections.onRejected(connection, HandshakeRejection.MALFORMED, e.getMessage());
         } catch (IOException e) {
             context.metrics.count("handshakes_broken");
             LOG.debug("handshake from {}: {}", connection.socket, e.getMessage());
@@ -167,7 +167,7 @@
         if (part instanceof Handshake.Foreign foreign) {
             String description = "speaks " + foreign.lowest() + " to " + foreign.highest() + ", we " + Handshake.LOWEST
                     + " to " + Handshake.HIGHEST;
-            rejections.reject(connection, HandshakeRejection.VERSION, 0, description);
+            rejections.reject(connection, HandshakeRejection.VERSION_MISMATCH, 0, description);
             return false;
         }
         if (!(part instanceof Handshake.Hello hello) || hello.welcome()) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
@@ -165,7 +165,7 @@
         }
         if (part instanceof Handshake.Foreign) {
             rejections.onRejectedBy(
-                    name, new Handshake.Refuse(HandshakeRejection.VERSION, 0, "answers in another version"));
+                    name, new Handshake.Refuse(HandshakeRejection.VERSION_MISMATCH, 0, "answers in another version"));
             return false;
         }
         if (!(part instanceof Handshake.Hello welcome) || !welcome.welcome()) {
@@ -173,7 +173,7 @@
         }
         connection.remoteHello = welcome;
         HandshakeRejection rejection =
-                welcome.from().equals(name) ? validator.validate(connection, welcome) : HandshakeRejection.NOT_THE_ONE;
+                welcome.from().equals(name) ? validator.validate(connection, welcome) : HandshakeRejection.WRONG_MEMBER;
         if (rejection != null) {
             synchronized (context.lock) {
                 peer.dialFailures = Math.max(peer.dialFailures, rejection.lasting() ? Peer.MAX_DIAL_FAILURES : 0);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -57,7 +57,7 @@
     private void beginLife(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
         // A process that is dead already is not reported as alive first.
         suspicion.beginLife(now, member, entry.life(), entry.instance(), entry.standing());
-        member.deadIncarnation = entry.standing() == MemberStatus.GONE ? entry.incarnation() : -1;
+        member.deadIncarnation = entry.standing() == MemberStatus.DEAD ? entry.incarnation() : -1;
         if (entry.ageMs() < 0) {
             member.recordAlive(sentMs);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
@@ -66,7 +66,7 @@
         List<SwimMessage.Entry> entries = new ArrayList<>();
         if (now - to.conflictMs < CONFLICT_INTERVALS * intervalMs) {
             entries.add(otherProcess(to));
-        } else if (to.known && (to.status == MemberStatus.SUSPECT || to.status == MemberStatus.GONE)) {
+        } else if (to.known && (to.status == MemberStatus.SUSPECT || to.status == MemberStatus.DEAD)) {
             // The doubted member is told, so that it can refute.
             entries.add(to.toEntry(now));
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -50,7 +50,7 @@
      * No link.
      *
      * @param why the reason
-     * @param life a life that the refusing side knows, for {@link HandshakeRejection#OLD_LIFE}
+     * @param life a life that the refusing side knows, for {@link HandshakeRejection#STALE_LIFE}
      * @param text what staff should read
      */
     record Refuse(HandshakeRejection why, long life, String text) implements Part {}
@@ -141,7 +141,7 @@
                 long life = in.getLong();
                 String text = WireFormat.text(in);
                 // Guards against a reason of a later build: it is still a refusal.
-                return new Refuse(why < REFUSALS.length ? REFUSALS[why] : HandshakeRejection.UNREADABLE, life, text);
+                return new Refuse(why < REFUSALS.length ? REFUSALS[why] : HandshakeRejection.MALFORMED, life, text);
             default:
                 throw new WireException("a handshake of the unknown kind " + kind);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
@@ -1,34 +1,46 @@
 package brackenbridge.fleet.peer;
 
-/** Why a handshake was refused; both sides log it. The order is the wire's: new ones are added at the end. */
+/** Why a handshake was rejected; both sides log it. The order is the wire's: new ones are added at the end. */
 public enum HandshakeRejection {
     /** The bytes were no handshake. */
-    UNREADABLE("unreadable", false),
+    MALFORMED("unreadable", "unreadable", false),
     /** The two sides have no version of the protocol in common. */
-    VERSION("no common version", true),
+    VERSION_MISMATCH("version", "no common version", true),
     /** The other belongs to another fleet. */
-    ANOTHER_FLEET("another fleet", true),
+    FLEET_MISMATCH("another_fleet", "another fleet", true),
     /** The member that was dialled is not at this address: another has it now. */
-    NOT_THE_ONE("not the one dialled", true),
+    WRONG_MEMBER("not_the_one", "not the one dialled", true),
     /** The caller is not in this member's list. */
-    UNKNOWN_MEMBER("not a member", true),
+    UNKNOWN_MEMBER("unknown_member", "not a member", true),
     /** The caller's life is earlier than one that was heard of: an old disk, or a copy that was started before. */
-    OLD_LIFE("earlier life", true),
+    STALE_LIFE("old_life", "earlier life", true),
     /** Two processes live under the caller's name. */
-    DUPLICATE("two nodes of one name", true),
+    DUPLICATE_NAME("duplicate", "two nodes of one name", true),
     /** The pair has its connection; crossing dials end so. */
-    LINKED("linked already", false),
+    ALREADY_CONNECTED("linked", "linked already", false),
     /** This side is about to end. */
-    CLOSING("closing", false);
+    SHUTTING_DOWN("closing", "closing", false);
 
+    private final String counter;
     private final String text;
     private final boolean lasting;
 
-    HandshakeRejection(String text, boolean lasting) {
+    HandshakeRejection(String counter, String text, boolean lasting) {
+        this.counter = counter;
         this.text = text;
         this.lasting = lasting;
     }
 
+    /** The counter of handshakes that this member has rejected so; it does not follow the constant's name. */
+    public String rejectedCounter() {
+        return "refused_" + counter;
+    }
+
+    /** The counter of handshakes in which a peer has rejected this member so. */
+    public String rejectedByPeerCounter() {
+        return "refused_by_" + counter;
+    }
+
     /** In words. */
     public String text() {
         return text;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
@@ -25,19 +25,21 @@
      */
     HandshakeRejection validate(PeerConnection connection, Handshake.Hello hello) {
         if (!hello.fleet().equals(context.fleet)) {
-            return HandshakeRejection.ANOTHER_FLEET;
+            return HandshakeRejection.FLEET_MISMATCH;
         }
         String self = context.self().name();
         if (!hello.to().equals(self)) {
-            return HandshakeRejection.NOT_THE_ONE;
+            return HandshakeRejection.WRONG_MEMBER;
         }
         if (hello.from().equals(self)) {
-            return hello.instance() == context.instance ? HandshakeRejection.NOT_THE_ONE : HandshakeRejection.DUPLICATE;
+            return hello.instance() == context.instance
+                    ? HandshakeRejection.WRONG_MEMBER
+                    : HandshakeRejection.DUPLICATE_NAME;
         }
         synchronized (context.lock) {
             Peer peer = registry.peer(hello.from());
             if (context.closing()) {
-                return HandshakeRejection.CLOSING;
+                return HandshakeRejection.SHUTTING_DOWN;
             }
             if (peer == null) {
                 return HandshakeRejection.UNKNOWN_MEMBER;
@@ -52,12 +54,12 @@
     private HandshakeRejection validateLife(Peer peer, Handshake.Hello hello, long known) {
         FailureDetector detector = membership.detector();
         if (hello.life() < known) {
-            return HandshakeRejection.OLD_LIFE;
+            return HandshakeRejection.STALE_LIFE;
         }
         boolean sameLifeElsewhere = hello.life() == known && hello.instance() != detector.instanceOf(hello.from());
         if (sameLifeElsewhere || peer.connection != null && hello.life() > known && earlierLifeAnswers(peer, hello)) {
             membership.onConflict(hello);
-            return HandshakeRejection.DUPLICATE;
+            return HandshakeRejection.DUPLICATE_NAME;
         }
         return null;
     }
@@ -67,10 +69,10 @@
             return null;
         }
         if (hello.instance() == peer.lastInboundInstance && hello.dial() <= peer.lastInboundDial) {
-            return HandshakeRejection.LINKED;
+            return HandshakeRejection.ALREADY_CONNECTED;
         }
         PeerConnection present = peer.connection;
-        return present != null && !registry.replaces(connection, present) ? HandshakeRejection.LINKED : null;
+        return present != null && !registry.replaces(connection, present) ? HandshakeRejection.ALREADY_CONNECTED : null;
     }
 
     /**
--- a/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -19,7 +19,7 @@
 
     /** Whether others are to be asked for this member now; forgets its helper where there is no need. */
     boolean needsProbe(double now, MemberState member) {
-        boolean watched = member.known && !member.left && member.status != MemberStatus.GONE;
+        boolean watched = member.known && !member.left && member.status != MemberStatus.DEAD;
         double directSilenceMs = now - member.lastDirectMs - member.excusedMs;
         if (watched && directSilenceMs > FailureDetector.ASK_BEATS * limits.beatMs()) {
             return true;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
@@ -38,8 +38,8 @@
         for (Iterator<MemberState> i = order.iterator(); i.hasNext(); ) {
             MemberState member = i.next();
             if (!names.contains(member.name)) {
-                if (member.status != MemberStatus.GONE && member.status != MemberStatus.UNKNOWN) {
-                    changes.add(new FailureDetector.Change(member.name, MemberStatus.GONE, member.life));
+                if (member.status != MemberStatus.DEAD && member.status != MemberStatus.UNKNOWN) {
+                    changes.add(new FailureDetector.Change(member.name, MemberStatus.DEAD, member.life));
                 }
                 byName.remove(member.name);
                 i.remove();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
@@ -87,7 +87,7 @@
             context.metrics.count("conflicts");
             raise(
                     conflict.name(),
-                    HandshakeRejection.DUPLICATE,
+                    HandshakeRejection.DUPLICATE_NAME,
                     "lives " + conflict.life() + " and " + conflict.otherLife() + ", processes "
                             + Long.toHexString(conflict.instance())
                             + " and " + Long.toHexString(conflict.otherInstance()));
@@ -147,7 +147,7 @@
     void addMetrics(Map<String, Double> all) {
         all.put("peers_alive", (double) detector.count(MemberStatus.ALIVE));
         all.put("peers_suspect", (double) detector.count(MemberStatus.SUSPECT));
-        all.put("peers_gone", (double) detector.count(MemberStatus.GONE));
+        all.put("peers_gone", (double) detector.count(MemberStatus.DEAD));
         all.put("peers_unknown", (double) detector.count(MemberStatus.UNKNOWN));
         all.put("peers_one_way", (double) detector.oneWay());
         all.put("suspicions", (double) detector.suspicions());
--- a/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.util.EnumMap;
-import java.util.Locale;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -41,7 +40,7 @@
     void reject(PeerConnection connection, HandshakeRejection reason, long knownLife, String description)
             throws IOException {
         onRejected(connection, reason, description);
-        String text = reason == HandshakeRejection.OLD_LIFE
+        String text = reason == HandshakeRejection.STALE_LIFE
                 ? "life " + knownLife + " is known"
                 : "by " + context.self().name() + " of " + context.fleet;
         connection.send(new Handshake.Refuse(reason, knownLife, text));
@@ -49,7 +48,7 @@
 
     /** Counts and logs a handshake that this member rejects. */
     void onRejected(PeerConnection connection, HandshakeRejection reason, String description) {
-        context.metrics.count("refused_" + reason.name().toLowerCase(Locale.ROOT));
+        context.metrics.count(reason.rejectedCounter());
         boolean logged;
         synchronized (context.lock) {
             Peer peer = registry.peer(connection.peerName);
@@ -58,7 +57,7 @@
                             ? reportPeer(peer, reason, description)
                             : reportStranger(connection.peerName, reason, description));
         }
-        if (logged || reason == HandshakeRejection.UNREADABLE) {
+        if (logged || reason == HandshakeRejection.MALFORMED) {
             LOG.atLevel(logged ? Level.WARN : Level.DEBUG)
                     .log(
                             "rejected {} from {}: {}: {}",
@@ -97,18 +96,19 @@
     /** A peer has rejected this member. */
     void onRejectedBy(String name, Handshake.Refuse refuse) {
         HandshakeRejection reason = refuse.why();
-        context.metrics.count("refused_by_" + reason.name().toLowerCase(Locale.ROOT));
+        context.metrics.count(reason.rejectedByPeerCounter());
         synchronized (context.lock) {
             Peer peer = registry.peer(name);
             if (peer == null || !reason.lasting()) {
                 LOG.debug("{} rejects: {}: {}", name, reason.text(), refuse.text());
                 return;
             }
-            if (reason == HandshakeRejection.OLD_LIFE && refuse.life() < context.life()) {
+            if (reason == HandshakeRejection.STALE_LIFE && refuse.life() < context.life()) {
                 // The rejection was meant for the life before.
                 return;
             }
-            boolean ownIdentity = reason == HandshakeRejection.DUPLICATE || reason == HandshakeRejection.OLD_LIFE;
+            boolean ownIdentity =
+                    reason == HandshakeRejection.DUPLICATE_NAME || reason == HandshakeRejection.STALE_LIFE;
             if (ownIdentity && !membership.connectedInThisLife() && membership.renewLife(refuse.life())) {
                 return;
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
@@ -40,7 +40,7 @@
             onOtherProcess(at, entry);
             return;
         }
-        boolean doubted = entry.standing() == MemberStatus.SUSPECT || entry.standing() == MemberStatus.GONE;
+        boolean doubted = entry.standing() == MemberStatus.SUSPECT || entry.standing() == MemberStatus.DEAD;
         if (entry.life() == life
                 && doubted
                 && entry.incarnation() >= incarnation
@@ -61,7 +61,7 @@
 
     /** Whether the other process is an earlier one, not a second one that lives. */
     private boolean hasEnded(double at, SwimMessage.Entry entry) {
-        return entry.standing() == MemberStatus.GONE || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
+        return entry.standing() == MemberStatus.DEAD || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
     }
 
     /** See {@link FailureDetector#pastLife}. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
@@ -31,7 +31,7 @@
         }
         double silenceMs = member.silenceMs(now);
         double suspectMs = limits.suspectMs() * localHealth.multiplier();
-        if (member.status == MemberStatus.GONE) {
+        if (member.status == MemberStatus.DEAD) {
             if (member.incarnation > member.deadIncarnation && silenceMs < suspectMs) {
                 setStatus(now, member, MemberStatus.ALIVE, false);
             }
@@ -41,7 +41,7 @@
             setStatus(now, member, MemberStatus.SUSPECT, false);
         } else {
             member.deadIncarnation = member.incarnation;
-            setStatus(now, member, MemberStatus.GONE, false);
+            setStatus(now, member, MemberStatus.DEAD, false);
         }
     }
 
@@ -74,7 +74,7 @@
         if (!member.left) {
             member.left = true;
             member.changedMs = now;
-            setStatus(now, member, MemberStatus.GONE, false);
+            setStatus(now, member, MemberStatus.DEAD, false);
         }
     }
 
@@ -84,7 +84,7 @@
         }
         if (status == MemberStatus.SUSPECT) {
             suspicions++;
-        } else if (status == MemberStatus.GONE && !member.left) {
+        } else if (status == MemberStatus.DEAD && !member.left) {
             deaths++;
         } else if (member.status == MemberStatus.SUSPECT && !newLife) {
             falseSuspicions++;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -200,7 +200,7 @@
                     exchange.peers(
                             all,
                             all.stream()
-                                    .filter(p -> links.standing(p) != MemberStatus.GONE)
+                                    .filter(p -> links.standing(p) != MemberStatus.DEAD)
                                     .toList());
                 }
                 return exchange.tick(clock.nowMs());
--- a/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
@@ -179,9 +179,9 @@
             double died = w.now;
             w.end(0);
             w.run(2 * LIMITS.goneMs() + 3 * LIMITS.beatMs());
-            w.awaitAll(0, MemberStatus.GONE);
+            w.awaitAll(0, MemberStatus.DEAD);
             for (World.Seen s : w.seen) {
-                if (s.standing() == MemberStatus.GONE) {
+                if (s.standing() == MemberStatus.DEAD) {
                     assertEquals(0, s.of(), "a live one is gone, seed " + seed);
                     took.add(s.at() - died);
                 } else if (s.standing() == MemberStatus.SUSPECT && s.of() != 0) {
@@ -211,7 +211,7 @@
             w.cut = (from, to) -> from == 0 && to != friend || to == 0 && from != friend;
             w.run(20_000);
             w.awaitAll(0, MemberStatus.ALIVE);
-            assertEquals(0, w.count(MemberStatus.GONE), "seed " + seed);
+            assertEquals(0, w.count(MemberStatus.DEAD), "seed " + seed);
         }
     }
 
@@ -227,7 +227,7 @@
             assertEquals(0, w.members[1].deafMs("n0"));
             assertEquals(MemberStatus.ALIVE, w.members[1].standing("n0"));
             assertEquals(MemberStatus.ALIVE, w.members[0].standing("n1"));
-            assertEquals(0, w.count(MemberStatus.GONE));
+            assertEquals(0, w.count(MemberStatus.DEAD));
             w.cut = (from, to) -> false;
             w.run(1000);
             assertEquals(0, w.members[0].oneWay());
@@ -241,7 +241,7 @@
             w.delayMs = 250;
             w.loss = 0.3;
             w.run(60_000);
-            assertEquals(0, w.count(MemberStatus.GONE), "seed " + seed);
+            assertEquals(0, w.count(MemberStatus.DEAD), "seed " + seed);
         }
     }
 
@@ -252,7 +252,7 @@
             w.run(3000);
             w.stoppedUntil[0] = w.now + 10_000 + seed * 50;
             w.run(9_900);
-            w.awaitAll(0, MemberStatus.GONE);
+            w.awaitAll(0, MemberStatus.DEAD);
             w.run(8_000);
             for (World.Seen s : w.seen) {
                 assertTrue(s.by() != 0 || s.standing() == MemberStatus.ALIVE, "it doubts others: " + s);
@@ -273,9 +273,9 @@
         double died = w.now;
         w.end(0);
         w.run(LIMITS.goneMs() + 3 * LIMITS.beatMs());
-        assertEquals(MemberStatus.GONE, w.members[1].standing("n0"), "by " + (w.now - died));
+        assertEquals(MemberStatus.DEAD, w.members[1].standing("n0"), "by " + (w.now - died));
         w.run(10_000);
-        assertEquals(MemberStatus.GONE, w.members[1].standing("n0"));
+        assertEquals(MemberStatus.DEAD, w.members[1].standing("n0"));
     }
 
     @Test
@@ -285,7 +285,7 @@
             w.run(2000);
             w.cut = (from, to) -> from < 3 != to < 3;
             w.run(12_000);
-            assertEquals(3, w.members[0].count(MemberStatus.GONE));
+            assertEquals(3, w.members[0].count(MemberStatus.DEAD));
             w.cut = (from, to) -> false;
             w.run(2000);
             assertEquals(5, w.members[0].count(MemberStatus.ALIVE));
@@ -336,16 +336,16 @@
 
     @Test
     void laterLifeOfItselfIsItsPastIfItEndedBeforeThisProcessBegan() {
-        assertEquals(9, toldOfItself(9, MemberStatus.GONE, -1).pastLife());
+        assertEquals(9, toldOfItself(9, MemberStatus.DEAD, -1).pastLife());
         assertEquals(9, toldOfItself(9, MemberStatus.SUSPECT, 2000).pastLife());
         assertEquals(5, toldOfItself(5, MemberStatus.ALIVE, 2000).pastLife());
-        assertEquals(Long.MIN_VALUE, toldOfItself(4, MemberStatus.GONE, 2000).pastLife());
+        assertEquals(Long.MIN_VALUE, toldOfItself(4, MemberStatus.DEAD, 2000).pastLife());
         for (double ageMs : new double[] {-1, 500}) {
             FailureDetector second = toldOfItself(9, MemberStatus.ALIVE, ageMs);
             assertEquals(Long.MIN_VALUE, second.pastLife(), "it lives beside this one, age " + ageMs);
             assertEquals(1, second.conflicts().size());
         }
-        FailureDetector renewed = toldOfItself(9, MemberStatus.GONE, -1);
+        FailureDetector renewed = toldOfItself(9, MemberStatus.DEAD, -1);
         renewed.renew(10);
         assertEquals(Long.MIN_VALUE, renewed.pastLife());
         assertTrue(renewed.conflicts().isEmpty());
@@ -358,13 +358,13 @@
         d.linked(0, 0, "b", 1, 2);
         int sent = 0;
         double now = 0;
-        while (d.standing("b") != MemberStatus.GONE) {
+        while (d.standing("b") != MemberStatus.DEAD) {
             now += LIMITS.beatMs();
             sent = d.tick(now).get(0).beat().sequence();
         }
         assertEquals(LIMITS.goneMs(), now, LIMITS.beatMs());
         d.took(now + 10, "b", 1, 2, new SwimMessage(0, 1, sent, 5, 0, List.of(), List.of()));
-        assertEquals(MemberStatus.GONE, d.standing("b"), "it does not know yet that it was held gone");
+        assertEquals(MemberStatus.DEAD, d.standing("b"), "it does not know yet that it was held gone");
         d.took(now + 20, "b", 1, 2, new SwimMessage(0, 2, sent, 15, 1, List.of(), List.of()));
         assertEquals(MemberStatus.ALIVE, d.standing("b"));
     }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
@@ -16,18 +16,18 @@
     private static final int LONGEST = 1024;
     /** Listed one by one, so that each keeps its file when it is renamed. */
     private static final List<MemberStatus> STANDINGS =
-            List.of(MemberStatus.UNKNOWN, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.GONE);
+            List.of(MemberStatus.UNKNOWN, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD);
 
     private static final List<HandshakeRejection> REFUSALS = List.of(
-            HandshakeRejection.UNREADABLE,
-            HandshakeRejection.VERSION,
-            HandshakeRejection.ANOTHER_FLEET,
-            HandshakeRejection.NOT_THE_ONE,
+            HandshakeRejection.MALFORMED,
+            HandshakeRejection.VERSION_MISMATCH,
+            HandshakeRejection.FLEET_MISMATCH,
+            HandshakeRejection.WRONG_MEMBER,
             HandshakeRejection.UNKNOWN_MEMBER,
-            HandshakeRejection.OLD_LIFE,
-            HandshakeRejection.DUPLICATE,
-            HandshakeRejection.LINKED,
-            HandshakeRejection.CLOSING);
+            HandshakeRejection.STALE_LIFE,
+            HandshakeRejection.DUPLICATE_NAME,
+            HandshakeRejection.ALREADY_CONNECTED,
+            HandshakeRejection.SHUTTING_DOWN);
     private static final List<MessageStream> STREAMS = List.of(
             MessageStream.LIVENESS,
             MessageStream.AGREED,
@@ -44,7 +44,7 @@
             entries.add(
                     new SwimMessage.Entry("n" + entries.size(), 1_700_000_000_001L, -9, 3, standing, false, 1500.5));
         }
-        entries.add(new SwimMessage.Entry("n9", 4, 5, 6, MemberStatus.GONE, true, -1));
+        entries.add(new SwimMessage.Entry("n9", 4, 5, 6, MemberStatus.DEAD, true, -1));
         SwimMessage all = new SwimMessage(
                 SwimMessage.NOW | SwimMessage.ANSWER | SwimMessage.FAREWELL,
                 70_000,
--- a/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
@@ -27,7 +27,7 @@
         TcpPeerLinks links = new TcpPeerLinks(
                 new Member("node-" + i, "127.0.0.1:0", "zone"), life, "fleet", List.of(), clock, PeerLimits.standard());
         links.watch((peer, standing, its) -> {
-            if (standing == MemberStatus.GONE) {
+            if (standing == MemberStatus.DEAD) {
                 gone.put(links.me().name() + " " + peer + " " + its, clock.nowMs());
             }
         });
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
@@ -99,20 +99,20 @@
         c.hears("a ALIVE 1");
         c.signal("-STOP");
         a.hears("c SUSPECT 1");
-        a.hears("c GONE 1");
-        b.hears("c GONE 1");
+        a.hears("c DEAD 1");
+        b.hears("c DEAD 1");
         c.signal("-CONT");
         await().until(() -> a.count("ALIVE") == 3 && b.count("ALIVE") == 3);
-        assertEquals(0, c.count("GONE") + c.count("SUSPECT"), "who stood still takes nobody for dead: " + c.said);
+        assertEquals(0, c.count("DEAD") + c.count("SUSPECT"), "who stood still takes nobody for dead: " + c.said);
         c.process.destroyForcibly();
-        await().until(() -> a.count("GONE") == 2 && b.count("GONE") == 2);
+        await().until(() -> a.count("DEAD") == 2 && b.count("DEAD") == 2);
         Child later = new Child("c", 2);
         meet(a, b, later);
         a.hears("c ALIVE 2");
         b.hears("c ALIVE 2");
         b.process.getOutputStream().close();
-        a.hears("b GONE 1");
-        later.hears("b GONE 1");
+        a.hears("b DEAD 1");
+        later.hears("b DEAD 1");
         assertTrue(a.said.stream().noneMatch("b SUSPECT 1"::equals), "a farewell is no silence: " + a.said);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -183,7 +183,7 @@
         assertTrue(b.send("c", MessageStream.REPLICA, "y".getBytes()));
         await().until(() -> heard.contains("a<b7x") && heard.contains("c<b7y"));
         b.close();
-        await().until(() -> a.standing("b") == MemberStatus.GONE && c.standing("b") == MemberStatus.GONE);
+        await().until(() -> a.standing("b") == MemberStatus.DEAD && c.standing("b") == MemberStatus.DEAD);
         assertFalse(a.send("b", MessageStream.REPLICA, "z".getBytes()));
         assertEquals(0, a.figures().get("deaths"), "a farewell is no death");
         assertEquals(0, b.figures().get("threads"));
@@ -199,13 +199,13 @@
         TcpPeerLinks b = links("b", 1, "g", QUICK);
         meet(a, b);
         await().until(() -> figure(a, "refused_another_fleet") > 0 && figure(b, "refused_by_another_fleet") > 0);
-        assertTrue(alarms.contains("b:a:ANOTHER_FLEET"), alarms::toString);
+        assertTrue(alarms.contains("b:a:FLEET_MISMATCH"), alarms::toString);
         TcpPeerLinks c = links("c", 1, "f", QUICK);
         c.update(List.of(a.me()));
         await().until(() -> figure(a, "refused_unknown_member") > 0);
         // d is listed at the address that a has now.
         c.update(List.of(new Member("d", a.me().address(), "z")));
-        await().until(() -> figure(a, "refused_not_the_one") > 0 && alarms.contains("c:d:NOT_THE_ONE"));
+        await().until(() -> figure(a, "refused_not_the_one") > 0 && alarms.contains("c:d:WRONG_MEMBER"));
         assertTrue(a.links().isEmpty() && b.links().isEmpty() && c.links().isEmpty());
     }
 
@@ -235,7 +235,7 @@
         meet(a, later);
         awaitLinks(1, a, later);
         earlier.update(List.of(a.me()));
-        await().until(() -> alarms.contains("b:b:OLD_LIFE") && alarms.contains("a:b:OLD_LIFE"));
+        await().until(() -> alarms.contains("b:b:STALE_LIFE") && alarms.contains("a:b:STALE_LIFE"));
         assertEquals(4, earlier.life());
         assertTrue(earlier.links().isEmpty());
         assertTrue(later.send("a", MessageStream.REPLICA, "x".getBytes()));
@@ -257,7 +257,7 @@
         await().until(() -> heard.contains("a<b3600001x"));
         assertEquals(3_600_001, after.life());
         await().until(() -> a.standing("b") == MemberStatus.ALIVE);
-        assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE")), alarms::toString);
+        assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), alarms::toString);
     }
 
     /** c began after the later life had ended, so it links with the earlier number before it hears of the later. */
@@ -268,7 +268,7 @@
         meet(a, before);
         awaitLinks(1, a, before);
         before.halt();
-        await().until(() -> a.standing("b") == MemberStatus.GONE);
+        await().until(() -> a.standing("b") == MemberStatus.DEAD);
         TcpPeerLinks after = links("b", 4, "f", QUICK);
         TcpPeerLinks c = links("c", 1, "f", QUICK);
         c.update(List.of(after.me()));
@@ -279,7 +279,7 @@
         awaitLinks(2, a, after, c);
         assertEquals(10, after.life());
         await().until(() -> a.standing("b") == MemberStatus.ALIVE && c.standing("b") == MemberStatus.ALIVE);
-        assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE")), alarms::toString);
+        assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), alarms::toString);
     }
 
     @Test
@@ -290,9 +290,9 @@
         awaitLinks(1, a, b);
         TcpPeerLinks copy = links("b", 6, "f", QUICK);
         copy.update(List.of(a.me()));
-        await().until(() -> alarms.contains("a:b:DUPLICATE"));
+        await().until(() -> alarms.contains("a:b:DUPLICATE_NAME"));
         await().until(() ->
-                alarms.stream().filter(t -> t.equals("b:b:DUPLICATE")).count() >= 2);
+                alarms.stream().filter(t -> t.equals("b:b:DUPLICATE_NAME")).count() >= 2);
         assertTrue(b.links().contains("a") && copy.links().isEmpty(), "the first one keeps its link");
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
@@ -94,7 +94,7 @@
 
         @Override
         public MemberStatus standing(String peer) {
-            return ends.containsKey(peer) ? MemberStatus.ALIVE : MemberStatus.GONE;
+            return ends.containsKey(peer) ? MemberStatus.ALIVE : MemberStatus.DEAD;
         }
 
         @Override
