--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
@@ -94,7 +94,7 @@
                 FrameCodec.Frame frame = FrameCodec.read(connection.in, context.limits.frameBytes());
                 context.metrics.count("frames_in");
                 if (frame.stream() == MessageStream.LIVENESS) {
-                    onSwimMessage(connection, SwimMessage.of(frame.body()));
+                    onSwimMessage(connection, SwimMessage.decode(frame.body()));
                 } else {
                     deliver(connection, frame);
                 }
@@ -119,7 +119,7 @@
         }
         connection.receiveStartedAtMs = context.clock.nowMs();
         try {
-            receiver.took(connection.peerName, connection.remoteHello.life(), frame.body());
+            receiver.onMessage(connection.peerName, connection.remoteHello.life(), frame.body());
         } catch (RuntimeException e) {
             context.metrics.count("receiver_failed");
             LOG.error("the receiver of {} failed on a message from {}", frame.stream(), connection.peerName, e);
@@ -137,7 +137,7 @@
             Handshake.Hello hello = connection.remoteHello;
             membership.process(membership
                     .detector()
-                    .took(context.clock.nowMs(), connection.peerName, hello.life(), hello.instance(), message));
+                    .onMessage(context.clock.nowMs(), connection.peerName, hello.life(), hello.instance(), message));
         }
     }
 
@@ -148,7 +148,7 @@
             if (peer != null && peer.connection == connection) {
                 peer.connection = null;
                 context.metrics.count("links_lost");
-                membership.detector().unlinked(connection.peerName);
+                membership.detector().onDisconnected(connection.peerName);
                 double durationMs = context.clock.nowMs() - connection.establishedAtMs;
                 // After a connection that lasted, the next dial is soon again.
                 peer.dialFailures = durationMs > context.limits.goneMs() ? 0 : peer.dialFailures + 1;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
@@ -51,12 +51,12 @@
     }
 
     /** With the lock: queues these messages for the peers that have a connection. */
-    void send(List<FailureDetector.Out> messages) {
-        for (FailureDetector.Out message : messages) {
+    void send(List<FailureDetector.Outgoing> messages) {
+        for (FailureDetector.Outgoing message : messages) {
             PeerConnection connection = connection(message.to());
             if (connection != null
                     && !connection.sendQueue.offer(
-                            MessageStream.LIVENESS, message.beat().bytes())) {
+                            MessageStream.LIVENESS, message.message().encode())) {
                 context.metrics.count("beats_unsent");
             }
         }
@@ -83,7 +83,7 @@
         boolean preferred = present.outbound == lowerName;
         double idleMs = context.clock.nowMs() - present.lastReadAtMs;
         // A peer that dials has lost its connection, if nothing is read from the one that stands here.
-        return !preferred || idleMs > FailureDetector.ASK_BEATS * context.limits.beatMs();
+        return !preferred || idleMs > FailureDetector.PROBE_AFTER_INTERVALS * context.limits.beatMs();
     }
 
     /** With the lock: sets the time of the next dial, by exponential backoff with full jitter. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -25,9 +25,7 @@
  */
 public final class FailureDetector {
     /** Silence in heartbeat intervals after which others are asked. */
-    static final double ASK_BEATS = 3;
-    /** Greatest score of {@link LocalHealth}: timeouts of suspicion are multiplied by one more than it at most. */
-    static final int DOUBT_MOST = LocalHealth.MAX_SCORE;
+    static final double PROBE_AFTER_INTERVALS = 3;
 
     private final PeerLimits limits;
     private final MemberTable members;
@@ -39,10 +37,10 @@
     private final GossipReceiver gossipReceiver;
 
     /** A peer's status has changed. */
-    record Change(String peer, MemberStatus standing, long life) {}
+    record Change(String peer, MemberStatus status, long life) {}
 
     /** A message that is to be sent. */
-    record Out(String to, SwimMessage beat) {}
+    record Outgoing(String to, SwimMessage message) {}
 
     /** Two processes live under one name; it may be this member's own. */
     record Conflict(String name, long life, long instance, long otherLife, long otherInstance) {}
@@ -61,7 +59,7 @@
     }
 
     /** This member has taken another life; its connections, which told the earlier one, are to be closed. */
-    void renew(long nextLife) {
+    void beginLife(long nextLife) {
         refutation.beginLife(nextLife);
     }
 
@@ -69,7 +67,7 @@
      * The greatest life, at least its own, by which peers know an ended process of this member: taken before the
      * time of day went back, or kept on a disk that was lost. {@link Long#MIN_VALUE} if there is none.
      */
-    long pastLife() {
+    long endedLife() {
         return refutation.endedLife();
     }
 
@@ -81,29 +79,29 @@
     /**
      * A connection with this peer was established.
      *
-     * @param begunMs when its handshake began
+     * @param openedAtMs when its handshake began
      * @return the messages that are to be sent
      */
-    List<Out> linked(double now, double begunMs, String name, long itsLife, long itsInstance) {
+    List<Outgoing> onConnected(double now, double openedAtMs, String name, long remoteLife, long remoteInstance) {
         MemberState member = members.get(name);
         refutation.onStarted(now);
         if (member == null) {
             return List.of();
         }
-        member.onConnected(now, begunMs, itsInstance);
-        if (!member.known || itsLife > member.life) {
-            suspicion.beginLife(now, member, itsLife, itsInstance, MemberStatus.ALIVE);
-        } else if (itsLife < member.life || itsInstance != member.instance) {
-            members.recordConflict(now, member, itsLife, itsInstance);
+        member.onConnected(now, openedAtMs, remoteInstance);
+        if (!member.known || remoteLife > member.life) {
+            suspicion.beginLife(now, member, remoteLife, remoteInstance, MemberStatus.ALIVE);
+        } else if (remoteLife < member.life || remoteInstance != member.instance) {
+            members.recordConflict(now, member, remoteLife, remoteInstance);
             return List.of();
         }
-        member.recordDirect(begunMs);
+        member.recordDirect(openedAtMs);
         suspicion.evaluate(now, member);
         return List.of(gossipSender.newMessage(now, member, 0, List.of()));
     }
 
     /** The connection with this peer has ended. */
-    void unlinked(String name) {
+    void onDisconnected(String name) {
         MemberState member = members.get(name);
         if (member != null) {
             member.onDisconnected();
@@ -115,7 +113,7 @@
      *
      * @return the messages that are to be sent
      */
-    List<Out> tick(double now) {
+    List<Outgoing> tick(double now) {
         refutation.onStarted(now);
         localHealth.onTick(now);
         List<MemberState> silent = new ArrayList<>();
@@ -126,11 +124,11 @@
             }
         }
         Map<String, List<String>> probeRequests = prober.chooseHelpers(silent);
-        List<Out> out = new ArrayList<>();
+        List<Outgoing> out = new ArrayList<>();
         for (MemberState member : members.all()) {
             if (member.connected) {
                 List<String> targets = probeRequests.getOrDefault(member.name, List.of());
-                out.add(gossipSender.newMessage(now, member, targets.isEmpty() ? 0 : SwimMessage.NOW, targets));
+                out.add(gossipSender.newMessage(now, member, targets.isEmpty() ? 0 : SwimMessage.REPLY_NOW, targets));
             }
         }
         return out;
@@ -141,7 +139,7 @@
      *
      * @return the messages that are to be sent at once
      */
-    List<Out> took(double now, String from, long itsLife, long itsInstance, SwimMessage message) {
+    List<Outgoing> onMessage(double now, String from, long remoteLife, long remoteInstance, SwimMessage message) {
         MemberState sender = members.get(from);
         if (sender == null) {
             return List.of();
@@ -149,8 +147,8 @@
         // A pause of this process may be seen here before the next tick.
         localHealth.onActivity(now);
         double sentMs = sender.sentNoLaterThan(now, message);
-        if (sender.known && (itsLife != sender.life || itsInstance != sender.instance)) {
-            return onOtherProcess(now, sender, itsLife, itsInstance, sentMs);
+        if (sender.known && (remoteLife != sender.life || remoteInstance != sender.instance)) {
+            return onOtherProcess(now, sender, remoteLife, remoteInstance, sentMs);
         }
         sender.recordDirect(sentMs);
         sender.onSequence(now, message.sequence(), sentMs);
@@ -166,45 +164,46 @@
             gossipReceiver.apply(now, sender, sentMs, entry, replies);
         }
         suspicion.evaluate(now, sender);
-        List<Out> out = new ArrayList<>();
+        List<Outgoing> out = new ArrayList<>();
         onProbeRequests(now, sender, message, replies, out);
-        if (!replies.isEmpty() || message.has(SwimMessage.NOW)) {
-            int flags = message.asks().isEmpty() ? 0 : SwimMessage.ANSWER;
+        if (!replies.isEmpty() || message.has(SwimMessage.REPLY_NOW)) {
+            int flags = message.probeRequests().isEmpty() ? 0 : SwimMessage.ANSWER;
             out.add(gossipSender.newMessage(now, sender, flags, List.of(), replies));
         }
         answerProbeRequesters(now, sender, out);
         return out;
     }
 
-    private List<Out> onOtherProcess(double now, MemberState sender, long itsLife, long itsInstance, double sentMs) {
-        if (itsLife < sender.life && sender.lastAliveMs < sender.connectedAtMs) {
+    private List<Outgoing> onOtherProcess(
+            double now, MemberState sender, long remoteLife, long remoteInstance, double sentMs) {
+        if (remoteLife < sender.life && sender.lastAliveMs < sender.connectedAtMs) {
             // The later life gave no sign since the earlier one connected: it has ended, and its successor, which
             // began under an earlier time of day, has not heard of it yet.
             return List.of(
                     gossipSender.newMessage(now, sender, SwimMessage.ANSWER, List.of(), List.of(sender.toEntry(now))));
         }
-        if (itsLife == sender.life || sentMs > sender.learnedMs) {
+        if (remoteLife == sender.life || sentMs > sender.learnedMs) {
             // Sent after another process of this name was heard of: both live.
-            members.recordConflict(now, sender, itsLife, itsInstance);
+            members.recordConflict(now, sender, remoteLife, remoteInstance);
         }
         return List.of();
     }
 
     private void onProbeRequests(
-            double now, MemberState sender, SwimMessage message, List<SwimMessage.Entry> replies, List<Out> out) {
-        for (String name : message.asks()) {
+            double now, MemberState sender, SwimMessage message, List<SwimMessage.Entry> replies, List<Outgoing> out) {
+        for (String name : message.probeRequests()) {
             MemberState target = members.get(name);
             if (target != null && target != sender && target.known) {
                 replies.add(target.toEntry(now));
                 if (prober.onRequest(now, target, sender.name)) {
-                    out.add(gossipSender.newMessage(now, target, SwimMessage.NOW, List.of()));
+                    out.add(gossipSender.newMessage(now, target, SwimMessage.REPLY_NOW, List.of()));
                 }
             }
         }
     }
 
     /** The sender was probed on behalf of these members, and has spoken. */
-    private void answerProbeRequesters(double now, MemberState sender, List<Out> out) {
+    private void answerProbeRequesters(double now, MemberState sender, List<Outgoing> out) {
         for (String requester : sender.probeRequesters) {
             MemberState member = members.get(requester);
             if (member != null && member.connected) {
@@ -216,8 +215,8 @@
     }
 
     /** The messages that tell all connected peers that this member ends. */
-    List<Out> farewell(double now) {
-        List<Out> out = new ArrayList<>();
+    List<Outgoing> farewell(double now) {
+        List<Outgoing> out = new ArrayList<>();
         for (MemberState member : members.all()) {
             if (member.connected) {
                 out.add(gossipSender.newMessage(now, member, SwimMessage.FAREWELL, List.of()));
@@ -227,7 +226,7 @@
     }
 
     /** This member itself did not read for so long what this peer sent: that is no silence of the peer. */
-    void excuse(double now, String name, double ms) {
+    void excuseSilence(double now, String name, double ms) {
         MemberState member = members.get(name);
         if (member != null) {
             member.excuse(ms, now);
@@ -235,7 +234,7 @@
     }
 
     /** Another process of this name was found; both are told in the messages that follow. */
-    void conflict(double now, String name, long otherLife, long otherInstance) {
+    void onConflict(double now, String name, long otherLife, long otherInstance) {
         MemberState member = members.get(name);
         if (member != null && member.known) {
             members.recordConflict(now, member, otherLife, otherInstance);
@@ -243,16 +242,16 @@
     }
 
     /** What has changed since the last call. */
-    List<Change> changes() {
+    List<Change> drainChanges() {
         return members.drainChanges();
     }
 
     /** Conflicts that were found since the last call, each once. */
-    List<Conflict> conflicts() {
+    List<Conflict> drainConflicts() {
         return members.drainConflicts();
     }
 
-    MemberStatus standing(String name) {
+    MemberStatus status(String name) {
         MemberState member = members.get(name);
         return member == null ? MemberStatus.UNKNOWN : member.status;
     }
@@ -270,19 +269,19 @@
     }
 
     /** When this peer was last surely alive, by its own word over its connection. */
-    double directMs(String name) {
+    double lastDirectMs(String name) {
         MemberState member = members.get(name);
         return member == null ? MemberState.NEVER : member.lastDirectMs;
     }
 
     /** For how long the peer had not heard what it was sent, by its last message: it may not hear us. */
-    double deafMs(String name) {
+    double unheardForMs(String name) {
         MemberState member = members.get(name);
         return member == null || !member.connected ? 0 : member.unheardForMs;
     }
 
     /** Lifeguard's local health score; 0 is healthy. */
-    int doubt() {
+    int localHealthScore() {
         return localHealth.score();
     }
 
@@ -301,7 +300,7 @@
     }
 
     /** How often this process was paused for longer than two heartbeat intervals. */
-    long lateTicks() {
+    long pauses() {
         return localHealth.pauses();
     }
 
@@ -315,7 +314,7 @@
     }
 
     /** How many peers are heard but do not hear this member. */
-    int oneWay() {
+    int countOneWay() {
         return members.countOneWay(limits.suspectMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -34,7 +34,7 @@
             return;
         }
         MemberState member = members.get(entry.name());
-        boolean useless = member == null || member == from || entry.standing() == MemberStatus.UNKNOWN;
+        boolean useless = member == null || member == from || entry.status() == MemberStatus.UNKNOWN;
         if (useless || member.known && entry.life() < member.life) {
             return;
         }
@@ -56,8 +56,8 @@
 
     private void beginLife(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
         // A process that is dead already is not reported as alive first.
-        suspicion.beginLife(now, member, entry.life(), entry.instance(), entry.standing());
-        member.deadIncarnation = entry.standing() == MemberStatus.DEAD ? entry.incarnation() : -1;
+        suspicion.beginLife(now, member, entry.life(), entry.instance(), entry.status());
+        member.deadIncarnation = entry.status() == MemberStatus.DEAD ? entry.incarnation() : -1;
         if (entry.ageMs() < 0) {
             member.recordAlive(sentMs);
         }
@@ -71,11 +71,11 @@
             List<SwimMessage.Entry> replies) {
         if (entry.left()) {
             suspicion.markLeft(now, member);
-        } else if (entry.standing() == MemberStatus.ALIVE) {
+        } else if (entry.status() == MemberStatus.ALIVE) {
             member.suspectedBy.remove(from.name);
         } else if (entry.incarnation() >= member.incarnation) {
             member.suspectedBy.add(from.name);
-            boolean heardHere = member.silenceMs(now) < FailureDetector.ASK_BEATS * limits.beatMs();
+            boolean heardHere = member.silenceMs(now) < FailureDetector.PROBE_AFTER_INTERVALS * limits.beatMs();
             if (!member.left && heardHere && replies.size() < MAX_SUSPECTS) {
                 replies.add(member.toEntry(now));
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
@@ -32,7 +32,7 @@
     }
 
     /** A message to this member with what is to be gossiped. */
-    FailureDetector.Out newMessage(double now, MemberState to, int flags, List<String> probeRequests) {
+    FailureDetector.Outgoing newMessage(double now, MemberState to, int flags, List<String> probeRequests) {
         return newMessage(now, to, flags, probeRequests, selectEntries(now, to));
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** A message to this member with these entries, after what it must know of itself. */
-    FailureDetector.Out newMessage(
+    FailureDetector.Outgoing newMessage(
             double now, MemberState to, int flags, List<String> probeRequests, List<SwimMessage.Entry> selected) {
         List<SwimMessage.Entry> entries = new ArrayList<>();
         if (now - to.conflictMs < CONFLICT_INTERVALS * intervalMs) {
@@ -71,7 +71,7 @@
             entries.add(to.toEntry(now));
         }
         for (SwimMessage.Entry entry : selected) {
-            if (entries.size() < SwimMessage.ENTRIES) {
+            if (entries.size() < SwimMessage.MAX_ENTRIES) {
                 entries.add(entry);
             }
         }
@@ -79,7 +79,7 @@
         double heldMs = Math.max(0, now - to.receivedAtMs);
         SwimMessage message = new SwimMessage(
                 flags, sequence, to.receivedSequence, heldMs, refutation.incarnation(), entries, probeRequests);
-        return new FailureDetector.Out(to.name, message);
+        return new FailureDetector.Outgoing(to.name, message);
     }
 
     /** Of two processes of one name, the one that is not at the other end of the connection. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
@@ -84,7 +84,7 @@
         double startedAtMs = clock.nowMs();
         double untilMs = startedAtMs + Math.min(context.limits.suspectMs(), context.limits.handshakeMs() * PROBE_SHARE);
         while (!context.closing() && !earlier.closed && peer.connection == earlier) {
-            if (membership.detector().directMs(hello.from()) > startedAtMs) {
+            if (membership.detector().lastDirectMs(hello.from()) > startedAtMs) {
                 return true;
             }
             double left = untilMs - clock.nowMs();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
@@ -53,7 +53,7 @@
         double receiving = connection.receiveStartedAtMs;
         if (receiving > 0 && now - receiving > context.limits.beatMs()) {
             context.metrics.count("receiver_slow_beats");
-            detector.excuse(now, connection.peerName, sinceLastTickMs);
+            detector.excuseSilence(now, connection.peerName, sinceLastTickMs);
         }
         double writing = connection.writeStartedAtMs;
         if (writing > 0 && late) {
@@ -62,7 +62,7 @@
         } else if (writing > 0 && now - writing > context.limits.goneMs()) {
             context.metrics.count("writes_stalled");
             connection.close("takes nothing");
-        } else if (detector.deafMs(connection.peerName) > context.limits.goneMs()) {
+        } else if (detector.unheardForMs(connection.peerName) > context.limits.goneMs()) {
             context.metrics.count("one_way_closed");
             connection.close("does not hear us");
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -21,7 +21,7 @@
     boolean needsProbe(double now, MemberState member) {
         boolean watched = member.known && !member.left && member.status != MemberStatus.DEAD;
         double directSilenceMs = now - member.lastDirectMs - member.excusedMs;
-        if (watched && directSilenceMs > FailureDetector.ASK_BEATS * limits.beatMs()) {
+        if (watched && directSilenceMs > FailureDetector.PROBE_AFTER_INTERVALS * limits.beatMs()) {
             return true;
         }
         if (!watched || member.lastAliveMs == member.lastDirectMs) {
@@ -64,7 +64,7 @@
             return false;
         }
         List<String> targets = requests.computeIfAbsent(helper.name, k -> new ArrayList<>());
-        return targets.size() < SwimMessage.ASKS && targets.add(target);
+        return targets.size() < SwimMessage.MAX_PROBE_REQUESTS && targets.add(target);
     }
 
     /**
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
@@ -76,7 +76,7 @@
     }
 
     private void checkProbeAnswers(double now) {
-        if (probing && now - probesSentAtMs > FailureDetector.ASK_BEATS * intervalMs) {
+        if (probing && now - probesSentAtMs > FailureDetector.PROBE_AFTER_INTERVALS * intervalMs) {
             if (!answered) {
                 raiseScore();
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
@@ -59,7 +59,7 @@
     void onConnected(PeerConnection connection, double nowMs) {
         Handshake.Hello hello = connection.remoteHello;
         connectedInThisLife = true;
-        process(detector.linked(nowMs, connection.openedAtMs, hello.from(), hello.life(), hello.instance()));
+        process(detector.onConnected(nowMs, connection.openedAtMs, hello.from(), hello.life(), hello.instance()));
     }
 
     /** Whether any connection was established under the present life. */
@@ -69,21 +69,21 @@
 
     /** Reports another live process of this name to the detector. */
     void onConflict(Handshake.Hello hello) {
-        detector.conflict(context.clock.nowMs(), hello.from(), hello.life(), hello.instance());
+        detector.onConflict(context.clock.nowMs(), hello.from(), hello.life(), hello.instance());
         process(List.of());
     }
 
     /** Sends the detector's messages and handles the events it has collected. */
-    void process(List<FailureDetector.Out> messages) {
+    void process(List<FailureDetector.Outgoing> messages) {
         registry.send(messages);
-        long past = detector.pastLife();
+        long past = detector.endedLife();
         if (past != Long.MIN_VALUE) {
             renewLife(past);
         }
-        for (FailureDetector.Change change : detector.changes()) {
+        for (FailureDetector.Change change : detector.drainChanges()) {
             publish(change);
         }
-        for (FailureDetector.Conflict conflict : detector.conflicts()) {
+        for (FailureDetector.Conflict conflict : detector.drainConflicts()) {
             context.metrics.count("conflicts");
             raise(
                     conflict.name(),
@@ -102,10 +102,10 @@
                         "{}: status of {} is {}, life {}",
                         context.self().name(),
                         change.peer(),
-                        change.standing(),
+                        change.status(),
                         change.life()));
         for (PeerLinks.Watcher watcher : watchers) {
-            watcherCalls.add(change.peer(), () -> watcher.changed(change.peer(), change.standing(), change.life()));
+            watcherCalls.add(change.peer(), () -> watcher.onStatus(change.peer(), change.status(), change.life()));
         }
     }
 
@@ -116,7 +116,7 @@
                 name,
                 () -> LOG.error("{}: {}: {}", name.equals(self) ? "this member, " + name : name, reason.text(), text));
         for (TcpPeerLinks.Alarm alarm : alarms) {
-            watcherCalls.add(name, () -> alarm.raised(name, reason, text));
+            watcherCalls.add(name, () -> alarm.onFault(name, reason, text));
         }
     }
 
@@ -136,7 +136,7 @@
         renewals++;
         context.setLife(known + 1);
         connectedInThisLife = false;
-        detector.renew(known + 1);
+        detector.beginLife(known + 1);
         context.metrics.count("lives_renewed");
         LOG.warn("{} began life {}, and peers know {}: takes {}", context.self().name(), before, known, known + 1);
         registry.reconnectAll("this member has taken another life");
@@ -149,12 +149,12 @@
         all.put("peers_suspect", (double) detector.count(MemberStatus.SUSPECT));
         all.put("peers_gone", (double) detector.count(MemberStatus.DEAD));
         all.put("peers_unknown", (double) detector.count(MemberStatus.UNKNOWN));
-        all.put("peers_one_way", (double) detector.oneWay());
+        all.put("peers_one_way", (double) detector.countOneWay());
         all.put("suspicions", (double) detector.suspicions());
         all.put("suspicions_false", (double) detector.falseSuspicions());
         all.put("refutations", (double) detector.refutations());
         all.put("deaths", (double) detector.deaths());
-        all.put("late_beats", (double) detector.lateTicks());
-        all.put("doubt", (double) detector.doubt());
+        all.put("late_beats", (double) detector.pauses());
+        all.put("doubt", (double) detector.localHealthScore());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
@@ -7,7 +7,7 @@
  * or out of order; those that arrive are whole and unchanged. Sending never blocks.
  */
 public interface PeerLinks extends AutoCloseable {
-    /** Takes what a peer has sent; called on that peer's own thread, one message after another. */
+    /** Receives messages of peers; called on that peer's own thread, one message after another. */
     @FunctionalInterface
     interface Receiver {
         /**
@@ -17,14 +17,14 @@
          * @param life the sender's life
          * @param body the message; the receiver may keep it
          */
-        void took(String peer, long life, byte[] body);
+        void onMessage(String peer, long life, byte[] body);
     }
 
-    /** Hears of each change of a peer's standing. */
+    /** Is notified of each change of a peer's status. */
     @FunctionalInterface
     interface Watcher {
-        /** The peer's standing is another from now on. */
-        void changed(String peer, MemberStatus standing, long life);
+        /** The peer's status has changed. */
+        void onStatus(String peer, MemberStatus status, long life);
     }
 
     /** This member. */
@@ -36,16 +36,16 @@
     /** The other members, as they are configured or have joined. */
     List<Member> peers();
 
-    /** What is held of this peer's life. */
+    /** The peer's status as this member holds it. */
     MemberStatus standing(String peer);
 
     /** Queues a message; false if there is no link to this peer or its queue is full: nothing was taken then. */
     boolean send(String peer, MessageStream stream, byte[] body);
 
-    /** Who takes this stream's messages; before {@link #start}. */
+    /** Sets the receiver of this stream's messages; before {@link #start}. */
     void receive(MessageStream stream, Receiver receiver);
 
-    /** Who hears of standings; before {@link #start}. */
+    /** Adds a watcher of statuses; before {@link #start}. */
     void watch(Watcher watcher);
 
     /** Begins to listen and to link. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
@@ -40,7 +40,7 @@
             onOtherProcess(at, entry);
             return;
         }
-        boolean doubted = entry.standing() == MemberStatus.SUSPECT || entry.standing() == MemberStatus.DEAD;
+        boolean doubted = entry.status() == MemberStatus.SUSPECT || entry.status() == MemberStatus.DEAD;
         if (entry.life() == life
                 && doubted
                 && entry.incarnation() >= incarnation
@@ -61,10 +61,10 @@
 
     /** Whether the other process is an earlier one, not a second one that lives. */
     private boolean hasEnded(double at, SwimMessage.Entry entry) {
-        return entry.standing() == MemberStatus.DEAD || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
+        return entry.status() == MemberStatus.DEAD || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
     }
 
-    /** See {@link FailureDetector#pastLife}. */
+    /** See {@link FailureDetector#endedLife}. */
     long endedLife() {
         return endedLife >= life ? endedLife : Long.MIN_VALUE;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -6,28 +6,34 @@
 import java.util.List;
 
 /**
- * The one message of liveness: what its sender has heard, and what it wants to know.
+ * The one message of the failure detector: a heartbeat with gossip, and requests for indirect probes (SWIM, section 3.1).
  *
- * @param flags of {@link #NOW}, {@link #ANSWER} and {@link #FAREWELL}
- * @param sequence counts the sender's beats to this receiver
+ * @param flags of {@link #REPLY_NOW}, {@link #ANSWER} and {@link #FAREWELL}
+ * @param sequence numbers the sender's messages to this receiver
  * @param echo greatest sequence the sender has heard from the receiver on this link; 0 is the handshake
  * @param heldMs how long ago that was, by the sender's clock
  * @param incarnation the sender's: greater after each refutation
- * @param entries what the sender holds of members
- * @param asks of whom the sender would like to hear
+ * @param entries the gossip: what the sender holds of members
+ * @param probeRequests the members that the receiver is asked to probe
  */
 record SwimMessage(
-        int flags, int sequence, int echo, double heldMs, int incarnation, List<Entry> entries, List<String> asks) {
+        int flags,
+        int sequence,
+        int echo,
+        double heldMs,
+        int incarnation,
+        List<Entry> entries,
+        List<String> probeRequests) {
     /** The receiver is to answer at once. */
-    static final int NOW = 1;
-    /** It answers a question. */
+    static final int REPLY_NOW = 1;
+    /** It answers a request for a probe. */
     static final int ANSWER = 2;
-    /** The sender ends. */
+    /** The sender shuts down. */
     static final int FAREWELL = 4;
 
-    static final int ENTRIES = 64;
-    static final int ASKS = 32;
-    private static final MemberStatus[] STANDINGS = MemberStatus.values();
+    static final int MAX_ENTRIES = 64;
+    static final int MAX_PROBE_REQUESTS = 32;
+    private static final MemberStatus[] STATUSES = MemberStatus.values();
 
     /**
      * What a member holds of another.
@@ -36,44 +42,39 @@
      * @param life its life
      * @param instance its process
      * @param incarnation the greatest known of this life
-     * @param standing as the sender holds it
+     * @param status as the sender holds it
      * @param left whether it has said farewell
      * @param ageMs how long ago it was surely alive; negative if that is not known
      */
     record Entry(
-            String name,
-            long life,
-            long instance,
-            int incarnation,
-            MemberStatus standing,
-            boolean left,
-            double ageMs) {}
+            String name, long life, long instance, int incarnation, MemberStatus status, boolean left, double ageMs) {}
 
     boolean has(int flag) {
         return (flags & flag) != 0;
     }
 
-    byte[] bytes() {
-        int most = 24 + entries.size() * (27 + PeerLimits.NAME_BYTES) + asks.size() * (1 + PeerLimits.NAME_BYTES);
+    byte[] encode() {
+        int most =
+                24 + entries.size() * (27 + PeerLimits.NAME_BYTES) + probeRequests.size() * (1 + PeerLimits.NAME_BYTES);
         ByteBuffer out = ByteBuffer.allocate(most);
         out.put((byte) flags)
                 .putInt(sequence)
                 .putInt(echo)
                 .putFloat((float) heldMs)
                 .putInt(incarnation);
-        out.put((byte) entries.size()).put((byte) asks.size());
+        out.put((byte) entries.size()).put((byte) probeRequests.size());
         for (Entry e : entries) {
             WireFormat.text(out, e.name());
             out.putLong(e.life()).putLong(e.instance()).putInt(e.incarnation());
-            out.put((byte) (e.standing().ordinal() | (e.left() ? 16 : 0))).putFloat((float) Math.max(-1, e.ageMs()));
+            out.put((byte) (e.status().ordinal() | (e.left() ? 16 : 0))).putFloat((float) Math.max(-1, e.ageMs()));
         }
-        for (String ask : asks) {
-            WireFormat.text(out, ask);
+        for (String target : probeRequests) {
+            WireFormat.text(out, target);
         }
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    static SwimMessage of(byte[] bytes) throws WireException {
+    static SwimMessage decode(byte[] bytes) throws WireException {
         return WireFormat.whole(bytes, SwimMessage::read);
     }
 
@@ -84,16 +85,16 @@
         double held = WireFormat.length(in);
         int incarnation = in.getInt();
         int entries = in.get() & 0xff;
-        int asks = in.get() & 0xff;
-        if (sequence < 0 || echo < 0 || incarnation < 0 || entries > ENTRIES || asks > ASKS) {
+        int requests = in.get() & 0xff;
+        if (sequence < 0 || echo < 0 || incarnation < 0 || entries > MAX_ENTRIES || requests > MAX_PROBE_REQUESTS) {
             throw new WireException("a beat beyond its bounds");
         }
         List<Entry> known = new ArrayList<>(entries);
         for (int i = 0; i < entries; i++) {
             known.add(entry(in));
         }
-        List<String> wanted = new ArrayList<>(asks);
-        for (int i = 0; i < asks; i++) {
+        List<String> wanted = new ArrayList<>(requests);
+        for (int i = 0; i < requests; i++) {
             wanted.add(WireFormat.name(in));
         }
         return new SwimMessage(flags, sequence, echo, held, incarnation, known, wanted);
@@ -104,11 +105,11 @@
         long life = in.getLong();
         long instance = in.getLong();
         int incarnation = in.getInt();
-        int standing = in.get() & 0xff;
+        int status = in.get() & 0xff;
         float age = in.getFloat();
-        if ((standing & 15) >= STANDINGS.length || standing > 31 || incarnation < 0 || Float.isNaN(age)) {
+        if ((status & 15) >= STATUSES.length || status > 31 || incarnation < 0 || Float.isNaN(age)) {
             throw new WireException("an entry beyond its bounds");
         }
-        return new Entry(name, life, instance, incarnation, STANDINGS[standing & 15], standing > 15, age);
+        return new Entry(name, life, instance, incarnation, STATUSES[status & 15], status > 15, age);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
@@ -38,17 +38,17 @@
     private final HeartbeatTimer heartbeatTimer;
     private final String listenAddress;
 
-    /** Hears of what staff must see to: a refusal that lasts, two nodes of one name. */
+    /** Is notified of faults that operators must mend: a rejection that lasts, two nodes of one name. */
     @FunctionalInterface
     public interface Alarm {
         /**
-         * Something is wrong.
+         * A fault was found.
          *
          * @param name the member it concerns; this member's own name if another has it too or knows a later life
-         * @param why the reason
+         * @param reason why a handshake was rejected
          * @param text in words
          */
-        void raised(String name, HandshakeRejection why, String text);
+        void onFault(String name, HandshakeRejection reason, String text);
     }
 
     /**
@@ -126,7 +126,7 @@
     @Override
     public MemberStatus standing(String peer) {
         synchronized (context.lock) {
-            return membership.detector().standing(peer);
+            return membership.detector().status(peer);
         }
     }
 
@@ -243,7 +243,7 @@
             Member now = wanted.get(peer.name());
             if (now == null || !now.address().equals(peer.member.address())) {
                 peer.removed = true;
-                membership.detector().unlinked(peer.name());
+                membership.detector().onDisconnected(peer.name());
                 peer.disconnect(now == null ? "no member any more" : "has another address now");
                 i.remove();
             }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemoryNet.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemoryNet.java
@@ -121,7 +121,7 @@
                 return;
             }
             try {
-                to.thread.execute(() -> to.receivers.get(stream).took(me.name(), life, body));
+                to.thread.execute(() -> to.receivers.get(stream).onMessage(me.name(), life, body));
             } catch (RejectedExecutionException e) {
                 // It has ended: lost, as on a broken link.
                 return;
--- a/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -109,7 +109,7 @@
     private static MachineReport received(byte[] form) {
         RecordingLinks recording = new RecordingLinks();
         ReportExchange exchange = new ReportExchange(recording, Clock.system());
-        recording.receiver.took("c1", 1, form);
+        recording.receiver.onMessage("c1", 1, form);
         return exchange.all().get(0).report();
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
@@ -76,7 +76,7 @@
 
         void link(int i, int j) {
             if (i != j) {
-                send(i, members[i].linked(local(i), local(i) - 1, names.get(j), lives[j], instance(j, lives[j])));
+                send(i, members[i].onConnected(local(i), local(i) - 1, names.get(j), lives[j], instance(j, lives[j])));
                 note(i);
             }
         }
@@ -102,11 +102,11 @@
             in(LIMITS.beatMs(), () -> tick(i, d));
         }
 
-        void send(int i, List<FailureDetector.Out> out) {
-            for (FailureDetector.Out o : out) {
+        void send(int i, List<FailureDetector.Outgoing> out) {
+            for (FailureDetector.Outgoing o : out) {
                 int j = names.indexOf(o.to());
                 if (random.nextDouble() >= loss && !cut.test(i, j)) {
-                    byte[] wire = o.beat().bytes();
+                    byte[] wire = o.message().encode();
                     long life = lives[i];
                     FailureDetector target = members[j];
                     in(delayMs * (0.5 + random.nextDouble()), () -> take(j, target, i, life, wire));
@@ -123,7 +123,10 @@
                 return;
             }
             try {
-                send(j, target.took(local(j), names.get(from), life, instance(from, life), SwimMessage.of(wire)));
+                send(
+                        j,
+                        target.onMessage(
+                                local(j), names.get(from), life, instance(from, life), SwimMessage.decode(wire)));
             } catch (WireException e) {
                 throw new AssertionError(e);
             }
@@ -131,8 +134,8 @@
         }
 
         void note(int i) {
-            for (FailureDetector.Change c : members[i].changes()) {
-                seen.add(new Seen(i, names.indexOf(c.peer()), c.standing(), now));
+            for (FailureDetector.Change c : members[i].drainChanges()) {
+                seen.add(new Seen(i, names.indexOf(c.peer()), c.status(), now));
             }
         }
 
@@ -140,7 +143,7 @@
             members[i] = null;
             for (int j = 0; j < size; j++) {
                 if (members[j] != null) {
-                    members[j].unlinked(names.get(i));
+                    members[j].onDisconnected(names.get(i));
                 }
             }
         }
@@ -162,7 +165,7 @@
         void awaitAll(int of, MemberStatus standing) {
             for (int i = 0; i < size; i++) {
                 if (i != of && members[i] != null) {
-                    assertEquals(standing, members[i].standing(names.get(of)), names.get(i) + " of " + names.get(of));
+                    assertEquals(standing, members[i].status(names.get(of)), names.get(i) + " of " + names.get(of));
                 }
             }
         }
@@ -222,15 +225,15 @@
             w.run(3000);
             w.cut = (from, to) -> from == 0 && to == 1;
             w.run(10_000);
-            assertTrue(w.members[0].deafMs("n1") > 9000, "n0 knows that n1 does not hear it");
-            assertEquals(1, w.members[0].oneWay());
-            assertEquals(0, w.members[1].deafMs("n0"));
-            assertEquals(MemberStatus.ALIVE, w.members[1].standing("n0"));
-            assertEquals(MemberStatus.ALIVE, w.members[0].standing("n1"));
+            assertTrue(w.members[0].unheardForMs("n1") > 9000, "n0 knows that n1 does not hear it");
+            assertEquals(1, w.members[0].countOneWay());
+            assertEquals(0, w.members[1].unheardForMs("n0"));
+            assertEquals(MemberStatus.ALIVE, w.members[1].status("n0"));
+            assertEquals(MemberStatus.ALIVE, w.members[0].status("n1"));
             assertEquals(0, w.count(MemberStatus.DEAD));
             w.cut = (from, to) -> false;
             w.run(1000);
-            assertEquals(0, w.members[0].oneWay());
+            assertEquals(0, w.members[0].countOneWay());
         }
     }
 
@@ -259,7 +262,7 @@
             }
             w.awaitAll(0, MemberStatus.ALIVE);
             assertTrue(w.members[0].refutations() > 0);
-            assertTrue(w.members[0].lateTicks() > 0);
+            assertTrue(w.members[0].pauses() > 0);
         }
     }
 
@@ -273,9 +276,9 @@
         double died = w.now;
         w.end(0);
         w.run(LIMITS.goneMs() + 3 * LIMITS.beatMs());
-        assertEquals(MemberStatus.DEAD, w.members[1].standing("n0"), "by " + (w.now - died));
+        assertEquals(MemberStatus.DEAD, w.members[1].status("n0"), "by " + (w.now - died));
         w.run(10_000);
-        assertEquals(MemberStatus.DEAD, w.members[1].standing("n0"));
+        assertEquals(MemberStatus.DEAD, w.members[1].status("n0"));
     }
 
     @Test
@@ -315,57 +318,57 @@
             w.link(2, i);
             w.link(i, 2);
         }
-        d.linked(w.local(2), w.local(2), "n3", 1, 4711);
+        d.onConnected(w.local(2), w.local(2), "n3", 1, 4711);
         w.run(2000);
-        List<FailureDetector.Conflict> told = w.members[0].conflicts();
+        List<FailureDetector.Conflict> told = w.members[0].drainConflicts();
         assertEquals(1, told.size(), "once: " + told);
         assertEquals("n3", told.get(0).name());
-        assertEquals("n3", w.members[3].conflicts().get(0).name(), "the first process is told itself");
+        assertEquals("n3", w.members[3].drainConflicts().get(0).name(), "the first process is told itself");
     }
 
     /** What a peer tells of this member itself, to one that has run for a second. */
     private static FailureDetector toldOfItself(long life, MemberStatus standing, double ageMs) {
         FailureDetector d = new FailureDetector("a", 5, 1, LIMITS, 1);
         d.update(List.of("b"));
-        d.linked(0, 0, "b", 1, 2);
+        d.onConnected(0, 0, "b", 1, 2);
         d.tick(1000);
         SwimMessage.Entry e = new SwimMessage.Entry("a", life, 77, 0, standing, false, ageMs);
-        d.took(1000, "b", 1, 2, new SwimMessage(0, 1, 0, 990, 0, List.of(e), List.of()));
+        d.onMessage(1000, "b", 1, 2, new SwimMessage(0, 1, 0, 990, 0, List.of(e), List.of()));
         return d;
     }
 
     @Test
     void laterLifeOfItselfIsItsPastIfItEndedBeforeThisProcessBegan() {
-        assertEquals(9, toldOfItself(9, MemberStatus.DEAD, -1).pastLife());
-        assertEquals(9, toldOfItself(9, MemberStatus.SUSPECT, 2000).pastLife());
-        assertEquals(5, toldOfItself(5, MemberStatus.ALIVE, 2000).pastLife());
-        assertEquals(Long.MIN_VALUE, toldOfItself(4, MemberStatus.DEAD, 2000).pastLife());
+        assertEquals(9, toldOfItself(9, MemberStatus.DEAD, -1).endedLife());
+        assertEquals(9, toldOfItself(9, MemberStatus.SUSPECT, 2000).endedLife());
+        assertEquals(5, toldOfItself(5, MemberStatus.ALIVE, 2000).endedLife());
+        assertEquals(Long.MIN_VALUE, toldOfItself(4, MemberStatus.DEAD, 2000).endedLife());
         for (double ageMs : new double[] {-1, 500}) {
             FailureDetector second = toldOfItself(9, MemberStatus.ALIVE, ageMs);
-            assertEquals(Long.MIN_VALUE, second.pastLife(), "it lives beside this one, age " + ageMs);
-            assertEquals(1, second.conflicts().size());
+            assertEquals(Long.MIN_VALUE, second.endedLife(), "it lives beside this one, age " + ageMs);
+            assertEquals(1, second.drainConflicts().size());
         }
         FailureDetector renewed = toldOfItself(9, MemberStatus.DEAD, -1);
-        renewed.renew(10);
-        assertEquals(Long.MIN_VALUE, renewed.pastLife());
-        assertTrue(renewed.conflicts().isEmpty());
+        renewed.beginLife(10);
+        assertEquals(Long.MIN_VALUE, renewed.endedLife());
+        assertTrue(renewed.drainConflicts().isEmpty());
     }
 
     @Test
     void goneEndsByAGreaterIncarnationOnly() {
         FailureDetector d = new FailureDetector("a", 1, 1, LIMITS, 1);
         d.update(List.of("b"));
-        d.linked(0, 0, "b", 1, 2);
+        d.onConnected(0, 0, "b", 1, 2);
         int sent = 0;
         double now = 0;
-        while (d.standing("b") != MemberStatus.DEAD) {
+        while (d.status("b") != MemberStatus.DEAD) {
             now += LIMITS.beatMs();
-            sent = d.tick(now).get(0).beat().sequence();
+            sent = d.tick(now).get(0).message().sequence();
         }
         assertEquals(LIMITS.goneMs(), now, LIMITS.beatMs());
-        d.took(now + 10, "b", 1, 2, new SwimMessage(0, 1, sent, 5, 0, List.of(), List.of()));
-        assertEquals(MemberStatus.DEAD, d.standing("b"), "it does not know yet that it was held gone");
-        d.took(now + 20, "b", 1, 2, new SwimMessage(0, 2, sent, 15, 1, List.of(), List.of()));
-        assertEquals(MemberStatus.ALIVE, d.standing("b"));
+        d.onMessage(now + 10, "b", 1, 2, new SwimMessage(0, 1, sent, 5, 0, List.of(), List.of()));
+        assertEquals(MemberStatus.DEAD, d.status("b"), "it does not know yet that it was held gone");
+        d.onMessage(now + 20, "b", 1, 2, new SwimMessage(0, 2, sent, 15, 1, List.of(), List.of()));
+        assertEquals(MemberStatus.ALIVE, d.status("b"));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
@@ -46,17 +46,17 @@
         }
         entries.add(new SwimMessage.Entry("n9", 4, 5, 6, MemberStatus.DEAD, true, -1));
         SwimMessage all = new SwimMessage(
-                SwimMessage.NOW | SwimMessage.ANSWER | SwimMessage.FAREWELL,
+                SwimMessage.REPLY_NOW | SwimMessage.ANSWER | SwimMessage.FAREWELL,
                 70_000,
                 69_999,
                 12.5,
                 3,
                 entries,
                 List.of("n3", "n4"));
-        GoldenFiles.check("peer/beat", all, SwimMessage::bytes, SwimMessage::of);
-        for (int flag : List.of(SwimMessage.NOW, SwimMessage.ANSWER, SwimMessage.FAREWELL)) {
+        GoldenFiles.check("peer/beat", all, SwimMessage::encode, SwimMessage::decode);
+        for (int flag : List.of(SwimMessage.REPLY_NOW, SwimMessage.ANSWER, SwimMessage.FAREWELL)) {
             SwimMessage flagged = new SwimMessage(flag, 1, 0, 0, 0, List.of(), List.of());
-            GoldenFiles.check("peer/beat-flag-" + flag, flagged, SwimMessage::bytes, SwimMessage::of);
+            GoldenFiles.check("peer/beat-flag-" + flag, flagged, SwimMessage::encode, SwimMessage::decode);
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
@@ -25,7 +25,7 @@
     private static final int MOST = 4096;
     private static final Handshake.Hello HELLO = new Handshake.Hello(false, "fleet", "a", "b", "127.0.0.1:9", 3, 5, 7);
     private static final SwimMessage BEAT = new SwimMessage(
-            SwimMessage.NOW,
+            SwimMessage.REPLY_NOW,
             9,
             8,
             12.5,
@@ -81,7 +81,7 @@
     void anyBytesAreReadOrRefused(@ForAll @Size(max = 200) byte[] bytes) {
         bounded(bytes, in -> FrameCodec.read(in, MOST));
         bounded(bytes, Handshake::read);
-        bounded(bytes, in -> SwimMessage.of(bytes));
+        bounded(bytes, in -> SwimMessage.decode(bytes));
     }
 
     @Property(tries = 2000, seed = "29")
@@ -106,7 +106,7 @@
 
     @Property(tries = 1000, seed = "29")
     void oneFlippedBitIsNeverReadAsAMessage(@ForAll @IntRange(max = 1 << 20) int place) {
-        byte[] body = BEAT.bytes();
+        byte[] body = BEAT.encode();
         byte[] frame = frame(body, MessageStream.SHARE);
         byte[] hello = Handshake.bytes(HELLO);
         frame[place / 8 % frame.length] ^= (byte) (1 << place % 8);
@@ -120,11 +120,11 @@
         assertEquals(HELLO, Handshake.read(new ByteArrayInputStream(Handshake.bytes(HELLO))));
         Handshake.Part no = new Handshake.Refuse(HandshakeRejection.STALE_LIFE, 9, "x".repeat(80));
         assertEquals(no, Handshake.read(new ByteArrayInputStream(Handshake.bytes(no))));
-        assertEquals(BEAT, SwimMessage.of(BEAT.bytes()));
+        assertEquals(BEAT, SwimMessage.decode(BEAT.encode()));
         FrameCodec.Frame frame =
-                FrameCodec.read(new ByteArrayInputStream(frame(BEAT.bytes(), MessageStream.AGREED)), MOST);
+                FrameCodec.read(new ByteArrayInputStream(frame(BEAT.encode(), MessageStream.AGREED)), MOST);
         assertEquals(MessageStream.AGREED, frame.stream());
-        assertArrayEquals(BEAT.bytes(), frame.body());
+        assertArrayEquals(BEAT.encode(), frame.body());
         byte[] later = Handshake.bytes(HELLO);
         later[7] = 2;
         later[8] = 9;
--- a/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
@@ -115,7 +115,7 @@
                 try {
                     thread.execute(() -> {
                         if (receiver != null) {
-                            receiver.took(from, of, body);
+                            receiver.onMessage(from, of, body);
                         }
                     });
                 } catch (java.util.concurrent.RejectedExecutionException e) {
@@ -140,7 +140,7 @@
             names.stream().filter(n -> !n.equals(name)).forEach(n -> {
                 End e = ends.get(n);
                 if (e != null) {
-                    e.watchers.forEach(w -> w.changed(name, MemberStatus.ALIVE, life));
+                    e.watchers.forEach(w -> w.onStatus(name, MemberStatus.ALIVE, life));
                 }
             });
         }
