--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
@@ -9,8 +9,6 @@
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
 import brackenbridge.transport.AcceptRecovery;
-import io.micrometer.core.instrument.Counter;
-import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -31,7 +29,6 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
@@ -80,12 +77,7 @@
     private final BooleanSupplier confirmed;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Map<SubscriptionRejection, Counter> refusals = new EnumMap<>(SubscriptionRejection.class);
-    private final Counter subscriptions;
-    private final Counter updates;
-    private final Counter bytesOut;
-    private final Counter bytesIn;
-    private final Counter rejectedVersions;
+    private final ControlMetrics metrics;
     private volatile MachineReport report;
     private Channel listening;
 
@@ -115,40 +107,7 @@
         this.confirmed = confirmed;
         this.admissions = new AdmissionLimiter(limits.admissionsPerSecond(), limits.admissionBurst());
         this.report = new MachineReport(settings.machine(), false, List.of());
-        for (SubscriptionRejection refusal : SubscriptionRejection.values()) {
-            refusals.put(
-                    refusal,
-                    Counter.builder("control.refused")
-                            .tag("reason", refusal.name().toLowerCase(java.util.Locale.ROOT))
-                            .description("Connections refused or ended")
-                            .register(metrics));
-        }
-        subscriptions = counter(metrics, "control.subscriptions", "Subscriptions begun");
-        updates = counter(metrics, "control.updates", "Resources written to nodes");
-        bytesOut = counter(metrics, "control.bytes.out", "Bytes written to nodes");
-        bytesIn = counter(metrics, "control.bytes.in", "Bytes read from nodes");
-        rejectedVersions = counter(metrics, "control.versions.rejected", "Versions that a node could not use");
-        Gauge.builder(
-                        "control.nodes",
-                        () -> report.regions().stream()
-                                .mapToInt(MachineReport.RegionReport::nodes)
-                                .sum())
-                .description("Nodes that subscribe here")
-                .register(metrics);
-        Gauge.builder(
-                        "control.nodes.behind",
-                        () -> report.regions().stream()
-                                .mapToInt(region -> region.nodes() - region.current())
-                                .sum())
-                .description("Nodes that do not act by the newest versions")
-                .register(metrics);
-        Gauge.builder("control.confirmed", () -> report.confirmed() ? 1 : 0)
-                .description("1 while this machine holds a lease of the agreement")
-                .register(metrics);
-    }
-
-    private static Counter counter(MeterRegistry metrics, String name, String description) {
-        return Counter.builder(name).description(description).register(metrics);
+        this.metrics = new ControlMetrics(metrics, this::report);
     }
 
     /**
@@ -239,54 +198,21 @@
     }
 
     private MachineReport currentReport(boolean holdsLease) {
-        Map<String, RegionCount> regions = new TreeMap<>();
+        Map<String, RegionReportBuilder> regions = new TreeMap<>();
         byNode.values()
-                .forEach(connection -> regions.computeIfAbsent(connection.region, name -> new RegionCount())
-                        .add(connection));
+                .forEach(connection -> regions.computeIfAbsent(connection.region, name -> new RegionReportBuilder())
+                        .add(connection.node, connection.subscription, table));
         List<MachineReport.RegionReport> reports = new ArrayList<>();
-        regions.forEach((name, count) -> {
+        regions.forEach((name, builder) -> {
             if (reports.size() < MachineReport.MAX_REGIONS) {
-                reports.add(count.report(name));
+                reports.add(builder.build(name));
             }
         });
         return new MachineReport(settings.machine(), holdsLease, reports);
     }
 
-    /** Adds up the nodes of one region. */
-    private final class RegionCount {
-        private final Map<String, Map<Long, Integer>> versions = new TreeMap<>();
-        private final List<MachineReport.NodeBehind> behind = new ArrayList<>();
-        private int nodes;
-        private int current;
-
-        void add(NodeConnection connection) {
-            nodes++;
-            List<Subscription.Lag> lags = connection.subscription.behind(table);
-            current += lags.isEmpty() ? 1 : 0;
-            lags.stream()
-                    .limit(Math.max(0, MachineReport.MAX_NAMED - behind.size()))
-                    .forEach(lag -> behind.add(new MachineReport.NodeBehind(
-                            connection.node, lag.name(), lag.applied(), lag.newest(), lag.reason())));
-            connection
-                    .subscription
-                    .names()
-                    .forEach(name -> versions.computeIfAbsent(name, key -> new TreeMap<>())
-                            .merge(connection.subscription.applied(name), 1, Integer::sum));
-        }
-
-        MachineReport.RegionReport report(String region) {
-            List<MachineReport.VersionCount> counts = new ArrayList<>();
-            versions.forEach((name, byVersion) -> byVersion.forEach((version, count) -> {
-                if (counts.size() < MachineReport.MAX_VERSIONS) {
-                    counts.add(new MachineReport.VersionCount(name, version, count));
-                }
-            }));
-            return new MachineReport.RegionReport(region, nodes, current, counts, behind);
-        }
-    }
-
-    private void count(SubscriptionRejection refusal, String who, String why) {
-        refusals.get(refusal).increment();
+    private void recordRejection(SubscriptionRejection refusal, String who, String why) {
+        metrics.countRejection(refusal);
         double now = clock.nowMs();
         if (now >= loggedSinceMs + 1000) {
             loggedSinceMs = now;
@@ -351,7 +277,7 @@
             ByteBuf frame = (ByteBuf) received;
             try {
                 if (!ended) {
-                    bytesIn.increment(frame.readableBytes() + (double) ControlFrames.LENGTH_BYTES);
+                    metrics.bytesIn.increment(frame.readableBytes() + (double) ControlFrames.LENGTH_BYTES);
                     lastReadMs = clock.nowMs();
                     received(ControlFrames.read(frame));
                 }
@@ -379,7 +305,7 @@
             } else if (message instanceof Acknowledge acknowledge && subscription != null) {
                 subscription.acknowledged(acknowledge);
                 if (!acknowledge.accepted()) {
-                    rejectedVersions.increment();
+                    metrics.rejectedVersions.increment();
                     LOG.warn(
                             "control server {}: {} can't use version {} of {}: {}",
                             settings.machine(),
@@ -445,13 +371,13 @@
                     .forEach(name -> byResource
                             .computeIfAbsent(name, key -> new HashSet<>())
                             .add(this));
-            subscriptions.increment();
+            metrics.subscriptions.increment();
             write(ControlFrames.bytes(new Welcome(settings.machine(), limits.heartbeatMs())));
             sendPending();
         }
 
         private void write(byte[] frame) {
-            bytesOut.increment(frame.length);
+            metrics.bytesOut.increment(frame.length);
             channel.write(Unpooled.wrappedBuffer(frame));
         }
 
@@ -466,7 +392,7 @@
                     break;
                 }
                 write(frame(next.get()));
-                updates.increment();
+                metrics.updates.increment();
             }
             channel.flush();
             noteWritability();
@@ -518,7 +444,7 @@
                 return;
             }
             ended = true;
-            count(refusal, String.valueOf(channel.remoteAddress()), why);
+            recordRejection(refusal, String.valueOf(channel.remoteAddress()), why);
             forget();
             channel.pipeline().remove(io.netty.handler.codec.LengthFieldBasedFrameDecoder.class);
             write(ControlFrames.bytes(new Refuse(refusal, retryAfterMs)));
