--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -8,7 +8,8 @@
 
 /**
  * Who is alive. After SWIM (Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style process group
- * membership protocol", DSN 2002: others are asked before a member is suspected, suspicion comes before death, a greater
+ * membership protocol", DSN 2002: others are asked before a member is suspected, suspicion comes before death, a
+ * greater
  * incarnation refutes) and Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more accurate
  * failure detection", 2018: a member that is itself slow suspects others later, a suspicion that others confirm times
  * out sooner, the suspected member is told first).
@@ -19,7 +20,8 @@
  * Such evidence is handed on with its age, so a member that anybody hears is alive for all. And time during which this
  * process itself was paused is taken from every silence.
  *
- * <p>This class composes the parts: {@link MemberTable}, {@link LocalHealth}, {@link Suspicion}, {@link SelfRefutation},
+ * <p>This class composes the parts: {@link MemberTable}, {@link LocalHealth}, {@link Suspicion},
+ * {@link SelfRefutation},
  * {@link IndirectProber}, {@link GossipSender} and {@link GossipReceiver}. Not thread-safe. Times are milliseconds of
  * one clock that never goes back.
  */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
@@ -1,7 +1,8 @@
 package brackenbridge.fleet.peer;
 
 /**
- * Lifeguard's local health multiplier (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more accurate
+ * Lifeguard's local health multiplier (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more
+ * accurate
  * failure detection", 2018): a member that was paused, or whose probes nobody answers, is more likely slow itself, so
  * it suspects others later.
  */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * The one message of the failure detector: a heartbeat with gossip, and requests for indirect probes (SWIM, section 3.1).
+ * The one message of the failure detector: a heartbeat with gossip, and requests for indirect probes (SWIM,
+ * section 3.1).
  *
  * @param flags of {@link #REPLY_NOW}, {@link #ANSWER} and {@link #FAREWELL}
  * @param sequence numbers the sender's messages to this receiver
