--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -79,10 +79,10 @@
     /** The next lives to compare with this peer; all come in turn, the peer's own one is always among them. */
     public ReplicationMessage.Digests next(String peer) {
         Set<CatchUp.Of> of = new LinkedHashSet<>();
-        of.add(new CatchUp.Of(peer, store.newest(peer)));
-        of.add(new CatchUp.Of(store.me(), store.life()));
+        of.add(new CatchUp.Of(peer, store.newestIncarnation(peer)));
+        of.add(new CatchUp.Of(store.localMember(), store.incarnation()));
         List<CatchUp.Of> all = new ArrayList<>();
-        store.owners().forEach(o -> store.lives(o).forEach(l -> all.add(new CatchUp.Of(o, l))));
+        store.owners().forEach(o -> store.incarnations(o).forEach(l -> all.add(new CatchUp.Of(o, l))));
         int from = 0;
         while (from < all.size() && all.get(from).compareTo(next) < 0) {
             from++;
@@ -96,7 +96,10 @@
             long[] d = store.digests(o.owner(), o.life());
             if (d != null) {
                 digests.add(new ReplicationMessage.Digest(
-                        o.owner(), o.life(), store.have(o.owner(), o.life()).orElse(0), OwnerLog.digest(d)));
+                        o.owner(),
+                        o.life(),
+                        store.appliedSequence(o.owner(), o.life()).orElse(0),
+                        OwnerLog.digest(d)));
             }
         }
         return new ReplicationMessage.Digests(digests);
@@ -129,13 +132,13 @@
 
     /** Only copies that are equally far are compared. */
     private long[] same(String owner, long life, long have) {
-        return store.have(owner, life).orElse(0) == have ? store.digests(owner, life) : null;
+        return store.appliedSequence(owner, life).orElse(0) == have ? store.digests(owner, life) : null;
     }
 
     private void agreed(String peer, String owner, long life) {
         CatchUp.Of of = new CatchUp.Of(owner, life);
         open.remove(of);
-        if (peer.equals(owner) || life < store.newest(owner)) {
+        if (peer.equals(owner) || life < store.newestIncarnation(owner)) {
             strikes.remove(of);
             givenUp.remove(of);
         }
@@ -165,7 +168,7 @@
 
     private void strike(String peer, String owner, long life) {
         CatchUp.Of of = new CatchUp.Of(owner, life);
-        if (owner.equals(store.me())) {
+        if (owner.equals(store.localMember())) {
             return;
         }
         open.add(of);
@@ -174,7 +177,7 @@
             givenUp.add(of);
             alarm("the copy of " + owner + " in life " + life + " still differs from its owner's after " + STRIKES
                     + " times: out of decision, fetched whole");
-            store.again(owner, life);
+            store.discard(owner, life);
         }
     }
 
@@ -197,7 +200,8 @@
 
     /** Takes a peer's records of a range, and applies the rule; answers with those here if asked to. */
     public List<ReplicationMessage> took(String peer, ReplicationMessage.Copies m, double nowMs) {
-        if (store.have(m.owner(), m.life()).orElse(0) != m.have() || store.digests(m.owner(), m.life()) == null) {
+        if (store.appliedSequence(m.owner(), m.life()).orElse(0) != m.have()
+                || store.digests(m.owner(), m.life()) == null) {
             return List.of();
         }
         List<ReplicationMessage> answer =
@@ -230,14 +234,14 @@
                 rule(peer, m.owner(), m.life(), i, t, nowMs);
             }
         }
-        if (m.last() && m.owner().equals(store.me())) {
+        if (m.last() && m.owner().equals(store.localMember())) {
             open.remove(new CatchUp.Of(m.owner(), m.life()));
         }
         return answer;
     }
 
     private void rule(String peer, String owner, long life, RecordKey item, ReplicatedRecord theirs, double nowMs) {
-        ReplicatedRecord mine = store.entry(owner, life, item);
+        ReplicatedRecord mine = store.record(owner, life, item);
         boolean goneHere = mine == null || mine.gone();
         boolean goneThere = theirs == null || theirs.gone();
         if (goneHere && goneThere
@@ -248,8 +252,8 @@
                         && theirs.intact(owner)) {
             return;
         }
-        boolean own = owner.equals(store.me()) && life == store.life();
-        boolean present = life == store.newest(owner);
+        boolean own = owner.equals(store.localMember()) && life == store.incarnation();
+        boolean present = life == store.newestIncarnation(owner);
         Verdict v;
         if (mine != null && !mine.intact(owner)) {
             v = theirs != null && theirs.intact(owner) || !own ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
@@ -275,9 +279,9 @@
         found(new Difference(
                 nowMs, owner, life, item.space(), item.key(), peer, text(owner, mine), text(owner, theirs), v));
         if (v == Verdict.TOOK_THEIRS) {
-            store.mend(owner, life, item, theirs != null && !theirs.intact(owner) ? null : theirs, nowMs);
+            store.repair(owner, life, item, theirs != null && !theirs.intact(owner) ? null : theirs, nowMs);
         } else if (v == Verdict.TWO_WRITERS) {
-            store.clash(owner, life, mine, theirs);
+            store.resolveConflict(owner, life, mine, theirs);
         }
     }
 
@@ -320,14 +324,14 @@
 
     /** Lives of owners that were found to differ and were not found equal since. */
     public int open() {
-        open.removeIf(o -> o.life() < store.newest(o.owner())
-                && store.have(o.owner(), o.life()).isEmpty());
+        open.removeIf(o -> o.life() < store.newestIncarnation(o.owner())
+                && store.appliedSequence(o.owner(), o.life()).isEmpty());
         return open.size();
     }
 
     /** Whether a copy here still differs after the rule: nobody acts on this member's copies. */
     public boolean outOfDecision() {
-        givenUp.removeIf(o -> o.life() < store.newest(o.owner()));
+        givenUp.removeIf(o -> o.life() < store.newestIncarnation(o.owner()));
         return !givenUp.isEmpty();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -54,7 +54,7 @@
         }
         Lack l = lacks.get(of);
         if (l == null) {
-            if (lacks.size() >= 2 * RecordStore.MOST_OWNERS) {
+            if (lacks.size() >= 2 * RecordStore.MAX_OWNERS) {
                 return;
             }
             l = new Lack();
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
@@ -0,0 +1,77 @@
+package brackenbridge.fleet.replica;
+
+import java.util.List;
+
+/** Digests and records of single logs for comparison with a peer's copies, and the repair of copies that differ. */
+final class CopyRepair {
+    private final RecordTable table;
+    private final LocalOwner local;
+
+    CopyRepair(RecordTable table, LocalOwner local) {
+        this.table = table;
+        this.local = local;
+    }
+
+    long[] digests(String owner, long incarnation) {
+        OwnerLog log = table.log(owner, incarnation);
+        return log == null || log.snapshotEnd != 0 || log.appliedSequence == 0 ? null : log.digests();
+    }
+
+    List<Long> incarnations(String name) {
+        OwnerState owner = table.find(name);
+        return owner == null ? List.of() : List.copyOf(owner.logs.keySet());
+    }
+
+    List<ReplicatedRecord> range(String owner, long incarnation, int range) {
+        return all(owner, incarnation).stream()
+                .filter(record -> record.item().range() == range)
+                .sorted((a, b) -> a.item().compareTo(b.item()))
+                .toList();
+    }
+
+    List<ReplicatedRecord> all(String owner, long incarnation) {
+        OwnerLog log = table.log(owner, incarnation);
+        return log == null ? List.of() : log.all();
+    }
+
+    ReplicatedRecord record(String owner, long incarnation, RecordKey key) {
+        OwnerLog log = table.log(owner, incarnation);
+        return log == null ? null : log.get(key);
+    }
+
+    void repair(String owner, long incarnation, RecordKey key, ReplicatedRecord replacement, double nowMs) {
+        OwnerLog log = table.log(owner, incarnation);
+        if (log == null || replacement != null && !replacement.intact(owner)) {
+            return;
+        }
+        if (replacement == null) {
+            log.drop(key);
+        } else {
+            log.replace(replacement, nowMs);
+        }
+        table.addChange(owner, incarnation, key);
+    }
+
+    void resolveConflict(String name, long incarnation, ReplicatedRecord mine, ReplicatedRecord theirs) {
+        OwnerLog log = table.log(name, incarnation);
+        if (log != null) {
+            table.resolveConflict(table.find(name), log, mine, theirs);
+        }
+    }
+
+    void discard(String name, long incarnation) {
+        OwnerLog log = table.log(name, incarnation);
+        if (log == null || local.isNamed(name) && incarnation == local.incarnation) {
+            return;
+        }
+        log.all().forEach(record -> {
+            log.drop(record.item());
+            table.addChange(name, incarnation, record.item());
+        });
+        log.appliedSequence = 0;
+        log.tombstoneFloor = 0;
+        log.clearSnapshot();
+        table.find(name).lastCompleteAtMs = Double.NEGATIVE_INFINITY;
+        table.addChange(name, incarnation, null);
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
@@ -0,0 +1,89 @@
+package brackenbridge.fleet.replica;
+
+import java.util.Map;
+import java.util.Objects;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/** Writes of this member: own records, counters, and the folding of its ended incarnations' counters. */
+final class LocalWriter {
+    private final RecordTable table;
+    private final LocalOwner local;
+
+    LocalWriter(RecordTable table, LocalOwner local) {
+        this.table = table;
+        this.local = local;
+    }
+
+    boolean put(RecordSpace space, String key, byte[] value, double nowMs) {
+        space.requireKind(RecordSpace.Kind.OWN);
+        return write(space, key, Objects.requireNonNull(value), 0, 0, nowMs);
+    }
+
+    boolean remove(RecordSpace space, String key, double nowMs) {
+        space.requireKind(RecordSpace.Kind.OWN);
+        ReplicatedRecord record = local.log().get(new RecordKey(space, key));
+        return record != null && !record.gone() && write(space, key, null, 0, 0, nowMs);
+    }
+
+    boolean add(RecordSpace space, String key, long increment, double nowMs) {
+        space.requireKind(RecordSpace.Kind.COUNTED);
+        if (increment < 0) {
+            throw new IllegalArgumentException("a counter only grows: " + increment);
+        }
+        ReplicatedRecord record = local.log().get(new RecordKey(space, key));
+        long count = record == null ? 0 : record.count();
+        long below = record == null ? 0 : record.below();
+        long sum = increment > Long.MAX_VALUE - count ? Long.MAX_VALUE : count + increment;
+        return write(space, key, null, sum, below, nowMs);
+    }
+
+    /** Appends a write to the log; false if this incarnation is quarantined or the bound on records is met. */
+    boolean write(RecordSpace space, String key, byte[] value, long count, long below, double nowMs) {
+        OwnerState owner = local.state();
+        OwnerLog log = local.log();
+        boolean full = log.size() >= RecordStore.MAX_RECORDS && log.get(new RecordKey(space, key)) == null;
+        if (owner.quarantineReason != null || full) {
+            return false;
+        }
+        RecordVersion version = new RecordVersion(local.incarnation, log.appliedSequence + 1);
+        table.apply(owner, log, ReplicatedRecord.of(local.name, space, key, version, value, count, below), nowMs);
+        log.appliedSequence++;
+        table.addChange(local.name, local.incarnation, null);
+        return true;
+    }
+
+    int foldCounters(long below, double nowMs) {
+        if (below > local.incarnation) {
+            throw new IllegalArgumentException("only ended incarnations are folded");
+        }
+        OwnerState owner = local.state();
+        TreeSet<RecordKey> keys = new TreeSet<>();
+        for (OwnerLog log : owner.logs.headMap(below).values()) {
+            log.all().stream()
+                    .filter(record -> record.space().kind() == RecordSpace.Kind.COUNTED)
+                    .forEach(record -> keys.add(record.item()));
+        }
+        int folded = 0;
+        for (RecordKey key : keys) {
+            ReplicatedRecord present = local.log().get(key);
+            long count = present == null ? 0 : present.count();
+            for (OwnerLog log : owner.logs.headMap(below).values()) {
+                ReplicatedRecord ended = log.get(key);
+                count += ended == null ? 0 : ended.count();
+            }
+            folded += write(key.space(), key.key(), null, count, below, nowMs) ? 1 : 0;
+        }
+        return folded;
+    }
+
+    Map<Long, Long> endedIncarnations() {
+        TreeMap<Long, Long> ended = new TreeMap<>();
+        local.state().logs.headMap(local.incarnation).forEach((incarnation, log) -> {
+            if (log.size() > 0) {
+                ended.put(incarnation, log.appliedSequence);
+            }
+        });
+        return ended;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
@@ -0,0 +1,99 @@
+package brackenbridge.fleet.replica;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalLong;
+
+/** What peers are told of the logs here: marks, what is missing, and pieces of logs and snapshots. */
+final class LogReader {
+    /** The greatest age that a mark carries, in milliseconds; longer ones are shortened to it. */
+    private static final double MAX_AGE_MS = 1e15;
+
+    private final RecordTable table;
+    private final LocalOwner local;
+
+    LogReader(RecordTable table, LocalOwner local) {
+        this.table = table;
+        this.local = local;
+    }
+
+    List<ReplicationMessage.Mark> marks(Iterable<String> names, double nowMs) {
+        List<ReplicationMessage.Mark> marks = new ArrayList<>();
+        for (String name : names) {
+            OwnerState owner = table.find(name);
+            if (owner != null) {
+                marks.add(mark(name, owner, nowMs));
+            }
+        }
+        return marks;
+    }
+
+    private ReplicationMessage.Mark mark(String name, OwnerState owner, double nowMs) {
+        OwnerLog log = owner.newestLog();
+        long applied = log == null ? 0 : log.appliedSequence;
+        boolean self = local.isNamed(name) && owner.incarnation == local.incarnation;
+        double ageMs = self ? 0 : Math.min(MAX_AGE_MS, Math.max(0, nowMs - owner.lastHeardAtMs));
+        return new ReplicationMessage.Mark(
+                name,
+                owner.incarnation,
+                owner.nonce,
+                self ? local.heartbeat : owner.heartbeat,
+                self ? applied : owner.announcedSequence,
+                applied,
+                (long) Math.ceil(ageMs),
+                owner.quarantineReason != null);
+    }
+
+    List<ReplicationMessage.Have> endedIncarnations() {
+        List<ReplicationMessage.Have> ended = new ArrayList<>();
+        table.all()
+                .forEach((name, owner) -> owner.logs.headMap(owner.incarnation).forEach((incarnation, log) -> {
+                    if (log.size() > 0) {
+                        ended.add(new ReplicationMessage.Have(name, incarnation, log.appliedSequence));
+                    }
+                }));
+        return ended;
+    }
+
+    OptionalLong appliedSequence(String name, long incarnation) {
+        OwnerState owner = table.find(name);
+        OwnerLog log = table.log(name, incarnation);
+        if (log != null) {
+            return OptionalLong.of(log.appliedSequence);
+        }
+        boolean ended = owner != null && incarnation < owner.incarnation;
+        return ended ? OptionalLong.empty() : OptionalLong.of(0);
+    }
+
+    ReplicationMessage.Want request(String name, long incarnation) {
+        OwnerLog log = table.log(name, incarnation);
+        return log == null
+                ? new ReplicationMessage.Want(name, incarnation, 0, 0, 0)
+                : new ReplicationMessage.Want(
+                        name, incarnation, log.appliedSequence, log.snapshotCursor, log.snapshotEnd);
+    }
+
+    ReplicationMessage.Chunk answer(ReplicationMessage.Want want, int maxBytes) {
+        OwnerState owner = table.find(want.owner());
+        OwnerLog log = table.log(want.owner(), want.life());
+        if (log == null || log.appliedSequence <= want.have()) {
+            return null;
+        }
+        if (want.life() < owner.incarnation || want.have() >= log.tombstoneFloor) {
+            return log.piece(want.have(), log.appliedSequence, 0, owner.incarnation, maxBytes);
+        }
+        // A snapshot that another began goes on only if no tombstone after its end was forgotten since.
+        boolean resumes =
+                want.base() > want.have() && want.base() <= log.appliedSequence && want.cursor() < want.base();
+        return resumes
+                ? log.piece(want.cursor(), want.base(), want.base(), owner.incarnation, maxBytes)
+                : log.piece(0, log.appliedSequence, log.appliedSequence, owner.incarnation, maxBytes);
+    }
+
+    ReplicationMessage.Chunk readAfter(String name, long incarnation, long sequence, int maxBytes) {
+        OwnerLog log = table.log(name, incarnation);
+        return log == null || sequence >= log.appliedSequence || sequence < log.tombstoneFloor
+                ? null
+                : log.piece(sequence, log.appliedSequence, 0, table.find(name).incarnation, maxBytes);
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/MarkMerger.java
@@ -0,0 +1,115 @@
+package brackenbridge.fleet.replica;
+
+import java.util.List;
+
+/**
+ * Merges marks, by which peers say which incarnation of an owner is the newest and how far it has written. A mark of
+ * this member itself may say that another process has used its name; then this one either takes a later incarnation, as
+ * a SWIM member refutes a suspicion (Das, Gupta, Motivala: SWIM, 2002), or is quarantined.
+ */
+final class MarkMerger {
+    private final RecordTable table;
+    private final LocalOwner local;
+    private final LocalWriter writer;
+
+    MarkMerger(RecordTable table, LocalOwner local, LocalWriter writer) {
+        this.table = table;
+        this.local = local;
+        this.writer = writer;
+    }
+
+    /** Merges a mark; true if it was news. */
+    boolean merge(ReplicationMessage.Mark mark, double nowMs) {
+        if (local.isNamed(mark.owner())) {
+            return mergeOfLocal(mark, nowMs);
+        }
+        OwnerState owner = table.findOrAdd(mark.owner());
+        if (owner == null || mark.life() < owner.incarnation) {
+            return false;
+        }
+        boolean news = table.advanceIncarnation(mark.owner(), owner, mark.life());
+        if (owner.nonce == 0) {
+            owner.nonce = mark.nonce();
+        } else if (mark.nonce() != 0 && mark.nonce() != owner.nonce) {
+            news |= table.quarantine(
+                    mark.owner(),
+                    owner,
+                    "two processes write as " + mark.owner() + " in life " + mark.life() + ": "
+                            + Long.toHexString(owner.nonce) + " and " + Long.toHexString(mark.nonce()));
+        }
+        if (mark.aside()) {
+            news |= table.quarantine(mark.owner(), owner, "put aside by another member in life " + mark.life());
+        }
+        return mergeHeartbeat(owner, mark, nowMs) | news;
+    }
+
+    private static boolean mergeHeartbeat(OwnerState owner, ReplicationMessage.Mark mark, double nowMs) {
+        if (mark.beat() < owner.heartbeat) {
+            return false;
+        }
+        boolean news = mark.beat() > owner.heartbeat;
+        owner.heartbeat = mark.beat();
+        owner.announcedSequence = Math.max(owner.announcedSequence, mark.said());
+        owner.lastHeardAtMs = Math.max(owner.lastHeardAtMs, nowMs - mark.ageMs());
+        owner.updateCompleteness();
+        return news;
+    }
+
+    /** Merges what a peer knows of this member itself. */
+    private boolean mergeOfLocal(ReplicationMessage.Mark mark, double nowMs) {
+        boolean sameIncarnation = mark.life() == local.incarnation;
+        if (sameIncarnation && (mark.nonce() == local.nonce || mark.nonce() == 0)) {
+            local.confirmed = true;
+            if (mark.aside()) {
+                local.quarantine("put aside by another member in life " + local.incarnation);
+            }
+            return false;
+        }
+        if (mark.life() < local.incarnation || mark.life() == 0) {
+            return false;
+        }
+        boolean nothingAnnounced = !local.announced || !local.confirmed && local.log().appliedSequence == 0;
+        boolean otherProcessEnded = nowMs - mark.ageMs() < local.startedAtMs;
+        if (nothingAnnounced || otherProcessEnded) {
+            // Guards against an old disk and a time of day that went back: the other process is this member's own
+            // past, or nothing was announced in this incarnation yet.
+            table.addAlarm("incarnation " + local.incarnation + " of " + local.name + " is not the latest, peers know "
+                    + mark.life() + ": takes the next");
+            startIncarnation(mark.life() + 1, nowMs);
+            return true;
+        }
+        return local.quarantine(
+                sameIncarnation
+                        ? "another process writes as " + local.name + " in life " + local.incarnation
+                        : "another process writes as " + local.name + " in a later life, " + mark.life());
+    }
+
+    /**
+     * Goes on in a later incarnation with all that was written in this one. Counts that others may know stay where they
+     * are, as parts of an ended incarnation, so that none is counted twice.
+     */
+    private void startIncarnation(long next, double nowMs) {
+        OwnerState owner = local.state();
+        OwnerLog ended = owner.logs.remove(local.incarnation);
+        List<ReplicatedRecord> written = ended.all();
+        local.incarnation = next;
+        local.confirmed = false;
+        owner.incarnation = next;
+        owner.quarantineReason = null;
+        owner.logs.put(next, new OwnerLog(local.name, next));
+        written.forEach(record -> table.addChange(local.name, ended.incarnation, record.item()));
+        if (local.announced) {
+            ended.end();
+            owner.logs.put(ended.incarnation, ended);
+            table.removeObsoleteLogs(local.name, owner, ended);
+        }
+        table.addChange(local.name, ended.incarnation, null);
+        for (ReplicatedRecord record : written) {
+            boolean own = record.space().kind() == RecordSpace.Kind.OWN;
+            if (!record.gone() && (own || !local.announced)) {
+                writer.write(record.space(), record.key(), record.value(), record.count(), record.below(), nowMs);
+            }
+        }
+        table.addChange(local.name, next, null);
+    }
+}
--- a/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
@@ -10,50 +10,51 @@
 import java.util.TreeMap;
 
 /**
- * A copy of what one life of one owner wrote: of each key the last write, in the order of writes. The order is the log:
- * what is missing after any write is its tail. Removals stand in it for a bounded time; below {@link #floor} they are
- * forgotten, and who needs that far back gets a snapshot.
+ * A copy of the log of one incarnation of one owner: of each key the last write, in the order of sequence numbers. What
+ * is missing after any sequence number is the log's tail. Tombstones stand in it for a bounded time; below
+ * {@link #tombstoneFloor} they are forgotten, and who needs that far back gets a snapshot. Mutable; guarded by whoever
+ * guards the {@link RecordStore}.
  */
 final class OwnerLog {
-    /** Removals that are remembered, at the most. */
-    static final int MOST_REMOVALS = 1024;
+    /** Tombstones that are remembered, at the most. */
+    static final int MAX_TOMBSTONES = 1024;
 
-    private record Removal(long sequence, double atMs) {}
+    private record Tombstone(long sequence, double atMs) {}
 
     final String owner;
-    final long life;
+    final long incarnation;
     /** All up to this write is here, or was written over by a later one. */
-    long have;
-    /** Removals up to this write may be forgotten. */
-    long floor;
+    long appliedSequence;
+    /** Tombstones up to this write may be forgotten. */
+    long tombstoneFloor;
     /** A snapshot that is under way ends at this write; 0 if none is. */
-    long base;
+    long snapshotEnd;
     /** The snapshot is taken up to this write. */
-    long cursor;
+    long snapshotCursor;
 
     private final TreeMap<Long, ReplicatedRecord> bySequence = new TreeMap<>();
-    private final Map<RecordKey, ReplicatedRecord> byItem = new HashMap<>();
-    private final ArrayDeque<Removal> removals = new ArrayDeque<>();
+    private final Map<RecordKey, ReplicatedRecord> byKey = new HashMap<>();
+    private final ArrayDeque<Tombstone> tombstones = new ArrayDeque<>();
 
-    OwnerLog(String owner, long life) {
+    OwnerLog(String owner, long incarnation) {
         this.owner = owner;
-        this.life = life;
+        this.incarnation = incarnation;
     }
 
     OwnerLog copy() {
-        OwnerLog p = new OwnerLog(owner, life);
-        p.have = have;
-        p.floor = floor;
-        p.base = base;
-        p.cursor = cursor;
-        p.bySequence.putAll(bySequence);
-        p.byItem.putAll(byItem);
-        p.removals.addAll(removals);
-        return p;
+        OwnerLog copy = new OwnerLog(owner, incarnation);
+        copy.appliedSequence = appliedSequence;
+        copy.tombstoneFloor = tombstoneFloor;
+        copy.snapshotEnd = snapshotEnd;
+        copy.snapshotCursor = snapshotCursor;
+        copy.bySequence.putAll(bySequence);
+        copy.byKey.putAll(byKey);
+        copy.tombstones.addAll(tombstones);
+        return copy;
     }
 
     ReplicatedRecord get(RecordKey item) {
-        return byItem.get(item);
+        return byKey.get(item);
     }
 
     ReplicatedRecord at(long sequence) {
@@ -71,7 +72,7 @@
 
     /** Takes a write if it is later than what is here of its key. */
     boolean apply(ReplicatedRecord e, double nowMs) {
-        ReplicatedRecord now = byItem.get(e.item());
+        ReplicatedRecord now = byKey.get(e.item());
         if (now != null && now.version().sequence() >= e.version().sequence()) {
             return false;
         }
@@ -81,21 +82,21 @@
 
     /** Puts this one in the place of whatever is here of its key. */
     void replace(ReplicatedRecord e, double nowMs) {
-        ReplicatedRecord before = byItem.put(e.item(), e);
+        ReplicatedRecord before = byKey.put(e.item(), e);
         if (before != null) {
             bySequence.remove(before.version().sequence());
         }
         ReplicatedRecord other = bySequence.put(e.version().sequence(), e);
         if (other != null && !other.item().equals(e.item())) {
-            byItem.remove(other.item());
+            byKey.remove(other.item());
         }
         if (e.gone()) {
-            removals.add(new Removal(e.version().sequence(), nowMs));
+            tombstones.add(new Tombstone(e.version().sequence(), nowMs));
         }
     }
 
     void drop(RecordKey item) {
-        ReplicatedRecord e = byItem.remove(item);
+        ReplicatedRecord e = byKey.remove(item);
         if (e != null) {
             bySequence.remove(e.version().sequence());
         }
@@ -118,7 +119,7 @@
         return dropped;
     }
 
-    /** Its life has ended: only parts of sums are kept. */
+    /** Its incarnation has ended: only counters are kept. */
     List<RecordKey> end() {
         List<RecordKey> dropped = new ArrayList<>();
         for (ReplicatedRecord e : List.copyOf(bySequence.values())) {
@@ -127,30 +128,35 @@
                 dropped.add(e.item());
             }
         }
-        removals.clear();
+        tombstones.clear();
         // Counts are never removed, so what a snapshot has brought until now is as good as a log up to there.
-        have = Math.max(have, cursor);
-        base = 0;
-        cursor = 0;
+        appliedSequence = Math.max(appliedSequence, snapshotCursor);
+        clearSnapshot();
         return dropped;
     }
 
+    /** No snapshot is under way any more. */
+    void clearSnapshot() {
+        snapshotEnd = 0;
+        snapshotCursor = 0;
+    }
+
     /**
-     * Forgets removals that are older than this, and the oldest above the bound. Whoever still lacks one of them is
+     * Forgets tombstones that are older than this, and the oldest above the bound. Whoever still lacks one of them is
      * below the floor from then on and gets a snapshot, and what that does not name is gone.
      */
-    List<RecordKey> forget(double nowMs, double afterMs) {
+    List<RecordKey> forgetTombstones(double nowMs, double afterMs) {
         List<RecordKey> forgotten = new ArrayList<>();
-        while (!removals.isEmpty()
-                && (removals.size() > MOST_REMOVALS || removals.peek().atMs() <= nowMs - afterMs)
-                && removals.peek().sequence() <= have) {
-            Removal r = removals.poll();
-            ReplicatedRecord e = bySequence.get(r.sequence());
+        while (!tombstones.isEmpty()
+                && (tombstones.size() > MAX_TOMBSTONES || tombstones.peek().atMs() <= nowMs - afterMs)
+                && tombstones.peek().sequence() <= appliedSequence) {
+            Tombstone oldest = tombstones.poll();
+            ReplicatedRecord e = bySequence.get(oldest.sequence());
             if (e != null && e.gone()) {
                 drop(e.item());
                 forgotten.add(e.item());
             }
-            floor = Math.max(floor, r.sequence());
+            tombstoneFloor = Math.max(tombstoneFloor, oldest.sequence());
         }
         return forgotten;
     }
@@ -169,7 +175,8 @@
             entries.add(e);
             bytes += e.bytes();
         }
-        return new ReplicationMessage.Chunk(owner, life, newest, from, Math.max(from, to), snapshot, floor, entries);
+        return new ReplicationMessage.Chunk(
+                owner, incarnation, newest, from, Math.max(from, to), snapshot, tombstoneFloor, entries);
     }
 
     /** A digest for each range of keys, over what the copy holds by now: nothing is remembered from when it came. */
@@ -201,6 +208,7 @@
 
     @Override
     public String toString() {
-        return life + ":" + have + "," + floor + "," + base + "," + cursor + bySequence.values();
+        return incarnation + ":" + appliedSequence + "," + tombstoneFloor + "," + snapshotEnd + "," + snapshotCursor
+                + bySequence.values();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -45,4 +45,15 @@
     public double freshMs() {
         return freshMs;
     }
+
+    /**
+     * Checks the rule.
+     *
+     * @throws IllegalArgumentException if it is another one
+     */
+    void requireKind(Kind required) {
+        if (kind != required) {
+            throw new IllegalArgumentException(this + " is not of kind " + required);
+        }
+    }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -106,7 +106,7 @@
         onDisk = disk != null;
         if (disk != null) {
             disk.restore(store);
-            store.touched();
+            store.drainChanges();
             writeEverything();
         }
         exchange = new ReplicationProtocol(store, terms, new SplittableRandom(nonce), clock.nowMs());
@@ -172,21 +172,21 @@
     /** Takes note of what a turn has changed; with the lock held. */
     private List<String> settle() {
         boolean listens = !listeners.isEmpty();
-        for (RecordStore.Touched t : store.touched()) {
+        for (RecordTable.Change t : store.drainChanges()) {
             LinkedHashSet<RecordKey> items = disk == null
                     ? null
-                    : toWrite.computeIfAbsent(new CatchUp.Of(t.owner(), t.life()), k -> new LinkedHashSet<>());
-            if (t.item() != null) {
+                    : toWrite.computeIfAbsent(new CatchUp.Of(t.owner(), t.incarnation()), k -> new LinkedHashSet<>());
+            if (t.key() != null) {
                 if (items != null) {
-                    items.add(t.item());
+                    items.add(t.key());
                 }
                 if (listens) {
-                    toTell.add(new Key(t.item().space(), t.owner(), t.item().key()));
+                    toTell.add(new Key(t.key().space(), t.owner(), t.key().key()));
                 }
             }
         }
         changed.signalAll();
-        List<String> alarms = new ArrayList<>(store.alarms());
+        List<String> alarms = new ArrayList<>(store.drainAlarms());
         alarms.addAll(exchange.differences().alarms());
         return alarms;
     }
@@ -236,7 +236,7 @@
                     changed.await();
                 }
                 double now = clock.nowMs();
-                toTell.forEach(k -> tell.put(k, store.seen(k.owner(), k.space(), k.key(), now)));
+                toTell.forEach(k -> tell.put(k, store.read(k.owner(), k.space(), k.key(), now)));
                 toTell.clear();
             } catch (InterruptedException e) {
                 return;
@@ -285,7 +285,7 @@
     /** All there is, is to be written; with the lock held. */
     private void writeEverything() {
         for (String owner : store.owners()) {
-            for (long life : store.lives(owner)) {
+            for (long life : store.incarnations(owner)) {
                 LinkedHashSet<RecordKey> items =
                         toWrite.computeIfAbsent(new CatchUp.Of(owner, life), k -> new LinkedHashSet<>());
                 store.all(owner, life).forEach(e -> items.add(e.item()));
@@ -300,7 +300,7 @@
         long life;
         lock.lock();
         try {
-            life = store.life();
+            life = store.incarnation();
             if (disk.wantsAll()) {
                 // Whatever the file had may be lost with what failed.
                 writeEverything();
@@ -312,20 +312,20 @@
                 List<ReplicatedRecord> entries = new ArrayList<>();
                 List<RecordKey> gone = new ArrayList<>();
                 for (RecordKey i : items) {
-                    ReplicatedRecord e = store.entry(of.owner(), of.life(), i);
+                    ReplicatedRecord e = store.record(of.owner(), of.life(), i);
                     if (e == null) {
                         gone.add(i);
                     } else {
                         entries.add(e);
                     }
                 }
-                boolean there = store.lives(of.owner()).contains(of.life());
+                boolean there = store.incarnations(of.owner()).contains(of.life());
                 sizes.put(of, store.size(of.owner(), of.life()));
                 batches.add(new ReplicaDisk.Batch(
                         of.owner(),
                         of.life(),
-                        there ? store.have(of.owner(), of.life()).orElse(0) : null,
-                        store.floor(of.owner(), of.life()),
+                        there ? store.appliedSequence(of.owner(), of.life()).orElse(0) : null,
+                        store.tombstoneFloor(of.owner(), of.life()),
                         entries,
                         gone));
             });
@@ -388,7 +388,8 @@
     private void write(Supplier<Boolean> what) {
         lock.lock();
         try {
-            long had = store.have(store.me(), store.life()).orElse(0);
+            long had = store.appliedSequence(store.localMember(), store.incarnation())
+                    .orElse(0);
             if (what.get()) {
                 exchange.wrote(had);
                 settle().forEach(LOG::error);
@@ -414,7 +415,7 @@
 
     @Override
     public List<Seen> seen(RecordSpace space) {
-        return locked(() -> store.seen(space, clock.nowMs()));
+        return locked(() -> store.readAll(space, clock.nowMs()));
     }
 
     @Override
@@ -429,13 +430,14 @@
 
     /** This member's life: greater than that of its links if peers knew a later one. */
     public long life() {
-        return locked(store::life);
+        return locked(store::incarnation);
     }
 
     /** This member's last write. */
     public RecordVersion version() {
         return locked(() -> new RecordVersion(
-                store.life(), store.have(store.me(), store.life()).orElse(0)));
+                store.incarnation(),
+                store.appliedSequence(store.localMember(), store.incarnation()).orElse(0)));
     }
 
     /** The last differences that were found, with both values; what {@code state diff} shows. */
@@ -447,21 +449,21 @@
     public List<Status> status() {
         Map<String, MemberStatus> standings = new TreeMap<>();
         links.peers().forEach(p -> standings.put(p.name(), links.standing(p.name())));
-        standings.put(store.me(), MemberStatus.ALIVE);
+        standings.put(store.localMember(), MemberStatus.ALIVE);
         return locked(() -> {
             List<Status> all = new ArrayList<>();
             LinkedHashSet<String> names = new LinkedHashSet<>(standings.keySet());
             names.addAll(store.owners());
             for (String n : names) {
-                long newest = store.newest(n);
+                long newest = store.newestIncarnation(n);
                 all.add(new Status(
                         n,
                         newest,
-                        store.said(n),
-                        store.have(n, newest).orElse(0),
-                        store.heardMs(n, clock.nowMs()),
+                        store.announcedSequence(n),
+                        store.appliedSequence(n, newest).orElse(0),
+                        store.heartbeatAgeMs(n, clock.nowMs()),
                         standings.getOrDefault(n, MemberStatus.UNKNOWN),
-                        store.aside(n)));
+                        store.quarantineReason(n)));
             }
             return all;
         });
@@ -481,7 +483,7 @@
 
     /** How many peers have said that they hold all writes of this member up to this one. */
     public int heldBy(RecordVersion version) {
-        return locked(() -> version.life() == store.life() ? exchange.heldBy(version.sequence()) : 0);
+        return locked(() -> version.life() == store.incarnation() ? exchange.heldBy(version.sequence()) : 0);
     }
 
     /** Waits until all that was written until now is on the disk; false if the time is over or there is no disk. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -73,7 +73,7 @@
         this.catchUp = new CatchUp(terms);
         this.differences = new AntiEntropy(store);
         beganMs = nowMs;
-        store.begins(nowMs);
+        store.startSilently(nowMs);
         pushAtMs = nowMs;
         beatAtMs = nowMs + random.nextDouble() * terms.beatMs();
         digestAtMs = nowMs + (1 + random.nextDouble()) * terms.digestMs();
@@ -100,8 +100,8 @@
 
     /** This member has written. */
     public void wrote(long had) {
-        news.add(store.me());
-        advanced.merge(store.me(), had, Math::min);
+        news.add(store.localMember());
+        advanced.merge(store.localMember(), had, Math::min);
     }
 
     /** The next time at which {@link #tick} has something to do. */
@@ -120,9 +120,9 @@
         }
         if (nowMs >= beatAtMs) {
             beatAtMs = Math.max(beatAtMs + terms.beatMs(), nowMs);
-            store.beat();
-            news.add(store.me());
-            store.forget(nowMs, terms.removalMs());
+            store.heartbeat();
+            news.add(store.localMember());
+            store.forgetTombstones(nowMs, terms.removalMs());
             for (String p : some(reachable.size() > terms.mesh() ? 1 : 2)) {
                 all(p, true, nowMs, out);
             }
@@ -184,7 +184,7 @@
             int enough = large ? 3 : nowMs > beganMs + 3 * terms.beatMs() ? 1 : reachable.size();
             listened = told > 0 && told >= Math.min(reachable.size(), enough);
             if (listened) {
-                store.tells();
+                store.startAnnouncing();
                 wrote(0);
             }
         }
@@ -195,10 +195,10 @@
         TreeSet<String> names = new TreeSet<>(store.owners());
         if (!listened) {
             // Guards against a life that was used before: nobody tells before it has listened.
-            names.remove(store.me());
+            names.remove(store.localMember());
         }
         List<ReplicationMessage.Mark> marks = store.marks(names, nowMs);
-        List<ReplicationMessage.Have> ended = store.ended();
+        List<ReplicationMessage.Have> ended = store.endedIncarnations();
         int pieces = 1 + Math.max(marks.size(), ended.size()) / ReplicationMessage.MOST;
         for (int i = 0; i < pieces; i++) {
             boolean last = i == pieces - 1;
@@ -227,10 +227,12 @@
             return;
         }
         boolean large = reachable.size() > terms.mesh();
-        List<String> of = large ? List.copyOf(news) : news.contains(store.me()) ? List.of(store.me()) : List.of();
+        List<String> of = large
+                ? List.copyOf(news)
+                : news.contains(store.localMember()) ? List.of(store.localMember()) : List.of();
         if (!of.isEmpty()) {
-            if (of.contains(store.me()) && advanced.containsKey(store.me())) {
-                store.beat();
+            if (of.contains(store.localMember()) && advanced.containsKey(store.localMember())) {
+                store.heartbeat();
             }
             List<ReplicationMessage> messages = new ArrayList<>();
             List<ReplicationMessage.Mark> marks = store.marks(of, nowMs);
@@ -239,7 +241,7 @@
             }
             for (String o : of) {
                 ReplicationMessage.Chunk c = advanced.containsKey(o)
-                        ? store.after(o, store.newest(o), advanced.get(o), terms.pieceBytes())
+                        ? store.readAfter(o, store.newestIncarnation(o), advanced.get(o), terms.pieceBytes())
                         : null;
                 if (c != null) {
                     messages.add(c);
@@ -260,7 +262,7 @@
                 .forEach((peer, of) -> send(
                         peer,
                         new ReplicationMessage.Wants(of.stream()
-                                .map(o -> store.want(o.owner(), o.life()))
+                                .map(o -> store.request(o.owner(), o.life()))
                                 .toList()),
                         nowMs,
                         out));
@@ -276,7 +278,7 @@
                 continue;
             }
             CatchUp.Of of = p.pending.keySet().iterator().next();
-            ReplicationMessage.Chunk c = store.since(p.pending.remove(of), terms.pieceBytes());
+            ReplicationMessage.Chunk c = store.answer(p.pending.remove(of), terms.pieceBytes());
             if (c != null) {
                 send(n, c, nowMs, out);
             }
@@ -288,7 +290,7 @@
 
     /** Folds ended lives of this member once all members were heard to hold as much of them as this one. */
     private void fold(double nowMs) {
-        Map<Long, Long> ended = store.endedOfMine();
+        Map<Long, Long> ended = store.endedLocalIncarnations();
         long below = 0;
         for (Map.Entry<Long, Long> e : ended.entrySet()) {
             if (!configured.stream()
@@ -298,8 +300,9 @@
             below = e.getKey() + 1;
         }
         if (below > 0 && catchUp.level(listened, nowMs)) {
-            long had = store.have(store.me(), store.life()).orElse(0);
-            if (store.fold(below, nowMs) > 0) {
+            long had = store.appliedSequence(store.localMember(), store.incarnation())
+                    .orElse(0);
+            if (store.foldCounters(below, nowMs) > 0) {
                 wrote(had);
             }
         }
@@ -362,8 +365,8 @@
 
     private void marks(String peer, Peer p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
         for (ReplicationMessage.Mark mark : m.marks()) {
-            long newest = store.newest(mark.owner());
-            if (store.took(mark, nowMs)) {
+            long newest = store.newestIncarnation(mark.owner());
+            if (store.merge(mark, nowMs)) {
                 news.add(mark.owner());
             }
             if (mark.life() > newest) {
@@ -371,13 +374,13 @@
                 advanced.remove(mark.owner());
             }
             named(peer, mark.owner(), mark.life(), mark.have(), nowMs);
-            if (mark.owner().equals(store.me()) && mark.life() == store.life()) {
+            if (mark.owner().equals(store.localMember()) && mark.life() == store.incarnation()) {
                 p.mineHeld = Math.max(p.mineHeld, mark.have());
             }
         }
         for (ReplicationMessage.Have h : m.ended()) {
             named(peer, h.owner(), h.life(), h.have(), nowMs);
-            if (h.owner().equals(store.me())) {
+            if (h.owner().equals(store.localMember())) {
                 p.mineEndedNew.put(h.life(), h.have());
             }
         }
@@ -392,38 +395,38 @@
     }
 
     private void named(String peer, String owner, long life, long have, double nowMs) {
-        if (owner.equals(store.me()) && life >= store.life()) {
+        if (owner.equals(store.localMember()) && life >= store.incarnation()) {
             return;
         }
         CatchUp.Of of = new CatchUp.Of(owner, life);
-        long held = store.have(owner, life).orElse(0);
-        if (life < store.newest(owner)) {
+        long held = store.appliedSequence(owner, life).orElse(0);
+        if (life < store.newestIncarnation(owner)) {
             // What remains of an ended life is worth the way only if it was not folded.
-            held = store.have(owner, life).orElse(life < oldestKept(owner) ? Long.MAX_VALUE : 0);
+            held = store.appliedSequence(owner, life).orElse(life < oldestKept(owner) ? Long.MAX_VALUE : 0);
         }
         catchUp.named(peer, of, have, held, nowMs);
     }
 
     private long oldestKept(String owner) {
-        List<Long> lives = store.lives(owner);
-        return lives.size() > RecordStore.MOST_LIVES ? lives.get(0) : 0;
+        List<Long> lives = store.incarnations(owner);
+        return lives.size() > RecordStore.MAX_ENDED_INCARNATIONS ? lives.get(0) : 0;
     }
 
     private void chunk(String peer, ReplicationMessage.Chunk c, double nowMs, List<Out> out) {
-        long had = store.have(c.owner(), c.life()).orElse(0);
-        RecordStore.Took t = store.took(c, nowMs);
+        long had = store.appliedSequence(c.owner(), c.life()).orElse(0);
+        RecordStore.MergeResult t = store.merge(c, nowMs);
         CatchUp.Of of = new CatchUp.Of(c.owner(), c.life());
-        if (t == RecordStore.Took.NEW) {
-            if (c.life() == store.newest(c.owner())) {
+        if (t == RecordStore.MergeResult.NEW) {
+            if (c.life() == store.newestIncarnation(c.owner())) {
                 news.add(c.owner());
                 advanced.merge(c.owner(), had, Math::min);
             }
-            catchUp.held(of, store.have(c.owner(), c.life()).orElse(c.to()), nowMs);
+            catchUp.held(of, store.appliedSequence(c.owner(), c.life()).orElse(c.to()), nowMs);
             ask(nowMs, out);
-        } else if (t == RecordStore.Took.GAP) {
+        } else if (t == RecordStore.MergeResult.GAP) {
             named(peer, c.owner(), c.life(), c.base() == 0 ? c.to() : c.base(), nowMs);
-        } else if (t == RecordStore.Took.KNOWN) {
-            catchUp.held(of, Math.max(had, c.life() < store.newest(c.owner()) ? c.to() : 0), nowMs);
+        } else if (t == RecordStore.MergeResult.KNOWN) {
+            catchUp.held(of, Math.max(had, c.life() < store.newestIncarnation(c.owner()) ? c.to() : 0), nowMs);
         }
     }
 
@@ -435,7 +438,7 @@
                 catchUp.level(listened, nowMs),
                 catchUp.behind(),
                 differences.open(),
-                differences.outOfDecision() || store.aside(store.me()) != null);
+                differences.outOfDecision() || store.quarantineReason(store.localMember()) != null);
     }
 
     /** The copies that differ. */
@@ -470,6 +473,6 @@
 
     @Override
     public String toString() {
-        return store.me() + ": " + Arrays.toString(new long[] {sentBytes, dropped, unreadable});
+        return store.localMember() + ": " + Arrays.toString(new long[] {sentBytes, dropped, unreadable});
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -50,13 +50,14 @@
     private void written(String value) {
         owner.put(RecordSpace.SERVERS, "h", value.getBytes(UTF_8), 0);
         owner.add(RecordSpace.USED, "k", 1, 0);
-        copy.took(owner.since(copy.want("a", 3), 1 << 20), 0);
+        copy.merge(owner.answer(copy.request("a", 3), 1 << 20), 0);
     }
 
     private void write(ReplicaDisk d) throws IOException {
         List<ReplicatedRecord> all = copy.all("a", 3);
         d.write(
-                List.of(new ReplicaDisk.Batch("a", 3, copy.have("a", 3).orElseThrow(), 0, all, List.of())),
+                List.of(new ReplicaDisk.Batch(
+                        "a", 3, copy.appliedSequence("a", 3).orElseThrow(), 0, all, List.of())),
                 Map.of(new CatchUp.Of("a", 3), all.size()));
     }
 
@@ -65,7 +66,7 @@
         try (ReplicaDisk d = open()) {
             RecordStore s = new RecordStore("b", d.life(), 8, false);
             d.restore(s);
-            long have = s.have("a", 3).orElse(0);
+            long have = s.appliedSequence("a", 3).orElse(0);
             assertEquals(have / 2, s.sum(RecordSpace.USED, "k"));
             d.breakOff();
             return have;
@@ -88,7 +89,7 @@
             write(d);
             d.breakOff();
             faults.losePower();
-            assertEquals(copy.have("a", 3).orElseThrow(), onDisk(), fault.toString());
+            assertEquals(copy.appliedSequence("a", 3).orElseThrow(), onDisk(), fault.toString());
         }
     }
 
@@ -140,7 +141,7 @@
                 written(seed + "/" + i);
                 try {
                     write(d);
-                    acknowledged = copy.have("a", 3).orElseThrow();
+                    acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 } catch (IOException refused) {
                     assertTrue(d.wantsAll());
                 }
@@ -240,13 +241,13 @@
     void aKillAtAnyWriteOrSyncLeavesWhatWasAcknowledged() throws IOException {
         for (long at = 0; at < 40; at++) {
             ReplicaDisk d = open();
-            long acknowledged = copy.have("a", 3).orElse(0);
+            long acknowledged = copy.appliedSequence("a", 3).orElse(0);
             faults.killAt(faults.operations() + at, (int) (at * 37 % 4096));
             try {
                 for (int i = 0; i < 3; i++) {
                     written(at + "/" + i);
                     write(d);
-                    acknowledged = copy.have("a", 3).orElseThrow();
+                    acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 }
             } catch (IOException killed) {
                 assertTrue(d.wantsAll());
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -121,8 +121,8 @@
             RecordStore store = new RecordStore("n2", disk.life(), 8, false);
             disk.restore(store);
             GoldenFiles.assertSame("records", entries(), store.all(OWNER, LIFE));
-            assertEquals(OptionalLong.of(7), store.have(OWNER, LIFE));
-            assertEquals(2, store.floor(OWNER, LIFE));
+            assertEquals(OptionalLong.of(7), store.appliedSequence(OWNER, LIFE));
+            assertEquals(2, store.tombstoneFloor(OWNER, LIFE));
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -20,12 +20,12 @@
     }
 
     private static void pull(RecordStore to, RecordStore from) {
-        from.marks(from.owners(), 0).forEach(m -> to.took(m, 0));
+        from.marks(from.owners(), 0).forEach(m -> to.merge(m, 0));
         for (String o : from.owners()) {
-            for (long l : from.lives(o)) {
-                ReplicationMessage.Chunk c = from.since(to.want(o, l), 1 << 20);
+            for (long l : from.incarnations(o)) {
+                ReplicationMessage.Chunk c = from.answer(to.request(o, l), 1 << 20);
                 if (c != null) {
-                    to.took(c, 0);
+                    to.merge(c, 0);
                 }
             }
         }
@@ -41,21 +41,21 @@
         two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
         pull(b, one);
         pull(c, two);
-        assertEquals(1, b.seen(RecordSpace.SERVERS, 0).size());
+        assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
         pull(b, c);
-        assertTrue(b.seen(RecordSpace.SERVERS, 0).isEmpty());
-        assertTrue(b.alarms().toString().contains("65 and ca"), "both processes are named");
+        assertTrue(b.readAll(RecordSpace.SERVERS, 0).isEmpty());
+        assertTrue(b.drainAlarms().toString().contains("65 and ca"), "both processes are named");
         // Whoever hears of it from b puts it aside as well, the writers themselves included.
         pull(c, b);
         pull(one, b);
-        assertTrue(c.seen(RecordSpace.SERVERS, 0).isEmpty());
-        assertNotNull(one.aside("a"));
+        assertTrue(c.readAll(RecordSpace.SERVERS, 0).isEmpty());
+        assertNotNull(one.quarantineReason("a"));
         assertFalse(one.put(RecordSpace.SERVERS, "h", "3".getBytes(UTF_8), 0));
         RecordStore later = new RecordStore("a", 6, 303, false);
         later.put(RecordSpace.SERVERS, "h", "4".getBytes(UTF_8), 0);
         pull(b, later);
-        assertNull(b.aside("a"));
-        assertEquals("4", new String(b.seen(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
+        assertNull(b.quarantineReason("a"));
+        assertEquals("4", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
     }
 
     @Test
@@ -66,9 +66,9 @@
         one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
         two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
         pull(b, one);
-        b.took(two.since(new ReplicationMessage.Want("a", 5, 0, 0, 0), 1000), 0);
-        assertNotNull(b.aside("a"));
-        String alarm = b.alarms().toString();
+        b.merge(two.answer(new ReplicationMessage.Want("a", 5, 0, 0, 0), 1000), 0);
+        assertNotNull(b.quarantineReason("a"));
+        String alarm = b.drainAlarms().toString();
         assertTrue(alarm.contains("=1") && alarm.contains("=2"), alarm);
     }
 
@@ -80,12 +80,12 @@
         pull(peer, before);
         RecordStore old = store("a", 4);
         pull(old, peer);
-        assertEquals(10, old.life());
+        assertEquals(10, old.incarnation());
         assertTrue(old.add(RecordSpace.USED, "k", 1, 0));
         assertEquals(4, old.sum(RecordSpace.USED, "k"));
         pull(peer, old);
         pull(before, peer);
-        assertNotNull(before.aside("a"), "the process that still runs under that name stands aside");
+        assertNotNull(before.quarantineReason("a"), "the process that still runs under that name stands aside");
     }
 
     private static ReplicationMessage.Mark markOfA(long life, long ageMs) {
@@ -95,21 +95,21 @@
     @Test
     void whatWasWrittenBeforeAnybodyWasToldGoesOnInTheLifeAfterItsPast() {
         RecordStore a = store("a", 4);
-        a.begins(10_000);
+        a.startSilently(10_000);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
         a.put(RecordSpace.SERVERS, "x", "1".getBytes(UTF_8), 10_000);
         a.remove(RecordSpace.SERVERS, "x", 10_000);
         a.add(RecordSpace.USED, "k", 3, 10_000);
-        assertTrue(a.took(markOfA(9, 500), 11_000));
-        assertEquals(10, a.life());
-        assertNull(a.aside("a"));
-        assertEquals(List.of(10L), a.lives("a"));
-        assertEquals(1, a.seen(RecordSpace.SERVERS, 11_000).size());
+        assertTrue(a.merge(markOfA(9, 500), 11_000));
+        assertEquals(10, a.incarnation());
+        assertNull(a.quarantineReason("a"));
+        assertEquals(List.of(10L), a.incarnations("a"));
+        assertEquals(1, a.readAll(RecordSpace.SERVERS, 11_000).size());
         assertEquals(3, a.sum(RecordSpace.USED, "k"));
-        assertFalse(a.took(markOfA(9, 500), 12_000), "it is heard of again");
+        assertFalse(a.merge(markOfA(9, 500), 12_000), "it is heard of again");
         RecordStore b = store("b", 1);
         pull(b, a);
-        assertEquals("1", new String(b.seen(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
+        assertEquals("1", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
         assertEquals(3, b.sum(RecordSpace.USED, "k"));
     }
 
@@ -117,22 +117,22 @@
     void lifeThatGaveNoSignSinceThisProcessBeganIsItsPastThoughItsWritesAreTold() {
         RecordStore a = store("a", 4);
         RecordStore b = store("b", 1);
-        a.begins(10_000);
+        a.startSilently(10_000);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
         a.add(RecordSpace.USED, "k", 3, 10_000);
-        a.tells();
+        a.startAnnouncing();
         pull(b, a);
-        assertTrue(a.took(markOfA(9, 2000), 11_000));
-        assertEquals(10, a.life());
+        assertTrue(a.merge(markOfA(9, 2000), 11_000));
+        assertEquals(10, a.incarnation());
         assertTrue(a.add(RecordSpace.USED, "k", 1, 11_000));
         assertEquals(4, a.sum(RecordSpace.USED, "k"), "the earlier part stays, as one of an ended life");
         pull(b, a);
         assertEquals(4, b.sum(RecordSpace.USED, "k"));
-        assertEquals(1, b.seen(RecordSpace.SERVERS, 0).size());
+        assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
         // One that gave a sign since is another process: two must not write under one name.
-        assertTrue(a.took(markOfA(12, 500), 11_000));
-        assertNotNull(a.aside("a"));
-        assertEquals(10, a.life());
+        assertTrue(a.merge(markOfA(12, 500), 11_000));
+        assertNotNull(a.quarantineReason("a"));
+        assertEquals(10, a.incarnation());
     }
 
     @Test
@@ -140,16 +140,16 @@
         RecordStore a = store("a", 1);
         RecordStore b = store("b", 1);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        a.beat();
+        a.heartbeat();
         ReplicationMessage.Mark first = a.marks(List.of("a"), 0).get(0);
-        b.took(a.since(b.want("a", 1), 1000), 100);
-        b.took(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat(), 1, 1, 250, false), 1000);
-        assertEquals(250, b.seen("a", RecordSpace.SERVERS, "h", 1000).heardMs());
+        b.merge(a.answer(b.request("a", 1), 1000), 100);
+        b.merge(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat(), 1, 1, 250, false), 1000);
+        assertEquals(250, b.read("a", RecordSpace.SERVERS, "h", 1000).heardMs());
         // It has written again, which is not here: the record is as old as the last sign at which it was the last.
-        b.took(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat() + 5, 2, 2, 10, false), 2000);
-        assertEquals(10, b.heardMs("a", 2000));
-        assertEquals(1250, b.seen("a", RecordSpace.SERVERS, "h", 2000).heardMs());
-        assertFalse(b.seen("a", RecordSpace.SERVERS, "h", 20_000).fresh(RecordSpace.SERVERS));
+        b.merge(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat() + 5, 2, 2, 10, false), 2000);
+        assertEquals(10, b.heartbeatAgeMs("a", 2000));
+        assertEquals(1250, b.read("a", RecordSpace.SERVERS, "h", 2000).heardMs());
+        assertFalse(b.read("a", RecordSpace.SERVERS, "h", 20_000).fresh(RecordSpace.SERVERS));
     }
 
     @Test
@@ -165,19 +165,19 @@
         }
         a.remove(RecordSpace.SERVERS, "h", 0);
         a.put(RecordSpace.SERVERS, "y", "1".getBytes(UTF_8), 0);
-        a.forget(1000, 60_000);
-        assertTrue(a.all("a", 1).size() <= OwnerLog.MOST_REMOVALS + 1, "bounded by number");
-        a.forget(100_000, 60_000);
+        a.forgetTombstones(1000, 60_000);
+        assertTrue(a.all("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
+        a.forgetTombstones(100_000, 60_000);
         assertEquals(1, a.all("a", 1).size());
         pull(other, late);
         pull(late, a);
         pull(other, a);
         for (RecordStore s : List.of(late, other)) {
             assertEquals(
-                    a.seen(RecordSpace.SERVERS, 0).stream()
+                    a.readAll(RecordSpace.SERVERS, 0).stream()
                             .map(Replica.Seen::key)
                             .toList(),
-                    s.seen(RecordSpace.SERVERS, 0).stream()
+                    s.readAll(RecordSpace.SERVERS, 0).stream()
                             .map(Replica.Seen::key)
                             .toList());
         }
@@ -195,9 +195,9 @@
             sum += life;
             peers.forEach(p -> pull(p, a));
             if (life % 10 == 0) {
-                a.fold(life, 0);
+                a.foldCounters(life, 0);
                 peers.forEach(p -> pull(p, a));
-                assertEquals(1, peers.get(0).lives("a").size());
+                assertEquals(1, peers.get(0).incarnations("a").size());
             }
         }
         assertEquals(sum, peers.get(1).sum(RecordSpace.USED, "k"));
@@ -216,7 +216,7 @@
             pull(b, a);
             // Values are shared in memory here: b gets its own, as it would from a wire.
             for (ReplicatedRecord e : b.all("a", 1)) {
-                b.mend(
+                b.repair(
                         "a",
                         1,
                         e.item(),
@@ -260,7 +260,7 @@
         for (int i = 0; i < AntiEntropy.STRIKES; i++) {
             assertFalse(db.outOfDecision());
             // What the rule mends, something breaks again.
-            b.mend("a", 1, ITEM, null, 0);
+            b.repair("a", 1, ITEM, null, 0);
             db.took(
                     "a",
                     da.took("b", db.next("a")).stream()
@@ -269,7 +269,7 @@
                             .orElseThrow());
         }
         assertTrue(db.outOfDecision());
-        assertEquals(0, b.have("a", 1).orElseThrow());
+        assertEquals(0, b.appliedSequence("a", 1).orElseThrow());
         pull(b, a);
         db.took("a", da.next("b"));
         assertFalse(db.outOfDecision());
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
@@ -29,7 +29,7 @@
         for (int i = 0; i < 300; i++) {
             a.put(RecordSpace.SERVERS, "h" + i % 100, ("value " + i).getBytes(UTF_8), 0);
         }
-        full.took(a.since(new ReplicationMessage.Want("a", 3, 0, 0, 0), 1 << 20), 0);
+        full.merge(a.answer(new ReplicationMessage.Want("a", 3, 0, 0, 0), 1 << 20), 0);
     }
 
     private ReplicaDisk open(double nowMs) throws IOException {
@@ -59,8 +59,8 @@
             assertEquals(first + 1, d.life());
             RecordStore s = read(d);
             assertEquals(full.all("a", 3).toString(), s.all("a", 3).toString());
-            assertEquals(300, s.have("a", 3).orElseThrow());
-            assertTrue(s.seen(RecordSpace.SERVERS, 0).stream().noneMatch(e -> e.fresh(RecordSpace.SERVERS)));
+            assertEquals(300, s.appliedSequence("a", 3).orElseThrow());
+            assertTrue(s.readAll(RecordSpace.SERVERS, 0).stream().noneMatch(e -> e.fresh(RecordSpace.SERVERS)));
             assertTrue(
                     assertThrows(IOException.class, () -> open(0)).getMessage().contains("another process"));
         }
--- a/lab/src/main/java/brackenbridge/lab/replica/ReplicationModel.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/ReplicationModel.java
@@ -134,13 +134,14 @@
             next.put("arrives " + e.getKey(), n);
         }
         if (s.folds < bounds.folds()
-                && !s.stores[0].endedOfMine().isEmpty()
+                && !s.stores[0].endedLocalIncarnations().isEmpty()
                 && (mistake == ReplicationMistake.FOLD_TOO_SOON || allHoldAsMuch(s))) {
             State n = s.copy();
             n.folds++;
             // Assumed: nothing of an ended life is on its way for as long as a fold waits.
             n.sent.values()
-                    .removeIf(m -> m.message() instanceof ReplicationMessage.Chunk c && c.life() < n.stores[0].life());
+                    .removeIf(m ->
+                            m.message() instanceof ReplicationMessage.Chunk c && c.life() < n.stores[0].incarnation());
             fold(n);
             next.put("a folds", n);
         }
@@ -150,7 +151,7 @@
     private State write(State s) {
         State n = s.copy();
         RecordStore a = n.stores[0];
-        long had = a.have(OWNER, a.life()).orElse(0);
+        long had = a.appliedSequence(OWNER, a.incarnation()).orElse(0);
         long added = 0;
         // With folds, sums come first: what is at stake then.
         boolean wrote = switch (bounds.folds() > 0 ? (n.writes + 3) % 5 : n.writes) {
@@ -178,13 +179,13 @@
     private static void log(State n, long had) {
         RecordStore a = n.stores[0];
         Map<Long, List<ReplicatedRecord>> logs = new TreeMap<>(n.written.logs());
-        List<ReplicatedRecord> log = new ArrayList<>(logs.getOrDefault(a.life(), List.of()));
-        a.all(OWNER, a.life()).stream()
+        List<ReplicatedRecord> log = new ArrayList<>(logs.getOrDefault(a.incarnation(), List.of()));
+        a.all(OWNER, a.incarnation()).stream()
                 .filter(e -> e.version().sequence() > had)
                 .forEach(log::add);
-        logs.put(a.life(), log);
+        logs.put(a.incarnation(), log);
         n.written = new Written(logs, n.written.added());
-        ReplicationMessage.Chunk c = a.after(OWNER, a.life(), had, 1 << 10);
+        ReplicationMessage.Chunk c = a.readAfter(OWNER, a.incarnation(), had, 1 << 10);
         if (c != null) {
             for (int i = 1; i < NAMES.length; i++) {
                 put(n, i, c);
@@ -221,7 +222,7 @@
         if (s.forgets < bounds.forgets()) {
             State n = s.copy();
             n.forgets++;
-            n.stores[i].forget(1, 0);
+            n.stores[i].forgetTombstones(1, 0);
             if (!n.key().equals(s.key())) {
                 next.put(name + " forgets removals", n);
             }
@@ -230,26 +231,31 @@
 
     private RecordStore born(State s, int i) {
         // Lives are of the owner only: what the others write is of no concern here.
-        long life = i > 0 ? 1 : mistake == ReplicationMistake.LIFE_REUSED ? s.stores[0].life() : ++s.lives;
+        long life = i > 0 ? 1 : mistake == ReplicationMistake.LIFE_REUSED ? s.stores[0].incarnation() : ++s.lives;
         return new RecordStore(NAMES[i], life, life, false);
     }
 
     private void restore(RecordStore to, RecordStore disk) {
         for (String owner : disk.owners()) {
-            for (long life : disk.lives(owner)) {
+            for (long life : disk.incarnations(owner)) {
                 List<ReplicatedRecord> all = disk.all(owner, life);
                 if (mistake == ReplicationMistake.DISK_HALF_WRITTEN && !all.isEmpty()) {
                     all = all.subList(0, all.size() - 1);
                 }
-                to.restore(owner, life, disk.have(owner, life).orElse(0), disk.floor(owner, life), all);
+                to.restore(
+                        owner,
+                        life,
+                        disk.appliedSequence(owner, life).orElse(0),
+                        disk.tombstoneFloor(owner, life),
+                        all);
             }
         }
     }
 
     /** One asks another for what it lacks of each life of the owner; question and answer may each be late. */
     private void asks(State s, int i, int j, Map<String, State> next) {
-        for (long life : s.stores[j].lives(OWNER)) {
-            ReplicationMessage.Want w = s.stores[i].want(OWNER, life);
+        for (long life : s.stores[j].incarnations(OWNER)) {
+            ReplicationMessage.Want w = s.stores[i].request(OWNER, life);
             if (s.wants < bounds.wants() && lacks(s, i, j, life)) {
                 State n = s.copy();
                 n.wants++;
@@ -271,17 +277,19 @@
     }
 
     private static boolean lacks(State s, int i, int j, long life) {
-        return !(i == 0 && life == s.stores[0].life())
-                && s.stores[j].have(OWNER, life).orElse(0)
-                        > s.stores[i].have(OWNER, life).orElse(0);
+        return !(i == 0 && life == s.stores[0].incarnation())
+                && s.stores[j].appliedSequence(OWNER, life).orElse(0)
+                        > s.stores[i].appliedSequence(OWNER, life).orElse(0);
     }
 
     private ReplicationMessage.Chunk piece(RecordStore from, ReplicationMessage.Want w) {
-        ReplicationMessage.Chunk c = from.since(w, PIECE);
+        ReplicationMessage.Chunk c = from.answer(w, PIECE);
         if (c == null) {
             return null;
         }
-        long end = c.base() != 0 ? c.base() : from.have(c.owner(), c.life()).orElse(0);
+        long end = c.base() != 0
+                ? c.base()
+                : from.appliedSequence(c.owner(), c.life()).orElse(0);
         return switch (mistake) {
             case PIECE_SAYS_ALL ->
                 new ReplicationMessage.Chunk(
@@ -290,11 +298,11 @@
                 c.base() == 0
                         ? c
                         : from.copy()
-                                                .since(
+                                                .answer(
                                                         new ReplicationMessage.Want(
                                                                 w.owner(),
                                                                 w.life(),
-                                                                from.floor(w.owner(), w.life()),
+                                                                from.tombstoneFloor(w.owner(), w.life()),
                                                                 0,
                                                                 0),
                                                         PIECE)
@@ -326,15 +334,15 @@
     }
 
     private void take(RecordStore to, ReplicationMessage.Chunk c) {
-        long have = to.have(c.owner(), c.life()).orElse(0);
+        long have = to.appliedSequence(c.owner(), c.life()).orElse(0);
         ReplicationMessage.Chunk taken = c;
         if (mistake == ReplicationMistake.GAP_FORGIVEN && c.from() > have && c.base() == 0) {
             taken = new ReplicationMessage.Chunk(
                     c.owner(), c.life(), c.newest(), have, c.to(), 0, c.floor(), c.entries());
         } else if (mistake == ReplicationMistake.OLD_LIFE_INTO_NEW
-                && c.life() < to.newest(c.owner())
-                && !to.me().equals(OWNER)) {
-            long life = to.newest(c.owner());
+                && c.life() < to.newestIncarnation(c.owner())
+                && !to.localMember().equals(OWNER)) {
+            long life = to.newestIncarnation(c.owner());
             taken = new ReplicationMessage.Chunk(
                     c.owner(),
                     life,
@@ -364,7 +372,7 @@
                     c.floor(),
                     c.entries().stream()
                             .map(e -> {
-                                ReplicatedRecord mine = to.entry(OWNER, c.life(), e.item());
+                                ReplicatedRecord mine = to.record(OWNER, c.life(), e.item());
                                 return mine == null || e.count() == 0
                                         ? e
                                         : ReplicatedRecord.of(
@@ -378,25 +386,27 @@
                             })
                             .toList());
         }
-        to.took(taken, 0);
-        if (mistake == ReplicationMistake.LAST_COME_WINS && c.life() == to.newest(OWNER)) {
-            c.entries().forEach(e -> to.mend(OWNER, c.life(), e.item(), e, 0));
+        to.merge(taken, 0);
+        if (mistake == ReplicationMistake.LAST_COME_WINS && c.life() == to.newestIncarnation(OWNER)) {
+            c.entries().forEach(e -> to.repair(OWNER, c.life(), e.item(), e, 0));
         } else if (mistake == ReplicationMistake.COUNT_ADDED_ON_MERGE) {
             for (ReplicatedRecord e : taken.entries()) {
                 if (e.count() > 0) {
-                    to.mend(OWNER, c.life(), e.item(), e, 0);
+                    to.repair(OWNER, c.life(), e.item(), e, 0);
                 }
             }
         } else if (mistake == ReplicationMistake.SUMS_END_WITH_LIFE) {
-            to.lives(OWNER).stream().filter(l -> l < to.newest(OWNER)).forEach(l -> to.again(OWNER, l));
+            to.incarnations(OWNER).stream()
+                    .filter(l -> l < to.newestIncarnation(OWNER))
+                    .forEach(l -> to.discard(OWNER, l));
         }
     }
 
     private boolean allHoldAsMuch(State s) {
-        Map<Long, Long> ended = s.stores[0].endedOfMine();
+        Map<Long, Long> ended = s.stores[0].endedLocalIncarnations();
         for (int i = 1; i < NAMES.length; i++) {
             for (Map.Entry<Long, Long> e : ended.entrySet()) {
-                if (s.stores[i].have(OWNER, e.getKey()).orElse(0) != e.getValue()
+                if (s.stores[i].appliedSequence(OWNER, e.getKey()).orElse(0) != e.getValue()
                         || s.stores[i].size(OWNER, e.getKey()) == 0) {
                     return false;
                 }
@@ -407,11 +417,11 @@
 
     private void fold(State n) {
         RecordStore a = n.stores[0];
-        long had = a.have(OWNER, a.life()).orElse(0);
+        long had = a.appliedSequence(OWNER, a.incarnation()).orElse(0);
         if (mistake == ReplicationMistake.FOLD_KEEPS_ENDED) {
             a.add(RecordSpace.USED, SUM, a.sum(RecordSpace.USED, SUM), 0);
         } else {
-            a.fold(a.life(), 0);
+            a.foldCounters(a.incarnation(), 0);
         }
         log(n, had);
     }
@@ -424,16 +434,16 @@
         for (RecordStore store : s.stores) {
             long sum = store.sum(RecordSpace.USED, SUM);
             if (sum > s.written.added()) {
-                return store.me() + " counts " + sum + ", added were " + s.written.added();
+                return store.localMember() + " counts " + sum + ", added were " + s.written.added();
             }
-            for (long life : store.aside(OWNER) == null ? store.lives(OWNER) : List.<Long>of()) {
+            for (long life : store.quarantineReason(OWNER) == null ? store.incarnations(OWNER) : List.<Long>of()) {
                 for (ReplicatedRecord e : store.all(OWNER, life)) {
                     Long other = contents.putIfAbsent(e.version(), e.sum());
                     if (other != null && other != e.sum()) {
                         return "two contents of write " + e.version();
                     }
                     if (s.written.logs().getOrDefault(life, List.of()).stream().noneMatch(w -> w.sum() == e.sum())) {
-                        return store.me() + " holds what nobody wrote: " + e;
+                        return store.localMember() + " holds what nobody wrote: " + e;
                     }
                 }
             }
@@ -454,9 +464,9 @@
             }
         }
         for (RecordStore store : n.stores) {
-            long life = store.newest(OWNER);
-            if (life != n.stores[0].life()) {
-                return store.me() + " has not heard of life " + n.stores[0].life();
+            long life = store.newestIncarnation(OWNER);
+            if (life != n.stores[0].incarnation()) {
+                return store.localMember() + " has not heard of life " + n.stores[0].incarnation();
             }
             Map<RecordKey, ReplicatedRecord> want = new TreeMap<>();
             s.written.logs().getOrDefault(life, List.of()).forEach(e -> want.put(e.item(), e));
@@ -467,11 +477,11 @@
                     || want.entrySet().stream()
                             .anyMatch(e ->
                                     has.get(e.getKey()).sum() != e.getValue().sum())) {
-                return store.me() + " has " + has.values() + " in the end, written were " + want.values();
+                return store.localMember() + " has " + has.values() + " in the end, written were " + want.values();
             }
             long sum = store.sum(RecordSpace.USED, SUM);
             if (sum < counted || sum != n.stores[0].sum(RecordSpace.USED, SUM)) {
-                return store.me() + " counts " + sum + " in the end, a member had " + counted + ", a has "
+                return store.localMember() + " counts " + sum + " in the end, a member had " + counted + ", a has "
                         + n.stores[0].sum(RecordSpace.USED, SUM);
             }
         }
@@ -486,16 +496,16 @@
                     continue;
                 }
                 for (ReplicationMessage.Mark m : n.stores[j].marks(List.of(OWNER), 0)) {
-                    moved |= n.stores[i].newest(OWNER) < m.life();
+                    moved |= n.stores[i].newestIncarnation(OWNER) < m.life();
                     if (i != 0) {
-                        n.stores[i].took(m, 0);
+                        n.stores[i].merge(m, 0);
                     }
                 }
-                for (long life : new TreeSet<>(n.stores[j].lives(OWNER))) {
-                    boolean named = life == n.stores[j].newest(OWNER) || n.stores[j].size(OWNER, life) > 0;
+                for (long life : new TreeSet<>(n.stores[j].incarnations(OWNER))) {
+                    boolean named = life == n.stores[j].newestIncarnation(OWNER) || n.stores[j].size(OWNER, life) > 0;
                     if (named && lacks(n, i, j, life)) {
                         String before = Objects.toString(n.stores[i]);
-                        ReplicationMessage.Chunk c = piece(n.stores[j], n.stores[i].want(OWNER, life));
+                        ReplicationMessage.Chunk c = piece(n.stores[j], n.stores[i].request(OWNER, life));
                         if (c != null) {
                             take(n.stores[i], c);
                             moved |= !before.equals(n.stores[i].toString());
--- a/lab/src/main/java/brackenbridge/lab/replica/SimulatedReplicaFleet.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/SimulatedReplicaFleet.java
@@ -97,7 +97,7 @@
 
         void took(Node from, byte[] body) {
             if (!away && !from.away) {
-                send(exchange.took(from.name, from.store.life(), body, queue.nowMs()));
+                send(exchange.took(from.name, from.store.incarnation(), body, queue.nowMs()));
                 writes.removeIf(w -> w.look(this));
             }
         }
@@ -111,12 +111,13 @@
 
         Write(Node by) {
             this.by = by;
-            sequence = by.store.have(by.name, by.store.life()).orElse(0);
+            sequence = by.store.appliedSequence(by.name, by.store.incarnation()).orElse(0);
             have.set(by.id);
         }
 
         boolean look(Node n) {
-            if (!have.get(n.id) && n.store.have(by.name, by.store.life()).orElse(0) >= sequence) {
+            if (!have.get(n.id)
+                    && n.store.appliedSequence(by.name, by.store.incarnation()).orElse(0) >= sequence) {
                 have.set(n.id);
                 each.recordValue(Math.round(queue.nowMs() - atMs));
                 if (have.cardinality() == nodes.size()) {
@@ -198,7 +199,7 @@
         double oldest = 0;
         for (Node n : nodes) {
             for (Node o : nodes) {
-                oldest = Math.max(oldest, n.store.heardMs(o.name, queue.nowMs()));
+                oldest = Math.max(oldest, n.store.heartbeatAgeMs(o.name, queue.nowMs()));
             }
         }
         runUntil(60_000, writes::isEmpty);
@@ -218,7 +219,7 @@
     }
 
     private void write(Node n, long v) {
-        long had = n.store.have(n.name, n.store.life()).orElse(0);
+        long had = n.store.appliedSequence(n.name, n.store.incarnation()).orElse(0);
         n.store.put(RecordSpace.SERVERS, "host" + random.nextInt(plan.keys()), value(v), queue.nowMs());
         n.exchange.wrote(had);
     }
@@ -231,7 +232,8 @@
         double now = queue.nowMs();
         for (Node o : nodes) {
             if (o != one) {
-                long had = o.store.have(o.name, o.store.life()).orElse(0);
+                long had =
+                        o.store.appliedSequence(o.name, o.store.incarnation()).orElse(0);
                 for (int i = 0; i < writesOfEach; i++) {
                     String key = "host" + random.nextInt(plan.keys());
                     // One in ten is a removal; after an hour nobody remembers it, so that a snapshot is needed.
@@ -241,12 +243,12 @@
                         o.store.put(RecordSpace.SERVERS, key, value(i), now);
                     }
                 }
-                o.store.forget(now + awayMs, plan.terms().removalMs());
+                o.store.forgetTombstones(now + awayMs, plan.terms().removalMs());
                 ReplicationMessage.Chunk c =
-                        o.store.since(new ReplicationMessage.Want(o.name, o.store.life(), had, 0, 0), 1 << 20);
+                        o.store.answer(new ReplicationMessage.Want(o.name, o.store.incarnation(), had, 0, 0), 1 << 20);
                 nodes.stream().filter(n -> n != one && n != o).forEach(n -> {
-                    n.store.took(c, now);
-                    n.store.forget(now + awayMs, plan.terms().removalMs());
+                    n.store.merge(c, now);
+                    n.store.forgetTombstones(now + awayMs, plan.terms().removalMs());
                 });
             }
         }
@@ -262,15 +264,19 @@
         boolean level = runUntil(600_000, () -> {
             behind[0] = Math.max(behind[0], one.exchange.level(queue.nowMs()).behind());
             return nodes.stream()
-                    .allMatch(o -> one.store.have(o.name, o.store.life()).orElse(0)
-                            >= o.store.have(o.name, o.store.life()).orElse(0));
+                    .allMatch(o -> one.store
+                                    .appliedSequence(o.name, o.store.incarnation())
+                                    .orElse(0)
+                            >= o.store
+                                    .appliedSequence(o.name, o.store.incarnation())
+                                    .orElse(0));
         });
         boolean right = level && nodes.stream().allMatch(o -> text(one, o).equals(text(other, o)));
         return new Returned(awayMs, behind[0], queue.nowMs() - began, sent() - before, right);
     }
 
     private static String text(Node at, Node of) {
-        return at.store.all(of.name, of.store.life()).stream()
+        return at.store.all(of.name, of.store.incarnation()).stream()
                 .filter(e -> !e.gone())
                 .toList()
                 .toString();
