--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
@@ -0,0 +1,216 @@
+package brackenbridge.fleet.replica;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Writes changed records to disk on a thread of its own, behind the changes in memory. What the disk refused is written
+ * again later; memory goes on meanwhile.
+ */
+final class DiskWriter implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(DiskWriter.class);
+    /** Changes within this time are written together, in milliseconds. */
+    private static final double BATCH_MS = 50;
+    /** Between a write that failed and the next, in milliseconds. */
+    private static final double RETRY_MS = 2000;
+
+    /**
+     * What one write takes to the disk.
+     *
+     * @param localIncarnation this member's incarnation
+     * @param keys changed keys by log
+     * @param batches the records of those keys
+     * @param sizes how many records each log has
+     */
+    private record Flush(
+            long localIncarnation,
+            Map<CatchUp.Of, LinkedHashSet<RecordKey>> keys,
+            List<ReplicaDisk.Batch> batches,
+            Map<CatchUp.Of, Integer> sizes) {}
+
+    private final ReplicaMonitor monitor;
+    private final RecordStore store;
+    private final ReplicaDisk disk;
+    /** The incarnation that the disk has; of the writing thread. */
+    private long diskIncarnation;
+
+    // Guarded by the monitor.
+    private final Map<CatchUp.Of, LinkedHashSet<RecordKey>> pending = new TreeMap<>();
+    private boolean healthy = true;
+    private boolean writing;
+
+    DiskWriter(ReplicaMonitor monitor, RecordStore store, ReplicaDisk disk) {
+        this.monitor = monitor;
+        this.store = store;
+        this.disk = disk;
+        diskIncarnation = disk.life();
+    }
+
+    /** Queues a change; with the lock held. */
+    void enqueue(RecordTable.Change change) {
+        LinkedHashSet<RecordKey> keys = pendingOf(new CatchUp.Of(change.owner(), change.incarnation()));
+        if (change.key() != null) {
+            keys.add(change.key());
+        }
+    }
+
+    /** Queues all records; with the lock held. */
+    void enqueueAll() {
+        for (String owner : store.owners()) {
+            for (long incarnation : store.incarnations(owner)) {
+                LinkedHashSet<RecordKey> keys = pendingOf(new CatchUp.Of(owner, incarnation));
+                store.all(owner, incarnation).forEach(record -> keys.add(record.item()));
+            }
+        }
+    }
+
+    private LinkedHashSet<RecordKey> pendingOf(CatchUp.Of log) {
+        return pending.computeIfAbsent(log, of -> new LinkedHashSet<>());
+    }
+
+    /** Whether the last write succeeded; with the lock held. */
+    boolean isHealthy() {
+        return healthy;
+    }
+
+    /** Writes until the end. */
+    @Override
+    public void run() {
+        try {
+            while (!monitor.isClosed()) {
+                awaitPending();
+                if (!flush()) {
+                    pause(RETRY_MS);
+                }
+            }
+        } catch (InterruptedException e) {
+            // The node ends; closing it writes what is pending.
+        }
+    }
+
+    private void awaitPending() throws InterruptedException {
+        monitor.lock();
+        try {
+            while (pending.isEmpty() && !monitor.isClosed()) {
+                monitor.awaitChange();
+            }
+            monitor.pause(BATCH_MS);
+        } finally {
+            monitor.unlock();
+        }
+    }
+
+    private void pause(double ms) throws InterruptedException {
+        monitor.lock();
+        try {
+            monitor.pause(ms);
+        } finally {
+            monitor.unlock();
+        }
+    }
+
+    /**
+     * Writes all that is pending.
+     *
+     * @return false if the disk did not take it
+     */
+    boolean flush() {
+        Flush flush = monitor.locked(this::takePending);
+        boolean succeeded = write(flush);
+        monitor.lock();
+        try {
+            finish(flush, succeeded);
+        } finally {
+            monitor.unlock();
+        }
+        return succeeded;
+    }
+
+    private Flush takePending() {
+        if (disk.wantsAll()) {
+            // Whatever the file had may be lost with what failed.
+            enqueueAll();
+        }
+        Flush flush = new Flush(store.incarnation(), new TreeMap<>(pending), new ArrayList<>(), new TreeMap<>());
+        pending.clear();
+        writing = true;
+        flush.keys().forEach((log, keys) -> {
+            flush.sizes().put(log, store.size(log.owner(), log.life()));
+            flush.batches().add(batch(log, keys));
+        });
+        return flush;
+    }
+
+    private ReplicaDisk.Batch batch(CatchUp.Of log, Iterable<RecordKey> keys) {
+        List<ReplicatedRecord> records = new ArrayList<>();
+        List<RecordKey> gone = new ArrayList<>();
+        for (RecordKey key : keys) {
+            ReplicatedRecord record = store.record(log.owner(), log.life(), key);
+            if (record == null) {
+                gone.add(key);
+            } else {
+                records.add(record);
+            }
+        }
+        boolean exists = store.incarnations(log.owner()).contains(log.life());
+        return new ReplicaDisk.Batch(
+                log.owner(),
+                log.life(),
+                exists ? store.appliedSequence(log.owner(), log.life()).orElse(0) : null,
+                store.tombstoneFloor(log.owner(), log.life()),
+                records,
+                gone);
+    }
+
+    private boolean write(Flush flush) {
+        try {
+            if (flush.localIncarnation() > diskIncarnation) {
+                disk.took(flush.localIncarnation());
+                diskIncarnation = flush.localIncarnation();
+            }
+            disk.write(flush.batches(), flush.sizes());
+            return true;
+        } catch (IOException | RuntimeException e) {
+            if (monitor.locked(this::isHealthy)) {
+                LOG.error("the disk does not take the replica, memory goes on: {}", e.getMessage());
+            }
+            return false;
+        }
+    }
+
+    private void finish(Flush flush, boolean succeeded) {
+        if (succeeded && !healthy) {
+            LOG.warn("the disk takes the replica again");
+        }
+        healthy = succeeded;
+        writing = false;
+        if (!succeeded) {
+            flush.keys().forEach((log, keys) -> pendingOf(log).addAll(keys));
+        }
+        monitor.signalChange();
+    }
+
+    /**
+     * Waits until all changes until now are on the disk.
+     *
+     * @return false if the time is over first, or the last write failed
+     */
+    boolean awaitFlushed(double withinMs) throws InterruptedException {
+        monitor.lock();
+        try {
+            long left = (long) (withinMs * 1e6);
+            while ((!pending.isEmpty() || writing) && left > 0) {
+                left = monitor.awaitChange(left);
+            }
+            return pending.isEmpty() && !writing && healthy;
+        } finally {
+            monitor.unlock();
+        }
+    }
+}
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -7,15 +7,11 @@
 import brackenbridge.fleet.peer.PeerLinks;
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.concurrent.CopyOnWriteArrayList;
-import java.util.concurrent.locks.Condition;
-import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -27,8 +23,12 @@
  */
 public final class ReplicaNode implements Replica, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaNode.class);
-    private static final long DISK_MS = 50;
-    private static final long DISK_AGAIN_MS = 2000;
+    /** The longest wait between two turns of the protocol, in milliseconds. */
+    private static final double MAX_WAIT_MS = 50;
+    /** Of failed turns, one in so many is logged. */
+    private static final long LOG_EVERY_FAILED = 1000;
+    /** How long closing waits for each thread, in milliseconds. */
+    private static final long JOIN_MS = 2000;
 
     /**
      * What a member holds of another; a line of {@code state status}.
@@ -64,27 +64,22 @@
             long records,
             boolean onDisk) {}
 
-    private record Key(RecordSpace space, String owner, String key) {}
-
     private final PeerLinks links;
     private final ReplicaDisk disk;
     private final Clock clock;
-    private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();
-    private final Condition ticks = lock.newCondition();
-    private final RecordStore store;
-    private final ReplicationProtocol exchange;
-    private final List<Listener> listeners = new CopyOnWriteArrayList<>();
-    private final LinkedHashSet<Key> toTell = new LinkedHashSet<>();
-    private final Map<CatchUp.Of, LinkedHashSet<RecordKey>> toWrite = new TreeMap<>();
+    private final ReplicaMonitor monitor = new ReplicaMonitor();
+    private final ChangeNotifier notifier;
+    /** Null without a disk. */
+    private final DiskWriter diskWriter;
+
     private final List<Thread> threads = new ArrayList<>();
-    private long diskLife;
-    private boolean onDisk;
-    private boolean writing;
-    private long unsent;
-    private long failed;
+
+    // Guarded by the monitor.
+    private final RecordStore store;
+    private final ReplicationProtocol protocol;
+    private long unsentMessages;
+    private long failedTurns;
     private boolean peersChanged = true;
-    private volatile boolean closed;
 
     /**
      * A replica that is not started.
@@ -92,30 +87,30 @@
      * @param links links that are not started either
      * @param disk the disk; null for none
      * @param clock the clock
-     * @param terms how it exchanges
+     * @param limits bounds and intervals of the replication
      * @throws IOException if the disk can be neither read nor begun anew
      */
-    public ReplicaNode(PeerLinks links, ReplicaDisk disk, Clock clock, ReplicationLimits terms) throws IOException {
+    public ReplicaNode(PeerLinks links, ReplicaDisk disk, Clock clock, ReplicationLimits limits) throws IOException {
         this.links = links;
         this.disk = disk;
         this.clock = clock;
         long nonce = new java.security.SecureRandom().nextLong() | 1;
-        long life = Math.max(links.life(), disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life());
-        store = new RecordStore(links.me().name(), life, nonce, true);
-        diskLife = disk == null ? life : disk.life();
-        onDisk = disk != null;
+        long incarnation = Math.max(links.life(), disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life());
+        store = new RecordStore(links.me().name(), incarnation, nonce, true);
+        notifier = new ChangeNotifier(monitor, store, clock);
+        diskWriter = disk == null ? null : new DiskWriter(monitor, store, disk);
         if (disk != null) {
             disk.restore(store);
             store.drainChanges();
-            writeEverything();
+            diskWriter.enqueueAll();
         }
-        exchange = new ReplicationProtocol(store, terms, new SplittableRandom(nonce), clock.nowMs());
+        protocol = new ReplicationProtocol(store, limits, new SplittableRandom(nonce), clock.nowMs());
         links.receive(
-                MessageStream.REPLICA, (peer, of, body) -> turn(() -> exchange.took(peer, of, body, clock.nowMs())));
-        links.watch((peer, standing, of) -> turn(() -> {
+                MessageStream.REPLICA, (peer, of, body) -> runTurn(() -> protocol.took(peer, of, body, clock.nowMs())));
+        links.watch((peer, status, of) -> runTurn(() -> {
             peersChanged = true;
-            if (standing == MemberStatus.ALIVE) {
-                exchange.linked(peer);
+            if (status == MemberStatus.ALIVE) {
+                protocol.linked(peer);
             }
             return List.of();
         }));
@@ -123,14 +118,14 @@
 
     /** Begins to exchange; links are started by whoever made them. */
     public void start() {
-        threads.add(thread("replica-turn", this::turns));
-        threads.add(thread("replica-tell", this::tells));
-        if (disk != null) {
-            threads.add(thread("replica-disk", this::writes));
+        threads.add(startThread("replica-turn", this::runTimers));
+        threads.add(startThread("replica-tell", notifier));
+        if (diskWriter != null) {
+            threads.add(startThread("replica-disk", diskWriter));
         }
     }
 
-    private static Thread thread(String name, Runnable body) {
+    private static Thread startThread(String name, Runnable body) {
         Thread t = new Thread(body, name);
         t.setDaemon(true);
         t.start();
@@ -139,230 +134,84 @@
 
     // ---- turns ----
 
-    private void turn(Supplier<List<ReplicationProtocol.Out>> what) {
-        List<ReplicationProtocol.Out> out;
+    /** One step of the protocol under the lock; what it sends goes out without it. */
+    private void runTurn(Supplier<List<ReplicationProtocol.Out>> step) {
+        List<ReplicationProtocol.Out> messages;
         List<String> alarms;
-        lock.lock();
+        monitor.lock();
         try {
-            out = what.get();
-            alarms = settle();
+            messages = step.get();
+            alarms = collectChanges();
         } catch (RuntimeException e) {
             // Guards against a fault here taking a peer's thread, or the process, with it.
-            if (failed++ % 1000 == 0) {
-                LOG.error("a turn of the replica failed, {} until now", failed, e);
+            if (failedTurns++ % LOG_EVERY_FAILED == 0) {
+                LOG.error("a turn of the replica failed, {} until now", failedTurns, e);
             }
             return;
         } finally {
-            lock.unlock();
+            monitor.unlock();
         }
         alarms.forEach(LOG::error);
-        long lost = out.stream()
-                .filter(o -> !links.send(o.peer(), MessageStream.REPLICA, o.body()))
+        send(messages);
+    }
+
+    private void send(List<ReplicationProtocol.Out> messages) {
+        long unsent = messages.stream()
+                .filter(message -> !links.send(message.peer(), MessageStream.REPLICA, message.body()))
                 .count();
-        if (lost > 0) {
-            lock.lock();
-            try {
-                unsent += lost;
-            } finally {
-                lock.unlock();
-            }
+        if (unsent > 0) {
+            monitor.locked(() -> unsentMessages += unsent);
         }
     }
 
-    /** Takes note of what a turn has changed; with the lock held. */
-    private List<String> settle() {
-        boolean listens = !listeners.isEmpty();
-        for (RecordTable.Change t : store.drainChanges()) {
-            LinkedHashSet<RecordKey> items = disk == null
-                    ? null
-                    : toWrite.computeIfAbsent(new CatchUp.Of(t.owner(), t.incarnation()), k -> new LinkedHashSet<>());
-            if (t.key() != null) {
-                if (items != null) {
-                    items.add(t.key());
-                }
-                if (listens) {
-                    toTell.add(new Key(t.key().space(), t.owner(), t.key().key()));
-                }
+    /** Queues what a turn has changed for listeners and the disk, and returns its alarms; with the lock held. */
+    private List<String> collectChanges() {
+        boolean notifies = notifier.hasListeners();
+        for (RecordTable.Change change : store.drainChanges()) {
+            if (diskWriter != null) {
+                diskWriter.enqueue(change);
+            }
+            if (change.key() != null && notifies) {
+                notifier.enqueue(change);
             }
         }
-        changed.signalAll();
+        monitor.signalChange();
         List<String> alarms = new ArrayList<>(store.drainAlarms());
-        alarms.addAll(exchange.differences().alarms());
+        alarms.addAll(protocol.differences().alarms());
         return alarms;
     }
 
-    private void turns() {
-        while (!closed) {
-            turn(() -> {
-                if (peersChanged) {
-                    peersChanged = false;
-                    List<String> all = links.peers().stream().map(Member::name).toList();
-                    exchange.peers(
-                            all,
-                            all.stream()
-                                    .filter(p -> links.standing(p) != MemberStatus.GONE)
-                                    .toList());
-                }
-                return exchange.tick(clock.nowMs());
+    /** Drives the protocol's timers until the end. */
+    private void runTimers() {
+        while (!monitor.isClosed()) {
+            runTurn(() -> {
+                updatePeers();
+                return protocol.tick(clock.nowMs());
             });
-            lock.lock();
-            try {
-                double waitMs = exchange.nextMs() - clock.nowMs();
-                peersChanged |= links.peers().size() != exchange.configured();
-                if (waitMs > 0 && !closed) {
-                    tickWait((long) (Math.min(waitMs, 50) * 1e6));
-                }
-            } catch (InterruptedException e) {
-                return;
-            } finally {
-                lock.unlock();
-            }
-        }
-    }
-
-    private void tickWait(long nanos) throws InterruptedException {
-        long left = nanos;
-        while (left > 0 && !closed) {
-            left = ticks.awaitNanos(left);
-        }
-    }
-
-    private void tells() {
-        while (!closed) {
-            Map<Key, Seen> tell = new LinkedHashMap<>();
-            lock.lock();
-            try {
-                while (toTell.isEmpty() && !closed) {
-                    changed.await();
-                }
-                double now = clock.nowMs();
-                toTell.forEach(k -> tell.put(k, store.read(k.owner(), k.space(), k.key(), now)));
-                toTell.clear();
-            } catch (InterruptedException e) {
-                return;
-            } finally {
-                lock.unlock();
-            }
-            tell.forEach((k, seen) -> listeners.forEach(l -> {
-                try {
-                    l.changed(k.space(), k.owner(), k.key(), seen);
-                } catch (RuntimeException e) {
-                    LOG.error("a listener failed on {}", k, e);
-                }
-            }));
-        }
-    }
-
-    // ---- disk ----
-
-    private void writes() {
-        while (!closed) {
-            lock.lock();
+            monitor.lock();
             try {
-                while (toWrite.isEmpty() && !closed) {
-                    changed.await();
-                }
-                // What changes within a moment is written together.
-                tickWait(DISK_MS * 1_000_000);
+                double waitMs = protocol.nextMs() - clock.nowMs();
+                peersChanged |= links.peers().size() != protocol.configured();
+                monitor.pause(Math.min(waitMs, MAX_WAIT_MS));
             } catch (InterruptedException e) {
                 return;
             } finally {
-                lock.unlock();
-            }
-            if (!flush()) {
-                lock.lock();
-                try {
-                    tickWait(DISK_AGAIN_MS * 1_000_000);
-                } catch (InterruptedException e) {
-                    return;
-                } finally {
-                    lock.unlock();
-                }
+                monitor.unlock();
             }
         }
     }
 
-    /** All there is, is to be written; with the lock held. */
-    private void writeEverything() {
-        for (String owner : store.owners()) {
-            for (long life : store.incarnations(owner)) {
-                LinkedHashSet<RecordKey> items =
-                        toWrite.computeIfAbsent(new CatchUp.Of(owner, life), k -> new LinkedHashSet<>());
-                store.all(owner, life).forEach(e -> items.add(e.item()));
-            }
+    private void updatePeers() {
+        if (peersChanged) {
+            peersChanged = false;
+            List<String> all = links.peers().stream().map(Member::name).toList();
+            List<String> reachable = all.stream()
+                    .filter(peer -> links.standing(peer) != MemberStatus.GONE)
+                    .toList();
+            protocol.peers(all, reachable);
         }
     }
 
-    private boolean flush() {
-        Map<CatchUp.Of, LinkedHashSet<RecordKey>> taken;
-        List<ReplicaDisk.Batch> batches = new ArrayList<>();
-        Map<CatchUp.Of, Integer> sizes = new TreeMap<>();
-        long life;
-        lock.lock();
-        try {
-            life = store.incarnation();
-            if (disk.wantsAll()) {
-                // Whatever the file had may be lost with what failed.
-                writeEverything();
-            }
-            taken = new TreeMap<>(toWrite);
-            toWrite.clear();
-            writing = true;
-            taken.forEach((of, items) -> {
-                List<ReplicatedRecord> entries = new ArrayList<>();
-                List<RecordKey> gone = new ArrayList<>();
-                for (RecordKey i : items) {
-                    ReplicatedRecord e = store.record(of.owner(), of.life(), i);
-                    if (e == null) {
-                        gone.add(i);
-                    } else {
-                        entries.add(e);
-                    }
-                }
-                boolean there = store.incarnations(of.owner()).contains(of.life());
-                sizes.put(of, store.size(of.owner(), of.life()));
-                batches.add(new ReplicaDisk.Batch(
-                        of.owner(),
-                        of.life(),
-                        there ? store.appliedSequence(of.owner(), of.life()).orElse(0) : null,
-                        store.tombstoneFloor(of.owner(), of.life()),
-                        entries,
-                        gone));
-            });
-        } finally {
-            lock.unlock();
-        }
-        boolean ok = false;
-        try {
-            if (life > diskLife) {
-                disk.took(life);
-                diskLife = life;
-            }
-            disk.write(batches, sizes);
-            ok = true;
-        } catch (IOException | RuntimeException e) {
-            if (onDisk) {
-                LOG.error("the disk does not take the replica, memory goes on: {}", e.getMessage());
-            }
-        }
-        lock.lock();
-        try {
-            if (ok && !onDisk) {
-                LOG.warn("the disk takes the replica again");
-            }
-            onDisk = ok;
-            writing = false;
-            if (!ok) {
-                taken.forEach((of, items) ->
-                        toWrite.computeIfAbsent(of, k -> new LinkedHashSet<>()).addAll(items));
-            }
-            changed.signalAll();
-        } finally {
-            lock.unlock();
-        }
-        return ok;
-    }
-
     // ---- for the process ----
 
     @Override
@@ -385,64 +234,55 @@
         throw new IllegalArgumentException("a part of a sum only grows: " + by);
     }
 
-    private void write(Supplier<Boolean> what) {
-        lock.lock();
+    private void write(Supplier<Boolean> action) {
+        monitor.lock();
         try {
-            long had = store.appliedSequence(store.localMember(), store.incarnation())
+            long before = store.appliedSequence(store.localMember(), store.incarnation())
                     .orElse(0);
-            if (what.get()) {
-                exchange.wrote(had);
-                settle().forEach(LOG::error);
+            if (action.get()) {
+                protocol.wrote(before);
+                collectChanges().forEach(LOG::error);
             }
         } finally {
-            lock.unlock();
-        }
-    }
-
-    private <T> T locked(Supplier<T> what) {
-        lock.lock();
-        try {
-            return what.get();
-        } finally {
-            lock.unlock();
+            monitor.unlock();
         }
     }
 
     @Override
     public long sum(RecordSpace space, String key) {
-        return locked(() -> store.sum(space, key));
+        return monitor.locked(() -> store.sum(space, key));
     }
 
     @Override
     public List<Seen> seen(RecordSpace space) {
-        return locked(() -> store.readAll(space, clock.nowMs()));
+        return monitor.locked(() -> store.readAll(space, clock.nowMs()));
     }
 
     @Override
     public Level level() {
-        return locked(() -> exchange.level(clock.nowMs()));
+        return monitor.locked(() -> protocol.level(clock.nowMs()));
     }
 
     @Override
     public void listen(Listener listener) {
-        listeners.add(listener);
+        notifier.addListener(listener);
     }
 
     /** This member's life: greater than that of its links if peers knew a later one. */
     public long life() {
-        return locked(store::incarnation);
+        return monitor.locked(store::incarnation);
     }
 
     /** This member's last write. */
     public RecordVersion version() {
-        return locked(() -> new RecordVersion(
+        return monitor.locked(() -> new RecordVersion(
                 store.incarnation(),
                 store.appliedSequence(store.localMember(), store.incarnation()).orElse(0)));
     }
 
     /** The last differences that were found, with both values; what {@code state diff} shows. */
     public List<AntiEntropy.Difference> diff() {
-        return locked(() -> exchange.differences().found());
+        return monitor.locked(() -> protocol.differences().found());
     }
 
     /** What is held of each member; what {@code state status} shows. */
@@ -450,7 +290,7 @@
         Map<String, MemberStatus> standings = new TreeMap<>();
         links.peers().forEach(p -> standings.put(p.name(), links.standing(p.name())));
         standings.put(store.localMember(), MemberStatus.ALIVE);
-        return locked(() -> {
+        return monitor.locked(() -> {
             List<Status> all = new ArrayList<>();
             LinkedHashSet<String> names = new LinkedHashSet<>(standings.keySet());
             names.addAll(store.owners());
@@ -471,54 +311,38 @@
 
     /** What it has done. */
     public Figures figures() {
-        return locked(() -> new Figures(
-                exchange.sentBytes(),
-                exchange.dropped(),
-                unsent,
-                exchange.unreadable(),
-                exchange.differences().total(),
+        return monitor.locked(() -> new Figures(
+                protocol.sentBytes(),
+                protocol.dropped(),
+                unsentMessages,
+                protocol.unreadable(),
+                protocol.differences().total(),
                 store.size(),
-                onDisk));
+                diskWriter != null && diskWriter.isHealthy()));
     }
 
     /** How many peers have said that they hold all writes of this member up to this one. */
     public int heldBy(RecordVersion version) {
-        return locked(() -> version.life() == store.incarnation() ? exchange.heldBy(version.sequence()) : 0);
+        return monitor.locked(() -> version.life() == store.incarnation() ? protocol.heldBy(version.sequence()) : 0);
     }
 
     /** Waits until all that was written until now is on the disk; false if the time is over or there is no disk. */
     public boolean awaitDisk(double withinMs) throws InterruptedException {
-        lock.lock();
-        try {
-            long left = (long) (withinMs * 1e6);
-            while ((!toWrite.isEmpty() || writing) && left > 0 && disk != null) {
-                left = changed.awaitNanos(left);
-            }
-            return disk != null && toWrite.isEmpty() && !writing && onDisk;
-        } finally {
-            lock.unlock();
-        }
+        return diskWriter != null && diskWriter.awaitFlushed(withinMs);
     }
 
     @Override
     public void close() {
-        lock.lock();
-        try {
-            closed = true;
-            changed.signalAll();
-            ticks.signalAll();
-        } finally {
-            lock.unlock();
-        }
+        monitor.close();
         for (Thread t : threads) {
             try {
-                t.join(2000);
+                t.join(JOIN_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
         if (disk != null) {
-            flush();
+            diskWriter.flush();
             disk.close();
         }
     }
