--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -11,22 +11,24 @@
 import java.util.TreeSet;
 
 /**
- * Finds copies that differ at rest, without a reader: digests of lives, then of ranges of keys, then the records of a
+ * Anti-entropy by content: finds copies that differ at rest, without a reader: digests of logs, then of ranges of keys, then the records of a
  * range; and makes them one by a rule that is the same at every member:
  * <ol>
- * <li>the owner's copy of its present life decides, what it lacks is gone;
+ * <li>the owner's copy of its present incarnation decides, what it lacks is gone;
  * <li>a record that is no longer what its owner wrote (its checksum) yields to one that is;
  * <li>the later write wins; a record that only one has stays;
  * <li>two contents of one write are two writers: both are put aside; of sums, the greater count stays.
  * </ol>
  */
 public final class AntiEntropy {
-    /** Comparisons with the owner that still find a difference after the rule, until the copy is given up. */
-    static final int STRIKES = 3;
+    /** Comparisons with the owner that still find a difference after repair, until the copy is discarded. */
+    static final int MAX_MISMATCHES = 3;
 
-    private static final int MOST_KEPT = 256;
-    private static final int MOST_LIVES = 256;
-    private static final int PIECE_BYTES = 64 << 10;
+    /** Differences and alarms that are kept, at the most. */
+    private static final int MAX_KEPT = 256;
+
+    private static final int MAX_LOGS_PER_MESSAGE = 256;
+    private static final int MAX_PIECE_BYTES = 64 << 10;
 
     /** What became of a difference. */
     public enum Verdict {
@@ -63,12 +65,12 @@
             Verdict verdict) {}
 
     private final RecordStore store;
-    private final ArrayDeque<Difference> found = new ArrayDeque<>();
-    private final Map<CatchUp.Of, Integer> strikes = new HashMap<>();
-    private final Set<CatchUp.Of> open = new TreeSet<>();
-    private final Set<CatchUp.Of> givenUp = new TreeSet<>();
+    private final ArrayDeque<Difference> differences = new ArrayDeque<>();
+    private final Map<CatchUp.LogId, Integer> mismatches = new HashMap<>();
+    private final Set<CatchUp.LogId> open = new TreeSet<>();
+    private final Set<CatchUp.LogId> discarded = new TreeSet<>();
     private final List<String> alarms = new ArrayList<>();
-    private CatchUp.Of next = new CatchUp.Of("", 0);
+    private CatchUp.LogId next = new CatchUp.LogId("", 0);
     private long total;
 
     /** Of this copy. */
@@ -76,29 +78,29 @@
         this.store = store;
     }
 
-    /** The next lives to compare with this peer; all come in turn, the peer's own one is always among them. */
-    public ReplicationMessage.Digests next(String peer) {
-        Set<CatchUp.Of> of = new LinkedHashSet<>();
-        of.add(new CatchUp.Of(peer, store.newestIncarnation(peer)));
-        of.add(new CatchUp.Of(store.localMember(), store.incarnation()));
-        List<CatchUp.Of> all = new ArrayList<>();
-        store.owners().forEach(o -> store.incarnations(o).forEach(l -> all.add(new CatchUp.Of(o, l))));
+    /** The digests of the next logs to compare with this peer; all come in turn, the peer's own one is always among them. */
+    public ReplicationMessage.Digests nextDigests(String peer) {
+        Set<CatchUp.LogId> of = new LinkedHashSet<>();
+        of.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
+        of.add(new CatchUp.LogId(store.localMember(), store.incarnation()));
+        List<CatchUp.LogId> all = new ArrayList<>();
+        store.owners().forEach(o -> store.incarnations(o).forEach(l -> all.add(new CatchUp.LogId(o, l))));
         int from = 0;
         while (from < all.size() && all.get(from).compareTo(next) < 0) {
             from++;
         }
-        for (int i = 0; i < all.size() && of.size() < MOST_LIVES; i++) {
+        for (int i = 0; i < all.size() && of.size() < MAX_LOGS_PER_MESSAGE; i++) {
             of.add(all.get((from + i) % all.size()));
         }
-        next = all.isEmpty() ? next : all.get((from + Math.min(all.size(), MOST_LIVES - 2)) % all.size());
+        next = all.isEmpty() ? next : all.get((from + Math.min(all.size(), MAX_LOGS_PER_MESSAGE - 2)) % all.size());
         List<ReplicationMessage.Digest> digests = new ArrayList<>();
-        for (CatchUp.Of o : of) {
-            long[] d = store.digests(o.owner(), o.life());
+        for (CatchUp.LogId o : of) {
+            long[] d = store.digests(o.owner(), o.incarnation());
             if (d != null) {
                 digests.add(new ReplicationMessage.Digest(
                         o.owner(),
-                        o.life(),
-                        store.appliedSequence(o.owner(), o.life()).orElse(0),
+                        o.incarnation(),
+                        store.appliedSequence(o.owner(), o.incarnation()).orElse(0),
                         OwnerLog.digest(d)));
             }
         }
@@ -106,15 +108,15 @@
     }
 
     /** Takes a peer's digests; answers with ranges where they differ. */
-    public List<ReplicationMessage> took(String peer, ReplicationMessage.Digests m) {
+    public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.Digests m) {
         List<ReplicationMessage> answers = new ArrayList<>();
         for (ReplicationMessage.Digest d : m.digests()) {
-            long[] mine = same(d.owner(), d.life(), d.have());
+            long[] mine = digestsAt(d.owner(), d.life(), d.have());
             if (mine == null) {
                 continue;
             }
             if (OwnerLog.digest(mine) == d.digest()) {
-                agreed(peer, d.owner(), d.life());
+                onEqual(peer, d.owner(), d.life());
             } else {
                 answers.add(ranges(d.owner(), d.life(), d.have(), mine));
             }
@@ -131,23 +133,23 @@
     }
 
     /** Only copies that are equally far are compared. */
-    private long[] same(String owner, long life, long have) {
+    private long[] digestsAt(String owner, long life, long have) {
         return store.appliedSequence(owner, life).orElse(0) == have ? store.digests(owner, life) : null;
     }
 
-    private void agreed(String peer, String owner, long life) {
-        CatchUp.Of of = new CatchUp.Of(owner, life);
+    private void onEqual(String peer, String owner, long life) {
+        CatchUp.LogId of = new CatchUp.LogId(owner, life);
         open.remove(of);
         if (peer.equals(owner) || life < store.newestIncarnation(owner)) {
-            strikes.remove(of);
-            givenUp.remove(of);
+            mismatches.remove(of);
+            discarded.remove(of);
         }
     }
 
     /** Takes a peer's digests by range; answers with the records of ranges that differ. */
-    public List<ReplicationMessage> took(String peer, ReplicationMessage.Ranges m) {
+    public List<ReplicationMessage> onRanges(String peer, ReplicationMessage.Ranges m) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        long[] mine = same(m.owner(), m.life(), m.have());
+        long[] mine = digestsAt(m.owner(), m.life(), m.have());
         if (mine == null) {
             return answers;
         }
@@ -159,24 +161,24 @@
             }
         }
         if (differ) {
-            strike(peer, m.owner(), m.life());
+            onDifferent(peer, m.owner(), m.life());
         } else {
-            agreed(peer, m.owner(), m.life());
+            onEqual(peer, m.owner(), m.life());
         }
         return answers;
     }
 
-    private void strike(String peer, String owner, long life) {
-        CatchUp.Of of = new CatchUp.Of(owner, life);
+    private void onDifferent(String peer, String owner, long life) {
+        CatchUp.LogId of = new CatchUp.LogId(owner, life);
         if (owner.equals(store.localMember())) {
             return;
         }
         open.add(of);
-        if (peer.equals(owner) && strikes.merge(of, 1, Integer::sum) >= STRIKES) {
-            strikes.remove(of);
-            givenUp.add(of);
-            alarm("the copy of " + owner + " in life " + life + " still differs from its owner's after " + STRIKES
-                    + " times: out of decision, fetched whole");
+        if (peer.equals(owner) && mismatches.merge(of, 1, Integer::sum) >= MAX_MISMATCHES) {
+            mismatches.remove(of);
+            discarded.add(of);
+            addAlarm("the copy of " + owner + " in life " + life + " still differs from its owner's after "
+                    + MAX_MISMATCHES + " times: out of decision, fetched whole");
             store.discard(owner, life);
         }
     }
@@ -186,7 +188,7 @@
         List<ReplicatedRecord> piece = new ArrayList<>();
         int bytes = 0;
         for (ReplicatedRecord e : store.range(owner, life, range)) {
-            if (!piece.isEmpty() && (bytes + e.bytes() > PIECE_BYTES || piece.size() == ReplicationMessage.MOST)) {
+            if (!piece.isEmpty() && (bytes + e.bytes() > MAX_PIECE_BYTES || piece.size() == ReplicationMessage.MOST)) {
                 pieces.add(new ReplicationMessage.Copies(owner, life, have, range, pieces.size(), false, ask, piece));
                 piece = new ArrayList<>();
                 bytes = 0;
@@ -199,7 +201,7 @@
     }
 
     /** Takes a peer's records of a range, and applies the rule; answers with those here if asked to. */
-    public List<ReplicationMessage> took(String peer, ReplicationMessage.Copies m, double nowMs) {
+    public List<ReplicationMessage> onCopies(String peer, ReplicationMessage.Copies m, double nowMs) {
         if (store.appliedSequence(m.owner(), m.life()).orElse(0) != m.have()
                 || store.digests(m.owner(), m.life()) == null) {
             return List.of();
@@ -223,7 +225,7 @@
             }
         }
         if (!peer.equals(m.owner()) || !m.ask()) {
-            open.add(new CatchUp.Of(m.owner(), m.life()));
+            open.add(new CatchUp.LogId(m.owner(), m.life()));
         }
         for (RecordKey i : items) {
             ReplicatedRecord t = theirs.get(i);
@@ -231,16 +233,17 @@
                     || t.item().range() == m.range()
                             && t.version().life() == m.life()
                             && t.version().sequence() <= m.have()) {
-                rule(peer, m.owner(), m.life(), i, t, nowMs);
+                applyRule(peer, m.owner(), m.life(), i, t, nowMs);
             }
         }
         if (m.last() && m.owner().equals(store.localMember())) {
-            open.remove(new CatchUp.Of(m.owner(), m.life()));
+            open.remove(new CatchUp.LogId(m.owner(), m.life()));
         }
         return answer;
     }
 
-    private void rule(String peer, String owner, long life, RecordKey item, ReplicatedRecord theirs, double nowMs) {
+    private void applyRule(
+            String peer, String owner, long life, RecordKey item, ReplicatedRecord theirs, double nowMs) {
         ReplicatedRecord mine = store.record(owner, life, item);
         boolean goneHere = mine == null || mine.gone();
         boolean goneThere = theirs == null || theirs.gone();
@@ -276,7 +279,7 @@
                 && mine.version().equals(theirs.version())) {
             v = Verdict.TWO_WRITERS;
         }
-        found(new Difference(
+        addDifference(new Difference(
                 nowMs, owner, life, item.space(), item.key(), peer, text(owner, mine), text(owner, theirs), v));
         if (v == Verdict.TOOK_THEIRS) {
             store.repair(owner, life, item, theirs != null && !theirs.intact(owner) ? null : theirs, nowMs);
@@ -289,49 +292,49 @@
         return e == null ? "nothing" : e.intact(owner) ? e.toString() : e + " (not what was written)";
     }
 
-    private void found(Difference d) {
+    private void addDifference(Difference d) {
         total++;
-        if (found.size() == MOST_KEPT) {
-            found.removeFirst();
+        if (differences.size() == MAX_KEPT) {
+            differences.removeFirst();
         }
-        found.addLast(d);
-        alarm("copies differ: " + d.owner() + " life " + d.life() + " " + d.space() + "/" + d.key() + ": here "
+        differences.addLast(d);
+        addAlarm("copies differ: " + d.owner() + " life " + d.life() + " " + d.space() + "/" + d.key() + ": here "
                 + d.mine() + ", at " + d.peer() + " " + d.theirs() + ": " + d.verdict());
     }
 
-    private void alarm(String text) {
-        if (alarms.size() < MOST_KEPT) {
+    private void addAlarm(String text) {
+        if (alarms.size() < MAX_KEPT) {
             alarms.add(text);
         }
     }
 
-    /** What was found that staff should know, since the last call. */
-    public List<String> alarms() {
-        List<String> a = List.copyOf(alarms);
+    /** What was found that an operator should know, since the last call. */
+    public List<String> drainAlarms() {
+        List<String> drained = List.copyOf(alarms);
         alarms.clear();
-        return a;
+        return drained;
     }
 
     /** The last differences that were found, earliest first. */
-    public List<Difference> found() {
-        return List.copyOf(found);
+    public List<Difference> recentDifferences() {
+        return List.copyOf(differences);
     }
 
     /** How many were found since the start. */
-    public long total() {
+    public long totalDifferences() {
         return total;
     }
 
-    /** Lives of owners that were found to differ and were not found equal since. */
-    public int open() {
-        open.removeIf(o -> o.life() < store.newestIncarnation(o.owner())
-                && store.appliedSequence(o.owner(), o.life()).isEmpty());
+    /** Logs that were found to differ and were not found equal since. */
+    public int openLogs() {
+        open.removeIf(o -> o.incarnation() < store.newestIncarnation(o.owner())
+                && store.appliedSequence(o.owner(), o.incarnation()).isEmpty());
         return open.size();
     }
 
     /** Whether a copy here still differs after the rule: nobody acts on this member's copies. */
     public boolean outOfDecision() {
-        givenUp.removeIf(o -> o.life() < store.newestIncarnation(o.owner()));
-        return !givenUp.isEmpty();
+        discarded.removeIf(o -> o.incarnation() < store.newestIncarnation(o.owner()));
+        return !discarded.isEmpty();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -7,107 +7,124 @@
 import java.util.TreeMap;
 
 /**
- * What peers have named and this member lacks, from whom to ask it and when. Bounded: one line for each life of an
- * owner that is behind.
+ * Catch-up: which logs are behind what peers have named, from which peer to request the rest, and when. Not thread-safe.
+ * Bounded: one gap for each log that is behind, {@code 2 * MAX_OWNERS} at the most.
  */
 public final class CatchUp {
     /**
-     * One life of an owner.
+     * The log of one incarnation of an owner.
      *
      * @param owner whose
-     * @param life which life
+     * @param incarnation which of its incarnations
      */
-    public record Of(String owner, long life) implements Comparable<Of> {
+    public record LogId(String owner, long incarnation) implements Comparable<LogId> {
         @Override
-        public int compareTo(Of o) {
+        public int compareTo(LogId o) {
             int c = owner.compareTo(o.owner);
-            return c != 0 ? c : Long.compare(life, o.life);
+            return c != 0 ? c : Long.compare(incarnation, o.incarnation);
         }
     }
 
-    private static final class Lack {
-        long named;
-        long held;
-        String from;
-        double sinceMs;
-        long namedSince;
-        double askAtMs;
-        int asked;
+    private static final class Gap {
+        /** The greatest sequence number that a peer has named. */
+        long targetSequence;
+        /** All up to this sequence number is here. */
+        long appliedSequence;
+        /** The peer to request from. */
+        String source;
+        /** Since when writes up to {@link #lagTargetSequence} are missing, in milliseconds. */
+        double behindSinceMs;
+        /** The target when the present lag began. */
+        long lagTargetSequence;
+
+        double nextRequestAtMs;
+        /** Requests since the last progress. */
+        int requests;
+        /** When a peer last named it, in milliseconds. */
         double namedAtMs;
     }
 
-    private static final double UNNAMED_MS = 5000;
+    /** A log that was requested in vain and that no peer has named for so long is forgotten; milliseconds. */
+    private static final double FORGET_AFTER_MS = 5000;
+    /** Logs in one request, at the most. */
+    private static final int MAX_LOGS_PER_REQUEST = 64;
+    /** Requests in vain from one peer, after which another that names the log takes its place. */
+    private static final int MAX_REQUESTS_TO_SOURCE = 1;
+    /** The pause between requests grows up to so many times the first. */
+    private static final int MAX_BACKOFF_FACTOR = 8;
+    /** Requests in vain after which a log that is not named any more is forgotten. */
+    private static final int MAX_REQUESTS_UNNAMED = 2;
 
-    private final ReplicationLimits terms;
-    private final Map<Of, Lack> lacks = new TreeMap<>();
+    private final ReplicationLimits limits;
+    private final Map<LogId, Gap> gaps = new TreeMap<>();
     private boolean wasLevel;
 
     /** Nothing was named yet. */
-    public CatchUp(ReplicationLimits terms) {
-        this.terms = terms;
+    public CatchUp(ReplicationLimits limits) {
+        this.limits = limits;
     }
 
-    /** A peer has said how far its copy is. */
-    public void named(String peer, Of of, long named, long held, double nowMs) {
-        if (named <= held) {
+    /** A peer has named the sequence number that its copy of a log has reached. */
+    public void onPosition(String peer, LogId of, long named, long applied, double nowMs) {
+        if (named <= applied) {
             return;
         }
-        Lack l = lacks.get(of);
-        if (l == null) {
-            if (lacks.size() >= 2 * RecordStore.MAX_OWNERS) {
+        Gap gap = gaps.get(of);
+        if (gap == null) {
+            if (gaps.size() >= 2 * RecordStore.MAX_OWNERS) {
                 return;
             }
-            l = new Lack();
-            l.sinceMs = nowMs;
-            l.namedSince = named;
-            lacks.put(of, l);
+            gap = new Gap();
+            gap.behindSinceMs = nowMs;
+            gap.lagTargetSequence = named;
+            gaps.put(of, gap);
         }
-        l.held = held;
+        gap.appliedSequence = applied;
         // The first who has all of it stays the one to ask, unless it did not answer.
-        if (named > l.named || l.asked > 1) {
-            l.from = peer;
-            l.asked = 0;
+        if (named > gap.targetSequence || gap.requests > MAX_REQUESTS_TO_SOURCE) {
+            gap.source = peer;
+            gap.requests = 0;
         }
-        l.named = Math.max(l.named, named);
-        l.namedAtMs = nowMs;
+        gap.targetSequence = Math.max(gap.targetSequence, named);
+        gap.namedAtMs = nowMs;
     }
 
-    /** Lives of an owner before this one have ended: what peers keep of them is named anew. */
-    public void ended(String owner, long before) {
-        lacks.keySet().removeIf(of -> of.owner().equals(owner) && of.life() < before);
+    /** Incarnations of an owner before this one have ended: what peers keep of them is named anew. */
+    public void dropEnded(String owner, long before) {
+        gaps.keySet().removeIf(of -> of.owner().equals(owner) && of.incarnation() < before);
     }
 
-    /** The copy has got so far; or there is no need of it any more, with the greatest number. */
-    public void held(Of of, long held, double nowMs) {
-        Lack l = lacks.get(of);
-        if (l == null) {
+    /** The copy here has reached this sequence number; {@link Long#MAX_VALUE} if it is not needed any more. */
+    public void onProgress(LogId of, long applied, double nowMs) {
+        Gap gap = gaps.get(of);
+        if (gap == null) {
             return;
         }
-        if (held >= l.named) {
-            lacks.remove(of);
+        if (applied >= gap.targetSequence) {
+            gaps.remove(of);
             return;
         }
-        if (held >= l.namedSince) {
-            l.sinceMs = nowMs;
-            l.namedSince = l.named;
+        if (applied >= gap.lagTargetSequence) {
+            gap.behindSinceMs = nowMs;
+            gap.lagTargetSequence = gap.targetSequence;
         }
-        l.held = held;
-        l.asked = 0;
-        l.askAtMs = nowMs;
+        gap.appliedSequence = applied;
+        gap.requests = 0;
+        gap.nextRequestAtMs = nowMs;
     }
 
-    /** What to ask for now, by peer; each is asked for again after a while without an answer. */
-    public Map<String, List<Of>> due(double nowMs) {
-        Map<String, List<Of>> due = new LinkedHashMap<>();
+    /** What to request now, by peer; each is requested again with a growing pause until there is progress. */
+    public Map<String, List<LogId>> dueRequests(double nowMs) {
+        Map<String, List<LogId>> due = new LinkedHashMap<>();
         // Guards against waiting for ever for what nobody in reach names any more: folded, or its only holder is gone.
-        lacks.values().removeIf(l -> l.asked > 2 && nowMs - l.namedAtMs > UNNAMED_MS);
-        lacks.forEach((of, l) -> {
-            if (l.askAtMs <= nowMs) {
-                List<Of> of1 = due.computeIfAbsent(l.from, p -> new ArrayList<>());
-                if (of1.size() < 64) {
-                    of1.add(of);
-                    l.asked++;
-                    l.askAtMs = nowMs + terms.againMs() * Math.min(8, l.asked);
+        gaps.values().removeIf(gap -> gap.requests > MAX_REQUESTS_UNNAMED && nowMs - gap.namedAtMs > FORGET_AFTER_MS);
+        gaps.forEach((of, gap) -> {
+            if (gap.nextRequestAtMs <= nowMs) {
+                List<LogId> requests = due.computeIfAbsent(gap.source, p -> new ArrayList<>());
+                if (requests.size() < MAX_LOGS_PER_REQUEST) {
+                    requests.add(of);
+                    gap.requests++;
+                    gap.nextRequestAtMs = nowMs + limits.againMs() * Math.min(MAX_BACKOFF_FACTOR, gap.requests);
                 }
             }
         });
@@ -115,13 +132,20 @@
     }
 
     /** How many writes it is known to lack: at least as many as records, since some were written over. */
-    public long behind() {
-        return lacks.values().stream().mapToLong(l -> l.named - l.held).sum();
+    public long missingWrites() {
+        return gaps.values().stream()
+                .mapToLong(gap -> gap.targetSequence - gap.appliedSequence)
+                .sum();
     }
 
-    /** Whether it has all that was named, but for what was named a moment ago; the first time, without that. */
-    public boolean level(boolean listened, double nowMs) {
-        wasLevel |= listened && lacks.isEmpty();
-        return wasLevel && lacks.values().stream().allMatch(l -> nowMs - l.sinceMs <= terms.lagMs());
+    /**
+     * Whether all that was named is here, but for what was named within {@link ReplicationLimits#lagMs}; the first time,
+     * without that.
+     *
+     * @param initialized whether enough peers have listed what they have
+     */
+    public boolean isLevel(boolean initialized, double nowMs) {
+        wasLevel |= initialized && gaps.isEmpty();
+        return wasLevel && gaps.values().stream().allMatch(gap -> nowMs - gap.behindSinceMs <= limits.lagMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
@@ -30,9 +30,9 @@
      */
     private record Flush(
             long localIncarnation,
-            Map<CatchUp.Of, LinkedHashSet<RecordKey>> keys,
+            Map<CatchUp.LogId, LinkedHashSet<RecordKey>> keys,
             List<ReplicaDisk.Batch> batches,
-            Map<CatchUp.Of, Integer> sizes) {}
+            Map<CatchUp.LogId, Integer> sizes) {}
 
     private final ReplicaMonitor monitor;
     private final RecordStore store;
@@ -41,7 +41,7 @@
     private long diskIncarnation;
 
     // Guarded by the monitor.
-    private final Map<CatchUp.Of, LinkedHashSet<RecordKey>> pending = new TreeMap<>();
+    private final Map<CatchUp.LogId, LinkedHashSet<RecordKey>> pending = new TreeMap<>();
     private boolean healthy = true;
     private boolean writing;
 
@@ -54,7 +54,7 @@
 
     /** Queues a change; with the lock held. */
     void enqueue(RecordTable.Change change) {
-        LinkedHashSet<RecordKey> keys = pendingOf(new CatchUp.Of(change.owner(), change.incarnation()));
+        LinkedHashSet<RecordKey> keys = pendingOf(new CatchUp.LogId(change.owner(), change.incarnation()));
         if (change.key() != null) {
             keys.add(change.key());
         }
@@ -64,14 +64,14 @@
     void enqueueAll() {
         for (String owner : store.owners()) {
             for (long incarnation : store.incarnations(owner)) {
-                LinkedHashSet<RecordKey> keys = pendingOf(new CatchUp.Of(owner, incarnation));
+                LinkedHashSet<RecordKey> keys = pendingOf(new CatchUp.LogId(owner, incarnation));
                 store.all(owner, incarnation).forEach(record -> keys.add(record.item()));
             }
         }
     }
 
-    private LinkedHashSet<RecordKey> pendingOf(CatchUp.Of log) {
-        return pending.computeIfAbsent(log, of -> new LinkedHashSet<>());
+    private LinkedHashSet<RecordKey> pendingOf(CatchUp.LogId log) {
+        return pending.computeIfAbsent(log, id -> new LinkedHashSet<>());
     }
 
     /** Whether the last write succeeded; with the lock held. */
@@ -133,7 +133,7 @@
     }
 
     private Flush takePending() {
-        if (disk.wantsAll()) {
+        if (disk.needsFullWrite()) {
             // Whatever the file had may be lost with what failed.
             enqueueAll();
         }
@@ -141,29 +141,29 @@
         pending.clear();
         writing = true;
         flush.keys().forEach((log, keys) -> {
-            flush.sizes().put(log, store.size(log.owner(), log.life()));
+            flush.sizes().put(log, store.size(log.owner(), log.incarnation()));
             flush.batches().add(batch(log, keys));
         });
         return flush;
     }
 
-    private ReplicaDisk.Batch batch(CatchUp.Of log, Iterable<RecordKey> keys) {
+    private ReplicaDisk.Batch batch(CatchUp.LogId log, Iterable<RecordKey> keys) {
         List<ReplicatedRecord> records = new ArrayList<>();
         List<RecordKey> gone = new ArrayList<>();
         for (RecordKey key : keys) {
-            ReplicatedRecord record = store.record(log.owner(), log.life(), key);
+            ReplicatedRecord record = store.record(log.owner(), log.incarnation(), key);
             if (record == null) {
                 gone.add(key);
             } else {
                 records.add(record);
             }
         }
-        boolean exists = store.incarnations(log.owner()).contains(log.life());
+        boolean exists = store.incarnations(log.owner()).contains(log.incarnation());
         return new ReplicaDisk.Batch(
                 log.owner(),
-                log.life(),
-                exists ? store.appliedSequence(log.owner(), log.life()).orElse(0) : null,
-                store.tombstoneFloor(log.owner(), log.life()),
+                log.incarnation(),
+                exists ? store.appliedSequence(log.owner(), log.incarnation()).orElse(0) : null,
+                store.tombstoneFloor(log.owner(), log.incarnation()),
                 records,
                 gone);
     }
@@ -171,7 +171,7 @@
     private boolean write(Flush flush) {
         try {
             if (flush.localIncarnation() > diskIncarnation) {
-                disk.took(flush.localIncarnation());
+                disk.useIncarnation(flush.localIncarnation());
                 diskIncarnation = flush.localIncarnation();
             }
             disk.write(flush.batches(), flush.sizes());
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.replica;
 
 /**
- * What a record is found by, within one life of its owner.
+ * Identifies a record within one incarnation of its owner.
  *
  * @param space the space
  * @param key the key in it
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.replica;
 
 /**
- * When an owner wrote a record, by no clock: its life, and its count of writes in it.
+ * Which write of its owner a record is: incarnation and sequence number, of no clock.
  *
- * @param life the owner's life
- * @param sequence counts the owner's writes in this life, over all spaces, from 1
+ * @param life the owner's incarnation
+ * @param sequence the sequence number: counts the owner's writes in this incarnation, over all spaces, from 1
  */
 public record RecordVersion(long life, long sequence) implements Comparable<RecordVersion> {
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
@@ -41,24 +41,36 @@
         void changed(RecordSpace space, String owner, String key, Seen now);
     }
 
-    /** Writes a record of this member's own. */
+    /**
+     * Writes a record of this member's own; dropped if this member is quarantined or has too many.
+     *
+     * @throws IllegalArgumentException if the space is not of own records, or key or value are too long
+     */
     void put(RecordSpace space, String key, byte[] value);
 
     /** Removes a record of this member's own. */
     void remove(RecordSpace space, String key);
 
-    /** Adds to this member's part of a sum; never negative. */
-    void add(RecordSpace space, String key, long by);
+    /**
+     * Adds to this member's counter.
+     *
+     * @throws IllegalArgumentException if the space is not of counters, or the increment is negative
+     */
+    void add(RecordSpace space, String key, long increment);
 
-    /** The sum over all members, those that have ended included. */
+    /**
+     * The sum of a counter over all members, those that have ended included.
+     *
+     * @throws IllegalArgumentException if the space is not of counters
+     */
     long sum(RecordSpace space, String key);
 
     /** All records of a space, of all owners, this one included. */
     List<Seen> seen(RecordSpace space);
 
-    /** How far it is. */
+    /** Whether this member has caught up. */
     Level level();
 
-    /** Who hears of changes. */
+    /** Adds a listener; it is called on one thread, for changes from now on. */
     void listen(Listener listener);
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
@@ -52,13 +52,13 @@
     record Batch(
             String owner, long life, Long have, long floor, List<ReplicatedRecord> entries, List<RecordKey> gone) {}
 
-    private final Place file;
+    private final StoreFile file;
     private final String fleet;
     private final String member;
     private long life;
     private boolean failed;
     private MVStore store;
-    private MVMap<String, byte[]> heads;
+    private MVMap<String, byte[]> logHeads;
     private MVMap<String, byte[]> records;
     private MVMap<String, byte[]> header;
 
@@ -67,13 +67,13 @@
      *
      * @param scheme of the file system; empty for the usual one
      */
-    private record Place(String scheme, Path path) {
+    private record StoreFile(String scheme, Path path) {
         FilePath at() {
             return FilePath.get(scheme + path);
         }
 
-        Place sibling(String name) {
-            return new Place(scheme, path.resolveSibling(name));
+        StoreFile sibling(String name) {
+            return new StoreFile(scheme, path.resolveSibling(name));
         }
 
         @Override
@@ -82,18 +82,18 @@
         }
     }
 
-    private ReplicaDisk(Place file, String fleet, String member, MVStore store, long life) {
+    private ReplicaDisk(StoreFile file, String fleet, String member, MVStore store, long life) {
         this.file = file;
         this.fleet = fleet;
         this.member = member;
         this.life = life;
-        use(store);
+        useStore(store);
     }
 
-    private void use(MVStore opened) {
+    private void useStore(MVStore opened) {
         store = opened;
         header = map(opened, "header");
-        heads = map(opened, "heads");
+        logHeads = map(opened, "heads");
         records = map(opened, "records");
     }
 
@@ -105,7 +105,7 @@
                         .valueType(ByteArrayDataType.INSTANCE));
     }
 
-    private static MVStore open(Place file) {
+    private static MVStore open(StoreFile file) {
         return new MVStore.Builder()
                 .fileName(file.at().toString())
                 .autoCommitDisabled()
@@ -127,7 +127,7 @@
     static ReplicaDisk open(Path directory, String fleet, String member, double nowMs, String scheme)
             throws IOException {
         Files.createDirectories(directory);
-        Place file = new Place(scheme, directory.resolve(FILE));
+        StoreFile file = new StoreFile(scheme, directory.resolve(FILE));
         MVStore store;
         try {
             store = open(file);
@@ -135,39 +135,39 @@
             if (e.getErrorCode() == DataUtils.ERROR_FILE_LOCKED) {
                 throw new IOException(file + " is open in another process", e);
             }
-            if (refuses(e)) {
-                throw new IOException(file + " can't be opened: " + first(e), e);
+            if (isAccessFailure(e)) {
+                throw new IOException(file + " can't be opened: " + firstLine(e), e);
             }
-            store = anew(file, first(e));
+            store = replaceBroken(file, firstLine(e));
         } catch (RuntimeException e) {
-            store = anew(file, first(e));
+            store = replaceBroken(file, firstLine(e));
         }
         try {
-            return begun(file, store, fleet, member, nowMs);
+            return initialize(file, store, fleet, member, nowMs);
         } catch (RuntimeException e) {
             store.closeImmediately();
-            if (refuses(e)) {
-                throw new IOException(file + " can't be written: " + first(e), e);
+            if (isAccessFailure(e)) {
+                throw new IOException(file + " can't be written: " + firstLine(e), e);
             }
-            return begun(file, anew(file, first(e)), fleet, member, nowMs);
+            return initialize(file, replaceBroken(file, firstLine(e)), fleet, member, nowMs);
         }
     }
 
     /** Whether the disk does not take or give bytes, which says nothing against those that are there. */
-    private static boolean refuses(RuntimeException e) {
+    private static boolean isAccessFailure(RuntimeException e) {
         return e instanceof MVStoreException m
                 && (m.getErrorCode() == DataUtils.ERROR_READING_FAILED
                         || m.getErrorCode() == DataUtils.ERROR_WRITING_FAILED);
     }
 
-    private static MVStore anew(Place file, String why) {
-        Place broken = file.sibling(FILE + ".broken");
+    private static MVStore replaceBroken(StoreFile file, String why) {
+        StoreFile broken = file.sibling(FILE + ".broken");
         LOG.error("{} is broken ({}): kept as {}, begins empty and catches up from peers", file, why, broken);
         file.at().moveTo(broken.at(), true);
         return open(file);
     }
 
-    private static ReplicaDisk begun(Place file, MVStore store, String fleet, String member, double nowMs)
+    private static ReplicaDisk initialize(StoreFile file, MVStore store, String fleet, String member, double nowMs)
             throws IOException {
         MVMap<String, byte[]> header = map(store, "header");
         String wrong = !header.isEmpty() && !text(header, "schema").equals(Integer.toString(SCHEMA))
@@ -188,13 +188,13 @@
             LOG.error("{} does not say its life: takes the time of day", file);
         }
         long life = Math.max(before + 1, (long) nowMs);
-        head(header, fleet, member, life);
+        writeHeader(header, fleet, member, life);
         store.commit();
         store.sync();
         return new ReplicaDisk(file, fleet, member, store, life);
     }
 
-    private static void head(MVMap<String, byte[]> header, String fleet, String member, long life) {
+    private static void writeHeader(MVMap<String, byte[]> header, String fleet, String member, long life) {
         header.put("schema", text(Integer.toString(SCHEMA)));
         header.put("fleet", text(fleet));
         header.put("member", text(member));
@@ -211,11 +211,11 @@
 
     private static byte[] text(String s) {
         byte[] b = s.getBytes(StandardCharsets.UTF_8);
-        return checked(b);
+        return withChecksum(b);
     }
 
     private static String text(MVMap<String, byte[]> map, String key) {
-        byte[] b = unchecked(map.get(key));
+        byte[] b = verifyChecksum(map.get(key));
         return b == null ? "unknown" : new String(b, StandardCharsets.UTF_8);
     }
 
@@ -225,12 +225,12 @@
     }
 
     /** A life that was taken later, since peers knew a later one; the next write writes it. */
-    void took(long later) {
+    void useIncarnation(long later) {
         life = later;
     }
 
     /** Whether the next write must be of everything: one has failed, or what is there was read at a start. */
-    boolean wantsAll() {
+    boolean needsFullWrite() {
         return failed;
     }
 
@@ -247,8 +247,8 @@
         } catch (RuntimeException e) {
             // Guards against a page of the file that can't be read, which shows as any kind of exception.
             store.closeImmediately();
-            use(anew(file, first(e)));
-            head(header, fleet, member, life);
+            useStore(replaceBroken(file, firstLine(e)));
+            writeHeader(header, fleet, member, life);
             store.commit();
             store.sync();
             return;
@@ -262,8 +262,8 @@
         Map<String, List<ReplicatedRecord>> entries = new HashMap<>();
         Map<String, Integer> bad = new HashMap<>();
         for (Map.Entry<String, byte[]> e : records.entrySet()) {
-            String of = e.getKey().substring(0, second(e.getKey()));
-            byte[] b = unchecked(e.getValue());
+            String of = e.getKey().substring(0, secondSeparator(e.getKey()));
+            byte[] b = verifyChecksum(e.getValue());
             try {
                 ReplicatedRecord entry = b == null ? null : ReplicationCodec.readEntry(b);
                 if (entry == null || !entry.intact(of.substring(0, of.indexOf('\0')))) {
@@ -275,34 +275,34 @@
                 bad.merge(of, 1, Integer::sum);
             }
         }
-        for (Map.Entry<String, byte[]> e : heads.entrySet()) {
-            byte[] b = unchecked(e.getValue());
+        for (Map.Entry<String, byte[]> e : logHeads.entrySet()) {
+            byte[] b = verifyChecksum(e.getValue());
             int cut = e.getKey().indexOf('\0');
             String owner = e.getKey().substring(0, cut);
             long of = Long.parseLong(e.getKey().substring(cut + 1));
-            List<ReplicatedRecord> of1 = entries.getOrDefault(e.getKey(), List.of());
+            List<ReplicatedRecord> logRecords = entries.getOrDefault(e.getKey(), List.of());
             if (b == null
                     || b.length != 20
                     || bad.containsKey(e.getKey())
-                    || ByteBuffer.wrap(b).getInt(16) != of1.size()) {
+                    || ByteBuffer.wrap(b).getInt(16) != logRecords.size()) {
                 LOG.error(
                         "{}: {} life {} is not whole on disk ({} of its records can't be read): fetched from peers",
                         file,
                         owner,
                         of,
                         bad.getOrDefault(e.getKey(), 0));
-                drop(e.getKey());
+                removeLog(e.getKey());
                 continue;
             }
             ByteBuffer head = ByteBuffer.wrap(b);
             long have = head.getLong();
             long floor = head.getLong();
-            whole.add(() -> to.restore(owner, of, have, floor, of1));
+            whole.add(() -> to.restore(owner, of, have, floor, logRecords));
         }
     }
 
-    private void drop(String of) {
-        heads.remove(of);
+    private void removeLog(String of) {
+        logHeads.remove(of);
         List<String> keys = new ArrayList<>();
         for (java.util.Iterator<String> i = records.keyIterator(of + '\0'); i.hasNext(); ) {
             String k = i.next();
@@ -314,19 +314,19 @@
         keys.forEach(records::remove);
     }
 
-    private static int second(String key) {
+    private static int secondSeparator(String key) {
         return key.indexOf('\0', key.indexOf('\0') + 1);
     }
 
     /**
-     * Writes what changed, whole or not at all; if {@link #wantsAll}, this must be everything.
+     * Writes what changed, whole or not at all; if {@link #needsFullWrite}, this must be everything.
      *
      * @throws IOException if the disk does not take it: full, gone, broken
      */
-    void write(List<Batch> batches, Map<CatchUp.Of, Integer> sizes) throws IOException {
+    void write(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
         try {
             if (failed || store == null || store.isClosed()) {
-                writeAnew(batches, sizes);
+                writeFreshFile(batches, sizes);
             } else {
                 put(batches, sizes);
             }
@@ -334,26 +334,26 @@
             // A store that failed once does not write again.
             failed = true;
             store.closeImmediately();
-            throw new IOException(file + ": " + first(e), e);
+            throw new IOException(file + ": " + firstLine(e), e);
         }
     }
 
-    private void writeAnew(List<Batch> batches, Map<CatchUp.Of, Integer> sizes) throws IOException {
+    private void writeFreshFile(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
         failed = true;
         store.closeImmediately();
-        Place fresh = file.sibling(FRESH);
+        StoreFile fresh = file.sibling(FRESH);
         if (fresh.at().exists()) {
             fresh.at().delete();
         }
         try {
-            use(open(fresh));
+            useStore(open(fresh));
             put(batches, sizes);
         } finally {
             store.closeImmediately();
         }
         fresh.at().moveTo(file.at(), true);
         syncDirectory(file.path().getParent());
-        use(open(file));
+        useStore(open(file));
         failed = false;
     }
 
@@ -364,24 +364,24 @@
         }
     }
 
-    private void put(List<Batch> batches, Map<CatchUp.Of, Integer> sizes) {
+    private void put(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) {
         if (!text(header, "life").equals(Long.toString(life))) {
-            head(header, fleet, member, life);
+            writeHeader(header, fleet, member, life);
         }
         for (Batch b : batches) {
             String of = b.owner() + '\0' + b.life();
             if (b.have() == null) {
-                drop(of);
+                removeLog(of);
                 continue;
             }
             b.gone().forEach(i -> records.remove(key(of, i)));
-            b.entries().forEach(e -> records.put(key(of, e.item()), checked(ReplicationCodec.write(e))));
-            heads.put(
+            b.entries().forEach(e -> records.put(key(of, e.item()), withChecksum(ReplicationCodec.write(e))));
+            logHeads.put(
                     of,
-                    checked(ByteBuffer.allocate(20)
+                    withChecksum(ByteBuffer.allocate(20)
                             .putLong(b.have())
                             .putLong(b.floor())
-                            .putInt(sizes.get(new CatchUp.Of(b.owner(), b.life())))
+                            .putInt(sizes.get(new CatchUp.LogId(b.owner(), b.life())))
                             .array()));
         }
         store.commit();
@@ -389,7 +389,7 @@
     }
 
     /** Lets go of the file as a failure would, without writing what is open. */
-    void breakOff() {
+    void abandon() {
         failed = true;
         store.closeImmediately();
     }
@@ -398,11 +398,11 @@
         return of + '\0' + i.space() + '\0' + i.key();
     }
 
-    private static String first(Exception e) {
+    private static String firstLine(Exception e) {
         return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     }
 
-    private static byte[] checked(byte[] b) {
+    private static byte[] withChecksum(byte[] b) {
         CRC32C c = new CRC32C();
         c.update(b, 0, b.length);
         return ByteBuffer.allocate(b.length + 4)
@@ -411,7 +411,7 @@
                 .array();
     }
 
-    private static byte[] unchecked(byte[] b) {
+    private static byte[] verifyChecksum(byte[] b) {
         if (b == null || b.length < 4) {
             return null;
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -106,11 +106,12 @@
         }
         protocol = new ReplicationProtocol(store, limits, new SplittableRandom(nonce), clock.nowMs());
         links.receive(
-                MessageStream.REPLICA, (peer, of, body) -> runTurn(() -> protocol.took(peer, of, body, clock.nowMs())));
+                MessageStream.REPLICA,
+                (peer, of, body) -> runTurn(() -> protocol.onMessage(peer, of, body, clock.nowMs())));
         links.watch((peer, status, of) -> runTurn(() -> {
             peersChanged = true;
             if (status == MemberStatus.ALIVE) {
-                protocol.linked(peer);
+                protocol.onPeerReachable(peer);
             }
             return List.of();
         }));
@@ -177,7 +178,7 @@
         }
         monitor.signalChange();
         List<String> alarms = new ArrayList<>(store.drainAlarms());
-        alarms.addAll(protocol.differences().alarms());
+        alarms.addAll(protocol.antiEntropy().drainAlarms());
         return alarms;
     }
 
@@ -190,8 +191,8 @@
             });
             monitor.lock();
             try {
-                double waitMs = protocol.nextMs() - clock.nowMs();
-                peersChanged |= links.peers().size() != protocol.configured();
+                double waitMs = protocol.nextTickMs() - clock.nowMs();
+                peersChanged |= links.peers().size() != protocol.configuredPeers();
                 monitor.pause(Math.min(waitMs, MAX_WAIT_MS));
             } catch (InterruptedException e) {
                 return;
@@ -208,7 +209,7 @@
             List<String> reachable = all.stream()
                     .filter(peer -> links.standing(peer) != MemberStatus.GONE)
                     .toList();
-            protocol.peers(all, reachable);
+            protocol.setPeers(all, reachable);
         }
     }
 
@@ -240,7 +241,7 @@
             long before = store.appliedSequence(store.localMember(), store.incarnation())
                     .orElse(0);
             if (action.get()) {
-                protocol.wrote(before);
+                protocol.onLocalWrite(before);
                 collectChanges().forEach(LOG::error);
             }
         } finally {
@@ -282,7 +283,7 @@
 
     /** The last differences that were found, with both values; what {@code state diff} shows. */
     public List<AntiEntropy.Difference> diff() {
-        return monitor.locked(() -> protocol.differences().found());
+        return monitor.locked(() -> protocol.antiEntropy().recentDifferences());
     }
 
     /** What is held of each member; what {@code state status} shows. */
@@ -316,14 +317,15 @@
                 protocol.dropped(),
                 unsentMessages,
                 protocol.unreadable(),
-                protocol.differences().total(),
+                protocol.antiEntropy().totalDifferences(),
                 store.size(),
                 diskWriter != null && diskWriter.isHealthy()));
     }
 
     /** How many peers have said that they hold all writes of this member up to this one. */
     public int heldBy(RecordVersion version) {
-        return monitor.locked(() -> version.life() == store.incarnation() ? protocol.heldBy(version.sequence()) : 0);
+        return monitor.locked(
+                () -> version.life() == store.incarnation() ? protocol.peersHolding(version.sequence()) : 0);
     }
 
     /** Waits until all that was written until now is on the disk; false if the time is over or there is no disk. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
@@ -7,14 +7,14 @@
 import java.util.zip.Checksum;
 
 /**
- * The last write of one key by one life of its owner. It is never changed.
+ * The last write of one key by one incarnation of its owner. Immutable.
  *
  * @param space the space
  * @param key the key within it, at most {@link #MOST_KEY} characters
  * @param version when, by the owner's count
  * @param value the content of an own record; null if it was removed, and for counted ones
- * @param count what this life of the owner has added, and what it took over by folding; 0 for own ones
- * @param below parts of earlier lives than this one are within {@code count}; 0 if none is
+ * @param count what this incarnation of the owner has added, and what was folded into it; 0 for own ones
+ * @param below counters of incarnations earlier than this one are folded into {@code count}; 0 if none is
  * @param sum a checksum over all of it and the owner's name, made by the owner at the write
  */
 public record ReplicatedRecord(
@@ -55,7 +55,7 @@
                 || StandardCharsets.UTF_8.newEncoder().canEncode(s);
     }
 
-    /** Whether it says that the key is gone. */
+    /** Whether it is a tombstone: the key was removed. */
     public boolean gone() {
         return value == null && space.kind() == RecordSpace.Kind.OWN;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -20,7 +20,14 @@
  * <p>Times and messages in, messages out. One thread at a time.
  */
 public final class ReplicationProtocol {
-    private static final int MOST_PENDING = 1024;
+    /** Requests of one peer that wait for an answer, at the most. */
+    private static final int MAX_PENDING_REQUESTS = 1024;
+    /** Between two attempts to fold ended incarnations, in heartbeats. */
+    private static final int FOLD_HEARTBEATS = 10;
+    /** After so many heartbeats one full list is enough to begin with. */
+    private static final int PATIENT_HEARTBEATS = 3;
+    /** Full lists that are enough to begin with in a large fleet. */
+    private static final int LISTS_IN_LARGE_FLEET = 3;
 
     /**
      * A message to send.
@@ -32,80 +39,96 @@
 
     private static final class Peer {
         long life;
-        boolean told;
-        long mineHeld;
-        double helloAtMs = Double.NEGATIVE_INFINITY;
-        Map<Long, Long> mineEnded = Map.of();
-        Map<Long, Long> mineEndedNew = new TreeMap<>();
-        final Map<CatchUp.Of, ReplicationMessage.Want> pending = new LinkedHashMap<>();
+        /** Whether it has sent all its marks since it was last reachable. */
+        boolean hasListedAll;
+        /** The sequence number of this member's log that it has said to hold. */
+        long localSequence;
+
+        double listRequestAtMs = Double.NEGATIVE_INFINITY;
+        /** What it holds of this member's ended incarnations, by its last full list. */
+        Map<Long, Long> endedSequences = Map.of();
+
+        Map<Long, Long> partialEndedSequences = new TreeMap<>();
+        final Map<CatchUp.LogId, ReplicationMessage.Want> pending = new LinkedHashMap<>();
     }
 
     private final RecordStore store;
-    private final ReplicationLimits terms;
+    private final ReplicationLimits limits;
     private final SplittableRandom random;
     private final TokenBucket bucket;
     private final CatchUp catchUp;
-    private final AntiEntropy differences;
+    private final AntiEntropy antiEntropy;
     private final Map<String, Peer> peers = new TreeMap<>();
     private List<String> configured = List.of();
     private List<String> reachable = List.of();
-    private final LinkedHashSet<String> waiting = new LinkedHashSet<>();
-    private final TreeSet<String> news = new TreeSet<>();
-    private final Map<String, Long> advanced = new HashMap<>();
+    private final LinkedHashSet<String> requesters = new LinkedHashSet<>();
+    private final TreeSet<String> changedOwners = new TreeSet<>();
+    private final Map<String, Long> pushAfter = new HashMap<>();
     private final double beganMs;
     private double pushAtMs;
     private double beatAtMs;
-    private double helloAtMs = Double.NEGATIVE_INFINITY;
+    private double listRequestAtMs = Double.NEGATIVE_INFINITY;
     private double digestAtMs;
     private double foldAtMs;
-    private boolean listened;
+    /** Whether enough peers have listed all their marks; this member announces nothing before. */
+    private boolean initialized;
+
     private int compareWith;
     private long sentBytes;
     private long dropped;
     private long unreadable;
 
-    /** An exchange for this copy; it begins at this time. */
-    public ReplicationProtocol(RecordStore store, ReplicationLimits terms, SplittableRandom random, double nowMs) {
+    /** A protocol for this copy; it begins at this time, in milliseconds. */
+    public ReplicationProtocol(RecordStore store, ReplicationLimits limits, SplittableRandom random, double nowMs) {
         this.store = store;
-        this.terms = terms;
+        this.limits = limits;
         this.random = random;
-        this.bucket = new TokenBucket(terms.bytesASecond());
-        this.catchUp = new CatchUp(terms);
-        this.differences = new AntiEntropy(store);
+        this.bucket = new TokenBucket(limits.bytesASecond());
+        this.catchUp = new CatchUp(limits);
+        this.antiEntropy = new AntiEntropy(store);
         beganMs = nowMs;
         store.startSilently(nowMs);
         pushAtMs = nowMs;
-        beatAtMs = nowMs + random.nextDouble() * terms.beatMs();
-        digestAtMs = nowMs + (1 + random.nextDouble()) * terms.digestMs();
-        foldAtMs = nowMs + 10 * terms.beatMs();
+        beatAtMs = nowMs + random.nextDouble() * limits.beatMs();
+        digestAtMs = nowMs + (1 + random.nextDouble()) * limits.digestMs();
+        foldAtMs = nowMs + FOLD_HEARTBEATS * limits.beatMs();
     }
 
-    /** Who there is, and who can be reached as far as is known. */
-    public void peers(List<String> all, List<String> reach) {
+    /**
+     * Sets the peers.
+     *
+     * @param all peers by the configuration
+     * @param reach those that can be reached, as far as is known
+     */
+    public void setPeers(List<String> all, List<String> reach) {
         configured = List.copyOf(all);
         reachable = List.copyOf(reach);
         peers.keySet().retainAll(configured);
         configured.forEach(p -> peers.computeIfAbsent(p, n -> new Peer()));
     }
 
-    /** A peer can be reached again: how far both are is compared at once. */
-    public void linked(String peer) {
+    /** A peer can be reached again: positions of logs are compared with it at once. */
+    public void onPeerReachable(String peer) {
         Peer p = peers.get(peer);
         if (p != null) {
-            p.helloAtMs = Double.NEGATIVE_INFINITY;
-            p.told = false;
-            helloAtMs = Double.NEGATIVE_INFINITY;
+            p.listRequestAtMs = Double.NEGATIVE_INFINITY;
+            p.hasListedAll = false;
+            listRequestAtMs = Double.NEGATIVE_INFINITY;
         }
     }
 
-    /** This member has written. */
-    public void wrote(long had) {
-        news.add(store.localMember());
-        advanced.merge(store.localMember(), had, Math::min);
+    /**
+     * This member has written.
+     *
+     * @param had the sequence number before the writes
+     */
+    public void onLocalWrite(long had) {
+        changedOwners.add(store.localMember());
+        pushAfter.merge(store.localMember(), had, Math::min);
     }
 
-    /** The next time at which {@link #tick} has something to do. */
-    public double nextMs() {
+    /** The next time at which {@link #tick} has something to do, in milliseconds. */
+    public double nextTickMs() {
         return Math.min(pushAtMs, beatAtMs);
     }
 
@@ -114,34 +137,34 @@
     /** What is to be sent by now. */
     public List<Out> tick(double nowMs) {
         List<Out> out = new ArrayList<>();
-        if ((!listened || nowMs >= helloAtMs) && !reachable.isEmpty()) {
-            helloAtMs = nowMs + terms.beatMs();
-            hello(nowMs, out);
+        if ((!initialized || nowMs >= listRequestAtMs) && !reachable.isEmpty()) {
+            listRequestAtMs = nowMs + limits.beatMs();
+            requestLists(nowMs, out);
         }
         if (nowMs >= beatAtMs) {
-            beatAtMs = Math.max(beatAtMs + terms.beatMs(), nowMs);
+            beatAtMs = Math.max(beatAtMs + limits.beatMs(), nowMs);
             store.heartbeat();
-            news.add(store.localMember());
-            store.forgetTombstones(nowMs, terms.removalMs());
-            for (String p : some(reachable.size() > terms.mesh() ? 1 : 2)) {
-                all(p, true, nowMs, out);
+            changedOwners.add(store.localMember());
+            store.forgetTombstones(nowMs, limits.removalMs());
+            for (String p : samplePeers(reachable.size() > limits.mesh() ? 1 : 2)) {
+                sendMarks(p, true, nowMs, out);
             }
         }
         if (nowMs >= foldAtMs) {
-            foldAtMs = nowMs + 10 * terms.beatMs();
-            fold(nowMs);
+            foldAtMs = nowMs + FOLD_HEARTBEATS * limits.beatMs();
+            foldEndedIncarnations(nowMs);
         }
         if (nowMs >= pushAtMs) {
-            pushAtMs = Math.max(pushAtMs + terms.pushMs(), nowMs);
+            pushAtMs = Math.max(pushAtMs + limits.pushMs(), nowMs);
             push(nowMs, out);
-            ask(nowMs, out);
-            serve(nowMs, out);
+            requestMissing(nowMs, out);
+            answerRequests(nowMs, out);
         }
-        if (nowMs >= digestAtMs && listened && !reachable.isEmpty()) {
-            digestAtMs = nowMs + terms.digestMs() * (0.75 + 0.5 * random.nextDouble());
+        if (nowMs >= digestAtMs && initialized && !reachable.isEmpty()) {
+            digestAtMs = nowMs + limits.digestMs() * (0.75 + 0.5 * random.nextDouble());
             String p = reachable.get(compareWith++ % reachable.size());
-            ReplicationMessage.Digests d = differences.next(p);
-            if (!d.digests().isEmpty() && bucket.spare(nowMs)) {
+            ReplicationMessage.Digests d = antiEntropy.nextDigests(p);
+            if (!d.digests().isEmpty() && bucket.canSendDeferrable(nowMs)) {
                 send(p, d, nowMs, out);
             }
         }
@@ -149,52 +172,56 @@
     }
 
     private void send(String peer, ReplicationMessage m, double nowMs, List<Out> out) {
-        if (!bucket.urgent(nowMs)) {
+        if (!bucket.canSendUrgent(nowMs)) {
             dropped++;
             return;
         }
         byte[] body = ReplicationCodec.write(m);
-        bucket.spent(body.length);
+        bucket.consume(body.length);
         sentBytes += body.length;
         out.add(new Out(peer, body));
     }
 
-    /** Asks those who have not told yet what there is. */
-    private void hello(double nowMs, List<Out> out) {
-        long told = reachable.stream().filter(n -> peers.get(n).told).count();
-        boolean large = reachable.size() > terms.mesh();
-        int most = large ? 2 * terms.fanOut() : reachable.size();
+    /** Requests full lists of marks from peers that have not sent one yet. */
+    private void requestLists(double nowMs, List<Out> out) {
+        long told = reachable.stream().filter(n -> peers.get(n).hasListedAll).count();
+        boolean large = reachable.size() > limits.mesh();
+        int most = large ? 2 * limits.fanOut() : reachable.size();
         if (told < Math.min(most, reachable.size())) {
             int asked = 0;
             int from = random.nextInt(reachable.size());
             for (int i = 0; i < reachable.size() && asked < most; i++) {
                 String n = reachable.get((from + i) % reachable.size());
                 Peer p = peers.get(n);
-                if (!p.told) {
+                if (!p.hasListedAll) {
                     asked++;
-                    if (p.helloAtMs <= nowMs) {
-                        p.helloAtMs = nowMs + terms.beatMs();
-                        all(n, true, nowMs, out);
+                    if (p.listRequestAtMs <= nowMs) {
+                        p.listRequestAtMs = nowMs + limits.beatMs();
+                        sendMarks(n, true, nowMs, out);
                     }
                 }
             }
         }
-        if (!listened) {
-            // Some that can't be reached are not known as such yet: after a few beats, those who told are enough.
-            int enough = large ? 3 : nowMs > beganMs + 3 * terms.beatMs() ? 1 : reachable.size();
-            listened = told > 0 && told >= Math.min(reachable.size(), enough);
-            if (listened) {
+        if (!initialized) {
+            // Some that can't be reached are not known as such yet: after a few heartbeats, those who answered are
+            // enough.
+            int enough = large
+                    ? LISTS_IN_LARGE_FLEET
+                    : nowMs > beganMs + PATIENT_HEARTBEATS * limits.beatMs() ? 1 : reachable.size();
+            initialized = told > 0 && told >= Math.min(reachable.size(), enough);
+            if (initialized) {
                 store.startAnnouncing();
-                wrote(0);
+                onLocalWrite(0);
             }
         }
     }
 
     /** All marks there are, in as many messages as it takes. */
-    private void all(String peer, boolean ask, double nowMs, List<Out> out) {
+    private void sendMarks(String peer, boolean ask, double nowMs, List<Out> out) {
         TreeSet<String> names = new TreeSet<>(store.owners());
-        if (!listened) {
-            // Guards against a life that was used before: nobody tells before it has listened.
+        if (!initialized) {
+            // Guards against an incarnation that was used before: nobody announces itself before it has heard the
+            // others.
             names.remove(store.localMember());
         }
         List<ReplicationMessage.Mark> marks = store.marks(names, nowMs);
@@ -211,7 +238,7 @@
         return list.subList(from, Math.min(list.size(), from + ReplicationMessage.MOST));
     }
 
-    private List<String> some(int many) {
+    private List<String> samplePeers(int many) {
         if (many >= reachable.size()) {
             return reachable;
         }
@@ -223,15 +250,15 @@
     }
 
     private void push(double nowMs, List<Out> out) {
-        if (!listened || news.isEmpty()) {
+        if (!initialized || changedOwners.isEmpty()) {
             return;
         }
-        boolean large = reachable.size() > terms.mesh();
+        boolean large = reachable.size() > limits.mesh();
         List<String> of = large
-                ? List.copyOf(news)
-                : news.contains(store.localMember()) ? List.of(store.localMember()) : List.of();
+                ? List.copyOf(changedOwners)
+                : changedOwners.contains(store.localMember()) ? List.of(store.localMember()) : List.of();
         if (!of.isEmpty()) {
-            if (of.contains(store.localMember()) && advanced.containsKey(store.localMember())) {
+            if (of.contains(store.localMember()) && pushAfter.containsKey(store.localMember())) {
                 store.heartbeat();
             }
             List<ReplicationMessage> messages = new ArrayList<>();
@@ -240,70 +267,71 @@
                 messages.add(new ReplicationMessage.Marks(false, false, slice(marks, i), List.of()));
             }
             for (String o : of) {
-                ReplicationMessage.Chunk c = advanced.containsKey(o)
-                        ? store.readAfter(o, store.newestIncarnation(o), advanced.get(o), terms.pieceBytes())
+                ReplicationMessage.Chunk c = pushAfter.containsKey(o)
+                        ? store.readAfter(o, store.newestIncarnation(o), pushAfter.get(o), limits.pieceBytes())
                         : null;
                 if (c != null) {
                     messages.add(c);
                 }
             }
-            for (String p : large ? some(terms.fanOut()) : reachable) {
+            for (String p : large ? samplePeers(limits.fanOut()) : reachable) {
                 for (ReplicationMessage m : messages) {
                     send(p, m, nowMs, out);
                 }
             }
         }
-        news.clear();
-        advanced.clear();
+        changedOwners.clear();
+        pushAfter.clear();
     }
 
-    private void ask(double nowMs, List<Out> out) {
-        catchUp.due(nowMs)
+    private void requestMissing(double nowMs, List<Out> out) {
+        catchUp.dueRequests(nowMs)
                 .forEach((peer, of) -> send(
                         peer,
                         new ReplicationMessage.Wants(of.stream()
-                                .map(o -> store.request(o.owner(), o.life()))
+                                .map(o -> store.request(o.owner(), o.incarnation()))
                                 .toList()),
                         nowMs,
                         out));
     }
 
-    /** Answers to wants, as far as bytes allow: each peer gets a piece in turn. */
-    private void serve(double nowMs, List<Out> out) {
-        while (!waiting.isEmpty() && bucket.spare(nowMs)) {
-            String n = waiting.iterator().next();
-            waiting.remove(n);
+    /** Answers requests as far as the rate limit allows: each peer gets a piece in turn. */
+    private void answerRequests(double nowMs, List<Out> out) {
+        while (!requesters.isEmpty() && bucket.canSendDeferrable(nowMs)) {
+            String n = requesters.iterator().next();
+            requesters.remove(n);
             Peer p = peers.get(n);
             if (p == null || p.pending.isEmpty()) {
                 continue;
             }
-            CatchUp.Of of = p.pending.keySet().iterator().next();
-            ReplicationMessage.Chunk c = store.answer(p.pending.remove(of), terms.pieceBytes());
+            CatchUp.LogId of = p.pending.keySet().iterator().next();
+            ReplicationMessage.Chunk c = store.answer(p.pending.remove(of), limits.pieceBytes());
             if (c != null) {
                 send(n, c, nowMs, out);
             }
             if (!p.pending.isEmpty()) {
-                waiting.add(n);
+                requesters.add(n);
             }
         }
     }
 
-    /** Folds ended lives of this member once all members were heard to hold as much of them as this one. */
-    private void fold(double nowMs) {
+    /** Folds ended incarnations of this member once all members have said to hold as much of them as this one. */
+    private void foldEndedIncarnations(double nowMs) {
         Map<Long, Long> ended = store.endedLocalIncarnations();
         long below = 0;
         for (Map.Entry<Long, Long> e : ended.entrySet()) {
             if (!configured.stream()
-                    .allMatch(p -> e.getValue().equals(peers.get(p).mineEnded.get(e.getKey())))) {
+                    .allMatch(
+                            p -> e.getValue().equals(peers.get(p).endedSequences.get(e.getKey())))) {
                 break;
             }
             below = e.getKey() + 1;
         }
-        if (below > 0 && catchUp.level(listened, nowMs)) {
+        if (below > 0 && catchUp.isLevel(initialized, nowMs)) {
             long had = store.appliedSequence(store.localMember(), store.incarnation())
                     .orElse(0);
             if (store.foldCounters(below, nowMs) > 0) {
-                wrote(had);
+                onLocalWrite(had);
             }
         }
     }
@@ -314,11 +342,11 @@
      * A message has come.
      *
      * @param peer who sent it
-     * @param life the life of the sender's process
+     * @param life the incarnation of the sender's process
      * @param body the message
      * @return what is to be sent at once in answer
      */
-    public List<Out> took(String peer, long life, byte[] body, double nowMs) {
+    public List<Out> onMessage(String peer, long life, byte[] body, double nowMs) {
         List<Out> out = new ArrayList<>();
         Peer p = peers.get(peer);
         // Guards against what an ended process of the peer left on its way.
@@ -334,77 +362,77 @@
             return out;
         }
         if (m instanceof ReplicationMessage.Marks marks) {
-            marks(peer, p, marks, nowMs, out);
+            onMarks(peer, p, marks, nowMs, out);
         } else if (m instanceof ReplicationMessage.Wants wants) {
             for (ReplicationMessage.Want w : wants.wants()) {
-                if (p.pending.size() < MOST_PENDING) {
-                    p.pending.put(new CatchUp.Of(w.owner(), w.life()), w);
+                if (p.pending.size() < MAX_PENDING_REQUESTS) {
+                    p.pending.put(new CatchUp.LogId(w.owner(), w.life()), w);
                 }
             }
-            waiting.add(peer);
-            serve(nowMs, out);
+            requesters.add(peer);
+            answerRequests(nowMs, out);
         } else if (m instanceof ReplicationMessage.Chunk c) {
-            chunk(peer, c, nowMs, out);
+            onChunk(peer, c, nowMs, out);
         } else if (m instanceof ReplicationMessage.Digests d) {
-            answer(peer, differences.took(peer, d), nowMs, out);
+            answer(peer, antiEntropy.onDigests(peer, d), nowMs, out);
         } else if (m instanceof ReplicationMessage.Ranges r) {
-            answer(peer, differences.took(peer, r), nowMs, out);
+            answer(peer, antiEntropy.onRanges(peer, r), nowMs, out);
         } else if (m instanceof ReplicationMessage.Copies c) {
-            answer(peer, differences.took(peer, c, nowMs), nowMs, out);
+            answer(peer, antiEntropy.onCopies(peer, c, nowMs), nowMs, out);
         }
         return out;
     }
 
     private void answer(String peer, List<ReplicationMessage> answers, double nowMs, List<Out> out) {
         for (ReplicationMessage a : answers) {
-            if (bucket.spare(nowMs)) {
+            if (bucket.canSendDeferrable(nowMs)) {
                 send(peer, a, nowMs, out);
             }
         }
     }
 
-    private void marks(String peer, Peer p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
+    private void onMarks(String peer, Peer p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
         for (ReplicationMessage.Mark mark : m.marks()) {
             long newest = store.newestIncarnation(mark.owner());
             if (store.merge(mark, nowMs)) {
-                news.add(mark.owner());
+                changedOwners.add(mark.owner());
             }
             if (mark.life() > newest) {
-                catchUp.ended(mark.owner(), mark.life());
-                advanced.remove(mark.owner());
+                catchUp.dropEnded(mark.owner(), mark.life());
+                pushAfter.remove(mark.owner());
             }
-            named(peer, mark.owner(), mark.life(), mark.have(), nowMs);
+            onPosition(peer, mark.owner(), mark.life(), mark.have(), nowMs);
             if (mark.owner().equals(store.localMember()) && mark.life() == store.incarnation()) {
-                p.mineHeld = Math.max(p.mineHeld, mark.have());
+                p.localSequence = Math.max(p.localSequence, mark.have());
             }
         }
         for (ReplicationMessage.Have h : m.ended()) {
-            named(peer, h.owner(), h.life(), h.have(), nowMs);
+            onPosition(peer, h.owner(), h.life(), h.have(), nowMs);
             if (h.owner().equals(store.localMember())) {
-                p.mineEndedNew.put(h.life(), h.have());
+                p.partialEndedSequences.put(h.life(), h.have());
             }
         }
         if (m.whole()) {
-            p.told = true;
-            p.mineEnded = p.mineEndedNew;
-            p.mineEndedNew = new TreeMap<>();
+            p.hasListedAll = true;
+            p.endedSequences = p.partialEndedSequences;
+            p.partialEndedSequences = new TreeMap<>();
         }
         if (m.ask()) {
-            all(peer, false, nowMs, out);
+            sendMarks(peer, false, nowMs, out);
         }
     }
 
-    private void named(String peer, String owner, long life, long have, double nowMs) {
+    private void onPosition(String peer, String owner, long life, long have, double nowMs) {
         if (owner.equals(store.localMember()) && life >= store.incarnation()) {
             return;
         }
-        CatchUp.Of of = new CatchUp.Of(owner, life);
+        CatchUp.LogId of = new CatchUp.LogId(owner, life);
         long held = store.appliedSequence(owner, life).orElse(0);
         if (life < store.newestIncarnation(owner)) {
-            // What remains of an ended life is worth the way only if it was not folded.
+            // What remains of an ended incarnation is fetched only if it was not folded.
             held = store.appliedSequence(owner, life).orElse(life < oldestKept(owner) ? Long.MAX_VALUE : 0);
         }
-        catchUp.named(peer, of, have, held, nowMs);
+        catchUp.onPosition(peer, of, have, held, nowMs);
     }
 
     private long oldestKept(String owner) {
@@ -412,21 +440,21 @@
         return lives.size() > RecordStore.MAX_ENDED_INCARNATIONS ? lives.get(0) : 0;
     }
 
-    private void chunk(String peer, ReplicationMessage.Chunk c, double nowMs, List<Out> out) {
+    private void onChunk(String peer, ReplicationMessage.Chunk c, double nowMs, List<Out> out) {
         long had = store.appliedSequence(c.owner(), c.life()).orElse(0);
         RecordStore.MergeResult t = store.merge(c, nowMs);
-        CatchUp.Of of = new CatchUp.Of(c.owner(), c.life());
+        CatchUp.LogId of = new CatchUp.LogId(c.owner(), c.life());
         if (t == RecordStore.MergeResult.NEW) {
             if (c.life() == store.newestIncarnation(c.owner())) {
-                news.add(c.owner());
-                advanced.merge(c.owner(), had, Math::min);
+                changedOwners.add(c.owner());
+                pushAfter.merge(c.owner(), had, Math::min);
             }
-            catchUp.held(of, store.appliedSequence(c.owner(), c.life()).orElse(c.to()), nowMs);
-            ask(nowMs, out);
+            catchUp.onProgress(of, store.appliedSequence(c.owner(), c.life()).orElse(c.to()), nowMs);
+            requestMissing(nowMs, out);
         } else if (t == RecordStore.MergeResult.GAP) {
-            named(peer, c.owner(), c.life(), c.base() == 0 ? c.to() : c.base(), nowMs);
+            onPosition(peer, c.owner(), c.life(), c.base() == 0 ? c.to() : c.base(), nowMs);
         } else if (t == RecordStore.MergeResult.KNOWN) {
-            catchUp.held(of, Math.max(had, c.life() < store.newestIncarnation(c.owner()) ? c.to() : 0), nowMs);
+            catchUp.onProgress(of, Math.max(had, c.life() < store.newestIncarnation(c.owner()) ? c.to() : 0), nowMs);
         }
     }
 
@@ -435,25 +463,26 @@
     /** How far this member is. */
     public Replica.Level level(double nowMs) {
         return new Replica.Level(
-                catchUp.level(listened, nowMs),
-                catchUp.behind(),
-                differences.open(),
-                differences.outOfDecision() || store.quarantineReason(store.localMember()) != null);
+                catchUp.isLevel(initialized, nowMs),
+                catchUp.missingWrites(),
+                antiEntropy.openLogs(),
+                antiEntropy.outOfDecision() || store.quarantineReason(store.localMember()) != null);
     }
 
     /** The copies that differ. */
-    public AntiEntropy differences() {
-        return differences;
+    public AntiEntropy antiEntropy() {
+        return antiEntropy;
     }
 
     /** How many peers there are by the file. */
-    int configured() {
+    int configuredPeers() {
         return configured.size();
     }
 
     /** How many peers have said that they hold this member's writes up to this one. */
-    int heldBy(long sequence) {
-        return (int) peers.values().stream().filter(p -> p.mineHeld >= sequence).count();
+    int peersHolding(long sequence) {
+        return (int)
+                peers.values().stream().filter(p -> p.localSequence >= sequence).count();
     }
 
     /** Bytes sent since the start. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/TokenBucket.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/TokenBucket.java
@@ -1,44 +1,54 @@
 package brackenbridge.fleet.replica;
 
-/** Bytes that may be sent: they come in at a rate and are kept up to a quarter of a second's worth. */
+/** A token bucket that bounds the bytes sent a second; it holds a quarter of a second's worth. Not thread-safe. */
 public final class TokenBucket {
-    private final double rate;
+    /** The bucket holds what comes in within this time, in milliseconds. */
+    private static final double CAPACITY_MS = 250;
+
+    private static final double MIN_BYTES_A_SECOND = 1000;
+
+    private final double bytesPerMs;
     private double tokens;
     private double atMs = Double.NaN;
 
-    /** Bytes a second. */
+    /**
+     * A full bucket.
+     *
+     * @param bytesASecond the rate
+     * @throws IllegalArgumentException below 1000 bytes a second
+     */
     public TokenBucket(double bytesASecond) {
-        if (!(bytesASecond >= 1000)) {
+        if (!(bytesASecond >= MIN_BYTES_A_SECOND)) {
             throw new IllegalArgumentException("at least 1000 bytes a second: " + bytesASecond);
         }
-        rate = bytesASecond / 1000;
-        tokens = most();
+        bytesPerMs = bytesASecond / 1000;
+        tokens = capacity();
     }
 
-    private double most() {
-        return rate * 250;
+    private double capacity() {
+        return bytesPerMs * CAPACITY_MS;
     }
 
     /** Whether something that can't wait may go out: at most one message is sent on credit. */
-    public boolean urgent(double nowMs) {
-        fill(nowMs);
+    public boolean canSendUrgent(double nowMs) {
+        refill(nowMs);
         return tokens > 0;
     }
 
     /** Whether something that can wait may go out: a quarter is kept for what can't. */
-    public boolean spare(double nowMs) {
-        fill(nowMs);
-        return tokens > most() / 4;
+    public boolean canSendDeferrable(double nowMs) {
+        refill(nowMs);
+        return tokens > capacity() / 4;
     }
 
     /** So many bytes went out. */
-    public void spent(int bytes) {
+    public void consume(int bytes) {
         tokens -= bytes;
     }
 
-    private void fill(double nowMs) {
+    private void refill(double nowMs) {
         if (nowMs > atMs) {
-            tokens = Math.min(most(), tokens + (nowMs - atMs) * rate);
+            tokens = Math.min(capacity(), tokens + (nowMs - atMs) * bytesPerMs);
         }
         atMs = nowMs;
     }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -58,7 +58,7 @@
         d.write(
                 List.of(new ReplicaDisk.Batch(
                         "a", 3, copy.appliedSequence("a", 3).orElseThrow(), 0, all, List.of())),
-                Map.of(new CatchUp.Of("a", 3), all.size()));
+                Map.of(new CatchUp.LogId("a", 3), all.size()));
     }
 
     /** How far the copy is that is on the disk now; what is there must be what was written up to there. */
@@ -68,7 +68,7 @@
             d.restore(s);
             long have = s.appliedSequence("a", 3).orElse(0);
             assertEquals(have / 2, s.sum(RecordSpace.USED, "k"));
-            d.breakOff();
+            d.abandon();
             return have;
         }
     }
@@ -87,7 +87,7 @@
             write(d);
             written("after " + fault);
             write(d);
-            d.breakOff();
+            d.abandon();
             faults.losePower();
             assertEquals(copy.appliedSequence("a", 3).orElseThrow(), onDisk(), fault.toString());
         }
@@ -101,15 +101,15 @@
         written("second");
         faults.fail(Fault.SYNC_ERROR);
         assertThrows(IOException.class, () -> write(d));
-        d.breakOff();
+        d.abandon();
         faults.heal();
         // The next process reads the second from memory that was never synced.
         ReplicaDisk next = open();
         RecordStore s = new RecordStore("b", next.life(), 8, false);
         next.restore(s);
-        assertTrue(next.wantsAll());
+        assertTrue(next.needsFullWrite());
         write(next);
-        next.breakOff();
+        next.abandon();
         faults.losePower();
         assertEquals(4, onDisk());
     }
@@ -143,10 +143,10 @@
                     write(d);
                     acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 } catch (IOException refused) {
-                    assertTrue(d.wantsAll());
+                    assertTrue(d.needsFullWrite());
                 }
             }
-            d.breakOff();
+            d.abandon();
             faults.heal();
             if (random.nextBoolean()) {
                 faults.losePower();
@@ -198,7 +198,7 @@
         written("second");
         faults.record();
         write(d);
-        d.breakOff();
+        d.abandon();
         tornAtEveryByte(file, before, faults.recorded(), 2);
         assertEquals(4, onDisk());
     }
@@ -209,12 +209,12 @@
         ReplicaDisk d = open();
         written("first");
         write(d);
-        d.breakOff();
+        d.abandon();
         byte[] before = Files.readAllBytes(folder.resolve("replica.mv"));
         written("second");
         faults.record();
         write(d);
-        d.breakOff();
+        d.abandon();
         List<FaultyFiles.Write> writes = faults.recorded();
         assertTrue(writes.stream().anyMatch(w -> w.file().equals(fresh)));
         Files.write(folder.resolve("replica.mv"), before);
@@ -250,16 +250,16 @@
                     acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 }
             } catch (IOException killed) {
-                assertTrue(d.wantsAll());
+                assertTrue(d.needsFullWrite());
             }
-            d.breakOff();
+            d.abandon();
             faults.heal();
             assertTrue(onDisk() >= acknowledged, "killed at " + at);
             // The next process goes on with all that the copy holds.
             ReplicaDisk next = open();
-            next.breakOff();
+            next.abandon();
             write(next);
-            next.breakOff();
+            next.abandon();
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -131,7 +131,7 @@
         try (ReplicaDisk disk = ReplicaDisk.open(written, "fleet", "n2", DISK_LIFE)) {
             disk.write(
                     List.of(new ReplicaDisk.Batch(OWNER, LIFE, 7L, 2, entries(), List.of())),
-                    Map.of(new CatchUp.Of(OWNER, LIFE), entries().size()));
+                    Map.of(new CatchUp.LogId(OWNER, LIFE), entries().size()));
         }
         GoldenFiles.replaceIfAsked(
                 "replica/replica-disk-replica.mv", Files.readAllBytes(written.resolve("replica.mv")));
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -229,21 +229,23 @@
             AntiEntropy da = new AntiEntropy(a);
             AntiEntropy db = new AntiEntropy(b);
             compare(da, db);
-            assertEquals(1, db.total());
-            assertEquals(AntiEntropy.Verdict.TOOK_THEIRS, db.found().get(0).verdict());
-            assertTrue(db.found().get(0).mine().contains("not what was written"));
+            assertEquals(1, db.totalDifferences());
+            assertEquals(
+                    AntiEntropy.Verdict.TOOK_THEIRS,
+                    db.recentDifferences().get(0).verdict());
+            assertTrue(db.recentDifferences().get(0).mine().contains("not what was written"));
             compare(da, db);
-            assertEquals(1, db.total());
-            assertEquals(0, db.open());
+            assertEquals(1, db.totalDifferences());
+            assertEquals(0, db.openLogs());
             assertEquals(a.all("a", 1).toString(), b.all("a", 1).toString());
         }
     }
 
     private static void compare(AntiEntropy a, AntiEntropy b) {
-        for (ReplicationMessage r : b.took("a", a.next("b"))) {
-            for (ReplicationMessage c : a.took("b", (ReplicationMessage.Ranges) r)) {
-                for (ReplicationMessage back : b.took("a", (ReplicationMessage.Copies) c, 0)) {
-                    a.took("b", (ReplicationMessage.Copies) back, 0);
+        for (ReplicationMessage r : b.onDigests("a", a.nextDigests("b"))) {
+            for (ReplicationMessage c : a.onRanges("b", (ReplicationMessage.Ranges) r)) {
+                for (ReplicationMessage back : b.onCopies("a", (ReplicationMessage.Copies) c, 0)) {
+                    a.onCopies("b", (ReplicationMessage.Copies) back, 0);
                 }
             }
         }
@@ -257,13 +259,13 @@
         pull(b, a);
         AntiEntropy da = new AntiEntropy(a);
         AntiEntropy db = new AntiEntropy(b);
-        for (int i = 0; i < AntiEntropy.STRIKES; i++) {
+        for (int i = 0; i < AntiEntropy.MAX_MISMATCHES; i++) {
             assertFalse(db.outOfDecision());
             // What the rule mends, something breaks again.
             b.repair("a", 1, ITEM, null, 0);
-            db.took(
+            db.onRanges(
                     "a",
-                    da.took("b", db.next("a")).stream()
+                    da.onDigests("b", db.nextDigests("a")).stream()
                             .map(m -> (ReplicationMessage.Ranges) m)
                             .findFirst()
                             .orElseThrow());
@@ -271,7 +273,7 @@
         assertTrue(db.outOfDecision());
         assertEquals(0, b.appliedSequence("a", 1).orElseThrow());
         pull(b, a);
-        db.took("a", da.next("b"));
+        db.onDigests("a", da.nextDigests("b"));
         assertFalse(db.outOfDecision());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
@@ -39,7 +39,7 @@
     private void write(ReplicaDisk d) throws IOException {
         d.write(
                 List.of(new ReplicaDisk.Batch("a", 3, 300L, 0, full.all("a", 3), List.of())),
-                Map.of(new CatchUp.Of("a", 3), 100));
+                Map.of(new CatchUp.LogId("a", 3), 100));
     }
 
     private RecordStore read(ReplicaDisk d) throws IOException {
@@ -115,7 +115,7 @@
     void aDiskThatFailsSaysSoAndTakesItUpAgain() throws IOException {
         try (ReplicaDisk d = open(1)) {
             write(d);
-            d.breakOff();
+            d.abandon();
             Path file = folder.resolve("replica.mv");
             Path away = folder.resolve("away");
             Files.move(file, away);
--- a/lab/src/main/java/brackenbridge/lab/replica/SimulatedReplicaFleet.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/SimulatedReplicaFleet.java
@@ -15,7 +15,7 @@
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Members with the real exchange in simulated time: ways of 0.5 to 5 ms, a part of the messages lost. */
+/** Members with the real protocol in simulated time: ways of 0.5 to 5 ms, a part of the messages lost. */
 public final class SimulatedReplicaFleet {
     private static final double WARM_MS = 6000;
     private static final double STEP_MS = 5;
@@ -28,7 +28,7 @@
      * @param writesASecond writes a second of each member under change
      * @param lost the part of messages that are lost
      * @param changeMs how long is written, in milliseconds
-     * @param terms how they exchange
+     * @param terms how they protocol
      * @param seed the seed
      */
     public record Plan(
@@ -68,22 +68,22 @@
         final int id;
         final String name;
         final RecordStore store;
-        final ReplicationProtocol exchange;
+        final ReplicationProtocol protocol;
         boolean away;
 
         Node(int id, long life) {
             this.id = id;
             name = "n" + id;
             store = new RecordStore(name, life, random.nextLong() | 1, false);
-            exchange = new ReplicationProtocol(
+            protocol = new ReplicationProtocol(
                     store, plan.terms(), new SplittableRandom(random.nextLong()), queue.nowMs());
         }
 
         void turn() {
             if (!away) {
-                send(exchange.tick(queue.nowMs()));
+                send(protocol.tick(queue.nowMs()));
             }
-            queue.at(Math.max(queue.nowMs() + 1, exchange.nextMs()), this::turn);
+            queue.at(Math.max(queue.nowMs() + 1, protocol.nextTickMs()), this::turn);
         }
 
         void send(List<ReplicationProtocol.Out> out) {
@@ -97,7 +97,7 @@
 
         void took(Node from, byte[] body) {
             if (!away && !from.away) {
-                send(exchange.took(from.name, from.store.incarnation(), body, queue.nowMs()));
+                send(protocol.onMessage(from.name, from.store.incarnation(), body, queue.nowMs()));
                 writes.removeIf(w -> w.look(this));
             }
         }
@@ -148,7 +148,7 @@
         List<String> names = nodes.stream().map(n -> n.name).toList();
         for (Node n : nodes) {
             List<String> peers = names.stream().filter(p -> !p.equals(n.name)).toList();
-            n.exchange.peers(peers, peers);
+            n.protocol.setPeers(peers, peers);
             for (int k = 0; k < plan.keys(); k++) {
                 n.store.put(RecordSpace.SERVERS, "host" + k, value(k), 0);
             }
@@ -162,7 +162,7 @@
     }
 
     private long sent() {
-        return nodes.stream().mapToLong(n -> n.exchange.sentBytes()).sum();
+        return nodes.stream().mapToLong(n -> n.protocol.sentBytes()).sum();
     }
 
     private boolean runUntil(double mostMs, BooleanSupplier done) {
@@ -175,7 +175,7 @@
 
     private int level() {
         return (int) nodes.stream()
-                .filter(n -> n.exchange.level(queue.nowMs()).level())
+                .filter(n -> n.protocol.level(queue.nowMs()).level())
                 .count();
     }
 
@@ -221,7 +221,7 @@
     private void write(Node n, long v) {
         long had = n.store.appliedSequence(n.name, n.store.incarnation()).orElse(0);
         n.store.put(RecordSpace.SERVERS, "host" + random.nextInt(plan.keys()), value(v), queue.nowMs());
-        n.exchange.wrote(had);
+        n.protocol.onLocalWrite(had);
     }
 
     /** The first member misses so long of changes, with its memory kept, and returns; the fleet is at rest else. */
@@ -255,14 +255,14 @@
         long before = sent();
         one.away = false;
         nodes.forEach(n -> {
-            one.exchange.linked(n.name);
-            n.exchange.linked(one.name);
+            one.protocol.onPeerReachable(n.name);
+            n.protocol.onPeerReachable(one.name);
         });
         double began = queue.nowMs();
         long[] behind = new long[1];
         Node other = nodes.get(nodes.size() - 1);
         boolean level = runUntil(600_000, () -> {
-            behind[0] = Math.max(behind[0], one.exchange.level(queue.nowMs()).behind());
+            behind[0] = Math.max(behind[0], one.protocol.level(queue.nowMs()).behind());
             return nodes.stream()
                     .allMatch(o -> one.store
                                     .appliedSequence(o.name, o.store.incarnation())
