--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -11,13 +11,13 @@
 import java.util.TreeSet;
 
 /**
- * Anti-entropy by content: finds copies that differ at rest, without a reader: digests of logs, then of ranges of keys, then the records of a
- * range; and makes them one by a rule that is the same at every member:
+ * Anti-entropy by content: finds copies that differ at rest, without a reader: digests of logs, then of ranges of
+ * keys, then the records of a range; and makes them one by a rule that is the same at every member:
  * <ol>
  * <li>the owner's copy of its present incarnation decides, what it lacks is gone;
  * <li>a record that is no longer what its owner wrote (its checksum) yields to one that is;
  * <li>the later write wins; a record that only one has stays;
- * <li>two contents of one write are two writers: both are put aside; of sums, the greater count stays.
+ * <li>two contents of one write are two writers: both are quarantined; of sums, the greater count stays.
  * </ol>
  */
 public final class AntiEntropy {
@@ -45,7 +45,7 @@
      *
      * @param atMs when it was found
      * @param owner whose record
-     * @param life of which life
+     * @param life of which incarnation
      * @param space its space
      * @param key its key
      * @param peer who holds the other copy
@@ -78,7 +78,7 @@
         this.store = store;
     }
 
-    /** The digests of the next logs to compare with this peer; all come in turn, the peer's own one is always among them. */
+    /** The digests of the next logs to compare with this peer; all come in turn, the peer's own one each time. */
     public ReplicationMessage.Digests nextDigests(String peer) {
         Set<CatchUp.LogId> of = new LinkedHashSet<>();
         of.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -7,7 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * Catch-up: which logs are behind what peers have named, from which peer to request the rest, and when. Not thread-safe.
+ * Catch-up: which logs are behind what peers have named, from which peer to request the rest, and when. Not
+ * thread-safe.
  * Bounded: one gap for each log that is behind, {@code 2 * MAX_OWNERS} at the most.
  */
 public final class CatchUp {
@@ -139,8 +140,8 @@
     }
 
     /**
-     * Whether all that was named is here, but for what was named within {@link ReplicationLimits#lagMs}; the first time,
-     * without that.
+     * Whether all that was named is here, but for what was named within {@link ReplicationLimits#lagMs}; the first
+     * time, without that.
      *
      * @param initialized whether enough peers have listed what they have
      */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -22,7 +22,7 @@
 
     /** The rule by which copies become one. */
     public enum Kind {
-        /** One writer: the newer by life and sequence wins; two writers of one name are both put aside. */
+        /** One writer: the newer by incarnation and sequence wins; two writers of one name are both quarantined. */
         OWN,
         /** A sum over writers that survives a writer's end: each writer's part only grows. */
         COUNTED
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
@@ -40,12 +40,12 @@
     private static final String FRESH = FILE + ".new";
 
     /**
-     * What is to be written of one life of an owner.
+     * What is to be written of one incarnation of an owner.
      *
      * @param owner whose
-     * @param life which life
-     * @param have how far the copy is; empty if the life is gone
-     * @param floor how far removals are forgotten
+     * @param life which incarnation
+     * @param have how far the copy is; empty if the incarnation is gone
+     * @param floor how far tombstones are forgotten
      * @param entries records that changed
      * @param gone records that are gone
      */
@@ -114,8 +114,9 @@
     }
 
     /**
-     * Opens a member's directory, and takes the next life: greater than the one before, and at least the time of day
-     * in milliseconds, so that a member whose disk is lost or old begins a later one unless the clock went back.
+     * Opens a member's directory, and takes the next incarnation: greater than the one before, and at least the time
+     * of day in milliseconds, so that a member whose disk is lost or old begins a later one unless the clock went
+     * back.
      *
      * @throws IOException in one line, if it is another fleet's or another member's, or a process has it open
      */
@@ -202,8 +203,8 @@
     }
 
     /**
-     * The life with which a process begins that has no disk. After the time of day went back it may be earlier than
-     * one that peers know, and is outlived then, by the links and the replica alike.
+     * The incarnation with which a process begins that has no disk. After the time of day went back it may be earlier
+     * than one that peers know, and is outlived then, by the links and the replica alike.
      */
     public static long lifeWithout(double nowMs) {
         return (long) nowMs;
@@ -219,12 +220,12 @@
         return b == null ? "unknown" : new String(b, StandardCharsets.UTF_8);
     }
 
-    /** The life that was taken at this start. */
+    /** The incarnation that was taken at this start. */
     public long life() {
         return life;
     }
 
-    /** A life that was taken later, since peers knew a later one; the next write writes it. */
+    /** An incarnation that was taken later, since peers knew a later one; the next write writes it. */
     void useIncarnation(long later) {
         life = later;
     }
@@ -235,8 +236,8 @@
     }
 
     /**
-     * Puts all that can be read into a copy; a life with a record that can't is left out, and fetched from peers. A
-     * file that can't be read through is put aside, and an empty one begun.
+     * Puts all that can be read into a copy; an incarnation with a record that can't is left out, and fetched from
+     * peers. A file that can't be read through is put aside, and an empty one begun.
      *
      * @throws IOException if no file can be written there
      */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -34,12 +34,12 @@
      * What a member holds of another; a line of {@code state status}.
      *
      * @param member which
-     * @param life its newest life known here
+     * @param life its newest incarnation known here
      * @param wrote how many writes it is said to have made in it
      * @param have how many of them are here
-     * @param heardMs how long ago it last gave a sign of life, in milliseconds; infinite if never
+     * @param heardMs how long ago it last gave a heartbeat, in milliseconds; infinite if never
      * @param standing what links say of it
-     * @param aside why its present life was put aside; null if it was not
+     * @param aside why its present incarnation was quarantined; null if it was not
      */
     public record Status(
             String member, long life, long wrote, long have, double heardMs, MemberStatus standing, String aside) {}
@@ -269,7 +269,7 @@
         notifier.addListener(listener);
     }
 
-    /** This member's life: greater than that of its links if peers knew a later one. */
+    /** This member's incarnation: greater than that of its links if peers knew a later one. */
     public long life() {
         return monitor.locked(store::incarnation);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
@@ -5,7 +5,7 @@
  *
  * @param bytesASecond what it sends, at the most
  * @param pushMs writes of so long go out together
- * @param beatMs between two signs of life; so often it also compares how far it is with others
+ * @param beatMs between two heartbeats; so often it also compares how far it is with others
  * @param digestMs between two comparisons of contents
  * @param againMs after so long without an answer it asks again
  * @param lagMs a member that lacks for longer what it knows of is not level
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
@@ -13,16 +13,16 @@
     int MOST = 1024;
 
     /**
-     * That an owner lives, and how far the sender's copy of its newest life is.
+     * That an owner is alive, and how far the sender's copy of its newest incarnation is.
      *
      * @param owner whose
-     * @param life its newest life that the sender has heard of
-     * @param nonce drawn by the owner's process at its start: two for one life are two writers
-     * @param beat grows with every sign of life
+     * @param life its newest incarnation that the sender has heard of
+     * @param nonce drawn by the owner's process at its start: two for one incarnation are two writers
+     * @param beat grows with every heartbeat
      * @param said how many writes the owner had made at that beat
      * @param have how many of them the sender has
      * @param ageMs how long ago the owner gave this beat, as far as the sender's clock and those before it know
-     * @param aside whether this life was put aside because two wrote in it
+     * @param aside whether this incarnation was quarantined because two wrote in it
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Mark(String owner, long life, long nonce, long beat, long said, long have, long ageMs, boolean aside) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * How much of an ended life the sender has.
+     * How much of an ended incarnation the sender has.
      *
      * @param owner whose
-     * @param life which life
+     * @param life which incarnation
      * @param have how many of its writes
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -54,8 +54,8 @@
      *
      * @param ask whether the sender wants the receiver's in return
      * @param whole whether this ends a list of all that the sender has
-     * @param marks newest lives
-     * @param ended ended lives of which parts of sums are kept
+     * @param marks newest incarnations
+     * @param ended ended incarnations of which counters are kept
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Marks(boolean ask, boolean whole, List<Mark> marks, List<Have> ended) implements ReplicationMessage {
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Asks for what is missing of one life.
+     * Asks for what is missing of one incarnation.
      *
      * @param owner whose
-     * @param life which life
+     * @param life which incarnation
      * @param have all up to this write are there
      * @param cursor with a snapshot under way: it is taken up to this write; else 0
      * @param base with a snapshot under way: it ends at this write; else 0
@@ -86,7 +86,7 @@
     /**
      * Asks for what is missing.
      *
-     * @param wants of which lives
+     * @param wants of which incarnations
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Wants(List<Want> wants) implements ReplicationMessage {
@@ -97,17 +97,17 @@
     }
 
     /**
-     * The last writes of all keys of one life that were written last after {@code from} and up to {@code to}.
+     * The last writes of all keys of one incarnation that were written last after {@code from} and up to {@code to}.
      *
      * @param owner whose
-     * @param life which life
-     * @param newest the newest life that the sender knows; if later, this one has ended and its own records are left
-     *     out
+     * @param life which incarnation
+     * @param newest the newest incarnation that the sender knows; if later, this one has ended and its own records
+     *     are left out
      * @param from after this write
      * @param to up to this write
      * @param base 0: the receiver needs all up to {@code from}; else this is a piece of a snapshot that ends at this
      *     write, and what the receiver has between {@code from} and {@code to} that is not in it is gone
-     * @param floor removals up to this write are forgotten by the sender
+     * @param floor tombstones up to this write are forgotten by the sender
      * @param entries the writes, earliest first
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -142,10 +142,10 @@
     }
 
     /**
-     * A digest of a copy of one life.
+     * A digest of a copy of one incarnation.
      *
      * @param owner whose
-     * @param life which life
+     * @param life which incarnation
      * @param have up to which write the copy is
      * @param digest over all ranges of keys
      */
@@ -161,7 +161,7 @@
     /**
      * Digests of copies, for comparison.
      *
-     * @param digests of which lives
+     * @param digests of which incarnations
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Digests(List<Digest> digests) implements ReplicationMessage {
@@ -175,7 +175,7 @@
      * Digests of a copy by ranges of keys.
      *
      * @param owner whose
-     * @param life which life
+     * @param life which incarnation
      * @param have up to which write the copy is
      * @param digests one for each range
      */
@@ -197,7 +197,7 @@
      * All records of a copy in a range of keys, as it holds them.
      *
      * @param owner whose
-     * @param life which life
+     * @param life which incarnation
      * @param have up to which write the copy is
      * @param range which range
      * @param part counts the pieces of the range from 0
--- a/fleet/src/main/java/brackenbridge/fleet/replica/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/package-info.java
@@ -13,14 +13,14 @@
  * decisions; an incarnation in which two processes wrote is quarantined at every member.
  *
  * <p><b>How.</b> Owners push writes at once ({@link brackenbridge.fleet.replica.ReplicationProtocol}); members compare
- * positions of logs and request what is missing ({@link brackenbridge.fleet.replica.CatchUp}), as a log's tail or, where
- * tombstones were forgotten, as a snapshot; digests find copies that differ at rest
- * ({@link brackenbridge.fleet.replica.AntiEntropy}).
+ * positions of logs and request what is missing ({@link brackenbridge.fleet.replica.CatchUp}), as a log's tail or,
+ * where tombstones were forgotten, as a snapshot; digests find copies that differ at rest ({@link
+ * brackenbridge.fleet.replica.AntiEntropy}).
  *
  * <p><b>State and threads.</b> {@link brackenbridge.fleet.replica.RecordStore},
- * {@link brackenbridge.fleet.replica.ReplicationProtocol}, {@code CatchUp} and {@code AntiEntropy} have no threads, locks
- * or I/O. In a process {@link brackenbridge.fleet.replica.ReplicaNode} owns them and guards them by one lock
- * ({@code ReplicaMonitor}), held for one message, one turn or one call:
+ * {@link brackenbridge.fleet.replica.ReplicationProtocol}, {@code CatchUp} and {@code AntiEntropy} have no
+ * threads, locks or I/O. In a process {@link brackenbridge.fleet.replica.ReplicaNode} owns them and guards them by
+ * one lock ({@code ReplicaMonitor}), held for one message, one turn or one call:
  *
  * <ul>
  *   <li>{@code replica-turn} drives the protocol's timers;
