--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -37,28 +36,13 @@
      */
     public record Out(String peer, byte[] body) {}
 
-    private static final class Peer {
-        long life;
-        /** Whether it has sent all its marks since it was last reachable. */
-        boolean hasListedAll;
-        /** The sequence number of this member's log that it has said to hold. */
-        long localSequence;
-
-        double listRequestAtMs = Double.NEGATIVE_INFINITY;
-        /** What it holds of this member's ended incarnations, by its last full list. */
-        Map<Long, Long> endedSequences = Map.of();
-
-        Map<Long, Long> partialEndedSequences = new TreeMap<>();
-        final Map<CatchUp.LogId, ReplicationMessage.Want> pending = new LinkedHashMap<>();
-    }
-
     private final RecordStore store;
     private final ReplicationLimits limits;
     private final SplittableRandom random;
     private final TokenBucket bucket;
     private final CatchUp catchUp;
     private final AntiEntropy antiEntropy;
-    private final Map<String, Peer> peers = new TreeMap<>();
+    private final Map<String, PeerProgress> peers = new TreeMap<>();
     private List<String> configured = List.of();
     private List<String> reachable = List.of();
     private final LinkedHashSet<String> requesters = new LinkedHashSet<>();
@@ -104,12 +88,12 @@
         configured = List.copyOf(all);
         reachable = List.copyOf(reach);
         peers.keySet().retainAll(configured);
-        configured.forEach(p -> peers.computeIfAbsent(p, n -> new Peer()));
+        configured.forEach(p -> peers.computeIfAbsent(p, n -> new PeerProgress()));
     }
 
     /** A peer can be reached again: positions of logs are compared with it at once. */
     public void onPeerReachable(String peer) {
-        Peer p = peers.get(peer);
+        PeerProgress p = peers.get(peer);
         if (p != null) {
             p.listRequestAtMs = Double.NEGATIVE_INFINITY;
             p.hasListedAll = false;
@@ -192,7 +176,7 @@
             int from = random.nextInt(reachable.size());
             for (int i = 0; i < reachable.size() && asked < most; i++) {
                 String n = reachable.get((from + i) % reachable.size());
-                Peer p = peers.get(n);
+                PeerProgress p = peers.get(n);
                 if (!p.hasListedAll) {
                     asked++;
                     if (p.listRequestAtMs <= nowMs) {
@@ -300,7 +284,7 @@
         while (!requesters.isEmpty() && bucket.canSendDeferrable(nowMs)) {
             String n = requesters.iterator().next();
             requesters.remove(n);
-            Peer p = peers.get(n);
+            PeerProgress p = peers.get(n);
             if (p == null || p.pending.isEmpty()) {
                 continue;
             }
@@ -348,7 +332,7 @@
      */
     public List<Out> onMessage(String peer, long life, byte[] body, double nowMs) {
         List<Out> out = new ArrayList<>();
-        Peer p = peers.get(peer);
+        PeerProgress p = peers.get(peer);
         // Guards against what an ended process of the peer left on its way.
         if (p == null || life < p.life) {
             return out;
@@ -391,7 +375,7 @@
         }
     }
 
-    private void onMarks(String peer, Peer p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
+    private void onMarks(String peer, PeerProgress p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
         for (ReplicationMessage.Mark mark : m.marks()) {
             long newest = store.newestIncarnation(mark.owner());
             if (store.merge(mark, nowMs)) {
