--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -22,7 +22,7 @@
 
     /** The rule by which copies become one. */
     public enum Kind {
-        /** One writer: the newer by life and sequence wins; two writers of one name are both put aside. */
+        /** One writer: the newer by incarnation and sequence wins; two writers of one name are both quarantined. */
         OWN,
         /** A sum over writers that survives a writer's end: each writer's part only grows. */
         COUNTED
@@ -45,4 +45,15 @@
     public double freshMs() {
         return freshMs;
     }
+
+    /**
+     * Checks the rule.
+     *
+     * @throws IllegalArgumentException if it is another one
+     */
+    void requireKind(Kind required) {
+        if (kind != required) {
+            throw new IllegalArgumentException(this + " is not of kind " + required);
+        }
+    }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -50,14 +50,15 @@
     private void written(String value) {
         owner.put(RecordSpace.SERVERS, "h", value.getBytes(UTF_8), 0);
         owner.add(RecordSpace.USED, "k", 1, 0);
-        copy.took(owner.since(copy.want("a", 3), 1 << 20), 0);
+        copy.merge(owner.answer(copy.request("a", 3), 1 << 20), 0);
     }
 
     private void write(ReplicaDisk d) throws IOException {
         List<ReplicatedRecord> all = copy.all("a", 3);
         d.write(
-                List.of(new ReplicaDisk.Batch("a", 3, copy.have("a", 3).orElseThrow(), 0, all, List.of())),
-                Map.of(new CatchUp.Of("a", 3), all.size()));
+                List.of(new ReplicaDisk.Batch(
+                        "a", 3, copy.appliedSequence("a", 3).orElseThrow(), 0, all, List.of())),
+                Map.of(new CatchUp.LogId("a", 3), all.size()));
     }
 
     /** How far the copy is that is on the disk now; what is there must be what was written up to there. */
@@ -65,9 +66,9 @@
         try (ReplicaDisk d = open()) {
             RecordStore s = new RecordStore("b", d.life(), 8, false);
             d.restore(s);
-            long have = s.have("a", 3).orElse(0);
+            long have = s.appliedSequence("a", 3).orElse(0);
             assertEquals(have / 2, s.sum(RecordSpace.USED, "k"));
-            d.breakOff();
+            d.abandon();
             return have;
         }
     }
@@ -86,9 +87,9 @@
             write(d);
             written("after " + fault);
             write(d);
-            d.breakOff();
+            d.abandon();
             faults.losePower();
-            assertEquals(copy.have("a", 3).orElseThrow(), onDisk(), fault.toString());
+            assertEquals(copy.appliedSequence("a", 3).orElseThrow(), onDisk(), fault.toString());
         }
     }
 
@@ -100,15 +101,15 @@
         written("second");
         faults.fail(Fault.SYNC_ERROR);
         assertThrows(IOException.class, () -> write(d));
-        d.breakOff();
+        d.abandon();
         faults.heal();
         // The next process reads the second from memory that was never synced.
         ReplicaDisk next = open();
         RecordStore s = new RecordStore("b", next.life(), 8, false);
         next.restore(s);
-        assertTrue(next.wantsAll());
+        assertTrue(next.needsFullWrite());
         write(next);
-        next.breakOff();
+        next.abandon();
         faults.losePower();
         assertEquals(4, onDisk());
     }
@@ -140,12 +141,12 @@
                 written(seed + "/" + i);
                 try {
                     write(d);
-                    acknowledged = copy.have("a", 3).orElseThrow();
+                    acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 } catch (IOException refused) {
-                    assertTrue(d.wantsAll());
+                    assertTrue(d.needsFullWrite());
                 }
             }
-            d.breakOff();
+            d.abandon();
             faults.heal();
             if (random.nextBoolean()) {
                 faults.losePower();
@@ -197,7 +198,7 @@
         written("second");
         faults.record();
         write(d);
-        d.breakOff();
+        d.abandon();
         tornAtEveryByte(file, before, faults.recorded(), 2);
         assertEquals(4, onDisk());
     }
@@ -208,12 +209,12 @@
         ReplicaDisk d = open();
         written("first");
         write(d);
-        d.breakOff();
+        d.abandon();
         byte[] before = Files.readAllBytes(folder.resolve("replica.mv"));
         written("second");
         faults.record();
         write(d);
-        d.breakOff();
+        d.abandon();
         List<FaultyFiles.Write> writes = faults.recorded();
         assertTrue(writes.stream().anyMatch(w -> w.file().equals(fresh)));
         Files.write(folder.resolve("replica.mv"), before);
@@ -240,25 +241,25 @@
     void aKillAtAnyWriteOrSyncLeavesWhatWasAcknowledged() throws IOException {
         for (long at = 0; at < 40; at++) {
             ReplicaDisk d = open();
-            long acknowledged = copy.have("a", 3).orElse(0);
+            long acknowledged = copy.appliedSequence("a", 3).orElse(0);
             faults.killAt(faults.operations() + at, (int) (at * 37 % 4096));
             try {
                 for (int i = 0; i < 3; i++) {
                     written(at + "/" + i);
                     write(d);
-                    acknowledged = copy.have("a", 3).orElseThrow();
+                    acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 }
             } catch (IOException killed) {
-                assertTrue(d.wantsAll());
+                assertTrue(d.needsFullWrite());
             }
-            d.breakOff();
+            d.abandon();
             faults.heal();
             assertTrue(onDisk() >= acknowledged, "killed at " + at);
             // The next process goes on with all that the copy holds.
             ReplicaDisk next = open();
-            next.breakOff();
+            next.abandon();
             write(next);
-            next.breakOff();
+            next.abandon();
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -121,8 +121,8 @@
             RecordStore store = new RecordStore("n2", disk.life(), 8, false);
             disk.restore(store);
             GoldenFiles.assertSame("records", entries(), store.all(OWNER, LIFE));
-            assertEquals(OptionalLong.of(7), store.have(OWNER, LIFE));
-            assertEquals(2, store.floor(OWNER, LIFE));
+            assertEquals(OptionalLong.of(7), store.appliedSequence(OWNER, LIFE));
+            assertEquals(2, store.tombstoneFloor(OWNER, LIFE));
         }
     }
 
@@ -131,7 +131,7 @@
         try (ReplicaDisk disk = ReplicaDisk.open(written, "fleet", "n2", DISK_LIFE)) {
             disk.write(
                     List.of(new ReplicaDisk.Batch(OWNER, LIFE, 7L, 2, entries(), List.of())),
-                    Map.of(new CatchUp.Of(OWNER, LIFE), entries().size()));
+                    Map.of(new CatchUp.LogId(OWNER, LIFE), entries().size()));
         }
         GoldenFiles.replaceIfAsked(
                 "replica/replica-disk-replica.mv", Files.readAllBytes(written.resolve("replica.mv")));
