--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -0,0 +1,101 @@
+package brackenbridge.fleet.agreed;
+
+import io.microraft.statemachine.StateMachine;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.util.Arrays;
+import java.util.List;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Applies the entries of the replicated log to {@link AgreedState}; the Raft library calls it on the member's thread. */
+final class AgreedStateMachine implements StateMachine {
+    private static final Logger LOG = LoggerFactory.getLogger(AgreedStateMachine.class);
+    /** A snapshot is taken after so many bytes of contents. */
+    private static final long SNAPSHOT_BYTES = 4 << 20;
+
+    /** Requests that are answered once a majority has confirmed that it follows this leader. */
+    record Read(Runnable action) {}
+
+    private final MemberContext context;
+    private final RaftConsensus consensus;
+    private final VoterEndpoint self;
+    private final AppliedListener listener;
+    private long bytesSinceSnapshot;
+
+    AgreedStateMachine(MemberContext context, RaftConsensus consensus, VoterEndpoint self, AppliedListener listener) {
+        this.context = context;
+        this.consensus = consensus;
+        this.self = self;
+        this.listener = listener;
+    }
+
+    @Override
+    public Object runOperation(long commitIndex, Object operation) {
+        if (operation instanceof Read read) {
+            read.action().run();
+            return null;
+        }
+        LogCommand command = (LogCommand) operation;
+        AgreedState.Result result = consensus.state().apply(command);
+        boundLog(command);
+        if (command instanceof LogCommand.Reign begin) {
+            beginTerm(begin);
+        } else if (consensus.leads() && result != AgreedState.Result.VOID) {
+            listener.onApplied(command, result);
+        }
+        return result;
+    }
+
+    /** Guards the log's memory and disk against few but long contents. */
+    private void boundLog(LogCommand command) {
+        bytesSinceSnapshot += command instanceof LogCommand.Stage stage ? stage.content().length : 0;
+        if (bytesSinceSnapshot > SNAPSHOT_BYTES) {
+            bytesSinceSnapshot = 0;
+            context.execute(consensus::takeSnapshot);
+        }
+    }
+
+    private void beginTerm(LogCommand.Reign begin) {
+        boolean leads = begin.leader().equals(self.toString())
+                && begin.life() == context.processLife()
+                && begin.number() == consensus.leaderTermNumber();
+        consensus.beginTerm(
+                leads ? new LeaderLeases(context.settings().terms(), consensus.state(), context.nowMs()) : null);
+        if (leads) {
+            context.counters().leaderTerms.increment();
+            LOG.info(
+                    "agreement at {}: leads in leader term {}",
+                    context.name(),
+                    consensus.state().reign());
+        }
+        listener.onTermBegun(leads);
+    }
+
+    @Override
+    public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
+        byte[] image = AgreementCodec.image(consensus.state().image());
+        for (int from = 0; from < image.length; from += AgreementCodec.PIECE) {
+            chunks.accept(Arrays.copyOfRange(image, from, Math.min(image.length, from + AgreementCodec.PIECE)));
+        }
+    }
+
+    @Override
+    public void installSnapshot(long commitIndex, List<Object> chunks) {
+        ByteArrayOutputStream image = new ByteArrayOutputStream();
+        chunks.forEach(chunk -> image.writeBytes((byte[]) chunk));
+        try {
+            consensus.state().restore(AgreementCodec.image(image.toByteArray()));
+            consensus.stepDown();
+        } catch (IOException e) {
+            // It is the library's to stop this voter then: its state is unknown.
+            throw new IllegalStateException(e);
+        }
+    }
+
+    @Override
+    public Object getNewTermOperation() {
+        return new LogCommand.Reign(self.toString(), context.processLife(), consensus.nextLeaderTermNumber());
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -0,0 +1,235 @@
+package brackenbridge.fleet.agreed;
+
+import io.microraft.exception.NotLeaderException;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import java.util.Locale;
+import java.util.function.DoubleConsumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The leader's answers to lease requests, role claims and operators' reads. Each waits for a linearizable read, in
+ * batches: a majority has confirmed, since the request came, that it follows this leader. For the member's thread.
+ */
+final class LeaderService implements AppliedListener {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
+    /** Requests that wait for a read; more are dropped, as a link might. */
+    private static final int MAX_WAITING_REQUESTS = 4096;
+    /** Requests answered by one read. */
+    private static final int MAX_READ_BATCH = 256;
+
+    private final MemberContext context;
+    private final RaftConsensus consensus;
+    private final ProposalService proposals;
+    private final Deque<DoubleConsumer> waitingRequests = new ArrayDeque<>();
+    private double readStartedMs = Double.NaN;
+    private double majorityConfirmedMs = Double.NEGATIVE_INFINITY;
+
+    LeaderService(MemberContext context, RaftConsensus consensus, ProposalService proposals) {
+        this.context = context;
+        this.consensus = consensus;
+        this.proposals = proposals;
+    }
+
+    /** When a majority last confirmed this leader, in milliseconds; negative infinity if never. */
+    double majorityConfirmedMs() {
+        return majorityConfirmedMs;
+    }
+
+    /** Whether this member leads; if not, the asker is told who does. */
+    private boolean leadsOrRedirects(String peer) {
+        if (!consensus.leads()) {
+            context.send(peer, new AgreementMessage.Elsewhere(consensus.leader()));
+        }
+        return consensus.leads();
+    }
+
+    void onQuestion(String peer, AgreementMessage.Question question) {
+        context.counters().leaseRequests.increment();
+        if (leadsOrRedirects(peer)) {
+            answerAfterRead(
+                    nowMs -> context.send(peer, consensus.leases().asked(nowMs, peer, question, consensus.groupId())));
+        }
+    }
+
+    void onPropose(String peer, AgreementMessage.Propose proposal) {
+        if (leadsOrRedirects(peer)) {
+            proposals.onPropose(peer, proposal);
+        }
+    }
+
+    void onClaim(String peer, AgreementMessage.Claim claim) {
+        if (leadsOrRedirects(peer)
+                && claim.forMs() > 0
+                && claim.forMs() <= context.settings().maxRoleMs()
+                && claim.role().length() <= AgreedState.MAX_NAME) {
+            answerAfterRead(nowMs -> answerClaim(nowMs, peer, claim));
+        }
+    }
+
+    /** Guards whoever looks before proposing again: a voter that is behind does not know what is acknowledged. */
+    void onLook(String peer, AgreementMessage.Look look) {
+        if (leadsOrRedirects(peer)) {
+            answerAfterRead(nowMs -> context.send(peer, history(look)));
+        }
+    }
+
+    /** Starts a read that is due and writes the entries that leases allow by now. */
+    void tick(double nowMs) {
+        if (consensus.leads()) {
+            startRead();
+            writeDue(nowMs);
+        }
+    }
+
+    /** Forgets all requests, as the node that was to answer them is gone. */
+    void reset() {
+        proposals.reset();
+        waitingRequests.clear();
+        readStartedMs = Double.NaN;
+    }
+
+    @Override
+    public void onTermBegun(boolean leads) {
+        proposals.forgetWaiters();
+        waitingRequests.clear();
+        if (leads) {
+            hintAll();
+        }
+    }
+
+    @Override
+    public void onApplied(LogCommand command, AgreedState.Result result) {
+        if (command instanceof LogCommand.Stage stage) {
+            onValueApplied(stage.name(), result == AgreedState.Result.STAGED);
+        } else if (command instanceof LogCommand.Activate activate) {
+            onValueApplied(activate.name(), true);
+        } else if (command instanceof LogCommand.Abandon abandon) {
+            LOG.warn(
+                    "agreement at {}: {} of {} can't be used by {}: abandoned",
+                    context.name(),
+                    abandon.version(),
+                    abandon.name(),
+                    abandon.by());
+            onValueApplied(abandon.name(), true);
+        }
+    }
+
+    private void onValueApplied(String name, boolean changed) {
+        if (changed) {
+            context.counters().decisions.increment();
+            consensus.leases().applied(name);
+            hintAll();
+        }
+        proposals.sendOutcomes(name);
+    }
+
+    private void hintAll() {
+        AgreementMessage.Hint hint = new AgreementMessage.Hint(consensus.state().reign());
+        context.broadcast(hint);
+        context.send(context.name(), hint);
+    }
+
+    private void answerAfterRead(DoubleConsumer answer) {
+        if (waitingRequests.size() < MAX_WAITING_REQUESTS) {
+            waitingRequests.add(answer);
+            startRead();
+        }
+    }
+
+    private void startRead() {
+        double nowMs = context.nowMs();
+        double patienceMs = context.settings().beatMs() * context.settings().patienceBeats();
+        if (waitingRequests.isEmpty() || nowMs < readStartedMs + patienceMs) {
+            return;
+        }
+        List<DoubleConsumer> batch = new ArrayList<>();
+        while (!waitingRequests.isEmpty() && batch.size() < MAX_READ_BATCH) {
+            batch.add(waitingRequests.poll());
+        }
+        LeaderLeases leases = consensus.leases();
+        readStartedMs = nowMs;
+        consensus
+                .readLinearizable(() -> answerBatch(batch, leases, nowMs))
+                .whenComplete((result, failure) -> context.execute(() -> onReadEnded(leases, nowMs, failure)));
+    }
+
+    private void answerBatch(List<DoubleConsumer> batch, LeaderLeases leases, double startedMs) {
+        // Guards against an answer in a later term, which knows other leases.
+        if (consensus.leases() == leases) {
+            majorityConfirmedMs = startedMs;
+            double nowMs = context.nowMs();
+            batch.forEach(answer ->
+                    context.thread().safely(() -> answer.accept(nowMs)).run());
+        }
+    }
+
+    private void onReadEnded(LeaderLeases leases, double startedMs, Throwable failure) {
+        if (readStartedMs == startedMs) {
+            readStartedMs = Double.NaN;
+        }
+        if (failure instanceof NotLeaderException && consensus.leases() == leases) {
+            consensus.stepDown();
+        }
+        if (consensus.leads()) {
+            writeDue(context.nowMs());
+            startRead();
+        }
+    }
+
+    private void writeDue(double nowMs) {
+        LeaderLeases leases = consensus.leases();
+        leases.due(nowMs)
+                .forEach(command -> consensus
+                        .replicate(command)
+                        .whenComplete((result, failure) -> context.execute(() -> {
+                            if (failure != null && consensus.leases() == leases) {
+                                leases.notWritten(command);
+                            }
+                        })));
+    }
+
+    private void answerClaim(double nowMs, String peer, AgreementMessage.Claim claim) {
+        LeaderLeases leases = consensus.leases();
+        LeaderLeases.Claim decision = leases.claimed(nowMs, peer, claim);
+        if (decision.answer() != null) {
+            context.send(peer, decision.answer());
+        }
+        if (decision.first() == null) {
+            return;
+        }
+        consensus
+                .replicate(decision.first())
+                .whenComplete((result, failure) -> context.execute(() -> {
+                    if (consensus.leases() != leases) {
+                        return;
+                    }
+                    if (failure == null && result.getResult() == AgreedState.Result.DONE) {
+                        context.send(peer, leases.taken(context.nowMs(), claim));
+                    } else {
+                        leases.notWritten(decision.first());
+                    }
+                }));
+    }
+
+    private AgreementMessage.Looked history(AgreementMessage.Look look) {
+        AgreedState state = consensus.state();
+        byte[] content = state.kept(look.name(), look.generation())
+                .map(AgreedState.Kept::content)
+                .orElse(new byte[0]);
+        List<AgreementMessage.Line> lines = state.named(look.name()).stream()
+                .flatMap(named -> named.history().stream().map(kept -> line(named, kept)))
+                .toList();
+        return new AgreementMessage.Looked(look.life(), look.number(), lines, content);
+    }
+
+    private static AgreementMessage.Line line(AgreedState.Named named, AgreedState.Kept kept) {
+        String outcome = kept.came().name().toLowerCase(Locale.ROOT);
+        boolean inForce = kept.generation() == named.word().inForce();
+        return new AgreementMessage.Line(
+                kept.generation(), kept.by(), kept.content().length, outcome + (inForce ? ", now" : ""));
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -0,0 +1,189 @@
+package brackenbridge.fleet.agreed;
+
+import brackenbridge.core.generation.RenewalSchedule;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * A member's own lease: asks the leader for it again and again, finds out who leads, and keeps what was granted as an
+ * immutable {@link LeaseView} that any thread may read. All else is for the member's thread.
+ */
+final class LeaseClient {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaseClient.class);
+
+    private final MemberContext context;
+    private final RaftConsensus consensus;
+    private final Runnable viewListener;
+    private final RenewalSchedule schedule;
+    private final Map<String, Predicate<byte[]>> validators = new ConcurrentHashMap<>();
+    private final List<Consumer<String>> valueListeners = new CopyOnWriteArrayList<>();
+    private volatile LeaseView view;
+    private double answeredMs = Double.NEGATIVE_INFINITY;
+    private String followedGroup = "";
+    private String believedLeader = "";
+    private long lastLeaderTerm;
+    private int failedRequests;
+    private double nextRequestMs;
+    private boolean awaitingAnswer;
+
+    /** A client that has asked for nothing yet; the listener runs after each change of the view. */
+    LeaseClient(MemberContext context, RaftConsensus consensus, Runnable viewListener) {
+        this.context = context;
+        this.consensus = consensus;
+        this.viewListener = viewListener;
+        this.schedule = new RenewalSchedule(
+                context.settings().terms(),
+                new SplittableRandom(context.settings().seed()));
+        this.view = LeaseView.start(context.processLife());
+    }
+
+    void addValidator(String name, Predicate<byte[]> validator) {
+        validators.put(name, validator);
+    }
+
+    void addValueListener(Consumer<String> listener) {
+        valueListeners.add(listener);
+    }
+
+    /** What this member may act by; any thread. */
+    LeaseView view() {
+        return view;
+    }
+
+    /** When the leader last answered, in milliseconds; negative infinity if never. */
+    double answeredMs() {
+        return answeredMs;
+    }
+
+    /** The Raft group that this member has acted by; empty if none. */
+    String followedGroup() {
+        return followedGroup;
+    }
+
+    /** The leader by the last answer or hint; empty if unknown. */
+    String believedLeader() {
+        return believedLeader;
+    }
+
+    /** Whom to ask: the leader as far as known, else one voter after another. */
+    String target() {
+        String leader = consensus.leader();
+        if (!leader.isEmpty()) {
+            return leader;
+        }
+        if (!believedLeader.isEmpty()) {
+            return believedLeader;
+        }
+        List<String> voters = context.settings().voters();
+        return voters.get(Math.floorMod(failedRequests, voters.size()));
+    }
+
+    void start(double nowMs) {
+        nextRequestMs = schedule.firstMs(nowMs);
+    }
+
+    /** Asks for the lease if it is time to. */
+    void tick(double nowMs) {
+        if (nowMs < nextRequestMs) {
+            return;
+        }
+        if (awaitingAnswer) {
+            // The last request was not answered: its target may be gone.
+            awaitingAnswer = false;
+            believedLeader = "";
+            failedRequests++;
+            nextRequestMs = schedule.failedMs(nowMs);
+            return;
+        }
+        view = view.asks(nowMs);
+        schedule.asked(nowMs);
+        awaitingAnswer = true;
+        nextRequestMs = nowMs + schedule.patienceMs();
+        context.send(target(), view.question());
+    }
+
+    /** Takes the leader's grant; one of another Raft group raises the alarm. */
+    void onAnswer(String peer, AgreementMessage.Answer answer) {
+        if (!followedGroup.isEmpty() && !followedGroup.equals(answer.founding())) {
+            context.counters().foreign.increment();
+            context.alarm()
+                    .raise(peer + " answers for another founding, " + answer.founding() + "; here it is "
+                            + followedGroup);
+            return;
+        }
+        LeaseView before = view;
+        LeaseView next = before.told(answer, this::isUsable);
+        if (next == before) {
+            return;
+        }
+        followedGroup = answer.founding();
+        believedLeader = peer;
+        view = next;
+        answeredMs = context.nowMs();
+        List<String> changedNames = answer.told().stream()
+                .map(AgreementMessage.Told::name)
+                .filter(name -> next.word(name).version() > before.word(name).version())
+                .toList();
+        double requestMs = schedule.answeredMs(answeredMs, !changedNames.isEmpty());
+        // A hint may have come while the request was on its way: it stays.
+        nextRequestMs = awaitingAnswer ? requestMs : Math.min(nextRequestMs, requestMs);
+        awaitingAnswer = false;
+        viewListener.run();
+        changedNames.forEach(name -> publishChange(next, name));
+    }
+
+    private void publishChange(LeaseView current, String name) {
+        if (current.refused(name) != 0) {
+            context.alarm().raise("generation " + current.refused(name) + " of " + name + " can't be used here");
+        }
+        valueListeners.forEach(
+                listener -> context.thread().safely(() -> listener.accept(name)).run());
+    }
+
+    /** Whether this member can use a content under a name; any thread. */
+    boolean isUsable(String name, byte[] content) {
+        try {
+            return validators.getOrDefault(name, any -> true).test(content);
+        } catch (RuntimeException e) {
+            LOG.warn("agreement at {}: {} can't be read", context.name(), name, e);
+            return false;
+        }
+    }
+
+    /** A leader has news, or has just begun to lead: asks soon. */
+    void onHint(String peer, AgreementMessage.Hint hint) {
+        if (hint.reign() < lastLeaderTerm) {
+            return;
+        }
+        lastLeaderTerm = hint.reign();
+        believedLeader = peer;
+        double requestMs = schedule.hintedMs(context.nowMs());
+        if (!awaitingAnswer || requestMs < nextRequestMs) {
+            awaitingAnswer = false;
+            nextRequestMs = requestMs;
+        }
+    }
+
+    /** The member asked does not lead: asks the one that it names, or the next voter. */
+    void onElsewhere(String peer, AgreementMessage.Elsewhere redirect) {
+        String leader = redirect.leader();
+        if (!leader.isEmpty()
+                && context.links().peers().stream().anyMatch(p -> p.name().equals(leader))) {
+            believedLeader = leader;
+        } else if (believedLeader.equals(peer)) {
+            believedLeader = "";
+            failedRequests++;
+        }
+        if (awaitingAnswer) {
+            awaitingAnswer = false;
+            nextRequestMs = schedule.hintedMs(context.nowMs());
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
@@ -0,0 +1,108 @@
+package brackenbridge.fleet.agreed;
+
+import brackenbridge.fleet.agreed.AgreedValues.Verdict;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+
+/** The leader's side of proposals: writes each to the log once and sends its outcome. For the member's thread. */
+final class ProposalService {
+    /** Proposers that wait for an outcome. */
+    private static final int MAX_WAITERS = 4 * RaftConsensus.MAX_PENDING_ENTRIES;
+
+    /** A proposal whose outcome another member waits for. */
+    private record Waiter(String peer, String name, long life, long number) {}
+
+    private final MemberContext context;
+    private final RaftConsensus consensus;
+    private final List<Waiter> waiters = new ArrayList<>();
+    private final Set<Waiter> staging = new HashSet<>();
+
+    ProposalService(MemberContext context, RaftConsensus consensus) {
+        this.context = context;
+        this.consensus = consensus;
+    }
+
+    /** A new term has begun: proposers send again to whoever leads now. */
+    void forgetWaiters() {
+        waiters.clear();
+    }
+
+    void reset() {
+        waiters.clear();
+        staging.clear();
+    }
+
+    /** Stages a proposal, unless it is on its way already or breaks a bound; only while this member leads. */
+    void onPropose(String peer, AgreementMessage.Propose proposal) {
+        Waiter waiter = new Waiter(peer, proposal.name(), proposal.life(), proposal.number());
+        if (staging.contains(waiter)
+                || staging.size() >= RaftConsensus.MAX_PENDING_ENTRIES
+                || proposal.name().length() > AgreedState.MAX_NAME
+                || proposal.content().length > AgreedState.MAX_CONTENT) {
+            return;
+        }
+        if (!waiters.contains(waiter) && waiters.size() < MAX_WAITERS) {
+            waiters.add(waiter);
+        }
+        if (consensus
+                .state()
+                .proposed(proposal.name(), peer, proposal.life(), proposal.number())
+                .isPresent()) {
+            sendOutcomes(proposal.name());
+            return;
+        }
+        staging.add(waiter);
+        LogCommand.Stage command = new LogCommand.Stage(
+                proposal.name(), proposal.expected(), proposal.content(), peer, proposal.life(), proposal.number());
+        consensus
+                .replicate(command)
+                .whenComplete((result, failure) ->
+                        context.execute(() -> onStaged(waiter, failure != null ? null : result.getResult())));
+    }
+
+    private void onStaged(Waiter waiter, AgreedState.Result result) {
+        staging.remove(waiter);
+        rejection(result).ifPresent(verdict -> {
+            waiters.remove(waiter);
+            context.send(waiter.peer(), new AgreementMessage.Outcome(waiter.life(), waiter.number(), verdict, 0));
+        });
+    }
+
+    /** The verdict on a proposal that was not staged; empty if it was, or if nothing is known of it. */
+    private static Optional<Verdict> rejection(AgreedState.Result result) {
+        if (result == null) {
+            return Optional.empty();
+        }
+        return switch (result) {
+            case OVERTAKEN -> Optional.of(Verdict.OVERTAKEN);
+            case ANOTHER_STAGED -> Optional.of(Verdict.ANOTHER_STAGED);
+            case FULL -> Optional.of(Verdict.REFUSED);
+            default -> Optional.empty();
+        };
+    }
+
+    /** Tells the proposers of a name's settled generations what became of them. */
+    void sendOutcomes(String name) {
+        for (Iterator<Waiter> all = waiters.iterator(); all.hasNext(); ) {
+            Waiter waiter = all.next();
+            Optional<AgreedState.Kept> kept = waiter.name().equals(name)
+                    ? consensus.state().proposed(name, waiter.peer(), waiter.life(), waiter.number())
+                    : Optional.empty();
+            if (kept.isPresent() && kept.get().came() != AgreedState.Came.STAGED) {
+                all.remove();
+                Verdict verdict = kept.get().came() == AgreedState.Came.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
+                context.send(
+                        waiter.peer(),
+                        new AgreementMessage.Outcome(
+                                waiter.life(),
+                                waiter.number(),
+                                verdict,
+                                kept.get().generation()));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -0,0 +1,191 @@
+package brackenbridge.fleet.agreed;
+
+import brackenbridge.fleet.agreed.AgreedValues.Hold;
+import brackenbridge.fleet.agreed.AgreedValues.Verdict;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import java.util.function.LongFunction;
+
+/**
+ * A member's own requests to the leader: proposals, role claims and operators' reads. Any thread may ask; answers come
+ * on the member's thread.
+ */
+final class RequestClient {
+    /** A claim is sent again for at least so long, and at most for {@link #MAX_CLAIM_MS}. */
+    private static final double MIN_CLAIM_MS = 400;
+
+    private static final double MAX_CLAIM_MS = 5000;
+
+    /** A proposal in force whose generation this member has not been told of yet. */
+    private record UnseenDecision(String name, long generation, double untilMs, CompletableFuture<Verdict> verdict) {}
+
+    private final MemberContext context;
+    private final LeaseClient leaseClient;
+    private final PendingRequests pending;
+    private final List<UnseenDecision> unseenDecisions = new ArrayList<>();
+    private volatile Map<String, Hold> roleLeases = Map.of();
+    private boolean closed;
+
+    RequestClient(MemberContext context, LeaseClient leaseClient) {
+        this.context = context;
+        this.leaseClient = leaseClient;
+        this.pending = new PendingRequests(message -> context.send(leaseClient.target(), message));
+    }
+
+    /** Who holds which role, as far as this member was told; any thread. */
+    Map<String, Hold> roleLeases() {
+        return roleLeases;
+    }
+
+    /** Completes what can be, sends again what is unanswered, and ends what is overdue. */
+    void tick(double nowMs) {
+        completeSeenDecisions();
+        pending.tick(nowMs);
+    }
+
+    /** Ends all requests. */
+    void close() {
+        closed = true;
+        pending.end();
+        unseenDecisions.forEach(decision -> decision.verdict().complete(Verdict.IN_FORCE));
+    }
+
+    /** Takes an answer to a request of this process; one to an earlier process is passed over. */
+    void onAnswer(long life, long number, AgreementMessage answer) {
+        if (life == context.processLife()) {
+            pending.answered(number, answer);
+        }
+    }
+
+    /**
+     * Proposes a value ({@link AgreedValues#propose}).
+     *
+     * @throws IllegalArgumentException if a name, content or generation is out of bounds
+     */
+    CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs) {
+        if (name.isEmpty()
+                || name.length() > AgreedState.MAX_NAME
+                || content.length > AgreedState.MAX_CONTENT
+                || expected < 0) {
+            throw new IllegalArgumentException("name '" + name + "', expected " + expected + ", " + content.length
+                    + " bytes of at most " + AgreedState.MAX_CONTENT);
+        }
+        if (!leaseClient.isUsable(name, content)) {
+            return CompletableFuture.completedFuture(Verdict.REFUSED);
+        }
+        CompletableFuture<Verdict> verdict = new CompletableFuture<>();
+        request(
+                withinMs,
+                number -> new AgreementMessage.Propose(name, expected, content, context.processLife(), number),
+                answer -> onOutcome(name, (AgreementMessage.Outcome) answer, verdict),
+                () -> verdict.complete(Verdict.UNKNOWN));
+        return verdict;
+    }
+
+    private void onOutcome(String name, AgreementMessage.Outcome outcome, CompletableFuture<Verdict> verdict) {
+        if (outcome.verdict() != Verdict.IN_FORCE) {
+            verdict.complete(outcome.verdict());
+            return;
+        }
+        double untilMs = context.nowMs() + context.settings().terms().leaseMs();
+        unseenDecisions.add(new UnseenDecision(name, outcome.generation(), untilMs, verdict));
+        completeSeenDecisions();
+    }
+
+    /** Tells proposers once this member knows the value as well, so that the next proposal is made against it. */
+    void completeSeenDecisions() {
+        for (Iterator<UnseenDecision> all = unseenDecisions.iterator(); all.hasNext(); ) {
+            UnseenDecision decision = all.next();
+            if (leaseClient.view().word(decision.name()).inForce() >= decision.generation()
+                    || context.nowMs() >= decision.untilMs()) {
+                all.remove();
+                decision.verdict().complete(Verdict.IN_FORCE);
+            }
+        }
+    }
+
+    /**
+     * Claims a role ({@link AgreedValues#hold}).
+     *
+     * @throws IllegalArgumentException if the role's name or the time is out of bounds
+     */
+    CompletableFuture<Hold> claim(String role, double forMs) {
+        double maxRoleMs = context.settings().maxRoleMs();
+        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME || !(forMs > 0) || forMs > maxRoleMs) {
+            throw new IllegalArgumentException("role '" + role + "' for " + forMs + " ms of at most " + maxRoleMs);
+        }
+        // The lease counts from here: before the request leaves.
+        double requestedMs = context.nowMs();
+        CompletableFuture<Hold> lease = new CompletableFuture<>();
+        request(
+                Math.max(MIN_CLAIM_MS, Math.min(forMs / 2, MAX_CLAIM_MS)),
+                number -> new AgreementMessage.Claim(role, forMs, context.processLife(), number),
+                answer -> {
+                    Hold granted = roleLease((AgreementMessage.Claimed) answer, requestedMs);
+                    rememberRoleLease(role, granted);
+                    lease.complete(granted);
+                },
+                () -> lease.complete(new Hold("", 0, Double.NEGATIVE_INFINITY)));
+        return lease;
+    }
+
+    private Hold roleLease(AgreementMessage.Claimed answer, double requestedMs) {
+        boolean granted = answer.holder().equals(context.name()) && answer.forMs() > 0;
+        return new Hold(
+                answer.holder(), answer.token(), granted ? requestedMs + answer.forMs() : Double.NEGATIVE_INFINITY);
+    }
+
+    private void rememberRoleLease(String role, Hold lease) {
+        Hold before = roleLeases.get(role);
+        boolean outdated = before != null
+                && (lease.token() < before.token()
+                        || lease.token() == before.token() && lease.untilMs() <= before.untilMs());
+        if (outdated) {
+            return;
+        }
+        Map<String, Hold> next = new HashMap<>(roleLeases);
+        next.put(role, lease);
+        roleLeases = Map.copyOf(next);
+    }
+
+    /** Whether this member holds the role now, by its own clock; any thread. */
+    boolean holds(String role) {
+        Hold lease = roleLeases.get(role);
+        return lease != null && lease.holder().equals(context.name()) && context.nowMs() < lease.untilMs();
+    }
+
+    /** The generations of a name that are kept, oldest first; empty if no voter answers within the time. */
+    CompletableFuture<Optional<AgreementMessage.Looked>> look(String name, long generation, double withinMs) {
+        CompletableFuture<Optional<AgreementMessage.Looked>> history = new CompletableFuture<>();
+        request(
+                withinMs,
+                number -> new AgreementMessage.Look(name, generation, context.processLife(), number),
+                answer -> history.complete(Optional.of((AgreementMessage.Looked) answer)),
+                () -> history.complete(Optional.empty()));
+        return history;
+    }
+
+    private void request(
+            double withinMs,
+            LongFunction<AgreementMessage> message,
+            Consumer<AgreementMessage> onAnswer,
+            Runnable onTimeout) {
+        double untilMs = context.nowMs() + withinMs;
+        context.execute(() -> {
+            if (closed) {
+                onTimeout.run();
+            } else {
+                pending.send(context.nowMs(), untilMs, message, onAnswer, onTimeout);
+            }
+        });
+        if (context.thread().isEnded()) {
+            onTimeout.run();
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -0,0 +1,276 @@
+package brackenbridge.fleet.agreed;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * A voter's way into the Raft group: opens its disk, asks the other voters what they know of it, starts the consensus
+ * by {@link VoterAdmission}'s rules, and begins anew after its disk has failed. For the member's thread.
+ */
+final class VoterRecovery {
+    private static final Logger LOG = LoggerFactory.getLogger(VoterRecovery.class);
+    /** Between two rounds of hellos. */
+    private static final double HELLO_INTERVAL_MS = 200;
+    /** Between two requests to take the old disk's place. */
+    private static final double JOIN_INTERVAL_MS = 500;
+    /** How long after a failure the disk is opened again. */
+    private static final double REOPEN_INTERVAL_MS = 1000;
+
+    private static final String DISK_FAILED = "the disk can't be written: this member does not vote until it can";
+
+    private final MemberContext context;
+    private final RaftConsensus consensus;
+    private final LeaderService leaderService;
+    private final LeaseClient leaseClient;
+    private final Supplier<String> target;
+    private final Path directory;
+    private final Map<String, AgreementMessage.Facts> facts = new HashMap<>();
+    private String scheme = "";
+    private VoterStore store;
+    private VoterEndpoint endpoint;
+    private boolean joining;
+    private double helloMs = Double.NEGATIVE_INFINITY;
+    private double reopenAtMs = Double.NEGATIVE_INFINITY;
+    private double joinMs = Double.NEGATIVE_INFINITY;
+
+    /**
+     * A voter that has not opened its disk yet.
+     *
+     * @param directory where its files are; null for memory only, which is a disk that is lost at each end
+     */
+    VoterRecovery(
+            MemberContext context,
+            RaftConsensus consensus,
+            LeaderService leaderService,
+            LeaseClient leaseClient,
+            Path directory) {
+        this.context = context;
+        this.consensus = consensus;
+        this.leaderService = leaderService;
+        this.leaseClient = leaseClient;
+        this.target = leaseClient::target;
+        this.directory = directory;
+    }
+
+    /** The files are on a file system of this scheme; before {@link #openDisk}. */
+    void useFileScheme(String fileScheme) {
+        scheme = fileScheme;
+    }
+
+    /**
+     * Opens the disk; a damaged one is put aside and begun anew.
+     *
+     * @throws IOException if the disk can't be used, or belongs to another fleet or member
+     */
+    void openDisk() throws IOException {
+        String fleet = context.settings().fleet();
+        try {
+            store = VoterStore.open(directory, fleet, context.name(), scheme);
+        } catch (VoterStore.Damaged e) {
+            Path aside = VoterStore.putAside(directory);
+            context.alarm().raise("disk damaged and put aside as " + aside + ": " + e.getMessage());
+            store = VoterStore.open(directory, fleet, context.name(), scheme);
+        }
+        endpoint = new VoterEndpoint(context.name(), store.disk());
+        joining = store.joining();
+    }
+
+    /** Whether it waits for its old disk's place. */
+    boolean isJoining() {
+        return joining;
+    }
+
+    boolean isDiskFailed() {
+        return store != null && store.failed();
+    }
+
+    /** The disk, for operators' figures. */
+    String describeDisk() {
+        return (directory == null ? "memory only" : store.bytes() + " bytes") + ", " + store.forced()
+                + " writes forced";
+    }
+
+    /** Closes the disk's files, if they were opened. */
+    void closeDisk() {
+        if (store != null) {
+            store.close();
+        }
+    }
+
+    /** Does what is due: reopens a failed disk, asks the other voters, or asks to join. */
+    void tick(double nowMs) {
+        if (store.failed()) {
+            onDiskFailed(nowMs);
+        } else if (!consensus.isStarted()) {
+            if (nowMs >= helloMs + HELLO_INTERVAL_MS) {
+                helloMs = nowMs;
+                sendHello();
+            }
+        } else if (joining && nowMs >= joinMs + JOIN_INTERVAL_MS) {
+            joinMs = nowMs;
+            requestJoin();
+        }
+    }
+
+    private void requestJoin() {
+        if (!consensus.committedMembers().getVotingMembers().contains(endpoint)) {
+            context.send(target.get(), new AgreementMessage.Join(endpoint.toString()));
+            return;
+        }
+        joining = false;
+        write(() -> store.joined(consensus.committedMembers().getLogIndex()));
+        context.alarm().clear();
+        LOG.info("agreement at {}: votes as {}", context.name(), endpoint);
+    }
+
+    /** A disk that has failed is tried again from time to time; until it takes writes, this member does not vote. */
+    private void onDiskFailed(double nowMs) {
+        if (consensus.isStarted()) {
+            context.alarm().raise(DISK_FAILED);
+            stopVoting();
+            reopenAtMs = nowMs + REOPEN_INTERVAL_MS;
+        }
+        if (nowMs < reopenAtMs) {
+            return;
+        }
+        reopenAtMs = nowMs + REOPEN_INTERVAL_MS;
+        store.close();
+        try {
+            openDisk();
+        } catch (IOException e) {
+            context.alarm().raise(DISK_FAILED + ": " + e.getMessage());
+            return;
+        }
+        context.alarm().clear();
+        helloMs = Double.NEGATIVE_INFINITY;
+        LOG.warn("agreement at {}: the disk takes writes again, this member asks to vote", context.name());
+    }
+
+    /** The library's node has stopped with the disk; another one begins with what the disk has, as after a start. */
+    private void stopVoting() {
+        consensus.discard();
+        leaderService.reset();
+        facts.clear();
+    }
+
+    @FunctionalInterface
+    private interface DiskAction {
+        void run() throws IOException;
+    }
+
+    private void write(DiskAction action) {
+        try {
+            action.run();
+        } catch (IOException e) {
+            context.alarm().raise("disk: " + e.getMessage());
+        }
+    }
+
+    private void sendHello() {
+        write(() -> context.broadcast(new AgreementMessage.Hello(store.disk(), store.starts(), context.processLife())));
+        admit();
+    }
+
+    /** Answers a hello with what this member knows, and remembers the asker's disk. */
+    void onHello(String peer, AgreementMessage.Hello hello) {
+        List<String> members = List.of();
+        List<String> bootstrapVoters = List.of();
+        long since = 0;
+        String[] seen = {"", "0", "0"};
+        try {
+            if (context.isVoter()
+                    && !store.failed()
+                    && context.settings().voters().contains(peer)) {
+                bootstrapVoters = store.founding();
+                seen = store.seen(peer).map(last -> last.split(" ")).orElse(seen);
+                String current = hello.disk() + " " + hello.starts() + " " + hello.life();
+                if (!current.equals(String.join(" ", seen))) {
+                    store.seen(peer, current);
+                }
+                if (consensus.isStarted()) {
+                    members = VoterEndpoint.ids(consensus.committedMembers().getVotingMembers());
+                    since = consensus.committedMembers().getLogIndex();
+                }
+            }
+        } catch (IOException e) {
+            context.alarm().raise("disk: " + e.getMessage());
+        }
+        AgreementMessage.Facts answer = new AgreementMessage.Facts(
+                endpoint == null ? "" : endpoint.disk(),
+                bootstrapVoters,
+                leaseClient.followedGroup(),
+                members,
+                since,
+                seen[0],
+                Long.parseLong(seen[1]),
+                Long.parseLong(seen[2]));
+        context.send(peer, answer);
+    }
+
+    void onFacts(String peer, AgreementMessage.Facts answer) {
+        if (!consensus.isStarted() && context.isVoter()) {
+            facts.put(peer, answer);
+            admit();
+        }
+    }
+
+    private void admit() {
+        if (consensus.isStarted() || store.failed()) {
+            return;
+        }
+        write(() -> {
+            VoterAdmission.Self self = new VoterAdmission.Self(
+                    endpoint, store.starts(), context.processLife(), store.founding(), joining, store.since());
+            List<String> known = VoterAdmission.founding(self, facts);
+            switch (VoterAdmission.step(self, context.settings().voters(), facts)) {
+                case FOUND -> startVoting(bootstrapVoters(), false);
+                case START -> startVoting(known, false);
+                case JOIN -> startVoting(known, true);
+                case PUT_ASIDE -> replaceDisk();
+                case TORN ->
+                    context.alarm().raise("members follow different foundings: staff must decide which disks to keep");
+                default -> {
+                    // It asks on.
+                }
+            }
+        });
+    }
+
+    private List<String> bootstrapVoters() {
+        return context.settings().voters().stream()
+                .map(voter -> voter.equals(context.name())
+                        ? endpoint
+                        : new VoterEndpoint(voter, facts.get(voter).disk()))
+                .map(VoterEndpoint::toString)
+                .toList();
+    }
+
+    private void replaceDisk() throws IOException {
+        store.close();
+        context.alarm()
+                .raise("the disk is old, copied or was replaced; put aside as "
+                        + (directory == null ? "nothing" : VoterStore.putAside(directory)));
+        facts.clear();
+        openDisk();
+    }
+
+    private void startVoting(List<String> bootstrapVoters, boolean asReplacement) throws IOException {
+        if (store.founding().isEmpty()) {
+            store.found(bootstrapVoters, asReplacement);
+        }
+        joining = asReplacement;
+        consensus.start(store, endpoint, bootstrapVoters);
+        LOG.info(
+                "agreement at {}: takes part as {} in Raft group {}{}",
+                context.name(),
+                endpoint,
+                consensus.groupId(),
+                joining ? ", asks for its old disk's place" : "");
+    }
+}
