--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -1,16 +1,13 @@
 package brackenbridge.fleet.agreed;
 
-import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
-import io.microraft.model.log.SnapshotEntry;
 import io.microraft.model.persistence.RaftEndpointPersistentState;
 import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.channels.OverlappingFileLockException;
 import java.nio.charset.StandardCharsets;
@@ -18,13 +15,10 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.security.SecureRandom;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.zip.CRC32C;
 import org.h2.mvstore.DataUtils;
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
@@ -46,13 +40,8 @@
  */
 final class VoterStore implements RaftStore, AutoCloseable {
     private static final String FILE = "agreed.mv";
-    private static final String MARK = "agreed.mark";
     /** What is written anew at an opening, until it is whole. */
     private static final String FRESH = FILE + ".new";
-    /** The two places of the mark lie in different sectors, so that a torn write spoils one only. */
-    private static final int SECTOR = 4096;
-
-    private static final int SLOT = 12;
     /** Chunks that nothing refers to any more are kept so long; each write is forced, so that none needs them. */
     private static final int RETENTION_MS = 5000;
     /** After so many writes what little is alive in old chunks is moved together, so that their space is free. */
@@ -84,6 +73,7 @@
     private final MVMap<Long, byte[]> log;
     private final MVMap<String, byte[]> chunks;
     private final FileChannel mark;
+    private final WriteMark writeMark;
     private final Path file;
     private long count;
     private volatile boolean failed;
@@ -93,6 +83,7 @@
     private VoterStore(MVStore store, FileChannel mark, Path file) {
         this.store = store;
         this.mark = mark;
+        this.writeMark = new WriteMark(mark);
         this.file = file;
         store.setRetentionTime(RETENTION_MS);
         this.meta = store.openMap("meta", map(StringDataType.INSTANCE));
@@ -124,7 +115,7 @@
         }
         Files.createDirectories(directory);
         Path file = directory.resolve(FILE);
-        Path marks = directory.resolve(MARK);
+        Path marks = directory.resolve(WriteMark.FILE);
         if (Files.exists(marks) && !Files.exists(file)) {
             throw new Damaged(file + " is gone", null);
         }
@@ -205,7 +196,7 @@
     }
 
     private boolean empty() throws IOException {
-        return meta.isEmpty() && log.isEmpty() && marked() == 0;
+        return meta.isEmpty() && log.isEmpty() && writeMark.read() == 0;
     }
 
     /** What is there is whole, is this member's, and goes as far as was forced. */
@@ -216,7 +207,7 @@
                     + fleet + "', member '" + member + "'");
         }
         count = Long.parseLong(meta.containsKey("count") ? text("count") : "0");
-        long marked = marked();
+        long marked = writeMark.read();
         if (count < marked) {
             throw new Damaged("write " + marked + " was forced, the store ends with " + count, null);
         }
@@ -232,7 +223,7 @@
             s.text("starts", "0");
         }
         s.verify(fleet, member);
-        s.restored = s.restore();
+        s.restored = new RaftStateLoader(s.meta, s.log, s.chunks).load();
         s.text("starts", String.valueOf(s.starts() + 1));
         s.flush();
         return s;
@@ -245,7 +236,7 @@
             if (!Files.exists(aside)) {
                 Files.createDirectory(aside);
                 // The mark last: without it, a file that goes back to an earlier write would pass for whole.
-                for (String name : List.of(FILE, MARK)) {
+                for (String name : List.of(FILE, WriteMark.FILE)) {
                     if (Files.exists(directory.resolve(name))) {
                         Files.move(directory.resolve(name), aside.resolve(name), StandardCopyOption.ATOMIC_MOVE);
                     }
@@ -258,38 +249,15 @@
         }
     }
 
-    // Values with their checksums: the store's own cover its pages' heads only.
-
-    private static byte[] sealed(String key, byte[] value) {
-        return ByteBuffer.allocate(value.length + 4)
-                .putInt(crc(key, value, 0))
-                .put(value)
-                .array();
-    }
-
-    private static byte[] unsealed(String key, byte[] sealed) throws Damaged {
-        if (sealed.length < 4 || ByteBuffer.wrap(sealed).getInt() != crc(key, sealed, 4)) {
-            throw new Damaged("checksum of " + key, null);
-        }
-        return Arrays.copyOfRange(sealed, 4, sealed.length);
-    }
-
-    private static int crc(String key, byte[] bytes, int from) {
-        CRC32C crc = new CRC32C();
-        crc.update(key.getBytes(StandardCharsets.UTF_8));
-        crc.update(bytes, from, bytes.length - from);
-        return (int) crc.getValue();
-    }
-
     private void check() throws Damaged {
         for (Map.Entry<String, byte[]> e : meta.entrySet()) {
-            unsealed(e.getKey(), e.getValue());
+            StoreChecksums.unsealed(e.getKey(), e.getValue());
         }
         for (Map.Entry<String, byte[]> e : chunks.entrySet()) {
-            unsealed(e.getKey(), e.getValue());
+            StoreChecksums.unsealed(e.getKey(), e.getValue());
         }
         for (Map.Entry<Long, byte[]> e : log.entrySet()) {
-            unsealed(e.getKey().toString(), e.getValue());
+            StoreChecksums.unsealed(e.getKey().toString(), e.getValue());
         }
     }
 
@@ -298,11 +266,11 @@
         if (value == null) {
             throw new Damaged("no " + key, null);
         }
-        return new String(unsealed(key, value), StandardCharsets.UTF_8);
+        return new String(StoreChecksums.unsealed(key, value), StandardCharsets.UTF_8);
     }
 
     private void text(String key, String value) {
-        meta.put(key, sealed(key, value.getBytes(StandardCharsets.UTF_8)));
+        meta.put(key, StoreChecksums.sealed(key, value.getBytes(StandardCharsets.UTF_8)));
     }
 
     // What the member keeps beside the library's.
@@ -382,79 +350,6 @@
         return failed;
     }
 
-    private RestoredRaftState restore() throws IOException {
-        if (!meta.containsKey("endpoint") || !meta.containsKey("initial") || !meta.containsKey("term")) {
-            return null;
-        }
-        try {
-            SnapshotEntry snapshot = snapshot();
-            List<LogEntry> entries = new ArrayList<>();
-            long next = snapshot == null ? 1 : snapshot.getIndex() + 1;
-            for (Map.Entry<Long, byte[]> e : log.entrySet()) {
-                LogEntry entry = AgreementCodec.entry(unsealed(e.getKey().toString(), e.getValue()));
-                if (entry.getIndex() != e.getKey()) {
-                    throw new Damaged("entry " + entry.getIndex() + " in place " + e.getKey(), null);
-                }
-                if (entry.getIndex() < next && entries.isEmpty()) {
-                    continue;
-                }
-                if (entry.getIndex() != next++) {
-                    throw new Damaged("entry " + entry.getIndex() + " after " + (next - 2), null);
-                }
-                entries.add(entry);
-            }
-            return new RestoredRaftState(
-                    AgreementCodec.self(unsealed("endpoint", meta.get("endpoint"))),
-                    AgreementCodec.members(unsealed("initial", meta.get("initial"))),
-                    AgreementCodec.term(unsealed("term", meta.get("term"))),
-                    snapshot,
-                    entries);
-        } catch (Damaged e) {
-            throw e;
-        } catch (IOException e) {
-            throw new Damaged(e.getMessage(), e);
-        }
-    }
-
-    /** The latest snapshot that is there whole. */
-    private SnapshotEntry snapshot() throws IOException {
-        List<SnapshotChunk> of = new ArrayList<>();
-        List<SnapshotChunk> whole = List.of();
-        for (Map.Entry<String, byte[]> e : chunks.entrySet()) {
-            SnapshotChunk c = AgreementCodec.chunk(unsealed(e.getKey(), e.getValue()));
-            if (!of.isEmpty() && of.get(0).getIndex() != c.getIndex()) {
-                of = new ArrayList<>();
-            }
-            of.add(c);
-            if (of.size() == c.getSnapshotChunkCount()) {
-                whole = of;
-            }
-        }
-        if (whole.isEmpty()) {
-            return null;
-        }
-        SnapshotChunk first = whole.get(0);
-        return new DefaultRaftModelFactory()
-                .createSnapshotEntryBuilder()
-                .setIndex(first.getIndex())
-                .setTerm(first.getTerm())
-                .setSnapshotChunks(whole)
-                .setGroupMembersView(first.getGroupMembersView())
-                .build();
-    }
-
-    private long marked() throws IOException {
-        long highest = 0;
-        for (int i = 0; mark != null && i < 2; i++) {
-            ByteBuffer b = ByteBuffer.allocate(SLOT);
-            mark.read(b, (long) i * SECTOR);
-            if (b.position() == SLOT && b.getInt(8) == crc(MARK, Arrays.copyOf(b.array(), 8), 0)) {
-                highest = Math.max(highest, b.getLong(0));
-            }
-        }
-        return highest;
-    }
-
     @FunctionalInterface
     private interface Write {
         void run() throws IOException;
@@ -483,44 +378,39 @@
                 store.compact(COMPACT_FILL, COMPACT_BYTES);
             }
             store.sync();
-            if (mark != null) {
-                ByteBuffer b = ByteBuffer.allocate(SLOT).putLong(count);
-                b.putInt(crc(MARK, Arrays.copyOf(b.array(), 8), 0)).flip();
-                mark.write(b, count % 2 * SECTOR);
-                mark.force(false);
-            }
+            writeMark.force(count);
             forced++;
         });
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState e) throws IOException {
-        write(() -> meta.put("endpoint", sealed("endpoint", AgreementCodec.self(e))));
+        write(() -> meta.put("endpoint", StoreChecksums.sealed("endpoint", AgreementCodec.self(e))));
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) throws IOException {
-        write(() -> meta.put("initial", sealed("initial", AgreementCodec.members(v))));
+        write(() -> meta.put("initial", StoreChecksums.sealed("initial", AgreementCodec.members(v))));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        write(() -> meta.put("term", sealed("term", AgreementCodec.term(t))));
+        write(() -> meta.put("term", StoreChecksums.sealed("term", AgreementCodec.term(t))));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        write(() -> entries.forEach(
-                e -> log.put(e.getIndex(), sealed(String.valueOf(e.getIndex()), AgreementCodec.entry(e)))));
+        write(() -> entries.forEach(e ->
+                log.put(e.getIndex(), StoreChecksums.sealed(String.valueOf(e.getIndex()), AgreementCodec.entry(e)))));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
         String key = key(c.getIndex(), c.getSnapshotChunkIndex());
-        write(() -> chunks.put(key, sealed(key, AgreementCodec.chunk(c))));
+        write(() -> chunks.put(key, StoreChecksums.sealed(key, AgreementCodec.chunk(c))));
     }
 
     private static String key(long index, int chunk) {
--- /dev/null
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/WriteMark.java
@@ -0,0 +1,55 @@
+package brackenbridge.fleet.agreed;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.util.Arrays;
+
+/** The count of writes that were forced, in a file beside the store: two slots that are written in turn. */
+final class WriteMark {
+    /** The mark's file, also the key of its checksum. */
+    static final String FILE = "agreed.mark";
+    /** The two slots lie in different sectors, so that a torn write destroys one only. */
+    private static final int SECTOR_BYTES = 4096;
+
+    private static final int SLOTS = 2;
+    /** A slot: the count, 8 bytes, and its checksum. */
+    private static final int SLOT_BYTES = 12;
+
+    private static final int COUNT_BYTES = 8;
+
+    private final FileChannel channel;
+
+    /** A mark in this file; null: none is kept. */
+    WriteMark(FileChannel channel) {
+        this.channel = channel;
+    }
+
+    /** The highest count that was forced; 0 if none was. */
+    long read() throws IOException {
+        long highest = 0;
+        for (int slot = 0; channel != null && slot < SLOTS; slot++) {
+            ByteBuffer bytes = ByteBuffer.allocate(SLOT_BYTES);
+            channel.read(bytes, (long) slot * SECTOR_BYTES);
+            if (bytes.position() == SLOT_BYTES && bytes.getInt(COUNT_BYTES) == checksum(bytes)) {
+                highest = Math.max(highest, bytes.getLong(0));
+            }
+        }
+        return highest;
+    }
+
+    /** Forces a count to the disk. */
+    void force(long count) throws IOException {
+        if (channel == null) {
+            return;
+        }
+        ByteBuffer bytes = ByteBuffer.allocate(SLOT_BYTES).putLong(count);
+        bytes.putInt(checksum(bytes)).flip();
+        channel.write(bytes, count % SLOTS * SECTOR_BYTES);
+        channel.force(false);
+    }
+
+    private static int checksum(ByteBuffer slot) {
+        return StoreChecksums.crc(FILE, Arrays.copyOf(slot.array(), COUNT_BYTES), 0);
+    }
+}
