--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -24,13 +24,16 @@
     /** Contents that are kept at most, of all names and generations; in bytes. A snapshot has room for them. */
     static final long MAX_BYTES = 48L * 1024 * 1024;
 
-    private static final int ROLES = 256;
-    private static final int KEEP = 16;
-    private static final int KEEP_BYTES = 512 * 1024;
-    private static final LeaseTerms ANY = new LeaseTerms(1, 0);
+    private static final int MAX_ROLES = 256;
+    /** Generations of a name that are kept beside those in force and staged. */
+    private static final int MAX_HISTORY = 16;
 
-    /** What came of a generation. */
-    enum Came {
+    private static final int MAX_HISTORY_BYTES = 512 * 1024;
+    /** The authority's terms where no lease is granted. */
+    private static final LeaseTerms NO_LEASES = new LeaseTerms(1, 0);
+
+    /** What became of a generation. */
+    enum Outcome {
         @JsonProperty("STAGED")
         STAGED,
         @JsonProperty("IN_FORCE")
@@ -39,25 +42,38 @@
         ABANDONED
     }
 
-    /** A generation that is kept. */
-    record Kept(
+    /**
+     * A generation that is kept.
+     *
+     * @param by who proposed it
+     * @param life the proposer's process
+     * @param number the proposal's number in that process
+     * @param came what became of it
+     */
+    record Generation(
             @JsonProperty("generation") long generation,
             @JsonProperty("content") byte[] content,
             @JsonProperty("by") String by,
             @JsonProperty("life") long life,
             @JsonProperty("number") long number,
-            @JsonProperty("came") Came came) {
-        Kept with(Came next) {
-            return new Kept(generation, content, by, life, number, next);
+            @JsonProperty("came") Outcome came) {
+        Generation with(Outcome next) {
+            return new Generation(generation, content, by, life, number, next);
         }
     }
 
-    /** All that is decided of a name. */
+    /**
+     * All that is decided of a name.
+     *
+     * @param word the generations in force and staged
+     * @param last the greatest generation that was used
+     * @param history the generations that are kept, oldest first
+     */
     record Named(
             @JsonProperty("name") String name,
             @JsonProperty("word") DecidedVersion word,
             @JsonProperty("last") long last,
-            @JsonProperty("history") List<Kept> history) {}
+            @JsonProperty("history") List<Generation> history) {}
 
     /** Who acts in a role, since when by count, and with which longest lease. */
     record Role(
@@ -67,13 +83,13 @@
             @JsonProperty("token") long token,
             @JsonProperty("forMs") double forMs) {}
 
-    /** A copy of all of it. */
+    /** A copy of all of it, for snapshots. */
     record Image(
-            @JsonProperty("reign") long reign,
+            @JsonProperty("reign") long leaderTerm,
             @JsonProperty("names") List<Named> names,
             @JsonProperty("roles") List<Role> roles) {}
 
-    /** What came of an entry. */
+    /** What a command has done; {@code VOID}: nothing, as it was overtaken. */
     enum Result {
         STAGED,
         IN_FORCE,
@@ -87,11 +103,12 @@
 
     private final Map<String, Named> names = new TreeMap<>();
     private final Map<String, Role> roles = new TreeMap<>();
-    private long reign;
+    private long leaderTerm;
     private long bytes;
 
-    long reign() {
-        return reign;
+    /** How many leader terms have begun. */
+    long leaderTerm() {
+        return leaderTerm;
     }
 
     Map<String, Named> names() {
@@ -111,7 +128,7 @@
     }
 
     /** A generation that is kept. */
-    Optional<Kept> kept(String name, long generation) {
+    Optional<Generation> kept(String name, long generation) {
         return named(name).stream()
                 .flatMap(n -> n.history().stream())
                 .filter(k -> k.generation() == generation)
@@ -119,16 +136,17 @@
     }
 
     /** The generation that this proposal became, if it did. */
-    Optional<Kept> proposed(String name, String by, long life, long number) {
+    Optional<Generation> proposed(String name, String by, long life, long number) {
         return named(name).stream()
                 .flatMap(n -> n.history().stream())
                 .filter(k -> k.by().equals(by) && k.life() == life && k.number() == number)
                 .findFirst();
     }
 
+    /** Applies a command of the log. */
     Result apply(LogCommand op) {
-        if (op instanceof LogCommand.Reign) {
-            reign++;
+        if (op instanceof LogCommand.BeginTerm) {
+            leaderTerm++;
             return Result.DONE;
         }
         if (op instanceof LogCommand.Stage s) {
@@ -136,25 +154,25 @@
         }
         if (op instanceof LogCommand.Activate a) {
             Named n = names.get(a.name());
-            return current(n, a.version(), a.reign()) ? settle(n, Came.IN_FORCE) : Result.VOID;
+            return current(n, a.version(), a.leaderTerm()) ? settle(n, Outcome.IN_FORCE) : Result.VOID;
         }
         if (op instanceof LogCommand.Abandon a) {
             Named n = names.get(a.name());
-            return current(n, a.version(), a.reign()) ? settle(n, Came.ABANDONED) : Result.VOID;
+            return current(n, a.version(), a.leaderTerm()) ? settle(n, Outcome.ABANDONED) : Result.VOID;
         }
         return take((LogCommand.Take) op);
     }
 
-    // Guards against a finding of an earlier reign, or of a word that was overtaken on the way.
-    private boolean current(Named n, long version, long foundIn) {
+    // Guards against a command of an earlier leader term, or for a decision that was overtaken on the way.
+    private boolean current(Named n, long version, long commandTerm) {
         return n != null
-                && foundIn == reign
+                && commandTerm == leaderTerm
                 && n.word().version() == version
                 && n.word().staged() != 0;
     }
 
     private Result stage(LogCommand.Stage s) {
-        Optional<Kept> again = proposed(s.name(), s.by(), s.life(), s.number());
+        Optional<Generation> again = proposed(s.name(), s.by(), s.life(), s.number());
         if (again.isPresent()) {
             return Result.valueOf(again.get().came().name());
         }
@@ -171,17 +189,17 @@
             return Result.valueOf(v.name());
         }
         LeaseAuthority staged = a.stage();
-        List<Kept> history = new ArrayList<>(n.history());
-        history.add(new Kept(staged.last(), s.content(), s.by(), s.life(), s.number(), Came.STAGED));
+        List<Generation> history = new ArrayList<>(n.history());
+        history.add(new Generation(staged.last(), s.content(), s.by(), s.life(), s.number(), Outcome.STAGED));
         keep(new Named(s.name(), staged.word(), staged.last(), trimmed(history, staged.word())));
         return Result.STAGED;
     }
 
-    private Result settle(Named n, Came came) {
+    private Result settle(Named n, Outcome came) {
         LeaseAuthority a = alone(n);
         long settled = n.word().staged();
-        LeaseAuthority next = came == Came.IN_FORCE ? a.activate(0) : a.abandon();
-        List<Kept> history = n.history().stream()
+        LeaseAuthority next = came == Outcome.IN_FORCE ? a.activate(0) : a.abandon();
+        List<Generation> history = n.history().stream()
                 .map(k -> k.generation() == settled ? k.with(came) : k)
                 .toList();
         keep(new Named(n.name(), next.word(), n.last(), trimmed(history, next.word())));
@@ -199,20 +217,20 @@
 
     /** The rules of words and numbers are the authority's; the leases that it waits for are the leader's to know. */
     private static LeaseAuthority alone(Named n) {
-        return new LeaseAuthority(ANY, n.word(), n.last(), Double.NEGATIVE_INFINITY, Map.of());
+        return new LeaseAuthority(NO_LEASES, n.word(), n.last(), Double.NEGATIVE_INFINITY, Map.of());
     }
 
-    private static List<Kept> trimmed(List<Kept> history, DecidedVersion word) {
-        List<Kept> kept = new ArrayList<>();
+    private static List<Generation> trimmed(List<Generation> history, DecidedVersion word) {
+        List<Generation> kept = new ArrayList<>();
         int count = 0;
         long bytes = 0;
         for (int i = history.size() - 1; i >= 0; i--) {
-            Kept k = history.get(i);
+            Generation k = history.get(i);
             count++;
             bytes += k.content().length;
             if (k.generation() == word.inForce()
                     || k.generation() == word.staged()
-                    || count <= KEEP && bytes <= KEEP_BYTES) {
+                    || count <= MAX_HISTORY && bytes <= MAX_HISTORY_BYTES) {
                 kept.add(0, k);
             }
         }
@@ -221,10 +239,10 @@
 
     private Result take(LogCommand.Take t) {
         Role r = roles.get(t.role());
-        if (t.reign() != reign || t.token() != (r == null ? 0 : r.token())) {
+        if (t.leaderTerm() != leaderTerm || t.token() != (r == null ? 0 : r.token())) {
             return Result.VOID;
         }
-        if (r == null && roles.size() >= ROLES) {
+        if (r == null && roles.size() >= MAX_ROLES) {
             return Result.FULL;
         }
         boolean same = r != null && r.holder().equals(t.holder()) && r.life() == t.life();
@@ -239,14 +257,16 @@
         return Result.DONE;
     }
 
+    /** What a snapshot is made of. */
     Image image() {
-        return new Image(reign, List.copyOf(names.values()), List.copyOf(roles.values()));
+        return new Image(leaderTerm, List.copyOf(names.values()), List.copyOf(roles.values()));
     }
 
+    /** Replaces all by a snapshot's state. */
     void restore(Image image) {
         names.clear();
         roles.clear();
-        reign = image.reign();
+        leaderTerm = image.leaderTerm();
         bytes = 0;
         image.names().forEach(this::keep);
         image.roles().forEach(r -> roles.put(r.role(), r));
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -40,7 +40,7 @@
         LogCommand command = (LogCommand) operation;
         AgreedState.Result result = consensus.state().apply(command);
         boundLog(command);
-        if (command instanceof LogCommand.Reign begin) {
+        if (command instanceof LogCommand.BeginTerm begin) {
             beginTerm(begin);
         } else if (consensus.leads() && result != AgreedState.Result.VOID) {
             listener.onApplied(command, result);
@@ -57,7 +57,7 @@
         }
     }
 
-    private void beginTerm(LogCommand.Reign begin) {
+    private void beginTerm(LogCommand.BeginTerm begin) {
         boolean leads = begin.leader().equals(self.toString())
                 && begin.life() == context.processLife()
                 && begin.number() == consensus.leaderTermNumber();
@@ -68,7 +68,7 @@
             LOG.info(
                     "agreement at {}: leads in leader term {}",
                     context.name(),
-                    consensus.state().reign());
+                    consensus.state().leaderTerm());
         }
         listener.onTermBegun(leads);
     }
@@ -96,6 +96,6 @@
 
     @Override
     public Object getNewTermOperation() {
-        return new LogCommand.Reign(self.toString(), context.processLife(), consensus.nextLeaderTermNumber());
+        return new LogCommand.BeginTerm(self.toString(), context.processLife(), consensus.nextLeaderTermNumber());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedValues.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedValues.java
@@ -72,7 +72,7 @@
      *
      * @return until when this member holds it by its own clock; a time in the past if another holds it
      */
-    CompletableFuture<Hold> hold(String role, double forMs);
+    CompletableFuture<Lease> acquire(String role, double forMs);
 
     /**
      * Who holds a role.
@@ -81,7 +81,7 @@
      * @param token greater for each new holder: orders that carry a lower one are passed over
      * @param untilMs until when, by this member's clock, if it is this member
      */
-    record Hold(String holder, long token, double untilMs) {}
+    record Lease(String holder, long token, double untilMs) {}
 
     /** Whether this member holds the role now, by its own clock: to be asked before each act. */
     boolean holds(String role);
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
@@ -56,7 +56,7 @@
     }
 
     /** What a frame carried: one of the two is null. */
-    record Frame(AgreementMessage note, RaftMessage raft) {}
+    record Frame(AgreementMessage message, RaftMessage raftMessage) {}
 
     @FunctionalInterface
     interface Reader<T> {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -76,7 +76,7 @@
     }
 
     /** The voter's files are on a file system of this scheme; before {@link #start}. */
-    void onFilesOf(String fileScheme) {
+    void useFileScheme(String fileScheme) {
         recovery.useFileScheme(fileScheme);
     }
 
@@ -149,10 +149,10 @@
             if (closed) {
                 return;
             }
-            if (frame.note() != null) {
-                onMessage(peer, frame.note());
+            if (frame.message() != null) {
+                onMessage(peer, frame.message());
             } else {
-                consensus.onMessage(peer, frame.raft());
+                consensus.onMessage(peer, frame.raftMessage());
             }
         });
     }
@@ -209,12 +209,12 @@
     }
 
     /** What the member was granted, for a check of all members at one moment. */
-    LeaseView part() {
+    LeaseView leaseView() {
         return leaseClient.view();
     }
 
     /** The role leases it knows of, for a check of all members at one moment. */
-    Map<String, Hold> held() {
+    Map<String, Lease> roleLeases() {
         return requests.roleLeases();
     }
 
@@ -223,7 +223,7 @@
     }
 
     /** Runs an event on this member's thread, behind all that waits. */
-    void next(Runnable event) {
+    void execute(Runnable event) {
         context.execute(event);
     }
 
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public CompletableFuture<Hold> hold(String role, double forMs) {
+    public CompletableFuture<Lease> acquire(String role, double forMs) {
         return requests.claim(role, forMs);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
@@ -38,17 +38,17 @@
      * The answer to a hello.
      *
      * @param disk the answerer's disk; empty if it does not vote
-     * @param founding the voters of the founding; empty if the answerer knows of none
-     * @param follows the founding that it has acted by; empty if none
+     * @param bootstrapVoters the voters that the Raft group began with; empty if the answerer knows of none
+     * @param follows the Raft group that it has acted by; empty if none
      * @param members the voters of now; empty if unknown
-     * @param membersSince the change of members that made them the voters; 0 for the founding
+     * @param membersSince the change of members that made them the voters; 0 at the bootstrap
      * @param seenDisk the asker's disk when it was last heard of before
      * @param seenStarts that disk's starts then
      * @param seenLife the asker's life then
      */
     record Facts(
             @JsonProperty("disk") String disk,
-            @JsonProperty("founding") List<String> founding,
+            @JsonProperty("founding") List<String> bootstrapVoters,
             @JsonProperty("follows") String follows,
             @JsonProperty("members") List<String> members,
             @JsonProperty("membersSince") long membersSince,
@@ -63,7 +63,7 @@
     /**
      * What a member holds of a name.
      *
-     * @param version the version of the word that it acts by
+     * @param version the version of the decision that it acts by
      * @param refused the generation that it can't use; 0 if none
      * @param has the generations whose content it has
      */
@@ -100,7 +100,7 @@
     record Answer(
             @JsonProperty("life") long life,
             @JsonProperty("number") long number,
-            @JsonProperty("founding") String founding,
+            @JsonProperty("founding") String groupId,
             @JsonProperty("leaseMs") double leaseMs,
             @JsonProperty("told") List<Told> told,
             @JsonProperty("whole") boolean whole)
@@ -110,7 +110,7 @@
     record Elsewhere(@JsonProperty("leader") String leader) implements AgreementMessage {}
 
     /** There is news, or another leader: the sender. Carries no promise. */
-    record Hint(@JsonProperty("reign") long reign) implements AgreementMessage {}
+    record Hint(@JsonProperty("reign") long leaderTerm) implements AgreementMessage {}
 
     /** A proposal; sent again until there is an outcome. */
     record Propose(
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -15,25 +15,25 @@
 import java.util.TreeMap;
 
 /**
- * The leader's side for one reign: who was granted what until when, by name and role. It begins when the reign's own
- * entry is applied, which no earlier leader was followed after, and knows nothing of the leases before it: all of them
- * are waited out.
+ * The leases granted in one leader term, by name and role. The term begins when its own entry is applied, after which
+ * no earlier leader is followed. The leases of earlier terms are unknown: all of them are waited out (Gray and
+ * Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989).
  *
- * <p>Whatever grants a lease ({@link #asked}, {@link #claimed}) must be called only after a majority has said, since
- * the question came, that it follows this reign.
+ * <p>Whatever grants a lease ({@link #answerRequest}, {@link #claimRole}) must be called only after a majority has
+ * confirmed, since the request came, that it follows this leader.
  */
 final class LeaderLeases {
-    /** Room for contents in one answer, in bytes. */
-    private static final int ROOM = 600 * 1024;
+    /** Contents in one answer at most, in bytes. */
+    private static final int MAX_ANSWER_BYTES = 600 * 1024;
 
-    /** What comes of a claim: an answer, an entry to be written first, or nothing yet. */
+    /** The result of a claim: an answer, an entry to be written first, or neither yet. */
     record Claim(AgreementMessage.Claimed answer, LogCommand.Take first) {}
 
     private record RoleLease(double untilMs, boolean inFlight) {}
 
     private final LeaseTerms terms;
     private final AgreedState state;
-    private final long reign;
+    private final long leaderTerm;
     private final double settledMs;
     private final Map<String, LeaseAuthority> authorities = new TreeMap<>();
     private final Map<String, String> refused = new HashMap<>();
@@ -42,11 +42,11 @@
     private final Map<String, RoleLease> roles = new HashMap<>();
     private final Set<String> inFlight = new HashSet<>();
 
-    /** A reign that begins now. */
+    /** A leader term that begins now. */
     LeaderLeases(LeaseTerms terms, AgreedState state, double nowMs) {
         this.terms = terms;
         this.state = state;
-        this.reign = state.reign();
+        this.leaderTerm = state.leaderTerm();
         this.settledMs = nowMs + terms.waitMs();
         state.names()
                 .values()
@@ -54,8 +54,8 @@
         state.roles().values().forEach(r -> roles.put(r.role(), new RoleLease(nowMs + waitMs(r.forMs()), false)));
     }
 
-    long reign() {
-        return reign;
+    long leaderTerm() {
+        return leaderTerm;
     }
 
     /** From when it has waited out all that earlier leaders granted of names; milliseconds. */
@@ -68,7 +68,7 @@
     }
 
     /** What is decided of this name has changed. */
-    void applied(String name) {
+    void onApplied(String name) {
         AgreedState.Named n = state.named(name).orElseThrow();
         LeaseAuthority before = authorities.get(name);
         Map<Integer, LeaseAuthority.Held> holders = new TreeMap<>();
@@ -84,13 +84,13 @@
     }
 
     /** The answer to a question; from now on its asker is waited for. */
-    AgreementMessage.Answer asked(double nowMs, String asker, AgreementMessage.Question q, String founding) {
+    AgreementMessage.Answer answerRequest(double nowMs, String asker, AgreementMessage.Question q, String groupId) {
         int id = ids.computeIfAbsent(asker, a -> ids.size() + 1);
         leases.put(id, nowMs + terms.waitMs());
         Map<String, AgreementMessage.Heard> heard = new HashMap<>();
         q.heard().forEach(h -> heard.put(h.name(), h));
         List<AgreementMessage.Told> told = new ArrayList<>();
-        int room = ROOM;
+        int room = MAX_ANSWER_BYTES;
         boolean whole = true;
         for (Map.Entry<String, LeaseAuthority> e : authorities.entrySet()) {
             AgreementMessage.Heard h =
@@ -112,32 +112,32 @@
             LeaseGrant g = next.grant(ask);
             told.add(new AgreementMessage.Told(e.getKey(), g.word(), items));
         }
-        return new AgreementMessage.Answer(q.life(), q.number(), founding, terms.leaseMs(), told, whole);
+        return new AgreementMessage.Answer(q.life(), q.number(), groupId, terms.leaseMs(), told, whole);
     }
 
     private List<AgreementMessage.Item> items(DecidedVersion word, String name, List<Long> has) {
         List<AgreementMessage.Item> items = new ArrayList<>();
         for (long g : new long[] {word.inForce(), word.staged()}) {
             if (g != 0 && !has.contains(g)) {
-                AgreedState.Kept k = state.kept(name, g).orElseThrow();
+                AgreedState.Generation k = state.kept(name, g).orElseThrow();
                 items.add(new AgreementMessage.Item(g, k.content(), k.by()));
             }
         }
         return items;
     }
 
-    /** The entries that may be written now; each once, until {@link #applied} or {@link #notWritten}. */
-    List<LogCommand> due(double nowMs) {
+    /** The entries that may be written now; each once, until {@link #onApplied} or {@link #onWriteFailed}. */
+    List<LogCommand> dueCommands(double nowMs) {
         List<LogCommand> due = new ArrayList<>();
         authorities.forEach((name, a) -> {
             if (a.word().staged() == 0 || inFlight.contains(name)) {
                 return;
             }
             if (refused.containsKey(name)) {
-                due.add(new LogCommand.Abandon(name, a.word().version(), reign, refused.get(name)));
+                due.add(new LogCommand.Abandon(name, a.word().version(), leaderTerm, refused.get(name)));
                 inFlight.add(name);
             } else if (a.mayActivate(nowMs)) {
-                due.add(new LogCommand.Activate(name, a.word().version(), reign));
+                due.add(new LogCommand.Activate(name, a.word().version(), leaderTerm));
                 inFlight.add(name);
             }
         });
@@ -145,7 +145,7 @@
     }
 
     /** This entry was not taken by the log: it may be tried again. */
-    void notWritten(LogCommand op) {
+    void onWriteFailed(LogCommand op) {
         if (op instanceof LogCommand.Activate a) {
             inFlight.remove(a.name());
         } else if (op instanceof LogCommand.Abandon a) {
@@ -156,7 +156,7 @@
     }
 
     /** A member claims a role. */
-    Claim claimed(double nowMs, String member, AgreementMessage.Claim c) {
+    Claim claimRole(double nowMs, String member, AgreementMessage.Claim c) {
         Optional<AgreedState.Role> role = state.role(c.role());
         RoleLease lease = roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
@@ -179,7 +179,7 @@
                             c.life(),
                             c.forMs(),
                             role.map(AgreedState.Role::token).orElse(0L),
-                            reign));
+                            leaderTerm));
         }
         return new Claim(
                 new AgreementMessage.Claimed(
@@ -191,8 +191,8 @@
                 null);
     }
 
-    /** The claim's entry was applied in this reign: it is granted. */
-    AgreementMessage.Claimed taken(double nowMs, AgreementMessage.Claim c) {
+    /** The claim's entry was applied in this leader term: it is granted. */
+    AgreementMessage.Claimed grantRole(double nowMs, AgreementMessage.Claim c) {
         roles.computeIfPresent(c.role(), (r, l) -> new RoleLease(l.untilMs(), false));
         return granted(nowMs, c);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -50,8 +50,8 @@
     void onQuestion(String peer, AgreementMessage.Question question) {
         context.counters().leaseRequests.increment();
         if (leadsOrRedirects(peer)) {
-            answerAfterRead(
-                    nowMs -> context.send(peer, consensus.leases().asked(nowMs, peer, question, consensus.groupId())));
+            answerAfterRead(nowMs ->
+                    context.send(peer, consensus.leases().answerRequest(nowMs, peer, question, consensus.groupId())));
         }
     }
 
@@ -121,14 +121,14 @@
     private void onValueApplied(String name, boolean changed) {
         if (changed) {
             context.counters().decisions.increment();
-            consensus.leases().applied(name);
+            consensus.leases().onApplied(name);
             hintAll();
         }
         proposals.sendOutcomes(name);
     }
 
     private void hintAll() {
-        AgreementMessage.Hint hint = new AgreementMessage.Hint(consensus.state().reign());
+        AgreementMessage.Hint hint = new AgreementMessage.Hint(consensus.state().leaderTerm());
         context.broadcast(hint);
         context.send(context.name(), hint);
     }
@@ -182,19 +182,19 @@
 
     private void writeDue(double nowMs) {
         LeaderLeases leases = consensus.leases();
-        leases.due(nowMs)
+        leases.dueCommands(nowMs)
                 .forEach(command -> consensus
                         .replicate(command)
                         .whenComplete((result, failure) -> context.execute(() -> {
                             if (failure != null && consensus.leases() == leases) {
-                                leases.notWritten(command);
+                                leases.onWriteFailed(command);
                             }
                         })));
     }
 
     private void answerClaim(double nowMs, String peer, AgreementMessage.Claim claim) {
         LeaderLeases leases = consensus.leases();
-        LeaderLeases.Claim decision = leases.claimed(nowMs, peer, claim);
+        LeaderLeases.Claim decision = leases.claimRole(nowMs, peer, claim);
         if (decision.answer() != null) {
             context.send(peer, decision.answer());
         }
@@ -208,9 +208,9 @@
                         return;
                     }
                     if (failure == null && result.getResult() == AgreedState.Result.DONE) {
-                        context.send(peer, leases.taken(context.nowMs(), claim));
+                        context.send(peer, leases.grantRole(context.nowMs(), claim));
                     } else {
-                        leases.notWritten(decision.first());
+                        leases.onWriteFailed(decision.first());
                     }
                 }));
     }
@@ -218,7 +218,7 @@
     private AgreementMessage.Looked history(AgreementMessage.Look look) {
         AgreedState state = consensus.state();
         byte[] content = state.kept(look.name(), look.generation())
-                .map(AgreedState.Kept::content)
+                .map(AgreedState.Generation::content)
                 .orElse(new byte[0]);
         List<AgreementMessage.Line> lines = state.named(look.name()).stream()
                 .flatMap(named -> named.history().stream().map(kept -> line(named, kept)))
@@ -226,7 +226,7 @@
         return new AgreementMessage.Looked(look.life(), look.number(), lines, content);
     }
 
-    private static AgreementMessage.Line line(AgreedState.Named named, AgreedState.Kept kept) {
+    private static AgreementMessage.Line line(AgreedState.Named named, AgreedState.Generation kept) {
         String outcome = kept.came().name().toLowerCase(Locale.ROOT);
         boolean inForce = kept.generation() == named.word().inForce();
         return new AgreementMessage.Line(
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -102,7 +102,7 @@
             nextRequestMs = schedule.failedMs(nowMs);
             return;
         }
-        view = view.asks(nowMs);
+        view = view.startRequest(nowMs);
         schedule.asked(nowMs);
         awaitingAnswer = true;
         nextRequestMs = nowMs + schedule.patienceMs();
@@ -111,19 +111,19 @@
 
     /** Takes the leader's grant; one of another Raft group raises the alarm. */
     void onAnswer(String peer, AgreementMessage.Answer answer) {
-        if (!followedGroup.isEmpty() && !followedGroup.equals(answer.founding())) {
+        if (!followedGroup.isEmpty() && !followedGroup.equals(answer.groupId())) {
             context.counters().foreign.increment();
             context.alarm()
-                    .raise(peer + " answers for another founding, " + answer.founding() + "; here it is "
+                    .raise(peer + " answers for another founding, " + answer.groupId() + "; here it is "
                             + followedGroup);
             return;
         }
         LeaseView before = view;
-        LeaseView next = before.told(answer, this::isUsable);
+        LeaseView next = before.onAnswer(answer, this::isUsable);
         if (next == before) {
             return;
         }
-        followedGroup = answer.founding();
+        followedGroup = answer.groupId();
         believedLeader = peer;
         view = next;
         answeredMs = context.nowMs();
@@ -159,10 +159,10 @@
 
     /** A leader has news, or has just begun to lead: asks soon. */
     void onHint(String peer, AgreementMessage.Hint hint) {
-        if (hint.reign() < lastLeaderTerm) {
+        if (hint.leaderTerm() < lastLeaderTerm) {
             return;
         }
-        lastLeaderTerm = hint.reign();
+        lastLeaderTerm = hint.leaderTerm();
         believedLeader = peer;
         double requestMs = schedule.hintedMs(context.nowMs());
         if (!awaitingAnswer || requestMs < nextRequestMs) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -14,8 +14,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * A member's side: what it may act by, for all names, by one question. Immutable; each event makes another. A name has
- * a holder of its own, with a word of its own; the lease of all runs from the same question.
+ * A member's own lease: what it may act by, for all names, by one request. Immutable; each event makes another. A name
+ * has a holder and a decision of its own; the lease of all runs from the same request.
  */
 final class LeaseView {
     /** A name's holder with the contents that it knows. */
@@ -38,8 +38,8 @@
         return new LeaseView(LeaseHolder.start(0, life), Map.of(), Double.NEGATIVE_INFINITY);
     }
 
-    /** It asks now. */
-    LeaseView asks(double nowMs) {
+    /** A request for the lease leaves now. */
+    LeaseView startRequest(double nowMs) {
         Map<String, Known> next = new TreeMap<>();
         names.forEach((n, k) -> next.put(n, new Known(k.holder().asks(nowMs), k.values())));
         return new LeaseView(fresh.asks(nowMs), next, leaseUntilMs);
@@ -60,7 +60,7 @@
      *
      * @param usable whether this member can use a content under a name
      */
-    LeaseView told(AgreementMessage.Answer a, BiPredicate<String, byte[]> usable) {
+    LeaseView onAnswer(AgreementMessage.Answer a, BiPredicate<String, byte[]> usable) {
         if (a.life() != fresh.life() || a.number() != fresh.asked()) {
             return this;
         }
@@ -94,13 +94,13 @@
         return generation == 0 || v != null && usable.test(v.name(), v.content());
     }
 
-    EffectiveVersions acts(String name, double nowMs) {
+    EffectiveVersions effectiveVersions(String name, double nowMs) {
         Known k = names.get(name);
         return k == null ? EffectiveVersions.IN_DOUBT : k.holder().acts(nowMs);
     }
 
     Optional<Acting> acting(String name, double nowMs) {
-        EffectiveVersions a = acts(name, nowMs);
+        EffectiveVersions a = effectiveVersions(name, nowMs);
         if (a.inDoubt()) {
             return Optional.empty();
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LogCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LogCommand.java
@@ -7,7 +7,7 @@
 /** What is written to the log that all voters share; each has the same effect at each of them. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "op")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = LogCommand.Reign.class, name = "reign"),
+    @JsonSubTypes.Type(value = LogCommand.BeginTerm.class, name = "reign"),
     @JsonSubTypes.Type(value = LogCommand.Stage.class, name = "stage"),
     @JsonSubTypes.Type(value = LogCommand.Activate.class, name = "activate"),
     @JsonSubTypes.Type(value = LogCommand.Abandon.class, name = "abandon"),
@@ -19,9 +19,9 @@
      *
      * @param leader who
      * @param life in which of its lives
-     * @param number counts its reigns in this life
+     * @param number counts its leader terms in this life
      */
-    record Reign(
+    record BeginTerm(
             @JsonProperty("leader") String leader,
             @JsonProperty("life") long life,
             @JsonProperty("number") long number) implements LogCommand {}
@@ -43,19 +43,20 @@
     /**
      * Whoever acted by another generation has heard of the staged one or can't act any more.
      *
-     * @param version the word's version for which that was found
-     * @param reign the reign that found it: no other knows the leases that it looked at
+     * @param version the decision's version for which that was found
+     * @param leaderTerm the leader term that found it: no other knows the leases that it looked at
      */
     record Activate(
             @JsonProperty("name") String name,
             @JsonProperty("version") long version,
-            @JsonProperty("reign") long reign) implements LogCommand {}
+            @JsonProperty("reign") long leaderTerm)
+            implements LogCommand {}
 
     /** A member can't use what is staged. */
     record Abandon(
             @JsonProperty("name") String name,
             @JsonProperty("version") long version,
-            @JsonProperty("reign") long reign,
+            @JsonProperty("reign") long leaderTerm,
             @JsonProperty("by") String by)
             implements LogCommand {}
 
@@ -63,7 +64,7 @@
      * A role has a new holder, or its holder a longer lease.
      *
      * @param forMs the lease, milliseconds
-     * @param token the token that the reign found there
+     * @param token the token that the leader found there
      */
     record Take(
             @JsonProperty("role") String role,
@@ -71,6 +72,6 @@
             @JsonProperty("life") long life,
             @JsonProperty("forMs") double forMs,
             @JsonProperty("token") long token,
-            @JsonProperty("reign") long reign)
+            @JsonProperty("reign") long leaderTerm)
             implements LogCommand {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberContext.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberContext.java
@@ -45,7 +45,7 @@
 
     /** Runs an event on the member's thread, behind all that waits already. */
     void execute(Runnable event) {
-        thread.later(event);
+        thread.execute(event);
     }
 
     /** Sends a message to all other members. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
@@ -48,8 +48,9 @@
         };
     }
 
-    /** Does this behind all that waits already; nothing once it has ended. */
-    void later(Runnable event) {
+    /** Runs an event behind all that waits already; none once the thread has ended. */
+    @Override
+    public void execute(Runnable event) {
         try {
             pool.execute(safely(event));
         } catch (RejectedExecutionException e) {
@@ -58,10 +59,12 @@
         }
     }
 
+    /** Runs an event again and again, so many milliseconds after it has ended. */
     void every(long ms, Runnable event) {
         pool.scheduleWithFixedDelay(safely(event), 0, ms, TimeUnit.MILLISECONDS);
     }
 
+    /** Whether the thread has ended: nothing is run any more. */
     boolean isEnded() {
         return pool.isShutdown();
     }
@@ -81,14 +84,9 @@
         }
     }
 
-    @Override
-    public void execute(Runnable task) {
-        later(task);
-    }
-
     @Override
     public void submit(Runnable task) {
-        later(task);
+        execute(task);
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
@@ -89,12 +89,13 @@
     void sendOutcomes(String name) {
         for (Iterator<Waiter> all = waiters.iterator(); all.hasNext(); ) {
             Waiter waiter = all.next();
-            Optional<AgreedState.Kept> kept = waiter.name().equals(name)
+            Optional<AgreedState.Generation> kept = waiter.name().equals(name)
                     ? consensus.state().proposed(name, waiter.peer(), waiter.life(), waiter.number())
                     : Optional.empty();
-            if (kept.isPresent() && kept.get().came() != AgreedState.Came.STAGED) {
+            if (kept.isPresent() && kept.get().came() != AgreedState.Outcome.STAGED) {
                 all.remove();
-                Verdict verdict = kept.get().came() == AgreedState.Came.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
+                Verdict verdict =
+                        kept.get().came() == AgreedState.Outcome.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
                 context.send(
                         waiter.peer(),
                         new AgreementMessage.Outcome(
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.fleet.agreed.AgreedValues.Hold;
+import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
     private final LeaseClient leaseClient;
     private final PendingRequests pending;
     private final List<UnseenDecision> unseenDecisions = new ArrayList<>();
-    private volatile Map<String, Hold> roleLeases = Map.of();
+    private volatile Map<String, Lease> roleLeases = Map.of();
     private boolean closed;
 
     RequestClient(MemberContext context, LeaseClient leaseClient) {
@@ -39,7 +39,7 @@
     }
 
     /** Who holds which role, as far as this member was told; any thread. */
-    Map<String, Hold> roleLeases() {
+    Map<String, Lease> roleLeases() {
         return roleLeases;
     }
 
@@ -111,52 +111,52 @@
     }
 
     /**
-     * Claims a role ({@link AgreedValues#hold}).
+     * Claims a role ({@link AgreedValues#acquire}).
      *
      * @throws IllegalArgumentException if the role's name or the time is out of bounds
      */
-    CompletableFuture<Hold> claim(String role, double forMs) {
+    CompletableFuture<Lease> claim(String role, double forMs) {
         double maxRoleMs = context.settings().maxRoleMs();
         if (role.isEmpty() || role.length() > AgreedState.MAX_NAME || !(forMs > 0) || forMs > maxRoleMs) {
             throw new IllegalArgumentException("role '" + role + "' for " + forMs + " ms of at most " + maxRoleMs);
         }
         // The lease counts from here: before the request leaves.
         double requestedMs = context.nowMs();
-        CompletableFuture<Hold> lease = new CompletableFuture<>();
+        CompletableFuture<Lease> lease = new CompletableFuture<>();
         request(
                 Math.max(MIN_CLAIM_MS, Math.min(forMs / 2, MAX_CLAIM_MS)),
                 number -> new AgreementMessage.Claim(role, forMs, context.processLife(), number),
                 answer -> {
-                    Hold granted = roleLease((AgreementMessage.Claimed) answer, requestedMs);
+                    Lease granted = roleLease((AgreementMessage.Claimed) answer, requestedMs);
                     rememberRoleLease(role, granted);
                     lease.complete(granted);
                 },
-                () -> lease.complete(new Hold("", 0, Double.NEGATIVE_INFINITY)));
+                () -> lease.complete(new Lease("", 0, Double.NEGATIVE_INFINITY)));
         return lease;
     }
 
-    private Hold roleLease(AgreementMessage.Claimed answer, double requestedMs) {
+    private Lease roleLease(AgreementMessage.Claimed answer, double requestedMs) {
         boolean granted = answer.holder().equals(context.name()) && answer.forMs() > 0;
-        return new Hold(
+        return new Lease(
                 answer.holder(), answer.token(), granted ? requestedMs + answer.forMs() : Double.NEGATIVE_INFINITY);
     }
 
-    private void rememberRoleLease(String role, Hold lease) {
-        Hold before = roleLeases.get(role);
+    private void rememberRoleLease(String role, Lease lease) {
+        Lease before = roleLeases.get(role);
         boolean outdated = before != null
                 && (lease.token() < before.token()
                         || lease.token() == before.token() && lease.untilMs() <= before.untilMs());
         if (outdated) {
             return;
         }
-        Map<String, Hold> next = new HashMap<>(roleLeases);
+        Map<String, Lease> next = new HashMap<>(roleLeases);
         next.put(role, lease);
         roleLeases = Map.copyOf(next);
     }
 
     /** Whether this member holds the role now, by its own clock; any thread. */
     boolean holds(String role) {
-        Hold lease = roleLeases.get(role);
+        Lease lease = roleLeases.get(role);
         return lease != null && lease.holder().equals(context.name()) && context.nowMs() < lease.untilMs();
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StatusReport.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StatusReport.java
@@ -42,7 +42,7 @@
                     report,
                     "voters",
                     consensus.committedMembers().getVotingMembers() + ", term " + consensus.raftTerm() + ", reign "
-                            + consensus.state().reign());
+                            + consensus.state().leaderTerm());
             appendLine(report, "disk", recovery.describeDisk());
         }
         for (String name : leaseClient.view().names()) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -187,7 +187,7 @@
             if (context.isVoter()
                     && !store.failed()
                     && context.settings().voters().contains(peer)) {
-                bootstrapVoters = store.founding();
+                bootstrapVoters = store.bootstrapVoters();
                 seen = store.seen(peer).map(last -> last.split(" ")).orElse(seen);
                 String current = hello.disk() + " " + hello.starts() + " " + hello.life();
                 if (!current.equals(String.join(" ", seen))) {
@@ -226,14 +226,14 @@
         }
         write(() -> {
             VoterAdmission.Self self = new VoterAdmission.Self(
-                    endpoint, store.starts(), context.processLife(), store.founding(), joining, store.since());
-            List<String> known = VoterAdmission.founding(self, facts);
+                    endpoint, store.starts(), context.processLife(), store.bootstrapVoters(), joining, store.since());
+            List<String> known = VoterAdmission.bootstrapVoters(self, facts);
             switch (VoterAdmission.step(self, context.settings().voters(), facts)) {
-                case FOUND -> startVoting(bootstrapVoters(), false);
+                case BOOTSTRAP -> startVoting(bootstrapVoters(), false);
                 case START -> startVoting(known, false);
                 case JOIN -> startVoting(known, true);
                 case PUT_ASIDE -> replaceDisk();
-                case TORN ->
+                case SPLIT ->
                     context.alarm().raise("members follow different foundings: staff must decide which disks to keep");
                 default -> {
                     // It asks on.
@@ -261,8 +261,8 @@
     }
 
     private void startVoting(List<String> bootstrapVoters, boolean asReplacement) throws IOException {
-        if (store.founding().isEmpty()) {
-            store.found(bootstrapVoters, asReplacement);
+        if (store.bootstrapVoters().isEmpty()) {
+            store.saveBootstrapVoters(bootstrapVoters, asReplacement);
         }
         joining = asReplacement;
         consensus.start(store, endpoint, bootstrapVoters);
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -285,15 +285,15 @@
         return Long.parseLong(text("starts"));
     }
 
-    /** The voters of the founding that it takes part in; empty if none. */
-    List<String> founding() throws IOException {
+    /** The bootstrap voters of the Raft group that it takes part in; empty if none. */
+    List<String> bootstrapVoters() throws IOException {
         return meta.containsKey("founding") ? List.of(text("founding").split(",")) : List.of();
     }
 
-    /** It takes part in this founding from now on; {@code joining} until it is one of its voters. */
-    void found(List<String> founding, boolean joining) throws IOException {
+    /** Stores the Raft group that it takes part in from now on; {@code joining} until it is one of its voters. */
+    void saveBootstrapVoters(List<String> bootstrapVoters, boolean joining) throws IOException {
         write(() -> {
-            text("founding", String.join(",", founding));
+            text("founding", String.join(",", bootstrapVoters));
             text("joining", String.valueOf(joining));
         });
         flush();
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.fleet.agreed.AgreedValues;
 import brackenbridge.fleet.agreed.AgreedValues.Acting;
-import brackenbridge.fleet.agreed.AgreedValues.Hold;
+import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import brackenbridge.fleet.evacuation.Driver.Correction;
 import brackenbridge.fleet.evacuation.Driver.Seen;
@@ -55,7 +55,7 @@
     private final Supplier<List<Seen>> seen;
     private final Consumer<Correction> learns;
     private final Consumer<WeightCommand> local;
-    private CompletableFuture<Hold> asked;
+    private CompletableFuture<Lease> asked;
     private CompletableFuture<Verdict> proposed;
     private double askedMs = Double.NEGATIVE_INFINITY;
     private double orderedMs = Double.NEGATIVE_INFINITY;
@@ -150,7 +150,7 @@
     private void hold(double nowMs) {
         if (asked != null && asked.isDone()) {
             if (!asked.isCompletedExceptionally()) {
-                Hold h = asked.getNow(null);
+                Lease h = asked.getNow(null);
                 // A token is this member's only while it holds the role; another's is nothing to act by.
                 token = h != null && links.me().name().equals(h.holder()) ? h.token() : 0;
             }
@@ -158,7 +158,7 @@
         }
         if (asked == null && nowMs - askedMs >= times.holdMs() / 3) {
             askedMs = nowMs;
-            asked = agreed.hold(ROLE, times.holdMs());
+            asked = agreed.acquire(ROLE, times.holdMs());
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -435,7 +435,7 @@
 
     private void hold(String role, double forMs) {
         put(roles, role);
-        agreed.hold(role, forMs).whenComplete((h, fault) -> {
+        agreed.acquire(role, forMs).whenComplete((h, fault) -> {
             if (fault == null && h.holder().equals(links.me().name())) {
                 tokens.merge(role, h.token(), Math::max);
             }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -188,10 +188,10 @@
         List<Double> further = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             long from = System.nanoTime();
-            nodes.get("m7").hold("role" + i, 1000).get();
+            nodes.get("m7").acquire("role" + i, 1000).get();
             first.add((System.nanoTime() - from) / 1e6);
             from = System.nanoTime();
-            nodes.get("m7").hold("role" + i, 1000).get();
+            nodes.get("m7").acquire("role" + i, 1000).get();
             further.add((System.nanoTime() - from) / 1e6);
         }
         say("a role is taken", first);
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
@@ -43,7 +43,7 @@
         Arbitrary<Long> number = Arbitraries.longs().between(0, Long.MAX_VALUE);
         return Arbitraries.oneOf(
                 Combinators.combine(bytes, number, number).as((b, n, m) -> new LogCommand.Stage("s", n, b, "a", m, n)),
-                number.map(n -> new LogCommand.Reign("a@1", n, n)),
+                number.map(n -> new LogCommand.BeginTerm("a@1", n, n)),
                 number.map(n -> new LogCommand.Activate("s", n, n)),
                 number.map(n -> new LogCommand.Abandon("s", n, n, "b")),
                 number.map(n -> new LogCommand.Take("r", "a", n, 1.5, n, n)),
@@ -174,7 +174,7 @@
     @Property(tries = 400, seed = "5")
     void eachMessageOfTheLibraryIsTheSameAfterItsWay(@ForAll("messages") RaftMessage m) throws IOException {
         byte[] once = AgreementCodec.frame(m);
-        RaftMessage back = AgreementCodec.frame(once).raft();
+        RaftMessage back = AgreementCodec.frame(once).raftMessage();
         assertEquals(m.getClass(), back.getClass());
         assertArrayEquals(once, AgreementCodec.frame(back));
     }
@@ -201,7 +201,7 @@
     private static void readOrRefused(byte[] b) {
         try {
             AgreementCodec.Frame f = AgreementCodec.frame(b);
-            assertEquals(f.note() == null, f.raft() != null);
+            assertEquals(f.message() == null, f.raftMessage() != null);
         } catch (IOException e) {
             assertNotNull(e.getMessage());
         }
@@ -218,7 +218,7 @@
                         "s", new DecidedVersion(5, 2, 3), List.of(new AgreementMessage.Item(3, new byte[] {7}, "m")))),
                 true);
         AgreementMessage.Answer back = (AgreementMessage.Answer)
-                AgreementCodec.frame(AgreementCodec.frame(a)).note();
+                AgreementCodec.frame(AgreementCodec.frame(a)).message();
         assertEquals(a.told().get(0).word(), back.told().get(0).word());
         assertArrayEquals(new byte[] {7}, back.told().get(0).items().get(0).content());
         byte[] whole = AgreementCodec.frame(new AgreementMessage.Hint(9));
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.fleet.agreed.AgreedValues.Hold;
+import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -69,8 +69,8 @@
                 .orElse("");
     }
 
-    private Hold hold(String at, double forMs) throws Exception {
-        return members.node(at).hold("driver", forMs).get(10, TimeUnit.SECONDS);
+    private Lease hold(String at, double forMs) throws Exception {
+        return members.node(at).acquire("driver", forMs).get(10, TimeUnit.SECONDS);
     }
 
     @AfterEach
@@ -225,18 +225,18 @@
         // One that doesn't vote, so that a majority is left when it stands still and the leader is gone.
         String holder = "m3";
         String next = leader.equals("m0") ? "m1" : "m0";
-        Hold first = hold(holder, 500);
+        Lease first = hold(holder, 500);
         assertTrue(members.node(holder).holds("driver"));
         assertEquals(holder, hold(next, 500).holder());
         assertFalse(members.node(next).holds("driver"));
-        Hold longer = hold(holder, 500);
+        Lease longer = hold(holder, 500);
         assertEquals(first.token(), longer.token());
         assertTrue(longer.untilMs() > first.untilMs());
         // Its thread stands still: an answer that lay in its queue must not lengthen what is over.
         CountDownLatch still = new CountDownLatch(1);
         AgreementMember stalled = members.node(holder);
-        CompletableFuture<Hold> late = stalled.hold("driver", 500);
-        stalled.next(() -> {
+        CompletableFuture<Lease> late = stalled.acquire("driver", 500);
+        stalled.execute(() -> {
             try {
                 still.await();
             } catch (InterruptedException e) {
@@ -244,7 +244,7 @@
             }
         });
         members.kill(leader);
-        Hold taken = soon().until(() -> hold(next, 500), h -> h.holder().equals(next) && h.untilMs() > 0);
+        Lease taken = soon().until(() -> hold(next, 500), h -> h.holder().equals(next) && h.untilMs() > 0);
         assertTrue(taken.token() > first.token());
         still.countDown();
         late.get(10, TimeUnit.SECONDS);
@@ -274,8 +274,8 @@
                     .filter(n -> !n.equals(struck) && !n.equals(also))
                     .findFirst()
                     .orElseThrow();
-            List<CompletableFuture<Hold>> claims = new ArrayList<>();
-            members.all().forEach(n -> claims.add(n.hold("driver", 300)));
+            List<CompletableFuture<Lease>> claims = new ArrayList<>();
+            members.all().forEach(n -> claims.add(n.acquire("driver", 300)));
             long expected = members.node(at)
                     .known(AgreedValues.SETTINGS)
                     .map(AgreedValues.Value::generation)
@@ -284,7 +284,7 @@
             if (proposing(at, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
                 acknowledged.put((long) round, content);
             }
-            for (CompletableFuture<Hold> c : claims) {
+            for (CompletableFuture<Lease> c : claims) {
                 c.get(10, TimeUnit.SECONDS);
             }
             members.net.cut();
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -97,7 +97,7 @@
 
     private static Map<String, LogCommand> operations() {
         Map<String, LogCommand> operations = new LinkedHashMap<>();
-        operations.put("reign", new LogCommand.Reign("m1@1", 5, 6));
+        operations.put("reign", new LogCommand.BeginTerm("m1@1", 5, 6));
         operations.put("stage", new LogCommand.Stage("shares", 2, CONTENT, "m2", 7, 9));
         operations.put("activate", new LogCommand.Activate("shares", 4, 3));
         operations.put("abandon", new LogCommand.Abandon("shares", 4, 3, "m3"));
@@ -147,7 +147,7 @@
                         .setQuerySequenceNumber(5)
                         .setFlowControlSequenceNumber(6)
                         .setLogEntries(List.of(
-                                entry(4, new LogCommand.Reign("m1@1", 5, 6)),
+                                entry(4, new LogCommand.BeginTerm("m1@1", 5, 6)),
                                 entry(5, membership(MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER))))
                         .build());
         messages.put(
@@ -248,10 +248,10 @@
     }
 
     private static AgreedState.Image image() {
-        List<AgreedState.Kept> history = List.of(
-                new AgreedState.Kept(1, CONTENT, "staff", 7, 8, AgreedState.Came.ABANDONED),
-                new AgreedState.Kept(2, CONTENT, "staff", 7, 9, AgreedState.Came.IN_FORCE),
-                new AgreedState.Kept(3, CONTENT, "m2", 7, 10, AgreedState.Came.STAGED));
+        List<AgreedState.Generation> history = List.of(
+                new AgreedState.Generation(1, CONTENT, "staff", 7, 8, AgreedState.Outcome.ABANDONED),
+                new AgreedState.Generation(2, CONTENT, "staff", 7, 9, AgreedState.Outcome.IN_FORCE),
+                new AgreedState.Generation(3, CONTENT, "m2", 7, 10, AgreedState.Outcome.STAGED));
         return new AgreedState.Image(
                 6,
                 List.of(new AgreedState.Named("shares", new DecidedVersion(5, 2, 3), 3, history)),
@@ -274,7 +274,7 @@
                     "agreed/note-" + note.getKey(),
                     note.getValue(),
                     AgreementCodec::frame,
-                    form -> AgreementCodec.frame(form).note());
+                    form -> AgreementCodec.frame(form).message());
         }
     }
 
@@ -305,13 +305,13 @@
                     "agreed/raft-" + message.getKey(),
                     message.getValue(),
                     AgreementCodec::frame,
-                    form -> AgreementCodec.frame(form).raft());
+                    form -> AgreementCodec.frame(form).raftMessage());
         }
     }
 
     @Test
     void valuesOnDisk() throws IOException {
-        assertEquals(3, AgreedState.Came.values().length);
+        assertEquals(3, AgreedState.Outcome.values().length);
         GoldenFiles.check("agreed/image", image(), AgreementCodec::image, AgreementCodec::image);
         GoldenFiles.check("agreed/snapshot-chunk", chunk(), AgreementCodec::chunk, AgreementCodec::chunk);
         GoldenFiles.check("agreed/members", VIEW, AgreementCodec::members, AgreementCodec::members);
@@ -339,7 +339,7 @@
         try (VoterStore store = VoterStore.open(copy, "fleet", "m1")) {
             assertTrue(store.disk().matches("[0-9a-f]{24}"), store.disk());
             assertEquals(2, store.starts());
-            assertEquals(List.of("m1", "m2"), store.founding());
+            assertEquals(List.of("m1", "m2"), store.bootstrapVoters());
             assertEquals(false, store.joining());
             assertEquals(17, store.since());
             assertEquals(Optional.of("ba9876543210 2 5"), store.seen("m2"));
@@ -374,7 +374,7 @@
     private void writeDisk() throws IOException {
         Path written = directory.resolve("written");
         try (VoterStore store = VoterStore.open(written, "fleet", "m1")) {
-            store.found(List.of("m1", "m2"), true);
+            store.saveBootstrapVoters(List.of("m1", "m2"), true);
             store.joined(17);
             store.seen("m2", "ba9876543210 2 5");
             store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
@@ -15,13 +15,13 @@
     private static AgreedState.Result decide(AgreedState state, String name, byte[] content, long number) {
         AgreedState.Result staged = state.apply(new LogCommand.Stage(name, 0, content, "m1", 1, number));
         long version = state.named(name).map(named -> named.word().version()).orElse(0L);
-        state.apply(new LogCommand.Activate(name, version, state.reign()));
+        state.apply(new LogCommand.Activate(name, version, state.leaderTerm()));
         return staged;
     }
 
     private static AgreedState reigning() {
         AgreedState state = new AgreedState();
-        state.apply(new LogCommand.Reign("m1", 1, 1));
+        state.apply(new LogCommand.BeginTerm("m1", 1, 1));
         return state;
     }
 
@@ -32,16 +32,16 @@
             decide(state, "name-" + i, new byte[AgreedState.MAX_CONTENT], i + 1);
         }
         LeaderLeases lead = new LeaderLeases(TERMS, state, 0);
-        LeaseView part = LeaseView.start(7).asks(100);
-        AgreementMessage.Answer first = lead.asked(100, "m2", part.question(), "f");
+        LeaseView part = LeaseView.start(7).startRequest(100);
+        AgreementMessage.Answer first = lead.answerRequest(100, "m2", part.question(), "f");
         assertFalse(first.whole());
-        part = part.told(first, (name, content) -> true);
+        part = part.onAnswer(first, (name, content) -> true);
         assertFalse(part.leaseUntilMs() > 100, "names are missing still");
         AgreementMessage.Answer next = first;
         for (int asked = 0; !next.whole() && asked < 4; asked++) {
-            part = part.asks(200 + asked);
-            next = lead.asked(200 + asked, "m2", part.question(), "f");
-            part = part.told(next, (name, content) -> true);
+            part = part.startRequest(200 + asked);
+            next = lead.answerRequest(200 + asked, "m2", part.question(), "f");
+            part = part.onAnswer(next, (name, content) -> true);
         }
         assertTrue(next.whole());
         assertEquals(4, part.names().size());
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -3,7 +3,7 @@
 import brackenbridge.clock.Clock;
 import brackenbridge.core.generation.EffectiveVersions;
 import brackenbridge.core.generation.LeaseTerms;
-import brackenbridge.fleet.agreed.AgreedValues.Hold;
+import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.peer.Member;
 import brackenbridge.fleet.peer.PeerLimits;
 import brackenbridge.fleet.peer.TcpPeerLinks;
@@ -82,7 +82,7 @@
     }
 
     private static void claim(AgreementMember node) {
-        node.hold("driver", 300)
+        node.acquire("driver", 300)
                 .thenRunAsync(() -> claim(node), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
     }
 
@@ -90,10 +90,10 @@
         while (true) {
             long before = System.nanoTime();
             boolean holds = node.holds("driver");
-            Hold h = node.held().get("driver");
+            Lease h = node.roleLeases().get("driver");
             long token = h == null ? 0 : h.token();
-            EffectiveVersions a =
-                    node.part().acts(AgreedValues.SETTINGS, node.clock().nowMs());
+            EffectiveVersions a = node.leaseView()
+                    .effectiveVersions(AgreedValues.SETTINGS, node.clock().nowMs());
             long after = System.nanoTime();
             say("sees " + before + " " + after + " " + (holds ? token : 0) + " " + Math.min(a.one(), a.other()) + " "
                     + Math.max(a.one(), a.other()));
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
@@ -77,7 +77,7 @@
                 },
                 settings(name));
         n.usable(AgreedValues.SETTINGS, c -> !new String(c, StandardCharsets.UTF_8).contains("bad at " + name));
-        n.onFilesOf(scheme);
+        n.useFileScheme(scheme);
         n.start();
         l.start();
         synchronized (nodes) {
@@ -154,8 +154,8 @@
         for (String name : List.of(AgreedValues.SETTINGS, AgreedValues.SHARES)) {
             for (int i = 0; i < all.size(); i++) {
                 for (int j = 0; j < i; j++) {
-                    EffectiveVersions a = ((LeaseView) once.get(2 * i)).acts(name, now[i]);
-                    EffectiveVersions b = ((LeaseView) once.get(2 * j)).acts(name, now[j]);
+                    EffectiveVersions a = ((LeaseView) once.get(2 * i)).effectiveVersions(name, now[i]);
+                    EffectiveVersions b = ((LeaseView) once.get(2 * j)).effectiveVersions(name, now[j]);
                     if (a.contradicts(b)) {
                         breaches.add(name + ": " + a + " beside " + b);
                     }
@@ -166,7 +166,7 @@
         for (int i = 0; i < all.size(); i++) {
             int at = i;
             @SuppressWarnings("unchecked")
-            Map<String, AgreedValues.Hold> held = (Map<String, AgreedValues.Hold>) once.get(2 * i + 1);
+            Map<String, AgreedValues.Lease> held = (Map<String, AgreedValues.Lease>) once.get(2 * i + 1);
             held.forEach((role, h) -> {
                 if (h.untilMs() > now[at]) {
                     String other = holders.put(role, h.holder());
@@ -185,8 +185,8 @@
     private static List<Object> collect(List<AgreementMember> all) {
         List<Object> collected = new ArrayList<>();
         for (AgreementMember n : all) {
-            collected.add(n.part());
-            collected.add(n.held());
+            collected.add(n.leaseView());
+            collected.add(n.roleLeases());
         }
         return collected;
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterAdmissionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterAdmissionTest.java
@@ -36,10 +36,10 @@
     void theFirstVoterAloneFoundsAndOnlyWhenAllAreThereAndNobodyKnowsOfAFounding() {
         assertEquals(Step.WAIT, step(empty("a", "1"), Map.of("b", EMPTY)));
         assertEquals(Step.WAIT, step(empty("a", "1"), Map.of("b", EMPTY, "not a voter", EMPTY)));
-        assertEquals(Step.FOUND, step(empty("a", "1"), Map.of("b", EMPTY, "c", EMPTY)));
+        assertEquals(Step.BOOTSTRAP, step(empty("a", "1"), Map.of("b", EMPTY, "c", EMPTY)));
         assertEquals(Step.WAIT, step(empty("b", "1"), Map.of("a", EMPTY, "c", EMPTY)));
         assertEquals(
-                Step.TORN,
+                Step.SPLIT,
                 step(
                         empty("a", "1"),
                         Map.of("b", EMPTY, "c", EMPTY, "d", facts(List.of(), "other", List.of(), 0, "", 0, 0))));
@@ -54,7 +54,7 @@
         assertEquals(Step.JOIN, step(empty("b", "2"), Map.of("a", founded)));
         assertEquals(Step.JOIN, step(empty("a", "2"), Map.of("b", founded, "c", EMPTY)));
         assertEquals(
-                Step.TORN,
+                Step.SPLIT,
                 step(empty("b", "2"), Map.of("a", founded, "c", facts(List.of("x@1"), "", List.of(), 0, "", 0, 0))));
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
@@ -113,7 +113,7 @@
         String number;
         try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             number = s.disk();
-            s.found(List.of("m@d"), false);
+            s.saveBootstrapVoters(List.of("m@d"), false);
         }
         Files.write(file, before);
         assertThrows(VoterStore.Damaged.class, () -> VoterStore.open(disk, "f", "m"));
