--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies the entries of the replicated log to {@link AgreedState}; the Raft library calls it on the member's thread. */
+/** Applies the replicated log's entries to {@link AgreedState}; the Raft library calls it on the member's thread. */
 final class AgreedStateMachine implements StateMachine {
     private static final Logger LOG = LoggerFactory.getLogger(AgreedStateMachine.class);
     /** A snapshot is taken after so many bytes of contents. */
@@ -76,8 +76,9 @@
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
         byte[] image = AgreementCodec.image(consensus.state().image());
-        for (int from = 0; from < image.length; from += AgreementCodec.PIECE) {
-            chunks.accept(Arrays.copyOfRange(image, from, Math.min(image.length, from + AgreementCodec.PIECE)));
+        for (int from = 0; from < image.length; from += AgreementCodec.SNAPSHOT_CHUNK_BYTES) {
+            chunks.accept(Arrays.copyOfRange(
+                    image, from, Math.min(image.length, from + AgreementCodec.SNAPSHOT_CHUNK_BYTES)));
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
@@ -19,21 +19,21 @@
 import java.io.IOException;
 
 /**
- * Notes, the Raft library's messages and what is written to disk, as CBOR. Whatever can't be read is an
- * {@link IOException} and nothing else.
+ * CBOR forms (RFC 8949) of members' messages, of the Raft library's messages and of what is written to disk. Whatever
+ * can't be parsed is an {@link IOException} and nothing else.
  */
 final class AgreementCodec {
     /** Longest message; a link's frames must have room for it. */
     static final int MAX_MESSAGE = 900 * 1024;
     /** Entries in one message: their contents stay below {@link #MAX_MESSAGE}. */
     static final int BATCH = 3;
-    /** A piece of a snapshot, in bytes. */
-    static final int PIECE = 512 * 1024;
+    /** Length of a snapshot's chunks, in bytes. */
+    static final int SNAPSHOT_CHUNK_BYTES = 512 * 1024;
 
-    private static final int MAX_IMAGE = 64 * 1024 * 1024;
+    private static final int MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024;
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     static final ObjectMapper MAPPER = mapper(MAX_MESSAGE);
-    private static final ObjectMapper IMAGES = mapper(MAX_IMAGE);
+    private static final ObjectMapper IMAGES = mapper(MAX_SNAPSHOT_BYTES);
 
     private AgreementCodec() {}
 
@@ -85,18 +85,21 @@
         }
     }
 
-    static byte[] frame(AgreementMessage note) {
+    /** The frame of a member's message. */
+    static byte[] frame(AgreementMessage message) {
         ObjectNode n = MAPPER.createObjectNode();
-        n.set("n", MAPPER.valueToTree(note));
+        n.set("n", MAPPER.valueToTree(message));
         return bytes(n);
     }
 
+    /** The frame of a message of the Raft library. */
     static byte[] frame(RaftMessage message) {
         ObjectNode n = MAPPER.createObjectNode();
         n.set("r", RaftMessageTrees.tree(message));
         return bytes(n);
     }
 
+    /** Parses a frame. */
     static Frame frame(byte[] body) throws IOException {
         if (body.length > MAX_MESSAGE) {
             throw new IOException("message of " + body.length + " bytes");
@@ -109,6 +112,7 @@
         });
     }
 
+    /** The form of a snapshot. */
     static byte[] image(AgreedState.Image image) {
         try {
             return IMAGES.writeValueAsBytes(image);
@@ -121,6 +125,7 @@
         return read(() -> IMAGES.readValue(body, AgreedState.Image.class));
     }
 
+    /** The stored form of a log entry. */
     static byte[] entry(LogEntry e) {
         return bytes(RaftLogTrees.tree(e));
     }
@@ -129,6 +134,7 @@
         return read(() -> RaftLogTrees.logEntry(MAPPER.readTree(body)));
     }
 
+    /** The stored form of a snapshot's chunk. */
     static byte[] chunk(SnapshotChunk c) {
         return bytes(RaftLogTrees.tree(c));
     }
@@ -137,6 +143,7 @@
         return read(() -> RaftLogTrees.snapshotChunk(MAPPER.readTree(body)));
     }
 
+    /** The stored form of a group's members. */
     static byte[] members(RaftGroupMembersView v) {
         return bytes(RaftLogTrees.tree(v));
     }
@@ -145,6 +152,7 @@
         return read(() -> RaftLogTrees.view(MAPPER.readTree(body)));
     }
 
+    /** The stored form of the current term and vote. */
     static byte[] term(RaftTermPersistentState t) {
         ObjectNode n = MAPPER.createObjectNode().put("term", t.getTerm());
         return bytes(
@@ -163,6 +171,7 @@
         });
     }
 
+    /** The stored form of the voter's own endpoint. */
     static byte[] self(RaftEndpointPersistentState e) {
         return bytes(MAPPER.createObjectNode()
                 .put("me", (String) e.getLocalEndpoint().getId())
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
@@ -6,7 +6,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 
-/** What members tell each other beside the Raft library's messages. Any of it may be lost, late or repeated. */
+/**
+ * Messages between members beside the Raft library's. Any may be lost, delayed or repeated. Components keep their
+ * serialized names, which are older than the Java names.
+ */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "note")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = AgreementMessage.Hello.class, name = "hello"),
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -26,8 +26,17 @@
     /** Contents in one answer at most, in bytes. */
     private static final int MAX_ANSWER_BYTES = 600 * 1024;
 
-    /** The result of a claim: an answer, an entry to be written first, or neither yet. */
-    record Claim(AgreementMessage.Claimed answer, LogCommand.Take first) {}
+    /** What is done with a claim. */
+    sealed interface ClaimDecision {
+        /** It is answered at once. */
+        record Answer(AgreementMessage.Claimed message) implements ClaimDecision {}
+
+        /** A command must be written first; it is answered by {@link #grantRole} once that is applied. */
+        record WriteFirst(LogCommand.Take command) implements ClaimDecision {}
+
+        /** Another command for the role is on its way: the claim is not answered, its sender repeats it. */
+        record Ignore() implements ClaimDecision {}
+    }
 
     private record RoleLease(double untilMs, boolean inFlight) {}
 
@@ -156,39 +165,27 @@
     }
 
     /** A member claims a role. */
-    Claim claimRole(double nowMs, String member, AgreementMessage.Claim c) {
+    ClaimDecision claimRole(double nowMs, String member, AgreementMessage.Claim c) {
         Optional<AgreedState.Role> role = state.role(c.role());
         RoleLease lease = roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
             // Guards against a lease that is lengthened while the role goes to another.
-            return new Claim(null, null);
+            return new ClaimDecision.Ignore();
         }
+        long token = role.map(AgreedState.Role::token).orElse(0L);
         boolean same = role.isPresent()
                 && role.get().holder().equals(member)
                 && role.get().life() == c.life();
         if (same && c.forMs() <= role.get().forMs()) {
-            return new Claim(granted(nowMs, c), null);
+            return new ClaimDecision.Answer(granted(nowMs, c));
         }
         if (same || nowMs >= lease.untilMs()) {
             roles.put(c.role(), new RoleLease(lease.untilMs(), true));
-            return new Claim(
-                    null,
-                    new LogCommand.Take(
-                            c.role(),
-                            member,
-                            c.life(),
-                            c.forMs(),
-                            role.map(AgreedState.Role::token).orElse(0L),
-                            leaderTerm));
+            return new ClaimDecision.WriteFirst(
+                    new LogCommand.Take(c.role(), member, c.life(), c.forMs(), token, leaderTerm));
         }
-        return new Claim(
-                new AgreementMessage.Claimed(
-                        c.life(),
-                        c.number(),
-                        role.map(AgreedState.Role::holder).orElse(""),
-                        role.map(AgreedState.Role::token).orElse(0L),
-                        0),
-                null);
+        String holder = role.map(AgreedState.Role::holder).orElse("");
+        return new ClaimDecision.Answer(new AgreementMessage.Claimed(c.life(), c.number(), holder, token, 0));
     }
 
     /** The claim's entry was applied in this leader term: it is granted. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -194,15 +194,17 @@
 
     private void answerClaim(double nowMs, String peer, AgreementMessage.Claim claim) {
         LeaderLeases leases = consensus.leases();
-        LeaderLeases.Claim decision = leases.claimRole(nowMs, peer, claim);
-        if (decision.answer() != null) {
-            context.send(peer, decision.answer());
-        }
-        if (decision.first() == null) {
-            return;
+        LeaderLeases.ClaimDecision decision = leases.claimRole(nowMs, peer, claim);
+        if (decision instanceof LeaderLeases.ClaimDecision.Answer answer) {
+            context.send(peer, answer.message());
+        } else if (decision instanceof LeaderLeases.ClaimDecision.WriteFirst write) {
+            writeClaim(peer, claim, write.command(), leases);
         }
+    }
+
+    private void writeClaim(String peer, AgreementMessage.Claim claim, LogCommand.Take command, LeaderLeases leases) {
         consensus
-                .replicate(decision.first())
+                .replicate(command)
                 .whenComplete((result, failure) -> context.execute(() -> {
                     if (consensus.leases() != leases) {
                         return;
@@ -210,7 +212,7 @@
                     if (failure == null && result.getResult() == AgreedState.Result.DONE) {
                         context.send(peer, leases.grantRole(context.nowMs(), claim));
                     } else {
-                        leases.onWriteFailed(decision.first());
+                        leases.onWriteFailed(command);
                     }
                 }));
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
@@ -15,19 +15,19 @@
     private static final int MAX_PENDING = 256;
 
     private static final class Request {
-        private final AgreementMessage note;
+        private final AgreementMessage message;
         private final double untilMs;
         private final Consumer<AgreementMessage> answered;
         private final Runnable timedOut;
         private double sentMs;
 
         Request(
-                AgreementMessage note,
+                AgreementMessage message,
                 double sentMs,
                 double untilMs,
                 Consumer<AgreementMessage> answered,
                 Runnable timedOut) {
-            this.note = note;
+            this.message = message;
             this.sentMs = sentMs;
             this.untilMs = untilMs;
             this.answered = answered;
@@ -48,7 +48,7 @@
     void send(
             double nowMs,
             double untilMs,
-            LongFunction<AgreementMessage> note,
+            LongFunction<AgreementMessage> message,
             Consumer<AgreementMessage> answered,
             Runnable timedOut) {
         if (requests.size() >= MAX_PENDING) {
@@ -56,9 +56,9 @@
             return;
         }
         long number = ++numbers;
-        Request request = new Request(note.apply(number), nowMs, untilMs, answered, timedOut);
+        Request request = new Request(message.apply(number), nowMs, untilMs, answered, timedOut);
         requests.put(number, request);
-        sender.accept(request.note);
+        sender.accept(request.message);
     }
 
     void answered(long number, AgreementMessage answer) {
@@ -77,7 +77,7 @@
                 request.timedOut.run();
             } else if (nowMs >= request.sentMs + RESEND_MS) {
                 request.sentMs = nowMs;
-                sender.accept(request.note);
+                sender.accept(request.message);
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -42,12 +42,12 @@
     private static final String FILE = "agreed.mv";
     /** What is written anew at an opening, until it is whole. */
     private static final String FRESH = FILE + ".new";
-    /** Chunks that nothing refers to any more are kept so long; each write is forced, so that none needs them. */
-    private static final int RETENTION_MS = 5000;
-    /** After so many writes what little is alive in old chunks is moved together, so that their space is free. */
-    private static final int COMPACT_EACH = 100;
+    /** Unreferenced chunks of the file are kept so long; each write is forced, so that none needs them. */
+    private static final int CHUNK_RETENTION_MS = 5000;
+    /** The file is compacted after so many forced writes. */
+    private static final int COMPACT_WRITES = 100;
 
-    private static final int COMPACT_FILL = 70;
+    private static final int COMPACT_FILL_PERCENT = 70;
     private static final int COMPACT_BYTES = 4 << 20;
 
     /** The disk has lost or changed what was forced to it: it counts as lost. */
@@ -85,7 +85,7 @@
         this.mark = mark;
         this.writeMark = new WriteMark(mark);
         this.file = file;
-        store.setRetentionTime(RETENTION_MS);
+        store.setRetentionTime(CHUNK_RETENTION_MS);
         this.meta = store.openMap("meta", map(StringDataType.INSTANCE));
         this.log = store.openMap("log", map(LongDataType.INSTANCE));
         this.chunks = store.openMap("chunks", map(StringDataType.INSTANCE));
@@ -217,14 +217,14 @@
         if (s.empty()) {
             byte[] number = new byte[12];
             new SecureRandom().nextBytes(number);
-            s.text("fleet", fleet);
-            s.text("member", member);
-            s.text("disk", HexFormat.of().formatHex(number));
-            s.text("starts", "0");
+            s.putText("fleet", fleet);
+            s.putText("member", member);
+            s.putText("disk", HexFormat.of().formatHex(number));
+            s.putText("starts", "0");
         }
         s.verify(fleet, member);
         s.restored = new RaftStateLoader(s.meta, s.log, s.chunks).load();
-        s.text("starts", String.valueOf(s.starts() + 1));
+        s.putText("starts", String.valueOf(s.starts() + 1));
         s.flush();
         return s;
     }
@@ -269,11 +269,11 @@
         return new String(StoreChecksums.unsealed(key, value), StandardCharsets.UTF_8);
     }
 
-    private void text(String key, String value) {
+    private void putText(String key, String value) {
         meta.put(key, StoreChecksums.sealed(key, value.getBytes(StandardCharsets.UTF_8)));
     }
 
-    // What the member keeps beside the library's.
+    // What the member stores beside the Raft library's state.
 
     /** This disk's number, drawn when it was empty. */
     String disk() throws IOException {
@@ -293,8 +293,8 @@
     /** Stores the Raft group that it takes part in from now on; {@code joining} until it is one of its voters. */
     void saveBootstrapVoters(List<String> bootstrapVoters, boolean joining) throws IOException {
         write(() -> {
-            text("founding", String.join(",", bootstrapVoters));
-            text("joining", String.valueOf(joining));
+            putText("founding", String.join(",", bootstrapVoters));
+            putText("joining", String.valueOf(joining));
         });
         flush();
     }
@@ -302,16 +302,18 @@
     /** It is one of the voters since this change of members. */
     void joined(long since) throws IOException {
         write(() -> {
-            text("joining", "false");
-            text("since", String.valueOf(since));
+            putText("joining", "false");
+            putText("since", String.valueOf(since));
         });
         flush();
     }
 
+    /** The change of members by which it became a voter; 0 at the bootstrap. */
     long since() throws IOException {
         return meta.containsKey("since") ? Long.parseLong(text("since")) : 0;
     }
 
+    /** Whether it has asked for its old disk's place and is not known to have it yet. */
     boolean joining() throws IOException {
         return meta.containsKey("joining") && Boolean.parseBoolean(text("joining"));
     }
@@ -321,8 +323,9 @@
         return meta.containsKey("seen/" + member) ? Optional.of(text("seen/" + member)) : Optional.empty();
     }
 
+    /** Remembers what another voter said of itself. */
     void seen(String member, String said) throws IOException {
-        write(() -> text("seen/" + member, said));
+        write(() -> putText("seen/" + member, said));
         flush();
     }
 
@@ -372,10 +375,10 @@
     public void flush() throws IOException {
         write(() -> {
             count++;
-            text("count", String.valueOf(count));
+            putText("count", String.valueOf(count));
             store.commit();
-            if (file != null && count % COMPACT_EACH == 0) {
-                store.compact(COMPACT_FILL, COMPACT_BYTES);
+            if (file != null && count % COMPACT_WRITES == 0) {
+                store.compact(COMPACT_FILL_PERCENT, COMPACT_BYTES);
             }
             store.sync();
             writeMark.force(count);
