--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -68,14 +68,14 @@
         PeerLinks links = net.links(name);
         links.receive(MessageStream.AGREED, (peer, life, body) -> {
             AgreementCodec.Frame frame = frame(body);
-            if (frame.note() instanceof AgreementMessage.Hello) {
+            if (frame.message() instanceof AgreementMessage.Hello) {
                 links.send(
                         peer,
                         MessageStream.AGREED,
                         AgreementCodec.frame(
                                 new AgreementMessage.Facts("d-" + name, List.of(), "", List.of(), 0, "", 0, 0)));
-            } else if (frame.raft() != null && name.equals("m2")) {
-                told.add(frame.raft());
+            } else if (frame.raftMessage() != null && name.equals("m2")) {
+                told.add(frame.raftMessage());
             }
         });
         return links;
