--- a/core/src/main/java/brackenbridge/core/Event.java
+++ b/core/src/main/java/brackenbridge/core/Event.java
@@ -1,7 +1,7 @@
 package brackenbridge.core;
 
-import brackenbridge.BalancerApi.Report;
-import brackenbridge.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.core.share.ZoneWeights;
 
--- a/core/src/main/java/brackenbridge/core/ServerEndpoint.java
+++ b/core/src/main/java/brackenbridge/core/ServerEndpoint.java
@@ -1,6 +1,6 @@
 package brackenbridge.core;
 
-import brackenbridge.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 
 /**
  * One server of a target group.
--- a/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
+++ b/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
@@ -1,7 +1,7 @@
 package brackenbridge.core;
 
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 
 /**
  * When a stopping node takes each of its steps, in milliseconds after it was told to stop. The platform kills a node
--- a/core/src/main/java/brackenbridge/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -1,11 +1,11 @@
-package brackenbridge;
-
-import brackenbridge.State.Attempt;
-import brackenbridge.State.Bucket;
-import brackenbridge.State.Call;
-import brackenbridge.State.Kind;
-import brackenbridge.State.Server;
-import brackenbridge.State.Standing;
+package brackenbridge.core.balancing;
+
+import brackenbridge.core.balancing.State.Attempt;
+import brackenbridge.core.balancing.State.Bucket;
+import brackenbridge.core.balancing.State.Call;
+import brackenbridge.core.balancing.State.Kind;
+import brackenbridge.core.balancing.State.Server;
+import brackenbridge.core.balancing.State.Standing;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/core/src/main/java/brackenbridge/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -1,6 +1,6 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
-import brackenbridge.State.Server;
+import brackenbridge.core.balancing.State.Server;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
--- a/core/src/main/java/brackenbridge/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -1,9 +1,9 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
-import brackenbridge.BalancerApi.Actions;
-import brackenbridge.BalancerApi.Settings;
-import brackenbridge.State.Attempt;
-import brackenbridge.State.Server;
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.State.Attempt;
+import brackenbridge.core.balancing.State.Server;
 import java.util.SplittableRandom;
 
 /**
--- a/core/src/main/java/brackenbridge/SlowStartBudget.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStartBudget.java
@@ -1,4 +1,4 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
--- a/core/src/main/java/brackenbridge/SlowStartLimit.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStartLimit.java
@@ -1,4 +1,4 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
 /**
  * How many requests a warming-up server takes in a window: the number N that the settings allow, and what is added
--- a/core/src/main/java/brackenbridge/State.java
+++ b/core/src/main/java/brackenbridge/core/balancing/State.java
@@ -1,8 +1,8 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
-import brackenbridge.BalancerApi.Endpoint;
-import brackenbridge.BalancerApi.Request;
-import brackenbridge.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Endpoint;
+import brackenbridge.core.balancing.BalancerApi.Request;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.DedupScope;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
-import brackenbridge.BalancerApi.Tenant;
 import brackenbridge.core.Event.Reply;
+import brackenbridge.core.balancing.BalancerApi.DedupScope;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -50,7 +50,9 @@
                     NAMES[(first + i) % NAMES.length],
                     aim,
                     aim + r.nextInt(500_000),
-                    r.nextBoolean() ? brackenbridge.BalancerApi.Effect.SAFE : brackenbridge.BalancerApi.Effect.UNSAFE,
+                    r.nextBoolean()
+                            ? brackenbridge.core.balancing.BalancerApi.Effect.SAFE
+                            : brackenbridge.core.balancing.BalancerApi.Effect.UNSAFE,
                     DedupScope.ALL,
                     0,
                     false,
@@ -83,7 +85,7 @@
     }
 
     private static boolean isSafe(Promise promise) {
-        return promise.under().effect() == brackenbridge.BalancerApi.Effect.SAFE;
+        return promise.under().effect() == brackenbridge.core.balancing.BalancerApi.Effect.SAFE;
     }
 
     /** Holds what the node has done since the last look against what it promised. */
--- a/core/src/test/java/brackenbridge/core/Play.java
+++ b/core/src/test/java/brackenbridge/core/Play.java
@@ -1,12 +1,12 @@
 package brackenbridge.core;
 
-import brackenbridge.BalancerApi.DedupScope;
-import brackenbridge.BalancerApi.Effect;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.Network;
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.clock.Clock;
+import brackenbridge.core.balancing.BalancerApi.DedupScope;
+import brackenbridge.core.balancing.BalancerApi.Effect;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.Network;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.counters.Counters;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/core/src/test/java/brackenbridge/core/ReducerTest.java
+++ b/core/src/test/java/brackenbridge/core/ReducerTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.RequestClass;
 import brackenbridge.core.Effect.Fixed;
 import brackenbridge.core.Event.Reply;
+import brackenbridge.core.balancing.BalancerApi;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
 import brackenbridge.counters.Counters.Kind;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/core/src/test/java/brackenbridge/core/RefusalTest.java
+++ b/core/src/test/java/brackenbridge/core/RefusalTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.Effect.Fixed;
 import brackenbridge.core.Event.Reply;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.DedupScope;
-import brackenbridge.BalancerApi.RequestClass;
 import brackenbridge.core.ShutdownSchedule.Situation;
+import brackenbridge.core.balancing.BalancerApi.DedupScope;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -25,7 +25,7 @@
                 "file",
                 (long) (ms * 500),
                 (long) (ms * 1000),
-                brackenbridge.BalancerApi.Effect.UNSAFE,
+                brackenbridge.core.balancing.BalancerApi.Effect.UNSAFE,
                 DedupScope.ALL,
                 0,
                 false,
--- a/core/src/test/java/brackenbridge/core/ZonesWeighedTest.java
+++ b/core/src/test/java/brackenbridge/core/ZonesWeighedTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.core.Event.Reply;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import brackenbridge.core.observe.Observer;
 import brackenbridge.core.share.ZoneWeights;
 import java.util.ArrayList;
--- a/core/src/test/java/brackenbridge/ColdFleet.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdFleet.java
@@ -1,12 +1,12 @@
-package brackenbridge;
-
-import brackenbridge.BalancerApi.Actions;
-import brackenbridge.BalancerApi.Endpoint;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.ListKind;
-import brackenbridge.BalancerApi.Outcome;
-import brackenbridge.BalancerApi.Request;
-import brackenbridge.BalancerApi.Settings;
+package brackenbridge.core.balancing;
+
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.Endpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.ListKind;
+import brackenbridge.core.balancing.BalancerApi.Outcome;
+import brackenbridge.core.balancing.BalancerApi.Request;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/core/src/test/java/brackenbridge/ColdServersTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdServersTest.java
@@ -1,13 +1,13 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.Endpoint;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.ListKind;
-import brackenbridge.BalancerApi.Outcome;
+import brackenbridge.core.balancing.BalancerApi.Endpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.ListKind;
+import brackenbridge.core.balancing.BalancerApi.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/core/src/test/java/brackenbridge/DecisionModuleTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/DecisionModuleTest.java
@@ -1,4 +1,4 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,6 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -19,6 +20,7 @@
     private static final Path ROOT = Path.of("..");
 
     private static final Pattern POLICY = Pattern.compile("(?m)^policy\\s*=\\s*\\[(.*)]");
+    private static final Pattern NODE = Pattern.compile("(?m)^node\\s*=\\s*\\[(.*)]");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
     private static final Pattern IMPORT = Pattern.compile("(?m)^import (?:static )?([\\w.]+)");
     /** Ways round the imports to a file, a socket, a thread, the system's time or a process. */
@@ -63,11 +65,33 @@
         }
     }
 
+    @Test
+    void everySourceOfCoreIsNamedOnceAsPolicyOrNode() throws IOException {
+        List<Path> named = new ArrayList<>(policySources());
+        named.addAll(sourcesNamedBy(NODE));
+        Path core = ROOT.resolve("core/src/main/java/brackenbridge");
+        try (var inside = Files.walk(core)) {
+            List<Path> present = inside.filter(path -> path.toString().endsWith(".java"))
+                    .filter(path -> !path.endsWith("package-info.java"))
+                    .toList();
+            for (Path source : present) {
+                assertEquals(1, Collections.frequency(named, source), () -> "times that " + source + " is named");
+            }
+        }
+        for (Path source : named) {
+            assertTrue(Files.isRegularFile(source), () -> source + " does not exist");
+        }
+    }
+
     private static List<Path> policySources() throws IOException {
-        Matcher policy = POLICY.matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
-        assertTrue(policy.find());
+        return sourcesNamedBy(POLICY);
+    }
+
+    private static List<Path> sourcesNamedBy(Pattern key) throws IOException {
+        Matcher list = key.matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
+        assertTrue(list.find());
         List<Path> sources = new ArrayList<>();
-        Matcher entry = QUOTED.matcher(policy.group(1));
+        Matcher entry = QUOTED.matcher(list.group(1));
         while (entry.find()) {
             Path named = ROOT.resolve(entry.group(1));
             if (Files.isDirectory(named)) {
--- a/core/src/test/java/brackenbridge/DesignTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/DesignTest.java
@@ -1,20 +1,20 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
-import static brackenbridge.Script.MS;
-import static brackenbridge.Script.SECOND;
-import static brackenbridge.Script.safe;
-import static brackenbridge.Script.settings;
-import static brackenbridge.Script.unsafe;
+import static brackenbridge.core.balancing.Script.MS;
+import static brackenbridge.core.balancing.Script.SECOND;
+import static brackenbridge.core.balancing.Script.safe;
+import static brackenbridge.core.balancing.Script.settings;
+import static brackenbridge.core.balancing.Script.unsafe;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.ListKind;
-import brackenbridge.BalancerApi.Outcome;
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Tenant;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.ListKind;
+import brackenbridge.core.balancing.BalancerApi.Outcome;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/core/src/test/java/brackenbridge/RulesTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/RulesTest.java
@@ -1,20 +1,20 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.Actions;
-import brackenbridge.BalancerApi.DedupScope;
-import brackenbridge.BalancerApi.Effect;
-import brackenbridge.BalancerApi.Endpoint;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.ListKind;
-import brackenbridge.BalancerApi.Network;
-import brackenbridge.BalancerApi.Outcome;
-import brackenbridge.BalancerApi.Report;
-import brackenbridge.BalancerApi.Request;
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.DedupScope;
+import brackenbridge.core.balancing.BalancerApi.Effect;
+import brackenbridge.core.balancing.BalancerApi.Endpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.ListKind;
+import brackenbridge.core.balancing.BalancerApi.Network;
+import brackenbridge.core.balancing.BalancerApi.Outcome;
+import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Request;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/core/src/test/java/brackenbridge/ServerOrderTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
@@ -1,11 +1,11 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.Endpoint;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.State.Server;
+import brackenbridge.core.balancing.BalancerApi.Endpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.State.Server;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
--- a/core/src/test/java/brackenbridge/SlowStartFleetTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/SlowStartFleetTest.java
@@ -1,11 +1,11 @@
-package brackenbridge;
+package brackenbridge.core.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.ColdFleet.Day;
-import brackenbridge.ColdFleet.Plan;
-import brackenbridge.ColdFleet.Seen;
-import brackenbridge.ColdFleet.Trouble;
+import brackenbridge.core.balancing.ColdFleet.Day;
+import brackenbridge.core.balancing.ColdFleet.Plan;
+import brackenbridge.core.balancing.ColdFleet.Seen;
+import brackenbridge.core.balancing.ColdFleet.Trouble;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
--- a/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
+++ b/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
@@ -1,16 +1,16 @@
 package brackenbridge.lab.bench;
 
-import brackenbridge.BalancerApi.DedupScope;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.Network;
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.ClientRequest;
 import brackenbridge.core.Effect;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.Event;
 import brackenbridge.core.Reducer;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.DedupScope;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.Network;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.counters.Counters;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -98,8 +98,10 @@
 
     /** What the module's own interface names likewise. */
     private static final class BalancerApiEffects {
-        static final brackenbridge.BalancerApi.Effect SAFE = brackenbridge.BalancerApi.Effect.SAFE;
-        static final brackenbridge.BalancerApi.Effect UNSAFE = brackenbridge.BalancerApi.Effect.UNSAFE;
+        static final brackenbridge.core.balancing.BalancerApi.Effect SAFE =
+                brackenbridge.core.balancing.BalancerApi.Effect.SAFE;
+        static final brackenbridge.core.balancing.BalancerApi.Effect UNSAFE =
+                brackenbridge.core.balancing.BalancerApi.Effect.UNSAFE;
     }
 
     private void tell(Event event) {
--- a/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
@@ -1,10 +1,10 @@
 package brackenbridge.lab.live;
 
-import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.clock.Clock;
 import brackenbridge.config.Config;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.HttpRequest;
--- a/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
+++ b/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
@@ -1,10 +1,10 @@
 package brackenbridge.lab.live;
 
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
-import brackenbridge.BalancerApi.Tenant;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerApi.Tenant;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
--- a/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.live;
 
-import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.rules.RuleChecker;
--- a/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.live;
 
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.Report;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.Report;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.model.ServerModel;
--- a/lab/src/main/java/brackenbridge/lab/model/ServerModel.java
+++ b/lab/src/main/java/brackenbridge/lab/model/ServerModel.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.model;
 
-import brackenbridge.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Report;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/lab/src/main/java/brackenbridge/lab/policy/Choosers.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Choosers.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.policy;
 
-import brackenbridge.BalancerApi.Actions;
-import brackenbridge.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.Report;
 import brackenbridge.lab.sim.Simulation.Truth;
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/brackenbridge/lab/policy/Policies.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Policies.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.policy;
 
-import brackenbridge.Balancer;
-import brackenbridge.BalancerApi.Actions;
-import brackenbridge.BalancerApi.Settings;
+import brackenbridge.core.balancing.Balancer;
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.lab.sim.Simulation.PolicyMaker;
 import java.util.Collections;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/brackenbridge/lab/policy/Textbook.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Textbook.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.policy;
 
-import brackenbridge.BalancerApi;
+import brackenbridge.core.balancing.BalancerApi;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
@@ -1,10 +1,5 @@
 package brackenbridge.lab.sim;
 
-import brackenbridge.BalancerApi;
-import brackenbridge.BalancerApi.Actions;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.Report;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.ClientRequest;
 import brackenbridge.core.Effect;
 import brackenbridge.core.EndpointList;
@@ -12,6 +7,11 @@
 import brackenbridge.core.Reducer;
 import brackenbridge.core.ServerEndpoint;
 import brackenbridge.core.TimerKey;
+import brackenbridge.core.balancing.BalancerApi;
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.counters.Counters;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.model.ServerModel.Verdict;
--- a/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
@@ -1,11 +1,11 @@
 package brackenbridge.lab.sim;
 
-import brackenbridge.BalancerApi;
-import brackenbridge.BalancerApi.Actions;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.HostIds;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi;
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.lab.load.Arrivals;
 import brackenbridge.lab.load.ClientBehaviour;
 import brackenbridge.lab.load.Mix;
--- a/lab/src/main/java/brackenbridge/lab/trouble/Faults.java
+++ b/lab/src/main/java/brackenbridge/lab/trouble/Faults.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.trouble;
 
-import brackenbridge.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import brackenbridge.lab.model.Scheduler;
 import brackenbridge.lab.world.Trouble;
 import brackenbridge.lab.world.Trouble.Kind;
--- a/lab/src/main/java/brackenbridge/lab/world/ServiceList.java
+++ b/lab/src/main/java/brackenbridge/lab/world/ServiceList.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.world;
 
-import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/node/src/main/java/brackenbridge/config/Config.java
+++ b/node/src/main/java/brackenbridge/config/Config.java
@@ -1,7 +1,7 @@
 package brackenbridge.config;
 
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.core.EndpointList;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.discovery.EndpointListParser;
 import brackenbridge.discovery.StrictJson;
 import com.eclipsesource.json.JsonObject;
--- a/node/src/main/java/brackenbridge/config/SettingsParser.java
+++ b/node/src/main/java/brackenbridge/config/SettingsParser.java
@@ -1,11 +1,11 @@
 package brackenbridge.config;
 
-import brackenbridge.BalancerApi.DedupScope;
-import brackenbridge.BalancerApi.Effect;
-import brackenbridge.BalancerApi.Network;
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
-import brackenbridge.BalancerApi.Tenant;
+import brackenbridge.core.balancing.BalancerApi.DedupScope;
+import brackenbridge.core.balancing.BalancerApi.Effect;
+import brackenbridge.core.balancing.BalancerApi.Network;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerApi.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
--- a/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
+++ b/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
@@ -1,8 +1,8 @@
 package brackenbridge.discovery;
 
-import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
--- a/node/src/main/java/brackenbridge/http/LoadReport.java
+++ b/node/src/main/java/brackenbridge/http/LoadReport.java
@@ -1,6 +1,6 @@
 package brackenbridge.http;
 
-import brackenbridge.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Report;
 
 /** Reads the load report of a server: {@code name=value} pairs set apart by commas. */
 public final class LoadReport {
--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -1,13 +1,13 @@
 package brackenbridge.net;
 
-import brackenbridge.BalancerApi.Effect;
-import brackenbridge.BalancerApi.RequestClass;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.clock.Clock;
 import brackenbridge.core.ClientRequest;
 import brackenbridge.core.Effect.Fixed;
 import brackenbridge.core.Event;
 import brackenbridge.core.Event.Left;
+import brackenbridge.core.balancing.BalancerApi.Effect;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.Counters.Kind;
 import brackenbridge.counters.RejectionReason;
--- a/node/src/main/java/brackenbridge/net/UpstreamConnections.java
+++ b/node/src/main/java/brackenbridge/net/UpstreamConnections.java
@@ -1,11 +1,11 @@
 package brackenbridge.net;
 
-import brackenbridge.BalancerApi.Report;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.clock.Clock;
 import brackenbridge.core.Effect;
 import brackenbridge.core.Event;
 import brackenbridge.core.Event.Reply;
+import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.core.connection.ConnectionCommand;
 import brackenbridge.core.connection.ConnectionPool;
 import brackenbridge.core.connection.EndpointIdentity;
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -1,14 +1,14 @@
 package brackenbridge.wire;
 
-import brackenbridge.Balancer;
-import brackenbridge.BalancerApi.Endpoint;
-import brackenbridge.BalancerApi.EndpointState;
-import brackenbridge.BalancerApi.ListKind;
-import brackenbridge.BalancerApi.Outcome;
-import brackenbridge.BalancerApi.Report;
-import brackenbridge.BalancerApi.Request;
-import brackenbridge.BalancerApi.Settings;
 import brackenbridge.config.SettingsParser;
+import brackenbridge.core.balancing.Balancer;
+import brackenbridge.core.balancing.BalancerApi.Endpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.ListKind;
+import brackenbridge.core.balancing.BalancerApi.Outcome;
+import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Request;
+import brackenbridge.core.balancing.BalancerApi.Settings;
 import brackenbridge.core.membership.DiscoveryCommand;
 import brackenbridge.core.membership.DiscoverySource;
 import brackenbridge.core.membership.DiscoveryWatch;
--- a/node/src/main/java/brackenbridge/wire/WireWriter.java
+++ b/node/src/main/java/brackenbridge/wire/WireWriter.java
@@ -1,6 +1,6 @@
 package brackenbridge.wire;
 
-import brackenbridge.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.Actions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
--- a/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
+++ b/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import brackenbridge.testing.Bytes;
 import java.util.List;
 import net.jqwik.api.ForAll;
--- a/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import brackenbridge.BalancerApi.EndpointState;
 import brackenbridge.clock.Clock;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import brackenbridge.counters.Counters;
 import brackenbridge.log.Log;
 import brackenbridge.testing.GoldenText;
--- a/node/src/test/java/brackenbridge/http/LoadReportTest.java
+++ b/node/src/test/java/brackenbridge/http/LoadReportTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerApi.Report;
 import brackenbridge.testing.Bytes;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
@@ -1,6 +1,6 @@
 package brackenbridge.wire;
 
-import brackenbridge.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerApi.Actions;
 import brackenbridge.testing.GoldenText;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
