--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -1,11 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.State.Attempt;
-import brackenbridge.core.balancing.State.Bucket;
-import brackenbridge.core.balancing.State.Call;
-import brackenbridge.core.balancing.State.Kind;
-import brackenbridge.core.balancing.State.Server;
-import brackenbridge.core.balancing.State.Standing;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -22,7 +16,7 @@
 
 /**
  * The decision module: Andersson and Kihl's controller. Its interface is {@link BalancerApi}, in
- * BalancerApi.java; what it keeps in mind is in State.java. docs/DESIGN.md says what was kept of the paper
+ * BalancerApi.java; docs/DESIGN.md says what was kept of the paper
  * and what was changed. One instance serves one sidecar, on one thread, and knows what its events told it.
  */
 public final class Balancer implements BalancerApi {
@@ -65,28 +59,28 @@
     private final Actions out;
     private final SplittableRandom random;
     private final SlowStart slowStart;
-    private final Map<String, Kind> kinds = new HashMap<>();
-    private final Map<String, Bucket> guarantees = new HashMap<>();
-    private final Map<String, Bucket> shares = new HashMap<>();
-    private final Bucket common = new Bucket();
+    private final Map<String, RequestClassState> kinds = new HashMap<>();
+    private final Map<String, TokenBucket> guarantees = new HashMap<>();
+    private final Map<String, TokenBucket> shares = new HashMap<>();
+    private final TokenBucket common = new TokenBucket();
     private int levels;
     private boolean anySafe;
-    private final Map<Long, Server> servers = new LinkedHashMap<>();
-    private final Map<Long, Call> calls = new HashMap<>();
-    private final PriorityQueue<Server> rotation = new PriorityQueue<>(
-            Comparator.<Server>comparingDouble(s -> s.pass).thenComparingLong(s -> s.id));
-    private final ArrayDeque<Server> idle = new ArrayDeque<>();
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-    private final PriorityQueue<Call> expiry = new PriorityQueue<>(
-            Comparator.<Call>comparingLong(c -> c.dropAt).thenComparingLong(c -> c.id));
-    private final ArrayDeque<Server> trials = new ArrayDeque<>();
+    private final Map<Long, ServerState> servers = new LinkedHashMap<>();
+    private final Map<Long, QueuedRequest> calls = new HashMap<>();
+    private final PriorityQueue<ServerState> rotation = new PriorityQueue<>(
+            Comparator.<ServerState>comparingDouble(s -> s.nextTurn).thenComparingLong(s -> s.id));
+    private final ArrayDeque<ServerState> idle = new ArrayDeque<>();
+    private final ArrayDeque<QueuedRequest> waiting = new ArrayDeque<>();
+    private final PriorityQueue<QueuedRequest> expiry = new PriorityQueue<>(
+            Comparator.<QueuedRequest>comparingLong(c -> c.expiresAt).thenComparingLong(c -> c.id));
+    private final ArrayDeque<ServerState> trials = new ArrayDeque<>();
     private final ServerOrder order = new ServerOrder();
     /** Those that were in reach when the order was last laid out, or came into it since. */
-    private final Set<Server> reached = new LinkedHashSet<>();
+    private final Set<ServerState> reached = new LinkedHashSet<>();
     /** Those at which calls wait, by the time at which they were first listed. */
-    private final TreeSet<Server> awaited = new TreeSet<>(Comparator.comparingLong(s -> s.number));
+    private final TreeSet<ServerState> awaited = new TreeSet<>(Comparator.comparingLong(s -> s.listIndex));
     /** Those that have left the list; each is forgotten with its last call. */
-    private final Set<Server> removed = new LinkedHashSet<>();
+    private final Set<ServerState> removed = new LinkedHashSet<>();
     private long listed;
     private int reach = LEAST_REACH;
     private double virtualTime;
@@ -122,20 +116,20 @@
         goBy(next);
         // Calls keep their class's rules; they are only ranked among the new levels.
         calls.values().forEach(c -> c.level = Math.min(c.level, levels - 1));
-        servers.values().forEach(s -> s.relay(levels, kinds.values()));
+        servers.values().forEach(s -> s.rebuildQueues(levels, kinds.values()));
         arrange(now);
     }
 
     /** What was learned of a class stays with its name. */
     private void goBy(Settings next) {
         settings = next;
-        Map<String, Kind> before = new HashMap<>(kinds);
+        Map<String, RequestClassState> before = new HashMap<>(kinds);
         kinds.clear();
         guarantees.clear();
         shares.clear();
         TreeSet<Double> worths = new TreeSet<>(Comparator.reverseOrder());
         for (RequestClass c : settings.classes()) {
-            kinds.put(c.name(), Kind.of(c, before.get(c.name())));
+            kinds.put(c.name(), RequestClassState.of(c, before.get(c.name())));
             worths.add(c.worth());
             if (!settings.tenants().isEmpty()) {
                 worths.add(c.worth() * settings.overShareWorth());
@@ -144,18 +138,18 @@
         List<Double> ranks = new ArrayList<>(worths);
         levels = ranks.size();
         boolean safe = false;
-        for (Kind k : kinds.values()) {
-            k.level = ranks.indexOf(k.is.worth());
+        for (RequestClassState k : kinds.values()) {
+            k.level = ranks.indexOf(k.rules.worth());
             k.overShareLevel = settings.tenants().isEmpty() ? k.level
-                    : ranks.indexOf(k.is.worth() * settings.overShareWorth());
-            safe |= k.is.effect() == Effect.SAFE;
+                    : ranks.indexOf(k.rules.worth() * settings.overShareWorth());
+            safe |= k.rules.effect() == Effect.SAFE;
         }
         anySafe = safe;
         for (Tenant t : settings.tenants()) {
             double quota = t.quotaPerSecond() / settings.peers();
-            guarantees.computeIfAbsent(t.name(), n -> new Bucket()).fill(quota / 16);
+            guarantees.computeIfAbsent(t.name(), n -> new TokenBucket()).setRate(quota / 16);
             if (quota > 0) {
-                shares.computeIfAbsent(t.name(), n -> new Bucket()).fill(quota);
+                shares.computeIfAbsent(t.name(), n -> new TokenBucket()).setRate(quota);
             }
         }
     }
@@ -169,30 +163,30 @@
         if (kind != ListKind.CHANGES) {
             Set<Long> named = new HashSet<>();
             entries.forEach(e -> named.add(e.id()));
-            for (Server s : servers.values()) {
+            for (ServerState s : servers.values()) {
                 if (!named.contains(s.id)) {
-                    list(s, new Endpoint(s.id, s.is.cell(), s.is.zone(), s.is.weight(), s.is.startedAt(),
+                    list(s, new Endpoint(s.id, s.endpoint.cell(), s.endpoint.zone(), s.endpoint.weight(), s.endpoint.startedAt(),
                             EndpointState.REMOVED));
                 }
             }
         }
         for (Endpoint e : entries) {
-            Server s = servers.computeIfAbsent(e.id(), id -> new Server(e, listed++, levels, now));
-            if (e.startedAt() != 0 && e.startedAt() != s.is.startedAt()) {
+            ServerState s = servers.computeIfAbsent(e.id(), id -> new ServerState(e, listed++, levels, now));
+            if (e.startedAt() != 0 && e.startedAt() != s.endpoint.startedAt()) {
                 // An earlier start than the one before was told by a wall clock that was set back meanwhile, so it
                 // does not say how long ago it was.
-                s.coldSince = e.startedAt() > s.is.startedAt() ? Math.min(e.startedAt(), now) : now;
-                s.budget.restarted(s.coldSince);
-                s.pace = 1;
-                s.latest = 0;
-                s.errors = 0;
-                s.strikes = 0;
+                s.warmingSince = e.startedAt() > s.endpoint.startedAt() ? Math.min(e.startedAt(), now) : now;
+                s.budget.restarted(s.warmingSince);
+                s.relativeTime = 1;
+                s.measuredTime = 0;
+                s.errorRatio = 0;
+                s.consecutiveEjections = 0;
                 comeBack(s);
             }
             list(s, e);
         }
         arrange(now);
-        for (Server s : List.copyOf(removed)) {
+        for (ServerState s : List.copyOf(removed)) {
             if (s.inFlight == 0) {
                 // Guards the count of those taken out: one that left while out would stay in it for good, and
                 // after a few such no failing server would ever be taken out again.
@@ -205,10 +199,10 @@
     }
 
     /** What the list says of a server now; its place in the order follows, nothing else does. */
-    private void list(Server s, Endpoint e) {
-        order.remove(s, s.is.zone());
+    private void list(ServerState s, Endpoint e) {
+        order.remove(s, s.endpoint.zone());
         removed.remove(s);
-        s.is = e;
+        s.endpoint = e;
         if (e.state() == EndpointState.UP) {
             order.add(s);
         } else if (e.state() == EndpointState.REMOVED) {
@@ -219,35 +213,35 @@
     /** Own zone first; in each zone the callers' arcs are spread evenly over the servers. */
     private void arrange(long now) {
         order.turn(settings.zone(), settings.me() * GOLDEN % 1);
-        List<Server> before = List.copyOf(reached);
-        before.forEach(s -> s.inReach = false);
+        List<ServerState> before = List.copyOf(reached);
+        before.forEach(s -> s.inSubset = false);
         reached.clear();
         for (int i = 0; i < order.size() && i < reach; i++) {
-            order.get(i).inReach = true;
+            order.get(i).inSubset = true;
             reached.add(order.get(i));
         }
         // First all turns, then the calls: guards against a call bound anew to a server that leaves as well.
-        before.stream().filter(s -> !s.inReach).forEach(this::endTurns);
-        List<Server> left = awaited.stream().filter(s -> !s.inReach).toList();
-        for (Server s : List.copyOf(reached)) {
+        before.stream().filter(s -> !s.inSubset).forEach(this::endTurns);
+        List<ServerState> left = awaited.stream().filter(s -> !s.inSubset).toList();
+        for (ServerState s : List.copyOf(reached)) {
             join(now, s);
         }
         left.forEach(s -> leave(now, s));
     }
 
-    private void join(long now, Server s) {
-        s.inReach = true;
+    private void join(long now, ServerState s) {
+        s.inSubset = true;
         reached.add(s);
-        if (s.inRotation || s.out) {
+        if (s.inRotation || s.ejected) {
             return;
         }
         s.inRotation = true;
-        s.pass = virtualTime + random.nextDouble() * stride(now, s);
+        s.nextTurn = virtualTime + random.nextDouble() * stride(now, s);
         rotation.add(s);
         free(now, s);
     }
 
-    private void endTurns(Server s) {
+    private void endTurns(ServerState s) {
         if (s.inRotation) {
             s.inRotation = false;
             rotation.remove(s);
@@ -255,13 +249,13 @@
     }
 
     /** The server takes no new calls; those waiting there are bound anew. */
-    private void leave(long now, Server s) {
+    private void leave(long now, ServerState s) {
         endTurns(s);
-        List<Call> moved = new ArrayList<>();
-        for (ArrayDeque<Call> q : s.queues) {
+        List<QueuedRequest> moved = new ArrayList<>();
+        for (ArrayDeque<QueuedRequest> q : s.queues) {
             moved.addAll(q);
         }
-        moved.sort(Comparator.comparingLong((Call c) -> c.arrival).thenComparingLong(c -> c.id));
+        moved.sort(Comparator.comparingLong((QueuedRequest c) -> c.arrival).thenComparingLong(c -> c.id));
         // All are let go first. Guards one that a joining server takes over against being placed again.
         moved.forEach(this::unhold);
         moved.forEach(c -> place(now, c));
@@ -271,7 +265,7 @@
 
     @Override
     public void onRequest(long now, Request r) {
-        Call c = admit(now, r, false);
+        QueuedRequest c = admit(now, r, false);
         if (c != null) {
             place(now, c);
         }
@@ -280,8 +274,8 @@
     /** Bound by the rotation and sent at once: until it is whole it holds no server from others. */
     @Override
     public void onLongRequest(long now, Request r) {
-        Call c = admit(now, r, true);
-        Server s = c == null ? null : bind(now, c);
+        QueuedRequest c = admit(now, r, true);
+        ServerState s = c == null ? null : bind(now, c);
         if (s != null && canAdmit(now, s)) {
             send(now, c, s);
         } else if (c != null) {
@@ -291,27 +285,27 @@
 
     @Override
     public void onWhole(long now, long request) {
-        Call c = calls.get(request);
-        if (c != null && c.coming) {
-            c.coming = false;
-            open += c.done ? 0 : 1;
+        QueuedRequest c = calls.get(request);
+        if (c != null && c.incomplete) {
+            c.incomplete = false;
+            open += c.finished ? 0 : 1;
             c.attempts.stream().filter(a -> !a.ended).forEach(this::count);
         }
     }
 
     /** The call, or null if it was refused. */
-    private Call admit(long now, Request r, boolean coming) {
+    private QueuedRequest admit(long now, Request r, boolean coming) {
         start(now);
-        Kind kind = kinds.get(r.className());
+        RequestClassState kind = kinds.get(r.className());
         if (kind == null) {
             throw new IllegalArgumentException("request of unknown class: " + r.className());
         }
         long left = Math.max(0, r.timeLeft());
         // An answer past the aim is worth little or nothing: the aim bounds tau.
-        long tau = Math.min(left, kind.is.aim());
-        Call c = new Call(r, kind, settings.maxAttempts(), now, tau, left);
+        long tau = Math.min(left, kind.rules.aim());
+        QueuedRequest c = new QueuedRequest(r, kind, settings.maxAttempts(), now, tau, left);
         calls.put(c.id, c);
-        c.coming = coming;
+        c.incomplete = coming;
         open += coming ? 0 : 1;
         // Guards the first clients: they may come seconds after the start, while no rate is known yet.
         firstAt = firstAt == Long.MIN_VALUE ? now : firstAt;
@@ -320,7 +314,7 @@
             finish(c, now);
             return null;
         }
-        c.dropAt = now + (c.level == 0 ? tau : (long) (tau * F));
+        c.expiresAt = now + (c.level == 0 ? tau : (long) (tau * F));
         return c;
     }
 
@@ -331,16 +325,16 @@
      * wait long and would keep every server busy. The less urgent a call, the smaller the part of that wait.
      * While the servers answer near their best they could do more: guards a surge against a rate that lags.
      */
-    private double admissible(long now, Call c) {
+    private double admissible(long now, QueuedRequest c) {
         double part = 0.75 * (levels == 1 ? 1 : 1 - 0.8 * c.level / (levels - 1));
         // A small floor: many callers that each keep a few calls too many open jam a slowed fleet.
         double floor = now - firstAt < SECOND ? LEAST_REACH : LEAST_OPEN;
-        double wait = c.tau * F - c.kind.base;
+        double wait = c.timeBudget * F - c.requestClass.bestMeanTime;
         double best = 0;
         double n = 1;
-        for (Kind k : kinds.values()) {
-            wait = k.level <= c.level ? Math.min(wait, k.is.aim() * F - k.base) : wait;
-            best += k.base * k.answers;
+        for (RequestClassState k : kinds.values()) {
+            wait = k.level <= c.level ? Math.min(wait, k.rules.aim() * F - k.bestMeanTime) : wait;
+            best += k.bestMeanTime * k.answers;
             n += k.answers;
         }
         double tau = best / n + part * Math.max(0, wait);
@@ -354,9 +348,9 @@
     private double meanTime() {
         double sum = 0;
         int n = 0;
-        for (Kind k : kinds.values()) {
-            if (k.mean > 0) {
-                sum += k.mean;
+        for (RequestClassState k : kinds.values()) {
+            if (k.meanTime > 0) {
+                sum += k.meanTime;
                 n++;
             }
         }
@@ -364,25 +358,25 @@
     }
 
     /** Priority follows worth; within the guaranteed rate d the bucket lifts a call to the top. */
-    private int level(long now, Call c, Request r) {
-        Bucket share = shares.get(r.tenant());
-        if (share != null && !share.take(now)) {
-            return c.kind.overShareLevel;
+    private int level(long now, QueuedRequest c, Request r) {
+        TokenBucket share = shares.get(r.tenant());
+        if (share != null && !share.tryTake(now)) {
+            return c.requestClass.overShareLevel;
         }
-        Bucket guaranteed = share == null ? common : guarantees.get(r.tenant());
-        return guaranteed.take(now) ? 0 : c.kind.level;
+        TokenBucket guaranteed = share == null ? common : guarantees.get(r.tenant());
+        return guaranteed.tryTake(now) ? 0 : c.requestClass.level;
     }
 
     // ---- Binding ----
 
     /** Binds a call by the rotation; a free server takes it at once, else it waits. */
-    private void place(long now, Call c) {
+    private void place(long now, QueuedRequest c) {
         if (!trials.isEmpty() && tryTrial(now, c)) {
             return;
         }
-        Server s = bind(now, c);
+        ServerState s = bind(now, c);
         if (s != null && (s.inFlight > 0 || !canAdmit(now, s))) {
-            Server other = idleFor(now, c);
+            ServerState other = idleFor(now, c);
             if (other == null && reach < order.inOwnZone()) {
                 join(now, order.get(reach++));
                 other = idleFor(now, c);
@@ -415,35 +409,35 @@
                 || rotation.size() < reach / 2 || congestion < ROOM;
     }
 
-    private Server bind(long now, Call c) {
-        Server first = null;
+    private ServerState bind(long now, QueuedRequest c) {
+        ServerState first = null;
         for (int i = 0; i < 4 && !rotation.isEmpty(); i++) {
-            Server s = rotation.poll();
-            virtualTime = Math.max(virtualTime, s.pass);
-            s.pass += stride(now, s);
+            ServerState s = rotation.poll();
+            virtualTime = Math.max(virtualTime, s.nextTurn);
+            s.nextTurn += stride(now, s);
             rotation.add(s);
             if (allowed(now, c, s)) {
-                if (!c.tried(s) && suits(now, c, s) && canAdmit(now, s)) {
+                if (!c.wasSentTo(s) && suits(now, c, s) && canAdmit(now, s)) {
                     return s;
                 }
                 first = first == null ? s : first;
             }
         }
-        if (first == null && c.mayHaveRun && allowed(now, c, c.ranAt) && !c.ranAt.out
-                && c.ranAt.is.state() == EndpointState.UP) {
-            return c.ranAt;
+        if (first == null && c.mayHaveRun && allowed(now, c, c.firstRunServer) && !c.firstRunServer.ejected
+                && c.firstRunServer.endpoint.state() == EndpointState.UP) {
+            return c.firstRunServer;
         }
         return first;
     }
 
-    private Server idleFor(long now, Call c) {
+    private ServerState idleFor(long now, QueuedRequest c) {
         for (int i = idle.size(); i > 0; i--) {
-            Server s = idle.poll();
+            ServerState s = idle.poll();
             s.isIdle = false;
             if (!s.inRotation || s.inFlight > 0) {
                 continue;
             }
-            if (suits(now, c, s) && !c.tried(s)) {
+            if (suits(now, c, s) && !c.wasSentTo(s)) {
                 return s;
             }
             s.isIdle = true;
@@ -456,70 +450,70 @@
     }
 
     /** Whether the rules let this call be sent to this server. */
-    private boolean allowed(long now, Call c, Server s) {
-        if (!c.mayHaveRun || c.kind.is.effect() == Effect.SAFE) {
+    private boolean allowed(long now, QueuedRequest c, ServerState s) {
+        if (!c.mayHaveRun || c.requestClass.rules.effect() == Effect.SAFE) {
             return true;
         }
-        if (c.kind.is.effect() == Effect.UNSAFE || now - c.ranSince >= c.kind.is.keyTtl()) {
+        if (c.requestClass.rules.effect() == Effect.UNSAFE || now - c.firstRunAt >= c.requestClass.rules.keyTtl()) {
             return false;
         }
-        Endpoint a = c.ranAt.is;
-        return switch (c.kind.is.dedupScope()) {
+        Endpoint a = c.firstRunServer.endpoint;
+        return switch (c.requestClass.rules.dedupScope()) {
             case ALL -> true;
-            case ZONE -> a.zone().equals(s.is.zone());
-            case CELL -> a.cell() >= 0 && a.cell() == s.is.cell();
+            case ZONE -> a.zone().equals(s.endpoint.zone());
+            case CELL -> a.cell() >= 0 && a.cell() == s.endpoint.cell();
         };
     }
 
     /** Allowed, and not a server that fails calls of this class while it serves others. */
-    private boolean suits(long now, Call c, Server s) {
-        return now >= s.standing(c.kind).avoidedUntil && allowed(now, c, s);
+    private boolean suits(long now, QueuedRequest c, ServerState s) {
+        return now >= s.health(c.requestClass).avoidedUntil && allowed(now, c, s);
     }
 
     /** The step of a server's turn: the inverse of its weight, while cold of the part it can do. */
-    private double stride(long now, Server s) {
+    private double stride(long now, ServerState s) {
         // A server clearly slower than its peers gets turns by the capacity it shows.
-        double shown = s.pace > SLOW ? Math.min(s.pace, 10) : 1;
-        return shown / (s.is.weight() * slowStart.warmth(now, s));
+        double shown = s.relativeTime > SLOW ? Math.min(s.relativeTime, 10) : 1;
+        return shown / (s.endpoint.weight() * slowStart.warmth(now, s));
     }
 
     /** Whether a server may be sent a request now: any warm one, and one that warms up within its budget. */
-    private boolean canAdmit(long now, Server s) {
+    private boolean canAdmit(long now, ServerState s) {
         return slowStart.isUnbounded(now, s)
                 || s.inFlight < window() && slowStart.canAdmit(now, s, order, reach, meanTime());
     }
 
     // ---- Queues and the tests of tau f ----
 
-    private void hold(long now, Call c, Server s) {
-        c.held = true;
-        c.bound = s;
+    private void hold(long now, QueuedRequest c, ServerState s) {
+        c.queued = true;
+        c.server = s;
         holding++;
         waiting.add(c);
         if (waiting.size() > 2 * holding + LEAST_REACH * LEAST_REACH) {
             // Guards memory where no server frees a slot, which alone would look through those that wait.
-            Set<Call> still = new LinkedHashSet<>(waiting);
+            Set<QueuedRequest> still = new LinkedHashSet<>(waiting);
             waiting.clear();
-            still.stream().filter(w -> w.held).forEach(waiting::add);
+            still.stream().filter(w -> w.queued).forEach(waiting::add);
         }
         if (s != null) {
             s.queues[c.level].add(c);
-            s.queued++;
+            s.queuedCount++;
             awaited.add(s);
         }
         expiry.add(c);
-        armExpiry(Math.max(now + 1, c.dropAt));
+        armExpiry(Math.max(now + 1, c.expiresAt));
     }
 
-    private void unhold(Call c) {
-        c.held = false;
+    private void unhold(QueuedRequest c) {
+        c.queued = false;
         holding--;
-        if (c.bound != null) {
-            c.bound.queues[c.level].remove(c);
-            if (--c.bound.queued == 0) {
-                awaited.remove(c.bound);
+        if (c.server != null) {
+            c.server.queues[c.level].remove(c);
+            if (--c.server.queuedCount == 0) {
+                awaited.remove(c.server);
             }
-            c.bound = null;
+            c.server = null;
         }
     }
 
@@ -531,27 +525,27 @@
     }
 
     /** A slot has freed: drop the late, then release the oldest at an urgent enough level. */
-    private void free(long now, Server s) {
+    private void free(long now, ServerState s) {
         if (!s.inRotation || s.inFlight >= window()) {
             return;
         }
-        for (ArrayDeque<Call> q : s.queues) {
+        for (ArrayDeque<QueuedRequest> q : s.queues) {
             while (!q.isEmpty() && hopeless(now, q.peek(), s)) {
                 drop(now, q.peek());
             }
         }
         // EQ 4: from the top, as far down as the queued calls can be done in time.
-        Call oldest = null;
+        QueuedRequest oldest = null;
         double ahead = 0;
         double tau = Double.POSITIVE_INFINITY;
         for (int j = 0; j < levels; j++) {
-            Call head = s.queues[j].peek();
-            ahead += s.queues[j].size() * s.latest;
+            QueuedRequest head = s.queues[j].peek();
+            ahead += s.queues[j].size() * s.measuredTime;
             if (head == null) {
                 continue;
             }
             // The nearest end among those that wait above decides how much may go first.
-            tau = Math.min(tau, head.tau - (now - head.arrival));
+            tau = Math.min(tau, head.timeBudget - (now - head.arrival));
             if (j > 0 && oldest != null && ahead >= tau * F) {
                 break;
             }
@@ -565,7 +559,7 @@
                 send(now, oldest, s);
             }
         } else if (slowStart.warmth(now, s) >= 1) {
-            Call c = oldestWaiting(now, s);
+            QueuedRequest c = oldestWaiting(now, s);
             if (c != null) {
                 send(now, c, s);
             } else if (!s.isIdle && s.inFlight == 0) {
@@ -576,13 +570,13 @@
     }
 
     /** The take-over: the oldest call that waits elsewhere and may go to this server. */
-    private Call oldestWaiting(long now, Server s) {
-        while (!waiting.isEmpty() && !waiting.peek().held) {
+    private QueuedRequest oldestWaiting(long now, ServerState s) {
+        while (!waiting.isEmpty() && !waiting.peek().queued) {
             waiting.poll();
         }
         int looked = 0;
-        for (Call c : waiting) {
-            if (c.held && suits(now, c, s)) {
+        for (QueuedRequest c : waiting) {
+            if (c.queued && suits(now, c, s)) {
                 unhold(c);
                 return c;
             }
@@ -594,27 +588,27 @@
     }
 
     /** EQ 3 below the top level; and a repeat whose window has closed while it waited, at any level. */
-    private boolean hopeless(long now, Call c, Server s) {
-        return !allowed(now, c, s) || c.level > 0 && measured(s, c) + (now - c.arrival) >= c.tau * F;
+    private boolean hopeless(long now, QueuedRequest c, ServerState s) {
+        return !allowed(now, c, s) || c.level > 0 && measured(s, c) + (now - c.arrival) >= c.timeBudget * F;
     }
 
     /** The measured time that a call of this class can expect at this server. */
-    private double measured(Server s, Call c) {
-        return s.latest == 0 ? 0 : s.pace * (c.kind.mean + c.kind.spread);
+    private double measured(ServerState s, QueuedRequest c) {
+        return s.measuredTime == 0 ? 0 : s.relativeTime * (c.requestClass.meanTime + c.requestClass.timeDeviation);
     }
 
-    private void drop(long now, Call c) {
+    private void drop(long now, QueuedRequest c) {
         dropped++;
         finish(c, now);
     }
 
     // ---- Dispatch ----
 
-    private void send(long now, Call c, Server s) {
+    private void send(long now, QueuedRequest c, ServerState s) {
         Attempt a = new Attempt(s, now);
         c.attempts.add(a);
-        c.outNow++;
-        if (!c.coming) {
+        c.attemptsInFlight++;
+        if (!c.incomplete) {
             count(a);
         }
         if (c.attempts.size() == 1) {
@@ -626,39 +620,39 @@
 
     @Override
     public void onWritten(long now, long request, int attempt) {
-        Call c = calls.get(request);
+        QueuedRequest c = calls.get(request);
         if (c != null && attempt >= 0 && attempt < c.attempts.size()) {
             slowStart.written(now, c.attempts.get(attempt));
         }
     }
 
     private void count(Attempt a) {
-        a.counted = true;
+        a.countsInFlight = true;
         a.server.inFlight++;
         inFlight++;
     }
 
     /** The final answer of the balancer's own: a refusal where that is true, else a failure. */
-    private void finish(Call c, long now) {
+    private void finish(QueuedRequest c, long now) {
         end(c);
-        if (!c.mayHaveRun && c.outNow == 0 || c.kind.is.effect() == Effect.SAFE
-                || c.kind.is.effect() == Effect.KEYED && c.kind.is.dedupScope() == DedupScope.ALL
-                && now - c.ranSince < c.kind.is.keyTtl() && c.mayHaveRun) {
+        if (!c.mayHaveRun && c.attemptsInFlight == 0 || c.requestClass.rules.effect() == Effect.SAFE
+                || c.requestClass.rules.effect() == Effect.KEYED && c.requestClass.rules.dedupScope() == DedupScope.ALL
+                && now - c.firstRunAt < c.requestClass.rules.keyTtl() && c.mayHaveRun) {
             out.refuse(c.id, retryAfter());
         } else {
             out.fail(c.id);
         }
     }
 
-    private void end(Call c) {
-        if (!c.done) {
-            c.done = true;
-            open -= c.coming ? 0 : 1;
+    private void end(QueuedRequest c) {
+        if (!c.finished) {
+            c.finished = true;
+            open -= c.incomplete ? 0 : 1;
         }
-        if (c.held) {
+        if (c.queued) {
             unhold(c);
         }
-        if (c.outNow == 0) {
+        if (c.attemptsInFlight == 0) {
             calls.remove(c.id);
         }
     }
@@ -667,7 +661,7 @@
 
     @Override
     public void onFirstByte(long now, long request, int attempt) {
-        Call c = calls.get(request);
+        QueuedRequest c = calls.get(request);
         if (c != null) {
             c.mayHaveRun = true;
             end(c);
@@ -677,143 +671,143 @@
     @Override
     public void onOutcome(long now, long request, int attempt, boolean ended, Outcome outcome, long latency,
             Report report) {
-        Call c = calls.get(request);
+        QueuedRequest c = calls.get(request);
         if (c == null || attempt < 0 || attempt >= c.attempts.size() || c.attempts.get(attempt).ended) {
             return;
         }
         Attempt a = c.attempts.get(attempt);
-        Server s = a.server;
+        ServerState s = a.server;
         a.ended = true;
         slowStart.written(now, a);
-        c.outNow--;
-        if (a.counted) {
+        c.attemptsInFlight--;
+        if (a.countsInFlight) {
             s.inFlight--;
             inFlight--;
         }
         if (!outcome.neverRan && !c.mayHaveRun) {
             c.mayHaveRun = true;
-            c.ranSince = a.sentAt;
-            c.ranAt = s;
+            c.firstRunAt = a.sentAt;
+            c.firstRunServer = s;
         }
         // Of a server that has left, and that only a long request held on to, nothing is to be learned.
         if (servers.get(s.id) == s) {
             learn(now, c, a, outcome, Math.max(1, latency));
-            if (s.out && s.backAt == Long.MAX_VALUE) {
+            if (s.ejected && s.ejectedUntil == Long.MAX_VALUE) {
                 // Guards a server whose trial has told nothing of it: it would be out for good.
-                s.backAt = now;
+                s.ejectedUntil = now;
             }
         }
-        if (ended || c.done) {
+        if (ended || c.finished) {
             end(c);
-        } else if (c.outNow == 0) {
+        } else if (c.attemptsInFlight == 0) {
             tryAgain(now, c, outcome);
         }
         free(now, s);
     }
 
-    private void learn(long now, Call c, Attempt a, Outcome outcome, long latency) {
-        Server s = a.server;
+    private void learn(long now, QueuedRequest c, Attempt a, Outcome outcome, long latency) {
+        ServerState s = a.server;
         boolean silent = outcome == Outcome.TIMEOUT || outcome == Outcome.RESET;
         if (silent && c.deadline - a.sentAt < BRIEF) {
             return;
         }
         boolean failed = outcome == Outcome.ERROR || outcome == Outcome.RESET;
-        s.errors += NEWEST * ((failed ? 1 : 0) - s.errors);
-        c.kind.errors += NEWEST / 10 * ((outcome == Outcome.ERROR ? 1 : 0) - c.kind.errors);
-        Standing standing = s.standing(c.kind);
-        if (outcome == Outcome.ERROR && ++standing.fails > (c.kind.errors < SELDOM ? 0 : 1)) {
+        s.errorRatio += NEWEST * ((failed ? 1 : 0) - s.errorRatio);
+        c.requestClass.errorRatio += NEWEST / 10 * ((outcome == Outcome.ERROR ? 1 : 0) - c.requestClass.errorRatio);
+        EndpointHealth standing = s.health(c.requestClass);
+        if (outcome == Outcome.ERROR && ++standing.consecutiveErrors > (c.requestClass.errorRatio < SELDOM ? 0 : 1)) {
             // Guards a class that only some servers fail and that may not be repeated: the others still earn.
             // Where the whole fleet fails it, as in an overload, one error says nothing of the server.
-            long avoid = SECOND << Math.min(standing.fails - 1, 3);
+            long avoid = SECOND << Math.min(standing.consecutiveErrors - 1, 3);
             standing.avoidedUntil = now + avoid / 2 + (long) (random.nextDouble() * avoid);
         }
         if (outcome == Outcome.OK) {
-            Kind k = c.kind;
-            k.spread += 0.02 * (Math.abs(latency - k.mean) - k.spread);
-            k.mean = k.mean == 0 ? latency : k.mean + 0.02 * (latency - k.mean);
-            s.latest = s.latest == 0 ? latency : s.latest + NEWEST * (latency - s.latest);
-            s.pace += NEWEST * (latency / k.mean - s.pace);
+            RequestClassState k = c.requestClass;
+            k.timeDeviation += 0.02 * (Math.abs(latency - k.meanTime) - k.timeDeviation);
+            k.meanTime = k.meanTime == 0 ? latency : k.meanTime + 0.02 * (latency - k.meanTime);
+            s.measuredTime = s.measuredTime == 0 ? latency : s.measuredTime + NEWEST * (latency - s.measuredTime);
+            s.relativeTime += NEWEST * (latency / k.meanTime - s.relativeTime);
             answered++;
             k.answers++;
             // Guards against a server that fails some calls and serves others: it is out longer each time.
-            s.strikes = s.errors < FORGIVEN ? 0 : s.strikes;
-            standing.fails = 0;
-            if (s.out) {
+            s.consecutiveEjections = s.errorRatio < FORGIVEN ? 0 : s.consecutiveEjections;
+            standing.consecutiveErrors = 0;
+            if (s.ejected) {
                 comeBack(s);
-                if (s.inReach) {
+                if (s.inSubset) {
                     join(now, s);
                 }
             }
         } else if (outcome == Outcome.FULL) {
             // Guards a jammed server against the calls of all who find it full, and these against each other.
             pause(now, s, SECOND / 10);
-        } else if (failed && s.errors > (outcome == Outcome.RESET ? OFTEN : MOSTLY)) {
+        } else if (failed && s.errorRatio > (outcome == Outcome.RESET ? OFTEN : MOSTLY)) {
             // Guards against a server that fails at once: it is free at once and draws ever more calls. A
             // connection that breaks may be the network's fault, two in a row are the server's.
-            s.errors = NEWEST;
+            s.errorRatio = NEWEST;
             strike(now, s);
         } else if (outcome == Outcome.CONNECT_FAILED
-                || outcome == Outcome.TIMEOUT && latency >= c.kind.mean + c.kind.spread) {
+                || outcome == Outcome.TIMEOUT && latency >= c.requestClass.meanTime + c.requestClass.timeDeviation) {
             // Guards servers against calls that came with less time than an answer takes: they tell nothing.
             strike(now, s);
         }
     }
 
     /** Out of the rotation for a while, longer each time; but never most of the fleet. */
-    private void strike(long now, Server s) {
-        if (s.out && s.backAt < Long.MAX_VALUE) {
+    private void strike(long now, ServerState s) {
+        if (s.ejected && s.ejectedUntil < Long.MAX_VALUE) {
             // Guards against one failure that counts once for each call that was out to the server.
             return;
         }
-        s.strikes++;
-        pause(now, s, SECOND / 2 << Math.min(s.strikes - 1, 4));
+        s.consecutiveEjections++;
+        pause(now, s, SECOND / 2 << Math.min(s.consecutiveEjections - 1, 4));
     }
 
-    private void pause(long now, Server s, long pause) {
-        if (s.out || ejected * 2 < order.size()) {
-            if (!s.out) {
-                s.out = true;
+    private void pause(long now, ServerState s, long pause) {
+        if (s.ejected || ejected * 2 < order.size()) {
+            if (!s.ejected) {
+                s.ejected = true;
                 ejected++;
             }
-            s.backAt = now + pause / 2 + (long) (random.nextDouble() * pause);
+            s.ejectedUntil = now + pause / 2 + (long) (random.nextDouble() * pause);
             leave(now, s);
         }
     }
 
-    private void comeBack(Server s) {
-        if (s.out) {
-            s.out = false;
+    private void comeBack(ServerState s) {
+        if (s.ejected) {
+            s.ejected = false;
             ejected--;
             trials.remove(s);
         }
     }
 
     /** A server that may be well again is tried with one call, of a safe class where there is one. */
-    private boolean tryTrial(long now, Call c) {
+    private boolean tryTrial(long now, QueuedRequest c) {
         // Guards a server that nobody tries: where none but urgent or unsafe calls come, one of them has to.
-        boolean any = rotation.isEmpty() || now >= trials.peek().backAt + SECOND;
-        if (!any && (anySafe && c.kind.is.effect() != Effect.SAFE || c.level == 0 && levels > 1)) {
+        boolean any = rotation.isEmpty() || now >= trials.peek().ejectedUntil + SECOND;
+        if (!any && (anySafe && c.requestClass.rules.effect() != Effect.SAFE || c.level == 0 && levels > 1)) {
             return false;
         }
-        Server s = trials.poll();
-        if (s.is.state() != EndpointState.UP || !s.out || s.inFlight > 0 || !allowed(now, c, s)
+        ServerState s = trials.poll();
+        if (s.endpoint.state() != EndpointState.UP || !s.ejected || s.inFlight > 0 || !allowed(now, c, s)
                 || !canAdmit(now, s)) {
             return false;
         }
-        s.backAt = Long.MAX_VALUE;
+        s.ejectedUntil = Long.MAX_VALUE;
         send(now, c, s);
         return true;
     }
 
     /** Another attempt where the effect allows it, the time suffices and the budget is not spent. */
-    private void tryAgain(long now, Call c, Outcome outcome) {
-        boolean may = c.attempts.size() < c.maxAttempts && now < c.arrival + c.tau
+    private void tryAgain(long now, QueuedRequest c, Outcome outcome) {
+        boolean may = c.attempts.size() < c.maxAttempts && now < c.arrival + c.timeBudget
                 && outcome != Outcome.MOOT && outcome != Outcome.CANCELLED;
         double cost = outcome == Outcome.FAILED_LOCALLY ? 0 : 1;
-        may &= retryBudget >= cost && (!c.mayHaveRun || c.kind.is.effect() != Effect.UNSAFE);
+        may &= retryBudget >= cost && (!c.mayHaveRun || c.requestClass.rules.effect() != Effect.UNSAFE);
         if (may) {
             retryBudget -= cost;
-            c.dropAt = Math.max(c.dropAt, c.arrival + (long) (c.tau * F));
+            c.expiresAt = Math.max(c.expiresAt, c.arrival + (long) (c.timeBudget * F));
             place(now, c);
         } else {
             finish(c, now);
@@ -822,7 +816,7 @@
 
     @Override
     public void onGone(long now, long request) {
-        Call c = calls.get(request);
+        QueuedRequest c = calls.get(request);
         if (c != null) {
             end(c);
         }
@@ -859,14 +853,14 @@
     public void onTimer(long now, String token) {
         if (token.equals("expiry")) {
             expiryTimer = Long.MAX_VALUE;
-            while (!expiry.isEmpty() && (expiry.peek().dropAt <= now || !expiry.peek().held)) {
-                Call c = expiry.poll();
-                if (c.held) {
+            while (!expiry.isEmpty() && (expiry.peek().expiresAt <= now || !expiry.peek().queued)) {
+                QueuedRequest c = expiry.poll();
+                if (c.queued) {
                     drop(now, c);
                 }
             }
             if (!expiry.isEmpty()) {
-                armExpiry(expiry.peek().dropAt);
+                armExpiry(expiry.peek().expiresAt);
             }
         } else if (token.equals("tick")) {
             tick(now);
@@ -881,20 +875,20 @@
         ratePerSecond = Math.max(answeredPerSecond, answered / elapsed);
         slowStart.tick(now, elapsed, answered, order, reach);
         answered = 0;
-        common.fill(answeredPerSecond / 20);
+        common.setRate(answeredPerSecond / 20);
         double sum = 0;
         int n = 0;
-        for (Kind k : kinds.values()) {
+        for (RequestClassState k : kinds.values()) {
             if (k.answers >= ENOUGH) {
-                k.base = k.base == 0 ? k.mean : Math.min(k.base * BASE_RISE, k.mean);
-                sum += k.mean / k.base;
+                k.bestMeanTime = k.bestMeanTime == 0 ? k.meanTime : Math.min(k.bestMeanTime * BASE_RISE, k.meanTime);
+                sum += k.meanTime / k.bestMeanTime;
                 n++;
             }
         }
         congestion = n == 0 ? 1 : sum / n;
         for (int i = 0; i < order.size() && i < reach; i++) {
-            Server s = order.get(i);
-            if (s.out && s.inFlight == 0 && s.backAt <= now && s.inReach && !trials.contains(s)) {
+            ServerState s = order.get(i);
+            if (s.ejected && s.inFlight == 0 && s.ejectedUntil <= now && s.inSubset && !trials.contains(s)) {
                 trials.add(s);
             }
         }
@@ -906,9 +900,9 @@
                 join(now, order.get(reach++));
             }
         } else if (reach > LEAST_REACH && reach > 2 * peakNeed + 2) {
-            Server s = order.size() > --reach ? order.get(reach) : null;
+            ServerState s = order.size() > --reach ? order.get(reach) : null;
             if (s != null) {
-                s.inReach = false;
+                s.inSubset = false;
                 reached.remove(s);
                 leave(now, s);
             }
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
@@ -0,0 +1,43 @@
+package brackenbridge.core.balancing;
+
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+
+/** A request class and what was measured of it; times are in microseconds. */
+final class RequestClassState {
+    final RequestClass rules;
+    /** Priority level; 0 is the most urgent. */
+    int level;
+    /** Priority level of a request beyond its tenant's quota. */
+    int overShareLevel;
+    /** Moving average of the response time; 0 before the first response. */
+    double meanTime;
+    /** Moving average of the response time's distance from its mean. */
+    double timeDeviation;
+    /** Least mean response time of late; 0 until enough responses have come. */
+    double bestMeanTime;
+
+    /** Successful responses so far. */
+    long answers;
+    /** Moving average of the share of errors among the outcomes at all servers. */
+    double errorRatio;
+
+    private RequestClassState(RequestClass rules) {
+        this.rules = rules;
+    }
+
+    /** The state of a class under these rules, with what was measured before; {@code before} itself if they are equal. */
+    static RequestClassState of(RequestClass rules, RequestClassState before) {
+        if (before != null && before.rules.equals(rules)) {
+            return before;
+        }
+        RequestClassState state = new RequestClassState(rules);
+        if (before != null) {
+            state.meanTime = before.meanTime;
+            state.timeDeviation = before.timeDeviation;
+            state.bestMeanTime = before.bestMeanTime;
+            state.answers = before.answers;
+            state.errorRatio = before.errorRatio;
+        }
+        return state;
+    }
+}
--- a/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -1,6 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.State.Server;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -19,21 +18,21 @@
  * others have moved it by more. Guards warm connections: each step would bring a server into reach that has none.
  */
 final class ServerOrder {
-    private static final Comparator<Server> BY_PLACE =
-            Comparator.<Server>comparingDouble(s -> s.place).thenComparingLong(s -> s.id);
+    private static final Comparator<ServerState> BY_PLACE =
+            Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id);
 
     /** The part of a ring to which a caller's beginning is exact; a ring with fewer servers is exact to one. */
     private static final int GRAINS = 256;
 
     /** The servers of one zone, sorted by their places. */
     private static final class Ring {
-        final List<Server> servers = new ArrayList<>();
+        final List<ServerState> servers = new ArrayList<>();
         /** The server at which the caller began when the order was last laid out; null before. */
-        private Server first;
+        private ServerState first;
 
         private int from;
 
-        int find(Server s) {
+        int find(ServerState s) {
             return Collections.binarySearch(servers, s, BY_PLACE);
         }
 
@@ -46,7 +45,7 @@
         }
 
         /** The place of a server, or of the one that follows if it has left. */
-        private int place(Server s) {
+        private int place(ServerState s) {
             int at = find(s);
             return (at >= 0 ? at : -at - 1) % servers.size();
         }
@@ -56,7 +55,7 @@
             return Math.min(apart, servers.size() - apart);
         }
 
-        Server get(int place) {
+        ServerState get(int place) {
             return servers.get((from + place) % servers.size());
         }
     }
@@ -70,11 +69,11 @@
     private String ownZone;
     private Ring own = NONE;
     /** What follows the own zone; null until it is asked for. */
-    private List<Server> others;
+    private List<ServerState> others;
 
     /** Adds a server under the zone that its endpoint names now. */
-    void add(Server s) {
-        Ring ring = zones.computeIfAbsent(s.is.zone(), z -> new Ring());
+    void add(ServerState s) {
+        Ring ring = zones.computeIfAbsent(s.endpoint.zone(), z -> new Ring());
         int at = ring.find(s);
         if (at < 0) {
             ring.servers.add(-at - 1, s);
@@ -83,7 +82,7 @@
     }
 
     /** Removes a server from the zone that it was added under. */
-    void remove(Server s, String zone) {
+    void remove(ServerState s, String zone) {
         Ring ring = zones.getOrDefault(zone, NONE);
         int at = ring.find(s);
         if (at >= 0) {
@@ -114,7 +113,7 @@
     }
 
     /** The server at this place of the order, from 0. */
-    Server get(int place) {
+    ServerState get(int place) {
         if (place < inOwnZone()) {
             return own.get(place);
         }
@@ -125,7 +124,7 @@
     }
 
     /** One server of each other zone by turns, the zone whose first has the lowest number before the others. */
-    private List<Server> layOutOthers() {
+    private List<ServerState> layOutOthers() {
         List<Ring> rings = new ArrayList<>();
         zones.forEach((zone, ring) -> {
             if (!zone.equals(ownZone)) {
@@ -134,7 +133,7 @@
         });
         rings.sort(Comparator.comparingLong(ring -> ring.get(0).id));
         int beyond = size - inOwnZone();
-        List<Server> order = new ArrayList<>(beyond);
+        List<ServerState> order = new ArrayList<>(beyond);
         for (int i = 0; order.size() < beyond; i++) {
             for (Ring ring : rings) {
                 if (i < ring.servers.size()) {
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -2,8 +2,6 @@
 
 import brackenbridge.core.balancing.BalancerApi.Actions;
 import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.State.Attempt;
-import brackenbridge.core.balancing.State.Server;
 import java.util.SplittableRandom;
 
 /**
@@ -44,22 +42,22 @@
     }
 
     /** The part of its capacity that a server has now. */
-    double warmth(long now, Server s) {
-        if (s.coldSince <= 0) {
+    double warmth(long now, ServerState s) {
+        if (s.warmingSince <= 0) {
             return 1;
         }
-        double age = Math.max(0, now - s.coldSince) / (double) Math.max(1, settings.warmAfter());
+        double age = Math.max(0, now - s.warmingSince) / (double) Math.max(1, settings.warmAfter());
         return age >= 1 ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * age;
     }
 
     /** Whether a server may be sent any number of requests. */
-    boolean isUnbounded(long now, Server s) {
+    boolean isUnbounded(long now, ServerState s) {
         return settings.fall() == 0 || warmth(now, s) >= 1;
     }
 
     /** Whether the budget of a server that warms up has room for a request; the first servers are those in reach. */
-    boolean canAdmit(long now, Server s, ServerOrder servers, int reach, double meanTime) {
-        long settled = out.tellsWritten() ? s.coldSince + settings.network().connectTimeout() : now;
+    boolean canAdmit(long now, ServerState s, ServerOrder servers, int reach, double meanTime) {
+        long settled = out.tellsWritten() ? s.warmingSince + settings.network().connectTimeout() : now;
         double share = share(now, s, servers, reach, meanTime);
         return s.budget.allows(now, share, settings.fall(), random, settled);
     }
@@ -69,15 +67,15 @@
      * gets answered for each unit of capacity in its reach, or, if that is more, by its share of one request at a
      * time at each server.
      */
-    private double share(long now, Server s, ServerOrder servers, int reach, double meanTime) {
+    private double share(long now, ServerState s, ServerOrder servers, int reach, double meanTime) {
         int near = Math.min(reach, servers.size());
         double weights = 0;
         for (int i = 0; i < near; i++) {
-            weights += servers.get(i).is.weight();
+            weights += servers.get(i).endpoint.weight();
         }
         double least = near / (weights * meanTime * settings.peers());
         double perUnit = Math.max(answeredPerCapacity / SECOND, least);
-        double share = settings.fallMultiple() * perUnit * s.is.weight() * warmth(now, s) * settings.fall();
+        double share = settings.fallMultiple() * perUnit * s.endpoint.weight() * warmth(now, s) * settings.fall();
         return share * SlowStartLimit.usable(share, settings.peers()) * (1 - unknownPart(now, s));
     }
 
@@ -85,8 +83,8 @@
      * The part of the last window, within the server's life, of which this process doesn't know what its node sent.
      * The share of that time counts as sent: by the process before, or under settings that counted a shorter time.
      */
-    private double unknownPart(long now, Server s) {
-        long from = Math.max(now - settings.fall(), s.coldSince);
+    private double unknownPart(long now, ServerState s) {
+        long from = Math.max(now - settings.fall(), s.warmingSince);
         return Math.max(0, countedSince - from) / (double) settings.fall();
     }
 
@@ -109,7 +107,7 @@
     private double capacity(long now, ServerOrder servers, int reach) {
         double capacity = 0;
         for (int i = 0; i < servers.size() && i < reach; i++) {
-            capacity += servers.get(i).is.weight() * warmth(now, servers.get(i));
+            capacity += servers.get(i).endpoint.weight() * warmth(now, servers.get(i));
         }
         return capacity;
     }
@@ -117,7 +115,7 @@
     /** The attempt is being sent; warm servers' requests count too, their start may be told late. */
     void sent(long now, Attempt a) {
         if (settings.fall() > 0) {
-            a.held = a.server.budget.spend(now, settings.fall());
+            a.reservedBudget = a.server.budget.spend(now, settings.fall());
             if (!out.tellsWritten()) {
                 written(now, a);
             }
@@ -126,9 +124,9 @@
 
     /** The attempt's request has reached its server, or never will. */
     void written(long now, Attempt a) {
-        if (a.held > 0) {
-            a.server.budget.written(now, a.held, Math.max(1, settings.fall()));
-            a.held = 0;
+        if (a.reservedBudget > 0) {
+            a.server.budget.written(now, a.reservedBudget, Math.max(1, settings.fall()));
+            a.reservedBudget = 0;
         }
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
@@ -5,7 +5,6 @@
 
 import brackenbridge.core.balancing.BalancerApi.Endpoint;
 import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.State.Server;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -23,25 +22,25 @@
 
     private final SplittableRandom random = new SplittableRandom(11);
     private final ServerOrder order = new ServerOrder();
-    private final List<Server> up = new ArrayList<>();
+    private final List<ServerState> up = new ArrayList<>();
 
-    private Server server(long id) {
+    private ServerState server(long id) {
         Endpoint endpoint = new Endpoint(id, -1, ZONES[random.nextInt(ZONES.length)], 1, 0, EndpointState.UP);
-        return new Server(endpoint, id, 1, 0);
+        return new ServerState(endpoint, id, 1, 0);
     }
 
     @Test
     void changesOneByOneGiveTheOrderOfAllServersLaidOutAnew() {
         for (int change = 0; change < CHANGES; change++) {
             if (up.size() < MOST_SERVERS && random.nextInt(up.size() + 1) < MOST_SERVERS / 2) {
-                Server joins = server(change);
+                ServerState joins = server(change);
                 up.add(joins);
                 order.add(joins);
                 order.add(joins);
             } else {
-                Server leaves = up.remove(random.nextInt(up.size()));
-                order.remove(leaves, leaves.is.zone());
-                order.remove(leaves, leaves.is.zone());
+                ServerState leaves = up.remove(random.nextInt(up.size()));
+                order.remove(leaves, leaves.endpoint.zone());
+                order.remove(leaves, leaves.endpoint.zone());
             }
             String zone = random.nextInt(10) == 0 ? "nowhere" : ZONES[random.nextInt(ZONES.length)];
             double start = random.nextDouble();
@@ -59,20 +58,20 @@
     }
 
     private List<Long> laidOut(String zone, double start) {
-        TreeMap<String, List<Server>> zones = new TreeMap<>();
-        for (Server s : up) {
-            zones.computeIfAbsent(s.is.zone(), z -> new ArrayList<>()).add(s);
+        TreeMap<String, List<ServerState>> zones = new TreeMap<>();
+        for (ServerState s : up) {
+            zones.computeIfAbsent(s.endpoint.zone(), z -> new ArrayList<>()).add(s);
         }
         zones.replaceAll((name, servers) -> turned(servers, start));
-        List<Server> own = zones.getOrDefault(zone, List.of());
+        List<ServerState> own = zones.getOrDefault(zone, List.of());
         assertEquals(own.size(), order.inOwnZone());
         List<Long> all = new ArrayList<>();
         own.forEach(s -> all.add(s.id));
         zones.remove(zone);
-        List<List<Server>> others = new ArrayList<>(zones.values());
+        List<List<ServerState>> others = new ArrayList<>(zones.values());
         others.sort(Comparator.comparingLong(servers -> servers.get(0).id));
         for (int i = 0; all.size() < up.size(); i++) {
-            for (List<Server> servers : others) {
+            for (List<ServerState> servers : others) {
                 if (i < servers.size()) {
                     all.add(servers.get(i).id);
                 }
@@ -81,11 +80,11 @@
         return all;
     }
 
-    private static List<Server> turned(List<Server> zone, double start) {
-        List<Server> sorted = new ArrayList<>(zone);
-        sorted.sort(Comparator.<Server>comparingDouble(s -> s.place).thenComparingLong(s -> s.id));
+    private static List<ServerState> turned(List<ServerState> zone, double start) {
+        List<ServerState> sorted = new ArrayList<>(zone);
+        sorted.sort(Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id));
         int from = (int) (start * sorted.size());
-        List<Server> arc = new ArrayList<>(sorted.subList(from, sorted.size()));
+        List<ServerState> arc = new ArrayList<>(sorted.subList(from, sorted.size()));
         arc.addAll(sorted.subList(0, from));
         return arc;
     }
@@ -97,7 +96,7 @@
         int grain = servers / 256;
         double start = 0.56;
         for (int id = 0; id < servers; id++) {
-            Server joins = serverIn("a", id);
+            ServerState joins = serverIn("a", id);
             up.add(joins);
             order.add(joins);
         }
@@ -106,11 +105,11 @@
         int entered = 0;
         for (int change = 0; change < 2 * servers; change++) {
             if (up.size() < servers) {
-                Server joins = serverIn("a", servers + change);
+                ServerState joins = serverIn("a", servers + change);
                 up.add(joins);
                 order.add(joins);
             } else {
-                Server leaves = up.remove(random.nextInt(up.size()));
+                ServerState leaves = up.remove(random.nextInt(up.size()));
                 order.remove(leaves, "a");
             }
             order.turn("a", start);
@@ -127,8 +126,8 @@
         assertTrue(entered < 10 * reach, "servers that came into reach: " + entered);
     }
 
-    private Server serverIn(String zone, long id) {
-        return new Server(new Endpoint(id, -1, zone, 1, 0, EndpointState.UP), id, 1, 0);
+    private ServerState serverIn(String zone, long id) {
+        return new ServerState(new Endpoint(id, -1, zone, 1, 0, EndpointState.UP), id, 1, 0);
     }
 
     private List<Long> prefix(int length) {
