--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
@@ -0,0 +1,221 @@
+package brackenbridge.core.balancing;
+
+import brackenbridge.core.balancing.BalancerApi.Effect;
+import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.BalancerApi.Outcome;
+import java.util.ArrayDeque;
+import java.util.SplittableRandom;
+
+/**
+ * Passive health checks: learns from the outcomes of attempts, ejects servers that are outliers, for longer each time, and
+ * readmits each after a trial with one request. At most half of the servers are ejected.
+ */
+final class OutlierDetection {
+    private static final long SECOND = 1_000_000;
+    /** Weight of the newest outcome in a server's moving averages. */
+    private static final double SERVER_GAIN = 0.3;
+    /** Weight of the newest outcome in a class's error ratio. */
+    private static final double CLASS_ERROR_GAIN = SERVER_GAIN / 10;
+    /** Weight of the newest response in a class's response time. */
+    private static final double CLASS_TIME_GAIN = 0.02;
+    /** Error ratio of a server above which an error ejects it. */
+    private static final double OUTLIER_ERROR_RATIO = 0.6;
+    /** Error ratio of a server above which a broken connection ejects it: the second in a row. */
+    private static final double OUTLIER_RESET_RATIO = 0.4;
+    /** Error ratio of a server below which its ejections are forgotten. */
+    private static final double RECOVERED_ERROR_RATIO = 0.1;
+    /** Error ratio of a class up to which each error is put down to the server. */
+    private static final double CLASS_ERROR_RATIO = 0.2;
+    /** A server may drop a request with less time left than this, in microseconds, which tells nothing of it. */
+    private static final long MIN_INFORMATIVE_TIME = SECOND / 40;
+    /** Ejection time of the first ejection, in microseconds, on average; it doubles with each further one. */
+    private static final long BASE_EJECTION_TIME = SECOND / 2;
+
+    private static final int MAX_EJECTION_DOUBLINGS = 4;
+    /** Ejection time of a server that rejected a request for want of capacity, in microseconds, on average. */
+    private static final long FULL_EJECTION_TIME = SECOND / 10;
+    /** Time for which a class avoids a server after an error, in microseconds, on average; it doubles as well. */
+    private static final long BASE_AVOIDANCE_TIME = SECOND;
+
+    private static final int MAX_AVOIDANCE_DOUBLINGS = 3;
+    /** Time after which any request may be a trial, in microseconds. */
+    private static final long MAX_TRIAL_DELAY = SECOND;
+
+    /** What an outcome changed for its server. */
+    enum Change {
+        /** Nothing. */
+        NONE,
+        /** It is ejected: its queued requests go elsewhere. */
+        EJECTED,
+        /** It is readmitted. */
+        READMITTED
+    }
+
+    private final RequestClasses classes;
+    private final ServerOrder order;
+    private final SplittableRandom random;
+    /** The ejected servers whose time is over and that wait for a trial. */
+    private final ArrayDeque<ServerState> trials = new ArrayDeque<>();
+
+    private int ejected;
+
+    OutlierDetection(RequestClasses classes, ServerOrder order, SplittableRandom random) {
+        this.classes = classes;
+        this.order = order;
+        this.random = random;
+    }
+
+    /** How many servers are ejected. */
+    int ejected() {
+        return ejected;
+    }
+
+    /** Whether a request is allowed at a server that doesn't fail its class while it serves others. */
+    static boolean suits(long now, QueuedRequest request, ServerState server) {
+        return now >= server.health(request.requestClass).avoidedUntil && IdempotencyRules.allow(now, request, server);
+    }
+
+    /**
+     * Learns from the outcome of an attempt.
+     *
+     * @param latency microseconds from the send, at least 1
+     */
+    Change onOutcome(long now, QueuedRequest request, Attempt attempt, Outcome outcome, long latency) {
+        boolean noAnswer = outcome == Outcome.TIMEOUT || outcome == Outcome.RESET;
+        if (noAnswer && request.deadline - attempt.sentAt < MIN_INFORMATIVE_TIME) {
+            return Change.NONE;
+        }
+        ServerState server = attempt.server;
+        RequestClassState requestClass = request.requestClass;
+        boolean failed = outcome == Outcome.ERROR || outcome == Outcome.RESET;
+        server.errorRatio += SERVER_GAIN * ((failed ? 1 : 0) - server.errorRatio);
+        requestClass.errorRatio += CLASS_ERROR_GAIN * ((outcome == Outcome.ERROR ? 1 : 0) - requestClass.errorRatio);
+        if (outcome == Outcome.ERROR) {
+            avoidForClass(now, requestClass, server.health(requestClass));
+        }
+        if (outcome == Outcome.OK) {
+            return onSuccess(server, requestClass, latency);
+        }
+        if (outcome == Outcome.FULL) {
+            // Spares a server without capacity the requests of all who find it so.
+            return eject(now, server, FULL_EJECTION_TIME);
+        }
+        if (failed && server.errorRatio > (outcome == Outcome.RESET ? OUTLIER_RESET_RATIO : OUTLIER_ERROR_RATIO)) {
+            // A server that fails at once is free at once and would draw ever more requests. A connection that breaks
+            // may be the network's fault, two in a row are the server's.
+            server.errorRatio = SERVER_GAIN;
+            return ejectForLonger(now, server);
+        }
+        if (outcome == Outcome.CONNECT_FAILED
+                || outcome == Outcome.TIMEOUT && latency >= requestClass.meanTime + requestClass.timeDeviation) {
+            // A time-out of a request that came with less time than a response takes tells nothing.
+            return ejectForLonger(now, server);
+        }
+        return Change.NONE;
+    }
+
+    /** Sends a class elsewhere that one server fails; where the whole fleet fails it, one error tells nothing. */
+    private void avoidForClass(long now, RequestClassState requestClass, EndpointHealth health) {
+        if (++health.consecutiveErrors > (requestClass.errorRatio < CLASS_ERROR_RATIO ? 0 : 1)) {
+            long avoidance = BASE_AVOIDANCE_TIME << Math.min(health.consecutiveErrors - 1, MAX_AVOIDANCE_DOUBLINGS);
+            health.avoidedUntil = now + avoidance / 2 + (long) (random.nextDouble() * avoidance);
+        }
+    }
+
+    private Change onSuccess(ServerState server, RequestClassState requestClass, long latency) {
+        requestClass.timeDeviation +=
+                CLASS_TIME_GAIN * (Math.abs(latency - requestClass.meanTime) - requestClass.timeDeviation);
+        requestClass.meanTime = requestClass.meanTime == 0
+                ? latency
+                : requestClass.meanTime + CLASS_TIME_GAIN * (latency - requestClass.meanTime);
+        server.measuredTime = server.measuredTime == 0
+                ? latency
+                : server.measuredTime + SERVER_GAIN * (latency - server.measuredTime);
+        server.relativeTime += SERVER_GAIN * (latency / requestClass.meanTime - server.relativeTime);
+        requestClass.answers++;
+        // A server that fails some requests and serves others stays out for longer each time.
+        server.consecutiveEjections = server.errorRatio < RECOVERED_ERROR_RATIO ? 0 : server.consecutiveEjections;
+        server.health(requestClass).consecutiveErrors = 0;
+        if (!server.ejected) {
+            return Change.NONE;
+        }
+        readmit(server);
+        return Change.READMITTED;
+    }
+
+    private Change ejectForLonger(long now, ServerState server) {
+        if (server.ejected && server.ejectedUntil < Long.MAX_VALUE) {
+            // One failure would count once for each request that was in flight to the server.
+            return Change.NONE;
+        }
+        server.consecutiveEjections++;
+        return eject(
+                now, server, BASE_EJECTION_TIME << Math.min(server.consecutiveEjections - 1, MAX_EJECTION_DOUBLINGS));
+    }
+
+    private Change eject(long now, ServerState server, long ejectionTime) {
+        if (!server.ejected && ejected * 2 >= order.size()) {
+            return Change.NONE;
+        }
+        if (!server.ejected) {
+            server.ejected = true;
+            ejected++;
+        }
+        server.ejectedUntil = now + ejectionTime / 2 + (long) (random.nextDouble() * ejectionTime);
+        return Change.EJECTED;
+    }
+
+    /** Ends the ejection of a server if it is ejected. */
+    void readmit(ServerState server) {
+        if (server.ejected) {
+            server.ejected = false;
+            ejected--;
+            trials.remove(server);
+        }
+    }
+
+    /** Readies those ejected servers of the subset for a trial whose time is over. */
+    void scheduleTrials(long now, int subsetSize) {
+        for (int i = 0; i < subsetSize; i++) {
+            ServerState server = order.get(i);
+            if (server.ejected
+                    && server.inFlight == 0
+                    && server.ejectedUntil <= now
+                    && server.inSubset
+                    && !trials.contains(server)) {
+                trials.add(server);
+            }
+        }
+    }
+
+    /**
+     * The server to try with this request, which then waits for its next scheduling whether it is tried or not; null if
+     * there is none. The request has to be safe to repeat and less urgent, unless there are no such requests or no other
+     * servers: some request has to be the trial.
+     */
+    ServerState pollTrial(long now, QueuedRequest request, boolean noOtherServers) {
+        if (trials.isEmpty()) {
+            return null;
+        }
+        boolean any = noOtherServers || now >= trials.peek().ejectedUntil + MAX_TRIAL_DELAY;
+        boolean unsafe = classes.anySafe() && request.requestClass.rules.effect() != Effect.SAFE;
+        if (!any && (unsafe || request.level == 0 && classes.levels() > 1)) {
+            return null;
+        }
+        ServerState server = trials.poll();
+        boolean ready = server.endpoint.state() == EndpointState.UP && server.ejected && server.inFlight == 0;
+        return ready && IdempotencyRules.allow(now, request, server) ? server : null;
+    }
+
+    /** The server is being sent its trial. */
+    void onTrialSent(ServerState server) {
+        server.ejectedUntil = Long.MAX_VALUE;
+    }
+
+    /** Lets a server be tried again whose trial has told nothing of it: it would be ejected for good. */
+    void onTrialEnded(long now, ServerState server) {
+        if (server.ejected && server.ejectedUntil == Long.MAX_VALUE) {
+            server.ejectedUntil = now;
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
@@ -0,0 +1,120 @@
+package brackenbridge.core.balancing;
+
+import brackenbridge.core.balancing.BalancerApi.Effect;
+import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerApi.Tenant;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+
+/**
+ * The request classes, their priority levels and the token buckets of the paper: within the rate d of its tenant or, where
+ * there are no quotas, of the node, a request gets the top priority.
+ */
+final class RequestClasses {
+    /** The guaranteed rate d of a tenant, as a part of its quota. */
+    private static final double QUOTA_PER_GUARANTEED_RATE = 16;
+    /** The rate of answers over the guaranteed rate d of a node without quotas. */
+    private static final double ANSWERS_PER_GUARANTEED_RATE = 20;
+
+    private final Map<String, RequestClassState> classes = new HashMap<>();
+    private final Map<String, TokenBucket> guaranteedRates = new HashMap<>();
+    private final Map<String, TokenBucket> quotas = new HashMap<>();
+    private final TokenBucket nodeGuaranteedRate = new TokenBucket();
+    private int levels;
+    private boolean anySafe;
+
+    /** Takes over other settings; what was measured of a class stays with its name. */
+    void applySettings(Settings settings) {
+        Map<String, RequestClassState> before = new HashMap<>(classes);
+        classes.clear();
+        guaranteedRates.clear();
+        quotas.clear();
+        TreeSet<Double> weights = new TreeSet<>(Comparator.reverseOrder());
+        for (RequestClass rules : settings.classes()) {
+            classes.put(rules.name(), RequestClassState.of(rules, before.get(rules.name())));
+            weights.add(rules.worth());
+            if (!settings.tenants().isEmpty()) {
+                weights.add(rules.worth() * settings.overShareWorth());
+            }
+        }
+        rankClasses(settings, new ArrayList<>(weights));
+        for (Tenant tenant : settings.tenants()) {
+            double quota = tenant.quotaPerSecond() / settings.peers();
+            guaranteedRates
+                    .computeIfAbsent(tenant.name(), name -> new TokenBucket())
+                    .setRate(quota / QUOTA_PER_GUARANTEED_RATE);
+            if (quota > 0) {
+                quotas.computeIfAbsent(tenant.name(), name -> new TokenBucket()).setRate(quota);
+            }
+        }
+    }
+
+    private void rankClasses(Settings settings, List<Double> weights) {
+        levels = weights.size();
+        anySafe = false;
+        for (RequestClassState state : classes.values()) {
+            state.level = weights.indexOf(state.rules.worth());
+            state.overShareLevel = settings.tenants().isEmpty()
+                    ? state.level
+                    : weights.indexOf(state.rules.worth() * settings.overShareWorth());
+            anySafe |= state.rules.effect() == Effect.SAFE;
+        }
+    }
+
+    /** The class of this name. */
+    RequestClassState require(String name) {
+        RequestClassState state = classes.get(name);
+        if (state == null) {
+            throw new IllegalArgumentException("request of unknown class: " + name);
+        }
+        return state;
+    }
+
+    Collection<RequestClassState> all() {
+        return classes.values();
+    }
+
+    /** How many priority levels there are. */
+    int levels() {
+        return levels;
+    }
+
+    /** Whether some class may be repeated without restriction. */
+    boolean anySafe() {
+        return anySafe;
+    }
+
+    /** The priority level of a request that arrives now; takes the tokens that it needs. */
+    int assignLevel(long now, RequestClassState requestClass, String tenant) {
+        TokenBucket quota = quotas.get(tenant);
+        if (quota != null && !quota.tryTake(now)) {
+            return requestClass.overShareLevel;
+        }
+        TokenBucket guaranteed = quota == null ? nodeGuaranteedRate : guaranteedRates.get(tenant);
+        return guaranteed.tryTake(now) ? 0 : requestClass.level;
+    }
+
+    /** Sets the guaranteed rate d of a node without quotas by its rate of answers. */
+    void updateGuaranteedRate(double answersPerSecond) {
+        nodeGuaranteedRate.setRate(answersPerSecond / ANSWERS_PER_GUARANTEED_RATE);
+    }
+
+    /** The mean response time over the classes, in microseconds; this initial value before the first response. */
+    double meanResponseTime(long initial) {
+        double sum = 0;
+        int measured = 0;
+        for (RequestClassState state : classes.values()) {
+            if (state.meanTime > 0) {
+                sum += state.meanTime;
+                measured++;
+            }
+        }
+        return measured == 0 ? initial : sum / measured;
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
@@ -0,0 +1,201 @@
+package brackenbridge.core.balancing;
+
+import brackenbridge.core.balancing.BalancerApi.Actions;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.TreeSet;
+
+/**
+ * The priority queues of Andersson and Kihl, one for each server and priority level, with the paper's tests of tau and f:
+ * equation 3 finds the requests that can no longer be served in time ({@link #isHopeless}), equation 4 the request that is
+ * released when a server has a free slot ({@link #selectNext}).
+ */
+final class RequestQueues {
+    /** The paper's margin f: the part of a request's time tau that measured and queued time may fill. */
+    static final double DEADLINE_MARGIN = 0.9;
+    /** The token of the timer at which queued requests expire. */
+    static final String EXPIRY_TIMER = "expiry";
+    /** Queued requests looked at when a server takes one over. */
+    private static final int MAX_TAKE_OVER_CANDIDATES = 8;
+    /** Entries of requests that have left the queues, beyond one for each queued, that are kept. */
+    private static final int MAX_STALE_ENTRIES = 64;
+
+    private final Actions actions;
+    /** The queued requests, oldest first, and stale entries. */
+    private final ArrayDeque<QueuedRequest> oldestFirst = new ArrayDeque<>();
+    /** The queued requests by the time at which they expire, and stale entries. */
+    private final PriorityQueue<QueuedRequest> expiry =
+            new PriorityQueue<>(Comparator.<QueuedRequest>comparingLong(request -> request.expiresAt)
+                    .thenComparingLong(request -> request.id));
+    /** The servers that requests are queued for, by the time at which they were first listed. */
+    private final TreeSet<ServerState> awaited = new TreeSet<>(Comparator.comparingLong(server -> server.listIndex));
+
+    private int queued;
+    private long expiryTimer = Long.MAX_VALUE;
+
+    RequestQueues(Actions actions) {
+        this.actions = actions;
+    }
+
+    /** How many requests are queued. */
+    int size() {
+        return queued;
+    }
+
+    /** How many entries are held, stale ones included. */
+    int entries() {
+        return oldestFirst.size() + expiry.size();
+    }
+
+    /** Queues a request for this server, or for any if it is null. */
+    void add(long now, QueuedRequest request, ServerState server) {
+        request.queued = true;
+        request.server = server;
+        queued++;
+        oldestFirst.add(request);
+        if (oldestFirst.size() > 2 * queued + MAX_STALE_ENTRIES) {
+            removeStaleEntries();
+        }
+        if (server != null) {
+            server.queues[request.level].add(request);
+            server.queuedCount++;
+            awaited.add(server);
+        }
+        expiry.add(request);
+        armExpiryTimer(Math.max(now + 1, request.expiresAt));
+    }
+
+    /** Bounds memory where no server frees a slot, which alone would remove stale entries. */
+    private void removeStaleEntries() {
+        Set<QueuedRequest> remaining = new LinkedHashSet<>(oldestFirst);
+        oldestFirst.clear();
+        remaining.stream().filter(request -> request.queued).forEach(oldestFirst::add);
+    }
+
+    /** Takes a queued request out. */
+    void remove(QueuedRequest request) {
+        request.queued = false;
+        queued--;
+        ServerState server = request.server;
+        if (server != null) {
+            server.queues[request.level].remove(request);
+            if (--server.queuedCount == 0) {
+                awaited.remove(server);
+            }
+            request.server = null;
+        }
+    }
+
+    /** Takes all requests out that are queued for this server, and returns them by arrival. */
+    List<QueuedRequest> removeAll(ServerState server) {
+        List<QueuedRequest> removed = new ArrayList<>();
+        for (ArrayDeque<QueuedRequest> queue : server.queues) {
+            removed.addAll(queue);
+        }
+        removed.sort(Comparator.comparingLong((QueuedRequest request) -> request.arrival)
+                .thenComparingLong(request -> request.id));
+        removed.forEach(this::remove);
+        return removed;
+    }
+
+    /** The servers outside the subset for which requests are queued. */
+    List<ServerState> awaitedOutsideSubset() {
+        return awaited.stream().filter(server -> !server.inSubset).toList();
+    }
+
+    /**
+     * Equation 3: below the top level a request is hopeless at a server when the measured time and the time that it has
+     * waited reach tau f. At any level a retry is hopeless whose idempotency window has closed while it waited.
+     */
+    static boolean isHopeless(long now, QueuedRequest request, ServerState server) {
+        return !IdempotencyRules.allow(now, request, server)
+                || request.level > 0
+                        && expectedTime(server, request) + (now - request.arrival)
+                                >= request.timeBudget * DEADLINE_MARGIN;
+    }
+
+    /** The measured time that a request of this class can expect at this server. */
+    private static double expectedTime(ServerState server, QueuedRequest request) {
+        return server.measuredTime == 0
+                ? 0
+                : server.relativeTime * (request.requestClass.meanTime + request.requestClass.timeDeviation);
+    }
+
+    /**
+     * Equation 4: the oldest among the heads of a server's queues, from the top level as far down as the measured time of
+     * all requests above fits within tau f; null if none is queued. The nearest end among those that wait above is the tau.
+     */
+    static QueuedRequest selectNext(long now, ServerState server) {
+        QueuedRequest oldest = null;
+        double ahead = 0;
+        double tau = Double.POSITIVE_INFINITY;
+        for (int level = 0; level < server.queues.length; level++) {
+            QueuedRequest head = server.queues[level].peek();
+            ahead += server.queues[level].size() * server.measuredTime;
+            if (head == null) {
+                continue;
+            }
+            tau = Math.min(tau, head.timeBudget - (now - head.arrival));
+            if (level > 0 && oldest != null && ahead >= tau * DEADLINE_MARGIN) {
+                break;
+            }
+            if (oldest == null || head.arrival < oldest.arrival) {
+                oldest = head;
+            }
+        }
+        return oldest;
+    }
+
+    /** Takes out the oldest request that is queued elsewhere and suits this server; null if there is none. */
+    QueuedRequest takeOverOldest(long now, ServerState server) {
+        while (!oldestFirst.isEmpty() && !oldestFirst.peek().queued) {
+            oldestFirst.poll();
+        }
+        int candidates = 0;
+        for (QueuedRequest request : oldestFirst) {
+            if (request.queued && OutlierDetection.suits(now, request, server)) {
+                remove(request);
+                return request;
+            }
+            if (++candidates >= MAX_TAKE_OVER_CANDIDATES) {
+                break;
+            }
+        }
+        return null;
+    }
+
+    /** The expiry timer has fired. */
+    void onExpiryTimer() {
+        expiryTimer = Long.MAX_VALUE;
+    }
+
+    /** The next queued request that has expired, no longer among those that expire; null if there is none. */
+    QueuedRequest pollExpired(long now) {
+        while (!expiry.isEmpty() && (expiry.peek().expiresAt <= now || !expiry.peek().queued)) {
+            QueuedRequest request = expiry.poll();
+            if (request.queued) {
+                return request;
+            }
+        }
+        return null;
+    }
+
+    /** Sets the timer for the next request that expires. */
+    void rearmExpiryTimer() {
+        if (!expiry.isEmpty()) {
+            armExpiryTimer(expiry.peek().expiresAt);
+        }
+    }
+
+    private void armExpiryTimer(long at) {
+        if (at < expiryTimer) {
+            expiryTimer = at;
+            actions.timer(at, EXPIRY_TIMER);
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -0,0 +1,141 @@
+package brackenbridge.core.balancing;
+
+import brackenbridge.core.balancing.BalancerApi.Settings;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * The subset of the servers that this instance uses: the first of its {@link ServerOrder}, as many as its load needs. It
+ * also bounds the requests in flight to each of them.
+ */
+final class ServerSubset {
+    private static final int MIN_SIZE = 8;
+    /** Requests in flight at a server, from all its callers, that the window allows. */
+    private static final double IN_FLIGHT_PER_SERVER = 6;
+    /** The part of the subset by which it grows in a tick is one in this many. */
+    private static final int GROWTH_DIVISOR = 4;
+    /** What is left of the peak of the requests at hand after each tick. */
+    private static final double PEAK_DECAY_PER_TICK = 0.97;
+    /** The ratio of the golden section: spreads the callers' starting points evenly. */
+    private static final double GOLDEN_RATIO = 0.6180339887498949;
+
+    private final ServerOrder order = new ServerOrder();
+    /** The servers of the subset when the order was last laid out, and those that joined it since. */
+    private final Set<ServerState> members = new LinkedHashSet<>();
+
+    private Settings settings;
+    private int size = MIN_SIZE;
+    private int extraWindow;
+    private double peakAtHand;
+
+    /** Takes over other settings. */
+    void applySettings(Settings next) {
+        settings = next;
+    }
+
+    /** All servers that are up. */
+    ServerOrder order() {
+        return order;
+    }
+
+    /** How many servers the subset may have. */
+    int size() {
+        return size;
+    }
+
+    /** The servers of the subset. */
+    List<ServerState> members() {
+        return List.copyOf(members);
+    }
+
+    /** How many servers the subset has now. */
+    int usedSize() {
+        return Math.min(size, order.size());
+    }
+
+    /**
+     * Lays the order and the subset out anew: own zone first; in each zone the callers' starting points are spread evenly.
+     *
+     * @return the members before
+     */
+    List<ServerState> rebuild() {
+        order.turn(settings.zone(), settings.me() * GOLDEN_RATIO % 1);
+        List<ServerState> before = members();
+        before.forEach(server -> server.inSubset = false);
+        members.clear();
+        for (int i = 0; i < order.size() && i < size; i++) {
+            add(order.get(i));
+        }
+        return before;
+    }
+
+    /** Adds a server to the members. */
+    void add(ServerState server) {
+        server.inSubset = true;
+        members.add(server);
+    }
+
+    /** The next server of the own zone, by which the subset has grown; null if it has them all. */
+    ServerState growInOwnZone() {
+        return size < order.inOwnZone() ? order.get(size++) : null;
+    }
+
+    /** The next server, by which the subset has grown; null if it has them all. */
+    ServerState grow() {
+        return size < order.size() ? order.get(size++) : null;
+    }
+
+    /** By how many servers the subset may grow in one tick. */
+    int growthPerTick() {
+        return Math.max(1, size / GROWTH_DIVISOR);
+    }
+
+    /** Whether it has servers left to grow by, and these would not leave the callers at each server too few. */
+    boolean canGrow(int rotationSize, boolean spareCapacity) {
+        return size < order.size()
+                && (settings.peers() * (double) size / order.size() < 2 * IN_FLIGHT_PER_SERVER
+                        || rotationSize < size / 2
+                        || spareCapacity);
+    }
+
+    /** Whether it is larger than the recent load needs. */
+    boolean canShrink() {
+        return size > MIN_SIZE && size > 2 * peakAtHand + 2;
+    }
+
+    /** Shrinks by one server and returns it; null if it had no such server. */
+    ServerState shrink() {
+        size--;
+        ServerState last = order.size() > size ? order.get(size) : null;
+        if (last != null) {
+            last.inSubset = false;
+            members.remove(last);
+        }
+        return last;
+    }
+
+    /** So many requests are in flight or queued in this tick. */
+    void recordAtHand(int requests) {
+        peakAtHand = Math.max(requests, peakAtHand * PEAK_DECAY_PER_TICK);
+    }
+
+    /**
+     * The most requests in flight to one server: one, but more where too few callers share a server to fill it. A server
+     * holds a slot while it waits for the next tier: one request from each of two callers leaves it idle. The callers'
+     * traffic may be uneven as well, for which the window is widened, see {@link #adjustWindow}.
+     */
+    int window() {
+        double part = usedSize() / (double) Math.max(1, order.size());
+        return extraWindow + (int) Math.max(1, Math.ceil(IN_FLIGHT_PER_SERVER / (settings.peers() * part)));
+    }
+
+    /** Widens the window by one if so wanted, else narrows it by one where it is not needed. */
+    void adjustWindow(boolean widen, int rotationSize, boolean spareCapacity) {
+        if (widen) {
+            extraWindow++;
+        } else if (extraWindow > 0 && (!spareCapacity || peakAtHand < (window() - 1) * rotationSize)) {
+            extraWindow--;
+        }
+    }
+}
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -33,7 +33,7 @@
     }
 
     /** Other settings hold from now on. */
-    void goBy(long now, Settings next) {
+    void applySettings(long now, Settings next) {
         if (next.fall() > settings.fall()) {
             // Of the longer window only so much was counted.
             countedSince = Math.max(countedSince, now - settings.fall());
