--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -2,12 +2,8 @@
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
@@ -49,12 +45,8 @@
     private final OutlierDetection outliers;
     private final IdleServers idleServers = new IdleServers();
     private final RetryBudget retryBudget = new RetryBudget();
-    private final Map<Long, ServerState> servers = new LinkedHashMap<>();
+    private final ServerRegistry servers;
     private final Map<Long, QueuedRequest> requests = new HashMap<>();
-    /** Servers that have left the endpoint list; each is forgotten with its last request. */
-    private final Set<ServerState> removed = new LinkedHashSet<>();
-
-    private long serversListed;
     private int inFlight;
     /** Queued requests given up since the last tick. */
     private int dropped;
@@ -70,6 +62,7 @@
         this.roundRobin = new WeightedRoundRobin(slowStart, random);
         this.queues = new RequestQueues(actions);
         this.outliers = new OutlierDetection(classes, subset.order(), random);
+        this.servers = new ServerRegistry(classes, subset.order(), outliers, idleServers);
         applySettings(settings);
     }
 
@@ -79,7 +72,7 @@
         applySettings(next);
         // Requests keep their class's rules; they are only ranked among the new levels.
         requests.values().forEach(request -> request.level = Math.min(request.level, classes.levels() - 1));
-        servers.values().forEach(server -> server.rebuildQueues(classes.levels(), classes.all()));
+        servers.rebuildQueues();
         rebuildSubset(now);
     }
 
@@ -96,76 +89,9 @@
     public void onList(long now, ListKind kind, List<Endpoint> entries) {
         start(now);
         slowStart.beforeChange(now, subset.order(), subset.size());
-        if (kind != ListKind.CHANGES) {
-            removeUnlisted(entries);
-        }
-        for (Endpoint entry : entries) {
-            ServerState server = servers.computeIfAbsent(
-                    entry.id(), id -> new ServerState(entry, serversListed++, classes.levels(), now));
-            if (entry.startedAt() != 0 && entry.startedAt() != server.endpoint.startedAt()) {
-                onRestarted(now, server, entry.startedAt());
-            }
-            applyEndpoint(server, entry);
-        }
+        servers.applyList(now, kind, entries);
         rebuildSubset(now);
-        forgetRemoved();
-    }
-
-    private void removeUnlisted(List<Endpoint> entries) {
-        Set<Long> listed = new HashSet<>();
-        entries.forEach(entry -> listed.add(entry.id()));
-        for (ServerState server : servers.values()) {
-            if (!listed.contains(server.id)) {
-                Endpoint last = server.endpoint;
-                applyEndpoint(
-                        server,
-                        new Endpoint(
-                                server.id,
-                                last.cell(),
-                                last.zone(),
-                                last.weight(),
-                                last.startedAt(),
-                                EndpointState.REMOVED));
-            }
-        }
-    }
-
-    private void onRestarted(long now, ServerState server, long startedAt) {
-        // An earlier start than the one before was told by a wall clock that was set back meanwhile, so it does not say
-        // how long ago it was.
-        server.warmingSince = startedAt > server.endpoint.startedAt() ? Math.min(startedAt, now) : now;
-        server.budget.restarted(server.warmingSince);
-        server.relativeTime = 1;
-        server.measuredTime = 0;
-        server.errorRatio = 0;
-        server.consecutiveEjections = 0;
-        outliers.readmit(server);
-    }
-
-    /** Takes over what the list says of a server; only its position in the order follows. */
-    private void applyEndpoint(ServerState server, Endpoint endpoint) {
-        subset.order().remove(server, server.endpoint.zone());
-        removed.remove(server);
-        server.endpoint = endpoint;
-        if (endpoint.state() == EndpointState.UP) {
-            subset.order().add(server);
-        } else if (endpoint.state() == EndpointState.REMOVED) {
-            removed.add(server);
-        }
-    }
-
-    private void forgetRemoved() {
-        for (ServerState server : List.copyOf(removed)) {
-            if (server.inFlight == 0) {
-                // A server that left while ejected would stay in the count of the ejected for good, and after a few
-                // such
-                // no failing server would ever be ejected again.
-                outliers.readmit(server);
-                idleServers.remove(server);
-                servers.remove(server.id);
-                removed.remove(server);
-            }
-        }
+        servers.forgetRemoved();
     }
 
     private void rebuildSubset(long now) {
@@ -421,7 +347,7 @@
             request.firstRunServer = server;
         }
         // Nothing is learned of a server that has left and was known only for the sake of a long request.
-        if (servers.get(server.id) == server) {
+        if (servers.contains(server)) {
             learn(now, request, attempt, outcome, Math.max(1, latency));
         }
         if (ended || request.finished) {
@@ -458,14 +384,7 @@
 
     /** Another attempt where the effect allows it, the time suffices and the budget is not spent. */
     private void retryOrFinish(long now, QueuedRequest request, Outcome outcome) {
-        double cost = outcome == Outcome.FAILED_LOCALLY ? 0 : 1;
-        boolean inTime = request.attempts.size() < request.maxAttempts
-                && now < request.arrival + request.timeBudget
-                && outcome != Outcome.MOOT
-                && outcome != Outcome.CANCELLED;
-        boolean repeatable = !request.mayHaveRun || request.requestClass.rules.effect() != Effect.UNSAFE;
-        if (inTime && repeatable && retryBudget.covers(cost)) {
-            retryBudget.spend(cost);
+        if (retryBudget.trySpend(now, request, outcome)) {
             request.expiresAt = Math.max(
                     request.expiresAt, request.arrival + (long) (request.timeBudget * RequestQueues.DEADLINE_MARGIN));
             place(now, request);
--- a/core/src/main/java/brackenbridge/core/balancing/RetryBudget.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RetryBudget.java
@@ -1,5 +1,8 @@
 package brackenbridge.core.balancing;
 
+import brackenbridge.core.balancing.BalancerApi.Effect;
+import brackenbridge.core.balancing.BalancerApi.Outcome;
+
 /**
  * Bounds retries to a part of the requests, as in Google's SRE book, chapter 22: each first attempt earns a part of a
  * retry, and each retry spends one.
@@ -15,13 +18,21 @@
         retries = Math.min(MAX_RETRIES, retries + RETRIES_PER_REQUEST);
     }
 
-    /** Whether so many retries can be spent. */
-    boolean covers(double cost) {
-        return retries >= cost;
-    }
-
-    /** Spends so many retries. */
-    void spend(double cost) {
+    /**
+     * Spends a retry, if the budget covers one and the request may be retried: it has attempts and time left, its effect
+     * allows it, and the outcome of its last attempt was neither of the client's nor of the node's making. A retry after
+     * an attempt that the node itself failed to connect costs nothing.
+     */
+    boolean trySpend(long now, QueuedRequest request, Outcome outcome) {
+        double cost = outcome == Outcome.FAILED_LOCALLY ? 0 : 1;
+        boolean attemptsLeft = request.attempts.size() < request.maxAttempts;
+        boolean timeLeft = now < request.arrival + request.timeBudget;
+        boolean wanted = outcome != Outcome.MOOT && outcome != Outcome.CANCELLED;
+        boolean repeatable = !request.mayHaveRun || request.requestClass.rules.effect() != Effect.UNSAFE;
+        if (!attemptsLeft || !timeLeft || !wanted || !repeatable || retries < cost) {
+            return false;
+        }
         retries -= cost;
+        return true;
     }
 }
