--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -30,8 +30,6 @@
     private static final String TICK_TIMER = "tick";
     /** Turns of the round robin that a request looks at. */
     private static final int MAX_TURNS_PER_REQUEST = 4;
-    /** The window is widened only while fewer than one server in this many is ejected. */
-    private static final int EJECTED_DIVISOR = 3;
 
     private Settings settings;
     private final Actions actions;
@@ -249,11 +247,7 @@
     private boolean canAdmit(long now, ServerState server) {
         return slowStart.isUnbounded(now, server)
                 || server.inFlight < subset.window()
-                        && slowStart.canAdmit(now, server, subset.order(), subset.size(), meanResponseTime());
-    }
-
-    private double meanResponseTime() {
-        return classes.meanResponseTime(TICK_INTERVAL);
+                        && slowStart.canAdmit(now, server, subset.order(), subset.size(), classes.meanResponseTime());
     }
 
     // ---- Release ----
@@ -332,13 +326,10 @@
     public void onOutcome(
             long now, long id, int attemptIndex, boolean ended, Outcome outcome, long latency, Report report) {
         QueuedRequest request = requests.get(id);
-        if (request == null
-                || attemptIndex < 0
-                || attemptIndex >= request.attempts.size()
-                || request.attempts.get(attemptIndex).ended) {
+        Attempt attempt = request == null ? null : request.runningAttempt(attemptIndex);
+        if (attempt == null) {
             return;
         }
-        Attempt attempt = request.attempts.get(attemptIndex);
         ServerState server = attempt.server;
         endAttempt(now, request, attempt);
         if (!outcome.neverRan && !request.mayHaveRun) {
@@ -441,7 +432,7 @@
 
     @Override
     public long retryAfter() {
-        return Math.min(settings.maxRetryAfter(), (long) meanResponseTime());
+        return Math.min(settings.maxRetryAfter(), (long) classes.meanResponseTime());
     }
 
     // ---- Timers ----
@@ -459,21 +450,13 @@
     @Override
     public void onTimer(long now, String token) {
         if (token.equals(RequestQueues.EXPIRY_TIMER)) {
-            expire(now);
+            queues.expire(now, expired -> drop(now, expired));
         } else if (token.equals(TICK_TIMER)) {
             tick(now);
             actions.timer(now + TICK_INTERVAL, TICK_TIMER);
         }
     }
 
-    private void expire(long now) {
-        queues.onExpiryTimer();
-        for (QueuedRequest expired = queues.pollExpired(now); expired != null; expired = queues.pollExpired(now)) {
-            drop(now, expired);
-        }
-        queues.rearmExpiryTimer();
-    }
-
     /** Updates the measured rates, readies trials and adjusts the subset and the window. */
     private void tick(long now) {
         double elapsed = Math.max(1, now - lastTick) / (double) SECOND;
@@ -483,7 +466,7 @@
         outliers.scheduleTrials(now, subset.usedSize());
         subset.recordAtHand(inFlight + queues.size());
         resizeSubset(now);
-        subset.adjustWindow(needsWiderWindow(), roundRobin.size(), admission.hasSpareCapacity());
+        subset.adjustWindow(queues.size() > 0, outliers.ejected(), roundRobin.size(), admission);
         dropped = 0;
         // The window may be wider; and the budget of a server that warms up comes back with time, without an answer.
         for (int i = 0; i < subset.usedSize(); i++) {
@@ -506,14 +489,4 @@
             }
         }
     }
-
-    /** Whether requests wait though all servers are in use, have spare capacity and most of them are not ejected. */
-    private boolean needsWiderWindow() {
-        int listed = subset.order().size();
-        return queues.size() > 0
-                && subset.size() >= listed
-                && outliers.ejected() * EJECTED_DIVISOR < listed
-                && admission.isCongestionMeasured()
-                && admission.hasSpareCapacity();
-    }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
+++ b/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
@@ -49,6 +49,14 @@
         this.deadline = now + timeLeft;
     }
 
+    /** The attempt of this index if it has been sent and has not ended; else null. */
+    Attempt runningAttempt(int index) {
+        if (index < 0 || index >= attempts.size() || attempts.get(index).ended) {
+            return null;
+        }
+        return attempts.get(index);
+    }
+
     /** Whether an attempt has been sent to this server. */
     boolean wasSentTo(ServerState server) {
         for (Attempt attempt : attempts) {
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
@@ -17,7 +17,9 @@
  * there are no quotas, of the node, a request gets the top priority.
  */
 final class RequestClasses {
-    /** The guaranteed rate d of a tenant, as a part of its quota. */
+    /** What counts as the mean response time before the first response, in microseconds. */
+    private static final long INITIAL_RESPONSE_TIME = 250_000;
+    /** A tenant's quota over its guaranteed rate d. */
     private static final double QUOTA_PER_GUARANTEED_RATE = 16;
     /** The rate of answers over the guaranteed rate d of a node without quotas. */
     private static final double ANSWERS_PER_GUARANTEED_RATE = 20;
@@ -105,8 +107,8 @@
         nodeGuaranteedRate.setRate(answersPerSecond / ANSWERS_PER_GUARANTEED_RATE);
     }
 
-    /** The mean response time over the classes, in microseconds; this initial value before the first response. */
-    double meanResponseTime(long initial) {
+    /** The mean response time over the classes, in microseconds; an initial value before the first response. */
+    double meanResponseTime() {
         double sum = 0;
         int measured = 0;
         for (RequestClassState state : classes.values()) {
@@ -115,6 +117,6 @@
                 measured++;
             }
         }
-        return measured == 0 ? initial : sum / measured;
+        return measured == 0 ? INITIAL_RESPONSE_TIME : sum / measured;
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
@@ -9,6 +9,7 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.Consumer;
 
 /**
  * The priority queues of Andersson and Kihl, one for each server and priority level, with the paper's tests of tau and f:
@@ -169,24 +170,15 @@
         return null;
     }
 
-    /** The expiry timer has fired. */
-    void onExpiryTimer() {
+    /** The expiry timer has fired: gives up the queued requests that have expired, and sets the timer for the next. */
+    void expire(long now, Consumer<QueuedRequest> giveUp) {
         expiryTimer = Long.MAX_VALUE;
-    }
-
-    /** The next queued request that has expired, no longer among those that expire; null if there is none. */
-    QueuedRequest pollExpired(long now) {
         while (!expiry.isEmpty() && (expiry.peek().expiresAt <= now || !expiry.peek().queued)) {
             QueuedRequest request = expiry.poll();
             if (request.queued) {
-                return request;
+                giveUp.accept(request);
             }
         }
-        return null;
-    }
-
-    /** Sets the timer for the next request that expires. */
-    void rearmExpiryTimer() {
         if (!expiry.isEmpty()) {
             armExpiryTimer(expiry.peek().expiresAt);
         }
--- a/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -18,11 +18,11 @@
  * others have moved it by more. Guards warm connections: each step would bring a server into reach that has none.
  */
 final class ServerOrder {
-    private static final Comparator<ServerState> BY_PLACE =
+    private static final Comparator<ServerState> BY_RING_POSITION =
             Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id);
 
     /** The part of a ring to which a caller's beginning is exact; a ring with fewer servers is exact to one. */
-    private static final int GRAINS = 256;
+    private static final int RING_GRANULARITY = 256;
 
     /** The servers of one zone, sorted by their places. */
     private static final class Ring {
@@ -32,21 +32,21 @@
 
         private int from;
 
-        int find(ServerState s) {
-            return Collections.binarySearch(servers, s, BY_PLACE);
+        int find(ServerState server) {
+            return Collections.binarySearch(servers, server, BY_RING_POSITION);
         }
 
         /** Begins at this part of the ring, or stays near it. */
         void turn(double start) {
             int exact = (int) (start * servers.size());
             int at = first == null ? exact : place(first);
-            from = distance(at, exact) <= servers.size() / GRAINS ? at : exact;
+            from = distance(at, exact) <= servers.size() / RING_GRANULARITY ? at : exact;
             first = servers.get(from);
         }
 
         /** The place of a server, or of the one that follows if it has left. */
-        private int place(ServerState s) {
-            int at = find(s);
+        private int place(ServerState server) {
+            int at = find(server);
             return (at >= 0 ? at : -at - 1) % servers.size();
         }
 
@@ -72,19 +72,19 @@
     private List<ServerState> others;
 
     /** Adds a server under the zone that its endpoint names now. */
-    void add(ServerState s) {
-        Ring ring = zones.computeIfAbsent(s.endpoint.zone(), z -> new Ring());
-        int at = ring.find(s);
+    void add(ServerState server) {
+        Ring ring = zones.computeIfAbsent(server.endpoint.zone(), z -> new Ring());
+        int at = ring.find(server);
         if (at < 0) {
-            ring.servers.add(-at - 1, s);
+            ring.servers.add(-at - 1, server);
             size++;
         }
     }
 
     /** Removes a server from the zone that it was added under. */
-    void remove(ServerState s, String zone) {
+    void remove(ServerState server, String zone) {
         Ring ring = zones.getOrDefault(zone, NONE);
-        int at = ring.find(s);
+        int at = ring.find(server);
         if (at >= 0) {
             ring.servers.remove(at);
             size--;
--- a/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -15,6 +15,8 @@
     private static final double IN_FLIGHT_PER_SERVER = 6;
     /** The part of the subset by which it grows in a tick is one in this many. */
     private static final int GROWTH_DIVISOR = 4;
+    /** The window is widened only while fewer than one server in this many is ejected. */
+    private static final int EJECTED_DIVISOR = 3;
     /** What is left of the peak of the requests at hand after each tick. */
     private static final double PEAK_DECAY_PER_TICK = 0.97;
     /** The ratio of the golden section: spreads the callers' starting points evenly. */
@@ -130,9 +132,17 @@
         return extraWindow + (int) Math.max(1, Math.ceil(IN_FLIGHT_PER_SERVER / (settings.peers() * part)));
     }
 
-    /** Widens the window by one if so wanted, else narrows it by one where it is not needed. */
-    void adjustWindow(boolean widen, int rotationSize, boolean spareCapacity) {
-        if (widen) {
+    /**
+     * Widens the window by one where requests wait though all servers are in use and have spare capacity, unless so many are
+     * ejected that the requests of these would overload the others; else narrows it by one where it is not needed.
+     */
+    void adjustWindow(boolean requestsWait, int ejected, int rotationSize, AdmissionControl admission) {
+        boolean spareCapacity = admission.hasSpareCapacity();
+        if (requestsWait
+                && size >= order.size()
+                && ejected * EJECTED_DIVISOR < order.size()
+                && admission.isCongestionMeasured()
+                && spareCapacity) {
             extraWindow++;
         } else if (extraWindow > 0 && (!spareCapacity || peakAtHand < (window() - 1) * rotationSize)) {
             extraWindow--;
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -9,10 +9,10 @@
  * together, none of which knows what the others send: each keeps to its own share, see docs/design/cold.md.
  */
 final class SlowStart {
-    private static final long SECOND = 1_000_000;
+    private static final double MICROSECONDS_PER_SECOND = 1_000_000;
 
     private Settings settings;
-    private final Actions out;
+    private final Actions actions;
     private final SplittableRandom random;
     /** Answers in a second for each unit of capacity in reach. */
     private double answeredPerCapacity;
@@ -21,9 +21,9 @@
     /** From when on all that was sent is in the servers' budgets. */
     private long countedSince;
 
-    SlowStart(Settings settings, Actions out, SplittableRandom random) {
+    SlowStart(Settings settings, Actions actions, SplittableRandom random) {
         this.settings = settings;
-        this.out = out;
+        this.actions = actions;
         this.random = random;
     }
 
@@ -42,24 +42,26 @@
     }
 
     /** The part of its capacity that a server has now. */
-    double warmth(long now, ServerState s) {
-        if (s.warmingSince <= 0) {
+    double warmth(long now, ServerState server) {
+        if (server.warmingSince <= 0) {
             return 1;
         }
-        double age = Math.max(0, now - s.warmingSince) / (double) Math.max(1, settings.warmAfter());
+        double age = Math.max(0, now - server.warmingSince) / (double) Math.max(1, settings.warmAfter());
         return age >= 1 ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * age;
     }
 
     /** Whether a server may be sent any number of requests. */
-    boolean isUnbounded(long now, ServerState s) {
-        return settings.fall() == 0 || warmth(now, s) >= 1;
+    boolean isUnbounded(long now, ServerState server) {
+        return settings.fall() == 0 || warmth(now, server) >= 1;
     }
 
     /** Whether the budget of a server that warms up has room for a request; the first servers are those in reach. */
-    boolean canAdmit(long now, ServerState s, ServerOrder servers, int reach, double meanTime) {
-        long settled = out.tellsWritten() ? s.warmingSince + settings.network().connectTimeout() : now;
-        double share = share(now, s, servers, reach, meanTime);
-        return s.budget.allows(now, share, settings.fall(), random, settled);
+    boolean canAdmit(long now, ServerState server, ServerOrder servers, int reach, double meanTime) {
+        long settled = actions.tellsWritten()
+                ? server.warmingSince + settings.network().connectTimeout()
+                : now;
+        double share = share(now, server, servers, reach, meanTime);
+        return server.budget.allows(now, share, settings.fall(), random, settled);
     }
 
     /**
@@ -67,24 +69,25 @@
      * gets answered for each unit of capacity in its reach, or, if that is more, by its share of one request at a
      * time at each server.
      */
-    private double share(long now, ServerState s, ServerOrder servers, int reach, double meanTime) {
+    private double share(long now, ServerState server, ServerOrder servers, int reach, double meanTime) {
         int near = Math.min(reach, servers.size());
         double weights = 0;
         for (int i = 0; i < near; i++) {
             weights += servers.get(i).endpoint.weight();
         }
         double least = near / (weights * meanTime * settings.peers());
-        double perUnit = Math.max(answeredPerCapacity / SECOND, least);
-        double share = settings.fallMultiple() * perUnit * s.endpoint.weight() * warmth(now, s) * settings.fall();
-        return share * SlowStartLimit.usable(share, settings.peers()) * (1 - unknownPart(now, s));
+        double perUnit = Math.max(answeredPerCapacity / MICROSECONDS_PER_SECOND, least);
+        double share =
+                settings.fallMultiple() * perUnit * server.endpoint.weight() * warmth(now, server) * settings.fall();
+        return share * SlowStartLimit.usable(share, settings.peers()) * (1 - unknownPart(now, server));
     }
 
     /**
      * The part of the last window, within the server's life, of which this process doesn't know what its node sent.
      * The share of that time counts as sent: by the process before, or under settings that counted a shorter time.
      */
-    private double unknownPart(long now, ServerState s) {
-        long from = Math.max(now - settings.fall(), s.warmingSince);
+    private double unknownPart(long now, ServerState server) {
+        long from = Math.max(now - settings.fall(), server.warmingSince);
         return Math.max(0, countedSince - from) / (double) settings.fall();
     }
 
@@ -113,20 +116,20 @@
     }
 
     /** The attempt is being sent; warm servers' requests count too, their start may be told late. */
-    void sent(long now, Attempt a) {
+    void sent(long now, Attempt attempt) {
         if (settings.fall() > 0) {
-            a.reservedBudget = a.server.budget.spend(now, settings.fall());
-            if (!out.tellsWritten()) {
-                written(now, a);
+            attempt.reservedBudget = attempt.server.budget.spend(now, settings.fall());
+            if (!actions.tellsWritten()) {
+                written(now, attempt);
             }
         }
     }
 
     /** The attempt's request has reached its server, or never will. */
-    void written(long now, Attempt a) {
-        if (a.reservedBudget > 0) {
-            a.server.budget.written(now, a.reservedBudget, Math.max(1, settings.fall()));
-            a.reservedBudget = 0;
+    void written(long now, Attempt attempt) {
+        if (attempt.reservedBudget > 0) {
+            attempt.server.budget.written(now, attempt.reservedBudget, Math.max(1, settings.fall()));
+            attempt.reservedBudget = 0;
         }
     }
 }
