--- a/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
@@ -3,8 +3,8 @@
 import brackenbridge.core.balancing.BalancerApi.Settings;
 
 /**
- * Admission control of Andersson and Kihl, equation 1: an arrival is rejected when more than A = tau r requests are open,
- * where r is the recent rate of answers ({@link #admissible}). More open requests could not be answered in time.
+ * Admission control of Andersson and Kihl, equation 1: an arrival is rejected when more than A = tau r requests are
+ * open, where r is the recent rate of answers ({@link #admissible}). More open requests could not be answered in time.
  */
 final class AdmissionControl {
     private static final double MICROSECONDS_PER_SECOND = 1_000_000;
@@ -75,9 +75,9 @@
     /**
      * A = tau r, the number of requests that may be open (equation 1). Here tau is the time that an open request may
      * take: a usual one at its best, and the wait that this request and all that are at least as urgent can bear; so a
-     * class with a short latency objective isn't kept out by requests that can wait long. The less urgent a request, the
-     * smaller the part of that wait. While the servers answer near their best they could do more, so A exceeds what the
-     * lagging rate gives.
+     * class with a short latency objective isn't kept out by requests that can wait long. The less urgent a request,
+     * the smaller the part of that wait. While the servers answer near their best they could do more, so A exceeds
+     * what the lagging rate gives.
      */
     private double admissible(long now, QueuedRequest request) {
         int levels = classes.levels();
--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The decision module: the controller of Andersson and Kihl for an application server, as one instance for each node. Its
- * interface is {@link BalancerApi}; docs/DESIGN.md says what was kept of the paper and what was changed. An instance runs on
- * one thread and knows only what its events told it. Times are in microseconds.
+ * The decision module: the controller of Andersson and Kihl for an application server, as one instance for each node.
+ * Its interface is {@link BalancerApi}; docs/DESIGN.md says what was kept of the paper and what was changed. An
+ * instance runs on one thread and knows only what its events told it. Times are in microseconds.
  *
  * <p>The mechanism, in the order in which a request meets it:
  *
--- a/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
+++ b/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
@@ -2,7 +2,9 @@
 
 import java.util.ArrayDeque;
 
-/** The servers with no request in flight, the longest idle first. Entries that are out of date are removed on the way. */
+/**
+ * The servers with no request in flight, the longest idle first. Entries that are out of date are removed on the way.
+ */
 final class IdleServers {
     /** Unsuitable servers passed over before the search is given up. */
     private static final int MAX_PASSED_OVER = 4;
--- a/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
+++ b/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Passive health checks: learns from the outcomes of attempts, ejects servers that are outliers, for longer each time, and
- * readmits each after a trial with one request. At most half of the servers are ejected.
+ * Passive health checks: learns from the outcomes of attempts, ejects servers that are outliers, for longer each
+ * time, and readmits each after a trial with one request. At most half of the servers are ejected.
  */
 final class OutlierDetection {
     private static final long SECOND = 1_000_000;
@@ -190,8 +190,8 @@
 
     /**
      * The server to try with this request, which then waits for its next scheduling whether it is tried or not; null if
-     * there is none. The request has to be safe to repeat and less urgent, unless there are no such requests or no other
-     * servers: some request has to be the trial.
+     * there is none. The request has to be safe to repeat and less urgent, unless there are no such requests or no
+     * other servers: some request has to be the trial.
      */
     ServerState pollTrial(long now, QueuedRequest request, boolean noOtherServers) {
         if (trials.isEmpty()) {
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
@@ -25,7 +25,9 @@
         this.rules = rules;
     }
 
-    /** The state of a class under these rules, with what was measured before; {@code before} itself if they are equal. */
+    /**
+     * The state of a class under these rules, with what was measured before; {@code before} itself if they are equal.
+     */
     static RequestClassState of(RequestClass rules, RequestClassState before) {
         if (before != null && before.rules.equals(rules)) {
             return before;
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 
 /**
- * The request classes, their priority levels and the token buckets of the paper: within the rate d of its tenant or, where
- * there are no quotas, of the node, a request gets the top priority.
+ * The request classes, their priority levels and the token buckets of the paper: within the rate d of its tenant or,
+ * where there are no quotas, of the node, a request gets the top priority.
  */
 final class RequestClasses {
     /** What counts as the mean response time before the first response, in microseconds. */
--- a/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * The priority queues of Andersson and Kihl, one for each server and priority level, with the paper's tests of tau and f:
- * equation 3 finds the requests that can no longer be served in time ({@link #isHopeless}), equation 4 the request that is
- * released when a server has a free slot ({@link #selectNext}).
+ * The priority queues of Andersson and Kihl, one for each server and priority level, with the paper's tests of tau
+ * and f: equation 3 finds the requests that can no longer be served in time ({@link #isHopeless}), equation 4 the
+ * request that is released when a server has a free slot ({@link #selectNext}).
  */
 final class RequestQueues {
     /** The paper's margin f: the part of a request's time tau that measured and queued time may fill. */
@@ -128,8 +128,9 @@
     }
 
     /**
-     * Equation 4: the oldest among the heads of a server's queues, from the top level as far down as the measured time of
-     * all requests above fits within tau f; null if none is queued. The nearest end among those that wait above is the tau.
+     * Equation 4: the oldest among the heads of a server's queues, from the top level as far down as the measured
+     * time of all requests above fits within tau f; null if none is queued. The nearest end among those that wait
+     * above is the tau.
      */
     static QueuedRequest selectNext(long now, ServerState server) {
         QueuedRequest oldest = null;
--- a/core/src/main/java/brackenbridge/core/balancing/RetryBudget.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RetryBudget.java
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Spends a retry, if the budget covers one and the request may be retried: it has attempts and time left, its effect
-     * allows it, and the outcome of its last attempt was neither of the client's nor of the node's making. A retry after
-     * an attempt that the node itself failed to connect costs nothing.
+     * Spends a retry, if the budget covers one and the request may be retried: it has attempts and time left, its
+     * effect allows it, and the outcome of its last attempt was neither of the client's nor of the node's making. A
+     * retry after an attempt that the node itself failed to connect costs nothing.
      */
     boolean trySpend(long now, QueuedRequest request, Outcome outcome) {
         double cost = outcome == Outcome.FAILED_LOCALLY ? 0 : 1;
--- a/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * The subset of the servers that this instance uses: the first of its {@link ServerOrder}, as many as its load needs. It
- * also bounds the requests in flight to each of them.
+ * The subset of the servers that this instance uses: the first of its {@link ServerOrder}, as many as its load needs.
+ * It also bounds the requests in flight to each of them.
  */
 final class ServerSubset {
     private static final int MIN_SIZE = 8;
@@ -57,7 +57,8 @@
     }
 
     /**
-     * Lays the order and the subset out anew: own zone first; in each zone the callers' starting points are spread evenly.
+     * Lays the order and the subset out anew: own zone first; in each zone the callers' starting points are spread
+     * evenly.
      *
      * @return the members before
      */
@@ -123,9 +124,9 @@
     }
 
     /**
-     * The most requests in flight to one server: one, but more where too few callers share a server to fill it. A server
-     * holds a slot while it waits for the next tier: one request from each of two callers leaves it idle. The callers'
-     * traffic may be uneven as well, for which the window is widened, see {@link #adjustWindow}.
+     * The most requests in flight to one server: one, but more where too few callers share a server to fill it. A
+     * server holds a slot while it waits for the next tier: one request from each of two callers leaves it idle. The
+     * callers' traffic may be uneven as well, for which the window is widened, see {@link #adjustWindow}.
      */
     int window() {
         double part = usedSize() / (double) Math.max(1, order.size());
@@ -133,8 +134,9 @@
     }
 
     /**
-     * Widens the window by one where requests wait though all servers are in use and have spare capacity, unless so many are
-     * ejected that the requests of these would overload the others; else narrows it by one where it is not needed.
+     * Widens the window by one where requests wait though all servers are in use and have spare capacity, unless so
+     * many are ejected that the requests of these would overload the others; else narrows it by one where it is not
+     * needed.
      */
     void adjustWindow(boolean requestsWait, int ejected, int rotationSize, AdmissionControl admission) {
         boolean spareCapacity = admission.hasSpareCapacity();
