--- a/lab/src/main/java/brackenbridge/lab/live/Capacity.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Capacity.java
@@ -107,7 +107,11 @@
         double rate = FIRST_RATE;
         double step = STEP;
         while (true) {
-            if (well(name, at, rate, said) || well(name, at, rate, said)) {
+            boolean passed = well(name, at, rate, said);
+            if (!passed) {
+                passed = well(name, at, rate, said);
+            }
+            if (passed) {
                 good = rate;
                 rate *= step;
             } else if (step == FINE || good == 0) {
--- a/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
@@ -127,7 +127,11 @@
         public void run() {
             while (!over) {
                 sent.incrementAndGet();
-                if (!once() && !once()) {
+                boolean answered = once();
+                if (!answered) {
+                    answered = once();
+                }
+                if (!answered) {
                     lost.incrementAndGet();
                 }
             }
