--- a/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
@@ -35,6 +35,7 @@
     private double ratePerSecond;
     /** Whether a request was there to be answered at any time since the last tick. */
     private boolean requested;
+
     private double congestion = 1;
     private boolean congestionMeasured;
     /** When the first request came, in microseconds; a node may be ready for long before. */
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -19,7 +19,6 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.PooledByteBufAllocator;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -96,7 +95,7 @@
                 .channelFactory(calls.outgoing())
                 .option(ChannelOption.ALLOCATOR, buffers)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, received())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, ReceiveBuffers.allocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
         listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::ready, this::makeRoom);
         forwards = new UpstreamConnections(
@@ -150,7 +149,9 @@
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         // Guards servers against the request of a client whose end is there as well, read a turn too
                         // late.
-                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, received().respectMaybeMoreData(false))
+                        .childOption(
+                                ChannelOption.RECVBUF_ALLOCATOR,
+                                ReceiveBuffers.allocator().respectMaybeMoreData(false))
                         .childHandler(listener.initializer()),
                 address,
                 clock,
@@ -209,16 +210,6 @@
         sockets.share(false);
     }
 
-    /**
-     * How much is read from one connection before the next has its turn. Guards memory and usual clients against
-     * those that send at full speed.
-     */
-    private static AdaptiveRecvByteBufAllocator received() {
-        AdaptiveRecvByteBufAllocator received = new AdaptiveRecvByteBufAllocator(512, 2048, 8192);
-        received.maxMessagesPerRead(Listener.READS_A_TURN);
-        return received;
-    }
-
     /** Where staff call it; null if nowhere. */
     public InetSocketAddress managementAddress() {
         return management == null ? null : management.address();
