--- a/core/src/main/java/brackenbridge/core/EndpointList.java
+++ b/core/src/main/java/brackenbridge/core/EndpointList.java
@@ -5,16 +5,17 @@
 /**
  * What discovery says of a target group: all of it, or what has changed in it.
  *
- * @param seq the list's version
- * @param whole whether it is the complete list
- * @param targets its entries
- * @param unread hosts that it names with something that can't be read: they stay as they were
+ * @param version the list's version
+ * @param complete whether it is the complete list
+ * @param endpoints its entries
+ * @param unreadableHosts hosts that it names with something that can't be read: they stay as they were
  */
-public record EndpointList(long seq, boolean whole, List<ServerEndpoint> targets, List<String> unread) {
+public record EndpointList(
+        long version, boolean complete, List<ServerEndpoint> endpoints, List<String> unreadableHosts) {
     /** Keeps its own copies. */
     public EndpointList {
-        targets = List.copyOf(targets);
-        unread = List.copyOf(unread);
+        endpoints = List.copyOf(endpoints);
+        unreadableHosts = List.copyOf(unreadableHosts);
     }
 
     /** A list of which all was read. */
--- a/core/src/main/java/brackenbridge/core/LifeCycle.java
+++ b/core/src/main/java/brackenbridge/core/LifeCycle.java
@@ -3,7 +3,7 @@
 /** What a node is to its clients: it starts, serves, may drain and serve again, and stops for good. */
 final class LifeCycle {
     /** Where a node can be. */
-    enum Phase {
+    enum LifeCyclePhase {
         STARTING,
         SERVING,
         DRAINING,
@@ -11,37 +11,38 @@
     }
 
     /** What a drain does one after the other, so many milliseconds after its call. */
-    enum Step {
+    enum DrainStep {
         /** The front has noticed: idle connections are ended. */
-        END_IDLE(600),
+        CLOSE_IDLE_CLIENTS(600),
         /** New flows are turned away, so that none of them is open long after. */
-        TURN_AWAY(1800),
+        REJECT_NEW_REQUESTS(1800),
         /** Requests that are still not whole are given up. */
-        END_UNFINISHED(3300);
+        REJECT_INCOMPLETE_REQUESTS(3300);
 
         final double afterMs;
 
-        Step(double afterMs) {
+        DrainStep(double afterMs) {
             this.afterMs = afterMs;
         }
     }
 
-    private Phase phase = Phase.STARTING;
+    private LifeCyclePhase phase = LifeCyclePhase.STARTING;
     private long drains;
-    private boolean turnsAway;
+    private boolean rejecting;
 
-    Phase phase() {
+    LifeCyclePhase phase() {
         return phase;
     }
 
     /** The node has its first list; false if it had begun before. */
     boolean started() {
-        return turn(Phase.STARTING, Phase.SERVING);
+        return turn(LifeCyclePhase.STARTING, LifeCyclePhase.SERVING);
     }
 
     /** False if it drains already, or stops. */
     boolean drain() {
-        if (turn(Phase.SERVING, Phase.DRAINING) || turn(Phase.STARTING, Phase.DRAINING)) {
+        if (turn(LifeCyclePhase.SERVING, LifeCyclePhase.DRAINING)
+                || turn(LifeCyclePhase.STARTING, LifeCyclePhase.DRAINING)) {
             drains++;
             return true;
         }
@@ -49,37 +50,37 @@
     }
 
     /** False if it does not drain. */
-    boolean comeBack() {
-        turnsAway &= phase != Phase.DRAINING;
-        return turn(Phase.DRAINING, Phase.SERVING);
+    boolean cancelDrain() {
+        rejecting &= phase != LifeCyclePhase.DRAINING;
+        return turn(LifeCyclePhase.DRAINING, LifeCyclePhase.SERVING);
     }
 
     /** False if it stops already. */
     boolean stop() {
-        boolean first = phase != Phase.STOPPING;
-        phase = Phase.STOPPING;
+        boolean first = phase != LifeCyclePhase.STOPPING;
+        phase = LifeCyclePhase.STOPPING;
         return first;
     }
 
     /** Which drain this is: the steps of one that is over do nothing. */
-    long drains() {
+    long drainCount() {
         return drains;
     }
 
     boolean isCurrent(long drain) {
-        return phase == Phase.DRAINING && drain == drains;
+        return phase == LifeCyclePhase.DRAINING && drain == drains;
     }
 
-    void turnAway() {
-        turnsAway = true;
+    void startRejecting() {
+        rejecting = true;
     }
 
     /** Whether new flows are refused. */
-    boolean turnsAway() {
-        return turnsAway;
+    boolean isRejecting() {
+        return rejecting;
     }
 
-    private boolean turn(Phase from, Phase to) {
+    private boolean turn(LifeCyclePhase from, LifeCyclePhase to) {
         if (phase != from) {
             return false;
         }
--- a/core/src/main/java/brackenbridge/core/ModuleTime.java
+++ b/core/src/main/java/brackenbridge/core/Microseconds.java
@@ -1,14 +1,14 @@
 package brackenbridge.core;
 
 /** The one seam between the node's milliseconds and the module's whole microseconds. */
-final class ModuleTime {
-    private ModuleTime() {}
+final class Microseconds {
+    private Microseconds() {}
 
-    static long micros(double ms) {
+    static long ofMs(double ms) {
         return (long) (ms * 1000);
     }
 
-    static double ms(long micros) {
+    static double toMs(long micros) {
         return micros / 1000.0;
     }
 }
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -1,29 +1,30 @@
 package brackenbridge.core;
 
-import brackenbridge.core.Event.Reply;
+import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.balancing.AttemptOutcome;
 import brackenbridge.core.balancing.Balancer;
+import brackenbridge.core.balancing.BalancerActions;
 import brackenbridge.core.balancing.BalancerApi;
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.Report;
-import brackenbridge.core.balancing.BalancerApi.Request;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerRequest;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.Endpoint;
+import brackenbridge.core.balancing.EndpointListKind;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.LoadReport;
+import brackenbridge.core.balancing.RequestClass;
 import brackenbridge.core.membership.DiscoveryCommand;
 import brackenbridge.core.membership.DiscoverySource;
 import brackenbridge.core.membership.DiscoveryWatch;
-import brackenbridge.core.observe.Observer;
+import brackenbridge.core.observe.TrafficObserver;
 import brackenbridge.core.share.SchedulingResult;
 import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.core.share.TenantScheduler;
 import brackenbridge.core.share.TenantUse;
 import brackenbridge.core.share.ZoneWeights;
+import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
-import brackenbridge.counters.Counters.Kind;
-import brackenbridge.counters.Figures;
+import brackenbridge.counters.OperatorMetrics;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -98,9 +99,9 @@
             this.maxAttempts = maxAttempts;
             this.message = request.message();
             this.tenant = request.tenant();
-            this.repeat = request.repeat();
+            this.repeat = request.clientRetry();
             this.left = left;
-            this.unseen = request.unseenMs();
+            this.unseen = request.maxUnseenWaitMs();
             this.deadline = deadline;
         }
 
@@ -122,7 +123,7 @@
         double since;
         boolean written;
         /** As what it is counted; null where nobody counts. */
-        Observer.Key seen;
+        TrafficObserver.PoolKey seen;
 
         Out(int number, String host, double sentMs) {
             this.number = number;
@@ -132,14 +133,14 @@
         }
     }
 
-    private record Owed(long flow, int attempt, Outcome outcome) {}
+    private record Owed(long flow, int attempt, AttemptOutcome outcome) {}
 
     /** A flow whose answer is on its way out, and what it will count as. */
-    private record Leaving(String className, Kind kind) {}
+    private record Leaving(String className, Counter kind) {}
 
     private record PendingProbe(long endpoint, double since) {}
 
-    private Settings settings;
+    private BalancerSettings settings;
     private final Counters counters;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final BalancerApi balancer;
@@ -176,10 +177,10 @@
 
     private double sharesWakeMs = Double.POSITIVE_INFINITY;
     /** Null where nobody wants to know. */
-    private Observer observer;
+    private TrafficObserver observer;
 
     /** Starts a node; the module draws its random numbers from the settings' seed. */
-    public Reducer(Settings settings, Counters counters) {
+    public Reducer(BalancerSettings settings, Counters counters) {
         this(settings, counters, Balancer::new);
     }
 
@@ -187,7 +188,10 @@
      * Starts a node whose decisions another maker makes, so that a laboratory can hold others against the module's
      * under the same promises; a running node always has the module's.
      */
-    public Reducer(Settings settings, Counters counters, BiFunction<Settings, Actions, BalancerApi> decisions) {
+    public Reducer(
+            BalancerSettings settings,
+            Counters counters,
+            BiFunction<BalancerSettings, BalancerActions, BalancerApi> decisions) {
         this.settings = settings;
         this.counters = counters;
         this.longestDeadlineAtStartMs = ShutdownSchedule.longestDeadlineMs(settings);
@@ -231,118 +235,125 @@
     }
 
     /** Whether a flow could be served: some server is known to run, and the node neither drains nor stops. */
-    public boolean ready() {
-        return life.phase() == LifeCycle.Phase.SERVING
+    public boolean isReady() {
+        return life.phase() == LifeCycle.LifeCyclePhase.SERVING
                 && targets.values().stream().anyMatch(t -> t.state() == EndpointState.UP);
     }
 
     /** Whether the node has begun to stop. */
-    public boolean stopping() {
-        return life.phase() == LifeCycle.Phase.STOPPING;
+    public boolean isStopping() {
+        return life.phase() == LifeCycle.LifeCyclePhase.STOPPING;
     }
 
     /** From now on it is counted what goes to each pool. */
-    public void observe() {
-        observer = new Observer();
+    public void startObserving() {
+        observer = new TrafficObserver();
     }
 
     /** What was seen so far of each pool; nothing where nobody asked for it. */
-    public Observer.Snapshot observed() {
+    public TrafficObserver.TrafficSnapshot observation() {
         if (observer == null) {
-            return Observer.Snapshot.NONE;
+            return TrafficObserver.TrafficSnapshot.NONE;
         }
-        Map<Observer.Key, Integer> servers = new HashMap<>();
+        Map<TrafficObserver.PoolKey, Integer> servers = new HashMap<>();
         targets.values().stream()
                 .filter(t -> t.state() == EndpointState.UP)
-                .forEach(t -> servers.merge(new Observer.Key(t.zone(), t.weight(), ""), 1, Integer::sum));
+                .forEach(t -> servers.merge(new TrafficObserver.PoolKey(t.zone(), t.weight(), ""), 1, Integer::sum));
         return observer.snapshot(now, servers);
     }
 
     /** The operators' figures by now. */
-    public String figures() {
+    public String metricsText() {
         int listed = targets.size() - removed.size();
-        return Figures.lines(
+        return OperatorMetrics.lines(
                 counters,
                 classes.keySet(),
-                new Figures.Gauges(unanswered + leaving.size(), listed, balancer.avoided(), membership.silentMs(now)));
+                new OperatorMetrics.Gauges(
+                        unanswered + leaving.size(), listed, balancer.ejectedEndpoints(), membership.silentMs(now)));
     }
 
     private void apply(Event event) {
         if (event instanceof Event.Started e) {
             life.started();
-            list(ListKind.SAVED, e.known().targets());
-            follow(membership.start(now, e.known().seq()));
-        } else if (event instanceof Event.Inherited e) {
-            inherited(e.list());
+            list(EndpointListKind.CACHED, e.cachedEndpoints().endpoints());
+            follow(membership.start(now, e.cachedEndpoints().version()));
+        } else if (event instanceof Event.EndpointListInherited e) {
+            inherited(e.endpoints());
         } else if (event instanceof Event.SuccessorServes e) {
             succeeded = e.on();
-        } else if (event instanceof Event.FlowOpened e) {
-            open(e.flow(), e.request());
-        } else if (event instanceof Event.FlowGone e) {
-            gone(e.flow());
-        } else if (event instanceof Event.ClientHidden e) {
-            withdraw(e.flow());
-        } else if (event instanceof Event.AnswerLeft e) {
-            Leaving l = leaving.remove(e.flow());
+        } else if (event instanceof Event.RequestReceived e) {
+            open(e.requestId(), e.request());
+        } else if (event instanceof Event.ClientDisconnected e) {
+            gone(e.requestId());
+        } else if (event instanceof Event.ClientPresenceUnknown e) {
+            withdraw(e.requestId());
+        } else if (event instanceof Event.ResponseFinished e) {
+            Leaving l = leaving.remove(e.requestId());
             if (l != null) {
                 counters.count(
-                        switch (e.how()) {
-                            case WHOLE -> l.kind();
-                            case CUT -> Kind.ANSWERED_FAILED;
-                            case ABANDONED -> Kind.FLOWS_GONE;
+                        switch (e.end()) {
+                            case COMPLETE -> l.kind();
+                            case TRUNCATED -> Counter.ANSWERED_FAILED;
+                            case ABANDONED -> Counter.CLIENTS_DISCONNECTED;
                         },
                         l.className());
             }
-        } else if (event instanceof Event.FlowWhole e) {
-            whole(e.flow());
-        } else if (event instanceof Event.FlowSpent e) {
-            OpenFlow f = flows.get(e.flow());
+        } else if (event instanceof Event.RequestCompleted e) {
+            whole(e.requestId());
+        } else if (event instanceof Event.RequestBodyReleased e) {
+            OpenFlow f = flows.get(e.requestId());
             if (f != null) {
                 f.spent = true;
             }
-        } else if (event instanceof Event.ForwardWritten e) {
-            OpenFlow f = withOut(e.flow(), e.forward());
+        } else if (event instanceof Event.AttemptWritten e) {
+            OpenFlow f = withOut(e.requestId(), e.attempt());
             if (f != null) {
                 f.out.written = true;
                 // A server begins with the last byte: what came before is the client's time, not the server's.
                 f.out.since = f.spent ? now : f.out.since;
-                counters.count(Kind.FORWARDS_WRITTEN);
-                balancer.onWritten(ModuleTime.micros(now), e.flow(), e.forward());
+                counters.count(Counter.ATTEMPTS_WRITTEN);
+                balancer.onAttemptWritten(Microseconds.ofMs(now), e.requestId(), e.attempt());
             }
-        } else if (event instanceof Event.ForwardAnswered e) {
+        } else if (event instanceof Event.AttemptAnswered e) {
             answered(e);
-        } else if (event instanceof Event.ForwardBroken e) {
-            OpenFlow f = withOut(e.flow(), e.forward());
+        } else if (event instanceof Event.AttemptConnectionLost e) {
+            OpenFlow f = withOut(e.requestId(), e.attempt());
             if (f != null) {
-                outcome(f, f.out.written ? Outcome.RESET : Outcome.CONNECT_FAILED, f.ended, null);
+                outcome(f, f.out.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, f.ended, null);
             }
-        } else if (event instanceof Event.ForwardNotBegun e) {
-            OpenFlow f = withOut(e.flow(), e.forward());
+        } else if (event instanceof Event.AttemptNotStarted e) {
+            OpenFlow f = withOut(e.requestId(), e.attempt());
             if (f != null) {
                 // As at the cut-off itself: another host may take it.
-                outcome(f, isCutOff(f.out.host, now) ? Outcome.CONNECT_FAILED : Outcome.MOOT, f.ended, null);
+                outcome(
+                        f,
+                        isCutOff(f.out.host, now) ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NEVER_STARTED,
+                        f.ended,
+                        null);
             }
-        } else if (event instanceof Event.ForwardFailedLocally e) {
-            OpenFlow f = withOut(e.flow(), e.forward());
+        } else if (event instanceof Event.AttemptFailedLocally e) {
+            OpenFlow f = withOut(e.requestId(), e.attempt());
             if (f != null) {
-                outcome(f, Outcome.FAILED_LOCALLY, f.ended, null);
+                outcome(f, AttemptOutcome.FAILED_LOCALLY, f.ended, null);
             }
         } else if (event instanceof Event.TimerFired e) {
             fired(e.key());
-        } else if (event instanceof Event.ProbeEnded e) {
+        } else if (event instanceof Event.HealthCheckEnded e) {
             probed(
-                    e.probe(),
-                    e.passed() ? Outcome.OK : e.answered() ? Outcome.ERROR : Outcome.CONNECT_FAILED,
+                    e.healthCheckId(),
+                    e.passed()
+                            ? AttemptOutcome.OK
+                            : e.answered() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED,
                     e.report());
         } else if (event instanceof Event.Reconfigured e) {
             reconfigured(e);
-        } else if (event instanceof Event.SharesTold e) {
-            shared(e.allowances());
-        } else if (event instanceof Event.ZonesWeighed e) {
+        } else if (event instanceof Event.TenantQuotasReceived e) {
+            shared(e.quotas());
+        } else if (event instanceof Event.ZoneWeightsReceived e) {
             weighed(e.weights());
-        } else if (event instanceof Event.DrainAsked e) {
+        } else if (event instanceof Event.DrainRequested e) {
             drain(e.on());
-        } else if (event instanceof Event.StopAsked) {
+        } else if (event instanceof Event.StopRequested) {
             stop();
         } else {
             discovery(event);
@@ -352,12 +363,12 @@
     // ---- Flows ----
 
     private void open(long id, ClientRequest request) {
-        counters.count(Kind.FLOWS_IN, request.className());
-        if (request.repeat()) {
-            counters.count(Kind.FLOWS_REPEATED);
+        counters.count(Counter.REQUESTS_RECEIVED, request.className());
+        if (request.clientRetry()) {
+            counters.count(Counter.REQUESTS_RETRIED_BY_CLIENT);
         }
         RequestClass rules = classes.get(request.className());
-        double waits = request.timeLeftMs() >= 0 ? request.timeLeftMs() : ModuleTime.ms(rules.deadline());
+        double waits = request.timeLeftMs() >= 0 ? request.timeLeftMs() : Microseconds.toMs(rules.deadline());
         double left = Math.max(0, waits - MARGIN_MS - lateMs(waits));
         OpenFlow f = new OpenFlow(
                 id,
@@ -365,26 +376,26 @@
                 rules,
                 settings.maxAttempts(),
                 left,
-                request.whole() ? now + left : Double.POSITIVE_INFINITY);
+                request.complete() ? now + left : Double.POSITIVE_INFINITY);
         flows.put(id, f);
         unanswered++;
-        if (life.turnsAway()) {
+        if (life.isRejecting()) {
             // Guards the operators' word that the node is empty: what comes after the front has gone elsewhere has
             // never run and is not begun here any more.
-            fixedResponse(f, Effect.Fixed.REFUSED, 0);
+            fixedResponse(f, Effect.LocalReply.REJECTED, 0);
             return;
         }
-        effects.add(new Effect.SetTimer(now + left, new TimerKey.Deadline(id)));
+        effects.add(new Effect.SetTimer(now + left, new TimerKey.RequestDeadline(id)));
         if (tenants == null) {
             begin(f);
             return;
         }
-        TenantScheduler.Decision d = tenants.open(now, id, f.tenant, now + left, 0);
-        if (d.verdict() == TenantScheduler.Verdict.GO) {
+        TenantScheduler.AdmissionDecision d = tenants.onRequest(now, id, f.tenant, now + left, 0);
+        if (d.verdict() == TenantScheduler.AdmissionVerdict.ADMIT) {
             begin(f);
-        } else if (d.verdict() == TenantScheduler.Verdict.REFUSE) {
-            counters.count(Kind.FLOWS_OVER_SHARE);
-            fixedResponse(f, Effect.Fixed.REFUSED, d.retryAfterMs());
+        } else if (d.verdict() == TenantScheduler.AdmissionVerdict.REJECT) {
+            counters.count(Counter.REQUESTS_OVER_QUOTA);
+            fixedResponse(f, Effect.LocalReply.REJECTED, d.retryAfterMs());
         }
     }
 
@@ -397,11 +408,12 @@
     private void begin(OpenFlow f) {
         f.begun = true;
         double left = f.isWhole() ? f.deadline - now : f.left;
-        Request told = new Request(f.id, f.className, f.tenant, -1, ModuleTime.micros(left), -1, f.repeat);
+        BalancerRequest told =
+                new BalancerRequest(f.id, f.className, f.tenant, -1, Microseconds.ofMs(left), -1, f.repeat);
         if (f.isWhole()) {
-            balancer.onRequest(ModuleTime.micros(now), told);
+            balancer.onRequest(Microseconds.ofMs(now), told);
         } else {
-            balancer.onLongRequest(ModuleTime.micros(now), told);
+            balancer.onStreamedRequest(Microseconds.ofMs(now), told);
         }
     }
 
@@ -410,24 +422,24 @@
     /** From now on tenants have what they are told here. */
     private void shared(TenantQuotas told) {
         if (tenants == null) {
-            tenants = new TenantScheduler(TenantScheduler.Limits.USUAL);
+            tenants = new TenantScheduler(TenantScheduler.SchedulerLimits.USUAL);
             // What is open already holds connections too.
             for (OpenFlow f : flows.values()) {
-                tenants.open(now, f.id, f.tenant, f.isWhole() ? f.deadline : now + f.left, 0);
+                tenants.onRequest(now, f.id, f.tenant, f.isWhole() ? f.deadline : now + f.left, 0);
             }
         }
-        turn(tenants.told(now, told));
+        turn(tenants.applyQuotas(now, told));
     }
 
     private void turn(SchedulingResult t) {
-        for (SchedulingResult.Refused r : t.refuse()) {
-            OpenFlow f = flows.get(r.flow());
+        for (SchedulingResult.Rejection r : t.rejected()) {
+            OpenFlow f = flows.get(r.requestId());
             if (f != null && !f.ended) {
-                counters.count(Kind.FLOWS_OVER_SHARE);
-                fixedResponse(f, Effect.Fixed.REFUSED, r.retryAfterMs());
+                counters.count(Counter.REQUESTS_OVER_QUOTA);
+                fixedResponse(f, Effect.LocalReply.REJECTED, r.retryAfterMs());
             }
         }
-        for (long id : t.begin()) {
+        for (long id : t.admitted()) {
             OpenFlow f = flows.get(id);
             if (f != null && !f.ended && !f.begun) {
                 begin(f);
@@ -441,18 +453,18 @@
      */
     private void shareOut() {
         while (!freed.isEmpty()) {
-            turn(tenants.done(now, freed.poll()));
+            turn(tenants.onRequestEnded(now, freed.poll()));
             settle();
         }
-        if (tenants != null && tenants.wakeMs() < sharesWakeMs) {
-            sharesWakeMs = tenants.wakeMs();
-            effects.add(new Effect.SetTimer(sharesWakeMs, new TimerKey.Shares()));
+        if (tenants != null && tenants.nextTimerMs() < sharesWakeMs) {
+            sharesWakeMs = tenants.nextTimerMs();
+            effects.add(new Effect.SetTimer(sharesWakeMs, new TimerKey.TenantSchedulerTimer()));
         }
     }
 
     /** What each tenant wanted and used since the last reading; nothing where they have no shares. */
     public List<TenantUse> tenantUse(double nowMs) {
-        return tenants == null ? List.of() : tenants.read(nowMs);
+        return tenants == null ? List.of() : tenants.takeUse(nowMs);
     }
 
     /** From now on the client waits. */
@@ -460,9 +472,9 @@
         OpenFlow f = flows.get(id);
         if (f != null && !f.isWhole()) {
             f.deadline = now + f.left;
-            effects.add(new Effect.SetTimer(f.deadline, new TimerKey.Deadline(id)));
+            effects.add(new Effect.SetTimer(f.deadline, new TimerKey.RequestDeadline(id)));
             if (f.begun) {
-                balancer.onWhole(ModuleTime.micros(now), id);
+                balancer.onRequestCompleted(Microseconds.ofMs(now), id);
             }
         }
     }
@@ -472,14 +484,14 @@
         if (f == null || f.ended) {
             return;
         }
-        counters.count(Kind.FLOWS_GONE, f.className);
+        counters.count(Counter.CLIENTS_DISCONNECTED, f.className);
         end(f);
         if (f.begun) {
-            guarded(() -> balancer.onGone(ModuleTime.micros(now), id));
+            guarded(() -> balancer.onClientDisconnected(Microseconds.ofMs(now), id));
         }
         // What is not written whole is no attempt yet and is withdrawn whatever the settings say of those that are.
         if (f.out != null && (settings.mayCancel() || !f.out.written)) {
-            cancelOut(f, Outcome.CANCELLED);
+            cancelOut(f, AttemptOutcome.CANCELLED);
         }
     }
 
@@ -489,38 +501,38 @@
         if (f == null || f.ended || f.out != null && f.out.written) {
             return;
         }
-        fixedResponse(f, f.mayHaveRun ? Effect.Fixed.FAILED : Effect.Fixed.REFUSED, 0);
+        fixedResponse(f, f.mayHaveRun ? Effect.LocalReply.FAILED : Effect.LocalReply.REJECTED, 0);
         if (f.begun) {
-            guarded(() -> balancer.onGone(ModuleTime.micros(now), id));
+            guarded(() -> balancer.onClientDisconnected(Microseconds.ofMs(now), id));
         }
         if (f.out != null) {
-            cancelOut(f, Outcome.CANCELLED);
+            cancelOut(f, AttemptOutcome.CANCELLED);
         }
     }
 
-    private void answered(Event.ForwardAnswered e) {
-        OpenFlow f = withOut(e.flow(), e.forward());
+    private void answered(Event.AttemptAnswered e) {
+        OpenFlow f = withOut(e.requestId(), e.attempt());
         if (f == null) {
             return;
         }
-        if (e.reply() == Reply.REJECTED) {
+        if (e.reply() == ServerReply.INVALID_REQUEST) {
             // Guards the servers' standing against clients that ask for nonsense: the answer is the request's own
             // fault, so it is final, is not tried elsewhere and counts against no server.
             if (!f.ended) {
-                fixedResponse(f, Effect.Fixed.REJECTED, 0);
+                fixedResponse(f, Effect.LocalReply.INVALID_REQUEST, 0);
             }
-            counters.count(Kind.FORWARDS_REJECTED);
-            conclude(f, Outcome.CANCELLED, true, e.report());
+            counters.count(Counter.ATTEMPTS_INVALID_REQUEST);
+            conclude(f, AttemptOutcome.CANCELLED, true, e.report());
             return;
         }
-        Outcome outcome = switch (e.reply()) {
-            case SERVED -> Outcome.OK;
-            case ERROR -> Outcome.ERROR;
-            default -> Outcome.FULL;
+        AttemptOutcome outcome = switch (e.reply()) {
+            case SERVED -> AttemptOutcome.OK;
+            case ERROR -> AttemptOutcome.ERROR;
+            default -> AttemptOutcome.FULL;
         };
-        if (outcome == Outcome.OK && !f.ended) {
-            leaving.put(f.id, new Leaving(f.className, Kind.ANSWERED_SERVED));
-            effects.add(new Effect.Respond(f.id, e.message()));
+        if (outcome == AttemptOutcome.OK && !f.ended) {
+            leaving.put(f.id, new Leaving(f.className, Counter.ANSWERED_SERVED));
+            effects.add(new Effect.SendResponse(f.id, e.message()));
             end(f);
         }
         outcome(f, outcome, f.ended, e.report());
@@ -546,17 +558,17 @@
             if (tenants != null) {
                 freed.add(f.id);
             }
-            effects.add(new Effect.UnsetTimer(new TimerKey.Deadline(f.id)));
+            effects.add(new Effect.CancelTimer(new TimerKey.RequestDeadline(f.id)));
         }
     }
 
     /** The forward that is out has ended: the module hears of it, this once. */
-    private void outcome(OpenFlow f, Outcome outcome, boolean ended, Report report) {
+    private void outcome(OpenFlow f, AttemptOutcome outcome, boolean ended, LoadReport report) {
         counters.count(kind(outcome));
         conclude(f, outcome, ended, report);
     }
 
-    private void conclude(OpenFlow f, Outcome outcome, boolean endedBefore, Report report) {
+    private void conclude(OpenFlow f, AttemptOutcome outcome, boolean endedBefore, LoadReport report) {
         Out o = f.out;
         f.out = null;
         if (!outcome.neverRan && !f.mayHaveRun) {
@@ -564,22 +576,24 @@
             f.ranSinceMs = o.sentMs;
         }
         if (o.seen != null) {
-            observer.ended(o.seen, outcome == Outcome.OK, !outcome.neverRan, now - o.since);
+            observer.onAttemptEnded(o.seen, outcome == AttemptOutcome.OK, !outcome.neverRan, now - o.since);
         }
-        f.timedOut = outcome == Outcome.TIMEOUT;
+        f.timedOut = outcome == AttemptOutcome.TIMEOUT;
         if (f.spent && !f.ended) {
             // Nobody has its body any more, so the module has nothing to decide: the flow ends at once and truly.
             fixedResponse(
                     f,
-                    f.timedOut ? Effect.Fixed.TIMED_OUT : f.mayHaveRun ? Effect.Fixed.FAILED : Effect.Fixed.REFUSED,
+                    f.timedOut
+                            ? Effect.LocalReply.TIMED_OUT
+                            : f.mayHaveRun ? Effect.LocalReply.FAILED : Effect.LocalReply.REJECTED,
                     0);
         }
         boolean ended = endedBefore || f.ended;
         if (f.ended) {
             forget(f);
         }
-        balancer.onOutcome(
-                ModuleTime.micros(now), f.id, o.number, ended, outcome, ModuleTime.micros(now - o.since), report);
+        balancer.onAttemptEnded(
+                Microseconds.ofMs(now), f.id, o.number, ended, outcome, Microseconds.ofMs(now - o.since), report);
     }
 
     /**
@@ -610,27 +624,27 @@
     /** Whether servers may have forgotten that they have run it when another forward of it reaches them. */
     private static boolean isRepeatedTooLate(OpenFlow f, double nowMs) {
         return f.mayHaveRun
-                && f.rules.effect() == BalancerApi.Effect.KEYED
-                && nowMs >= f.ranSinceMs + ModuleTime.ms(f.rules.keyTtl()) - HELD_UP_MS;
+                && f.rules.idempotence() == Idempotence.IDEMPOTENCY_KEY
+                && nowMs >= f.ranSinceMs + Microseconds.toMs(f.rules.idempotencyKeyTtl()) - HELD_UP_MS;
     }
 
-    private static Kind kind(Outcome outcome) {
+    private static Counter kind(AttemptOutcome outcome) {
         return switch (outcome) {
-            case OK -> Kind.FORWARDS_SERVED;
-            case ERROR -> Kind.FORWARDS_FAILED;
-            case FULL -> Kind.FORWARDS_TURNED_AWAY;
-            case TIMEOUT -> Kind.FORWARDS_TIMED_OUT;
-            case CONNECT_FAILED, FAILED_LOCALLY -> Kind.FORWARDS_UNCONNECTED;
-            case RESET -> Kind.FORWARDS_RESET;
-            case CANCELLED -> Kind.FORWARDS_CANCELLED;
-            case MOOT -> Kind.FORWARDS_MOOT;
+            case OK -> Counter.ATTEMPTS_SERVED;
+            case ERROR -> Counter.ATTEMPTS_FAILED;
+            case FULL -> Counter.ATTEMPTS_SERVER_FULL;
+            case TIMEOUT -> Counter.ATTEMPTS_TIMED_OUT;
+            case CONNECT_FAILED, FAILED_LOCALLY -> Counter.ATTEMPTS_UNCONNECTED;
+            case RESET -> Counter.ATTEMPTS_RESET;
+            case CANCELLED -> Counter.ATTEMPTS_CANCELLED;
+            case NEVER_STARTED -> Counter.ATTEMPTS_NEVER_STARTED;
         };
     }
 
     /** Calls off the forward that is out; one that was never written whole has never run. */
-    private void cancelOut(OpenFlow f, Outcome ifWritten) {
-        effects.add(new Effect.CancelForward(f.id, f.out.number));
-        outcome(f, f.out.written ? ifWritten : Outcome.MOOT, f.ended, null);
+    private void cancelOut(OpenFlow f, AttemptOutcome ifWritten) {
+        effects.add(new Effect.CancelAttempt(f.id, f.out.number));
+        outcome(f, f.out.written ? ifWritten : AttemptOutcome.NEVER_STARTED, f.ended, null);
     }
 
     /** Forwards that could not be begun get their outcome once the module has finished its own event. */
@@ -639,32 +653,34 @@
             Owed o = owed.poll();
             OpenFlow f = flows.get(o.flow());
             counters.count(kind(o.outcome()));
-            balancer.onOutcome(
-                    ModuleTime.micros(now), o.flow(), o.attempt(), f == null || f.ended, o.outcome(), 0, null);
+            balancer.onAttemptEnded(
+                    Microseconds.ofMs(now), o.flow(), o.attempt(), f == null || f.ended, o.outcome(), 0, null);
         }
     }
 
-    private void fixedResponse(OpenFlow f, Effect.Fixed kind, double retryAfterMs) {
-        if (observer != null && kind == Effect.Fixed.REFUSED) {
-            observer.refused(f.className);
+    private void fixedResponse(OpenFlow f, Effect.LocalReply kind, double retryAfterMs) {
+        if (observer != null && kind == Effect.LocalReply.REJECTED) {
+            observer.onRejected(f.className);
         }
         leaving.put(
                 f.id,
                 new Leaving(
                         f.className,
-                        kind == Effect.Fixed.REFUSED
-                                ? Kind.ANSWERED_REFUSED
-                                : kind == Effect.Fixed.REJECTED ? Kind.ANSWERED_REJECTED : Kind.ANSWERED_FAILED));
+                        kind == Effect.LocalReply.REJECTED
+                                ? Counter.ANSWERED_REJECTED
+                                : kind == Effect.LocalReply.INVALID_REQUEST
+                                        ? Counter.ANSWERED_INVALID_REQUEST
+                                        : Counter.ANSWERED_FAILED));
         // A refusal says when to come back, whoever decided it.
-        double advice = kind == Effect.Fixed.REFUSED && retryAfterMs == 0 ? retryAdviceMs() : retryAfterMs;
-        effects.add(new Effect.FixedResponse(f.id, kind, advice));
+        double advice = kind == Effect.LocalReply.REJECTED && retryAfterMs == 0 ? retryAdviceMs() : retryAfterMs;
+        effects.add(new Effect.SendLocalReply(f.id, kind, advice));
         end(f);
     }
 
     /** When the module wants refused clients back; none if it can't say. */
     private double retryAdviceMs() {
         try {
-            return ModuleTime.ms(balancer.retryAfter());
+            return Microseconds.toMs(balancer.suggestedRetryAfter());
         } catch (RuntimeException e) {
             fault(e);
             return 0;
@@ -672,44 +688,44 @@
     }
 
     private void fired(TimerKey key) {
-        if (key instanceof TimerKey.Module k) {
-            balancer.onTimer(ModuleTime.micros(now), k.token());
-        } else if (key instanceof TimerKey.Deadline k) {
-            deadline(k.flow());
-        } else if (key instanceof TimerKey.ForwardLimit k) {
-            OpenFlow f = withOut(k.flow(), k.forward());
+        if (key instanceof TimerKey.BalancerTimer k) {
+            balancer.onTimer(Microseconds.ofMs(now), k.token());
+        } else if (key instanceof TimerKey.RequestDeadline k) {
+            deadline(k.requestId());
+        } else if (key instanceof TimerKey.AttemptTimeout k) {
+            OpenFlow f = withOut(k.requestId(), k.attempt());
             if (f != null) {
-                cancelOut(f, Outcome.TIMEOUT);
+                cancelOut(f, AttemptOutcome.TIMEOUT);
             }
         } else if (key instanceof TimerKey.DrainCutoff k) {
             cutOff(k.host());
-        } else if (key instanceof TimerKey.Discovery k) {
+        } else if (key instanceof TimerKey.DiscoveryTimer k) {
             follow(membership.wake(now, k.turn()));
-        } else if (key instanceof TimerKey.ProbeLimit k) {
-            if (probes.containsKey(k.probe())) {
-                effects.add(new Effect.EndProbe(k.probe()));
-                probed(k.probe(), Outcome.TIMEOUT, null);
+        } else if (key instanceof TimerKey.HealthCheckTimeout k) {
+            if (probes.containsKey(k.healthCheckId())) {
+                effects.add(new Effect.CancelHealthCheck(k.healthCheckId()));
+                probed(k.healthCheckId(), AttemptOutcome.TIMEOUT, null);
             }
-        } else if (key instanceof TimerKey.Shares) {
+        } else if (key instanceof TimerKey.TenantSchedulerTimer) {
             sharesWakeMs = Double.POSITIVE_INFINITY;
-            turn(tenants.due(now));
-        } else if (key instanceof TimerKey.WeightsOver) {
+            turn(tenants.onTimer(now));
+        } else if (key instanceof TimerKey.ZoneWeightsExpired) {
             tellWeights();
         } else if (key instanceof TimerKey.DrainStep k) {
             drainStep(k);
-        } else if (key instanceof TimerKey.EndIdle) {
-            effects.add(new Effect.KeepNoClients(true));
+        } else if (key instanceof TimerKey.CloseIdleClients) {
+            effects.add(new Effect.CloseClientsWhenIdle(true));
         } else if (key instanceof TimerKey.StopAccepting) {
             effects.add(new Effect.StopAccepting());
         } else if (key instanceof TimerKey.StopServing) {
             closed = true;
-            effects.add(new Effect.SayClose(true));
+            effects.add(new Effect.AnnounceClose(true));
             effects.add(new Effect.CloseIdleClients());
-        } else if (key instanceof TimerKey.StopLimit) {
+        } else if (key instanceof TimerKey.AnswerAll) {
             // Guards what is whole only behind the last answers: begun now, it would die with the process.
-            life.turnAway();
+            life.startRejecting();
             answerAll();
-        } else if (key instanceof TimerKey.StopNow) {
+        } else if (key instanceof TimerKey.ExitNow) {
             effects.add(new Effect.Exit(true));
         }
     }
@@ -731,16 +747,16 @@
         if (f.out != null) {
             // No further timer answers this flow: it is answered whatever the module does with the outcome.
             guarded(() -> {
-                cancelOut(f, Outcome.TIMEOUT);
+                cancelOut(f, AttemptOutcome.TIMEOUT);
                 settle();
             });
         }
         if (!f.ended) {
             // Guards against a flow that the module still holds: the client must not be left without an answer.
-            counters.count(Kind.ANSWERED_AT_DEADLINE);
-            fixedResponse(f, f.mayHaveRun ? Effect.Fixed.TIMED_OUT : Effect.Fixed.REFUSED, 0);
+            counters.count(Counter.ANSWERED_AT_DEADLINE);
+            fixedResponse(f, f.mayHaveRun ? Effect.LocalReply.TIMED_OUT : Effect.LocalReply.REJECTED, 0);
             if (f.begun) {
-                guarded(() -> balancer.onGone(ModuleTime.micros(now), f.id));
+                guarded(() -> balancer.onClientDisconnected(Microseconds.ofMs(now), f.id));
             }
         }
     }
@@ -748,57 +764,58 @@
     // ---- Discovery ----
 
     private void discovery(Event event) {
-        if (event instanceof Event.TargetsTold e) {
-            if (membership.told(now, e.call(), e.group().seq(), e.group().whole())) {
-                told(e.group());
+        if (event instanceof Event.EndpointListReceived e) {
+            if (membership.onEndpointList(
+                    now, e.call(), e.endpoints().version(), e.endpoints().complete())) {
+                told(e.endpoints());
             }
-        } else if (event instanceof Event.DiscoveryBeat e) {
-            membership.beat(now, e.call());
+        } else if (event instanceof Event.DiscoveryHeartbeat e) {
+            membership.onHeartbeat(now, e.call());
         } else if (event instanceof Event.DiscoveryEnded e) {
             if (membership.isOpen(e.call())) {
-                counters.count(Kind.DISCOVERY_FAILED);
+                counters.count(Counter.DISCOVERY_FAILED);
             }
-            follow(membership.ended(now, e.call()));
+            follow(membership.onCallEnded(now, e.call()));
         }
     }
 
     private void told(EndpointList group) {
-        counters.count(Kind.TARGET_LISTS);
-        List<ServerEndpoint> told = new ArrayList<>(group.targets());
+        counters.count(Counter.ENDPOINT_LISTS);
+        List<ServerEndpoint> told = new ArrayList<>(group.endpoints());
         // Guards a server that serves against one unreadable word of it: left out, it would count as gone.
-        for (String host : Set.copyOf(group.unread())) {
+        for (String host : Set.copyOf(group.unreadableHosts())) {
             if (ids.isKnown(host)) {
                 told.add(targets.get(ids.of(host)));
             }
         }
-        list(group.whole() ? ListKind.FULL : ListKind.CHANGES, told);
+        list(group.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES, told);
     }
 
-    private static DiscoverySource source(Settings s) {
-        return new DiscoverySource(s.askDiscovery(), ModuleTime.ms(s.mustAskWithin()));
+    private static DiscoverySource source(BalancerSettings s) {
+        return new DiscoverySource(s.polledDiscovery(), Microseconds.toMs(s.maxPollInterval()));
     }
 
     private void follow(List<DiscoveryCommand> steps) {
         for (DiscoveryCommand step : steps) {
-            if (step instanceof DiscoveryCommand.Open o) {
-                counters.count(Kind.DISCOVERY_CALLS);
-                effects.add(new Effect.Watch(o.call(), o.afterSeq()));
-            } else if (step instanceof DiscoveryCommand.End e) {
+            if (step instanceof DiscoveryCommand.OpenWatch o) {
+                counters.count(Counter.DISCOVERY_CALLS);
+                effects.add(new Effect.WatchDiscovery(o.call(), o.afterVersion()));
+            } else if (step instanceof DiscoveryCommand.EndCall e) {
                 if (e.silent()) {
-                    counters.count(Kind.DISCOVERY_FAILED);
+                    counters.count(Counter.DISCOVERY_FAILED);
                 }
-                effects.add(new Effect.EndDiscovery(e.call()));
+                effects.add(new Effect.EndDiscoveryCall(e.call()));
             } else if (step instanceof DiscoveryCommand.Wake w) {
-                effects.add(new Effect.SetTimer(w.atMs(), new TimerKey.Discovery(w.turn())));
+                effects.add(new Effect.SetTimer(w.atMs(), new TimerKey.DiscoveryTimer(w.timer())));
             }
         }
     }
 
     /** The target group as the process before this one holds it: what it was told binds this one too. */
     private void inherited(EndpointList list) {
-        if (membership.offered(list.seq(), true)) {
-            list(ListKind.SAVED, list.targets());
-            for (ServerEndpoint t : list.targets()) {
+        if (membership.acceptVersion(list.version(), true)) {
+            list(EndpointListKind.CACHED, list.endpoints());
+            for (ServerEndpoint t : list.endpoints()) {
                 if (t.state() != EndpointState.UP) {
                     // Its grace began when the other process was told, no later than now.
                     noSendAfter.put(t.host(), now);
@@ -806,13 +823,13 @@
             }
         }
         // What changes from now on is told to both; the first question of its own may be seconds away.
-        follow(membership.askNow(now, false));
+        follow(membership.reopen(now, false));
     }
 
     /** What is known of the target group, for a process that takes this one's place. */
-    public EndpointList targetGroup() {
+    public EndpointList endpointList() {
         return new EndpointList(
-                membership.seq(),
+                membership.version(),
                 true,
                 targets.values().stream()
                         .filter(t -> t.state() != EndpointState.REMOVED)
@@ -821,25 +838,25 @@
 
     /** Another configuration: a newer list in it is taken over, and a moved discovery is asked at once. */
     private void reconfigured(Event.Reconfigured e) {
-        counters.count(Kind.RECONFIGURED);
+        counters.count(Counter.RECONFIGURED);
         if (!e.settings().withSeed(settings.seed()).equals(settings)) {
             settings = e.settings();
             classes.clear();
             settings.classes().forEach(c -> classes.put(c.name(), c));
-            if (stopping()) {
+            if (isStopping()) {
                 scheduleStop();
             }
             refuseChanged();
-            guarded(() -> balancer.onSettings(ModuleTime.micros(now), settings));
+            guarded(() -> balancer.onSettings(Microseconds.ofMs(now), settings));
         }
-        follow(membership.comesFrom(now, source(settings)));
-        if (membership.offered(e.known().seq(), false)) {
-            list(ListKind.SAVED, e.known().targets());
+        follow(membership.changeSource(now, source(settings)));
+        if (membership.acceptVersion(e.configuredEndpoints().version(), false)) {
+            list(EndpointListKind.CACHED, e.configuredEndpoints().endpoints());
         }
         if (e.discoveryMoved()) {
             // Guards the list against the gap that a pause after a failed call would leave: what the new address
             // has to tell counts as told soon.
-            follow(membership.askNow(now, true));
+            follow(membership.reopen(now, true));
         }
     }
 
@@ -850,19 +867,25 @@
     private void refuseChanged() {
         for (OpenFlow f : List.copyOf(flows.values())) {
             if (!f.begun && !f.ended && !f.rules.equals(classes.get(f.className))) {
-                fixedResponse(f, Effect.Fixed.REFUSED, 0);
+                fixedResponse(f, Effect.LocalReply.REJECTED, 0);
             }
         }
     }
 
-    private void list(ListKind kind, List<ServerEndpoint> told) {
-        if (kind == ListKind.FULL || kind == ListKind.SAVED) {
+    private void list(EndpointListKind kind, List<ServerEndpoint> told) {
+        if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
             Set<String> named = new HashSet<>();
             told.forEach(t -> named.add(t.host()));
             for (ServerEndpoint t : List.copyOf(targets.values())) {
                 if (!named.contains(t.host()) && t.state() != EndpointState.REMOVED) {
                     keep(new ServerEndpoint(
-                            t.host(), t.dial(), t.zone(), t.cell(), t.weight(), t.bornMs(), EndpointState.REMOVED));
+                            t.host(),
+                            t.address(),
+                            t.zone(),
+                            t.cell(),
+                            t.weight(),
+                            t.startedAtMs(),
+                            EndpointState.REMOVED));
                 }
             }
         }
@@ -871,39 +894,39 @@
             keep(t);
             entries.add(weighed(t));
         }
-        balancer.onList(ModuleTime.micros(now), kind, entries);
+        balancer.onEndpointList(Microseconds.ofMs(now), kind, entries);
         forgetRemoved();
     }
 
     /** A server as the module is told of it. */
     private Endpoint weighed(ServerEndpoint t) {
-        double part = zones.part(t.zone(), now);
+        double part = zones.weightOf(t.zone(), now);
         // One that is to get nothing is told as one that takes nothing new: its weight could only be small.
         return new Endpoint(
                 ids.of(t.host()),
                 t.cell(),
                 t.zone(),
                 t.weight() * (part > 0 ? part : 1),
-                ModuleTime.micros(t.bornMs()),
+                Microseconds.ofMs(t.startedAtMs()),
                 part > 0 || t.state() != EndpointState.UP ? t.state() : EndpointState.DRAINING);
     }
 
     private void weighed(ZoneWeights told) {
-        if (told.mayFollow(zones)) {
+        if (told.supersedes(zones)) {
             // What is only said again need not reach the module, unless it has run out meanwhile.
-            boolean anew = !told.parts().equals(zones.parts()) || now >= zones.untilMs();
+            boolean anew = !told.weights().equals(zones.weights()) || now >= zones.untilMs();
             zones = told;
             if (anew) {
                 tellWeights();
             }
-            effects.add(new Effect.SetTimer(told.untilMs(), new TimerKey.WeightsOver()));
+            effects.add(new Effect.SetTimer(told.untilMs(), new TimerKey.ZoneWeightsExpired()));
         }
     }
 
     private void tellWeights() {
-        balancer.onList(
-                ModuleTime.micros(now),
-                ListKind.CHANGES,
+        balancer.onEndpointList(
+                Microseconds.ofMs(now),
+                EndpointListKind.CHANGES,
                 targets.values().stream()
                         .filter(t -> t.state() != EndpointState.REMOVED)
                         .map(this::weighed)
@@ -930,20 +953,20 @@
                 ids.forget(host);
                 noSendAfter.remove(host);
                 removed.remove(host);
-                effects.add(new Effect.CloseIdle(host, gone.dial()));
+                effects.add(new Effect.CloseIdleConnections(host, gone.address()));
             }
         }
     }
 
     /** How many hosts are known, those that are gone but still in use included. */
-    int hosts() {
+    int hostCount() {
         return targets.size();
     }
 
     private void keep(ServerEndpoint t) {
         ServerEndpoint before = targets.put(ids.of(t.host()), t);
-        if (before != null && (!before.dial().equals(t.dial()) || t.state() == EndpointState.REMOVED)) {
-            effects.add(new Effect.CloseIdle(before.host(), before.dial()));
+        if (before != null && (!before.address().equals(t.address()) || t.state() == EndpointState.REMOVED)) {
+            effects.add(new Effect.CloseIdleConnections(before.host(), before.address()));
         }
         if (t.state() == EndpointState.REMOVED) {
             removed.add(t.host());
@@ -955,7 +978,7 @@
         } else if (!noSendAfter.containsKey(t.host())) {
             // Half of the grace: the word was under way before it came, and a send takes a moment to leave. Where the
             // grace is short, what a node may be held up for is more than the other half.
-            double grace = ModuleTime.ms(settings.network().drainGrace());
+            double grace = Microseconds.toMs(settings.network().drainGrace());
             double cutoff = now + Math.max(0, Math.min(grace / 2, grace - HELD_UP_MS));
             noSendAfter.put(t.host(), cutoff);
             effects.add(new Effect.SetTimer(cutoff, new TimerKey.DrainCutoff(t.host())));
@@ -969,34 +992,34 @@
         }
         for (OpenFlow f : List.copyOf(flows.values())) {
             if (f.out != null && f.out.host.equals(host) && !f.out.written) {
-                effects.add(new Effect.CancelForward(f.id, f.out.number));
-                outcome(f, Outcome.CONNECT_FAILED, f.ended, null);
+                effects.add(new Effect.CancelAttempt(f.id, f.out.number));
+                outcome(f, AttemptOutcome.CONNECT_FAILED, f.ended, null);
             }
         }
     }
 
     // ---- Probes and stopping ----
 
-    private void probed(long probe, Outcome outcome, Report report) {
+    private void probed(long probe, AttemptOutcome outcome, LoadReport report) {
         PendingProbe p = probes.remove(probe);
         if (p != null) {
-            balancer.onProbed(
-                    ModuleTime.micros(now), p.endpoint(), outcome, ModuleTime.micros(now - p.since()), report);
+            balancer.onHealthCheckEnded(
+                    Microseconds.ofMs(now), p.endpoint(), outcome, Microseconds.ofMs(now - p.since()), report);
         }
     }
 
     private void drain(boolean on) {
-        if (!(on ? life.drain() : life.comeBack())) {
+        if (!(on ? life.drain() : life.cancelDrain())) {
             return;
         }
-        counters.count(on ? Kind.DRAINS : Kind.RETURNS);
-        effects.add(new Effect.SayClose(on));
+        counters.count(on ? Counter.DRAINS : Counter.DRAINS_CANCELLED);
+        effects.add(new Effect.AnnounceClose(on));
         if (on) {
-            for (LifeCycle.Step step : LifeCycle.Step.values()) {
-                effects.add(new Effect.SetTimer(now + step.afterMs, new TimerKey.DrainStep(life.drains(), step)));
+            for (LifeCycle.DrainStep step : LifeCycle.DrainStep.values()) {
+                effects.add(new Effect.SetTimer(now + step.afterMs, new TimerKey.DrainStep(life.drainCount(), step)));
             }
         } else {
-            effects.add(new Effect.KeepNoClients(false));
+            effects.add(new Effect.CloseClientsWhenIdle(false));
         }
     }
 
@@ -1005,14 +1028,14 @@
             return;
         }
         switch (due.step()) {
-            case END_IDLE -> effects.add(new Effect.KeepNoClients(true));
-            case TURN_AWAY -> life.turnAway();
-            default -> effects.add(new Effect.EndUnfinished());
+            case CLOSE_IDLE_CLIENTS -> effects.add(new Effect.CloseClientsWhenIdle(true));
+            case REJECT_NEW_REQUESTS -> life.startRejecting();
+            default -> effects.add(new Effect.RejectIncompleteRequests());
         }
     }
 
     private void stop() {
-        boolean emptied = life.phase() == LifeCycle.Phase.DRAINING;
+        boolean emptied = life.phase() == LifeCycle.LifeCyclePhase.DRAINING;
         if (!life.stop()) {
             return;
         }
@@ -1023,7 +1046,7 @@
         if (succeeded) {
             // Another process serves: no new connection is for this one, and the old ones end as gently as they can.
             effects.add(new Effect.StopAccepting());
-            effects.add(new Effect.SayClose(true));
+            effects.add(new Effect.AnnounceClose(true));
         }
         scheduleStop();
     }
@@ -1034,13 +1057,13 @@
         double longest = Math.min(longestDeadlineAtStartMs, ShutdownSchedule.longestDeadlineMs(settings));
         ShutdownSchedule schedule = ShutdownSchedule.of(situation, longest);
         if (situation == ShutdownSchedule.Situation.REPLACED) {
-            effects.add(new Effect.SetTimer(stopAskedMs + schedule.endIdleMs(), new TimerKey.EndIdle()));
+            effects.add(new Effect.SetTimer(stopAskedMs + schedule.endIdleMs(), new TimerKey.CloseIdleClients()));
         } else {
             effects.add(new Effect.SetTimer(stopAskedMs + schedule.acceptMs(), new TimerKey.StopAccepting()));
         }
         effects.add(new Effect.SetTimer(stopAskedMs + schedule.serveMs(), new TimerKey.StopServing()));
-        effects.add(new Effect.SetTimer(stopAskedMs + schedule.answerMs(), new TimerKey.StopLimit()));
-        effects.add(new Effect.SetTimer(stopAskedMs + schedule.exitMs(), new TimerKey.StopNow()));
+        effects.add(new Effect.SetTimer(stopAskedMs + schedule.answerMs(), new TimerKey.AnswerAll()));
+        effects.add(new Effect.SetTimer(stopAskedMs + schedule.exitMs(), new TimerKey.ExitNow()));
     }
 
     /** Time is up before some deadlines: what is open is answered now, since the process will not live longer. */
@@ -1049,9 +1072,9 @@
     }
 
     /** What the module does, as effects. */
-    private final class Acts implements Actions {
+    private final class Acts implements BalancerActions {
         @Override
-        public void send(long request, long endpoint, long timeout) {
+        public void startAttempt(long request, long endpoint, long timeout) {
             OpenFlow f = flows.get(request);
             if (f == null) {
                 return;
@@ -1067,35 +1090,35 @@
                     || now >= end
                     || isCutOff(t.host(), now)
                     || isRepeatedTooLate(f, now)) {
-                owed.add(new Owed(request, number, Outcome.MOOT));
+                owed.add(new Owed(request, number, AttemptOutcome.NEVER_STARTED));
                 return;
             }
             f.out = new Out(number, t.host(), now);
-            counters.count(Kind.FORWARDS_SENT);
+            counters.count(Counter.ATTEMPTS_STARTED);
             if (observer != null) {
-                f.out.seen = new Observer.Key(t.zone(), t.weight(), f.className);
-                observer.sent(f.out.seen, number == 0);
+                f.out.seen = new TrafficObserver.PoolKey(t.zone(), t.weight(), f.className);
+                observer.onAttemptStarted(f.out.seen, number == 0);
             }
             double last = f.isWhole() ? end : now + f.left;
-            double giveUp = Math.min(last, timeout > 0 && f.isWhole() ? now + ModuleTime.ms(timeout) : last);
-            effects.add(new Effect.Forward(f.id, number, t.host(), t.dial(), giveUp, f.message));
+            double giveUp = Math.min(last, timeout > 0 && f.isWhole() ? now + Microseconds.toMs(timeout) : last);
+            effects.add(new Effect.StartAttempt(f.id, number, t.host(), t.address(), giveUp, f.message));
             f.out.tellUntilMs = giveUp;
             if (giveUp < last) {
                 f.out.limitMs = giveUp;
-                effects.add(new Effect.SetTimer(giveUp, new TimerKey.ForwardLimit(f.id, number)));
+                effects.add(new Effect.SetTimer(giveUp, new TimerKey.AttemptTimeout(f.id, number)));
             }
         }
 
         @Override
-        public boolean tellsWritten() {
+        public boolean reportsWritten() {
             return true;
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {
+        public void reject(long request, long retryAfter) {
             OpenFlow f = flows.get(request);
             if (f != null && !f.ended) {
-                fixedResponse(f, Effect.Fixed.REFUSED, ModuleTime.ms(retryAfter));
+                fixedResponse(f, Effect.LocalReply.REJECTED, Microseconds.toMs(retryAfter));
             }
         }
 
@@ -1103,26 +1126,26 @@
         public void fail(long request) {
             OpenFlow f = flows.get(request);
             if (f != null && !f.ended) {
-                fixedResponse(f, f.timedOut ? Effect.Fixed.TIMED_OUT : Effect.Fixed.FAILED, 0);
+                fixedResponse(f, f.timedOut ? Effect.LocalReply.TIMED_OUT : Effect.LocalReply.FAILED, 0);
             }
         }
 
         @Override
-        public void timer(long at, String token) {
-            effects.add(new Effect.SetTimer(ModuleTime.ms(at), new TimerKey.Module(token)));
+        public void setTimer(long at, String token) {
+            effects.add(new Effect.SetTimer(Microseconds.toMs(at), new TimerKey.BalancerTimer(token)));
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void startHealthCheck(long endpoint) {
             ServerEndpoint t = targets.get(endpoint);
-            if (t == null || !settings.mayProbe()) {
+            if (t == null || !settings.mayHealthCheck()) {
                 return;
             }
             long probe = probeCount++;
-            counters.count(Kind.PROBES);
+            counters.count(Counter.HEALTH_CHECKS);
             probes.put(probe, new PendingProbe(endpoint, now));
-            effects.add(new Effect.Probe(probe, t.dial()));
-            effects.add(new Effect.SetTimer(now + PROBE_MS, new TimerKey.ProbeLimit(probe)));
+            effects.add(new Effect.StartHealthCheck(probe, t.address()));
+            effects.add(new Effect.SetTimer(now + PROBE_MS, new TimerKey.HealthCheckTimeout(probe)));
         }
     }
 }
--- a/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
+++ b/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
@@ -1,7 +1,7 @@
 package brackenbridge.core;
 
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.RequestClass;
 
 /**
  * When a stopping node takes each of its steps, in milliseconds after it was told to stop. The platform kills a node
@@ -82,10 +82,10 @@
     }
 
     /** The longest deadline of all classes, in milliseconds. */
-    static double longestDeadlineMs(Settings settings) {
+    static double longestDeadlineMs(BalancerSettings settings) {
         return settings.classes().stream()
                 .mapToLong(RequestClass::deadline)
-                .mapToDouble(ModuleTime::ms)
+                .mapToDouble(Microseconds::toMs)
                 .max()
                 .orElse(0);
     }
--- a/core/src/main/java/brackenbridge/core/TimerKey.java
+++ b/core/src/main/java/brackenbridge/core/TimerKey.java
@@ -3,34 +3,34 @@
 /** What a timer was set for. One that has lost its purpose does nothing; only deadlines are ever unset. */
 public sealed interface TimerKey {
     /** The module's own. */
-    record Module(String token) implements TimerKey {}
+    record BalancerTimer(String token) implements TimerKey {}
 
     /** A flow's client gives up. */
-    record Deadline(long flow) implements TimerKey {}
+    record RequestDeadline(long requestId) implements TimerKey {}
 
     /** A forward is given up before its flow's deadline. */
-    record ForwardLimit(long flow, int forward) implements TimerKey {}
+    record AttemptTimeout(long requestId, int attempt) implements TimerKey {}
 
     /** No forward may begin at this host any more. */
     record DrainCutoff(String host) implements TimerKey {}
 
     /** Something is due between the node and discovery. */
-    record Discovery(long turn) implements TimerKey {}
+    record DiscoveryTimer(long turn) implements TimerKey {}
 
     /** A probe has taken too long. */
-    record ProbeLimit(long probe) implements TimerKey {}
+    record HealthCheckTimeout(long healthCheckId) implements TimerKey {}
 
     /** Something is due among the tenants. */
-    record Shares() implements TimerKey {}
+    record TenantSchedulerTimer() implements TimerKey {}
 
     /** What the fleet said of zones holds no longer. */
-    record WeightsOver() implements TimerKey {}
+    record ZoneWeightsExpired() implements TimerKey {}
 
     /** A drain reaches its next step. */
-    record DrainStep(long drain, LifeCycle.Step step) implements TimerKey {}
+    record DrainStep(long drain, LifeCycle.DrainStep step) implements TimerKey {}
 
     /** A stopping process with a successor ends idle connections from now on. */
-    record EndIdle() implements TimerKey {}
+    record CloseIdleClients() implements TimerKey {}
 
     /** A stopping node accepts no more connections. */
     record StopAccepting() implements TimerKey {}
@@ -39,8 +39,8 @@
     record StopServing() implements TimerKey {}
 
     /** A stopping node must have answered everything. */
-    record StopLimit() implements TimerKey {}
+    record AnswerAll() implements TimerKey {}
 
     /** A stopping node must have ended. */
-    record StopNow() implements TimerKey {}
+    record ExitNow() implements TimerKey {}
 }
--- a/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
@@ -1,7 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Settings;
-
 /**
  * Admission control of Andersson and Kihl, equation 1: an arrival is rejected when more than A = tau r requests are
  * open, where r is the recent rate of answers ({@link #admissible}). More open requests could not be answered in time.
@@ -28,7 +26,7 @@
     private static final double BEST_TIME_RISE_PER_TICK = 1.001;
 
     private final RequestClasses classes;
-    private Settings settings;
+    private BalancerSettings settings;
     private int open;
     private int answered;
     private double answeredPerSecond;
@@ -46,7 +44,7 @@
     }
 
     /** Takes over other settings. */
-    void applySettings(Settings next) {
+    void applySettings(BalancerSettings next) {
         settings = next;
     }
 
@@ -92,7 +90,7 @@
         double n = 1;
         for (RequestClassState c : classes.all()) {
             wait = c.level <= request.level
-                    ? Math.min(wait, c.rules.aim() * RequestQueues.DEADLINE_MARGIN - c.bestMeanTime)
+                    ? Math.min(wait, c.rules.latencyObjective() * RequestQueues.DEADLINE_MARGIN - c.bestMeanTime)
                     : wait;
             best += c.bestMeanTime * c.answers;
             n += c.answers;
@@ -100,7 +98,7 @@
         double tau = best / n + part * Math.max(0, wait);
         tau *= settings.tier() > 0 ? LOWER_TIER_FACTOR : 1;
         return Math.min(
-                settings.maxOpen(),
+                settings.maxOpenRequests(),
                 floor
                         + tau
                                 * ratePerSecond
--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -31,8 +31,8 @@
     /** Turns of the round robin that a request looks at. */
     private static final int MAX_TURNS_PER_REQUEST = 4;
 
-    private Settings settings;
-    private final Actions actions;
+    private BalancerSettings settings;
+    private final BalancerActions actions;
     private final SplittableRandom random;
     private final SlowStart slowStart;
     private final RequestClasses classes = new RequestClasses();
@@ -53,7 +53,7 @@
     private boolean started;
 
     /** Starts an instance. */
-    public Balancer(Settings settings, Actions actions) {
+    public Balancer(BalancerSettings settings, BalancerActions actions) {
         this.actions = actions;
         this.random = new SplittableRandom(settings.seed());
         this.slowStart = new SlowStart(settings, actions, random);
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void onSettings(long now, Settings next) {
+    public void onSettings(long now, BalancerSettings next) {
         slowStart.applySettings(now, next);
         applySettings(next);
         // Requests keep their class's rules; they are only ranked among the new levels.
@@ -74,7 +74,7 @@
         rebuildSubset(now);
     }
 
-    private void applySettings(Settings next) {
+    private void applySettings(BalancerSettings next) {
         settings = next;
         classes.applySettings(next);
         admission.applySettings(next);
@@ -84,7 +84,7 @@
     // ---- Endpoint list ----
 
     @Override
-    public void onList(long now, ListKind kind, List<Endpoint> entries) {
+    public void onEndpointList(long now, EndpointListKind kind, List<Endpoint> entries) {
         start(now);
         slowStart.beforeChange(now, subset.order(), subset.size());
         servers.applyList(now, kind, entries);
@@ -122,7 +122,7 @@
     // ---- Arrivals ----
 
     @Override
-    public void onRequest(long now, Request arrived) {
+    public void onRequest(long now, BalancerRequest arrived) {
         QueuedRequest request = admit(now, arrived, false);
         if (request != null) {
             place(now, request);
@@ -131,7 +131,7 @@
 
     /** Bound by the round robin and sent at once: until it is complete it occupies no server. */
     @Override
-    public void onLongRequest(long now, Request arrived) {
+    public void onStreamedRequest(long now, BalancerRequest arrived) {
         QueuedRequest request = admit(now, arrived, true);
         ServerState server = request == null ? null : bind(now, request);
         if (server != null && canAdmit(now, server)) {
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public void onWhole(long now, long id) {
+    public void onRequestCompleted(long now, long id) {
         QueuedRequest request = requests.get(id);
         if (request != null && request.incomplete) {
             request.incomplete = false;
@@ -154,12 +154,12 @@
     }
 
     /** The request, or null if it was rejected by {@link AdmissionControl#admits}. */
-    private QueuedRequest admit(long now, Request arrived, boolean incomplete) {
+    private QueuedRequest admit(long now, BalancerRequest arrived, boolean incomplete) {
         start(now);
         RequestClassState requestClass = classes.require(arrived.className());
         long timeLeft = Math.max(0, arrived.timeLeft());
         // An answer past the latency objective is worth little or nothing: the objective bounds tau.
-        long tau = Math.min(timeLeft, requestClass.rules.aim());
+        long tau = Math.min(timeLeft, requestClass.rules.latencyObjective());
         QueuedRequest request = new QueuedRequest(arrived, requestClass, settings.maxAttempts(), now, tau, timeLeft);
         requests.put(request.id, request);
         request.incomplete = incomplete;
@@ -294,11 +294,11 @@
             retryBudget.onFirstAttempt();
         }
         slowStart.sent(now, attempt);
-        actions.send(request.id, server.id, Math.max(1, request.deadline - now));
+        actions.startAttempt(request.id, server.id, Math.max(1, request.deadline - now));
     }
 
     @Override
-    public void onWritten(long now, long id, int attempt) {
+    public void onAttemptWritten(long now, long id, int attempt) {
         QueuedRequest request = requests.get(id);
         if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
             slowStart.written(now, request.attempts.get(attempt));
@@ -314,7 +314,7 @@
     // ---- Outcomes ----
 
     @Override
-    public void onFirstByte(long now, long id, int attempt) {
+    public void onResponseStarted(long now, long id, int attempt) {
         QueuedRequest request = requests.get(id);
         if (request != null) {
             request.mayHaveRun = true;
@@ -323,8 +323,14 @@
     }
 
     @Override
-    public void onOutcome(
-            long now, long id, int attemptIndex, boolean ended, Outcome outcome, long latency, Report report) {
+    public void onAttemptEnded(
+            long now,
+            long id,
+            int attemptIndex,
+            boolean ended,
+            AttemptOutcome outcome,
+            long latency,
+            LoadReport report) {
         QueuedRequest request = requests.get(id);
         Attempt attempt = request == null ? null : request.runningAttempt(attemptIndex);
         if (attempt == null) {
@@ -359,9 +365,9 @@
         }
     }
 
-    private void learn(long now, QueuedRequest request, Attempt attempt, Outcome outcome, long latency) {
+    private void learn(long now, QueuedRequest request, Attempt attempt, AttemptOutcome outcome, long latency) {
         ServerState server = attempt.server;
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             admission.onAnswered();
         }
         OutlierDetection.Change change = outliers.onOutcome(now, request, attempt, outcome, latency);
@@ -374,7 +380,7 @@
     }
 
     /** Another attempt where the effect allows it, the time suffices and the budget is not spent. */
-    private void retryOrFinish(long now, QueuedRequest request, Outcome outcome) {
+    private void retryOrFinish(long now, QueuedRequest request, AttemptOutcome outcome) {
         if (retryBudget.trySpend(now, request, outcome)) {
             request.expiresAt = Math.max(
                     request.expiresAt, request.arrival + (long) (request.timeBudget * RequestQueues.DEADLINE_MARGIN));
@@ -385,7 +391,7 @@
     }
 
     @Override
-    public void onGone(long now, long id) {
+    public void onClientDisconnected(long now, long id) {
         QueuedRequest request = requests.get(id);
         if (request != null) {
             close(request);
@@ -396,7 +402,7 @@
     private void finish(QueuedRequest request, long now) {
         close(request);
         if (IdempotencyRules.allowRejection(now, request)) {
-            actions.refuse(request.id, retryAfter());
+            actions.reject(request.id, suggestedRetryAfter());
         } else {
             actions.fail(request.id);
         }
@@ -421,17 +427,17 @@
     // ---- Figures ----
 
     /** How many requests it holds, in all its collections; for tests of what it forgets. */
-    int remembered() {
+    int openRequestCount() {
         return requests.size() + queues.entries();
     }
 
     @Override
-    public int avoided() {
+    public int ejectedEndpoints() {
         return outliers.ejected();
     }
 
     @Override
-    public long retryAfter() {
+    public long suggestedRetryAfter() {
         return Math.min(settings.maxRetryAfter(), (long) classes.meanResponseTime());
     }
 
@@ -444,7 +450,7 @@
         started = true;
         lastTick = now;
         slowStart.started(now);
-        actions.timer(now + (long) (random.nextDouble() * TICK_INTERVAL), TICK_TIMER);
+        actions.setTimer(now + (long) (random.nextDouble() * TICK_INTERVAL), TICK_TIMER);
     }
 
     @Override
@@ -453,7 +459,7 @@
             queues.expire(now, expired -> drop(now, expired));
         } else if (token.equals(TICK_TIMER)) {
             tick(now);
-            actions.timer(now + TICK_INTERVAL, TICK_TIMER);
+            actions.setTimer(now + TICK_INTERVAL, TICK_TIMER);
         }
     }
 
--- a/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
+++ b/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
@@ -1,8 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 
@@ -80,34 +77,36 @@
      *
      * @param latency microseconds from the send, at least 1
      */
-    Change onOutcome(long now, QueuedRequest request, Attempt attempt, Outcome outcome, long latency) {
-        boolean noAnswer = outcome == Outcome.TIMEOUT || outcome == Outcome.RESET;
+    Change onOutcome(long now, QueuedRequest request, Attempt attempt, AttemptOutcome outcome, long latency) {
+        boolean noAnswer = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.RESET;
         if (noAnswer && request.deadline - attempt.sentAt < MIN_INFORMATIVE_TIME) {
             return Change.NONE;
         }
         ServerState server = attempt.server;
         RequestClassState requestClass = request.requestClass;
-        boolean failed = outcome == Outcome.ERROR || outcome == Outcome.RESET;
+        boolean failed = outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.RESET;
         server.errorRatio += SERVER_GAIN * ((failed ? 1 : 0) - server.errorRatio);
-        requestClass.errorRatio += CLASS_ERROR_GAIN * ((outcome == Outcome.ERROR ? 1 : 0) - requestClass.errorRatio);
-        if (outcome == Outcome.ERROR) {
+        requestClass.errorRatio +=
+                CLASS_ERROR_GAIN * ((outcome == AttemptOutcome.ERROR ? 1 : 0) - requestClass.errorRatio);
+        if (outcome == AttemptOutcome.ERROR) {
             avoidForClass(now, requestClass, server.health(requestClass));
         }
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             return onSuccess(server, requestClass, latency);
         }
-        if (outcome == Outcome.FULL) {
+        if (outcome == AttemptOutcome.FULL) {
             // Spares a server without capacity the requests of all who find it so.
             return eject(now, server, FULL_EJECTION_TIME);
         }
-        if (failed && server.errorRatio > (outcome == Outcome.RESET ? OUTLIER_RESET_RATIO : OUTLIER_ERROR_RATIO)) {
+        if (failed
+                && server.errorRatio > (outcome == AttemptOutcome.RESET ? OUTLIER_RESET_RATIO : OUTLIER_ERROR_RATIO)) {
             // A server that fails at once is free at once and would draw ever more requests. A connection that breaks
             // may be the network's fault, two in a row are the server's.
             server.errorRatio = SERVER_GAIN;
             return ejectForLonger(now, server);
         }
-        if (outcome == Outcome.CONNECT_FAILED
-                || outcome == Outcome.TIMEOUT && latency >= requestClass.meanTime + requestClass.timeDeviation) {
+        if (outcome == AttemptOutcome.CONNECT_FAILED
+                || outcome == AttemptOutcome.TIMEOUT && latency >= requestClass.meanTime + requestClass.timeDeviation) {
             // A time-out of a request that came with less time than a response takes tells nothing.
             return ejectForLonger(now, server);
         }
@@ -198,7 +197,7 @@
             return null;
         }
         boolean any = noOtherServers || now >= trials.peek().ejectedUntil + MAX_TRIAL_DELAY;
-        boolean unsafe = classes.anySafe() && request.requestClass.rules.effect() != Effect.SAFE;
+        boolean unsafe = classes.anySafe() && request.requestClass.rules.idempotence() != Idempotence.IDEMPOTENT;
         if (!any && (unsafe || request.level == 0 && classes.levels() > 1)) {
             return null;
         }
--- a/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
+++ b/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
@@ -1,6 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Request;
 import java.util.ArrayList;
 
 /** A request from its arrival to the end of its last attempt; times are in microseconds. */
@@ -35,7 +34,7 @@
     final ArrayList<Attempt> attempts = new ArrayList<>(1);
 
     QueuedRequest(
-            Request request,
+            BalancerRequest request,
             RequestClassState requestClass,
             int maxAttempts,
             long now,
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClass.java
@@ -0,0 +1,46 @@
+package brackenbridge.core.balancing;
+
+/**
+ * A class of request.
+ *
+ * @param name its name
+ * @param latencyObjective answers within this time earn the full worth
+ * @param deadline the whole time a client waits, over all its tries
+ * @param idempotence what a repeat would do
+ * @param deduplicationScope for {@link Idempotence#IDEMPOTENCY_KEY}: who drops repeats
+ * @param idempotencyKeyTtl for {@link Idempotence#IDEMPOTENCY_KEY}: how long repeats are dropped, from the send that
+ *     may have run
+ * @param streamed the answer arrives as a stream
+ * @param priorityWeight the worth of one request answered in time
+ * @param lateValueRatio the part of the worth left to an answer after the aim
+ */
+public record RequestClass(
+        String name,
+        long latencyObjective,
+        long deadline,
+        Idempotence idempotence,
+        DeduplicationScope deduplicationScope,
+        long idempotencyKeyTtl,
+        boolean streamed,
+        double priorityWeight,
+        double lateValueRatio) {
+    /** A class that could not be served or ranked is rejected; its name stands in paths and in figures. */
+    public RequestClass {
+        SettingsChecks.require(name.matches("[^\\s\\p{Cntrl}/?#:|]+"), "name of a class", name);
+        SettingsChecks.require(latencyObjective > 0, "aim of class " + name, latencyObjective);
+        SettingsChecks.require(
+                deadline >= latencyObjective && deadline <= SettingsChecks.MAX_TIMEOUT_MICROS,
+                "deadline of class " + name,
+                deadline);
+        SettingsChecks.require(
+                idempotencyKeyTtl >= 0 && idempotencyKeyTtl <= SettingsChecks.MAX_RETENTION_MICROS,
+                "keyTtl of class " + name,
+                idempotencyKeyTtl);
+        SettingsChecks.require(
+                priorityWeight >= 0 && priorityWeight <= SettingsChecks.MAX_RATE,
+                "worth of class " + name,
+                priorityWeight);
+        SettingsChecks.require(
+                lateValueRatio >= 0 && lateValueRatio <= 1, "lateShare of class " + name, lateValueRatio);
+    }
+}
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
@@ -1,7 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-
 /** A request class and what was measured of it; times are in microseconds. */
 final class RequestClassState {
     final RequestClass rules;
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
@@ -1,9 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -32,7 +28,7 @@
     private boolean anySafe;
 
     /** Takes over other settings; what was measured of a class stays with its name. */
-    void applySettings(Settings settings) {
+    void applySettings(BalancerSettings settings) {
         Map<String, RequestClassState> before = new HashMap<>(classes);
         classes.clear();
         guaranteedRates.clear();
@@ -40,14 +36,14 @@
         TreeSet<Double> weights = new TreeSet<>(Comparator.reverseOrder());
         for (RequestClass rules : settings.classes()) {
             classes.put(rules.name(), RequestClassState.of(rules, before.get(rules.name())));
-            weights.add(rules.worth());
+            weights.add(rules.priorityWeight());
             if (!settings.tenants().isEmpty()) {
-                weights.add(rules.worth() * settings.overShareWorth());
+                weights.add(rules.priorityWeight() * settings.overShareWeight());
             }
         }
         rankClasses(settings, new ArrayList<>(weights));
-        for (Tenant tenant : settings.tenants()) {
-            double quota = tenant.quotaPerSecond() / settings.peers();
+        for (TenantShare tenant : settings.tenants()) {
+            double quota = tenant.quotaPerSecond() / settings.instanceCount();
             guaranteedRates
                     .computeIfAbsent(tenant.name(), name -> new TokenBucket())
                     .setRate(quota / QUOTA_PER_GUARANTEED_RATE);
@@ -57,15 +53,15 @@
         }
     }
 
-    private void rankClasses(Settings settings, List<Double> weights) {
+    private void rankClasses(BalancerSettings settings, List<Double> weights) {
         levels = weights.size();
         anySafe = false;
         for (RequestClassState state : classes.values()) {
-            state.level = weights.indexOf(state.rules.worth());
+            state.level = weights.indexOf(state.rules.priorityWeight());
             state.overShareLevel = settings.tenants().isEmpty()
                     ? state.level
-                    : weights.indexOf(state.rules.worth() * settings.overShareWorth());
-            anySafe |= state.rules.effect() == Effect.SAFE;
+                    : weights.indexOf(state.rules.priorityWeight() * settings.overShareWeight());
+            anySafe |= state.rules.idempotence() == Idempotence.IDEMPOTENT;
         }
     }
 
--- a/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
@@ -1,6 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -26,7 +25,7 @@
     /** Entries of requests that have left the queues, beyond one for each queued, that are kept. */
     private static final int MAX_STALE_ENTRIES = 64;
 
-    private final Actions actions;
+    private final BalancerActions actions;
     /** The queued requests, oldest first, and stale entries. */
     private final ArrayDeque<QueuedRequest> oldestFirst = new ArrayDeque<>();
     /** The queued requests by the time at which they expire, and stale entries. */
@@ -39,7 +38,7 @@
     private int queued;
     private long expiryTimer = Long.MAX_VALUE;
 
-    RequestQueues(Actions actions) {
+    RequestQueues(BalancerActions actions) {
         this.actions = actions;
     }
 
@@ -188,7 +187,7 @@
     private void armExpiryTimer(long at) {
         if (at < expiryTimer) {
             expiryTimer = at;
-            actions.timer(at, EXPIRY_TIMER);
+            actions.setTimer(at, EXPIRY_TIMER);
         }
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/RetryBudget.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RetryBudget.java
@@ -1,8 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-
 /**
  * Bounds retries to a part of the requests, as in Google's SRE book, chapter 22: each first attempt earns a part of a
  * retry, and each retry spends one.
@@ -23,12 +20,13 @@
      * effect allows it, and the outcome of its last attempt was neither of the client's nor of the node's making. A
      * retry after an attempt that the node itself failed to connect costs nothing.
      */
-    boolean trySpend(long now, QueuedRequest request, Outcome outcome) {
-        double cost = outcome == Outcome.FAILED_LOCALLY ? 0 : 1;
+    boolean trySpend(long now, QueuedRequest request, AttemptOutcome outcome) {
+        double cost = outcome == AttemptOutcome.FAILED_LOCALLY ? 0 : 1;
         boolean attemptsLeft = request.attempts.size() < request.maxAttempts;
         boolean timeLeft = now < request.arrival + request.timeBudget;
-        boolean wanted = outcome != Outcome.MOOT && outcome != Outcome.CANCELLED;
-        boolean repeatable = !request.mayHaveRun || request.requestClass.rules.effect() != Effect.UNSAFE;
+        boolean wanted = outcome != AttemptOutcome.NEVER_STARTED && outcome != AttemptOutcome.CANCELLED;
+        boolean repeatable =
+                !request.mayHaveRun || request.requestClass.rules.idempotence() != Idempotence.NOT_IDEMPOTENT;
         if (!attemptsLeft || !timeLeft || !wanted || !repeatable || retries < cost) {
             return false;
         }
--- a/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
@@ -1,8 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -40,8 +37,8 @@
     }
 
     /** Takes over an endpoint list; the subset of the servers in use is to be rebuilt afterwards. */
-    void applyList(long now, ListKind kind, List<Endpoint> entries) {
-        if (kind != ListKind.CHANGES) {
+    void applyList(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind != EndpointListKind.CHANGES) {
             removeUnlisted(entries);
         }
         for (Endpoint entry : entries) {
--- a/core/src/main/java/brackenbridge/core/balancing/ServerState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerState.java
@@ -1,6 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.HashMap;
--- a/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -1,6 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -26,13 +25,13 @@
     /** The servers of the subset when the order was last laid out, and those that joined it since. */
     private final Set<ServerState> members = new LinkedHashSet<>();
 
-    private Settings settings;
+    private BalancerSettings settings;
     private int size = MIN_SIZE;
     private int extraWindow;
     private double peakAtHand;
 
     /** Takes over other settings. */
-    void applySettings(Settings next) {
+    void applySettings(BalancerSettings next) {
         settings = next;
     }
 
@@ -63,7 +62,7 @@
      * @return the members before
      */
     List<ServerState> rebuild() {
-        order.turn(settings.zone(), settings.me() * GOLDEN_RATIO % 1);
+        order.turn(settings.zone(), settings.instanceIndex() * GOLDEN_RATIO % 1);
         List<ServerState> before = members();
         before.forEach(server -> server.inSubset = false);
         members.clear();
@@ -97,7 +96,7 @@
     /** Whether it has servers left to grow by, and these would not leave the callers at each server too few. */
     boolean canGrow(int rotationSize, boolean spareCapacity) {
         return size < order.size()
-                && (settings.peers() * (double) size / order.size() < 2 * IN_FLIGHT_PER_SERVER
+                && (settings.instanceCount() * (double) size / order.size() < 2 * IN_FLIGHT_PER_SERVER
                         || rotationSize < size / 2
                         || spareCapacity);
     }
@@ -130,7 +129,7 @@
      */
     int window() {
         double part = usedSize() / (double) Math.max(1, order.size());
-        return extraWindow + (int) Math.max(1, Math.ceil(IN_FLIGHT_PER_SERVER / (settings.peers() * part)));
+        return extraWindow + (int) Math.max(1, Math.ceil(IN_FLIGHT_PER_SERVER / (settings.instanceCount() * part)));
     }
 
     /**
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -1,7 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.SplittableRandom;
 
 /**
@@ -11,8 +9,8 @@
 final class SlowStart {
     private static final double MICROSECONDS_PER_SECOND = 1_000_000;
 
-    private Settings settings;
-    private final Actions actions;
+    private BalancerSettings settings;
+    private final BalancerActions actions;
     private final SplittableRandom random;
     /** Answers in a second for each unit of capacity in reach. */
     private double answeredPerCapacity;
@@ -21,7 +19,7 @@
     /** From when on all that was sent is in the servers' budgets. */
     private long countedSince;
 
-    SlowStart(Settings settings, Actions actions, SplittableRandom random) {
+    SlowStart(BalancerSettings settings, BalancerActions actions, SplittableRandom random) {
         this.settings = settings;
         this.actions = actions;
         this.random = random;
@@ -33,10 +31,10 @@
     }
 
     /** Other settings hold from now on. */
-    void applySettings(long now, Settings next) {
-        if (next.fall() > settings.fall()) {
+    void applySettings(long now, BalancerSettings next) {
+        if (next.overloadWindow() > settings.overloadWindow()) {
             // Of the longer window only so much was counted.
-            countedSince = Math.max(countedSince, now - settings.fall());
+            countedSince = Math.max(countedSince, now - settings.overloadWindow());
         }
         settings = next;
     }
@@ -46,22 +44,22 @@
         if (server.warmingSince <= 0) {
             return 1;
         }
-        double age = Math.max(0, now - server.warmingSince) / (double) Math.max(1, settings.warmAfter());
-        return age >= 1 ? 1 : settings.coldFrom() + (1 - settings.coldFrom()) * age;
+        double age = Math.max(0, now - server.warmingSince) / (double) Math.max(1, settings.warmUpTime());
+        return age >= 1 ? 1 : settings.coldCapacityRatio() + (1 - settings.coldCapacityRatio()) * age;
     }
 
     /** Whether a server may be sent any number of requests. */
     boolean isUnbounded(long now, ServerState server) {
-        return settings.fall() == 0 || warmth(now, server) >= 1;
+        return settings.overloadWindow() == 0 || warmth(now, server) >= 1;
     }
 
     /** Whether the budget of a server that warms up has room for a request; the first servers are those in reach. */
     boolean canAdmit(long now, ServerState server, ServerOrder servers, int reach, double meanTime) {
-        long settled = actions.tellsWritten()
+        long settled = actions.reportsWritten()
                 ? server.warmingSince + settings.network().connectTimeout()
                 : now;
         double share = share(now, server, servers, reach, meanTime);
-        return server.budget.allows(now, share, settings.fall(), random, settled);
+        return server.budget.allows(now, share, settings.overloadWindow(), random, settled);
     }
 
     /**
@@ -75,11 +73,14 @@
         for (int i = 0; i < near; i++) {
             weights += servers.get(i).endpoint.weight();
         }
-        double least = near / (weights * meanTime * settings.peers());
+        double least = near / (weights * meanTime * settings.instanceCount());
         double perUnit = Math.max(answeredPerCapacity / MICROSECONDS_PER_SECOND, least);
-        double share =
-                settings.fallMultiple() * perUnit * server.endpoint.weight() * warmth(now, server) * settings.fall();
-        return share * SlowStartLimit.usable(share, settings.peers()) * (1 - unknownPart(now, server));
+        double share = settings.overloadMultiple()
+                * perUnit
+                * server.endpoint.weight()
+                * warmth(now, server)
+                * settings.overloadWindow();
+        return share * SlowStartLimit.usable(share, settings.instanceCount()) * (1 - unknownPart(now, server));
     }
 
     /**
@@ -87,8 +88,8 @@
      * The share of that time counts as sent: by the process before, or under settings that counted a shorter time.
      */
     private double unknownPart(long now, ServerState server) {
-        long from = Math.max(now - settings.fall(), server.warmingSince);
-        return Math.max(0, countedSince - from) / (double) settings.fall();
+        long from = Math.max(now - settings.overloadWindow(), server.warmingSince);
+        return Math.max(0, countedSince - from) / (double) settings.overloadWindow();
     }
 
     /** The servers in reach are about to change. */
@@ -117,9 +118,9 @@
 
     /** The attempt is being sent; warm servers' requests count too, their start may be told late. */
     void sent(long now, Attempt attempt) {
-        if (settings.fall() > 0) {
-            attempt.reservedBudget = attempt.server.budget.spend(now, settings.fall());
-            if (!actions.tellsWritten()) {
+        if (settings.overloadWindow() > 0) {
+            attempt.reservedBudget = attempt.server.budget.spend(now, settings.overloadWindow());
+            if (!actions.reportsWritten()) {
                 written(now, attempt);
             }
         }
@@ -128,7 +129,7 @@
     /** The attempt's request has reached its server, or never will. */
     void written(long now, Attempt attempt) {
         if (attempt.reservedBudget > 0) {
-            attempt.server.budget.written(now, attempt.reservedBudget, Math.max(1, settings.fall()));
+            attempt.server.budget.written(now, attempt.reservedBudget, Math.max(1, settings.overloadWindow()));
             attempt.reservedBudget = 0;
         }
     }
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
@@ -110,18 +110,18 @@
      * @param idleMs for how long one that carries nothing is kept
      */
     public ConnectionPool(double connectMs, double idleMs) {
-        goBy(connectMs, idleMs);
+        applySettings(connectMs, idleMs);
         median = connectMs * MOST_PATIENCE / LATE;
     }
 
     /** Forwards that ask from now on go by these times. */
-    public void goBy(double connect, double idle) {
+    public void applySettings(double connect, double idle) {
         connectMs = connect;
         idleMs = idle;
     }
 
     /** A forward asks for a connection, under a number never used before. */
-    public List<ConnectionCommand> ask(double now, long wait, EndpointIdentity peer) {
+    public List<ConnectionCommand> acquire(double now, long wait, EndpointIdentity peer) {
         Group g = groups.computeIfAbsent(peer, p -> new Group());
         while (!g.idle.isEmpty()) {
             Connection c = g.idle.pollLast();
@@ -144,7 +144,7 @@
     }
 
     /** The forward waits no longer; nothing was sent for it. What was opened for it is another's when it comes up. */
-    public List<ConnectionCommand> withdraw(long wait) {
+    public List<ConnectionCommand> cancelWait(long wait) {
         Wait w = waits.remove(wait);
         if (w != null) {
             Group g = groups.get(w.peer);
@@ -155,7 +155,7 @@
     }
 
     /** A moment has come at which something may be due for a wait. */
-    public List<ConnectionCommand> due(double now, long wait) {
+    public List<ConnectionCommand> onWake(double now, long wait) {
         Wait w = waits.get(wait);
         if (w == null || now < w.nextAt) {
             return taken();
@@ -163,7 +163,12 @@
         Group g = groups.get(w.peer);
         if (now >= w.until) {
             boolean local = w.opened == 0 && w.failedLocally > 0;
-            giveUp(g, w, local ? ConnectionCommand.Why.FAILED_LOCALLY : ConnectionCommand.Why.UNCONNECTED);
+            giveUp(
+                    g,
+                    w,
+                    local
+                            ? ConnectionCommand.FailureReason.FAILED_LOCALLY
+                            : ConnectionCommand.FailureReason.UNCONNECTED);
             tidy(w.peer, g);
             return taken();
         }
@@ -177,7 +182,7 @@
     }
 
     /** A connection is up. */
-    public List<ConnectionCommand> up(double now, long connection) {
+    public List<ConnectionCommand> onConnected(double now, long connection) {
         Connection c = all.get(connection);
         if (c != null && c.state == State.OPENING) {
             Group g = groups.get(c.peer);
@@ -189,7 +194,7 @@
     }
 
     /** The forward that had it is done with it, and it can carry another. */
-    public List<ConnectionCommand> free(double now, long connection) {
+    public List<ConnectionCommand> release(double now, long connection) {
         Connection c = all.get(connection);
         if (c != null && c.state == State.LENT) {
             offer(now, groups.computeIfAbsent(c.peer, p -> new Group()), c);
@@ -198,20 +203,20 @@
     }
 
     /** A connection has failed or ended, or is about to be closed. */
-    public List<ConnectionCommand> ended(double now, long connection) {
-        return ended(now, connection, ConnectionCommand.Why.UNCONNECTED);
+    public List<ConnectionCommand> onConnectionEnded(double now, long connection) {
+        return onConnectionEnded(now, connection, ConnectionCommand.FailureReason.UNCONNECTED);
     }
 
     /** A connection could not be begun: the node has no room for it. */
-    public List<ConnectionCommand> noRoom(double now, long connection) {
-        return ended(now, connection, ConnectionCommand.Why.NO_ROOM);
+    public List<ConnectionCommand> onNoDescriptor(double now, long connection) {
+        return onConnectionEnded(now, connection, ConnectionCommand.FailureReason.NO_ROOM);
     }
 
     /**
      * A connection could not be opened because a system call failed on this machine. The wait tries once more after a
      * short pause, as what was lacking may be there again, and then is over: another server may still be within reach.
      */
-    public List<ConnectionCommand> failedLocally(double now, long connection) {
+    public List<ConnectionCommand> onLocalFailure(double now, long connection) {
         Connection c = all.remove(connection);
         Group g = c == null ? null : groups.get(c.peer);
         if (g == null) {
@@ -236,7 +241,7 @@
 
     private void openAgainLater(double now, Group g, Wait w) {
         if (w.failedLocally++ >= LOCAL_RETRIES) {
-            giveUp(g, w, ConnectionCommand.Why.FAILED_LOCALLY);
+            giveUp(g, w, ConnectionCommand.FailureReason.FAILED_LOCALLY);
             return;
         }
         w.opened = 0;
@@ -244,7 +249,8 @@
         steps.add(new ConnectionCommand.Wake(w.nextAt, w.id));
     }
 
-    private List<ConnectionCommand> ended(double now, long connection, ConnectionCommand.Why why) {
+    private List<ConnectionCommand> onConnectionEnded(
+            double now, long connection, ConnectionCommand.FailureReason why) {
         Connection c = all.remove(connection);
         Group g = c == null ? null : groups.get(c.peer);
         if (g == null) {
@@ -255,7 +261,7 @@
             // Each wait has a connection under way, or none: then it opens its first, or has failed.
             int without = g.waits.size() - g.opening.size();
             for (Wait w : List.copyOf(g.waits)) {
-                if (without > 0 && w.opened == 0 && why != ConnectionCommand.Why.NO_ROOM) {
+                if (without > 0 && w.opened == 0 && why != ConnectionCommand.FailureReason.NO_ROOM) {
                     without--;
                     open(now, g, w);
                 } else if (without > 0) {
@@ -275,7 +281,7 @@
      *
      * @return whether it counts as one that was dead when it was lent
      */
-    public boolean broke(long connection) {
+    public boolean onBrokenAtOnce(long connection) {
         Connection c = all.get(connection);
         if (c == null || c.state != State.LENT) {
             return false;
@@ -320,7 +326,7 @@
     }
 
     /** Closes one idle connection; no step if there is none. */
-    public List<ConnectionCommand> shed() {
+    public List<ConnectionCommand> closeOneIdle() {
         for (Group g : groups.values()) {
             if (!g.idle.isEmpty()) {
                 close(g.idle.pollFirst());
@@ -366,7 +372,7 @@
         }
         c.state = State.LENT;
         c.since = now;
-        steps.add(new ConnectionCommand.Lend(c.id, wait));
+        steps.add(new ConnectionCommand.Assign(c.id, wait));
     }
 
     /** To the oldest wait, or kept. */
@@ -406,7 +412,7 @@
         steps.add(new ConnectionCommand.Wake(w.nextAt, w.id));
     }
 
-    private void giveUp(Group g, Wait w, ConnectionCommand.Why why) {
+    private void giveUp(Group g, Wait w, ConnectionCommand.FailureReason why) {
         waits.remove(w.id);
         g.waits.remove(w);
         steps.add(new ConnectionCommand.GiveUp(w.id, why));
--- a/core/src/main/java/brackenbridge/core/connection/EndpointIdentity.java
+++ b/core/src/main/java/brackenbridge/core/connection/EndpointIdentity.java
@@ -5,6 +5,6 @@
  * and theirs against word that the old host has left.
  *
  * @param host its name
- * @param dial where it is reached, as {@code address:port}
+ * @param address where it is reached, as {@code address:port}
  */
-public record EndpointIdentity(String host, String dial) {}
+public record EndpointIdentity(String host, String address) {}
--- a/core/src/main/java/brackenbridge/core/generation/EffectiveVersions.java
+++ b/core/src/main/java/brackenbridge/core/generation/EffectiveVersions.java
@@ -13,12 +13,12 @@
     public static final EffectiveVersions IN_DOUBT = new EffectiveVersions(0, 0);
 
     /** Keeps to one generation. */
-    public static EffectiveVersions by(long generation) {
+    public static EffectiveVersions of(long generation) {
         return new EffectiveVersions(generation, generation);
     }
 
     /** Keeps to both. */
-    public static EffectiveVersions byBoth(long one, long other) {
+    public static EffectiveVersions ofBoth(long one, long other) {
         return new EffectiveVersions(one, other);
     }
 
@@ -28,12 +28,12 @@
     }
 
     /** Whether it keeps to this generation. */
-    public boolean keeps(long generation) {
+    public boolean includes(long generation) {
         return inDoubt() || one == generation || other == generation;
     }
 
     /** Whether no generation allows what both may do. */
     public boolean contradicts(EffectiveVersions that) {
-        return !inDoubt() && !that.inDoubt() && !that.keeps(one) && !that.keeps(other);
+        return !inDoubt() && !that.inDoubt() && !that.includes(one) && !that.includes(other);
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
@@ -14,23 +14,28 @@
  * Immutable; each event makes another.
  *
  * @param terms the terms of leases
- * @param word what is decided
- * @param last the last number that was given to a generation
- * @param settledMs until when holders that it knows nothing of may act by what an earlier authority told them
+ * @param decided what is decided
+ * @param lastGeneration the last number that was given to a generation
+ * @param earlierLeasesExpireMs until when holders that it knows nothing of may act by what an earlier authority told
+ *     them
  * @param holders those that may act by what they were told
  */
 public record LeaseAuthority(
-        LeaseTerms terms, DecidedVersion word, long last, double settledMs, Map<Integer, Held> holders) {
+        LeaseTerms terms,
+        DecidedVersion decided,
+        long lastGeneration,
+        double earlierLeasesExpireMs,
+        Map<Integer, GrantedLease> holders) {
     /**
      * A holder that was granted a lease.
      *
      * @param untilMs until when it may act by it, whatever its clock
-     * @param heard the version that it acts by at the least
+     * @param effectiveVersion the version that it acts by at the least
      */
-    public record Held(double untilMs, long heard) {}
+    public record GrantedLease(double untilMs, long effectiveVersion) {}
 
     /** What came of a proposal. */
-    public enum Verdict {
+    public enum ProposalVerdict {
         /** It is staged. */
         STAGED,
         /** Another generation is in force than the one that the proposal was made against. */
@@ -46,31 +51,31 @@
 
     /** One that takes over at this time, with what is durable; it knows nothing of the leases that were granted. */
     public static LeaseAuthority start(LeaseTerms terms, double nowMs, DecidedVersion word, long last) {
-        return new LeaseAuthority(terms, word, last, nowMs + terms.waitMs(), Map.of());
+        return new LeaseAuthority(terms, word, last, nowMs + terms.authorityWaitMs(), Map.of());
     }
 
     /** What a proposal against this generation would come to. */
-    public Verdict judge(long expected) {
-        return word.staged() != 0
-                ? Verdict.ANOTHER_STAGED
-                : expected != word.inForce() ? Verdict.OVERTAKEN : Verdict.STAGED;
+    public ProposalVerdict judgeProposal(long expected) {
+        return decided.staged() != 0
+                ? ProposalVerdict.ANOTHER_STAGED
+                : expected != decided.inForce() ? ProposalVerdict.OVERTAKEN : ProposalVerdict.STAGED;
     }
 
-    /** A new generation is staged; its number is {@link #last} from then on. */
+    /** A new generation is staged; its number is {@link #lastGeneration} from then on. */
     public LeaseAuthority stage() {
-        if (word.staged() != 0) {
-            throw new IllegalStateException("generation " + word.staged() + " is staged");
+        if (decided.staged() != 0) {
+            throw new IllegalStateException("generation " + decided.staged() + " is staged");
         }
-        return with(word.stage(last + 1), last + 1, holders);
+        return with(decided.stage(lastGeneration + 1), lastGeneration + 1, holders);
     }
 
     /** Whether the staged generation may be in force from now on. */
     public boolean mayActivate(double nowMs) {
-        if (word.staged() == 0 || nowMs < settledMs) {
+        if (decided.staged() == 0 || nowMs < earlierLeasesExpireMs) {
             return false;
         }
-        for (Held h : holders.values()) {
-            if (nowMs < h.untilMs() && h.heard() < word.version()) {
+        for (GrantedLease h : holders.values()) {
+            if (nowMs < h.untilMs() && h.effectiveVersion() < decided.version()) {
                 return false;
             }
         }
@@ -79,9 +84,9 @@
 
     /** From when the staged generation may be in force if nobody who is waited for is heard of; milliseconds. */
     public double mayActivateAtMs() {
-        double at = settledMs;
-        for (Held h : holders.values()) {
-            at = h.heard() < word.version() ? Math.max(at, h.untilMs()) : at;
+        double at = earlierLeasesExpireMs;
+        for (GrantedLease h : holders.values()) {
+            at = h.effectiveVersion() < decided.version() ? Math.max(at, h.untilMs()) : at;
         }
         return at;
     }
@@ -91,22 +96,22 @@
         if (!mayActivate(nowMs)) {
             throw new IllegalStateException("not before " + mayActivateAtMs() + " ms, it is " + nowMs);
         }
-        return with(word.activate(), last, holders);
+        return with(decided.activate(), lastGeneration, holders);
     }
 
     /** The staged generation will never be in force; its number is not used again. */
     public LeaseAuthority abandon() {
-        return with(word.abandon(), last, holders);
+        return with(decided.abandon(), lastGeneration, holders);
     }
 
     /** Whether the asker can't use the generation that is staged. */
-    public boolean refusedBy(LeaseRequest a) {
-        return a.refused() != 0 && a.refused() == word.staged();
+    public boolean isStagedRejectedBy(LeaseRequest a) {
+        return a.rejectedGeneration() != 0 && a.rejectedGeneration() == decided.staged();
     }
 
     /** A holder has asked; {@link #grant} is the answer. */
-    public LeaseAuthority asked(double nowMs, LeaseRequest a) {
-        Map<Integer, Held> next = new TreeMap<>();
+    public LeaseAuthority onRequest(double nowMs, LeaseRequest a) {
+        Map<Integer, GrantedLease> next = new TreeMap<>();
         // Leases that have run out bind nobody: guards memory against holders that are gone for good.
         holders.forEach((id, h) -> {
             if (nowMs < h.untilMs()) {
@@ -115,18 +120,18 @@
         });
         // Whatever was said was true when it was said, a later life hears no earlier word, and one that has heard none
         // is in doubt: so the highest version ever said holds, in whatever order the questions come.
-        Held before = next.get(a.holder());
-        long heard = before == null ? a.heard() : Math.max(before.heard(), a.heard());
-        next.put(a.holder(), new Held(nowMs + terms.waitMs(), heard));
-        return with(word, last, next);
+        GrantedLease before = next.get(a.holder());
+        long heard = before == null ? a.effectiveVersion() : Math.max(before.effectiveVersion(), a.effectiveVersion());
+        next.put(a.holder(), new GrantedLease(nowMs + terms.authorityWaitMs(), heard));
+        return with(decided, lastGeneration, next);
     }
 
     /** The answer to a question, with what is decided now. */
     public LeaseGrant grant(LeaseRequest a) {
-        return new LeaseGrant(a.life(), a.number(), word, terms.leaseMs());
+        return new LeaseGrant(a.incarnation(), a.requestNumber(), decided, terms.leaseMs());
     }
 
-    private LeaseAuthority with(DecidedVersion nextWord, long nextLast, Map<Integer, Held> nextHolders) {
-        return new LeaseAuthority(terms, nextWord, nextLast, settledMs, nextHolders);
+    private LeaseAuthority with(DecidedVersion nextWord, long nextLast, Map<Integer, GrantedLease> nextHolders) {
+        return new LeaseAuthority(terms, nextWord, nextLast, earlierLeasesExpireMs, nextHolders);
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseTerms.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseTerms.java
@@ -19,7 +19,7 @@
     }
 
     /** How long the authority waits, by its clock, until a lease has run out by any holder's clock; milliseconds. */
-    public double waitMs() {
+    public double authorityWaitMs() {
         return leaseMs * (1 + drift) / (1 - drift);
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
+++ b/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
@@ -4,7 +4,8 @@
 
 /**
  * When a holder asks next: often enough that a few lost questions cost it no lease, and never more than once in
- * {@link #gapMs} over all causes. Guards the authority against hundreds of holders that all have a reason at once: each
+ * {@link #minIntervalMs} over all causes. Guards the authority against hundreds of holders that all have a reason at
+ * once: each
  * first, hinted and failed question is spread by a random part of its time (full jitter).
  */
 public final class RenewalSchedule {
@@ -29,22 +30,22 @@
     }
 
     /** The least time between two questions, in milliseconds. */
-    public double gapMs() {
+    public double minIntervalMs() {
         return terms.leaseMs() / AT_MOST;
     }
 
     /** How long an answer is waited for, in milliseconds. */
-    public double patienceMs() {
+    public double responseTimeoutMs() {
         return terms.leaseMs() * PATIENCE;
     }
 
     /** It has asked now. */
-    public void asked(double nowMs) {
+    public void onRequestSent(double nowMs) {
         lastMs = nowMs;
     }
 
     /** When the first question is due; also the first at another authority, after the old one was lost. */
-    public double firstMs(double nowMs) {
+    public double firstRequestMs(double nowMs) {
         return notBefore(nowMs + random.nextDouble() * terms.leaseMs() / AT_REST);
     }
 
@@ -53,26 +54,26 @@
      *
      * @param newer the word was newer, and the authority may wait to hear that it was heard
      */
-    public double answeredMs(double nowMs, boolean newer) {
+    public double nextAfterGrantMs(double nowMs, boolean newer) {
         failures = 0;
         return newer
-                ? hintedMs(nowMs)
+                ? nextAfterHintMs(nowMs)
                 : notBefore(lastMs + terms.leaseMs() / AT_REST * (0.75 + random.nextDouble() / 2));
     }
 
     /** There is something to be heard: when to ask for it. */
-    public double hintedMs(double nowMs) {
-        return notBefore(nowMs + random.nextDouble() * gapMs());
+    public double nextAfterHintMs(double nowMs) {
+        return notBefore(nowMs + random.nextDouble() * minIntervalMs());
     }
 
     /** No answer has come, or the connection is lost: when to ask again. */
-    public double failedMs(double nowMs) {
+    public double nextAfterFailureMs(double nowMs) {
         failures = Math.min(failures + 1, 16);
         double most = Math.min(terms.leaseMs() * LONGEST, terms.leaseMs() / AT_REST * (1 << failures));
         return notBefore(nowMs + random.nextDouble() * most);
     }
 
     private double notBefore(double atMs) {
-        return Math.max(atMs, lastMs + gapMs());
+        return Math.max(atMs, lastMs + minIntervalMs());
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
+++ b/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
@@ -1,11 +1,11 @@
 package brackenbridge.core.generation;
 
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.NetworkSettings;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.core.balancing.TenantShare;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -19,7 +19,7 @@
     private RuleIntersection() {}
 
     /** What both allow; empty if they have no class in common, so that nothing may be done. */
-    public static Optional<Settings> of(Settings a, Settings b) {
+    public static Optional<BalancerSettings> of(BalancerSettings a, BalancerSettings b) {
         List<RequestClass> classes = new ArrayList<>();
         for (RequestClass one : a.classes()) {
             b.classes().stream()
@@ -27,12 +27,12 @@
                     .findFirst()
                     .ifPresent(other -> classes.add(of(one, other)));
         }
-        List<Tenant> tenants = new ArrayList<>();
-        for (Tenant one : a.tenants()) {
+        List<TenantShare> tenants = new ArrayList<>();
+        for (TenantShare one : a.tenants()) {
             b.tenants().stream()
                     .filter(o -> o.name().equals(one.name()))
                     .findFirst()
-                    .ifPresent(other -> tenants.add(new Tenant(
+                    .ifPresent(other -> tenants.add(new TenantShare(
                             one.name(),
                             Math.min(one.share(), other.share()),
                             told(one.quotaPerSecond(), other.quotaPerSecond()))));
@@ -44,68 +44,71 @@
      * What every generation may be taken to allow, from one that was in force: no call goes out twice, whatever its
      * class, and no tenant's call is lifted over another's.
      */
-    public static Settings inDoubt(Settings was) {
+    public static BalancerSettings inDoubt(BalancerSettings was) {
         List<RequestClass> classes = new ArrayList<>();
         for (RequestClass c : was.classes()) {
             classes.add(new RequestClass(
                     c.name(),
-                    c.aim(),
+                    c.latencyObjective(),
                     c.deadline(),
-                    Effect.UNSAFE,
-                    c.dedupScope(),
-                    c.keyTtl(),
-                    c.stream(),
-                    c.worth(),
-                    c.lateShare()));
+                    Idempotence.NOT_IDEMPOTENT,
+                    c.deduplicationScope(),
+                    c.idempotencyKeyTtl(),
+                    c.streamed(),
+                    c.priorityWeight(),
+                    c.lateValueRatio()));
         }
-        return new Settings(
+        return new BalancerSettings(
                 was.seed(),
-                was.me(),
-                was.peers(),
+                was.instanceIndex(),
+                was.instanceCount(),
                 was.tier(),
                 was.zone(),
                 classes,
                 List.of(),
-                was.overShareWorth(),
-                was.askDiscovery(),
-                was.mustAskWithin(),
+                was.overShareWeight(),
+                was.polledDiscovery(),
+                was.maxPollInterval(),
                 1,
-                was.maxOpen(),
+                was.maxOpenRequests(),
                 was.maxRetryAfter(),
                 was.mayCancel(),
                 false,
                 false,
-                was.idleClose(),
-                was.coldFrom(),
-                was.warmAfter(),
-                was.fallMultiple(),
-                was.fall(),
+                was.idleTimeout(),
+                was.coldCapacityRatio(),
+                was.warmUpTime(),
+                was.overloadMultiple(),
+                was.overloadWindow(),
                 was.network());
     }
 
     private static RequestClass of(RequestClass a, RequestClass b) {
         // Of a class that is safe in one, the other's group and window alone bind its repeats.
-        RequestClass first = a.effect() == Effect.KEYED ? a : b;
-        RequestClass second = b.effect() == Effect.KEYED ? b : a;
-        DedupScope scope = first.dedupScope().ordinal() >= second.dedupScope().ordinal()
-                ? first.dedupScope()
-                : second.dedupScope();
+        RequestClass first = a.idempotence() == Idempotence.IDEMPOTENCY_KEY ? a : b;
+        RequestClass second = b.idempotence() == Idempotence.IDEMPOTENCY_KEY ? b : a;
+        DeduplicationScope scope = first.deduplicationScope().ordinal()
+                        >= second.deduplicationScope().ordinal()
+                ? first.deduplicationScope()
+                : second.deduplicationScope();
         return new RequestClass(
                 a.name(),
-                Math.min(a.aim(), b.aim()),
+                Math.min(a.latencyObjective(), b.latencyObjective()),
                 Math.min(a.deadline(), b.deadline()),
-                narrower(a.effect(), b.effect()),
+                narrower(a.idempotence(), b.idempotence()),
                 scope,
-                Math.min(first.keyTtl(), second.keyTtl()),
-                a.stream(),
-                a.worth(),
-                a.lateShare());
+                Math.min(first.idempotencyKeyTtl(), second.idempotencyKeyTtl()),
+                a.streamed(),
+                a.priorityWeight(),
+                a.lateValueRatio());
     }
 
-    private static Effect narrower(Effect a, Effect b) {
-        return a == Effect.UNSAFE || b == Effect.UNSAFE
-                ? Effect.UNSAFE
-                : a == Effect.KEYED || b == Effect.KEYED ? Effect.KEYED : Effect.SAFE;
+    private static Idempotence narrower(Idempotence a, Idempotence b) {
+        return a == Idempotence.NOT_IDEMPOTENT || b == Idempotence.NOT_IDEMPOTENT
+                ? Idempotence.NOT_IDEMPOTENT
+                : a == Idempotence.IDEMPOTENCY_KEY || b == Idempotence.IDEMPOTENCY_KEY
+                        ? Idempotence.IDEMPOTENCY_KEY
+                        : Idempotence.IDEMPOTENT;
     }
 
     /** A quota, or a time, of 0 is none told. */
@@ -113,41 +116,42 @@
         return a == 0 ? b : b == 0 ? a : Math.min(a, b);
     }
 
-    private static Settings with(Settings a, Settings b, List<RequestClass> classes, List<Tenant> tenants) {
-        Network net = new Network(
+    private static BalancerSettings with(
+            BalancerSettings a, BalancerSettings b, List<RequestClass> classes, List<TenantShare> tenants) {
+        NetworkSettings net = new NetworkSettings(
                 Math.min(a.network().connectTimeout(), b.network().connectTimeout()),
                 Math.min(a.network().drainGrace(), b.network().drainGrace()),
                 a.network().reportsInAnswers(),
                 a.network().reportFields());
-        return new Settings(
+        return new BalancerSettings(
                 a.seed(),
-                a.me(),
-                a.peers(),
+                a.instanceIndex(),
+                a.instanceCount(),
                 a.tier(),
                 a.zone(),
                 classes,
                 tenants,
-                Math.min(a.overShareWorth(), b.overShareWorth()),
-                a.askDiscovery(),
-                Math.min(a.mustAskWithin(), b.mustAskWithin()),
+                Math.min(a.overShareWeight(), b.overShareWeight()),
+                a.polledDiscovery(),
+                Math.min(a.maxPollInterval(), b.maxPollInterval()),
                 Math.min(a.maxAttempts(), b.maxAttempts()),
-                Math.min(a.maxOpen(), b.maxOpen()),
+                Math.min(a.maxOpenRequests(), b.maxOpenRequests()),
                 Math.min(a.maxRetryAfter(), b.maxRetryAfter()),
                 a.mayCancel() && b.mayCancel(),
-                a.mayProbe() && b.mayProbe(),
-                a.secondCopies() && b.secondCopies(),
-                Math.min(a.idleClose(), b.idleClose()),
-                Math.min(a.coldFrom(), b.coldFrom()),
-                Math.max(a.warmAfter(), b.warmAfter()),
+                a.mayHealthCheck() && b.mayHealthCheck(),
+                a.mayHedge() && b.mayHedge(),
+                Math.min(a.idleTimeout(), b.idleTimeout()),
+                Math.min(a.coldCapacityRatio(), b.coldCapacityRatio()),
+                Math.max(a.warmUpTime(), b.warmUpTime()),
                 fallMultiple(a, b),
-                (long) told(a.fall(), b.fall()),
+                (long) told(a.overloadWindow(), b.overloadWindow()),
                 net);
     }
 
     /** The smaller multiple of those that are told; a generation in which nothing falls has none. */
-    private static double fallMultiple(Settings a, Settings b) {
-        return a.fall() == 0
-                ? b.fallMultiple()
-                : b.fall() == 0 ? a.fallMultiple() : Math.min(a.fallMultiple(), b.fallMultiple());
+    private static double fallMultiple(BalancerSettings a, BalancerSettings b) {
+        return a.overloadWindow() == 0
+                ? b.overloadMultiple()
+                : b.overloadWindow() == 0 ? a.overloadMultiple() : Math.min(a.overloadMultiple(), b.overloadMultiple());
     }
 }
--- a/core/src/main/java/brackenbridge/core/membership/DiscoverySource.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoverySource.java
@@ -7,9 +7,9 @@
  *
  * @param shared one service for all nodes, which works through their calls one after another; else an agent of the
  *     node's own, which answers at once and at no cost
- * @param mustAskWithinMs a node that has not asked the service for so long counts as told all the same; milliseconds
+ * @param maxPollIntervalMs a node that has not asked the service for so long counts as told all the same; milliseconds
  */
-public record DiscoverySource(boolean shared, double mustAskWithinMs) {
+public record DiscoverySource(boolean shared, double maxPollIntervalMs) {
     private static final double LONGEST_FIRST_MS = 4000;
     /**
      * What a change that discovery has, and can be asked for, may take until it counts as told is 6 s. Of these a call
@@ -29,8 +29,8 @@
     private static final double LONGEST_DRAW = 1.5;
 
     /** How long a node waits before its first call: guards a service against a fleet that starts in one moment. */
-    double firstMs(RandomGenerator random) {
-        return shared ? random.nextDouble() * Math.min(LONGEST_FIRST_MS, mustAskWithinMs / 2) : 0;
+    double firstCallDelayMs(RandomGenerator random) {
+        return shared ? random.nextDouble() * Math.min(LONGEST_FIRST_MS, maxPollIntervalMs / 2) : 0;
     }
 
     /**
@@ -38,13 +38,13 @@
      * lets the node have its answer in time once discovery is back. Guards a service that is short of turns against
      * being asked ever more by those that it refuses, and a node against spinning at its agent.
      */
-    double againMs(int failures, RandomGenerator random) {
+    double retryDelayMs(int failures, RandomGenerator random) {
         double pause = shared
                 ? Math.min(
                         Math.min(
                                 SERVICE_PAUSE_MS * (1 << Math.min(failures - 1, MOST_DOUBLINGS)),
                                 LONGEST_SERVICE_PAUSE_MS),
-                        mustAskWithinMs / LONGEST_DRAW)
+                        maxPollIntervalMs / LONGEST_DRAW)
                 : failures > 1 ? LONGEST_AGENT_PAUSE_MS : AGENT_PAUSE_MS;
         return pause / 2 + random.nextDouble() * (LONGEST_DRAW - 0.5) * pause;
     }
@@ -53,7 +53,7 @@
      * How long it waits after a call that fell silent, which is noticed after 3 of the 6 s: at a service no more than
      * what keeps a fleet from calling in one moment.
      */
-    double afterSilenceMs(RandomGenerator random) {
+    double delayAfterSilenceMs(RandomGenerator random) {
         return shared ? random.nextDouble() * SILENCE_PAUSE_MS : 0;
     }
 }
--- a/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
@@ -23,7 +23,7 @@
     private DiscoverySource source;
     private final double silenceMs;
     private final RandomGenerator random;
-    private long seq = -1;
+    private long version = -1;
     private long calls;
     private long call = -1;
     private boolean toldOnCall;
@@ -50,30 +50,30 @@
 
     /** The node starts with a list of this version, -1 if it has none. */
     public List<DiscoveryCommand> start(double now, long heldSeq) {
-        seq = heldSeq;
-        openAt = now + source.firstMs(random);
-        return go(now);
+        version = heldSeq;
+        openAt = now + source.firstCallDelayMs(random);
+        return advance(now);
     }
 
     /** The version of the list that is held. */
-    public long seq() {
-        return seq;
+    public long version() {
+        return version;
     }
 
     /** A list of the configuration or of another process: whether it is newer than the one that is held. */
-    public boolean offered(long otherSeq, boolean orEqual) {
-        boolean newer = otherSeq > seq || orEqual && otherSeq == seq;
-        seq = newer ? otherSeq : seq;
+    public boolean acceptVersion(long otherSeq, boolean orEqual) {
+        boolean newer = otherSeq > version || orEqual && otherSeq == version;
+        version = newer ? otherSeq : version;
         return newer;
     }
 
     /** Lists come this way from now on; a next call that was put off goes by what it costs here. */
-    public List<DiscoveryCommand> comesFrom(double now, DiscoverySource next) {
+    public List<DiscoveryCommand> changeSource(double now, DiscoverySource next) {
         if (call < 0 && openAt < Double.POSITIVE_INFINITY && !next.equals(source)) {
-            openAt = Math.min(openAt, now + next.againMs(Math.max(1, failures), random));
+            openAt = Math.min(openAt, now + next.retryDelayMs(Math.max(1, failures), random));
         }
         source = next;
-        return go(now);
+        return advance(now);
     }
 
     /**
@@ -81,22 +81,22 @@
      *
      * @param elsewhere discovery has moved: its versions say nothing beside the old one's
      */
-    public List<DiscoveryCommand> askNow(double now, boolean elsewhere) {
+    public List<DiscoveryCommand> reopen(double now, boolean elsewhere) {
         moved |= elsewhere;
         // Guards the new address against what the old one did: its callers were never turned away.
         failures = elsewhere ? 0 : failures;
         openAt = now;
         List<DiscoveryCommand> steps = new ArrayList<>();
         if (call >= 0) {
-            steps.add(new DiscoveryCommand.End(call, false));
+            steps.add(new DiscoveryCommand.EndCall(call, false));
             call = -1;
         }
-        steps.addAll(go(now));
+        steps.addAll(advance(now));
         return steps;
     }
 
     /** Discovery has told a list or a change on this call: whether it holds. */
-    public boolean told(double now, long on, long newSeq, boolean whole) {
+    public boolean onEndpointList(double now, long on, long newSeq, boolean whole) {
         if (!isOpen(on)) {
             return false;
         }
@@ -106,16 +106,16 @@
         // Guards against word that was overtaken by a newer list: an old version must not bring servers back. The
         // first word of a watch may repeat the version that is held. Versions of a discovery that has moved say
         // nothing beside the old one's.
-        if ((newSeq < seq || newSeq == seq && !first) && !(moved && whole)) {
+        if ((newSeq < version || newSeq == version && !first) && !(moved && whole)) {
             return false;
         }
         moved = false;
-        seq = newSeq;
+        version = newSeq;
         return true;
     }
 
     /** Discovery has said on this call that nothing has changed. */
-    public void beat(double now, long on) {
+    public void onHeartbeat(double now, long on) {
         lastWord = isOpen(on) ? now : lastWord;
     }
 
@@ -125,14 +125,14 @@
     }
 
     /** This call has ended or failed; nothing if it was over already. */
-    public List<DiscoveryCommand> ended(double now, long on) {
+    public List<DiscoveryCommand> onCallEnded(double now, long on) {
         if (!isOpen(on)) {
             return List.of();
         }
         call = -1;
         failures = heardOnCall() && now - openedAt >= STOOD_MS ? 1 : failures + 1;
-        openAt = now + source.againMs(failures, random);
-        return go(now);
+        openAt = now + source.retryDelayMs(failures, random);
+        return advance(now);
     }
 
     /** Whether this call, or the last one, has said anything. */
@@ -151,27 +151,27 @@
             return List.of();
         }
         turnAt = Double.POSITIVE_INFINITY;
-        return go(now);
+        return advance(now);
     }
 
     /** Does what is due, and asks to be woken when the next thing is. */
-    private List<DiscoveryCommand> go(double now) {
+    private List<DiscoveryCommand> advance(double now) {
         List<DiscoveryCommand> steps = new ArrayList<>();
-        if (call >= 0 && now >= heardAt() + silenceMs) {
-            steps.add(new DiscoveryCommand.End(call, true));
+        if (call >= 0 && now >= lastHeardMs() + silenceMs) {
+            steps.add(new DiscoveryCommand.EndCall(call, true));
             call = -1;
             // Silence is no word of a caller too many.
             failures = 0;
-            openAt = now + source.afterSilenceMs(random);
+            openAt = now + source.delayAfterSilenceMs(random);
         }
         if (call < 0 && now >= openAt) {
             call = calls++;
             toldOnCall = false;
             openedAt = now;
             openAt = Double.POSITIVE_INFINITY;
-            steps.add(new DiscoveryCommand.Open(call, seq));
+            steps.add(new DiscoveryCommand.OpenWatch(call, version));
         }
-        double due = call >= 0 ? heardAt() + silenceMs : openAt;
+        double due = call >= 0 ? lastHeardMs() + silenceMs : openAt;
         if (due < turnAt) {
             turnAt = due;
             steps.add(new DiscoveryCommand.Wake(due, ++turn));
@@ -179,7 +179,7 @@
         return steps;
     }
 
-    private double heardAt() {
+    private double lastHeardMs() {
         return Math.max(openedAt, lastWord);
     }
 }
--- a/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
@@ -17,10 +17,11 @@
  * SIGMETRICS 2004) over tenants: each call moves its tenant's tag on by its connection time through its allowance, by
  * what was expected when it begins and by what it took when it ends; one that is still running beyond that is charged
  * meanwhile. Virtual time runs with the clock, so that an allowance in full use moves its tag as fast as time goes.
- * A tag stays behind virtual time by {@link Limits#burstMs} at the most, which is the tenant's burst credit: it lets
+ * A tag stays behind virtual time by {@link SchedulerLimits#burstMs} at the most, which is the tenant's burst credit:
+ * it lets
  * the tenant hold up to twice its allowance and is spent by that. A tenant that holds less than its allowance goes
  * before all that hold more. What nobody may claim is lent, by weights, to tenants whose calls are short enough to
- * be given back within {@link Limits#returnMs}.
+ * be given back within {@link SchedulerLimits#returnMs}.
  *
  * <p>Tenants that are not named in {@link TenantQuotas} share what is for all others, by the same method among
  * themselves. At no time begins a call while as many run as all allowances make together. Until allowances are told
@@ -48,12 +49,12 @@
      * @param mostWaiting flows that wait at the most, over all tenants
      * @param mostTenants tenants that are told apart at the most; more of them count as one without a name
      */
-    public record Limits(double burstMs, double returnMs, int mostWaiting, int mostTenants) {
+    public record SchedulerLimits(double burstMs, double returnMs, int mostWaiting, int mostTenants) {
         /** For a node. */
-        public static final Limits USUAL = new Limits(250, 1000, 4096, 200_000);
+        public static final SchedulerLimits USUAL = new SchedulerLimits(250, 1000, 4096, 200_000);
 
         /** Limits that can't be kept are rejected. */
-        public Limits {
+        public SchedulerLimits {
             if (!(burstMs >= 0) || !(returnMs >= 0) || mostWaiting < 0 || mostTenants < 1) {
                 throw new IllegalArgumentException(
                         "limits: " + burstMs + ", " + returnMs + ", " + mostWaiting + ", " + mostTenants);
@@ -62,13 +63,13 @@
     }
 
     /** What becomes of a flow that has just come. */
-    public enum Verdict {
+    public enum AdmissionVerdict {
         /** Forward it now. */
-        GO,
+        ADMIT,
         /** It waits for its turn: a later {@link SchedulingResult} names it. */
-        WAIT,
+        QUEUE,
         /** It can't be served in time. */
-        REFUSE
+        REJECT
     }
 
     /**
@@ -77,9 +78,9 @@
      * @param verdict which
      * @param retryAfterMs if refused: when its client may come back, in milliseconds from now
      */
-    public record Decision(Verdict verdict, double retryAfterMs) {
-        private static final Decision GO = new Decision(Verdict.GO, 0);
-        private static final Decision WAIT = new Decision(Verdict.WAIT, 0);
+    public record AdmissionDecision(AdmissionVerdict verdict, double retryAfterMs) {
+        private static final AdmissionDecision GO = new AdmissionDecision(AdmissionVerdict.ADMIT, 0);
+        private static final AdmissionDecision WAIT = new AdmissionDecision(AdmissionVerdict.QUEUE, 0);
     }
 
     private static final class Call {
@@ -185,7 +186,7 @@
     private static final Comparator<Share> BY_KEY =
             Comparator.<Share>comparingDouble(s -> s.key).thenComparingLong(s -> s.number);
 
-    private final Limits limits;
+    private final SchedulerLimits limits;
     private final Map<Long, Call> calls = new HashMap<>();
     private final Map<String, Tenant> tenants = new HashMap<>();
     private final Share rest = new Share(0);
@@ -212,12 +213,12 @@
     private long sweepFrom;
 
     /** A scheduler that was told nothing yet. */
-    public TenantScheduler(Limits limits) {
+    public TenantScheduler(SchedulerLimits limits) {
         this.limits = limits;
     }
 
     /** What may be held from now on; a lower epoch than was told before is passed over. */
-    public SchedulingResult told(double nowMs, TenantQuotas a) {
+    public SchedulingResult applyQuotas(double nowMs, TenantQuotas a) {
         if (told != null && a.epoch() < told.epoch()) {
             return SchedulingResult.NONE;
         }
@@ -236,7 +237,7 @@
      * @param expectedMs how long it will hold a connection; 0 or less if unknown: what its tenant's do on average
      * @throws IllegalArgumentException if there is such a flow already
      */
-    public Decision open(double nowMs, long flow, String tenant, double deadlineMs, double expectedMs) {
+    public AdmissionDecision onRequest(double nowMs, long flow, String tenant, double deadlineMs, double expectedMs) {
         advance(nowMs);
         Tenant t = tenant(tenant == null ? "" : tenant, nowMs);
         double expected = expectedMs > 0 ? expectedMs : Double.isNaN(t.meanMs) ? UNKNOWN_MS : t.meanMs;
@@ -256,14 +257,14 @@
                         && (mayClaim(s, nowMs) || over.isEmpty() && mayBorrow(s, nowMs))) {
             begin(c, nowMs);
             place(s, nowMs);
-            return Decision.GO;
+            return AdmissionDecision.GO;
         }
         double waitMs = waitMs(t, nowMs);
         double room = c.latestMs - nowMs;
         if (waiting >= limits.mostWaiting() || !(waitMs <= room)) {
             calls.remove(flow);
             t.refused++;
-            return new Decision(Verdict.REFUSE, retryMs(waitMs - Math.max(0, room), expected));
+            return new AdmissionDecision(AdmissionVerdict.REJECT, retryMs(waitMs - Math.max(0, room), expected));
         }
         t.line.add(c);
         t.waiting++;
@@ -271,11 +272,11 @@
         latest.add(c);
         queue(t, nowMs);
         place(s, nowMs);
-        return Decision.WAIT;
+        return AdmissionDecision.WAIT;
     }
 
     /** A flow has its answer, or is given up, whether it runs or waits; unknown ones are passed over. */
-    public SchedulingResult done(double nowMs, long flow) {
+    public SchedulingResult onRequestEnded(double nowMs, long flow) {
         Call c = calls.remove(flow);
         if (c == null) {
             return SchedulingResult.NONE;
@@ -289,13 +290,13 @@
         return turn(nowMs);
     }
 
-    /** A flow that waits is gone; the same as {@link #done}. */
-    public SchedulingResult gone(double nowMs, long flow) {
-        return done(nowMs, flow);
+    /** A flow that waits is gone; the same as {@link #onRequestEnded}. */
+    public SchedulingResult onClientDisconnected(double nowMs, long flow) {
+        return onRequestEnded(nowMs, flow);
     }
 
-    /** The time of {@link #wakeMs} has come. */
-    public SchedulingResult due(double nowMs) {
+    /** The time of {@link #nextTimerMs} has come. */
+    public SchedulingResult onTimer(double nowMs) {
         advance(nowMs);
         if (told != null && !byGuarantee && !(nowMs < told.untilMs())) {
             byGuarantee = true;
@@ -304,8 +305,8 @@
         return turn(nowMs);
     }
 
-    /** When {@link #due} is to be called; infinite if not by time. */
-    public double wakeMs() {
+    /** When {@link #onTimer} is to be called; infinite if not by time. */
+    public double nextTimerMs() {
         double at = told == null || byGuarantee ? Double.POSITIVE_INFINITY : told.untilMs();
         if (!latest.isEmpty()) {
             at = Math.min(at, latest.peek().latestMs);
@@ -341,7 +342,7 @@
      * more than the fleet waits. The oldest of those who are furthest over their allowance.
      */
     public List<Long> overstaying(double nowMs) {
-        due(nowMs);
+        onTimer(nowMs);
         if (running <= total) {
             return List.of();
         }
@@ -353,7 +354,7 @@
     }
 
     /** What each tenant wanted and used since the last reading; forgets those that are idle. */
-    public List<TenantUse> read(double nowMs) {
+    public List<TenantUse> takeUse(double nowMs) {
         advance(nowMs);
         double over = nowMs - readMs;
         readMs = nowMs;
@@ -646,7 +647,7 @@
     }
 
     private SchedulingResult turn(double nowMs) {
-        List<SchedulingResult.Refused> refused = null;
+        List<SchedulingResult.Rejection> refused = null;
         while (!latest.isEmpty()
                 && (latest.peek().gone || latest.peek().running() || latest.peek().latestMs <= nowMs)) {
             Call c = latest.poll();
@@ -655,7 +656,7 @@
                 drop(c, nowMs);
                 c.tenant.refused++;
                 refused = refused == null ? new ArrayList<>() : refused;
-                refused.add(new SchedulingResult.Refused(c.flow, retryMs(waitMs(c.tenant, nowMs), c.expectedMs)));
+                refused.add(new SchedulingResult.Rejection(c.flow, retryMs(waitMs(c.tenant, nowMs), c.expectedMs)));
             }
         }
         while (!later.isEmpty() && later.first().refillKey <= virtual + ROUNDING) {
--- a/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
+++ b/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
@@ -6,16 +6,16 @@
  * How much of their usual load the servers of each zone are to get. A value from outside, which says itself until when
  * it holds: nobody needs to take it back.
  *
- * @param token of whoever drives it: a lower one than was heard before is passed over
+ * @param driverToken of whoever drives it: a lower one than was heard before is passed over
  * @param epoch counts the values under one token
- * @param parts for each zone, from 0 (none) to 1 (as usual); a zone that is absent has 1
+ * @param weights for each zone, from 0 (none) to 1 (as usual); a zone that is absent has 1
  * @param untilMs from then on each zone has 1
  */
-public record ZoneWeights(long token, long epoch, Map<String, Double> parts, double untilMs) {
+public record ZoneWeights(long driverToken, long epoch, Map<String, Double> weights, double untilMs) {
     /** Keeps its own copy. */
     public ZoneWeights {
-        parts = Map.copyOf(parts);
-        for (Map.Entry<String, Double> e : parts.entrySet()) {
+        weights = Map.copyOf(weights);
+        for (Map.Entry<String, Double> e : weights.entrySet()) {
             if (!(e.getValue() >= 0 && e.getValue() <= 1)) {
                 throw new IllegalArgumentException("part of zone " + e.getKey() + ": " + e.getValue());
             }
@@ -26,12 +26,12 @@
     public static final ZoneWeights USUAL = new ZoneWeights(0, 0, Map.of(), Double.NEGATIVE_INFINITY);
 
     /** Whether this one may take that one's place: it is no earlier driver's, and no earlier word of the same one. */
-    public boolean mayFollow(ZoneWeights that) {
-        return token != that.token ? token > that.token : epoch >= that.epoch;
+    public boolean supersedes(ZoneWeights that) {
+        return driverToken != that.driverToken ? driverToken > that.driverToken : epoch >= that.epoch;
     }
 
     /** The part of its usual load that this zone has at this time. */
-    public double part(String zone, double nowMs) {
-        return nowMs < untilMs ? parts.getOrDefault(zone, 1.0) : 1;
+    public double weightOf(String zone, double nowMs) {
+        return nowMs < untilMs ? weights.getOrDefault(zone, 1.0) : 1;
     }
 }
--- a/core/src/main/java/brackenbridge/counters/Figures.java
+++ b/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
@@ -1,15 +1,14 @@
 package brackenbridge.counters;
 
-import brackenbridge.counters.Counters.Kind;
 import java.util.Collection;
 import java.util.TreeSet;
 
 /** Words the counters as the figures that the operators' staff fetch, one a line: {@code proxy.NAME:VALUE|c}. */
-public final class Figures {
+public final class OperatorMetrics {
     /** What the figures tell beside the counters; how long discovery has been silent, in milliseconds. */
     public record Gauges(int active, int poolSize, int poolEjected, double silentMs) {}
 
-    private Figures() {}
+    private OperatorMetrics() {}
 
     /** The figures by now; a class that has asked for nothing yet is told with zeros. */
     public static String lines(Counters counters, Collection<String> classes, Gauges gauges) {
@@ -17,22 +16,22 @@
         counters.classes().forEach(named::add);
         StringBuilder text = new StringBuilder(512);
         for (String c : named) {
-            line(text, "ok." + c, counters.of(Kind.ANSWERED_SERVED, c), 'c');
-            line(text, "shed." + c, counters.of(Kind.ANSWERED_REFUSED, c), 'c');
+            line(text, "ok." + c, counters.of(Counter.ANSWERED_SERVED, c), 'c');
+            line(text, "shed." + c, counters.of(Counter.ANSWERED_REJECTED, c), 'c');
             line(
                     text,
                     "errors." + c,
-                    counters.of(Kind.ANSWERED_FAILED, c) + counters.of(Kind.ANSWERED_REJECTED, c),
+                    counters.of(Counter.ANSWERED_FAILED, c) + counters.of(Counter.ANSWERED_INVALID_REQUEST, c),
                     'c');
         }
-        line(text, "tries", counters.of(Kind.FORWARDS_WRITTEN), 'c');
+        line(text, "tries", counters.of(Counter.ATTEMPTS_WRITTEN), 'c');
         line(text, "active", gauges.active(), 'g');
         line(text, "pool_size", gauges.poolSize(), 'g');
         line(text, "pool_ejected", gauges.poolEjected(), 'g');
         // Staff see a lost list by it: it stays below some 3,000 while discovery is there. -1: it never spoke.
         line(text, "discovery_silent_ms", Double.isInfinite(gauges.silentMs()) ? -1 : (long) gauges.silentMs(), 'g');
-        line(text, "config_applied", counters.of(Kind.RECONFIGURED), 'c');
-        line(text, "config_rejected", counters.of(Kind.RECONFIGURE_FAILED), 'c');
+        line(text, "config_applied", counters.of(Counter.RECONFIGURED), 'c');
+        line(text, "config_rejected", counters.of(Counter.RECONFIGURE_FAILED), 'c');
         return text.toString();
     }
 
--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Event.Reply;
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
+import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.core.balancing.TenantShare;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -37,11 +37,11 @@
     private final Set<Long> ran = new HashSet<>();
     private final Set<Long> gone = new HashSet<>();
     private final Set<Long> coming = new HashSet<>();
-    private Settings settings;
+    private BalancerSettings settings;
     private int seen;
     private long version = 50;
 
-    private static Settings settings(SplittableRandom r) {
+    private static BalancerSettings settings(SplittableRandom r) {
         List<RequestClass> classes = new ArrayList<>();
         int first = r.nextInt(NAMES.length);
         for (int i = 0, n = 1 + r.nextInt(NAMES.length); i < n; i++) {
@@ -51,20 +51,20 @@
                     aim,
                     aim + r.nextInt(500_000),
                     r.nextBoolean()
-                            ? brackenbridge.core.balancing.BalancerApi.Effect.SAFE
-                            : brackenbridge.core.balancing.BalancerApi.Effect.UNSAFE,
-                    DedupScope.ALL,
+                            ? brackenbridge.core.balancing.Idempotence.IDEMPOTENT
+                            : brackenbridge.core.balancing.Idempotence.NOT_IDEMPOTENT,
+                    DeduplicationScope.ALL,
                     0,
                     false,
                     r.nextInt(4),
                     0.2));
         }
-        List<Tenant> tenants = r.nextBoolean() ? List.of() : List.of(new Tenant("acme", 0.5, r.nextInt(3)));
-        Settings s = Play.settings(1 + r.nextInt(3), 1 + r.nextInt(5), classes.toArray(new RequestClass[0]));
-        return new Settings(
+        List<TenantShare> tenants = r.nextBoolean() ? List.of() : List.of(new TenantShare("acme", 0.5, r.nextInt(3)));
+        BalancerSettings s = Play.settings(1 + r.nextInt(3), 1 + r.nextInt(5), classes.toArray(new RequestClass[0]));
+        return new BalancerSettings(
                 7,
                 0,
-                s.peers(),
+                s.instanceCount(),
                 0,
                 r.nextBoolean() ? "room" : "other",
                 classes,
@@ -85,30 +85,32 @@
     }
 
     private static boolean isSafe(Promise promise) {
-        return promise.under().effect() == brackenbridge.core.balancing.BalancerApi.Effect.SAFE;
+        return promise.under().idempotence() == brackenbridge.core.balancing.Idempotence.IDEMPOTENT;
     }
 
     /** Holds what the node has done since the last look against what it promised. */
     private void look(Play p) {
         for (; seen < p.effects.size(); seen++) {
             Effect e = p.effects.get(seen);
-            if (e instanceof Effect.Forward f) {
-                Promise promise = promises.get(f.flow());
-                assertEquals(null, out.put(f.flow(), f.forward()), "one forward at a time");
-                assertTrue(f.forward() < promise.attempts(), "more attempts than it began with");
-                assertTrue(!ran.contains(f.flow()) || isSafe(promise), "unsafe, and may have run");
-                assertEquals(0, answers.getOrDefault(f.flow(), 0), "it has its answer");
-                written.remove(f.flow());
-            } else if (e instanceof Effect.CancelForward c) {
-                if (out.remove(c.flow(), c.forward()) && written.contains(c.flow())) {
-                    ran.add(c.flow());
+            if (e instanceof Effect.StartAttempt f) {
+                Promise promise = promises.get(f.requestId());
+                assertEquals(null, out.put(f.requestId(), f.attempt()), "one forward at a time");
+                assertTrue(f.attempt() < promise.attempts(), "more attempts than it began with");
+                assertTrue(!ran.contains(f.requestId()) || isSafe(promise), "unsafe, and may have run");
+                assertEquals(0, answers.getOrDefault(f.requestId(), 0), "it has its answer");
+                written.remove(f.requestId());
+            } else if (e instanceof Effect.CancelAttempt c) {
+                if (out.remove(c.requestId(), c.attempt()) && written.contains(c.requestId())) {
+                    ran.add(c.requestId());
                 }
-            } else if (e instanceof Effect.Respond a) {
-                answers.merge(a.flow(), 1, Integer::sum);
-            } else if (e instanceof Effect.FixedResponse a) {
-                answers.merge(a.flow(), 1, Integer::sum);
+            } else if (e instanceof Effect.SendResponse a) {
+                answers.merge(a.requestId(), 1, Integer::sum);
+            } else if (e instanceof Effect.SendLocalReply a) {
+                answers.merge(a.requestId(), 1, Integer::sum);
                 assertTrue(
-                        a.kind() != Effect.Fixed.REFUSED || !ran.contains(a.flow()) || isSafe(promises.get(a.flow())),
+                        a.reply() != Effect.LocalReply.REJECTED
+                                || !ran.contains(a.requestId())
+                                || isSafe(promises.get(a.requestId())),
                         "refused, but it may have run");
             } else if (e instanceof Effect.Fault f) {
                 throw new AssertionError("fault", f.cause());
@@ -124,7 +126,7 @@
         if (!whole) {
             coming.add(id);
         }
-        p.tell(new Event.FlowOpened(
+        p.tell(new Event.RequestReceived(
                 id,
                 new ClientRequest(
                         c.name(),
@@ -147,7 +149,7 @@
                 targets.add(Play.target("s-" + i, r.nextInt(5) > 0 ? EndpointState.UP : EndpointState.DRAINING));
             }
         }
-        p.tell(new Event.Inherited(new EndpointList(version++, true, targets)));
+        p.tell(new Event.EndpointListInherited(new EndpointList(version++, true, targets)));
     }
 
     private void forward(SplittableRandom r, Play p, long f) {
@@ -157,7 +159,7 @@
         }
         if (!written.contains(f) && r.nextBoolean() && !coming.contains(f)) {
             written.add(f);
-            p.tell(new Event.ForwardWritten(f, number));
+            p.tell(new Event.AttemptWritten(f, number));
             return;
         }
         out.remove(f);
@@ -165,13 +167,13 @@
             if (written.contains(f)) {
                 ran.add(f);
             }
-            p.tell(new Event.ForwardBroken(f, number));
+            p.tell(new Event.AttemptConnectionLost(f, number));
         } else {
-            Reply reply = Reply.values()[r.nextInt(4)];
-            if (reply == Reply.ERROR) {
+            ServerReply reply = ServerReply.values()[r.nextInt(4)];
+            if (reply == ServerReply.ERROR) {
                 ran.add(f);
             }
-            p.tell(new Event.ForwardAnswered(f, number, reply, "b", null));
+            p.tell(new Event.AttemptAnswered(f, number, reply, "b", null));
         }
     }
 
@@ -200,21 +202,21 @@
                 }
                 case 7 -> {
                     if (coming.remove(f)) {
-                        p.tell(new Event.FlowWhole(f));
+                        p.tell(new Event.RequestCompleted(f));
                     } else if (r.nextInt(3) == 0 && answers.getOrDefault(f, 0) == 0 && promises.containsKey(f)) {
                         gone.add(f);
-                        p.tell(new Event.FlowGone(f));
+                        p.tell(new Event.ClientDisconnected(f));
                     }
                 }
                 case 8 -> change(r, p);
                 case 9 -> list(r, p);
-                case 10 -> p.tell(new Event.DrainAsked(r.nextInt(4) == 0));
+                case 10 -> p.tell(new Event.DrainRequested(r.nextInt(4) == 0));
                 default -> p.pass(r.nextInt(80));
             }
             look(p);
         }
-        p.tell(new Event.DrainAsked(false));
-        coming.forEach(f -> p.tell(new Event.FlowWhole(f)));
+        p.tell(new Event.DrainRequested(false));
+        coming.forEach(f -> p.tell(new Event.RequestCompleted(f)));
         p.pass(9000);
         look(p);
         promises.keySet()
@@ -231,16 +233,16 @@
         List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             ServerEndpoint t = Play.target("s-" + i, EndpointState.UP);
-            targets.add(new ServerEndpoint(t.host(), t.dial(), t.zone(), t.cell(), 1, p.clock.nowMs(), t.state()));
+            targets.add(new ServerEndpoint(t.host(), t.address(), t.zone(), t.cell(), 1, p.clock.nowMs(), t.state()));
         }
-        p.tell(new Event.Inherited(new EndpointList(version++, true, targets)));
+        p.tell(new Event.EndpointListInherited(new EndpointList(version++, true, targets)));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 40; i++) {
             long f = p.open(Play.VIEW, 5000);
             assertEquals(1, p.forwards(f).size(), "sent at once");
             used.add(p.forwards(f).get(0).host());
-            p.tell(new Event.ForwardWritten(f, 0)).pass(5);
-            p.tell(new Event.ForwardAnswered(f, 0, Reply.SERVED, "b", null));
+            p.tell(new Event.AttemptWritten(f, 0)).pass(5);
+            p.tell(new Event.AttemptAnswered(f, 0, ServerReply.SERVED, "b", null));
         }
         assertEquals(5, used.size(), "servers that take turns");
     }
--- a/core/src/test/java/brackenbridge/core/Play.java
+++ b/core/src/test/java/brackenbridge/core/Play.java
@@ -1,12 +1,12 @@
 package brackenbridge.core;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.NetworkSettings;
+import brackenbridge.core.balancing.RequestClass;
 import brackenbridge.counters.Counters;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,14 +15,14 @@
 
 /** Plays events at a reducer, keeps the effects and fires its timers by a clock that stands still. */
 final class Play {
-    static final RequestClass VIEW =
-            new RequestClass("view", 4_000_000, 8_000_000, Effect.SAFE, DedupScope.ALL, 0, false, 2, 0.25);
-    static final RequestClass FILE =
-            new RequestClass("file", 3_000_000, 6_000_000, Effect.UNSAFE, DedupScope.ALL, 0, false, 10, 0.25);
+    static final RequestClass VIEW = new RequestClass(
+            "view", 4_000_000, 8_000_000, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 2, 0.25);
+    static final RequestClass FILE = new RequestClass(
+            "file", 3_000_000, 6_000_000, Idempotence.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, false, 10, 0.25);
 
     final Clock.Settable clock = new Clock.Settable(1_796_000_000_000.0);
     final Counters counters = new Counters();
-    final Settings settings;
+    final BalancerSettings settings;
     final Reducer reducer;
     final List<brackenbridge.core.Effect> effects = new ArrayList<>();
     private final PriorityQueue<brackenbridge.core.Effect.SetTimer> timers =
@@ -47,8 +47,8 @@
         tell(new Event.Started(new EndpointList(41, true, targets)));
     }
 
-    static Settings settings(int peers, int attempts, RequestClass... classes) {
-        return new Settings(
+    static BalancerSettings settings(int peers, int attempts, RequestClass... classes) {
+        return new BalancerSettings(
                 7,
                 0,
                 peers,
@@ -68,7 +68,7 @@
                 30_000_000,
                 0.3,
                 8_500_000,
-                new Network(120_000, 500_000, false, List.of("depth")));
+                new NetworkSettings(120_000, 500_000, false, List.of("depth")));
     }
 
     static ServerEndpoint target(String host, EndpointState state) {
@@ -89,7 +89,8 @@
 
     /** Opens a flow and gives its number back. */
     long open(RequestClass c, double leftMs) {
-        tell(new Event.FlowOpened(flows, new ClientRequest(c.name(), null, leftMs, false, true, "message " + flows)));
+        tell(new Event.RequestReceived(
+                flows, new ClientRequest(c.name(), null, leftMs, false, true, "message " + flows)));
         return flows++;
     }
 
@@ -110,17 +111,17 @@
     }
 
     /** The flow's forwards so far. */
-    List<brackenbridge.core.Effect.Forward> forwards(long flow) {
-        return of(brackenbridge.core.Effect.Forward.class).stream()
-                .filter(f -> f.flow() == flow)
+    List<brackenbridge.core.Effect.StartAttempt> forwards(long flow) {
+        return of(brackenbridge.core.Effect.StartAttempt.class).stream()
+                .filter(f -> f.requestId() == flow)
                 .toList();
     }
 
     /** The fixed responses that the flow got. */
-    List<brackenbridge.core.Effect.Fixed> fixed(long flow) {
-        return of(brackenbridge.core.Effect.FixedResponse.class).stream()
-                .filter(f -> f.flow() == flow)
-                .map(brackenbridge.core.Effect.FixedResponse::kind)
+    List<brackenbridge.core.Effect.LocalReply> fixed(long flow) {
+        return of(brackenbridge.core.Effect.SendLocalReply.class).stream()
+                .filter(f -> f.requestId() == flow)
+                .map(brackenbridge.core.Effect.SendLocalReply::reply)
                 .toList();
     }
 }
--- a/core/src/test/java/brackenbridge/core/RefusalTest.java
+++ b/core/src/test/java/brackenbridge/core/RefusalTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Effect.Fixed;
-import brackenbridge.core.Event.Reply;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.Effect.LocalReply;
+import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.RequestClass;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -16,9 +16,9 @@
 
     private static Play play(int servers) {
         Play p = new Play(servers, 2);
-        Settings s = p.settings;
+        BalancerSettings s = p.settings;
         p.tell(new Event.Reconfigured(
-                new Settings(
+                new BalancerSettings(
                         7,
                         0,
                         2,
@@ -45,25 +45,26 @@
     }
 
     /** The one answer that the flow has by now is of this kind; a refusal says when to come back. */
-    private static void ended(Play p, long flow, Fixed kind, String how) {
-        List<Effect.FixedResponse> got = p.of(Effect.FixedResponse.class).stream()
-                .filter(r -> r.flow() == flow)
+    private static void ended(Play p, long flow, LocalReply kind, String how) {
+        List<Effect.SendLocalReply> got = p.of(Effect.SendLocalReply.class).stream()
+                .filter(r -> r.requestId() == flow)
                 .toList();
-        assertEquals(List.of(kind), got.stream().map(Effect.FixedResponse::kind).toList(), how);
+        assertEquals(
+                List.of(kind), got.stream().map(Effect.SendLocalReply::reply).toList(), how);
         double advice = got.get(0).retryAfterMs();
-        assertTrue(kind == Fixed.REFUSED ? advice > 0 && advice <= LONGEST_MS : advice == 0, how + ": " + advice);
+        assertTrue(kind == LocalReply.REJECTED ? advice > 0 && advice <= LONGEST_MS : advice == 0, how + ": " + advice);
     }
 
     private static long open(Play p, RequestClass c, boolean whole) {
         long id = 5000 + p.effects.size();
-        p.tell(new Event.FlowOpened(id, new ClientRequest(c.name(), null, 1000, false, whole, "message")));
+        p.tell(new Event.RequestReceived(id, new ClientRequest(c.name(), null, 1000, false, whole, "message")));
         return id;
     }
 
     @Test
     void drainTurnsAwayWithAdvice() {
-        Play p = play(2).tell(new Event.DrainAsked(true)).pass(1900);
-        ended(p, open(p, Play.FILE, true), Fixed.REFUSED, "drain");
+        Play p = play(2).tell(new Event.DrainRequested(true)).pass(1900);
+        ended(p, open(p, Play.FILE, true), LocalReply.REJECTED, "drain");
     }
 
     @Test
@@ -71,7 +72,7 @@
         Play p = play(0);
         long f = open(p, Play.FILE, true);
         p.pass(1000);
-        ended(p, f, Fixed.REFUSED, "no server");
+        ended(p, f, LocalReply.REJECTED, "no server");
     }
 
     @Test
@@ -81,7 +82,7 @@
         for (int i = 0; i < 30; i++) {
             last = open(p, Play.FILE, true);
         }
-        ended(p, last, Fixed.REFUSED, "admission");
+        ended(p, last, LocalReply.REJECTED, "admission");
     }
 
     @Test
@@ -89,56 +90,59 @@
         Play p = play(2);
         long f = open(p, Play.FILE, true);
         p.pass(1000);
-        ended(p, f, Fixed.REFUSED, "a connection that never came up");
+        ended(p, f, LocalReply.REJECTED, "a connection that never came up");
     }
 
     @Test
     void deadlineOfWhatMayHaveRun() {
         Play p = play(2);
         long f = open(p, Play.FILE, true);
-        p.tell(new Event.ForwardWritten(f, 0)).pass(1000);
-        ended(p, f, Fixed.TIMED_OUT, "no answer");
+        p.tell(new Event.AttemptWritten(f, 0)).pass(1000);
+        ended(p, f, LocalReply.TIMED_OUT, "no answer");
     }
 
     @Test
     void brokenAfterItsLastByte() {
         Play p = play(2);
         long f = open(p, Play.FILE, true);
-        p.tell(new Event.ForwardWritten(f, 0)).tell(new Event.ForwardBroken(f, 0));
-        ended(p, f, Fixed.FAILED, "reset");
+        p.tell(new Event.AttemptWritten(f, 0)).tell(new Event.AttemptConnectionLost(f, 0));
+        ended(p, f, LocalReply.FAILED, "reset");
     }
 
     @Test
     void spentBodyThatNeverWentOutWhole() {
         Play p = play(2);
         long f = open(p, Play.FILE, false);
-        p.tell(new Event.FlowSpent(f)).tell(new Event.ForwardBroken(f, 0));
-        ended(p, f, Fixed.REFUSED, "spent body");
+        p.tell(new Event.RequestBodyReleased(f)).tell(new Event.AttemptConnectionLost(f, 0));
+        ended(p, f, LocalReply.REJECTED, "spent body");
     }
 
     @Test
     void spentBodyThatMayHaveRun() {
         Play p = play(2);
         long f = open(p, Play.FILE, false);
-        p.tell(new Event.FlowSpent(f)).tell(new Event.FlowWhole(f)).tell(new Event.ForwardWritten(f, 0));
-        p.tell(new Event.ForwardAnswered(f, 0, Reply.ERROR, "body", null));
-        ended(p, f, Fixed.FAILED, "spent body after its last byte");
+        p.tell(new Event.RequestBodyReleased(f))
+                .tell(new Event.RequestCompleted(f))
+                .tell(new Event.AttemptWritten(f, 0));
+        p.tell(new Event.AttemptAnswered(f, 0, ServerReply.ERROR, "body", null));
+        ended(p, f, LocalReply.FAILED, "spent body after its last byte");
     }
 
     @Test
     void stopWithAForwardThatIsNotWritten() {
         Play p = play(2);
         long f = open(p, Play.FILE, false);
-        p.tell(new Event.StopAsked()).pass(5000);
-        ended(p, f, Fixed.REFUSED, "stop");
+        p.tell(new Event.StopRequested()).pass(5000);
+        ended(p, f, LocalReply.REJECTED, "stop");
     }
 
     @Test
     void serversWordThatTheRequestIsAtFault() {
         Play p = play(2);
         long f = open(p, Play.FILE, true);
-        p.tell(new Event.ForwardWritten(f, 0)).tell(new Event.ForwardAnswered(f, 0, Reply.REJECTED, "body", null));
-        ended(p, f, Fixed.REJECTED, "rejected");
+        p.tell(new Event.AttemptWritten(f, 0))
+                .tell(new Event.AttemptAnswered(f, 0, ServerReply.INVALID_REQUEST, "body", null));
+        ended(p, f, LocalReply.INVALID_REQUEST, "rejected");
     }
 
     @Test
@@ -146,10 +150,11 @@
         Play p = play(8);
         long f = open(p, Play.FILE, true);
         for (int i = 0; i < 5; i++) {
-            p.tell(new Event.ForwardWritten(f, i)).tell(new Event.ForwardAnswered(f, i, Reply.TURNED_AWAY, "b", null));
+            p.tell(new Event.AttemptWritten(f, i))
+                    .tell(new Event.AttemptAnswered(f, i, ServerReply.SERVER_FULL, "b", null));
         }
         assertEquals(5, p.forwards(f).size());
-        ended(p, f, Fixed.REFUSED, "attempts spent, and none ran: at once, not at its deadline");
+        ended(p, f, LocalReply.REJECTED, "attempts spent, and none ran: at once, not at its deadline");
     }
 
     @Test
@@ -159,11 +164,11 @@
             long f = open(p, Play.FILE, true);
             for (int attempt = 0; attempt < 5; attempt++) {
                 assertEquals(attempt + 1, p.forwards(f).size(), "flow " + i + " goes again, whatever others have cost");
-                p.tell(new Event.ForwardFailedLocally(f, attempt));
+                p.tell(new Event.AttemptFailedLocally(f, attempt));
             }
-            ended(p, f, Fixed.REFUSED, "no attempt left");
+            ended(p, f, LocalReply.REJECTED, "no attempt left");
         }
-        assertTrue(p.reducer.figures().contains("proxy.pool_ejected:0|g"));
+        assertTrue(p.reducer.metricsText().contains("proxy.pool_ejected:0|g"));
     }
 
     @Test
@@ -172,9 +177,9 @@
         for (int i = 0; i < 6; i++) {
             long f = open(p, Play.FILE, true);
             assertEquals(1, p.forwards(f).size(), "every server is still in order");
-            p.tell(new Event.ForwardNotBegun(f, 0));
-            ended(p, f, Fixed.REFUSED, "no room");
+            p.tell(new Event.AttemptNotStarted(f, 0));
+            ended(p, f, LocalReply.REJECTED, "no room");
         }
-        assertTrue(p.reducer.figures().contains("proxy.pool_ejected:0|g"));
+        assertTrue(p.reducer.metricsText().contains("proxy.pool_ejected:0|g"));
     }
 }
--- a/core/src/test/java/brackenbridge/core/SharesToldTest.java
+++ b/core/src/test/java/brackenbridge/core/SharesToldTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Effect.Fixed;
-import brackenbridge.core.Event.Reply;
+import brackenbridge.core.Effect.LocalReply;
+import brackenbridge.core.Event.ServerReply;
 import brackenbridge.core.share.TenantQuotas;
-import brackenbridge.counters.Counters.Kind;
+import brackenbridge.counters.Counter;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.LongStream;
@@ -18,17 +18,18 @@
     private long next = 1000;
 
     private long open(String tenant, double leftMs) {
-        p.tell(new Event.FlowOpened(next, new ClientRequest("view", tenant, leftMs, false, true, "message")));
+        p.tell(new Event.RequestReceived(next, new ClientRequest("view", tenant, leftMs, false, true, "message")));
         return next++;
     }
 
     private void shares(long epoch, double a, double b, double forMs) {
-        p.tell(new Event.SharesTold(new TenantQuotas(
+        p.tell(new Event.TenantQuotasReceived(new TenantQuotas(
                 epoch, Map.of("a", a, "b", b), 1, Map.of(), p.clock.nowMs() + forMs, Map.of("a", 1.0, "b", 1.0))));
     }
 
     private void serve(long flow) {
-        p.tell(new Event.ForwardWritten(flow, 0)).tell(new Event.ForwardAnswered(flow, 0, Reply.SERVED, "body", null));
+        p.tell(new Event.AttemptWritten(flow, 0))
+                .tell(new Event.AttemptAnswered(flow, 0, ServerReply.SERVED, "body", null));
     }
 
     private long begun(LongStream flows) {
@@ -58,14 +59,14 @@
     @Test
     void flowWhoseTurnCannotComeInTimeIsRefusedAtOnceAndToldWhenToComeBack() {
         shares(1, 1, 1, 60_000);
-        p.tell(new Event.TimerFired(new TimerKey.Shares()));
+        p.tell(new Event.TimerFired(new TimerKey.TenantSchedulerTimer()));
         for (int i = 0; i < 200; i++) {
             open("a", 120);
         }
-        assertTrue(p.counters.of(Kind.FLOWS_OVER_SHARE) > 100, "" + p.counters.of(Kind.FLOWS_OVER_SHARE));
-        Effect.FixedResponse last = p.of(Effect.FixedResponse.class)
-                .get(p.of(Effect.FixedResponse.class).size() - 1);
-        assertEquals(Fixed.REFUSED, last.kind());
+        assertTrue(p.counters.of(Counter.REQUESTS_OVER_QUOTA) > 100, "" + p.counters.of(Counter.REQUESTS_OVER_QUOTA));
+        Effect.SendLocalReply last = p.of(Effect.SendLocalReply.class)
+                .get(p.of(Effect.SendLocalReply.class).size() - 1);
+        assertEquals(LocalReply.REJECTED, last.reply());
         assertTrue(last.retryAfterMs() > 0);
     }
 
@@ -77,7 +78,7 @@
             p.pass(7);
         }
         for (long f = 1000; f < next; f += 4) {
-            p.tell(new Event.FlowGone(f));
+            p.tell(new Event.ClientDisconnected(f));
         }
         p.pass(1000);
         for (long f = 1000; f < next; f++) {
@@ -100,7 +101,7 @@
                 serve(f);
             }
         }
-        assertEquals(12, p.of(Effect.Respond.class).size());
+        assertEquals(12, p.of(Effect.SendResponse.class).size());
         assertEquals(12, begun(LongStream.range(1000, next)));
     }
 
@@ -116,17 +117,17 @@
                 .boxed()
                 .toList();
         assertEquals(4, withdrawn.size());
-        p.tell(new Event.FlowGone(withdrawn.get(0))).tell(new Event.ClientHidden(withdrawn.get(1)));
-        p.tell(new Event.FlowGone(withdrawn.get(2))).tell(new Event.ClientHidden(withdrawn.get(3)));
+        p.tell(new Event.ClientDisconnected(withdrawn.get(0))).tell(new Event.ClientPresenceUnknown(withdrawn.get(1)));
+        p.tell(new Event.ClientDisconnected(withdrawn.get(2))).tell(new Event.ClientPresenceUnknown(withdrawn.get(3)));
         for (long f = 1000; f < next; f++) {
             p.pass(3);
             if (!p.forwards(f).isEmpty()) {
                 serve(f);
             }
         }
-        assertEquals(8, p.of(Effect.Respond.class).size(), "all others had their turn");
+        assertEquals(8, p.of(Effect.SendResponse.class).size(), "all others had their turn");
         assertEquals(0, begun(withdrawn.stream().mapToLong(f -> f)));
-        assertEquals(List.of(Fixed.REFUSED), p.fixed(withdrawn.get(1)));
+        assertEquals(List.of(LocalReply.REJECTED), p.fixed(withdrawn.get(1)));
         assertEquals(List.of(), p.fixed(withdrawn.get(0)));
     }
 
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.ShutdownSchedule.Situation;
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -25,8 +25,8 @@
                 "file",
                 (long) (ms * 500),
                 (long) (ms * 1000),
-                brackenbridge.core.balancing.BalancerApi.Effect.UNSAFE,
-                DedupScope.ALL,
+                brackenbridge.core.balancing.Idempotence.NOT_IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 false,
                 10,
@@ -46,7 +46,7 @@
         Play p = new Play(4, 1, withDeadline(deadlineMs));
         return switch (situation) {
             case RESTARTED -> p;
-            case EMPTIED -> p.tell(new Event.DrainAsked(true)).pass(700);
+            case EMPTIED -> p.tell(new Event.DrainRequested(true)).pass(700);
             case REPLACED -> p.tell(new Event.SuccessorServes(true));
         };
     }
@@ -58,7 +58,7 @@
     private static void answersAllBefore(double killMs, Play p, double stopAskedMs) {
         RequestClass asked = withDeadline(1);
         List<Long> taken = new ArrayList<>();
-        while (p.of(Effect.Exit.class).stream().noneMatch(Effect.Exit::atOnce)) {
+        while (p.of(Effect.Exit.class).stream().noneMatch(Effect.Exit::immediately)) {
             taken.add(p.open(asked, 5000));
             p.pass(5);
             double since = p.clock.nowMs() - stopAskedMs;
@@ -78,7 +78,7 @@
         for (double deadline : new double[] {1, 20, 100, 200, 370, 500, 1000, 3000, 8000}) {
             Play p = with(deadline, situation);
             double asked = p.clock.nowMs();
-            answersAllBefore(killMs(deadline), p.tell(new Event.StopAsked()), asked);
+            answersAllBefore(killMs(deadline), p.tell(new Event.StopRequested()), asked);
         }
     }
 
@@ -87,10 +87,10 @@
     void shorterDeadlinesBeforeOrDuringTheStopBringTheExitForward(Situation situation) {
         Play before = with(3000, situation).tell(newDeadline(100));
         double asked = before.clock.nowMs();
-        answersAllBefore(killMs(100), before.tell(new Event.StopAsked()), asked);
+        answersAllBefore(killMs(100), before.tell(new Event.StopRequested()), asked);
         Play during = with(3000, situation);
         asked = during.clock.nowMs();
-        during.tell(new Event.StopAsked()).pass(300).tell(newDeadline(100));
+        during.tell(new Event.StopRequested()).pass(300).tell(newDeadline(100));
         answersAllBefore(killMs(100), during, asked);
     }
 
@@ -100,21 +100,21 @@
     void longerDeadlinesPutTheExitOffByNothing(Situation situation) {
         Play p = with(100, situation).tell(newDeadline(3000));
         double asked = p.clock.nowMs();
-        answersAllBefore(killMs(100), p.tell(new Event.StopAsked()), asked);
+        answersAllBefore(killMs(100), p.tell(new Event.StopRequested()), asked);
         Play during = with(100, situation);
         asked = during.clock.nowMs();
-        during.tell(new Event.StopAsked()).pass(300).tell(newDeadline(3000));
+        during.tell(new Event.StopRequested()).pass(300).tell(newDeadline(3000));
         answersAllBefore(killMs(100), during, asked);
     }
 
     @Test
     void openRequestsKeepTheirTimeAsFarAsTheStopLeavesAny() {
         Play p = with(1000, Situation.RESTARTED);
-        p.tell(new Event.StopAsked()).pass(300);
+        p.tell(new Event.StopRequested()).pass(300);
         long flow = p.open(withDeadline(1000), 1000);
-        p.tell(new Event.ForwardWritten(flow, 0)).pass(990);
+        p.tell(new Event.AttemptWritten(flow, 0)).pass(990);
         assertEquals(List.of(), p.fixed(flow));
-        assertEquals(List.of(Effect.Fixed.TIMED_OUT), p.pass(10).fixed(flow));
+        assertEquals(List.of(Effect.LocalReply.TIMED_OUT), p.pass(10).fixed(flow));
     }
 
     @Property(seed = "71", tries = 500)
--- a/core/src/test/java/brackenbridge/core/ZonesWeighedTest.java
+++ b/core/src/test/java/brackenbridge/core/ZonesWeighedTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Event.Reply;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.observe.Observer;
+import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.observe.TrafficObserver;
 import brackenbridge.core.share.ZoneWeights;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
         List<ServerEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             ServerEndpoint t = Play.target("s-" + i, EndpointState.UP);
-            targets.add(new ServerEndpoint(t.host(), t.dial(), i % 2 == 0 ? "a" : "b", -1, 1, 0, EndpointState.UP));
+            targets.add(new ServerEndpoint(t.host(), t.address(), i % 2 == 0 ? "a" : "b", -1, 1, 0, EndpointState.UP));
         }
         return p.tell(new Event.Started(new EndpointList(42, true, targets)));
     }
@@ -31,17 +31,17 @@
         int a = 0;
         for (int i = 0; i < calls; i++) {
             long f = p.open(Play.VIEW, 5000);
-            Effect.Forward out = p.forwards(f).get(0);
+            Effect.StartAttempt out = p.forwards(f).get(0);
             a += Character.digit(out.host().charAt(2), 10) % 2 == 0 ? 1 : 0;
-            p.tell(new Event.ForwardWritten(f, 0))
+            p.tell(new Event.AttemptWritten(f, 0))
                     .pass(2)
-                    .tell(new Event.ForwardAnswered(f, 0, Reply.SERVED, "body", null));
+                    .tell(new Event.AttemptAnswered(f, 0, ServerReply.SERVED, "body", null));
         }
         return a;
     }
 
     private static Event weights(Play p, long token, long epoch, double part) {
-        return new Event.ZonesWeighed(new ZoneWeights(token, epoch, Map.of("a", part), p.clock.nowMs() + UNTIL));
+        return new Event.ZoneWeightsReceived(new ZoneWeights(token, epoch, Map.of("a", part), p.clock.nowMs() + UNTIL));
     }
 
     @Test
@@ -77,22 +77,22 @@
     @Test
     void eachPoolsCallsAreCounted() {
         Play p = twoZones();
-        p.reducer.observe();
+        p.reducer.startObserving();
         toA(p, 40);
         long broken = p.open(Play.VIEW, 5000);
-        p.tell(new Event.ForwardBroken(broken, 0));
+        p.tell(new Event.AttemptConnectionLost(broken, 0));
         long attempts = 0;
         double served = 0;
         double held = 0;
         long failed = 0;
         int out = 0;
-        for (Map.Entry<Observer.Key, Observer.Tally> e :
-                p.reducer.observed().pools().entrySet()) {
+        for (Map.Entry<TrafficObserver.PoolKey, TrafficObserver.PoolTally> e :
+                p.reducer.observation().pools().entrySet()) {
             attempts += e.getValue().attempts();
             served += e.getValue().served();
-            held += e.getValue().heldMs();
+            held += e.getValue().inFlightMs();
             failed += e.getValue().failed();
-            out += e.getValue().out();
+            out += e.getValue().inFlight();
         }
         assertEquals(42, attempts, "one try without a connection and the next one count as tries");
         assertEquals(40, served);
@@ -100,7 +100,7 @@
         assertEquals(0, failed, "what was never sent says nothing of a server's work");
         assertEquals(1, out);
         assertEquals(
-                Map.of(new Observer.Key("a", 1, ""), 4, new Observer.Key("b", 1, ""), 4),
-                p.reducer.observed().servers());
+                Map.of(new TrafficObserver.PoolKey("a", 1, ""), 4, new TrafficObserver.PoolKey("b", 1, ""), 4),
+                p.reducer.observation().servers());
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/AbsurdInputTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/AbsurdInputTest.java
@@ -8,15 +8,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -32,7 +23,7 @@
     private static Map<Long, Integer> turns(Script s, long firstId, int calls) {
         Map<Long, Integer> turns = new HashMap<>();
         for (long id = firstId; id < firstId + calls; id++) {
-            s.ask(id, "read").pass(MS).answer(id, 0, Outcome.OK, MS);
+            s.ask(id, "read").pass(MS).answer(id, 0, AttemptOutcome.OK, MS);
             turns.merge(s.target(id), 1, Integer::sum);
         }
         return turns;
@@ -41,9 +32,9 @@
     @ParameterizedTest
     @ValueSource(doubles = {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -3, 0, 1e-300, 1e300})
     void oneAbsurdWeightLeavesTheOthersTheirTurns(double weight) {
-        Script s = new Script(settings(safe("read", 1))).list(ListKind.SAVED, Script.up(1, weight));
+        Script s = new Script(settings(safe("read", 1))).list(EndpointListKind.CACHED, Script.up(1, weight));
         turns(s, 0, 5);
-        s.list(ListKind.FULL, Script.up(1, weight), Script.up(2, 1), Script.up(3, 1), Script.up(4, 1));
+        s.list(EndpointListKind.FULL, Script.up(1, weight), Script.up(2, 1), Script.up(3, 1), Script.up(4, 1));
         Map<Long, Integer> turns = turns(s, 100, 4000);
         for (long id = 2; id <= 4; id++) {
             int others = (4000 - turns.getOrDefault(1L, 0)) / 3;
@@ -58,7 +49,7 @@
         long far = s.now + 100L * 365 * 86_400 * SECOND;
         for (int i = 0; i < 25; i++) {
             // The list comes again and again: its word is the same, so the server has not started again.
-            s.list(ListKind.CHANGES, Script.at(9, "here", far, EndpointState.UP))
+            s.list(EndpointListKind.CHANGES, Script.at(9, "here", far, EndpointState.UP))
                     .pass(SECOND);
         }
         int turns = turns(s, 0, 400).getOrDefault(9L, 0);
@@ -68,17 +59,17 @@
     @Test
     void answerThatTakesNoTimeSpoilsNoEstimate() {
         Script s = new Script(settings(safe("read", 1))).servers(1);
-        s.ask(1, "read").answer(1, 0, Outcome.OK, 0);
+        s.ask(1, "read").answer(1, 0, AttemptOutcome.OK, 0);
         for (int i = 2; i < 80; i++) {
-            s.ask(i, "read").pass(100 * MS).answer(i, 0, Outcome.OK, 100 * MS);
+            s.ask(i, "read").pass(100 * MS).answer(i, 0, AttemptOutcome.OK, 100 * MS);
         }
         // Servers that now answer ten times as slowly have to be told apart by their pace.
-        s.list(ListKind.CHANGES, Script.up(2, 1));
+        s.list(EndpointListKind.CHANGES, Script.up(2, 1));
         int slow = 0;
         for (int i = 100; i < 400; i++) {
             s.ask(i, "read");
             boolean first = s.target(i) == 1;
-            s.pass(first ? 1000 * MS : 100 * MS).answer(i, 0, Outcome.OK, first ? 1000 * MS : 100 * MS);
+            s.pass(first ? 1000 * MS : 100 * MS).answer(i, 0, AttemptOutcome.OK, first ? 1000 * MS : 100 * MS);
             slow += first ? 1 : 0;
         }
         assertTrue(slow < 100, "turns of the slow server: " + slow);
@@ -86,7 +77,7 @@
 
     @Test
     void callsThatWaitedAreForgottenWhetherServersAreThereOrNot() {
-        Script none = new Script(settings(safe("read", 1))).list(ListKind.SAVED);
+        Script none = new Script(settings(safe("read", 1))).list(EndpointListKind.CACHED);
         Script jammed = new Script(settings(safe("read", 1), safe("other", 2))).servers(2);
         Script flapping = new Script(settings(safe("read", 1))).servers(2);
         jammed.ask(-1, "read").ask(-2, "read");
@@ -94,16 +85,17 @@
             none.ask(i, "read").pass(SECOND / 2);
             jammed.ask(i, i % 2 == 0 ? "read" : "other").pass(SECOND / 2);
             flapping.ask(i, "read").pass(5 * MS);
-            flapping.list(ListKind.CHANGES, Script.at(1 + i % 2, "here", 0, EndpointState.DRAINING));
-            flapping.list(ListKind.CHANGES, Script.at(1 + i % 2, "here", 0, EndpointState.UP));
+            flapping.list(EndpointListKind.CHANGES, Script.at(1 + i % 2, "here", 0, EndpointState.DRAINING));
+            flapping.list(EndpointListKind.CHANGES, Script.at(1 + i % 2, "here", 0, EndpointState.UP));
         }
         for (Script s : List.of(none, jammed, flapping)) {
-            assertTrue(s.balancer.remembered() < 2000, "calls remembered: " + s.balancer.remembered());
+            assertTrue(s.balancer.openRequestCount() < 2000, "calls remembered: " + s.balancer.openRequestCount());
         }
     }
 
     private static RequestClass kind(String name, long aim, long deadline, long keyTtl, double worth, double late) {
-        return new RequestClass(name, aim, deadline, Effect.KEYED, DedupScope.ALL, keyTtl, false, worth, late);
+        return new RequestClass(
+                name, aim, deadline, Idempotence.IDEMPOTENCY_KEY, DeduplicationScope.ALL, keyTtl, false, worth, late);
     }
 
     private static void turnedDown(String key, Supplier<RequestClass> c) {
@@ -127,16 +119,16 @@
         }
     }
 
-    private static Settings with(
+    private static BalancerSettings with(
             double overShare,
-            Tenant tenant,
+            TenantShare tenant,
             long askWithin,
             long retryAfter,
             long idleClose,
             double coldFrom,
             long warmAfter,
-            Network network) {
-        return new Settings(
+            NetworkSettings network) {
+        return new BalancerSettings(
                 7,
                 0,
                 6,
@@ -164,17 +156,17 @@
                         IllegalArgumentException.class,
                         () -> with(
                                 overShare,
-                                new Tenant("acme", 0, quota),
+                                new TenantShare("acme", 0, quota),
                                 key.equals("mustAskWithin") ? time : 1,
                                 key.equals("maxRetryAfter") ? time : 1,
                                 key.equals("idleClose") ? time : 1,
                                 coldFrom,
                                 key.equals("warmAfter") ? time : 1,
                                 key.equals("connectTimeout")
-                                        ? new Network(time, 0, false, List.of())
+                                        ? new NetworkSettings(time, 0, false, List.of())
                                         : key.equals("drainGrace")
-                                                ? new Network(1, time, false, List.of())
-                                                : Network.UNTOLD),
+                                                ? new NetworkSettings(1, time, false, List.of())
+                                                : NetworkSettings.DEFAULT),
                         key)
                 .getMessage();
         assertTrue(why.contains(key), why);
@@ -182,7 +174,7 @@
 
     @Test
     void settingsThatCanNotHoldAreTurnedDownByKey() {
-        assertNotEquals(null, with(0.5, new Tenant("acme", 0, 5), 1, 1, 1, 0.2, 1, Network.UNTOLD));
+        assertNotEquals(null, with(0.5, new TenantShare("acme", 0, 5), 1, 1, 1, 0.2, 1, NetworkSettings.DEFAULT));
         for (double bad : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -1, 1e300}) {
             turnedDown("overShareWorth", bad, 1, 1, 1);
             turnedDown("quota", 0.1, bad, 1, 1);
@@ -194,19 +186,23 @@
             turnedDown(key, 0.1, 1, -1, 1);
             turnedDown(key, 0.1, 1, Long.MAX_VALUE, 1);
         }
-        Settings plain = settings(safe("read", 1));
+        BalancerSettings plain = settings(safe("read", 1));
         for (double bad : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -1, 0, 1e300}) {
-            String why = assertThrows(IllegalArgumentException.class, () -> plain.withFall(bad, SECOND))
+            String why = assertThrows(IllegalArgumentException.class, () -> plain.withColdOverload(bad, SECOND))
                     .getMessage();
             assertTrue(why.contains("fallMultiple"), why);
         }
         for (long bad : new long[] {-1, Long.MAX_VALUE}) {
-            String why = assertThrows(IllegalArgumentException.class, () -> plain.withFall(3, bad))
+            String why = assertThrows(IllegalArgumentException.class, () -> plain.withColdOverload(3, bad))
                     .getMessage();
             assertTrue(why.startsWith("fall:"), why);
         }
         assertThrows(
                 IllegalArgumentException.class,
-                () -> settings(6, false, List.of(new Tenant("acme", 0, 1), new Tenant("acme", 0, 2)), safe("read", 1)));
+                () -> settings(
+                        6,
+                        false,
+                        List.of(new TenantShare("acme", 0, 1), new TenantShare("acme", 0, 2)),
+                        safe("read", 1)));
     }
 }
