--- a/core/src/test/java/brackenbridge/core/balancing/ColdFleet.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdFleet.java
@@ -1,12 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.Request;
-import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -134,7 +127,7 @@
         }
     }
 
-    private final class Node implements Actions {
+    private final class Node implements BalancerActions {
         final Balancer balancer;
         double share;
         /** The start of each server that it was told of last. */
@@ -145,13 +138,13 @@
             balancer = new Balancer(settings(me, peers), this);
         }
 
-        void list(ListKind kind, List<Endpoint> entries) {
+        void list(EndpointListKind kind, List<Endpoint> entries) {
             entries.forEach(e -> toldStart[(int) e.id()] = e.startedAt());
-            balancer.onList(now, kind, entries);
+            balancer.onEndpointList(now, kind, entries);
         }
 
         @Override
-        public void send(long request, long endpoint, long timeout) {
+        public void startAttempt(long request, long endpoint, long timeout) {
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
             retries += attempt > 0 ? 1 : 0;
             mostAtOnce = Math.max(mostAtOnce, out.merge(request, 1, Integer::sum));
@@ -162,23 +155,23 @@
         }
 
         @Override
-        public boolean tellsWritten() {
+        public boolean reportsWritten() {
             return true;
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {}
+        public void reject(long request, long retryAfter) {}
 
         @Override
         public void fail(long request) {}
 
         @Override
-        public void timer(long at, String token) {
+        public void setTimer(long at, String token) {
             queue.add(new Due(at, made++, () -> balancer.onTimer(now, token)));
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void startHealthCheck(long endpoint) {
             throw new AssertionError("a probe is not counted");
         }
     }
@@ -234,8 +227,8 @@
         return new ColdFleet(plan).play();
     }
 
-    private Settings settings(int me, int peers) {
-        return new Settings(
+    private BalancerSettings settings(int me, int peers) {
+        return new BalancerSettings(
                 random.nextLong(),
                 me,
                 peers,
@@ -257,7 +250,7 @@
                 WARM_AFTER,
                 plan.multiple(),
                 fall,
-                BalancerApi.Network.UNTOLD);
+                NetworkSettings.DEFAULT);
     }
 
     private Seen play() {
@@ -268,7 +261,7 @@
             });
         }
         for (Node n : nodes) {
-            n.list(ListKind.SAVED, servers.stream().map(this::entry).toList());
+            n.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
             arrivals(n);
         }
         int hit = switch (day) {
@@ -347,7 +340,7 @@
 
     private Node process(int me, double share) {
         Node n = new Node(me, plan.nodes(), share);
-        n.list(ListKind.SAVED, servers.stream().map(this::entry).toList());
+        n.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
         arrivals(n);
         return n;
     }
@@ -399,7 +392,7 @@
         boolean late = plan.trouble() == Trouble.LATE_WORD;
         for (Node n : nodes) {
             long delay = late ? 300 * MS + random.nextLong(1200 * MS) : 50 * MS + random.nextLong(250 * MS);
-            after(delay, () -> n.list(ListKind.CHANGES, List.of(e)));
+            after(delay, () -> n.list(EndpointListKind.CHANGES, List.of(e)));
         }
     }
 
@@ -411,10 +404,11 @@
         double perSecond = plan.load() * SERVERS * perSecond() * n.share / allShares * (burst ? 2.5 : 1);
         after((long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND), () -> {
             long id = requests++;
-            Request r = new Request(id, id % 4 == 0 ? "write" : "read", null, -1, 2 * SECOND, -1, false);
+            BalancerRequest r =
+                    new BalancerRequest(id, id % 4 == 0 ? "write" : "read", null, -1, 2 * SECOND, -1, false);
             if (random.nextDouble() < 0.05) {
-                n.balancer.onLongRequest(now, r);
-                after(50 * MS, () -> n.balancer.onWhole(now, id));
+                n.balancer.onStreamedRequest(now, r);
+                after(50 * MS, () -> n.balancer.onRequestCompleted(now, id));
             } else {
                 n.balancer.onRequest(now, r);
             }
@@ -429,7 +423,7 @@
     private void hedge(Node other, String className) {
         after(30 * MS, () -> {
             long id = requests++;
-            other.balancer.onRequest(now, new Request(id, className, null, -1, 2 * SECOND, -1, true));
+            other.balancer.onRequest(now, new BalancerRequest(id, className, null, -1, 2 * SECOND, -1, true));
         });
     }
 
@@ -444,26 +438,26 @@
 
     private void arrive(Node n, long request, int attempt, Server s, long sent, boolean told) {
         if (s.down) {
-            answer(n, request, attempt, Outcome.CONNECT_FAILED, sent);
+            answer(n, request, attempt, AttemptOutcome.CONNECT_FAILED, sent);
             return;
         }
-        n.balancer.onWritten(now, request, attempt);
+        n.balancer.onAttemptWritten(now, request, attempt);
         weigh(s, told);
         if (s.queue.size() >= plan.workers()) {
-            answer(n, request, attempt, Outcome.FULL, sent);
+            answer(n, request, attempt, AttemptOutcome.FULL, sent);
             return;
         }
         boolean cold = warmth(s) < 1;
         int life = s.life;
         Runnable work = () -> after((long) (WORK / warmth(s) * (0.5 + random.nextDouble())), () -> {
             if (s.life != life) {
-                answer(n, request, attempt, Outcome.RESET, sent);
+                answer(n, request, attempt, AttemptOutcome.RESET, sent);
                 return;
             }
             boolean bad = random.nextDouble() < 0.02;
             served += bad ? 0 : 1;
             coldServed += cold && !bad ? 1 : 0;
-            answer(n, request, attempt, bad ? Outcome.ERROR : Outcome.OK, sent);
+            answer(n, request, attempt, bad ? AttemptOutcome.ERROR : AttemptOutcome.OK, sent);
             Runnable next = s.queue.poll();
             if (next != null) {
                 next.run();
@@ -479,10 +473,10 @@
         }
     }
 
-    private void answer(Node n, long request, int attempt, Outcome outcome, long sent) {
+    private void answer(Node n, long request, int attempt, AttemptOutcome outcome, long sent) {
         after(MS / 2, () -> {
             out.merge(request, -1, Integer::sum);
-            n.balancer.onOutcome(now, request, attempt, outcome == Outcome.OK, outcome, now - sent, null);
+            n.balancer.onAttemptEnded(now, request, attempt, outcome == AttemptOutcome.OK, outcome, now - sent, null);
         });
     }
 
--- a/core/src/test/java/brackenbridge/core/balancing/ColdServersTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdServersTest.java
@@ -4,10 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -99,15 +95,15 @@
     /** How many of 41 calls, one after another, go to server 2 of a warm and this one, which is told twice. */
     private static long callsTo(Endpoint first, Endpoint then) {
         Script s = new Script(
-                Script.settings(1, false, List.of(), Script.safe("read", 1)).withFall(0.001, SECOND));
+                Script.settings(1, false, List.of(), Script.safe("read", 1)).withColdOverload(0.001, SECOND));
         s.pass(7200 * SECOND);
-        s.list(ListKind.SAVED, Script.up(1, 1), first);
-        s.list(ListKind.CHANGES, then);
+        s.list(EndpointListKind.CACHED, Script.up(1, 1), first);
+        s.list(EndpointListKind.CHANGES, then);
         List<Long> targets = new ArrayList<>();
         for (int i = 0; i <= 40; i++) {
             s.ask(i, "read");
             targets.add(s.target(i));
-            s.pass(Script.MS).answer(i, 0, Outcome.OK, Script.MS);
+            s.pass(Script.MS).answer(i, 0, AttemptOutcome.OK, Script.MS);
         }
         return targets.stream().filter(t -> t == 2).count();
     }
@@ -128,13 +124,13 @@
     @Test
     void callThatAColdServerMayNotTakeGoesToAWarmOneThatIsBusy() {
         Script s = new Script(
-                Script.settings(1, false, List.of(), Script.safe("read", 1)).withFall(0.001, SECOND));
-        s.list(ListKind.SAVED, Script.up(1, 1), Script.at(2, "here", s.now, EndpointState.UP));
+                Script.settings(1, false, List.of(), Script.safe("read", 1)).withColdOverload(0.001, SECOND));
+        s.list(EndpointListKind.CACHED, Script.up(1, 1), Script.at(2, "here", s.now, EndpointState.UP));
         s.ask(0, "read");
         for (int i = 1; i <= 40; i++) {
             s.ask(i, "read");
             assertEquals(1, s.target(i), "the warm server, while call 0 is out there: " + i);
-            s.pass(Script.MS).answer(i, 0, Outcome.OK, Script.MS);
+            s.pass(Script.MS).answer(i, 0, AttemptOutcome.OK, Script.MS);
         }
     }
 
@@ -153,12 +149,12 @@
     @EnumSource(Way.class)
     void everyWayToAColdServerIsCounted(Way way) {
         Script s = new Script(
-                Script.settings(1, false, List.of(), Script.safe("read", 1)).withFall(1, 4 * SECOND));
-        s.list(ListKind.SAVED, Script.at(1, "here", s.now, EndpointState.UP));
+                Script.settings(1, false, List.of(), Script.safe("read", 1)).withColdOverload(1, 4 * SECOND));
+        s.list(EndpointListKind.CACHED, Script.at(1, "here", s.now, EndpointState.UP));
         int answered = 0;
         for (int i = 0; i < 399; i++) {
             if (way == Way.LONG) {
-                s.balancer.onLongRequest(s.now, new BalancerApi.Request(i, "read", null, -1, 3 * SECOND, -1, false));
+                s.balancer.onStreamedRequest(s.now, new BalancerRequest(i, "read", null, -1, 3 * SECOND, -1, false));
             } else {
                 s.ask(i, "read").ask(1000 + i, "read");
             }
@@ -167,13 +163,13 @@
                 s.answer(
                         id,
                         s.attempts.get(id) - 1,
-                        way == Way.TRIAL && answered == 0 ? Outcome.CONNECT_FAILED : Outcome.CANCELLED,
+                        way == Way.TRIAL && answered == 0 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.CANCELLED,
                         1);
             }
             if (way == Way.TRIAL) {
                 // Guards the trials, which only a new call makes, against calls that fill the room and wait.
-                s.balancer.onGone(s.now, i);
-                s.balancer.onGone(s.now, 1000 + i);
+                s.balancer.onClientDisconnected(s.now, i);
+                s.balancer.onClientDisconnected(s.now, 1000 + i);
             }
             s.pass(10 * Script.MS);
         }
--- a/core/src/test/java/brackenbridge/core/balancing/DesignTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/DesignTest.java
@@ -10,11 +10,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -29,7 +24,7 @@
         Script s = new Script(settings(safe("read", 1))).servers(4);
         Map<Long, Integer> turns = new HashMap<>();
         for (int i = 0; i < 400; i++) {
-            s.ask(i, "read").pass(MS).answer(i, 0, Outcome.OK, MS);
+            s.ask(i, "read").pass(MS).answer(i, 0, AttemptOutcome.OK, MS);
             turns.merge(s.target(i), 1, Integer::sum);
         }
         assertEquals(4, turns.size());
@@ -38,10 +33,11 @@
 
     @Test
     void rotationFollowsTheListsWeights() {
-        Script s = new Script(settings(safe("read", 1))).list(ListKind.SAVED, Script.up(1, 1), Script.up(2, 3));
+        Script s =
+                new Script(settings(safe("read", 1))).list(EndpointListKind.CACHED, Script.up(1, 1), Script.up(2, 3));
         int heavy = 0;
         for (int i = 0; i < 400; i++) {
-            s.ask(i, "read").pass(MS).answer(i, 0, Outcome.OK, MS);
+            s.ask(i, "read").pass(MS).answer(i, 0, AttemptOutcome.OK, MS);
             heavy += s.target(i) == 2 ? 1 : 0;
         }
         assertTrue(heavy >= 290 && heavy <= 310, "turns of the server of weight 3: " + heavy);
@@ -50,12 +46,12 @@
     /** Lists may tell capacities roughly or wrongly. */
     @Test
     void slowServerGetsTurnsByWhatItShows() {
-        Script s = new Script(settings(safe("read", 1))).servers(5).list(ListKind.CHANGES, Script.up(6, 2));
+        Script s = new Script(settings(safe("read", 1))).servers(5).list(EndpointListKind.CHANGES, Script.up(6, 2));
         int heavy = 0;
         for (int i = 0; i < 600; i++) {
             s.ask(i, "read");
             long took = s.target(i) == 6 ? 40 * MS : 10 * MS;
-            s.pass(took).answer(i, 0, Outcome.OK, took);
+            s.pass(took).answer(i, 0, AttemptOutcome.OK, took);
             heavy += i >= 200 && s.target(i) == 6 ? 1 : 0;
         }
         assertTrue(heavy > 0 && heavy < 60, "turns of 400, which would be 114 by its weight: " + heavy);
@@ -68,7 +64,7 @@
             Script s = new Script(settings(safe("read", 1), unsafe("write", 5))).servers(2);
             for (int i = 0; i < 40; i++) {
                 s.balancer.onRequest(
-                        s.now, new BalancerApi.Request(i, i % 3 == 0 ? "write" : "read", null, -1, SECOND, -1, marked));
+                        s.now, new BalancerRequest(i, i % 3 == 0 ? "write" : "read", null, -1, SECOND, -1, marked));
                 s.pass(10 * MS);
             }
             acts.add(s.acts);
@@ -86,7 +82,7 @@
         assertEquals(
                 3, s.of("send").stream().map(Script.Act::endpoint).distinct().count());
         assertEquals(3, s.of("send").size());
-        s.pass(MS).answer(0, 0, Outcome.OK, MS);
+        s.pass(MS).answer(0, 0, AttemptOutcome.OK, MS);
         assertEquals(4, s.of("send").size());
         assertEquals(s.target(0), s.of("send").get(3).endpoint());
     }
@@ -103,40 +99,40 @@
     @Test
     void urgentCallsAreReleasedBeforeLessUrgentOnesThatCannotAllBeServed() {
         Script s = new Script(settings(safe("low", 1), unsafe("high", 9))).servers(1);
-        s.ask(1, "low").pass(400 * MS).answer(1, 0, Outcome.OK, 400 * MS);
+        s.ask(1, "low").pass(400 * MS).answer(1, 0, AttemptOutcome.OK, 400 * MS);
         s.ask(2, "low");
         s.ask(3, "low").ask(4, "high").ask(5, "high").pass(300 * MS);
         // 2 x 400 ms for the high level, 3 x 400 ms with the low one: over 0.9 s, so a high call goes.
-        s.answer(2, 0, Outcome.OK, 300 * MS);
+        s.answer(2, 0, AttemptOutcome.OK, 300 * MS);
         assertEquals(4, s.of("send").get(2).request());
     }
 
     @Test
     void oldestGoesFirstWhereAllLevelsQualify() {
         Script s = new Script(settings(safe("low", 1), unsafe("high", 9))).servers(1);
-        s.ask(1, "low").pass(10 * MS).answer(1, 0, Outcome.OK, 10 * MS);
-        s.ask(2, "low").ask(3, "low").pass(MS).ask(4, "high").pass(10 * MS).answer(2, 0, Outcome.OK, 10 * MS);
+        s.ask(1, "low").pass(10 * MS).answer(1, 0, AttemptOutcome.OK, 10 * MS);
+        s.ask(2, "low").ask(3, "low").pass(MS).ask(4, "high").pass(10 * MS).answer(2, 0, AttemptOutcome.OK, 10 * MS);
         assertEquals(3, s.of("send").get(2).request());
     }
 
     @Test
     void nearestEndAboveHoldsOlderCallsBack() {
         Script s = new Script(settings(safe("low", 1), unsafe("high", 9))).servers(1);
-        s.ask(1, "low").pass(100 * MS).answer(1, 0, Outcome.OK, 100 * MS);
+        s.ask(1, "low").pass(100 * MS).answer(1, 0, AttemptOutcome.OK, 100 * MS);
         s.ask(2, "low")
                 .ask(3, "low")
                 .pass(MS)
                 .ask(4, "high", null, -1, 250 * MS)
                 .pass(100 * MS);
         // Two of 100 ms are well within the low call's second, but not within the 150 ms that the high one has left.
-        s.answer(2, 0, Outcome.OK, 100 * MS);
+        s.answer(2, 0, AttemptOutcome.OK, 100 * MS);
         assertEquals(4, s.of("send").get(2).request());
     }
 
     private static int roomFor(String name) {
         Script s = new Script(settings(unsafe("low", 1), unsafe("high", 9))).servers(4);
         for (int i = 0; i < 200; i++) {
-            s.ask(i, "high").pass(10 * MS).answer(i, 0, Outcome.OK, 10 * MS);
+            s.ask(i, "high").pass(10 * MS).answer(i, 0, AttemptOutcome.OK, 10 * MS);
         }
         for (int i = 200; i < 500; i++) {
             s.ask(i, name);
@@ -154,8 +150,8 @@
     @Test
     void lateCallsAreDroppedAsRefusalsWithARetryAfter() {
         Script s = new Script(settings(safe("low", 1), unsafe("high", 9))).servers(1);
-        s.ask(1, "low").pass(500 * MS).answer(1, 0, Outcome.OK, 500 * MS);
-        s.ask(2, "low").ask(3, "low").pass(450 * MS).answer(2, 0, Outcome.OK, 450 * MS);
+        s.ask(1, "low").pass(500 * MS).answer(1, 0, AttemptOutcome.OK, 500 * MS);
+        s.ask(2, "low").ask(3, "low").pass(450 * MS).answer(2, 0, AttemptOutcome.OK, 450 * MS);
         // Measured and queued time together are past tau f of the low class.
         assertEquals(List.of(3L), s.requests("refuse"));
         assertTrue(s.of("refuse").get(0).amount() > 0);
@@ -164,11 +160,11 @@
 
     @Test
     void refusalsBeforeTheFirstAnswerSayWhenToComeBack() {
-        Script s = new Script(settings(safe("read", 1))).list(ListKind.SAVED);
+        Script s = new Script(settings(safe("read", 1))).list(EndpointListKind.CACHED);
         s.ask(1, "read").pass(5 * SECOND);
         long after = s.of("refuse").get(0).amount();
         assertTrue(after > 0 && after <= 2 * SECOND, "retry-after: " + after);
-        Script untold = new Script(new BalancerApi.Settings(
+        Script untold = new Script(new BalancerSettings(
                 7,
                 0,
                 6,
@@ -188,32 +184,32 @@
                 15 * SECOND,
                 0.2,
                 20 * SECOND,
-                BalancerApi.Network.UNTOLD));
-        untold.list(ListKind.SAVED).ask(1, "read").pass(5 * SECOND);
+                NetworkSettings.DEFAULT));
+        untold.list(EndpointListKind.CACHED).ask(1, "read").pass(5 * SECOND);
         assertEquals(0, untold.of("refuse").get(0).amount(), "no advice where clients heed none");
     }
 
     @Test
     void topLevelIsExemptFromTheLateTest() {
         Script s = new Script(settings(safe("low", 1), unsafe("high", 9))).servers(1);
-        s.ask(1, "high").pass(1500 * MS).answer(1, 0, Outcome.OK, 1500 * MS);
-        s.ask(2, "high").ask(3, "high").pass(1200 * MS).answer(2, 0, Outcome.OK, 1200 * MS);
+        s.ask(1, "high").pass(1500 * MS).answer(1, 0, AttemptOutcome.OK, 1500 * MS);
+        s.ask(2, "high").ask(3, "high").pass(1200 * MS).answer(2, 0, AttemptOutcome.OK, 1200 * MS);
         assertEquals(List.of(1L, 2L, 3L), s.requests("send"));
     }
 
     @Test
     void bucketLiftsATenantsCallToTheTop() {
-        Tenant t = new Tenant("t", 0.5, 96);
+        TenantShare t = new TenantShare("t", 0.5, 96);
         Script s = new Script(settings(6, false, List.of(t), safe("low", 1), unsafe("high", 9))).servers(1);
         s.ask(1, "high", null, -1, SECOND);
-        s.pass(400 * MS).answer(1, 0, Outcome.OK, 400 * MS);
+        s.pass(400 * MS).answer(1, 0, AttemptOutcome.OK, 400 * MS);
         s.ask(2, "high", null, -1, 5 * SECOND)
                 .ask(3, "low", "t", -1, 3 * SECOND)
                 .pass(950 * MS);
-        s.answer(2, 0, Outcome.OK, 950 * MS);
+        s.answer(2, 0, AttemptOutcome.OK, 950 * MS);
         // Lifted, the low call is exempt from the late test that would have dropped it.
         assertEquals(List.of(1L, 2L, 3L), s.requests("send"));
-        s.ask(4, "low", "t", -1, 3 * SECOND).pass(950 * MS).answer(3, 0, Outcome.OK, 950 * MS);
+        s.ask(4, "low", "t", -1, 3 * SECOND).pass(950 * MS).answer(3, 0, AttemptOutcome.OK, 950 * MS);
         assertTrue(s.requests("refuse").contains(4L), "the bucket was empty");
     }
 
@@ -231,7 +227,7 @@
     void callerWithoutAnswersKeepsFewCallsOpen() {
         // Incident i3bf34e: a floor of a few calls at each of very many callers jammed a slowed fleet.
         Script s = new Script(settings(safe("read", 1))).servers(9).ask(100, "read");
-        s.balancer.onGone(s.now, 100);
+        s.balancer.onClientDisconnected(s.now, 100);
         s.pass(2 * SECOND);
         for (int i = 0; i < 9; i++) {
             s.ask(i, "read");
@@ -244,7 +240,7 @@
     private static int refusedAfterIdle(long idle, boolean openMeanwhile) {
         Script s = new Script(settings(safe("low", 1), unsafe("high", 9))).servers(9);
         for (int i = 0; i < 40; i++) {
-            s.ask(i, "high").pass(50 * MS).answer(i, 0, Outcome.OK, 50 * MS);
+            s.ask(i, "high").pass(50 * MS).answer(i, 0, AttemptOutcome.OK, 50 * MS);
         }
         if (openMeanwhile) {
             s.ask(90, "high", null, -1, 60 * SECOND);
@@ -277,7 +273,7 @@
         // Incident i98a42f: one of a few callers had most of the traffic and refused a third beside idle servers.
         Script s = new Script(settings(safe("read", 1))).servers(2);
         for (int i = 0; i < 60; i++) {
-            s.ask(i, "read").pass(20 * MS).answer(i, 0, Outcome.OK, 20 * MS);
+            s.ask(i, "read").pass(20 * MS).answer(i, 0, AttemptOutcome.OK, 20 * MS);
         }
         for (int i = 100; i < 108; i++) {
             s.ask(i, "read");
@@ -293,12 +289,14 @@
         for (int out : new int[] {0, 1}) {
             Script s = new Script(settings(safe("read", 1))).servers(3);
             for (int i = 0; i < 60; i++) {
-                s.ask(i, "read").pass(20 * MS).answer(i, 0, Outcome.OK, 20 * MS);
+                s.ask(i, "read").pass(20 * MS).answer(i, 0, AttemptOutcome.OK, 20 * MS);
             }
             if (out > 0) {
-                s.ask(90, "read").answer(90, 0, Outcome.CONNECT_FAILED, MS).answer(90, 1, Outcome.OK, MS);
+                s.ask(90, "read")
+                        .answer(90, 0, AttemptOutcome.CONNECT_FAILED, MS)
+                        .answer(90, 1, AttemptOutcome.OK, MS);
             }
-            assertEquals(out, s.balancer.avoided());
+            assertEquals(out, s.balancer.ejectedEndpoints());
             for (int i = 100; i < 112; i++) {
                 s.ask(i, "read");
             }
@@ -319,10 +317,10 @@
                     && s.attempts.get((long) i) <= 2
                     && !s.requests("refuse").contains((long) i)) {
                 bad++;
-                s.answer(i, s.attempts.get((long) i) - 1, Outcome.ERROR, 2 * MS);
+                s.answer(i, s.attempts.get((long) i) - 1, AttemptOutcome.ERROR, 2 * MS);
             }
             if (!s.requests("refuse").contains((long) i)) {
-                s.answer(i, s.attempts.get((long) i) - 1, Outcome.OK, 2 * MS);
+                s.answer(i, s.attempts.get((long) i) - 1, AttemptOutcome.OK, 2 * MS);
             }
         }
         assertTrue(bad >= 1 && bad < 12, "calls that met it: " + bad);
@@ -339,7 +337,7 @@
             boolean fails = name.equals("sign") && s.target(i) == 3;
             failed += fails ? 1 : 0;
             others += name.equals("file") && s.target(i) == 3 ? 1 : 0;
-            s.answer(i, 0, fails ? Outcome.ERROR : Outcome.OK, 20 * MS);
+            s.answer(i, 0, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 20 * MS);
         }
         assertTrue(failed >= 2 && failed < 8, "calls that failed: " + failed);
         assertTrue(others > 15, "the other class's calls there: " + others);
@@ -354,7 +352,7 @@
             s.ask(i, "file").pass(20 * MS);
             boolean sick = s.target(i) == 3 && ++there % 2 == 0;
             lost += sick ? 1 : 0;
-            s.answer(i, 0, sick ? Outcome.RESET : Outcome.OK, 20 * MS);
+            s.answer(i, 0, sick ? AttemptOutcome.RESET : AttemptOutcome.OK, 20 * MS);
         }
         assertTrue(lost < 12, "lost of " + there + ": " + lost);
     }
@@ -362,7 +360,7 @@
     @Test
     void serverThatFailedIsTriedAgainEvenIfOnlyUnsafeCallsCome() {
         Script s = new Script(settings(safe("read", 1), unsafe("write", 5))).servers(1);
-        s.ask(1, "write").answer(1, 0, Outcome.CONNECT_FAILED, MS);
+        s.ask(1, "write").answer(1, 0, AttemptOutcome.CONNECT_FAILED, MS);
         long served = -1;
         for (long id = 2; id < 40 && served < 0; id++) {
             s.ask(id, "write").pass(SECOND / 2);
@@ -376,10 +374,10 @@
         Script s = new Script(settings(safe("read", 1), unsafe("write", 5))).servers(4);
         s.ask(1, "write");
         long sick = s.target(1);
-        s.answer(1, 0, Outcome.TIMEOUT, MS);
+        s.answer(1, 0, AttemptOutcome.TIMEOUT, MS);
         boolean again = false;
         for (long id = 2; id < 400 && !again; id++) {
-            s.ask(id, "write").pass(20 * MS).answer(id, 0, Outcome.OK, 20 * MS);
+            s.ask(id, "write").pass(20 * MS).answer(id, 0, AttemptOutcome.OK, 20 * MS);
             again = s.target(id) == sick;
         }
         assertTrue(again, "no call reaches it any more");
@@ -390,7 +388,7 @@
         Script s = new Script(settings(safe("read", 1))).servers(9).ask(1, "read");
         for (int attempt = 0; attempt < 4; attempt++) {
             assertEquals(attempt + 1, s.attempts.get(1L));
-            s.answer(1, attempt, Outcome.FULL, MS);
+            s.answer(1, attempt, AttemptOutcome.FULL, MS);
         }
         assertEquals(4, s.attempts.get(1L));
         assertEquals(List.of(1L), s.requests("refuse"), "at once");
@@ -399,7 +397,7 @@
     @Test
     void oneBrokenConnectionTakesNoServerOut() {
         Script s = new Script(settings(unsafe("file", 1))).servers(1);
-        s.ask(1, "file").answer(1, 0, Outcome.RESET, 20 * MS);
+        s.ask(1, "file").answer(1, 0, AttemptOutcome.RESET, 20 * MS);
         s.ask(2, "file");
         assertEquals(1, s.target(2));
     }
@@ -411,29 +409,32 @@
         for (int round = 0; round < 6; round++) {
             s.ask(id, "file");
             long sick = s.target(id);
-            s.answer(id++, 0, Outcome.TIMEOUT, 1000);
-            s.list(ListKind.CHANGES, Script.at(sick, "here", 0, EndpointState.REMOVED), Script.up(100 + round, 1))
+            s.answer(id++, 0, AttemptOutcome.TIMEOUT, 1000);
+            s.list(
+                            EndpointListKind.CHANGES,
+                            Script.at(sick, "here", 0, EndpointState.REMOVED),
+                            Script.up(100 + round, 1))
                     .pass(2 * Script.SECOND);
         }
         s.ask(id, "file");
         long sick = s.target(id);
-        s.answer(id++, 0, Outcome.TIMEOUT, 1000);
+        s.answer(id++, 0, AttemptOutcome.TIMEOUT, 1000);
         for (int i = 0; i < 6; i++) {
             s.ask(id, "file");
             assertNotEquals(sick, s.target(id), "a server that has just failed is still taken out");
-            s.answer(id++, 0, Outcome.OK, 1000);
+            s.answer(id++, 0, AttemptOutcome.OK, 1000);
         }
     }
 
     @Test
     void dearClassWithAShortAimFindsAsMuchOfAAsTheRest() {
         // nav-lund rough-1: with each class's own tau in A, the dearest class was refused first for its short aim.
-        BalancerApi.RequestClass dear = new BalancerApi.RequestClass(
-                "dear", 400 * MS, 3 * SECOND, BalancerApi.Effect.SAFE, BalancerApi.DedupScope.ALL, 0, false, 9, 0);
+        RequestClass dear = new RequestClass(
+                "dear", 400 * MS, 3 * SECOND, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 9, 0);
         Script s = new Script(settings(unsafe("cheap", 1), dear)).servers(9);
         int id = 0;
         for (int i = 0; i < 150; i++) {
-            s.ask(++id, "cheap").pass(20 * MS).answer(id, 0, Outcome.OK, 20 * MS);
+            s.ask(++id, "cheap").pass(20 * MS).answer(id, 0, AttemptOutcome.OK, 20 * MS);
         }
         for (int i = 0; i < 42; i++) {
             s.ask(++id, "cheap");
@@ -447,10 +448,10 @@
     void coldServerGetsItsPartAndTakesNothingOver() {
         // coldFrom is 0.2 here: a server that has just started gets about a fifth of a warm one's turns.
         Script s = new Script(settings(safe("read", 1))).servers(4);
-        s.list(ListKind.CHANGES, Script.at(9, "here", s.now, BalancerApi.EndpointState.UP));
+        s.list(EndpointListKind.CHANGES, Script.at(9, "here", s.now, EndpointState.UP));
         int cold = 0;
         for (int i = 0; i < 420; i++) {
-            s.ask(i, "read").pass(MS).answer(i, 0, Outcome.OK, MS);
+            s.ask(i, "read").pass(MS).answer(i, 0, AttemptOutcome.OK, MS);
             cold += s.target(i) == 9 ? 1 : 0;
         }
         assertTrue(cold >= 14 && cold <= 28, "turns of the cold server: " + cold);
@@ -462,11 +463,11 @@
         for (int i = 0; i < 6; i++) {
             s.ask(i, "read");
         }
-        s.list(ListKind.CHANGES, Script.at(1, "here", 0, BalancerApi.EndpointState.DRAINING));
+        s.list(EndpointListKind.CHANGES, Script.at(1, "here", 0, EndpointState.DRAINING));
         s.pass(MS);
         for (int i = 0; i < 6; i++) {
             long id = s.of("send").get(i).request();
-            s.answer(id, 0, Outcome.OK, MS);
+            s.answer(id, 0, AttemptOutcome.OK, MS);
             s.pass(MS);
         }
         assertEquals(6, s.of("send").size());
@@ -478,22 +479,22 @@
     void callTakenOverWhileItsServersCallsMoveIsSentOnce() {
         Script s = new Script(settings(30, false, List.of(), safe("read", 1))).servers(1);
         for (int i = 0; i < 300; i++) {
-            s.ask(i, "read").pass(10 * MS).answer(i, 0, Outcome.OK, 10 * MS);
+            s.ask(i, "read").pass(10 * MS).answer(i, 0, AttemptOutcome.OK, 10 * MS);
         }
         for (int i = 300; i < 325; i++) {
             s.ask(i, "read");
         }
         assertEquals(301, s.of("send").size(), "one of 25 is out, the others wait");
-        List<BalancerApi.Endpoint> next = new ArrayList<>();
+        List<Endpoint> next = new ArrayList<>();
         next.add(Script.at(1, "here", 0, EndpointState.DRAINING));
         for (int i = 2; i <= 21; i++) {
             next.add(Script.up(i, 1));
         }
-        s.list(ListKind.CHANGES, next.toArray(new BalancerApi.Endpoint[0]));
+        s.list(EndpointListKind.CHANGES, next.toArray(new Endpoint[0]));
         assertEquals(321, s.of("send").size(), "each of the 20 that joined has one");
         s.pass(MS);
         for (long i : s.requests("send").subList(301, 309)) {
-            s.answer(i, 0, Outcome.OK, MS);
+            s.answer(i, 0, AttemptOutcome.OK, MS);
         }
         for (long i = 300; i < 325; i++) {
             assertEquals(1, s.attempts.getOrDefault(i, 0), "attempts at once of call " + i);
@@ -508,16 +509,16 @@
         }
         s.pass(MS);
         // Whichever server answers goes on to answer both calls that wait, the older first.
-        s.answer(1, 0, Outcome.OK, MS);
+        s.answer(1, 0, AttemptOutcome.OK, MS);
         long third = s.of("send").get(2).request();
-        s.pass(MS).answer(third, 0, Outcome.OK, MS);
+        s.pass(MS).answer(third, 0, AttemptOutcome.OK, MS);
         assertEquals(4, s.of("send").size());
         assertEquals(s.target(1), s.of("send").get(3).endpoint());
     }
 
     @Test
     void withNoServerCallsWaitAndAreRefusedInTime() {
-        Script s = new Script(settings(safe("read", 1), unsafe("write", 5))).list(ListKind.SAVED);
+        Script s = new Script(settings(safe("read", 1), unsafe("write", 5))).list(EndpointListKind.CACHED);
         s.ask(1, "read").ask(2, "write", null, -1, 300 * MS).pass(5 * SECOND);
         assertEquals(List.of(2L, 1L), s.requests("refuse"));
         assertTrue(s.of("refuse").get(0).at() <= 1_000_000_000L + 300 * MS);
@@ -526,8 +527,8 @@
 
     @Test
     void withNoServerCallsWaitForOneToCome() {
-        Script s = new Script(settings(safe("read", 1))).list(ListKind.SAVED);
-        s.ask(1, "read").pass(200 * MS).list(ListKind.CHANGES, Script.up(9, 1));
+        Script s = new Script(settings(safe("read", 1))).list(EndpointListKind.CACHED);
+        s.ask(1, "read").pass(200 * MS).list(EndpointListKind.CHANGES, Script.up(9, 1));
         assertEquals(9, s.target(1));
     }
 
@@ -552,7 +553,7 @@
             // 100 ms at best, then 300 ms; 100 answers a second throughout.
             long latency = i < 200 ? 100 * MS : 300 * MS;
             s.ask(++id, i % 2 == 0 ? "brief" : "patient")
-                    .answer(id, 0, Outcome.OK, latency)
+                    .answer(id, 0, AttemptOutcome.OK, latency)
                     .pass(10 * MS);
         }
         int before = s.of("refuse").size();
@@ -567,9 +568,9 @@
     @Test
     void serverThatLetsACallTimeOutIsTakenOutThoughItAnswersOthers() {
         Script s = new Script(settings(2, false, List.of(), unsafe("write", 5))).servers(1);
-        s.ask(1, "write").ask(2, "write").pass(200 * MS).answer(2, 0, Outcome.OK, 200 * MS);
-        s.pass(400 * MS).answer(1, 0, Outcome.TIMEOUT, 600 * MS);
-        assertEquals(1, s.balancer.avoided());
+        s.ask(1, "write").ask(2, "write").pass(200 * MS).answer(2, 0, AttemptOutcome.OK, 200 * MS);
+        s.pass(400 * MS).answer(1, 0, AttemptOutcome.TIMEOUT, 600 * MS);
+        assertEquals(1, s.balancer.ejectedEndpoints());
     }
 
     /** Asks until a call goes to this server; how long that took. */
@@ -579,7 +580,7 @@
         do {
             s.pass(50 * MS).ask(++id, "read");
             if (s.target(id) != server) {
-                s.answer(id, 0, Outcome.OK, 20 * MS);
+                s.answer(id, 0, AttemptOutcome.OK, 20 * MS);
             }
         } while (s.target(id) != server && s.now < since + 60 * SECOND);
         return s.now - since;
@@ -589,11 +590,11 @@
     void trialThatTellsNothingIsFollowedByAnother() {
         Script s = new Script(settings(safe("read", 1))).servers(4).ask(1, "read");
         long sick = s.target(1);
-        s.answer(1, 0, Outcome.CONNECT_FAILED, MS);
+        s.answer(1, 0, AttemptOutcome.CONNECT_FAILED, MS);
         untilTried(s, 100, sick);
         long trial = s.acts.get(s.acts.size() - 1).request();
-        s.balancer.onGone(s.now, trial);
-        s.answer(trial, 0, Outcome.CANCELLED, MS);
+        s.balancer.onClientDisconnected(s.now, trial);
+        s.answer(trial, 0, AttemptOutcome.CANCELLED, MS);
         assertTrue(untilTried(s, 10_000, sick) < SECOND, "out for good");
     }
 
@@ -601,12 +602,12 @@
     void timeOutOfACallThatCameTooLateStrikesNoServer() {
         Script s = new Script(settings(unsafe("file", 1))).servers(4);
         for (int id = 1; id < 40; id++) {
-            s.ask(id, "file").pass(100 * MS).answer(id, 0, Outcome.OK, 100 * MS);
+            s.ask(id, "file").pass(100 * MS).answer(id, 0, AttemptOutcome.OK, 100 * MS);
         }
-        s.ask(100, "file", null, -1, 10 * MS).pass(10 * MS).answer(100, 0, Outcome.TIMEOUT, 10 * MS);
-        assertEquals(0, s.balancer.avoided());
-        s.ask(101, "file").pass(3 * SECOND).answer(101, 0, Outcome.TIMEOUT, 3 * SECOND);
-        assertEquals(1, s.balancer.avoided());
+        s.ask(100, "file", null, -1, 10 * MS).pass(10 * MS).answer(100, 0, AttemptOutcome.TIMEOUT, 10 * MS);
+        assertEquals(0, s.balancer.ejectedEndpoints());
+        s.ask(101, "file").pass(3 * SECOND).answer(101, 0, AttemptOutcome.TIMEOUT, 3 * SECOND);
+        assertEquals(1, s.balancer.ejectedEndpoints());
     }
 
     @Test
@@ -622,7 +623,7 @@
                 .toList();
         assertTrue(there.size() >= 3, "calls at one server: " + there);
         for (long id = 1; id <= 8; id++) {
-            s.answer(id, 0, there.contains(id) ? Outcome.TIMEOUT : Outcome.OK, 3 * SECOND);
+            s.answer(id, 0, there.contains(id) ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK, 3 * SECOND);
         }
         assertTrue(untilTried(s, 100, sick) < 1500 * MS, "as if it had failed again and again");
     }
@@ -630,20 +631,20 @@
     /** Servers may drop it without a word, or end its connection; also before any answer has told what is usual. */
     @Test
     void callWithVeryLittleTimeLeftTellsNothingOfItsServer() {
-        for (Outcome silence : List.of(Outcome.TIMEOUT, Outcome.RESET)) {
+        for (AttemptOutcome silence : List.of(AttemptOutcome.TIMEOUT, AttemptOutcome.RESET)) {
             for (int known : new int[] {0, 40}) {
                 Script s = new Script(settings(safe("read", 1))).servers(4);
                 for (int id = 0; id < known; id++) {
-                    s.ask(id, "read").pass(MS).answer(id, 0, Outcome.OK, MS);
+                    s.ask(id, "read").pass(MS).answer(id, 0, AttemptOutcome.OK, MS);
                 }
                 for (int left = 1; left <= 20; left++) {
                     int id = 100 + left;
                     s.ask(id, "read", null, -1, left * MS).pass(left * MS);
-                    s.balancer.onOutcome(s.now, id, 0, true, silence, 200 * MS, null);
+                    s.balancer.onAttemptEnded(s.now, id, 0, true, silence, 200 * MS, null);
                 }
-                assertEquals(0, s.balancer.avoided(), silence + " after " + known);
-                s.ask(200, "read").pass(3 * SECOND).answer(200, 0, Outcome.TIMEOUT, 3 * SECOND);
-                assertEquals(1, s.balancer.avoided(), "one that had its time does");
+                assertEquals(0, s.balancer.ejectedEndpoints(), silence + " after " + known);
+                s.ask(200, "read").pass(3 * SECOND).answer(200, 0, AttemptOutcome.TIMEOUT, 3 * SECOND);
+                assertEquals(1, s.balancer.ejectedEndpoints(), "one that had its time does");
             }
         }
     }
--- a/core/src/test/java/brackenbridge/core/balancing/RulesTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/RulesTest.java
@@ -3,18 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.Report;
-import brackenbridge.core.balancing.BalancerApi.Request;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -32,10 +20,11 @@
     private static final List<RequestClass> CLASSES = List.of(
             Script.safe("safe", 2),
             Script.unsafe("unsafe", 9),
-            Script.keyed("all", 5, DedupScope.ALL),
-            Script.keyed("zone", 4, DedupScope.ZONE),
-            Script.keyed("cell", 3, DedupScope.CELL),
-            new RequestClass("stream", 500_000, 2_000_000, Effect.SAFE, DedupScope.ALL, 0, true, 1, 0.5));
+            Script.keyed("all", 5, DeduplicationScope.ALL),
+            Script.keyed("zone", 4, DeduplicationScope.ZONE),
+            Script.keyed("cell", 3, DeduplicationScope.CELL),
+            new RequestClass(
+                    "stream", 500_000, 2_000_000, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, true, 1, 0.5));
 
     /** What the rules need to know of a request. */
     private static final class Told {
@@ -43,7 +32,7 @@
         final long deadline;
         final List<Endpoint> to = new ArrayList<>();
         final List<Long> sentAt = new ArrayList<>();
-        final List<Outcome> ended = new ArrayList<>();
+        final List<AttemptOutcome> ended = new ArrayList<>();
         boolean closed;
         boolean streaming;
 
@@ -64,7 +53,7 @@
     }
 
     /** Holds each action against the rules as it is taken. */
-    private static final class Judge implements Actions {
+    private static final class Judge implements BalancerActions {
         final Map<Long, Told> requests = new LinkedHashMap<>();
         final Map<Long, Endpoint> list = new HashMap<>();
         final StringBuilder log = new StringBuilder();
@@ -83,7 +72,7 @@
         }
 
         @Override
-        public void send(long request, long endpoint, long timeout) {
+        public void startAttempt(long request, long endpoint, long timeout) {
             Told t = open(request);
             Endpoint e = list.get(endpoint);
             assertTrue(e != null, "endpoint never listed");
@@ -92,12 +81,12 @@
             int before = t.risky();
             if (before >= 0) {
                 repeats++;
-                assertTrue(t.kind.effect() != Effect.UNSAFE, "unsafe request sent again");
-                if (t.kind.effect() == Effect.KEYED) {
+                assertTrue(t.kind.idempotence() != Idempotence.NOT_IDEMPOTENT, "unsafe request sent again");
+                if (t.kind.idempotence() == Idempotence.IDEMPOTENCY_KEY) {
                     Endpoint a = t.to.get(before);
-                    assertTrue(now - t.sentAt.get(before) < t.kind.keyTtl(), "repeat after its window");
+                    assertTrue(now - t.sentAt.get(before) < t.kind.idempotencyKeyTtl(), "repeat after its window");
                     assertTrue(
-                            switch (t.kind.dedupScope()) {
+                            switch (t.kind.deduplicationScope()) {
                                 case ALL -> true;
                                 case ZONE -> a.zone().equals(e.zone());
                                 case CELL -> a.cell() == e.cell();
@@ -119,13 +108,14 @@
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {
+        public void reject(long request, long retryAfter) {
             Told t = open(request);
             int risky = t.risky();
             assertTrue(
                     risky < 0
-                            || t.kind.effect() == Effect.SAFE
-                            || t.kind.effect() == Effect.KEYED && t.kind.dedupScope() == DedupScope.ALL,
+                            || t.kind.idempotence() == Idempotence.IDEMPOTENT
+                            || t.kind.idempotence() == Idempotence.IDEMPOTENCY_KEY
+                                    && t.kind.deduplicationScope() == DeduplicationScope.ALL,
                     "unsafe refusal");
             refusals++;
             close(request, t);
@@ -144,12 +134,12 @@
         }
 
         @Override
-        public void timer(long at, String token) {
+        public void setTimer(long at, String token) {
             timers.merge(token, at, Math::min);
         }
 
         @Override
-        public void probe(long endpoint) {
+        public void startHealthCheck(long endpoint) {
             throw new AssertionError("a probe costs the server work: none is asked for");
         }
     }
@@ -158,7 +148,7 @@
         SplittableRandom r = new SplittableRandom(seed);
         Judge j = new Judge();
         j.now = 5_000_000_000L;
-        Settings s = new Settings(
+        BalancerSettings s = new BalancerSettings(
                 seed,
                 r.nextInt(3),
                 3,
@@ -178,9 +168,9 @@
                 10_000_000,
                 0.2,
                 20_000_000,
-                Network.UNTOLD);
+                NetworkSettings.DEFAULT);
         Balancer b = new Balancer(s, j);
-        change(r, j, b, ListKind.SAVED, 12);
+        change(r, j, b, EndpointListKind.CACHED, 12);
         long next = 1;
         for (int i = 0; i < steps; i++) {
             if (r.nextInt(4) == 0) {
@@ -195,7 +185,7 @@
                     j.requests.put(next, new Told(c, j.now + Math.max(0, left)));
                     b.onRequest(
                             j.now,
-                            new Request(
+                            new BalancerRequest(
                                     next,
                                     c.name(),
                                     null,
@@ -223,16 +213,16 @@
                             b,
                             id,
                             j.requests.get(id).ended.indexOf(null),
-                            Outcome.values()[r.nextInt(2) * r.nextInt(8)]);
+                            AttemptOutcome.values()[r.nextInt(2) * r.nextInt(8)]);
                 }
             } else if (what == 17) {
-                change(r, j, b, ListKind.values()[r.nextInt(3)], r.nextInt(14));
+                change(r, j, b, EndpointListKind.values()[r.nextInt(3)], r.nextInt(14));
             } else if (what == 18) {
                 long id = 1 + r.nextLong(next + 3);
                 Told t = j.requests.get(id);
                 if (t != null && t.closed) {
-                    b.onGone(j.now, id);
-                    b.onOutcome(j.now, id, r.nextInt(9), true, Outcome.OK, 1, null);
+                    b.onClientDisconnected(j.now, id);
+                    b.onAttemptEnded(j.now, id, r.nextInt(9), true, AttemptOutcome.OK, 1, null);
                 }
                 b.onTimer(j.now, "not of this instance");
             } else {
@@ -266,7 +256,7 @@
             }
             j.now = due;
             if (timedOut != null) {
-                end(null, j, b, timedOut, j.requests.get(timedOut).ended.indexOf(null), Outcome.TIMEOUT);
+                end(null, j, b, timedOut, j.requests.get(timedOut).ended.indexOf(null), AttemptOutcome.TIMEOUT);
             } else if (timer != null) {
                 j.timers.remove(timer);
                 b.onTimer(j.now, timer);
@@ -276,39 +266,39 @@
         }
     }
 
-    private static void end(SplittableRandom r, Judge j, Balancer b, long id, int attempt, Outcome outcome) {
+    private static void end(SplittableRandom r, Judge j, Balancer b, long id, int attempt, AttemptOutcome outcome) {
         Told t = j.requests.get(id);
-        if (t.kind.stream() && r != null && !t.closed && r.nextBoolean()) {
+        if (t.kind.streamed() && r != null && !t.closed && r.nextBoolean()) {
             t.closed = true;
             t.streaming = true;
-            b.onFirstByte(j.now, id, attempt);
+            b.onResponseStarted(j.now, id, attempt);
             return;
         }
         t.ended.set(attempt, outcome);
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             t.closed = true;
         }
-        Report absurd = r != null && r.nextBoolean()
-                ? new Report(Double.NaN, -5, 1e300, 0, Double.NaN, Double.POSITIVE_INFINITY)
+        LoadReport absurd = r != null && r.nextBoolean()
+                ? new LoadReport(Double.NaN, -5, 1e300, 0, Double.NaN, Double.POSITIVE_INFINITY)
                 : null;
-        b.onOutcome(j.now, id, attempt, t.closed, outcome, j.now - t.sentAt.get(attempt), absurd);
+        b.onAttemptEnded(j.now, id, attempt, t.closed, outcome, j.now - t.sentAt.get(attempt), absurd);
     }
 
-    private static void change(SplittableRandom r, Judge j, Balancer b, ListKind kind, int n) {
+    private static void change(SplittableRandom r, Judge j, Balancer b, EndpointListKind kind, int n) {
         List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             long id = 100 + r.nextInt(30);
             EndpointState state = r.nextInt(3) > 0
                     ? EndpointState.UP
-                    : kind == ListKind.CHANGES ? EndpointState.REMOVED : EndpointState.DRAINING;
+                    : kind == EndpointListKind.CHANGES ? EndpointState.REMOVED : EndpointState.DRAINING;
             entries.removeIf(e -> e.id() == id);
             entries.add(new Endpoint(id, id / 4, "z" + id % 3, r.nextInt(4), r.nextInt(3) > 0 ? 0 : j.now, state));
         }
-        if (kind == ListKind.FULL || kind == ListKind.SAVED) {
+        if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
             j.list.replaceAll((id, e) -> new Endpoint(id, e.cell(), e.zone(), 1, 0, EndpointState.REMOVED));
         }
         entries.forEach(e -> j.list.put(e.id(), e));
-        b.onList(j.now, kind, entries);
+        b.onEndpointList(j.now, kind, entries);
     }
 
     @Test
--- a/core/src/test/java/brackenbridge/core/balancing/Script.java
+++ b/core/src/test/java/brackenbridge/core/balancing/Script.java
@@ -1,17 +1,5 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.Request;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,7 +7,7 @@
 import java.util.PriorityQueue;
 
 /** Plays scripted events at one instance, records its actions and fires its timers in order. */
-final class Script implements Actions {
+final class Script implements BalancerActions {
     static final long MS = 1000;
     static final long SECOND = 1_000_000;
 
@@ -36,12 +24,13 @@
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private long timersSet;
 
-    Script(Settings settings) {
+    Script(BalancerSettings settings) {
         balancer = new Balancer(settings, this);
     }
 
     static RequestClass safe(String name, double worth) {
-        return new RequestClass(name, SECOND, 3 * SECOND, Effect.SAFE, DedupScope.ALL, 0, false, worth, 0);
+        return new RequestClass(
+                name, SECOND, 3 * SECOND, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
     }
 
     static RequestClass unsafe(String name, double worth) {
@@ -49,15 +38,17 @@
     }
 
     static RequestClass unsafe(String name, long aim, double worth) {
-        return new RequestClass(name, aim, 5 * aim / 2, Effect.UNSAFE, DedupScope.ALL, 0, false, worth, 0);
+        return new RequestClass(
+                name, aim, 5 * aim / 2, Idempotence.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
     }
 
-    static RequestClass keyed(String name, double worth, DedupScope scope) {
-        return new RequestClass(name, 2 * SECOND, 5 * SECOND, Effect.KEYED, scope, SECOND, false, worth, 0);
+    static RequestClass keyed(String name, double worth, DeduplicationScope scope) {
+        return new RequestClass(
+                name, 2 * SECOND, 5 * SECOND, Idempotence.IDEMPOTENCY_KEY, scope, SECOND, false, worth, 0);
     }
 
-    static Settings settings(int peers, boolean ask, List<Tenant> tenants, RequestClass... classes) {
-        return new Settings(
+    static BalancerSettings settings(int peers, boolean ask, List<TenantShare> tenants, RequestClass... classes) {
+        return new BalancerSettings(
                 7,
                 0,
                 peers,
@@ -77,10 +68,10 @@
                 15 * SECOND,
                 0.2,
                 20 * SECOND,
-                Network.UNTOLD);
+                NetworkSettings.DEFAULT);
     }
 
-    static Settings settings(RequestClass... classes) {
+    static BalancerSettings settings(RequestClass... classes) {
         return settings(6, false, List.of(), classes);
     }
 
@@ -98,11 +89,11 @@
         for (int i = 1; i <= n; i++) {
             all.add(up(i, 1));
         }
-        return list(ListKind.SAVED, all.toArray(new Endpoint[0]));
+        return list(EndpointListKind.CACHED, all.toArray(new Endpoint[0]));
     }
 
-    Script list(ListKind kind, Endpoint... entries) {
-        balancer.onList(now, kind, List.of(entries));
+    Script list(EndpointListKind kind, Endpoint... entries) {
+        balancer.onEndpointList(now, kind, List.of(entries));
         return this;
     }
 
@@ -111,12 +102,12 @@
     }
 
     Script ask(long id, String className, String tenant, long key, long left) {
-        balancer.onRequest(now, new Request(id, className, tenant, key, left, -1, false));
+        balancer.onRequest(now, new BalancerRequest(id, className, tenant, key, left, -1, false));
         return this;
     }
 
-    Script answer(long id, int attempt, Outcome outcome, long latency) {
-        balancer.onOutcome(now, id, attempt, outcome == Outcome.OK, outcome, latency, null);
+    Script answer(long id, int attempt, AttemptOutcome outcome, long latency) {
+        balancer.onAttemptEnded(now, id, attempt, outcome == AttemptOutcome.OK, outcome, latency, null);
         return this;
     }
 
@@ -149,13 +140,13 @@
     }
 
     @Override
-    public void send(long request, long endpoint, long timeout) {
+    public void startAttempt(long request, long endpoint, long timeout) {
         attempts.merge(request, 1, Integer::sum);
         acts.add(new Act("send", now, request, endpoint, timeout));
     }
 
     @Override
-    public void refuse(long request, long retryAfter) {
+    public void reject(long request, long retryAfter) {
         acts.add(new Act("refuse", now, request, 0, retryAfter));
     }
 
@@ -165,12 +156,12 @@
     }
 
     @Override
-    public void timer(long at, String token) {
+    public void setTimer(long at, String token) {
         timers.add(new Due(at, timersSet++, token));
     }
 
     @Override
-    public void probe(long endpoint) {
+    public void startHealthCheck(long endpoint) {
         acts.add(new Act("probe", now, 0, endpoint, 0));
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
--- a/core/src/test/java/brackenbridge/core/balancing/SlowStartPathsTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/SlowStartPathsTest.java
@@ -3,11 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.Request;
-import brackenbridge.core.balancing.BalancerApi.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -27,14 +22,14 @@
     private static final long WARM = 1;
     private static final long COLD = 2;
 
-    private static Settings settings(double multiple, long window) {
-        return Script.settings(1, false, List.of(), Script.safe("read", 1)).withFall(multiple, window);
+    private static BalancerSettings settings(double multiple, long window) {
+        return Script.settings(1, false, List.of(), Script.safe("read", 1)).withColdOverload(multiple, window);
     }
 
     /** A warm server and one that starts now. */
     private static Script beside(double multiple) {
         Script s = new Script(settings(multiple, WINDOW));
-        return s.list(ListKind.SAVED, Script.up(WARM, 1), Script.at(COLD, "here", s.now, EndpointState.UP));
+        return s.list(EndpointListKind.CACHED, Script.up(WARM, 1), Script.at(COLD, "here", s.now, EndpointState.UP));
     }
 
     private static long sentTo(Script s, long server) {
@@ -42,11 +37,11 @@
     }
 
     /** Ends all attempts that are out, at the cold server as the outcome says. */
-    private static int answerFrom(Script s, int answered, Outcome warm, Outcome cold) {
+    private static int answerFrom(Script s, int answered, AttemptOutcome warm, AttemptOutcome cold) {
         int next = answered;
         for (; next < s.of("send").size(); next++) {
             Script.Act sent = s.of("send").get(next);
-            Outcome outcome = sent.endpoint() == WARM ? warm : cold;
+            AttemptOutcome outcome = sent.endpoint() == WARM ? warm : cold;
             s.answer(sent.request(), s.attempts.get(sent.request()) - 1, outcome, 1);
         }
         return next;
@@ -59,8 +54,8 @@
         int answered = 0;
         for (int i = 0; i < 320; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.ERROR, Outcome.CANCELLED);
-            s.balancer.onGone(s.now, i);
+            answered = answerFrom(s, answered, AttemptOutcome.ERROR, AttemptOutcome.CANCELLED);
+            s.balancer.onClientDisconnected(s.now, i);
             s.pass(10 * MS);
         }
         long sent = sentTo(s, COLD);
@@ -75,7 +70,7 @@
             s.ask(i, "read");
             for (Script.Act a : List.copyOf(s.of("send"))) {
                 if (a.endpoint() == COLD) {
-                    s.answer(a.request(), 0, Outcome.CANCELLED, 1);
+                    s.answer(a.request(), 0, AttemptOutcome.CANCELLED, 1);
                 }
             }
             s.pass(10 * MS);
@@ -101,7 +96,8 @@
         int answered = 0;
         for (int i = 0; i < 320; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.OK, i % 2 == 0 ? Outcome.RESET : Outcome.CONNECT_FAILED);
+            answered = answerFrom(
+                    s, answered, AttemptOutcome.OK, i % 2 == 0 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
             s.pass(10 * MS);
         }
         assertEquals(List.of(), s.of("probe"));
@@ -111,20 +107,20 @@
     @Test
     void requestsBeforeTheStartIsToldCount() {
         Script s = new Script(settings(1, WINDOW));
-        s.list(ListKind.SAVED, Script.up(COLD, 1));
+        s.list(EndpointListKind.CACHED, Script.up(COLD, 1));
         int answered = 0;
         long start = s.now;
         for (int i = 0; i < 100; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.OK, Outcome.CANCELLED);
+            answered = answerFrom(s, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
             s.pass(10 * MS);
         }
         assertEquals(100, sentTo(s, COLD), "warm, as far as was told");
-        s.list(ListKind.CHANGES, Script.at(COLD, "here", start, EndpointState.UP));
+        s.list(EndpointListKind.CHANGES, Script.at(COLD, "here", start, EndpointState.UP));
         for (int i = 100; i < 390; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.OK, Outcome.CANCELLED);
-            s.balancer.onGone(s.now, i);
+            answered = answerFrom(s, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            s.balancer.onClientDisconnected(s.now, i);
             s.pass(10 * MS);
         }
         assertEquals(100, sentTo(s, COLD), "more in the window in which it got 100 already");
@@ -134,11 +130,11 @@
     @Test
     void requestsToTheProcessBeforeDoNotCount() {
         Script s = new Script(settings(1, WINDOW));
-        s.list(ListKind.SAVED, Script.up(COLD, 1));
+        s.list(EndpointListKind.CACHED, Script.up(COLD, 1));
         for (int i = 0; i < 50; i++) {
-            s.ask(i, "read").answer(i, 0, Outcome.CANCELLED, 1).pass(10 * MS);
+            s.ask(i, "read").answer(i, 0, AttemptOutcome.CANCELLED, 1).pass(10 * MS);
         }
-        s.list(ListKind.CHANGES, Script.at(COLD, "here", s.now, EndpointState.UP));
+        s.list(EndpointListKind.CHANGES, Script.at(COLD, "here", s.now, EndpointState.UP));
         s.ask(100, "read");
         assertEquals(51, sentTo(s, COLD));
     }
@@ -147,15 +143,15 @@
     @Test
     void settingsWithALongerTimeGiveNoSecondShare() {
         Script s = new Script(settings(1, SECOND));
-        s.list(ListKind.SAVED, Script.at(COLD, "here", s.now, EndpointState.UP));
+        s.list(EndpointListKind.CACHED, Script.at(COLD, "here", s.now, EndpointState.UP));
         int answered = 0;
         for (int i = 0; i < 390; i++) {
             if (i == 290) {
                 s.balancer.onSettings(s.now, settings(1, WINDOW));
             }
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.OK, Outcome.CANCELLED);
-            s.balancer.onGone(s.now, i);
+            answered = answerFrom(s, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            s.balancer.onClientDisconnected(s.now, i);
             s.pass(10 * MS);
         }
         long sent = sentTo(s, COLD);
@@ -166,19 +162,19 @@
     @Test
     void settingsThatFirstNameATimeGiveNoWholeShare() {
         Script s = new Script(settings(1, 0));
-        s.list(ListKind.SAVED, Script.at(COLD, "here", s.now, EndpointState.UP));
+        s.list(EndpointListKind.CACHED, Script.at(COLD, "here", s.now, EndpointState.UP));
         int answered = 0;
         for (int i = 0; i < 100; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.OK, Outcome.CANCELLED);
+            answered = answerFrom(s, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
             s.pass(10 * MS);
         }
         s.balancer.onSettings(s.now, settings(10, WINDOW));
         long before = sentTo(s, COLD);
         for (int i = 100; i < 200; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.OK, Outcome.CANCELLED);
-            s.balancer.onGone(s.now, i);
+            answered = answerFrom(s, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            s.balancer.onClientDisconnected(s.now, i);
             s.pass(10 * MS);
         }
         // The whole share is 32 to 46; a second of it is unknown in the beginning and still in the window.
@@ -190,12 +186,12 @@
     @Test
     void newProcessBesideAServerThatHasJustStartedBeginsWithTheRestOfTheWindow() {
         Script s = new Script(settings(10, WINDOW));
-        s.list(ListKind.SAVED, Script.at(COLD, "here", s.now - SECOND, EndpointState.UP));
+        s.list(EndpointListKind.CACHED, Script.at(COLD, "here", s.now - SECOND, EndpointState.UP));
         int answered = 0;
         for (int i = 0; i < 100; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.OK, Outcome.CANCELLED);
-            s.balancer.onGone(s.now, i);
+            answered = answerFrom(s, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            s.balancer.onClientDisconnected(s.now, i);
             s.pass(MS);
         }
         // Of 39 at the most in 4 s, the one second before the process counts as used.
@@ -240,22 +236,22 @@
     void serversThatLeaveRaiseNoShare() {
         // With ten peers, so that its part of one request at a time is small beside what it gets answered.
         Script s = new Script(
-                Script.settings(10, false, List.of(), Script.safe("read", 1)).withFall(0.5, SECOND));
+                Script.settings(10, false, List.of(), Script.safe("read", 1)).withColdOverload(0.5, SECOND));
         for (int i = 1; i <= 10; i++) {
-            s.list(ListKind.CHANGES, Script.up(10 + i, 1));
+            s.list(EndpointListKind.CHANGES, Script.up(10 + i, 1));
         }
-        s.list(ListKind.CHANGES, Script.at(COLD, "here", s.now, EndpointState.UP));
+        s.list(EndpointListKind.CHANGES, Script.at(COLD, "here", s.now, EndpointState.UP));
         for (int i = 0; i < 300; i++) {
-            s.ask(i, "read").answer(i, 0, Outcome.OK, 10 * MS).pass(10 * MS);
+            s.ask(i, "read").answer(i, 0, AttemptOutcome.OK, 10 * MS).pass(10 * MS);
         }
         for (int i = 1; i <= 9; i++) {
-            s.list(ListKind.CHANGES, Script.at(10 + i, "here", 0, EndpointState.REMOVED));
+            s.list(EndpointListKind.CHANGES, Script.at(10 + i, "here", 0, EndpointState.REMOVED));
         }
         long before = sentTo(s, COLD);
         int answered = s.of("send").size();
         for (int i = 300; i < 380; i++) {
             s.ask(i, "read");
-            answered = answerFrom(s, answered, Outcome.CANCELLED, Outcome.CANCELLED);
+            answered = answerFrom(s, answered, AttemptOutcome.CANCELLED, AttemptOutcome.CANCELLED);
             s.pass(10 * MS);
         }
         // Half of 10 answers a second for each unit of capacity, at 0.33 of it: 1.7 in a window, and some of the next.
@@ -268,44 +264,47 @@
     void nodeTellsWhenARequestIsWritten() {
         List<Long> sent = new ArrayList<>();
         Balancer balancer = new Balancer(
-                Script.settings(6, false, List.of(), Script.safe("read", 1)).withFall(6, SECOND),
+                Script.settings(6, false, List.of(), Script.safe("read", 1)).withColdOverload(6, SECOND),
                 new ToldActions(sent));
         long start = 1000 * SECOND;
-        balancer.onList(start, ListKind.SAVED, List.of(Script.at(COLD, "here", start, EndpointState.UP)));
+        balancer.onEndpointList(
+                start, EndpointListKind.CACHED, List.of(Script.at(COLD, "here", start, EndpointState.UP)));
         for (int i = 0; i < 200; i++) {
-            balancer.onLongRequest(start + i * 20 * MS, new Request(i, "read", null, -1, 60 * SECOND, -1, false));
+            balancer.onStreamedRequest(
+                    start + i * 20 * MS, new BalancerRequest(i, "read", null, -1, 60 * SECOND, -1, false));
         }
         assertTrue(sent.size() <= 3, "none was written, and the share is under 3: " + sent.size());
-        sent.forEach(id -> balancer.onWritten(start + 4 * SECOND, id, 0));
+        sent.forEach(id -> balancer.onAttemptWritten(start + 4 * SECOND, id, 0));
         int before = sent.size();
         for (int i = 200; i < 300; i++) {
-            balancer.onLongRequest(start + i * 20 * MS, new Request(i, "read", null, -1, 60 * SECOND, -1, false));
+            balancer.onStreamedRequest(
+                    start + i * 20 * MS, new BalancerRequest(i, "read", null, -1, 60 * SECOND, -1, false));
         }
         assertTrue(sent.size() > before, "a window later their charge is over");
     }
 
     /** Notes what is sent, of a node that tells when requests are written. */
-    private record ToldActions(List<Long> sent) implements BalancerApi.Actions {
+    private record ToldActions(List<Long> sent) implements BalancerActions {
         @Override
-        public void send(long request, long endpoint, long timeout) {
+        public void startAttempt(long request, long endpoint, long timeout) {
             sent.add(request);
         }
 
         @Override
-        public boolean tellsWritten() {
+        public boolean reportsWritten() {
             return true;
         }
 
         @Override
-        public void refuse(long request, long retryAfter) {}
+        public void reject(long request, long retryAfter) {}
 
         @Override
         public void fail(long request) {}
 
         @Override
-        public void timer(long at, String token) {}
+        public void setTimer(long at, String token) {}
 
         @Override
-        public void probe(long endpoint) {}
+        public void startHealthCheck(long endpoint) {}
     }
 }
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
@@ -24,99 +24,109 @@
     }
 
     private static List<ConnectionCommand> lent(long connection, long ticket) {
-        return List.of(new ConnectionCommand.Lend(connection, ticket));
+        return List.of(new ConnectionCommand.Assign(connection, ticket));
     }
 
     @Test
     void connectionThatHasComeFreeGoesToTheOldestWaitForItsServer() {
-        pool.ask(0, 1, A);
-        assertEquals(lent(0, 1), pool.up(1, 0));
-        pool.ask(2, 2, A);
-        pool.ask(2, 3, A);
-        pool.ask(2, 4, B);
-        assertEquals(lent(0, 2), pool.free(3, 0));
-        assertEquals(lent(1, 3), pool.up(4, 1), "opened for 2, which has one already");
-        assertEquals(List.of(), pool.up(5, 2), "nobody waits there any more: a spare");
-        assertEquals(lent(2, 5), pool.ask(6, 5, A));
+        pool.acquire(0, 1, A);
+        assertEquals(lent(0, 1), pool.onConnected(1, 0));
+        pool.acquire(2, 2, A);
+        pool.acquire(2, 3, A);
+        pool.acquire(2, 4, B);
+        assertEquals(lent(0, 2), pool.release(3, 0));
+        assertEquals(lent(1, 3), pool.onConnected(4, 1), "opened for 2, which has one already");
+        assertEquals(List.of(), pool.onConnected(5, 2), "nobody waits there any more: a spare");
+        assertEquals(lent(2, 5), pool.acquire(6, 5, A));
     }
 
     @Test
     void lateConnectionIsJoinedByOthersAndServesAsSpareInTheEnd() {
-        pool.ask(0, 1, A);
+        pool.acquire(0, 1, A);
         double late = pool.patienceMs();
-        assertEquals(1, of(ConnectionCommand.Open.class, pool.due(late, 1)).size());
-        assertEquals(1, of(ConnectionCommand.Open.class, pool.due(late * 2, 1)).size());
-        assertEquals(List.of(), of(ConnectionCommand.Open.class, pool.due(late * 3, 1)), "three at most");
-        assertEquals(lent(2, 1), pool.up(late * 3, 2));
-        assertEquals(List.of(), pool.up(150, 0), "up after the time that a forward may wait");
-        assertEquals(lent(0, 2), pool.ask(160, 2, A));
+        assertEquals(1, of(ConnectionCommand.Open.class, pool.onWake(late, 1)).size());
+        assertEquals(
+                1, of(ConnectionCommand.Open.class, pool.onWake(late * 2, 1)).size());
+        assertEquals(List.of(), of(ConnectionCommand.Open.class, pool.onWake(late * 3, 1)), "three at most");
+        assertEquals(lent(2, 1), pool.onConnected(late * 3, 2));
+        assertEquals(List.of(), pool.onConnected(150, 0), "up after the time that a forward may wait");
+        assertEquals(lent(0, 2), pool.acquire(160, 2, A));
     }
 
     @Test
     void waitEndsWhenNoneComesUpInTime() {
-        pool.ask(0, 1, A);
-        assertEquals(List.of(), of(ConnectionCommand.GiveUp.class, pool.due(99, 1)));
-        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.UNCONNECTED)), pool.due(100, 1));
+        pool.acquire(0, 1, A);
+        assertEquals(List.of(), of(ConnectionCommand.GiveUp.class, pool.onWake(99, 1)));
+        assertEquals(
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                pool.onWake(100, 1));
         assertEquals(0, pool.waiting());
     }
 
     @Test
     void refusalEndsAWaitAtOnceUnlessAnotherIsUnderWay() {
-        pool.ask(0, 1, A);
-        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.UNCONNECTED)), pool.ended(1, 0));
-        pool.ask(2, 2, A);
-        pool.due(2 + pool.patienceMs(), 2);
-        assertEquals(List.of(), pool.ended(40, 1));
-        assertEquals(List.of(new ConnectionCommand.GiveUp(2, ConnectionCommand.Why.NO_ROOM)), pool.noRoom(41, 2));
+        pool.acquire(0, 1, A);
+        assertEquals(
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                pool.onConnectionEnded(1, 0));
+        pool.acquire(2, 2, A);
+        pool.onWake(2 + pool.patienceMs(), 2);
+        assertEquals(List.of(), pool.onConnectionEnded(40, 1));
+        assertEquals(
+                List.of(new ConnectionCommand.GiveUp(2, ConnectionCommand.FailureReason.NO_ROOM)),
+                pool.onNoDescriptor(41, 2));
         assertEquals(0, pool.size());
     }
 
     @Test
     void openingThatFailedOnThisMachineIsTriedAgainAfterAPauseAndThenBlamesNoServer() {
-        pool.ask(0, 1, A);
-        assertEquals(List.of(new ConnectionCommand.Wake(5, 1)), pool.failedLocally(1, 0));
-        assertEquals(List.of(), pool.due(4, 1), "the pause");
-        List<ConnectionCommand> again = pool.due(5, 1);
+        pool.acquire(0, 1, A);
+        assertEquals(List.of(new ConnectionCommand.Wake(5, 1)), pool.onLocalFailure(1, 0));
+        assertEquals(List.of(), pool.onWake(4, 1), "the pause");
+        List<ConnectionCommand> again = pool.onWake(5, 1);
         assertEquals(1, of(ConnectionCommand.Open.class, again).size());
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.FAILED_LOCALLY)),
-                pool.failedLocally(6, 1));
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.FAILED_LOCALLY)),
+                pool.onLocalFailure(6, 1));
         assertEquals(0, pool.size() + pool.waiting());
     }
 
     @Test
     void openingThatIsTriedAgainServesItsWait() {
-        pool.ask(0, 1, A);
-        pool.failedLocally(1, 0);
-        pool.due(5, 1);
-        assertEquals(lent(1, 1), pool.up(6, 1));
+        pool.acquire(0, 1, A);
+        pool.onLocalFailure(1, 0);
+        pool.onWake(5, 1);
+        assertEquals(lent(1, 1), pool.onConnected(6, 1));
     }
 
     @Test
     void waitWhoseTimeEndsInThePauseBlamesNoServer() {
-        pool.ask(0, 1, A);
-        pool.failedLocally(99, 0);
-        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.FAILED_LOCALLY)), pool.due(100, 1));
+        pool.acquire(0, 1, A);
+        pool.onLocalFailure(99, 0);
+        assertEquals(
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.FAILED_LOCALLY)),
+                pool.onWake(100, 1));
     }
 
     @Test
     void eachOfSeveralWaitsTriesAgainOnce() {
         for (int wait = 0; wait < 3; wait++) {
-            pool.ask(0, wait, A);
+            pool.acquire(0, wait, A);
         }
         for (int connection = 0; connection < 3; connection++) {
             assertEquals(
                     1,
-                    of(ConnectionCommand.Wake.class, pool.failedLocally(1, connection))
+                    of(ConnectionCommand.Wake.class, pool.onLocalFailure(1, connection))
                             .size());
         }
         for (int wait = 0; wait < 3; wait++) {
-            assertEquals(1, of(ConnectionCommand.Open.class, pool.due(5, wait)).size());
+            assertEquals(
+                    1, of(ConnectionCommand.Open.class, pool.onWake(5, wait)).size());
         }
         for (int connection = 3; connection < 6; connection++) {
             assertEquals(
                     1,
-                    of(ConnectionCommand.GiveUp.class, pool.failedLocally(6, connection))
+                    of(ConnectionCommand.GiveUp.class, pool.onLocalFailure(6, connection))
                             .size());
         }
         assertEquals(0, pool.size() + pool.waiting());
@@ -124,22 +134,28 @@
 
     @Test
     void serverThatRefusesAfterALocalFailureIsBlamed() {
-        pool.ask(0, 1, A);
-        pool.failedLocally(1, 0);
-        pool.due(5, 1);
-        assertEquals(List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.Why.UNCONNECTED)), pool.ended(6, 1));
+        pool.acquire(0, 1, A);
+        pool.onLocalFailure(1, 0);
+        pool.onWake(5, 1);
+        assertEquals(
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                pool.onConnectionEnded(6, 1));
     }
 
     @Test
     void connectionOfAWithdrawnWaitIsTheNextOnes() {
-        pool.ask(0, 1, A);
-        pool.withdraw(1);
-        assertEquals(List.of(), of(ConnectionCommand.Open.class, pool.ask(1, 2, A)), "one is under way and has nobody");
-        assertEquals(lent(0, 2), pool.up(2, 0));
-        pool.ask(3, 3, A);
-        pool.withdraw(3);
-        pool.ask(4, 4, A);
-        assertEquals(1, of(ConnectionCommand.Open.class, pool.ended(5, 1)).size(), "its own first one, not a failure");
+        pool.acquire(0, 1, A);
+        pool.cancelWait(1);
+        assertEquals(
+                List.of(), of(ConnectionCommand.Open.class, pool.acquire(1, 2, A)), "one is under way and has nobody");
+        assertEquals(lent(0, 2), pool.onConnected(2, 0));
+        pool.acquire(3, 3, A);
+        pool.cancelWait(3);
+        pool.acquire(4, 4, A);
+        assertEquals(
+                1,
+                of(ConnectionCommand.Open.class, pool.onConnectionEnded(5, 1)).size(),
+                "its own first one, not a failure");
     }
 
     @Test
@@ -147,12 +163,12 @@
         int further = 0;
         for (int i = 0; i < 1000; i++) {
             double at = i * 1000.0;
-            pool.ask(at, i, A);
+            pool.acquire(at, i, A);
             for (int j = 1; j < 4; j++) {
-                further += of(ConnectionCommand.Open.class, pool.due(at + j * pool.patienceMs(), i))
+                further += of(ConnectionCommand.Open.class, pool.onWake(at + j * pool.patienceMs(), i))
                         .size();
             }
-            pool.withdraw(i);
+            pool.cancelWait(i);
         }
         assertTrue(further > 400 && further <= 510, "half of the first ones and ten: " + further);
     }
@@ -160,26 +176,26 @@
     @Test
     void patienceFollowsTheMedianNotTheLateOnes() {
         for (int i = 0; i < 300; i++) {
-            pool.ask(i * 1000, i, A);
-            pool.up(i * 1000 + (i % 3 == 0 ? 90 : 2), i);
-            pool.ended(i * 1000 + 500, i);
+            pool.acquire(i * 1000, i, A);
+            pool.onConnected(i * 1000 + (i % 3 == 0 ? 90 : 2), i);
+            pool.onConnectionEnded(i * 1000 + 500, i);
         }
         assertTrue(pool.patienceMs() >= 5 && pool.patienceMs() < 20, "patience: " + pool.patienceMs());
     }
 
     /** A connection idle for 400 ms is lent and breaks at once. */
     private boolean keptBreaks(int from) {
-        pool.ask(from, from, A);
-        long id = ((ConnectionCommand.Open) of(ConnectionCommand.Open.class, pool.ask(from, from + 1, A))
+        pool.acquire(from, from, A);
+        long id = ((ConnectionCommand.Open) of(ConnectionCommand.Open.class, pool.acquire(from, from + 1, A))
                         .get(0))
                 .connection();
-        pool.withdraw(from + 1);
-        pool.up(from, id - 1);
-        pool.up(from, id);
-        pool.ended(from, id - 1);
-        assertEquals(lent(id, from + 2), pool.ask(from + 400, from + 2, A));
-        boolean stale = pool.broke(id);
-        pool.ended(from + 401, id);
+        pool.cancelWait(from + 1);
+        pool.onConnected(from, id - 1);
+        pool.onConnected(from, id);
+        pool.onConnectionEnded(from, id - 1);
+        assertEquals(lent(id, from + 2), pool.acquire(from + 400, from + 2, A));
+        boolean stale = pool.onBrokenAtOnce(id);
+        pool.onConnectionEnded(from + 401, id);
         return stale;
     }
 
@@ -196,19 +212,19 @@
     @Test
     void whereNewOnesBreakAsOftenKeptOnesAreTrusted() {
         for (int i = 0; i < 40; i++) {
-            pool.ask(i, i, A);
-            pool.up(i, i);
+            pool.acquire(i, i, A);
+            pool.onConnected(i, i);
             if (i % 4 == 0) {
-                assertFalse(pool.broke(i), "a new one");
+                assertFalse(pool.onBrokenAtOnce(i), "a new one");
             }
-            pool.ended(i, i);
+            pool.onConnectionEnded(i, i);
         }
         for (int i = 0; i < 30; i++) {
-            pool.ask(i, 100 + i, A);
-            pool.up(i, 40 + i);
-            pool.free(i, 40 + i);
-            pool.ask(i, 200 + i, A);
-            pool.ended(i, 40 + i);
+            pool.acquire(i, 100 + i, A);
+            pool.onConnected(i, 40 + i);
+            pool.release(i, 40 + i);
+            pool.acquire(i, 200 + i, A);
+            pool.onConnectionEnded(i, 40 + i);
         }
         assertFalse(keptBreaks(1000));
         assertEquals(10_000, pool.trustMs());
@@ -217,20 +233,20 @@
     @Test
     void idleOnesAreClosedWhenTheyAreOldOrTheirServerIsGoneOrRoomIsNeeded() {
         for (int i = 0; i < 3; i++) {
-            pool.ask(0, i, i < 2 ? A : B);
+            pool.acquire(0, i, i < 2 ? A : B);
         }
         for (int i = 0; i < 3; i++) {
-            pool.up(i, i);
+            pool.onConnected(i, i);
         }
         for (int i = 0; i < 3; i++) {
-            pool.free(i, i);
+            pool.release(i, i);
         }
-        assertEquals(1, pool.shed().size());
+        assertEquals(1, pool.closeOneIdle().size());
         assertEquals(2, pool.closeIdle(A).size() + pool.closeIdle(B).size());
         assertEquals(0, pool.size());
-        pool.ask(0, 9, A);
-        pool.up(0, 3);
-        pool.free(0, 3);
+        pool.acquire(0, 9, A);
+        pool.onConnected(0, 3);
+        pool.release(0, 3);
         assertEquals(List.of(), pool.sweep(9_999));
         assertEquals(List.of(new ConnectionCommand.Close(3)), pool.sweep(10_000));
     }
@@ -255,12 +271,12 @@
                     case 0 -> {
                         if (opening.remove(any)) {
                             up.add(any);
-                            steps.addAll(p.up(now, any));
+                            steps.addAll(p.onConnected(now, any));
                         }
                     }
                     case 1 -> {
                         if (lent.remove(any) != null) {
-                            steps.addAll(p.free(now, any));
+                            steps.addAll(p.release(now, any));
                         }
                     }
                     case 2 -> {
@@ -269,39 +285,39 @@
                         lent.remove(any);
                         steps.addAll(
                                 switch (random.nextInt(3)) {
-                                    case 0 -> p.ended(now, any);
-                                    case 1 -> p.noRoom(now, any);
-                                    default -> p.failedLocally(now, any);
+                                    case 0 -> p.onConnectionEnded(now, any);
+                                    case 1 -> p.onNoDescriptor(now, any);
+                                    default -> p.onLocalFailure(now, any);
                                 });
                     }
-                    case 3 -> steps.addAll(random.nextBoolean() ? p.sweep(now) : p.shed());
+                    case 3 -> steps.addAll(random.nextBoolean() ? p.sweep(now) : p.closeOneIdle());
                     case 4 -> {
                         for (long w : List.copyOf(asked.keySet())) {
                             if (random.nextInt(4) == 0) {
                                 asked.remove(w);
-                                steps.addAll(p.withdraw(w));
+                                steps.addAll(p.cancelWait(w));
                             }
                         }
                     }
                     default -> {
                         asked.put(turn, now);
-                        steps.addAll(p.ask(now, turn, random.nextBoolean() ? A : B));
+                        steps.addAll(p.acquire(now, turn, random.nextBoolean() ? A : B));
                     }
                 }
                 for (long w : List.copyOf(asked.keySet())) {
-                    steps.addAll(p.due(now, w));
+                    steps.addAll(p.onWake(now, w));
                 }
                 for (ConnectionCommand s : steps) {
                     if (s instanceof ConnectionCommand.Open o) {
                         assertTrue(opening.add(o.connection()), "a number used twice");
-                    } else if (s instanceof ConnectionCommand.Lend l) {
+                    } else if (s instanceof ConnectionCommand.Assign l) {
                         assertTrue(up.contains(l.connection()), "lent before it is up, or after its end");
-                        assertTrue(asked.remove(l.ticket()) != null, "a wait that has ended");
-                        assertEquals(null, lent.put(l.connection(), l.ticket()), "lent twice");
+                        assertTrue(asked.remove(l.waiter()) != null, "a wait that has ended");
+                        assertEquals(null, lent.put(l.connection(), l.waiter()), "lent twice");
                     } else if (s instanceof ConnectionCommand.Close c) {
                         assertTrue(up.remove(c.connection()) && !lent.containsKey(c.connection()), "closed in use");
                     } else if (s instanceof ConnectionCommand.GiveUp g) {
-                        assertTrue(asked.remove(g.ticket()) != null, "a wait that has ended");
+                        assertTrue(asked.remove(g.waiter()) != null, "a wait that has ended");
                     }
                 }
                 for (double since : asked.values()) {
--- a/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
+++ b/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.NetworkSettings;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.core.balancing.TenantShare;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 class RuleIntersectionTest {
-    private static Settings draw(SplittableRandom r) {
+    private static BalancerSettings draw(SplittableRandom r) {
         List<RequestClass> classes = new ArrayList<>();
-        List<Tenant> tenants = new ArrayList<>();
+        List<TenantShare> tenants = new ArrayList<>();
         for (String name : List.of("a", "b", "c")) {
             long aim = 1 + r.nextInt(1000);
             if (r.nextInt(4) > 0 || classes.isEmpty()) {
@@ -28,18 +28,18 @@
                         name,
                         aim,
                         aim + r.nextInt(1000),
-                        Effect.values()[r.nextInt(3)],
-                        DedupScope.values()[r.nextInt(3)],
+                        Idempotence.values()[r.nextInt(3)],
+                        DeduplicationScope.values()[r.nextInt(3)],
                         1 + r.nextInt(100),
                         false,
                         1 + r.nextInt(9),
                         0.5));
             }
             if (r.nextBoolean()) {
-                tenants.add(new Tenant(name, r.nextInt(10) / 10.0, r.nextInt(3) * 100));
+                tenants.add(new TenantShare(name, r.nextInt(10) / 10.0, r.nextInt(3) * 100));
             }
         }
-        return new Settings(
+        return new BalancerSettings(
                 1,
                 0,
                 2,
@@ -61,49 +61,55 @@
                 r.nextInt(99),
                 0.1 + r.nextInt(9),
                 r.nextInt(5),
-                new Network(1 + r.nextInt(9), r.nextInt(9), true, List.of()));
+                new NetworkSettings(1 + r.nextInt(9), r.nextInt(9), true, List.of()));
     }
 
-    private static int breadth(Effect e) {
-        return e == Effect.UNSAFE ? 0 : e == Effect.KEYED ? 1 : 2;
+    private static int breadth(Idempotence e) {
+        return e == Idempotence.NOT_IDEMPOTENT ? 0 : e == Idempotence.IDEMPOTENCY_KEY ? 1 : 2;
     }
 
     /** Every key of the narrower rules lies within that of each of the two. */
-    private static void within(Settings n, Settings of) {
+    private static void within(BalancerSettings n, BalancerSettings of) {
         for (RequestClass c : n.classes()) {
             RequestClass o = of.classes().stream()
                     .filter(x -> x.name().equals(c.name()))
                     .findFirst()
                     .orElseThrow();
-            assertTrue(c.aim() <= o.aim() && c.deadline() <= o.deadline());
-            assertTrue(breadth(c.effect()) <= breadth(o.effect()), c + " of " + o);
-            if (c.effect() == Effect.KEYED && o.effect() == Effect.KEYED) {
-                assertTrue(c.keyTtl() <= o.keyTtl() && c.dedupScope().compareTo(o.dedupScope()) >= 0, c + " of " + o);
+            assertTrue(c.latencyObjective() <= o.latencyObjective() && c.deadline() <= o.deadline());
+            assertTrue(breadth(c.idempotence()) <= breadth(o.idempotence()), c + " of " + o);
+            if (c.idempotence() == Idempotence.IDEMPOTENCY_KEY && o.idempotence() == Idempotence.IDEMPOTENCY_KEY) {
+                assertTrue(
+                        c.idempotencyKeyTtl() <= o.idempotencyKeyTtl()
+                                && c.deduplicationScope().compareTo(o.deduplicationScope()) >= 0,
+                        c + " of " + o);
             }
         }
-        for (Tenant t : n.tenants()) {
-            Tenant o = of.tenants().stream()
+        for (TenantShare t : n.tenants()) {
+            TenantShare o = of.tenants().stream()
                     .filter(x -> x.name().equals(t.name()))
                     .findFirst()
                     .orElseThrow();
             assertTrue(t.share() <= o.share());
             assertTrue(o.quotaPerSecond() == 0 || t.quotaPerSecond() <= o.quotaPerSecond() && t.quotaPerSecond() > 0);
         }
-        assertTrue(n.maxAttempts() <= of.maxAttempts() && n.maxOpen() <= of.maxOpen());
+        assertTrue(n.maxAttempts() <= of.maxAttempts() && n.maxOpenRequests() <= of.maxOpenRequests());
         assertTrue(n.network().drainGrace() <= of.network().drainGrace());
-        assertTrue(!n.secondCopies() || of.secondCopies());
-        assertTrue(!n.mayProbe() || of.mayProbe());
+        assertTrue(!n.mayHedge() || of.mayHedge());
+        assertTrue(!n.mayHealthCheck() || of.mayHealthCheck());
         assertTrue(!n.mayCancel() || of.mayCancel());
-        assertTrue(n.coldFrom() <= of.coldFrom() && n.warmAfter() >= of.warmAfter());
-        assertTrue(of.fall() == 0 || n.fall() <= of.fall() && n.fall() > 0 && n.fallMultiple() <= of.fallMultiple());
+        assertTrue(n.coldCapacityRatio() <= of.coldCapacityRatio() && n.warmUpTime() >= of.warmUpTime());
+        assertTrue(of.overloadWindow() == 0
+                || n.overloadWindow() <= of.overloadWindow()
+                        && n.overloadWindow() > 0
+                        && n.overloadMultiple() <= of.overloadMultiple());
     }
 
     @Property(tries = 300, seed = "24")
     void whatIsNarrowerLiesWithinBothAndNothingCommonIsLost(@ForAll long seed) {
         SplittableRandom r = new SplittableRandom(seed);
-        Settings a = draw(r);
-        Settings b = draw(r);
-        Optional<Settings> n = RuleIntersection.of(a, b);
+        BalancerSettings a = draw(r);
+        BalancerSettings b = draw(r);
+        Optional<BalancerSettings> n = RuleIntersection.of(a, b);
         List<String> common = a.classes().stream()
                 .map(RequestClass::name)
                 .filter(x -> b.classes().stream().anyMatch(c -> c.name().equals(x)))
@@ -117,7 +123,7 @@
             within(s, b);
         });
         assertEquals(a, RuleIntersection.of(a, a).orElseThrow(), "of one generation alone, that one");
-        Settings doubt = RuleIntersection.inDoubt(a);
+        BalancerSettings doubt = RuleIntersection.inDoubt(a);
         within(doubt, a);
         within(RuleIntersection.of(doubt, b).orElse(doubt), doubt);
     }
@@ -125,10 +131,13 @@
     @Test
     void safeClassThatIsKeyedElsewhereIsRepeatedOnlyAsThat() {
         SplittableRandom r = new SplittableRandom(1);
-        Settings any = draw(r);
-        RequestClass safe = new RequestClass("x", 10, 20, Effect.SAFE, DedupScope.ALL, 0, false, 1, 0);
-        RequestClass keyed = new RequestClass("x", 10, 20, Effect.KEYED, DedupScope.ZONE, 7, false, 1, 0);
-        Settings n = RuleIntersection.of(with(any, safe), with(any, keyed)).orElseThrow();
+        BalancerSettings any = draw(r);
+        RequestClass safe =
+                new RequestClass("x", 10, 20, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 1, 0);
+        RequestClass keyed =
+                new RequestClass("x", 10, 20, Idempotence.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 7, false, 1, 0);
+        BalancerSettings n =
+                RuleIntersection.of(with(any, safe), with(any, keyed)).orElseThrow();
         assertEquals(keyed, n.classes().get(0));
         assertEquals(
                 n.classes(),
@@ -137,29 +146,29 @@
                         .classes());
     }
 
-    private static Settings with(Settings s, RequestClass c) {
-        return new Settings(
+    private static BalancerSettings with(BalancerSettings s, RequestClass c) {
+        return new BalancerSettings(
                 s.seed(),
-                s.me(),
-                s.peers(),
+                s.instanceIndex(),
+                s.instanceCount(),
                 s.tier(),
                 s.zone(),
                 List.of(c),
                 s.tenants(),
-                s.overShareWorth(),
-                s.askDiscovery(),
-                s.mustAskWithin(),
+                s.overShareWeight(),
+                s.polledDiscovery(),
+                s.maxPollInterval(),
                 s.maxAttempts(),
-                s.maxOpen(),
+                s.maxOpenRequests(),
                 s.maxRetryAfter(),
                 s.mayCancel(),
-                s.mayProbe(),
-                s.secondCopies(),
-                s.idleClose(),
-                s.coldFrom(),
-                s.warmAfter(),
-                s.fallMultiple(),
-                s.fall(),
+                s.mayHealthCheck(),
+                s.mayHedge(),
+                s.idleTimeout(),
+                s.coldCapacityRatio(),
+                s.warmUpTime(),
+                s.overloadMultiple(),
+                s.overloadWindow(),
                 s.network());
     }
 }
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
@@ -18,8 +18,8 @@
     private static final DiscoverySource AGENT = new DiscoverySource(false, 0);
     private static final DiscoverySource SERVICE = new DiscoverySource(true, 10_000);
 
-    private final List<DiscoveryCommand.Open> opened = new ArrayList<>();
-    private final List<DiscoveryCommand.End> ended = new ArrayList<>();
+    private final List<DiscoveryCommand.OpenWatch> opened = new ArrayList<>();
+    private final List<DiscoveryCommand.EndCall> ended = new ArrayList<>();
     private double now = 1000;
     private DiscoveryCommand.Wake next;
     private DiscoveryWatch m;
@@ -35,12 +35,12 @@
 
     private void run(List<DiscoveryCommand> steps) {
         for (DiscoveryCommand step : steps) {
-            if (step instanceof DiscoveryCommand.Open o) {
+            if (step instanceof DiscoveryCommand.OpenWatch o) {
                 opened.add(o);
-            } else if (step instanceof DiscoveryCommand.End e) {
+            } else if (step instanceof DiscoveryCommand.EndCall e) {
                 ended.add(e);
             } else if (step instanceof DiscoveryCommand.Wake w) {
-                assertTrue(next == null || next.turn() < w.turn(), "each turn is asked for once");
+                assertTrue(next == null || next.timer() < w.timer(), "each turn is asked for once");
                 next = w;
             }
         }
@@ -53,7 +53,7 @@
             now = Math.max(now, next.atMs());
             DiscoveryCommand.Wake due = next;
             next = null;
-            run(m.wake(now, due.turn()));
+            run(m.wake(now, due.timer()));
         }
         now = until;
     }
@@ -65,7 +65,7 @@
     @Test
     void agentIsAskedAtOnceAndAServiceAfterAWhile() {
         start(AGENT, 1);
-        assertEquals(List.of(new DiscoveryCommand.Open(0, 41)), opened);
+        assertEquals(List.of(new DiscoveryCommand.OpenWatch(0, 41)), opened);
         start(SERVICE, 1);
         assertEquals(List.of(), opened);
         pass(4000);
@@ -75,11 +75,11 @@
     @Test
     void agentThatFallsSilentIsAskedAgainInTheSameMomentAndAServiceIsSpared() {
         start(AGENT, 1);
-        m.beat(now, call());
+        m.onHeartbeat(now, call());
         pass(2999);
         assertEquals(0, ended.size());
         pass(1);
-        assertEquals(List.of(new DiscoveryCommand.End(0, true)), ended);
+        assertEquals(List.of(new DiscoveryCommand.EndCall(0, true)), ended);
         assertEquals(2, opened.size());
         pass(30_000);
         assertEquals(12, opened.size(), "one call each 3 s, however long it is silent");
@@ -88,7 +88,7 @@
         pass(4000);
         int before = opened.size();
         now = next.atMs();
-        run(m.wake(now, next.turn()));
+        run(m.wake(now, next.timer()));
         assertEquals(before, opened.size());
         pass(1500);
         assertEquals(before + 1, opened.size());
@@ -99,8 +99,8 @@
         start(AGENT, 3);
         for (double from = now; now < from + 20_000; ) {
             long on = call();
-            assertTrue(m.told(now, on, 42, true));
-            run(m.ended(now, on));
+            assertTrue(m.onEndpointList(now, on, 42, true));
+            run(m.onCallEnded(now, on));
             while (call() == on) {
                 pass(1);
             }
@@ -112,14 +112,14 @@
     void watchThatStoodIsOpenedAgainSoonHoweverOftenItFailedBefore() {
         start(AGENT, 3);
         for (int i = 0; i < 12; i++) {
-            run(m.ended(now, call()));
+            run(m.onCallEnded(now, call()));
             pass(150);
             assertEquals(i + 2, opened.size(), "what an agent has counts as told at once");
         }
-        m.told(now, call(), 42, true);
+        m.onEndpointList(now, call(), 42, true);
         pass(1000);
         int before = opened.size();
-        run(m.ended(now, call()));
+        run(m.onCallEnded(now, call()));
         pass(75);
         assertEquals(before + 1, opened.size());
     }
@@ -140,7 +140,7 @@
                 while (now < downUntil) {
                     pass(10);
                     if (!opened.isEmpty() && m.isOpen(call())) {
-                        run(m.ended(now, call()));
+                        run(m.onCallEnded(now, call()));
                     }
                 }
                 if (hangs) {
@@ -166,7 +166,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             for (int failures = 1; failures < 20; failures++) {
                 double pause = Math.min(400 * Math.pow(2, failures - 1), LONGEST_PAUSE_MS);
-                double drawn = SERVICE.againMs(failures, random);
+                double drawn = SERVICE.retryDelayMs(failures, random);
                 assertTrue(drawn >= pause / 2 && drawn <= pause * 1.5, drawn + " ms after " + failures);
             }
         }
@@ -178,14 +178,14 @@
         for (long seed = 1; seed <= 40; seed++) {
             start(SERVICE, seed);
             pass(4000);
-            run(m.ended(now, call()));
+            run(m.onCallEnded(now, call()));
             pass(900);
-            m.beat(now, call());
+            m.onHeartbeat(now, call());
             double lastWord = now;
             for (int calls = opened.size(); opened.size() == calls; ) {
                 pass(10);
             }
-            run(m.ended(now, call()));
+            run(m.onCallEnded(now, call()));
             for (int calls = opened.size(); opened.size() == calls; ) {
                 pass(10);
             }
@@ -199,11 +199,11 @@
         pass(4000);
         for (int i = 0; i < 20; i++) {
             for (int beats = 0; beats < 3; beats++) {
-                m.beat(now, call());
+                m.onHeartbeat(now, call());
                 pass(1500);
             }
             int before = opened.size();
-            run(m.ended(now, call()));
+            run(m.onCallEnded(now, call()));
             pass(600);
             assertEquals(before + 1, opened.size());
         }
@@ -221,12 +221,12 @@
         run(m.start(now, 41));
         pass(4000);
         for (int i = 0; i < 5; i++) {
-            run(m.ended(now, call()));
+            run(m.onCallEnded(now, call()));
             pass(900);
         }
-        run(m.askNow(now, true));
+        run(m.reopen(now, true));
         int before = opened.size();
-        run(m.ended(now, call()));
+        run(m.onCallEnded(now, call()));
         pass(600);
         assertEquals(before + 1, opened.size());
     }
@@ -234,7 +234,7 @@
     @Test
     void callThatWasPutOffGoesByTheNewSettings() {
         start(new DiscoverySource(true, 60_000), 7);
-        run(m.comesFrom(now, AGENT));
+        run(m.changeSource(now, AGENT));
         pass(75);
         assertEquals(1, opened.size(), "the first call would have been seconds away");
     }
@@ -244,7 +244,7 @@
     void fleetIsSpreadOverItsPause() {
         int[] calls = new int[25];
         for (long seed = 0; seed < 100; seed++) {
-            calls[(int) (SERVICE.againMs(3, new SplittableRandom(seed)) / 100)]++;
+            calls[(int) (SERVICE.retryDelayMs(3, new SplittableRandom(seed)) / 100)]++;
         }
         for (int tenth = 0; tenth < calls.length; tenth++) {
             assertTrue(calls[tenth] <= 25, calls[tenth] + " calls in tenth " + tenth);
@@ -254,17 +254,20 @@
     @Test
     void overtakenWordHoldsNothing() {
         start(AGENT, 1);
-        assertFalse(m.told(now, call(), 40, true), "older than what is held");
-        assertTrue(m.told(now, call(), 44, false));
-        assertFalse(m.told(now, call(), 44, false));
-        assertFalse(m.told(now, call() + 1, 50, true), "no such call");
-        run(m.askNow(now, true));
-        assertEquals(List.of(new DiscoveryCommand.End(0, false)), ended);
-        assertFalse(m.told(now, 0, 60, true), "a call that is over");
-        assertFalse(m.told(now, call(), 7, false), "changes of another discovery say nothing");
-        assertTrue(m.told(now, call(), 7, true));
-        assertEquals(7, m.seq());
-        assertTrue(m.offered(7, true) && !m.offered(7, false) && !m.offered(6, true) && m.offered(8, false));
+        assertFalse(m.onEndpointList(now, call(), 40, true), "older than what is held");
+        assertTrue(m.onEndpointList(now, call(), 44, false));
+        assertFalse(m.onEndpointList(now, call(), 44, false));
+        assertFalse(m.onEndpointList(now, call() + 1, 50, true), "no such call");
+        run(m.reopen(now, true));
+        assertEquals(List.of(new DiscoveryCommand.EndCall(0, false)), ended);
+        assertFalse(m.onEndpointList(now, 0, 60, true), "a call that is over");
+        assertFalse(m.onEndpointList(now, call(), 7, false), "changes of another discovery say nothing");
+        assertTrue(m.onEndpointList(now, call(), 7, true));
+        assertEquals(7, m.version());
+        assertTrue(m.acceptVersion(7, true)
+                && !m.acceptVersion(7, false)
+                && !m.acceptVersion(6, true)
+                && m.acceptVersion(8, false));
     }
 
     /** Whatever discovery does: one call at a time, never neither a call nor a time for the next, never a spin. */
@@ -279,12 +282,13 @@
         long last = -1;
         boolean open = false;
         for (int i = 0; i < 400; i++) {
-            for (DiscoveryCommand.Open o : opened.subList((int) Math.min(opened.size(), last + 1), opened.size())) {
+            for (DiscoveryCommand.OpenWatch o :
+                    opened.subList((int) Math.min(opened.size(), last + 1), opened.size())) {
                 assertEquals(last + 1, o.call());
                 last = o.call();
                 open = true;
             }
-            for (DiscoveryCommand.End e : ended) {
+            for (DiscoveryCommand.EndCall e : ended) {
                 open &= e.call() != last;
             }
             ended.clear();
@@ -293,14 +297,14 @@
             if (open && m.isOpen(last)) {
                 switch (r.nextInt(5)) {
                     case 0 -> {
-                        run(m.ended(now, last));
+                        run(m.onCallEnded(now, last));
                         open = false;
                     }
-                    case 1 -> m.told(now, last, ++version, r.nextBoolean());
-                    case 2 -> m.beat(now, last);
+                    case 1 -> m.onEndpointList(now, last, ++version, r.nextBoolean());
+                    case 2 -> m.onHeartbeat(now, last);
                     default -> {
-                        m.beat(now, last - 1);
-                        run(m.ended(now, last - 1));
+                        m.onHeartbeat(now, last - 1);
+                        run(m.onCallEnded(now, last - 1));
                     }
                 }
             }
--- a/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
@@ -103,11 +103,11 @@
 
         void run(List<DiscoveryCommand> steps) {
             for (DiscoveryCommand step : steps) {
-                if (step instanceof DiscoveryCommand.Open o) {
+                if (step instanceof DiscoveryCommand.OpenWatch o) {
                     if (open >= 0) {
                         fail("two calls are open");
                     }
-                    if (o.afterSeq() != held) {
+                    if (o.afterVersion() != held) {
                         fail("asks after another version than it holds");
                     }
                     if (now < notBefore) {
@@ -118,7 +118,7 @@
                     heard = now;
                     spoke = false;
                     refused = down && source.shared();
-                } else if (step instanceof DiscoveryCommand.End e && machine != Machine.NEVER_ENDS) {
+                } else if (step instanceof DiscoveryCommand.EndCall e && machine != Machine.NEVER_ENDS) {
                     if (e.call() != open) {
                         fail("ends a call that is not open");
                     }
@@ -146,9 +146,9 @@
             double pause = source.shared() ? Math.min(400 * Math.pow(2, failures - 1), 1600) : failures > 1 ? 100 : 50;
             dueBy = now + 1.5 * pause;
             notBefore = now + pause / 2;
-            run(m.ended(now, call));
+            run(m.onCallEnded(now, call));
             if (machine == Machine.SPINS) {
-                run(m.askNow(now, false));
+                run(m.reopen(now, false));
             }
         }
 
@@ -167,7 +167,7 @@
                 now = Math.max(now, next.atMs() + late);
                 DiscoveryCommand.Wake due = next;
                 next = null;
-                run(m.wake(now, due.turn()));
+                run(m.wake(now, due.timer()));
                 refuse();
                 check();
             }
@@ -190,7 +190,8 @@
         void word(long call, long version, boolean whole) {
             boolean counts = call == open && open >= 0;
             long on = machine == Machine.HEARS_CLOSED_CALLS ? open : call;
-            boolean holds = m.told(now, on, version, whole) || machine == Machine.HOLDS_OLD_VERSIONS && counts;
+            boolean holds =
+                    m.onEndpointList(now, on, version, whole) || machine == Machine.HOLDS_OLD_VERSIONS && counts;
             if (holds && !(counts && (version > held || moved && whole || version == held && !spoke))) {
                 fail("an overtaken word holds");
             }
@@ -220,7 +221,7 @@
             }
             switch (what) {
                 case BEAT -> {
-                    m.beat(now, call);
+                    m.onHeartbeat(now, call);
                     if (call >= 0) {
                         heard();
                     }
@@ -246,7 +247,7 @@
                     could = now;
                     refusals = 0;
                     notBefore = now;
-                    run(m.askNow(now, machine != Machine.FORGETS_THE_MOVE));
+                    run(m.reopen(now, machine != Machine.FORGETS_THE_MOVE));
                     moved = true;
                     if (open < 0 || open == call) {
                         fail("a moved discovery is not asked at once");
@@ -255,8 +256,8 @@
                 }
                 case WORD_ON_THE_LAST_CALL -> {
                     word(call - 1, held + 5, true);
-                    m.beat(now, call - 1);
-                    run(m.ended(now, call - 1));
+                    m.onHeartbeat(now, call - 1);
+                    run(m.onCallEnded(now, call - 1));
                 }
                 default -> {
                     // Nothing else matters here.
--- a/core/src/test/java/brackenbridge/core/membership/ReturningService.java
+++ b/core/src/test/java/brackenbridge/core/membership/ReturningService.java
@@ -54,12 +54,12 @@
 
         void run(double now, List<DiscoveryCommand> steps) {
             for (DiscoveryCommand step : steps) {
-                if (step instanceof DiscoveryCommand.Open open) {
+                if (step instanceof DiscoveryCommand.OpenWatch open) {
                     call = open.call();
                     askedAt = now;
                 } else if (step instanceof DiscoveryCommand.Wake wake) {
                     wakeAt = wake.atMs();
-                    turn = wake.turn();
+                    turn = wake.timer();
                 }
             }
         }
@@ -79,7 +79,7 @@
         }
 
         void refused(double now) {
-            run(now, membership.ended(now, call));
+            run(now, membership.onCallEnded(now, call));
         }
     }
 
@@ -135,7 +135,7 @@
             Waiting next = waiting.poll();
             freeAt += service.serveMs();
             if (next.caller().membership.isOpen(next.call())) {
-                next.caller().membership.told(now, next.call(), 42, true);
+                next.caller().membership.onEndpointList(now, next.call(), 42, true);
                 next.caller().answeredAt = now;
             }
         }
--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.share.TenantScheduler.Limits;
-import brackenbridge.core.share.TenantScheduler.Verdict;
+import brackenbridge.core.share.TenantScheduler.AdmissionVerdict;
+import brackenbridge.core.share.TenantScheduler.SchedulerLimits;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -63,12 +63,12 @@
                 double began = now;
                 at(now + holdMs, () -> {
                     used.merge(tenant, Math.max(0, now - Math.max(began, from)), Double::sum);
-                    took(s.done(now, flow));
+                    took(s.onRequestEnded(now, flow));
                 });
             });
-            switch (s.open(now, flow, tenant, now + patienceMs, 0).verdict()) {
-                case GO -> begin.remove(flow).run();
-                case REFUSE -> {
+            switch (s.onRequest(now, flow, tenant, now + patienceMs, 0).verdict()) {
+                case ADMIT -> begin.remove(flow).run();
+                case REJECT -> {
                     begin.remove(flow);
                     refused.merge(tenant, 1, Integer::sum);
                 }
@@ -79,16 +79,16 @@
         }
 
         void took(SchedulingResult t) {
-            t.refuse().forEach(r -> begin.remove(r.flow()));
-            t.begin().forEach(f -> begin.remove(f).run());
+            t.rejected().forEach(r -> begin.remove(r.requestId()));
+            t.admitted().forEach(f -> begin.remove(f).run());
         }
 
         void play(double untilMs) {
             while (now < untilMs) {
-                double wake = Math.max(now, s.wakeMs());
+                double wake = Math.max(now, s.nextTimerMs());
                 if (wake < events.peek().atMs()) {
                     now = wake;
-                    took(s.due(now));
+                    took(s.onTimer(now));
                 } else {
                     Event e = events.poll();
                     now = e.atMs();
@@ -110,16 +110,18 @@
     }
 
     private static World world(TenantQuotas a) {
-        TenantScheduler s = new TenantScheduler(Limits.USUAL);
-        s.told(0, a);
+        TenantScheduler s = new TenantScheduler(SchedulerLimits.USUAL);
+        s.applyQuotas(0, a);
         return new World(s);
     }
 
     @Test
     void everyCallGoesUntilAllowancesAreTold() {
-        TenantScheduler s = new TenantScheduler(Limits.USUAL);
+        TenantScheduler s = new TenantScheduler(SchedulerLimits.USUAL);
         for (int i = 0; i < 1000; i++) {
-            assertEquals(Verdict.GO, s.open(i, i, "t" + i % 3, i + 10, 0).verdict());
+            assertEquals(
+                    AdmissionVerdict.ADMIT,
+                    s.onRequest(i, i, "t" + i % 3, i + 10, 0).verdict());
         }
         assertEquals(1000, s.running());
     }
@@ -149,8 +151,8 @@
 
     @Test
     void whatIsUnusedIsLentByWeightsAndComesBack() {
-        TenantScheduler s = new TenantScheduler(Limits.USUAL);
-        s.told(
+        TenantScheduler s = new TenantScheduler(SchedulerLimits.USUAL);
+        s.applyQuotas(
                 0,
                 new TenantQuotas(
                         1, Map.of("idle", 6.0, "a", 3.0, "b", 3.0), 0, Map.of("a", 2.0, "b", 1.0), FOREVER, Map.of()));
@@ -193,66 +195,71 @@
 
     @Test
     void creditIsBoundedAndSpent() {
-        TenantScheduler s = new TenantScheduler(new Limits(500, 0, 1000, 10));
-        s.told(0, allow(Map.of("a", 4.0, "b", 100.0), 0));
-        s.due(10_000);
+        TenantScheduler s = new TenantScheduler(new SchedulerLimits(500, 0, 1000, 10));
+        s.applyQuotas(0, allow(Map.of("a", 4.0, "b", 100.0), 0));
+        s.onTimer(10_000);
         int atOnce = 0;
         for (int i = 0; i < 20; i++) {
-            atOnce += s.open(10_000, i, "a", 20_000, 100).verdict() == Verdict.GO ? 1 : 0;
+            atOnce += s.onRequest(10_000, i, "a", 20_000, 100).verdict() == AdmissionVerdict.ADMIT ? 1 : 0;
         }
         assertTrue(atOnce > 5 && atOnce <= 8, "went at once: " + atOnce);
-        s.due(12_000);
+        s.onTimer(12_000);
         for (long i = 0; i < atOnce; i++) {
-            s.done(12_000, i);
+            s.onRequestEnded(12_000, i);
         }
         assertTrue(s.running() <= 4, "with its credit spent: " + s.running());
     }
 
     @Test
     void aCallWhoseTimeCannotBeMetIsRefusedAtOnceWithWhenToComeBack() {
-        TenantScheduler s = new TenantScheduler(Limits.USUAL);
-        s.told(0, allow(Map.of("a", 1.0), 0));
-        assertEquals(Verdict.GO, s.open(0, 1, "a", 1000, 200).verdict());
-        s.done(200, 1);
-        assertEquals(Verdict.GO, s.open(200, 2, "a", 1000, 200).verdict());
-        assertEquals(Verdict.WAIT, s.open(200, 3, "a", 900, 200).verdict());
-        TenantScheduler.Decision late = s.open(200, 4, "a", 500, 200);
-        assertEquals(Verdict.REFUSE, late.verdict());
+        TenantScheduler s = new TenantScheduler(SchedulerLimits.USUAL);
+        s.applyQuotas(0, allow(Map.of("a", 1.0), 0));
+        assertEquals(AdmissionVerdict.ADMIT, s.onRequest(0, 1, "a", 1000, 200).verdict());
+        s.onRequestEnded(200, 1);
+        assertEquals(AdmissionVerdict.ADMIT, s.onRequest(200, 2, "a", 1000, 200).verdict());
+        assertEquals(AdmissionVerdict.QUEUE, s.onRequest(200, 3, "a", 900, 200).verdict());
+        TenantScheduler.AdmissionDecision late = s.onRequest(200, 4, "a", 500, 200);
+        assertEquals(AdmissionVerdict.REJECT, late.verdict());
         assertTrue(late.retryAfterMs() >= 200 && late.retryAfterMs() < 1000, late::toString);
-        assertEquals(700, s.wakeMs());
+        assertEquals(700, s.nextTimerMs());
         assertEquals(
                 List.of(3L),
-                s.due(701).refuse().stream().map(SchedulingResult.Refused::flow).toList());
+                s.onTimer(701).rejected().stream()
+                        .map(SchedulingResult.Rejection::requestId)
+                        .toList());
         assertEquals(0, s.waiting());
     }
 
     @Test
     void guaranteedPartsHoldOnceTheTimeIsOver() {
-        TenantScheduler s = new TenantScheduler(Limits.USUAL);
-        s.told(0, new TenantQuotas(5, Map.of("a", 8.0), 0, Map.of(), 1000, Map.of("a", 2.0)));
+        TenantScheduler s = new TenantScheduler(SchedulerLimits.USUAL);
+        s.applyQuotas(0, new TenantQuotas(5, Map.of("a", 8.0), 0, Map.of(), 1000, Map.of("a", 2.0)));
         for (int i = 0; i < 8; i++) {
-            assertEquals(Verdict.GO, s.open(1, i, "a", 100_000, 10).verdict());
+            assertEquals(
+                    AdmissionVerdict.ADMIT, s.onRequest(1, i, "a", 100_000, 10).verdict());
         }
         // As a node that stood still: no call of due, the next event comes long after.
-        assertEquals(1000, s.wakeMs());
+        assertEquals(1000, s.nextTimerMs());
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), s.overstaying(11_000));
         assertEquals(2, s.total());
-        assertEquals(Verdict.WAIT, s.open(11_000, 9, "a", 1_000_000, 10).verdict());
-        s.told(11_001, new TenantQuotas(4, Map.of("a", 80.0), 0, Map.of(), FOREVER, Map.of()));
+        assertEquals(
+                AdmissionVerdict.QUEUE,
+                s.onRequest(11_000, 9, "a", 1_000_000, 10).verdict());
+        s.applyQuotas(11_001, new TenantQuotas(4, Map.of("a", 80.0), 0, Map.of(), FOREVER, Map.of()));
         assertEquals(2, s.total(), "an older epoch is passed over");
     }
 
     @Test
     void aHundredThousandTenantsAreForgottenOnceIdle() {
-        TenantScheduler s = new TenantScheduler(new Limits(100, 1000, 100, 50_000));
-        s.told(0, allow(Map.of(), 1000));
+        TenantScheduler s = new TenantScheduler(new SchedulerLimits(100, 1000, 100, 50_000));
+        s.applyQuotas(0, allow(Map.of(), 1000));
         for (int i = 0; i < 100_000; i++) {
-            s.open(i, i, "t" + i, i + 10, 1);
-            s.done(i + 1, i);
+            s.onRequest(i, i, "t" + i, i + 10, 1);
+            s.onRequestEnded(i + 1, i);
         }
         assertTrue(s.tenants() <= 50_001, "remembered: " + s.tenants());
-        s.read(200_000);
-        s.read(200_001);
+        s.takeUse(200_000);
+        s.takeUse(200_001);
         assertTrue(s.tenants() <= 1, "remembered: " + s.tenants());
     }
 
@@ -260,8 +267,8 @@
     void whateverHappensNoMoreRunThanMayAndNoFlowIsLost(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 8) int names) {
         Random r = new Random(seed);
-        TenantScheduler s = new TenantScheduler(new Limits(r.nextInt(3) * 100, 200, 20, 5));
-        Map<Long, String> state = new HashMap<>();
+        TenantScheduler s = new TenantScheduler(new SchedulerLimits(r.nextInt(3) * 100, 200, 20, 5));
+        Map<Long, AdmissionVerdict> state = new HashMap<>();
         double now = 0;
         for (int i = 0; i < 400; i++) {
             now += r.nextDouble() * 40;
@@ -269,36 +276,43 @@
             SchedulingResult t = SchedulingResult.NONE;
             switch (r.nextInt(6)) {
                 case 0, 1, 2 -> {
-                    Verdict v = s.open(now, i, "t" + r.nextInt(names), now + r.nextInt(500), r.nextInt(100))
+                    AdmissionVerdict v = s.onRequest(
+                                    now, i, "t" + r.nextInt(names), now + r.nextInt(500), r.nextInt(100))
                             .verdict();
-                    state.put((long) i, v.name());
-                    assertFalse(v == Verdict.GO && before >= s.total(), "went beyond the total");
+                    state.put((long) i, v);
+                    assertFalse(v == AdmissionVerdict.ADMIT && before >= s.total(), "went beyond the total");
                 }
                 case 3 -> {
                     long f = r.nextInt(i + 1);
-                    t = s.done(now, f);
+                    t = s.onRequestEnded(now, f);
                     state.remove(f);
                 }
-                case 4 -> t = s.due(now);
+                case 4 -> t = s.onTimer(now);
                 default -> {
                     Map<String, Double> a = new HashMap<>();
                     for (int k = 0; k < names; k += 2) {
                         a.put("t" + k, r.nextDouble() * 3);
                     }
-                    t = s.told(
+                    t = s.applyQuotas(
                             now,
                             new TenantQuotas(
                                     i, a, r.nextDouble() * 2, Map.of(), now + r.nextInt(400), Map.of("t0", 1.0)));
-                    s.read(now);
+                    s.takeUse(now);
                 }
             }
-            t.refuse().forEach(f -> assertEquals("WAIT", state.remove(f.flow())));
-            t.begin().forEach(f -> assertEquals("WAIT", state.put(f, "GO")));
-            assertTrue(t.begin().isEmpty() || s.running() <= s.total(), "began beyond the total");
+            t.rejected().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.remove(f.requestId())));
+            t.admitted().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.put(f, AdmissionVerdict.ADMIT)));
+            assertTrue(t.admitted().isEmpty() || s.running() <= s.total(), "began beyond the total");
             assertEquals(
-                    s.running(), state.values().stream().filter("GO"::equals).count());
+                    s.running(),
+                    state.values().stream()
+                            .filter(AdmissionVerdict.ADMIT::equals)
+                            .count());
             assertEquals(
-                    s.waiting(), state.values().stream().filter("WAIT"::equals).count());
+                    s.waiting(),
+                    state.values().stream()
+                            .filter(AdmissionVerdict.QUEUE::equals)
+                            .count());
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -184,14 +184,14 @@
         }
         Named n = names.getOrDefault(s.name(), new Named(s.name(), DecidedVersion.NONE, 0, List.of()));
         LeaseAuthority a = alone(n);
-        LeaseAuthority.Verdict v = a.judge(s.expected());
-        if (v != LeaseAuthority.Verdict.STAGED) {
+        LeaseAuthority.ProposalVerdict v = a.judgeProposal(s.expected());
+        if (v != LeaseAuthority.ProposalVerdict.STAGED) {
             return Result.valueOf(v.name());
         }
         LeaseAuthority staged = a.stage();
         List<Generation> history = new ArrayList<>(n.history());
-        history.add(new Generation(staged.last(), s.content(), s.by(), s.life(), s.number(), Outcome.STAGED));
-        keep(new Named(s.name(), staged.word(), staged.last(), trimmed(history, staged.word())));
+        history.add(new Generation(staged.lastGeneration(), s.content(), s.by(), s.life(), s.number(), Outcome.STAGED));
+        keep(new Named(s.name(), staged.decided(), staged.lastGeneration(), trimmed(history, staged.decided())));
         return Result.STAGED;
     }
 
@@ -202,7 +202,7 @@
         List<Generation> history = n.history().stream()
                 .map(k -> k.generation() == settled ? k.with(came) : k)
                 .toList();
-        keep(new Named(n.name(), next.word(), n.last(), trimmed(history, next.word())));
+        keep(new Named(n.name(), next.decided(), n.last(), trimmed(history, next.decided())));
         return Result.valueOf(came.name());
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -56,7 +56,7 @@
         this.terms = terms;
         this.state = state;
         this.leaderTerm = state.leaderTerm();
-        this.settledMs = nowMs + terms.waitMs();
+        this.settledMs = nowMs + terms.authorityWaitMs();
         state.names()
                 .values()
                 .forEach(n -> authorities.put(n.name(), LeaseAuthority.start(terms, nowMs, n.word(), n.last())));
@@ -73,17 +73,17 @@
     }
 
     private double waitMs(double forMs) {
-        return new LeaseTerms(forMs, terms.drift()).waitMs();
+        return new LeaseTerms(forMs, terms.drift()).authorityWaitMs();
     }
 
     /** What is decided of this name has changed. */
     void onApplied(String name) {
         AgreedState.Named n = state.named(name).orElseThrow();
         LeaseAuthority before = authorities.get(name);
-        Map<Integer, LeaseAuthority.Held> holders = new TreeMap<>();
+        Map<Integer, LeaseAuthority.GrantedLease> holders = new TreeMap<>();
         if (before == null) {
             // Whoever may act by other names is waited for here as well, so that it can refuse the first.
-            leases.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.Held(untilMs, 0)));
+            leases.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.GrantedLease(untilMs, 0)));
         } else {
             holders.putAll(before.holders());
         }
@@ -95,7 +95,7 @@
     /** The answer to a question; from now on its asker is waited for. */
     AgreementMessage.Answer answerRequest(double nowMs, String asker, AgreementMessage.Question q, String groupId) {
         int id = ids.computeIfAbsent(asker, a -> ids.size() + 1);
-        leases.put(id, nowMs + terms.waitMs());
+        leases.put(id, nowMs + terms.authorityWaitMs());
         Map<String, AgreementMessage.Heard> heard = new HashMap<>();
         q.heard().forEach(h -> heard.put(h.name(), h));
         List<AgreementMessage.Told> told = new ArrayList<>();
@@ -106,20 +106,20 @@
                     heard.getOrDefault(e.getKey(), new AgreementMessage.Heard(e.getKey(), 0, 0, List.of()));
             LeaseRequest ask = new LeaseRequest(id, q.life(), q.number(), h.version(), h.refused());
             LeaseAuthority a = e.getValue();
-            List<AgreementMessage.Item> items = items(a.word(), e.getKey(), h.has());
+            List<AgreementMessage.Item> items = items(a.decided(), e.getKey(), h.has());
             int bytes = items.stream().mapToInt(i -> i.content().length).sum();
             if (bytes > room) {
                 whole = false;
                 continue;
             }
             room -= bytes;
-            if (a.refusedBy(ask)) {
+            if (a.isStagedRejectedBy(ask)) {
                 refused.put(e.getKey(), asker);
             }
-            LeaseAuthority next = a.asked(nowMs, ask);
+            LeaseAuthority next = a.onRequest(nowMs, ask);
             e.setValue(next);
             LeaseGrant g = next.grant(ask);
-            told.add(new AgreementMessage.Told(e.getKey(), g.word(), items));
+            told.add(new AgreementMessage.Told(e.getKey(), g.decided(), items));
         }
         return new AgreementMessage.Answer(q.life(), q.number(), groupId, terms.leaseMs(), told, whole);
     }
@@ -139,14 +139,14 @@
     List<LogCommand> dueCommands(double nowMs) {
         List<LogCommand> due = new ArrayList<>();
         authorities.forEach((name, a) -> {
-            if (a.word().staged() == 0 || inFlight.contains(name)) {
+            if (a.decided().staged() == 0 || inFlight.contains(name)) {
                 return;
             }
             if (refused.containsKey(name)) {
-                due.add(new LogCommand.Abandon(name, a.word().version(), leaderTerm, refused.get(name)));
+                due.add(new LogCommand.Abandon(name, a.decided().version(), leaderTerm, refused.get(name)));
                 inFlight.add(name);
             } else if (a.mayActivate(nowMs)) {
-                due.add(new LogCommand.Activate(name, a.word().version(), leaderTerm));
+                due.add(new LogCommand.Activate(name, a.decided().version(), leaderTerm));
                 inFlight.add(name);
             }
         });
@@ -209,11 +209,11 @@
         LeaseAuthority a = authorities.get(name);
         List<String> who = new ArrayList<>();
         ids.forEach((member, id) -> {
-            LeaseAuthority.Held h = a == null ? null : a.holders().get(id);
+            LeaseAuthority.GrantedLease h = a == null ? null : a.holders().get(id);
             if (h != null
-                    && a.word().staged() != 0
+                    && a.decided().staged() != 0
                     && nowMs < h.untilMs()
-                    && h.heard() < a.word().version()) {
+                    && h.effectiveVersion() < a.decided().version()) {
                 who.add(member);
             }
         });
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -86,7 +86,7 @@
     }
 
     void start(double nowMs) {
-        nextRequestMs = schedule.firstMs(nowMs);
+        nextRequestMs = schedule.firstRequestMs(nowMs);
     }
 
     /** Asks for the lease if it is time to. */
@@ -99,13 +99,13 @@
             awaitingAnswer = false;
             believedLeader = "";
             failedRequests++;
-            nextRequestMs = schedule.failedMs(nowMs);
+            nextRequestMs = schedule.nextAfterFailureMs(nowMs);
             return;
         }
         view = view.startRequest(nowMs);
-        schedule.asked(nowMs);
+        schedule.onRequestSent(nowMs);
         awaitingAnswer = true;
-        nextRequestMs = nowMs + schedule.patienceMs();
+        nextRequestMs = nowMs + schedule.responseTimeoutMs();
         context.send(target(), view.question());
     }
 
@@ -131,7 +131,7 @@
                 .map(AgreementMessage.Told::name)
                 .filter(name -> next.word(name).version() > before.word(name).version())
                 .toList();
-        double requestMs = schedule.answeredMs(answeredMs, !changedNames.isEmpty());
+        double requestMs = schedule.nextAfterGrantMs(answeredMs, !changedNames.isEmpty());
         // A hint may have come while the request was on its way: it stays.
         nextRequestMs = awaitingAnswer ? requestMs : Math.min(nextRequestMs, requestMs);
         awaitingAnswer = false;
@@ -164,7 +164,7 @@
         }
         lastLeaderTerm = hint.leaderTerm();
         believedLeader = peer;
-        double requestMs = schedule.hintedMs(context.nowMs());
+        double requestMs = schedule.nextAfterHintMs(context.nowMs());
         if (!awaitingAnswer || requestMs < nextRequestMs) {
             awaitingAnswer = false;
             nextRequestMs = requestMs;
@@ -183,7 +183,7 @@
         }
         if (awaitingAnswer) {
             awaitingAnswer = false;
-            nextRequestMs = schedule.hintedMs(context.nowMs());
+            nextRequestMs = schedule.nextAfterHintMs(context.nowMs());
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -41,18 +41,18 @@
     /** A request for the lease leaves now. */
     LeaseView startRequest(double nowMs) {
         Map<String, Known> next = new TreeMap<>();
-        names.forEach((n, k) -> next.put(n, new Known(k.holder().asks(nowMs), k.values())));
-        return new LeaseView(fresh.asks(nowMs), next, leaseUntilMs);
+        names.forEach((n, k) -> next.put(n, new Known(k.holder().sendRequest(nowMs), k.values())));
+        return new LeaseView(fresh.sendRequest(nowMs), next, leaseUntilMs);
     }
 
     AgreementMessage.Question question() {
         List<AgreementMessage.Heard> heard = new ArrayList<>();
         names.forEach((n, k) -> heard.add(new AgreementMessage.Heard(
                 n,
-                k.holder().word().version(),
-                k.holder().refused(),
+                k.holder().decided().version(),
+                k.holder().rejectedGeneration(),
                 List.copyOf(k.values().keySet()))));
-        return new AgreementMessage.Question(fresh.life(), fresh.asked(), heard);
+        return new AgreementMessage.Question(fresh.incarnation(), fresh.lastRequestNumber(), heard);
     }
 
     /**
@@ -61,26 +61,26 @@
      * @param usable whether this member can use a content under a name
      */
     LeaseView onAnswer(AgreementMessage.Answer a, BiPredicate<String, byte[]> usable) {
-        if (a.life() != fresh.life() || a.number() != fresh.asked()) {
+        if (a.life() != fresh.incarnation() || a.number() != fresh.lastRequestNumber()) {
             return this;
         }
         Map<String, Known> next = new TreeMap<>(names);
         for (AgreementMessage.Told t : a.told()) {
             Known before = names.getOrDefault(t.name(), new Known(fresh, Map.of()));
-            LeaseHolder told = before.holder().told(new LeaseGrant(a.life(), a.number(), t.word(), a.leaseMs()));
+            LeaseHolder told = before.holder().onGrant(new LeaseGrant(a.life(), a.number(), t.word(), a.leaseMs()));
             if (told == before.holder()) {
                 continue;
             }
             Map<Long, Value> values = new TreeMap<>();
-            DecidedVersion w = told.word();
+            DecidedVersion w = told.decided();
             before.values().forEach((g, v) -> keep(values, w, v));
             t.items().forEach(i -> keep(values, w, new Value(t.name(), i.generation(), i.content(), i.by())));
             long refused =
                     !can(w.staged(), values, usable) ? w.staged() : !can(w.inForce(), values, usable) ? w.inForce() : 0;
-            next.put(t.name(), new Known(told.cannotUse(refused), values));
+            next.put(t.name(), new Known(told.rejectGeneration(refused), values));
         }
         return new LeaseView(
-                fresh, next, a.whole() ? Math.max(leaseUntilMs, fresh.askedAtMs() + a.leaseMs()) : leaseUntilMs);
+                fresh, next, a.whole() ? Math.max(leaseUntilMs, fresh.lastRequestAtMs() + a.leaseMs()) : leaseUntilMs);
     }
 
     private static void keep(Map<Long, Value> values, DecidedVersion w, Value v) {
@@ -96,7 +96,7 @@
 
     EffectiveVersions effectiveVersions(String name, double nowMs) {
         Known k = names.get(name);
-        return k == null ? EffectiveVersions.IN_DOUBT : k.holder().acts(nowMs);
+        return k == null ? EffectiveVersions.IN_DOUBT : k.holder().effectiveVersions(nowMs);
     }
 
     Optional<Acting> acting(String name, double nowMs) {
@@ -111,16 +111,16 @@
     /** The last value that was in force as far as it was told. */
     Optional<Value> known(String name) {
         return Optional.ofNullable(names.get(name))
-                .map(k -> k.values().get(k.holder().word().inForce()));
+                .map(k -> k.values().get(k.holder().decided().inForce()));
     }
 
     DecidedVersion word(String name) {
-        return names.containsKey(name) ? names.get(name).holder().word() : DecidedVersion.NONE;
+        return names.containsKey(name) ? names.get(name).holder().decided() : DecidedVersion.NONE;
     }
 
     /** The generation of this name that it can't use; 0 if none. */
     long refused(String name) {
-        return names.containsKey(name) ? names.get(name).holder().refused() : 0;
+        return names.containsKey(name) ? names.get(name).holder().rejectedGeneration() : 0;
     }
 
     List<String> names() {
@@ -134,6 +134,6 @@
 
     /** The number of its last question. */
     long asked() {
-        return fresh.asked();
+        return fresh.lastRequestNumber();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
@@ -19,7 +19,7 @@
 
     /** An order has come; what holds from now on, or nothing if it is passed over. */
     public Optional<ZoneWeights> take(WeightCommand o, double nowMs) {
-        if (o.token() < last.token() || o.token() == last.token() && o.epoch() < last.epoch()) {
+        if (o.token() < last.driverToken() || o.token() == last.driverToken() && o.epoch() < last.epoch()) {
             return Optional.empty();
         }
         last = new ZoneWeights(o.token(), o.epoch(), o.parts(), nowMs + o.forMs() * (1 - drift));
@@ -28,7 +28,7 @@
 
     /** The part of its usual load that a zone has at this moment. */
     public double part(String zone, double nowMs) {
-        return nowMs < last.untilMs() ? last.parts().getOrDefault(zone, 1.0) : 1;
+        return nowMs < last.untilMs() ? last.weights().getOrDefault(zone, 1.0) : 1;
     }
 
     /** What was told last. */
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -30,7 +30,7 @@
  * A node and its part of the fleet in one process: what the node sees goes into records, what the fleet decides goes to
  * the node's reducer as events. The node's loop waits for nothing here.
  */
-public final class FleetParticipant implements Main.Beside {
+public final class FleetParticipant implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(FleetParticipant.class);
     private static final long POOLS_MS = 1000;
     private static final long DEMAND_MS = 500;
@@ -61,7 +61,10 @@
         fleet = new FleetNode(file, config.name(), clock);
         double slots = file.shares() == null ? 0 : file.shares().connectionsPerServer();
         PoolReports reports = new PoolReports(
-                pool, slots, config.settings().coldFrom(), config.settings().warmAfter() / 1000.0);
+                pool,
+                slots,
+                config.settings().coldCapacityRatio(),
+                config.settings().warmUpTime() / 1000.0);
         CommandFilter orders = new CommandFilter(file.agreed().drift());
         fleet.links().receive(MessageStream.EVACUATION, (peer, life, body) -> {
             try {
@@ -71,13 +74,13 @@
             }
         });
         fleet.start();
-        node.observe();
-        every(POOLS_MS, () -> publish(RecordSpace.POOLS, reports.report(node.observed()), reported));
+        node.startObserving();
+        every(POOLS_MS, () -> publish(RecordSpace.POOLS, reports.report(node.observation()), reported));
         every(DEMAND_MS, () -> {
             List<TenantUse> all = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
-            all.forEach(
-                    u -> uses.put(pool + "/" + u.tenant(), new PoolUse(u.wanted(), u.used(), u.refused(), u.meanMs())));
+            all.forEach(u -> uses.put(
+                    pool + "/" + u.tenant(), new PoolUse(u.demand(), u.used(), u.rejectedPerSecond(), u.meanMs())));
             publish(RecordSpace.DEMAND, uses, wanted);
         });
     }
@@ -85,7 +88,7 @@
     /** Peers' threads bring orders; one at a time is looked at. */
     private static void take(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
         synchronized (orders) {
-            orders.take(order, nowMs).ifPresent(w -> node.tell(new Event.ZonesWeighed(w)));
+            orders.take(order, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
@@ -31,7 +31,7 @@
  * that can't be used is refused whole and reported back; the one before stays. Without a control machine the node goes
  * by what it was told last, and before the first answer by its file.
  */
-public final class NodeSubscription implements Main.Beside {
+public final class NodeSubscription implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(NodeSubscription.class);
     private static final long RECONCILE_MS = 1000;
     private static final String APPLIED_FIGURE = "proxy.config_applied:";
@@ -122,7 +122,7 @@
         JsonObject whole = StrictJson.parse(Files.readString(configFile)).asObject();
         with.forEach((key, content) -> whole.set(key, StrictJson.parse(content)));
         Config config = Config.parse(whole.toString()).withManagement(System.getenv("PROXY_MGMT"));
-        started.shape().requireOf(config.shape());
+        started.schema().requireSameKeysIn(config.schema());
         return config;
     }
 
@@ -134,7 +134,7 @@
     /** After a SIGHUP the file's settings hold: what was agreed is put back in its place. */
     private void reconcile() {
         try {
-            long reloads = reloads(node.figures());
+            long reloads = reloads(node.metricsText());
             long others = reloads - reloadsSeen - ownReloads;
             if (reloads <= reloadsSeen) {
                 return;
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReports.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReports.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.node;
 
-import brackenbridge.core.observe.Observer.Key;
-import brackenbridge.core.observe.Observer.Snapshot;
-import brackenbridge.core.observe.Observer.Tally;
+import brackenbridge.core.observe.TrafficObserver.PoolKey;
+import brackenbridge.core.observe.TrafficObserver.PoolTally;
+import brackenbridge.core.observe.TrafficObserver.TrafficSnapshot;
 import brackenbridge.fleet.evacuation.PoolName;
 import brackenbridge.fleet.evacuation.PoolObservation;
 import java.util.ArrayDeque;
@@ -26,8 +26,8 @@
     private final double connections;
     private final double coldFrom;
     private final double coldMs;
-    private final ArrayDeque<Snapshot> seen = new ArrayDeque<>();
-    private final Map<Key, Double> leastMs = new HashMap<>();
+    private final ArrayDeque<TrafficSnapshot> seen = new ArrayDeque<>();
+    private final Map<PoolKey, Double> leastMs = new HashMap<>();
 
     /**
      * Reports of one node.
@@ -45,28 +45,30 @@
     }
 
     /** The records by key, {@code tier/zone/kind/class}, as they are once this snapshot was taken. */
-    Map<String, PoolObservation> report(Snapshot now) {
+    Map<String, PoolObservation> report(TrafficSnapshot now) {
         while (seen.size() > 1 && now.atMs() - seen.peekFirst().atMs() > OVER_MS) {
             seen.pollFirst();
         }
         Map<String, PoolObservation> all = new TreeMap<>();
-        Snapshot before = seen.peekFirst();
+        TrafficSnapshot before = seen.peekFirst();
         if (before != null && now.atMs() > before.atMs()) {
             double seconds = (now.atMs() - before.atMs()) / 1000;
             Map<String, Double> refused = new HashMap<>();
-            now.refused().forEach((c, n) -> refused.put(c, (n - before.refused().getOrDefault(c, 0L)) / seconds));
+            now.rejected()
+                    .forEach((c, n) -> refused.put(c, (n - before.rejected().getOrDefault(c, 0L)) / seconds));
             Map<String, Long> firstOfClass = new HashMap<>();
             now.pools()
                     .forEach((k, t) -> firstOfClass.merge(
                             k.className(),
-                            t.first() - before.pools().getOrDefault(k, NONE).first(),
+                            t.firstAttempts()
+                                    - before.pools().getOrDefault(k, NONE).firstAttempts(),
                             Long::sum));
             now.pools().forEach((k, t) -> {
-                Tally was = before.pools().getOrDefault(k, NONE);
+                PoolTally was = before.pools().getOrDefault(k, NONE);
                 // What was turned away went nowhere: it counts with each pool by its part of what did go.
                 double part = firstOfClass.get(k.className()) == 0
                         ? 0
-                        : (t.first() - was.first()) / (double) firstOfClass.get(k.className());
+                        : (t.firstAttempts() - was.firstAttempts()) / (double) firstOfClass.get(k.className());
                 all.put(
                         name(k) + "/" + k.className(),
                         one(
@@ -75,21 +77,21 @@
                                 was,
                                 seconds,
                                 refused.getOrDefault(k.className(), 0.0) * part,
-                                now.servers().getOrDefault(new Key(k.zone(), k.weight(), ""), 0)));
+                                now.servers().getOrDefault(new PoolKey(k.zone(), k.weight(), ""), 0)));
             });
         }
         seen.addLast(now);
         return all;
     }
 
-    private static final Tally NONE = new Tally(0, 0, 0, 0, 0, 0, 0, 0);
+    private static final PoolTally NONE = new PoolTally(0, 0, 0, 0, 0, 0, 0, 0);
 
-    private PoolName name(Key k) {
+    private PoolName name(PoolKey k) {
         // Servers of one zone and weight are one pool: nothing else in a list tells kinds apart.
         return new PoolName(tier, k.zone().isEmpty() ? "-" : k.zone().replace('/', '_'), "w" + k.weight());
     }
 
-    private PoolObservation one(Key k, Tally now, Tally was, double seconds, double refused, int servers) {
+    private PoolObservation one(PoolKey k, PoolTally now, PoolTally was, double seconds, double refused, int servers) {
         long served = now.served() - was.served();
         long ended = served + now.failed() - was.failed();
         double mean = served == 0 ? 0 : (now.sumMs() - was.sumMs()) / served;
@@ -98,12 +100,12 @@
             leastMs.merge(k, mean, (old, m) -> Math.min(old * RISE, m));
         }
         return new PoolObservation(
-                (now.first() - was.first()) / seconds,
+                (now.firstAttempts() - was.firstAttempts()) / seconds,
                 (now.attempts() - was.attempts()) / seconds,
                 refused,
                 servers,
                 0,
-                (now.heldMs() - was.heldMs()) / (seconds * 1000),
+                (now.inFlightMs() - was.inFlightMs()) / (seconds * 1000),
                 leastMs.getOrDefault(k, 0.0),
                 mean,
                 mean == 0 ? 0 : Math.max(0, square / (mean * mean) - 1),
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -79,7 +79,7 @@
         readAtMs = nowMs;
         Map<String, PoolUse> now = new HashMap<>();
         for (TenantUse u : uses) {
-            now.put(u.tenant(), new PoolUse(u.wanted(), u.running(), u.refused(), u.meanMs()));
+            now.put(u.tenant(), new PoolUse(u.demand(), u.running(), u.rejectedPerSecond(), u.meanMs()));
         }
         demand.forEach((t, u) -> now.putIfAbsent(t, new PoolUse(0, 0, 0, u.meanMs())));
         now.replaceAll((t, u) -> {
--- a/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
@@ -108,7 +108,7 @@
     }
 
     private boolean hasClass(String name) {
-        return node.figures().contains("proxy.ok." + name + ":");
+        return node.metricsText().contains("proxy.ok." + name + ":");
     }
 
     private String fleetStatus() {
@@ -140,7 +140,7 @@
                                 + "\"health\":\"active\",\"share\":1.0,"
                                 + "\"born_ms\":0}]}")
                         .getBytes(StandardCharsets.UTF_8)));
-        await(() -> node.figures().contains("proxy.pool_size:1|"));
+        await(() -> node.metricsText().contains("proxy.pool_size:1|"));
     }
 
     @Test
@@ -154,7 +154,7 @@
     }
 
     private int applied() {
-        return Integer.parseInt(node.figures().replaceAll("(?s).*proxy.config_applied:([0-9]+).*", "$1"));
+        return Integer.parseInt(node.metricsText().replaceAll("(?s).*proxy.config_applied:([0-9]+).*", "$1"));
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
@@ -2,34 +2,34 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import brackenbridge.core.observe.Observer;
-import brackenbridge.core.observe.Observer.Key;
+import brackenbridge.core.observe.TrafficObserver;
+import brackenbridge.core.observe.TrafficObserver.PoolKey;
 import brackenbridge.fleet.evacuation.PoolObservation;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** What a node counted becomes rates and times of the last seconds. */
 class PoolReportsTest {
-    private static final Key A = new Key("a", 1, "view");
-    private static final Key B = new Key("b", 2, "view");
-    private final Observer observer = new Observer();
+    private static final PoolKey A = new PoolKey("a", 1, "view");
+    private static final PoolKey B = new PoolKey("b", 2, "view");
+    private final TrafficObserver observer = new TrafficObserver();
     private final PoolReports reports = new PoolReports("tier-0", 4, 0.3, 8500);
     private double now = 1_000_000;
 
     private Map<String, PoolObservation> second(int toA, int toB, double ms, int refused) {
         for (int i = 0; i < toA; i++) {
-            observer.sent(A, true);
-            observer.ended(A, true, true, ms);
+            observer.onAttemptStarted(A, true);
+            observer.onAttemptEnded(A, true, true, ms);
         }
         for (int i = 0; i < toB; i++) {
-            observer.sent(B, i % 2 == 0);
-            observer.ended(B, i % 2 == 1, true, ms);
+            observer.onAttemptStarted(B, i % 2 == 0);
+            observer.onAttemptEnded(B, i % 2 == 1, true, ms);
         }
         for (int i = 0; i < refused; i++) {
-            observer.refused("view");
+            observer.onRejected("view");
         }
         now += 1000;
-        return reports.report(observer.snapshot(now, Map.of(new Key("a", 1, ""), 3, new Key("b", 2, ""), 5)));
+        return reports.report(observer.snapshot(now, Map.of(new PoolKey("a", 1, ""), 3, new PoolKey("b", 2, ""), 5)));
     }
 
     @Test
--- a/lab/src/main/java/brackenbridge/lab/agree/AgreementModel.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/AgreementModel.java
@@ -65,25 +65,26 @@
         for (int i = 0; i < bounds.holders(); i++) {
             nodes.add(new Node(LeaseHolder.start(i, 0), 0, -Bounds.LAG_EVERY, 0, 0));
         }
-        return new State(0, nodes, a, null, a.word(), Set.of(), Set.of(), 0, 0);
+        return new State(0, nodes, a, null, a.decided(), Set.of(), Set.of(), 0, 0);
     }
 
     /** What a holder would do if it decided something now. */
     EffectiveVersions acts(State s, int i) {
         Node n = s.nodes().get(i);
         int clock = s.time() - n.lag();
-        EffectiveVersions acts = n.holder().acts(mistake == AgreementMistake.LEASE_NOT_LOOKED_AT ? n.seenAt() : clock);
+        EffectiveVersions acts =
+                n.holder().effectiveVersions(mistake == AgreementMistake.LEASE_NOT_LOOKED_AT ? n.seenAt() : clock);
         boolean both = acts.one() != acts.other();
-        return both && mistake == AgreementMistake.STAGED_ALONE ? EffectiveVersions.by(acts.other()) : acts;
+        return both && mistake == AgreementMistake.STAGED_ALONE ? EffectiveVersions.of(acts.other()) : acts;
     }
 
     /** What is wrong at this moment; null if nothing is. */
     String breach(State s) {
         for (int i = 0; i < s.nodes().size(); i++) {
             EffectiveVersions acts = acts(s, i);
-            if (!acts.keeps(s.authority().word().inForce())) {
+            if (!acts.includes(s.authority().decided().inForce())) {
                 return "node " + i + " acts by " + text(acts) + ", in force is "
-                        + s.authority().word().inForce();
+                        + s.authority().decided().inForce();
             }
             for (int j = 0; j < i; j++) {
                 if (acts.contradicts(acts(s, j))) {
@@ -115,10 +116,11 @@
             next.put("told " + g, told(s, g));
         }
         LeaseAuthority a = s.authority();
-        if (s.proposals() < bounds.proposals() && a.judge(a.word().inForce()) == LeaseAuthority.Verdict.STAGED) {
+        if (s.proposals() < bounds.proposals()
+                && a.judgeProposal(a.decided().inForce()) == LeaseAuthority.ProposalVerdict.STAGED) {
             next.put("propose", decided(s, a.stage(), s.proposals() + 1));
         }
-        if (a.word().staged() != 0) {
+        if (a.decided().staged() != 0) {
             next.put("abandon", decided(s, a.abandon(), s.proposals()));
             if (a.mayActivate(s.time())) {
                 next.put("activate", decided(s, a.activate(s.time()), s.proposals()));
@@ -130,9 +132,11 @@
                                 new LeaseAuthority(
                                         a.terms(),
                                         new DecidedVersion(
-                                                a.word().version() + 1, a.word().staged(), 0),
-                                        a.last(),
-                                        a.settledMs(),
+                                                a.decided().version() + 1,
+                                                a.decided().staged(),
+                                                0),
+                                        a.lastGeneration(),
+                                        a.earlierLeasesExpireMs(),
                                         a.holders()),
                                 s.proposals()));
             }
@@ -177,11 +181,11 @@
     private void node(State s, int i, Map<String, State> next) {
         Node n = s.nodes().get(i);
         int clock = s.time() - n.lag();
-        if (n.holder().asked() < bounds.asks()) {
-            LeaseHolder h = n.holder().asks(clock);
+        if (n.holder().lastRequestNumber() < bounds.asks()) {
+            LeaseHolder h = n.holder().sendRequest(clock);
             Set<LeaseRequest> asks = new TreeSet<>(AgreementModel::order);
             asks.addAll(s.asks());
-            asks.add(h.ask());
+            asks.add(h.lastRequest());
             State moved = with(s, i, h, clock, n.starts());
             next.put(
                     "node " + i + " asks",
@@ -197,7 +201,7 @@
                             moved.takeovers()));
         }
         if (n.starts() < bounds.starts()) {
-            State moved = with(s, i, LeaseHolder.start(i, n.holder().life() + 1), clock, n.starts() + 1);
+            State moved = with(s, i, LeaseHolder.start(i, n.holder().incarnation() + 1), clock, n.starts() + 1);
             next.put(
                     "node " + i + " starts again",
                     new State(
@@ -226,7 +230,9 @@
     private static int order(LeaseRequest a, LeaseRequest b) {
         return a.holder() != b.holder()
                 ? Integer.compare(a.holder(), b.holder())
-                : a.life() != b.life() ? Long.compare(a.life(), b.life()) : Long.compare(a.number(), b.number());
+                : a.incarnation() != b.incarnation()
+                        ? Long.compare(a.incarnation(), b.incarnation())
+                        : Long.compare(a.requestNumber(), b.requestNumber());
     }
 
     private State with(State s, int i, LeaseHolder h, int clock, int starts) {
@@ -247,24 +253,26 @@
     }
 
     private State asked(State s, LeaseAuthority by, LeaseRequest a, boolean current) {
-        LeaseAuthority next = by.asked(s.time(), a);
+        LeaseAuthority next = by.onRequest(s.time(), a);
         LeaseGrant g = next.grant(a);
         if (mistake == AgreementMistake.HEARD_WHEN_SAID || mistake == AgreementMistake.RENEWAL_FORGOTTEN) {
-            LeaseAuthority.Held before = by.holders().get(a.holder());
-            LeaseAuthority.Held after = next.holders().get(a.holder());
-            Map<Integer, LeaseAuthority.Held> holders = new TreeMap<>(next.holders());
+            LeaseAuthority.GrantedLease before = by.holders().get(a.holder());
+            LeaseAuthority.GrantedLease after = next.holders().get(a.holder());
+            Map<Integer, LeaseAuthority.GrantedLease> holders = new TreeMap<>(next.holders());
             holders.put(
                     a.holder(),
                     mistake == AgreementMistake.HEARD_WHEN_SAID
-                            ? new LeaseAuthority.Held(
-                                    after.untilMs(), next.word().version())
-                            : new LeaseAuthority.Held(
-                                    before == null ? after.untilMs() : before.untilMs(), after.heard()));
-            next = new LeaseAuthority(next.terms(), next.word(), next.last(), next.settledMs(), holders);
+                            ? new LeaseAuthority.GrantedLease(
+                                    after.untilMs(), next.decided().version())
+                            : new LeaseAuthority.GrantedLease(
+                                    before == null ? after.untilMs() : before.untilMs(), after.effectiveVersion()));
+            next = new LeaseAuthority(
+                    next.terms(), next.decided(), next.lastGeneration(), next.earlierLeasesExpireMs(), holders);
         }
         Set<Sent> sent = new LinkedHashSet<>(s.grants());
         LeaseHolder asker = s.nodes().get(a.holder()).holder();
-        if (a.life() == asker.life() && a.number() == asker.asked() || mistake == AgreementMistake.ANY_ANSWER_TAKEN) {
+        if (a.incarnation() == asker.incarnation() && a.requestNumber() == asker.lastRequestNumber()
+                || mistake == AgreementMistake.ANY_ANSWER_TAKEN) {
             sent.add(new Sent(a.holder(), g));
         }
         return new State(
@@ -285,12 +293,18 @@
         int clock = s.time() - n.lag();
         LeaseGrant g = sent.grant();
         if (mistake == AgreementMistake.ANY_ANSWER_TAKEN) {
-            g = new LeaseGrant(h.life(), h.asked(), g.word(), g.leaseMs());
+            g = new LeaseGrant(h.incarnation(), h.lastRequestNumber(), g.decided(), g.leaseMs());
         }
-        LeaseHolder after = h.told(g);
+        LeaseHolder after = h.onGrant(g);
         if (after != h && mistake == AgreementMistake.LEASE_FROM_ANSWER) {
             after = new LeaseHolder(
-                    h.id(), h.life(), h.asked(), h.askedAtMs(), after.word(), clock + g.leaseMs(), h.refused());
+                    h.id(),
+                    h.incarnation(),
+                    h.lastRequestNumber(),
+                    h.lastRequestAtMs(),
+                    after.decided(),
+                    clock + g.leaseMs(),
+                    h.rejectedGeneration());
         }
         return with(s, sent.to(), after, clock, n.starts());
     }
@@ -301,7 +315,7 @@
                 s.nodes(),
                 a,
                 s.deposed(),
-                s.authority().word(),
+                s.authority().decided(),
                 s.asks(),
                 s.grants(),
                 proposals,
@@ -310,10 +324,10 @@
 
     private State takeover(State s) {
         LeaseAuthority old = s.authority();
-        DecidedVersion known = mistake == AgreementMistake.WORD_NOT_DURABLE ? s.before() : old.word();
-        LeaseAuthority next = LeaseAuthority.start(old.terms(), s.time(), known, old.last());
+        DecidedVersion known = mistake == AgreementMistake.WORD_NOT_DURABLE ? s.before() : old.decided();
+        LeaseAuthority next = LeaseAuthority.start(old.terms(), s.time(), known, old.lastGeneration());
         if (mistake == AgreementMistake.TAKEOVER_WITHOUT_WAIT) {
-            next = new LeaseAuthority(next.terms(), next.word(), next.last(), s.time(), Map.of());
+            next = new LeaseAuthority(next.terms(), next.decided(), next.lastGeneration(), s.time(), Map.of());
         }
         return new State(
                 s.time(),
@@ -330,7 +344,7 @@
     /** Whether all nodes act by a generation that was proposed. */
     boolean reached(State s) {
         for (int i = 0; i < s.nodes().size(); i++) {
-            if (!Objects.equals(acts(s, i), EffectiveVersions.by(2))) {
+            if (!Objects.equals(acts(s, i), EffectiveVersions.of(2))) {
                 return false;
             }
         }
--- a/lab/src/main/java/brackenbridge/lab/agree/SimulatedAgreementFleet.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/SimulatedAgreementFleet.java
@@ -89,7 +89,7 @@
         }
 
         EffectiveVersions acts() {
-            return holder.acts(clock());
+            return holder.effectiveVersions(clock());
         }
 
         /** Asks at this time of its own clock. */
@@ -103,18 +103,18 @@
         }
 
         private void ask() {
-            holder = holder.asks(clock());
-            cadence.asked(clock());
-            LeaseRequest a = holder.ask();
+            holder = holder.sendRequest(clock());
+            cadence.onRequestSent(clock());
+            LeaseRequest a = holder.lastRequest();
             boolean leaves = reached();
             if (leaves) {
                 questions(queue.nowMs());
                 queue.at(queue.nowMs() + way(), () -> arrives(this, a));
             }
             long mine = ++turn;
-            queue.at((clock() + cadence.patienceMs()) / rate, () -> {
+            queue.at((clock() + cadence.responseTimeoutMs()) / rate, () -> {
                 if (mine == turn) {
-                    askAt(cadence.failedMs(clock()));
+                    askAt(cadence.nextAfterFailureMs(clock()));
                 }
             });
         }
@@ -123,18 +123,18 @@
             if (!reached()) {
                 return;
             }
-            long before = holder.word().version();
-            LeaseHolder next = holder.told(g);
+            long before = holder.decided().version();
+            LeaseHolder next = holder.onGrant(g);
             if (next != holder) {
                 holder = next;
-                askAt(cadence.answeredMs(clock(), holder.word().version() > before));
+                askAt(cadence.nextAfterGrantMs(clock(), holder.decided().version() > before));
                 acted(this);
             }
         }
 
         void hinted() {
             if (reached()) {
-                askAt(cadence.hintedMs(clock()));
+                askAt(cadence.nextAfterHintMs(clock()));
             }
         }
     }
@@ -184,7 +184,7 @@
             if (!leads) {
                 return;
             }
-            authority = authority.asked(queue.nowMs(), a);
+            authority = authority.onRequest(queue.nowMs(), a);
             look();
             LeaseGrant g = authority.grant(a);
             queue.at(queue.nowMs() + way(), () -> from.told(g));
@@ -193,7 +193,7 @@
 
     /** Activates what may be, and looks again when time alone could allow it. */
     private void look() {
-        if (!leads || authority.word().staged() == 0) {
+        if (!leads || authority.decided().staged() == 0) {
             return;
         }
         if (authority.mayActivate(queue.nowMs())) {
@@ -219,8 +219,8 @@
     }
 
     private void acted(Node n) {
-        long last = authority.word().inForce();
-        if (n.seen < last && n.acts().equals(EffectiveVersions.by(last))) {
+        long last = authority.decided().inForce();
+        if (n.seen < last && n.acts().equals(EffectiveVersions.of(last))) {
             n.seen = last;
             nodesMs.recordValue(Math.min(600_000, Math.round(queue.nowMs() - proposedMs)));
         }
@@ -256,7 +256,7 @@
 
     /** Plays it. */
     public Outcome run() {
-        nodes.forEach(n -> n.askAt(n.cadence.firstMs(0)));
+        nodes.forEach(n -> n.askAt(n.cadence.firstRequestMs(0)));
         check();
         for (int i = 0; i < plan.proposals(); i++) {
             queue.at(WARM_MS + i * BETWEEN_MS, this::propose);
@@ -266,8 +266,9 @@
                 leads = false;
                 queue.at(queue.nowMs() + ELECTION_MS, () -> {
                     leads = true;
-                    authority = LeaseAuthority.start(plan.terms(), queue.nowMs(), authority.word(), authority.last());
-                    nodes.forEach(n -> n.askAt(n.cadence.firstMs(n.clock())));
+                    authority = LeaseAuthority.start(
+                            plan.terms(), queue.nowMs(), authority.decided(), authority.lastGeneration());
+                    nodes.forEach(n -> n.askAt(n.cadence.firstRequestMs(n.clock())));
                     look();
                 });
             });
--- a/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
+++ b/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
@@ -6,11 +6,11 @@
 import brackenbridge.core.Event;
 import brackenbridge.core.Reducer;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.NetworkSettings;
+import brackenbridge.core.balancing.RequestClass;
 import brackenbridge.counters.Counters;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -50,17 +50,17 @@
     private final PriorityQueue<Effect.SetTimer> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Effect.SetTimer::atMs));
     private final Set<Object> unset = new HashSet<>();
-    private final List<Effect.Forward> out = new ArrayList<>();
+    private final List<Effect.StartAttempt> out = new ArrayList<>();
 
     /** A node that has learned its servers, with a few flows open. */
     @Setup
     public void start() {
         RequestClass view = new RequestClass(
-                "view", 4_000_000, 8_000_000, BalancerApiEffects.SAFE, DedupScope.ALL, 0, false, 2, 0.25);
+                "view", 4_000_000, 8_000_000, BalancerApiEffects.SAFE, DeduplicationScope.ALL, 0, false, 2, 0.25);
         RequestClass file = new RequestClass(
-                "file", 3_000_000, 6_000_000, BalancerApiEffects.UNSAFE, DedupScope.ALL, 0, false, 10, 0.25);
+                "file", 3_000_000, 6_000_000, BalancerApiEffects.UNSAFE, DeduplicationScope.ALL, 0, false, 10, 0.25);
         reducer = new Reducer(
-                new Settings(
+                new BalancerSettings(
                         7,
                         0,
                         10,
@@ -80,7 +80,7 @@
                         30_000_000,
                         0.3,
                         8_500_000,
-                        new Network(120_000, 500_000, false, List.of("depth"))),
+                        new NetworkSettings(120_000, 500_000, false, List.of("depth"))),
                 new Counters());
         now = 1_000_000;
         timers.clear();
@@ -98,26 +98,26 @@
 
     /** What the module's own interface names likewise. */
     private static final class BalancerApiEffects {
-        static final brackenbridge.core.balancing.BalancerApi.Effect SAFE =
-                brackenbridge.core.balancing.BalancerApi.Effect.SAFE;
-        static final brackenbridge.core.balancing.BalancerApi.Effect UNSAFE =
-                brackenbridge.core.balancing.BalancerApi.Effect.UNSAFE;
+        static final brackenbridge.core.balancing.Idempotence SAFE =
+                brackenbridge.core.balancing.Idempotence.IDEMPOTENT;
+        static final brackenbridge.core.balancing.Idempotence UNSAFE =
+                brackenbridge.core.balancing.Idempotence.NOT_IDEMPOTENT;
     }
 
     private void tell(Event event) {
         for (Effect e : reducer.reduce(now, event)) {
             if (e instanceof Effect.SetTimer t) {
                 timers.add(t);
-            } else if (e instanceof Effect.UnsetTimer t) {
+            } else if (e instanceof Effect.CancelTimer t) {
                 unset.add(t.key());
-            } else if (e instanceof Effect.Forward f) {
+            } else if (e instanceof Effect.StartAttempt f) {
                 out.add(f);
             }
         }
     }
 
     private void open() {
-        tell(new Event.FlowOpened(
+        tell(new Event.RequestReceived(
                 flows, new ClientRequest((flows & 3) == 0 ? "file" : "view", null, 5000, false, true, "")));
         flows++;
     }
@@ -135,9 +135,9 @@
         }
         open();
         if (!out.isEmpty()) {
-            Effect.Forward f = out.remove(0);
-            tell(new Event.ForwardWritten(f.flow(), f.forward()));
-            tell(new Event.ForwardAnswered(f.flow(), f.forward(), Event.Reply.SERVED, "", null));
+            Effect.StartAttempt f = out.remove(0);
+            tell(new Event.AttemptWritten(f.requestId(), f.attempt()));
+            tell(new Event.AttemptAnswered(f.requestId(), f.attempt(), Event.ServerReply.SERVED, "", null));
         }
         return out.size();
     }
--- a/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
@@ -4,7 +4,7 @@
 import brackenbridge.config.Config;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.HttpRequest;
@@ -351,17 +351,17 @@
     /** A list as a node sees it: servers are where the links to them begin. */
     private EndpointList seenFrom(String node, EndpointList g) {
         List<ServerEndpoint> targets = new ArrayList<>();
-        for (ServerEndpoint t : g.targets()) {
+        for (ServerEndpoint t : g.endpoints()) {
             targets.add(new ServerEndpoint(
                     t.host(),
-                    links.through(node, places.getOrDefault(t.dial(), t.host()), t.dial()),
+                    links.through(node, places.getOrDefault(t.address(), t.host()), t.address()),
                     t.zone(),
                     t.cell(),
                     t.weight(),
-                    t.bornMs(),
+                    t.startedAtMs(),
                     t.state()));
         }
-        return new EndpointList(g.seq(), g.whole(), targets);
+        return new EndpointList(g.version(), g.complete(), targets);
     }
 
     private void moveNode(String name, String moved) {
--- a/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.world.World;
--- a/lab/src/main/java/brackenbridge/lab/live/Servers.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Servers.java
@@ -71,8 +71,8 @@
     /** The addresses of the first tier's servers. */
     public List<String> dials() {
         return live.servers(0).stream()
-                .map(s -> s.target(brackenbridge.core.balancing.BalancerApi.EndpointState.UP)
-                        .dial())
+                .map(s ->
+                        s.target(brackenbridge.core.balancing.EndpointState.UP).address())
                 .toList();
     }
 
--- a/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
+++ b/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
@@ -2,13 +2,12 @@
 
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.core.balancing.TenantShare;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import java.util.Locale;
 
 /** Writes a node's configuration and discovery's lists in the platform's form. */
 final class SettingsJson {
@@ -16,7 +15,7 @@
 
     /** A node's whole configuration. */
     static JsonObject config(
-            String name, String listen, String discovery, int sockets, Settings s, EndpointList known) {
+            String name, String listen, String discovery, int sockets, BalancerSettings s, EndpointList known) {
         return Json.object()
                 .add("name", name)
                 .add("listen", listen)
@@ -29,19 +28,19 @@
                 .add("settings", settings(s));
     }
 
-    private static JsonObject settings(Settings s) {
+    private static JsonObject settings(BalancerSettings s) {
         JsonArray classes = new JsonArray();
         for (RequestClass c : s.classes()) {
             classes.add(Json.object()
                     .add("name", c.name())
-                    .add("aim", c.aim())
+                    .add("aim", c.latencyObjective())
                     .add("giveUp", c.deadline())
-                    .add("effect", c.effect().name().toLowerCase(Locale.ROOT))
-                    .add("worth", c.worth())
-                    .add("lateShare", c.lateShare()));
+                    .add("effect", c.idempotence().settingsValue())
+                    .add("worth", c.priorityWeight())
+                    .add("lateShare", c.lateValueRatio()));
         }
         JsonArray tenants = new JsonArray();
-        for (Tenant t : s.tenants()) {
+        for (TenantShare t : s.tenants()) {
             tenants.add(
                     Json.object().add("name", t.name()).add("share", t.share()).add("quotaPerS", t.quotaPerSecond()));
         }
@@ -50,22 +49,22 @@
         return Json.object()
                 .add("classes", classes)
                 .add("tenants", tenants)
-                .add("me", s.me())
-                .add("replicasOfMe", s.peers())
+                .add("me", s.instanceIndex())
+                .add("replicasOfMe", s.instanceCount())
                 .add("tier", s.tier())
                 .add("zone", s.zone())
-                .add("overShareWorth", s.overShareWorth())
-                .add("discovery", s.askDiscovery() ? "on_request" : "pushed")
+                .add("overShareWorth", s.overShareWeight())
+                .add("discovery", s.polledDiscovery() ? "on_request" : "pushed")
                 .add(
                         "policyLimits",
                         Json.object()
                                 .add("maxAttempts", s.maxAttempts())
-                                .add("openCap", s.maxOpen())
+                                .add("openCap", s.maxOpenRequests())
                                 .add("maxRetryAfter", s.maxRetryAfter())
                                 .add("mayCancel", s.mayCancel())
-                                .add("mayProbe", s.mayProbe())
-                                .add("secondCopies", s.secondCopies())
-                                .add("idleClose", s.idleClose())
+                                .add("mayProbe", s.mayHealthCheck())
+                                .add("secondCopies", s.mayHedge())
+                                .add("idleClose", s.idleTimeout())
                                 .add("connectTimeout", s.network().connectTimeout()))
                 .add(
                         "report",
@@ -80,20 +79,20 @@
                         "rules",
                         Json.object()
                                 .add("drainGrace", s.network().drainGrace())
-                                .add("mustAskIn", s.mustAskWithin())
-                                .add("coldFrom", s.coldFrom())
-                                .add("warmAfter", s.warmAfter())
-                                .add("fallMultiple", s.fallMultiple())
-                                .add("fall", s.fall()));
+                                .add("mustAskIn", s.maxPollInterval())
+                                .add("coldFrom", s.coldCapacityRatio())
+                                .add("warmAfter", s.warmUpTime())
+                                .add("fallMultiple", s.overloadMultiple())
+                                .add("fall", s.overloadWindow()));
     }
 
     /** A list as discovery tells it. */
     static JsonObject group(EndpointList g) {
         JsonArray hosts = new JsonArray();
-        for (ServerEndpoint t : g.targets()) {
+        for (ServerEndpoint t : g.endpoints()) {
             hosts.add(Json.object()
                     .add("host", t.host())
-                    .add("dial", t.dial())
+                    .add("dial", t.address())
                     .add("site", t.zone())
                     .add("class", "std")
                     .add("block", t.cell())
@@ -105,8 +104,8 @@
                                 case REMOVED -> "left";
                             })
                     .add("share", t.weight())
-                    .add("born_ms", Math.round(t.bornMs())));
+                    .add("born_ms", Math.round(t.startedAtMs())));
         }
-        return Json.object().add("seq", g.seq()).add("whole", g.whole()).add("hosts", hosts);
+        return Json.object().add("seq", g.version()).add("whole", g.complete()).add("hosts", hosts);
     }
 }
--- a/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.rules.RuleChecker;
@@ -104,7 +104,7 @@
         }
 
         private void tell(EndpointList g) {
-            for (ServerEndpoint t : g.targets()) {
+            for (ServerEndpoint t : g.endpoints()) {
                 ledger.told(scheduler.nowMs(), node, t.host(), t.state() == EndpointState.UP);
             }
         }
--- a/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.live;
 
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.LoadReport;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.lab.model.ServerModel;
@@ -172,7 +172,7 @@
             } else {
                 of.ended(now, v.name());
             }
-            Report report = limits.reportsInAnswers() ? model.report() : null;
+            LoadReport report = limits.reportsInAnswers() ? model.report() : null;
             afterWay(() -> {
                 if (!cutOff && channel.isActive()) {
                     reply(v, id, report);
@@ -180,7 +180,7 @@
             });
         }
 
-        private void reply(Verdict v, String id, Report report) {
+        private void reply(Verdict v, String id, LoadReport report) {
             Headers fields = new Headers();
             if (report != null) {
                 fields.add("X-Backend-Load", text(report));
@@ -197,7 +197,7 @@
 
         private void probe() {
             model.probe(passed -> {
-                Report report = passed && !limits.reportFields().isEmpty() ? model.report() : null;
+                LoadReport report = passed && !limits.reportFields().isEmpty() ? model.report() : null;
                 Headers fields = new Headers();
                 byte[] body = new byte[0];
                 if (report != null) {
@@ -294,15 +294,15 @@
         return ("served " + id + " by " + host + "\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    static String text(Report r) {
+    static String text(LoadReport r) {
         return String.format(
                 Locale.ROOT,
                 "inflight=%.0f,queue=%.0f,util=%.3f,latency_ms=%.2f,qps=%.2f,eps=%.3f",
-                r.inHand(),
+                r.inFlight(),
                 r.queued(),
                 r.utilization(),
-                r.meanMillis(),
-                r.perSecond(),
+                r.meanMs(),
+                r.requestsPerSecond(),
                 r.errorsPerSecond());
     }
 
--- a/lab/src/main/java/brackenbridge/lab/model/ServerModel.java
+++ b/lab/src/main/java/brackenbridge/lab/model/ServerModel.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.model;
 
-import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.LoadReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -620,7 +620,7 @@
     }
 
     /** Its load report: figures taken once a period and told some time later, with an error. */
-    public Report report() {
+    public LoadReport report() {
         ServerProfile.Reports r = profile.reports();
         double now = scheduler.nowMs();
         if (now - takenMs >= Math.max(r.periodMs(), 1)) {
@@ -632,7 +632,7 @@
             noisy[i] =
                     r.noise() <= 0 ? told[i] : Math.max(0, told[i] * (1 + r.noise() * (2 * random.nextDouble() - 1)));
         }
-        return new Report(noisy[0], noisy[1], noisy[2], noisy[3], noisy[4], noisy[5]);
+        return new LoadReport(noisy[0], noisy[1], noisy[2], noisy[3], noisy[4], noisy[5]);
     }
 
     /** The mean service time at about this load: that of the nearest load at which any is known. */
--- a/lab/src/main/java/brackenbridge/lab/policy/Choosers.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Choosers.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.policy;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.BalancerActions;
+import brackenbridge.core.balancing.LoadReport;
 import brackenbridge.lab.sim.Simulation.Truth;
 import java.util.ArrayList;
 import java.util.List;
@@ -127,13 +127,13 @@
         }
 
         private final SplittableRandom random;
-        private final Actions actions;
+        private final BalancerActions actions;
         private final List<Answer> pool = new ArrayList<>();
         private final double[] recent = new double[REMEMBERED];
         private int seen;
         private boolean worstNext;
 
-        Prequal(SplittableRandom random, Actions actions) {
+        Prequal(SplittableRandom random, BalancerActions actions) {
             this.random = random;
             this.actions = actions;
         }
@@ -170,7 +170,7 @@
                 removeOne(hot);
             }
             for (int i = 0; i < PROBES; i++) {
-                actions.probe(peers.get(random.nextInt(peers.size())).id);
+                actions.startHealthCheck(peers.get(random.nextInt(peers.size())).id);
             }
             return chosen;
         }
@@ -200,16 +200,16 @@
             pool.remove(worst);
         }
 
-        void probed(long now, Peer peer, int servers, Report report) {
-            if (report == null || Double.isNaN(report.inHand())) {
+        void probed(long now, Peer peer, int servers, LoadReport report) {
+            if (report == null || Double.isNaN(report.inFlight())) {
                 return;
             }
-            recent[seen++ % REMEMBERED] = report.inHand();
+            recent[seen++ % REMEMBERED] = report.inFlight();
             int room = Math.min(POOL, Math.max(2, servers / 2));
             double reuse =
                     Math.max(1, (1 + DELTA) / Math.max(0.5, (1 - room / (double) Math.max(1, servers)) * PROBES - 1));
             pool.add(new Answer(
-                    peer, now, report.inHand(), Double.isNaN(report.meanMillis()) ? 0 : report.meanMillis(), reuse));
+                    peer, now, report.inFlight(), Double.isNaN(report.meanMs()) ? 0 : report.meanMs(), reuse));
             while (pool.size() > room) {
                 pool.remove(0);
             }
--- a/lab/src/main/java/brackenbridge/lab/policy/Peer.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Peer.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.policy;
 
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 
 /** A server as a compared policy sees it. */
 final class Peer {
--- a/lab/src/main/java/brackenbridge/lab/policy/Policies.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Policies.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.policy;
 
 import brackenbridge.core.balancing.Balancer;
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerActions;
+import brackenbridge.core.balancing.BalancerSettings;
 import brackenbridge.lab.sim.Simulation.PolicyMaker;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -42,11 +42,11 @@
         return truth -> (settings, out) -> textbook(settings, out, simple);
     }
 
-    private static Textbook textbook(Settings settings, Actions out, Simple simple) {
+    private static Textbook textbook(BalancerSettings settings, BalancerActions out, Simple simple) {
         return new Textbook(settings, out, simple.make(random(settings)));
     }
 
-    private static SplittableRandom random(Settings settings) {
+    private static SplittableRandom random(BalancerSettings settings) {
         return new SplittableRandom(settings.seed());
     }
 
--- a/lab/src/main/java/brackenbridge/lab/policy/Textbook.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Textbook.java
@@ -1,6 +1,16 @@
 package brackenbridge.lab.policy;
 
+import brackenbridge.core.balancing.AttemptOutcome;
+import brackenbridge.core.balancing.BalancerActions;
 import brackenbridge.core.balancing.BalancerApi;
+import brackenbridge.core.balancing.BalancerRequest;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.Endpoint;
+import brackenbridge.core.balancing.EndpointListKind;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.LoadReport;
+import brackenbridge.core.balancing.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -33,8 +43,8 @@
         }
     }
 
-    private final Settings settings;
-    private final Actions out;
+    private final BalancerSettings settings;
+    private final BalancerActions out;
     private final Chooser chooser;
     private final Map<String, RequestClass> kinds = new HashMap<>();
     private final Map<Long, Peer> peers = new LinkedHashMap<>();
@@ -44,7 +54,7 @@
     private long filled;
     private double meanLatency;
 
-    Textbook(Settings settings, Actions out, Chooser chooser) {
+    Textbook(BalancerSettings settings, BalancerActions out, Chooser chooser) {
         this.settings = settings;
         this.out = out;
         this.chooser = chooser;
@@ -52,8 +62,8 @@
     }
 
     @Override
-    public void onList(long now, ListKind kind, List<Endpoint> entries) {
-        if (kind == ListKind.FULL || kind == ListKind.SAVED) {
+    public void onEndpointList(long now, EndpointListKind kind, List<Endpoint> entries) {
+        if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
             peers.values().forEach(p -> p.state = EndpointState.REMOVED);
         }
         for (Endpoint e : entries) {
@@ -76,7 +86,7 @@
     }
 
     @Override
-    public void onRequest(long now, Request r) {
+    public void onRequest(long now, BalancerRequest r) {
         budget = Math.min(MOST_SAVED, budget + RETRIES_A_REQUEST);
         Call c = new Call(kinds.get(r.className()), now + r.timeLeft());
         calls.put(r.id(), c);
@@ -97,31 +107,32 @@
         c.attempts++;
         chosen.out++;
         chooser.sent(now, chosen);
-        out.send(id, chosen.id, 0);
+        out.startAttempt(id, chosen.id, 0);
     }
 
     private void giveUp(long id, Call c) {
         calls.remove(id);
-        if (c.mayHaveRun && c.kind.effect() != Effect.SAFE) {
+        if (c.mayHaveRun && c.kind.idempotence() != Idempotence.IDEMPOTENT) {
             out.fail(id);
         } else {
-            out.refuse(id, 0);
+            out.reject(id, 0);
         }
     }
 
     @Override
-    public void onOutcome(long now, long id, int attempt, boolean ended, Outcome outcome, long latency, Report report) {
+    public void onAttemptEnded(
+            long now, long id, int attempt, boolean ended, AttemptOutcome outcome, long latency, LoadReport report) {
         Call c = calls.get(id);
         if (c == null) {
             return;
         }
         if (c.at != null) {
             c.at.out--;
-            chooser.ended(now, c.at, latency, outcome == Outcome.OK);
+            chooser.ended(now, c.at, latency, outcome == AttemptOutcome.OK);
             c.before = c.at;
             c.at = null;
         }
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             meanLatency += NEWEST * (latency - meanLatency);
         }
         c.mayHaveRun |= !outcome.neverRan;
@@ -131,9 +142,13 @@
         }
         budget = Math.min(MOST_SAVED, budget + (now - filled) * RETRIES_A_MICROSECOND);
         filled = now;
-        boolean mayRepeat = !c.mayHaveRun || c.kind.effect() == Effect.SAFE;
+        boolean mayRepeat = !c.mayHaveRun || c.kind.idempotence() == Idempotence.IDEMPOTENT;
         boolean timeLasts = c.deadline - now > meanLatency;
-        if (mayRepeat && timeLasts && c.attempts < settings.maxAttempts() && budget >= 1 && outcome != Outcome.MOOT) {
+        if (mayRepeat
+                && timeLasts
+                && c.attempts < settings.maxAttempts()
+                && budget >= 1
+                && outcome != AttemptOutcome.NEVER_STARTED) {
             budget--;
             send(now, id, c);
         } else {
@@ -142,7 +157,7 @@
     }
 
     @Override
-    public void onGone(long now, long id) {
+    public void onClientDisconnected(long now, long id) {
         Call c = calls.get(id);
         if (c != null && c.at == null) {
             calls.remove(id);
@@ -150,15 +165,15 @@
     }
 
     @Override
-    public void onProbed(long now, long endpoint, Outcome outcome, long latency, Report report) {
+    public void onHealthCheckEnded(long now, long endpoint, AttemptOutcome outcome, long latency, LoadReport report) {
         Peer p = peers.get(endpoint);
-        if (p != null && outcome == Outcome.OK && chooser instanceof Choosers.Prequal prequal) {
+        if (p != null && outcome == AttemptOutcome.OK && chooser instanceof Choosers.Prequal prequal) {
             prequal.probed(now, p, open.size(), report);
         }
     }
 
     @Override
-    public void onFirstByte(long now, long request, int attempt) {
+    public void onResponseStarted(long now, long request, int attempt) {
         // No class of the laboratory is a stream.
     }
 }
--- a/lab/src/main/java/brackenbridge/lab/sim/SimDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimDiscovery.java
@@ -133,7 +133,7 @@
         queue.at(queue.nowMs() + BEAT_MS, () -> {
             if (!w.over && w.life == w.node.life()) {
                 if (!down) {
-                    w.node.raise(new Event.DiscoveryBeat(w.call));
+                    w.node.raise(new Event.DiscoveryHeartbeat(w.call));
                 }
                 beat(w);
             }
