--- a/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
@@ -7,11 +7,11 @@
 import brackenbridge.core.Reducer;
 import brackenbridge.core.ServerEndpoint;
 import brackenbridge.core.TimerKey;
+import brackenbridge.core.balancing.BalancerActions;
 import brackenbridge.core.balancing.BalancerApi;
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.Report;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.LoadReport;
 import brackenbridge.counters.Counters;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.model.ServerModel.Verdict;
@@ -69,11 +69,11 @@
         RuleChecker.Attempt attempt;
         boolean over;
 
-        Out(Effect.Forward e) {
-            flow = e.flow();
-            number = e.forward();
+        Out(Effect.StartAttempt e) {
+            flow = e.requestId();
+            number = e.attempt();
             host = e.host();
-            dial = e.dial();
+            dial = e.address();
             request = (SimRequest) e.message();
         }
     }
@@ -85,9 +85,9 @@
     private final int tier;
     private final int index;
     private final String name;
-    private final BiFunction<Settings, Actions, BalancerApi> decisions;
+    private final BiFunction<BalancerSettings, BalancerActions, BalancerApi> decisions;
     private final Counters counters = new Counters();
-    private Settings settings;
+    private BalancerSettings settings;
     private final Map<Long, SimRequest> flows = new LinkedHashMap<>();
     private final Map<Long, Out> outs = new HashMap<>();
     private final Map<String, ArrayDeque<Connection>> idle = new HashMap<>();
@@ -110,7 +110,7 @@
             int tier,
             int index,
             UniformRandomProvider random,
-            BiFunction<Settings, Actions, BalancerApi> decisions) {
+            BiFunction<BalancerSettings, BalancerActions, BalancerApi> decisions) {
         this.world = world;
         this.queue = world.queue();
         this.ledger = world.ledger();
@@ -170,7 +170,7 @@
     public void stop(Runnable ended) {
         world.nodeStops(this, true);
         onExit = ended;
-        raise(new Event.StopAsked());
+        raise(new Event.StopRequested());
     }
 
     /** A new configuration names another address for discovery. */
@@ -189,7 +189,7 @@
 
     /** Whether the front may send clients here. */
     boolean ready() {
-        return up && reducer.ready();
+        return up && reducer.isReady();
     }
 
     Counters counters() {
@@ -235,7 +235,7 @@
                 request.deadlineMs);
         request.flow = flow;
         flows.put(flow, request);
-        raise(new Event.FlowOpened(
+        raise(new Event.RequestReceived(
                 flow, new ClientRequest(request.plan.className(), tenant, timeLeftMs, repeat, true, request)));
         return true;
     }
@@ -244,7 +244,7 @@
     void gone(SimRequest request) {
         if (flows.remove(request.flow, request)) {
             request.entry.gone(queue.nowMs());
-            raise(new Event.FlowGone(request.flow));
+            raise(new Event.ClientDisconnected(request.flow));
         }
     }
 
@@ -286,8 +286,8 @@
 
     /** Discovery tells this node something. */
     void told(long call, EndpointList group) {
-        group.targets().forEach(this::owes);
-        raise(new Event.TargetsTold(call, group));
+        group.endpoints().forEach(this::owes);
+        raise(new Event.EndpointListReceived(call, group));
     }
 
     /** From now on this counts as told, whether the node has heard it or not. */
@@ -298,28 +298,31 @@
     private void run(Effect effect) {
         if (effect instanceof Effect.SetTimer e) {
             timer(e);
-        } else if (effect instanceof Effect.UnsetTimer e) {
-            if (e.key() instanceof TimerKey.Deadline d) {
-                deadlines.remove(d.flow());
+        } else if (effect instanceof Effect.CancelTimer e) {
+            if (e.key() instanceof TimerKey.RequestDeadline d) {
+                deadlines.remove(d.requestId());
             }
-        } else if (effect instanceof Effect.Forward e) {
+        } else if (effect instanceof Effect.StartAttempt e) {
             forward(e);
-        } else if (effect instanceof Effect.Respond e) {
-            raise(new Event.AnswerLeft(e.flow(), Event.Left.WHOLE));
-            answer(e.flow(), Answer.SERVED, 0);
-        } else if (effect instanceof Effect.FixedResponse e) {
-            raise(new Event.AnswerLeft(e.flow(), Event.Left.WHOLE));
-            answer(e.flow(), e.kind() == Effect.Fixed.REFUSED ? Answer.REFUSED : Answer.FAILED, e.retryAfterMs());
-        } else if (effect instanceof Effect.CancelForward e) {
-            cancel(e.flow(), e.forward());
-        } else if (effect instanceof Effect.Watch e) {
-            world.discovery(tier).watch(this, e.call(), e.afterSeq());
-        } else if (effect instanceof Effect.EndDiscovery e) {
+        } else if (effect instanceof Effect.SendResponse e) {
+            raise(new Event.ResponseFinished(e.requestId(), Event.ResponseEnd.COMPLETE));
+            answer(e.requestId(), Answer.SERVED, 0);
+        } else if (effect instanceof Effect.SendLocalReply e) {
+            raise(new Event.ResponseFinished(e.requestId(), Event.ResponseEnd.COMPLETE));
+            answer(
+                    e.requestId(),
+                    e.reply() == Effect.LocalReply.REJECTED ? Answer.REFUSED : Answer.FAILED,
+                    e.retryAfterMs());
+        } else if (effect instanceof Effect.CancelAttempt e) {
+            cancel(e.requestId(), e.attempt());
+        } else if (effect instanceof Effect.WatchDiscovery e) {
+            world.discovery(tier).watch(this, e.call(), e.afterVersion());
+        } else if (effect instanceof Effect.EndDiscoveryCall e) {
             world.discovery(tier).endCall(this, e.call());
-        } else if (effect instanceof Effect.Probe e) {
+        } else if (effect instanceof Effect.StartHealthCheck e) {
             probe(e);
-        } else if (effect instanceof Effect.CloseIdle e) {
-            ArrayDeque<Connection> pool = idle.remove(key(e.host(), e.dial()));
+        } else if (effect instanceof Effect.CloseIdleConnections e) {
+            ArrayDeque<Connection> pool = idle.remove(key(e.host(), e.address()));
             if (pool != null) {
                 pool.forEach(c -> close(c, null));
             }
@@ -342,11 +345,11 @@
 
     private void timer(Effect.SetTimer e) {
         int of = life;
-        if (e.key() instanceof TimerKey.Deadline d) {
-            deadlines.add(d.flow());
+        if (e.key() instanceof TimerKey.RequestDeadline d) {
+            deadlines.add(d.requestId());
         }
         queue.at(e.atMs(), () -> {
-            if (of != life || e.key() instanceof TimerKey.Deadline d && !deadlines.remove(d.flow())) {
+            if (of != life || e.key() instanceof TimerKey.RequestDeadline d && !deadlines.remove(d.requestId())) {
                 return;
             }
             raise(new Event.TimerFired(e.key()));
@@ -359,10 +362,10 @@
         return host + '@' + dial;
     }
 
-    private void forward(Effect.Forward e) {
+    private void forward(Effect.StartAttempt e) {
         Out out = new Out(e);
-        outs.put(e.flow(), out);
-        ArrayDeque<Connection> pool = idle.get(key(e.host(), e.dial()));
+        outs.put(e.requestId(), out);
+        ArrayDeque<Connection> pool = idle.get(key(e.host(), e.address()));
         double now = queue.nowMs();
         while (pool != null && !pool.isEmpty()) {
             Connection c = pool.pollLast();
@@ -436,7 +439,7 @@
                                         : Double.POSITIVE_INFINITY)
                 && c.idleSinceMs > 0;
         ledger.sent(now, name, out.host, out.request.entry);
-        raise(new Event.ForwardWritten(out.flow, out.number));
+        raise(new Event.AttemptWritten(out.flow, out.number));
         c.lastArrivalMs = Math.max(now + delayTo(c.server), c.lastArrivalMs);
         queue.at(c.lastArrivalMs, () -> arrive(out, c, stale));
     }
@@ -479,7 +482,7 @@
         if (c.server.cutOff || out.over) {
             return;
         }
-        Report report = world.spec().limits().reportsInAnswers() ? c.server.model.report() : null;
+        LoadReport report = world.spec().limits().reportsInAnswers() ? c.server.model.report() : null;
         int of = life;
         int process = c.process;
         c.lastArrivalMs = Math.max(now + delayTo(c.server), c.lastArrivalMs);
@@ -497,13 +500,13 @@
             c.idleSinceMs = queue.nowMs();
             idle.computeIfAbsent(key(out.host, out.dial), k -> new ArrayDeque<>())
                     .add(c);
-            raise(new Event.ForwardAnswered(
+            raise(new Event.AttemptAnswered(
                     out.flow,
                     out.number,
                     switch (verdict) {
-                        case SERVED -> Event.Reply.SERVED;
-                        case ERROR -> Event.Reply.ERROR;
-                        default -> Event.Reply.TURNED_AWAY;
+                        case SERVED -> Event.ServerReply.SERVED;
+                        case ERROR -> Event.ServerReply.ERROR;
+                        default -> Event.ServerReply.SERVER_FULL;
                     },
                     out.request,
                     report));
@@ -524,7 +527,7 @@
         if (out.attempt != null) {
             out.attempt.givenUp(queue.nowMs());
         }
-        raise(new Event.ForwardBroken(out.flow, out.number));
+        raise(new Event.AttemptConnectionLost(out.flow, out.number));
     }
 
     /** A connection broke from the server's side. */
@@ -574,8 +577,8 @@
         });
     }
 
-    private void probe(Effect.Probe e) {
-        SimServer server = world.at(e.dial());
+    private void probe(Effect.StartHealthCheck e) {
+        SimServer server = world.at(e.address());
         int of = life;
         double delay = delayTo(server);
         queue.at(queue.nowMs() + delay, () -> {
@@ -584,13 +587,13 @@
             }
             boolean lives = server.model.alive();
             server.model.probe(passed -> {
-                Report report =
+                LoadReport report =
                         lives && passed && !world.spec().limits().reportFields().isEmpty()
                                 ? server.model.report()
                                 : null;
                 queue.at(queue.nowMs() + delay, () -> {
                     if (of == life && !server.cutOff) {
-                        raise(new Event.ProbeEnded(e.probe(), lives, passed, report));
+                        raise(new Event.HealthCheckEnded(e.healthCheckId(), lives, passed, report));
                     }
                 });
             });
--- a/lab/src/main/java/brackenbridge/lab/sim/SimServer.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimServer.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.sim;
 
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.lab.model.ServerModel;
 import brackenbridge.lab.trouble.Stage;
 import java.util.LinkedHashSet;
--- a/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
@@ -2,10 +2,10 @@
 
 import brackenbridge.core.HostIds;
 import brackenbridge.core.ServerEndpoint;
+import brackenbridge.core.balancing.BalancerActions;
 import brackenbridge.core.balancing.BalancerApi;
-import brackenbridge.core.balancing.BalancerApi.Actions;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.lab.load.Arrivals;
 import brackenbridge.lab.load.ClientBehaviour;
 import brackenbridge.lab.load.Mix;
@@ -50,7 +50,7 @@
     /** Makes what decides, for a run; it may look at the truth, which only the oracle does. */
     public interface PolicyMaker {
         /** Decisions for one node. */
-        BiFunction<Settings, Actions, BalancerApi> decisions(Truth truth);
+        BiFunction<BalancerSettings, BalancerActions, BalancerApi> decisions(Truth truth);
     }
 
     /** What is true of servers, whatever nodes believe. */
@@ -111,7 +111,7 @@
         for (int t = 0; t < spec.tiers().size(); t++) {
             servers(t, streams);
         }
-        BiFunction<Settings, Actions, BalancerApi> decisions = policy.decisions(this::stretch);
+        BiFunction<BalancerSettings, BalancerActions, BalancerApi> decisions = policy.decisions(this::stretch);
         for (int t = 0; t < spec.tiers().size(); t++) {
             List<SimNode> of = new ArrayList<>();
             for (int i = 0; i < spec.nodes(t); i++) {
--- a/lab/src/main/java/brackenbridge/lab/trouble/Stage.java
+++ b/lab/src/main/java/brackenbridge/lab/trouble/Stage.java
@@ -1,6 +1,6 @@
 package brackenbridge.lab.trouble;
 
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.lab.model.Scheduler;
 import brackenbridge.lab.model.ServerModel;
 import java.util.List;
--- a/lab/src/main/java/brackenbridge/lab/world/ServiceList.java
+++ b/lab/src/main/java/brackenbridge/lab/world/ServiceList.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/lab/src/main/java/brackenbridge/lab/world/World.java
+++ b/lab/src/main/java/brackenbridge/lab/world/World.java
@@ -1,11 +1,11 @@
 package brackenbridge.lab.world;
 
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.NetworkSettings;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.core.balancing.TenantShare;
 import brackenbridge.lab.model.ServerProfile;
 import brackenbridge.lab.random.Distribution;
 import java.util.ArrayList;
@@ -314,26 +314,26 @@
     }
 
     /** The settings of a node before a tier. */
-    public Settings settings(int tier, int me, long seed) {
+    public BalancerSettings settings(int tier, int me, long seed) {
         List<RequestClass> requestClasses = new ArrayList<>();
         for (ClassSpec c : classes) {
             requestClasses.add(new RequestClass(
                     c.name(),
                     micros(c.aimMs()),
                     micros(c.deadlineMs()),
-                    c.unsafe() ? Effect.UNSAFE : Effect.SAFE,
-                    DedupScope.ALL,
+                    c.unsafe() ? Idempotence.NOT_IDEMPOTENT : Idempotence.IDEMPOTENT,
+                    DeduplicationScope.ALL,
                     0,
                     false,
                     c.worth(),
                     c.lateShare()));
         }
-        List<Tenant> owed = new ArrayList<>();
+        List<TenantShare> owed = new ArrayList<>();
         for (TenantSpec t : tenants) {
-            owed.add(new Tenant(t.name(), t.share(), quotaPerSecond(t)));
+            owed.add(new TenantShare(t.name(), t.share(), quotaPerSecond(t)));
         }
         ServerProfile.Cold cold = tiers.get(tier).profile().cold();
-        return new Settings(
+        return new BalancerSettings(
                 seed,
                 me,
                 nodes(tier),
@@ -355,7 +355,7 @@
                 micros(cold.ms()),
                 cold.fallMultiple(),
                 micros(cold.fallMs()),
-                new Network(
+                new NetworkSettings(
                         micros(limits.connectTimeoutMs()),
                         micros(limits.drainGraceMs()),
                         limits.reportsInAnswers(),
--- a/lab/src/test/java/brackenbridge/lab/agree/AgreeTest.java
+++ b/lab/src/test/java/brackenbridge/lab/agree/AgreeTest.java
@@ -52,6 +52,6 @@
                 new SimulatedAgreementFleet(new SimulatedAgreementFleet.Plan(300, 0.05, 2, true, TERMS, 2)).run();
         assertEquals(0, o.contradictionMs());
         assertTrue(o.inForceMs().get(0) > 1000 && o.inForceMs().get(0) < 2500, o.inForceMs()::toString);
-        assertTrue(o.mostWithoutWord() < TERMS.waitMs(), "acted on for " + o.mostWithoutWord());
+        assertTrue(o.mostWithoutWord() < TERMS.authorityWaitMs(), "acted on for " + o.mostWithoutWord());
     }
 }
--- a/lab/src/test/java/brackenbridge/lab/model/ServerModelTest.java
+++ b/lab/src/test/java/brackenbridge/lab/model/ServerModelTest.java
@@ -191,7 +191,7 @@
         s.failClass("bad", 1);
         begin(s, "bad", 10);
         begin(s, "good", 10);
-        assertEquals(2, s.report().inHand());
+        assertEquals(2, s.report().inFlight());
         assertEquals(1, s.report().queued());
         run(50);
         assertEquals(List.of("bad ERROR 2", "good SERVED 12"), ends);
--- a/node/src/main/java/brackenbridge/cli/Main.java
+++ b/node/src/main/java/brackenbridge/cli/Main.java
@@ -95,7 +95,7 @@
                 Config c = config(check.config);
                 System.out.println(c.name() + ": tier " + c.settings().tier() + ", "
                         + c.settings().classes().size() + " classes, "
-                        + c.known().targets().size() + " targets known, " + c.sockets() + " sockets");
+                        + c.configuredEndpoints().endpoints().size() + " targets known, " + c.sockets() + " sockets");
             }
             case "manage" -> manage(manage);
             case "version" -> {
@@ -150,7 +150,7 @@
     }
 
     /** What another module runs beside a node, in its process. */
-    public interface Beside {
+    public interface NodeExtension {
         /** The node is about to start. */
         void begin(Node node) throws IOException;
 
@@ -163,9 +163,9 @@
     }
 
     /** Serves by this configuration until a signal ends it; {@code beside} makes what runs beside it, or is null. */
-    public static void serve(String file, Function<Config, Beside> beside) {
+    public static void serve(String file, Function<Config, NodeExtension> beside) {
         Config config = config(file);
-        Beside other = beside == null ? null : beside.apply(config);
+        NodeExtension other = beside == null ? null : beside.apply(config);
         // Netty's flight recorder events are not used here; to look for them costs a start more than the listener.
         System.setProperty("io.netty.jfr.enabled", "false");
         Clock clock = Clock.system();
--- a/node/src/main/java/brackenbridge/config/Config.java
+++ b/node/src/main/java/brackenbridge/config/Config.java
@@ -1,7 +1,7 @@
 package brackenbridge.config;
 
 import brackenbridge.core.EndpointList;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerSettings;
 import brackenbridge.discovery.EndpointListParser;
 import brackenbridge.discovery.StrictJson;
 import com.eclipsesource.json.JsonObject;
@@ -29,8 +29,8 @@
  * @param management where staff call the node, as {@code address:port}; null if nowhere
  * @param sockets the most file descriptors that it may hold
  * @param settings what the module and the node go by
- * @param known the target group as it last held it
- * @param shape its keys and the types of their values
+ * @param configuredEndpoints the target group as it last held it
+ * @param schema its keys and the types of their values
  */
 public record Config(
         String name,
@@ -38,9 +38,9 @@
         String discovery,
         String management,
         int sockets,
-        Settings settings,
-        EndpointList known,
-        ConfigSchema shape) {
+        BalancerSettings settings,
+        EndpointList configuredEndpoints,
+        ConfigSchema schema) {
 
     /** The longest file: guards the heap against one that was named by mistake. */
     private static final int LONGEST = 4 << 20;
@@ -96,7 +96,8 @@
     public Config withManagement(String at) {
         return at == null
                 ? this
-                : new Config(name, listen, discovery, checked("mgmt", at), sockets, settings, known, shape);
+                : new Config(
+                        name, listen, discovery, checked("mgmt", at), sockets, settings, configuredEndpoints, schema);
     }
 
     private static int sockets(JsonObject json) {
@@ -120,9 +121,10 @@
     private static EndpointList known(JsonObject json) {
         JsonObject told = object(json, "known");
         try {
-            EndpointList known = EndpointListParser.group(told);
-            if (!known.unread().isEmpty()) {
-                throw new IllegalArgumentException("entry of " + known.unread().get(0));
+            EndpointList known = EndpointListParser.fromJson(told);
+            if (!known.unreadableHosts().isEmpty()) {
+                throw new IllegalArgumentException(
+                        "entry of " + known.unreadableHosts().get(0));
             }
             return known;
         } catch (RuntimeException e) {
--- a/node/src/main/java/brackenbridge/config/ConfigSchema.java
+++ b/node/src/main/java/brackenbridge/config/ConfigSchema.java
@@ -25,7 +25,7 @@
     }
 
     /** Turns another configuration down that lacks one of these keys or has another type of value there. */
-    public void requireOf(ConfigSchema other) {
+    public void requireSameKeysIn(ConfigSchema other) {
         types.forEach((path, type) -> {
             String there = other.types.get(path);
             String list = path.lastIndexOf("[]") < 0 ? null : path.substring(0, path.lastIndexOf("[]"));
--- a/node/src/main/java/brackenbridge/config/SettingsParser.java
+++ b/node/src/main/java/brackenbridge/config/SettingsParser.java
@@ -1,15 +1,15 @@
 package brackenbridge.config;
 
-import brackenbridge.core.balancing.BalancerApi.DedupScope;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.Network;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
-import brackenbridge.core.balancing.BalancerApi.Tenant;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.DeduplicationScope;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.NetworkSettings;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.core.balancing.TenantShare;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
+import java.util.function.Function;
 
 /**
  * Turns the path=value pairs of an instance's first message into settings; unknown keys are ignored. The one
@@ -25,7 +25,7 @@
     }
 
     /** The settings, with this seed for all random draws. */
-    public Settings parse(long seed) {
+    public BalancerSettings parse(long seed) {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0, n = whole("classes.count", null); i < n; i++) {
             String at = "classes." + i + ".";
@@ -33,23 +33,23 @@
                     value(at + "name", null),
                     number(at + "aim", null),
                     number(at + "giveUp", null),
-                    choice(Effect.class, at + "effect", null),
-                    choice(DedupScope.class, at + "dedupScope", "all"),
+                    choice(Idempotence.values(), Idempotence::settingsValue, at + "effect", null),
+                    choice(DeduplicationScope.values(), DeduplicationScope::settingsValue, at + "dedupScope", "all"),
                     number(at + "keyTtl", "0"),
                     flag(at + "stream", "false"),
                     decimal(at + "worth", "1"),
                     decimal(at + "lateShare", "0")));
         }
-        List<Tenant> tenants = new ArrayList<>();
+        List<TenantShare> tenants = new ArrayList<>();
         for (int i = 0, n = whole("tenants.count", "0"); i < n; i++) {
             String at = "tenants." + i + ".";
-            tenants.add(
-                    new Tenant(value(at + "name", null), decimal(at + "share", "0"), decimal(at + "quotaPerS", "0")));
+            tenants.add(new TenantShare(
+                    value(at + "name", null), decimal(at + "share", "0"), decimal(at + "quotaPerS", "0")));
         }
         // policyLimits.retryAfter only says whether the simulator's clients are told; on sockets any refusal may
         // carry advice. Guards against a module that gives none, whatever the site's clients would heed.
         long retryAfter = number("policyLimits.maxRetryAfter", "0");
-        return new Settings(
+        return new BalancerSettings(
                 seed,
                 whole("me", null),
                 whole("replicasOfMe", null),
@@ -74,10 +74,10 @@
                 network());
     }
 
-    private Network network() {
+    private NetworkSettings network() {
         String how = value("report.how", "none");
         String columns = how.equals("none") ? "" : value("report.columns", "");
-        return new Network(
+        return new NetworkSettings(
                 number("policyLimits.connectTimeout", "1000000"),
                 number("rules.drainGrace", "0"),
                 how.equals("answers"),
@@ -130,11 +130,11 @@
         };
     }
 
-    private <E extends Enum<E>> E choice(Class<E> of, String key, String absent) {
+    private <E> E choice(E[] choices, Function<E, String> settingsValue, String key, String absent) {
         String v = value(key, absent);
-        for (E e : of.getEnumConstants()) {
-            if (e.name().toLowerCase(Locale.ROOT).equals(v)) {
-                return e;
+        for (E choice : choices) {
+            if (settingsValue.apply(choice).equals(v)) {
+                return choice;
             }
         }
         throw new IllegalArgumentException(key + " is unknown: '" + v + "'");
--- a/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
+++ b/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
@@ -20,7 +20,7 @@
     /** Reads a list; what is not one is an IllegalArgumentException. */
     public static EndpointList parse(String text) {
         try {
-            return group(StrictJson.parse(text).asObject());
+            return fromJson(StrictJson.parse(text).asObject());
         } catch (RuntimeException e) {
             throw new IllegalArgumentException("not a target list: " + e.getMessage(), e);
         }
@@ -30,7 +30,7 @@
      * Reads a list that has been parsed. An entry that can't be read costs only itself, as long as it says whose it
      * is; of anybody else's the whole list is spoilt, since what it leaves out would count as gone.
      */
-    public static EndpointList group(JsonObject json) {
+    public static EndpointList fromJson(JsonObject json) {
         List<ServerEndpoint> targets = new ArrayList<>();
         List<String> unread = new ArrayList<>();
         for (JsonValue v : required(json, "hosts").asArray()) {
@@ -57,9 +57,9 @@
     }
 
     /** Words a list as discovery would. */
-    public static JsonObject json(EndpointList group) {
+    public static JsonObject toJson(EndpointList group) {
         JsonArray hosts = new JsonArray();
-        for (ServerEndpoint t : group.targets()) {
+        for (ServerEndpoint t : group.endpoints()) {
             String health = switch (t.state()) {
                 case UP -> "active";
                 case DRAINING -> "leaving";
@@ -67,14 +67,17 @@
             };
             hosts.add(Json.object()
                     .add("host", t.host())
-                    .add("dial", t.dial())
+                    .add("dial", t.address())
                     .add("site", t.zone())
                     .add("block", t.cell())
                     .add("share", t.weight())
-                    .add("born_ms", t.bornMs())
+                    .add("born_ms", t.startedAtMs())
                     .add("health", health));
         }
-        return Json.object().add("seq", group.seq()).add("whole", group.whole()).add("hosts", hosts);
+        return Json.object()
+                .add("seq", group.version())
+                .add("whole", group.complete())
+                .add("hosts", hosts);
     }
 
     private static ServerEndpoint target(String host, JsonObject o) {
--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -89,7 +89,7 @@
         loop.schedule(
                 () -> {
                     if (asked.complete(null) && predecessor != null) {
-                        refuse("predecessor", RejectionReason.SLOW);
+                        refuse("predecessor", RejectionReason.TOO_SLOW);
                         predecessor.close();
                     }
                 },
@@ -156,8 +156,8 @@
     }
 
     private void refuse(String whom, RejectionReason why) {
-        counters.refuse(RejectionReason.Port.HANDOVERS, why);
-        log.warn("a " + whom + " is refused: " + why.text());
+        counters.countRejection(RejectionReason.Port.HANDOVERS, why);
+        log.warn("a " + whom + " is refused: " + why.key());
     }
 
     private void leavePath() {
@@ -234,7 +234,7 @@
             loop.schedule(
                     () -> {
                         if (successor != ctx.channel() && ctx.channel().isActive()) {
-                            refused(RejectionReason.SLOW);
+                            refused(RejectionReason.TOO_SLOW);
                             ctx.close();
                         }
                     },
@@ -252,7 +252,7 @@
             loop.schedule(
                     () -> {
                         if (!ready && channel.isActive()) {
-                            refused(RejectionReason.SLOW);
+                            refused(RejectionReason.TOO_SLOW);
                             channel.close();
                         }
                     },
--- a/node/src/main/java/brackenbridge/handover/HandoverState.java
+++ b/node/src/main/java/brackenbridge/handover/HandoverState.java
@@ -10,14 +10,14 @@
  * What a process gives its successor.
  *
  * @param sockets the successor's part of the descriptors
- * @param list the target group with its version
+ * @param endpoints the target group with its version
  */
-public record HandoverState(int sockets, EndpointList list) {
+public record HandoverState(int sockets, EndpointList endpoints) {
 
     String json() {
         return Json.object()
                 .add("sockets", sockets)
-                .add("list", EndpointListParser.json(list))
+                .add("list", EndpointListParser.toJson(endpoints))
                 .toString();
     }
 
@@ -27,7 +27,7 @@
             JsonObject json = StrictJson.parse(text).asObject();
             return new HandoverState(
                     json.get("sockets").asInt(),
-                    EndpointListParser.group(json.get("list").asObject()));
+                    EndpointListParser.fromJson(json.get("list").asObject()));
         } catch (RuntimeException e) {
             throw new IllegalArgumentException("not an offer: " + e.getMessage(), e);
         }
--- a/node/src/main/java/brackenbridge/handover/LineProtocolHandler.java
+++ b/node/src/main/java/brackenbridge/handover/LineProtocolHandler.java
@@ -53,7 +53,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (line.size() > 0) {
-            refused(RejectionReason.CUT);
+            refused(RejectionReason.TRUNCATED);
         }
         ended(ctx.channel());
     }
--- a/node/src/main/java/brackenbridge/http/LoadReport.java
+++ b/node/src/main/java/brackenbridge/http/LoadReportParser.java
@@ -1,13 +1,13 @@
 package brackenbridge.http;
 
-import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.LoadReport;
 
 /** Reads the load report of a server: {@code name=value} pairs set apart by commas. */
-public final class LoadReport {
-    private LoadReport() {}
+public final class LoadReportParser {
+    private LoadReportParser() {}
 
     /** The report with the fields that came and were numbers, NaN for the others; null if none did. */
-    public static Report parse(String text) {
+    public static LoadReport parse(String text) {
         if (text == null) {
             return null;
         }
@@ -29,7 +29,7 @@
                 }
             }
         }
-        return any ? new Report(values[0], values[1], values[2], values[3], values[4], values[5]) : null;
+        return any ? new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]) : null;
     }
 
     /** Each value has the servers' own name and the one that the settings use. */
--- a/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
@@ -98,14 +98,14 @@
                 Channel longest = callers.iterator().next();
                 callers.remove(longest);
                 longest.close();
-                staff.refused(RejectionReason.SHED);
+                staff.onRejectedCall(RejectionReason.SHED);
             }
             ctx.executor()
                     .schedule(
                             () -> {
                                 if (!called && callers.remove(ctx.channel())) {
                                     ctx.close();
-                                    staff.refused(RejectionReason.SLOW);
+                                    staff.onRejectedCall(RejectionReason.TOO_SLOW);
                                 }
                             },
                             SILENCE_MS,
@@ -115,7 +115,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (callers.remove(ctx.channel()) && !called && !line.isEmpty()) {
-                staff.refused(RejectionReason.CUT);
+                staff.onRejectedCall(RejectionReason.TRUNCATED);
             }
         }
 
@@ -146,8 +146,8 @@
         private void call(ChannelHandlerContext ctx, String text) {
             String name = text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
             switch (name) {
-                case "PING" -> answer(ctx, staff.takesClients() ? "+OK\n" : "-ERR takes no clients\n");
-                case "INFO" -> answer(ctx, "+OK\n" + staff.figures() + ".\n");
+                case "PING" -> answer(ctx, staff.acceptsClients() ? "+OK\n" : "-ERR takes no clients\n");
+                case "INFO" -> answer(ctx, "+OK\n" + staff.metricsText() + ".\n");
                 case "LAMEDUCK", "REJOIN" ->
                     staff.drain(name.equals("LAMEDUCK"))
                             .thenAccept(taken -> ctx.executor()
@@ -157,7 +157,7 @@
         }
 
         private void refuse(ChannelHandlerContext ctx, RejectionReason why, String text) {
-            staff.refused(why);
+            staff.onRejectedCall(why);
             answer(ctx, "-ERR " + text + "\n");
         }
 
--- a/node/src/main/java/brackenbridge/net/ConnectionAcceptor.java
+++ b/node/src/main/java/brackenbridge/net/ConnectionAcceptor.java
@@ -1,6 +1,7 @@
 package brackenbridge.net;
 
 import brackenbridge.clock.Clock;
+import brackenbridge.net.channel.SocketCalls;
 import brackenbridge.transport.AcceptBackoff;
 import brackenbridge.transport.AcceptRecovery;
 import brackenbridge.transport.SocketErrors;
@@ -32,7 +33,7 @@
     private final ServerSocketChannel socket;
     private final Channel channel;
     private final Clock clock;
-    private final SocketCalls.Accept accept;
+    private final SocketCalls.AcceptCall accept;
     private final Runnable makeRoom;
     private final AcceptRecovery recovery;
     private boolean closing;
@@ -47,7 +48,7 @@
             ServerBootstrap bootstrap,
             InetSocketAddress address,
             Clock clock,
-            SocketCalls.Accept accept,
+            SocketCalls.AcceptCall accept,
             Runnable makeRoom,
             Consumer<String> warn) {
         this.clock = clock;
--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -8,6 +8,8 @@
 import brackenbridge.http.HttpException;
 import brackenbridge.http.ResponseDecoder;
 import brackenbridge.log.Log;
+import brackenbridge.net.channel.Addresses;
+import brackenbridge.net.channel.EventSink;
 import brackenbridge.transport.ConnectAttempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -63,7 +65,7 @@
 
     private void begin(Call c, String target) {
         calls.put(c.id, c);
-        InetSocketAddress address = Addresses.of(dial);
+        InetSocketAddress address = Addresses.parse(dial);
         if (address == null) {
             c.over("no address: " + dial);
             return;
@@ -112,7 +114,7 @@
                 switch (cutter.add(b)) {
                     case TEXT -> told(cutter.take());
                     // A list that comes in pieces speaks with its first byte only: guards against one that never ends.
-                    case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryBeat(id));
+                    case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryHeartbeat(id));
                     case TOO_LONG -> over("list too long");
                     default -> {
                         // Nothing else matters here.
@@ -124,10 +126,11 @@
         private void told(String text) {
             try {
                 EndpointList group = EndpointListParser.parse(text);
-                if (!group.unread().isEmpty()) {
-                    log.warn("entries that can't be read, so these hosts stay as they were: " + group.unread());
+                if (!group.unreadableHosts().isEmpty()) {
+                    log.warn(
+                            "entries that can't be read, so these hosts stay as they were: " + group.unreadableHosts());
                 }
-                events.raise(new Event.TargetsTold(id, group));
+                events.raise(new Event.EndpointListReceived(id, group));
             } catch (IllegalArgumentException e) {
                 over(e.getMessage());
             }
@@ -160,7 +163,7 @@
                 } else if (!answered && decoder.awaitsBody()) {
                     // Guards a call that had to wait for its answer: the first empty line is due 2 s behind it.
                     answered = true;
-                    events.raise(new Event.DiscoveryBeat(id));
+                    events.raise(new Event.DiscoveryHeartbeat(id));
                 }
             } catch (HttpException e) {
                 over(e.getMessage());
--- a/node/src/main/java/brackenbridge/net/Listener.java
+++ b/node/src/main/java/brackenbridge/net/Listener.java
@@ -2,14 +2,14 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.core.ClientRequest;
-import brackenbridge.core.Effect.Fixed;
+import brackenbridge.core.Effect.LocalReply;
 import brackenbridge.core.Event;
-import brackenbridge.core.Event.Left;
-import brackenbridge.core.balancing.BalancerApi.Effect;
-import brackenbridge.core.balancing.BalancerApi.RequestClass;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.Event.ResponseEnd;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.Idempotence;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
-import brackenbridge.counters.Counters.Kind;
 import brackenbridge.counters.RejectionReason;
 import brackenbridge.http.Headers;
 import brackenbridge.http.HttpEncoder;
@@ -17,6 +17,12 @@
 import brackenbridge.http.HttpRequest;
 import brackenbridge.http.HttpResponse;
 import brackenbridge.http.RequestDecoder;
+import brackenbridge.net.channel.BodyStream;
+import brackenbridge.net.channel.DescriptorBudget;
+import brackenbridge.net.channel.EventSink;
+import brackenbridge.net.channel.ReceiveBuffers;
+import brackenbridge.net.channel.StreamedRequest;
+import brackenbridge.net.channel.StreamedResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -83,8 +89,6 @@
     private static final int LOOKS = 64 * 1024;
     /** An attempt begins only for a client that was present so long ago at most, a little under the promised 100 ms. */
     private static final double PRESENT_MS = 80;
-    /** Reads of one connection before the next has its turn; fewer than these have found all that had come. */
-    static final int READS_A_TURN = 4;
     /** Bytes that all clients together may have here in requests that are not whole or not begun. */
     private static final int HELD_LIMIT = 8 * 1024 * 1024;
 
@@ -107,14 +111,14 @@
     private boolean keepNone;
 
     Listener(
-            Settings settings,
+            BalancerSettings settings,
             Clock clock,
             EventSink events,
             DescriptorBudget sockets,
             Counters counters,
             BooleanSupplier ready,
             Runnable makeRoom) {
-        goBy(settings);
+        applySettings(settings);
         this.clock = clock;
         this.events = events;
         this.sockets = sockets;
@@ -133,7 +137,7 @@
     }
 
     /** Requests that are whole from now on go by these settings. */
-    void goBy(Settings settings) {
+    void applySettings(BalancerSettings settings) {
         classes.clear();
         settings.classes().forEach(c -> classes.put(c.name(), c));
     }
@@ -149,9 +153,9 @@
         Client c = flows.remove(flow);
         if (c == null) {
             if (message instanceof StreamedResponse d) {
-                d.body().refuse();
+                d.body().cancel();
             }
-            events.raise(new Event.AnswerLeft(flow, Left.ABANDONED));
+            events.raise(new Event.ResponseFinished(flow, ResponseEnd.ABANDONED));
         } else if (message instanceof StreamedResponse d) {
             c.answerOrFail(() -> c.answerLong(d, passedOn(d.head())));
         } else {
@@ -171,10 +175,10 @@
         return fields;
     }
 
-    void fixedResponse(long flow, Fixed kind, double retryAfterMs) {
+    void fixedResponse(long flow, LocalReply kind, double retryAfterMs) {
         Client c = flows.remove(flow);
         if (c == null) {
-            events.raise(new Event.AnswerLeft(flow, Left.ABANDONED));
+            events.raise(new Event.ResponseFinished(flow, ResponseEnd.ABANDONED));
             return;
         }
         if (c.isHiddenFromWaiting(clock.nowMs())) {
@@ -187,9 +191,9 @@
         }
         c.answerOrFail(() -> {
             switch (kind) {
-                case REFUSED -> c.answer(503, fields, text("refused\n"));
+                case REJECTED -> c.answer(503, fields, text("refused\n"));
                 case FAILED -> c.answer(502, fields, text("failed\n"));
-                case REJECTED -> c.reject(400, "the server rejects this request");
+                case INVALID_REQUEST -> c.reject(400, "the server rejects this request");
                 default -> c.answer(504, fields, text("no answer in time\n"));
             }
         });
@@ -253,7 +257,7 @@
         for (Client c : List.copyOf(clients)) {
             c.sweep(now);
         }
-        if (door != null && sockets.clientFits()) {
+        if (door != null && sockets.hasRoomForClient()) {
             door.admit(true);
         } else {
             // At the limit others wait in the backlog: all that has been idle for a moment makes room.
@@ -278,7 +282,7 @@
                 return true;
             }
             if (c.mayBeShed(asked, now)) {
-                counters.count(Kind.CONNECTIONS_SHED);
+                counters.count(Counter.CONNECTIONS_SHED);
                 // Its descriptor is wanted now: what is not here yet crosses this, and its client sends it anew.
                 c.channel.close();
                 return true;
@@ -306,13 +310,13 @@
                     largest = c;
                 }
             }
-            counters.count(Kind.CLIENTS_SHED_FOR_MEMORY);
+            counters.count(Counter.CLIENTS_SHED_FOR_MEMORY);
             largest.giveUpReading("too much is held");
         }
     }
 
     /** A client's connection: one request at a time, in order. */
-    private final class Client extends ChannelInboundHandlerAdapter implements BodyStream.Giver {
+    private final class Client extends ChannelInboundHandlerAdapter implements BodyStream.Source {
         final Channel channel;
         final RequestDecoder decoder = new RequestDecoder();
         ByteBuf pending;
@@ -424,8 +428,8 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            counters.count(Kind.CLIENTS_ACCEPTED);
-            sockets.client(1);
+            counters.count(Counter.CLIENTS_ACCEPTED);
+            sockets.addClients(1);
             clients.add(this);
             if (unseen > 0) {
                 // What is not there at the first look was sent later than the connection was taken.
@@ -437,10 +441,10 @@
             }
             // At once, not as the channel's last event: what is still to begin for this client comes before that.
             channel.closeFuture().addListener(f -> gone());
-            if (!sockets.clientFits()) {
+            if (!sockets.hasRoomForClient()) {
                 makeRoom.run();
                 // With nothing idle to shed, further clients wait in the backlog until some connection ends.
-                if (!sockets.clientFits() && door != null) {
+                if (!sockets.hasRoomForClient() && door != null) {
                     door.admit(false);
                 }
             }
@@ -449,8 +453,8 @@
         /** The connection has ended; a client that only ends its sending has gone as well. */
         private void gone() {
             clients.remove(this);
-            sockets.client(-1);
-            if (door != null && sockets.clientFits()) {
+            sockets.addClients(-1);
+            if (door != null && sockets.hasRoomForClient()) {
                 door.admit(true);
             }
             dropPending();
@@ -459,14 +463,14 @@
             open.remove(id);
             if (flow >= 0) {
                 flows.remove(flow);
-                events.raise(new Event.FlowGone(flow));
+                events.raise(new Event.ClientDisconnected(flow));
             }
             endUpload(false);
             if (download != null) {
-                download.refuse();
+                download.cancel();
                 download = null;
             }
-            left(Left.ABANDONED);
+            left(ResponseEnd.ABANDONED);
         }
 
         @Override
@@ -484,7 +488,7 @@
             try {
                 reading.run();
             } catch (RuntimeException e) {
-                events.faulted("reading a request failed", e);
+                events.onFault("reading a request failed", e);
                 answerOrFail(() -> giveUpReading("the node failed to read this request"));
             }
         }
@@ -577,7 +581,7 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            boolean all = reads < READS_A_TURN;
+            boolean all = reads < ReceiveBuffers.MAX_READS_PER_TURN;
             reads = 0;
             if (!channel.config().isAutoRead()) {
                 return;
@@ -639,7 +643,7 @@
 
         /** Nobody can tell whether the client is present, and won't soon: what has not begun for it never begins. */
         private boolean isHiddenFromWaiting(double now) {
-            boolean waits = upload == null || !upload.isTaken() || endHeld;
+            boolean waits = upload == null || !upload.isConnected() || endHeld;
             return flow >= 0 && waits && !readOut && now - Math.max(hiddenSince, since) > PRESENT_MS;
         }
 
@@ -696,7 +700,7 @@
                 upload = null;
             } else {
                 kept = head.body().length;
-                counters.count(Kind.REQUESTS_STREAMED);
+                counters.count(Counter.REQUESTS_STREAMED);
                 readLong();
             }
         }
@@ -722,7 +726,7 @@
             if (upload != null && endHeld && readOut) {
                 endUpload(true);
                 resting = false;
-                events.raise(new Event.FlowWhole(flow));
+                events.raise(new Event.RequestCompleted(flow));
             }
         }
 
@@ -733,7 +737,7 @@
             upload = null;
             flow = -1;
             flows.remove(gone);
-            events.raise(new Event.FlowGone(gone));
+            events.raise(new Event.ClientDisconnected(gone));
             rest.end(false);
             bad(status, why);
         }
@@ -747,16 +751,16 @@
         }
 
         @Override
-        public void read(boolean on) {
+        public void setReading(boolean on) {
             resting = !on;
             ahead = on ? 0 : ahead;
             readOrRest();
         }
 
         @Override
-        public void refused() {
+        public void onCancelled() {
             // The flow has its answer, or will have it at once; what still comes of the body is dropped.
-            read(true);
+            setReading(true);
         }
 
         private void dropPending() {
@@ -789,8 +793,8 @@
 
         /** Says what is wrong and ends the connection: where the next request begins can't be known. */
         private void bad(int status, String why) {
-            counters.count(Kind.BAD_REQUESTS);
-            counters.refuse(RejectionReason.Port.REQUESTS, RejectionReason.ofStatus(status));
+            counters.count(Counter.INVALID_REQUESTS);
+            counters.countRejection(RejectionReason.Port.REQUESTS, RejectionReason.ofStatus(status));
             keepAlive = false;
             answer(status, new Headers(), text(why + "\n"));
         }
@@ -819,7 +823,7 @@
                 reject(404, "no such class");
                 return;
             }
-            String method = c.effect() == Effect.SAFE ? "GET" : "POST";
+            String method = c.idempotence() == Idempotence.IDEMPOTENT ? "GET" : "POST";
             if (!r.method().equals(method)) {
                 wrongMethod(method);
                 return;
@@ -845,7 +849,7 @@
             since = clock.nowMs();
             flow = flowCount++;
             flows.put(flow, this);
-            events.raise(new Event.FlowOpened(
+            events.raise(new Event.RequestReceived(
                     flow,
                     new ClientRequest(
                             c.name(),
@@ -870,8 +874,8 @@
         }
 
         private void wrongMethod(String right) {
-            counters.count(Kind.BAD_REQUESTS);
-            counters.refuse(RejectionReason.Port.REQUESTS, RejectionReason.ofStatus(405));
+            counters.count(Counter.INVALID_REQUESTS);
+            counters.countRejection(RejectionReason.Port.REQUESTS, RejectionReason.ofStatus(405));
             keepAlive = false;
             answer(405, new Headers().add("Allow", right), text("only " + right + "\n"));
         }
@@ -886,7 +890,7 @@
             try {
                 answer.run();
             } catch (RuntimeException e) {
-                events.faulted("an answer failed", e);
+                events.onFault("an answer failed", e);
                 answerFailed();
             }
         }
@@ -901,7 +905,7 @@
             try {
                 answer(502, new Headers(), text("failed\n"));
             } catch (RuntimeException e) {
-                events.faulted("no answer is possible", e);
+                events.onFault("no answer is possible", e);
                 channel.close();
             }
         }
@@ -909,7 +913,7 @@
         void answer(int status, Headers fields, byte[] body) {
             boolean close = beginAnswer();
             channel.writeAndFlush(HttpEncoder.answer(channel.alloc(), status, fields, body, close))
-                    .addListener(f -> written(f.isSuccess() ? Left.WHOLE : Left.ABANDONED, close));
+                    .addListener(f -> written(f.isSuccess() ? ResponseEnd.COMPLETE : ResponseEnd.ABANDONED, close));
         }
 
         /** The flow has its answer; whether the connection ends behind it. */
@@ -921,7 +925,7 @@
                 keepAlive = false;
                 BodyStream rest = upload;
                 upload = null;
-                rest.refuse();
+                rest.cancel();
             }
             kept = 0;
             ahead = 0;
@@ -945,11 +949,11 @@
                     fields,
                     chunked ? HttpEncoder.CHUNKED : d.length() >= 0 ? d.length() : HttpEncoder.NO_BODY,
                     close));
-            d.body().to(new ToClient(chunked, d.length() < 0, close));
+            d.body().connect(new ToClient(chunked, d.length() < 0, close));
         }
 
         /** Writes a long answer as its client takes it. */
-        private final class ToClient implements BodyStream.Taker {
+        private final class ToClient implements BodyStream.Sink {
             private final boolean chunked;
             private final boolean close;
             private final boolean keepsNoLength;
@@ -975,23 +979,24 @@
             public void flush() {
                 channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> since = clock.nowMs());
                 if (!channel.isWritable()) {
-                    download.want(false);
+                    download.setDemand(false);
                 }
             }
 
             @Override
-            public void ended(boolean whole) {
+            public void onEnd(boolean whole) {
                 download = null;
                 if (whole) {
                     channel.writeAndFlush(chunked ? HttpEncoder.lastChunk(channel.alloc()) : Unpooled.EMPTY_BUFFER)
-                            .addListener(f -> written(f.isSuccess() ? Left.WHOLE : Left.ABANDONED, close));
+                            .addListener(
+                                    f -> written(f.isSuccess() ? ResponseEnd.COMPLETE : ResponseEnd.ABANDONED, close));
                 } else {
                     // Short of its length or without its last chunk; where its end is the connection's, only a reset
                     // tells the client.
                     if (!chunked && keepsNoLength) {
                         channel.config().setOption(ChannelOption.SO_LINGER, 0);
                     }
-                    channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> written(Left.CUT, true));
+                    channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> written(ResponseEnd.TRUNCATED, true));
                 }
             }
         }
@@ -1000,24 +1005,24 @@
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (download != null && channel.isWritable()) {
                 since = clock.nowMs();
-                download.want(true);
+                download.setDemand(true);
             }
         }
 
         /** The answer of a flow has left, or never will. */
-        private void left(Left how) {
+        private void left(ResponseEnd how) {
             if (answered >= 0) {
                 long flowLeft = answered;
                 answered = -1;
-                events.raise(new Event.AnswerLeft(flowLeft, how));
+                events.raise(new Event.ResponseFinished(flowLeft, how));
             }
         }
 
-        private void written(Left how, boolean close) {
+        private void written(ResponseEnd how, boolean close) {
             left(how);
             writing = false;
             since = clock.nowMs();
-            if (how != Left.WHOLE) {
+            if (how != ResponseEnd.COMPLETE) {
                 channel.close();
             } else if (close || full) {
                 end();
@@ -1042,10 +1047,11 @@
 
         void sweep(double now) {
             if (isHiddenFromWaiting(now)) {
-                events.raise(new Event.ClientHidden(flow));
+                events.raise(new Event.ClientPresenceUnknown(flow));
             }
             double age = now - since;
-            double limit = keepNone ? YOUNG_MS : !asked ? SLOW_MS : sockets.crowded() ? CROWDED_IDLE_MS : IDLE_MS;
+            double limit =
+                    keepNone ? YOUNG_MS : !asked ? SLOW_MS : sockets.isCrowdedByClients() ? CROWDED_IDLE_MS : IDLE_MS;
             double stalled = download != null ? STALLED_STREAM_MS : STALLED_MS;
             if (closing ? age > LINGER_MS : writing && age > stalled) {
                 channel.close();
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -7,8 +7,9 @@
 import brackenbridge.core.Reducer;
 import brackenbridge.core.ShutdownSchedule;
 import brackenbridge.core.TimerKey;
-import brackenbridge.core.observe.Observer;
+import brackenbridge.core.observe.TrafficObserver;
 import brackenbridge.core.share.TenantUse;
+import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.RejectionReason;
 import brackenbridge.handover.Handover;
@@ -16,6 +17,11 @@
 import brackenbridge.log.Log;
 import brackenbridge.mgmt.AdminOperations;
 import brackenbridge.mgmt.ManagementListener;
+import brackenbridge.net.channel.Addresses;
+import brackenbridge.net.channel.DescriptorBudget;
+import brackenbridge.net.channel.EventSink;
+import brackenbridge.net.channel.ReceiveBuffers;
+import brackenbridge.net.channel.SocketCalls;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.PooledByteBufAllocator;
@@ -63,7 +69,7 @@
 
     private volatile boolean takesClients;
     private volatile boolean observes;
-    private volatile Observer.Snapshot observed = Observer.Snapshot.NONE;
+    private volatile TrafficObserver.TrafficSnapshot observed = TrafficObserver.TrafficSnapshot.NONE;
     private boolean serves;
     private final ManagementListener management;
     private final Handover handover;
@@ -97,7 +103,7 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, ReceiveBuffers.allocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
-        listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::ready, this::makeRoom);
+        listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::isReady, this::makeRoom);
         forwards = new UpstreamConnections(
                 bootstrap, loop, config.settings(), clock, this, beginCheck(), sockets, counters, log, this::makeRoom);
         discovery = new DiscoveryClient(bootstrap, loop, config.discovery(), this, log);
@@ -119,23 +125,23 @@
 
     /** Starts to serve; fails if the address can't be listened on. */
     public void start() {
-        InetSocketAddress address = Addresses.of(config.listen());
+        InetSocketAddress address = Addresses.parse(config.listen());
         if (address == null) {
             throw new IllegalArgumentException("listen: not a literal address: " + config.listen());
         }
         HandoverState offer = inherit();
         loop.submit(() -> {
-                    raise(new Event.Started(config.known()));
+                    raise(new Event.Started(config.configuredEndpoints()));
                     if (offer != null) {
-                        sockets.share(true);
-                        raise(new Event.Inherited(offer.list()));
+                        sockets.shareWithOtherProcess(true);
+                        raise(new Event.EndpointListInherited(offer.endpoints()));
                     }
                 })
                 .syncUninterruptibly();
         // Before any client can come: guards those who would lose their connection to a process that ends at once.
         if (management != null) {
             try {
-                management.listen(Addresses.of(config.management()));
+                management.listen(Addresses.parse(config.management()));
             } catch (Exception e) {
                 // Netty throws a failed bind as it is, and that is no RuntimeException.
                 throw new IllegalArgumentException("mgmt " + config.management() + ": " + e.getMessage(), e);
@@ -182,7 +188,7 @@
         HandoverState offer = answered.join();
         if (offer != null) {
             log.info("takes the place of another process; its list has version "
-                    + offer.list().seq());
+                    + offer.endpoints().version());
         }
         return offer;
     }
@@ -194,20 +200,20 @@
 
     @Override
     public HandoverState offer() {
-        sockets.share(true);
-        return new HandoverState(config.sockets() / 2, reducer.targetGroup());
+        sockets.shareWithOtherProcess(true);
+        return new HandoverState(config.sockets() / 2, reducer.endpointList());
     }
 
     @Override
     public void successorServes(boolean on) {
-        sockets.share(on);
+        sockets.shareWithOtherProcess(on);
         raise(new Event.SuccessorServes(on));
     }
 
     @Override
     public void predecessorEnded() {
         log.info("the predecessor has ended");
-        sockets.share(false);
+        sockets.shareWithOtherProcess(false);
     }
 
     /** Where staff call it; null if nowhere. */
@@ -234,14 +240,14 @@
     }
 
     private void turnDown(IllegalArgumentException e) {
-        counters.count(Counters.Kind.RECONFIGURE_FAILED);
+        counters.count(Counter.RECONFIGURE_FAILED);
         log.warn("the old configuration stays: " + e.getMessage());
         publish();
     }
 
     private void takeOver(Config read) {
         try {
-            config.shape().requireOf(read.shape());
+            config.schema().requireSameKeysIn(read.schema());
         } catch (IllegalArgumentException e) {
             turnDown(e);
             return;
@@ -249,36 +255,36 @@
         boolean moved = !read.discovery().equals(config.discovery());
         boolean fixed = !read.listen().equals(config.listen()) || !read.name().equals(config.name());
         discovery.moved(read.discovery());
-        listener.goBy(read.settings());
-        forwards.goBy(read.settings());
-        sockets.limit(read.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS));
+        listener.applySettings(read.settings());
+        forwards.applySettings(read.settings());
+        sockets.setLimit(read.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS));
         config = read;
         log.info("reconfigured, " + read.settings().classes().size() + " classes, "
                 + read.settings().maxAttempts()
                 + " attempts, discovery at " + read.discovery()
                 + (fixed ? "; name and listen address change at the next start only" : ""));
-        raise(new Event.Reconfigured(read.settings(), read.known(), moved));
+        raise(new Event.Reconfigured(read.settings(), read.configuredEndpoints(), moved));
         publish();
     }
 
     /** From now on the node counts what goes to each pool; before {@link #start}. */
-    public void observe() {
-        loop.submit(reducer::observe).syncUninterruptibly();
+    public void startObserving() {
+        loop.submit(reducer::startObserving).syncUninterruptibly();
         observes = true;
     }
 
     /** What was seen of each pool by the latest turn of its clock's tenth of a second; from any thread. */
-    public Observer.Snapshot observed() {
+    public TrafficObserver.TrafficSnapshot observation() {
         return observed;
     }
 
     /** What the fleet has to say, to be heard on the loop; from any thread, and nobody waits for it. */
-    public void tell(Event.ZonesWeighed weights) {
+    public void enqueue(Event.ZoneWeightsReceived weights) {
         loop.execute(() -> raise(weights));
     }
 
-    /** What tenants may hold, as {@link #tell(Event.ZonesWeighed)}. */
-    public void tell(Event.SharesTold shares) {
+    /** What tenants may hold, as {@link #enqueue(Event.ZoneWeightsReceived)}. */
+    public void enqueue(Event.TenantQuotasReceived shares) {
         loop.execute(() -> raise(shares));
     }
 
@@ -295,7 +301,8 @@
     /** Read on the loop, with nothing in between; for tests. */
     CompletableFuture<Snapshot> snapshot() {
         CompletableFuture<Snapshot> read = new CompletableFuture<>();
-        loop.execute(() -> read.complete(new Snapshot(sockets.clients(), sockets.servers(), reducer.figures())));
+        loop.execute(
+                () -> read.complete(new Snapshot(sockets.clientCount(), sockets.serverCount(), reducer.metricsText())));
         return read;
     }
 
@@ -303,7 +310,7 @@
     public CompletableFuture<Void> stop() {
         loop.execute(() -> {
             log.info("stopping");
-            raise(new Event.StopAsked());
+            raise(new Event.StopRequested());
         });
         return ended;
     }
@@ -336,7 +343,7 @@
     }
 
     @Override
-    public void faulted(String what, RuntimeException cause) {
+    public void onFault(String what, RuntimeException cause) {
         log.error(what, cause);
     }
 
@@ -344,46 +351,46 @@
         try {
             if (effect instanceof Effect.SetTimer e) {
                 timer(e);
-            } else if (effect instanceof Effect.UnsetTimer e) {
+            } else if (effect instanceof Effect.CancelTimer e) {
                 ScheduledFuture<?> set = deadlines.remove(e.key());
                 if (set != null) {
                     set.cancel(false);
                 }
-            } else if (effect instanceof Effect.Forward e) {
+            } else if (effect instanceof Effect.StartAttempt e) {
                 forwards.begin(e);
-            } else if (effect instanceof Effect.Respond e) {
-                listener.respond(e.flow(), e.message());
-            } else if (effect instanceof Effect.FixedResponse e) {
-                listener.fixedResponse(e.flow(), e.kind(), e.retryAfterMs());
-            } else if (effect instanceof Effect.CancelForward e) {
-                forwards.cancel(e.flow(), e.forward());
-            } else if (effect instanceof Effect.Watch e) {
-                discovery.watch(e.call(), e.afterSeq());
-            } else if (effect instanceof Effect.EndDiscovery e) {
+            } else if (effect instanceof Effect.SendResponse e) {
+                listener.respond(e.requestId(), e.message());
+            } else if (effect instanceof Effect.SendLocalReply e) {
+                listener.fixedResponse(e.requestId(), e.reply(), e.retryAfterMs());
+            } else if (effect instanceof Effect.CancelAttempt e) {
+                forwards.cancel(e.requestId(), e.attempt());
+            } else if (effect instanceof Effect.WatchDiscovery e) {
+                discovery.watch(e.call(), e.afterVersion());
+            } else if (effect instanceof Effect.EndDiscoveryCall e) {
                 discovery.end(e.call());
-            } else if (effect instanceof Effect.CloseIdle e) {
-                forwards.closeIdle(e.host(), e.dial());
-            } else if (effect instanceof Effect.SayClose e) {
+            } else if (effect instanceof Effect.CloseIdleConnections e) {
+                forwards.closeIdle(e.host(), e.address());
+            } else if (effect instanceof Effect.AnnounceClose e) {
                 listener.sayClose(e.on());
             } else if (effect instanceof Effect.StopAccepting) {
                 listener.stopAccepting();
             } else if (effect instanceof Effect.CloseIdleClients) {
                 listener.closeIdle();
-            } else if (effect instanceof Effect.KeepNoClients e) {
+            } else if (effect instanceof Effect.CloseClientsWhenIdle e) {
                 listener.keepNone(e.on());
-            } else if (effect instanceof Effect.EndUnfinished) {
+            } else if (effect instanceof Effect.RejectIncompleteRequests) {
                 listener.endUnfinished(408);
             } else if (effect instanceof Effect.Fault e) {
                 log.error("fault in a decision", e.cause());
             } else if (effect instanceof Effect.Exit e) {
-                exit(e.atOnce());
+                exit(e.immediately());
             }
         } catch (RuntimeException e) {
             log.error("effect " + effect.getClass().getSimpleName() + " failed", e);
-            if (effect instanceof Effect.Forward f) {
+            if (effect instanceof Effect.StartAttempt f) {
                 // Guards its flow against waiting in vain: nothing has been sent.
-                forwards.cancel(f.flow(), f.forward());
-                raise(new Event.ForwardNotBegun(f.flow(), f.forward()));
+                forwards.cancel(f.requestId(), f.attempt());
+                raise(new Event.AttemptNotStarted(f.requestId(), f.attempt()));
             }
         }
     }
@@ -401,7 +408,7 @@
                 },
                 (long) (Math.max(0, wait) * 1e6),
                 TimeUnit.NANOSECONDS);
-        if (e.key() instanceof TimerKey.Deadline) {
+        if (e.key() instanceof TimerKey.RequestDeadline) {
             ScheduledFuture<?> before = deadlines.put(e.key(), set);
             if (before != null) {
                 before.cancel(false);
@@ -410,20 +417,20 @@
     }
 
     private void publish() {
-        figures = reducer.figures();
+        figures = reducer.metricsText();
         if (observes) {
-            observed = reducer.observed();
+            observed = reducer.observation();
         }
-        takesClients = serves && door.isOpen() && !reducer.stopping();
+        takesClients = serves && door.isOpen() && !reducer.isStopping();
     }
 
     @Override
-    public boolean takesClients() {
+    public boolean acceptsClients() {
         return takesClients;
     }
 
     @Override
-    public String figures() {
+    public String metricsText() {
         return figures;
     }
 
@@ -432,16 +439,16 @@
         CompletableFuture<Boolean> taken = new CompletableFuture<>();
         loop.execute(() -> {
             log.info(on ? "told to drain" : "told to work again");
-            raise(new Event.DrainAsked(on));
+            raise(new Event.DrainRequested(on));
             publish();
-            taken.complete(!reducer.stopping());
+            taken.complete(!reducer.isStopping());
         });
         return taken;
     }
 
     @Override
-    public void refused(RejectionReason why) {
-        loop.execute(() -> counters.refuse(RejectionReason.Port.CALLS, why));
+    public void onRejectedCall(RejectionReason why) {
+        loop.execute(() -> counters.countRejection(RejectionReason.Port.MANAGEMENT, why));
     }
 
     private void sweep() {
--- a/node/src/main/java/brackenbridge/net/UpstreamConnections.java
+++ b/node/src/main/java/brackenbridge/net/UpstreamConnections.java
@@ -3,21 +3,28 @@
 import brackenbridge.clock.Clock;
 import brackenbridge.core.Effect;
 import brackenbridge.core.Event;
-import brackenbridge.core.Event.Reply;
-import brackenbridge.core.balancing.BalancerApi.Report;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.LoadReport;
 import brackenbridge.core.connection.ConnectionCommand;
 import brackenbridge.core.connection.ConnectionPool;
 import brackenbridge.core.connection.EndpointIdentity;
+import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.RejectionReason;
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.HttpRequest;
 import brackenbridge.http.HttpResponse;
-import brackenbridge.http.LoadReport;
+import brackenbridge.http.LoadReportParser;
 import brackenbridge.http.ResponseDecoder;
 import brackenbridge.log.Log;
+import brackenbridge.net.channel.Addresses;
+import brackenbridge.net.channel.BodyStream;
+import brackenbridge.net.channel.DescriptorBudget;
+import brackenbridge.net.channel.EventSink;
+import brackenbridge.net.channel.StreamedRequest;
+import brackenbridge.net.channel.StreamedResponse;
 import brackenbridge.transport.ConnectAttempt;
 import brackenbridge.transport.SocketErrors;
 import io.netty.bootstrap.Bootstrap;
@@ -86,7 +93,7 @@
     private Bootstrap bootstrap;
     private final EventLoop loop;
     private final Log log;
-    private Settings settings;
+    private BalancerSettings settings;
     private final Clock clock;
     private final EventSink events;
     private final BeginCheck beginCheck;
@@ -111,25 +118,25 @@
 
     /** A forward from its effect to its end. */
     private static final class Running {
-        final Effect.Forward forward;
+        final Effect.StartAttempt forward;
         Connection connection;
         boolean written;
         /** Its wait in the pool; negative before it. */
         long wait = -1;
 
-        Running(Effect.Forward forward) {
+        Running(Effect.StartAttempt forward) {
             this.forward = forward;
         }
 
         EndpointIdentity peer() {
-            return new EndpointIdentity(forward.host(), forward.dial());
+            return new EndpointIdentity(forward.host(), forward.address());
         }
     }
 
     UpstreamConnections(
             Bootstrap bootstrap,
             EventLoop loop,
-            Settings settings,
+            BalancerSettings settings,
             Clock clock,
             EventSink events,
             BeginCheck beginCheck,
@@ -151,23 +158,23 @@
     }
 
     /** Forwards that begin from now on go by these settings. */
-    void goBy(Settings now) {
+    void applySettings(BalancerSettings now) {
         settings = now;
-        pool.goBy(connectMs(now), idleMs(now));
+        pool.applySettings(connectMs(now), idleMs(now));
     }
 
-    private static double connectMs(Settings s) {
+    private static double connectMs(BalancerSettings s) {
         return Math.max(1, s.network().connectTimeout() / 1000.0);
     }
 
     /** Half: guards against the server's own idle close, which may come early; what is written from then on is lost. */
-    private static double idleMs(Settings s) {
-        return s.idleClose() / 2000.0;
+    private static double idleMs(BalancerSettings s) {
+        return s.idleTimeout() / 2000.0;
     }
 
-    void begin(Effect.Forward forward) {
+    void begin(Effect.StartAttempt forward) {
         Running r = new Running(forward);
-        running.put(forward.flow(), r);
+        running.put(forward.requestId(), r);
         // Not before all that has come by now is read: among it may be the end of the very connection that this
         // forward would take, or bytes that make it worthless.
         double decidedMs = clock.nowMs();
@@ -182,19 +189,19 @@
     }
 
     private void dispatch(Running r) {
-        if (running.get(r.forward.flow()) != r) {
+        if (running.get(r.forward.requestId()) != r) {
             return;
         }
         r.wait = waited++;
         waits.put(r.wait, r);
-        follow(pool.ask(clock.nowMs(), r.wait, r.peer()));
+        follow(pool.acquire(clock.nowMs(), r.wait, r.peer()));
     }
 
     private void follow(List<ConnectionCommand> steps) {
         for (ConnectionCommand step : steps) {
             if (step instanceof ConnectionCommand.Open s) {
                 open(s);
-            } else if (step instanceof ConnectionCommand.Lend s) {
+            } else if (step instanceof ConnectionCommand.Assign s) {
                 lend(s);
             } else if (step instanceof ConnectionCommand.Close s) {
                 Connection c = connections.remove(s.connection());
@@ -210,35 +217,35 @@
     }
 
     private void open(ConnectionCommand.Open s) {
-        InetSocketAddress address = Addresses.of(s.peer().dial());
-        if (!sockets.serverFits()) {
+        InetSocketAddress address = Addresses.parse(s.endpoint().address());
+        if (!sockets.hasRoomForServer()) {
             makeRoom.run();
         }
         if (address == null) {
-            follow(pool.ended(clock.nowMs(), s.connection()));
+            follow(pool.onConnectionEnded(clock.nowMs(), s.connection()));
             return;
         }
-        if (!sockets.serverFits()) {
+        if (!sockets.hasRoomForServer()) {
             // Guards the servers' standing against a node that has too many connections itself.
-            follow(pool.noRoom(clock.nowMs(), s.connection()));
+            follow(pool.onNoDescriptor(clock.nowMs(), s.connection()));
             return;
         }
-        Connection c = new Connection(s.connection(), s.peer());
+        Connection c = new Connection(s.connection(), s.endpoint());
         Bootstrap attempt = bootstrap
                 .clone()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(Integer.MAX_VALUE, s.withinMs()))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(Integer.MAX_VALUE, s.timeoutMs()))
                 // So that the server's end of sending is told as such: a closed channel may as well be one that was
                 // reset, or one whose writes failed.
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .handler(c);
         c.channel = ConnectAttempt.begin(attempt, loop, address, c);
-        if (s.further()) {
-            counters.count(Counters.Kind.CONNECTIONS_JOINED);
+        if (s.additional()) {
+            counters.count(Counter.CONNECTIONS_JOINED);
         }
         if (c.channel != null) {
             connections.put(c.id, c);
-            sockets.server(1);
-            c.channel.closeFuture().addListener(f -> sockets.server(-1));
+            sockets.addServers(1);
+            c.channel.closeFuture().addListener(f -> sockets.addServers(-1));
         }
     }
 
@@ -250,39 +257,39 @@
         }
     }
 
-    private void lend(ConnectionCommand.Lend s) {
+    private void lend(ConnectionCommand.Assign s) {
         Connection c = connections.get(s.connection());
-        Running r = waits.remove(s.ticket());
+        Running r = waits.remove(s.waiter());
         if (r == null) {
             // Called off by what an earlier step has raised, or while its client was looked for.
-            follow(pool.free(clock.nowMs(), s.connection()));
+            follow(pool.release(clock.nowMs(), s.connection()));
         } else if (c != null && c.channel.isActive()) {
             lend(s, c, r);
         } else {
             // It has ended, and its end is not told yet.
-            follow(pool.ended(clock.nowMs(), s.connection()));
+            follow(pool.onConnectionEnded(clock.nowMs(), s.connection()));
             dispatch(r);
         }
     }
 
-    private void lend(ConnectionCommand.Lend s, Connection c, Running r) {
+    private void lend(ConnectionCommand.Assign s, Connection c, Running r) {
         Sending sending = c.send(r);
         if (sending == Sending.TOO_LATE) {
-            follow(pool.free(clock.nowMs(), s.connection()));
+            follow(pool.release(clock.nowMs(), s.connection()));
             notBegun(r);
         } else if (sending == Sending.CLIENT_UNKNOWN) {
             // Ends by itself: soon the client is seen, is found to have gone, or counts as hidden.
-            waits.put(s.ticket(), r);
+            waits.put(s.waiter(), r);
             loop.schedule(() -> lend(s), LOOK_AGAIN_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void giveUp(ConnectionCommand.GiveUp s) {
-        Running r = waits.remove(s.ticket());
+        Running r = waits.remove(s.waiter());
         if (r == null) {
             return;
         }
-        switch (s.why()) {
+        switch (s.reason()) {
             case UNCONNECTED -> broken(r);
             case FAILED_LOCALLY -> failedLocally(r);
             case NO_ROOM -> notBegun(r);
@@ -296,7 +303,7 @@
                     if (clock.nowMs() < s.atMs()) {
                         wake(s);
                     } else {
-                        follow(pool.due(clock.nowMs(), s.ticket()));
+                        follow(pool.onWake(clock.nowMs(), s.waiter()));
                     }
                 },
                 (long) (Math.max(0, wait) * 1e6),
@@ -304,29 +311,29 @@
     }
 
     private void notBegun(Running r) {
-        if (running.remove(r.forward.flow(), r)) {
-            events.raise(new Event.ForwardNotBegun(r.forward.flow(), r.forward.forward()));
+        if (running.remove(r.forward.requestId(), r)) {
+            events.raise(new Event.AttemptNotStarted(r.forward.requestId(), r.forward.attempt()));
         }
     }
 
     private void broken(Running r) {
-        if (running.remove(r.forward.flow(), r)) {
-            events.raise(new Event.ForwardBroken(r.forward.flow(), r.forward.forward()));
+        if (running.remove(r.forward.requestId(), r)) {
+            events.raise(new Event.AttemptConnectionLost(r.forward.requestId(), r.forward.attempt()));
         }
     }
 
     private void failedLocally(Running r) {
-        if (running.remove(r.forward.flow(), r)) {
-            events.raise(new Event.ForwardFailedLocally(r.forward.flow(), r.forward.forward()));
+        if (running.remove(r.forward.requestId(), r)) {
+            events.raise(new Event.AttemptFailedLocally(r.forward.requestId(), r.forward.attempt()));
         }
     }
 
     void cancel(long flow, int forward) {
         Running r = running.get(flow);
-        if (r != null && r.forward.forward() == forward) {
+        if (r != null && r.forward.attempt() == forward) {
             running.remove(flow);
             waits.remove(r.wait);
-            follow(pool.withdraw(r.wait));
+            follow(pool.cancelWait(r.wait));
             if (r.connection != null) {
                 r.connection.running = null;
                 r.connection.endUpload();
@@ -356,18 +363,18 @@
 
     /** Closes one idle connection, if there is one. */
     boolean shed() {
-        List<ConnectionCommand> steps = pool.shed();
+        List<ConnectionCommand> steps = pool.closeOneIdle();
         if (steps.isEmpty()) {
             return false;
         }
-        counters.count(Counters.Kind.CONNECTIONS_SHED);
+        counters.count(Counter.CONNECTIONS_SHED);
         follow(steps);
         return true;
     }
 
     /** A connection to a server. */
     private final class Connection extends ChannelInboundHandlerAdapter
-            implements BodyStream.Giver, ConnectAttempt.Listener {
+            implements BodyStream.Source, ConnectAttempt.Listener {
         final long id;
         final EndpointIdentity peer;
         final ResponseDecoder decoder = new ResponseDecoder();
@@ -398,9 +405,9 @@
 
         @Override
         public void connected() {
-            counters.count(Counters.Kind.CONNECTIONS_OPENED);
+            counters.count(Counter.CONNECTIONS_OPENED);
             // As in begin: the end of the client that waits for it may be there as well.
-            loop.execute(() -> follow(pool.up(clock.nowMs(), id)));
+            loop.execute(() -> follow(pool.onConnected(clock.nowMs(), id)));
         }
 
         @Override
@@ -408,7 +415,7 @@
             if (SocketErrors.isLocal(cause)) {
                 connections.remove(id);
                 warnOfLocalFailure(peer, cause);
-                follow(pool.failedLocally(clock.nowMs(), id));
+                follow(pool.onLocalFailure(clock.nowMs(), id));
             } else {
                 forget();
             }
@@ -420,16 +427,16 @@
             if (SocketErrors.isShortage(cause)) {
                 makeRoom.run();
             }
-            follow(pool.failedLocally(clock.nowMs(), id));
+            follow(pool.onLocalFailure(clock.nowMs(), id));
         }
 
         Sending send(Running r) {
             sentAt = clock.nowMs();
-            double left = beginCheck.timeLeftMs(r.forward.flow(), r.forward.forward());
+            double left = beginCheck.timeLeftMs(r.forward.requestId(), r.forward.attempt());
             if (left <= 0) {
                 return Sending.TOO_LATE;
             }
-            if (!beginCheck.isClientPresent(r.forward.flow())) {
+            if (!beginCheck.isClientPresent(r.forward.requestId())) {
                 return Sending.CLIENT_UNKNOWN;
             }
             running = r;
@@ -450,7 +457,7 @@
             }
             if (cause == null) {
                 r.written = true;
-                events.raise(new Event.ForwardWritten(r.forward.flow(), r.forward.forward()));
+                events.raise(new Event.AttemptWritten(r.forward.requestId(), r.forward.attempt()));
             } else {
                 writeFailed(cause);
             }
@@ -470,7 +477,7 @@
             writePiece(Unpooled.wrappedBuffer(u.head().body()), chunked);
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> {
                 if (running == r && f.isSuccess()) {
-                    u.rest().to(new ToServer(r, chunked));
+                    u.body().connect(new ToServer(r, chunked));
                 } else if (running == r) {
                     writeFailed(f.cause());
                 }
@@ -488,7 +495,7 @@
         }
 
         /** Sends the rest of a long body. */
-        private final class ToServer implements BodyStream.Taker {
+        private final class ToServer implements BodyStream.Sink {
             private final Running r;
             private final boolean chunked;
             private boolean spent;
@@ -502,7 +509,7 @@
             public void piece(ByteBuf piece) {
                 if (!spent) {
                     spent = true;
-                    events.raise(new Event.FlowSpent(r.forward.flow()));
+                    events.raise(new Event.RequestBodyReleased(r.forward.requestId()));
                 }
                 writePiece(piece, chunked);
             }
@@ -513,12 +520,12 @@
                 sentAt = channel.isWritable() ? clock.nowMs() : sentAt;
                 channel.flush();
                 if (!channel.isWritable()) {
-                    upload.rest().want(false);
+                    upload.body().setDemand(false);
                 }
             }
 
             @Override
-            public void ended(boolean whole) {
+            public void onEnd(boolean whole) {
                 if (whole) {
                     sentAt = clock.nowMs();
                     channel.writeAndFlush(chunked ? HttpEncoder.lastChunk(channel.alloc()) : Unpooled.EMPTY_BUFFER)
@@ -533,7 +540,7 @@
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (upload != null && running != null && channel.isWritable()) {
                 sentAt = clock.nowMs();
-                upload.rest().want(true);
+                upload.body().setDemand(true);
             }
         }
 
@@ -542,8 +549,8 @@
             if (upload != null) {
                 StreamedRequest u = upload;
                 upload = null;
-                if (u.rest().isTaken()) {
-                    u.rest().refuse();
+                if (u.body().isConnected()) {
+                    u.body().cancel();
                 }
             }
         }
@@ -552,14 +559,14 @@
             if (answerSince > 0 && decoder.saysLong() && decoder.status() == 200 && now - answerSince > FIRST_PART_MS) {
                 startStream();
             } else if (answerSince > 0 && now - answerSince > ANSWER_MS) {
-                spoilt(RejectionReason.SLOW, "stopped half way");
+                spoilt(RejectionReason.TOO_SLOW, "stopped half way");
             } else if (upload != null && !running.written && !channel.isWritable() && now - sentAt > STREAM_MS) {
-                spoilt(RejectionReason.SLOW, "takes no more of a long body");
+                spoilt(RejectionReason.TOO_SLOW, "takes no more of a long body");
             }
         }
 
         void sweepStream(double now) {
-            if (!answer.isTaken() && now - answerSince > ANSWER_MS) {
+            if (!answer.isConnected() && now - answerSince > ANSWER_MS) {
                 cut("nobody takes it");
             } else if (channel.config().isAutoRead() && now - answerSince > STREAM_MS) {
                 cut("stopped half way");
@@ -574,17 +581,17 @@
             running = null;
             endUpload();
             hold(0);
-            UpstreamConnections.this.running.remove(r.forward.flow(), r);
+            UpstreamConnections.this.running.remove(r.forward.requestId(), r);
             answerSince = clock.nowMs();
             answer = new BodyStream(this);
             streaming.add(this);
-            counters.count(Counters.Kind.ANSWERS_STREAMED);
+            counters.count(Counter.RESPONSES_STREAMED);
             answer.piece(Unpooled.wrappedBuffer(decoder.stream((from, n) -> answer.piece(from.readRetainedSlice(n)))));
             HttpResponse head = decoder.part(null);
-            events.raise(new Event.ForwardAnswered(
-                    r.forward.flow(),
-                    r.forward.forward(),
-                    Reply.SERVED,
+            events.raise(new Event.AttemptAnswered(
+                    r.forward.requestId(),
+                    r.forward.attempt(),
+                    ServerReply.SERVED,
                     new StreamedResponse(head, length(), answer),
                     report(head)));
         }
@@ -598,13 +605,13 @@
         }
 
         @Override
-        public void read(boolean on) {
+        public void setReading(boolean on) {
             answerSince = clock.nowMs();
             channel.config().setAutoRead(on);
         }
 
         @Override
-        public void refused() {
+        public void onCancelled() {
             // Its client has left: the server is not at fault, so nothing counts as cut.
             streaming.remove(this);
             answer = null;
@@ -629,7 +636,7 @@
 
         /** The client gets no end of it, so that it can tell. */
         private void cut(String why) {
-            counters.count(Counters.Kind.ANSWERS_CUT);
+            counters.count(Counter.RESPONSES_TRUNCATED);
             log.warn("long answer of " + peer.host() + " cut: " + why);
             endStream(false);
             close();
@@ -645,7 +652,7 @@
 
         void keep() {
             if (channel.isActive()) {
-                follow(pool.free(clock.nowMs(), id));
+                follow(pool.release(clock.nowMs(), id));
             }
         }
 
@@ -657,7 +664,7 @@
 
         void forget() {
             connections.remove(id);
-            follow(pool.ended(clock.nowMs(), id));
+            follow(pool.onConnectionEnded(clock.nowMs(), id));
         }
 
         /**
@@ -669,9 +676,9 @@
             Running r = running;
             running = null;
             endUpload();
-            counters.count(Counters.Kind.ANSWERS_SPOILT);
-            counters.refuse(RejectionReason.Port.ANSWERS, reason);
-            log.warn("answer of " + peer.host() + " spoilt, " + reason.text() + ": " + why);
+            counters.count(Counter.RESPONSES_MALFORMED);
+            counters.countRejection(RejectionReason.Port.RESPONSES, reason);
+            log.warn("answer of " + peer.host() + " spoilt, " + reason.key() + ": " + why);
             close();
             if (r != null) {
                 broken(r);
@@ -721,10 +728,10 @@
             boolean early = !r.written;
             endUpload();
             hold(0);
-            UpstreamConnections.this.running.remove(r.forward.flow(), r);
+            UpstreamConnections.this.running.remove(r.forward.requestId(), r);
             keepOrClose(response, more || early);
-            events.raise(new Event.ForwardAnswered(
-                    r.forward.flow(), r.forward.forward(), reply(response), response, report(response)));
+            events.raise(new Event.AttemptAnswered(
+                    r.forward.requestId(), r.forward.attempt(), reply(response), response, report(response)));
         }
 
         private void keepOrClose(HttpResponse response, boolean more) {
@@ -735,9 +742,9 @@
             }
         }
 
-        private Report report(HttpResponse response) {
+        private LoadReport report(HttpResponse response) {
             return settings.network().reportsInAnswers()
-                    ? LoadReport.parse(response.headers().get("X-Backend-Load"))
+                    ? LoadReportParser.parse(response.headers().get("X-Backend-Load"))
                     : null;
         }
 
@@ -746,17 +753,17 @@
             holds = bytes;
         }
 
-        private Reply reply(HttpResponse response) {
+        private ServerReply reply(HttpResponse response) {
             boolean away = (response.status() == 503 || response.status() == 504)
                     && "1".equals(response.headers().get("X-Unprocessed"));
             if (response.status() == 200) {
-                return Reply.SERVED;
+                return ServerReply.SERVED;
             }
             boolean rejected = response.status() >= 400
                     && response.status() < 500
                     && response.status() != 408
                     && response.status() != 429;
-            return away ? Reply.TURNED_AWAY : rejected ? Reply.REJECTED : Reply.ERROR;
+            return away ? ServerReply.SERVER_FULL : rejected ? ServerReply.INVALID_REQUEST : ServerReply.ERROR;
         }
 
         /** The connection has ended: whether its end is that of the answer. */
@@ -801,8 +808,8 @@
                 return;
             }
             boolean atOnce = answerSince == 0 && clock.nowMs() - sentAt < AT_ONCE_MS;
-            if (atOnce && pool.broke(id)) {
-                counters.count(Counters.Kind.CONNECTIONS_STALE);
+            if (atOnce && pool.onBrokenAtOnce(id)) {
+                counters.count(Counter.CONNECTIONS_STALE);
             }
             forget();
             broken(r);
--- a/node/src/main/java/brackenbridge/net/Addresses.java
+++ b/node/src/main/java/brackenbridge/net/channel/Addresses.java
@@ -1,4 +1,4 @@
-package brackenbridge.net;
+package brackenbridge.net.channel;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -6,15 +6,15 @@
 import java.net.UnknownHostException;
 
 /** Reads {@code address:port}; only literal addresses, since a look-up of a name would block. */
-final class Addresses {
+public final class Addresses {
     private Addresses() {}
 
     /** The address, or null if it is none. */
-    static InetSocketAddress of(String dial) {
-        int colon = dial.lastIndexOf(':');
-        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(dial.substring(0, colon));
+    public static InetSocketAddress parse(String text) {
+        int colon = text.lastIndexOf(':');
+        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
-            int port = ip == null ? -1 : Integer.parseInt(dial.substring(colon + 1));
+            int port = ip == null ? -1 : Integer.parseInt(text.substring(colon + 1));
             return port < 0 || port > 65535 ? null : new InetSocketAddress(InetAddress.getByAddress(ip), port);
         } catch (NumberFormatException | UnknownHostException e) {
             return null;
--- a/node/src/main/java/brackenbridge/net/ReceiveBuffers.java
+++ b/node/src/main/java/brackenbridge/net/channel/ReceiveBuffers.java
@@ -1,9 +1,12 @@
-package brackenbridge.net;
+package brackenbridge.net.channel;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 
 /** How much is read from one connection before the next one is served. */
-final class ReceiveBuffers {
+public final class ReceiveBuffers {
+    /** Reads of one connection before the next has its turn; fewer than these have found all that had come. */
+    public static final int MAX_READS_PER_TURN = 4;
+
     private static final int SMALLEST_BYTES = 512;
     private static final int INITIAL_BYTES = 2048;
     private static final int LARGEST_BYTES = 8192;
@@ -11,10 +14,10 @@
     private ReceiveBuffers() {}
 
     /** An allocator whose bounds protect memory and well-behaved clients from those that send at full speed. */
-    static AdaptiveRecvByteBufAllocator allocator() {
+    public static AdaptiveRecvByteBufAllocator allocator() {
         AdaptiveRecvByteBufAllocator allocator =
                 new AdaptiveRecvByteBufAllocator(SMALLEST_BYTES, INITIAL_BYTES, LARGEST_BYTES);
-        allocator.maxMessagesPerRead(Listener.READS_A_TURN);
+        allocator.maxMessagesPerRead(MAX_READS_PER_TURN);
         return allocator;
     }
 }
--- a/node/src/main/java/brackenbridge/net/SocketCalls.java
+++ b/node/src/main/java/brackenbridge/net/channel/SocketCalls.java
@@ -1,4 +1,4 @@
-package brackenbridge.net;
+package brackenbridge.net.channel;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
@@ -13,17 +13,17 @@
  * @param outgoing makes the channels of connections to servers and discovery
  * @param accept takes clients' connections from the listening socket
  */
-record SocketCalls(ChannelFactory<? extends Channel> outgoing, Accept accept) {
+public record SocketCalls(ChannelFactory<? extends Channel> outgoing, AcceptCall accept) {
 
     /** Takes the next connection from a listening socket. */
     @FunctionalInterface
-    interface Accept {
+    public interface AcceptCall {
         /** Returns the channel of the next client; null if none waits. */
         NioSocketChannel next(Channel parent, ServerSocketChannel listening) throws IOException;
     }
 
     /** The system's own. */
-    static SocketCalls system() {
+    public static SocketCalls system() {
         return new SocketCalls(NioSocketChannel::new, SocketCalls::acceptNext);
     }
 
--- a/node/src/main/java/brackenbridge/net/StreamedRequest.java
+++ b/node/src/main/java/brackenbridge/net/channel/StreamedRequest.java
@@ -1,4 +1,4 @@
-package brackenbridge.net;
+package brackenbridge.net.channel;
 
 import brackenbridge.http.HttpRequest;
 
@@ -7,6 +7,6 @@
  *
  * @param head the request with the first part of its body, which is kept: until more has gone out it can be sent again
  * @param length the body's length, or -1 if it comes in chunks
- * @param rest what follows the first part
+ * @param body what follows the first part
  */
-record StreamedRequest(HttpRequest head, long length, BodyStream rest) {}
+public record StreamedRequest(HttpRequest head, long length, BodyStream body) {}
--- a/node/src/main/java/brackenbridge/net/StreamedResponse.java
+++ b/node/src/main/java/brackenbridge/net/channel/StreamedResponse.java
@@ -1,4 +1,4 @@
-package brackenbridge.net;
+package brackenbridge.net.channel;
 
 import brackenbridge.http.HttpResponse;
 
@@ -9,4 +9,4 @@
  * @param length the body's length, or -1 if only its end will tell
  * @param body the body from its first byte
  */
-record StreamedResponse(HttpResponse head, long length, BodyStream body) {}
+public record StreamedResponse(HttpResponse head, long length, BodyStream body) {}
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -1,14 +1,14 @@
 package brackenbridge.wire;
 
 import brackenbridge.config.SettingsParser;
+import brackenbridge.core.balancing.AttemptOutcome;
 import brackenbridge.core.balancing.Balancer;
-import brackenbridge.core.balancing.BalancerApi.Endpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
-import brackenbridge.core.balancing.BalancerApi.ListKind;
-import brackenbridge.core.balancing.BalancerApi.Outcome;
-import brackenbridge.core.balancing.BalancerApi.Report;
-import brackenbridge.core.balancing.BalancerApi.Request;
-import brackenbridge.core.balancing.BalancerApi.Settings;
+import brackenbridge.core.balancing.BalancerRequest;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.Endpoint;
+import brackenbridge.core.balancing.EndpointListKind;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.balancing.LoadReport;
 import brackenbridge.core.membership.DiscoveryCommand;
 import brackenbridge.core.membership.DiscoverySource;
 import brackenbridge.core.membership.DiscoveryWatch;
@@ -31,15 +31,15 @@
     private static final String TURN = "discovery ";
 
     /** By the wire's numbers, from 1 on. */
-    private static final Outcome[] OUTCOMES = {
-        Outcome.OK,
-        Outcome.ERROR,
-        Outcome.FULL,
-        Outcome.TIMEOUT,
-        Outcome.CONNECT_FAILED,
-        Outcome.RESET,
-        Outcome.CANCELLED,
-        Outcome.MOOT
+    private static final AttemptOutcome[] OUTCOMES = {
+        AttemptOutcome.OK,
+        AttemptOutcome.ERROR,
+        AttemptOutcome.FULL,
+        AttemptOutcome.TIMEOUT,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.CANCELLED,
+        AttemptOutcome.NEVER_STARTED
     };
 
     /** An instance; where lists are pushed, the simulator sends them by itself and there is nothing to follow. */
@@ -128,13 +128,13 @@
                 reader.number("waitTime");
                 reader.endOfMessage();
                 Balancer b = balancer();
-                guarded(() -> b.onFirstByte(now, request, attempt));
+                guarded(() -> b.onResponseStarted(now, request, attempt));
             }
             case "VANISHED" -> {
                 long request = reader.number("corr");
                 reader.endOfMessage();
                 Balancer b = balancer();
-                guarded(() -> b.onGone(now, request));
+                guarded(() -> b.onClientDisconnected(now, request));
             }
             case "TIMEOUT_FIRED" -> {
                 String token = reader.rest("ctx");
@@ -148,10 +148,10 @@
             case "PROBED" -> {
                 long latency = reader.number("waitTime");
                 long endpoint = reader.number("endpoint");
-                Outcome outcome = outcome();
-                Report report = report();
+                AttemptOutcome outcome = outcome();
+                LoadReport report = report();
                 Balancer b = balancer();
-                guarded(() -> b.onProbed(now, endpoint, outcome, latency, report));
+                guarded(() -> b.onHealthCheckEnded(now, endpoint, outcome, latency, report));
             }
             case "PEER_DATA" -> {
                 // The module sends no messages to peers and acts on none.
@@ -173,11 +173,11 @@
 
     private void follow(Hosted h, List<DiscoveryCommand> steps) {
         for (DiscoveryCommand step : steps) {
-            if (step instanceof DiscoveryCommand.Open o) {
+            if (step instanceof DiscoveryCommand.OpenWatch o) {
                 h.call = o.call();
                 writer.watch(instance);
             } else if (step instanceof DiscoveryCommand.Wake w) {
-                writer.of(instance).timer((long) Math.ceil(w.atMs() * 1000), TURN + w.turn());
+                writer.of(instance).setTimer((long) Math.ceil(w.atMs() * 1000), TURN + w.timer());
             }
         }
     }
@@ -211,18 +211,18 @@
             throw reader.error(null, "no CONTEXT before this event");
         }
         long seed = reader.number("prng");
-        Settings settings = settings(seed);
+        BalancerSettings settings = settings(seed);
         // The end of each call is told here, so silence says nothing.
-        DiscoveryWatch membership = !settings.askDiscovery()
+        DiscoveryWatch membership = !settings.polledDiscovery()
                 ? null
                 : new DiscoveryWatch(
-                        new DiscoverySource(true, settings.mustAskWithin() / 1000.0),
+                        new DiscoverySource(true, settings.maxPollInterval() / 1000.0),
                         Double.POSITIVE_INFINITY,
                         new SplittableRandom(~seed));
         guarded(() -> instances.put(instance, new Hosted(new Balancer(settings, writer.of(instance)), membership)));
     }
 
-    private Settings settings(long seed) {
+    private BalancerSettings settings(long seed) {
         Map<String, String> pairs = new HashMap<>();
         while (reader.more()) {
             String pair = reader.text("setup");
@@ -288,10 +288,10 @@
 
     private void endpoints() {
         String how = reader.text("how");
-        ListKind kind = switch (how) {
-            case "INCREMENTAL" -> ListKind.CHANGES;
-            case "FULL" -> ListKind.FULL;
-            case "SAVED" -> ListKind.SAVED;
+        EndpointListKind kind = switch (how) {
+            case "INCREMENTAL" -> EndpointListKind.CHANGES;
+            case "FULL" -> EndpointListKind.FULL;
+            case "SAVED" -> EndpointListKind.CACHED;
             case "FAILED" -> null;
             default -> throw reader.error("how", "unknown: '" + how + "'");
         };
@@ -310,17 +310,17 @@
         Hosted h = hosted();
         if (kind != null) {
             List<Endpoint> named = entries;
-            guarded(() -> h.balancer.onList(now, kind, named));
+            guarded(() -> h.balancer.onEndpointList(now, kind, named));
         }
         if (h.membership != null) {
             double ms = now / 1000.0;
-            if (kind == ListKind.SAVED) {
+            if (kind == EndpointListKind.CACHED) {
                 follow(h, h.membership.start(ms, version));
             } else if (kind == null) {
-                follow(h, h.membership.ended(ms, h.call));
+                follow(h, h.membership.onCallEnded(ms, h.call));
             } else {
                 // The simulator tells in order, so that each word holds.
-                h.membership.told(ms, h.call, version, kind == ListKind.FULL);
+                h.membership.onEndpointList(ms, h.call, version, kind == EndpointListKind.FULL);
             }
         }
     }
@@ -334,7 +334,7 @@
         long hint = reader.optionalNumber("effort", -1);
         long flags = reader.optionalNumber("opts", 0);
         reader.endOfMessage();
-        Request r = new Request(
+        BalancerRequest r = new BalancerRequest(
                 id,
                 className,
                 "0".equals(tenant) ? null : tenant,
@@ -351,14 +351,14 @@
         boolean ended = reader.flag("doneFlag");
         int attempt = (int) reader.number("roundNo");
         long latency = reader.number("waitTime");
-        Outcome outcome = outcome();
+        AttemptOutcome outcome = outcome();
         reader.number("endpoint");
-        Report report = report();
+        LoadReport report = report();
         Balancer b = balancer();
-        guarded(() -> b.onOutcome(now, id, attempt, ended, outcome, latency, report));
+        guarded(() -> b.onAttemptEnded(now, id, attempt, ended, outcome, latency, report));
     }
 
-    private Outcome outcome() {
+    private AttemptOutcome outcome() {
         long code = reader.number("result");
         if (code < 1 || code > OUTCOMES.length) {
             throw reader.error("result", "unknown: " + code);
@@ -366,7 +366,7 @@
         return OUTCOMES[(int) code - 1];
     }
 
-    private Report report() {
+    private LoadReport report() {
         String pairs = reader.optionalText("pressure");
         reader.endOfMessage();
         if (pairs == null) {
@@ -398,6 +398,6 @@
             }
             from = end + 1;
         }
-        return new Report(values[0], values[1], values[2], values[3], values[4], values[5]);
+        return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 }
--- a/node/src/main/java/brackenbridge/wire/WireWriter.java
+++ b/node/src/main/java/brackenbridge/wire/WireWriter.java
@@ -1,6 +1,6 @@
 package brackenbridge.wire;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerActions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
@@ -17,10 +17,10 @@
     }
 
     /** The actions of one instance. */
-    Actions of(long instance) {
-        return new Actions() {
+    BalancerActions of(long instance) {
+        return new BalancerActions() {
             @Override
-            public void send(long request, long endpoint, long timeout) {
+            public void startAttempt(long request, long endpoint, long timeout) {
                 from(instance)
                         .text("SUBMIT_TO")
                         .number(request)
@@ -30,7 +30,7 @@
             }
 
             @Override
-            public void refuse(long request, long retryAfter) {
+            public void reject(long request, long retryAfter) {
                 from(instance).text("REJECT").number(request).number(retryAfter).end();
             }
 
@@ -40,12 +40,12 @@
             }
 
             @Override
-            public void timer(long at, String token) {
+            public void setTimer(long at, String token) {
                 from(instance).text("SET_ALARM").number(at).tab().text(token).end();
             }
 
             @Override
-            public void probe(long endpoint) {
+            public void startHealthCheck(long endpoint) {
                 from(instance).text("ASK_LOAD").number(endpoint).end();
             }
         };
--- a/node/src/test/java/brackenbridge/config/ConfigFileTest.java
+++ b/node/src/test/java/brackenbridge/config/ConfigFileTest.java
@@ -86,7 +86,7 @@
                             + "\"health\":\"active\",\"share\":1.0,\"born_ms\":0}");
         }
         Config c = Config.read(write(ConfigTest.TEXT.replace("\"hosts\":[", "\"hosts\":[" + hosts)));
-        assertEquals(10_000, c.known().targets().size());
+        assertEquals(10_000, c.configuredEndpoints().endpoints().size());
     }
 
     @ParameterizedTest
--- a/node/src/test/java/brackenbridge/config/ConfigTest.java
+++ b/node/src/test/java/brackenbridge/config/ConfigTest.java
@@ -39,9 +39,9 @@
         assertEquals(List.of("depth", "tps"), c.settings().network().reportFields());
         assertEquals(0xfc1f30d27a5be964L, c.settings().seed());
         assertEquals(3_000_000, c.settings().maxRetryAfter(), "advice is free on sockets");
-        assertEquals(41, c.known().seq());
-        assertEquals(2.5, c.settings().fallMultiple());
-        assertEquals(1_500_000, c.settings().fall());
+        assertEquals(41, c.configuredEndpoints().version());
+        assertEquals(2.5, c.settings().overloadMultiple());
+        assertEquals(1_500_000, c.settings().overloadWindow());
     }
 
     @Property(seed = "31", tries = 1000)
@@ -56,7 +56,7 @@
 
     private static String turnedDown(String text) {
         try {
-            Config.parse(TEXT).shape().requireOf(Config.parse(text).shape());
+            Config.parse(TEXT).schema().requireSameKeysIn(Config.parse(text).schema());
             return null;
         } catch (IllegalArgumentException e) {
             return e.getMessage();
--- a/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
@@ -1,6 +1,5 @@
 package brackenbridge.counters;
 
-import brackenbridge.counters.Counters.Kind;
 import brackenbridge.testing.GoldenText;
 import java.io.IOException;
 import java.util.List;
@@ -10,7 +9,7 @@
 class GoldenFormsTest {
     private static Counters counted() {
         Counters counters = new Counters();
-        for (Kind kind : Kind.values()) {
+        for (Counter kind : Counter.values()) {
             for (int i = 0; i <= kind.ordinal(); i++) {
                 counters.count(kind, "read");
             }
@@ -18,7 +17,7 @@
         for (RejectionReason.Port port : RejectionReason.Port.values()) {
             for (RejectionReason why : RejectionReason.values()) {
                 for (int i = 0; i <= port.ordinal() * 10 + why.ordinal(); i++) {
-                    counters.refuse(port, why);
+                    counters.countRejection(port, why);
                 }
             }
         }
@@ -35,9 +34,13 @@
     void figuresOfStaff() throws IOException {
         GoldenText.check(
                 "figures.txt",
-                Figures.lines(counted(), List.of("read", "write"), new Figures.Gauges(3, 40, 2, 1234.5)));
+                OperatorMetrics.lines(
+                        counted(), List.of("read", "write"), new OperatorMetrics.Gauges(3, 40, 2, 1234.5)));
         GoldenText.check(
                 "figures-without-discovery.txt",
-                Figures.lines(new Counters(), List.of("read"), new Figures.Gauges(0, 0, 0, Double.POSITIVE_INFINITY)));
+                OperatorMetrics.lines(
+                        new Counters(),
+                        List.of("read"),
+                        new OperatorMetrics.Gauges(0, 0, 0, Double.POSITIVE_INFINITY)));
     }
 }
--- a/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
+++ b/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
@@ -6,7 +6,7 @@
 
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.testing.Bytes;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -35,7 +35,7 @@
     void garbageIsAListOrAnIllegalArgument(@ForAll long seed) {
         try {
             EndpointListParser.parse(Bytes.garbage(LINE, seed))
-                    .targets()
+                    .endpoints()
                     .forEach(t -> assertFalse(t.host().isEmpty()));
         } catch (IllegalArgumentException e) {
             assertFalse(e.getMessage().isEmpty());
@@ -69,8 +69,8 @@
         EndpointList read = list(entry("a", "a->a"), entry("b", change), entry("c", "c->c"));
         assertEquals(
                 List.of("a", "c"),
-                read.targets().stream().map(ServerEndpoint::host).toList());
-        assertEquals(List.of("b"), read.unread());
+                read.endpoints().stream().map(ServerEndpoint::host).toList());
+        assertEquals(List.of("b"), read.unreadableHosts());
     }
 
     @ParameterizedTest
--- a/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
@@ -5,7 +5,7 @@
 import brackenbridge.clock.Clock;
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.ServerEndpoint;
-import brackenbridge.core.balancing.BalancerApi.EndpointState;
+import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.counters.Counters;
 import brackenbridge.log.Log;
 import brackenbridge.testing.GoldenText;
--- a/node/src/test/java/brackenbridge/http/LoadReportTest.java
+++ b/node/src/test/java/brackenbridge/http/LoadReportTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.BalancerApi.Report;
+import brackenbridge.core.balancing.LoadReport;
 import brackenbridge.testing.Bytes;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -13,17 +13,17 @@
 class LoadReportTest {
     @Test
     void onlyTheFieldsThatCameAreTold() {
-        Report r = LoadReport.parse("queue=2, qps=7.5,unheard_of=3,util=NaN");
+        LoadReport r = LoadReportParser.parse("queue=2, qps=7.5,unheard_of=3,util=NaN");
         assertEquals(2, r.queued());
-        assertEquals(7.5, r.perSecond());
-        assertTrue(Double.isNaN(r.inHand()) && Double.isNaN(r.utilization()));
-        assertNull(LoadReport.parse(null));
-        assertNull(LoadReport.parse("queue=,qps"));
+        assertEquals(7.5, r.requestsPerSecond());
+        assertTrue(Double.isNaN(r.inFlight()) && Double.isNaN(r.utilization()));
+        assertNull(LoadReportParser.parse(null));
+        assertNull(LoadReportParser.parse("queue=,qps"));
     }
 
     @Property(seed = "41", tries = 500)
     void garbageNeverBecomesANegativeOrEndlessFigure(@ForAll long seed) {
-        Report r = LoadReport.parse(Bytes.garbage("queue=2,qps=7.5", seed));
-        assertTrue(r == null || !(r.queued() < 0 || r.perSecond() < 0 || Double.isInfinite(r.queued())));
+        LoadReport r = LoadReportParser.parse(Bytes.garbage("queue=2,qps=7.5", seed));
+        assertTrue(r == null || !(r.queued() < 0 || r.requestsPerSecond() < 0 || Double.isInfinite(r.queued())));
     }
 }
--- a/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
+++ b/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
@@ -29,12 +29,12 @@
     private final ManagementListener listener = new ManagementListener(
             new AdminOperations() {
                 @Override
-                public boolean takesClients() {
+                public boolean acceptsClients() {
                     return !stopping;
                 }
 
                 @Override
-                public String figures() {
+                public String metricsText() {
                     return "proxy.tries:3|c\n";
                 }
 
@@ -45,7 +45,7 @@
                 }
 
                 @Override
-                public void refused(RejectionReason why) {
+                public void onRejectedCall(RejectionReason why) {
                     refused.add(why);
                 }
             },
@@ -132,10 +132,11 @@
                 List.of(),
                 // A copy: the listener may still be counting calls that it ends.
                 List.copyOf(refused).stream()
-                        .filter(r -> r != RejectionReason.SHED && r != RejectionReason.SLOW)
+                        .filter(r -> r != RejectionReason.SHED && r != RejectionReason.TOO_SLOW)
                         .toList());
         assertTrue(
-                refused.contains(RejectionReason.SLOW) && refused.contains(RejectionReason.SHED), refused.toString());
+                refused.contains(RejectionReason.TOO_SLOW) && refused.contains(RejectionReason.SHED),
+                refused.toString());
         assertTrue(refused.size() <= 300, "each is counted once: " + refused.size());
         for (Socket s : silent) {
             s.close();
--- a/node/src/test/java/brackenbridge/net/ClassRulesTest.java
+++ b/node/src/test/java/brackenbridge/net/ClassRulesTest.java
@@ -34,7 +34,7 @@
                 config(ConfigTest.TEXT), clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
         node.start();
         // One connection in all: the next flow waits for its tenant's turn.
-        node.tell(new Event.SharesTold(
+        node.enqueue(new Event.TenantQuotasReceived(
                 new TenantQuotas(1, Map.of("a", 1.0), 0, Map.of(), clock.nowMs() + 60_000, Map.of("a", 1.0))));
     }
 
--- a/node/src/test/java/brackenbridge/net/DiscoveryTest.java
+++ b/node/src/test/java/brackenbridge/net/DiscoveryTest.java
@@ -70,8 +70,8 @@
     /** Waits until the node holds so many servers that it knows to run. */
     private void awaitServers(int listed) {
         long start = System.nanoTime();
-        while (!node.figures().contains("proxy.pool_size:" + listed + "|g")) {
-            assertTrue(System.nanoTime() - start < 6_000_000_000L, node.figures());
+        while (!node.metricsText().contains("proxy.pool_size:" + listed + "|g")) {
+            assertTrue(System.nanoTime() - start < 6_000_000_000L, node.metricsText());
             Thread.onSpinWait();
         }
     }
--- a/node/src/test/java/brackenbridge/net/FaultySockets.java
+++ b/node/src/test/java/brackenbridge/net/FaultySockets.java
@@ -1,5 +1,7 @@
 package brackenbridge.net;
 
+import brackenbridge.net.channel.Addresses;
+import brackenbridge.net.channel.SocketCalls;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -44,7 +46,7 @@
 
     /** Only connections to this server have faults. */
     FaultySockets(String serverDial) {
-        server = Addresses.of(serverDial);
+        server = Addresses.parse(serverDial);
     }
 
     synchronized void fail(Call call, int times, Supplier<IOException> error) {
--- a/node/src/test/java/brackenbridge/net/LongBodyTest.java
+++ b/node/src/test/java/brackenbridge/net/LongBodyTest.java
@@ -261,10 +261,10 @@
 
     /** Waits until a figure has this value. */
     private void await(String figure) throws InterruptedException {
-        for (int i = 0; i < 2000 && !node.figures().contains(figure); i++) {
+        for (int i = 0; i < 2000 && !node.metricsText().contains(figure); i++) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        assertTrue(node.figures().contains(figure + "\n"), node.figures());
+        assertTrue(node.metricsText().contains(figure + "\n"), node.metricsText());
     }
 
     /** A server that reads a long request to its end and tells the body. */
--- a/node/src/test/java/brackenbridge/net/NodeFaultTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeFaultTest.java
@@ -55,7 +55,7 @@
         its.server.answers.add(OK);
         expectLast(502);
         othersAreServed();
-        while (!its.node.figures().contains("proxy.active:0|g")) {
+        while (!its.node.metricsText().contains("proxy.active:0|g")) {
             Thread.onSpinWait();
         }
     }
--- a/node/src/test/java/brackenbridge/net/NodeTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeTest.java
@@ -542,7 +542,7 @@
                             .replace("\"discovery\":\"on_request\"", "\"discovery\":\"pushed\"")
                             .replace("127.0.0.1:1\"", agent.dial() + "\""));
             assertTrue(agent.next().startsWith("GET /registry/instances?watch=1&after=41 "));
-            while (!node.figures().contains("proxy.pool_size:1|g")) {
+            while (!node.metricsText().contains("proxy.pool_size:1|g")) {
                 Thread.onSpinWait();
             }
             expect(503, "GET /health/ready HTTP/1.1\r\n\r\n");
@@ -555,7 +555,9 @@
         node.reconfigure(() -> Config.parse(other.replace("\"giveUp\":6000000", "\"giveUp\":0")));
         node.reconfigure(() -> Config.parse(other.replace("\"maxRetryAfter\":3000000,", "")));
         settle();
-        assertTrue(node.figures().contains("proxy.config_applied:0|c\nproxy.config_rejected:2|c\n"), node.figures());
+        assertTrue(
+                node.metricsText().contains("proxy.config_applied:0|c\nproxy.config_rejected:2|c\n"),
+                node.metricsText());
         server.answers.add(OK);
         expect(200, file("still here"));
         send(file("a"));
@@ -570,12 +572,12 @@
         assertTrue(answer().endsWith("done"), "the open request ends as it began");
         server.answers.add(OK);
         expect(200, file("new").replace("/file", "/sign"));
-        String told = node.figures();
+        String told = node.metricsText();
         for (int i = 0;
                 i < 500 && !(told.contains("proxy.errors.file:1|c\n") && told.contains("proxy.ok.sign:1|c\n"));
                 i++) {
             settle();
-            told = node.figures();
+            told = node.metricsText();
         }
         assertTrue(
                 told.contains("proxy.ok.file:2|c\n")
@@ -611,7 +613,7 @@
         assertNotNull(server.next());
         Socket late = connect();
         assertTrue(node.drain(true).get(10, TimeUnit.SECONDS));
-        assertTrue(node.takesClients(), "the listening socket stays open");
+        assertTrue(node.acceptsClients(), "the listening socket stays open");
         assertEquals(-1, idle.getInputStream().read(), "idle connections end");
         server.answers.add(OK);
         String back = answer();
@@ -629,7 +631,7 @@
         String told = "";
         for (int i = 0; i < 500 && !told.contains("proxy.ok.file:3|c\n"); i++) {
             settle();
-            told = node.figures();
+            told = node.metricsText();
         }
         assertTrue(
                 told.contains("proxy.ok.file:3|c\nproxy.shed.file:0|c\n")
--- a/node/src/test/java/brackenbridge/net/ReplacementTest.java
+++ b/node/src/test/java/brackenbridge/net/ReplacementTest.java
@@ -105,7 +105,7 @@
         }
         for (int i = 0; i < 2; i++) {
             Node next = node(false);
-            await(next::takesClients);
+            await(next::acceptsClients);
             int before = answered.get();
             old.stop().get(10, TimeUnit.SECONDS);
             old.kill();
@@ -131,7 +131,7 @@
             client.getOutputStream()
                     .write("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             server.next();
-            await(node(false)::takesClients);
+            await(node(false)::acceptsClients);
             var ended = old.stop();
             assertEquals(-1, idle.getInputStream().read(), "idle connections end after a while");
             assertFalse(ended.isDone());
@@ -145,15 +145,15 @@
     @Test
     void whateverLiesAtThePathANodeStartsAndCanBeReplaced() throws Exception {
         Files.writeString(meeting, "garbage");
-        await(node(true)::takesClients);
-        await(node(false)::takesClients);
+        await(node(true)::acceptsClients);
+        await(node(false)::acceptsClients);
         assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
         nodes.forEach(Node::kill);
         Files.deleteIfExists(meeting);
         ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(meeting))
                 .close();
-        await(node(true)::takesClients);
+        await(node(true)::acceptsClients);
         // A killed process's file makes way.
         await(() -> Files.exists(meeting));
     }
@@ -174,7 +174,7 @@
                     }
                 });
                 talk.start();
-                await(node(true)::takesClients);
+                await(node(true)::acceptsClients);
                 talk.join();
             }
         }
@@ -195,8 +195,8 @@
             }
             await(() -> Files.exists(meeting));
         }
-        assertTrue(old.takesClients());
-        await(node(false)::takesClients);
+        assertTrue(old.acceptsClients());
+        await(node(false)::acceptsClients);
         assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
     }
 }
--- a/node/src/test/java/brackenbridge/net/TimeToldTest.java
+++ b/node/src/test/java/brackenbridge/net/TimeToldTest.java
@@ -234,10 +234,10 @@
             assertTrue(took < left + 500, "an answer after " + took + " ms of " + left);
         }
         await("flows_in 21");
-        for (int i = 0; i < 1000 && !node.figures().contains("proxy.active:0|g\n"); i++) {
+        for (int i = 0; i < 1000 && !node.metricsText().contains("proxy.active:0|g\n"); i++) {
             settle();
         }
-        assertTrue(node.figures().contains("proxy.pool_ejected:0|g\n"), node.figures());
+        assertTrue(node.metricsText().contains("proxy.pool_ejected:0|g\n"), node.metricsText());
         client.setSoTimeout(100);
         try {
             assertEquals(-1, client.getInputStream().read(), "a second answer");
--- a/node/src/test/java/brackenbridge/net/DescriptorBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/DescriptorBudgetTest.java
@@ -1,4 +1,4 @@
-package brackenbridge.net;
+package brackenbridge.net.channel;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,10 +11,10 @@
     void anyLimitAdmitsClientsAndServers() {
         for (int limit : new int[] {64, 1024, 1 << 20, 300_000_000, Integer.MAX_VALUE}) {
             DescriptorBudget s = new DescriptorBudget(limit);
-            assertTrue(s.clientFits() && s.serverFits(), "limit " + limit);
-            assertFalse(s.crowded(), "limit " + limit);
-            s.share(true);
-            assertTrue(s.clientFits() && s.serverFits(), "half of limit " + limit);
+            assertTrue(s.hasRoomForClient() && s.hasRoomForServer(), "limit " + limit);
+            assertFalse(s.isCrowdedByClients(), "limit " + limit);
+            s.shareWithOtherProcess(true);
+            assertTrue(s.hasRoomForClient() && s.hasRoomForServer(), "half of limit " + limit);
         }
     }
 }
--- a/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
@@ -1,6 +1,6 @@
 package brackenbridge.wire;
 
-import brackenbridge.core.balancing.BalancerApi.Actions;
+import brackenbridge.core.balancing.BalancerActions;
 import brackenbridge.testing.GoldenText;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -14,12 +14,12 @@
     void eachMessageToTheSimulator() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         WireWriter writer = new WireWriter(out);
-        Actions first = writer.of(3);
-        first.send(7, 101, 900_000);
-        first.refuse(8, 250_000);
+        BalancerActions first = writer.of(3);
+        first.startAttempt(7, 101, 900_000);
+        first.reject(8, 250_000);
         first.fail(9);
-        first.timer(1_700_000, "tick \u00e4");
-        writer.of(4).probe(102);
+        first.setTimer(1_700_000, "tick \u00e4");
+        writer.of(4).startHealthCheck(102);
         writer.watch(4);
         writer.broken(5, "java.lang.IllegalStateException: of\nits own");
         writer.finished(12);
