--- a/core/src/main/java/brackenbridge/core/share/SchedulingResult.java
+++ b/core/src/main/java/brackenbridge/core/share/SchedulingResult.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What follows from something that the scheduler was told.
+ * What the scheduler decided after an event.
  *
- * @param admitted flows that waited and go now, in this order
- * @param rejected flows that waited and can't be served in time any more
+ * @param admitted requests that waited and start now, in this order
+ * @param rejected requests that waited and can't be served in time any more
  */
 public record SchedulingResult(List<Long> admitted, List<Rejection> rejected) {
-    /** Nothing follows. */
+    /** No request is admitted or rejected. */
     public static final SchedulingResult NONE = new SchedulingResult(List.of(), List.of());
 
     /**
-     * A flow that is refused.
+     * A waiting request that is rejected.
      *
-     * @param requestId which
-     * @param retryAfterMs when its client may come back, in milliseconds from now
+     * @param requestId its id
+     * @param retryAfterMs when its client may send it again, in milliseconds from now
      */
     public record Rejection(long requestId, double retryAfterMs) {}
 }
--- a/core/src/main/java/brackenbridge/core/share/TenantQuotas.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantQuotas.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * What each tenant may hold here and now: connections to this node's target group, open at the same time. A value
- * from outside, which says itself until when it holds.
+ * The quota of each tenant at this node: connections to its endpoint list, open at the same time. Received from the
+ * fleet; valid for a limited time.
  *
- * @param epoch counts the allocations; a lower one than was told before is passed over
- * @param tenants connections for each tenant; one that is absent has {@code others} together with all that are absent
- * @param others connections for all tenants together that are not named, and for calls without a tenant
- * @param weights what each tenant's part is beside the others' when all want more; absent is 1
- * @param untilMs from then on {@code guaranteed} holds instead of {@code tenants} and {@code others}
- * @param guaranteed connections that each tenant may hold here whatever becomes of the rest of the fleet
+ * @param epoch number of the allocation; lower ones than the last are ignored
+ * @param tenants connections for each named tenant; absent tenants share {@code others}
+ * @param others connections for all unnamed tenants together, and for requests without a tenant
+ * @param weights the proportion in which tenants borrow spare capacity; 1 if absent
+ * @param untilMs from then on {@code guaranteed} applies instead of {@code tenants} and {@code others}
+ * @param guaranteed connections that each tenant may hold even while the node is cut off from the fleet
  */
 public record TenantQuotas(
         long epoch,
@@ -20,7 +20,7 @@
         Map<String, Double> weights,
         double untilMs,
         Map<String, Double> guaranteed) {
-    /** Keeps its own copies. */
+    /** Makes immutable copies. */
     public TenantQuotas {
         tenants = Map.copyOf(tenants);
         weights = Map.copyOf(weights);
--- a/core/src/main/java/brackenbridge/core/share/package-info.java
+++ b/core/src/main/java/brackenbridge/core/share/package-info.java
@@ -1,2 +1,5 @@
-/** What a tenant may hold of a node's connections at this moment: values that a fleet hands in, and who goes next. */
+/**
+ * Sharing of a node's connections between tenants: quotas and zone weights received from the fleet, and the fair
+ * queue that decides whose request starts next.
+ */
 package brackenbridge.core.share;
--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -241,12 +241,12 @@
         // As a node that stood still: no call of due, the next event comes long after.
         assertEquals(1000, s.nextTimerMs());
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), s.overstaying(11_000));
-        assertEquals(2, s.total());
+        assertEquals(2, s.maxRunning());
         assertEquals(
                 AdmissionVerdict.QUEUE,
                 s.onRequest(11_000, 9, "a", 1_000_000, 10).verdict());
         s.applyQuotas(11_001, new TenantQuotas(4, Map.of("a", 80.0), 0, Map.of(), FOREVER, Map.of()));
-        assertEquals(2, s.total(), "an older epoch is passed over");
+        assertEquals(2, s.maxRunning(), "an older epoch is passed over");
     }
 
     @Test
@@ -257,10 +257,10 @@
             s.onRequest(i, i, "t" + i, i + 10, 1);
             s.onRequestEnded(i + 1, i);
         }
-        assertTrue(s.tenants() <= 50_001, "remembered: " + s.tenants());
+        assertTrue(s.tenantCount() <= 50_001, "remembered: " + s.tenantCount());
         s.takeUse(200_000);
         s.takeUse(200_001);
-        assertTrue(s.tenants() <= 1, "remembered: " + s.tenants());
+        assertTrue(s.tenantCount() <= 1, "remembered: " + s.tenantCount());
     }
 
     @Property(tries = 200, seed = "29")
@@ -280,7 +280,7 @@
                                     now, i, "t" + r.nextInt(names), now + r.nextInt(500), r.nextInt(100))
                             .verdict();
                     state.put((long) i, v);
-                    assertFalse(v == AdmissionVerdict.ADMIT && before >= s.total(), "went beyond the total");
+                    assertFalse(v == AdmissionVerdict.ADMIT && before >= s.maxRunning(), "went beyond the total");
                 }
                 case 3 -> {
                     long f = r.nextInt(i + 1);
@@ -302,7 +302,7 @@
             }
             t.rejected().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.remove(f.requestId())));
             t.admitted().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.put(f, AdmissionVerdict.ADMIT)));
-            assertTrue(t.admitted().isEmpty() || s.running() <= s.total(), "began beyond the total");
+            assertTrue(t.admitted().isEmpty() || s.running() <= s.maxRunning(), "began beyond the total");
             assertEquals(
                     s.running(),
                     state.values().stream()
