--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -22,6 +22,8 @@
 import brackenbridge.net.channel.EventSink;
 import brackenbridge.net.channel.ReceiveBuffers;
 import brackenbridge.net.channel.SocketCalls;
+import brackenbridge.net.client.ConnectionAcceptor;
+import brackenbridge.net.client.Listener;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.PooledByteBufAllocator;
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/client/ClientBodySink.java
@@ -0,0 +1,71 @@
+package brackenbridge.net.client;
+
+import brackenbridge.core.Event.ResponseEnd;
+import brackenbridge.http.HttpEncoder;
+import brackenbridge.net.channel.BodyStream;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelOption;
+
+/** Writes the body of a streamed response as its client takes it. */
+final class ClientBodySink implements BodyStream.Sink {
+    private final ClientConnection connection;
+    private final ResponseWriter writer;
+    private final Channel channel;
+    private final boolean chunked;
+    private final boolean lengthUnknown;
+    private final boolean close;
+
+    /** Writes in chunks or as they come; {@code close} ends the connection behind the body. */
+    ClientBodySink(
+            ClientConnection connection,
+            ResponseWriter writer,
+            Channel channel,
+            boolean chunked,
+            boolean lengthUnknown,
+            boolean close) {
+        this.connection = connection;
+        this.writer = writer;
+        this.channel = channel;
+        this.chunked = chunked;
+        this.lengthUnknown = lengthUnknown;
+        this.close = close;
+    }
+
+    @Override
+    public void piece(ByteBuf piece) {
+        if (chunked && piece.isReadable()) {
+            channel.write(HttpEncoder.chunkHead(channel.alloc(), piece.readableBytes()));
+            channel.write(piece);
+            channel.write(HttpEncoder.chunkEnd(channel.alloc()));
+        } else {
+            channel.write(piece);
+        }
+    }
+
+    @Override
+    public void flush() {
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> connection.touch());
+        if (!channel.isWritable()) {
+            writer.pauseDownload();
+        }
+    }
+
+    @Override
+    public void onEnd(boolean complete) {
+        writer.onDownloadEnd();
+        if (complete) {
+            channel.writeAndFlush(chunked ? HttpEncoder.lastChunk(channel.alloc()) : Unpooled.EMPTY_BUFFER)
+                    .addListener(
+                            f -> writer.onWritten(f.isSuccess() ? ResponseEnd.COMPLETE : ResponseEnd.ABANDONED, close));
+            return;
+        }
+        // Short of its length or without its last chunk. Where the body's end is the connection's, only a reset tells
+        // the client.
+        if (!chunked && lengthUnknown) {
+            channel.config().setOption(ChannelOption.SO_LINGER, 0);
+        }
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> writer.onWritten(ResponseEnd.TRUNCATED, true));
+    }
+}
--- a/node/src/main/java/brackenbridge/net/ConnectionAcceptor.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
@@ -1,4 +1,4 @@
-package brackenbridge.net;
+package brackenbridge.net.client;
 
 import brackenbridge.clock.Clock;
 import brackenbridge.net.channel.SocketCalls;
@@ -19,17 +19,19 @@
 import java.util.function.Consumer;
 
 /**
- * The socket at which clients arrive. Other processes of this node may listen at the same address; closing the door
- * turns nobody away who stands before it.
+ * The socket that accepts clients. Other processes of this node may listen at the same address; closing it rejects no
+ * client that the kernel has accepted already.
  */
-final class ConnectionAcceptor {
+public final class ConnectionAcceptor {
     /** The selector needs a turn to let go of the channel; until then closing it would only mark it. */
-    private static final long OFF_SELECTOR_MS = 2;
+    private static final long DEREGISTRATION_DELAY_MS = 2;
 
     /** Pauses while the backlog is emptied, so a node that can't accept closes after a quarter of a second. */
-    private static final int EMPTYING_PAUSES = 50;
+    private static final int MAX_EMPTYING_PAUSES = 50;
+
+    private static final AttributeKey<Double> BACKLOG_WAIT_MS =
+            AttributeKey.valueOf(ConnectionAcceptor.class, "waited");
 
-    private static final AttributeKey<Double> WAITED = AttributeKey.valueOf(ConnectionAcceptor.class, "waited");
     private final ServerSocketChannel socket;
     private final Channel channel;
     private final Clock clock;
@@ -37,14 +39,14 @@
     private final Runnable makeRoom;
     private final AcceptRecovery recovery;
     private boolean closing;
-    /** Since when clients may stand in the backlog; not a number if nobody did at the last look. */
-    private double waitingSince = Double.NaN;
+    /** Since when clients may wait in the backlog; not a number if it was empty at the last accept. */
+    private double waitingSinceMs = Double.NaN;
 
     /**
-     * Listens; fails if it can't. When an accept fails for lack of descriptors or buffers, {@code makeRoom} is to close
+     * Listens at the address; fails if it can't. When an accept fails for lack of descriptors or buffers, {@code makeRoom} is to close
      * something.
      */
-    ConnectionAcceptor(
+    public ConnectionAcceptor(
             ServerBootstrap bootstrap,
             InetSocketAddress address,
             Clock clock,
@@ -63,85 +65,87 @@
             throw new java.io.UncheckedIOException(e);
         }
         channel = bootstrap
-                .channelFactory(() -> new Backlog(socket))
+                .channelFactory(() -> new BacklogChannel(socket))
                 .handler(recovery)
                 .bind(address)
                 .syncUninterruptibly()
                 .channel();
     }
 
-    /** How long a client may have stood in the backlog before it was taken, at the most; in milliseconds. */
-    static double waitedMs(Channel client) {
-        Double waited = client.attr(WAITED).get();
-        return waited == null ? 0 : waited;
+    /** How long a client may have waited in the backlog before it was accepted, at the most; in milliseconds. */
+    static double maxBacklogWaitMs(Channel client) {
+        Double waitMs = client.attr(BACKLOG_WAIT_MS).get();
+        return waitMs == null ? 0 : waitMs;
     }
 
-    /** Notes of each client how long the backlog had not been empty when it was taken. */
-    private final class Backlog extends NioServerSocketChannel {
-        Backlog(ServerSocketChannel socket) {
+    /** Notes with each client how long the backlog had not been empty when it was accepted. */
+    private final class BacklogChannel extends NioServerSocketChannel {
+        BacklogChannel(ServerSocketChannel socket) {
             super(socket);
         }
 
         @Override
-        protected int doReadMessages(List<Object> taken) throws Exception {
+        protected int doReadMessages(List<Object> accepted) throws Exception {
             NioSocketChannel client;
             try {
                 client = accept.next(this, socket);
             } catch (IOException e) {
-                // Whoever the failed accept leaves in the backlog waits from now on.
-                waitingSince = Double.isNaN(waitingSince) ? clock.nowMs() : waitingSince;
+                // Clients that the failed accept leaves in the backlog wait from now on.
+                waitingSinceMs = Double.isNaN(waitingSinceMs) ? clock.nowMs() : waitingSinceMs;
                 throw e;
             }
             if (client == null) {
-                waitingSince = Double.NaN;
+                waitingSinceMs = Double.NaN;
                 return 0;
             }
             double now = clock.nowMs();
-            waitingSince = Double.isNaN(waitingSince) ? now : waitingSince;
-            client.attr(WAITED).set(now - waitingSince);
-            taken.add(client);
+            waitingSinceMs = Double.isNaN(waitingSinceMs) ? now : waitingSinceMs;
+            client.attr(BACKLOG_WAIT_MS).set(now - waitingSinceMs);
+            accepted.add(client);
             return 1;
         }
     }
 
-    InetSocketAddress address() {
+    /** The address that it listens at. */
+    public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    boolean isOpen() {
+    /** Whether it has not been told to close. */
+    public boolean isOpen() {
         return !closing;
     }
 
-    /** Whether it has been told to close, and clients may still stand in its backlog. */
-    boolean isEmptying() {
+    /** Whether it has been told to close, and clients may still wait in its backlog. */
+    public boolean isEmptying() {
         return closing && socket.isOpen();
     }
 
-    /** Takes clients, or lets them wait in the backlog. */
-    void admit(boolean on) {
+    /** Accepts clients, or lets them wait in the backlog. */
+    public void admit(boolean on) {
         if (!closing) {
-            waitingSince = on || !Double.isNaN(waitingSince) ? waitingSince : clock.nowMs();
+            waitingSinceMs = on || !Double.isNaN(waitingSinceMs) ? waitingSinceMs : clock.nowMs();
             recovery.admit(channel, on);
         }
     }
 
     /**
-     * Takes no more clients. Guards those that the kernel has accepted already: closing a listening socket resets
-     * all that waits in its queue, so the queue is emptied first, with nothing between the last look and the close.
+     * Accepts no more clients, for good. Closing a listening socket resets all that the kernel has queued there, so the
+     * queue is emptied first, with nothing between the last accept and the close.
      */
-    void close() {
+    public void close() {
         if (closing) {
             return;
         }
         closing = true;
-        channel.deregister().addListener(f -> scheduleEmptying(OFF_SELECTOR_MS, EMPTYING_PAUSES));
+        channel.deregister().addListener(f -> scheduleEmptying(DEREGISTRATION_DELAY_MS, MAX_EMPTYING_PAUSES));
     }
 
     private void scheduleEmptying(long delayMs, int pausesLeft) {
         channel.eventLoop().schedule(() -> emptyAndClose(pausesLeft), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes all who wait and closes; an accept that fails is tried again, after so many pauses at most. */
+    /** Accepts all that wait and closes; an accept that fails is tried again, after this many pauses at most. */
     private void emptyAndClose(int pausesLeft) {
         AcceptBackoff backoff = new AcceptBackoff();
         while (true) {
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/client/RequestReader.java
@@ -0,0 +1,311 @@
+package brackenbridge.net.client;
+
+import brackenbridge.core.ClientRequest;
+import brackenbridge.core.Event;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.http.Headers;
+import brackenbridge.http.HttpEncoder;
+import brackenbridge.http.HttpException;
+import brackenbridge.http.HttpRequest;
+import brackenbridge.http.RequestDecoder;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Makes requests of the bytes that a client sends, one at a time and in order. What the client sends while a request is
+ * being served waits, up to a bound beyond which reading pauses.
+ */
+final class RequestReader implements ClientPresence.InputState {
+    /**
+     * Bytes that may wait behind a request that is being served, or of a body that nobody takes yet. An end of the
+     * connection is found only behind all that the client sent before it, which may be hundreds of requests. Beyond
+     * this, and what the presence checks add, an end stays hidden, and no attempt begins for this client.
+     */
+    private static final int READ_AHEAD_BYTES = 256 * 1024;
+    /** The same bound while the memory budget is crowded: looking for an end must not cost anybody a connection. */
+    private static final int CROWDED_READ_AHEAD_BYTES = 16 * 1024;
+    /** Bytes that are read and discarded of one connection at most: reading more would cost the others. */
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
+
+    private final ClientConnection connection;
+    private final ClientContext context;
+    private final Channel channel;
+    private final ClientPresence presence;
+    private final RequestDecoder decoder = new RequestDecoder();
+    private final UploadReader upload;
+    private final BodyPace pace;
+    /** Bytes that no request has been made of yet; null if there are none. */
+    private ByteBuf unread;
+    /** The client has been told to send the body that it announced. */
+    private boolean continueSent;
+    /** The client had too much buffered: what comes behind the request that is being served is discarded. */
+    private boolean discarding;
+
+    private int discardedBytes;
+    /** The longest that bytes found by the first read may have waited in the backlog. */
+    private double maxUnseenWaitMs;
+
+    RequestReader(ClientConnection connection, ClientContext context, Channel channel, double nowMs) {
+        this.connection = connection;
+        this.context = context;
+        this.channel = channel;
+        presence = new ClientPresence(channel, context.clock(), nowMs, this);
+        upload = new UploadReader(connection, context, this, decoder);
+        pace = new BodyPace(nowMs);
+        maxUnseenWaitMs = ConnectionAcceptor.maxBacklogWaitMs(channel);
+    }
+
+    /** Whether the client is known to be present. */
+    ClientPresence presence() {
+        return presence;
+    }
+
+    /** The long body that is being read, if any. */
+    UploadReader upload() {
+        return upload;
+    }
+
+    /** Bytes that no request has been made of yet; null if there are none. */
+    ByteBuf unread() {
+        return unread;
+    }
+
+    /** Whether a part of a request has been decoded. */
+    boolean hasBegunRequest() {
+        return decoder.begun();
+    }
+
+    /** Whether nothing of a further request has come. */
+    boolean isEmpty() {
+        return !decoder.begun() && (unread == null || !unread.isReadable());
+    }
+
+    /** Whether the client has sent more after the connection's end than is read and discarded. */
+    boolean hasDiscardedTooMuch() {
+        return discardedBytes > MAX_DISCARDED_BYTES;
+    }
+
+    /** The connection ends behind the request that is being served. */
+    @Override
+    public boolean isDiscarding() {
+        return discarding;
+    }
+
+    @Override
+    public boolean isEnding() {
+        return connection.isEnding();
+    }
+
+    @Override
+    public boolean hasRoomForPresenceRead() {
+        return waitingBytes() <= readAheadLimit() + ClientPresence.PRESENCE_READ_BYTES;
+    }
+
+    @Override
+    public void onPresent() {
+        if (upload.isLastByteHeld()) {
+            // Not at once: if this read has found the client's end, the connection is closed in the same turn.
+            channel.eventLoop().execute(() -> connection.guarded(() -> upload.passLastByte(presence.isPresentNow())));
+        }
+    }
+
+    /** The connection is open: only bytes that its first read finds may have waited in the backlog. */
+    void onConnected() {
+        if (maxUnseenWaitMs > 0) {
+            channel.eventLoop().schedule(this::endUnseenWait, ClientPresence.NEXT_TURN_MS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void endUnseenWait() {
+        boolean foundBytes = unread != null || decoder.begun();
+        maxUnseenWaitMs = foundBytes ? maxUnseenWaitMs : 0;
+    }
+
+    /** Takes ownership of bytes that have come. */
+    void onBytes(ByteBuf bytes) {
+        pace.onBytes(bytes.readableBytes());
+        presence.onBytesRead();
+        if (connection.isEnding() || discarding) {
+            discard(bytes);
+            return;
+        }
+        // Bytes that are appended to unread ones are counted with those.
+        int newBytes = unread == null ? bytes.readableBytes() : 0;
+        append(bytes);
+        if (upload.isActive()) {
+            upload.onBytes(unread, newBytes);
+        }
+        readNext();
+        context.memory().enforce(context.registry().connections());
+        adjustReading();
+    }
+
+    private void discard(ByteBuf bytes) {
+        discardedBytes += bytes.readableBytes();
+        if (hasDiscardedTooMuch()) {
+            presence.setReading(false);
+        }
+        bytes.release();
+    }
+
+    private void append(ByteBuf bytes) {
+        if (unread == null) {
+            unread = bytes;
+            return;
+        }
+        if (unread.refCnt() > 1) {
+            // Parts of the body in front are still on their way and must not be overwritten.
+            ByteBuf copy = channel.alloc().buffer(waitingBytes()).writeBytes(unread);
+            discardUnread();
+            unread = copy;
+        }
+        unread.discardReadBytes().writeBytes(bytes);
+        bytes.release();
+    }
+
+    /** Bytes that wait for somebody to take them. */
+    private int waitingBytes() {
+        return upload.bytesWhilePaused() + (unread == null ? 0 : unread.readableBytes());
+    }
+
+    private int readAheadLimit() {
+        return context.memory().isCrowded() ? CROWDED_READ_AHEAD_BYTES : READ_AHEAD_BYTES;
+    }
+
+    /** Resumes or pauses reading. Protects memory against a client that sends ahead without reading its responses. */
+    void adjustReading() {
+        if (connection.isEnding() || discarding) {
+            return;
+        }
+        boolean on = waitingBytes() <= readAheadLimit();
+        presence.setReading(on);
+        if (!on) {
+            presence.startChecking();
+        }
+    }
+
+    /** Decodes requests out of the bytes that have come, as long as none is being served. */
+    void readNext() {
+        boolean mayContinue = true;
+        while (mayContinue && connection.isReading() && unread != null) {
+            mayContinue = decodeNext();
+        }
+        if (unread != null && !unread.isReadable()) {
+            discardUnread();
+        }
+        connection.reserveBytes(connection.isEnding() ? 0 : decoder.held() + waitingBytes() + upload.replayableBytes());
+    }
+
+    /** Decodes one request; false if it is incomplete. */
+    private boolean decodeNext() {
+        boolean first = !decoder.begun();
+        try {
+            if (decoder.decode(unread)) {
+                continueSent = false;
+                HttpRequest request = decoder.take();
+                handleRequest(request, request, true);
+            } else if (decoder.isLong()) {
+                continueSent = false;
+                upload.start();
+            } else {
+                onIncompleteRequest(first);
+                return false;
+            }
+        } catch (HttpException e) {
+            connection.writer().rejectMalformed(e.status(), e.getMessage());
+        }
+        return true;
+    }
+
+    private void onIncompleteRequest(boolean first) {
+        if (first) {
+            connection.onFirstBytes();
+            pace.startRequest();
+        }
+        if (!continueSent && decoder.expectsContinue()) {
+            continueSent = true;
+            channel.writeAndFlush(HttpEncoder.goOn(channel.alloc()));
+        }
+    }
+
+    /** Opens or rejects a request; its message is the request itself, or the part of it that has come. */
+    void handleRequest(Object message, HttpRequest request, boolean complete) {
+        connection.onRequest(request.http11(), request.keepAlive());
+        String path = HealthEndpoints.pathOf(request.target());
+        if (context.health().serves(path)) {
+            respondHealth(request, path);
+            return;
+        }
+        Headers headers = request.headers();
+        String correlationId = headers.get(RequestValidator.CORRELATION_ID);
+        String timeLeft = headers.get(HttpEncoder.TIME_LEFT);
+        RequestClass requestClass = context.validator().classOf(request);
+        RequestRejection rejection = context.validator().validate(request, requestClass, correlationId, timeLeft);
+        if (rejection != null) {
+            connection.writer().reject(rejection);
+            return;
+        }
+        long requestId = connection.openRequest(correlationId);
+        context.events()
+                .raise(new Event.RequestReceived(
+                        requestId,
+                        new ClientRequest(
+                                requestClass.name(),
+                                headers.get("X-Account"),
+                                timeLeft == null ? -1 : Integer.parseInt(timeLeft),
+                                "1".equals(headers.get("X-Repeat")),
+                                complete,
+                                maxUnseenWaitMs,
+                                message)));
+        maxUnseenWaitMs = 0;
+    }
+
+    private void respondHealth(HttpRequest request, String path) {
+        if (request.method().equals("GET")) {
+            context.health().respond(path, connection.writer());
+        } else {
+            connection.writer().reject(RequestRejection.METHOD_MUST_BE_GET);
+        }
+    }
+
+    /** Checks the time that a request takes to come since the last sweep; rejects one that is too slow. */
+    void checkPace(double nowMs) {
+        boolean readingRequest = connection.isReading() && decoder.begun();
+        if (decoder.awaitsBody() && !upload.isPaused() && (readingRequest || upload.isActive())) {
+            boolean tooSlow = pace.isTooSlow(nowMs);
+            if (tooSlow && upload.isActive()) {
+                upload.fail(408, "body too slow");
+            } else if (tooSlow) {
+                connection.writer().rejectMalformed(408, "body too slow");
+            }
+        } else {
+            pace.resetSilence();
+        }
+    }
+
+    /** Whether a request's head has begun and is incomplete. */
+    boolean isReadingHead() {
+        return connection.isReading() && decoder.begun() && !decoder.awaitsBody();
+    }
+
+    /** The next check of the pace measures from here. */
+    void endPaceCheck(double nowMs) {
+        pace.endCheck(nowMs);
+    }
+
+    /** Releases all that is buffered; what the client sends from now on is not served. */
+    void startDiscarding() {
+        discarding = true;
+        discardUnread();
+        presence.setReading(true);
+    }
+
+    /** Releases the bytes that no request has been made of. */
+    void discardUnread() {
+        if (unread != null) {
+            unread.release();
+            unread = null;
+        }
+    }
+}
--- a/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.clock.Clock;
+import brackenbridge.net.client.ConnectionAcceptor;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/node/src/test/java/brackenbridge/net/CrossingRequestsTest.java
+++ b/node/src/test/java/brackenbridge/net/CrossingRequestsTest.java
@@ -41,7 +41,7 @@
         for (int i = 0; i < MOST_CLIENTS - 2; i++) {
             live(its.connect());
         }
-        its.clock.holdIn("Listener.shed");
+        its.clock.holdIn("ConnectionShedding.shedOne");
         its.connect();
         its.clock.awaitHeld();
         send(client, file("late", 9000, "a"));
@@ -101,7 +101,7 @@
         live(first);
         Socket client = its.connect();
         live(client);
-        its.clock.holdIn("Listener$Client.end");
+        its.clock.holdIn("ClientConnection.startLingering");
         its.node.stop();
         its.clock.awaitHeld();
         send(client, file("late", 9000, "a"));
--- a/node/src/test/java/brackenbridge/net/NodeFaultTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeFaultTest.java
@@ -51,7 +51,7 @@
     void answerThatCanNotBeGivenFails() throws Exception {
         send(client, file("a", 9000, "a"));
         assertNotNull(its.server.next());
-        its.clock.failIn("Listener$Client.beginAnswer");
+        its.clock.failIn("ResponseWriter.beginResponse");
         its.server.answers.add(OK);
         expectLast(502);
         othersAreServed();
@@ -62,14 +62,14 @@
 
     @Test
     void refusalThatCanNotBeGivenFails() throws Exception {
-        its.clock.failIn("Listener$Client.beginAnswer");
+        its.clock.failIn("ResponseWriter.beginResponse");
         send(client, file("a", 1, "a"));
         expectLast(502);
     }
 
     @Test
     void requestThatCanNotBeTakenIsRefused() throws Exception {
-        its.clock.failIn("Listener$Client.take");
+        its.clock.failIn("ClientConnection.openRequest");
         send(client, file("a", 9000, "a"));
         expectLast(503);
         othersAreServed();
@@ -77,7 +77,7 @@
 
     @Test
     void requestBehindAnotherThatCanNotBeTakenIsRefused() throws Exception {
-        its.clock.failIn("Listener$Client.take");
+        its.clock.failIn("ClientConnection.openRequest");
         send(client, LIVE + file("a", 9000, "a"));
         assertTrue(answer(client).endsWith("live\n"));
         expectLast(503);
