--- a/node/src/test/java/brackenbridge/net/BadInputTest.java
+++ b/node/src/test/java/brackenbridge/net/BadInputTest.java
@@ -196,6 +196,9 @@
     void badWordOfDiscoveryEndsItsCallAndTheListStays(String what) throws Exception {
         assertNotNull(agent.next());
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
+        // Before the answer: the agent reads the end behind its answer and closes its socket, which then has no input
+        // to shut down.
+        agent.connections.poll().shutdownInput();
         agent.answers.add(Map.of(
                         "list", head + "{\"seq\":43,\"whole\":true}\n",
                         "nobody", head + "{\"seq\":43,\"whole\":true,\"hosts\":[{\"dial\":\"127.0.0.1:7\"}]}\n",
@@ -204,7 +207,6 @@
                         "status", "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
                         "head", "{\"seq\":43,\"whole\":true,\"hosts\":[]}\n\n")
                 .get(what));
-        agent.connections.poll().shutdownInput();
         await(() -> logged("discovery call ") > 0, "the call ends");
         awaitCounter("discovery_failed 1");
         assertEquals(1, logged("discovery call "), log.toString(StandardCharsets.UTF_8));
