--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -46,7 +46,6 @@
 public final class Node implements EventSink, AdminOperations, Handover.Process {
     private static final long SWEEP_MS = 100;
     private static final long LAST_ANSWERS_MS = 20;
-
     private Config config;
     private final Clock clock;
     private final Log log;
@@ -155,8 +154,7 @@
                         .option(ChannelOption.SO_BACKLOG, 1024)
                         .childOption(ChannelOption.ALLOCATOR, buffers)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        // Guards servers against the request of a client whose end is there as well, read a turn too
-                        // late.
+                        // A client's end must be found in the turn that reads the request in front of it.
                         .childOption(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 ReceiveBuffers.allocator().respectMaybeMoreData(false))
--- a/node/src/main/java/brackenbridge/net/client/ClientContext.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientContext.java
@@ -2,7 +2,6 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.counters.Counters;
-import brackenbridge.net.channel.DescriptorBudget;
 import brackenbridge.net.channel.EventSink;
 
 /**
@@ -10,7 +9,6 @@
  *
  * @param clock the time that every limit is measured on
  * @param events where requests, ends of responses and faults are reported
- * @param descriptors the sockets that are open against their limit
  * @param counters what is counted for operators
  * @param registry the open connections
  * @param openRequests the requests that are open
@@ -18,15 +16,16 @@
  * @param health the paths that the node answers itself
  * @param memory the bound on buffered bytes of requests
  * @param closePolicy how the node's life cycle ends connections
+ * @param timeouts how long a connection may take for each of its states
  */
 record ClientContext(
         Clock clock,
         EventSink events,
-        DescriptorBudget descriptors,
         Counters counters,
         ConnectionRegistry registry,
         OpenRequests openRequests,
         RequestValidator validator,
         HealthEndpoints health,
         RequestMemoryBudget memory,
-        ClosePolicy closePolicy) {}
+        ClosePolicy closePolicy,
+        ConnectionTimeouts timeouts) {}
--- a/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
@@ -43,8 +43,8 @@
     private double waitingSinceMs = Double.NaN;
 
     /**
-     * Listens at the address; fails if it can't. When an accept fails for lack of descriptors or buffers, {@code makeRoom} is to close
-     * something.
+     * Listens at the address; fails if it can't. When an accept fails for lack of descriptors or buffers, {@code
+     * makeRoom} is to close something.
      */
     public ConnectionAcceptor(
             ServerBootstrap bootstrap,
--- a/node/src/main/java/brackenbridge/net/client/Listener.java
+++ b/node/src/main/java/brackenbridge/net/client/Listener.java
@@ -48,14 +48,14 @@
         context = new ClientContext(
                 clock,
                 events,
-                descriptors,
                 counters,
                 registry,
                 openRequests,
                 validator,
                 new HealthEndpoints(ready, counters),
                 new RequestMemoryBudget(counters),
-                closePolicy);
+                closePolicy,
+                new ConnectionTimeouts(closePolicy, descriptors));
     }
 
     /** Makes the handlers of each connection that is accepted. */
@@ -105,7 +105,7 @@
         }
         if (connection.isHiddenFromWaiting(clock.nowMs())) {
             // Behind more than may wait, each further request would only be withdrawn as well.
-            connection.endAfterResponse();
+            connection.request().endConnectionAfterResponse();
         }
         Headers fields = new Headers();
         if (retryAfterMs > 0) {
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/client/RequestOpener.java
@@ -0,0 +1,73 @@
+package brackenbridge.net.client;
+
+import brackenbridge.core.ClientRequest;
+import brackenbridge.core.Event;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.http.Headers;
+import brackenbridge.http.HttpEncoder;
+import brackenbridge.http.HttpRequest;
+
+/** Opens the requests of one connection for the reducer, or responds to those that don't concern it. */
+final class RequestOpener {
+    private static final String TENANT = "X-Account";
+    private static final String CLIENT_RETRY = "X-Repeat";
+
+    private final ClientConnection connection;
+    private final ClientContext context;
+    /** The longest that bytes found by the connection's first read may have waited in the backlog. */
+    private double maxUnseenWaitMs;
+
+    RequestOpener(ClientConnection connection, ClientContext context, double maxUnseenWaitMs) {
+        this.connection = connection;
+        this.context = context;
+        this.maxUnseenWaitMs = maxUnseenWaitMs;
+    }
+
+    /** Whether the next request may have waited in the backlog before it was read. */
+    boolean mayHaveWaitedUnseen() {
+        return maxUnseenWaitMs > 0;
+    }
+
+    /** The next request can't have waited in the backlog. */
+    void clearUnseenWait() {
+        maxUnseenWaitMs = 0;
+    }
+
+    /** Opens or rejects a request; its message is the request itself, or the part of it that has come. */
+    void handleRequest(Object message, HttpRequest request, boolean complete) {
+        connection.onRequestHead(request.http11(), request.keepAlive());
+        String path = HealthEndpoints.pathOf(request.target());
+        if (context.health().serves(path)) {
+            respondHealth(request, path);
+            return;
+        }
+        Headers headers = request.headers();
+        String correlationId = headers.get(RequestValidator.CORRELATION_ID);
+        String timeLeft = headers.get(HttpEncoder.TIME_LEFT);
+        RequestClass requestClass = context.validator().classOf(request);
+        RequestRejection rejection = context.validator().validate(request, requestClass, correlationId, timeLeft);
+        if (rejection != null) {
+            connection.writer().reject(rejection);
+            return;
+        }
+        long requestId = connection.openRequest(correlationId);
+        ClientRequest opened = new ClientRequest(
+                requestClass.name(),
+                headers.get(TENANT),
+                timeLeft == null ? -1 : Integer.parseInt(timeLeft),
+                "1".equals(headers.get(CLIENT_RETRY)),
+                complete,
+                maxUnseenWaitMs,
+                message);
+        context.events().raise(new Event.RequestReceived(requestId, opened));
+        clearUnseenWait();
+    }
+
+    private void respondHealth(HttpRequest request, String path) {
+        if (request.method().equals("GET")) {
+            context.health().respond(path, connection.writer());
+        } else {
+            connection.writer().reject(RequestRejection.METHOD_MUST_BE_GET);
+        }
+    }
+}
--- a/node/src/main/java/brackenbridge/net/client/RequestReader.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestReader.java
@@ -1,9 +1,5 @@
 package brackenbridge.net.client;
 
-import brackenbridge.core.ClientRequest;
-import brackenbridge.core.Event;
-import brackenbridge.core.balancing.RequestClass;
-import brackenbridge.http.Headers;
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.HttpRequest;
@@ -35,6 +31,7 @@
     private final RequestDecoder decoder = new RequestDecoder();
     private final UploadReader upload;
     private final BodyPace pace;
+    private final RequestOpener opener;
     /** Bytes that no request has been made of yet; null if there are none. */
     private ByteBuf unread;
     /** The client has been told to send the body that it announced. */
@@ -43,8 +40,6 @@
     private boolean discarding;
 
     private int discardedBytes;
-    /** The longest that bytes found by the first read may have waited in the backlog. */
-    private double maxUnseenWaitMs;
 
     RequestReader(ClientConnection connection, ClientContext context, Channel channel, double nowMs) {
         this.connection = connection;
@@ -53,7 +48,7 @@
         presence = new ClientPresence(channel, context.clock(), nowMs, this);
         upload = new UploadReader(connection, context, this, decoder);
         pace = new BodyPace(nowMs);
-        maxUnseenWaitMs = ConnectionAcceptor.maxBacklogWaitMs(channel);
+        opener = new RequestOpener(connection, context, ConnectionAcceptor.maxBacklogWaitMs(channel));
     }
 
     /** Whether the client is known to be present. */
@@ -66,6 +61,11 @@
         return upload;
     }
 
+    /** Opens or rejects what has been read of a request. */
+    RequestOpener opener() {
+        return opener;
+    }
+
     /** Bytes that no request has been made of yet; null if there are none. */
     ByteBuf unread() {
         return unread;
@@ -112,14 +112,15 @@
 
     /** The connection is open: only bytes that its first read finds may have waited in the backlog. */
     void onConnected() {
-        if (maxUnseenWaitMs > 0) {
+        if (opener.mayHaveWaitedUnseen()) {
             channel.eventLoop().schedule(this::endUnseenWait, ClientPresence.NEXT_TURN_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void endUnseenWait() {
-        boolean foundBytes = unread != null || decoder.begun();
-        maxUnseenWaitMs = foundBytes ? maxUnseenWaitMs : 0;
+        if (unread == null && !decoder.begun()) {
+            opener.clearUnseenWait();
+        }
     }
 
     /** Takes ownership of bytes that have come. */
@@ -204,7 +205,7 @@
             if (decoder.decode(unread)) {
                 continueSent = false;
                 HttpRequest request = decoder.take();
-                handleRequest(request, request, true);
+                opener.handleRequest(request, request, true);
             } else if (decoder.isLong()) {
                 continueSent = false;
                 upload.start();
@@ -229,46 +230,6 @@
         }
     }
 
-    /** Opens or rejects a request; its message is the request itself, or the part of it that has come. */
-    void handleRequest(Object message, HttpRequest request, boolean complete) {
-        connection.onRequest(request.http11(), request.keepAlive());
-        String path = HealthEndpoints.pathOf(request.target());
-        if (context.health().serves(path)) {
-            respondHealth(request, path);
-            return;
-        }
-        Headers headers = request.headers();
-        String correlationId = headers.get(RequestValidator.CORRELATION_ID);
-        String timeLeft = headers.get(HttpEncoder.TIME_LEFT);
-        RequestClass requestClass = context.validator().classOf(request);
-        RequestRejection rejection = context.validator().validate(request, requestClass, correlationId, timeLeft);
-        if (rejection != null) {
-            connection.writer().reject(rejection);
-            return;
-        }
-        long requestId = connection.openRequest(correlationId);
-        context.events()
-                .raise(new Event.RequestReceived(
-                        requestId,
-                        new ClientRequest(
-                                requestClass.name(),
-                                headers.get("X-Account"),
-                                timeLeft == null ? -1 : Integer.parseInt(timeLeft),
-                                "1".equals(headers.get("X-Repeat")),
-                                complete,
-                                maxUnseenWaitMs,
-                                message)));
-        maxUnseenWaitMs = 0;
-    }
-
-    private void respondHealth(HttpRequest request, String path) {
-        if (request.method().equals("GET")) {
-            context.health().respond(path, connection.writer());
-        } else {
-            connection.writer().reject(RequestRejection.METHOD_MUST_BE_GET);
-        }
-    }
-
     /** Checks the time that a request takes to come since the last sweep; rejects one that is too slow. */
     void checkPace(double nowMs) {
         boolean readingRequest = connection.isReading() && decoder.begun();
--- a/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
+++ b/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
@@ -58,9 +58,9 @@
     void respondStreaming(StreamedResponse response) {
         Headers fields = passedOnFields(response.head());
         boolean lengthKnown = response.length() >= 0;
-        boolean chunked = !lengthKnown && connection.isHttp11();
+        boolean chunked = !lengthKnown && connection.request().isHttp11();
         if (!lengthKnown && !chunked) {
-            connection.endAfterResponse();
+            connection.request().endConnectionAfterResponse();
         }
         boolean close = beginResponse();
         download = response.body();
@@ -100,7 +100,7 @@
     private void countRejection(int status) {
         context.counters().count(Counter.INVALID_REQUESTS);
         context.counters().countRejection(RejectionReason.Port.REQUESTS, RejectionReason.ofStatus(status));
-        connection.endAfterResponse();
+        connection.request().endConnectionAfterResponse();
     }
 
     private static byte[] text(String reason) {
@@ -118,7 +118,7 @@
     }
 
     private void respondFailed() {
-        connection.endAfterResponse();
+        connection.request().endConnectionAfterResponse();
         if (download != null) {
             // Its head is out: only the end of the connection tells that the rest is missing.
             channel.close();
@@ -138,7 +138,7 @@
         double now = context.clock().nowMs();
         long requestId = connection.beginResponse(now);
         respondingTo = requestId >= 0 ? requestId : respondingTo;
-        return !connection.isKeptAlive() || context.closePolicy().announcesClose();
+        return !connection.request().isKeptAlive() || context.closePolicy().announcesClose();
     }
 
     /** The client takes more of a streamed response. */
--- a/node/src/main/java/brackenbridge/net/client/UploadReader.java
+++ b/node/src/main/java/brackenbridge/net/client/UploadReader.java
@@ -73,8 +73,8 @@
         HttpRequest head = decoder.part(decoder.stream((from, n) -> body.piece(from.readRetainedSlice(n))));
         body = new BodyStream(this);
         lastByteHeld = false;
-        reader.handleRequest(new StreamedRequest(head, length, body), head, false);
-        if (!connection.hasOpenRequest()) {
+        reader.opener().handleRequest(new StreamedRequest(head, length, body), head, false);
+        if (!connection.request().isOpen()) {
             body = null;
             return;
         }
@@ -112,7 +112,8 @@
         if (body != null && lastByteHeld && clientPresent) {
             end(true);
             paused = false;
-            context.events().raise(new Event.RequestCompleted(connection.requestId()));
+            context.events()
+                    .raise(new Event.RequestCompleted(connection.request().id()));
         }
     }
 
@@ -120,7 +121,7 @@
     void fail(int status, String reason) {
         BodyStream failed = body;
         body = null;
-        connection.disconnectRequest();
+        connection.withdrawRequest();
         failed.end(false);
         connection.writer().rejectMalformed(status, reason);
     }
@@ -138,7 +139,7 @@
     void onResponse() {
         if (body != null) {
             // Its request is incomplete and stays so: where the next one begins can't be known.
-            connection.endAfterResponse();
+            connection.request().endConnectionAfterResponse();
             BodyStream cancelled = body;
             body = null;
             cancelled.cancel();
--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
@@ -0,0 +1,192 @@
+package brackenbridge.net.client;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.clock.Clock;
+import brackenbridge.net.channel.ReceiveBuffers;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** When a client counts as present: after reads that have found all it sent and no end. */
+class ClientPresenceTest {
+    private static final double NEVER = Double.NEGATIVE_INFINITY;
+
+    /** The connection around the presence, as each test sets it. */
+    private static final class FakeInput implements ClientPresence.InputState {
+        private boolean ending;
+        private boolean discarding;
+        private boolean room = true;
+        private int presentCount;
+
+        @Override
+        public boolean isEnding() {
+            return ending;
+        }
+
+        @Override
+        public boolean isDiscarding() {
+            return discarding;
+        }
+
+        @Override
+        public boolean hasRoomForPresenceRead() {
+            return room;
+        }
+
+        @Override
+        public void onPresent() {
+            presentCount++;
+        }
+    }
+
+    private final Clock.Settable clock = new Clock.Settable(1000);
+    private final EmbeddedChannel channel = new EmbeddedChannel();
+    private final FakeInput input = new FakeInput();
+    private final ClientPresence presence = new ClientPresence(channel, clock, clock.nowMs(), input);
+
+    @BeforeEach
+    void freezeTime() {
+        channel.freezeTime();
+    }
+
+    @AfterEach
+    void closeChannel() {
+        channel.close();
+    }
+
+    /** Lets time pass for the clock and for what the event loop has scheduled. */
+    private void pass(long ms) {
+        clock.pass(ms);
+        channel.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
+        channel.runScheduledPendingTasks();
+    }
+
+    private void read(int reads) {
+        for (int i = 0; i < reads; i++) {
+            presence.onBytesRead();
+        }
+        presence.onReadComplete();
+    }
+
+    @Test
+    void clientIsNotPresentBeforeTheFirstRead() {
+        assertFalse(presence.isPresentNow());
+        assertFalse(presence.isPresent(NEVER));
+    }
+
+    @Test
+    void clientIsPresentOnceAllThatCameIsRead() {
+        read(ReceiveBuffers.MAX_READS_PER_TURN - 1);
+        assertTrue(presence.isPresentNow());
+        assertEquals(1, input.presentCount);
+    }
+
+    @Test
+    void clientIsHiddenUntilATurnInWhichNothingIsRead() {
+        read(ReceiveBuffers.MAX_READS_PER_TURN);
+        assertFalse(presence.isPresentNow(), "more may be at the socket");
+        presence.onBytesRead();
+        pass(ClientPresence.NEXT_TURN_MS);
+        assertFalse(presence.isPresentNow(), "a read since then");
+        pass(ClientPresence.NEXT_TURN_MS);
+        assertTrue(presence.isPresentNow());
+    }
+
+    @Test
+    void clientCountsAsPresentForTheLimitAfterItWasSeen() {
+        read(1);
+        presence.onBytesRead();
+        assertFalse(presence.isPresentNow());
+        clock.pass(ClientPresence.MAX_PRESENCE_AGE_MS);
+        assertTrue(presence.isPresent(NEVER));
+        assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        clock.pass(1);
+        assertFalse(presence.isPresent(NEVER));
+        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+    }
+
+    @Test
+    void assumedPresenceCountsFromItsOwnTime() {
+        clock.pass(500);
+        assertFalse(presence.isPresent(NEVER));
+        assertTrue(presence.isPresent(clock.nowMs() - ClientPresence.MAX_PRESENCE_AGE_MS));
+        assertFalse(presence.isHiddenTooLong(clock.nowMs(), clock.nowMs()));
+        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+    }
+
+    @Test
+    void clientThatIsPresentIsNeverHiddenTooLong() {
+        read(1);
+        clock.pass(10_000);
+        assertTrue(presence.isPresent(NEVER));
+        assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+    }
+
+    @Test
+    void boundedReadThatFindsNothingShowsTheClientWhileReadingIsPaused() {
+        read(1);
+        presence.setReading(false);
+        assertFalse(presence.isPresentNow());
+        presence.startChecking();
+        assertFalse(presence.isPresentNow(), "the read has had no time to find anything");
+        pass(ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
+        assertTrue(presence.isPresentNow());
+    }
+
+    @Test
+    void boundedReadThatFindsBytesDoesNotShowTheClient() {
+        presence.setReading(false);
+        presence.startChecking();
+        presence.onBytesRead();
+        presence.onReadComplete();
+        pass(ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
+        assertFalse(presence.isPresentNow());
+        pass(ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
+        assertTrue(presence.isPresentNow(), "the second read has found nothing");
+    }
+
+    @Test
+    void clientStaysHiddenWithoutRoomForABoundedRead() {
+        input.room = false;
+        presence.setReading(false);
+        presence.startChecking();
+        pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
+        assertFalse(presence.isPresentNow());
+        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+    }
+
+    @Test
+    void readingThatResumesEndsTheBoundedReads() {
+        presence.setReading(false);
+        presence.startChecking();
+        presence.setReading(true);
+        pass(ClientPresence.NEXT_TURN_MS);
+        assertTrue(presence.isPresentNow(), "nothing came in a whole turn");
+        int presentCount = input.presentCount;
+        pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
+        assertEquals(presentCount, input.presentCount);
+    }
+
+    @Test
+    void connectionThatEndsIsCheckedNoMore() {
+        presence.setReading(false);
+        presence.startChecking();
+        input.ending = true;
+        pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
+        assertEquals(0, input.presentCount);
+    }
+
+    @Test
+    void connectionThatDiscardsItsInputIsCheckedNoMore() {
+        presence.setReading(false);
+        presence.startChecking();
+        input.discarding = true;
+        pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
+        assertEquals(0, input.presentCount);
+    }
+}
