--- a/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
@@ -36,7 +36,7 @@
     private final Semaphore accepted = new Semaphore(0);
     private final AtomicInteger roomMade = new AtomicInteger();
     private final List<Socket> clients = new ArrayList<>();
-    private ConnectionAcceptor door;
+    private ConnectionAcceptor acceptor;
 
     @BeforeEach
     void listen() throws Exception {
@@ -57,17 +57,17 @@
                 });
             }
         });
-        door = new ConnectionAcceptor(
+        acceptor = new ConnectionAcceptor(
                 bootstrap,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 Clock.system(),
                 sockets.calls().accept(),
                 roomMade::incrementAndGet,
                 text -> {});
-        group.submit(() -> door.admit(false)).sync();
+        group.submit(() -> acceptor.admit(false)).sync();
         for (int i = 0; i < CLIENTS; i++) {
-            Socket client =
-                    new Socket(door.address().getAddress(), door.address().getPort());
+            Socket client = new Socket(
+                    acceptor.address().getAddress(), acceptor.address().getPort());
             client.setSoTimeout(10_000);
             clients.add(client);
         }
@@ -82,7 +82,7 @@
     }
 
     private void close() throws InterruptedException {
-        group.submit(door::close).sync();
+        group.submit(acceptor::close).sync();
     }
 
     @ParameterizedTest
--- a/node/src/test/java/brackenbridge/net/NodeFaultTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeFaultTest.java
@@ -18,70 +18,74 @@
 
 /** A fault of the node's own takes no client's answer away. */
 class NodeFaultTest {
-    private ClientNode its;
+    private ClientNode harness;
     private Socket client;
 
     @BeforeEach
     void start() throws IOException {
-        its = new ClientNode();
-        client = its.connect();
+        harness = new ClientNode();
+        client = harness.connect();
     }
 
     @AfterEach
     void end() throws IOException {
-        its.close();
+        harness.close();
     }
 
-    private void expectLast(int status) throws IOException {
-        String a = answer(client);
-        assertTrue(a != null && a.startsWith("HTTP/1.1 " + status + " ") && a.contains("Connection: close\r\n"), a);
+    private void expectLastResponse(int status) throws IOException {
+        String response = answer(client);
+        assertTrue(
+                response != null
+                        && response.startsWith("HTTP/1.1 " + status + " ")
+                        && response.contains("Connection: close\r\n"),
+                response);
         assertEquals(-1, client.getInputStream().read());
     }
 
-    private void othersAreServed() throws Exception {
-        its.server.answers.add(OK);
-        Socket other = its.connect();
+    private void assertOthersAreServed() throws Exception {
+        harness.server.answers.add(OK);
+        Socket other = harness.connect();
         send(other, file("other", 9000, "a"));
         assertTrue(answer(other).endsWith("done"));
-        assertTrue(its.server.next().contains("X-Correlation-Id: other\r\n"));
-        assertEquals(0, its.server.requests.size());
+        assertTrue(harness.server.next().contains("X-Correlation-Id: other\r\n"));
+        assertEquals(0, harness.server.requests.size());
     }
 
     @Test
-    void answerThatCanNotBeGivenFails() throws Exception {
+    void responseThatCannotBeWrittenFails() throws Exception {
         send(client, file("a", 9000, "a"));
-        assertNotNull(its.server.next());
-        its.clock.failIn("ResponseWriter.beginResponse");
-        its.server.answers.add(OK);
-        expectLast(502);
-        othersAreServed();
-        while (!its.node.metricsText().contains("proxy.active:0|g")) {
+        assertNotNull(harness.server.next());
+        harness.clock.failIn("ResponseWriter.beginResponse");
+        harness.server.answers.add(OK);
+        expectLastResponse(502);
+        assertOthersAreServed();
+        while (!harness.node.metricsText().contains("proxy.active:0|g")) {
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void refusalThatCanNotBeGivenFails() throws Exception {
-        its.clock.failIn("ResponseWriter.beginResponse");
+    void rejectionThatCannotBeWrittenFails() throws Exception {
+        harness.clock.failIn("ResponseWriter.beginResponse");
         send(client, file("a", 1, "a"));
-        expectLast(502);
+        expectLastResponse(502);
     }
 
     @Test
-    void requestThatCanNotBeTakenIsRefused() throws Exception {
-        its.clock.failIn("ClientConnection.openRequest");
+    void requestThatCannotBeOpenedIsRejected() throws Exception {
+        harness.clock.failIn("ClientConnection.openRequest");
         send(client, file("a", 9000, "a"));
-        expectLast(503);
-        othersAreServed();
+        expectLastResponse(503);
+        assertOthersAreServed();
     }
 
     @Test
-    void requestBehindAnotherThatCanNotBeTakenIsRefused() throws Exception {
-        its.clock.failIn("ClientConnection.openRequest");
+    void pipelinedRequestThatCannotBeOpenedIsRejected() throws Exception {
+        harness.clock.failIn("ClientConnection.openRequest");
         send(client, LIVE + file("a", 9000, "a"));
         assertTrue(answer(client).endsWith("live\n"));
-        expectLast(503);
-        live(its.connect());
-        othersAreServed();
+        expectLastResponse(503);
+        live(harness.connect());
+        assertOthersAreServed();
     }
 }
--- a/node/src/test/java/brackenbridge/net/StalledClientTest.java
+++ b/node/src/test/java/brackenbridge/net/StalledClientTest.java
@@ -18,30 +18,30 @@
 class StalledClientTest {
     private static final String BODY = "x".repeat(60_000);
 
-    private ClientNode its;
+    private ClientNode harness;
     private Socket client;
 
     @BeforeEach
     void start() throws IOException {
-        its = new ClientNode();
-        client = its.connect();
+        harness = new ClientNode();
+        client = harness.connect();
         live(client);
     }
 
     @AfterEach
     void end() throws IOException {
-        its.close();
+        harness.close();
     }
 
     /** Lets the node's sweep see so often what has come, then this much time passes and no more. */
     private void stall(int sweeps, double ms) throws Exception {
         for (int i = 0; i < sweeps; i++) {
-            its.clock.holdIn("Listener.sweep");
-            its.clock.awaitHeld();
-            its.clock.release();
+            harness.clock.holdIn("Listener.sweep");
+            harness.clock.awaitHeld();
+            harness.clock.release();
         }
-        its.clock.pass(ms);
-        its.clock.stand();
+        harness.clock.pass(ms);
+        harness.clock.stand();
     }
 
     private void stall() throws Exception {
@@ -49,8 +49,10 @@
     }
 
     private void expect408() throws IOException {
-        String a = answer(client);
-        assertTrue(a != null && a.startsWith("HTTP/1.1 408 ") && a.contains("Connection: close\r\n"), a);
+        String response = answer(client);
+        assertTrue(
+                response != null && response.startsWith("HTTP/1.1 408 ") && response.contains("Connection: close\r\n"),
+                response);
         assertEquals(-1, client.getInputStream().read());
     }
 
@@ -66,28 +68,28 @@
         send(client, file("a", 9000, BODY).substring(0, 55_000));
         stall();
         expect408();
-        assertEquals(0, its.server.requests.size());
+        assertEquals(0, harness.server.requests.size());
     }
 
     @Test
     void inALongBodyThatIsOnItsWayToAServer() throws Exception {
         String whole = file("a", 9000, BODY.repeat(3));
         send(client, whole.substring(0, 150_000));
-        its.server.connections.take();
+        harness.server.connections.take();
         // The server needs a moment to take what has come; meanwhile its client is not asked for more.
         stall(10, 1900);
         expect408();
-        assertEquals(0, its.server.requests.size());
+        assertEquals(0, harness.server.requests.size());
     }
 
     @Test
     void requestsThatArePipelinedBehindAreNotBegun() throws Exception {
         send(client, file("a", 9000, "a") + file("b", 9000, BODY).substring(0, 55_000));
-        its.server.next();
-        its.server.answers.add(OK);
+        harness.server.next();
+        harness.server.answers.add(OK);
         assertTrue(answer(client).endsWith("done"));
         stall();
         expect408();
-        assertEquals(0, its.server.requests.size());
+        assertEquals(0, harness.server.requests.size());
     }
 }
