--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/AttemptStarter.java
@@ -0,0 +1,62 @@
+package brackenbridge.core;
+
+import brackenbridge.core.balancing.AttemptOutcome;
+import brackenbridge.counters.Counter;
+import brackenbridge.counters.Counters;
+
+/** Starts the attempts that the balancer decides on, unless a rule of the node's own forbids one. */
+final class AttemptStarter {
+    private final OpenRequests requests;
+    private final EndpointTable endpoints;
+    private final Counters counters;
+    private final TrafficObservation observation;
+
+    AttemptStarter(OpenRequests requests, EndpointTable endpoints, Counters counters, TrafficObservation observation) {
+        this.requests = requests;
+        this.endpoints = endpoints;
+        this.counters = counters;
+        this.observation = observation;
+    }
+
+    /** Starts the request's next attempt; one that must not start has its outcome pending. */
+    void start(ReducerContext context, long requestId, long endpointId, double timeoutMs) {
+        OpenRequest request = requests.find(requestId);
+        if (request == null) {
+            return;
+        }
+        int number = request.attemptCount++;
+        ServerEndpoint endpoint = endpoints.find(endpointId);
+        if (endpoint == null || !mayStart(context.nowMs(), request, number, endpoint)) {
+            context.addPendingOutcome(new PendingOutcome(requestId, number, AttemptOutcome.NEVER_STARTED));
+            return;
+        }
+        request.attempt = new Attempt(number, endpoint.host(), context.nowMs());
+        counters.count(Counter.ATTEMPTS_STARTED);
+        observation.onAttemptStarted(request, endpoint);
+        send(context, request, endpoint, timeoutMs);
+    }
+
+    private boolean mayStart(double nowMs, OpenRequest request, int number, ServerEndpoint endpoint) {
+        return !request.ended
+                && request.attempt == null
+                && number < request.maxAttempts
+                && nowMs < request.attemptDeadlineMs(number)
+                && !endpoints.isCutOff(endpoint.host(), nowMs)
+                && !request.isIdempotencyKeyExpired(nowMs);
+    }
+
+    private void send(ReducerContext context, OpenRequest request, ServerEndpoint endpoint, double timeoutMs) {
+        Attempt attempt = request.attempt;
+        double nowMs = context.nowMs();
+        boolean complete = request.isComplete();
+        double latestMs = complete ? request.attemptDeadlineMs(attempt.number) : nowMs + request.timeoutMs;
+        double giveUpMs = timeoutMs > 0 && complete ? Math.min(latestMs, nowMs + timeoutMs) : latestMs;
+        context.addEffect(new Effect.StartAttempt(
+                request.id, attempt.number, endpoint.host(), endpoint.address(), giveUpMs, request.message));
+        attempt.announcedDeadlineMs = giveUpMs;
+        if (giveUpMs < latestMs) {
+            attempt.timeoutAtMs = giveUpMs;
+            context.setTimer(giveUpMs, new TimerKey.AttemptTimeout(request.id, attempt.number));
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/EndpointDiscovery.java
@@ -0,0 +1,120 @@
+package brackenbridge.core;
+
+import brackenbridge.core.balancing.EndpointListKind;
+import brackenbridge.core.balancing.EndpointState;
+import brackenbridge.core.membership.DiscoveryCommand;
+import brackenbridge.core.membership.DiscoveryWatch;
+import brackenbridge.counters.Counter;
+import brackenbridge.counters.Counters;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** Keeps the watch at discovery open and applies the endpoint lists that count: received, configured, inherited. */
+final class EndpointDiscovery implements Event.DiscoveryEvent.Handler<ReducerContext> {
+    /** Discovery sends a heartbeat every 2 s: a call without any message for this long has failed. */
+    static final double MAX_SILENCE_MS = 3000;
+
+    private final CurrentSettings settings;
+    private final EndpointTable endpoints;
+    private final EndpointUpdates updates;
+    private final Counters counters;
+    private final DiscoveryWatch watch;
+
+    EndpointDiscovery(CurrentSettings settings, EndpointTable endpoints, EndpointUpdates updates, Counters counters) {
+        this.settings = settings;
+        this.endpoints = endpoints;
+        this.updates = updates;
+        this.counters = counters;
+        // Not the balancer's random numbers: its choices must not depend on how often discovery was called.
+        SplittableRandom random = new SplittableRandom(~settings.get().seed());
+        this.watch = new DiscoveryWatch(settings.discoverySource(), MAX_SILENCE_MS, random);
+    }
+
+    /** The node starts with the endpoint list as it was last cached. */
+    void start(ReducerContext context, EndpointList cached) {
+        updates.applyList(context, EndpointListKind.CACHED, cached.endpoints());
+        runCommands(context, watch.start(context.nowMs(), cached.version()));
+    }
+
+    /** Applies the endpoint list of a new configuration if it is newer, and a change of where lists come from. */
+    void onReconfigured(ReducerContext context, EndpointList configured, boolean discoveryMoved) {
+        runCommands(context, watch.changeSource(context.nowMs(), settings.discoverySource()));
+        if (watch.acceptVersion(configured.version(), false)) {
+            updates.applyList(context, EndpointListKind.CACHED, configured.endpoints());
+        }
+        if (discoveryMoved) {
+            // Guards the list against the pause after a failed call: a change that the new address has counts as
+            // received soon.
+            runCommands(context, watch.reopen(context.nowMs(), true));
+        }
+    }
+
+    @Override
+    public void onEndpointListInherited(ReducerContext context, Event.EndpointListInherited event) {
+        EndpointList list = event.endpoints();
+        if (watch.acceptVersion(list.version(), true)) {
+            updates.applyList(context, EndpointListKind.CACHED, list.endpoints());
+            for (ServerEndpoint endpoint : list.endpoints()) {
+                if (endpoint.state() != EndpointState.UP) {
+                    // Its drain grace began when the other process was notified, no later than now.
+                    endpoints.cutOffNow(endpoint.host(), context.nowMs());
+                }
+            }
+        }
+        // Changes from now on are sent to both processes; the first call of this one may be seconds away.
+        runCommands(context, watch.reopen(context.nowMs(), false));
+    }
+
+    @Override
+    public void onEndpointListReceived(ReducerContext context, Event.EndpointListReceived event) {
+        EndpointList list = event.endpoints();
+        if (watch.onEndpointList(context.nowMs(), event.call(), list.version(), list.complete())) {
+            counters.count(Counter.ENDPOINT_LISTS);
+            EndpointListKind kind = list.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES;
+            updates.applyList(context, kind, endpoints.withUnreadableHosts(list));
+        }
+    }
+
+    @Override
+    public void onDiscoveryHeartbeat(ReducerContext context, Event.DiscoveryHeartbeat event) {
+        watch.onHeartbeat(context.nowMs(), event.call());
+    }
+
+    @Override
+    public void onDiscoveryEnded(ReducerContext context, Event.DiscoveryEnded event) {
+        if (watch.isOpen(event.call())) {
+            counters.count(Counter.DISCOVERY_FAILED);
+        }
+        runCommands(context, watch.onCallEnded(context.nowMs(), event.call()));
+    }
+
+    void onTimer(ReducerContext context, TimerKey.DiscoveryTimer timer) {
+        runCommands(context, watch.wake(context.nowMs(), timer.turn()));
+    }
+
+    /** How long discovery has been silent, in milliseconds. */
+    double silentMs(double nowMs) {
+        return watch.silentMs(nowMs);
+    }
+
+    /** The endpoint list for a process that replaces this one. */
+    EndpointList endpointList() {
+        return new EndpointList(watch.version(), true, endpoints.listedEndpoints());
+    }
+
+    private void runCommands(ReducerContext context, List<DiscoveryCommand> commands) {
+        for (DiscoveryCommand command : commands) {
+            if (command instanceof DiscoveryCommand.OpenWatch open) {
+                counters.count(Counter.DISCOVERY_CALLS);
+                context.addEffect(new Effect.WatchDiscovery(open.call(), open.afterVersion()));
+            } else if (command instanceof DiscoveryCommand.EndCall end) {
+                if (end.silent()) {
+                    counters.count(Counter.DISCOVERY_FAILED);
+                }
+                context.addEffect(new Effect.EndDiscoveryCall(end.call()));
+            } else if (command instanceof DiscoveryCommand.Wake wake) {
+                context.setTimer(wake.atMs(), new TimerKey.DiscoveryTimer(wake.timer()));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/FleetEvents.java
@@ -0,0 +1,22 @@
+package brackenbridge.core;
+
+/** Applies what the fleet sets for this node: tenant quotas and zone weights. */
+final class FleetEvents implements Event.FleetEvent.Handler<ReducerContext> {
+    private final TenantAdmission admission;
+    private final EndpointUpdates endpoints;
+
+    FleetEvents(TenantAdmission admission, EndpointUpdates endpoints) {
+        this.admission = admission;
+        this.endpoints = endpoints;
+    }
+
+    @Override
+    public void onTenantQuotasReceived(ReducerContext context, Event.TenantQuotasReceived event) {
+        admission.applyQuotas(context, event.quotas());
+    }
+
+    @Override
+    public void onZoneWeightsReceived(ReducerContext context, Event.ZoneWeightsReceived event) {
+        endpoints.applyZoneWeights(context, event.weights());
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/LifeCycleEvents.java
@@ -0,0 +1,66 @@
+package brackenbridge.core;
+
+import brackenbridge.core.balancing.BalancerApi;
+import brackenbridge.counters.Counter;
+import brackenbridge.counters.Counters;
+
+/** Starts the node, changes its settings and passes drains and stops on. */
+final class LifeCycleEvents implements Event.LifeCycleEvent.Handler<ReducerContext> {
+    private final CurrentSettings settings;
+    private final LifeCycle lifeCycle;
+    private final DrainAndShutdown shutdown;
+    private final EndpointDiscovery discovery;
+    private final RequestLifecycle requests;
+    private final Counters counters;
+    private final BalancerApi balancer;
+
+    LifeCycleEvents(
+            CurrentSettings settings,
+            LifeCycle lifeCycle,
+            DrainAndShutdown shutdown,
+            EndpointDiscovery discovery,
+            RequestLifecycle requests,
+            Counters counters,
+            BalancerApi balancer) {
+        this.settings = settings;
+        this.lifeCycle = lifeCycle;
+        this.shutdown = shutdown;
+        this.discovery = discovery;
+        this.requests = requests;
+        this.counters = counters;
+        this.balancer = balancer;
+    }
+
+    @Override
+    public void onStarted(ReducerContext context, Event.Started event) {
+        lifeCycle.started();
+        discovery.start(context, event.cachedEndpoints());
+    }
+
+    @Override
+    public void onSuccessorServes(ReducerContext context, Event.SuccessorServes event) {
+        shutdown.setHasSuccessor(event.on());
+    }
+
+    @Override
+    public void onReconfigured(ReducerContext context, Event.Reconfigured event) {
+        counters.count(Counter.RECONFIGURED);
+        if (settings.differFrom(event.settings())) {
+            settings.apply(event.settings());
+            shutdown.onSettingsChanged(context);
+            requests.rejectWaitingWithChangedRules(context);
+            context.runGuarded(() -> balancer.onSettings(context.nowMicros(), event.settings()));
+        }
+        discovery.onReconfigured(context, event.configuredEndpoints(), event.discoveryMoved());
+    }
+
+    @Override
+    public void onDrainRequested(ReducerContext context, Event.DrainRequested event) {
+        shutdown.drain(context, event.on());
+    }
+
+    @Override
+    public void onStopRequested(ReducerContext context, Event.StopRequested event) {
+        shutdown.stop(context);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/RequestDispatch.java
@@ -0,0 +1,35 @@
+package brackenbridge.core;
+
+import brackenbridge.core.balancing.BalancerApi;
+import brackenbridge.core.balancing.BalancerRequest;
+
+/** Hands a request over to the balancer: at once, or when its tenant's quota admits it. */
+final class RequestDispatch {
+    /** The balancer's value for a key or a cost that is not known. */
+    private static final long UNKNOWN = -1;
+
+    private final BalancerApi balancer;
+
+    RequestDispatch(BalancerApi balancer) {
+        this.balancer = balancer;
+    }
+
+    void start(ReducerContext context, OpenRequest request) {
+        request.started = true;
+        boolean complete = request.isComplete();
+        double timeLeftMs = complete ? request.deadlineMs - context.nowMs() : request.timeoutMs;
+        BalancerRequest arrived = new BalancerRequest(
+                request.id,
+                request.className,
+                request.tenant,
+                UNKNOWN,
+                Microseconds.ofMs(timeLeftMs),
+                UNKNOWN,
+                request.clientRetry);
+        if (complete) {
+            balancer.onRequest(context.nowMicros(), arrived);
+        } else {
+            balancer.onStreamedRequest(context.nowMicros(), arrived);
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/RequestLifecycle.java
@@ -0,0 +1,205 @@
+package brackenbridge.core;
+
+import brackenbridge.core.balancing.AttemptOutcome;
+import brackenbridge.core.balancing.BalancerApi;
+import brackenbridge.core.balancing.RequestClass;
+import brackenbridge.counters.Counter;
+import brackenbridge.counters.Counters;
+
+/** Follows each request from its receipt to its one final answer, which goes out by its deadline at the latest. */
+final class RequestLifecycle implements Event.RequestEvent.Handler<ReducerContext> {
+    /** A request ends this long before its client gives up, so that the answer still arrives in time. */
+    static final double DEADLINE_MARGIN_MS = 5;
+    /** The margin grows by the node's recent timer lateness, up to this ratio of the request's timeout. */
+    static final double LATENESS_MARGIN_RATIO = 0.25;
+    /**
+     * And up to this: a node with half a core notices 97 of 100 deadlines within 19 ms. What is later is a cold start,
+     * which no margin covers and which would only cost requests their time.
+     */
+    static final double MAX_LATENESS_MARGIN_MS = 20;
+
+    private final CurrentSettings settings;
+    private final OpenRequests requests;
+    private final AttemptLifecycle attempts;
+    private final TenantAdmission admission;
+    private final LocalReplies localReplies;
+    private final ResponsesInProgress responses;
+    private final LifeCycle lifeCycle;
+    private final Counters counters;
+    private final BalancerApi balancer;
+    private final TimerLateness lateness = new TimerLateness();
+
+    RequestLifecycle(
+            CurrentSettings settings,
+            OpenRequests requests,
+            AttemptLifecycle attempts,
+            TenantAdmission admission,
+            LocalReplies localReplies,
+            ResponsesInProgress responses,
+            LifeCycle lifeCycle,
+            Counters counters,
+            BalancerApi balancer) {
+        this.settings = settings;
+        this.requests = requests;
+        this.attempts = attempts;
+        this.admission = admission;
+        this.localReplies = localReplies;
+        this.responses = responses;
+        this.lifeCycle = lifeCycle;
+        this.counters = counters;
+        this.balancer = balancer;
+    }
+
+    @Override
+    public void onRequestReceived(ReducerContext context, Event.RequestReceived event) {
+        ClientRequest received = event.request();
+        counters.count(Counter.REQUESTS_RECEIVED, received.className());
+        if (received.clientRetry()) {
+            counters.count(Counter.REQUESTS_RETRIED_BY_CLIENT);
+        }
+        OpenRequest request = open(context, event.requestId(), received);
+        if (lifeCycle.isRejecting()) {
+            // Guards the operators' expectation that a drained node is empty: what is received after the front end has
+            // moved its traffic elsewhere has never run and does not start here any more.
+            localReplies.send(context, request, Effect.LocalReply.REJECTED);
+            return;
+        }
+        context.setTimer(context.nowMs() + request.timeoutMs, new TimerKey.RequestDeadline(request.id));
+        admission.onRequest(context, request);
+    }
+
+    private OpenRequest open(ReducerContext context, long requestId, ClientRequest received) {
+        double nowMs = context.nowMs();
+        RequestClass rules = settings.requestClass(received.className());
+        double clientTimeoutMs =
+                received.timeLeftMs() >= 0 ? received.timeLeftMs() : Microseconds.toMs(rules.deadline());
+        double timeoutMs = Math.max(0, clientTimeoutMs - DEADLINE_MARGIN_MS - latenessMarginMs(nowMs, clientTimeoutMs));
+        double deadlineMs = received.complete() ? nowMs + timeoutMs : Double.POSITIVE_INFINITY;
+        int maxAttempts = settings.get().maxAttempts();
+        OpenRequest request = new OpenRequest(requestId, received, rules, maxAttempts, timeoutMs, deadlineMs);
+        requests.add(request);
+        return request;
+    }
+
+    private double latenessMarginMs(double nowMs, double clientTimeoutMs) {
+        double maxMarginMs = Math.min(MAX_LATENESS_MARGIN_MS, clientTimeoutMs * LATENESS_MARGIN_RATIO);
+        return Math.min(lateness.ms(nowMs), maxMarginMs);
+    }
+
+    /** The client's waiting time begins with the last byte of its request. */
+    @Override
+    public void onRequestCompleted(ReducerContext context, Event.RequestCompleted event) {
+        OpenRequest request = requests.find(event.requestId());
+        if (request == null || request.isComplete()) {
+            return;
+        }
+        request.deadlineMs = context.nowMs() + request.timeoutMs;
+        context.setTimer(request.deadlineMs, new TimerKey.RequestDeadline(request.id));
+        if (request.started) {
+            balancer.onRequestCompleted(context.nowMicros(), request.id);
+        }
+    }
+
+    @Override
+    public void onRequestBodyReleased(ReducerContext context, Event.RequestBodyReleased event) {
+        OpenRequest request = requests.find(event.requestId());
+        if (request != null) {
+            request.bodyReleased = true;
+        }
+    }
+
+    @Override
+    public void onResponseFinished(ReducerContext context, Event.ResponseFinished event) {
+        responses.finish(event.requestId(), event.end());
+    }
+
+    @Override
+    public void onClientDisconnected(ReducerContext context, Event.ClientDisconnected event) {
+        OpenRequest request = requests.find(event.requestId());
+        if (request == null || request.ended) {
+            return;
+        }
+        counters.count(Counter.CLIENTS_DISCONNECTED, request.className);
+        requests.end(context, request);
+        notifyDisconnected(context, request);
+        // An attempt that is not written completely never ran: it is cancelled whatever the settings say of others.
+        Attempt attempt = request.attempt;
+        if (attempt != null && (settings.get().mayCancel() || !attempt.written)) {
+            attempts.cancel(context, request, AttemptOutcome.CANCELLED);
+        }
+    }
+
+    /** No attempt may start for this request any more: unless one of it has been written, it is answered at once. */
+    @Override
+    public void onClientPresenceUnknown(ReducerContext context, Event.ClientPresenceUnknown event) {
+        OpenRequest request = requests.find(event.requestId());
+        if (request == null || request.ended || request.attempt != null && request.attempt.written) {
+            return;
+        }
+        localReplies.send(context, request, request.failureReply(Effect.LocalReply.FAILED));
+        notifyDisconnected(context, request);
+        if (request.attempt != null) {
+            attempts.cancel(context, request, AttemptOutcome.CANCELLED);
+        }
+    }
+
+    private void notifyDisconnected(ReducerContext context, OpenRequest request) {
+        if (request.started) {
+            context.runGuarded(() -> balancer.onClientDisconnected(context.nowMicros(), request.id));
+        }
+    }
+
+    /** The client is about to give up: the attempt has timed out, and an answer goes out in any case. */
+    void onDeadline(ReducerContext context, TimerKey.RequestDeadline timer) {
+        OpenRequest request = requests.find(timer.requestId());
+        if (request == null || !isDue(request, context.nowMs())) {
+            return;
+        }
+        if (request.isComplete() && request.attempt != null) {
+            lateness.noticed(context.nowMs(), request.deadlineMs);
+        }
+        answerNow(context, request);
+    }
+
+    /** A request whose body is still on its way to a server has its whole timeout before it. */
+    private static boolean isDue(OpenRequest request, double nowMs) {
+        return request.isComplete() ? nowMs >= request.deadlineMs : request.attempt == null;
+    }
+
+    /** The process exits before some deadlines: every open request is answered now. */
+    void answerAll(ReducerContext context) {
+        for (OpenRequest request : requests.copyOfAll()) {
+            answerNow(context, request);
+        }
+    }
+
+    private void answerNow(ReducerContext context, OpenRequest request) {
+        if (request.attempt != null) {
+            // No later timer answers this request: it is answered whatever the balancer does with the outcome.
+            context.runGuarded(() -> {
+                attempts.cancel(context, request, AttemptOutcome.TIMEOUT);
+                attempts.deliverPendingOutcomes(context);
+            });
+        }
+        if (!request.ended) {
+            // Guards against a request that the balancer still queues: its client must not be left without an answer.
+            counters.count(Counter.ANSWERED_AT_DEADLINE);
+            localReplies.send(context, request, request.failureReply(Effect.LocalReply.TIMED_OUT));
+            notifyDisconnected(context, request);
+        }
+    }
+
+    /**
+     * Rejects requests that wait for their tenant's quota and whose class has changed. Guards them against the rules of
+     * another time: the balancer looks the class up by name when it receives them, and by then it may be removed, or
+     * idempotent where it was not.
+     */
+    void rejectWaitingWithChangedRules(ReducerContext context) {
+        for (OpenRequest request : requests.copyOfAll()) {
+            boolean waiting = !request.started && !request.ended;
+            if (waiting && !request.rules.equals(settings.requestClass(request.className))) {
+                localReplies.send(context, request, Effect.LocalReply.REJECTED);
+            }
+        }
+    }
+}
--- a/core/src/test/java/brackenbridge/core/ReducerTest.java
+++ b/core/src/test/java/brackenbridge/core/ReducerTest.java
@@ -95,18 +95,18 @@
         assertEquals(List.of(LocalReply.TIMED_OUT), p.fixed(f));
         long next = p.open(Play.FILE, 5000);
         assertEquals(
-                p.clock.nowMs() + 5000 - Reducer.MARGIN_MS - Reducer.MOST_LATE_MS,
+                p.clock.nowMs() + 5000 - RequestLifecycle.DEADLINE_MARGIN_MS - RequestLifecycle.MAX_LATENESS_MARGIN_MS,
                 p.forwards(next).get(0).giveUpMs(),
                 1e-6);
         long brief = p.open(Play.VIEW, 40);
         assertEquals(
-                p.clock.nowMs() + 40 - Reducer.MARGIN_MS - 10,
+                p.clock.nowMs() + 40 - RequestLifecycle.DEADLINE_MARGIN_MS - 10,
                 p.forwards(brief).get(0).giveUpMs(),
                 1e-6);
         p.pass(30_000);
         long calm = p.open(Play.FILE, 5000);
         assertEquals(
-                p.clock.nowMs() + 5000 - Reducer.MARGIN_MS,
+                p.clock.nowMs() + 5000 - RequestLifecycle.DEADLINE_MARGIN_MS,
                 p.forwards(calm).get(0).giveUpMs(),
                 0.1);
     }
