--- a/core/src/main/java/brackenbridge/core/Effect.java
+++ b/core/src/main/java/brackenbridge/core/Effect.java
@@ -2,70 +2,70 @@
 
 /** What the reducer wants done; whoever runs it reports back by events. */
 public sealed interface Effect {
-    /** Begin a forward. */
+    /** Start an attempt; it is given up at {@code giveUpMs}. */
     record StartAttempt(long requestId, int attempt, String host, String address, double giveUpMs, Object message)
             implements Effect {}
 
-    /** Give a forward up: close its connection, or forget it if it has none yet. */
+    /** Cancel an attempt: close its connection, or discard it if it has none yet. */
     record CancelAttempt(long requestId, int attempt) implements Effect {}
 
-    /** Answer a flow with what a server made for it. */
+    /** Send a server's response to the request's client. */
     record SendResponse(long requestId, Object message) implements Effect {}
 
     /** The node's own answers. */
     enum LocalReply {
-        /** A refusal: trying again is harmless. */
+        /** A rejection: the request has not run, so a retry is harmless. */
         REJECTED,
-        /** A failure, with no promise about its effect. */
+        /** A failure: the request may have run. */
         FAILED,
-        /** A failure because no answer came in time. */
+        /** A failure because no response came in time. */
         TIMED_OUT,
-        /** A server says that the request itself is at fault. */
+        /** A server says that the request itself is invalid. */
         INVALID_REQUEST
     }
 
-    /** Answer a flow with a fixed response; retryAfterMs 0 gives no guidance. */
+    /** Answer a request with a reply of the node's own; with {@code retryAfterMs} 0 it has no Retry-After. */
     record SendLocalReply(long requestId, LocalReply reply, double retryAfterMs) implements Effect {}
 
     /** Fire this timer at this time or soon after. */
     record SetTimer(double atMs, TimerKey key) implements Effect {}
 
-    /** This timer need not fire any more; it may all the same. */
+    /** Cancel this timer; it may still fire. */
     record CancelTimer(TimerKey key) implements Effect {}
 
-    /** Ask discovery for all changes after this version, as they come. */
+    /** Open a watch at discovery for all changes after this version. */
     record WatchDiscovery(long call, long afterVersion) implements Effect {}
 
-    /** Give a call to discovery up. */
+    /** Cancel a call to discovery. */
     record EndDiscoveryCall(long call) implements Effect {}
 
-    /** Examine a server. */
+    /** Start a health check of a server. */
     record StartHealthCheck(long healthCheckId, String address) implements Effect {}
 
-    /** Give a probe up. */
+    /** Cancel a health check. */
     record CancelHealthCheck(long healthCheckId) implements Effect {}
 
-    /** Close the connections to this host at this address that carry nothing. */
+    /** Close the idle connections to this host at this address. */
     record CloseIdleConnections(String host, String address) implements Effect {}
 
-    /** Say to each client with its next answer that its connection ends, or no longer. */
+    /** Announce to each client with its next response that its connection closes, or stop doing so. */
     record AnnounceClose(boolean on) implements Effect {}
 
     /** Accept no more connections. */
     record StopAccepting() implements Effect {}
 
-    /** Close the client connections that carry nothing. */
+    /** Close the idle client connections. */
     record CloseIdleClients() implements Effect {}
 
-    /** From now on, close each client connection that carries nothing for a moment; or no longer. */
+    /** From now on, close each client connection as soon as it is idle; or stop doing so. */
     record CloseClientsWhenIdle(boolean on) implements Effect {}
 
-    /** Close the client connections whose request is not whole yet. */
+    /** Close the client connections whose request is not complete yet. */
     record RejectIncompleteRequests() implements Effect {}
 
-    /** Tell the operators of a fault in the program. */
+    /** Report a fault in the program to the operators. */
     record Fault(RuntimeException cause) implements Effect {}
 
-    /** All is answered, or time is up: end the process once the last answers are out. */
+    /** All requests are answered, or time is up: exit once the last responses are sent. */
     record Exit(boolean immediately) implements Effect {}
 }
--- a/core/src/main/java/brackenbridge/core/HostIds.java
+++ b/core/src/main/java/brackenbridge/core/HostIds.java
@@ -5,10 +5,15 @@
 import java.util.Map;
 
 /**
- * Maps a host's name to the number by which the module knows it: a hash of the name alone, so that every
- * node, and the same node after a restart, has the same number for it.
+ * Maps a host's name to the number by which the balancer knows it: a hash of the name alone, so that every node, and
+ * the same node after a restart, has the same number for it.
  */
 public final class HostIds {
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    /** Numbers have 53 bits, so that a double holds them exactly. */
+    private static final int UNUSED_BITS = 11;
+
     private final Map<String, Long> ids = new HashMap<>();
     private final Map<Long, String> hosts = new HashMap<>();
 
@@ -19,6 +24,7 @@
         return hash(host);
     }
 
+    /** The number of this name; from now on the name is known. */
     long of(String host) {
         Long known = ids.get(host);
         if (known != null) {
@@ -40,17 +46,17 @@
         return ids.containsKey(host);
     }
 
-    /** Lets a name go, once nobody knows it by its number. */
+    /** Forgets a name, once its number is not in use any more. */
     void forget(String host) {
         hosts.remove(ids.remove(host));
     }
 
     /** FNV-1a over the name's bytes, cut to 53 bits. */
     private static long hash(String name) {
-        long h = 0xcbf29ce484222325L;
-        for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
-            h = (h ^ (b & 0xff)) * 0x100000001b3L;
+        long hash = FNV_OFFSET_BASIS;
+        for (byte octet : name.getBytes(StandardCharsets.UTF_8)) {
+            hash = (hash ^ (octet & 0xff)) * FNV_PRIME;
         }
-        return h >>> 11;
+        return hash >>> UNUSED_BITS;
     }
 }
--- a/core/src/main/java/brackenbridge/core/LifeCycle.java
+++ b/core/src/main/java/brackenbridge/core/LifeCycle.java
@@ -1,8 +1,8 @@
 package brackenbridge.core;
 
-/** What a node is to its clients: it starts, serves, may drain and serve again, and stops for good. */
+/** The state machine of a node: it starts, serves, may drain and serve again, and stops for good. */
 final class LifeCycle {
-    /** Where a node can be. */
+    /** The phases of a node. */
     enum LifeCyclePhase {
         STARTING,
         SERVING,
@@ -10,13 +10,13 @@
         STOPPING
     }
 
-    /** What a drain does one after the other, so many milliseconds after its call. */
+    /** The steps of a drain, each with its delay after the drain was requested, in milliseconds. */
     enum DrainStep {
-        /** The front has noticed: idle connections are ended. */
+        /** The front end has noticed: idle connections are closed. */
         CLOSE_IDLE_CLIENTS(600),
-        /** New flows are turned away, so that none of them is open long after. */
+        /** New requests are rejected, so that none of them is open long after. */
         REJECT_NEW_REQUESTS(1800),
-        /** Requests that are still not whole are given up. */
+        /** Requests that are still incomplete are rejected. */
         REJECT_INCOMPLETE_REQUESTS(3300);
 
         final double afterMs;
@@ -27,60 +27,63 @@
     }
 
     private LifeCyclePhase phase = LifeCyclePhase.STARTING;
-    private long drains;
+    private long drainCount;
     private boolean rejecting;
 
     LifeCyclePhase phase() {
         return phase;
     }
 
-    /** The node has its first list; false if it had begun before. */
+    /** The node has its first endpoint list; false if it had started before. */
     boolean started() {
-        return turn(LifeCyclePhase.STARTING, LifeCyclePhase.SERVING);
+        return transition(LifeCyclePhase.STARTING, LifeCyclePhase.SERVING);
     }
 
-    /** False if it drains already, or stops. */
+    /** Starts a drain; false if the node is draining already, or stopping. */
     boolean drain() {
-        if (turn(LifeCyclePhase.SERVING, LifeCyclePhase.DRAINING)
-                || turn(LifeCyclePhase.STARTING, LifeCyclePhase.DRAINING)) {
-            drains++;
+        if (transition(LifeCyclePhase.SERVING, LifeCyclePhase.DRAINING)
+                || transition(LifeCyclePhase.STARTING, LifeCyclePhase.DRAINING)) {
+            drainCount++;
             return true;
         }
         return false;
     }
 
-    /** False if it does not drain. */
+    /** Cancels the drain; false if the node is not draining. */
     boolean cancelDrain() {
         rejecting &= phase != LifeCyclePhase.DRAINING;
-        return turn(LifeCyclePhase.DRAINING, LifeCyclePhase.SERVING);
+        return transition(LifeCyclePhase.DRAINING, LifeCyclePhase.SERVING);
     }
 
-    /** False if it stops already. */
+    /** Starts the stop; false if the node is stopping already. */
     boolean stop() {
         boolean first = phase != LifeCyclePhase.STOPPING;
         phase = LifeCyclePhase.STOPPING;
         return first;
     }
 
-    /** Which drain this is: the steps of one that is over do nothing. */
+    /** The number of the latest drain: the steps of an earlier one do nothing. */
     long drainCount() {
-        return drains;
+        return drainCount;
     }
 
+    /** Whether this drain is in progress. */
     boolean isCurrent(long drain) {
-        return phase == LifeCyclePhase.DRAINING && drain == drains;
+        return phase == LifeCyclePhase.DRAINING && drain == drainCount;
     }
 
+    /** From now on new requests are rejected. */
     void startRejecting() {
         rejecting = true;
     }
 
-    /** Whether new flows are refused. */
+    /** Whether new requests are rejected. */
     boolean isRejecting() {
         return rejecting;
     }
 
-    private boolean turn(LifeCyclePhase from, LifeCyclePhase to) {
+    /** Changes the phase if it is the one expected; false if it is not. */
+    private boolean transition(LifeCyclePhase from, LifeCyclePhase to) {
         if (phase != from) {
             return false;
         }
--- a/core/src/main/java/brackenbridge/core/Microseconds.java
+++ b/core/src/main/java/brackenbridge/core/Microseconds.java
@@ -1,6 +1,6 @@
 package brackenbridge.core;
 
-/** The one seam between the node's milliseconds and the module's whole microseconds. */
+/** Converts between the node's milliseconds and the balancer's whole microseconds. */
 final class Microseconds {
     private Microseconds() {}
 
