--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -21,13 +21,13 @@
 
 /**
  * Settings that change at any moment, among random events: while calls wait in a server's queues, are out, or lie
- * between two attempts, with long bodies, drains and lists in between. No flow is lost, none is answered twice, each
+ * between two attempts, with long bodies, drains and lists in between. No request is lost, none is answered twice, each
  * keeps the rules that it began under, and in the end every server is free again.
  */
 class ChangingSettingsTest {
     private static final String[] NAMES = {"a", "b", "c", "d"};
 
-    /** What a flow was promised when it came. */
+    /** What a request was promised when it came. */
     private record Promise(RequestClass under, int attempts) {}
 
     private final Map<Long, Promise> promises = new HashMap<>();
@@ -60,7 +60,8 @@
                     0.2));
         }
         List<TenantShare> tenants = r.nextBoolean() ? List.of() : List.of(new TenantShare("acme", 0.5, r.nextInt(3)));
-        BalancerSettings s = Play.settings(1 + r.nextInt(3), 1 + r.nextInt(5), classes.toArray(new RequestClass[0]));
+        BalancerSettings s =
+                ReducerHarness.settings(1 + r.nextInt(3), 1 + r.nextInt(5), classes.toArray(new RequestClass[0]));
         return new BalancerSettings(
                 7,
                 0,
@@ -89,16 +90,16 @@
     }
 
     /** Holds what the node has done since the last look against what it promised. */
-    private void look(Play p) {
-        for (; seen < p.effects.size(); seen++) {
-            Effect e = p.effects.get(seen);
-            if (e instanceof Effect.StartAttempt f) {
-                Promise promise = promises.get(f.requestId());
-                assertEquals(null, out.put(f.requestId(), f.attempt()), "one forward at a time");
-                assertTrue(f.attempt() < promise.attempts(), "more attempts than it began with");
-                assertTrue(!ran.contains(f.requestId()) || isSafe(promise), "unsafe, and may have run");
-                assertEquals(0, answers.getOrDefault(f.requestId(), 0), "it has its answer");
-                written.remove(f.requestId());
+    private void look(ReducerHarness harness) {
+        for (; seen < harness.effects.size(); seen++) {
+            Effect e = harness.effects.get(seen);
+            if (e instanceof Effect.StartAttempt start) {
+                Promise promise = promises.get(start.requestId());
+                assertEquals(null, out.put(start.requestId(), start.attempt()), "one attempt at a time");
+                assertTrue(start.attempt() < promise.attempts(), "more attempts than it began with");
+                assertTrue(!ran.contains(start.requestId()) || isSafe(promise), "unsafe, and may have run");
+                assertEquals(0, answers.getOrDefault(start.requestId(), 0), "it has its answer");
+                written.remove(start.requestId());
             } else if (e instanceof Effect.CancelAttempt c) {
                 if (out.remove(c.requestId(), c.attempt()) && written.contains(c.requestId())) {
                     ran.add(c.requestId());
@@ -112,13 +113,13 @@
                                 || !ran.contains(a.requestId())
                                 || isSafe(promises.get(a.requestId())),
                         "refused, but it may have run");
-            } else if (e instanceof Effect.Fault f) {
-                throw new AssertionError("fault", f.cause());
+            } else if (e instanceof Effect.Fault fault) {
+                throw new AssertionError("fault", fault.cause());
             }
         }
     }
 
-    private void open(SplittableRandom r, Play p) {
+    private void open(SplittableRandom r, ReducerHarness harness) {
         long id = 10_000 + promises.size();
         RequestClass c = settings.classes().get(r.nextInt(settings.classes().size()));
         boolean whole = r.nextInt(6) > 0;
@@ -126,7 +127,7 @@
         if (!whole) {
             coming.add(id);
         }
-        p.tell(new Event.RequestReceived(
+        harness.send(new Event.RequestReceived(
                 id,
                 new ClientRequest(
                         c.name(),
@@ -137,48 +138,49 @@
                         "m")));
     }
 
-    private void change(SplittableRandom r, Play p) {
+    private void change(SplittableRandom r, ReducerHarness harness) {
         settings = settings(r);
-        p.tell(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), r.nextInt(4) == 0));
+        harness.send(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), r.nextInt(4) == 0));
     }
 
-    private void list(SplittableRandom r, Play p) {
-        List<ServerEndpoint> targets = new ArrayList<>();
+    private void list(SplittableRandom r, ReducerHarness harness) {
+        List<ServerEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             if (r.nextInt(4) > 0) {
-                targets.add(Play.target("s-" + i, r.nextInt(5) > 0 ? EndpointState.UP : EndpointState.DRAINING));
+                endpoints.add(ReducerHarness.endpoint(
+                        "s-" + i, r.nextInt(5) > 0 ? EndpointState.UP : EndpointState.DRAINING));
             }
         }
-        p.tell(new Event.EndpointListInherited(new EndpointList(version++, true, targets)));
+        harness.send(new Event.EndpointListInherited(new EndpointList(version++, true, endpoints)));
     }
 
-    private void forward(SplittableRandom r, Play p, long f) {
-        Integer number = out.get(f);
+    private void forward(SplittableRandom r, ReducerHarness harness, long requestId) {
+        Integer number = out.get(requestId);
         if (number == null) {
             return;
         }
-        if (!written.contains(f) && r.nextBoolean() && !coming.contains(f)) {
-            written.add(f);
-            p.tell(new Event.AttemptWritten(f, number));
+        if (!written.contains(requestId) && r.nextBoolean() && !coming.contains(requestId)) {
+            written.add(requestId);
+            harness.send(new Event.AttemptWritten(requestId, number));
             return;
         }
-        out.remove(f);
-        if (!written.contains(f) || r.nextInt(3) == 0) {
-            if (written.contains(f)) {
-                ran.add(f);
+        out.remove(requestId);
+        if (!written.contains(requestId) || r.nextInt(3) == 0) {
+            if (written.contains(requestId)) {
+                ran.add(requestId);
             }
-            p.tell(new Event.AttemptConnectionLost(f, number));
+            harness.send(new Event.AttemptConnectionLost(requestId, number));
         } else {
             ServerReply reply = ServerReply.values()[r.nextInt(4)];
             if (reply == ServerReply.ERROR) {
-                ran.add(f);
+                ran.add(requestId);
             }
-            p.tell(new Event.AttemptAnswered(f, number, reply, "b", null));
+            harness.send(new Event.AttemptAnswered(requestId, number, reply, "b", null));
         }
     }
 
     @Property(seed = "77", tries = 300)
-    void everyFlowKeepsItsRulesAndGetsItsOneAnswer(@ForAll long seed) {
+    void everyRequestKeepsItsRulesAndGetsOneAnswer(@ForAll long seed) {
         promises.clear();
         answers.clear();
         out.clear();
@@ -188,61 +190,66 @@
         coming.clear();
         seen = 0;
         SplittableRandom r = new SplittableRandom(seed);
-        Play p = new Play(3, 2);
-        settings = p.settings;
+        ReducerHarness harness = new ReducerHarness(3, 2);
+        settings = harness.settings;
         for (int i = 0; i < 250; i++) {
-            long f = 10_000 + (promises.isEmpty() ? 0 : r.nextInt(promises.size()));
+            long requestId = 10_000 + (promises.isEmpty() ? 0 : r.nextInt(promises.size()));
             switch (r.nextInt(12)) {
-                case 0, 1, 2, 3 -> open(r, p);
+                case 0, 1, 2, 3 -> open(r, harness);
                 case 4, 5, 6 -> {
                     List<Long> busy = new ArrayList<>(out.keySet());
                     if (!busy.isEmpty()) {
-                        forward(r, p, busy.get(r.nextInt(busy.size())));
+                        forward(r, harness, busy.get(r.nextInt(busy.size())));
                     }
                 }
                 case 7 -> {
-                    if (coming.remove(f)) {
-                        p.tell(new Event.RequestCompleted(f));
-                    } else if (r.nextInt(3) == 0 && answers.getOrDefault(f, 0) == 0 && promises.containsKey(f)) {
-                        gone.add(f);
-                        p.tell(new Event.ClientDisconnected(f));
+                    if (coming.remove(requestId)) {
+                        harness.send(new Event.RequestCompleted(requestId));
+                    } else if (r.nextInt(3) == 0
+                            && answers.getOrDefault(requestId, 0) == 0
+                            && promises.containsKey(requestId)) {
+                        gone.add(requestId);
+                        harness.send(new Event.ClientDisconnected(requestId));
                     }
                 }
-                case 8 -> change(r, p);
-                case 9 -> list(r, p);
-                case 10 -> p.tell(new Event.DrainRequested(r.nextInt(4) == 0));
-                default -> p.pass(r.nextInt(80));
+                case 8 -> change(r, harness);
+                case 9 -> list(r, harness);
+                case 10 -> harness.send(new Event.DrainRequested(r.nextInt(4) == 0));
+                default -> harness.advance(r.nextInt(80));
             }
-            look(p);
+            look(harness);
         }
-        p.tell(new Event.DrainRequested(false));
-        coming.forEach(f -> p.tell(new Event.RequestCompleted(f)));
-        p.pass(9000);
-        look(p);
+        harness.send(new Event.DrainRequested(false));
+        coming.forEach(requestId -> harness.send(new Event.RequestCompleted(requestId)));
+        harness.advance(9000);
+        look(harness);
         promises.keySet()
-                .forEach(f -> assertEquals(
-                        gone.contains(f) ? 0 : 1, answers.getOrDefault(f, 0), (gone.contains(f) ? "gone " : "") + f));
-        assertTrue(out.isEmpty(), "forwards that are still out: " + out);
-        freeAgain(p);
+                .forEach(requestId -> assertEquals(
+                        gone.contains(requestId) ? 0 : 1,
+                        answers.getOrDefault(requestId, 0),
+                        (gone.contains(requestId) ? "gone " : "") + requestId));
+        assertTrue(out.isEmpty(), "attempts still in flight: " + out);
+        freeAgain(harness);
     }
 
     /** Every server has room again: one call after the other finds one at once, and none is forgotten. */
-    private void freeAgain(Play p) {
-        settings = Play.settings(1, 5, Play.VIEW);
-        p.tell(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), false));
-        List<ServerEndpoint> targets = new ArrayList<>();
+    private void freeAgain(ReducerHarness harness) {
+        settings = ReducerHarness.settings(1, 5, ReducerHarness.VIEW);
+        harness.send(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), false));
+        List<ServerEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            ServerEndpoint t = Play.target("s-" + i, EndpointState.UP);
-            targets.add(new ServerEndpoint(t.host(), t.address(), t.zone(), t.cell(), 1, p.clock.nowMs(), t.state()));
+            ServerEndpoint t = ReducerHarness.endpoint("s-" + i, EndpointState.UP);
+            endpoints.add(
+                    new ServerEndpoint(t.host(), t.address(), t.zone(), t.cell(), 1, harness.clock.nowMs(), t.state()));
         }
-        p.tell(new Event.EndpointListInherited(new EndpointList(version++, true, targets)));
+        harness.send(new Event.EndpointListInherited(new EndpointList(version++, true, endpoints)));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 40; i++) {
-            long f = p.open(Play.VIEW, 5000);
-            assertEquals(1, p.forwards(f).size(), "sent at once");
-            used.add(p.forwards(f).get(0).host());
-            p.tell(new Event.AttemptWritten(f, 0)).pass(5);
-            p.tell(new Event.AttemptAnswered(f, 0, ServerReply.SERVED, "b", null));
+            long requestId = harness.open(ReducerHarness.VIEW, 5000);
+            assertEquals(1, harness.attempts(requestId).size(), "sent at once");
+            used.add(harness.attempts(requestId).get(0).host());
+            harness.send(new Event.AttemptWritten(requestId, 0)).advance(5);
+            harness.send(new Event.AttemptAnswered(requestId, 0, ServerReply.SERVED, "b", null));
         }
         assertEquals(5, used.size(), "servers that take turns");
     }
--- a/core/src/test/java/brackenbridge/core/Play.java
+++ b/core/src/test/java/brackenbridge/core/ReducerHarness.java
@@ -14,7 +14,7 @@
 import java.util.PriorityQueue;
 
 /** Plays events at a reducer, keeps the effects and fires its timers by a clock that stands still. */
-final class Play {
+final class ReducerHarness {
     static final RequestClass VIEW = new RequestClass(
             "view", 4_000_000, 8_000_000, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 2, 0.25);
     static final RequestClass FILE = new RequestClass(
@@ -24,27 +24,27 @@
     final Counters counters = new Counters();
     final BalancerSettings settings;
     final Reducer reducer;
-    final List<brackenbridge.core.Effect> effects = new ArrayList<>();
-    private final PriorityQueue<brackenbridge.core.Effect.SetTimer> timers =
-            new PriorityQueue<>(Comparator.comparingDouble(brackenbridge.core.Effect.SetTimer::atMs));
-    private long flows;
+    final List<Effect> effects = new ArrayList<>();
+    private final PriorityQueue<Effect.SetTimer> timers =
+            new PriorityQueue<>(Comparator.comparingDouble(Effect.SetTimer::atMs));
+    private long requestCount;
 
-    Play(int servers) {
+    ReducerHarness(int servers) {
         this(servers, 1);
     }
 
-    Play(int servers, int peers) {
+    ReducerHarness(int servers, int peers) {
         this(servers, peers, VIEW, FILE);
     }
 
-    Play(int servers, int peers, RequestClass... classes) {
+    ReducerHarness(int servers, int peers, RequestClass... classes) {
         settings = settings(peers, 5, classes);
         reducer = new Reducer(settings, counters);
-        List<ServerEndpoint> targets = new ArrayList<>();
+        List<ServerEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            targets.add(target("s-" + i, EndpointState.UP));
+            endpoints.add(endpoint("s-" + i, EndpointState.UP));
         }
-        tell(new Event.Started(new EndpointList(41, true, targets)));
+        send(new Event.Started(new EndpointList(41, true, endpoints)));
     }
 
     static BalancerSettings settings(int peers, int attempts, RequestClass... classes) {
@@ -71,14 +71,14 @@
                 new NetworkSettings(120_000, 500_000, false, List.of("depth")));
     }
 
-    static ServerEndpoint target(String host, EndpointState state) {
+    static ServerEndpoint endpoint(String host, EndpointState state) {
         return new ServerEndpoint(
                 host, "127.0.0.1:" + (9000 + Math.abs(host.hashCode() % 1000)), "room", -1, 1, 0, state);
     }
 
-    Play tell(Event event) {
-        for (brackenbridge.core.Effect e : reducer.reduce(clock.nowMs(), event)) {
-            if (e instanceof brackenbridge.core.Effect.SetTimer t) {
+    ReducerHarness send(Event event) {
+        for (Effect e : reducer.reduce(clock.nowMs(), event)) {
+            if (e instanceof Effect.SetTimer t) {
                 timers.add(t);
             } else {
                 effects.add(e);
@@ -87,41 +87,41 @@
         return this;
     }
 
-    /** Opens a flow and gives its number back. */
+    /** Opens a request and gives its number back. */
     long open(RequestClass c, double leftMs) {
-        tell(new Event.RequestReceived(
-                flows, new ClientRequest(c.name(), null, leftMs, false, true, "message " + flows)));
-        return flows++;
+        send(new Event.RequestReceived(
+                requestCount, new ClientRequest(c.name(), null, leftMs, false, true, "message " + requestCount)));
+        return requestCount++;
     }
 
     /** Lets time pass, firing the timers that fall due. */
-    Play pass(double ms) {
+    ReducerHarness advance(double ms) {
         double until = clock.nowMs() + ms;
         while (!timers.isEmpty() && timers.peek().atMs() <= until) {
-            brackenbridge.core.Effect.SetTimer t = timers.poll();
+            Effect.SetTimer t = timers.poll();
             clock.pass(Math.max(0, t.atMs() - clock.nowMs()));
-            tell(new Event.TimerFired(t.key()));
+            send(new Event.TimerFired(t.key()));
         }
         clock.pass(until - clock.nowMs());
         return this;
     }
 
-    <E extends brackenbridge.core.Effect> List<E> of(Class<E> kind) {
+    <E extends Effect> List<E> effects(Class<E> kind) {
         return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    /** The flow's forwards so far. */
-    List<brackenbridge.core.Effect.StartAttempt> forwards(long flow) {
-        return of(brackenbridge.core.Effect.StartAttempt.class).stream()
-                .filter(f -> f.requestId() == flow)
+    /** The request's attempts so far. */
+    List<Effect.StartAttempt> attempts(long requestId) {
+        return effects(Effect.StartAttempt.class).stream()
+                .filter(attempt -> attempt.requestId() == requestId)
                 .toList();
     }
 
-    /** The fixed responses that the flow got. */
-    List<brackenbridge.core.Effect.LocalReply> fixed(long flow) {
-        return of(brackenbridge.core.Effect.SendLocalReply.class).stream()
-                .filter(f -> f.requestId() == flow)
-                .map(brackenbridge.core.Effect.SendLocalReply::reply)
+    /** The fixed responses that the request got. */
+    List<Effect.LocalReply> localReplies(long requestId) {
+        return effects(Effect.SendLocalReply.class).stream()
+                .filter(attempt -> attempt.requestId() == requestId)
+                .map(Effect.SendLocalReply::reply)
                 .toList();
     }
 }
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -39,15 +39,15 @@
 
     private static Event newDeadline(double ms) {
         return new Event.Reconfigured(
-                Play.settings(1, 5, withDeadline(ms)), new EndpointList(41, true, List.of()), false);
+                ReducerHarness.settings(1, 5, withDeadline(ms)), new EndpointList(41, true, List.of()), false);
     }
 
-    private static Play with(double deadlineMs, Situation situation) {
-        Play p = new Play(4, 1, withDeadline(deadlineMs));
+    private static ReducerHarness with(double deadlineMs, Situation situation) {
+        ReducerHarness harness = new ReducerHarness(4, 1, withDeadline(deadlineMs));
         return switch (situation) {
-            case RESTARTED -> p;
-            case EMPTIED -> p.tell(new Event.DrainRequested(true)).pass(700);
-            case REPLACED -> p.tell(new Event.SuccessorServes(true));
+            case RESTARTED -> harness;
+            case EMPTIED -> harness.send(new Event.DrainRequested(true)).advance(700);
+            case REPLACED -> harness.send(new Event.SuccessorServes(true));
         };
     }
 
@@ -55,70 +55,70 @@
      * Lets time pass while clients go on asking on open connections and no server answers, until the node exits; then
      * all requests that were taken must have been answered, well before this kill.
      */
-    private static void answersAllBefore(double killMs, Play p, double stopAskedMs) {
+    private static void answersAllBefore(double killMs, ReducerHarness harness, double stopAskedMs) {
         RequestClass asked = withDeadline(1);
         List<Long> taken = new ArrayList<>();
-        while (p.of(Effect.Exit.class).stream().noneMatch(Effect.Exit::immediately)) {
-            taken.add(p.open(asked, 5000));
-            p.pass(5);
-            double since = p.clock.nowMs() - stopAskedMs;
+        while (harness.effects(Effect.Exit.class).stream().noneMatch(Effect.Exit::immediately)) {
+            taken.add(harness.open(asked, 5000));
+            harness.advance(5);
+            double since = harness.clock.nowMs() - stopAskedMs;
             assertTrue(
                     since + ShutdownSchedule.LAST_LINGER_MS <= killMs - SLACK_MS,
                     "still here " + since + " ms after SIGTERM, killed after " + killMs);
         }
-        taken.add(p.open(asked, 5000));
-        for (long flow : taken) {
-            assertEquals(1, p.fixed(flow).size(), "flow " + flow);
+        taken.add(harness.open(asked, 5000));
+        for (long requestId : taken) {
+            assertEquals(1, harness.localReplies(requestId).size(), "request " + requestId);
         }
     }
 
     @ParameterizedTest
     @EnumSource(Situation.class)
-    void everythingIsAnsweredBeforeTheKillHoweverShortTheDeadlines(Situation situation) {
+    void everyRequestIsAnsweredBeforeTheKillHoweverShortTheDeadlines(Situation situation) {
         for (double deadline : new double[] {1, 20, 100, 200, 370, 500, 1000, 3000, 8000}) {
-            Play p = with(deadline, situation);
-            double asked = p.clock.nowMs();
-            answersAllBefore(killMs(deadline), p.tell(new Event.StopRequested()), asked);
+            ReducerHarness harness = with(deadline, situation);
+            double asked = harness.clock.nowMs();
+            answersAllBefore(killMs(deadline), harness.send(new Event.StopRequested()), asked);
         }
     }
 
     @ParameterizedTest
     @EnumSource(Situation.class)
-    void shorterDeadlinesBeforeOrDuringTheStopBringTheExitForward(Situation situation) {
-        Play before = with(3000, situation).tell(newDeadline(100));
+    void shorterDeadlinesBeforeOrDuringTheStopAdvanceTheExit(Situation situation) {
+        ReducerHarness before = with(3000, situation).send(newDeadline(100));
         double asked = before.clock.nowMs();
-        answersAllBefore(killMs(100), before.tell(new Event.StopRequested()), asked);
-        Play during = with(3000, situation);
+        answersAllBefore(killMs(100), before.send(new Event.StopRequested()), asked);
+        ReducerHarness during = with(3000, situation);
         asked = during.clock.nowMs();
-        during.tell(new Event.StopRequested()).pass(300).tell(newDeadline(100));
+        during.send(new Event.StopRequested()).advance(300).send(newDeadline(100));
         answersAllBefore(killMs(100), during, asked);
     }
 
     /** Nobody says whether the kill goes by the settings of the start or by the newest. */
     @ParameterizedTest
     @EnumSource(Situation.class)
-    void longerDeadlinesPutTheExitOffByNothing(Situation situation) {
-        Play p = with(100, situation).tell(newDeadline(3000));
-        double asked = p.clock.nowMs();
-        answersAllBefore(killMs(100), p.tell(new Event.StopRequested()), asked);
-        Play during = with(100, situation);
+    void longerDeadlinesDoNotDelayTheExit(Situation situation) {
+        ReducerHarness harness = with(100, situation).send(newDeadline(3000));
+        double asked = harness.clock.nowMs();
+        answersAllBefore(killMs(100), harness.send(new Event.StopRequested()), asked);
+        ReducerHarness during = with(100, situation);
         asked = during.clock.nowMs();
-        during.tell(new Event.StopRequested()).pass(300).tell(newDeadline(3000));
+        during.send(new Event.StopRequested()).advance(300).send(newDeadline(3000));
         answersAllBefore(killMs(100), during, asked);
     }
 
     @Test
-    void openRequestsKeepTheirTimeAsFarAsTheStopLeavesAny() {
-        Play p = with(1000, Situation.RESTARTED);
-        p.tell(new Event.StopRequested()).pass(300);
-        long flow = p.open(withDeadline(1000), 1000);
-        p.tell(new Event.AttemptWritten(flow, 0)).pass(990);
-        assertEquals(List.of(), p.fixed(flow));
-        assertEquals(List.of(Effect.LocalReply.TIMED_OUT), p.pass(10).fixed(flow));
+    void openRequestsKeepTheirDeadlinesAsFarAsTheStopAllows() {
+        ReducerHarness harness = with(1000, Situation.RESTARTED);
+        harness.send(new Event.StopRequested()).advance(300);
+        long requestId = harness.open(withDeadline(1000), 1000);
+        harness.send(new Event.AttemptWritten(requestId, 0)).advance(990);
+        assertEquals(List.of(), harness.localReplies(requestId));
+        assertEquals(List.of(Effect.LocalReply.TIMED_OUT), harness.advance(10).localReplies(requestId));
     }
 
     @Property(seed = "71", tries = 500)
-    void stepsComeInOrderAndLeaveTheFrontItsTime(
+    void stepsAreOrderedAndLeaveTheFrontEndTimeToNotice(
             @ForAll @DoubleRange(min = 0.01, max = 10_000) double deadline, @ForAll Situation situation) {
         ShutdownSchedule s = ShutdownSchedule.of(situation, deadline);
         assertTrue(s.acceptMs() > 400, "new connections keep coming for 0.4 s: " + s);
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void longDeadlinesAreServedAsLongAsBefore() {
+    void longDeadlinesAreServedForAFixedTime() {
         ShutdownSchedule s = ShutdownSchedule.of(Situation.RESTARTED, 8000);
         assertEquals(500, s.acceptMs());
         assertEquals(3100, s.serveMs());
--- /dev/null
+++ b/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
@@ -0,0 +1,79 @@
+package brackenbridge.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import brackenbridge.core.Effect.LocalReply;
+import brackenbridge.core.Event.ServerReply;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What a stopping node still does for its clients. */
+class StoppingNodeTest {
+    private static Event answer(long requestId, int forward, ServerReply reply) {
+        return new Event.AttemptAnswered(requestId, forward, reply, "body", null);
+    }
+
+    /** The front sends no more connections to it; its peers may be stopped by the same release, or only just back. */
+    @Test
+    void stoppingNodeServesOpenConnectionsAndExitsWhenAllIsAnswered() {
+        for (int peers : new int[] {1, 2}) {
+            ReducerHarness harness =
+                    new ReducerHarness(4, peers).send(new Event.StopRequested()).advance(450);
+            assertFalse(harness.reducer.isReady());
+            assertEquals(0, harness.effects(Effect.StopAccepting.class).size());
+            harness.advance(100);
+            assertEquals(1, harness.effects(Effect.StopAccepting.class).size());
+            harness.advance(2450);
+            assertEquals(0, harness.effects(Effect.AnnounceClose.class).size());
+            assertEquals(0, harness.effects(Effect.CloseIdleClients.class).size());
+            long requestId = harness.open(ReducerHarness.FILE, 5000);
+            harness.send(new Event.AttemptWritten(requestId, 0)).advance(200);
+            assertEquals(1, harness.effects(Effect.AnnounceClose.class).size());
+            assertEquals(1, harness.effects(Effect.CloseIdleClients.class).size());
+            assertEquals(0, harness.effects(Effect.Exit.class).size());
+            harness.send(answer(requestId, 0, ServerReply.SERVED));
+            assertEquals(1, harness.effects(Effect.SendResponse.class).size());
+            assertEquals(List.of(new Effect.Exit(false)), harness.effects(Effect.Exit.class));
+        }
+    }
+
+    /** Half of a request may have been here when the last answers went. */
+    @Test
+    void requestAfterTheLastAnswersIsRejectedAtOnce() {
+        ReducerHarness harness = new ReducerHarness(4);
+        harness.open(ReducerHarness.FILE, 6000);
+        harness.send(new Event.StopRequested()).advance(3420);
+        assertEquals(
+                0,
+                harness.effects(Effect.Exit.class).stream()
+                        .filter(Effect.Exit::immediately)
+                        .count());
+        long late = harness.open(ReducerHarness.FILE, 6000);
+        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(late));
+        assertEquals(0, harness.attempts(late).size());
+    }
+
+    @Test
+    void drainedNodeExitsSoon() {
+        ReducerHarness harness = new ReducerHarness(4, 2)
+                .send(new Event.DrainRequested(true))
+                .advance(2000)
+                .send(new Event.StopRequested())
+                .advance(600);
+        assertEquals(List.of(new Effect.Exit(false)), harness.effects(Effect.Exit.class));
+    }
+
+    @Test
+    void stoppingNodeAnswersOpenRequestsBeforeItIsKilled() {
+        ReducerHarness harness = new ReducerHarness(4);
+        long ran = harness.open(ReducerHarness.FILE, 6000);
+        long waits = harness.open(ReducerHarness.FILE, 6000);
+        harness.send(new Event.AttemptWritten(ran, 0))
+                .send(new Event.StopRequested())
+                .advance(3500);
+        assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(ran));
+        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(waits));
+        assertEquals(new Effect.Exit(false), harness.effects(Effect.Exit.class).get(0));
+    }
+}
