--- a/core/src/main/java/brackenbridge/core/Event.java
+++ b/core/src/main/java/brackenbridge/core/Event.java
@@ -199,7 +199,7 @@
         }
     }
 
-    /** A system call of the node failed before the attempt was written: it never ran, through no fault of the server. */
+    /** A system call of the node failed before the attempt was written: it never ran, through no server's fault. */
     record AttemptFailedLocally(long requestId, int attempt) implements AttemptEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
