--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -22,151 +22,164 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Makes the calls to discovery that the reducer asks for, each on a connection of its own. */
+/** Makes the calls to discovery that the reducer requests, each on a connection of its own. */
 final class DiscoveryClient {
-    /** A list of 15,000 servers is shorter, indented as well. Guards the heap. */
-    private static final int LIST_LIMIT = 4 << 20;
+    /** Guards the heap; a list of 15,000 servers is shorter, even if it is indented. */
+    private static final int MAX_LIST_BYTES = 4 << 20;
 
-    private static final String LIST = "/registry/instances";
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final int OK = 200;
+    private static final String LIST_PATH = "/registry/instances";
 
     private final Bootstrap bootstrap;
     private final EventLoop loop;
-    private String dial;
     private final EventSink events;
     private final Log log;
     private final Map<Long, Call> calls = new HashMap<>();
+    private String address;
 
-    DiscoveryClient(Bootstrap bootstrap, EventLoop loop, String dial, EventSink events, Log log) {
-        this.bootstrap = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
+    DiscoveryClient(Bootstrap bootstrap, EventLoop loop, String address, EventSink events, Log log) {
+        this.bootstrap = bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
         this.loop = loop;
-        this.dial = dial;
+        this.address = address;
         this.events = events;
         this.log = log;
     }
 
     /** All further calls go to this address. */
-    void moved(String to) {
-        dial = to;
+    void setAddress(String newAddress) {
+        address = newAddress;
     }
 
-    void watch(long call, long afterSeq) {
-        begin(new Call(call), LIST + "?watch=1&after=" + afterSeq);
+    /** Starts a call that reports all changes of the list after this version. */
+    void watch(long callId, long afterVersion) {
+        startCall(new Call(callId, address, LIST_PATH + "?watch=1&after=" + afterVersion));
     }
 
-    void end(long call) {
-        Call c = calls.remove(call);
-        if (c != null) {
-            c.done = true;
-            if (c.channel != null) {
-                c.channel.close();
-            }
+    /** Ends a call; nothing more is reported of it. */
+    void endCall(long callId) {
+        Call call = calls.remove(callId);
+        if (call != null) {
+            call.cancel();
         }
     }
 
-    private void begin(Call c, String target) {
-        calls.put(c.id, c);
-        InetSocketAddress address = Addresses.parse(dial);
-        if (address == null) {
-            c.over("no address: " + dial);
+    private void startCall(Call call) {
+        calls.put(call.id, call);
+        InetSocketAddress socketAddress = Addresses.parse(call.address);
+        if (socketAddress == null) {
+            call.end("no address: " + call.address);
             return;
         }
-        c.target = target;
-        c.dialled = dial;
-        c.channel = ConnectAttempt.begin(bootstrap.clone().handler(c), loop, address, c);
+        call.channel = ConnectAttempt.begin(bootstrap.clone().handler(call), loop, socketAddress, call);
     }
 
-    /** One call. */
+    /** One call to discovery, from its connection to its end. */
     private final class Call extends ChannelInboundHandlerAdapter implements ConnectAttempt.Listener {
-        final long id;
-        final ObjectCutter cutter = new ObjectCutter(LIST_LIMIT);
-        final ResponseDecoder decoder = new ResponseDecoder(this::body);
-        String target;
-        String dialled;
-        Channel channel;
-        boolean answered;
-        boolean done;
-
-        Call(long id) {
+        private final long id;
+        private final String address;
+        private final String path;
+        private final ObjectCutter cutter = new ObjectCutter(MAX_LIST_BYTES);
+        private final ResponseDecoder decoder = new ResponseDecoder(this::readBody);
+        private Channel channel;
+        private boolean answered;
+        private boolean ended;
+
+        Call(long id, String address, String path) {
             this.id = id;
+            this.address = address;
+            this.path = path;
+        }
+
+        void cancel() {
+            ended = true;
+            closeChannel();
+        }
+
+        private void closeChannel() {
+            if (channel != null) {
+                channel.close();
+            }
         }
 
         @Override
         public void connected() {
-            channel.writeAndFlush(HttpEncoder.get(channel.alloc(), target, dialled));
+            channel.writeAndFlush(HttpEncoder.get(channel.alloc(), path, address));
         }
 
         @Override
         public void connectFailed(Throwable cause) {
-            over("no connection: " + cause.getMessage());
+            end("no connection: " + cause.getMessage());
         }
 
         @Override
         public void notBegun(Throwable cause) {
-            over("no socket: " + cause.getMessage());
+            end("no socket: " + cause.getMessage());
         }
 
-        private void body(ByteBuf from, int length) throws HttpException {
+        private void readBody(ByteBuf from, int length) throws HttpException {
             for (int i = 0; i < length; i++) {
-                byte b = from.readByte();
-                if (decoder.status() != 200 || done) {
-                    continue;
+                byte next = from.readByte();
+                if (decoder.status() == OK && !ended) {
+                    readListByte(next);
                 }
-                switch (cutter.add(b)) {
-                    case TEXT -> told(cutter.take());
-                    // A list that comes in pieces speaks with its first byte only: guards against one that never ends.
-                    case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryHeartbeat(id));
-                    case TOO_LONG -> over("list too long");
-                    default -> {
-                        // Nothing else matters here.
-                    }
+            }
+        }
+
+        private void readListByte(byte next) throws HttpException {
+            switch (cutter.add(next)) {
+                case TEXT -> onList(cutter.take());
+                // Of a list that comes in pieces only the first byte counts: guards against one that never ends.
+                case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryHeartbeat(id));
+                case TOO_LONG -> end("list too long");
+                default -> {
+                    // The list is not complete yet.
                 }
             }
         }
 
-        private void told(String text) {
+        private void onList(String text) {
             try {
-                EndpointList group = EndpointListParser.parse(text);
-                if (!group.unreadableHosts().isEmpty()) {
-                    log.warn(
-                            "entries that can't be read, so these hosts stay as they were: " + group.unreadableHosts());
+                EndpointList endpoints = EndpointListParser.parse(text);
+                if (!endpoints.unreadableHosts().isEmpty()) {
+                    log.warn("entries that can't be read, so these hosts stay as they were: "
+                            + endpoints.unreadableHosts());
                 }
-                events.raise(new Event.EndpointListReceived(id, group));
+                events.raise(new Event.EndpointListReceived(id, endpoints));
             } catch (IllegalArgumentException e) {
-                over(e.getMessage());
+                end(e.getMessage());
             }
         }
 
-        /** The call ends, once. */
-        private void over(String why) {
-            done = true;
+        /** Ends the call and reports that, once. */
+        private void end(String reason) {
+            ended = true;
             if (calls.remove(id, this)) {
-                log.warn("discovery call " + id + " ended: " + why);
+                log.warn("discovery call " + id + " ended: " + reason);
                 events.raise(new Event.DiscoveryEnded(id));
             }
-            if (channel != null) {
-                channel.close();
-            }
+            closeChannel();
         }
 
-        private void whole() {
-            over(decoder.status() != 200 ? "status " + decoder.status() : "the answer ended");
+        private void endWithResponse() {
+            end(decoder.status() == OK ? "the answer ended" : "status " + decoder.status());
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             ByteBuf in = (ByteBuf) msg;
             try {
-                boolean whole = decoder.decode(in);
-                if (whole || decoder.awaitsBody() && decoder.status() != 200) {
-                    // Guards against waiting for the end of a refusal.
-                    whole();
+                boolean complete = decoder.decode(in);
+                if (complete || decoder.awaitsBody() && decoder.status() != OK) {
+                    // Guards against waiting for the end of an error response.
+                    endWithResponse();
                 } else if (!answered && decoder.awaitsBody()) {
-                    // Guards a call that had to wait for its answer: the first empty line is due 2 s behind it.
+                    // Guards a call that had to wait for its response: the first empty line is due 2 s after it.
                     answered = true;
                     events.raise(new Event.DiscoveryHeartbeat(id));
                 }
             } catch (HttpException e) {
-                over(e.getMessage());
+                end(e.getMessage());
             } finally {
                 in.release();
             }
@@ -175,15 +188,15 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (decoder.ended()) {
-                whole();
+                endWithResponse();
             } else {
-                over("connection ended");
+                end("connection ended");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            over(String.valueOf(cause.getMessage()));
+            end(String.valueOf(cause.getMessage()));
         }
     }
 }
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -5,14 +5,10 @@
 import brackenbridge.core.Effect;
 import brackenbridge.core.Event;
 import brackenbridge.core.Reducer;
-import brackenbridge.core.ShutdownSchedule;
-import brackenbridge.core.TimerKey;
 import brackenbridge.core.observe.TrafficObserver;
 import brackenbridge.core.share.TenantUse;
-import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.RejectionReason;
-import brackenbridge.handover.Handover;
 import brackenbridge.handover.HandoverState;
 import brackenbridge.log.Log;
 import brackenbridge.mgmt.AdminOperations;
@@ -22,6 +18,9 @@
 import brackenbridge.net.channel.EventSink;
 import brackenbridge.net.channel.ReceiveBuffers;
 import brackenbridge.net.channel.SocketCalls;
+import brackenbridge.net.upstream.AttemptStartCheck;
+import brackenbridge.net.upstream.UpstreamConnections;
+import brackenbridge.net.upstream.UpstreamContext;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.PooledByteBufAllocator;
@@ -32,48 +31,45 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
 /** A running node: hands events to the reducer and runs the effects, all on one event loop. */
-public final class Node implements EventSink, AdminOperations, Handover.Process {
-    private static final long SWEEP_MS = 100;
-    private static final long LAST_ANSWERS_MS = 20;
+public final class Node implements EventSink, AdminOperations {
+    private static final long SWEEP_INTERVAL_MS = 100;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int BUFFER_PAGE_BYTES = 8192;
+    /** A chunk of pooled memory has 2 to this power pages. */
+    private static final int BUFFER_CHUNK_ORDER = 7;
+
+    private static final int CACHED_SMALL_BUFFERS = 64;
+    private static final int CACHED_NORMAL_BUFFERS = 32;
 
-    private Config config;
     private final Clock clock;
     private final Log log;
     private final Counters counters = new Counters();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final PooledByteBufAllocator buffers;
+    private final PooledByteBufAllocator buffers = new PooledByteBufAllocator(
+            false, 1, 0, BUFFER_PAGE_BYTES, BUFFER_CHUNK_ORDER, CACHED_SMALL_BUFFERS, CACHED_NORMAL_BUFFERS, false);
     private final Reducer reducer;
-    private final DescriptorBudget sockets;
-    private final SocketCalls calls;
+    private final ManagementListener management;
+    private final DescriptorBudget descriptors;
+    private final SocketCalls socketCalls;
     private final Listener listener;
-    private final UpstreamConnections forwards;
+    private final UpstreamConnections upstream;
     private final DiscoveryClient discovery;
+    private final Reconfiguration reconfiguration;
+    private final Replacement replacement;
+    private final Shutdown shutdown;
+    private final StatusPublisher status;
+    private final EffectRunner effects;
     private final ArrayDeque<Event> inbox = new ArrayDeque<>();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    /** The timers that may be unset. */
-    private final Map<TimerKey, ScheduledFuture<?>> deadlines = new HashMap<>();
-
     private boolean reducing;
-    /** What the management listener tells: published by the event loop, read by the other. */
-    private volatile String figures = "";
-
-    private volatile boolean takesClients;
-    private volatile boolean observes;
-    private volatile TrafficObserver.TrafficSnapshot observed = TrafficObserver.TrafficSnapshot.NONE;
-    private boolean serves;
-    private final ManagementListener management;
-    private final Handover handover;
-    private ConnectionAcceptor door;
+    private ConnectionAcceptor acceptor;
 
     /** Makes a node ready to start that no other process can replace while it serves. */
     public Node(Config config, Clock clock, Log log) {
@@ -81,238 +77,191 @@
     }
 
     /** Makes a node ready to start; at this path it meets the process it replaces, and the one that replaces it. */
-    public Node(Config config, Clock clock, Log log, Path meeting) {
-        this(config, clock, log, meeting, SocketCalls.system());
+    public Node(Config config, Clock clock, Log log, Path replacementPath) {
+        this(config, clock, log, replacementPath, SocketCalls.system());
     }
 
     /** As the others, with other sockets than the system's. */
-    Node(Config config, Clock clock, Log log, Path meeting, SocketCalls calls) {
-        this.config = config;
-        this.calls = calls;
+    Node(Config config, Clock clock, Log log, Path replacementPath, SocketCalls socketCalls) {
         this.clock = clock;
         this.log = log;
+        this.socketCalls = socketCalls;
         reducer = new Reducer(config.settings(), counters);
-        buffers = new PooledByteBufAllocator(false, 1, 0, 8192, 7, 64, 32, false);
-        handover = meeting == null ? null : new Handover(loop, meeting, this, counters, log);
         management = config.management() == null ? null : new ManagementListener(this, log);
-        sockets = new DescriptorBudget(config.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS));
-        Bootstrap bootstrap = new Bootstrap()
+        descriptors = new DescriptorBudget(descriptorLimit(config));
+        Bootstrap outgoing = outgoingBootstrap();
+        listener =
+                new Listener(config.settings(), clock, this, descriptors, counters, reducer::isReady, this::makeRoom);
+        upstream = new UpstreamConnections(
+                new UpstreamContext(outgoing, loop, clock, this, descriptors, counters, log),
+                config.settings(),
+                attemptStartCheck(),
+                this::makeRoom);
+        discovery = new DiscoveryClient(outgoing, loop, config.discovery(), this, log);
+        status = new StatusPublisher(reducer, () -> acceptor.isOpen());
+        reconfiguration = new Reconfiguration(config, loop, this::applySettings, this, counters, log, status::publish);
+        replacement = new Replacement(loop, replacementPath, descriptors, this::stateForSuccessor, this, counters, log);
+        shutdown = new Shutdown(loop, listener, replacement, counters, log);
+        Timers timers = new Timers(loop, clock, this);
+        effects = new EffectRunner(timers, listener, upstream, discovery, shutdown, this, log);
+    }
+
+    private int descriptorLimit(Config config) {
+        return config.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS);
+    }
+
+    private Bootstrap outgoingBootstrap() {
+        return new Bootstrap()
                 .group(group)
-                .channelFactory(calls.outgoing())
+                .channelFactory(socketCalls.outgoing())
                 .option(ChannelOption.ALLOCATOR, buffers)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, ReceiveBuffers.allocator())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000);
-        listener = new Listener(config.settings(), clock, this, sockets, counters, reducer::isReady, this::makeRoom);
-        forwards = new UpstreamConnections(
-                bootstrap, loop, config.settings(), clock, this, beginCheck(), sockets, counters, log, this::makeRoom);
-        discovery = new DiscoveryClient(bootstrap, loop, config.discovery(), this, log);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
     }
 
-    private UpstreamConnections.BeginCheck beginCheck() {
-        return new UpstreamConnections.BeginCheck() {
+    private AttemptStartCheck attemptStartCheck() {
+        return new AttemptStartCheck() {
             @Override
-            public double timeLeftMs(long flow, int forward) {
-                return reducer.timeLeftMs(clock.nowMs(), flow, forward);
+            public double timeLeftMs(long requestId, int attempt) {
+                return reducer.timeLeftMs(clock.nowMs(), requestId, attempt);
             }
 
             @Override
-            public boolean isClientPresent(long flow) {
-                return listener.isClientPresent(flow);
+            public boolean isClientPresent(long requestId) {
+                return listener.isClientPresent(requestId);
             }
         };
     }
 
+    private void applySettings(Config config) {
+        discovery.setAddress(config.discovery());
+        listener.applySettings(config.settings());
+        upstream.applySettings(config.settings());
+        descriptors.setLimit(descriptorLimit(config));
+    }
+
+    private HandoverState stateForSuccessor() {
+        return new HandoverState(reconfiguration.config().sockets() / 2, reducer.endpointList());
+    }
+
     /** Starts to serve; fails if the address can't be listened on. */
     public void start() {
+        Config config = reconfiguration.config();
         InetSocketAddress address = Addresses.parse(config.listen());
         if (address == null) {
             throw new IllegalArgumentException("listen: not a literal address: " + config.listen());
         }
-        HandoverState offer = inherit();
-        loop.submit(() -> {
-                    raise(new Event.Started(config.configuredEndpoints()));
-                    if (offer != null) {
-                        sockets.shareWithOtherProcess(true);
-                        raise(new Event.EndpointListInherited(offer.endpoints()));
-                    }
-                })
-                .syncUninterruptibly();
+        HandoverState inherited = replacement.inheritState();
+        loop.submit(() -> startReducer(config, inherited)).syncUninterruptibly();
         // Before any client can come: guards those who would lose their connection to a process that ends at once.
-        if (management != null) {
-            try {
-                management.listen(Addresses.parse(config.management()));
-            } catch (Exception e) {
-                // Netty throws a failed bind as it is, and that is no RuntimeException.
-                throw new IllegalArgumentException("mgmt " + config.management() + ": " + e.getMessage(), e);
-            }
-        }
-        door = new ConnectionAcceptor(
-                new ServerBootstrap()
-                        .group(group)
-                        .option(ChannelOption.SO_BACKLOG, 1024)
-                        .childOption(ChannelOption.ALLOCATOR, buffers)
-                        .childOption(ChannelOption.TCP_NODELAY, true)
-                        // Guards servers against the request of a client whose end is there as well, read a turn too
-                        // late.
-                        .childOption(
-                                ChannelOption.RECVBUF_ALLOCATOR,
-                                ReceiveBuffers.allocator().respectMaybeMoreData(false))
-                        .childHandler(listener.initializer()),
-                address,
-                clock,
-                calls.accept(),
-                this::makeRoom,
-                log::warn);
+        listenForOperators(config);
+        acceptor = new ConnectionAcceptor(
+                acceptingBootstrap(), address, clock, socketCalls.accept(), this::makeRoom, log::warn);
         loop.submit(() -> {
-                    listener.opened(door);
-                    if (handover == null) {
-                        serves();
-                    } else {
-                        handover.ready(this::serves);
-                    }
+                    listener.opened(acceptor);
+                    replacement.announceReady(status::startServing);
                 })
                 .syncUninterruptibly();
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        log.info("node " + config.name() + " listens on " + door.address() + ", tier "
+        loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        log.info("node " + config.name() + " listens on " + acceptor.address() + ", tier "
                 + config.settings().tier());
     }
 
-    /** What the process that serves here already hands over; null if there is none. */
-    private HandoverState inherit() {
-        if (handover == null) {
-            return null;
-        }
-        CompletableFuture<HandoverState> answered = new CompletableFuture<>();
-        loop.execute(() -> handover.ask().thenAccept(answered::complete));
-        HandoverState offer = answered.join();
-        if (offer != null) {
-            log.info("takes the place of another process; its list has version "
-                    + offer.endpoints().version());
+    private void startReducer(Config config, HandoverState inherited) {
+        raise(new Event.Started(config.configuredEndpoints()));
+        if (inherited != null) {
+            descriptors.shareWithOtherProcess(true);
+            raise(new Event.EndpointListInherited(inherited.endpoints()));
         }
-        return offer;
     }
 
-    private void serves() {
-        serves = true;
-        publish();
-    }
-
-    @Override
-    public HandoverState offer() {
-        sockets.shareWithOtherProcess(true);
-        return new HandoverState(config.sockets() / 2, reducer.endpointList());
-    }
-
-    @Override
-    public void successorServes(boolean on) {
-        sockets.shareWithOtherProcess(on);
-        raise(new Event.SuccessorServes(on));
+    private void listenForOperators(Config config) {
+        if (management == null) {
+            return;
+        }
+        try {
+            management.listen(Addresses.parse(config.management()));
+        } catch (Exception e) {
+            // Netty throws a failed bind as it is, and that is no RuntimeException.
+            throw new IllegalArgumentException("mgmt " + config.management() + ": " + e.getMessage(), e);
+        }
     }
 
-    @Override
-    public void predecessorEnded() {
-        log.info("the predecessor has ended");
-        sockets.shareWithOtherProcess(false);
+    private ServerBootstrap acceptingBootstrap() {
+        return new ServerBootstrap()
+                .group(group)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
+                .childOption(ChannelOption.ALLOCATOR, buffers)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                // Guards servers against the request of a client whose end is there as well, read a turn too late.
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        ReceiveBuffers.allocator().respectMaybeMoreData(false))
+                .childHandler(listener.initializer());
     }
 
-    /** Where staff call it; null if nowhere. */
+    /** The address of the management listener; null if there is none. */
     public InetSocketAddress managementAddress() {
         return management == null ? null : management.address();
     }
 
-    /** Where it listens. */
+    /** The address that clients connect to. */
     public InetSocketAddress address() {
-        return door.address();
-    }
-
-    /** Reads the configuration anew and goes by it; one that can't be used changes nothing. From any thread. */
-    public synchronized void reconfigure(Supplier<Config> reading) {
-        // In turn: of two configurations, the one that was read last must be the one that stays.
-        Config read;
-        try {
-            read = reading.get();
-        } catch (IllegalArgumentException e) {
-            loop.execute(() -> turnDown(e));
-            return;
-        }
-        loop.execute(() -> takeOver(read));
-    }
-
-    private void turnDown(IllegalArgumentException e) {
-        counters.count(Counter.RECONFIGURE_FAILED);
-        log.warn("the old configuration stays: " + e.getMessage());
-        publish();
+        return acceptor.address();
     }
 
-    private void takeOver(Config read) {
-        try {
-            config.schema().requireSameKeysIn(read.schema());
-        } catch (IllegalArgumentException e) {
-            turnDown(e);
-            return;
-        }
-        boolean moved = !read.discovery().equals(config.discovery());
-        boolean fixed = !read.listen().equals(config.listen()) || !read.name().equals(config.name());
-        discovery.moved(read.discovery());
-        listener.applySettings(read.settings());
-        forwards.applySettings(read.settings());
-        sockets.setLimit(read.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS));
-        config = read;
-        log.info("reconfigured, " + read.settings().classes().size() + " classes, "
-                + read.settings().maxAttempts()
-                + " attempts, discovery at " + read.discovery()
-                + (fixed ? "; name and listen address change at the next start only" : ""));
-        raise(new Event.Reconfigured(read.settings(), read.configuredEndpoints(), moved));
-        publish();
+    /** Reads the configuration anew and applies it; one that is not valid changes nothing. From any thread. */
+    public void reconfigure(Supplier<Config> reader) {
+        reconfiguration.reconfigure(reader);
     }
 
     /** From now on the node counts what goes to each pool; before {@link #start}. */
     public void startObserving() {
         loop.submit(reducer::startObserving).syncUninterruptibly();
-        observes = true;
+        status.startObserving();
     }
 
-    /** What was seen of each pool by the latest turn of its clock's tenth of a second; from any thread. */
+    /** The traffic of each pool as of the latest tenth of a second of the node's clock; from any thread. */
     public TrafficObserver.TrafficSnapshot observation() {
-        return observed;
+        return status.observation();
     }
 
-    /** What the fleet has to say, to be heard on the loop; from any thread, and nobody waits for it. */
+    /** Passes zone weights of the fleet to the event loop; from any thread, without waiting. */
     public void enqueue(Event.ZoneWeightsReceived weights) {
         loop.execute(() -> raise(weights));
     }
 
-    /** What tenants may hold, as {@link #enqueue(Event.ZoneWeightsReceived)}. */
-    public void enqueue(Event.TenantQuotasReceived shares) {
-        loop.execute(() -> raise(shares));
+    /** Passes tenant quotas of the fleet to the event loop; from any thread, without waiting. */
+    public void enqueue(Event.TenantQuotasReceived quotas) {
+        loop.execute(() -> raise(quotas));
     }
 
-    /** What each tenant wanted and used since this was last asked; from any thread. */
+    /** What each tenant requested and used since the previous call; from any thread. */
     public CompletableFuture<List<TenantUse>> tenantUse() {
         CompletableFuture<List<TenantUse>> read = new CompletableFuture<>();
         loop.execute(() -> read.complete(reducer.tenantUse(clock.nowMs())));
         return read;
     }
 
-    /** What the loop knows at one moment: the sockets that it counts, and the operators' figures. */
+    /** The state of the event loop at one moment: the sockets that it counts, and the metrics. */
     record Snapshot(int clients, int servers, String figures) {}
 
     /** Read on the loop, with nothing in between; for tests. */
     CompletableFuture<Snapshot> snapshot() {
         CompletableFuture<Snapshot> read = new CompletableFuture<>();
-        loop.execute(
-                () -> read.complete(new Snapshot(sockets.clientCount(), sockets.serverCount(), reducer.metricsText())));
+        loop.execute(() -> read.complete(
+                new Snapshot(descriptors.clientCount(), descriptors.serverCount(), reducer.metricsText())));
         return read;
     }
 
-    /** Begins to stop; the future that is returned completes when all is answered. */
+    /** Begins to stop; the future that is returned completes when all requests are answered. */
     public CompletableFuture<Void> stop() {
         loop.execute(() -> {
             log.info("stopping");
             raise(new Event.StopRequested());
         });
-        return ended;
+        return shutdown.completed();
     }
 
     /** Ends at once, as if the process were killed. */
@@ -334,7 +283,7 @@
         try {
             while (!inbox.isEmpty()) {
                 for (Effect effect : reducer.reduce(clock.nowMs(), inbox.poll())) {
-                    run(effect);
+                    effects.run(effect);
                 }
             }
         } finally {
@@ -347,103 +296,26 @@
         log.error(what, cause);
     }
 
-    private void run(Effect effect) {
-        try {
-            if (effect instanceof Effect.SetTimer e) {
-                timer(e);
-            } else if (effect instanceof Effect.CancelTimer e) {
-                ScheduledFuture<?> set = deadlines.remove(e.key());
-                if (set != null) {
-                    set.cancel(false);
-                }
-            } else if (effect instanceof Effect.StartAttempt e) {
-                forwards.begin(e);
-            } else if (effect instanceof Effect.SendResponse e) {
-                listener.respond(e.requestId(), e.message());
-            } else if (effect instanceof Effect.SendLocalReply e) {
-                listener.fixedResponse(e.requestId(), e.reply(), e.retryAfterMs());
-            } else if (effect instanceof Effect.CancelAttempt e) {
-                forwards.cancel(e.requestId(), e.attempt());
-            } else if (effect instanceof Effect.WatchDiscovery e) {
-                discovery.watch(e.call(), e.afterVersion());
-            } else if (effect instanceof Effect.EndDiscoveryCall e) {
-                discovery.end(e.call());
-            } else if (effect instanceof Effect.CloseIdleConnections e) {
-                forwards.closeIdle(e.host(), e.address());
-            } else if (effect instanceof Effect.AnnounceClose e) {
-                listener.sayClose(e.on());
-            } else if (effect instanceof Effect.StopAccepting) {
-                listener.stopAccepting();
-            } else if (effect instanceof Effect.CloseIdleClients) {
-                listener.closeIdle();
-            } else if (effect instanceof Effect.CloseClientsWhenIdle e) {
-                listener.keepNone(e.on());
-            } else if (effect instanceof Effect.RejectIncompleteRequests) {
-                listener.endUnfinished(408);
-            } else if (effect instanceof Effect.Fault e) {
-                log.error("fault in a decision", e.cause());
-            } else if (effect instanceof Effect.Exit e) {
-                exit(e.immediately());
-            }
-        } catch (RuntimeException e) {
-            log.error("effect " + effect.getClass().getSimpleName() + " failed", e);
-            if (effect instanceof Effect.StartAttempt f) {
-                // Guards its flow against waiting in vain: nothing has been sent.
-                forwards.cancel(f.requestId(), f.attempt());
-                raise(new Event.AttemptNotStarted(f.requestId(), f.attempt()));
-            }
-        }
-    }
-
-    private void timer(Effect.SetTimer e) {
-        double wait = e.atMs() - clock.nowMs();
-        ScheduledFuture<?> set = loop.schedule(
-                () -> {
-                    if (clock.nowMs() < e.atMs()) {
-                        timer(e);
-                    } else {
-                        deadlines.remove(e.key());
-                        raise(new Event.TimerFired(e.key()));
-                    }
-                },
-                (long) (Math.max(0, wait) * 1e6),
-                TimeUnit.NANOSECONDS);
-        if (e.key() instanceof TimerKey.RequestDeadline) {
-            ScheduledFuture<?> before = deadlines.put(e.key(), set);
-            if (before != null) {
-                before.cancel(false);
-            }
-        }
-    }
-
-    private void publish() {
-        figures = reducer.metricsText();
-        if (observes) {
-            observed = reducer.observation();
-        }
-        takesClients = serves && door.isOpen() && !reducer.isStopping();
-    }
-
     @Override
     public boolean acceptsClients() {
-        return takesClients;
+        return status.acceptsClients();
     }
 
     @Override
     public String metricsText() {
-        return figures;
+        return status.metricsText();
     }
 
     @Override
     public CompletableFuture<Boolean> drain(boolean on) {
-        CompletableFuture<Boolean> taken = new CompletableFuture<>();
+        CompletableFuture<Boolean> applied = new CompletableFuture<>();
         loop.execute(() -> {
-            log.info(on ? "told to drain" : "told to work again");
+            log.info(on ? "draining: requested by operator" : "back in service: requested by operator");
             raise(new Event.DrainRequested(on));
-            publish();
-            taken.complete(!reducer.isStopping());
+            status.publish();
+            applied.complete(!reducer.isStopping());
         });
-        return taken;
+        return applied;
     }
 
     @Override
@@ -453,48 +325,18 @@
 
     private void sweep() {
         try {
-            publish();
+            status.publish();
             listener.sweep();
-            forwards.sweep();
+            upstream.sweep();
         } catch (RuntimeException e) {
             log.error("sweep failed", e);
         }
     }
 
-    /** At the limit on sockets what is idle goes: clients that never asked, servers' connections, other clients. */
+    /** Closes one idle connection: a client's without a request yet, else a server's, else another client's. */
     private void makeRoom() {
-        if (!listener.shed(false) && !forwards.shed()) {
+        if (!listener.shed(false) && !upstream.closeOneIdleConnection()) {
             listener.shed(true);
         }
     }
-
-    private void exit(boolean atOnce) {
-        if (atOnce) {
-            // Half a request is refused now: what comes of it later would meet a process that is gone.
-            listener.endUnfinished(503);
-            loop.schedule(this::exited, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
-        }
-        awaitQuiet();
-    }
-
-    /** Exits once the last clients have seen the end of their answers. */
-    private void awaitQuiet() {
-        listener.closeIdle();
-        if (listener.quiet()) {
-            exited();
-        } else if (!ended.isDone()) {
-            loop.schedule(this::awaitQuiet, LAST_ANSWERS_MS, TimeUnit.MILLISECONDS);
-        }
-    }
-
-    private void exited() {
-        if (ended.isDone()) {
-            return;
-        }
-        if (handover != null) {
-            handover.close();
-        }
-        log.info("stopped: " + counters.line());
-        ended.complete(null);
-    }
 }
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/Replacement.java
@@ -0,0 +1,95 @@
+package brackenbridge.net;
+
+import brackenbridge.core.Event;
+import brackenbridge.counters.Counters;
+import brackenbridge.handover.Handover;
+import brackenbridge.handover.HandoverState;
+import brackenbridge.log.Log;
+import brackenbridge.net.channel.DescriptorBudget;
+import brackenbridge.net.channel.EventSink;
+import io.netty.channel.EventLoop;
+import java.nio.file.Path;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Supplier;
+
+/** The node's side of a replacement: as successor of the process that serves, and as predecessor of the next one. */
+final class Replacement implements Handover.Process {
+    private final EventLoop loop;
+    private final DescriptorBudget descriptors;
+    private final Supplier<HandoverState> state;
+    private final EventSink events;
+    private final Log log;
+    /** Null if this node can't be replaced while it serves. */
+    private final Handover handover;
+
+    /**
+     * Makes the part of a node that meets other processes at this path.
+     *
+     * @param path null if the node meets none
+     * @param state what a successor gets
+     */
+    Replacement(
+            EventLoop loop,
+            Path path,
+            DescriptorBudget descriptors,
+            Supplier<HandoverState> state,
+            EventSink events,
+            Counters counters,
+            Log log) {
+        this.loop = loop;
+        this.descriptors = descriptors;
+        this.state = state;
+        this.events = events;
+        this.log = log;
+        handover = path == null ? null : new Handover(loop, path, this, counters, log);
+    }
+
+    /** Waits for the state of the process that serves already; null if there is none. Not on the event loop. */
+    HandoverState inheritState() {
+        if (handover == null) {
+            return null;
+        }
+        CompletableFuture<HandoverState> answered = new CompletableFuture<>();
+        loop.execute(() -> handover.ask().thenAccept(answered::complete));
+        HandoverState inherited = answered.join();
+        if (inherited != null) {
+            log.info("replacing another process: inherited endpoint list version "
+                    + inherited.endpoints().version());
+        }
+        return inherited;
+    }
+
+    /** The node can serve: runs this once the predecessor, if there is one, has been notified. */
+    void announceReady(Runnable onServing) {
+        if (handover == null) {
+            onServing.run();
+        } else {
+            handover.ready(onServing);
+        }
+    }
+
+    /** Meets no other process any more. */
+    void close() {
+        if (handover != null) {
+            handover.close();
+        }
+    }
+
+    @Override
+    public HandoverState offer() {
+        descriptors.shareWithOtherProcess(true);
+        return state.get();
+    }
+
+    @Override
+    public void successorServes(boolean on) {
+        descriptors.shareWithOtherProcess(on);
+        events.raise(new Event.SuccessorServes(on));
+    }
+
+    @Override
+    public void predecessorEnded() {
+        log.info("predecessor exited: its descriptors are available");
+        descriptors.shareWithOtherProcess(false);
+    }
+}
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/Shutdown.java
@@ -0,0 +1,62 @@
+package brackenbridge.net;
+
+import brackenbridge.core.ShutdownSchedule;
+import brackenbridge.counters.Counters;
+import brackenbridge.log.Log;
+import io.netty.channel.EventLoop;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+
+/** The last steps of a stopping node, once the reducer has decided that it exits. Used on the event loop only. */
+final class Shutdown {
+    private static final long QUIET_CHECK_INTERVAL_MS = 20;
+    private static final int SERVICE_UNAVAILABLE_STATUS = 503;
+
+    private final EventLoop loop;
+    private final Listener listener;
+    private final Replacement replacement;
+    private final Counters counters;
+    private final Log log;
+    private final CompletableFuture<Void> completed = new CompletableFuture<>();
+
+    Shutdown(EventLoop loop, Listener listener, Replacement replacement, Counters counters, Log log) {
+        this.loop = loop;
+        this.listener = listener;
+        this.replacement = replacement;
+        this.counters = counters;
+        this.log = log;
+    }
+
+    /** Completes when the node has stopped; may be waited for on any thread. */
+    CompletableFuture<Void> completed() {
+        return completed;
+    }
+
+    /** Exits once the last clients have received their responses; soon if it must be immediately. */
+    void exit(boolean immediately) {
+        if (immediately) {
+            // An incomplete request is rejected now: its rest would meet a process that has exited.
+            listener.endUnfinished(SERVICE_UNAVAILABLE_STATUS);
+            loop.schedule(this::complete, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
+        }
+        awaitQuiet();
+    }
+
+    private void awaitQuiet() {
+        listener.closeIdle();
+        if (listener.quiet()) {
+            complete();
+        } else if (!completed.isDone()) {
+            loop.schedule(this::awaitQuiet, QUIET_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void complete() {
+        if (completed.isDone()) {
+            return;
+        }
+        replacement.close();
+        log.info("stopped: " + counters.line());
+        completed.complete(null);
+    }
+}
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
@@ -0,0 +1,168 @@
+package brackenbridge.net.upstream;
+
+import brackenbridge.clock.Clock;
+import brackenbridge.core.Event;
+import brackenbridge.http.HttpEncoder;
+import brackenbridge.http.HttpRequest;
+import brackenbridge.net.channel.BodyStream;
+import brackenbridge.net.channel.EventSink;
+import brackenbridge.net.channel.StreamedRequest;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+
+/** Writes attempts on one connection, one after another, and streams long request bodies with backpressure. */
+final class AttemptWriter {
+    /** Longest time for which a server may accept nothing of a streamed request body. */
+    private static final double STREAM_STALL_TIMEOUT_MS = 10_000;
+
+    private final UpstreamConnection connection;
+    private final Clock clock;
+    private final EventSink events;
+    /** When the attempt started, or its server last accepted some of its streamed body. */
+    private double lastProgressMs;
+    /** The request whose body is being streamed; null if none is. */
+    private StreamedRequest streamedRequest;
+
+    AttemptWriter(UpstreamConnection connection, UpstreamContext context) {
+        this.connection = connection;
+        this.clock = context.clock();
+        this.events = context.events();
+    }
+
+    double lastProgressMs() {
+        return lastProgressMs;
+    }
+
+    void markProgress() {
+        lastProgressMs = clock.nowMs();
+    }
+
+    /** Whether the request that is being sent has a streamed body. */
+    boolean isStreaming() {
+        return streamedRequest != null;
+    }
+
+    /** Writes the attempt, announcing this much time left. */
+    void write(RunningAttempt attempt, double timeLeftMs) {
+        if (attempt.message() instanceof StreamedRequest request) {
+            writeStreamed(attempt, request, timeLeftMs);
+        } else {
+            Channel channel = connection.channel();
+            ByteBuf bytes = HttpEncoder.forward(channel.alloc(), (HttpRequest) attempt.message(), timeLeftMs);
+            // The promise of the last byte, not its place in a queue, tells whether the request may run.
+            channel.writeAndFlush(bytes).addListener(done -> onWritten(attempt, done.cause()));
+        }
+    }
+
+    private void onWritten(RunningAttempt attempt, Throwable cause) {
+        if (!connection.carries(attempt)) {
+            return;
+        }
+        if (cause == null) {
+            attempt.markWritten();
+            events.raise(new Event.AttemptWritten(attempt.requestId(), attempt.attempt()));
+        } else {
+            connection.onWriteFailed(cause);
+        }
+    }
+
+    /** Writes the head and the buffered first part; once they have been sent, the rest as it arrives. */
+    private void writeStreamed(RunningAttempt attempt, StreamedRequest request, double timeLeftMs) {
+        Channel channel = connection.channel();
+        boolean chunked = request.length() < 0;
+        streamedRequest = request;
+        channel.write(HttpEncoder.forwardHead(
+                channel.alloc(), request.head(), timeLeftMs, chunked ? HttpEncoder.CHUNKED : request.length()));
+        writePiece(Unpooled.wrappedBuffer(request.head().body()), chunked);
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
+            if (connection.carries(attempt) && done.isSuccess()) {
+                request.body().connect(new RequestBodySink(attempt, chunked));
+            } else if (connection.carries(attempt)) {
+                connection.onWriteFailed(done.cause());
+            }
+        });
+    }
+
+    private void writePiece(ByteBuf piece, boolean chunked) {
+        Channel channel = connection.channel();
+        if (chunked && piece.isReadable()) {
+            channel.write(HttpEncoder.chunkHead(channel.alloc(), piece.readableBytes()));
+            channel.write(piece);
+            channel.write(HttpEncoder.chunkEnd(channel.alloc()));
+        } else {
+            channel.write(piece);
+        }
+    }
+
+    /** The connection accepts bytes again: the rest of a streamed body may continue. */
+    void onWritable() {
+        if (streamedRequest != null) {
+            markProgress();
+            streamedRequest.body().setDemand(true);
+        }
+    }
+
+    /** Whether the server has accepted nothing of a streamed body for too long. */
+    boolean isStalled(RunningAttempt attempt, double nowMs) {
+        return streamedRequest != null
+                && !attempt.isWritten()
+                && !connection.channel().isWritable()
+                && nowMs - lastProgressMs > STREAM_STALL_TIMEOUT_MS;
+    }
+
+    /** Nothing more of a streamed body is sent on this connection. */
+    void endStreaming() {
+        if (streamedRequest != null) {
+            StreamedRequest request = streamedRequest;
+            streamedRequest = null;
+            if (request.body().isConnected()) {
+                request.body().cancel();
+            }
+        }
+    }
+
+    /** Sends the rest of a streamed request body. */
+    private final class RequestBodySink implements BodyStream.Sink {
+        private final RunningAttempt attempt;
+        private final boolean chunked;
+        private boolean released;
+
+        RequestBodySink(RunningAttempt attempt, boolean chunked) {
+            this.attempt = attempt;
+            this.chunked = chunked;
+        }
+
+        @Override
+        public void piece(ByteBuf piece) {
+            if (!released) {
+                released = true;
+                events.raise(new Event.RequestBodyReleased(attempt.requestId()));
+            }
+            writePiece(piece, chunked);
+        }
+
+        @Override
+        public void flush() {
+            Channel channel = connection.channel();
+            // Guards the time limit of a server that accepts nothing against what its client still sends ahead.
+            lastProgressMs = channel.isWritable() ? clock.nowMs() : lastProgressMs;
+            channel.flush();
+            if (!channel.isWritable()) {
+                streamedRequest.body().setDemand(false);
+            }
+        }
+
+        @Override
+        public void onEnd(boolean complete) {
+            Channel channel = connection.channel();
+            if (complete) {
+                markProgress();
+                channel.writeAndFlush(chunked ? HttpEncoder.lastChunk(channel.alloc()) : Unpooled.EMPTY_BUFFER)
+                        .addListener(done -> onWritten(attempt, done.cause()));
+            } else {
+                channel.close();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/upstream/RunningAttempt.java
@@ -0,0 +1,62 @@
+package brackenbridge.net.upstream;
+
+import brackenbridge.core.Effect;
+import brackenbridge.core.connection.EndpointIdentity;
+
+/** An attempt from its effect until its outcome has been reported. */
+final class RunningAttempt {
+    /** The waiter number of an attempt that has not asked the pool for a connection yet. */
+    private static final long NO_WAITER = -1;
+
+    private final Effect.StartAttempt effect;
+    private UpstreamConnection connection;
+    private boolean written;
+    private long waiter = NO_WAITER;
+
+    RunningAttempt(Effect.StartAttempt effect) {
+        this.effect = effect;
+    }
+
+    long requestId() {
+        return effect.requestId();
+    }
+
+    int attempt() {
+        return effect.attempt();
+    }
+
+    Object message() {
+        return effect.message();
+    }
+
+    EndpointIdentity endpoint() {
+        return new EndpointIdentity(effect.host(), effect.address());
+    }
+
+    /** The connection that it is sent on; null before the first byte. */
+    UpstreamConnection connection() {
+        return connection;
+    }
+
+    void setConnection(UpstreamConnection carrier) {
+        connection = carrier;
+    }
+
+    /** Whether the last byte of the request has been written: from then on its server may have executed it. */
+    boolean isWritten() {
+        return written;
+    }
+
+    void markWritten() {
+        written = true;
+    }
+
+    /** Its waiter number in the connection pool. */
+    long waiter() {
+        return waiter;
+    }
+
+    void setWaiter(long number) {
+        waiter = number;
+    }
+}
--- /dev/null
+++ b/node/src/main/java/brackenbridge/net/upstream/UpstreamContext.java
@@ -0,0 +1,29 @@
+package brackenbridge.net.upstream;
+
+import brackenbridge.clock.Clock;
+import brackenbridge.counters.Counters;
+import brackenbridge.log.Log;
+import brackenbridge.net.channel.DescriptorBudget;
+import brackenbridge.net.channel.EventSink;
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.EventLoop;
+
+/**
+ * The parts of the node that connections to servers use.
+ *
+ * @param bootstrap the options of every outgoing connection
+ * @param loop the node's event loop
+ * @param clock the node's monotonic clock
+ * @param events receives what becomes of attempts
+ * @param descriptors the budget that each connection is counted in
+ * @param counters the node's counters
+ * @param log the node's log
+ */
+public record UpstreamContext(
+        Bootstrap bootstrap,
+        EventLoop loop,
+        Clock clock,
+        EventSink events,
+        DescriptorBudget descriptors,
+        Counters counters,
+        Log log) {}
--- a/node/src/test/java/brackenbridge/net/TimeToldTest.java
+++ b/node/src/test/java/brackenbridge/net/TimeToldTest.java
@@ -175,7 +175,7 @@
 
     @Test
     void requestWhoseClientGoesWhileTheNodeIsHeldUpBeforeItSendsIsNotSent() throws Exception {
-        clock.holdBehindReadingIn("begin");
+        clock.holdBehindReadingIn("startAttempt");
         ask("POST", "/file", 5000, 1);
         clock.awaitHeld();
         client.close();
