--- /dev/null
+++ b/node/src/test/java/brackenbridge/net/NodeCapacityTest.java
@@ -0,0 +1,108 @@
+package brackenbridge.net;
+
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+/** A node at its limits on descriptors and memory. */
+class NodeCapacityTest extends RunningNode {
+    @Test
+    void idleClientsAreClosedAtTheDescriptorLimit() throws Exception {
+        node.kill();
+        node = node(120);
+        Socket[] idle = new Socket[150];
+        for (int i = 0; i < idle.length; i++) {
+            idle[i] = connect();
+        }
+        client = connect();
+        server.answers.add(OK);
+        send(file("a"));
+        assertTrue(answer().startsWith("HTTP/1.1 200 "));
+        for (Socket s : idle) {
+            s.close();
+        }
+    }
+
+    @Test
+    void newestClientIsNotClosedAtTheDescriptorLimit() throws Exception {
+        node.kill();
+        node = node(64);
+        Socket[] busy = new Socket[40];
+        for (int i = 0; i < busy.length; i++) {
+            busy[i] = connect();
+            busy[i].getOutputStream()
+                    .write("POST /file HTTP/1.1\r\nContent-Length: 9\r\n".getBytes(StandardCharsets.US_ASCII));
+        }
+        client = connect();
+        send("GET /health/live HTTP/1.1\r\n\r\n");
+        // It waits in the backlog: neither an answer nor an end comes while nothing can be shed.
+        client.setSoTimeout(300);
+        assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
+        client.setSoTimeout(10_000);
+        for (Socket s : busy) {
+            s.close();
+        }
+        String back = answer();
+        assertTrue(back != null && back.startsWith("HTTP/1.1 200 "), back);
+    }
+
+    /** What it waits in the backlog the node can't see, but it knows how long nobody was taken. */
+    @Test
+    void attemptsAfterAWaitInTheBacklogAnnounceTheTimeThatIsCertainlyLeft() throws Exception {
+        node.kill();
+        node = node(64);
+        Socket[] busy = new Socket[40];
+        for (int i = 0; i < busy.length; i++) {
+            busy[i] = connect();
+            busy[i].getOutputStream()
+                    .write("POST /file HTTP/1.1\r\nContent-Length: 9\r\n".getBytes(StandardCharsets.US_ASCII));
+        }
+        client = connect();
+        send(request("GET", "/view", "", ""));
+        client.setSoTimeout(300);
+        assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
+        client.setSoTimeout(10_000);
+        clock.pass(1200);
+        server.answers.add(FakeServer.HANG_UP);
+        server.answers.add(OK);
+        for (Socket s : busy) {
+            s.close();
+        }
+        int first = timeLeft(server.next());
+        assertTrue(first > 2000 && first <= 3800, "told " + first);
+        int second = timeLeft(server.next());
+        assertTrue(second > 2000 && second <= 3800, "told " + second);
+        assertTrue(answer().endsWith("done"));
+    }
+
+    @Test
+    void memoryOfIncompleteRequestsIsBounded() throws Exception {
+        Socket[] many = new Socket[150];
+        byte[] half = request("POST", "/file", "Content-Length: 65000\r\n", "x".repeat(60_000))
+                .getBytes(StandardCharsets.ISO_8859_1);
+        for (int i = 0; i < many.length; i++) {
+            many[i] = connect();
+            many[i].getOutputStream().write(half);
+        }
+        String counted = "";
+        for (int i = 0; i < 10_000 && !counted.matches("(?s).*clients_shed_for_memory [1-9].*"); i++) {
+            send("GET /health/counters HTTP/1.1\r\n\r\n");
+            counted = answer();
+        }
+        assertTrue(counted.matches("(?s).*clients_shed_for_memory [1-9].*"), counted);
+        server.answers.add(OK);
+        send(file("a"));
+        assertTrue(answer().endsWith("done"));
+        for (Socket s : many) {
+            s.close();
+        }
+    }
+
+    private static int timeLeft(String request) {
+        return Integer.parseInt(request.replaceAll("(?s).*X-Time-Left-Ms: ([0-9]+).*", "$1"));
+    }
+}
