--- a/node/src/main/java/brackenbridge/net/EffectRunner.java
+++ b/node/src/main/java/brackenbridge/net/EffectRunner.java
@@ -4,6 +4,7 @@
 import brackenbridge.core.Event;
 import brackenbridge.log.Log;
 import brackenbridge.net.channel.EventSink;
+import brackenbridge.net.client.Listener;
 import brackenbridge.net.upstream.UpstreamConnections;
 import java.util.HashMap;
 import java.util.Map;
--- a/node/src/main/java/brackenbridge/net/Shutdown.java
+++ b/node/src/main/java/brackenbridge/net/Shutdown.java
@@ -3,6 +3,7 @@
 import brackenbridge.core.ShutdownSchedule;
 import brackenbridge.counters.Counters;
 import brackenbridge.log.Log;
+import brackenbridge.net.client.Listener;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
