--- a/core/src/main/java/brackenbridge/core/connection/ConnectionCommand.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionCommand.java
@@ -1,30 +1,30 @@
 package brackenbridge.core.connection;
 
-/** What {@link ConnectionPool} wants done. */
+/** A command of {@link ConnectionPool}, to be run by its caller. */
 public sealed interface ConnectionCommand {
-    /** Open a connection under this number, or a further one beside a late one; it must be up within this time. */
+    /** Open a connection under this id, an additional one if beside a late one; it must be up within this time. */
     record Open(long connection, EndpointIdentity endpoint, double timeoutMs, boolean additional)
             implements ConnectionCommand {}
 
-    /** The wait is over: its forward goes out on this connection, alone. */
+    /** The wait has ended: its attempt is sent on this connection, alone. */
     record Assign(long connection, long waiter) implements ConnectionCommand {}
 
-    /** Close this connection, which carries nothing. */
+    /** Close this connection, which is idle. */
     record Close(long connection) implements ConnectionCommand {}
 
-    /** The wait is over without a connection, and nothing was sent. */
+    /** The wait has ended without a connection, and nothing was sent. */
     record GiveUp(long waiter, FailureReason reason) implements ConnectionCommand {}
 
-    /** Call {@link ConnectionPool#onWake} for this wait at this time or soon after, in milliseconds. */
+    /** Call {@link ConnectionPool#onWake} for this waiter at this time or soon after, in milliseconds. */
     record Wake(double atMs, long waiter) implements ConnectionCommand {}
 
     /** Why a wait got no connection. */
     enum FailureReason {
-        /** None came up: the server refused it, or was silent for all the time that a connection may take. */
+        /** No connection came up: the server refused it, or did not answer within the connect time-out. */
         UNCONNECTED,
-        /** The node itself has no room for another. */
+        /** The node has no descriptor left for another. */
         NO_ROOM,
-        /** The node itself failed to connect, twice with a pause between: nothing is known of the server. */
+        /** A system call failed on this machine, also after a retry: nothing is known of the server. */
         FAILED_LOCALLY
     }
 }
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
@@ -1,6 +1,5 @@
 package brackenbridge.core.connection;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -8,435 +7,363 @@
 import java.util.Map;
 
 /**
- * The life of a node's connections to servers. A connection is opening, idle, lent to one forward, or closed and
- * forgotten; a forward asks for one and waits. The oldest wait for a server gets the first connection to it that can
- * be used, whether that one was opened for it, came up late for another or has come free. A connection that is not up
- * soon is joined by another, within a budget; it stays, and is a spare for the next forward when it comes up after all.
+ * The node's connections to servers. A connection is opening, idle, assigned to one attempt, or closed and forgotten.
+ * An attempt acquires one and waits. The oldest waiter for a server gets the first connection to it that can be used,
+ * whether that one was opened for it, came up late for another or was released. A connection that is late is joined
+ * by another, within a budget; it is kept, and serves the next attempt when it comes up after all.
  *
- * <p>Nothing here sends or reads: time and values go in, steps come out, to be run in order. Times are milliseconds of
- * one clock. Unknown numbers are passed over, since what they name may have ended meanwhile.
+ * <p>No input or output here: times and values go in, commands come out, to be run in order. Times are milliseconds of
+ * one clock. Unknown ids are ignored, since what they name may have ended meanwhile.
  */
 public final class ConnectionPool {
-    /** Connections that one wait may have opened at most. */
-    private static final int MOST = 3;
-    /** A connection is late when it takes so many times the median. */
-    private static final double LATE = 4;
-    /** And no sooner than this: guards servers against a second handshake for a loop's hiccup. */
-    private static final double LEAST_PATIENCE_MS = 5;
-    /** Part of the time that a connection may take, after which it is late whatever is usual. */
-    private static final double MOST_PATIENCE = 0.25;
-    /** A connection that nobody waits for any more may still come up within so many times that time. */
-    private static final double LINGER = 4;
-    /** Openings for one wait that may fail on this machine and are tried again. */
-    private static final int LOCAL_RETRIES = 1;
-    /** The pause before such an opening is tried again. */
-    private static final double LOCAL_RETRY_MS = 4;
-    /** What an opening moves the estimate of the median by. */
-    private static final double MOVE = 1.15;
-    /** Further openings for each first one, over time: guards servers against handshakes of those that wait. */
-    private static final double FURTHER = 0.5;
-    /** Further openings that may come at once. */
-    private static final double FURTHER_AT_ONCE = 10;
-    /** What is known of breaks fades with each lending. */
-    private static final double FADE = 0.995;
-    /** How many times as often kept connections must break at once as new ones do, to be distrusted. */
-    private static final double BLAME = 2;
-
-    private enum State {
-        OPENING,
-        IDLE,
-        LENT
-    }
-
-    private static final class Connection {
-        final long id;
-        final EndpointIdentity peer;
-        State state = State.OPENING;
-        /** Since when it is in this state. */
-        double since;
-        /** How long it had been idle when it was lent; negative if it was new. */
-        double rested = -1;
-
-        Connection(long id, EndpointIdentity peer, double since) {
-            this.id = id;
-            this.peer = peer;
-            this.since = since;
-        }
-    }
-
-    private static final class Wait {
-        final long id;
-        final EndpointIdentity peer;
-        final double until;
-        double nextAt;
-        int opened;
-        int failedLocally;
+    private static final int MAX_OPENS_PER_WAITER = 3;
+    /** A connection may take this many connect time-outs to open, in case another attempt can use it. */
+    private static final double OPEN_TIMEOUT_CONNECT_TIMEOUTS = 4;
+    /** Opens for one waiter that may fail on this machine and are tried again. */
+    private static final int MAX_LOCAL_RETRIES = 1;
+
+    private static final double LOCAL_RETRY_DELAY_MS = 4;
+
+    private final Map<EndpointIdentity, EndpointConnections> endpoints = new HashMap<>();
+    private final Map<Long, PooledConnection> connections = new HashMap<>();
+    private final Map<Long, ConnectionWaiter> waiters = new HashMap<>();
+    private final ConnectLatencyEstimate connectLatency;
+    private final StaleConnectionEstimate staleConnections = new StaleConnectionEstimate();
+    private final AdditionalOpenBudget additionalOpens = new AdditionalOpenBudget();
+    private List<ConnectionCommand> commands = new ArrayList<>();
+    private long nextConnectionId;
+    private double connectTimeoutMs;
+    private double idleTimeoutMs;
 
-        Wait(long id, EndpointIdentity peer, double until) {
-            this.id = id;
-            this.peer = peer;
-            this.until = until;
-        }
+    /**
+     * Creates an empty pool.
+     *
+     * @param connectTimeoutMs how long an attempt waits for a connection
+     * @param idleTimeoutMs for how long an idle connection is kept
+     */
+    public ConnectionPool(double connectTimeoutMs, double idleTimeoutMs) {
+        applySettings(connectTimeoutMs, idleTimeoutMs);
+        connectLatency = new ConnectLatencyEstimate(connectTimeoutMs);
     }
 
-    /** All to one server that are not lent, and the forwards that wait there. */
-    private static final class Group {
-        final ArrayDeque<Connection> opening = new ArrayDeque<>();
-        final ArrayDeque<Connection> idle = new ArrayDeque<>();
-        final ArrayDeque<Wait> waits = new ArrayDeque<>();
+    /** Applies these times to attempts that acquire a connection from now on. */
+    public void applySettings(double newConnectTimeoutMs, double newIdleTimeoutMs) {
+        connectTimeoutMs = newConnectTimeoutMs;
+        idleTimeoutMs = newIdleTimeoutMs;
     }
 
-    private final Map<EndpointIdentity, Group> groups = new HashMap<>();
-    private final Map<Long, Connection> all = new HashMap<>();
-    private final Map<Long, Wait> waits = new HashMap<>();
-    private List<ConnectionCommand> steps = new ArrayList<>();
-    private long opened;
-    private double connectMs;
-    private double idleMs;
-    /** Kept connections idle for longer are not used, while they break more often than new ones. */
-    private double limitMs = Double.POSITIVE_INFINITY;
-
-    private double median;
-    private double further = FURTHER_AT_ONCE;
-    private double keptLent;
-    private double keptBroke;
-    private double newLent;
-    private double newBroke;
+    /** An attempt acquires a connection, under a waiter id never used before. */
+    public List<ConnectionCommand> acquire(double nowMs, long waiterId, EndpointIdentity endpoint) {
+        EndpointConnections group = findOrCreateGroup(endpoint);
+        if (!assignIdle(nowMs, group, waiterId)) {
+            enqueueWaiter(nowMs, group, new ConnectionWaiter(waiterId, endpoint, nowMs + connectTimeoutMs));
+        }
+        return takeCommands();
+    }
 
-    /**
-     * Starts with none.
-     *
-     * @param connectMs how long a forward waits for a connection
-     * @param idleMs for how long one that carries nothing is kept
-     */
-    public ConnectionPool(double connectMs, double idleMs) {
-        applySettings(connectMs, idleMs);
-        median = connectMs * MOST_PATIENCE / LATE;
-    }
-
-    /** Forwards that ask from now on go by these times. */
-    public void applySettings(double connect, double idle) {
-        connectMs = connect;
-        idleMs = idle;
-    }
-
-    /** A forward asks for a connection, under a number never used before. */
-    public List<ConnectionCommand> acquire(double now, long wait, EndpointIdentity peer) {
-        Group g = groups.computeIfAbsent(peer, p -> new Group());
-        while (!g.idle.isEmpty()) {
-            Connection c = g.idle.pollLast();
-            if (now - c.since < trustMs()) {
-                c.rested = now - c.since;
-                lend(now, c, wait);
-                return taken();
+    /** Assigns the connection that became idle last if it is trusted; closes those that are not. */
+    private boolean assignIdle(double nowMs, EndpointConnections group, long waiterId) {
+        while (!group.idle.isEmpty()) {
+            PooledConnection connection = group.idle.pollLast();
+            if (connection.inStateMs(nowMs) < maxTrustedIdleMs()) {
+                connection.assignFromIdle(nowMs);
+                assign(nowMs, connection, waiterId);
+                return true;
             }
-            close(c);
+            close(connection);
         }
-        Wait w = new Wait(wait, peer, now + connectMs);
-        waits.put(wait, w);
-        g.waits.add(w);
-        if (young(now, g) < g.waits.size()) {
-            further = Math.min(FURTHER_AT_ONCE, further + FURTHER);
-            open(now, g, w);
+        return false;
+    }
+
+    private void enqueueWaiter(double nowMs, EndpointConnections group, ConnectionWaiter waiter) {
+        waiters.put(waiter.id, waiter);
+        group.waiters.add(waiter);
+        if (group.needsOpening(nowMs, lateAfterMs())) {
+            additionalOpens.onFirstOpen();
+            open(nowMs, group, waiter);
         }
-        wake(w, now);
-        return taken();
+        scheduleWake(nowMs, waiter);
     }
 
-    /** The forward waits no longer; nothing was sent for it. What was opened for it is another's when it comes up. */
-    public List<ConnectionCommand> cancelWait(long wait) {
-        Wait w = waits.remove(wait);
-        if (w != null) {
-            Group g = groups.get(w.peer);
-            g.waits.remove(w);
-            tidy(w.peer, g);
+    /** The attempt no longer waits; nothing was sent for it. A connection opened for it serves another waiter. */
+    public List<ConnectionCommand> cancelWait(long waiterId) {
+        ConnectionWaiter waiter = waiters.remove(waiterId);
+        if (waiter != null) {
+            EndpointConnections group = endpoints.get(waiter.endpoint);
+            group.waiters.remove(waiter);
+            removeIfEmpty(waiter.endpoint, group);
         }
-        return taken();
+        return takeCommands();
     }
 
-    /** A moment has come at which something may be due for a wait. */
-    public List<ConnectionCommand> onWake(double now, long wait) {
-        Wait w = waits.get(wait);
-        if (w == null || now < w.nextAt) {
-            return taken();
+    /** The time of a {@link ConnectionCommand.Wake} has come. */
+    public List<ConnectionCommand> onWake(double nowMs, long waiterId) {
+        ConnectionWaiter waiter = waiters.get(waiterId);
+        if (waiter == null || nowMs < waiter.nextWakeMs) {
+            return takeCommands();
         }
-        Group g = groups.get(w.peer);
-        if (now >= w.until) {
-            boolean local = w.opened == 0 && w.failedLocally > 0;
-            giveUp(
-                    g,
-                    w,
-                    local
-                            ? ConnectionCommand.FailureReason.FAILED_LOCALLY
-                            : ConnectionCommand.FailureReason.UNCONNECTED);
-            tidy(w.peer, g);
-            return taken();
+        EndpointConnections group = endpoints.get(waiter.endpoint);
+        if (nowMs >= waiter.deadlineMs) {
+            giveUp(group, waiter, waiter.timeoutReason());
+            removeIfEmpty(waiter.endpoint, group);
+            return takeCommands();
         }
-        boolean first = w.opened == 0;
-        if (young(now, g) < g.waits.size() && (first || w.opened < MOST && further >= 1)) {
-            further -= first ? 0 : 1;
-            open(now, g, w);
+        if (group.needsOpening(nowMs, lateAfterMs())) {
+            openIfPermitted(nowMs, group, waiter);
+        }
+        scheduleWake(nowMs, waiter);
+        return takeCommands();
+    }
+
+    private void openIfPermitted(double nowMs, EndpointConnections group, ConnectionWaiter waiter) {
+        if (waiter.opened == 0) {
+            open(nowMs, group, waiter);
+        } else if (waiter.opened < MAX_OPENS_PER_WAITER && additionalOpens.hasToken()) {
+            additionalOpens.takeToken();
+            open(nowMs, group, waiter);
         }
-        wake(w, now);
-        return taken();
     }
 
     /** A connection is up. */
-    public List<ConnectionCommand> onConnected(double now, long connection) {
-        Connection c = all.get(connection);
-        if (c != null && c.state == State.OPENING) {
-            Group g = groups.get(c.peer);
-            g.opening.remove(c);
-            median = Math.min(connectMs, now - c.since > median ? median * MOVE : Math.max(0.1, median / MOVE));
-            offer(now, g, c);
+    public List<ConnectionCommand> onConnected(double nowMs, long connectionId) {
+        PooledConnection connection = connections.get(connectionId);
+        if (connection != null && connection.state == PooledConnection.State.OPENING) {
+            EndpointConnections group = endpoints.get(connection.endpoint);
+            group.opening.remove(connection);
+            connectLatency.onConnected(connection.inStateMs(nowMs), connectTimeoutMs);
+            assignToOldestOrKeep(nowMs, group, connection);
         }
-        return taken();
+        return takeCommands();
     }
 
-    /** The forward that had it is done with it, and it can carry another. */
-    public List<ConnectionCommand> release(double now, long connection) {
-        Connection c = all.get(connection);
-        if (c != null && c.state == State.LENT) {
-            offer(now, groups.computeIfAbsent(c.peer, p -> new Group()), c);
+    /** The attempt that had it is complete, and it can carry another. */
+    public List<ConnectionCommand> release(double nowMs, long connectionId) {
+        PooledConnection connection = connections.get(connectionId);
+        if (connection != null && connection.state == PooledConnection.State.ASSIGNED) {
+            assignToOldestOrKeep(nowMs, findOrCreateGroup(connection.endpoint), connection);
         }
-        return taken();
+        return takeCommands();
     }
 
     /** A connection has failed or ended, or is about to be closed. */
-    public List<ConnectionCommand> onConnectionEnded(double now, long connection) {
-        return onConnectionEnded(now, connection, ConnectionCommand.FailureReason.UNCONNECTED);
+    public List<ConnectionCommand> onConnectionEnded(double nowMs, long connectionId) {
+        return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.UNCONNECTED);
     }
 
-    /** A connection could not be begun: the node has no room for it. */
-    public List<ConnectionCommand> onNoDescriptor(double now, long connection) {
-        return onConnectionEnded(now, connection, ConnectionCommand.FailureReason.NO_ROOM);
+    /** A connection could not be opened: the node has no descriptor left for it. */
+    public List<ConnectionCommand> onNoDescriptor(double nowMs, long connectionId) {
+        return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.NO_ROOM);
     }
 
-    /**
-     * A connection could not be opened because a system call failed on this machine. The wait tries once more after a
-     * short pause, as what was lacking may be there again, and then is over: another server may still be within reach.
-     */
-    public List<ConnectionCommand> onLocalFailure(double now, long connection) {
-        Connection c = all.remove(connection);
-        Group g = c == null ? null : groups.get(c.peer);
-        if (g == null) {
-            return taken();
+    private List<ConnectionCommand> onConnectionEnded(
+            double nowMs, long connectionId, ConnectionCommand.FailureReason reason) {
+        PooledConnection connection = connections.remove(connectionId);
+        EndpointConnections group = connection == null ? null : endpoints.get(connection.endpoint);
+        if (group == null) {
+            return takeCommands();
         }
-        g.idle.remove(c);
-        if (g.opening.remove(c)) {
-            int without = g.waits.size() - g.opening.size();
-            for (Wait w : List.copyOf(g.waits)) {
-                if (without-- <= 0) {
-                    break;
-                }
-                // A wait that has none opened will have its own when it is due.
-                if (w.opened > 0) {
-                    openAgainLater(now, g, w);
-                }
-            }
+        group.idle.remove(connection);
+        if (group.opening.remove(connection)) {
+            reopenOrGiveUp(nowMs, group, reason);
         }
-        tidy(c.peer, g);
-        return taken();
+        removeIfEmpty(connection.endpoint, group);
+        return takeCommands();
     }
 
-    private void openAgainLater(double now, Group g, Wait w) {
-        if (w.failedLocally++ >= LOCAL_RETRIES) {
-            giveUp(g, w, ConnectionCommand.FailureReason.FAILED_LOCALLY);
-            return;
+    /** Each waiter that no opening connection is left for opens its first one, or has failed. */
+    private void reopenOrGiveUp(double nowMs, EndpointConnections group, ConnectionCommand.FailureReason reason) {
+        int withoutOpening = group.waitersWithoutOpening();
+        for (ConnectionWaiter waiter : List.copyOf(group.waiters)) {
+            if (withoutOpening-- <= 0) {
+                return;
+            }
+            if (waiter.opened == 0 && reason != ConnectionCommand.FailureReason.NO_ROOM) {
+                open(nowMs, group, waiter);
+            } else {
+                giveUp(group, waiter, reason);
+            }
         }
-        w.opened = 0;
-        w.nextAt = Math.min(w.until, now + LOCAL_RETRY_MS);
-        steps.add(new ConnectionCommand.Wake(w.nextAt, w.id));
     }
 
-    private List<ConnectionCommand> onConnectionEnded(
-            double now, long connection, ConnectionCommand.FailureReason why) {
-        Connection c = all.remove(connection);
-        Group g = c == null ? null : groups.get(c.peer);
-        if (g == null) {
-            return taken();
+    /**
+     * A connection could not be opened because a system call failed on this machine. The waiter tries once more after a
+     * short pause, as the resource that was missing may be there again, and then gives up: another server may still be
+     * within reach.
+     */
+    public List<ConnectionCommand> onLocalFailure(double nowMs, long connectionId) {
+        PooledConnection connection = connections.remove(connectionId);
+        EndpointConnections group = connection == null ? null : endpoints.get(connection.endpoint);
+        if (group == null) {
+            return takeCommands();
         }
-        g.idle.remove(c);
-        if (g.opening.remove(c)) {
-            // Each wait has a connection under way, or none: then it opens its first, or has failed.
-            int without = g.waits.size() - g.opening.size();
-            for (Wait w : List.copyOf(g.waits)) {
-                if (without > 0 && w.opened == 0 && why != ConnectionCommand.FailureReason.NO_ROOM) {
-                    without--;
-                    open(now, g, w);
-                } else if (without > 0) {
-                    without--;
-                    giveUp(g, w, why);
-                }
+        group.idle.remove(connection);
+        if (group.opening.remove(connection)) {
+            retryLocalFailures(nowMs, group);
+        }
+        removeIfEmpty(connection.endpoint, group);
+        return takeCommands();
+    }
+
+    private void retryLocalFailures(double nowMs, EndpointConnections group) {
+        int withoutOpening = group.waitersWithoutOpening();
+        for (ConnectionWaiter waiter : List.copyOf(group.waiters)) {
+            if (withoutOpening-- <= 0) {
+                return;
             }
+            // A waiter without any opened connection opens its own when its wake is due.
+            if (waiter.opened > 0) {
+                retryLater(nowMs, group, waiter);
+            }
+        }
+    }
+
+    private void retryLater(double nowMs, EndpointConnections group, ConnectionWaiter waiter) {
+        if (waiter.localFailures++ >= MAX_LOCAL_RETRIES) {
+            giveUp(group, waiter, ConnectionCommand.FailureReason.FAILED_LOCALLY);
+            return;
         }
-        tidy(c.peer, g);
-        return taken();
+        waiter.opened = 0;
+        wakeAt(waiter, Math.min(waiter.deadlineMs, nowMs + LOCAL_RETRY_DELAY_MS));
     }
 
     /**
-     * The forward that has this connection met its end at once. Guards requests that may not be repeated: servers and
-     * what lies between end idle connections sooner than they say, or say nothing. But where new ones break as often,
-     * idleness is not the cause, and to throw kept ones away would only cost handshakes and waits.
+     * The connection of an attempt broke right after the attempt was sent. Guards requests that may not be repeated
+     * against idle connections that are closed already.
      *
-     * @return whether it counts as one that was dead when it was lent
+     * @return whether it counts as one that was closed before it was assigned
      */
-    public boolean onBrokenAtOnce(long connection) {
-        Connection c = all.get(connection);
-        if (c == null || c.state != State.LENT) {
+    public boolean onBrokenAtOnce(long connectionId) {
+        PooledConnection connection = connections.get(connectionId);
+        if (connection == null || connection.state != PooledConnection.State.ASSIGNED) {
             return false;
         }
-        if (c.rested < 0) {
-            newBroke++;
+        if (!connection.isReused()) {
+            staleConnections.onNewBroken();
             return false;
         }
-        keptBroke++;
-        if (!blamed()) {
-            return false;
-        }
-        limitMs = Math.min(limitMs, c.rested / 4);
-        return true;
+        return staleConnections.onReusedBroken(connection.idleBeforeAssignMs());
     }
 
-    /** Closes what has been idle for long; trust comes back. */
-    public List<ConnectionCommand> sweep(double now) {
-        limitMs = limitMs < idleMs ? limitMs * 1.01 + 0.1 : Double.POSITIVE_INFINITY;
-        for (Iterator<Map.Entry<EndpointIdentity, Group>> i = groups.entrySet().iterator(); i.hasNext(); ) {
-            Group g = i.next().getValue();
-            while (!g.idle.isEmpty() && now - g.idle.peekFirst().since >= idleMs) {
-                close(g.idle.pollFirst());
+    /** Closes connections that have reached the idle time-out; to be called at regular intervals. */
+    public List<ConnectionCommand> sweep(double nowMs) {
+        staleConnections.raiseLimit(idleTimeoutMs);
+        Iterator<EndpointConnections> groups = endpoints.values().iterator();
+        while (groups.hasNext()) {
+            EndpointConnections group = groups.next();
+            while (!group.idle.isEmpty() && group.idle.peekFirst().inStateMs(nowMs) >= idleTimeoutMs) {
+                close(group.idle.pollFirst());
             }
-            if (isEmpty(g)) {
-                i.remove();
+            if (group.isEmpty()) {
+                groups.remove();
             }
         }
-        return taken();
+        return takeCommands();
     }
 
-    /** Closes all to this server that carry nothing. */
-    public List<ConnectionCommand> closeIdle(EndpointIdentity peer) {
-        Group g = groups.get(peer);
-        if (g != null) {
-            while (!g.idle.isEmpty()) {
-                close(g.idle.pollFirst());
+    /** Closes all idle connections to this server. */
+    public List<ConnectionCommand> closeIdle(EndpointIdentity endpoint) {
+        EndpointConnections group = endpoints.get(endpoint);
+        if (group != null) {
+            while (!group.idle.isEmpty()) {
+                close(group.idle.pollFirst());
             }
-            tidy(peer, g);
+            removeIfEmpty(endpoint, group);
         }
-        return taken();
+        return takeCommands();
     }
 
-    /** Closes one idle connection; no step if there is none. */
+    /** Closes one idle connection; no command if there is none. */
     public List<ConnectionCommand> closeOneIdle() {
-        for (Group g : groups.values()) {
-            if (!g.idle.isEmpty()) {
-                close(g.idle.pollFirst());
+        for (EndpointConnections group : endpoints.values()) {
+            if (!group.idle.isEmpty()) {
+                close(group.idle.pollFirst());
                 break;
             }
         }
-        return taken();
+        return takeCommands();
     }
 
-    /** How many there are, those under way included. */
+    /** The number of connections, including those that are opening. */
     public int size() {
-        return all.size();
+        return connections.size();
     }
 
-    /** How many forwards wait for one. */
+    /** The number of attempts that wait for a connection. */
     public int waiting() {
-        return waits.size();
+        return waiters.size();
     }
 
-    /** A connection that is not up after so long is late, in milliseconds. */
-    double patienceMs() {
-        return Math.min(connectMs * MOST_PATIENCE, Math.max(LEAST_PATIENCE_MS, median * LATE));
+    double lateAfterMs() {
+        return connectLatency.lateAfterMs(connectTimeoutMs);
     }
 
-    /** Kept connections are believed alive when they have been idle for less than this, in milliseconds. */
-    double trustMs() {
-        return blamed() ? Math.min(limitMs, idleMs) : idleMs;
+    double maxTrustedIdleMs() {
+        return staleConnections.maxTrustedIdleMs(idleTimeoutMs);
     }
 
-    private boolean blamed() {
-        return keptBroke * Math.max(1, newLent) > BLAME * keptLent * newBroke;
-    }
-
-    private void lend(double now, Connection c, long wait) {
-        keptLent *= FADE;
-        keptBroke *= FADE;
-        newLent *= FADE;
-        newBroke *= FADE;
-        if (c.rested < 0) {
-            newLent++;
-        } else {
-            keptLent++;
-        }
-        c.state = State.LENT;
-        c.since = now;
-        steps.add(new ConnectionCommand.Assign(c.id, wait));
-    }
-
-    /** To the oldest wait, or kept. */
-    private void offer(double now, Group g, Connection c) {
-        c.rested = c.state == State.OPENING ? -1 : 0;
-        Wait w = g.waits.poll();
-        if (w != null) {
-            waits.remove(w.id);
-            lend(now, c, w.id);
-            tidy(c.peer, g);
+    private void assignToOldestOrKeep(double nowMs, EndpointConnections group, PooledConnection connection) {
+        connection.assignWithoutIdling();
+        ConnectionWaiter waiter = group.waiters.poll();
+        if (waiter == null) {
+            connection.enter(PooledConnection.State.IDLE, nowMs);
+            group.idle.addLast(connection);
             return;
         }
-        c.state = State.IDLE;
-        c.since = now;
-        g.idle.addLast(c);
+        waiters.remove(waiter.id);
+        assign(nowMs, connection, waiter.id);
+        removeIfEmpty(connection.endpoint, group);
     }
 
-    private void open(double now, Group g, Wait w) {
-        Connection c = new Connection(opened++, w.peer, now);
-        all.put(c.id, c);
-        g.opening.add(c);
-        w.opened++;
-        steps.add(new ConnectionCommand.Open(c.id, c.peer, connectMs * LINGER, w.opened > 1));
+    private void assign(double nowMs, PooledConnection connection, long waiterId) {
+        staleConnections.onAssigned(connection.isReused());
+        connection.enter(PooledConnection.State.ASSIGNED, nowMs);
+        commands.add(new ConnectionCommand.Assign(connection.id, waiterId));
     }
 
-    /** Connections under way that may well be up soon. */
-    private int young(double now, Group g) {
-        int young = 0;
-        for (Connection c : g.opening) {
-            young += now - c.since < patienceMs() ? 1 : 0;
-        }
-        return young;
+    private void open(double nowMs, EndpointConnections group, ConnectionWaiter waiter) {
+        PooledConnection connection = new PooledConnection(nextConnectionId++, waiter.endpoint, nowMs);
+        connections.put(connection.id, connection);
+        group.opening.add(connection);
+        waiter.opened++;
+        double openTimeoutMs = connectTimeoutMs * OPEN_TIMEOUT_CONNECT_TIMEOUTS;
+        commands.add(new ConnectionCommand.Open(connection.id, connection.endpoint, openTimeoutMs, waiter.opened > 1));
+    }
+
+    private void scheduleWake(double nowMs, ConnectionWaiter waiter) {
+        boolean mayOpenAnother = waiter.opened < MAX_OPENS_PER_WAITER;
+        wakeAt(waiter, mayOpenAnother ? Math.min(waiter.deadlineMs, nowMs + lateAfterMs()) : waiter.deadlineMs);
     }
 
-    private void wake(Wait w, double now) {
-        w.nextAt = w.opened < MOST ? Math.min(w.until, now + patienceMs()) : w.until;
-        steps.add(new ConnectionCommand.Wake(w.nextAt, w.id));
+    private void wakeAt(ConnectionWaiter waiter, double atMs) {
+        waiter.nextWakeMs = atMs;
+        commands.add(new ConnectionCommand.Wake(atMs, waiter.id));
     }
 
-    private void giveUp(Group g, Wait w, ConnectionCommand.FailureReason why) {
-        waits.remove(w.id);
-        g.waits.remove(w);
-        steps.add(new ConnectionCommand.GiveUp(w.id, why));
+    private void giveUp(EndpointConnections group, ConnectionWaiter waiter, ConnectionCommand.FailureReason reason) {
+        waiters.remove(waiter.id);
+        group.waiters.remove(waiter);
+        commands.add(new ConnectionCommand.GiveUp(waiter.id, reason));
     }
 
-    private void close(Connection c) {
-        all.remove(c.id);
-        steps.add(new ConnectionCommand.Close(c.id));
+    private void close(PooledConnection connection) {
+        connections.remove(connection.id);
+        commands.add(new ConnectionCommand.Close(connection.id));
     }
 
-    private static boolean isEmpty(Group g) {
-        return g.opening.isEmpty() && g.idle.isEmpty() && g.waits.isEmpty();
+    private EndpointConnections findOrCreateGroup(EndpointIdentity endpoint) {
+        return endpoints.computeIfAbsent(endpoint, key -> new EndpointConnections());
     }
 
-    /** Guards memory: servers come and go under ever new names. */
-    private void tidy(EndpointIdentity peer, Group g) {
-        if (isEmpty(g)) {
-            groups.remove(peer);
+    /** Guards against memory that grows with endpoints that were removed. */
+    private void removeIfEmpty(EndpointIdentity endpoint, EndpointConnections group) {
+        if (group.isEmpty()) {
+            endpoints.remove(endpoint);
         }
     }
 
-    private List<ConnectionCommand> taken() {
-        List<ConnectionCommand> taken = steps;
-        steps = new ArrayList<>();
+    private List<ConnectionCommand> takeCommands() {
+        List<ConnectionCommand> taken = commands;
+        commands = new ArrayList<>();
         return taken;
     }
 }
--- a/core/src/main/java/brackenbridge/core/connection/EndpointIdentity.java
+++ b/core/src/main/java/brackenbridge/core/connection/EndpointIdentity.java
@@ -1,8 +1,8 @@
 package brackenbridge.core.connection;
 
 /**
- * Whom a connection leads to. Guards a new host against the connections of one that had its address before,
- * and theirs against word that the old host has left.
+ * The server that a connection leads to. Guards a new host against the connections of one that had its address before,
+ * and those connections against notices that the old host was removed.
  *
  * @param host its name
  * @param address where it is reached, as {@code address:port}
--- /dev/null
+++ b/core/src/main/java/brackenbridge/core/connection/PooledConnection.java
@@ -0,0 +1,54 @@
+package brackenbridge.core.connection;
+
+/** One connection of the pool, from the moment it begins to open. */
+final class PooledConnection {
+    /** What a connection is doing. */
+    enum State {
+        OPENING,
+        IDLE,
+        ASSIGNED
+    }
+
+    private static final double NEVER_IDLE = -1;
+
+    final long id;
+    final EndpointIdentity endpoint;
+    State state = State.OPENING;
+    /** When it entered its state. */
+    double stateSinceMs;
+    /** How long it had been idle when it was assigned last; negative if it was new. */
+    private double idleBeforeAssignMs = NEVER_IDLE;
+
+    PooledConnection(long id, EndpointIdentity endpoint, double nowMs) {
+        this.id = id;
+        this.endpoint = endpoint;
+        this.stateSinceMs = nowMs;
+    }
+
+    double inStateMs(double nowMs) {
+        return nowMs - stateSinceMs;
+    }
+
+    void enter(State newState, double nowMs) {
+        state = newState;
+        stateSinceMs = nowMs;
+    }
+
+    void assignFromIdle(double nowMs) {
+        idleBeforeAssignMs = inStateMs(nowMs);
+    }
+
+    /** Marks that it carries an attempt next without having been idle. */
+    void assignWithoutIdling() {
+        idleBeforeAssignMs = state == State.OPENING ? NEVER_IDLE : 0;
+    }
+
+    /** Whether it had carried an attempt before the current one. */
+    boolean isReused() {
+        return !(idleBeforeAssignMs < 0);
+    }
+
+    double idleBeforeAssignMs() {
+        return idleBeforeAssignMs;
+    }
+}
