--- a/core/src/main/java/brackenbridge/clock/Clock.java
+++ b/core/src/main/java/brackenbridge/clock/Clock.java
@@ -9,8 +9,9 @@
  * processes, of one machine too, may have their origins an hour apart.
  */
 public abstract class Clock {
+    private static final double NS_PER_MS = 1e6;
 
-    /** The time by now. */
+    /** The current time. */
     public abstract double nowMs();
 
     /** The clock of a running node. */
@@ -30,28 +31,28 @@
         return new Clock() {
             @Override
             public double nowMs() {
-                return origin + (monotonicNs.getAsLong() - start) / 1e6;
+                return origin + (monotonicNs.getAsLong() - start) / NS_PER_MS;
             }
         };
     }
 
     /** A clock that stands still until it is set. */
     public static final class Settable extends Clock {
-        private double now;
+        private double currentMs;
 
-        /** Stands at this time. */
+        /** Starts at this time. */
         public Settable(double nowMs) {
-            now = nowMs;
+            currentMs = nowMs;
         }
 
-        /** Moves on by so many milliseconds. */
+        /** Advances by this many milliseconds. */
         public void pass(double ms) {
-            now += ms;
+            currentMs += ms;
         }
 
         @Override
         public double nowMs() {
-            return now;
+            return currentMs;
         }
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
@@ -10,7 +10,10 @@
     private static final long OPENING_DURATION = 1_000_000;
     /** Open requests that are admitted in the opening whatever the rate of answers. */
     private static final int OPENING_FLOOR = 8;
-    /** Open requests that are admitted whatever the rate of answers; many callers at a floor jam a slowed fleet. */
+    /**
+     * Open requests that are admitted whatever the rate of responses; many instances at this floor overload a slowed
+     * fleet.
+     */
     private static final int OPEN_FLOOR = 2;
     /** The part of the bearable wait that the most urgent level may use. */
     private static final double MAX_WAIT_PART = 0.75;
--- a/core/src/main/java/brackenbridge/core/balancing/AttemptOutcome.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AttemptOutcome.java
@@ -18,7 +18,10 @@
     CANCELLED(false),
     /** Never sent: the request had ended, its time or attempts were used up, or the node has no room for it. */
     NEVER_STARTED(true),
-    /** Never sent: the node failed to connect. It tells nothing of the endpoint, and another try costs none. */
+    /**
+     * Never sent: the node failed to connect. It says nothing about the endpoint, and another attempt uses no retry
+     * budget.
+     */
     FAILED_LOCALLY(true);
 
     /** Whether this outcome proves that the attempt never ran. */
--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -9,7 +9,7 @@
 /**
  * The decision module: the controller of Andersson and Kihl for an application server, as one instance for each node.
  * Its interface is {@link BalancerApi}; docs/DESIGN.md says what was kept of the paper and what was changed. An
- * instance runs on one thread and knows only what its events told it. Times are in microseconds.
+ * instance runs on one thread and knows only what its events contain. Times are in microseconds.
  *
  * <p>The mechanism, in the order in which a request meets it:
  *
@@ -23,9 +23,9 @@
  * </ol>
  */
 public final class Balancer implements BalancerApi {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     /** Time between two ticks, at which the slow decisions are made. */
-    private static final long TICK_INTERVAL = SECOND / 4;
+    private static final long TICK_INTERVAL = SECOND_US / 4;
 
     private static final String TICK_TIMER = "tick";
     /** Turns of the round robin that a request looks at. */
@@ -81,8 +81,6 @@
         subset.applySettings(next);
     }
 
-    // ---- Endpoint list ----
-
     @Override
     public void onEndpointList(long now, EndpointListKind kind, List<Endpoint> entries) {
         start(now);
@@ -119,8 +117,6 @@
         queues.removeAll(server).forEach(request -> place(now, request));
     }
 
-    // ---- Arrivals ----
-
     @Override
     public void onRequest(long now, BalancerRequest arrived) {
         QueuedRequest request = admit(now, arrived, false);
@@ -158,7 +154,7 @@
         start(now);
         RequestClassState requestClass = classes.require(arrived.className());
         long timeLeft = Math.max(0, arrived.timeLeft());
-        // An answer past the latency objective is worth little or nothing: the objective bounds tau.
+        // A response after the latency objective has little or no value: the objective bounds tau.
         long tau = Math.min(timeLeft, requestClass.rules.latencyObjective());
         QueuedRequest request = new QueuedRequest(arrived, requestClass, settings.maxAttempts(), now, tau, timeLeft);
         requests.put(request.id, request);
@@ -176,8 +172,6 @@
         return request;
     }
 
-    // ---- Binding ----
-
     /** Binds a request by the round robin; a free server takes it at once, else it is queued. */
     private void place(long now, QueuedRequest request) {
         if (sendTrial(now, request)) {
@@ -250,8 +244,6 @@
                         && slowStart.canAdmit(now, server, subset.order(), subset.size(), classes.meanResponseTime());
     }
 
-    // ---- Release ----
-
     /** A server may have a free slot: drops what is hopeless, then sends the next request. */
     private void fillFreeSlot(long now, ServerState server) {
         if (!server.inRotation || server.inFlight >= subset.window()) {
@@ -311,8 +303,6 @@
         inFlight++;
     }
 
-    // ---- Outcomes ----
-
     @Override
     public void onResponseStarted(long now, long id, int attempt) {
         QueuedRequest request = requests.get(id);
@@ -379,7 +369,7 @@
         outliers.onTrialEnded(now, server);
     }
 
-    /** Another attempt where the effect allows it, the time suffices and the budget is not spent. */
+    /** Another attempt where idempotence allows it, the time suffices and the retry budget is not used up. */
     private void retryOrFinish(long now, QueuedRequest request, AttemptOutcome outcome) {
         if (retryBudget.trySpend(now, request, outcome)) {
             request.expiresAt = Math.max(
@@ -424,8 +414,6 @@
         }
     }
 
-    // ---- Figures ----
-
     /** How many requests it holds, in all its collections; for tests of what it forgets. */
     int openRequestCount() {
         return requests.size() + queues.entries();
@@ -441,8 +429,6 @@
         return Math.min(settings.maxRetryAfter(), (long) classes.meanResponseTime());
     }
 
-    // ---- Timers ----
-
     private void start(long now) {
         if (started) {
             return;
@@ -465,7 +451,7 @@
 
     /** Updates the measured rates, readies trials and adjusts the subset and the window. */
     private void tick(long now) {
-        double elapsed = Math.max(1, now - lastTick) / (double) SECOND;
+        double elapsed = Math.max(1, now - lastTick) / (double) SECOND_US;
         lastTick = now;
         int answered = admission.tick(elapsed, inFlight);
         slowStart.tick(now, elapsed, answered, subset.order(), subset.size());
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerActions.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerActions.java
@@ -5,7 +5,7 @@
     /** Begins the request's next attempt, counted from 0; the attempt is given the timeout named. */
     void startAttempt(long request, long endpoint, long timeout);
 
-    /** Final answer: refused, a retry does no harm; retryAfter 0 gives no guidance. */
+    /** Final answer: rejected, a retry does no harm; retryAfter 0 gives no guidance. */
     void reject(long request, long retryAfter);
 
     /** Final answer: failed, with no promise about its effect. */
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerApi.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerApi.java
@@ -3,15 +3,12 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module {@link Balancer}: the settings it is given at start, the
- * events it is told of and the actions it takes. Times and durations are whole microseconds; the clock
- * begins anywhere and only advances. Ids are numbers without meaning.
+ * The interface of {@link Balancer}: the events that an instance receives, each with the time at which it is received.
+ * Its actions are {@link BalancerActions}. Times and durations are integral microseconds; the clock starts anywhere and
+ * only advances. Ids are numbers without meaning.
  */
 public interface BalancerApi {
-
-    // ---- Events: what an instance is told, each with the time at which it is told ----
-
-    /** Other settings hold for requests that come from now on; those that are open keep the rules they came under. */
+    /** New settings apply to requests that arrive from now on; open ones keep the rules that they arrived under. */
     default void onSettings(long now, BalancerSettings settings) {
         throw new UnsupportedOperationException("settings that change while it runs");
     }
@@ -23,15 +20,14 @@
     void onRequest(long now, BalancerRequest request);
 
     /**
-     * A long request has begun to arrive. A server begins it with its last byte only, so until {@link
-     * #onRequestCompleted} it
-     * holds none; it may be sent before that.
+     * A long request has begun to arrive. A server begins to process it with its last byte only, so it occupies none
+     * until {@link #onRequestCompleted}; it may be sent before that.
      */
     default void onStreamedRequest(long now, BalancerRequest request) {
         onRequest(now, request);
     }
 
-    /** The last byte of a long request has come. */
+    /** The last byte of a long request has arrived. */
     default void onRequestCompleted(long now, long request) {}
 
     /** The last byte of an attempt's request has been written to its endpoint. */
@@ -56,22 +52,22 @@
             long latency,
             LoadReport report);
 
-    /** The request has ended without the instance; nothing is owed. */
+    /** The client has disconnected; no answer is expected. */
     void onClientDisconnected(long now, long request);
 
     /** A timer set before has fallen due. */
     void onTimer(long now, String token);
 
-    /** How many listed endpoints the instance avoids now; for the operators' figures. */
+    /** How many listed endpoints are ejected now; for the operators' metrics. */
     default int ejectedEndpoints() {
         return 0;
     }
 
-    /** How long a client that is refused now had better wait before it comes again; 0 gives no guidance. */
+    /** The Retry-After for a client that is rejected now; 0 gives no guidance. */
     default long suggestedRetryAfter() {
         return 0;
     }
 
-    /** A probe has ended; the report is null if none came. Nothing to an instance that sends none. */
+    /** A health check has ended; the report is null if none came. Ignored by an instance that sends none. */
     default void onHealthCheckEnded(long now, long endpoint, AttemptOutcome outcome, long latency, LoadReport report) {}
 }
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
@@ -7,17 +7,17 @@
  *
  * @param seed the only source of its random numbers
  * @param instanceIndex its number among its peers
- * @param instanceCount how many instances its tier of callers has
- * @param tier which tier it sends to; above 0, its callers are servers of the tier before
+ * @param instanceCount how many instances its tier of nodes has
+ * @param tier which tier it sends to; above 0, its clients are servers of the tier before
  * @param zone the zone it is in
  * @param classes the classes of request
  * @param tenants the tenants; may be empty
- * @param overShareWeight what a request beyond its tenant's share is worth, as a part
- * @param polledDiscovery the list of endpoints comes only when asked for
+ * @param overShareWeight the factor on the priority weight of a request beyond its tenant's share
+ * @param polledDiscovery whether the endpoint list is received only by polling
  * @param maxPollInterval without a subscription, ask at least this often
  * @param maxAttempts attempts allowed for one request
  * @param maxOpenRequests open requests allowed at once
- * @param maxRetryAfter the longest retry-after that clients heed; 0 if not told
+ * @param maxRetryAfter the longest Retry-After that clients respect; 0 if unknown
  * @param mayCancel attempts may be cancelled
  * @param mayHealthCheck endpoints may be probed
  * @param mayHedge two attempts of one request may be out at once
@@ -25,7 +25,7 @@
  * @param coldCapacityRatio a starting endpoint has at least this part of its capacity
  * @param warmUpTime and all of it after this time
  * @param overloadMultiple sent more than so many times what it can do then ...
- * @param overloadWindow ... for this time, a starting endpoint falls over; 0 if it can not, or is not told
+ * @param overloadWindow ... for this time, a starting endpoint falls over; 0 if it can not, or if unknown
  * @param network what the node round the module must keep to
  */
 public record BalancerSettings(
@@ -176,7 +176,7 @@
                 network);
     }
 
-    /** The same settings with another word on the endpoints that fall over while cold. */
+    /** The same settings with other values for endpoints that fail under overload while cold. */
     public BalancerSettings withColdOverload(double multiple, long time) {
         return new BalancerSettings(
                 seed,
--- a/core/src/main/java/brackenbridge/core/balancing/Endpoint.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Endpoint.java
@@ -4,9 +4,9 @@
  * One endpoint of a list.
  *
  * @param id its id
- * @param cell the cell it is in, -1 if not told
+ * @param cell the cell it is in, -1 if unknown
  * @param zone the zone it is in
- * @param weight its capacity beside the others'; 1 if not told, or told as what no capacity can be
+ * @param weight its capacity relative to the others; 1 if unknown or invalid
  * @param startedAt when it last started; 0 for long ago
  * @param state what discovery says of it
  */
--- a/core/src/main/java/brackenbridge/core/balancing/EndpointListKind.java
+++ b/core/src/main/java/brackenbridge/core/balancing/EndpointListKind.java
@@ -4,7 +4,7 @@
 public enum EndpointListKind {
     /** Changed entries only. */
     CHANGES,
-    /** The complete list; what is absent is gone. */
+    /** The complete list; absent endpoints are removed. */
     FULL,
     /** The complete list as last held, perhaps out of date. */
     CACHED
--- a/core/src/main/java/brackenbridge/core/balancing/IdempotencyRules.java
+++ b/core/src/main/java/brackenbridge/core/balancing/IdempotencyRules.java
@@ -22,7 +22,7 @@
         };
     }
 
-    /** Whether the client may be told that the request was rejected and that a retry does no harm. */
+    /** Whether the client may be answered that the request was rejected and that a retry does no harm. */
     static boolean allowRejection(long now, QueuedRequest request) {
         Idempotence effect = request.requestClass.rules.idempotence();
         return !request.mayHaveRun && request.attemptsInFlight == 0
--- a/core/src/main/java/brackenbridge/core/balancing/NetworkSettings.java
+++ b/core/src/main/java/brackenbridge/core/balancing/NetworkSettings.java
@@ -6,7 +6,7 @@
  * What the settings say of connections and reports; the module decides nothing by it, the node obeys it.
  *
  * @param connectTimeout a connection not made by then has failed
- * @param drainGrace time in which sends to a draining or gone endpoint must end
+ * @param drainGrace time within which sends to a draining or removed endpoint must end
  * @param reportsInAnswers any answer may hold a load report
  * @param reportFields the names of a report's values; empty where there are no reports
  */
--- a/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
+++ b/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
@@ -8,7 +8,7 @@
  * time, and readmits each after a trial with one request. At most half of the servers are ejected.
  */
 final class OutlierDetection {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     /** Weight of the newest outcome in a server's moving averages. */
     private static final double SERVER_GAIN = 0.3;
     /** Weight of the newest outcome in a class's error ratio. */
@@ -24,19 +24,19 @@
     /** Error ratio of a class up to which each error is put down to the server. */
     private static final double CLASS_ERROR_RATIO = 0.2;
     /** A server may drop a request with less time left than this, in microseconds, which tells nothing of it. */
-    private static final long MIN_INFORMATIVE_TIME = SECOND / 40;
+    private static final long MIN_INFORMATIVE_TIME = SECOND_US / 40;
     /** Ejection time of the first ejection, in microseconds, on average; it doubles with each further one. */
-    private static final long BASE_EJECTION_TIME = SECOND / 2;
+    private static final long BASE_EJECTION_TIME = SECOND_US / 2;
 
     private static final int MAX_EJECTION_DOUBLINGS = 4;
     /** Ejection time of a server that rejected a request for want of capacity, in microseconds, on average. */
-    private static final long FULL_EJECTION_TIME = SECOND / 10;
+    private static final long FULL_EJECTION_TIME = SECOND_US / 10;
     /** Time for which a class avoids a server after an error, in microseconds, on average; it doubles as well. */
-    private static final long BASE_AVOIDANCE_TIME = SECOND;
+    private static final long BASE_AVOIDANCE_TIME = SECOND_US;
 
     private static final int MAX_AVOIDANCE_DOUBLINGS = 3;
     /** Time after which any request may be a trial, in microseconds. */
-    private static final long MAX_TRIAL_DELAY = SECOND;
+    private static final long MAX_TRIAL_DELAY = SECOND_US;
 
     /** What an outcome changed for its server. */
     enum Change {
@@ -113,7 +113,7 @@
         return Change.NONE;
     }
 
-    /** Sends a class elsewhere that one server fails; where the whole fleet fails it, one error tells nothing. */
+    /** Avoids a server for a class that it alone fails; where the whole fleet fails it, one error says nothing. */
     private void avoidForClass(long now, RequestClassState requestClass, EndpointHealth health) {
         if (++health.consecutiveErrors > (requestClass.errorRatio < CLASS_ERROR_RATIO ? 0 : 1)) {
             long avoidance = BASE_AVOIDANCE_TIME << Math.min(health.consecutiveErrors - 1, MAX_AVOIDANCE_DOUBLINGS);
@@ -188,7 +188,7 @@
     }
 
     /**
-     * The server to try with this request, which then waits for its next scheduling whether it is tried or not; null if
+     * The server to send a trial to with this request, which is then due again later whether it is sent or not; null if
      * there is none. The request has to be safe to repeat and less urgent, unless there are no such requests or no
      * other servers: some request has to be the trial.
      */
@@ -211,7 +211,7 @@
         server.ejectedUntil = Long.MAX_VALUE;
     }
 
-    /** Lets a server be tried again whose trial has told nothing of it: it would be ejected for good. */
+    /** Permits another trial of a server whose trial gave no result: it would stay ejected forever. */
     void onTrialEnded(long now, ServerState server) {
         if (server.ejected && server.ejectedUntil == Long.MAX_VALUE) {
             server.ejectedUntil = now;
--- a/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
+++ b/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
@@ -8,7 +8,7 @@
     final RequestClassState requestClass;
     final long arrival;
     final long deadline;
-    /** The paper's tau: the time from its arrival within which it is worth answering. */
+    /** The paper's tau: the time from its arrival within which an answer has value. */
     final long timeBudget;
     /** Priority level; 0 is the most urgent. */
     int level;
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClass.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClass.java
@@ -4,15 +4,15 @@
  * A class of request.
  *
  * @param name its name
- * @param latencyObjective answers within this time earn the full worth
- * @param deadline the whole time a client waits, over all its tries
+ * @param latencyObjective responses within this time have the full priority weight
+ * @param deadline the total time a client waits, over all attempts
  * @param idempotence what a repeat would do
  * @param deduplicationScope for {@link Idempotence#IDEMPOTENCY_KEY}: who drops repeats
  * @param idempotencyKeyTtl for {@link Idempotence#IDEMPOTENCY_KEY}: how long repeats are dropped, from the send that
  *     may have run
  * @param streamed the answer arrives as a stream
- * @param priorityWeight the worth of one request answered in time
- * @param lateValueRatio the part of the worth left to an answer after the aim
+ * @param priorityWeight the value of one request answered within its latency objective
+ * @param lateValueRatio the part of the priority weight left to a response after the latency objective
  */
 public record RequestClass(
         String name,
--- a/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -8,26 +8,27 @@
 import java.util.Map;
 
 /**
- * The servers that are up, in the order in which one caller turns to them: those of its own zone first, then those of
- * the other zones by turns. Each zone is a ring on which every caller begins at a point of its own.
+ * The servers that are up, in the order in which one node prefers them: those of its own zone first, then those of
+ * the other zones, alternating. Each zone is a ring on which every node starts at a point of its own.
  *
  * <p>A change of one server costs a search in its zone's ring, whatever the number of servers. The order beyond the own
  * zone is laid out only when somebody asks for it.
  *
- * <p>Where a caller begins is exact to a part of the ring: in a large zone it stays where it is until the changes of
- * others have moved it by more. Guards warm connections: each step would bring a server into reach that has none.
+ * <p>The starting point of a node is exact to a part of the ring: in a large zone it stays where it is until the
+ * changes of others have moved it by more. Guards warm connections: each step would bring a server into reach that has
+ * none.
  */
 final class ServerOrder {
     private static final Comparator<ServerState> BY_RING_POSITION =
             Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id);
 
-    /** The part of a ring to which a caller's beginning is exact; a ring with fewer servers is exact to one. */
+    /** The part of a ring to which a starting point is exact; a ring with fewer servers is exact to one. */
     private static final int RING_GRANULARITY = 256;
 
     /** The servers of one zone, sorted by their places. */
     private static final class Ring {
         final List<ServerState> servers = new ArrayList<>();
-        /** The server at which the caller began when the order was last laid out; null before. */
+        /** The server at which the node started when the order was last laid out; null before. */
         private ServerState first;
 
         private int from;
@@ -60,15 +61,15 @@
         }
     }
 
-    private static final Ring NONE = new Ring();
+    private static final Ring EMPTY_RING = new Ring();
 
     /** No zone is empty. */
     private final Map<String, Ring> zones = new HashMap<>();
 
     private int size;
     private String ownZone;
-    private Ring own = NONE;
-    /** What follows the own zone; null until it is asked for. */
+    private Ring own = EMPTY_RING;
+    /** The servers after the own zone; null until they are needed. */
     private List<ServerState> others;
 
     /** Adds a server under the zone that its endpoint names now. */
@@ -83,7 +84,7 @@
 
     /** Removes a server from the zone that it was added under. */
     void remove(ServerState server, String zone) {
-        Ring ring = zones.getOrDefault(zone, NONE);
+        Ring ring = zones.getOrDefault(zone, EMPTY_RING);
         int at = ring.find(server);
         if (at >= 0) {
             ring.servers.remove(at);
@@ -94,11 +95,11 @@
         }
     }
 
-    /** Lays the order out as it is now, for a caller in this zone that begins at this part of each ring. */
+    /** Lays the order out as it is now, for a node in this zone that starts at this part of each ring. */
     void turn(String zone, double start) {
         ownZone = zone;
         zones.values().forEach(ring -> ring.turn(start));
-        own = zones.getOrDefault(zone, NONE);
+        own = zones.getOrDefault(zone, EMPTY_RING);
         others = null;
     }
 
--- a/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
@@ -67,7 +67,7 @@
     }
 
     private void onRestarted(long now, ServerState server, long startedAt) {
-        // An earlier start than the one before was told by a wall clock that was set back meanwhile, so it does not say
+        // An earlier start than the one before comes from a wall clock that was set back meanwhile, so it does not say
         // how long ago it was.
         server.warmingSince = startedAt > server.endpoint.startedAt() ? Math.min(startedAt, now) : now;
         server.budget.restarted(server.warmingSince);
--- a/core/src/main/java/brackenbridge/core/balancing/SettingsChecks.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SettingsChecks.java
@@ -6,7 +6,7 @@
     static final long MAX_TIMEOUT_MICROS = 86_400_000_000L;
     /** The longest time after which something may be forgotten, some thirty years. */
     static final long MAX_RETENTION_MICROS = 1_000_000_000_000_000L;
-    /** The most that a worth or a rate can be. */
+    /** The maximum of a priority weight or a rate. */
     static final double MAX_RATE = 1e9;
     /** The least part of its capacity that a starting endpoint can have. */
     static final double MIN_COLD_CAPACITY_RATIO = 0.001;
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -116,7 +116,9 @@
         return capacity;
     }
 
-    /** The attempt is being sent; warm servers' requests count too, their start may be told late. */
+    /**
+     * The attempt is being sent; warm servers' requests count too, since the start of a server may be reported late.
+     */
     void sent(long now, Attempt attempt) {
         if (settings.overloadWindow() > 0) {
             attempt.reservedBudget = attempt.server.budget.spend(now, settings.overloadWindow());
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStartBudget.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStartBudget.java
@@ -14,7 +14,7 @@
  */
 final class SlowStartBudget {
     /** Charges are summed up in this many slots of a window, which bounds the memory of a budget. */
-    private static final int SLOTS = 64;
+    private static final int SLOT_COUNT = 64;
 
     /** What was charged within one slot; it expires as if all of it had been charged at the end of the slot. */
     private static final class Charge {
@@ -111,7 +111,7 @@
     private void charge(long now, double amount, long window) {
         expire(now, window);
         Charge last = charges.peekLast();
-        if (last == null || now - last.firstAt >= window / SLOTS) {
+        if (last == null || now - last.firstAt >= window / SLOT_COUNT) {
             last = new Charge(now);
             charges.add(last);
         }
--- a/core/src/main/java/brackenbridge/core/balancing/TenantShare.java
+++ b/core/src/main/java/brackenbridge/core/balancing/TenantShare.java
@@ -5,7 +5,7 @@
  *
  * @param name its name
  * @param share its part of the service
- * @param quotaPerSecond requests a second, over all instances, within its share; 0 if not told
+ * @param quotaPerSecond requests a second, over all instances, within its share; 0 if there is no quota
  */
 public record TenantShare(String name, double share, double quotaPerSecond) {
     /** A share or a quota that no rate can have is rejected. */
--- a/core/src/main/java/brackenbridge/core/generation/DecidedVersion.java
+++ b/core/src/main/java/brackenbridge/core/generation/DecidedVersion.java
@@ -1,9 +1,9 @@
 package brackenbridge.core.generation;
 
 /**
- * What the authority has decided, in the order of its versions.
+ * A decision of the authority; decisions are ordered by version.
  *
- * @param version counts its decisions; a word of a higher version was decided later
+ * @param version number of the decision; a higher one was decided later
  * @param inForce the generation in force; 0 before the first
  * @param staged the generation that is to be in force next; 0 if there is none
  */
--- a/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
@@ -4,21 +4,22 @@
 import java.util.TreeMap;
 
 /**
- * The authority's side: it decides which generation is in force, and waits for all who may act by another.
+ * The authority of the agreement: decides which generation is in force, and waits for all holders that may use another.
  *
- * <p>Two phases. A proposal is staged: who hears of it keeps to both, the one in force and the one that is staged. Once
- * each holder has said that it has heard, or can no longer act by what it was told before, the staged one is in force.
+ * <p>Two phases. A proposal is staged: a holder that receives it obeys both, the generation in force and the staged
+ * one. Once each holder has acknowledged it, or its lease on an earlier decision has expired, the staged one is in
+ * force.
  *
- * <p>Assumed: its word and {@code last} are durable before anyone is told of them; grants are given only by the one
- * authority that a majority follows at that moment; a new one, in another process or life, begins with {@link #start}.
+ * <p>Assumptions: its decision and {@code lastGeneration} are durable before any holder receives them; only the one
+ * authority that a majority follows at that time grants leases; a new one, in another process or incarnation, begins
+ * with {@link #start}.
  * Immutable; each event makes another.
  *
  * @param terms the terms of leases
- * @param decided what is decided
- * @param lastGeneration the last number that was given to a generation
- * @param earlierLeasesExpireMs until when holders that it knows nothing of may act by what an earlier authority told
- *     them
- * @param holders those that may act by what they were told
+ * @param decided the latest decision
+ * @param lastGeneration the highest number given to a generation
+ * @param earlierLeasesExpireMs until when holders unknown to it may use leases of an earlier authority
+ * @param holders holders with a lease that may be valid
  */
 public record LeaseAuthority(
         LeaseTerms terms,
@@ -29,39 +30,41 @@
     /**
      * A holder that was granted a lease.
      *
-     * @param untilMs until when it may act by it, whatever its clock
-     * @param effectiveVersion the version that it acts by at the least
+     * @param untilMs until when it may use the lease, whatever its clock
+     * @param effectiveVersion the lowest version that it may use
      */
     public record GrantedLease(double untilMs, long effectiveVersion) {}
 
-    /** What came of a proposal. */
+    /** The result of a proposal. */
     public enum ProposalVerdict {
         /** It is staged. */
         STAGED,
-        /** Another generation is in force than the one that the proposal was made against. */
+        /** The generation in force is not the one that the proposal was made against. */
         OVERTAKEN,
-        /** Another one is staged. */
+        /** Another generation is staged. */
         ANOTHER_STAGED
     }
 
-    /** Keeps its own copy. */
+    /** Makes an immutable copy. */
     public LeaseAuthority {
         holders = Map.copyOf(holders);
     }
 
-    /** One that takes over at this time, with what is durable; it knows nothing of the leases that were granted. */
-    public static LeaseAuthority start(LeaseTerms terms, double nowMs, DecidedVersion word, long last) {
-        return new LeaseAuthority(terms, word, last, nowMs + terms.authorityWaitMs(), Map.of());
+    /**
+     * An authority that takes over at this time with the durable values; it does not know which leases were granted.
+     */
+    public static LeaseAuthority start(LeaseTerms terms, double nowMs, DecidedVersion decided, long lastGeneration) {
+        return new LeaseAuthority(terms, decided, lastGeneration, nowMs + terms.authorityWaitMs(), Map.of());
     }
 
-    /** What a proposal against this generation would come to. */
+    /** The result that a proposal against this generation would have. */
     public ProposalVerdict judgeProposal(long expected) {
         return decided.staged() != 0
                 ? ProposalVerdict.ANOTHER_STAGED
                 : expected != decided.inForce() ? ProposalVerdict.OVERTAKEN : ProposalVerdict.STAGED;
     }
 
-    /** A new generation is staged; its number is {@link #lastGeneration} from then on. */
+    /** Stages a new generation; its number is {@link #lastGeneration} from then on. */
     public LeaseAuthority stage() {
         if (decided.staged() != 0) {
             throw new IllegalStateException("generation " + decided.staged() + " is staged");
@@ -74,24 +77,24 @@
         if (decided.staged() == 0 || nowMs < earlierLeasesExpireMs) {
             return false;
         }
-        for (GrantedLease h : holders.values()) {
-            if (nowMs < h.untilMs() && h.effectiveVersion() < decided.version()) {
+        for (GrantedLease holder : holders.values()) {
+            if (nowMs < holder.untilMs() && holder.effectiveVersion() < decided.version()) {
                 return false;
             }
         }
         return true;
     }
 
-    /** From when the staged generation may be in force if nobody who is waited for is heard of; milliseconds. */
+    /** From when the staged generation may be in force if no awaited holder sends a request; milliseconds. */
     public double mayActivateAtMs() {
-        double at = earlierLeasesExpireMs;
-        for (GrantedLease h : holders.values()) {
-            at = h.effectiveVersion() < decided.version() ? Math.max(at, h.untilMs()) : at;
+        double atMs = earlierLeasesExpireMs;
+        for (GrantedLease holder : holders.values()) {
+            atMs = holder.effectiveVersion() < decided.version() ? Math.max(atMs, holder.untilMs()) : atMs;
         }
-        return at;
+        return atMs;
     }
 
-    /** The staged generation is in force. */
+    /** Puts the staged generation in force. */
     public LeaseAuthority activate(double nowMs) {
         if (!mayActivate(nowMs)) {
             throw new IllegalStateException("not before " + mayActivateAtMs() + " ms, it is " + nowMs);
@@ -99,39 +102,43 @@
         return with(decided.activate(), lastGeneration, holders);
     }
 
-    /** The staged generation will never be in force; its number is not used again. */
+    /** Drops the staged generation; its number is not used again. */
     public LeaseAuthority abandon() {
         return with(decided.abandon(), lastGeneration, holders);
     }
 
-    /** Whether the asker can't use the generation that is staged. */
-    public boolean isStagedRejectedBy(LeaseRequest a) {
-        return a.rejectedGeneration() != 0 && a.rejectedGeneration() == decided.staged();
+    /** Whether the requesting holder can't use the staged generation. */
+    public boolean isStagedRejectedBy(LeaseRequest request) {
+        return request.rejectedGeneration() != 0 && request.rejectedGeneration() == decided.staged();
     }
 
-    /** A holder has asked; {@link #grant} is the answer. */
-    public LeaseAuthority onRequest(double nowMs, LeaseRequest a) {
+    /** A holder has requested a lease; {@link #grant} is the response. */
+    public LeaseAuthority onRequest(double nowMs, LeaseRequest request) {
         Map<Integer, GrantedLease> next = new TreeMap<>();
-        // Leases that have run out bind nobody: guards memory against holders that are gone for good.
-        holders.forEach((id, h) -> {
-            if (nowMs < h.untilMs()) {
-                next.put(id, h);
+        // Expired leases bind nobody. Guards memory against holders that never return.
+        holders.forEach((id, lease) -> {
+            if (nowMs < lease.untilMs()) {
+                next.put(id, lease);
             }
         });
-        // Whatever was said was true when it was said, a later life hears no earlier word, and one that has heard none
-        // is in doubt: so the highest version ever said holds, in whatever order the questions come.
-        GrantedLease before = next.get(a.holder());
-        long heard = before == null ? a.effectiveVersion() : Math.max(before.effectiveVersion(), a.effectiveVersion());
-        next.put(a.holder(), new GrantedLease(nowMs + terms.authorityWaitMs(), heard));
+        // Each reported version was true when it was sent, a later incarnation receives no earlier decision, and one
+        // that has received none is in doubt: so the highest version reported is valid, in whatever order requests
+        // come.
+        GrantedLease before = next.get(request.holder());
+        long acknowledged = before == null
+                ? request.effectiveVersion()
+                : Math.max(before.effectiveVersion(), request.effectiveVersion());
+        next.put(request.holder(), new GrantedLease(nowMs + terms.authorityWaitMs(), acknowledged));
         return with(decided, lastGeneration, next);
     }
 
-    /** The answer to a question, with what is decided now. */
-    public LeaseGrant grant(LeaseRequest a) {
-        return new LeaseGrant(a.incarnation(), a.requestNumber(), decided, terms.leaseMs());
+    /** The response to a request, with the latest decision. */
+    public LeaseGrant grant(LeaseRequest request) {
+        return new LeaseGrant(request.incarnation(), request.requestNumber(), decided, terms.leaseMs());
     }
 
-    private LeaseAuthority with(DecidedVersion nextWord, long nextLast, Map<Integer, GrantedLease> nextHolders) {
-        return new LeaseAuthority(terms, nextWord, nextLast, earlierLeasesExpireMs, nextHolders);
+    private LeaseAuthority with(
+            DecidedVersion nextDecided, long nextLastGeneration, Map<Integer, GrantedLease> nextHolders) {
+        return new LeaseAuthority(terms, nextDecided, nextLastGeneration, earlierLeasesExpireMs, nextHolders);
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseGrant.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseGrant.java
@@ -1,11 +1,11 @@
 package brackenbridge.core.generation;
 
 /**
- * The authority's answer.
+ * The authority's response to a {@link LeaseRequest}.
  *
- * @param incarnation the life that asked
- * @param requestNumber the question that it answers
- * @param decided what was decided when the answer was given
- * @param leaseMs for how long the holder may act by it, from the moment at which it asked; milliseconds of its clock
+ * @param incarnation the incarnation that sent the request
+ * @param requestNumber the number of the request
+ * @param decided the latest decision when the response was sent
+ * @param leaseMs for how long the holder may use it, from when it sent the request; milliseconds of its clock
  */
 public record LeaseGrant(long incarnation, long requestNumber, DecidedVersion decided, double leaseMs) {}
--- a/core/src/main/java/brackenbridge/core/generation/LeaseHolder.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseHolder.java
@@ -1,19 +1,18 @@
 package brackenbridge.core.generation;
 
 /**
- * A node's side of the agreement: what it may act by, and until when. Immutable; each event makes another.
+ * A node as lease holder: which generations it may use, and until when. Immutable; each event returns a new value.
  *
- * <p>Promise: whatever arrives, late, twice or in any order, {@link #effectiveVersions} keeps to a generation that
- * the authority
- * still waits for. Assumed: the time given is of one clock of this process, which never goes back and whose rate is
- * off by {@link LeaseTerms#drift} at the most; a process that starts again takes a life that it never had.
+ * <p>Guarantee: whatever arrives, late, twice or in any order, {@link #effectiveVersions} obeys a generation that the
+ * authority still waits for. Assumptions: times are of one clock of this process, which never goes back and whose rate
+ * is off by {@link LeaseTerms#drift} at most; a process that restarts takes an incarnation that it never had.
  *
- * @param id who it is
- * @param incarnation which of its lives
- * @param lastRequestNumber the number of its last question; 0 if it has asked none
- * @param lastRequestAtMs when it asked that
- * @param decided the latest word that it was told
- * @param untilMs until when it may act by it
+ * @param id its number
+ * @param incarnation the incarnation of its process
+ * @param lastRequestNumber the number of its last request; 0 if there was none
+ * @param lastRequestAtMs when it sent that request
+ * @param decided the latest decision that it received
+ * @param untilMs until when it may use it
  * @param rejectedGeneration the generation that it can't use; 0 if none
  */
 public record LeaseHolder(
@@ -24,30 +23,31 @@
         DecidedVersion decided,
         double untilMs,
         long rejectedGeneration) {
-    /** A process that has just started: in doubt until it is told. */
-    public static LeaseHolder start(int id, long life) {
-        return new LeaseHolder(id, life, 0, Double.NEGATIVE_INFINITY, DecidedVersion.NONE, Double.NEGATIVE_INFINITY, 0);
+    /** A process that has just started: in doubt until it receives a grant. */
+    public static LeaseHolder start(int id, long incarnation) {
+        return new LeaseHolder(
+                id, incarnation, 0, Double.NEGATIVE_INFINITY, DecidedVersion.NONE, Double.NEGATIVE_INFINITY, 0);
     }
 
     /**
-     * It asks now; {@link #lastRequest} is the question. An answer to an earlier one counts for nothing from here on.
+     * It sends a request now, which is {@link #lastRequest}. Grants for earlier requests are ignored from now on.
      */
     public LeaseHolder sendRequest(double nowMs) {
         return new LeaseHolder(id, incarnation, lastRequestNumber + 1, nowMs, decided, untilMs, rejectedGeneration);
     }
 
-    /** Its last question. */
+    /** Its last request. */
     public LeaseRequest lastRequest() {
         return new LeaseRequest(id, incarnation, lastRequestNumber, decided.version(), rejectedGeneration);
     }
 
-    /** An answer has come. */
-    public LeaseHolder onGrant(LeaseGrant g) {
-        // Guards against answers to another life or an older question, whose lease runs from another moment, and
-        // against words that were overtaken: what this holder has said that it acts by must stay true.
-        if (g.incarnation() != incarnation
-                || g.requestNumber() != lastRequestNumber
-                || g.decided().version() < decided.version()) {
+    /** A grant has arrived. */
+    public LeaseHolder onGrant(LeaseGrant grant) {
+        // Guards against grants for another incarnation or an older request, whose lease runs from another time, and
+        // against superseded decisions: the version that this holder has reported must stay true.
+        if (grant.incarnation() != incarnation
+                || grant.requestNumber() != lastRequestNumber
+                || grant.decided().version() < decided.version()) {
             return this;
         }
         return new LeaseHolder(
@@ -55,8 +55,8 @@
                 incarnation,
                 lastRequestNumber,
                 lastRequestAtMs,
-                g.decided(),
-                lastRequestAtMs + g.leaseMs(),
+                grant.decided(),
+                lastRequestAtMs + grant.leaseMs(),
                 rejectedGeneration);
     }
 
@@ -65,7 +65,7 @@
         return new LeaseHolder(id, incarnation, lastRequestNumber, lastRequestAtMs, decided, untilMs, generation);
     }
 
-    /** What it may act by at this moment: to be asked before each decision, whatever timer or answer led to it. */
+    /** The generations that it may use now; to be called before each decision, whatever timer or grant led to it. */
     public EffectiveVersions effectiveVersions(double nowMs) {
         if (!(nowMs < untilMs)
                 || decided.inForce() == 0
--- a/core/src/main/java/brackenbridge/core/generation/LeaseRequest.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseRequest.java
@@ -1,12 +1,12 @@
 package brackenbridge.core.generation;
 
 /**
- * A holder asks whether it may go on, and by what.
+ * A request of a holder for a new lease.
  *
- * @param holder who asks
- * @param incarnation which of its lives; a process that starts again is another
- * @param requestNumber counts its questions in this life
- * @param effectiveVersion the version of the word that it acts by; 0 if it has none
+ * @param holder the number of the holder
+ * @param incarnation the incarnation of its process; a restarted process has another
+ * @param requestNumber counts its requests in this incarnation
+ * @param effectiveVersion the version of the decision that it uses; 0 if it has none
  * @param rejectedGeneration the generation that it can't use; 0 if none
  */
 public record LeaseRequest(
--- a/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
+++ b/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
@@ -3,74 +3,75 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a holder asks next: often enough that a few lost questions cost it no lease, and never more than once in
- * {@link #minIntervalMs} over all causes. Guards the authority against hundreds of holders that all have a reason at
- * once: each
- * first, hinted and failed question is spread by a random part of its time (full jitter).
+ * When a holder sends its next request: often enough that a few lost requests cost it no lease, and never more than
+ * once in {@link #minIntervalMs} over all causes. Guards the authority against hundreds of holders that all send one
+ * at once: first requests, those after a hint and retries have full jitter.
  */
 public final class RenewalSchedule {
-    /** Questions of a lease at rest. */
-    private static final double AT_REST = 4;
-    /** Questions of a lease at the most. */
-    private static final double AT_MOST = 16;
-    /** An answer that has not come within this part of a lease is given up. */
-    private static final double PATIENCE = 1.0 / 8;
-    /** Longest time between two questions that fail, in leases. */
-    private static final double LONGEST = 4;
+    private static final double REGULAR_REQUESTS_PER_LEASE = 4;
+    private static final double MAX_REQUESTS_PER_LEASE = 16;
+    /** A request without a response within this part of a lease has failed. */
+    private static final double RESPONSE_TIMEOUT_LEASES = 1.0 / 8;
+    /** Longest back-off between failed requests. */
+    private static final double MAX_RETRY_DELAY_LEASES = 4;
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 16;
 
     private final LeaseTerms terms;
     private final RandomGenerator random;
     private double lastMs = Double.NEGATIVE_INFINITY;
     private int failures;
 
-    /** The cadence of one holder. */
+    /** The schedule of one holder. */
     public RenewalSchedule(LeaseTerms terms, RandomGenerator random) {
         this.terms = terms;
         this.random = random;
     }
 
-    /** The least time between two questions, in milliseconds. */
+    /** The minimum time between two requests, in milliseconds. */
     public double minIntervalMs() {
-        return terms.leaseMs() / AT_MOST;
+        return terms.leaseMs() / MAX_REQUESTS_PER_LEASE;
     }
 
-    /** How long an answer is waited for, in milliseconds. */
+    /** How long to wait for a response, in milliseconds. */
     public double responseTimeoutMs() {
-        return terms.leaseMs() * PATIENCE;
+        return terms.leaseMs() * RESPONSE_TIMEOUT_LEASES;
     }
 
-    /** It has asked now. */
+    /** A request was sent now. */
     public void onRequestSent(double nowMs) {
         lastMs = nowMs;
     }
 
-    /** When the first question is due; also the first at another authority, after the old one was lost. */
+    /** When the first request is due; also the first at another authority, after the old one was lost. */
     public double firstRequestMs(double nowMs) {
-        return notBefore(nowMs + random.nextDouble() * terms.leaseMs() / AT_REST);
+        return notBefore(nowMs + random.nextDouble() * terms.leaseMs() / REGULAR_REQUESTS_PER_LEASE);
     }
 
     /**
-     * An answer has come: when the next question is due.
+     * A grant has arrived: when the next request is due.
      *
-     * @param newer the word was newer, and the authority may wait to hear that it was heard
+     * @param newer whether its decision was newer, so that the authority may wait for the acknowledgement
      */
     public double nextAfterGrantMs(double nowMs, boolean newer) {
         failures = 0;
         return newer
                 ? nextAfterHintMs(nowMs)
-                : notBefore(lastMs + terms.leaseMs() / AT_REST * (0.75 + random.nextDouble() / 2));
+                : notBefore(lastMs + terms.leaseMs() / REGULAR_REQUESTS_PER_LEASE * (0.75 + random.nextDouble() / 2));
     }
 
-    /** There is something to be heard: when to ask for it. */
+    /** A hint of a newer decision has arrived: when to send a request for it. */
     public double nextAfterHintMs(double nowMs) {
         return notBefore(nowMs + random.nextDouble() * minIntervalMs());
     }
 
-    /** No answer has come, or the connection is lost: when to ask again. */
+    /** No response has come, or the connection is lost: when to retry. */
     public double nextAfterFailureMs(double nowMs) {
-        failures = Math.min(failures + 1, 16);
-        double most = Math.min(terms.leaseMs() * LONGEST, terms.leaseMs() / AT_REST * (1 << failures));
-        return notBefore(nowMs + random.nextDouble() * most);
+        failures = Math.min(failures + 1, MAX_BACKOFF_DOUBLINGS);
+        double maxDelayMs = Math.min(
+                terms.leaseMs() * MAX_RETRY_DELAY_LEASES,
+                terms.leaseMs() / REGULAR_REQUESTS_PER_LEASE * (1 << failures));
+        return notBefore(nowMs + random.nextDouble() * maxDelayMs);
     }
 
     private double notBefore(double atMs) {
--- a/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
+++ b/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
@@ -12,146 +12,148 @@
 
 /**
  * Rules that allow only what two generations both allow, key by key: the narrower effect, the shorter time, the
- * smaller share. What a generation does not name it does not allow. Who a node is (number, tier, zone, seed) and what
- * its machine tells it are no rules, and are the first's.
+ * smaller share. What a generation does not name it does not allow. The node's identity (number, tier, zone, seed)
+ * and what its machine provides are not rules, and are taken from the first.
  */
 public final class RuleIntersection {
     private RuleIntersection() {}
 
-    /** What both allow; empty if they have no class in common, so that nothing may be done. */
-    public static Optional<BalancerSettings> of(BalancerSettings a, BalancerSettings b) {
+    /** The rules that both allow; empty if they have no class in common, so that no request may be sent. */
+    public static Optional<BalancerSettings> of(BalancerSettings left, BalancerSettings right) {
         List<RequestClass> classes = new ArrayList<>();
-        for (RequestClass one : a.classes()) {
-            b.classes().stream()
-                    .filter(o -> o.name().equals(one.name()))
+        for (RequestClass one : left.classes()) {
+            right.classes().stream()
+                    .filter(candidate -> candidate.name().equals(one.name()))
                     .findFirst()
                     .ifPresent(other -> classes.add(of(one, other)));
         }
         List<TenantShare> tenants = new ArrayList<>();
-        for (TenantShare one : a.tenants()) {
-            b.tenants().stream()
-                    .filter(o -> o.name().equals(one.name()))
+        for (TenantShare one : left.tenants()) {
+            right.tenants().stream()
+                    .filter(candidate -> candidate.name().equals(one.name()))
                     .findFirst()
                     .ifPresent(other -> tenants.add(new TenantShare(
                             one.name(),
                             Math.min(one.share(), other.share()),
-                            told(one.quotaPerSecond(), other.quotaPerSecond()))));
+                            smallerIfSet(one.quotaPerSecond(), other.quotaPerSecond()))));
         }
-        return classes.isEmpty() ? Optional.empty() : Optional.of(with(a, b, classes, tenants));
+        return classes.isEmpty() ? Optional.empty() : Optional.of(with(left, right, classes, tenants));
     }
 
     /**
-     * What every generation may be taken to allow, from one that was in force: no call goes out twice, whatever its
-     * class, and no tenant's call is lifted over another's.
+     * What every generation may be taken to allow, from one that was in force: no request is sent twice, whatever
+     * its class, and no tenant has priority over another.
      */
-    public static BalancerSettings inDoubt(BalancerSettings was) {
+    public static BalancerSettings inDoubt(BalancerSettings inForce) {
         List<RequestClass> classes = new ArrayList<>();
-        for (RequestClass c : was.classes()) {
+        for (RequestClass requestClass : inForce.classes()) {
             classes.add(new RequestClass(
-                    c.name(),
-                    c.latencyObjective(),
-                    c.deadline(),
+                    requestClass.name(),
+                    requestClass.latencyObjective(),
+                    requestClass.deadline(),
                     Idempotence.NOT_IDEMPOTENT,
-                    c.deduplicationScope(),
-                    c.idempotencyKeyTtl(),
-                    c.streamed(),
-                    c.priorityWeight(),
-                    c.lateValueRatio()));
+                    requestClass.deduplicationScope(),
+                    requestClass.idempotencyKeyTtl(),
+                    requestClass.streamed(),
+                    requestClass.priorityWeight(),
+                    requestClass.lateValueRatio()));
         }
         return new BalancerSettings(
-                was.seed(),
-                was.instanceIndex(),
-                was.instanceCount(),
-                was.tier(),
-                was.zone(),
+                inForce.seed(),
+                inForce.instanceIndex(),
+                inForce.instanceCount(),
+                inForce.tier(),
+                inForce.zone(),
                 classes,
                 List.of(),
-                was.overShareWeight(),
-                was.polledDiscovery(),
-                was.maxPollInterval(),
+                inForce.overShareWeight(),
+                inForce.polledDiscovery(),
+                inForce.maxPollInterval(),
                 1,
-                was.maxOpenRequests(),
-                was.maxRetryAfter(),
-                was.mayCancel(),
+                inForce.maxOpenRequests(),
+                inForce.maxRetryAfter(),
+                inForce.mayCancel(),
                 false,
                 false,
-                was.idleTimeout(),
-                was.coldCapacityRatio(),
-                was.warmUpTime(),
-                was.overloadMultiple(),
-                was.overloadWindow(),
-                was.network());
+                inForce.idleTimeout(),
+                inForce.coldCapacityRatio(),
+                inForce.warmUpTime(),
+                inForce.overloadMultiple(),
+                inForce.overloadWindow(),
+                inForce.network());
     }
 
-    private static RequestClass of(RequestClass a, RequestClass b) {
-        // Of a class that is safe in one, the other's group and window alone bind its repeats.
-        RequestClass first = a.idempotence() == Idempotence.IDEMPOTENCY_KEY ? a : b;
-        RequestClass second = b.idempotence() == Idempotence.IDEMPOTENCY_KEY ? b : a;
+    private static RequestClass of(RequestClass left, RequestClass right) {
+        // If a class is idempotent in one, only the other's deduplication scope and time bind its retries.
+        RequestClass first = left.idempotence() == Idempotence.IDEMPOTENCY_KEY ? left : right;
+        RequestClass second = right.idempotence() == Idempotence.IDEMPOTENCY_KEY ? right : left;
         DeduplicationScope scope = first.deduplicationScope().ordinal()
                         >= second.deduplicationScope().ordinal()
                 ? first.deduplicationScope()
                 : second.deduplicationScope();
         return new RequestClass(
-                a.name(),
-                Math.min(a.latencyObjective(), b.latencyObjective()),
-                Math.min(a.deadline(), b.deadline()),
-                narrower(a.idempotence(), b.idempotence()),
+                left.name(),
+                Math.min(left.latencyObjective(), right.latencyObjective()),
+                Math.min(left.deadline(), right.deadline()),
+                narrower(left.idempotence(), right.idempotence()),
                 scope,
                 Math.min(first.idempotencyKeyTtl(), second.idempotencyKeyTtl()),
-                a.streamed(),
-                a.priorityWeight(),
-                a.lateValueRatio());
+                left.streamed(),
+                left.priorityWeight(),
+                left.lateValueRatio());
     }
 
-    private static Idempotence narrower(Idempotence a, Idempotence b) {
-        return a == Idempotence.NOT_IDEMPOTENT || b == Idempotence.NOT_IDEMPOTENT
+    private static Idempotence narrower(Idempotence left, Idempotence right) {
+        return left == Idempotence.NOT_IDEMPOTENT || right == Idempotence.NOT_IDEMPOTENT
                 ? Idempotence.NOT_IDEMPOTENT
-                : a == Idempotence.IDEMPOTENCY_KEY || b == Idempotence.IDEMPOTENCY_KEY
+                : left == Idempotence.IDEMPOTENCY_KEY || right == Idempotence.IDEMPOTENCY_KEY
                         ? Idempotence.IDEMPOTENCY_KEY
                         : Idempotence.IDEMPOTENT;
     }
 
-    /** A quota, or a time, of 0 is none told. */
-    private static double told(double a, double b) {
-        return a == 0 ? b : b == 0 ? a : Math.min(a, b);
+    /** The smaller value; 0 means that there is none. */
+    private static double smallerIfSet(double left, double right) {
+        return left == 0 ? right : right == 0 ? left : Math.min(left, right);
     }
 
     private static BalancerSettings with(
-            BalancerSettings a, BalancerSettings b, List<RequestClass> classes, List<TenantShare> tenants) {
+            BalancerSettings left, BalancerSettings right, List<RequestClass> classes, List<TenantShare> tenants) {
         NetworkSettings net = new NetworkSettings(
-                Math.min(a.network().connectTimeout(), b.network().connectTimeout()),
-                Math.min(a.network().drainGrace(), b.network().drainGrace()),
-                a.network().reportsInAnswers(),
-                a.network().reportFields());
+                Math.min(left.network().connectTimeout(), right.network().connectTimeout()),
+                Math.min(left.network().drainGrace(), right.network().drainGrace()),
+                left.network().reportsInAnswers(),
+                left.network().reportFields());
         return new BalancerSettings(
-                a.seed(),
-                a.instanceIndex(),
-                a.instanceCount(),
-                a.tier(),
-                a.zone(),
+                left.seed(),
+                left.instanceIndex(),
+                left.instanceCount(),
+                left.tier(),
+                left.zone(),
                 classes,
                 tenants,
-                Math.min(a.overShareWeight(), b.overShareWeight()),
-                a.polledDiscovery(),
-                Math.min(a.maxPollInterval(), b.maxPollInterval()),
-                Math.min(a.maxAttempts(), b.maxAttempts()),
-                Math.min(a.maxOpenRequests(), b.maxOpenRequests()),
-                Math.min(a.maxRetryAfter(), b.maxRetryAfter()),
-                a.mayCancel() && b.mayCancel(),
-                a.mayHealthCheck() && b.mayHealthCheck(),
-                a.mayHedge() && b.mayHedge(),
-                Math.min(a.idleTimeout(), b.idleTimeout()),
-                Math.min(a.coldCapacityRatio(), b.coldCapacityRatio()),
-                Math.max(a.warmUpTime(), b.warmUpTime()),
-                fallMultiple(a, b),
-                (long) told(a.overloadWindow(), b.overloadWindow()),
+                Math.min(left.overShareWeight(), right.overShareWeight()),
+                left.polledDiscovery(),
+                Math.min(left.maxPollInterval(), right.maxPollInterval()),
+                Math.min(left.maxAttempts(), right.maxAttempts()),
+                Math.min(left.maxOpenRequests(), right.maxOpenRequests()),
+                Math.min(left.maxRetryAfter(), right.maxRetryAfter()),
+                left.mayCancel() && right.mayCancel(),
+                left.mayHealthCheck() && right.mayHealthCheck(),
+                left.mayHedge() && right.mayHedge(),
+                Math.min(left.idleTimeout(), right.idleTimeout()),
+                Math.min(left.coldCapacityRatio(), right.coldCapacityRatio()),
+                Math.max(left.warmUpTime(), right.warmUpTime()),
+                smallerOverloadMultiple(left, right),
+                (long) smallerIfSet(left.overloadWindow(), right.overloadWindow()),
                 net);
     }
 
-    /** The smaller multiple of those that are told; a generation in which nothing falls has none. */
-    private static double fallMultiple(BalancerSettings a, BalancerSettings b) {
-        return a.overloadWindow() == 0
-                ? b.overloadMultiple()
-                : b.overloadWindow() == 0 ? a.overloadMultiple() : Math.min(a.overloadMultiple(), b.overloadMultiple());
+    /** The smaller multiple of those that are set; a generation without an overload window has none. */
+    private static double smallerOverloadMultiple(BalancerSettings left, BalancerSettings right) {
+        return left.overloadWindow() == 0
+                ? right.overloadMultiple()
+                : right.overloadWindow() == 0
+                        ? left.overloadMultiple()
+                        : Math.min(left.overloadMultiple(), right.overloadMultiple());
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/package-info.java
+++ b/core/src/main/java/brackenbridge/core/generation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Generations of settings on which the nodes agree: who may act by which, and until when. State machines without
- * sockets, files or clocks; docs/design/agreement.md has the promise that they keep.
+ * Generations of settings on which the nodes agree: which node may use which, and until when. State machines without
+ * sockets, files or clocks; docs/design/agreement.md states what they guarantee.
  */
 package brackenbridge.core.generation;
--- a/core/src/main/java/brackenbridge/core/membership/DiscoveryCommand.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryCommand.java
@@ -1,13 +1,13 @@
 package brackenbridge.core.membership;
 
-/** What {@link DiscoveryWatch} wants done. */
+/** A command of {@link DiscoveryWatch}, to be run by its caller. */
 public sealed interface DiscoveryCommand {
-    /** Ask discovery for all that changes after this version, as it comes. */
+    /** Open a watch at discovery for all changes after this version. */
     record OpenWatch(long call, long afterVersion) implements DiscoveryCommand {}
 
-    /** Give this call up, for its silence or because another takes its place. */
+    /** Cancel this call, because it was silent or because another replaces it. */
     record EndCall(long call, boolean silent) implements DiscoveryCommand {}
 
-    /** Call {@link DiscoveryWatch#wake} with this turn at this time or soon after, in milliseconds. */
+    /** Call {@link DiscoveryWatch#wake} with this timer at this time or soon after, in milliseconds. */
     record Wake(double atMs, long timer) implements DiscoveryCommand {}
 }
--- a/core/src/main/java/brackenbridge/core/membership/DiscoverySource.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoverySource.java
@@ -3,57 +3,57 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Who tells the node of its servers, and what asking there costs.
+ * Where the node receives its endpoint list from, and how often it may call there.
  *
- * @param shared one service for all nodes, which works through their calls one after another; else an agent of the
- *     node's own, which answers at once and at no cost
- * @param maxPollIntervalMs a node that has not asked the service for so long counts as told all the same; milliseconds
+ * @param shared whether it is one service for all nodes, which handles their calls one after another; else an agent of
+ *     the node's own, which responds at once
+ * @param maxPollIntervalMs a node that has not called the service for this long counts as notified; milliseconds
  */
 public record DiscoverySource(boolean shared, double maxPollIntervalMs) {
-    private static final double LONGEST_FIRST_MS = 4000;
+    private static final double MAX_FIRST_CALL_DELAY_MS = 4000;
     /**
-     * What a change that discovery has, and can be asked for, may take until it counts as told is 6 s. Of these a call
-     * that hangs takes 3 s, and one that is answered up to 2 s in the service's line: the pauses share what is left,
-     * see docs/design/membership.md.
+     * A node counts as notified of a change 6 s after discovery has it and can be called. Of these a call that hangs
+     * takes 3 s, and one that is answered up to 2 s in the service's queue: the delays share the rest, see
+     * docs/design/membership.md.
      */
-    private static final double SERVICE_PAUSE_MS = 400;
+    private static final double SERVICE_RETRY_DELAY_MS = 400;
 
-    private static final double LONGEST_SERVICE_PAUSE_MS = 1600;
-    private static final int MOST_DOUBLINGS = 8;
-    private static final double AGENT_PAUSE_MS = 50;
-    /** Short of the grace of a drain: what an agent has counts as told at once, whether or not a watch is open. */
-    private static final double LONGEST_AGENT_PAUSE_MS = 100;
+    private static final double MAX_SERVICE_RETRY_DELAY_MS = 1600;
+    private static final int MAX_BACKOFF_DOUBLINGS = 8;
+    private static final double AGENT_RETRY_DELAY_MS = 50;
+    /** Shorter than the drain grace: a node counts as notified of what an agent has at once, watch open or not. */
+    private static final double MAX_AGENT_RETRY_DELAY_MS = 100;
 
-    private static final double SILENCE_PAUSE_MS = 250;
-    /** A pause is drawn from half of its length to so many times of it. */
-    private static final double LONGEST_DRAW = 1.5;
+    private static final double MAX_DELAY_AFTER_SILENCE_MS = 250;
+    /** A delay is drawn from half of its length to this many times its length. */
+    private static final double MAX_JITTER_FACTOR = 1.5;
 
-    /** How long a node waits before its first call: guards a service against a fleet that starts in one moment. */
+    /** How long a node waits before its first call. Guards a service against a fleet that starts all at once. */
     double firstCallDelayMs(RandomGenerator random) {
-        return shared ? random.nextDouble() * Math.min(LONGEST_FIRST_MS, maxPollIntervalMs / 2) : 0;
+        return shared ? random.nextDouble() * Math.min(MAX_FIRST_CALL_DELAY_MS, maxPollIntervalMs / 2) : 0;
     }
 
     /**
-     * How long it waits after so many failures in a row, at least one: exponential back-off with jitter, within what
-     * lets the node have its answer in time once discovery is back. Guards a service that is short of turns against
-     * being asked ever more by those that it refuses, and a node against spinning at its agent.
+     * How long it waits after this many failures in a row, at least one: exponential back-off with jitter, short enough
+     * that the node has a response in time once discovery is back. Guards an overloaded service against being called
+     * ever more by nodes that it rejects, and a node against a busy loop at its agent.
      */
     double retryDelayMs(int failures, RandomGenerator random) {
-        double pause = shared
+        double delayMs = shared
                 ? Math.min(
                         Math.min(
-                                SERVICE_PAUSE_MS * (1 << Math.min(failures - 1, MOST_DOUBLINGS)),
-                                LONGEST_SERVICE_PAUSE_MS),
-                        maxPollIntervalMs / LONGEST_DRAW)
-                : failures > 1 ? LONGEST_AGENT_PAUSE_MS : AGENT_PAUSE_MS;
-        return pause / 2 + random.nextDouble() * (LONGEST_DRAW - 0.5) * pause;
+                                SERVICE_RETRY_DELAY_MS * (1 << Math.min(failures - 1, MAX_BACKOFF_DOUBLINGS)),
+                                MAX_SERVICE_RETRY_DELAY_MS),
+                        maxPollIntervalMs / MAX_JITTER_FACTOR)
+                : failures > 1 ? MAX_AGENT_RETRY_DELAY_MS : AGENT_RETRY_DELAY_MS;
+        return delayMs / 2 + random.nextDouble() * (MAX_JITTER_FACTOR - 0.5) * delayMs;
     }
 
     /**
-     * How long it waits after a call that fell silent, which is noticed after 3 of the 6 s: at a service no more than
-     * what keeps a fleet from calling in one moment.
+     * How long it waits after a silent call, which is detected after 3 of the 6 s: at a service only as long as
+     * prevents a fleet from calling all at once.
      */
     double delayAfterSilenceMs(RandomGenerator random) {
-        return shared ? random.nextDouble() * SILENCE_PAUSE_MS : 0;
+        return shared ? random.nextDouble() * MAX_DELAY_AFTER_SILENCE_MS : 0;
     }
 }
--- a/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
@@ -5,42 +5,43 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps one watch at discovery: opens it, hears whether it still speaks, opens it again, and says which word holds.
+ * Keeps one watch open at discovery: opens it, detects when it is silent, opens it again, and decides which endpoint
+ * list is accepted.
  *
- * <p>Promise: once started, the node either has a watch open or knows when it opens the next one; after the first call
- * that is at an agent never later than 150 ms, at a service 2.4 s, and no more than one call is open at a time. Assumes
- * that {@link #wake} is called when asked for. Times are milliseconds of the one clock.
+ * <p>Guarantee: once started, the node either has a watch open or has scheduled the next one; after the first call
+ * that is at an agent never later than 150 ms, at a service 2.4 s, and at most one call is open at a time. Assumes that
+ * {@link #wake} is called as commanded. Times are milliseconds of the one clock.
  *
- * <p>Silence of {@code silenceMs} ends a watch: discovery says something every 2 s. At an agent that is no fault to
- * wait for: it is silent while the discovery behind it is down, and what it has counts as told, so the next watch opens
- * in the same moment. At a service the next one is soon out as well, since what a silent watch misses counts as told
- * 6 s after its last word.
+ * <p>A watch without a message for {@code silenceMs} ends: discovery sends one every 2 s. At an agent no delay
+ * follows: it is silent while the discovery behind it is down, and the node counts as notified of what it has, so the
+ * next watch opens at once. At a service the next one follows soon as well, since the node counts as notified of what
+ * a silent watch misses 6 s after its last message.
  */
 public final class DiscoveryWatch {
-    /** A watch that ended sooner has failed, whatever it had said: guards against an end that follows each list. */
-    private static final double STOOD_MS = 1000;
+    /** A watch that ended sooner counts as failed, whatever it sent: guards against an end that follows each list. */
+    private static final double MIN_STABLE_WATCH_MS = 1000;
 
     private DiscoverySource source;
     private final double silenceMs;
     private final RandomGenerator random;
     private long version = -1;
-    private long calls;
-    private long call = -1;
-    private boolean toldOnCall;
-    private double openedAt;
-    private double lastWord = Double.NEGATIVE_INFINITY;
-    private boolean moved;
+    private long nextCall;
+    private long currentCall = -1;
+    private boolean listReceivedOnCall;
+    private double openedAtMs;
+    private double lastMessageMs = Double.NEGATIVE_INFINITY;
+    private boolean discoveryMoved;
     private int failures;
-    private double openAt = Double.POSITIVE_INFINITY;
-    /** The one turn that is waited for; guards against timers that were overtaken and would each ask for another. */
-    private long turn;
+    private double nextOpenMs = Double.POSITIVE_INFINITY;
+    /** The one timer that is pending; guards against superseded timers that would each schedule another. */
+    private long currentTimer;
 
-    private double turnAt = Double.POSITIVE_INFINITY;
+    private double nextWakeMs = Double.POSITIVE_INFINITY;
 
     /**
-     * Makes a node's membership, not yet started.
+     * Creates a watch that is not started yet.
      *
-     * @param silenceMs how long a watch may say nothing, in milliseconds; infinite where each call's end is told
+     * @param silenceMs how long a watch may be silent, in milliseconds; infinite where the end of each call is reported
      */
     public DiscoveryWatch(DiscoverySource source, double silenceMs, RandomGenerator random) {
         this.source = source;
@@ -49,10 +50,10 @@
     }
 
     /** The node starts with a list of this version, -1 if it has none. */
-    public List<DiscoveryCommand> start(double now, long heldSeq) {
-        version = heldSeq;
-        openAt = now + source.firstCallDelayMs(random);
-        return advance(now);
+    public List<DiscoveryCommand> start(double nowMs, long heldVersion) {
+        version = heldVersion;
+        nextOpenMs = nowMs + source.firstCallDelayMs(random);
+        return advance(nowMs);
     }
 
     /** The version of the list that is held. */
@@ -60,126 +61,128 @@
         return version;
     }
 
-    /** A list of the configuration or of another process: whether it is newer than the one that is held. */
-    public boolean acceptVersion(long otherSeq, boolean orEqual) {
-        boolean newer = otherSeq > version || orEqual && otherSeq == version;
-        version = newer ? otherSeq : version;
+    /**
+     * Offers a list from the configuration or another process; returns whether it is newer than the one that is held.
+     */
+    public boolean acceptVersion(long otherVersion, boolean orEqual) {
+        boolean newer = otherVersion > version || orEqual && otherVersion == version;
+        version = newer ? otherVersion : version;
         return newer;
     }
 
-    /** Lists come this way from now on; a next call that was put off goes by what it costs here. */
-    public List<DiscoveryCommand> changeSource(double now, DiscoverySource next) {
-        if (call < 0 && openAt < Double.POSITIVE_INFINITY && !next.equals(source)) {
-            openAt = Math.min(openAt, now + next.retryDelayMs(Math.max(1, failures), random));
+    /** Lists come from this source from now on; a delayed next call uses its delays. */
+    public List<DiscoveryCommand> changeSource(double nowMs, DiscoverySource newSource) {
+        if (currentCall < 0 && nextOpenMs < Double.POSITIVE_INFINITY && !newSource.equals(source)) {
+            nextOpenMs = Math.min(nextOpenMs, nowMs + newSource.retryDelayMs(Math.max(1, failures), random));
         }
-        source = next;
-        return advance(now);
+        source = newSource;
+        return advance(nowMs);
     }
 
     /**
-     * A watch opens now in place of the one there is.
+     * Opens a watch now in place of the current one.
      *
-     * @param elsewhere discovery has moved: its versions say nothing beside the old one's
+     * @param elsewhere whether discovery has moved: its versions can't be compared with the old ones
      */
-    public List<DiscoveryCommand> reopen(double now, boolean elsewhere) {
-        moved |= elsewhere;
-        // Guards the new address against what the old one did: its callers were never turned away.
+    public List<DiscoveryCommand> reopen(double nowMs, boolean elsewhere) {
+        discoveryMoved |= elsewhere;
+        // Guards the new address against the back-off of the old one: it has rejected no call.
         failures = elsewhere ? 0 : failures;
-        openAt = now;
-        List<DiscoveryCommand> steps = new ArrayList<>();
-        if (call >= 0) {
-            steps.add(new DiscoveryCommand.EndCall(call, false));
-            call = -1;
+        nextOpenMs = nowMs;
+        List<DiscoveryCommand> commands = new ArrayList<>();
+        if (currentCall >= 0) {
+            commands.add(new DiscoveryCommand.EndCall(currentCall, false));
+            currentCall = -1;
         }
-        steps.addAll(advance(now));
-        return steps;
+        commands.addAll(advance(nowMs));
+        return commands;
     }
 
-    /** Discovery has told a list or a change on this call: whether it holds. */
-    public boolean onEndpointList(double now, long on, long newSeq, boolean whole) {
-        if (!isOpen(on)) {
+    /** Discovery has sent a list or a change on this call; returns whether it is accepted. */
+    public boolean onEndpointList(double nowMs, long call, long newVersion, boolean complete) {
+        if (!isOpen(call)) {
             return false;
         }
-        boolean first = !toldOnCall;
-        toldOnCall = true;
-        lastWord = now;
-        // Guards against word that was overtaken by a newer list: an old version must not bring servers back. The
-        // first word of a watch may repeat the version that is held. Versions of a discovery that has moved say
-        // nothing beside the old one's.
-        if ((newSeq < version || newSeq == version && !first) && !(moved && whole)) {
+        boolean first = !listReceivedOnCall;
+        listReceivedOnCall = true;
+        lastMessageMs = nowMs;
+        // Guards against a message that a newer list has superseded: an old version must not restore servers. The first
+        // message of a watch may repeat the version that is held. Versions of a discovery that has moved can't be
+        // compared with the old ones.
+        if ((newVersion < version || newVersion == version && !first) && !(discoveryMoved && complete)) {
             return false;
         }
-        moved = false;
-        version = newSeq;
+        discoveryMoved = false;
+        version = newVersion;
         return true;
     }
 
-    /** Discovery has said on this call that nothing has changed. */
-    public void onHeartbeat(double now, long on) {
-        lastWord = isOpen(on) ? now : lastWord;
+    /** Discovery has reported on this call that nothing has changed. */
+    public void onHeartbeat(double nowMs, long call) {
+        lastMessageMs = isOpen(call) ? nowMs : lastMessageMs;
     }
 
-    /** Whether this is the call that the node goes by. */
-    public boolean isOpen(long asked) {
-        return asked >= 0 && asked == call;
+    /** Whether this is the current call. */
+    public boolean isOpen(long call) {
+        return call >= 0 && call == currentCall;
     }
 
-    /** This call has ended or failed; nothing if it was over already. */
-    public List<DiscoveryCommand> onCallEnded(double now, long on) {
-        if (!isOpen(on)) {
+    /** This call has ended or failed; ignored if it is not the current one. */
+    public List<DiscoveryCommand> onCallEnded(double nowMs, long call) {
+        if (!isOpen(call)) {
             return List.of();
         }
-        call = -1;
-        failures = heardOnCall() && now - openedAt >= STOOD_MS ? 1 : failures + 1;
-        openAt = now + source.retryDelayMs(failures, random);
-        return advance(now);
+        currentCall = -1;
+        failures = heardOnCall() && nowMs - openedAtMs >= MIN_STABLE_WATCH_MS ? 1 : failures + 1;
+        nextOpenMs = nowMs + source.retryDelayMs(failures, random);
+        return advance(nowMs);
     }
 
-    /** Whether this call, or the last one, has said anything. */
+    /** Whether the current call, or the last one, has brought any message. */
     private boolean heardOnCall() {
-        return toldOnCall || lastWord >= openedAt;
+        return listReceivedOnCall || lastMessageMs >= openedAtMs;
     }
 
-    /** How long discovery has said nothing, in milliseconds; infinite if it never has. */
-    public double silentMs(double now) {
-        return now - lastWord;
+    /** The time since the last message of discovery, in milliseconds; infinite if there was none. */
+    public double silentMs(double nowMs) {
+        return nowMs - lastMessageMs;
     }
 
-    /** The turn that was asked for has come; one that was overtaken does nothing. */
-    public List<DiscoveryCommand> wake(double now, long ofTurn) {
-        if (ofTurn != turn) {
+    /** The time of a {@link DiscoveryCommand.Wake} has come; superseded timers are ignored. */
+    public List<DiscoveryCommand> wake(double nowMs, long timer) {
+        if (timer != currentTimer) {
             return List.of();
         }
-        turnAt = Double.POSITIVE_INFINITY;
-        return advance(now);
+        nextWakeMs = Double.POSITIVE_INFINITY;
+        return advance(nowMs);
     }
 
-    /** Does what is due, and asks to be woken when the next thing is. */
-    private List<DiscoveryCommand> advance(double now) {
-        List<DiscoveryCommand> steps = new ArrayList<>();
-        if (call >= 0 && now >= lastHeardMs() + silenceMs) {
-            steps.add(new DiscoveryCommand.EndCall(call, true));
-            call = -1;
-            // Silence is no word of a caller too many.
+    /** Does what is due, and schedules a timer for what is due next. */
+    private List<DiscoveryCommand> advance(double nowMs) {
+        List<DiscoveryCommand> commands = new ArrayList<>();
+        if (currentCall >= 0 && nowMs >= lastHeardMs() + silenceMs) {
+            commands.add(new DiscoveryCommand.EndCall(currentCall, true));
+            currentCall = -1;
+            // Silence does not mean that discovery rejects calls.
             failures = 0;
-            openAt = now + source.delayAfterSilenceMs(random);
+            nextOpenMs = nowMs + source.delayAfterSilenceMs(random);
         }
-        if (call < 0 && now >= openAt) {
-            call = calls++;
-            toldOnCall = false;
-            openedAt = now;
-            openAt = Double.POSITIVE_INFINITY;
-            steps.add(new DiscoveryCommand.OpenWatch(call, version));
+        if (currentCall < 0 && nowMs >= nextOpenMs) {
+            currentCall = nextCall++;
+            listReceivedOnCall = false;
+            openedAtMs = nowMs;
+            nextOpenMs = Double.POSITIVE_INFINITY;
+            commands.add(new DiscoveryCommand.OpenWatch(currentCall, version));
         }
-        double due = call >= 0 ? lastHeardMs() + silenceMs : openAt;
-        if (due < turnAt) {
-            turnAt = due;
-            steps.add(new DiscoveryCommand.Wake(due, ++turn));
+        double dueMs = currentCall >= 0 ? lastHeardMs() + silenceMs : nextOpenMs;
+        if (dueMs < nextWakeMs) {
+            nextWakeMs = dueMs;
+            commands.add(new DiscoveryCommand.Wake(dueMs, ++currentTimer));
         }
-        return steps;
+        return commands;
     }
 
     private double lastHeardMs() {
-        return Math.max(openedAt, lastWord);
+        return Math.max(openedAtMs, lastMessageMs);
     }
 }
--- a/core/src/main/java/brackenbridge/core/observe/TrafficObserver.java
+++ b/core/src/main/java/brackenbridge/core/observe/TrafficObserver.java
@@ -4,33 +4,33 @@
 import java.util.Map;
 
 /**
- * Counts what went to each pool, by class, since the node started. A pool is the servers of one zone and one weight of
- * the node's own tier. Only the loop's thread touches it; a {@link #snapshot} may go to another.
+ * Counts attempts to each pool, by request class, since the node started. A pool is the servers of one zone and one
+ * weight of the node's own tier. For the event loop's thread only; a {@link #snapshot} may be passed to another.
  */
 public final class TrafficObserver {
-    /** Guards memory against lists that name ever new zones: what is beyond is counted nowhere. */
-    private static final int MOST = 4096;
+    /** Guards memory against endpoint lists with ever new zones: attempts to further pools are not counted. */
+    private static final int MAX_POOLS = 4096;
 
     /**
-     * Which servers, and which calls.
+     * A pool and a request class.
      *
      * @param zone the servers' zone
-     * @param weight their capacity beside the others'
-     * @param className the class of the calls
+     * @param weight their capacity relative to other servers
+     * @param className the class of the requests
      */
     public record PoolKey(String zone, double weight, String className) {}
 
     /**
-     * What was counted; all of it only grows but {@code out}.
+     * The counts of a pool; all but {@code inFlight} only grow.
      *
-     * @param firstAttempts first tries
-     * @param attempts all tries
-     * @param served tries that were served
-     * @param failed tries that ended otherwise, those that were never sent left out
-     * @param sumMs the times of the served ones together, in milliseconds
-     * @param sumSquaredMs the squares of these times together
-     * @param inFlightMs the time that calls were at the pool, together; of those that have ended, however they did
-     * @param inFlight calls that are there now
+     * @param firstAttempts first attempts of requests
+     * @param attempts all attempts
+     * @param served attempts that were served
+     * @param failed attempts that ended otherwise, except those that were never sent
+     * @param sumMs the sum of the latencies of served attempts, in milliseconds
+     * @param sumSquaredMs the sum of the squares of these latencies
+     * @param inFlightMs the sum of the times that ended attempts were in flight, whatever their outcome
+     * @param inFlight attempts that are in flight now
      */
     public record PoolTally(
             long firstAttempts,
@@ -69,19 +69,19 @@
     }
 
     /**
-     * All of it at one moment.
+     * The counts of all pools at one time.
      *
      * @param atMs when
-     * @param pools what was counted at each pool
-     * @param rejected flows that the node turned away, by class
-     * @param servers how many servers of each zone and weight are known to run, under the empty class
+     * @param pools the counts of each pool
+     * @param rejected requests that the node rejected, by class
+     * @param servers how many servers of each zone and weight are up, under the empty class
      */
     public record TrafficSnapshot(
             double atMs, Map<PoolKey, PoolTally> pools, Map<String, Long> rejected, Map<PoolKey, Integer> servers) {
-        /** Nothing yet. */
+        /** No counts yet. */
         public static final TrafficSnapshot NONE = new TrafficSnapshot(0, Map.of(), Map.of(), Map.of());
 
-        /** Keeps its own copies. */
+        /** Makes immutable copies. */
         public TrafficSnapshot {
             pools = Map.copyOf(pools);
             rejected = Map.copyOf(rejected);
@@ -90,33 +90,33 @@
     }
 
     private final Map<PoolKey, PoolTally> pools = new HashMap<>();
-    private final Map<String, Long> refused = new HashMap<>();
+    private final Map<String, Long> rejectedByClass = new HashMap<>();
 
-    /** A call goes to a server. */
+    /** An attempt is sent to a server. */
     public void onAttemptStarted(PoolKey key, boolean first) {
-        if (pools.size() < MOST || pools.containsKey(key)) {
+        if (pools.size() < MAX_POOLS || pools.containsKey(key)) {
             pools.put(key, pools.getOrDefault(key, PoolTally.NONE).sent(first));
         }
     }
 
     /**
-     * A call that went to a server has ended.
+     * An attempt has ended.
      *
-     * @param served with the server's own answer
-     * @param counts it was there at all: false for one that was never sent
-     * @param ms how long it was out
+     * @param served whether it ended with the server's response
+     * @param counts false if it was never sent
+     * @param ms how long it was in flight
      */
     public void onAttemptEnded(PoolKey key, boolean served, boolean counts, double ms) {
-        pools.computeIfPresent(key, (k, t) -> t.ended(served, counts, ms));
+        pools.computeIfPresent(key, (pool, tally) -> tally.ended(served, counts, ms));
     }
 
-    /** A flow was turned away. */
+    /** A request was rejected. */
     public void onRejected(String className) {
-        refused.merge(className, 1L, Long::sum);
+        rejectedByClass.merge(className, 1L, Long::sum);
     }
 
-    /** All of it now. */
+    /** The counts now. */
     public TrafficSnapshot snapshot(double nowMs, Map<PoolKey, Integer> servers) {
-        return new TrafficSnapshot(nowMs, pools, refused, servers);
+        return new TrafficSnapshot(nowMs, pools, rejectedByClass, servers);
     }
 }
--- a/core/src/main/java/brackenbridge/core/observe/package-info.java
+++ b/core/src/main/java/brackenbridge/core/observe/package-info.java
@@ -1,2 +1,2 @@
-/** What a node sees of its pools, by class: for a fleet that wants to know more than one node sees. */
+/** Traffic statistics of a node's pools, by request class, for reports to the fleet. */
 package brackenbridge.core.observe;
--- a/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
@@ -20,8 +20,8 @@
  *
  * <p>Tenants that are not named in {@link TenantQuotas} share one quota, by the same method among themselves. No
  * request starts while as many run as all quotas make together. Until the first quotas are received every request is
- * admitted. Each request costs at most logarithmic time in the tenants that wait. Idle tenants use no memory. Not thread-safe;
- * time must not go back.
+ * admitted. Each request costs at most logarithmic time in the tenants that wait. Idle tenants use no memory. Not
+ * thread-safe; time must not go back.
  */
 public final class TenantScheduler {
     private final SchedulerLimits limits;
--- a/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
+++ b/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * What part of their usual load the servers of each zone are to get. Received from the fleet; expires by itself, so that
- * nobody needs to revoke it.
+ * What part of their usual load the servers of each zone are to get. Received from the fleet; expires by itself, so
+ * that nobody needs to revoke it.
  *
  * @param driverToken fencing token of the evacuation driver: lower ones than the last are ignored
  * @param epoch number of the value under one token
@@ -25,7 +25,10 @@
     /** None received: each zone has its usual load. */
     public static final ZoneWeights USUAL = new ZoneWeights(0, 0, Map.of(), Double.NEGATIVE_INFINITY);
 
-    /** Whether this value may replace that one: it comes from a later driver, or is not an earlier value of the same one. */
+    /**
+     * Whether this value may replace that one: it comes from a later driver, or is not an earlier value of the same
+     * one.
+     */
     public boolean supersedes(ZoneWeights that) {
         return driverToken != that.driverToken ? driverToken > that.driverToken : epoch >= that.epoch;
     }
--- a/core/src/main/java/brackenbridge/counters/Counters.java
+++ b/core/src/main/java/brackenbridge/counters/Counters.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The values of all counters, in all and by request class. Only the thread of the event loop uses them. */
+/** The values of all counters, in total and by request class. For the event loop's thread only. */
 public final class Counters {
 
     private final EnumMap<Counter, Long> counts = new EnumMap<>(Counter.class);
     private final Map<String, EnumMap<Counter, Long>> byClass = new TreeMap<>();
-    private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> refused =
+    private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> rejected =
             new EnumMap<>(RejectionReason.Port.class);
 
     /** Counts one. */
@@ -17,18 +17,19 @@
         counts.merge(counter, 1L, Long::sum);
     }
 
-    /** Counts one refusal, or one close, at a port. */
-    public void countRejection(RejectionReason.Port port, RejectionReason why) {
-        refused.computeIfAbsent(port, p -> new EnumMap<>(RejectionReason.class)).merge(why, 1L, Long::sum);
+    /** Counts one rejection, or one closed connection, at a port. */
+    public void countRejection(RejectionReason.Port port, RejectionReason reason) {
+        rejected.computeIfAbsent(port, key -> new EnumMap<>(RejectionReason.class))
+                .merge(reason, 1L, Long::sum);
     }
 
-    /** Counts one of a class of request. The class keeps its counts when it is dropped from the settings. */
+    /** Counts one for a request class. The class keeps its counts when it is removed from the settings. */
     public void count(Counter counter, String className) {
         count(counter);
-        byClass.computeIfAbsent(className, n -> new EnumMap<>(Counter.class)).merge(counter, 1L, Long::sum);
+        byClass.computeIfAbsent(className, key -> new EnumMap<>(Counter.class)).merge(counter, 1L, Long::sum);
     }
 
-    /** Counts a request of a class that is served no more; of one that never was, nothing is kept. */
+    /** Counts a request of a class that is no longer served; classes that never were are not counted. */
     public void countDropped(String className) {
         if (byClass.containsKey(className)) {
             count(Counter.REQUESTS_RECEIVED, className);
@@ -36,13 +37,13 @@
         }
     }
 
-    /** The count so far of one class. */
+    /** The count of one class so far. */
     public long of(Counter counter, String className) {
         Map<Counter, Long> counted = byClass.get(className);
         return counted == null ? 0 : counted.getOrDefault(counter, 0L);
     }
 
-    /** The classes of which something was counted. */
+    /** The classes that have counts. */
     public Iterable<String> classes() {
         return byClass.keySet();
     }
@@ -52,34 +53,37 @@
         return counts.getOrDefault(counter, 0L);
     }
 
-    /** One line a counter, in the order of their declaration, those at zero included; and one a reason of refusals. */
+    /**
+     * One line a counter, in the order of their declaration, those at zero included; then one for each rejection
+     * reason.
+     */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Counter counter : Counter.values()) {
             text.append(counter.key()).append(' ').append(of(counter)).append('\n');
         }
-        refused.forEach((port, reasons) -> reasons.forEach((why, count) ->
-                text.append(name(port, why)).append(' ').append(count).append('\n')));
+        rejected.forEach((port, reasons) -> reasons.forEach((reason, count) ->
+                text.append(name(port, reason)).append(' ').append(count).append('\n')));
         return text.toString();
     }
 
-    /** All that are above zero, on one line. */
+    /** All counters above zero, on one line. */
     public String line() {
         StringBuilder line = new StringBuilder();
-        for (Map.Entry<Counter, Long> e : counts.entrySet()) {
+        for (Map.Entry<Counter, Long> entry : counts.entrySet()) {
             line.append(line.isEmpty() ? "" : " ")
-                    .append(e.getKey().key())
+                    .append(entry.getKey().key())
                     .append('=')
-                    .append(e.getValue());
+                    .append(entry.getValue());
         }
-        refused.forEach((port, reasons) -> reasons.forEach((why, count) -> line.append(line.isEmpty() ? "" : " ")
-                .append(name(port, why))
+        rejected.forEach((port, reasons) -> reasons.forEach((reason, count) -> line.append(line.isEmpty() ? "" : " ")
+                .append(name(port, reason))
                 .append('=')
                 .append(count)));
         return line.toString();
     }
 
-    private static String name(RejectionReason.Port port, RejectionReason why) {
-        return "refused_" + port.key() + "_" + why.key();
+    private static String name(RejectionReason.Port port, RejectionReason reason) {
+        return "refused_" + port.key() + "_" + reason.key();
     }
 }
