--- a/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
@@ -35,4 +35,26 @@
         new WireHost(new ByteArrayInputStream(script), out).run();
         GoldenText.check("wire-script-out.txt", out.toString(StandardCharsets.UTF_8));
     }
+
+    /** Each line of the script is the body of a batch of its own; what comes of it is one line of the golden file. */
+    @Test
+    void eachComplaintAboutBadInput() throws IOException {
+        StringBuilder complaints = new StringBuilder();
+        for (String bad : GoldenText.read("wire-bad-in.txt").split("\n")) {
+            String batch = "SYNC\t5\t1\n" + bad.replace(" | ", "\n") + "\nEOF_BATCH\n";
+            complaints.append(complaint(batch)).append('\n');
+        }
+        GoldenText.check("wire-bad-out.txt", complaints.toString());
+    }
+
+    private static String complaint(String input) throws IOException {
+        ByteArrayInputStream in = new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8));
+        try {
+            ByteArrayOutputStream out = new ByteArrayOutputStream();
+            new WireHost(in, out).run();
+            return "accepted: " + out.toString(StandardCharsets.UTF_8).replace("\n", " | ");
+        } catch (WireException e) {
+            return e.getMessage();
+        }
+    }
 }
