--- /dev/null
+++ b/node/src/main/java/brackenbridge/wire/EndpointLists.java
@@ -0,0 +1,80 @@
+package brackenbridge.wire;
+
+import brackenbridge.core.balancing.Endpoint;
+import brackenbridge.core.balancing.EndpointState;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+
+/** The endpoint lists that the simulator has sent, by their number; events name a list by it. */
+final class EndpointLists {
+    private static final int LIST_COUNT = 16;
+    /** Guards memory against a count that no list follows. */
+    private static final int MAX_INITIAL_CAPACITY = 1 << 16;
+
+    private static final long NO_CELL = -1;
+
+    private final List<List<Endpoint>> lists = new ArrayList<>(Collections.nCopies(LIST_COUNT, null));
+
+    /** Reads a list, from the fields after its message's name to its last entry, and keeps it in place of the last. */
+    void readList(WireReader reader) throws IOException {
+        int id = readListId(reader);
+        long count = reader.readNumber("rowsIn");
+        reader.requireEndOfMessage();
+        if (count < 0) {
+            throw reader.error("rowsIn", "negative count: " + count);
+        }
+        List<Endpoint> entries = new ArrayList<>((int) Math.min(count, MAX_INITIAL_CAPACITY));
+        for (long i = 0; i < count; i++) {
+            if (!reader.nextLine()) {
+                throw reader.error(null, "input ends inside a list");
+            }
+            if (!reader.readText("message").equals("M")) {
+                throw reader.error("message", "list of " + count + " entries has only " + i);
+            }
+            entries.add(readEndpoint(reader));
+        }
+        lists.set(id, List.copyOf(entries));
+    }
+
+    /** The list that the next field names. */
+    List<Endpoint> readReference(WireReader reader) {
+        int id = readListId(reader);
+        List<Endpoint> entries = lists.get(id);
+        if (entries == null) {
+            throw reader.error("setId", "list " + id + " was never given");
+        }
+        return entries;
+    }
+
+    private static int readListId(WireReader reader) {
+        long id = reader.readNumber("setId");
+        if (id < 0 || id >= LIST_COUNT) {
+            throw reader.error("setId", "outside 0 to 15: " + id);
+        }
+        return (int) id;
+    }
+
+    private static Endpoint readEndpoint(WireReader reader) {
+        long cell = reader.readOptionalNumber("cell", NO_CELL);
+        String zone = reader.readText("zone");
+        reader.readText("type");
+        double weight = reader.readDecimal("weight");
+        long startedAt = reader.readOptionalNumber("launched", 0);
+        EndpointState state = readState(reader);
+        long endpoint = reader.readNumber("endpoint");
+        reader.requireEndOfMessage();
+        return new Endpoint(endpoint, cell, zone, weight, startedAt, state);
+    }
+
+    private static EndpointState readState(WireReader reader) {
+        String word = reader.readText("condition");
+        return switch (word) {
+            case "up" -> EndpointState.UP;
+            case "draining" -> EndpointState.DRAINING;
+            case "removed" -> EndpointState.REMOVED;
+            default -> throw reader.error("condition", "unknown: '" + word + "'");
+        };
+    }
+}
--- /dev/null
+++ b/node/src/main/java/brackenbridge/wire/WireFields.java
@@ -0,0 +1,106 @@
+package brackenbridge.wire;
+
+import brackenbridge.config.SettingsParser;
+import brackenbridge.core.balancing.AttemptOutcome;
+import brackenbridge.core.balancing.BalancerSettings;
+import brackenbridge.core.balancing.LoadReport;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+
+/** Reads the fields of a message that hold more than a word or a number. */
+final class WireFields {
+    /** By the wire's numbers, from 1 on. */
+    private static final AttemptOutcome[] OUTCOMES = {
+        AttemptOutcome.OK,
+        AttemptOutcome.ERROR,
+        AttemptOutcome.FULL,
+        AttemptOutcome.TIMEOUT,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.CANCELLED,
+        AttemptOutcome.NEVER_STARTED
+    };
+
+    private static final int LOAD_FIGURES = 6;
+    private static final int UNKNOWN_FIGURE = -1;
+
+    private WireFields() {}
+
+    /** Reads the outcome of an attempt or of a health check. */
+    static AttemptOutcome readOutcome(WireReader reader) {
+        long code = reader.readNumber("result");
+        if (code < 1 || code > OUTCOMES.length) {
+            throw reader.error("result", "unknown: " + code);
+        }
+        return OUTCOMES[(int) code - 1];
+    }
+
+    /** Reads the rest of a message, which is a server's load report; null if there is none. */
+    static LoadReport readLoadReport(WireReader reader) {
+        String pairs = reader.readOptionalText("pressure");
+        reader.requireEndOfMessage();
+        if (pairs == null) {
+            return null;
+        }
+        double[] figures = new double[LOAD_FIGURES];
+        Arrays.fill(figures, Double.NaN);
+        int pairStart = 0;
+        while (pairStart < pairs.length()) {
+            int comma = pairs.indexOf(',', pairStart);
+            int pairEnd = comma < 0 ? pairs.length() : comma;
+            readFigure(reader, pairs.substring(pairStart, pairEnd), figures);
+            pairStart = pairEnd + 1;
+        }
+        return new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5]);
+    }
+
+    private static void readFigure(WireReader reader, String pair, double[] figures) {
+        int colon = pair.indexOf(':');
+        if (colon < 0) {
+            throw reader.error("pressure", "not a pair: '" + pair + "'");
+        }
+        int figure = figureIndex(pair.substring(0, colon));
+        if (figure == UNKNOWN_FIGURE) {
+            return;
+        }
+        String value = pair.substring(colon + 1);
+        try {
+            figures[figure] = Double.parseDouble(value);
+        } catch (NumberFormatException e) {
+            throw reader.error("pressure", "not a number: '" + value + "'");
+        }
+    }
+
+    /** The place of a figure among the parameters of {@link LoadReport}. */
+    private static int figureIndex(String name) {
+        return switch (name) {
+            case "concurrent" -> 0;
+            case "depth" -> 1;
+            case "load_share" -> 2;
+            case "mean_ms" -> 3;
+            case "tps" -> 4;
+            case "err_ps" -> 5;
+            default -> UNKNOWN_FIGURE;
+        };
+    }
+
+    /** Reads the rest of a message, which is the settings of an instance as fields {@code path=value}. */
+    static BalancerSettings readSettings(WireReader reader, long seed) {
+        Map<String, String> pairs = new HashMap<>();
+        while (reader.hasMoreFields()) {
+            String pair = reader.readText("setup");
+            int equalsSign = pair.indexOf('=');
+            if (equalsSign >= 0) {
+                pairs.put(pair.substring(0, equalsSign), pair.substring(equalsSign + 1));
+            } else if (!pair.isEmpty() && !pair.equals("-")) {
+                throw reader.error("setup", "not a pair: '" + pair + "'");
+            }
+        }
+        try {
+            return new SettingsParser(pairs).parse(seed);
+        } catch (IllegalArgumentException e) {
+            throw reader.error("setup", e.getMessage());
+        }
+    }
+}
--- a/node/src/main/java/brackenbridge/wire/WireReader.java
+++ b/node/src/main/java/brackenbridge/wire/WireReader.java
@@ -3,18 +3,23 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
 /** Reads tab-separated lines and their fields, straight from the bytes. */
 final class WireReader {
-    /** No message is longer: guards memory against input without line ends. */
-    private static final int LONGEST = 1 << 24;
+    /** Guards memory against input without line ends. */
+    private static final int MAX_LINE_BYTES = 1 << 24;
+
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    /** No number of so many digits exceeds a {@code long}. */
+    private static final int MAX_DIGITS = 18;
 
     private final InputStream in;
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int start;
     private int limit;
     private int lineEnd;
-    private int at;
+    private int position;
     private long line;
 
     WireReader(InputStream in) {
@@ -27,7 +32,7 @@
         while (true) {
             for (int i = from; i < limit; i++) {
                 if (buffer[i] == '\n') {
-                    at = start;
+                    position = start;
                     lineEnd = i;
                     start = i + 1;
                     line++;
@@ -41,134 +46,141 @@
                 from -= start;
                 start = 0;
             }
-            if (limit >= LONGEST) {
+            if (limit >= MAX_LINE_BYTES) {
                 line++;
-                throw error(null, "longer than " + LONGEST + " bytes");
+                throw error(null, "longer than " + MAX_LINE_BYTES + " bytes");
             }
             if (limit == buffer.length) {
-                buffer = java.util.Arrays.copyOf(buffer, 2 * buffer.length);
+                buffer = Arrays.copyOf(buffer, 2 * buffer.length);
             }
-            int got = in.read(buffer, limit, buffer.length - limit);
-            if (got < 0) {
+            int readBytes = in.read(buffer, limit, buffer.length - limit);
+            if (readBytes < 0) {
                 if (limit > start) {
                     line++;
                     throw error(null, "input ends inside a line");
                 }
                 return false;
             }
-            limit += got;
+            limit += readBytes;
         }
     }
 
-    boolean more() {
-        return at <= lineEnd;
+    /** Whether the line has another field. */
+    boolean hasMoreFields() {
+        return position <= lineEnd;
     }
 
     private int fieldEnd(String field) {
-        if (!more()) {
+        if (!hasMoreFields()) {
             throw error(field, "missing");
         }
-        int end = at;
+        int end = position;
         while (end < lineEnd && buffer[end] != '\t') {
             end++;
         }
         return end;
     }
 
-    String text(String field) {
+    /** The next field as text. */
+    String readText(String field) {
         int end = fieldEnd(field);
-        String s = new String(buffer, at, end - at, StandardCharsets.UTF_8);
-        at = end + 1;
-        return s;
+        String value = new String(buffer, position, end - position, StandardCharsets.UTF_8);
+        position = end + 1;
+        return value;
     }
 
     /** The rest of the line, tabs included. */
-    String rest(String field) {
-        if (!more()) {
+    String readRest(String field) {
+        if (!hasMoreFields()) {
             throw error(field, "missing");
         }
-        String s = new String(buffer, at, lineEnd - at, StandardCharsets.UTF_8);
-        at = lineEnd + 1;
-        return s;
+        String value = new String(buffer, position, lineEnd - position, StandardCharsets.UTF_8);
+        position = lineEnd + 1;
+        return value;
     }
 
     /** A field that may be absent, written as a dash or left out at the end of the line. */
-    String optionalText(String field) {
-        if (!more()) {
+    String readOptionalText(String field) {
+        if (!hasMoreFields()) {
             return null;
         }
-        String s = text(field);
-        return s.equals("-") || s.isEmpty() ? null : s;
+        String value = readText(field);
+        return value.equals("-") || value.isEmpty() ? null : value;
     }
 
-    long number(String field) {
+    /** The next field, a whole number. */
+    long readNumber(String field) {
         int end = fieldEnd(field);
-        long value = parse(field, end);
-        at = end + 1;
+        long value = parseWholeNumber(field, end);
+        position = end + 1;
         return value;
     }
 
-    long optionalNumber(String field, long absent) {
-        if (!more()) {
+    /** A whole number that may be absent, written as a dash or left out at the end of the line. */
+    long readOptionalNumber(String field, long absent) {
+        if (!hasMoreFields()) {
             return absent;
         }
         int end = fieldEnd(field);
-        if (end == at + 1 && buffer[at] == '-') {
-            at = end + 1;
+        if (end == position + 1 && buffer[position] == '-') {
+            position = end + 1;
             return absent;
         }
-        return number(field);
+        return readNumber(field);
     }
 
-    private long parse(String field, int end) {
-        int i = at;
+    private long parseWholeNumber(String field, int end) {
+        int i = position;
         boolean negative = i < end && buffer[i] == '-';
         if (negative) {
             i++;
         }
-        if (i == end || end - i > 18) {
-            throw unparsable(field, end);
+        if (i == end || end - i > MAX_DIGITS) {
+            throw notAWholeNumber(field, end);
         }
         long value = 0;
         for (; i < end; i++) {
             int digit = buffer[i] - '0';
             if (digit < 0 || digit > 9) {
-                throw unparsable(field, end);
+                throw notAWholeNumber(field, end);
             }
             value = value * 10 + digit;
         }
         return negative ? -value : value;
     }
 
-    private WireException unparsable(String field, int end) {
-        String found = new String(buffer, at, end - at, StandardCharsets.UTF_8);
+    private WireException notAWholeNumber(String field, int end) {
+        String found = new String(buffer, position, end - position, StandardCharsets.UTF_8);
         return error(field, "not a whole number: '" + found + "'");
     }
 
-    double decimal(String field) {
-        String s = text(field);
+    /** The next field, a decimal number. */
+    double readDecimal(String field) {
+        String value = readText(field);
         try {
-            return Double.parseDouble(s);
+            return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw error(field, "not a number: '" + s + "'");
+            throw error(field, "not a number: '" + value + "'");
         }
     }
 
-    boolean flag(String field) {
-        long value = number(field);
+    /** The next field, 0 or 1. */
+    boolean readFlag(String field) {
+        long value = readNumber(field);
         if (value != 0 && value != 1) {
             throw error(field, "neither 0 nor 1: " + value);
         }
         return value == 1;
     }
 
-    /** The message must end here. */
-    void endOfMessage() {
-        if (more()) {
-            throw error(null, "more fields than the message has: '" + rest("") + "'");
+    /** Fails if the message has another field. */
+    void requireEndOfMessage() {
+        if (hasMoreFields()) {
+            throw error(null, "more fields than the message has: '" + readRest("") + "'");
         }
     }
 
+    /** The error at the current line, and at this field unless that is null; to be thrown by the caller. */
     WireException error(String field, String what) {
         return new WireException("line " + line + (field == null ? "" : ", field " + field) + ": " + what);
     }
--- a/node/src/main/java/brackenbridge/wire/WireWriter.java
+++ b/node/src/main/java/brackenbridge/wire/WireWriter.java
@@ -4,20 +4,28 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
-/** Collects a reply's lines and writes them out whole. */
+/** Collects the lines of a reply and sends them together at the end of the batch. */
 final class WireWriter {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    /** A tab, a sign and the digits of the longest number. */
+    private static final int MAX_NUMBER_BYTES = 21;
+
+    private static final char MAX_ASCII = 127;
+    private static final long NO_INSTANCE = Long.MIN_VALUE;
+
     private final OutputStream out;
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
-    private long speaker = Long.MIN_VALUE;
+    private long currentInstance = NO_INSTANCE;
 
     WireWriter(OutputStream out) {
         this.out = out;
     }
 
-    /** The actions of one instance. */
-    BalancerActions of(long instance) {
+    /** Writes the actions of one instance. */
+    BalancerActions actionsOf(long instance) {
         return new BalancerActions() {
             @Override
             public void startAttempt(long request, long endpoint, long timeout) {
@@ -51,80 +59,84 @@
         };
     }
 
-    /** An instance asks discovery for changes from now on. */
-    void watch(long instance) {
+    /** An instance opens a watch at discovery. */
+    void writeWatch(long instance) {
         from(instance).text("OBSERVE").number(1).end();
     }
 
-    void broken(long instance, String cause) {
+    /** An exception in the instance, with its cause and place on one line. */
+    void writeFault(long instance, RuntimeException fault) {
+        StackTraceElement[] trace = fault.getStackTrace();
+        String cause = fault + (trace.length == 0 ? "" : " at " + trace[0]);
         from(instance).text("BROKEN").tab().text(cause.replaceAll("\\s+", " ")).end();
     }
 
-    /** Ends the reply and sends it. */
-    void finished(long batch) throws IOException {
+    /** Ends the reply to a batch and sends it. */
+    void finishBatch(long batch) throws IOException {
         text("FINISHED").number(batch).end();
         out.write(buffer, 0, size);
         out.flush();
         size = 0;
-        speaker = Long.MIN_VALUE;
+        currentInstance = NO_INSTANCE;
     }
 
+    /** The lines that follow are this instance's. */
     private WireWriter from(long instance) {
-        if (speaker != instance) {
-            speaker = instance;
+        if (currentInstance != instance) {
+            currentInstance = instance;
             text("FROM").number(instance).end();
         }
         return this;
     }
 
-    private void room(int bytes) {
+    private void ensureRoom(int bytes) {
         if (size + bytes > buffer.length) {
-            buffer = java.util.Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + bytes));
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + bytes));
         }
     }
 
     private WireWriter tab() {
-        room(1);
+        ensureRoom(1);
         buffer[size++] = '\t';
         return this;
     }
 
     private void end() {
-        room(1);
+        ensureRoom(1);
         buffer[size++] = '\n';
     }
 
-    private WireWriter text(String s) {
-        int n = s.length();
-        room(n);
-        for (int i = 0; i < n; i++) {
-            char ch = s.charAt(i);
-            if (ch >= 128) {
-                byte[] rest = s.substring(i).getBytes(StandardCharsets.UTF_8);
-                room(rest.length);
+    private WireWriter text(String text) {
+        int length = text.length();
+        ensureRoom(length);
+        for (int i = 0; i < length; i++) {
+            char character = text.charAt(i);
+            if (character > MAX_ASCII) {
+                byte[] rest = text.substring(i).getBytes(StandardCharsets.UTF_8);
+                ensureRoom(rest.length);
                 System.arraycopy(rest, 0, buffer, size, rest.length);
                 size += rest.length;
                 return this;
             }
-            buffer[size++] = (byte) ch;
+            buffer[size++] = (byte) character;
         }
         return this;
     }
 
     private WireWriter number(long value) {
-        room(21);
+        ensureRoom(MAX_NUMBER_BYTES);
         buffer[size++] = '\t';
         if (value < 0) {
             buffer[size++] = '-';
         }
         int digits = 1;
-        for (long v = value / 10; v != 0; v /= 10) {
+        for (long higher = value / 10; higher != 0; higher /= 10) {
             digits++;
         }
-        long v = value;
+        long remaining = value;
         for (int i = size + digits - 1; i >= size; i--) {
-            buffer[i] = (byte) ('0' + Math.abs(v % 10));
-            v /= 10;
+            buffer[i] = (byte) ('0' + Math.abs(remaining % 10));
+            remaining /= 10;
         }
         size += digits;
         return this;
--- a/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
@@ -14,17 +14,20 @@
     void eachMessageToTheSimulator() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         WireWriter writer = new WireWriter(out);
-        BalancerActions first = writer.of(3);
+        BalancerActions first = writer.actionsOf(3);
         first.startAttempt(7, 101, 900_000);
         first.reject(8, 250_000);
         first.fail(9);
         first.setTimer(1_700_000, "tick \u00e4");
-        writer.of(4).startHealthCheck(102);
-        writer.watch(4);
-        writer.broken(5, "java.lang.IllegalStateException: of\nits own");
-        writer.finished(12);
-        writer.of(4).fail(-1);
-        writer.finished(13);
+        writer.actionsOf(4).startHealthCheck(102);
+        writer.writeWatch(4);
+        RuntimeException fault = new IllegalStateException("of\nits own");
+        // The place in the source would change with every edit.
+        fault.setStackTrace(new StackTraceElement[0]);
+        writer.writeFault(5, fault);
+        writer.finishBatch(12);
+        writer.actionsOf(4).fail(-1);
+        writer.finishBatch(13);
         GoldenText.check("wire-actions.txt", out.toString(StandardCharsets.UTF_8));
     }
 
