--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
@@ -0,0 +1,89 @@
+package brackenbridge.fleet.agreed;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import brackenbridge.fleet.GoldenFiles;
+import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.concurrent.locks.LockSupport;
+import java.util.function.Supplier;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * What operators read of the agreement, against the golden files: the answers of the command {@code settings} and the
+ * names of the metrics. In the status what depends on the moment is masked.
+ */
+@Timeout(60)
+class OperatorFormsTest {
+    private static final int WITHIN_MS = 5000;
+    private static final long POLL_INTERVAL_NANOS = 5_000_000;
+    private static final int MAX_POLLS = 2000;
+
+    @TempDir
+    private Path directory;
+
+    private static void check(String name, String text) throws IOException {
+        GoldenFiles.check("agreed/" + name, text, String::getBytes, String::new);
+    }
+
+    /** The identity of a voter's disk is random, and numbers depend on the moment. */
+    private static String maskStatus(String status) {
+        return status.replaceAll("@[0-9a-f]{24}", "@ID").replaceAll("\\b[0-9]+\\b", "N");
+    }
+
+    private static String shown(SettingsAdminHandler.Reply reply) {
+        return (reply.done() ? "done: " : "not done: ") + reply.text() + "\n";
+    }
+
+    /** Asks until the answer is a good one: a member that has just started has no leader yet. */
+    private static SettingsAdminHandler.Reply untilDone(Supplier<SettingsAdminHandler.Reply> question) {
+        SettingsAdminHandler.Reply reply = question.get();
+        for (int i = 0; i < MAX_POLLS && !reply.done(); i++) {
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
+            reply = question.get();
+        }
+        assertTrue(reply.done(), reply.text());
+        return reply;
+    }
+
+    @Test
+    void answersOfTheSettingsCommand() throws IOException {
+        try (Members members = new Members(1, directory, 1)) {
+            SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m0"), WITHIN_MS);
+            String name = AgreedValues.SETTINGS;
+            untilDone(calls::status);
+            StringBuilder answers = new StringBuilder();
+            answers.append(shown(calls.show(name)));
+            answers.append(shown(calls.history(name)));
+            answers.append(shown(calls.propose(name, "first\nsame\n", 0)));
+            answers.append(shown(calls.propose(name, "late\n", 0)));
+            answers.append(shown(calls.propose(name, "bad at m0\n", -1)));
+            answers.append(shown(calls.propose(name, "second\nsame\n", -1)));
+            answers.append(shown(untilDone(() -> calls.show(name))));
+            answers.append(shown(calls.history(name)));
+            answers.append(shown(calls.diff(name, 1, 2)));
+            answers.append(shown(calls.diff(name, 1, 99)));
+            answers.append(shown(calls.withdraw(name, 99)));
+            answers.append(maskStatus(shown(untilDone(calls::status))));
+            answers.append(shown(calls.propose(name, "x".repeat(AgreedState.MAX_CONTENT + 1), -1)));
+            check("settings-answers", answers.toString());
+        }
+    }
+
+    @Test
+    void namesOfTheMetrics() throws IOException {
+        try (Members members = new Members(1, directory, 1)) {
+            SimpleMeterRegistry metrics = new SimpleMeterRegistry();
+            members.node("m0").bind(metrics);
+            String names = metrics.getMeters().stream()
+                    .map(meter -> meter.getId().getName() + " " + meter.getId().getTags() + "\n")
+                    .sorted()
+                    .collect(Collectors.joining());
+            check("metrics", names);
+        }
+    }
+}
