--- a/node/src/main/java/brackenbridge/mgmt/AdminOperations.java
+++ b/node/src/main/java/brackenbridge/mgmt/AdminOperations.java
@@ -3,17 +3,17 @@
 import brackenbridge.counters.RejectionReason;
 import java.util.concurrent.CompletableFuture;
 
-/** What staff may ask of a running node; called on the management listener's own thread. */
+/** The operations of a running node for its operators; called on the management listener's own thread. */
 public interface AdminOperations {
-    /** Whether this process accepts clients; as published last. */
+    /** Whether this process accepts clients, as published last. */
     boolean acceptsClients();
 
-    /** The figures, one a line; as published last. */
+    /** The metrics as published last, one a line. */
     String metricsText();
 
-    /** Empties the node, or lets it work again; completes once the node has taken it, with whether it goes by it. */
+    /** Begins or ends a drain; completes once the node has handled the call, false if it is stopping. */
     CompletableFuture<Boolean> drain(boolean on);
 
-    /** A call was turned down, or its connection closed. */
+    /** A call was rejected, or its connection closed for this reason. */
     void onRejectedCall(RejectionReason why);
 }
--- a/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
@@ -24,33 +24,42 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The second listener: one line in, one answer out, on an event loop that no client's work stands on. */
+/**
+ * The listener for operators' calls: one line in, one answer out. It has an event loop of its own, so that the load of
+ * clients does not delay a call.
+ */
 public final class ManagementListener {
-    /** Connections at once; the one that has waited longest goes when another comes. */
-    private static final int CONNECTIONS = 16;
-    /** Descriptors set aside for it: its connections, one that has just come, the listening socket and its loop's. */
-    public static final int DESCRIPTORS = CONNECTIONS + 6;
-
-    private static final int LONGEST_CALL = 256;
-    /** A call must be whole within so long. */
-    private static final long SILENCE_MS = 2000;
-    /** And its answer taken within so long. */
-    private static final long ANSWER_MS = 2000;
-
-    private final AdminOperations staff;
+    /** When one more comes, the connection that has been open longest is closed. */
+    private static final int MAX_CONNECTIONS = 16;
+    /** A connection that has just come, the listening socket and the event loop's own descriptors. */
+    private static final int OTHER_DESCRIPTORS = 6;
+
+    /** Descriptors that are reserved for this listener. */
+    public static final int DESCRIPTORS = MAX_CONNECTIONS + OTHER_DESCRIPTORS;
+
+    private static final int ACCEPT_BACKLOG = 256;
+    private static final int MAX_CALL_BYTES = 256;
+    /** From the start of the connection until the call is complete. */
+    private static final long CALL_TIMEOUT_MS = 2000;
+    /** From the answer's writing until its caller has taken it. */
+    private static final long ANSWER_TIMEOUT_MS = 2000;
+
+    private static final int DELETE_CHARACTER = 0x7f;
+
+    private final AdminOperations operations;
     private final Log log;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("management", true), NioIoHandler.newFactory());
-    private final Set<Channel> callers = new LinkedHashSet<>();
+    private final Set<Channel> connections = new LinkedHashSet<>();
     private Channel server;
 
-    /** Ready to listen; nothing happens before that. */
-    public ManagementListener(AdminOperations staff, Log log) {
-        this.staff = staff;
+    /** A listener that does not listen yet. */
+    public ManagementListener(AdminOperations operations, Log log) {
+        this.operations = operations;
         this.log = log;
     }
 
-    /** Listens at this address; fails if it can't. */
+    /** Listens at this address; throws what a failed bind throws. */
     public void listen(InetSocketAddress address) {
         if (address == null) {
             throw new IllegalArgumentException("mgmt: not a literal address");
@@ -59,63 +68,65 @@
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .handler(new AcceptRecovery(log::warn))
-                .option(ChannelOption.SO_BACKLOG, 256)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST_CALL))
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_CALL_BYTES))
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new Caller());
+                        ch.pipeline().addLast(new CallHandler());
                     }
                 })
                 .bind(address)
                 .syncUninterruptibly()
                 .channel();
-        log.info("staff call at " + server.localAddress());
+        log.info("operators' calls are served at " + server.localAddress());
     }
 
-    /** Where it listens. */
+    /** The address that it listens at. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.localAddress();
     }
 
-    /** Ends at once. */
+    /** Stops listening and closes all connections. */
     public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** One connection, for one call. */
-    private final class Caller extends ChannelInboundHandlerAdapter {
+    /** A connection, which carries one call. */
+    private final class CallHandler extends ChannelInboundHandlerAdapter {
         private final StringBuilder line = new StringBuilder();
-        private boolean called;
+        private boolean callComplete;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            callers.add(ctx.channel());
-            if (callers.size() > CONNECTIONS) {
-                // Guards good callers against those that say nothing: the longest silent makes room.
-                Channel longest = callers.iterator().next();
-                callers.remove(longest);
-                longest.close();
-                staff.onRejectedCall(RejectionReason.SHED);
+            connections.add(ctx.channel());
+            if (connections.size() > MAX_CONNECTIONS) {
+                closeOldestConnection();
+            }
+            ctx.executor().schedule(() -> closeIncomplete(ctx), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        }
+
+        /** Guards good callers against those that send nothing. */
+        private void closeOldestConnection() {
+            Channel oldest = connections.iterator().next();
+            connections.remove(oldest);
+            oldest.close();
+            operations.onRejectedCall(RejectionReason.SHED);
+        }
+
+        private void closeIncomplete(ChannelHandlerContext ctx) {
+            if (!callComplete && connections.remove(ctx.channel())) {
+                ctx.close();
+                operations.onRejectedCall(RejectionReason.TOO_SLOW);
             }
-            ctx.executor()
-                    .schedule(
-                            () -> {
-                                if (!called && callers.remove(ctx.channel())) {
-                                    ctx.close();
-                                    staff.onRejectedCall(RejectionReason.TOO_SLOW);
-                                }
-                            },
-                            SILENCE_MS,
-                            TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (callers.remove(ctx.channel()) && !called && !line.isEmpty()) {
-                staff.onRejectedCall(RejectionReason.TRUNCATED);
+            if (connections.remove(ctx.channel()) && !callComplete && !line.isEmpty()) {
+                operations.onRejectedCall(RejectionReason.TRUNCATED);
             }
         }
 
@@ -123,48 +134,56 @@
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             ByteBuf in = (ByteBuf) msg;
             try {
-                while (!called && in.isReadable()) {
-                    int b = in.readUnsignedByte();
-                    if (b == '\n') {
-                        called = true;
-                        call(ctx, line.toString());
-                    } else if (b >= 0x7f || b < ' ' && b != '\r') {
-                        called = true;
-                        refuse(ctx, RejectionReason.MALFORMED, "not a call");
-                    } else if (line.length() == LONGEST_CALL) {
-                        called = true;
-                        refuse(ctx, RejectionReason.OVERSIZED, "not a call");
-                    } else {
-                        line.append((char) b);
-                    }
+                while (!callComplete && in.isReadable()) {
+                    readCharacter(ctx, in.readUnsignedByte());
                 }
             } finally {
                 in.release();
             }
         }
 
-        private void call(ChannelHandlerContext ctx, String text) {
+        private void readCharacter(ChannelHandlerContext ctx, int character) {
+            if (character == '\n') {
+                callComplete = true;
+                execute(ctx, line.toString());
+            } else if (character >= DELETE_CHARACTER || character < ' ' && character != '\r') {
+                callComplete = true;
+                reject(ctx, RejectionReason.MALFORMED, "not a call");
+            } else if (line.length() == MAX_CALL_BYTES) {
+                callComplete = true;
+                reject(ctx, RejectionReason.OVERSIZED, "not a call");
+            } else {
+                line.append((char) character);
+            }
+        }
+
+        private void execute(ChannelHandlerContext ctx, String text) {
             String name = text.endsWith("\r") ? text.substring(0, text.length() - 1) : text;
             switch (name) {
-                case "PING" -> answer(ctx, staff.acceptsClients() ? "+OK\n" : "-ERR takes no clients\n");
-                case "INFO" -> answer(ctx, "+OK\n" + staff.metricsText() + ".\n");
-                case "LAMEDUCK", "REJOIN" ->
-                    staff.drain(name.equals("LAMEDUCK"))
-                            .thenAccept(taken -> ctx.executor()
-                                    .execute(() -> answer(ctx, taken ? "+OK\n" : "-ERR the node is stopping\n")));
-                default -> refuse(ctx, RejectionReason.UNKNOWN, "unknown call");
+                case "PING" -> answer(ctx, operations.acceptsClients() ? "+OK\n" : "-ERR takes no clients\n");
+                case "INFO" -> answer(ctx, "+OK\n" + operations.metricsText() + ".\n");
+                case "LAMEDUCK" -> setDraining(ctx, true);
+                case "REJOIN" -> setDraining(ctx, false);
+                default -> reject(ctx, RejectionReason.UNKNOWN, "unknown call");
             }
         }
 
-        private void refuse(ChannelHandlerContext ctx, RejectionReason why, String text) {
-            staff.onRejectedCall(why);
+        private void setDraining(ChannelHandlerContext ctx, boolean draining) {
+            operations
+                    .drain(draining)
+                    .thenAccept(accepted -> ctx.executor()
+                            .execute(() -> answer(ctx, accepted ? "+OK\n" : "-ERR the node is stopping\n")));
+        }
+
+        private void reject(ChannelHandlerContext ctx, RejectionReason reason, String text) {
+            operations.onRejectedCall(reason);
             answer(ctx, "-ERR " + text + "\n");
         }
 
         private void answer(ChannelHandlerContext ctx, String text) {
             ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII))
                     .addListener(ChannelFutureListener.CLOSE);
-            ctx.executor().schedule(() -> ctx.close(), ANSWER_MS, TimeUnit.MILLISECONDS);
+            ctx.executor().schedule(() -> ctx.close(), ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/node/src/main/java/brackenbridge/mgmt/package-info.java
+++ b/node/src/main/java/brackenbridge/mgmt/package-info.java
@@ -1,2 +1,2 @@
-/** The second address: staff's calls to a running node, away from its clients' work. */
+/** The management address: operators' calls to a running node, apart from its clients' requests. */
 package brackenbridge.mgmt;
--- a/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
+++ b/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Staff's calls, good and bad. */
+/** Operators' calls, good and bad. */
 class ManagementListenerTest {
     private final List<Boolean> drains = new ArrayList<>();
     private final List<RejectionReason> refused = Collections.synchronizedList(new ArrayList<>());
