--- a/node/src/main/java/brackenbridge/handover/HandoverState.java
+++ b/node/src/main/java/brackenbridge/handover/HandoverState.java
@@ -7,13 +7,14 @@
 import com.eclipsesource.json.JsonObject;
 
 /**
- * What a process gives its successor.
+ * The state that a process gives its successor.
  *
  * @param sockets the successor's part of the descriptors
- * @param endpoints the target group with its version
+ * @param endpoints the endpoint list with its version
  */
 public record HandoverState(int sockets, EndpointList endpoints) {
 
+    /** The state as the text of a line. */
     String json() {
         return Json.object()
                 .add("sockets", sockets)
@@ -21,7 +22,7 @@
                 .toString();
     }
 
-    /** Reads an offer; what can't be read is an IllegalArgumentException. */
+    /** Reads a state from the text of a line; throws IllegalArgumentException if it can't be read. */
     static HandoverState parse(String text) {
         try {
             JsonObject json = StrictJson.parse(text).asObject();
--- a/node/src/main/java/brackenbridge/handover/LineProtocolHandler.java
+++ b/node/src/main/java/brackenbridge/handover/LineProtocolHandler.java
@@ -9,21 +9,23 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a handover's connection: lines in and out, bounded. */
+/** One end of a handover's connection: writes lines and reads lines of bounded length. */
 abstract class LineProtocolHandler extends ChannelInboundHandlerAdapter {
-    private static final int LONGEST = 1 << 20;
+    private static final int MAX_LINE_BYTES = 1 << 20;
+
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-    /** A line has come. */
-    abstract void line(Channel channel, String text);
+    /** A line has been received. */
+    abstract void onLine(Channel channel, String text);
 
-    /** What came can't be used, and the connection ends. */
-    abstract void refused(RejectionReason why);
+    /** The input can't be used, and the connection is closed. */
+    abstract void onRejected(RejectionReason reason);
 
-    /** The connection has ended. */
-    abstract void ended(Channel channel);
+    /** The connection is closed. */
+    abstract void onClosed(Channel channel);
 
-    static void say(Channel channel, String text) {
+    /** Writes a line and flushes it. */
+    static void writeLine(Channel channel, String text) {
         channel.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8));
     }
 
@@ -32,15 +34,15 @@
         ByteBuf in = (ByteBuf) msg;
         try {
             while (in.isReadable() && ctx.channel().isActive()) {
-                byte b = in.readByte();
-                if (b == '\n') {
+                byte next = in.readByte();
+                if (next == '\n') {
                     String text = line.toString(StandardCharsets.UTF_8);
                     line.reset();
-                    line(ctx.channel(), text);
-                } else if (line.size() < LONGEST) {
-                    line.write(b);
+                    onLine(ctx.channel(), text);
+                } else if (line.size() < MAX_LINE_BYTES) {
+                    line.write(next);
                 } else {
-                    refused(RejectionReason.OVERSIZED);
+                    onRejected(RejectionReason.OVERSIZED);
                     line.reset();
                     ctx.close();
                 }
@@ -53,9 +55,9 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (line.size() > 0) {
-            refused(RejectionReason.TRUNCATED);
+            onRejected(RejectionReason.TRUNCATED);
         }
-        ended(ctx.channel());
+        onClosed(ctx.channel());
     }
 
     @Override
--- /dev/null
+++ b/node/src/main/java/brackenbridge/handover/SuccessorListener.java
@@ -0,0 +1,156 @@
+package brackenbridge.handover;
+
+import brackenbridge.counters.Counters;
+import brackenbridge.counters.RejectionReason;
+import brackenbridge.log.Log;
+import brackenbridge.transport.AcceptRecovery;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.EventLoop;
+import io.netty.channel.socket.nio.NioServerDomainSocketChannel;
+import java.io.IOException;
+import java.net.UnixDomainSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.concurrent.TimeUnit;
+
+/** This process as the predecessor: it listens for a successor and hands over to it. On the event loop only. */
+final class SuccessorListener {
+    private final EventLoop loop;
+    private final Path path;
+    private final Handover.Process process;
+    private final Log log;
+    private final RejectionReporter rejections;
+    /** Null while this process does not listen. */
+    private Channel server;
+    /** Null while there is no successor. */
+    private Channel successor;
+
+    private boolean closed;
+
+    SuccessorListener(EventLoop loop, Path path, Handover.Process process, Counters counters, Log log) {
+        this.loop = loop;
+        this.path = path;
+        this.process = process;
+        this.log = log;
+        rejections = new RejectionReporter(counters, log, "connection of a new process");
+    }
+
+    /** Listens for a successor; without it a replacement happens without notice to this process. */
+    void listen() {
+        try {
+            // A file that is there belongs to a process that was killed, or to nobody.
+            Files.deleteIfExists(path);
+        } catch (IOException e) {
+            log.warn("no new process can announce itself: " + e);
+            return;
+        }
+        new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerDomainSocketChannel.class)
+                .handler(new AcceptRecovery(log::warn))
+                .childHandler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new LineHandler());
+                    }
+                })
+                .bind(UnixDomainSocketAddress.of(path))
+                .addListener((ChannelFutureListener) bound -> {
+                    if (bound.isSuccess()) {
+                        server = bound.channel();
+                    } else {
+                        // Not on the event loop where the socket could not be opened; only the log is touched.
+                        log.warn("no new process can announce itself: " + bound.cause());
+                    }
+                });
+    }
+
+    /** Stops listening; a successor that is connected keeps its connection. */
+    void close() {
+        closed = true;
+        leavePath();
+    }
+
+    private void leavePath() {
+        if (server != null) {
+            server.close();
+            server = null;
+        }
+    }
+
+    private final class LineHandler extends LineProtocolHandler {
+        private boolean ready;
+
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
+            loop.schedule(
+                    () -> requireGreeting(ctx.channel()), HandoverProtocol.STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        }
+
+        private void requireGreeting(Channel channel) {
+            if (successor != channel && channel.isActive()) {
+                onRejected(RejectionReason.TOO_SLOW);
+                channel.close();
+            }
+        }
+
+        /** Guards half of the descriptors, and the place of a good successor, against one that stops in its start. */
+        private void requireReady(Channel channel) {
+            if (!ready && channel.isActive()) {
+                onRejected(RejectionReason.TOO_SLOW);
+                channel.close();
+            }
+        }
+
+        @Override
+        void onLine(Channel channel, String text) {
+            boolean greets = text.equals(HandoverProtocol.SUCCESSOR_GREETING);
+            boolean reportsReady = text.equals(HandoverProtocol.READY);
+            if (greets && successor == null) {
+                sendState(channel);
+            } else if (reportsReady && successor == channel) {
+                handOver(channel);
+            } else {
+                onRejected(greets || reportsReady ? RejectionReason.OUT_OF_TURN : RejectionReason.MALFORMED);
+                channel.close();
+            }
+        }
+
+        private void sendState(Channel channel) {
+            successor = channel;
+            log.info("a new process has connected");
+            writeLine(channel, HandoverProtocol.GREETING + process.offer().json());
+            loop.schedule(() -> requireReady(channel), HandoverProtocol.START_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        }
+
+        private void handOver(Channel channel) {
+            ready = true;
+            // The path is left before the successor takes it: closing later would remove the successor's.
+            leavePath();
+            process.successorServes(true);
+            log.info("the new process serves");
+            writeLine(channel, HandoverProtocol.GO);
+        }
+
+        @Override
+        void onRejected(RejectionReason reason) {
+            rejections.report(reason);
+        }
+
+        @Override
+        void onClosed(Channel channel) {
+            if (successor == channel && !closed) {
+                successor = null;
+                log.warn("the new process has ended");
+                process.successorServes(false);
+                if (server == null) {
+                    listen();
+                }
+            }
+        }
+    }
+}
--- a/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
+++ b/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
@@ -112,7 +112,7 @@
         Running first = start();
         Running dies = start();
         dies.process().destroyForcibly().waitFor();
-        await(() -> Files.readString(directory.resolve("log0")).contains("the successor has ended"));
+        await(() -> Files.readString(directory.resolve("log0")).contains("the new process has ended"));
         assertEquals("+OK\n", first.call("PING"));
         Thread storm = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
--- a/node/src/test/java/brackenbridge/net/BadInputTest.java
+++ b/node/src/test/java/brackenbridge/net/BadInputTest.java
@@ -267,8 +267,8 @@
         }
         awaitCounter("refused_handovers_" + reason + " 1");
         // The log's own thread writes it.
-        await(() -> logged("refused: ") > 0, "it is logged");
-        assertEquals(1, logged("refused: " + reason), log.toString(StandardCharsets.UTF_8));
+        await(() -> logged("rejected: ") > 0, "it is logged");
+        assertEquals(1, logged("rejected: " + reason), log.toString(StandardCharsets.UTF_8));
         nobodyElseIsDisturbed();
     }
 
@@ -289,8 +289,8 @@
         String why = assertThrows(IllegalArgumentException.class, next::start).getMessage();
         assertTrue(why.startsWith("mgmt " + taken), why);
         next.kill();
-        await(() -> logged("the successor has ended") > 0, "the old process notices");
-        assertEquals(0, logged("the successor serves"), "no client could have reached it");
+        await(() -> logged("the new process has ended") > 0, "the old process notices");
+        assertEquals(0, logged("the new process serves"), "no client could have reached it");
         nobodyElseIsDisturbed();
     }
 
