--- a/node/src/main/java/brackenbridge/log/Log.java
+++ b/node/src/main/java/brackenbridge/log/Log.java
@@ -7,31 +7,37 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A small logger: one line an entry, so many lines a second at most. What is over is counted and told in the
- * next second. A thread of its own writes, so that a slow reader of the log never holds up the event loop.
+ * A logger that writes one line for each entry and limits the lines of a second. Entries above the limit are dropped
+ * and counted; the count is logged in the next second. A thread of its own writes, so that a slow reader of the log
+ * does not block the event loop.
  */
 public final class Log {
-    private static final int LINES_A_SECOND = 40;
-    private static final int LONGEST = 500;
+    private static final int MAX_LINES_PER_SECOND = 40;
+    private static final int MAX_ENTRY_CHARACTERS = 500;
+    private static final int QUEUE_CAPACITY = 256;
+    private static final double WINDOW_MS = 1000;
+    private static final double MS_PER_SECOND = 1000;
+    private static final int MAX_FLUSH_CHECKS = 100;
+    private static final long FLUSH_CHECK_INTERVAL_MS = 2;
 
     private final Clock clock;
-    private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(256);
+    private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     /** Entries that are not yet on the stream, the one that is being written included. */
     private final AtomicInteger unwritten = new AtomicInteger();
 
-    private double second;
-    private int written;
-    private int dropped;
+    private double windowStartMs;
+    private int linesInWindow;
+    private int droppedLines;
 
-    /** Writes to this stream. */
+    /** A log that writes to this stream from now on. */
     public Log(Clock clock, PrintStream out) {
         this.clock = clock;
-        Thread writer = new Thread(() -> write(out), "log");
+        Thread writer = new Thread(() -> writeLines(out), "log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    private void write(PrintStream out) {
+    private void writeLines(PrintStream out) {
         try {
             while (true) {
                 out.println(lines.take());
@@ -42,39 +48,39 @@
         }
     }
 
-    /** Something that an operator wants to know. */
+    /** Logs an event for operators. */
     public void info(String text) {
-        entry("info", text);
+        log("info", text);
     }
 
-    /** Something that went wrong outside the node. */
+    /** Logs a fault outside the node. */
     public void warn(String text) {
-        entry("warn", text);
+        log("warn", text);
     }
 
-    /** Something that went wrong inside the node. */
+    /** Logs a fault inside the node, with the place where it was thrown. */
     public void error(String text, Throwable cause) {
         StackTraceElement[] trace = cause.getStackTrace();
-        entry("error", text + ": " + cause + (trace.length == 0 ? "" : " at " + trace[0]));
+        log("error", text + ": " + cause + (trace.length == 0 ? "" : " at " + trace[0]));
     }
 
-    private synchronized void entry(String level, String text) {
-        double now = clock.nowMs();
-        if (now - second >= 1000) {
-            second = now;
-            written = 0;
-            if (dropped > 0 && offer(line(now, "warn", dropped + " log lines dropped"))) {
-                dropped = 0;
+    private synchronized void log(String level, String text) {
+        double nowMs = clock.nowMs();
+        if (nowMs - windowStartMs >= WINDOW_MS) {
+            windowStartMs = nowMs;
+            linesInWindow = 0;
+            if (droppedLines > 0 && enqueue(format(nowMs, "warn", droppedLines + " log lines dropped"))) {
+                droppedLines = 0;
             }
         }
-        if (written >= LINES_A_SECOND || !offer(line(now, level, text))) {
-            dropped++;
+        if (linesInWindow >= MAX_LINES_PER_SECOND || !enqueue(format(nowMs, level, text))) {
+            droppedLines++;
             return;
         }
-        written++;
+        linesInWindow++;
     }
 
-    private boolean offer(String line) {
+    private boolean enqueue(String line) {
         unwritten.incrementAndGet();
         if (lines.offer(line)) {
             return true;
@@ -83,20 +89,20 @@
         return false;
     }
 
-    private static String line(double now, String level, String text) {
+    private static String format(double nowMs, String level, String text) {
         String clean = text.replaceAll("\\p{Cntrl}", " ");
         return String.format(
                 Locale.ROOT,
                 "%.3f %s %s",
-                now / 1000,
+                nowMs / MS_PER_SECOND,
                 level,
-                clean.length() > LONGEST ? clean.substring(0, LONGEST) + "..." : clean);
+                clean.length() > MAX_ENTRY_CHARACTERS ? clean.substring(0, MAX_ENTRY_CHARACTERS) + "..." : clean);
     }
 
-    /** Waits, for a moment at most, until all entries so far are written; for the end of the process. */
+    /** Waits a short time at most until all entries so far are written; for the end of the process. */
     public void flush() throws InterruptedException {
-        for (int i = 0; i < 100 && unwritten.get() > 0; i++) {
-            Thread.sleep(2);
+        for (int i = 0; i < MAX_FLUSH_CHECKS && unwritten.get() > 0; i++) {
+            Thread.sleep(FLUSH_CHECK_INTERVAL_MS);
         }
     }
 }
