--- a/lab/src/test/java/brackenbridge/lab/architecture/KnownRedTestsTest.java
+++ b/lab/src/test/java/brackenbridge/lab/architecture/KnownRedTestsTest.java
@@ -59,10 +59,7 @@
         Run run = run();
         assertEquals(0, run.exitCode());
         assertEquals(
-                List.of(
-                        "-B",
-                        "verify",
-                        ALL_CLASSES + ",!brackenbridge/a/ATest#first,!brackenbridge/b/BTest#second"),
+                List.of("-B", "verify", ALL_CLASSES + ",!brackenbridge/a/ATest#first,!brackenbridge/b/BTest#second"),
                 run.mavenArguments());
         assertEquals(List.of("known red, not run: " + first, "known red, not run: " + second), run.output());
     }
--- a/lab/src/test/java/brackenbridge/lab/architecture/SourceTree.java
+++ b/lab/src/test/java/brackenbridge/lab/architecture/SourceTree.java
@@ -19,7 +19,8 @@
     /** All Java files, of main and test sources of all modules. */
     static List<Path> javaFiles() {
         return MODULES.stream()
-                .flatMap(module -> Stream.of("main", "test").map(kind -> ROOT.resolve(module + "/src/" + kind + "/java")))
+                .flatMap(module ->
+                        Stream.of("main", "test").map(kind -> ROOT.resolve(module + "/src/" + kind + "/java")))
                 .filter(Files::isDirectory)
                 .flatMap(directory -> filesUnder(directory, ".java"))
                 .sorted()
