--- a/lab/src/test/java/brackenbridge/lab/architecture/KnownRedTestsTest.java
+++ b/lab/src/test/java/brackenbridge/lab/architecture/KnownRedTestsTest.java
@@ -28,7 +28,8 @@
         write(".ci/run", SourceTree.read(SourceTree.ROOT.resolve(".ci/run")));
         executable(write("bin/mvn", "#!/bin/sh\nprintf '%s\\n' \"$@\" >\"$(dirname \"$0\")/../arguments.txt\"\n"));
         String source = "class ATest {\n    @Test\n    void first() {}\n\n    @Property\n    boolean second(int a) {}\n"
-                + "\n    private void helper() {}\n\n    @Test\n    void third() {}\n\n    @Test\n    void fourth() {}\n}\n";
+                + "\n    private void helper() {}\n\n    @Test\n    void third() {}\n"
+                + "\n    @Test\n    void fourth() {}\n}\n";
         write("core/src/test/java/brackenbridge/a/ATest.java", source);
         write("node/src/test/java/brackenbridge/b/BTest.java", source.replace("ATest", "BTest"));
         write("fleet/src/test/java/brackenbridge/c/BTest.java", source.replace("ATest", "BTest"));
