--- a/core/src/main/java/brackenbridge/core/EndpointDiscovery.java
+++ b/core/src/main/java/brackenbridge/core/EndpointDiscovery.java
@@ -89,7 +89,7 @@
     }
 
     void onTimer(ReducerContext context, TimerKey.DiscoveryTimer timer) {
-        runCommands(context, watch.wake(context.nowMs(), timer.turn()));
+        runCommands(context, watch.onTimer(context.nowMs(), timer.turn()));
     }
 
     /** How long discovery has been silent, in milliseconds. */
--- a/core/src/main/java/brackenbridge/core/EndpointUpdates.java
+++ b/core/src/main/java/brackenbridge/core/EndpointUpdates.java
@@ -13,7 +13,7 @@
     private final EndpointTable endpoints;
     private final OpenRequests requests;
     private final BalancerApi balancer;
-    private ZoneWeights zoneWeights = ZoneWeights.USUAL;
+    private ZoneWeights zoneWeights = ZoneWeights.FULL_WEIGHTS;
 
     EndpointUpdates(EndpointTable endpoints, OpenRequests requests, BalancerApi balancer) {
         this.endpoints = endpoints;
--- a/core/src/main/java/brackenbridge/core/TenantAdmission.java
+++ b/core/src/main/java/brackenbridge/core/TenantAdmission.java
@@ -59,7 +59,7 @@
 
     /** Requests that are already open count against their tenants' quotas too. */
     private void startScheduler(ReducerContext context) {
-        scheduler = new TenantScheduler(TenantScheduler.SchedulerLimits.USUAL);
+        scheduler = new TenantScheduler(TenantScheduler.SchedulerLimits.NODE_LIMITS);
         requests.startTrackingRemovals();
         double nowMs = context.nowMs();
         for (OpenRequest request : requests.all()) {
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
@@ -245,7 +245,7 @@
     }
 
     /** Closes connections that have reached the idle time-out; to be called at regular intervals. */
-    public List<ConnectionCommand> sweep(double nowMs) {
+    public List<ConnectionCommand> closeExpiredIdle(double nowMs) {
         staleConnections.raiseLimit(idleTimeoutMs);
         Iterator<EndpointConnections> groups = endpoints.values().iterator();
         while (groups.hasNext()) {
--- a/core/src/main/java/brackenbridge/core/membership/DiscoveryCommand.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryCommand.java
@@ -8,6 +8,6 @@
     /** Cancel this call, because it was silent or because another replaces it. */
     record EndCall(long call, boolean silent) implements DiscoveryCommand {}
 
-    /** Call {@link DiscoveryWatch#wake} with this timer at this time or soon after, in milliseconds. */
+    /** Call {@link DiscoveryWatch#onTimer} with this timer at this time or soon after, in milliseconds. */
     record Wake(double atMs, long timer) implements DiscoveryCommand {}
 }
--- a/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
@@ -10,7 +10,7 @@
  *
  * <p>Guarantee: once started, the node either has a watch open or has scheduled the next one; after the first call
  * that is at an agent never later than 150 ms, at a service 2.4 s, and at most one call is open at a time. Assumes that
- * {@link #wake} is called as commanded. Times are milliseconds of the one clock.
+ * {@link #onTimer} is called as commanded. Times are milliseconds of the one clock.
  *
  * <p>A watch without a message for {@code silenceMs} ends: discovery sends one every 2 s. At an agent no delay
  * follows: it is silent while the discovery behind it is down, and the node counts as notified of what it has, so the
@@ -149,7 +149,7 @@
     }
 
     /** The time of a {@link DiscoveryCommand.Wake} has come; superseded timers are ignored. */
-    public List<DiscoveryCommand> wake(double nowMs, long timer) {
+    public List<DiscoveryCommand> onTimer(double nowMs, long timer) {
         if (timer != currentTimer) {
             return List.of();
         }
--- a/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
@@ -60,7 +60,7 @@
      */
     public record SchedulerLimits(double maxBurstMs, double maxLoanMs, int maxWaiting, int maxTenants) {
         /** For a node. */
-        public static final SchedulerLimits USUAL = new SchedulerLimits(250, 1000, 4096, 200_000);
+        public static final SchedulerLimits NODE_LIMITS = new SchedulerLimits(250, 1000, 4096, 200_000);
 
         /** Rejects limits that can't be kept. */
         public SchedulerLimits {
--- a/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
+++ b/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
@@ -23,7 +23,7 @@
     }
 
     /** None received: each zone has its usual load. */
-    public static final ZoneWeights USUAL = new ZoneWeights(0, 0, Map.of(), Double.NEGATIVE_INFINITY);
+    public static final ZoneWeights FULL_WEIGHTS = new ZoneWeights(0, 0, Map.of(), Double.NEGATIVE_INFINITY);
 
     /**
      * Whether this value may replace that one: it comes from a later driver, or is not an earlier value of the same
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
@@ -208,7 +208,7 @@
         assertTrue(reusedConnectionBreaks(0));
         assertEquals(100, pool.maxTrustedIdleMs(), 1e-9);
         for (int i = 0; i < 1000; i++) {
-            pool.sweep(i);
+            pool.closeExpiredIdle(i);
         }
         assertEquals(10_000, pool.maxTrustedIdleMs(), 1e-9, "the limit rises again");
     }
@@ -254,8 +254,8 @@
         pool.acquire(0, 9, FIRST_SERVER);
         pool.onConnected(0, 3);
         pool.release(0, 3);
-        assertEquals(List.of(), pool.sweep(9_999));
-        assertEquals(List.of(new ConnectionCommand.Close(3)), pool.sweep(10_000));
+        assertEquals(List.of(), pool.closeExpiredIdle(9_999));
+        assertEquals(List.of(new ConnectionCommand.Close(3)), pool.closeExpiredIdle(10_000));
     }
 
     /** Each waiter ends once, a connection carries one attempt at most, and the counts add up. */
--- a/core/src/test/java/brackenbridge/core/connection/RandomPoolHistory.java
+++ b/core/src/test/java/brackenbridge/core/connection/RandomPoolHistory.java
@@ -54,7 +54,7 @@
             case 0 -> connect(connection);
             case 1 -> waiterByConnection.remove(connection) == null ? List.of() : pool.release(nowMs, connection);
             case 2 -> end(connection);
-            case 3 -> random.nextBoolean() ? pool.sweep(nowMs) : pool.closeOneIdle();
+            case 3 -> random.nextBoolean() ? pool.closeExpiredIdle(nowMs) : pool.closeOneIdle();
             case 4 -> cancelSomeWaiters();
             default -> acquire(step);
         };
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
@@ -53,7 +53,7 @@
             now = Math.max(now, next.atMs());
             DiscoveryCommand.Wake due = next;
             next = null;
-            run(m.wake(now, due.timer()));
+            run(m.onTimer(now, due.timer()));
         }
         now = until;
     }
@@ -88,7 +88,7 @@
         pass(4000);
         int before = opened.size();
         now = next.atMs();
-        run(m.wake(now, next.timer()));
+        run(m.onTimer(now, next.timer()));
         assertEquals(before, opened.size());
         pass(1500);
         assertEquals(before + 1, opened.size());
--- a/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
@@ -167,7 +167,7 @@
                 now = Math.max(now, next.atMs() + late);
                 DiscoveryCommand.Wake due = next;
                 next = null;
-                run(m.wake(now, due.timer()));
+                run(m.onTimer(now, due.timer()));
                 refuse();
                 check();
             }
--- a/core/src/test/java/brackenbridge/core/membership/ReturningService.java
+++ b/core/src/test/java/brackenbridge/core/membership/ReturningService.java
@@ -69,7 +69,7 @@
             long before = call;
             if (answeredAt < 0 && wakeAt <= now) {
                 wakeAt = Double.POSITIVE_INFINITY;
-                run(now, membership.wake(now, turn));
+                run(now, membership.onTimer(now, turn));
             }
             return call != before;
         }
--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -115,14 +115,14 @@
     }
 
     private static Simulation simulate(TenantQuotas quotas) {
-        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.USUAL);
+        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.NODE_LIMITS);
         scheduler.applyQuotas(0, quotas);
         return new Simulation(scheduler);
     }
 
     @Test
     void everyRequestIsAdmittedBeforeQuotasAreReceived() {
-        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.USUAL);
+        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.NODE_LIMITS);
         for (int i = 0; i < 1000; i++) {
             assertEquals(
                     AdmissionVerdict.ADMIT,
@@ -156,7 +156,7 @@
 
     @Test
     void unusedCapacityIsLentByWeightsAndReturned() {
-        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.USUAL);
+        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.NODE_LIMITS);
         scheduler.applyQuotas(
                 0,
                 new TenantQuotas(
@@ -217,7 +217,7 @@
 
     @Test
     void requestThatMissesItsDeadlineIsRejectedAtOnceWithRetryTime() {
-        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.USUAL);
+        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.NODE_LIMITS);
         scheduler.applyQuotas(0, quotasOf(Map.of("a", 1.0), 0));
         assertEquals(
                 AdmissionVerdict.ADMIT,
@@ -243,7 +243,7 @@
 
     @Test
     void guaranteedQuotasApplyAfterExpiry() {
-        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.USUAL);
+        TenantScheduler scheduler = new TenantScheduler(SchedulerLimits.NODE_LIMITS);
         scheduler.applyQuotas(0, new TenantQuotas(5, Map.of("a", 8.0), 0, Map.of(), 1000, Map.of("a", 2.0)));
         for (int i = 0; i < 8; i++) {
             assertEquals(
--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -15,7 +15,7 @@
     private static final int MAX_PATH_LENGTH = 100;
 
     /** The process that hands over or takes over. */
-    public interface Process {
+    public interface Participant {
         /** A successor has connected: the state that it gets. The process gives up that part of its descriptors. */
         HandoverState offer();
 
@@ -30,7 +30,7 @@
     private final SuccessorListener successorListener;
 
     /** A handover that has not begun: neither a connection nor a listener is open. */
-    public Handover(EventLoop loop, Path path, Process process, Counters counters, Log log) {
+    public Handover(EventLoop loop, Path path, Participant process, Counters counters, Log log) {
         predecessorClient = new PredecessorClient(loop, path, process, counters, log);
         successorListener = new SuccessorListener(loop, path, process, counters, log);
     }
@@ -42,12 +42,12 @@
     }
 
     /** Asks for a predecessor; completes with its state, or with null if there is none that can be read. */
-    public CompletableFuture<HandoverState> ask() {
+    public CompletableFuture<HandoverState> requestState() {
         return predecessorClient.requestState();
     }
 
     /** This process listens and can serve; the action runs once the predecessor knows and the path is taken over. */
-    public void ready(Runnable action) {
+    public void announceReady(Runnable action) {
         predecessorClient.announceReady(() -> {
             successorListener.listen();
             action.run();
--- a/node/src/main/java/brackenbridge/handover/PredecessorClient.java
+++ b/node/src/main/java/brackenbridge/handover/PredecessorClient.java
@@ -19,7 +19,7 @@
 final class PredecessorClient {
     private final EventLoop loop;
     private final Path path;
-    private final Handover.Process process;
+    private final Handover.Participant process;
     private final Log log;
     private final RejectionReporter rejections;
     /** Null while there is no connection. */
@@ -29,7 +29,7 @@
     /** What to do once the predecessor has left the path; null before {@link #announceReady} and once it is done. */
     private Runnable takeOver;
 
-    PredecessorClient(EventLoop loop, Path path, Handover.Process process, Counters counters, Log log) {
+    PredecessorClient(EventLoop loop, Path path, Handover.Participant process, Counters counters, Log log) {
         this.loop = loop;
         this.path = path;
         this.process = process;
--- a/node/src/main/java/brackenbridge/handover/SuccessorListener.java
+++ b/node/src/main/java/brackenbridge/handover/SuccessorListener.java
@@ -21,7 +21,7 @@
 final class SuccessorListener {
     private final EventLoop loop;
     private final Path path;
-    private final Handover.Process process;
+    private final Handover.Participant process;
     private final Log log;
     private final RejectionReporter rejections;
     /** Null while this process does not listen. */
@@ -31,7 +31,7 @@
 
     private boolean closed;
 
-    SuccessorListener(EventLoop loop, Path path, Handover.Process process, Counters counters, Log log) {
+    SuccessorListener(EventLoop loop, Path path, Handover.Participant process, Counters counters, Log log) {
         this.loop = loop;
         this.path = path;
         this.process = process;
--- a/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
@@ -35,7 +35,7 @@
     private static final int OTHER_DESCRIPTORS = 6;
 
     /** Descriptors that are reserved for this listener. */
-    public static final int DESCRIPTORS = MAX_CONNECTIONS + OTHER_DESCRIPTORS;
+    public static final int RESERVED_DESCRIPTORS = MAX_CONNECTIONS + OTHER_DESCRIPTORS;
 
     private static final int ACCEPT_BACKLOG = 256;
     private static final int MAX_CALL_BYTES = 256;
--- a/node/src/main/java/brackenbridge/net/EffectRunner.java
+++ b/node/src/main/java/brackenbridge/net/EffectRunner.java
@@ -50,12 +50,12 @@
         on(Effect.SendResponse.class, effect -> listener.respond(effect.requestId(), effect.message()));
         on(
                 Effect.SendLocalReply.class,
-                effect -> listener.fixedResponse(effect.requestId(), effect.reply(), effect.retryAfterMs()));
-        on(Effect.AnnounceClose.class, effect -> listener.sayClose(effect.on()));
+                effect -> listener.respondLocally(effect.requestId(), effect.reply(), effect.retryAfterMs()));
+        on(Effect.AnnounceClose.class, effect -> listener.announceClose(effect.on()));
         on(Effect.StopAccepting.class, effect -> listener.stopAccepting());
-        on(Effect.CloseIdleClients.class, effect -> listener.closeIdle());
-        on(Effect.CloseClientsWhenIdle.class, effect -> listener.keepNone(effect.on()));
-        on(Effect.RejectIncompleteRequests.class, effect -> listener.endUnfinished(REQUEST_TIMEOUT_STATUS));
+        on(Effect.CloseIdleClients.class, effect -> listener.closeIdleConnections());
+        on(Effect.CloseClientsWhenIdle.class, effect -> listener.closeWhenIdle(effect.on()));
+        on(Effect.RejectIncompleteRequests.class, effect -> listener.rejectIncomplete(REQUEST_TIMEOUT_STATUS));
     }
 
     private <E extends Effect> void on(Class<E> type, Consumer<E> handler) {
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -109,7 +109,7 @@
     }
 
     private int descriptorLimit(Config config) {
-        return config.sockets() - (management == null ? 0 : ManagementListener.DESCRIPTORS);
+        return config.sockets() - (management == null ? 0 : ManagementListener.RESERVED_DESCRIPTORS);
     }
 
     private Bootstrap outgoingBootstrap() {
@@ -161,7 +161,7 @@
         acceptor = new ConnectionAcceptor(
                 acceptingBootstrap(), address, clock, socketCalls.accept(), this::makeRoom, log::warn);
         loop.submit(() -> {
-                    listener.opened(acceptor);
+                    listener.setAcceptor(acceptor);
                     replacement.announceReady(status::startServing);
                 })
                 .syncUninterruptibly();
@@ -337,8 +337,8 @@
 
     /** Closes one idle connection: a client's without a request yet, else a server's, else another client's. */
     private void makeRoom() {
-        if (!listener.shed(false) && !upstream.closeOneIdleConnection()) {
-            listener.shed(true);
+        if (!listener.shedOne(false) && !upstream.closeOneIdleConnection()) {
+            listener.shedOne(true);
         }
     }
 }
--- a/node/src/main/java/brackenbridge/net/Replacement.java
+++ b/node/src/main/java/brackenbridge/net/Replacement.java
@@ -13,7 +13,7 @@
 import java.util.function.Supplier;
 
 /** The node's side of a replacement: as successor of the process that serves, and as predecessor of the next one. */
-final class Replacement implements Handover.Process {
+final class Replacement implements Handover.Participant {
     private final EventLoop loop;
     private final DescriptorBudget descriptors;
     private final Supplier<HandoverState> state;
@@ -50,7 +50,7 @@
             return null;
         }
         CompletableFuture<HandoverState> answered = new CompletableFuture<>();
-        loop.execute(() -> handover.ask().thenAccept(answered::complete));
+        loop.execute(() -> handover.requestState().thenAccept(answered::complete));
         HandoverState inherited = answered.join();
         if (inherited != null) {
             log.info("replacing another process: inherited endpoint list version "
@@ -64,7 +64,7 @@
         if (handover == null) {
             onServing.run();
         } else {
-            handover.ready(onServing);
+            handover.announceReady(onServing);
         }
     }
 
--- a/node/src/main/java/brackenbridge/net/Shutdown.java
+++ b/node/src/main/java/brackenbridge/net/Shutdown.java
@@ -37,15 +37,15 @@
     void exit(boolean immediately) {
         if (immediately) {
             // An incomplete request is rejected now: its rest would meet a process that has exited.
-            listener.endUnfinished(SERVICE_UNAVAILABLE_STATUS);
+            listener.rejectIncomplete(SERVICE_UNAVAILABLE_STATUS);
             loop.schedule(this::complete, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
         }
         awaitQuiet();
     }
 
     private void awaitQuiet() {
-        listener.closeIdle();
-        if (listener.quiet()) {
+        listener.closeIdleConnections();
+        if (listener.isQuiet()) {
             complete();
         } else if (!completed.isDone()) {
             loop.schedule(this::awaitQuiet, QUIET_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
--- a/node/src/main/java/brackenbridge/net/client/Listener.java
+++ b/node/src/main/java/brackenbridge/net/client/Listener.java
@@ -74,7 +74,7 @@
     }
 
     /** Sets the acceptor that connections come from: it is paused while no further one fits. */
-    public void opened(ConnectionAcceptor acceptor) {
+    public void setAcceptor(ConnectionAcceptor acceptor) {
         registry.setAcceptor(acceptor);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /** Responds with what the node itself says; after this time, if not zero, the client may try again. */
-    public void fixedResponse(long requestId, LocalReply reply, double retryAfterMs) {
+    public void respondLocally(long requestId, LocalReply reply, double retryAfterMs) {
         ClientConnection connection = openRequests.close(requestId);
         if (connection == null) {
             events.raise(new Event.ResponseFinished(requestId, ResponseEnd.ABANDONED));
@@ -127,17 +127,17 @@
     }
 
     /** Sets whether each response announces the end of its connection. */
-    public void sayClose(boolean on) {
+    public void announceClose(boolean on) {
         closePolicy.setAnnounceClose(on);
     }
 
     /** Sets whether connections that carry nothing are ended, those of the moment and later ones. */
-    public void keepNone(boolean on) {
+    public void closeWhenIdle(boolean on) {
         closePolicy.setCloseWhenIdle(on);
     }
 
     /** Rejects with this status the requests that have begun and are incomplete, and ends their connections. */
-    public void endUnfinished(int status) {
+    public void rejectIncomplete(int status) {
         for (ClientConnection connection : registry.copy()) {
             if (connection.isReadingRequest()) {
                 connection.writer().rejectMalformed(status, "request too slow for a node that drains or stops");
@@ -151,7 +151,7 @@
     }
 
     /** Ends the connections that carry nothing. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         for (ClientConnection connection : registry.copy()) {
             if (connection.isIdle()) {
                 connection.endIfIdle();
@@ -160,7 +160,7 @@
     }
 
     /** Whether no client awaits anything, and those whose connection has been ended had time to see it. */
-    public boolean quiet() {
+    public boolean isQuiet() {
         double now = clock.nowMs();
         return !registry.isEmptyingBacklog()
                 && registry.connections().stream()
@@ -189,7 +189,7 @@
     }
 
     /** Closes the longest idle of the connections that have sent a request, or of those that never have. */
-    public boolean shed(boolean havingSentRequest) {
+    public boolean shedOne(boolean havingSentRequest) {
         return shedding.shedOne(havingSentRequest);
     }
 }
--- a/node/src/main/java/brackenbridge/net/upstream/UpstreamConnections.java
+++ b/node/src/main/java/brackenbridge/net/upstream/UpstreamConnections.java
@@ -121,7 +121,7 @@
             }
         }
         responses.sweepStreaming(now);
-        execute(pool.sweep(now));
+        execute(pool.closeExpiredIdle(now));
     }
 
     /** Closes one idle connection; returns whether there was one. */
--- a/node/src/main/java/brackenbridge/wire/WireInstance.java
+++ b/node/src/main/java/brackenbridge/wire/WireInstance.java
@@ -46,7 +46,7 @@
     /** A timer that the instance has set is due. */
     void onTimer(long nowUs, String token) {
         if (discoveryWatch != null && token.startsWith(DISCOVERY_TIMER_PREFIX)) {
-            execute(discoveryWatch.wake(nowUs / MICROSECONDS_PER_MS, discoveryTimer(token)));
+            execute(discoveryWatch.onTimer(nowUs / MICROSECONDS_PER_MS, discoveryTimer(token)));
         } else {
             decide(target -> target.onTimer(nowUs, token));
         }
--- a/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
@@ -41,7 +41,7 @@
                                     "s-1", "127.0.0.1:7001", "a", 3, 1.5, 1_700_000_000_001.0, EndpointState.UP),
                             new ServerEndpoint("s-2", "127.0.0.1:7002", "b", -1, 1, 0, EndpointState.DRAINING),
                             new ServerEndpoint("s-3", "127.0.0.1:7003", "b", -1, 1, 0, EndpointState.REMOVED))));
-    private static final Handover.Process PROCESS = new Handover.Process() {
+    private static final Handover.Participant PROCESS = new Handover.Participant() {
         @Override
         public HandoverState offer() {
             return OFFER;
@@ -98,7 +98,7 @@
     @Test
     void whatAPredecessorSays() throws Exception {
         Handover handover = handover();
-        loop.submit(() -> handover.ready(() -> {})).get();
+        loop.submit(() -> handover.announceReady(() -> {})).get();
         // The bind was queued on the loop by the call before.
         loop.submit(() -> {}).get();
         try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(path()))) {
@@ -114,13 +114,15 @@
         try (ServerSocketChannel listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             listening.bind(UnixDomainSocketAddress.of(path()));
             Handover handover = handover();
-            CompletableFuture<HandoverState> asked = loop.submit(handover::ask).get();
+            CompletableFuture<HandoverState> asked =
+                    loop.submit(handover::requestState).get();
             try (SocketChannel predecessor = listening.accept()) {
                 String said = hear(predecessor);
                 say(predecessor, "brackenbridge-handover 1 " + OFFER.json() + "\n");
                 assertEquals(OFFER, asked.get(10, TimeUnit.SECONDS));
                 CompletableFuture<Void> serves = new CompletableFuture<>();
-                loop.submit(() -> handover.ready(() -> serves.complete(null))).get();
+                loop.submit(() -> handover.announceReady(() -> serves.complete(null)))
+                        .get();
                 GoldenText.check("handover-successor.txt", said + hear(predecessor));
                 say(predecessor, "go\n");
                 serves.get(10, TimeUnit.SECONDS);
