--- a/node/src/test/java/brackenbridge/net/ReplacementTest.java
+++ b/node/src/test/java/brackenbridge/net/ReplacementTest.java
@@ -11,6 +11,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.PrintStream;
+import java.net.ConnectException;
 import java.net.Socket;
 import java.net.StandardProtocolFamily;
 import java.net.UnixDomainSocketAddress;
@@ -32,6 +33,8 @@
 /** One process's place taken by another, under connects from all sides; and whatever may lie where they meet. */
 class ReplacementTest {
     private static final String LIVE = "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n";
+    /** As often as other awaited events are looked for. */
+    private static final int MAX_CONNECT_TRIES = 5000;
 
     @TempDir
     private Path directory;
@@ -83,6 +86,23 @@
         assertTrue(what.getAsBoolean());
     }
 
+    /**
+     * Connects as a successor. The socket's file appears when the node binds, a moment before it listens: until then
+     * connects are refused.
+     */
+    private SocketChannel connectToMeeting() throws IOException, InterruptedException {
+        for (int i = 1; ; i++) {
+            try {
+                return SocketChannel.open(UnixDomainSocketAddress.of(meeting));
+            } catch (ConnectException e) {
+                if (i == MAX_CONNECT_TRIES) {
+                    throw e;
+                }
+                TimeUnit.MILLISECONDS.sleep(2);
+            }
+        }
+    }
+
     @Test
     void twoReplacementsUnderAStormOfConnectsLoseNoConnection() throws Exception {
         Node old = node(true);
@@ -185,7 +205,7 @@
         Node old = node(true);
         for (String more : List.of("", "ready\n")) {
             await(() -> Files.exists(meeting));
-            try (SocketChannel dying = SocketChannel.open(UnixDomainSocketAddress.of(meeting))) {
+            try (SocketChannel dying = connectToMeeting()) {
                 dying.write(ByteBuffer.wrap(
                         ("brackenbridge-handover 1 successor\n" + more).getBytes(StandardCharsets.US_ASCII)));
                 ByteBuffer offer = ByteBuffer.allocate(4096);
