--- a/node/src/test/java/brackenbridge/net/TimeToldTest.java
+++ b/node/src/test/java/brackenbridge/net/TimeToldTest.java
@@ -111,8 +111,19 @@
         assertTrue(counted.contains(count + "\n"), count + " is not among\n" + counted);
     }
 
+    /** An attempt that the node was slow to dispatch starts to connect later than its request is counted. */
+    private void awaitConnectBegun() throws Exception {
+        int servers = 0;
+        for (int i = 0; i < 2000 && servers == 0; i++) {
+            servers = node.snapshot().get(10, TimeUnit.SECONDS).servers();
+        }
+        assertTrue(servers > 0, "no connection to the server was begun");
+    }
+
     /** While the node rests, the connection that a request waits for comes up: it must have begun to connect before. */
     private void comesUpWhileTheNodeRests() throws Exception {
+        awaitConnectBegun();
+        // The system call is made in a later task than the one that counts the connection.
         settle();
         clock.hold();
         server.accept();
@@ -162,7 +173,7 @@
 
     @Test
     void nodeThatIsHeldUpBehindItsLastReadingStaysWithinTheSlack() throws Exception {
-        clock.holdBehindReadingIn("send");
+        clock.holdBehindReadingIn("UpstreamConnection.send");
         double asked = clock.nowMs();
         ask("POST", "/file", 5000, 1);
         clock.awaitHeld();
@@ -175,7 +186,7 @@
 
     @Test
     void requestWhoseClientGoesWhileTheNodeIsHeldUpBeforeItSendsIsNotSent() throws Exception {
-        clock.holdBehindReadingIn("startAttempt");
+        clock.holdBehindReadingIn("UpstreamConnections.startAttempt");
         ask("POST", "/file", 5000, 1);
         clock.awaitHeld();
         client.close();
