--- a/node/src/main/java/brackenbridge/config/Config.java
+++ b/node/src/main/java/brackenbridge/config/Config.java
@@ -21,16 +21,16 @@
 import java.util.Map;
 
 /**
- * What a node is told at its start.
+ * The configuration of a node.
  *
- * @param name its name
- * @param listen where clients connect, as {@code address:port}
- * @param discovery where discovery is
- * @param management where staff call the node, as {@code address:port}; null if nowhere
- * @param sockets the most file descriptors that it may hold
- * @param settings what the module and the node go by
- * @param configuredEndpoints the target group as it last held it
- * @param schema its keys and the types of their values
+ * @param name the node's name
+ * @param listen the address that accepts clients, as {@code address:port}
+ * @param discovery the address of the discovery service, as {@code address:port}
+ * @param management the address that accepts operators' calls, as {@code address:port}; null for none
+ * @param sockets the most file descriptors that the node may have open
+ * @param settings the settings of the balancer and the node
+ * @param configuredEndpoints the endpoints to start with, until discovery has sent its list
+ * @param schema the keys of the configuration and the types of their values
  */
 public record Config(
         String name,
@@ -42,21 +42,25 @@
         EndpointList configuredEndpoints,
         ConfigSchema schema) {
 
-    /** The longest file: guards the heap against one that was named by mistake. */
-    private static final int LONGEST = 4 << 20;
-    /** A reason may quote a value, and that may be the whole file. */
-    private static final int LONGEST_REASON = 300;
+    /** Guards the heap against a large file that was named by mistake. */
+    private static final int MAX_FILE_BYTES = 4 << 20;
+    /** An error may quote a value, and that value may be nearly as long as the file. */
+    private static final int MAX_ERROR_CHARS = 300;
 
-    /** Reads the configuration file; what can't be used is an IllegalArgumentException of one plain line. */
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MIN_SOCKETS = 64;
+    private static final int MAX_PORT = 65_535;
+
+    /** Reads the configuration file; an unusable one is an IllegalArgumentException with a one-line message. */
     public static Config read(Path file) {
         if (Files.exists(file) && !Files.isRegularFile(file)) {
-            // A pipe would hold its reader up until somebody writes to it, and each later SIGHUP behind that.
+            // Reading a pipe blocks until something is written to it, and would delay each later SIGHUP.
             throw new IllegalArgumentException("not a file: " + file);
         }
         try (InputStream in = Files.newInputStream(file)) {
-            byte[] bytes = in.readNBytes(LONGEST + 1);
-            if (bytes.length > LONGEST) {
-                throw new IllegalArgumentException("over " + LONGEST + " bytes: " + file);
+            byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
+            if (bytes.length > MAX_FILE_BYTES) {
+                throw new IllegalArgumentException("over " + MAX_FILE_BYTES + " bytes: " + file);
             }
             return parse(StandardCharsets.UTF_8
                     .newDecoder()
@@ -71,7 +75,7 @@
         }
     }
 
-    /** Reads the configuration's text. */
+    /** Parses the text of a configuration; errors are those of {@link #read}. */
     public static Config parse(String text) {
         try {
             JsonObject json = StrictJson.parse(text).asObject();
@@ -82,34 +86,45 @@
                     address(json, "listen"),
                     address(json, "discovery"),
                     json.get("mgmt") == null ? null : address(json, "mgmt"),
-                    sockets(json),
-                    new SettingsParser(pairs).parse(seed(json)),
-                    known(json),
+                    parseSockets(json),
+                    new SettingsParser(pairs).parse(parseSeed(json)),
+                    parseEndpoints(json),
                     ConfigSchema.of(json));
         } catch (RuntimeException e) {
-            String why = String.valueOf(e.getMessage()).replaceAll("[\\s\\p{Cntrl}]+", " ");
-            throw new IllegalArgumentException(why.substring(0, Math.min(why.length(), LONGEST_REASON)), e);
+            String reason = String.valueOf(e.getMessage()).replaceAll("[\\s\\p{Cntrl}]+", " ");
+            throw new IllegalArgumentException(reason.substring(0, Math.min(reason.length(), MAX_ERROR_CHARS)), e);
         }
     }
 
-    /** The same with staff's calls at this address; a null changes nothing. */
-    public Config withManagement(String at) {
-        return at == null
+    /** Returns this configuration with another management address; null keeps the present one. */
+    public Config withManagement(String address) {
+        return address == null
                 ? this
                 : new Config(
-                        name, listen, discovery, checked("mgmt", at), sockets, settings, configuredEndpoints, schema);
+                        name,
+                        listen,
+                        discovery,
+                        requireAddress("mgmt", address),
+                        sockets,
+                        settings,
+                        configuredEndpoints,
+                        schema);
     }
 
-    private static int sockets(JsonObject json) {
-        JsonValue v = json.get("limits") == null ? null : object(json, "limits").get("sockets");
-        double sockets = v == null ? 1024 : v.isNumber() ? v.asDouble() : Double.NaN;
-        if (!(sockets >= 64 && sockets <= Integer.MAX_VALUE) || sockets != Math.rint(sockets)) {
-            throw new IllegalArgumentException("limits.sockets: " + v);
+    private static int parseSockets(JsonObject json) {
+        JsonValue value =
+                json.get("limits") == null ? null : object(json, "limits").get("sockets");
+        if (value == null) {
+            return DEFAULT_SOCKETS;
+        }
+        double sockets = value.isNumber() ? value.asDouble() : Double.NaN;
+        if (!(sockets >= MIN_SOCKETS && sockets <= Integer.MAX_VALUE) || sockets != Math.rint(sockets)) {
+            throw new IllegalArgumentException("limits.sockets: " + value);
         }
         return (int) sockets;
     }
 
-    private static long seed(JsonObject json) {
+    private static long parseSeed(JsonObject json) {
         String seed = string(json, "seed", "0");
         try {
             return Long.parseUnsignedLong(seed, 16);
@@ -118,76 +133,76 @@
         }
     }
 
-    private static EndpointList known(JsonObject json) {
-        JsonObject told = object(json, "known");
+    private static EndpointList parseEndpoints(JsonObject json) {
+        JsonObject list = object(json, "known");
         try {
-            EndpointList known = EndpointListParser.fromJson(told);
-            if (!known.unreadableHosts().isEmpty()) {
+            EndpointList endpoints = EndpointListParser.fromJson(list);
+            if (!endpoints.unreadableHosts().isEmpty()) {
                 throw new IllegalArgumentException(
-                        "entry of " + known.unreadableHosts().get(0));
+                        "entry of " + endpoints.unreadableHosts().get(0));
             }
-            return known;
+            return endpoints;
         } catch (RuntimeException e) {
             throw new IllegalArgumentException("known: " + e.getMessage(), e);
         }
     }
 
-    private static String string(JsonObject json, String name, String absent) {
-        JsonValue v = json.get(name);
-        if (v != null && !v.isString()) {
-            throw new IllegalArgumentException(name + " is not a string: " + v);
+    private static String string(JsonObject json, String name, String defaultValue) {
+        JsonValue value = json.get(name);
+        if (value != null && !value.isString()) {
+            throw new IllegalArgumentException(name + " is not a string: " + value);
         }
-        return v == null ? absent : v.asString();
+        return value == null ? defaultValue : value.asString();
     }
 
     private static JsonObject object(JsonObject json, String name) {
-        JsonValue v = json.get(name);
-        if (v == null || !v.isObject()) {
+        JsonValue value = json.get(name);
+        if (value == null || !value.isObject()) {
             throw new IllegalArgumentException("no object " + name);
         }
-        return v.asObject();
+        return value.asObject();
     }
 
     private static String address(JsonObject json, String name) {
-        return checked(name, string(json, name, ""));
+        return requireAddress(name, string(json, name, ""));
     }
 
-    private static String checked(String name, String v) {
-        // Names are not looked up: one that was taken here would be a listener or a discovery that never is.
-        if (!v.matches("[^\\s:]+:[0-9]{1,5}")
-                || !NetUtil.isValidIpV4Address(v.substring(0, v.indexOf(':')))
-                || Integer.parseInt(v.substring(v.indexOf(':') + 1)) > 65535) {
-            throw new IllegalArgumentException(name + " is not an address and port: '" + v + "'");
+    private static String requireAddress(String name, String value) {
+        // Host names are not resolved: accepting one here would give a listener or a discovery that never works.
+        if (!value.matches("[^\\s:]+:[0-9]{1,5}")
+                || !NetUtil.isValidIpV4Address(value.substring(0, value.indexOf(':')))
+                || Integer.parseInt(value.substring(value.indexOf(':') + 1)) > MAX_PORT) {
+            throw new IllegalArgumentException(name + " is not an address and port: '" + value + "'");
         }
-        return v;
+        return value;
     }
 
-    /** Writes nested JSON as the path=value pairs that the simulator's first message holds. */
-    static void flatten(String path, JsonValue v, Map<String, String> pairs) {
-        if (v.isObject()) {
-            for (JsonObject.Member m : v.asObject()) {
-                flatten(path.isEmpty() ? m.getName() : path + "." + m.getName(), m.getValue(), pairs);
+    /** Flattens nested JSON into the {@code path=value} pairs that {@link SettingsParser} parses. */
+    static void flatten(String path, JsonValue value, Map<String, String> pairs) {
+        if (value.isObject()) {
+            for (JsonObject.Member member : value.asObject()) {
+                flatten(path.isEmpty() ? member.getName() : path + "." + member.getName(), member.getValue(), pairs);
             }
-        } else if (v.isArray()) {
-            List<String> plain = new ArrayList<>();
-            int i = 0;
-            for (JsonValue item : v.asArray()) {
+        } else if (value.isArray()) {
+            List<String> scalars = new ArrayList<>();
+            int count = 0;
+            for (JsonValue item : value.asArray()) {
                 if (item.isObject()) {
-                    flatten(path + "." + i, item, pairs);
+                    flatten(path + "." + count, item, pairs);
                 } else {
-                    plain.add(item.isString() ? item.asString() : item.toString());
+                    scalars.add(item.isString() ? item.asString() : item.toString());
                 }
-                i++;
+                count++;
             }
-            put(pairs, path + ".count", Integer.toString(i));
-            put(pairs, path, String.join(",", plain));
-        } else if (!v.isNull()) {
-            put(pairs, path, v.isString() ? v.asString() : v.toString());
+            putOnce(pairs, path + ".count", Integer.toString(count));
+            putOnce(pairs, path, String.join(",", scalars));
+        } else if (!value.isNull()) {
+            putOnce(pairs, path, value.isString() ? value.asString() : value.toString());
         }
     }
 
-    /** Guards against keys with dots in them, which could say again, and otherwise, what another place says. */
-    private static void put(Map<String, String> pairs, String path, String value) {
+    /** Guards against a key with dots in it, which could give another value to the path of a nested key. */
+    private static void putOnce(Map<String, String> pairs, String path, String value) {
         if (pairs.put(path, value) != null) {
             throw new IllegalArgumentException("told twice: " + path);
         }
--- a/node/src/main/java/brackenbridge/config/ConfigSchema.java
+++ b/node/src/main/java/brackenbridge/config/ConfigSchema.java
@@ -1,81 +1,100 @@
 package brackenbridge.config;
 
+import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Which keys a configuration has, and values of which type. The running configuration is the pattern for those that
- * come after it: guards against a file that was cut, or from which a key was lost, and still reads as one.
+ * The keys of a configuration and the types of their values. The running configuration is the schema of those that
+ * replace it. Guards against a file that was truncated, or that lost a key, and can still be parsed.
  */
 public final class ConfigSchema {
+    private static final String EMPTY_ARRAY = "empty array";
+    private static final String ARRAY = "array";
+    /** Follows the path of a list in the paths of its entries. */
+    private static final String ENTRY = "[]";
+
     private final Map<String, String> types;
 
     private ConfigSchema(Map<String, String> types) {
         this.types = types;
     }
 
-    /** The shape of this configuration; of the list of hosts, which changes all the time, only that it is there. */
+    /** Returns the schema of a configuration; the entries of its host list, which often change, are left out. */
     static ConfigSchema of(JsonObject json) {
         Map<String, String> types = new TreeMap<>();
-        walk("", json, types);
-        types.keySet().removeIf(path -> path.startsWith("known.hosts[]"));
+        collectTypes("", json, types);
+        types.keySet().removeIf(path -> path.startsWith("known.hosts" + ENTRY));
         return new ConfigSchema(types);
     }
 
-    /** Turns another configuration down that lacks one of these keys or has another type of value there. */
+    /** Rejects a configuration that lacks one of these keys or has a value of another type there. */
     public void requireSameKeysIn(ConfigSchema other) {
         types.forEach((path, type) -> {
-            String there = other.types.get(path);
-            String list = path.lastIndexOf("[]") < 0 ? null : path.substring(0, path.lastIndexOf("[]"));
-            if (there == null && (list == null || !"empty array".equals(other.types.get(list)))) {
+            String otherType = other.types.get(path);
+            if (otherType == null && !other.hasEmptyListAbove(path)) {
                 throw new IllegalArgumentException("no " + path);
             }
-            if (there != null && !plain(there).equals(plain(type))) {
+            if (otherType != null && !ignoringLength(otherType).equals(ignoringLength(type))) {
                 throw new IllegalArgumentException(path + " is no " + type);
             }
         });
     }
 
-    private static String plain(String type) {
-        return type.equals("empty array") ? "array" : type;
+    /** Whether the path is within the entries of a list that is empty here. */
+    private boolean hasEmptyListAbove(String path) {
+        int entry = path.lastIndexOf(ENTRY);
+        return entry >= 0 && EMPTY_ARRAY.equals(types.get(path.substring(0, entry)));
+    }
+
+    private static String ignoringLength(String type) {
+        return type.equals(EMPTY_ARRAY) ? ARRAY : type;
     }
 
-    private static void walk(String path, JsonValue v, Map<String, String> types) {
-        if (v.isNull()) {
+    private static void collectTypes(String path, JsonValue value, Map<String, String> types) {
+        if (value.isNull()) {
             return;
         }
         if (!path.isEmpty()) {
-            types.put(path, type(v));
+            types.put(path, typeOf(value));
         }
-        if (v.isObject()) {
-            for (JsonObject.Member m : v.asObject()) {
-                walk(path.isEmpty() ? m.getName() : path + "." + m.getName(), m.getValue(), types);
+        if (value.isObject()) {
+            for (JsonObject.Member member : value.asObject()) {
+                String memberPath = path.isEmpty() ? member.getName() : path + "." + member.getName();
+                collectTypes(memberPath, member.getValue(), types);
             }
-        } else if (v.isArray()) {
-            Map<String, String> common = null;
-            for (JsonValue item : v.asArray()) {
-                Map<String, String> entry = new TreeMap<>();
-                walk(path + "[]", item, entry);
-                if (common == null) {
-                    common = entry;
-                } else {
-                    // What only some entries have, no entry needs.
-                    common.entrySet().removeIf(e -> !e.getValue().equals(entry.get(e.getKey())));
-                }
-            }
-            if (common != null) {
-                types.putAll(common);
+        } else if (value.isArray()) {
+            types.putAll(commonTypes(path + ENTRY, value.asArray()));
+        }
+    }
+
+    /** The types that all entries have in common: a key that only some entries have is optional. */
+    private static Map<String, String> commonTypes(String path, JsonArray list) {
+        Map<String, String> common = null;
+        for (JsonValue item : list) {
+            Map<String, String> entry = new TreeMap<>();
+            collectTypes(path, item, entry);
+            if (common == null) {
+                common = entry;
+            } else {
+                common.entrySet().removeIf(e -> !e.getValue().equals(entry.get(e.getKey())));
             }
         }
+        return common == null ? Map.of() : common;
     }
 
-    private static String type(JsonValue v) {
-        return v.isObject()
-                ? "object"
-                : v.isArray()
-                        ? v.asArray().isEmpty() ? "empty array" : "array"
-                        : v.isNumber() ? "number" : v.isString() ? "string" : "boolean";
+    private static String typeOf(JsonValue value) {
+        if (value.isObject()) {
+            return "object";
+        }
+        if (value.isArray()) {
+            return value.asArray().isEmpty() ? EMPTY_ARRAY : ARRAY;
+        }
+        if (value.isNumber()) {
+            return "number";
+        }
+        return value.isString() ? "string" : "boolean";
     }
 }
--- a/node/src/main/java/brackenbridge/config/SettingsParser.java
+++ b/node/src/main/java/brackenbridge/config/SettingsParser.java
@@ -12,131 +12,154 @@
 import java.util.function.Function;
 
 /**
- * Turns the path=value pairs of an instance's first message into settings; unknown keys are ignored. The one
- * mapping for the simulator's wire and for the node's configuration alike. What can't be read is an
- * IllegalArgumentException that names the key.
+ * Parses the flattened {@code path=value} pairs of an instance's settings. The simulator's protocol and the node's
+ * configuration file share this mapping. Unknown keys are ignored; a value that cannot be parsed is an
+ * IllegalArgumentException that names its key.
  */
 public final class SettingsParser {
+    /** Stands for an absent value. */
+    private static final String ABSENT_VALUE = "-";
+    /** In place of a default: the key has to be present. */
+    private static final String REQUIRED = null;
+
     private final Map<String, String> pairs;
 
-    /** Reads these pairs; a value of {@code -} is as good as absent. */
+    /** Parses these pairs; a value of {@code -} counts as absent. */
     public SettingsParser(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
-    /** The settings, with this seed for all random draws. */
+    /** Returns the settings, with this seed for all random draws. */
     public BalancerSettings parse(long seed) {
-        List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0, n = whole("classes.count", null); i < n; i++) {
-            String at = "classes." + i + ".";
-            classes.add(new RequestClass(
-                    value(at + "name", null),
-                    number(at + "aim", null),
-                    number(at + "giveUp", null),
-                    choice(Idempotence.values(), Idempotence::settingsValue, at + "effect", null),
-                    choice(DeduplicationScope.values(), DeduplicationScope::settingsValue, at + "dedupScope", "all"),
-                    number(at + "keyTtl", "0"),
-                    flag(at + "stream", "false"),
-                    decimal(at + "worth", "1"),
-                    decimal(at + "lateShare", "0")));
-        }
-        List<TenantShare> tenants = new ArrayList<>();
-        for (int i = 0, n = whole("tenants.count", "0"); i < n; i++) {
-            String at = "tenants." + i + ".";
-            tenants.add(new TenantShare(
-                    value(at + "name", null), decimal(at + "share", "0"), decimal(at + "quotaPerS", "0")));
-        }
-        // policyLimits.retryAfter only says whether the simulator's clients are told; on sockets any refusal may
-        // carry advice. Guards against a module that gives none, whatever the site's clients would heed.
-        long retryAfter = number("policyLimits.maxRetryAfter", "0");
+        List<RequestClass> classes = parseClasses();
+        List<TenantShare> tenants = parseTenants();
+        // policyLimits.retryAfter is not read: it only says whether the simulator's clients receive the delay. On
+        // sockets every rejection may carry one, so the upper bound alone decides.
+        long maxRetryAfter = integer("policyLimits.maxRetryAfter", "0");
         return new BalancerSettings(
                 seed,
-                whole("me", null),
-                whole("replicasOfMe", null),
-                whole("tier", "0"),
-                value("zone", "-"),
+                nonNegativeInt("me", REQUIRED),
+                nonNegativeInt("replicasOfMe", REQUIRED),
+                nonNegativeInt("tier", "0"),
+                text("zone", "-"),
                 classes,
                 tenants,
                 decimal("overShareWorth", "1"),
-                value("discovery", "pushed").equals("on_request"),
-                number("rules.mustAskIn", "10000000"),
-                whole("policyLimits.maxAttempts", "1"),
-                whole("policyLimits.openCap", "20000"),
-                retryAfter,
+                text("discovery", "pushed").equals("on_request"),
+                integer("rules.mustAskIn", "10000000"),
+                nonNegativeInt("policyLimits.maxAttempts", "1"),
+                nonNegativeInt("policyLimits.openCap", "20000"),
+                maxRetryAfter,
                 flag("policyLimits.mayCancel", "false"),
                 flag("policyLimits.mayProbe", "false"),
                 flag("policyLimits.secondCopies", "false"),
-                number("policyLimits.idleClose", "15000000"),
+                integer("policyLimits.idleClose", "15000000"),
                 decimal("rules.coldFrom", "1"),
-                number("rules.warmAfter", "0"),
+                integer("rules.warmAfter", "0"),
                 decimal("rules.fallMultiple", "1"),
-                number("rules.fall", "0"),
-                network());
+                integer("rules.fall", "0"),
+                parseNetwork());
+    }
+
+    private List<RequestClass> parseClasses() {
+        List<RequestClass> classes = new ArrayList<>();
+        int count = nonNegativeInt("classes.count", REQUIRED);
+        for (int i = 0; i < count; i++) {
+            String prefix = "classes." + i + ".";
+            classes.add(new RequestClass(
+                    text(prefix + "name", REQUIRED),
+                    integer(prefix + "aim", REQUIRED),
+                    integer(prefix + "giveUp", REQUIRED),
+                    choice(Idempotence.values(), Idempotence::settingsValue, prefix + "effect", REQUIRED),
+                    choice(
+                            DeduplicationScope.values(),
+                            DeduplicationScope::settingsValue,
+                            prefix + "dedupScope",
+                            "all"),
+                    integer(prefix + "keyTtl", "0"),
+                    flag(prefix + "stream", "false"),
+                    decimal(prefix + "worth", "1"),
+                    decimal(prefix + "lateShare", "0")));
+        }
+        return classes;
+    }
+
+    private List<TenantShare> parseTenants() {
+        List<TenantShare> tenants = new ArrayList<>();
+        int count = nonNegativeInt("tenants.count", "0");
+        for (int i = 0; i < count; i++) {
+            String prefix = "tenants." + i + ".";
+            tenants.add(new TenantShare(
+                    text(prefix + "name", REQUIRED),
+                    decimal(prefix + "share", "0"),
+                    decimal(prefix + "quotaPerS", "0")));
+        }
+        return tenants;
     }
 
-    private NetworkSettings network() {
-        String how = value("report.how", "none");
-        String columns = how.equals("none") ? "" : value("report.columns", "");
+    private NetworkSettings parseNetwork() {
+        String reportTransport = text("report.how", "none");
+        String columns = reportTransport.equals("none") ? "" : text("report.columns", "");
         return new NetworkSettings(
-                number("policyLimits.connectTimeout", "1000000"),
-                number("rules.drainGrace", "0"),
-                how.equals("answers"),
+                integer("policyLimits.connectTimeout", "1000000"),
+                integer("rules.drainGrace", "0"),
+                reportTransport.equals("answers"),
                 columns.isEmpty() ? List.of() : List.of(columns.split(",")));
     }
 
-    private String value(String key, String absent) {
-        String v = pairs.get(key);
-        if (v == null || v.equals("-")) {
-            if (absent == null) {
+    private String text(String key, String defaultValue) {
+        String value = pairs.get(key);
+        if (value == null || value.equals(ABSENT_VALUE)) {
+            if (defaultValue == null) {
                 throw new IllegalArgumentException("no " + key);
             }
-            return absent;
+            return defaultValue;
         }
-        return v;
+        return value;
     }
 
-    private long number(String key, String absent) {
-        String v = value(key, absent);
+    private long integer(String key, String defaultValue) {
+        String value = text(key, defaultValue);
         try {
-            return Long.parseLong(v);
+            return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException(key + " is not a whole number: '" + v + "'");
+            throw new IllegalArgumentException(key + " is not a whole number: '" + value + "'");
         }
     }
 
-    private int whole(String key, String absent) {
-        long v = number(key, absent);
-        if (v < 0 || v > Integer.MAX_VALUE) {
-            throw new IllegalArgumentException(key + " is out of range: " + v);
+    private int nonNegativeInt(String key, String defaultValue) {
+        long value = integer(key, defaultValue);
+        if (value < 0 || value > Integer.MAX_VALUE) {
+            throw new IllegalArgumentException(key + " is out of range: " + value);
         }
-        return (int) v;
+        return (int) value;
     }
 
-    private double decimal(String key, String absent) {
-        String v = value(key, absent);
+    private double decimal(String key, String defaultValue) {
+        String value = text(key, defaultValue);
         try {
-            return Double.parseDouble(v);
+            return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException(key + " is not a number: '" + v + "'");
+            throw new IllegalArgumentException(key + " is not a number: '" + value + "'");
         }
     }
 
-    private boolean flag(String key, String absent) {
-        String v = value(key, absent);
-        return switch (v) {
+    private boolean flag(String key, String defaultValue) {
+        String value = text(key, defaultValue);
+        return switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
-            default -> throw new IllegalArgumentException(key + " is neither true nor false: '" + v + "'");
+            default -> throw new IllegalArgumentException(key + " is neither true nor false: '" + value + "'");
         };
     }
 
-    private <E> E choice(E[] choices, Function<E, String> settingsValue, String key, String absent) {
-        String v = value(key, absent);
+    private <E> E choice(E[] choices, Function<E, String> nameOf, String key, String defaultValue) {
+        String value = text(key, defaultValue);
         for (E choice : choices) {
-            if (settingsValue.apply(choice).equals(v)) {
+            if (nameOf.apply(choice).equals(value)) {
                 return choice;
             }
         }
-        throw new IllegalArgumentException(key + " is unknown: '" + v + "'");
+        throw new IllegalArgumentException(key + " is unknown: '" + value + "'");
     }
 }
