--- a/node/src/main/java/brackenbridge/http/Headers.java
+++ b/node/src/main/java/brackenbridge/http/Headers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** Header fields in the order they came; names match without regard to case. */
+/** Header fields in the order of the message; names are compared without regard to case. */
 public final class Headers {
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
@@ -26,12 +26,12 @@
         return null;
     }
 
-    /** The same fields but for those of this name. */
+    /** Returns a copy without the fields of this name. */
     public Headers without(String name) {
         Headers others = new Headers();
-        each((n, v) -> {
-            if (!n.equalsIgnoreCase(name)) {
-                others.add(n, v);
+        each((otherName, value) -> {
+            if (!otherName.equalsIgnoreCase(name)) {
+                others.add(otherName, value);
             }
         });
         return others;
@@ -40,29 +40,34 @@
     /** How many fields have this name. */
     public int count(String name) {
         int count = 0;
-        for (String n : names) {
-            if (n.equalsIgnoreCase(name)) {
+        for (String otherName : names) {
+            if (otherName.equalsIgnoreCase(name)) {
                 count++;
             }
         }
         return count;
     }
 
-    /** Whether a field of this name lists this word. */
-    public boolean lists(String name, String word) {
+    /** Whether the comma-separated list in a field of this name contains this element. */
+    public boolean lists(String name, String element) {
         for (int i = 0; i < names.size(); i++) {
-            if (names.get(i).equalsIgnoreCase(name)) {
-                for (String part : values.get(i).split(",")) {
-                    if (part.trim().equalsIgnoreCase(word)) {
-                        return true;
-                    }
-                }
+            if (names.get(i).equalsIgnoreCase(name) && containsElement(values.get(i), element)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static boolean containsElement(String list, String element) {
+        for (String part : list.split(",")) {
+            if (part.trim().equalsIgnoreCase(element)) {
+                return true;
             }
         }
         return false;
     }
 
-    /** Hands each field on, in order. */
+    /** Calls the consumer with the name and value of each field, in order. */
     public void each(BiConsumer<String, String> field) {
         for (int i = 0; i < names.size(); i++) {
             field.accept(names.get(i), values.get(i));
--- a/node/src/main/java/brackenbridge/http/HttpEncoder.java
+++ b/node/src/main/java/brackenbridge/http/HttpEncoder.java
@@ -7,16 +7,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Encodes requests and answers. */
+/** Encodes HTTP requests and responses. */
 public final class HttpEncoder {
-    /** The client's remaining patience, in whole milliseconds. */
+    /** The field with the time that remains until the client's deadline, in whole milliseconds. */
     public static final String TIME_LEFT = "X-Time-Left-Ms";
-    /** In place of a length: the body comes in chunks. */
+    /** In place of a length: the body is sent in chunks. */
     public static final long CHUNKED = -1;
-    /** In place of a length: nothing is said; there is no body, or it ends with the connection. */
+    /** In place of a length: no framing is declared; there is no body, or it ends with the connection. */
     public static final long NO_BODY = -2;
 
-    private static final Set<String> ONE_HOP = Set.of(
+    private static final byte[] NO_BYTES = new byte[0];
+    private static final int REQUEST_HEAD_CHARS = 256;
+    private static final int RESPONSE_HEAD_CHARS = 128;
+    private static final Set<String> HOP_BY_HOP_FIELDS = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -27,7 +30,7 @@
             "expect",
             "content-length",
             "x-time-left-ms");
-    private static final Map<Integer, String> REASONS = Map.ofEntries(
+    private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(
             Map.entry(200, "OK"),
             Map.entry(400, "Bad Request"),
             Map.entry(404, "Not Found"),
@@ -45,96 +48,99 @@
 
     private HttpEncoder() {}
 
-    /** The word that lets a client send its body. */
-    public static ByteBuf goOn(ByteBufAllocator alloc) {
-        return bytes(alloc, "HTTP/1.1 100 Continue\r\n\r\n", new byte[0]);
+    /** The interim response that asks the client to send its body. */
+    public static ByteBuf continueResponse(ByteBufAllocator alloc) {
+        return encode(alloc, "HTTP/1.1 100 Continue\r\n\r\n", NO_BYTES);
     }
 
-    /** The request to a server: as it came, but for what concerns one connection only. */
-    public static ByteBuf forward(ByteBufAllocator alloc, HttpRequest r, double timeLeftMs) {
-        boolean says = r.body().length > 0
-                || r.headers().get("Content-Length") != null
-                || !r.method().equals("GET");
-        return bytes(alloc, forwardHead(r, timeLeftMs, says ? r.body().length : NO_BODY), r.body());
+    /** A complete request to a server: the client's, without its hop-by-hop fields. */
+    public static ByteBuf forward(ByteBufAllocator alloc, HttpRequest request, double timeLeftMs) {
+        boolean declaresLength = request.body().length > 0
+                || request.headers().get("Content-Length") != null
+                || !request.method().equals("GET");
+        return encode(
+                alloc,
+                encodeRequestHead(request, timeLeftMs, declaresLength ? request.body().length : NO_BODY),
+                request.body());
     }
 
-    /** The head of a request to a server whose body follows in pieces. */
-    public static ByteBuf forwardHead(ByteBufAllocator alloc, HttpRequest r, double timeLeftMs, long length) {
-        return bytes(alloc, forwardHead(r, timeLeftMs, length), new byte[0]);
+    /** The head of a request to a server whose body is streamed. */
+    public static ByteBuf requestHead(ByteBufAllocator alloc, HttpRequest request, double timeLeftMs, long length) {
+        return encode(alloc, encodeRequestHead(request, timeLeftMs, length), NO_BYTES);
     }
 
-    private static String forwardHead(HttpRequest r, double timeLeftMs, long length) {
-        StringBuilder head = new StringBuilder(256);
-        head.append(r.method()).append(' ').append(r.target()).append(" HTTP/1.1\r\n");
-        r.headers().each((name, value) -> {
-            String lower = name.toLowerCase(Locale.ROOT);
-            if (!ONE_HOP.contains(lower) && !r.headers().lists("Connection", name)) {
-                field(head, name, value);
+    private static String encodeRequestHead(HttpRequest request, double timeLeftMs, long length) {
+        StringBuilder head = new StringBuilder(REQUEST_HEAD_CHARS);
+        head.append(request.method()).append(' ').append(request.target()).append(" HTTP/1.1\r\n");
+        request.headers().each((name, value) -> {
+            String lowerCaseName = name.toLowerCase(Locale.ROOT);
+            if (!HOP_BY_HOP_FIELDS.contains(lowerCaseName) && !request.headers().lists("Connection", name)) {
+                appendField(head, name, value);
             }
         });
-        field(head, TIME_LEFT, Long.toString((long) Math.max(1, Math.floor(timeLeftMs))));
-        framing(head, length);
+        appendField(head, TIME_LEFT, Long.toString((long) Math.max(1, Math.floor(timeLeftMs))));
+        appendFraming(head, length);
         return head.append("\r\n").toString();
     }
 
-    private static void framing(StringBuilder head, long length) {
+    private static void appendFraming(StringBuilder head, long length) {
         if (length >= 0) {
-            field(head, "Content-Length", Long.toString(length));
+            appendField(head, "Content-Length", Long.toString(length));
         } else if (length == CHUNKED) {
-            field(head, "Transfer-Encoding", "chunked");
+            appendField(head, "Transfer-Encoding", "chunked");
         }
     }
 
-    /** The line in front of a chunk. */
+    /** The size line of a chunk. */
     public static ByteBuf chunkHead(ByteBufAllocator alloc, int length) {
-        return bytes(alloc, Integer.toHexString(length) + "\r\n", new byte[0]);
+        return encode(alloc, Integer.toHexString(length) + "\r\n", NO_BYTES);
     }
 
-    /** The end of a chunk. */
+    /** The line end after the data of a chunk. */
     public static ByteBuf chunkEnd(ByteBufAllocator alloc) {
-        return bytes(alloc, "\r\n", new byte[0]);
+        return encode(alloc, "\r\n", NO_BYTES);
     }
 
-    /** The end of a body in chunks. */
+    /** The last chunk, which ends a chunked body. */
     public static ByteBuf lastChunk(ByteBufAllocator alloc) {
-        return bytes(alloc, "0\r\n\r\n", new byte[0]);
+        return encode(alloc, "0\r\n\r\n", NO_BYTES);
     }
 
-    /** A request without a body. */
+    /** A GET request without a body. */
     public static ByteBuf get(ByteBufAllocator alloc, String target, String host) {
-        return bytes(alloc, "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n", new byte[0]);
+        return encode(alloc, "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n", NO_BYTES);
     }
 
-    /** An answer to a client. */
+    /** A complete response to a client. */
     public static ByteBuf answer(ByteBufAllocator alloc, int status, Headers fields, byte[] body, boolean close) {
-        return bytes(alloc, head(status, fields, body.length, close), body);
+        return encode(alloc, encodeResponseHead(status, fields, body.length, close), body);
     }
 
-    /** The head alone of an answer whose body follows in pieces. */
-    public static ByteBuf answerHead(ByteBufAllocator alloc, int status, Headers fields, long length, boolean close) {
-        return bytes(alloc, head(status, fields, length, close), new byte[0]);
+    /** The head of a response to a client whose body is streamed. */
+    public static ByteBuf responseHead(ByteBufAllocator alloc, int status, Headers fields, long length, boolean close) {
+        return encode(alloc, encodeResponseHead(status, fields, length, close), NO_BYTES);
     }
 
-    private static String head(int status, Headers fields, long length, boolean close) {
-        StringBuilder head = new StringBuilder(128);
+    private static String encodeResponseHead(int status, Headers fields, long length, boolean close) {
+        StringBuilder head = new StringBuilder(RESPONSE_HEAD_CHARS);
         head.append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
-                .append(REASONS.getOrDefault(status, "Status"))
+                .append(REASON_PHRASES.getOrDefault(status, "Status"))
                 .append("\r\n");
-        fields.each((name, value) -> field(head, name, value));
-        framing(head, length);
+        fields.each((name, value) -> appendField(head, name, value));
+        appendFraming(head, length);
         if (close) {
-            field(head, "Connection", "close");
+            appendField(head, "Connection", "close");
         }
         return head.append("\r\n").toString();
     }
 
-    private static void field(StringBuilder head, String name, String value) {
+    private static void appendField(StringBuilder head, String name, String value) {
         head.append(name).append(": ").append(value).append("\r\n");
     }
 
-    private static ByteBuf bytes(ByteBufAllocator alloc, String head, byte[] body) {
+    private static ByteBuf encode(ByteBufAllocator alloc, String head, byte[] body) {
         ByteBuf out = alloc.buffer(head.length() + body.length);
         out.writeCharSequence(head, StandardCharsets.ISO_8859_1);
         return out.writeBytes(body);
--- a/node/src/main/java/brackenbridge/http/MessageDecoder.java
+++ b/node/src/main/java/brackenbridge/http/MessageDecoder.java
@@ -5,35 +5,37 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes one HTTP/1.1 message after another, from bytes cut anywhere. It takes no byte beyond a message's
- * end, so what follows stays for the next. Strict on purpose: two readings of one framing are how requests
- * are smuggled.
+ * Decodes one HTTP/1.1 message after another from a byte stream that may be split at any byte. It reads no byte
+ * beyond the end of a message, so that the rest stays in the buffer for the next one. It is strict on purpose: a
+ * framing that two parties read differently allows request smuggling.
  */
 abstract class MessageDecoder {
-    /** Longest body that is kept whole; one that is longer is taken piece by piece. */
-    public static final int WHOLE_LIMIT = 64 * 1024;
-    /** Longest body at all. */
-    public static final long BODY_LIMIT = 32L * 1024 * 1024;
-
-    static final int START_LIMIT = 8 * 1024;
-    static final int HEAD_LIMIT = 16 * 1024;
-    static final int FIELD_LIMIT = 100;
-    private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
-    private static final Pattern CHUNK_SIZE = Pattern.compile("0{0,16}[0-9a-fA-F]{1,7}");
-
+    /** The longest body that is buffered; a longer one has to be streamed. */
+    public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
+    /** The longest body that is accepted, buffered or streamed. */
+    public static final long MAX_BODY_BYTES = 32L * 1024 * 1024;
+
+    static final int MAX_START_LINE_CHARS = 8 * 1024;
+    static final int MAX_HEAD_BYTES = 16 * 1024;
+    static final int MAX_FIELDS = 100;
+    private static final int DELETE = 0x7f;
+    private static final Pattern LENGTH_PATTERN = Pattern.compile("[0-9]{1,18}");
+    private static final Pattern CHUNK_SIZE_PATTERN = Pattern.compile("0{0,16}[0-9a-fA-F]{1,7}");
+
+    /** The part of a message that is read next; those between {@code FIELDS} and {@code DONE} read the body. */
     private enum Step {
-        START,
+        START_LINE,
         FIELDS,
-        FIXED,
+        FIXED_BODY,
         CHUNK_SIZE,
         CHUNK,
         CHUNK_END,
         TRAILERS,
-        TO_END,
+        BODY_TO_END,
         DONE
     }
 
-    /** How a body is framed. */
+    /** How the end of a body is determined. */
     enum Framing {
         NONE,
         FIXED,
@@ -41,140 +43,149 @@
         TO_END
     }
 
-    /** Where a body goes, piece by piece. */
+    /** Receives a body piece by piece. */
     public interface Sink {
-        /** Takes so many bytes out of the buffer. */
+        /** Reads exactly this many bytes from the buffer. */
         void take(ByteBuf from, int length) throws HttpException;
     }
 
     private final StringBuilder line = new StringBuilder();
-    private final Sink ownSink;
+    private final Sink initialSink;
     private Sink sink;
     private final long bodyLimit;
     private long bodyBytes;
     private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-    private Step step = Step.START;
+    private Step step = Step.START_LINE;
     private boolean carriageReturn;
     private int headBytes;
-    /** Bytes of the fields that are kept. */
-    private int headHeld;
+    /** Size of the fields in {@link #headers}. */
+    private int fieldChars;
+
+    /** Bytes that remain of the body or of the current chunk. */
+    private long remainingBytes;
 
-    private long left;
     private Headers headers = new Headers();
 
     MessageDecoder(Sink sink, long bodyLimit) {
-        this.ownSink = sink;
+        this.initialSink = sink;
         this.sink = sink;
         this.bodyLimit = bodyLimit;
     }
 
-    /** Reads the start line; false if the line is to be passed over. */
-    abstract boolean startLine(String text) throws HttpException;
+    /** Parses the start line; returns false if the line is to be skipped. */
+    abstract boolean parseStartLine(String text) throws HttpException;
 
-    /** Judges the head and names the body's framing; null if another head follows. */
-    abstract Framing head(Headers fields) throws HttpException;
+    /** Validates the head and returns the framing of the body; null if another head follows. */
+    abstract Framing parseHead(Headers fields) throws HttpException;
 
-    /** The status that tells a sender of a start line this long. */
-    abstract int tooLongStart();
+    /** The status of the error for a start line that is too long. */
+    abstract int tooLongStartLineStatus();
 
     /**
-     * Takes bytes in until a message is whole (true), or the buffer is empty or no more of the body can be kept
-     * (false).
+     * Reads bytes until a message is complete (returns true), or until the buffer is empty or no more of the body can
+     * be buffered (returns false).
      */
     public boolean decode(ByteBuf in) throws HttpException {
         while (step != Step.DONE && in.isReadable()) {
             switch (step) {
-                case START, FIELDS, CHUNK_SIZE, CHUNK_END, TRAILERS -> {
+                case START_LINE, FIELDS, CHUNK_SIZE, CHUNK_END, TRAILERS -> {
                     if (readLine(in)) {
                         String text = line.toString();
                         line.setLength(0);
-                        line(text);
+                        parseLine(text);
                     }
                 }
                 default -> {
-                    int n = (int) Math.min(in.readableBytes(), left);
-                    if (sink == null) {
-                        n = Math.min(n, WHOLE_LIMIT - body.size());
-                        if (n == 0) {
-                            return false;
-                        }
-                    }
-                    body(in, n);
-                    left -= n;
-                    if (left == 0) {
-                        step = step == Step.CHUNK ? Step.CHUNK_END : Step.DONE;
+                    int length = readableBodyBytes(in);
+                    if (length == 0) {
+                        return false;
                     }
+                    readBody(in, length);
                 }
             }
         }
         return step == Step.DONE;
     }
 
-    private void body(ByteBuf in, int n) throws HttpException {
-        bodyBytes += n;
+    /** How many bytes of the body can be read now; 0 if the body buffer is full. */
+    private int readableBodyBytes(ByteBuf in) {
+        int length = (int) Math.min(in.readableBytes(), remainingBytes);
+        return sink != null ? length : Math.min(length, MAX_BUFFERED_BODY_BYTES - body.size());
+    }
+
+    private void readBody(ByteBuf in, int length) throws HttpException {
+        takePiece(in, length);
+        remainingBytes -= length;
+        if (remainingBytes == 0) {
+            step = step == Step.CHUNK ? Step.CHUNK_END : Step.DONE;
+        }
+    }
+
+    private void takePiece(ByteBuf in, int length) throws HttpException {
+        bodyBytes += length;
         if (bodyBytes > bodyLimit) {
             throw new HttpException(413, "body over " + bodyLimit + " bytes");
         }
         if (sink != null) {
-            sink.take(in, n);
+            sink.take(in, length);
             return;
         }
-        if (body.size() == 0 && step == Step.FIXED) {
-            // Guards memory against many large bodies at once: a buffer that doubles could hold twice as much.
-            body = new ByteArrayOutputStream((int) Math.min(left, WHOLE_LIMIT));
+        if (body.size() == 0 && step == Step.FIXED_BODY) {
+            // Guards memory against many large bodies at once: a growing buffer can take twice its content.
+            body = new ByteArrayOutputStream((int) Math.min(remainingBytes, MAX_BUFFERED_BODY_BYTES));
         }
-        byte[] piece = new byte[n];
+        byte[] piece = new byte[length];
         in.readBytes(piece);
-        body.write(piece, 0, n);
+        body.write(piece, 0, length);
     }
 
     private boolean readLine(ByteBuf in) throws HttpException {
         while (in.isReadable()) {
-            int c = in.readUnsignedByte();
+            int next = in.readUnsignedByte();
             if (carriageReturn) {
                 carriageReturn = false;
-                if (c != '\n') {
+                if (next != '\n') {
                     throw new HttpException(400, "bare carriage return");
                 }
                 return true;
             }
-            if (c == '\r') {
+            if (next == '\r') {
                 carriageReturn = true;
                 continue;
             }
-            if (c < ' ' && c != '\t' || c == 0x7f) {
+            if (next < ' ' && next != '\t' || next == DELETE) {
                 throw new HttpException(400, "control character in the head");
             }
-            line.append((char) c);
-            if (step == Step.START && line.length() > START_LIMIT) {
-                throw new HttpException(tooLongStart(), "start line too long");
+            line.append((char) next);
+            if (step == Step.START_LINE && line.length() > MAX_START_LINE_CHARS) {
+                throw new HttpException(tooLongStartLineStatus(), "start line too long");
             }
-            if (++headBytes > HEAD_LIMIT && step != Step.START) {
+            if (++headBytes > MAX_HEAD_BYTES && step != Step.START_LINE) {
                 throw new HttpException(431, "head too long");
             }
         }
         return false;
     }
 
-    private void line(String text) throws HttpException {
+    private void parseLine(String text) throws HttpException {
         switch (step) {
-            case START -> {
-                if (startLine(text)) {
+            case START_LINE -> {
+                if (parseStartLine(text)) {
                     headBytes = 0;
                     step = Step.FIELDS;
                 }
             }
             case FIELDS -> {
                 if (text.isEmpty()) {
-                    headEnds();
+                    onHeadEnd();
                 } else {
-                    field(text);
+                    parseField(text);
                 }
             }
             case CHUNK_SIZE -> {
-                left = chunkSize(text);
+                remainingBytes = parseChunkSize(text);
                 headBytes = 0;
-                step = left == 0 ? Step.TRAILERS : Step.CHUNK;
+                step = remainingBytes == 0 ? Step.TRAILERS : Step.CHUNK;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
@@ -186,58 +197,64 @@
         }
     }
 
-    private void field(String text) throws HttpException {
+    private void parseField(String text) throws HttpException {
         int colon = text.indexOf(':');
-        if (colon <= 0 || headers.size() >= FIELD_LIMIT) {
-            throw new HttpException(colon <= 0 ? 400 : 431, colon <= 0 ? "not a field" : "too many fields");
+        if (colon <= 0) {
+            throw new HttpException(400, "not a field");
+        }
+        if (headers.size() >= MAX_FIELDS) {
+            throw new HttpException(431, "too many fields");
         }
         String name = text.substring(0, colon);
-        // Folded lines and a space before the colon fail here: both are read in more than one way.
-        if (!token(name)) {
+        // Also rejects folded lines and a space before the colon, which HTTP implementations read differently.
+        if (!isToken(name)) {
             throw new HttpException(400, "not a field name");
         }
         headers.add(name, text.substring(colon + 1).strip());
-        headHeld += text.length();
+        fieldChars += text.length();
     }
 
-    static boolean token(String s) {
-        for (int i = 0; i < s.length(); i++) {
-            char c = s.charAt(i);
-            boolean ok = c >= 'a' && c <= 'z'
-                    || c >= 'A' && c <= 'Z'
-                    || c >= '0' && c <= '9'
-                    || "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
-            if (!ok) {
+    /** Whether the text is a token of RFC 9110. */
+    static boolean isToken(String text) {
+        for (int i = 0; i < text.length(); i++) {
+            if (!isTokenChar(text.charAt(i))) {
                 return false;
             }
         }
-        return !s.isEmpty();
+        return !text.isEmpty();
+    }
+
+    private static boolean isTokenChar(char character) {
+        return character >= 'a' && character <= 'z'
+                || character >= 'A' && character <= 'Z'
+                || character >= '0' && character <= '9'
+                || "!#$%&'*+-.^_`|~".indexOf(character) >= 0;
     }
 
-    private void headEnds() throws HttpException {
-        Framing framing = head(headers);
+    private void onHeadEnd() throws HttpException {
+        Framing framing = parseHead(headers);
         if (framing == null) {
             headers = new Headers();
-            headHeld = 0;
-            step = Step.START;
+            fieldChars = 0;
+            step = Step.START_LINE;
             return;
         }
         switch (framing) {
             case NONE -> step = Step.DONE;
             case FIXED -> {
-                left = contentLength(headers);
-                step = left == 0 ? Step.DONE : Step.FIXED;
+                remainingBytes = contentLength(headers);
+                step = remainingBytes == 0 ? Step.DONE : Step.FIXED_BODY;
             }
             case CHUNKED -> step = Step.CHUNK_SIZE;
             default -> {
-                left = Long.MAX_VALUE;
-                step = Step.TO_END;
+                remainingBytes = Long.MAX_VALUE;
+                step = Step.BODY_TO_END;
             }
         }
         headBytes = 0;
     }
 
-    /** The framing that the fields themselves name; null if they name none. */
+    /** The framing that the fields declare; null if they declare none. */
     Framing named(Headers fields) throws HttpException {
         boolean chunked = fields.count("Transfer-Encoding") > 0;
         int lengths = fields.count("Content-Length");
@@ -259,7 +276,7 @@
 
     private long contentLength(Headers fields) throws HttpException {
         String text = fields.get("Content-Length");
-        if (!LENGTH.matcher(text).matches()) {
+        if (!LENGTH_PATTERN.matcher(text).matches()) {
             throw new HttpException(400, "not a length");
         }
         long length = Long.parseLong(text);
@@ -269,59 +286,59 @@
         return length;
     }
 
-    private static long chunkSize(String text) throws HttpException {
+    private static long parseChunkSize(String text) throws HttpException {
         int semicolon = text.indexOf(';');
         String digits = (semicolon < 0 ? text : text.substring(0, semicolon)).stripTrailing();
-        if (!CHUNK_SIZE.matcher(digits).matches()) {
+        if (!CHUNK_SIZE_PATTERN.matcher(digits).matches()) {
             throw new HttpException(400, "not a chunk size");
         }
         return Long.parseLong(digits, 16);
     }
 
-    /** The connection has ended: whether that completes the message. */
-    public boolean ended() {
-        if (step == Step.TO_END) {
+    /** Handles the end of the connection; returns whether it completes the message. */
+    public boolean onConnectionEnd() {
+        if (step == Step.BODY_TO_END) {
             step = Step.DONE;
             return true;
         }
         return false;
     }
 
-    /** Whether bytes of a message have come that is not whole yet. */
-    public boolean begun() {
-        return step != Step.START || line.length() > 0 || carriageReturn;
+    /** Whether a message has been received in part. */
+    public boolean hasBegun() {
+        return step != Step.START_LINE || line.length() > 0 || carriageReturn;
     }
 
-    /** Bytes of the message that is not whole yet. */
-    public int held() {
-        return line.length() + headHeld + body.size();
+    /** The size of what is buffered of the current message. */
+    public int bufferedBytes() {
+        return line.length() + fieldChars + body.size();
     }
 
-    /** Whether the head is whole and the body is not. */
+    /** Whether the head is complete and the body is not. */
     public boolean awaitsBody() {
         return step.compareTo(Step.FIELDS) > 0 && step != Step.DONE;
     }
 
-    /** Whether the body can't be kept whole: the rest of it has to be taken by {@link #stream}. */
+    /** Whether the body buffer is full: the rest of the body has to be streamed, by {@link #stream}. */
     public boolean isLong() {
-        return sink == null && awaitsBody() && body.size() >= WHOLE_LIMIT;
+        return sink == null && awaitsBody() && body.size() >= MAX_BUFFERED_BODY_BYTES;
     }
 
-    /** Whether the head says that the body is longer than what is kept. */
-    public boolean saysLong() {
-        return sink == null && step == Step.FIXED && left + body.size() > WHOLE_LIMIT;
+    /** Whether the head declares a body that is too long to be buffered. */
+    public boolean declaresLongBody() {
+        return sink == null && step == Step.FIXED_BODY && remainingBytes + body.size() > MAX_BUFFERED_BODY_BYTES;
     }
 
-    /** Gives out what is kept of the body; what comes from now on, to the message's end, goes to this sink. */
-    public byte[] stream(Sink to) {
-        byte[] kept = body.toByteArray();
+    /** Returns the buffered part of the body and passes the rest of this body to the sink. */
+    public byte[] stream(Sink bodySink) {
+        byte[] buffered = body.toByteArray();
         body = new ByteArrayOutputStream(0);
-        sink = to;
-        return kept;
+        sink = bodySink;
+        return buffered;
     }
 
-    /** The body's length as the head says it, or -1. */
-    public long length() throws HttpException {
+    /** The length of the body that the head declares, or -1. */
+    public long declaredLength() throws HttpException {
         return headers.count("Content-Length") == 1 ? contentLength(headers) : -1;
     }
 
@@ -329,16 +346,16 @@
         return headers;
     }
 
-    /** Gives the body out and makes ready for the next message. */
+    /** Returns the buffered body and resets the decoder for the next message. */
     byte[] takeBody() {
-        byte[] whole = body.toByteArray();
+        byte[] completeBody = body.toByteArray();
         body = new ByteArrayOutputStream(0);
         headers = new Headers();
         headBytes = 0;
-        headHeld = 0;
+        fieldChars = 0;
         bodyBytes = 0;
-        sink = ownSink;
-        step = Step.START;
-        return whole;
+        sink = initialSink;
+        step = Step.START_LINE;
+        return completeBody;
     }
 }
--- a/node/src/main/java/brackenbridge/http/RequestDecoder.java
+++ b/node/src/main/java/brackenbridge/http/RequestDecoder.java
@@ -2,39 +2,40 @@
 
 import java.util.regex.Pattern;
 
-/** Decodes requests. */
+/** Decodes HTTP requests. */
 public final class RequestDecoder extends MessageDecoder {
-    private static final Pattern VERSION = Pattern.compile("HTTP/[0-9]\\.[0-9]");
+    private static final Pattern VERSION_PATTERN = Pattern.compile("HTTP/[0-9]\\.[0-9]");
     private static final String SCHEME = "http://";
+    /** Empty lines that are accepted in front of a request line. */
+    private static final int MAX_BLANK_LINES = 4;
+
     private String method;
     private String target;
-    /** Of a target in absolute form; null else. */
+    /** The authority of a target in absolute form; null for other forms. */
     private String authority;
 
     private boolean http11;
     private int blankLines;
 
-    /** Ready for the first request. */
+    /** Creates a decoder of requests, whose bodies are buffered up to the limit. */
     public RequestDecoder() {
-        super(null, BODY_LIMIT);
+        super(null, MAX_BODY_BYTES);
     }
 
     @Override
-    boolean startLine(String text) throws HttpException {
-        if (text.isEmpty() && ++blankLines <= 4) {
+    boolean parseStartLine(String text) throws HttpException {
+        if (text.isEmpty() && ++blankLines <= MAX_BLANK_LINES) {
             return false;
         }
         String[] parts = text.split(" ", -1);
         authority = null;
-        if (parts.length == 3 && parts[1].regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
-            int path = parts[1].indexOf('/', SCHEME.length());
-            authority = parts[1].substring(SCHEME.length(), path < 0 ? parts[1].length() : path);
-            parts[1] = path < 0 ? "/" : parts[1].substring(path);
+        if (parts.length == 3) {
+            parts[1] = withoutAuthority(parts[1]);
         }
         if (parts.length != 3
-                || !token(parts[0])
+                || !isToken(parts[0])
                 || !parts[1].startsWith("/")
-                || !VERSION.matcher(parts[2]).matches()) {
+                || !VERSION_PATTERN.matcher(parts[2]).matches()) {
             throw new HttpException(400, "not a request line");
         }
         if (!parts[2].startsWith("HTTP/1.")) {
@@ -46,8 +47,18 @@
         return true;
     }
 
+    /** Returns the target in origin form; sets the authority from one in absolute form. */
+    private String withoutAuthority(String requestTarget) {
+        if (!requestTarget.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
+            return requestTarget;
+        }
+        int path = requestTarget.indexOf('/', SCHEME.length());
+        authority = requestTarget.substring(SCHEME.length(), path < 0 ? requestTarget.length() : path);
+        return path < 0 ? "/" : requestTarget.substring(path);
+    }
+
     @Override
-    Framing head(Headers fields) throws HttpException {
+    Framing parseHead(Headers fields) throws HttpException {
         if (fields.count("Host") > 1) {
             throw new HttpException(400, "more than one host");
         }
@@ -59,30 +70,30 @@
     }
 
     @Override
-    int tooLongStart() {
+    int tooLongStartLineStatus() {
         return 414;
     }
 
-    /** Whether the client waits for a word before it sends the body. */
+    /** Whether the client waits for {@code 100 Continue} before it sends the body. */
     public boolean expectsContinue() {
         return awaitsBody() && http11 && headers().lists("Expect", "100-continue");
     }
 
-    /** The request that is whole; the decoder is ready for the next. */
+    /** Returns the complete request and resets the decoder for the next one. */
     public HttpRequest take() {
         HttpRequest head = part(null);
         blankLines = 0;
         return new HttpRequest(head.method(), head.target(), http11, head.keepAlive(), head.headers(), takeBody());
     }
 
-    /** The request whose head is whole, with this part of its body. */
-    public HttpRequest part(byte[] part) {
+    /** Returns the request whose head is complete, with this part of its body. */
+    public HttpRequest part(byte[] bodyPart) {
         Headers fields = headers();
         if (authority != null) {
-            // The target says better than the field whom the client meant.
+            // RFC 9112, 3.2.2: the authority of an absolute target replaces the Host field.
             fields = fields.without("Host").add("Host", authority);
         }
         boolean keepAlive = http11 && !fields.lists("Connection", "close");
-        return new HttpRequest(method, target, http11, keepAlive, fields, part);
+        return new HttpRequest(method, target, http11, keepAlive, fields, bodyPart);
     }
 }
--- a/node/src/main/java/brackenbridge/http/ResponseDecoder.java
+++ b/node/src/main/java/brackenbridge/http/ResponseDecoder.java
@@ -2,33 +2,35 @@
 
 import java.util.regex.Pattern;
 
-/** Decodes answers to requests that may have a body in their answer (none is HEAD or CONNECT). */
+/** Decodes HTTP responses to requests other than HEAD and CONNECT, whose responses have no body. */
 public final class ResponseDecoder extends MessageDecoder {
-    /** Interim answers (1xx) that may come in front of one answer. */
-    private static final int INTERIM_LIMIT = 16;
+    /** Interim responses (1xx) that may precede a final one. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
+
+    private static final Pattern STATUS_LINE_PATTERN = Pattern.compile("HTTP/1\\.[0-9] [1-5][0-9][0-9]( .*)?");
+    /** Whether responses of every status may have an unframed body. */
+    private final boolean unframedBodies;
 
-    private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[0-9] [1-5][0-9][0-9]( .*)?");
-    private final boolean toEnd;
     private int status;
-    private int interim;
+    private int interimResponses;
     private boolean http11;
     private boolean framed;
 
-    /** Keeps each body whole, up to the limit; that of a success without framing ends with its connection. */
+    /** Buffers bodies up to the limit; of unframed ones, which end with the connection, only that of a 200. */
     public ResponseDecoder() {
-        super(null, BODY_LIMIT);
-        toEnd = false;
+        super(null, MAX_BODY_BYTES);
+        unframedBodies = false;
     }
 
-    /** Hands bodies on as they come, without a limit; one without framing ends with its connection. */
+    /** Passes bodies of any length to the sink; an unframed one ends with the connection. */
     public ResponseDecoder(Sink sink) {
         super(sink, Long.MAX_VALUE);
-        toEnd = true;
+        unframedBodies = true;
     }
 
     @Override
-    boolean startLine(String text) throws HttpException {
-        if (!STATUS_LINE.matcher(text).matches()) {
+    boolean parseStartLine(String text) throws HttpException {
+        if (!STATUS_LINE_PATTERN.matcher(text).matches()) {
             throw new HttpException(502, "not a status line");
         }
         status = Integer.parseInt(text.substring(9, 12));
@@ -37,18 +39,18 @@
     }
 
     @Override
-    Framing head(Headers fields) throws HttpException {
+    Framing parseHead(Headers fields) throws HttpException {
         if (status == 101) {
             throw new HttpException(502, "switch of protocols unasked");
         }
         if (status < 200) {
-            // Guards against a server that never comes to its answer.
-            if (++interim > INTERIM_LIMIT) {
+            // Guards against a server that never sends its final response.
+            if (++interimResponses > MAX_INTERIM_RESPONSES) {
                 throw new HttpException(502, "interim answers without end");
             }
             return null;
         }
-        interim = 0;
+        interimResponses = 0;
         framed = true;
         if (status == 204 || status == 304) {
             return Framing.NONE;
@@ -58,32 +60,32 @@
         if (framed) {
             return framing;
         }
-        // Such a body ends where its sender ends the connection in order; whoever reads it has to tell that from a
-        // reset. Of any other status than success the head alone says all that counts.
-        return toEnd || status == 200 ? Framing.TO_END : Framing.NONE;
+        // An unframed body ends with an orderly end of the connection; the caller has to distinguish that from a
+        // reset. Where bodies are buffered, only that of a 200 is needed.
+        return unframedBodies || status == 200 ? Framing.TO_END : Framing.NONE;
     }
 
     @Override
-    int tooLongStart() {
+    int tooLongStartLineStatus() {
         return 502;
     }
 
-    /** The status, once the head is whole. */
+    /** The status code of the current response. */
     public int status() {
         return status;
     }
 
-    /** The answer that is whole; the decoder is ready for the next. */
+    /** Returns the complete response and resets the decoder for the next one. */
     public HttpResponse take() {
         HttpResponse head = part(null);
         return new HttpResponse(status, head.keepAlive(), head.headers(), takeBody());
     }
 
-    /** The answer whose head is whole, with this part of its body. */
-    public HttpResponse part(byte[] part) {
+    /** Returns the response whose head is complete, with this part of its body. */
+    public HttpResponse part(byte[] bodyPart) {
         Headers fields = headers();
         boolean keepAlive =
                 framed && (http11 ? !fields.lists("Connection", "close") : fields.lists("Connection", "keep-alive"));
-        return new HttpResponse(status, keepAlive, fields, part);
+        return new HttpResponse(status, keepAlive, fields, bodyPart);
     }
 }
--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -187,7 +187,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (decoder.ended()) {
+            if (decoder.onConnectionEnd()) {
                 endWithResponse();
             } else {
                 end("connection ended");
--- a/node/src/main/java/brackenbridge/net/client/RequestReader.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestReader.java
@@ -73,12 +73,12 @@
 
     /** Whether a part of a request has been decoded. */
     boolean hasBegunRequest() {
-        return decoder.begun();
+        return decoder.hasBegun();
     }
 
     /** Whether nothing of a further request has come. */
     boolean isEmpty() {
-        return !decoder.begun() && (unread == null || !unread.isReadable());
+        return !decoder.hasBegun() && (unread == null || !unread.isReadable());
     }
 
     /** Whether the client has sent more after the connection's end than is read and discarded. */
@@ -118,7 +118,7 @@
     }
 
     private void endUnseenWait() {
-        if (unread == null && !decoder.begun()) {
+        if (unread == null && !decoder.hasBegun()) {
             opener.clearUnseenWait();
         }
     }
@@ -195,12 +195,13 @@
         if (unread != null && !unread.isReadable()) {
             discardUnread();
         }
-        connection.reserveBytes(connection.isEnding() ? 0 : decoder.held() + waitingBytes() + upload.replayableBytes());
+        connection.reserveBytes(
+                connection.isEnding() ? 0 : decoder.bufferedBytes() + waitingBytes() + upload.replayableBytes());
     }
 
     /** Decodes one request; false if it is incomplete. */
     private boolean decodeNext() {
-        boolean first = !decoder.begun();
+        boolean first = !decoder.hasBegun();
         try {
             if (decoder.decode(unread)) {
                 continueSent = false;
@@ -226,13 +227,13 @@
         }
         if (!continueSent && decoder.expectsContinue()) {
             continueSent = true;
-            channel.writeAndFlush(HttpEncoder.goOn(channel.alloc()));
+            channel.writeAndFlush(HttpEncoder.continueResponse(channel.alloc()));
         }
     }
 
     /** Checks the time that a request takes to come since the last sweep; rejects one that is too slow. */
     void checkPace(double nowMs) {
-        boolean readingRequest = connection.isReading() && decoder.begun();
+        boolean readingRequest = connection.isReading() && decoder.hasBegun();
         if (decoder.awaitsBody() && !upload.isPaused() && (readingRequest || upload.isActive())) {
             boolean tooSlow = pace.isTooSlow(nowMs);
             if (tooSlow && upload.isActive()) {
@@ -247,7 +248,7 @@
 
     /** Whether a request's head has begun and is incomplete. */
     boolean isReadingHead() {
-        return connection.isReading() && decoder.begun() && !decoder.awaitsBody();
+        return connection.isReading() && decoder.hasBegun() && !decoder.awaitsBody();
     }
 
     /** The next check of the pace measures from here. */
--- a/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
+++ b/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
@@ -66,7 +66,7 @@
         download = response.body();
         long withoutLength = chunked ? HttpEncoder.CHUNKED : HttpEncoder.NO_BODY;
         long length = lengthKnown ? response.length() : withoutLength;
-        channel.write(HttpEncoder.answerHead(channel.alloc(), 200, fields, length, close));
+        channel.write(HttpEncoder.responseHead(channel.alloc(), 200, fields, length, close));
         response.body().connect(new ClientBodySink(connection, this, channel, chunked, !lengthKnown, close));
     }
 
--- a/node/src/main/java/brackenbridge/net/client/UploadReader.java
+++ b/node/src/main/java/brackenbridge/net/client/UploadReader.java
@@ -69,7 +69,7 @@
 
     /** The first part has come: the request opens, and what follows waits until a server takes it. */
     void start() throws HttpException {
-        long length = decoder.length();
+        long length = decoder.declaredLength();
         HttpRequest head = decoder.part(decoder.stream((from, n) -> body.piece(from.readRetainedSlice(n))));
         body = new BodyStream(this);
         lastByteHeld = false;
--- a/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
+++ b/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
@@ -72,7 +72,7 @@
         Channel channel = connection.channel();
         boolean chunked = request.length() < 0;
         streamedRequest = request;
-        channel.write(HttpEncoder.forwardHead(
+        channel.write(HttpEncoder.requestHead(
                 channel.alloc(), request.head(), timeLeftMs, chunked ? HttpEncoder.CHUNKED : request.length()));
         writePiece(Unpooled.wrappedBuffer(request.head().body()), chunked);
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
--- a/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
@@ -57,7 +57,7 @@
 
     /** Whether what was read so far is a complete response if the connection ends in order here. */
     boolean isCompleteAtEnd() {
-        return decoder.ended();
+        return decoder.onConnectionEnd();
     }
 
     /** Takes what was read from the connection while an attempt is out on it, or its response is being streamed. */
@@ -67,8 +67,8 @@
         } else if (decoder.isLong()) {
             readLongResponse(in);
         } else {
-            lastProgressMs = decoder.begun() ? clock.nowMs() : 0;
-            setBufferedBytes(decoder.held());
+            lastProgressMs = decoder.hasBegun() ? clock.nowMs() : 0;
+            setBufferedBytes(decoder.bufferedBytes());
             if (upstream.responses().isOverBufferLimit()) {
                 // Guards memory against many long responses at once.
                 rejectResponse(RejectionReason.OVERSIZED, "too much is buffered of all responses");
@@ -145,7 +145,7 @@
             return false;
         }
         double pauseMs = nowMs - lastProgressMs;
-        if (decoder.saysLong() && decoder.status() == OK && pauseMs > FIRST_PART_TIMEOUT_MS) {
+        if (decoder.declaresLongBody() && decoder.status() == OK && pauseMs > FIRST_PART_TIMEOUT_MS) {
             startStreaming();
             return true;
         }
@@ -184,7 +184,7 @@
 
     private long contentLength() {
         try {
-            return decoder.length();
+            return decoder.declaredLength();
         } catch (HttpException e) {
             return HttpEncoder.CHUNKED;
         }
--- a/node/src/test/java/brackenbridge/http/DecoderTest.java
+++ b/node/src/test/java/brackenbridge/http/DecoderTest.java
@@ -73,7 +73,7 @@
             }
         }
         assertEquals(List.of("200hello", "503hello"), whole);
-        assertFalse(d.ended());
+        assertFalse(d.onConnectionEnd());
     }
 
     @Property(seed = "13", tries = 1000)
@@ -139,7 +139,7 @@
                     break;
                 }
             }
-            assertTrue(d.held() <= MessageDecoder.WHOLE_LIMIT + 200, "held " + d.held());
+            assertTrue(d.bufferedBytes() <= MessageDecoder.MAX_BUFFERED_BODY_BYTES + 200, "held " + d.bufferedBytes());
         }
         assertEquals(List.of(body, body, ""), bodies);
     }
@@ -181,7 +181,7 @@
             assertFalse(answered(d, head + "\r\n"), "an empty body has no end yet either");
             assertFalse(answered(d, "hel"));
             assertFalse(answered(d, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "all is body up to the connection's end");
-            assertTrue(d.ended());
+            assertTrue(d.onConnectionEnd());
             HttpResponse r = d.take();
             assertEquals("hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(r.body(), StandardCharsets.US_ASCII), head);
             assertFalse(r.keepAlive(), head);
@@ -200,7 +200,7 @@
         }) {
             ResponseDecoder d = new ResponseDecoder();
             assertFalse(answered(d, half));
-            assertFalse(d.ended(), half);
+            assertFalse(d.onConnectionEnd(), half);
         }
     }
 
@@ -217,7 +217,7 @@
         ResponseDecoder d =
                 new ResponseDecoder((from, n) -> body.append(from.readCharSequence(n, StandardCharsets.US_ASCII)));
         assertFalse(answered(d, "HTTP/1.1 200 OK\r\n\r\nhel"));
-        assertTrue(d.ended());
+        assertTrue(d.onConnectionEnd());
         assertEquals("hel", body.toString());
     }
 
@@ -234,9 +234,9 @@
     void whatIsHeldOfARequestIsCountedAndLetGo() throws HttpException {
         RequestDecoder d = new RequestDecoder();
         d.decode(Unpooled.copiedBuffer(POST.substring(0, POST.length() - 1), StandardCharsets.US_ASCII));
-        assertTrue(d.held() > 40, "held " + d.held());
+        assertTrue(d.bufferedBytes() > 40, "held " + d.bufferedBytes());
         assertTrue(d.decode(Unpooled.copiedBuffer("o", StandardCharsets.US_ASCII)));
         d.take();
-        assertEquals(0, d.held());
+        assertEquals(0, d.bufferedBytes());
     }
 }
