--- a/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
+++ b/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
@@ -10,14 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads discovery's lists: the whole one, or one line of a watch. */
+/** Parses and formats the endpoint lists of discovery: a complete list, or one line of a watch. */
 public final class EndpointListParser {
-    /** Beyond it a number on the wire is no longer exact. */
-    private static final double MOST_VERSIONS = 0x1p53 - 1;
+    /** The largest integer up to which every number in JSON is exact. */
+    private static final double MAX_VERSION = 0x1p53 - 1;
+
+    private static final int MAX_PORT = 65_535;
+    private static final String HEALTH_UP = "active";
+    private static final String HEALTH_DRAINING = "leaving";
+    private static final String HEALTH_REMOVED = "left";
 
     private EndpointListParser() {}
 
-    /** Reads a list; what is not one is an IllegalArgumentException. */
+    /** Parses a list; text that is not a list is an IllegalArgumentException. */
     public static EndpointList parse(String text) {
         try {
             return fromJson(StrictJson.parse(text).asObject());
@@ -27,94 +32,107 @@
     }
 
     /**
-     * Reads a list that has been parsed. An entry that can't be read costs only itself, as long as it says whose it
-     * is; of anybody else's the whole list is spoilt, since what it leaves out would count as gone.
+     * Reads the list from its JSON. A malformed entry that names its host makes only that host unreadable. An entry
+     * without a host makes the list malformed, since a host that is missing from a list counts as removed.
      */
     public static EndpointList fromJson(JsonObject json) {
-        List<ServerEndpoint> targets = new ArrayList<>();
-        List<String> unread = new ArrayList<>();
-        for (JsonValue v : required(json, "hosts").asArray()) {
-            String host = required(v.asObject(), "host").asString();
+        List<ServerEndpoint> endpoints = new ArrayList<>();
+        List<String> unreadableHosts = new ArrayList<>();
+        for (JsonValue item : required(json, "hosts").asArray()) {
+            JsonObject entry = item.asObject();
+            String host = required(entry, "host").asString();
             if (host.isEmpty()) {
                 throw new IllegalArgumentException("entry without a host");
             }
             try {
-                targets.add(target(host, v.asObject()));
+                endpoints.add(parseEndpoint(host, entry));
             } catch (RuntimeException e) {
-                unread.add(host);
+                unreadableHosts.add(host);
             }
         }
-        return new EndpointList(version(required(json, "seq")), json.getBoolean("whole", false), targets, unread);
+        return new EndpointList(
+                parseVersion(required(json, "seq")), json.getBoolean("whole", false), endpoints, unreadableHosts);
     }
 
-    /** Guards all later lists: beside a version that no counter holds they would be stale for good. */
-    private static long version(JsonValue v) {
-        double seq = v.isNumber() ? v.asDouble() : Double.NaN;
-        if (!(seq >= -1 && seq <= MOST_VERSIONS) || seq != Math.rint(seq)) {
-            throw new IllegalArgumentException("seq is not a version: " + v);
+    /** Guards later lists: after a version that is out of range, each of them would count as stale. */
+    private static long parseVersion(JsonValue value) {
+        double version = value.isNumber() ? value.asDouble() : Double.NaN;
+        if (!(version >= -1 && version <= MAX_VERSION) || version != Math.rint(version)) {
+            throw new IllegalArgumentException("seq is not a version: " + value);
         }
-        return (long) seq;
+        return (long) version;
     }
 
-    /** Words a list as discovery would. */
-    public static JsonObject toJson(EndpointList group) {
+    /** Formats a list as discovery does. */
+    public static JsonObject toJson(EndpointList list) {
         JsonArray hosts = new JsonArray();
-        for (ServerEndpoint t : group.endpoints()) {
-            String health = switch (t.state()) {
-                case UP -> "active";
-                case DRAINING -> "leaving";
-                case REMOVED -> "left";
-            };
+        for (ServerEndpoint endpoint : list.endpoints()) {
             hosts.add(Json.object()
-                    .add("host", t.host())
-                    .add("dial", t.address())
-                    .add("site", t.zone())
-                    .add("block", t.cell())
-                    .add("share", t.weight())
-                    .add("born_ms", t.startedAtMs())
-                    .add("health", health));
+                    .add("host", endpoint.host())
+                    .add("dial", endpoint.address())
+                    .add("site", endpoint.zone())
+                    .add("block", endpoint.cell())
+                    .add("share", endpoint.weight())
+                    .add("born_ms", endpoint.startedAtMs())
+                    .add("health", formatState(endpoint.state())));
         }
         return Json.object()
-                .add("seq", group.version())
-                .add("whole", group.complete())
+                .add("seq", list.version())
+                .add("whole", list.complete())
                 .add("hosts", hosts);
     }
 
-    private static ServerEndpoint target(String host, JsonObject o) {
-        String dial = required(o, "dial").asString();
-        int port = dial.matches("[^\\s:]+:[0-9]{1,5}") ? Integer.parseInt(dial.substring(dial.indexOf(':') + 1)) : 0;
-        if (port < 1 || port > 65535) {
-            throw new IllegalArgumentException("dial '" + dial + "'");
+    private static ServerEndpoint parseEndpoint(String host, JsonObject entry) {
+        String address = required(entry, "dial").asString();
+        int port = parsePort(address);
+        if (port < 1 || port > MAX_PORT) {
+            throw new IllegalArgumentException("dial '" + address + "'");
         }
         return new ServerEndpoint(
                 host,
-                dial,
-                o.getString("site", "-"),
-                (long) number(o, "block", -1),
-                number(o, "share", 1),
-                number(o, "born_ms", 0),
-                state(required(o, "health").asString()));
+                address,
+                entry.getString("site", "-"),
+                (long) number(entry, "block", -1),
+                number(entry, "share", 1),
+                number(entry, "born_ms", 0),
+                parseState(required(entry, "health").asString()));
+    }
+
+    /** The port of an {@code address:port}; 0 if the text is not one. */
+    private static int parsePort(String address) {
+        if (!address.matches("[^\\s:]+:[0-9]{1,5}")) {
+            return 0;
+        }
+        return Integer.parseInt(address.substring(address.indexOf(':') + 1));
     }
 
-    private static double number(JsonObject o, String name, double absent) {
-        JsonValue v = o.get(name);
-        return v == null || v.isNull() ? absent : v.asDouble();
+    private static double number(JsonObject json, String name, double defaultValue) {
+        JsonValue value = json.get(name);
+        return value == null || value.isNull() ? defaultValue : value.asDouble();
     }
 
-    private static JsonValue required(JsonObject o, String name) {
-        JsonValue v = o.get(name);
-        if (v == null) {
+    private static JsonValue required(JsonObject json, String name) {
+        JsonValue value = json.get(name);
+        if (value == null) {
             throw new IllegalArgumentException("no " + name);
         }
-        return v;
+        return value;
+    }
+
+    private static EndpointState parseState(String health) {
+        return switch (health) {
+            case HEALTH_UP -> EndpointState.UP;
+            case HEALTH_DRAINING -> EndpointState.DRAINING;
+            case HEALTH_REMOVED -> EndpointState.REMOVED;
+            default -> throw new IllegalArgumentException("health '" + health + "'");
+        };
     }
 
-    private static EndpointState state(String word) {
-        return switch (word) {
-            case "active" -> EndpointState.UP;
-            case "leaving" -> EndpointState.DRAINING;
-            case "left" -> EndpointState.REMOVED;
-            default -> throw new IllegalArgumentException("health '" + word + "'");
+    private static String formatState(EndpointState state) {
+        return switch (state) {
+            case UP -> HEALTH_UP;
+            case DRAINING -> HEALTH_DRAINING;
+            case REMOVED -> HEALTH_REMOVED;
         };
     }
 }
