--- a/node/src/main/java/brackenbridge/transport/SocketErrors.java
+++ b/node/src/main/java/brackenbridge/transport/SocketErrors.java
@@ -6,22 +6,22 @@
 import java.util.List;
 
 /**
- * Says of a failed system call whose failure it is. Java tells some of Linux's error numbers by the class of the
- * exception and the rest by the text of {@code strerror} alone. An error that is not known here is the peer's for a
- * connect, and the listening socket's for an accept.
+ * Classifies the errors of socket calls by their origin. Java reports some error numbers of Linux by the class of the
+ * exception and the rest only by the text of {@code strerror}. An error that is not listed here is attributed to the
+ * peer for a connect, and to the listening socket for an accept.
  */
 public final class SocketErrors {
     /** EMFILE and ENFILE begin with the same words; ENOBUFS; ENOMEM. */
-    private static final List<String> SHORTAGE =
+    private static final List<String> SHORTAGE_MESSAGES =
             List.of("Too many open files", "No buffer space available", "Cannot allocate memory");
     /** EAGAIN (no local port or no entry for the route), ENETUNREACH, ENETDOWN. */
-    private static final List<String> NO_WAY_OUT =
+    private static final List<String> NO_ROUTE_MESSAGES =
             List.of("Resource temporarily unavailable", "Network is unreachable", "Network is down");
     /**
-     * ECONNABORTED and EINTR, then what {@code accept(2)} passes on of the new connection's own errors: ENETDOWN,
-     * EPROTO, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH; EPERM is a firewall's.
+     * ECONNABORTED and EINTR; the pending errors of the new connection that {@code accept(2)} returns: ENETDOWN,
+     * EPROTO, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH; and EPERM, caused by firewalls.
      */
-    private static final List<String> ONE_CONNECTION = List.of(
+    private static final List<String> CONNECTION_MESSAGES = List.of(
             "Software caused connection abort",
             "Interrupted system call",
             "Network is down",
@@ -33,23 +33,23 @@
             "Operation not supported",
             "Network is unreachable",
             "Operation not permitted");
-    /** Causes of causes that are looked at; guards against a chain that is a ring. */
-    private static final int DEPTH = 10;
+    /** The most causes that are examined; guards against a cyclic chain of causes. */
+    private static final int MAX_CAUSES = 10;
 
     private SocketErrors() {}
 
-    /** Whether descriptors, buffers or memory were lacking on this machine: closing something helps. */
+    /** Whether this machine lacked descriptors, buffers or memory, so that closing a connection helps. */
     public static boolean isShortage(Throwable failure) {
-        return says(failure, SHORTAGE);
+        return hasMessage(failure, SHORTAGE_MESSAGES);
     }
 
     /**
-     * Whether a connect, or a write before anything was sent, failed on this machine: it says nothing of the peer.
-     * ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH and ECONNRESET are the peer's.
+     * Whether a connect, or a write before anything was sent, failed because of this machine, which is no sign of a
+     * failed peer. ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH and ECONNRESET are attributed to the peer.
      */
     public static boolean isLocal(Throwable failure) {
         Throwable cause = failure;
-        for (int i = 0; cause != null && i < DEPTH; i++) {
+        for (int i = 0; cause != null && i < MAX_CAUSES; i++) {
             if (cause instanceof ConnectException || cause instanceof NoRouteToHostException) {
                 return false;
             }
@@ -59,19 +59,19 @@
             }
             cause = cause.getCause();
         }
-        return isShortage(failure) || says(failure, NO_WAY_OUT);
+        return isShortage(failure) || hasMessage(failure, NO_ROUTE_MESSAGES);
     }
 
-    /** Whether a failed accept has cost one client's connection only, so that the next can be accepted at once. */
+    /** Whether a failed accept affects only that connection, so that the next can be accepted at once. */
     public static boolean endsOneConnection(Throwable acceptFailure) {
-        return says(acceptFailure, ONE_CONNECTION);
+        return hasMessage(acceptFailure, CONNECTION_MESSAGES);
     }
 
-    private static boolean says(Throwable failure, List<String> texts) {
+    private static boolean hasMessage(Throwable failure, List<String> messages) {
         Throwable cause = failure;
-        for (int i = 0; cause != null && i < DEPTH; i++) {
+        for (int i = 0; cause != null && i < MAX_CAUSES; i++) {
             String message = cause.getMessage();
-            if (message != null && texts.stream().anyMatch(message::contains)) {
+            if (message != null && messages.stream().anyMatch(message::contains)) {
                 return true;
             }
             cause = cause.getCause();
