--- a/node/src/main/java/brackenbridge/cli/Training.java
+++ b/node/src/main/java/brackenbridge/cli/Training.java
@@ -12,13 +12,18 @@
 import java.util.regex.Pattern;
 
 /**
- * Plays a node's first moments against stand-ins on loopback, so that the build can keep the classes they load in an
- * archive: a node that starts or restarts spends nearly half of its way to the listener on loading and checking them.
+ * The training run of the class-data-sharing archive: starts a node and sends it requests, with stub servers on
+ * loopback, so that the build can archive the classes that are loaded. Without the archive, loading and verifying
+ * classes takes nearly half of the time from a node's start to its listener.
  */
 final class Training {
-    private static final int PATIENCE_MS = 20_000;
-    private static final int REQUESTS = 20;
-    private static final Pattern LENGTH = Pattern.compile("(?i)content-length: *([0-9]+)");
+    private static final int TIMEOUT_MS = 20_000;
+    private static final int POLL_INTERVAL_MS = 10;
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final int ACCEPT_BACKLOG = 50;
+    private static final int REQUEST_ROUNDS = 20;
+    private static final String HEAD_END = "\r\n\r\n";
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)content-length: *([0-9]+)");
     private static final String CONFIG = """
             {"name":"training","listen":"%s","discovery":"%s","limits":{"cores":1.0,"memory_mb":128,"sockets":64},
              "known":{"seq":1,"whole":true,"hosts":[]},
@@ -29,104 +34,112 @@
               "me":0,"replicasOfMe":2,"tier":0,"zone":"a","discovery":"pushed",
               "policyLimits":{"maxAttempts":3,"connectTimeout":120000,"mayCancel":true,"maxRetryAfter":1000000},
               "rules":{"drainGrace":500000}}}""";
-    private static final String LIST = "{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":\"s\",\"dial\":\"%s\","
+    private static final String ENDPOINT_LIST = "{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":\"s\",\"dial\":\"%s\","
             + "\"site\":\"a\",\"health\":\"active\",\"share\":1.0,\"born_ms\":0}]}\n";
 
     private Training() {}
 
-    /** Starts a node as {@code serve} does, has it serve, and ends the process. */
+    /** Starts a node as {@code serve} does, sends it requests, and ends the process. */
     static void run() {
         try {
-            play();
+            trainNode();
             System.exit(0);
         } catch (IOException | InterruptedException e) {
-            // A machine without loopback builds all the same; its nodes start more slowly.
+            // The build goes on without an archive, for example without loopback; nodes then start more slowly.
             System.err.println("brackenbridge: training: " + e);
             System.exit(1);
         }
     }
 
-    private static void play() throws IOException, InterruptedException {
+    private static void trainNode() throws IOException, InterruptedException {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
             port = free.getLocalPort();
         }
-        ServerSocket server = new ServerSocket(0, 50, loopback);
-        ServerSocket agent = new ServerSocket(0, 50, loopback);
-        daemon(() -> answer(server, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
-        daemon(() -> answer(
-                agent,
-                "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LIST.formatted("127.0.0.1:" + server.getLocalPort())));
+        ServerSocket server = new ServerSocket(0, ACCEPT_BACKLOG, loopback);
+        ServerSocket discovery = new ServerSocket(0, ACCEPT_BACKLOG, loopback);
+        startDaemon(() -> acceptConnections(server, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
+        startDaemon(() -> acceptConnections(
+                discovery,
+                "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+                        + ENDPOINT_LIST.formatted("127.0.0.1:" + server.getLocalPort())));
         Path file = Files.createTempFile("training", ".json");
-        Files.writeString(file, CONFIG.formatted("127.0.0.1:" + port, "127.0.0.1:" + agent.getLocalPort()));
+        Files.writeString(file, CONFIG.formatted("127.0.0.1:" + port, "127.0.0.1:" + discovery.getLocalPort()));
         Main.serve(file.toString());
         Files.delete(file);
-        long limit = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        try (Socket client = new Socket(loopback, port)) {
-            client.setSoTimeout(PATIENCE_MS);
-            while (!ask(client, "GET /health/ready", "").startsWith("HTTP/1.1 200")) {
-                if (System.nanoTime() > limit) {
+        sendRequests(loopback, port);
+    }
+
+    private static void sendRequests(InetAddress address, int port) throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MS * NANOS_PER_MS;
+        try (Socket client = new Socket(address, port)) {
+            client.setSoTimeout(TIMEOUT_MS);
+            while (!request(client, "GET /health/ready", "").startsWith("HTTP/1.1 200")) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw new IOException("the node is not ready");
                 }
-                Thread.sleep(10);
+                Thread.sleep(POLL_INTERVAL_MS);
             }
-            for (int i = 0; i < REQUESTS; i++) {
-                ask(client, "GET /get/a", "");
-                ask(client, "POST /put/a", "a body");
+            for (int i = 0; i < REQUEST_ROUNDS; i++) {
+                request(client, "GET /get/a", "");
+                request(client, "POST /put/a", "a body");
             }
         }
     }
 
-    private static String ask(Socket client, String line, String body) throws IOException {
-        String text = line + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nX-Account: t\r\nX-Time-Left-Ms: 2000\r\n"
+    /** Sends a request, reads the response and returns its head. */
+    private static String request(Socket client, String methodAndPath, String body) throws IOException {
+        String text = methodAndPath
+                + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nX-Account: t\r\nX-Time-Left-Ms: 2000\r\n"
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
         client.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        String head = head(client.getInputStream());
-        Matcher length = LENGTH.matcher(head);
+        String head = readHead(client.getInputStream());
+        Matcher length = CONTENT_LENGTH.matcher(head);
         if (length.find()) {
             client.getInputStream().skipNBytes(Long.parseLong(length.group(1)));
         }
         return head;
     }
 
-    private static void answer(ServerSocket at, String text) {
+    /** Answers every request on every connection with the same bytes. */
+    private static void acceptConnections(ServerSocket listener, String response) {
         try {
             while (true) {
-                Socket s = at.accept();
-                daemon(() -> answer(s, text));
+                Socket connection = listener.accept();
+                startDaemon(() -> answerRequests(connection, response));
             }
         } catch (IOException e) {
             return;
         }
     }
 
-    private static void answer(Socket s, String text) {
-        try (s) {
-            while (!head(s.getInputStream()).isEmpty()) {
-                s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void answerRequests(Socket connection, String response) {
+        try (connection) {
+            while (!readHead(connection.getInputStream()).isEmpty()) {
+                connection.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
             return;
         }
     }
 
-    /** A head; empty at the end of the connection. A body that came before it is read over as part of it. */
-    private static String head(InputStream in) throws IOException {
-        StringBuilder s = new StringBuilder();
-        int b;
-        while ((b = in.read()) >= 0) {
-            s.append((char) b);
-            if (s.length() >= 4 && s.indexOf("\r\n\r\n", s.length() - 4) >= 0) {
-                return s.toString();
+    /** Reads a head; empty at the end of the connection. The body of the previous message is read as part of it. */
+    private static String readHead(InputStream in) throws IOException {
+        StringBuilder head = new StringBuilder();
+        int next;
+        while ((next = in.read()) >= 0) {
+            head.append((char) next);
+            if (head.length() >= HEAD_END.length() && head.indexOf(HEAD_END, head.length() - HEAD_END.length()) >= 0) {
+                return head.toString();
             }
         }
         return "";
     }
 
-    private static void daemon(Runnable work) {
-        Thread t = new Thread(work, "training");
-        t.setDaemon(true);
-        t.start();
+    private static void startDaemon(Runnable work) {
+        Thread thread = new Thread(work, "training");
+        thread.setDaemon(true);
+        thread.start();
     }
 }
--- a/node/src/main/java/brackenbridge/config/ConfigSchema.java
+++ b/node/src/main/java/brackenbridge/config/ConfigSchema.java
@@ -11,10 +11,10 @@
  * replace it. Guards against a file that was truncated, or that lost a key, and can still be parsed.
  */
 public final class ConfigSchema {
-    private static final String EMPTY_ARRAY = "empty array";
-    private static final String ARRAY = "array";
+    private static final String EMPTY_ARRAY_TYPE = "empty array";
+    private static final String ARRAY_TYPE = "array";
     /** Follows the path of a list in the paths of its entries. */
-    private static final String ENTRY = "[]";
+    private static final String ENTRY_SUFFIX = "[]";
 
     private final Map<String, String> types;
 
@@ -26,7 +26,7 @@
     static ConfigSchema of(JsonObject json) {
         Map<String, String> types = new TreeMap<>();
         collectTypes("", json, types);
-        types.keySet().removeIf(path -> path.startsWith("known.hosts" + ENTRY));
+        types.keySet().removeIf(path -> path.startsWith("known.hosts" + ENTRY_SUFFIX));
         return new ConfigSchema(types);
     }
 
@@ -45,12 +45,12 @@
 
     /** Whether the path is within the entries of a list that is empty here. */
     private boolean hasEmptyListAbove(String path) {
-        int entry = path.lastIndexOf(ENTRY);
-        return entry >= 0 && EMPTY_ARRAY.equals(types.get(path.substring(0, entry)));
+        int entry = path.lastIndexOf(ENTRY_SUFFIX);
+        return entry >= 0 && EMPTY_ARRAY_TYPE.equals(types.get(path.substring(0, entry)));
     }
 
     private static String ignoringLength(String type) {
-        return type.equals(EMPTY_ARRAY) ? ARRAY : type;
+        return type.equals(EMPTY_ARRAY_TYPE) ? ARRAY_TYPE : type;
     }
 
     private static void collectTypes(String path, JsonValue value, Map<String, String> types) {
@@ -66,7 +66,7 @@
                 collectTypes(memberPath, member.getValue(), types);
             }
         } else if (value.isArray()) {
-            types.putAll(commonTypes(path + ENTRY, value.asArray()));
+            types.putAll(commonTypes(path + ENTRY_SUFFIX, value.asArray()));
         }
     }
 
@@ -90,7 +90,7 @@
             return "object";
         }
         if (value.isArray()) {
-            return value.asArray().isEmpty() ? EMPTY_ARRAY : ARRAY;
+            return value.asArray().isEmpty() ? EMPTY_ARRAY_TYPE : ARRAY_TYPE;
         }
         if (value.isNumber()) {
             return "number";
--- a/node/src/main/java/brackenbridge/http/MessageDecoder.java
+++ b/node/src/main/java/brackenbridge/http/MessageDecoder.java
@@ -18,7 +18,7 @@
     static final int MAX_START_LINE_CHARS = 8 * 1024;
     static final int MAX_HEAD_BYTES = 16 * 1024;
     static final int MAX_FIELDS = 100;
-    private static final int DELETE = 0x7f;
+    private static final int DELETE_CHAR = 0x7f;
     private static final Pattern LENGTH_PATTERN = Pattern.compile("[0-9]{1,18}");
     private static final Pattern CHUNK_SIZE_PATTERN = Pattern.compile("0{0,16}[0-9a-fA-F]{1,7}");
 
@@ -153,7 +153,7 @@
                 carriageReturn = true;
                 continue;
             }
-            if (next < ' ' && next != '\t' || next == DELETE) {
+            if (next < ' ' && next != '\t' || next == DELETE_CHAR) {
                 throw new HttpException(400, "control character in the head");
             }
             line.append((char) next);
