--- a/node/src/main/java/brackenbridge/cli/Extension.java
+++ b/node/src/main/java/brackenbridge/cli/Extension.java
@@ -1,13 +1,13 @@
 package brackenbridge.cli;
 
 /**
- * A command that another module brings, found on the class path by ServiceLoader: the node's own program stays slim,
- * and a heavy library comes only where its module does.
+ * A command that another module provides. It is found on the class path by ServiceLoader, so that the node's program
+ * does not depend on the libraries of that module.
  */
 public interface Extension {
-    /** The command's name. */
+    /** The name of the command on the command line. */
     String name();
 
-    /** Runs it with the words after its name; what it returns is the exit status. */
+    /** Runs the command with the arguments after its name; returns the exit status. */
     int run(String[] args);
 }
--- a/node/src/main/java/brackenbridge/cli/HangupSignal.java
+++ b/node/src/main/java/brackenbridge/cli/HangupSignal.java
@@ -2,20 +2,20 @@
 
 import java.lang.reflect.Proxy;
 
-/** The signal SIGHUP. The platform's own class for it is reached by name, since it is no part of the API. */
+/** The signal SIGHUP. The platform's class for signals is used by reflection, since it is not part of the API. */
 final class HangupSignal {
     private HangupSignal() {}
 
     /**
-     * Runs this at each SIGHUP from now on, on a thread of its own. Guards against the default, which ends the
-     * process. False if no signal will come: the platform has none, or whoever started the process had it ignored, as
-     * nohup does, and then the runtime leaves it so.
+     * Runs the work at each SIGHUP, on a thread of its own, in place of the default action, which ends the process.
+     * Returns false if no signal will arrive: the platform has none, or the process was started with SIGHUP ignored,
+     * as by nohup, which the runtime does not change.
      */
     static boolean handle(Runnable work) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling = Proxy.newProxyInstance(
+            Object handlerProxy = Proxy.newProxyInstance(
                     handler.getClassLoader(),
                     new Class<?>[] {handler},
                     (proxy, method, args) -> switch (method.getName()) {
@@ -27,9 +27,9 @@
                         case "equals" -> proxy == args[0];
                         default -> "SIGHUP";
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
-            return before != handler.getField("SIG_IGN").get(null);
+            Object previousHandler = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
+            return previousHandler != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             return false;
         }
--- a/node/src/main/java/brackenbridge/handover/package-info.java
+++ b/node/src/main/java/brackenbridge/handover/package-info.java
@@ -1,2 +1,2 @@
-/** How a process of the node takes another's place: what the two say to each other over a Unix socket. */
+/** The protocol, over a Unix socket, by which a new process of the node replaces a running one. */
 package brackenbridge.handover;
--- a/node/src/main/java/brackenbridge/http/HttpException.java
+++ b/node/src/main/java/brackenbridge/http/HttpException.java
@@ -1,6 +1,6 @@
 package brackenbridge.http;
 
-/** Bytes that are not the message they should be; the status is what a client is told. */
+/** A malformed message. The status is that of the response to a client that sent it. */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1;
     private final int status;
@@ -10,7 +10,7 @@
         this.status = status;
     }
 
-    /** The status for the sender of a request like this. */
+    /** The status of the response to such a request. */
     public int status() {
         return status;
     }
--- a/node/src/main/java/brackenbridge/http/HttpRequest.java
+++ b/node/src/main/java/brackenbridge/http/HttpRequest.java
@@ -1,19 +1,19 @@
 package brackenbridge.http;
 
 /**
- * A request, whole or with the first part of its body.
+ * An HTTP request, complete or with the first part of its body.
  *
  * @param method its method
- * @param target path and query, as they came
+ * @param target the path and query, unchanged
  * @param http11 whether its client speaks HTTP/1.1
- * @param keepAlive whether its connection may carry another
+ * @param keepAlive whether its connection may carry another request
  * @param headers its header fields
  * @param body its body, without framing
  */
 public record HttpRequest(
         String method, String target, boolean http11, boolean keepAlive, Headers headers, byte[] body) {
 
-    /** The first part of the path. */
+    /** The first segment of the path. */
     public String firstPart() {
         int end = 1;
         while (end < target.length() && "/?#".indexOf(target.charAt(end)) < 0) {
--- a/node/src/main/java/brackenbridge/http/HttpResponse.java
+++ b/node/src/main/java/brackenbridge/http/HttpResponse.java
@@ -1,10 +1,10 @@
 package brackenbridge.http;
 
 /**
- * An answer, whole or with the first part of its body.
+ * An HTTP response, complete or with the first part of its body.
  *
- * @param status its status
- * @param keepAlive whether its connection may carry another
+ * @param status its status code
+ * @param keepAlive whether its connection may carry another response
  * @param headers its header fields
  * @param body its body, without framing
  */
--- a/node/src/main/java/brackenbridge/http/LoadReportParser.java
+++ b/node/src/main/java/brackenbridge/http/LoadReportParser.java
@@ -2,11 +2,11 @@
 
 import brackenbridge.core.balancing.LoadReport;
 
-/** Reads the load report of a server: {@code name=value} pairs set apart by commas. */
+/** Parses the load report of a server: {@code name=value} pairs separated by commas. */
 public final class LoadReportParser {
     private LoadReportParser() {}
 
-    /** The report with the fields that came and were numbers, NaN for the others; null if none did. */
+    /** Returns the report, with NaN for each value that is absent or invalid; null if all are. */
     public static LoadReport parse(String text) {
         if (text == null) {
             return null;
@@ -14,17 +14,17 @@
         double[] values = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
         boolean any = false;
         for (String pair : text.strip().split(",")) {
-            int eq = pair.indexOf('=');
-            int which = eq < 0 ? -1 : field(pair.substring(0, eq).strip());
-            if (which >= 0) {
+            int equals = pair.indexOf('=');
+            int index = equals < 0 ? -1 : fieldIndex(pair.substring(0, equals).strip());
+            if (index >= 0) {
                 try {
-                    double value = Double.parseDouble(pair.substring(eq + 1).strip());
+                    double value = Double.parseDouble(pair.substring(equals + 1).strip());
                     if (Double.isFinite(value) && value >= 0) {
-                        values[which] = value;
+                        values[index] = value;
                         any = true;
                     }
                 } catch (NumberFormatException e) {
-                    // As good as absent: one broken value must not cost the others.
+                    // Counts as absent, so that one malformed value does not discard the others.
                     continue;
                 }
             }
@@ -32,8 +32,8 @@
         return any ? new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]) : null;
     }
 
-    /** Each value has the servers' own name and the one that the settings use. */
-    private static int field(String name) {
+    /** The position of a value in the report: each has a name used by servers and one used by the settings. */
+    private static int fieldIndex(String name) {
         return switch (name) {
             case "inflight", "concurrent" -> 0;
             case "queue", "depth" -> 1;
--- a/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
@@ -1,29 +1,29 @@
 package brackenbridge.transport;
 
 /**
- * How long a listening socket waits after a failed accept. Netty's own answer is a second without accepting, which is
- * longer than many clients wait for their answer.
+ * Decides how long a listening socket waits after a failed accept. Netty's default is one second without accepting,
+ * which is longer than the deadline of many requests.
  */
 public final class AcceptBackoff {
-    /** The pause after a failure that the next accept would meet again. */
+    /** The pause after a failure that would affect the next accept too. */
     public static final long PAUSE_MS = 5;
-    /** Failures in a row that are retried at once; guards the thread against an error that stays. */
-    private static final int MAX_IMMEDIATE = 16;
+    /** Failures in a row that are retried at once; guards the thread against a persistent error. */
+    private static final int MAX_IMMEDIATE_RETRIES = 16;
 
-    private int immediate;
+    private int immediateRetries;
 
-    /** An accept has succeeded. */
+    /** Records a successful accept. */
     public void accepted() {
-        immediate = 0;
+        immediateRetries = 0;
     }
 
-    /** An accept has failed: how long to wait before the next, in milliseconds; 0 to retry at once. */
+    /** Records a failed accept; returns the pause before the next in milliseconds, 0 to retry at once. */
     public long pauseMs(Throwable failure) {
-        if (SocketErrors.endsOneConnection(failure) && immediate < MAX_IMMEDIATE) {
-            immediate++;
+        if (SocketErrors.endsOneConnection(failure) && immediateRetries < MAX_IMMEDIATE_RETRIES) {
+            immediateRetries++;
             return 0;
         }
-        immediate = 0;
+        immediateRetries = 0;
         return PAUSE_MS;
     }
 }
--- a/node/src/main/java/brackenbridge/transport/package-info.java
+++ b/node/src/main/java/brackenbridge/transport/package-info.java
@@ -1,2 +1,2 @@
-/** What every socket of the program shares: connects and accepts whose system calls fail. */
+/** Handling of connects and accepts whose system calls fail, shared by all sockets of the program. */
 package brackenbridge.transport;
