--- a/core/src/main/java/brackenbridge/core/RequestDispatch.java
+++ b/core/src/main/java/brackenbridge/core/RequestDispatch.java
@@ -6,7 +6,7 @@
 /** Hands a request over to the balancer: at once, or when its tenant's quota admits it. */
 final class RequestDispatch {
     /** The balancer's value for a key or a cost that is not known. */
-    private static final long UNKNOWN = -1;
+    private static final long UNKNOWN_KEY_OR_COST = -1;
 
     private final BalancerApi balancer;
 
@@ -22,9 +22,9 @@
                 request.id,
                 request.className,
                 request.tenant,
-                UNKNOWN,
+                UNKNOWN_KEY_OR_COST,
                 Microseconds.ofMs(timeLeftMs),
-                UNKNOWN,
+                UNKNOWN_KEY_OR_COST,
                 request.clientRetry);
         if (complete) {
             balancer.onRequest(context.nowMicros(), arrived);
--- a/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
@@ -90,15 +90,18 @@
         double floor = now - firstRequestAt < OPENING_DURATION ? OPENING_FLOOR : OPEN_FLOOR;
         double wait = request.timeBudget * RequestQueues.DEADLINE_MARGIN - request.requestClass.bestMeanTime;
         double best = 0;
-        double n = 1;
-        for (RequestClassState c : classes.all()) {
-            wait = c.level <= request.level
-                    ? Math.min(wait, c.rules.latencyObjective() * RequestQueues.DEADLINE_MARGIN - c.bestMeanTime)
+        double answerCount = 1;
+        for (RequestClassState requestClass : classes.all()) {
+            wait = requestClass.level <= request.level
+                    ? Math.min(
+                            wait,
+                            requestClass.rules.latencyObjective() * RequestQueues.DEADLINE_MARGIN
+                                    - requestClass.bestMeanTime)
                     : wait;
-            best += c.bestMeanTime * c.answers;
-            n += c.answers;
+            best += requestClass.bestMeanTime * requestClass.answers;
+            answerCount += requestClass.answers;
         }
-        double tau = best / n + part * Math.max(0, wait);
+        double tau = best / answerCount + part * Math.max(0, wait);
         tau *= settings.tier() > 0 ? LOWER_TIER_FACTOR : 1;
         return Math.min(
                 settings.maxOpenRequests(),
@@ -116,7 +119,7 @@
      * @param inFlight attempts that are out now
      * @return how many requests were answered since the last tick
      */
-    int tick(double elapsed, int inFlight) {
+    int updateRates(double elapsed, int inFlight) {
         int counted = answered;
         measureRate(elapsed, counted, inFlight);
         answered = 0;
@@ -128,12 +131,12 @@
     private void updateCongestion() {
         double sum = 0;
         int measured = 0;
-        for (RequestClassState c : classes.all()) {
-            if (c.answers >= MIN_RESPONSES) {
-                c.bestMeanTime = c.bestMeanTime == 0
-                        ? c.meanTime
-                        : Math.min(c.bestMeanTime * BEST_TIME_RISE_PER_TICK, c.meanTime);
-                sum += c.meanTime / c.bestMeanTime;
+        for (RequestClassState requestClass : classes.all()) {
+            if (requestClass.answers >= MIN_RESPONSES) {
+                requestClass.bestMeanTime = requestClass.bestMeanTime == 0
+                        ? requestClass.meanTime
+                        : Math.min(requestClass.bestMeanTime * BEST_TIME_RISE_PER_TICK, requestClass.meanTime);
+                sum += requestClass.meanTime / requestClass.bestMeanTime;
                 measured++;
             }
         }
--- a/core/src/main/java/brackenbridge/core/balancing/AttemptOutcome.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AttemptOutcome.java
@@ -1,20 +1,20 @@
 package brackenbridge.core.balancing;
 
-/** How an attempt, or a probe, ended. */
+/** How an attempt, or a health check, ended. */
 public enum AttemptOutcome {
-    /** Served. */
+    /** The server answered it successfully. */
     OK(false),
-    /** Answered with an error; it may have run. */
+    /** The server answered with an error; the request may have run. */
     ERROR(false),
-    /** Turned away unseen. */
+    /** The server rejected it for want of capacity, without running it. */
     FULL(true),
-    /** No answer in time; it may run still. */
+    /** No response arrived in time; the request may still be running. */
     TIMEOUT(false),
-    /** No connection could be had. */
+    /** No connection to the server could be opened. */
     CONNECT_FAILED(true),
-    /** The connection broke while the attempt was out; it may have run. */
+    /** The connection broke while the attempt was in flight; the request may have run. */
     RESET(false),
-    /** Withdrawn; it may have run. */
+    /** The node cancelled it; the request may have run. */
     CANCELLED(false),
     /** Never sent: the request had ended, its time or attempts were used up, or the node has no room for it. */
     NEVER_STARTED(true),
--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -83,26 +83,26 @@
 
     @Override
     public void onEndpointList(long now, EndpointListKind kind, List<Endpoint> entries) {
-        start(now);
-        slowStart.beforeChange(now, subset.order(), subset.size());
+        ensureStarted(now);
+        slowStart.recordCapacity(now, subset.order(), subset.size());
         servers.applyList(now, kind, entries);
         rebuildSubset(now);
         servers.forgetRemoved();
     }
 
     private void rebuildSubset(long now) {
-        List<ServerState> before = subset.rebuild();
+        List<ServerState> before = subset.rebuildMembers();
         // All are taken out of the rotation before any request is bound anew: it could go to one that leaves as well.
         before.stream().filter(server -> !server.inSubset).forEach(roundRobin::remove);
         List<ServerState> left = queues.awaitedOutsideSubset();
         for (ServerState server : subset.members()) {
-            join(now, server);
+            addToRotation(now, server);
         }
-        left.forEach(server -> leave(now, server));
+        left.forEach(server -> removeFromRotation(now, server));
     }
 
-    private void join(long now, ServerState server) {
-        subset.add(server);
+    private void addToRotation(long now, ServerState server) {
+        subset.addMember(server);
         if (server.inRotation || server.ejected) {
             return;
         }
@@ -111,27 +111,27 @@
     }
 
     /** The server takes no new requests; those queued for it are bound anew. */
-    private void leave(long now, ServerState server) {
+    private void removeFromRotation(long now, ServerState server) {
         roundRobin.remove(server);
         // All are taken out first: one that a joining server takes over must not be placed again.
-        queues.removeAll(server).forEach(request -> place(now, request));
+        queues.removeAll(server).forEach(request -> placeRequest(now, request));
     }
 
     @Override
     public void onRequest(long now, BalancerRequest arrived) {
-        QueuedRequest request = admit(now, arrived, false);
+        QueuedRequest request = admitRequest(now, arrived, false);
         if (request != null) {
-            place(now, request);
+            placeRequest(now, request);
         }
     }
 
     /** Bound by the round robin and sent at once: until it is complete it occupies no server. */
     @Override
     public void onStreamedRequest(long now, BalancerRequest arrived) {
-        QueuedRequest request = admit(now, arrived, true);
-        ServerState server = request == null ? null : bind(now, request);
+        QueuedRequest request = admitRequest(now, arrived, true);
+        ServerState server = request == null ? null : bindToServer(now, request);
         if (server != null && canAdmit(now, server)) {
-            send(now, request, server);
+            sendRequest(now, request, server);
         } else if (request != null) {
             queues.add(now, request, null);
         }
@@ -150,8 +150,8 @@
     }
 
     /** The request, or null if it was rejected by {@link AdmissionControl#admits}. */
-    private QueuedRequest admit(long now, BalancerRequest arrived, boolean incomplete) {
-        start(now);
+    private QueuedRequest admitRequest(long now, BalancerRequest arrived, boolean incomplete) {
+        ensureStarted(now);
         RequestClassState requestClass = classes.require(arrived.className());
         long timeLeft = Math.max(0, arrived.timeLeft());
         // A response after the latency objective has little or no value: the objective bounds tau.
@@ -165,7 +165,7 @@
         admission.onArrival(now);
         request.level = classes.assignLevel(now, requestClass, arrived.tenant());
         if (!admission.admits(now, request)) {
-            finish(request, now);
+            finishRequest(request, now);
             return null;
         }
         request.expiresAt = now + (request.level == 0 ? tau : (long) (tau * RequestQueues.DEADLINE_MARGIN));
@@ -173,23 +173,23 @@
     }
 
     /** Binds a request by the round robin; a free server takes it at once, else it is queued. */
-    private void place(long now, QueuedRequest request) {
+    private void placeRequest(long now, QueuedRequest request) {
         if (sendTrial(now, request)) {
             return;
         }
-        ServerState server = bind(now, request);
+        ServerState server = bindToServer(now, request);
         if (server != null && (server.inFlight > 0 || !canAdmit(now, server))) {
             ServerState idle = findIdle(now, request);
             server = idle == null ? server : idle;
         }
-        if (server != null && server.inFlight < subset.window() && canAdmit(now, server)) {
-            send(now, request, server);
+        if (server != null && server.inFlight < subset.windowSize() && canAdmit(now, server)) {
+            sendRequest(now, request, server);
         } else {
             queues.add(now, request, server);
         }
     }
 
-    private ServerState bind(long now, QueuedRequest request) {
+    private ServerState bindToServer(long now, QueuedRequest request) {
         ServerState allowed = null;
         for (int i = 0; i < MAX_TURNS_PER_REQUEST && !roundRobin.isEmpty(); i++) {
             ServerState server = roundRobin.next(now);
@@ -215,12 +215,12 @@
 
     /** An idle server for this request, if need be one of the own zone by which the subset grows; null if none. */
     private ServerState findIdle(long now, QueuedRequest request) {
-        ServerState idle = idleServers.poll(now, request);
+        ServerState idle = idleServers.pollSuitable(now, request);
         if (idle == null) {
             ServerState next = subset.growInOwnZone();
             if (next != null) {
-                join(now, next);
-                idle = idleServers.poll(now, request);
+                addToRotation(now, next);
+                idle = idleServers.pollSuitable(now, request);
             }
         }
         return idle;
@@ -233,49 +233,49 @@
             return false;
         }
         outliers.onTrialSent(server);
-        send(now, request, server);
+        sendRequest(now, request, server);
         return true;
     }
 
     /** Whether a server may be sent a request now: any warm one, and one that warms up within its budget. */
     private boolean canAdmit(long now, ServerState server) {
         return slowStart.isUnbounded(now, server)
-                || server.inFlight < subset.window()
+                || server.inFlight < subset.windowSize()
                         && slowStart.canAdmit(now, server, subset.order(), subset.size(), classes.meanResponseTime());
     }
 
     /** A server may have a free slot: drops what is hopeless, then sends the next request. */
     private void fillFreeSlot(long now, ServerState server) {
-        if (!server.inRotation || server.inFlight >= subset.window()) {
+        if (!server.inRotation || server.inFlight >= subset.windowSize()) {
             return;
         }
         for (ArrayDeque<QueuedRequest> queue : server.queues) {
             while (!queue.isEmpty() && RequestQueues.isHopeless(now, queue.peek(), server)) {
-                drop(now, queue.peek());
+                dropRequest(now, queue.peek());
             }
         }
         QueuedRequest next = RequestQueues.selectNext(now, server);
         if (next != null) {
             if (canAdmit(now, server)) {
                 queues.remove(next);
-                send(now, next, server);
+                sendRequest(now, next, server);
             }
         } else if (slowStart.warmth(now, server) >= 1) {
             QueuedRequest takenOver = queues.takeOverOldest(now, server);
             if (takenOver != null) {
-                send(now, takenOver, server);
+                sendRequest(now, takenOver, server);
             } else {
                 idleServers.add(server);
             }
         }
     }
 
-    private void drop(long now, QueuedRequest request) {
+    private void dropRequest(long now, QueuedRequest request) {
         dropped++;
-        finish(request, now);
+        finishRequest(request, now);
     }
 
-    private void send(long now, QueuedRequest request, ServerState server) {
+    private void sendRequest(long now, QueuedRequest request, ServerState server) {
         Attempt attempt = new Attempt(server, now);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
@@ -285,7 +285,7 @@
         if (request.attempts.size() == 1) {
             retryBudget.onFirstAttempt();
         }
-        slowStart.sent(now, attempt);
+        slowStart.chargeAttempt(now, attempt);
         actions.startAttempt(request.id, server.id, Math.max(1, request.deadline - now));
     }
 
@@ -293,7 +293,7 @@
     public void onAttemptWritten(long now, long id, int attempt) {
         QueuedRequest request = requests.get(id);
         if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
-            slowStart.written(now, request.attempts.get(attempt));
+            slowStart.settleCharge(now, request.attempts.get(attempt));
         }
     }
 
@@ -308,7 +308,7 @@
         QueuedRequest request = requests.get(id);
         if (request != null) {
             request.mayHaveRun = true;
-            close(request);
+            closeRequest(request);
         }
     }
 
@@ -335,10 +335,10 @@
         }
         // Nothing is learned of a server that has left and was known only for the sake of a long request.
         if (servers.contains(server)) {
-            learn(now, request, attempt, outcome, Math.max(1, latency));
+            learnFromOutcome(now, request, attempt, outcome, Math.max(1, latency));
         }
         if (ended || request.finished) {
-            close(request);
+            closeRequest(request);
         } else if (request.attemptsInFlight == 0) {
             retryOrFinish(now, request, outcome);
         }
@@ -347,7 +347,7 @@
 
     private void endAttempt(long now, QueuedRequest request, Attempt attempt) {
         attempt.ended = true;
-        slowStart.written(now, attempt);
+        slowStart.settleCharge(now, attempt);
         request.attemptsInFlight--;
         if (attempt.countsInFlight) {
             attempt.server.inFlight--;
@@ -355,16 +355,17 @@
         }
     }
 
-    private void learn(long now, QueuedRequest request, Attempt attempt, AttemptOutcome outcome, long latency) {
+    private void learnFromOutcome(
+            long now, QueuedRequest request, Attempt attempt, AttemptOutcome outcome, long latency) {
         ServerState server = attempt.server;
         if (outcome == AttemptOutcome.OK) {
             admission.onAnswered();
         }
         OutlierDetection.Change change = outliers.onOutcome(now, request, attempt, outcome, latency);
         if (change == OutlierDetection.Change.EJECTED) {
-            leave(now, server);
+            removeFromRotation(now, server);
         } else if (change == OutlierDetection.Change.READMITTED && server.inSubset) {
-            join(now, server);
+            addToRotation(now, server);
         }
         outliers.onTrialEnded(now, server);
     }
@@ -374,9 +375,9 @@
         if (retryBudget.trySpend(now, request, outcome)) {
             request.expiresAt = Math.max(
                     request.expiresAt, request.arrival + (long) (request.timeBudget * RequestQueues.DEADLINE_MARGIN));
-            place(now, request);
+            placeRequest(now, request);
         } else {
-            finish(request, now);
+            finishRequest(request, now);
         }
     }
 
@@ -384,13 +385,13 @@
     public void onClientDisconnected(long now, long id) {
         QueuedRequest request = requests.get(id);
         if (request != null) {
-            close(request);
+            closeRequest(request);
         }
     }
 
     /** The final answer of the balancer's own: a rejection where that is true, else a failure. */
-    private void finish(QueuedRequest request, long now) {
-        close(request);
+    private void finishRequest(QueuedRequest request, long now) {
+        closeRequest(request);
         if (IdempotencyRules.allowRejection(now, request)) {
             actions.reject(request.id, suggestedRetryAfter());
         } else {
@@ -399,7 +400,7 @@
     }
 
     /** The request is no longer open; it is forgotten with its last attempt. */
-    private void close(QueuedRequest request) {
+    private void closeRequest(QueuedRequest request) {
         if (!request.finished) {
             request.finished = true;
             if (!request.incomplete) {
@@ -429,32 +430,32 @@
         return Math.min(settings.maxRetryAfter(), (long) classes.meanResponseTime());
     }
 
-    private void start(long now) {
+    private void ensureStarted(long now) {
         if (started) {
             return;
         }
         started = true;
         lastTick = now;
-        slowStart.started(now);
+        slowStart.startCounting(now);
         actions.setTimer(now + (long) (random.nextDouble() * TICK_INTERVAL), TICK_TIMER);
     }
 
     @Override
     public void onTimer(long now, String token) {
         if (token.equals(RequestQueues.EXPIRY_TIMER)) {
-            queues.expire(now, expired -> drop(now, expired));
+            queues.expire(now, expired -> dropRequest(now, expired));
         } else if (token.equals(TICK_TIMER)) {
-            tick(now);
+            runTick(now);
             actions.setTimer(now + TICK_INTERVAL, TICK_TIMER);
         }
     }
 
     /** Updates the measured rates, readies trials and adjusts the subset and the window. */
-    private void tick(long now) {
+    private void runTick(long now) {
         double elapsed = Math.max(1, now - lastTick) / (double) SECOND_US;
         lastTick = now;
-        int answered = admission.tick(elapsed, inFlight);
-        slowStart.tick(now, elapsed, answered, subset.order(), subset.size());
+        int answered = admission.updateRates(elapsed, inFlight);
+        slowStart.updateAnswerRate(now, elapsed, answered, subset.order(), subset.size());
         outliers.scheduleTrials(now, subset.usedSize());
         subset.recordAtHand(inFlight + queues.size());
         resizeSubset(now);
@@ -471,13 +472,13 @@
         boolean shortOfServers = queues.size() > 0 || dropped > 0;
         if (shortOfServers && subset.canGrow(roundRobin.size(), admission.hasSpareCapacity())) {
             ServerState next = null;
-            for (int left = subset.growthPerTick(); left > 0 && (next = subset.grow()) != null; left--) {
-                join(now, next);
+            for (int left = subset.growthPerTick(); left > 0 && (next = subset.growByServer()) != null; left--) {
+                addToRotation(now, next);
             }
         } else if (subset.canShrink()) {
-            ServerState last = subset.shrink();
+            ServerState last = subset.shrinkByServer();
             if (last != null) {
-                leave(now, last);
+                removeFromRotation(now, last);
             }
         }
     }
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
@@ -55,17 +55,17 @@
     public BalancerSettings {
         SettingsChecks.require(!classes.isEmpty(), "no classes", classes);
         for (int i = 0; i < classes.size(); i++) {
-            RequestClass c = classes.get(i);
+            String className = classes.get(i).name();
             SettingsChecks.require(
-                    classes.stream().filter(o -> o.name().equals(c.name())).count() == 1,
+                    classes.stream().filter(o -> o.name().equals(className)).count() == 1,
                     "class given twice",
-                    c.name());
+                    className);
         }
-        for (TenantShare t : tenants) {
+        for (TenantShare tenant : tenants) {
             SettingsChecks.require(
-                    tenants.stream().filter(o -> o.name().equals(t.name())).count() == 1,
+                    tenants.stream().filter(o -> o.name().equals(tenant.name())).count() == 1,
                     "tenant given twice",
-                    t.name());
+                    tenant.name());
         }
         SettingsChecks.require(
                 overShareWeight >= 0 && overShareWeight <= SettingsChecks.MAX_RATE, "overShareWorth", overShareWeight);
--- a/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
+++ b/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
@@ -25,7 +25,7 @@
     }
 
     /** Removes and returns an idle server that suits this request; null if none is found. */
-    ServerState poll(long now, QueuedRequest request) {
+    ServerState pollSuitable(long now, QueuedRequest request) {
         for (int i = servers.size(); i > 0; i--) {
             ServerState server = servers.poll();
             server.isIdle = false;
--- a/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
+++ b/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
@@ -21,15 +21,15 @@
     private static final double OUTLIER_RESET_RATIO = 0.4;
     /** Error ratio of a server below which its ejections are forgotten. */
     private static final double RECOVERED_ERROR_RATIO = 0.1;
-    /** Error ratio of a class up to which each error is put down to the server. */
+    /** Error ratio of a class up to which each error is attributed to the server. */
     private static final double CLASS_ERROR_RATIO = 0.2;
-    /** A server may drop a request with less time left than this, in microseconds, which tells nothing of it. */
+    /** A server may drop a request with less time left than this, in microseconds, which says nothing about it. */
     private static final long MIN_INFORMATIVE_TIME = SECOND_US / 40;
     /** Ejection time of the first ejection, in microseconds, on average; it doubles with each further one. */
     private static final long BASE_EJECTION_TIME = SECOND_US / 2;
 
     private static final int MAX_EJECTION_DOUBLINGS = 4;
-    /** Ejection time of a server that rejected a request for want of capacity, in microseconds, on average. */
+    /** Ejection time of a server that rejected a request for lack of capacity, in microseconds, on average. */
     private static final long FULL_EJECTION_TIME = SECOND_US / 10;
     /** Time for which a class avoids a server after an error, in microseconds, on average; it doubles as well. */
     private static final long BASE_AVOIDANCE_TIME = SECOND_US;
@@ -42,7 +42,7 @@
     enum Change {
         /** Nothing. */
         NONE,
-        /** It is ejected: its queued requests go elsewhere. */
+        /** It is ejected: its queued requests are bound to other servers. */
         EJECTED,
         /** It is readmitted. */
         READMITTED
@@ -95,19 +95,19 @@
             return onSuccess(server, requestClass, latency);
         }
         if (outcome == AttemptOutcome.FULL) {
-            // Spares a server without capacity the requests of all who find it so.
+            // Keeps further requests from a server that has no capacity left.
             return eject(now, server, FULL_EJECTION_TIME);
         }
         if (failed
                 && server.errorRatio > (outcome == AttemptOutcome.RESET ? OUTLIER_RESET_RATIO : OUTLIER_ERROR_RATIO)) {
-            // A server that fails at once is free at once and would draw ever more requests. A connection that breaks
-            // may be the network's fault, two in a row are the server's.
+            // A server that fails at once has free slots at once and would receive more and more requests. One broken
+            // connection may be a fault of the network; two in a row are attributed to the server.
             server.errorRatio = SERVER_GAIN;
             return ejectForLonger(now, server);
         }
         if (outcome == AttemptOutcome.CONNECT_FAILED
                 || outcome == AttemptOutcome.TIMEOUT && latency >= requestClass.meanTime + requestClass.timeDeviation) {
-            // A time-out of a request that came with less time than a response takes tells nothing.
+            // A timeout of a request that arrived with less time than a response takes says nothing about the server.
             return ejectForLonger(now, server);
         }
         return Change.NONE;
@@ -173,7 +173,7 @@
         }
     }
 
-    /** Readies those ejected servers of the subset for a trial whose time is over. */
+    /** Schedules a trial of each ejected server of the subset whose ejection time is over. */
     void scheduleTrials(long now, int subsetSize) {
         for (int i = 0; i < subsetSize; i++) {
             ServerState server = order.get(i);
@@ -188,9 +188,9 @@
     }
 
     /**
-     * The server to send a trial to with this request, which is then due again later whether it is sent or not; null if
-     * there is none. The request has to be safe to repeat and less urgent, unless there are no such requests or no
-     * other servers: some request has to be the trial.
+     * The server that this request is to be sent to as a trial; null if there is none. Its next trial is scheduled
+     * anew, whether this one is sent or not. The request has to be safe to repeat and less urgent, unless there are no
+     * such requests or no other servers: some request has to be the trial.
      */
     ServerState pollTrial(long now, QueuedRequest request, boolean noOtherServers) {
         if (trials.isEmpty()) {
@@ -206,12 +206,12 @@
         return ready && IdempotencyRules.allow(now, request, server) ? server : null;
     }
 
-    /** The server is being sent its trial. */
+    /** Records that the trial of a server is being sent. */
     void onTrialSent(ServerState server) {
         server.ejectedUntil = Long.MAX_VALUE;
     }
 
-    /** Permits another trial of a server whose trial gave no result: it would stay ejected forever. */
+    /** Permits another trial of a server whose trial had no result, since it would stay ejected forever. */
     void onTrialEnded(long now, ServerState server) {
         if (server.ejected && server.ejectedUntil == Long.MAX_VALUE) {
             server.ejectedUntil = now;
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
@@ -91,11 +91,11 @@
     /** The priority level of a request that arrives now; takes the tokens that it needs. */
     int assignLevel(long now, RequestClassState requestClass, String tenant) {
         TokenBucket quota = quotas.get(tenant);
-        if (quota != null && !quota.tryTake(now)) {
+        if (quota != null && !quota.tryTakeToken(now)) {
             return requestClass.overShareLevel;
         }
         TokenBucket guaranteed = quota == null ? nodeGuaranteedRate : guaranteedRates.get(tenant);
-        return guaranteed.tryTake(now) ? 0 : requestClass.level;
+        return guaranteed.tryTakeToken(now) ? 0 : requestClass.level;
     }
 
     /** Sets the guaranteed rate d of a node without quotas by its rate of answers. */
--- a/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -33,26 +33,26 @@
 
         private int from;
 
-        int find(ServerState server) {
+        int findIndex(ServerState server) {
             return Collections.binarySearch(servers, server, BY_RING_POSITION);
         }
 
         /** Begins at this part of the ring, or stays near it. */
-        void turn(double start) {
+        void moveStart(double start) {
             int exact = (int) (start * servers.size());
-            int at = first == null ? exact : place(first);
+            int at = first == null ? exact : findPlace(first);
             from = distance(at, exact) <= servers.size() / RING_GRANULARITY ? at : exact;
             first = servers.get(from);
         }
 
         /** The place of a server, or of the one that follows if it has left. */
-        private int place(ServerState server) {
-            int at = find(server);
+        private int findPlace(ServerState server) {
+            int at = findIndex(server);
             return (at >= 0 ? at : -at - 1) % servers.size();
         }
 
-        private int distance(int a, int b) {
-            int apart = Math.abs(a - b);
+        private int distance(int place, int otherPlace) {
+            int apart = Math.abs(place - otherPlace);
             return Math.min(apart, servers.size() - apart);
         }
 
@@ -75,7 +75,7 @@
     /** Adds a server under the zone that its endpoint names now. */
     void add(ServerState server) {
         Ring ring = zones.computeIfAbsent(server.endpoint.zone(), z -> new Ring());
-        int at = ring.find(server);
+        int at = ring.findIndex(server);
         if (at < 0) {
             ring.servers.add(-at - 1, server);
             size++;
@@ -85,7 +85,7 @@
     /** Removes a server from the zone that it was added under. */
     void remove(ServerState server, String zone) {
         Ring ring = zones.getOrDefault(zone, EMPTY_RING);
-        int at = ring.find(server);
+        int at = ring.findIndex(server);
         if (at >= 0) {
             ring.servers.remove(at);
             size--;
@@ -96,9 +96,9 @@
     }
 
     /** Lays the order out as it is now, for a node in this zone that starts at this part of each ring. */
-    void turn(String zone, double start) {
+    void layOutOrder(String zone, double start) {
         ownZone = zone;
-        zones.values().forEach(ring -> ring.turn(start));
+        zones.values().forEach(ring -> ring.moveStart(start));
         own = zones.getOrDefault(zone, EMPTY_RING);
         others = null;
     }
--- a/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
@@ -70,7 +70,7 @@
         // An earlier start than the one before comes from a wall clock that was set back meanwhile, so it does not say
         // how long ago it was.
         server.warmingSince = startedAt > server.endpoint.startedAt() ? Math.min(startedAt, now) : now;
-        server.budget.restarted(server.warmingSince);
+        server.budget.dropChargesBefore(server.warmingSince);
         server.relativeTime = 1;
         server.measuredTime = 0;
         server.errorRatio = 0;
--- a/core/src/main/java/brackenbridge/core/balancing/ServerState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerState.java
@@ -82,9 +82,9 @@
 
     /** The finishing steps of SplitMix64, cut to 53 bits. */
     private static long scramble(long id) {
-        long z = id + 0x9e3779b97f4a7c15L;
-        z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
-        return (z ^ (z >>> 31)) >>> 11;
+        long mixed = id + 0x9e3779b97f4a7c15L;
+        mixed = (mixed ^ (mixed >>> 30)) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
+        return (mixed ^ (mixed >>> 31)) >>> 11;
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -10,15 +10,15 @@
  */
 final class ServerSubset {
     private static final int MIN_SIZE = 8;
-    /** Requests in flight at a server, from all its callers, that the window allows. */
+    /** Requests in flight at a server, from all instances, that the window allows. */
     private static final double IN_FLIGHT_PER_SERVER = 6;
     /** The part of the subset by which it grows in a tick is one in this many. */
     private static final int GROWTH_DIVISOR = 4;
     /** The window is widened only while fewer than one server in this many is ejected. */
     private static final int EJECTED_DIVISOR = 3;
-    /** What is left of the peak of the requests at hand after each tick. */
+    /** The part of the peak of requests in flight or queued that remains after each tick. */
     private static final double PEAK_DECAY_PER_TICK = 0.97;
-    /** The ratio of the golden section: spreads the callers' starting points evenly. */
+    /** The ratio of the golden section: spreads the instances' starting points evenly. */
     private static final double GOLDEN_RATIO = 0.6180339887498949;
 
     private final ServerOrder order = new ServerOrder();
@@ -30,7 +30,7 @@
     private int extraWindow;
     private double peakAtHand;
 
-    /** Takes over other settings. */
+    /** Applies other settings from now on. */
     void applySettings(BalancerSettings next) {
         settings = next;
     }
@@ -56,24 +56,24 @@
     }
 
     /**
-     * Lays the order and the subset out anew: own zone first; in each zone the callers' starting points are spread
+     * Lays the order and the subset out anew: own zone first; in each zone the instances' starting points are spread
      * evenly.
      *
      * @return the members before
      */
-    List<ServerState> rebuild() {
-        order.turn(settings.zone(), settings.instanceIndex() * GOLDEN_RATIO % 1);
+    List<ServerState> rebuildMembers() {
+        order.layOutOrder(settings.zone(), settings.instanceIndex() * GOLDEN_RATIO % 1);
         List<ServerState> before = members();
         before.forEach(server -> server.inSubset = false);
         members.clear();
         for (int i = 0; i < order.size() && i < size; i++) {
-            add(order.get(i));
+            addMember(order.get(i));
         }
         return before;
     }
 
     /** Adds a server to the members. */
-    void add(ServerState server) {
+    void addMember(ServerState server) {
         server.inSubset = true;
         members.add(server);
     }
@@ -84,7 +84,7 @@
     }
 
     /** The next server, by which the subset has grown; null if it has them all. */
-    ServerState grow() {
+    ServerState growByServer() {
         return size < order.size() ? order.get(size++) : null;
     }
 
@@ -93,7 +93,7 @@
         return Math.max(1, size / GROWTH_DIVISOR);
     }
 
-    /** Whether it has servers left to grow by, and these would not leave the callers at each server too few. */
+    /** Whether it has servers left to grow by, and these would not leave too few instances at each server. */
     boolean canGrow(int rotationSize, boolean spareCapacity) {
         return size < order.size()
                 && (settings.instanceCount() * (double) size / order.size() < 2 * IN_FLIGHT_PER_SERVER
@@ -107,7 +107,7 @@
     }
 
     /** Shrinks by one server and returns it; null if it had no such server. */
-    ServerState shrink() {
+    ServerState shrinkByServer() {
         size--;
         ServerState last = order.size() > size ? order.get(size) : null;
         if (last != null) {
@@ -117,17 +117,17 @@
         return last;
     }
 
-    /** So many requests are in flight or queued in this tick. */
+    /** Records how many requests are in flight or queued in this tick. */
     void recordAtHand(int requests) {
         peakAtHand = Math.max(requests, peakAtHand * PEAK_DECAY_PER_TICK);
     }
 
     /**
-     * The most requests in flight to one server: one, but more where too few callers share a server to fill it. A
-     * server holds a slot while it waits for the next tier: one request from each of two callers leaves it idle. The
-     * callers' traffic may be uneven as well, for which the window is widened, see {@link #adjustWindow}.
+     * The most requests in flight to one server: one, but more where too few instances share a server to fill it. A
+     * server holds a slot while it waits for the next tier: one request from each of two instances leaves it idle. The
+     * instances' traffic may be uneven as well, for which the window is widened, see {@link #adjustWindow}.
      */
-    int window() {
+    int windowSize() {
         double part = usedSize() / (double) Math.max(1, order.size());
         return extraWindow + (int) Math.max(1, Math.ceil(IN_FLIGHT_PER_SERVER / (settings.instanceCount() * part)));
     }
@@ -145,7 +145,7 @@
                 && admission.isCongestionMeasured()
                 && spareCapacity) {
             extraWindow++;
-        } else if (extraWindow > 0 && (!spareCapacity || peakAtHand < (window() - 1) * rotationSize)) {
+        } else if (extraWindow > 0 && (!spareCapacity || peakAtHand < (windowSize() - 1) * rotationSize)) {
             extraWindow--;
         }
     }
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides whether a server that warms up may be sent a request. It falls over if it gets too much from all nodes
- * together, none of which knows what the others send: each keeps to its own share, see docs/design/cold.md.
+ * Decides whether a server that warms up may be sent a request. It fails under overload if all nodes together send
+ * it too much, and no node knows what the others send: each stays within its own share, see docs/design/cold.md.
  */
 final class SlowStart {
     private static final double MICROSECONDS_PER_SECOND = 1_000_000;
@@ -12,11 +12,11 @@
     private BalancerSettings settings;
     private final BalancerActions actions;
     private final SplittableRandom random;
-    /** Answers in a second for each unit of capacity in reach. */
+    /** Responses per second for each unit of reachable capacity. */
     private double answeredPerCapacity;
-    /** The most capacity that was in reach since the last tick. */
+    /** The maximum capacity that was reachable since the last tick. */
     private double capacityOfTick;
-    /** From when on all that was sent is in the servers' budgets. */
+    /** The time since which every request sent is counted in the servers' budgets. */
     private long countedSince;
 
     SlowStart(BalancerSettings settings, BalancerActions actions, SplittableRandom random) {
@@ -25,15 +25,15 @@
         this.random = random;
     }
 
-    /** The first event of the instance. */
-    void started(long now) {
+    /** Starts to count, at the first event of the instance. */
+    void startCounting(long now) {
         countedSince = now;
     }
 
-    /** Other settings hold from now on. */
+    /** Applies other settings from now on. */
     void applySettings(long now, BalancerSettings next) {
         if (next.overloadWindow() > settings.overloadWindow()) {
-            // Of the longer window only so much was counted.
+            // Requests were counted only for as long as the earlier, shorter window.
             countedSince = Math.max(countedSince, now - settings.overloadWindow());
         }
         settings = next;
@@ -53,7 +53,7 @@
         return settings.overloadWindow() == 0 || warmth(now, server) >= 1;
     }
 
-    /** Whether the budget of a server that warms up has room for a request; the first servers are those in reach. */
+    /** Whether the budget of a server that warms up allows a request; the first servers of the order are reachable. */
     boolean canAdmit(long now, ServerState server, ServerOrder servers, int reach, double meanTime) {
         long settled = actions.reportsWritten()
                 ? server.warmingSince + settings.network().connectTimeout()
@@ -63,9 +63,9 @@
     }
 
     /**
-     * This node's share of the requests that the server takes in a window from all nodes. It goes by what this node
-     * gets answered for each unit of capacity in its reach, or, if that is more, by its share of one request at a
-     * time at each server.
+     * This node's share of the requests that all nodes may send to the server in a window. It follows from the
+     * responses that this node receives for each unit of reachable capacity, or, if that is more, from its share of
+     * one request at a time at each server.
      */
     private double share(long now, ServerState server, ServerOrder servers, int reach, double meanTime) {
         int near = Math.min(reach, servers.size());
@@ -84,23 +84,24 @@
     }
 
     /**
-     * The part of the last window, within the server's life, of which this process doesn't know what its node sent.
-     * The share of that time counts as sent: by the process before, or under settings that counted a shorter time.
+     * The part of the last window, since the server's start, for which this process doesn't know what its node sent.
+     * The share of that time counts as sent: by the previous process, or under settings with a shorter window.
      */
     private double unknownPart(long now, ServerState server) {
         long from = Math.max(now - settings.overloadWindow(), server.warmingSince);
         return Math.max(0, countedSince - from) / (double) settings.overloadWindow();
     }
 
-    /** The servers in reach are about to change. */
-    void beforeChange(long now, ServerOrder servers, int reach) {
+    /** Records the reachable capacity before the reachable servers change. */
+    void recordCapacity(long now, ServerOrder servers, int reach) {
         capacityOfTick = Math.max(capacityOfTick, capacity(now, servers, reach));
     }
 
-    /** So many answers came in this part of a second. */
-    void tick(long now, double elapsed, int answered, ServerOrder servers, int reach) {
+    /** Updates the rate of responses by those received in so many seconds. */
+    void updateAnswerRate(long now, double elapsed, int answered, ServerOrder servers, int reach) {
         double capacity = capacity(now, servers, reach);
-        // Guards the budgets against servers that leave: what they answered goes by the capacity there was with them.
+        // Guards the budgets against servers that leave: their responses are divided by the capacity that included
+        // them.
         double most = Math.max(capacity, capacityOfTick);
         if (most > 0) {
             answeredPerCapacity += Math.min(1, elapsed) * (answered / elapsed / most - answeredPerCapacity);
@@ -117,21 +118,22 @@
     }
 
     /**
-     * The attempt is being sent; warm servers' requests count too, since the start of a server may be reported late.
+     * Charges an attempt that is being sent. Attempts to warm servers count too, since the start of a server may be
+     * reported late.
      */
-    void sent(long now, Attempt attempt) {
+    void chargeAttempt(long now, Attempt attempt) {
         if (settings.overloadWindow() > 0) {
-            attempt.reservedBudget = attempt.server.budget.spend(now, settings.overloadWindow());
+            attempt.reservedBudget = attempt.server.budget.chargeRequest(now, settings.overloadWindow());
             if (!actions.reportsWritten()) {
-                written(now, attempt);
+                settleCharge(now, attempt);
             }
         }
     }
 
-    /** The attempt's request has reached its server, or never will. */
-    void written(long now, Attempt attempt) {
+    /** Ends the open charge of an attempt whose request has been written to its server, or never will be. */
+    void settleCharge(long now, Attempt attempt) {
         if (attempt.reservedBudget > 0) {
-            attempt.server.budget.written(now, attempt.reservedBudget, Math.max(1, settings.overloadWindow()));
+            attempt.server.budget.recordWritten(now, attempt.reservedBudget, Math.max(1, settings.overloadWindow()));
             attempt.reservedBudget = 0;
         }
     }
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStartBudget.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStartBudget.java
@@ -4,10 +4,10 @@
 import java.util.SplittableRandom;
 
 /**
- * One node's budget of requests to one server for a sliding window: how much of its share the node has used up in
- * the last window. A fraction of a request is rounded at random, and the probability is charged like a request
+ * One node's budget of requests to one server for a sliding window: how much of its share the node has used in the
+ * last window. A fraction of a request is rounded at random, and the probability is charged like a request
  * whether the draw was won or lost, used or not: the requests of many nodes together stay near the sum of their
- * shares, and nothing is made up for later.
+ * shares, and unused budget is not carried over.
  *
  * <p>A request is charged from the moment at which it is chosen until one window after it has been written to the
  * server, so that requests which wait for a connection can't arrive on top of a full window of later ones.
@@ -30,13 +30,13 @@
     private final ArrayDeque<Charge> charges = new ArrayDeque<>(2);
     /** The sum of the charges. */
     private double charged;
-    /** Charged for requests that are on their way to the server; these don't expire. */
+    /** Charged for requests that are not written to the server yet; these charges don't expire. */
     private double unwritten;
     /** Charged for lost draws that count until unsettledUntil at least, and then for a window more. */
     private double unsettled;
 
     private long unsettledUntil;
-    /** The amount of a draw won at wonAt and not used yet, 0 if there is none; good for that instant alone. */
+    /** The amount of a draw won at wonAt and not used yet, 0 if there is none; valid at that time only. */
     private double won;
 
     private long wonAt;
@@ -47,15 +47,15 @@
     }
 
     /**
-     * As before, at a server whose first connections may all come up as late as settled. Many nodes with small
-     * shares would have drawn several times by then, so until settled a lost draw weighs like a request that waits.
+     * The same for a server whose first connections may all be opened as late as {@code settled}. Many nodes with small
+     * shares would have drawn several times by then, so until that time a lost draw counts like an unwritten request.
      */
     boolean allows(long now, double share, long window, SplittableRandom random, long settled) {
         if (won > 0 && wonAt == now) {
             return true;
         }
         won = 0;
-        expire(now, window);
+        expireCharges(now, window);
         double left = Math.min(1, share - charged - unwritten - unsettled);
         if (left <= 0) {
             return false;
@@ -66,7 +66,7 @@
             unsettledUntil = settled;
             return false;
         }
-        charge(now, left, window);
+        addCharge(now, left, window);
         if (lost) {
             return false;
         }
@@ -76,13 +76,13 @@
     }
 
     /**
-     * A request is sent; it had a draw, or the server was warm and needed none. It is charged from now on, at first
-     * without end.
+     * Charges a request that is being sent, after a draw that was won or to a warm server, which needs none. The
+     * charge doesn't expire until the request has been written.
      *
-     * @return the amount charged, for {@link #written}
+     * @return the amount charged, for {@link #recordWritten}
      */
-    double spend(long now, long window) {
-        expire(now, window);
+    double chargeRequest(long now, long window) {
+        expireCharges(now, window);
         boolean drawn = won > 0 && wonAt == now;
         double amount = drawn ? won : 1;
         if (drawn) {
@@ -95,21 +95,21 @@
         return amount;
     }
 
-    /** A request of this amount has reached the server, or never will: its charge ends one window from now. */
-    void written(long now, double amount, long window) {
+    /** Lets the charge of a request expire one window from now: it has been written to the server, or never will be. */
+    void recordWritten(long now, double amount, long window) {
         unwritten = Math.max(0, unwritten - amount);
-        charge(now, amount, window);
+        addCharge(now, amount, window);
     }
 
-    /** The server started anew: what was written before went to the process before. */
-    void restarted(long startedAt) {
+    /** Drops the charges from before a restart of the server: those requests were written to its previous process. */
+    void dropChargesBefore(long startedAt) {
         while (!charges.isEmpty() && charges.peek().lastAt < startedAt) {
             charged -= charges.poll().amount;
         }
     }
 
-    private void charge(long now, double amount, long window) {
-        expire(now, window);
+    private void addCharge(long now, double amount, long window) {
+        expireCharges(now, window);
         Charge last = charges.peekLast();
         if (last == null || now - last.firstAt >= window / SLOT_COUNT) {
             last = new Charge(now);
@@ -120,16 +120,16 @@
         charged += amount;
     }
 
-    private void expire(long now, long window) {
+    private void expireCharges(long now, long window) {
         if (unsettled > 0 && now >= unsettledUntil) {
             double settled = unsettled;
             unsettled = 0;
-            charge(now, settled, window);
+            addCharge(now, settled, window);
         }
         while (!charges.isEmpty() && charges.peek().lastAt <= now - window) {
             charged -= charges.poll().amount;
         }
-        // Guards against what is left over of sums and differences.
+        // Guards against accumulated rounding errors.
         charged = charges.isEmpty() ? 0 : charged;
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
+++ b/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
@@ -10,7 +10,7 @@
     private long refilledAt = Long.MIN_VALUE;
 
     /** Takes a token and returns true, if there is one at this time in microseconds. */
-    boolean tryTake(long now) {
+    boolean tryTakeToken(long now) {
         if (refilledAt != Long.MIN_VALUE) {
             tokens = Math.min(size, tokens + (now - refilledAt) * tokensPerSecond / MICROSECONDS_PER_SECOND);
         }
--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -41,48 +41,49 @@
     private int seen;
     private long version = 50;
 
-    private static BalancerSettings settings(SplittableRandom r) {
+    private static BalancerSettings settings(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
-        int first = r.nextInt(NAMES.length);
-        for (int i = 0, n = 1 + r.nextInt(NAMES.length); i < n; i++) {
-            long aim = 100_000 + r.nextInt(300_000);
+        int first = random.nextInt(NAMES.length);
+        for (int i = 0, n = 1 + random.nextInt(NAMES.length); i < n; i++) {
+            long aim = 100_000 + random.nextInt(300_000);
             classes.add(new RequestClass(
                     NAMES[(first + i) % NAMES.length],
                     aim,
-                    aim + r.nextInt(500_000),
-                    r.nextBoolean()
+                    aim + random.nextInt(500_000),
+                    random.nextBoolean()
                             ? brackenbridge.core.balancing.Idempotence.IDEMPOTENT
                             : brackenbridge.core.balancing.Idempotence.NOT_IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
                     false,
-                    r.nextInt(4),
+                    random.nextInt(4),
                     0.2));
         }
-        List<TenantShare> tenants = r.nextBoolean() ? List.of() : List.of(new TenantShare("acme", 0.5, r.nextInt(3)));
-        BalancerSettings s =
-                ReducerHarness.settings(1 + r.nextInt(3), 1 + r.nextInt(5), classes.toArray(new RequestClass[0]));
+        List<TenantShare> tenants =
+                random.nextBoolean() ? List.of() : List.of(new TenantShare("acme", 0.5, random.nextInt(3)));
+        BalancerSettings base = ReducerHarness.settings(
+                1 + random.nextInt(3), 1 + random.nextInt(5), classes.toArray(new RequestClass[0]));
         return new BalancerSettings(
                 7,
                 0,
-                s.instanceCount(),
+                base.instanceCount(),
                 0,
-                r.nextBoolean() ? "room" : "other",
+                random.nextBoolean() ? "room" : "other",
                 classes,
                 tenants,
                 0.1,
                 true,
                 10_000_000,
-                s.maxAttempts(),
-                1 + r.nextInt(200),
-                r.nextInt(2) * 1_000_000L,
+                base.maxAttempts(),
+                1 + random.nextInt(200),
+                random.nextInt(2) * 1_000_000L,
                 true,
                 true,
                 false,
                 30_000_000,
                 0.3,
                 1_000_000,
-                s.network());
+                base.network());
     }
 
     private static boolean isSafe(Promise promise) {
@@ -90,88 +91,89 @@
     }
 
     /** Holds what the node has done since the last look against what it promised. */
-    private void look(ReducerHarness harness) {
+    private void checkPromises(ReducerHarness harness) {
         for (; seen < harness.effects.size(); seen++) {
-            Effect e = harness.effects.get(seen);
-            if (e instanceof Effect.StartAttempt start) {
+            Effect effect = harness.effects.get(seen);
+            if (effect instanceof Effect.StartAttempt start) {
                 Promise promise = promises.get(start.requestId());
                 assertEquals(null, out.put(start.requestId(), start.attempt()), "one attempt at a time");
                 assertTrue(start.attempt() < promise.attempts(), "more attempts than it began with");
                 assertTrue(!ran.contains(start.requestId()) || isSafe(promise), "unsafe, and may have run");
                 assertEquals(0, answers.getOrDefault(start.requestId(), 0), "it has its answer");
                 written.remove(start.requestId());
-            } else if (e instanceof Effect.CancelAttempt c) {
-                if (out.remove(c.requestId(), c.attempt()) && written.contains(c.requestId())) {
-                    ran.add(c.requestId());
+            } else if (effect instanceof Effect.CancelAttempt cancel) {
+                if (out.remove(cancel.requestId(), cancel.attempt()) && written.contains(cancel.requestId())) {
+                    ran.add(cancel.requestId());
                 }
-            } else if (e instanceof Effect.SendResponse a) {
-                answers.merge(a.requestId(), 1, Integer::sum);
-            } else if (e instanceof Effect.SendLocalReply a) {
-                answers.merge(a.requestId(), 1, Integer::sum);
+            } else if (effect instanceof Effect.SendResponse response) {
+                answers.merge(response.requestId(), 1, Integer::sum);
+            } else if (effect instanceof Effect.SendLocalReply response) {
+                answers.merge(response.requestId(), 1, Integer::sum);
                 assertTrue(
-                        a.reply() != Effect.LocalReply.REJECTED
-                                || !ran.contains(a.requestId())
-                                || isSafe(promises.get(a.requestId())),
+                        response.reply() != Effect.LocalReply.REJECTED
+                                || !ran.contains(response.requestId())
+                                || isSafe(promises.get(response.requestId())),
                         "refused, but it may have run");
-            } else if (e instanceof Effect.Fault fault) {
+            } else if (effect instanceof Effect.Fault fault) {
                 throw new AssertionError("fault", fault.cause());
             }
         }
     }
 
-    private void open(SplittableRandom r, ReducerHarness harness) {
+    private void openRequest(SplittableRandom random, ReducerHarness harness) {
         long id = 10_000 + promises.size();
-        RequestClass c = settings.classes().get(r.nextInt(settings.classes().size()));
-        boolean whole = r.nextInt(6) > 0;
-        promises.put(id, new Promise(c, settings.maxAttempts()));
+        RequestClass requestClass =
+                settings.classes().get(random.nextInt(settings.classes().size()));
+        boolean whole = random.nextInt(6) > 0;
+        promises.put(id, new Promise(requestClass, settings.maxAttempts()));
         if (!whole) {
             coming.add(id);
         }
         harness.send(new Event.RequestReceived(
                 id,
                 new ClientRequest(
-                        c.name(),
-                        r.nextBoolean() ? "acme" : null,
-                        r.nextInt(3) == 0 ? -1 : r.nextInt(600),
+                        requestClass.name(),
+                        random.nextBoolean() ? "acme" : null,
+                        random.nextInt(3) == 0 ? -1 : random.nextInt(600),
                         false,
                         whole,
                         "m")));
     }
 
-    private void change(SplittableRandom r, ReducerHarness harness) {
-        settings = settings(r);
-        harness.send(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), r.nextInt(4) == 0));
+    private void changeSettings(SplittableRandom random, ReducerHarness harness) {
+        settings = settings(random);
+        harness.send(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), random.nextInt(4) == 0));
     }
 
-    private void list(SplittableRandom r, ReducerHarness harness) {
+    private void changeEndpoints(SplittableRandom random, ReducerHarness harness) {
         List<ServerEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            if (r.nextInt(4) > 0) {
+            if (random.nextInt(4) > 0) {
                 endpoints.add(ReducerHarness.endpoint(
-                        "s-" + i, r.nextInt(5) > 0 ? EndpointState.UP : EndpointState.DRAINING));
+                        "s-" + i, random.nextInt(5) > 0 ? EndpointState.UP : EndpointState.DRAINING));
             }
         }
         harness.send(new Event.EndpointListInherited(new EndpointList(version++, true, endpoints)));
     }
 
-    private void forward(SplittableRandom r, ReducerHarness harness, long requestId) {
+    private void advanceAttempt(SplittableRandom random, ReducerHarness harness, long requestId) {
         Integer number = out.get(requestId);
         if (number == null) {
             return;
         }
-        if (!written.contains(requestId) && r.nextBoolean() && !coming.contains(requestId)) {
+        if (!written.contains(requestId) && random.nextBoolean() && !coming.contains(requestId)) {
             written.add(requestId);
             harness.send(new Event.AttemptWritten(requestId, number));
             return;
         }
         out.remove(requestId);
-        if (!written.contains(requestId) || r.nextInt(3) == 0) {
+        if (!written.contains(requestId) || random.nextInt(3) == 0) {
             if (written.contains(requestId)) {
                 ran.add(requestId);
             }
             harness.send(new Event.AttemptConnectionLost(requestId, number));
         } else {
-            ServerReply reply = ServerReply.values()[r.nextInt(4)];
+            ServerReply reply = ServerReply.values()[random.nextInt(4)];
             if (reply == ServerReply.ERROR) {
                 ran.add(requestId);
             }
@@ -189,40 +191,40 @@
         gone.clear();
         coming.clear();
         seen = 0;
-        SplittableRandom r = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         ReducerHarness harness = new ReducerHarness(3, 2);
         settings = harness.settings;
         for (int i = 0; i < 250; i++) {
-            long requestId = 10_000 + (promises.isEmpty() ? 0 : r.nextInt(promises.size()));
-            switch (r.nextInt(12)) {
-                case 0, 1, 2, 3 -> open(r, harness);
+            long requestId = 10_000 + (promises.isEmpty() ? 0 : random.nextInt(promises.size()));
+            switch (random.nextInt(12)) {
+                case 0, 1, 2, 3 -> openRequest(random, harness);
                 case 4, 5, 6 -> {
                     List<Long> busy = new ArrayList<>(out.keySet());
                     if (!busy.isEmpty()) {
-                        forward(r, harness, busy.get(r.nextInt(busy.size())));
+                        advanceAttempt(random, harness, busy.get(random.nextInt(busy.size())));
                     }
                 }
                 case 7 -> {
                     if (coming.remove(requestId)) {
                         harness.send(new Event.RequestCompleted(requestId));
-                    } else if (r.nextInt(3) == 0
+                    } else if (random.nextInt(3) == 0
                             && answers.getOrDefault(requestId, 0) == 0
                             && promises.containsKey(requestId)) {
                         gone.add(requestId);
                         harness.send(new Event.ClientDisconnected(requestId));
                     }
                 }
-                case 8 -> change(r, harness);
-                case 9 -> list(r, harness);
-                case 10 -> harness.send(new Event.DrainRequested(r.nextInt(4) == 0));
-                default -> harness.advance(r.nextInt(80));
+                case 8 -> changeSettings(random, harness);
+                case 9 -> changeEndpoints(random, harness);
+                case 10 -> harness.send(new Event.DrainRequested(random.nextInt(4) == 0));
+                default -> harness.advance(random.nextInt(80));
             }
-            look(harness);
+            checkPromises(harness);
         }
         harness.send(new Event.DrainRequested(false));
         coming.forEach(requestId -> harness.send(new Event.RequestCompleted(requestId)));
         harness.advance(9000);
-        look(harness);
+        checkPromises(harness);
         promises.keySet()
                 .forEach(requestId -> assertEquals(
                         gone.contains(requestId) ? 0 : 1,
@@ -238,9 +240,15 @@
         harness.send(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), false));
         List<ServerEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            ServerEndpoint t = ReducerHarness.endpoint("s-" + i, EndpointState.UP);
-            endpoints.add(
-                    new ServerEndpoint(t.host(), t.address(), t.zone(), t.cell(), 1, harness.clock.nowMs(), t.state()));
+            ServerEndpoint endpoint = ReducerHarness.endpoint("s-" + i, EndpointState.UP);
+            endpoints.add(new ServerEndpoint(
+                    endpoint.host(),
+                    endpoint.address(),
+                    endpoint.zone(),
+                    endpoint.cell(),
+                    1,
+                    harness.clock.nowMs(),
+                    endpoint.state()));
         }
         harness.send(new Event.EndpointListInherited(new EndpointList(version++, true, endpoints)));
         Set<String> used = new HashSet<>();
--- a/core/src/test/java/brackenbridge/core/LifeCycleTest.java
+++ b/core/src/test/java/brackenbridge/core/LifeCycleTest.java
@@ -93,36 +93,37 @@
 
     @Property(seed = "52", tries = 300)
     void receivedRequestsAreAnsweredAbandonedOrActive(@ForAll long seed) {
-        java.util.SplittableRandom r = new java.util.SplittableRandom(seed);
+        java.util.SplittableRandom random = new java.util.SplittableRandom(seed);
         ReducerHarness harness = new ReducerHarness(2, 2);
         List<Long> requestIds = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            long requestId = requestIds.isEmpty() ? -1 : requestIds.get(r.nextInt(requestIds.size()));
-            switch (r.nextInt(9)) {
+            long requestId = requestIds.isEmpty() ? -1 : requestIds.get(random.nextInt(requestIds.size()));
+            switch (random.nextInt(9)) {
                 case 0, 1 ->
-                    requestIds.add(
-                            harness.open(r.nextBoolean() ? ReducerHarness.FILE : ReducerHarness.VIEW, r.nextInt(300)));
-                case 2 -> harness.send(new Event.AttemptWritten(requestId, r.nextInt(2)));
+                    requestIds.add(harness.open(
+                            random.nextBoolean() ? ReducerHarness.FILE : ReducerHarness.VIEW, random.nextInt(300)));
+                case 2 -> harness.send(new Event.AttemptWritten(requestId, random.nextInt(2)));
                 case 3 ->
                     harness.send(new Event.AttemptAnswered(
-                            requestId, r.nextInt(2), ServerReply.values()[r.nextInt(4)], "b", null));
-                case 4 -> harness.send(new Event.AttemptConnectionLost(requestId, r.nextInt(2)));
+                            requestId, random.nextInt(2), ServerReply.values()[random.nextInt(4)], "b", null));
+                case 4 -> harness.send(new Event.AttemptConnectionLost(requestId, random.nextInt(2)));
                 case 5 -> harness.send(new Event.ClientDisconnected(requestId));
-                case 6 -> harness.send(new Event.ResponseFinished(requestId, Event.ResponseEnd.values()[r.nextInt(3)]));
-                case 7 -> harness.send(r.nextInt(5) > 0 ? CANCEL_DRAIN : DRAIN);
-                default -> harness.advance(r.nextInt(60));
+                case 6 ->
+                    harness.send(new Event.ResponseFinished(requestId, Event.ResponseEnd.values()[random.nextInt(3)]));
+                case 7 -> harness.send(random.nextInt(5) > 0 ? CANCEL_DRAIN : DRAIN);
+                default -> harness.advance(random.nextInt(60));
             }
             String metrics = harness.reducer.metricsText();
             long active = Long.parseLong(metrics.replaceAll("(?s).*proxy.active:([0-9]+)[|]g.*", "$1"));
             long sum = active;
-            for (String c : List.of("view", "file")) {
-                for (Counter k : List.of(
+            for (String className : List.of("view", "file")) {
+                for (Counter counter : List.of(
                         Counter.ANSWERED_SERVED,
                         Counter.ANSWERED_REJECTED,
                         Counter.ANSWERED_FAILED,
                         Counter.ANSWERED_INVALID_REQUEST,
                         Counter.CLIENTS_DISCONNECTED)) {
-                    sum += harness.counters.of(k, c);
+                    sum += harness.counters.of(counter, className);
                 }
             }
             assertEquals(harness.counters.of(Counter.REQUESTS_RECEIVED), sum, metrics);
--- a/core/src/test/java/brackenbridge/core/ReducerHarness.java
+++ b/core/src/test/java/brackenbridge/core/ReducerHarness.java
@@ -77,20 +77,21 @@
     }
 
     ReducerHarness send(Event event) {
-        for (Effect e : reducer.reduce(clock.nowMs(), event)) {
-            if (e instanceof Effect.SetTimer t) {
-                timers.add(t);
+        for (Effect effect : reducer.reduce(clock.nowMs(), event)) {
+            if (effect instanceof Effect.SetTimer timer) {
+                timers.add(timer);
             } else {
-                effects.add(e);
+                effects.add(effect);
             }
         }
         return this;
     }
 
     /** Opens a request and gives its number back. */
-    long open(RequestClass c, double leftMs) {
+    long open(RequestClass requestClass, double leftMs) {
         send(new Event.RequestReceived(
-                requestCount, new ClientRequest(c.name(), null, leftMs, false, true, "message " + requestCount)));
+                requestCount,
+                new ClientRequest(requestClass.name(), null, leftMs, false, true, "message " + requestCount)));
         return requestCount++;
     }
 
@@ -98,9 +99,9 @@
     ReducerHarness advance(double ms) {
         double until = clock.nowMs() + ms;
         while (!timers.isEmpty() && timers.peek().atMs() <= until) {
-            Effect.SetTimer t = timers.poll();
-            clock.pass(Math.max(0, t.atMs() - clock.nowMs()));
-            send(new Event.TimerFired(t.key()));
+            Effect.SetTimer timer = timers.poll();
+            clock.pass(Math.max(0, timer.atMs() - clock.nowMs()));
+            send(new Event.TimerFired(timer.key()));
         }
         clock.pass(until - clock.nowMs());
         return this;
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -120,19 +120,22 @@
     @Property(seed = "71", tries = 500)
     void stepsAreOrderedAndLeaveTheFrontEndTimeToNotice(
             @ForAll @DoubleRange(min = 0.01, max = 10_000) double deadline, @ForAll Situation situation) {
-        ShutdownSchedule s = ShutdownSchedule.of(situation, deadline);
-        assertTrue(s.acceptMs() > 400, "new connections keep coming for 0.4 s: " + s);
+        ShutdownSchedule schedule = ShutdownSchedule.of(situation, deadline);
+        assertTrue(schedule.acceptMs() > 400, "new connections keep coming for 0.4 s: " + schedule);
         assertTrue(
-                s.acceptMs() + 25 <= s.serveMs() && s.serveMs() <= s.answerMs() && s.answerMs() < s.exitMs(), "" + s);
-        assertTrue(s.endIdleMs() <= s.serveMs(), "" + s);
-        assertTrue(s.exitMs() + ShutdownSchedule.LAST_LINGER_MS + SLACK_MS <= killMs(deadline), "" + s);
+                schedule.acceptMs() + 25 <= schedule.serveMs()
+                        && schedule.serveMs() <= schedule.answerMs()
+                        && schedule.answerMs() < schedule.exitMs(),
+                "" + schedule);
+        assertTrue(schedule.endIdleMs() <= schedule.serveMs(), "" + schedule);
+        assertTrue(schedule.exitMs() + ShutdownSchedule.LAST_LINGER_MS + SLACK_MS <= killMs(deadline), "" + schedule);
     }
 
     @Test
     void longDeadlinesAreServedForAFixedTime() {
-        ShutdownSchedule s = ShutdownSchedule.of(Situation.RESTARTED, 8000);
-        assertEquals(500, s.acceptMs());
-        assertEquals(3100, s.serveMs());
-        assertEquals(3400, s.answerMs());
+        ShutdownSchedule schedule = ShutdownSchedule.of(Situation.RESTARTED, 8000);
+        assertEquals(500, schedule.acceptMs());
+        assertEquals(3100, schedule.serveMs());
+        assertEquals(3400, schedule.answerMs());
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/AbsurdInputTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/AbsurdInputTest.java
@@ -1,7 +1,7 @@
 package brackenbridge.core.balancing;
 
-import static brackenbridge.core.balancing.Script.MS;
-import static brackenbridge.core.balancing.Script.SECOND;
+import static brackenbridge.core.balancing.Script.MILLISECOND_US;
+import static brackenbridge.core.balancing.Script.SECOND_US;
 import static brackenbridge.core.balancing.Script.safe;
 import static brackenbridge.core.balancing.Script.settings;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -20,11 +20,11 @@
 class AbsurdInputTest {
 
     /** How many of so many calls each server gets, one after the other. */
-    private static Map<Long, Integer> turns(Script s, long firstId, int calls) {
+    private static Map<Long, Integer> turns(Script script, long firstId, int calls) {
         Map<Long, Integer> turns = new HashMap<>();
         for (long id = firstId; id < firstId + calls; id++) {
-            s.ask(id, "read").pass(MS).answer(id, 0, AttemptOutcome.OK, MS);
-            turns.merge(s.target(id), 1, Integer::sum);
+            script.ask(id, "read").pass(MILLISECOND_US).answer(id, 0, AttemptOutcome.OK, MILLISECOND_US);
+            turns.merge(script.target(id), 1, Integer::sum);
         }
         return turns;
     }
@@ -32,10 +32,10 @@
     @ParameterizedTest
     @ValueSource(doubles = {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -3, 0, 1e-300, 1e300})
     void oneAbsurdWeightLeavesTheOthersTheirTurns(double weight) {
-        Script s = new Script(settings(safe("read", 1))).list(EndpointListKind.CACHED, Script.up(1, weight));
-        turns(s, 0, 5);
-        s.list(EndpointListKind.FULL, Script.up(1, weight), Script.up(2, 1), Script.up(3, 1), Script.up(4, 1));
-        Map<Long, Integer> turns = turns(s, 100, 4000);
+        Script script = new Script(settings(safe("read", 1))).list(EndpointListKind.CACHED, Script.up(1, weight));
+        turns(script, 0, 5);
+        script.list(EndpointListKind.FULL, Script.up(1, weight), Script.up(2, 1), Script.up(3, 1), Script.up(4, 1));
+        Map<Long, Integer> turns = turns(script, 100, 4000);
         for (long id = 2; id <= 4; id++) {
             int others = (4000 - turns.getOrDefault(1L, 0)) / 3;
             int own = turns.getOrDefault(id, 0);
@@ -45,31 +45,32 @@
 
     @Test
     void serverThatSaysItWillStartInAHundredYearsIsColdNoLongerThanAnyOther() {
-        Script s = new Script(settings(safe("read", 1))).servers(4);
-        long far = s.now + 100L * 365 * 86_400 * SECOND;
+        Script script = new Script(settings(safe("read", 1))).servers(4);
+        long far = script.now + 100L * 365 * 86_400 * SECOND_US;
         for (int i = 0; i < 25; i++) {
             // The list comes again and again: its word is the same, so the server has not started again.
-            s.list(EndpointListKind.CHANGES, Script.at(9, "here", far, EndpointState.UP))
-                    .pass(SECOND);
+            script.list(EndpointListKind.CHANGES, Script.at(9, "here", far, EndpointState.UP))
+                    .pass(SECOND_US);
         }
-        int turns = turns(s, 0, 400).getOrDefault(9L, 0);
+        int turns = turns(script, 0, 400).getOrDefault(9L, 0);
         assertTrue(turns > 60, "turns of the server by now: " + turns);
     }
 
     @Test
     void answerThatTakesNoTimeSpoilsNoEstimate() {
-        Script s = new Script(settings(safe("read", 1))).servers(1);
-        s.ask(1, "read").answer(1, 0, AttemptOutcome.OK, 0);
+        Script script = new Script(settings(safe("read", 1))).servers(1);
+        script.ask(1, "read").answer(1, 0, AttemptOutcome.OK, 0);
         for (int i = 2; i < 80; i++) {
-            s.ask(i, "read").pass(100 * MS).answer(i, 0, AttemptOutcome.OK, 100 * MS);
+            script.ask(i, "read").pass(100 * MILLISECOND_US).answer(i, 0, AttemptOutcome.OK, 100 * MILLISECOND_US);
         }
         // Servers that now answer ten times as slowly have to be told apart by their pace.
-        s.list(EndpointListKind.CHANGES, Script.up(2, 1));
+        script.list(EndpointListKind.CHANGES, Script.up(2, 1));
         int slow = 0;
         for (int i = 100; i < 400; i++) {
-            s.ask(i, "read");
-            boolean first = s.target(i) == 1;
-            s.pass(first ? 1000 * MS : 100 * MS).answer(i, 0, AttemptOutcome.OK, first ? 1000 * MS : 100 * MS);
+            script.ask(i, "read");
+            boolean first = script.target(i) == 1;
+            script.pass(first ? 1000 * MILLISECOND_US : 100 * MILLISECOND_US)
+                    .answer(i, 0, AttemptOutcome.OK, first ? 1000 * MILLISECOND_US : 100 * MILLISECOND_US);
             slow += first ? 1 : 0;
         }
         assertTrue(slow < 100, "turns of the slow server: " + slow);
@@ -82,14 +83,16 @@
         Script flapping = new Script(settings(safe("read", 1))).servers(2);
         jammed.ask(-1, "read").ask(-2, "read");
         for (int i = 0; i < 20_000; i++) {
-            none.ask(i, "read").pass(SECOND / 2);
-            jammed.ask(i, i % 2 == 0 ? "read" : "other").pass(SECOND / 2);
-            flapping.ask(i, "read").pass(5 * MS);
+            none.ask(i, "read").pass(SECOND_US / 2);
+            jammed.ask(i, i % 2 == 0 ? "read" : "other").pass(SECOND_US / 2);
+            flapping.ask(i, "read").pass(5 * MILLISECOND_US);
             flapping.list(EndpointListKind.CHANGES, Script.at(1 + i % 2, "here", 0, EndpointState.DRAINING));
             flapping.list(EndpointListKind.CHANGES, Script.at(1 + i % 2, "here", 0, EndpointState.UP));
         }
-        for (Script s : List.of(none, jammed, flapping)) {
-            assertTrue(s.balancer.openRequestCount() < 2000, "calls remembered: " + s.balancer.openRequestCount());
+        for (Script script : List.of(none, jammed, flapping)) {
+            assertTrue(
+                    script.balancer.openRequestCount() < 2000,
+                    "calls remembered: " + script.balancer.openRequestCount());
         }
     }
 
@@ -98,8 +101,8 @@
                 name, aim, deadline, Idempotence.IDEMPOTENCY_KEY, DeduplicationScope.ALL, keyTtl, false, worth, late);
     }
 
-    private static void turnedDown(String key, Supplier<RequestClass> c) {
-        String why = assertThrows(IllegalArgumentException.class, () -> settings(c.get()), key)
+    private static void assertRejected(String key, Supplier<RequestClass> requestClass) {
+        String why = assertThrows(IllegalArgumentException.class, () -> settings(requestClass.get()), key)
                 .getMessage();
         assertTrue(why.contains(key), why);
     }
@@ -108,14 +111,14 @@
     void classesThatCanNotHoldAreTurnedDownByKey() {
         assertNotEquals(null, settings(kind("a", 1, 1, 0, 0, 0)));
         for (double bad : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -1, 1e300}) {
-            turnedDown("worth", () -> kind("a", 1, 1, 0, bad, 0));
-            turnedDown("lateShare", () -> kind("a", 1, 1, 0, 1, bad));
+            assertRejected("worth", () -> kind("a", 1, 1, 0, bad, 0));
+            assertRejected("lateShare", () -> kind("a", 1, 1, 0, 1, bad));
         }
-        turnedDown("keyTtl", () -> kind("a", 1, 1, -1, 1, 0));
-        turnedDown("keyTtl", () -> kind("a", 1, 1, Long.MAX_VALUE, 1, 0));
-        turnedDown("deadline", () -> kind("a", 1, Long.MAX_VALUE, 0, 1, 0));
+        assertRejected("keyTtl", () -> kind("a", 1, 1, -1, 1, 0));
+        assertRejected("keyTtl", () -> kind("a", 1, 1, Long.MAX_VALUE, 1, 0));
+        assertRejected("deadline", () -> kind("a", 1, Long.MAX_VALUE, 0, 1, 0));
         for (String name : List.of("", "a b", "a\nproxy.ok.b:9|c", "a/b", "a?", "a#", "a:b", "a|b")) {
-            turnedDown("name", () -> kind(name, 1, 1, 0, 1, 0));
+            assertRejected("name", () -> kind(name, 1, 1, 0, 1, 0));
         }
     }
 
@@ -151,7 +154,7 @@
                 network);
     }
 
-    private static void turnedDown(String key, double overShare, double quota, long time, double coldFrom) {
+    private static void assertRejected(String key, double overShare, double quota, long time, double coldFrom) {
         String why = assertThrows(
                         IllegalArgumentException.class,
                         () -> with(
@@ -176,19 +179,19 @@
     void settingsThatCanNotHoldAreTurnedDownByKey() {
         assertNotEquals(null, with(0.5, new TenantShare("acme", 0, 5), 1, 1, 1, 0.2, 1, NetworkSettings.DEFAULT));
         for (double bad : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -1, 1e300}) {
-            turnedDown("overShareWorth", bad, 1, 1, 1);
-            turnedDown("quota", 0.1, bad, 1, 1);
-            turnedDown("coldFrom", 0.1, 1, 1, bad);
+            assertRejected("overShareWorth", bad, 1, 1, 1);
+            assertRejected("quota", 0.1, bad, 1, 1);
+            assertRejected("coldFrom", 0.1, 1, 1, bad);
         }
-        turnedDown("coldFrom", 0.1, 1, 1, 1e-300);
+        assertRejected("coldFrom", 0.1, 1, 1, 1e-300);
         for (String key :
                 List.of("mustAskWithin", "maxRetryAfter", "idleClose", "warmAfter", "connectTimeout", "drainGrace")) {
-            turnedDown(key, 0.1, 1, -1, 1);
-            turnedDown(key, 0.1, 1, Long.MAX_VALUE, 1);
+            assertRejected(key, 0.1, 1, -1, 1);
+            assertRejected(key, 0.1, 1, Long.MAX_VALUE, 1);
         }
         BalancerSettings plain = settings(safe("read", 1));
         for (double bad : new double[] {Double.NaN, Double.POSITIVE_INFINITY, -1, 0, 1e300}) {
-            String why = assertThrows(IllegalArgumentException.class, () -> plain.withColdOverload(bad, SECOND))
+            String why = assertThrows(IllegalArgumentException.class, () -> plain.withColdOverload(bad, SECOND_US))
                     .getMessage();
             assertTrue(why.contains("fallMultiple"), why);
         }
--- a/core/src/test/java/brackenbridge/core/balancing/ColdFleet.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdFleet.java
@@ -15,26 +15,26 @@
  * and compares what each cold server receives from all of them with its limit. In simulated time, from one seed.
  */
 final class ColdFleet {
-    /** A request that reached a cold server; its node knew of the start when it sent it, or not. */
-    private record Arrival(long at, boolean told) {}
+    /** A request that reached a cold server, and whether its node had been notified of the start when it sent it. */
+    private record Arrival(long at, boolean notified) {}
 
-    private static final long MS = 1000;
-    private static final long SECOND = 1_000_000;
-    private static final int SERVERS = 10;
+    private static final long MILLISECOND_US = 1000;
+    private static final long SECOND_US = 1_000_000;
+    private static final int SERVER_COUNT = 10;
     private static final double[] SHARES = {1, 2, 4, 8};
     /**
-     * A server has some workers; a request takes one of them 100 ms on average once it is warm. It turns away at
-     * once what finds as many waiting: what is turned away weighs as well, and its caller is free for the next.
+     * A server has some workers; a request takes one of them 100 ms on average once it is warm. It rejects a
+     * request at once if as many are queued; a rejected request counts as well, and frees its slot at the node.
      */
     private static final int USUAL_WORKERS = 2;
 
-    private static final long WORK = 100 * MS;
-    private static final long LATE = SECOND;
+    private static final long MEAN_WORK_US = 100 * MILLISECOND_US;
+    private static final long MAX_LATENESS_US = SECOND_US;
     private static final double COLD_FROM = 0.3;
-    private static final long WARM_AFTER = 8 * SECOND;
-    private static final long BEGIN = 1000 * SECOND;
-    private static final long RESTARTS = BEGIN + 12 * SECOND;
-    private static final long END = BEGIN + 32 * SECOND;
+    private static final long WARM_AFTER = 8 * SECOND_US;
+    private static final long BEGIN_US = 1000 * SECOND_US;
+    private static final long RESTARTS_AT_US = BEGIN_US + 12 * SECOND_US;
+    private static final long END_US = BEGIN_US + 32 * SECOND_US;
 
     private record Due(long at, long order, Runnable what) {}
 
@@ -42,7 +42,7 @@
         final long id;
         long startedAt;
         boolean down;
-        int life;
+        int incarnation;
         int busy;
         boolean fallen;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
@@ -50,7 +50,7 @@
         final List<Arrival> arrivals = new ArrayList<>();
 
         int windowFrom;
-        int windowTold;
+        int windowNotified;
         long windowLength;
 
         Server(long id) {
@@ -61,8 +61,8 @@
     private final class Node implements BalancerActions {
         final Balancer balancer;
         double share;
-        /** The start of each server that it was told of last. */
-        final long[] toldStart = new long[SERVERS];
+        /** The start of each server of which it was notified last. */
+        final long[] notifiedStart = new long[SERVER_COUNT];
 
         Node(int me, int peers, double share) {
             this.share = share;
@@ -70,7 +70,7 @@
         }
 
         void list(EndpointListKind kind, List<Endpoint> entries) {
-            entries.forEach(e -> toldStart[(int) e.id()] = e.startedAt());
+            entries.forEach(e -> notifiedStart[(int) e.id()] = e.startedAt());
             balancer.onEndpointList(now, kind, entries);
         }
 
@@ -80,9 +80,11 @@
             retries += attempt > 0 ? 1 : 0;
             mostAtOnce = Math.max(mostAtOnce, out.merge(request, 1, Integer::sum));
             long sent = now;
-            Server s = servers.get((int) endpoint);
-            boolean told = toldStart[(int) s.id] == s.startedAt;
-            after(connecting(s) + MS / 2, () -> arrive(this, request, attempt, s, sent, told));
+            Server server = servers.get((int) endpoint);
+            boolean notified = notifiedStart[(int) server.id] == server.startedAt;
+            after(
+                    connecting(server) + MILLISECOND_US / 2,
+                    () -> receiveAttempt(this, request, attempt, server, sent, notified));
         }
 
         @Override
@@ -120,7 +122,7 @@
     private long fall;
 
     private final double allShares;
-    private long now = BEGIN;
+    private long now = BEGIN_US;
     private long made;
     private long requests;
     private double worst;
@@ -128,7 +130,7 @@
     private double leastN = Double.POSITIVE_INFINITY;
     private double mostN;
     private int fallen;
-    private int lives;
+    private int incarnations;
     private int served;
     private int coldServed;
     private int mostAtOnce;
@@ -139,13 +141,13 @@
         this.day = plan.scenario();
         this.fall = plan.overloadWindow();
         random = new SplittableRandom(plan.seed());
-        for (int i = 0; i < SERVERS; i++) {
+        for (int i = 0; i < SERVER_COUNT; i++) {
             servers.add(new Server(i));
         }
         for (int i = 0; i < plan.nodes(); i++) {
             nodes.add(new Node(i, plan.nodes(), SHARES[i % SHARES.length]));
         }
-        allShares = nodes.stream().mapToDouble(n -> n.share).sum();
+        allShares = nodes.stream().mapToDouble(node -> node.share).sum();
     }
 
     /** Plays one day with servers of two workers and no further trouble. */
@@ -169,14 +171,14 @@
                 List.of(),
                 0.1,
                 false,
-                10 * SECOND,
+                10 * SECOND_US,
                 3,
                 20000,
-                2 * SECOND,
+                2 * SECOND_US,
                 true,
                 false,
                 plan.fault() == Fault.HEDGED_BY_CLIENTS,
-                15 * SECOND,
+                15 * SECOND_US,
                 COLD_FROM,
                 WARM_AFTER,
                 plan.multiple(),
@@ -186,14 +188,14 @@
 
     private ColdFleetResult play() {
         if (day == Scenario.FRESH) {
-            servers.forEach(s -> {
-                s.startedAt = now;
-                lives++;
+            servers.forEach(server -> {
+                server.startedAt = now;
+                incarnations++;
             });
         }
-        for (Node n : nodes) {
-            n.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
-            arrivals(n);
+        for (Node node : nodes) {
+            node.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
+            scheduleArrivals(node);
         }
         int hit = switch (day) {
             case REPLACED -> 6;
@@ -202,23 +204,24 @@
             case FRESH -> 0;
         };
         for (int i = 0; i < hit; i++) {
-            Server s = servers.get(i);
-            long at = RESTARTS + (day == Scenario.REPLACED ? i * 7 * SECOND / 6 : 0);
+            Server server = servers.get(i);
+            long at = RESTARTS_AT_US + (day == Scenario.REPLACED ? i * 7 * SECOND_US / 6 : 0);
             boolean inAnInstant = plan.fault() == Fault.LATE_NOTICE;
-            long back = at + (inAnInstant ? 0 : (day == Scenario.ZONE ? 5 : 1) * SECOND);
-            at(at, () -> stop(s, !inAnInstant));
-            at(back, () -> restart(s));
+            long back = at + (inAnInstant ? 0 : (day == Scenario.ZONE ? 5 : 1) * SECOND_US);
+            at(at, () -> stop(server, !inAnInstant));
+            at(back, () -> restart(server));
         }
-        long firstStart = day == Scenario.FRESH ? BEGIN : RESTARTS + (day == Scenario.ZONE ? 5 : 1) * SECOND;
+        long firstStart =
+                day == Scenario.FRESH ? BEGIN_US : RESTARTS_AT_US + (day == Scenario.ZONE ? 5 : 1) * SECOND_US;
         switch (plan.fault()) {
-            case LONGER_TIME -> at(firstStart + SECOND, this::lengthen);
-            case RESTARTED_NODES -> at(firstStart + SECOND / 2, this::restartNodes);
-            case SUCCESSORS -> at(firstStart + SECOND / 2, this::succeed);
+            case LONGER_TIME -> at(firstStart + SECOND_US, this::lengthen);
+            case RESTARTED_NODES -> at(firstStart + SECOND_US / 2, this::restartNodes);
+            case SUCCESSORS -> at(firstStart + SECOND_US / 2, this::succeed);
             default -> {
                 // Nothing happens at one instant.
             }
         }
-        while (!queue.isEmpty() && queue.peek().at() <= END) {
+        while (!queue.isEmpty() && queue.peek().at() <= END_US) {
             Due due = queue.poll();
             now = Math.max(now, due.at());
             due.what().run();
@@ -229,7 +232,7 @@
                 leastN,
                 mostN,
                 fallen,
-                lives,
+                incarnations,
                 (int) requests,
                 served,
                 coldServed,
@@ -249,7 +252,7 @@
     private void restartNodes() {
         for (int i = 0; i < nodes.size(); i += 2) {
             Node old = nodes.get(i);
-            nodes.set(i, process(i, old.share));
+            nodes.set(i, startProcess(i, old.share));
             old.share = 0;
         }
     }
@@ -260,28 +263,28 @@
         for (int i = 0; i < before.size(); i++) {
             Node old = before.get(i);
             old.share /= 2;
-            Node next = process(i, old.share);
+            Node next = startProcess(i, old.share);
             nodes.add(next);
-            after(2 * SECOND, () -> {
+            after(2 * SECOND_US, () -> {
                 next.share += old.share;
                 old.share = 0;
             });
         }
     }
 
-    private Node process(int me, double share) {
-        Node n = new Node(me, plan.nodes(), share);
-        n.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
-        arrivals(n);
-        return n;
+    private Node startProcess(int me, double share) {
+        Node node = new Node(me, plan.nodes(), share);
+        node.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
+        scheduleArrivals(node);
+        return node;
     }
 
     /** How long it takes until a request sent now to this server can be written. */
-    private long connecting(Server s) {
+    private long connecting(Server server) {
         if (plan.fault() == Fault.LATE_CONNECTIONS) {
-            return random.nextInt(3) == 0 ? random.nextLong(LATE) : 0;
+            return random.nextInt(3) == 0 ? random.nextLong(MAX_LATENESS_US) : 0;
         }
-        return plan.fault() == Fault.LATE_ACCEPT ? Math.max(0, s.startedAt + LATE - now) : 0;
+        return plan.fault() == Fault.LATE_ACCEPT ? Math.max(0, server.startedAt + MAX_LATENESS_US - now) : 0;
     }
 
     private void at(long when, Runnable what) {
@@ -292,151 +295,159 @@
         at(now + time, what);
     }
 
-    private Endpoint entry(Server s) {
-        return new Endpoint(s.id, 0, "here", 1, s.startedAt, s.down ? EndpointState.REMOVED : EndpointState.UP);
+    private Endpoint entry(Server server) {
+        return new Endpoint(
+                server.id, 0, "here", 1, server.startedAt, server.down ? EndpointState.REMOVED : EndpointState.UP);
     }
 
-    private void stop(Server s, boolean told) {
-        s.down = true;
-        s.life++;
-        s.busy = 0;
-        s.queue.clear();
-        if (told) {
-            tell(s);
+    private void stop(Server server, boolean notified) {
+        server.down = true;
+        server.incarnation++;
+        server.busy = 0;
+        server.queue.clear();
+        if (notified) {
+            notifyNodes(server);
         }
     }
 
-    private void restart(Server s) {
-        s.down = false;
-        s.startedAt = now;
-        s.arrivals.clear();
-        s.windowFrom = 0;
-        s.windowTold = 0;
-        s.fallen = false;
-        lives++;
-        tell(s);
+    private void restart(Server server) {
+        server.down = false;
+        server.startedAt = now;
+        server.arrivals.clear();
+        server.windowFrom = 0;
+        server.windowNotified = 0;
+        server.fallen = false;
+        incarnations++;
+        notifyNodes(server);
     }
 
-    /** The word comes to each node a little later. */
-    private void tell(Server s) {
-        Endpoint e = entry(s);
+    /** The notice reaches each node a little later. */
+    private void notifyNodes(Server server) {
+        Endpoint entry = entry(server);
         boolean late = plan.fault() == Fault.LATE_NOTICE;
-        for (Node n : nodes) {
-            long delay = late ? 300 * MS + random.nextLong(1200 * MS) : 50 * MS + random.nextLong(250 * MS);
-            after(delay, () -> n.list(EndpointListKind.CHANGES, List.of(e)));
+        for (Node node : nodes) {
+            long delay = late
+                    ? 300 * MILLISECOND_US + random.nextLong(1200 * MILLISECOND_US)
+                    : 50 * MILLISECOND_US + random.nextLong(250 * MILLISECOND_US);
+            after(delay, () -> node.list(EndpointListKind.CHANGES, List.of(entry)));
         }
     }
 
-    private void arrivals(Node n) {
-        if (n.share == 0) {
+    private void scheduleArrivals(Node node) {
+        if (node.share == 0) {
             return;
         }
-        boolean burst = day == Scenario.BURST && now >= RESTARTS + SECOND && now < RESTARTS + 4 * SECOND;
-        double perSecond = plan.load() * SERVERS * perSecond() * n.share / allShares * (burst ? 2.5 : 1);
-        after((long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND), () -> {
+        boolean burst =
+                day == Scenario.BURST && now >= RESTARTS_AT_US + SECOND_US && now < RESTARTS_AT_US + 4 * SECOND_US;
+        double perSecond = plan.load() * SERVER_COUNT * perSecond() * node.share / allShares * (burst ? 2.5 : 1);
+        after((long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND_US), () -> {
             long id = requests++;
-            BalancerRequest r =
-                    new BalancerRequest(id, id % 4 == 0 ? "write" : "read", null, -1, 2 * SECOND, -1, false);
+            BalancerRequest arrived =
+                    new BalancerRequest(id, id % 4 == 0 ? "write" : "read", null, -1, 2 * SECOND_US, -1, false);
             if (random.nextDouble() < 0.05) {
-                n.balancer.onStreamedRequest(now, r);
-                after(50 * MS, () -> n.balancer.onRequestCompleted(now, id));
+                node.balancer.onStreamedRequest(now, arrived);
+                after(50 * MILLISECOND_US, () -> node.balancer.onRequestCompleted(now, id));
             } else {
-                n.balancer.onRequest(now, r);
+                node.balancer.onRequest(now, arrived);
             }
             if (plan.fault() == Fault.HEDGED_BY_CLIENTS && id % 5 == 0) {
-                hedge(nodes.get((nodes.indexOf(n) + 1) % nodes.size()), r.className());
+                hedge(nodes.get((nodes.indexOf(node) + 1) % nodes.size()), arrived.className());
             }
-            arrivals(n);
+            scheduleArrivals(node);
         });
     }
 
     /** The client's second copy, by another node. */
     private void hedge(Node other, String className) {
-        after(30 * MS, () -> {
+        after(30 * MILLISECOND_US, () -> {
             long id = requests++;
-            other.balancer.onRequest(now, new BalancerRequest(id, className, null, -1, 2 * SECOND, -1, true));
+            other.balancer.onRequest(now, new BalancerRequest(id, className, null, -1, 2 * SECOND_US, -1, true));
         });
     }
 
     /** What a warm server does in a second. */
     private double perSecond() {
-        return plan.workers() * (double) SECOND / WORK;
+        return plan.workers() * (double) SECOND_US / MEAN_WORK_US;
     }
 
-    private double warmth(Server s) {
-        return s.startedAt == 0 ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - s.startedAt) / WARM_AFTER);
+    private double warmth(Server server) {
+        return server.startedAt == 0
+                ? 1
+                : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - server.startedAt) / WARM_AFTER);
     }
 
-    private void arrive(Node n, long request, int attempt, Server s, long sent, boolean told) {
-        if (s.down) {
-            answer(n, request, attempt, AttemptOutcome.CONNECT_FAILED, sent);
+    private void receiveAttempt(Node node, long request, int attempt, Server server, long sent, boolean notified) {
+        if (server.down) {
+            endAttempt(node, request, attempt, AttemptOutcome.CONNECT_FAILED, sent);
             return;
         }
-        n.balancer.onAttemptWritten(now, request, attempt);
-        weigh(s, told);
-        if (s.queue.size() >= plan.workers()) {
-            answer(n, request, attempt, AttemptOutcome.FULL, sent);
+        node.balancer.onAttemptWritten(now, request, attempt);
+        recordArrival(server, notified);
+        if (server.queue.size() >= plan.workers()) {
+            endAttempt(node, request, attempt, AttemptOutcome.FULL, sent);
             return;
         }
-        boolean cold = warmth(s) < 1;
-        int life = s.life;
-        Runnable work = () -> after((long) (WORK / warmth(s) * (0.5 + random.nextDouble())), () -> {
-            if (s.life != life) {
-                answer(n, request, attempt, AttemptOutcome.RESET, sent);
+        boolean cold = warmth(server) < 1;
+        int incarnation = server.incarnation;
+        Runnable work = () -> after((long) (MEAN_WORK_US / warmth(server) * (0.5 + random.nextDouble())), () -> {
+            if (server.incarnation != incarnation) {
+                endAttempt(node, request, attempt, AttemptOutcome.RESET, sent);
                 return;
             }
             boolean bad = random.nextDouble() < 0.02;
             served += bad ? 0 : 1;
             coldServed += cold && !bad ? 1 : 0;
-            answer(n, request, attempt, bad ? AttemptOutcome.ERROR : AttemptOutcome.OK, sent);
-            Runnable next = s.queue.poll();
+            endAttempt(node, request, attempt, bad ? AttemptOutcome.ERROR : AttemptOutcome.OK, sent);
+            Runnable next = server.queue.poll();
             if (next != null) {
                 next.run();
             } else {
-                s.busy--;
+                server.busy--;
             }
         });
-        if (s.busy < plan.workers()) {
-            s.busy++;
+        if (server.busy < plan.workers()) {
+            server.busy++;
             work.run();
         } else {
-            s.queue.add(work);
+            server.queue.add(work);
         }
     }
 
-    private void answer(Node n, long request, int attempt, AttemptOutcome outcome, long sent) {
-        after(MS / 2, () -> {
+    private void endAttempt(Node node, long request, int attempt, AttemptOutcome outcome, long sent) {
+        after(MILLISECOND_US / 2, () -> {
             out.merge(request, -1, Integer::sum);
-            n.balancer.onAttemptEnded(now, request, attempt, outcome == AttemptOutcome.OK, outcome, now - sent, null);
+            node.balancer.onAttemptEnded(
+                    now, request, attempt, outcome == AttemptOutcome.OK, outcome, now - sent, null);
         });
     }
 
-    /** Every attempt that reaches a cold server weighs, whatever becomes of it. */
-    private void weigh(Server s, boolean told) {
-        if (warmth(s) >= 1) {
+    /** Every attempt that reaches a cold server counts, whatever its outcome. */
+    private void recordArrival(Server server, boolean notified) {
+        if (warmth(server) >= 1) {
             return;
         }
-        s.arrivals.add(new Arrival(now, told));
-        s.windowTold += told ? 1 : 0;
-        if (s.windowLength != fall) {
-            s.windowLength = fall;
-            s.windowFrom = 0;
-            s.windowTold = (int) s.arrivals.stream().filter(Arrival::told).count();
+        server.arrivals.add(new Arrival(now, notified));
+        server.windowNotified += notified ? 1 : 0;
+        if (server.windowLength != fall) {
+            server.windowLength = fall;
+            server.windowFrom = 0;
+            server.windowNotified =
+                    (int) server.arrivals.stream().filter(Arrival::notified).count();
         }
-        while (s.arrivals.get(s.windowFrom).at() < now - fall) {
-            s.windowTold -= s.arrivals.get(s.windowFrom++).told() ? 1 : 0;
+        while (server.arrivals.get(server.windowFrom).at() < now - fall) {
+            server.windowNotified -= server.arrivals.get(server.windowFrom++).notified() ? 1 : 0;
         }
-        int inWindow = s.arrivals.size() - s.windowFrom;
-        double allowed = plan.multiple() * perSecond() * warmth(s) * fall / SECOND;
+        int inWindow = server.arrivals.size() - server.windowFrom;
+        double allowed = plan.multiple() * perSecond() * warmth(server) * fall / SECOND_US;
         double ratio = inWindow / (allowed + 2 * Math.sqrt(allowed) + 2);
         worst = Math.max(worst, ratio);
         leastN = Math.min(leastN, allowed);
         mostN = Math.max(mostN, allowed);
-        if (3 * s.windowTold > 2 * inWindow) {
+        if (3 * server.windowNotified > 2 * inWindow) {
             worstOfLimit = Math.max(worstOfLimit, inWindow / limit(allowed));
         }
-        if (ratio > 1 && !s.fallen) {
-            s.fallen = true;
+        if (ratio > 1 && !server.fallen) {
+            server.fallen = true;
             fallen++;
         }
     }
--- a/core/src/test/java/brackenbridge/core/balancing/ColdServersTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdServersTest.java
@@ -27,7 +27,7 @@
         int sent = 0;
         for (SlowStartBudget b : budgets) {
             while (b.allows(now, part, SECOND, random)) {
-                b.written(now, b.spend(now, SECOND), SECOND);
+                b.recordWritten(now, b.chargeRequest(now, SECOND), SECOND);
                 sent++;
             }
         }
@@ -103,7 +103,7 @@
         for (int i = 0; i <= 40; i++) {
             s.ask(i, "read");
             targets.add(s.target(i));
-            s.pass(Script.MS).answer(i, 0, AttemptOutcome.OK, Script.MS);
+            s.pass(Script.MILLISECOND_US).answer(i, 0, AttemptOutcome.OK, Script.MILLISECOND_US);
         }
         return targets.stream().filter(t -> t == 2).count();
     }
@@ -130,7 +130,7 @@
         for (int i = 1; i <= 40; i++) {
             s.ask(i, "read");
             assertEquals(1, s.target(i), "the warm server, while call 0 is out there: " + i);
-            s.pass(Script.MS).answer(i, 0, AttemptOutcome.OK, Script.MS);
+            s.pass(Script.MILLISECOND_US).answer(i, 0, AttemptOutcome.OK, Script.MILLISECOND_US);
         }
     }
 
@@ -171,7 +171,7 @@
                 s.balancer.onClientDisconnected(s.now, i);
                 s.balancer.onClientDisconnected(s.now, 1000 + i);
             }
-            s.pass(10 * Script.MS);
+            s.pass(10 * Script.MILLISECOND_US);
         }
         // 4 calls a second, in 4 s, at 0.2 of its capacity in the beginning and 0.4 in the end.
         assertTrue(answered >= 2 && answered <= 7, "sent within 4 s: " + answered);
--- a/core/src/test/java/brackenbridge/core/balancing/OutlierDetectionTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/OutlierDetectionTest.java
@@ -1,7 +1,7 @@
 package brackenbridge.core.balancing;
 
-import static brackenbridge.core.balancing.Script.MS;
-import static brackenbridge.core.balancing.Script.SECOND;
+import static brackenbridge.core.balancing.Script.MILLISECOND_US;
+import static brackenbridge.core.balancing.Script.SECOND_US;
 import static brackenbridge.core.balancing.Script.safe;
 import static brackenbridge.core.balancing.Script.settings;
 import static brackenbridge.core.balancing.Script.unsafe;
@@ -17,18 +17,18 @@
     @Test
     void serverThatFailsFastIsEjected() {
         // It frees its slot at once and would draw every call that waits.
-        Script s = new Script(settings(safe("read", 1))).servers(4);
+        Script script = new Script(settings(safe("read", 1))).servers(4);
         int bad = 0;
         for (int i = 0; i < 200; i++) {
-            s.ask(i, "read").pass(2 * MS);
-            while (s.target(i) == 3
-                    && s.attempts.get((long) i) <= 2
-                    && !s.requests("refuse").contains((long) i)) {
+            script.ask(i, "read").pass(2 * MILLISECOND_US);
+            while (script.target(i) == 3
+                    && script.attempts.get((long) i) <= 2
+                    && !script.requests("refuse").contains((long) i)) {
                 bad++;
-                s.answer(i, s.attempts.get((long) i) - 1, AttemptOutcome.ERROR, 2 * MS);
+                script.answer(i, script.attempts.get((long) i) - 1, AttemptOutcome.ERROR, 2 * MILLISECOND_US);
             }
-            if (!s.requests("refuse").contains((long) i)) {
-                s.answer(i, s.attempts.get((long) i) - 1, AttemptOutcome.OK, 2 * MS);
+            if (!script.requests("refuse").contains((long) i)) {
+                script.answer(i, script.attempts.get((long) i) - 1, AttemptOutcome.OK, 2 * MILLISECOND_US);
             }
         }
         assertTrue(bad >= 1 && bad < 12, "calls that met it: " + bad);
@@ -36,16 +36,16 @@
 
     @Test
     void serverThatFailsOneClassIsAvoidedByThatClassAlone() {
-        Script s = new Script(settings(unsafe("sign", 1), unsafe("file", 1))).servers(5);
+        Script script = new Script(settings(unsafe("sign", 1), unsafe("file", 1))).servers(5);
         int failed = 0;
         int others = 0;
         for (int i = 0; i < 400; i++) {
             String name = i % 7 % 2 == 0 ? "sign" : "file";
-            s.ask(i, name).pass(20 * MS);
-            boolean fails = name.equals("sign") && s.target(i) == 3;
+            script.ask(i, name).pass(20 * MILLISECOND_US);
+            boolean fails = name.equals("sign") && script.target(i) == 3;
             failed += fails ? 1 : 0;
-            others += name.equals("file") && s.target(i) == 3 ? 1 : 0;
-            s.answer(i, 0, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 20 * MS);
+            others += name.equals("file") && script.target(i) == 3 ? 1 : 0;
+            script.answer(i, 0, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 20 * MILLISECOND_US);
         }
         assertTrue(failed >= 2 && failed < 8, "calls that failed: " + failed);
         assertTrue(others > 15, "the other class's calls there: " + others);
@@ -53,148 +53,153 @@
 
     @Test
     void serverThatLosesHalfOfItsResponsesIsEjectedLongerEachTime() {
-        Script s = new Script(settings(unsafe("file", 1))).servers(5);
+        Script script = new Script(settings(unsafe("file", 1))).servers(5);
         int lost = 0;
         int there = 0;
         for (int i = 0; i < 1000; i++) {
-            s.ask(i, "file").pass(20 * MS);
-            boolean sick = s.target(i) == 3 && ++there % 2 == 0;
+            script.ask(i, "file").pass(20 * MILLISECOND_US);
+            boolean sick = script.target(i) == 3 && ++there % 2 == 0;
             lost += sick ? 1 : 0;
-            s.answer(i, 0, sick ? AttemptOutcome.RESET : AttemptOutcome.OK, 20 * MS);
+            script.answer(i, 0, sick ? AttemptOutcome.RESET : AttemptOutcome.OK, 20 * MILLISECOND_US);
         }
         assertTrue(lost < 12, "lost of " + there + ": " + lost);
     }
 
     @Test
     void ejectedServerGetsTrialEvenIfOnlyNonIdempotentRequestsArrive() {
-        Script s = new Script(settings(safe("read", 1), unsafe("write", 5))).servers(1);
-        s.ask(1, "write").answer(1, 0, AttemptOutcome.CONNECT_FAILED, MS);
+        Script script = new Script(settings(safe("read", 1), unsafe("write", 5))).servers(1);
+        script.ask(1, "write").answer(1, 0, AttemptOutcome.CONNECT_FAILED, MILLISECOND_US);
         long served = -1;
         for (long id = 2; id < 40 && served < 0; id++) {
-            s.ask(id, "write").pass(SECOND / 2);
-            served = s.target(id);
+            script.ask(id, "write").pass(SECOND_US / 2);
+            served = script.target(id);
         }
         assertEquals(1, served, "the only server is never tried again");
     }
 
     @Test
     void ejectedServerAmongOthersGetsTrialEvenIfOnlyNonIdempotentRequestsArrive() {
-        Script s = new Script(settings(safe("read", 1), unsafe("write", 5))).servers(4);
-        s.ask(1, "write");
-        long sick = s.target(1);
-        s.answer(1, 0, AttemptOutcome.TIMEOUT, MS);
+        Script script = new Script(settings(safe("read", 1), unsafe("write", 5))).servers(4);
+        script.ask(1, "write");
+        long sick = script.target(1);
+        script.answer(1, 0, AttemptOutcome.TIMEOUT, MILLISECOND_US);
         boolean again = false;
         for (long id = 2; id < 400 && !again; id++) {
-            s.ask(id, "write").pass(20 * MS).answer(id, 0, AttemptOutcome.OK, 20 * MS);
-            again = s.target(id) == sick;
+            script.ask(id, "write").pass(20 * MILLISECOND_US).answer(id, 0, AttemptOutcome.OK, 20 * MILLISECOND_US);
+            again = script.target(id) == sick;
         }
         assertTrue(again, "no call reaches it any more");
     }
 
     @Test
     void attemptsNeverExceedTheSettings() {
-        Script s = new Script(settings(safe("read", 1))).servers(9).ask(1, "read");
+        Script script = new Script(settings(safe("read", 1))).servers(9).ask(1, "read");
         for (int attempt = 0; attempt < 4; attempt++) {
-            assertEquals(attempt + 1, s.attempts.get(1L));
-            s.answer(1, attempt, AttemptOutcome.FULL, MS);
+            assertEquals(attempt + 1, script.attempts.get(1L));
+            script.answer(1, attempt, AttemptOutcome.FULL, MILLISECOND_US);
         }
-        assertEquals(4, s.attempts.get(1L));
-        assertEquals(List.of(1L), s.requests("refuse"), "at once");
+        assertEquals(4, script.attempts.get(1L));
+        assertEquals(List.of(1L), script.requests("refuse"), "at once");
     }
 
     @Test
     void oneBrokenConnectionEjectsNoServer() {
-        Script s = new Script(settings(unsafe("file", 1))).servers(1);
-        s.ask(1, "file").answer(1, 0, AttemptOutcome.RESET, 20 * MS);
-        s.ask(2, "file");
-        assertEquals(1, s.target(2));
+        Script script = new Script(settings(unsafe("file", 1))).servers(1);
+        script.ask(1, "file").answer(1, 0, AttemptOutcome.RESET, 20 * MILLISECOND_US);
+        script.ask(2, "file");
+        assertEquals(1, script.target(2));
     }
 
     @Test
     void removedServersNoLongerCountAsEjected() {
-        Script s = new Script(Script.settings(unsafe("file", 1))).servers(4);
+        Script script = new Script(Script.settings(unsafe("file", 1))).servers(4);
         long id = 1;
         for (int round = 0; round < 6; round++) {
-            s.ask(id, "file");
-            long sick = s.target(id);
-            s.answer(id++, 0, AttemptOutcome.TIMEOUT, 1000);
-            s.list(
+            script.ask(id, "file");
+            long sick = script.target(id);
+            script.answer(id++, 0, AttemptOutcome.TIMEOUT, 1000);
+            script.list(
                             EndpointListKind.CHANGES,
                             Script.at(sick, "here", 0, EndpointState.REMOVED),
                             Script.up(100 + round, 1))
-                    .pass(2 * Script.SECOND);
+                    .pass(2 * Script.SECOND_US);
         }
-        s.ask(id, "file");
-        long sick = s.target(id);
-        s.answer(id++, 0, AttemptOutcome.TIMEOUT, 1000);
+        script.ask(id, "file");
+        long sick = script.target(id);
+        script.answer(id++, 0, AttemptOutcome.TIMEOUT, 1000);
         for (int i = 0; i < 6; i++) {
-            s.ask(id, "file");
-            assertNotEquals(sick, s.target(id), "a server that has just failed is still taken out");
-            s.answer(id++, 0, AttemptOutcome.OK, 1000);
+            script.ask(id, "file");
+            assertNotEquals(sick, script.target(id), "a server that has just failed is still taken out");
+            script.answer(id++, 0, AttemptOutcome.OK, 1000);
         }
     }
 
     @Test
     void serverThatLetsARequestTimeOutIsEjectedThoughItAnswersOthers() {
-        Script s = new Script(settings(2, false, List.of(), unsafe("write", 5))).servers(1);
-        s.ask(1, "write").ask(2, "write").pass(200 * MS).answer(2, 0, AttemptOutcome.OK, 200 * MS);
-        s.pass(400 * MS).answer(1, 0, AttemptOutcome.TIMEOUT, 600 * MS);
-        assertEquals(1, s.balancer.ejectedEndpoints());
+        Script script = new Script(settings(2, false, List.of(), unsafe("write", 5))).servers(1);
+        script.ask(1, "write")
+                .ask(2, "write")
+                .pass(200 * MILLISECOND_US)
+                .answer(2, 0, AttemptOutcome.OK, 200 * MILLISECOND_US);
+        script.pass(400 * MILLISECOND_US).answer(1, 0, AttemptOutcome.TIMEOUT, 600 * MILLISECOND_US);
+        assertEquals(1, script.balancer.ejectedEndpoints());
     }
 
     /** Asks until a call goes to this server; how long that took. */
-    private static long runUntilTrial(Script s, long from, long server) {
-        long since = s.now;
+    private static long runUntilTrial(Script script, long from, long server) {
+        long since = script.now;
         long id = from;
         do {
-            s.pass(50 * MS).ask(++id, "read");
-            if (s.target(id) != server) {
-                s.answer(id, 0, AttemptOutcome.OK, 20 * MS);
+            script.pass(50 * MILLISECOND_US).ask(++id, "read");
+            if (script.target(id) != server) {
+                script.answer(id, 0, AttemptOutcome.OK, 20 * MILLISECOND_US);
             }
-        } while (s.target(id) != server && s.now < since + 60 * SECOND);
-        return s.now - since;
+        } while (script.target(id) != server && script.now < since + 60 * SECOND_US);
+        return script.now - since;
     }
 
     @Test
     void trialWithoutResultIsFollowedByAnother() {
-        Script s = new Script(settings(safe("read", 1))).servers(4).ask(1, "read");
-        long sick = s.target(1);
-        s.answer(1, 0, AttemptOutcome.CONNECT_FAILED, MS);
-        runUntilTrial(s, 100, sick);
-        long trial = s.acts.get(s.acts.size() - 1).request();
-        s.balancer.onClientDisconnected(s.now, trial);
-        s.answer(trial, 0, AttemptOutcome.CANCELLED, MS);
-        assertTrue(runUntilTrial(s, 10_000, sick) < SECOND, "out for good");
+        Script script = new Script(settings(safe("read", 1))).servers(4).ask(1, "read");
+        long sick = script.target(1);
+        script.answer(1, 0, AttemptOutcome.CONNECT_FAILED, MILLISECOND_US);
+        runUntilTrial(script, 100, sick);
+        long trial = script.actions.get(script.actions.size() - 1).request();
+        script.balancer.onClientDisconnected(script.now, trial);
+        script.answer(trial, 0, AttemptOutcome.CANCELLED, MILLISECOND_US);
+        assertTrue(runUntilTrial(script, 10_000, sick) < SECOND_US, "out for good");
     }
 
     @Test
     void timeoutOfARequestThatArrivedTooLateCountsAgainstNoServer() {
-        Script s = new Script(settings(unsafe("file", 1))).servers(4);
+        Script script = new Script(settings(unsafe("file", 1))).servers(4);
         for (int id = 1; id < 40; id++) {
-            s.ask(id, "file").pass(100 * MS).answer(id, 0, AttemptOutcome.OK, 100 * MS);
+            script.ask(id, "file").pass(100 * MILLISECOND_US).answer(id, 0, AttemptOutcome.OK, 100 * MILLISECOND_US);
         }
-        s.ask(100, "file", null, -1, 10 * MS).pass(10 * MS).answer(100, 0, AttemptOutcome.TIMEOUT, 10 * MS);
-        assertEquals(0, s.balancer.ejectedEndpoints());
-        s.ask(101, "file").pass(3 * SECOND).answer(101, 0, AttemptOutcome.TIMEOUT, 3 * SECOND);
-        assertEquals(1, s.balancer.ejectedEndpoints());
+        script.ask(100, "file", null, -1, 10 * MILLISECOND_US)
+                .pass(10 * MILLISECOND_US)
+                .answer(100, 0, AttemptOutcome.TIMEOUT, 10 * MILLISECOND_US);
+        assertEquals(0, script.balancer.ejectedEndpoints());
+        script.ask(101, "file").pass(3 * SECOND_US).answer(101, 0, AttemptOutcome.TIMEOUT, 3 * SECOND_US);
+        assertEquals(1, script.balancer.ejectedEndpoints());
     }
 
     @Test
     void requestsInFlightTogetherCountOnceAgainstTheirServer() {
-        Script s = new Script(settings(1, false, List.of(), safe("read", 1), unsafe("write", 5))).servers(2);
+        Script script = new Script(settings(1, false, List.of(), safe("read", 1), unsafe("write", 5))).servers(2);
         for (int id = 1; id <= 8; id++) {
-            s.ask(id, "write");
+            script.ask(id, "write");
         }
-        long sick = s.target(1);
-        List<Long> there = s.of("send").stream()
+        long sick = script.target(1);
+        List<Long> there = script.of("send").stream()
                 .filter(a -> a.endpoint() == sick)
-                .map(Script.Act::request)
+                .map(Script.Action::request)
                 .toList();
         assertTrue(there.size() >= 3, "calls at one server: " + there);
         for (long id = 1; id <= 8; id++) {
-            s.answer(id, 0, there.contains(id) ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK, 3 * SECOND);
+            script.answer(id, 0, there.contains(id) ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK, 3 * SECOND_US);
         }
-        assertTrue(runUntilTrial(s, 100, sick) < 1500 * MS, "as if it had failed again and again");
+        assertTrue(runUntilTrial(script, 100, sick) < 1500 * MILLISECOND_US, "as if it had failed again and again");
     }
 
     /** Servers may drop it without a word, or end its connection; also before any answer has told what is usual. */
@@ -202,18 +207,18 @@
     void requestWithVeryLittleTimeLeftSaysNothingAboutItsServer() {
         for (AttemptOutcome silence : List.of(AttemptOutcome.TIMEOUT, AttemptOutcome.RESET)) {
             for (int known : new int[] {0, 40}) {
-                Script s = new Script(settings(safe("read", 1))).servers(4);
+                Script script = new Script(settings(safe("read", 1))).servers(4);
                 for (int id = 0; id < known; id++) {
-                    s.ask(id, "read").pass(MS).answer(id, 0, AttemptOutcome.OK, MS);
+                    script.ask(id, "read").pass(MILLISECOND_US).answer(id, 0, AttemptOutcome.OK, MILLISECOND_US);
                 }
                 for (int left = 1; left <= 20; left++) {
                     int id = 100 + left;
-                    s.ask(id, "read", null, -1, left * MS).pass(left * MS);
-                    s.balancer.onAttemptEnded(s.now, id, 0, true, silence, 200 * MS, null);
+                    script.ask(id, "read", null, -1, left * MILLISECOND_US).pass(left * MILLISECOND_US);
+                    script.balancer.onAttemptEnded(script.now, id, 0, true, silence, 200 * MILLISECOND_US, null);
                 }
-                assertEquals(0, s.balancer.ejectedEndpoints(), silence + " after " + known);
-                s.ask(200, "read").pass(3 * SECOND).answer(200, 0, AttemptOutcome.TIMEOUT, 3 * SECOND);
-                assertEquals(1, s.balancer.ejectedEndpoints(), "one that had its time does");
+                assertEquals(0, script.balancer.ejectedEndpoints(), silence + " after " + known);
+                script.ask(200, "read").pass(3 * SECOND_US).answer(200, 0, AttemptOutcome.TIMEOUT, 3 * SECOND_US);
+                assertEquals(1, script.balancer.ejectedEndpoints(), "one that had its time does");
             }
         }
     }
--- a/core/src/test/java/brackenbridge/core/balancing/Script.java
+++ b/core/src/test/java/brackenbridge/core/balancing/Script.java
@@ -8,15 +8,15 @@
 
 /** Plays scripted events at one instance, records its actions and fires its timers in order. */
 final class Script implements BalancerActions {
-    static final long MS = 1000;
-    static final long SECOND = 1_000_000;
+    static final long MILLISECOND_US = 1000;
+    static final long SECOND_US = 1_000_000;
 
     /** An action as it was taken; the fields that an action lacks are 0. */
-    record Act(String what, long at, long request, long endpoint, long amount) {}
+    record Action(String what, long at, long request, long endpoint, long amount) {}
 
     private record Due(long at, long order, String token) {}
 
-    final List<Act> acts = new ArrayList<>();
+    final List<Action> actions = new ArrayList<>();
     final Map<Long, Integer> attempts = new HashMap<>();
     final Balancer balancer;
     long now = 1_000_000_000L;
@@ -30,11 +30,11 @@
 
     static RequestClass safe(String name, double worth) {
         return new RequestClass(
-                name, SECOND, 3 * SECOND, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
+                name, SECOND_US, 3 * SECOND_US, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
     }
 
     static RequestClass unsafe(String name, double worth) {
-        return unsafe(name, 2 * SECOND, worth);
+        return unsafe(name, 2 * SECOND_US, worth);
     }
 
     static RequestClass unsafe(String name, long aim, double worth) {
@@ -44,7 +44,7 @@
 
     static RequestClass keyed(String name, double worth, DeduplicationScope scope) {
         return new RequestClass(
-                name, 2 * SECOND, 5 * SECOND, Idempotence.IDEMPOTENCY_KEY, scope, SECOND, false, worth, 0);
+                name, 2 * SECOND_US, 5 * SECOND_US, Idempotence.IDEMPOTENCY_KEY, scope, SECOND_US, false, worth, 0);
     }
 
     static BalancerSettings settings(int peers, boolean ask, List<TenantShare> tenants, RequestClass... classes) {
@@ -58,16 +58,16 @@
                 tenants,
                 0.1,
                 ask,
-                10 * SECOND,
+                10 * SECOND_US,
                 4,
                 20000,
-                2 * SECOND,
+                2 * SECOND_US,
                 true,
                 false,
                 true,
-                15 * SECOND,
+                15 * SECOND_US,
                 0.2,
-                20 * SECOND,
+                20 * SECOND_US,
                 NetworkSettings.DEFAULT);
     }
 
@@ -84,9 +84,9 @@
     }
 
     /** Lists so many servers of equal weight, ids from 1. */
-    Script servers(int n) {
+    Script servers(int count) {
         List<Endpoint> all = new ArrayList<>();
-        for (int i = 1; i <= n; i++) {
+        for (int i = 1; i <= count; i++) {
             all.add(up(i, 1));
         }
         return list(EndpointListKind.CACHED, all.toArray(new Endpoint[0]));
@@ -98,7 +98,7 @@
     }
 
     Script ask(long id, String className) {
-        return ask(id, className, null, -1, 3 * SECOND);
+        return ask(id, className, null, -1, 3 * SECOND_US);
     }
 
     Script ask(long id, String className, String tenant, long key, long left) {
@@ -123,36 +123,36 @@
         return this;
     }
 
-    List<Act> of(String what) {
-        return acts.stream().filter(a -> a.what().equals(what)).toList();
+    List<Action> of(String what) {
+        return actions.stream().filter(a -> a.what().equals(what)).toList();
     }
 
     List<Long> requests(String what) {
-        return of(what).stream().map(Act::request).toList();
+        return of(what).stream().map(Action::request).toList();
     }
 
     /** Where the request's latest attempt went; -1 if it was never sent. */
     long target(long request) {
         return of("send").stream()
                 .filter(a -> a.request() == request)
-                .map(Act::endpoint)
+                .map(Action::endpoint)
                 .reduce(-1L, (a, b) -> b);
     }
 
     @Override
     public void startAttempt(long request, long endpoint, long timeout) {
         attempts.merge(request, 1, Integer::sum);
-        acts.add(new Act("send", now, request, endpoint, timeout));
+        actions.add(new Action("send", now, request, endpoint, timeout));
     }
 
     @Override
     public void reject(long request, long retryAfter) {
-        acts.add(new Act("refuse", now, request, 0, retryAfter));
+        actions.add(new Action("refuse", now, request, 0, retryAfter));
     }
 
     @Override
     public void fail(long request) {
-        acts.add(new Act("fail", now, request, 0, 0));
+        actions.add(new Action("fail", now, request, 0, 0));
     }
 
     @Override
@@ -162,6 +162,6 @@
 
     @Override
     public void startHealthCheck(long endpoint) {
-        acts.add(new Act("probe", now, 0, endpoint, 0));
+        actions.add(new Action("probe", now, 0, endpoint, 0));
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
@@ -15,7 +15,7 @@
 /** The order that is kept from change to change against one that is laid out anew from all servers. */
 class ServerOrderTest {
     private static final String[] ZONES = {"a", "b", "c"};
-    private static final int CHANGES = 2000;
+    private static final int CHANGE_COUNT = 2000;
     private static final int MOST_SERVERS = 60;
 
     private final SplittableRandom random = new SplittableRandom(11);
@@ -29,7 +29,7 @@
 
     @Test
     void changesOneByOneGiveTheOrderOfAllServersLaidOutAnew() {
-        for (int change = 0; change < CHANGES; change++) {
+        for (int change = 0; change < CHANGE_COUNT; change++) {
             if (up.size() < MOST_SERVERS && random.nextInt(up.size() + 1) < MOST_SERVERS / 2) {
                 ServerState joins = server(change);
                 up.add(joins);
@@ -42,7 +42,7 @@
             }
             String zone = random.nextInt(10) == 0 ? "nowhere" : ZONES[random.nextInt(ZONES.length)];
             double start = random.nextDouble();
-            order.turn(zone, start);
+            order.layOutOrder(zone, start);
             assertEquals(laidOut(zone, start), kept());
         }
     }
@@ -57,14 +57,15 @@
 
     private List<Long> laidOut(String zone, double start) {
         TreeMap<String, List<ServerState>> zones = new TreeMap<>();
-        for (ServerState s : up) {
-            zones.computeIfAbsent(s.endpoint.zone(), z -> new ArrayList<>()).add(s);
+        for (ServerState server : up) {
+            zones.computeIfAbsent(server.endpoint.zone(), z -> new ArrayList<>())
+                    .add(server);
         }
         zones.replaceAll((name, servers) -> turned(servers, start));
         List<ServerState> own = zones.getOrDefault(zone, List.of());
         assertEquals(own.size(), order.inOwnZone());
         List<Long> all = new ArrayList<>();
-        own.forEach(s -> all.add(s.id));
+        own.forEach(server -> all.add(server.id));
         zones.remove(zone);
         List<List<ServerState>> others = new ArrayList<>(zones.values());
         others.sort(Comparator.comparingLong(servers -> servers.get(0).id));
@@ -98,7 +99,7 @@
             up.add(joins);
             order.add(joins);
         }
-        order.turn("a", start);
+        order.layOutOrder("a", start);
         Set<Long> first = new HashSet<>(kept().subList(0, reach));
         int entered = 0;
         for (int change = 0; change < 2 * servers; change++) {
@@ -110,7 +111,7 @@
                 ServerState leaves = up.remove(random.nextInt(up.size()));
                 order.remove(leaves, "a");
             }
-            order.turn("a", start);
+            order.layOutOrder("a", start);
             if (change % 64 == 0) {
                 assertTrue(fromExact("a", start) <= grain, "it stays near the part of the ring that is its own");
             }
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
@@ -22,26 +22,26 @@
     private final List<DiscoveryCommand.EndCall> ended = new ArrayList<>();
     private double now = 1000;
     private DiscoveryCommand.Wake next;
-    private DiscoveryWatch m;
+    private DiscoveryWatch watch;
 
     private DiscoveryWatchTest start(DiscoverySource source, long seed) {
         opened.clear();
         ended.clear();
         next = null;
-        m = new DiscoveryWatch(source, SILENCE_MS, new SplittableRandom(seed));
-        run(m.start(now, 41));
+        watch = new DiscoveryWatch(source, SILENCE_MS, new SplittableRandom(seed));
+        run(watch.start(now, 41));
         return this;
     }
 
     private void run(List<DiscoveryCommand> steps) {
         for (DiscoveryCommand step : steps) {
-            if (step instanceof DiscoveryCommand.OpenWatch o) {
-                opened.add(o);
-            } else if (step instanceof DiscoveryCommand.EndCall e) {
-                ended.add(e);
-            } else if (step instanceof DiscoveryCommand.Wake w) {
-                assertTrue(next == null || next.timer() < w.timer(), "each turn is asked for once");
-                next = w;
+            if (step instanceof DiscoveryCommand.OpenWatch opening) {
+                opened.add(opening);
+            } else if (step instanceof DiscoveryCommand.EndCall ending) {
+                ended.add(ending);
+            } else if (step instanceof DiscoveryCommand.Wake wake) {
+                assertTrue(next == null || next.timer() < wake.timer(), "each turn is asked for once");
+                next = wake;
             }
         }
     }
@@ -53,7 +53,7 @@
             now = Math.max(now, next.atMs());
             DiscoveryCommand.Wake due = next;
             next = null;
-            run(m.onTimer(now, due.timer()));
+            run(watch.onTimer(now, due.timer()));
         }
         now = until;
     }
@@ -75,7 +75,7 @@
     @Test
     void agentThatFallsSilentIsAskedAgainInTheSameMomentAndAServiceIsSpared() {
         start(AGENT, 1);
-        m.onHeartbeat(now, call());
+        watch.onHeartbeat(now, call());
         pass(2999);
         assertEquals(0, ended.size());
         pass(1);
@@ -88,7 +88,7 @@
         pass(4000);
         int before = opened.size();
         now = next.atMs();
-        run(m.onTimer(now, next.timer()));
+        run(watch.onTimer(now, next.timer()));
         assertEquals(before, opened.size());
         pass(1500);
         assertEquals(before + 1, opened.size());
@@ -99,8 +99,8 @@
         start(AGENT, 3);
         for (double from = now; now < from + 20_000; ) {
             long on = call();
-            assertTrue(m.onEndpointList(now, on, 42, true));
-            run(m.onCallEnded(now, on));
+            assertTrue(watch.onEndpointList(now, on, 42, true));
+            run(watch.onCallEnded(now, on));
             while (call() == on) {
                 pass(1);
             }
@@ -112,14 +112,14 @@
     void watchThatStoodIsOpenedAgainSoonHoweverOftenItFailedBefore() {
         start(AGENT, 3);
         for (int i = 0; i < 12; i++) {
-            run(m.onCallEnded(now, call()));
+            run(watch.onCallEnded(now, call()));
             pass(150);
             assertEquals(i + 2, opened.size(), "what an agent has counts as told at once");
         }
-        m.onEndpointList(now, call(), 42, true);
+        watch.onEndpointList(now, call(), 42, true);
         pass(1000);
         int before = opened.size();
-        run(m.onCallEnded(now, call()));
+        run(watch.onCallEnded(now, call()));
         pass(75);
         assertEquals(before + 1, opened.size());
     }
@@ -139,19 +139,19 @@
                 double downUntil = now + 4000 + 500 * seed;
                 while (now < downUntil) {
                     pass(10);
-                    if (!opened.isEmpty() && m.isOpen(call())) {
-                        run(m.onCallEnded(now, call()));
+                    if (!opened.isEmpty() && watch.isOpen(call())) {
+                        run(watch.onCallEnded(now, call()));
                     }
                 }
                 if (hangs) {
                     // Sent in the last moment in which it is down, and never answered.
-                    while (!m.isOpen(call())) {
+                    while (!watch.isOpen(call())) {
                         pass(10);
                     }
                 }
                 double back = now;
                 long hanging = hangs ? call() : -1;
-                while (!m.isOpen(call()) || call() == hanging) {
+                while (!watch.isOpen(call()) || call() == hanging) {
                     pass(10);
                 }
                 assertTrue(now + LINE_MS - back < KNOWN_WITHIN_MS, (now - back) + " ms, seed " + seed);
@@ -178,14 +178,14 @@
         for (long seed = 1; seed <= 40; seed++) {
             start(SERVICE, seed);
             pass(4000);
-            run(m.onCallEnded(now, call()));
+            run(watch.onCallEnded(now, call()));
             pass(900);
-            m.onHeartbeat(now, call());
+            watch.onHeartbeat(now, call());
             double lastWord = now;
             for (int calls = opened.size(); opened.size() == calls; ) {
                 pass(10);
             }
-            run(m.onCallEnded(now, call()));
+            run(watch.onCallEnded(now, call()));
             for (int calls = opened.size(); opened.size() == calls; ) {
                 pass(10);
             }
@@ -199,11 +199,11 @@
         pass(4000);
         for (int i = 0; i < 20; i++) {
             for (int beats = 0; beats < 3; beats++) {
-                m.onHeartbeat(now, call());
+                watch.onHeartbeat(now, call());
                 pass(1500);
             }
             int before = opened.size();
-            run(m.onCallEnded(now, call()));
+            run(watch.onCallEnded(now, call()));
             pass(600);
             assertEquals(before + 1, opened.size());
         }
@@ -212,21 +212,21 @@
     @Test
     void movedDiscoveryDoesNotInheritTheOldOnesFailures() {
         // The longest draws: a further failure would be put off longer than a first one.
-        m = new DiscoveryWatch(SERVICE, SILENCE_MS, new java.util.Random() {
+        watch = new DiscoveryWatch(SERVICE, SILENCE_MS, new java.util.Random() {
             @Override
             public double nextDouble() {
                 return 0.999;
             }
         });
-        run(m.start(now, 41));
+        run(watch.start(now, 41));
         pass(4000);
         for (int i = 0; i < 5; i++) {
-            run(m.onCallEnded(now, call()));
+            run(watch.onCallEnded(now, call()));
             pass(900);
         }
-        run(m.reopen(now, true));
+        run(watch.reopen(now, true));
         int before = opened.size();
-        run(m.onCallEnded(now, call()));
+        run(watch.onCallEnded(now, call()));
         pass(600);
         assertEquals(before + 1, opened.size());
     }
@@ -234,7 +234,7 @@
     @Test
     void callThatWasPutOffGoesByTheNewSettings() {
         start(new DiscoverySource(true, 60_000), 7);
-        run(m.changeSource(now, AGENT));
+        run(watch.changeSource(now, AGENT));
         pass(75);
         assertEquals(1, opened.size(), "the first call would have been seconds away");
     }
@@ -254,27 +254,27 @@
     @Test
     void overtakenWordHoldsNothing() {
         start(AGENT, 1);
-        assertFalse(m.onEndpointList(now, call(), 40, true), "older than what is held");
-        assertTrue(m.onEndpointList(now, call(), 44, false));
-        assertFalse(m.onEndpointList(now, call(), 44, false));
-        assertFalse(m.onEndpointList(now, call() + 1, 50, true), "no such call");
-        run(m.reopen(now, true));
+        assertFalse(watch.onEndpointList(now, call(), 40, true), "older than what is held");
+        assertTrue(watch.onEndpointList(now, call(), 44, false));
+        assertFalse(watch.onEndpointList(now, call(), 44, false));
+        assertFalse(watch.onEndpointList(now, call() + 1, 50, true), "no such call");
+        run(watch.reopen(now, true));
         assertEquals(List.of(new DiscoveryCommand.EndCall(0, false)), ended);
-        assertFalse(m.onEndpointList(now, 0, 60, true), "a call that is over");
-        assertFalse(m.onEndpointList(now, call(), 7, false), "changes of another discovery say nothing");
-        assertTrue(m.onEndpointList(now, call(), 7, true));
-        assertEquals(7, m.version());
-        assertTrue(m.acceptVersion(7, true)
-                && !m.acceptVersion(7, false)
-                && !m.acceptVersion(6, true)
-                && m.acceptVersion(8, false));
+        assertFalse(watch.onEndpointList(now, 0, 60, true), "a call that is over");
+        assertFalse(watch.onEndpointList(now, call(), 7, false), "changes of another discovery say nothing");
+        assertTrue(watch.onEndpointList(now, call(), 7, true));
+        assertEquals(7, watch.version());
+        assertTrue(watch.acceptVersion(7, true)
+                && !watch.acceptVersion(7, false)
+                && !watch.acceptVersion(6, true)
+                && watch.acceptVersion(8, false));
     }
 
     /** Whatever discovery does: one call at a time, never neither a call nor a time for the next, never a spin. */
     @Property(tries = 300, seed = "53")
     void thereIsAlwaysACallOrATimeForTheNext(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
-        boolean shared = r.nextBoolean();
+        SplittableRandom random = new SplittableRandom(seed);
+        boolean shared = random.nextBoolean();
         start(shared ? SERVICE : AGENT, seed);
         double began = now;
         int longSteps = 0;
@@ -282,33 +282,33 @@
         long last = -1;
         boolean open = false;
         for (int i = 0; i < 400; i++) {
-            for (DiscoveryCommand.OpenWatch o :
+            for (DiscoveryCommand.OpenWatch opening :
                     opened.subList((int) Math.min(opened.size(), last + 1), opened.size())) {
-                assertEquals(last + 1, o.call());
-                last = o.call();
+                assertEquals(last + 1, opening.call());
+                last = opening.call();
                 open = true;
             }
-            for (DiscoveryCommand.EndCall e : ended) {
-                open &= e.call() != last;
+            for (DiscoveryCommand.EndCall ending : ended) {
+                open &= ending.call() != last;
             }
             ended.clear();
-            assertEquals(open, m.isOpen(last));
+            assertEquals(open, watch.isOpen(last));
             assertTrue(next != null && next.atMs() <= now + (opened.isEmpty() ? 4000 : SILENCE_MS), "nothing is due");
-            if (open && m.isOpen(last)) {
-                switch (r.nextInt(5)) {
+            if (open && watch.isOpen(last)) {
+                switch (random.nextInt(5)) {
                     case 0 -> {
-                        run(m.onCallEnded(now, last));
+                        run(watch.onCallEnded(now, last));
                         open = false;
                     }
-                    case 1 -> m.onEndpointList(now, last, ++version, r.nextBoolean());
-                    case 2 -> m.onHeartbeat(now, last);
+                    case 1 -> watch.onEndpointList(now, last, ++version, random.nextBoolean());
+                    case 2 -> watch.onHeartbeat(now, last);
                     default -> {
-                        m.onHeartbeat(now, last - 1);
-                        run(m.onCallEnded(now, last - 1));
+                        watch.onHeartbeat(now, last - 1);
+                        run(watch.onCallEnded(now, last - 1));
                     }
                 }
             }
-            double step = r.nextDouble() * (r.nextInt(10) == 0 ? 5000 : 200);
+            double step = random.nextDouble() * (random.nextInt(10) == 0 ? 5000 : 200);
             longSteps += step > 1000 ? 1 : 0;
             pass(step);
         }
--- a/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/ExplorationTest.java
@@ -15,7 +15,7 @@
  * pauses, and holds each against what the node promises, by a count of its own.
  */
 class ExplorationTest {
-    private static final int EVENTS = 6;
+    private static final int EVENT_KINDS = 6;
     /** Between two events; three of them are more than the silence that ends a watch. */
     private static final double STEP_MS = 1100;
 
@@ -53,7 +53,7 @@
     /** One history. */
     private static final class History {
         final Machine machine;
-        final DiscoveryWatch m;
+        final DiscoveryWatch watch;
         final DiscoverySource source;
         double now = 1000;
         DiscoveryCommand.Wake next;
@@ -70,11 +70,11 @@
         int failures;
         double opened;
         boolean down;
-        boolean refused;
+        boolean rejected;
         /** Since when discovery could be reached and has said nothing, and the calls it has refused since. */
-        double could;
+        double reachableSince;
 
-        int refusals;
+        int rejections;
         String wrong;
 
         History(Machine machine, boolean shared, double draw) {
@@ -91,10 +91,10 @@
                     return draw;
                 }
             };
-            m = new DiscoveryWatch(source, machine == Machine.DEAF_TO_SILENCE ? 1e9 : SILENCE_MS, fixed);
+            watch = new DiscoveryWatch(source, machine == Machine.DEAF_TO_SILENCE ? 1e9 : SILENCE_MS, fixed);
             dueBy = now + (shared ? 4000 : 0);
-            could = now;
-            run(m.start(now, held));
+            reachableSince = now;
+            run(watch.start(now, held));
         }
 
         void fail(String what) {
@@ -103,34 +103,34 @@
 
         void run(List<DiscoveryCommand> steps) {
             for (DiscoveryCommand step : steps) {
-                if (step instanceof DiscoveryCommand.OpenWatch o) {
+                if (step instanceof DiscoveryCommand.OpenWatch opening) {
                     if (open >= 0) {
                         fail("two calls are open");
                     }
-                    if (o.afterVersion() != held) {
+                    if (opening.afterVersion() != held) {
                         fail("asks after another version than it holds");
                     }
                     if (now < notBefore) {
                         fail("calls again too soon");
                     }
-                    open = o.call();
+                    open = opening.call();
                     opened = now;
                     heard = now;
                     spoke = false;
-                    refused = down && source.shared();
-                } else if (step instanceof DiscoveryCommand.EndCall e && machine != Machine.NEVER_ENDS) {
-                    if (e.call() != open) {
+                    rejected = down && source.shared();
+                } else if (step instanceof DiscoveryCommand.EndCall ending && machine != Machine.NEVER_ENDS) {
+                    if (ending.call() != open) {
                         fail("ends a call that is not open");
                     }
                     open = -1;
-                    if (e.silent()) {
+                    if (ending.silent()) {
                         // Never answered though it was up all the time: it could not be reached.
-                        could = !spoke && opened >= could ? now : could;
+                        reachableSince = !spoke && opened >= reachableSince ? now : reachableSince;
                         failures = 0;
                         dueBy = now + (source.shared() ? 250 : 0);
                     }
-                } else if (step instanceof DiscoveryCommand.Wake w) {
-                    next = w;
+                } else if (step instanceof DiscoveryCommand.Wake wake) {
+                    next = wake;
                 }
             }
         }
@@ -139,23 +139,23 @@
         void end(long call) {
             if (call >= 0 && !down) {
                 // What waits in the line does not count; who is refused once more could not reach discovery.
-                could = spoke || refusals++ > 0 ? now : could + now - opened;
+                reachableSince = spoke || rejections++ > 0 ? now : reachableSince + now - opened;
             }
             open = -1;
             failures = spoke && now - opened >= 1000 ? 1 : failures + 1;
             double pause = source.shared() ? Math.min(400 * Math.pow(2, failures - 1), 1600) : failures > 1 ? 100 : 50;
             dueBy = now + 1.5 * pause;
             notBefore = now + pause / 2;
-            run(m.onCallEnded(now, call));
+            run(watch.onCallEnded(now, call));
             if (machine == Machine.SPINS) {
-                run(m.reopen(now, false));
+                run(watch.reopen(now, false));
             }
         }
 
         /** While a service is down it refuses each call; an agent keeps it and says nothing. */
         void refuse() {
-            while (refused && wrong == null) {
-                refused = false;
+            while (rejected && wrong == null) {
+                rejected = false;
                 end(open);
             }
         }
@@ -167,7 +167,7 @@
                 now = Math.max(now, next.atMs() + late);
                 DiscoveryCommand.Wake due = next;
                 next = null;
-                run(m.onTimer(now, due.timer()));
+                run(watch.onTimer(now, due.timer()));
                 refuse();
                 check();
             }
@@ -182,7 +182,10 @@
             if (open >= 0 && now > heard + SILENCE_MS + 1) {
                 fail("a silent call is kept");
             }
-            if (source.shared() && !down && now > could + KNOWN_WITHIN_MS - LINE_MS && (open < 0 || opened < could)) {
+            if (source.shared()
+                    && !down
+                    && now > reachableSince + KNOWN_WITHIN_MS - LINE_MS
+                    && (open < 0 || opened < reachableSince)) {
                 fail("discovery could be reached and was not");
             }
         }
@@ -191,7 +194,7 @@
             boolean counts = call == open && open >= 0;
             long on = machine == Machine.HEARS_CLOSED_CALLS ? open : call;
             boolean holds =
-                    m.onEndpointList(now, on, version, whole) || machine == Machine.HOLDS_OLD_VERSIONS && counts;
+                    watch.onEndpointList(now, on, version, whole) || machine == Machine.HOLDS_OLD_VERSIONS && counts;
             if (holds && !(counts && (version > held || moved && whole || version == held && !spoke))) {
                 fail("an overtaken word holds");
             }
@@ -209,8 +212,8 @@
 
         void heard() {
             heard = now;
-            could = now;
-            refusals = 0;
+            reachableSince = now;
+            rejections = 0;
             spoke = true;
         }
 
@@ -221,7 +224,7 @@
             }
             switch (what) {
                 case BEAT -> {
-                    m.onHeartbeat(now, call);
+                    watch.onHeartbeat(now, call);
                     if (call >= 0) {
                         heard();
                     }
@@ -235,8 +238,8 @@
                 }
                 case DOWN_OR_BACK -> {
                     down = !down;
-                    could = now;
-                    refusals = 0;
+                    reachableSince = now;
+                    rejections = 0;
                     if (down && source.shared() && call >= 0 && spoke) {
                         // Its watches end; a call that waits in its line hangs.
                         end(call);
@@ -244,10 +247,10 @@
                 }
                 case MOVED -> {
                     failures = 0;
-                    could = now;
-                    refusals = 0;
+                    reachableSince = now;
+                    rejections = 0;
                     notBefore = now;
-                    run(m.reopen(now, machine != Machine.FORGETS_THE_MOVE));
+                    run(watch.reopen(now, machine != Machine.FORGETS_THE_MOVE));
                     moved = true;
                     if (open < 0 || open == call) {
                         fail("a moved discovery is not asked at once");
@@ -256,8 +259,8 @@
                 }
                 case WORD_ON_THE_LAST_CALL -> {
                     word(call - 1, held + 5, true);
-                    m.onHeartbeat(now, call - 1);
-                    run(m.onCallEnded(now, call - 1));
+                    watch.onHeartbeat(now, call - 1);
+                    run(watch.onCallEnded(now, call - 1));
                 }
                 default -> {
                     // Nothing else matters here.
@@ -269,20 +272,20 @@
     /** The first promise that some history breaks, with that history; null if none does. */
     private static String explore(Machine machine) {
         Happening[] all = Happening.values();
-        int histories = (int) Math.pow(all.length, EVENTS);
+        int histories = (int) Math.pow(all.length, EVENT_KINDS);
         for (int kind = 0; kind < 4; kind++) {
             for (int i = 0; i < histories; i++) {
-                History h = new History(machine, kind % 2 == 1, kind < 2 ? 0 : 0.999_999);
+                History history = new History(machine, kind % 2 == 1, kind < 2 ? 0 : 0.999_999);
                 List<Happening> story = new ArrayList<>();
-                h.pass(50);
-                for (int rest = i, n = 0; n < EVENTS && h.wrong == null; n++, rest /= all.length) {
+                history.pass(50);
+                for (int rest = i, n = 0; n < EVENT_KINDS && history.wrong == null; n++, rest /= all.length) {
                     story.add(all[rest % all.length]);
-                    h.happen(all[rest % all.length]);
-                    h.pass(STEP_MS);
+                    history.happen(all[rest % all.length]);
+                    history.pass(STEP_MS);
                 }
-                h.pass(h.wrong == null ? 4000 : 0);
-                if (h.wrong != null) {
-                    return (kind % 2 == 1 ? "service: " : "agent: ") + h.wrong + " after " + story;
+                history.pass(history.wrong == null ? 4000 : 0);
+                if (history.wrong != null) {
+                    return (kind % 2 == 1 ? "service: " : "agent: ") + history.wrong + " after " + story;
                 }
             }
         }
--- a/core/src/test/java/brackenbridge/core/membership/ReturnFigures.java
+++ b/core/src/test/java/brackenbridge/core/membership/ReturnFigures.java
@@ -12,7 +12,7 @@
     private static final int[] NODES = {100, 400, 1600};
     private static final int[] LINES = {17, 77, 400};
     private static final double[] TIME_OUTS_MS = {1000, 2000};
-    private static final int STEPS = 14;
+    private static final int SEARCH_STEPS = 14;
 
     private ReturnFigures() {}
 
@@ -28,11 +28,11 @@
     }
 
     private static String row(int nodes, int line, double timeOutMs) {
-        double needed = ReturningService.TOLD_MS / nodes;
+        double needed = ReturningService.MEASURED_MS / nodes;
         Result today = ReturningService.play(nodes, new Service(line, timeOutMs, 20));
         double slowest = 0;
         double tooSlow = needed;
-        for (int i = 0; i < STEPS; i++) {
+        for (int i = 0; i < SEARCH_STEPS; i++) {
             double tried = (slowest + tooSlow) / 2;
             boolean all = ReturningService.play(nodes, new Service(line, timeOutMs, tried))
                             .answered()
@@ -48,7 +48,7 @@
                 line,
                 timeOutMs,
                 today.answered(),
-                today.refused(),
+                today.rejected(),
                 slowest,
                 slowest == 0 ? "never" : String.format(Locale.ROOT, "%.2f times the rate", needed / slowest));
     }
--- a/core/src/test/java/brackenbridge/core/membership/ReturnTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/ReturnTest.java
@@ -18,6 +18,6 @@
     void everyOneOfAHundredNodesIsAnsweredWithinSixSeconds(int line, double timeOutMs) {
         Result result = ReturningService.play(100, new Service(line, timeOutMs, SERVE_MS));
         assertEquals(100, result.answered(), "answered");
-        assertTrue(result.lastMs() < ReturningService.TOLD_MS, "the last one after " + result.lastMs() + " ms");
+        assertTrue(result.lastMs() < ReturningService.MEASURED_MS, "the last one after " + result.lastMs() + " ms");
     }
 }
--- a/core/src/test/java/brackenbridge/core/membership/ReturningService.java
+++ b/core/src/test/java/brackenbridge/core/membership/ReturningService.java
@@ -7,12 +7,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Nodes at a service of lists that was down and works through their calls in turn once it is back; for tests. Calls
- * that were given up meanwhile cost the service their turn all the same.
+ * Nodes that poll a discovery service which was down and serves their queued calls in order once it is back; for tests.
+ * Calls that were abandoned meanwhile take their service time all the same.
  */
 final class ReturningService {
-    /** What counts as told, counted from the service's return. */
-    static final double TOLD_MS = 6000;
+    /** Responses within this time from the service's return are measured. */
+    static final double MEASURED_MS = 6000;
 
     private static final double STEP_MS = 5;
     private static final double DOWN_MS = 12_000;
@@ -21,20 +21,20 @@
     /**
      * A service.
      *
-     * @param line how many calls may wait; more are refused at once
-     * @param timeOutMs a call that has waited so long is refused
+     * @param line how many calls may be queued; more are rejected at once
+     * @param timeOutMs a call that has been queued for so long is rejected
      * @param serveMs what a call costs it
      */
     record Service(int line, double timeOutMs, double serveMs) {}
 
     /**
-     * What came of it within the time that counts.
+     * The result within the measured time.
      *
      * @param answered nodes that were answered
      * @param lastMs when the last of them was, counted from the return
-     * @param refused calls that were refused or given up after the return
+     * @param rejected calls that were rejected or abandoned after the return
      */
-    record Result(int answered, double lastMs, int refused) {}
+    record Result(int answered, double lastMs, int rejected) {}
 
     /** A call at the service. */
     private record Waiting(Caller caller, long call) {}
@@ -43,9 +43,9 @@
     private static final class Caller {
         private final DiscoveryWatch membership;
         private double wakeAt = Double.POSITIVE_INFINITY;
-        private long turn;
+        private long timer;
         private long call = -1;
-        private double askedAt;
+        private double calledAt;
         private double answeredAt = -1;
 
         Caller(long seed) {
@@ -56,20 +56,20 @@
             for (DiscoveryCommand step : steps) {
                 if (step instanceof DiscoveryCommand.OpenWatch open) {
                     call = open.call();
-                    askedAt = now;
+                    calledAt = now;
                 } else if (step instanceof DiscoveryCommand.Wake wake) {
                     wakeAt = wake.atMs();
-                    turn = wake.timer();
+                    timer = wake.timer();
                 }
             }
         }
 
         /** Whether it makes a call at this moment. */
-        boolean calls(double now) {
+        boolean startsCall(double now) {
             long before = call;
             if (answeredAt < 0 && wakeAt <= now) {
                 wakeAt = Double.POSITIVE_INFINITY;
-                run(now, membership.onTimer(now, turn));
+                run(now, membership.onTimer(now, timer));
             }
             return call != before;
         }
@@ -78,7 +78,7 @@
             return answeredAt < 0 && membership.isOpen(call);
         }
 
-        void refused(double now) {
+        void rejectCall(double now) {
             run(now, membership.onCallEnded(now, call));
         }
     }
@@ -87,7 +87,7 @@
     private final List<Caller> callers = new ArrayList<>();
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private double freeAt = DOWN_MS;
-    private int refused;
+    private int rejected;
 
     private ReturningService(int nodes, Service service) {
         this.service = service;
@@ -100,9 +100,9 @@
     /** Plays the outage and the time that counts after it. */
     static Result play(int nodes, Service service) {
         ReturningService played = new ReturningService(nodes, service);
-        for (double now = 0; now < DOWN_MS + TOLD_MS; now += STEP_MS) {
-            played.ask(now);
-            played.serve(now);
+        for (double now = 0; now < DOWN_MS + MEASURED_MS; now += STEP_MS) {
+            played.startCalls(now);
+            played.serveCalls(now);
         }
         int answered = (int)
                 played.callers.stream().filter(caller -> caller.answeredAt >= 0).count();
@@ -111,22 +111,22 @@
                         .max()
                         .orElse(DOWN_MS)
                 - DOWN_MS;
-        return new Result(answered, last, played.refused);
+        return new Result(answered, last, played.rejected);
     }
 
-    private void ask(double now) {
+    private void startCalls(double now) {
         for (Caller caller : callers) {
-            boolean calls = caller.calls(now);
+            boolean calls = caller.startsCall(now);
             if (calls && now >= DOWN_MS && waiting.size() < service.line()) {
                 waiting.add(new Waiting(caller, caller.call));
-            } else if (calls || caller.isWaiting() && now >= caller.askedAt + service.timeOutMs()) {
-                refused += now >= DOWN_MS ? 1 : 0;
-                caller.refused(now);
+            } else if (calls || caller.isWaiting() && now >= caller.calledAt + service.timeOutMs()) {
+                rejected += now >= DOWN_MS ? 1 : 0;
+                caller.rejectCall(now);
             }
         }
     }
 
-    private void serve(double now) {
+    private void serveCalls(double now) {
         if (freeAt < now - STEP_MS) {
             // It has been idle.
             freeAt = now;
