--- a/lab/src/main/java/brackenbridge/lab/bench/CodecBench.java
+++ b/lab/src/main/java/brackenbridge/lab/bench/CodecBench.java
@@ -62,7 +62,7 @@
     /** Encodes a forward. */
     @Benchmark
     public int forward() {
-        ByteBuf out = HttpEncoder.forward(UnpooledByteBufAllocator.DEFAULT, decoded, 4700);
+        ByteBuf out = HttpEncoder.request(UnpooledByteBufAllocator.DEFAULT, decoded, 4700);
         int length = out.readableBytes();
         out.release();
         return length;
--- a/lab/src/main/java/brackenbridge/lab/live/StandInHttp.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInHttp.java
@@ -61,7 +61,7 @@
                     request(decoder.take());
                 }
             } catch (HttpException e) {
-                write(HttpEncoder.answer(channel.alloc(), e.status(), new Headers(), new byte[0], true), true);
+                write(HttpEncoder.response(channel.alloc(), e.status(), new Headers(), new byte[0], true), true);
             }
             if (pending != null && !pending.isReadable()) {
                 pending.release();
@@ -71,7 +71,7 @@
 
         /** Writes an answer, and goes on to the next request. */
         void answer(int status, Headers fields, byte[] body) {
-            write(HttpEncoder.answer(channel.alloc(), status, fields, body, false), false);
+            write(HttpEncoder.response(channel.alloc(), status, fields, body, false), false);
             busy = false;
             read();
         }
--- a/node/src/main/java/brackenbridge/http/HttpEncoder.java
+++ b/node/src/main/java/brackenbridge/http/HttpEncoder.java
@@ -54,7 +54,7 @@
     }
 
     /** A complete request to a server: the client's, without its hop-by-hop fields. */
-    public static ByteBuf forward(ByteBufAllocator alloc, HttpRequest request, double timeLeftMs) {
+    public static ByteBuf request(ByteBufAllocator alloc, HttpRequest request, double timeLeftMs) {
         boolean declaresLength = request.body().length > 0
                 || request.headers().get("Content-Length") != null
                 || !request.method().equals("GET");
@@ -112,7 +112,7 @@
     }
 
     /** A complete response to a client. */
-    public static ByteBuf answer(ByteBufAllocator alloc, int status, Headers fields, byte[] body, boolean close) {
+    public static ByteBuf response(ByteBufAllocator alloc, int status, Headers fields, byte[] body, boolean close) {
         return encode(alloc, encodeResponseHead(status, fields, body.length, close), body);
     }
 
--- a/node/src/main/java/brackenbridge/http/MessageDecoder.java
+++ b/node/src/main/java/brackenbridge/http/MessageDecoder.java
@@ -255,7 +255,7 @@
     }
 
     /** The framing that the fields declare; null if they declare none. */
-    Framing named(Headers fields) throws HttpException {
+    Framing declaredFraming(Headers fields) throws HttpException {
         boolean chunked = fields.count("Transfer-Encoding") > 0;
         int lengths = fields.count("Content-Length");
         if (chunked && lengths > 0 || lengths > 1) {
--- a/node/src/main/java/brackenbridge/http/RequestDecoder.java
+++ b/node/src/main/java/brackenbridge/http/RequestDecoder.java
@@ -62,7 +62,7 @@
         if (fields.count("Host") > 1) {
             throw new HttpException(400, "more than one host");
         }
-        Framing framing = named(fields);
+        Framing framing = declaredFraming(fields);
         if (framing == Framing.CHUNKED && !http11) {
             throw new HttpException(400, "chunks in HTTP/1.0");
         }
--- a/node/src/main/java/brackenbridge/http/ResponseDecoder.java
+++ b/node/src/main/java/brackenbridge/http/ResponseDecoder.java
@@ -55,7 +55,7 @@
         if (status == 204 || status == 304) {
             return Framing.NONE;
         }
-        Framing framing = named(fields);
+        Framing framing = declaredFraming(fields);
         framed = framing != null;
         if (framed) {
             return framing;
--- a/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
+++ b/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
@@ -50,7 +50,7 @@
     /** Writes a response; it ends the connection if this is to be its last. */
     void respond(int status, Headers fields, byte[] body) {
         boolean close = beginResponse();
-        channel.writeAndFlush(HttpEncoder.answer(channel.alloc(), status, fields, body, close))
+        channel.writeAndFlush(HttpEncoder.response(channel.alloc(), status, fields, body, close))
                 .addListener(f -> onWritten(f.isSuccess() ? ResponseEnd.COMPLETE : ResponseEnd.ABANDONED, close));
     }
 
--- a/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
+++ b/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
@@ -49,7 +49,7 @@
             writeStreamed(attempt, request, timeLeftMs);
         } else {
             Channel channel = connection.channel();
-            ByteBuf bytes = HttpEncoder.forward(channel.alloc(), (HttpRequest) attempt.message(), timeLeftMs);
+            ByteBuf bytes = HttpEncoder.request(channel.alloc(), (HttpRequest) attempt.message(), timeLeftMs);
             // The promise of the last byte, not its place in a queue, tells whether the request may run.
             channel.writeAndFlush(bytes).addListener(done -> onWritten(attempt, done.cause()));
         }
