--- a/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
+++ b/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
@@ -1,6 +1,6 @@
 package brackenbridge.core;
 
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.AttemptOutcome;
 import brackenbridge.core.balancing.BalancerApi;
 import brackenbridge.core.balancing.LoadReport;
@@ -54,16 +54,16 @@
     }
 
     @Override
-    public void onAttemptAnswered(ReducerContext context, Event.AttemptAnswered event) {
+    public void onResponseReceived(ReducerContext context, Event.ResponseReceived event) {
         OpenRequest request = requests.findByCurrentAttempt(event.requestId(), event.attempt());
         if (request == null) {
             return;
         }
-        if (event.reply() == ServerReply.INVALID_REQUEST) {
+        if (event.kind() == ResponseKind.INVALID_REQUEST) {
             endInvalidRequest(context, request, event.report());
             return;
         }
-        AttemptOutcome outcome = switch (event.reply()) {
+        AttemptOutcome outcome = switch (event.kind()) {
             case SERVED -> AttemptOutcome.OK;
             case ERROR -> AttemptOutcome.ERROR;
             default -> AttemptOutcome.FULL;
--- a/core/src/main/java/brackenbridge/core/ClientRequest.java
+++ b/core/src/main/java/brackenbridge/core/ClientRequest.java
@@ -17,7 +17,7 @@
         double timeLeftMs,
         boolean clientRetry,
         boolean complete,
-        double maxUnseenWaitMs,
+        double maxBacklogWaitMs,
         Object message) {
 
     /** A request that has not waited unseen. */
--- a/core/src/main/java/brackenbridge/core/DrainAndShutdown.java
+++ b/core/src/main/java/brackenbridge/core/DrainAndShutdown.java
@@ -51,7 +51,7 @@
     }
 
     void runDrainStep(ReducerContext context, TimerKey.DrainStep due) {
-        if (!lifeCycle.isCurrent(due.drain())) {
+        if (!lifeCycle.isCurrent(due.drainNumber())) {
             return;
         }
         switch (due.step()) {
@@ -73,7 +73,7 @@
                 : drained ? ShutdownSchedule.Situation.EMPTIED : ShutdownSchedule.Situation.RESTARTED;
         if (hasSuccessor) {
             // Another process serves: new connections go to it, and those of this one end as gently as they can.
-            context.addEffect(new Effect.LeaveNewConnections());
+            context.addEffect(new Effect.LeaveNewConnectionsToSuccessor());
             context.addEffect(new Effect.AnnounceClose(true));
         }
         scheduleStop(context);
@@ -93,11 +93,11 @@
                 Math.min(longestDeadlineAtStartMs, ShutdownSchedule.longestDeadlineMs(settings.get()));
         ShutdownSchedule schedule = ShutdownSchedule.of(situation, longestDeadlineMs);
         if (situation == ShutdownSchedule.Situation.REPLACED) {
-            context.setTimer(stopRequestedMs + schedule.endIdleMs(), new TimerKey.CloseIdleClients());
+            context.setTimer(stopRequestedMs + schedule.closeIdleMs(), new TimerKey.CloseIdleClients());
         }
-        context.setTimer(stopRequestedMs + schedule.acceptMs(), new TimerKey.StopAccepting());
-        context.setTimer(stopRequestedMs + schedule.serveMs(), new TimerKey.StopServing());
-        context.setTimer(stopRequestedMs + schedule.answerMs(), new TimerKey.AnswerAll());
+        context.setTimer(stopRequestedMs + schedule.stopAcceptingMs(), new TimerKey.StopAccepting());
+        context.setTimer(stopRequestedMs + schedule.stopServingMs(), new TimerKey.StopServing());
+        context.setTimer(stopRequestedMs + schedule.answerAllMs(), new TimerKey.AnswerAll());
         context.setTimer(stopRequestedMs + schedule.exitMs(), new TimerKey.ExitNow());
     }
 
--- a/core/src/main/java/brackenbridge/core/Effect.java
+++ b/core/src/main/java/brackenbridge/core/Effect.java
@@ -3,7 +3,7 @@
 /** What the reducer wants done; whoever runs it reports back by events. */
 public sealed interface Effect {
     /** Start an attempt; it is given up at {@code giveUpMs}. */
-    record StartAttempt(long requestId, int attempt, String host, String address, double giveUpMs, Object message)
+    record StartAttempt(long requestId, int attempt, String host, String address, double deadlineMs, Object message)
             implements Effect {}
 
     /** Cancel an attempt: close its connection, or discard it if it has none yet. */
@@ -37,7 +37,7 @@
     record WatchDiscovery(long call, long afterVersion) implements Effect {}
 
     /** Cancel a call to discovery. */
-    record EndDiscoveryCall(long call) implements Effect {}
+    record CancelDiscoveryCall(long call) implements Effect {}
 
     /** Start a health check of a server. */
     record StartHealthCheck(long healthCheckId, String address) implements Effect {}
@@ -49,10 +49,10 @@
     record CloseIdleConnections(String host, String address) implements Effect {}
 
     /** Announce to each client with its next response that its connection closes, or stop doing so. */
-    record AnnounceClose(boolean on) implements Effect {}
+    record AnnounceClose(boolean enabled) implements Effect {}
 
     /** Another process of the node serves: leave new connections to it, and accept those whose handshake has begun. */
-    record LeaveNewConnections() implements Effect {}
+    record LeaveNewConnectionsToSuccessor() implements Effect {}
 
     /** Accept no more connections. */
     record StopAccepting() implements Effect {}
@@ -61,13 +61,13 @@
     record CloseIdleClients() implements Effect {}
 
     /** From now on, close each client connection as soon as it is idle; or stop doing so. */
-    record CloseClientsWhenIdle(boolean on) implements Effect {}
+    record CloseClientsWhenIdle(boolean enabled) implements Effect {}
 
     /** Close the client connections whose request is not complete yet. */
     record RejectIncompleteRequests() implements Effect {}
 
     /** Report a fault in the program to the operators. */
-    record Fault(RuntimeException cause) implements Effect {}
+    record ReportFault(RuntimeException cause) implements Effect {}
 
     /** All requests are answered, or time is up: exit once the last responses are sent. */
     record Exit(boolean immediately) implements Effect {}
--- a/core/src/main/java/brackenbridge/core/EndpointDiscovery.java
+++ b/core/src/main/java/brackenbridge/core/EndpointDiscovery.java
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void onDiscoveryEnded(ReducerContext context, Event.DiscoveryEnded event) {
+    public void onDiscoveryCallEnded(ReducerContext context, Event.DiscoveryCallEnded event) {
         if (watch.isOpen(event.call())) {
             counters.count(Counter.DISCOVERY_FAILED);
         }
@@ -89,7 +89,7 @@
     }
 
     void onTimer(ReducerContext context, TimerKey.DiscoveryTimer timer) {
-        runCommands(context, watch.onTimer(context.nowMs(), timer.turn()));
+        runCommands(context, watch.onTimer(context.nowMs(), timer.timerId()));
     }
 
     /** How long discovery has been silent, in milliseconds. */
@@ -111,7 +111,7 @@
                 if (end.silent()) {
                     counters.count(Counter.DISCOVERY_FAILED);
                 }
-                context.addEffect(new Effect.EndDiscoveryCall(end.call()));
+                context.addEffect(new Effect.CancelDiscoveryCall(end.call()));
             } else if (command instanceof DiscoveryCommand.Wake wake) {
                 context.setTimer(wake.atMs(), new TimerKey.DiscoveryTimer(wake.timer()));
             }
--- a/core/src/main/java/brackenbridge/core/EndpointList.java
+++ b/core/src/main/java/brackenbridge/core/EndpointList.java
@@ -11,11 +11,11 @@
  * @param unreadableHosts hosts whose entries are unreadable: they stay as they were
  */
 public record EndpointList(
-        long version, boolean complete, List<ServerEndpoint> endpoints, List<String> unreadableHosts) {
+        long version, boolean complete, List<ServerEndpoint> endpoints, List<String> malformedHosts) {
     /** Copies the lists. */
     public EndpointList {
         endpoints = List.copyOf(endpoints);
-        unreadableHosts = List.copyOf(unreadableHosts);
+        malformedHosts = List.copyOf(malformedHosts);
     }
 
     /** A list without unreadable entries. */
--- a/core/src/main/java/brackenbridge/core/EndpointTable.java
+++ b/core/src/main/java/brackenbridge/core/EndpointTable.java
@@ -76,7 +76,7 @@
      */
     List<ServerEndpoint> withUnreadableHosts(EndpointList list) {
         List<ServerEndpoint> entries = new ArrayList<>(list.endpoints());
-        for (String host : Set.copyOf(list.unreadableHosts())) {
+        for (String host : Set.copyOf(list.malformedHosts())) {
             if (ids.isKnown(host)) {
                 entries.add(endpoints.get(ids.of(host)));
             }
--- a/core/src/main/java/brackenbridge/core/EndpointUpdates.java
+++ b/core/src/main/java/brackenbridge/core/EndpointUpdates.java
@@ -41,12 +41,13 @@
             return;
         }
         // Weights that are only repeated need not reach the balancer, unless they have expired meanwhile.
-        boolean changed = !received.weights().equals(zoneWeights.weights()) || context.nowMs() >= zoneWeights.untilMs();
+        boolean changed =
+                !received.weights().equals(zoneWeights.weights()) || context.nowMs() >= zoneWeights.expiresAtMs();
         zoneWeights = received;
         if (changed) {
             sendWeights(context);
         }
-        context.setTimer(received.untilMs(), new TimerKey.ZoneWeightsExpired());
+        context.setTimer(received.expiresAtMs(), new TimerKey.ZoneWeightsExpired());
     }
 
     /** Sends the endpoints with the weights that hold now to the balancer. */
--- a/core/src/main/java/brackenbridge/core/Event.java
+++ b/core/src/main/java/brackenbridge/core/Event.java
@@ -141,7 +141,7 @@
             void onAttemptWritten(C context, AttemptWritten event);
 
             /** A server has answered an attempt. */
-            void onAttemptAnswered(C context, AttemptAnswered event);
+            void onResponseReceived(C context, ResponseReceived event);
 
             /** An attempt's connection was lost. */
             void onAttemptConnectionLost(C context, AttemptConnectionLost event);
@@ -163,7 +163,7 @@
     }
 
     /** What a server's answer means. */
-    enum ServerReply {
+    enum ResponseKind {
         /** Served. */
         SERVED,
         /** An error; the request may have run. */
@@ -175,11 +175,11 @@
     }
 
     /** The server has answered the attempt; the report is null if none came. */
-    record AttemptAnswered(long requestId, int attempt, ServerReply reply, Object message, LoadReport report)
+    record ResponseReceived(long requestId, int attempt, ResponseKind kind, Object message, LoadReport report)
             implements AttemptEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
-            handler.onAttemptAnswered(context, this);
+            handler.onResponseReceived(context, this);
         }
     }
 
@@ -233,7 +233,7 @@
             void onDiscoveryHeartbeat(C context, DiscoveryHeartbeat event);
 
             /** A call has ended. */
-            void onDiscoveryEnded(C context, DiscoveryEnded event);
+            void onDiscoveryCallEnded(C context, DiscoveryCallEnded event);
         }
     }
 
@@ -262,10 +262,10 @@
     }
 
     /** A call to discovery has ended or failed. */
-    record DiscoveryEnded(long call) implements DiscoveryEvent {
+    record DiscoveryCallEnded(long call) implements DiscoveryEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
-            handler.onDiscoveryEnded(context, this);
+            handler.onDiscoveryCallEnded(context, this);
         }
     }
 
@@ -291,7 +291,7 @@
     }
 
     /** A health check was answered, or failed if neither passed nor answered; the report is null if none came. */
-    record HealthCheckEnded(long healthCheckId, boolean answered, boolean passed, LoadReport report)
+    record HealthCheckEnded(long healthCheckId, boolean responded, boolean passed, LoadReport report)
             implements HealthCheckEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -359,7 +359,7 @@
             void onStarted(C context, Started event);
 
             /** Another process serves, or no more. */
-            void onSuccessorServes(C context, SuccessorServes event);
+            void onSuccessorChanged(C context, SuccessorChanged event);
 
             /** The configuration was read again. */
             void onReconfigured(C context, Reconfigured event);
@@ -381,10 +381,10 @@
     }
 
     /** Another process of this node serves clients as well and is to replace this one, or does so no more. */
-    record SuccessorServes(boolean on) implements LifeCycleEvent {
+    record SuccessorChanged(boolean serving) implements LifeCycleEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
-            handler.onSuccessorServes(context, this);
+            handler.onSuccessorChanged(context, this);
         }
     }
 
@@ -404,7 +404,7 @@
     }
 
     /** The node is to be drained, or to serve again after that. */
-    record DrainRequested(boolean on) implements LifeCycleEvent {
+    record DrainRequested(boolean enabled) implements LifeCycleEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
             handler.onDrainRequested(context, this);
--- a/core/src/main/java/brackenbridge/core/HealthChecks.java
+++ b/core/src/main/java/brackenbridge/core/HealthChecks.java
@@ -37,7 +37,7 @@
 
     @Override
     public void onHealthCheckEnded(ReducerContext context, Event.HealthCheckEnded event) {
-        AttemptOutcome failure = event.answered() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
+        AttemptOutcome failure = event.responded() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
         AttemptOutcome outcome = event.passed() ? AttemptOutcome.OK : failure;
         end(context, event.healthCheckId(), outcome, event.report());
     }
--- a/core/src/main/java/brackenbridge/core/HostIds.java
+++ b/core/src/main/java/brackenbridge/core/HostIds.java
@@ -20,7 +20,7 @@
     HostIds() {}
 
     /** The number of a name that shares its hash with no other. */
-    public static long numberOf(String host) {
+    public static long hashOf(String host) {
         return hash(host);
     }
 
--- a/core/src/main/java/brackenbridge/core/LifeCycleEvents.java
+++ b/core/src/main/java/brackenbridge/core/LifeCycleEvents.java
@@ -38,8 +38,8 @@
     }
 
     @Override
-    public void onSuccessorServes(ReducerContext context, Event.SuccessorServes event) {
-        shutdown.setHasSuccessor(event.on());
+    public void onSuccessorChanged(ReducerContext context, Event.SuccessorChanged event) {
+        shutdown.setHasSuccessor(event.serving());
     }
 
     @Override
@@ -56,7 +56,7 @@
 
     @Override
     public void onDrainRequested(ReducerContext context, Event.DrainRequested event) {
-        shutdown.drain(context, event.on());
+        shutdown.drain(context, event.enabled());
     }
 
     @Override
--- a/core/src/main/java/brackenbridge/core/OpenRequest.java
+++ b/core/src/main/java/brackenbridge/core/OpenRequest.java
@@ -50,7 +50,7 @@
         this.tenant = request.tenant();
         this.clientRetry = request.clientRetry();
         this.timeoutMs = timeoutMs;
-        this.maxUnseenWaitMs = request.maxUnseenWaitMs();
+        this.maxUnseenWaitMs = request.maxBacklogWaitMs();
         this.deadlineMs = deadlineMs;
     }
 
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -5,7 +5,7 @@
 import brackenbridge.core.balancing.BalancerApi;
 import brackenbridge.core.balancing.BalancerSettings;
 import brackenbridge.core.observe.TrafficObserver;
-import brackenbridge.core.share.TenantUse;
+import brackenbridge.core.share.TenantUsage;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.OperatorMetrics;
 import java.util.List;
@@ -147,7 +147,7 @@
     }
 
     /** What each tenant wanted and used since the last call; nothing without quotas. */
-    public List<TenantUse> tenantUse(double nowMs) {
+    public List<TenantUsage> takeTenantUsage(double nowMs) {
         return admission.takeUse(nowMs);
     }
 
--- a/core/src/main/java/brackenbridge/core/ReducerContext.java
+++ b/core/src/main/java/brackenbridge/core/ReducerContext.java
@@ -52,7 +52,7 @@
     /** Reports a fault of the balancer; outcomes that it has not received are discarded. */
     void reportFault(RuntimeException fault) {
         pendingOutcomes.clear();
-        effects.add(new Effect.Fault(fault));
+        effects.add(new Effect.ReportFault(fault));
     }
 
     /** Runs a step in which a fault must not prevent the steps after it. */
--- a/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
+++ b/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
@@ -14,9 +14,10 @@
  * @param exitMs requests that are incomplete by then are rejected; the process exits {@link #LAST_LINGER_MS} later at
  *     the latest
  */
-public record ShutdownSchedule(double acceptMs, double endIdleMs, double serveMs, double answerMs, double exitMs) {
+public record ShutdownSchedule(
+        double stopAcceptingMs, double closeIdleMs, double stopServingMs, double answerAllMs, double exitMs) {
     /** Clients have this long to read the last responses before the process exits. */
-    public static final long LAST_LINGER_MS = 100;
+    public static final long EXIT_LINGER_MS = 100;
 
     /** The platform counts no deadline as longer than this. */
     static final double MAX_COUNTED_DEADLINE_MS = 3000;
@@ -77,7 +78,7 @@
     private static ShutdownSchedule bounded(
             double countedDeadlineMs, double wantedAcceptMs, double wantedServeMs, double wantedAnswerMs) {
         double latestAnswerMs =
-                countedDeadlineMs + KILL_AFTER_DEADLINE_MS - EXIT_SLACK_MS - LAST_LINGER_MS - LAST_RESPONSES_MS;
+                countedDeadlineMs + KILL_AFTER_DEADLINE_MS - EXIT_SLACK_MS - EXIT_LINGER_MS - LAST_RESPONSES_MS;
         double answerMs = Math.min(wantedAnswerMs, latestAnswerMs);
         double serveMs = Math.min(wantedServeMs, answerMs - Math.min(LAST_REQUESTS_MS, countedDeadlineMs / 2));
         double acceptMs = Math.min(wantedAcceptMs, serveMs - MIN_LAST_ACCEPTED_MS);
--- a/core/src/main/java/brackenbridge/core/TenantAdmission.java
+++ b/core/src/main/java/brackenbridge/core/TenantAdmission.java
@@ -3,7 +3,7 @@
 import brackenbridge.core.share.SchedulingResult;
 import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.core.share.TenantScheduler;
-import brackenbridge.core.share.TenantUse;
+import brackenbridge.core.share.TenantUsage;
 import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 import java.util.ArrayDeque;
@@ -89,8 +89,8 @@
     }
 
     /** What each tenant wanted and used since the last call; nothing without quotas. */
-    List<TenantUse> takeUse(double nowMs) {
-        return scheduler == null ? List.of() : scheduler.takeUse(nowMs);
+    List<TenantUsage> takeUse(double nowMs) {
+        return scheduler == null ? List.of() : scheduler.takeUsage(nowMs);
     }
 
     private void apply(ReducerContext context, SchedulingResult result) {
--- a/core/src/main/java/brackenbridge/core/TimerKey.java
+++ b/core/src/main/java/brackenbridge/core/TimerKey.java
@@ -87,7 +87,7 @@
     }
 
     /** The watch at discovery has something to do. */
-    record DiscoveryTimer(long turn) implements TimerKey {
+    record DiscoveryTimer(long timerId) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
             handler.onDiscoveryTimer(context, this);
@@ -119,7 +119,7 @@
     }
 
     /** A drain reaches its next step. */
-    record DrainStep(long drain, LifeCycle.DrainStep step) implements TimerKey {
+    record DrainStep(long drainNumber, LifeCycle.DrainStep step) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
             handler.onDrainStep(context, this);
--- a/core/src/main/java/brackenbridge/core/share/TenantDirectory.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantDirectory.java
@@ -85,13 +85,13 @@
         quotas = newQuotas;
         guaranteedOnly = guaranteed;
         Map<String, Double> named = namedQuotas();
-        unnamedShare.quota = (guaranteed ? 0 : quotas.others()) + named.getOrDefault("", 0.0);
+        unnamedShare.quota = (guaranteed ? 0 : quotas.unnamedQuota()) + named.getOrDefault("", 0.0);
         unnamedShare.weight = quotas.weights().getOrDefault("", 1.0);
         return sumOfQuotas(named);
     }
 
     private Map<String, Double> namedQuotas() {
-        return guaranteedOnly ? quotas.guaranteed() : quotas.tenants();
+        return guaranteedOnly ? quotas.guaranteedQuotas() : quotas.namedQuotas();
     }
 
     private double sumOfQuotas(Map<String, Double> named) {
--- a/core/src/main/java/brackenbridge/core/share/TenantQuotas.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantQuotas.java
@@ -15,15 +15,15 @@
  */
 public record TenantQuotas(
         long epoch,
-        Map<String, Double> tenants,
-        double others,
+        Map<String, Double> namedQuotas,
+        double unnamedQuota,
         Map<String, Double> weights,
-        double untilMs,
-        Map<String, Double> guaranteed) {
+        double expiresAtMs,
+        Map<String, Double> guaranteedQuotas) {
     /** Makes immutable copies. */
     public TenantQuotas {
-        tenants = Map.copyOf(tenants);
+        namedQuotas = Map.copyOf(namedQuotas);
         weights = Map.copyOf(weights);
-        guaranteed = Map.copyOf(guaranteed);
+        guaranteedQuotas = Map.copyOf(guaranteedQuotas);
     }
 }
--- a/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
@@ -99,7 +99,7 @@
         }
         advanceTime(nowMs);
         quotas = newQuotas;
-        guaranteedOnly = !(nowMs < newQuotas.untilMs());
+        guaranteedOnly = !(nowMs < newQuotas.expiresAtMs());
         applyQuotasInForce(nowMs);
         return schedule(nowMs);
     }
@@ -186,7 +186,7 @@
     /** The time of {@link #nextTimerMs} has come. */
     public SchedulingResult onTimer(double nowMs) {
         advanceTime(nowMs);
-        if (quotas != null && !guaranteedOnly && !(nowMs < quotas.untilMs())) {
+        if (quotas != null && !guaranteedOnly && !(nowMs < quotas.expiresAtMs())) {
             guaranteedOnly = true;
             applyQuotasInForce(nowMs);
         }
@@ -195,7 +195,7 @@
 
     /** When {@link #onTimer} is to be called; infinite if nothing depends on time. */
     public double nextTimerMs() {
-        double quotasEndMs = quotas == null || guaranteedOnly ? Double.POSITIVE_INFINITY : quotas.untilMs();
+        double quotasEndMs = quotas == null || guaranteedOnly ? Double.POSITIVE_INFINITY : quotas.expiresAtMs();
         double nextMs = Math.min(quotasEndMs, waitingRequests.nextExpiryMs());
         return runningRequests.count() < maxRunning ? Math.min(nextMs, fairQueue.nextRefillMs()) : nextMs;
     }
@@ -224,13 +224,13 @@
      * Requests to give up so that no more run than may: for a node that is cut off and whose requests outlast its lease
      * by more than the fleet waits. The oldest of the shares that are furthest over their quota come first.
      */
-    public List<Long> overstaying(double nowMs) {
+    public List<Long> selectExcessRequests(double nowMs) {
         onTimer(nowMs);
         return runningRequests.selectBeyond(maxRunning, requests.values());
     }
 
     /** What each tenant wanted and used since the last call; forgets idle tenants. */
-    public List<TenantUse> takeUse(double nowMs) {
+    public List<TenantUsage> takeUsage(double nowMs) {
         advanceTime(nowMs);
         return useReports.take(nowMs);
     }
--- a/core/src/main/java/brackenbridge/core/share/TenantUse.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantUsage.java
@@ -13,12 +13,12 @@
  * @param quota connections that it may hold; for an unnamed tenant those of all unnamed tenants together
  * @param creditMs burst credit left, in milliseconds of its quota
  */
-public record TenantUse(
+public record TenantUsage(
         String tenant,
         double demand,
-        double used,
+        double meanRunning,
         int running,
         double rejectedPerSecond,
-        double meanMs,
+        double meanHoldMs,
         double quota,
-        double creditMs) {}
+        double burstCreditMs) {}
--- a/core/src/main/java/brackenbridge/core/share/UseReports.java
+++ b/core/src/main/java/brackenbridge/core/share/UseReports.java
@@ -21,15 +21,15 @@
         lastReportMs = nowMs;
     }
 
-    List<TenantUse> take(double nowMs) {
+    List<TenantUsage> take(double nowMs) {
         double periodMs = nowMs - lastReportMs;
         lastReportMs = nowMs;
-        List<TenantUse> reports = new ArrayList<>(directory.tenants().size());
+        List<TenantUsage> reports = new ArrayList<>(directory.tenants().size());
         Iterator<Tenant> tenants = directory.tenants().iterator();
         while (tenants.hasNext()) {
             Tenant tenant = tenants.next();
             tenant.integrateUse(nowMs);
-            TenantUse use = report(tenant, periodMs, nowMs);
+            TenantUsage use = report(tenant, periodMs, nowMs);
             if (use != null) {
                 reports.add(use);
             }
@@ -42,7 +42,7 @@
     }
 
     /** The use of one tenant, or null if there was none. */
-    private TenantUse report(Tenant tenant, double periodMs, double nowMs) {
+    private TenantUsage report(Tenant tenant, double periodMs, double nowMs) {
         boolean measured = periodMs > 0;
         double used = measured ? tenant.runningIntegral / periodMs : tenant.running;
         double waited = measured ? tenant.waitingIntegral / periodMs : tenant.waiting;
@@ -51,7 +51,7 @@
             return null;
         }
         double holdMs = tenant.holdMs(nowMs);
-        return new TenantUse(
+        return new TenantUsage(
                 tenant.name,
                 used + waited + rejectedPerMs * holdMs,
                 used,
--- a/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
+++ b/core/src/main/java/brackenbridge/core/share/ZoneWeights.java
@@ -11,7 +11,7 @@
  * @param weights for each zone, from 0 (none) to 1 (as usual); a zone that is absent has 1
  * @param untilMs from then on each zone has 1
  */
-public record ZoneWeights(long driverToken, long epoch, Map<String, Double> weights, double untilMs) {
+public record ZoneWeights(long driverToken, long epoch, Map<String, Double> weights, double expiresAtMs) {
     /** Makes an immutable copy and checks that each weight is from 0 to 1. */
     public ZoneWeights {
         weights = Map.copyOf(weights);
@@ -35,6 +35,6 @@
 
     /** The part of its usual load that this zone has at this time. */
     public double weightOf(String zone, double nowMs) {
-        return nowMs < untilMs ? weights.getOrDefault(zone, 1.0) : 1;
+        return nowMs < expiresAtMs ? weights.getOrDefault(zone, 1.0) : 1;
     }
 }
--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.BalancerSettings;
 import brackenbridge.core.balancing.DeduplicationScope;
 import brackenbridge.core.balancing.EndpointState;
@@ -114,7 +114,7 @@
                                 || !ran.contains(response.requestId())
                                 || isSafe(promises.get(response.requestId())),
                         "refused, but it may have run");
-            } else if (effect instanceof Effect.Fault fault) {
+            } else if (effect instanceof Effect.ReportFault fault) {
                 throw new AssertionError("fault", fault.cause());
             }
         }
@@ -173,11 +173,11 @@
             }
             harness.send(new Event.AttemptConnectionLost(requestId, number));
         } else {
-            ServerReply reply = ServerReply.values()[random.nextInt(4)];
-            if (reply == ServerReply.ERROR) {
+            ResponseKind reply = ResponseKind.values()[random.nextInt(4)];
+            if (reply == ResponseKind.ERROR) {
                 ran.add(requestId);
             }
-            harness.send(new Event.AttemptAnswered(requestId, number, reply, "b", null));
+            harness.send(new Event.ResponseReceived(requestId, number, reply, "b", null));
         }
     }
 
@@ -257,7 +257,7 @@
             assertEquals(1, harness.attempts(requestId).size(), "sent at once");
             used.add(harness.attempts(requestId).get(0).host());
             harness.send(new Event.AttemptWritten(requestId, 0)).advance(5);
-            harness.send(new Event.AttemptAnswered(requestId, 0, ServerReply.SERVED, "b", null));
+            harness.send(new Event.ResponseReceived(requestId, 0, ResponseKind.SERVED, "b", null));
         }
         assertEquals(5, used.size(), "servers that take turns");
     }
--- a/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
+++ b/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.counters.Counter;
 import java.util.List;
@@ -43,7 +43,7 @@
         long requestId = harness.open(ReducerHarness.FILE, 5000);
         harness.send(new Event.AttemptWritten(requestId, 0)).send(new Event.ClientPresenceUnknown(requestId));
         assertEquals(List.of(), harness.localReplies(requestId));
-        harness.send(new Event.AttemptAnswered(requestId, 0, ServerReply.SERVER_FULL, null, null))
+        harness.send(new Event.ResponseReceived(requestId, 0, ResponseKind.SERVER_FULL, null, null))
                 .send(new Event.ClientPresenceUnknown(requestId));
         assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(requestId));
         harness.advance(9000);
--- a/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
+++ b/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.counters.Counter;
 import java.util.List;
@@ -12,8 +12,8 @@
 
 /** Endpoint lists from discovery and from the configuration. */
 class EndpointDiscoveryTest {
-    private static Event answer(long requestId, int forward, ServerReply reply) {
-        return new Event.AttemptAnswered(requestId, forward, reply, "body", null);
+    private static Event answer(long requestId, int forward, ResponseKind reply) {
+        return new Event.ResponseReceived(requestId, forward, reply, "body", null);
     }
 
     @Test
@@ -24,11 +24,12 @@
         for (int i = 0; i < 5; i++) {
             harness.send(new Event.DiscoveryHeartbeat(w.call())).advance(2000);
         }
-        assertEquals(0, harness.effects(Effect.EndDiscoveryCall.class).size());
+        assertEquals(0, harness.effects(Effect.CancelDiscoveryCall.class).size());
         harness.advance(1300);
-        assertEquals(List.of(new Effect.EndDiscoveryCall(w.call())), harness.effects(Effect.EndDiscoveryCall.class));
+        assertEquals(
+                List.of(new Effect.CancelDiscoveryCall(w.call())), harness.effects(Effect.CancelDiscoveryCall.class));
         assertEquals(2, harness.effects(Effect.WatchDiscovery.class).size());
-        harness.send(new Event.DiscoveryEnded(w.call())).advance(1000);
+        harness.send(new Event.DiscoveryCallEnded(w.call())).advance(1000);
         assertEquals(2, harness.effects(Effect.WatchDiscovery.class).size());
     }
 
@@ -81,10 +82,10 @@
         long old = harness.effects(Effect.WatchDiscovery.class).get(0).call();
         EndpointList known = new EndpointList(40, true, List.of(ReducerHarness.endpoint("s-old", EndpointState.UP)));
         harness.send(new Event.Reconfigured(harness.settings, known, true));
-        assertEquals(List.of(new Effect.EndDiscoveryCall(old)), harness.effects(Effect.EndDiscoveryCall.class));
+        assertEquals(List.of(new Effect.CancelDiscoveryCall(old)), harness.effects(Effect.CancelDiscoveryCall.class));
         Effect.WatchDiscovery w = harness.effects(Effect.WatchDiscovery.class).get(1);
         assertEquals(41, w.afterVersion());
-        harness.send(new Event.DiscoveryEnded(old));
+        harness.send(new Event.DiscoveryCallEnded(old));
         harness.send(new Event.EndpointListReceived(old, new EndpointList(99, true, List.of())));
         assertTrue(harness.reducer.isReady());
         harness.send(new Event.EndpointListReceived(
@@ -109,7 +110,7 @@
         assertEquals(
                 "s-new",
                 harness.attempts(harness.open(ReducerHarness.FILE, 5000)).get(0).host());
-        assertEquals(0, harness.effects(Effect.EndDiscoveryCall.class).size());
+        assertEquals(0, harness.effects(Effect.CancelDiscoveryCall.class).size());
         assertEquals(1, harness.counters.of(Counter.RECONFIGURED));
     }
 
@@ -139,9 +140,9 @@
         assertEquals(4, watches.size());
         assertEquals(
                 watches.subList(0, 3).stream()
-                        .map(w -> new Effect.EndDiscoveryCall(w.call()))
+                        .map(w -> new Effect.CancelDiscoveryCall(w.call()))
                         .toList(),
-                harness.effects(Effect.EndDiscoveryCall.class));
+                harness.effects(Effect.CancelDiscoveryCall.class));
         harness.send(new Event.EndpointListReceived(
                 watches.get(2).call(),
                 new EndpointList(99, true, List.of(ReducerHarness.endpoint("s-old", EndpointState.UP)))));
@@ -178,7 +179,7 @@
                                             harness.attempts(requestId).get(0).host(), EndpointState.REMOVED)))));
             assertEquals(2, harness.reducer.hostCount(), "the one that is up and the one with an attempt in flight");
         }
-        harness.send(answer(requestId, 0, ServerReply.SERVED));
+        harness.send(answer(requestId, 0, ResponseKind.SERVED));
         assertEquals(1, harness.effects(Effect.SendResponse.class).size());
         harness.send(new Event.EndpointListReceived(call, new EndpointList(900, false, List.of())));
         assertEquals(1, harness.reducer.hostCount());
--- a/core/src/test/java/brackenbridge/core/LifeCycleTest.java
+++ b/core/src/test/java/brackenbridge/core/LifeCycleTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.counters.Counter;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,7 +36,7 @@
                         .effects(Effect.RejectIncompleteRequests.class)
                         .size());
         harness.send(new Event.AttemptWritten(early, 0))
-                .send(new Event.AttemptAnswered(early, 0, ServerReply.SERVED, "b", null));
+                .send(new Event.ResponseReceived(early, 0, ResponseKind.SERVED, "b", null));
         assertEquals(1, harness.effects(Effect.SendResponse.class).size());
     }
 
@@ -48,12 +48,12 @@
         assertEquals(
                 List.of(true, false),
                 harness.effects(Effect.AnnounceClose.class).stream()
-                        .map(Effect.AnnounceClose::on)
+                        .map(Effect.AnnounceClose::enabled)
                         .toList());
         assertEquals(
                 List.of(true, false),
                 harness.effects(Effect.CloseClientsWhenIdle.class).stream()
-                        .map(e -> e.on())
+                        .map(e -> e.enabled())
                         .toList());
         harness.advance(5000);
         assertEquals(List.of(), harness.localReplies(harness.open(ReducerHarness.FILE, 5000)));
@@ -104,8 +104,8 @@
                             random.nextBoolean() ? ReducerHarness.FILE : ReducerHarness.VIEW, random.nextInt(300)));
                 case 2 -> harness.send(new Event.AttemptWritten(requestId, random.nextInt(2)));
                 case 3 ->
-                    harness.send(new Event.AttemptAnswered(
-                            requestId, random.nextInt(2), ServerReply.values()[random.nextInt(4)], "b", null));
+                    harness.send(new Event.ResponseReceived(
+                            requestId, random.nextInt(2), ResponseKind.values()[random.nextInt(4)], "b", null));
                 case 4 -> harness.send(new Event.AttemptConnectionLost(requestId, random.nextInt(2)));
                 case 5 -> harness.send(new Event.ClientDisconnected(requestId));
                 case 6 ->
--- a/core/src/test/java/brackenbridge/core/LocalReplyTest.java
+++ b/core/src/test/java/brackenbridge/core/LocalReplyTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.BalancerSettings;
 import brackenbridge.core.balancing.RequestClass;
 import java.util.List;
@@ -125,7 +125,7 @@
         harness.send(new Event.RequestBodyReleased(requestId))
                 .send(new Event.RequestCompleted(requestId))
                 .send(new Event.AttemptWritten(requestId, 0));
-        harness.send(new Event.AttemptAnswered(requestId, 0, ServerReply.ERROR, "body", null));
+        harness.send(new Event.ResponseReceived(requestId, 0, ResponseKind.ERROR, "body", null));
         assertOnlyReply(harness, requestId, LocalReply.FAILED, "spent body after its last byte");
     }
 
@@ -142,7 +142,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.send(new Event.AttemptWritten(requestId, 0))
-                .send(new Event.AttemptAnswered(requestId, 0, ServerReply.INVALID_REQUEST, "body", null));
+                .send(new Event.ResponseReceived(requestId, 0, ResponseKind.INVALID_REQUEST, "body", null));
         assertOnlyReply(harness, requestId, LocalReply.INVALID_REQUEST, "rejected");
     }
 
@@ -152,7 +152,7 @@
         long requestId = open(harness, ReducerHarness.FILE, true);
         for (int i = 0; i < 5; i++) {
             harness.send(new Event.AttemptWritten(requestId, i))
-                    .send(new Event.AttemptAnswered(requestId, i, ServerReply.SERVER_FULL, "b", null));
+                    .send(new Event.ResponseReceived(requestId, i, ResponseKind.SERVER_FULL, "b", null));
         }
         assertEquals(5, harness.attempts(requestId).size());
         assertOnlyReply(
--- a/core/src/test/java/brackenbridge/core/RecklessBalancerTest.java
+++ b/core/src/test/java/brackenbridge/core/RecklessBalancerTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.AttemptOutcome;
 import brackenbridge.core.balancing.BalancerActions;
 import brackenbridge.core.balancing.BalancerApi;
@@ -134,7 +134,7 @@
     }
 
     private static long id(String host) {
-        return HostIds.numberOf(host);
+        return HostIds.hashOf(host);
     }
 
     @Test
@@ -187,7 +187,7 @@
                         .toList(),
                 "also while its attempt is in flight");
         send(NOW + 1, new Event.AttemptWritten(7, 0));
-        send(NOW + 2, new Event.AttemptAnswered(7, 0, ServerReply.SERVED, "body", null));
+        send(NOW + 2, new Event.ResponseReceived(7, 0, ResponseKind.SERVED, "body", null));
         assertEquals(List.of(), effects(Effect.SendResponse.class), "it has failed already");
     }
 
@@ -219,7 +219,7 @@
         start((out, requestId) -> {
             throw new IllegalStateException("a fault in a decision");
         });
-        assertEquals(1, effects(Effect.Fault.class).size());
+        assertEquals(1, effects(Effect.ReportFault.class).size());
         assertTrue(effects(Effect.SendLocalReply.class).isEmpty());
         send(NOW + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
         assertEquals(
--- a/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
+++ b/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.DeduplicationScope;
 import brackenbridge.core.balancing.Idempotence;
 import brackenbridge.core.balancing.RequestClass;
@@ -15,8 +15,8 @@
 
 /** Requests from their receipt to their one answer. */
 class RequestLifecycleTest {
-    private static Event answer(long requestId, int forward, ServerReply reply) {
-        return new Event.AttemptAnswered(requestId, forward, reply, "body", null);
+    private static Event answer(long requestId, int forward, ResponseKind reply) {
+        return new Event.ResponseReceived(requestId, forward, reply, "body", null);
     }
 
     @Test
@@ -34,8 +34,8 @@
         long requestId = harness.open(ReducerHarness.FILE, 5000);
         assertEquals("message 0", harness.attempts(requestId).get(0).message());
         harness.send(new Event.AttemptWritten(requestId, 0))
-                .send(answer(requestId, 0, ServerReply.SERVED))
-                .send(answer(requestId, 0, ServerReply.SERVED));
+                .send(answer(requestId, 0, ResponseKind.SERVED))
+                .send(answer(requestId, 0, ResponseKind.SERVED));
         assertEquals(List.of(new Effect.SendResponse(requestId, "body")), harness.effects(Effect.SendResponse.class));
         assertEquals(List.of(), harness.advance(9000).localReplies(requestId));
     }
@@ -50,7 +50,7 @@
         assertEquals(2, harness.attempts(broken).size());
         assertEquals(List.of(LocalReply.FAILED), harness.localReplies(broken));
         long away = harness.open(ReducerHarness.FILE, 5000);
-        harness.send(new Event.AttemptWritten(away, 0)).send(answer(away, 0, ServerReply.SERVER_FULL));
+        harness.send(new Event.AttemptWritten(away, 0)).send(answer(away, 0, ResponseKind.SERVER_FULL));
         assertEquals(2, harness.attempts(away).size());
     }
 
@@ -62,7 +62,7 @@
         assertEquals(List.of(new Effect.CancelAttempt(requestId, 0)), harness.effects(Effect.CancelAttempt.class));
         assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(requestId));
         assertEquals(1, harness.counters.of(Counter.ATTEMPTS_TIMED_OUT));
-        harness.send(answer(requestId, 0, ServerReply.SERVED));
+        harness.send(answer(requestId, 0, ResponseKind.SERVED));
         assertEquals(0, harness.effects(Effect.SendResponse.class).size());
     }
 
@@ -74,9 +74,9 @@
         harness.send(new Event.RequestReceived(
                 requestId, new ClientRequest(ReducerHarness.FILE.name(), null, 5000, false, true, 1500, "m")));
         double opened = harness.clock.nowMs();
-        assertEquals(opened + 4995, harness.attempts(requestId).get(0).giveUpMs(), 1e-6);
+        assertEquals(opened + 4995, harness.attempts(requestId).get(0).deadlineMs(), 1e-6);
         harness.send(new Event.AttemptConnectionLost(requestId, 0));
-        assertEquals(opened + 3495, harness.attempts(requestId).get(1).giveUpMs(), 1e-6);
+        assertEquals(opened + 3495, harness.attempts(requestId).get(1).deadlineMs(), 1e-6);
         long late = 71;
         harness.send(new Event.RequestReceived(
                         late, new ClientRequest(ReducerHarness.FILE.name(), null, 1000, false, true, 1500, "m")))
@@ -99,18 +99,18 @@
                         + 5000
                         - RequestLifecycle.DEADLINE_MARGIN_MS
                         - RequestLifecycle.MAX_LATENESS_MARGIN_MS,
-                harness.attempts(next).get(0).giveUpMs(),
+                harness.attempts(next).get(0).deadlineMs(),
                 1e-6);
         long brief = harness.open(ReducerHarness.VIEW, 40);
         assertEquals(
                 harness.clock.nowMs() + 40 - RequestLifecycle.DEADLINE_MARGIN_MS - 10,
-                harness.attempts(brief).get(0).giveUpMs(),
+                harness.attempts(brief).get(0).deadlineMs(),
                 1e-6);
         harness.advance(30_000);
         long calm = harness.open(ReducerHarness.FILE, 5000);
         assertEquals(
                 harness.clock.nowMs() + 5000 - RequestLifecycle.DEADLINE_MARGIN_MS,
-                harness.attempts(calm).get(0).giveUpMs(),
+                harness.attempts(calm).get(0).deadlineMs(),
                 0.1);
     }
 
@@ -137,7 +137,7 @@
         for (int i = 0; i < 20; i++) {
             long requestId = harness.open(ReducerHarness.VIEW, 5000);
             harness.send(new Event.AttemptWritten(requestId, 0))
-                    .send(answer(requestId, 0, ServerReply.INVALID_REQUEST));
+                    .send(answer(requestId, 0, ResponseKind.INVALID_REQUEST));
             assertEquals(List.of(LocalReply.INVALID_REQUEST), harness.localReplies(requestId));
             assertEquals(1, harness.attempts(requestId).size());
         }
@@ -156,7 +156,7 @@
     void deadlineTimerOfAnEndedRequestIsCancelled() {
         ReducerHarness harness = new ReducerHarness(1);
         long requestId = harness.open(ReducerHarness.FILE, 999_999_999);
-        harness.send(new Event.AttemptWritten(requestId, 0)).send(answer(requestId, 0, ServerReply.SERVED));
+        harness.send(new Event.AttemptWritten(requestId, 0)).send(answer(requestId, 0, ResponseKind.SERVED));
         assertEquals(
                 List.of(new Effect.CancelTimer(new TimerKey.RequestDeadline(requestId))),
                 harness.effects(Effect.CancelTimer.class));
@@ -201,7 +201,7 @@
         for (int i = 0; i < 12; i++) {
             for (Effect.StartAttempt start : harness.effects(Effect.StartAttempt.class)) {
                 harness.send(new Event.AttemptWritten(start.requestId(), start.attempt()));
-                harness.send(answer(start.requestId(), start.attempt(), ServerReply.SERVED));
+                harness.send(answer(start.requestId(), start.attempt(), ResponseKind.SERVED));
             }
         }
         assertEquals(
@@ -209,6 +209,6 @@
                 harness.effects(Effect.SendResponse.class).size()
                         + harness.effects(Effect.SendLocalReply.class).size());
         assertTrue(harness.effects(Effect.SendResponse.class).size() > before, "those that waited too");
-        assertEquals(0, harness.effects(Effect.Fault.class).size());
+        assertEquals(0, harness.effects(Effect.ReportFault.class).size());
     }
 }
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -47,7 +47,7 @@
         return switch (situation) {
             case RESTARTED -> harness;
             case EMPTIED -> harness.send(new Event.DrainRequested(true)).advance(700);
-            case REPLACED -> harness.send(new Event.SuccessorServes(true));
+            case REPLACED -> harness.send(new Event.SuccessorChanged(true));
         };
     }
 
@@ -63,7 +63,7 @@
             harness.advance(5);
             double since = harness.clock.nowMs() - stopAskedMs;
             assertTrue(
-                    since + ShutdownSchedule.LAST_LINGER_MS <= killMs - SLACK_MS,
+                    since + ShutdownSchedule.EXIT_LINGER_MS <= killMs - SLACK_MS,
                     "still here " + since + " ms after SIGTERM, killed after " + killMs);
         }
         taken.add(harness.open(asked, 5000));
@@ -121,21 +121,21 @@
     void stepsAreOrderedAndLeaveTheFrontEndTimeToNotice(
             @ForAll @DoubleRange(min = 0.01, max = 10_000) double deadline, @ForAll Situation situation) {
         ShutdownSchedule schedule = ShutdownSchedule.of(situation, deadline);
-        assertTrue(schedule.acceptMs() > 400, "new connections keep coming for 0.4 s: " + schedule);
+        assertTrue(schedule.stopAcceptingMs() > 400, "new connections keep coming for 0.4 s: " + schedule);
         assertTrue(
-                schedule.acceptMs() + 25 <= schedule.serveMs()
-                        && schedule.serveMs() <= schedule.answerMs()
-                        && schedule.answerMs() < schedule.exitMs(),
+                schedule.stopAcceptingMs() + 25 <= schedule.stopServingMs()
+                        && schedule.stopServingMs() <= schedule.answerAllMs()
+                        && schedule.answerAllMs() < schedule.exitMs(),
                 "" + schedule);
-        assertTrue(schedule.endIdleMs() <= schedule.serveMs(), "" + schedule);
-        assertTrue(schedule.exitMs() + ShutdownSchedule.LAST_LINGER_MS + SLACK_MS <= killMs(deadline), "" + schedule);
+        assertTrue(schedule.closeIdleMs() <= schedule.stopServingMs(), "" + schedule);
+        assertTrue(schedule.exitMs() + ShutdownSchedule.EXIT_LINGER_MS + SLACK_MS <= killMs(deadline), "" + schedule);
     }
 
     @Test
     void longDeadlinesAreServedForAFixedTime() {
         ShutdownSchedule schedule = ShutdownSchedule.of(Situation.RESTARTED, 8000);
-        assertEquals(500, schedule.acceptMs());
-        assertEquals(3100, schedule.serveMs());
-        assertEquals(3400, schedule.answerMs());
+        assertEquals(500, schedule.stopAcceptingMs());
+        assertEquals(3100, schedule.stopServingMs());
+        assertEquals(3400, schedule.answerAllMs());
     }
 }
--- a/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
+++ b/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What a stopping node still does for its clients. */
 class StoppingNodeTest {
-    private static Event answer(long requestId, int forward, ServerReply reply) {
-        return new Event.AttemptAnswered(requestId, forward, reply, "body", null);
+    private static Event answer(long requestId, int forward, ResponseKind reply) {
+        return new Event.ResponseReceived(requestId, forward, reply, "body", null);
     }
 
     /** The front sends no more connections to it; its peers may be stopped by the same release, or only just back. */
@@ -32,7 +32,7 @@
             assertEquals(1, harness.effects(Effect.AnnounceClose.class).size());
             assertEquals(1, harness.effects(Effect.CloseIdleClients.class).size());
             assertEquals(0, harness.effects(Effect.Exit.class).size());
-            harness.send(answer(requestId, 0, ServerReply.SERVED));
+            harness.send(answer(requestId, 0, ResponseKind.SERVED));
             assertEquals(1, harness.effects(Effect.SendResponse.class).size());
             assertEquals(List.of(new Effect.Exit(false)), harness.effects(Effect.Exit.class));
         }
--- a/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
+++ b/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.share.TenantQuotas;
 import brackenbridge.counters.Counter;
 import java.util.List;
@@ -35,7 +35,7 @@
 
     private void serve(long requestId) {
         harness.send(new Event.AttemptWritten(requestId, 0))
-                .send(new Event.AttemptAnswered(requestId, 0, ServerReply.SERVED, "body", null));
+                .send(new Event.ResponseReceived(requestId, 0, ResponseKind.SERVED, "body", null));
     }
 
     private long countStarted(LongStream requestIds) {
@@ -165,6 +165,6 @@
             open("a", 3000);
         }
         assertEquals(5, countStarted(LongStream.range(1000, next)));
-        assertEquals(0, harness.reducer.tenantUse(harness.clock.nowMs()).size());
+        assertEquals(0, harness.reducer.takeTenantUsage(harness.clock.nowMs()).size());
     }
 }
--- a/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
+++ b/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.core.observe.TrafficObserver;
 import brackenbridge.core.share.ZoneWeights;
@@ -36,7 +36,7 @@
             inZoneA += Character.digit(attempt.host().charAt(2), 10) % 2 == 0 ? 1 : 0;
             harness.send(new Event.AttemptWritten(requestId, 0))
                     .advance(2)
-                    .send(new Event.AttemptAnswered(requestId, 0, ServerReply.SERVED, "body", null));
+                    .send(new Event.ResponseReceived(requestId, 0, ResponseKind.SERVED, "body", null));
         }
         return inZoneA;
     }
--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -252,7 +252,7 @@
         }
         // As on a node that was suspended: the timer is missed, the next event follows long after.
         assertEquals(1000, scheduler.nextTimerMs());
-        assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), scheduler.overstaying(11_000));
+        assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), scheduler.selectExcessRequests(11_000));
         assertEquals(2, scheduler.maxRunning());
         assertEquals(
                 AdmissionVerdict.QUEUE,
@@ -270,8 +270,8 @@
             scheduler.onRequestEnded(i + 1, i);
         }
         assertTrue(scheduler.tenantCount() <= 50_001, "remembered: " + scheduler.tenantCount());
-        scheduler.takeUse(200_000);
-        scheduler.takeUse(200_001);
+        scheduler.takeUsage(200_000);
+        scheduler.takeUsage(200_001);
         assertTrue(scheduler.tenantCount() <= 1, "remembered: " + scheduler.tenantCount());
     }
 
@@ -316,7 +316,7 @@
                                     Map.of(),
                                     now + random.nextInt(400),
                                     Map.of("t0", 1.0)));
-                    scheduler.takeUse(now);
+                    scheduler.takeUsage(now);
                 }
             }
             result.rejected().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.remove(f.requestId())));
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
@@ -28,7 +28,7 @@
 
     /** The part of its usual load that a zone has at this moment. */
     public double part(String zone, double nowMs) {
-        return nowMs < last.untilMs() ? last.weights().getOrDefault(zone, 1.0) : 1;
+        return nowMs < last.expiresAtMs() ? last.weights().getOrDefault(zone, 1.0) : 1;
     }
 
     /** What was told last. */
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -4,7 +4,7 @@
 import brackenbridge.clock.Clock;
 import brackenbridge.config.Config;
 import brackenbridge.core.Event;
-import brackenbridge.core.share.TenantUse;
+import brackenbridge.core.share.TenantUsage;
 import brackenbridge.fleet.config.FleetFile;
 import brackenbridge.fleet.evacuation.CommandFilter;
 import brackenbridge.fleet.evacuation.WeightCommand;
@@ -77,10 +77,11 @@
         node.startObserving();
         every(POOLS_MS, () -> publish(RecordSpace.POOLS, reports.report(node.observation()), reported));
         every(DEMAND_MS, () -> {
-            List<TenantUse> all = node.tenantUse().join();
+            List<TenantUsage> all = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
             all.forEach(u -> uses.put(
-                    pool + "/" + u.tenant(), new PoolUse(u.demand(), u.used(), u.rejectedPerSecond(), u.meanMs())));
+                    pool + "/" + u.tenant(),
+                    new PoolUse(u.demand(), u.meanRunning(), u.rejectedPerSecond(), u.meanHoldMs())));
             publish(RecordSpace.DEMAND, uses, wanted);
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.share;
 
 import brackenbridge.core.share.TenantQuotas;
-import brackenbridge.core.share.TenantUse;
+import brackenbridge.core.share.TenantUsage;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -74,12 +74,12 @@
     }
 
     /** What its tenants wanted and used since the last reading. */
-    public void read(double nowMs, List<TenantUse> uses) {
+    public void read(double nowMs, List<TenantUsage> uses) {
         double part = Double.isNaN(readAtMs) ? 1 : 1 - Math.exp(-(nowMs - readAtMs) / FOLLOW_MS);
         readAtMs = nowMs;
         Map<String, PoolUse> now = new HashMap<>();
-        for (TenantUse u : uses) {
-            now.put(u.tenant(), new PoolUse(u.demand(), u.running(), u.rejectedPerSecond(), u.meanMs()));
+        for (TenantUsage u : uses) {
+            now.put(u.tenant(), new PoolUse(u.demand(), u.running(), u.rejectedPerSecond(), u.meanHoldMs()));
         }
         demand.forEach((t, u) -> now.putIfAbsent(t, new PoolUse(0, 0, 0, u.meanMs())));
         now.replaceAll((t, u) -> {
--- a/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
+++ b/lab/src/main/java/brackenbridge/lab/bench/ReducerBench.java
@@ -137,7 +137,7 @@
         if (!out.isEmpty()) {
             Effect.StartAttempt f = out.remove(0);
             tell(new Event.AttemptWritten(f.requestId(), f.attempt()));
-            tell(new Event.AttemptAnswered(f.requestId(), f.attempt(), Event.ServerReply.SERVED, "", null));
+            tell(new Event.ResponseReceived(f.requestId(), f.attempt(), Event.ResponseKind.SERVED, "", null));
         }
         return out.size();
     }
--- a/lab/src/main/java/brackenbridge/lab/sim/SimDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimDiscovery.java
@@ -145,7 +145,7 @@
             w.over = true;
             watches.remove(w);
             if (w.life == w.node.life()) {
-                w.node.raise(new Event.DiscoveryEnded(w.call));
+                w.node.raise(new Event.DiscoveryCallEnded(w.call));
             }
         }
     }
--- a/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/SimNode.java
@@ -317,7 +317,7 @@
             cancel(e.requestId(), e.attempt());
         } else if (effect instanceof Effect.WatchDiscovery e) {
             world.discovery(tier).watch(this, e.call(), e.afterVersion());
-        } else if (effect instanceof Effect.EndDiscoveryCall e) {
+        } else if (effect instanceof Effect.CancelDiscoveryCall e) {
             world.discovery(tier).endCall(this, e.call());
         } else if (effect instanceof Effect.StartHealthCheck e) {
             probe(e);
@@ -326,11 +326,11 @@
             if (pool != null) {
                 pool.forEach(c -> close(c, null));
             }
-        } else if (effect instanceof Effect.StopAccepting || effect instanceof Effect.LeaveNewConnections) {
+        } else if (effect instanceof Effect.StopAccepting || effect instanceof Effect.LeaveNewConnectionsToSuccessor) {
             accepts = false;
         } else if (effect instanceof Effect.CloseIdleClients) {
             serves = false;
-        } else if (effect instanceof Effect.Fault e) {
+        } else if (effect instanceof Effect.ReportFault e) {
             throw new IllegalStateException("fault in a decision of " + name, e.cause());
         } else if (effect instanceof Effect.Exit) {
             int of = life;
@@ -500,13 +500,13 @@
             c.idleSinceMs = queue.nowMs();
             idle.computeIfAbsent(key(out.host, out.dial), k -> new ArrayDeque<>())
                     .add(c);
-            raise(new Event.AttemptAnswered(
+            raise(new Event.ResponseReceived(
                     out.flow,
                     out.number,
                     switch (verdict) {
-                        case SERVED -> Event.ServerReply.SERVED;
-                        case ERROR -> Event.ServerReply.ERROR;
-                        default -> Event.ServerReply.SERVER_FULL;
+                        case SERVED -> Event.ResponseKind.SERVED;
+                        case ERROR -> Event.ResponseKind.ERROR;
+                        default -> Event.ResponseKind.SERVER_FULL;
                     },
                     out.request,
                     report));
--- a/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
+++ b/lab/src/main/java/brackenbridge/lab/sim/Simulation.java
@@ -153,7 +153,7 @@
             model.onPushedOver(() -> pushedOver(s));
             of.add(s);
             byDial.put(s.dial, s);
-            byNumber.put(HostIds.numberOf(s.host), s);
+            byNumber.put(HostIds.hashOf(s.host), s);
             discovery.begin(target(s, EndpointState.UP));
         }
         tiers.add(of);
@@ -415,7 +415,7 @@
     void startServer(SimServer s, boolean renamed) {
         if (renamed) {
             s.host = "s-" + s.tier + "-" + s.index + "-r" + ++replacements;
-            byNumber.put(HostIds.numberOf(s.host), s);
+            byNumber.put(HostIds.hashOf(s.host), s);
         }
         s.model.start();
         s.bornMs = queue.nowMs();
--- a/node/src/main/java/brackenbridge/config/Config.java
+++ b/node/src/main/java/brackenbridge/config/Config.java
@@ -137,9 +137,9 @@
         JsonObject list = object(json, "known");
         try {
             EndpointList endpoints = EndpointListParser.fromJson(list);
-            if (!endpoints.unreadableHosts().isEmpty()) {
+            if (!endpoints.malformedHosts().isEmpty()) {
                 throw new IllegalArgumentException(
-                        "entry of " + endpoints.unreadableHosts().get(0));
+                        "entry of " + endpoints.malformedHosts().get(0));
             }
             return endpoints;
         } catch (RuntimeException e) {
--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -141,9 +141,9 @@
         private void onList(String text) {
             try {
                 EndpointList endpoints = EndpointListParser.parse(text);
-                if (!endpoints.unreadableHosts().isEmpty()) {
+                if (!endpoints.malformedHosts().isEmpty()) {
                     log.warn("entries that can't be read, so these hosts stay as they were: "
-                            + endpoints.unreadableHosts());
+                            + endpoints.malformedHosts());
                 }
                 events.raise(new Event.EndpointListReceived(id, endpoints));
             } catch (IllegalArgumentException e) {
@@ -156,7 +156,7 @@
             ended = true;
             if (calls.remove(id, this)) {
                 log.warn("discovery call " + id + " ended: " + reason);
-                events.raise(new Event.DiscoveryEnded(id));
+                events.raise(new Event.DiscoveryCallEnded(id));
             }
             closeChannel();
         }
--- a/node/src/main/java/brackenbridge/net/EffectRunner.java
+++ b/node/src/main/java/brackenbridge/net/EffectRunner.java
@@ -33,8 +33,8 @@
         on(Effect.SetTimer.class, timers::set);
         on(Effect.CancelTimer.class, timers::cancel);
         on(Effect.WatchDiscovery.class, effect -> discovery.watch(effect.call(), effect.afterVersion()));
-        on(Effect.EndDiscoveryCall.class, effect -> discovery.endCall(effect.call()));
-        on(Effect.Fault.class, effect -> log.error("fault in a decision", effect.cause()));
+        on(Effect.CancelDiscoveryCall.class, effect -> discovery.endCall(effect.call()));
+        on(Effect.ReportFault.class, effect -> log.error("fault in a decision", effect.cause()));
         on(Effect.Exit.class, effect -> shutdown.exit(effect.immediately()));
         registerUpstream();
         registerListener(listener);
@@ -51,11 +51,11 @@
         on(
                 Effect.SendLocalReply.class,
                 effect -> listener.respondLocally(effect.requestId(), effect.reply(), effect.retryAfterMs()));
-        on(Effect.AnnounceClose.class, effect -> listener.announceClose(effect.on()));
-        on(Effect.LeaveNewConnections.class, effect -> listener.leaveNewConnections());
+        on(Effect.AnnounceClose.class, effect -> listener.announceClose(effect.enabled()));
+        on(Effect.LeaveNewConnectionsToSuccessor.class, effect -> listener.leaveNewConnections());
         on(Effect.StopAccepting.class, effect -> listener.stopAccepting());
         on(Effect.CloseIdleClients.class, effect -> listener.closeIdleConnections());
-        on(Effect.CloseClientsWhenIdle.class, effect -> listener.closeWhenIdle(effect.on()));
+        on(Effect.CloseClientsWhenIdle.class, effect -> listener.closeWhenIdle(effect.enabled()));
         on(Effect.RejectIncompleteRequests.class, effect -> listener.rejectIncomplete(REQUEST_TIMEOUT_STATUS));
     }
 
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -6,7 +6,7 @@
 import brackenbridge.core.Event;
 import brackenbridge.core.Reducer;
 import brackenbridge.core.observe.TrafficObserver;
-import brackenbridge.core.share.TenantUse;
+import brackenbridge.core.share.TenantUsage;
 import brackenbridge.counters.Counters;
 import brackenbridge.counters.RejectionReason;
 import brackenbridge.handover.HandoverState;
@@ -252,9 +252,9 @@
     }
 
     /** What each tenant requested and used since the previous call; from any thread. */
-    public CompletableFuture<List<TenantUse>> tenantUse() {
-        CompletableFuture<List<TenantUse>> read = new CompletableFuture<>();
-        loop.execute(() -> read.complete(reducer.tenantUse(clock.nowMs())));
+    public CompletableFuture<List<TenantUsage>> tenantUse() {
+        CompletableFuture<List<TenantUsage>> read = new CompletableFuture<>();
+        loop.execute(() -> read.complete(reducer.takeTenantUsage(clock.nowMs())));
         return read;
     }
 
--- a/node/src/main/java/brackenbridge/net/Replacement.java
+++ b/node/src/main/java/brackenbridge/net/Replacement.java
@@ -119,7 +119,7 @@
     @Override
     public void successorServes(boolean on) {
         descriptors.shareWithOtherProcess(on);
-        events.raise(new Event.SuccessorServes(on));
+        events.raise(new Event.SuccessorChanged(on));
     }
 
     @Override
--- a/node/src/main/java/brackenbridge/net/Shutdown.java
+++ b/node/src/main/java/brackenbridge/net/Shutdown.java
@@ -38,7 +38,7 @@
         if (immediately) {
             // An incomplete request is rejected now: its rest would meet a process that has exited.
             listener.rejectIncomplete(SERVICE_UNAVAILABLE_STATUS);
-            loop.schedule(this::complete, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::complete, ShutdownSchedule.EXIT_LINGER_MS, TimeUnit.MILLISECONDS);
         }
         awaitQuiet();
     }
--- a/node/src/main/java/brackenbridge/net/upstream/ResponseClassifier.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponseClassifier.java
@@ -1,6 +1,6 @@
 package brackenbridge.net.upstream;
 
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.http.HttpResponse;
 
 /** Decides which reply to the balancer a server's response stands for. */
@@ -15,15 +15,15 @@
 
     private ResponseClassifier() {}
 
-    static ServerReply classify(HttpResponse response) {
+    static ResponseKind classify(HttpResponse response) {
         int status = response.status();
         if (status == OK) {
-            return ServerReply.SERVED;
+            return ResponseKind.SERVED;
         }
         if (isUnprocessed(response)) {
-            return ServerReply.SERVER_FULL;
+            return ResponseKind.SERVER_FULL;
         }
-        return isClientError(status) ? ServerReply.INVALID_REQUEST : ServerReply.ERROR;
+        return isClientError(status) ? ResponseKind.INVALID_REQUEST : ResponseKind.ERROR;
     }
 
     /** Whether the server says that it did not process the request at all. */
--- a/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.core.Event;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.LoadReport;
 import brackenbridge.counters.Counter;
 import brackenbridge.counters.RejectionReason;
@@ -100,9 +100,9 @@
         raiseAnswered(attempt, ResponseClassifier.classify(response), response, response);
     }
 
-    private void raiseAnswered(RunningAttempt attempt, ServerReply reply, Object message, HttpResponse head) {
+    private void raiseAnswered(RunningAttempt attempt, ResponseKind reply, Object message, HttpResponse head) {
         context.events()
-                .raise(new Event.AttemptAnswered(
+                .raise(new Event.ResponseReceived(
                         attempt.requestId(), attempt.attempt(), reply, message, loadReport(head)));
     }
 
@@ -179,7 +179,7 @@
         streamedBody.piece(Unpooled.wrappedBuffer(
                 decoder.stream((from, length) -> streamedBody.piece(from.readRetainedSlice(length)))));
         HttpResponse head = decoder.part(null);
-        raiseAnswered(attempt, ServerReply.SERVED, new StreamedResponse(head, contentLength(), streamedBody), head);
+        raiseAnswered(attempt, ResponseKind.SERVED, new StreamedResponse(head, contentLength(), streamedBody), head);
     }
 
     private long contentLength() {
--- a/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
+++ b/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
@@ -70,7 +70,7 @@
         assertEquals(
                 List.of("a", "c"),
                 read.endpoints().stream().map(ServerEndpoint::host).toList());
-        assertEquals(List.of("b"), read.unreadableHosts());
+        assertEquals(List.of("b"), read.malformedHosts());
     }
 
     @ParameterizedTest
