--- a/core/src/main/java/brackenbridge/core/Attempt.java
+++ b/core/src/main/java/brackenbridge/core/Attempt.java
@@ -2,23 +2,23 @@
 
 import brackenbridge.core.observe.TrafficObserver;
 
-/** The attempt of a request that is in flight. Times are in milliseconds. */
+/** An attempt of a request while it is in flight. Times are in milliseconds. */
 final class Attempt {
-    /** The node may stall this long between reading its clock and writing: limits of writes allow for it. */
+    /** The longest stall assumed between reading the clock and writing to a socket; limits on writes allow for it. */
     static final double MAX_STALL_MS = 150;
 
     final int number;
     final String host;
     final double sentMs;
-    /** The balancer gives the attempt up then, before its request's deadline; infinite if it does not. */
+    /** When the balancer's timeout for the attempt expires; infinite if only the request's deadline applies. */
     double timeoutAtMs = Double.POSITIVE_INFINITY;
-    /** The time left that its server is sent does not extend beyond this. */
+    /** Upper bound of the deadline that its server is sent as time left. */
     double announcedDeadlineMs = Double.POSITIVE_INFINITY;
-    /** From when its latency is measured. */
+    /** When the measurement of its latency starts. */
     double latencyStartMs;
-    /** Its last byte has been written: it may run. */
+    /** Its last byte has been written, so the server may run it. */
     boolean written;
-    /** The pool that it is counted for; null without an observer. */
+    /** The pool that its traffic is counted for; null unless traffic is observed. */
     TrafficObserver.PoolKey pool;
 
     Attempt(int number, String host, double sentMs) {
--- a/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
+++ b/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
@@ -7,9 +7,9 @@
 import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 
-/** Follows each attempt from its start to its outcome, which the balancer receives exactly once. */
+/** Tracks each attempt from its start to its outcome, which is reported to the balancer exactly once. */
 final class AttemptLifecycle implements Event.AttemptEvent.Handler<ReducerContext> {
-    /** The least time left that a server is sent. */
+    /** The minimum time left that is sent to a server. */
     private static final double MIN_TIME_LEFT_MS = 1;
 
     private final OpenRequests requests;
@@ -46,7 +46,8 @@
         Attempt attempt = request.attempt;
         attempt.written = true;
         if (request.bodyReleased) {
-            // A server begins with the last byte: the time before it is the client's, not the server's.
+            // A server starts processing at the last byte: the time before that depends on the client, not on the
+            // server.
             attempt.latencyStartMs = context.nowMs();
         }
         counters.count(Counter.ATTEMPTS_WRITTEN);
@@ -77,8 +78,8 @@
     }
 
     /**
-     * Guards the servers' health against clients that send invalid requests: the answer is the request's own fault, so
-     * it is final, is not retried and counts against no server.
+     * Guards the servers' health against clients that send invalid requests: the request itself caused this response,
+     * so it is final, is not retried and does not count against the server.
      */
     private void endInvalidRequest(ReducerContext context, OpenRequest request, LoadReport report) {
         if (!request.ended) {
@@ -101,7 +102,7 @@
     public void onAttemptNotStarted(ReducerContext context, Event.AttemptNotStarted event) {
         OpenRequest request = requests.findByCurrentAttempt(event.requestId(), event.attempt());
         if (request != null) {
-            // The same outcome as at the cut-off itself: another host may take the request.
+            // The same outcome as at the cut-off itself, so that another host may serve the request.
             boolean cutOff = endpoints.isCutOff(request.attempt.host, context.nowMs());
             endAttempt(context, request, cutOff ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NEVER_STARTED, null);
         }
@@ -115,7 +116,7 @@
         }
     }
 
-    /** The balancer's timeout of the attempt has passed. */
+    /** The balancer's timeout for the attempt has expired. */
     void onTimeout(ReducerContext context, TimerKey.AttemptTimeout timer) {
         OpenRequest request = requests.findByCurrentAttempt(timer.requestId(), timer.attempt());
         if (request != null) {
@@ -130,7 +131,7 @@
         endAttempt(context, request, attempt.written ? outcomeIfWritten : AttemptOutcome.NEVER_STARTED, null);
     }
 
-    /** Cancels attempts that still wait for a connection to a draining host once its cut-off has passed. */
+    /** Cancels attempts that are not completely written to a draining host once its cut-off has passed. */
     void stopSendingTo(ReducerContext context, String host) {
         if (!endpoints.isCutOff(host, context.nowMs())) {
             return;
@@ -174,7 +175,8 @@
         observation.onAttemptEnded(attempt, outcome, context.nowMs());
         request.timedOut = outcome == AttemptOutcome.TIMEOUT;
         if (request.bodyReleased && !request.ended) {
-            // The body is not buffered any more, so the balancer has nothing to decide: the request ends at once.
+            // The body is not buffered any more, so no retry is possible: the request ends without the balancer's
+            // decision.
             Effect.LocalReply reply =
                     request.timedOut ? Effect.LocalReply.TIMED_OUT : request.failureReply(Effect.LocalReply.FAILED);
             localReplies.send(context, request, reply);
@@ -188,8 +190,8 @@
     }
 
     /**
-     * The client's time left that the attempt may send to its server, in milliseconds; 0 if it must not begin any more.
-     * To be called when its first byte is about to be written: it may have waited long for its connection.
+     * The client's remaining time to send to the attempt's server, in milliseconds; 0 if the attempt must not start any
+     * more. Call this just before its first byte is written: it may have waited long for its connection.
      */
     double timeLeftMs(double nowMs, long requestId, int number) {
         OpenRequest request = requests.findByCurrentAttempt(requestId, number);
@@ -203,8 +205,9 @@
         if (nowMs >= Math.min(request.attemptDeadlineMs(number), attempt.timeoutAtMs)) {
             return 0;
         }
-        // The last byte of a request that was not complete when it was sent may have waited long before it was read.
-        double certainDeadlineMs = request.deadlineMs - request.maxUnseenWaitMs;
+        // If the request was incomplete when the attempt started, its last byte may have waited long before it was
+        // read, so its deadline may be too late: the announced deadline bounds it.
+        double certainDeadlineMs = request.deadlineMs - request.maxBacklogWaitMs;
         return Math.max(MIN_TIME_LEFT_MS, Math.min(certainDeadlineMs, attempt.announcedDeadlineMs) - nowMs);
     }
 
--- a/core/src/main/java/brackenbridge/core/AttemptStarter.java
+++ b/core/src/main/java/brackenbridge/core/AttemptStarter.java
@@ -4,7 +4,7 @@
 import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 
-/** Starts the attempts that the balancer decides on, unless a rule of the node's own forbids one. */
+/** Starts the attempts that the balancer requests, unless one of the node's own rules forbids it. */
 final class AttemptStarter {
     private final OpenRequests requests;
     private final EndpointTable endpoints;
@@ -18,7 +18,7 @@
         this.observation = observation;
     }
 
-    /** Starts the request's next attempt; one that must not start has its outcome pending. */
+    /** Starts the request's next attempt; if it must not start, queues the outcome NEVER_STARTED for the balancer. */
     void start(ReducerContext context, long requestId, long endpointId, double timeoutMs) {
         OpenRequest request = requests.find(requestId);
         if (request == null) {
@@ -49,14 +49,15 @@
         Attempt attempt = request.attempt;
         double nowMs = context.nowMs();
         boolean complete = request.isComplete();
-        double latestMs = complete ? request.attemptDeadlineMs(attempt.number) : nowMs + request.timeoutMs;
-        double giveUpMs = timeoutMs > 0 && complete ? Math.min(latestMs, nowMs + timeoutMs) : latestMs;
+        double requestDeadlineMs = complete ? request.attemptDeadlineMs(attempt.number) : nowMs + request.timeoutMs;
+        double attemptDeadlineMs =
+                timeoutMs > 0 && complete ? Math.min(requestDeadlineMs, nowMs + timeoutMs) : requestDeadlineMs;
         context.addEffect(new Effect.StartAttempt(
-                request.id, attempt.number, endpoint.host(), endpoint.address(), giveUpMs, request.message));
-        attempt.announcedDeadlineMs = giveUpMs;
-        if (giveUpMs < latestMs) {
-            attempt.timeoutAtMs = giveUpMs;
-            context.setTimer(giveUpMs, new TimerKey.AttemptTimeout(request.id, attempt.number));
+                request.id, attempt.number, endpoint.host(), endpoint.address(), attemptDeadlineMs, request.message));
+        attempt.announcedDeadlineMs = attemptDeadlineMs;
+        if (attemptDeadlineMs < requestDeadlineMs) {
+            attempt.timeoutAtMs = attemptDeadlineMs;
+            context.setTimer(attemptDeadlineMs, new TimerKey.AttemptTimeout(request.id, attempt.number));
         }
     }
 }
--- a/core/src/main/java/brackenbridge/core/ClientRequest.java
+++ b/core/src/main/java/brackenbridge/core/ClientRequest.java
@@ -1,15 +1,15 @@
 package brackenbridge.core;
 
 /**
- * A request as a listener hands it in, whatever its protocol.
+ * A client request as a listener passes it to the reducer, independent of the protocol.
  *
- * @param className its class
+ * @param className the name of its request class
  * @param tenant its tenant; null if none
- * @param timeLeftMs how long its client still waits, from its last byte on, in milliseconds; negative if not given
- * @param clientRetry its client says that it tried before
- * @param complete whether its last byte has come; if not, {@link Event.RequestCompleted} says when it has
- * @param maxUnseenWaitMs it may have waited up to this long before the node could see it, in milliseconds
- * @param message what to send to a server; it is opaque to the core
+ * @param timeLeftMs how long its client waits from its last byte on, in milliseconds; negative if not given
+ * @param clientRetry whether its client marked it as a retry
+ * @param complete whether its last byte has been received; if not, an {@link Event.RequestCompleted} follows
+ * @param maxBacklogWaitMs the longest that it may have waited in the backlog before the node read it, in milliseconds
+ * @param message what to send to a server; opaque to the core
  */
 public record ClientRequest(
         String className,
@@ -20,7 +20,7 @@
         double maxBacklogWaitMs,
         Object message) {
 
-    /** A request that has not waited unseen. */
+    /** A request that can't have waited in the backlog. */
     public ClientRequest(
             String className, String tenant, double timeLeftMs, boolean clientRetry, boolean complete, Object message) {
         this(className, tenant, timeLeftMs, clientRetry, complete, 0, message);
--- a/core/src/main/java/brackenbridge/core/CurrentSettings.java
+++ b/core/src/main/java/brackenbridge/core/CurrentSettings.java
@@ -20,7 +20,7 @@
         return settings;
     }
 
-    /** Whether these settings differ from those in force; the seed does not count. */
+    /** Whether these settings differ from those in force, apart from the seed. */
     boolean differFrom(BalancerSettings next) {
         return !next.withSeed(settings.seed()).equals(settings);
     }
@@ -40,7 +40,7 @@
         return classes.keySet();
     }
 
-    /** Where the endpoint list comes from by these settings. */
+    /** The discovery source that the settings in force select. */
     DiscoverySource discoverySource() {
         return new DiscoverySource(settings.polledDiscovery(), Microseconds.toMs(settings.maxPollInterval()));
     }
--- a/core/src/main/java/brackenbridge/core/DrainAndShutdown.java
+++ b/core/src/main/java/brackenbridge/core/DrainAndShutdown.java
@@ -3,18 +3,18 @@
 import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 
-/** Runs the steps of a drain and of a shutdown by their schedules. */
+/** Runs the steps of a drain and of a shutdown at their scheduled times. */
 final class DrainAndShutdown {
     private final CurrentSettings settings;
     private final LifeCycle lifeCycle;
     private final Counters counters;
     private final double longestDeadlineAtStartMs;
-    /** Another process of this node serves clients as well and is to replace this one. */
+    /** Another process of this node serves clients and will replace this one. */
     private boolean hasSuccessor;
 
     private double stopRequestedMs;
-    /** What the node was when its stop was requested. */
-    private ShutdownSchedule.Situation situation;
+    /** The kind of shutdown, determined when it was requested. */
+    private ShutdownSchedule.ShutdownKind kind;
 
     private boolean servingEnded;
     private boolean exitRequested;
@@ -26,18 +26,18 @@
         this.longestDeadlineAtStartMs = ShutdownSchedule.longestDeadlineMs(settings.get());
     }
 
-    void setHasSuccessor(boolean on) {
-        hasSuccessor = on;
+    void setHasSuccessor(boolean serving) {
+        hasSuccessor = serving;
     }
 
     /** Starts a drain, or cancels the one in progress. */
-    void drain(ReducerContext context, boolean on) {
-        if (!(on ? lifeCycle.drain() : lifeCycle.cancelDrain())) {
+    void drain(ReducerContext context, boolean enabled) {
+        if (!(enabled ? lifeCycle.drain() : lifeCycle.cancelDrain())) {
             return;
         }
-        counters.count(on ? Counter.DRAINS : Counter.DRAINS_CANCELLED);
-        context.addEffect(new Effect.AnnounceClose(on));
-        if (on) {
+        counters.count(enabled ? Counter.DRAINS : Counter.DRAINS_CANCELLED);
+        context.addEffect(new Effect.AnnounceClose(enabled));
+        if (enabled) {
             scheduleDrain(context);
         } else {
             context.addEffect(new Effect.CloseClientsWhenIdle(false));
@@ -46,7 +46,7 @@
 
     private void scheduleDrain(ReducerContext context) {
         for (LifeCycle.DrainStep step : LifeCycle.DrainStep.values()) {
-            context.setTimer(context.nowMs() + step.afterMs, new TimerKey.DrainStep(lifeCycle.drainCount(), step));
+            context.setTimer(context.nowMs() + step.delayMs, new TimerKey.DrainStep(lifeCycle.drainCount(), step));
         }
     }
 
@@ -61,38 +61,40 @@
         }
     }
 
-    /** Starts the shutdown; a second request changes nothing. */
+    /** Starts the shutdown; further requests are ignored. */
     void stop(ReducerContext context) {
         boolean drained = lifeCycle.phase() == LifeCycle.LifeCyclePhase.DRAINING;
         if (!lifeCycle.stop()) {
             return;
         }
         stopRequestedMs = context.nowMs();
-        situation = hasSuccessor
-                ? ShutdownSchedule.Situation.REPLACED
-                : drained ? ShutdownSchedule.Situation.EMPTIED : ShutdownSchedule.Situation.RESTARTED;
+        kind = hasSuccessor
+                ? ShutdownSchedule.ShutdownKind.REPLACED
+                : drained ? ShutdownSchedule.ShutdownKind.DRAINED : ShutdownSchedule.ShutdownKind.RESTARTED;
         if (hasSuccessor) {
-            // Another process serves: new connections go to it, and those of this one end as gently as they can.
+            // The successor accepts new connections; clients of this process are notified before their connections
+            // close.
             context.addEffect(new Effect.LeaveNewConnectionsToSuccessor());
             context.addEffect(new Effect.AnnounceClose(true));
         }
         scheduleStop(context);
     }
 
-    /** The deadlines may have changed while the node is stopping. */
+    /** Reschedules a shutdown in progress, because the longest deadline may have changed. */
     void onSettingsChanged(ReducerContext context) {
         if (lifeCycle.phase() == LifeCycle.LifeCyclePhase.STOPPING) {
             scheduleStop(context);
         }
     }
 
-    /** Sets the timers of a shutdown; a step that is due twice does nothing the second time. */
+    /** Sets the timers of a shutdown; repeating a step has no further effect. */
     private void scheduleStop(ReducerContext context) {
-        // The platform may go by the settings that it started the node with or by the newest: safe under both.
+        // The platform may apply the settings at startup or the newest ones: the shorter deadline is safe in both
+        // cases.
         double longestDeadlineMs =
                 Math.min(longestDeadlineAtStartMs, ShutdownSchedule.longestDeadlineMs(settings.get()));
-        ShutdownSchedule schedule = ShutdownSchedule.of(situation, longestDeadlineMs);
-        if (situation == ShutdownSchedule.Situation.REPLACED) {
+        ShutdownSchedule schedule = ShutdownSchedule.of(kind, longestDeadlineMs);
+        if (kind == ShutdownSchedule.ShutdownKind.REPLACED) {
             context.setTimer(stopRequestedMs + schedule.closeIdleMs(), new TimerKey.CloseIdleClients());
         }
         context.setTimer(stopRequestedMs + schedule.stopAcceptingMs(), new TimerKey.StopAccepting());
@@ -101,14 +103,14 @@
         context.setTimer(stopRequestedMs + schedule.exitMs(), new TimerKey.ExitNow());
     }
 
-    /** Ends the connections that carry nothing; the node exits once no request is open. */
+    /** Closes idle client connections; the node exits once no request is open. */
     void stopServing(ReducerContext context) {
         servingEnded = true;
         context.addEffect(new Effect.AnnounceClose(true));
         context.addEffect(new Effect.CloseIdleClients());
     }
 
-    /** Requests the exit, once, if the node has stopped serving and every request is answered. */
+    /** Requests the exit, at most once, if the node has stopped serving and every request is answered. */
     void exitIfDone(ReducerContext context, int unanswered) {
         if (servingEnded && unanswered == 0 && !exitRequested) {
             exitRequested = true;
--- a/core/src/main/java/brackenbridge/core/Effect.java
+++ b/core/src/main/java/brackenbridge/core/Effect.java
@@ -1,6 +1,6 @@
 package brackenbridge.core;
 
-/** What the reducer wants done; whoever runs it reports back by events. */
+/** A side effect that the reducer requests. Its results are reported back as events. */
 public sealed interface Effect {
     /** Start an attempt; it is given up at {@code giveUpMs}. */
     record StartAttempt(long requestId, int attempt, String host, String address, double deadlineMs, Object message)
@@ -12,22 +12,22 @@
     /** Send a server's response to the request's client. */
     record SendResponse(long requestId, Object message) implements Effect {}
 
-    /** The node's own answers. */
+    /** Responses that the node generates itself. */
     enum LocalReply {
-        /** A rejection: the request has not run, so a retry is harmless. */
+        /** Rejected: the request has not run, so a retry is safe. */
         REJECTED,
-        /** A failure: the request may have run. */
+        /** Failed: the request may have run. */
         FAILED,
-        /** A failure because no response came in time. */
+        /** Failed because no response was received in time; the request may have run. */
         TIMED_OUT,
-        /** A server says that the request itself is invalid. */
+        /** A server reported that the request itself is invalid. */
         INVALID_REQUEST
     }
 
-    /** Answer a request with a reply of the node's own; with {@code retryAfterMs} 0 it has no Retry-After. */
+    /** Send a local reply to the request's client; with {@code retryAfterMs} 0 it has no Retry-After. */
     record SendLocalReply(long requestId, LocalReply reply, double retryAfterMs) implements Effect {}
 
-    /** Fire this timer at this time or soon after. */
+    /** Fire this timer at or soon after this time. */
     record SetTimer(double atMs, TimerKey key) implements Effect {}
 
     /** Cancel this timer; it may still fire. */
@@ -48,13 +48,13 @@
     /** Close the idle connections to this host at this address. */
     record CloseIdleConnections(String host, String address) implements Effect {}
 
-    /** Announce to each client with its next response that its connection closes, or stop doing so. */
+    /** Announce with each response that its connection will close, or stop doing so. */
     record AnnounceClose(boolean enabled) implements Effect {}
 
-    /** Another process of the node serves: leave new connections to it, and accept those whose handshake has begun. */
+    /** Leave new connections to the successor process, but accept those whose handshake has begun. */
     record LeaveNewConnectionsToSuccessor() implements Effect {}
 
-    /** Accept no more connections. */
+    /** Stop accepting connections. */
     record StopAccepting() implements Effect {}
 
     /** Close the idle client connections. */
@@ -63,12 +63,12 @@
     /** From now on, close each client connection as soon as it is idle; or stop doing so. */
     record CloseClientsWhenIdle(boolean enabled) implements Effect {}
 
-    /** Close the client connections whose request is not complete yet. */
+    /** Reject the requests that are not complete yet, and close their connections. */
     record RejectIncompleteRequests() implements Effect {}
 
-    /** Report a fault in the program to the operators. */
+    /** Report a programming error to the operators. */
     record ReportFault(RuntimeException cause) implements Effect {}
 
-    /** All requests are answered, or time is up: exit once the last responses are sent. */
+    /** Exit once the last responses are sent; with {@code immediately}, the remaining time is limited. */
     record Exit(boolean immediately) implements Effect {}
 }
--- a/core/src/main/java/brackenbridge/core/EndpointDiscovery.java
+++ b/core/src/main/java/brackenbridge/core/EndpointDiscovery.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Keeps the watch at discovery open and applies the endpoint lists that count: received, configured, inherited. */
+/** Keeps the watch at discovery open and applies the accepted endpoint lists: received, configured or inherited. */
 final class EndpointDiscovery implements Event.DiscoveryEvent.Handler<ReducerContext> {
-    /** Discovery sends a heartbeat every 2 s: a call without any message for this long has failed. */
+    /** Discovery sends a heartbeat every 2 s: a call without a message for this long has failed. */
     static final double MAX_SILENCE_MS = 3000;
 
     private final CurrentSettings settings;
@@ -25,26 +25,26 @@
         this.endpoints = endpoints;
         this.updates = updates;
         this.counters = counters;
-        // Not the balancer's random numbers: its choices must not depend on how often discovery was called.
+        // Separate from the balancer's random numbers: its choices must not depend on the number of discovery calls.
         SplittableRandom random = new SplittableRandom(~settings.get().seed());
         this.watch = new DiscoveryWatch(settings.discoverySource(), MAX_SILENCE_MS, random);
     }
 
-    /** The node starts with the endpoint list as it was last cached. */
+    /** Starts with the cached endpoint list. */
     void start(ReducerContext context, EndpointList cached) {
         updates.applyList(context, EndpointListKind.CACHED, cached.endpoints());
         runCommands(context, watch.start(context.nowMs(), cached.version()));
     }
 
-    /** Applies the endpoint list of a new configuration if it is newer, and a change of where lists come from. */
+    /** Applies the endpoint list of a new configuration if it is newer, and a change of the discovery source. */
     void onReconfigured(ReducerContext context, EndpointList configured, boolean discoveryMoved) {
         runCommands(context, watch.changeSource(context.nowMs(), settings.discoverySource()));
         if (watch.acceptVersion(configured.version(), false)) {
             updates.applyList(context, EndpointListKind.CACHED, configured.endpoints());
         }
         if (discoveryMoved) {
-            // Guards the list against the pause after a failed call: a change that the new address has counts as
-            // received soon.
+            // Guards against the backoff after a failed call: the node counts as notified of the new address's changes
+            // soon.
             runCommands(context, watch.reopen(context.nowMs(), true));
         }
     }
@@ -61,7 +61,7 @@
                 }
             }
         }
-        // Changes from now on are sent to both processes; the first call of this one may be seconds away.
+        // Discovery sends changes from now on to both processes, and the first scheduled call may be seconds away.
         runCommands(context, watch.reopen(context.nowMs(), false));
     }
 
@@ -71,7 +71,7 @@
         if (watch.onEndpointList(context.nowMs(), event.call(), list.version(), list.complete())) {
             counters.count(Counter.ENDPOINT_LISTS);
             EndpointListKind kind = list.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES;
-            updates.applyList(context, kind, endpoints.withUnreadableHosts(list));
+            updates.applyList(context, kind, endpoints.withMalformedHostsUnchanged(list));
         }
     }
 
@@ -92,7 +92,7 @@
         runCommands(context, watch.onTimer(context.nowMs(), timer.timerId()));
     }
 
-    /** How long discovery has been silent, in milliseconds. */
+    /** The time since the last message of discovery, in milliseconds; infinite if there was none. */
     double silentMs(double nowMs) {
         return watch.silentMs(nowMs);
     }
--- a/core/src/main/java/brackenbridge/core/EndpointList.java
+++ b/core/src/main/java/brackenbridge/core/EndpointList.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * An endpoint list: the complete one, or the entries that have changed.
+ * An endpoint list: either complete or only the changed entries.
  *
  * @param version the list's version
- * @param complete whether it is the complete list
+ * @param complete whether it names all endpoints; otherwise only those that have changed
  * @param endpoints its entries
- * @param unreadableHosts hosts whose entries are unreadable: they stay as they were
+ * @param malformedHosts hosts whose entries are malformed: their previous entries stay in force
  */
 public record EndpointList(
         long version, boolean complete, List<ServerEndpoint> endpoints, List<String> malformedHosts) {
@@ -18,7 +18,7 @@
         malformedHosts = List.copyOf(malformedHosts);
     }
 
-    /** A list without unreadable entries. */
+    /** A list without malformed entries. */
     public EndpointList(long version, boolean complete, List<ServerEndpoint> endpoints) {
         this(version, complete, endpoints, List.of());
     }
--- a/core/src/main/java/brackenbridge/core/EndpointTable.java
+++ b/core/src/main/java/brackenbridge/core/EndpointTable.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 
 /**
- * The known endpoints by the numbers that the balancer knows them by, with the cut-off of each draining host: from
- * then on nothing is sent to it. Times are in milliseconds.
+ * The known endpoints by their ids, with the cut-off of each draining host, from which on nothing is sent to it. Times
+ * are in milliseconds.
  */
 final class EndpointTable {
     private final HostIds ids = new HostIds();
     private final Map<Long, ServerEndpoint> endpoints = new HashMap<>();
-    /** Hosts in the table that are removed from the list and not forgotten yet, with the time of their removal. */
+    /** Hosts that are removed from the list but still in this table, with the time of their removal. */
     private final Map<String, Double> removedHosts = new LinkedHashMap<>();
 
     private final Map<String, Double> cutoffsMs = new HashMap<>();
@@ -28,22 +28,22 @@
         this.settings = settings;
     }
 
-    /** The number by which the balancer knows this host. */
+    /** The id by which the balancer identifies this host. */
     long idOf(String host) {
-        return ids.of(host);
+        return ids.idOf(host);
     }
 
-    /** The endpoint of this number; null if it is not known. */
+    /** The endpoint with this id; null if it is unknown. */
     ServerEndpoint find(long endpointId) {
         return endpoints.get(endpointId);
     }
 
-    /** How many hosts are known, including those that are removed from the list but still in use. */
+    /** The number of known hosts, including those that are removed from the list but still in use. */
     int size() {
         return endpoints.size();
     }
 
-    /** How many hosts the list names. */
+    /** The number of hosts in the list. */
     int listedCount() {
         return endpoints.size() - removedHosts.size();
     }
@@ -52,14 +52,14 @@
         return endpoints.values().stream().anyMatch(endpoint -> endpoint.state() == EndpointState.UP);
     }
 
-    /** All endpoints that the list names. */
+    /** The endpoints in the list. */
     List<ServerEndpoint> listedEndpoints() {
         return endpoints.values().stream()
                 .filter(endpoint -> endpoint.state() != EndpointState.REMOVED)
                 .toList();
     }
 
-    /** How many endpoints of each zone and weight are up. */
+    /** The number of endpoints that are up, by zone and weight. */
     Map<TrafficObserver.PoolKey, Integer> upEndpointsByPool() {
         Map<TrafficObserver.PoolKey, Integer> counts = new HashMap<>();
         for (ServerEndpoint endpoint : endpoints.values()) {
@@ -71,20 +71,20 @@
     }
 
     /**
-     * The received entries, with the known entries of hosts whose new ones were unreadable. Guards a healthy server
-     * against one unreadable entry: left out of a complete list, it would count as removed.
+     * The received entries, and the known entries of hosts whose received ones are malformed. Guards healthy servers
+     * against a malformed entry: if it were left out of a complete list, its host would count as removed.
      */
-    List<ServerEndpoint> withUnreadableHosts(EndpointList list) {
+    List<ServerEndpoint> withMalformedHostsUnchanged(EndpointList list) {
         List<ServerEndpoint> entries = new ArrayList<>(list.endpoints());
         for (String host : Set.copyOf(list.malformedHosts())) {
             if (ids.isKnown(host)) {
-                entries.add(endpoints.get(ids.of(host)));
+                entries.add(endpoints.get(ids.idOf(host)));
             }
         }
         return entries;
     }
 
-    /** A complete list names these endpoints only: all others are marked as removed. */
+    /** Marks all endpoints that a complete list does not contain as removed. */
     void markUnlistedAsRemoved(ReducerContext context, List<ServerEndpoint> listed) {
         Set<String> hosts = new HashSet<>();
         listed.forEach(endpoint -> hosts.add(endpoint.host()));
@@ -106,11 +106,11 @@
                 EndpointState.REMOVED);
     }
 
-    /** Stores an entry of a list; a host that is not up any more gets its cut-off. */
+    /** Stores an entry of a list and sets the cut-off of a host that is not up any more. */
     void put(ReducerContext context, ServerEndpoint endpoint) {
         String host = endpoint.host();
         boolean removed = endpoint.state() == EndpointState.REMOVED;
-        ServerEndpoint before = endpoints.put(ids.of(host), endpoint);
+        ServerEndpoint before = endpoints.put(ids.idOf(host), endpoint);
         if (before != null && (removed || !before.address().equals(endpoint.address()))) {
             context.addEffect(new Effect.CloseIdleConnections(before.host(), before.address()));
         }
@@ -127,8 +127,8 @@
     }
 
     /**
-     * The cut-off leaves room in the drain grace for two stalls of the node: before it has read the change, which was
-     * received earlier, and before a write that was allowed.
+     * Sets the cut-off so that the drain grace covers two stalls of the node: one before it reads the change, which
+     * arrived earlier, and one between allowing a write and performing it.
      */
     private void setCutoff(ReducerContext context, String host) {
         double graceMs = Microseconds.toMs(settings.get().network().drainGrace());
@@ -137,7 +137,7 @@
         context.setTimer(cutoffMs, new TimerKey.DrainCutoff(host));
     }
 
-    /** From now on nothing is sent to this host. */
+    /** Sets the cut-off of this host to the present time. */
     void cutOffNow(String host, double nowMs) {
         cutoffsMs.put(host, nowMs);
     }
@@ -153,16 +153,16 @@
     }
 
     /**
-     * Forgets hosts that were removed longer ago than {@link BalancerSettings#removedRetention} and to which no attempt
-     * is in flight. Guards memory: servers come and go under ever new names. The balancer forgets a host by the same
-     * rule and at the same time.
+     * Forgets hosts that were removed at least {@link BalancerSettings#removedRetention} ago and to which no attempt is
+     * in flight. Guards against unbounded memory where each new server has a new name. The balancer forgets a host by
+     * the same rule and at the same time.
      */
     void forgetRemoved(ReducerContext context, Set<String> hostsInUse) {
         double retentionMs = Microseconds.toMs(settings.get().removedRetention());
         for (Map.Entry<String, Double> removal : List.copyOf(removedHosts.entrySet())) {
             String host = removal.getKey();
             if (!hostsInUse.contains(host) && context.nowMs() - removal.getValue() >= retentionMs) {
-                ServerEndpoint forgotten = endpoints.remove(ids.of(host));
+                ServerEndpoint forgotten = endpoints.remove(ids.idOf(host));
                 ids.forget(host);
                 cutoffsMs.remove(host);
                 removedHosts.remove(host);
--- a/core/src/main/java/brackenbridge/core/EndpointUpdates.java
+++ b/core/src/main/java/brackenbridge/core/EndpointUpdates.java
@@ -40,7 +40,7 @@
         if (!received.supersedes(zoneWeights)) {
             return;
         }
-        // Weights that are only repeated need not reach the balancer, unless they have expired meanwhile.
+        // Unchanged weights are not sent to the balancer again, unless the previous ones have expired meanwhile.
         boolean changed =
                 !received.weights().equals(zoneWeights.weights()) || context.nowMs() >= zoneWeights.expiresAtMs();
         zoneWeights = received;
@@ -50,7 +50,7 @@
         context.setTimer(received.expiresAtMs(), new TimerKey.ZoneWeightsExpired());
     }
 
-    /** Sends the endpoints with the weights that hold now to the balancer. */
+    /** Sends the endpoints to the balancer with the weights now in force. */
     void sendWeights(ReducerContext context) {
         List<Endpoint> entries = endpoints.listedEndpoints().stream()
                 .map(endpoint -> toBalancerEndpoint(endpoint, context.nowMs()))
@@ -58,7 +58,9 @@
         balancer.onEndpointList(context.nowMicros(), EndpointListKind.CHANGES, entries);
     }
 
-    /** The endpoint as the balancer sees it: a weight can't be 0, so one of a zone without load is draining instead. */
+    /**
+     * Converts an endpoint for the balancer: a weight can't be 0, so endpoints of a zone with weight 0 are draining.
+     */
     private Endpoint toBalancerEndpoint(ServerEndpoint endpoint, double nowMs) {
         double zoneWeight = zoneWeights.weightOf(endpoint.zone(), nowMs);
         boolean zoneHasLoad = zoneWeight > 0;
--- a/core/src/main/java/brackenbridge/core/Event.java
+++ b/core/src/main/java/brackenbridge/core/Event.java
@@ -6,17 +6,17 @@
 import brackenbridge.core.share.ZoneWeights;
 
 /**
- * What happens to the node: all that the reducer ever receives. The events are grouped by concern; each group has a
- * handler with a method for each of its events, so that an event that nobody handles does not compile.
+ * An input of the reducer. Events are grouped by concern; each group has a handler interface with one method for each
+ * event, so that an unhandled event is a compile error.
  */
 public sealed interface Event {
-    /** Passes the event with this context to the handler of its group. */
+    /** Passes the event and this context to the handler of its group. */
     <C> void dispatch(C context, EventHandlers<C> handlers);
 
     /**
-     * The handler of each group of events.
+     * The handlers of all groups of events.
      *
-     * @param <C> the context that each event is handled in
+     * @param <C> the type of the context passed with each event
      */
     record EventHandlers<C>(
             RequestEvent.Handler<C> requests,
@@ -27,9 +27,9 @@
             LifeCycleEvent.Handler<C> lifeCycle,
             TimerKey.Handler<C> timers) {}
 
-    /** What happens to a client request, apart from its attempts. */
+    /** An event of a client request, except for its attempts. */
     sealed interface RequestEvent extends Event {
-        /** Passes the event with this context to its method of the handler. */
+        /** Calls the handler's method for this event. */
         <C> void accept(C context, Handler<C> handler);
 
         @Override
@@ -38,9 +38,9 @@
         }
 
         /**
-         * Handles each event of the group.
+         * Handles the events of the group.
          *
-         * @param <C> the context that each event is handled in
+         * @param <C> the type of the context passed with each event
          */
         interface Handler<C> {
             /** A request was received. */
@@ -49,7 +49,7 @@
             /** A request's last byte was received. */
             void onRequestCompleted(C context, RequestCompleted event);
 
-            /** A request is not replayable any more. */
+            /** A request can't be replayed any more. */
             void onRequestBodyReleased(C context, RequestBodyReleased event);
 
             /** The writing of a response has ended. */
@@ -58,12 +58,12 @@
             /** A client has disconnected. */
             void onClientDisconnected(C context, ClientDisconnected event);
 
-            /** A client may have disconnected. */
+            /** It is unknown whether a client is still connected. */
             void onClientPresenceUnknown(C context, ClientPresenceUnknown event);
         }
     }
 
-    /** A listener has received a request and given it an id of the node's own. */
+    /** A listener has received a request and assigned an id to it. */
     record RequestReceived(long requestId, ClientRequest request) implements RequestEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** The last byte of a request has come that was received before it. */
+    /** The last byte of a request that was incomplete when it was received has arrived. */
     record RequestCompleted(long requestId) implements RequestEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -79,7 +79,9 @@
         }
     }
 
-    /** Part of the request's body was sent to a server and is not buffered any more: it is not replayable. */
+    /**
+     * Part of the request's body was sent to a server and is not buffered any more, so the request can't be replayed.
+     */
     record RequestBodyReleased(long requestId) implements RequestEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -91,13 +93,13 @@
     enum ResponseEnd {
         /** The last byte was sent. */
         COMPLETE,
-        /** Its server could not finish it, so it was truncated. */
+        /** The server did not complete it, so it was truncated. */
         TRUNCATED,
-        /** Its client disconnected. */
+        /** The client disconnected. */
         ABANDONED
     }
 
-    /** The response is written, or never will be. */
+    /** The writing of a response has ended, completely or not. */
     record ResponseFinished(long requestId, ResponseEnd end) implements RequestEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -113,7 +115,7 @@
         }
     }
 
-    /** Unread bytes hide whether the request's client is still connected: no attempt may start for it any more. */
+    /** Unread bytes hide whether the request's client is still connected: no further attempt may start. */
     record ClientPresenceUnknown(long requestId) implements RequestEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -121,9 +123,9 @@
         }
     }
 
-    /** What happens to an attempt of a request. */
+    /** An event of an attempt. */
     sealed interface AttemptEvent extends Event {
-        /** Passes the event with this context to its method of the handler. */
+        /** Calls the handler's method for this event. */
         <C> void accept(C context, Handler<C> handler);
 
         @Override
@@ -132,15 +134,15 @@
         }
 
         /**
-         * Handles each event of the group.
+         * Handles the events of the group.
          *
-         * @param <C> the context that each event is handled in
+         * @param <C> the type of the context passed with each event
          */
         interface Handler<C> {
             /** An attempt was written completely. */
             void onAttemptWritten(C context, AttemptWritten event);
 
-            /** A server has answered an attempt. */
+            /** A server has responded to an attempt. */
             void onResponseReceived(C context, ResponseReceived event);
 
             /** An attempt's connection was lost. */
@@ -154,7 +156,7 @@
         }
     }
 
-    /** The attempt's last byte has been written: from now on it may run. */
+    /** The attempt's last byte has been written: from now on the server may run it. */
     record AttemptWritten(long requestId, int attempt) implements AttemptEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -162,19 +164,19 @@
         }
     }
 
-    /** What a server's answer means. */
+    /** The classification of a server's response. */
     enum ResponseKind {
-        /** Served. */
+        /** The request was served. */
         SERVED,
         /** An error; the request may have run. */
         ERROR,
-        /** Rejected without running the request. */
+        /** The server is full and rejected the request without running it. */
         SERVER_FULL,
-        /** The request itself is invalid, whichever server it is sent to. */
+        /** The request itself is invalid, regardless of the server. */
         INVALID_REQUEST
     }
 
-    /** The server has answered the attempt; the report is null if none came. */
+    /** The server has responded to the attempt; the report is null if the response has none. */
     record ResponseReceived(long requestId, int attempt, ResponseKind kind, Object message, LoadReport report)
             implements AttemptEvent {
         @Override
@@ -191,7 +193,7 @@
         }
     }
 
-    /** The node has no room for another connection: nothing was sent, through no fault of the server. */
+    /** No byte of the attempt was sent, for example for lack of connections; this is not the server's fault. */
     record AttemptNotStarted(long requestId, int attempt) implements AttemptEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -199,7 +201,7 @@
         }
     }
 
-    /** A system call of the node failed before the attempt was written: it never ran, through no server's fault. */
+    /** A system call of the node failed before the attempt was written: it never ran, and no server is at fault. */
     record AttemptFailedLocally(long requestId, int attempt) implements AttemptEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -207,9 +209,9 @@
         }
     }
 
-    /** What discovery, or another process of the node, says of the endpoint list. */
+    /** An event of the endpoint list, from discovery or from another process of the node. */
     sealed interface DiscoveryEvent extends Event {
-        /** Passes the event with this context to its method of the handler. */
+        /** Calls the handler's method for this event. */
         <C> void accept(C context, Handler<C> handler);
 
         @Override
@@ -218,12 +220,12 @@
         }
 
         /**
-         * Handles each event of the group.
+         * Handles the events of the group.
          *
-         * @param <C> the context that each event is handled in
+         * @param <C> the type of the context passed with each event
          */
         interface Handler<C> {
-            /** A list of another process was received. */
+            /** The list of another process was received. */
             void onEndpointListInherited(C context, EndpointListInherited event);
 
             /** A list or a change was received. */
@@ -237,7 +239,7 @@
         }
     }
 
-    /** Another process of this node hands over its endpoint list. */
+    /** Another process of this node has handed over its endpoint list. */
     record EndpointListInherited(EndpointList endpoints) implements DiscoveryEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -253,7 +255,7 @@
         }
     }
 
-    /** Discovery has said on a watch that nothing has changed. */
+    /** Discovery has reported on a watch that nothing has changed. */
     record DiscoveryHeartbeat(long call) implements DiscoveryEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -269,9 +271,9 @@
         }
     }
 
-    /** What happens to a health check. */
+    /** An event of a health check. */
     sealed interface HealthCheckEvent extends Event {
-        /** Passes the event with this context to its method of the handler. */
+        /** Calls the handler's method for this event. */
         <C> void accept(C context, Handler<C> handler);
 
         @Override
@@ -280,9 +282,9 @@
         }
 
         /**
-         * Handles each event of the group.
+         * Handles the events of the group.
          *
-         * @param <C> the context that each event is handled in
+         * @param <C> the type of the context passed with each event
          */
         interface Handler<C> {
             /** A health check has ended. */
@@ -290,7 +292,10 @@
         }
     }
 
-    /** A health check was answered, or failed if neither passed nor answered; the report is null if none came. */
+    /**
+     * A health check has ended; {@code responded} is false if the server could not be reached. The report is null if
+     * the response has none.
+     */
     record HealthCheckEnded(long healthCheckId, boolean responded, boolean passed, LoadReport report)
             implements HealthCheckEvent {
         @Override
@@ -299,9 +304,9 @@
         }
     }
 
-    /** What the fleet sets for this node. */
+    /** A value that the fleet sets for this node. */
     sealed interface FleetEvent extends Event {
-        /** Passes the event with this context to its method of the handler. */
+        /** Calls the handler's method for this event. */
         <C> void accept(C context, Handler<C> handler);
 
         @Override
@@ -310,9 +315,9 @@
         }
 
         /**
-         * Handles each event of the group.
+         * Handles the events of the group.
          *
-         * @param <C> the context that each event is handled in
+         * @param <C> the type of the context passed with each event
          */
         interface Handler<C> {
             /** Tenant quotas were received. */
@@ -323,7 +328,7 @@
         }
     }
 
-    /** How many connections each tenant may hold at this node. */
+    /** The number of connections that each tenant may hold at this node. */
     record TenantQuotasReceived(TenantQuotas quotas) implements FleetEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -331,7 +336,7 @@
         }
     }
 
-    /** How much of its usual load each zone's servers are to get. */
+    /** The fraction of their usual load that the servers of each zone get. */
     record ZoneWeightsReceived(ZoneWeights weights) implements FleetEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -339,9 +344,9 @@
         }
     }
 
-    /** What the node's operators and its platform want of it. */
+    /** A request of the node's operators or of its platform, or a change of the node's own processes. */
     sealed interface LifeCycleEvent extends Event {
-        /** Passes the event with this context to its method of the handler. */
+        /** Calls the handler's method for this event. */
         <C> void accept(C context, Handler<C> handler);
 
         @Override
@@ -350,21 +355,21 @@
         }
 
         /**
-         * Handles each event of the group.
+         * Handles the events of the group.
          *
-         * @param <C> the context that each event is handled in
+         * @param <C> the type of the context passed with each event
          */
         interface Handler<C> {
             /** The node starts. */
             void onStarted(C context, Started event);
 
-            /** Another process serves, or no more. */
+            /** A successor process has started or stopped serving. */
             void onSuccessorChanged(C context, SuccessorChanged event);
 
-            /** The configuration was read again. */
+            /** The configuration was reloaded. */
             void onReconfigured(C context, Reconfigured event);
 
-            /** A drain, or its end, was requested. */
+            /** A drain or its cancellation was requested. */
             void onDrainRequested(C context, DrainRequested event);
 
             /** A stop was requested. */
@@ -372,7 +377,7 @@
         }
     }
 
-    /** The node starts, with the endpoint list as it was last cached. */
+    /** The node starts with the cached endpoint list. */
     record Started(EndpointList cachedEndpoints) implements LifeCycleEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -380,7 +385,7 @@
         }
     }
 
-    /** Another process of this node serves clients as well and is to replace this one, or does so no more. */
+    /** Another process of this node, which will replace this one, has started or stopped serving clients. */
     record SuccessorChanged(boolean serving) implements LifeCycleEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -389,11 +394,11 @@
     }
 
     /**
-     * The configuration was read again.
+     * The configuration was reloaded.
      *
-     * @param settings the settings of requests that are received from now on
-     * @param configuredEndpoints the endpoint list that it contains, perhaps out of date
-     * @param discoveryMoved whether it names another address for discovery
+     * @param settings the settings for requests that are received from now on
+     * @param configuredEndpoints the endpoint list that it contains, which may be out of date
+     * @param discoveryMoved whether the address of discovery has changed
      */
     record Reconfigured(BalancerSettings settings, EndpointList configuredEndpoints, boolean discoveryMoved)
             implements LifeCycleEvent {
@@ -403,7 +408,7 @@
         }
     }
 
-    /** The node is to be drained, or to serve again after that. */
+    /** Start a drain, or cancel it. */
     record DrainRequested(boolean enabled) implements LifeCycleEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -411,7 +416,7 @@
         }
     }
 
-    /** The node is to stop. */
+    /** Stop the node. */
     record StopRequested() implements LifeCycleEvent {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -419,7 +424,7 @@
         }
     }
 
-    /** A timer is due. */
+    /** A timer has fired. */
     record TimerFired(TimerKey key) implements Event {
         @Override
         public <C> void dispatch(C context, EventHandlers<C> handlers) {
--- a/core/src/main/java/brackenbridge/core/FleetEvents.java
+++ b/core/src/main/java/brackenbridge/core/FleetEvents.java
@@ -1,6 +1,6 @@
 package brackenbridge.core;
 
-/** Applies what the fleet sets for this node: tenant quotas and zone weights. */
+/** Applies the tenant quotas and zone weights that the fleet sets for this node. */
 final class FleetEvents implements Event.FleetEvent.Handler<ReducerContext> {
     private final TenantAdmission admission;
     private final EndpointUpdates endpoints;
--- a/core/src/main/java/brackenbridge/core/HealthChecks.java
+++ b/core/src/main/java/brackenbridge/core/HealthChecks.java
@@ -8,7 +8,6 @@
 
 /** Reports the end of each health check to the balancer, at the latest by its timeout. */
 final class HealthChecks implements Event.HealthCheckEvent.Handler<ReducerContext> {
-    /** How long a health check may take. */
     static final double HEALTH_CHECK_TIMEOUT_MS = 1000;
 
     private record PendingHealthCheck(long endpointId, double startedMs) {}
--- a/core/src/main/java/brackenbridge/core/LifeCycle.java
+++ b/core/src/main/java/brackenbridge/core/LifeCycle.java
@@ -12,17 +12,17 @@
 
     /** The steps of a drain, each with its delay after the drain was requested, in milliseconds. */
     enum DrainStep {
-        /** The front end has noticed: idle connections are closed. */
+        /** Idle connections are closed, once the front end has noticed the drain. */
         CLOSE_IDLE_CLIENTS(600),
-        /** New requests are rejected, so that none of them is open long after. */
+        /** New requests are rejected, so that none stays open much longer. */
         REJECT_NEW_REQUESTS(1800),
         /** Requests that are still incomplete are rejected. */
         REJECT_INCOMPLETE_REQUESTS(3300);
 
-        final double afterMs;
+        final double delayMs;
 
         DrainStep(double afterMs) {
-            this.afterMs = afterMs;
+            this.delayMs = afterMs;
         }
     }
 
@@ -34,8 +34,8 @@
         return phase;
     }
 
-    /** The node has its first endpoint list; false if it had started before. */
-    boolean started() {
+    /** Starts serving with the first endpoint list; false if the node had started before. */
+    boolean start() {
         return transition(LifeCyclePhase.STARTING, LifeCyclePhase.SERVING);
     }
 
@@ -55,14 +55,14 @@
         return transition(LifeCyclePhase.DRAINING, LifeCyclePhase.SERVING);
     }
 
-    /** Starts the stop; false if the node is stopping already. */
+    /** Starts the shutdown; false if the node is stopping already. */
     boolean stop() {
         boolean first = phase != LifeCyclePhase.STOPPING;
         phase = LifeCyclePhase.STOPPING;
         return first;
     }
 
-    /** The number of the latest drain: the steps of an earlier one do nothing. */
+    /** The number of the latest drain; steps of earlier drains are ignored. */
     long drainCount() {
         return drainCount;
     }
@@ -72,17 +72,15 @@
         return phase == LifeCyclePhase.DRAINING && drain == drainCount;
     }
 
-    /** From now on new requests are rejected. */
     void startRejecting() {
         rejecting = true;
     }
 
-    /** Whether new requests are rejected. */
     boolean isRejecting() {
         return rejecting;
     }
 
-    /** Changes the phase if it is the one expected; false if it is not. */
+    /** Changes the phase if the current one is {@code from}; otherwise returns false. */
     private boolean transition(LifeCyclePhase from, LifeCyclePhase to) {
         if (phase != from) {
             return false;
--- a/core/src/main/java/brackenbridge/core/LifeCycleEvents.java
+++ b/core/src/main/java/brackenbridge/core/LifeCycleEvents.java
@@ -4,7 +4,7 @@
 import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 
-/** Starts the node, changes its settings and passes drains and stops on. */
+/** Handles the node's start, changes of its settings, drains and the shutdown. */
 final class LifeCycleEvents implements Event.LifeCycleEvent.Handler<ReducerContext> {
     private final CurrentSettings settings;
     private final LifeCycle lifeCycle;
@@ -33,7 +33,7 @@
 
     @Override
     public void onStarted(ReducerContext context, Event.Started event) {
-        lifeCycle.started();
+        lifeCycle.start();
         discovery.start(context, event.cachedEndpoints());
     }
 
@@ -48,7 +48,7 @@
         if (settings.differFrom(event.settings())) {
             settings.apply(event.settings());
             shutdown.onSettingsChanged(context);
-            requests.rejectWaitingWithChangedRules(context);
+            requests.rejectWaitingWithChangedClass(context);
             context.runGuarded(() -> balancer.onSettings(context.nowMicros(), event.settings()));
         }
         discovery.onReconfigured(context, event.configuredEndpoints(), event.discoveryMoved());
--- a/core/src/main/java/brackenbridge/core/LocalReplies.java
+++ b/core/src/main/java/brackenbridge/core/LocalReplies.java
@@ -3,12 +3,12 @@
 import brackenbridge.counters.Counter;
 import java.util.function.LongSupplier;
 
-/** Ends requests with a reply of the node's own, and gives each rejection a Retry-After. */
+/** Ends requests with local replies, and adds a Retry-After to each rejection. */
 final class LocalReplies {
     private final OpenRequests requests;
     private final ResponsesInProgress responses;
     private final TrafficObservation observation;
-    /** The balancer's advice, in microseconds. */
+    /** The Retry-After that the balancer suggests, in microseconds. */
     private final LongSupplier suggestedRetryAfter;
 
     LocalReplies(
@@ -27,7 +27,9 @@
         send(context, request, reply, 0);
     }
 
-    /** Ends the request with this reply; without a Retry-After, a rejection has the one that the balancer suggests. */
+    /**
+     * Ends the request with this reply; a rejection with {@code retryAfterMs} 0 has the one that the balancer suggests.
+     */
     void send(ReducerContext context, OpenRequest request, Effect.LocalReply reply, double retryAfterMs) {
         boolean rejected = reply == Effect.LocalReply.REJECTED;
         if (rejected) {
@@ -47,7 +49,7 @@
         };
     }
 
-    /** When the balancer wants rejected clients to retry; 0 if it fails to say. */
+    /** The Retry-After that the balancer suggests; 0 if the balancer throws. */
     private double suggestedRetryAfterMs(ReducerContext context) {
         try {
             return Microseconds.toMs(suggestedRetryAfter.getAsLong());
--- a/core/src/main/java/brackenbridge/core/Microseconds.java
+++ b/core/src/main/java/brackenbridge/core/Microseconds.java
@@ -1,6 +1,6 @@
 package brackenbridge.core;
 
-/** Converts between the node's milliseconds and the balancer's whole microseconds. */
+/** Converts between the node's milliseconds and the balancer's integer microseconds. */
 final class Microseconds {
     private Microseconds() {}
 
--- a/core/src/main/java/brackenbridge/core/OpenRequest.java
+++ b/core/src/main/java/brackenbridge/core/OpenRequest.java
@@ -3,13 +3,13 @@
 import brackenbridge.core.balancing.Idempotence;
 import brackenbridge.core.balancing.RequestClass;
 
-/** A client request that has no final answer yet, or still has an attempt in flight. Times are in milliseconds. */
+/** A client request that has no final response yet, or still has an attempt in flight. Times are in milliseconds. */
 final class OpenRequest {
     final long id;
     final String className;
-    /** Its class by the settings under which it was received. */
-    final RequestClass rules;
-    /** The number of attempts allowed by the settings under which it was received. */
+    /** Its request class, by the settings in force when it was received. */
+    final RequestClass requestClass;
+    /** The maximum number of attempts, by the settings in force when it was received. */
     final int maxAttempts;
 
     final Object message;
@@ -17,21 +17,21 @@
     final String tenant;
 
     final boolean clientRetry;
-    /** How long its client waits, from the request's last byte on. */
+    /** How long the node may take from the request's last byte on: the client's timeout less a margin. */
     final double timeoutMs;
-    /** It may have waited this long before the node could see it. */
-    final double maxUnseenWaitMs;
-    /** The balancer knows of it: it does not wait for its tenant's admission. */
-    boolean started;
+    /** The longest that it may have waited in the backlog before the node read it. */
+    final double maxBacklogWaitMs;
+    /** It was passed to the balancer; until then it waits for its tenant's quota. */
+    boolean dispatched;
     /** Infinite until its last byte has been received. */
     double deadlineMs;
-    /** Part of its body is not buffered any more, so it is not replayable. */
+    /** Part of its body is not buffered any more, so it can't be replayed. */
     boolean bodyReleased;
 
     int attemptCount;
     /** The attempt in flight; null if there is none. */
     Attempt attempt;
-    /** It has its final answer, or its client has disconnected. */
+    /** It has its final response, or its client has disconnected. */
     boolean ended;
     /** Its last attempt timed out. */
     boolean timedOut;
@@ -41,16 +41,21 @@
     double firstRunMs;
 
     OpenRequest(
-            long id, ClientRequest request, RequestClass rules, int maxAttempts, double timeoutMs, double deadlineMs) {
+            long id,
+            ClientRequest request,
+            RequestClass requestClass,
+            int maxAttempts,
+            double timeoutMs,
+            double deadlineMs) {
         this.id = id;
         this.className = request.className();
-        this.rules = rules;
+        this.requestClass = requestClass;
         this.maxAttempts = maxAttempts;
         this.message = request.message();
         this.tenant = request.tenant();
         this.clientRetry = request.clientRetry();
         this.timeoutMs = timeoutMs;
-        this.maxUnseenWaitMs = request.maxBacklogWaitMs();
+        this.maxBacklogWaitMs = request.maxBacklogWaitMs();
         this.deadlineMs = deadlineMs;
     }
 
@@ -59,27 +64,27 @@
         return deadlineMs < Double.POSITIVE_INFINITY;
     }
 
-    /** Its deadline if its last byte has been received, else the deadline that it would have if that came now. */
+    /** Its deadline; for an incomplete request, the deadline that it would have if its last byte arrived now. */
     double expectedDeadlineMs(double nowMs) {
         return isComplete() ? deadlineMs : nowMs + timeoutMs;
     }
 
     /**
-     * Until when this attempt may begin. The first one may use time that its client perhaps spent unseen, since the
-     * client may not have waited at all; a further one must not outlast a client that has waited that long.
+     * The latest start of this attempt. The first attempt ignores a possible wait in the backlog, since the request may
+     * not have waited at all; a retry must not outlast a client that has waited as long as possible.
      */
     double attemptDeadlineMs(int number) {
-        return number == 0 ? deadlineMs : deadlineMs - maxUnseenWaitMs;
+        return number == 0 ? deadlineMs : deadlineMs - maxBacklogWaitMs;
     }
 
-    /** Whether servers may have forgotten that they ran it by the time another attempt reaches them. */
+    /** Whether its idempotency key may have expired at the servers by the time another attempt reaches them. */
     boolean isIdempotencyKeyExpired(double nowMs) {
         return mayHaveRun
-                && rules.idempotence() == Idempotence.IDEMPOTENCY_KEY
-                && nowMs >= firstRunMs + Microseconds.toMs(rules.idempotencyKeyTtl()) - Attempt.MAX_STALL_MS;
+                && requestClass.idempotence() == Idempotence.IDEMPOTENCY_KEY
+                && nowMs >= firstRunMs + Microseconds.toMs(requestClass.idempotencyKeyTtl()) - Attempt.MAX_STALL_MS;
     }
 
-    /** The local reply if it ends without a response: a rejection only if no attempt of it may have run. */
+    /** The local reply if it ends without a response: a rejection only if no attempt may have run. */
     Effect.LocalReply failureReply(Effect.LocalReply ifMayHaveRun) {
         return mayHaveRun ? ifMayHaveRun : Effect.LocalReply.REJECTED;
     }
--- a/core/src/main/java/brackenbridge/core/OpenRequests.java
+++ b/core/src/main/java/brackenbridge/core/OpenRequests.java
@@ -11,7 +11,7 @@
 /** The table of open requests. */
 final class OpenRequests {
     private final Map<Long, OpenRequest> requests = new HashMap<>();
-    /** Requests that were removed and whose tenant's quota is not released yet. */
+    /** Removed requests whose tenant's quota is not released yet. */
     private final ArrayDeque<Long> removedIds = new ArrayDeque<>();
 
     private boolean tracksRemovals;
@@ -22,12 +22,12 @@
         unanswered++;
     }
 
-    /** The request of this id; null if it is not open. */
+    /** The request with this id; null if it is not open. */
     OpenRequest find(long requestId) {
         return requests.get(requestId);
     }
 
-    /** The request if this attempt is the one in flight, else null: an event of any other attempt comes too late. */
+    /** The request if this attempt is in flight, else null: events of any other attempt are outdated. */
     OpenRequest findByCurrentAttempt(long requestId, int attempt) {
         OpenRequest request = requests.get(requestId);
         return request != null && request.attempt != null && request.attempt.number == attempt ? request : null;
@@ -42,7 +42,7 @@
         return List.copyOf(requests.values());
     }
 
-    /** Requests without a final answer whose clients wait for one. */
+    /** The number of requests whose clients wait for a final response. */
     int unanswered() {
         return unanswered;
     }
@@ -58,7 +58,10 @@
         return hosts;
     }
 
-    /** The request has its final answer, or needs none; it is removed once no attempt of it is in flight. */
+    /**
+     * Marks a request as ended, because it has its final response or needs none; it is removed once no attempt is in
+     * flight.
+     */
     void end(ReducerContext context, OpenRequest request) {
         request.ended = true;
         unanswered--;
@@ -68,8 +71,8 @@
     }
 
     /**
-     * Removes a request with its timer. Guards memory: a client may name any time left, and its timer must not outlive
-     * its request.
+     * Removes a request and cancels its timer. Guards against unbounded memory: a client may send any time left, and
+     * the timer must not outlive its request.
      */
     void remove(ReducerContext context, OpenRequest request) {
         if (requests.remove(request.id, request)) {
@@ -80,12 +83,12 @@
         }
     }
 
-    /** From now on {@link #removedIds} holds the requests that are removed. */
+    /** From now on {@link #removedIds} records the requests that are removed. */
     void startTrackingRemovals() {
         tracksRemovals = true;
     }
 
-    /** Requests that were removed, oldest first; whoever handles one takes it out. */
+    /** Removed requests, oldest first; the caller polls those that it handles. */
     ArrayDeque<Long> removedIds() {
         return removedIds;
     }
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -12,11 +12,11 @@
 import java.util.function.BiFunction;
 
 /**
- * Owns all decision state of a node: an event goes in, its effects come out. It passes each event to the part that
- * handles it, turns the balancer's actions into effects, and keeps the node's own guarantees: one final answer for each
- * request, one outcome for each attempt, nothing sent to a host after its drain grace. It takes no balancing decision.
+ * Owns all decision state of a node and turns each event into effects. It dispatches each event to its handler, turns
+ * the balancer's actions into effects, and enforces the node's own guarantees: one final response for each request, one
+ * outcome for each attempt, nothing sent to a host after its drain grace. It makes no balancing decision.
  *
- * <p>It is confined to one thread.
+ * <p>Not thread-safe: it is confined to one thread.
  */
 public final class Reducer {
     private final ReducerContext context = new ReducerContext();
@@ -34,14 +34,14 @@
     private final DrainAndShutdown shutdown;
     private final Event.EventHandlers<ReducerContext> handlers;
 
-    /** Starts a node; the balancer draws its random numbers from the settings' seed. */
+    /** Creates the reducer of a node; the settings' seed determines the balancer's random numbers. */
     public Reducer(BalancerSettings settings, Counters counters) {
         this(settings, counters, Balancer::new);
     }
 
     /**
-     * Starts a node with another balancer, so that a laboratory can compare others with the node's own under the same
-     * guarantees; a running node always has its own.
+     * Creates a reducer with another balancer, so that the laboratory can compare balancers under the same guarantees;
+     * a running node always uses {@link Balancer}.
      */
     public Reducer(
             BalancerSettings settings,
@@ -94,15 +94,15 @@
                 timers);
     }
 
-    /** The replies need the balancer's advice, and the balancer's actions need the replies. */
+    /** Called lazily, because local replies and the balancer need each other. */
     private long suggestedRetryAfter() {
         return balancer.suggestedRetryAfter();
     }
 
-    /** Handles an event; the effects are to be run in order. */
+    /** Handles an event; the returned effects must be run in order. */
     public List<Effect> reduce(double nowMs, Event event) {
         context.startEvent(nowMs);
-        // Guards the node against a fault in a decision: each request's own deadline still answers it.
+        // Guards the node against a fault in a decision: every request is still answered by its deadline timer.
         try {
             event.dispatch(context, handlers);
             attempts.deliverPendingOutcomes(context);
@@ -124,17 +124,17 @@
         return lifeCycle.phase() == LifeCycle.LifeCyclePhase.STOPPING;
     }
 
-    /** From now on the traffic to each pool is counted. */
+    /** Starts counting the traffic to each pool. */
     public void startObserving() {
         observation.enable();
     }
 
-    /** The traffic to each pool until the last event; nothing before {@link #startObserving}. */
+    /** The traffic to each pool up to the last event; empty before {@link #startObserving}. */
     public TrafficObserver.TrafficSnapshot observation() {
         return observation.snapshot(context.nowMs(), endpoints);
     }
 
-    /** The operators' metrics at the last event. */
+    /** The operators' metrics as of the last event. */
     public String metricsText() {
         return OperatorMetrics.lines(
                 counters,
@@ -146,14 +146,14 @@
                         discovery.silentMs(context.nowMs())));
     }
 
-    /** What each tenant wanted and used since the last call; nothing without quotas. */
+    /** The demand and usage of each tenant since the last call; empty without quotas. */
     public List<TenantUsage> takeTenantUsage(double nowMs) {
-        return admission.takeUse(nowMs);
+        return admission.takeUsage(nowMs);
     }
 
     /**
-     * The client's time left that an attempt may send to its server, in milliseconds; 0 if it must not begin any more.
-     * To be called when its first byte is about to be written: it may have waited long for its connection.
+     * The client's remaining time to send to an attempt's server, in milliseconds; 0 if the attempt must not start any
+     * more. Call this just before its first byte is written: it may have waited long for its connection.
      */
     public double timeLeftMs(double nowMs, long requestId, int attempt) {
         return attempts.timeLeftMs(nowMs, requestId, attempt);
@@ -164,7 +164,7 @@
         return discovery.endpointList();
     }
 
-    /** How many hosts are known, including those that are removed from the list but still in use. */
+    /** The number of known hosts, including those that are removed from the list but still in use. */
     int hostCount() {
         return endpoints.size();
     }
--- a/core/src/main/java/brackenbridge/core/ReducerContext.java
+++ b/core/src/main/java/brackenbridge/core/ReducerContext.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What the parts of the {@link Reducer} share while one event is handled: its time, its effects in order, and the
- * outcomes that the balancer has yet to receive. It is reused from event to event, so that it costs no allocation.
+ * State that the parts of the {@link Reducer} share while an event is handled: its time, its effects in order, and the
+ * outcomes not yet delivered to the balancer. One instance is reused for all events, to avoid allocation.
  */
 final class ReducerContext {
     private final ArrayDeque<PendingOutcome> pendingOutcomes = new ArrayDeque<>();
@@ -23,7 +23,7 @@
         return nowMs;
     }
 
-    /** The event's time in the balancer's unit. */
+    /** The event's time in microseconds, the balancer's unit. */
     long nowMicros() {
         return Microseconds.ofMs(nowMs);
     }
@@ -44,18 +44,18 @@
         pendingOutcomes.add(outcome);
     }
 
-    /** The oldest outcome that is not delivered, which counts as delivered from now on; null if there is none. */
+    /** Removes and returns the oldest undelivered outcome; null if there is none. */
     PendingOutcome pollPendingOutcome() {
         return pendingOutcomes.poll();
     }
 
-    /** Reports a fault of the balancer; outcomes that it has not received are discarded. */
+    /** Reports a fault of the balancer and discards the undelivered outcomes. */
     void reportFault(RuntimeException fault) {
         pendingOutcomes.clear();
         effects.add(new Effect.ReportFault(fault));
     }
 
-    /** Runs a step in which a fault must not prevent the steps after it. */
+    /** Runs a step whose fault must not prevent the following steps. */
     void runGuarded(Runnable step) {
         try {
             step.run();
--- a/core/src/main/java/brackenbridge/core/RequestDispatch.java
+++ b/core/src/main/java/brackenbridge/core/RequestDispatch.java
@@ -3,9 +3,9 @@
 import brackenbridge.core.balancing.BalancerApi;
 import brackenbridge.core.balancing.BalancerRequest;
 
-/** Hands a request over to the balancer: at once, or when its tenant's quota admits it. */
+/** Passes a request to the balancer: at once, or when its tenant's quota admits it. */
 final class RequestDispatch {
-    /** The balancer's value for a key or a cost that is not known. */
+    /** The balancer's value for an unknown key or cost. */
     private static final long UNKNOWN_KEY_OR_COST = -1;
 
     private final BalancerApi balancer;
@@ -14,11 +14,11 @@
         this.balancer = balancer;
     }
 
-    void start(ReducerContext context, OpenRequest request) {
-        request.started = true;
+    void dispatch(ReducerContext context, OpenRequest request) {
+        request.dispatched = true;
         boolean complete = request.isComplete();
         double timeLeftMs = complete ? request.deadlineMs - context.nowMs() : request.timeoutMs;
-        BalancerRequest arrived = new BalancerRequest(
+        BalancerRequest balancerRequest = new BalancerRequest(
                 request.id,
                 request.className,
                 request.tenant,
@@ -27,9 +27,9 @@
                 UNKNOWN_KEY_OR_COST,
                 request.clientRetry);
         if (complete) {
-            balancer.onRequest(context.nowMicros(), arrived);
+            balancer.onRequest(context.nowMicros(), balancerRequest);
         } else {
-            balancer.onStreamedRequest(context.nowMicros(), arrived);
+            balancer.onStreamedRequest(context.nowMicros(), balancerRequest);
         }
     }
 }
--- a/core/src/main/java/brackenbridge/core/RequestLifecycle.java
+++ b/core/src/main/java/brackenbridge/core/RequestLifecycle.java
@@ -6,15 +6,15 @@
 import brackenbridge.counters.Counter;
 import brackenbridge.counters.Counters;
 
-/** Follows each request from its receipt to its one final answer, which goes out by its deadline at the latest. */
+/** Tracks each request from its receipt to its one final response, which is sent by its deadline at the latest. */
 final class RequestLifecycle implements Event.RequestEvent.Handler<ReducerContext> {
-    /** A request ends this long before its client gives up, so that the answer still arrives in time. */
+    /** A request ends this long before its client's timeout, so that the response still arrives in time. */
     static final double DEADLINE_MARGIN_MS = 5;
-    /** The margin grows by the node's recent timer lateness, up to this ratio of the request's timeout. */
+    /** The margin grows by the node's recent timer lateness, up to this fraction of the client's timeout. */
     static final double LATENESS_MARGIN_RATIO = 0.25;
     /**
-     * And up to this: a node with half a core notices 97 of 100 deadlines within 19 ms. What is later is a cold start,
-     * which no margin covers and which would only cost requests their time.
+     * Upper bound of that growth: with half a core, 97 of 100 deadline timers fire within 19 ms. Longer delays come
+     * from a cold start: no margin covers them, and a larger one would only shorten the time of requests.
      */
     static final double MAX_LATENESS_MARGIN_MS = 20;
 
@@ -59,8 +59,8 @@
         }
         OpenRequest request = open(context, event.requestId(), received);
         if (lifeCycle.isRejecting()) {
-            // Guards the operators' expectation that a drained node is empty: what is received after the front end has
-            // moved its traffic elsewhere has never run and does not start here any more.
+            // Guards the operators' expectation that a drained node becomes empty: requests received after the front
+            // end has moved its traffic elsewhere have never run and are not started.
             localReplies.send(context, request, Effect.LocalReply.REJECTED);
             return;
         }
@@ -70,23 +70,23 @@
 
     private OpenRequest open(ReducerContext context, long requestId, ClientRequest received) {
         double nowMs = context.nowMs();
-        RequestClass rules = settings.requestClass(received.className());
+        RequestClass requestClass = settings.requestClass(received.className());
         double clientTimeoutMs =
-                received.timeLeftMs() >= 0 ? received.timeLeftMs() : Microseconds.toMs(rules.deadline());
+                received.timeLeftMs() >= 0 ? received.timeLeftMs() : Microseconds.toMs(requestClass.deadline());
         double timeoutMs = Math.max(0, clientTimeoutMs - DEADLINE_MARGIN_MS - latenessMarginMs(nowMs, clientTimeoutMs));
         double deadlineMs = received.complete() ? nowMs + timeoutMs : Double.POSITIVE_INFINITY;
         int maxAttempts = settings.get().maxAttempts();
-        OpenRequest request = new OpenRequest(requestId, received, rules, maxAttempts, timeoutMs, deadlineMs);
+        OpenRequest request = new OpenRequest(requestId, received, requestClass, maxAttempts, timeoutMs, deadlineMs);
         requests.add(request);
         return request;
     }
 
     private double latenessMarginMs(double nowMs, double clientTimeoutMs) {
         double maxMarginMs = Math.min(MAX_LATENESS_MARGIN_MS, clientTimeoutMs * LATENESS_MARGIN_RATIO);
-        return Math.min(lateness.ms(nowMs), maxMarginMs);
+        return Math.min(lateness.expectedMs(nowMs), maxMarginMs);
     }
 
-    /** The client's waiting time begins with the last byte of its request. */
+    /** The client's timeout starts with the last byte of its request. */
     @Override
     public void onRequestCompleted(ReducerContext context, Event.RequestCompleted event) {
         OpenRequest request = requests.find(event.requestId());
@@ -95,7 +95,7 @@
         }
         request.deadlineMs = context.nowMs() + request.timeoutMs;
         context.setTimer(request.deadlineMs, new TimerKey.RequestDeadline(request.id));
-        if (request.started) {
+        if (request.dispatched) {
             balancer.onRequestCompleted(context.nowMicros(), request.id);
         }
     }
@@ -122,14 +122,14 @@
         counters.count(Counter.CLIENTS_DISCONNECTED, request.className);
         requests.end(context, request);
         notifyDisconnected(context, request);
-        // An attempt that is not written completely never ran: it is cancelled whatever the settings say of others.
+        // An attempt that is not completely written never ran: it is cancelled even if the settings forbid cancelling.
         Attempt attempt = request.attempt;
         if (attempt != null && (settings.get().mayCancel() || !attempt.written)) {
             attempts.cancel(context, request, AttemptOutcome.CANCELLED);
         }
     }
 
-    /** No attempt may start for this request any more: unless one of it has been written, it is answered at once. */
+    /** No further attempt may start for this request: unless its attempt has been written, it is answered at once. */
     @Override
     public void onClientPresenceUnknown(ReducerContext context, Event.ClientPresenceUnknown event) {
         OpenRequest request = requests.find(event.requestId());
@@ -144,29 +144,29 @@
     }
 
     private void notifyDisconnected(ReducerContext context, OpenRequest request) {
-        if (request.started) {
+        if (request.dispatched) {
             context.runGuarded(() -> balancer.onClientDisconnected(context.nowMicros(), request.id));
         }
     }
 
-    /** The client is about to give up: the attempt has timed out, and an answer goes out in any case. */
+    /** The client is about to time out: times out the attempt and answers the request in any case. */
     void onDeadline(ReducerContext context, TimerKey.RequestDeadline timer) {
         OpenRequest request = requests.find(timer.requestId());
         if (request == null || !isDue(request, context.nowMs())) {
             return;
         }
         if (request.isComplete() && request.attempt != null) {
-            lateness.noticed(context.nowMs(), request.deadlineMs);
+            lateness.recordDelay(context.nowMs(), request.deadlineMs);
         }
         answerNow(context, request);
     }
 
-    /** A request whose body is still on its way to a server has its whole timeout before it. */
+    /** A request whose body is still being sent to a server is not due: its timeout starts with its last byte. */
     private static boolean isDue(OpenRequest request, double nowMs) {
         return request.isComplete() ? nowMs >= request.deadlineMs : request.attempt == null;
     }
 
-    /** The process exits before some deadlines: every open request is answered now. */
+    /** Answers every open request now, because the process exits before some deadlines. */
     void answerAll(ReducerContext context) {
         for (OpenRequest request : requests.copyOfAll()) {
             answerNow(context, request);
@@ -175,14 +175,14 @@
 
     private void answerNow(ReducerContext context, OpenRequest request) {
         if (request.attempt != null) {
-            // No later timer answers this request: it is answered whatever the balancer does with the outcome.
+            // Guards against a fault of the balancer: no later timer would answer this request.
             context.runGuarded(() -> {
                 attempts.cancel(context, request, AttemptOutcome.TIMEOUT);
                 attempts.deliverPendingOutcomes(context);
             });
         }
         if (!request.ended) {
-            // Guards against a request that the balancer still queues: its client must not be left without an answer.
+            // Guards against a request that the balancer still queues: its client must get a response.
             counters.count(Counter.ANSWERED_AT_DEADLINE);
             localReplies.send(context, request, request.failureReply(Effect.LocalReply.TIMED_OUT));
             notifyDisconnected(context, request);
@@ -190,14 +190,14 @@
     }
 
     /**
-     * Rejects requests that wait for their tenant's quota and whose class has changed. Guards them against the rules of
-     * another time: the balancer looks the class up by name when it receives them, and by then it may be removed, or
-     * idempotent where it was not.
+     * Rejects requests that wait for their tenant's quota and whose class has changed. Guards against applying a
+     * changed class to them: the balancer looks the class up by name when it receives them, and by then it may have
+     * been removed, or have become idempotent.
      */
-    void rejectWaitingWithChangedRules(ReducerContext context) {
+    void rejectWaitingWithChangedClass(ReducerContext context) {
         for (OpenRequest request : requests.copyOfAll()) {
-            boolean waiting = !request.started && !request.ended;
-            if (waiting && !request.rules.equals(settings.requestClass(request.className))) {
+            boolean waiting = !request.dispatched && !request.ended;
+            if (waiting && !request.requestClass.equals(settings.requestClass(request.className))) {
                 localReplies.send(context, request, Effect.LocalReply.REJECTED);
             }
         }
--- a/core/src/main/java/brackenbridge/core/ResponsesInProgress.java
+++ b/core/src/main/java/brackenbridge/core/ResponsesInProgress.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Responses that are being written to clients; each is counted by how its writing ends. */
+/** Responses that are being written to clients; each is counted once, by the way its writing ends. */
 final class ResponsesInProgress {
-    /** A response and the counter that counts it once it is written completely. */
+    /** A response and the counter to increment if it is written completely. */
     private record ResponseInProgress(String className, Counter counter) {}
 
     private final Map<Long, ResponseInProgress> responses = new HashMap<>();
--- a/core/src/main/java/brackenbridge/core/ServerEndpoint.java
+++ b/core/src/main/java/brackenbridge/core/ServerEndpoint.java
@@ -3,14 +3,14 @@
 import brackenbridge.core.balancing.EndpointState;
 
 /**
- * One server of the endpoint list.
+ * An entry of the endpoint list: one server.
  *
  * @param host its name, the same at every node
- * @param address where this node reaches it, as {@code address:port}
+ * @param address the address at which this node reaches it, as {@code address:port}
  * @param zone the zone it is in
  * @param cell the cell it is in, -1 if not given
  * @param weight its capacity relative to the others'
- * @param startedAtMs when it last started, in Unix milliseconds; 0 for long ago
+ * @param startedAtMs when it last started, in Unix milliseconds; 0 if long ago
  * @param state its state in the endpoint list
  */
 public record ServerEndpoint(
--- a/core/src/main/java/brackenbridge/core/TenantAdmission.java
+++ b/core/src/main/java/brackenbridge/core/TenantAdmission.java
@@ -18,7 +18,7 @@
     private final Counters counters;
     /** Null until quotas are received. */
     private TenantScheduler scheduler;
-    /** When the timer that is set fires; infinite if none is set. */
+    /** When the pending timer fires; infinite if there is none. */
     private double timerAtMs = Double.POSITIVE_INFINITY;
 
     TenantAdmission(
@@ -34,17 +34,17 @@
         this.counters = counters;
     }
 
-    /** Admits a new request, lets it wait for its tenant's quota, or rejects it. */
+    /** Admits a new request, queues it for its tenant's quota, or rejects it. */
     void onRequest(ReducerContext context, OpenRequest request) {
         if (scheduler == null) {
-            dispatch.start(context, request);
+            dispatch.dispatch(context, request);
             return;
         }
         double nowMs = context.nowMs();
         TenantScheduler.AdmissionDecision decision =
                 scheduler.onRequest(nowMs, request.id, request.tenant, nowMs + request.timeoutMs, 0);
         if (decision.verdict() == TenantScheduler.AdmissionVerdict.ADMIT) {
-            dispatch.start(context, request);
+            dispatch.dispatch(context, request);
         } else if (decision.verdict() == TenantScheduler.AdmissionVerdict.REJECT) {
             reject(context, request, decision.retryAfterMs());
         }
@@ -57,7 +57,7 @@
         apply(context, scheduler.applyQuotas(context.nowMs(), quotas));
     }
 
-    /** Requests that are already open count against their tenants' quotas too. */
+    /** Starts the scheduler with the requests that are already open, which count against their tenants' quotas. */
     private void startScheduler(ReducerContext context) {
         scheduler = new TenantScheduler(TenantScheduler.SchedulerLimits.NODE_LIMITS);
         requests.startTrackingRemovals();
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Releases the quota of requests that were removed and admits those that wait for it. To be called only once the
-     * balancer has finished its own event: it must not receive a new request while it handles another event.
+     * Releases the quota of removed requests and admits requests that wait for it. Call this only once the balancer has
+     * finished handling the event: it must not receive a new request while it handles another event.
      */
     void admitWaitingTenants(ReducerContext context) {
         ArrayDeque<Long> removedIds = requests.removedIds();
@@ -88,8 +88,8 @@
         }
     }
 
-    /** What each tenant wanted and used since the last call; nothing without quotas. */
-    List<TenantUsage> takeUse(double nowMs) {
+    /** The demand and usage of each tenant since the last call; empty without quotas. */
+    List<TenantUsage> takeUsage(double nowMs) {
         return scheduler == null ? List.of() : scheduler.takeUsage(nowMs);
     }
 
@@ -102,8 +102,8 @@
         }
         for (long requestId : result.admitted()) {
             OpenRequest request = requests.find(requestId);
-            if (request != null && !request.ended && !request.started) {
-                dispatch.start(context, request);
+            if (request != null && !request.ended && !request.dispatched) {
+                dispatch.dispatch(context, request);
             }
         }
     }
--- a/core/src/main/java/brackenbridge/core/TimerDispatch.java
+++ b/core/src/main/java/brackenbridge/core/TimerDispatch.java
@@ -2,7 +2,7 @@
 
 import brackenbridge.core.balancing.BalancerApi;
 
-/** Passes each timer that is due to the part that set it. */
+/** Passes each timer that fires to the part that set it. */
 final class TimerDispatch implements TimerKey.Handler<ReducerContext> {
     private final BalancerApi balancer;
     private final RequestLifecycle requests;
@@ -97,7 +97,8 @@
 
     @Override
     public void onAnswerAll(ReducerContext context, TimerKey.AnswerAll timer) {
-        // Guards requests that are complete only after the last answers: started now, they would end with the process.
+        // Guards requests that are complete only after the final responses: if started now, they would end with the
+        // process.
         lifeCycle.startRejecting();
         requests.answerAll(context);
     }
--- a/core/src/main/java/brackenbridge/core/TimerKey.java
+++ b/core/src/main/java/brackenbridge/core/TimerKey.java
@@ -1,60 +1,62 @@
 package brackenbridge.core;
 
-/** What a timer was set for. One that has lost its purpose does nothing; only deadlines are ever cancelled. */
+/**
+ * Identifies a timer by its purpose. An obsolete timer is ignored when it fires; only request deadlines are cancelled.
+ */
 public sealed interface TimerKey {
-    /** Passes the timer with this context to its method of the handler. */
+    /** Calls the handler's method for this timer. */
     <C> void accept(C context, Handler<C> handler);
 
     /**
-     * Handles each kind of timer.
+     * Handles all kinds of timers.
      *
-     * @param <C> the context that each timer is handled in
+     * @param <C> the type of the context passed with each timer
      */
     interface Handler<C> {
-        /** A timer of the balancer's own. */
+        /** A timer that the balancer has set. */
         void onBalancerTimer(C context, BalancerTimer timer);
 
-        /** A request's client gives up. */
+        /** A request has reached its deadline. */
         void onRequestDeadline(C context, RequestDeadline timer);
 
-        /** An attempt is given up before its request's deadline. */
+        /** An attempt has timed out before its request's deadline. */
         void onAttemptTimeout(C context, AttemptTimeout timer);
 
-        /** No attempt may start at this draining host any more. */
+        /** A draining host has reached its cut-off: nothing may be sent to it any more. */
         void onDrainCutoff(C context, DrainCutoff timer);
 
-        /** The watch at discovery has something to do. */
+        /** The discovery watch has a step due. */
         void onDiscoveryTimer(C context, DiscoveryTimer timer);
 
-        /** A health check has taken too long. */
+        /** A health check has timed out. */
         void onHealthCheckTimeout(C context, HealthCheckTimeout timer);
 
-        /** The tenants' scheduler has something to do. */
+        /** The tenant scheduler has a step due. */
         void onTenantSchedulerTimer(C context, TenantSchedulerTimer timer);
 
-        /** The zone weights of the fleet have expired. */
+        /** The zone weights received from the fleet have expired. */
         void onZoneWeightsExpired(C context, ZoneWeightsExpired timer);
 
-        /** A drain reaches its next step. */
+        /** A step of a drain is due. */
         void onDrainStep(C context, DrainStep timer);
 
-        /** A stopping process with a successor closes idle connections from now on. */
+        /** A stopping process with a successor starts closing idle connections. */
         void onCloseIdleClients(C context, CloseIdleClients timer);
 
-        /** A stopping node accepts no more connections. */
+        /** A stopping node stops accepting connections. */
         void onStopAccepting(C context, StopAccepting timer);
 
-        /** A stopping node accepts no more requests. */
+        /** A stopping node closes idle connections and exits once no request is open. */
         void onStopServing(C context, StopServing timer);
 
-        /** A stopping node must have answered every request. */
+        /** A stopping node answers all open requests. */
         void onAnswerAll(C context, AnswerAll timer);
 
-        /** A stopping node must have exited. */
+        /** A stopping node must exit now. */
         void onExitNow(C context, ExitNow timer);
     }
 
-    /** A timer of the balancer's own. */
+    /** A timer that the balancer has set. */
     record BalancerTimer(String token) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -62,7 +64,7 @@
         }
     }
 
-    /** A request's client gives up. */
+    /** A request has reached its deadline. */
     record RequestDeadline(long requestId) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -70,7 +72,7 @@
         }
     }
 
-    /** An attempt is given up before its request's deadline. */
+    /** An attempt has timed out before its request's deadline. */
     record AttemptTimeout(long requestId, int attempt) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -78,7 +80,7 @@
         }
     }
 
-    /** No attempt may start at this draining host any more. */
+    /** A draining host has reached its cut-off: nothing may be sent to it any more. */
     record DrainCutoff(String host) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /** The watch at discovery has something to do. */
+    /** The discovery watch has a step due. */
     record DiscoveryTimer(long timerId) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -94,7 +96,7 @@
         }
     }
 
-    /** A health check has taken too long. */
+    /** A health check has timed out. */
     record HealthCheckTimeout(long healthCheckId) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -102,7 +104,7 @@
         }
     }
 
-    /** The tenants' scheduler has something to do. */
+    /** The tenant scheduler has a step due. */
     record TenantSchedulerTimer() implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -110,7 +112,7 @@
         }
     }
 
-    /** The zone weights of the fleet have expired. */
+    /** The zone weights received from the fleet have expired. */
     record ZoneWeightsExpired() implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -118,7 +120,7 @@
         }
     }
 
-    /** A drain reaches its next step. */
+    /** A step of a drain is due. */
     record DrainStep(long drainNumber, LifeCycle.DrainStep step) implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /** A stopping process with a successor closes idle connections from now on. */
+    /** A stopping process with a successor starts closing idle connections. */
     record CloseIdleClients() implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -134,7 +136,7 @@
         }
     }
 
-    /** A stopping node accepts no more connections. */
+    /** A stopping node stops accepting connections. */
     record StopAccepting() implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -142,7 +144,7 @@
         }
     }
 
-    /** A stopping node accepts no more requests. */
+    /** A stopping node closes idle connections and exits once no request is open. */
     record StopServing() implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -150,7 +152,7 @@
         }
     }
 
-    /** A stopping node must have answered every request. */
+    /** A stopping node answers all open requests. */
     record AnswerAll() implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
@@ -158,7 +160,7 @@
         }
     }
 
-    /** A stopping node must have exited. */
+    /** A stopping node must exit now. */
     record ExitNow() implements TimerKey {
         @Override
         public <C> void accept(C context, Handler<C> handler) {
--- a/core/src/main/java/brackenbridge/core/TimerLateness.java
+++ b/core/src/main/java/brackenbridge/core/TimerLateness.java
@@ -1,25 +1,25 @@
 package brackenbridge.core;
 
 /**
- * How much later than due this node has recently noticed deadlines: the longest delay, which decays by half in {@link
- * #HALF_LIFE_MS}. A node short of processor time notices everything late, so its answers need a larger margin. All
- * times are in milliseconds.
+ * How late this node's deadline timers have recently fired: the maximum delay, which decays with a half-life of {@link
+ * #HALF_LIFE_MS}. On a node short of CPU time all timers fire late, so its responses need a larger margin. Times are in
+ * milliseconds.
  */
 final class TimerLateness {
-    /** Long enough to span the time between two garbage collections, short enough to forget a cold start. */
+    /** Long enough to span the time between two garbage collections, short enough to forget a cold start soon. */
     static final double HALF_LIFE_MS = 2000;
 
-    private double longestMs;
-    private double atMs;
+    private double maxMs;
+    private double recordedAtMs;
 
-    /** Records that a deadline was noticed now. */
-    void noticed(double nowMs, double dueMs) {
-        longestMs = Math.max(ms(nowMs), nowMs - dueMs);
-        atMs = nowMs;
+    /** Records that a timer due at {@code dueMs} fired now. */
+    void recordDelay(double nowMs, double dueMs) {
+        maxMs = Math.max(expectedMs(nowMs), nowMs - dueMs);
+        recordedAtMs = nowMs;
     }
 
-    /** The delay to expect; 0 if none was recorded. */
-    double ms(double nowMs) {
-        return longestMs * Math.pow(0.5, (nowMs - atMs) / HALF_LIFE_MS);
+    /** The expected delay; 0 if none was recorded. */
+    double expectedMs(double nowMs) {
+        return maxMs * Math.pow(0.5, (nowMs - recordedAtMs) / HALF_LIFE_MS);
     }
 }
--- a/core/src/main/java/brackenbridge/core/TrafficObservation.java
+++ b/core/src/main/java/brackenbridge/core/TrafficObservation.java
@@ -3,9 +3,9 @@
 import brackenbridge.core.balancing.AttemptOutcome;
 import brackenbridge.core.observe.TrafficObserver;
 
-/** Counts the traffic to each pool once that is enabled; until then nothing is counted. Times are in milliseconds. */
+/** Counts the traffic to each pool once enabled. Times are in milliseconds. */
 final class TrafficObservation {
-    /** Null while it is not enabled. */
+    /** Null until enabled. */
     private TrafficObserver observer;
 
     void enable() {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** What was counted until now; nothing while it is not enabled. */
+    /** The traffic counted so far; empty until enabled. */
     TrafficObserver.TrafficSnapshot snapshot(double nowMs, EndpointTable endpoints) {
         return observer == null
                 ? TrafficObserver.TrafficSnapshot.NONE
--- a/core/src/main/java/brackenbridge/core/share/FairQueue.java
+++ b/core/src/main/java/brackenbridge/core/share/FairQueue.java
@@ -4,9 +4,10 @@
 import java.util.TreeSet;
 
 /**
- * Start-time fair queueing over shares with waiting requests: says which share's request starts next. Shares below
- * their quota come first, by finish tag; after them those that borrow from {@link SpareCapacity}. A finish tag stays
- * behind virtual time by the burst limit at most; that distance is the share's burst credit.
+ * Start-time fair queueing over shares with waiting requests: selects the share whose request starts next. Eligible
+ * shares, those that hold less than their quota and burst credit permit, come first, by finish tag; after them those
+ * that borrow from {@link SpareCapacity}. A finish tag lags virtual time by at most the burst limit; this lag is the
+ * share's burst credit.
  */
 final class FairQueue {
     /** Tolerance for comparisons of tags and connection counts, against rounding errors. */
@@ -15,10 +16,10 @@
     private final double maxBurstMs;
     private final VirtualTime virtualTime;
     private final SpareCapacity spareCapacity;
-    /** Shares that hold less than their quota and have waiting requests. */
-    private final TreeSet<QuotaShare> belowQuota = new TreeSet<>(
+    /** Eligible shares with waiting requests. */
+    private final TreeSet<QuotaShare> eligible = new TreeSet<>(
             Comparator.<QuotaShare>comparingDouble(share -> share.queueTag).thenComparingLong(share -> share.sequence));
-    /** Shares that are below their quota once virtual time has reached their refill tag. */
+    /** Shares that become eligible once virtual time has reached their refill tag. */
     private final TreeSet<QuotaShare> refilling =
             new TreeSet<>(Comparator.<QuotaShare>comparingDouble(share -> share.refillTag)
                     .thenComparingLong(share -> share.sequence));
@@ -29,18 +30,18 @@
         this.spareCapacity = spareCapacity;
     }
 
-    /** Burst credit left, in milliseconds of the quota. */
+    /** The remaining burst credit, in milliseconds at the full quota. */
     double burstCreditMs(QuotaShare share, double nowMs) {
         return Math.max(0, Math.min(maxBurstMs, virtualTime.value() - share.chargedFinishTag(nowMs)));
     }
 
-    /** The least finish tag that a share may have at this time: that of one with all of its burst credit. */
+    /** The minimum finish tag of a share at this time: that of a share with full burst credit. */
     double minFinishTag() {
         return virtualTime.value() - maxBurstMs;
     }
 
-    /** Whether a share holds less than its quota, with its burst credit, permits. */
-    boolean mayClaim(QuotaShare share, double nowMs) {
+    /** Whether a share holds less than its quota and burst credit permit. */
+    boolean isEligible(QuotaShare share, double nowMs) {
         double maxRunning = maxRunning(share, nowMs);
         return share.running + 1 <= maxRunning + TOLERANCE
                 || share.running < maxRunning && share.chargedFinishTag(nowMs) <= virtualTime.value() + TOLERANCE;
@@ -50,25 +51,28 @@
         return maxBurstMs == 0 ? share.quota : share.quota * (1 + burstCreditMs(share, nowMs) / maxBurstMs);
     }
 
-    /** Whether a new request of a share may start without overtaking a share with a better claim. */
+    /** Whether a new request of a share may start at once without overtaking a share that precedes it. */
     boolean mayStartAtOnce(QuotaShare share, double nowMs) {
-        return mayClaim(share, nowMs) || !spareCapacity.hasBorrowers() && spareCapacity.mayBorrow(share, nowMs);
+        return isEligible(share, nowMs) || !spareCapacity.hasBorrowers() && spareCapacity.mayBorrow(share, nowMs);
     }
 
-    boolean hasSharesBelowQuota() {
-        return !belowQuota.isEmpty();
+    boolean hasEligibleShares() {
+        return !eligible.isEmpty();
     }
 
-    /** Puts a share where it belongs; to be called after each change of what it runs, waits for or may hold. */
+    /**
+     * Moves a share to the queues that it belongs to. Call this after each change of its running or waiting requests or
+     * its quota.
+     */
     void update(QuotaShare share, double nowMs) {
         removeFromQueues(share);
         if (share.waitingTenants.isEmpty()) {
             return;
         }
-        if (mayClaim(share, nowMs)) {
+        if (isEligible(share, nowMs)) {
             share.queueTag = share.chargedFinishTag(nowMs);
-            share.belowQuota = true;
-            belowQuota.add(share);
+            share.queuedAsEligible = true;
+            eligible.add(share);
             return;
         }
         if (spareCapacity.mayBorrow(share, nowMs)) {
@@ -82,9 +86,9 @@
     }
 
     private void removeFromQueues(QuotaShare share) {
-        if (share.belowQuota) {
-            belowQuota.remove(share);
-            share.belowQuota = false;
+        if (share.queuedAsEligible) {
+            eligible.remove(share);
+            share.queuedAsEligible = false;
         }
         spareCapacity.remove(share);
         stopRefilling(share);
@@ -112,7 +116,7 @@
         return share.refillTag <= virtualTime.value() + TOLERANCE;
     }
 
-    /** When {@link #updateRefilled} is due; infinite if no share is refilling or virtual time stands still. */
+    /** When {@link #updateRefilled} is due; infinite if no share is refilling or virtual time is stopped. */
     double nextRefillMs() {
         return refilling.isEmpty() || !virtualTime.isRunning()
                 ? Double.POSITIVE_INFINITY
@@ -121,9 +125,9 @@
 
     /** The share whose request starts next, or null. */
     QuotaShare next(double nowMs) {
-        while (!belowQuota.isEmpty()) {
-            QuotaShare share = belowQuota.first();
-            if (mayClaim(share, nowMs)) {
+        while (!eligible.isEmpty()) {
+            QuotaShare share = eligible.first();
+            if (isEligible(share, nowMs)) {
                 return share;
             }
             update(share, nowMs);
@@ -132,17 +136,17 @@
     }
 
     /** Charges the expected hold time of a request that starts. */
-    void chargeStart(QuotaShare share, double expectedMs) {
-        share.finishTag = Math.max(share.finishTag, minFinishTag()) + expectedMs / share.effectiveQuota();
-        spareCapacity.chargeStart(share, expectedMs);
+    void chargeStart(QuotaShare share, double expectedHoldMs) {
+        share.finishTag = Math.max(share.finishTag, minFinishTag()) + expectedHoldMs / share.effectiveQuota();
+        spareCapacity.chargeStart(share, expectedHoldMs);
     }
 
-    /** Charges what a request took beyond what was expected; less than 0 if it took less. */
-    void chargeEnd(QuotaShare share, double extraMs) {
+    /** Charges the time that a request took beyond its expected hold time; negative if it took less. */
+    void chargeEnd(QuotaShare share, double excessMs) {
         double quota = share.effectiveQuota();
-        // Guards against a debt that a share with a small quota would take unboundedly long to pay off.
+        // Guards against a debt that a share with a small quota could not pay off within a bounded time.
         double maxFinishTag = virtualTime.value() + maxBurstMs + 2 * share.meanHoldMs / quota;
-        share.finishTag = Math.min(share.finishTag + extraMs / quota, maxFinishTag);
-        spareCapacity.chargeEnd(share, extraMs);
+        share.finishTag = Math.min(share.finishTag + excessMs / quota, maxFinishTag);
+        spareCapacity.chargeEnd(share, excessMs);
     }
 }
--- a/core/src/main/java/brackenbridge/core/share/QuotaShare.java
+++ b/core/src/main/java/brackenbridge/core/share/QuotaShare.java
@@ -3,16 +3,16 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** What has a quota of its own: one named tenant, or all unnamed tenants together. */
+/** The holder of a quota: one named tenant, or all unnamed tenants together. */
 final class QuotaShare {
-    /** Quotas below this are charged as if they were this, so that a charge is always finite; connections. */
+    /** Smaller quotas are charged as this many connections, so that a charge is always finite. */
     private static final double MIN_CHARGED_QUOTA = 0.01;
 
     /** Breaks ties between equal tags in the order of creation. */
     final long sequence;
-    /** Whether it is that of all unnamed tenants. */
+    /** Whether this is the share of all unnamed tenants. */
     final boolean unnamed;
-    /** Its tenants with requests that may start, by finish tag. */
+    /** Its tenants with a waiting request that may start, by finish tag. */
     final TreeSet<Tenant> waitingTenants = new TreeSet<>(Comparator.<Tenant>comparingDouble(tenant -> tenant.finishTag)
             .thenComparingLong(tenant -> tenant.sequence));
 
@@ -20,24 +20,24 @@
     double weight = 1;
     int running;
     /** Sum of the start times of its running requests. */
-    double sumStartedMs;
+    double sumStartTimesMs;
     /** Sum of the expected hold times of its running requests. */
-    double sumExpectedMs;
+    double sumExpectedHoldMs;
 
     double meanHoldMs = Tenant.UNKNOWN_HOLD_MS;
-    /** Finish tag in the fair queue: connection time charged, divided by the quota. */
+    /** Finish tag in the fair queue: charged connection time divided by the quota. */
     double finishTag = Double.NEGATIVE_INFINITY;
-    /** Finish tag among borrowers: connection time charged, divided by the weight. */
+    /** Finish tag among borrowers: charged connection time divided by the weight. */
     double borrowedFinishTag;
-    /** Virtual time among its tenants. */
+    /** Virtual time of the fair queueing among its tenants. */
     double innerVirtualTime;
 
     /** The tag by which it is sorted in {@link FairQueue} or {@link SpareCapacity}; fixed while it is in one. */
     double queueTag;
-    /** The virtual time at which it is below its quota again; fixed while it is refilling. */
+    /** The virtual time at which it becomes eligible again; fixed while it is refilling. */
     double refillTag;
 
-    boolean belowQuota;
+    boolean queuedAsEligible;
     boolean borrowing;
     boolean refilling;
 
@@ -50,40 +50,40 @@
         return Math.max(quota, MIN_CHARGED_QUOTA);
     }
 
-    /** The finish tag, plus what running requests took beyond what was expected of them. */
+    /** The finish tag, plus the time that running requests have taken beyond their expected hold times. */
     double chargedFinishTag(double nowMs) {
-        return finishTag + Math.max(0, running * nowMs - sumStartedMs - sumExpectedMs) / effectiveQuota();
+        return finishTag + Math.max(0, running * nowMs - sumStartTimesMs - sumExpectedHoldMs) / effectiveQuota();
     }
 
-    /** How long one of its requests holds a connection; running ones count when they exceed the mean. */
+    /** The hold time of its requests: their mean, or the mean age of the running ones if that is longer. */
     double holdMs(double nowMs) {
-        return running == 0 ? meanHoldMs : Math.max(meanHoldMs, nowMs - sumStartedMs / running);
+        return running == 0 ? meanHoldMs : Math.max(meanHoldMs, nowMs - sumStartTimesMs / running);
     }
 
     void onStarted(ScheduledRequest request, double nowMs) {
         running++;
-        sumStartedMs += nowMs;
-        sumExpectedMs += request.expectedMs;
+        sumStartTimesMs += nowMs;
+        sumExpectedHoldMs += request.expectedHoldMs;
     }
 
     void onEnded(ScheduledRequest request, double nowMs) {
         running--;
-        sumStartedMs = running == 0 ? 0 : sumStartedMs - request.startedMs();
-        sumExpectedMs = running == 0 ? 0 : Math.max(0, sumExpectedMs - request.expectedMs);
+        sumStartTimesMs = running == 0 ? 0 : sumStartTimesMs - request.startedMs();
+        sumExpectedHoldMs = running == 0 ? 0 : Math.max(0, sumExpectedHoldMs - request.expectedHoldMs);
         meanHoldMs += Tenant.HOLD_MEAN_GAIN * (nowMs - request.startedMs() - meanHoldMs);
     }
 
-    /** Takes over the running requests of a tenant that comes from another share. */
-    void addRunning(Tenant tenant, double expectedMs) {
+    /** Adds the running requests of a tenant that moves here from another share. */
+    void addRunning(Tenant tenant, double expectedHoldMs) {
         running += tenant.running;
-        sumStartedMs += tenant.sumStartedMs;
-        sumExpectedMs += expectedMs;
+        sumStartTimesMs += tenant.sumStartTimesMs;
+        sumExpectedHoldMs += expectedHoldMs;
     }
 
-    /** Gives up the running requests of a tenant that goes to another share. */
-    void removeRunning(Tenant tenant, double expectedMs) {
+    /** Removes the running requests of a tenant that moves to another share. */
+    void removeRunning(Tenant tenant, double expectedHoldMs) {
         running -= tenant.running;
-        sumStartedMs -= tenant.sumStartedMs;
-        sumExpectedMs = Math.max(0, sumExpectedMs - expectedMs);
+        sumStartTimesMs -= tenant.sumStartTimesMs;
+        sumExpectedHoldMs = Math.max(0, sumExpectedHoldMs - expectedHoldMs);
     }
 }
--- a/core/src/main/java/brackenbridge/core/share/RunningRequests.java
+++ b/core/src/main/java/brackenbridge/core/share/RunningRequests.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The requests that hold a connection: charges their tenants and shares when they start and end. */
+/** The requests that hold a connection; charges their tenants and shares when they start and end. */
 final class RunningRequests {
     private final TenantDirectory directory;
     private final FairQueue fairQueue;
@@ -27,37 +27,39 @@
         count++;
         tenant.onStarted(request, nowMs, directory.weightWithinShare(tenant));
         tenant.share.onStarted(request, nowMs);
-        fairQueue.chargeStart(tenant.share, request.expectedMs);
+        fairQueue.chargeStart(tenant.share, request.expectedHoldMs);
     }
 
     void end(ScheduledRequest request, double nowMs) {
         Tenant tenant = request.tenant;
         QuotaShare share = tenant.share;
-        tenant.integrateUse(nowMs);
+        tenant.integrateUsage(nowMs);
         tenant.leaveQueue();
         count--;
         tenant.onEnded(request, nowMs, directory.weightWithinShare(tenant));
         share.onEnded(request, nowMs);
-        fairQueue.chargeEnd(share, nowMs - request.startedMs() - request.expectedMs);
+        fairQueue.chargeEnd(share, nowMs - request.startedMs() - request.expectedHoldMs);
         tenant.enterQueue(nowMs, maxLoanMs);
         fairQueue.update(share, nowMs);
     }
 
-    /** The ids of running requests beyond a maximum: the oldest of the shares that are furthest over their quota. */
-    List<Long> selectBeyond(int maxRunning, Collection<ScheduledRequest> requests) {
+    /**
+     * The ids of the running requests beyond a maximum: those of the shares that exceed their quota most, oldest first.
+     */
+    List<Long> selectExcess(int maxRunning, Collection<ScheduledRequest> requests) {
         if (count <= maxRunning) {
             return List.of();
         }
         return requests.stream()
                 .filter(ScheduledRequest::isRunning)
-                .sorted(Comparator.<ScheduledRequest>comparingDouble(RunningRequests::negativeUseOfQuota)
+                .sorted(Comparator.<ScheduledRequest>comparingDouble(RunningRequests::negatedQuotaUtilization)
                         .thenComparingDouble(ScheduledRequest::startedMs))
                 .limit(count - maxRunning)
                 .map(request -> request.id)
                 .toList();
     }
 
-    private static double negativeUseOfQuota(ScheduledRequest request) {
+    private static double negatedQuotaUtilization(ScheduledRequest request) {
         QuotaShare share = request.tenant.share;
         return -(share.running / share.effectiveQuota());
     }
--- a/core/src/main/java/brackenbridge/core/share/ScheduledRequest.java
+++ b/core/src/main/java/brackenbridge/core/share/ScheduledRequest.java
@@ -1,20 +1,20 @@
 package brackenbridge.core.share;
 
-/** A request that waits for its turn, or that holds a connection. */
+/** A request that waits for a connection or holds one. */
 final class ScheduledRequest {
     final long id;
     final Tenant tenant;
-    final double expectedMs;
-    /** The last moment at which it may start and still be answered before its deadline. */
+    final double expectedHoldMs;
+    /** The latest start at which it is still expected to end before its deadline. */
     final double latestStartMs;
 
     private double startedMs = Double.NaN;
     private boolean cancelled;
 
-    ScheduledRequest(long id, Tenant tenant, double expectedMs, double latestStartMs) {
+    ScheduledRequest(long id, Tenant tenant, double expectedHoldMs, double latestStartMs) {
         this.id = id;
         this.tenant = tenant;
-        this.expectedMs = expectedMs;
+        this.expectedHoldMs = expectedHoldMs;
         this.latestStartMs = latestStartMs;
     }
 
--- a/core/src/main/java/brackenbridge/core/share/SchedulingResult.java
+++ b/core/src/main/java/brackenbridge/core/share/SchedulingResult.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What the scheduler decided after an event.
+ * The scheduler's decisions after an event.
  *
- * @param admitted requests that waited and start now, in this order
- * @param rejected requests that waited and can't be served in time any more
+ * @param admitted waiting requests that start now, in this order
+ * @param rejected waiting requests that can't be served in time any more
  */
 public record SchedulingResult(List<Long> admitted, List<Rejection> rejected) {
     /** No request is admitted or rejected. */
@@ -16,7 +16,7 @@
      * A waiting request that is rejected.
      *
      * @param requestId its id
-     * @param retryAfterMs when its client may send it again, in milliseconds from now
+     * @param retryAfterMs when its client may retry, in milliseconds from now
      */
     public record Rejection(long requestId, double retryAfterMs) {}
 }
--- a/core/src/main/java/brackenbridge/core/share/SpareCapacity.java
+++ b/core/src/main/java/brackenbridge/core/share/SpareCapacity.java
@@ -4,12 +4,12 @@
 import java.util.TreeSet;
 
 /**
- * Lends connections that no share may claim to shares beyond their quota, in proportion to their weights: start-time
- * fair queueing with a virtual time of its own. Only shares whose requests are short enough to give a connection back
- * soon may borrow.
+ * Lends connections that no eligible share uses to shares beyond their quota, in proportion to their weights:
+ * start-time fair queueing with a separate virtual time. Only shares whose requests are short enough to return a
+ * connection soon may borrow.
  */
 final class SpareCapacity {
-    /** Weights below this are charged as if they were this, so that a charge is always finite. */
+    /** Smaller weights are charged as this, so that a charge is always finite. */
     static final double MIN_WEIGHT = 1e-6;
 
     private final double maxLoanMs;
@@ -19,7 +19,7 @@
     private double virtualTime;
 
     /**
-     * Creates one without borrowers.
+     * Creates an instance without borrowers.
      *
      * @param maxLoanMs a share whose requests hold a connection for longer may not borrow
      */
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The share to lend to next, or null. */
+    /** The share that borrows next; null if there is none. */
     QuotaShare next(double nowMs) {
         while (!borrowers.isEmpty()) {
             QuotaShare share = borrowers.first();
@@ -64,16 +64,16 @@
         return null;
     }
 
-    void chargeStart(QuotaShare share, double expectedMs) {
+    void chargeStart(QuotaShare share, double expectedHoldMs) {
         double startTag = Math.max(share.borrowedFinishTag, virtualTime);
         if (share.borrowing) {
             virtualTime = startTag;
         }
-        share.borrowedFinishTag = startTag + expectedMs / Math.max(share.weight, MIN_WEIGHT);
+        share.borrowedFinishTag = startTag + expectedHoldMs / Math.max(share.weight, MIN_WEIGHT);
     }
 
-    /** Charges what a request took beyond what was expected; less than 0 if it took less. */
-    void chargeEnd(QuotaShare share, double extraMs) {
-        share.borrowedFinishTag += extraMs / Math.max(share.weight, MIN_WEIGHT);
+    /** Charges the time that a request took beyond its expected hold time; negative if it took less. */
+    void chargeEnd(QuotaShare share, double excessMs) {
+        share.borrowedFinishTag += excessMs / Math.max(share.weight, MIN_WEIGHT);
     }
 }
--- a/core/src/main/java/brackenbridge/core/share/Tenant.java
+++ b/core/src/main/java/brackenbridge/core/share/Tenant.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayDeque;
 
-/** Accounting of one tenant that has requests, or whose finish tag still matters. */
+/** State of a tenant that has requests, or whose finish tag still affects scheduling. */
 final class Tenant {
-    /** How long a request is expected to hold a connection while nothing is known of its tenant. */
+    /** The assumed hold time of a tenant's requests until the first one has ended. */
     static final double UNKNOWN_HOLD_MS = 50;
-    /** Weight of the newest request in a moving mean of hold times. */
+    /** Weight of the newest request in the moving means of hold times. */
     static final double HOLD_MEAN_GAIN = 0.1;
-    /** An unnamed tenant of long requests never gets more than the quota of unnamed tenants divided by this. */
+    /** An unnamed tenant with long requests never gets more than the quota of unnamed tenants divided by this. */
     private static final int MIN_UNNAMED_DIVISOR = 2;
 
     final String name;
@@ -20,15 +20,15 @@
     int running;
     int waiting;
     int rejected;
-    /** Moving mean of how long its requests held a connection; NaN before the first has ended. */
+    /** Moving mean of its requests' hold times; NaN until the first one has ended. */
     double meanHoldMs = Double.NaN;
     /** Sum of the start times of its running requests. */
-    double sumStartedMs;
+    double sumStartTimesMs;
     /** Integral of running requests over time since the last report, in request milliseconds. */
     double runningIntegral;
     /** Integral of waiting requests over time since the last report, in request milliseconds. */
     double waitingIntegral;
-    /** Its finish tag among the tenants of its share. */
+    /** Finish tag among the tenants of its share. */
     double finishTag;
 
     private double integratedUntilMs;
@@ -40,14 +40,14 @@
         this.integratedUntilMs = nowMs;
     }
 
-    /** Adds up its use until now; to be called before each change of what runs or waits. */
-    void integrateUse(double nowMs) {
+    /** Integrates its usage up to now. Call this before each change of its running or waiting requests. */
+    void integrateUsage(double nowMs) {
         runningIntegral += running * (nowMs - integratedUntilMs);
         waitingIntegral += waiting * (nowMs - integratedUntilMs);
         integratedUntilMs = nowMs;
     }
 
-    void resetUse() {
+    void resetUsage() {
         runningIntegral = 0;
         waitingIntegral = 0;
         rejected = 0;
@@ -57,29 +57,29 @@
         return Double.isNaN(meanHoldMs) ? UNKNOWN_HOLD_MS : meanHoldMs;
     }
 
-    /** How long one of its requests holds a connection; running ones count when they exceed the mean. */
+    /** The hold time of its requests: their mean, or the mean age of the running ones if that is longer. */
     double holdMs(double nowMs) {
         double mean = expectedHoldMs();
-        return running == 0 ? mean : Math.max(mean, nowMs - sumStartedMs / running);
+        return running == 0 ? mean : Math.max(mean, nowMs - sumStartTimesMs / running);
     }
 
     void onStarted(ScheduledRequest request, double nowMs, double weight) {
         running++;
-        sumStartedMs += nowMs;
+        sumStartTimesMs += nowMs;
         finishTag = Math.max(finishTag, share.innerVirtualTime);
         share.innerVirtualTime = finishTag;
-        finishTag += request.expectedMs / weight;
+        finishTag += request.expectedHoldMs / weight;
     }
 
     void onEnded(ScheduledRequest request, double nowMs, double weight) {
         double heldMs = nowMs - request.startedMs();
         running--;
-        sumStartedMs = running == 0 ? 0 : sumStartedMs - request.startedMs();
+        sumStartTimesMs = running == 0 ? 0 : sumStartTimesMs - request.startedMs();
         meanHoldMs = Double.isNaN(meanHoldMs) ? heldMs : meanHoldMs + HOLD_MEAN_GAIN * (heldMs - meanHoldMs);
-        finishTag += (heldMs - request.expectedMs) / weight;
+        finishTag += (heldMs - request.expectedHoldMs) / weight;
     }
 
-    /** Guards against an unnamed tenant of long requests that takes all of the quota of unnamed tenants. */
+    /** Guards against an unnamed tenant whose long requests take the entire quota of unnamed tenants. */
     boolean mayStartAnother(double nowMs, double maxLoanMs) {
         return !share.unnamed
                 || running == 0
@@ -91,7 +91,7 @@
         return queued;
     }
 
-    /** Enters the queue of its share if it has a request that may start. */
+    /** Enters the queue of its share if it has a waiting request that may start. */
     void enterQueue(double nowMs, double maxLoanMs) {
         if (!queued && waiting > 0 && mayStartAnother(nowMs, maxLoanMs)) {
             queued = true;
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Leaves the queue of its share; to be called before each change of its finish tag. */
+    /** Leaves the queue of its share. Call this before each change of its finish tag. */
     void leaveQueue() {
         if (queued) {
             share.waitingTenants.remove(this);
--- a/core/src/main/java/brackenbridge/core/share/TenantDirectory.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantDirectory.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The tenants that are remembered, and the share that each belongs to under the quotas in force. */
+/** The known tenants, and the share that each belongs to under the quotas in force. */
 final class TenantDirectory {
-    /** The directory looks for idle tenants again after this part of its maximum has been added. */
+    /** A full directory removes idle tenants once per {@code maxTenants} divided by this many unknown names. */
     private static final int SWEEPS_PER_CAPACITY = 8;
 
     private final int maxTenants;
@@ -31,7 +31,9 @@
         return tenants.values();
     }
 
-    /** The tenant of this name, remembered from now on. Names beyond the maximum count as requests without a tenant. */
+    /**
+     * The tenant with this name, created if unknown; once the directory is full, that for requests without a tenant.
+     */
     Tenant findOrCreate(String name, double nowMs) {
         Tenant known = tenants.get(name);
         if (known != null) {
@@ -39,7 +41,7 @@
         }
         removeIdleIfFull();
         lastSequence++;
-        // Guards against memory without bound.
+        // Guards against unbounded memory.
         String recordedName = tenants.size() >= maxTenants ? "" : name;
         Tenant tenant = tenants.get(recordedName);
         if (tenant == null) {
@@ -50,7 +52,10 @@
         return tenant;
     }
 
-    /** Guards the event loop against callers of ever new names: all tenants are visited only now and then. */
+    /**
+     * Guards the event loop against clients that send a new name with each request: visiting all tenants is
+     * rate-limited.
+     */
     private void removeIdleIfFull() {
         if (tenants.size() >= maxTenants && lastSequence >= nextSweepSequence) {
             nextSweepSequence = lastSequence + Math.max(1, maxTenants / SWEEPS_PER_CAPACITY);
@@ -58,7 +63,7 @@
         }
     }
 
-    /** Whether forgetting a tenant changes nothing for its next request. */
+    /** Whether removing a tenant has no effect on its next request. */
     boolean isIdle(Tenant tenant) {
         if (tenant.running > 0 || tenant.waiting > 0) {
             return false;
@@ -102,7 +107,7 @@
         return sum;
     }
 
-    /** Moves each tenant to the share that the quotas in force give it, and updates all shares. */
+    /** Moves each tenant to its share under the quotas in force, and updates all shares. */
     void reassignShares(double nowMs) {
         Map<String, Double> named = namedQuotas();
         for (Tenant tenant : tenants.values()) {
@@ -135,20 +140,20 @@
         tenant.finishTag = 0;
     }
 
-    /** From its own share to that of unnamed tenants, or back, with its running and waiting requests. */
+    /** Moves a tenant, with its running and waiting requests, from its own share to that of unnamed tenants or back. */
     private void moveToOtherShare(Tenant tenant, double nowMs) {
         QuotaShare oldShare = tenant.share;
         tenant.leaveQueue();
-        double expectedMs = 0;
+        double expectedHoldMs = 0;
         if (tenant.running > 0) {
-            expectedMs = oldShare.unnamed
+            expectedHoldMs = oldShare.unnamed
                     ? tenant.running * Math.min(tenant.holdMs(nowMs), Tenant.UNKNOWN_HOLD_MS)
-                    : oldShare.sumExpectedMs;
-            oldShare.removeRunning(tenant, expectedMs);
+                    : oldShare.sumExpectedHoldMs;
+            oldShare.removeRunning(tenant, expectedHoldMs);
         }
         fairQueue.update(oldShare, nowMs);
         assignShare(tenant);
-        tenant.share.addRunning(tenant, expectedMs);
+        tenant.share.addRunning(tenant, expectedHoldMs);
         tenant.enterQueue(nowMs, maxLoanMs);
     }
 }
--- a/core/src/main/java/brackenbridge/core/share/TenantQuotas.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantQuotas.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * The quota of each tenant at this node: connections to its endpoint list, open at the same time. Received from the
- * fleet; valid for a limited time.
+ * The quota of each tenant at this node: the number of concurrent connections to the servers of its endpoint list.
+ * Received from the fleet and valid for a limited time.
  *
- * @param epoch number of the allocation; lower ones than the last are ignored
- * @param tenants connections for each named tenant; absent tenants share {@code others}
- * @param others connections for all unnamed tenants together, and for requests without a tenant
- * @param weights the proportion in which tenants borrow spare capacity; 1 if absent
- * @param untilMs from then on {@code guaranteed} applies instead of {@code tenants} and {@code others}
- * @param guaranteed connections that each tenant may hold even while the node is cut off from the fleet
+ * @param epoch the number of the allocation; allocations with a lower epoch than the last are ignored
+ * @param namedQuotas connections for each named tenant; all other tenants share {@code unnamedQuota}
+ * @param unnamedQuota connections for all unnamed tenants and requests without a tenant together
+ * @param weights the weights by which tenants borrow spare capacity; 1 if absent
+ * @param expiresAtMs from then on {@code guaranteedQuotas} replaces {@code namedQuotas} and {@code unnamedQuota}
+ * @param guaranteedQuotas connections that each tenant may hold even while the node is disconnected from the fleet
  */
 public record TenantQuotas(
         long epoch,
--- a/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
+++ b/core/src/main/java/brackenbridge/core/share/TenantScheduler.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 
 /**
- * Decides which tenant's request starts next, by each tenant's quota of the node's connections. It stands between
- * admission and the first attempt.
+ * Decides which tenant's request starts next, by each tenant's quota of the node's connections. A request passes it
+ * before it reaches the balancer.
  *
  * <p>Start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996; with many servers at once, Jin, Chase and Kaur,
- * SIGMETRICS 2004) over tenants: each request moves its tenant's finish tag on by its connection time divided by its
- * quota, by the expected time when it starts and by the time it took when it ends; one that is still running beyond
- * that is charged meanwhile. Virtual time runs with the clock, so that a quota in full use moves its tag as fast as
- * time passes. A finish tag stays behind virtual time by {@link SchedulerLimits#maxBurstMs} at most, which is the
- * tenant's burst credit: it lets the tenant hold up to twice its quota and is used up by that. A tenant that holds
- * less than its quota goes before all that hold more. Capacity that no tenant may claim is lent, by weights, to tenants
- * whose requests are short enough to return it within {@link SchedulerLimits#maxLoanMs}.
+ * SIGMETRICS 2004) over tenants: each request advances its tenant's finish tag by its connection time divided by the
+ * tenant's quota. The expected hold time is charged when the request starts and is corrected to the actual one when it
+ * ends; a request that runs longer than expected is charged meanwhile. Virtual time runs with the clock, so that a
+ * tenant that uses its full quota advances its tag as fast as time passes. A finish tag lags virtual time by at most
+ * {@link SchedulerLimits#maxBurstMs}. This lag is the tenant's burst credit: it lets the tenant hold up to twice its
+ * quota, which consumes the credit. Tenants below their quota precede all others. Capacity that no such tenant uses is
+ * lent, by weights, to tenants whose requests are short enough to return it within {@link SchedulerLimits#maxLoanMs}.
  *
- * <p>Tenants that are not named in {@link TenantQuotas} share one quota, by the same method among themselves. No
- * request starts while as many run as all quotas make together. Until the first quotas are received every request is
- * admitted. Each request costs at most logarithmic time in the tenants that wait. Idle tenants use no memory. Not
- * thread-safe; time must not go back.
+ * <p>Tenants that are not named in {@link TenantQuotas} share one quota, divided among them by the same method. No
+ * request starts while the number of running requests has reached the sum of all quotas. Until the first quotas are
+ * received, every request is admitted. Each request costs at most logarithmic time in the number of waiting tenants.
+ * Idle tenants use no memory. Not thread-safe; time must be monotonic.
  */
 public final class TenantScheduler {
     private final SchedulerLimits limits;
@@ -31,15 +31,15 @@
     private final RunningRequests runningRequests;
     private final WaitingRequests waitingRequests = new WaitingRequests();
     private final WaitEstimator waitEstimator;
-    private final UseReports useReports;
-    /** All requests that run or wait. */
+    private final UsageReports usageReports;
+    /** All running and waiting requests. */
     private final Map<Long, ScheduledRequest> requests = new HashMap<>();
 
     private TenantQuotas quotas;
     private boolean guaranteedOnly;
     private int maxRunning = Integer.MAX_VALUE;
 
-    /** A scheduler without quotas. */
+    /** Creates a scheduler without quotas. */
     public TenantScheduler(SchedulerLimits limits) {
         this.limits = limits;
         SpareCapacity spareCapacity = new SpareCapacity(limits.maxLoanMs());
@@ -47,49 +47,49 @@
         this.directory = new TenantDirectory(limits, spareCapacity, fairQueue);
         this.runningRequests = new RunningRequests(directory, fairQueue, limits.maxLoanMs());
         this.waitEstimator = new WaitEstimator(limits.maxLoanMs());
-        this.useReports = new UseReports(directory, fairQueue);
+        this.usageReports = new UsageReports(directory, fairQueue);
     }
 
     /**
-     * Bounds of a scheduler.
+     * Limits of a scheduler.
      *
-     * @param maxBurstMs maximum burst credit, in milliseconds of the quota
-     * @param maxLoanMs a tenant whose requests hold a connection for longer may not borrow; milliseconds
-     * @param maxWaiting requests that wait at the same time, over all tenants
-     * @param maxTenants tenants that are distinguished; requests of further ones count as requests without a tenant
+     * @param maxBurstMs the maximum burst credit, in milliseconds at the full quota
+     * @param maxLoanMs the longest hold time of a tenant that may borrow, in milliseconds
+     * @param maxWaiting the maximum number of waiting requests, over all tenants
+     * @param maxTenants the maximum number of known tenants; requests of others count as requests without a tenant
      */
     public record SchedulerLimits(double maxBurstMs, double maxLoanMs, int maxWaiting, int maxTenants) {
-        /** For a node. */
+        /** The limits of a node. */
         public static final SchedulerLimits NODE_LIMITS = new SchedulerLimits(250, 1000, 4096, 200_000);
 
-        /** Rejects limits that can't be kept. */
+        /** Rejects limits that are out of range. */
         public SchedulerLimits {
             if (!(maxBurstMs >= 0) || !(maxLoanMs >= 0) || maxWaiting < 0 || maxTenants < 1) {
-                throw new IllegalArgumentException(
-                        "limits: " + maxBurstMs + ", " + maxLoanMs + ", " + maxWaiting + ", " + maxTenants);
+                throw new IllegalArgumentException("scheduler limits out of range: maxBurstMs " + maxBurstMs
+                        + ", maxLoanMs " + maxLoanMs + ", maxWaiting " + maxWaiting + ", maxTenants " + maxTenants);
             }
         }
     }
 
-    /** What happens to a request that has just arrived. */
+    /** The decision about a new request. */
     public enum AdmissionVerdict {
-        /** Send it now. */
+        /** It starts now. */
         ADMIT,
-        /** It waits for its turn: a later {@link SchedulingResult} names it. */
+        /** It waits: a later {@link SchedulingResult} contains it. */
         QUEUE,
         /** It can't be served in time. */
         REJECT
     }
 
     /**
-     * What happens to a request that has just arrived.
+     * The decision about a new request.
      *
      * @param verdict whether it is admitted, queued or rejected
-     * @param retryAfterMs if rejected: when its client may send it again, in milliseconds from now
+     * @param retryAfterMs if rejected: when its client may retry, in milliseconds from now
      */
     public record AdmissionDecision(AdmissionVerdict verdict, double retryAfterMs) {
-        private static final AdmissionDecision ADMITTED_NOW = new AdmissionDecision(AdmissionVerdict.ADMIT, 0);
-        private static final AdmissionDecision QUEUED_FOR_TURN = new AdmissionDecision(AdmissionVerdict.QUEUE, 0);
+        private static final AdmissionDecision ADMITTED = new AdmissionDecision(AdmissionVerdict.ADMIT, 0);
+        private static final AdmissionDecision QUEUED = new AdmissionDecision(AdmissionVerdict.QUEUE, 0);
     }
 
     /** Applies new quotas; those of a lower epoch than the last are ignored. */
@@ -112,35 +112,36 @@
     }
 
     /**
-     * A request has arrived.
+     * Admits, queues or rejects a new request.
      *
      * @param tenant its tenant; null if none
-     * @param deadlineMs when its response must be there
-     * @param expectedMs how long it will hold a connection; 0 or less if unknown: what its tenant's do on average
-     * @throws IllegalArgumentException if a request of this id runs or waits
+     * @param deadlineMs when its response is due
+     * @param expectedHoldMs how long it is expected to hold a connection; if 0 or less, the mean of its tenant's
+     *     requests
+     * @throws IllegalArgumentException if a request with this id is running or waiting
      */
     public AdmissionDecision onRequest(
-            double nowMs, long requestId, String tenant, double deadlineMs, double expectedMs) {
+            double nowMs, long requestId, String tenant, double deadlineMs, double expectedHoldMs) {
         advanceTime(nowMs);
         Tenant owner = directory.findOrCreate(tenant == null ? "" : tenant, nowMs);
-        double holdMs = expectedMs > 0 ? expectedMs : owner.expectedHoldMs();
+        double holdMs = expectedHoldMs > 0 ? expectedHoldMs : owner.expectedHoldMs();
         ScheduledRequest request = new ScheduledRequest(requestId, owner, holdMs, deadlineMs - holdMs);
         if (requests.putIfAbsent(requestId, request) != null) {
-            throw new IllegalArgumentException("flow " + requestId + " was opened before");
+            throw new IllegalArgumentException("request " + requestId + " is already running or waiting");
         }
-        owner.integrateUse(nowMs);
+        owner.integrateUsage(nowMs);
         if (quotas == null || mayStartAtOnce(owner, nowMs)) {
             runningRequests.start(request, nowMs);
             fairQueue.update(owner.share, nowMs);
-            return AdmissionDecision.ADMITTED_NOW;
+            return AdmissionDecision.ADMITTED;
         }
         return queueOrReject(request, nowMs);
     }
 
-    /** Guards against a request that overtakes those that wait with a better claim. */
+    /** Guards against overtaking waiting requests that precede the new one. */
     private boolean mayStartAtOnce(Tenant tenant, double nowMs) {
         return runningRequests.count() < maxRunning
-                && !fairQueue.hasSharesBelowQuota()
+                && !fairQueue.hasEligibleShares()
                 && tenant.waiting == 0
                 && tenant.mayStartAnother(nowMs, limits.maxLoanMs())
                 && fairQueue.mayStartAtOnce(tenant.share, nowMs);
@@ -155,15 +156,16 @@
             tenant.rejected++;
             double latenessMs = waitMs - Math.max(0, slackMs);
             return new AdmissionDecision(
-                    AdmissionVerdict.REJECT, waitEstimator.retryAfterMs(latenessMs, request.expectedMs, maxRunning));
+                    AdmissionVerdict.REJECT,
+                    waitEstimator.retryAfterMs(latenessMs, request.expectedHoldMs, maxRunning));
         }
         waitingRequests.add(request);
         tenant.enterQueue(nowMs, limits.maxLoanMs());
         fairQueue.update(tenant.share, nowMs);
-        return AdmissionDecision.QUEUED_FOR_TURN;
+        return AdmissionDecision.QUEUED;
     }
 
-    /** A request has its response or is given up, whether it runs or waits; unknown ones are ignored. */
+    /** A running or waiting request has its response or was given up; unknown requests are ignored. */
     public SchedulingResult onRequestEnded(double nowMs, long requestId) {
         ScheduledRequest request = requests.remove(requestId);
         if (request == null) {
@@ -193,52 +195,53 @@
         return schedule(nowMs);
     }
 
-    /** When {@link #onTimer} is to be called; infinite if nothing depends on time. */
+    /** When {@link #onTimer} must be called next; infinite if no step is due. */
     public double nextTimerMs() {
-        double quotasEndMs = quotas == null || guaranteedOnly ? Double.POSITIVE_INFINITY : quotas.expiresAtMs();
-        double nextMs = Math.min(quotasEndMs, waitingRequests.nextExpiryMs());
+        double quotasExpireAtMs = quotas == null || guaranteedOnly ? Double.POSITIVE_INFINITY : quotas.expiresAtMs();
+        double nextMs = Math.min(quotasExpireAtMs, waitingRequests.nextExpiryMs());
         return runningRequests.count() < maxRunning ? Math.min(nextMs, fairQueue.nextRefillMs()) : nextMs;
     }
 
-    /** Requests that run. */
+    /** The number of running requests. */
     public int running() {
         return runningRequests.count();
     }
 
-    /** Requests that wait. */
+    /** The number of waiting requests. */
     public int waiting() {
         return waitingRequests.count();
     }
 
-    /** Requests that may run at once; {@link Integer#MAX_VALUE} until quotas are received. */
+    /** The number of requests that may run at the same time; {@link Integer#MAX_VALUE} until quotas are received. */
     public int maxRunning() {
         return maxRunning;
     }
 
-    /** Tenants that are remembered at this moment. */
+    /** The number of known tenants. */
     public int tenantCount() {
         return directory.tenants().size();
     }
 
     /**
-     * Requests to give up so that no more run than may: for a node that is cut off and whose requests outlast its lease
-     * by more than the fleet waits. The oldest of the shares that are furthest over their quota come first.
+     * The running requests beyond {@link #maxRunning}, for a node that is disconnected from the fleet to give up when
+     * they outlast its lease by more than the fleet waits. Requests of the shares that exceed their quota most come
+     * first, the oldest of them foremost.
      */
     public List<Long> selectExcessRequests(double nowMs) {
         onTimer(nowMs);
-        return runningRequests.selectBeyond(maxRunning, requests.values());
+        return runningRequests.selectExcess(maxRunning, requests.values());
     }
 
-    /** What each tenant wanted and used since the last call; forgets idle tenants. */
+    /** The demand and usage of each tenant since the last call; idle tenants are removed. */
     public List<TenantUsage> takeUsage(double nowMs) {
         advanceTime(nowMs);
-        return useReports.take(nowMs);
+        return usageReports.take(nowMs);
     }
 
     private void advanceTime(double nowMs) {
         if (!virtualTime.isStarted()) {
             virtualTime.start(nowMs);
-            useReports.start(nowMs);
+            usageReports.start(nowMs);
         }
         virtualTime.advance(nowMs);
     }
@@ -248,7 +251,7 @@
         fairQueue.update(request.tenant.share, nowMs);
     }
 
-    /** Rejects what can't start in time any more, then starts what may. */
+    /** Rejects waiting requests that can't start in time any more, then starts those that may start. */
     private SchedulingResult schedule(double nowMs) {
         List<SchedulingResult.Rejection> rejected = rejectExpired(nowMs);
         fairQueue.updateRefilled(nowMs);
@@ -266,7 +269,7 @@
             cancel(request, nowMs);
             request.tenant.rejected++;
             double waitMs = waitEstimator.waitMs(request.tenant, nowMs, maxRunning);
-            double retryAfterMs = waitEstimator.retryAfterMs(waitMs, request.expectedMs, maxRunning);
+            double retryAfterMs = waitEstimator.retryAfterMs(waitMs, request.expectedHoldMs, maxRunning);
             rejected = rejected.isEmpty() ? new ArrayList<>() : rejected;
             rejected.add(new SchedulingResult.Rejection(request.id, retryAfterMs));
             request = waitingRequests.pollExpired(nowMs);
@@ -289,7 +292,7 @@
 
     private long startNext(QuotaShare share, double nowMs) {
         Tenant tenant = share.waitingTenants.first();
-        tenant.integrateUse(nowMs);
+        tenant.integrateUsage(nowMs);
         tenant.leaveQueue();
         ScheduledRequest request = waitingRequests.poll(tenant);
         runningRequests.start(request, nowMs);
--- a/core/src/main/java/brackenbridge/core/share/UseReports.java
+++ b/core/src/main/java/brackenbridge/core/share/UsageReports.java
@@ -4,15 +4,15 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Reports what each tenant wanted and used since the last report, and forgets idle tenants. */
-final class UseReports {
+/** Reports the demand and usage of each tenant since the last report, and removes idle tenants. */
+final class UsageReports {
     private static final double MS_PER_SECOND = 1000;
 
     private final TenantDirectory directory;
     private final FairQueue fairQueue;
     private double lastReportMs = Double.NaN;
 
-    UseReports(TenantDirectory directory, FairQueue fairQueue) {
+    UsageReports(TenantDirectory directory, FairQueue fairQueue) {
         this.directory = directory;
         this.fairQueue = fairQueue;
     }
@@ -28,12 +28,12 @@
         Iterator<Tenant> tenants = directory.tenants().iterator();
         while (tenants.hasNext()) {
             Tenant tenant = tenants.next();
-            tenant.integrateUse(nowMs);
-            TenantUsage use = report(tenant, periodMs, nowMs);
-            if (use != null) {
-                reports.add(use);
+            tenant.integrateUsage(nowMs);
+            TenantUsage usage = report(tenant, periodMs, nowMs);
+            if (usage != null) {
+                reports.add(usage);
             }
-            tenant.resetUse();
+            tenant.resetUsage();
             if (directory.isIdle(tenant)) {
                 tenants.remove();
             }
@@ -41,20 +41,20 @@
         return reports;
     }
 
-    /** The use of one tenant, or null if there was none. */
+    /** The usage of one tenant; null if it had neither requests nor rejections. */
     private TenantUsage report(Tenant tenant, double periodMs, double nowMs) {
         boolean measured = periodMs > 0;
-        double used = measured ? tenant.runningIntegral / periodMs : tenant.running;
-        double waited = measured ? tenant.waitingIntegral / periodMs : tenant.waiting;
+        double meanRunning = measured ? tenant.runningIntegral / periodMs : tenant.running;
+        double meanWaiting = measured ? tenant.waitingIntegral / periodMs : tenant.waiting;
         double rejectedPerMs = measured ? tenant.rejected / periodMs : 0;
-        if (!(used > 0 || waited > 0 || tenant.rejected > 0)) {
+        if (!(meanRunning > 0 || meanWaiting > 0 || tenant.rejected > 0)) {
             return null;
         }
         double holdMs = tenant.holdMs(nowMs);
         return new TenantUsage(
                 tenant.name,
-                used + waited + rejectedPerMs * holdMs,
-                used,
+                meanRunning + meanWaiting + rejectedPerMs * holdMs,
+                meanRunning,
                 tenant.running,
                 rejectedPerMs * MS_PER_SECOND,
                 holdMs,
--- a/core/src/main/java/brackenbridge/core/share/VirtualTime.java
+++ b/core/src/main/java/brackenbridge/core/share/VirtualTime.java
@@ -1,8 +1,8 @@
 package brackenbridge.core.share;
 
 /**
- * The virtual time of start-time fair queueing. It runs with the clock, so that a quota in full use moves its finish
- * tag as fast as time passes; it runs slower where all quotas together are not a whole number of connections.
+ * The virtual time of start-time fair queueing. It runs with the clock, so that a share that uses its full quota
+ * advances its finish tag as fast as time passes; it runs slower if the sum of all quotas is not an integer.
  */
 final class VirtualTime {
     private static final double MIN_TIMER_MS = 1;
@@ -28,7 +28,7 @@
         return value;
     }
 
-    /** Sets virtual milliseconds a millisecond of the clock. */
+    /** Sets the virtual milliseconds per millisecond of the clock. */
     void setRate(double rate) {
         this.rate = rate;
     }
@@ -37,7 +37,7 @@
         return rate > 0;
     }
 
-    /** When it reaches a tag, on the clock. */
+    /** The clock time at which it reaches a tag. */
     double reachedAtMs(double tag) {
         return updatedMs + Math.max(MIN_TIMER_MS, (tag - value) / rate);
     }
--- a/core/src/main/java/brackenbridge/core/share/WaitEstimator.java
+++ b/core/src/main/java/brackenbridge/core/share/WaitEstimator.java
@@ -1,9 +1,9 @@
 package brackenbridge.core.share;
 
-/** Estimates how long a request would wait, and when a rejected one may be sent again. */
+/** Estimates how long a request would wait, and when a rejected one may be retried. */
 final class WaitEstimator {
-    /** A share is taken to serve this many requests at once at least, so that an estimate is finite. */
-    private static final double MIN_SERVED_AT_ONCE = 0.05;
+    /** The minimum concurrency assumed of a share, so that an estimate is finite. */
+    private static final double MIN_CONCURRENCY = 0.05;
 
     private static final double MIN_RETRY_AFTER_MS = 1;
     private static final double MAX_RETRY_AFTER_MS = 60_000;
@@ -11,9 +11,9 @@
     private final double retryWithoutCapacityMs;
 
     /**
-     * Creates one.
+     * Creates an estimator.
      *
-     * @param retryWithoutCapacityMs when a request may be sent again that was rejected because there is no quota at all
+     * @param retryWithoutCapacityMs the retry delay of requests that are rejected because no request may run
      */
     WaitEstimator(double retryWithoutCapacityMs) {
         this.retryWithoutCapacityMs = retryWithoutCapacityMs;
@@ -25,16 +25,16 @@
             return Double.POSITIVE_INFINITY;
         }
         QuotaShare share = tenant.share;
-        double servedAtOnce = Math.min(maxRunning, Math.max(share.quota, share.running));
+        double concurrency = Math.min(maxRunning, Math.max(share.quota, share.running));
         if (share.unnamed) {
-            servedAtOnce /= share.waitingTenants.size() + (tenant.isQueued() ? 0 : 1);
+            concurrency /= share.waitingTenants.size() + (tenant.isQueued() ? 0 : 1);
         }
-        return (tenant.waiting + 1) * tenant.holdMs(nowMs) / Math.max(MIN_SERVED_AT_ONCE, servedAtOnce);
+        return (tenant.waiting + 1) * tenant.holdMs(nowMs) / Math.max(MIN_CONCURRENCY, concurrency);
     }
 
-    /** When the client of a rejected request may send it again, from now. */
-    double retryAfterMs(double latenessMs, double expectedMs, int maxRunning) {
-        double waitMs = maxRunning == 0 ? retryWithoutCapacityMs : Math.max(latenessMs, expectedMs);
+    /** How long the client of a rejected request must wait before a retry. */
+    double retryAfterMs(double latenessMs, double expectedHoldMs, int maxRunning) {
+        double waitMs = maxRunning == 0 ? retryWithoutCapacityMs : Math.max(latenessMs, expectedHoldMs);
         return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs));
     }
 }
--- a/core/src/main/java/brackenbridge/core/share/WaitingRequests.java
+++ b/core/src/main/java/brackenbridge/core/share/WaitingRequests.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The requests that wait for a connection, by tenant and by the last moment at which they may start. */
+/** The requests that wait for a connection, by tenant and by their latest start. */
 final class WaitingRequests {
-    /** A tenant's line may hold this many cancelled requests beyond one for each that waits. */
+    /** A tenant's queue may hold this many cancelled requests in addition to one for each waiting request. */
     private static final int MAX_CANCELLED_PER_TENANT = 16;
-    /** The expiry queue may hold this many ended entries beyond one for each request that waits. */
+    /** The expiry queue may hold this many ended entries in addition to one for each waiting request. */
     private static final int MAX_ENDED_IN_EXPIRY_QUEUE = 64;
 
     private final PriorityQueue<ScheduledRequest> byLatestStart =
@@ -26,7 +26,7 @@
         byLatestStart.add(request);
     }
 
-    /** Takes the oldest waiting request of a tenant that has one. */
+    /** Removes and returns the oldest waiting request of a tenant that has one. */
     ScheduledRequest poll(Tenant tenant) {
         ScheduledRequest request = tenant.waitingRequests.poll();
         while (request.isCancelled()) {
@@ -37,10 +37,10 @@
         return request;
     }
 
-    /** Ends the wait of a request; its entries are skipped when they come to the front. */
+    /** Cancels a waiting request; its queue entries are skipped when they reach the front. */
     void cancel(ScheduledRequest request, double nowMs) {
         Tenant tenant = request.tenant;
-        tenant.integrateUse(nowMs);
+        tenant.integrateUsage(nowMs);
         request.cancel();
         tenant.waiting--;
         count--;
@@ -51,7 +51,7 @@
         removeCancelledEntries(tenant);
     }
 
-    /** Guards against memory that grows with cancelled requests. */
+    /** Guards against memory that grows with the number of cancelled requests. */
     private void removeCancelledEntries(Tenant tenant) {
         if (tenant.waitingRequests.size() > 2 * tenant.waiting + MAX_CANCELLED_PER_TENANT) {
             tenant.waitingRequests.removeIf(ScheduledRequest::isCancelled);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Takes a request that can't start in time any more, or null; it stays in its tenant's line until cancelled. */
+    /** Returns a request that can't start in time any more, or null; it stays in its tenant's queue until cancelled. */
     ScheduledRequest pollExpired(double nowMs) {
         while (!byLatestStart.isEmpty()) {
             ScheduledRequest first = byLatestStart.peek();
@@ -76,7 +76,7 @@
         return null;
     }
 
-    /** When the first request expires; infinite if none waits. It may be early by entries that have ended. */
+    /** When the first request expires; infinite if none waits. Entries of ended requests may make it too early. */
     double nextExpiryMs() {
         return byLatestStart.isEmpty() ? Double.POSITIVE_INFINITY : byLatestStart.peek().latestStartMs;
     }
--- a/core/src/main/java/brackenbridge/core/share/package-info.java
+++ b/core/src/main/java/brackenbridge/core/share/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Sharing of a node's connections between tenants: quotas and zone weights received from the fleet, and the fair
- * queue that decides whose request starts next.
+ * queueing that decides which tenant's request starts next.
  */
 package brackenbridge.core.share;
--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -25,31 +25,31 @@
  * keeps the rules that it began under, and in the end every server is free again.
  */
 class ChangingSettingsTest {
-    private static final String[] NAMES = {"a", "b", "c", "d"};
+    private static final String[] CLASS_NAMES = {"a", "b", "c", "d"};
 
     /** What a request was promised when it came. */
-    private record Promise(RequestClass under, int attempts) {}
+    private record InitialRules(RequestClass requestClass, int maxAttempts) {}
 
-    private final Map<Long, Promise> promises = new HashMap<>();
-    private final Map<Long, Integer> answers = new HashMap<>();
-    private final Map<Long, Integer> out = new HashMap<>();
+    private final Map<Long, InitialRules> initialRules = new HashMap<>();
+    private final Map<Long, Integer> answerCounts = new HashMap<>();
+    private final Map<Long, Integer> inFlight = new HashMap<>();
     private final Set<Long> written = new HashSet<>();
-    private final Set<Long> ran = new HashSet<>();
-    private final Set<Long> gone = new HashSet<>();
-    private final Set<Long> coming = new HashSet<>();
+    private final Set<Long> mayHaveRun = new HashSet<>();
+    private final Set<Long> disconnected = new HashSet<>();
+    private final Set<Long> incomplete = new HashSet<>();
     private BalancerSettings settings;
-    private int seen;
+    private int checkedEffects;
     private long version = 50;
 
     private static BalancerSettings settings(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
-        int first = random.nextInt(NAMES.length);
-        for (int i = 0, n = 1 + random.nextInt(NAMES.length); i < n; i++) {
-            long aim = 100_000 + random.nextInt(300_000);
+        int first = random.nextInt(CLASS_NAMES.length);
+        for (int i = 0, n = 1 + random.nextInt(CLASS_NAMES.length); i < n; i++) {
+            long latencyObjective = 100_000 + random.nextInt(300_000);
             classes.add(new RequestClass(
-                    NAMES[(first + i) % NAMES.length],
-                    aim,
-                    aim + random.nextInt(500_000),
+                    CLASS_NAMES[(first + i) % CLASS_NAMES.length],
+                    latencyObjective,
+                    latencyObjective + random.nextInt(500_000),
                     random.nextBoolean()
                             ? brackenbridge.core.balancing.Idempotence.IDEMPOTENT
                             : brackenbridge.core.balancing.Idempotence.NOT_IDEMPOTENT,
@@ -86,33 +86,33 @@
                 base.network());
     }
 
-    private static boolean isSafe(Promise promise) {
-        return promise.under().idempotence() == brackenbridge.core.balancing.Idempotence.IDEMPOTENT;
+    private static boolean isIdempotent(InitialRules rules) {
+        return rules.requestClass().idempotence() == brackenbridge.core.balancing.Idempotence.IDEMPOTENT;
     }
 
     /** Holds what the node has done since the last look against what it promised. */
-    private void checkPromises(ReducerHarness harness) {
-        for (; seen < harness.effects.size(); seen++) {
-            Effect effect = harness.effects.get(seen);
+    private void checkNewEffects(ReducerHarness harness) {
+        for (; checkedEffects < harness.effects.size(); checkedEffects++) {
+            Effect effect = harness.effects.get(checkedEffects);
             if (effect instanceof Effect.StartAttempt start) {
-                Promise promise = promises.get(start.requestId());
-                assertEquals(null, out.put(start.requestId(), start.attempt()), "one attempt at a time");
-                assertTrue(start.attempt() < promise.attempts(), "more attempts than it began with");
-                assertTrue(!ran.contains(start.requestId()) || isSafe(promise), "unsafe, and may have run");
-                assertEquals(0, answers.getOrDefault(start.requestId(), 0), "it has its answer");
+                InitialRules rules = initialRules.get(start.requestId());
+                assertEquals(null, inFlight.put(start.requestId(), start.attempt()), "one attempt at a time");
+                assertTrue(start.attempt() < rules.maxAttempts(), "more attempts than it began with");
+                assertTrue(!mayHaveRun.contains(start.requestId()) || isIdempotent(rules), "unsafe, and may have run");
+                assertEquals(0, answerCounts.getOrDefault(start.requestId(), 0), "it has its answer");
                 written.remove(start.requestId());
             } else if (effect instanceof Effect.CancelAttempt cancel) {
-                if (out.remove(cancel.requestId(), cancel.attempt()) && written.contains(cancel.requestId())) {
-                    ran.add(cancel.requestId());
+                if (inFlight.remove(cancel.requestId(), cancel.attempt()) && written.contains(cancel.requestId())) {
+                    mayHaveRun.add(cancel.requestId());
                 }
-            } else if (effect instanceof Effect.SendResponse response) {
-                answers.merge(response.requestId(), 1, Integer::sum);
-            } else if (effect instanceof Effect.SendLocalReply response) {
-                answers.merge(response.requestId(), 1, Integer::sum);
+            } else if (effect instanceof Effect.SendResponse send) {
+                answerCounts.merge(send.requestId(), 1, Integer::sum);
+            } else if (effect instanceof Effect.SendLocalReply send) {
+                answerCounts.merge(send.requestId(), 1, Integer::sum);
                 assertTrue(
-                        response.reply() != Effect.LocalReply.REJECTED
-                                || !ran.contains(response.requestId())
-                                || isSafe(promises.get(response.requestId())),
+                        send.reply() != Effect.LocalReply.REJECTED
+                                || !mayHaveRun.contains(send.requestId())
+                                || isIdempotent(initialRules.get(send.requestId())),
                         "refused, but it may have run");
             } else if (effect instanceof Effect.ReportFault fault) {
                 throw new AssertionError("fault", fault.cause());
@@ -121,13 +121,13 @@
     }
 
     private void openRequest(SplittableRandom random, ReducerHarness harness) {
-        long id = 10_000 + promises.size();
+        long id = 10_000 + initialRules.size();
         RequestClass requestClass =
                 settings.classes().get(random.nextInt(settings.classes().size()));
-        boolean whole = random.nextInt(6) > 0;
-        promises.put(id, new Promise(requestClass, settings.maxAttempts()));
-        if (!whole) {
-            coming.add(id);
+        boolean complete = random.nextInt(6) > 0;
+        initialRules.put(id, new InitialRules(requestClass, settings.maxAttempts()));
+        if (!complete) {
+            incomplete.add(id);
         }
         harness.send(new Event.RequestReceived(
                 id,
@@ -136,7 +136,7 @@
                         random.nextBoolean() ? "acme" : null,
                         random.nextInt(3) == 0 ? -1 : random.nextInt(600),
                         false,
-                        whole,
+                        complete,
                         "m")));
     }
 
@@ -157,25 +157,25 @@
     }
 
     private void advanceAttempt(SplittableRandom random, ReducerHarness harness, long requestId) {
-        Integer number = out.get(requestId);
+        Integer number = inFlight.get(requestId);
         if (number == null) {
             return;
         }
-        if (!written.contains(requestId) && random.nextBoolean() && !coming.contains(requestId)) {
+        if (!written.contains(requestId) && random.nextBoolean() && !incomplete.contains(requestId)) {
             written.add(requestId);
             harness.send(new Event.AttemptWritten(requestId, number));
             return;
         }
-        out.remove(requestId);
+        inFlight.remove(requestId);
         if (!written.contains(requestId) || random.nextInt(3) == 0) {
             if (written.contains(requestId)) {
-                ran.add(requestId);
+                mayHaveRun.add(requestId);
             }
             harness.send(new Event.AttemptConnectionLost(requestId, number));
         } else {
             ResponseKind reply = ResponseKind.values()[random.nextInt(4)];
             if (reply == ResponseKind.ERROR) {
-                ran.add(requestId);
+                mayHaveRun.add(requestId);
             }
             harness.send(new Event.ResponseReceived(requestId, number, reply, "b", null));
         }
@@ -183,34 +183,34 @@
 
     @Property(seed = "77", tries = 300)
     void everyRequestKeepsItsRulesAndGetsOneAnswer(@ForAll long seed) {
-        promises.clear();
-        answers.clear();
-        out.clear();
+        initialRules.clear();
+        answerCounts.clear();
+        inFlight.clear();
         written.clear();
-        ran.clear();
-        gone.clear();
-        coming.clear();
-        seen = 0;
+        mayHaveRun.clear();
+        disconnected.clear();
+        incomplete.clear();
+        checkedEffects = 0;
         SplittableRandom random = new SplittableRandom(seed);
         ReducerHarness harness = new ReducerHarness(3, 2);
         settings = harness.settings;
         for (int i = 0; i < 250; i++) {
-            long requestId = 10_000 + (promises.isEmpty() ? 0 : random.nextInt(promises.size()));
+            long requestId = 10_000 + (initialRules.isEmpty() ? 0 : random.nextInt(initialRules.size()));
             switch (random.nextInt(12)) {
                 case 0, 1, 2, 3 -> openRequest(random, harness);
                 case 4, 5, 6 -> {
-                    List<Long> busy = new ArrayList<>(out.keySet());
-                    if (!busy.isEmpty()) {
-                        advanceAttempt(random, harness, busy.get(random.nextInt(busy.size())));
+                    List<Long> requestIds = new ArrayList<>(inFlight.keySet());
+                    if (!requestIds.isEmpty()) {
+                        advanceAttempt(random, harness, requestIds.get(random.nextInt(requestIds.size())));
                     }
                 }
                 case 7 -> {
-                    if (coming.remove(requestId)) {
+                    if (incomplete.remove(requestId)) {
                         harness.send(new Event.RequestCompleted(requestId));
                     } else if (random.nextInt(3) == 0
-                            && answers.getOrDefault(requestId, 0) == 0
-                            && promises.containsKey(requestId)) {
-                        gone.add(requestId);
+                            && answerCounts.getOrDefault(requestId, 0) == 0
+                            && initialRules.containsKey(requestId)) {
+                        disconnected.add(requestId);
                         harness.send(new Event.ClientDisconnected(requestId));
                     }
                 }
@@ -219,23 +219,24 @@
                 case 10 -> harness.send(new Event.DrainRequested(random.nextInt(4) == 0));
                 default -> harness.advance(random.nextInt(80));
             }
-            checkPromises(harness);
+            checkNewEffects(harness);
         }
         harness.send(new Event.DrainRequested(false));
-        coming.forEach(requestId -> harness.send(new Event.RequestCompleted(requestId)));
+        incomplete.forEach(requestId -> harness.send(new Event.RequestCompleted(requestId)));
         harness.advance(9000);
-        checkPromises(harness);
-        promises.keySet()
+        checkNewEffects(harness);
+        initialRules
+                .keySet()
                 .forEach(requestId -> assertEquals(
-                        gone.contains(requestId) ? 0 : 1,
-                        answers.getOrDefault(requestId, 0),
-                        (gone.contains(requestId) ? "gone " : "") + requestId));
-        assertTrue(out.isEmpty(), "attempts still in flight: " + out);
-        freeAgain(harness);
+                        disconnected.contains(requestId) ? 0 : 1,
+                        answerCounts.getOrDefault(requestId, 0),
+                        (disconnected.contains(requestId) ? "gone " : "") + requestId));
+        assertTrue(inFlight.isEmpty(), "attempts still in flight: " + inFlight);
+        assertEveryServerIsAvailable(harness);
     }
 
     /** Every server has room again: one call after the other finds one at once, and none is forgotten. */
-    private void freeAgain(ReducerHarness harness) {
+    private void assertEveryServerIsAvailable(ReducerHarness harness) {
         settings = ReducerHarness.settings(1, 5, ReducerHarness.VIEW);
         harness.send(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), false));
         List<ServerEndpoint> endpoints = new ArrayList<>();
--- a/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
+++ b/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
@@ -47,9 +47,9 @@
                 .send(new Event.ClientPresenceUnknown(requestId));
         assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(requestId));
         harness.advance(9000);
-        int further = harness.attempts(requestId).size() - 1;
+        int retries = harness.attempts(requestId).size() - 1;
         assertEquals(
-                further, harness.effects(Effect.CancelAttempt.class).size(), "what was to go out again is called off");
+                retries, harness.effects(Effect.CancelAttempt.class).size(), "what was to go out again is called off");
     }
 
     @Test
@@ -66,18 +66,18 @@
     @Test
     void queuedRequestOfADisconnectedOrUnknownClientNeverStarts() {
         ReducerHarness harness = new ReducerHarness(0);
-        long hidden = harness.open(ReducerHarness.VIEW, 8000);
-        long gone = harness.open(ReducerHarness.VIEW, 8000);
+        long unknown = harness.open(ReducerHarness.VIEW, 8000);
+        long disconnected = harness.open(ReducerHarness.VIEW, 8000);
         long other = harness.open(ReducerHarness.VIEW, 8000);
-        harness.send(new Event.ClientPresenceUnknown(hidden)).send(new Event.ClientDisconnected(gone));
-        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(hidden));
+        harness.send(new Event.ClientPresenceUnknown(unknown)).send(new Event.ClientDisconnected(disconnected));
+        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(unknown));
         harness.send(new Event.Reconfigured(
                 harness.settings,
                 new EndpointList(42, true, List.of(ReducerHarness.endpoint("s-0", EndpointState.UP))),
                 false));
         harness.advance(100);
         assertEquals(1, harness.attempts(other).size());
-        assertEquals(List.of(), harness.attempts(hidden));
-        assertEquals(List.of(), harness.attempts(gone));
+        assertEquals(List.of(), harness.attempts(unknown));
+        assertEquals(List.of(), harness.attempts(disconnected));
     }
 }
--- a/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
+++ b/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
@@ -12,29 +12,31 @@
 
 /** Endpoint lists from discovery and from the configuration. */
 class EndpointDiscoveryTest {
-    private static Event answer(long requestId, int forward, ResponseKind reply) {
-        return new Event.ResponseReceived(requestId, forward, reply, "body", null);
+    private static Event answer(long requestId, int attempt, ResponseKind reply) {
+        return new Event.ResponseReceived(requestId, attempt, reply, "body", null);
     }
 
     @Test
     void silentWatchFailsAndIsOpenedAgain() {
         ReducerHarness harness = new ReducerHarness(4).advance(4100);
-        Effect.WatchDiscovery w = harness.effects(Effect.WatchDiscovery.class).get(0);
-        assertEquals(41, w.afterVersion());
+        Effect.WatchDiscovery watch =
+                harness.effects(Effect.WatchDiscovery.class).get(0);
+        assertEquals(41, watch.afterVersion());
         for (int i = 0; i < 5; i++) {
-            harness.send(new Event.DiscoveryHeartbeat(w.call())).advance(2000);
+            harness.send(new Event.DiscoveryHeartbeat(watch.call())).advance(2000);
         }
         assertEquals(0, harness.effects(Effect.CancelDiscoveryCall.class).size());
         harness.advance(1300);
         assertEquals(
-                List.of(new Effect.CancelDiscoveryCall(w.call())), harness.effects(Effect.CancelDiscoveryCall.class));
+                List.of(new Effect.CancelDiscoveryCall(watch.call())),
+                harness.effects(Effect.CancelDiscoveryCall.class));
         assertEquals(2, harness.effects(Effect.WatchDiscovery.class).size());
-        harness.send(new Event.DiscoveryCallEnded(w.call())).advance(1000);
+        harness.send(new Event.DiscoveryCallEnded(watch.call())).advance(1000);
         assertEquals(2, harness.effects(Effect.WatchDiscovery.class).size());
     }
 
     @Test
-    void outdatedListBringsNoServerBack() {
+    void outdatedListRestoresNoServer() {
         ReducerHarness harness = new ReducerHarness(1).advance(4100);
         long call = harness.effects(Effect.WatchDiscovery.class).get(0).call();
         harness.send(new Event.EndpointListReceived(
@@ -79,21 +81,24 @@
     @Test
     void movedDiscoveryIsCalledAtOnceAndItsCompleteListCounts() {
         ReducerHarness harness = new ReducerHarness(1).advance(4100);
-        long old = harness.effects(Effect.WatchDiscovery.class).get(0).call();
-        EndpointList known = new EndpointList(40, true, List.of(ReducerHarness.endpoint("s-old", EndpointState.UP)));
-        harness.send(new Event.Reconfigured(harness.settings, known, true));
-        assertEquals(List.of(new Effect.CancelDiscoveryCall(old)), harness.effects(Effect.CancelDiscoveryCall.class));
-        Effect.WatchDiscovery w = harness.effects(Effect.WatchDiscovery.class).get(1);
-        assertEquals(41, w.afterVersion());
-        harness.send(new Event.DiscoveryCallEnded(old));
-        harness.send(new Event.EndpointListReceived(old, new EndpointList(99, true, List.of())));
+        long oldCall = harness.effects(Effect.WatchDiscovery.class).get(0).call();
+        EndpointList configured =
+                new EndpointList(40, true, List.of(ReducerHarness.endpoint("s-old", EndpointState.UP)));
+        harness.send(new Event.Reconfigured(harness.settings, configured, true));
+        assertEquals(
+                List.of(new Effect.CancelDiscoveryCall(oldCall)), harness.effects(Effect.CancelDiscoveryCall.class));
+        Effect.WatchDiscovery watch =
+                harness.effects(Effect.WatchDiscovery.class).get(1);
+        assertEquals(41, watch.afterVersion());
+        harness.send(new Event.DiscoveryCallEnded(oldCall));
+        harness.send(new Event.EndpointListReceived(oldCall, new EndpointList(99, true, List.of())));
         assertTrue(harness.reducer.isReady());
         harness.send(new Event.EndpointListReceived(
-                w.call(), new EndpointList(7, true, List.of(ReducerHarness.endpoint("s-new", EndpointState.UP)))));
+                watch.call(), new EndpointList(7, true, List.of(ReducerHarness.endpoint("s-new", EndpointState.UP)))));
         assertEquals(
                 "s-new",
                 harness.attempts(harness.open(ReducerHarness.FILE, 5000)).get(0).host());
-        harness.advance(1000).send(new Event.DiscoveryHeartbeat(w.call())).advance(2500);
+        harness.advance(1000).send(new Event.DiscoveryHeartbeat(watch.call())).advance(2500);
         assertEquals(
                 2,
                 harness.effects(Effect.WatchDiscovery.class).size(),
@@ -119,17 +124,20 @@
     void repeatedReconfigurationExtendsNoGraceAndLeavesOneWatch() {
         ReducerHarness harness = new ReducerHarness(1).advance(4100);
         long requestId = harness.open(ReducerHarness.FILE, 5000);
-        double first = harness.clock.nowMs();
+        double firstMs = harness.clock.nowMs();
         for (int i = 0; i < 3; i++) {
             assertEquals(
-                    0, harness.effects(Effect.CancelAttempt.class).size(), "after " + (harness.clock.nowMs() - first));
-            EndpointList known = new EndpointList(
+                    0,
+                    harness.effects(Effect.CancelAttempt.class).size(),
+                    "after " + (harness.clock.nowMs() - firstMs));
+            EndpointList configured = new EndpointList(
                     42 + i,
                     true,
                     List.of(
                             ReducerHarness.endpoint("s-0", EndpointState.DRAINING),
                             ReducerHarness.endpoint("s-new-" + i, EndpointState.UP)));
-            harness.send(new Event.Reconfigured(harness.settings, known, true)).advance(90);
+            harness.send(new Event.Reconfigured(harness.settings, configured, true))
+                    .advance(90);
         }
         assertEquals(
                 List.of(new Effect.CancelAttempt(requestId, 0)),
@@ -140,7 +148,7 @@
         assertEquals(4, watches.size());
         assertEquals(
                 watches.subList(0, 3).stream()
-                        .map(w -> new Effect.CancelDiscoveryCall(w.call()))
+                        .map(watch -> new Effect.CancelDiscoveryCall(watch.call()))
                         .toList(),
                 harness.effects(Effect.CancelDiscoveryCall.class));
         harness.send(new Event.EndpointListReceived(
@@ -152,10 +160,18 @@
         for (int i = 0; i < 4; i++) {
             harness.open(ReducerHarness.FILE, 5000);
         }
-        List<Effect.StartAttempt> forwards = harness.effects(Effect.StartAttempt.class);
-        assertEquals("s-last", forwards.get(forwards.size() - 1).host());
-        assertEquals(1, forwards.stream().filter(w -> w.host().equals("s-0")).count());
-        assertEquals(0, forwards.stream().filter(w -> w.host().equals("s-old")).count());
+        List<Effect.StartAttempt> attempts = harness.effects(Effect.StartAttempt.class);
+        assertEquals("s-last", attempts.get(attempts.size() - 1).host());
+        assertEquals(
+                1,
+                attempts.stream()
+                        .filter(attempt -> attempt.host().equals("s-0"))
+                        .count());
+        assertEquals(
+                0,
+                attempts.stream()
+                        .filter(attempt -> attempt.host().equals("s-old"))
+                        .count());
     }
 
     @Test
@@ -186,7 +202,7 @@
     }
 
     @Test
-    void unreadableEntryOfACompleteListLeavesItsHostUnchanged() {
+    void malformedEntryOfACompleteListLeavesItsHostUnchanged() {
         ReducerHarness harness = new ReducerHarness(2, 2);
         while (harness.effects(Effect.WatchDiscovery.class).isEmpty()) {
             harness.advance(100);
