--- a/core/src/test/java/brackenbridge/core/RecklessBalancerTest.java
+++ b/core/src/test/java/brackenbridge/core/FaultyBalancerTest.java
@@ -25,24 +25,24 @@
 import org.junit.jupiter.api.Test;
 
 /** The node's own promises hold whatever its decisions are: each test's module does what no module should. */
-class RecklessBalancerTest {
-    private static final double NOW = 1_796_000_000_000.0;
+class FaultyBalancerTest {
+    private static final double START_MS = 1_796_000_000_000.0;
     private static final double DRAIN_GRACE_MS = 500;
     /** A node may be held up so long before it reads, and between reading its clock and writing. */
-    private static final double HOLD_UP_MS = 150;
+    private static final double STALL_MS = 150;
 
     /** Does this with each request, and records each outcome that it receives. */
-    private static final class RecklessBalancer implements BalancerApi {
-        final BalancerActions out;
-        final BiConsumer<BalancerActions, Long> with;
+    private static final class FaultyBalancer implements BalancerApi {
+        final BalancerActions actions;
+        final BiConsumer<BalancerActions, Long> requestHandler;
         final List<AttemptOutcome> outcomes = new ArrayList<>();
-        Runnable next;
+        Runnable timerAction;
         /** From now on it throws at each event of the progress of a request. */
-        boolean faults;
+        boolean throwing;
 
-        RecklessBalancer(BalancerActions out, BiConsumer<BalancerActions, Long> with) {
-            this.out = out;
-            this.with = with;
+        FaultyBalancer(BalancerActions actions, BiConsumer<BalancerActions, Long> requestHandler) {
+            this.actions = actions;
+            this.requestHandler = requestHandler;
         }
 
         @Override
@@ -50,7 +50,7 @@
 
         @Override
         public void onRequest(long now, BalancerRequest request) {
-            with.accept(out, request.id());
+            requestHandler.accept(actions, request.id());
         }
 
         @Override
@@ -66,82 +66,82 @@
                 long latency,
                 LoadReport report) {
             outcomes.add(outcome);
-            faultIfWanted();
+            throwIfFaulty();
         }
 
         @Override
         public void onClientDisconnected(long now, long request) {
-            faultIfWanted();
+            throwIfFaulty();
         }
 
         @Override
         public void onRequestCompleted(long now, long request) {
-            faultIfWanted();
+            throwIfFaulty();
         }
 
         @Override
         public long suggestedRetryAfter() {
-            faultIfWanted();
+            throwIfFaulty();
             return 0;
         }
 
-        private void faultIfWanted() {
-            if (faults) {
+        private void throwIfFaulty() {
+            if (throwing) {
                 throw new IllegalStateException("a fault in a decision");
             }
         }
 
         @Override
         public void onTimer(long now, String token) {
-            next.run();
+            timerAction.run();
         }
     }
 
-    private RecklessBalancer balancer;
+    private FaultyBalancer balancer;
     private Reducer reducer;
     private final List<Effect> effects = new ArrayList<>();
 
-    private void start(BiConsumer<BalancerActions, Long> with) {
-        start(ReducerHarness.settings(1, 3, ReducerHarness.VIEW, ReducerHarness.FILE), with);
+    private void start(BiConsumer<BalancerActions, Long> requestHandler) {
+        start(ReducerHarness.settings(1, 3, ReducerHarness.VIEW, ReducerHarness.FILE), requestHandler);
     }
 
-    private void start(BalancerSettings rules, BiConsumer<BalancerActions, Long> with) {
+    private void start(BalancerSettings settings, BiConsumer<BalancerActions, Long> requestHandler) {
         reducer = new Reducer(
-                rules, new Counters(), (settings, actions) -> balancer = new RecklessBalancer(actions, with));
+                settings, new Counters(), (ignored, actions) -> balancer = new FaultyBalancer(actions, requestHandler));
         send(
-                NOW,
+                START_MS,
                 new Event.Started(new EndpointList(
                         1,
                         true,
                         List.of(
                                 ReducerHarness.endpoint("s-0", EndpointState.UP),
                                 ReducerHarness.endpoint("s-1", EndpointState.UP)))));
-        send(NOW, new Event.RequestReceived(7, new ClientRequest("file", null, 1000, false, true, "message")));
+        send(START_MS, new Event.RequestReceived(7, new ClientRequest("file", null, 1000, false, true, "message")));
     }
 
-    private void send(double now, Event event) {
-        effects.addAll(reducer.reduce(now, event));
+    private void send(double nowMs, Event event) {
+        effects.addAll(reducer.reduce(nowMs, event));
     }
 
     /** The module does this at its next timer. */
-    private void onNextTimer(double now, Consumer<BalancerActions> what) {
-        balancer.next = () -> what.accept(balancer.out);
-        send(now, new Event.TimerFired(new TimerKey.BalancerTimer("next")));
+    private void onNextTimer(double nowMs, Consumer<BalancerActions> action) {
+        balancer.timerAction = () -> action.accept(balancer.actions);
+        send(nowMs, new Event.TimerFired(new TimerKey.BalancerTimer("next")));
     }
 
     private <E extends Effect> List<E> effects(Class<E> kind) {
         return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    private static long id(String host) {
+    private static long idOf(String host) {
         return HostIds.hashOf(host);
     }
 
     @Test
     void secondAttemptDuringAnotherNeverStarts() {
-        start((out, requestId) -> {
-            out.startAttempt(requestId, id("s-0"), 900_000);
-            out.startAttempt(requestId, id("s-1"), 900_000);
+        start((actions, requestId) -> {
+            actions.startAttempt(requestId, idOf("s-0"), 900_000);
+            actions.startAttempt(requestId, idOf("s-1"), 900_000);
         });
         assertEquals(1, effects(Effect.StartAttempt.class).size());
         assertEquals(List.of(AttemptOutcome.NEVER_STARTED), balancer.outcomes);
@@ -150,35 +150,35 @@
     @Test
     void attemptForADisconnectedOrUnknownClientNeverStarts() {
         for (Event end : List.of(new Event.ClientDisconnected(7), new Event.ClientPresenceUnknown(7))) {
-            start((out, requestId) -> {});
-            send(NOW + 1, end);
-            onNextTimer(NOW + 2, out -> out.startAttempt(7, id("s-0"), 900_000));
+            start((actions, requestId) -> {});
+            send(START_MS + 1, end);
+            onNextTimer(START_MS + 2, actions -> actions.startAttempt(7, idOf("s-0"), 900_000));
         }
         assertEquals(List.of(), effects(Effect.StartAttempt.class), "first");
-        start((out, requestId) -> out.startAttempt(requestId, id("s-0"), 900_000));
-        send(NOW + 1, new Event.AttemptWritten(7, 0));
-        send(NOW + 2, new Event.ClientDisconnected(7));
-        onNextTimer(NOW + 3, out -> out.startAttempt(7, id("s-1"), 900_000));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 900_000));
+        send(START_MS + 1, new Event.AttemptWritten(7, 0));
+        send(START_MS + 2, new Event.ClientDisconnected(7));
+        onNextTimer(START_MS + 3, actions -> actions.startAttempt(7, idOf("s-1"), 900_000));
         assertEquals(1, effects(Effect.StartAttempt.class).size(), "or further");
     }
 
     @Test
     void requestIsAnsweredOnlyOnce() {
-        start((out, requestId) -> {
-            out.reject(requestId, 1000);
-            out.reject(requestId, 1000);
-            out.fail(requestId);
+        start((actions, requestId) -> {
+            actions.reject(requestId, 1000);
+            actions.reject(requestId, 1000);
+            actions.fail(requestId);
         });
         assertEquals(
                 List.of(LocalReply.REJECTED),
                 effects(Effect.SendLocalReply.class).stream()
                         .map(r -> r.reply())
                         .toList());
-        start((out, requestId) -> {
-            out.startAttempt(requestId, id("s-0"), 900_000);
-            out.fail(requestId);
-            out.fail(requestId);
-            out.reject(requestId, 1000);
+        start((actions, requestId) -> {
+            actions.startAttempt(requestId, idOf("s-0"), 900_000);
+            actions.fail(requestId);
+            actions.fail(requestId);
+            actions.reject(requestId, 1000);
         });
         assertEquals(
                 List.of(LocalReply.REJECTED, LocalReply.FAILED),
@@ -186,17 +186,17 @@
                         .map(r -> r.reply())
                         .toList(),
                 "also while its attempt is in flight");
-        send(NOW + 1, new Event.AttemptWritten(7, 0));
-        send(NOW + 2, new Event.ResponseReceived(7, 0, ResponseKind.SERVED, "body", null));
+        send(START_MS + 1, new Event.AttemptWritten(7, 0));
+        send(START_MS + 2, new Event.ResponseReceived(7, 0, ResponseKind.SERVED, "body", null));
         assertEquals(List.of(), effects(Effect.SendResponse.class), "it has failed already");
     }
 
     @Test
     void attemptsBeyondTheLimitNeverStart() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-0"), 900_000));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 900_000));
         for (int i = 0; i < 5; i++) {
-            send(NOW + i, new Event.AttemptConnectionLost(7, i));
-            onNextTimer(NOW + i, out -> out.startAttempt(7, id("s-1"), 900_000));
+            send(START_MS + i, new Event.AttemptConnectionLost(7, i));
+            onNextTimer(START_MS + i, actions -> actions.startAttempt(7, idOf("s-1"), 900_000));
         }
         assertEquals(
                 List.of(0, 1, 2),
@@ -207,21 +207,21 @@
 
     @Test
     void attemptToAnUnknownEndpointOrAfterTheDeadlineNeverStarts() {
-        start((out, requestId) -> out.startAttempt(requestId, 12345, 900_000));
+        start((actions, requestId) -> actions.startAttempt(requestId, 12345, 900_000));
         assertEquals(List.of(), effects(Effect.StartAttempt.class));
-        onNextTimer(NOW + 996, out -> out.startAttempt(7, id("s-0"), 900_000));
+        onNextTimer(START_MS + 996, actions -> actions.startAttempt(7, idOf("s-0"), 900_000));
         assertEquals(List.of(), effects(Effect.StartAttempt.class));
         assertEquals(List.of(AttemptOutcome.NEVER_STARTED, AttemptOutcome.NEVER_STARTED), balancer.outcomes);
     }
 
     @Test
     void requestOfAFaultyBalancerIsAnsweredAtItsDeadline() {
-        start((out, requestId) -> {
+        start((actions, requestId) -> {
             throw new IllegalStateException("a fault in a decision");
         });
         assertEquals(1, effects(Effect.ReportFault.class).size());
         assertTrue(effects(Effect.SendLocalReply.class).isEmpty());
-        send(NOW + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
+        send(START_MS + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
         assertEquals(
                 List.of(LocalReply.REJECTED),
                 effects(Effect.SendLocalReply.class).stream()
@@ -238,27 +238,27 @@
 
     @Test
     void faultAtTheOutcomeOfADeadlineLeavesNoRequestUnanswered() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-0"), 0));
-        send(NOW + 1, new Event.AttemptWritten(7, 0));
-        balancer.faults = true;
-        send(NOW + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 0));
+        send(START_MS + 1, new Event.AttemptWritten(7, 0));
+        balancer.throwing = true;
+        send(START_MS + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
         assertEquals(List.of(LocalReply.TIMED_OUT), localReplies(7));
         assertEquals(List.of(new Effect.CancelAttempt(7, 0)), effects(Effect.CancelAttempt.class));
     }
 
     @Test
     void faultDuringAStopLeavesNoRequestUnanswered() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-0"), 0));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 0));
         for (long requestId = 8; requestId < 12; requestId++) {
             send(
-                    NOW,
+                    START_MS,
                     new Event.RequestReceived(
                             requestId, new ClientRequest("file", null, 9000, false, true, "message")));
         }
-        send(NOW + 1, new Event.AttemptWritten(7, 0));
-        balancer.faults = true;
-        send(NOW + 2, new Event.StopRequested());
-        send(NOW + 900, new Event.TimerFired(new TimerKey.AnswerAll()));
+        send(START_MS + 1, new Event.AttemptWritten(7, 0));
+        balancer.throwing = true;
+        send(START_MS + 2, new Event.StopRequested());
+        send(START_MS + 900, new Event.TimerFired(new TimerKey.AnswerAll()));
         assertEquals(List.of(LocalReply.TIMED_OUT), localReplies(7));
         for (long requestId = 8; requestId < 12; requestId++) {
             assertEquals(List.of(LocalReply.REJECTED), localReplies(requestId), "request " + requestId);
@@ -267,38 +267,38 @@
 
     @Test
     void faultInTheRetryAfterStillRejects() {
-        start((out, requestId) -> {});
-        balancer.faults = true;
-        send(NOW + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
+        start((actions, requestId) -> {});
+        balancer.throwing = true;
+        send(START_MS + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
         assertEquals(List.of(LocalReply.REJECTED), localReplies(7));
     }
 
     @Test
     void faultWhenARequestIsCompletedStillSetsItsDeadline() {
-        start((out, requestId) -> {});
-        send(NOW, new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, false, "part")));
-        balancer.faults = true;
+        start((actions, requestId) -> {});
+        send(START_MS, new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, false, "part")));
+        balancer.throwing = true;
         effects.clear();
-        send(NOW + 5000, new Event.RequestCompleted(8));
+        send(START_MS + 5000, new Event.RequestCompleted(8));
         assertTrue(effects(Effect.SetTimer.class)
-                .contains(new Effect.SetTimer(NOW + 5995, new TimerKey.RequestDeadline(8))));
+                .contains(new Effect.SetTimer(START_MS + 5995, new TimerKey.RequestDeadline(8))));
     }
 
     @Test
     void attemptOfADisconnectedClientIsCancelledDespiteAFault() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-0"), 0));
-        send(NOW + 1, new Event.AttemptWritten(7, 0));
-        balancer.faults = true;
-        send(NOW + 2, new Event.ClientDisconnected(7));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 0));
+        send(START_MS + 1, new Event.AttemptWritten(7, 0));
+        balancer.throwing = true;
+        send(START_MS + 2, new Event.ClientDisconnected(7));
         assertEquals(List.of(new Effect.CancelAttempt(7, 0)), effects(Effect.CancelAttempt.class));
     }
 
     @Test
     void requestThatMayHaveRunIsNeverRejectedAtItsDeadline() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-0"), 900_000));
-        send(NOW + 1, new Event.AttemptWritten(7, 0));
-        send(NOW + 2, new Event.AttemptConnectionLost(7, 0));
-        send(NOW + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 900_000));
+        send(START_MS + 1, new Event.AttemptWritten(7, 0));
+        send(START_MS + 2, new Event.AttemptConnectionLost(7, 0));
+        send(START_MS + 995, new Event.TimerFired(new TimerKey.RequestDeadline(7)));
         assertEquals(
                 List.of(LocalReply.TIMED_OUT),
                 effects(Effect.SendLocalReply.class).stream()
@@ -308,20 +308,22 @@
 
     @Test
     void nothingIsSentToADrainingHostAfterTheCutoff() {
-        start((out, requestId) -> {});
+        start((actions, requestId) -> {});
         send(
-                NOW,
+                START_MS,
                 new Event.EndpointListInherited(
                         new EndpointList(2, true, List.of(ReducerHarness.endpoint("s-1", EndpointState.UP)))));
         long watch = effects(Effect.WatchDiscovery.class).get(0).call();
         send(
-                NOW + 1,
+                START_MS + 1,
                 new Event.EndpointListReceived(
                         watch,
                         new EndpointList(3, true, List.of(ReducerHarness.endpoint("s-1", EndpointState.DRAINING)))));
-        send(NOW + 190, new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, true, "message")));
-        onNextTimer(NOW + 190, out -> out.startAttempt(8, id("s-1"), 900_000));
-        onNextTimer(NOW + 205, out -> out.startAttempt(7, id("s-1"), 900_000));
+        send(
+                START_MS + 190,
+                new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, true, "message")));
+        onNextTimer(START_MS + 190, actions -> actions.startAttempt(8, idOf("s-1"), 900_000));
+        onNextTimer(START_MS + 205, actions -> actions.startAttempt(7, idOf("s-1"), 900_000));
         assertEquals(
                 List.of(8L),
                 effects(Effect.StartAttempt.class).stream()
@@ -332,99 +334,101 @@
 
     /** Guards a host that drains against a node that is held up before it reads of the drain, and before it writes. */
     @Test
-    void nodeHeldUpTwiceSendsNothingAfterTheDrainGrace() {
-        start((out, requestId) -> {});
+    void nodeThatStallsTwiceSendsNothingAfterTheDrainGrace() {
+        start((actions, requestId) -> {});
         send(
-                NOW,
+                START_MS,
                 new Event.EndpointListInherited(
                         new EndpointList(2, true, List.of(ReducerHarness.endpoint("s-1", EndpointState.UP)))));
         long watch = effects(Effect.WatchDiscovery.class).get(0).call();
         send(
-                NOW + HOLD_UP_MS,
+                START_MS + STALL_MS,
                 new Event.EndpointListReceived(
                         watch,
                         new EndpointList(3, true, List.of(ReducerHarness.endpoint("s-1", EndpointState.DRAINING)))));
-        double lastStartInTimeMs = NOW + DRAIN_GRACE_MS - HOLD_UP_MS;
-        onNextTimer(lastStartInTimeMs + 1, out -> out.startAttempt(7, id("s-1"), 900_000));
+        double lastStartInTimeMs = START_MS + DRAIN_GRACE_MS - STALL_MS;
+        onNextTimer(lastStartInTimeMs + 1, actions -> actions.startAttempt(7, idOf("s-1"), 900_000));
         assertEquals(List.of(), effects(Effect.StartAttempt.class));
     }
 
     @Test
     void attemptWithoutAConnectionIsCancelledAtTheCutoff() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-1"), 900_000));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 900_000));
         send(
-                NOW,
+                START_MS,
                 new Event.EndpointListInherited(
                         new EndpointList(2, true, List.of(ReducerHarness.endpoint("s-1", EndpointState.DRAINING)))));
-        send(NOW + 200, new Event.TimerFired(new TimerKey.DrainCutoff("s-1")));
+        send(START_MS + 200, new Event.TimerFired(new TimerKey.DrainCutoff("s-1")));
         assertEquals(List.of(new Effect.CancelAttempt(7, 0)), effects(Effect.CancelAttempt.class));
         assertEquals(List.of(AttemptOutcome.CONNECT_FAILED), balancer.outcomes);
     }
 
     private void startDraining(String host) {
         send(
-                NOW,
+                START_MS,
                 new Event.EndpointListInherited(
                         new EndpointList(2, true, List.of(ReducerHarness.endpoint(host, EndpointState.UP)))));
         long watch = effects(Effect.WatchDiscovery.class).get(0).call();
         send(
-                NOW,
+                START_MS,
                 new Event.EndpointListReceived(
                         watch,
                         new EndpointList(3, true, List.of(ReducerHarness.endpoint(host, EndpointState.DRAINING)))));
     }
 
     @Test
-    void timeLeftIsThatOfTheMomentOfWriting() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-1"), 900_000));
-        assertEquals(900, reducer.timeLeftMs(NOW, 7, 0), 1e-6);
-        assertEquals(300, reducer.timeLeftMs(NOW + 600, 7, 0), 1e-6);
-        assertEquals(0, reducer.timeLeftMs(NOW + 900, 7, 0), "the module gives it up then");
-        assertEquals(0, reducer.timeLeftMs(NOW, 7, 1), "one that is not out");
-        assertEquals(0, reducer.timeLeftMs(NOW, 8, 0), "of a request that is not open");
+    void timeLeftIsComputedWhenTheAttemptIsWritten() {
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 900_000));
+        assertEquals(900, reducer.timeLeftMs(START_MS, 7, 0), 1e-6);
+        assertEquals(300, reducer.timeLeftMs(START_MS + 600, 7, 0), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(START_MS + 900, 7, 0), "the module gives it up then");
+        assertEquals(0, reducer.timeLeftMs(START_MS, 7, 1), "one that is not out");
+        assertEquals(0, reducer.timeLeftMs(START_MS, 8, 0), "of a request that is not open");
     }
 
     @Test
     void noTimeIsLeftForAnAttemptAfterTheCutoff() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-1"), 0));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 0));
         startDraining("s-1");
-        assertEquals(995 - 199, reducer.timeLeftMs(NOW + 199, 7, 0), 1e-6);
-        assertEquals(0, reducer.timeLeftMs(NOW + 200, 7, 0), "though its timer has not fired");
-        send(NOW + 201, new Event.AttemptNotStarted(7, 0));
+        assertEquals(995 - 199, reducer.timeLeftMs(START_MS + 199, 7, 0), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(START_MS + 200, 7, 0), "though its timer has not fired");
+        send(START_MS + 201, new Event.AttemptNotStarted(7, 0));
         assertEquals(List.of(AttemptOutcome.CONNECT_FAILED), balancer.outcomes, "it may go elsewhere");
     }
 
     @Test
     void attemptThatIsNotStartedHasNeverRun() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-1"), 0));
-        send(NOW + 999, new Event.AttemptNotStarted(7, 0));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 0));
+        send(START_MS + 999, new Event.AttemptNotStarted(7, 0));
         assertEquals(List.of(AttemptOutcome.NEVER_STARTED), balancer.outcomes);
     }
 
     /** Its last byte may have waited in the kernel as long as its connection. */
     @Test
-    void unseenWaitShortensTheTimeLeftOfTheFirstAttemptNotItsStart() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-1"), 0));
-        send(NOW, new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, true, 600, "message")));
-        assertEquals(395, reducer.timeLeftMs(NOW, 8, 0), 1e-6);
-        assertEquals(1, reducer.timeLeftMs(NOW + 500, 8, 0), 1e-6, "it may still be waiting");
-        assertEquals(0, reducer.timeLeftMs(NOW + 995, 8, 0));
-        send(NOW + 100, new Event.AttemptConnectionLost(8, 0));
-        onNextTimer(NOW + 100, out -> out.startAttempt(8, id("s-0"), 0));
-        assertEquals(295, reducer.timeLeftMs(NOW + 100, 8, 1), 1e-6);
-        assertEquals(0, reducer.timeLeftMs(NOW + 395, 8, 1), "a further one is not made beyond it");
+    void backlogWaitShortensTheTimeLeftOfTheFirstAttemptNotItsStart() {
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 0));
+        send(
+                START_MS,
+                new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, true, 600, "message")));
+        assertEquals(395, reducer.timeLeftMs(START_MS, 8, 0), 1e-6);
+        assertEquals(1, reducer.timeLeftMs(START_MS + 500, 8, 0), 1e-6, "it may still be waiting");
+        assertEquals(0, reducer.timeLeftMs(START_MS + 995, 8, 0));
+        send(START_MS + 100, new Event.AttemptConnectionLost(8, 0));
+        onNextTimer(START_MS + 100, actions -> actions.startAttempt(8, idOf("s-0"), 0));
+        assertEquals(295, reducer.timeLeftMs(START_MS + 100, 8, 1), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(START_MS + 395, 8, 1), "a further one is not made beyond it");
     }
 
     @Test
     void timeLeftOfAStreamedRequestCountsFromItsSending() {
-        start((out, requestId) -> out.startAttempt(requestId, id("s-1"), 0));
-        send(NOW, new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, false, "message")));
-        onNextTimer(NOW, out -> out.startAttempt(8, id("s-0"), 0));
-        assertEquals(495, reducer.timeLeftMs(NOW + 500, 8, 0), 1e-6);
-        assertEquals(1, reducer.timeLeftMs(NOW + 4000, 8, 0), 1e-6);
-        send(NOW + 4000, new Event.RequestCompleted(8));
-        assertEquals(1, reducer.timeLeftMs(NOW + 4100, 8, 0), 1e-6);
-        assertEquals(0, reducer.timeLeftMs(NOW + 4995, 8, 0));
+        start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 0));
+        send(START_MS, new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, false, "message")));
+        onNextTimer(START_MS, actions -> actions.startAttempt(8, idOf("s-0"), 0));
+        assertEquals(495, reducer.timeLeftMs(START_MS + 500, 8, 0), 1e-6);
+        assertEquals(1, reducer.timeLeftMs(START_MS + 4000, 8, 0), 1e-6);
+        send(START_MS + 4000, new Event.RequestCompleted(8));
+        assertEquals(1, reducer.timeLeftMs(START_MS + 4100, 8, 0), 1e-6);
+        assertEquals(0, reducer.timeLeftMs(START_MS + 4995, 8, 0));
     }
 
     /** Its servers remember for so long what they have run; a write may come 150 ms later than decided. */
@@ -440,15 +444,17 @@
                 false,
                 1,
                 0);
-        start(ReducerHarness.settings(1, 5, keyed), (out, requestId) -> out.startAttempt(requestId, id("s-0"), 0));
-        send(NOW + 10, new Event.AttemptWritten(7, 0));
-        send(NOW + 20, new Event.AttemptConnectionLost(7, 0));
-        onNextTimer(NOW + 30, out -> out.startAttempt(7, id("s-0"), 0));
+        start(
+                ReducerHarness.settings(1, 5, keyed),
+                (actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 0));
+        send(START_MS + 10, new Event.AttemptWritten(7, 0));
+        send(START_MS + 20, new Event.AttemptConnectionLost(7, 0));
+        onNextTimer(START_MS + 30, actions -> actions.startAttempt(7, idOf("s-0"), 0));
         assertEquals(2, effects(Effect.StartAttempt.class).size());
-        assertTrue(reducer.timeLeftMs(NOW + 249, 7, 1) > 0);
-        assertEquals(0, reducer.timeLeftMs(NOW + 250, 7, 1));
-        send(NOW + 260, new Event.AttemptNotStarted(7, 1));
-        onNextTimer(NOW + 260, out -> out.startAttempt(7, id("s-1"), 0));
+        assertTrue(reducer.timeLeftMs(START_MS + 249, 7, 1) > 0);
+        assertEquals(0, reducer.timeLeftMs(START_MS + 250, 7, 1));
+        send(START_MS + 260, new Event.AttemptNotStarted(7, 1));
+        onNextTimer(START_MS + 260, actions -> actions.startAttempt(7, idOf("s-1"), 0));
         assertEquals(2, effects(Effect.StartAttempt.class).size(), "nor is another begun");
         assertEquals(
                 List.of(AttemptOutcome.RESET, AttemptOutcome.NEVER_STARTED, AttemptOutcome.NEVER_STARTED),
--- a/core/src/test/java/brackenbridge/core/HostIdsTest.java
+++ b/core/src/test/java/brackenbridge/core/HostIdsTest.java
@@ -7,12 +7,12 @@
 /** The numbers of hosts. */
 class HostIdsTest {
     @Test
-    void numberOfAHostDependsOnItsNameOnly() {
+    void idOfAHostDependsOnItsNameOnly() {
         HostIds one = new HostIds();
         HostIds other = new HostIds();
-        long a = one.of("s-a");
-        other.of("s-b");
-        assertEquals(a, other.of("s-a"));
-        assertEquals(one.of("s-b"), other.of("s-b"));
+        long idOfA = one.idOf("s-a");
+        other.idOf("s-b");
+        assertEquals(idOfA, other.idOf("s-a"));
+        assertEquals(one.idOf("s-b"), other.idOf("s-b"));
     }
 }
--- a/core/src/test/java/brackenbridge/core/LocalReplyTest.java
+++ b/core/src/test/java/brackenbridge/core/LocalReplyTest.java
@@ -12,11 +12,11 @@
 
 /** Every way in which a request ends without a server's answer: at once, truly, and a refusal with advice. */
 class LocalReplyTest {
-    private static final double LONGEST_MS = 2000;
+    private static final double MAX_RETRY_AFTER_MS = 2000;
 
     private static ReducerHarness harness(int servers) {
         ReducerHarness harness = new ReducerHarness(servers, 2);
-        BalancerSettings s = harness.settings;
+        BalancerSettings settings = harness.settings;
         harness.send(new Event.Reconfigured(
                 new BalancerSettings(
                         7,
@@ -24,41 +24,47 @@
                         2,
                         0,
                         "room",
-                        s.classes(),
+                        settings.classes(),
                         List.of(),
                         0.1,
                         true,
                         10_000_000,
                         5,
                         40000,
-                        (long) (LONGEST_MS * 1000),
+                        (long) (MAX_RETRY_AFTER_MS * 1000),
                         true,
                         true,
                         false,
                         30_000_000,
                         0.3,
                         8_500_000,
-                        s.network()),
+                        settings.network()),
                 new EndpointList(41, true, List.of()),
                 false));
         return harness;
     }
 
     /** The one answer that the request has by now is of this kind; a refusal says when to come back. */
-    private static void assertOnlyReply(ReducerHarness harness, long requestId, LocalReply kind, String how) {
-        List<Effect.SendLocalReply> got = harness.effects(Effect.SendLocalReply.class).stream()
+    private static void assertOnlyReply(ReducerHarness harness, long requestId, LocalReply kind, String scenario) {
+        List<Effect.SendLocalReply> replies = harness.effects(Effect.SendLocalReply.class).stream()
                 .filter(r -> r.requestId() == requestId)
                 .toList();
         assertEquals(
-                List.of(kind), got.stream().map(Effect.SendLocalReply::reply).toList(), how);
-        double advice = got.get(0).retryAfterMs();
-        assertTrue(kind == LocalReply.REJECTED ? advice > 0 && advice <= LONGEST_MS : advice == 0, how + ": " + advice);
-    }
-
-    private static long open(ReducerHarness harness, RequestClass c, boolean complete) {
+                List.of(kind),
+                replies.stream().map(Effect.SendLocalReply::reply).toList(),
+                scenario);
+        double retryAfterMs = replies.get(0).retryAfterMs();
+        assertTrue(
+                kind == LocalReply.REJECTED
+                        ? retryAfterMs > 0 && retryAfterMs <= MAX_RETRY_AFTER_MS
+                        : retryAfterMs == 0,
+                scenario + ": " + retryAfterMs);
+    }
+
+    private static long open(ReducerHarness harness, RequestClass requestClass, boolean complete) {
         long id = 5000 + harness.effects.size();
-        harness.send(
-                new Event.RequestReceived(id, new ClientRequest(c.name(), null, 1000, false, complete, "message")));
+        harness.send(new Event.RequestReceived(
+                id, new ClientRequest(requestClass.name(), null, 1000, false, complete, "message")));
         return id;
     }
 
--- a/core/src/test/java/brackenbridge/core/ReducerHarness.java
+++ b/core/src/test/java/brackenbridge/core/ReducerHarness.java
@@ -88,22 +88,22 @@
     }
 
     /** Opens a request and gives its number back. */
-    long open(RequestClass requestClass, double leftMs) {
+    long open(RequestClass requestClass, double timeLeftMs) {
         send(new Event.RequestReceived(
                 requestCount,
-                new ClientRequest(requestClass.name(), null, leftMs, false, true, "message " + requestCount)));
+                new ClientRequest(requestClass.name(), null, timeLeftMs, false, true, "message " + requestCount)));
         return requestCount++;
     }
 
     /** Lets time pass, firing the timers that fall due. */
     ReducerHarness advance(double ms) {
-        double until = clock.nowMs() + ms;
-        while (!timers.isEmpty() && timers.peek().atMs() <= until) {
+        double untilMs = clock.nowMs() + ms;
+        while (!timers.isEmpty() && timers.peek().atMs() <= untilMs) {
             Effect.SetTimer timer = timers.poll();
             clock.pass(Math.max(0, timer.atMs() - clock.nowMs()));
             send(new Event.TimerFired(timer.key()));
         }
-        clock.pass(until - clock.nowMs());
+        clock.pass(untilMs - clock.nowMs());
         return this;
     }
 
@@ -114,14 +114,14 @@
     /** The request's attempts so far. */
     List<Effect.StartAttempt> attempts(long requestId) {
         return effects(Effect.StartAttempt.class).stream()
-                .filter(attempt -> attempt.requestId() == requestId)
+                .filter(effect -> effect.requestId() == requestId)
                 .toList();
     }
 
     /** The fixed responses that the request got. */
     List<Effect.LocalReply> localReplies(long requestId) {
         return effects(Effect.SendLocalReply.class).stream()
-                .filter(attempt -> attempt.requestId() == requestId)
+                .filter(effect -> effect.requestId() == requestId)
                 .map(Effect.SendLocalReply::reply)
                 .toList();
     }
--- a/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
+++ b/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
@@ -15,8 +15,8 @@
 
 /** Requests from their receipt to their one answer. */
 class RequestLifecycleTest {
-    private static Event answer(long requestId, int forward, ResponseKind reply) {
-        return new Event.ResponseReceived(requestId, forward, reply, "body", null);
+    private static Event answer(long requestId, int attempt, ResponseKind reply) {
+        return new Event.ResponseReceived(requestId, attempt, reply, "body", null);
     }
 
     @Test
@@ -43,15 +43,15 @@
     @Test
     void nonIdempotentRequestIsRetriedOnlyIfItsLastByteWasNeverWritten() {
         ReducerHarness harness = new ReducerHarness(4);
-        long broken = harness.open(ReducerHarness.FILE, 5000);
-        harness.send(new Event.AttemptConnectionLost(broken, 0));
-        assertEquals(2, harness.attempts(broken).size());
-        harness.send(new Event.AttemptWritten(broken, 1)).send(new Event.AttemptConnectionLost(broken, 1));
-        assertEquals(2, harness.attempts(broken).size());
-        assertEquals(List.of(LocalReply.FAILED), harness.localReplies(broken));
-        long away = harness.open(ReducerHarness.FILE, 5000);
-        harness.send(new Event.AttemptWritten(away, 0)).send(answer(away, 0, ResponseKind.SERVER_FULL));
-        assertEquals(2, harness.attempts(away).size());
+        long lost = harness.open(ReducerHarness.FILE, 5000);
+        harness.send(new Event.AttemptConnectionLost(lost, 0));
+        assertEquals(2, harness.attempts(lost).size());
+        harness.send(new Event.AttemptWritten(lost, 1)).send(new Event.AttemptConnectionLost(lost, 1));
+        assertEquals(2, harness.attempts(lost).size());
+        assertEquals(List.of(LocalReply.FAILED), harness.localReplies(lost));
+        long rejected = harness.open(ReducerHarness.FILE, 5000);
+        harness.send(new Event.AttemptWritten(rejected, 0)).send(answer(rejected, 0, ResponseKind.SERVER_FULL));
+        assertEquals(2, harness.attempts(rejected).size());
     }
 
     @Test
@@ -73,10 +73,10 @@
         long requestId = 70;
         harness.send(new Event.RequestReceived(
                 requestId, new ClientRequest(ReducerHarness.FILE.name(), null, 5000, false, true, 1500, "m")));
-        double opened = harness.clock.nowMs();
-        assertEquals(opened + 4995, harness.attempts(requestId).get(0).deadlineMs(), 1e-6);
+        double openedMs = harness.clock.nowMs();
+        assertEquals(openedMs + 4995, harness.attempts(requestId).get(0).deadlineMs(), 1e-6);
         harness.send(new Event.AttemptConnectionLost(requestId, 0));
-        assertEquals(opened + 3495, harness.attempts(requestId).get(1).deadlineMs(), 1e-6);
+        assertEquals(openedMs + 3495, harness.attempts(requestId).get(1).deadlineMs(), 1e-6);
         long late = 71;
         harness.send(new Event.RequestReceived(
                         late, new ClientRequest(ReducerHarness.FILE.name(), null, 1000, false, true, 1500, "m")))
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void nodeThatNoticesDeadlinesLateAnswersEarlierForAWhile() {
+    void lateTimersWidenTheDeadlineMarginForAWhile() {
         ReducerHarness harness = new ReducerHarness(4);
         long requestId = harness.open(ReducerHarness.FILE, 1000);
         harness.send(new Event.AttemptWritten(requestId, 0));
@@ -101,16 +101,16 @@
                         - RequestLifecycle.MAX_LATENESS_MARGIN_MS,
                 harness.attempts(next).get(0).deadlineMs(),
                 1e-6);
-        long brief = harness.open(ReducerHarness.VIEW, 40);
+        long shortRequest = harness.open(ReducerHarness.VIEW, 40);
         assertEquals(
                 harness.clock.nowMs() + 40 - RequestLifecycle.DEADLINE_MARGIN_MS - 10,
-                harness.attempts(brief).get(0).deadlineMs(),
+                harness.attempts(shortRequest).get(0).deadlineMs(),
                 1e-6);
         harness.advance(30_000);
-        long calm = harness.open(ReducerHarness.FILE, 5000);
+        long afterDecay = harness.open(ReducerHarness.FILE, 5000);
         assertEquals(
                 harness.clock.nowMs() + 5000 - RequestLifecycle.DEADLINE_MARGIN_MS,
-                harness.attempts(calm).get(0).deadlineMs(),
+                harness.attempts(afterDecay).get(0).deadlineMs(),
                 0.1);
     }
 
@@ -165,7 +165,7 @@
     @Test
     void openRequestsKeepTheRulesTheyStartedUnder() {
         ReducerHarness harness = new ReducerHarness(8, 2);
-        long old = harness.open(ReducerHarness.VIEW, 5000);
+        long beforeChange = harness.open(ReducerHarness.VIEW, 5000);
         RequestClass strict = new RequestClass(
                 "view", 1_000_000, 2_000_000, Idempotence.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, false, 20, 0.25);
         RequestClass other = new RequestClass(
@@ -173,12 +173,13 @@
         harness.send(new Event.Reconfigured(
                 ReducerHarness.settings(2, 2, strict, other), new EndpointList(41, true, List.of()), false));
         for (int i = 0; i < 4; i++) {
-            harness.send(new Event.AttemptWritten(old, i)).send(new Event.AttemptConnectionLost(old, i));
+            harness.send(new Event.AttemptWritten(beforeChange, i))
+                    .send(new Event.AttemptConnectionLost(beforeChange, i));
         }
-        assertEquals(5, harness.attempts(old).size(), "safe, with five attempts");
-        long now = harness.open(strict, -1);
-        harness.send(new Event.AttemptWritten(now, 0)).send(new Event.AttemptConnectionLost(now, 0));
-        assertEquals(List.of(LocalReply.FAILED), harness.localReplies(now), "unsafe by the new rules");
+        assertEquals(5, harness.attempts(beforeChange).size(), "safe, with five attempts");
+        long afterChange = harness.open(strict, -1);
+        harness.send(new Event.AttemptWritten(afterChange, 0)).send(new Event.AttemptConnectionLost(afterChange, 0));
+        assertEquals(List.of(LocalReply.FAILED), harness.localReplies(afterChange), "unsafe by the new rules");
         long added = harness.open(other, -1);
         for (int i = 0; i < 2; i++) {
             harness.send(new Event.AttemptWritten(added, i)).send(new Event.AttemptConnectionLost(added, i));
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.ShutdownSchedule.Situation;
+import brackenbridge.core.ShutdownSchedule.ShutdownKind;
 import brackenbridge.core.balancing.DeduplicationScope;
 import brackenbridge.core.balancing.RequestClass;
 import java.util.ArrayList;
@@ -42,11 +42,11 @@
                 ReducerHarness.settings(1, 5, withDeadline(ms)), new EndpointList(41, true, List.of()), false);
     }
 
-    private static ReducerHarness with(double deadlineMs, Situation situation) {
+    private static ReducerHarness harness(double deadlineMs, ShutdownKind kind) {
         ReducerHarness harness = new ReducerHarness(4, 1, withDeadline(deadlineMs));
-        return switch (situation) {
+        return switch (kind) {
             case RESTARTED -> harness;
-            case EMPTIED -> harness.send(new Event.DrainRequested(true)).advance(700);
+            case DRAINED -> harness.send(new Event.DrainRequested(true)).advance(700);
             case REPLACED -> harness.send(new Event.SuccessorChanged(true));
         };
     }
@@ -55,61 +55,61 @@
      * Lets time pass while clients go on asking on open connections and no server answers, until the node exits; then
      * all requests that were taken must have been answered, well before this kill.
      */
-    private static void answersAllBefore(double killMs, ReducerHarness harness, double stopAskedMs) {
-        RequestClass asked = withDeadline(1);
-        List<Long> taken = new ArrayList<>();
+    private static void assertAllAnsweredBefore(double killMs, ReducerHarness harness, double stopRequestedMs) {
+        RequestClass requestClass = withDeadline(1);
+        List<Long> requestIds = new ArrayList<>();
         while (harness.effects(Effect.Exit.class).stream().noneMatch(Effect.Exit::immediately)) {
-            taken.add(harness.open(asked, 5000));
+            requestIds.add(harness.open(requestClass, 5000));
             harness.advance(5);
-            double since = harness.clock.nowMs() - stopAskedMs;
+            double sinceStopMs = harness.clock.nowMs() - stopRequestedMs;
             assertTrue(
-                    since + ShutdownSchedule.EXIT_LINGER_MS <= killMs - SLACK_MS,
-                    "still here " + since + " ms after SIGTERM, killed after " + killMs);
+                    sinceStopMs + ShutdownSchedule.EXIT_LINGER_MS <= killMs - SLACK_MS,
+                    "still here " + sinceStopMs + " ms after SIGTERM, killed after " + killMs);
         }
-        taken.add(harness.open(asked, 5000));
-        for (long requestId : taken) {
+        requestIds.add(harness.open(requestClass, 5000));
+        for (long requestId : requestIds) {
             assertEquals(1, harness.localReplies(requestId).size(), "request " + requestId);
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Situation.class)
-    void everyRequestIsAnsweredBeforeTheKillHoweverShortTheDeadlines(Situation situation) {
-        for (double deadline : new double[] {1, 20, 100, 200, 370, 500, 1000, 3000, 8000}) {
-            ReducerHarness harness = with(deadline, situation);
-            double asked = harness.clock.nowMs();
-            answersAllBefore(killMs(deadline), harness.send(new Event.StopRequested()), asked);
+    @EnumSource(ShutdownKind.class)
+    void everyRequestIsAnsweredBeforeTheKillHoweverShortTheDeadlines(ShutdownKind kind) {
+        for (double deadlineMs : new double[] {1, 20, 100, 200, 370, 500, 1000, 3000, 8000}) {
+            ReducerHarness harness = harness(deadlineMs, kind);
+            double stopRequestedMs = harness.clock.nowMs();
+            assertAllAnsweredBefore(killMs(deadlineMs), harness.send(new Event.StopRequested()), stopRequestedMs);
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Situation.class)
-    void shorterDeadlinesBeforeOrDuringTheStopAdvanceTheExit(Situation situation) {
-        ReducerHarness before = with(3000, situation).send(newDeadline(100));
-        double asked = before.clock.nowMs();
-        answersAllBefore(killMs(100), before.send(new Event.StopRequested()), asked);
-        ReducerHarness during = with(3000, situation);
-        asked = during.clock.nowMs();
+    @EnumSource(ShutdownKind.class)
+    void shorterDeadlinesBeforeOrDuringTheStopAdvanceTheExit(ShutdownKind kind) {
+        ReducerHarness before = harness(3000, kind).send(newDeadline(100));
+        double stopRequestedMs = before.clock.nowMs();
+        assertAllAnsweredBefore(killMs(100), before.send(new Event.StopRequested()), stopRequestedMs);
+        ReducerHarness during = harness(3000, kind);
+        stopRequestedMs = during.clock.nowMs();
         during.send(new Event.StopRequested()).advance(300).send(newDeadline(100));
-        answersAllBefore(killMs(100), during, asked);
+        assertAllAnsweredBefore(killMs(100), during, stopRequestedMs);
     }
 
     /** Nobody says whether the kill goes by the settings of the start or by the newest. */
     @ParameterizedTest
-    @EnumSource(Situation.class)
-    void longerDeadlinesDoNotDelayTheExit(Situation situation) {
-        ReducerHarness harness = with(100, situation).send(newDeadline(3000));
-        double asked = harness.clock.nowMs();
-        answersAllBefore(killMs(100), harness.send(new Event.StopRequested()), asked);
-        ReducerHarness during = with(100, situation);
-        asked = during.clock.nowMs();
+    @EnumSource(ShutdownKind.class)
+    void longerDeadlinesDoNotDelayTheExit(ShutdownKind kind) {
+        ReducerHarness harness = harness(100, kind).send(newDeadline(3000));
+        double stopRequestedMs = harness.clock.nowMs();
+        assertAllAnsweredBefore(killMs(100), harness.send(new Event.StopRequested()), stopRequestedMs);
+        ReducerHarness during = harness(100, kind);
+        stopRequestedMs = during.clock.nowMs();
         during.send(new Event.StopRequested()).advance(300).send(newDeadline(3000));
-        answersAllBefore(killMs(100), during, asked);
+        assertAllAnsweredBefore(killMs(100), during, stopRequestedMs);
     }
 
     @Test
     void openRequestsKeepTheirDeadlinesAsFarAsTheStopAllows() {
-        ReducerHarness harness = with(1000, Situation.RESTARTED);
+        ReducerHarness harness = harness(1000, ShutdownKind.RESTARTED);
         harness.send(new Event.StopRequested()).advance(300);
         long requestId = harness.open(withDeadline(1000), 1000);
         harness.send(new Event.AttemptWritten(requestId, 0)).advance(990);
@@ -119,8 +119,8 @@
 
     @Property(seed = "71", tries = 500)
     void stepsAreOrderedAndLeaveTheFrontEndTimeToNotice(
-            @ForAll @DoubleRange(min = 0.01, max = 10_000) double deadline, @ForAll Situation situation) {
-        ShutdownSchedule schedule = ShutdownSchedule.of(situation, deadline);
+            @ForAll @DoubleRange(min = 0.01, max = 10_000) double deadlineMs, @ForAll ShutdownKind kind) {
+        ShutdownSchedule schedule = ShutdownSchedule.of(kind, deadlineMs);
         assertTrue(schedule.stopAcceptingMs() > 400, "new connections keep coming for 0.4 s: " + schedule);
         assertTrue(
                 schedule.stopAcceptingMs() + 25 <= schedule.stopServingMs()
@@ -128,12 +128,12 @@
                         && schedule.answerAllMs() < schedule.exitMs(),
                 "" + schedule);
         assertTrue(schedule.closeIdleMs() <= schedule.stopServingMs(), "" + schedule);
-        assertTrue(schedule.exitMs() + ShutdownSchedule.EXIT_LINGER_MS + SLACK_MS <= killMs(deadline), "" + schedule);
+        assertTrue(schedule.exitMs() + ShutdownSchedule.EXIT_LINGER_MS + SLACK_MS <= killMs(deadlineMs), "" + schedule);
     }
 
     @Test
     void longDeadlinesAreServedForAFixedTime() {
-        ShutdownSchedule schedule = ShutdownSchedule.of(Situation.RESTARTED, 8000);
+        ShutdownSchedule schedule = ShutdownSchedule.of(ShutdownKind.RESTARTED, 8000);
         assertEquals(500, schedule.stopAcceptingMs());
         assertEquals(3100, schedule.stopServingMs());
         assertEquals(3400, schedule.answerAllMs());
--- a/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
+++ b/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
@@ -10,13 +10,13 @@
 
 /** What a stopping node still does for its clients. */
 class StoppingNodeTest {
-    private static Event answer(long requestId, int forward, ResponseKind reply) {
-        return new Event.ResponseReceived(requestId, forward, reply, "body", null);
+    private static Event answer(long requestId, int attempt, ResponseKind reply) {
+        return new Event.ResponseReceived(requestId, attempt, reply, "body", null);
     }
 
     /** The front sends no more connections to it; its peers may be stopped by the same release, or only just back. */
     @Test
-    void stoppingNodeServesOpenConnectionsAndExitsWhenAllIsAnswered() {
+    void stoppingNodeServesOpenConnectionsAndExitsOnceIdle() {
         for (int peers : new int[] {1, 2}) {
             ReducerHarness harness =
                     new ReducerHarness(4, peers).send(new Event.StopRequested()).advance(450);
@@ -40,7 +40,7 @@
 
     /** Half of a request may have been here when the last answers went. */
     @Test
-    void requestAfterTheLastAnswersIsRejectedAtOnce() {
+    void requestAfterTheFinalResponsesIsRejectedAtOnce() {
         ReducerHarness harness = new ReducerHarness(4);
         harness.open(ReducerHarness.FILE, 6000);
         harness.send(new Event.StopRequested()).advance(3420);
@@ -67,13 +67,13 @@
     @Test
     void stoppingNodeAnswersOpenRequestsBeforeItIsKilled() {
         ReducerHarness harness = new ReducerHarness(4);
-        long ran = harness.open(ReducerHarness.FILE, 6000);
-        long waits = harness.open(ReducerHarness.FILE, 6000);
-        harness.send(new Event.AttemptWritten(ran, 0))
+        long written = harness.open(ReducerHarness.FILE, 6000);
+        long unwritten = harness.open(ReducerHarness.FILE, 6000);
+        harness.send(new Event.AttemptWritten(written, 0))
                 .send(new Event.StopRequested())
                 .advance(3500);
-        assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(ran));
-        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(waits));
+        assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(written));
+        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(unwritten));
         assertEquals(new Effect.Exit(false), harness.effects(Effect.Exit.class).get(0));
     }
 }
--- a/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
+++ b/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
@@ -15,21 +15,21 @@
 /** Tenants' requests begin when their turn comes, and every one of them is answered. */
 class TenantQuotasTest {
     private final ReducerHarness harness = new ReducerHarness(8);
-    private long next = 1000;
+    private long nextRequestId = 1000;
 
-    private long open(String tenant, double leftMs) {
-        harness.send(
-                new Event.RequestReceived(next, new ClientRequest("view", tenant, leftMs, false, true, "message")));
-        return next++;
+    private long open(String tenant, double timeLeftMs) {
+        harness.send(new Event.RequestReceived(
+                nextRequestId, new ClientRequest("view", tenant, timeLeftMs, false, true, "message")));
+        return nextRequestId++;
     }
 
-    private void applyQuotas(long epoch, double a, double b, double forMs) {
+    private void applyQuotas(long epoch, double quotaA, double quotaB, double lifetimeMs) {
         harness.send(new Event.TenantQuotasReceived(new TenantQuotas(
                 epoch,
-                Map.of("a", a, "b", b),
+                Map.of("a", quotaA, "b", quotaB),
                 1,
                 Map.of(),
-                harness.clock.nowMs() + forMs,
+                harness.clock.nowMs() + lifetimeMs,
                 Map.of("a", 1.0, "b", 1.0))));
     }
 
@@ -50,13 +50,15 @@
         for (int i = 0; i < 20; i++) {
             open("a", 4000);
         }
-        long first = next;
+        long firstOfB = nextRequestId;
         open("b", 4000);
         open("b", 4000);
-        long lent = countStarted(LongStream.range(1000, first));
-        assertTrue(lent >= 3 && lent <= 6, "a has its own and what nobody used: " + lent);
+        long startedOfA = countStarted(LongStream.range(1000, firstOfB));
+        assertTrue(startedOfA >= 3 && startedOfA <= 6, "a has its own and what nobody used: " + startedOfA);
         int served = 0;
-        for (long requestId = 1000; requestId < first && countStarted(LongStream.range(first, next)) < 2; requestId++) {
+        for (long requestId = 1000;
+                requestId < firstOfB && countStarted(LongStream.range(firstOfB, nextRequestId)) < 2;
+                requestId++) {
             harness.advance(5);
             serve(requestId);
             served++;
@@ -87,15 +89,15 @@
             open(i % 3 == 0 ? "b" : "a", 1000);
             harness.advance(7);
         }
-        for (long requestId = 1000; requestId < next; requestId += 4) {
+        for (long requestId = 1000; requestId < nextRequestId; requestId += 4) {
             harness.send(new Event.ClientDisconnected(requestId));
         }
         harness.advance(1000);
-        for (long requestId = 1000; requestId < next; requestId++) {
-            boolean gone = (requestId - 1000) % 4 == 0;
+        for (long requestId = 1000; requestId < nextRequestId; requestId++) {
+            boolean disconnected = (requestId - 1000) % 4 == 0;
             assertTrue(
                     harness.localReplies(requestId).size() == 1
-                            || gone && harness.localReplies(requestId).isEmpty(),
+                            || disconnected && harness.localReplies(requestId).isEmpty(),
                     "request " + requestId + " " + harness.localReplies(requestId));
         }
     }
@@ -106,16 +108,16 @@
         for (int i = 0; i < 12; i++) {
             open("a", 5000);
         }
-        long waiting = 12 - countStarted(LongStream.range(1000, next));
+        long waiting = 12 - countStarted(LongStream.range(1000, nextRequestId));
         assertTrue(waiting > 0);
-        for (long requestId = 1000; requestId < next; requestId++) {
+        for (long requestId = 1000; requestId < nextRequestId; requestId++) {
             harness.advance(3);
             if (!harness.attempts(requestId).isEmpty()) {
                 serve(requestId);
             }
         }
         assertEquals(12, harness.effects(Effect.SendResponse.class).size());
-        assertEquals(12, countStarted(LongStream.range(1000, next)));
+        assertEquals(12, countStarted(LongStream.range(1000, nextRequestId)));
     }
 
     @Test
@@ -124,26 +126,26 @@
         for (int i = 0; i < 12; i++) {
             open("a", 5000);
         }
-        List<Long> withdrawn = LongStream.range(1000, next)
+        List<Long> abandoned = LongStream.range(1000, nextRequestId)
                 .filter(requestId -> harness.attempts(requestId).isEmpty())
                 .limit(4)
                 .boxed()
                 .toList();
-        assertEquals(4, withdrawn.size());
-        harness.send(new Event.ClientDisconnected(withdrawn.get(0)))
-                .send(new Event.ClientPresenceUnknown(withdrawn.get(1)));
-        harness.send(new Event.ClientDisconnected(withdrawn.get(2)))
-                .send(new Event.ClientPresenceUnknown(withdrawn.get(3)));
-        for (long requestId = 1000; requestId < next; requestId++) {
+        assertEquals(4, abandoned.size());
+        harness.send(new Event.ClientDisconnected(abandoned.get(0)))
+                .send(new Event.ClientPresenceUnknown(abandoned.get(1)));
+        harness.send(new Event.ClientDisconnected(abandoned.get(2)))
+                .send(new Event.ClientPresenceUnknown(abandoned.get(3)));
+        for (long requestId = 1000; requestId < nextRequestId; requestId++) {
             harness.advance(3);
             if (!harness.attempts(requestId).isEmpty()) {
                 serve(requestId);
             }
         }
         assertEquals(8, harness.effects(Effect.SendResponse.class).size(), "all others had their turn");
-        assertEquals(0, countStarted(withdrawn.stream().mapToLong(requestId -> requestId)));
-        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(withdrawn.get(1)));
-        assertEquals(List.of(), harness.localReplies(withdrawn.get(0)));
+        assertEquals(0, countStarted(abandoned.stream().mapToLong(requestId -> requestId)));
+        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(abandoned.get(1)));
+        assertEquals(List.of(), harness.localReplies(abandoned.get(0)));
     }
 
     @Test
@@ -154,9 +156,11 @@
             open("a", 3000);
             open("b", 3000);
         }
-        assertTrue(countStarted(LongStream.range(1000, next)) <= 3, "" + countStarted(LongStream.range(1000, next)));
+        assertTrue(
+                countStarted(LongStream.range(1000, nextRequestId)) <= 3,
+                "" + countStarted(LongStream.range(1000, nextRequestId)));
         applyQuotas(2, 6, 1, 5000);
-        assertTrue(countStarted(LongStream.range(1000, next)) >= 6);
+        assertTrue(countStarted(LongStream.range(1000, nextRequestId)) >= 6);
     }
 
     @Test
@@ -164,7 +168,7 @@
         for (int i = 0; i < 5; i++) {
             open("a", 3000);
         }
-        assertEquals(5, countStarted(LongStream.range(1000, next)));
+        assertEquals(5, countStarted(LongStream.range(1000, nextRequestId)));
         assertEquals(0, harness.reducer.takeTenantUsage(harness.clock.nowMs()).size());
     }
 }
--- a/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
+++ b/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
@@ -28,9 +28,9 @@
     }
 
     /** How many of so many calls, one after the other, went to zone a. */
-    private static int countInZoneA(ReducerHarness harness, int calls) {
+    private static int countInZoneA(ReducerHarness harness, int requests) {
         int inZoneA = 0;
-        for (int i = 0; i < calls; i++) {
+        for (int i = 0; i < requests; i++) {
             long requestId = harness.open(ReducerHarness.VIEW, 5000);
             Effect.StartAttempt attempt = harness.attempts(requestId).get(0);
             inZoneA += Character.digit(attempt.host().charAt(2), 10) % 2 == 0 ? 1 : 0;
@@ -41,9 +41,9 @@
         return inZoneA;
     }
 
-    private static Event weights(ReducerHarness harness, long token, long epoch, double part) {
+    private static Event weights(ReducerHarness harness, long token, long epoch, double weight) {
         return new Event.ZoneWeightsReceived(
-                new ZoneWeights(token, epoch, Map.of("a", part), harness.clock.nowMs() + WEIGHT_LIFETIME_MS));
+                new ZoneWeights(token, epoch, Map.of("a", weight), harness.clock.nowMs() + WEIGHT_LIFETIME_MS));
     }
 
     @Test
@@ -84,26 +84,26 @@
         ReducerHarness harness = twoZones();
         harness.reducer.startObserving();
         countInZoneA(harness, 40);
-        long broken = harness.open(ReducerHarness.VIEW, 5000);
-        harness.send(new Event.AttemptConnectionLost(broken, 0));
+        long lost = harness.open(ReducerHarness.VIEW, 5000);
+        harness.send(new Event.AttemptConnectionLost(lost, 0));
         long attempts = 0;
         double served = 0;
         double inFlightMs = 0;
         long failed = 0;
-        int out = 0;
+        int inFlight = 0;
         for (Map.Entry<TrafficObserver.PoolKey, TrafficObserver.PoolTally> pool :
                 harness.reducer.observation().pools().entrySet()) {
             attempts += pool.getValue().attempts();
             served += pool.getValue().served();
             inFlightMs += pool.getValue().inFlightMs();
             failed += pool.getValue().failed();
-            out += pool.getValue().inFlight();
+            inFlight += pool.getValue().inFlight();
         }
         assertEquals(42, attempts, "one try without a connection and the next one count as tries");
         assertEquals(40, served);
         assertEquals(80, inFlightMs, 1);
         assertEquals(0, failed, "what was never sent says nothing of a server's work");
-        assertEquals(1, out);
+        assertEquals(1, inFlight);
         assertEquals(
                 Map.of(new TrafficObserver.PoolKey("a", 1, ""), 4, new TrafficObserver.PoolKey("b", 1, ""), 4),
                 harness.reducer.observation().servers());
--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -37,40 +37,40 @@
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
         private final Map<Long, Runnable> startActions = new HashMap<>();
-        private final Map<String, Double> used = new HashMap<>();
+        private final Map<String, Double> usedMs = new HashMap<>();
         private final Map<String, Integer> rejected = new HashMap<>();
-        private double now;
+        private double nowMs;
         private double measuredFromMs;
-        private long next;
+        private long nextId;
         private int maxRunning;
 
         Simulation(TenantScheduler scheduler) {
             this.scheduler = scheduler;
         }
 
-        void at(double ms, Runnable action) {
-            events.add(new Event(ms, next++, action));
+        void schedule(double ms, Runnable action) {
+            events.add(new Event(ms, nextId++, action));
         }
 
-        void arrivals(String tenant, double perSecond, DoubleUnaryOperator holdMs, double patienceMs) {
-            at(now - Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
-                open(tenant, holdMs.applyAsDouble(now), patienceMs);
-                arrivals(tenant, perSecond, holdMs, patienceMs);
+        void startArrivals(String tenant, double perSecond, DoubleUnaryOperator holdMs, double patienceMs) {
+            schedule(nowMs - Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
+                open(tenant, holdMs.applyAsDouble(nowMs), patienceMs);
+                startArrivals(tenant, perSecond, holdMs, patienceMs);
             });
         }
 
         private void open(String tenant, double holdMs, double patienceMs) {
-            long requestId = next++;
+            long requestId = nextId++;
             startActions.put(requestId, () -> {
                 maxRunning = Math.max(maxRunning, scheduler.running());
-                double startedMs = now;
-                at(now + holdMs, () -> {
-                    used.merge(tenant, Math.max(0, now - Math.max(startedMs, measuredFromMs)), Double::sum);
-                    apply(scheduler.onRequestEnded(now, requestId));
+                double startedMs = nowMs;
+                schedule(nowMs + holdMs, () -> {
+                    usedMs.merge(tenant, Math.max(0, nowMs - Math.max(startedMs, measuredFromMs)), Double::sum);
+                    apply(scheduler.onRequestEnded(nowMs, requestId));
                 });
             });
             switch (scheduler
-                    .onRequest(now, requestId, tenant, now + patienceMs, 0)
+                    .onRequest(nowMs, requestId, tenant, nowMs + patienceMs, 0)
                     .verdict()) {
                 case ADMIT -> startActions.remove(requestId).run();
                 case REJECT -> {
@@ -89,14 +89,14 @@
         }
 
         void runUntil(double untilMs) {
-            while (now < untilMs) {
-                double wake = Math.max(now, scheduler.nextTimerMs());
-                if (wake < events.peek().atMs()) {
-                    now = wake;
-                    apply(scheduler.onTimer(now));
+            while (nowMs < untilMs) {
+                double wakeMs = Math.max(nowMs, scheduler.nextTimerMs());
+                if (wakeMs < events.peek().atMs()) {
+                    nowMs = wakeMs;
+                    apply(scheduler.onTimer(nowMs));
                 } else {
                     Event event = events.poll();
-                    now = event.atMs();
+                    nowMs = event.atMs();
                     event.action().run();
                 }
             }
@@ -106,10 +106,10 @@
         Map<String, Double> mean(double fromMs, double untilMs) {
             runUntil(fromMs);
             measuredFromMs = fromMs;
-            used.clear();
+            usedMs.clear();
             runUntil(untilMs);
             Map<String, Double> mean = new HashMap<>();
-            used.forEach((t, ms) -> mean.put(t, ms / (untilMs - fromMs)));
+            usedMs.forEach((t, ms) -> mean.put(t, ms / (untilMs - fromMs)));
             return mean;
         }
     }
@@ -134,9 +134,9 @@
     @Test
     void tenantAtFiftyTimesItsQuotaLeavesOthersTheirs() {
         Simulation simulation = simulate(quotasOf(Map.of("greedy", 4.0, "a", 4.0, "b", 2.0), 0));
-        simulation.arrivals("greedy", 2000, t -> 100, 500);
-        simulation.arrivals("a", 60, t -> 100, 500);
-        simulation.arrivals("b", 30, t -> 100, 500);
+        simulation.startArrivals("greedy", 2000, t -> 100, 500);
+        simulation.startArrivals("a", 60, t -> 100, 500);
+        simulation.startArrivals("b", 30, t -> 100, 500);
         Map<String, Double> mean = simulation.mean(2000, 30_000);
         assertEquals(4, mean.get("greedy"), 0.25);
         assertEquals(4, mean.get("a"), 0.2);
@@ -147,8 +147,8 @@
     @Test
     void costIsConnectionTimeNotRequestCount() {
         Simulation simulation = simulate(quotasOf(Map.of("long", 1.5, "short", 1.5), 0));
-        simulation.arrivals("long", 50, t -> 400, 2000);
-        simulation.arrivals("short", 2000, t -> 10, 2000);
+        simulation.startArrivals("long", 50, t -> 400, 2000);
+        simulation.startArrivals("short", 2000, t -> 10, 2000);
         Map<String, Double> mean = simulation.mean(2000, 60_000);
         assertEquals(1.5, mean.get("long"), 0.08);
         assertEquals(1.5, mean.get("short"), 0.08);
@@ -162,23 +162,23 @@
                 new TenantQuotas(
                         1, Map.of("idle", 6.0, "a", 3.0, "b", 3.0), 0, Map.of("a", 2.0, "b", 1.0), FOREVER, Map.of()));
         Simulation simulation = new Simulation(scheduler);
-        simulation.arrivals("a", 500, t -> 50, 300);
-        simulation.arrivals("b", 500, t -> 50, 300);
-        Map<String, Double> lent = simulation.mean(2000, 20_000);
-        assertEquals(12, lent.get("a") + lent.get("b"), 0.2);
-        assertTrue(lent.get("a") > lent.get("b") + 1, lent::toString);
-        simulation.arrivals("idle", 500, t -> 50, 300);
-        Map<String, Double> back = simulation.mean(20_500, 30_000);
-        assertEquals(6, back.get("idle"), 0.15);
+        simulation.startArrivals("a", 500, t -> 50, 300);
+        simulation.startArrivals("b", 500, t -> 50, 300);
+        Map<String, Double> borrowed = simulation.mean(2000, 20_000);
+        assertEquals(12, borrowed.get("a") + borrowed.get("b"), 0.2);
+        assertTrue(borrowed.get("a") > borrowed.get("b") + 1, borrowed::toString);
+        simulation.startArrivals("idle", 500, t -> 50, 300);
+        Map<String, Double> returned = simulation.mean(20_500, 30_000);
+        assertEquals(6, returned.get("idle"), 0.15);
     }
 
     @Test
     void tenantWithHangingRequestsKeepsToItsQuota() {
         Simulation simulation = simulate(quotasOf(Map.of("hangs", 3.0, "a", 7.0), 0));
-        simulation.arrivals("hangs", 200, t -> t < 2000 ? 20 : 10_000, 500);
-        simulation.arrivals("a", 120, t -> 50, 500);
+        simulation.startArrivals("hangs", 200, t -> t < 2000 ? 20 : 10_000, 500);
+        simulation.startArrivals("a", 120, t -> 50, 500);
         simulation.runUntil(6000);
-        simulation.arrivals("a", 500, t -> 50, 500);
+        simulation.startArrivals("a", 500, t -> 50, 500);
         Map<String, Double> mean = simulation.mean(12_500, 30_000);
         assertTrue(mean.get("a") > 6.6, mean::toString);
     }
@@ -186,10 +186,10 @@
     @Test
     void unnamedTenantsShareTheirQuotaFairly() {
         Simulation simulation = simulate(quotasOf(Map.of("named", 5.0), 5));
-        simulation.arrivals("named", 500, t -> 50, 300);
-        simulation.arrivals("big", 1000, t -> 50, 300);
+        simulation.startArrivals("named", 500, t -> 50, 300);
+        simulation.startArrivals("big", 1000, t -> 50, 300);
         for (int i = 0; i < 4; i++) {
-            simulation.arrivals("small" + i, 30, t -> 50, 300);
+            simulation.startArrivals("small" + i, 30, t -> 50, 300);
         }
         Map<String, Double> mean = simulation.mean(2000, 30_000);
         assertEquals(5, mean.get("named"), 0.15);
@@ -280,16 +280,20 @@
         Random random = new Random(seed);
         TenantScheduler scheduler = new TenantScheduler(new SchedulerLimits(random.nextInt(3) * 100, 200, 20, 5));
         Map<Long, AdmissionVerdict> state = new HashMap<>();
-        double now = 0;
+        double nowMs = 0;
         for (int i = 0; i < 400; i++) {
-            now += random.nextDouble() * 40;
+            nowMs += random.nextDouble() * 40;
             int before = scheduler.running();
             SchedulingResult result = SchedulingResult.NONE;
             switch (random.nextInt(6)) {
                 case 0, 1, 2 -> {
                     AdmissionVerdict verdict = scheduler
                             .onRequest(
-                                    now, i, "t" + random.nextInt(names), now + random.nextInt(500), random.nextInt(100))
+                                    nowMs,
+                                    i,
+                                    "t" + random.nextInt(names),
+                                    nowMs + random.nextInt(500),
+                                    random.nextInt(100))
                             .verdict();
                     state.put((long) i, verdict);
                     assertFalse(
@@ -298,25 +302,25 @@
                 }
                 case 3 -> {
                     long ended = random.nextInt(i + 1);
-                    result = scheduler.onRequestEnded(now, ended);
+                    result = scheduler.onRequestEnded(nowMs, ended);
                     state.remove(ended);
                 }
-                case 4 -> result = scheduler.onTimer(now);
+                case 4 -> result = scheduler.onTimer(nowMs);
                 default -> {
                     Map<String, Double> tenantQuotas = new HashMap<>();
                     for (int k = 0; k < names; k += 2) {
                         tenantQuotas.put("t" + k, random.nextDouble() * 3);
                     }
                     result = scheduler.applyQuotas(
-                            now,
+                            nowMs,
                             new TenantQuotas(
                                     i,
                                     tenantQuotas,
                                     random.nextDouble() * 2,
                                     Map.of(),
-                                    now + random.nextInt(400),
+                                    nowMs + random.nextInt(400),
                                     Map.of("t0", 1.0)));
-                    scheduler.takeUsage(now);
+                    scheduler.takeUsage(nowMs);
                 }
             }
             result.rejected().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.remove(f.requestId())));
