--- a/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
+++ b/core/src/test/java/brackenbridge/core/ChangingSettingsTest.java
@@ -20,14 +20,14 @@
 import net.jqwik.api.Property;
 
 /**
- * Settings that change at any moment, among random events: while calls wait in a server's queues, are out, or lie
- * between two attempts, with long bodies, drains and lists in between. No request is lost, none is answered twice, each
- * keeps the rules that it began under, and in the end every server is free again.
+ * Settings that change at random times, while requests are queued, in flight or between two attempts, amid streamed
+ * bodies, drains and new endpoint lists. Guards against requests that are lost, answered twice or handled by other
+ * rules than those in force at their receipt, and against leaked server capacity.
  */
 class ChangingSettingsTest {
     private static final String[] CLASS_NAMES = {"a", "b", "c", "d"};
 
-    /** What a request was promised when it came. */
+    /** The rules in force when a request was received. */
     private record InitialRules(RequestClass requestClass, int maxAttempts) {}
 
     private final Map<Long, InitialRules> initialRules = new HashMap<>();
@@ -90,16 +90,18 @@
         return rules.requestClass().idempotence() == brackenbridge.core.balancing.Idempotence.IDEMPOTENT;
     }
 
-    /** Holds what the node has done since the last look against what it promised. */
+    /** Checks the effects since the previous call against the rules of their requests. */
     private void checkNewEffects(ReducerHarness harness) {
         for (; checkedEffects < harness.effects.size(); checkedEffects++) {
             Effect effect = harness.effects.get(checkedEffects);
             if (effect instanceof Effect.StartAttempt start) {
                 InitialRules rules = initialRules.get(start.requestId());
                 assertEquals(null, inFlight.put(start.requestId(), start.attempt()), "one attempt at a time");
-                assertTrue(start.attempt() < rules.maxAttempts(), "more attempts than it began with");
-                assertTrue(!mayHaveRun.contains(start.requestId()) || isIdempotent(rules), "unsafe, and may have run");
-                assertEquals(0, answerCounts.getOrDefault(start.requestId(), 0), "it has its answer");
+                assertTrue(start.attempt() < rules.maxAttempts(), "more attempts than allowed at its receipt");
+                assertTrue(
+                        !mayHaveRun.contains(start.requestId()) || isIdempotent(rules),
+                        "retry of a non-idempotent request that may have run");
+                assertEquals(0, answerCounts.getOrDefault(start.requestId(), 0), "attempt of an answered request");
                 written.remove(start.requestId());
             } else if (effect instanceof Effect.CancelAttempt cancel) {
                 if (inFlight.remove(cancel.requestId(), cancel.attempt()) && written.contains(cancel.requestId())) {
@@ -113,7 +115,7 @@
                         send.reply() != Effect.LocalReply.REJECTED
                                 || !mayHaveRun.contains(send.requestId())
                                 || isIdempotent(initialRules.get(send.requestId())),
-                        "refused, but it may have run");
+                        "rejected, but it may have run");
             } else if (effect instanceof Effect.ReportFault fault) {
                 throw new AssertionError("fault", fault.cause());
             }
@@ -230,12 +232,12 @@
                 .forEach(requestId -> assertEquals(
                         disconnected.contains(requestId) ? 0 : 1,
                         answerCounts.getOrDefault(requestId, 0),
-                        (disconnected.contains(requestId) ? "gone " : "") + requestId));
+                        (disconnected.contains(requestId) ? "disconnected client, request " : "request ") + requestId));
         assertTrue(inFlight.isEmpty(), "attempts still in flight: " + inFlight);
         assertEveryServerIsAvailable(harness);
     }
 
-    /** Every server has room again: one call after the other finds one at once, and none is forgotten. */
+    /** Checks that sequential requests start at once and reach every server. */
     private void assertEveryServerIsAvailable(ReducerHarness harness) {
         settings = ReducerHarness.settings(1, 5, ReducerHarness.VIEW);
         harness.send(new Event.Reconfigured(settings, new EndpointList(41, true, List.of()), false));
@@ -255,11 +257,11 @@
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 40; i++) {
             long requestId = harness.open(ReducerHarness.VIEW, 5000);
-            assertEquals(1, harness.attempts(requestId).size(), "sent at once");
+            assertEquals(1, harness.attempts(requestId).size(), "started at once");
             used.add(harness.attempts(requestId).get(0).host());
             harness.send(new Event.AttemptWritten(requestId, 0)).advance(5);
             harness.send(new Event.ResponseReceived(requestId, 0, ResponseKind.SERVED, "b", null));
         }
-        assertEquals(5, used.size(), "servers that take turns");
+        assertEquals(5, used.size(), "servers in use");
     }
 }
--- a/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
+++ b/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
@@ -48,8 +48,7 @@
         assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(requestId));
         harness.advance(9000);
         int retries = harness.attempts(requestId).size() - 1;
-        assertEquals(
-                retries, harness.effects(Effect.CancelAttempt.class).size(), "what was to go out again is called off");
+        assertEquals(retries, harness.effects(Effect.CancelAttempt.class).size(), "each retry is cancelled");
     }
 
     @Test
@@ -57,7 +56,7 @@
         ReducerHarness harness = new ReducerHarness(4);
         long requestId = harness.open(ReducerHarness.VIEW, 5000);
         harness.send(new Event.AttemptWritten(requestId, 0)).send(new Event.AttemptConnectionLost(requestId, 0));
-        assertEquals(2, harness.attempts(requestId).size(), "safe, so it goes out again");
+        assertEquals(2, harness.attempts(requestId).size(), "idempotent, so it is retried");
         harness.send(new Event.ClientPresenceUnknown(requestId));
         assertEquals(List.of(LocalReply.FAILED), harness.localReplies(requestId));
         assertEquals(List.of(new Effect.CancelAttempt(requestId, 1)), harness.effects(Effect.CancelAttempt.class));
--- a/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
+++ b/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
@@ -102,7 +102,7 @@
         assertEquals(
                 2,
                 harness.effects(Effect.WatchDiscovery.class).size(),
-                "the module's own pause brings no further call");
+                "the watch's own backoff causes no further call");
     }
 
     @Test
@@ -119,7 +119,10 @@
         assertEquals(1, harness.counters.of(Counter.RECONFIGURED));
     }
 
-    /** Three times SIGHUP, each while the grace that the first one has begun is on, and discovery moves each time. */
+    /**
+     * Three reloads, each during the drain grace that the first one has started, and each with another discovery
+     * address. Guards against a grace that starts again with each reload, and against watches that stay open.
+     */
     @Test
     void repeatedReconfigurationExtendsNoGraceAndLeavesOneWatch() {
         ReducerHarness harness = new ReducerHarness(1).advance(4100);
@@ -129,7 +132,7 @@
             assertEquals(
                     0,
                     harness.effects(Effect.CancelAttempt.class).size(),
-                    "after " + (harness.clock.nowMs() - firstMs));
+                    "ms since the first reload: " + (harness.clock.nowMs() - firstMs));
             EndpointList configured = new EndpointList(
                     42 + i,
                     true,
@@ -142,7 +145,7 @@
         assertEquals(
                 List.of(new Effect.CancelAttempt(requestId, 0)),
                 harness.effects(Effect.CancelAttempt.class),
-                "200 ms after the first");
+                "at the cut-off, 200 ms after the first reload");
         assertEquals("s-new-2", harness.attempts(requestId).get(1).host());
         List<Effect.WatchDiscovery> watches = harness.effects(Effect.WatchDiscovery.class);
         assertEquals(4, watches.size());
@@ -193,7 +196,7 @@
                                     ReducerHarness.endpoint("n-" + i, EndpointState.REMOVED),
                                     ReducerHarness.endpoint(
                                             harness.attempts(requestId).get(0).host(), EndpointState.REMOVED)))));
-            assertEquals(2, harness.reducer.hostCount(), "the one that is up and the one with an attempt in flight");
+            assertEquals(2, harness.reducer.hostCount(), "the host that is up and the host with an attempt in flight");
         }
         harness.send(answer(requestId, 0, ResponseKind.SERVED));
         assertEquals(1, harness.effects(Effect.SendResponse.class).size());
@@ -218,11 +221,11 @@
         assertEquals(2, harness.reducer.hostCount());
         for (int i = 0; i < 2; i++) {
             assertEquals(
-                    1, harness.attempts(harness.open(ReducerHarness.FILE, 5000)).size(), "both still serve");
+                    1, harness.attempts(harness.open(ReducerHarness.FILE, 5000)).size(), "both hosts still serve");
         }
         harness.send(new Event.EndpointListReceived(
                 call, new EndpointList(43, true, List.of(ReducerHarness.endpoint("s-1", EndpointState.UP)))));
-        assertEquals(2, harness.reducer.hostCount(), "gone, but an attempt is in flight");
+        assertEquals(2, harness.reducer.hostCount(), "removed, but an attempt is in flight");
         assertTrue(harness.reducer.metricsText().contains("proxy.pool_size:1|g"));
     }
 }
--- a/core/src/test/java/brackenbridge/core/FaultyBalancerTest.java
+++ b/core/src/test/java/brackenbridge/core/FaultyBalancerTest.java
@@ -24,20 +24,22 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The node's own promises hold whatever its decisions are: each test's module does what no module should. */
+/**
+ * The node's own guarantees hold whatever the balancer decides: the balancer of each test violates a rule or throws.
+ */
 class FaultyBalancerTest {
     private static final double START_MS = 1_796_000_000_000.0;
     private static final double DRAIN_GRACE_MS = 500;
-    /** A node may be held up so long before it reads, and between reading its clock and writing. */
+    /** The longest assumed stall before a read, and between reading the clock and writing. */
     private static final double STALL_MS = 150;
 
-    /** Does this with each request, and records each outcome that it receives. */
+    /** Runs a given handler for each request and records the outcomes that it receives. */
     private static final class FaultyBalancer implements BalancerApi {
         final BalancerActions actions;
         final BiConsumer<BalancerActions, Long> requestHandler;
         final List<AttemptOutcome> outcomes = new ArrayList<>();
         Runnable timerAction;
-        /** From now on it throws at each event of the progress of a request. */
+        /** Whether it throws at each event that follows the receipt of a request. */
         boolean throwing;
 
         FaultyBalancer(BalancerActions actions, BiConsumer<BalancerActions, Long> requestHandler) {
@@ -123,7 +125,7 @@
         effects.addAll(reducer.reduce(nowMs, event));
     }
 
-    /** The module does this at its next timer. */
+    /** Fires a balancer timer at which the balancer runs this action. */
     private void onNextTimer(double nowMs, Consumer<BalancerActions> action) {
         balancer.timerAction = () -> action.accept(balancer.actions);
         send(nowMs, new Event.TimerFired(new TimerKey.BalancerTimer("next")));
@@ -154,12 +156,12 @@
             send(START_MS + 1, end);
             onNextTimer(START_MS + 2, actions -> actions.startAttempt(7, idOf("s-0"), 900_000));
         }
-        assertEquals(List.of(), effects(Effect.StartAttempt.class), "first");
+        assertEquals(List.of(), effects(Effect.StartAttempt.class), "first attempt");
         start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-0"), 900_000));
         send(START_MS + 1, new Event.AttemptWritten(7, 0));
         send(START_MS + 2, new Event.ClientDisconnected(7));
         onNextTimer(START_MS + 3, actions -> actions.startAttempt(7, idOf("s-1"), 900_000));
-        assertEquals(1, effects(Effect.StartAttempt.class).size(), "or further");
+        assertEquals(1, effects(Effect.StartAttempt.class).size(), "further attempt");
     }
 
     @Test
@@ -185,10 +187,10 @@
                 effects(Effect.SendLocalReply.class).stream()
                         .map(r -> r.reply())
                         .toList(),
-                "also while its attempt is in flight");
+                "also with an attempt in flight");
         send(START_MS + 1, new Event.AttemptWritten(7, 0));
         send(START_MS + 2, new Event.ResponseReceived(7, 0, ResponseKind.SERVED, "body", null));
-        assertEquals(List.of(), effects(Effect.SendResponse.class), "it has failed already");
+        assertEquals(List.of(), effects(Effect.SendResponse.class), "already answered with a failure");
     }
 
     @Test
@@ -332,7 +334,7 @@
         assertEquals(List.of(AttemptOutcome.NEVER_STARTED), balancer.outcomes);
     }
 
-    /** Guards a host that drains against a node that is held up before it reads of the drain, and before it writes. */
+    /** Guards a draining host against a node that stalls before it reads of the drain and again before it writes. */
     @Test
     void nodeThatStallsTwiceSendsNothingAfterTheDrainGrace() {
         start((actions, requestId) -> {});
@@ -381,9 +383,9 @@
         start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 900_000));
         assertEquals(900, reducer.timeLeftMs(START_MS, 7, 0), 1e-6);
         assertEquals(300, reducer.timeLeftMs(START_MS + 600, 7, 0), 1e-6);
-        assertEquals(0, reducer.timeLeftMs(START_MS + 900, 7, 0), "the module gives it up then");
-        assertEquals(0, reducer.timeLeftMs(START_MS, 7, 1), "one that is not out");
-        assertEquals(0, reducer.timeLeftMs(START_MS, 8, 0), "of a request that is not open");
+        assertEquals(0, reducer.timeLeftMs(START_MS + 900, 7, 0), "the balancer's timeout");
+        assertEquals(0, reducer.timeLeftMs(START_MS, 7, 1), "an attempt that is not in flight");
+        assertEquals(0, reducer.timeLeftMs(START_MS, 8, 0), "a request that is not open");
     }
 
     @Test
@@ -391,9 +393,9 @@
         start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 0));
         startDraining("s-1");
         assertEquals(995 - 199, reducer.timeLeftMs(START_MS + 199, 7, 0), 1e-6);
-        assertEquals(0, reducer.timeLeftMs(START_MS + 200, 7, 0), "though its timer has not fired");
+        assertEquals(0, reducer.timeLeftMs(START_MS + 200, 7, 0), "the cut-off, before its timer fires");
         send(START_MS + 201, new Event.AttemptNotStarted(7, 0));
-        assertEquals(List.of(AttemptOutcome.CONNECT_FAILED), balancer.outcomes, "it may go elsewhere");
+        assertEquals(List.of(AttemptOutcome.CONNECT_FAILED), balancer.outcomes, "a retry at another host is allowed");
     }
 
     @Test
@@ -403,7 +405,7 @@
         assertEquals(List.of(AttemptOutcome.NEVER_STARTED), balancer.outcomes);
     }
 
-    /** Its last byte may have waited in the kernel as long as its connection. */
+    /** The last byte of a request may have waited in the kernel as long as its connection waited in the backlog. */
     @Test
     void backlogWaitShortensTheTimeLeftOfTheFirstAttemptNotItsStart() {
         start((actions, requestId) -> actions.startAttempt(requestId, idOf("s-1"), 0));
@@ -411,12 +413,13 @@
                 START_MS,
                 new Event.RequestReceived(8, new ClientRequest("file", null, 1000, false, true, 600, "message")));
         assertEquals(395, reducer.timeLeftMs(START_MS, 8, 0), 1e-6);
-        assertEquals(1, reducer.timeLeftMs(START_MS + 500, 8, 0), 1e-6, "it may still be waiting");
+        assertEquals(
+                1, reducer.timeLeftMs(START_MS + 500, 8, 0), 1e-6, "minimum, since the client may still be waiting");
         assertEquals(0, reducer.timeLeftMs(START_MS + 995, 8, 0));
         send(START_MS + 100, new Event.AttemptConnectionLost(8, 0));
         onNextTimer(START_MS + 100, actions -> actions.startAttempt(8, idOf("s-0"), 0));
         assertEquals(295, reducer.timeLeftMs(START_MS + 100, 8, 1), 1e-6);
-        assertEquals(0, reducer.timeLeftMs(START_MS + 395, 8, 1), "a further one is not made beyond it");
+        assertEquals(0, reducer.timeLeftMs(START_MS + 395, 8, 1), "no retry beyond the certain deadline");
     }
 
     @Test
@@ -431,7 +434,10 @@
         assertEquals(0, reducer.timeLeftMs(START_MS + 4995, 8, 0));
     }
 
-    /** Its servers remember for so long what they have run; a write may come 150 ms later than decided. */
+    /**
+     * Servers deduplicate requests until the idempotency key expires. Guards against a retry after that, given that a
+     * write may follow its decision by 150 ms.
+     */
     @Test
     void retryWithAnIdempotencyKeyDoesNotOutlastTheKey() {
         RequestClass keyed = new RequestClass(
@@ -455,7 +461,7 @@
         assertEquals(0, reducer.timeLeftMs(START_MS + 250, 7, 1));
         send(START_MS + 260, new Event.AttemptNotStarted(7, 1));
         onNextTimer(START_MS + 260, actions -> actions.startAttempt(7, idOf("s-1"), 0));
-        assertEquals(2, effects(Effect.StartAttempt.class).size(), "nor is another begun");
+        assertEquals(2, effects(Effect.StartAttempt.class).size(), "no further attempt starts");
         assertEquals(
                 List.of(AttemptOutcome.RESET, AttemptOutcome.NEVER_STARTED, AttemptOutcome.NEVER_STARTED),
                 balancer.outcomes);
--- a/core/src/test/java/brackenbridge/core/HostIdsTest.java
+++ b/core/src/test/java/brackenbridge/core/HostIdsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The numbers of hosts. */
+/** The ids of hosts. */
 class HostIdsTest {
     @Test
     void idOfAHostDependsOnItsNameOnly() {
--- a/core/src/test/java/brackenbridge/core/LifeCycleTest.java
+++ b/core/src/test/java/brackenbridge/core/LifeCycleTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Drains and returns, alone and crossed with a stop; and the figures at every step of all that. */
+/** Drains and their cancellation, also during a stop, and the counters after each step. */
 class LifeCycleTest {
     private static final Event DRAIN = new Event.DrainRequested(true);
     private static final Event CANCEL_DRAIN = new Event.DrainRequested(false);
@@ -24,7 +24,7 @@
         assertFalse(harness.reducer.isReady());
         assertEquals(List.of(new Effect.AnnounceClose(true)), harness.effects(Effect.AnnounceClose.class));
         long early = harness.advance(1000).open(ReducerHarness.FILE, 5000);
-        assertEquals(1, harness.attempts(early).size(), "clients still come until the front has noticed");
+        assertEquals(1, harness.attempts(early).size(), "requests are accepted until the front end has noticed");
         assertEquals(
                 List.of(new Effect.CloseClientsWhenIdle(true)), harness.effects(Effect.CloseClientsWhenIdle.class));
         long late = harness.advance(900).open(ReducerHarness.FILE, 5000);
@@ -62,7 +62,7 @@
         assertEquals(
                 List.of(),
                 harness.localReplies(harness.open(ReducerHarness.FILE, 5000)),
-                "nothing is turned away after a return");
+                "no request is rejected after a cancelled drain");
     }
 
     @Test
@@ -70,7 +70,8 @@
         ReducerHarness harness = new ReducerHarness(4, 2).send(CANCEL_DRAIN);
         assertTrue(harness.reducer.isReady());
         harness.send(DRAIN).advance(400).send(DRAIN).advance(250);
-        assertEquals(1, harness.effects(Effect.CloseClientsWhenIdle.class).size(), "the steps run from the first call");
+        assertEquals(
+                1, harness.effects(Effect.CloseClientsWhenIdle.class).size(), "the steps count from the first request");
         assertEquals(1, harness.counters.of(Counter.DRAINS));
         harness.send(new Event.StopRequested()).send(CANCEL_DRAIN).send(DRAIN);
         assertFalse(harness.reducer.isReady());
--- a/core/src/test/java/brackenbridge/core/LocalReplyTest.java
+++ b/core/src/test/java/brackenbridge/core/LocalReplyTest.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every way in which a request ends without a server's answer: at once, truly, and a refusal with advice. */
+/**
+ * All ways in which a request ends without a server's response. Guards against late replies, against replies that do
+ * not tell whether the request may have run, and against rejections without a Retry-After.
+ */
 class LocalReplyTest {
     private static final double MAX_RETRY_AFTER_MS = 2000;
 
@@ -44,7 +47,7 @@
         return harness;
     }
 
-    /** The one answer that the request has by now is of this kind; a refusal says when to come back. */
+    /** Checks that this is the request's only reply, and that it has a Retry-After exactly if it is a rejection. */
     private static void assertOnlyReply(ReducerHarness harness, long requestId, LocalReply kind, String scenario) {
         List<Effect.SendLocalReply> replies = harness.effects(Effect.SendLocalReply.class).stream()
                 .filter(r -> r.requestId() == requestId)
@@ -97,7 +100,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.advance(1000);
-        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "a connection that never came up");
+        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "connection never established");
     }
 
     @Test
@@ -105,7 +108,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.send(new Event.AttemptWritten(requestId, 0)).advance(1000);
-        assertOnlyReply(harness, requestId, LocalReply.TIMED_OUT, "no answer");
+        assertOnlyReply(harness, requestId, LocalReply.TIMED_OUT, "no response");
     }
 
     @Test
@@ -113,7 +116,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.send(new Event.AttemptWritten(requestId, 0)).send(new Event.AttemptConnectionLost(requestId, 0));
-        assertOnlyReply(harness, requestId, LocalReply.FAILED, "reset");
+        assertOnlyReply(harness, requestId, LocalReply.FAILED, "connection lost");
     }
 
     @Test
@@ -121,7 +124,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, false);
         harness.send(new Event.RequestBodyReleased(requestId)).send(new Event.AttemptConnectionLost(requestId, 0));
-        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "spent body");
+        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "released body");
     }
 
     @Test
@@ -132,7 +135,7 @@
                 .send(new Event.RequestCompleted(requestId))
                 .send(new Event.AttemptWritten(requestId, 0));
         harness.send(new Event.ResponseReceived(requestId, 0, ResponseKind.ERROR, "body", null));
-        assertOnlyReply(harness, requestId, LocalReply.FAILED, "spent body after its last byte");
+        assertOnlyReply(harness, requestId, LocalReply.FAILED, "released body, completely written");
     }
 
     @Test
@@ -149,7 +152,7 @@
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.send(new Event.AttemptWritten(requestId, 0))
                 .send(new Event.ResponseReceived(requestId, 0, ResponseKind.INVALID_REQUEST, "body", null));
-        assertOnlyReply(harness, requestId, LocalReply.INVALID_REQUEST, "rejected");
+        assertOnlyReply(harness, requestId, LocalReply.INVALID_REQUEST, "invalid request");
     }
 
     @Test
@@ -162,7 +165,7 @@
         }
         assertEquals(5, harness.attempts(requestId).size());
         assertOnlyReply(
-                harness, requestId, LocalReply.REJECTED, "attempts spent, and none ran: at once, not at its deadline");
+                harness, requestId, LocalReply.REJECTED, "attempts exhausted, none ran: at once, not at the deadline");
     }
 
     @Test
@@ -174,10 +177,10 @@
                 assertEquals(
                         attempt + 1,
                         harness.attempts(requestId).size(),
-                        "request " + i + " goes again, whatever others have cost");
+                        "request " + i + " is retried regardless of other requests' retries");
                 harness.send(new Event.AttemptFailedLocally(requestId, attempt));
             }
-            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "no attempt left");
+            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "attempts exhausted");
         }
         assertTrue(harness.reducer.metricsText().contains("proxy.pool_ejected:0|g"));
     }
@@ -187,9 +190,9 @@
         ReducerHarness harness = harness(2);
         for (int i = 0; i < 6; i++) {
             long requestId = open(harness, ReducerHarness.FILE, true);
-            assertEquals(1, harness.attempts(requestId).size(), "every server is still in order");
+            assertEquals(1, harness.attempts(requestId).size(), "no server is ejected");
             harness.send(new Event.AttemptNotStarted(requestId, 0));
-            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "no room");
+            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "no connection available");
         }
         assertTrue(harness.reducer.metricsText().contains("proxy.pool_ejected:0|g"));
     }
--- a/core/src/test/java/brackenbridge/core/ReducerHarness.java
+++ b/core/src/test/java/brackenbridge/core/ReducerHarness.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Plays events at a reducer, keeps the effects and fires its timers by a clock that stands still. */
+/** Feeds events to a reducer, records its effects and fires its timers on a manual clock. */
 final class ReducerHarness {
     static final RequestClass VIEW = new RequestClass(
             "view", 4_000_000, 8_000_000, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 2, 0.25);
@@ -87,7 +87,7 @@
         return this;
     }
 
-    /** Opens a request and gives its number back. */
+    /** Opens a request and returns its id. */
     long open(RequestClass requestClass, double timeLeftMs) {
         send(new Event.RequestReceived(
                 requestCount,
@@ -95,7 +95,7 @@
         return requestCount++;
     }
 
-    /** Lets time pass, firing the timers that fall due. */
+    /** Advances the clock and fires the timers that become due. */
     ReducerHarness advance(double ms) {
         double untilMs = clock.nowMs() + ms;
         while (!timers.isEmpty() && timers.peek().atMs() <= untilMs) {
@@ -111,14 +111,14 @@
         return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    /** The request's attempts so far. */
+    /** The attempts of the request so far. */
     List<Effect.StartAttempt> attempts(long requestId) {
         return effects(Effect.StartAttempt.class).stream()
                 .filter(effect -> effect.requestId() == requestId)
                 .toList();
     }
 
-    /** The fixed responses that the request got. */
+    /** The local replies to the request so far. */
     List<Effect.LocalReply> localReplies(long requestId) {
         return effects(Effect.SendLocalReply.class).stream()
                 .filter(effect -> effect.requestId() == requestId)
--- a/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
+++ b/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests from their receipt to their one answer. */
+/** Requests from their receipt to their single final response. */
 class RequestLifecycleTest {
     private static Event answer(long requestId, int attempt, ResponseKind reply) {
         return new Event.ResponseReceived(requestId, attempt, reply, "body", null);
@@ -66,7 +66,7 @@
         assertEquals(0, harness.effects(Effect.SendResponse.class).size());
     }
 
-    /** It may have waited in the backlog: a second server is sent only the time that is certainly left. */
+    /** A request that may have waited in the backlog: a retry must end before the earliest possible client timeout. */
     @Test
     void retryHasOnlyTheTimeThatIsCertainlyLeft() {
         ReducerHarness harness = new ReducerHarness(4);
@@ -149,7 +149,7 @@
                         .get(0)
                         .host()
                         .equals(harness.attempts(other).get(0).host()),
-                "both servers are in use");
+                "both servers are in use, none is ejected");
     }
 
     @Test
@@ -176,16 +176,19 @@
             harness.send(new Event.AttemptWritten(beforeChange, i))
                     .send(new Event.AttemptConnectionLost(beforeChange, i));
         }
-        assertEquals(5, harness.attempts(beforeChange).size(), "safe, with five attempts");
+        assertEquals(5, harness.attempts(beforeChange).size(), "idempotent and five attempts, as at its receipt");
         long afterChange = harness.open(strict, -1);
         harness.send(new Event.AttemptWritten(afterChange, 0)).send(new Event.AttemptConnectionLost(afterChange, 0));
-        assertEquals(List.of(LocalReply.FAILED), harness.localReplies(afterChange), "unsafe by the new rules");
+        assertEquals(
+                List.of(LocalReply.FAILED), harness.localReplies(afterChange), "not idempotent by the new settings");
         long added = harness.open(other, -1);
         for (int i = 0; i < 2; i++) {
             harness.send(new Event.AttemptWritten(added, i)).send(new Event.AttemptConnectionLost(added, i));
         }
-        assertEquals(2, harness.attempts(added).size(), "attempts have got fewer");
-        assertFalse(harness.reducer.metricsText().contains("proxy.ok.file:"), "a class that never asked is gone");
+        assertEquals(2, harness.attempts(added).size(), "two attempts by the new settings");
+        assertFalse(
+                harness.reducer.metricsText().contains("proxy.ok.file:"),
+                "a removed class without requests is not published");
     }
 
     @Test
@@ -196,7 +199,7 @@
             requestIds.add(harness.open(i % 2 == 0 ? ReducerHarness.VIEW : ReducerHarness.FILE, 5000));
         }
         int before = harness.effects(Effect.StartAttempt.class).size();
-        assertTrue(before < 12, "some wait");
+        assertTrue(before < 12, "some requests are queued");
         harness.send(new Event.Reconfigured(
                 ReducerHarness.settings(1, 5, ReducerHarness.FILE), new EndpointList(41, true, List.of()), false));
         for (int i = 0; i < 12; i++) {
@@ -209,7 +212,7 @@
                 12,
                 harness.effects(Effect.SendResponse.class).size()
                         + harness.effects(Effect.SendLocalReply.class).size());
-        assertTrue(harness.effects(Effect.SendResponse.class).size() > before, "those that waited too");
+        assertTrue(harness.effects(Effect.SendResponse.class).size() > before, "queued requests are served too");
         assertEquals(0, harness.effects(Effect.ReportFault.class).size());
     }
 }
--- a/core/src/test/java/brackenbridge/core/ShutdownTest.java
+++ b/core/src/test/java/brackenbridge/core/ShutdownTest.java
@@ -15,9 +15,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A stop answers everything before the kill, which comes 0.7 s after the longest deadline, 3 s at most. */
+/**
+ * A stopping node answers every request before the platform kills it, 0.7 s after the longest deadline, of which at
+ * most 3 s count.
+ */
 class ShutdownTest {
-    /** Between the last timer and the kill: the signal's way and the exit itself. */
+    /** Least time between the last timer and the kill, for the signal's delivery and the exit itself. */
     private static final double SLACK_MS = 130;
 
     private static RequestClass withDeadline(double ms) {
@@ -52,8 +55,8 @@
     }
 
     /**
-     * Lets time pass while clients go on asking on open connections and no server answers, until the node exits; then
-     * all requests that were taken must have been answered, well before this kill.
+     * Opens requests every 5 ms on open connections, with servers that do not respond, until the node exits. Checks
+     * that the exit leaves the slack before the kill, and that every request has exactly one reply.
      */
     private static void assertAllAnsweredBefore(double killMs, ReducerHarness harness, double stopRequestedMs) {
         RequestClass requestClass = withDeadline(1);
@@ -64,7 +67,7 @@
             double sinceStopMs = harness.clock.nowMs() - stopRequestedMs;
             assertTrue(
                     sinceStopMs + ShutdownSchedule.EXIT_LINGER_MS <= killMs - SLACK_MS,
-                    "still here " + sinceStopMs + " ms after SIGTERM, killed after " + killMs);
+                    "still running " + sinceStopMs + " ms after SIGTERM, killed after " + killMs + " ms");
         }
         requestIds.add(harness.open(requestClass, 5000));
         for (long requestId : requestIds) {
@@ -94,7 +97,7 @@
         assertAllAnsweredBefore(killMs(100), during, stopRequestedMs);
     }
 
-    /** Nobody says whether the kill goes by the settings of the start or by the newest. */
+    /** It is unknown whether the platform applies the settings at startup or the newest ones. */
     @ParameterizedTest
     @EnumSource(ShutdownKind.class)
     void longerDeadlinesDoNotDelayTheExit(ShutdownKind kind) {
@@ -121,7 +124,7 @@
     void stepsAreOrderedAndLeaveTheFrontEndTimeToNotice(
             @ForAll @DoubleRange(min = 0.01, max = 10_000) double deadlineMs, @ForAll ShutdownKind kind) {
         ShutdownSchedule schedule = ShutdownSchedule.of(kind, deadlineMs);
-        assertTrue(schedule.stopAcceptingMs() > 400, "new connections keep coming for 0.4 s: " + schedule);
+        assertTrue(schedule.stopAcceptingMs() > 400, "the front end opens connections for 0.4 s: " + schedule);
         assertTrue(
                 schedule.stopAcceptingMs() + 25 <= schedule.stopServingMs()
                         && schedule.stopServingMs() <= schedule.answerAllMs()
--- a/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
+++ b/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
@@ -8,13 +8,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a stopping node still does for its clients. */
+/** How a stopping node serves its clients until it exits. */
 class StoppingNodeTest {
     private static Event answer(long requestId, int attempt, ResponseKind reply) {
         return new Event.ResponseReceived(requestId, attempt, reply, "body", null);
     }
 
-    /** The front sends no more connections to it; its peers may be stopped by the same release, or only just back. */
+    /**
+     * The front end opens no more connections to a stopping node. Its open ones stay in use, because its peers may be
+     * stopped by the same release or may have just restarted. Guards against closing them early.
+     */
     @Test
     void stoppingNodeServesOpenConnectionsAndExitsOnceIdle() {
         for (int peers : new int[] {1, 2}) {
@@ -38,7 +41,10 @@
         }
     }
 
-    /** Half of a request may have been here when the last answers went. */
+    /**
+     * Guards against a request that was incomplete when the node answered all open requests, and completes before the
+     * exit.
+     */
     @Test
     void requestAfterTheFinalResponsesIsRejectedAtOnce() {
         ReducerHarness harness = new ReducerHarness(4);
--- a/core/src/test/java/brackenbridge/core/StreamedRequestTest.java
+++ b/core/src/test/java/brackenbridge/core/StreamedRequestTest.java
@@ -8,7 +8,7 @@
 
 /** Requests whose body is still being received when they are sent. */
 class StreamedRequestTest {
-    /** A request whose body is still coming. */
+    /** Opens a request whose body is incomplete. */
     private static long openStreamed(ReducerHarness harness) {
         harness.send(new Event.RequestReceived(900, new ClientRequest("file", null, 1000, false, false, "part")));
         return 900;
@@ -65,14 +65,14 @@
         for (long requestId = 500; requestId < 530; requestId++) {
             harness.send(
                     new Event.RequestReceived(requestId, new ClientRequest("file", null, 5000, false, false, "part")));
-            assertEquals(1, harness.attempts(requestId).size(), "the " + requestId + " goes out at once");
+            assertEquals(1, harness.attempts(requestId).size(), "request " + requestId + " starts at once");
         }
         long other = harness.open(ReducerHarness.FILE, 5000);
-        assertEquals(1, harness.attempts(other).size(), "and takes no other's place");
+        assertEquals(1, harness.attempts(other).size(), "incomplete requests use no capacity");
         for (long requestId = 500; requestId < 530; requestId++) {
             harness.send(new Event.RequestCompleted(requestId));
         }
         assertEquals(
-                0, harness.attempts(harness.open(ReducerHarness.VIEW, 5000)).size(), "whole, they do");
+                0, harness.attempts(harness.open(ReducerHarness.VIEW, 5000)).size(), "complete requests use capacity");
     }
 }
--- a/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
+++ b/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Tenants' requests begin when their turn comes, and every one of them is answered. */
+/** Requests start when their tenant's quota admits them, and every request is answered. */
 class TenantQuotasTest {
     private final ReducerHarness harness = new ReducerHarness(8);
     private long nextRequestId = 1000;
@@ -54,7 +54,7 @@
         open("b", 4000);
         open("b", 4000);
         long startedOfA = countStarted(LongStream.range(1000, firstOfB));
-        assertTrue(startedOfA >= 3 && startedOfA <= 6, "a has its own and what nobody used: " + startedOfA);
+        assertTrue(startedOfA >= 3 && startedOfA <= 6, "quota of a and spare capacity: " + startedOfA);
         int served = 0;
         for (long requestId = 1000;
                 requestId < firstOfB && countStarted(LongStream.range(firstOfB, nextRequestId)) < 2;
@@ -63,7 +63,7 @@
             serve(requestId);
             served++;
         }
-        assertEquals(2, served, "what was lent goes back with the first places that come free");
+        assertEquals(2, served, "lent capacity returns with the first connections released");
     }
 
     @Test
@@ -142,7 +142,7 @@
                 serve(requestId);
             }
         }
-        assertEquals(8, harness.effects(Effect.SendResponse.class).size(), "all others had their turn");
+        assertEquals(8, harness.effects(Effect.SendResponse.class).size(), "all other requests are served");
         assertEquals(0, countStarted(abandoned.stream().mapToLong(requestId -> requestId)));
         assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(abandoned.get(1)));
         assertEquals(List.of(), harness.localReplies(abandoned.get(0)));
--- a/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
+++ b/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a fleet says of zones moves load, holds for its time and no longer. */
+/** Zone weights shift load between zones until they expire. */
 class ZoneWeightsTest {
     private static final double WEIGHT_LIFETIME_MS = 10_000;
 
@@ -27,7 +27,7 @@
         return harness.send(new Event.Started(new EndpointList(42, true, endpoints)));
     }
 
-    /** How many of so many calls, one after the other, went to zone a. */
+    /** The number of sequential requests that went to zone a. */
     private static int countInZoneA(ReducerHarness harness, int requests) {
         int inZoneA = 0;
         for (int i = 0; i < requests; i++) {
@@ -65,7 +65,7 @@
                 .advance(WEIGHT_LIFETIME_MS / 2)
                 .send(weights(harness, 1, 1, 0))
                 .advance(WEIGHT_LIFETIME_MS / 2 + 100);
-        assertEquals(0, countInZoneA(harness, 50), "the first word would have run out");
+        assertEquals(0, countInZoneA(harness, 50), "the first weights would have expired");
         harness.advance(WEIGHT_LIFETIME_MS / 2);
         assertTrue(countInZoneA(harness, 100) > 30);
     }
@@ -99,10 +99,10 @@
             failed += pool.getValue().failed();
             inFlight += pool.getValue().inFlight();
         }
-        assertEquals(42, attempts, "one try without a connection and the next one count as tries");
+        assertEquals(42, attempts, "the attempt without a connection and its retry count as attempts");
         assertEquals(40, served);
         assertEquals(80, inFlightMs, 1);
-        assertEquals(0, failed, "what was never sent says nothing of a server's work");
+        assertEquals(0, failed, "an attempt that was never written is no failure of a server");
         assertEquals(1, inFlight);
         assertEquals(
                 Map.of(new TrafficObserver.PoolKey("a", 1, ""), 4, new TrafficObserver.PoolKey("b", 1, ""), 4),
