--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -18,6 +18,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** Fair sharing of connections between tenants by quota, burst credit and spare capacity. */
 class TenantSchedulerTest {
     private static final double FOREVER = Double.POSITIVE_INFINITY;
 
@@ -25,10 +26,7 @@
         return new TenantQuotas(1, tenants, others, Map.of(), FOREVER, Map.of());
     }
 
-    /**
-     * Tenants with arrivals at a steady mean rate, whose requests hold their connections for a while, in simulated
-     * time.
-     */
+    /** Simulates tenants with Poisson arrivals whose requests hold a connection for a given time. */
     private static final class Simulation {
         private record Event(double atMs, long order, Runnable action) {}
 
@@ -78,14 +76,15 @@
                     rejected.merge(tenant, 1, Integer::sum);
                 }
                 default -> {
-                    // Nothing else matters here.
+                    // A queued request starts when a scheduling result admits it.
                 }
             }
         }
 
         void apply(SchedulingResult result) {
-            result.rejected().forEach(r -> startActions.remove(r.requestId()));
-            result.admitted().forEach(f -> startActions.remove(f).run());
+            result.rejected().forEach(rejection -> startActions.remove(rejection.requestId()));
+            result.admitted()
+                    .forEach(requestId -> startActions.remove(requestId).run());
         }
 
         void runUntil(double untilMs) {
@@ -102,14 +101,14 @@
             }
         }
 
-        /** Connections in use on average from one moment to another. */
+        /** The mean number of connections in use by each tenant between two times. */
         Map<String, Double> mean(double fromMs, double untilMs) {
             runUntil(fromMs);
             measuredFromMs = fromMs;
             usedMs.clear();
             runUntil(untilMs);
             Map<String, Double> mean = new HashMap<>();
-            usedMs.forEach((t, ms) -> mean.put(t, ms / (untilMs - fromMs)));
+            usedMs.forEach((tenant, ms) -> mean.put(tenant, ms / (untilMs - fromMs)));
             return mean;
         }
     }
@@ -212,7 +211,7 @@
         for (long i = 0; i < atOnce; i++) {
             scheduler.onRequestEnded(12_000, i);
         }
-        assertTrue(scheduler.running() <= 4, "with its credit used up: " + scheduler.running());
+        assertTrue(scheduler.running() <= 4, "running with the burst credit used up: " + scheduler.running());
     }
 
     @Test
@@ -250,7 +249,7 @@
                     AdmissionVerdict.ADMIT,
                     scheduler.onRequest(1, i, "a", 100_000, 10).verdict());
         }
-        // As on a node that was suspended: the timer is missed, the next event follows long after.
+        // As on a node that was suspended: the timer is missed, and the next event follows long after.
         assertEquals(1000, scheduler.nextTimerMs());
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), scheduler.selectExcessRequests(11_000));
         assertEquals(2, scheduler.maxRunning());
@@ -258,7 +257,7 @@
                 AdmissionVerdict.QUEUE,
                 scheduler.onRequest(11_000, 9, "a", 1_000_000, 10).verdict());
         scheduler.applyQuotas(11_001, new TenantQuotas(4, Map.of("a", 80.0), 0, Map.of(), FOREVER, Map.of()));
-        assertEquals(2, scheduler.maxRunning(), "an older epoch is ignored");
+        assertEquals(2, scheduler.maxRunning(), "a lower epoch is ignored");
     }
 
     @Test
@@ -280,20 +279,16 @@
         Random random = new Random(seed);
         TenantScheduler scheduler = new TenantScheduler(new SchedulerLimits(random.nextInt(3) * 100, 200, 20, 5));
         Map<Long, AdmissionVerdict> state = new HashMap<>();
-        double nowMs = 0;
+        double now = 0;
         for (int i = 0; i < 400; i++) {
-            nowMs += random.nextDouble() * 40;
+            now += random.nextDouble() * 40;
             int before = scheduler.running();
             SchedulingResult result = SchedulingResult.NONE;
             switch (random.nextInt(6)) {
                 case 0, 1, 2 -> {
                     AdmissionVerdict verdict = scheduler
                             .onRequest(
-                                    nowMs,
-                                    i,
-                                    "t" + random.nextInt(names),
-                                    nowMs + random.nextInt(500),
-                                    random.nextInt(100))
+                                    now, i, "t" + random.nextInt(names), now + random.nextInt(500), random.nextInt(100))
                             .verdict();
                     state.put((long) i, verdict);
                     assertFalse(
@@ -302,29 +297,29 @@
                 }
                 case 3 -> {
                     long ended = random.nextInt(i + 1);
-                    result = scheduler.onRequestEnded(nowMs, ended);
+                    result = scheduler.onRequestEnded(now, ended);
                     state.remove(ended);
                 }
-                case 4 -> result = scheduler.onTimer(nowMs);
+                case 4 -> result = scheduler.onTimer(now);
                 default -> {
                     Map<String, Double> tenantQuotas = new HashMap<>();
                     for (int k = 0; k < names; k += 2) {
                         tenantQuotas.put("t" + k, random.nextDouble() * 3);
                     }
                     result = scheduler.applyQuotas(
-                            nowMs,
+                            now,
                             new TenantQuotas(
                                     i,
                                     tenantQuotas,
                                     random.nextDouble() * 2,
                                     Map.of(),
-                                    nowMs + random.nextInt(400),
+                                    now + random.nextInt(400),
                                     Map.of("t0", 1.0)));
-                    scheduler.takeUsage(nowMs);
+                    scheduler.takeUsage(now);
                 }
             }
-            result.rejected().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.remove(f.requestId())));
-            result.admitted().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.put(f, AdmissionVerdict.ADMIT)));
+            result.rejected().forEach(r -> assertEquals(AdmissionVerdict.QUEUE, state.remove(r.requestId())));
+            result.admitted().forEach(r -> assertEquals(AdmissionVerdict.QUEUE, state.put(r, AdmissionVerdict.ADMIT)));
             assertTrue(
                     result.admitted().isEmpty() || scheduler.running() <= scheduler.maxRunning(),
                     "admitted beyond the maximum");
