--- a/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
+++ b/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
@@ -206,7 +206,7 @@
             return 0;
         }
         // If the request was incomplete when the attempt started, its last byte may have waited long before it was
-        // read, so its deadline may be too late: the announced deadline bounds it.
+        // read, so that its deadline may be too late: the announced deadline bounds the time left as well.
         double certainDeadlineMs = request.deadlineMs - request.maxBacklogWaitMs;
         return Math.max(MIN_TIME_LEFT_MS, Math.min(certainDeadlineMs, attempt.announcedDeadlineMs) - nowMs);
     }
--- a/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
+++ b/core/src/main/java/brackenbridge/core/ShutdownSchedule.java
@@ -27,7 +27,7 @@
     static final double EXIT_SLACK_MS = 140;
     /** Time for sending the final responses before connections with an incomplete request are closed. */
     static final double FINAL_RESPONSES_MS = 30;
-    /** How long new connections are accepted: until the front end notices the stop, for up to 0.4 s, it opens more. */
+    /** How long new connections are accepted: the front end opens more until it notices the stop, after up to 0.4 s. */
     static final double ACCEPT_MS = 500;
     /**
      * How long a replaced node accepts handshakes that have begun: a lost SYN-ACK is retransmitted after one second.
--- a/core/src/test/java/brackenbridge/core/LifeCycleTest.java
+++ b/core/src/test/java/brackenbridge/core/LifeCycleTest.java
@@ -53,7 +53,7 @@
         assertEquals(
                 List.of(true, false),
                 harness.effects(Effect.CloseClientsWhenIdle.class).stream()
-                        .map(e -> e.enabled())
+                        .map(effect -> effect.enabled())
                         .toList());
         harness.advance(5000);
         assertEquals(List.of(), harness.localReplies(harness.open(ReducerHarness.FILE, 5000)));
