--- a/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
+++ b/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.counters.Counter;
 import java.util.List;
@@ -43,13 +43,12 @@
         long requestId = harness.open(ReducerHarness.FILE, 5000);
         harness.send(new Event.AttemptWritten(requestId, 0)).send(new Event.ClientPresenceUnknown(requestId));
         assertEquals(List.of(), harness.localReplies(requestId));
-        harness.send(new Event.AttemptAnswered(requestId, 0, ServerReply.SERVER_FULL, null, null))
+        harness.send(new Event.ResponseReceived(requestId, 0, ResponseKind.SERVER_FULL, null, null))
                 .send(new Event.ClientPresenceUnknown(requestId));
         assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(requestId));
         harness.advance(9000);
-        int further = harness.attempts(requestId).size() - 1;
-        assertEquals(
-                further, harness.effects(Effect.CancelAttempt.class).size(), "what was to go out again is called off");
+        int retries = harness.attempts(requestId).size() - 1;
+        assertEquals(retries, harness.effects(Effect.CancelAttempt.class).size(), "each retry is cancelled");
     }
 
     @Test
@@ -57,7 +56,7 @@
         ReducerHarness harness = new ReducerHarness(4);
         long requestId = harness.open(ReducerHarness.VIEW, 5000);
         harness.send(new Event.AttemptWritten(requestId, 0)).send(new Event.AttemptConnectionLost(requestId, 0));
-        assertEquals(2, harness.attempts(requestId).size(), "safe, so it goes out again");
+        assertEquals(2, harness.attempts(requestId).size(), "idempotent, so it is retried");
         harness.send(new Event.ClientPresenceUnknown(requestId));
         assertEquals(List.of(LocalReply.FAILED), harness.localReplies(requestId));
         assertEquals(List.of(new Effect.CancelAttempt(requestId, 1)), harness.effects(Effect.CancelAttempt.class));
@@ -66,18 +65,18 @@
     @Test
     void queuedRequestOfADisconnectedOrUnknownClientNeverStarts() {
         ReducerHarness harness = new ReducerHarness(0);
-        long hidden = harness.open(ReducerHarness.VIEW, 8000);
-        long gone = harness.open(ReducerHarness.VIEW, 8000);
+        long unknown = harness.open(ReducerHarness.VIEW, 8000);
+        long disconnected = harness.open(ReducerHarness.VIEW, 8000);
         long other = harness.open(ReducerHarness.VIEW, 8000);
-        harness.send(new Event.ClientPresenceUnknown(hidden)).send(new Event.ClientDisconnected(gone));
-        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(hidden));
+        harness.send(new Event.ClientPresenceUnknown(unknown)).send(new Event.ClientDisconnected(disconnected));
+        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(unknown));
         harness.send(new Event.Reconfigured(
                 harness.settings,
                 new EndpointList(42, true, List.of(ReducerHarness.endpoint("s-0", EndpointState.UP))),
                 false));
         harness.advance(100);
         assertEquals(1, harness.attempts(other).size());
-        assertEquals(List.of(), harness.attempts(hidden));
-        assertEquals(List.of(), harness.attempts(gone));
+        assertEquals(List.of(), harness.attempts(unknown));
+        assertEquals(List.of(), harness.attempts(disconnected));
     }
 }
--- a/core/src/test/java/brackenbridge/core/LifeCycleTest.java
+++ b/core/src/test/java/brackenbridge/core/LifeCycleTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.counters.Counter;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Drains and returns, alone and crossed with a stop; and the figures at every step of all that. */
+/** Drains and their cancellation, also during a stop, and the counters after each step. */
 class LifeCycleTest {
     private static final Event DRAIN = new Event.DrainRequested(true);
     private static final Event CANCEL_DRAIN = new Event.DrainRequested(false);
@@ -24,7 +24,7 @@
         assertFalse(harness.reducer.isReady());
         assertEquals(List.of(new Effect.AnnounceClose(true)), harness.effects(Effect.AnnounceClose.class));
         long early = harness.advance(1000).open(ReducerHarness.FILE, 5000);
-        assertEquals(1, harness.attempts(early).size(), "clients still come until the front has noticed");
+        assertEquals(1, harness.attempts(early).size(), "requests are accepted until the front end has noticed");
         assertEquals(
                 List.of(new Effect.CloseClientsWhenIdle(true)), harness.effects(Effect.CloseClientsWhenIdle.class));
         long late = harness.advance(900).open(ReducerHarness.FILE, 5000);
@@ -36,7 +36,7 @@
                         .effects(Effect.RejectIncompleteRequests.class)
                         .size());
         harness.send(new Event.AttemptWritten(early, 0))
-                .send(new Event.AttemptAnswered(early, 0, ServerReply.SERVED, "b", null));
+                .send(new Event.ResponseReceived(early, 0, ResponseKind.SERVED, "b", null));
         assertEquals(1, harness.effects(Effect.SendResponse.class).size());
     }
 
@@ -48,12 +48,12 @@
         assertEquals(
                 List.of(true, false),
                 harness.effects(Effect.AnnounceClose.class).stream()
-                        .map(Effect.AnnounceClose::on)
+                        .map(Effect.AnnounceClose::enabled)
                         .toList());
         assertEquals(
                 List.of(true, false),
                 harness.effects(Effect.CloseClientsWhenIdle.class).stream()
-                        .map(e -> e.on())
+                        .map(effect -> effect.enabled())
                         .toList());
         harness.advance(5000);
         assertEquals(List.of(), harness.localReplies(harness.open(ReducerHarness.FILE, 5000)));
@@ -62,7 +62,7 @@
         assertEquals(
                 List.of(),
                 harness.localReplies(harness.open(ReducerHarness.FILE, 5000)),
-                "nothing is turned away after a return");
+                "no request is rejected after a cancelled drain");
     }
 
     @Test
@@ -70,7 +70,8 @@
         ReducerHarness harness = new ReducerHarness(4, 2).send(CANCEL_DRAIN);
         assertTrue(harness.reducer.isReady());
         harness.send(DRAIN).advance(400).send(DRAIN).advance(250);
-        assertEquals(1, harness.effects(Effect.CloseClientsWhenIdle.class).size(), "the steps run from the first call");
+        assertEquals(
+                1, harness.effects(Effect.CloseClientsWhenIdle.class).size(), "the steps count from the first request");
         assertEquals(1, harness.counters.of(Counter.DRAINS));
         harness.send(new Event.StopRequested()).send(CANCEL_DRAIN).send(DRAIN);
         assertFalse(harness.reducer.isReady());
@@ -104,8 +105,8 @@
                             random.nextBoolean() ? ReducerHarness.FILE : ReducerHarness.VIEW, random.nextInt(300)));
                 case 2 -> harness.send(new Event.AttemptWritten(requestId, random.nextInt(2)));
                 case 3 ->
-                    harness.send(new Event.AttemptAnswered(
-                            requestId, random.nextInt(2), ServerReply.values()[random.nextInt(4)], "b", null));
+                    harness.send(new Event.ResponseReceived(
+                            requestId, random.nextInt(2), ResponseKind.values()[random.nextInt(4)], "b", null));
                 case 4 -> harness.send(new Event.AttemptConnectionLost(requestId, random.nextInt(2)));
                 case 5 -> harness.send(new Event.ClientDisconnected(requestId));
                 case 6 ->
--- a/core/src/test/java/brackenbridge/core/LocalReplyTest.java
+++ b/core/src/test/java/brackenbridge/core/LocalReplyTest.java
@@ -4,19 +4,22 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.BalancerSettings;
 import brackenbridge.core.balancing.RequestClass;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every way in which a request ends without a server's answer: at once, truly, and a refusal with advice. */
+/**
+ * All ways in which a request ends without a server's response. Guards against late replies, against replies that do
+ * not tell whether the request may have run, and against rejections without a Retry-After.
+ */
 class LocalReplyTest {
-    private static final double LONGEST_MS = 2000;
+    private static final double MAX_RETRY_AFTER_MS = 2000;
 
     private static ReducerHarness harness(int servers) {
         ReducerHarness harness = new ReducerHarness(servers, 2);
-        BalancerSettings s = harness.settings;
+        BalancerSettings settings = harness.settings;
         harness.send(new Event.Reconfigured(
                 new BalancerSettings(
                         7,
@@ -24,41 +27,47 @@
                         2,
                         0,
                         "room",
-                        s.classes(),
+                        settings.classes(),
                         List.of(),
                         0.1,
                         true,
                         10_000_000,
                         5,
                         40000,
-                        (long) (LONGEST_MS * 1000),
+                        (long) (MAX_RETRY_AFTER_MS * 1000),
                         true,
                         true,
                         false,
                         30_000_000,
                         0.3,
                         8_500_000,
-                        s.network()),
+                        settings.network()),
                 new EndpointList(41, true, List.of()),
                 false));
         return harness;
     }
 
-    /** The one answer that the request has by now is of this kind; a refusal says when to come back. */
-    private static void assertOnlyReply(ReducerHarness harness, long requestId, LocalReply kind, String how) {
-        List<Effect.SendLocalReply> got = harness.effects(Effect.SendLocalReply.class).stream()
+    /** Checks that this is the request's only reply, and that it has a Retry-After exactly if it is a rejection. */
+    private static void assertOnlyReply(ReducerHarness harness, long requestId, LocalReply kind, String scenario) {
+        List<Effect.SendLocalReply> replies = harness.effects(Effect.SendLocalReply.class).stream()
                 .filter(r -> r.requestId() == requestId)
                 .toList();
         assertEquals(
-                List.of(kind), got.stream().map(Effect.SendLocalReply::reply).toList(), how);
-        double advice = got.get(0).retryAfterMs();
-        assertTrue(kind == LocalReply.REJECTED ? advice > 0 && advice <= LONGEST_MS : advice == 0, how + ": " + advice);
-    }
-
-    private static long open(ReducerHarness harness, RequestClass c, boolean complete) {
+                List.of(kind),
+                replies.stream().map(Effect.SendLocalReply::reply).toList(),
+                scenario);
+        double retryAfterMs = replies.get(0).retryAfterMs();
+        assertTrue(
+                kind == LocalReply.REJECTED
+                        ? retryAfterMs > 0 && retryAfterMs <= MAX_RETRY_AFTER_MS
+                        : retryAfterMs == 0,
+                scenario + ": " + retryAfterMs);
+    }
+
+    private static long open(ReducerHarness harness, RequestClass requestClass, boolean complete) {
         long id = 5000 + harness.effects.size();
-        harness.send(
-                new Event.RequestReceived(id, new ClientRequest(c.name(), null, 1000, false, complete, "message")));
+        harness.send(new Event.RequestReceived(
+                id, new ClientRequest(requestClass.name(), null, 1000, false, complete, "message")));
         return id;
     }
 
@@ -91,7 +100,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.advance(1000);
-        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "a connection that never came up");
+        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "connection never established");
     }
 
     @Test
@@ -99,7 +108,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.send(new Event.AttemptWritten(requestId, 0)).advance(1000);
-        assertOnlyReply(harness, requestId, LocalReply.TIMED_OUT, "no answer");
+        assertOnlyReply(harness, requestId, LocalReply.TIMED_OUT, "no response");
     }
 
     @Test
@@ -107,7 +116,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.send(new Event.AttemptWritten(requestId, 0)).send(new Event.AttemptConnectionLost(requestId, 0));
-        assertOnlyReply(harness, requestId, LocalReply.FAILED, "reset");
+        assertOnlyReply(harness, requestId, LocalReply.FAILED, "connection lost");
     }
 
     @Test
@@ -115,7 +124,7 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, false);
         harness.send(new Event.RequestBodyReleased(requestId)).send(new Event.AttemptConnectionLost(requestId, 0));
-        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "spent body");
+        assertOnlyReply(harness, requestId, LocalReply.REJECTED, "released body");
     }
 
     @Test
@@ -125,8 +134,8 @@
         harness.send(new Event.RequestBodyReleased(requestId))
                 .send(new Event.RequestCompleted(requestId))
                 .send(new Event.AttemptWritten(requestId, 0));
-        harness.send(new Event.AttemptAnswered(requestId, 0, ServerReply.ERROR, "body", null));
-        assertOnlyReply(harness, requestId, LocalReply.FAILED, "spent body after its last byte");
+        harness.send(new Event.ResponseReceived(requestId, 0, ResponseKind.ERROR, "body", null));
+        assertOnlyReply(harness, requestId, LocalReply.FAILED, "released body, completely written");
     }
 
     @Test
@@ -142,8 +151,8 @@
         ReducerHarness harness = harness(2);
         long requestId = open(harness, ReducerHarness.FILE, true);
         harness.send(new Event.AttemptWritten(requestId, 0))
-                .send(new Event.AttemptAnswered(requestId, 0, ServerReply.INVALID_REQUEST, "body", null));
-        assertOnlyReply(harness, requestId, LocalReply.INVALID_REQUEST, "rejected");
+                .send(new Event.ResponseReceived(requestId, 0, ResponseKind.INVALID_REQUEST, "body", null));
+        assertOnlyReply(harness, requestId, LocalReply.INVALID_REQUEST, "invalid request");
     }
 
     @Test
@@ -152,11 +161,11 @@
         long requestId = open(harness, ReducerHarness.FILE, true);
         for (int i = 0; i < 5; i++) {
             harness.send(new Event.AttemptWritten(requestId, i))
-                    .send(new Event.AttemptAnswered(requestId, i, ServerReply.SERVER_FULL, "b", null));
+                    .send(new Event.ResponseReceived(requestId, i, ResponseKind.SERVER_FULL, "b", null));
         }
         assertEquals(5, harness.attempts(requestId).size());
         assertOnlyReply(
-                harness, requestId, LocalReply.REJECTED, "attempts spent, and none ran: at once, not at its deadline");
+                harness, requestId, LocalReply.REJECTED, "attempts exhausted, none ran: at once, not at the deadline");
     }
 
     @Test
@@ -168,10 +177,10 @@
                 assertEquals(
                         attempt + 1,
                         harness.attempts(requestId).size(),
-                        "request " + i + " goes again, whatever others have cost");
+                        "request " + i + " is retried regardless of other requests' retries");
                 harness.send(new Event.AttemptFailedLocally(requestId, attempt));
             }
-            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "no attempt left");
+            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "attempts exhausted");
         }
         assertTrue(harness.reducer.metricsText().contains("proxy.pool_ejected:0|g"));
     }
@@ -181,9 +190,9 @@
         ReducerHarness harness = harness(2);
         for (int i = 0; i < 6; i++) {
             long requestId = open(harness, ReducerHarness.FILE, true);
-            assertEquals(1, harness.attempts(requestId).size(), "every server is still in order");
+            assertEquals(1, harness.attempts(requestId).size(), "no server is ejected");
             harness.send(new Event.AttemptNotStarted(requestId, 0));
-            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "no room");
+            assertOnlyReply(harness, requestId, LocalReply.REJECTED, "no connection available");
         }
         assertTrue(harness.reducer.metricsText().contains("proxy.pool_ejected:0|g"));
     }
--- a/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
+++ b/core/src/test/java/brackenbridge/core/StoppingNodeTest.java
@@ -4,19 +4,22 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import brackenbridge.core.Effect.LocalReply;
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a stopping node still does for its clients. */
+/** How a stopping node serves its clients until it exits. */
 class StoppingNodeTest {
-    private static Event answer(long requestId, int forward, ServerReply reply) {
-        return new Event.AttemptAnswered(requestId, forward, reply, "body", null);
+    private static Event answer(long requestId, int attempt, ResponseKind reply) {
+        return new Event.ResponseReceived(requestId, attempt, reply, "body", null);
     }
 
-    /** The front sends no more connections to it; its peers may be stopped by the same release, or only just back. */
+    /**
+     * The front end opens no more connections to a stopping node. Its open ones stay in use, because its peers may be
+     * stopped by the same release or may have just restarted. Guards against closing them early.
+     */
     @Test
-    void stoppingNodeServesOpenConnectionsAndExitsWhenAllIsAnswered() {
+    void stoppingNodeServesOpenConnectionsAndExitsOnceIdle() {
         for (int peers : new int[] {1, 2}) {
             ReducerHarness harness =
                     new ReducerHarness(4, peers).send(new Event.StopRequested()).advance(450);
@@ -32,15 +35,18 @@
             assertEquals(1, harness.effects(Effect.AnnounceClose.class).size());
             assertEquals(1, harness.effects(Effect.CloseIdleClients.class).size());
             assertEquals(0, harness.effects(Effect.Exit.class).size());
-            harness.send(answer(requestId, 0, ServerReply.SERVED));
+            harness.send(answer(requestId, 0, ResponseKind.SERVED));
             assertEquals(1, harness.effects(Effect.SendResponse.class).size());
             assertEquals(List.of(new Effect.Exit(false)), harness.effects(Effect.Exit.class));
         }
     }
 
-    /** Half of a request may have been here when the last answers went. */
+    /**
+     * Guards against a request that was incomplete when the node answered all open requests, and completes before the
+     * exit.
+     */
     @Test
-    void requestAfterTheLastAnswersIsRejectedAtOnce() {
+    void requestAfterTheFinalResponsesIsRejectedAtOnce() {
         ReducerHarness harness = new ReducerHarness(4);
         harness.open(ReducerHarness.FILE, 6000);
         harness.send(new Event.StopRequested()).advance(3420);
@@ -67,13 +73,13 @@
     @Test
     void stoppingNodeAnswersOpenRequestsBeforeItIsKilled() {
         ReducerHarness harness = new ReducerHarness(4);
-        long ran = harness.open(ReducerHarness.FILE, 6000);
-        long waits = harness.open(ReducerHarness.FILE, 6000);
-        harness.send(new Event.AttemptWritten(ran, 0))
+        long written = harness.open(ReducerHarness.FILE, 6000);
+        long unwritten = harness.open(ReducerHarness.FILE, 6000);
+        harness.send(new Event.AttemptWritten(written, 0))
                 .send(new Event.StopRequested())
                 .advance(3500);
-        assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(ran));
-        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(waits));
+        assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(written));
+        assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(unwritten));
         assertEquals(new Effect.Exit(false), harness.effects(Effect.Exit.class).get(0));
     }
 }
--- a/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
+++ b/core/src/test/java/brackenbridge/core/ZoneWeightsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.Event.ServerReply;
+import brackenbridge.core.Event.ResponseKind;
 import brackenbridge.core.balancing.EndpointState;
 import brackenbridge.core.observe.TrafficObserver;
 import brackenbridge.core.share.ZoneWeights;
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a fleet says of zones moves load, holds for its time and no longer. */
+/** Zone weights shift load between zones until they expire. */
 class ZoneWeightsTest {
     private static final double WEIGHT_LIFETIME_MS = 10_000;
 
@@ -27,23 +27,23 @@
         return harness.send(new Event.Started(new EndpointList(42, true, endpoints)));
     }
 
-    /** How many of so many calls, one after the other, went to zone a. */
-    private static int countInZoneA(ReducerHarness harness, int calls) {
+    /** The number of sequential requests that went to zone a. */
+    private static int countInZoneA(ReducerHarness harness, int requests) {
         int inZoneA = 0;
-        for (int i = 0; i < calls; i++) {
+        for (int i = 0; i < requests; i++) {
             long requestId = harness.open(ReducerHarness.VIEW, 5000);
             Effect.StartAttempt attempt = harness.attempts(requestId).get(0);
             inZoneA += Character.digit(attempt.host().charAt(2), 10) % 2 == 0 ? 1 : 0;
             harness.send(new Event.AttemptWritten(requestId, 0))
                     .advance(2)
-                    .send(new Event.AttemptAnswered(requestId, 0, ServerReply.SERVED, "body", null));
+                    .send(new Event.ResponseReceived(requestId, 0, ResponseKind.SERVED, "body", null));
         }
         return inZoneA;
     }
 
-    private static Event weights(ReducerHarness harness, long token, long epoch, double part) {
+    private static Event weights(ReducerHarness harness, long token, long epoch, double weight) {
         return new Event.ZoneWeightsReceived(
-                new ZoneWeights(token, epoch, Map.of("a", part), harness.clock.nowMs() + WEIGHT_LIFETIME_MS));
+                new ZoneWeights(token, epoch, Map.of("a", weight), harness.clock.nowMs() + WEIGHT_LIFETIME_MS));
     }
 
     @Test
@@ -65,7 +65,7 @@
                 .advance(WEIGHT_LIFETIME_MS / 2)
                 .send(weights(harness, 1, 1, 0))
                 .advance(WEIGHT_LIFETIME_MS / 2 + 100);
-        assertEquals(0, countInZoneA(harness, 50), "the first word would have run out");
+        assertEquals(0, countInZoneA(harness, 50), "the first weights would have expired");
         harness.advance(WEIGHT_LIFETIME_MS / 2);
         assertTrue(countInZoneA(harness, 100) > 30);
     }
@@ -84,26 +84,26 @@
         ReducerHarness harness = twoZones();
         harness.reducer.startObserving();
         countInZoneA(harness, 40);
-        long broken = harness.open(ReducerHarness.VIEW, 5000);
-        harness.send(new Event.AttemptConnectionLost(broken, 0));
+        long lost = harness.open(ReducerHarness.VIEW, 5000);
+        harness.send(new Event.AttemptConnectionLost(lost, 0));
         long attempts = 0;
         double served = 0;
         double inFlightMs = 0;
         long failed = 0;
-        int out = 0;
+        int inFlight = 0;
         for (Map.Entry<TrafficObserver.PoolKey, TrafficObserver.PoolTally> pool :
                 harness.reducer.observation().pools().entrySet()) {
             attempts += pool.getValue().attempts();
             served += pool.getValue().served();
             inFlightMs += pool.getValue().inFlightMs();
             failed += pool.getValue().failed();
-            out += pool.getValue().inFlight();
+            inFlight += pool.getValue().inFlight();
         }
-        assertEquals(42, attempts, "one try without a connection and the next one count as tries");
+        assertEquals(42, attempts, "the attempt without a connection and its retry count as attempts");
         assertEquals(40, served);
         assertEquals(80, inFlightMs, 1);
-        assertEquals(0, failed, "what was never sent says nothing of a server's work");
-        assertEquals(1, out);
+        assertEquals(0, failed, "an attempt that was never written is no failure of a server");
+        assertEquals(1, inFlight);
         assertEquals(
                 Map.of(new TrafficObserver.PoolKey("a", 1, ""), 4, new TrafficObserver.PoolKey("b", 1, ""), 4),
                 harness.reducer.observation().servers());
--- a/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
+++ b/core/src/test/java/brackenbridge/core/share/TenantSchedulerTest.java
@@ -18,6 +18,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** Fair sharing of connections between tenants by quota, burst credit and spare capacity. */
 class TenantSchedulerTest {
     private static final double FOREVER = Double.POSITIVE_INFINITY;
 
@@ -25,10 +26,7 @@
         return new TenantQuotas(1, tenants, others, Map.of(), FOREVER, Map.of());
     }
 
-    /**
-     * Tenants with arrivals at a steady mean rate, whose requests hold their connections for a while, in simulated
-     * time.
-     */
+    /** Simulates tenants with Poisson arrivals whose requests hold a connection for a given time. */
     private static final class Simulation {
         private record Event(double atMs, long order, Runnable action) {}
 
@@ -37,40 +35,40 @@
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
         private final Map<Long, Runnable> startActions = new HashMap<>();
-        private final Map<String, Double> used = new HashMap<>();
+        private final Map<String, Double> usedMs = new HashMap<>();
         private final Map<String, Integer> rejected = new HashMap<>();
-        private double now;
+        private double nowMs;
         private double measuredFromMs;
-        private long next;
+        private long nextId;
         private int maxRunning;
 
         Simulation(TenantScheduler scheduler) {
             this.scheduler = scheduler;
         }
 
-        void at(double ms, Runnable action) {
-            events.add(new Event(ms, next++, action));
+        void schedule(double ms, Runnable action) {
+            events.add(new Event(ms, nextId++, action));
         }
 
-        void arrivals(String tenant, double perSecond, DoubleUnaryOperator holdMs, double patienceMs) {
-            at(now - Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
-                open(tenant, holdMs.applyAsDouble(now), patienceMs);
-                arrivals(tenant, perSecond, holdMs, patienceMs);
+        void startArrivals(String tenant, double perSecond, DoubleUnaryOperator holdMs, double patienceMs) {
+            schedule(nowMs - Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> {
+                open(tenant, holdMs.applyAsDouble(nowMs), patienceMs);
+                startArrivals(tenant, perSecond, holdMs, patienceMs);
             });
         }
 
         private void open(String tenant, double holdMs, double patienceMs) {
-            long requestId = next++;
+            long requestId = nextId++;
             startActions.put(requestId, () -> {
                 maxRunning = Math.max(maxRunning, scheduler.running());
-                double startedMs = now;
-                at(now + holdMs, () -> {
-                    used.merge(tenant, Math.max(0, now - Math.max(startedMs, measuredFromMs)), Double::sum);
-                    apply(scheduler.onRequestEnded(now, requestId));
+                double startedMs = nowMs;
+                schedule(nowMs + holdMs, () -> {
+                    usedMs.merge(tenant, Math.max(0, nowMs - Math.max(startedMs, measuredFromMs)), Double::sum);
+                    apply(scheduler.onRequestEnded(nowMs, requestId));
                 });
             });
             switch (scheduler
-                    .onRequest(now, requestId, tenant, now + patienceMs, 0)
+                    .onRequest(nowMs, requestId, tenant, nowMs + patienceMs, 0)
                     .verdict()) {
                 case ADMIT -> startActions.remove(requestId).run();
                 case REJECT -> {
@@ -78,38 +76,39 @@
                     rejected.merge(tenant, 1, Integer::sum);
                 }
                 default -> {
-                    // Nothing else matters here.
+                    // A queued request starts when a scheduling result admits it.
                 }
             }
         }
 
         void apply(SchedulingResult result) {
-            result.rejected().forEach(r -> startActions.remove(r.requestId()));
-            result.admitted().forEach(f -> startActions.remove(f).run());
+            result.rejected().forEach(rejection -> startActions.remove(rejection.requestId()));
+            result.admitted()
+                    .forEach(requestId -> startActions.remove(requestId).run());
         }
 
         void runUntil(double untilMs) {
-            while (now < untilMs) {
-                double wake = Math.max(now, scheduler.nextTimerMs());
-                if (wake < events.peek().atMs()) {
-                    now = wake;
-                    apply(scheduler.onTimer(now));
+            while (nowMs < untilMs) {
+                double wakeMs = Math.max(nowMs, scheduler.nextTimerMs());
+                if (wakeMs < events.peek().atMs()) {
+                    nowMs = wakeMs;
+                    apply(scheduler.onTimer(nowMs));
                 } else {
                     Event event = events.poll();
-                    now = event.atMs();
+                    nowMs = event.atMs();
                     event.action().run();
                 }
             }
         }
 
-        /** Connections in use on average from one moment to another. */
+        /** The mean number of connections in use by each tenant between two times. */
         Map<String, Double> mean(double fromMs, double untilMs) {
             runUntil(fromMs);
             measuredFromMs = fromMs;
-            used.clear();
+            usedMs.clear();
             runUntil(untilMs);
             Map<String, Double> mean = new HashMap<>();
-            used.forEach((t, ms) -> mean.put(t, ms / (untilMs - fromMs)));
+            usedMs.forEach((tenant, ms) -> mean.put(tenant, ms / (untilMs - fromMs)));
             return mean;
         }
     }
@@ -134,9 +133,9 @@
     @Test
     void tenantAtFiftyTimesItsQuotaLeavesOthersTheirs() {
         Simulation simulation = simulate(quotasOf(Map.of("greedy", 4.0, "a", 4.0, "b", 2.0), 0));
-        simulation.arrivals("greedy", 2000, t -> 100, 500);
-        simulation.arrivals("a", 60, t -> 100, 500);
-        simulation.arrivals("b", 30, t -> 100, 500);
+        simulation.startArrivals("greedy", 2000, t -> 100, 500);
+        simulation.startArrivals("a", 60, t -> 100, 500);
+        simulation.startArrivals("b", 30, t -> 100, 500);
         Map<String, Double> mean = simulation.mean(2000, 30_000);
         assertEquals(4, mean.get("greedy"), 0.25);
         assertEquals(4, mean.get("a"), 0.2);
@@ -147,8 +146,8 @@
     @Test
     void costIsConnectionTimeNotRequestCount() {
         Simulation simulation = simulate(quotasOf(Map.of("long", 1.5, "short", 1.5), 0));
-        simulation.arrivals("long", 50, t -> 400, 2000);
-        simulation.arrivals("short", 2000, t -> 10, 2000);
+        simulation.startArrivals("long", 50, t -> 400, 2000);
+        simulation.startArrivals("short", 2000, t -> 10, 2000);
         Map<String, Double> mean = simulation.mean(2000, 60_000);
         assertEquals(1.5, mean.get("long"), 0.08);
         assertEquals(1.5, mean.get("short"), 0.08);
@@ -162,23 +161,23 @@
                 new TenantQuotas(
                         1, Map.of("idle", 6.0, "a", 3.0, "b", 3.0), 0, Map.of("a", 2.0, "b", 1.0), FOREVER, Map.of()));
         Simulation simulation = new Simulation(scheduler);
-        simulation.arrivals("a", 500, t -> 50, 300);
-        simulation.arrivals("b", 500, t -> 50, 300);
-        Map<String, Double> lent = simulation.mean(2000, 20_000);
-        assertEquals(12, lent.get("a") + lent.get("b"), 0.2);
-        assertTrue(lent.get("a") > lent.get("b") + 1, lent::toString);
-        simulation.arrivals("idle", 500, t -> 50, 300);
-        Map<String, Double> back = simulation.mean(20_500, 30_000);
-        assertEquals(6, back.get("idle"), 0.15);
+        simulation.startArrivals("a", 500, t -> 50, 300);
+        simulation.startArrivals("b", 500, t -> 50, 300);
+        Map<String, Double> borrowed = simulation.mean(2000, 20_000);
+        assertEquals(12, borrowed.get("a") + borrowed.get("b"), 0.2);
+        assertTrue(borrowed.get("a") > borrowed.get("b") + 1, borrowed::toString);
+        simulation.startArrivals("idle", 500, t -> 50, 300);
+        Map<String, Double> returned = simulation.mean(20_500, 30_000);
+        assertEquals(6, returned.get("idle"), 0.15);
     }
 
     @Test
     void tenantWithHangingRequestsKeepsToItsQuota() {
         Simulation simulation = simulate(quotasOf(Map.of("hangs", 3.0, "a", 7.0), 0));
-        simulation.arrivals("hangs", 200, t -> t < 2000 ? 20 : 10_000, 500);
-        simulation.arrivals("a", 120, t -> 50, 500);
+        simulation.startArrivals("hangs", 200, t -> t < 2000 ? 20 : 10_000, 500);
+        simulation.startArrivals("a", 120, t -> 50, 500);
         simulation.runUntil(6000);
-        simulation.arrivals("a", 500, t -> 50, 500);
+        simulation.startArrivals("a", 500, t -> 50, 500);
         Map<String, Double> mean = simulation.mean(12_500, 30_000);
         assertTrue(mean.get("a") > 6.6, mean::toString);
     }
@@ -186,10 +185,10 @@
     @Test
     void unnamedTenantsShareTheirQuotaFairly() {
         Simulation simulation = simulate(quotasOf(Map.of("named", 5.0), 5));
-        simulation.arrivals("named", 500, t -> 50, 300);
-        simulation.arrivals("big", 1000, t -> 50, 300);
+        simulation.startArrivals("named", 500, t -> 50, 300);
+        simulation.startArrivals("big", 1000, t -> 50, 300);
         for (int i = 0; i < 4; i++) {
-            simulation.arrivals("small" + i, 30, t -> 50, 300);
+            simulation.startArrivals("small" + i, 30, t -> 50, 300);
         }
         Map<String, Double> mean = simulation.mean(2000, 30_000);
         assertEquals(5, mean.get("named"), 0.15);
@@ -212,7 +211,7 @@
         for (long i = 0; i < atOnce; i++) {
             scheduler.onRequestEnded(12_000, i);
         }
-        assertTrue(scheduler.running() <= 4, "with its credit used up: " + scheduler.running());
+        assertTrue(scheduler.running() <= 4, "running with the burst credit used up: " + scheduler.running());
     }
 
     @Test
@@ -250,15 +249,15 @@
                     AdmissionVerdict.ADMIT,
                     scheduler.onRequest(1, i, "a", 100_000, 10).verdict());
         }
-        // As on a node that was suspended: the timer is missed, the next event follows long after.
+        // As on a node that was suspended: the timer is missed, and the next event follows long after.
         assertEquals(1000, scheduler.nextTimerMs());
-        assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), scheduler.overstaying(11_000));
+        assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L), scheduler.selectExcessRequests(11_000));
         assertEquals(2, scheduler.maxRunning());
         assertEquals(
                 AdmissionVerdict.QUEUE,
                 scheduler.onRequest(11_000, 9, "a", 1_000_000, 10).verdict());
         scheduler.applyQuotas(11_001, new TenantQuotas(4, Map.of("a", 80.0), 0, Map.of(), FOREVER, Map.of()));
-        assertEquals(2, scheduler.maxRunning(), "an older epoch is ignored");
+        assertEquals(2, scheduler.maxRunning(), "a lower epoch is ignored");
     }
 
     @Test
@@ -270,8 +269,8 @@
             scheduler.onRequestEnded(i + 1, i);
         }
         assertTrue(scheduler.tenantCount() <= 50_001, "remembered: " + scheduler.tenantCount());
-        scheduler.takeUse(200_000);
-        scheduler.takeUse(200_001);
+        scheduler.takeUsage(200_000);
+        scheduler.takeUsage(200_001);
         assertTrue(scheduler.tenantCount() <= 1, "remembered: " + scheduler.tenantCount());
     }
 
@@ -316,11 +315,11 @@
                                     Map.of(),
                                     now + random.nextInt(400),
                                     Map.of("t0", 1.0)));
-                    scheduler.takeUse(now);
+                    scheduler.takeUsage(now);
                 }
             }
-            result.rejected().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.remove(f.requestId())));
-            result.admitted().forEach(f -> assertEquals(AdmissionVerdict.QUEUE, state.put(f, AdmissionVerdict.ADMIT)));
+            result.rejected().forEach(r -> assertEquals(AdmissionVerdict.QUEUE, state.remove(r.requestId())));
+            result.admitted().forEach(r -> assertEquals(AdmissionVerdict.QUEUE, state.put(r, AdmissionVerdict.ADMIT)));
             assertTrue(
                     result.admitted().isEmpty() || scheduler.running() <= scheduler.maxRunning(),
                     "admitted beyond the maximum");
