--- a/core/src/main/java/brackenbridge/clock/Clock.java
+++ b/core/src/main/java/brackenbridge/clock/Clock.java
@@ -37,16 +37,16 @@
     }
 
     /** A clock that stands still until it is set. */
-    public static final class Settable extends Clock {
+    public static final class Manual extends Clock {
         private double currentMs;
 
         /** Starts at this time. */
-        public Settable(double nowMs) {
+        public Manual(double nowMs) {
             currentMs = nowMs;
         }
 
         /** Advances by this many milliseconds. */
-        public void pass(double ms) {
+        public void advance(double ms) {
             currentMs += ms;
         }
 
--- a/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
+++ b/core/src/main/java/brackenbridge/core/AttemptLifecycle.java
@@ -214,7 +214,7 @@
             case ERROR -> Counter.ATTEMPTS_FAILED;
             case FULL -> Counter.ATTEMPTS_SERVER_FULL;
             case TIMEOUT -> Counter.ATTEMPTS_TIMED_OUT;
-            case CONNECT_FAILED, FAILED_LOCALLY -> Counter.ATTEMPTS_UNCONNECTED;
+            case CONNECT_FAILED, FAILED_LOCALLY -> Counter.ATTEMPTS_CONNECT_FAILED;
             case RESET -> Counter.ATTEMPTS_RESET;
             case CANCELLED -> Counter.ATTEMPTS_CANCELLED;
             case NEVER_STARTED -> Counter.ATTEMPTS_NEVER_STARTED;
--- a/core/src/main/java/brackenbridge/core/Reducer.java
+++ b/core/src/main/java/brackenbridge/core/Reducer.java
@@ -136,7 +136,7 @@
 
     /** The operators' metrics at the last event. */
     public String metricsText() {
-        return OperatorMetrics.lines(
+        return OperatorMetrics.format(
                 counters,
                 settings.classNames(),
                 new OperatorMetrics.Gauges(
--- a/core/src/main/java/brackenbridge/core/balancing/LoadReport.java
+++ b/core/src/main/java/brackenbridge/core/balancing/LoadReport.java
@@ -14,6 +14,6 @@
         double inFlight,
         double queued,
         double utilization,
-        double meanMs,
+        double meanServiceTimeMs,
         double requestsPerSecond,
         double errorsPerSecond) {}
--- a/core/src/main/java/brackenbridge/core/balancing/NetworkSettings.java
+++ b/core/src/main/java/brackenbridge/core/balancing/NetworkSettings.java
@@ -11,7 +11,7 @@
  * @param reportFields the names of a report's values; empty where there are no reports
  */
 public record NetworkSettings(
-        long connectTimeout, long drainGrace, boolean reportsInAnswers, List<String> reportFields) {
+        long connectTimeout, long drainGrace, boolean reportsInResponses, List<String> reportFields) {
     /** The figures of a deployment that tells none. */
     public static final NetworkSettings DEFAULT = new NetworkSettings(1_000_000, 0, false, List.of());
 
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionCommand.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionCommand.java
@@ -21,9 +21,9 @@
     /** Why a wait got no connection. */
     enum FailureReason {
         /** No connection came up: the server refused it, or did not answer within the connect time-out. */
-        UNCONNECTED,
+        CONNECT_FAILED,
         /** The node has no descriptor left for another. */
-        NO_ROOM,
+        NO_DESCRIPTOR,
         /** A system call failed on this machine, also after a retry: nothing is known of the server. */
         FAILED_LOCALLY
     }
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
@@ -147,12 +147,12 @@
 
     /** A connection has failed or ended, or is about to be closed. */
     public List<ConnectionCommand> onConnectionEnded(double nowMs, long connectionId) {
-        return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.UNCONNECTED);
+        return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.CONNECT_FAILED);
     }
 
     /** A connection could not be opened: the node has no descriptor left for it. */
-    public List<ConnectionCommand> onNoDescriptor(double nowMs, long connectionId) {
-        return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.NO_ROOM);
+    public List<ConnectionCommand> onDescriptorsExhausted(double nowMs, long connectionId) {
+        return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.NO_DESCRIPTOR);
     }
 
     private List<ConnectionCommand> onConnectionEnded(
@@ -177,7 +177,7 @@
             if (withoutOpening-- <= 0) {
                 return;
             }
-            if (waiter.opened == 0 && reason != ConnectionCommand.FailureReason.NO_ROOM) {
+            if (waiter.opened == 0 && reason != ConnectionCommand.FailureReason.NO_DESCRIPTOR) {
                 open(nowMs, group, waiter);
             } else {
                 giveUp(group, waiter, reason);
@@ -232,7 +232,7 @@
      *
      * @return whether it counts as one that was closed before it was assigned
      */
-    public boolean onBrokenAtOnce(long connectionId) {
+    public boolean onBrokenAfterAssign(long connectionId) {
         PooledConnection connection = connections.get(connectionId);
         if (connection == null || connection.state != PooledConnection.State.ASSIGNED) {
             return false;
@@ -289,7 +289,7 @@
     }
 
     /** The number of attempts that wait for a connection. */
-    public int waiting() {
+    public int waiterCount() {
         return waiters.size();
     }
 
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionWaiter.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionWaiter.java
@@ -21,6 +21,6 @@
     ConnectionCommand.FailureReason timeoutReason() {
         return opened == 0 && localFailures > 0
                 ? ConnectionCommand.FailureReason.FAILED_LOCALLY
-                : ConnectionCommand.FailureReason.UNCONNECTED;
+                : ConnectionCommand.FailureReason.CONNECT_FAILED;
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/EffectiveVersions.java
+++ b/core/src/main/java/brackenbridge/core/generation/EffectiveGenerations.java
@@ -8,32 +8,32 @@
  * @param one a generation; 0 in doubt
  * @param other another one, or the same
  */
-public record EffectiveVersions(long one, long other) {
+public record EffectiveGenerations(long first, long second) {
     /** Obeys every possible generation: does only what all of them allow. */
-    public static final EffectiveVersions IN_DOUBT = new EffectiveVersions(0, 0);
+    public static final EffectiveGenerations IN_DOUBT = new EffectiveGenerations(0, 0);
 
     /** Obeys one generation. */
-    public static EffectiveVersions of(long generation) {
-        return new EffectiveVersions(generation, generation);
+    public static EffectiveGenerations of(long generation) {
+        return new EffectiveGenerations(generation, generation);
     }
 
     /** Obeys both generations. */
-    public static EffectiveVersions ofBoth(long one, long other) {
-        return new EffectiveVersions(one, other);
+    public static EffectiveGenerations ofBoth(long one, long other) {
+        return new EffectiveGenerations(one, other);
     }
 
     /** Whether it knows no generation that it may use. */
     public boolean inDoubt() {
-        return one == 0;
+        return first == 0;
     }
 
     /** Whether it obeys this generation. */
     public boolean includes(long generation) {
-        return inDoubt() || one == generation || other == generation;
+        return inDoubt() || first == generation || second == generation;
     }
 
     /** Whether no generation allows what both may do. */
-    public boolean contradicts(EffectiveVersions that) {
-        return !inDoubt() && !that.inDoubt() && !that.includes(one) && !that.includes(other);
+    public boolean contradicts(EffectiveGenerations that) {
+        return !inDoubt() && !that.inDoubt() && !that.includes(first) && !that.includes(second);
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
@@ -33,7 +33,7 @@
      * @param untilMs until when it may use the lease, whatever its clock
      * @param effectiveVersion the lowest version that it may use
      */
-    public record GrantedLease(double untilMs, long effectiveVersion) {}
+    public record GrantedLease(double untilMs, long acknowledgedVersion) {}
 
     /** The result of a proposal. */
     public enum ProposalVerdict {
@@ -58,7 +58,7 @@
     }
 
     /** The result that a proposal against this generation would have. */
-    public ProposalVerdict judgeProposal(long expected) {
+    public ProposalVerdict evaluateProposal(long expected) {
         return decided.staged() != 0
                 ? ProposalVerdict.ANOTHER_STAGED
                 : expected != decided.inForce() ? ProposalVerdict.OVERTAKEN : ProposalVerdict.STAGED;
@@ -78,7 +78,7 @@
             return false;
         }
         for (GrantedLease holder : holders.values()) {
-            if (nowMs < holder.untilMs() && holder.effectiveVersion() < decided.version()) {
+            if (nowMs < holder.untilMs() && holder.acknowledgedVersion() < decided.version()) {
                 return false;
             }
         }
@@ -89,7 +89,7 @@
     public double mayActivateAtMs() {
         double atMs = earlierLeasesExpireMs;
         for (GrantedLease holder : holders.values()) {
-            atMs = holder.effectiveVersion() < decided.version() ? Math.max(atMs, holder.untilMs()) : atMs;
+            atMs = holder.acknowledgedVersion() < decided.version() ? Math.max(atMs, holder.untilMs()) : atMs;
         }
         return atMs;
     }
@@ -126,8 +126,8 @@
         // come.
         GrantedLease before = next.get(request.holder());
         long acknowledged = before == null
-                ? request.effectiveVersion()
-                : Math.max(before.effectiveVersion(), request.effectiveVersion());
+                ? request.decidedVersion()
+                : Math.max(before.acknowledgedVersion(), request.decidedVersion());
         next.put(request.holder(), new GrantedLease(nowMs + terms.authorityWaitMs(), acknowledged));
         return with(decided, lastGeneration, next);
     }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseHolder.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseHolder.java
@@ -66,15 +66,15 @@
     }
 
     /** The generations that it may use now; to be called before each decision, whatever timer or grant led to it. */
-    public EffectiveVersions effectiveVersions(double nowMs) {
+    public EffectiveGenerations effectiveGenerations(double nowMs) {
         if (!(nowMs < untilMs)
                 || decided.inForce() == 0
                 || rejectedGeneration != 0
                         && (rejectedGeneration == decided.inForce() || rejectedGeneration == decided.staged())) {
-            return EffectiveVersions.IN_DOUBT;
+            return EffectiveGenerations.IN_DOUBT;
         }
         return decided.staged() == 0
-                ? EffectiveVersions.of(decided.inForce())
-                : EffectiveVersions.ofBoth(decided.inForce(), decided.staged());
+                ? EffectiveGenerations.of(decided.inForce())
+                : EffectiveGenerations.ofBoth(decided.inForce(), decided.staged());
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseRequest.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseRequest.java
@@ -10,4 +10,4 @@
  * @param rejectedGeneration the generation that it can't use; 0 if none
  */
 public record LeaseRequest(
-        int holder, long incarnation, long requestNumber, long effectiveVersion, long rejectedGeneration) {}
+        int holder, long incarnation, long requestNumber, long decidedVersion, long rejectedGeneration) {}
--- a/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
+++ b/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
@@ -121,7 +121,7 @@
         NetworkSettings net = new NetworkSettings(
                 Math.min(left.network().connectTimeout(), right.network().connectTimeout()),
                 Math.min(left.network().drainGrace(), right.network().drainGrace()),
-                left.network().reportsInAnswers(),
+                left.network().reportsInResponses(),
                 left.network().reportFields());
         return new BalancerSettings(
                 left.seed(),
--- a/core/src/main/java/brackenbridge/core/observe/TrafficObserver.java
+++ b/core/src/main/java/brackenbridge/core/observe/TrafficObserver.java
@@ -37,8 +37,8 @@
             long attempts,
             long served,
             long failed,
-            double sumMs,
-            double sumSquaredMs,
+            double latencySumMs,
+            double squaredLatencySumMs,
             double inFlightMs,
             int inFlight) {
         static final PoolTally NONE = new PoolTally(0, 0, 0, 0, 0, 0, 0, 0);
@@ -49,8 +49,8 @@
                     attempts + 1,
                     served,
                     failed,
-                    sumMs,
-                    sumSquaredMs,
+                    latencySumMs,
+                    squaredLatencySumMs,
                     inFlightMs,
                     inFlight + 1);
         }
@@ -61,8 +61,8 @@
                     attempts,
                     served + (ok ? 1 : 0),
                     failed + (!ok && counts ? 1 : 0),
-                    sumMs + (ok ? ms : 0),
-                    sumSquaredMs + (ok ? ms * ms : 0),
+                    latencySumMs + (ok ? ms : 0),
+                    squaredLatencySumMs + (ok ? ms * ms : 0),
                     inFlightMs + ms,
                     Math.max(0, inFlight - 1));
         }
--- a/core/src/main/java/brackenbridge/counters/Counter.java
+++ b/core/src/main/java/brackenbridge/counters/Counter.java
@@ -36,7 +36,7 @@
     /** Attempts rejected by a full server before they ran. */
     ATTEMPTS_SERVER_FULL("forwards_turned_away"),
     /** Attempts for which no connection could be made. */
-    ATTEMPTS_UNCONNECTED("forwards_unconnected"),
+    ATTEMPTS_CONNECT_FAILED("forwards_unconnected"),
     /** Attempts whose connection was lost after the last byte was written. */
     ATTEMPTS_RESET("forwards_reset"),
     /** Attempts that timed out. */
@@ -76,7 +76,7 @@
     /** Connections to servers opened. */
     CONNECTIONS_OPENED("connections_opened"),
     /** Connections opened beside one that was late. */
-    CONNECTIONS_JOINED("connections_joined"),
+    ADDITIONAL_CONNECTIONS_OPENED("connections_joined"),
     /** Idle connections that proved dead when they were used. */
     CONNECTIONS_STALE("connections_stale"),
     /** Idle connections closed at the limit on descriptors. */
--- a/core/src/main/java/brackenbridge/counters/Counters.java
+++ b/core/src/main/java/brackenbridge/counters/Counters.java
@@ -30,7 +30,7 @@
     }
 
     /** Counts a request of a class that is no longer served; classes that never were are not counted. */
-    public void countDropped(String className) {
+    public void countRemovedClass(String className) {
         if (byClass.containsKey(className)) {
             count(Counter.REQUESTS_RECEIVED, className);
             count(Counter.ANSWERED_INVALID_REQUEST, className);
@@ -38,18 +38,18 @@
     }
 
     /** The count of one class so far. */
-    public long of(Counter counter, String className) {
+    public long get(Counter counter, String className) {
         Map<Counter, Long> counted = byClass.get(className);
         return counted == null ? 0 : counted.getOrDefault(counter, 0L);
     }
 
     /** The classes that have counts. */
-    public Iterable<String> classes() {
+    public Iterable<String> classNames() {
         return byClass.keySet();
     }
 
     /** The count so far. */
-    public long of(Counter counter) {
+    public long get(Counter counter) {
         return counts.getOrDefault(counter, 0L);
     }
 
@@ -57,10 +57,10 @@
      * One line a counter, in the order of their declaration, those at zero included; then one for each rejection
      * reason.
      */
-    public String text() {
+    public String toText() {
         StringBuilder text = new StringBuilder();
         for (Counter counter : Counter.values()) {
-            text.append(counter.key()).append(' ').append(of(counter)).append('\n');
+            text.append(counter.key()).append(' ').append(get(counter)).append('\n');
         }
         rejected.forEach((port, reasons) -> reasons.forEach((reason, count) ->
                 text.append(name(port, reason)).append(' ').append(count).append('\n')));
@@ -68,7 +68,7 @@
     }
 
     /** All counters above zero, on one line. */
-    public String line() {
+    public String toLine() {
         StringBuilder line = new StringBuilder();
         for (Map.Entry<Counter, Long> entry : counts.entrySet()) {
             line.append(line.isEmpty() ? "" : " ")
--- a/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
+++ b/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
@@ -11,28 +11,28 @@
     private OperatorMetrics() {}
 
     /** The current metrics; a class without requests so far is listed with zeros. */
-    public static String lines(Counters counters, Collection<String> classes, Gauges gauges) {
+    public static String format(Counters counters, Collection<String> classes, Gauges gauges) {
         TreeSet<String> classNames = new TreeSet<>(classes);
-        counters.classes().forEach(classNames::add);
+        counters.classNames().forEach(classNames::add);
         StringBuilder text = new StringBuilder(512);
         for (String className : classNames) {
-            line(text, "ok." + className, counters.of(Counter.ANSWERED_SERVED, className), 'c');
-            line(text, "shed." + className, counters.of(Counter.ANSWERED_REJECTED, className), 'c');
+            line(text, "ok." + className, counters.get(Counter.ANSWERED_SERVED, className), 'c');
+            line(text, "shed." + className, counters.get(Counter.ANSWERED_REJECTED, className), 'c');
             line(
                     text,
                     "errors." + className,
-                    counters.of(Counter.ANSWERED_FAILED, className)
-                            + counters.of(Counter.ANSWERED_INVALID_REQUEST, className),
+                    counters.get(Counter.ANSWERED_FAILED, className)
+                            + counters.get(Counter.ANSWERED_INVALID_REQUEST, className),
                     'c');
         }
-        line(text, "tries", counters.of(Counter.ATTEMPTS_WRITTEN), 'c');
+        line(text, "tries", counters.get(Counter.ATTEMPTS_WRITTEN), 'c');
         line(text, "active", gauges.active(), 'g');
         line(text, "pool_size", gauges.poolSize(), 'g');
         line(text, "pool_ejected", gauges.poolEjected(), 'g');
         // Shows operators that discovery is lost: it stays below some 3,000 otherwise. -1: no message so far.
         line(text, "discovery_silent_ms", Double.isInfinite(gauges.silentMs()) ? -1 : (long) gauges.silentMs(), 'g');
-        line(text, "config_applied", counters.of(Counter.RECONFIGURED), 'c');
-        line(text, "config_rejected", counters.of(Counter.RECONFIGURE_FAILED), 'c');
+        line(text, "config_applied", counters.get(Counter.RECONFIGURED), 'c');
+        line(text, "config_rejected", counters.get(Counter.RECONFIGURE_FAILED), 'c');
         return text.toString();
     }
 
--- a/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
+++ b/core/src/test/java/brackenbridge/core/ClientDisconnectTest.java
@@ -20,8 +20,8 @@
                 .advance(9000);
         assertEquals(List.of(new Effect.CancelAttempt(requestId, 0)), harness.effects(Effect.CancelAttempt.class));
         assertEquals(List.of(), harness.localReplies(requestId));
-        assertEquals(1, harness.counters.of(Counter.CLIENTS_DISCONNECTED));
-        assertEquals(1, harness.counters.of(Counter.ATTEMPTS_NEVER_STARTED));
+        assertEquals(1, harness.counters.get(Counter.CLIENTS_DISCONNECTED));
+        assertEquals(1, harness.counters.get(Counter.ATTEMPTS_NEVER_STARTED));
     }
 
     @Test
@@ -34,7 +34,7 @@
         harness.advance(9000);
         assertEquals(1, harness.attempts(requestId).size());
         assertEquals(List.of(LocalReply.REJECTED), harness.localReplies(requestId));
-        assertEquals(1, harness.counters.of(Counter.ATTEMPTS_NEVER_STARTED));
+        assertEquals(1, harness.counters.get(Counter.ATTEMPTS_NEVER_STARTED));
     }
 
     @Test
--- a/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
+++ b/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
@@ -110,7 +110,7 @@
                 "s-new",
                 harness.attempts(harness.open(ReducerHarness.FILE, 5000)).get(0).host());
         assertEquals(0, harness.effects(Effect.EndDiscoveryCall.class).size());
-        assertEquals(1, harness.counters.of(Counter.RECONFIGURED));
+        assertEquals(1, harness.counters.get(Counter.RECONFIGURED));
     }
 
     /** Three times SIGHUP, each while the grace that the first one has begun is on, and discovery moves each time. */
--- a/core/src/test/java/brackenbridge/core/LifeCycleTest.java
+++ b/core/src/test/java/brackenbridge/core/LifeCycleTest.java
@@ -71,11 +71,11 @@
         assertTrue(harness.reducer.isReady());
         harness.send(DRAIN).advance(400).send(DRAIN).advance(250);
         assertEquals(1, harness.effects(Effect.CloseClientsWhenIdle.class).size(), "the steps run from the first call");
-        assertEquals(1, harness.counters.of(Counter.DRAINS));
+        assertEquals(1, harness.counters.get(Counter.DRAINS));
         harness.send(new Event.StopRequested()).send(CANCEL_DRAIN).send(DRAIN);
         assertFalse(harness.reducer.isReady());
         assertTrue(harness.reducer.isStopping());
-        assertEquals(0, harness.counters.of(Counter.DRAINS_CANCELLED));
+        assertEquals(0, harness.counters.get(Counter.DRAINS_CANCELLED));
         assertFalse(harness.advance(5000).effects(Effect.Exit.class).isEmpty());
     }
 
@@ -123,10 +123,10 @@
                         Counter.ANSWERED_FAILED,
                         Counter.ANSWERED_INVALID_REQUEST,
                         Counter.CLIENTS_DISCONNECTED)) {
-                    sum += harness.counters.of(counter, className);
+                    sum += harness.counters.get(counter, className);
                 }
             }
-            assertEquals(harness.counters.of(Counter.REQUESTS_RECEIVED), sum, metrics);
+            assertEquals(harness.counters.get(Counter.REQUESTS_RECEIVED), sum, metrics);
         }
     }
 }
--- a/core/src/test/java/brackenbridge/core/ReducerHarness.java
+++ b/core/src/test/java/brackenbridge/core/ReducerHarness.java
@@ -20,7 +20,7 @@
     static final RequestClass FILE = new RequestClass(
             "file", 3_000_000, 6_000_000, Idempotence.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, false, 10, 0.25);
 
-    final Clock.Settable clock = new Clock.Settable(1_796_000_000_000.0);
+    final Clock.Manual clock = new Clock.Manual(1_796_000_000_000.0);
     final Counters counters = new Counters();
     final BalancerSettings settings;
     final Reducer reducer;
@@ -100,10 +100,10 @@
         double until = clock.nowMs() + ms;
         while (!timers.isEmpty() && timers.peek().atMs() <= until) {
             Effect.SetTimer timer = timers.poll();
-            clock.pass(Math.max(0, timer.atMs() - clock.nowMs()));
+            clock.advance(Math.max(0, timer.atMs() - clock.nowMs()));
             send(new Event.TimerFired(timer.key()));
         }
-        clock.pass(until - clock.nowMs());
+        clock.advance(until - clock.nowMs());
         return this;
     }
 
--- a/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
+++ b/core/src/test/java/brackenbridge/core/RequestLifecycleTest.java
@@ -61,7 +61,7 @@
         harness.send(new Event.AttemptWritten(requestId, 0)).advance(4999);
         assertEquals(List.of(new Effect.CancelAttempt(requestId, 0)), harness.effects(Effect.CancelAttempt.class));
         assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(requestId));
-        assertEquals(1, harness.counters.of(Counter.ATTEMPTS_TIMED_OUT));
+        assertEquals(1, harness.counters.get(Counter.ATTEMPTS_TIMED_OUT));
         harness.send(answer(requestId, 0, ServerReply.SERVED));
         assertEquals(0, harness.effects(Effect.SendResponse.class).size());
     }
@@ -90,7 +90,7 @@
         ReducerHarness harness = new ReducerHarness(4);
         long requestId = harness.open(ReducerHarness.FILE, 1000);
         harness.send(new Event.AttemptWritten(requestId, 0));
-        harness.clock.pass(1030);
+        harness.clock.advance(1030);
         harness.send(new Event.TimerFired(new TimerKey.RequestDeadline(requestId)));
         assertEquals(List.of(LocalReply.TIMED_OUT), harness.localReplies(requestId));
         long next = harness.open(ReducerHarness.FILE, 5000);
@@ -141,7 +141,7 @@
             assertEquals(List.of(LocalReply.INVALID_REQUEST), harness.localReplies(requestId));
             assertEquals(1, harness.attempts(requestId).size());
         }
-        assertEquals(20, harness.counters.of(Counter.ATTEMPTS_INVALID_REQUEST));
+        assertEquals(20, harness.counters.get(Counter.ATTEMPTS_INVALID_REQUEST));
         long one = harness.open(ReducerHarness.FILE, 5000);
         long other = harness.open(ReducerHarness.FILE, 5000);
         assertFalse(
--- a/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
+++ b/core/src/test/java/brackenbridge/core/TenantQuotasTest.java
@@ -72,8 +72,8 @@
             open("a", 120);
         }
         assertTrue(
-                harness.counters.of(Counter.REQUESTS_OVER_QUOTA) > 100,
-                "" + harness.counters.of(Counter.REQUESTS_OVER_QUOTA));
+                harness.counters.get(Counter.REQUESTS_OVER_QUOTA) > 100,
+                "" + harness.counters.get(Counter.REQUESTS_OVER_QUOTA));
         Effect.SendLocalReply last = harness.effects(Effect.SendLocalReply.class)
                 .get(harness.effects(Effect.SendLocalReply.class).size() - 1);
         assertEquals(LocalReply.REJECTED, last.reply());
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
@@ -56,23 +56,23 @@
         pool.acquire(0, 1, FIRST_SERVER);
         assertEquals(List.of(), commandsOf(ConnectionCommand.GiveUp.class, pool.onWake(99, 1)));
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.CONNECT_FAILED)),
                 pool.onWake(100, 1));
-        assertEquals(0, pool.waiting());
+        assertEquals(0, pool.waiterCount());
     }
 
     @Test
     void failedOpenEndsWaiterAtOnceUnlessAnotherIsOpening() {
         pool.acquire(0, 1, FIRST_SERVER);
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.CONNECT_FAILED)),
                 pool.onConnectionEnded(1, 0));
         pool.acquire(2, 2, FIRST_SERVER);
         pool.onWake(2 + pool.lateAfterMs(), 2);
         assertEquals(List.of(), pool.onConnectionEnded(40, 1));
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(2, ConnectionCommand.FailureReason.NO_ROOM)),
-                pool.onNoDescriptor(41, 2));
+                List.of(new ConnectionCommand.GiveUp(2, ConnectionCommand.FailureReason.NO_DESCRIPTOR)),
+                pool.onDescriptorsExhausted(41, 2));
         assertEquals(0, pool.size());
     }
 
@@ -86,7 +86,7 @@
         assertEquals(
                 List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.FAILED_LOCALLY)),
                 pool.onLocalFailure(6, 1));
-        assertEquals(0, pool.size() + pool.waiting());
+        assertEquals(0, pool.size() + pool.waiterCount());
     }
 
     @Test
@@ -129,7 +129,7 @@
                     commandsOf(ConnectionCommand.GiveUp.class, pool.onLocalFailure(6, connection))
                             .size());
         }
-        assertEquals(0, pool.size() + pool.waiting());
+        assertEquals(0, pool.size() + pool.waiterCount());
     }
 
     @Test
@@ -138,7 +138,7 @@
         pool.onLocalFailure(1, 0);
         pool.onWake(5, 1);
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.CONNECT_FAILED)),
                 pool.onConnectionEnded(6, 1));
     }
 
@@ -198,7 +198,7 @@
         pool.onConnected(startMs, id);
         pool.onConnectionEnded(startMs, id - 1);
         assertEquals(assigned(id, startMs + 2), pool.acquire(startMs + 400, startMs + 2, FIRST_SERVER));
-        boolean stale = pool.onBrokenAtOnce(id);
+        boolean stale = pool.onBrokenAfterAssign(id);
         pool.onConnectionEnded(startMs + 401, id);
         return stale;
     }
@@ -219,7 +219,7 @@
             pool.acquire(i, i, FIRST_SERVER);
             pool.onConnected(i, i);
             if (i % 4 == 0) {
-                assertFalse(pool.onBrokenAtOnce(i), "a new connection");
+                assertFalse(pool.onBrokenAfterAssign(i), "a new connection");
             }
             pool.onConnectionEnded(i, i);
         }
--- a/core/src/test/java/brackenbridge/core/connection/RandomPoolHistory.java
+++ b/core/src/test/java/brackenbridge/core/connection/RandomPoolHistory.java
@@ -79,7 +79,7 @@
         waiterByConnection.remove(connection);
         return switch (random.nextInt(3)) {
             case 0 -> pool.onConnectionEnded(nowMs, connection);
-            case 1 -> pool.onNoDescriptor(nowMs, connection);
+            case 1 -> pool.onDescriptorsExhausted(nowMs, connection);
             default -> pool.onLocalFailure(nowMs, connection);
         };
     }
@@ -120,7 +120,7 @@
         for (double sinceMs : waitingSinceMs.values()) {
             assertTrue(nowMs < sinceMs + CONNECT_TIMEOUT_MS, "waits for longer than the connect time-out");
         }
-        assertEquals(waitingSinceMs.size(), pool.waiting());
+        assertEquals(waitingSinceMs.size(), pool.waiterCount());
         assertEquals(opening.size() + established.size(), pool.size());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -184,7 +184,7 @@
         }
         Named n = names.getOrDefault(s.name(), new Named(s.name(), DecidedVersion.NONE, 0, List.of()));
         LeaseAuthority a = alone(n);
-        LeaseAuthority.ProposalVerdict v = a.judgeProposal(s.expected());
+        LeaseAuthority.ProposalVerdict v = a.evaluateProposal(s.expected());
         if (v != LeaseAuthority.ProposalVerdict.STAGED) {
             return Result.valueOf(v.name());
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -213,7 +213,7 @@
             if (h != null
                     && a.decided().staged() != 0
                     && nowMs < h.untilMs()
-                    && h.effectiveVersion() < a.decided().version()) {
+                    && h.acknowledgedVersion() < a.decided().version()) {
                 who.add(member);
             }
         });
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.core.generation.DecidedVersion;
-import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.EffectiveGenerations;
 import brackenbridge.core.generation.LeaseGrant;
 import brackenbridge.core.generation.LeaseHolder;
 import brackenbridge.fleet.agreed.AgreedValues.Acting;
@@ -94,18 +94,18 @@
         return generation == 0 || v != null && usable.test(v.name(), v.content());
     }
 
-    EffectiveVersions effectiveVersions(String name, double nowMs) {
+    EffectiveGenerations effectiveVersions(String name, double nowMs) {
         Known k = names.get(name);
-        return k == null ? EffectiveVersions.IN_DOUBT : k.holder().effectiveVersions(nowMs);
+        return k == null ? EffectiveGenerations.IN_DOUBT : k.holder().effectiveGenerations(nowMs);
     }
 
     Optional<Acting> acting(String name, double nowMs) {
-        EffectiveVersions a = effectiveVersions(name, nowMs);
+        EffectiveGenerations a = effectiveVersions(name, nowMs);
         if (a.inDoubt()) {
             return Optional.empty();
         }
         Map<Long, Value> v = names.get(name).values();
-        return Optional.of(new Acting(v.get(a.one()), a.other() == a.one() ? null : v.get(a.other())));
+        return Optional.of(new Acting(v.get(a.first()), a.second() == a.first() ? null : v.get(a.second())));
     }
 
     /** The last value that was in force as far as it was told. */
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReports.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReports.java
@@ -94,8 +94,8 @@
     private PoolObservation one(PoolKey k, PoolTally now, PoolTally was, double seconds, double refused, int servers) {
         long served = now.served() - was.served();
         long ended = served + now.failed() - was.failed();
-        double mean = served == 0 ? 0 : (now.sumMs() - was.sumMs()) / served;
-        double square = served == 0 ? 0 : (now.sumSquaredMs() - was.sumSquaredMs()) / served;
+        double mean = served == 0 ? 0 : (now.latencySumMs() - was.latencySumMs()) / served;
+        double square = served == 0 ? 0 : (now.squaredLatencySumMs() - was.squaredLatencySumMs()) / served;
         if (served >= ENOUGH) {
             leastMs.merge(k, mean, (old, m) -> Math.min(old * RISE, m));
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.EffectiveGenerations;
 import brackenbridge.core.generation.LeaseTerms;
 import brackenbridge.fleet.peer.Member;
 import brackenbridge.fleet.peer.PeerLimits;
@@ -89,11 +89,11 @@
         while (true) {
             long before = System.nanoTime();
             long token = node.heldLease("driver").map(AgreedValues.Lease::token).orElse(0L);
-            EffectiveVersions a = node.leaseView()
+            EffectiveGenerations a = node.leaseView()
                     .effectiveVersions(AgreedValues.SETTINGS, node.clock().nowMs());
             long after = System.nanoTime();
-            say("sees " + before + " " + after + " " + token + " " + Math.min(a.one(), a.other()) + " "
-                    + Math.max(a.one(), a.other()));
+            say("sees " + before + " " + after + " " + token + " " + Math.min(a.first(), a.second()) + " "
+                    + Math.max(a.first(), a.second()));
             LockSupport.parkNanos(2_000_000);
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.agreed;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.EffectiveGenerations;
 import brackenbridge.core.generation.LeaseTerms;
 import brackenbridge.fleet.peer.PeerLinks;
 import java.io.IOException;
@@ -154,8 +154,8 @@
         for (String name : List.of(AgreedValues.SETTINGS, AgreedValues.SHARES)) {
             for (int i = 0; i < all.size(); i++) {
                 for (int j = 0; j < i; j++) {
-                    EffectiveVersions a = ((LeaseView) once.get(2 * i)).effectiveVersions(name, now[i]);
-                    EffectiveVersions b = ((LeaseView) once.get(2 * j)).effectiveVersions(name, now[j]);
+                    EffectiveGenerations a = ((LeaseView) once.get(2 * i)).effectiveVersions(name, now[i]);
+                    EffectiveGenerations b = ((LeaseView) once.get(2 * j)).effectiveVersions(name, now[j]);
                     if (a.contradicts(b)) {
                         breaches.add(name + ": " + a + " beside " + b);
                     }
--- a/lab/src/main/java/brackenbridge/lab/agree/AgreementModel.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/AgreementModel.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.agree;
 
 import brackenbridge.core.generation.DecidedVersion;
-import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.EffectiveGenerations;
 import brackenbridge.core.generation.LeaseAuthority;
 import brackenbridge.core.generation.LeaseGrant;
 import brackenbridge.core.generation.LeaseHolder;
@@ -69,19 +69,19 @@
     }
 
     /** What a holder would do if it decided something now. */
-    EffectiveVersions acts(State s, int i) {
+    EffectiveGenerations acts(State s, int i) {
         Node n = s.nodes().get(i);
         int clock = s.time() - n.lag();
-        EffectiveVersions acts =
-                n.holder().effectiveVersions(mistake == AgreementMistake.LEASE_NOT_LOOKED_AT ? n.seenAt() : clock);
-        boolean both = acts.one() != acts.other();
-        return both && mistake == AgreementMistake.STAGED_ALONE ? EffectiveVersions.of(acts.other()) : acts;
+        EffectiveGenerations acts =
+                n.holder().effectiveGenerations(mistake == AgreementMistake.LEASE_NOT_LOOKED_AT ? n.seenAt() : clock);
+        boolean both = acts.first() != acts.second();
+        return both && mistake == AgreementMistake.STAGED_ALONE ? EffectiveGenerations.of(acts.second()) : acts;
     }
 
     /** What is wrong at this moment; null if nothing is. */
     String breach(State s) {
         for (int i = 0; i < s.nodes().size(); i++) {
-            EffectiveVersions acts = acts(s, i);
+            EffectiveGenerations acts = acts(s, i);
             if (!acts.includes(s.authority().decided().inForce())) {
                 return "node " + i + " acts by " + text(acts) + ", in force is "
                         + s.authority().decided().inForce();
@@ -95,8 +95,10 @@
         return null;
     }
 
-    private static String text(EffectiveVersions a) {
-        return a.inDoubt() ? "none" : a.one() == a.other() ? Long.toString(a.one()) : a.one() + " and " + a.other();
+    private static String text(EffectiveGenerations a) {
+        return a.inDoubt()
+                ? "none"
+                : a.first() == a.second() ? Long.toString(a.first()) : a.first() + " and " + a.second();
     }
 
     /** The moments that may follow, by what leads to them. */
@@ -117,7 +119,7 @@
         }
         LeaseAuthority a = s.authority();
         if (s.proposals() < bounds.proposals()
-                && a.judgeProposal(a.decided().inForce()) == LeaseAuthority.ProposalVerdict.STAGED) {
+                && a.evaluateProposal(a.decided().inForce()) == LeaseAuthority.ProposalVerdict.STAGED) {
             next.put("propose", decided(s, a.stage(), s.proposals() + 1));
         }
         if (a.decided().staged() != 0) {
@@ -265,7 +267,7 @@
                             ? new LeaseAuthority.GrantedLease(
                                     after.untilMs(), next.decided().version())
                             : new LeaseAuthority.GrantedLease(
-                                    before == null ? after.untilMs() : before.untilMs(), after.effectiveVersion()));
+                                    before == null ? after.untilMs() : before.untilMs(), after.acknowledgedVersion()));
             next = new LeaseAuthority(
                     next.terms(), next.decided(), next.lastGeneration(), next.earlierLeasesExpireMs(), holders);
         }
@@ -344,7 +346,7 @@
     /** Whether all nodes act by a generation that was proposed. */
     boolean reached(State s) {
         for (int i = 0; i < s.nodes().size(); i++) {
-            if (!Objects.equals(acts(s, i), EffectiveVersions.of(2))) {
+            if (!Objects.equals(acts(s, i), EffectiveGenerations.of(2))) {
                 return false;
             }
         }
--- a/lab/src/main/java/brackenbridge/lab/agree/SimulatedAgreementFleet.java
+++ b/lab/src/main/java/brackenbridge/lab/agree/SimulatedAgreementFleet.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.agree;
 
 import brackenbridge.core.generation.DecidedVersion;
-import brackenbridge.core.generation.EffectiveVersions;
+import brackenbridge.core.generation.EffectiveGenerations;
 import brackenbridge.core.generation.LeaseAuthority;
 import brackenbridge.core.generation.LeaseGrant;
 import brackenbridge.core.generation.LeaseHolder;
@@ -88,8 +88,8 @@
             return !dark || queue.nowMs() < darkFromMs;
         }
 
-        EffectiveVersions acts() {
-            return holder.effectiveVersions(clock());
+        EffectiveGenerations acts() {
+            return holder.effectiveGenerations(clock());
         }
 
         /** Asks at this time of its own clock. */
@@ -220,7 +220,7 @@
 
     private void acted(Node n) {
         long last = authority.decided().inForce();
-        if (n.seen < last && n.acts().equals(EffectiveVersions.of(last))) {
+        if (n.seen < last && n.acts().equals(EffectiveGenerations.of(last))) {
             n.seen = last;
             nodesMs.recordValue(Math.min(600_000, Math.round(queue.nowMs() - proposedMs)));
         }
@@ -231,7 +231,7 @@
         long low = Long.MAX_VALUE;
         long high = 0;
         for (Node n : nodes) {
-            EffectiveVersions acts = n.acts();
+            EffectiveGenerations acts = n.acts();
             if (acts.inDoubt()) {
                 doubtMs += n.dark || queue.nowMs() < WARM_MS ? 0 : 1;
                 continue;
@@ -240,8 +240,8 @@
                 lastDarkMs = Math.max(lastDarkMs, queue.nowMs() - darkFromMs);
             }
             // Generations follow each other, so nodes agree exactly if no one's highest lies below another's lowest.
-            low = Math.min(low, Math.max(acts.one(), acts.other()));
-            high = Math.max(high, Math.min(acts.one(), acts.other()));
+            low = Math.min(low, Math.max(acts.first(), acts.second()));
+            high = Math.max(high, Math.min(acts.first(), acts.second()));
         }
         boolean contradict = high > low;
         if (contradict && Double.isNaN(contradictsSince)) {
--- a/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
+++ b/lab/src/main/java/brackenbridge/lab/live/SettingsJson.java
@@ -71,7 +71,7 @@
                         Json.object()
                                 .add(
                                         "how",
-                                        s.network().reportsInAnswers()
+                                        s.network().reportsInResponses()
                                                 ? "answers"
                                                 : s.network().reportFields().isEmpty() ? "none" : "probe")
                                 .add("columns", columns))
--- a/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
@@ -352,7 +352,7 @@
                 r.inFlight(),
                 r.queued(),
                 r.utilization(),
-                r.meanMs(),
+                r.meanServiceTimeMs(),
                 r.requestsPerSecond(),
                 r.errorsPerSecond());
     }
--- a/lab/src/main/java/brackenbridge/lab/policy/Choosers.java
+++ b/lab/src/main/java/brackenbridge/lab/policy/Choosers.java
@@ -209,7 +209,11 @@
             double reuse =
                     Math.max(1, (1 + DELTA) / Math.max(0.5, (1 - room / (double) Math.max(1, servers)) * PROBES - 1));
             pool.add(new Answer(
-                    peer, now, report.inFlight(), Double.isNaN(report.meanMs()) ? 0 : report.meanMs(), reuse));
+                    peer,
+                    now,
+                    report.inFlight(),
+                    Double.isNaN(report.meanServiceTimeMs()) ? 0 : report.meanServiceTimeMs(),
+                    reuse));
             while (pool.size() > room) {
                 pool.remove(0);
             }
--- a/node/src/main/java/brackenbridge/net/Shutdown.java
+++ b/node/src/main/java/brackenbridge/net/Shutdown.java
@@ -57,7 +57,7 @@
             return;
         }
         replacement.close();
-        log.info("stopped: " + counters.line());
+        log.info("stopped: " + counters.toLine());
         completed.complete(null);
     }
 }
--- a/node/src/main/java/brackenbridge/net/client/HealthEndpoints.java
+++ b/node/src/main/java/brackenbridge/net/client/HealthEndpoints.java
@@ -35,7 +35,7 @@
             boolean isReady = ready.getAsBoolean();
             writer.respond(isReady ? 200 : 503, text(isReady ? "ready\n" : "not ready\n"));
         } else {
-            writer.respond(200, text(path.equals(LIVE_PATH) ? "live\n" : counters.text()));
+            writer.respond(200, text(path.equals(LIVE_PATH) ? "live\n" : counters.toText()));
         }
     }
 
--- a/node/src/main/java/brackenbridge/net/client/RequestValidator.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestValidator.java
@@ -66,7 +66,7 @@
 
     private RequestRejection validateClass(HttpRequest request, RequestClass requestClass) {
         if (requestClass == null) {
-            counters.countDropped(request.firstPart());
+            counters.countRemovedClass(request.firstPart());
             return RequestRejection.UNKNOWN_CLASS;
         }
         String namedClass = request.headers().get(SERVICE_CLASS);
--- a/node/src/main/java/brackenbridge/net/upstream/UpstreamConnections.java
+++ b/node/src/main/java/brackenbridge/net/upstream/UpstreamConnections.java
@@ -164,7 +164,7 @@
             execute(pool.onConnectionEnded(nowMs(), command.connection()));
         } else if (!context.descriptors().hasRoomForServer()) {
             // Guards the health of servers against a node that has too many connections itself.
-            execute(pool.onNoDescriptor(nowMs(), command.connection()));
+            execute(pool.onDescriptorsExhausted(nowMs(), command.connection()));
         } else {
             connect(command, address);
         }
@@ -182,7 +182,7 @@
                 .handler(connection);
         connection.open(bootstrap, address);
         if (command.additional()) {
-            context.counters().count(Counter.CONNECTIONS_JOINED);
+            context.counters().count(Counter.ADDITIONAL_CONNECTIONS_OPENED);
         }
         if (connection.channel() != null) {
             connections.put(connection.id(), connection);
@@ -234,9 +234,9 @@
             return;
         }
         switch (command.reason()) {
-            case UNCONNECTED -> attempts.connectionLost(attempt);
+            case CONNECT_FAILED -> attempts.connectionLost(attempt);
             case FAILED_LOCALLY -> attempts.failLocally(attempt);
-            case NO_ROOM -> attempts.attemptNotStarted(attempt);
+            case NO_DESCRIPTOR -> attempts.attemptNotStarted(attempt);
         }
     }
 
@@ -269,7 +269,7 @@
 
     /** Whether load reports in the headers of responses are read. */
     boolean readsLoadReports() {
-        return settings.network().reportsInAnswers();
+        return settings.network().reportsInResponses();
     }
 
     void makeRoom() {
@@ -301,6 +301,6 @@
 
     /** The connection broke just after an attempt started; returns whether it was one that had been kept. */
     boolean onBrokenAtOnce(long connection) {
-        return pool.onBrokenAtOnce(connection);
+        return pool.onBrokenAfterAssign(connection);
     }
 }
--- a/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
@@ -26,19 +26,19 @@
 
     @Test
     void countersAsTheHealthPageAndTheLogHaveThem() throws IOException {
-        GoldenText.check("counters-text.txt", counted().text());
-        GoldenText.check("counters-line.txt", counted().line());
+        GoldenText.check("counters-text.txt", counted().toText());
+        GoldenText.check("counters-line.txt", counted().toLine());
     }
 
     @Test
     void figuresOfStaff() throws IOException {
         GoldenText.check(
                 "figures.txt",
-                OperatorMetrics.lines(
+                OperatorMetrics.format(
                         counted(), List.of("read", "write"), new OperatorMetrics.Gauges(3, 40, 2, 1234.5)));
         GoldenText.check(
                 "figures-without-discovery.txt",
-                OperatorMetrics.lines(
+                OperatorMetrics.format(
                         new Counters(),
                         List.of("read"),
                         new OperatorMetrics.Gauges(0, 0, 0, Double.POSITIVE_INFINITY)));
--- a/node/src/test/java/brackenbridge/log/LogTest.java
+++ b/node/src/test/java/brackenbridge/log/LogTest.java
@@ -15,7 +15,7 @@
     /** What a stopping process has left behind its last answers, before it is killed. */
     private static final double MAX_FLUSH_TEST_MS = 140;
 
-    private final Clock.Settable clock = new Clock.Settable(1000);
+    private final Clock.Manual clock = new Clock.Manual(1000);
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final Log log = new Log(clock, new PrintStream(out, true, StandardCharsets.UTF_8));
 
@@ -33,7 +33,7 @@
         for (int i = 0; i < 100; i++) {
             log.warn("a\nb");
         }
-        clock.pass(1000);
+        clock.advance(1000);
         log.info("next");
         log.flush();
         String text = out.toString(StandardCharsets.UTF_8);
--- a/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
+++ b/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
@@ -44,7 +44,7 @@
         }
     }
 
-    private final Clock.Settable clock = new Clock.Settable(1000);
+    private final Clock.Manual clock = new Clock.Manual(1000);
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final FakeInput input = new FakeInput();
     private final ClientPresence presence = new ClientPresence(channel, clock, clock.nowMs(), input);
@@ -61,7 +61,7 @@
 
     /** Lets time pass for the clock and for what the event loop has scheduled. */
     private void pass(long ms) {
-        clock.pass(ms);
+        clock.advance(ms);
         channel.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         channel.runPendingTasks();
     }
@@ -107,17 +107,17 @@
         read(1);
         presence.onBytesRead();
         assertFalse(presence.isPresentNow());
-        clock.pass(ClientPresence.MAX_PRESENCE_AGE_MS);
+        clock.advance(ClientPresence.MAX_PRESENCE_AGE_MS);
         assertTrue(presence.isPresent(NEVER));
         assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
-        clock.pass(1);
+        clock.advance(1);
         assertFalse(presence.isPresent(NEVER));
         assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
     void assumedPresenceCountsFromItsOwnTime() {
-        clock.pass(500);
+        clock.advance(500);
         assertFalse(presence.isPresent(NEVER));
         assertTrue(presence.isPresent(clock.nowMs() - ClientPresence.MAX_PRESENCE_AGE_MS));
         assertFalse(presence.isHiddenTooLong(clock.nowMs(), clock.nowMs()));
@@ -127,7 +127,7 @@
     @Test
     void clientThatIsPresentIsNeverHiddenTooLong() {
         read(1);
-        clock.pass(10_000);
+        clock.advance(10_000);
         assertTrue(presence.isPresent(NEVER));
         assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
     }
--- a/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
@@ -49,7 +49,7 @@
     void nobodyGivesUpAtTheLimit() {
         budget.enforce(List.of(new FakeHolder("a", RequestMemoryBudget.MAX_BUFFERED_BYTES)));
         assertEquals(List.of(), gaveUp);
-        assertEquals(0, counters.of(Counter.CLIENTS_SHED_FOR_MEMORY));
+        assertEquals(0, counters.get(Counter.CLIENTS_SHED_FOR_MEMORY));
     }
 
     @Test
@@ -57,7 +57,7 @@
         budget.enforce(List.of(
                 new FakeHolder("small", MIB), new FakeHolder("large", 5 * MIB), new FakeHolder("medium", 3 * MIB)));
         assertEquals(List.of("large"), gaveUp);
-        assertEquals(1, counters.of(Counter.CLIENTS_SHED_FOR_MEMORY));
+        assertEquals(1, counters.get(Counter.CLIENTS_SHED_FOR_MEMORY));
     }
 
     @Test
@@ -65,7 +65,7 @@
         budget.enforce(List.of(
                 new FakeHolder("third", 4 * MIB), new FakeHolder("first", 7 * MIB), new FakeHolder("second", 6 * MIB)));
         assertEquals(List.of("first", "second"), gaveUp);
-        assertEquals(2, counters.of(Counter.CLIENTS_SHED_FOR_MEMORY));
+        assertEquals(2, counters.get(Counter.CLIENTS_SHED_FOR_MEMORY));
     }
 
     @Test
