--- a/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AdmissionControl.java
@@ -16,9 +16,9 @@
      */
     private static final int OPEN_FLOOR = 2;
     /** The part of the bearable wait that the most urgent level may use. */
-    private static final double MAX_WAIT_PART = 0.75;
+    private static final double MAX_WAIT_FRACTION = 0.75;
     /** How much of that part the least urgent level lacks. */
-    private static final double LEVEL_REDUCTION = 0.8;
+    private static final double LEVEL_WAIT_REDUCTION = 0.8;
     /** How many more requests a lower tier admits: what it rejects has cost the tiers above it already. */
     private static final double LOWER_TIER_FACTOR = 1.5;
     /** Responses of a class after which its mean response time is used. */
@@ -30,12 +30,12 @@
 
     private final RequestClasses classes;
     private BalancerSettings settings;
-    private int open;
-    private int answered;
+    private int openRequests;
+    private int answeredSinceTick;
     private double answeredPerSecond;
     private double ratePerSecond;
     /** Whether a request was there to be answered at any time since the last tick. */
-    private boolean requested;
+    private boolean hadRequestsSinceTick;
 
     private double congestion = 1;
     private boolean congestionMeasured;
@@ -58,23 +58,23 @@
 
     /** A complete request is open from now on. */
     void onOpened() {
-        open++;
-        requested = true;
+        openRequests++;
+        hadRequestsSinceTick = true;
     }
 
     /** A complete request is no longer open. */
     void onClosed() {
-        open--;
+        openRequests--;
     }
 
     /** A request was served. */
     void onAnswered() {
-        answered++;
+        answeredSinceTick++;
     }
 
     /** Whether this request, which counts among the open ones, is admitted. */
     boolean admits(long now, QueuedRequest request) {
-        return open <= admissible(now, request);
+        return openRequests <= admissibleOpenRequests(now, request);
     }
 
     /**
@@ -84,9 +84,9 @@
      * the smaller the part of that wait. While the servers answer near their best they could do more, so A exceeds
      * what the lagging rate gives.
      */
-    private double admissible(long now, QueuedRequest request) {
+    private double admissibleOpenRequests(long now, QueuedRequest request) {
         int levels = classes.levels();
-        double part = MAX_WAIT_PART * (levels == 1 ? 1 : 1 - LEVEL_REDUCTION * request.level / (levels - 1));
+        double part = MAX_WAIT_FRACTION * (levels == 1 ? 1 : 1 - LEVEL_WAIT_REDUCTION * request.level / (levels - 1));
         double floor = now - firstRequestAt < OPENING_DURATION ? OPENING_FLOOR : OPEN_FLOOR;
         double wait = request.timeBudget * RequestQueues.DEADLINE_MARGIN - request.requestClass.bestMeanTime;
         double best = 0;
@@ -98,8 +98,8 @@
                             requestClass.rules.latencyObjective() * RequestQueues.DEADLINE_MARGIN
                                     - requestClass.bestMeanTime)
                     : wait;
-            best += requestClass.bestMeanTime * requestClass.answers;
-            answerCount += requestClass.answers;
+            best += requestClass.bestMeanTime * requestClass.responseCount;
+            answerCount += requestClass.responseCount;
         }
         double tau = best / answerCount + part * Math.max(0, wait);
         tau *= settings.tier() > 0 ? LOWER_TIER_FACTOR : 1;
@@ -120,9 +120,9 @@
      * @return how many requests were answered since the last tick
      */
     int updateRates(double elapsed, int inFlight) {
-        int counted = answered;
+        int counted = answeredSinceTick;
         measureRate(elapsed, counted, inFlight);
-        answered = 0;
+        answeredSinceTick = 0;
         classes.updateGuaranteedRate(answeredPerSecond);
         updateCongestion();
         return counted;
@@ -132,7 +132,7 @@
         double sum = 0;
         int measured = 0;
         for (RequestClassState requestClass : classes.all()) {
-            if (requestClass.answers >= MIN_RESPONSES) {
+            if (requestClass.responseCount >= MIN_RESPONSES) {
                 requestClass.bestMeanTime = requestClass.bestMeanTime == 0
                         ? requestClass.meanTime
                         : Math.min(requestClass.bestMeanTime * BEST_TIME_RISE_PER_TICK, requestClass.meanTime);
@@ -159,10 +159,10 @@
      * was. It would fade to nothing otherwise, and most of a burst that follows would be rejected before idle servers.
      */
     private void measureRate(double elapsed, int counted, int inFlight) {
-        if (requested || counted > 0) {
+        if (hadRequestsSinceTick || counted > 0) {
             answeredPerSecond += Math.min(1, elapsed) * (counted / elapsed - answeredPerSecond);
             ratePerSecond = Math.max(answeredPerSecond, counted / elapsed);
         }
-        requested = open > 0 || inFlight > 0;
+        hadRequestsSinceTick = openRequests > 0 || inFlight > 0;
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -47,7 +47,7 @@
     private final Map<Long, QueuedRequest> requests = new HashMap<>();
     private int inFlight;
     /** Queued requests given up since the last tick. */
-    private int dropped;
+    private int droppedSinceTick;
 
     private long lastTick;
     private boolean started;
@@ -94,7 +94,7 @@
         List<ServerState> before = subset.rebuildMembers();
         // All are taken out of the rotation before any request is bound anew: it could go to one that leaves as well.
         before.stream().filter(server -> !server.inSubset).forEach(roundRobin::remove);
-        List<ServerState> left = queues.awaitedOutsideSubset();
+        List<ServerState> left = queues.serversWithQueueOutsideSubset();
         for (ServerState server : subset.members()) {
             addToRotation(now, server);
         }
@@ -193,9 +193,9 @@
         ServerState allowed = null;
         for (int i = 0; i < MAX_TURNS_PER_REQUEST && !roundRobin.isEmpty(); i++) {
             ServerState server = roundRobin.next(now);
-            if (IdempotencyRules.allow(now, request, server)) {
+            if (IdempotencyRules.allowsAttempt(now, request, server)) {
                 if (!request.wasSentTo(server)
-                        && OutlierDetection.suits(now, request, server)
+                        && OutlierDetection.isSuitable(now, request, server)
                         && canAdmit(now, server)) {
                     return server;
                 }
@@ -205,7 +205,7 @@
         ServerState firstRun = request.firstRunServer;
         if (allowed == null
                 && request.mayHaveRun
-                && IdempotencyRules.allow(now, request, firstRun)
+                && IdempotencyRules.allowsAttempt(now, request, firstRun)
                 && !firstRun.ejected
                 && firstRun.endpoint.state() == EndpointState.UP) {
             return firstRun;
@@ -260,7 +260,7 @@
                 queues.remove(next);
                 sendRequest(now, next, server);
             }
-        } else if (slowStart.warmth(now, server) >= 1) {
+        } else if (slowStart.capacityRatio(now, server) >= 1) {
             QueuedRequest takenOver = queues.takeOverOldest(now, server);
             if (takenOver != null) {
                 sendRequest(now, takenOver, server);
@@ -271,7 +271,7 @@
     }
 
     private void dropRequest(long now, QueuedRequest request) {
-        dropped++;
+        droppedSinceTick++;
         finishRequest(request, now);
     }
 
@@ -392,7 +392,7 @@
     /** The final answer of the balancer's own: a rejection where that is true, else a failure. */
     private void finishRequest(QueuedRequest request, long now) {
         closeRequest(request);
-        if (IdempotencyRules.allowRejection(now, request)) {
+        if (IdempotencyRules.allowsRejection(now, request)) {
             actions.reject(request.id, suggestedRetryAfter());
         } else {
             actions.fail(request.id);
@@ -417,7 +417,7 @@
 
     /** How many requests it holds, in all its collections; for tests of what it forgets. */
     int openRequestCount() {
-        return requests.size() + queues.entries();
+        return requests.size() + queues.entryCount();
     }
 
     @Override
@@ -457,10 +457,10 @@
         int answered = admission.updateRates(elapsed, inFlight);
         slowStart.updateAnswerRate(now, elapsed, answered, subset.order(), subset.size());
         outliers.scheduleTrials(now, subset.usedSize());
-        subset.recordAtHand(inFlight + queues.size());
+        subset.recordOutstanding(inFlight + queues.size());
         resizeSubset(now);
         subset.adjustWindow(queues.size() > 0, outliers.ejected(), roundRobin.size(), admission);
-        dropped = 0;
+        droppedSinceTick = 0;
         // The window may be wider; and the budget of a server that warms up comes back with time, without an answer.
         for (int i = 0; i < subset.usedSize(); i++) {
             fillFreeSlot(now, subset.order().get(i));
@@ -469,7 +469,7 @@
 
     /** The subset grows past the own zone only when requests had to wait there or were dropped. */
     private void resizeSubset(long now) {
-        boolean shortOfServers = queues.size() > 0 || dropped > 0;
+        boolean shortOfServers = queues.size() > 0 || droppedSinceTick > 0;
         if (shortOfServers && subset.canGrow(roundRobin.size(), admission.hasSpareCapacity())) {
             ServerState next = null;
             for (int left = subset.growthPerTick(); left > 0 && (next = subset.growByServer()) != null; left--) {
--- a/core/src/main/java/brackenbridge/core/balancing/IdempotencyRules.java
+++ b/core/src/main/java/brackenbridge/core/balancing/IdempotencyRules.java
@@ -5,7 +5,7 @@
     private IdempotencyRules() {}
 
     /** Whether this request may be sent to this server now. */
-    static boolean allow(long now, QueuedRequest request, ServerState server) {
+    static boolean allowsAttempt(long now, QueuedRequest request, ServerState server) {
         Idempotence effect = request.requestClass.rules.idempotence();
         if (!request.mayHaveRun || effect == Idempotence.IDEMPOTENT) {
             return true;
@@ -23,7 +23,7 @@
     }
 
     /** Whether the client may be answered that the request was rejected and that a retry does no harm. */
-    static boolean allowRejection(long now, QueuedRequest request) {
+    static boolean allowsRejection(long now, QueuedRequest request) {
         Idempotence effect = request.requestClass.rules.idempotence();
         return !request.mayHaveRun && request.attemptsInFlight == 0
                 || effect == Idempotence.IDEMPOTENT
--- a/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
+++ b/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
@@ -32,7 +32,7 @@
             if (!server.inRotation || server.inFlight > 0) {
                 continue;
             }
-            if (OutlierDetection.suits(now, request, server) && !request.wasSentTo(server)) {
+            if (OutlierDetection.isSuitable(now, request, server) && !request.wasSentTo(server)) {
                 return server;
             }
             server.isIdle = true;
--- a/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
+++ b/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
@@ -68,8 +68,9 @@
     }
 
     /** Whether a request is allowed at a server that doesn't fail its class while it serves others. */
-    static boolean suits(long now, QueuedRequest request, ServerState server) {
-        return now >= server.health(request.requestClass).avoidedUntil && IdempotencyRules.allow(now, request, server);
+    static boolean isSuitable(long now, QueuedRequest request, ServerState server) {
+        return now >= server.health(request.requestClass).avoidedUntil
+                && IdempotencyRules.allowsAttempt(now, request, server);
     }
 
     /**
@@ -131,7 +132,7 @@
                 ? latency
                 : server.measuredTime + SERVER_GAIN * (latency - server.measuredTime);
         server.relativeTime += SERVER_GAIN * (latency / requestClass.meanTime - server.relativeTime);
-        requestClass.answers++;
+        requestClass.responseCount++;
         // A server that fails some requests and serves others stays out for longer each time.
         server.consecutiveEjections = server.errorRatio < RECOVERED_ERROR_RATIO ? 0 : server.consecutiveEjections;
         server.health(requestClass).consecutiveErrors = 0;
@@ -197,13 +198,13 @@
             return null;
         }
         boolean any = noOtherServers || now >= trials.peek().ejectedUntil + MAX_TRIAL_DELAY;
-        boolean unsafe = classes.anySafe() && request.requestClass.rules.idempotence() != Idempotence.IDEMPOTENT;
+        boolean unsafe = classes.anyIdempotent() && request.requestClass.rules.idempotence() != Idempotence.IDEMPOTENT;
         if (!any && (unsafe || request.level == 0 && classes.levels() > 1)) {
             return null;
         }
         ServerState server = trials.poll();
         boolean ready = server.endpoint.state() == EndpointState.UP && server.ejected && server.inFlight == 0;
-        return ready && IdempotencyRules.allow(now, request, server) ? server : null;
+        return ready && IdempotencyRules.allowsAttempt(now, request, server) ? server : null;
     }
 
     /** Records that the trial of a server is being sent. */
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
@@ -15,7 +15,7 @@
     double bestMeanTime;
 
     /** Successful responses so far. */
-    long answers;
+    long responseCount;
     /** Moving average of the share of errors among the outcomes at all servers. */
     double errorRatio;
 
@@ -35,7 +35,7 @@
             state.meanTime = before.meanTime;
             state.timeDeviation = before.timeDeviation;
             state.bestMeanTime = before.bestMeanTime;
-            state.answers = before.answers;
+            state.responseCount = before.responseCount;
             state.errorRatio = before.errorRatio;
         }
         return state;
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
@@ -25,7 +25,7 @@
     private final Map<String, TokenBucket> quotas = new HashMap<>();
     private final TokenBucket nodeGuaranteedRate = new TokenBucket();
     private int levels;
-    private boolean anySafe;
+    private boolean anyIdempotent;
 
     /** Takes over other settings; what was measured of a class stays with its name. */
     void applySettings(BalancerSettings settings) {
@@ -55,13 +55,13 @@
 
     private void rankClasses(BalancerSettings settings, List<Double> weights) {
         levels = weights.size();
-        anySafe = false;
+        anyIdempotent = false;
         for (RequestClassState state : classes.values()) {
             state.level = weights.indexOf(state.rules.priorityWeight());
             state.overShareLevel = settings.tenants().isEmpty()
                     ? state.level
                     : weights.indexOf(state.rules.priorityWeight() * settings.overShareWeight());
-            anySafe |= state.rules.idempotence() == Idempotence.IDEMPOTENT;
+            anyIdempotent |= state.rules.idempotence() == Idempotence.IDEMPOTENT;
         }
     }
 
@@ -84,8 +84,8 @@
     }
 
     /** Whether some class may be repeated without restriction. */
-    boolean anySafe() {
-        return anySafe;
+    boolean anyIdempotent() {
+        return anyIdempotent;
     }
 
     /** The priority level of a request that arrives now; takes the tokens that it needs. */
--- a/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
@@ -29,14 +29,15 @@
     /** The queued requests, oldest first, and stale entries. */
     private final ArrayDeque<QueuedRequest> oldestFirst = new ArrayDeque<>();
     /** The queued requests by the time at which they expire, and stale entries. */
-    private final PriorityQueue<QueuedRequest> expiry =
+    private final PriorityQueue<QueuedRequest> byExpiry =
             new PriorityQueue<>(Comparator.<QueuedRequest>comparingLong(request -> request.expiresAt)
                     .thenComparingLong(request -> request.id));
     /** The servers that requests are queued for, by the time at which they were first listed. */
-    private final TreeSet<ServerState> awaited = new TreeSet<>(Comparator.comparingLong(server -> server.listIndex));
+    private final TreeSet<ServerState> serversWithQueue =
+            new TreeSet<>(Comparator.comparingLong(server -> server.listIndex));
 
-    private int queued;
-    private long expiryTimer = Long.MAX_VALUE;
+    private int queuedCount;
+    private long expiryTimerAt = Long.MAX_VALUE;
 
     RequestQueues(BalancerActions actions) {
         this.actions = actions;
@@ -44,29 +45,29 @@
 
     /** How many requests are queued. */
     int size() {
-        return queued;
+        return queuedCount;
     }
 
     /** How many entries are held, stale ones included. */
-    int entries() {
-        return oldestFirst.size() + expiry.size();
+    int entryCount() {
+        return oldestFirst.size() + byExpiry.size();
     }
 
     /** Queues a request for this server, or for any if it is null. */
     void add(long now, QueuedRequest request, ServerState server) {
         request.queued = true;
         request.server = server;
-        queued++;
+        queuedCount++;
         oldestFirst.add(request);
-        if (oldestFirst.size() > 2 * queued + MAX_STALE_ENTRIES) {
+        if (oldestFirst.size() > 2 * queuedCount + MAX_STALE_ENTRIES) {
             removeStaleEntries();
         }
         if (server != null) {
             server.queues[request.level].add(request);
             server.queuedCount++;
-            awaited.add(server);
+            serversWithQueue.add(server);
         }
-        expiry.add(request);
+        byExpiry.add(request);
         armExpiryTimer(Math.max(now + 1, request.expiresAt));
     }
 
@@ -80,12 +81,12 @@
     /** Takes a queued request out. */
     void remove(QueuedRequest request) {
         request.queued = false;
-        queued--;
+        queuedCount--;
         ServerState server = request.server;
         if (server != null) {
             server.queues[request.level].remove(request);
             if (--server.queuedCount == 0) {
-                awaited.remove(server);
+                serversWithQueue.remove(server);
             }
             request.server = null;
         }
@@ -104,8 +105,8 @@
     }
 
     /** The servers outside the subset for which requests are queued. */
-    List<ServerState> awaitedOutsideSubset() {
-        return awaited.stream().filter(server -> !server.inSubset).toList();
+    List<ServerState> serversWithQueueOutsideSubset() {
+        return serversWithQueue.stream().filter(server -> !server.inSubset).toList();
     }
 
     /**
@@ -113,7 +114,7 @@
      * waited reach tau f. At any level a retry is hopeless whose idempotency window has closed while it waited.
      */
     static boolean isHopeless(long now, QueuedRequest request, ServerState server) {
-        return !IdempotencyRules.allow(now, request, server)
+        return !IdempotencyRules.allowsAttempt(now, request, server)
                 || request.level > 0
                         && expectedTime(server, request) + (now - request.arrival)
                                 >= request.timeBudget * DEADLINE_MARGIN;
@@ -159,7 +160,7 @@
         }
         int candidates = 0;
         for (QueuedRequest request : oldestFirst) {
-            if (request.queued && OutlierDetection.suits(now, request, server)) {
+            if (request.queued && OutlierDetection.isSuitable(now, request, server)) {
                 remove(request);
                 return request;
             }
@@ -172,21 +173,21 @@
 
     /** The expiry timer has fired: gives up the queued requests that have expired, and sets the timer for the next. */
     void expire(long now, Consumer<QueuedRequest> giveUp) {
-        expiryTimer = Long.MAX_VALUE;
-        while (!expiry.isEmpty() && (expiry.peek().expiresAt <= now || !expiry.peek().queued)) {
-            QueuedRequest request = expiry.poll();
+        expiryTimerAt = Long.MAX_VALUE;
+        while (!byExpiry.isEmpty() && (byExpiry.peek().expiresAt <= now || !byExpiry.peek().queued)) {
+            QueuedRequest request = byExpiry.poll();
             if (request.queued) {
                 giveUp.accept(request);
             }
         }
-        if (!expiry.isEmpty()) {
-            armExpiryTimer(expiry.peek().expiresAt);
+        if (!byExpiry.isEmpty()) {
+            armExpiryTimer(byExpiry.peek().expiresAt);
         }
     }
 
     private void armExpiryTimer(long at) {
-        if (at < expiryTimer) {
-            expiryTimer = at;
+        if (at < expiryTimerAt) {
+            expiryTimerAt = at;
             actions.setTimer(at, EXPIRY_TIMER);
         }
     }
--- a/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -29,9 +29,9 @@
     private static final class Ring {
         final List<ServerState> servers = new ArrayList<>();
         /** The server at which the node started when the order was last laid out; null before. */
-        private ServerState first;
+        private ServerState startServer;
 
-        private int from;
+        private int startIndex;
 
         int findIndex(ServerState server) {
             return Collections.binarySearch(servers, server, BY_RING_POSITION);
@@ -40,13 +40,13 @@
         /** Begins at this part of the ring, or stays near it. */
         void moveStart(double start) {
             int exact = (int) (start * servers.size());
-            int at = first == null ? exact : findPlace(first);
-            from = distance(at, exact) <= servers.size() / RING_GRANULARITY ? at : exact;
-            first = servers.get(from);
+            int at = startServer == null ? exact : indexAtOrAfter(startServer);
+            startIndex = distance(at, exact) <= servers.size() / RING_GRANULARITY ? at : exact;
+            startServer = servers.get(startIndex);
         }
 
         /** The place of a server, or of the one that follows if it has left. */
-        private int findPlace(ServerState server) {
+        private int indexAtOrAfter(ServerState server) {
             int at = findIndex(server);
             return (at >= 0 ? at : -at - 1) % servers.size();
         }
@@ -57,7 +57,7 @@
         }
 
         ServerState get(int place) {
-            return servers.get((from + place) % servers.size());
+            return servers.get((startIndex + place) % servers.size());
         }
     }
 
@@ -68,9 +68,9 @@
 
     private int size;
     private String ownZone;
-    private Ring own = EMPTY_RING;
+    private Ring ownRing = EMPTY_RING;
     /** The servers after the own zone; null until they are needed. */
-    private List<ServerState> others;
+    private List<ServerState> otherZoneServers;
 
     /** Adds a server under the zone that its endpoint names now. */
     void add(ServerState server) {
@@ -96,11 +96,11 @@
     }
 
     /** Lays the order out as it is now, for a node in this zone that starts at this part of each ring. */
-    void layOutOrder(String zone, double start) {
+    void rebuild(String zone, double start) {
         ownZone = zone;
         zones.values().forEach(ring -> ring.moveStart(start));
-        own = zones.getOrDefault(zone, EMPTY_RING);
-        others = null;
+        ownRing = zones.getOrDefault(zone, EMPTY_RING);
+        otherZoneServers = null;
     }
 
     /** How many servers are up. */
@@ -109,23 +109,23 @@
     }
 
     /** How many of them are in the own zone. */
-    int inOwnZone() {
-        return own.servers.size();
+    int ownZoneSize() {
+        return ownRing.servers.size();
     }
 
     /** The server at this place of the order, from 0. */
     ServerState get(int place) {
-        if (place < inOwnZone()) {
-            return own.get(place);
+        if (place < ownZoneSize()) {
+            return ownRing.get(place);
         }
-        if (others == null) {
-            others = layOutOthers();
+        if (otherZoneServers == null) {
+            otherZoneServers = interleaveOtherZones();
         }
-        return others.get(place - inOwnZone());
+        return otherZoneServers.get(place - ownZoneSize());
     }
 
     /** One server of each other zone by turns, the zone whose first has the lowest number before the others. */
-    private List<ServerState> layOutOthers() {
+    private List<ServerState> interleaveOtherZones() {
         List<Ring> rings = new ArrayList<>();
         zones.forEach((zone, ring) -> {
             if (!zone.equals(ownZone)) {
@@ -133,7 +133,7 @@
             }
         });
         rings.sort(Comparator.comparingLong(ring -> ring.get(0).id));
-        int beyond = size - inOwnZone();
+        int beyond = size - ownZoneSize();
         List<ServerState> order = new ArrayList<>(beyond);
         for (int i = 0; order.size() < beyond; i++) {
             for (Ring ring : rings) {
--- a/core/src/main/java/brackenbridge/core/balancing/ServerState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerState.java
@@ -54,7 +54,7 @@
         this.listIndex = listIndex;
         this.endpoint = endpoint;
         this.warmingSince = Math.min(endpoint.startedAt(), now);
-        this.ringPosition = scramble(id) * 0x1p-53;
+        this.ringPosition = hash53(id) * 0x1p-53;
         this.queues = createQueues(levels);
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** The finishing steps of SplitMix64, cut to 53 bits. */
-    private static long scramble(long id) {
+    private static long hash53(long id) {
         long mixed = id + 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ (mixed >>> 30)) * 0xbf58476d1ce4e5b9L;
         mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -28,7 +28,7 @@
     private BalancerSettings settings;
     private int size = MIN_SIZE;
     private int extraWindow;
-    private double peakAtHand;
+    private double peakOutstanding;
 
     /** Applies other settings from now on. */
     void applySettings(BalancerSettings next) {
@@ -62,7 +62,7 @@
      * @return the members before
      */
     List<ServerState> rebuildMembers() {
-        order.layOutOrder(settings.zone(), settings.instanceIndex() * GOLDEN_RATIO % 1);
+        order.rebuild(settings.zone(), settings.instanceIndex() * GOLDEN_RATIO % 1);
         List<ServerState> before = members();
         before.forEach(server -> server.inSubset = false);
         members.clear();
@@ -80,7 +80,7 @@
 
     /** The next server of the own zone, by which the subset has grown; null if it has them all. */
     ServerState growInOwnZone() {
-        return size < order.inOwnZone() ? order.get(size++) : null;
+        return size < order.ownZoneSize() ? order.get(size++) : null;
     }
 
     /** The next server, by which the subset has grown; null if it has them all. */
@@ -103,7 +103,7 @@
 
     /** Whether it is larger than the recent load needs. */
     boolean canShrink() {
-        return size > MIN_SIZE && size > 2 * peakAtHand + 2;
+        return size > MIN_SIZE && size > 2 * peakOutstanding + 2;
     }
 
     /** Shrinks by one server and returns it; null if it had no such server. */
@@ -118,8 +118,8 @@
     }
 
     /** Records how many requests are in flight or queued in this tick. */
-    void recordAtHand(int requests) {
-        peakAtHand = Math.max(requests, peakAtHand * PEAK_DECAY_PER_TICK);
+    void recordOutstanding(int requests) {
+        peakOutstanding = Math.max(requests, peakOutstanding * PEAK_DECAY_PER_TICK);
     }
 
     /**
@@ -145,7 +145,7 @@
                 && admission.isCongestionMeasured()
                 && spareCapacity) {
             extraWindow++;
-        } else if (extraWindow > 0 && (!spareCapacity || peakAtHand < (windowSize() - 1) * rotationSize)) {
+        } else if (extraWindow > 0 && (!spareCapacity || peakOutstanding < (windowSize() - 1) * rotationSize)) {
             extraWindow--;
         }
     }
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStart.java
@@ -15,7 +15,7 @@
     /** Responses per second for each unit of reachable capacity. */
     private double answeredPerCapacity;
     /** The maximum capacity that was reachable since the last tick. */
-    private double capacityOfTick;
+    private double maxCapacitySinceTick;
     /** The time since which every request sent is counted in the servers' budgets. */
     private long countedSince;
 
@@ -40,7 +40,7 @@
     }
 
     /** The part of its capacity that a server has now. */
-    double warmth(long now, ServerState server) {
+    double capacityRatio(long now, ServerState server) {
         if (server.warmingSince <= 0) {
             return 1;
         }
@@ -50,7 +50,7 @@
 
     /** Whether a server may be sent any number of requests. */
     boolean isUnbounded(long now, ServerState server) {
-        return settings.overloadWindow() == 0 || warmth(now, server) >= 1;
+        return settings.overloadWindow() == 0 || capacityRatio(now, server) >= 1;
     }
 
     /** Whether the budget of a server that warms up allows a request; the first servers of the order are reachable. */
@@ -58,7 +58,7 @@
         long settled = actions.reportsWritten()
                 ? server.warmingSince + settings.network().connectTimeout()
                 : now;
-        double share = share(now, server, servers, reach, meanTime);
+        double share = shareOfWindow(now, server, servers, reach, meanTime);
         return server.budget.allows(now, share, settings.overloadWindow(), random, settled);
     }
 
@@ -67,7 +67,7 @@
      * responses that this node receives for each unit of reachable capacity, or, if that is more, from its share of
      * one request at a time at each server.
      */
-    private double share(long now, ServerState server, ServerOrder servers, int reach, double meanTime) {
+    private double shareOfWindow(long now, ServerState server, ServerOrder servers, int reach, double meanTime) {
         int near = Math.min(reach, servers.size());
         double weights = 0;
         for (int i = 0; i < near; i++) {
@@ -78,41 +78,43 @@
         double share = settings.overloadMultiple()
                 * perUnit
                 * server.endpoint.weight()
-                * warmth(now, server)
+                * capacityRatio(now, server)
                 * settings.overloadWindow();
-        return share * SlowStartLimit.usable(share, settings.instanceCount()) * (1 - unknownPart(now, server));
+        return share
+                * SlowStartLimit.usableFraction(share, settings.instanceCount())
+                * (1 - unknownFraction(now, server));
     }
 
     /**
      * The part of the last window, since the server's start, for which this process doesn't know what its node sent.
      * The share of that time counts as sent: by the previous process, or under settings with a shorter window.
      */
-    private double unknownPart(long now, ServerState server) {
+    private double unknownFraction(long now, ServerState server) {
         long from = Math.max(now - settings.overloadWindow(), server.warmingSince);
         return Math.max(0, countedSince - from) / (double) settings.overloadWindow();
     }
 
     /** Records the reachable capacity before the reachable servers change. */
     void recordCapacity(long now, ServerOrder servers, int reach) {
-        capacityOfTick = Math.max(capacityOfTick, capacity(now, servers, reach));
+        maxCapacitySinceTick = Math.max(maxCapacitySinceTick, subsetCapacity(now, servers, reach));
     }
 
     /** Updates the rate of responses by those received in so many seconds. */
     void updateAnswerRate(long now, double elapsed, int answered, ServerOrder servers, int reach) {
-        double capacity = capacity(now, servers, reach);
+        double capacity = subsetCapacity(now, servers, reach);
         // Guards the budgets against servers that leave: their responses are divided by the capacity that included
         // them.
-        double most = Math.max(capacity, capacityOfTick);
+        double most = Math.max(capacity, maxCapacitySinceTick);
         if (most > 0) {
             answeredPerCapacity += Math.min(1, elapsed) * (answered / elapsed / most - answeredPerCapacity);
         }
-        capacityOfTick = capacity;
+        maxCapacitySinceTick = capacity;
     }
 
-    private double capacity(long now, ServerOrder servers, int reach) {
+    private double subsetCapacity(long now, ServerOrder servers, int reach) {
         double capacity = 0;
         for (int i = 0; i < servers.size() && i < reach; i++) {
-            capacity += servers.get(i).endpoint.weight() * warmth(now, servers.get(i));
+            capacity += servers.get(i).endpoint.weight() * capacityRatio(now, servers.get(i));
         }
         return capacity;
     }
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStartBudget.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStartBudget.java
@@ -29,15 +29,15 @@
 
     private final ArrayDeque<Charge> charges = new ArrayDeque<>(2);
     /** The sum of the charges. */
-    private double charged;
+    private double chargedTotal;
     /** Charged for requests that are not written to the server yet; these charges don't expire. */
-    private double unwritten;
+    private double unwrittenCharges;
     /** Charged for lost draws that count until unsettledUntil at least, and then for a window more. */
-    private double unsettled;
+    private double deferredCharges;
 
-    private long unsettledUntil;
+    private long deferredUntil;
     /** The amount of a draw won at wonAt and not used yet, 0 if there is none; valid at that time only. */
-    private double won;
+    private double wonAmount;
 
     private long wonAt;
 
@@ -51,26 +51,26 @@
      * shares would have drawn several times by then, so until that time a lost draw counts like an unwritten request.
      */
     boolean allows(long now, double share, long window, SplittableRandom random, long settled) {
-        if (won > 0 && wonAt == now) {
+        if (wonAmount > 0 && wonAt == now) {
             return true;
         }
-        won = 0;
+        wonAmount = 0;
         expireCharges(now, window);
-        double left = Math.min(1, share - charged - unwritten - unsettled);
+        double left = Math.min(1, share - chargedTotal - unwrittenCharges - deferredCharges);
         if (left <= 0) {
             return false;
         }
         boolean lost = random.nextDouble() >= left;
         if (lost && now < settled) {
-            unsettled += left;
-            unsettledUntil = settled;
+            deferredCharges += left;
+            deferredUntil = settled;
             return false;
         }
         addCharge(now, left, window);
         if (lost) {
             return false;
         }
-        won = left;
+        wonAmount = left;
         wonAt = now;
         return true;
     }
@@ -83,28 +83,28 @@
      */
     double chargeRequest(long now, long window) {
         expireCharges(now, window);
-        boolean drawn = won > 0 && wonAt == now;
-        double amount = drawn ? won : 1;
+        boolean drawn = wonAmount > 0 && wonAt == now;
+        double amount = drawn ? wonAmount : 1;
         if (drawn) {
             Charge last = charges.peekLast();
             last.amount -= amount;
-            charged -= amount;
+            chargedTotal -= amount;
         }
-        won = 0;
-        unwritten += amount;
+        wonAmount = 0;
+        unwrittenCharges += amount;
         return amount;
     }
 
     /** Lets the charge of a request expire one window from now: it has been written to the server, or never will be. */
     void recordWritten(long now, double amount, long window) {
-        unwritten = Math.max(0, unwritten - amount);
+        unwrittenCharges = Math.max(0, unwrittenCharges - amount);
         addCharge(now, amount, window);
     }
 
     /** Drops the charges from before a restart of the server: those requests were written to its previous process. */
     void dropChargesBefore(long startedAt) {
         while (!charges.isEmpty() && charges.peek().lastAt < startedAt) {
-            charged -= charges.poll().amount;
+            chargedTotal -= charges.poll().amount;
         }
     }
 
@@ -117,19 +117,19 @@
         }
         last.lastAt = now;
         last.amount += amount;
-        charged += amount;
+        chargedTotal += amount;
     }
 
     private void expireCharges(long now, long window) {
-        if (unsettled > 0 && now >= unsettledUntil) {
-            double settled = unsettled;
-            unsettled = 0;
+        if (deferredCharges > 0 && now >= deferredUntil) {
+            double settled = deferredCharges;
+            deferredCharges = 0;
             addCharge(now, settled, window);
         }
         while (!charges.isEmpty() && charges.peek().lastAt <= now - window) {
-            charged -= charges.poll().amount;
+            chargedTotal -= charges.poll().amount;
         }
         // Guards against accumulated rounding errors.
-        charged = charges.isEmpty() ? 0 : charged;
+        chargedTotal = charges.isEmpty() ? 0 : chargedTotal;
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStartLimit.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStartLimit.java
@@ -17,7 +17,7 @@
     /**
      * The maximum number of requests of mean work that a server takes in a window for which the settings allow so many.
      */
-    static double of(double allowed) {
+    static double maxRequests(double allowed) {
         double root = Math.sqrt(allowed);
         return allowed < LARGE_ALLOWANCE ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
     }
@@ -30,7 +30,7 @@
      * @param share one node's requests in a window
      * @param nodes how many nodes share the server
      */
-    static double usable(double share, int nodes) {
+    static double usableFraction(double share, int nodes) {
         double allowed = share * nodes;
         if (allowed <= 0) {
             return 1;
@@ -38,7 +38,7 @@
         double variancePerRequest = share < HALF_REQUEST ? 1 - share : HALF_REQUEST * HALF_REQUEST / share;
         double spread = STANDARD_DEVIATIONS_BELOW_LIMIT * Math.sqrt(variancePerRequest);
         // The root of the mean that solves mean + spread * root(mean) = limit.
-        double root = (Math.sqrt(spread * spread + 4 * of(allowed)) - spread) / 2;
+        double root = (Math.sqrt(spread * spread + 4 * maxRequests(allowed)) - spread) / 2;
         return Math.min(1, root * root / allowed);
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
+++ b/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
@@ -5,14 +5,14 @@
     private static final double MICROSECONDS_PER_SECOND = 1e6;
 
     private double tokensPerSecond;
-    private double size;
+    private double capacity;
     private double tokens;
     private long refilledAt = Long.MIN_VALUE;
 
     /** Takes a token and returns true, if there is one at this time in microseconds. */
     boolean tryTakeToken(long now) {
         if (refilledAt != Long.MIN_VALUE) {
-            tokens = Math.min(size, tokens + (now - refilledAt) * tokensPerSecond / MICROSECONDS_PER_SECOND);
+            tokens = Math.min(capacity, tokens + (now - refilledAt) * tokensPerSecond / MICROSECONDS_PER_SECOND);
         }
         refilledAt = now;
         if (tokens < 1) {
@@ -25,7 +25,7 @@
     /** Sets the rate, and with it the size, to this many tokens a second; the size is at least one token. */
     void setRate(double ratePerSecond) {
         tokensPerSecond = ratePerSecond;
-        size = Math.max(1, ratePerSecond);
-        tokens = refilledAt == Long.MIN_VALUE ? size : Math.min(size, tokens);
+        capacity = Math.max(1, ratePerSecond);
+        tokens = refilledAt == Long.MIN_VALUE ? capacity : Math.min(capacity, tokens);
     }
 }
--- a/core/src/main/java/brackenbridge/core/balancing/WeightedRoundRobin.java
+++ b/core/src/main/java/brackenbridge/core/balancing/WeightedRoundRobin.java
@@ -61,6 +61,6 @@
     private double stride(long now, ServerState server) {
         double slowness =
                 server.relativeTime > SLOW_RELATIVE_TIME ? Math.min(server.relativeTime, MAX_RELATIVE_TIME) : 1;
-        return slowness / (server.endpoint.weight() * slowStart.warmth(now, server));
+        return slowness / (server.endpoint.weight() * slowStart.capacityRatio(now, server));
     }
 }
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
@@ -65,7 +65,7 @@
     private boolean assignIdle(double nowMs, EndpointConnections group, long waiterId) {
         while (!group.idle.isEmpty()) {
             PooledConnection connection = group.idle.pollLast();
-            if (connection.inStateMs(nowMs) < maxTrustedIdleMs()) {
+            if (connection.timeInStateMs(nowMs) < maxTrustedIdleMs()) {
                 connection.assignFromIdle(nowMs);
                 assign(nowMs, connection, waiterId);
                 return true;
@@ -116,9 +116,9 @@
     }
 
     private void openIfPermitted(double nowMs, EndpointConnections group, ConnectionWaiter waiter) {
-        if (waiter.opened == 0) {
+        if (waiter.openCount == 0) {
             open(nowMs, group, waiter);
-        } else if (waiter.opened < MAX_OPENS_PER_WAITER && additionalOpens.hasToken()) {
+        } else if (waiter.openCount < MAX_OPENS_PER_WAITER && additionalOpens.hasToken()) {
             additionalOpens.takeToken();
             open(nowMs, group, waiter);
         }
@@ -130,7 +130,7 @@
         if (connection != null && connection.state == PooledConnection.State.OPENING) {
             EndpointConnections group = endpoints.get(connection.endpoint);
             group.opening.remove(connection);
-            connectLatency.onConnected(connection.inStateMs(nowMs), connectTimeoutMs);
+            connectLatency.onConnected(connection.timeInStateMs(nowMs), connectTimeoutMs);
             assignToOldestOrKeep(nowMs, group, connection);
         }
         return takeCommands();
@@ -177,7 +177,7 @@
             if (withoutOpening-- <= 0) {
                 return;
             }
-            if (waiter.opened == 0 && reason != ConnectionCommand.FailureReason.NO_DESCRIPTOR) {
+            if (waiter.openCount == 0 && reason != ConnectionCommand.FailureReason.NO_DESCRIPTOR) {
                 open(nowMs, group, waiter);
             } else {
                 giveUp(group, waiter, reason);
@@ -211,7 +211,7 @@
                 return;
             }
             // A waiter without any opened connection opens its own when its wake is due.
-            if (waiter.opened > 0) {
+            if (waiter.openCount > 0) {
                 retryLater(nowMs, group, waiter);
             }
         }
@@ -222,7 +222,7 @@
             giveUp(group, waiter, ConnectionCommand.FailureReason.FAILED_LOCALLY);
             return;
         }
-        waiter.opened = 0;
+        waiter.openCount = 0;
         wakeAt(waiter, Math.min(waiter.deadlineMs, nowMs + LOCAL_RETRY_DELAY_MS));
     }
 
@@ -250,7 +250,7 @@
         Iterator<EndpointConnections> groups = endpoints.values().iterator();
         while (groups.hasNext()) {
             EndpointConnections group = groups.next();
-            while (!group.idle.isEmpty() && group.idle.peekFirst().inStateMs(nowMs) >= idleTimeoutMs) {
+            while (!group.idle.isEmpty() && group.idle.peekFirst().timeInStateMs(nowMs) >= idleTimeoutMs) {
                 close(group.idle.pollFirst());
             }
             if (group.isEmpty()) {
@@ -305,7 +305,7 @@
         connection.assignWithoutIdling();
         ConnectionWaiter waiter = group.waiters.poll();
         if (waiter == null) {
-            connection.enter(PooledConnection.State.IDLE, nowMs);
+            connection.enterState(PooledConnection.State.IDLE, nowMs);
             group.idle.addLast(connection);
             return;
         }
@@ -316,7 +316,7 @@
 
     private void assign(double nowMs, PooledConnection connection, long waiterId) {
         staleConnections.onAssigned(connection.isReused());
-        connection.enter(PooledConnection.State.ASSIGNED, nowMs);
+        connection.enterState(PooledConnection.State.ASSIGNED, nowMs);
         commands.add(new ConnectionCommand.Assign(connection.id, waiterId));
     }
 
@@ -324,13 +324,14 @@
         PooledConnection connection = new PooledConnection(nextConnectionId++, waiter.endpoint, nowMs);
         connections.put(connection.id, connection);
         group.opening.add(connection);
-        waiter.opened++;
+        waiter.openCount++;
         double openTimeoutMs = connectTimeoutMs * OPEN_TIMEOUT_CONNECT_TIMEOUTS;
-        commands.add(new ConnectionCommand.Open(connection.id, connection.endpoint, openTimeoutMs, waiter.opened > 1));
+        commands.add(
+                new ConnectionCommand.Open(connection.id, connection.endpoint, openTimeoutMs, waiter.openCount > 1));
     }
 
     private void scheduleWake(double nowMs, ConnectionWaiter waiter) {
-        boolean mayOpenAnother = waiter.opened < MAX_OPENS_PER_WAITER;
+        boolean mayOpenAnother = waiter.openCount < MAX_OPENS_PER_WAITER;
         wakeAt(waiter, mayOpenAnother ? Math.min(waiter.deadlineMs, nowMs + lateAfterMs()) : waiter.deadlineMs);
     }
 
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionWaiter.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionWaiter.java
@@ -7,7 +7,7 @@
     final double deadlineMs;
     double nextWakeMs;
     /** Connections opened for it. */
-    int opened;
+    int openCount;
 
     int localFailures;
 
@@ -19,7 +19,7 @@
 
     /** Why it ended without a connection, once its deadline has passed. */
     ConnectionCommand.FailureReason timeoutReason() {
-        return opened == 0 && localFailures > 0
+        return openCount == 0 && localFailures > 0
                 ? ConnectionCommand.FailureReason.FAILED_LOCALLY
                 : ConnectionCommand.FailureReason.CONNECT_FAILED;
     }
--- a/core/src/main/java/brackenbridge/core/connection/EndpointConnections.java
+++ b/core/src/main/java/brackenbridge/core/connection/EndpointConnections.java
@@ -18,7 +18,7 @@
     boolean needsOpening(double nowMs, double lateAfterMs) {
         int expectedSoon = 0;
         for (PooledConnection connection : opening) {
-            expectedSoon += connection.inStateMs(nowMs) < lateAfterMs ? 1 : 0;
+            expectedSoon += connection.timeInStateMs(nowMs) < lateAfterMs ? 1 : 0;
         }
         return expectedSoon < waiters.size();
     }
--- a/core/src/main/java/brackenbridge/core/connection/PooledConnection.java
+++ b/core/src/main/java/brackenbridge/core/connection/PooledConnection.java
@@ -25,17 +25,17 @@
         this.stateSinceMs = nowMs;
     }
 
-    double inStateMs(double nowMs) {
+    double timeInStateMs(double nowMs) {
         return nowMs - stateSinceMs;
     }
 
-    void enter(State newState, double nowMs) {
+    void enterState(State newState, double nowMs) {
         state = newState;
         stateSinceMs = nowMs;
     }
 
     void assignFromIdle(double nowMs) {
-        idleBeforeAssignMs = inStateMs(nowMs);
+        idleBeforeAssignMs = timeInStateMs(nowMs);
     }
 
     /** Marks that it carries an attempt next without having been idle. */
--- a/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
+++ b/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
@@ -19,7 +19,7 @@
 
     private final LeaseTerms terms;
     private final RandomGenerator random;
-    private double lastMs = Double.NEGATIVE_INFINITY;
+    private double lastRequestMs = Double.NEGATIVE_INFINITY;
     private int failures;
 
     /** The schedule of one holder. */
@@ -40,7 +40,7 @@
 
     /** A request was sent now. */
     public void onRequestSent(double nowMs) {
-        lastMs = nowMs;
+        lastRequestMs = nowMs;
     }
 
     /** When the first request is due; also the first at another authority, after the old one was lost. */
@@ -57,7 +57,8 @@
         failures = 0;
         return newer
                 ? nextAfterHintMs(nowMs)
-                : notBefore(lastMs + terms.leaseMs() / REGULAR_REQUESTS_PER_LEASE * (0.75 + random.nextDouble() / 2));
+                : notBefore(lastRequestMs
+                        + terms.leaseMs() / REGULAR_REQUESTS_PER_LEASE * (0.75 + random.nextDouble() / 2));
     }
 
     /** A hint of a newer decision has arrived: when to send a request for it. */
@@ -75,6 +76,6 @@
     }
 
     private double notBefore(double atMs) {
-        return Math.max(atMs, lastMs + minIntervalMs());
+        return Math.max(atMs, lastRequestMs + minIntervalMs());
     }
 }
--- a/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
+++ b/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
@@ -37,7 +37,7 @@
                             Math.min(one.share(), other.share()),
                             smallerIfSet(one.quotaPerSecond(), other.quotaPerSecond()))));
         }
-        return classes.isEmpty() ? Optional.empty() : Optional.of(with(left, right, classes, tenants));
+        return classes.isEmpty() ? Optional.empty() : Optional.of(combine(left, right, classes, tenants));
     }
 
     /**
@@ -116,7 +116,7 @@
         return left == 0 ? right : right == 0 ? left : Math.min(left, right);
     }
 
-    private static BalancerSettings with(
+    private static BalancerSettings combine(
             BalancerSettings left, BalancerSettings right, List<RequestClass> classes, List<TenantShare> tenants) {
         NetworkSettings net = new NetworkSettings(
                 Math.min(left.network().connectTimeout(), right.network().connectTimeout()),
--- a/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
@@ -133,13 +133,13 @@
             return List.of();
         }
         currentCall = -1;
-        failures = heardOnCall() && nowMs - openedAtMs >= MIN_STABLE_WATCH_MS ? 1 : failures + 1;
+        failures = messageReceivedOnCall() && nowMs - openedAtMs >= MIN_STABLE_WATCH_MS ? 1 : failures + 1;
         nextOpenMs = nowMs + source.retryDelayMs(failures, random);
         return advance(nowMs);
     }
 
     /** Whether the current call, or the last one, has brought any message. */
-    private boolean heardOnCall() {
+    private boolean messageReceivedOnCall() {
         return listReceivedOnCall || lastMessageMs >= openedAtMs;
     }
 
@@ -160,7 +160,7 @@
     /** Does what is due, and schedules a timer for what is due next. */
     private List<DiscoveryCommand> advance(double nowMs) {
         List<DiscoveryCommand> commands = new ArrayList<>();
-        if (currentCall >= 0 && nowMs >= lastHeardMs() + silenceMs) {
+        if (currentCall >= 0 && nowMs >= lastActivityMs() + silenceMs) {
             commands.add(new DiscoveryCommand.EndCall(currentCall, true));
             currentCall = -1;
             // Silence does not mean that discovery rejects calls.
@@ -174,7 +174,7 @@
             nextOpenMs = Double.POSITIVE_INFINITY;
             commands.add(new DiscoveryCommand.OpenWatch(currentCall, version));
         }
-        double dueMs = currentCall >= 0 ? lastHeardMs() + silenceMs : nextOpenMs;
+        double dueMs = currentCall >= 0 ? lastActivityMs() + silenceMs : nextOpenMs;
         if (dueMs < nextWakeMs) {
             nextWakeMs = dueMs;
             commands.add(new DiscoveryCommand.Wake(dueMs, ++currentTimer));
@@ -182,7 +182,7 @@
         return commands;
     }
 
-    private double lastHeardMs() {
+    private double lastActivityMs() {
         return Math.max(openedAtMs, lastMessageMs);
     }
 }
--- a/core/src/main/java/brackenbridge/core/observe/TrafficObserver.java
+++ b/core/src/main/java/brackenbridge/core/observe/TrafficObserver.java
@@ -43,7 +43,7 @@
             int inFlight) {
         static final PoolTally NONE = new PoolTally(0, 0, 0, 0, 0, 0, 0, 0);
 
-        PoolTally sent(boolean isFirst) {
+        PoolTally withAttemptStarted(boolean isFirst) {
             return new PoolTally(
                     firstAttempts + (isFirst ? 1 : 0),
                     attempts + 1,
@@ -55,7 +55,7 @@
                     inFlight + 1);
         }
 
-        PoolTally ended(boolean ok, boolean counts, double ms) {
+        PoolTally withAttemptEnded(boolean ok, boolean counts, double ms) {
             return new PoolTally(
                     firstAttempts,
                     attempts,
@@ -95,7 +95,7 @@
     /** An attempt is sent to a server. */
     public void onAttemptStarted(PoolKey key, boolean first) {
         if (pools.size() < MAX_POOLS || pools.containsKey(key)) {
-            pools.put(key, pools.getOrDefault(key, PoolTally.NONE).sent(first));
+            pools.put(key, pools.getOrDefault(key, PoolTally.NONE).withAttemptStarted(first));
         }
     }
 
@@ -107,7 +107,7 @@
      * @param ms how long it was in flight
      */
     public void onAttemptEnded(PoolKey key, boolean served, boolean counts, double ms) {
-        pools.computeIfPresent(key, (pool, tally) -> tally.ended(served, counts, ms));
+        pools.computeIfPresent(key, (pool, tally) -> tally.withAttemptEnded(served, counts, ms));
     }
 
     /** A request was rejected. */
--- a/core/src/main/java/brackenbridge/counters/Counters.java
+++ b/core/src/main/java/brackenbridge/counters/Counters.java
@@ -9,7 +9,7 @@
 
     private final EnumMap<Counter, Long> counts = new EnumMap<>(Counter.class);
     private final Map<String, EnumMap<Counter, Long>> byClass = new TreeMap<>();
-    private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> rejected =
+    private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> rejections =
             new EnumMap<>(RejectionReason.Port.class);
 
     /** Counts one. */
@@ -19,7 +19,8 @@
 
     /** Counts one rejection, or one closed connection, at a port. */
     public void countRejection(RejectionReason.Port port, RejectionReason reason) {
-        rejected.computeIfAbsent(port, key -> new EnumMap<>(RejectionReason.class))
+        rejections
+                .computeIfAbsent(port, key -> new EnumMap<>(RejectionReason.class))
                 .merge(reason, 1L, Long::sum);
     }
 
@@ -62,8 +63,10 @@
         for (Counter counter : Counter.values()) {
             text.append(counter.key()).append(' ').append(get(counter)).append('\n');
         }
-        rejected.forEach((port, reasons) -> reasons.forEach((reason, count) ->
-                text.append(name(port, reason)).append(' ').append(count).append('\n')));
+        rejections.forEach((port, reasons) -> reasons.forEach((reason, count) -> text.append(rejectionKey(port, reason))
+                .append(' ')
+                .append(count)
+                .append('\n')));
         return text.toString();
     }
 
@@ -76,14 +79,14 @@
                     .append('=')
                     .append(entry.getValue());
         }
-        rejected.forEach((port, reasons) -> reasons.forEach((reason, count) -> line.append(line.isEmpty() ? "" : " ")
-                .append(name(port, reason))
+        rejections.forEach((port, reasons) -> reasons.forEach((reason, count) -> line.append(line.isEmpty() ? "" : " ")
+                .append(rejectionKey(port, reason))
                 .append('=')
                 .append(count)));
         return line.toString();
     }
 
-    private static String name(RejectionReason.Port port, RejectionReason reason) {
+    private static String rejectionKey(RejectionReason.Port port, RejectionReason reason) {
         return "refused_" + port.key() + "_" + reason.key();
     }
 }
--- a/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
+++ b/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
@@ -16,27 +16,28 @@
         counters.classNames().forEach(classNames::add);
         StringBuilder text = new StringBuilder(512);
         for (String className : classNames) {
-            line(text, "ok." + className, counters.get(Counter.ANSWERED_SERVED, className), 'c');
-            line(text, "shed." + className, counters.get(Counter.ANSWERED_REJECTED, className), 'c');
-            line(
+            appendMetric(text, "ok." + className, counters.get(Counter.ANSWERED_SERVED, className), 'c');
+            appendMetric(text, "shed." + className, counters.get(Counter.ANSWERED_REJECTED, className), 'c');
+            appendMetric(
                     text,
                     "errors." + className,
                     counters.get(Counter.ANSWERED_FAILED, className)
                             + counters.get(Counter.ANSWERED_INVALID_REQUEST, className),
                     'c');
         }
-        line(text, "tries", counters.get(Counter.ATTEMPTS_WRITTEN), 'c');
-        line(text, "active", gauges.active(), 'g');
-        line(text, "pool_size", gauges.poolSize(), 'g');
-        line(text, "pool_ejected", gauges.poolEjected(), 'g');
+        appendMetric(text, "tries", counters.get(Counter.ATTEMPTS_WRITTEN), 'c');
+        appendMetric(text, "active", gauges.active(), 'g');
+        appendMetric(text, "pool_size", gauges.poolSize(), 'g');
+        appendMetric(text, "pool_ejected", gauges.poolEjected(), 'g');
         // Shows operators that discovery is lost: it stays below some 3,000 otherwise. -1: no message so far.
-        line(text, "discovery_silent_ms", Double.isInfinite(gauges.silentMs()) ? -1 : (long) gauges.silentMs(), 'g');
-        line(text, "config_applied", counters.get(Counter.RECONFIGURED), 'c');
-        line(text, "config_rejected", counters.get(Counter.RECONFIGURE_FAILED), 'c');
+        appendMetric(
+                text, "discovery_silent_ms", Double.isInfinite(gauges.silentMs()) ? -1 : (long) gauges.silentMs(), 'g');
+        appendMetric(text, "config_applied", counters.get(Counter.RECONFIGURED), 'c');
+        appendMetric(text, "config_rejected", counters.get(Counter.RECONFIGURE_FAILED), 'c');
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value, char type) {
+    private static void appendMetric(StringBuilder text, String name, long value, char type) {
         text.append("proxy.")
                 .append(name)
                 .append(':')
--- a/core/src/test/java/brackenbridge/clock/ClockTest.java
+++ b/core/src/test/java/brackenbridge/clock/ClockTest.java
@@ -13,7 +13,7 @@
     private final Clock clock = Clock.from(wallMs::get, monotonicNs::get);
 
     @Test
-    void stepsOfTheWallClockLeaveSpansAsTheyAre() {
+    void wallClockStepsDoNotChangeDurations() {
         double before = clock.nowMs();
         for (long step : new long[] {-HOUR_MS, 2 * HOUR_MS, -3000, 3000}) {
             wallMs.addAndGet(step);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void processesOnBothSidesOfAStepHaveOriginsApart() {
+    void processesStartedBeforeAndAfterAStepHaveDifferentOrigins() {
         wallMs.addAndGet(-HOUR_MS);
         assertEquals(
                 clock.nowMs() - HOUR_MS,
--- a/core/src/test/java/brackenbridge/core/balancing/RulesTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/BalancerInvariantsTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Checks the rules on every action of the balancer under random legal events. */
-class RulesTest {
+class BalancerInvariantsTest {
     private static final int STEPS = 2000;
 
     @Test
-    void randomEventsNeverBreakTheRules() {
+    void randomEventsNeverViolateTheInvariants() {
         int retries = 0;
         int rejections = 0;
         int failures = 0;
         for (long seed = 1; seed <= 24; seed++) {
-            RuleCheckingActions actions = RandomBalancerHistory.run(seed, STEPS);
+            InvariantCheckingActions actions = RandomBalancerHistory.run(seed, STEPS);
             assertTrue(actions.attempts > 300, "the history sends attempts");
             retries += actions.retries;
             rejections += actions.rejections;
--- a/core/src/test/java/brackenbridge/core/balancing/ColdFleetPlan.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdStartParameters.java
@@ -1,7 +1,7 @@
 package brackenbridge.core.balancing;
 
 /**
- * What {@link ColdFleet} simulates; times are in microseconds.
+ * What {@link ColdStartSimulation} simulates; times are in microseconds.
  *
  * @param scenario what happens to the servers and the traffic
  * @param fault what else goes wrong
@@ -12,7 +12,7 @@
  * @param overloadWindow the settings' time
  * @param seed the seed of all random draws
  */
-record ColdFleetPlan(
+record ColdStartParameters(
         Scenario scenario,
         Fault fault,
         int nodes,
@@ -26,11 +26,11 @@
         /** Six in ten servers are replaced within 7 s. */
         REPLACED,
         /** Half of the servers are lost for 5 s and return together, cold. */
-        ZONE,
+        ZONE_RETURN,
         /** Three in ten restart, and from their return on the traffic is two and a half times as much for 3 s. */
         BURST,
         /** All servers and nodes have just started. */
-        FRESH
+        ALL_START
     }
 
     /** What else goes wrong. */
@@ -45,7 +45,7 @@
         /** Servers restart in an instant, and the notice of it arrives 0.3 s to 1.5 s later. */
         LATE_NOTICE,
         /** The settings name twice the time from 1 s after the servers' start on, as all nodes read in an instant. */
-        LONGER_TIME,
+        LONGER_OVERLOAD_WINDOW,
         /** Half of the nodes are replaced by new processes half a second after the servers' start. */
         RESTARTED_NODES,
         /** Each node gets a successor beside it half a second after the servers' start, and ends 2 s later. */
--- a/core/src/test/java/brackenbridge/core/balancing/ColdFleetResult.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdStartResult.java
@@ -1,7 +1,7 @@
 package brackenbridge.core.balancing;
 
 /**
- * What a simulated {@link ColdFleet} has shown.
+ * What a simulated {@link ColdStartSimulation} has shown.
  *
  * @param worst the most that a cold server received in any window, over N + 2 sqrt(N) + 2
  * @param worstOfLimit the most over the limit in force, with N + 3 sqrt(N) + 3 for N below 30; windows count of
@@ -16,15 +16,15 @@
  * @param mostAtOnce the most attempts in flight for one request
  * @param retries attempts after the first
  */
-record ColdFleetResult(
-        double worst,
-        double worstOfLimit,
-        double leastN,
-        double mostN,
-        int fallen,
-        int lives,
-        int asked,
+record ColdStartResult(
+        double worstRatio,
+        double worstRatioToLimit,
+        double minAllowed,
+        double maxAllowed,
+        int failedIncarnations,
+        int incarnations,
+        int requests,
         int served,
         int coldServed,
-        int mostAtOnce,
+        int maxConcurrentAttempts,
         int retries) {}
--- a/core/src/test/java/brackenbridge/core/balancing/ColdFleet.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdStartSimulation.java
@@ -1,7 +1,7 @@
 package brackenbridge.core.balancing;
 
-import brackenbridge.core.balancing.ColdFleetPlan.Fault;
-import brackenbridge.core.balancing.ColdFleetPlan.Scenario;
+import brackenbridge.core.balancing.ColdStartParameters.Fault;
+import brackenbridge.core.balancing.ColdStartParameters.Scenario;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * Simulates a fleet of nodes, each with its own instance and its own part of the traffic, against servers that restart,
  * and compares what each cold server receives from all of them with its limit. In simulated time, from one seed.
  */
-final class ColdFleet {
+final class ColdStartSimulation {
     /** A request that reached a cold server, and whether its node had been notified of the start when it sent it. */
     private record Arrival(long at, boolean notified) {}
 
@@ -29,14 +29,14 @@
     private static final int USUAL_WORKERS = 2;
 
     private static final long MEAN_WORK_US = 100 * MILLISECOND_US;
-    private static final long MAX_LATENESS_US = SECOND_US;
-    private static final double COLD_FROM = 0.3;
-    private static final long WARM_AFTER = 8 * SECOND_US;
+    private static final long MAX_CONNECT_DELAY_US = SECOND_US;
+    private static final double COLD_CAPACITY_RATIO = 0.3;
+    private static final long WARM_UP_TIME_US = 8 * SECOND_US;
     private static final long BEGIN_US = 1000 * SECOND_US;
     private static final long RESTARTS_AT_US = BEGIN_US + 12 * SECOND_US;
     private static final long END_US = BEGIN_US + 32 * SECOND_US;
 
-    private record Due(long at, long order, Runnable what) {}
+    private record Due(long at, long order, Runnable action) {}
 
     private static final class Server {
         final long id;
@@ -44,7 +44,7 @@
         boolean down;
         int incarnation;
         int busy;
-        boolean fallen;
+        boolean failed;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
         /** What came while it was cold, and the part of it that is within the last window. */
         final List<Arrival> arrivals = new ArrayList<>();
@@ -69,7 +69,7 @@
             balancer = new Balancer(settings(me, peers), this);
         }
 
-        void list(EndpointListKind kind, List<Endpoint> entries) {
+        void sendList(EndpointListKind kind, List<Endpoint> entries) {
             entries.forEach(e -> notifiedStart[(int) e.id()] = e.startedAt());
             balancer.onEndpointList(now, kind, entries);
         }
@@ -78,12 +78,12 @@
         public void startAttempt(long request, long endpoint, long timeout) {
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
             retries += attempt > 0 ? 1 : 0;
-            mostAtOnce = Math.max(mostAtOnce, out.merge(request, 1, Integer::sum));
+            maxConcurrentAttempts = Math.max(maxConcurrentAttempts, inFlight.merge(request, 1, Integer::sum));
             long sent = now;
             Server server = servers.get((int) endpoint);
             boolean notified = notifiedStart[(int) server.id] == server.startedAt;
             after(
-                    connecting(server) + MILLISECOND_US / 2,
+                    connectDelay(server) + MILLISECOND_US / 2,
                     () -> receiveAttempt(this, request, attempt, server, sent, notified));
         }
 
@@ -100,7 +100,7 @@
 
         @Override
         public void setTimer(long at, String token) {
-            queue.add(new Due(at, made++, () -> balancer.onTimer(now, token)));
+            events.add(new Due(at, eventsScheduled++, () -> balancer.onTimer(now, token)));
         }
 
         @Override
@@ -109,37 +109,37 @@
         }
     }
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
+    private final PriorityQueue<Due> events = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final Map<Long, Integer> out = new HashMap<>();
+    private final Map<Long, Integer> inFlight = new HashMap<>();
     private final List<Server> servers = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
     private final SplittableRandom random;
-    private final ColdFleetPlan plan;
-    private final Scenario day;
+    private final ColdStartParameters parameters;
+    private final Scenario scenario;
     /** The settings' time, as it is now. */
-    private long fall;
+    private long overloadWindow;
 
     private final double allShares;
     private long now = BEGIN_US;
-    private long made;
+    private long eventsScheduled;
     private long requests;
-    private double worst;
-    private double worstOfLimit;
-    private double leastN = Double.POSITIVE_INFINITY;
-    private double mostN;
-    private int fallen;
+    private double worstRatio;
+    private double worstRatioToLimit;
+    private double minAllowed = Double.POSITIVE_INFINITY;
+    private double maxAllowed;
+    private int failedIncarnations;
     private int incarnations;
     private int served;
     private int coldServed;
-    private int mostAtOnce;
+    private int maxConcurrentAttempts;
     private int retries;
 
-    private ColdFleet(ColdFleetPlan plan) {
-        this.plan = plan;
-        this.day = plan.scenario();
-        this.fall = plan.overloadWindow();
+    private ColdStartSimulation(ColdStartParameters plan) {
+        this.parameters = plan;
+        this.scenario = plan.scenario();
+        this.overloadWindow = plan.overloadWindow();
         random = new SplittableRandom(plan.seed());
         for (int i = 0; i < SERVER_COUNT; i++) {
             servers.add(new Server(i));
@@ -151,13 +151,13 @@
     }
 
     /** Plays one day with servers of two workers and no further trouble. */
-    static ColdFleetResult play(Scenario day, int nodes, double load, double multiple, long fall, long seed) {
-        return play(new ColdFleetPlan(day, Fault.NONE, nodes, USUAL_WORKERS, load, multiple, fall, seed));
+    static ColdStartResult run(Scenario day, int nodes, double load, double multiple, long fall, long seed) {
+        return run(new ColdStartParameters(day, Fault.NONE, nodes, USUAL_WORKERS, load, multiple, fall, seed));
     }
 
     /** Plays one day. */
-    static ColdFleetResult play(ColdFleetPlan plan) {
-        return new ColdFleet(plan).play();
+    static ColdStartResult run(ColdStartParameters plan) {
+        return new ColdStartSimulation(plan).run();
     }
 
     private BalancerSettings settings(int me, int peers) {
@@ -167,7 +167,7 @@
                 peers,
                 0,
                 "here",
-                List.of(Script.safe("read", 1), Script.unsafe("write", 4)),
+                List.of(ScriptedBalancer.idempotentClass("read", 1), ScriptedBalancer.nonIdempotentClass("write", 4)),
                 List.of(),
                 0.1,
                 false,
@@ -177,74 +177,76 @@
                 2 * SECOND_US,
                 true,
                 false,
-                plan.fault() == Fault.HEDGED_BY_CLIENTS,
+                parameters.fault() == Fault.HEDGED_BY_CLIENTS,
                 15 * SECOND_US,
-                COLD_FROM,
-                WARM_AFTER,
-                plan.multiple(),
-                fall,
+                COLD_CAPACITY_RATIO,
+                WARM_UP_TIME_US,
+                parameters.multiple(),
+                overloadWindow,
                 NetworkSettings.DEFAULT);
     }
 
-    private ColdFleetResult play() {
-        if (day == Scenario.FRESH) {
+    private ColdStartResult run() {
+        if (scenario == Scenario.ALL_START) {
             servers.forEach(server -> {
                 server.startedAt = now;
                 incarnations++;
             });
         }
         for (Node node : nodes) {
-            node.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
+            node.sendList(
+                    EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
             scheduleArrivals(node);
         }
-        int hit = switch (day) {
+        int hit = switch (scenario) {
             case REPLACED -> 6;
-            case ZONE -> 5;
+            case ZONE_RETURN -> 5;
             case BURST -> 3;
-            case FRESH -> 0;
+            case ALL_START -> 0;
         };
         for (int i = 0; i < hit; i++) {
             Server server = servers.get(i);
-            long at = RESTARTS_AT_US + (day == Scenario.REPLACED ? i * 7 * SECOND_US / 6 : 0);
-            boolean inAnInstant = plan.fault() == Fault.LATE_NOTICE;
-            long back = at + (inAnInstant ? 0 : (day == Scenario.ZONE ? 5 : 1) * SECOND_US);
+            long at = RESTARTS_AT_US + (scenario == Scenario.REPLACED ? i * 7 * SECOND_US / 6 : 0);
+            boolean inAnInstant = parameters.fault() == Fault.LATE_NOTICE;
+            long back = at + (inAnInstant ? 0 : (scenario == Scenario.ZONE_RETURN ? 5 : 1) * SECOND_US);
             at(at, () -> stop(server, !inAnInstant));
             at(back, () -> restart(server));
         }
-        long firstStart =
-                day == Scenario.FRESH ? BEGIN_US : RESTARTS_AT_US + (day == Scenario.ZONE ? 5 : 1) * SECOND_US;
-        switch (plan.fault()) {
-            case LONGER_TIME -> at(firstStart + SECOND_US, this::lengthen);
+        long firstStart = scenario == Scenario.ALL_START
+                ? BEGIN_US
+                : RESTARTS_AT_US + (scenario == Scenario.ZONE_RETURN ? 5 : 1) * SECOND_US;
+        switch (parameters.fault()) {
+            case LONGER_OVERLOAD_WINDOW -> at(firstStart + SECOND_US, this::lengthenOverloadWindow);
             case RESTARTED_NODES -> at(firstStart + SECOND_US / 2, this::restartNodes);
-            case SUCCESSORS -> at(firstStart + SECOND_US / 2, this::succeed);
+            case SUCCESSORS -> at(firstStart + SECOND_US / 2, this::startSuccessors);
             default -> {
                 // Nothing happens at one instant.
             }
         }
-        while (!queue.isEmpty() && queue.peek().at() <= END_US) {
-            Due due = queue.poll();
+        while (!events.isEmpty() && events.peek().at() <= END_US) {
+            Due due = events.poll();
             now = Math.max(now, due.at());
-            due.what().run();
+            due.action().run();
         }
-        return new ColdFleetResult(
-                worst,
-                worstOfLimit,
-                leastN,
-                mostN,
-                fallen,
+        return new ColdStartResult(
+                worstRatio,
+                worstRatioToLimit,
+                minAllowed,
+                maxAllowed,
+                failedIncarnations,
                 incarnations,
                 (int) requests,
                 served,
                 coldServed,
-                mostAtOnce,
+                maxConcurrentAttempts,
                 retries);
     }
 
     /** All nodes read new settings. */
-    private void lengthen() {
-        fall *= 2;
+    private void lengthenOverloadWindow() {
+        overloadWindow *= 2;
         for (int i = 0; i < nodes.size(); i++) {
-            nodes.get(i).balancer.onSettings(now, settings(i, plan.nodes()));
+            nodes.get(i).balancer.onSettings(now, settings(i, parameters.nodes()));
         }
     }
 
@@ -258,7 +260,7 @@
     }
 
     /** A new process beside each, with half of its traffic; in two seconds with all of it. */
-    private void succeed() {
+    private void startSuccessors() {
         List<Node> before = List.copyOf(nodes);
         for (int i = 0; i < before.size(); i++) {
             Node old = before.get(i);
@@ -273,22 +275,22 @@
     }
 
     private Node startProcess(int me, double share) {
-        Node node = new Node(me, plan.nodes(), share);
-        node.list(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
+        Node node = new Node(me, parameters.nodes(), share);
+        node.sendList(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
         scheduleArrivals(node);
         return node;
     }
 
     /** How long it takes until a request sent now to this server can be written. */
-    private long connecting(Server server) {
-        if (plan.fault() == Fault.LATE_CONNECTIONS) {
-            return random.nextInt(3) == 0 ? random.nextLong(MAX_LATENESS_US) : 0;
+    private long connectDelay(Server server) {
+        if (parameters.fault() == Fault.LATE_CONNECTIONS) {
+            return random.nextInt(3) == 0 ? random.nextLong(MAX_CONNECT_DELAY_US) : 0;
         }
-        return plan.fault() == Fault.LATE_ACCEPT ? Math.max(0, server.startedAt + MAX_LATENESS_US - now) : 0;
+        return parameters.fault() == Fault.LATE_ACCEPT ? Math.max(0, server.startedAt + MAX_CONNECT_DELAY_US - now) : 0;
     }
 
     private void at(long when, Runnable what) {
-        queue.add(new Due(when, made++, what));
+        events.add(new Due(when, eventsScheduled++, what));
     }
 
     private void after(long time, Runnable what) {
@@ -316,7 +318,7 @@
         server.arrivals.clear();
         server.windowFrom = 0;
         server.windowNotified = 0;
-        server.fallen = false;
+        server.failed = false;
         incarnations++;
         notifyNodes(server);
     }
@@ -324,12 +326,12 @@
     /** The notice reaches each node a little later. */
     private void notifyNodes(Server server) {
         Endpoint entry = entry(server);
-        boolean late = plan.fault() == Fault.LATE_NOTICE;
+        boolean late = parameters.fault() == Fault.LATE_NOTICE;
         for (Node node : nodes) {
             long delay = late
                     ? 300 * MILLISECOND_US + random.nextLong(1200 * MILLISECOND_US)
                     : 50 * MILLISECOND_US + random.nextLong(250 * MILLISECOND_US);
-            after(delay, () -> node.list(EndpointListKind.CHANGES, List.of(entry)));
+            after(delay, () -> node.sendList(EndpointListKind.CHANGES, List.of(entry)));
         }
     }
 
@@ -338,8 +340,9 @@
             return;
         }
         boolean burst =
-                day == Scenario.BURST && now >= RESTARTS_AT_US + SECOND_US && now < RESTARTS_AT_US + 4 * SECOND_US;
-        double perSecond = plan.load() * SERVER_COUNT * perSecond() * node.share / allShares * (burst ? 2.5 : 1);
+                scenario == Scenario.BURST && now >= RESTARTS_AT_US + SECOND_US && now < RESTARTS_AT_US + 4 * SECOND_US;
+        double perSecond =
+                parameters.load() * SERVER_COUNT * warmCapacityPerSecond() * node.share / allShares * (burst ? 2.5 : 1);
         after((long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND_US), () -> {
             long id = requests++;
             BalancerRequest arrived =
@@ -350,7 +353,7 @@
             } else {
                 node.balancer.onRequest(now, arrived);
             }
-            if (plan.fault() == Fault.HEDGED_BY_CLIENTS && id % 5 == 0) {
+            if (parameters.fault() == Fault.HEDGED_BY_CLIENTS && id % 5 == 0) {
                 hedge(nodes.get((nodes.indexOf(node) + 1) % nodes.size()), arrived.className());
             }
             scheduleArrivals(node);
@@ -366,14 +369,16 @@
     }
 
     /** What a warm server does in a second. */
-    private double perSecond() {
-        return plan.workers() * (double) SECOND_US / MEAN_WORK_US;
+    private double warmCapacityPerSecond() {
+        return parameters.workers() * (double) SECOND_US / MEAN_WORK_US;
     }
 
-    private double warmth(Server server) {
+    private double capacityRatio(Server server) {
         return server.startedAt == 0
                 ? 1
-                : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - server.startedAt) / WARM_AFTER);
+                : Math.min(
+                        1,
+                        COLD_CAPACITY_RATIO + (1 - COLD_CAPACITY_RATIO) * (now - server.startedAt) / WARM_UP_TIME_US);
     }
 
     private void receiveAttempt(Node node, long request, int attempt, Server server, long sent, boolean notified) {
@@ -383,13 +388,13 @@
         }
         node.balancer.onAttemptWritten(now, request, attempt);
         recordArrival(server, notified);
-        if (server.queue.size() >= plan.workers()) {
+        if (server.queue.size() >= parameters.workers()) {
             endAttempt(node, request, attempt, AttemptOutcome.FULL, sent);
             return;
         }
-        boolean cold = warmth(server) < 1;
+        boolean cold = capacityRatio(server) < 1;
         int incarnation = server.incarnation;
-        Runnable work = () -> after((long) (MEAN_WORK_US / warmth(server) * (0.5 + random.nextDouble())), () -> {
+        Runnable work = () -> after((long) (MEAN_WORK_US / capacityRatio(server) * (0.5 + random.nextDouble())), () -> {
             if (server.incarnation != incarnation) {
                 endAttempt(node, request, attempt, AttemptOutcome.RESET, sent);
                 return;
@@ -405,7 +410,7 @@
                 server.busy--;
             }
         });
-        if (server.busy < plan.workers()) {
+        if (server.busy < parameters.workers()) {
             server.busy++;
             work.run();
         } else {
@@ -415,7 +420,7 @@
 
     private void endAttempt(Node node, long request, int attempt, AttemptOutcome outcome, long sent) {
         after(MILLISECOND_US / 2, () -> {
-            out.merge(request, -1, Integer::sum);
+            inFlight.merge(request, -1, Integer::sum);
             node.balancer.onAttemptEnded(
                     now, request, attempt, outcome == AttemptOutcome.OK, outcome, now - sent, null);
         });
@@ -423,32 +428,33 @@
 
     /** Every attempt that reaches a cold server counts, whatever its outcome. */
     private void recordArrival(Server server, boolean notified) {
-        if (warmth(server) >= 1) {
+        if (capacityRatio(server) >= 1) {
             return;
         }
         server.arrivals.add(new Arrival(now, notified));
         server.windowNotified += notified ? 1 : 0;
-        if (server.windowLength != fall) {
-            server.windowLength = fall;
+        if (server.windowLength != overloadWindow) {
+            server.windowLength = overloadWindow;
             server.windowFrom = 0;
             server.windowNotified =
                     (int) server.arrivals.stream().filter(Arrival::notified).count();
         }
-        while (server.arrivals.get(server.windowFrom).at() < now - fall) {
+        while (server.arrivals.get(server.windowFrom).at() < now - overloadWindow) {
             server.windowNotified -= server.arrivals.get(server.windowFrom++).notified() ? 1 : 0;
         }
         int inWindow = server.arrivals.size() - server.windowFrom;
-        double allowed = plan.multiple() * perSecond() * warmth(server) * fall / SECOND_US;
+        double allowed =
+                parameters.multiple() * warmCapacityPerSecond() * capacityRatio(server) * overloadWindow / SECOND_US;
         double ratio = inWindow / (allowed + 2 * Math.sqrt(allowed) + 2);
-        worst = Math.max(worst, ratio);
-        leastN = Math.min(leastN, allowed);
-        mostN = Math.max(mostN, allowed);
+        worstRatio = Math.max(worstRatio, ratio);
+        minAllowed = Math.min(minAllowed, allowed);
+        maxAllowed = Math.max(maxAllowed, allowed);
         if (3 * server.windowNotified > 2 * inWindow) {
-            worstOfLimit = Math.max(worstOfLimit, inWindow / limit(allowed));
+            worstRatioToLimit = Math.max(worstRatioToLimit, inWindow / limit(allowed));
         }
-        if (ratio > 1 && !server.fallen) {
-            server.fallen = true;
-            fallen++;
+        if (ratio > 1 && !server.failed) {
+            server.failed = true;
+            failedIncarnations++;
         }
     }
 
--- a/core/src/test/java/brackenbridge/core/balancing/DecisionModuleTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/DecisionModuleTest.java
@@ -28,7 +28,7 @@
             Pattern.compile("\\b(System|Thread|Runtime|ProcessBuilder|java\\.(io|net|nio|time))\\b");
 
     @Test
-    void deployFileNamesTheModulesSources() throws IOException {
+    void deployFileListsTheModulesSources() throws IOException {
         List<Path> sources = policySources();
 
         assertFalse(sources.isEmpty());
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void moduleUsesNothingButItsOwnTypesAndCollections() throws IOException {
+    void moduleImportsOnlyOwnTypesAndCollections() throws IOException {
         for (Path source : policySources()) {
             String text = Files.readString(source);
             Matcher imported = IMPORT.matcher(text);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void moduleIsFoundWhereItsInterfaceIsNamed() throws IOException {
+    void balancerSourceNamesItsInterface() throws IOException {
         for (Path source : policySources()) {
             if (source.endsWith("Balancer.java")) {
                 String beginning = Files.readString(source).lines().limit(60).reduce("", (a, b) -> a + "\n" + b);
@@ -66,9 +66,9 @@
     }
 
     @Test
-    void everySourceOfCoreIsNamedOnceAsPolicyOrNode() throws IOException {
+    void everyCoreSourceIsListedOnceAsPolicyOrNode() throws IOException {
         List<Path> named = new ArrayList<>(policySources());
-        named.addAll(sourcesNamedBy(NODE));
+        named.addAll(sourcesListedUnder(NODE));
         Path core = ROOT.resolve("core/src/main/java/brackenbridge");
         try (var inside = Files.walk(core)) {
             List<Path> present = inside.filter(path -> path.toString().endsWith(".java"))
@@ -84,10 +84,10 @@
     }
 
     private static List<Path> policySources() throws IOException {
-        return sourcesNamedBy(POLICY);
+        return sourcesListedUnder(POLICY);
     }
 
-    private static List<Path> sourcesNamedBy(Pattern key) throws IOException {
+    private static List<Path> sourcesListedUnder(Pattern key) throws IOException {
         Matcher list = key.matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
         assertTrue(list.find());
         List<Path> sources = new ArrayList<>();
--- a/core/src/test/java/brackenbridge/core/balancing/RuleCheckingActions.java
+++ b/core/src/test/java/brackenbridge/core/balancing/InvariantCheckingActions.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /** Checks each action of a {@link Balancer} against the rules as it is taken. */
-final class RuleCheckingActions implements BalancerActions {
+final class InvariantCheckingActions implements BalancerActions {
     /** A final answer may follow the deadline by this many microseconds. */
     private static final long MAX_ANSWER_LATENESS_US = 16_000;
 
--- a/core/src/test/java/brackenbridge/core/balancing/RandomBalancerHistory.java
+++ b/core/src/test/java/brackenbridge/core/balancing/RandomBalancerHistory.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.RuleCheckingActions.CheckedRequest;
+import brackenbridge.core.balancing.InvariantCheckingActions.CheckedRequest;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,16 +19,16 @@
     private static final int BURST_REQUESTS = 2000;
     private static final int MAX_CANDIDATES = 20;
     private static final List<RequestClass> CLASSES = List.of(
-            Script.safe("safe", 2),
-            Script.unsafe("unsafe", 9),
-            Script.keyed("all", 5, DeduplicationScope.ALL),
-            Script.keyed("zone", 4, DeduplicationScope.ZONE),
-            Script.keyed("cell", 3, DeduplicationScope.CELL),
+            ScriptedBalancer.idempotentClass("safe", 2),
+            ScriptedBalancer.nonIdempotentClass("unsafe", 9),
+            ScriptedBalancer.idempotencyKeyClass("all", 5, DeduplicationScope.ALL),
+            ScriptedBalancer.idempotencyKeyClass("zone", 4, DeduplicationScope.ZONE),
+            ScriptedBalancer.idempotencyKeyClass("cell", 3, DeduplicationScope.CELL),
             new RequestClass(
                     "stream", 500_000, 2_000_000, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, true, 1, 0.5));
 
     private final SplittableRandom random;
-    private final RuleCheckingActions actions = new RuleCheckingActions();
+    private final InvariantCheckingActions actions = new InvariantCheckingActions();
     private final Balancer balancer;
     private long nextRequest = 1;
 
@@ -39,7 +39,7 @@
     }
 
     /** Runs a history of this many steps and returns its checked actions. */
-    static RuleCheckingActions run(long seed, int steps) {
+    static InvariantCheckingActions run(long seed, int steps) {
         RandomBalancerHistory history = new RandomBalancerHistory(seed);
         history.sendEndpointList(EndpointListKind.CACHED, 12);
         for (int i = 0; i < steps; i++) {
--- a/core/src/test/java/brackenbridge/core/balancing/Script.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ScriptedBalancer.java
@@ -7,12 +7,12 @@
 import java.util.PriorityQueue;
 
 /** Plays scripted events at one instance, records its actions and fires its timers in order. */
-final class Script implements BalancerActions {
+final class ScriptedBalancer implements BalancerActions {
     static final long MILLISECOND_US = 1000;
     static final long SECOND_US = 1_000_000;
 
     /** An action as it was taken; the fields that an action lacks are 0. */
-    record Action(String what, long at, long request, long endpoint, long amount) {}
+    record Action(String type, long at, long request, long endpoint, long amount) {}
 
     private record Due(long at, long order, String token) {}
 
@@ -24,25 +24,25 @@
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private long timersSet;
 
-    Script(BalancerSettings settings) {
+    ScriptedBalancer(BalancerSettings settings) {
         balancer = new Balancer(settings, this);
     }
 
-    static RequestClass safe(String name, double worth) {
+    static RequestClass idempotentClass(String name, double worth) {
         return new RequestClass(
                 name, SECOND_US, 3 * SECOND_US, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
     }
 
-    static RequestClass unsafe(String name, double worth) {
-        return unsafe(name, 2 * SECOND_US, worth);
+    static RequestClass nonIdempotentClass(String name, double worth) {
+        return nonIdempotentClass(name, 2 * SECOND_US, worth);
     }
 
-    static RequestClass unsafe(String name, long aim, double worth) {
+    static RequestClass nonIdempotentClass(String name, long aim, double worth) {
         return new RequestClass(
                 name, aim, 5 * aim / 2, Idempotence.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
     }
 
-    static RequestClass keyed(String name, double worth, DeduplicationScope scope) {
+    static RequestClass idempotencyKeyClass(String name, double worth, DeduplicationScope scope) {
         return new RequestClass(
                 name, 2 * SECOND_US, 5 * SECOND_US, Idempotence.IDEMPOTENCY_KEY, scope, SECOND_US, false, worth, 0);
     }
@@ -75,44 +75,44 @@
         return settings(6, false, List.of(), classes);
     }
 
-    static Endpoint up(long id, double weight) {
+    static Endpoint endpointUp(long id, double weight) {
         return new Endpoint(id, id / 4, "here", weight, 0, EndpointState.UP);
     }
 
-    static Endpoint at(long id, String zone, long startedAt, EndpointState state) {
+    static Endpoint endpoint(long id, String zone, long startedAt, EndpointState state) {
         return new Endpoint(id, id / 4, zone, 1, startedAt, state);
     }
 
     /** Lists so many servers of equal weight, ids from 1. */
-    Script servers(int count) {
+    ScriptedBalancer listServers(int count) {
         List<Endpoint> all = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            all.add(up(i, 1));
+            all.add(endpointUp(i, 1));
         }
-        return list(EndpointListKind.CACHED, all.toArray(new Endpoint[0]));
+        return sendList(EndpointListKind.CACHED, all.toArray(new Endpoint[0]));
     }
 
-    Script list(EndpointListKind kind, Endpoint... entries) {
+    ScriptedBalancer sendList(EndpointListKind kind, Endpoint... entries) {
         balancer.onEndpointList(now, kind, List.of(entries));
         return this;
     }
 
-    Script ask(long id, String className) {
-        return ask(id, className, null, -1, 3 * SECOND_US);
+    ScriptedBalancer submit(long id, String className) {
+        return submit(id, className, null, -1, 3 * SECOND_US);
     }
 
-    Script ask(long id, String className, String tenant, long key, long left) {
+    ScriptedBalancer submit(long id, String className, String tenant, long key, long left) {
         balancer.onRequest(now, new BalancerRequest(id, className, tenant, key, left, -1, false));
         return this;
     }
 
-    Script answer(long id, int attempt, AttemptOutcome outcome, long latency) {
+    ScriptedBalancer endAttempt(long id, int attempt, AttemptOutcome outcome, long latency) {
         balancer.onAttemptEnded(now, id, attempt, outcome == AttemptOutcome.OK, outcome, latency, null);
         return this;
     }
 
     /** Lets time pass, firing the timers that fall due. */
-    Script pass(long time) {
+    ScriptedBalancer advance(long time) {
         long until = now + time;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
             Due due = timers.poll();
@@ -123,17 +123,17 @@
         return this;
     }
 
-    List<Action> of(String what) {
-        return actions.stream().filter(a -> a.what().equals(what)).toList();
+    List<Action> actionsOfType(String what) {
+        return actions.stream().filter(a -> a.type().equals(what)).toList();
     }
 
-    List<Long> requests(String what) {
-        return of(what).stream().map(Action::request).toList();
+    List<Long> requestsOfType(String what) {
+        return actionsOfType(what).stream().map(Action::request).toList();
     }
 
     /** Where the request's latest attempt went; -1 if it was never sent. */
-    long target(long request) {
-        return of("send").stream()
+    long lastServerOf(long request) {
+        return actionsOfType("startAttempt").stream()
                 .filter(a -> a.request() == request)
                 .map(Action::endpoint)
                 .reduce(-1L, (a, b) -> b);
@@ -142,12 +142,12 @@
     @Override
     public void startAttempt(long request, long endpoint, long timeout) {
         attempts.merge(request, 1, Integer::sum);
-        actions.add(new Action("send", now, request, endpoint, timeout));
+        actions.add(new Action("startAttempt", now, request, endpoint, timeout));
     }
 
     @Override
     public void reject(long request, long retryAfter) {
-        actions.add(new Action("refuse", now, request, 0, retryAfter));
+        actions.add(new Action("reject", now, request, 0, retryAfter));
     }
 
     @Override
@@ -162,6 +162,6 @@
 
     @Override
     public void startHealthCheck(long endpoint) {
-        actions.add(new Action("probe", now, 0, endpoint, 0));
+        actions.add(new Action("healthCheck", now, 0, endpoint, 0));
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
@@ -16,7 +16,7 @@
 class ServerOrderTest {
     private static final String[] ZONES = {"a", "b", "c"};
     private static final int CHANGE_COUNT = 2000;
-    private static final int MOST_SERVERS = 60;
+    private static final int MAX_SERVERS = 60;
 
     private final SplittableRandom random = new SplittableRandom(11);
     private final ServerOrder order = new ServerOrder();
@@ -28,9 +28,9 @@
     }
 
     @Test
-    void changesOneByOneGiveTheOrderOfAllServersLaidOutAnew() {
+    void incrementalChangesGiveTheOrderOfACompleteRebuild() {
         for (int change = 0; change < CHANGE_COUNT; change++) {
-            if (up.size() < MOST_SERVERS && random.nextInt(up.size() + 1) < MOST_SERVERS / 2) {
+            if (up.size() < MAX_SERVERS && random.nextInt(up.size() + 1) < MAX_SERVERS / 2) {
                 ServerState joins = server(change);
                 up.add(joins);
                 order.add(joins);
@@ -42,12 +42,12 @@
             }
             String zone = random.nextInt(10) == 0 ? "nowhere" : ZONES[random.nextInt(ZONES.length)];
             double start = random.nextDouble();
-            order.layOutOrder(zone, start);
-            assertEquals(laidOut(zone, start), kept());
+            order.rebuild(zone, start);
+            assertEquals(expectedOrder(zone, start), actualOrder());
         }
     }
 
-    private List<Long> kept() {
+    private List<Long> actualOrder() {
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < order.size(); i++) {
             ids.add(order.get(i).id);
@@ -55,15 +55,15 @@
         return ids;
     }
 
-    private List<Long> laidOut(String zone, double start) {
+    private List<Long> expectedOrder(String zone, double start) {
         TreeMap<String, List<ServerState>> zones = new TreeMap<>();
         for (ServerState server : up) {
             zones.computeIfAbsent(server.endpoint.zone(), z -> new ArrayList<>())
                     .add(server);
         }
-        zones.replaceAll((name, servers) -> turned(servers, start));
+        zones.replaceAll((name, servers) -> rotated(servers, start));
         List<ServerState> own = zones.getOrDefault(zone, List.of());
-        assertEquals(own.size(), order.inOwnZone());
+        assertEquals(own.size(), order.ownZoneSize());
         List<Long> all = new ArrayList<>();
         own.forEach(server -> all.add(server.id));
         zones.remove(zone);
@@ -79,7 +79,7 @@
         return all;
     }
 
-    private static List<ServerState> turned(List<ServerState> zone, double start) {
+    private static List<ServerState> rotated(List<ServerState> zone, double start) {
         List<ServerState> sorted = new ArrayList<>(zone);
         sorted.sort(Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id));
         int from = (int) (start * sorted.size());
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void inALargeZoneChangesElsewhereLeaveTheFirstServersAsTheyAre() {
+    void startInLargeZoneIsStableUnderOtherChanges() {
         int servers = 3200;
         int reach = 16;
         int grain = servers / 256;
@@ -99,8 +99,8 @@
             up.add(joins);
             order.add(joins);
         }
-        order.layOutOrder("a", start);
-        Set<Long> first = new HashSet<>(kept().subList(0, reach));
+        order.rebuild("a", start);
+        Set<Long> first = new HashSet<>(actualOrder().subList(0, reach));
         int entered = 0;
         for (int change = 0; change < 2 * servers; change++) {
             if (up.size() < servers) {
@@ -111,9 +111,11 @@
                 ServerState leaves = up.remove(random.nextInt(up.size()));
                 order.remove(leaves, "a");
             }
-            order.layOutOrder("a", start);
+            order.rebuild("a", start);
             if (change % 64 == 0) {
-                assertTrue(fromExact("a", start) <= grain, "it stays near the part of the ring that is its own");
+                assertTrue(
+                        distanceFromExactStart("a", start) <= grain,
+                        "it stays near the part of the ring that is its own");
             }
             Set<Long> now = new HashSet<>(prefix(reach));
             entered += reach;
@@ -138,8 +140,8 @@
     }
 
     /** How many servers lie between the exact beginning and the one that is kept. */
-    private int fromExact(String zone, double start) {
-        int place = laidOut(zone, start).indexOf(order.get(0).id);
+    private int distanceFromExactStart(String zone, double start) {
+        int place = expectedOrder(zone, start).indexOf(order.get(0).id);
         return Math.min(place, up.size() - place);
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/SlowStartFleetTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/SlowStartFleetTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.ColdFleetPlan.Fault;
-import brackenbridge.core.balancing.ColdFleetPlan.Scenario;
+import brackenbridge.core.balancing.ColdStartParameters.Fault;
+import brackenbridge.core.balancing.ColdStartParameters.Scenario;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -21,8 +21,8 @@
      * @param demand so many times the usual traffic, so that also nodes with little of it have requests waiting
      */
     private record Fleet(int nodes, int workers, double multiple, double demand) {
-        ColdFleetPlan on(Scenario day, Fault trouble, double load, long seed) {
-            return new ColdFleetPlan(day, trouble, nodes, workers, load * demand, multiple, SECOND, seed);
+        ColdStartParameters parameters(Scenario day, Fault trouble, double load, long seed) {
+            return new ColdStartParameters(day, trouble, nodes, workers, load * demand, multiple, SECOND, seed);
         }
     }
 
@@ -36,54 +36,54 @@
         new Fleet(1, 20, 1, 1), new Fleet(2, 20, 1, 1), new Fleet(30, 10, 1, 1), new Fleet(1200, 20, 1, 3)
     };
 
-    private static Stream<ColdFleetPlan> plans(Fleet[] fleets) {
+    private static Stream<ColdStartParameters> parametersFor(Fleet[] fleets) {
         return Stream.of(fleets)
                 .flatMap(f -> Stream.of(Scenario.values())
-                        .flatMap(day -> Stream.of(0.9, 1.5).map(load -> f.on(day, Fault.NONE, load, 1))));
+                        .flatMap(day -> Stream.of(0.9, 1.5).map(load -> f.parameters(day, Fault.NONE, load, 1))));
     }
 
-    static Stream<ColdFleetPlan> smallServers() {
-        return plans(SMALL);
+    static Stream<ColdStartParameters> smallServers() {
+        return parametersFor(SMALL);
     }
 
-    static Stream<ColdFleetPlan> largeServers() {
-        return plans(LARGE);
+    static Stream<ColdStartParameters> largeServers() {
+        return parametersFor(LARGE);
     }
 
-    static Stream<ColdFleetPlan> troubles() {
+    static Stream<ColdStartParameters> faults() {
         Fleet[] fleets = {new Fleet(1, 20, 1, 1), new Fleet(30, 2, 1.5, 1), new Fleet(30, 10, 1, 1)};
         return Stream.of(Fault.values())
                 .filter(t -> t != Fault.NONE)
                 .flatMap(t -> Stream.of(fleets)
-                        .flatMap(f -> Stream.of(1L, 2L).map(seed -> f.on(Scenario.BURST, t, 0.9, seed))));
+                        .flatMap(f -> Stream.of(1L, 2L).map(seed -> f.parameters(Scenario.BURST, t, 0.9, seed))));
     }
 
     @ParameterizedTest
     @MethodSource
-    void smallServers(ColdFleetPlan plan) {
-        ColdFleetResult seen = holds(plan);
-        assertTrue(seen.mostN() <= 30, "N: " + seen);
-        assertTrue(plan.nodes() < 1200 || seen.mostN() / plan.nodes() < 0.01, "a node's share: " + seen);
+    void smallServers(ColdStartParameters plan) {
+        ColdStartResult seen = runAndCheckLimit(plan);
+        assertTrue(seen.maxAllowed() <= 30, "N: " + seen);
+        assertTrue(plan.nodes() < 1200 || seen.maxAllowed() / plan.nodes() < 0.01, "a node's share: " + seen);
     }
 
     @ParameterizedTest
     @MethodSource
-    void largeServers(ColdFleetPlan plan) {
-        assertTrue(holds(plan).leastN() >= 30, "N");
+    void largeServers(ColdStartParameters plan) {
+        assertTrue(runAndCheckLimit(plan).minAllowed() >= 30, "N");
     }
 
     @ParameterizedTest
     @MethodSource
-    void troubles(ColdFleetPlan plan) {
-        ColdFleetResult seen = holds(plan);
+    void faults(ColdStartParameters plan) {
+        ColdStartResult seen = runAndCheckLimit(plan);
         assertTrue(seen.retries() > 0, "no request was tried again: " + seen);
     }
 
-    private static ColdFleetResult holds(ColdFleetPlan plan) {
-        ColdFleetResult seen = ColdFleet.play(plan);
-        assertTrue(seen.worstOfLimit() <= 1, "over the limit: " + seen);
-        assertTrue(seen.mostAtOnce() == 1, "attempts at once: " + seen);
-        assertTrue(seen.coldServed() > seen.lives(), "starved: " + seen);
+    private static ColdStartResult runAndCheckLimit(ColdStartParameters plan) {
+        ColdStartResult seen = ColdStartSimulation.run(plan);
+        assertTrue(seen.worstRatioToLimit() <= 1, "over the limit: " + seen);
+        assertTrue(seen.maxConcurrentAttempts() == 1, "attempts at once: " + seen);
+        assertTrue(seen.coldServed() > seen.incarnations(), "starved: " + seen);
         return seen;
     }
 }
--- a/core/src/test/java/brackenbridge/core/balancing/SlowStartPathsTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/SlowStartPathsTest.java
@@ -10,8 +10,8 @@
 
 /** The ways to a server that warms up, one at a time: what comes by each of them counts against the node's share. */
 class SlowStartPathsTest {
-    private static final long MILLISECOND_US = Script.MILLISECOND_US;
-    private static final long SECOND_US = Script.SECOND_US;
+    private static final long MILLISECOND_US = ScriptedBalancer.MILLISECOND_US;
+    private static final long SECOND_US = ScriptedBalancer.SECOND_US;
     private static final long WINDOW_US = 4 * SECOND_US;
     /**
      * Before its first answer a node takes a response time of a quarter of a second: 4 requests a second in 4 s, at
@@ -23,45 +23,47 @@
     private static final long COLD_SERVER = 2;
 
     private static BalancerSettings settings(double multiple, long window) {
-        return Script.settings(1, false, List.of(), Script.safe("read", 1)).withColdOverload(multiple, window);
+        return ScriptedBalancer.settings(1, false, List.of(), ScriptedBalancer.idempotentClass("read", 1))
+                .withColdOverload(multiple, window);
     }
 
     /** A warm server and one that starts now. */
-    private static Script beside(double multiple) {
-        Script script = new Script(settings(multiple, WINDOW_US));
-        return script.list(
+    private static ScriptedBalancer warmAndColdServer(double multiple) {
+        ScriptedBalancer script = new ScriptedBalancer(settings(multiple, WINDOW_US));
+        return script.sendList(
                 EndpointListKind.CACHED,
-                Script.up(WARM_SERVER, 1),
-                Script.at(COLD_SERVER, "here", script.now, EndpointState.UP));
+                ScriptedBalancer.endpointUp(WARM_SERVER, 1),
+                ScriptedBalancer.endpoint(COLD_SERVER, "here", script.now, EndpointState.UP));
     }
 
-    private static long sentTo(Script script, long server) {
-        return script.of("send").stream()
+    private static long sentTo(ScriptedBalancer script, long server) {
+        return script.actionsOfType("startAttempt").stream()
                 .filter(action -> action.endpoint() == server)
                 .count();
     }
 
     /** Ends all attempts that are out, at the cold server as the outcome says. */
-    private static int answerFrom(Script script, int answered, AttemptOutcome warm, AttemptOutcome cold) {
+    private static int endAttemptsFrom(
+            ScriptedBalancer script, int answered, AttemptOutcome warm, AttemptOutcome cold) {
         int next = answered;
-        for (; next < script.of("send").size(); next++) {
-            Script.Action sent = script.of("send").get(next);
+        for (; next < script.actionsOfType("startAttempt").size(); next++) {
+            ScriptedBalancer.Action sent = script.actionsOfType("startAttempt").get(next);
             AttemptOutcome outcome = sent.endpoint() == WARM_SERVER ? warm : cold;
-            script.answer(sent.request(), script.attempts.get(sent.request()) - 1, outcome, 1);
+            script.endAttempt(sent.request(), script.attempts.get(sent.request()) - 1, outcome, 1);
         }
         return next;
     }
 
     /** What the warm server fails goes on to the cold one only within the share. */
     @Test
-    void retries() {
-        Script script = beside(1);
+    void retriesAreCharged() {
+        ScriptedBalancer script = warmAndColdServer(1);
         int answered = 0;
         for (int i = 0; i < 320; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.ERROR, AttemptOutcome.CANCELLED);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.ERROR, AttemptOutcome.CANCELLED);
             script.balancer.onClientDisconnected(script.now, i);
-            script.pass(10 * MILLISECOND_US);
+            script.advance(10 * MILLISECOND_US);
         }
         long sent = sentTo(script, COLD_SERVER);
         assertTrue(sent >= 1 && sent <= MAX_REQUESTS_IN_WINDOW, "sent in 3.2 s: " + sent);
@@ -69,19 +71,19 @@
 
     /** A list that leaves the cold server out, and one that names it again, give it no second share. */
     @Test
-    void withdrawalAndReturn() {
-        Script script = beside(1);
-        Endpoint cold = Script.at(COLD_SERVER, "here", script.now, EndpointState.UP);
+    void removalAndReturnGiveNoSecondShare() {
+        ScriptedBalancer script = warmAndColdServer(1);
+        Endpoint cold = ScriptedBalancer.endpoint(COLD_SERVER, "here", script.now, EndpointState.UP);
         int answered = 0;
         for (int i = 0; i < 320; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.ERROR, AttemptOutcome.CANCELLED);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.ERROR, AttemptOutcome.CANCELLED);
             script.balancer.onClientDisconnected(script.now, i);
-            script.pass(10 * MILLISECOND_US);
+            script.advance(10 * MILLISECOND_US);
             if (i % 80 == 79) {
-                script.list(EndpointListKind.FULL, Script.up(WARM_SERVER, 1));
-                script.pass(10 * MILLISECOND_US);
-                script.list(EndpointListKind.FULL, Script.up(WARM_SERVER, 1), cold);
+                script.sendList(EndpointListKind.FULL, ScriptedBalancer.endpointUp(WARM_SERVER, 1));
+                script.advance(10 * MILLISECOND_US);
+                script.sendList(EndpointListKind.FULL, ScriptedBalancer.endpointUp(WARM_SERVER, 1), cold);
             }
         }
         long sent = sentTo(script, COLD_SERVER);
@@ -90,16 +92,16 @@
 
     /** What waits at a busy warm server is taken over by the cold one only within the share. */
     @Test
-    void takeOvers() {
-        Script script = beside(1);
+    void takeOversAreCharged() {
+        ScriptedBalancer script = warmAndColdServer(1);
         for (int i = 0; i < 320; i++) {
-            script.ask(i, "read");
-            for (Script.Action action : List.copyOf(script.of("send"))) {
+            script.submit(i, "read");
+            for (ScriptedBalancer.Action action : List.copyOf(script.actionsOfType("startAttempt"))) {
                 if (action.endpoint() == COLD_SERVER) {
-                    script.answer(action.request(), 0, AttemptOutcome.CANCELLED, 1);
+                    script.endAttempt(action.request(), 0, AttemptOutcome.CANCELLED, 1);
                 }
             }
-            script.pass(10 * MILLISECOND_US);
+            script.advance(10 * MILLISECOND_US);
         }
         long sent = sentTo(script, COLD_SERVER);
         assertTrue(sent >= 1 && sent <= MAX_REQUESTS_IN_WINDOW, "sent in 3.2 s: " + sent);
@@ -107,81 +109,86 @@
 
     /** Where settings allow two attempts at once, none the less one is out at a time. */
     @Test
-    void hedgedRequestsAreNotMade() {
-        Script script = beside(1000);
+    void noHedgedRequestIsSent() {
+        ScriptedBalancer script = warmAndColdServer(1000);
         for (int i = 0; i < 4; i++) {
-            script.ask(i, "read");
+            script.submit(i, "read");
         }
-        script.pass(2 * SECOND_US);
+        script.advance(2 * SECOND_US);
         script.attempts.forEach((request, attempts) -> assertEquals(1, attempts, "attempts of request " + request));
     }
 
     @Test
-    void noProbeIsSent() {
-        Script script = beside(1);
+    void noHealthCheckIsSent() {
+        ScriptedBalancer script = warmAndColdServer(1);
         int answered = 0;
         for (int i = 0; i < 320; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(
+            script.submit(i, "read");
+            answered = endAttemptsFrom(
                     script,
                     answered,
                     AttemptOutcome.OK,
                     i % 2 == 0 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
-            script.pass(10 * MILLISECOND_US);
+            script.advance(10 * MILLISECOND_US);
         }
-        assertEquals(List.of(), script.of("probe"));
+        assertEquals(List.of(), script.actionsOfType("healthCheck"));
     }
 
     /** The server has restarted, and the word of it comes late: what it got meanwhile counts. */
     @Test
-    void requestsBeforeTheStartIsToldCount() {
-        Script script = new Script(settings(1, WINDOW_US));
-        script.list(EndpointListKind.CACHED, Script.up(COLD_SERVER, 1));
+    void requestsSentBeforeTheRestartIsReportedCount() {
+        ScriptedBalancer script = new ScriptedBalancer(settings(1, WINDOW_US));
+        script.sendList(EndpointListKind.CACHED, ScriptedBalancer.endpointUp(COLD_SERVER, 1));
         int answered = 0;
         long start = script.now;
         for (int i = 0; i < 100; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
-            script.pass(10 * MILLISECOND_US);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            script.advance(10 * MILLISECOND_US);
         }
         assertEquals(100, sentTo(script, COLD_SERVER), "warm, as far as was told");
-        script.list(EndpointListKind.CHANGES, Script.at(COLD_SERVER, "here", start, EndpointState.UP));
+        script.sendList(
+                EndpointListKind.CHANGES, ScriptedBalancer.endpoint(COLD_SERVER, "here", start, EndpointState.UP));
         for (int i = 100; i < 390; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
             script.balancer.onClientDisconnected(script.now, i);
-            script.pass(10 * MILLISECOND_US);
+            script.advance(10 * MILLISECOND_US);
         }
         assertEquals(100, sentTo(script, COLD_SERVER), "more in the window in which it got 100 already");
     }
 
     /** What its process before got doesn't count against a server that has just started. */
     @Test
-    void requestsToTheProcessBeforeDoNotCount() {
-        Script script = new Script(settings(1, WINDOW_US));
-        script.list(EndpointListKind.CACHED, Script.up(COLD_SERVER, 1));
+    void requestsToThePreviousProcessDoNotCount() {
+        ScriptedBalancer script = new ScriptedBalancer(settings(1, WINDOW_US));
+        script.sendList(EndpointListKind.CACHED, ScriptedBalancer.endpointUp(COLD_SERVER, 1));
         for (int i = 0; i < 50; i++) {
-            script.ask(i, "read").answer(i, 0, AttemptOutcome.CANCELLED, 1).pass(10 * MILLISECOND_US);
+            script.submit(i, "read")
+                    .endAttempt(i, 0, AttemptOutcome.CANCELLED, 1)
+                    .advance(10 * MILLISECOND_US);
         }
-        script.list(EndpointListKind.CHANGES, Script.at(COLD_SERVER, "here", script.now, EndpointState.UP));
-        script.ask(100, "read");
+        script.sendList(
+                EndpointListKind.CHANGES, ScriptedBalancer.endpoint(COLD_SERVER, "here", script.now, EndpointState.UP));
+        script.submit(100, "read");
         assertEquals(51, sentTo(script, COLD_SERVER));
     }
 
     /** A longer time is named: what the shorter one has forgotten counts as if the share had been used. */
     @Test
-    void settingsWithALongerTimeGiveNoSecondShare() {
-        Script script = new Script(settings(1, SECOND_US));
-        script.list(EndpointListKind.CACHED, Script.at(COLD_SERVER, "here", script.now, EndpointState.UP));
+    void longerOverloadWindowGivesNoSecondShare() {
+        ScriptedBalancer script = new ScriptedBalancer(settings(1, SECOND_US));
+        script.sendList(
+                EndpointListKind.CACHED, ScriptedBalancer.endpoint(COLD_SERVER, "here", script.now, EndpointState.UP));
         int answered = 0;
         for (int i = 0; i < 390; i++) {
             if (i == 290) {
                 script.balancer.onSettings(script.now, settings(1, WINDOW_US));
             }
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
             script.balancer.onClientDisconnected(script.now, i);
-            script.pass(10 * MILLISECOND_US);
+            script.advance(10 * MILLISECOND_US);
         }
         long sent = sentTo(script, COLD_SERVER);
         assertTrue(sent >= 1 && sent <= MAX_REQUESTS_IN_WINDOW, "sent in 3.9 s: " + sent);
@@ -189,22 +196,23 @@
 
     /** As after settings that named no time, under which nothing was counted. */
     @Test
-    void settingsThatFirstNameATimeGiveNoWholeShare() {
-        Script script = new Script(settings(1, 0));
-        script.list(EndpointListKind.CACHED, Script.at(COLD_SERVER, "here", script.now, EndpointState.UP));
+    void firstOverloadWindowGivesNoFullShare() {
+        ScriptedBalancer script = new ScriptedBalancer(settings(1, 0));
+        script.sendList(
+                EndpointListKind.CACHED, ScriptedBalancer.endpoint(COLD_SERVER, "here", script.now, EndpointState.UP));
         int answered = 0;
         for (int i = 0; i < 100; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
-            script.pass(10 * MILLISECOND_US);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            script.advance(10 * MILLISECOND_US);
         }
         script.balancer.onSettings(script.now, settings(10, WINDOW_US));
         long before = sentTo(script, COLD_SERVER);
         for (int i = 100; i < 200; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
             script.balancer.onClientDisconnected(script.now, i);
-            script.pass(10 * MILLISECOND_US);
+            script.advance(10 * MILLISECOND_US);
         }
         // The whole share is 32 to 46; a second of it is unknown in the beginning and still in the window.
         long sent = sentTo(script, COLD_SERVER) - before;
@@ -213,15 +221,17 @@
 
     /** A new process knows nothing of what its predecessor sent to a server that was warming up already. */
     @Test
-    void newProcessBesideAServerThatHasJustStartedBeginsWithTheRestOfTheWindow() {
-        Script script = new Script(settings(10, WINDOW_US));
-        script.list(EndpointListKind.CACHED, Script.at(COLD_SERVER, "here", script.now - SECOND_US, EndpointState.UP));
+    void newProcessCountsTheTimeBeforeItsStartAsUsed() {
+        ScriptedBalancer script = new ScriptedBalancer(settings(10, WINDOW_US));
+        script.sendList(
+                EndpointListKind.CACHED,
+                ScriptedBalancer.endpoint(COLD_SERVER, "here", script.now - SECOND_US, EndpointState.UP));
         int answered = 0;
         for (int i = 0; i < 100; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.OK, AttemptOutcome.CANCELLED);
             script.balancer.onClientDisconnected(script.now, i);
-            script.pass(MILLISECOND_US);
+            script.advance(MILLISECOND_US);
         }
         // Of 39 at the most in 4 s, the one second before the process counts as used.
         long sent = sentTo(script, COLD_SERVER);
@@ -242,7 +252,7 @@
 
     /** All first connections may come up together, a second after the first draw, when the next window begins. */
     @Test
-    void lostDrawCountsAsLongAsTheFirstConnectionsMayTake() {
+    void lostDrawCountsUntilFirstConnectionsAreOpen() {
         int late = 0;
         int usual = 0;
         for (int seed = 0; seed < 1000; seed++) {
@@ -262,28 +272,31 @@
 
     /** Answers of servers that are gone tell nothing of what those that are left can do. */
     @Test
-    void serversThatLeaveRaiseNoShare() {
+    void removedServersDoNotRaiseTheShare() {
         // With ten peers, so that its part of one request at a time is small beside what it gets answered.
-        Script script = new Script(
-                Script.settings(10, false, List.of(), Script.safe("read", 1)).withColdOverload(0.5, SECOND_US));
+        ScriptedBalancer script = new ScriptedBalancer(
+                ScriptedBalancer.settings(10, false, List.of(), ScriptedBalancer.idempotentClass("read", 1))
+                        .withColdOverload(0.5, SECOND_US));
         for (int i = 1; i <= 10; i++) {
-            script.list(EndpointListKind.CHANGES, Script.up(10 + i, 1));
+            script.sendList(EndpointListKind.CHANGES, ScriptedBalancer.endpointUp(10 + i, 1));
         }
-        script.list(EndpointListKind.CHANGES, Script.at(COLD_SERVER, "here", script.now, EndpointState.UP));
+        script.sendList(
+                EndpointListKind.CHANGES, ScriptedBalancer.endpoint(COLD_SERVER, "here", script.now, EndpointState.UP));
         for (int i = 0; i < 300; i++) {
-            script.ask(i, "read")
-                    .answer(i, 0, AttemptOutcome.OK, 10 * MILLISECOND_US)
-                    .pass(10 * MILLISECOND_US);
+            script.submit(i, "read")
+                    .endAttempt(i, 0, AttemptOutcome.OK, 10 * MILLISECOND_US)
+                    .advance(10 * MILLISECOND_US);
         }
         for (int i = 1; i <= 9; i++) {
-            script.list(EndpointListKind.CHANGES, Script.at(10 + i, "here", 0, EndpointState.REMOVED));
+            script.sendList(
+                    EndpointListKind.CHANGES, ScriptedBalancer.endpoint(10 + i, "here", 0, EndpointState.REMOVED));
         }
         long before = sentTo(script, COLD_SERVER);
-        int answered = script.of("send").size();
+        int answered = script.actionsOfType("startAttempt").size();
         for (int i = 300; i < 380; i++) {
-            script.ask(i, "read");
-            answered = answerFrom(script, answered, AttemptOutcome.CANCELLED, AttemptOutcome.CANCELLED);
-            script.pass(10 * MILLISECOND_US);
+            script.submit(i, "read");
+            answered = endAttemptsFrom(script, answered, AttemptOutcome.CANCELLED, AttemptOutcome.CANCELLED);
+            script.advance(10 * MILLISECOND_US);
         }
         // Half of 10 answers a second for each unit of capacity, at 0.33 of it: 1.7 in a window, and some of the next.
         long sent = sentTo(script, COLD_SERVER) - before;
@@ -292,14 +305,17 @@
 
     /** The node tells when a request is written; until then it counts, though it was chosen a window ago. */
     @Test
-    void nodeTellsWhenARequestIsWritten() {
+    void requestIsChargedUntilItIsReportedWritten() {
         List<Long> sent = new ArrayList<>();
         Balancer balancer = new Balancer(
-                Script.settings(6, false, List.of(), Script.safe("read", 1)).withColdOverload(6, SECOND_US),
-                new ToldActions(sent));
+                ScriptedBalancer.settings(6, false, List.of(), ScriptedBalancer.idempotentClass("read", 1))
+                        .withColdOverload(6, SECOND_US),
+                new WriteReportingActions(sent));
         long start = 1000 * SECOND_US;
         balancer.onEndpointList(
-                start, EndpointListKind.CACHED, List.of(Script.at(COLD_SERVER, "here", start, EndpointState.UP)));
+                start,
+                EndpointListKind.CACHED,
+                List.of(ScriptedBalancer.endpoint(COLD_SERVER, "here", start, EndpointState.UP)));
         for (int i = 0; i < 200; i++) {
             balancer.onStreamedRequest(
                     start + i * 20 * MILLISECOND_US,
@@ -317,7 +333,7 @@
     }
 
     /** Notes what is sent, of a node that tells when requests are written. */
-    private record ToldActions(List<Long> sent) implements BalancerActions {
+    private record WriteReportingActions(List<Long> sent) implements BalancerActions {
         @Override
         public void startAttempt(long request, long endpoint, long timeout) {
             sent.add(request);
--- a/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
+++ b/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 class RuleIntersectionTest {
-    private static BalancerSettings draw(SplittableRandom random) {
+    private static BalancerSettings randomSettings(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
         List<TenantShare> tenants = new ArrayList<>();
         for (String name : List.of("a", "b", "c")) {
@@ -64,12 +64,12 @@
                 new NetworkSettings(1 + random.nextInt(9), random.nextInt(9), true, List.of()));
     }
 
-    private static int breadth(Idempotence idempotence) {
+    private static int permissiveness(Idempotence idempotence) {
         return idempotence == Idempotence.NOT_IDEMPOTENT ? 0 : idempotence == Idempotence.IDEMPOTENCY_KEY ? 1 : 2;
     }
 
     /** Every key of the narrower rules lies within that of each of the two. */
-    private static void within(BalancerSettings narrower, BalancerSettings original) {
+    private static void assertWithin(BalancerSettings narrower, BalancerSettings original) {
         for (RequestClass requestClass : narrower.classes()) {
             RequestClass other = original.classes().stream()
                     .filter(x -> x.name().equals(requestClass.name()))
@@ -78,7 +78,8 @@
             assertTrue(requestClass.latencyObjective() <= other.latencyObjective()
                     && requestClass.deadline() <= other.deadline());
             assertTrue(
-                    breadth(requestClass.idempotence()) <= breadth(other.idempotence()), requestClass + " of " + other);
+                    permissiveness(requestClass.idempotence()) <= permissiveness(other.idempotence()),
+                    requestClass + " of " + other);
             if (requestClass.idempotence() == Idempotence.IDEMPOTENCY_KEY
                     && other.idempotence() == Idempotence.IDEMPOTENCY_KEY) {
                 assertTrue(
@@ -111,10 +112,10 @@
     }
 
     @Property(tries = 300, seed = "24")
-    void whatIsNarrowerLiesWithinBothAndNothingCommonIsLost(@ForAll long seed) {
+    void intersectionLiesWithinBothAndKeepsCommonClasses(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        BalancerSettings first = draw(random);
-        BalancerSettings second = draw(random);
+        BalancerSettings first = randomSettings(random);
+        BalancerSettings second = randomSettings(random);
         Optional<BalancerSettings> intersection = RuleIntersection.of(first, second);
         List<String> common = first.classes().stream()
                 .map(RequestClass::name)
@@ -126,34 +127,34 @@
                         .map(s -> s.classes().stream().map(RequestClass::name).toList())
                         .orElse(List.of()));
         intersection.ifPresent(s -> {
-            within(s, first);
-            within(s, second);
+            assertWithin(s, first);
+            assertWithin(s, second);
         });
         assertEquals(first, RuleIntersection.of(first, first).orElseThrow(), "of one generation alone, that one");
         BalancerSettings doubt = RuleIntersection.inDoubt(first);
-        within(doubt, first);
-        within(RuleIntersection.of(doubt, second).orElse(doubt), doubt);
+        assertWithin(doubt, first);
+        assertWithin(RuleIntersection.of(doubt, second).orElse(doubt), doubt);
     }
 
     @Test
-    void safeClassThatIsKeyedElsewhereIsRepeatedOnlyAsThat() {
+    void idempotentClassTakesTheKeyRulesOfTheOther() {
         SplittableRandom random = new SplittableRandom(1);
-        BalancerSettings any = draw(random);
+        BalancerSettings any = randomSettings(random);
         RequestClass safe =
                 new RequestClass("x", 10, 20, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 1, 0);
         RequestClass keyed =
                 new RequestClass("x", 10, 20, Idempotence.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 7, false, 1, 0);
-        BalancerSettings intersection =
-                RuleIntersection.of(with(any, safe), with(any, keyed)).orElseThrow();
+        BalancerSettings intersection = RuleIntersection.of(withOnlyClass(any, safe), withOnlyClass(any, keyed))
+                .orElseThrow();
         assertEquals(keyed, intersection.classes().get(0));
         assertEquals(
                 intersection.classes(),
-                RuleIntersection.of(with(any, keyed), with(any, safe))
+                RuleIntersection.of(withOnlyClass(any, keyed), withOnlyClass(any, safe))
                         .orElseThrow()
                         .classes());
     }
 
-    private static BalancerSettings with(BalancerSettings settings, RequestClass requestClass) {
+    private static BalancerSettings withOnlyClass(BalancerSettings settings, RequestClass requestClass) {
         return new BalancerSettings(
                 settings.seed(),
                 settings.instanceIndex(),
--- a/core/src/test/java/brackenbridge/core/membership/ReturnFigures.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryRecoveryFigures.java
@@ -1,26 +1,26 @@
 package brackenbridge.core.membership;
 
-import brackenbridge.core.membership.ReturningService.Result;
-import brackenbridge.core.membership.ReturningService.Service;
+import brackenbridge.core.membership.RecoveringDiscoveryService.Result;
+import brackenbridge.core.membership.RecoveringDiscoveryService.Service;
 import java.util.Locale;
 
 /**
  * How much faster than the plain need (all nodes within six seconds) a service of lists has to be for all of its nodes
  * to be answered in time after an outage, by their number, the length of its line and its time-out. Not a test.
  */
-final class ReturnFigures {
+final class DiscoveryRecoveryFigures {
     private static final int[] NODES = {100, 400, 1600};
-    private static final int[] LINES = {17, 77, 400};
-    private static final double[] TIME_OUTS_MS = {1000, 2000};
+    private static final int[] QUEUE_LIMITS = {17, 77, 400};
+    private static final double[] TIMEOUTS_MS = {1000, 2000};
     private static final int SEARCH_STEPS = 14;
 
-    private ReturnFigures() {}
+    private DiscoveryRecoveryFigures() {}
 
     /** Prints a row for each. */
     public static void main(String[] args) {
         for (int nodes : NODES) {
-            for (int line : LINES) {
-                for (double timeOutMs : TIME_OUTS_MS) {
+            for (int line : QUEUE_LIMITS) {
+                for (double timeOutMs : TIMEOUTS_MS) {
                     System.out.println(row(nodes, line, timeOutMs));
                 }
             }
@@ -28,13 +28,13 @@
     }
 
     private static String row(int nodes, int line, double timeOutMs) {
-        double needed = ReturningService.MEASURED_MS / nodes;
-        Result today = ReturningService.play(nodes, new Service(line, timeOutMs, 20));
+        double needed = RecoveringDiscoveryService.MEASURED_TIME_MS / nodes;
+        Result today = RecoveringDiscoveryService.simulate(nodes, new Service(line, timeOutMs, 20));
         double slowest = 0;
         double tooSlow = needed;
         for (int i = 0; i < SEARCH_STEPS; i++) {
             double tried = (slowest + tooSlow) / 2;
-            boolean all = ReturningService.play(nodes, new Service(line, timeOutMs, tried))
+            boolean all = RecoveringDiscoveryService.simulate(nodes, new Service(line, timeOutMs, tried))
                             .answered()
                     == nodes;
             slowest = all ? tried : slowest;
--- a/core/src/test/java/brackenbridge/core/membership/ReturningService.java
+++ b/core/src/test/java/brackenbridge/core/membership/RecoveringDiscoveryService.java
@@ -10,12 +10,12 @@
  * Nodes that poll a discovery service which was down and serves their queued calls in order once it is back; for tests.
  * Calls that were abandoned meanwhile take their service time all the same.
  */
-final class ReturningService {
+final class RecoveringDiscoveryService {
     /** Responses within this time from the service's return are measured. */
-    static final double MEASURED_MS = 6000;
+    static final double MEASURED_TIME_MS = 6000;
 
     private static final double STEP_MS = 5;
-    private static final double DOWN_MS = 12_000;
+    private static final double OUTAGE_MS = 12_000;
     private static final double SILENCE_MS = 3000;
 
     /**
@@ -25,7 +25,7 @@
      * @param timeOutMs a call that has been queued for so long is rejected
      * @param serveMs what a call costs it
      */
-    record Service(int line, double timeOutMs, double serveMs) {}
+    record Service(int queueLimit, double timeoutMs, double serviceTimeMs) {}
 
     /**
      * The result within the measured time.
@@ -37,28 +37,28 @@
     record Result(int answered, double lastMs, int rejected) {}
 
     /** A call at the service. */
-    private record Waiting(Caller caller, long call) {}
+    private record QueuedCall(Node node, long call) {}
 
     /** One node and its call. */
-    private static final class Caller {
-        private final DiscoveryWatch membership;
-        private double wakeAt = Double.POSITIVE_INFINITY;
+    private static final class Node {
+        private final DiscoveryWatch watch;
+        private double wakeAtMs = Double.POSITIVE_INFINITY;
         private long timer;
         private long call = -1;
-        private double calledAt;
-        private double answeredAt = -1;
+        private double calledAtMs;
+        private double answeredAtMs = -1;
 
-        Caller(long seed) {
-            membership = new DiscoveryWatch(new DiscoverySource(true, 10_000), SILENCE_MS, new SplittableRandom(seed));
+        Node(long seed) {
+            watch = new DiscoveryWatch(new DiscoverySource(true, 10_000), SILENCE_MS, new SplittableRandom(seed));
         }
 
-        void run(double now, List<DiscoveryCommand> steps) {
+        void execute(double now, List<DiscoveryCommand> steps) {
             for (DiscoveryCommand step : steps) {
                 if (step instanceof DiscoveryCommand.OpenWatch open) {
                     call = open.call();
-                    calledAt = now;
+                    calledAtMs = now;
                 } else if (step instanceof DiscoveryCommand.Wake wake) {
-                    wakeAt = wake.atMs();
+                    wakeAtMs = wake.atMs();
                     timer = wake.timer();
                 }
             }
@@ -67,76 +67,77 @@
         /** Whether it makes a call at this moment. */
         boolean startsCall(double now) {
             long before = call;
-            if (answeredAt < 0 && wakeAt <= now) {
-                wakeAt = Double.POSITIVE_INFINITY;
-                run(now, membership.onTimer(now, timer));
+            if (answeredAtMs < 0 && wakeAtMs <= now) {
+                wakeAtMs = Double.POSITIVE_INFINITY;
+                execute(now, watch.onTimer(now, timer));
             }
             return call != before;
         }
 
         boolean isWaiting() {
-            return answeredAt < 0 && membership.isOpen(call);
+            return answeredAtMs < 0 && watch.isOpen(call);
         }
 
         void rejectCall(double now) {
-            run(now, membership.onCallEnded(now, call));
+            execute(now, watch.onCallEnded(now, call));
         }
     }
 
     private final Service service;
-    private final List<Caller> callers = new ArrayList<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private double freeAt = DOWN_MS;
+    private final List<Node> pollingNodes = new ArrayList<>();
+    private final Deque<QueuedCall> queue = new ArrayDeque<>();
+    private double freeAtMs = OUTAGE_MS;
     private int rejected;
 
-    private ReturningService(int nodes, Service service) {
+    private RecoveringDiscoveryService(int nodes, Service service) {
         this.service = service;
         for (int i = 0; i < nodes; i++) {
-            callers.add(new Caller(i));
-            callers.get(i).run(0, callers.get(i).membership.start(0, 41));
+            pollingNodes.add(new Node(i));
+            pollingNodes.get(i).execute(0, pollingNodes.get(i).watch.start(0, 41));
         }
     }
 
     /** Plays the outage and the time that counts after it. */
-    static Result play(int nodes, Service service) {
-        ReturningService played = new ReturningService(nodes, service);
-        for (double now = 0; now < DOWN_MS + MEASURED_MS; now += STEP_MS) {
+    static Result simulate(int nodes, Service service) {
+        RecoveringDiscoveryService played = new RecoveringDiscoveryService(nodes, service);
+        for (double now = 0; now < OUTAGE_MS + MEASURED_TIME_MS; now += STEP_MS) {
             played.startCalls(now);
             played.serveCalls(now);
         }
-        int answered = (int)
-                played.callers.stream().filter(caller -> caller.answeredAt >= 0).count();
-        double last = played.callers.stream()
-                        .mapToDouble(caller -> caller.answeredAt)
+        int answered = (int) played.pollingNodes.stream()
+                .filter(caller -> caller.answeredAtMs >= 0)
+                .count();
+        double last = played.pollingNodes.stream()
+                        .mapToDouble(caller -> caller.answeredAtMs)
                         .max()
-                        .orElse(DOWN_MS)
-                - DOWN_MS;
+                        .orElse(OUTAGE_MS)
+                - OUTAGE_MS;
         return new Result(answered, last, played.rejected);
     }
 
     private void startCalls(double now) {
-        for (Caller caller : callers) {
+        for (Node caller : pollingNodes) {
             boolean calls = caller.startsCall(now);
-            if (calls && now >= DOWN_MS && waiting.size() < service.line()) {
-                waiting.add(new Waiting(caller, caller.call));
-            } else if (calls || caller.isWaiting() && now >= caller.calledAt + service.timeOutMs()) {
-                rejected += now >= DOWN_MS ? 1 : 0;
+            if (calls && now >= OUTAGE_MS && queue.size() < service.queueLimit()) {
+                queue.add(new QueuedCall(caller, caller.call));
+            } else if (calls || caller.isWaiting() && now >= caller.calledAtMs + service.timeoutMs()) {
+                rejected += now >= OUTAGE_MS ? 1 : 0;
                 caller.rejectCall(now);
             }
         }
     }
 
     private void serveCalls(double now) {
-        if (freeAt < now - STEP_MS) {
+        if (freeAtMs < now - STEP_MS) {
             // It has been idle.
-            freeAt = now;
+            freeAtMs = now;
         }
-        while (!waiting.isEmpty() && freeAt <= now) {
-            Waiting next = waiting.poll();
-            freeAt += service.serveMs();
-            if (next.caller().membership.isOpen(next.call())) {
-                next.caller().membership.onEndpointList(now, next.call(), 42, true);
-                next.caller().answeredAt = now;
+        while (!queue.isEmpty() && freeAtMs <= now) {
+            QueuedCall next = queue.poll();
+            freeAtMs += service.serviceTimeMs();
+            if (next.node().watch.isOpen(next.call())) {
+                next.node().watch.onEndpointList(now, next.call(), 42, true);
+                next.node().answeredAtMs = now;
             }
         }
     }
