--- a/core/src/main/java/brackenbridge/core/balancing/Attempt.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Attempt.java
@@ -1,15 +1,15 @@
 package brackenbridge.core.balancing;
 
-/** One attempt to have a request served. */
+/** One attempt to serve a request at a server. */
 final class Attempt {
     final ServerState server;
     /** When it was sent, in microseconds. */
     final long sentAt;
-    /** It counts among the requests in flight: the request has arrived completely. */
+    /** Whether it counts as in flight at the server, which it does once the request has arrived completely. */
     boolean countsInFlight;
 
     boolean ended;
-    /** What the server's slow-start budget holds for it until its request has been written; 0 from then on. */
+    /** The amount reserved in the server's slow-start budget until the request has been written; 0 afterwards. */
     double reservedBudget;
 
     Attempt(ServerState server, long sentAt) {
--- a/core/src/main/java/brackenbridge/core/balancing/AttemptOutcome.java
+++ b/core/src/main/java/brackenbridge/core/balancing/AttemptOutcome.java
@@ -2,11 +2,11 @@
 
 /** How an attempt, or a health check, ended. */
 public enum AttemptOutcome {
-    /** The server answered it successfully. */
+    /** The server responded successfully. */
     OK(false),
-    /** The server answered with an error; the request may have run. */
+    /** The server responded with an error; the request may have run. */
     ERROR(false),
-    /** The server rejected it for want of capacity, without running it. */
+    /** The server rejected it for lack of capacity, without running it. */
     FULL(true),
     /** No response arrived in time; the request may still be running. */
     TIMEOUT(false),
@@ -16,11 +16,13 @@
     RESET(false),
     /** The node cancelled it; the request may have run. */
     CANCELLED(false),
-    /** Never sent: the request had ended, its time or attempts were used up, or the node has no room for it. */
+    /**
+     * Never sent: the request had ended, its time or attempts were used up, or the node lacked the resources for it.
+     */
     NEVER_STARTED(true),
     /**
-     * Never sent: the node failed to connect. It says nothing about the endpoint, and another attempt uses no retry
-     * budget.
+     * Never sent: the node failed to connect for a local reason. This says nothing about the endpoint, so another
+     * attempt uses no retry budget.
      */
     FAILED_LOCALLY(true);
 
--- a/core/src/main/java/brackenbridge/core/balancing/Balancer.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Balancer.java
@@ -7,28 +7,28 @@
 import java.util.SplittableRandom;
 
 /**
- * The decision module: the controller of Andersson and Kihl for an application server, as one instance for each node.
- * Its interface is {@link BalancerApi}; docs/DESIGN.md says what was kept of the paper and what was changed. An
- * instance runs on one thread and knows only what its events contain. Times are in microseconds.
+ * The decision module: the controller of Andersson and Kihl for an application server, with one instance per node. Its
+ * interface is {@link BalancerApi}; docs/DESIGN.md describes which parts of the paper were kept and which were changed.
+ * An instance runs on one thread and knows only what its events contain. Times are in microseconds.
  *
- * <p>The mechanism, in the order in which a request meets it:
+ * <p>The mechanisms, in the order in which a request passes through them:
  *
  * <ol>
- *   <li>{@link RequestClasses}: token buckets of rate d lift a request to the top priority;
+ *   <li>{@link RequestClasses}: token buckets of rate d raise a request to the top priority;
  *   <li>{@link AdmissionControl}: equation 1, A = tau r, bounds the open requests;
  *   <li>{@link WeightedRoundRobin}: binds the request to a server of the {@link ServerSubset};
- *   <li>{@link RequestQueues}: equations 3 and 4, the tests of tau f, drop and release queued requests;
- *   <li>{@link SlowStart}, {@link OutlierDetection}, {@link RetryBudget}: bound what goes to servers that warm up, keep
- *       failing servers out and bound the retries.
+ *   <li>{@link RequestQueues}: equations 3 and 4, which compare times with tau f, drop and release queued requests;
+ *   <li>{@link SlowStart}, {@link OutlierDetection}, {@link RetryBudget}: limit the requests to servers that are
+ *       warming up, eject failing servers and limit retries.
  * </ol>
  */
 public final class Balancer implements BalancerApi {
     private static final long SECOND_US = 1_000_000;
-    /** Time between two ticks, at which the slow decisions are made. */
+    /** Time between two ticks. A tick updates the measured rates and adjusts the subset and the window. */
     private static final long TICK_INTERVAL = SECOND_US / 4;
 
     private static final String TICK_TIMER = "tick";
-    /** Turns of the round robin that a request looks at. */
+    /** How many turns of the round robin are tried for one request. */
     private static final int MAX_TURNS_PER_REQUEST = 4;
 
     private BalancerSettings settings;
@@ -46,13 +46,13 @@
     private final ServerRegistry servers;
     private final Map<Long, QueuedRequest> requests = new HashMap<>();
     private int inFlight;
-    /** Queued requests given up since the last tick. */
+    /** Queued requests dropped since the last tick. */
     private int droppedSinceTick;
 
     private long lastTick;
     private boolean started;
 
-    /** Starts an instance. */
+    /** Creates an instance; it begins to work with its first event. */
     public Balancer(BalancerSettings settings, BalancerActions actions) {
         this.actions = actions;
         this.random = new SplittableRandom(settings.seed());
@@ -68,7 +68,7 @@
     public void onSettings(long now, BalancerSettings next) {
         slowStart.applySettings(now, next);
         applySettings(next);
-        // Requests keep their class's rules; they are only ranked among the new levels.
+        // Open requests keep the rules of their class; only their priority level is limited to the new levels.
         requests.values().forEach(request -> request.level = Math.min(request.level, classes.levels() - 1));
         servers.rebuildQueues();
         rebuildSubset(now);
@@ -92,13 +92,14 @@
 
     private void rebuildSubset(long now) {
         List<ServerState> before = subset.rebuildMembers();
-        // All are taken out of the rotation before any request is bound anew: it could go to one that leaves as well.
+        // Removes all of them from the rotation before any request is rebound, as it could go to another server that
+        // leaves.
         before.stream().filter(server -> !server.inSubset).forEach(roundRobin::remove);
-        List<ServerState> left = queues.serversWithQueueOutsideSubset();
+        List<ServerState> removed = queues.serversWithQueueOutsideSubset();
         for (ServerState server : subset.members()) {
             addToRotation(now, server);
         }
-        left.forEach(server -> removeFromRotation(now, server));
+        removed.forEach(server -> removeFromRotation(now, server));
     }
 
     private void addToRotation(long now, ServerState server) {
@@ -110,25 +111,26 @@
         fillFreeSlot(now, server);
     }
 
-    /** The server takes no new requests; those queued for it are bound anew. */
+    /** Stops new requests to the server and rebinds those that are queued for it. */
     private void removeFromRotation(long now, ServerState server) {
         roundRobin.remove(server);
-        // All are taken out first: one that a joining server takes over must not be placed again.
+        // All are removed from the queue first, because a request that a joining server takes over must not be placed
+        // again.
         queues.removeAll(server).forEach(request -> placeRequest(now, request));
     }
 
     @Override
-    public void onRequest(long now, BalancerRequest arrived) {
-        QueuedRequest request = admitRequest(now, arrived, false);
+    public void onRequest(long now, BalancerRequest incoming) {
+        QueuedRequest request = admitRequest(now, incoming, false);
         if (request != null) {
             placeRequest(now, request);
         }
     }
 
-    /** Bound by the round robin and sent at once: until it is complete it occupies no server. */
+    /** Binds the request by the round robin and sends it at once, since it occupies no server until it is complete. */
     @Override
-    public void onStreamedRequest(long now, BalancerRequest arrived) {
-        QueuedRequest request = admitRequest(now, arrived, true);
+    public void onStreamedRequest(long now, BalancerRequest incoming) {
+        QueuedRequest request = admitRequest(now, incoming, true);
         ServerState server = request == null ? null : bindToServer(now, request);
         if (server != null && canAdmit(now, server)) {
             sendRequest(now, request, server);
@@ -149,21 +151,21 @@
         }
     }
 
-    /** The request, or null if it was rejected by {@link AdmissionControl#admits}. */
-    private QueuedRequest admitRequest(long now, BalancerRequest arrived, boolean incomplete) {
+    /** Returns the request, or null if {@link AdmissionControl#admits} rejected it. */
+    private QueuedRequest admitRequest(long now, BalancerRequest incoming, boolean incomplete) {
         ensureStarted(now);
-        RequestClassState requestClass = classes.require(arrived.className());
-        long timeLeft = Math.max(0, arrived.timeLeft());
-        // A response after the latency objective has little or no value: the objective bounds tau.
+        RequestClassState requestClass = classes.require(incoming.className());
+        long timeLeft = Math.max(0, incoming.timeLeft());
+        // A response after the latency objective has little or no value, so the objective bounds tau.
         long tau = Math.min(timeLeft, requestClass.rules.latencyObjective());
-        QueuedRequest request = new QueuedRequest(arrived, requestClass, settings.maxAttempts(), now, tau, timeLeft);
+        QueuedRequest request = new QueuedRequest(incoming, requestClass, settings.maxAttempts(), now, tau, timeLeft);
         requests.put(request.id, request);
         request.incomplete = incomplete;
         if (!incomplete) {
             admission.onOpened();
         }
         admission.onArrival(now);
-        request.level = classes.assignLevel(now, requestClass, arrived.tenant());
+        request.level = classes.assignLevel(now, requestClass, incoming.tenant());
         if (!admission.admits(now, request)) {
             finishRequest(request, now);
             return null;
@@ -172,7 +174,7 @@
         return request;
     }
 
-    /** Binds a request by the round robin; a free server takes it at once, else it is queued. */
+    /** Binds a request by the round robin; sends it at once if the server is free, else queues it. */
     private void placeRequest(long now, QueuedRequest request) {
         if (sendTrial(now, request)) {
             return;
@@ -213,7 +215,10 @@
         return allowed;
     }
 
-    /** An idle server for this request, if need be one of the own zone by which the subset grows; null if none. */
+    /**
+     * Returns an idle server for this request, growing the subset within the own zone if necessary; null if there is
+     * none.
+     */
     private ServerState findIdle(long now, QueuedRequest request) {
         ServerState idle = idleServers.pollSuitable(now, request);
         if (idle == null) {
@@ -226,7 +231,7 @@
         return idle;
     }
 
-    /** Sends the request as the trial of an ejected server, if one is due. */
+    /** Sends the request as the trial of an ejected server if a trial is due. */
     private boolean sendTrial(long now, QueuedRequest request) {
         ServerState server = outliers.pollTrial(now, request, roundRobin.isEmpty());
         if (server == null || !canAdmit(now, server)) {
@@ -237,20 +242,22 @@
         return true;
     }
 
-    /** Whether a server may be sent a request now: any warm one, and one that warms up within its budget. */
+    /**
+     * Returns whether a server may be sent a request now: always if it is warm, within its budget while it warms up.
+     */
     private boolean canAdmit(long now, ServerState server) {
         return slowStart.isUnbounded(now, server)
                 || server.inFlight < subset.windowSize()
                         && slowStart.canAdmit(now, server, subset.order(), subset.size(), classes.meanResponseTime());
     }
 
-    /** A server may have a free slot: drops what is hopeless, then sends the next request. */
+    /** Uses a slot that may have become free: drops requests that can't be served in time, then sends the next one. */
     private void fillFreeSlot(long now, ServerState server) {
         if (!server.inRotation || server.inFlight >= subset.windowSize()) {
             return;
         }
         for (ArrayDeque<QueuedRequest> queue : server.queues) {
-            while (!queue.isEmpty() && RequestQueues.isHopeless(now, queue.peek(), server)) {
+            while (!queue.isEmpty() && RequestQueues.cannotFinishInTime(now, queue.peek(), server)) {
                 dropRequest(now, queue.peek());
             }
         }
@@ -333,7 +340,7 @@
             request.firstRunAt = attempt.sentAt;
             request.firstRunServer = server;
         }
-        // Nothing is learned of a server that has left and was known only for the sake of a long request.
+        // Ignores the outcome at a server that has been removed and is known only until its last request ends.
         if (servers.contains(server)) {
             learnFromOutcome(now, request, attempt, outcome, Math.max(1, latency));
         }
@@ -359,7 +366,7 @@
             long now, QueuedRequest request, Attempt attempt, AttemptOutcome outcome, long latency) {
         ServerState server = attempt.server;
         if (outcome == AttemptOutcome.OK) {
-            admission.onAnswered();
+            admission.onServed();
         }
         OutlierDetection.Change change = outliers.onOutcome(now, request, attempt, outcome, latency);
         if (change == OutlierDetection.Change.EJECTED) {
@@ -370,7 +377,10 @@
         outliers.onTrialEnded(now, server);
     }
 
-    /** Another attempt where idempotence allows it, the time suffices and the retry budget is not used up. */
+    /**
+     * Makes another attempt if idempotence, the remaining time and the retry budget allow it; else finishes the
+     * request.
+     */
     private void retryOrFinish(long now, QueuedRequest request, AttemptOutcome outcome) {
         if (retryBudget.trySpend(now, request, outcome)) {
             request.expiresAt = Math.max(
@@ -389,7 +399,10 @@
         }
     }
 
-    /** The final answer of the balancer's own: a rejection where that is true, else a failure. */
+    /**
+     * Ends the request without a server's response: with a rejection if a retry is known to be safe, else with a
+     * failure.
+     */
     private void finishRequest(QueuedRequest request, long now) {
         closeRequest(request);
         if (IdempotencyRules.allowsRejection(now, request)) {
@@ -399,7 +412,7 @@
         }
     }
 
-    /** The request is no longer open; it is forgotten with its last attempt. */
+    /** Marks the request as no longer open; it is forgotten when its last attempt ends. */
     private void closeRequest(QueuedRequest request) {
         if (!request.finished) {
             request.finished = true;
@@ -415,7 +428,7 @@
         }
     }
 
-    /** How many requests it holds, in all its collections; for tests of what it forgets. */
+    /** The number of entries for requests in all collections; lets tests check that requests are forgotten. */
     int openRequestCount() {
         return requests.size() + queues.entryCount();
     }
@@ -450,24 +463,25 @@
         }
     }
 
-    /** Updates the measured rates, readies trials and adjusts the subset and the window. */
+    /** Updates the measured rates, schedules trials and adjusts the subset and the window. */
     private void runTick(long now) {
         double elapsed = Math.max(1, now - lastTick) / (double) SECOND_US;
         lastTick = now;
         int answered = admission.updateRates(elapsed, inFlight);
-        slowStart.updateAnswerRate(now, elapsed, answered, subset.order(), subset.size());
+        slowStart.updateResponseRate(now, elapsed, answered, subset.order(), subset.size());
         outliers.scheduleTrials(now, subset.usedSize());
         subset.recordOutstanding(inFlight + queues.size());
         resizeSubset(now);
         subset.adjustWindow(queues.size() > 0, outliers.ejected(), roundRobin.size(), admission);
         droppedSinceTick = 0;
-        // The window may be wider; and the budget of a server that warms up comes back with time, without an answer.
+        // The window may have been widened, and the budget of a server that warms up recovers with time, without a
+        // response.
         for (int i = 0; i < subset.usedSize(); i++) {
             fillFreeSlot(now, subset.order().get(i));
         }
     }
 
-    /** The subset grows past the own zone only when requests had to wait there or were dropped. */
+    /** Grows the subset beyond the own zone only if requests are queued or were dropped. */
     private void resizeSubset(long now) {
         boolean shortOfServers = queues.size() > 0 || droppedSinceTick > 0;
         if (shortOfServers && subset.canGrow(roundRobin.size(), admission.hasSpareCapacity())) {
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerActions.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerActions.java
@@ -1,25 +1,25 @@
 package brackenbridge.core.balancing;
 
-/** What an instance can do. */
+/** The actions of a {@link Balancer}, which its caller carries out. */
 public interface BalancerActions {
-    /** Begins the request's next attempt, counted from 0; the attempt is given the timeout named. */
+    /** Starts the request's next attempt, with this timeout; attempts are numbered from 0. */
     void startAttempt(long request, long endpoint, long timeout);
 
-    /** Final answer: rejected, a retry does no harm; retryAfter 0 gives no guidance. */
+    /** Ends the request with a rejection: a retry is safe. A retryAfter of 0 gives no guidance. */
     void reject(long request, long retryAfter);
 
-    /** Final answer: failed, with no promise about its effect. */
+    /** Ends the request with a failure: whether it took effect is unknown. */
     void fail(long request);
 
-    /** Asks for {@link #onTimer} at the given time or soon after. */
+    /** Schedules a call of {@link BalancerApi#onTimer} at the given time or soon after. */
     void setTimer(long at, String token);
 
-    /** Examines an endpoint, at some cost to it. */
+    /** Starts a health check of an endpoint, which costs the endpoint some work. */
     void startHealthCheck(long endpoint);
 
     /**
-     * Whether {@link BalancerApi#onAttemptWritten} follows each send whose request is written; else a request counts as
-     * written when it is sent.
+     * Whether {@link BalancerApi#onAttemptWritten} is called for each attempt once its request is written; otherwise a
+     * request counts as written when the attempt starts.
      */
     default boolean reportsWritten() {
         return false;
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerApi.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerApi.java
@@ -4,24 +4,26 @@
 
 /**
  * The interface of {@link Balancer}: the events that an instance receives, each with the time at which it is received.
- * Its actions are {@link BalancerActions}. Times and durations are integral microseconds; the clock starts anywhere and
- * only advances. Ids are numbers without meaning.
+ * Its actions are {@link BalancerActions}. Times and durations are whole microseconds of a monotonic clock with an
+ * arbitrary origin. Ids are opaque numbers.
  */
 public interface BalancerApi {
-    /** New settings apply to requests that arrive from now on; open ones keep the rules that they arrived under. */
+    /**
+     * Applies new settings to requests that arrive from now on; open requests keep the rules under which they arrived.
+     */
     default void onSettings(long now, BalancerSettings settings) {
-        throw new UnsupportedOperationException("settings that change while it runs");
+        throw new UnsupportedOperationException("changing the settings of a running instance");
     }
 
-    /** A list of endpoints. The first event of all is a list. */
+    /** An endpoint list was received. This is always the first event. */
     void onEndpointList(long now, EndpointListKind kind, List<Endpoint> entries);
 
-    /** A request has arrived; the instance owes it one final answer. */
+    /** A request has arrived; the instance ends it with exactly one final result. */
     void onRequest(long now, BalancerRequest request);
 
     /**
-     * A long request has begun to arrive. A server begins to process it with its last byte only, so it occupies none
-     * until {@link #onRequestCompleted}; it may be sent before that.
+     * A long request has begun to arrive. It may be sent at once, but a server starts to process it only after its last
+     * byte, so it occupies no server until {@link #onRequestCompleted}.
      */
     default void onStreamedRequest(long now, BalancerRequest request) {
         onRequest(now, request);
@@ -33,15 +35,15 @@
     /** The last byte of an attempt's request has been written to its endpoint. */
     default void onAttemptWritten(long now, long request, int attempt) {}
 
-    /** The response of a streamed request has started; the attempt is the client's from now on. */
+    /** The response of a streamed request has started to reach the client; no other attempt may follow. */
     void onResponseStarted(long now, long request, int attempt);
 
     /**
-     * An attempt has ended; each send gets exactly one.
+     * An attempt has ended; called exactly once for each attempt that was started.
      *
-     * @param ended the request has ended, by this outcome or before it
-     * @param latency the time since the send
-     * @param report the endpoint's load, null if none came
+     * @param ended whether the request has ended, by this outcome or before it
+     * @param latency the time since the attempt was started
+     * @param report the endpoint's load report, null if none was received
      */
     void onAttemptEnded(
             long now,
@@ -55,19 +57,22 @@
     /** The client has disconnected; no answer is expected. */
     void onClientDisconnected(long now, long request);
 
-    /** A timer set before has fallen due. */
+    /** A timer set before has expired. */
     void onTimer(long now, String token);
 
-    /** How many listed endpoints are ejected now; for the operators' metrics. */
+    /** The number of listed endpoints that are ejected now, for the operators' metrics. */
     default int ejectedEndpoints() {
         return 0;
     }
 
-    /** The Retry-After for a client that is rejected now; 0 gives no guidance. */
+    /** The Retry-After value for a client that is rejected now; 0 gives no guidance. */
     default long suggestedRetryAfter() {
         return 0;
     }
 
-    /** A health check has ended; the report is null if none came. Ignored by an instance that sends none. */
+    /**
+     * A health check has ended; the report is null if none was received. Ignored by an instance that starts no health
+     * checks.
+     */
     default void onHealthCheckEnded(long now, long endpoint, AttemptOutcome outcome, long latency, LoadReport report) {}
 }
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerRequest.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerRequest.java
@@ -3,13 +3,14 @@
 /**
  * A request that has arrived.
  *
- * @param id its id, never used again
+ * @param id its id, never reused
  * @param className its class
  * @param tenant its tenant; null if none
- * @param key what it is about; -1 if unknown; the balancer never has two requests of one key in flight
- * @param timeLeft how long until its client gives up; below 0 counts as 0
- * @param expectedCost the work expected; -1 if unknown
- * @param clientRetry whether its client marks it as a retry
+ * @param key the key of the object that it concerns; -1 if unknown; two requests with one key are never in flight at
+ *     once
+ * @param timeLeft the time until its client gives up; negative values count as 0
+ * @param expectedCost its expected work; -1 if unknown
+ * @param clientRetry whether its client marked it as a retry
  */
 public record BalancerRequest(
         long id, String className, String tenant, long key, long timeLeft, long expectedCost, boolean clientRetry) {}
--- a/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
@@ -3,30 +3,31 @@
 import java.util.List;
 
 /**
- * What an instance is given at its start.
+ * The settings of an instance.
  *
  * @param seed the only source of its random numbers
- * @param instanceIndex its number among its peers
- * @param instanceCount how many instances its tier of nodes has
- * @param tier which tier it sends to; above 0, its clients are servers of the tier before
- * @param zone the zone it is in
- * @param classes the classes of request
- * @param tenants the tenants; may be empty
+ * @param instanceIndex its index among the instances of its tier
+ * @param instanceCount the number of instances in its tier
+ * @param tier the tier that it sends to; above 0, its clients are servers of the previous tier
+ * @param zone the zone of the instance
+ * @param classes the request classes
+ * @param tenants the tenants, possibly none
  * @param overShareWeight the factor on the priority weight of a request beyond its tenant's share
  * @param polledDiscovery whether the endpoint list is received only by polling
- * @param maxPollInterval without a subscription, ask at least this often
- * @param maxAttempts attempts allowed for one request
- * @param maxOpenRequests open requests allowed at once
+ * @param maxPollInterval without a subscription, the longest time between two polls of discovery
+ * @param maxAttempts the maximum number of attempts for one request
+ * @param maxOpenRequests the maximum number of open requests
  * @param maxRetryAfter the longest Retry-After that clients respect; 0 if unknown
- * @param mayCancel attempts may be cancelled
- * @param mayHealthCheck endpoints may be probed
- * @param mayHedge two attempts of one request may be out at once
+ * @param mayCancel whether attempts may be cancelled
+ * @param mayHealthCheck whether endpoints may be sent health checks
+ * @param mayHedge whether two attempts of one request may be in flight at once
  * @param idleTimeout idle connections are closed after this time
- * @param coldCapacityRatio a starting endpoint has at least this part of its capacity
- * @param warmUpTime and all of it after this time
- * @param overloadMultiple sent more than so many times what it can do then ...
- * @param overloadWindow ... for this time, a starting endpoint falls over; 0 if it can not, or if unknown
- * @param network what the node round the module must keep to
+ * @param coldCapacityRatio the fraction of its capacity that an endpoint has when it starts
+ * @param warmUpTime the time after which a started endpoint has its full capacity
+ * @param overloadMultiple an endpoint that is warming up fails if it is sent more than this multiple of its current
+ *     capacity ...
+ * @param overloadWindow ... over this time; 0 if it can't fail that way, or if unknown
+ * @param network connection and report settings that the node applies
  */
 public record BalancerSettings(
         long seed,
@@ -51,7 +52,7 @@
         double overloadMultiple,
         long overloadWindow,
         NetworkSettings network) {
-    /** Settings that contradict themselves are rejected. */
+    /** Rejects contradictory or out-of-range settings. */
     public BalancerSettings {
         SettingsChecks.require(!classes.isEmpty(), "no classes", classes);
         for (int i = 0; i < classes.size(); i++) {
@@ -103,61 +104,61 @@
     }
 
     /**
-     * How long an endpoint that no list names is still known, in microseconds: for as long as what it was sent counts
-     * in its slow start.
+     * How long an unlisted endpoint is remembered, in microseconds: as long as requests sent to it count against its
+     * slow-start budget.
      */
     public long removedRetention() {
         return overloadWindow == 0 ? 0 : overloadWindow + network.drainGrace();
     }
 
-    /** The settings of a deployment that tells of no endpoint that falls over. */
+    /** Settings without an overload window: endpoints that are warming up are not known to fail under overload. */
     public BalancerSettings(
             long seed,
-            int me,
-            int peers,
+            int instanceIndex,
+            int instanceCount,
             int tier,
             String zone,
             List<RequestClass> classes,
             List<TenantShare> tenants,
-            double overShareWorth,
-            boolean askDiscovery,
-            long mustAskWithin,
+            double overShareWeight,
+            boolean polledDiscovery,
+            long maxPollInterval,
             int maxAttempts,
-            int maxOpen,
+            int maxOpenRequests,
             long maxRetryAfter,
             boolean mayCancel,
-            boolean mayProbe,
-            boolean secondCopies,
-            long idleClose,
-            double coldFrom,
-            long warmAfter,
+            boolean mayHealthCheck,
+            boolean mayHedge,
+            long idleTimeout,
+            double coldCapacityRatio,
+            long warmUpTime,
             NetworkSettings network) {
         this(
                 seed,
-                me,
-                peers,
+                instanceIndex,
+                instanceCount,
                 tier,
                 zone,
                 classes,
                 tenants,
-                overShareWorth,
-                askDiscovery,
-                mustAskWithin,
+                overShareWeight,
+                polledDiscovery,
+                maxPollInterval,
                 maxAttempts,
-                maxOpen,
+                maxOpenRequests,
                 maxRetryAfter,
                 mayCancel,
-                mayProbe,
-                secondCopies,
-                idleClose,
-                coldFrom,
-                warmAfter,
+                mayHealthCheck,
+                mayHedge,
+                idleTimeout,
+                coldCapacityRatio,
+                warmUpTime,
                 1,
                 0,
                 network);
     }
 
-    /** The same settings with another seed. */
+    /** Returns the same settings with another seed. */
     public BalancerSettings withSeed(long other) {
         return new BalancerSettings(
                 other,
@@ -184,7 +185,7 @@
                 network);
     }
 
-    /** The same settings with other values for endpoints that fail under overload while cold. */
+    /** Returns the same settings with another overload multiple and window for endpoints that are warming up. */
     public BalancerSettings withColdOverload(double multiple, long time) {
         return new BalancerSettings(
                 seed,
--- a/core/src/main/java/brackenbridge/core/balancing/DeduplicationScope.java
+++ b/core/src/main/java/brackenbridge/core/balancing/DeduplicationScope.java
@@ -1,12 +1,12 @@
 package brackenbridge.core.balancing;
 
-/** The endpoints that drop each other's duplicates of a request with an idempotency key, from wide to narrow. */
+/** The endpoints among which duplicates of a request with an idempotency key are dropped, from wide to narrow. */
 public enum DeduplicationScope {
     /** Every endpoint of the tier. */
     ALL("all"),
-    /** Those of the same zone. */
+    /** The endpoints of one zone. */
     ZONE("zone"),
-    /** Those of the same cell. */
+    /** The endpoints of one cell. */
     CELL("cell");
 
     private final String settingsValue;
@@ -15,7 +15,7 @@
         this.settingsValue = settingsValue;
     }
 
-    /** Its value in a configuration, which never changes. */
+    /** Its value in configuration files, which never changes. */
     public String settingsValue() {
         return settingsValue;
     }
--- a/core/src/main/java/brackenbridge/core/balancing/EndpointListKind.java
+++ b/core/src/main/java/brackenbridge/core/balancing/EndpointListKind.java
@@ -1,11 +1,11 @@
 package brackenbridge.core.balancing;
 
-/** How a list of endpoints relates to what the instance holds. */
+/** How an endpoint list relates to the endpoints already known. */
 public enum EndpointListKind {
     /** Changed entries only. */
     CHANGES,
     /** The complete list; absent endpoints are removed. */
     FULL,
-    /** The complete list as last held, perhaps out of date. */
+    /** The complete list as last received, possibly out of date. */
     CACHED
 }
--- a/core/src/main/java/brackenbridge/core/balancing/EndpointState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/EndpointState.java
@@ -1,11 +1,11 @@
 package brackenbridge.core.balancing;
 
-/** What discovery says of an endpoint. */
+/** The state of an endpoint according to discovery. */
 public enum EndpointState {
-    /** Its process runs. */
+    /** Its process is running. */
     UP,
-    /** It finishes what it has and takes nothing new. */
+    /** It finishes its requests in flight and accepts no new ones. */
     DRAINING,
-    /** It has been withdrawn. */
+    /** It has been removed from the service. */
     REMOVED
 }
--- a/core/src/main/java/brackenbridge/core/balancing/Idempotence.java
+++ b/core/src/main/java/brackenbridge/core/balancing/Idempotence.java
@@ -1,10 +1,10 @@
 package brackenbridge.core.balancing;
 
-/** What a retry of a request would do; the {@link #settingsValue} is what a configuration calls it. */
+/** Whether a request may be sent again; {@link #settingsValue} is its value in configuration files. */
 public enum Idempotence {
     /** May be sent again and rejected without restriction. */
     IDEMPOTENT("safe"),
-    /** Carries an idempotency key: a group of endpoints drops duplicates for a while. */
+    /** Carries an idempotency key, by which a group of endpoints drops duplicates for a limited time. */
     IDEMPOTENCY_KEY("keyed"),
     /** Must never run twice. */
     NOT_IDEMPOTENT("unsafe");
@@ -15,7 +15,7 @@
         this.settingsValue = settingsValue;
     }
 
-    /** Its value in a configuration, which never changes. */
+    /** Its value in configuration files, which never changes. */
     public String settingsValue() {
         return settingsValue;
     }
--- a/core/src/main/java/brackenbridge/core/balancing/IdempotencyRules.java
+++ b/core/src/main/java/brackenbridge/core/balancing/IdempotencyRules.java
@@ -1,16 +1,16 @@
 package brackenbridge.core.balancing;
 
-/** What the effect of a request class allows once an attempt may have run. */
+/** The retries and rejections that the idempotence of a request allows once an attempt may have run. */
 final class IdempotencyRules {
     private IdempotencyRules() {}
 
-    /** Whether this request may be sent to this server now. */
+    /** Returns whether this request may be sent to this server now. */
     static boolean allowsAttempt(long now, QueuedRequest request, ServerState server) {
-        Idempotence effect = request.requestClass.rules.idempotence();
-        if (!request.mayHaveRun || effect == Idempotence.IDEMPOTENT) {
+        Idempotence idempotence = request.requestClass.rules.idempotence();
+        if (!request.mayHaveRun || idempotence == Idempotence.IDEMPOTENT) {
             return true;
         }
-        if (effect == Idempotence.NOT_IDEMPOTENT
+        if (idempotence == Idempotence.NOT_IDEMPOTENT
                 || now - request.firstRunAt >= request.requestClass.rules.idempotencyKeyTtl()) {
             return false;
         }
@@ -22,12 +22,12 @@
         };
     }
 
-    /** Whether the client may be answered that the request was rejected and that a retry does no harm. */
+    /** Returns whether the client may be told that the request was rejected and that a retry is safe. */
     static boolean allowsRejection(long now, QueuedRequest request) {
-        Idempotence effect = request.requestClass.rules.idempotence();
+        Idempotence idempotence = request.requestClass.rules.idempotence();
         return !request.mayHaveRun && request.attemptsInFlight == 0
-                || effect == Idempotence.IDEMPOTENT
-                || effect == Idempotence.IDEMPOTENCY_KEY
+                || idempotence == Idempotence.IDEMPOTENT
+                || idempotence == Idempotence.IDEMPOTENCY_KEY
                         && request.requestClass.rules.deduplicationScope() == DeduplicationScope.ALL
                         && now - request.firstRunAt < request.requestClass.rules.idempotencyKeyTtl()
                         && request.mayHaveRun;
--- a/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
+++ b/core/src/main/java/brackenbridge/core/balancing/IdleServers.java
@@ -2,12 +2,10 @@
 
 import java.util.ArrayDeque;
 
-/**
- * The servers with no request in flight, the longest idle first. Entries that are out of date are removed on the way.
- */
+/** The servers with no request in flight, the longest idle first. Stale entries are removed when they are reached. */
 final class IdleServers {
-    /** Unsuitable servers passed over before the search is given up. */
-    private static final int MAX_PASSED_OVER = 4;
+    /** How many unsuitable servers are skipped before the search ends. */
+    private static final int MAX_SKIPPED = 4;
 
     private final ArrayDeque<ServerState> servers = new ArrayDeque<>();
 
@@ -19,12 +17,12 @@
         }
     }
 
-    /** Forgets a server. */
+    /** Removes a server. */
     void remove(ServerState server) {
         servers.remove(server);
     }
 
-    /** Removes and returns an idle server that suits this request; null if none is found. */
+    /** Removes and returns an idle server that is suitable for this request; null if none is found. */
     ServerState pollSuitable(long now, QueuedRequest request) {
         for (int i = servers.size(); i > 0; i--) {
             ServerState server = servers.poll();
@@ -37,7 +35,7 @@
             }
             server.isIdle = true;
             servers.add(server);
-            if (i < servers.size() - MAX_PASSED_OVER) {
+            if (i < servers.size() - MAX_SKIPPED) {
                 return null;
             }
         }
--- a/core/src/main/java/brackenbridge/core/balancing/LoadReport.java
+++ b/core/src/main/java/brackenbridge/core/balancing/LoadReport.java
@@ -1,14 +1,14 @@
 package brackenbridge.core.balancing;
 
 /**
- * What an endpoint says of its load, late and noisy; NaN for what it does not say.
+ * The load that an endpoint reports, delayed and noisy; NaN for values that it does not report.
  *
- * @param inFlight requests in hand
+ * @param inFlight requests being processed
  * @param queued requests waiting
- * @param utilization the part of its CPU in use
- * @param meanMs its service time of late, in milliseconds
- * @param requestsPerSecond requests served a second
- * @param errorsPerSecond errors a second
+ * @param utilization the fraction of its CPU in use
+ * @param meanServiceTimeMs its recent mean service time, in milliseconds
+ * @param requestsPerSecond requests served per second
+ * @param errorsPerSecond errors per second
  */
 public record LoadReport(
         double inFlight,
--- a/core/src/main/java/brackenbridge/core/balancing/NetworkSettings.java
+++ b/core/src/main/java/brackenbridge/core/balancing/NetworkSettings.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * What the settings say of connections and reports; the module decides nothing by it, the node obeys it.
+ * Settings for connections and load reports. The node applies them; slow start uses the connect time-out and the drain
+ * grace.
  *
- * @param connectTimeout a connection not made by then has failed
- * @param drainGrace time within which sends to a draining or removed endpoint must end
- * @param reportsInAnswers any answer may hold a load report
- * @param reportFields the names of a report's values; empty where there are no reports
+ * @param connectTimeout the time after which an attempt to connect has failed
+ * @param drainGrace the time within which attempts to a draining or removed endpoint must end
+ * @param reportsInResponses whether responses may contain a load report
+ * @param reportFields the names of the values in a load report; empty if there are no reports
  */
 public record NetworkSettings(
         long connectTimeout, long drainGrace, boolean reportsInResponses, List<String> reportFields) {
-    /** The figures of a deployment that tells none. */
+    /** The values of a deployment that configures none. */
     public static final NetworkSettings DEFAULT = new NetworkSettings(1_000_000, 0, false, List.of());
 
-    /** Limits that no connection or send could keep are rejected. */
+    /** Rejects times that are out of range. */
     public NetworkSettings {
         SettingsChecks.require(
                 connectTimeout > 0 && connectTimeout <= SettingsChecks.MAX_TIMEOUT_MICROS,
--- a/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
+++ b/core/src/main/java/brackenbridge/core/balancing/OutlierDetection.java
@@ -4,8 +4,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Passive health checks: learns from the outcomes of attempts, ejects servers that are outliers, for longer each
- * time, and readmits each after a trial with one request. At most half of the servers are ejected.
+ * Passive health checks: evaluates the outcomes of attempts, ejects servers that are outliers, for longer each time,
+ * and readmits each after a successful trial with one request. At most half of the servers are ejected.
  */
 final class OutlierDetection {
     private static final long SECOND_US = 1_000_000;
@@ -17,13 +17,16 @@
     private static final double CLASS_TIME_GAIN = 0.02;
     /** Error ratio of a server above which an error ejects it. */
     private static final double OUTLIER_ERROR_RATIO = 0.6;
-    /** Error ratio of a server above which a broken connection ejects it: the second in a row. */
+    /** Error ratio of a server above which a broken connection ejects it; reached by the second one in a row. */
     private static final double OUTLIER_RESET_RATIO = 0.4;
     /** Error ratio of a server below which its ejections are forgotten. */
     private static final double RECOVERED_ERROR_RATIO = 0.1;
     /** Error ratio of a class up to which each error is attributed to the server. */
     private static final double CLASS_ERROR_RATIO = 0.2;
-    /** A server may drop a request with less time left than this, in microseconds, which says nothing about it. */
+    /**
+     * A server may drop a request with less time left than this, in microseconds; such an outcome says nothing about
+     * it.
+     */
     private static final long MIN_INFORMATIVE_TIME = SECOND_US / 40;
     /** Ejection time of the first ejection, in microseconds, on average; it doubles with each further one. */
     private static final long BASE_EJECTION_TIME = SECOND_US / 2;
@@ -31,27 +34,30 @@
     private static final int MAX_EJECTION_DOUBLINGS = 4;
     /** Ejection time of a server that rejected a request for lack of capacity, in microseconds, on average. */
     private static final long FULL_EJECTION_TIME = SECOND_US / 10;
-    /** Time for which a class avoids a server after an error, in microseconds, on average; it doubles as well. */
+    /**
+     * Time for which a class avoids a server after an error, in microseconds, on average; it doubles with each further
+     * one.
+     */
     private static final long BASE_AVOIDANCE_TIME = SECOND_US;
 
     private static final int MAX_AVOIDANCE_DOUBLINGS = 3;
-    /** Time after which any request may be a trial, in microseconds. */
+    /** Time after the end of an ejection from which any request may be the trial, in microseconds. */
     private static final long MAX_TRIAL_DELAY = SECOND_US;
 
-    /** What an outcome changed for its server. */
+    /** How an outcome changed the state of its server. */
     enum Change {
         /** Nothing. */
         NONE,
-        /** It is ejected: its queued requests are bound to other servers. */
+        /** It was ejected: its queued requests have to be bound to other servers. */
         EJECTED,
-        /** It is readmitted. */
+        /** It was readmitted. */
         READMITTED
     }
 
     private final RequestClasses classes;
     private final ServerOrder order;
     private final SplittableRandom random;
-    /** The ejected servers whose time is over and that wait for a trial. */
+    /** The ejected servers whose ejection time is over and that are due for a trial. */
     private final ArrayDeque<ServerState> trials = new ArrayDeque<>();
 
     private int ejected;
@@ -62,25 +68,25 @@
         this.random = random;
     }
 
-    /** How many servers are ejected. */
+    /** The number of ejected servers. */
     int ejected() {
         return ejected;
     }
 
-    /** Whether a request is allowed at a server that doesn't fail its class while it serves others. */
+    /** Returns whether the request may be sent to the server and its class is not avoiding the server after errors. */
     static boolean isSuitable(long now, QueuedRequest request, ServerState server) {
         return now >= server.health(request.requestClass).avoidedUntil
                 && IdempotencyRules.allowsAttempt(now, request, server);
     }
 
     /**
-     * Learns from the outcome of an attempt.
+     * Records the outcome of an attempt.
      *
-     * @param latency microseconds from the send, at least 1
+     * @param latency microseconds since the attempt was started, at least 1
      */
     Change onOutcome(long now, QueuedRequest request, Attempt attempt, AttemptOutcome outcome, long latency) {
-        boolean noAnswer = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.RESET;
-        if (noAnswer && request.deadline - attempt.sentAt < MIN_INFORMATIVE_TIME) {
+        boolean noResponse = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.RESET;
+        if (noResponse && request.deadline - attempt.sentAt < MIN_INFORMATIVE_TIME) {
             return Change.NONE;
         }
         ServerState server = attempt.server;
@@ -101,20 +107,21 @@
         }
         if (failed
                 && server.errorRatio > (outcome == AttemptOutcome.RESET ? OUTLIER_RESET_RATIO : OUTLIER_ERROR_RATIO)) {
-            // A server that fails at once has free slots at once and would receive more and more requests. One broken
-            // connection may be a fault of the network; two in a row are attributed to the server.
+            // A server that fails fast frees its slots fast and would attract more and more requests. One broken
+            // connection may be a network fault; two in a row are attributed to the server.
             server.errorRatio = SERVER_GAIN;
             return ejectForLonger(now, server);
         }
         if (outcome == AttemptOutcome.CONNECT_FAILED
                 || outcome == AttemptOutcome.TIMEOUT && latency >= requestClass.meanTime + requestClass.timeDeviation) {
-            // A timeout of a request that arrived with less time than a response takes says nothing about the server.
+            // The timeout of a request that arrived with less time than a response usually takes says nothing about the
+            // server.
             return ejectForLonger(now, server);
         }
         return Change.NONE;
     }
 
-    /** Avoids a server for a class that it alone fails; where the whole fleet fails it, one error says nothing. */
+    /** Makes the class avoid the server for a while. Where all servers fail the class, a single error doesn't count. */
     private void avoidForClass(long now, RequestClassState requestClass, EndpointHealth health) {
         if (++health.consecutiveErrors > (requestClass.errorRatio < CLASS_ERROR_RATIO ? 0 : 1)) {
             long avoidance = BASE_AVOIDANCE_TIME << Math.min(health.consecutiveErrors - 1, MAX_AVOIDANCE_DOUBLINGS);
@@ -133,7 +140,8 @@
                 : server.measuredTime + SERVER_GAIN * (latency - server.measuredTime);
         server.relativeTime += SERVER_GAIN * (latency / requestClass.meanTime - server.relativeTime);
         requestClass.responseCount++;
-        // A server that fails some requests and serves others stays out for longer each time.
+        // The count is reset only at a low error ratio, so that a server that fails part of its requests is ejected for
+        // longer each time.
         server.consecutiveEjections = server.errorRatio < RECOVERED_ERROR_RATIO ? 0 : server.consecutiveEjections;
         server.health(requestClass).consecutiveErrors = 0;
         if (!server.ejected) {
@@ -145,7 +153,7 @@
 
     private Change ejectForLonger(long now, ServerState server) {
         if (server.ejected && server.ejectedUntil < Long.MAX_VALUE) {
-            // One failure would count once for each request that was in flight to the server.
+            // Guards against counting one failure once per request that was in flight to the server.
             return Change.NONE;
         }
         server.consecutiveEjections++;
@@ -165,7 +173,7 @@
         return Change.EJECTED;
     }
 
-    /** Ends the ejection of a server if it is ejected. */
+    /** Readmits a server if it is ejected. */
     void readmit(ServerState server) {
         if (server.ejected) {
             server.ejected = false;
@@ -189,17 +197,18 @@
     }
 
     /**
-     * The server that this request is to be sent to as a trial; null if there is none. Its next trial is scheduled
-     * anew, whether this one is sent or not. The request has to be safe to repeat and less urgent, unless there are no
-     * such requests or no other servers: some request has to be the trial.
+     * Removes and returns the server that this request is to be sent to as a trial; null if there is none. Its next
+     * trial has to be scheduled again, whether this one is sent or not. The request has to be idempotent and of lower
+     * urgency, unless there are no such requests or no other servers, since some request has to be the trial.
      */
     ServerState pollTrial(long now, QueuedRequest request, boolean noOtherServers) {
         if (trials.isEmpty()) {
             return null;
         }
-        boolean any = noOtherServers || now >= trials.peek().ejectedUntil + MAX_TRIAL_DELAY;
-        boolean unsafe = classes.anyIdempotent() && request.requestClass.rules.idempotence() != Idempotence.IDEMPOTENT;
-        if (!any && (unsafe || request.level == 0 && classes.levels() > 1)) {
+        boolean anyRequestQualifies = noOtherServers || now >= trials.peek().ejectedUntil + MAX_TRIAL_DELAY;
+        boolean repeatUnsafe =
+                classes.anyIdempotent() && request.requestClass.rules.idempotence() != Idempotence.IDEMPOTENT;
+        if (!anyRequestQualifies && (repeatUnsafe || request.level == 0 && classes.levels() > 1)) {
             return null;
         }
         ServerState server = trials.poll();
@@ -212,7 +221,9 @@
         server.ejectedUntil = Long.MAX_VALUE;
     }
 
-    /** Permits another trial of a server whose trial had no result, since it would stay ejected forever. */
+    /**
+     * Permits another trial of a server whose trial had no result; without it the server would stay ejected forever.
+     */
     void onTrialEnded(long now, ServerState server) {
         if (server.ejected && server.ejectedUntil == Long.MAX_VALUE) {
             server.ejectedUntil = now;
--- a/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
+++ b/core/src/main/java/brackenbridge/core/balancing/QueuedRequest.java
@@ -8,27 +8,27 @@
     final RequestClassState requestClass;
     final long arrival;
     final long deadline;
-    /** The paper's tau: the time from its arrival within which an answer has value. */
+    /** The paper's tau: the time from its arrival within which a response has value. */
     final long timeBudget;
     /** Priority level; 0 is the most urgent. */
     int level;
-    /** When it is given up if it is still queued. */
+    /** When it is dropped if it is still queued. */
     long expiresAt;
-    /** The server in whose queue it is; null while there is none. */
+    /** The server in whose queue it is; null if none. */
     ServerState server;
-    /** It waits for a server. */
+    /** Whether it is waiting for a server. */
     boolean queued;
-    /** Its final answer is decided or no longer owed. */
+    /** Whether its final result is decided or no longer needed. */
     boolean finished;
-    /** Its last byte has not arrived: it occupies no server and is not among the open requests yet. */
+    /** Whether its last byte has not arrived yet: it occupies no server and doesn't count as open. */
     boolean incomplete;
-    /** Some attempt may have run, the first sent at firstRunAt to firstRunServer. */
+    /** Whether some attempt may have run; the first of these was sent at firstRunAt to firstRunServer. */
     boolean mayHaveRun;
 
     long firstRunAt;
     ServerState firstRunServer;
     int attemptsInFlight;
-    /** As many attempts as were allowed when it arrived. */
+    /** The maximum number of attempts under the settings at its arrival. */
     final int maxAttempts;
 
     final ArrayList<Attempt> attempts = new ArrayList<>(1);
@@ -48,7 +48,7 @@
         this.deadline = now + timeLeft;
     }
 
-    /** The attempt of this index if it has been sent and has not ended; else null. */
+    /** Returns the attempt of this index if it has been sent and has not ended; else null. */
     Attempt runningAttempt(int index) {
         if (index < 0 || index >= attempts.size() || attempts.get(index).ended) {
             return null;
@@ -56,7 +56,7 @@
         return attempts.get(index);
     }
 
-    /** Whether an attempt has been sent to this server. */
+    /** Returns whether an attempt has been sent to this server. */
     boolean wasSentTo(ServerState server) {
         for (Attempt attempt : attempts) {
             if (attempt.server == server) {
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClass.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClass.java
@@ -1,18 +1,18 @@
 package brackenbridge.core.balancing;
 
 /**
- * A class of request.
+ * A class of requests with common limits and a common priority weight.
  *
  * @param name its name
- * @param latencyObjective responses within this time have the full priority weight
- * @param deadline the total time a client waits, over all attempts
- * @param idempotence what a repeat would do
- * @param deduplicationScope for {@link Idempotence#IDEMPOTENCY_KEY}: who drops repeats
- * @param idempotencyKeyTtl for {@link Idempotence#IDEMPOTENCY_KEY}: how long repeats are dropped, from the send that
- *     may have run
- * @param streamed the answer arrives as a stream
- * @param priorityWeight the value of one request answered within its latency objective
- * @param lateValueRatio the part of the priority weight left to a response after the latency objective
+ * @param latencyObjective the time within which a response has the full priority weight
+ * @param deadline the total time that a client waits, over all attempts
+ * @param idempotence whether requests may be sent again
+ * @param deduplicationScope for {@link Idempotence#IDEMPOTENCY_KEY}: the endpoints that drop duplicates
+ * @param idempotencyKeyTtl for {@link Idempotence#IDEMPOTENCY_KEY}: how long duplicates are dropped, from the start of
+ *     the attempt that may have run
+ * @param streamed whether the response is streamed
+ * @param priorityWeight the value of a request that is answered within its latency objective
+ * @param lateValueRatio the fraction of the priority weight that a response after the latency objective has
  */
 public record RequestClass(
         String name,
@@ -24,7 +24,7 @@
         boolean streamed,
         double priorityWeight,
         double lateValueRatio) {
-    /** A class that could not be served or ranked is rejected; its name stands in paths and in figures. */
+    /** Rejects values out of range, and names that could not be part of a request path and of a metric name. */
     public RequestClass {
         SettingsChecks.require(name.matches("[^\\s\\p{Cntrl}/?#:|]+"), "name of a class", name);
         SettingsChecks.require(latencyObjective > 0, "aim of class " + name, latencyObjective);
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClassState.java
@@ -1,6 +1,6 @@
 package brackenbridge.core.balancing;
 
-/** A request class and what was measured of it; times are in microseconds. */
+/** A request class with its measurements; times are in microseconds. */
 final class RequestClassState {
     final RequestClass rules;
     /** Priority level; 0 is the most urgent. */
@@ -9,14 +9,14 @@
     int overShareLevel;
     /** Moving average of the response time; 0 before the first response. */
     double meanTime;
-    /** Moving average of the response time's distance from its mean. */
+    /** Moving average of the absolute deviation of the response time from its mean. */
     double timeDeviation;
-    /** Least mean response time of late; 0 until enough responses have come. */
+    /** Recent minimum of the mean response time; 0 until enough responses have been received. */
     double bestMeanTime;
 
     /** Successful responses so far. */
     long responseCount;
-    /** Moving average of the share of errors among the outcomes at all servers. */
+    /** Moving average of the error ratio over the outcomes at all servers. */
     double errorRatio;
 
     private RequestClassState(RequestClass rules) {
@@ -24,7 +24,8 @@
     }
 
     /**
-     * The state of a class under these rules, with what was measured before; {@code before} itself if they are equal.
+     * Returns the state of a class under these rules, with the measurements of {@code before}; {@code before} itself if
+     * the rules are equal.
      */
     static RequestClassState of(RequestClass rules, RequestClassState before) {
         if (before != null && before.rules.equals(rules)) {
--- a/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestClasses.java
@@ -9,15 +9,15 @@
 import java.util.TreeSet;
 
 /**
- * The request classes, their priority levels and the token buckets of the paper: within the rate d of its tenant or,
- * where there are no quotas, of the node, a request gets the top priority.
+ * The request classes, their priority levels and the token buckets of the paper: within the guaranteed rate d of its
+ * tenant or, where there are no quotas, of the node, a request gets the top priority.
  */
 final class RequestClasses {
-    /** What counts as the mean response time before the first response, in microseconds. */
+    /** The mean response time assumed before the first response, in microseconds. */
     private static final long INITIAL_RESPONSE_TIME = 250_000;
-    /** A tenant's quota over its guaranteed rate d. */
+    /** The ratio of a tenant's quota to its guaranteed rate d. */
     private static final double QUOTA_PER_GUARANTEED_RATE = 16;
-    /** The rate of answers over the guaranteed rate d of a node without quotas. */
+    /** The ratio of the rate of responses to the guaranteed rate d of a node without quotas. */
     private static final double ANSWERS_PER_GUARANTEED_RATE = 20;
 
     private final Map<String, RequestClassState> classes = new HashMap<>();
@@ -27,7 +27,7 @@
     private int levels;
     private boolean anyIdempotent;
 
-    /** Takes over other settings; what was measured of a class stays with its name. */
+    /** Applies new settings; a class keeps its measurements under its name. */
     void applySettings(BalancerSettings settings) {
         Map<String, RequestClassState> before = new HashMap<>(classes);
         classes.clear();
@@ -65,7 +65,7 @@
         }
     }
 
-    /** The class of this name. */
+    /** Returns the class of this name; throws an exception if there is none. */
     RequestClassState require(String name) {
         RequestClassState state = classes.get(name);
         if (state == null) {
@@ -78,17 +78,17 @@
         return classes.values();
     }
 
-    /** How many priority levels there are. */
+    /** The number of priority levels. */
     int levels() {
         return levels;
     }
 
-    /** Whether some class may be repeated without restriction. */
+    /** Whether the requests of some class may be sent again without restriction. */
     boolean anyIdempotent() {
         return anyIdempotent;
     }
 
-    /** The priority level of a request that arrives now; takes the tokens that it needs. */
+    /** Returns the priority level of a request that arrives now, and takes the tokens for it. */
     int assignLevel(long now, RequestClassState requestClass, String tenant) {
         TokenBucket quota = quotas.get(tenant);
         if (quota != null && !quota.tryTakeToken(now)) {
@@ -98,7 +98,7 @@
         return guaranteed.tryTakeToken(now) ? 0 : requestClass.level;
     }
 
-    /** Sets the guaranteed rate d of a node without quotas by its rate of answers. */
+    /** Derives the guaranteed rate d of a node without quotas from its rate of responses. */
     void updateGuaranteedRate(double answersPerSecond) {
         nodeGuaranteedRate.setRate(answersPerSecond / ANSWERS_PER_GUARANTEED_RATE);
     }
--- a/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
@@ -11,18 +11,21 @@
 import java.util.function.Consumer;
 
 /**
- * The priority queues of Andersson and Kihl, one for each server and priority level, with the paper's tests of tau
- * and f: equation 3 finds the requests that can no longer be served in time ({@link #isHopeless}), equation 4 the
+ * The priority queues of Andersson and Kihl, one for each server and priority level, with the paper's tests of tau and
+ * f: equation 3 finds the requests that can no longer be served in time ({@link #cannotFinishInTime}), equation 4 the
  * request that is released when a server has a free slot ({@link #selectNext}).
  */
 final class RequestQueues {
-    /** The paper's margin f: the part of a request's time tau that measured and queued time may fill. */
+    /**
+     * The paper's margin f: the fraction of a request's time tau that its queueing time and its expected response time
+     * may use.
+     */
     static final double DEADLINE_MARGIN = 0.9;
     /** The token of the timer at which queued requests expire. */
     static final String EXPIRY_TIMER = "expiry";
-    /** Queued requests looked at when a server takes one over. */
+    /** How many queued requests are examined when a server takes one over. */
     private static final int MAX_TAKE_OVER_CANDIDATES = 8;
-    /** Entries of requests that have left the queues, beyond one for each queued, that are kept. */
+    /** Bounds the entries of requests that have left the queues, beyond one for each queued request. */
     private static final int MAX_STALE_ENTRIES = 64;
 
     private final BalancerActions actions;
@@ -32,7 +35,7 @@
     private final PriorityQueue<QueuedRequest> byExpiry =
             new PriorityQueue<>(Comparator.<QueuedRequest>comparingLong(request -> request.expiresAt)
                     .thenComparingLong(request -> request.id));
-    /** The servers that requests are queued for, by the time at which they were first listed. */
+    /** The servers that have queued requests, in the order in which they were first listed. */
     private final TreeSet<ServerState> serversWithQueue =
             new TreeSet<>(Comparator.comparingLong(server -> server.listIndex));
 
@@ -43,12 +46,12 @@
         this.actions = actions;
     }
 
-    /** How many requests are queued. */
+    /** The number of queued requests. */
     int size() {
         return queuedCount;
     }
 
-    /** How many entries are held, stale ones included. */
+    /** The number of entries, including stale ones. */
     int entryCount() {
         return oldestFirst.size() + byExpiry.size();
     }
@@ -71,14 +74,14 @@
         armExpiryTimer(Math.max(now + 1, request.expiresAt));
     }
 
-    /** Bounds memory where no server frees a slot, which alone would remove stale entries. */
+    /** Removes stale entries. Guards memory where no server frees a slot, which would remove them otherwise. */
     private void removeStaleEntries() {
         Set<QueuedRequest> remaining = new LinkedHashSet<>(oldestFirst);
         oldestFirst.clear();
         remaining.stream().filter(request -> request.queued).forEach(oldestFirst::add);
     }
 
-    /** Takes a queued request out. */
+    /** Removes a queued request. */
     void remove(QueuedRequest request) {
         request.queued = false;
         queuedCount--;
@@ -92,7 +95,7 @@
         }
     }
 
-    /** Takes all requests out that are queued for this server, and returns them by arrival. */
+    /** Removes all requests that are queued for this server, and returns them in order of arrival. */
     List<QueuedRequest> removeAll(ServerState server) {
         List<QueuedRequest> removed = new ArrayList<>();
         for (ArrayDeque<QueuedRequest> queue : server.queues) {
@@ -104,23 +107,24 @@
         return removed;
     }
 
-    /** The servers outside the subset for which requests are queued. */
+    /** Returns the servers outside the subset that have queued requests. */
     List<ServerState> serversWithQueueOutsideSubset() {
         return serversWithQueue.stream().filter(server -> !server.inSubset).toList();
     }
 
     /**
-     * Equation 3: below the top level a request is hopeless at a server when the measured time and the time that it has
-     * waited reach tau f. At any level a retry is hopeless whose idempotency window has closed while it waited.
+     * Equation 3: below the top level a request can't finish in time at a server if its expected response time and the
+     * time that it has waited reach tau f. At any level a retry has failed whose idempotency key has expired while it
+     * was queued.
      */
-    static boolean isHopeless(long now, QueuedRequest request, ServerState server) {
+    static boolean cannotFinishInTime(long now, QueuedRequest request, ServerState server) {
         return !IdempotencyRules.allowsAttempt(now, request, server)
                 || request.level > 0
                         && expectedTime(server, request) + (now - request.arrival)
                                 >= request.timeBudget * DEADLINE_MARGIN;
     }
 
-    /** The measured time that a request of this class can expect at this server. */
+    /** The expected response time of a request of this class at this server. */
     private static double expectedTime(ServerState server, QueuedRequest request) {
         return server.measuredTime == 0
                 ? 0
@@ -128,9 +132,9 @@
     }
 
     /**
-     * Equation 4: the oldest among the heads of a server's queues, from the top level as far down as the measured
-     * time of all requests above fits within tau f; null if none is queued. The nearest end among those that wait
-     * above is the tau.
+     * Equation 4: returns the oldest among the heads of a server's queues, from the top level as far down as the
+     * measured time of all requests down to that level fits within tau f; null if none is queued. Here tau is the least
+     * time left among the heads of these queues.
      */
     static QueuedRequest selectNext(long now, ServerState server) {
         QueuedRequest oldest = null;
@@ -153,7 +157,7 @@
         return oldest;
     }
 
-    /** Takes out the oldest request that is queued elsewhere and suits this server; null if there is none. */
+    /** Removes and returns the oldest queued request that is suitable for this server; null if there is none. */
     QueuedRequest takeOverOldest(long now, ServerState server) {
         while (!oldestFirst.isEmpty() && !oldestFirst.peek().queued) {
             oldestFirst.poll();
@@ -171,13 +175,13 @@
         return null;
     }
 
-    /** The expiry timer has fired: gives up the queued requests that have expired, and sets the timer for the next. */
-    void expire(long now, Consumer<QueuedRequest> giveUp) {
+    /** Handles the expiry timer: drops the queued requests that have expired, and sets the timer for the next one. */
+    void expire(long now, Consumer<QueuedRequest> drop) {
         expiryTimerAt = Long.MAX_VALUE;
         while (!byExpiry.isEmpty() && (byExpiry.peek().expiresAt <= now || !byExpiry.peek().queued)) {
             QueuedRequest request = byExpiry.poll();
             if (request.queued) {
-                giveUp.accept(request);
+                drop.accept(request);
             }
         }
         if (!byExpiry.isEmpty()) {
--- a/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -8,27 +8,29 @@
 import java.util.Map;
 
 /**
- * The servers that are up, in the order in which one node prefers them: those of its own zone first, then those of
- * the other zones, alternating. Each zone is a ring on which every node starts at a point of its own.
+ * The servers that are up, in the order in which one node prefers them: those of its own zone first, then those of the
+ * other zones, interleaved. Each zone is a ring on which every node has its own starting point.
  *
- * <p>A change of one server costs a search in its zone's ring, whatever the number of servers. The order beyond the own
- * zone is laid out only when somebody asks for it.
+ * <p>A change of one server costs one search in its zone's ring, however many servers there are. The order beyond the
+ * own zone is built only when it is needed.
  *
- * <p>The starting point of a node is exact to a part of the ring: in a large zone it stays where it is until the
- * changes of others have moved it by more. Guards warm connections: each step would bring a server into reach that has
- * none.
+ * <p>The starting point of a node is kept until changes of other servers have moved its exact position by more than a
+ * fraction of the ring. Guards warm connections: each move would add a server to the subset to which the node has no
+ * connection.
  */
 final class ServerOrder {
     private static final Comparator<ServerState> BY_RING_POSITION =
             Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id);
 
-    /** The part of a ring to which a starting point is exact; a ring with fewer servers is exact to one. */
+    /**
+     * A starting point may be off by one in this many of the ring's servers; in a ring with fewer servers it is exact.
+     */
     private static final int RING_GRANULARITY = 256;
 
-    /** The servers of one zone, sorted by their places. */
+    /** The servers of one zone, sorted by ring position. */
     private static final class Ring {
         final List<ServerState> servers = new ArrayList<>();
-        /** The server at which the node started when the order was last laid out; null before. */
+        /** The server at the starting point when the order was last rebuilt; null before. */
         private ServerState startServer;
 
         private int startIndex;
@@ -37,7 +39,7 @@
             return Collections.binarySearch(servers, server, BY_RING_POSITION);
         }
 
-        /** Begins at this part of the ring, or stays near it. */
+        /** Moves the starting point to this fraction of the ring, unless the current one is close enough. */
         void moveStart(double start) {
             int exact = (int) (start * servers.size());
             int at = startServer == null ? exact : indexAtOrAfter(startServer);
@@ -45,34 +47,34 @@
             startServer = servers.get(startIndex);
         }
 
-        /** The place of a server, or of the one that follows if it has left. */
+        /** The index of a server, or of the next one if it has been removed. */
         private int indexAtOrAfter(ServerState server) {
             int at = findIndex(server);
             return (at >= 0 ? at : -at - 1) % servers.size();
         }
 
-        private int distance(int place, int otherPlace) {
-            int apart = Math.abs(place - otherPlace);
+        private int distance(int index, int otherIndex) {
+            int apart = Math.abs(index - otherIndex);
             return Math.min(apart, servers.size() - apart);
         }
 
-        ServerState get(int place) {
-            return servers.get((startIndex + place) % servers.size());
+        ServerState get(int index) {
+            return servers.get((startIndex + index) % servers.size());
         }
     }
 
     private static final Ring EMPTY_RING = new Ring();
 
-    /** No zone is empty. */
+    /** The rings by zone; none is empty. */
     private final Map<String, Ring> zones = new HashMap<>();
 
     private int size;
     private String ownZone;
     private Ring ownRing = EMPTY_RING;
-    /** The servers after the own zone; null until they are needed. */
+    /** The servers of the other zones in order; null until they are needed. */
     private List<ServerState> otherZoneServers;
 
-    /** Adds a server under the zone that its endpoint names now. */
+    /** Adds a server to the current zone of its endpoint. */
     void add(ServerState server) {
         Ring ring = zones.computeIfAbsent(server.endpoint.zone(), z -> new Ring());
         int at = ring.findIndex(server);
@@ -82,7 +84,7 @@
         }
     }
 
-    /** Removes a server from the zone that it was added under. */
+    /** Removes a server from the zone to which it was added. */
     void remove(ServerState server, String zone) {
         Ring ring = zones.getOrDefault(zone, EMPTY_RING);
         int at = ring.findIndex(server);
@@ -95,7 +97,7 @@
         }
     }
 
-    /** Lays the order out as it is now, for a node in this zone that starts at this part of each ring. */
+    /** Rebuilds the order for a node in this zone that starts at this fraction of each ring. */
     void rebuild(String zone, double start) {
         ownZone = zone;
         zones.values().forEach(ring -> ring.moveStart(start));
@@ -103,28 +105,28 @@
         otherZoneServers = null;
     }
 
-    /** How many servers are up. */
+    /** The number of servers that are up. */
     int size() {
         return size;
     }
 
-    /** How many of them are in the own zone. */
+    /** The number of servers that are up in the own zone. */
     int ownZoneSize() {
         return ownRing.servers.size();
     }
 
-    /** The server at this place of the order, from 0. */
-    ServerState get(int place) {
-        if (place < ownZoneSize()) {
-            return ownRing.get(place);
+    /** The server at this index of the order. */
+    ServerState get(int index) {
+        if (index < ownZoneSize()) {
+            return ownRing.get(index);
         }
         if (otherZoneServers == null) {
             otherZoneServers = interleaveOtherZones();
         }
-        return otherZoneServers.get(place - ownZoneSize());
+        return otherZoneServers.get(index - ownZoneSize());
     }
 
-    /** One server of each other zone by turns, the zone whose first has the lowest number before the others. */
+    /** Takes one server of each other zone in turn; the zones are sorted by the id of their first server. */
     private List<ServerState> interleaveOtherZones() {
         List<Ring> rings = new ArrayList<>();
         zones.forEach((zone, ring) -> {
@@ -133,9 +135,9 @@
             }
         });
         rings.sort(Comparator.comparingLong(ring -> ring.get(0).id));
-        int beyond = size - ownZoneSize();
-        List<ServerState> order = new ArrayList<>(beyond);
-        for (int i = 0; order.size() < beyond; i++) {
+        int otherZonesSize = size - ownZoneSize();
+        List<ServerState> order = new ArrayList<>(otherZonesSize);
+        for (int i = 0; order.size() < otherZonesSize; i++) {
             for (Ring ring : rings) {
                 if (i < ring.servers.size()) {
                     order.add(ring.get(i));
--- a/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerRegistry.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The servers that endpoint lists have named; those that are up stand in the {@link ServerOrder} as well. */
+/** The servers known from endpoint lists; those that are up are in the {@link ServerOrder} as well. */
 final class ServerRegistry {
     private final RequestClasses classes;
     private final ServerOrder order;
     private final OutlierDetection outliers;
     private final IdleServers idleServers;
     private final Map<Long, ServerState> servers = new LinkedHashMap<>();
-    /** Servers that have left the list; each is forgotten with its last request. */
+    /** Servers that are no longer listed; each is forgotten after the retention and its last request. */
     private final Set<ServerState> removed = new LinkedHashSet<>();
 
     private long serversListed;
@@ -26,17 +26,17 @@
         this.idleServers = idleServers;
     }
 
-    /** Whether this server is known still. */
+    /** Returns whether this server is still known. */
     boolean contains(ServerState server) {
         return servers.get(server.id) == server;
     }
 
-    /** Lays all queues out by the classes' present priority levels. */
+    /** Rebuilds all queues for the current priority levels of the classes. */
     void rebuildQueues() {
         servers.values().forEach(server -> server.rebuildQueues(classes.levels(), classes.all()));
     }
 
-    /** Takes over an endpoint list; the subset of the servers in use is to be rebuilt afterwards. */
+    /** Applies an endpoint list; the caller has to rebuild the subset afterwards. */
     void applyList(long now, EndpointListKind kind, List<Endpoint> entries) {
         if (kind != EndpointListKind.CHANGES) {
             removeUnlisted(now, entries);
@@ -56,19 +56,19 @@
         entries.forEach(entry -> listed.add(entry.id()));
         for (ServerState server : servers.values()) {
             if (!listed.contains(server.id)) {
-                applyEndpoint(now, server, withdrawn(server.endpoint));
+                applyEndpoint(now, server, asRemoved(server.endpoint));
             }
         }
     }
 
-    private static Endpoint withdrawn(Endpoint last) {
+    private static Endpoint asRemoved(Endpoint last) {
         return new Endpoint(
                 last.id(), last.cell(), last.zone(), last.weight(), last.startedAt(), EndpointState.REMOVED);
     }
 
     private void onRestarted(long now, ServerState server, long startedAt) {
-        // An earlier start than the one before comes from a wall clock that was set back meanwhile, so it does not say
-        // how long ago it was.
+        // A start time earlier than the previous one comes from a wall clock that was set back, so it doesn't tell how
+        // long ago the server started.
         server.warmingSince = startedAt > server.endpoint.startedAt() ? Math.min(startedAt, now) : now;
         server.budget.dropChargesBefore(server.warmingSince);
         server.relativeTime = 1;
@@ -78,7 +78,7 @@
         outliers.readmit(server);
     }
 
-    /** Takes over what the list says of a server; only its position in the order follows. */
+    /** Applies a list entry to a server and updates its position in the order. */
     private void applyEndpoint(long now, ServerState server, Endpoint endpoint) {
         order.remove(server, server.endpoint.zone());
         boolean wasRemoved = removed.remove(server);
@@ -92,14 +92,14 @@
     }
 
     /**
-     * Forgets the servers that have left the list for longer than the retention and have no request in flight. Guards a
-     * server that is named again while it warms up: what it was sent before still counts.
+     * Forgets the servers that have been unlisted for at least the retention and have no request in flight. Guards a
+     * server that is listed again while it warms up: the requests sent to it before still count.
      */
     void forgetRemoved(long now, long retention) {
         for (ServerState server : List.copyOf(removed)) {
             if (server.inFlight == 0 && now - server.removedAt >= retention) {
-                // A server that left while ejected would stay in the count of the ejected for good, and after a few
-                // such no failing server would ever be ejected again.
+                // A server that was removed while ejected would be counted as ejected forever, and after a few of these
+                // no failing server could be ejected any more.
                 outliers.readmit(server);
                 idleServers.remove(server);
                 servers.remove(server.id);
--- a/core/src/main/java/brackenbridge/core/balancing/ServerState.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerState.java
@@ -5,46 +5,49 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A server that some endpoint list has named, with its queues and what was measured of it; times in microseconds. */
+/** A server known from an endpoint list, with its queues and measurements; times are in microseconds. */
 final class ServerState {
     final long id;
-    /** How many servers were listed before it. */
+    /** The number of servers that were listed before it. */
     final long listIndex;
-    /** Its position on the ring of its zone, from 0 to 1; the same at every instance. */
+    /** Its position on the ring of its zone, at least 0 and below 1; the same at every instance. */
     final double ringPosition;
 
     Endpoint endpoint;
-    /** When it last started, at most the time at which that was learned: a later start would never warm up. */
+    /**
+     * When it last started, but no later than when this was learned; with a start time in the future it would not warm
+     * up.
+     */
     long warmingSince;
     /** The requests queued for it, by priority level. */
     ArrayDeque<QueuedRequest>[] queues;
-    /** How many they are. */
+    /** The number of requests queued for it. */
     int queuedCount;
 
     int inFlight;
-    /** Since when no list names it; meaningful only while none does. */
+    /** When it was removed from the list; valid only while it is unlisted. */
     long removedAt;
-    /** Among the servers that this instance uses. */
+    /** Whether it is one of the servers that this instance uses. */
     boolean inSubset;
-    /** In the subset and not ejected: takes part in the weighted round robin. */
+    /** Whether it takes part in the weighted round robin: it is in the subset and not ejected. */
     boolean inRotation;
 
     boolean isIdle;
     /** Virtual time of its next turn in the weighted round robin. */
     double nextTurn;
-    /** Moving average of its response times over those usual for their classes. */
+    /** Moving average of the ratio of its response times to the means of their classes. */
     double relativeTime = 1;
     /** The paper's measured time: moving average of its response times; 0 before the first response. */
     double measuredTime;
-    /** Ejections since its error ratio was last low. */
+    /** The number of ejections since its error ratio was last low. */
     int consecutiveEjections;
-    /** What it was sent of late, and what it may be sent while it warms up. */
+    /** The requests recently sent to it, which limit those that it may be sent while it warms up. */
     final SlowStartBudget budget = new SlowStartBudget();
-    /** Moving average of the share of errors among its outcomes. */
+    /** Moving average of its error ratio. */
     double errorRatio;
 
     private final Map<RequestClassState, EndpointHealth> healthByClass = new HashMap<>();
-    /** Ejected as an outlier, until ejectedUntil. */
+    /** Whether it is ejected as an outlier, until ejectedUntil at least. */
     boolean ejected;
 
     long ejectedUntil;
@@ -58,12 +61,12 @@
         this.queues = createQueues(levels);
     }
 
-    /** How it has fared with this class. */
+    /** Returns its recent errors for this class. */
     EndpointHealth health(RequestClassState requestClass) {
         return healthByClass.computeIfAbsent(requestClass, c -> new EndpointHealth());
     }
 
-    /** Queues its requests by the levels that they have now, and forgets classes that are no longer configured. */
+    /** Rebuilds its queues by the current levels of its requests, and forgets classes that are no longer configured. */
     void rebuildQueues(int levels, Collection<RequestClassState> classes) {
         ArrayDeque<QueuedRequest>[] before = queues;
         queues = createQueues(levels);
@@ -82,7 +85,7 @@
         return created;
     }
 
-    /** The finishing steps of SplitMix64, cut to 53 bits. */
+    /** The finalizer of SplitMix64, cut to 53 bits. */
     private static long hash53(long id) {
         long mixed = id + 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ (mixed >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -5,24 +5,24 @@
 import java.util.Set;
 
 /**
- * The subset of the servers that this instance uses: the first of its {@link ServerOrder}, as many as its load needs.
- * It also bounds the requests in flight to each of them.
+ * The subset of the servers that this instance uses: the first ones of its {@link ServerOrder}, as many as its load
+ * needs. It also limits the requests in flight to each of them.
  */
 final class ServerSubset {
     private static final int MIN_SIZE = 8;
-    /** Requests in flight at a server, from all instances, that the window allows. */
+    /** The requests in flight at one server, from all instances together, for which the window is sized. */
     private static final double IN_FLIGHT_PER_SERVER = 6;
-    /** The part of the subset by which it grows in a tick is one in this many. */
+    /** The subset grows by its size divided by this per tick. */
     private static final int GROWTH_DIVISOR = 4;
-    /** The window is widened only while fewer than one server in this many is ejected. */
+    /** The window is widened only while fewer than one in this many servers is ejected. */
     private static final int EJECTED_DIVISOR = 3;
-    /** The part of the peak of requests in flight or queued that remains after each tick. */
+    /** The fraction of the peak of outstanding requests that remains after each tick. */
     private static final double PEAK_DECAY_PER_TICK = 0.97;
-    /** The ratio of the golden section: spreads the instances' starting points evenly. */
+    /** The inverse golden ratio; its multiples spread the instances' starting points evenly over a ring. */
     private static final double GOLDEN_RATIO = 0.6180339887498949;
 
     private final ServerOrder order = new ServerOrder();
-    /** The servers of the subset when the order was last laid out, and those that joined it since. */
+    /** The servers of the subset when the order was last rebuilt, and those added since. */
     private final Set<ServerState> members = new LinkedHashSet<>();
 
     private BalancerSettings settings;
@@ -30,7 +30,7 @@
     private int extraWindow;
     private double peakOutstanding;
 
-    /** Applies other settings from now on. */
+    /** Applies new settings. */
     void applySettings(BalancerSettings next) {
         settings = next;
     }
@@ -40,7 +40,7 @@
         return order;
     }
 
-    /** How many servers the subset may have. */
+    /** The target size of the subset; more servers may not be available. */
     int size() {
         return size;
     }
@@ -50,16 +50,15 @@
         return List.copyOf(members);
     }
 
-    /** How many servers the subset has now. */
+    /** The number of servers in the subset now. */
     int usedSize() {
         return Math.min(size, order.size());
     }
 
     /**
-     * Lays the order and the subset out anew: own zone first; in each zone the instances' starting points are spread
-     * evenly.
+     * Rebuilds the order and the subset: own zone first; in each zone the instances' starting points are spread evenly.
      *
-     * @return the members before
+     * @return the previous members
      */
     List<ServerState> rebuildMembers() {
         order.rebuild(settings.zone(), settings.instanceIndex() * GOLDEN_RATIO % 1);
@@ -78,22 +77,25 @@
         members.add(server);
     }
 
-    /** The next server of the own zone, by which the subset has grown; null if it has them all. */
+    /** Grows the subset by the next server of the own zone and returns it; null if the subset has all of them. */
     ServerState growInOwnZone() {
         return size < order.ownZoneSize() ? order.get(size++) : null;
     }
 
-    /** The next server, by which the subset has grown; null if it has them all. */
+    /** Grows the subset by the next server and returns it; null if the subset has all of them. */
     ServerState growByServer() {
         return size < order.size() ? order.get(size++) : null;
     }
 
-    /** By how many servers the subset may grow in one tick. */
+    /** The number of servers by which the subset may grow in one tick. */
     int growthPerTick() {
         return Math.max(1, size / GROWTH_DIVISOR);
     }
 
-    /** Whether it has servers left to grow by, and these would not leave too few instances at each server. */
+    /**
+     * Whether the subset may grow: there are further servers, and each server is shared by few instances, many members
+     * are ejected or the servers have spare capacity.
+     */
     boolean canGrow(int rotationSize, boolean spareCapacity) {
         return size < order.size()
                 && (settings.instanceCount() * (double) size / order.size() < 2 * IN_FLIGHT_PER_SERVER
@@ -101,12 +103,12 @@
                         || spareCapacity);
     }
 
-    /** Whether it is larger than the recent load needs. */
+    /** Whether the subset is larger than the recent load needs. */
     boolean canShrink() {
         return size > MIN_SIZE && size > 2 * peakOutstanding + 2;
     }
 
-    /** Shrinks by one server and returns it; null if it had no such server. */
+    /** Shrinks the subset by one server and returns it; null if there is no server at its last position. */
     ServerState shrinkByServer() {
         size--;
         ServerState last = order.size() > size ? order.get(size) : null;
@@ -117,15 +119,16 @@
         return last;
     }
 
-    /** Records how many requests are in flight or queued in this tick. */
+    /** Records the number of requests that are in flight or queued in this tick. */
     void recordOutstanding(int requests) {
         peakOutstanding = Math.max(requests, peakOutstanding * PEAK_DECAY_PER_TICK);
     }
 
     /**
-     * The most requests in flight to one server: one, but more where too few instances share a server to fill it. A
-     * server holds a slot while it waits for the next tier: one request from each of two instances leaves it idle. The
-     * instances' traffic may be uneven as well, for which the window is widened, see {@link #adjustWindow}.
+     * The maximum number of requests in flight to one server: one, but more if too few instances share a server to use
+     * it fully. A request occupies a slot while it waits for the next tier, so one request from each of two instances
+     * leaves the server idle. The window is also widened for uneven traffic between instances, see {@link
+     * #adjustWindow}.
      */
     int windowSize() {
         double part = usedSize() / (double) Math.max(1, order.size());
@@ -133,13 +136,13 @@
     }
 
     /**
-     * Widens the window by one where requests wait though all servers are in use and have spare capacity, unless so
-     * many are ejected that the requests of these would overload the others; else narrows it by one where it is not
-     * needed.
+     * Widens the window by one if requests are queued although all servers are in use and have spare capacity, unless
+     * so many servers are ejected that their requests would overload the others; else narrows it by one if it is wider
+     * than needed.
      */
-    void adjustWindow(boolean requestsWait, int ejected, int rotationSize, AdmissionControl admission) {
+    void adjustWindow(boolean requestsQueued, int ejected, int rotationSize, AdmissionControl admission) {
         boolean spareCapacity = admission.hasSpareCapacity();
-        if (requestsWait
+        if (requestsQueued
                 && size >= order.size()
                 && ejected * EJECTED_DIVISOR < order.size()
                 && admission.isCongestionMeasured()
--- a/core/src/main/java/brackenbridge/core/balancing/SlowStartLimit.java
+++ b/core/src/main/java/brackenbridge/core/balancing/SlowStartLimit.java
@@ -1,21 +1,23 @@
 package brackenbridge.core.balancing;
 
 /**
- * How many requests a warming-up server takes in a window: the number N that the settings allow, and what is added
- * for chance. From it follows how much of N the nodes may plan with when each of them rounds its share at random.
+ * How many requests a server that is warming up can take in a window: the number N that the settings allow, plus an
+ * allowance for random variation. From this follows what fraction of N the nodes may use when each of them rounds its
+ * share at random.
  */
 final class SlowStartLimit {
-    /** From this N on the smaller addition applies. */
+    /** From this N on the smaller allowance applies. */
     private static final double LARGE_ALLOWANCE = 30;
-    /** Standard deviations of the total that must fit below the limit: a day has some thousands of windows. */
+    /** How many standard deviations of the total must fit below the limit; a day has several thousand windows. */
     private static final double STANDARD_DEVIATIONS_BELOW_LIMIT = 4.5;
-    /** A share above this is rounded with at most a quarter of a request of variance. */
+    /** Rounding a share above this has a variance of at most a quarter of a request. */
     private static final double HALF_REQUEST = 0.5;
 
     private SlowStartLimit() {}
 
     /**
-     * The maximum number of requests of mean work that a server takes in a window for which the settings allow so many.
+     * The maximum number of requests of mean cost that a server can take in a window for which the settings allow
+     * {@code allowed}.
      */
     static double maxRequests(double allowed) {
         double root = Math.sqrt(allowed);
@@ -23,12 +25,13 @@
     }
 
     /**
-     * The part of its share that a node may use. Where each of many nodes sends a fraction of a request, the total
-     * varies like the square root of its mean, and the limit leaves room for two such deviations only: the mean has
-     * to stay below N so far that several fit. A few nodes with whole requests each use their complete shares.
+     * The fraction of its share that a node may use. If each of many nodes sends a fraction of a request, the standard
+     * deviation of the total is about the square root of its mean, and the limit leaves room for only two of these
+     * above N, so the mean has to stay far enough below N. A few nodes with several requests each may use their
+     * complete shares.
      *
-     * @param share one node's requests in a window
-     * @param nodes how many nodes share the server
+     * @param share one node's share in requests per window
+     * @param nodes the number of nodes that share the server
      */
     static double usableFraction(double share, int nodes) {
         double allowed = share * nodes;
@@ -37,7 +40,7 @@
         }
         double variancePerRequest = share < HALF_REQUEST ? 1 - share : HALF_REQUEST * HALF_REQUEST / share;
         double spread = STANDARD_DEVIATIONS_BELOW_LIMIT * Math.sqrt(variancePerRequest);
-        // The root of the mean that solves mean + spread * root(mean) = limit.
+        // The square root of the mean that solves mean + spread * root(mean) = limit.
         double root = (Math.sqrt(spread * spread + 4 * maxRequests(allowed)) - spread) / 2;
         return Math.min(1, root * root / allowed);
     }
--- a/core/src/main/java/brackenbridge/core/balancing/TenantShare.java
+++ b/core/src/main/java/brackenbridge/core/balancing/TenantShare.java
@@ -4,11 +4,11 @@
  * A tenant and its share.
  *
  * @param name its name
- * @param share its part of the service
- * @param quotaPerSecond requests a second, over all instances, within its share; 0 if there is no quota
+ * @param share its fraction of the service
+ * @param quotaPerSecond its quota in requests per second over all instances; 0 if there is none
  */
 public record TenantShare(String name, double share, double quotaPerSecond) {
-    /** A share or a quota that no rate can have is rejected. */
+    /** Rejects a share or a quota out of range. */
     public TenantShare {
         SettingsChecks.require(share >= 0 && share <= SettingsChecks.MAX_RATE, "share of tenant " + name, share);
         SettingsChecks.require(
--- a/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
+++ b/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
@@ -1,6 +1,6 @@
 package brackenbridge.core.balancing;
 
-/** A token bucket: it is refilled at a rate, up to its size, and each request takes one token. */
+/** A token bucket: it is refilled at a rate, up to its capacity, and each request takes one token. */
 final class TokenBucket {
     private static final double MICROSECONDS_PER_SECOND = 1e6;
 
@@ -9,7 +9,7 @@
     private double tokens;
     private long refilledAt = Long.MIN_VALUE;
 
-    /** Takes a token and returns true, if there is one at this time in microseconds. */
+    /** Takes a token if there is one at this time in microseconds; returns whether it did. */
     boolean tryTakeToken(long now) {
         if (refilledAt != Long.MIN_VALUE) {
             tokens = Math.min(capacity, tokens + (now - refilledAt) * tokensPerSecond / MICROSECONDS_PER_SECOND);
@@ -22,7 +22,7 @@
         return true;
     }
 
-    /** Sets the rate, and with it the size, to this many tokens a second; the size is at least one token. */
+    /** Sets the rate in tokens per second; the capacity is the tokens of one second, but at least one. */
     void setRate(double ratePerSecond) {
         tokensPerSecond = ratePerSecond;
         capacity = Math.max(1, ratePerSecond);
--- a/core/src/main/java/brackenbridge/core/balancing/WeightedRoundRobin.java
+++ b/core/src/main/java/brackenbridge/core/balancing/WeightedRoundRobin.java
@@ -9,9 +9,9 @@
  * with the earliest turn is next, and its following turn comes a stride later, the inverse of its capacity.
  */
 final class WeightedRoundRobin {
-    /** Relative response time above which a server counts as slow and gets turns by the capacity that it shows. */
+    /** Relative response time above which a server counts as slow and its turns become rarer in proportion. */
     private static final double SLOW_RELATIVE_TIME = 1.5;
-    /** The slowest that a server can count as. */
+    /** The relative response time at which this effect is capped. */
     private static final double MAX_RELATIVE_TIME = 10;
 
     private final PriorityQueue<ServerState> rotation = new PriorityQueue<>(
@@ -25,7 +25,7 @@
         this.random = random;
     }
 
-    /** Adds a server, its first turn at random within its stride. */
+    /** Adds a server; its first turn is at a random time within its stride. */
     void add(long now, ServerState server) {
         server.inRotation = true;
         server.nextTurn = virtualTime + random.nextDouble() * stride(now, server);
@@ -40,7 +40,9 @@
         }
     }
 
-    /** The server whose turn it is; its next turn follows a stride later. The rotation must not be empty. */
+    /**
+     * Returns the server whose turn it is and schedules its next turn a stride later. The rotation must not be empty.
+     */
     ServerState next(long now) {
         ServerState server = rotation.poll();
         virtualTime = Math.max(virtualTime, server.nextTurn);
@@ -57,7 +59,10 @@
         return rotation.size();
     }
 
-    /** The virtual time between two turns: the inverse of the weight, while warming up of the part it can do. */
+    /**
+     * The virtual time between two turns: the inverse of the weight, which is reduced while the server warms up or is
+     * slow.
+     */
     private double stride(long now, ServerState server) {
         double slowness =
                 server.relativeTime > SLOW_RELATIVE_TIME ? Math.min(server.relativeTime, MAX_RELATIVE_TIME) : 1;
