--- a/core/src/main/java/brackenbridge/core/connection/AdditionalOpenBudget.java
+++ b/core/src/main/java/brackenbridge/core/connection/AdditionalOpenBudget.java
@@ -1,8 +1,8 @@
 package brackenbridge.core.connection;
 
 /**
- * Token bucket for connections that are opened beside a late one. Guards servers, for whom each handshake is work,
- * while they are slow to accept any.
+ * Token bucket for connections that are opened in addition to a late one. Guards servers that are slow to accept
+ * connections against the work of further handshakes.
  */
 final class AdditionalOpenBudget {
     private static final double TOKENS_PER_FIRST_OPEN = 0.5;
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionCommand.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionCommand.java
@@ -1,30 +1,32 @@
 package brackenbridge.core.connection;
 
-/** A command of {@link ConnectionPool}, to be run by its caller. */
+/** A command of {@link ConnectionPool}, to be carried out by its caller. */
 public sealed interface ConnectionCommand {
-    /** Open a connection under this id, an additional one if beside a late one; it must be up within this time. */
+    /**
+     * Open a connection under this id within this time; {@code additional} if it is opened in addition to a late one.
+     */
     record Open(long connection, EndpointIdentity endpoint, double timeoutMs, boolean additional)
             implements ConnectionCommand {}
 
-    /** The wait has ended: its attempt is sent on this connection, alone. */
+    /** End the wait: the attempt has the exclusive use of this connection. */
     record Assign(long connection, long waiter) implements ConnectionCommand {}
 
-    /** Close this connection, which is idle. */
+    /** Close this idle connection. */
     record Close(long connection) implements ConnectionCommand {}
 
-    /** The wait has ended without a connection, and nothing was sent. */
+    /** End the wait without a connection; nothing was sent. */
     record GiveUp(long waiter, FailureReason reason) implements ConnectionCommand {}
 
     /** Call {@link ConnectionPool#onWake} for this waiter at this time or soon after, in milliseconds. */
     record Wake(double atMs, long waiter) implements ConnectionCommand {}
 
-    /** Why a wait got no connection. */
+    /** Why a wait ended without a connection. */
     enum FailureReason {
-        /** No connection came up: the server refused it, or did not answer within the connect time-out. */
+        /** No connection was established: the server refused it or didn't respond within the connect time-out. */
         CONNECT_FAILED,
-        /** The node has no descriptor left for another. */
+        /** The node has no file descriptor left. */
         NO_DESCRIPTOR,
-        /** A system call failed on this machine, also after a retry: nothing is known of the server. */
+        /** A system call failed on this machine, also after a retry; this says nothing about the server. */
         FAILED_LOCALLY
     }
 }
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionPool.java
@@ -7,19 +7,20 @@
 import java.util.Map;
 
 /**
- * The node's connections to servers. A connection is opening, idle, assigned to one attempt, or closed and forgotten.
- * An attempt acquires one and waits. The oldest waiter for a server gets the first connection to it that can be used,
- * whether that one was opened for it, came up late for another or was released. A connection that is late is joined
- * by another, within a budget; it is kept, and serves the next attempt when it comes up after all.
+ * The pool of the node's connections to servers. A connection is opening, idle, assigned to one attempt, or closed and
+ * forgotten. An attempt acquires a connection and waits for it. The oldest waiter for a server gets the first
+ * connection that becomes available, whether it was opened for this waiter, opened late for another one or released. If
+ * a connection is late, another one is opened in addition, within a budget; the late one is kept and serves a later
+ * attempt once it is established.
  *
- * <p>No input or output here: times and values go in, commands come out, to be run in order. Times are milliseconds of
- * one clock. Unknown ids are ignored, since what they name may have ended meanwhile.
+ * <p>The pool does no I/O: events and times go in, and commands to be carried out in order come out. Times are
+ * milliseconds of one clock. Unknown ids are ignored, since the connection or waiter may have ended in the meantime.
  */
 public final class ConnectionPool {
     private static final int MAX_OPENS_PER_WAITER = 3;
-    /** A connection may take this many connect time-outs to open, in case another attempt can use it. */
+    /** A connection may take this many connect time-outs to open, since a later attempt can still use it. */
     private static final double OPEN_TIMEOUT_CONNECT_TIMEOUTS = 4;
-    /** Opens for one waiter that may fail on this machine and are tried again. */
+    /** How many local failures of a waiter's connections are retried. */
     private static final int MAX_LOCAL_RETRIES = 1;
 
     private static final double LOCAL_RETRY_DELAY_MS = 4;
@@ -38,8 +39,8 @@
     /**
      * Creates an empty pool.
      *
-     * @param connectTimeoutMs how long an attempt waits for a connection
-     * @param idleTimeoutMs for how long an idle connection is kept
+     * @param connectTimeoutMs the longest time that an attempt waits for a connection
+     * @param idleTimeoutMs how long an idle connection is kept
      */
     public ConnectionPool(double connectTimeoutMs, double idleTimeoutMs) {
         applySettings(connectTimeoutMs, idleTimeoutMs);
@@ -52,7 +53,7 @@
         idleTimeoutMs = newIdleTimeoutMs;
     }
 
-    /** An attempt acquires a connection, under a waiter id never used before. */
+    /** Acquires a connection for an attempt, under a waiter id that was never used before. */
     public List<ConnectionCommand> acquire(double nowMs, long waiterId, EndpointIdentity endpoint) {
         EndpointConnections group = findOrCreateGroup(endpoint);
         if (!assignIdle(nowMs, group, waiterId)) {
@@ -61,7 +62,7 @@
         return takeCommands();
     }
 
-    /** Assigns the connection that became idle last if it is trusted; closes those that are not. */
+    /** Assigns the most recently used idle connection that is trusted; closes those that are not. */
     private boolean assignIdle(double nowMs, EndpointConnections group, long waiterId) {
         while (!group.idle.isEmpty()) {
             PooledConnection connection = group.idle.pollLast();
@@ -85,7 +86,7 @@
         scheduleWake(nowMs, waiter);
     }
 
-    /** The attempt no longer waits; nothing was sent for it. A connection opened for it serves another waiter. */
+    /** Cancels the wait of an attempt, for which nothing was sent. A connection opened for it serves another waiter. */
     public List<ConnectionCommand> cancelWait(long waiterId) {
         ConnectionWaiter waiter = waiters.remove(waiterId);
         if (waiter != null) {
@@ -124,7 +125,7 @@
         }
     }
 
-    /** A connection is up. */
+    /** A connection has been established. */
     public List<ConnectionCommand> onConnected(double nowMs, long connectionId) {
         PooledConnection connection = connections.get(connectionId);
         if (connection != null && connection.state == PooledConnection.State.OPENING) {
@@ -136,7 +137,7 @@
         return takeCommands();
     }
 
-    /** The attempt that had it is complete, and it can carry another. */
+    /** Releases the connection of a complete attempt, so that it can be used for another one. */
     public List<ConnectionCommand> release(double nowMs, long connectionId) {
         PooledConnection connection = connections.get(connectionId);
         if (connection != null && connection.state == PooledConnection.State.ASSIGNED) {
@@ -150,7 +151,7 @@
         return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.CONNECT_FAILED);
     }
 
-    /** A connection could not be opened: the node has no descriptor left for it. */
+    /** A connection could not be opened because the node has no file descriptor left. */
     public List<ConnectionCommand> onDescriptorsExhausted(double nowMs, long connectionId) {
         return onConnectionEnded(nowMs, connectionId, ConnectionCommand.FailureReason.NO_DESCRIPTOR);
     }
@@ -170,7 +171,7 @@
         return takeCommands();
     }
 
-    /** Each waiter that no opening connection is left for opens its first one, or has failed. */
+    /** For each waiter without an opening connection, opens its first connection or gives up. */
     private void reopenOrGiveUp(double nowMs, EndpointConnections group, ConnectionCommand.FailureReason reason) {
         int withoutOpening = group.waitersWithoutOpening();
         for (ConnectionWaiter waiter : List.copyOf(group.waiters)) {
@@ -187,8 +188,8 @@
 
     /**
      * A connection could not be opened because a system call failed on this machine. The waiter tries once more after a
-     * short pause, as the resource that was missing may be there again, and then gives up: another server may still be
-     * within reach.
+     * short delay, since the missing resource may be available again, and then gives up, since another server may still
+     * be reachable.
      */
     public List<ConnectionCommand> onLocalFailure(double nowMs, long connectionId) {
         PooledConnection connection = connections.remove(connectionId);
@@ -210,7 +211,7 @@
             if (withoutOpening-- <= 0) {
                 return;
             }
-            // A waiter without any opened connection opens its own when its wake is due.
+            // A waiter for which no connection was opened opens its own at its next wake-up.
             if (waiter.openCount > 0) {
                 retryLater(nowMs, group, waiter);
             }
@@ -227,10 +228,10 @@
     }
 
     /**
-     * The connection of an attempt broke right after the attempt was sent. Guards requests that may not be repeated
-     * against idle connections that are closed already.
+     * The connection of an attempt broke right after the attempt was sent. Guards requests that must not be sent again
+     * against idle connections that have already been closed by the server.
      *
-     * @return whether it counts as one that was closed before it was assigned
+     * @return whether it counts as closed before it was assigned
      */
     public boolean onBrokenAfterAssign(long connectionId) {
         PooledConnection connection = connections.get(connectionId);
@@ -244,7 +245,7 @@
         return staleConnections.onReusedBroken(connection.idleBeforeAssignMs());
     }
 
-    /** Closes connections that have reached the idle time-out; to be called at regular intervals. */
+    /** Closes connections that have reached the idle time-out. Has to be called at regular intervals. */
     public List<ConnectionCommand> closeExpiredIdle(double nowMs) {
         staleConnections.raiseLimit(idleTimeoutMs);
         Iterator<EndpointConnections> groups = endpoints.values().iterator();
@@ -272,7 +273,7 @@
         return takeCommands();
     }
 
-    /** Closes one idle connection; no command if there is none. */
+    /** Closes one idle connection, if there is any. */
     public List<ConnectionCommand> closeOneIdle() {
         for (EndpointConnections group : endpoints.values()) {
             if (!group.idle.isEmpty()) {
@@ -355,7 +356,7 @@
         return endpoints.computeIfAbsent(endpoint, key -> new EndpointConnections());
     }
 
-    /** Guards against memory that grows with endpoints that were removed. */
+    /** Guards memory against groups of removed endpoints. */
     private void removeIfEmpty(EndpointIdentity endpoint, EndpointConnections group) {
         if (group.isEmpty()) {
             endpoints.remove(endpoint);
--- a/core/src/main/java/brackenbridge/core/connection/ConnectionWaiter.java
+++ b/core/src/main/java/brackenbridge/core/connection/ConnectionWaiter.java
@@ -1,12 +1,12 @@
 package brackenbridge.core.connection;
 
-/** An attempt that waits for a connection. */
+/** An attempt that is waiting for a connection. */
 final class ConnectionWaiter {
     final long id;
     final EndpointIdentity endpoint;
     final double deadlineMs;
     double nextWakeMs;
-    /** Connections opened for it. */
+    /** The number of connections opened for it. */
     int openCount;
 
     int localFailures;
@@ -17,7 +17,7 @@
         this.deadlineMs = deadlineMs;
     }
 
-    /** Why it ended without a connection, once its deadline has passed. */
+    /** Why the wait ended without a connection at its deadline. */
     ConnectionCommand.FailureReason timeoutReason() {
         return openCount == 0 && localFailures > 0
                 ? ConnectionCommand.FailureReason.FAILED_LOCALLY
--- a/core/src/main/java/brackenbridge/core/connection/EndpointConnections.java
+++ b/core/src/main/java/brackenbridge/core/connection/EndpointConnections.java
@@ -2,19 +2,19 @@
 
 import java.util.ArrayDeque;
 
-/** The connections to one endpoint that are not assigned, and the attempts that wait for one. */
+/** The unassigned connections to one endpoint, and the attempts that are waiting for one. */
 final class EndpointConnections {
     final ArrayDeque<PooledConnection> opening = new ArrayDeque<>();
-    /** The one that became idle first is first. */
+    /** Sorted by the time at which they became idle, the earliest first. */
     final ArrayDeque<PooledConnection> idle = new ArrayDeque<>();
-    /** The one that has waited longest is first. */
+    /** Sorted by arrival, the oldest first. */
     final ArrayDeque<ConnectionWaiter> waiters = new ArrayDeque<>();
 
     boolean isEmpty() {
         return opening.isEmpty() && idle.isEmpty() && waiters.isEmpty();
     }
 
-    /** Whether more attempts wait than connections are opening that are not late yet. */
+    /** Returns whether more attempts are waiting than connections are opening that are not late yet. */
     boolean needsOpening(double nowMs, double lateAfterMs) {
         int expectedSoon = 0;
         for (PooledConnection connection : opening) {
@@ -23,7 +23,7 @@
         return expectedSoon < waiters.size();
     }
 
-    /** How many attempts wait beyond the connections that are opening. */
+    /** How many more attempts are waiting than connections are opening. */
     int waitersWithoutOpening() {
         return waiters.size() - opening.size();
     }
--- a/core/src/main/java/brackenbridge/core/connection/PooledConnection.java
+++ b/core/src/main/java/brackenbridge/core/connection/PooledConnection.java
@@ -1,8 +1,8 @@
 package brackenbridge.core.connection;
 
-/** One connection of the pool, from the moment it begins to open. */
+/** A connection of the pool, from the time at which it begins to open. */
 final class PooledConnection {
-    /** What a connection is doing. */
+    /** The state of a connection. */
     enum State {
         OPENING,
         IDLE,
@@ -16,7 +16,7 @@
     State state = State.OPENING;
     /** When it entered its state. */
     double stateSinceMs;
-    /** How long it had been idle when it was assigned last; negative if it was new. */
+    /** How long it had been idle before its last assignment; negative if it was new. */
     private double idleBeforeAssignMs = NEVER_IDLE;
 
     PooledConnection(long id, EndpointIdentity endpoint, double nowMs) {
@@ -38,12 +38,12 @@
         idleBeforeAssignMs = timeInStateMs(nowMs);
     }
 
-    /** Marks that it carries an attempt next without having been idle. */
+    /** Records that its next assignment follows without an idle time. */
     void assignWithoutIdling() {
         idleBeforeAssignMs = state == State.OPENING ? NEVER_IDLE : 0;
     }
 
-    /** Whether it had carried an attempt before the current one. */
+    /** Whether it was used for an attempt before the current one. */
     boolean isReused() {
         return !(idleBeforeAssignMs < 0);
     }
--- a/core/src/main/java/brackenbridge/core/connection/StaleConnectionEstimate.java
+++ b/core/src/main/java/brackenbridge/core/connection/StaleConnectionEstimate.java
@@ -1,18 +1,18 @@
 package brackenbridge.core.connection;
 
 /**
- * Estimates for how long an idle connection stays usable. Servers and network devices may close idle connections
- * earlier than they announce, or without notice. Reused connections that break right after an assignment therefore
- * lower the limit, but only while they break more often than new ones: otherwise idleness is not the cause.
+ * Estimates how long an idle connection stays usable. Servers and network devices may close idle connections earlier
+ * than announced, or without notice. Reused connections that break right after an assignment therefore lower the limit,
+ * but only while they break more often than new ones; otherwise their idle time is not the cause.
  */
 final class StaleConnectionEstimate {
-    /** All counts are multiplied by this with each assignment, so that old ones lose their weight. */
+    /** All counts are multiplied by this at each assignment, so that old events lose their weight. */
     private static final double DECAY_PER_ASSIGNMENT = 0.995;
     /** Reused connections are suspected when they break this many times as often as new ones. */
     private static final double SUSPICION_RATIO = 2;
-    /** A break sets the limit to the time that the connection had been idle, divided by this. */
+    /** A broken connection lowers the limit to its idle time divided by this. */
     private static final double LIMIT_DIVISOR_AFTER_BREAK = 4;
-    /** The limit grows by this factor and this time with each sweep. */
+    /** The limit grows by this factor and by LIMIT_GROWTH_MS at each sweep of idle connections. */
     private static final double LIMIT_GROWTH_FACTOR = 1.01;
 
     private static final double LIMIT_GROWTH_MS = 0.1;
@@ -39,7 +39,7 @@
         newBroken++;
     }
 
-    /** Returns whether its idleness is taken as the cause. */
+    /** Records a broken reused connection; returns whether its idle time is assumed to be the cause. */
     boolean onReusedBroken(double idleBeforeAssignMs) {
         reusedBroken++;
         if (!reusedSuspected()) {
@@ -49,12 +49,12 @@
         return true;
     }
 
-    /** Raises the limit a little, up to the regular idle time. */
+    /** Raises the limit a little, up to the idle time-out. */
     void raiseLimit(double idleTimeoutMs) {
         limitMs = limitMs < idleTimeoutMs ? limitMs * LIMIT_GROWTH_FACTOR + LIMIT_GROWTH_MS : Double.POSITIVE_INFINITY;
     }
 
-    /** Connections that have been idle for less than this are taken to be usable. */
+    /** Connections that have been idle for less than this are assumed to be usable. */
     double maxTrustedIdleMs(double idleTimeoutMs) {
         return reusedSuspected() ? Math.min(limitMs, idleTimeoutMs) : idleTimeoutMs;
     }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseAuthority.java
@@ -4,22 +4,21 @@
 import java.util.TreeMap;
 
 /**
- * The authority of the agreement: decides which generation is in force, and waits for all holders that may use another.
+ * The lease authority: decides which generation is in force, and waits for all lease holders that may use another one.
  *
- * <p>Two phases. A proposal is staged: a holder that receives it obeys both, the generation in force and the staged
- * one. Once each holder has acknowledged it, or its lease on an earlier decision has expired, the staged one is in
- * force.
+ * <p>A change takes two phases. First a proposal is staged: a holder that receives it obeys both the generation in
+ * force and the staged one. Once each holder has acknowledged it, or its lease on an earlier decision has expired, the
+ * staged generation is activated.
  *
- * <p>Assumptions: its decision and {@code lastGeneration} are durable before any holder receives them; only the one
- * authority that a majority follows at that time grants leases; a new one, in another process or incarnation, begins
- * with {@link #start}.
- * Immutable; each event makes another.
+ * <p>Assumptions: the decision and {@code lastGeneration} are durable before any holder receives them; only the
+ * authority that a majority currently follows grants leases; a new authority, in another process or incarnation, begins
+ * with {@link #start}. Immutable; each event returns a new value.
  *
  * @param terms the terms of leases
  * @param decided the latest decision
- * @param lastGeneration the highest number given to a generation
- * @param earlierLeasesExpireMs until when holders unknown to it may use leases of an earlier authority
- * @param holders holders with a lease that may be valid
+ * @param lastGeneration the highest generation number assigned so far
+ * @param earlierLeasesExpireMs when the leases granted by earlier authorities to unknown holders expire
+ * @param holders the holders whose leases may still be valid
  */
 public record LeaseAuthority(
         LeaseTerms terms,
@@ -28,10 +27,10 @@
         double earlierLeasesExpireMs,
         Map<Integer, GrantedLease> holders) {
     /**
-     * A holder that was granted a lease.
+     * The lease of a holder.
      *
-     * @param untilMs until when it may use the lease, whatever its clock
-     * @param effectiveVersion the lowest version that it may use
+     * @param untilMs the time at which the lease has expired by any holder's clock
+     * @param acknowledgedVersion the lowest decision version that the holder may use
      */
     public record GrantedLease(double untilMs, long acknowledgedVersion) {}
 
@@ -39,9 +38,9 @@
     public enum ProposalVerdict {
         /** It is staged. */
         STAGED,
-        /** The generation in force is not the one that the proposal was made against. */
+        /** The generation in force is not the one that the proposal expected. */
         OVERTAKEN,
-        /** Another generation is staged. */
+        /** Another generation is already staged. */
         ANOTHER_STAGED
     }
 
@@ -51,28 +50,29 @@
     }
 
     /**
-     * An authority that takes over at this time with the durable values; it does not know which leases were granted.
+     * Creates an authority that takes over at this time with the durable values; it doesn't know which leases were
+     * granted.
      */
     public static LeaseAuthority start(LeaseTerms terms, double nowMs, DecidedVersion decided, long lastGeneration) {
         return new LeaseAuthority(terms, decided, lastGeneration, nowMs + terms.authorityWaitMs(), Map.of());
     }
 
-    /** The result that a proposal against this generation would have. */
+    /** Returns the result of a proposal that expects this generation to be in force. */
     public ProposalVerdict evaluateProposal(long expected) {
         return decided.staged() != 0
                 ? ProposalVerdict.ANOTHER_STAGED
                 : expected != decided.inForce() ? ProposalVerdict.OVERTAKEN : ProposalVerdict.STAGED;
     }
 
-    /** Stages a new generation; its number is {@link #lastGeneration} from then on. */
+    /** Stages a new generation; its number is the {@link #lastGeneration} of the result. */
     public LeaseAuthority stage() {
         if (decided.staged() != 0) {
-            throw new IllegalStateException("generation " + decided.staged() + " is staged");
+            throw new IllegalStateException("generation " + decided.staged() + " is already staged");
         }
         return with(decided.stage(lastGeneration + 1), lastGeneration + 1, holders);
     }
 
-    /** Whether the staged generation may be in force from now on. */
+    /** Returns whether the staged generation may be activated now. */
     public boolean mayActivate(double nowMs) {
         if (decided.staged() == 0 || nowMs < earlierLeasesExpireMs) {
             return false;
@@ -85,7 +85,7 @@
         return true;
     }
 
-    /** From when the staged generation may be in force if no awaited holder sends a request; milliseconds. */
+    /** When the staged generation may be activated if no further holder acknowledges it; milliseconds. */
     public double mayActivateAtMs() {
         double atMs = earlierLeasesExpireMs;
         for (GrantedLease holder : holders.values()) {
@@ -94,45 +94,46 @@
         return atMs;
     }
 
-    /** Puts the staged generation in force. */
+    /** Activates the staged generation. */
     public LeaseAuthority activate(double nowMs) {
         if (!mayActivate(nowMs)) {
-            throw new IllegalStateException("not before " + mayActivateAtMs() + " ms, it is " + nowMs);
+            throw new IllegalStateException(
+                    "the staged generation may be activated at " + mayActivateAtMs() + " ms, now is " + nowMs + " ms");
         }
         return with(decided.activate(), lastGeneration, holders);
     }
 
-    /** Drops the staged generation; its number is not used again. */
+    /** Abandons the staged generation; its number is not reused. */
     public LeaseAuthority abandon() {
         return with(decided.abandon(), lastGeneration, holders);
     }
 
-    /** Whether the requesting holder can't use the staged generation. */
+    /** Returns whether the requesting holder can't use the staged generation. */
     public boolean isStagedRejectedBy(LeaseRequest request) {
         return request.rejectedGeneration() != 0 && request.rejectedGeneration() == decided.staged();
     }
 
-    /** A holder has requested a lease; {@link #grant} is the response. */
+    /** Records a lease request of a holder; {@link #grant} returns the response. */
     public LeaseAuthority onRequest(double nowMs, LeaseRequest request) {
         Map<Integer, GrantedLease> next = new TreeMap<>();
-        // Expired leases bind nobody. Guards memory against holders that never return.
+        // Drops expired leases, which no longer matter. Guards memory against holders that never return.
         holders.forEach((id, lease) -> {
             if (nowMs < lease.untilMs()) {
                 next.put(id, lease);
             }
         });
-        // Each reported version was true when it was sent, a later incarnation receives no earlier decision, and one
-        // that has received none is in doubt: so the highest version reported is valid, in whatever order requests
-        // come.
-        GrantedLease before = next.get(request.holder());
-        long acknowledged = before == null
+        // Requests may arrive in any order. Each reported version was correct when it was sent, a later incarnation
+        // never receives an earlier decision, and an incarnation that has received none is in doubt: so the highest
+        // reported version is valid.
+        GrantedLease previous = next.get(request.holder());
+        long acknowledged = previous == null
                 ? request.decidedVersion()
-                : Math.max(before.acknowledgedVersion(), request.decidedVersion());
+                : Math.max(previous.acknowledgedVersion(), request.decidedVersion());
         next.put(request.holder(), new GrantedLease(nowMs + terms.authorityWaitMs(), acknowledged));
         return with(decided, lastGeneration, next);
     }
 
-    /** The response to a request, with the latest decision. */
+    /** Returns the response to a request, with the latest decision. */
     public LeaseGrant grant(LeaseRequest request) {
         return new LeaseGrant(request.incarnation(), request.requestNumber(), decided, terms.leaseMs());
     }
--- a/core/src/main/java/brackenbridge/core/generation/LeaseGrant.java
+++ b/core/src/main/java/brackenbridge/core/generation/LeaseGrant.java
@@ -5,7 +5,7 @@
  *
  * @param incarnation the incarnation that sent the request
  * @param requestNumber the number of the request
- * @param decided the latest decision when the response was sent
- * @param leaseMs for how long the holder may use it, from when it sent the request; milliseconds of its clock
+ * @param decided the latest decision at the time of the response
+ * @param leaseMs how long the holder may use it, counted from the sending of the request, in milliseconds of its clock
  */
 public record LeaseGrant(long incarnation, long requestNumber, DecidedVersion decided, double leaseMs) {}
--- a/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
+++ b/core/src/main/java/brackenbridge/core/generation/RenewalSchedule.java
@@ -3,16 +3,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a holder sends its next request: often enough that a few lost requests cost it no lease, and never more than
- * once in {@link #minIntervalMs} over all causes. Guards the authority against hundreds of holders that all send one
- * at once: first requests, those after a hint and retries have full jitter.
+ * Schedules the lease requests of a holder: often enough that a few lost requests don't cost it the lease, and never
+ * more than one per {@link #minIntervalMs}, whatever the cause. Guards the authority against simultaneous requests of
+ * hundreds of holders: first requests, requests after a hint and retries have full jitter.
  */
 public final class RenewalSchedule {
     private static final double REGULAR_REQUESTS_PER_LEASE = 4;
     private static final double MAX_REQUESTS_PER_LEASE = 16;
-    /** A request without a response within this part of a lease has failed. */
+    /** A request without a response within this fraction of a lease has failed. */
     private static final double RESPONSE_TIMEOUT_LEASES = 1.0 / 8;
-    /** Longest back-off between failed requests. */
+    /** The longest back-off after a failed request. */
     private static final double MAX_RETRY_DELAY_LEASES = 4;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 16;
@@ -22,7 +22,7 @@
     private double lastRequestMs = Double.NEGATIVE_INFINITY;
     private int failures;
 
-    /** The schedule of one holder. */
+    /** Creates the schedule of one holder. */
     public RenewalSchedule(LeaseTerms terms, RandomGenerator random) {
         this.terms = terms;
         this.random = random;
@@ -38,20 +38,20 @@
         return terms.leaseMs() * RESPONSE_TIMEOUT_LEASES;
     }
 
-    /** A request was sent now. */
+    /** Records that a request is sent now. */
     public void onRequestSent(double nowMs) {
         lastRequestMs = nowMs;
     }
 
-    /** When the first request is due; also the first at another authority, after the old one was lost. */
+    /** Returns when the first request is due; also the first one to a new authority. */
     public double firstRequestMs(double nowMs) {
         return notBefore(nowMs + random.nextDouble() * terms.leaseMs() / REGULAR_REQUESTS_PER_LEASE);
     }
 
     /**
-     * A grant has arrived: when the next request is due.
+     * Returns when the next request is due after a grant.
      *
-     * @param newer whether its decision was newer, so that the authority may wait for the acknowledgement
+     * @param newer whether its decision was newer, so that the authority may be waiting for the acknowledgement
      */
     public double nextAfterGrantMs(double nowMs, boolean newer) {
         failures = 0;
@@ -61,12 +61,12 @@
                         + terms.leaseMs() / REGULAR_REQUESTS_PER_LEASE * (0.75 + random.nextDouble() / 2));
     }
 
-    /** A hint of a newer decision has arrived: when to send a request for it. */
+    /** Returns when to request a newer decision after a hint that there is one. */
     public double nextAfterHintMs(double nowMs) {
         return notBefore(nowMs + random.nextDouble() * minIntervalMs());
     }
 
-    /** No response has come, or the connection is lost: when to retry. */
+    /** Returns when to retry after a missing response or a lost connection. */
     public double nextAfterFailureMs(double nowMs) {
         failures = Math.min(failures + 1, MAX_BACKOFF_DOUBLINGS);
         double maxDelayMs = Math.min(
--- a/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
+++ b/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
@@ -11,38 +11,39 @@
 import java.util.Optional;
 
 /**
- * Rules that allow only what two generations both allow, key by key: the narrower effect, the shorter time, the
- * smaller share. What a generation does not name it does not allow. The node's identity (number, tier, zone, seed)
- * and what its machine provides are not rules, and are taken from the first.
+ * Computes rules that allow only what two generations of settings both allow, key by key: the more restrictive
+ * idempotence, the shorter time, the smaller share. What a generation doesn't contain it doesn't allow. The node's
+ * identity (index, tier, zone, seed) and what its machine provides are not rules and are taken from the first
+ * generation.
  */
 public final class RuleIntersection {
     private RuleIntersection() {}
 
-    /** The rules that both allow; empty if they have no class in common, so that no request may be sent. */
+    /** Returns the rules that both allow; empty if they have no class in common, so that no request may be sent. */
     public static Optional<BalancerSettings> of(BalancerSettings left, BalancerSettings right) {
         List<RequestClass> classes = new ArrayList<>();
-        for (RequestClass one : left.classes()) {
+        for (RequestClass leftClass : left.classes()) {
             right.classes().stream()
-                    .filter(candidate -> candidate.name().equals(one.name()))
+                    .filter(candidate -> candidate.name().equals(leftClass.name()))
                     .findFirst()
-                    .ifPresent(other -> classes.add(of(one, other)));
+                    .ifPresent(rightClass -> classes.add(of(leftClass, rightClass)));
         }
         List<TenantShare> tenants = new ArrayList<>();
-        for (TenantShare one : left.tenants()) {
+        for (TenantShare leftTenant : left.tenants()) {
             right.tenants().stream()
-                    .filter(candidate -> candidate.name().equals(one.name()))
+                    .filter(candidate -> candidate.name().equals(leftTenant.name()))
                     .findFirst()
-                    .ifPresent(other -> tenants.add(new TenantShare(
-                            one.name(),
-                            Math.min(one.share(), other.share()),
-                            smallerIfSet(one.quotaPerSecond(), other.quotaPerSecond()))));
+                    .ifPresent(rightTenant -> tenants.add(new TenantShare(
+                            leftTenant.name(),
+                            Math.min(leftTenant.share(), rightTenant.share()),
+                            smallerIfSet(leftTenant.quotaPerSecond(), rightTenant.quotaPerSecond()))));
         }
         return classes.isEmpty() ? Optional.empty() : Optional.of(combine(left, right, classes, tenants));
     }
 
     /**
-     * What every generation may be taken to allow, from one that was in force: no request is sent twice, whatever
-     * its class, and no tenant has priority over another.
+     * Returns rules that every generation can be assumed to allow, derived from one that was in force: no request is
+     * sent twice, whatever its class, and no tenant has priority over anrightTenant.
      */
     public static BalancerSettings inDoubt(BalancerSettings inForce) {
         List<RequestClass> classes = new ArrayList<>();
@@ -84,7 +85,8 @@
     }
 
     private static RequestClass of(RequestClass left, RequestClass right) {
-        // If a class is idempotent in one, only the other's deduplication scope and time bind its retries.
+        // If a class is idempotent in one generation, only the deduplication scope and time of the other limit its
+        // retries.
         RequestClass first = left.idempotence() == Idempotence.IDEMPOTENCY_KEY ? left : right;
         RequestClass second = right.idempotence() == Idempotence.IDEMPOTENCY_KEY ? right : left;
         DeduplicationScope scope = first.deduplicationScope().ordinal()
@@ -95,7 +97,7 @@
                 left.name(),
                 Math.min(left.latencyObjective(), right.latencyObjective()),
                 Math.min(left.deadline(), right.deadline()),
-                narrower(left.idempotence(), right.idempotence()),
+                moreRestrictive(left.idempotence(), right.idempotence()),
                 scope,
                 Math.min(first.idempotencyKeyTtl(), second.idempotencyKeyTtl()),
                 left.streamed(),
@@ -103,7 +105,7 @@
                 left.lateValueRatio());
     }
 
-    private static Idempotence narrower(Idempotence left, Idempotence right) {
+    private static Idempotence moreRestrictive(Idempotence left, Idempotence right) {
         return left == Idempotence.NOT_IDEMPOTENT || right == Idempotence.NOT_IDEMPOTENT
                 ? Idempotence.NOT_IDEMPOTENT
                 : left == Idempotence.IDEMPOTENCY_KEY || right == Idempotence.IDEMPOTENCY_KEY
@@ -111,14 +113,14 @@
                         : Idempotence.IDEMPOTENT;
     }
 
-    /** The smaller value; 0 means that there is none. */
+    /** Returns the smaller value, where 0 means not set. */
     private static double smallerIfSet(double left, double right) {
         return left == 0 ? right : right == 0 ? left : Math.min(left, right);
     }
 
     private static BalancerSettings combine(
             BalancerSettings left, BalancerSettings right, List<RequestClass> classes, List<TenantShare> tenants) {
-        NetworkSettings net = new NetworkSettings(
+        NetworkSettings network = new NetworkSettings(
                 Math.min(left.network().connectTimeout(), right.network().connectTimeout()),
                 Math.min(left.network().drainGrace(), right.network().drainGrace()),
                 left.network().reportsInResponses(),
@@ -145,10 +147,10 @@
                 Math.max(left.warmUpTime(), right.warmUpTime()),
                 smallerOverloadMultiple(left, right),
                 (long) smallerIfSet(left.overloadWindow(), right.overloadWindow()),
-                net);
+                network);
     }
 
-    /** The smaller multiple of those that are set; a generation without an overload window has none. */
+    /** Returns the smaller of the multiples that are set; a generation without an overload window has nleftTenant. */
     private static double smallerOverloadMultiple(BalancerSettings left, BalancerSettings right) {
         return left.overloadWindow() == 0
                 ? right.overloadMultiple()
--- a/core/src/main/java/brackenbridge/core/generation/package-info.java
+++ b/core/src/main/java/brackenbridge/core/generation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Generations of settings on which the nodes agree: which node may use which, and until when. State machines without
- * sockets, files or clocks; docs/design/agreement.md states what they guarantee.
+ * Agreement of the nodes on generations of settings: which node may use which generation, and until when. State
+ * machines without sockets, files or clocks; docs/design/agreement.md describes their guarantees.
  */
 package brackenbridge.core.generation;
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the assignment, opening, failure and closing of connections in a {@link ConnectionPool}. */
 class ConnectionPoolTest {
     private static final EndpointIdentity FIRST_SERVER = new EndpointIdentity("a", "10.0.0.1:80");
     private static final EndpointIdentity SECOND_SERVER = new EndpointIdentity("b", "10.0.0.2:80");
@@ -30,7 +31,7 @@
         pool.acquire(2, 4, SECOND_SERVER);
         assertEquals(assigned(0, 2), pool.release(3, 0));
         assertEquals(assigned(1, 3), pool.onConnected(4, 1), "opened for waiter 2, which has a connection already");
-        assertEquals(List.of(), pool.onConnected(5, 2), "no waiter is left: kept idle");
+        assertEquals(List.of(), pool.onConnected(5, 2), "no waiter is left, so it is kept idle");
         assertEquals(assigned(2, 5), pool.acquire(6, 5, FIRST_SERVER));
     }
 
@@ -45,7 +46,10 @@
                 1,
                 commandsOf(ConnectionCommand.Open.class, pool.onWake(late * 2, 1))
                         .size());
-        assertEquals(List.of(), commandsOf(ConnectionCommand.Open.class, pool.onWake(late * 3, 1)), "three at most");
+        assertEquals(
+                List.of(),
+                commandsOf(ConnectionCommand.Open.class, pool.onWake(late * 3, 1)),
+                "at most three connections per waiter");
         assertEquals(assigned(2, 1), pool.onConnected(late * 3, 2));
         assertEquals(List.of(), pool.onConnected(150, 0), "up after the connect time-out");
         assertEquals(assigned(0, 2), pool.acquire(160, 2, FIRST_SERVER));
@@ -149,7 +153,7 @@
         assertEquals(
                 List.of(),
                 commandsOf(ConnectionCommand.Open.class, pool.acquire(1, 2, FIRST_SERVER)),
-                "one is opening without a waiter");
+                "a connection is already opening without a waiter");
         assertEquals(assigned(0, 2), pool.onConnected(2, 0));
         pool.acquire(3, 3, FIRST_SERVER);
         pool.cancelWait(3);
@@ -158,7 +162,7 @@
                 1,
                 commandsOf(ConnectionCommand.Open.class, pool.onConnectionEnded(5, 1))
                         .size(),
-                "its own first open, not a failure");
+                "opens its own first connection instead of failing");
     }
 
     @Test
@@ -173,7 +177,7 @@
             }
             pool.cancelWait(i);
         }
-        assertTrue(additional > 400 && additional <= 510, "half as many as first opens, plus ten: " + additional);
+        assertTrue(additional > 400 && additional <= 510, "at most half of the first opens, plus ten: " + additional);
     }
 
     @Test
@@ -186,7 +190,7 @@
         assertTrue(pool.lateAfterMs() >= 5 && pool.lateAfterMs() < 20, "late after: " + pool.lateAfterMs());
     }
 
-    /** A connection idle for 400 ms is assigned and breaks at once; returns whether it counts as stale. */
+    /** Assigns a connection that was idle for 400 ms and breaks it at once; returns whether it counts as stale. */
     private boolean reusedConnectionBreaks(int startMs) {
         pool.acquire(startMs, startMs, FIRST_SERVER);
         long id = ((ConnectionCommand.Open)
@@ -258,7 +262,10 @@
         assertEquals(List.of(new ConnectionCommand.Close(3)), pool.closeExpiredIdle(10_000));
     }
 
-    /** Each waiter ends once, a connection carries one attempt at most, and the counts add up. */
+    /**
+     * Checks that each waiter ends once, that a connection is assigned to at most one attempt, and that the counts
+     * match.
+     */
     @Test
     void randomEventsEndEachWaiterOnceAndAssignEachConnectionToOneAttempt() {
         for (int seed = 0; seed < 300; seed++) {
--- a/core/src/test/java/brackenbridge/core/connection/RandomPoolHistory.java
+++ b/core/src/test/java/brackenbridge/core/connection/RandomPoolHistory.java
@@ -13,10 +13,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Random events for a {@link ConnectionPool}, and a model of what its commands must respect. */
+/** Sends random events to a {@link ConnectionPool} and checks its commands against a model. */
 final class RandomPoolHistory {
     private static final int STEPS = 400;
-    /** From this step on no attempt arrives and none is cancelled. */
+    /** From this step on no attempts arrive and none is cancelled. */
     private static final int LAST_ARRIVAL_STEP = 300;
 
     private static final double CONNECT_TIMEOUT_MS = 100;
@@ -102,23 +102,25 @@
 
     private void apply(ConnectionCommand command) {
         if (command instanceof ConnectionCommand.Open open) {
-            assertTrue(opening.add(open.connection()), "a connection id used twice");
+            assertTrue(opening.add(open.connection()), "connection id used twice");
         } else if (command instanceof ConnectionCommand.Assign assign) {
             long connection = assign.connection();
-            assertTrue(established.contains(connection), "assigned before it is up, or after its end");
-            assertNotNull(waitingSinceMs.remove(assign.waiter()), "a waiter that has ended");
+            assertTrue(established.contains(connection), "assigned before it is established, or after its end");
+            assertNotNull(waitingSinceMs.remove(assign.waiter()), "command for a waiter that has ended");
             assertNull(waiterByConnection.put(connection, assign.waiter()), "assigned twice");
         } else if (command instanceof ConnectionCommand.Close close) {
             long connection = close.connection();
-            assertTrue(established.remove(connection) && !waiterByConnection.containsKey(connection), "closed in use");
+            assertTrue(
+                    established.remove(connection) && !waiterByConnection.containsKey(connection),
+                    "closed while in use");
         } else if (command instanceof ConnectionCommand.GiveUp giveUp) {
-            assertNotNull(waitingSinceMs.remove(giveUp.waiter()), "a waiter that has ended");
+            assertNotNull(waitingSinceMs.remove(giveUp.waiter()), "command for a waiter that has ended");
         }
     }
 
     private void checkState() {
         for (double sinceMs : waitingSinceMs.values()) {
-            assertTrue(nowMs < sinceMs + CONNECT_TIMEOUT_MS, "waits for longer than the connect time-out");
+            assertTrue(nowMs < sinceMs + CONNECT_TIMEOUT_MS, "waiting for longer than the connect time-out");
         }
         assertEquals(waitingSinceMs.size(), pool.waiterCount());
         assertEquals(opening.size() + established.size(), pool.size());
--- a/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
+++ b/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
@@ -17,17 +17,18 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/** Tests that the intersection of two generations allows only what both allow. */
 class RuleIntersectionTest {
     private static BalancerSettings randomSettings(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
         List<TenantShare> tenants = new ArrayList<>();
         for (String name : List.of("a", "b", "c")) {
-            long aim = 1 + random.nextInt(1000);
+            long objective = 1 + random.nextInt(1000);
             if (random.nextInt(4) > 0 || classes.isEmpty()) {
                 classes.add(new RequestClass(
                         name,
-                        aim,
-                        aim + random.nextInt(1000),
+                        objective,
+                        objective + random.nextInt(1000),
                         Idempotence.values()[random.nextInt(3)],
                         DeduplicationScope.values()[random.nextInt(3)],
                         1 + random.nextInt(100),
@@ -68,11 +69,11 @@
         return idempotence == Idempotence.NOT_IDEMPOTENT ? 0 : idempotence == Idempotence.IDEMPOTENCY_KEY ? 1 : 2;
     }
 
-    /** Every key of the narrower rules lies within that of each of the two. */
-    private static void assertWithin(BalancerSettings narrower, BalancerSettings original) {
-        for (RequestClass requestClass : narrower.classes()) {
+    /** Checks that each value of the more restrictive rules lies within that of the original ones. */
+    private static void assertWithin(BalancerSettings restricted, BalancerSettings original) {
+        for (RequestClass requestClass : restricted.classes()) {
             RequestClass other = original.classes().stream()
-                    .filter(x -> x.name().equals(requestClass.name()))
+                    .filter(candidate -> candidate.name().equals(requestClass.name()))
                     .findFirst()
                     .orElseThrow();
             assertTrue(requestClass.latencyObjective() <= other.latencyObjective()
@@ -88,27 +89,27 @@
                         requestClass + " of " + other);
             }
         }
-        for (TenantShare tenant : narrower.tenants()) {
+        for (TenantShare tenant : restricted.tenants()) {
             TenantShare other = original.tenants().stream()
-                    .filter(x -> x.name().equals(tenant.name()))
+                    .filter(candidate -> candidate.name().equals(tenant.name()))
                     .findFirst()
                     .orElseThrow();
             assertTrue(tenant.share() <= other.share());
             assertTrue(other.quotaPerSecond() == 0
                     || tenant.quotaPerSecond() <= other.quotaPerSecond() && tenant.quotaPerSecond() > 0);
         }
-        assertTrue(narrower.maxAttempts() <= original.maxAttempts()
-                && narrower.maxOpenRequests() <= original.maxOpenRequests());
-        assertTrue(narrower.network().drainGrace() <= original.network().drainGrace());
-        assertTrue(!narrower.mayHedge() || original.mayHedge());
-        assertTrue(!narrower.mayHealthCheck() || original.mayHealthCheck());
-        assertTrue(!narrower.mayCancel() || original.mayCancel());
-        assertTrue(narrower.coldCapacityRatio() <= original.coldCapacityRatio()
-                && narrower.warmUpTime() >= original.warmUpTime());
+        assertTrue(restricted.maxAttempts() <= original.maxAttempts()
+                && restricted.maxOpenRequests() <= original.maxOpenRequests());
+        assertTrue(restricted.network().drainGrace() <= original.network().drainGrace());
+        assertTrue(!restricted.mayHedge() || original.mayHedge());
+        assertTrue(!restricted.mayHealthCheck() || original.mayHealthCheck());
+        assertTrue(!restricted.mayCancel() || original.mayCancel());
+        assertTrue(restricted.coldCapacityRatio() <= original.coldCapacityRatio()
+                && restricted.warmUpTime() >= original.warmUpTime());
         assertTrue(original.overloadWindow() == 0
-                || narrower.overloadWindow() <= original.overloadWindow()
-                        && narrower.overloadWindow() > 0
-                        && narrower.overloadMultiple() <= original.overloadMultiple());
+                || restricted.overloadWindow() <= original.overloadWindow()
+                        && restricted.overloadWindow() > 0
+                        && restricted.overloadMultiple() <= original.overloadMultiple());
     }
 
     @Property(tries = 300, seed = "24")
@@ -119,7 +120,8 @@
         Optional<BalancerSettings> intersection = RuleIntersection.of(first, second);
         List<String> common = first.classes().stream()
                 .map(RequestClass::name)
-                .filter(x -> second.classes().stream().anyMatch(c -> c.name().equals(x)))
+                .filter(name -> second.classes().stream()
+                        .anyMatch(candidate -> candidate.name().equals(name)))
                 .toList();
         assertEquals(
                 common,
@@ -130,26 +132,27 @@
             assertWithin(s, first);
             assertWithin(s, second);
         });
-        assertEquals(first, RuleIntersection.of(first, first).orElseThrow(), "of one generation alone, that one");
-        BalancerSettings doubt = RuleIntersection.inDoubt(first);
-        assertWithin(doubt, first);
-        assertWithin(RuleIntersection.of(doubt, second).orElse(doubt), doubt);
+        assertEquals(
+                first, RuleIntersection.of(first, first).orElseThrow(), "the intersection of a generation with itself");
+        BalancerSettings inDoubt = RuleIntersection.inDoubt(first);
+        assertWithin(inDoubt, first);
+        assertWithin(RuleIntersection.of(inDoubt, second).orElse(inDoubt), inDoubt);
     }
 
     @Test
     void idempotentClassTakesTheKeyRulesOfTheOther() {
         SplittableRandom random = new SplittableRandom(1);
         BalancerSettings any = randomSettings(random);
-        RequestClass safe =
+        RequestClass idempotent =
                 new RequestClass("x", 10, 20, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 1, 0);
         RequestClass keyed =
                 new RequestClass("x", 10, 20, Idempotence.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 7, false, 1, 0);
-        BalancerSettings intersection = RuleIntersection.of(withOnlyClass(any, safe), withOnlyClass(any, keyed))
+        BalancerSettings intersection = RuleIntersection.of(withOnlyClass(any, idempotent), withOnlyClass(any, keyed))
                 .orElseThrow();
         assertEquals(keyed, intersection.classes().get(0));
         assertEquals(
                 intersection.classes(),
-                RuleIntersection.of(withOnlyClass(any, keyed), withOnlyClass(any, safe))
+                RuleIntersection.of(withOnlyClass(any, keyed), withOnlyClass(any, idempotent))
                         .orElseThrow()
                         .classes());
     }
