--- a/core/src/main/java/brackenbridge/clock/Clock.java
+++ b/core/src/main/java/brackenbridge/clock/Clock.java
@@ -3,10 +3,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one source of time: milliseconds since the Unix epoch, as a floating-point number that never goes back.
- * The system's clock gives the origin once and the monotonic timer all that follows, so that a step of the
- * wall clock neither fires nor delays a deadline. Only spans between two readings in one process mean anything: two
- * processes, of one machine too, may have their origins an hour apart.
+ * The only source of time: milliseconds since the Unix epoch, as a monotonic floating-point number. The wall clock is
+ * read once for the origin, and all later readings are based on the monotonic timer, so that a step of the wall clock
+ * neither triggers nor delays a deadline. Only differences between two readings in one process are meaningful: the
+ * origins of two processes, even on one machine, may differ by an hour.
  */
 public abstract class Clock {
     private static final double NS_PER_MS = 1e6;
@@ -14,33 +14,33 @@
     /** The current time. */
     public abstract double nowMs();
 
-    /** The clock of a running node. */
+    /** Creates the clock of a running node. */
     public static Clock system() {
         return from(System::currentTimeMillis, System::nanoTime);
     }
 
     /**
-     * A clock that reads the wall clock now and never again.
+     * Creates a clock that reads the wall clock once, now.
      *
      * @param wallMs the time of day in milliseconds since the Unix epoch
-     * @param monotonicNs a timer that never goes back, in nanoseconds
+     * @param monotonicNs a monotonic timer in nanoseconds
      */
     public static Clock from(LongSupplier wallMs, LongSupplier monotonicNs) {
-        double origin = wallMs.getAsLong();
-        long start = monotonicNs.getAsLong();
+        double originMs = wallMs.getAsLong();
+        long startNs = monotonicNs.getAsLong();
         return new Clock() {
             @Override
             public double nowMs() {
-                return origin + (monotonicNs.getAsLong() - start) / NS_PER_MS;
+                return originMs + (monotonicNs.getAsLong() - startNs) / NS_PER_MS;
             }
         };
     }
 
-    /** A clock that stands still until it is set. */
+    /** A clock that advances only by calls of {@link #advance}. */
     public static final class Manual extends Clock {
         private double currentMs;
 
-        /** Starts at this time. */
+        /** Creates a clock that starts at this time. */
         public Manual(double nowMs) {
             currentMs = nowMs;
         }
--- a/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
+++ b/core/src/main/java/brackenbridge/core/generation/RuleIntersection.java
@@ -43,7 +43,7 @@
 
     /**
      * Returns rules that every generation can be assumed to allow, derived from one that was in force: no request is
-     * sent twice, whatever its class, and no tenant has priority over anrightTenant.
+     * sent twice, whatever its class, and no tenant has priority over another.
      */
     public static BalancerSettings inDoubt(BalancerSettings inForce) {
         List<RequestClass> classes = new ArrayList<>();
@@ -150,7 +150,7 @@
                 network);
     }
 
-    /** Returns the smaller of the multiples that are set; a generation without an overload window has nleftTenant. */
+    /** Returns the smaller of the multiples that are set; a generation without an overload window has none. */
     private static double smallerOverloadMultiple(BalancerSettings left, BalancerSettings right) {
         return left.overloadWindow() == 0
                 ? right.overloadMultiple()
--- a/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoveryWatch.java
@@ -5,20 +5,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps one watch open at discovery: opens it, detects when it is silent, opens it again, and decides which endpoint
- * list is accepted.
+ * Keeps one watch open at discovery: opens it, detects when it is silent, reopens it, and decides which endpoint lists
+ * are accepted.
  *
- * <p>Guarantee: once started, the node either has a watch open or has scheduled the next one; after the first call
- * that is at an agent never later than 150 ms, at a service 2.4 s, and at most one call is open at a time. Assumes that
- * {@link #onTimer} is called as commanded. Times are milliseconds of the one clock.
+ * <p>Guarantee: once started, the node either has a watch open or has scheduled the next one, and at most one call is
+ * open at a time. After the first call the next one is scheduled within 150 ms at an agent and within 2.4 s at a
+ * service. Assumes that {@link #onTimer} is called as commanded. Times are milliseconds of one clock.
  *
- * <p>A watch without a message for {@code silenceMs} ends: discovery sends one every 2 s. At an agent no delay
- * follows: it is silent while the discovery behind it is down, and the node counts as notified of what it has, so the
- * next watch opens at once. At a service the next one follows soon as well, since the node counts as notified of what
- * a silent watch misses 6 s after its last message.
+ * <p>A watch without a message for {@code silenceMs} ends; discovery sends a message every 2 s. An agent is silent
+ * while the discovery behind it is down, and the node counts as notified of what the agent has, so the next watch opens
+ * at once. At a service the next watch opens after a short delay, since the node counts as notified of a change that a
+ * silent watch misses 6 s after its last message.
  */
 public final class DiscoveryWatch {
-    /** A watch that ended sooner counts as failed, whatever it sent: guards against an end that follows each list. */
+    /**
+     * A watch that ended sooner counts as failed, whatever it sent. Guards against a discovery that ends each watch
+     * right after its list.
+     */
     private static final double MIN_STABLE_WATCH_MS = 1000;
 
     private DiscoverySource source;
@@ -33,7 +36,7 @@
     private boolean discoveryMoved;
     private int failures;
     private double nextOpenMs = Double.POSITIVE_INFINITY;
-    /** The one timer that is pending; guards against superseded timers that would each schedule another. */
+    /** The only valid timer. Guards against superseded timers, each of which would schedule another one. */
     private long currentTimer;
 
     private double nextWakeMs = Double.POSITIVE_INFINITY;
@@ -49,28 +52,29 @@
         this.random = random;
     }
 
-    /** The node starts with a list of this version, -1 if it has none. */
-    public List<DiscoveryCommand> start(double nowMs, long heldVersion) {
-        version = heldVersion;
+    /** Starts the watch, with the version of the list that the node has, -1 if none. */
+    public List<DiscoveryCommand> start(double nowMs, long currentVersion) {
+        version = currentVersion;
         nextOpenMs = nowMs + source.firstCallDelayMs(random);
         return advance(nowMs);
     }
 
-    /** The version of the list that is held. */
+    /** The version of the current list. */
     public long version() {
         return version;
     }
 
     /**
-     * Offers a list from the configuration or another process; returns whether it is newer than the one that is held.
+     * Offers a list from the configuration or another process; returns whether it is accepted as newer than the current
+     * one.
      */
-    public boolean acceptVersion(long otherVersion, boolean orEqual) {
-        boolean newer = otherVersion > version || orEqual && otherVersion == version;
-        version = newer ? otherVersion : version;
-        return newer;
+    public boolean acceptVersion(long otherVersion, boolean acceptEqual) {
+        boolean accepted = otherVersion > version || acceptEqual && otherVersion == version;
+        version = accepted ? otherVersion : version;
+        return accepted;
     }
 
-    /** Lists come from this source from now on; a delayed next call uses its delays. */
+    /** Changes the source of lists; a scheduled call is rescheduled by the delays of the new source. */
     public List<DiscoveryCommand> changeSource(double nowMs, DiscoverySource newSource) {
         if (currentCall < 0 && nextOpenMs < Double.POSITIVE_INFINITY && !newSource.equals(source)) {
             nextOpenMs = Math.min(nextOpenMs, nowMs + newSource.retryDelayMs(Math.max(1, failures), random));
@@ -80,14 +84,14 @@
     }
 
     /**
-     * Opens a watch now in place of the current one.
+     * Opens a new watch now in place of the current one.
      *
-     * @param elsewhere whether discovery has moved: its versions can't be compared with the old ones
+     * @param moved whether discovery has moved, so that its versions can't be compared with the old ones
      */
-    public List<DiscoveryCommand> reopen(double nowMs, boolean elsewhere) {
-        discoveryMoved |= elsewhere;
-        // Guards the new address against the back-off of the old one: it has rejected no call.
-        failures = elsewhere ? 0 : failures;
+    public List<DiscoveryCommand> reopen(double nowMs, boolean moved) {
+        discoveryMoved |= moved;
+        // Guards against applying the back-off of the old address to the new one, which has rejected no call.
+        failures = moved ? 0 : failures;
         nextOpenMs = nowMs;
         List<DiscoveryCommand> commands = new ArrayList<>();
         if (currentCall >= 0) {
@@ -98,7 +102,7 @@
         return commands;
     }
 
-    /** Discovery has sent a list or a change on this call; returns whether it is accepted. */
+    /** Handles a list or a change that discovery has sent on this call; returns whether it is accepted. */
     public boolean onEndpointList(double nowMs, long call, long newVersion, boolean complete) {
         if (!isOpen(call)) {
             return false;
@@ -106,9 +110,9 @@
         boolean first = !listReceivedOnCall;
         listReceivedOnCall = true;
         lastMessageMs = nowMs;
-        // Guards against a message that a newer list has superseded: an old version must not restore servers. The first
-        // message of a watch may repeat the version that is held. Versions of a discovery that has moved can't be
-        // compared with the old ones.
+        // Guards against superseded messages, since an old version must not restore removed servers. The first message
+        // of a watch may repeat the current version. Versions of a discovery that has moved can't be compared with the
+        // old ones.
         if ((newVersion < version || newVersion == version && !first) && !(discoveryMoved && complete)) {
             return false;
         }
@@ -117,17 +121,17 @@
         return true;
     }
 
-    /** Discovery has reported on this call that nothing has changed. */
+    /** Handles a heartbeat on this call, by which discovery reports that nothing has changed. */
     public void onHeartbeat(double nowMs, long call) {
         lastMessageMs = isOpen(call) ? nowMs : lastMessageMs;
     }
 
-    /** Whether this is the current call. */
+    /** Returns whether this call is open. */
     public boolean isOpen(long call) {
         return call >= 0 && call == currentCall;
     }
 
-    /** This call has ended or failed; ignored if it is not the current one. */
+    /** Handles the end or failure of this call; ignored if it isn't the current one. */
     public List<DiscoveryCommand> onCallEnded(double nowMs, long call) {
         if (!isOpen(call)) {
             return List.of();
@@ -138,17 +142,17 @@
         return advance(nowMs);
     }
 
-    /** Whether the current call, or the last one, has brought any message. */
+    /** Whether any message has been received on the current or the last call. */
     private boolean messageReceivedOnCall() {
         return listReceivedOnCall || lastMessageMs >= openedAtMs;
     }
 
-    /** The time since the last message of discovery, in milliseconds; infinite if there was none. */
+    /** The time since the last message from discovery, in milliseconds; infinite if there was none. */
     public double silentMs(double nowMs) {
         return nowMs - lastMessageMs;
     }
 
-    /** The time of a {@link DiscoveryCommand.Wake} has come; superseded timers are ignored. */
+    /** Handles a timer of {@link DiscoveryCommand.Wake}; superseded timers are ignored. */
     public List<DiscoveryCommand> onTimer(double nowMs, long timer) {
         if (timer != currentTimer) {
             return List.of();
@@ -157,7 +161,7 @@
         return advance(nowMs);
     }
 
-    /** Does what is due, and schedules a timer for what is due next. */
+    /** Carries out what is due, and schedules a timer for what is due next. */
     private List<DiscoveryCommand> advance(double nowMs) {
         List<DiscoveryCommand> commands = new ArrayList<>();
         if (currentCall >= 0 && nowMs >= lastActivityMs() + silenceMs) {
--- a/core/src/main/java/brackenbridge/counters/Counter.java
+++ b/core/src/main/java/brackenbridge/counters/Counter.java
@@ -1,43 +1,43 @@
 package brackenbridge.counters;
 
 /**
- * What a node counts. Each counter is published under its {@link #key}, which dashboards rely on: a key never changes,
- * whatever its constant is called here. The order of the constants is the order of publication.
+ * The counters of a node. Each is published under its {@link #key}, on which dashboards rely, so a key never changes
+ * even if its constant is renamed. The order of the constants is the order of publication.
  */
 public enum Counter {
     /** Client requests received. */
     REQUESTS_RECEIVED("flows_in"),
-    /** Client requests that their client marked as a retry. */
+    /** Client requests that the client marked as a retry. */
     REQUESTS_RETRIED_BY_CLIENT("flows_repeated"),
-    /** Client requests rejected because their tenant had no quota left in time; they count as rejected too. */
+    /** Client requests rejected because no quota of their tenant became available in time; also counted as rejected. */
     REQUESTS_OVER_QUOTA("flows_over_share"),
     /** Client requests whose client disconnected before the response had been written. */
     CLIENTS_DISCONNECTED("flows_gone"),
-    /** Requests that were malformed, too large or not for this node. */
+    /** Requests that were malformed, too large or not served by this node. */
     INVALID_REQUESTS("bad_requests"),
     /** Attempts started. */
     ATTEMPTS_STARTED("forwards_sent"),
-    /** Attempts whose last byte was written. */
+    /** Attempts whose request was written to its last byte. */
     ATTEMPTS_WRITTEN("forwards_written"),
-    /** Attempts that a server answered with 200. */
+    /** Attempts that a server answered with status 200. */
     ATTEMPTS_SERVED("forwards_served"),
     /** Attempts that a server answered with an error. */
     ATTEMPTS_FAILED("forwards_failed"),
-    /** Attempts for which a server found the request itself at fault. */
+    /** Attempts for which a server rejected the request itself as invalid. */
     ATTEMPTS_INVALID_REQUEST("forwards_rejected"),
-    /** Server responses that were malformed or stopped half way. */
+    /** Server responses that were malformed or incomplete. */
     RESPONSES_MALFORMED("answers_spoilt"),
     /** Long responses that were streamed. */
     RESPONSES_STREAMED("answers_streamed"),
-    /** Streamed responses that their server did not complete. */
+    /** Streamed responses that the server did not complete. */
     RESPONSES_TRUNCATED("answers_cut"),
-    /** Requests whose long body was streamed. */
+    /** Requests with a long body that was streamed. */
     REQUESTS_STREAMED("requests_streamed"),
     /** Attempts rejected by a full server before they ran. */
     ATTEMPTS_SERVER_FULL("forwards_turned_away"),
-    /** Attempts for which no connection could be made. */
+    /** Attempts for which no connection could be opened. */
     ATTEMPTS_CONNECT_FAILED("forwards_unconnected"),
-    /** Attempts whose connection was lost after the last byte was written. */
+    /** Attempts whose connection was lost after the request was written. */
     ATTEMPTS_RESET("forwards_reset"),
     /** Attempts that timed out. */
     ATTEMPTS_TIMED_OUT("forwards_timed_out"),
@@ -45,23 +45,23 @@
     ATTEMPTS_CANCELLED("forwards_cancelled"),
     /** Attempts that were never started. */
     ATTEMPTS_NEVER_STARTED("forwards_moot"),
-    /** Client requests answered with a server's body, to its last byte. */
+    /** Client requests answered completely with a server's response. */
     ANSWERED_SERVED("answered_served"),
-    /** Client requests answered with a rejection, to its last byte. */
+    /** Client requests answered completely with a rejection. */
     ANSWERED_REJECTED("answered_refused"),
-    /** Client requests answered with a failure, to its last byte. */
+    /** Client requests answered completely with a failure. */
     ANSWERED_FAILED("answered_failed"),
-    /** Client requests that a server found at fault themselves. */
+    /** Client requests that a server rejected as invalid. */
     ANSWERED_INVALID_REQUEST("answered_rejected"),
-    /** Client requests that the node ended at their deadline; they count as rejected or failed too. */
+    /** Client requests that the node ended at their deadline; also counted as rejected or failed. */
     ANSWERED_AT_DEADLINE("answered_at_deadline"),
     /** Calls to discovery. */
     DISCOVERY_CALLS("discovery_calls"),
-    /** Calls to discovery that failed or fell silent. */
+    /** Calls to discovery that failed or became silent. */
     DISCOVERY_FAILED("discovery_failed"),
-    /** Configurations applied while running. */
+    /** Configurations that were applied while the node was running. */
     RECONFIGURED("reconfigured"),
-    /** Configurations that could not be read or used, so that the old one stays in force. */
+    /** Configurations that were unreadable or invalid, so that the previous one stays in force. */
     RECONFIGURE_FAILED("reconfigure_failed"),
     /** Drains started by a management call. */
     DRAINS("drains"),
@@ -75,13 +75,13 @@
     CLIENTS_ACCEPTED("clients_accepted"),
     /** Connections to servers opened. */
     CONNECTIONS_OPENED("connections_opened"),
-    /** Connections opened beside one that was late. */
+    /** Connections opened in addition to a late one. */
     ADDITIONAL_CONNECTIONS_OPENED("connections_joined"),
-    /** Idle connections that proved dead when they were used. */
+    /** Idle connections that turned out to be closed when they were used. */
     CONNECTIONS_STALE("connections_stale"),
-    /** Idle connections closed at the limit on descriptors. */
+    /** Idle connections closed because the limit on file descriptors was reached. */
     CONNECTIONS_SHED("connections_shed"),
-    /** Client connections closed because all clients together held too much of incomplete requests. */
+    /** Client connections closed because the incomplete requests of all clients together used too much memory. */
     CLIENTS_SHED_FOR_MEMORY("clients_shed_for_memory");
 
     private final String key;
--- a/core/src/main/java/brackenbridge/counters/Counters.java
+++ b/core/src/main/java/brackenbridge/counters/Counters.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The values of all counters, in total and by request class. For the event loop's thread only. */
+/** The values of all counters, in total and by request class. To be used on the event loop only. */
 public final class Counters {
 
     private final EnumMap<Counter, Long> counts = new EnumMap<>(Counter.class);
@@ -12,25 +12,28 @@
     private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> rejections =
             new EnumMap<>(RejectionReason.Port.class);
 
-    /** Counts one. */
+    /** Increments a counter. */
     public void count(Counter counter) {
         counts.merge(counter, 1L, Long::sum);
     }
 
-    /** Counts one rejection, or one closed connection, at a port. */
+    /** Counts one rejected input or closed connection at a port. */
     public void countRejection(RejectionReason.Port port, RejectionReason reason) {
         rejections
                 .computeIfAbsent(port, key -> new EnumMap<>(RejectionReason.class))
                 .merge(reason, 1L, Long::sum);
     }
 
-    /** Counts one for a request class. The class keeps its counts when it is removed from the settings. */
+    /**
+     * Increments a counter, in total and for a request class. A class keeps its counts when it is removed from the
+     * settings.
+     */
     public void count(Counter counter, String className) {
         count(counter);
         byClass.computeIfAbsent(className, key -> new EnumMap<>(Counter.class)).merge(counter, 1L, Long::sum);
     }
 
-    /** Counts a request of a class that is no longer served; classes that never were are not counted. */
+    /** Counts a request of a class that is no longer served; requests of classes that never were are not counted. */
     public void countRemovedClass(String className) {
         if (byClass.containsKey(className)) {
             count(Counter.REQUESTS_RECEIVED, className);
@@ -38,25 +41,25 @@
         }
     }
 
-    /** The count of one class so far. */
+    /** Returns the value of a counter for one request class. */
     public long get(Counter counter, String className) {
         Map<Counter, Long> counted = byClass.get(className);
         return counted == null ? 0 : counted.getOrDefault(counter, 0L);
     }
 
-    /** The classes that have counts. */
+    /** Returns the request classes that have counts. */
     public Iterable<String> classNames() {
         return byClass.keySet();
     }
 
-    /** The count so far. */
+    /** Returns the total value of a counter. */
     public long get(Counter counter) {
         return counts.getOrDefault(counter, 0L);
     }
 
     /**
-     * One line a counter, in the order of their declaration, those at zero included; then one for each rejection
-     * reason.
+     * Formats one line per counter in order of declaration, including zeros, then one line per rejection reason that
+     * occurred.
      */
     public String toText() {
         StringBuilder text = new StringBuilder();
@@ -70,7 +73,7 @@
         return text.toString();
     }
 
-    /** All counters above zero, on one line. */
+    /** Formats all counters above zero on one line. */
     public String toLine() {
         StringBuilder line = new StringBuilder();
         for (Map.Entry<Counter, Long> entry : counts.entrySet()) {
--- a/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
+++ b/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
@@ -3,14 +3,14 @@
 import java.util.Collection;
 import java.util.TreeSet;
 
-/** Formats the counters as the metrics that operators fetch, one a line: {@code proxy.NAME:VALUE|c}. */
+/** Formats the counters as metrics for operators, one per line: {@code proxy.NAME:VALUE|c}. */
 public final class OperatorMetrics {
-    /** The metrics that are not counters; {@code silentMs} is how long discovery has been silent. */
+    /** The gauges; {@code silentMs} is the time since the last message from discovery. */
     public record Gauges(int active, int poolSize, int poolEjected, double silentMs) {}
 
     private OperatorMetrics() {}
 
-    /** The current metrics; a class without requests so far is listed with zeros. */
+    /** Formats the current metrics; a class without requests so far is listed with zeros. */
     public static String format(Counters counters, Collection<String> classes, Gauges gauges) {
         TreeSet<String> classNames = new TreeSet<>(classes);
         counters.classNames().forEach(classNames::add);
@@ -29,7 +29,8 @@
         appendMetric(text, "active", gauges.active(), 'g');
         appendMetric(text, "pool_size", gauges.poolSize(), 'g');
         appendMetric(text, "pool_ejected", gauges.poolEjected(), 'g');
-        // Shows operators that discovery is lost: it stays below some 3,000 otherwise. -1: no message so far.
+        // Shows operators that discovery is unavailable; the value usually stays below about 3,000. -1 means no message
+        // so far.
         appendMetric(
                 text, "discovery_silent_ms", Double.isInfinite(gauges.silentMs()) ? -1 : (long) gauges.silentMs(), 'g');
         appendMetric(text, "config_applied", counters.get(Counter.RECONFIGURED), 'c');
--- a/core/src/main/java/brackenbridge/counters/RejectionReason.java
+++ b/core/src/main/java/brackenbridge/counters/RejectionReason.java
@@ -1,23 +1,23 @@
 package brackenbridge.counters;
 
 /**
- * Why input at a port was rejected or its connection closed. Counters and log lines use the {@link #key}, which
- * dashboards rely on: a key never changes.
+ * Why input at a port was rejected or its connection closed. Counters and log lines use the {@link #key}, on which
+ * dashboards rely, so a key never changes.
  */
 public enum RejectionReason {
-    /** It can't be parsed as what is expected there. */
+    /** It can't be parsed as the expected input. */
     MALFORMED("malformed"),
-    /** It is longer than what is expected there, or too much of it is buffered. */
+    /** It is longer than allowed, or too much of it is buffered. */
     OVERSIZED("oversized"),
-    /** It was not complete in time, or did not come at all. */
+    /** It was not complete in time, or did not arrive at all. */
     TOO_SLOW("slow"),
-    /** Its connection ended in the middle of it. */
+    /** Its connection ended before it was complete. */
     TRUNCATED("cut"),
-    /** It can be parsed, and nothing of that name is served there. */
+    /** It can be parsed, but names something that is not served at the port. */
     UNKNOWN("unknown"),
-    /** It is expected at another moment. */
+    /** It is not expected in the current state. */
     OUT_OF_TURN("out_of_turn"),
-    /** Others needed its place. */
+    /** Its resources were needed for others. */
     SHED("shed");
 
     private final String key;
@@ -26,7 +26,7 @@
         this.key = key;
     }
 
-    /** Where input comes in. */
+    /** The kinds of ports that receive input. */
     public enum Port {
         /** Requests of clients. */
         REQUESTS("requests"),
@@ -34,7 +34,7 @@
         RESPONSES("answers"),
         /** Management calls of operators. */
         MANAGEMENT("calls"),
-        /** Messages of the process that is replaced, or that replaces this one. */
+        /** Messages of the process that this one replaces, or that replaces this one. */
         HANDOVERS("handovers");
 
         private final String key;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The reason that belongs to a request rejected with this HTTP status. */
+    /** Returns the reason for a request that is rejected with this HTTP status. */
     public static RejectionReason ofStatus(int status) {
         return switch (status) {
             case 408 -> TOO_SLOW;
--- a/core/src/test/java/brackenbridge/clock/ClockTest.java
+++ b/core/src/test/java/brackenbridge/clock/ClockTest.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
+/** Tests that steps of the wall clock don't affect a clock after its start. */
 class ClockTest {
     private static final long HOUR_MS = 3_600_000;
 
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryRecoveryFigures.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryRecoveryFigures.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * How much faster than the plain need (all nodes within six seconds) a service of lists has to be for all of its nodes
- * to be answered in time after an outage, by their number, the length of its line and its time-out. Not a test.
+ * Computes how much faster than the average need (all nodes within six seconds) a discovery service has to be so that
+ * all nodes are answered in time after an outage, by the number of nodes, the queue limit and the time-out. Not a test.
  */
 final class DiscoveryRecoveryFigures {
     private static final int[] NODES = {100, 400, 1600};
@@ -16,40 +16,41 @@
 
     private DiscoveryRecoveryFigures() {}
 
-    /** Prints a row for each. */
+    /** Prints a row for each combination. */
     public static void main(String[] args) {
         for (int nodes : NODES) {
-            for (int line : QUEUE_LIMITS) {
-                for (double timeOutMs : TIMEOUTS_MS) {
-                    System.out.println(row(nodes, line, timeOutMs));
+            for (int queueLimit : QUEUE_LIMITS) {
+                for (double timeoutMs : TIMEOUTS_MS) {
+                    System.out.println(row(nodes, queueLimit, timeoutMs));
                 }
             }
         }
     }
 
-    private static String row(int nodes, int line, double timeOutMs) {
-        double needed = RecoveringDiscoveryService.MEASURED_TIME_MS / nodes;
-        Result today = RecoveringDiscoveryService.simulate(nodes, new Service(line, timeOutMs, 20));
-        double slowest = 0;
-        double tooSlow = needed;
+    private static String row(int nodes, int queueLimit, double timeoutMs) {
+        double neededMs = RecoveringDiscoveryService.MEASURED_TIME_MS / nodes;
+        Result atDefaultRate = RecoveringDiscoveryService.simulate(nodes, new Service(queueLimit, timeoutMs, 20));
+        double feasibleMs = 0;
+        double infeasibleMs = neededMs;
         for (int i = 0; i < SEARCH_STEPS; i++) {
-            double tried = (slowest + tooSlow) / 2;
-            boolean all = RecoveringDiscoveryService.simulate(nodes, new Service(line, timeOutMs, tried))
-                            .answered()
-                    == nodes;
-            slowest = all ? tried : slowest;
-            tooSlow = all ? tooSlow : tried;
+            double candidateMs = (feasibleMs + infeasibleMs) / 2;
+            boolean allAnswered =
+                    RecoveringDiscoveryService.simulate(nodes, new Service(queueLimit, timeoutMs, candidateMs))
+                                    .answered()
+                            == nodes;
+            feasibleMs = allAnswered ? candidateMs : feasibleMs;
+            infeasibleMs = allAnswered ? infeasibleMs : candidateMs;
         }
         return String.format(
                 Locale.ROOT,
-                "%5d nodes, line %3d, time-out %.0f ms: at 20 ms a call %d answered, %d "
-                        + "calls refused; all answered up to %.2f ms a call, %s of what is needed",
+                "%5d nodes, queue limit %3d, time-out %.0f ms: at 20 ms per call %d answered, %d "
+                        + "calls rejected; all answered up to %.2f ms per call, %s of the required rate",
                 nodes,
-                line,
-                timeOutMs,
-                today.answered(),
-                today.rejected(),
-                slowest,
-                slowest == 0 ? "never" : String.format(Locale.ROOT, "%.2f times the rate", needed / slowest));
+                queueLimit,
+                timeoutMs,
+                atDefaultRate.answered(),
+                atDefaultRate.rejected(),
+                feasibleMs,
+                feasibleMs == 0 ? "never" : String.format(Locale.ROOT, "%.2f times", neededMs / feasibleMs));
     }
 }
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchExplorationTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchExplorationTest.java
@@ -11,22 +11,23 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Plays every history of so many events at discovery, for an agent and a service and with the shortest and the longest
- * pauses, and holds each against what the node promises, by a count of its own.
+ * Explores every history of {@link #HISTORY_LENGTH} discovery events, for an agent and a service and with the shortest
+ * and the longest delays, and checks the guarantees of {@link DiscoveryWatch} by an independent model. Faulty variants
+ * must be detected.
  */
 class DiscoveryWatchExplorationTest {
     private static final int HISTORY_LENGTH = 6;
-    /** Between two events; three of them are more than the silence that ends a watch. */
+    /** The time between two events; three steps exceed the silence after which a watch ends. */
     private static final double STEP_MS = 1100;
 
     private static final double SILENCE_MS = 3000;
     private static final double MAX_POLL_INTERVAL_MS = 10_000;
-    /** When a change counts as told, and how long discovery may take to answer a call. */
+    /** The time after which a node counts as notified, and the time that a call may take in the service's queue. */
     private static final double NOTIFIED_WITHIN_MS = 6000;
 
     private static final double MAX_QUEUE_TIME_MS = 2000;
 
-    /** What may happen at discovery, in its words; a list that comes in pieces is beats and then its word. */
+    /** The events at discovery. A list that arrives in parts corresponds to heartbeats followed by a list. */
     private enum DiscoveryEvent {
         NOTHING,
         HEARTBEAT,
@@ -38,7 +39,7 @@
         OUTAGE_TOGGLED
     }
 
-    /** The machine as it is, and with a mistake. */
+    /** The correct implementation and faulty variants of it. */
     private enum Variant {
         CORRECT,
         IGNORES_SILENCE,
@@ -50,7 +51,7 @@
         IGNORES_MOVE
     }
 
-    /** One history. */
+    /** One history with the model's expectations. */
     private static final class History {
         final Variant variant;
         final DiscoveryWatch watch;
@@ -62,23 +63,25 @@
         boolean messageReceived;
         long currentVersion = 41;
         boolean moved;
-        /** When the next call has to be out. */
+        /** The time at which the next call has to be open. */
         double callDueMs;
-        /** And before which it must not be. */
+        /** The time before which no call may be opened. */
         double noCallBeforeMs;
 
         int failures;
         double openedAtMs;
         boolean down;
         boolean rejected;
-        /** Since when discovery could be reached and has said nothing, and the calls it has refused since. */
+        /**
+         * Since when discovery has been reachable without sending a message, and how many calls it has rejected since.
+         */
         double reachableSinceMs;
 
         int rejections;
         String violation;
 
-        History(Variant machine, boolean shared, double draw) {
-            this.variant = machine;
+        History(Variant variant, boolean shared, double draw) {
+            this.variant = variant;
             source = new DiscoverySource(shared, MAX_POLL_INTERVAL_MS);
             RandomGenerator fixed = new RandomGenerator() {
                 @Override
@@ -91,69 +94,71 @@
                     return draw;
                 }
             };
-            watch = new DiscoveryWatch(source, machine == Variant.IGNORES_SILENCE ? 1e9 : SILENCE_MS, fixed);
+            watch = new DiscoveryWatch(source, variant == Variant.IGNORES_SILENCE ? 1e9 : SILENCE_MS, fixed);
             callDueMs = nowMs + (shared ? 4000 : 0);
             reachableSinceMs = nowMs;
             execute(watch.start(nowMs, currentVersion));
         }
 
-        void fail(String what) {
-            violation = violation == null ? what + " at " + nowMs : violation;
+        void fail(String guarantee) {
+            violation = violation == null ? guarantee + " at " + nowMs : violation;
         }
 
-        void execute(List<DiscoveryCommand> steps) {
-            for (DiscoveryCommand step : steps) {
-                if (step instanceof DiscoveryCommand.OpenWatch opening) {
+        void execute(List<DiscoveryCommand> commands) {
+            for (DiscoveryCommand command : commands) {
+                if (command instanceof DiscoveryCommand.OpenWatch opening) {
                     if (openCall >= 0) {
                         fail("two calls are open");
                     }
                     if (opening.afterVersion() != currentVersion) {
-                        fail("asks after another version than it holds");
+                        fail("opens a watch after another version than the current one");
                     }
                     if (nowMs < noCallBeforeMs) {
-                        fail("calls again too soon");
+                        fail("opens a call too soon");
                     }
                     openCall = opening.call();
                     openedAtMs = nowMs;
                     lastMessageMs = nowMs;
                     messageReceived = false;
                     rejected = down && source.shared();
-                } else if (step instanceof DiscoveryCommand.EndCall ending && variant != Variant.IGNORES_END_CALL) {
+                } else if (command instanceof DiscoveryCommand.EndCall ending && variant != Variant.IGNORES_END_CALL) {
                     if (ending.call() != openCall) {
-                        fail("ends a call that is not open");
+                        fail("cancels a call that is not open");
                     }
                     openCall = -1;
                     if (ending.silent()) {
-                        // Never answered though it was up all the time: it could not be reached.
+                        // The call got no message although discovery was up all the time, so discovery was unreachable.
                         reachableSinceMs =
                                 !messageReceived && openedAtMs >= reachableSinceMs ? nowMs : reachableSinceMs;
                         failures = 0;
                         callDueMs = nowMs + (source.shared() ? 250 : 0);
                     }
-                } else if (step instanceof DiscoveryCommand.Wake wake) {
+                } else if (command instanceof DiscoveryCommand.Wake wake) {
                     nextWake = wake;
                 }
             }
         }
 
-        /** The call has ended, by discovery's doing. */
+        /** Discovery has ended the call. */
         void endCall(long call) {
             if (call >= 0 && !down) {
-                // What waits in the line does not count; who is refused once more could not reach discovery.
+                // The time of the first rejected call in the queue doesn't count. After a further rejection discovery
+                // counts as unreachable until now.
                 reachableSinceMs = messageReceived || rejections++ > 0 ? nowMs : reachableSinceMs + nowMs - openedAtMs;
             }
             openCall = -1;
             failures = messageReceived && nowMs - openedAtMs >= 1000 ? 1 : failures + 1;
-            double pause = source.shared() ? Math.min(400 * Math.pow(2, failures - 1), 1600) : failures > 1 ? 100 : 50;
-            callDueMs = nowMs + 1.5 * pause;
-            noCallBeforeMs = nowMs + pause / 2;
+            double delayMs =
+                    source.shared() ? Math.min(400 * Math.pow(2, failures - 1), 1600) : failures > 1 ? 100 : 50;
+            callDueMs = nowMs + 1.5 * delayMs;
+            noCallBeforeMs = nowMs + delayMs / 2;
             execute(watch.onCallEnded(nowMs, call));
             if (variant == Variant.REOPENS_AT_ONCE) {
                 execute(watch.reopen(nowMs, false));
             }
         }
 
-        /** While a service is down it refuses each call; an agent keeps it and says nothing. */
+        /** A service that is down rejects each call; an agent keeps calls open without a message. */
         void rejectCalls() {
             while (rejected && violation == null) {
                 rejected = false;
@@ -163,9 +168,9 @@
 
         void advance(double ms) {
             double until = nowMs + ms;
-            double late = variant == Variant.TIMERS_FIRE_LATE ? 1500 : 0;
-            while (nextWake != null && nextWake.atMs() + late <= until) {
-                nowMs = Math.max(nowMs, nextWake.atMs() + late);
+            double delayMs = variant == Variant.TIMERS_FIRE_LATE ? 1500 : 0;
+            while (nextWake != null && nextWake.atMs() + delayMs <= until) {
+                nowMs = Math.max(nowMs, nextWake.atMs() + delayMs);
                 DiscoveryCommand.Wake due = nextWake;
                 nextWake = null;
                 execute(watch.onTimer(nowMs, due.timer()));
@@ -178,60 +183,60 @@
 
         void checkGuarantees() {
             if (openCall < 0 && nowMs > callDueMs + 1) {
-                fail("no call is out");
+                fail("no call is open");
             }
             if (openCall >= 0 && nowMs > lastMessageMs + SILENCE_MS + 1) {
-                fail("a silent call is kept");
+                fail("a silent call is kept open");
             }
             if (source.shared()
                     && !down
                     && nowMs > reachableSinceMs + NOTIFIED_WITHIN_MS - MAX_QUEUE_TIME_MS
                     && (openCall < 0 || openedAtMs < reachableSinceMs)) {
-                fail("discovery could be reached and was not");
+                fail("discovery was reachable, but no call reached it in time");
             }
         }
 
-        void receiveList(long call, long version, boolean whole) {
-            boolean counts = call == openCall && openCall >= 0;
-            long on = variant == Variant.ACCEPTS_CLOSED_CALLS ? openCall : call;
-            boolean holds = watch.onEndpointList(nowMs, on, version, whole)
-                    || variant == Variant.ACCEPTS_OLD_VERSIONS && counts;
-            if (holds
-                    && !(counts
+        void receiveList(long call, long version, boolean complete) {
+            boolean current = call == openCall && openCall >= 0;
+            long receivedOn = variant == Variant.ACCEPTS_CLOSED_CALLS ? openCall : call;
+            boolean accepted = watch.onEndpointList(nowMs, receivedOn, version, complete)
+                    || variant == Variant.ACCEPTS_OLD_VERSIONS && current;
+            if (accepted
+                    && !(current
                             && (version > currentVersion
-                                    || moved && whole
+                                    || moved && complete
                                     || version == currentVersion && !messageReceived))) {
-                fail("an overtaken word holds");
+                fail("a superseded list is accepted");
             }
-            if (!holds && counts && (version > currentVersion || moved && whole)) {
-                fail("news is lost");
+            if (!accepted && current && (version > currentVersion || moved && complete)) {
+                fail("a newer list is not accepted");
             }
-            if (holds) {
+            if (accepted) {
                 currentVersion = version;
                 moved = false;
             }
-            if (counts) {
-                lastMessageMs();
+            if (current) {
+                recordMessage();
             }
         }
 
-        void lastMessageMs() {
+        void recordMessage() {
             lastMessageMs = nowMs;
             reachableSinceMs = nowMs;
             rejections = 0;
             messageReceived = true;
         }
 
-        void apply(DiscoveryEvent what) {
+        void apply(DiscoveryEvent event) {
             long call = openCall;
-            if (down && what != DiscoveryEvent.MOVED && what != DiscoveryEvent.OUTAGE_TOGGLED) {
+            if (down && event != DiscoveryEvent.MOVED && event != DiscoveryEvent.OUTAGE_TOGGLED) {
                 return;
             }
-            switch (what) {
+            switch (event) {
                 case HEARTBEAT -> {
                     watch.onHeartbeat(nowMs, call);
                     if (call >= 0) {
-                        lastMessageMs();
+                        recordMessage();
                     }
                 }
                 case NEWER_VERSION -> receiveList(call, currentVersion + 1, false);
@@ -246,7 +251,7 @@
                     reachableSinceMs = nowMs;
                     rejections = 0;
                     if (down && source.shared() && call >= 0 && messageReceived) {
-                        // Its watches end; a call that waits in its line hangs.
+                        // Established watches end; a call in the queue hangs.
                         endCall(call);
                     }
                 }
@@ -258,7 +263,7 @@
                     execute(watch.reopen(nowMs, variant != Variant.IGNORES_MOVE));
                     moved = true;
                     if (openCall < 0 || openCall == call) {
-                        fail("a moved discovery is not asked at once");
+                        fail("no call is opened at once to a moved discovery");
                     }
                     rejectCalls();
                 }
@@ -268,29 +273,29 @@
                     execute(watch.onCallEnded(nowMs, call - 1));
                 }
                 default -> {
-                    // Nothing else matters here.
+                    // NOTHING: no event.
                 }
             }
         }
     }
 
-    /** The first promise that some history breaks, with that history; null if none does. */
-    private static String explore(Variant machine) {
+    /** Returns the first violated guarantee with its history; null if no history violates one. */
+    private static String explore(Variant variant) {
         DiscoveryEvent[] all = DiscoveryEvent.values();
         int histories = (int) Math.pow(all.length, HISTORY_LENGTH);
-        for (int kind = 0; kind < 4; kind++) {
+        for (int mode = 0; mode < 4; mode++) {
             for (int i = 0; i < histories; i++) {
-                History history = new History(machine, kind % 2 == 1, kind < 2 ? 0 : 0.999_999);
-                List<DiscoveryEvent> story = new ArrayList<>();
+                History history = new History(variant, mode % 2 == 1, mode < 2 ? 0 : 0.999_999);
+                List<DiscoveryEvent> events = new ArrayList<>();
                 history.advance(50);
                 for (int rest = i, n = 0; n < HISTORY_LENGTH && history.violation == null; n++, rest /= all.length) {
-                    story.add(all[rest % all.length]);
+                    events.add(all[rest % all.length]);
                     history.apply(all[rest % all.length]);
                     history.advance(STEP_MS);
                 }
                 history.advance(history.violation == null ? 4000 : 0);
                 if (history.violation != null) {
-                    return (kind % 2 == 1 ? "service: " : "agent: ") + history.violation + " after " + story;
+                    return (mode % 2 == 1 ? "service: " : "agent: ") + history.violation + " after " + events;
                 }
             }
         }
@@ -304,7 +309,7 @@
 
     @ParameterizedTest
     @EnumSource(value = Variant.class, mode = EnumSource.Mode.EXCLUDE, names = "CORRECT")
-    void faultyVariantIsDetected(Variant mistaken) {
-        assertNotNull(explore(mistaken));
+    void faultyVariantIsDetected(Variant faulty) {
+        assertNotNull(explore(faulty));
     }
 }
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
@@ -12,7 +12,10 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** A discovery played by hand, which may say anything at any time; the node's own timers fire as asked. */
+/**
+ * Tests a watch against a scripted discovery, which may send anything at any time; the watch's timers fire as
+ * commanded.
+ */
 class DiscoveryWatchTest {
     private static final double SILENCE_MS = 3000;
     private static final DiscoverySource AGENT = new DiscoverySource(false, 0);
@@ -33,20 +36,20 @@
         return this;
     }
 
-    private void execute(List<DiscoveryCommand> steps) {
-        for (DiscoveryCommand step : steps) {
-            if (step instanceof DiscoveryCommand.OpenWatch opening) {
+    private void execute(List<DiscoveryCommand> commands) {
+        for (DiscoveryCommand command : commands) {
+            if (command instanceof DiscoveryCommand.OpenWatch opening) {
                 opened.add(opening);
-            } else if (step instanceof DiscoveryCommand.EndCall ending) {
+            } else if (command instanceof DiscoveryCommand.EndCall ending) {
                 ended.add(ending);
-            } else if (step instanceof DiscoveryCommand.Wake wake) {
-                assertTrue(nextWake == null || nextWake.timer() < wake.timer(), "each turn is asked for once");
+            } else if (command instanceof DiscoveryCommand.Wake wake) {
+                assertTrue(nextWake == null || nextWake.timer() < wake.timer(), "a timer was scheduled twice");
                 nextWake = wake;
             }
         }
     }
 
-    /** Time passes, and the machine is woken as it asked. */
+    /** Advances the time and fires the watch's timers. */
     private void advance(double ms) {
         double until = nowMs + ms;
         while (nextWake != null && nextWake.atMs() <= until) {
@@ -82,7 +85,7 @@
         assertEquals(List.of(new DiscoveryCommand.EndCall(0, true)), ended);
         assertEquals(2, opened.size());
         advance(30_000);
-        assertEquals(12, opened.size(), "one call each 3 s, however long it is silent");
+        assertEquals(12, opened.size(), "one call every 3 s, however long the agent is silent");
 
         start(SERVICE, 1);
         advance(4000);
@@ -98,14 +101,15 @@
     void agentThatEndsEachCallAfterItsListCausesNoBusyLoop() {
         start(AGENT, 3);
         for (double from = nowMs; nowMs < from + 20_000; ) {
-            long on = currentCall();
-            assertTrue(watch.onEndpointList(nowMs, on, 42, true));
-            execute(watch.onCallEnded(nowMs, on));
-            while (currentCall() == on) {
+            long call = currentCall();
+            assertTrue(watch.onEndpointList(nowMs, call, 42, true));
+            execute(watch.onCallEnded(nowMs, call));
+            while (currentCall() == call) {
                 advance(1);
             }
         }
-        assertTrue(opened.size() > 133 && opened.size() < 267, "one each 75 to 150 ms, in 20 s: " + opened.size());
+        assertTrue(
+                opened.size() > 133 && opened.size() < 267, "calls in 20 s, one every 75 to 150 ms: " + opened.size());
     }
 
     @Test
@@ -114,7 +118,7 @@
         for (int i = 0; i < 12; i++) {
             execute(watch.onCallEnded(nowMs, currentCall()));
             advance(150);
-            assertEquals(i + 2, opened.size(), "what an agent has counts as told at once");
+            assertEquals(i + 2, opened.size(), "the retry delay at an agent is at most 150 ms");
         }
         watch.onEndpointList(nowMs, currentCall(), 42, true);
         advance(1000);
@@ -124,13 +128,16 @@
         assertEquals(before + 1, opened.size());
     }
 
-    /** The 6 s of the terms, less the time that discovery's answer may take in its line. */
+    /** The time after which a node counts as notified, and the time that a call may take in the service's queue. */
     private static final double NOTIFIED_WITHIN_MS = 6000;
 
     private static final double MAX_QUEUE_TIME_MS = 2000;
     private static final double MAX_RETRY_DELAY_MS = 1600;
 
-    /** However long discovery was down and however often it refused, and whether a call hangs as it comes back. */
+    /**
+     * Holds whatever the length of the outage and the number of rejected calls, and even if a call hangs when the
+     * service recovers.
+     */
     @Test
     void listArrivesWithinSixSecondsOfServiceRecovery() {
         for (long seed = 1; seed <= 40; seed++) {
@@ -144,35 +151,42 @@
                     }
                 }
                 if (hangs) {
-                    // Sent in the last moment in which it is down, and never answered.
+                    // A call that is sent just before the recovery is never answered.
                     while (!watch.isOpen(currentCall())) {
                         advance(10);
                     }
                 }
-                double back = nowMs;
+                double recoveredMs = nowMs;
                 long hanging = hangs ? currentCall() : -1;
                 while (!watch.isOpen(currentCall()) || currentCall() == hanging) {
                     advance(10);
                 }
-                assertTrue(nowMs + MAX_QUEUE_TIME_MS - back < NOTIFIED_WITHIN_MS, (nowMs - back) + " ms, seed " + seed);
+                assertTrue(
+                        nowMs + MAX_QUEUE_TIME_MS - recoveredMs < NOTIFIED_WITHIN_MS,
+                        (nowMs - recoveredMs) + " ms, seed " + seed);
             }
         }
     }
 
-    /** A service that is short of turns refuses whole fleets: each call that it refuses has cost it a place. */
+    /**
+     * An overloaded service rejects the calls of a whole fleet, and each rejected call still costs it capacity, so
+     * nodes must back off.
+     */
     @Test
     void rejectedCallsBackOffExponentially() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             for (int failures = 1; failures < 20; failures++) {
-                double pause = Math.min(400 * Math.pow(2, failures - 1), MAX_RETRY_DELAY_MS);
-                double drawn = SERVICE.retryDelayMs(failures, random);
-                assertTrue(drawn >= pause / 2 && drawn <= pause * 1.5, drawn + " ms after " + failures);
+                double nominalMs = Math.min(400 * Math.pow(2, failures - 1), MAX_RETRY_DELAY_MS);
+                double delayMs = SERVICE.retryDelayMs(failures, random);
+                assertTrue(
+                        delayMs >= nominalMs / 2 && delayMs <= nominalMs * 1.5,
+                        delayMs + " ms after " + failures + " failures");
             }
         }
     }
 
-    /** A change just after the last word, and a call that is refused at once behind the silence. */
+    /** The worst case: a change right after the last message, and a call that is rejected right after the silence. */
     @Test
     void silentServiceIsCalledAgainWithinSixSeconds() {
         for (long seed = 1; seed <= 40; seed++) {
@@ -181,7 +195,7 @@
             execute(watch.onCallEnded(nowMs, currentCall()));
             advance(900);
             watch.onHeartbeat(nowMs, currentCall());
-            double lastWord = nowMs;
+            double lastMessageMs = nowMs;
             for (int calls = opened.size(); opened.size() == calls; ) {
                 advance(10);
             }
@@ -190,8 +204,8 @@
                 advance(10);
             }
             assertTrue(
-                    nowMs + MAX_QUEUE_TIME_MS - lastWord < NOTIFIED_WITHIN_MS,
-                    (nowMs - lastWord) + " ms, seed " + seed);
+                    nowMs + MAX_QUEUE_TIME_MS - lastMessageMs < NOTIFIED_WITHIN_MS,
+                    (nowMs - lastMessageMs) + " ms, seed " + seed);
         }
     }
 
@@ -200,7 +214,7 @@
         start(SERVICE, 5);
         advance(4000);
         for (int i = 0; i < 20; i++) {
-            for (int beats = 0; beats < 3; beats++) {
+            for (int heartbeats = 0; heartbeats < 3; heartbeats++) {
                 watch.onHeartbeat(nowMs, currentCall());
                 advance(1500);
             }
@@ -213,7 +227,7 @@
 
     @Test
     void movedDiscoveryDoesNotInheritFailures() {
-        // The longest draws: a further failure would be put off longer than a first one.
+        // Random draws near the maximum: with inherited failures the retry delay would exceed that of a first failure.
         watch = new DiscoveryWatch(SERVICE, SILENCE_MS, new java.util.Random() {
             @Override
             public double nextDouble() {
@@ -238,32 +252,36 @@
         start(new DiscoverySource(true, 60_000), 7);
         execute(watch.changeSource(nowMs, AGENT));
         advance(75);
-        assertEquals(1, opened.size(), "the first call would have been seconds away");
+        assertEquals(1, opened.size(), "the first call was scheduled seconds later");
     }
 
-    /** Jitter: of a hundred nodes whose calls were refused in one moment no tenth of a second gets over a quarter. */
+    /**
+     * Of a hundred nodes whose calls were rejected at the same time, at most a quarter retries within the same 100 ms.
+     */
     @Test
     void jitterSpreadsTheRetriesOfAFleet() {
         int[] calls = new int[25];
         for (long seed = 0; seed < 100; seed++) {
             calls[(int) (SERVICE.retryDelayMs(3, new SplittableRandom(seed)) / 100)]++;
         }
-        for (int tenth = 0; tenth < calls.length; tenth++) {
-            assertTrue(calls[tenth] <= 25, calls[tenth] + " calls in tenth " + tenth);
+        for (int slot = 0; slot < calls.length; slot++) {
+            assertTrue(calls[slot] <= 25, calls[slot] + " calls in 100 ms slot " + slot);
         }
     }
 
     @Test
     void supersededMessagesAreIgnored() {
         start(AGENT, 1);
-        assertFalse(watch.onEndpointList(nowMs, currentCall(), 40, true), "older than what is held");
+        assertFalse(watch.onEndpointList(nowMs, currentCall(), 40, true), "older than the current version");
         assertTrue(watch.onEndpointList(nowMs, currentCall(), 44, false));
         assertFalse(watch.onEndpointList(nowMs, currentCall(), 44, false));
         assertFalse(watch.onEndpointList(nowMs, currentCall() + 1, 50, true), "no such call");
         execute(watch.reopen(nowMs, true));
         assertEquals(List.of(new DiscoveryCommand.EndCall(0, false)), ended);
-        assertFalse(watch.onEndpointList(nowMs, 0, 60, true), "a call that is over");
-        assertFalse(watch.onEndpointList(nowMs, currentCall(), 7, false), "changes of another discovery say nothing");
+        assertFalse(watch.onEndpointList(nowMs, 0, 60, true), "a call that has ended");
+        assertFalse(
+                watch.onEndpointList(nowMs, currentCall(), 7, false),
+                "changes from a moved discovery need a complete list first");
         assertTrue(watch.onEndpointList(nowMs, currentCall(), 7, true));
         assertEquals(7, watch.version());
         assertTrue(watch.acceptVersion(7, true)
@@ -272,53 +290,55 @@
                 && watch.acceptVersion(8, false));
     }
 
-    /** Whatever discovery does: one call at a time, never neither a call nor a time for the next, never a spin. */
+    /**
+     * Whatever discovery does, at most one call is open, a call is always open or scheduled, and there is no busy loop.
+     */
     @Property(tries = 300, seed = "53")
     void watchIsAlwaysOpenOrScheduled(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         boolean shared = random.nextBoolean();
         start(shared ? SERVICE : AGENT, seed);
-        double began = nowMs;
-        int longSteps = 0;
+        double startMs = nowMs;
+        int longPauses = 0;
         long version = 41;
-        long last = -1;
+        long lastCall = -1;
         boolean open = false;
         for (int i = 0; i < 400; i++) {
             for (DiscoveryCommand.OpenWatch opening :
-                    opened.subList((int) Math.min(opened.size(), last + 1), opened.size())) {
-                assertEquals(last + 1, opening.call());
-                last = opening.call();
+                    opened.subList((int) Math.min(opened.size(), lastCall + 1), opened.size())) {
+                assertEquals(lastCall + 1, opening.call());
+                lastCall = opening.call();
                 open = true;
             }
             for (DiscoveryCommand.EndCall ending : ended) {
-                open &= ending.call() != last;
+                open &= ending.call() != lastCall;
             }
             ended.clear();
-            assertEquals(open, watch.isOpen(last));
+            assertEquals(open, watch.isOpen(lastCall));
             assertTrue(
                     nextWake != null && nextWake.atMs() <= nowMs + (opened.isEmpty() ? 4000 : SILENCE_MS),
-                    "nothing is due");
-            if (open && watch.isOpen(last)) {
+                    "no timer is scheduled");
+            if (open && watch.isOpen(lastCall)) {
                 switch (random.nextInt(5)) {
                     case 0 -> {
-                        execute(watch.onCallEnded(nowMs, last));
+                        execute(watch.onCallEnded(nowMs, lastCall));
                         open = false;
                     }
-                    case 1 -> watch.onEndpointList(nowMs, last, ++version, random.nextBoolean());
-                    case 2 -> watch.onHeartbeat(nowMs, last);
+                    case 1 -> watch.onEndpointList(nowMs, lastCall, ++version, random.nextBoolean());
+                    case 2 -> watch.onHeartbeat(nowMs, lastCall);
                     default -> {
-                        watch.onHeartbeat(nowMs, last - 1);
-                        execute(watch.onCallEnded(nowMs, last - 1));
+                        watch.onHeartbeat(nowMs, lastCall - 1);
+                        execute(watch.onCallEnded(nowMs, lastCall - 1));
                     }
                 }
             }
-            double step = random.nextDouble() * (random.nextInt(10) == 0 ? 5000 : 200);
-            longSteps += step > 1000 ? 1 : 0;
-            advance(step);
+            double pauseMs = random.nextDouble() * (random.nextInt(10) == 0 ? 5000 : 200);
+            longPauses += pauseMs > 1000 ? 1 : 0;
+            advance(pauseMs);
         }
-        double seconds = (nowMs - began) / 1000;
+        double seconds = (nowMs - startMs) / 1000;
         assertTrue(
-                opened.size() < 8 + longSteps + seconds * (shared ? 2 : 10),
+                opened.size() < 8 + longPauses + seconds * (shared ? 2 : 10),
                 opened.size() + " calls in " + seconds + " s");
     }
 }
--- a/core/src/test/java/brackenbridge/core/membership/RecoveringDiscoveryService.java
+++ b/core/src/test/java/brackenbridge/core/membership/RecoveringDiscoveryService.java
@@ -7,11 +7,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Nodes that poll a discovery service which was down and serves their queued calls in order once it is back; for tests.
- * Calls that were abandoned meanwhile take their service time all the same.
+ * Simulates nodes that poll a discovery service after its outage. The service answers queued calls in order; calls that
+ * were abandoned in the meantime still take their service time.
  */
 final class RecoveringDiscoveryService {
-    /** Responses within this time from the service's return are measured. */
+    /** Responses within this time after the service's recovery are measured. */
     static final double MEASURED_TIME_MS = 6000;
 
     private static final double STEP_MS = 5;
@@ -19,11 +19,11 @@
     private static final double SILENCE_MS = 3000;
 
     /**
-     * A service.
+     * The parameters of the service.
      *
-     * @param line how many calls may be queued; more are rejected at once
-     * @param timeOutMs a call that has been queued for so long is rejected
-     * @param serveMs what a call costs it
+     * @param queueLimit how many calls may be queued; further calls are rejected at once
+     * @param timeoutMs a call that has been queued for this long is rejected
+     * @param serviceTimeMs the service time of a call
      */
     record Service(int queueLimit, double timeoutMs, double serviceTimeMs) {}
 
@@ -31,15 +31,15 @@
      * The result within the measured time.
      *
      * @param answered nodes that were answered
-     * @param lastMs when the last of them was, counted from the return
-     * @param rejected calls that were rejected or abandoned after the return
+     * @param lastMs when the last of them was answered, counted from the recovery
+     * @param rejected calls that were rejected or abandoned after the recovery
      */
     record Result(int answered, double lastMs, int rejected) {}
 
-    /** A call at the service. */
+    /** A call in the service's queue. */
     private record QueuedCall(Node node, long call) {}
 
-    /** One node and its call. */
+    /** A node and its current call. */
     private static final class Node {
         private final DiscoveryWatch watch;
         private double wakeAtMs = Double.POSITIVE_INFINITY;
@@ -52,19 +52,19 @@
             watch = new DiscoveryWatch(new DiscoverySource(true, 10_000), SILENCE_MS, new SplittableRandom(seed));
         }
 
-        void execute(double now, List<DiscoveryCommand> steps) {
-            for (DiscoveryCommand step : steps) {
-                if (step instanceof DiscoveryCommand.OpenWatch open) {
+        void execute(double now, List<DiscoveryCommand> commands) {
+            for (DiscoveryCommand command : commands) {
+                if (command instanceof DiscoveryCommand.OpenWatch open) {
                     call = open.call();
                     calledAtMs = now;
-                } else if (step instanceof DiscoveryCommand.Wake wake) {
+                } else if (command instanceof DiscoveryCommand.Wake wake) {
                     wakeAtMs = wake.atMs();
                     timer = wake.timer();
                 }
             }
         }
 
-        /** Whether it makes a call at this moment. */
+        /** Fires the node's timer if it is due; returns whether it starts a call. */
         boolean startsCall(double now) {
             long before = call;
             if (answeredAtMs < 0 && wakeAtMs <= now) {
@@ -97,22 +97,22 @@
         }
     }
 
-    /** Plays the outage and the time that counts after it. */
+    /** Simulates the outage and the measured time after it. */
     static Result simulate(int nodes, Service service) {
-        RecoveringDiscoveryService played = new RecoveringDiscoveryService(nodes, service);
+        RecoveringDiscoveryService simulation = new RecoveringDiscoveryService(nodes, service);
         for (double now = 0; now < OUTAGE_MS + MEASURED_TIME_MS; now += STEP_MS) {
-            played.startCalls(now);
-            played.serveCalls(now);
+            simulation.startCalls(now);
+            simulation.serveCalls(now);
         }
-        int answered = (int) played.pollingNodes.stream()
+        int answered = (int) simulation.pollingNodes.stream()
                 .filter(caller -> caller.answeredAtMs >= 0)
                 .count();
-        double last = played.pollingNodes.stream()
+        double last = simulation.pollingNodes.stream()
                         .mapToDouble(caller -> caller.answeredAtMs)
                         .max()
                         .orElse(OUTAGE_MS)
                 - OUTAGE_MS;
-        return new Result(answered, last, played.rejected);
+        return new Result(answered, last, simulation.rejected);
     }
 
     private void startCalls(double now) {
@@ -129,7 +129,7 @@
 
     private void serveCalls(double now) {
         if (freeAtMs < now - STEP_MS) {
-            // It has been idle.
+            // The service was idle.
             freeAtMs = now;
         }
         while (!queue.isEmpty() && freeAtMs <= now) {
