--- a/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
+++ b/core/src/main/java/brackenbridge/core/balancing/BalancerSettings.java
@@ -72,9 +72,7 @@
                 overShareWeight >= 0 && overShareWeight <= SettingsChecks.MAX_RATE, "overShareWorth", overShareWeight);
         SettingsChecks.require(instanceCount >= 1, "peers", instanceCount);
         SettingsChecks.require(
-                instanceIndex >= 0 && instanceIndex < instanceCount,
-                "me is not between 0 and peers - 1",
-                instanceIndex);
+                instanceIndex >= 0 && instanceIndex < instanceCount, "me is not in [0, peers)", instanceIndex);
         SettingsChecks.require(tier >= 0, "tier", tier);
         SettingsChecks.require(maxAttempts >= 1, "maxAttempts", maxAttempts);
         SettingsChecks.require(maxOpenRequests >= 1, "maxOpen", maxOpenRequests);
--- a/core/src/test/java/brackenbridge/core/balancing/BalancerTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/BalancerTest.java
@@ -20,13 +20,13 @@
     @Test
     void roundRobinIsEvenOverEqualServers() {
         ScriptedBalancer script = new ScriptedBalancer(settings(idempotentClass("read", 1))).listServers(4);
-        Map<Long, Integer> turns = new HashMap<>();
+        Map<Long, Integer> attempts = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             script.submit(i, "read").advance(MILLISECOND_US).endAttempt(i, 0, AttemptOutcome.OK, MILLISECOND_US);
-            turns.merge(script.lastServerOf(i), 1, Integer::sum);
+            attempts.merge(script.lastServerOf(i), 1, Integer::sum);
         }
-        assertEquals(4, turns.size());
-        turns.values().forEach(n -> assertTrue(n >= 95 && n <= 105, turns::toString));
+        assertEquals(4, attempts.size());
+        attempts.values().forEach(n -> assertTrue(n >= 95 && n <= 105, attempts::toString));
     }
 
     @Test
--- a/core/src/test/java/brackenbridge/core/balancing/ColdStartSimulation.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdStartSimulation.java
@@ -153,8 +153,10 @@
     }
 
     /** Runs a scenario with servers of two workers and no further fault. */
-    static ColdStartResult run(Scenario day, int nodes, double load, double multiple, long fall, long seed) {
-        return run(new ColdStartParameters(day, Fault.NONE, nodes, DEFAULT_WORKERS, load, multiple, fall, seed));
+    static ColdStartResult run(
+            Scenario scenario, int nodes, double load, double multiple, long overloadWindow, long seed) {
+        return run(new ColdStartParameters(
+                scenario, Fault.NONE, nodes, DEFAULT_WORKERS, load, multiple, overloadWindow, seed));
     }
 
     /** Runs a simulation. */
