--- a/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
+++ b/core/src/main/java/brackenbridge/core/balancing/RequestQueues.java
@@ -24,7 +24,7 @@
     /** The token of the timer at which queued requests expire. */
     static final String EXPIRY_TIMER = "expiry";
     /** How many queued requests are examined when a server takes one over. */
-    private static final int MAX_TAKE_OVER_CANDIDATES = 8;
+    private static final int MAX_TAKEOVER_CANDIDATES = 8;
     /** Bounds the entries of requests that have left the queues, beyond one for each queued request. */
     private static final int MAX_STALE_ENTRIES = 64;
 
@@ -114,8 +114,8 @@
 
     /**
      * Equation 3: below the top level a request can't finish in time at a server if its expected response time and the
-     * time that it has waited reach tau f. At any level a retry has failed whose idempotency key has expired while it
-     * was queued.
+     * time that it has waited reach tau f. At any level a retry can't be sent any more if its idempotency key expired
+     * while it was queued.
      */
     static boolean cannotFinishInTime(long now, QueuedRequest request, ServerState server) {
         return !IdempotencyRules.allowsAttempt(now, request, server)
@@ -168,7 +168,7 @@
                 remove(request);
                 return request;
             }
-            if (++candidates >= MAX_TAKE_OVER_CANDIDATES) {
+            if (++candidates >= MAX_TAKEOVER_CANDIDATES) {
                 break;
             }
         }
--- a/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerOrder.java
@@ -22,9 +22,7 @@
     private static final Comparator<ServerState> BY_RING_POSITION =
             Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id);
 
-    /**
-     * A starting point may be off by one in this many of the ring's servers; in a ring with fewer servers it is exact.
-     */
+    /** A starting point may be off by one server per this many servers in the ring; in a smaller ring it is exact. */
     private static final int RING_GRANULARITY = 256;
 
     /** The servers of one zone, sorted by ring position. */
--- a/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
+++ b/core/src/main/java/brackenbridge/core/balancing/ServerSubset.java
@@ -127,8 +127,7 @@
     /**
      * The maximum number of requests in flight to one server: one, but more if too few instances share a server to use
      * it fully. A request occupies a slot while it waits for the next tier, so one request from each of two instances
-     * leaves the server idle. The window is also widened for uneven traffic between instances, see {@link
-     * #adjustWindow}.
+     * leaves the server idle. For uneven traffic between instances, {@link #adjustWindow} widens the window further.
      */
     int windowSize() {
         double part = usedSize() / (double) Math.max(1, order.size());
--- a/core/src/main/java/brackenbridge/core/membership/DiscoverySource.java
+++ b/core/src/main/java/brackenbridge/core/membership/DiscoverySource.java
@@ -13,8 +13,8 @@
     private static final double MAX_FIRST_CALL_DELAY_MS = 4000;
     /**
      * A node counts as notified of a change 6 s after discovery has it and can be reached. A call that hangs takes 3 s
-     * of these, and a call that is answered takes up to 2 s in the service's queue; the remaining second is left for
-     * the retry delays, see docs/design/membership.md.
+     * of these, and a call that is answered takes up to 2 s in the service's queue; the delays share the rest, see
+     * docs/design/membership.md.
      */
     private static final double SERVICE_RETRY_DELAY_MS = 400;
 
--- a/core/src/test/java/brackenbridge/core/balancing/BalancerTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/BalancerTest.java
@@ -34,12 +34,13 @@
         ScriptedBalancer script = new ScriptedBalancer(settings(idempotentClass("read", 1)))
                 .sendList(
                         EndpointListKind.CACHED, ScriptedBalancer.endpointUp(1, 1), ScriptedBalancer.endpointUp(2, 3));
-        int heavy = 0;
+        int heavyAttempts = 0;
         for (int i = 0; i < 400; i++) {
             script.submit(i, "read").advance(MILLISECOND_US).endAttempt(i, 0, AttemptOutcome.OK, MILLISECOND_US);
-            heavy += script.lastServerOf(i) == 2 ? 1 : 0;
+            heavyAttempts += script.lastServerOf(i) == 2 ? 1 : 0;
         }
-        assertTrue(heavy >= 290 && heavy <= 310, "attempts at the server of weight 3: " + heavy);
+        assertTrue(
+                heavyAttempts >= 290 && heavyAttempts <= 310, "attempts at the server of weight 3: " + heavyAttempts);
     }
 
     /** The weights in an endpoint list may be inaccurate or wrong. */
@@ -48,14 +49,16 @@
         ScriptedBalancer script = new ScriptedBalancer(settings(idempotentClass("read", 1)))
                 .listServers(5)
                 .sendList(EndpointListKind.CHANGES, ScriptedBalancer.endpointUp(6, 2));
-        int heavy = 0;
+        int heavyAttempts = 0;
         for (int i = 0; i < 600; i++) {
             script.submit(i, "read");
-            long took = script.lastServerOf(i) == 6 ? 40 * MILLISECOND_US : 10 * MILLISECOND_US;
-            script.advance(took).endAttempt(i, 0, AttemptOutcome.OK, took);
-            heavy += i >= 200 && script.lastServerOf(i) == 6 ? 1 : 0;
+            long latency = script.lastServerOf(i) == 6 ? 40 * MILLISECOND_US : 10 * MILLISECOND_US;
+            script.advance(latency).endAttempt(i, 0, AttemptOutcome.OK, latency);
+            heavyAttempts += i >= 200 && script.lastServerOf(i) == 6 ? 1 : 0;
         }
-        assertTrue(heavy > 0 && heavy < 60, "attempts of 400, which would be 114 by its weight: " + heavy);
+        assertTrue(
+                heavyAttempts > 0 && heavyAttempts < 60,
+                "attempts of 400, which would be 114 by its weight: " + heavyAttempts);
     }
 
     @Test
@@ -284,12 +287,12 @@
         // The cold capacity ratio is 0.2: a server that has just started gets about a fifth of a warm one's requests.
         ScriptedBalancer script = new ScriptedBalancer(settings(idempotentClass("read", 1))).listServers(4);
         script.sendList(EndpointListKind.CHANGES, ScriptedBalancer.endpoint(9, "here", script.now, EndpointState.UP));
-        int cold = 0;
+        int coldAttempts = 0;
         for (int i = 0; i < 420; i++) {
             script.submit(i, "read").advance(MILLISECOND_US).endAttempt(i, 0, AttemptOutcome.OK, MILLISECOND_US);
-            cold += script.lastServerOf(i) == 9 ? 1 : 0;
+            coldAttempts += script.lastServerOf(i) == 9 ? 1 : 0;
         }
-        assertTrue(cold >= 14 && cold <= 28, "attempts at the cold server: " + cold);
+        assertTrue(coldAttempts >= 14 && coldAttempts <= 28, "attempts at the cold server: " + coldAttempts);
     }
 
     @Test
--- a/core/src/test/java/brackenbridge/core/balancing/ColdStartSimulation.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ColdStartSimulation.java
@@ -38,14 +38,14 @@
     private static final long RESTARTS_AT_US = BEGIN_US + 12 * SECOND_US;
     private static final long END_US = BEGIN_US + 32 * SECOND_US;
 
-    private record Due(long at, long order, Runnable action) {}
+    private record ScheduledEvent(long at, long order, Runnable action) {}
 
     private static final class Server {
         final long id;
         long startedAt;
         boolean down;
         int incarnation;
-        int busy;
+        int busyWorkers;
         boolean failed;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
         /** The requests received while it was cold; those from windowFrom on are within the last window. */
@@ -81,12 +81,12 @@
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
             retries += attempt > 0 ? 1 : 0;
             maxConcurrentAttempts = Math.max(maxConcurrentAttempts, inFlight.merge(request, 1, Integer::sum));
-            long sent = now;
+            long sentAt = now;
             Server server = servers.get((int) endpoint);
             boolean notified = notifiedStart[(int) server.id] == server.startedAt;
-            after(
+            scheduleAfter(
                     connectDelay(server) + MILLISECOND_US / 2,
-                    () -> receiveAttempt(this, request, attempt, server, sent, notified));
+                    () -> receiveAttempt(this, request, attempt, server, sentAt, notified));
         }
 
         @Override
@@ -102,7 +102,7 @@
 
         @Override
         public void setTimer(long at, String token) {
-            events.add(new Due(at, eventsScheduled++, () -> balancer.onTimer(now, token)));
+            events.add(new ScheduledEvent(at, eventsScheduled++, () -> balancer.onTimer(now, token)));
         }
 
         @Override
@@ -111,7 +111,7 @@
         }
     }
 
-    private final PriorityQueue<Due> events = new PriorityQueue<>(
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private final Map<Long, Integer> attempts = new HashMap<>();
     private final Map<Long, Integer> inFlight = new HashMap<>();
@@ -123,7 +123,7 @@
     /** The current overload window of the settings. */
     private long overloadWindow;
 
-    private final double allShares;
+    private final double shareSum;
     private long now = BEGIN_US;
     private long eventsScheduled;
     private long requests;
@@ -138,18 +138,18 @@
     private int maxConcurrentAttempts;
     private int retries;
 
-    private ColdStartSimulation(ColdStartParameters plan) {
-        this.parameters = plan;
-        this.scenario = plan.scenario();
-        this.overloadWindow = plan.overloadWindow();
-        random = new SplittableRandom(plan.seed());
+    private ColdStartSimulation(ColdStartParameters parameters) {
+        this.parameters = parameters;
+        this.scenario = parameters.scenario();
+        this.overloadWindow = parameters.overloadWindow();
+        random = new SplittableRandom(parameters.seed());
         for (int i = 0; i < SERVER_COUNT; i++) {
             servers.add(new Server(i));
         }
-        for (int i = 0; i < plan.nodes(); i++) {
-            nodes.add(new Node(i, plan.nodes(), SHARES[i % SHARES.length]));
+        for (int i = 0; i < parameters.nodes(); i++) {
+            nodes.add(new Node(i, parameters.nodes(), SHARES[i % SHARES.length]));
         }
-        allShares = nodes.stream().mapToDouble(node -> node.share).sum();
+        shareSum = nodes.stream().mapToDouble(node -> node.share).sum();
     }
 
     /** Runs a scenario with servers of two workers and no further fault. */
@@ -160,8 +160,8 @@
     }
 
     /** Runs a simulation. */
-    static ColdStartResult run(ColdStartParameters plan) {
-        return new ColdStartSimulation(plan).run();
+    static ColdStartResult run(ColdStartParameters parameters) {
+        return new ColdStartSimulation(parameters).run();
     }
 
     private BalancerSettings settings(int index, int nodeCount) {
@@ -199,7 +199,8 @@
         }
         for (Node node : nodes) {
             node.sendList(
-                    EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
+                    EndpointListKind.CACHED,
+                    servers.stream().map(this::endpointOf).toList());
             scheduleArrivals(node);
         }
         int restartedServers = switch (scenario) {
@@ -213,22 +214,22 @@
             long at = RESTARTS_AT_US + (scenario == Scenario.REPLACED ? i * 7 * SECOND_US / 6 : 0);
             boolean immediately = parameters.fault() == Fault.LATE_NOTICE;
             long returnsAt = at + (immediately ? 0 : (scenario == Scenario.ZONE_RETURN ? 5 : 1) * SECOND_US);
-            at(at, () -> stop(server, !immediately));
-            at(returnsAt, () -> restart(server));
+            scheduleAt(at, () -> stop(server, !immediately));
+            scheduleAt(returnsAt, () -> restart(server));
         }
         long firstStart = scenario == Scenario.ALL_START
                 ? BEGIN_US
                 : RESTARTS_AT_US + (scenario == Scenario.ZONE_RETURN ? 5 : 1) * SECOND_US;
         switch (parameters.fault()) {
-            case LONGER_OVERLOAD_WINDOW -> at(firstStart + SECOND_US, this::lengthenOverloadWindow);
-            case RESTARTED_NODES -> at(firstStart + SECOND_US / 2, this::restartNodes);
-            case SUCCESSORS -> at(firstStart + SECOND_US / 2, this::startSuccessors);
+            case LONGER_OVERLOAD_WINDOW -> scheduleAt(firstStart + SECOND_US, this::lengthenOverloadWindow);
+            case RESTARTED_NODES -> scheduleAt(firstStart + SECOND_US / 2, this::restartNodes);
+            case SUCCESSORS -> scheduleAt(firstStart + SECOND_US / 2, this::startSuccessors);
             default -> {
                 // The other faults don't happen at a single time.
             }
         }
         while (!events.isEmpty() && events.peek().at() <= END_US) {
-            Due due = events.poll();
+            ScheduledEvent due = events.poll();
             now = Math.max(now, due.at());
             due.action().run();
         }
@@ -271,7 +272,7 @@
             old.share /= 2;
             Node next = startProcess(i, old.share);
             nodes.add(next);
-            after(2 * SECOND_US, () -> {
+            scheduleAfter(2 * SECOND_US, () -> {
                 next.share += old.share;
                 old.share = 0;
             });
@@ -280,7 +281,8 @@
 
     private Node startProcess(int index, double share) {
         Node node = new Node(index, parameters.nodes(), share);
-        node.sendList(EndpointListKind.CACHED, servers.stream().map(this::entry).toList());
+        node.sendList(
+                EndpointListKind.CACHED, servers.stream().map(this::endpointOf).toList());
         scheduleArrivals(node);
         return node;
     }
@@ -293,15 +295,15 @@
         return parameters.fault() == Fault.LATE_ACCEPT ? Math.max(0, server.startedAt + MAX_CONNECT_DELAY_US - now) : 0;
     }
 
-    private void at(long when, Runnable what) {
-        events.add(new Due(when, eventsScheduled++, what));
+    private void scheduleAt(long time, Runnable action) {
+        events.add(new ScheduledEvent(time, eventsScheduled++, action));
     }
 
-    private void after(long time, Runnable what) {
-        at(now + time, what);
+    private void scheduleAfter(long delay, Runnable action) {
+        scheduleAt(now + delay, action);
     }
 
-    private Endpoint entry(Server server) {
+    private Endpoint endpointOf(Server server) {
         return new Endpoint(
                 server.id, 0, "here", 1, server.startedAt, server.down ? EndpointState.REMOVED : EndpointState.UP);
     }
@@ -309,7 +311,7 @@
     private void stop(Server server, boolean notified) {
         server.down = true;
         server.incarnation++;
-        server.busy = 0;
+        server.busyWorkers = 0;
         server.queue.clear();
         if (notified) {
             notifyNodes(server);
@@ -329,13 +331,13 @@
 
     /** Notifies all nodes of a server's state; each receives the update after a random delay. */
     private void notifyNodes(Server server) {
-        Endpoint entry = entry(server);
+        Endpoint entry = endpointOf(server);
         boolean late = parameters.fault() == Fault.LATE_NOTICE;
         for (Node node : nodes) {
             long delay = late
                     ? 300 * MILLISECOND_US + random.nextLong(1200 * MILLISECOND_US)
                     : 50 * MILLISECOND_US + random.nextLong(250 * MILLISECOND_US);
-            after(delay, () -> node.sendList(EndpointListKind.CHANGES, List.of(entry)));
+            scheduleAfter(delay, () -> node.sendList(EndpointListKind.CHANGES, List.of(entry)));
         }
     }
 
@@ -346,19 +348,19 @@
         boolean burst =
                 scenario == Scenario.BURST && now >= RESTARTS_AT_US + SECOND_US && now < RESTARTS_AT_US + 4 * SECOND_US;
         double perSecond =
-                parameters.load() * SERVER_COUNT * warmCapacityPerSecond() * node.share / allShares * (burst ? 2.5 : 1);
-        after((long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND_US), () -> {
+                parameters.load() * SERVER_COUNT * warmCapacityPerSecond() * node.share / shareSum * (burst ? 2.5 : 1);
+        scheduleAfter((long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND_US), () -> {
             long id = requests++;
-            BalancerRequest arrived =
+            BalancerRequest request =
                     new BalancerRequest(id, id % 4 == 0 ? "write" : "read", null, -1, 2 * SECOND_US, -1, false);
             if (random.nextDouble() < 0.05) {
-                node.balancer.onStreamedRequest(now, arrived);
-                after(50 * MILLISECOND_US, () -> node.balancer.onRequestCompleted(now, id));
+                node.balancer.onStreamedRequest(now, request);
+                scheduleAfter(50 * MILLISECOND_US, () -> node.balancer.onRequestCompleted(now, id));
             } else {
-                node.balancer.onRequest(now, arrived);
+                node.balancer.onRequest(now, request);
             }
             if (parameters.fault() == Fault.HEDGED_BY_CLIENTS && id % 5 == 0) {
-                hedge(nodes.get((nodes.indexOf(node) + 1) % nodes.size()), arrived.className());
+                hedge(nodes.get((nodes.indexOf(node) + 1) % nodes.size()), request.className());
             }
             scheduleArrivals(node);
         });
@@ -366,7 +368,7 @@
 
     /** Sends the client's hedged copy of a request to another node. */
     private void hedge(Node other, String className) {
-        after(30 * MILLISECOND_US, () -> {
+        scheduleAfter(30 * MILLISECOND_US, () -> {
             long id = requests++;
             other.balancer.onRequest(now, new BalancerRequest(id, className, null, -1, 2 * SECOND_US, -1, true));
         });
@@ -385,48 +387,49 @@
                         COLD_CAPACITY_RATIO + (1 - COLD_CAPACITY_RATIO) * (now - server.startedAt) / WARM_UP_TIME_US);
     }
 
-    private void receiveAttempt(Node node, long request, int attempt, Server server, long sent, boolean notified) {
+    private void receiveAttempt(Node node, long request, int attempt, Server server, long sentAt, boolean notified) {
         if (server.down) {
-            endAttempt(node, request, attempt, AttemptOutcome.CONNECT_FAILED, sent);
+            endAttempt(node, request, attempt, AttemptOutcome.CONNECT_FAILED, sentAt);
             return;
         }
         node.balancer.onAttemptWritten(now, request, attempt);
         recordArrival(server, notified);
         if (server.queue.size() >= parameters.workers()) {
-            endAttempt(node, request, attempt, AttemptOutcome.FULL, sent);
+            endAttempt(node, request, attempt, AttemptOutcome.FULL, sentAt);
             return;
         }
         boolean cold = capacityRatio(server) < 1;
         int incarnation = server.incarnation;
-        Runnable work = () -> after((long) (MEAN_WORK_US / capacityRatio(server) * (0.5 + random.nextDouble())), () -> {
-            if (server.incarnation != incarnation) {
-                endAttempt(node, request, attempt, AttemptOutcome.RESET, sent);
-                return;
-            }
-            boolean failed = random.nextDouble() < 0.02;
-            served += failed ? 0 : 1;
-            coldServed += cold && !failed ? 1 : 0;
-            endAttempt(node, request, attempt, failed ? AttemptOutcome.ERROR : AttemptOutcome.OK, sent);
-            Runnable next = server.queue.poll();
-            if (next != null) {
-                next.run();
-            } else {
-                server.busy--;
-            }
-        });
-        if (server.busy < parameters.workers()) {
-            server.busy++;
+        Runnable work =
+                () -> scheduleAfter((long) (MEAN_WORK_US / capacityRatio(server) * (0.5 + random.nextDouble())), () -> {
+                    if (server.incarnation != incarnation) {
+                        endAttempt(node, request, attempt, AttemptOutcome.RESET, sentAt);
+                        return;
+                    }
+                    boolean failed = random.nextDouble() < 0.02;
+                    served += failed ? 0 : 1;
+                    coldServed += cold && !failed ? 1 : 0;
+                    endAttempt(node, request, attempt, failed ? AttemptOutcome.ERROR : AttemptOutcome.OK, sentAt);
+                    Runnable next = server.queue.poll();
+                    if (next != null) {
+                        next.run();
+                    } else {
+                        server.busyWorkers--;
+                    }
+                });
+        if (server.busyWorkers < parameters.workers()) {
+            server.busyWorkers++;
             work.run();
         } else {
             server.queue.add(work);
         }
     }
 
-    private void endAttempt(Node node, long request, int attempt, AttemptOutcome outcome, long sent) {
-        after(MILLISECOND_US / 2, () -> {
+    private void endAttempt(Node node, long request, int attempt, AttemptOutcome outcome, long sentAt) {
+        scheduleAfter(MILLISECOND_US / 2, () -> {
             inFlight.merge(request, -1, Integer::sum);
             node.balancer.onAttemptEnded(
-                    now, request, attempt, outcome == AttemptOutcome.OK, outcome, now - sent, null);
+                    now, request, attempt, outcome == AttemptOutcome.OK, outcome, now - sentAt, null);
         });
     }
 
--- a/core/src/test/java/brackenbridge/core/balancing/ScriptedBalancer.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ScriptedBalancer.java
@@ -14,13 +14,13 @@
     /** A recorded action; fields that don't apply to it are 0. */
     record Action(String type, long at, long request, long endpoint, long amount) {}
 
-    private record Due(long at, long order, String token) {}
+    private record ScheduledTimer(long at, long order, String token) {}
 
     final List<Action> actions = new ArrayList<>();
     final Map<Long, Integer> attempts = new HashMap<>();
     final Balancer balancer;
     long now = 1_000_000_000L;
-    private final PriorityQueue<Due> timers = new PriorityQueue<>(
+    private final PriorityQueue<ScheduledTimer> timers = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private long timersSet;
 
@@ -124,7 +124,7 @@
     ScriptedBalancer advance(long time) {
         long until = now + time;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
-            Due due = timers.poll();
+            ScheduledTimer due = timers.poll();
             now = Math.max(now, due.at());
             balancer.onTimer(now, due.token());
         }
@@ -166,7 +166,7 @@
 
     @Override
     public void setTimer(long at, String token) {
-        timers.add(new Due(at, timersSet++, token));
+        timers.add(new ScheduledTimer(at, timersSet++, token));
     }
 
     @Override
--- a/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ServerOrderTest.java
@@ -20,9 +20,9 @@
 
     private final SplittableRandom random = new SplittableRandom(11);
     private final ServerOrder order = new ServerOrder();
-    private final List<ServerState> up = new ArrayList<>();
+    private final List<ServerState> serversUp = new ArrayList<>();
 
-    private ServerState server(long id) {
+    private ServerState serverInRandomZone(long id) {
         Endpoint endpoint = new Endpoint(id, -1, ZONES[random.nextInt(ZONES.length)], 1, 0, EndpointState.UP);
         return new ServerState(endpoint, id, 1, 0);
     }
@@ -30,13 +30,13 @@
     @Test
     void incrementalChangesGiveTheOrderOfACompleteRebuild() {
         for (int change = 0; change < CHANGE_COUNT; change++) {
-            if (up.size() < MAX_SERVERS && random.nextInt(up.size() + 1) < MAX_SERVERS / 2) {
-                ServerState added = server(change);
-                up.add(added);
+            if (serversUp.size() < MAX_SERVERS && random.nextInt(serversUp.size() + 1) < MAX_SERVERS / 2) {
+                ServerState added = serverInRandomZone(change);
+                serversUp.add(added);
                 order.add(added);
                 order.add(added);
             } else {
-                ServerState removed = up.remove(random.nextInt(up.size()));
+                ServerState removed = serversUp.remove(random.nextInt(serversUp.size()));
                 order.remove(removed, removed.endpoint.zone());
                 order.remove(removed, removed.endpoint.zone());
             }
@@ -57,7 +57,7 @@
 
     private List<Long> expectedOrder(String zone, double start) {
         TreeMap<String, List<ServerState>> zones = new TreeMap<>();
-        for (ServerState server : up) {
+        for (ServerState server : serversUp) {
             zones.computeIfAbsent(server.endpoint.zone(), z -> new ArrayList<>())
                     .add(server);
         }
@@ -69,7 +69,7 @@
         zones.remove(zone);
         List<List<ServerState>> others = new ArrayList<>(zones.values());
         others.sort(Comparator.comparingLong(servers -> servers.get(0).id));
-        for (int i = 0; all.size() < up.size(); i++) {
+        for (int i = 0; all.size() < serversUp.size(); i++) {
             for (List<ServerState> servers : others) {
                 if (i < servers.size()) {
                     all.add(servers.get(i).id);
@@ -82,9 +82,9 @@
     private static List<ServerState> rotated(List<ServerState> zone, double start) {
         List<ServerState> sorted = new ArrayList<>(zone);
         sorted.sort(Comparator.<ServerState>comparingDouble(s -> s.ringPosition).thenComparingLong(s -> s.id));
-        int from = (int) (start * sorted.size());
-        List<ServerState> rotated = new ArrayList<>(sorted.subList(from, sorted.size()));
-        rotated.addAll(sorted.subList(0, from));
+        int startIndex = (int) (start * sorted.size());
+        List<ServerState> rotated = new ArrayList<>(sorted.subList(startIndex, sorted.size()));
+        rotated.addAll(sorted.subList(0, startIndex));
         return rotated;
     }
 
@@ -95,20 +95,20 @@
         int tolerance = servers / 256;
         double start = 0.56;
         for (int id = 0; id < servers; id++) {
-            ServerState added = serverIn("a", id);
-            up.add(added);
+            ServerState added = serverInZone("a", id);
+            serversUp.add(added);
             order.add(added);
         }
         order.rebuild("a", start);
         Set<Long> first = new HashSet<>(actualOrder().subList(0, prefixLength));
         int entered = 0;
         for (int change = 0; change < 2 * servers; change++) {
-            if (up.size() < servers) {
-                ServerState added = serverIn("a", servers + change);
-                up.add(added);
+            if (serversUp.size() < servers) {
+                ServerState added = serverInZone("a", servers + change);
+                serversUp.add(added);
                 order.add(added);
             } else {
-                ServerState removed = up.remove(random.nextInt(up.size()));
+                ServerState removed = serversUp.remove(random.nextInt(serversUp.size()));
                 order.remove(removed, "a");
             }
             order.rebuild("a", start);
@@ -126,7 +126,7 @@
         assertTrue(entered < 10 * prefixLength, "servers that entered the prefix: " + entered);
     }
 
-    private ServerState serverIn(String zone, long id) {
+    private ServerState serverInZone(String zone, long id) {
         return new ServerState(new Endpoint(id, -1, zone, 1, 0, EndpointState.UP), id, 1, 0);
     }
 
@@ -140,7 +140,7 @@
 
     /** The number of servers between the exact starting point and the actual one. */
     private int distanceFromExactStart(String zone, double start) {
-        int place = expectedOrder(zone, start).indexOf(order.get(0).id);
-        return Math.min(place, up.size() - place);
+        int distance = expectedOrder(zone, start).indexOf(order.get(0).id);
+        return Math.min(distance, serversUp.size() - distance);
     }
 }
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
@@ -112,8 +112,8 @@
 
     @Test
     void eachWaiterRetriesLocalFailureOnce() {
-        for (int wait = 0; wait < 3; wait++) {
-            pool.acquire(0, wait, FIRST_SERVER);
+        for (int waiter = 0; waiter < 3; waiter++) {
+            pool.acquire(0, waiter, FIRST_SERVER);
         }
         for (int connection = 0; connection < 3; connection++) {
             assertEquals(
@@ -121,10 +121,10 @@
                     commandsOf(ConnectionCommand.Wake.class, pool.onLocalFailure(1, connection))
                             .size());
         }
-        for (int wait = 0; wait < 3; wait++) {
+        for (int waiter = 0; waiter < 3; waiter++) {
             assertEquals(
                     1,
-                    commandsOf(ConnectionCommand.Open.class, pool.onWake(5, wait))
+                    commandsOf(ConnectionCommand.Open.class, pool.onWake(5, waiter))
                             .size());
         }
         for (int connection = 3; connection < 6; connection++) {
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchExplorationTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchExplorationTest.java
@@ -62,7 +62,7 @@
         double lastMessageMs;
         boolean messageReceived;
         long currentVersion = 41;
-        boolean moved;
+        boolean discoveryMoved;
         /** The time at which the next call has to be open. */
         double callDueMs;
         /** The time before which no call may be opened. */
@@ -71,7 +71,7 @@
         int failures;
         double openedAtMs;
         boolean down;
-        boolean rejected;
+        boolean callRejected;
         /**
          * Since when discovery has been reachable without sending a message, and how many calls it has rejected since.
          */
@@ -120,7 +120,7 @@
                     openedAtMs = nowMs;
                     lastMessageMs = nowMs;
                     messageReceived = false;
-                    rejected = down && source.shared();
+                    callRejected = down && source.shared();
                 } else if (command instanceof DiscoveryCommand.EndCall ending && variant != Variant.IGNORES_END_CALL) {
                     if (ending.call() != openCall) {
                         fail("cancels a call that is not open");
@@ -160,8 +160,8 @@
 
         /** A service that is down rejects each call; an agent keeps calls open without a message. */
         void rejectCalls() {
-            while (rejected && violation == null) {
-                rejected = false;
+            while (callRejected && violation == null) {
+                callRejected = false;
                 endCall(openCall);
             }
         }
@@ -204,16 +204,16 @@
             if (accepted
                     && !(current
                             && (version > currentVersion
-                                    || moved && complete
+                                    || discoveryMoved && complete
                                     || version == currentVersion && !messageReceived))) {
                 fail("a superseded list is accepted");
             }
-            if (!accepted && current && (version > currentVersion || moved && complete)) {
+            if (!accepted && current && (version > currentVersion || discoveryMoved && complete)) {
                 fail("a newer list is not accepted");
             }
             if (accepted) {
                 currentVersion = version;
-                moved = false;
+                discoveryMoved = false;
             }
             if (current) {
                 recordMessage();
@@ -261,7 +261,7 @@
                     rejections = 0;
                     noCallBeforeMs = nowMs;
                     execute(watch.reopen(nowMs, variant != Variant.IGNORES_MOVE));
-                    moved = true;
+                    discoveryMoved = true;
                     if (openCall < 0 || openCall == call) {
                         fail("no call is opened at once to a moved discovery");
                     }
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
@@ -21,15 +21,15 @@
     private static final DiscoverySource AGENT = new DiscoverySource(false, 0);
     private static final DiscoverySource SERVICE = new DiscoverySource(true, 10_000);
 
-    private final List<DiscoveryCommand.OpenWatch> opened = new ArrayList<>();
-    private final List<DiscoveryCommand.EndCall> ended = new ArrayList<>();
+    private final List<DiscoveryCommand.OpenWatch> openCommands = new ArrayList<>();
+    private final List<DiscoveryCommand.EndCall> endCommands = new ArrayList<>();
     private double nowMs = 1000;
     private DiscoveryCommand.Wake nextWake;
     private DiscoveryWatch watch;
 
     private DiscoveryWatchTest start(DiscoverySource source, long seed) {
-        opened.clear();
-        ended.clear();
+        openCommands.clear();
+        endCommands.clear();
         nextWake = null;
         watch = new DiscoveryWatch(source, SILENCE_MS, new SplittableRandom(seed));
         execute(watch.start(nowMs, 41));
@@ -39,9 +39,9 @@
     private void execute(List<DiscoveryCommand> commands) {
         for (DiscoveryCommand command : commands) {
             if (command instanceof DiscoveryCommand.OpenWatch opening) {
-                opened.add(opening);
+                openCommands.add(opening);
             } else if (command instanceof DiscoveryCommand.EndCall ending) {
-                ended.add(ending);
+                endCommands.add(ending);
             } else if (command instanceof DiscoveryCommand.Wake wake) {
                 assertTrue(nextWake == null || nextWake.timer() < wake.timer(), "a timer was scheduled twice");
                 nextWake = wake;
@@ -62,17 +62,17 @@
     }
 
     private long currentCall() {
-        return opened.get(opened.size() - 1).call();
+        return openCommands.get(openCommands.size() - 1).call();
     }
 
     @Test
     void firstCallIsImmediateAtAgentAndDelayedAtService() {
         start(AGENT, 1);
-        assertEquals(List.of(new DiscoveryCommand.OpenWatch(0, 41)), opened);
+        assertEquals(List.of(new DiscoveryCommand.OpenWatch(0, 41)), openCommands);
         start(SERVICE, 1);
-        assertEquals(List.of(), opened);
+        assertEquals(List.of(), openCommands);
         advance(4000);
-        assertEquals(1, opened.size());
+        assertEquals(1, openCommands.size());
     }
 
     @Test
@@ -80,21 +80,21 @@
         start(AGENT, 1);
         watch.onHeartbeat(nowMs, currentCall());
         advance(2999);
-        assertEquals(0, ended.size());
+        assertEquals(0, endCommands.size());
         advance(1);
-        assertEquals(List.of(new DiscoveryCommand.EndCall(0, true)), ended);
-        assertEquals(2, opened.size());
+        assertEquals(List.of(new DiscoveryCommand.EndCall(0, true)), endCommands);
+        assertEquals(2, openCommands.size());
         advance(30_000);
-        assertEquals(12, opened.size(), "one call every 3 s, however long the agent is silent");
+        assertEquals(12, openCommands.size(), "one call every 3 s, however long the agent is silent");
 
         start(SERVICE, 1);
         advance(4000);
-        int before = opened.size();
+        int before = openCommands.size();
         nowMs = nextWake.atMs();
         execute(watch.onTimer(nowMs, nextWake.timer()));
-        assertEquals(before, opened.size());
+        assertEquals(before, openCommands.size());
         advance(1500);
-        assertEquals(before + 1, opened.size());
+        assertEquals(before + 1, openCommands.size());
     }
 
     @Test
@@ -109,7 +109,8 @@
             }
         }
         assertTrue(
-                opened.size() > 133 && opened.size() < 267, "calls in 20 s, one every 75 to 150 ms: " + opened.size());
+                openCommands.size() > 133 && openCommands.size() < 267,
+                "calls in 20 s, one every 75 to 150 ms: " + openCommands.size());
     }
 
     @Test
@@ -118,14 +119,14 @@
         for (int i = 0; i < 12; i++) {
             execute(watch.onCallEnded(nowMs, currentCall()));
             advance(150);
-            assertEquals(i + 2, opened.size(), "the retry delay at an agent is at most 150 ms");
+            assertEquals(i + 2, openCommands.size(), "the retry delay at an agent is at most 150 ms");
         }
         watch.onEndpointList(nowMs, currentCall(), 42, true);
         advance(1000);
-        int before = opened.size();
+        int before = openCommands.size();
         execute(watch.onCallEnded(nowMs, currentCall()));
         advance(75);
-        assertEquals(before + 1, opened.size());
+        assertEquals(before + 1, openCommands.size());
     }
 
     /** The time after which a node counts as notified, and the time that a call may take in the service's queue. */
@@ -146,7 +147,7 @@
                 double downUntil = nowMs + 4000 + 500 * seed;
                 while (nowMs < downUntil) {
                     advance(10);
-                    if (!opened.isEmpty() && watch.isOpen(currentCall())) {
+                    if (!openCommands.isEmpty() && watch.isOpen(currentCall())) {
                         execute(watch.onCallEnded(nowMs, currentCall()));
                     }
                 }
@@ -196,11 +197,11 @@
             advance(900);
             watch.onHeartbeat(nowMs, currentCall());
             double lastMessageMs = nowMs;
-            for (int calls = opened.size(); opened.size() == calls; ) {
+            for (int calls = openCommands.size(); openCommands.size() == calls; ) {
                 advance(10);
             }
             execute(watch.onCallEnded(nowMs, currentCall()));
-            for (int calls = opened.size(); opened.size() == calls; ) {
+            for (int calls = openCommands.size(); openCommands.size() == calls; ) {
                 advance(10);
             }
             assertTrue(
@@ -218,10 +219,10 @@
                 watch.onHeartbeat(nowMs, currentCall());
                 advance(1500);
             }
-            int before = opened.size();
+            int before = openCommands.size();
             execute(watch.onCallEnded(nowMs, currentCall()));
             advance(600);
-            assertEquals(before + 1, opened.size());
+            assertEquals(before + 1, openCommands.size());
         }
     }
 
@@ -241,10 +242,10 @@
             advance(900);
         }
         execute(watch.reopen(nowMs, true));
-        int before = opened.size();
+        int before = openCommands.size();
         execute(watch.onCallEnded(nowMs, currentCall()));
         advance(600);
-        assertEquals(before + 1, opened.size());
+        assertEquals(before + 1, openCommands.size());
     }
 
     @Test
@@ -252,7 +253,7 @@
         start(new DiscoverySource(true, 60_000), 7);
         execute(watch.changeSource(nowMs, AGENT));
         advance(75);
-        assertEquals(1, opened.size(), "the first call was scheduled seconds later");
+        assertEquals(1, openCommands.size(), "the first call was scheduled seconds later");
     }
 
     /**
@@ -277,7 +278,7 @@
         assertFalse(watch.onEndpointList(nowMs, currentCall(), 44, false));
         assertFalse(watch.onEndpointList(nowMs, currentCall() + 1, 50, true), "no such call");
         execute(watch.reopen(nowMs, true));
-        assertEquals(List.of(new DiscoveryCommand.EndCall(0, false)), ended);
+        assertEquals(List.of(new DiscoveryCommand.EndCall(0, false)), endCommands);
         assertFalse(watch.onEndpointList(nowMs, 0, 60, true), "a call that has ended");
         assertFalse(
                 watch.onEndpointList(nowMs, currentCall(), 7, false),
@@ -305,18 +306,18 @@
         boolean open = false;
         for (int i = 0; i < 400; i++) {
             for (DiscoveryCommand.OpenWatch opening :
-                    opened.subList((int) Math.min(opened.size(), lastCall + 1), opened.size())) {
+                    openCommands.subList((int) Math.min(openCommands.size(), lastCall + 1), openCommands.size())) {
                 assertEquals(lastCall + 1, opening.call());
                 lastCall = opening.call();
                 open = true;
             }
-            for (DiscoveryCommand.EndCall ending : ended) {
+            for (DiscoveryCommand.EndCall ending : endCommands) {
                 open &= ending.call() != lastCall;
             }
-            ended.clear();
+            endCommands.clear();
             assertEquals(open, watch.isOpen(lastCall));
             assertTrue(
-                    nextWake != null && nextWake.atMs() <= nowMs + (opened.isEmpty() ? 4000 : SILENCE_MS),
+                    nextWake != null && nextWake.atMs() <= nowMs + (openCommands.isEmpty() ? 4000 : SILENCE_MS),
                     "no timer is scheduled");
             if (open && watch.isOpen(lastCall)) {
                 switch (random.nextInt(5)) {
@@ -338,7 +339,7 @@
         }
         double seconds = (nowMs - startMs) / 1000;
         assertTrue(
-                opened.size() < 8 + longPauses + seconds * (shared ? 2 : 10),
-                opened.size() + " calls in " + seconds + " s");
+                openCommands.size() < 8 + longPauses + seconds * (shared ? 2 : 10),
+                openCommands.size() + " calls in " + seconds + " s");
     }
 }
--- a/core/src/test/java/brackenbridge/core/membership/RecoveringDiscoveryService.java
+++ b/core/src/test/java/brackenbridge/core/membership/RecoveringDiscoveryService.java
@@ -105,24 +105,24 @@
             simulation.serveCalls(now);
         }
         int answered = (int) simulation.pollingNodes.stream()
-                .filter(caller -> caller.answeredAtMs >= 0)
+                .filter(node -> node.answeredAtMs >= 0)
                 .count();
-        double last = simulation.pollingNodes.stream()
-                        .mapToDouble(caller -> caller.answeredAtMs)
+        double lastMs = simulation.pollingNodes.stream()
+                        .mapToDouble(node -> node.answeredAtMs)
                         .max()
                         .orElse(OUTAGE_MS)
                 - OUTAGE_MS;
-        return new Result(answered, last, simulation.rejected);
+        return new Result(answered, lastMs, simulation.rejected);
     }
 
     private void startCalls(double now) {
-        for (Node caller : pollingNodes) {
-            boolean calls = caller.startsCall(now);
-            if (calls && now >= OUTAGE_MS && queue.size() < service.queueLimit()) {
-                queue.add(new QueuedCall(caller, caller.call));
-            } else if (calls || caller.isWaiting() && now >= caller.calledAtMs + service.timeoutMs()) {
+        for (Node node : pollingNodes) {
+            boolean startsCall = node.startsCall(now);
+            if (startsCall && now >= OUTAGE_MS && queue.size() < service.queueLimit()) {
+                queue.add(new QueuedCall(node, node.call));
+            } else if (startsCall || node.isWaiting() && now >= node.calledAtMs + service.timeoutMs()) {
                 rejected += now >= OUTAGE_MS ? 1 : 0;
-                caller.rejectCall(now);
+                node.rejectCall(now);
             }
         }
     }
