--- a/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
+++ b/core/src/main/java/brackenbridge/core/balancing/TokenBucket.java
@@ -1,18 +1,18 @@
 package brackenbridge.core.balancing;
 
-/** A token bucket: it is refilled at a rate, up to its size, and each request takes one token. */
+/** A token bucket: it is refilled at a rate, up to its capacity, and each request takes one token. */
 final class TokenBucket {
     private static final double MICROSECONDS_PER_SECOND = 1e6;
 
     private double tokensPerSecond;
-    private double size;
+    private double capacity;
     private double tokens;
     private long refilledAt = Long.MIN_VALUE;
 
-    /** Takes a token and returns true, if there is one at this time in microseconds. */
+    /** Takes a token if there is one at this time in microseconds; returns whether it did. */
     boolean tryTakeToken(long now) {
         if (refilledAt != Long.MIN_VALUE) {
-            tokens = Math.min(size, tokens + (now - refilledAt) * tokensPerSecond / MICROSECONDS_PER_SECOND);
+            tokens = Math.min(capacity, tokens + (now - refilledAt) * tokensPerSecond / MICROSECONDS_PER_SECOND);
         }
         refilledAt = now;
         if (tokens < 1) {
@@ -22,10 +22,10 @@
         return true;
     }
 
-    /** Sets the rate, and with it the size, to this many tokens a second; the size is at least one token. */
+    /** Sets the rate in tokens per second; the capacity is the tokens of one second, but at least one. */
     void setRate(double ratePerSecond) {
         tokensPerSecond = ratePerSecond;
-        size = Math.max(1, ratePerSecond);
-        tokens = refilledAt == Long.MIN_VALUE ? size : Math.min(size, tokens);
+        capacity = Math.max(1, ratePerSecond);
+        tokens = refilledAt == Long.MIN_VALUE ? capacity : Math.min(capacity, tokens);
     }
 }
--- a/core/src/main/java/brackenbridge/counters/Counters.java
+++ b/core/src/main/java/brackenbridge/counters/Counters.java
@@ -4,71 +4,77 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The values of all counters, in total and by request class. For the event loop's thread only. */
+/** The values of all counters, in total and by request class. To be used on the event loop only. */
 public final class Counters {
 
     private final EnumMap<Counter, Long> counts = new EnumMap<>(Counter.class);
     private final Map<String, EnumMap<Counter, Long>> byClass = new TreeMap<>();
-    private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> rejected =
+    private final EnumMap<RejectionReason.Port, EnumMap<RejectionReason, Long>> rejections =
             new EnumMap<>(RejectionReason.Port.class);
 
-    /** Counts one. */
+    /** Increments a counter. */
     public void count(Counter counter) {
         counts.merge(counter, 1L, Long::sum);
     }
 
-    /** Counts one rejection, or one closed connection, at a port. */
+    /** Counts one rejected input or closed connection at a port. */
     public void countRejection(RejectionReason.Port port, RejectionReason reason) {
-        rejected.computeIfAbsent(port, key -> new EnumMap<>(RejectionReason.class))
+        rejections
+                .computeIfAbsent(port, key -> new EnumMap<>(RejectionReason.class))
                 .merge(reason, 1L, Long::sum);
     }
 
-    /** Counts one for a request class. The class keeps its counts when it is removed from the settings. */
+    /**
+     * Increments a counter, in total and for a request class. A class keeps its counts when it is removed from the
+     * settings.
+     */
     public void count(Counter counter, String className) {
         count(counter);
         byClass.computeIfAbsent(className, key -> new EnumMap<>(Counter.class)).merge(counter, 1L, Long::sum);
     }
 
-    /** Counts a request of a class that is no longer served; classes that never were are not counted. */
-    public void countDropped(String className) {
+    /** Counts a request of a class that is no longer served; requests of classes that never were are not counted. */
+    public void countRemovedClass(String className) {
         if (byClass.containsKey(className)) {
             count(Counter.REQUESTS_RECEIVED, className);
             count(Counter.ANSWERED_INVALID_REQUEST, className);
         }
     }
 
-    /** The count of one class so far. */
-    public long of(Counter counter, String className) {
+    /** Returns the value of a counter for one request class. */
+    public long get(Counter counter, String className) {
         Map<Counter, Long> counted = byClass.get(className);
         return counted == null ? 0 : counted.getOrDefault(counter, 0L);
     }
 
-    /** The classes that have counts. */
-    public Iterable<String> classes() {
+    /** Returns the request classes that have counts. */
+    public Iterable<String> classNames() {
         return byClass.keySet();
     }
 
-    /** The count so far. */
-    public long of(Counter counter) {
+    /** Returns the total value of a counter. */
+    public long get(Counter counter) {
         return counts.getOrDefault(counter, 0L);
     }
 
     /**
-     * One line a counter, in the order of their declaration, those at zero included; then one for each rejection
-     * reason.
+     * Formats one line per counter in order of declaration, including zeros, then one line per rejection reason that
+     * occurred.
      */
-    public String text() {
+    public String toText() {
         StringBuilder text = new StringBuilder();
         for (Counter counter : Counter.values()) {
-            text.append(counter.key()).append(' ').append(of(counter)).append('\n');
+            text.append(counter.key()).append(' ').append(get(counter)).append('\n');
         }
-        rejected.forEach((port, reasons) -> reasons.forEach((reason, count) ->
-                text.append(name(port, reason)).append(' ').append(count).append('\n')));
+        rejections.forEach((port, reasons) -> reasons.forEach((reason, count) -> text.append(rejectionKey(port, reason))
+                .append(' ')
+                .append(count)
+                .append('\n')));
         return text.toString();
     }
 
-    /** All counters above zero, on one line. */
-    public String line() {
+    /** Formats all counters above zero on one line. */
+    public String toLine() {
         StringBuilder line = new StringBuilder();
         for (Map.Entry<Counter, Long> entry : counts.entrySet()) {
             line.append(line.isEmpty() ? "" : " ")
@@ -76,14 +82,14 @@
                     .append('=')
                     .append(entry.getValue());
         }
-        rejected.forEach((port, reasons) -> reasons.forEach((reason, count) -> line.append(line.isEmpty() ? "" : " ")
-                .append(name(port, reason))
+        rejections.forEach((port, reasons) -> reasons.forEach((reason, count) -> line.append(line.isEmpty() ? "" : " ")
+                .append(rejectionKey(port, reason))
                 .append('=')
                 .append(count)));
         return line.toString();
     }
 
-    private static String name(RejectionReason.Port port, RejectionReason reason) {
+    private static String rejectionKey(RejectionReason.Port port, RejectionReason reason) {
         return "refused_" + port.key() + "_" + reason.key();
     }
 }
--- a/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
+++ b/core/src/main/java/brackenbridge/counters/OperatorMetrics.java
@@ -3,40 +3,42 @@
 import java.util.Collection;
 import java.util.TreeSet;
 
-/** Formats the counters as the metrics that operators fetch, one a line: {@code proxy.NAME:VALUE|c}. */
+/** Formats the counters as metrics for operators, one per line: {@code proxy.NAME:VALUE|c}. */
 public final class OperatorMetrics {
-    /** The metrics that are not counters; {@code silentMs} is how long discovery has been silent. */
+    /** The gauges; {@code silentMs} is the time since the last message from discovery. */
     public record Gauges(int active, int poolSize, int poolEjected, double silentMs) {}
 
     private OperatorMetrics() {}
 
-    /** The current metrics; a class without requests so far is listed with zeros. */
-    public static String lines(Counters counters, Collection<String> classes, Gauges gauges) {
+    /** Formats the current metrics; a class without requests so far is listed with zeros. */
+    public static String format(Counters counters, Collection<String> classes, Gauges gauges) {
         TreeSet<String> classNames = new TreeSet<>(classes);
-        counters.classes().forEach(classNames::add);
+        counters.classNames().forEach(classNames::add);
         StringBuilder text = new StringBuilder(512);
         for (String className : classNames) {
-            line(text, "ok." + className, counters.of(Counter.ANSWERED_SERVED, className), 'c');
-            line(text, "shed." + className, counters.of(Counter.ANSWERED_REJECTED, className), 'c');
-            line(
+            appendMetric(text, "ok." + className, counters.get(Counter.ANSWERED_SERVED, className), 'c');
+            appendMetric(text, "shed." + className, counters.get(Counter.ANSWERED_REJECTED, className), 'c');
+            appendMetric(
                     text,
                     "errors." + className,
-                    counters.of(Counter.ANSWERED_FAILED, className)
-                            + counters.of(Counter.ANSWERED_INVALID_REQUEST, className),
+                    counters.get(Counter.ANSWERED_FAILED, className)
+                            + counters.get(Counter.ANSWERED_INVALID_REQUEST, className),
                     'c');
         }
-        line(text, "tries", counters.of(Counter.ATTEMPTS_WRITTEN), 'c');
-        line(text, "active", gauges.active(), 'g');
-        line(text, "pool_size", gauges.poolSize(), 'g');
-        line(text, "pool_ejected", gauges.poolEjected(), 'g');
-        // Shows operators that discovery is lost: it stays below some 3,000 otherwise. -1: no message so far.
-        line(text, "discovery_silent_ms", Double.isInfinite(gauges.silentMs()) ? -1 : (long) gauges.silentMs(), 'g');
-        line(text, "config_applied", counters.of(Counter.RECONFIGURED), 'c');
-        line(text, "config_rejected", counters.of(Counter.RECONFIGURE_FAILED), 'c');
+        appendMetric(text, "tries", counters.get(Counter.ATTEMPTS_WRITTEN), 'c');
+        appendMetric(text, "active", gauges.active(), 'g');
+        appendMetric(text, "pool_size", gauges.poolSize(), 'g');
+        appendMetric(text, "pool_ejected", gauges.poolEjected(), 'g');
+        // Shows operators that discovery is unavailable; the value usually stays below about 3,000. -1 means no message
+        // so far.
+        appendMetric(
+                text, "discovery_silent_ms", Double.isInfinite(gauges.silentMs()) ? -1 : (long) gauges.silentMs(), 'g');
+        appendMetric(text, "config_applied", counters.get(Counter.RECONFIGURED), 'c');
+        appendMetric(text, "config_rejected", counters.get(Counter.RECONFIGURE_FAILED), 'c');
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value, char type) {
+    private static void appendMetric(StringBuilder text, String name, long value, char type) {
         text.append("proxy.")
                 .append(name)
                 .append(':')
--- a/core/src/test/java/brackenbridge/clock/ClockTest.java
+++ b/core/src/test/java/brackenbridge/clock/ClockTest.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
+/** Tests that steps of the wall clock don't affect a clock after its start. */
 class ClockTest {
     private static final long HOUR_MS = 3_600_000;
 
@@ -13,7 +14,7 @@
     private final Clock clock = Clock.from(wallMs::get, monotonicNs::get);
 
     @Test
-    void stepsOfTheWallClockLeaveSpansAsTheyAre() {
+    void wallClockStepsDoNotChangeDurations() {
         double before = clock.nowMs();
         for (long step : new long[] {-HOUR_MS, 2 * HOUR_MS, -3000, 3000}) {
             wallMs.addAndGet(step);
@@ -24,7 +25,7 @@
     }
 
     @Test
-    void processesOnBothSidesOfAStepHaveOriginsApart() {
+    void processesStartedBeforeAndAfterAStepHaveDifferentOrigins() {
         wallMs.addAndGet(-HOUR_MS);
         assertEquals(
                 clock.nowMs() - HOUR_MS,
--- a/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
+++ b/core/src/test/java/brackenbridge/core/EndpointDiscoveryTest.java
@@ -116,7 +116,7 @@
                 "s-new",
                 harness.attempts(harness.open(ReducerHarness.FILE, 5000)).get(0).host());
         assertEquals(0, harness.effects(Effect.CancelDiscoveryCall.class).size());
-        assertEquals(1, harness.counters.of(Counter.RECONFIGURED));
+        assertEquals(1, harness.counters.get(Counter.RECONFIGURED));
     }
 
     /**
--- a/core/src/test/java/brackenbridge/core/balancing/RandomBalancerHistory.java
+++ b/core/src/test/java/brackenbridge/core/balancing/RandomBalancerHistory.java
@@ -2,15 +2,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import brackenbridge.core.balancing.RuleCheckingActions.CheckedRequest;
+import brackenbridge.core.balancing.InvariantCheckingActions.CheckedRequest;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 
 /**
- * Legal events from a seed, in no sensible order: late and repeated ones, flapping lists, jumps of the clock,
- * absurd reports. Nothing here models a server.
+ * Generates random legal events from a seed: late and repeated ones, flapping lists, long pauses, invalid load reports.
+ * Servers are not modelled.
  */
 final class RandomBalancerHistory {
     private static final long START_US = 5_000_000_000L;
@@ -19,16 +19,16 @@
     private static final int BURST_REQUESTS = 2000;
     private static final int MAX_CANDIDATES = 20;
     private static final List<RequestClass> CLASSES = List.of(
-            Script.safe("safe", 2),
-            Script.unsafe("unsafe", 9),
-            Script.keyed("all", 5, DeduplicationScope.ALL),
-            Script.keyed("zone", 4, DeduplicationScope.ZONE),
-            Script.keyed("cell", 3, DeduplicationScope.CELL),
+            ScriptedBalancer.idempotentClass("safe", 2),
+            ScriptedBalancer.nonIdempotentClass("unsafe", 9),
+            ScriptedBalancer.idempotencyKeyClass("all", 5, DeduplicationScope.ALL),
+            ScriptedBalancer.idempotencyKeyClass("zone", 4, DeduplicationScope.ZONE),
+            ScriptedBalancer.idempotencyKeyClass("cell", 3, DeduplicationScope.CELL),
             new RequestClass(
                     "stream", 500_000, 2_000_000, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, true, 1, 0.5));
 
     private final SplittableRandom random;
-    private final RuleCheckingActions actions = new RuleCheckingActions();
+    private final InvariantCheckingActions actions = new InvariantCheckingActions();
     private final Balancer balancer;
     private long nextRequest = 1;
 
@@ -38,8 +38,8 @@
         balancer = new Balancer(randomSettings(seed), actions);
     }
 
-    /** Runs a history of this many steps and returns its checked actions. */
-    static RuleCheckingActions run(long seed, int steps) {
+    /** Runs a random history of this many steps and returns its checked actions. */
+    static InvariantCheckingActions run(long seed, int steps) {
         RandomBalancerHistory history = new RandomBalancerHistory(seed);
         history.sendEndpointList(EndpointListKind.CACHED, 12);
         for (int i = 0; i < steps; i++) {
@@ -76,7 +76,7 @@
 
     private void step() {
         if (random.nextInt(4) == 0) {
-            // Only complete events advance the clock, and no timer is skipped meanwhile.
+            // The clock advances only between events, and no timer is skipped.
             advance(actions.now + (random.nextInt(200) == 0 ? LONG_PAUSE_US : random.nextInt(60_000)));
         }
         int event = random.nextInt(20);
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Starts the response of a streamed request with even odds; returns whether it did. */
+    /** Starts the response of a streamed request with probability 1/2; returns whether it did. */
     private boolean startRandomResponse(long id, int attempt) {
         CheckedRequest request = actions.requests.get(id);
         if (!request.requestClass.streamed() || request.closed || !random.nextBoolean()) {
@@ -170,7 +170,9 @@
         balancer.onTimer(actions.now, "not of this instance");
     }
 
-    /** Steps through timers and deadlines, at which an attempt in flight times out, as on the wire. */
+    /**
+     * Advances the clock and handles timers and the deadlines at which attempts in flight time out, in order of time.
+     */
     private void advance(long until) {
         while (true) {
             long due = until;
--- a/core/src/test/java/brackenbridge/core/balancing/Script.java
+++ b/core/src/test/java/brackenbridge/core/balancing/ScriptedBalancer.java
@@ -6,58 +6,67 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Plays scripted events at one instance, records its actions and fires its timers in order. */
-final class Script implements BalancerActions {
+/** Sends scripted events to one balancer, records its actions and fires its timers in order. */
+final class ScriptedBalancer implements BalancerActions {
     static final long MILLISECOND_US = 1000;
     static final long SECOND_US = 1_000_000;
 
-    /** An action as it was taken; the fields that an action lacks are 0. */
-    record Action(String what, long at, long request, long endpoint, long amount) {}
+    /** A recorded action; fields that don't apply to it are 0. */
+    record Action(String type, long at, long request, long endpoint, long amount) {}
 
-    private record Due(long at, long order, String token) {}
+    private record ScheduledTimer(long at, long order, String token) {}
 
     final List<Action> actions = new ArrayList<>();
     final Map<Long, Integer> attempts = new HashMap<>();
     final Balancer balancer;
     long now = 1_000_000_000L;
-    private final PriorityQueue<Due> timers = new PriorityQueue<>(
+    private final PriorityQueue<ScheduledTimer> timers = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private long timersSet;
 
-    Script(BalancerSettings settings) {
+    ScriptedBalancer(BalancerSettings settings) {
         balancer = new Balancer(settings, this);
     }
 
-    static RequestClass safe(String name, double worth) {
+    static RequestClass idempotentClass(String name, double weight) {
         return new RequestClass(
-                name, SECOND_US, 3 * SECOND_US, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
+                name, SECOND_US, 3 * SECOND_US, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, weight, 0);
     }
 
-    static RequestClass unsafe(String name, double worth) {
-        return unsafe(name, 2 * SECOND_US, worth);
+    static RequestClass nonIdempotentClass(String name, double weight) {
+        return nonIdempotentClass(name, 2 * SECOND_US, weight);
     }
 
-    static RequestClass unsafe(String name, long aim, double worth) {
+    static RequestClass nonIdempotentClass(String name, long objective, double weight) {
         return new RequestClass(
-                name, aim, 5 * aim / 2, Idempotence.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, false, worth, 0);
+                name,
+                objective,
+                5 * objective / 2,
+                Idempotence.NOT_IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false,
+                weight,
+                0);
     }
 
-    static RequestClass keyed(String name, double worth, DeduplicationScope scope) {
+    static RequestClass idempotencyKeyClass(String name, double weight, DeduplicationScope scope) {
         return new RequestClass(
-                name, 2 * SECOND_US, 5 * SECOND_US, Idempotence.IDEMPOTENCY_KEY, scope, SECOND_US, false, worth, 0);
+                name, 2 * SECOND_US, 5 * SECOND_US, Idempotence.IDEMPOTENCY_KEY, scope, SECOND_US, false, weight, 0);
     }
 
-    static BalancerSettings settings(int peers, boolean ask, List<TenantShare> tenants, RequestClass... classes) {
+    static BalancerSettings settings(
+            int instances, boolean polledDiscovery, List<TenantShare> tenants, RequestClass... classes) {
         return new BalancerSettings(
                 7,
                 0,
-                peers,
+                instances,
                 0,
                 "here",
                 List.of(classes),
                 tenants,
                 0.1,
-                ask,
+                polledDiscovery,
                 10 * SECOND_US,
                 4,
                 20000,
@@ -75,47 +84,47 @@
         return settings(6, false, List.of(), classes);
     }
 
-    static Endpoint up(long id, double weight) {
+    static Endpoint endpointUp(long id, double weight) {
         return new Endpoint(id, id / 4, "here", weight, 0, EndpointState.UP);
     }
 
-    static Endpoint at(long id, String zone, long startedAt, EndpointState state) {
+    static Endpoint endpoint(long id, String zone, long startedAt, EndpointState state) {
         return new Endpoint(id, id / 4, zone, 1, startedAt, state);
     }
 
-    /** Lists so many servers of equal weight, ids from 1. */
-    Script servers(int count) {
+    /** Lists this many servers of equal weight, with ids from 1. */
+    ScriptedBalancer listServers(int count) {
         List<Endpoint> all = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            all.add(up(i, 1));
+            all.add(endpointUp(i, 1));
         }
-        return list(EndpointListKind.CACHED, all.toArray(new Endpoint[0]));
+        return sendList(EndpointListKind.CACHED, all.toArray(new Endpoint[0]));
     }
 
-    Script list(EndpointListKind kind, Endpoint... entries) {
+    ScriptedBalancer sendList(EndpointListKind kind, Endpoint... entries) {
         balancer.onEndpointList(now, kind, List.of(entries));
         return this;
     }
 
-    Script ask(long id, String className) {
-        return ask(id, className, null, -1, 3 * SECOND_US);
+    ScriptedBalancer submit(long id, String className) {
+        return submit(id, className, null, -1, 3 * SECOND_US);
     }
 
-    Script ask(long id, String className, String tenant, long key, long left) {
-        balancer.onRequest(now, new BalancerRequest(id, className, tenant, key, left, -1, false));
+    ScriptedBalancer submit(long id, String className, String tenant, long key, long timeLeft) {
+        balancer.onRequest(now, new BalancerRequest(id, className, tenant, key, timeLeft, -1, false));
         return this;
     }
 
-    Script answer(long id, int attempt, AttemptOutcome outcome, long latency) {
+    ScriptedBalancer endAttempt(long id, int attempt, AttemptOutcome outcome, long latency) {
         balancer.onAttemptEnded(now, id, attempt, outcome == AttemptOutcome.OK, outcome, latency, null);
         return this;
     }
 
-    /** Lets time pass, firing the timers that fall due. */
-    Script pass(long time) {
+    /** Advances the time and fires the timers that expire. */
+    ScriptedBalancer advance(long time) {
         long until = now + time;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
-            Due due = timers.poll();
+            ScheduledTimer due = timers.poll();
             now = Math.max(now, due.at());
             balancer.onTimer(now, due.token());
         }
@@ -123,17 +132,17 @@
         return this;
     }
 
-    List<Action> of(String what) {
-        return actions.stream().filter(a -> a.what().equals(what)).toList();
+    List<Action> actionsOfType(String type) {
+        return actions.stream().filter(a -> a.type().equals(type)).toList();
     }
 
-    List<Long> requests(String what) {
-        return of(what).stream().map(Action::request).toList();
+    List<Long> requestsOfType(String type) {
+        return actionsOfType(type).stream().map(Action::request).toList();
     }
 
-    /** Where the request's latest attempt went; -1 if it was never sent. */
-    long target(long request) {
-        return of("send").stream()
+    /** The server of the request's latest attempt; -1 if there was none. */
+    long lastServerOf(long request) {
+        return actionsOfType("startAttempt").stream()
                 .filter(a -> a.request() == request)
                 .map(Action::endpoint)
                 .reduce(-1L, (a, b) -> b);
@@ -142,12 +151,12 @@
     @Override
     public void startAttempt(long request, long endpoint, long timeout) {
         attempts.merge(request, 1, Integer::sum);
-        actions.add(new Action("send", now, request, endpoint, timeout));
+        actions.add(new Action("startAttempt", now, request, endpoint, timeout));
     }
 
     @Override
     public void reject(long request, long retryAfter) {
-        actions.add(new Action("refuse", now, request, 0, retryAfter));
+        actions.add(new Action("reject", now, request, 0, retryAfter));
     }
 
     @Override
@@ -157,11 +166,11 @@
 
     @Override
     public void setTimer(long at, String token) {
-        timers.add(new Due(at, timersSet++, token));
+        timers.add(new ScheduledTimer(at, timersSet++, token));
     }
 
     @Override
     public void startHealthCheck(long endpoint) {
-        actions.add(new Action("probe", now, 0, endpoint, 0));
+        actions.add(new Action("healthCheck", now, 0, endpoint, 0));
     }
 }
--- a/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
+++ b/core/src/test/java/brackenbridge/core/connection/ConnectionPoolTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the assignment, opening, failure and closing of connections in a {@link ConnectionPool}. */
 class ConnectionPoolTest {
     private static final EndpointIdentity FIRST_SERVER = new EndpointIdentity("a", "10.0.0.1:80");
     private static final EndpointIdentity SECOND_SERVER = new EndpointIdentity("b", "10.0.0.2:80");
@@ -30,7 +31,7 @@
         pool.acquire(2, 4, SECOND_SERVER);
         assertEquals(assigned(0, 2), pool.release(3, 0));
         assertEquals(assigned(1, 3), pool.onConnected(4, 1), "opened for waiter 2, which has a connection already");
-        assertEquals(List.of(), pool.onConnected(5, 2), "no waiter is left: kept idle");
+        assertEquals(List.of(), pool.onConnected(5, 2), "no waiter is left, so it is kept idle");
         assertEquals(assigned(2, 5), pool.acquire(6, 5, FIRST_SERVER));
     }
 
@@ -45,7 +46,10 @@
                 1,
                 commandsOf(ConnectionCommand.Open.class, pool.onWake(late * 2, 1))
                         .size());
-        assertEquals(List.of(), commandsOf(ConnectionCommand.Open.class, pool.onWake(late * 3, 1)), "three at most");
+        assertEquals(
+                List.of(),
+                commandsOf(ConnectionCommand.Open.class, pool.onWake(late * 3, 1)),
+                "at most three connections per waiter");
         assertEquals(assigned(2, 1), pool.onConnected(late * 3, 2));
         assertEquals(List.of(), pool.onConnected(150, 0), "up after the connect time-out");
         assertEquals(assigned(0, 2), pool.acquire(160, 2, FIRST_SERVER));
@@ -56,23 +60,23 @@
         pool.acquire(0, 1, FIRST_SERVER);
         assertEquals(List.of(), commandsOf(ConnectionCommand.GiveUp.class, pool.onWake(99, 1)));
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.CONNECT_FAILED)),
                 pool.onWake(100, 1));
-        assertEquals(0, pool.waiting());
+        assertEquals(0, pool.waiterCount());
     }
 
     @Test
     void failedOpenEndsWaiterAtOnceUnlessAnotherIsOpening() {
         pool.acquire(0, 1, FIRST_SERVER);
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.CONNECT_FAILED)),
                 pool.onConnectionEnded(1, 0));
         pool.acquire(2, 2, FIRST_SERVER);
         pool.onWake(2 + pool.lateAfterMs(), 2);
         assertEquals(List.of(), pool.onConnectionEnded(40, 1));
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(2, ConnectionCommand.FailureReason.NO_ROOM)),
-                pool.onNoDescriptor(41, 2));
+                List.of(new ConnectionCommand.GiveUp(2, ConnectionCommand.FailureReason.NO_DESCRIPTOR)),
+                pool.onDescriptorsExhausted(41, 2));
         assertEquals(0, pool.size());
     }
 
@@ -86,7 +90,7 @@
         assertEquals(
                 List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.FAILED_LOCALLY)),
                 pool.onLocalFailure(6, 1));
-        assertEquals(0, pool.size() + pool.waiting());
+        assertEquals(0, pool.size() + pool.waiterCount());
     }
 
     @Test
@@ -108,8 +112,8 @@
 
     @Test
     void eachWaiterRetriesLocalFailureOnce() {
-        for (int wait = 0; wait < 3; wait++) {
-            pool.acquire(0, wait, FIRST_SERVER);
+        for (int waiter = 0; waiter < 3; waiter++) {
+            pool.acquire(0, waiter, FIRST_SERVER);
         }
         for (int connection = 0; connection < 3; connection++) {
             assertEquals(
@@ -117,10 +121,10 @@
                     commandsOf(ConnectionCommand.Wake.class, pool.onLocalFailure(1, connection))
                             .size());
         }
-        for (int wait = 0; wait < 3; wait++) {
+        for (int waiter = 0; waiter < 3; waiter++) {
             assertEquals(
                     1,
-                    commandsOf(ConnectionCommand.Open.class, pool.onWake(5, wait))
+                    commandsOf(ConnectionCommand.Open.class, pool.onWake(5, waiter))
                             .size());
         }
         for (int connection = 3; connection < 6; connection++) {
@@ -129,7 +133,7 @@
                     commandsOf(ConnectionCommand.GiveUp.class, pool.onLocalFailure(6, connection))
                             .size());
         }
-        assertEquals(0, pool.size() + pool.waiting());
+        assertEquals(0, pool.size() + pool.waiterCount());
     }
 
     @Test
@@ -138,7 +142,7 @@
         pool.onLocalFailure(1, 0);
         pool.onWake(5, 1);
         assertEquals(
-                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.UNCONNECTED)),
+                List.of(new ConnectionCommand.GiveUp(1, ConnectionCommand.FailureReason.CONNECT_FAILED)),
                 pool.onConnectionEnded(6, 1));
     }
 
@@ -149,7 +153,7 @@
         assertEquals(
                 List.of(),
                 commandsOf(ConnectionCommand.Open.class, pool.acquire(1, 2, FIRST_SERVER)),
-                "one is opening without a waiter");
+                "a connection is already opening without a waiter");
         assertEquals(assigned(0, 2), pool.onConnected(2, 0));
         pool.acquire(3, 3, FIRST_SERVER);
         pool.cancelWait(3);
@@ -158,7 +162,7 @@
                 1,
                 commandsOf(ConnectionCommand.Open.class, pool.onConnectionEnded(5, 1))
                         .size(),
-                "its own first open, not a failure");
+                "opens its own first connection instead of failing");
     }
 
     @Test
@@ -173,7 +177,7 @@
             }
             pool.cancelWait(i);
         }
-        assertTrue(additional > 400 && additional <= 510, "half as many as first opens, plus ten: " + additional);
+        assertTrue(additional > 400 && additional <= 510, "at most half of the first opens, plus ten: " + additional);
     }
 
     @Test
@@ -186,7 +190,7 @@
         assertTrue(pool.lateAfterMs() >= 5 && pool.lateAfterMs() < 20, "late after: " + pool.lateAfterMs());
     }
 
-    /** A connection idle for 400 ms is assigned and breaks at once; returns whether it counts as stale. */
+    /** Assigns a connection that was idle for 400 ms and breaks it at once; returns whether it counts as stale. */
     private boolean reusedConnectionBreaks(int startMs) {
         pool.acquire(startMs, startMs, FIRST_SERVER);
         long id = ((ConnectionCommand.Open)
@@ -198,7 +202,7 @@
         pool.onConnected(startMs, id);
         pool.onConnectionEnded(startMs, id - 1);
         assertEquals(assigned(id, startMs + 2), pool.acquire(startMs + 400, startMs + 2, FIRST_SERVER));
-        boolean stale = pool.onBrokenAtOnce(id);
+        boolean stale = pool.onBrokenAfterAssign(id);
         pool.onConnectionEnded(startMs + 401, id);
         return stale;
     }
@@ -219,7 +223,7 @@
             pool.acquire(i, i, FIRST_SERVER);
             pool.onConnected(i, i);
             if (i % 4 == 0) {
-                assertFalse(pool.onBrokenAtOnce(i), "a new connection");
+                assertFalse(pool.onBrokenAfterAssign(i), "a new connection");
             }
             pool.onConnectionEnded(i, i);
         }
@@ -258,7 +262,10 @@
         assertEquals(List.of(new ConnectionCommand.Close(3)), pool.closeExpiredIdle(10_000));
     }
 
-    /** Each waiter ends once, a connection carries one attempt at most, and the counts add up. */
+    /**
+     * Checks that each waiter ends once, that a connection is assigned to at most one attempt, and that the counts
+     * match.
+     */
     @Test
     void randomEventsEndEachWaiterOnceAndAssignEachConnectionToOneAttempt() {
         for (int seed = 0; seed < 300; seed++) {
--- a/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
+++ b/core/src/test/java/brackenbridge/core/generation/RuleIntersectionTest.java
@@ -17,17 +17,18 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/** Tests that the intersection of two generations allows only what both allow. */
 class RuleIntersectionTest {
-    private static BalancerSettings draw(SplittableRandom random) {
+    private static BalancerSettings randomSettings(SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
         List<TenantShare> tenants = new ArrayList<>();
         for (String name : List.of("a", "b", "c")) {
-            long aim = 1 + random.nextInt(1000);
+            long objective = 1 + random.nextInt(1000);
             if (random.nextInt(4) > 0 || classes.isEmpty()) {
                 classes.add(new RequestClass(
                         name,
-                        aim,
-                        aim + random.nextInt(1000),
+                        objective,
+                        objective + random.nextInt(1000),
                         Idempotence.values()[random.nextInt(3)],
                         DeduplicationScope.values()[random.nextInt(3)],
                         1 + random.nextInt(100),
@@ -64,21 +65,22 @@
                 new NetworkSettings(1 + random.nextInt(9), random.nextInt(9), true, List.of()));
     }
 
-    private static int breadth(Idempotence idempotence) {
+    private static int permissiveness(Idempotence idempotence) {
         return idempotence == Idempotence.NOT_IDEMPOTENT ? 0 : idempotence == Idempotence.IDEMPOTENCY_KEY ? 1 : 2;
     }
 
-    /** Every key of the narrower rules lies within that of each of the two. */
-    private static void within(BalancerSettings narrower, BalancerSettings original) {
-        for (RequestClass requestClass : narrower.classes()) {
+    /** Checks that each value of the more restrictive rules lies within that of the original ones. */
+    private static void assertWithin(BalancerSettings restricted, BalancerSettings original) {
+        for (RequestClass requestClass : restricted.classes()) {
             RequestClass other = original.classes().stream()
-                    .filter(x -> x.name().equals(requestClass.name()))
+                    .filter(candidate -> candidate.name().equals(requestClass.name()))
                     .findFirst()
                     .orElseThrow();
             assertTrue(requestClass.latencyObjective() <= other.latencyObjective()
                     && requestClass.deadline() <= other.deadline());
             assertTrue(
-                    breadth(requestClass.idempotence()) <= breadth(other.idempotence()), requestClass + " of " + other);
+                    permissiveness(requestClass.idempotence()) <= permissiveness(other.idempotence()),
+                    requestClass + " of " + other);
             if (requestClass.idempotence() == Idempotence.IDEMPOTENCY_KEY
                     && other.idempotence() == Idempotence.IDEMPOTENCY_KEY) {
                 assertTrue(
@@ -87,38 +89,39 @@
                         requestClass + " of " + other);
             }
         }
-        for (TenantShare tenant : narrower.tenants()) {
+        for (TenantShare tenant : restricted.tenants()) {
             TenantShare other = original.tenants().stream()
-                    .filter(x -> x.name().equals(tenant.name()))
+                    .filter(candidate -> candidate.name().equals(tenant.name()))
                     .findFirst()
                     .orElseThrow();
             assertTrue(tenant.share() <= other.share());
             assertTrue(other.quotaPerSecond() == 0
                     || tenant.quotaPerSecond() <= other.quotaPerSecond() && tenant.quotaPerSecond() > 0);
         }
-        assertTrue(narrower.maxAttempts() <= original.maxAttempts()
-                && narrower.maxOpenRequests() <= original.maxOpenRequests());
-        assertTrue(narrower.network().drainGrace() <= original.network().drainGrace());
-        assertTrue(!narrower.mayHedge() || original.mayHedge());
-        assertTrue(!narrower.mayHealthCheck() || original.mayHealthCheck());
-        assertTrue(!narrower.mayCancel() || original.mayCancel());
-        assertTrue(narrower.coldCapacityRatio() <= original.coldCapacityRatio()
-                && narrower.warmUpTime() >= original.warmUpTime());
+        assertTrue(restricted.maxAttempts() <= original.maxAttempts()
+                && restricted.maxOpenRequests() <= original.maxOpenRequests());
+        assertTrue(restricted.network().drainGrace() <= original.network().drainGrace());
+        assertTrue(!restricted.mayHedge() || original.mayHedge());
+        assertTrue(!restricted.mayHealthCheck() || original.mayHealthCheck());
+        assertTrue(!restricted.mayCancel() || original.mayCancel());
+        assertTrue(restricted.coldCapacityRatio() <= original.coldCapacityRatio()
+                && restricted.warmUpTime() >= original.warmUpTime());
         assertTrue(original.overloadWindow() == 0
-                || narrower.overloadWindow() <= original.overloadWindow()
-                        && narrower.overloadWindow() > 0
-                        && narrower.overloadMultiple() <= original.overloadMultiple());
+                || restricted.overloadWindow() <= original.overloadWindow()
+                        && restricted.overloadWindow() > 0
+                        && restricted.overloadMultiple() <= original.overloadMultiple());
     }
 
     @Property(tries = 300, seed = "24")
-    void whatIsNarrowerLiesWithinBothAndNothingCommonIsLost(@ForAll long seed) {
+    void intersectionLiesWithinBothAndKeepsCommonClasses(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        BalancerSettings first = draw(random);
-        BalancerSettings second = draw(random);
+        BalancerSettings first = randomSettings(random);
+        BalancerSettings second = randomSettings(random);
         Optional<BalancerSettings> intersection = RuleIntersection.of(first, second);
         List<String> common = first.classes().stream()
                 .map(RequestClass::name)
-                .filter(x -> second.classes().stream().anyMatch(c -> c.name().equals(x)))
+                .filter(name -> second.classes().stream()
+                        .anyMatch(candidate -> candidate.name().equals(name)))
                 .toList();
         assertEquals(
                 common,
@@ -126,34 +129,35 @@
                         .map(s -> s.classes().stream().map(RequestClass::name).toList())
                         .orElse(List.of()));
         intersection.ifPresent(s -> {
-            within(s, first);
-            within(s, second);
+            assertWithin(s, first);
+            assertWithin(s, second);
         });
-        assertEquals(first, RuleIntersection.of(first, first).orElseThrow(), "of one generation alone, that one");
-        BalancerSettings doubt = RuleIntersection.inDoubt(first);
-        within(doubt, first);
-        within(RuleIntersection.of(doubt, second).orElse(doubt), doubt);
+        assertEquals(
+                first, RuleIntersection.of(first, first).orElseThrow(), "the intersection of a generation with itself");
+        BalancerSettings inDoubt = RuleIntersection.inDoubt(first);
+        assertWithin(inDoubt, first);
+        assertWithin(RuleIntersection.of(inDoubt, second).orElse(inDoubt), inDoubt);
     }
 
     @Test
-    void safeClassThatIsKeyedElsewhereIsRepeatedOnlyAsThat() {
+    void idempotentClassTakesTheKeyRulesOfTheOther() {
         SplittableRandom random = new SplittableRandom(1);
-        BalancerSettings any = draw(random);
-        RequestClass safe =
+        BalancerSettings any = randomSettings(random);
+        RequestClass idempotent =
                 new RequestClass("x", 10, 20, Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 1, 0);
         RequestClass keyed =
                 new RequestClass("x", 10, 20, Idempotence.IDEMPOTENCY_KEY, DeduplicationScope.ZONE, 7, false, 1, 0);
-        BalancerSettings intersection =
-                RuleIntersection.of(with(any, safe), with(any, keyed)).orElseThrow();
+        BalancerSettings intersection = RuleIntersection.of(withOnlyClass(any, idempotent), withOnlyClass(any, keyed))
+                .orElseThrow();
         assertEquals(keyed, intersection.classes().get(0));
         assertEquals(
                 intersection.classes(),
-                RuleIntersection.of(with(any, keyed), with(any, safe))
+                RuleIntersection.of(withOnlyClass(any, keyed), withOnlyClass(any, idempotent))
                         .orElseThrow()
                         .classes());
     }
 
-    private static BalancerSettings with(BalancerSettings settings, RequestClass requestClass) {
+    private static BalancerSettings withOnlyClass(BalancerSettings settings, RequestClass requestClass) {
         return new BalancerSettings(
                 settings.seed(),
                 settings.instanceIndex(),
--- a/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
+++ b/core/src/test/java/brackenbridge/core/membership/DiscoveryWatchTest.java
@@ -12,257 +12,278 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** A discovery played by hand, which may say anything at any time; the node's own timers fire as asked. */
+/**
+ * Tests a watch against a scripted discovery, which may send anything at any time; the watch's timers fire as
+ * commanded.
+ */
 class DiscoveryWatchTest {
     private static final double SILENCE_MS = 3000;
     private static final DiscoverySource AGENT = new DiscoverySource(false, 0);
     private static final DiscoverySource SERVICE = new DiscoverySource(true, 10_000);
 
-    private final List<DiscoveryCommand.OpenWatch> opened = new ArrayList<>();
-    private final List<DiscoveryCommand.EndCall> ended = new ArrayList<>();
-    private double now = 1000;
-    private DiscoveryCommand.Wake next;
+    private final List<DiscoveryCommand.OpenWatch> openCommands = new ArrayList<>();
+    private final List<DiscoveryCommand.EndCall> endCommands = new ArrayList<>();
+    private double nowMs = 1000;
+    private DiscoveryCommand.Wake nextWake;
     private DiscoveryWatch watch;
 
     private DiscoveryWatchTest start(DiscoverySource source, long seed) {
-        opened.clear();
-        ended.clear();
-        next = null;
+        openCommands.clear();
+        endCommands.clear();
+        nextWake = null;
         watch = new DiscoveryWatch(source, SILENCE_MS, new SplittableRandom(seed));
-        run(watch.start(now, 41));
+        execute(watch.start(nowMs, 41));
         return this;
     }
 
-    private void run(List<DiscoveryCommand> steps) {
-        for (DiscoveryCommand step : steps) {
-            if (step instanceof DiscoveryCommand.OpenWatch opening) {
-                opened.add(opening);
-            } else if (step instanceof DiscoveryCommand.EndCall ending) {
-                ended.add(ending);
-            } else if (step instanceof DiscoveryCommand.Wake wake) {
-                assertTrue(next == null || next.timer() < wake.timer(), "each turn is asked for once");
-                next = wake;
+    private void execute(List<DiscoveryCommand> commands) {
+        for (DiscoveryCommand command : commands) {
+            if (command instanceof DiscoveryCommand.OpenWatch opening) {
+                openCommands.add(opening);
+            } else if (command instanceof DiscoveryCommand.EndCall ending) {
+                endCommands.add(ending);
+            } else if (command instanceof DiscoveryCommand.Wake wake) {
+                assertTrue(nextWake == null || nextWake.timer() < wake.timer(), "a timer was scheduled twice");
+                nextWake = wake;
             }
         }
     }
 
-    /** Time passes, and the machine is woken as it asked. */
-    private void pass(double ms) {
-        double until = now + ms;
-        while (next != null && next.atMs() <= until) {
-            now = Math.max(now, next.atMs());
-            DiscoveryCommand.Wake due = next;
-            next = null;
-            run(watch.onTimer(now, due.timer()));
+    /** Advances the time and fires the watch's timers. */
+    private void advance(double ms) {
+        double until = nowMs + ms;
+        while (nextWake != null && nextWake.atMs() <= until) {
+            nowMs = Math.max(nowMs, nextWake.atMs());
+            DiscoveryCommand.Wake due = nextWake;
+            nextWake = null;
+            execute(watch.onTimer(nowMs, due.timer()));
         }
-        now = until;
+        nowMs = until;
     }
 
-    private long call() {
-        return opened.get(opened.size() - 1).call();
+    private long currentCall() {
+        return openCommands.get(openCommands.size() - 1).call();
     }
 
     @Test
-    void agentIsAskedAtOnceAndAServiceAfterAWhile() {
+    void firstCallIsImmediateAtAgentAndDelayedAtService() {
         start(AGENT, 1);
-        assertEquals(List.of(new DiscoveryCommand.OpenWatch(0, 41)), opened);
+        assertEquals(List.of(new DiscoveryCommand.OpenWatch(0, 41)), openCommands);
         start(SERVICE, 1);
-        assertEquals(List.of(), opened);
-        pass(4000);
-        assertEquals(1, opened.size());
+        assertEquals(List.of(), openCommands);
+        advance(4000);
+        assertEquals(1, openCommands.size());
     }
 
     @Test
-    void agentThatFallsSilentIsAskedAgainInTheSameMomentAndAServiceIsSpared() {
+    void silentWatchIsReopenedAtOnceAtAgentAndDelayedAtService() {
         start(AGENT, 1);
-        watch.onHeartbeat(now, call());
-        pass(2999);
-        assertEquals(0, ended.size());
-        pass(1);
-        assertEquals(List.of(new DiscoveryCommand.EndCall(0, true)), ended);
-        assertEquals(2, opened.size());
-        pass(30_000);
-        assertEquals(12, opened.size(), "one call each 3 s, however long it is silent");
+        watch.onHeartbeat(nowMs, currentCall());
+        advance(2999);
+        assertEquals(0, endCommands.size());
+        advance(1);
+        assertEquals(List.of(new DiscoveryCommand.EndCall(0, true)), endCommands);
+        assertEquals(2, openCommands.size());
+        advance(30_000);
+        assertEquals(12, openCommands.size(), "one call every 3 s, however long the agent is silent");
 
         start(SERVICE, 1);
-        pass(4000);
-        int before = opened.size();
-        now = next.atMs();
-        run(watch.onTimer(now, next.timer()));
-        assertEquals(before, opened.size());
-        pass(1500);
-        assertEquals(before + 1, opened.size());
+        advance(4000);
+        int before = openCommands.size();
+        nowMs = nextWake.atMs();
+        execute(watch.onTimer(nowMs, nextWake.timer()));
+        assertEquals(before, openCommands.size());
+        advance(1500);
+        assertEquals(before + 1, openCommands.size());
     }
 
     @Test
-    void agentThatEndsEachCallAfterItsListIsNotSpunAt() {
+    void agentThatEndsEachCallAfterItsListCausesNoBusyLoop() {
         start(AGENT, 3);
-        for (double from = now; now < from + 20_000; ) {
-            long on = call();
-            assertTrue(watch.onEndpointList(now, on, 42, true));
-            run(watch.onCallEnded(now, on));
-            while (call() == on) {
-                pass(1);
+        for (double from = nowMs; nowMs < from + 20_000; ) {
+            long call = currentCall();
+            assertTrue(watch.onEndpointList(nowMs, call, 42, true));
+            execute(watch.onCallEnded(nowMs, call));
+            while (currentCall() == call) {
+                advance(1);
             }
         }
-        assertTrue(opened.size() > 133 && opened.size() < 267, "one each 75 to 150 ms, in 20 s: " + opened.size());
+        assertTrue(
+                openCommands.size() > 133 && openCommands.size() < 267,
+                "calls in 20 s, one every 75 to 150 ms: " + openCommands.size());
     }
 
     @Test
-    void watchThatStoodIsOpenedAgainSoonHoweverOftenItFailedBefore() {
+    void stableWatchResetsTheBackoff() {
         start(AGENT, 3);
         for (int i = 0; i < 12; i++) {
-            run(watch.onCallEnded(now, call()));
-            pass(150);
-            assertEquals(i + 2, opened.size(), "what an agent has counts as told at once");
+            execute(watch.onCallEnded(nowMs, currentCall()));
+            advance(150);
+            assertEquals(i + 2, openCommands.size(), "the retry delay at an agent is at most 150 ms");
         }
-        watch.onEndpointList(now, call(), 42, true);
-        pass(1000);
-        int before = opened.size();
-        run(watch.onCallEnded(now, call()));
-        pass(75);
-        assertEquals(before + 1, opened.size());
+        watch.onEndpointList(nowMs, currentCall(), 42, true);
+        advance(1000);
+        int before = openCommands.size();
+        execute(watch.onCallEnded(nowMs, currentCall()));
+        advance(75);
+        assertEquals(before + 1, openCommands.size());
     }
 
-    /** The 6 s of the terms, less the time that discovery's answer may take in its line. */
-    private static final double KNOWN_WITHIN_MS = 6000;
+    /** The time after which a node counts as notified, and the time that a call may take in the service's queue. */
+    private static final double NOTIFIED_WITHIN_MS = 6000;
 
-    private static final double LINE_MS = 2000;
-    private static final double LONGEST_PAUSE_MS = 1600;
+    private static final double MAX_QUEUE_TIME_MS = 2000;
+    private static final double MAX_RETRY_DELAY_MS = 1600;
 
-    /** However long discovery was down and however often it refused, and whether a call hangs as it comes back. */
+    /**
+     * Holds whatever the length of the outage and the number of rejected calls, and even if a call hangs when the
+     * service recovers.
+     */
     @Test
-    void serviceThatIsBackIsHeardWithinSixSeconds() {
+    void listArrivesWithinSixSecondsOfServiceRecovery() {
         for (long seed = 1; seed <= 40; seed++) {
             for (boolean hangs : List.of(false, true)) {
                 start(SERVICE, seed);
-                double downUntil = now + 4000 + 500 * seed;
-                while (now < downUntil) {
-                    pass(10);
-                    if (!opened.isEmpty() && watch.isOpen(call())) {
-                        run(watch.onCallEnded(now, call()));
+                double downUntil = nowMs + 4000 + 500 * seed;
+                while (nowMs < downUntil) {
+                    advance(10);
+                    if (!openCommands.isEmpty() && watch.isOpen(currentCall())) {
+                        execute(watch.onCallEnded(nowMs, currentCall()));
                     }
                 }
                 if (hangs) {
-                    // Sent in the last moment in which it is down, and never answered.
-                    while (!watch.isOpen(call())) {
-                        pass(10);
+                    // A call that is sent just before the recovery is never answered.
+                    while (!watch.isOpen(currentCall())) {
+                        advance(10);
                     }
                 }
-                double back = now;
-                long hanging = hangs ? call() : -1;
-                while (!watch.isOpen(call()) || call() == hanging) {
-                    pass(10);
+                double recoveredMs = nowMs;
+                long hanging = hangs ? currentCall() : -1;
+                while (!watch.isOpen(currentCall()) || currentCall() == hanging) {
+                    advance(10);
                 }
-                assertTrue(now + LINE_MS - back < KNOWN_WITHIN_MS, (now - back) + " ms, seed " + seed);
+                assertTrue(
+                        nowMs + MAX_QUEUE_TIME_MS - recoveredMs < NOTIFIED_WITHIN_MS,
+                        (nowMs - recoveredMs) + " ms, seed " + seed);
             }
         }
     }
 
-    /** A service that is short of turns refuses whole fleets: each call that it refuses has cost it a place. */
+    /**
+     * An overloaded service rejects the calls of a whole fleet, and each rejected call still costs it capacity, so
+     * nodes must back off.
+     */
     @Test
-    void serviceThatRefusesIsAskedEverLess() {
+    void rejectedCallsBackOffExponentially() {
         for (long seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             for (int failures = 1; failures < 20; failures++) {
-                double pause = Math.min(400 * Math.pow(2, failures - 1), LONGEST_PAUSE_MS);
-                double drawn = SERVICE.retryDelayMs(failures, random);
-                assertTrue(drawn >= pause / 2 && drawn <= pause * 1.5, drawn + " ms after " + failures);
+                double nominalMs = Math.min(400 * Math.pow(2, failures - 1), MAX_RETRY_DELAY_MS);
+                double delayMs = SERVICE.retryDelayMs(failures, random);
+                assertTrue(
+                        delayMs >= nominalMs / 2 && delayMs <= nominalMs * 1.5,
+                        delayMs + " ms after " + failures + " failures");
             }
         }
     }
 
-    /** A change just after the last word, and a call that is refused at once behind the silence. */
+    /** The worst case: a change right after the last message, and a call that is rejected right after the silence. */
     @Test
-    void serviceThatFallsSilentIsHeardAgainWithinSixSeconds() {
+    void silentServiceIsCalledAgainWithinSixSeconds() {
         for (long seed = 1; seed <= 40; seed++) {
             start(SERVICE, seed);
-            pass(4000);
-            run(watch.onCallEnded(now, call()));
-            pass(900);
-            watch.onHeartbeat(now, call());
-            double lastWord = now;
-            for (int calls = opened.size(); opened.size() == calls; ) {
-                pass(10);
+            advance(4000);
+            execute(watch.onCallEnded(nowMs, currentCall()));
+            advance(900);
+            watch.onHeartbeat(nowMs, currentCall());
+            double lastMessageMs = nowMs;
+            for (int calls = openCommands.size(); openCommands.size() == calls; ) {
+                advance(10);
             }
-            run(watch.onCallEnded(now, call()));
-            for (int calls = opened.size(); opened.size() == calls; ) {
-                pass(10);
+            execute(watch.onCallEnded(nowMs, currentCall()));
+            for (int calls = openCommands.size(); openCommands.size() == calls; ) {
+                advance(10);
             }
-            assertTrue(now + LINE_MS - lastWord < KNOWN_WITHIN_MS, (now - lastWord) + " ms, seed " + seed);
+            assertTrue(
+                    nowMs + MAX_QUEUE_TIME_MS - lastMessageMs < NOTIFIED_WITHIN_MS,
+                    (nowMs - lastMessageMs) + " ms, seed " + seed);
         }
     }
 
     @Test
-    void watchThatOnlySaysThatNothingChangesHasNotFailed() {
+    void watchWithHeartbeatsOnlyHasNotFailed() {
         start(SERVICE, 5);
-        pass(4000);
+        advance(4000);
         for (int i = 0; i < 20; i++) {
-            for (int beats = 0; beats < 3; beats++) {
-                watch.onHeartbeat(now, call());
-                pass(1500);
+            for (int heartbeats = 0; heartbeats < 3; heartbeats++) {
+                watch.onHeartbeat(nowMs, currentCall());
+                advance(1500);
             }
-            int before = opened.size();
-            run(watch.onCallEnded(now, call()));
-            pass(600);
-            assertEquals(before + 1, opened.size());
+            int before = openCommands.size();
+            execute(watch.onCallEnded(nowMs, currentCall()));
+            advance(600);
+            assertEquals(before + 1, openCommands.size());
         }
     }
 
     @Test
-    void movedDiscoveryDoesNotInheritTheOldOnesFailures() {
-        // The longest draws: a further failure would be put off longer than a first one.
+    void movedDiscoveryDoesNotInheritFailures() {
+        // Random draws near the maximum: with inherited failures the retry delay would exceed that of a first failure.
         watch = new DiscoveryWatch(SERVICE, SILENCE_MS, new java.util.Random() {
             @Override
             public double nextDouble() {
                 return 0.999;
             }
         });
-        run(watch.start(now, 41));
-        pass(4000);
+        execute(watch.start(nowMs, 41));
+        advance(4000);
         for (int i = 0; i < 5; i++) {
-            run(watch.onCallEnded(now, call()));
-            pass(900);
+            execute(watch.onCallEnded(nowMs, currentCall()));
+            advance(900);
         }
-        run(watch.reopen(now, true));
-        int before = opened.size();
-        run(watch.onCallEnded(now, call()));
-        pass(600);
-        assertEquals(before + 1, opened.size());
+        execute(watch.reopen(nowMs, true));
+        int before = openCommands.size();
+        execute(watch.onCallEnded(nowMs, currentCall()));
+        advance(600);
+        assertEquals(before + 1, openCommands.size());
     }
 
     @Test
-    void callThatWasPutOffGoesByTheNewSettings() {
+    void delayedCallFollowsTheNewSource() {
         start(new DiscoverySource(true, 60_000), 7);
-        run(watch.changeSource(now, AGENT));
-        pass(75);
-        assertEquals(1, opened.size(), "the first call would have been seconds away");
+        execute(watch.changeSource(nowMs, AGENT));
+        advance(75);
+        assertEquals(1, openCommands.size(), "the first call was scheduled seconds later");
     }
 
-    /** Jitter: of a hundred nodes whose calls were refused in one moment no tenth of a second gets over a quarter. */
+    /**
+     * Of a hundred nodes whose calls were rejected at the same time, at most a quarter retries within the same 100 ms.
+     */
     @Test
-    void fleetIsSpreadOverItsPause() {
+    void jitterSpreadsTheRetriesOfAFleet() {
         int[] calls = new int[25];
         for (long seed = 0; seed < 100; seed++) {
             calls[(int) (SERVICE.retryDelayMs(3, new SplittableRandom(seed)) / 100)]++;
         }
-        for (int tenth = 0; tenth < calls.length; tenth++) {
-            assertTrue(calls[tenth] <= 25, calls[tenth] + " calls in tenth " + tenth);
+        for (int slot = 0; slot < calls.length; slot++) {
+            assertTrue(calls[slot] <= 25, calls[slot] + " calls in 100 ms slot " + slot);
         }
     }
 
     @Test
-    void overtakenWordHoldsNothing() {
+    void supersededMessagesAreIgnored() {
         start(AGENT, 1);
-        assertFalse(watch.onEndpointList(now, call(), 40, true), "older than what is held");
-        assertTrue(watch.onEndpointList(now, call(), 44, false));
-        assertFalse(watch.onEndpointList(now, call(), 44, false));
-        assertFalse(watch.onEndpointList(now, call() + 1, 50, true), "no such call");
-        run(watch.reopen(now, true));
-        assertEquals(List.of(new DiscoveryCommand.EndCall(0, false)), ended);
-        assertFalse(watch.onEndpointList(now, 0, 60, true), "a call that is over");
-        assertFalse(watch.onEndpointList(now, call(), 7, false), "changes of another discovery say nothing");
-        assertTrue(watch.onEndpointList(now, call(), 7, true));
+        assertFalse(watch.onEndpointList(nowMs, currentCall(), 40, true), "older than the current version");
+        assertTrue(watch.onEndpointList(nowMs, currentCall(), 44, false));
+        assertFalse(watch.onEndpointList(nowMs, currentCall(), 44, false));
+        assertFalse(watch.onEndpointList(nowMs, currentCall() + 1, 50, true), "no such call");
+        execute(watch.reopen(nowMs, true));
+        assertEquals(List.of(new DiscoveryCommand.EndCall(0, false)), endCommands);
+        assertFalse(watch.onEndpointList(nowMs, 0, 60, true), "a call that has ended");
+        assertFalse(
+                watch.onEndpointList(nowMs, currentCall(), 7, false),
+                "changes from a moved discovery need a complete list first");
+        assertTrue(watch.onEndpointList(nowMs, currentCall(), 7, true));
         assertEquals(7, watch.version());
         assertTrue(watch.acceptVersion(7, true)
                 && !watch.acceptVersion(7, false)
@@ -270,51 +291,55 @@
                 && watch.acceptVersion(8, false));
     }
 
-    /** Whatever discovery does: one call at a time, never neither a call nor a time for the next, never a spin. */
+    /**
+     * Whatever discovery does, at most one call is open, a call is always open or scheduled, and there is no busy loop.
+     */
     @Property(tries = 300, seed = "53")
-    void thereIsAlwaysACallOrATimeForTheNext(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    void watchIsAlwaysOpenOrScheduled(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         boolean shared = random.nextBoolean();
         start(shared ? SERVICE : AGENT, seed);
-        double began = now;
-        int longSteps = 0;
+        double startMs = nowMs;
+        int longPauses = 0;
         long version = 41;
-        long last = -1;
+        long lastCall = -1;
         boolean open = false;
         for (int i = 0; i < 400; i++) {
             for (DiscoveryCommand.OpenWatch opening :
-                    opened.subList((int) Math.min(opened.size(), last + 1), opened.size())) {
-                assertEquals(last + 1, opening.call());
-                last = opening.call();
+                    openCommands.subList((int) Math.min(openCommands.size(), lastCall + 1), openCommands.size())) {
+                assertEquals(lastCall + 1, opening.call());
+                lastCall = opening.call();
                 open = true;
             }
-            for (DiscoveryCommand.EndCall ending : ended) {
-                open &= ending.call() != last;
+            for (DiscoveryCommand.EndCall ending : endCommands) {
+                open &= ending.call() != lastCall;
             }
-            ended.clear();
-            assertEquals(open, watch.isOpen(last));
-            assertTrue(next != null && next.atMs() <= now + (opened.isEmpty() ? 4000 : SILENCE_MS), "nothing is due");
-            if (open && watch.isOpen(last)) {
+            endCommands.clear();
+            assertEquals(open, watch.isOpen(lastCall));
+            assertTrue(
+                    nextWake != null && nextWake.atMs() <= nowMs + (openCommands.isEmpty() ? 4000 : SILENCE_MS),
+                    "no timer is scheduled");
+            if (open && watch.isOpen(lastCall)) {
                 switch (random.nextInt(5)) {
                     case 0 -> {
-                        run(watch.onCallEnded(now, last));
+                        execute(watch.onCallEnded(nowMs, lastCall));
                         open = false;
                     }
-                    case 1 -> watch.onEndpointList(now, last, ++version, random.nextBoolean());
-                    case 2 -> watch.onHeartbeat(now, last);
+                    case 1 -> watch.onEndpointList(nowMs, lastCall, ++version, random.nextBoolean());
+                    case 2 -> watch.onHeartbeat(nowMs, lastCall);
                     default -> {
-                        watch.onHeartbeat(now, last - 1);
-                        run(watch.onCallEnded(now, last - 1));
+                        watch.onHeartbeat(nowMs, lastCall - 1);
+                        execute(watch.onCallEnded(nowMs, lastCall - 1));
                     }
                 }
             }
-            double step = random.nextDouble() * (random.nextInt(10) == 0 ? 5000 : 200);
-            longSteps += step > 1000 ? 1 : 0;
-            pass(step);
+            double pauseMs = random.nextDouble() * (random.nextInt(10) == 0 ? 5000 : 200);
+            longPauses += pauseMs > 1000 ? 1 : 0;
+            advance(pauseMs);
         }
-        double seconds = (now - began) / 1000;
+        double seconds = (nowMs - startMs) / 1000;
         assertTrue(
-                opened.size() < 8 + longSteps + seconds * (shared ? 2 : 10),
-                opened.size() + " calls in " + seconds + " s");
+                openCommands.size() < 8 + longPauses + seconds * (shared ? 2 : 10),
+                openCommands.size() + " calls in " + seconds + " s");
     }
 }
