--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
@@ -18,7 +18,7 @@
     }
 
     /** An order has come; what holds from now on, or nothing if it is passed over. */
-    public Optional<ZoneWeights> take(WeightCommand o, double nowMs) {
+    public Optional<ZoneWeights> accept(WeightCommand o, double nowMs) {
         if (o.token() < last.driverToken() || o.token() == last.driverToken() && o.epoch() < last.epoch()) {
             return Optional.empty();
         }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.Forecast.Within;
+import brackenbridge.fleet.evacuation.Forecast.Interval;
 import brackenbridge.fleet.evacuation.PlanState.Foretold;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
      */
     public record Limits(double partOff, double utilisation, double failing, double graceMs, double silentMs) {
         /** The usual ones. */
-        public static final Limits USUAL = new Limits(0.2, 0.98, 0.03, 2000, 6000);
+        public static final Limits DEFAULTS = new Limits(0.2, 0.98, 0.03, 2000, 6000);
     }
 
     /**
@@ -38,7 +38,7 @@
      * @param failing the part of tries that fails
      * @param heardMs the age of it
      */
-    public record Seen(
+    public record PoolMeasurement(
             PoolName pool, int servers, double attempts, double utilisation, double failing, double heardMs) {}
 
     /**
@@ -56,8 +56,8 @@
      * @param next what the record should become; null if it stays
      * @param corrections what the model has to learn
      */
-    public record Turn(PlanState next, List<Correction> corrections) {
-        static final Turn STAY = new Turn(null, List.of());
+    public record Decision(PlanState nextState, List<Correction> corrections) {
+        static final Decision STAY = new Decision(null, List.of());
     }
 
     private static final class Sum {
@@ -95,9 +95,9 @@
      * @param token this driver's
      * @param seen what is seen of all pools now
      */
-    public Turn turn(double nowMs, PlanState state, long ofGeneration, long token, List<Seen> seen) {
+    public Decision decide(double nowMs, PlanState state, long ofGeneration, long token, List<PoolMeasurement> seen) {
         if (!state.status().driven()) {
-            return Turn.STAY;
+            return Decision.STAY;
         }
         if (ofGeneration != generation) {
             generation = ofGeneration;
@@ -110,8 +110,8 @@
         lastMs = nowMs;
         if (state.status() == EvacuationStatus.EVACUATED) {
             return state.plan().backAfterMs() > 0 && held >= state.plan().backAfterMs()
-                    ? next(state.to(EvacuationStatus.RETURNING, 0, token, me, "its time is over"))
-                    : Turn.STAY;
+                    ? next(state.transitionTo(EvacuationStatus.RETURNING, 0, token, me, "its time is over"))
+                    : Decision.STAY;
         }
         if (state.status() == EvacuationStatus.RETURNING) {
             return returning(state, token, held);
@@ -120,45 +120,46 @@
         if (why != null) {
             List<Correction> learnt =
                     state.status() == EvacuationStatus.REHEARSING ? corrections(state, held) : List.of();
-            return new Turn(state.to(EvacuationStatus.HALTED, state.step(), token, me, why), learnt);
+            return new Decision(state.transitionTo(EvacuationStatus.HALTED, state.step(), token, me, why), learnt);
         }
         if (state.status() == EvacuationStatus.REHEARSING) {
             return held < state.plan().rehearsalMs()
-                    ? Turn.STAY
-                    : new Turn(
-                            state.to(EvacuationStatus.PASSED, 0, token, me, "as foretold"), corrections(state, held));
+                    ? Decision.STAY
+                    : new Decision(
+                            state.transitionTo(EvacuationStatus.PASSED, 0, token, me, "as foretold"),
+                            corrections(state, held));
         }
         List<EvacuationPlan.Step> steps = state.plan().steps();
         if (held < steps.get(Math.min(state.step(), steps.size() - 1)).pauseMs()) {
-            return Turn.STAY;
+            return Decision.STAY;
         }
         return next(
                 state.step() + 1 < steps.size()
-                        ? state.to(EvacuationStatus.EVACUATING, state.step() + 1, token, me, "")
-                        : state.to(EvacuationStatus.EVACUATED, 0, token, me, ""));
+                        ? state.transitionTo(EvacuationStatus.EVACUATING, state.step() + 1, token, me, "")
+                        : state.transitionTo(EvacuationStatus.EVACUATED, 0, token, me, ""));
     }
 
-    private Turn returning(PlanState state, long token, double held) {
+    private Decision returning(PlanState state, long token, double held) {
         List<EvacuationPlan.Step> back = state.plan().back();
         if (state.step() < back.size() && held < back.get(state.step()).pauseMs()) {
-            return Turn.STAY;
+            return Decision.STAY;
         }
         return next(
                 state.step() + 1 < back.size()
-                        ? state.to(EvacuationStatus.RETURNING, state.step() + 1, token, me, "")
-                        : state.to(EvacuationStatus.CLOSED, 0, token, me, "all load is back"));
+                        ? state.transitionTo(EvacuationStatus.RETURNING, state.step() + 1, token, me, "")
+                        : state.transitionTo(EvacuationStatus.CLOSED, 0, token, me, "all load is back"));
     }
 
-    private static Turn next(PlanState state) {
-        return new Turn(state, List.of());
+    private static Decision next(PlanState state) {
+        return new Decision(state, List.of());
     }
 
     /** The reason to halt; null if there is none. */
-    private String watch(PlanState state, List<Seen> seen, double held, double since) {
-        Map<PoolName, Seen> by = new HashMap<>();
+    private String watch(PlanState state, List<PoolMeasurement> seen, double held, double since) {
+        Map<PoolName, PoolMeasurement> by = new HashMap<>();
         seen.forEach(s -> by.put(s.pool(), s));
-        for (Foretold f : state.foretold()) {
-            Seen s = by.get(f.pool());
+        for (Foretold f : state.predictions()) {
+            PoolMeasurement s = by.get(f.pool());
             if (s == null || s.heardMs() > limits.silentMs()) {
                 if (held > limits.silentMs()) {
                     return f.pool() + " is not heard of";
@@ -181,7 +182,7 @@
             }
             sum.load += s.attempts() * since;
             sum.loadMs += since;
-            Within expected = expected(state, f);
+            Interval expected = expected(state, f);
             double mean = sum.loadMs > 0 ? sum.load / sum.loadMs : 0;
             if (expected != null && sum.loadMs >= COMPARED_MS && off(expected, mean, f, s)) {
                 return text(
@@ -192,15 +193,15 @@
         return null;
     }
 
-    private boolean off(Within expected, double mean, Foretold f, Seen s) {
+    private boolean off(Interval expected, double mean, Foretold f, PoolMeasurement s) {
         // More servers than were foretold take more of what moves; that is no fault while load is carried.
         boolean more = s.servers() > f.servers() && mean > expected.expected();
         return !more
-                && !expected.holds(mean)
+                && !expected.contains(mean)
                 && Math.abs(mean - expected.expected()) > limits.partOff() * Math.max(LEAST_LOAD, expected.expected());
     }
 
-    private static Within expected(PlanState state, Foretold f) {
+    private static Interval expected(PlanState state, Foretold f) {
         if (state.status() == EvacuationStatus.REHEARSING) {
             return f.rehearsal();
         }
@@ -210,7 +211,7 @@
     /** What came beside what was foretold, weighed by how far it stands out from chance. */
     private List<Correction> corrections(PlanState state, double held) {
         List<Correction> out = new ArrayList<>();
-        for (Foretold f : state.foretold()) {
+        for (Foretold f : state.predictions()) {
             Sum sum = sums.get(f.pool());
             double moved = f.rehearsal().expected() - f.before();
             if (sum == null || sum.loadMs < COMPARED_MS || moved <= 0) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -5,8 +5,8 @@
 import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import brackenbridge.fleet.evacuation.Driver.Correction;
-import brackenbridge.fleet.evacuation.Driver.Seen;
-import brackenbridge.fleet.evacuation.Driver.Turn;
+import brackenbridge.fleet.evacuation.Driver.Decision;
+import brackenbridge.fleet.evacuation.Driver.PoolMeasurement;
 import brackenbridge.fleet.peer.Member;
 import brackenbridge.fleet.peer.MessageStream;
 import brackenbridge.fleet.peer.PeerLinks;
@@ -52,7 +52,7 @@
     private final PeerLinks links;
     private final Driver driver;
     private final Times times;
-    private final Supplier<List<Seen>> seen;
+    private final Supplier<List<PoolMeasurement>> seen;
     private final Consumer<Correction> learns;
     private final Consumer<WeightCommand> local;
     private CompletableFuture<Lease> claim;
@@ -73,7 +73,7 @@
             PeerLinks links,
             Driver driver,
             Times times,
-            Supplier<List<Seen>> seen,
+            Supplier<List<PoolMeasurement>> seen,
             Consumer<Correction> learns,
             Consumer<WeightCommand> local) {
         this.agreed = agreed;
@@ -115,21 +115,21 @@
         long token = lease.get().token();
         long epoch = acting.get().one().generation();
         if (other == null && (proposed == null || proposed.isDone())) {
-            Turn turn = driver.turn(nowMs, one, epoch, token, seen.get());
+            Decision turn = driver.decide(nowMs, one, epoch, token, seen.get());
             turn.corrections().forEach(learns);
-            if (turn.next() != null) {
+            if (turn.nextState() != null) {
                 LOG.atInfo()
                         .addKeyValue("plan", one.plan().name())
-                        .addKeyValue("step", turn.next().step())
+                        .addKeyValue("step", turn.nextState().step())
                         .log(
                                 "evacuation becomes {}: {}",
-                                PlanState.name(turn.next().status()),
-                                turn.next()
+                                PlanState.name(turn.nextState().status()),
+                                turn.nextState()
                                         .history()
-                                        .get(turn.next().history().size() - 1)
-                                        .why());
+                                        .get(turn.nextState().history().size() - 1)
+                                        .reason());
                 proposed = agreed.propose(
-                        AgreedValues.EVACUATION, epoch, turn.next().bytes(), times.withinMs());
+                        AgreedValues.EVACUATION, epoch, turn.nextState().bytes(), times.withinMs());
             }
         }
         if (nowMs - orderedMs >= times.orderMs() || epoch != orderedEpoch) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationPlan.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationPlan.java
@@ -27,7 +27,7 @@
         @JsonProperty("zone") String zone,
         @JsonProperty("startDayMs") double startDayMs,
         @JsonProperty("steps") List<Step> steps,
-        @JsonProperty("rehearsalPart") double rehearsalPart,
+        @JsonProperty("rehearsalPart") double rehearsalFraction,
         @JsonProperty("rehearsalMs") double rehearsalMs,
         @JsonProperty("back") List<Step> back,
         @JsonProperty("backAfterMs") double backAfterMs,
@@ -78,11 +78,12 @@
 
     /** The same plan with other steps. */
     public EvacuationPlan with(List<Step> others) {
-        return new EvacuationPlan(name, zone, startDayMs, others, rehearsalPart, rehearsalMs, back, backAfterMs, comes);
+        return new EvacuationPlan(
+                name, zone, startDayMs, others, rehearsalFraction, rehearsalMs, back, backAfterMs, comes);
     }
 
     /** The part that is moved once so many steps have begun. */
-    public double moved(int begun) {
+    public double movedFraction(int begun) {
         double sum = 0;
         for (int i = 0; i < Math.min(begun, steps.size()); i++) {
             sum += steps.get(i).part();
@@ -95,7 +96,7 @@
         if (begun > 0 && begun >= back.size()) {
             return 0;
         }
-        double sum = moved(steps.size());
+        double sum = movedFraction(steps.size());
         for (int i = 0; i < begun; i++) {
             sum -= back.get(i).part();
         }
@@ -103,7 +104,7 @@
     }
 
     /** From the first step's begin to the last one's end. */
-    public double lengthMs() {
+    public double durationMs() {
         return steps.stream().mapToDouble(Step::pauseMs).sum();
     }
 
@@ -137,7 +138,7 @@
         if (!back.isEmpty() && Math.abs(sum(back) - 1) > ROUNDING) {
             faults.add("back: they bring back " + round(sum(back)) + " of the load, not all of it");
         }
-        if (!(rehearsalPart > 0 && rehearsalPart <= 0.5)) {
+        if (!(rehearsalFraction > 0 && rehearsalFraction <= 0.5)) {
             faults.add("rehearsalPart: above 0, at most 0.5");
         }
         if (!(rehearsalMs >= 1000 && rehearsalMs <= 600_000)) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
@@ -173,12 +173,12 @@
 
     private void split(int[] tier) {
         for (int i : tier) {
-            double mine = pools.get(i).attempts();
+            double mine = pools.get(i).attemptRate();
             double all = 0;
             double slots = 0;
             for (int j : tier) {
                 if (zoneOf[j] == zoneOf[i]) {
-                    all += pools.get(j).attempts();
+                    all += pools.get(j).attemptRate();
                     slots += room(j);
                 }
             }
@@ -279,7 +279,7 @@
         double[] restSince = new double[n];
         boolean[] slow = new boolean[n];
         double[] inflow = new double[n];
-        int window = Math.max(1, (int) Math.round(terms.windowMs() / STEP_MS));
+        int window = Math.max(1, (int) Math.round(terms.saturationWindowMs() / STEP_MS));
         double[][] failed = new double[n][window];
         double[][] came = new double[n][window];
         double[] failedSum = new double[n];
@@ -377,7 +377,7 @@
                         if (Double.isNaN(out.saturatesMs[i])
                                 && k >= window
                                 && cameSum[i] > 1e-6
-                                && failedSum[i] / cameSum[i] >= terms.failing()) {
+                                && failedSum[i] / cameSum[i] >= terms.saturationFailureRatio()) {
                             out.saturatesMs[i] = at;
                             out.resource[i] = largest(causes[i]);
                         }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -74,12 +74,12 @@
      * @param low the lower bound
      * @param high the upper bound
      */
-    public record Within(
+    public record Interval(
             @JsonProperty("expected") double expected,
             @JsonProperty("low") double low,
             @JsonProperty("high") double high) {
         /** Whether it lies between the bounds. */
-        public boolean holds(double value) {
+        public boolean contains(double value) {
             return value >= low && value <= high;
         }
     }
@@ -100,7 +100,7 @@
      */
     public record StepForecast(
             int step,
-            Within load,
+            Interval load,
             double utilisation,
             double slots,
             double connections,
@@ -128,30 +128,30 @@
             PoolName pool,
             Verdict verdict,
             String why,
-            double part,
-            Within atMs,
+            double saturationProbability,
+            Interval saturationMs,
             int step,
             Resource resource,
             PoolName next,
             List<StepForecast> steps) {}
 
     /** Forecasts a plan that has no faults; the same seed gives the same forecast. */
-    public static Forecast of(PoolSnapshot picture, EvacuationPlan plan, Shares shares, long seed) {
+    public static Forecast of(PoolSnapshot picture, EvacuationPlan plan, SharePolicy shares, long seed) {
         double[] moved = new double[plan.steps().size()];
         for (int i = 0; i < moved.length; i++) {
-            moved[i] = plan.moved(i + 1);
+            moved[i] = plan.movedFraction(i + 1);
         }
         return of(picture, plan, moved, shares, seed, COURSES);
     }
 
     /** Forecasts a rehearsal of it: one step, held for its time. */
-    public static Forecast rehearsal(PoolSnapshot picture, EvacuationPlan plan, Shares shares, long seed) {
-        EvacuationPlan one = plan.with(List.of(new EvacuationPlan.Step(plan.rehearsalPart(), plan.rehearsalMs())));
-        return of(picture, one, new double[] {plan.rehearsalPart()}, shares, seed, COURSES);
+    public static Forecast rehearsal(PoolSnapshot picture, EvacuationPlan plan, SharePolicy shares, long seed) {
+        EvacuationPlan one = plan.with(List.of(new EvacuationPlan.Step(plan.rehearsalFraction(), plan.rehearsalMs())));
+        return of(picture, one, new double[] {plan.rehearsalFraction()}, shares, seed, COURSES);
     }
 
     static Forecast of(
-            PoolSnapshot picture, EvacuationPlan plan, double[] moved, Shares shares, long seed, int courses) {
+            PoolSnapshot picture, EvacuationPlan plan, double[] moved, SharePolicy shares, long seed, int courses) {
         FluidModel fluid = new FluidModel(picture, plan, moved);
         RandomGenerator random = new Well19937c(seed);
         Course central =
@@ -203,7 +203,7 @@
             EvacuationPlan plan,
             double[] moved,
             FluidModel fluid,
-            Shares shares,
+            SharePolicy shares,
             int i,
             Course central,
             List<Course> drawn) {
@@ -225,7 +225,7 @@
             }
         }
         double part = drawn.isEmpty() ? 0 : fell / (double) drawn.size();
-        Within at = times.isEmpty() ? null : within(times);
+        Interval at = times.isEmpty() ? null : within(times);
         List<StepForecast> steps = new ArrayList<>();
         double fullest = 0;
         for (int s = 0; s < moved.length; s++) {
@@ -295,21 +295,21 @@
         return null;
     }
 
-    private static Within within(List<Double> values) {
+    private static Interval within(List<Double> values) {
         double[] all = values.stream().mapToDouble(Double::doubleValue).toArray();
         Percentile p = new Percentile();
         p.setData(all);
-        return new Within(p.evaluate(HALF), p.evaluate(LOW), p.evaluate(HIGH));
+        return new Interval(p.evaluate(HALF), p.evaluate(LOW), p.evaluate(HIGH));
     }
 
     private static StepForecast step(
-            PoolSnapshot picture, Pool p, Shares shares, int s, int i, Course central, List<Course> drawn) {
+            PoolSnapshot picture, Pool p, SharePolicy shares, int s, int i, Course central, List<Course> drawn) {
         List<Double> loads = new ArrayList<>();
         for (Course c : drawn) {
             loads.add(c.load[s][i]);
         }
         double load = central.load[s][i];
-        Within within = loads.isEmpty() ? new Within(load, load, load) : within(loads);
+        Interval within = loads.isEmpty() ? new Interval(load, load, load) : within(loads);
         int c = Math.max(1, (int) Math.round(p.parallel()));
         double workS = c / Math.max(1e-9, p.capacity());
         double shortest = p.mix().keySet().stream()
@@ -332,9 +332,9 @@
                 refused(picture, p, shares, load));
     }
 
-    private static Map<String, Double> refused(PoolSnapshot picture, Pool p, Shares shares, double load) {
+    private static Map<String, Double> refused(PoolSnapshot picture, Pool p, SharePolicy shares, double load) {
         Map<String, Double> wanted = new TreeMap<>();
-        double grown = p.attempts() > 0 ? load / p.attempts() : 1;
+        double grown = p.attemptRate() > 0 ? load / p.attemptRate() : 1;
         for (PoolSnapshot.Want w : picture.tenants()) {
             if (w.pool().equals(p.name())) {
                 wanted.merge(w.tenant(), w.wanted() * grown, Double::sum);
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
@@ -19,12 +19,12 @@
  */
 public record ForecastSettings(
         List<String> tiers,
-        Map<String, ClassTerms> classes,
+        Map<String, ClassSettings> classes,
         int attempts,
         double budget,
         int clientTries,
-        double failing,
-        double windowMs,
+        double saturationFailureRatio,
+        double saturationWindowMs,
         double freshMs,
         double drift,
         double halfLifeMs) {
@@ -34,7 +34,7 @@
      * @param deadlineMs the time that a try of its client waits
      * @param repeatable whether it may be tried again after it may have run
      */
-    public record ClassTerms(double deadlineMs, boolean repeatable) {}
+    public record ClassSettings(double deadlineMs, boolean repeatable) {}
 
     /** Keeps its own copies; rejects what no fleet could be. */
     public ForecastSettings {
@@ -44,8 +44,8 @@
                 || attempts < 1
                 || clientTries < 1
                 || !(budget >= 0)
-                || !(failing > 0 && failing < 1)
-                || !(windowMs > 0)
+                || !(saturationFailureRatio > 0 && saturationFailureRatio < 1)
+                || !(saturationWindowMs > 0)
                 || !(freshMs > 0)
                 || !(drift >= 0 && drift < 0.5)
                 || !(halfLifeMs > 0)) {
@@ -54,23 +54,23 @@
     }
 
     /** The usual figures for these tiers and classes. */
-    public static ForecastSettings of(List<String> tiers, Map<String, ClassTerms> classes) {
+    public static ForecastSettings of(List<String> tiers, Map<String, ClassSettings> classes) {
         return new ForecastSettings(tiers, classes, 3, 0.2, 3, 0.05, 2000, 15_000, 0.01, 20_000);
     }
 
     /** The time that a try of this class waits; a class that is not named waits as long as the longest. */
     double deadlineMs(String className) {
-        ClassTerms c = classes.get(className);
+        ClassSettings c = classes.get(className);
         return c != null
                 ? c.deadlineMs()
                 : classes.values().stream()
-                        .mapToDouble(ClassTerms::deadlineMs)
+                        .mapToDouble(ClassSettings::deadlineMs)
                         .max()
                         .orElse(10_000);
     }
 
     boolean repeatable(String className) {
-        ClassTerms c = classes.get(className);
+        ClassSettings c = classes.get(className);
         return c == null || c.repeatable();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
+import brackenbridge.fleet.evacuation.Forecast.Interval;
 import brackenbridge.fleet.evacuation.Forecast.Verdict;
-import brackenbridge.fleet.evacuation.Forecast.Within;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -31,7 +31,7 @@
         @JsonProperty("plan") EvacuationPlan plan,
         @JsonProperty("status") EvacuationStatus status,
         @JsonProperty("step") int step,
-        @JsonProperty("foretold") List<Foretold> foretold,
+        @JsonProperty("foretold") List<Foretold> predictions,
         @JsonProperty("verdict") Verdict verdict,
         @JsonProperty("override") boolean override,
         @JsonProperty("token") long token,
@@ -63,8 +63,8 @@
             @JsonProperty("pool") PoolName pool,
             @JsonProperty("servers") int servers,
             @JsonProperty("before") double before,
-            @JsonProperty("rehearsal") Within rehearsal,
-            @JsonProperty("steps") List<Within> steps) {}
+            @JsonProperty("rehearsal") Interval rehearsal,
+            @JsonProperty("steps") List<Interval> steps) {}
 
     /**
      * What has happened.
@@ -78,11 +78,11 @@
             @JsonProperty("status") EvacuationStatus status,
             @JsonProperty("step") int step,
             @JsonProperty("by") String by,
-            @JsonProperty("why") String why) {}
+            @JsonProperty("why") String reason) {}
 
     /** Keeps its own copies, and the latest of its history. */
     public PlanState {
-        foretold = foretold == null ? List.of() : List.copyOf(foretold);
+        predictions = predictions == null ? List.of() : List.copyOf(predictions);
         history = history == null
                 ? List.of()
                 : List.copyOf(history.subList(Math.max(0, history.size() - MOST_HISTORY), history.size()));
@@ -106,7 +106,7 @@
      *
      * @throws IllegalStateException if that may not come after where it stands
      */
-    public PlanState to(EvacuationStatus next, int nextStep, long byToken, String by, String why) {
+    public PlanState transitionTo(EvacuationStatus next, int nextStep, long byToken, String by, String why) {
         if (!status.next().contains(next)) {
             throw new IllegalStateException(
                     plan.name() + " is " + name(status) + "; it can't be " + name(next) + " next");
@@ -119,26 +119,26 @@
         }
         List<Entry> longer = new ArrayList<>(history);
         longer.add(new Entry(next, nextStep, by, why));
-        return new PlanState(plan, next, nextStep, foretold, verdict, override, byToken, longer);
+        return new PlanState(plan, next, nextStep, predictions, verdict, override, byToken, longer);
     }
 
     /** The same with what a forecast says. */
-    public PlanState foretold(List<Foretold> now, Verdict of, String by) {
-        PlanState next = to(EvacuationStatus.FORECAST, 0, 0, by, name(of));
+    public PlanState predictions(List<Foretold> now, Verdict of, String by) {
+        PlanState next = transitionTo(EvacuationStatus.FORECAST, 0, 0, by, name(of));
         return new PlanState(plan, next.status(), 0, now, of, false, 0, next.history());
     }
 
     /** The same, to be carried out whatever its rehearsal said. */
     public PlanState overridden() {
-        return new PlanState(plan, status, step, foretold, verdict, true, token, history);
+        return new PlanState(plan, status, step, predictions, verdict, true, token, history);
     }
 
     /** The part of its usual load that the plan's zone keeps. */
-    public double keeps() {
+    public double retainedFraction() {
         return switch (status) {
-            case REHEARSING -> 1 - plan.rehearsalPart();
-            case EVACUATING -> 1 - plan.moved(step + 1);
-            case EVACUATED -> 1 - plan.moved(plan.steps().size());
+            case REHEARSING -> 1 - plan.rehearsalFraction();
+            case EVACUATING -> 1 - plan.movedFraction(step + 1);
+            case EVACUATED -> 1 - plan.movedFraction(plan.steps().size());
             case RETURNING -> 1 - plan.stillMoved(step + 1);
             default -> 1;
         };
@@ -146,7 +146,7 @@
 
     /** What nodes are to be told. */
     public Map<String, Double> parts() {
-        return Map.of(plan.zone(), Math.max(0, keeps()));
+        return Map.of(plan.zone(), Math.max(0, retainedFraction()));
     }
 
     static String name(Enum<?> e) {
@@ -176,14 +176,14 @@
                 || s.step() < 0
                 || s.step() > EvacuationPlan.MOST
                 || s.plan().steps().size() > EvacuationPlan.MOST
-                || s.foretold().size() > MOST_POOLS) {
+                || s.predictions().size() > MOST_POOLS) {
             throw new IOException("not a plan's record");
         }
         return s;
     }
 
     /** What the forecasts of a plan and of its rehearsal say, as the record carries it. */
-    public static List<Foretold> foretold(PoolSnapshot picture, Forecast all, Forecast rehearsal) {
+    public static List<Foretold> predictions(PoolSnapshot picture, Forecast all, Forecast rehearsal) {
         List<Foretold> out = new ArrayList<>();
         for (Forecast.PoolForecast p : all.pools()) {
             Forecast.PoolForecast r = rehearsal.of(p.pool());
@@ -195,7 +195,7 @@
                 out.add(new Foretold(
                         p.pool(),
                         now.servers(),
-                        now.attempts(),
+                        now.attemptRate(),
                         r.steps().get(0).load(),
                         p.steps().stream().map(Forecast.StepForecast::load).toList()));
             }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
@@ -51,13 +51,13 @@
      * @param seen its content
      * @param heardMs how long ago its owner was last known to hold it so
      */
-    public record Observation(
+    public record PoolReport(
             String node,
             String zone,
             PoolName pool,
             String className,
             RecordVersion version,
-            PoolObservation seen,
+            PoolObservation observation,
             double heardMs) {}
 
     private record Key(String node, PoolName pool, String className) {}
@@ -115,7 +115,7 @@
     }
 
     /** The nodes that there should be, with their zones: one that is not heard is missed. */
-    public void expect(Map<String, String> nodes) {
+    public void expectNodes(Map<String, String> nodes) {
         expected = Map.copyOf(nodes);
     }
 
@@ -130,16 +130,16 @@
      * @param nowMs now, by this member's clock
      * @param nowDayMs now, as a time of the day
      */
-    public void take(double nowMs, double nowDayMs, List<Observation> all) {
+    public void update(double nowMs, double nowDayMs, List<PoolReport> all) {
         dayMs = nowDayMs;
         boolean news = false;
         Map<Key, Kept> present = new HashMap<>();
-        for (Observation o : all) {
+        for (PoolReport o : all) {
             heardAt.merge(o.node(), nowMs - o.heardMs(), Math::max);
             Key key = new Key(o.node(), o.pool(), o.className());
             Kept k = kept.get(key);
             if (k == null) {
-                if (kept.size() >= MOST || !sane(o.seen())) {
+                if (kept.size() >= MOST || !sane(o.observation())) {
                     continue;
                 }
                 k = new Kept();
@@ -148,9 +148,9 @@
             k.heldMs = nowMs - o.heardMs();
             // What its owner has taken back counts no more.
             present.put(key, k);
-            if (!o.version().equals(k.version) && o.heardMs() <= terms.freshMs() && sane(o.seen())) {
+            if (!o.version().equals(k.version) && o.heardMs() <= terms.freshMs() && sane(o.observation())) {
                 k.version = o.version();
-                k.seen = o.seen();
+                k.seen = o.observation();
                 k.zone = o.zone();
                 news = true;
             }
@@ -166,18 +166,18 @@
     /** Guards against figures that a faulty node sends: they must not spoil what others see. */
     private static boolean sane(PoolObservation s) {
         return s != null
-                && fine(s.arrivals())
-                && fine(s.attempts())
-                && fine(s.refused())
+                && fine(s.arrivalRate())
+                && fine(s.attemptRate())
+                && fine(s.rejectionRate())
                 && s.servers() >= 0
                 && s.servers() <= 1_000_000
                 && fine(s.slots())
-                && fine(s.busy())
+                && fine(s.inFlight())
                 && fine(s.serviceMs())
                 && fine(s.latencyMs())
                 && fine(s.squaredVariation())
-                && s.failed() >= 0
-                && s.failed() <= 1
+                && s.failureRatio() >= 0
+                && s.failureRatio() <= 1
                 && s.utilisation() <= 1.01
                 && fine(s.connections())
                 && s.coldFrom() > 0
@@ -215,23 +215,23 @@
             }
             PoolObservation s = k.seen;
             Sum sum = sums.computeIfAbsent(e.getKey().pool(), p -> new Sum());
-            sum.attempts += s.attempts();
-            sum.good += s.attempts() * (1 - s.failed());
+            sum.attempts += s.attemptRate();
+            sum.good += s.attemptRate() * (1 - s.failureRatio());
             sum.servers = Math.max(sum.servers, s.servers());
-            sum.classes.merge(e.getKey().className(), s.attempts(), Double::sum);
+            sum.classes.merge(e.getKey().className(), s.attemptRate(), Double::sum);
             if (s.utilisation() >= 0) {
                 sum.utilisation += s.utilisation();
                 sum.told++;
             }
-            if (s.serviceMs() > 0 && s.attempts() > 0) {
-                sum.service += s.serviceMs() * s.attempts();
-                sum.variation += s.squaredVariation() * s.attempts();
-                sum.serviced += s.attempts();
+            if (s.serviceMs() > 0 && s.attemptRate() > 0) {
+                sum.service += s.serviceMs() * s.attemptRate();
+                sum.variation += s.squaredVariation() * s.attemptRate();
+                sum.serviced += s.attemptRate();
             }
             if (sum.last == null || s.slowAt() > 0) {
                 sum.last = s;
             }
-            from.merge(new Origin(k.zone, e.getKey().pool()), s.arrivals(), Double::sum);
+            from.merge(new Origin(k.zone, e.getKey().pool()), s.arrivalRate(), Double::sum);
         }
         sums.forEach((name, sum) -> learn(nowMs, pools.computeIfAbsent(name, n -> new Learning()), sum));
         from.forEach((o, rate) -> origins.computeIfAbsent(o, n -> new MovingEstimate(terms.halfLifeMs()))
@@ -300,7 +300,7 @@
      *
      * @param weight how much the rehearsal is worth beside what was known, 0 to 1
      */
-    public void correct(PoolName pool, double factor, double weight) {
+    public void applyCorrection(PoolName pool, double factor, double weight) {
         Learning l = pools.get(pool);
         if (l != null && factor > 0 && Double.isFinite(factor) && weight > 0 && weight <= 1) {
             double bounded = Math.max(1 / MOST_CORRECTION, Math.min(MOST_CORRECTION, factor));
@@ -310,7 +310,7 @@
     }
 
     /** How the pools are now, for a plan that starts at this time of the day; negative for now. */
-    public PoolSnapshot picture(double nowMs, double startDayMs) {
+    public PoolSnapshot snapshot(double nowMs, double startDayMs) {
         List<Pool> out = new ArrayList<>();
         for (Map.Entry<PoolName, Learning> e : pools.entrySet()) {
             out.add(pool(nowMs, e.getKey(), e.getValue()));
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolObservation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolObservation.java
@@ -26,16 +26,16 @@
  * @param slowAt calls at a server from which on that was so; 0 if none was ever seen
  */
 public record PoolObservation(
-        @JsonProperty("arrivals") double arrivals,
-        @JsonProperty("attempts") double attempts,
-        @JsonProperty("refused") double refused,
+        @JsonProperty("arrivals") double arrivalRate,
+        @JsonProperty("attempts") double attemptRate,
+        @JsonProperty("refused") double rejectionRate,
         @JsonProperty("servers") int servers,
         @JsonProperty("slots") double slots,
-        @JsonProperty("busy") double busy,
+        @JsonProperty("busy") double inFlight,
         @JsonProperty("serviceMs") double serviceMs,
         @JsonProperty("latencyMs") double latencyMs,
         @JsonProperty("squaredVariation") double squaredVariation,
-        @JsonProperty("failed") double failed,
+        @JsonProperty("failed") double failureRatio,
         @JsonProperty("overMs") double overMs,
         @JsonProperty("utilisation") double utilisation,
         @JsonProperty("connections") double connections,
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
@@ -58,7 +58,7 @@
             double slowAt,
             double correction,
             double correctionSpread,
-            double attempts,
+            double attemptRate,
             String unknown) {
         /** What one server can do, tries a second. */
         double capacityEach() {
@@ -87,7 +87,7 @@
                     slowAt,
                     correction,
                     correctionSpread,
-                    attempts,
+                    attemptRate,
                     unknown);
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
@@ -38,7 +38,7 @@
      * @param pauseMs the shortest pause between two steps
      */
     public static Proposal propose(
-            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, Shares shares, long seed) {
+            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, SharePolicy shares, long seed) {
         Forecast atOnce = null;
         for (int n : STEPS) {
             EvacuationPlan p = wanted.with(even(1, n, pauseMs));
@@ -65,16 +65,17 @@
                         : "no order of steps does it without more servers");
     }
 
-    private static Forecast forecast(PoolSnapshot picture, EvacuationPlan p, Shares shares, long seed) {
+    private static Forecast forecast(PoolSnapshot picture, EvacuationPlan p, SharePolicy shares, long seed) {
         double[] moved = new double[p.steps().size()];
         for (int i = 0; i < moved.length; i++) {
-            moved[i] = p.moved(i + 1);
+            moved[i] = p.movedFraction(i + 1);
         }
         return Forecast.of(picture, p, moved, shares, seed, COURSES);
     }
 
     private static boolean holds(Forecast f) {
-        return f.pools().stream().allMatch(p -> p.verdict() != Verdict.UNKNOWN && p.part() < MOST_PART);
+        return f.pools().stream()
+                .allMatch(p -> p.verdict() != Verdict.UNKNOWN && p.saturationProbability() < MOST_PART);
     }
 
     private static List<EvacuationPlan.Step> even(double part, int n, double pauseMs) {
@@ -87,7 +88,7 @@
 
     /** What holds at once, then a wait until the servers that come are warm, then the rest. */
     private static EvacuationPlan afterServersCame(
-            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, Shares shares, long seed) {
+            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, SharePolicy shares, long seed) {
         double warm = 0;
         for (EvacuationPlan.Comes c : wanted.comes()) {
             Pool p = picture.pool(c.pool());
@@ -112,14 +113,14 @@
 
     /** Grows the pools that fall until none does, then takes back what was too much. */
     private static Map<PoolName, Integer> missing(
-            PoolSnapshot picture, EvacuationPlan atOnce, Shares shares, long seed) {
+            PoolSnapshot picture, EvacuationPlan atOnce, SharePolicy shares, long seed) {
         Map<PoolName, Integer> more = new TreeMap<>();
         boolean done = false;
         for (int round = 0; round < ROUNDS && !done; round++) {
             Forecast f = forecast(grown(picture, more), atOnce, shares, seed);
             done = holds(f);
             for (PoolForecast p : f.pools()) {
-                if (p.part() >= MOST_PART) {
+                if (p.saturationProbability() >= MOST_PART) {
                     Pool pool = picture.pool(p.pool());
                     more.merge(p.pool(), Math.max(1, (int) (pool.servers() * GROWTH)), Integer::sum);
                 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Shares.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/SharePolicy.java
@@ -5,7 +5,7 @@
 
 /** Who gets how many connections of a pool when not all can be served: the fleet's rule of shares. */
 @FunctionalInterface
-public interface Shares {
+public interface SharePolicy {
     /**
      * What each tenant gets.
      *
@@ -16,7 +16,7 @@
     Map<String, Double> granted(PoolName pool, double connections, Map<String, Double> wanted);
 
     /** Max-min fairness by water-filling with these weights; a tenant that has none weighs 1. */
-    static Shares maxMin(Map<String, Double> weights) {
+    static SharePolicy maxMin(Map<String, Double> weights) {
         Map<String, Double> fixed = Map.copyOf(weights);
         return (pool, connections, wanted) -> {
             Map<String, Double> out = new TreeMap<>();
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
@@ -43,7 +43,7 @@
      *
      * @throws IOException if it is not one, or asks for what no plan may
      */
-    public static WeightCommand read(byte[] bytes) throws IOException {
+    public static WeightCommand decode(byte[] bytes) throws IOException {
         WeightCommand o = bytes.length > MOST_BYTES ? null : JSON.readValue(bytes, WeightCommand.class);
         if (o == null
                 || !(o.forMs() > 0 && o.forMs() <= LONGEST_MS)
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -68,7 +68,7 @@
         CommandFilter orders = new CommandFilter(file.agreed().drift());
         fleet.links().receive(MessageStream.EVACUATION, (peer, life, body) -> {
             try {
-                take(orders, WeightCommand.read(body), clock.nowMs(), node);
+                take(orders, WeightCommand.decode(body), clock.nowMs(), node);
             } catch (IOException e) {
                 LOG.warn("{} sends what is no order: {}", peer, e.getMessage());
             }
@@ -88,7 +88,7 @@
     /** Peers' threads bring orders; one at a time is looked at. */
     private static void take(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
         synchronized (orders) {
-            orders.take(order, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
+            orders.accept(order, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
@@ -15,7 +15,7 @@
     private final Observed observed = new Observed();
 
     private static Forecast forecast(PoolModel m, EvacuationPlan plan) {
-        return Forecast.of(m.picture(60_000, -1), plan, Shares.maxMin(Map.of()), 7);
+        return Forecast.of(m.snapshot(60_000, -1), plan, SharePolicy.maxMin(Map.of()), 7);
     }
 
     private static EvacuationPlan plan() {
@@ -24,14 +24,14 @@
 
     @Test
     void learnsWhatPoolsCanDoAndHoldsWhereThereIsRoom() {
-        PoolSnapshot picture = observed.learnt(60).picture(60_000, -1);
+        PoolSnapshot picture = observed.learnt(60).snapshot(60_000, -1);
         assertEquals(5 * Observed.FRONT, picture.pool(FRONT_B).capacity(), 5);
         assertEquals(Observed.CALLS, picture.pool(FRONT_B).calls(), 0.05);
         Forecast f = forecast(observed.learnt(60), plan());
         assertEquals(Verdict.HOLDS, f.verdict(), () -> f.toString());
         // A half of zone a's load comes to it.
         assertEquals(90, f.of(FRONT_B).steps().get(3).load().expected(), 4);
-        assertTrue(f.of(FRONT_B).steps().get(3).load().holds(90));
+        assertTrue(f.of(FRONT_B).steps().get(3).load().contains(90));
     }
 
     @Test
@@ -44,10 +44,10 @@
         assertEquals(Verdict.SATURATES, p.verdict());
         assertEquals(Forecast.Resource.SLOTS, p.resource());
         assertTrue(
-                p.atMs().expected() > 20_000 && p.atMs().expected() < 40_000,
-                () -> p.atMs().toString());
-        assertTrue(p.atMs().low() <= p.atMs().expected()
-                && p.atMs().expected() <= p.atMs().high());
+                p.saturationMs().expected() > 20_000 && p.saturationMs().expected() < 40_000,
+                () -> p.saturationMs().toString());
+        assertTrue(p.saturationMs().low() <= p.saturationMs().expected()
+                && p.saturationMs().expected() <= p.saturationMs().high());
     }
 
     @Test
@@ -78,12 +78,12 @@
     @Test
     void intervalsWidenWithAgeAndThinData() {
         PoolModel m = observed.learnt(60);
-        m.expect(Map.of());
-        double young = width(Forecast.of(m.picture(60_000, -1), plan(), Shares.maxMin(Map.of()), 3));
-        double old = width(Forecast.of(m.picture(150_000, -1), plan(), Shares.maxMin(Map.of()), 3));
+        m.expectNodes(Map.of());
+        double young = width(Forecast.of(m.snapshot(60_000, -1), plan(), SharePolicy.maxMin(Map.of()), 3));
+        double old = width(Forecast.of(m.snapshot(150_000, -1), plan(), SharePolicy.maxMin(Map.of()), 3));
         assertTrue(old > 1.5 * young, young + " " + old);
-        assertTrue(observed.learnt(4).picture(4000, -1).pool(FRONT_B).capacitySpread()
-                > 1.5 * m.picture(60_000, -1).pool(FRONT_B).capacitySpread());
+        assertTrue(observed.learnt(4).snapshot(4000, -1).pool(FRONT_B).capacitySpread()
+                > 1.5 * m.snapshot(60_000, -1).pool(FRONT_B).capacitySpread());
     }
 
     private static double width(Forecast f) {
@@ -101,7 +101,7 @@
         observed.clocks.put("n-b2", 1.01);
         Forecast f = forecast(observed.learnt(60), plan());
         assertEquals(Verdict.HOLDS, f.verdict());
-        assertTrue(f.of(FRONT_B).steps().get(3).load().holds(90));
+        assertTrue(f.of(FRONT_B).steps().get(3).load().contains(90));
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import brackenbridge.fleet.GoldenFiles;
+import brackenbridge.fleet.evacuation.Forecast.Interval;
 import brackenbridge.fleet.evacuation.Forecast.Verdict;
-import brackenbridge.fleet.evacuation.Forecast.Within;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -42,8 +42,8 @@
                 List.of(new EvacuationPlan.Step(1, 500)),
                 60_000,
                 List.of(new EvacuationPlan.Comes(POOL, 3, 1500)));
-        PlanState.Foretold foretold =
-                new PlanState.Foretold(POOL, 7, 100.5, new Within(101, 95, 107.5), List.of(new Within(120, 110, 130)));
+        PlanState.Foretold foretold = new PlanState.Foretold(
+                POOL, 7, 100.5, new Interval(101, 95, 107.5), List.of(new Interval(120, 110, 130)));
         List<PlanState.Entry> history = new ArrayList<>();
         for (EvacuationStatus before : STATUSES) {
             history.add(new PlanState.Entry(before, 1, "staff", "because"));
@@ -58,7 +58,7 @@
                 "evacuation/order",
                 new WeightCommand(77, 12, Map.of("zone-a", 0.75), 2500.5),
                 WeightCommand::bytes,
-                WeightCommand::read);
+                WeightCommand::decode);
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/Observed.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/Observed.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.PoolModel.Observation;
+import brackenbridge.fleet.evacuation.PoolModel.PoolReport;
 import brackenbridge.fleet.replica.RecordVersion;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -14,9 +14,9 @@
             List.of("front", "parcel"),
             Map.of(
                     "view",
-                    new ForecastSettings.ClassTerms(8000, true),
+                    new ForecastSettings.ClassSettings(8000, true),
                     "file",
-                    new ForecastSettings.ClassTerms(7500, false)));
+                    new ForecastSettings.ClassSettings(7500, false)));
     static final List<String> ZONES = List.of("a", "b", "c");
 
     /** First tries a second of each zone, evenly over its two nodes. */
@@ -43,8 +43,8 @@
         return all;
     }
 
-    List<Observation> records() {
-        List<Observation> out = new ArrayList<>();
+    List<PoolReport> records() {
+        List<PoolReport> out = new ArrayList<>();
         sequence++;
         nodes().forEach((node, zone) -> {
             double clock = clocks.getOrDefault(node, 1.0);
@@ -58,7 +58,7 @@
     }
 
     private void add(
-            List<Observation> out,
+            List<PoolReport> out,
             String node,
             String zone,
             String tier,
@@ -70,7 +70,7 @@
         double u = Math.min(1, rate * 2 * clocks.getOrDefault(node, 1.0) / (servers * each));
         for (String c : List.of("view", "file")) {
             double mine = rate * ("view".equals(c) ? 0.7 : 0.3);
-            out.add(new Observation(
+            out.add(new PoolReport(
                     node,
                     zone,
                     new PoolName(tier, zone, "std"),
@@ -101,9 +101,9 @@
     /** A model that has seen so many seconds of it. */
     PoolModel learnt(int seconds) {
         PoolModel m = new PoolModel(TERMS);
-        m.expect(nodes());
+        m.expectNodes(nodes());
         for (int i = 0; i < seconds; i++) {
-            m.take(1000.0 * i, 0, records());
+            m.update(1000.0 * i, 0, records());
         }
         return m;
     }
--- a/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
@@ -38,14 +38,14 @@
         Map<String, PoolObservation> all = second(40, 20, 50, 10);
         PoolObservation a = all.get("tier-0/a/w1.0/view");
         PoolObservation b = all.get("tier-0/b/w2.0/view");
-        assertEquals(40, a.arrivals(), 1e-9);
-        assertEquals(2, a.busy(), 1e-9, "forty calls of 50 ms in a second");
+        assertEquals(40, a.arrivalRate(), 1e-9);
+        assertEquals(2, a.inFlight(), 1e-9, "forty calls of 50 ms in a second");
         assertEquals(50, a.latencyMs(), 1e-9);
         assertEquals(0, a.squaredVariation(), 1e-9);
-        assertEquals(8, a.refused(), 1e-9, "four of five first tries went to a");
-        assertEquals(10, b.arrivals(), 1e-9);
-        assertEquals(20, b.attempts(), 1e-9);
-        assertEquals(0.5, b.failed(), 1e-9);
+        assertEquals(8, a.rejectionRate(), 1e-9, "four of five first tries went to a");
+        assertEquals(10, b.arrivalRate(), 1e-9);
+        assertEquals(20, b.attemptRate(), 1e-9);
+        assertEquals(0.5, b.failureRatio(), 1e-9);
         assertEquals(5, b.servers());
         assertEquals(8, b.connections(), 1e-9, "a server of weight 2 bears twice as many");
     }
--- a/lab/src/main/java/brackenbridge/lab/evacuation/Evacuations.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/Evacuations.java
@@ -1,8 +1,8 @@
 package brackenbridge.lab.evacuation;
 
 import brackenbridge.fleet.evacuation.Driver;
+import brackenbridge.fleet.evacuation.Driver.Decision;
 import brackenbridge.fleet.evacuation.Driver.Limits;
-import brackenbridge.fleet.evacuation.Driver.Turn;
 import brackenbridge.fleet.evacuation.EvacuationPlan;
 import brackenbridge.fleet.evacuation.EvacuationStatus;
 import brackenbridge.fleet.evacuation.Forecast;
@@ -13,7 +13,7 @@
 import brackenbridge.fleet.evacuation.PoolModel;
 import brackenbridge.fleet.evacuation.PoolName;
 import brackenbridge.fleet.evacuation.PoolSnapshot;
-import brackenbridge.fleet.evacuation.Shares;
+import brackenbridge.fleet.evacuation.SharePolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -71,7 +71,7 @@
     static Result play(String experiment, RandomPlan drawn, long seed, boolean surprise) {
         EvacuationPlan plan = drawn.plan();
         ForecastSettings terms = drawn.terms();
-        ZoneWorld world = new ZoneWorld(drawn, LEARN_MS + plan.rehearsalMs() + REST_MS + plan.lengthMs() + 1000);
+        ZoneWorld world = new ZoneWorld(drawn, LEARN_MS + plan.rehearsalMs() + REST_MS + plan.durationMs() + 1000);
         PoolModel model = new PoolModel(terms);
         Map<String, String> nodes = new HashMap<>();
         for (String zone : drawn.zones()) {
@@ -79,19 +79,19 @@
                 nodes.put("n-" + zone + "-" + i, zone);
             }
         }
-        model.expect(nodes);
+        model.expectNodes(nodes);
         learn(world, model, 3000, LEARN_MS);
-        Shares shares = Shares.maxMin(Map.of());
-        PoolSnapshot before = model.picture(world.nowMs(), -1);
+        SharePolicy shares = SharePolicy.maxMin(Map.of());
+        PoolSnapshot before = model.snapshot(world.nowMs(), -1);
         Forecast first = Forecast.of(before, plan, shares, drawn.seed());
         Forecast small = Forecast.rehearsal(before, plan, shares, drawn.seed());
         PlanState state = PlanState.drafted(plan, "lab")
-                .foretold(PlanState.foretold(before, first, small), first.verdict(), "lab")
-                .to(EvacuationStatus.REHEARSING, 0, 1, "lab", "");
+                .predictions(PlanState.predictions(before, first, small), first.verdict(), "lab")
+                .transitionTo(EvacuationStatus.REHEARSING, 0, 1, "lab", "");
         double rehearsalAt = world.nowMs();
         state = rehearse(world, model, state, surprise);
         String halted = state.status() == EvacuationStatus.HALTED
-                ? state.history().get(state.history().size() - 1).why()
+                ? state.history().get(state.history().size() - 1).reason()
                 : null;
         if (surprise) {
             double saturates = unhalted(drawn, terms);
@@ -102,11 +102,11 @@
                     halted != null && world.nowMs() - rehearsalAt <= saturates + IN_TIME_MS);
         }
         learn(world, model, world.nowMs() + 3000, world.nowMs() + REST_MS);
-        PoolSnapshot picture = model.picture(world.nowMs(), -1);
+        PoolSnapshot picture = model.snapshot(world.nowMs(), -1);
         Forecast forecast = Forecast.of(picture, plan, shares, drawn.seed());
         double start = world.nowMs();
         for (int i = 0; i < plan.steps().size(); i++) {
-            world.part(plan.zone(), Math.max(0, 1 - plan.moved(i + 1)));
+            world.part(plan.zone(), Math.max(0, 1 - plan.movedFraction(i + 1)));
             world.runUntil(world.nowMs() + plan.steps().get(i).pauseMs());
         }
         double end = world.nowMs();
@@ -123,8 +123,9 @@
                         experiment,
                         seed,
                         p.name,
-                        plan.lengthMs(),
-                        ZoneWorld.saturatesMs(p, start, end, terms.failing(), terms.windowMs()),
+                        plan.durationMs(),
+                        ZoneWorld.saturatesMs(
+                                p, start, end, terms.saturationFailureRatio(), terms.saturationWindowMs()),
                         forecast.of(p.name),
                         first.of(p.name).verdict(),
                         proportional(drawn, world, picture, p, plan, false),
@@ -144,7 +145,7 @@
                 .orElse(0);
         ZoneWorld world = new ZoneWorld(drawn, LEARN_MS + plan.rehearsalMs() + longest);
         world.runUntil(LEARN_MS);
-        world.part(plan.zone(), 1 - plan.rehearsalPart());
+        world.part(plan.zone(), 1 - plan.rehearsalFraction());
         world.runUntil(LEARN_MS + STRIKE_MS);
         strike(world, plan);
         world.runUntil(LEARN_MS + plan.rehearsalMs());
@@ -153,7 +154,11 @@
         double first = Double.POSITIVE_INFINITY;
         for (ZoneWorld.Pool p : world.pools()) {
             double at = ZoneWorld.saturatesMs(
-                    p, LEARN_MS, LEARN_MS + plan.rehearsalMs(), terms.failing(), terms.windowMs());
+                    p,
+                    LEARN_MS,
+                    LEARN_MS + plan.rehearsalMs(),
+                    terms.saturationFailureRatio(),
+                    terms.saturationWindowMs());
             first = Double.isNaN(at) ? first : Math.min(first, at);
         }
         return first;
@@ -163,26 +168,26 @@
         while (world.nowMs() + 1000 <= toMs) {
             world.runUntil(world.nowMs() + 1000);
             if (world.nowMs() >= fromMs) {
-                model.take(world.nowMs(), 0, world.told());
+                model.update(world.nowMs(), 0, world.told());
             }
         }
     }
 
     private static PlanState rehearse(ZoneWorld world, PoolModel model, PlanState begun, boolean surprise) {
-        Driver driver = new Driver("lab", Limits.USUAL);
+        Driver driver = new Driver("lab", Limits.DEFAULTS);
         PlanState state = begun;
         boolean struck = false;
         double began = world.nowMs();
         while (state.status() == EvacuationStatus.REHEARSING) {
-            world.part(state.plan().zone(), state.keeps());
+            world.part(state.plan().zone(), state.retainedFraction());
             world.runUntil(world.nowMs() + TICK_MS);
             if (surprise && !struck && world.nowMs() - began >= STRIKE_MS) {
                 strike(world, state.plan());
                 struck = true;
             }
-            Turn turn = driver.turn(world.nowMs(), state, 1, 1, world.seen());
-            turn.corrections().forEach(c -> model.correct(c.pool(), c.factor(), c.weight()));
-            state = turn.next() == null ? state : turn.next();
+            Decision turn = driver.decide(world.nowMs(), state, 1, 1, world.seen());
+            turn.corrections().forEach(c -> model.applyCorrection(c.pool(), c.factor(), c.weight()));
+            state = turn.nextState() == null ? state : turn.nextState();
         }
         world.part(state.plan().zone(), 1);
         return state;
@@ -219,7 +224,7 @@
         double most = peak ? ZoneWorld.peak(p, LEARN_MS) : now.capacity();
         double at = 0;
         for (int i = 0; i < plan.steps().size(); i++) {
-            if (now.attempts() * (1 + plan.moved(i + 1) * leaves / (all - leaves)) > most) {
+            if (now.attemptRate() * (1 + plan.movedFraction(i + 1) * leaves / (all - leaves)) > most) {
                 return at;
             }
             at += plan.steps().get(i).pauseMs();
--- a/lab/src/main/java/brackenbridge/lab/evacuation/Measure.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/Measure.java
@@ -68,8 +68,8 @@
                         r.pool(),
                         r.truthMs(),
                         r.foretold().verdict(),
-                        r.foretold().part(),
-                        r.foretold().atMs(),
+                        r.foretold().saturationProbability(),
+                        r.foretold().saturationMs(),
                         r.foretold().resource(),
                         r.lengthMs());
             }
@@ -102,8 +102,8 @@
         out.println(Score.of(
                         all,
                         r -> r.unrehearsed() == Verdict.SATURATES
-                                        && r.foretold().atMs() != null
-                                ? r.foretold().atMs().expected()
+                                        && r.foretold().saturationMs() != null
+                                ? r.foretold().saturationMs().expected()
                                 : Double.NaN)
                 .line("before rehearsal"));
         out.println(Score.of(all, PoolResult::proportionalMs).line("proportional scaling"));
--- a/lab/src/main/java/brackenbridge/lab/evacuation/RandomPlan.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/RandomPlan.java
@@ -149,10 +149,10 @@
 
     /** What the fleet's settings say. */
     ForecastSettings terms() {
-        Map<String, ForecastSettings.ClassTerms> classes = new HashMap<>();
+        Map<String, ForecastSettings.ClassSettings> classes = new HashMap<>();
         double waits = (world.clients().tryLeast() + world.clients().tryMost()) / 2;
         for (ClassSpec c : world.classes()) {
-            classes.put(c.name(), new ForecastSettings.ClassTerms(c.deadlineMs() * waits, !c.unsafe()));
+            classes.put(c.name(), new ForecastSettings.ClassSettings(c.deadlineMs() * waits, !c.unsafe()));
         }
         return new ForecastSettings(
                 world.tiers().stream().map(TierSpec::name).toList(),
--- a/lab/src/main/java/brackenbridge/lab/evacuation/Score.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/Score.java
@@ -59,7 +59,9 @@
 
     /** The forecast's own word. */
     static double forecast(PoolResult r) {
-        return r.foretold().verdict() == Verdict.SATURATES ? r.foretold().atMs().expected() : Double.NaN;
+        return r.foretold().verdict() == Verdict.SATURATES
+                ? r.foretold().saturationMs().expected()
+                : Double.NaN;
     }
 
     boolean good() {
@@ -92,13 +94,18 @@
         for (PoolResult r : all) {
             if (r.foretold().verdict() == Verdict.SATURATES && !Double.isNaN(r.truthMs())) {
                 times++;
-                timesHeld += r.foretold().atMs().holds(r.truthMs()) ? 1 : 0;
+                timesHeld += r.foretold().saturationMs().contains(r.truthMs()) ? 1 : 0;
             }
             if (r.foretold().verdict() != Verdict.UNKNOWN) {
                 for (int i = 0; i < r.loads().size(); i++) {
                     loads++;
-                    loadsHeld +=
-                            r.foretold().steps().get(i).load().holds(r.loads().get(i)) ? 1 : 0;
+                    loadsHeld += r.foretold()
+                                    .steps()
+                                    .get(i)
+                                    .load()
+                                    .contains(r.loads().get(i))
+                            ? 1
+                            : 0;
                 }
             }
         }
--- a/lab/src/main/java/brackenbridge/lab/evacuation/ZoneWorld.java
+++ b/lab/src/main/java/brackenbridge/lab/evacuation/ZoneWorld.java
@@ -1,7 +1,7 @@
 package brackenbridge.lab.evacuation;
 
-import brackenbridge.fleet.evacuation.Driver.Seen;
-import brackenbridge.fleet.evacuation.PoolModel.Observation;
+import brackenbridge.fleet.evacuation.Driver.PoolMeasurement;
+import brackenbridge.fleet.evacuation.PoolModel.PoolReport;
 import brackenbridge.fleet.evacuation.PoolName;
 import brackenbridge.fleet.evacuation.PoolObservation;
 import brackenbridge.fleet.replica.RecordVersion;
@@ -112,7 +112,7 @@
     private final UniformRandomProvider random;
     private final double[] parts;
     private final double[] surge;
-    private final List<Observation> told = new ArrayList<>();
+    private final List<PoolReport> told = new ArrayList<>();
     private long second;
 
     /** Sets it up for so long. */
@@ -199,7 +199,7 @@
     }
 
     /** Records as the nodes have told them last; each has come some time after. */
-    List<Observation> told() {
+    List<PoolReport> told() {
         return List.copyOf(told);
     }
 
@@ -494,7 +494,7 @@
                     p.profile.cold().ms(),
                     slows ? choke.part() : 1,
                     slows ? choke.at() : 0);
-            told.add(new Observation(
+            told.add(new PoolReport(
                     n.name,
                     drawn.zones().get(n.zone),
                     p.name,
@@ -506,18 +506,18 @@
     }
 
     /** What a driver sees of pools: the sums over the last second's records. */
-    List<Seen> seen() {
-        List<Seen> out = new ArrayList<>();
+    List<PoolMeasurement> seen() {
+        List<PoolMeasurement> out = new ArrayList<>();
         for (Pool p : pools) {
             double attempts = 0;
             double refused = 0;
-            for (Observation o : told) {
+            for (PoolReport o : told) {
                 if (o.pool().equals(p.name)) {
-                    attempts += o.seen().attempts();
-                    refused += o.seen().refused();
+                    attempts += o.observation().attemptRate();
+                    refused += o.observation().rejectionRate();
                 }
             }
-            out.add(new Seen(
+            out.add(new PoolMeasurement(
                     p.name, p.servers.size(), attempts, p.utilisation, attempts > 0 ? refused / attempts : 0, 500));
         }
         return out;
