--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
@@ -9,30 +9,31 @@
  * passed over, however late it comes. Plain; from one thread.
  */
 public final class CommandFilter {
-    private final double drift;
-    private ZoneWeights last = new ZoneWeights(0, 0, Map.of(), 0);
+    private final double clockDrift;
+    private ZoneWeights lastAccepted = new ZoneWeights(0, 0, Map.of(), 0);
 
     /** At a node whose clock's rate is off by this part at the most. */
     public CommandFilter(double drift) {
-        this.drift = drift;
+        this.clockDrift = drift;
     }
 
     /** An order has come; what holds from now on, or nothing if it is passed over. */
     public Optional<ZoneWeights> accept(WeightCommand o, double nowMs) {
-        if (o.token() < last.driverToken() || o.token() == last.driverToken() && o.epoch() < last.epoch()) {
+        if (o.token() < lastAccepted.driverToken()
+                || o.token() == lastAccepted.driverToken() && o.epoch() < lastAccepted.epoch()) {
             return Optional.empty();
         }
-        last = new ZoneWeights(o.token(), o.epoch(), o.parts(), nowMs + o.forMs() * (1 - drift));
-        return Optional.of(last);
+        lastAccepted = new ZoneWeights(o.token(), o.epoch(), o.weights(), nowMs + o.validForMs() * (1 - clockDrift));
+        return Optional.of(lastAccepted);
     }
 
     /** The part of its usual load that a zone has at this moment. */
-    public double part(String zone, double nowMs) {
-        return nowMs < last.untilMs() ? last.weights().getOrDefault(zone, 1.0) : 1;
+    public double weight(String zone, double nowMs) {
+        return nowMs < lastAccepted.untilMs() ? lastAccepted.weights().getOrDefault(zone, 1.0) : 1;
     }
 
     /** What was told last. */
-    public ZoneWeights last() {
-        return last;
+    public ZoneWeights lastAccepted() {
+        return lastAccepted;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
 import brackenbridge.fleet.evacuation.Forecast.Interval;
-import brackenbridge.fleet.evacuation.PlanState.Foretold;
+import brackenbridge.fleet.evacuation.PlanState.PoolPrediction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -23,7 +23,12 @@
      * @param graceMs for so long after a step's begin, figures of before are still seen
      * @param silentMs a pool that is not heard of for longer
      */
-    public record Limits(double partOff, double utilisation, double failing, double graceMs, double silentMs) {
+    public record Limits(
+            double maxLoadDeviation,
+            double maxUtilisation,
+            double maxFailureRatio,
+            double settlingMs,
+            double maxAgeMs) {
         /** The usual ones. */
         public static final Limits DEFAULTS = new Limits(0.2, 0.98, 0.03, 2000, 6000);
     }
@@ -39,7 +44,7 @@
      * @param heardMs the age of it
      */
     public record PoolMeasurement(
-            PoolName pool, int servers, double attempts, double utilisation, double failing, double heardMs) {}
+            PoolName pool, int servers, double attemptRate, double utilisation, double failureRatio, double ageMs) {}
 
     /**
      * What a rehearsal has shown of the load that moves to a pool.
@@ -57,32 +62,32 @@
      * @param corrections what the model has to learn
      */
     public record Decision(PlanState nextState, List<Correction> corrections) {
-        static final Decision STAY = new Decision(null, List.of());
+        static final Decision UNCHANGED = new Decision(null, List.of());
     }
 
-    private static final class Sum {
-        double load;
-        double loadMs;
-        double over;
+    private static final class LoadAccumulator {
+        double rateIntegral;
+        double observedMs;
+        double overLimitMs;
     }
 
     /** A foretold figure is compared once it was seen for so long. */
-    private static final double COMPARED_MS = 2500;
+    private static final double MIN_OBSERVED_MS = 2500;
     /** A bound is passed once it was for so long: one second's figure is noise. */
-    private static final double PASSED_MS = 1400;
+    private static final double MIN_OVER_LIMIT_MS = 1400;
 
-    private static final double LEAST_LOAD = 1;
+    private static final double MIN_LOAD = 1;
 
-    private final String me;
+    private final String driverName;
     private final Limits limits;
     private long generation = -1;
-    private double beganMs;
-    private double lastMs;
-    private final Map<PoolName, Sum> sums = new HashMap<>();
+    private double stateSinceMs;
+    private double lastDecisionMs;
+    private final Map<PoolName, LoadAccumulator> accumulators = new HashMap<>();
 
     /** A driver of this name. */
     public Driver(String me, Limits limits) {
-        this.me = me;
+        this.driverName = me;
         this.limits = limits;
     }
 
@@ -96,96 +101,97 @@
      * @param seen what is seen of all pools now
      */
     public Decision decide(double nowMs, PlanState state, long ofGeneration, long token, List<PoolMeasurement> seen) {
-        if (!state.status().driven()) {
-            return Decision.STAY;
+        if (!state.status().needsDriver()) {
+            return Decision.UNCHANGED;
         }
         if (ofGeneration != generation) {
             generation = ofGeneration;
-            beganMs = nowMs;
-            lastMs = nowMs;
-            sums.clear();
+            stateSinceMs = nowMs;
+            lastDecisionMs = nowMs;
+            accumulators.clear();
         }
-        double held = nowMs - beganMs;
-        double since = nowMs - lastMs;
-        lastMs = nowMs;
+        double held = nowMs - stateSinceMs;
+        double since = nowMs - lastDecisionMs;
+        lastDecisionMs = nowMs;
         if (state.status() == EvacuationStatus.EVACUATED) {
-            return state.plan().backAfterMs() > 0 && held >= state.plan().backAfterMs()
-                    ? next(state.transitionTo(EvacuationStatus.RETURNING, 0, token, me, "its time is over"))
-                    : Decision.STAY;
+            return state.plan().returnAfterMs() > 0 && held >= state.plan().returnAfterMs()
+                    ? changeTo(state.transitionTo(EvacuationStatus.RETURNING, 0, token, driverName, "its time is over"))
+                    : Decision.UNCHANGED;
         }
         if (state.status() == EvacuationStatus.RETURNING) {
-            return returning(state, token, held);
+            return continueReturn(state, token, held);
         }
-        String why = watch(state, seen, held, since);
+        String why = findHaltReason(state, seen, held, since);
         if (why != null) {
             List<Correction> learnt =
-                    state.status() == EvacuationStatus.REHEARSING ? corrections(state, held) : List.of();
-            return new Decision(state.transitionTo(EvacuationStatus.HALTED, state.step(), token, me, why), learnt);
+                    state.status() == EvacuationStatus.REHEARSING ? computeCorrections(state, held) : List.of();
+            return new Decision(
+                    state.transitionTo(EvacuationStatus.HALTED, state.step(), token, driverName, why), learnt);
         }
         if (state.status() == EvacuationStatus.REHEARSING) {
             return held < state.plan().rehearsalMs()
-                    ? Decision.STAY
+                    ? Decision.UNCHANGED
                     : new Decision(
-                            state.transitionTo(EvacuationStatus.PASSED, 0, token, me, "as foretold"),
-                            corrections(state, held));
+                            state.transitionTo(EvacuationStatus.PASSED, 0, token, driverName, "as foretold"),
+                            computeCorrections(state, held));
         }
         List<EvacuationPlan.Step> steps = state.plan().steps();
         if (held < steps.get(Math.min(state.step(), steps.size() - 1)).pauseMs()) {
-            return Decision.STAY;
+            return Decision.UNCHANGED;
         }
-        return next(
+        return changeTo(
                 state.step() + 1 < steps.size()
-                        ? state.transitionTo(EvacuationStatus.EVACUATING, state.step() + 1, token, me, "")
-                        : state.transitionTo(EvacuationStatus.EVACUATED, 0, token, me, ""));
+                        ? state.transitionTo(EvacuationStatus.EVACUATING, state.step() + 1, token, driverName, "")
+                        : state.transitionTo(EvacuationStatus.EVACUATED, 0, token, driverName, ""));
     }
 
-    private Decision returning(PlanState state, long token, double held) {
-        List<EvacuationPlan.Step> back = state.plan().back();
+    private Decision continueReturn(PlanState state, long token, double held) {
+        List<EvacuationPlan.Step> back = state.plan().returnSteps();
         if (state.step() < back.size() && held < back.get(state.step()).pauseMs()) {
-            return Decision.STAY;
+            return Decision.UNCHANGED;
         }
-        return next(
+        return changeTo(
                 state.step() + 1 < back.size()
-                        ? state.transitionTo(EvacuationStatus.RETURNING, state.step() + 1, token, me, "")
-                        : state.transitionTo(EvacuationStatus.CLOSED, 0, token, me, "all load is back"));
+                        ? state.transitionTo(EvacuationStatus.RETURNING, state.step() + 1, token, driverName, "")
+                        : state.transitionTo(EvacuationStatus.CLOSED, 0, token, driverName, "all load is back"));
     }
 
-    private static Decision next(PlanState state) {
+    private static Decision changeTo(PlanState state) {
         return new Decision(state, List.of());
     }
 
     /** The reason to halt; null if there is none. */
-    private String watch(PlanState state, List<PoolMeasurement> seen, double held, double since) {
+    private String findHaltReason(PlanState state, List<PoolMeasurement> seen, double held, double since) {
         Map<PoolName, PoolMeasurement> by = new HashMap<>();
         seen.forEach(s -> by.put(s.pool(), s));
-        for (Foretold f : state.predictions()) {
+        for (PoolPrediction f : state.predictions()) {
             PoolMeasurement s = by.get(f.pool());
-            if (s == null || s.heardMs() > limits.silentMs()) {
-                if (held > limits.silentMs()) {
+            if (s == null || s.ageMs() > limits.maxAgeMs()) {
+                if (held > limits.maxAgeMs()) {
                     return f.pool() + " is not heard of";
                 }
                 continue;
             }
-            Sum sum = sums.computeIfAbsent(f.pool(), p -> new Sum());
-            boolean passed = s.failing() > limits.failing() || s.utilisation() > limits.utilisation();
-            sum.over = passed ? sum.over + since : 0;
-            if (sum.over >= PASSED_MS) {
-                return s.failing() > limits.failing()
-                        ? text("%s passed its bound: %.1f%% of tries fail", f.pool(), 100 * s.failing())
-                        : text("%s passed its bound: %.0f%% in use", f.pool(), 100 * s.utilisation());
+            LoadAccumulator sum = accumulators.computeIfAbsent(f.pool(), p -> new LoadAccumulator());
+            boolean passed = s.failureRatio() > limits.maxFailureRatio() || s.utilisation() > limits.maxUtilisation();
+            sum.overLimitMs = passed ? sum.overLimitMs + since : 0;
+            if (sum.overLimitMs >= MIN_OVER_LIMIT_MS) {
+                return s.failureRatio() > limits.maxFailureRatio()
+                        ? format("%s passed its bound: %.1f%% of tries fail", f.pool(), 100 * s.failureRatio())
+                        : format("%s passed its bound: %.0f%% in use", f.pool(), 100 * s.utilisation());
             }
             if (state.status() == EvacuationStatus.REHEARSING && s.servers() != f.servers()) {
-                return text("%s has %d servers, not %d: forecast again", f.pool(), s.servers(), f.servers());
+                return format("%s has %d servers, not %d: forecast again", f.pool(), s.servers(), f.servers());
             }
-            if (held < limits.graceMs()) {
+            if (held < limits.settlingMs()) {
                 continue;
             }
-            sum.load += s.attempts() * since;
-            sum.loadMs += since;
-            Interval expected = expected(state, f);
-            double mean = sum.loadMs > 0 ? sum.load / sum.loadMs : 0;
-            if (expected != null && sum.loadMs >= COMPARED_MS && off(expected, mean, f, s)) {
-                return text(
+            sum.rateIntegral += s.attemptRate() * since;
+            sum.observedMs += since;
+            Interval expected = predictedRate(state, f);
+            double mean = sum.observedMs > 0 ? sum.rateIntegral / sum.observedMs : 0;
+            if (expected != null && sum.observedMs >= MIN_OBSERVED_MS && deviates(expected, mean, f, s)) {
+                return format(
                         "%s has %.1f tries a second, foretold were %.1f (%.1f to %.1f)",
                         f.pool(), mean, expected.expected(), expected.low(), expected.high());
             }
@@ -193,15 +199,16 @@
         return null;
     }
 
-    private boolean off(Interval expected, double mean, Foretold f, PoolMeasurement s) {
+    private boolean deviates(Interval expected, double mean, PoolPrediction f, PoolMeasurement s) {
         // More servers than were foretold take more of what moves; that is no fault while load is carried.
         boolean more = s.servers() > f.servers() && mean > expected.expected();
         return !more
                 && !expected.contains(mean)
-                && Math.abs(mean - expected.expected()) > limits.partOff() * Math.max(LEAST_LOAD, expected.expected());
+                && Math.abs(mean - expected.expected())
+                        > limits.maxLoadDeviation() * Math.max(MIN_LOAD, expected.expected());
     }
 
-    private static Interval expected(PlanState state, Foretold f) {
+    private static Interval predictedRate(PlanState state, PoolPrediction f) {
         if (state.status() == EvacuationStatus.REHEARSING) {
             return f.rehearsal();
         }
@@ -209,17 +216,17 @@
     }
 
     /** What came beside what was foretold, weighed by how far it stands out from chance. */
-    private List<Correction> corrections(PlanState state, double held) {
+    private List<Correction> computeCorrections(PlanState state, double held) {
         List<Correction> out = new ArrayList<>();
-        for (Foretold f : state.predictions()) {
-            Sum sum = sums.get(f.pool());
-            double moved = f.rehearsal().expected() - f.before();
-            if (sum == null || sum.loadMs < COMPARED_MS || moved <= 0) {
+        for (PoolPrediction f : state.predictions()) {
+            LoadAccumulator sum = accumulators.get(f.pool());
+            double moved = f.rehearsal().expected() - f.baselineRate();
+            if (sum == null || sum.observedMs < MIN_OBSERVED_MS || moved <= 0) {
                 continue;
             }
-            double came = sum.load / sum.loadMs - f.before();
+            double came = sum.rateIntegral / sum.observedMs - f.baselineRate();
             // Chance of arrivals while it was held, and that of the load it is compared with.
-            double noise = f.rehearsal().expected() / (sum.loadMs / 1000)
+            double noise = f.rehearsal().expected() / (sum.observedMs / 1000)
                     + Math.pow((f.rehearsal().high() - f.rehearsal().low()) / 2.56, 2);
             double weight = moved * moved / (moved * moved + noise);
             if (came > 0 && weight > 0.01) {
@@ -229,7 +236,7 @@
         return out;
     }
 
-    private static String text(String format, Object... args) {
+    private static String format(String format, Object... args) {
         return String.format(Locale.ROOT, format, args);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -43,23 +43,23 @@
      * @param forMs for how long an order holds: longer than it takes another member to take over
      * @param withinMs for how long a proposal is waited for
      */
-    public record Times(double holdMs, double orderMs, double forMs, double withinMs) {
+    public record Timing(double leaseMs, double commandIntervalMs, double commandValidityMs, double proposalTimeoutMs) {
         /** The usual ones. */
-        public static final Times USUAL = new Times(3000, 500, 10_000, 2500);
+        public static final Timing DEFAULTS = new Timing(3000, 500, 10_000, 2500);
     }
 
-    private final AgreedValues agreed;
+    private final AgreedValues agreedValues;
     private final PeerLinks links;
     private final Driver driver;
-    private final Times times;
-    private final Supplier<List<PoolMeasurement>> seen;
-    private final Consumer<Correction> learns;
-    private final Consumer<WeightCommand> local;
-    private CompletableFuture<Lease> claim;
-    private CompletableFuture<Verdict> proposed;
-    private double claimedMs = Double.NEGATIVE_INFINITY;
-    private double orderedMs = Double.NEGATIVE_INFINITY;
-    private long orderedEpoch = -1;
+    private final Timing timing;
+    private final Supplier<List<PoolMeasurement>> measurements;
+    private final Consumer<Correction> correctionSink;
+    private final Consumer<WeightCommand> localCommandSink;
+    private CompletableFuture<Lease> pendingLease;
+    private CompletableFuture<Verdict> pendingProposal;
+    private double lastAcquireMs = Double.NEGATIVE_INFINITY;
+    private double lastCommandMs = Double.NEGATIVE_INFINITY;
+    private long lastCommandEpoch = -1;
 
     /**
      * A member's part.
@@ -72,105 +72,107 @@
             AgreedValues agreed,
             PeerLinks links,
             Driver driver,
-            Times times,
+            Timing times,
             Supplier<List<PoolMeasurement>> seen,
             Consumer<Correction> learns,
             Consumer<WeightCommand> local) {
-        this.agreed = agreed;
+        this.agreedValues = agreed;
         this.links = links;
         this.driver = driver;
-        this.times = times;
-        this.seen = seen;
-        this.learns = learns;
-        this.local = local;
+        this.timing = times;
+        this.measurements = seen;
+        this.correctionSink = learns;
+        this.localCommandSink = local;
     }
 
     /** One turn. */
     public void tick(double nowMs) {
-        Optional<Acting> acting = agreed.acting(AgreedValues.EVACUATION);
+        Optional<Acting> acting = agreedValues.acting(AgreedValues.EVACUATION);
         if (acting.isEmpty() || acting.get().one() == null) {
             return;
         }
-        PlanState one = read(acting.get().one());
+        PlanState one = decode(acting.get().one());
         PlanState other =
-                acting.get().other() == null ? null : read(acting.get().other());
+                acting.get().other() == null ? null : decode(acting.get().other());
         if (one == null || acting.get().other() != null && other == null) {
             return;
         }
         boolean wanted =
-                one.status().driven() || other != null && other.status().driven();
+                one.status().needsDriver() || other != null && other.status().needsDriver();
         if (!wanted) {
             // Orders of a plan that is over end by themselves; the last one says that all is as usual.
             long generation = acting.get().one().generation();
-            if (orderedEpoch != generation) {
-                agreed.heldLease(ROLE).ifPresent(lease -> order(nowMs, lease.token(), one.parts(), generation));
+            if (lastCommandEpoch != generation) {
+                agreedValues
+                        .heldLease(ROLE)
+                        .ifPresent(lease -> sendCommand(nowMs, lease.token(), one.zoneWeights(), generation));
             }
             return;
         }
-        claimRole(nowMs);
-        Optional<Lease> lease = agreed.heldLease(ROLE);
+        acquireOrExtendRole(nowMs);
+        Optional<Lease> lease = agreedValues.heldLease(ROLE);
         if (lease.isEmpty() || one.token() > lease.get().token()) {
             return;
         }
         long token = lease.get().token();
         long epoch = acting.get().one().generation();
-        if (other == null && (proposed == null || proposed.isDone())) {
-            Decision turn = driver.decide(nowMs, one, epoch, token, seen.get());
-            turn.corrections().forEach(learns);
+        if (other == null && (pendingProposal == null || pendingProposal.isDone())) {
+            Decision turn = driver.decide(nowMs, one, epoch, token, measurements.get());
+            turn.corrections().forEach(correctionSink);
             if (turn.nextState() != null) {
                 LOG.atInfo()
                         .addKeyValue("plan", one.plan().name())
                         .addKeyValue("step", turn.nextState().step())
                         .log(
                                 "evacuation becomes {}: {}",
-                                PlanState.name(turn.nextState().status()),
+                                PlanState.lowerCaseName(turn.nextState().status()),
                                 turn.nextState()
                                         .history()
                                         .get(turn.nextState().history().size() - 1)
                                         .reason());
-                proposed = agreed.propose(
-                        AgreedValues.EVACUATION, epoch, turn.nextState().bytes(), times.withinMs());
+                pendingProposal = agreedValues.propose(
+                        AgreedValues.EVACUATION, epoch, turn.nextState().encode(), timing.proposalTimeoutMs());
             }
         }
-        if (nowMs - orderedMs >= times.orderMs() || epoch != orderedEpoch) {
-            order(nowMs, token, both(one, other), epoch);
+        if (nowMs - lastCommandMs >= timing.commandIntervalMs() || epoch != lastCommandEpoch) {
+            sendCommand(nowMs, token, mergeWeights(one, other), epoch);
         }
     }
 
     /** While two records are acted by, a zone keeps the larger part: what both allow. */
-    private static Map<String, Double> both(PlanState one, PlanState other) {
-        Map<String, Double> parts = new HashMap<>(one.parts());
+    private static Map<String, Double> mergeWeights(PlanState one, PlanState other) {
+        Map<String, Double> parts = new HashMap<>(one.zoneWeights());
         if (other != null) {
-            other.parts().forEach((z, p) -> parts.merge(z, p, Math::max));
-            parts.replaceAll((z, p) -> Math.max(p, other.parts().getOrDefault(z, 1.0)));
+            other.zoneWeights().forEach((z, p) -> parts.merge(z, p, Math::max));
+            parts.replaceAll((z, p) -> Math.max(p, other.zoneWeights().getOrDefault(z, 1.0)));
         }
         return parts;
     }
 
     /** Claims the role, or extends its lease, unless a claim is still unanswered. */
-    private void claimRole(double nowMs) {
-        boolean answered = claim == null || claim.isDone();
-        if (answered && nowMs - claimedMs >= times.holdMs() / 3) {
-            claimedMs = nowMs;
-            claim = agreed.acquire(ROLE, times.holdMs());
+    private void acquireOrExtendRole(double nowMs) {
+        boolean answered = pendingLease == null || pendingLease.isDone();
+        if (answered && nowMs - lastAcquireMs >= timing.leaseMs() / 3) {
+            lastAcquireMs = nowMs;
+            pendingLease = agreedValues.acquire(ROLE, timing.leaseMs());
         }
     }
 
-    private void order(double nowMs, long token, Map<String, Double> parts, long epoch) {
-        WeightCommand o = new WeightCommand(token, epoch, parts, times.forMs());
-        byte[] body = o.bytes();
+    private void sendCommand(double nowMs, long token, Map<String, Double> parts, long epoch) {
+        WeightCommand o = new WeightCommand(token, epoch, parts, timing.commandValidityMs());
+        byte[] body = o.encode();
         for (Member m : links.peers()) {
             // A full queue loses one; the next comes soon.
             links.send(m.name(), MessageStream.EVACUATION, body);
         }
-        local.accept(o);
-        orderedMs = nowMs;
-        orderedEpoch = epoch;
+        localCommandSink.accept(o);
+        lastCommandMs = nowMs;
+        lastCommandEpoch = epoch;
     }
 
-    private static PlanState read(AgreedValues.Value v) {
+    private static PlanState decode(AgreedValues.Value v) {
         try {
-            return PlanState.read(v.content());
+            return PlanState.decode(v.content());
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("generation", v.generation())
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationPlan.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationPlan.java
@@ -29,13 +29,13 @@
         @JsonProperty("steps") List<Step> steps,
         @JsonProperty("rehearsalPart") double rehearsalFraction,
         @JsonProperty("rehearsalMs") double rehearsalMs,
-        @JsonProperty("back") List<Step> back,
-        @JsonProperty("backAfterMs") double backAfterMs,
-        @JsonProperty("comes") List<Comes> comes) {
+        @JsonProperty("back") List<Step> returnSteps,
+        @JsonProperty("backAfterMs") double returnAfterMs,
+        @JsonProperty("comes") List<AddedServers> addedServers) {
     /** Steps and pools that a plan may name: it travels in an agreed record. */
-    public static final int MOST = 64;
+    public static final int MAX_ENTRIES = 64;
 
-    private static final double LONGEST_MS = 24 * 3_600_000.0;
+    private static final double MAX_DURATION_MS = 24 * 3_600_000.0;
     private static final double ROUNDING = 1e-6;
 
     /**
@@ -45,7 +45,7 @@
      * @param pauseMs how long it is held before the next
      */
     public record Step(
-            @JsonProperty("part") double part,
+            @JsonProperty("part") double fraction,
             @JsonProperty("pauseMs") double pauseMs) {}
 
     /**
@@ -55,7 +55,7 @@
      * @param servers how many, of the pool's sort, cold
      * @param afterMs after the first step's begin
      */
-    public record Comes(
+    public record AddedServers(
             @JsonProperty("pool") PoolName pool,
             @JsonProperty("servers") int servers,
             @JsonProperty("afterMs") double afterMs) {}
@@ -63,12 +63,12 @@
     /** Keeps its own copies; what is absent is empty. */
     public EvacuationPlan {
         steps = steps == null ? List.of() : List.copyOf(steps);
-        back = back == null ? List.of() : List.copyOf(back);
-        comes = comes == null ? List.of() : List.copyOf(comes);
+        returnSteps = returnSteps == null ? List.of() : List.copyOf(returnSteps);
+        addedServers = addedServers == null ? List.of() : List.copyOf(addedServers);
     }
 
     /** A plan of equal steps, rehearsed with a twentieth of the load for eight seconds. */
-    public static EvacuationPlan even(String name, String zone, int steps, double pauseMs) {
+    public static EvacuationPlan withEvenSteps(String name, String zone, int steps, double pauseMs) {
         List<Step> all = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
             all.add(new Step(1.0 / steps, pauseMs));
@@ -77,28 +77,36 @@
     }
 
     /** The same plan with other steps. */
-    public EvacuationPlan with(List<Step> others) {
+    public EvacuationPlan withSteps(List<Step> others) {
         return new EvacuationPlan(
-                name, zone, startDayMs, others, rehearsalFraction, rehearsalMs, back, backAfterMs, comes);
+                name,
+                zone,
+                startDayMs,
+                others,
+                rehearsalFraction,
+                rehearsalMs,
+                returnSteps,
+                returnAfterMs,
+                addedServers);
     }
 
     /** The part that is moved once so many steps have begun. */
     public double movedFraction(int begun) {
         double sum = 0;
         for (int i = 0; i < Math.min(begun, steps.size()); i++) {
-            sum += steps.get(i).part();
+            sum += steps.get(i).fraction();
         }
         return Math.min(1, sum);
     }
 
     /** The part that is still moved once so many steps back have begun. */
-    public double stillMoved(int begun) {
-        if (begun > 0 && begun >= back.size()) {
+    public double movedFractionDuringReturn(int begun) {
+        if (begun > 0 && begun >= returnSteps.size()) {
             return 0;
         }
         double sum = movedFraction(steps.size());
         for (int i = 0; i < begun; i++) {
-            sum -= back.get(i).part();
+            sum -= returnSteps.get(i).fraction();
         }
         return Math.max(0, sum);
     }
@@ -109,7 +117,7 @@
     }
 
     /** All that is wrong with it, for a fleet of these pools; empty if nothing is. */
-    public List<String> faults(Collection<PoolName> pools) {
+    public List<String> validationErrors(Collection<PoolName> pools) {
         List<String> faults = new ArrayList<>();
         Set<String> zones = new TreeSet<>();
         pools.forEach(p -> zones.add(p.zone()));
@@ -131,12 +139,12 @@
         steps("steps", steps, faults);
         if (steps.isEmpty()) {
             faults.add("steps: none");
-        } else if (steps.size() <= MOST && Math.abs(sum(steps) - 1) > ROUNDING) {
-            faults.add("steps: they move " + round(sum(steps)) + " of the load, not all of it");
+        } else if (steps.size() <= MAX_ENTRIES && Math.abs(totalFraction(steps) - 1) > ROUNDING) {
+            faults.add("steps: they move " + round(totalFraction(steps)) + " of the load, not all of it");
         }
-        steps("back", back, faults);
-        if (!back.isEmpty() && Math.abs(sum(back) - 1) > ROUNDING) {
-            faults.add("back: they bring back " + round(sum(back)) + " of the load, not all of it");
+        steps("back", returnSteps, faults);
+        if (!returnSteps.isEmpty() && Math.abs(totalFraction(returnSteps) - 1) > ROUNDING) {
+            faults.add("back: they bring back " + round(totalFraction(returnSteps)) + " of the load, not all of it");
         }
         if (!(rehearsalFraction > 0 && rehearsalFraction <= 0.5)) {
             faults.add("rehearsalPart: above 0, at most 0.5");
@@ -144,22 +152,22 @@
         if (!(rehearsalMs >= 1000 && rehearsalMs <= 600_000)) {
             faults.add("rehearsalMs: from a second to ten minutes");
         }
-        if (!(startDayMs < LONGEST_MS) || Double.isNaN(startDayMs)) {
+        if (!(startDayMs < MAX_DURATION_MS) || Double.isNaN(startDayMs)) {
             faults.add("startDayMs: a time of the day, or negative");
         }
-        if (!(backAfterMs >= 0 && backAfterMs <= LONGEST_MS)) {
+        if (!(returnAfterMs >= 0 && returnAfterMs <= MAX_DURATION_MS)) {
             faults.add("backAfterMs: from 0 to a day");
         }
-        if (comes.size() > MOST) {
-            faults.add("comes: more than " + MOST);
+        if (addedServers.size() > MAX_ENTRIES) {
+            faults.add("comes: more than " + MAX_ENTRIES);
         }
-        for (Comes c : comes) {
+        for (AddedServers c : addedServers) {
             if (c.pool() == null || !pools.contains(c.pool())) {
                 faults.add("comes: there is no pool " + c.pool());
             } else if (c.pool().zone().equals(zone)) {
                 faults.add("comes: " + c.pool() + " is in the zone that is emptied");
             }
-            if (c.servers() < 1 || c.servers() > 10_000 || !(c.afterMs() >= 0 && c.afterMs() <= LONGEST_MS)) {
+            if (c.servers() < 1 || c.servers() > 10_000 || !(c.afterMs() >= 0 && c.afterMs() <= MAX_DURATION_MS)) {
                 faults.add("comes: 1 to 10000 servers, within a day");
             }
         }
@@ -167,22 +175,22 @@
     }
 
     private static void steps(String key, List<Step> steps, List<String> faults) {
-        if (steps.size() > MOST) {
-            faults.add(key + ": more than " + MOST);
+        if (steps.size() > MAX_ENTRIES) {
+            faults.add(key + ": more than " + MAX_ENTRIES);
         }
-        for (int i = 0; i < Math.min(MOST, steps.size()); i++) {
+        for (int i = 0; i < Math.min(MAX_ENTRIES, steps.size()); i++) {
             Step s = steps.get(i);
-            if (!(s.part() > 0 && s.part() <= 1 + ROUNDING)) {
+            if (!(s.fraction() > 0 && s.fraction() <= 1 + ROUNDING)) {
                 faults.add(key + "[" + i + "].part: above 0, at most 1");
             }
-            if (!(s.pauseMs() >= 1000 && s.pauseMs() <= LONGEST_MS)) {
+            if (!(s.pauseMs() >= 1000 && s.pauseMs() <= MAX_DURATION_MS)) {
                 faults.add(key + "[" + i + "].pauseMs: from a second to a day");
             }
         }
     }
 
-    private static double sum(List<Step> steps) {
-        return steps.stream().mapToDouble(Step::part).sum();
+    private static double totalFraction(List<Step> steps) {
+        return steps.stream().mapToDouble(Step::fraction).sum();
     }
 
     private static double round(double v) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationStatus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationStatus.java
@@ -38,7 +38,7 @@
     ABANDONED;
 
     /** What may come after it. */
-    public Set<EvacuationStatus> next() {
+    public Set<EvacuationStatus> allowedNext() {
         return switch (this) {
             case DRAFTED -> EnumSet.of(FORECAST, ABANDONED);
             case FORECAST -> EnumSet.of(FORECAST, REHEARSING, EVACUATING, ABANDONED);
@@ -53,12 +53,12 @@
     }
 
     /** Whether load may be elsewhere than usual: somebody must drive it. */
-    public boolean driven() {
+    public boolean needsDriver() {
         return this == REHEARSING || this == EVACUATING || this == EVACUATED || this == RETURNING;
     }
 
     /** Whether another plan may be drafted after it. */
-    public boolean over() {
+    public boolean isTerminal() {
         return this == CLOSED || this == ABANDONED;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.FluidModel.Course;
-import brackenbridge.fleet.evacuation.FluidModel.Draw;
+import brackenbridge.fleet.evacuation.FluidModel.ParameterSample;
+import brackenbridge.fleet.evacuation.FluidModel.Trajectory;
 import brackenbridge.fleet.evacuation.PoolSnapshot.Flow;
-import brackenbridge.fleet.evacuation.PoolSnapshot.Missing;
+import brackenbridge.fleet.evacuation.PoolSnapshot.MissingNode;
 import brackenbridge.fleet.evacuation.PoolSnapshot.Pool;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.annotation.JsonProperty;
@@ -28,18 +28,18 @@
  */
 public record Forecast(String plan, String zone, Verdict verdict, List<PoolForecast> pools) {
     /** Courses that are drawn. */
-    static final int COURSES = 80;
+    static final int TRAJECTORIES = 80;
     /** A pool saturates if it does in so many of the courses; it is tight if it does in so many. */
-    private static final double LIKELY = 0.5;
+    private static final double SATURATES_PROBABILITY = 0.5;
 
-    private static final double POSSIBLE = 0.1;
-    private static final double TIGHT_SHARE = 0.9;
+    private static final double TIGHT_PROBABILITY = 0.1;
+    private static final double TIGHT_UTILISATION = 0.9;
     /** The interval's ends, in percent: it holds in eight cases of ten. */
-    private static final double LOW = 10;
+    private static final double LOW_PERCENTILE = 10;
 
-    private static final double HIGH = 90;
-    private static final double HALF = 50;
-    private static final double SERVED = 0.995;
+    private static final double HIGH_PERCENTILE = 90;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double FULLY_GRANTED = 0.995;
 
     /** What becomes of a pool. */
     public enum Verdict {
@@ -106,9 +106,9 @@
             double connections,
             double waitMs,
             double responseMs,
-            double late,
+            double lateFraction,
             double amplification,
-            Map<String, Double> refusedTenants) {}
+            Map<String, Double> rejectedTenants) {}
 
     /**
      * A pool.
@@ -127,12 +127,12 @@
     public record PoolForecast(
             PoolName pool,
             Verdict verdict,
-            String why,
+            String reason,
             double saturationProbability,
             Interval saturationMs,
             int step,
             Resource resource,
-            PoolName next,
+            PoolName nextSaturated,
             List<StepForecast> steps) {}
 
     /** Forecasts a plan that has no faults; the same seed gives the same forecast. */
@@ -141,30 +141,31 @@
         for (int i = 0; i < moved.length; i++) {
             moved[i] = plan.movedFraction(i + 1);
         }
-        return of(picture, plan, moved, shares, seed, COURSES);
+        return of(picture, plan, moved, shares, seed, TRAJECTORIES);
     }
 
     /** Forecasts a rehearsal of it: one step, held for its time. */
     public static Forecast rehearsal(PoolSnapshot picture, EvacuationPlan plan, SharePolicy shares, long seed) {
-        EvacuationPlan one = plan.with(List.of(new EvacuationPlan.Step(plan.rehearsalFraction(), plan.rehearsalMs())));
-        return of(picture, one, new double[] {plan.rehearsalFraction()}, shares, seed, COURSES);
+        EvacuationPlan one =
+                plan.withSteps(List.of(new EvacuationPlan.Step(plan.rehearsalFraction(), plan.rehearsalMs())));
+        return of(picture, one, new double[] {plan.rehearsalFraction()}, shares, seed, TRAJECTORIES);
     }
 
     static Forecast of(
             PoolSnapshot picture, EvacuationPlan plan, double[] moved, SharePolicy shares, long seed, int courses) {
         FluidModel fluid = new FluidModel(picture, plan, moved);
         RandomGenerator random = new Well19937c(seed);
-        Course central =
-                fluid.run(new Draw(picture.pools().size(), picture.flows().size(), null));
-        List<Course> drawn = new ArrayList<>();
+        Trajectory central = fluid.simulate(
+                new ParameterSample(picture.pools().size(), picture.flows().size(), null));
+        List<Trajectory> drawn = new ArrayList<>();
         for (int i = 0; i < courses; i++) {
-            drawn.add(fluid.run(draw(picture, random)));
+            drawn.add(fluid.simulate(sampleParameters(picture, random)));
         }
         List<PoolForecast> out = new ArrayList<>();
         Verdict worst = Verdict.HOLDS;
         for (int i = 0; i < picture.pools().size(); i++) {
             if (!picture.pools().get(i).name().zone().equals(plan.zone())) {
-                PoolForecast p = pool(picture, plan, moved, fluid, shares, i, central, drawn);
+                PoolForecast p = forecastPool(picture, plan, moved, fluid, shares, i, central, drawn);
                 out.add(p);
                 worst = worse(worst, p.verdict());
             }
@@ -178,66 +179,67 @@
         return rank[a.ordinal()] >= rank[b.ordinal()] ? a : b;
     }
 
-    private static Draw draw(PoolSnapshot picture, RandomGenerator random) {
-        Draw d = new Draw(picture.pools().size(), picture.flows().size(), random);
-        for (int i = 0; i < d.capacity.length; i++) {
+    private static ParameterSample sampleParameters(PoolSnapshot picture, RandomGenerator random) {
+        ParameterSample d =
+                new ParameterSample(picture.pools().size(), picture.flows().size(), random);
+        for (int i = 0; i < d.capacityFactors.length; i++) {
             Pool p = picture.pools().get(i);
-            d.capacity[i] = factor(random, p.capacitySpread());
-            d.calls[i] = factor(random, p.callsSpread());
-            d.correction[i] = factor(random, p.correctionSpread());
+            d.capacityFactors[i] = lognormalFactor(random, p.capacitySpread());
+            d.callFactors[i] = lognormalFactor(random, p.callsSpread());
+            d.correctionFactors[i] = lognormalFactor(random, p.correctionSpread());
         }
-        for (int i = 0; i < d.flow.length; i++) {
-            d.flow[i] = factor(random, picture.flows().get(i).spread());
+        for (int i = 0; i < d.flowFactors.length; i++) {
+            d.flowFactors[i] = lognormalFactor(random, picture.flows().get(i).spread());
         }
         return d;
     }
 
-    private static double factor(RandomGenerator random, double spread) {
+    private static double lognormalFactor(RandomGenerator random, double spread) {
         double z = random.nextGaussian();
         double sigma = Double.isFinite(spread) ? Math.min(spread, 1) : 1;
         return Math.exp(sigma * z - sigma * sigma / 2);
     }
 
-    private static PoolForecast pool(
+    private static PoolForecast forecastPool(
             PoolSnapshot picture,
             EvacuationPlan plan,
             double[] moved,
             FluidModel fluid,
             SharePolicy shares,
             int i,
-            Course central,
-            List<Course> drawn) {
+            Trajectory central,
+            List<Trajectory> drawn) {
         Pool p = picture.pools().get(i);
-        String why = why(picture, plan, p);
+        String why = unknownReason(picture, plan, p);
         int fell = 0;
         List<Double> times = new ArrayList<>();
         Map<Resource, Integer> resources = new TreeMap<>();
         Map<Integer, Integer> nexts = new HashMap<>();
-        for (Course c : drawn) {
-            if (!Double.isNaN(c.saturatesMs[i])) {
+        for (Trajectory c : drawn) {
+            if (!Double.isNaN(c.saturationMs[i])) {
                 fell++;
-                times.add(c.saturatesMs[i]);
-                resources.merge(c.resource[i], 1, Integer::sum);
-                int next = next(c, i);
+                times.add(c.saturationMs[i]);
+                resources.merge(c.exhaustedResource[i], 1, Integer::sum);
+                int next = nextSaturatedPool(c, i);
                 if (next >= 0) {
                     nexts.merge(next, 1, Integer::sum);
                 }
             }
         }
         double part = drawn.isEmpty() ? 0 : fell / (double) drawn.size();
-        Interval at = times.isEmpty() ? null : within(times);
+        Interval at = times.isEmpty() ? null : intervalOf(times);
         List<StepForecast> steps = new ArrayList<>();
         double fullest = 0;
         for (int s = 0; s < moved.length; s++) {
-            StepForecast f = step(picture, p, shares, s, i, central, drawn);
+            StepForecast f = forecastStep(picture, p, shares, s, i, central, drawn);
             fullest = Math.max(fullest, Math.max(f.utilisation(), Math.max(f.slots(), f.connections())));
             steps.add(f);
         }
         Verdict verdict = why != null
                 ? Verdict.UNKNOWN
-                : part >= LIKELY
+                : part >= SATURATES_PROBABILITY
                         ? Verdict.SATURATES
-                        : part >= POSSIBLE || fullest >= TIGHT_SHARE ? Verdict.TIGHT : Verdict.HOLDS;
+                        : part >= TIGHT_PROBABILITY || fullest >= TIGHT_UTILISATION ? Verdict.TIGHT : Verdict.HOLDS;
         PoolName next = null;
         for (Map.Entry<Integer, Integer> e : nexts.entrySet()) {
             if (e.getValue() * 2 >= fell) {
@@ -256,97 +258,104 @@
     }
 
     /** The pool that saturates next after this one in a course; -1 if none does. */
-    private static int next(Course c, int i) {
+    private static int nextSaturatedPool(Trajectory c, int i) {
         int next = -1;
-        for (int j = 0; j < c.saturatesMs.length; j++) {
+        for (int j = 0; j < c.saturationMs.length; j++) {
             if (j != i
-                    && c.saturatesMs[j] >= c.saturatesMs[i]
-                    && (next < 0 || c.saturatesMs[j] < c.saturatesMs[next])) {
+                    && c.saturationMs[j] >= c.saturationMs[i]
+                    && (next < 0 || c.saturationMs[j] < c.saturationMs[next])) {
                 next = j;
             }
         }
         return next;
     }
 
-    private static String why(PoolSnapshot picture, EvacuationPlan plan, Pool p) {
-        if (p.unknown() != null) {
-            return p.unknown();
+    private static String unknownReason(PoolSnapshot picture, EvacuationPlan plan, Pool p) {
+        if (p.unknownReason() != null) {
+            return p.unknownReason();
         }
         // Load that a missing node sends is load that nobody tells: in its own zone, and wherever the plan moves it.
-        for (Missing m : picture.missing()) {
+        for (MissingNode m : picture.missingNodes()) {
             boolean reaches = m.zone().equals(p.name().zone()) || m.zone().equals(plan.zone());
             for (Flow f : picture.flows()) {
-                reaches |= f.origin().equals(m.zone()) && f.to().equals(p.name()) && f.rate() > 0;
+                reaches |= f.origin().equals(m.zone()) && f.pool().equals(p.name()) && f.rate() > 0;
             }
             if (reaches) {
-                return m.why();
+                return m.reason();
             }
         }
         // What flows from an unknown pool of a tier before it comes here, and nobody knows how much.
         for (Pool q : picture.pools()) {
-            if (q.unknown() != null
+            if (q.unknownReason() != null
                     && !q.name().zone().equals(plan.zone())
                     && q.name().zone().equals(p.name().zone())
-                    && picture.terms().tiers().indexOf(q.name().tier())
-                            < picture.terms().tiers().indexOf(p.name().tier())) {
-                return q.name() + ", which calls it, is unknown: " + q.unknown();
+                    && picture.settings().tiers().indexOf(q.name().tier())
+                            < picture.settings().tiers().indexOf(p.name().tier())) {
+                return q.name() + ", which calls it, is unknown: " + q.unknownReason();
             }
         }
         return null;
     }
 
-    private static Interval within(List<Double> values) {
+    private static Interval intervalOf(List<Double> values) {
         double[] all = values.stream().mapToDouble(Double::doubleValue).toArray();
         Percentile p = new Percentile();
         p.setData(all);
-        return new Interval(p.evaluate(HALF), p.evaluate(LOW), p.evaluate(HIGH));
+        return new Interval(p.evaluate(MEDIAN_PERCENTILE), p.evaluate(LOW_PERCENTILE), p.evaluate(HIGH_PERCENTILE));
     }
 
-    private static StepForecast step(
-            PoolSnapshot picture, Pool p, SharePolicy shares, int s, int i, Course central, List<Course> drawn) {
+    private static StepForecast forecastStep(
+            PoolSnapshot picture,
+            Pool p,
+            SharePolicy shares,
+            int s,
+            int i,
+            Trajectory central,
+            List<Trajectory> drawn) {
         List<Double> loads = new ArrayList<>();
-        for (Course c : drawn) {
-            loads.add(c.load[s][i]);
+        for (Trajectory c : drawn) {
+            loads.add(c.attemptRate[s][i]);
         }
-        double load = central.load[s][i];
-        Interval within = loads.isEmpty() ? new Interval(load, load, load) : within(loads);
-        int c = Math.max(1, (int) Math.round(p.parallel()));
+        double load = central.attemptRate[s][i];
+        Interval within = loads.isEmpty() ? new Interval(load, load, load) : intervalOf(loads);
+        int c = Math.max(1, (int) Math.round(p.concurrency()));
         double workS = c / Math.max(1e-9, p.capacity());
-        double shortest = p.mix().keySet().stream()
-                .mapToDouble(picture.terms()::deadlineMs)
+        double shortest = p.classMix().keySet().stream()
+                .mapToDouble(picture.settings()::deadlineMs)
                 .min()
                 .orElse(10_000);
-        double wait = Queues.allenCunneen(c, load, workS, 1, p.variation());
-        double late = Queues.waitsLonger(c, load, workS, p.variation(), Math.max(0, shortest - p.workMs()) / 1000);
-        double first = central.firstTries[s][i];
+        double wait = Queues.allenCunneen(c, load, workS, 1, p.squaredVariation());
+        double late = Queues.waitExceedsProbability(
+                c, load, workS, p.squaredVariation(), Math.max(0, shortest - p.ownWorkMs()) / 1000);
+        double first = central.firstAttemptRate[s][i];
         return new StepForecast(
                 s,
                 within,
                 central.utilisation[s][i],
-                central.slots[s][i],
-                central.connections[s][i],
+                central.slotUse[s][i],
+                central.connectionUse[s][i],
                 Double.isFinite(wait) ? wait * 1000 : -1,
                 central.responseMs[s][i],
                 late,
                 first > 0 ? load / first : 1,
-                refused(picture, p, shares, load));
+                rejectedByTenant(picture, p, shares, load));
     }
 
-    private static Map<String, Double> refused(PoolSnapshot picture, Pool p, SharePolicy shares, double load) {
+    private static Map<String, Double> rejectedByTenant(PoolSnapshot picture, Pool p, SharePolicy shares, double load) {
         Map<String, Double> wanted = new TreeMap<>();
         double grown = p.attemptRate() > 0 ? load / p.attemptRate() : 1;
-        for (PoolSnapshot.Want w : picture.tenants()) {
+        for (PoolSnapshot.TenantDemand w : picture.tenantDemand()) {
             if (w.pool().equals(p.name())) {
-                wanted.merge(w.tenant(), w.wanted() * grown, Double::sum);
+                wanted.merge(w.tenant(), w.connections() * grown, Double::sum);
             }
         }
         Map<String, Double> out = new TreeMap<>();
         if (!wanted.isEmpty()) {
             Map<String, Double> granted =
-                    shares.granted(p.name(), p.servers() * Math.min(p.slots(), p.connections()), wanted);
+                    shares.allocate(p.name(), p.servers() * Math.min(p.slots(), p.connections()), wanted);
             wanted.forEach((t, w) -> {
                 double gets = granted.getOrDefault(t, 0.0);
-                if (w > 0 && gets < w * SERVED) {
+                if (w > 0 && gets < w * FULLY_GRANTED) {
                     out.put(t, 1 - gets / w);
                 }
             });
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
@@ -20,13 +20,13 @@
 public record ForecastSettings(
         List<String> tiers,
         Map<String, ClassSettings> classes,
-        int attempts,
-        double budget,
-        int clientTries,
+        int maxAttempts,
+        double retryBudget,
+        int maxClientAttempts,
         double saturationFailureRatio,
         double saturationWindowMs,
-        double freshMs,
-        double drift,
+        double maxRecordAgeMs,
+        double clockDrift,
         double halfLifeMs) {
     /**
      * A class.
@@ -34,27 +34,27 @@
      * @param deadlineMs the time that a try of its client waits
      * @param repeatable whether it may be tried again after it may have run
      */
-    public record ClassSettings(double deadlineMs, boolean repeatable) {}
+    public record ClassSettings(double deadlineMs, boolean idempotent) {}
 
     /** Keeps its own copies; rejects what no fleet could be. */
     public ForecastSettings {
         tiers = List.copyOf(tiers);
         classes = Map.copyOf(classes);
         if (tiers.isEmpty()
-                || attempts < 1
-                || clientTries < 1
-                || !(budget >= 0)
+                || maxAttempts < 1
+                || maxClientAttempts < 1
+                || !(retryBudget >= 0)
                 || !(saturationFailureRatio > 0 && saturationFailureRatio < 1)
                 || !(saturationWindowMs > 0)
-                || !(freshMs > 0)
-                || !(drift >= 0 && drift < 0.5)
+                || !(maxRecordAgeMs > 0)
+                || !(clockDrift >= 0 && clockDrift < 0.5)
                 || !(halfLifeMs > 0)) {
             throw new IllegalArgumentException("terms out of bounds");
         }
     }
 
     /** The usual figures for these tiers and classes. */
-    public static ForecastSettings of(List<String> tiers, Map<String, ClassSettings> classes) {
+    public static ForecastSettings withDefaults(List<String> tiers, Map<String, ClassSettings> classes) {
         return new ForecastSettings(tiers, classes, 3, 0.2, 3, 0.05, 2000, 15_000, 0.01, 20_000);
     }
 
@@ -69,8 +69,8 @@
                         .orElse(10_000);
     }
 
-    boolean repeatable(String className) {
+    boolean isIdempotent(String className) {
         ClassSettings c = classes.get(className);
-        return c == null || c.repeatable();
+        return c == null || c.idempotent();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
@@ -6,11 +6,11 @@
  */
 final class MovingEstimate {
     /** What one observation says of the next, at the least: figures of neighbouring seconds are not independent. */
-    private static final double CORRELATED = 2;
+    private static final double CORRELATION_FACTOR = 2;
     /** Relative spread that a single observation leaves open. */
-    private static final double THIN = 0.3;
+    private static final double SINGLE_SAMPLE_SPREAD = 0.3;
     /** Relative spread that a minute's age adds. */
-    private static final double AGE_A_MINUTE = 0.1;
+    private static final double SPREAD_PER_MINUTE = 0.1;
 
     private final double halfLifeMs;
     private double mean;
@@ -22,7 +22,7 @@
         this.halfLifeMs = halfLifeMs;
     }
 
-    void take(double nowMs, double value) {
+    void add(double nowMs, double value) {
         if (!Double.isFinite(value)) {
             return;
         }
@@ -35,7 +35,7 @@
         lastMs = nowMs;
     }
 
-    boolean known() {
+    boolean isKnown() {
         return weight > 0;
     }
 
@@ -53,9 +53,9 @@
         if (weight == 0 || mean == 0) {
             return weight == 0 ? Double.POSITIVE_INFINITY : 0;
         }
-        double seen = variance * CORRELATED / weight / (mean * mean);
-        double thin = THIN / weight;
-        double age = AGE_A_MINUTE * Math.max(0, nowMs - lastMs) / 60_000;
+        double seen = variance * CORRELATION_FACTOR / weight / (mean * mean);
+        double thin = SINGLE_SAMPLE_SPREAD / weight;
+        double age = SPREAD_PER_MINUTE * Math.max(0, nowMs - lastMs) / 60_000;
         return Math.sqrt(seen + thin * thin + age * age);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
@@ -31,21 +31,21 @@
         @JsonProperty("plan") EvacuationPlan plan,
         @JsonProperty("status") EvacuationStatus status,
         @JsonProperty("step") int step,
-        @JsonProperty("foretold") List<Foretold> predictions,
+        @JsonProperty("foretold") List<PoolPrediction> predictions,
         @JsonProperty("verdict") Verdict verdict,
         @JsonProperty("override") boolean override,
         @JsonProperty("token") long token,
-        @JsonProperty("history") List<Entry> history) {
+        @JsonProperty("history") List<HistoryEntry> history) {
     /** Pools whose figures an agreed record carries. */
-    public static final int MOST_POOLS = 128;
+    public static final int MAX_POOLS = 128;
 
-    private static final int MOST_HISTORY = 100;
-    private static final int MOST_BYTES = 4 << 20;
+    private static final int MAX_HISTORY = 100;
+    private static final int MAX_BYTES = 4 << 20;
     private static final ObjectMapper JSON = new ObjectMapper(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
                             .maxNestingDepth(20)
                             .maxStringLength(10_000)
-                            .maxDocumentLength(MOST_BYTES)
+                            .maxDocumentLength(MAX_BYTES)
                             .build())
                     .build())
             .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, true);
@@ -59,10 +59,10 @@
      * @param rehearsal tries a second while the rehearsal holds
      * @param steps tries a second while each step holds
      */
-    public record Foretold(
+    public record PoolPrediction(
             @JsonProperty("pool") PoolName pool,
             @JsonProperty("servers") int servers,
-            @JsonProperty("before") double before,
+            @JsonProperty("before") double baselineRate,
             @JsonProperty("rehearsal") Interval rehearsal,
             @JsonProperty("steps") List<Interval> steps) {}
 
@@ -74,10 +74,10 @@
      * @param by who did it
      * @param why the reason
      */
-    public record Entry(
+    public record HistoryEntry(
             @JsonProperty("status") EvacuationStatus status,
             @JsonProperty("step") int step,
-            @JsonProperty("by") String by,
+            @JsonProperty("by") String actor,
             @JsonProperty("why") String reason) {}
 
     /** Keeps its own copies, and the latest of its history. */
@@ -85,7 +85,7 @@
         predictions = predictions == null ? List.of() : List.copyOf(predictions);
         history = history == null
                 ? List.of()
-                : List.copyOf(history.subList(Math.max(0, history.size() - MOST_HISTORY), history.size()));
+                : List.copyOf(history.subList(Math.max(0, history.size() - MAX_HISTORY), history.size()));
     }
 
     /** A new plan. */
@@ -98,7 +98,7 @@
                 null,
                 false,
                 0,
-                List.of(new Entry(EvacuationStatus.DRAFTED, 0, by, "")));
+                List.of(new HistoryEntry(EvacuationStatus.DRAFTED, 0, by, "")));
     }
 
     /**
@@ -107,9 +107,9 @@
      * @throws IllegalStateException if that may not come after where it stands
      */
     public PlanState transitionTo(EvacuationStatus next, int nextStep, long byToken, String by, String why) {
-        if (!status.next().contains(next)) {
+        if (!status.allowedNext().contains(next)) {
             throw new IllegalStateException(
-                    plan.name() + " is " + name(status) + "; it can't be " + name(next) + " next");
+                    plan.name() + " is " + lowerCaseName(status) + "; it can't be " + lowerCaseName(next) + " next");
         }
         if (next == EvacuationStatus.EVACUATING && status == EvacuationStatus.FORECAST && !override) {
             throw new IllegalStateException(plan.name() + " has not passed a rehearsal; staff may override that");
@@ -117,19 +117,19 @@
         if (next == status && next != EvacuationStatus.FORECAST && nextStep != step + 1) {
             throw new IllegalStateException("step " + nextStep + " does not follow step " + step);
         }
-        List<Entry> longer = new ArrayList<>(history);
-        longer.add(new Entry(next, nextStep, by, why));
+        List<HistoryEntry> longer = new ArrayList<>(history);
+        longer.add(new HistoryEntry(next, nextStep, by, why));
         return new PlanState(plan, next, nextStep, predictions, verdict, override, byToken, longer);
     }
 
     /** The same with what a forecast says. */
-    public PlanState predictions(List<Foretold> now, Verdict of, String by) {
-        PlanState next = transitionTo(EvacuationStatus.FORECAST, 0, 0, by, name(of));
+    public PlanState predictions(List<PoolPrediction> now, Verdict of, String by) {
+        PlanState next = transitionTo(EvacuationStatus.FORECAST, 0, 0, by, lowerCaseName(of));
         return new PlanState(plan, next.status(), 0, now, of, false, 0, next.history());
     }
 
     /** The same, to be carried out whatever its rehearsal said. */
-    public PlanState overridden() {
+    public PlanState withOverride() {
         return new PlanState(plan, status, step, predictions, verdict, true, token, history);
     }
 
@@ -139,22 +139,22 @@
             case REHEARSING -> 1 - plan.rehearsalFraction();
             case EVACUATING -> 1 - plan.movedFraction(step + 1);
             case EVACUATED -> 1 - plan.movedFraction(plan.steps().size());
-            case RETURNING -> 1 - plan.stillMoved(step + 1);
+            case RETURNING -> 1 - plan.movedFractionDuringReturn(step + 1);
             default -> 1;
         };
     }
 
     /** What nodes are to be told. */
-    public Map<String, Double> parts() {
+    public Map<String, Double> zoneWeights() {
         return Map.of(plan.zone(), Math.max(0, retainedFraction()));
     }
 
-    static String name(Enum<?> e) {
+    static String lowerCaseName(Enum<?> e) {
         return e.name().toLowerCase(java.util.Locale.ROOT);
     }
 
     /** As bytes, for the agreed record. */
-    public byte[] bytes() {
+    public byte[] encode() {
         try {
             return JSON.writeValueAsBytes(this);
         } catch (JsonProcessingException e) {
@@ -167,32 +167,29 @@
      *
      * @throws IOException if it is not one
      */
-    public static PlanState read(byte[] bytes) throws IOException {
-        PlanState s = bytes.length > MOST_BYTES ? null : JSON.readValue(bytes, PlanState.class);
+    public static PlanState decode(byte[] bytes) throws IOException {
+        PlanState s = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, PlanState.class);
         if (s == null
                 || s.plan() == null
                 || s.status() == null
                 || s.plan().zone() == null
                 || s.step() < 0
-                || s.step() > EvacuationPlan.MOST
-                || s.plan().steps().size() > EvacuationPlan.MOST
-                || s.predictions().size() > MOST_POOLS) {
+                || s.step() > EvacuationPlan.MAX_ENTRIES
+                || s.plan().steps().size() > EvacuationPlan.MAX_ENTRIES
+                || s.predictions().size() > MAX_POOLS) {
             throw new IOException("not a plan's record");
         }
         return s;
     }
 
     /** What the forecasts of a plan and of its rehearsal say, as the record carries it. */
-    public static List<Foretold> predictions(PoolSnapshot picture, Forecast all, Forecast rehearsal) {
-        List<Foretold> out = new ArrayList<>();
+    public static List<PoolPrediction> predictions(PoolSnapshot picture, Forecast all, Forecast rehearsal) {
+        List<PoolPrediction> out = new ArrayList<>();
         for (Forecast.PoolForecast p : all.pools()) {
             Forecast.PoolForecast r = rehearsal.of(p.pool());
             PoolSnapshot.Pool now = picture.pool(p.pool());
-            if (out.size() < MOST_POOLS
-                    && now != null
-                    && r != null
-                    && !r.steps().isEmpty()) {
-                out.add(new Foretold(
+            if (out.size() < MAX_POOLS && now != null && r != null && !r.steps().isEmpty()) {
+                out.add(new PoolPrediction(
                         p.pool(),
                         now.servers(),
                         now.attemptRate(),
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolObservation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolObservation.java
@@ -36,10 +36,10 @@
         @JsonProperty("latencyMs") double latencyMs,
         @JsonProperty("squaredVariation") double squaredVariation,
         @JsonProperty("failed") double failureRatio,
-        @JsonProperty("overMs") double overMs,
+        @JsonProperty("overMs") double windowMs,
         @JsonProperty("utilisation") double utilisation,
         @JsonProperty("connections") double connections,
-        @JsonProperty("coldFrom") double coldFrom,
-        @JsonProperty("coldMs") double coldMs,
-        @JsonProperty("slowPart") double slowPart,
-        @JsonProperty("slowAt") double slowAt) {}
+        @JsonProperty("coldFrom") double coldCapacityRatio,
+        @JsonProperty("coldMs") double warmUpMs,
+        @JsonProperty("slowPart") double degradedCapacityRatio,
+        @JsonProperty("slowAt") double degradedAtCalls) {}
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
@@ -14,7 +14,11 @@
  * @param tenants connections that tenants want of a pool, and for how many there is room by their shares
  */
 public record PoolSnapshot(
-        ForecastSettings terms, List<Pool> pools, List<Flow> flows, List<Missing> missing, List<Want> tenants) {
+        ForecastSettings settings,
+        List<Pool> pools,
+        List<Flow> flows,
+        List<MissingNode> missingNodes,
+        List<TenantDemand> tenantDemand) {
     /**
      * A pool.
      *
@@ -46,27 +50,27 @@
             double connections,
             double capacity,
             double capacitySpread,
-            double workMs,
-            double variation,
-            double parallel,
-            double calls,
+            double ownWorkMs,
+            double squaredVariation,
+            double concurrency,
+            double callsPerAttempt,
             double callsSpread,
-            Map<String, Double> mix,
-            double coldFrom,
-            double coldMs,
-            double slowPart,
-            double slowAt,
+            Map<String, Double> classMix,
+            double coldCapacityRatio,
+            double warmUpMs,
+            double degradedCapacityRatio,
+            double degradedAtCalls,
             double correction,
             double correctionSpread,
             double attemptRate,
-            String unknown) {
+            String unknownReason) {
         /** What one server can do, tries a second. */
-        double capacityEach() {
+        double capacityPerServer() {
             return capacity / Math.max(1, servers);
         }
 
         /** The same pool with so many servers of the same sort more. */
-        Pool with(int more) {
+        Pool withMoreServers(int more) {
             double grown = (servers + more) / (double) Math.max(1, servers);
             return new Pool(
                     name,
@@ -75,20 +79,20 @@
                     connections,
                     capacity * grown,
                     capacitySpread,
-                    workMs,
-                    variation,
-                    parallel * grown,
-                    calls,
+                    ownWorkMs,
+                    squaredVariation,
+                    concurrency * grown,
+                    callsPerAttempt,
                     callsSpread,
-                    mix,
-                    coldFrom,
-                    coldMs,
-                    slowPart,
-                    slowAt,
+                    classMix,
+                    coldCapacityRatio,
+                    warmUpMs,
+                    degradedCapacityRatio,
+                    degradedAtCalls,
                     correction,
                     correctionSpread,
                     attemptRate,
-                    unknown);
+                    unknownReason);
         }
     }
 
@@ -100,7 +104,7 @@
      * @param rate first tries a second
      * @param spread its spread
      */
-    public record Flow(String origin, PoolName to, double rate, double spread) {}
+    public record Flow(String origin, PoolName pool, double rate, double spread) {}
 
     /**
      * A node that is not heard.
@@ -109,7 +113,7 @@
      * @param zone its zone
      * @param why the reason
      */
-    public record Missing(String node, String zone, String why) {}
+    public record MissingNode(String node, String zone, String reason) {}
 
     /**
      * What a tenant wants of a pool.
@@ -118,14 +122,14 @@
      * @param tenant the tenant
      * @param wanted connections that it would use now
      */
-    public record Want(PoolName pool, String tenant, double wanted) {}
+    public record TenantDemand(PoolName pool, String tenant, double connections) {}
 
     /** Keeps its own copies. */
     public PoolSnapshot {
         pools = List.copyOf(pools);
         flows = List.copyOf(flows);
-        missing = List.copyOf(missing);
-        tenants = List.copyOf(tenants);
+        missingNodes = List.copyOf(missingNodes);
+        tenantDemand = List.copyOf(tenantDemand);
     }
 
     /** The pool of this name; null if there is none. */
@@ -141,7 +145,7 @@
     }
 
     /** The same with other pools. */
-    PoolSnapshot with(List<Pool> others) {
-        return new PoolSnapshot(terms, others, flows, missing, tenants);
+    PoolSnapshot withPools(List<Pool> others) {
+        return new PoolSnapshot(settings, others, flows, missingNodes, tenantDemand);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
@@ -10,14 +10,14 @@
 
 /** Looks for the fastest order of steps that saturates nothing, or says what is missing for one. */
 public final class Proposer {
-    private static final int COURSES = 40;
+    private static final int TRAJECTORIES = 40;
     /** A step order is taken only if no pool saturates in more of the courses. */
-    private static final double MOST_PART = 0.1;
+    private static final double MAX_SATURATION_PROBABILITY = 0.1;
 
-    private static final int[] STEPS = {1, 2, 3, 4, 6, 8, 12, 16};
-    private static final double[] FIRST = {0.9, 0.8, 0.7, 0.6, 0.5, 0.4, 0.3, 0.2, 0.1};
-    private static final int ROUNDS = 60;
-    private static final double GROWTH = 0.08;
+    private static final int[] STEP_COUNTS = {1, 2, 3, 4, 6, 8, 12, 16};
+    private static final double[] FIRST_FRACTIONS = {0.9, 0.8, 0.7, 0.6, 0.5, 0.4, 0.3, 0.2, 0.1};
+    private static final int MAX_ROUNDS = 60;
+    private static final double GROWTH_PER_ROUND = 0.08;
 
     /**
      * What was found.
@@ -27,7 +27,8 @@
      * @param missing servers by pool with which one step would do; empty if there is a plan or nothing can be said
      * @param why why there is none; null if there is
      */
-    public record Proposal(EvacuationPlan plan, Forecast forecast, Map<PoolName, Integer> missing, String why) {}
+    public record Proposal(
+            EvacuationPlan plan, Forecast forecast, Map<PoolName, Integer> additionalServers, String reason) {}
 
     private Proposer() {}
 
@@ -40,22 +41,23 @@
     public static Proposal propose(
             PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, SharePolicy shares, long seed) {
         Forecast atOnce = null;
-        for (int n : STEPS) {
-            EvacuationPlan p = wanted.with(even(1, n, pauseMs));
+        for (int n : STEP_COUNTS) {
+            EvacuationPlan p = wanted.withSteps(evenSteps(1, n, pauseMs));
             Forecast f = forecast(picture, p, shares, seed);
             if (f.verdict() == Verdict.UNKNOWN || f.pools().stream().anyMatch(x -> x.verdict() == Verdict.UNKNOWN)) {
                 return new Proposal(null, f, Map.of(), "not all pools are known");
             }
-            if (holds(f)) {
+            if (nothingSaturates(f)) {
                 return new Proposal(p, f, Map.of(), null);
             }
             atOnce = atOnce == null ? f : atOnce;
         }
-        EvacuationPlan later = afterServersCame(picture, wanted, pauseMs, shares, seed);
+        EvacuationPlan later = findPlanThatWaitsForAddedServers(picture, wanted, pauseMs, shares, seed);
         if (later != null) {
             return new Proposal(later, forecast(picture, later, shares, seed), Map.of(), null);
         }
-        Map<PoolName, Integer> missing = missing(picture, wanted.with(even(1, 1, pauseMs)), shares, seed);
+        Map<PoolName, Integer> missing =
+                findAdditionalServers(picture, wanted.withSteps(evenSteps(1, 1, pauseMs)), shares, seed);
         return new Proposal(
                 null,
                 atOnce,
@@ -70,15 +72,16 @@
         for (int i = 0; i < moved.length; i++) {
             moved[i] = p.movedFraction(i + 1);
         }
-        return Forecast.of(picture, p, moved, shares, seed, COURSES);
+        return Forecast.of(picture, p, moved, shares, seed, TRAJECTORIES);
     }
 
-    private static boolean holds(Forecast f) {
+    private static boolean nothingSaturates(Forecast f) {
         return f.pools().stream()
-                .allMatch(p -> p.verdict() != Verdict.UNKNOWN && p.saturationProbability() < MOST_PART);
+                .allMatch(
+                        p -> p.verdict() != Verdict.UNKNOWN && p.saturationProbability() < MAX_SATURATION_PROBABILITY);
     }
 
-    private static List<EvacuationPlan.Step> even(double part, int n, double pauseMs) {
+    private static List<EvacuationPlan.Step> evenSteps(double part, int n, double pauseMs) {
         List<EvacuationPlan.Step> steps = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             steps.add(new EvacuationPlan.Step(part / n, pauseMs));
@@ -87,23 +90,23 @@
     }
 
     /** What holds at once, then a wait until the servers that come are warm, then the rest. */
-    private static EvacuationPlan afterServersCame(
+    private static EvacuationPlan findPlanThatWaitsForAddedServers(
             PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, SharePolicy shares, long seed) {
         double warm = 0;
-        for (EvacuationPlan.Comes c : wanted.comes()) {
+        for (EvacuationPlan.AddedServers c : wanted.addedServers()) {
             Pool p = picture.pool(c.pool());
-            warm = Math.max(warm, c.afterMs() + (p == null ? 0 : p.coldMs()));
+            warm = Math.max(warm, c.afterMs() + (p == null ? 0 : p.warmUpMs()));
         }
         if (warm == 0) {
             return null;
         }
-        for (double first : FIRST) {
-            for (int n : STEPS) {
+        for (double first : FIRST_FRACTIONS) {
+            for (int n : STEP_COUNTS) {
                 List<EvacuationPlan.Step> steps = new ArrayList<>();
                 steps.add(new EvacuationPlan.Step(first, Math.max(pauseMs, warm)));
-                steps.addAll(even(1 - first, n, pauseMs));
-                EvacuationPlan p = wanted.with(steps);
-                if (holds(forecast(picture, p, shares, seed))) {
+                steps.addAll(evenSteps(1 - first, n, pauseMs));
+                EvacuationPlan p = wanted.withSteps(steps);
+                if (nothingSaturates(forecast(picture, p, shares, seed))) {
                     return p;
                 }
             }
@@ -112,17 +115,17 @@
     }
 
     /** Grows the pools that fall until none does, then takes back what was too much. */
-    private static Map<PoolName, Integer> missing(
+    private static Map<PoolName, Integer> findAdditionalServers(
             PoolSnapshot picture, EvacuationPlan atOnce, SharePolicy shares, long seed) {
         Map<PoolName, Integer> more = new TreeMap<>();
         boolean done = false;
-        for (int round = 0; round < ROUNDS && !done; round++) {
-            Forecast f = forecast(grown(picture, more), atOnce, shares, seed);
-            done = holds(f);
+        for (int round = 0; round < MAX_ROUNDS && !done; round++) {
+            Forecast f = forecast(withServersAdded(picture, more), atOnce, shares, seed);
+            done = nothingSaturates(f);
             for (PoolForecast p : f.pools()) {
-                if (p.saturationProbability() >= MOST_PART) {
+                if (p.saturationProbability() >= MAX_SATURATION_PROBABILITY) {
                     Pool pool = picture.pool(p.pool());
-                    more.merge(p.pool(), Math.max(1, (int) (pool.servers() * GROWTH)), Integer::sum);
+                    more.merge(p.pool(), Math.max(1, (int) (pool.servers() * GROWTH_PER_ROUND)), Integer::sum);
                 }
             }
         }
@@ -134,7 +137,7 @@
                 Map<PoolName, Integer> less = new TreeMap<>(more);
                 less.merge(name, -1, Integer::sum);
                 less.values().removeIf(n -> n == 0);
-                if (!holds(forecast(grown(picture, less), atOnce, shares, seed))) {
+                if (!nothingSaturates(forecast(withServersAdded(picture, less), atOnce, shares, seed))) {
                     break;
                 }
                 more.clear();
@@ -144,11 +147,11 @@
         return more;
     }
 
-    private static PoolSnapshot grown(PoolSnapshot picture, Map<PoolName, Integer> more) {
+    private static PoolSnapshot withServersAdded(PoolSnapshot picture, Map<PoolName, Integer> more) {
         List<Pool> pools = new ArrayList<>();
         for (Pool p : picture.pools()) {
-            pools.add(p.with(more.getOrDefault(p.name(), 0)));
+            pools.add(p.withMoreServers(more.getOrDefault(p.name(), 0)));
         }
-        return picture.with(pools);
+        return picture.withPools(pools);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Queues.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Queues.java
@@ -36,7 +36,7 @@
     }
 
     /** Mean number that wait in M/M/c by Sakasegawa, at the load rho of each server; c need not be whole. */
-    static double waiting(double c, double rho) {
+    static double sakasegawaQueueLength(double c, double rho) {
         return rho >= 1 ? Double.POSITIVE_INFINITY : Math.pow(rho, Math.sqrt(2 * (c + 1))) / (1 - rho);
     }
 
@@ -44,7 +44,7 @@
      * The part of arrivals whose wait is longer than this: the wait of those that must wait is taken for exponential
      * (exact in M/M/c).
      */
-    static double waitsLonger(int c, double arrivals, double work, double workVariation, double than) {
+    static double waitExceedsProbability(int c, double arrivals, double work, double workVariation, double than) {
         double offered = arrivals * work;
         double wait = allenCunneen(c, arrivals, work, 1, workVariation);
         if (!Double.isFinite(wait)) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/SharePolicy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/SharePolicy.java
@@ -13,7 +13,7 @@
      * @param connections what there is
      * @param wanted what each tenant wants
      */
-    Map<String, Double> granted(PoolName pool, double connections, Map<String, Double> wanted);
+    Map<String, Double> allocate(PoolName pool, double connections, Map<String, Double> wanted);
 
     /** Max-min fairness by water-filling with these weights; a tenant that has none weighs 1. */
     static SharePolicy maxMin(Map<String, Double> weights) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
@@ -18,19 +18,19 @@
 public record WeightCommand(
         @JsonProperty("token") long token,
         @JsonProperty("epoch") long epoch,
-        @JsonProperty("parts") Map<String, Double> parts,
-        @JsonProperty("forMs") double forMs) {
+        @JsonProperty("parts") Map<String, Double> weights,
+        @JsonProperty("forMs") double validForMs) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST_BYTES = 64 * 1024;
-    private static final double LONGEST_MS = 120_000;
+    private static final int MAX_BYTES = 64 * 1024;
+    private static final double MAX_VALIDITY_MS = 120_000;
 
     /** Keeps its own copy. */
     public WeightCommand {
-        parts = parts == null ? Map.of() : Map.copyOf(parts);
+        weights = weights == null ? Map.of() : Map.copyOf(weights);
     }
 
     /** As bytes. */
-    public byte[] bytes() {
+    public byte[] encode() {
         try {
             return JSON.writeValueAsBytes(this);
         } catch (JsonProcessingException e) {
@@ -44,10 +44,10 @@
      * @throws IOException if it is not one, or asks for what no plan may
      */
     public static WeightCommand decode(byte[] bytes) throws IOException {
-        WeightCommand o = bytes.length > MOST_BYTES ? null : JSON.readValue(bytes, WeightCommand.class);
+        WeightCommand o = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, WeightCommand.class);
         if (o == null
-                || !(o.forMs() > 0 && o.forMs() <= LONGEST_MS)
-                || o.parts().values().stream().anyMatch(p -> !(p >= 0 && p <= 1))) {
+                || !(o.validForMs() > 0 && o.validForMs() <= MAX_VALIDITY_MS)
+                || o.weights().values().stream().anyMatch(p -> !(p >= 0 && p <= 1))) {
             throw new IOException("not an order");
         }
         return o;
--- a/fleet/src/main/java/brackenbridge/fleet/share/Allocation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/Allocation.java
@@ -10,7 +10,7 @@
  * @param nodes for each node, connections for each tenant; together a whole number
  * @param tenants for each tenant, what it has, wants and would have
  */
-public record Allocation(Map<String, Map<String, Double>> nodes, Map<String, Part> tenants) {
+public record Allocation(Map<String, Map<String, Double>> connectionsByNode, Map<String, TenantAllocation> tenants) {
     /** Nothing to divide. */
     public static final Allocation NONE = new Allocation(Map.of(), Map.of());
 
@@ -23,7 +23,7 @@
      * @param floor its floor, or less where it wants less
      * @param weight its weight within its group
      */
-    public record Part(double given, double wanted, double entitled, double floor, double weight) {}
+    public record TenantAllocation(double allocated, double demand, double entitlement, double floor, double weight) {}
 
     /**
      * Connections that one tenant does not use of its part and another has.
@@ -37,14 +37,14 @@
     /** Who lends to whom: what is lent is taken by each borrower in proportion to what it has over its own. */
     public List<Loan> loans() {
         double borrowed = tenants.values().stream()
-                .mapToDouble(p -> Math.max(0, p.given() - p.entitled()))
+                .mapToDouble(p -> Math.max(0, p.allocated() - p.entitlement()))
                 .sum();
         List<Loan> loans = new ArrayList<>();
         tenants.forEach((from, f) -> tenants.forEach((to, t) -> {
-            double lent = f.entitled() - f.given();
-            double part = lent * (t.given() - t.entitled()) / borrowed;
+            double lent = f.entitlement() - f.allocated();
+            double part = lent * (t.allocated() - t.entitlement()) / borrowed;
             // Guards against a list of all pairs: less than a tenth of a connection is nobody's concern.
-            if (lent > 0 && t.given() > t.entitled() && part >= 0.1) {
+            if (lent > 0 && t.allocated() > t.entitlement() && part >= 0.1) {
                 loans.add(new Loan(from, to, part));
             }
         }));
@@ -52,8 +52,8 @@
     }
 
     /** Connections of a node over all its tenants. */
-    public int total(String node) {
-        return (int) Math.round(nodes.getOrDefault(node, Map.of()).values().stream()
+    public int nodeTotal(String node) {
+        return (int) Math.round(connectionsByNode.getOrDefault(node, Map.of()).values().stream()
                 .mapToDouble(d -> d)
                 .sum());
     }
--- a/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
@@ -25,22 +25,22 @@
     private static final double HEADROOM = 0.05;
 
     private static final double HEADROOM_ROOT = 0.25;
-    private static final double LEAST = 1e-9;
+    private static final double EPSILON = 1e-9;
 
-    private final Map<String, Double> carried = new HashMap<>();
+    private final Map<String, Double> roundingCarry = new HashMap<>();
 
-    private static final class Place {
+    private static final class RuleNode {
         private final String key;
         private final Rule rule;
-        private final List<Place> under = new ArrayList<>();
-        private final Map<String, Double> demand = new TreeMap<>();
-        private double wanted;
+        private final List<RuleNode> children = new ArrayList<>();
+        private final Map<String, Double> demandByNode = new TreeMap<>();
+        private double demand;
         private double floor;
         private double ceiling;
-        private double given;
-        private double entitled;
+        private double allocated;
+        private double entitlement;
 
-        private Place(String key, Rule rule) {
+        private RuleNode(String key, Rule rule) {
             this.key = key;
             this.rule = rule;
             this.ceiling = rule.ceiling();
@@ -54,143 +54,146 @@
      * @param rules weights, floors and ceilings
      * @param demand for each node and tenant, connections that are believed to be wanted there
      */
-    public Allocation divide(int capacity, ShareRules rules, Map<String, Map<String, Double>> demand) {
-        Place root = tree(rules, demand);
+    public Allocation allocate(int capacity, ShareRules rules, Map<String, Map<String, Double>> demand) {
+        RuleNode root = buildTree(rules, demand);
         prune(root);
-        if (root.under.isEmpty() || capacity <= 0) {
-            carried.clear();
+        if (root.children.isEmpty() || capacity <= 0) {
+            roundingCarry.clear();
             return Allocation.NONE;
         }
-        root.given = capacity;
-        give(root, false, false);
-        give(root, true, false);
-        root.entitled = capacity;
-        give(root, true, true);
-        List<Place> leaves = new ArrayList<>();
-        leaves(root, leaves);
+        root.allocated = capacity;
+        distribute(root, false, false);
+        distribute(root, true, false);
+        root.entitlement = capacity;
+        distribute(root, true, true);
+        List<RuleNode> leaves = new ArrayList<>();
+        collectLeaves(root, leaves);
         Map<String, Map<String, Double>> exact = new TreeMap<>();
-        Map<String, Allocation.Part> parts = new LinkedHashMap<>();
-        for (Place p : leaves) {
+        Map<String, Allocation.TenantAllocation> parts = new LinkedHashMap<>();
+        for (RuleNode p : leaves) {
             parts.put(
                     p.key,
-                    new Allocation.Part(p.given, p.wanted, p.entitled, Math.min(p.floor, p.wanted), p.rule.weight()));
-            double sum = p.demand.values().stream().mapToDouble(d -> d).sum();
-            p.demand.forEach((node, d) ->
-                    exact.computeIfAbsent(node, k -> new HashMap<>()).put(p.key, p.given * d / sum));
+                    new Allocation.TenantAllocation(
+                            p.allocated, p.demand, p.entitlement, Math.min(p.floor, p.demand), p.rule.weight()));
+            double sum = p.demandByNode.values().stream().mapToDouble(d -> d).sum();
+            p.demandByNode.forEach((node, d) ->
+                    exact.computeIfAbsent(node, k -> new HashMap<>()).put(p.key, p.allocated * d / sum));
         }
-        return new Allocation(whole(capacity, exact), parts);
+        return new Allocation(roundToWholeConnections(capacity, exact), parts);
     }
 
-    private static Place tree(ShareRules rules, Map<String, Map<String, Double>> demand) {
-        Place root = new Place("", new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()));
-        Map<String, Place> leaves = new HashMap<>();
+    private static RuleNode buildTree(ShareRules rules, Map<String, Map<String, Double>> demand) {
+        RuleNode root = new RuleNode("", new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()));
+        Map<String, RuleNode> leaves = new HashMap<>();
         for (Rule g : rules.groups()) {
-            Place group = new Place(g.name(), g);
-            root.under.add(group);
-            for (Rule t : g.under()) {
-                Place tenant = new Place(t.name(), t);
-                group.under.add(tenant);
-                if (t.under().isEmpty()) {
+            RuleNode group = new RuleNode(g.name(), g);
+            root.children.add(group);
+            for (Rule t : g.children()) {
+                RuleNode tenant = new RuleNode(t.name(), t);
+                group.children.add(tenant);
+                if (t.children().isEmpty()) {
                     leaves.put(t.name(), tenant);
                 } else {
                     // Calls of classes that are not named stand beside the named ones, with weight 1.
-                    Place unnamed = new Place(t.name(), new Rule(t.name(), 1, 0, Double.POSITIVE_INFINITY, List.of()));
-                    tenant.under.add(unnamed);
+                    RuleNode unnamed =
+                            new RuleNode(t.name(), new Rule(t.name(), 1, 0, Double.POSITIVE_INFINITY, List.of()));
+                    tenant.children.add(unnamed);
                     leaves.put(t.name(), unnamed);
-                    for (Rule c : t.under()) {
-                        Place place = new Place(t.name() + "/" + c.name(), c);
-                        tenant.under.add(place);
+                    for (Rule c : t.children()) {
+                        RuleNode place = new RuleNode(t.name() + "/" + c.name(), c);
+                        tenant.children.add(place);
                         leaves.put(place.key, place);
                     }
                 }
             }
         }
-        Place others = new Place("", rules.others());
-        root.under.add(others);
+        RuleNode others = new RuleNode("", rules.others());
+        root.children.add(others);
         demand.forEach((node, tenants) -> tenants.forEach((key, d) -> {
             if (d > 0) {
                 leaves.computeIfAbsent(key, k -> {
-                            Place p = new Place(k, new Rule(k, 1, 0, Double.POSITIVE_INFINITY, List.of()));
-                            others.under.add(p);
+                            RuleNode p = new RuleNode(k, new Rule(k, 1, 0, Double.POSITIVE_INFINITY, List.of()));
+                            others.children.add(p);
                             return p;
                         })
-                        .demand
+                        .demandByNode
                         .put(node, d * (1 + HEADROOM) + HEADROOM_ROOT * Math.sqrt(d));
             }
         }));
-        others.under.sort(Comparator.comparing(p -> p.key));
+        others.children.sort(Comparator.comparing(p -> p.key));
         return root;
     }
 
     /** Takes away what has no demand, and sums up what is left. */
-    private static void prune(Place p) {
-        p.under.forEach(Allocator::prune);
-        p.under.removeIf(u -> u.wanted <= 0);
-        double sum = p.demand.values().stream().mapToDouble(d -> d).sum();
+    private static void prune(RuleNode p) {
+        p.children.forEach(Allocator::prune);
+        p.children.removeIf(u -> u.demand <= 0);
+        double sum = p.demandByNode.values().stream().mapToDouble(d -> d).sum();
         double floors = 0;
-        double ceilings = p.under.isEmpty() ? Double.POSITIVE_INFINITY : 0;
-        for (Place u : p.under) {
-            sum += u.wanted;
+        double ceilings = p.children.isEmpty() ? Double.POSITIVE_INFINITY : 0;
+        for (RuleNode u : p.children) {
+            sum += u.demand;
             floors += u.floor;
             ceilings += u.ceiling;
         }
         p.ceiling = Math.min(p.ceiling, ceilings);
-        p.wanted = Math.min(p.ceiling, sum);
-        p.floor = Math.min(p.wanted, Math.max(p.rule.floor(), floors));
+        p.demand = Math.min(p.ceiling, sum);
+        p.floor = Math.min(p.demand, Math.max(p.rule.floor(), floors));
     }
 
     /** Divides what a place has among those under it: what is wanted, what is left, or what each is entitled to. */
-    private static void give(Place p, boolean all, boolean entitled) {
-        int n = p.under.size();
+    private static void distribute(RuleNode p, boolean all, boolean entitled) {
+        int n = p.children.size();
         double[] weights = new double[n];
         double[] floors = new double[n];
         double[] most = new double[n];
         for (int i = 0; i < n; i++) {
-            Place u = p.under.get(i);
+            RuleNode u = p.children.get(i);
             weights[i] = u.rule.weight();
-            floors[i] = all && !entitled ? u.given : u.floor;
-            most[i] = all ? Math.max(u.ceiling, floors[i]) : u.wanted;
-            most[i] = Math.min(most[i], Math.max(floors[i], entitled ? p.entitled : p.given));
+            floors[i] = all && !entitled ? u.allocated : u.floor;
+            most[i] = all ? Math.max(u.ceiling, floors[i]) : u.demand;
+            most[i] = Math.min(most[i], Math.max(floors[i], entitled ? p.entitlement : p.allocated));
         }
-        double[] given = WaterFilling.fill(entitled ? p.entitled : p.given, weights, floors, most);
+        double[] given = WaterFilling.fill(entitled ? p.entitlement : p.allocated, weights, floors, most);
         for (int i = 0; i < n; i++) {
-            Place u = p.under.get(i);
+            RuleNode u = p.children.get(i);
             if (entitled) {
-                u.entitled = given[i];
+                u.entitlement = given[i];
             } else {
-                u.given = given[i];
+                u.allocated = given[i];
             }
-            give(u, all, entitled);
+            distribute(u, all, entitled);
         }
     }
 
-    private static void leaves(Place p, List<Place> found) {
-        if (p.under.isEmpty()) {
+    private static void collectLeaves(RuleNode p, List<RuleNode> found) {
+        if (p.children.isEmpty()) {
             found.add(p);
         }
-        p.under.forEach(u -> leaves(u, found));
+        p.children.forEach(u -> collectLeaves(u, found));
     }
 
-    private Map<String, Map<String, Double>> whole(int capacity, Map<String, Map<String, Double>> exact) {
+    private Map<String, Map<String, Double>> roundToWholeConnections(
+            int capacity, Map<String, Map<String, Double>> exact) {
         Map<String, Double> sums = new TreeMap<>();
         exact.forEach((node, tenants) ->
                 sums.put(node, tenants.values().stream().mapToDouble(d -> d).sum()));
-        carried.keySet().retainAll(sums.keySet());
+        roundingCarry.keySet().retainAll(sums.keySet());
         double all =
                 Math.min(capacity, sums.values().stream().mapToDouble(d -> d).sum());
         int left = (int) Math.floor(all + 1e-6);
         Map<String, Integer> totals = new TreeMap<>();
         boolean one = left >= sums.size();
         for (Map.Entry<String, Double> e : sums.entrySet()) {
-            double due = e.getValue() + carried.getOrDefault(e.getKey(), 0.0);
-            int t = Math.max(one ? 1 : 0, (int) Math.floor(due + LEAST));
+            double due = e.getValue() + roundingCarry.getOrDefault(e.getKey(), 0.0);
+            int t = Math.max(one ? 1 : 0, (int) Math.floor(due + EPSILON));
             totals.put(e.getKey(), t);
             left -= t;
         }
         List<String> byRemainder = new ArrayList<>(sums.keySet());
-        byRemainder.sort(
-                Comparator.comparingDouble((String k) -> totals.get(k) - sums.get(k) - carried.getOrDefault(k, 0.0))
-                        .thenComparing(k -> k));
+        byRemainder.sort(Comparator.comparingDouble(
+                        (String k) -> totals.get(k) - sums.get(k) - roundingCarry.getOrDefault(k, 0.0))
+                .thenComparing(k -> k));
         for (int i = 0; left > 0 && i < byRemainder.size(); i++, left--) {
             totals.merge(byRemainder.get(i), 1, Integer::sum);
         }
@@ -210,7 +213,7 @@
         exact.forEach((node, tenants) -> {
             double sum = sums.get(node);
             int t = totals.get(node);
-            carried.put(node, Math.max(-1, Math.min(1, sum + carried.getOrDefault(node, 0.0) - t)));
+            roundingCarry.put(node, Math.max(-1, Math.min(1, sum + roundingCarry.getOrDefault(node, 0.0) - t)));
             Map<String, Double> scaled = new TreeMap<>();
             tenants.forEach((k, d) -> scaled.put(k, sum > 0 ? d * t / sum : 0));
             found.put(node, scaled);
--- a/fleet/src/main/java/brackenbridge/fleet/share/PoolUse.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/PoolUse.java
@@ -11,7 +11,7 @@
  * @param meanMs how long one of its calls holds a connection, in milliseconds
  */
 public record PoolUse(
-        @JsonProperty("wanted") double wanted,
-        @JsonProperty("used") double used,
-        @JsonProperty("refused") double refused,
+        @JsonProperty("wanted") double demand,
+        @JsonProperty("used") double inUse,
+        @JsonProperty("refused") double rejectedPerSecond,
         @JsonProperty("meanMs") double meanMs) {}
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -21,62 +21,63 @@
  */
 public final class QuotaLeaseClient {
     /** Tenants that a question names; the smaller ones count together. */
-    static final int MOST_NAMED = 1000;
+    static final int MAX_NAMED_TENANTS = 1000;
     /** How fast demand's estimate follows, in milliseconds. */
-    private static final double FOLLOW_MS = 150;
+    private static final double DEMAND_TIME_CONSTANT_MS = 150;
     /** At what part of the time to drain calls are given up: the rest is for doing so. */
-    private static final double GIVE_UP = 0.85;
+    private static final double CANCEL_AT_DRAIN_FRACTION = 0.85;
 
     private final String pool;
     private final QuotaLeaseTerms terms;
-    private final long life;
+    private final long incarnation;
     private final Map<String, PoolUse> demand = new HashMap<>();
-    private double readAtMs = Double.NaN;
-    private long asked;
-    private double askedAtMs = Double.NEGATIVE_INFINITY;
-    private long acting;
-    private long token;
-    private long heard;
-    private double untilMs = Double.NEGATIVE_INFINITY;
-    private double answeredAtMs;
+    private double demandReadAtMs = Double.NaN;
+    private long lastRequest;
+    private double requestedAtMs = Double.NEGATIVE_INFINITY;
+    private long activeRequest;
+    private long grantToken;
+    private long highestToken;
+    private double leaseEndMs = Double.NEGATIVE_INFINITY;
+    private double grantReceivedAtMs;
     private int capacity;
     /** The smallest that the pool was since the last question. */
-    private int lowest;
+    private int lowestCapacity;
 
     private int members;
-    private int leased;
-    private int leasedOf = 1;
-    private Map<String, Double> lease = Map.of();
-    private int busy;
-    private boolean toAck;
-    private boolean nudged;
-    private long epoch;
-    private double tellAtMs = Double.NEGATIVE_INFINITY;
+    private int leasedTotal;
+    private int leaseCapacity = 1;
+    private Map<String, Double> leaseByTenant = Map.of();
+    private int inUse;
+    private boolean ackPending;
+    private boolean requestSoon;
+    private long quotaEpoch;
+    private double nextUpdateMs = Double.NEGATIVE_INFINITY;
 
     /** A node that starts now. */
     public QuotaLeaseClient(String pool, QuotaLeaseTerms terms, long life, double nowMs) {
         this.pool = pool;
         this.terms = terms;
-        this.life = life;
-        this.answeredAtMs = nowMs;
+        this.incarnation = life;
+        this.grantReceivedAtMs = nowMs;
     }
 
     /** Its own list has the pool at so many connections, and the agreed membership has so many members. */
-    public void knows(int capacityNow, int membersNow) {
+    public void updatePool(int capacityNow, int membersNow) {
         if (capacity != capacityNow || members != membersNow) {
             capacity = capacityNow;
-            lowest = Math.min(lowest, capacity);
-            cut(capacity);
+            lowestCapacity = Math.min(lowestCapacity, capacity);
+            reduceCapacity(capacity);
             members = membersNow;
-            tellAtMs = Double.NEGATIVE_INFINITY;
-            nudged = true;
+            nextUpdateMs = Double.NEGATIVE_INFINITY;
+            requestSoon = true;
         }
     }
 
     /** What its tenants wanted and used since the last reading. */
-    public void read(double nowMs, List<TenantUse> uses) {
-        double part = Double.isNaN(readAtMs) ? 1 : 1 - Math.exp(-(nowMs - readAtMs) / FOLLOW_MS);
-        readAtMs = nowMs;
+    public void recordDemand(double nowMs, List<TenantUse> uses) {
+        double part =
+                Double.isNaN(demandReadAtMs) ? 1 : 1 - Math.exp(-(nowMs - demandReadAtMs) / DEMAND_TIME_CONSTANT_MS);
+        demandReadAtMs = nowMs;
         Map<String, PoolUse> now = new HashMap<>();
         for (TenantUse u : uses) {
             now.put(u.tenant(), new PoolUse(u.demand(), u.running(), u.rejectedPerSecond(), u.meanMs()));
@@ -87,120 +88,123 @@
             return before == null
                     ? u
                     : new PoolUse(
-                            before.wanted() + part * (u.wanted() - before.wanted()), u.used(), u.refused(), u.meanMs());
+                            before.demand() + part * (u.demand() - before.demand()),
+                            u.inUse(),
+                            u.rejectedPerSecond(),
+                            u.meanMs());
         });
         // A tenant that is new here can't wait for its turn.
-        nudged |= now.keySet().stream().anyMatch(t -> !demand.containsKey(t) && !lease.containsKey(t));
+        requestSoon |= now.keySet().stream().anyMatch(t -> !demand.containsKey(t) && !leaseByTenant.containsKey(t));
         demand.clear();
         now.forEach((t, u) -> {
-            if (u.wanted() > 0.01) {
+            if (u.demand() > 0.01) {
                 demand.put(t, u);
             }
         });
     }
 
     /** Connections that it uses now. */
-    public void busy(int connections) {
-        toAck |= busy > leased && connections < busy;
-        busy = connections;
+    public void inUse(int connections) {
+        ackPending |= inUse > leasedTotal && connections < inUse;
+        inUse = connections;
     }
 
     /** When the next question is due. */
-    public double askAtMs() {
-        return askedAtMs + (nudged ? terms.leastMs() : terms.askMs());
+    public double nextRequestMs() {
+        return requestedAtMs + (requestSoon ? terms.minRequestIntervalMs() : terms.requestIntervalMs());
     }
 
     /** It asks now. */
-    public QuotaLeaseMessage.Ask ask(double nowMs) {
-        asked++;
-        askedAtMs = nowMs;
-        lowest = capacity;
-        nudged = false;
-        toAck = false;
-        return new QuotaLeaseMessage.Ask(
+    public QuotaLeaseMessage.Request request(double nowMs) {
+        lastRequest++;
+        requestedAtMs = nowMs;
+        lowestCapacity = capacity;
+        requestSoon = false;
+        ackPending = false;
+        return new QuotaLeaseMessage.Request(
                 pool,
-                life,
-                asked,
-                acting,
-                token,
-                heard,
-                nowMs < untilMs ? leased : 0,
-                Math.max(0, untilMs - nowMs),
-                busy,
-                named());
+                incarnation,
+                lastRequest,
+                activeRequest,
+                grantToken,
+                highestToken,
+                nowMs < leaseEndMs ? leasedTotal : 0,
+                Math.max(0, leaseEndMs - nowMs),
+                inUse,
+                demandByNamedTenant());
     }
 
     /** What is to be said of connections given back; empty if nothing. */
-    public Optional<QuotaLeaseMessage.Ack> ack() {
-        if (!toAck || acting == 0) {
+    public Optional<QuotaLeaseMessage.Ack> pendingAck() {
+        if (!ackPending || activeRequest == 0) {
             return Optional.empty();
         }
-        toAck = false;
-        return Optional.of(new QuotaLeaseMessage.Ack(pool, life, acting, busy));
+        ackPending = false;
+        return Optional.of(new QuotaLeaseMessage.Ack(pool, incarnation, activeRequest, inUse));
     }
 
     /** An answer has come. */
-    public void took(double nowMs, QuotaLeaseMessage.Grant g) {
+    public void receive(double nowMs, QuotaLeaseMessage.Grant g) {
         // Guards against answers to another life or an older question, whose lease runs from another moment, and
         // against a lessor that was replaced.
-        if (g.life() != life
-                || g.number() != asked
-                || g.number() == acting
-                || g.token() < heard
+        if (g.incarnation() != incarnation
+                || g.requestNumber() != lastRequest
+                || g.requestNumber() == activeRequest
+                || g.token() < highestToken
                 || g.leaseMs() > terms.leaseMs()) {
             return;
         }
-        acting = g.number();
-        token = g.token();
-        heard = token;
-        untilMs = askedAtMs + g.leaseMs();
-        answeredAtMs = nowMs;
-        lease = g.tenants();
-        leased = g.total();
-        leasedOf = Math.max(1, g.capacity());
-        cut(lowest);
-        toAck = true;
-        tellAtMs = Double.NEGATIVE_INFINITY;
+        activeRequest = g.requestNumber();
+        grantToken = g.token();
+        highestToken = grantToken;
+        leaseEndMs = requestedAtMs + g.leaseMs();
+        grantReceivedAtMs = nowMs;
+        leaseByTenant = g.tenants();
+        leasedTotal = g.total();
+        leaseCapacity = Math.max(1, g.capacity());
+        reduceCapacity(lowestCapacity);
+        ackPending = true;
+        nextUpdateMs = Double.NEGATIVE_INFINITY;
     }
 
     /** There is another lease to be had. */
-    public void took(QuotaLeaseMessage.Nudge n) {
-        nudged |= n.token() >= heard;
-        heard = Math.max(heard, n.token());
+    public void receive(QuotaLeaseMessage.RenewalNotice n) {
+        requestSoon |= n.token() >= highestToken;
+        highestToken = Math.max(highestToken, n.token());
     }
 
     /** Whether there is something new to tell the node's reducer. */
-    public boolean news(double nowMs) {
-        return members > 0 && nowMs >= tellAtMs;
+    public boolean hasUpdate(double nowMs) {
+        return members > 0 && nowMs >= nextUpdateMs;
     }
 
     /** What the node's tenants may hold now. */
-    public TenantQuotas allowances(double nowMs) {
-        epoch++;
-        int guaranteed = terms.guaranteed(capacity, members);
-        int between = Math.min(leased, guaranteed);
-        double lentUntil = answeredAtMs + terms.lentMs();
-        if (nowMs < untilMs) {
-            tellAtMs = untilMs;
-            return allow(leased, untilMs, between);
+    public TenantQuotas quotas(double nowMs) {
+        quotaEpoch++;
+        int guaranteed = terms.guaranteedFraction(capacity, members);
+        int between = Math.min(leasedTotal, guaranteed);
+        double lentUntil = grantReceivedAtMs + terms.shareLentMs();
+        if (nowMs < leaseEndMs) {
+            nextUpdateMs = leaseEndMs;
+            return quotasUntil(leasedTotal, leaseEndMs, between);
         }
-        tellAtMs = nowMs < lentUntil ? lentUntil : Double.POSITIVE_INFINITY;
+        nextUpdateMs = nowMs < lentUntil ? lentUntil : Double.POSITIVE_INFINITY;
         return nowMs < lentUntil
-                ? allow(between, lentUntil, guaranteed)
-                : allow(guaranteed, Double.POSITIVE_INFINITY, guaranteed);
+                ? quotasUntil(between, lentUntil, guaranteed)
+                : quotasUntil(guaranteed, Double.POSITIVE_INFINITY, guaranteed);
     }
 
     /** Connections that it may use now. */
-    public int mayUse(double nowMs) {
-        int guaranteed = terms.guaranteed(capacity, members);
-        return nowMs < untilMs
-                ? leased
-                : nowMs < answeredAtMs + terms.lentMs() ? Math.min(leased, guaranteed) : guaranteed;
+    public int usableConnections(double nowMs) {
+        int guaranteed = terms.guaranteedFraction(capacity, members);
+        return nowMs < leaseEndMs
+                ? leasedTotal
+                : nowMs < grantReceivedAtMs + terms.shareLentMs() ? Math.min(leasedTotal, guaranteed) : guaranteed;
     }
 
     /** Whether calls that outlast the lease are to be given up now. */
-    public boolean overstays(double nowMs) {
-        return nowMs >= untilMs + GIVE_UP * terms.drainMs() && busy > mayUse(nowMs);
+    public boolean mustCancelOverdueCalls(double nowMs) {
+        return nowMs >= leaseEndMs + CANCEL_AT_DRAIN_FRACTION * terms.drainMs() && inUse > usableConnections(nowMs);
     }
 
     /** Demand as it was last read, as it is put among the records of the fleet. */
@@ -209,38 +213,39 @@
     }
 
     /** Cuts its lease to a smaller pool: for good, as the lessor does, so that growth gives nobody what others got. */
-    private void cut(int to) {
-        if (to < leasedOf) {
-            int before = leased;
-            leased = (int) Math.floor((double) leased * to / leasedOf + 1e-9);
-            leasedOf = Math.max(1, to);
-            double part = before == 0 ? 0 : (double) leased / before;
-            lease = lease.entrySet().stream().collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue() * part));
+    private void reduceCapacity(int to) {
+        if (to < leaseCapacity) {
+            int before = leasedTotal;
+            leasedTotal = (int) Math.floor((double) leasedTotal * to / leaseCapacity + 1e-9);
+            leaseCapacity = Math.max(1, to);
+            double part = before == 0 ? 0 : (double) leasedTotal / before;
+            leaseByTenant = leaseByTenant.entrySet().stream()
+                    .collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue() * part));
         }
     }
 
-    private TenantQuotas allow(int now, double until, int then) {
+    private TenantQuotas quotasUntil(int now, double until, int then) {
         Map<String, Double> tenants = split(now);
-        return new TenantQuotas(epoch, tenants, 0, Map.of(), until, split(then));
+        return new TenantQuotas(quotaEpoch, tenants, 0, Map.of(), until, split(then));
     }
 
     /** Connections split as the last lease was; all tenants together where there was none. */
     private Map<String, Double> split(int connections) {
-        if (leased == 0) {
+        if (leasedTotal == 0) {
             return Map.of("", (double) connections);
         }
         Map<String, Double> parts = new HashMap<>();
-        lease.forEach((t, d) -> parts.put(t, d * connections / leased));
+        leaseByTenant.forEach((t, d) -> parts.put(t, d * connections / leasedTotal));
         return parts;
     }
 
-    private Map<String, PoolUse> named() {
-        if (demand.size() <= MOST_NAMED) {
+    private Map<String, PoolUse> demandByNamedTenant() {
+        if (demand.size() <= MAX_NAMED_TENANTS) {
             return demand;
         }
         List<Map.Entry<String, PoolUse>> all = new ArrayList<>(demand.entrySet());
         all.sort(Comparator.comparingDouble(
-                        (Map.Entry<String, PoolUse> e) -> -e.getValue().wanted())
+                        (Map.Entry<String, PoolUse> e) -> -e.getValue().demand())
                 .thenComparing(Map.Entry::getKey));
         Map<String, PoolUse> named = new HashMap<>();
         double wanted = 0;
@@ -249,13 +254,13 @@
         double held = 0;
         for (int i = 0; i < all.size(); i++) {
             PoolUse u = all.get(i).getValue();
-            if (i < MOST_NAMED && !all.get(i).getKey().isEmpty()) {
+            if (i < MAX_NAMED_TENANTS && !all.get(i).getKey().isEmpty()) {
                 named.put(all.get(i).getKey(), u);
             } else {
-                wanted += u.wanted();
-                used += u.used();
-                refused += u.refused();
-                held += u.wanted() * u.meanMs();
+                wanted += u.demand();
+                used += u.inUse();
+                refused += u.rejectedPerSecond();
+                held += u.demand() * u.meanMs();
             }
         }
         named.put("", new PoolUse(wanted, used, refused, wanted > 0 ? held / wanted : 0));
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseMessage.java
@@ -12,14 +12,14 @@
 /** What a lessor and the nodes say to each other, over a stream of their own; each may be lost, late or repeated. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = QuotaLeaseMessage.Ask.class, name = "ask"),
+    @JsonSubTypes.Type(value = QuotaLeaseMessage.Request.class, name = "ask"),
     @JsonSubTypes.Type(value = QuotaLeaseMessage.Grant.class, name = "grant"),
     @JsonSubTypes.Type(value = QuotaLeaseMessage.Ack.class, name = "ack"),
-    @JsonSubTypes.Type(value = QuotaLeaseMessage.Nudge.class, name = "nudge")
+    @JsonSubTypes.Type(value = QuotaLeaseMessage.RenewalNotice.class, name = "nudge")
 })
 public sealed interface QuotaLeaseMessage {
     /** The longest message; bytes. */
-    int MOST_BYTES = 1 << 18;
+    int MAX_BYTES = 1 << 18;
 
     /** The pool. */
     String pool();
@@ -37,20 +37,20 @@
      * @param busy connections that it uses
      * @param demand what each tenant wants and uses there
      */
-    record Ask(
+    record Request(
             @JsonProperty("pool") String pool,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
-            @JsonProperty("acting") long acting,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
+            @JsonProperty("acting") long activeRequest,
             @JsonProperty("token") long token,
-            @JsonProperty("heard") long heard,
-            @JsonProperty("held") int held,
-            @JsonProperty("leftMs") double leftMs,
-            @JsonProperty("busy") int busy,
+            @JsonProperty("heard") long highestToken,
+            @JsonProperty("held") int leased,
+            @JsonProperty("leftMs") double remainingMs,
+            @JsonProperty("busy") int inUse,
             @JsonProperty("demand") Map<String, PoolUse> demand)
             implements QuotaLeaseMessage {
         /** Keeps its own copy. */
-        public Ask {
+        public Request {
             demand = Map.copyOf(demand);
         }
     }
@@ -68,8 +68,8 @@
      */
     record Grant(
             @JsonProperty("pool") String pool,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
             @JsonProperty("token") long token,
             @JsonProperty("leaseMs") double leaseMs,
             @JsonProperty("capacity") int capacity,
@@ -97,9 +97,9 @@
      */
     record Ack(
             @JsonProperty("pool") String pool,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
-            @JsonProperty("busy") int busy)
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
+            @JsonProperty("busy") int inUse)
             implements QuotaLeaseMessage {}
 
     /**
@@ -107,12 +107,12 @@
      *
      * @param token the lessor's
      */
-    record Nudge(
+    record RenewalNotice(
             @JsonProperty("pool") String pool,
             @JsonProperty("token") long token) implements QuotaLeaseMessage {}
 
     /** As bytes. */
-    static byte[] bytes(QuotaLeaseMessage m) {
+    static byte[] encode(QuotaLeaseMessage m) {
         try {
             return Codec.CBOR.writeValueAsBytes(m);
         } catch (IOException e) {
@@ -125,8 +125,8 @@
      *
      * @throws IOException if they are none
      */
-    static QuotaLeaseMessage of(byte[] bytes) throws IOException {
-        if (bytes.length > MOST_BYTES) {
+    static QuotaLeaseMessage decode(byte[] bytes) throws IOException {
+        if (bytes.length > MAX_BYTES) {
             throw new IOException("a message of " + bytes.length + " bytes");
         }
         try {
--- a/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
@@ -22,7 +22,7 @@
  * @param others weight, floor and ceiling of all tenants together that no group names; each of them has weight 1
  * @param hungerMs a tenant that is under its floor with demand for longer is an alarm; milliseconds
  */
-public record ShareRules(List<Rule> groups, Rule others, double hungerMs) {
+public record ShareRules(List<Rule> groups, Rule others, double starvationMs) {
     /** No groups: all tenants alike. */
     public static final ShareRules NONE =
             new ShareRules(List.of(), new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()), 2000);
@@ -30,8 +30,8 @@
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
-    private static final int MOST_RULES = 100_000;
-    private static final double MOST_WEIGHT = 1e6;
+    private static final int MAX_RULES = 100_000;
+    private static final double MAX_WEIGHT = 1e6;
     private static final String[] LEVELS = {"groups", "tenants", "classes"};
 
     /**
@@ -43,18 +43,18 @@
      * @param ceiling connections that it never has more than
      * @param under the places under it; none for one that calls belong to
      */
-    public record Rule(String name, double weight, double floor, double ceiling, List<Rule> under) {
+    public record Rule(String name, double weight, double floor, double ceiling, List<Rule> children) {
         /** Keeps its own copy. */
         public Rule {
-            under = List.copyOf(under);
+            children = List.copyOf(children);
         }
     }
 
     /** The content can't be used; says all that is wrong with it. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidSharesException extends Exception {
         private static final long serialVersionUID = 1;
 
-        private Unusable(List<String> faults) {
+        private InvalidSharesException(List<String> faults) {
             super(String.join("; ", faults));
         }
     }
@@ -65,11 +65,11 @@
     }
 
     /** What a call's connections are counted under: its tenant, with its class where the tenant has classes. */
-    public String key(String tenant, String className) {
+    public String quotaKey(String tenant, String className) {
         for (Rule g : groups) {
-            for (Rule t : g.under()) {
+            for (Rule t : g.children()) {
                 if (t.name().equals(tenant)) {
-                    return t.under().stream().anyMatch(c -> c.name().equals(className))
+                    return t.children().stream().anyMatch(c -> c.name().equals(className))
                             ? tenant + "/" + className
                             : tenant;
                 }
@@ -83,51 +83,51 @@
      *
      * @throws Unusable with all its faults, each with its place
      */
-    public static ShareRules parse(byte[] content) throws Unusable {
+    public static ShareRules parse(byte[] content) throws InvalidSharesException {
         List<String> faults = new ArrayList<>();
         JsonNode top;
         try {
             top = JSON.readTree(content);
         } catch (JsonProcessingException e) {
-            throw new Unusable(List.of("line " + e.getLocation().getLineNr() + ", column "
+            throw new InvalidSharesException(List.of("line " + e.getLocation().getLineNr() + ", column "
                     + e.getLocation().getColumnNr() + ": " + e.getOriginalMessage()));
         } catch (IOException e) {
-            throw new Unusable(List.of(String.valueOf(e.getMessage())));
+            throw new InvalidSharesException(List.of(String.valueOf(e.getMessage())));
         }
         if (top == null || !top.isObject()) {
-            throw new Unusable(List.of("an object is wanted"));
+            throw new InvalidSharesException(List.of("an object is wanted"));
         }
-        names(top, "", Set.of("groups", "others", "hunger_ms"), faults);
+        checkNames(top, "", Set.of("groups", "others", "hunger_ms"), faults);
         int[] count = {0};
-        List<Rule> groups = rules(top, "", 0, count, faults);
+        List<Rule> groups = parseRules(top, "", 0, count, faults);
         JsonNode o = top.path("others");
         if (!o.isMissingNode() && !o.isObject()) {
             faults.add("others: an object is wanted");
         }
-        names(o, "others.", Set.of("weight", "floor", "ceiling"), faults);
-        Rule others = rule("", o, "others.", List.of(), faults);
-        double hunger = number(top, "hunger_ms", "", 2000, 1, 3_600_000, faults);
+        checkNames(o, "others.", Set.of("weight", "floor", "ceiling"), faults);
+        Rule others = parseRule("", o, "others.", List.of(), faults);
+        double hunger = parseNumber(top, "hunger_ms", "", 2000, 1, 3_600_000, faults);
         Set<String> seen = new HashSet<>();
-        groups.forEach(g -> g.under().forEach(t -> {
+        groups.forEach(g -> g.children().forEach(t -> {
             if (!seen.add(t.name())) {
                 faults.add("tenant '" + t.name() + "' stands in two places");
             }
         }));
-        if (count[0] > MOST_RULES) {
-            faults.add("more than " + MOST_RULES + " rules");
+        if (count[0] > MAX_RULES) {
+            faults.add("more than " + MAX_RULES + " rules");
         }
         if (!faults.isEmpty()) {
-            throw new Unusable(faults);
+            throw new InvalidSharesException(faults);
         }
         return new ShareRules(groups, others, hunger);
     }
 
     /** The content that {@link #parse} reads. */
-    public byte[] content() {
+    public byte[] encode() {
         Map<String, Object> top = new LinkedHashMap<>();
-        top.put("groups", groups.stream().map(g -> map(g, 1)).toList());
-        top.put("others", map(others, 3));
-        top.put("hunger_ms", hungerMs);
+        top.put("groups", groups.stream().map(g -> toMap(g, 1)).toList());
+        top.put("others", toMap(others, 3));
+        top.put("hunger_ms", starvationMs);
         try {
             return JSON.writeValueAsString(top).getBytes(StandardCharsets.UTF_8);
         } catch (JsonProcessingException e) {
@@ -135,7 +135,7 @@
         }
     }
 
-    private static Map<String, Object> map(Rule r, int level) {
+    private static Map<String, Object> toMap(Rule r, int level) {
         Map<String, Object> m = new LinkedHashMap<>();
         if (!r.name().isEmpty()) {
             m.put("name", r.name());
@@ -145,13 +145,15 @@
         if (Double.isFinite(r.ceiling())) {
             m.put("ceiling", r.ceiling());
         }
-        if (!r.under().isEmpty()) {
-            m.put(LEVELS[level], r.under().stream().map(u -> map(u, level + 1)).toList());
+        if (!r.children().isEmpty()) {
+            m.put(
+                    LEVELS[level],
+                    r.children().stream().map(u -> toMap(u, level + 1)).toList());
         }
         return m;
     }
 
-    private static List<Rule> rules(JsonNode of, String place, int level, int[] count, List<String> faults) {
+    private static List<Rule> parseRules(JsonNode of, String place, int level, int[] count, List<String> faults) {
         List<Rule> found = new ArrayList<>();
         if (level == LEVELS.length || of.path(LEVELS[level]).isMissingNode()) {
             return found;
@@ -162,7 +164,7 @@
             return found;
         }
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < all.size() && count[0] <= MOST_RULES; i++) {
+        for (int i = 0; i < all.size() && count[0] <= MAX_RULES; i++) {
             count[0]++;
             String here = place + LEVELS[level] + "[" + i + "].";
             JsonNode one = all.get(i);
@@ -174,20 +176,20 @@
             if (level + 1 < LEVELS.length) {
                 known.add(LEVELS[level + 1]);
             }
-            names(one, here, known, faults);
+            checkNames(one, here, known, faults);
             String name = one.path("name").asText("");
             if (name.isEmpty() || name.length() > 200 || name.contains("/") || !names.add(name)) {
                 faults.add(here + "name: one of its own of 1 to 200 letters without '/' is wanted");
             }
-            found.add(rule(name, one, here, rules(one, here, level + 1, count, faults), faults));
+            found.add(parseRule(name, one, here, parseRules(one, here, level + 1, count, faults), faults));
         }
         return found;
     }
 
-    private static Rule rule(String name, JsonNode o, String place, List<Rule> under, List<String> faults) {
-        double weight = number(o, "weight", place, 1, 1 / MOST_WEIGHT, MOST_WEIGHT, faults);
-        double ceiling = number(o, "ceiling", place, Double.POSITIVE_INFINITY, 0, 1e9, faults);
-        double floor = number(o, "floor", place, 0, 0, 1e9, faults);
+    private static Rule parseRule(String name, JsonNode o, String place, List<Rule> under, List<String> faults) {
+        double weight = parseNumber(o, "weight", place, 1, 1 / MAX_WEIGHT, MAX_WEIGHT, faults);
+        double ceiling = parseNumber(o, "ceiling", place, Double.POSITIVE_INFINITY, 0, 1e9, faults);
+        double floor = parseNumber(o, "floor", place, 0, 0, 1e9, faults);
         if (floor > ceiling) {
             faults.add(place + "floor: is over the ceiling");
         }
@@ -197,7 +199,7 @@
         return new Rule(name, weight, floor, ceiling, under);
     }
 
-    private static double number(
+    private static double parseNumber(
             JsonNode o, String name, String place, double otherwise, double least, double most, List<String> faults) {
         JsonNode n = o.path(name);
         if (n.isMissingNode()) {
@@ -211,7 +213,7 @@
         return d;
     }
 
-    private static void names(JsonNode o, String place, Set<String> known, List<String> faults) {
+    private static void checkNames(JsonNode o, String place, Set<String> known, List<String> faults) {
         o.fieldNames().forEachRemaining(n -> {
             if (!known.contains(n)) {
                 faults.add(place + n + ": unknown");
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
@@ -12,22 +12,22 @@
 class ForecastTest {
     private static final PoolName FRONT_B = PoolName.parse("front/b/std");
     private static final PoolName PARCEL_B = PoolName.parse("parcel/b/std");
-    private final Observed observed = new Observed();
+    private final ZoneRecords records = new ZoneRecords();
 
     private static Forecast forecast(PoolModel m, EvacuationPlan plan) {
         return Forecast.of(m.snapshot(60_000, -1), plan, SharePolicy.maxMin(Map.of()), 7);
     }
 
     private static EvacuationPlan plan() {
-        return EvacuationPlan.even("p", "a", 4, 10_000);
+        return EvacuationPlan.withEvenSteps("p", "a", 4, 10_000);
     }
 
     @Test
-    void learnsWhatPoolsCanDoAndHoldsWhereThereIsRoom() {
-        PoolSnapshot picture = observed.learnt(60).snapshot(60_000, -1);
-        assertEquals(5 * Observed.FRONT, picture.pool(FRONT_B).capacity(), 5);
-        assertEquals(Observed.CALLS, picture.pool(FRONT_B).calls(), 0.05);
-        Forecast f = forecast(observed.learnt(60), plan());
+    void learnsCapacityAndPredictsThatPoolsWithRoomHold() {
+        PoolSnapshot picture = records.trainedModel(60).snapshot(60_000, -1);
+        assertEquals(5 * ZoneRecords.FRONT_CAPACITY, picture.pool(FRONT_B).capacity(), 5);
+        assertEquals(ZoneRecords.CALLS_PER_ATTEMPT, picture.pool(FRONT_B).callsPerAttempt(), 0.05);
+        Forecast f = forecast(records.trainedModel(60), plan());
         assertEquals(Verdict.HOLDS, f.verdict(), () -> f.toString());
         // A half of zone a's load comes to it.
         assertEquals(90, f.of(FRONT_B).steps().get(3).load().expected(), 4);
@@ -35,12 +35,12 @@
     }
 
     @Test
-    void saturatesInTheStepThatPassesWhatThePoolCanDo() {
+    void predictsSaturationInTheStepThatExceedsCapacity() {
         // Zone b can do 165 a second and has 120; the third quarter of the 60 passes it with half of each.
-        observed.rates.put("b", 120.0);
-        observed.rates.put("a", 120.0);
-        observed.parcels.replaceAll((z, n) -> 8);
-        PoolForecast p = forecast(observed.learnt(60), plan()).of(FRONT_B);
+        records.firstAttemptRates.put("b", 120.0);
+        records.firstAttemptRates.put("a", 120.0);
+        records.parcelServers.replaceAll((z, n) -> 8);
+        PoolForecast p = forecast(records.trainedModel(60), plan()).of(FRONT_B);
         assertEquals(Verdict.SATURATES, p.verdict());
         assertEquals(Forecast.Resource.SLOTS, p.resource());
         assertTrue(
@@ -51,10 +51,10 @@
     }
 
     @Test
-    void aSlowPoolBehindFillsTheSlotsOfTheOneBeforeIt() {
-        observed.parcels.put("b", 2);
-        observed.rates.put("b", 80.0);
-        Forecast f = forecast(observed.learnt(60), plan());
+    void aSlowDownstreamPoolFillsTheSlotsOfItsCallers() {
+        records.parcelServers.put("b", 2);
+        records.firstAttemptRates.put("b", 80.0);
+        Forecast f = forecast(records.trainedModel(60), plan());
         PoolForecast behind = f.of(PARCEL_B);
         assertEquals(Verdict.SATURATES, behind.verdict());
         assertTrue(f.of(FRONT_B).steps().get(3).slots()
@@ -63,26 +63,26 @@
     }
 
     @Test
-    void saysUnknownWithTheReasonInPlaceOfAGuess() {
-        observed.heardMs.put("n-a1", 40_000.0);
-        Forecast f = forecast(observed.learnt(60), plan());
+    void reportsUnknownWithTheReasonWhenDataIsMissing() {
+        records.ageMs.put("n-a1", 40_000.0);
+        Forecast f = forecast(records.trainedModel(60), plan());
         assertEquals(Verdict.UNKNOWN, f.verdict());
-        assertTrue(f.of(FRONT_B).why().contains("n-a1"), f.of(FRONT_B).why());
-        Observed idle = new Observed();
-        idle.rates.put("c", 0.0);
-        PoolForecast p = forecast(idle.learnt(60), plan()).of(PoolName.parse("front/c/std"));
+        assertTrue(f.of(FRONT_B).reason().contains("n-a1"), f.of(FRONT_B).reason());
+        ZoneRecords idle = new ZoneRecords();
+        idle.firstAttemptRates.put("c", 0.0);
+        PoolForecast p = forecast(idle.trainedModel(60), plan()).of(PoolName.parse("front/c/std"));
         assertEquals(Verdict.UNKNOWN, p.verdict());
-        assertTrue(p.why().contains("no load"), p.why());
+        assertTrue(p.reason().contains("no load"), p.reason());
     }
 
     @Test
-    void intervalsWidenWithAgeAndThinData() {
-        PoolModel m = observed.learnt(60);
+    void intervalsWidenWithAgeAndFewSamples() {
+        PoolModel m = records.trainedModel(60);
         m.expectNodes(Map.of());
         double young = width(Forecast.of(m.snapshot(60_000, -1), plan(), SharePolicy.maxMin(Map.of()), 3));
         double old = width(Forecast.of(m.snapshot(150_000, -1), plan(), SharePolicy.maxMin(Map.of()), 3));
         assertTrue(old > 1.5 * young, young + " " + old);
-        assertTrue(observed.learnt(4).snapshot(4000, -1).pool(FRONT_B).capacitySpread()
+        assertTrue(records.trainedModel(4).snapshot(4000, -1).pool(FRONT_B).capacitySpread()
                 > 1.5 * m.snapshot(60_000, -1).pool(FRONT_B).capacitySpread());
     }
 
@@ -97,40 +97,42 @@
 
     @Test
     void aClockThatRunsFastChangesNoVerdict() {
-        observed.clocks.put("n-a1", 1.01);
-        observed.clocks.put("n-b2", 1.01);
-        Forecast f = forecast(observed.learnt(60), plan());
+        records.clockRates.put("n-a1", 1.01);
+        records.clockRates.put("n-b2", 1.01);
+        Forecast f = forecast(records.trainedModel(60), plan());
         assertEquals(Verdict.HOLDS, f.verdict());
         assertTrue(f.of(FRONT_B).steps().get(3).load().contains(90));
     }
 
     @Test
-    void namesTheTenantsThatSharesWouldRefuse() {
-        PoolModel m = observed.learnt(60);
-        m.wanted(List.of(new PoolSnapshot.Want(FRONT_B, "large", 120), new PoolSnapshot.Want(FRONT_B, "small", 5)));
+    void listsTenantsThatTheSharePolicyWouldReject() {
+        PoolModel m = records.trainedModel(60);
+        m.setTenantDemand(List.of(
+                new PoolSnapshot.TenantDemand(FRONT_B, "large", 120),
+                new PoolSnapshot.TenantDemand(FRONT_B, "small", 5)));
         Map<String, Double> refused =
-                forecast(m, plan()).of(FRONT_B).steps().get(3).refusedTenants();
+                forecast(m, plan()).of(FRONT_B).steps().get(3).rejectedTenants();
         assertEquals(List.of("large"), List.copyOf(refused.keySet()));
         // 130 slots, 7.5 for the small one; the large one wants 180.
         assertEquals(1 - 122.5 / 180, refused.get("large"), 0.05);
     }
 
     @Test
-    void aDayThatWasSeenTwiceMovesTheForecast() {
+    void dailyProfileScalesLoadOnceItHasSeenTwoDays() {
         DailyProfile s = new DailyProfile();
         for (int day = 0; day < 3; day++) {
             for (int q = 0; q < 96; q++) {
-                s.take("a", q * 900_000.0, q == 40 ? 200 : 100);
+                s.add("a", q * 900_000.0, q == 40 ? 200 : 100);
             }
         }
-        assertEquals(2, s.factor("a", 0, 40 * 900_000.0), 1e-9);
-        assertEquals(1, new DailyProfile().factor("a", 0, 40 * 900_000.0), 1e-9);
+        assertEquals(2, s.ratio("a", 0, 40 * 900_000.0), 1e-9);
+        assertEquals(1, new DailyProfile().ratio("a", 0, 40 * 900_000.0), 1e-9);
     }
 
     @Test
-    void checksAPlanWhole() {
-        List<PoolName> pools = observed.learnt(5).names();
-        assertEquals(List.of(), plan().faults(pools));
+    void reportsAllValidationErrorsOfAPlan() {
+        List<PoolName> pools = records.trainedModel(5).poolNames();
+        assertEquals(List.of(), plan().validationErrors(pools));
         EvacuationPlan bad = new EvacuationPlan(
                 "no name",
                 "z",
@@ -140,15 +142,15 @@
                 8000,
                 null,
                 0,
-                List.of(new EvacuationPlan.Comes(PoolName.parse("front/a/gone"), 1, 0)));
-        List<String> faults = bad.faults(pools);
+                List.of(new EvacuationPlan.AddedServers(PoolName.parse("front/a/gone"), 1, 0)));
+        List<String> faults = bad.validationErrors(pools);
         assertEquals(6, faults.size(), faults::toString);
-        assertTrue(EvacuationPlan.even("p", "a", 2, 5000)
-                .faults(List.of(PoolName.parse("front/a/std")))
+        assertTrue(EvacuationPlan.withEvenSteps("p", "a", 2, 5000)
+                .validationErrors(List.of(PoolName.parse("front/a/std")))
                 .get(0)
                 .contains("last one"));
-        assertTrue(EvacuationPlan.even("p", "a", 2, 5000)
-                .faults(List.of(PoolName.parse("front/a/std"), PARCEL_B))
+        assertTrue(EvacuationPlan.withEvenSteps("p", "a", 2, 5000)
+                .validationErrors(List.of(PoolName.parse("front/a/std"), PARCEL_B))
                 .get(0)
                 .contains("last one with [front]"));
     }
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
@@ -41,28 +41,28 @@
                 8000,
                 List.of(new EvacuationPlan.Step(1, 500)),
                 60_000,
-                List.of(new EvacuationPlan.Comes(POOL, 3, 1500)));
-        PlanState.Foretold foretold = new PlanState.Foretold(
+                List.of(new EvacuationPlan.AddedServers(POOL, 3, 1500)));
+        PlanState.PoolPrediction foretold = new PlanState.PoolPrediction(
                 POOL, 7, 100.5, new Interval(101, 95, 107.5), List.of(new Interval(120, 110, 130)));
-        List<PlanState.Entry> history = new ArrayList<>();
+        List<PlanState.HistoryEntry> history = new ArrayList<>();
         for (EvacuationStatus before : STATUSES) {
-            history.add(new PlanState.Entry(before, 1, "staff", "because"));
+            history.add(new PlanState.HistoryEntry(before, 1, "staff", "because"));
         }
         return new PlanState(plan, status, 1, List.of(foretold), verdict, true, 77, history);
     }
 
     @Test
-    void order() throws IOException {
+    void weightCommand() throws IOException {
         // A map of one key: the order of more is not defined.
         GoldenFiles.check(
                 "evacuation/order",
                 new WeightCommand(77, 12, Map.of("zone-a", 0.75), 2500.5),
-                WeightCommand::bytes,
+                WeightCommand::encode,
                 WeightCommand::decode);
     }
 
     @Test
-    void whatANodeSeesOfAPool() throws IOException {
+    void poolObservation() throws IOException {
         ObjectMapper mapper = new ObjectMapper();
         GoldenFiles.check(
                 "evacuation/pool-seen",
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void planOfEachStatusAndVerdict() throws IOException {
+    void planStateWithEachStatusAndVerdict() throws IOException {
         assertEquals(EvacuationStatus.values().length, STATUSES.size());
         assertEquals(Verdict.values().length, VERDICTS.size());
         for (int i = 0; i < STATUSES.size(); i++) {
@@ -82,19 +82,20 @@
         for (int i = 0; i < VERDICTS.size(); i++) {
             check("verdict-" + i, state(EvacuationStatus.FORECAST, VERDICTS.get(i)));
         }
-        check("drafted", PlanState.drafted(EvacuationPlan.even("move-b", "zone-b", 4, 1000), "staff"));
+        check("drafted", PlanState.drafted(EvacuationPlan.withEvenSteps("move-b", "zone-b", 4, 1000), "staff"));
     }
 
     private static void check(String name, PlanState state) throws IOException {
-        GoldenFiles.check("evacuation/plan-" + name, state, PlanState::bytes, PlanState::read);
+        GoldenFiles.check("evacuation/plan-" + name, state, PlanState::encode, PlanState::decode);
     }
 
     /** Histories keep them, and staff read them. */
     @Test
-    void wordsForStatusesAndVerdicts() throws IOException {
+    void lowerCaseNamesOfStatusesAndVerdicts() throws IOException {
         StringBuilder words = new StringBuilder();
-        STATUSES.forEach(status -> words.append(PlanState.name(status)).append('\n'));
-        VERDICTS.forEach(verdict -> words.append(PlanState.name(verdict)).append('\n'));
+        STATUSES.forEach(status -> words.append(PlanState.lowerCaseName(status)).append('\n'));
+        VERDICTS.forEach(
+                verdict -> words.append(PlanState.lowerCaseName(verdict)).append('\n'));
         GoldenFiles.check("evacuation/words", words.toString(), String::getBytes, String::new);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/QueuesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/QueuesTest.java
@@ -11,7 +11,7 @@
 
 class QueuesTest {
     @Test
-    void erlangCIsTheTextbooksAndStaysStableForManyServers() {
+    void erlangCMatchesTextbookValuesAndIsStableForManyServers() {
         assertEquals(0.5, Queues.erlangC(1, 0.5), 1e-12);
         // Two servers: 2 a^2 / (2 - a) / (1 + a + a^2 / (2 - a) ...) at a = 1 is one third.
         assertEquals(1 / 3.0, Queues.erlangC(2, 1), 1e-12);
@@ -31,11 +31,11 @@
     }
 
     @Test
-    void sakasegawaIsNearErlangInTheRangeThatDecides() {
+    void sakasegawaIsCloseToErlangCAtHighLoad() {
         for (int c : new int[] {2, 8, 20}) {
             for (double rho : new double[] {0.8, 0.9, 0.95}) {
                 double exact = Queues.erlangC(c, rho * c) * rho / (1 - rho);
-                assertEquals(exact, Queues.waiting(c, rho), 0.15 * exact + 0.03, c + " at " + rho);
+                assertEquals(exact, Queues.sakasegawaQueueLength(c, rho), 0.15 * exact + 0.03, c + " at " + rho);
             }
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class AllocatorTest {
-    private static ShareRules rules(String json) throws ShareRules.Unusable {
+    private static ShareRules rules(String json) throws ShareRules.InvalidSharesException {
         return ShareRules.parse(json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
@@ -37,7 +37,7 @@
     }
 
     @Property(tries = 500, seed = "29")
-    void nobodyCanHaveMoreWithoutSomebodyWorseOffLosing(@ForAll long seed) {
+    void waterFillingIsMaxMinFair(@ForAll long seed) {
         Random r = new Random(seed);
         int n = 1 + r.nextInt(8);
         double[] w = r.doubles(n, 0.1, 5).toArray();
@@ -62,24 +62,24 @@
     }
 
     @Test
-    void groupsComeBeforeTenantsAndWhatIsUnusedIsLent() throws ShareRules.Unusable {
+    void groupsAreDividedBeforeTenantsAndUnusedConnectionsAreLent() throws ShareRules.InvalidSharesException {
         ShareRules r = rules("{'groups':[{'name':'gold','weight':3,'tenants':[{'name':'a'},{'name':'b','weight':2}]},"
                 + "{'name':'free','ceiling':30,'tenants':[{'name':'c','floor':5},{'name':'d'}]}]}");
         Allocation all =
-                new Allocator().divide(120, r, Map.of("n0", Map.of("a", 500.0, "b", 500.0, "c", 500.0, "d", 500.0)));
-        assertEquals(30, all.tenants().get("a").given(), 1e-6);
-        assertEquals(60, all.tenants().get("b").given(), 1e-6);
-        assertEquals(15, all.tenants().get("c").given(), 1e-6);
-        Allocation some = new Allocator().divide(120, r, Map.of("n0", Map.of("a", 500.0, "b", 4.0, "c", 500.0)));
-        assertEquals(30, some.tenants().get("c").given(), 1e-6);
-        assertTrue(some.tenants().get("a").given() > 84, some::toString);
+                new Allocator().allocate(120, r, Map.of("n0", Map.of("a", 500.0, "b", 500.0, "c", 500.0, "d", 500.0)));
+        assertEquals(30, all.tenants().get("a").allocated(), 1e-6);
+        assertEquals(60, all.tenants().get("b").allocated(), 1e-6);
+        assertEquals(15, all.tenants().get("c").allocated(), 1e-6);
+        Allocation some = new Allocator().allocate(120, r, Map.of("n0", Map.of("a", 500.0, "b", 4.0, "c", 500.0)));
+        assertEquals(30, some.tenants().get("c").allocated(), 1e-6);
+        assertTrue(some.tenants().get("a").allocated() > 84, some::toString);
         assertTrue(
                 some.loans().stream().anyMatch(l -> l.from().equals("b") && l.to().equals("a") && l.connections() > 50),
                 some.loans()::toString);
     }
 
     @Test
-    void manyTenantsOnManyNodesHaveWholeConnectionsAndTheirPartsOverTime() {
+    void manyTenantsGetWholeConnectionsAndTheirSharesOverTime() {
         Random r = new Random(5);
         Map<String, Map<String, Double>> demand = new HashMap<>();
         for (int node = 0; node < 100; node++) {
@@ -92,15 +92,15 @@
         Allocator a = new Allocator();
         Map<String, Double> sums = new HashMap<>();
         for (int turn = 0; turn < 50; turn++) {
-            Allocation x = a.divide(1950, ShareRules.NONE, demand);
-            assertEquals(1950, demand.keySet().stream().mapToInt(x::total).sum());
-            x.nodes().values().forEach(m -> m.forEach((t, d) -> sums.merge(t, d / 50, Double::sum)));
+            Allocation x = a.allocate(1950, ShareRules.NONE, demand);
+            assertEquals(1950, demand.keySet().stream().mapToInt(x::nodeTotal).sum());
+            x.connectionsByNode().values().forEach(m -> m.forEach((t, d) -> sums.merge(t, d / 50, Double::sum)));
         }
         sums.forEach((t, d) -> assertEquals(1.95, d, 0.03, t));
     }
 
     @Property(tries = 300, seed = "29")
-    void nodesTogetherNeverGetMoreThanThereIs(@ForAll long seed) {
+    void nodeTotalsNeverExceedCapacity(@ForAll long seed) {
         Random r = new Random(seed);
         Allocator a = new Allocator();
         for (int turn = 0; turn < 5; turn++) {
@@ -110,9 +110,9 @@
                         "n" + i, new HashMap<>(Map.of("t" + r.nextInt(4), r.nextDouble() * 30, "x", r.nextDouble())));
             }
             int capacity = r.nextInt(40);
-            Allocation x = a.divide(capacity, ShareRules.NONE, demand);
-            assertTrue(demand.keySet().stream().mapToInt(x::total).sum() <= capacity);
-            x.nodes()
+            Allocation x = a.allocate(capacity, ShareRules.NONE, demand);
+            assertTrue(demand.keySet().stream().mapToInt(x::nodeTotal).sum() <= capacity);
+            x.connectionsByNode()
                     .values()
                     .forEach(m -> assertEquals(
                             Math.rint(m.values().stream().mapToDouble(d -> d).sum()),
@@ -122,39 +122,39 @@
     }
 
     @Test
-    void rulesAreReadWholeAndAllFaultsAreTold() throws ShareRules.Unusable {
+    void rulesRoundTripAndAllErrorsAreReported() throws ShareRules.InvalidSharesException {
         ShareRules r = rules("{'groups':[{'name':'g','weight':2,'tenants':[{'name':'a','classes':"
                 + "[{'name':'view','weight':3}]}]}],'others':{'weight':0.5},'hunger_ms':900}");
-        assertEquals("a/view", r.key("a", "view"));
-        assertEquals("a", r.key("a", "file"));
-        assertEquals("z", r.key("z", "view"));
-        assertEquals(r, ShareRules.parse(r.content()));
-        ShareRules.Unusable u = assertThrows(
-                ShareRules.Unusable.class,
+        assertEquals("a/view", r.quotaKey("a", "view"));
+        assertEquals("a", r.quotaKey("a", "file"));
+        assertEquals("z", r.quotaKey("z", "view"));
+        assertEquals(r, ShareRules.parse(r.encode()));
+        ShareRules.InvalidSharesException u = assertThrows(
+                ShareRules.InvalidSharesException.class,
                 () -> rules("{'groups':[{'name':'g','wait':2,"
                         + "'ceiling':1,'tenants':[{'name':'a','weight':-1},{'name':'a','floor':2}]}]}"));
         for (String part :
                 new String[] {"groups[0].wait: unknown", "tenants[0].weight", "tenants[1].name", "groups[0].ceiling"}) {
             assertTrue(u.getMessage().contains(part), u.getMessage());
         }
-        assertTrue(assertThrows(ShareRules.Unusable.class, () -> rules("{'groups':[,]}"))
+        assertTrue(assertThrows(ShareRules.InvalidSharesException.class, () -> rules("{'groups':[,]}"))
                 .getMessage()
                 .contains("line 1, column 12"));
     }
 
     @Test
-    void messagesComeThroughAndRubbishIsAnError() throws IOException {
-        QuotaLeaseMessage m =
-                new QuotaLeaseMessage.Ask("tier-0", 3, 7, 6, 2, 2, 10, 800, 4, Map.of("a", new PoolUse(1.5, 1, 0, 20)));
-        assertEquals(m, QuotaLeaseMessage.of(QuotaLeaseMessage.bytes(m)));
+    void messagesRoundTripAndCorruptBytesAreRejected() throws IOException {
+        QuotaLeaseMessage m = new QuotaLeaseMessage.Request(
+                "tier-0", 3, 7, 6, 2, 2, 10, 800, 4, Map.of("a", new PoolUse(1.5, 1, 0, 20)));
+        assertEquals(m, QuotaLeaseMessage.decode(QuotaLeaseMessage.encode(m)));
         QuotaLeaseMessage g = new QuotaLeaseMessage.Grant("tier-0", 3, 7, 2, 1600, 100, 4, Map.of("a", 2.5, "b", 1.5));
-        assertEquals(g, QuotaLeaseMessage.of(QuotaLeaseMessage.bytes(g)));
+        assertEquals(g, QuotaLeaseMessage.decode(QuotaLeaseMessage.encode(g)));
         Random r = new Random(9);
         for (int i = 0; i < 2000; i++) {
-            byte[] b = QuotaLeaseMessage.bytes(g);
+            byte[] b = QuotaLeaseMessage.encode(g);
             b[r.nextInt(b.length)] ^= (byte) (1 + r.nextInt(255));
             try {
-                QuotaLeaseMessage.of(b);
+                QuotaLeaseMessage.decode(b);
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
             }
--- a/fleet/src/test/java/brackenbridge/fleet/share/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/share/GoldenFormsTest.java
@@ -15,12 +15,12 @@
         // Maps of one key: the order of more is not defined.
         messages.put(
                 "ask",
-                new QuotaLeaseMessage.Ask(
+                new QuotaLeaseMessage.Request(
                         "tier/zone/kind", 7, 8, 6, 77, 78, 12, 900.5, 11, Map.of("t1", new PoolUse(3, 2, 1.5, 20.25))));
         messages.put(
                 "grant", new QuotaLeaseMessage.Grant("tier/zone/kind", 7, 8, 77, 1500.5, 40, 5, Map.of("t1", 12.0)));
         messages.put("ack", new QuotaLeaseMessage.Ack("tier/zone/kind", 7, 8, 11));
-        messages.put("nudge", new QuotaLeaseMessage.Nudge("tier/zone/kind", 78));
+        messages.put("nudge", new QuotaLeaseMessage.RenewalNotice("tier/zone/kind", 78));
         return messages;
     }
 
@@ -29,12 +29,15 @@
         GoldenFiles.assertAllCovered(QuotaLeaseMessage.class, messages().values());
         for (Map.Entry<String, QuotaLeaseMessage> message : messages().entrySet()) {
             GoldenFiles.check(
-                    "share/" + message.getKey(), message.getValue(), QuotaLeaseMessage::bytes, QuotaLeaseMessage::of);
+                    "share/" + message.getKey(),
+                    message.getValue(),
+                    QuotaLeaseMessage::encode,
+                    QuotaLeaseMessage::decode);
         }
     }
 
     @Test
-    void whatATenantUses() throws IOException {
+    void poolUse() throws IOException {
         ObjectMapper mapper = new ObjectMapper();
         GoldenFiles.check(
                 "share/pool-use",
@@ -44,7 +47,7 @@
     }
 
     @Test
-    void rules() throws IOException {
+    void shareRules() throws IOException {
         ShareRules.Rule batch = new ShareRules.Rule("batch", 1, 0, 5, List.of());
         ShareRules.Rule tenant = new ShareRules.Rule("t1", 2, 3, 40, List.of(batch));
         ShareRules.Rule group = new ShareRules.Rule("gold", 4, 5, Double.POSITIVE_INFINITY, List.of(tenant));
@@ -52,15 +55,15 @@
         GoldenFiles.check(
                 "share/rules",
                 new ShareRules(List.of(group), others, 1500),
-                ShareRules::content,
+                ShareRules::encode,
                 GoldenFormsTest::parsed);
-        GoldenFiles.check("share/rules-none", ShareRules.NONE, ShareRules::content, GoldenFormsTest::parsed);
+        GoldenFiles.check("share/rules-none", ShareRules.NONE, ShareRules::encode, GoldenFormsTest::parsed);
     }
 
     private static ShareRules parsed(byte[] form) throws IOException {
         try {
             return ShareRules.parse(form);
-        } catch (ShareRules.Unusable e) {
+        } catch (ShareRules.InvalidSharesException e) {
             throw new IOException(e);
         }
     }
