--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
@@ -13,17 +13,18 @@
     private ZoneWeights lastAccepted = new ZoneWeights(0, 0, Map.of(), 0);
 
     /** At a node whose clock's rate is off by this part at the most. */
-    public CommandFilter(double drift) {
-        this.clockDrift = drift;
+    public CommandFilter(double clockDrift) {
+        this.clockDrift = clockDrift;
     }
 
     /** An order has come; what holds from now on, or nothing if it is passed over. */
-    public Optional<ZoneWeights> accept(WeightCommand o, double nowMs) {
-        if (o.token() < lastAccepted.driverToken()
-                || o.token() == lastAccepted.driverToken() && o.epoch() < lastAccepted.epoch()) {
+    public Optional<ZoneWeights> accept(WeightCommand command, double nowMs) {
+        if (command.token() < lastAccepted.driverToken()
+                || command.token() == lastAccepted.driverToken() && command.epoch() < lastAccepted.epoch()) {
             return Optional.empty();
         }
-        lastAccepted = new ZoneWeights(o.token(), o.epoch(), o.weights(), nowMs + o.validForMs() * (1 - clockDrift));
+        lastAccepted = new ZoneWeights(
+                command.token(), command.epoch(), command.weights(), nowMs + command.validForMs() * (1 - clockDrift));
         return Optional.of(lastAccepted);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DailyProfile.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DailyProfile.java
@@ -41,39 +41,43 @@
 
     private final Map<String, LoadCurve> curves = new HashMap<>();
 
-    private static int quarterOf(double dayMs) {
-        return (int) Math.floorMod((long) Math.floor(dayMs / QUARTER_MS), (long) QUARTERS);
+    private static int quarterOf(double timeOfDayMs) {
+        return (int) Math.floorMod((long) Math.floor(timeOfDayMs / QUARTER_MS), (long) QUARTERS);
     }
 
-    void add(String origin, double dayMs, double rate) {
-        LoadCurve d = curves.computeIfAbsent(origin, k -> new LoadCurve());
-        int q = quarterOf(dayMs);
-        if (q != d.currentQuarter) {
-            d.closeQuarter();
-            d.currentQuarter = q;
+    void add(String origin, double timeOfDayMs, double rate) {
+        LoadCurve curve = curves.computeIfAbsent(origin, k -> new LoadCurve());
+        int quarter = quarterOf(timeOfDayMs);
+        if (quarter != curve.currentQuarter) {
+            curve.closeQuarter();
+            curve.currentQuarter = quarter;
         }
-        d.currentSum += rate;
-        d.currentCount++;
+        curve.currentSum += rate;
+        curve.currentCount++;
     }
 
     /** The load at a time of the day as a multiple of that at another; 1 if not known. */
-    double ratio(String origin, double fromDayMs, double toDayMs) {
-        return isKnown(origin, fromDayMs, toDayMs)
-                ? curves.get(origin).quarterMeans[quarterOf(toDayMs)]
-                        / curves.get(origin).quarterMeans[quarterOf(fromDayMs)]
+    double ratio(String origin, double fromTimeOfDayMs, double toTimeOfDayMs) {
+        return isKnown(origin, fromTimeOfDayMs, toTimeOfDayMs)
+                ? curves.get(origin).quarterMeans[quarterOf(toTimeOfDayMs)]
+                        / curves.get(origin).quarterMeans[quarterOf(fromTimeOfDayMs)]
                 : 1;
     }
 
-    boolean isKnown(String origin, double fromDayMs, double toDayMs) {
-        LoadCurve d = curves.get(origin);
-        int from = quarterOf(fromDayMs);
-        int to = quarterOf(toDayMs);
-        return d != null && d.daysSeen[from] >= MIN_DAYS && d.daysSeen[to] >= MIN_DAYS && d.quarterMeans[from] > 0;
+    boolean isKnown(String origin, double fromTimeOfDayMs, double toTimeOfDayMs) {
+        LoadCurve curve = curves.get(origin);
+        int from = quarterOf(fromTimeOfDayMs);
+        int to = quarterOf(toTimeOfDayMs);
+        return curve != null
+                && curve.daysSeen[from] >= MIN_DAYS
+                && curve.daysSeen[to] >= MIN_DAYS
+                && curve.quarterMeans[from] > 0;
     }
 
     /** Relative spread that the time between adds. */
-    double spread(String origin, double fromDayMs, double toDayMs) {
-        double hours = Math.max(0, toDayMs - fromDayMs) / 3_600_000;
-        return (isKnown(origin, fromDayMs, toDayMs) ? HOURLY_SPREAD_KNOWN : HOURLY_SPREAD_UNKNOWN) * Math.sqrt(hours);
+    double spread(String origin, double fromTimeOfDayMs, double toTimeOfDayMs) {
+        double hours = Math.max(0, toTimeOfDayMs - fromTimeOfDayMs) / 3_600_000;
+        return (isKnown(origin, fromTimeOfDayMs, toTimeOfDayMs) ? HOURLY_SPREAD_KNOWN : HOURLY_SPREAD_UNKNOWN)
+                * Math.sqrt(hours);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
@@ -86,8 +86,8 @@
     private final Map<PoolName, LoadAccumulator> accumulators = new HashMap<>();
 
     /** A driver of this name. */
-    public Driver(String me, Limits limits) {
-        this.driverName = me;
+    public Driver(String driverName, Limits limits) {
+        this.driverName = driverName;
         this.limits = limits;
     }
 
@@ -100,43 +100,45 @@
      * @param token this driver's
      * @param seen what is seen of all pools now
      */
-    public Decision decide(double nowMs, PlanState state, long ofGeneration, long token, List<PoolMeasurement> seen) {
+    public Decision decide(
+            double nowMs, PlanState state, long stateGeneration, long token, List<PoolMeasurement> measurements) {
         if (!state.status().needsDriver()) {
             return Decision.UNCHANGED;
         }
-        if (ofGeneration != generation) {
-            generation = ofGeneration;
+        if (stateGeneration != generation) {
+            generation = stateGeneration;
             stateSinceMs = nowMs;
             lastDecisionMs = nowMs;
             accumulators.clear();
         }
-        double held = nowMs - stateSinceMs;
-        double since = nowMs - lastDecisionMs;
+        double elapsedMs = nowMs - stateSinceMs;
+        double sinceLastMs = nowMs - lastDecisionMs;
         lastDecisionMs = nowMs;
         if (state.status() == EvacuationStatus.EVACUATED) {
-            return state.plan().returnAfterMs() > 0 && held >= state.plan().returnAfterMs()
+            return state.plan().returnAfterMs() > 0 && elapsedMs >= state.plan().returnAfterMs()
                     ? changeTo(state.transitionTo(EvacuationStatus.RETURNING, 0, token, driverName, "its time is over"))
                     : Decision.UNCHANGED;
         }
         if (state.status() == EvacuationStatus.RETURNING) {
-            return continueReturn(state, token, held);
+            return continueReturn(state, token, elapsedMs);
         }
-        String why = findHaltReason(state, seen, held, since);
-        if (why != null) {
-            List<Correction> learnt =
-                    state.status() == EvacuationStatus.REHEARSING ? computeCorrections(state, held) : List.of();
+        String haltReason = findHaltReason(state, measurements, elapsedMs, sinceLastMs);
+        if (haltReason != null) {
+            List<Correction> corrections =
+                    state.status() == EvacuationStatus.REHEARSING ? computeCorrections(state, elapsedMs) : List.of();
             return new Decision(
-                    state.transitionTo(EvacuationStatus.HALTED, state.step(), token, driverName, why), learnt);
+                    state.transitionTo(EvacuationStatus.HALTED, state.step(), token, driverName, haltReason),
+                    corrections);
         }
         if (state.status() == EvacuationStatus.REHEARSING) {
-            return held < state.plan().rehearsalMs()
+            return elapsedMs < state.plan().rehearsalMs()
                     ? Decision.UNCHANGED
                     : new Decision(
                             state.transitionTo(EvacuationStatus.PASSED, 0, token, driverName, "as foretold"),
-                            computeCorrections(state, held));
+                            computeCorrections(state, elapsedMs));
         }
         List<EvacuationPlan.Step> steps = state.plan().steps();
-        if (held < steps.get(Math.min(state.step(), steps.size() - 1)).pauseMs()) {
+        if (elapsedMs < steps.get(Math.min(state.step(), steps.size() - 1)).pauseMs()) {
             return Decision.UNCHANGED;
         }
         return changeTo(
@@ -145,13 +147,14 @@
                         : state.transitionTo(EvacuationStatus.EVACUATED, 0, token, driverName, ""));
     }
 
-    private Decision continueReturn(PlanState state, long token, double held) {
-        List<EvacuationPlan.Step> back = state.plan().returnSteps();
-        if (state.step() < back.size() && held < back.get(state.step()).pauseMs()) {
+    private Decision continueReturn(PlanState state, long token, double elapsedMs) {
+        List<EvacuationPlan.Step> returnSteps = state.plan().returnSteps();
+        if (state.step() < returnSteps.size()
+                && elapsedMs < returnSteps.get(state.step()).pauseMs()) {
             return Decision.UNCHANGED;
         }
         return changeTo(
-                state.step() + 1 < back.size()
+                state.step() + 1 < returnSteps.size()
                         ? state.transitionTo(EvacuationStatus.RETURNING, state.step() + 1, token, driverName, "")
                         : state.transitionTo(EvacuationStatus.CLOSED, 0, token, driverName, "all load is back"));
     }
@@ -161,82 +164,97 @@
     }
 
     /** The reason to halt; null if there is none. */
-    private String findHaltReason(PlanState state, List<PoolMeasurement> seen, double held, double since) {
-        Map<PoolName, PoolMeasurement> by = new HashMap<>();
-        seen.forEach(s -> by.put(s.pool(), s));
-        for (PoolPrediction f : state.predictions()) {
-            PoolMeasurement s = by.get(f.pool());
-            if (s == null || s.ageMs() > limits.maxAgeMs()) {
-                if (held > limits.maxAgeMs()) {
-                    return f.pool() + " is not heard of";
+    private String findHaltReason(
+            PlanState state, List<PoolMeasurement> measurements, double elapsedMs, double sinceLastMs) {
+        Map<PoolName, PoolMeasurement> byPool = new HashMap<>();
+        measurements.forEach(measurement -> byPool.put(measurement.pool(), measurement));
+        for (PoolPrediction prediction : state.predictions()) {
+            PoolMeasurement measurement = byPool.get(prediction.pool());
+            if (measurement == null || measurement.ageMs() > limits.maxAgeMs()) {
+                if (elapsedMs > limits.maxAgeMs()) {
+                    return prediction.pool() + " is not heard of";
                 }
                 continue;
             }
-            LoadAccumulator sum = accumulators.computeIfAbsent(f.pool(), p -> new LoadAccumulator());
-            boolean passed = s.failureRatio() > limits.maxFailureRatio() || s.utilisation() > limits.maxUtilisation();
-            sum.overLimitMs = passed ? sum.overLimitMs + since : 0;
-            if (sum.overLimitMs >= MIN_OVER_LIMIT_MS) {
-                return s.failureRatio() > limits.maxFailureRatio()
-                        ? format("%s passed its bound: %.1f%% of tries fail", f.pool(), 100 * s.failureRatio())
-                        : format("%s passed its bound: %.0f%% in use", f.pool(), 100 * s.utilisation());
+            LoadAccumulator accumulator = accumulators.computeIfAbsent(prediction.pool(), p -> new LoadAccumulator());
+            boolean overLimit = measurement.failureRatio() > limits.maxFailureRatio()
+                    || measurement.utilisation() > limits.maxUtilisation();
+            accumulator.overLimitMs = overLimit ? accumulator.overLimitMs + sinceLastMs : 0;
+            if (accumulator.overLimitMs >= MIN_OVER_LIMIT_MS) {
+                return measurement.failureRatio() > limits.maxFailureRatio()
+                        ? format(
+                                "%s passed its bound: %.1f%% of tries fail",
+                                prediction.pool(), 100 * measurement.failureRatio())
+                        : format(
+                                "%s passed its bound: %.0f%% in use",
+                                prediction.pool(), 100 * measurement.utilisation());
             }
-            if (state.status() == EvacuationStatus.REHEARSING && s.servers() != f.servers()) {
-                return format("%s has %d servers, not %d: forecast again", f.pool(), s.servers(), f.servers());
+            if (state.status() == EvacuationStatus.REHEARSING && measurement.servers() != prediction.servers()) {
+                return format(
+                        "%s has %d servers, not %d: forecast again",
+                        prediction.pool(), measurement.servers(), prediction.servers());
             }
-            if (held < limits.settlingMs()) {
+            if (elapsedMs < limits.settlingMs()) {
                 continue;
             }
-            sum.rateIntegral += s.attemptRate() * since;
-            sum.observedMs += since;
-            Interval expected = predictedRate(state, f);
-            double mean = sum.observedMs > 0 ? sum.rateIntegral / sum.observedMs : 0;
-            if (expected != null && sum.observedMs >= MIN_OBSERVED_MS && deviates(expected, mean, f, s)) {
+            accumulator.rateIntegral += measurement.attemptRate() * sinceLastMs;
+            accumulator.observedMs += sinceLastMs;
+            Interval predicted = predictedRate(state, prediction);
+            double meanRate = accumulator.observedMs > 0 ? accumulator.rateIntegral / accumulator.observedMs : 0;
+            if (predicted != null
+                    && accumulator.observedMs >= MIN_OBSERVED_MS
+                    && deviates(predicted, meanRate, prediction, measurement)) {
                 return format(
                         "%s has %.1f tries a second, foretold were %.1f (%.1f to %.1f)",
-                        f.pool(), mean, expected.expected(), expected.low(), expected.high());
+                        prediction.pool(), meanRate, predicted.expected(), predicted.low(), predicted.high());
             }
         }
         return null;
     }
 
-    private boolean deviates(Interval expected, double mean, PoolPrediction f, PoolMeasurement s) {
+    private boolean deviates(
+            Interval predicted, double meanRate, PoolPrediction prediction, PoolMeasurement measurement) {
         // More servers than were foretold take more of what moves; that is no fault while load is carried.
-        boolean more = s.servers() > f.servers() && mean > expected.expected();
-        return !more
-                && !expected.contains(mean)
-                && Math.abs(mean - expected.expected())
-                        > limits.maxLoadDeviation() * Math.max(MIN_LOAD, expected.expected());
+        boolean extraServersTakeMore = measurement.servers() > prediction.servers() && meanRate > predicted.expected();
+        return !extraServersTakeMore
+                && !predicted.contains(meanRate)
+                && Math.abs(meanRate - predicted.expected())
+                        > limits.maxLoadDeviation() * Math.max(MIN_LOAD, predicted.expected());
     }
 
-    private static Interval predictedRate(PlanState state, PoolPrediction f) {
+    private static Interval predictedRate(PlanState state, PoolPrediction prediction) {
         if (state.status() == EvacuationStatus.REHEARSING) {
-            return f.rehearsal();
+            return prediction.rehearsal();
         }
-        return state.step() < f.steps().size() ? f.steps().get(state.step()) : null;
+        return state.step() < prediction.steps().size() ? prediction.steps().get(state.step()) : null;
     }
 
     /** What came beside what was foretold, weighed by how far it stands out from chance. */
-    private List<Correction> computeCorrections(PlanState state, double held) {
-        List<Correction> out = new ArrayList<>();
-        for (PoolPrediction f : state.predictions()) {
-            LoadAccumulator sum = accumulators.get(f.pool());
-            double moved = f.rehearsal().expected() - f.baselineRate();
-            if (sum == null || sum.observedMs < MIN_OBSERVED_MS || moved <= 0) {
+    private List<Correction> computeCorrections(PlanState state, double elapsedMs) {
+        List<Correction> corrections = new ArrayList<>();
+        for (PoolPrediction prediction : state.predictions()) {
+            LoadAccumulator accumulator = accumulators.get(prediction.pool());
+            double predictedIncrease = prediction.rehearsal().expected() - prediction.baselineRate();
+            if (accumulator == null || accumulator.observedMs < MIN_OBSERVED_MS || predictedIncrease <= 0) {
                 continue;
             }
-            double came = sum.rateIntegral / sum.observedMs - f.baselineRate();
+            double observedIncrease = accumulator.rateIntegral / accumulator.observedMs - prediction.baselineRate();
             // Chance of arrivals while it was held, and that of the load it is compared with.
-            double noise = f.rehearsal().expected() / (sum.observedMs / 1000)
-                    + Math.pow((f.rehearsal().high() - f.rehearsal().low()) / 2.56, 2);
-            double weight = moved * moved / (moved * moved + noise);
-            if (came > 0 && weight > 0.01) {
-                out.add(new Correction(f.pool(), came / moved, weight));
+            double variance = prediction.rehearsal().expected() / (accumulator.observedMs / 1000)
+                    + Math.pow(
+                            (prediction.rehearsal().high()
+                                            - prediction.rehearsal().low())
+                                    / 2.56,
+                            2);
+            double weight = predictedIncrease * predictedIncrease / (predictedIncrease * predictedIncrease + variance);
+            if (observedIncrease > 0 && weight > 0.01) {
+                corrections.add(new Correction(prediction.pool(), observedIncrease / predictedIncrease, weight));
             }
         }
-        return out;
+        return corrections;
     }
 
-    private static String format(String format, Object... args) {
-        return String.format(Locale.ROOT, format, args);
+    private static String format(String pattern, Object... args) {
+        return String.format(Locale.ROOT, pattern, args);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -69,59 +69,60 @@
      * @param local takes the orders for this member's own node
      */
     public DriverTask(
-            AgreedValues agreed,
+            AgreedValues agreedValues,
             PeerLinks links,
             Driver driver,
-            Timing times,
-            Supplier<List<PoolMeasurement>> seen,
-            Consumer<Correction> learns,
-            Consumer<WeightCommand> local) {
-        this.agreedValues = agreed;
+            Timing timing,
+            Supplier<List<PoolMeasurement>> measurements,
+            Consumer<Correction> correctionSink,
+            Consumer<WeightCommand> localCommandSink) {
+        this.agreedValues = agreedValues;
         this.links = links;
         this.driver = driver;
-        this.timing = times;
-        this.measurements = seen;
-        this.correctionSink = learns;
-        this.localCommandSink = local;
+        this.timing = timing;
+        this.measurements = measurements;
+        this.correctionSink = correctionSink;
+        this.localCommandSink = localCommandSink;
     }
 
     /** One turn. */
     public void tick(double nowMs) {
-        Optional<Acting> acting = agreedValues.acting(AgreedValues.EVACUATION);
-        if (acting.isEmpty() || acting.get().one() == null) {
+        Optional<Acting> activeValues = agreedValues.acting(AgreedValues.EVACUATION);
+        if (activeValues.isEmpty() || activeValues.get().one() == null) {
             return;
         }
-        PlanState one = decode(acting.get().one());
-        PlanState other =
-                acting.get().other() == null ? null : decode(acting.get().other());
-        if (one == null || acting.get().other() != null && other == null) {
+        PlanState state = decode(activeValues.get().one());
+        PlanState otherState = activeValues.get().other() == null
+                ? null
+                : decode(activeValues.get().other());
+        if (state == null || activeValues.get().other() != null && otherState == null) {
             return;
         }
-        boolean wanted =
-                one.status().needsDriver() || other != null && other.status().needsDriver();
-        if (!wanted) {
+        boolean needsDriver = state.status().needsDriver()
+                || otherState != null && otherState.status().needsDriver();
+        if (!needsDriver) {
             // Orders of a plan that is over end by themselves; the last one says that all is as usual.
-            long generation = acting.get().one().generation();
+            long generation = activeValues.get().one().generation();
             if (lastCommandEpoch != generation) {
                 agreedValues
                         .heldLease(ROLE)
-                        .ifPresent(lease -> sendCommand(nowMs, lease.token(), one.zoneWeights(), generation));
+                        .ifPresent(lease -> sendCommand(nowMs, lease.token(), state.zoneWeights(), generation));
             }
             return;
         }
         acquireOrExtendRole(nowMs);
         Optional<Lease> lease = agreedValues.heldLease(ROLE);
-        if (lease.isEmpty() || one.token() > lease.get().token()) {
+        if (lease.isEmpty() || state.token() > lease.get().token()) {
             return;
         }
         long token = lease.get().token();
-        long epoch = acting.get().one().generation();
-        if (other == null && (pendingProposal == null || pendingProposal.isDone())) {
-            Decision turn = driver.decide(nowMs, one, epoch, token, measurements.get());
+        long epoch = activeValues.get().one().generation();
+        if (otherState == null && (pendingProposal == null || pendingProposal.isDone())) {
+            Decision turn = driver.decide(nowMs, state, epoch, token, measurements.get());
             turn.corrections().forEach(correctionSink);
             if (turn.nextState() != null) {
                 LOG.atInfo()
-                        .addKeyValue("plan", one.plan().name())
+                        .addKeyValue("plan", state.plan().name())
                         .addKeyValue("step", turn.nextState().step())
                         .log(
                                 "evacuation becomes {}: {}",
@@ -135,18 +136,19 @@
             }
         }
         if (nowMs - lastCommandMs >= timing.commandIntervalMs() || epoch != lastCommandEpoch) {
-            sendCommand(nowMs, token, mergeWeights(one, other), epoch);
+            sendCommand(nowMs, token, mergeWeights(state, otherState), epoch);
         }
     }
 
     /** While two records are acted by, a zone keeps the larger part: what both allow. */
-    private static Map<String, Double> mergeWeights(PlanState one, PlanState other) {
-        Map<String, Double> parts = new HashMap<>(one.zoneWeights());
-        if (other != null) {
-            other.zoneWeights().forEach((z, p) -> parts.merge(z, p, Math::max));
-            parts.replaceAll((z, p) -> Math.max(p, other.zoneWeights().getOrDefault(z, 1.0)));
+    private static Map<String, Double> mergeWeights(PlanState state, PlanState otherState) {
+        Map<String, Double> weights = new HashMap<>(state.zoneWeights());
+        if (otherState != null) {
+            otherState.zoneWeights().forEach((zone, weight) -> weights.merge(zone, weight, Math::max));
+            weights.replaceAll(
+                    (zone, weight) -> Math.max(weight, otherState.zoneWeights().getOrDefault(zone, 1.0)));
         }
-        return parts;
+        return weights;
     }
 
     /** Claims the role, or extends its lease, unless a claim is still unanswered. */
@@ -158,24 +160,24 @@
         }
     }
 
-    private void sendCommand(double nowMs, long token, Map<String, Double> parts, long epoch) {
-        WeightCommand o = new WeightCommand(token, epoch, parts, timing.commandValidityMs());
-        byte[] body = o.encode();
-        for (Member m : links.peers()) {
+    private void sendCommand(double nowMs, long token, Map<String, Double> weights, long epoch) {
+        WeightCommand command = new WeightCommand(token, epoch, weights, timing.commandValidityMs());
+        byte[] body = command.encode();
+        for (Member member : links.peers()) {
             // A full queue loses one; the next comes soon.
-            links.send(m.name(), MessageStream.EVACUATION, body);
+            links.send(member.name(), MessageStream.EVACUATION, body);
         }
-        localCommandSink.accept(o);
+        localCommandSink.accept(command);
         lastCommandMs = nowMs;
         lastCommandEpoch = epoch;
     }
 
-    private static PlanState decode(AgreedValues.Value v) {
+    private static PlanState decode(AgreedValues.Value value) {
         try {
-            return PlanState.decode(v.content());
+            return PlanState.decode(value.content());
         } catch (IOException e) {
             LOG.atWarn()
-                    .addKeyValue("generation", v.generation())
+                    .addKeyValue("generation", value.generation())
                     .log("the agreed plan can't be read: {}", e.getMessage());
             return null;
         }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationPlan.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationPlan.java
@@ -68,21 +68,21 @@
     }
 
     /** A plan of equal steps, rehearsed with a twentieth of the load for eight seconds. */
-    public static EvacuationPlan withEvenSteps(String name, String zone, int steps, double pauseMs) {
-        List<Step> all = new ArrayList<>();
-        for (int i = 0; i < steps; i++) {
-            all.add(new Step(1.0 / steps, pauseMs));
+    public static EvacuationPlan withEvenSteps(String name, String zone, int stepCount, double pauseMs) {
+        List<Step> equalSteps = new ArrayList<>();
+        for (int i = 0; i < stepCount; i++) {
+            equalSteps.add(new Step(1.0 / stepCount, pauseMs));
         }
-        return new EvacuationPlan(name, zone, -1, all, 0.05, 8000, List.of(), 0, List.of());
+        return new EvacuationPlan(name, zone, -1, equalSteps, 0.05, 8000, List.of(), 0, List.of());
     }
 
     /** The same plan with other steps. */
-    public EvacuationPlan withSteps(List<Step> others) {
+    public EvacuationPlan withSteps(List<Step> newSteps) {
         return new EvacuationPlan(
                 name,
                 zone,
                 startDayMs,
-                others,
+                newSteps,
                 rehearsalFraction,
                 rehearsalMs,
                 returnSteps,
@@ -91,21 +91,21 @@
     }
 
     /** The part that is moved once so many steps have begun. */
-    public double movedFraction(int begun) {
+    public double movedFraction(int stepsBegun) {
         double sum = 0;
-        for (int i = 0; i < Math.min(begun, steps.size()); i++) {
+        for (int i = 0; i < Math.min(stepsBegun, steps.size()); i++) {
             sum += steps.get(i).fraction();
         }
         return Math.min(1, sum);
     }
 
     /** The part that is still moved once so many steps back have begun. */
-    public double movedFractionDuringReturn(int begun) {
-        if (begun > 0 && begun >= returnSteps.size()) {
+    public double movedFractionDuringReturn(int returnStepsBegun) {
+        if (returnStepsBegun > 0 && returnStepsBegun >= returnSteps.size()) {
             return 0;
         }
         double sum = movedFraction(steps.size());
-        for (int i = 0; i < begun; i++) {
+        for (int i = 0; i < returnStepsBegun; i++) {
             sum -= returnSteps.get(i).fraction();
         }
         return Math.max(0, sum);
@@ -118,73 +118,75 @@
 
     /** All that is wrong with it, for a fleet of these pools; empty if nothing is. */
     public List<String> validationErrors(Collection<PoolName> pools) {
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         Set<String> zones = new TreeSet<>();
         pools.forEach(p -> zones.add(p.zone()));
         if (name == null || !name.matches("[A-Za-z0-9._-]{1,64}")) {
-            faults.add("name: 1 to 64 letters, digits, dots, dashes or underscores");
+            errors.add("name: 1 to 64 letters, digits, dots, dashes or underscores");
         }
         if (zone == null || !zones.contains(zone)) {
-            faults.add("zone: there is no zone " + zone + "; there are " + zones);
+            errors.add("zone: there is no zone " + zone + "; there are " + zones);
         } else {
-            Set<String> tiers = new TreeSet<>();
-            pools.stream().filter(p -> p.zone().equals(zone)).forEach(p -> tiers.add(p.tier()));
-            pools.stream().filter(p -> !p.zone().equals(zone)).forEach(p -> tiers.remove(p.tier()));
+            Set<String> tiersOnlyInZone = new TreeSet<>();
+            pools.stream().filter(p -> p.zone().equals(zone)).forEach(p -> tiersOnlyInZone.add(p.tier()));
+            pools.stream().filter(p -> !p.zone().equals(zone)).forEach(p -> tiersOnlyInZone.remove(p.tier()));
             if (zones.size() == 1) {
-                faults.add("zone: " + zone + " is the last one");
-            } else if (!tiers.isEmpty()) {
-                faults.add("zone: " + zone + " is the last one with " + tiers);
+                errors.add("zone: " + zone + " is the last one");
+            } else if (!tiersOnlyInZone.isEmpty()) {
+                errors.add("zone: " + zone + " is the last one with " + tiersOnlyInZone);
             }
         }
-        steps("steps", steps, faults);
+        steps("steps", steps, errors);
         if (steps.isEmpty()) {
-            faults.add("steps: none");
+            errors.add("steps: none");
         } else if (steps.size() <= MAX_ENTRIES && Math.abs(totalFraction(steps) - 1) > ROUNDING) {
-            faults.add("steps: they move " + round(totalFraction(steps)) + " of the load, not all of it");
+            errors.add("steps: they move " + round(totalFraction(steps)) + " of the load, not all of it");
         }
-        steps("back", returnSteps, faults);
+        steps("back", returnSteps, errors);
         if (!returnSteps.isEmpty() && Math.abs(totalFraction(returnSteps) - 1) > ROUNDING) {
-            faults.add("back: they bring back " + round(totalFraction(returnSteps)) + " of the load, not all of it");
+            errors.add("back: they bring back " + round(totalFraction(returnSteps)) + " of the load, not all of it");
         }
         if (!(rehearsalFraction > 0 && rehearsalFraction <= 0.5)) {
-            faults.add("rehearsalPart: above 0, at most 0.5");
+            errors.add("rehearsalPart: above 0, at most 0.5");
         }
         if (!(rehearsalMs >= 1000 && rehearsalMs <= 600_000)) {
-            faults.add("rehearsalMs: from a second to ten minutes");
+            errors.add("rehearsalMs: from a second to ten minutes");
         }
         if (!(startDayMs < MAX_DURATION_MS) || Double.isNaN(startDayMs)) {
-            faults.add("startDayMs: a time of the day, or negative");
+            errors.add("startDayMs: a time of the day, or negative");
         }
         if (!(returnAfterMs >= 0 && returnAfterMs <= MAX_DURATION_MS)) {
-            faults.add("backAfterMs: from 0 to a day");
+            errors.add("backAfterMs: from 0 to a day");
         }
         if (addedServers.size() > MAX_ENTRIES) {
-            faults.add("comes: more than " + MAX_ENTRIES);
+            errors.add("comes: more than " + MAX_ENTRIES);
         }
-        for (AddedServers c : addedServers) {
-            if (c.pool() == null || !pools.contains(c.pool())) {
-                faults.add("comes: there is no pool " + c.pool());
-            } else if (c.pool().zone().equals(zone)) {
-                faults.add("comes: " + c.pool() + " is in the zone that is emptied");
+        for (AddedServers added : addedServers) {
+            if (added.pool() == null || !pools.contains(added.pool())) {
+                errors.add("comes: there is no pool " + added.pool());
+            } else if (added.pool().zone().equals(zone)) {
+                errors.add("comes: " + added.pool() + " is in the zone that is emptied");
             }
-            if (c.servers() < 1 || c.servers() > 10_000 || !(c.afterMs() >= 0 && c.afterMs() <= MAX_DURATION_MS)) {
-                faults.add("comes: 1 to 10000 servers, within a day");
+            if (added.servers() < 1
+                    || added.servers() > 10_000
+                    || !(added.afterMs() >= 0 && added.afterMs() <= MAX_DURATION_MS)) {
+                errors.add("comes: 1 to 10000 servers, within a day");
             }
         }
-        return faults;
+        return errors;
     }
 
-    private static void steps(String key, List<Step> steps, List<String> faults) {
+    private static void steps(String key, List<Step> steps, List<String> errors) {
         if (steps.size() > MAX_ENTRIES) {
-            faults.add(key + ": more than " + MAX_ENTRIES);
+            errors.add(key + ": more than " + MAX_ENTRIES);
         }
         for (int i = 0; i < Math.min(MAX_ENTRIES, steps.size()); i++) {
-            Step s = steps.get(i);
-            if (!(s.fraction() > 0 && s.fraction() <= 1 + ROUNDING)) {
-                faults.add(key + "[" + i + "].part: above 0, at most 1");
+            Step step = steps.get(i);
+            if (!(step.fraction() > 0 && step.fraction() <= 1 + ROUNDING)) {
+                errors.add(key + "[" + i + "].part: above 0, at most 1");
             }
-            if (!(s.pauseMs() >= 1000 && s.pauseMs() <= MAX_DURATION_MS)) {
-                faults.add(key + "[" + i + "].pauseMs: from a second to a day");
+            if (!(step.pauseMs() >= 1000 && step.pauseMs() <= MAX_DURATION_MS)) {
+                errors.add(key + "[" + i + "].pauseMs: from a second to a day");
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
@@ -112,54 +112,55 @@
     private final double[] arrivalDispersion;
 
     /** The courses of this plan; moved parts may be told apart from the plan's own steps. */
-    FluidModel(PoolSnapshot picture, EvacuationPlan plan, double[] movedAt) {
-        this.snapshot = picture;
+    FluidModel(PoolSnapshot snapshot, EvacuationPlan plan, double[] movedFractions) {
+        this.snapshot = snapshot;
         this.plan = plan;
-        this.settings = picture.settings();
-        this.pools = picture.pools();
-        this.zones = new ArrayList<>(picture.zones());
-        for (Flow f : picture.flows()) {
-            if (!zones.contains(f.origin())) {
-                zones.add(f.origin());
+        this.settings = snapshot.settings();
+        this.pools = snapshot.pools();
+        this.zones = new ArrayList<>(snapshot.zones());
+        for (Flow flow : snapshot.flows()) {
+            if (!zones.contains(flow.origin())) {
+                zones.add(flow.origin());
             }
         }
         this.evacuatedZone = zones.indexOf(plan.zone());
-        this.movedFractions = movedAt;
-        stepEndsMs = new double[movedAt.length];
-        double at = 0;
+        this.movedFractions = movedFractions;
+        stepEndsMs = new double[movedFractions.length];
+        double endMs = 0;
         for (int i = 0; i < stepEndsMs.length; i++) {
-            at += plan.steps().get(i).pauseMs();
-            stepEndsMs[i] = at;
+            endMs += plan.steps().get(i).pauseMs();
+            stepEndsMs[i] = endMs;
         }
         zoneOfPool =
                 pools.stream().mapToInt(p -> zones.indexOf(p.name().zone())).toArray();
         for (String tier : settings.tiers()) {
-            List<Integer> of = new ArrayList<>();
+            List<Integer> poolIndices = new ArrayList<>();
             for (int i = 0; i < pools.size(); i++) {
                 if (pools.get(i).name().tier().equals(tier)) {
-                    of.add(i);
+                    poolIndices.add(i);
                 }
             }
-            poolsByTier.add(of.stream().mapToInt(Integer::intValue).toArray());
+            poolsByTier.add(poolIndices.stream().mapToInt(Integer::intValue).toArray());
         }
-        originOfFlow = picture.flows().stream()
-                .mapToInt(f -> zones.indexOf(f.origin()))
+        originOfFlow = snapshot.flows().stream()
+                .mapToInt(flow -> zones.indexOf(flow.origin()))
                 .toArray();
-        poolOfFlow = picture.flows().stream().mapToInt(f -> indexOf(f.pool())).toArray();
+        poolOfFlow =
+                snapshot.flows().stream().mapToInt(flow -> indexOf(flow.pool())).toArray();
         shareInZone = new double[pools.size()];
         usualRouting = new double[poolsByTier.size()][zones.size()][zones.size()];
-        for (int t = 0; t < poolsByTier.size(); t++) {
-            shareInZone(poolsByTier.get(t));
-            usualRouting(t);
+        for (int tierIndex = 0; tierIndex < poolsByTier.size(); tierIndex++) {
+            shareInZone(poolsByTier.get(tierIndex));
+            usualRouting(tierIndex);
         }
         meanOccupancy = new double[pools.size()][];
         fluidOccupancy = new double[pools.size()][];
         arrivalDispersion = new double[pools.size()];
         for (int i = 0; i < pools.size(); i++) {
-            Pool p = pools.get(i);
-            meanOccupancy[i] = occupancyTable(p, true);
-            fluidOccupancy[i] = occupancyTable(p, false);
-            arrivalDispersion[i] = 1 + (isSlotLimited(p) ? p.squaredVariation() : 1);
+            Pool pool = pools.get(i);
+            meanOccupancy[i] = occupancyTable(pool, true);
+            fluidOccupancy[i] = occupancyTable(pool, false);
+            arrivalDispersion[i] = 1 + (isSlotLimited(pool) ? pool.squaredVariation() : 1);
         }
     }
 
@@ -174,16 +175,16 @@
 
     private void shareInZone(int[] tier) {
         for (int i : tier) {
-            double mine = pools.get(i).attemptRate();
-            double all = 0;
-            double slots = 0;
+            double ownRate = pools.get(i).attemptRate();
+            double zoneRate = 0;
+            double zoneSlots = 0;
             for (int j : tier) {
                 if (zoneOfPool[j] == zoneOfPool[i]) {
-                    all += pools.get(j).attemptRate();
-                    slots += totalSlots(j);
+                    zoneRate += pools.get(j).attemptRate();
+                    zoneSlots += totalSlots(j);
                 }
             }
-            shareInZone[i] = all > 0 ? mine / all : slots > 0 ? totalSlots(i) / slots : 0;
+            shareInZone[i] = zoneRate > 0 ? ownRate / zoneRate : zoneSlots > 0 ? totalSlots(i) / zoneSlots : 0;
         }
     }
 
@@ -191,44 +192,44 @@
         return pools.get(pool).servers() * pools.get(pool).slots();
     }
 
-    private void usualRouting(int t) {
-        for (int f = 0; f < poolOfFlow.length; f++) {
-            if (poolOfFlow[f] >= 0
-                    && pools.get(poolOfFlow[f])
+    private void usualRouting(int tier) {
+        for (int flow = 0; flow < poolOfFlow.length; flow++) {
+            if (poolOfFlow[flow] >= 0
+                    && pools.get(poolOfFlow[flow])
                             .name()
                             .tier()
-                            .equals(settings.tiers().get(t))) {
-                usualRouting[t][originOfFlow[f]][zoneOfPool[poolOfFlow[f]]] +=
-                        snapshot.flows().get(f).rate();
+                            .equals(settings.tiers().get(tier))) {
+                usualRouting[tier][originOfFlow[flow]][zoneOfPool[poolOfFlow[flow]]] +=
+                        snapshot.flows().get(flow).rate();
             }
         }
-        for (int o = 0; o < zones.size(); o++) {
-            double sum = Arrays.stream(usualRouting[t][o]).sum();
+        for (int origin = 0; origin < zones.size(); origin++) {
+            double sum = Arrays.stream(usualRouting[tier][origin]).sum();
             if (sum > 0) {
-                for (int z = 0; z < zones.size(); z++) {
-                    usualRouting[t][o][z] /= sum;
+                for (int zone = 0; zone < zones.size(); zone++) {
+                    usualRouting[tier][origin][zone] /= sum;
                 }
             } else {
-                usualRouting[t][o][o] = 1;
+                usualRouting[tier][origin][origin] = 1;
             }
         }
     }
 
     /** Slots beyond what is worked on share it evenly, and then the work's variation does not matter. */
-    private static boolean isSlotLimited(Pool p) {
-        return p.slots() * p.servers() <= Math.max(1, p.concurrency()) * 1.05;
+    private static boolean isSlotLimited(Pool pool) {
+        return pool.slots() * pool.servers() <= Math.max(1, pool.concurrency()) * 1.05;
     }
 
     /** The number in work and before it at each load of the grid: as it is in the mean, or without any chance. */
-    private static double[] occupancyTable(Pool p, boolean mean) {
-        double[] n = new double[GRID_SIZE + 1];
-        double c = Math.max(1, p.concurrency());
-        double factor = !mean ? 0 : isSlotLimited(p) ? (1 + p.squaredVariation()) / 2 : 1;
+    private static double[] occupancyTable(Pool pool, boolean withQueue) {
+        double[] occupancy = new double[GRID_SIZE + 1];
+        double concurrency = Math.max(1, pool.concurrency());
+        double factor = !withQueue ? 0 : isSlotLimited(pool) ? (1 + pool.squaredVariation()) / 2 : 1;
         for (int i = 0; i <= GRID_SIZE; i++) {
             double rho = MAX_GRID_LOAD * i / GRID_SIZE;
-            n[i] = c * rho + factor * Queues.sakasegawaQueueLength(c, rho);
+            occupancy[i] = concurrency * rho + factor * Queues.sakasegawaQueueLength(concurrency, rho);
         }
-        return n;
+        return occupancy;
     }
 
     /**
@@ -238,30 +239,34 @@
      * @param most what all servers complete in a step at the most
      * @param scale servers there are for each that the table was made for
      */
-    private static double remainingInService(double[] n, double before, double most, double scale) {
-        if (before >= n[GRID_SIZE] * scale + MAX_GRID_LOAD * most) {
-            return before
-                    - most
+    private static double remainingInService(
+            double[] occupancy, double inService, double maxCompletions, double scale) {
+        if (inService >= occupancy[GRID_SIZE] * scale + MAX_GRID_LOAD * maxCompletions) {
+            return inService
+                    - maxCompletions
                             * Math.min(
                                     1,
                                     MAX_GRID_LOAD
                                             + (1 - MAX_GRID_LOAD)
-                                                    * (before / (n[GRID_SIZE] * scale + MAX_GRID_LOAD * most) - 1));
+                                                    * (inService
+                                                                    / (occupancy[GRID_SIZE] * scale
+                                                                            + MAX_GRID_LOAD * maxCompletions)
+                                                            - 1));
         }
         int low = 0;
         int high = GRID_SIZE;
         while (high - low > 1) {
             int mid = (low + high) >>> 1;
-            if (n[mid] * scale + MAX_GRID_LOAD * mid / GRID_SIZE * most <= before) {
+            if (occupancy[mid] * scale + MAX_GRID_LOAD * mid / GRID_SIZE * maxCompletions <= inService) {
                 low = mid;
             } else {
                 high = mid;
             }
         }
-        double atLow = n[low] * scale + MAX_GRID_LOAD * low / GRID_SIZE * most;
-        double atHigh = n[high] * scale + MAX_GRID_LOAD * high / GRID_SIZE * most;
-        double part = (before - atLow) / Math.max(1e-12, atHigh - atLow);
-        return scale * (n[low] + part * (n[high] - n[low]));
+        double atLow = occupancy[low] * scale + MAX_GRID_LOAD * low / GRID_SIZE * maxCompletions;
+        double atHigh = occupancy[high] * scale + MAX_GRID_LOAD * high / GRID_SIZE * maxCompletions;
+        double interpolation = (inService - atLow) / Math.max(1e-12, atHigh - atLow);
+        return scale * (occupancy[low] + interpolation * (occupancy[high] - occupancy[low]));
     }
 
     int stepAt(double ms) {
@@ -273,322 +278,362 @@
         return stepEndsMs.length - 1;
     }
 
-    Trajectory simulate(ParameterSample draw) {
-        int n = pools.size();
-        Trajectory out = new Trajectory(n, Math.max(1, movedFractions.length));
-        double[] waiting = new double[n];
-        double[] working = new double[n];
-        double[] calling = new double[n];
-        double[] done = new double[n];
-        double[] failing = new double[n];
-        double[] refusing = new double[n];
-        double[] late = new double[n];
-        double[] response = new double[n];
-        double[] noise = new double[n];
-        double[] slowSince = new double[n];
-        double[] restSince = new double[n];
-        boolean[] slow = new boolean[n];
-        double[] inflow = new double[n];
-        int window = Math.max(1, (int) Math.round(settings.saturationWindowMs() / STEP_MS));
-        double[][] failed = new double[n][window];
-        double[][] came = new double[n][window];
-        double[] failedSum = new double[n];
-        double[] cameSum = new double[n];
-        double[] scale = new double[n];
-        double[][] causes = new double[n][Resource.values().length];
-        Arrays.fill(noise, 1);
-        Arrays.fill(slowSince, Double.NaN);
-        Arrays.fill(restSince, Double.NaN);
-        for (int i = 0; i < n; i++) {
-            response[i] = pools.get(i).ownWorkMs();
-        }
-        double[] first = new double[zones.size()];
-        for (int f = 0; f < poolOfFlow.length; f++) {
-            if (poolOfFlow[f] >= 0
-                    && pools.get(poolOfFlow[f])
+    Trajectory simulate(ParameterSample sample) {
+        int poolCount = pools.size();
+        Trajectory trajectory = new Trajectory(poolCount, Math.max(1, movedFractions.length));
+        double[] waiting = new double[poolCount];
+        double[] inService = new double[poolCount];
+        double[] inDownstreamCall = new double[poolCount];
+        double[] completionRate = new double[poolCount];
+        double[] failureRatio = new double[poolCount];
+        double[] rejectionRatio = new double[poolCount];
+        double[] lateRatio = new double[poolCount];
+        double[] responseMs = new double[poolCount];
+        double[] noiseFactor = new double[poolCount];
+        double[] overloadedSinceMs = new double[poolCount];
+        double[] recoveringSinceMs = new double[poolCount];
+        boolean[] degraded = new boolean[poolCount];
+        double[] firstAttemptRate = new double[poolCount];
+        int windowSteps = Math.max(1, (int) Math.round(settings.saturationWindowMs() / STEP_MS));
+        double[][] failedInWindow = new double[poolCount][windowSteps];
+        double[][] arrivedInWindow = new double[poolCount][windowSteps];
+        double[] failedSum = new double[poolCount];
+        double[] arrivedSum = new double[poolCount];
+        double[] serverScale = new double[poolCount];
+        double[][] failureCauses = new double[poolCount][Resource.values().length];
+        Arrays.fill(noiseFactor, 1);
+        Arrays.fill(overloadedSinceMs, Double.NaN);
+        Arrays.fill(recoveringSinceMs, Double.NaN);
+        for (int i = 0; i < poolCount; i++) {
+            responseMs[i] = pools.get(i).ownWorkMs();
+        }
+        double[] clientRateByZone = new double[zones.size()];
+        for (int flow = 0; flow < poolOfFlow.length; flow++) {
+            if (poolOfFlow[flow] >= 0
+                    && pools.get(poolOfFlow[flow])
                             .name()
                             .tier()
                             .equals(settings.tiers().get(0))) {
-                first[originOfFlow[f]] += snapshot.flows().get(f).rate() * draw.flowFactors[f];
+                clientRateByZone[originOfFlow[flow]] +=
+                        snapshot.flows().get(flow).rate() * sample.flowFactors[flow];
             }
         }
-        double length = stepEndsMs.length == 0 ? 0 : stepEndsMs[stepEndsMs.length - 1];
-        long ticks = Math.round((LEAD_IN_MS + length) / STEP_MS);
-        int[] counted = new int[out.attemptRate.length];
-        for (long k = 0; k < ticks; k++) {
-            double at = k * STEP_MS - LEAD_IN_MS;
-            int step = at < 0 ? -1 : stepAt(at);
-            double keeps = step < 0 ? 1 : 1 - movedFractions[step];
-            double[] from = first;
-            for (int t = 0; t < poolsByTier.size(); t++) {
-                Arrays.fill(inflow, 0);
-                distributeFirstAttempts(t, from, keeps, draw, inflow);
-                double[] next = new double[zones.size()];
-                for (int i : poolsByTier.get(t)) {
-                    Pool p = pools.get(i);
-                    double servers = effectiveServers(p, at);
-                    scale[i] = servers / Math.max(1, p.servers());
-                    if (draw.arrivalNoise != null && k % NOISE_STEPS == 0) {
-                        double calls = Math.max(0.1, inflow[i] * STEP_S * NOISE_STEPS);
-                        noise[i] = Math.max(
-                                0, 1 + draw.arrivalNoise.nextGaussian() * Math.sqrt(arrivalDispersion[i] / calls));
+        double durationMs = stepEndsMs.length == 0 ? 0 : stepEndsMs[stepEndsMs.length - 1];
+        long timeSteps = Math.round((LEAD_IN_MS + durationMs) / STEP_MS);
+        int[] sampleCounts = new int[trajectory.attemptRate.length];
+        for (long timeStep = 0; timeStep < timeSteps; timeStep++) {
+            double timeMs = timeStep * STEP_MS - LEAD_IN_MS;
+            int planStep = timeMs < 0 ? -1 : stepAt(timeMs);
+            double retained = planStep < 0 ? 1 : 1 - movedFractions[planStep];
+            double[] rateByZone = clientRateByZone;
+            for (int tier = 0; tier < poolsByTier.size(); tier++) {
+                Arrays.fill(firstAttemptRate, 0);
+                distributeFirstAttempts(tier, rateByZone, retained, sample, firstAttemptRate);
+                double[] nextRateByZone = new double[zones.size()];
+                for (int i : poolsByTier.get(tier)) {
+                    Pool pool = pools.get(i);
+                    double servers = effectiveServers(pool, timeMs);
+                    serverScale[i] = servers / Math.max(1, pool.servers());
+                    if (sample.arrivalNoise != null && timeStep % NOISE_STEPS == 0) {
+                        double expectedArrivals = Math.max(0.1, firstAttemptRate[i] * STEP_S * NOISE_STEPS);
+                        noiseFactor[i] = Math.max(
+                                0,
+                                1
+                                        + sample.arrivalNoise.nextGaussian()
+                                                * Math.sqrt(arrivalDispersion[i] / expectedArrivals));
                     }
-                    double again = attemptsPerFirstAttempt(i, t, failing[i], refusing[i]);
-                    double attempts = inflow[i] * again * noise[i];
-                    double rateCalls = p.callsPerAttempt() * draw.callFactors[i];
-                    double callMs = rateCalls * downstreamCallMs(t, i, keeps, response, failing);
-                    double speed = p.capacity()
-                            * draw.capacityFactors[i]
-                            * scale[i]
-                            * (slow[i] ? p.degradedCapacityRatio() : 1);
-                    double slotsAll = servers * p.slots();
-                    double limit = servers * Math.max(1, p.connections());
-                    double in = attempts * STEP_S;
-                    double held = waiting[i] + working[i] + calling[i];
-                    double refused = Math.min(in, Math.max(0, held + in - limit));
-                    double free = Math.max(0, slotsAll - working[i] - calling[i]);
-                    waiting[i] += in - refused;
-                    double admitted = Math.min(waiting[i], free);
-                    waiting[i] -= admitted;
-                    double inWork = working[i] + admitted;
-                    double[] table = draw.arrivalNoise == null ? meanOccupancy[i] : fluidOccupancy[i];
-                    working[i] = remainingInService(table, inWork, speed * STEP_S, Math.max(1e-9, scale[i]));
-                    double doneWork = inWork - working[i];
-                    double before = calling[i] + doneWork;
-                    calling[i] = callMs <= 0 ? 0 : before / (1 + STEP_MS / callMs);
-                    done[i] = (before - calling[i]) / STEP_S;
-                    double workRate = doneWork / STEP_S;
-                    double queueMs = workRate > 1e-6 ? 1000 * waiting[i] / workRate : waiting[i] > 0 ? 1e6 : 0;
-                    double ownMs =
-                            workRate > 1e-6 ? Math.max(p.ownWorkMs(), 1000 * working[i] / workRate) : p.ownWorkMs();
-                    response[i] = Math.min(60_000, queueMs + ownMs + callMs);
-                    if (k % LATENESS_INTERVAL_STEPS == 0) {
-                        late[i] = lateFraction(p, queueMs, ownMs, callMs);
+                    double attemptsPerFirst = attemptsPerFirstAttempt(i, tier, failureRatio[i], rejectionRatio[i]);
+                    double attemptRate = firstAttemptRate[i] * attemptsPerFirst * noiseFactor[i];
+                    double callsPerAttempt = pool.callsPerAttempt() * sample.callFactors[i];
+                    double downstreamMs =
+                            callsPerAttempt * downstreamCallMs(tier, i, retained, responseMs, failureRatio);
+                    double capacity = pool.capacity()
+                            * sample.capacityFactors[i]
+                            * serverScale[i]
+                            * (degraded[i] ? pool.degradedCapacityRatio() : 1);
+                    double slots = servers * pool.slots();
+                    double maxOpen = servers * Math.max(1, pool.connections());
+                    double arrived = attemptRate * STEP_S;
+                    double open = waiting[i] + inService[i] + inDownstreamCall[i];
+                    double rejected = Math.min(arrived, Math.max(0, open + arrived - maxOpen));
+                    double freeSlots = Math.max(0, slots - inService[i] - inDownstreamCall[i]);
+                    waiting[i] += arrived - rejected;
+                    double started = Math.min(waiting[i], freeSlots);
+                    waiting[i] -= started;
+                    double inServiceBefore = inService[i] + started;
+                    double[] occupancy = sample.arrivalNoise == null ? meanOccupancy[i] : fluidOccupancy[i];
+                    inService[i] = remainingInService(
+                            occupancy, inServiceBefore, capacity * STEP_S, Math.max(1e-9, serverScale[i]));
+                    double served = inServiceBefore - inService[i];
+                    double inCallBefore = inDownstreamCall[i] + served;
+                    inDownstreamCall[i] = downstreamMs <= 0 ? 0 : inCallBefore / (1 + STEP_MS / downstreamMs);
+                    completionRate[i] = (inCallBefore - inDownstreamCall[i]) / STEP_S;
+                    double serviceRate = served / STEP_S;
+                    double queueMs = serviceRate > 1e-6 ? 1000 * waiting[i] / serviceRate : waiting[i] > 0 ? 1e6 : 0;
+                    double ownMs = serviceRate > 1e-6
+                            ? Math.max(pool.ownWorkMs(), 1000 * inService[i] / serviceRate)
+                            : pool.ownWorkMs();
+                    responseMs[i] = Math.min(60_000, queueMs + ownMs + downstreamMs);
+                    if (timeStep % LATENESS_INTERVAL_STEPS == 0) {
+                        lateRatio[i] = lateFraction(pool, queueMs, ownMs, downstreamMs);
                     }
-                    dropExpired(i, p, attempts, waiting, working, calling);
+                    dropExpired(i, pool, attemptRate, waiting, inService, inDownstreamCall);
                     updateDegradation(
                             i,
-                            p,
-                            at,
-                            (waiting[i] + working[i] + calling[i]) / Math.max(1, servers),
-                            slow,
-                            slowSince,
-                            restSince);
-                    next[zoneOfPool[i]] += workRate * rateCalls;
-                    double fails = refused + late[i] * (in - refused);
-                    double part = in > 1e-9 ? fails / in : 0;
-                    failing[i] += FEEDBACK_GAIN * (part - failing[i]);
-                    refusing[i] += FEEDBACK_GAIN * ((in > 1e-9 ? refused / in : 0) - refusing[i]);
-                    int slot = (int) (k % window);
-                    causes[i][0] *= 1 - FEEDBACK_GAIN;
-                    causes[i][1] *= 1 - FEEDBACK_GAIN;
-                    causes[i][2] *= 1 - FEEDBACK_GAIN;
-                    causes[i][limit > slotsAll ? Resource.SLOTS.ordinal() : Resource.CONNECTIONS.ordinal()] += refused;
-                    causes[i][free <= 0 ? Resource.SLOTS.ordinal() : Resource.DEADLINE.ordinal()] += fails - refused;
-                    failedSum[i] += fails - failed[i][slot];
-                    cameSum[i] += in - came[i][slot];
-                    failed[i][slot] = fails;
-                    came[i][slot] = in;
-                    double slotShare = (working[i] + calling[i]) / Math.max(1, slotsAll);
-                    double connectionShare = (waiting[i] + working[i] + calling[i]) / limit;
-                    if (at >= 0) {
-                        if (Double.isNaN(out.saturationMs[i])
-                                && k >= window
-                                && cameSum[i] > 1e-6
-                                && failedSum[i] / cameSum[i] >= settings.saturationFailureRatio()) {
-                            out.saturationMs[i] = at;
-                            out.exhaustedResource[i] = dominantCause(causes[i]);
+                            pool,
+                            timeMs,
+                            (waiting[i] + inService[i] + inDownstreamCall[i]) / Math.max(1, servers),
+                            degraded,
+                            overloadedSinceMs,
+                            recoveringSinceMs);
+                    nextRateByZone[zoneOfPool[i]] += serviceRate * callsPerAttempt;
+                    double failures = rejected + lateRatio[i] * (arrived - rejected);
+                    double stepFailureRatio = arrived > 1e-9 ? failures / arrived : 0;
+                    failureRatio[i] += FEEDBACK_GAIN * (stepFailureRatio - failureRatio[i]);
+                    rejectionRatio[i] +=
+                            FEEDBACK_GAIN * ((arrived > 1e-9 ? rejected / arrived : 0) - rejectionRatio[i]);
+                    int windowSlot = (int) (timeStep % windowSteps);
+                    failureCauses[i][0] *= 1 - FEEDBACK_GAIN;
+                    failureCauses[i][1] *= 1 - FEEDBACK_GAIN;
+                    failureCauses[i][2] *= 1 - FEEDBACK_GAIN;
+                    failureCauses[i][maxOpen > slots ? Resource.SLOTS.ordinal() : Resource.CONNECTIONS.ordinal()] +=
+                            rejected;
+                    failureCauses[i][freeSlots <= 0 ? Resource.SLOTS.ordinal() : Resource.DEADLINE.ordinal()] +=
+                            failures - rejected;
+                    failedSum[i] += failures - failedInWindow[i][windowSlot];
+                    arrivedSum[i] += arrived - arrivedInWindow[i][windowSlot];
+                    failedInWindow[i][windowSlot] = failures;
+                    arrivedInWindow[i][windowSlot] = arrived;
+                    double slotUse = (inService[i] + inDownstreamCall[i]) / Math.max(1, slots);
+                    double connectionUse = (waiting[i] + inService[i] + inDownstreamCall[i]) / maxOpen;
+                    if (timeMs >= 0) {
+                        if (Double.isNaN(trajectory.saturationMs[i])
+                                && timeStep >= windowSteps
+                                && arrivedSum[i] > 1e-6
+                                && failedSum[i] / arrivedSum[i] >= settings.saturationFailureRatio()) {
+                            trajectory.saturationMs[i] = timeMs;
+                            trajectory.exhaustedResource[i] = dominantCause(failureCauses[i]);
                         }
                         // The later half of a step, where its load has come.
-                        if (at >= stepEndsMs[step] - plan.steps().get(step).pauseMs() / 2) {
-                            int c = counted[step];
-                            out.attemptRate[step][i] += (attempts - out.attemptRate[step][i]) / (c + 1);
-                            out.firstAttemptRate[step][i] += (inflow[i] - out.firstAttemptRate[step][i]) / (c + 1);
-                            out.slotUse[step][i] = Math.max(out.slotUse[step][i], slotShare);
-                            out.connectionUse[step][i] = Math.max(out.connectionUse[step][i], connectionShare);
-                            out.responseMs[step][i] += (response[i] - out.responseMs[step][i]) / (c + 1);
-                            out.failureRatio[step][i] += (part - out.failureRatio[step][i]) / (c + 1);
-                            out.utilisation[step][i] += (Math.min(1, attempts / Math.max(1e-9, speed))
-                                            - out.utilisation[step][i])
-                                    / (c + 1);
+                        if (timeMs
+                                >= stepEndsMs[planStep]
+                                        - plan.steps().get(planStep).pauseMs() / 2) {
+                            int samples = sampleCounts[planStep];
+                            trajectory.attemptRate[planStep][i] +=
+                                    (attemptRate - trajectory.attemptRate[planStep][i]) / (samples + 1);
+                            trajectory.firstAttemptRate[planStep][i] +=
+                                    (firstAttemptRate[i] - trajectory.firstAttemptRate[planStep][i]) / (samples + 1);
+                            trajectory.slotUse[planStep][i] = Math.max(trajectory.slotUse[planStep][i], slotUse);
+                            trajectory.connectionUse[planStep][i] =
+                                    Math.max(trajectory.connectionUse[planStep][i], connectionUse);
+                            trajectory.responseMs[planStep][i] +=
+                                    (responseMs[i] - trajectory.responseMs[planStep][i]) / (samples + 1);
+                            trajectory.failureRatio[planStep][i] +=
+                                    (stepFailureRatio - trajectory.failureRatio[planStep][i]) / (samples + 1);
+                            trajectory.utilisation[planStep][i] += (Math.min(1, attemptRate / Math.max(1e-9, capacity))
+                                            - trajectory.utilisation[planStep][i])
+                                    / (samples + 1);
                         }
                     }
                 }
-                from = next;
+                rateByZone = nextRateByZone;
             }
-            if (at >= 0 && at >= stepEndsMs[step] - plan.steps().get(step).pauseMs() / 2) {
-                counted[step]++;
+            if (timeMs >= 0
+                    && timeMs
+                            >= stepEndsMs[planStep] - plan.steps().get(planStep).pauseMs() / 2) {
+                sampleCounts[planStep]++;
             }
         }
-        System.arraycopy(failing, 0, out.finalFailureRatio, 0, n);
-        return out;
+        System.arraycopy(failureRatio, 0, trajectory.finalFailureRatio, 0, poolCount);
+        return trajectory;
     }
 
     private static Resource dominantCause(double[] causes) {
-        Resource most = Resource.DEADLINE;
-        for (Resource r : Resource.values()) {
-            if (causes[r.ordinal()] > causes[most.ordinal()]) {
-                most = r;
+        Resource dominant = Resource.DEADLINE;
+        for (Resource resource : Resource.values()) {
+            if (causes[resource.ordinal()] > causes[dominant.ordinal()]) {
+                dominant = resource;
             }
         }
-        return most;
+        return dominant;
     }
 
     /** First tries go where they go usually, what a zone does not keep to the others by their slots. */
-    private void distributeFirstAttempts(int t, double[] from, double keeps, ParameterSample draw, double[] inflow) {
-        double[] weight = new double[zones.size()];
-        double all = 0;
-        for (int i : poolsByTier.get(t)) {
+    private void distributeFirstAttempts(
+            int tier, double[] rateByZone, double retained, ParameterSample sample, double[] firstAttemptRate) {
+        double[] weightByZone = new double[zones.size()];
+        double totalWeight = 0;
+        for (int i : poolsByTier.get(tier)) {
             if (zoneOfPool[i] != evacuatedZone) {
-                double w = totalSlots(i) * pools.get(i).correction() * draw.correctionFactors[i];
-                weight[zoneOfPool[i]] += w;
-                all += w;
+                double weight = totalSlots(i) * pools.get(i).correction() * sample.correctionFactors[i];
+                weightByZone[zoneOfPool[i]] += weight;
+                totalWeight += weight;
             }
         }
-        double[] to = new double[zones.size()];
-        for (int o = 0; o < zones.size(); o++) {
-            double moved = evacuatedZone < 0 ? 0 : from[o] * usualRouting[t][o][evacuatedZone] * (1 - keeps);
-            for (int z = 0; z < zones.size(); z++) {
-                to[z] += from[o] * usualRouting[t][o][z] * (z == evacuatedZone ? keeps : 1);
-                to[z] += all > 0 ? moved * weight[z] / all : 0;
+        double[] rateToZone = new double[zones.size()];
+        for (int origin = 0; origin < zones.size(); origin++) {
+            double movedRate = evacuatedZone < 0
+                    ? 0
+                    : rateByZone[origin] * usualRouting[tier][origin][evacuatedZone] * (1 - retained);
+            for (int zone = 0; zone < zones.size(); zone++) {
+                rateToZone[zone] +=
+                        rateByZone[origin] * usualRouting[tier][origin][zone] * (zone == evacuatedZone ? retained : 1);
+                rateToZone[zone] += totalWeight > 0 ? movedRate * weightByZone[zone] / totalWeight : 0;
             }
         }
-        for (int i : poolsByTier.get(t)) {
-            inflow[i] += to[zoneOfPool[i]] * shareInZone[i];
+        for (int i : poolsByTier.get(tier)) {
+            firstAttemptRate[i] += rateToZone[zoneOfPool[i]] * shareInZone[i];
         }
     }
 
-    private double effectiveServers(Pool p, double at) {
-        double servers = p.servers();
-        for (EvacuationPlan.AddedServers c : plan.addedServers()) {
-            if (c.pool().equals(p.name()) && at >= c.afterMs()) {
-                double warm = p.warmUpMs() <= 0
+    private double effectiveServers(Pool pool, double timeMs) {
+        double servers = pool.servers();
+        for (EvacuationPlan.AddedServers added : plan.addedServers()) {
+            if (added.pool().equals(pool.name()) && timeMs >= added.afterMs()) {
+                double warmFraction = pool.warmUpMs() <= 0
                         ? 1
                         : Math.min(
                                 1,
-                                p.coldCapacityRatio()
-                                        + (1 - p.coldCapacityRatio()) * (at - c.afterMs()) / p.warmUpMs());
-                servers += c.servers() * warm;
+                                pool.coldCapacityRatio()
+                                        + (1 - pool.coldCapacityRatio())
+                                                * (timeMs - added.afterMs())
+                                                / pool.warmUpMs());
+                servers += added.servers() * warmFraction;
             }
         }
         return servers;
     }
 
     /** How many tries come for a first one: nodes' within attempts and budget, clients' within theirs. */
-    private double attemptsPerFirstAttempt(int i, int t, double failing, double refusing) {
-        double node = 0;
-        double q = refusing;
-        for (int a = 1; a < settings.maxAttempts(); a++) {
-            node += q;
-            q *= refusing;
-        }
-        node = Math.min(node, settings.retryBudget());
-        double client = 0;
-        if (t == 0) {
-            double repeatable = 0;
-            double all = 0;
-            for (Map.Entry<String, Double> c : pools.get(i).classMix().entrySet()) {
-                all += c.getValue();
-                repeatable += settings.isIdempotent(c.getKey()) ? c.getValue() : 0;
+    private double attemptsPerFirstAttempt(int pool, int tier, double failureRatio, double rejectionRatio) {
+        double nodeRetries = 0;
+        double retryProbability = rejectionRatio;
+        for (int attempt = 1; attempt < settings.maxAttempts(); attempt++) {
+            nodeRetries += retryProbability;
+            retryProbability *= rejectionRatio;
+        }
+        nodeRetries = Math.min(nodeRetries, settings.retryBudget());
+        double clientRetries = 0;
+        if (tier == 0) {
+            double idempotentShare = 0;
+            double totalShare = 0;
+            for (Map.Entry<String, Double> entry : pools.get(pool).classMix().entrySet()) {
+                totalShare += entry.getValue();
+                idempotentShare += settings.isIdempotent(entry.getKey()) ? entry.getValue() : 0;
             }
-            double lost = node >= settings.retryBudget() ? refusing : Math.pow(refusing, settings.maxAttempts());
+            double rejectedAfterRetries = nodeRetries >= settings.retryBudget()
+                    ? rejectionRatio
+                    : Math.pow(rejectionRatio, settings.maxAttempts());
             // Refused calls have not run and may all be tried again; late ones end with their client's time.
-            double q1 = Math.min(0.95, lost + (all > 0 ? repeatable / all : 1) * Math.max(0, failing - refusing) / 2);
-            double power = q1;
-            for (int a = 1; a < settings.maxClientAttempts(); a++) {
-                client += power;
-                power *= q1;
+            double clientRetryProbability = Math.min(
+                    0.95,
+                    rejectedAfterRetries
+                            + (totalShare > 0 ? idempotentShare / totalShare : 1)
+                                    * Math.max(0, failureRatio - rejectionRatio)
+                                    / 2);
+            double probability = clientRetryProbability;
+            for (int attempt = 1; attempt < settings.maxClientAttempts(); attempt++) {
+                clientRetries += probability;
+                probability *= clientRetryProbability;
             }
         }
-        return (1 + node) * (1 + client);
+        return (1 + nodeRetries) * (1 + clientRetries);
     }
 
     /** The time of a call to the next tier, as the pool's zone sends them. */
-    private double downstreamCallMs(int t, int i, double keeps, double[] response, double[] failing) {
-        if (t + 1 >= poolsByTier.size()) {
+    private double downstreamCallMs(int tier, int caller, double retained, double[] responseMs, double[] failureRatio) {
+        if (tier + 1 >= poolsByTier.size()) {
             return 0;
         }
         double sum = 0;
-        double weight = 0;
-        for (int j : poolsByTier.get(t + 1)) {
-            double w = usualRouting[t + 1][zoneOfPool[i]][zoneOfPool[j]] * shareInZone[j];
-            if (zoneOfPool[j] == evacuatedZone) {
-                w *= keeps;
+        double totalWeight = 0;
+        for (int callee : poolsByTier.get(tier + 1)) {
+            double weight = usualRouting[tier + 1][zoneOfPool[caller]][zoneOfPool[callee]] * shareInZone[callee];
+            if (zoneOfPool[callee] == evacuatedZone) {
+                weight *= retained;
             } else if (evacuatedZone >= 0) {
-                w += usualRouting[t + 1][zoneOfPool[i]][evacuatedZone]
-                        * (1 - keeps)
-                        * totalSlots(j)
-                        / Math.max(1, slotsOutsideEvacuatedZone(t + 1));
+                weight += usualRouting[tier + 1][zoneOfPool[caller]][evacuatedZone]
+                        * (1 - retained)
+                        * totalSlots(callee)
+                        / Math.max(1, slotsOutsideEvacuatedZone(tier + 1));
             }
             // A call that is turned away comes back at once.
-            sum += w * response[j] * (1 - Math.min(1, failing[j]) / 2);
-            weight += w;
+            sum += weight * responseMs[callee] * (1 - Math.min(1, failureRatio[callee]) / 2);
+            totalWeight += weight;
         }
-        return weight > 0 ? sum / weight : 0;
+        return totalWeight > 0 ? sum / totalWeight : 0;
     }
 
-    private double slotsOutsideEvacuatedZone(int t) {
-        double all = 0;
-        for (int j : poolsByTier.get(t)) {
-            all += zoneOfPool[j] == evacuatedZone ? 0 : totalSlots(j);
+    private double slotsOutsideEvacuatedZone(int tier) {
+        double total = 0;
+        for (int pool : poolsByTier.get(tier)) {
+            total += zoneOfPool[pool] == evacuatedZone ? 0 : totalSlots(pool);
         }
-        return all;
+        return total;
     }
 
     /** The part of calls that take longer than their classes' time: their work is taken for lognormal. */
-    private double lateFraction(Pool p, double queueMs, double ownMs, double callMs) {
-        double stretch = Math.max(1, ownMs / Math.max(1e-6, p.ownWorkMs()));
-        double sigma2 = Math.log1p(Math.max(0.01, p.squaredVariation()));
-        double mu = Math.log(Math.max(1e-6, p.ownWorkMs())) - sigma2 / 2;
-        double sum = 0;
-        double all = 0;
-        for (Map.Entry<String, Double> c : p.classMix().entrySet()) {
-            double left = (settings.deadlineMs(c.getKey()) - queueMs - callMs) / stretch;
-            double part = left <= 0 ? 1 : 0.5 * Erf.erfc((Math.log(left) - mu) / Math.sqrt(2 * sigma2));
-            sum += c.getValue() * part;
-            all += c.getValue();
-        }
-        return all > 0 ? sum / all : 0;
+    private double lateFraction(Pool pool, double queueMs, double ownMs, double downstreamMs) {
+        double stretch = Math.max(1, ownMs / Math.max(1e-6, pool.ownWorkMs()));
+        double sigma2 = Math.log1p(Math.max(0.01, pool.squaredVariation()));
+        double mu = Math.log(Math.max(1e-6, pool.ownWorkMs())) - sigma2 / 2;
+        double weightedLate = 0;
+        double totalShare = 0;
+        for (Map.Entry<String, Double> entry : pool.classMix().entrySet()) {
+            double remainingMs = (settings.deadlineMs(entry.getKey()) - queueMs - downstreamMs) / stretch;
+            double lateProbability =
+                    remainingMs <= 0 ? 1 : 0.5 * Erf.erfc((Math.log(remainingMs) - mu) / Math.sqrt(2 * sigma2));
+            weightedLate += entry.getValue() * lateProbability;
+            totalShare += entry.getValue();
+        }
+        return totalShare > 0 ? weightedLate / totalShare : 0;
     }
 
     /** Nobody stays longer than the longest deadline. */
-    private void dropExpired(int i, Pool p, double attempts, double[] waiting, double[] working, double[] calling) {
-        double most = p.classMix().keySet().stream()
+    private void dropExpired(
+            int i, Pool pool, double attemptRate, double[] waiting, double[] inService, double[] inDownstreamCall) {
+        double maxSeconds = pool.classMix().keySet().stream()
                         .mapToDouble(settings::deadlineMs)
                         .max()
                         .orElse(10_000)
                 / 1000;
-        double over = waiting[i] + working[i] + calling[i] - Math.max(1, attempts * most);
-        if (over > 0) {
-            double gone = Math.min(over, waiting[i]);
-            waiting[i] -= gone;
-            double more = Math.min(over - gone, working[i]);
-            working[i] -= more;
-            calling[i] = Math.max(0, calling[i] - (over - gone - more));
+        double excess = waiting[i] + inService[i] + inDownstreamCall[i] - Math.max(1, attemptRate * maxSeconds);
+        if (excess > 0) {
+            double dropped = Math.min(excess, waiting[i]);
+            waiting[i] -= dropped;
+            double droppedInService = Math.min(excess - dropped, inService[i]);
+            inService[i] -= droppedInService;
+            inDownstreamCall[i] = Math.max(0, inDownstreamCall[i] - (excess - dropped - droppedInService));
         }
     }
 
     private static void updateDegradation(
-            int i, Pool p, double at, double each, boolean[] slow, double[] since, double[] rest) {
-        if (p.degradedAtCalls() <= 0 || p.degradedCapacityRatio() >= 1) {
+            int i,
+            Pool pool,
+            double timeMs,
+            double openPerServer,
+            boolean[] degraded,
+            double[] overloadedSinceMs,
+            double[] recoveringSinceMs) {
+        if (pool.degradedAtCalls() <= 0 || pool.degradedCapacityRatio() >= 1) {
             return;
         }
-        if (!slow[i]) {
-            if (each < p.degradedAtCalls()) {
-                since[i] = Double.NaN;
-            } else if (Double.isNaN(since[i])) {
-                since[i] = at;
-            } else if (at - since[i] >= DEGRADES_AFTER_MS) {
-                slow[i] = true;
-                rest[i] = Double.NaN;
+        if (!degraded[i]) {
+            if (openPerServer < pool.degradedAtCalls()) {
+                overloadedSinceMs[i] = Double.NaN;
+            } else if (Double.isNaN(overloadedSinceMs[i])) {
+                overloadedSinceMs[i] = timeMs;
+            } else if (timeMs - overloadedSinceMs[i] >= DEGRADES_AFTER_MS) {
+                degraded[i] = true;
+                recoveringSinceMs[i] = Double.NaN;
             }
-        } else if (each > p.degradedAtCalls() / 4) {
-            rest[i] = Double.NaN;
-        } else if (Double.isNaN(rest[i])) {
-            rest[i] = at;
-        } else if (at - rest[i] >= RECOVERS_AFTER_MS) {
-            slow[i] = false;
-            since[i] = Double.NaN;
+        } else if (openPerServer > pool.degradedAtCalls() / 4) {
+            recoveringSinceMs[i] = Double.NaN;
+        } else if (Double.isNaN(recoveringSinceMs[i])) {
+            recoveringSinceMs[i] = timeMs;
+        } else if (timeMs - recoveringSinceMs[i] >= RECOVERS_AFTER_MS) {
+            degraded[i] = false;
+            overloadedSinceMs[i] = Double.NaN;
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -136,41 +136,47 @@
             List<StepForecast> steps) {}
 
     /** Forecasts a plan that has no faults; the same seed gives the same forecast. */
-    public static Forecast of(PoolSnapshot picture, EvacuationPlan plan, SharePolicy shares, long seed) {
-        double[] moved = new double[plan.steps().size()];
-        for (int i = 0; i < moved.length; i++) {
-            moved[i] = plan.movedFraction(i + 1);
+    public static Forecast of(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
+        double[] movedFractions = new double[plan.steps().size()];
+        for (int i = 0; i < movedFractions.length; i++) {
+            movedFractions[i] = plan.movedFraction(i + 1);
         }
-        return of(picture, plan, moved, shares, seed, TRAJECTORIES);
+        return of(snapshot, plan, movedFractions, shares, seed, TRAJECTORIES);
     }
 
     /** Forecasts a rehearsal of it: one step, held for its time. */
-    public static Forecast rehearsal(PoolSnapshot picture, EvacuationPlan plan, SharePolicy shares, long seed) {
-        EvacuationPlan one =
+    public static Forecast rehearsal(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
+        EvacuationPlan rehearsal =
                 plan.withSteps(List.of(new EvacuationPlan.Step(plan.rehearsalFraction(), plan.rehearsalMs())));
-        return of(picture, one, new double[] {plan.rehearsalFraction()}, shares, seed, TRAJECTORIES);
+        return of(snapshot, rehearsal, new double[] {plan.rehearsalFraction()}, shares, seed, TRAJECTORIES);
     }
 
     static Forecast of(
-            PoolSnapshot picture, EvacuationPlan plan, double[] moved, SharePolicy shares, long seed, int courses) {
-        FluidModel fluid = new FluidModel(picture, plan, moved);
+            PoolSnapshot snapshot,
+            EvacuationPlan plan,
+            double[] movedFractions,
+            SharePolicy shares,
+            long seed,
+            int trajectoryCount) {
+        FluidModel model = new FluidModel(snapshot, plan, movedFractions);
         RandomGenerator random = new Well19937c(seed);
-        Trajectory central = fluid.simulate(
-                new ParameterSample(picture.pools().size(), picture.flows().size(), null));
-        List<Trajectory> drawn = new ArrayList<>();
-        for (int i = 0; i < courses; i++) {
-            drawn.add(fluid.simulate(sampleParameters(picture, random)));
+        Trajectory expected = model.simulate(
+                new ParameterSample(snapshot.pools().size(), snapshot.flows().size(), null));
+        List<Trajectory> samples = new ArrayList<>();
+        for (int i = 0; i < trajectoryCount; i++) {
+            samples.add(model.simulate(sampleParameters(snapshot, random)));
         }
-        List<PoolForecast> out = new ArrayList<>();
+        List<PoolForecast> forecasts = new ArrayList<>();
         Verdict worst = Verdict.HOLDS;
-        for (int i = 0; i < picture.pools().size(); i++) {
-            if (!picture.pools().get(i).name().zone().equals(plan.zone())) {
-                PoolForecast p = forecastPool(picture, plan, moved, fluid, shares, i, central, drawn);
-                out.add(p);
-                worst = worse(worst, p.verdict());
+        for (int i = 0; i < snapshot.pools().size(); i++) {
+            if (!snapshot.pools().get(i).name().zone().equals(plan.zone())) {
+                PoolForecast forecast =
+                        forecastPool(snapshot, plan, movedFractions, model, shares, i, expected, samples);
+                forecasts.add(forecast);
+                worst = worse(worst, forecast.verdict());
             }
         }
-        return new Forecast(plan.name(), plan.zone(), out.isEmpty() ? Verdict.UNKNOWN : worst, out);
+        return new Forecast(plan.name(), plan.zone(), forecasts.isEmpty() ? Verdict.UNKNOWN : worst, forecasts);
     }
 
     private static Verdict worse(Verdict a, Verdict b) {
@@ -179,188 +185,210 @@
         return rank[a.ordinal()] >= rank[b.ordinal()] ? a : b;
     }
 
-    private static ParameterSample sampleParameters(PoolSnapshot picture, RandomGenerator random) {
-        ParameterSample d =
-                new ParameterSample(picture.pools().size(), picture.flows().size(), random);
-        for (int i = 0; i < d.capacityFactors.length; i++) {
-            Pool p = picture.pools().get(i);
-            d.capacityFactors[i] = lognormalFactor(random, p.capacitySpread());
-            d.callFactors[i] = lognormalFactor(random, p.callsSpread());
-            d.correctionFactors[i] = lognormalFactor(random, p.correctionSpread());
+    private static ParameterSample sampleParameters(PoolSnapshot snapshot, RandomGenerator random) {
+        ParameterSample sample =
+                new ParameterSample(snapshot.pools().size(), snapshot.flows().size(), random);
+        for (int i = 0; i < sample.capacityFactors.length; i++) {
+            Pool pool = snapshot.pools().get(i);
+            sample.capacityFactors[i] = lognormalFactor(random, pool.capacitySpread());
+            sample.callFactors[i] = lognormalFactor(random, pool.callsSpread());
+            sample.correctionFactors[i] = lognormalFactor(random, pool.correctionSpread());
         }
-        for (int i = 0; i < d.flowFactors.length; i++) {
-            d.flowFactors[i] = lognormalFactor(random, picture.flows().get(i).spread());
+        for (int i = 0; i < sample.flowFactors.length; i++) {
+            sample.flowFactors[i] =
+                    lognormalFactor(random, snapshot.flows().get(i).spread());
         }
-        return d;
+        return sample;
     }
 
     private static double lognormalFactor(RandomGenerator random, double spread) {
-        double z = random.nextGaussian();
+        double normal = random.nextGaussian();
         double sigma = Double.isFinite(spread) ? Math.min(spread, 1) : 1;
-        return Math.exp(sigma * z - sigma * sigma / 2);
+        return Math.exp(sigma * normal - sigma * sigma / 2);
     }
 
     private static PoolForecast forecastPool(
-            PoolSnapshot picture,
+            PoolSnapshot snapshot,
             EvacuationPlan plan,
-            double[] moved,
-            FluidModel fluid,
+            double[] movedFractions,
+            FluidModel model,
             SharePolicy shares,
-            int i,
-            Trajectory central,
-            List<Trajectory> drawn) {
-        Pool p = picture.pools().get(i);
-        String why = unknownReason(picture, plan, p);
-        int fell = 0;
-        List<Double> times = new ArrayList<>();
-        Map<Resource, Integer> resources = new TreeMap<>();
-        Map<Integer, Integer> nexts = new HashMap<>();
-        for (Trajectory c : drawn) {
-            if (!Double.isNaN(c.saturationMs[i])) {
-                fell++;
-                times.add(c.saturationMs[i]);
-                resources.merge(c.exhaustedResource[i], 1, Integer::sum);
-                int next = nextSaturatedPool(c, i);
-                if (next >= 0) {
-                    nexts.merge(next, 1, Integer::sum);
+            int poolIndex,
+            Trajectory expected,
+            List<Trajectory> samples) {
+        Pool pool = snapshot.pools().get(poolIndex);
+        String unknownReason = unknownReason(snapshot, plan, pool);
+        int saturatedCount = 0;
+        List<Double> saturationTimes = new ArrayList<>();
+        Map<Resource, Integer> resourceCounts = new TreeMap<>();
+        Map<Integer, Integer> nextCounts = new HashMap<>();
+        for (Trajectory trajectory : samples) {
+            if (!Double.isNaN(trajectory.saturationMs[poolIndex])) {
+                saturatedCount++;
+                saturationTimes.add(trajectory.saturationMs[poolIndex]);
+                resourceCounts.merge(trajectory.exhaustedResource[poolIndex], 1, Integer::sum);
+                int nextIndex = nextSaturatedPool(trajectory, poolIndex);
+                if (nextIndex >= 0) {
+                    nextCounts.merge(nextIndex, 1, Integer::sum);
                 }
             }
         }
-        double part = drawn.isEmpty() ? 0 : fell / (double) drawn.size();
-        Interval at = times.isEmpty() ? null : intervalOf(times);
+        double probability = samples.isEmpty() ? 0 : saturatedCount / (double) samples.size();
+        Interval saturationMs = saturationTimes.isEmpty() ? null : intervalOf(saturationTimes);
         List<StepForecast> steps = new ArrayList<>();
-        double fullest = 0;
-        for (int s = 0; s < moved.length; s++) {
-            StepForecast f = forecastStep(picture, p, shares, s, i, central, drawn);
-            fullest = Math.max(fullest, Math.max(f.utilisation(), Math.max(f.slots(), f.connections())));
-            steps.add(f);
+        double maxUse = 0;
+        for (int step = 0; step < movedFractions.length; step++) {
+            StepForecast forecast = forecastStep(snapshot, pool, shares, step, poolIndex, expected, samples);
+            maxUse = Math.max(
+                    maxUse, Math.max(forecast.utilisation(), Math.max(forecast.slots(), forecast.connections())));
+            steps.add(forecast);
         }
-        Verdict verdict = why != null
+        Verdict verdict = unknownReason != null
                 ? Verdict.UNKNOWN
-                : part >= SATURATES_PROBABILITY
+                : probability >= SATURATES_PROBABILITY
                         ? Verdict.SATURATES
-                        : part >= TIGHT_PROBABILITY || fullest >= TIGHT_UTILISATION ? Verdict.TIGHT : Verdict.HOLDS;
-        PoolName next = null;
-        for (Map.Entry<Integer, Integer> e : nexts.entrySet()) {
-            if (e.getValue() * 2 >= fell) {
-                next = picture.pools().get(e.getKey()).name();
+                        : probability >= TIGHT_PROBABILITY || maxUse >= TIGHT_UTILISATION
+                                ? Verdict.TIGHT
+                                : Verdict.HOLDS;
+        PoolName nextSaturated = null;
+        for (Map.Entry<Integer, Integer> entry : nextCounts.entrySet()) {
+            if (entry.getValue() * 2 >= saturatedCount) {
+                nextSaturated = snapshot.pools().get(entry.getKey()).name();
             }
         }
-        Resource first = resources.entrySet().stream()
+        Resource firstResource = resourceCounts.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey)
                 .orElse(null);
-        if (why != null) {
-            return new PoolForecast(p.name(), verdict, why, 0, null, -1, null, null, List.of());
+        if (unknownReason != null) {
+            return new PoolForecast(pool.name(), verdict, unknownReason, 0, null, -1, null, null, List.of());
         }
         return new PoolForecast(
-                p.name(), verdict, null, part, at, at == null ? -1 : fluid.stepAt(at.expected()), first, next, steps);
+                pool.name(),
+                verdict,
+                null,
+                probability,
+                saturationMs,
+                saturationMs == null ? -1 : model.stepAt(saturationMs.expected()),
+                firstResource,
+                nextSaturated,
+                steps);
     }
 
     /** The pool that saturates next after this one in a course; -1 if none does. */
-    private static int nextSaturatedPool(Trajectory c, int i) {
+    private static int nextSaturatedPool(Trajectory trajectory, int poolIndex) {
         int next = -1;
-        for (int j = 0; j < c.saturationMs.length; j++) {
-            if (j != i
-                    && c.saturationMs[j] >= c.saturationMs[i]
-                    && (next < 0 || c.saturationMs[j] < c.saturationMs[next])) {
-                next = j;
+        for (int other = 0; other < trajectory.saturationMs.length; other++) {
+            if (other != poolIndex
+                    && trajectory.saturationMs[other] >= trajectory.saturationMs[poolIndex]
+                    && (next < 0 || trajectory.saturationMs[other] < trajectory.saturationMs[next])) {
+                next = other;
             }
         }
         return next;
     }
 
-    private static String unknownReason(PoolSnapshot picture, EvacuationPlan plan, Pool p) {
-        if (p.unknownReason() != null) {
-            return p.unknownReason();
+    private static String unknownReason(PoolSnapshot snapshot, EvacuationPlan plan, Pool pool) {
+        if (pool.unknownReason() != null) {
+            return pool.unknownReason();
         }
         // Load that a missing node sends is load that nobody tells: in its own zone, and wherever the plan moves it.
-        for (MissingNode m : picture.missingNodes()) {
-            boolean reaches = m.zone().equals(p.name().zone()) || m.zone().equals(plan.zone());
-            for (Flow f : picture.flows()) {
-                reaches |= f.origin().equals(m.zone()) && f.pool().equals(p.name()) && f.rate() > 0;
+        for (MissingNode missing : snapshot.missingNodes()) {
+            boolean affectsPool =
+                    missing.zone().equals(pool.name().zone()) || missing.zone().equals(plan.zone());
+            for (Flow flow : snapshot.flows()) {
+                affectsPool |=
+                        flow.origin().equals(missing.zone()) && flow.pool().equals(pool.name()) && flow.rate() > 0;
             }
-            if (reaches) {
-                return m.reason();
+            if (affectsPool) {
+                return missing.reason();
             }
         }
         // What flows from an unknown pool of a tier before it comes here, and nobody knows how much.
-        for (Pool q : picture.pools()) {
-            if (q.unknownReason() != null
-                    && !q.name().zone().equals(plan.zone())
-                    && q.name().zone().equals(p.name().zone())
-                    && picture.settings().tiers().indexOf(q.name().tier())
-                            < picture.settings().tiers().indexOf(p.name().tier())) {
-                return q.name() + ", which calls it, is unknown: " + q.unknownReason();
+        for (Pool caller : snapshot.pools()) {
+            if (caller.unknownReason() != null
+                    && !caller.name().zone().equals(plan.zone())
+                    && caller.name().zone().equals(pool.name().zone())
+                    && snapshot.settings().tiers().indexOf(caller.name().tier())
+                            < snapshot.settings().tiers().indexOf(pool.name().tier())) {
+                return caller.name() + ", which calls it, is unknown: " + caller.unknownReason();
             }
         }
         return null;
     }
 
     private static Interval intervalOf(List<Double> values) {
-        double[] all = values.stream().mapToDouble(Double::doubleValue).toArray();
-        Percentile p = new Percentile();
-        p.setData(all);
-        return new Interval(p.evaluate(MEDIAN_PERCENTILE), p.evaluate(LOW_PERCENTILE), p.evaluate(HIGH_PERCENTILE));
+        double[] samples = values.stream().mapToDouble(Double::doubleValue).toArray();
+        Percentile percentile = new Percentile();
+        percentile.setData(samples);
+        return new Interval(
+                percentile.evaluate(MEDIAN_PERCENTILE),
+                percentile.evaluate(LOW_PERCENTILE),
+                percentile.evaluate(HIGH_PERCENTILE));
     }
 
     private static StepForecast forecastStep(
-            PoolSnapshot picture,
-            Pool p,
+            PoolSnapshot snapshot,
+            Pool pool,
             SharePolicy shares,
-            int s,
-            int i,
-            Trajectory central,
-            List<Trajectory> drawn) {
-        List<Double> loads = new ArrayList<>();
-        for (Trajectory c : drawn) {
-            loads.add(c.attemptRate[s][i]);
+            int step,
+            int poolIndex,
+            Trajectory expected,
+            List<Trajectory> samples) {
+        List<Double> rates = new ArrayList<>();
+        for (Trajectory trajectory : samples) {
+            rates.add(trajectory.attemptRate[step][poolIndex]);
         }
-        double load = central.attemptRate[s][i];
-        Interval within = loads.isEmpty() ? new Interval(load, load, load) : intervalOf(loads);
-        int c = Math.max(1, (int) Math.round(p.concurrency()));
-        double workS = c / Math.max(1e-9, p.capacity());
-        double shortest = p.classMix().keySet().stream()
-                .mapToDouble(picture.settings()::deadlineMs)
+        double attemptRate = expected.attemptRate[step][poolIndex];
+        Interval interval = rates.isEmpty() ? new Interval(attemptRate, attemptRate, attemptRate) : intervalOf(rates);
+        int concurrency = Math.max(1, (int) Math.round(pool.concurrency()));
+        double serviceS = concurrency / Math.max(1e-9, pool.capacity());
+        double shortestDeadlineMs = pool.classMix().keySet().stream()
+                .mapToDouble(snapshot.settings()::deadlineMs)
                 .min()
                 .orElse(10_000);
-        double wait = Queues.allenCunneen(c, load, workS, 1, p.squaredVariation());
-        double late = Queues.waitExceedsProbability(
-                c, load, workS, p.squaredVariation(), Math.max(0, shortest - p.ownWorkMs()) / 1000);
-        double first = central.firstAttemptRate[s][i];
+        double waitS = Queues.allenCunneen(concurrency, attemptRate, serviceS, 1, pool.squaredVariation());
+        double lateFraction = Queues.waitExceedsProbability(
+                concurrency,
+                attemptRate,
+                serviceS,
+                pool.squaredVariation(),
+                Math.max(0, shortestDeadlineMs - pool.ownWorkMs()) / 1000);
+        double firstAttemptRate = expected.firstAttemptRate[step][poolIndex];
         return new StepForecast(
-                s,
-                within,
-                central.utilisation[s][i],
-                central.slotUse[s][i],
-                central.connectionUse[s][i],
-                Double.isFinite(wait) ? wait * 1000 : -1,
-                central.responseMs[s][i],
-                late,
-                first > 0 ? load / first : 1,
-                rejectedByTenant(picture, p, shares, load));
+                step,
+                interval,
+                expected.utilisation[step][poolIndex],
+                expected.slotUse[step][poolIndex],
+                expected.connectionUse[step][poolIndex],
+                Double.isFinite(waitS) ? waitS * 1000 : -1,
+                expected.responseMs[step][poolIndex],
+                lateFraction,
+                firstAttemptRate > 0 ? attemptRate / firstAttemptRate : 1,
+                rejectedByTenant(snapshot, pool, shares, attemptRate));
     }
 
-    private static Map<String, Double> rejectedByTenant(PoolSnapshot picture, Pool p, SharePolicy shares, double load) {
-        Map<String, Double> wanted = new TreeMap<>();
-        double grown = p.attemptRate() > 0 ? load / p.attemptRate() : 1;
-        for (PoolSnapshot.TenantDemand w : picture.tenantDemand()) {
-            if (w.pool().equals(p.name())) {
-                wanted.merge(w.tenant(), w.connections() * grown, Double::sum);
+    private static Map<String, Double> rejectedByTenant(
+            PoolSnapshot snapshot, Pool pool, SharePolicy shares, double attemptRate) {
+        Map<String, Double> demand = new TreeMap<>();
+        double growth = pool.attemptRate() > 0 ? attemptRate / pool.attemptRate() : 1;
+        for (PoolSnapshot.TenantDemand tenantDemand : snapshot.tenantDemand()) {
+            if (tenantDemand.pool().equals(pool.name())) {
+                demand.merge(tenantDemand.tenant(), tenantDemand.connections() * growth, Double::sum);
             }
         }
-        Map<String, Double> out = new TreeMap<>();
-        if (!wanted.isEmpty()) {
-            Map<String, Double> granted =
-                    shares.allocate(p.name(), p.servers() * Math.min(p.slots(), p.connections()), wanted);
-            wanted.forEach((t, w) -> {
-                double gets = granted.getOrDefault(t, 0.0);
-                if (w > 0 && gets < w * FULLY_GRANTED) {
-                    out.put(t, 1 - gets / w);
+        Map<String, Double> rejected = new TreeMap<>();
+        if (!demand.isEmpty()) {
+            Map<String, Double> allocated =
+                    shares.allocate(pool.name(), pool.servers() * Math.min(pool.slots(), pool.connections()), demand);
+            demand.forEach((tenant, wanted) -> {
+                double granted = allocated.getOrDefault(tenant, 0.0);
+                if (wanted > 0 && granted < wanted * FULLY_GRANTED) {
+                    rejected.put(tenant, 1 - granted / wanted);
                 }
             });
         }
-        return out;
+        return rejected;
     }
 
     /** The forecast of a pool; null if it is not among them. */
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
@@ -60,9 +60,9 @@
 
     /** The time that a try of this class waits; a class that is not named waits as long as the longest. */
     double deadlineMs(String className) {
-        ClassSettings c = classes.get(className);
-        return c != null
-                ? c.deadlineMs()
+        ClassSettings settings = classes.get(className);
+        return settings != null
+                ? settings.deadlineMs()
                 : classes.values().stream()
                         .mapToDouble(ClassSettings::deadlineMs)
                         .max()
@@ -70,7 +70,7 @@
     }
 
     boolean isIdempotent(String className) {
-        ClassSettings c = classes.get(className);
-        return c == null || c.idempotent();
+        ClassSettings settings = classes.get(className);
+        return settings == null || settings.idempotent();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
@@ -26,12 +26,12 @@
         if (!Double.isFinite(value)) {
             return;
         }
-        double kept = weight == 0 ? 0 : Math.pow(0.5, Math.max(0, nowMs - lastMs) / halfLifeMs);
-        weight = weight * kept + 1;
-        double part = 1 / weight;
-        double off = value - mean;
-        mean += part * off;
-        variance = (1 - part) * (variance + part * off * off);
+        double decay = weight == 0 ? 0 : Math.pow(0.5, Math.max(0, nowMs - lastMs) / halfLifeMs);
+        weight = weight * decay + 1;
+        double gain = 1 / weight;
+        double deviation = value - mean;
+        mean += gain * deviation;
+        variance = (1 - gain) * (variance + gain * deviation * deviation);
         lastMs = nowMs;
     }
 
@@ -53,9 +53,9 @@
         if (weight == 0 || mean == 0) {
             return weight == 0 ? Double.POSITIVE_INFINITY : 0;
         }
-        double seen = variance * CORRELATION_FACTOR / weight / (mean * mean);
-        double thin = SINGLE_SAMPLE_SPREAD / weight;
+        double sampling = variance * CORRELATION_FACTOR / weight / (mean * mean);
+        double fewSamples = SINGLE_SAMPLE_SPREAD / weight;
         double age = SPREAD_PER_MINUTE * Math.max(0, nowMs - lastMs) / 60_000;
-        return Math.sqrt(seen + thin * thin + age * age);
+        return Math.sqrt(sampling + fewSamples * fewSamples + age * age);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
@@ -89,7 +89,7 @@
     }
 
     /** A new plan. */
-    public static PlanState drafted(EvacuationPlan plan, String by) {
+    public static PlanState drafted(EvacuationPlan plan, String actor) {
         return new PlanState(
                 plan,
                 EvacuationStatus.DRAFTED,
@@ -98,7 +98,7 @@
                 null,
                 false,
                 0,
-                List.of(new HistoryEntry(EvacuationStatus.DRAFTED, 0, by, "")));
+                List.of(new HistoryEntry(EvacuationStatus.DRAFTED, 0, actor, "")));
     }
 
     /**
@@ -106,7 +106,7 @@
      *
      * @throws IllegalStateException if that may not come after where it stands
      */
-    public PlanState transitionTo(EvacuationStatus next, int nextStep, long byToken, String by, String why) {
+    public PlanState transitionTo(EvacuationStatus next, int nextStep, long driverToken, String actor, String reason) {
         if (!status.allowedNext().contains(next)) {
             throw new IllegalStateException(
                     plan.name() + " is " + lowerCaseName(status) + "; it can't be " + lowerCaseName(next) + " next");
@@ -117,15 +117,15 @@
         if (next == status && next != EvacuationStatus.FORECAST && nextStep != step + 1) {
             throw new IllegalStateException("step " + nextStep + " does not follow step " + step);
         }
-        List<HistoryEntry> longer = new ArrayList<>(history);
-        longer.add(new HistoryEntry(next, nextStep, by, why));
-        return new PlanState(plan, next, nextStep, predictions, verdict, override, byToken, longer);
+        List<HistoryEntry> newHistory = new ArrayList<>(history);
+        newHistory.add(new HistoryEntry(next, nextStep, actor, reason));
+        return new PlanState(plan, next, nextStep, predictions, verdict, override, driverToken, newHistory);
     }
 
     /** The same with what a forecast says. */
-    public PlanState predictions(List<PoolPrediction> now, Verdict of, String by) {
-        PlanState next = transitionTo(EvacuationStatus.FORECAST, 0, 0, by, lowerCaseName(of));
-        return new PlanState(plan, next.status(), 0, now, of, false, 0, next.history());
+    public PlanState predictions(List<PoolPrediction> newPredictions, Verdict newVerdict, String actor) {
+        PlanState next = transitionTo(EvacuationStatus.FORECAST, 0, 0, actor, lowerCaseName(newVerdict));
+        return new PlanState(plan, next.status(), 0, newPredictions, newVerdict, false, 0, next.history());
     }
 
     /** The same, to be carried out whatever its rehearsal said. */
@@ -149,8 +149,8 @@
         return Map.of(plan.zone(), Math.max(0, retainedFraction()));
     }
 
-    static String lowerCaseName(Enum<?> e) {
-        return e.name().toLowerCase(java.util.Locale.ROOT);
+    static String lowerCaseName(Enum<?> constant) {
+        return constant.name().toLowerCase(java.util.Locale.ROOT);
     }
 
     /** As bytes, for the agreed record. */
@@ -168,35 +168,41 @@
      * @throws IOException if it is not one
      */
     public static PlanState decode(byte[] bytes) throws IOException {
-        PlanState s = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, PlanState.class);
-        if (s == null
-                || s.plan() == null
-                || s.status() == null
-                || s.plan().zone() == null
-                || s.step() < 0
-                || s.step() > EvacuationPlan.MAX_ENTRIES
-                || s.plan().steps().size() > EvacuationPlan.MAX_ENTRIES
-                || s.predictions().size() > MAX_POOLS) {
+        PlanState state = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, PlanState.class);
+        if (state == null
+                || state.plan() == null
+                || state.status() == null
+                || state.plan().zone() == null
+                || state.step() < 0
+                || state.step() > EvacuationPlan.MAX_ENTRIES
+                || state.plan().steps().size() > EvacuationPlan.MAX_ENTRIES
+                || state.predictions().size() > MAX_POOLS) {
             throw new IOException("not a plan's record");
         }
-        return s;
+        return state;
     }
 
     /** What the forecasts of a plan and of its rehearsal say, as the record carries it. */
-    public static List<PoolPrediction> predictions(PoolSnapshot picture, Forecast all, Forecast rehearsal) {
-        List<PoolPrediction> out = new ArrayList<>();
-        for (Forecast.PoolForecast p : all.pools()) {
-            Forecast.PoolForecast r = rehearsal.of(p.pool());
-            PoolSnapshot.Pool now = picture.pool(p.pool());
-            if (out.size() < MAX_POOLS && now != null && r != null && !r.steps().isEmpty()) {
-                out.add(new PoolPrediction(
-                        p.pool(),
-                        now.servers(),
-                        now.attemptRate(),
-                        r.steps().get(0).load(),
-                        p.steps().stream().map(Forecast.StepForecast::load).toList()));
+    public static List<PoolPrediction> predictions(
+            PoolSnapshot snapshot, Forecast forecast, Forecast rehearsalForecast) {
+        List<PoolPrediction> predictions = new ArrayList<>();
+        for (Forecast.PoolForecast planned : forecast.pools()) {
+            Forecast.PoolForecast rehearsed = rehearsalForecast.of(planned.pool());
+            PoolSnapshot.Pool pool = snapshot.pool(planned.pool());
+            if (predictions.size() < MAX_POOLS
+                    && pool != null
+                    && rehearsed != null
+                    && !rehearsed.steps().isEmpty()) {
+                predictions.add(new PoolPrediction(
+                        planned.pool(),
+                        pool.servers(),
+                        pool.attemptRate(),
+                        rehearsed.steps().get(0).load(),
+                        planned.steps().stream()
+                                .map(Forecast.StepForecast::load)
+                                .toList()));
             }
         }
-        return out;
+        return predictions;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
@@ -120,8 +120,8 @@
     }
 
     /** What tenants want of pools, all nodes together. */
-    public void setTenantDemand(List<TenantDemand> now) {
-        tenantDemand = List.copyOf(now);
+    public void setTenantDemand(List<TenantDemand> demand) {
+        tenantDemand = List.copyOf(demand);
     }
 
     /**
@@ -130,68 +130,68 @@
      * @param nowMs now, by this member's clock
      * @param nowDayMs now, as a time of the day
      */
-    public void update(double nowMs, double nowDayMs, List<PoolReport> all) {
-        timeOfDayMs = nowDayMs;
-        boolean news = false;
+    public void update(double nowMs, double nowTimeOfDayMs, List<PoolReport> reports) {
+        timeOfDayMs = nowTimeOfDayMs;
+        boolean changed = false;
         Map<RecordKey, StoredRecord> present = new HashMap<>();
-        for (PoolReport o : all) {
-            lastHeardMs.merge(o.node(), nowMs - o.ageMs(), Math::max);
-            RecordKey key = new RecordKey(o.node(), o.pool(), o.className());
-            StoredRecord k = records.get(key);
-            if (k == null) {
-                if (records.size() >= MAX_RECORDS || !isPlausible(o.observation())) {
+        for (PoolReport report : reports) {
+            lastHeardMs.merge(report.node(), nowMs - report.ageMs(), Math::max);
+            RecordKey key = new RecordKey(report.node(), report.pool(), report.className());
+            StoredRecord record = records.get(key);
+            if (record == null) {
+                if (records.size() >= MAX_RECORDS || !isPlausible(report.observation())) {
                     continue;
                 }
-                k = new StoredRecord();
-                records.put(key, k);
+                record = new StoredRecord();
+                records.put(key, record);
             }
-            k.confirmedAtMs = nowMs - o.ageMs();
+            record.confirmedAtMs = nowMs - report.ageMs();
             // What its owner has taken back counts no more.
-            present.put(key, k);
-            if (!o.version().equals(k.version)
-                    && o.ageMs() <= settings.maxRecordAgeMs()
-                    && isPlausible(o.observation())) {
-                k.version = o.version();
-                k.observation = o.observation();
-                k.zone = o.zone();
-                news = true;
+            present.put(key, record);
+            if (!report.version().equals(record.version)
+                    && report.ageMs() <= settings.maxRecordAgeMs()
+                    && isPlausible(report.observation())) {
+                record.version = report.version();
+                record.observation = report.observation();
+                record.zone = report.zone();
+                changed = true;
             }
         }
         // Guards against names of the past that fill the memory.
-        records.values().removeIf(k -> nowMs - k.confirmedAtMs > FORGET_AFTER_MS);
+        records.values().removeIf(record -> nowMs - record.confirmedAtMs > FORGET_AFTER_MS);
         lastHeardMs.values().removeIf(at -> nowMs - at > FORGET_AFTER_MS);
-        if (news) {
+        if (changed) {
             learn(nowMs, present);
         }
     }
 
     /** Guards against figures that a faulty node sends: they must not spoil what others see. */
-    private static boolean isPlausible(PoolObservation s) {
-        return s != null
-                && isPlausibleValue(s.arrivalRate())
-                && isPlausibleValue(s.attemptRate())
-                && isPlausibleValue(s.rejectionRate())
-                && s.servers() >= 0
-                && s.servers() <= 1_000_000
-                && isPlausibleValue(s.slots())
-                && isPlausibleValue(s.inFlight())
-                && isPlausibleValue(s.serviceMs())
-                && isPlausibleValue(s.latencyMs())
-                && isPlausibleValue(s.squaredVariation())
-                && s.failureRatio() >= 0
-                && s.failureRatio() <= 1
-                && s.utilisation() <= 1.01
-                && isPlausibleValue(s.connections())
-                && s.coldCapacityRatio() > 0
-                && s.coldCapacityRatio() <= 1
-                && isPlausibleValue(s.warmUpMs())
-                && s.degradedCapacityRatio() > 0
-                && s.degradedCapacityRatio() <= 1
-                && isPlausibleValue(s.degradedAtCalls());
+    private static boolean isPlausible(PoolObservation observation) {
+        return observation != null
+                && isPlausibleValue(observation.arrivalRate())
+                && isPlausibleValue(observation.attemptRate())
+                && isPlausibleValue(observation.rejectionRate())
+                && observation.servers() >= 0
+                && observation.servers() <= 1_000_000
+                && isPlausibleValue(observation.slots())
+                && isPlausibleValue(observation.inFlight())
+                && isPlausibleValue(observation.serviceMs())
+                && isPlausibleValue(observation.latencyMs())
+                && isPlausibleValue(observation.squaredVariation())
+                && observation.failureRatio() >= 0
+                && observation.failureRatio() <= 1
+                && observation.utilisation() <= 1.01
+                && isPlausibleValue(observation.connections())
+                && observation.coldCapacityRatio() > 0
+                && observation.coldCapacityRatio() <= 1
+                && isPlausibleValue(observation.warmUpMs())
+                && observation.degradedCapacityRatio() > 0
+                && observation.degradedCapacityRatio() <= 1
+                && isPlausibleValue(observation.degradedAtCalls());
     }
 
-    private static boolean isPlausibleValue(double v) {
-        return v >= 0 && v < 1e12;
+    private static boolean isPlausibleValue(double value) {
+        return value >= 0 && value < 1e12;
     }
 
     private static final class PoolTotals {
@@ -208,92 +208,94 @@
     }
 
     private void learn(double nowMs, Map<RecordKey, StoredRecord> present) {
-        Map<PoolName, PoolTotals> sums = new TreeMap<>();
-        Map<FlowKey, Double> from = new HashMap<>();
-        for (Map.Entry<RecordKey, StoredRecord> e : present.entrySet()) {
-            StoredRecord k = e.getValue();
-            if (k.observation == null || nowMs - k.confirmedAtMs > settings.maxRecordAgeMs()) {
+        Map<PoolName, PoolTotals> totalsByPool = new TreeMap<>();
+        Map<FlowKey, Double> ratesByFlow = new HashMap<>();
+        for (Map.Entry<RecordKey, StoredRecord> entry : present.entrySet()) {
+            StoredRecord record = entry.getValue();
+            if (record.observation == null || nowMs - record.confirmedAtMs > settings.maxRecordAgeMs()) {
                 continue;
             }
-            PoolObservation s = k.observation;
-            PoolTotals sum = sums.computeIfAbsent(e.getKey().pool(), p -> new PoolTotals());
-            sum.attemptRate += s.attemptRate();
-            sum.successRate += s.attemptRate() * (1 - s.failureRatio());
-            sum.servers = Math.max(sum.servers, s.servers());
-            sum.classRates.merge(e.getKey().className(), s.attemptRate(), Double::sum);
-            if (s.utilisation() >= 0) {
-                sum.utilisationSum += s.utilisation();
-                sum.utilisationCount++;
+            PoolObservation observation = record.observation;
+            PoolTotals totals = totalsByPool.computeIfAbsent(entry.getKey().pool(), p -> new PoolTotals());
+            totals.attemptRate += observation.attemptRate();
+            totals.successRate += observation.attemptRate() * (1 - observation.failureRatio());
+            totals.servers = Math.max(totals.servers, observation.servers());
+            totals.classRates.merge(entry.getKey().className(), observation.attemptRate(), Double::sum);
+            if (observation.utilisation() >= 0) {
+                totals.utilisationSum += observation.utilisation();
+                totals.utilisationCount++;
             }
-            if (s.serviceMs() > 0 && s.attemptRate() > 0) {
-                sum.serviceTimeSum += s.serviceMs() * s.attemptRate();
-                sum.variationSum += s.squaredVariation() * s.attemptRate();
-                sum.serviceTimeWeight += s.attemptRate();
+            if (observation.serviceMs() > 0 && observation.attemptRate() > 0) {
+                totals.serviceTimeSum += observation.serviceMs() * observation.attemptRate();
+                totals.variationSum += observation.squaredVariation() * observation.attemptRate();
+                totals.serviceTimeWeight += observation.attemptRate();
             }
-            if (sum.lastObservation == null || s.degradedAtCalls() > 0) {
-                sum.lastObservation = s;
+            if (totals.lastObservation == null || observation.degradedAtCalls() > 0) {
+                totals.lastObservation = observation;
             }
-            from.merge(new FlowKey(k.zone, e.getKey().pool()), s.arrivalRate(), Double::sum);
+            ratesByFlow.merge(new FlowKey(record.zone, entry.getKey().pool()), observation.arrivalRate(), Double::sum);
         }
-        sums.forEach((name, sum) -> learn(nowMs, pools.computeIfAbsent(name, n -> new PoolEstimates()), sum));
-        from.forEach((o, rate) -> flowRates
-                .computeIfAbsent(o, n -> new MovingEstimate(settings.halfLifeMs()))
+        totalsByPool.forEach(
+                (name, totals) -> learn(nowMs, pools.computeIfAbsent(name, n -> new PoolEstimates()), totals));
+        ratesByFlow.forEach((flow, rate) -> flowRates
+                .computeIfAbsent(flow, n -> new MovingEstimate(settings.halfLifeMs()))
                 .add(nowMs, rate));
-        learnCalls(nowMs, sums, from);
+        learnCalls(nowMs, totalsByPool, ratesByFlow);
         if (!settings.tiers().isEmpty()) {
-            Map<String, Double> first = new HashMap<>();
-            from.forEach((o, rate) -> {
-                if (o.pool().tier().equals(settings.tiers().get(0))) {
-                    first.merge(o.zone(), rate, Double::sum);
+            Map<String, Double> ratesByZone = new HashMap<>();
+            ratesByFlow.forEach((flow, rate) -> {
+                if (flow.pool().tier().equals(settings.tiers().get(0))) {
+                    ratesByZone.merge(flow.zone(), rate, Double::sum);
                 }
             });
-            first.forEach((zone, rate) -> dailyProfile.add(zone, timeOfDayMs, rate));
+            ratesByZone.forEach((zone, rate) -> dailyProfile.add(zone, timeOfDayMs, rate));
         }
     }
 
-    private void learn(double nowMs, PoolEstimates l, PoolTotals sum) {
-        l.servers = sum.servers;
-        l.lastObservation = sum.lastObservation;
-        l.recentAttemptRate.add(nowMs, sum.attemptRate);
-        double u = sum.utilisationCount > 0 ? sum.utilisationSum / sum.utilisationCount : -1;
-        if (u >= MIN_UTILISATION && sum.successRate >= MIN_ATTEMPT_RATE && sum.servers > 0) {
-            l.successRate.add(nowMs, sum.successRate);
-            l.busyServers.add(nowMs, u * sum.servers);
-            l.capacityPerServer.add(nowMs, sum.successRate / (u * sum.servers));
+    private void learn(double nowMs, PoolEstimates estimates, PoolTotals totals) {
+        estimates.servers = totals.servers;
+        estimates.lastObservation = totals.lastObservation;
+        estimates.recentAttemptRate.add(nowMs, totals.attemptRate);
+        double utilisation = totals.utilisationCount > 0 ? totals.utilisationSum / totals.utilisationCount : -1;
+        if (utilisation >= MIN_UTILISATION && totals.successRate >= MIN_ATTEMPT_RATE && totals.servers > 0) {
+            estimates.successRate.add(nowMs, totals.successRate);
+            estimates.busyServers.add(nowMs, utilisation * totals.servers);
+            estimates.capacityPerServer.add(nowMs, totals.successRate / (utilisation * totals.servers));
         }
-        if (sum.serviceTimeWeight > 0) {
-            l.serviceMs.add(nowMs, sum.serviceTimeSum / sum.serviceTimeWeight);
-            l.squaredVariation.add(nowMs, sum.variationSum / sum.serviceTimeWeight);
+        if (totals.serviceTimeWeight > 0) {
+            estimates.serviceMs.add(nowMs, totals.serviceTimeSum / totals.serviceTimeWeight);
+            estimates.squaredVariation.add(nowMs, totals.variationSum / totals.serviceTimeWeight);
         }
-        sum.classRates.forEach((c, rate) -> l.classRates
-                .computeIfAbsent(c, k -> new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR))
+        totals.classRates.forEach((className, rate) -> estimates
+                .classRates
+                .computeIfAbsent(className, k -> new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR))
                 .add(nowMs, rate));
     }
 
-    private void learnCalls(double nowMs, Map<PoolName, PoolTotals> sums, Map<FlowKey, Double> from) {
-        for (int t = 0; t + 1 < settings.tiers().size(); t++) {
-            String tier = settings.tiers().get(t);
-            String next = settings.tiers().get(t + 1);
-            Map<String, Double> by = new TreeMap<>();
-            sums.forEach((p, s) -> {
-                if (p.tier().equals(tier)) {
-                    by.merge(p.zone(), s.successRate, Double::sum);
+    private void learnCalls(double nowMs, Map<PoolName, PoolTotals> totalsByPool, Map<FlowKey, Double> ratesByFlow) {
+        for (int tierIndex = 0; tierIndex + 1 < settings.tiers().size(); tierIndex++) {
+            String tier = settings.tiers().get(tierIndex);
+            String nextTier = settings.tiers().get(tierIndex + 1);
+            Map<String, Double> successByZone = new TreeMap<>();
+            totalsByPool.forEach((pool, totals) -> {
+                if (pool.tier().equals(tier)) {
+                    successByZone.merge(pool.zone(), totals.successRate, Double::sum);
                 }
             });
-            Map<String, Double> made = new TreeMap<>();
-            from.forEach((o, rate) -> {
-                if (o.pool().tier().equals(next)) {
-                    made.merge(o.zone(), rate, Double::sum);
+            Map<String, Double> callsByZone = new TreeMap<>();
+            ratesByFlow.forEach((flow, rate) -> {
+                if (flow.pool().tier().equals(nextTier)) {
+                    callsByZone.merge(flow.zone(), rate, Double::sum);
                 }
             });
-            for (Map.Entry<String, Double> e : by.entrySet()) {
-                if (e.getValue() >= MIN_ATTEMPT_RATE) {
-                    CallEstimates c =
-                            callers.computeIfAbsent(new CallerKey(tier, e.getKey()), k -> new CallEstimates());
-                    double rate = made.getOrDefault(e.getKey(), 0.0);
-                    c.callRate.add(nowMs, rate);
-                    c.callerRate.add(nowMs, e.getValue());
-                    c.ratio.add(nowMs, rate / e.getValue());
+            for (Map.Entry<String, Double> entry : successByZone.entrySet()) {
+                if (entry.getValue() >= MIN_ATTEMPT_RATE) {
+                    CallEstimates estimates =
+                            callers.computeIfAbsent(new CallerKey(tier, entry.getKey()), k -> new CallEstimates());
+                    double rate = callsByZone.getOrDefault(entry.getKey(), 0.0);
+                    estimates.callRate.add(nowMs, rate);
+                    estimates.callerRate.add(nowMs, entry.getValue());
+                    estimates.ratio.add(nowMs, rate / entry.getValue());
                 }
             }
         }
@@ -305,128 +307,136 @@
      * @param weight how much the rehearsal is worth beside what was known, 0 to 1
      */
     public void applyCorrection(PoolName pool, double factor, double weight) {
-        PoolEstimates l = pools.get(pool);
-        if (l != null && factor > 0 && Double.isFinite(factor) && weight > 0 && weight <= 1) {
+        PoolEstimates estimates = pools.get(pool);
+        if (estimates != null && factor > 0 && Double.isFinite(factor) && weight > 0 && weight <= 1) {
             double bounded = Math.max(1 / MAX_CORRECTION, Math.min(MAX_CORRECTION, factor));
-            l.correction *= Math.exp(weight * Math.log(bounded));
-            l.correctionSpread = Math.max(REHEARSED_SPREAD, l.correctionSpread * (1 - weight));
+            estimates.correction *= Math.exp(weight * Math.log(bounded));
+            estimates.correctionSpread = Math.max(REHEARSED_SPREAD, estimates.correctionSpread * (1 - weight));
         }
     }
 
     /** How the pools are now, for a plan that starts at this time of the day; negative for now. */
-    public PoolSnapshot snapshot(double nowMs, double startDayMs) {
-        List<Pool> out = new ArrayList<>();
-        for (Map.Entry<PoolName, PoolEstimates> e : pools.entrySet()) {
-            out.add(estimatePool(nowMs, e.getKey(), e.getValue()));
+    public PoolSnapshot snapshot(double nowMs, double startTimeOfDayMs) {
+        List<Pool> estimatedPools = new ArrayList<>();
+        for (Map.Entry<PoolName, PoolEstimates> entry : pools.entrySet()) {
+            estimatedPools.add(estimatePool(nowMs, entry.getKey(), entry.getValue()));
         }
         List<Flow> flows = new ArrayList<>();
-        Map<FlowKey, MovingEstimate> sorted = new TreeMap<>((a, b) -> {
-            int by = a.zone().compareTo(b.zone());
-            return by != 0 ? by : a.pool().compareTo(b.pool());
+        Map<FlowKey, MovingEstimate> sorted = new TreeMap<>((left, right) -> {
+            int byZone = left.zone().compareTo(right.zone());
+            return byZone != 0 ? byZone : left.pool().compareTo(right.pool());
         });
         sorted.putAll(flowRates);
-        sorted.forEach((o, l) -> {
-            double factor = startDayMs < 0 ? 1 : dailyProfile.ratio(o.zone(), timeOfDayMs, startDayMs);
-            double wait = startDayMs < 0 ? 0 : dailyProfile.spread(o.zone(), timeOfDayMs, startDayMs);
-            double spread = l.spread(nowMs);
+        sorted.forEach((flow, rate) -> {
+            double dayRatio = startTimeOfDayMs < 0 ? 1 : dailyProfile.ratio(flow.zone(), timeOfDayMs, startTimeOfDayMs);
+            double daySpread =
+                    startTimeOfDayMs < 0 ? 0 : dailyProfile.spread(flow.zone(), timeOfDayMs, startTimeOfDayMs);
+            double spread = rate.spread(nowMs);
             flows.add(new Flow(
-                    o.zone(),
-                    o.pool(),
-                    l.mean() * factor,
-                    Math.sqrt(spread * spread + settings.clockDrift() * settings.clockDrift() + wait * wait)));
+                    flow.zone(),
+                    flow.pool(),
+                    rate.mean() * dayRatio,
+                    Math.sqrt(
+                            spread * spread + settings.clockDrift() * settings.clockDrift() + daySpread * daySpread)));
         });
         List<MissingNode> missing = new ArrayList<>();
         new TreeMap<>(expectedNodes).forEach((node, zone) -> {
-            Double at = lastHeardMs.get(node);
-            if (at == null) {
+            Double heardMs = lastHeardMs.get(node);
+            if (heardMs == null) {
                 missing.add(new MissingNode(node, zone, node + " was never heard"));
-            } else if (nowMs - at > settings.maxRecordAgeMs()) {
+            } else if (nowMs - heardMs > settings.maxRecordAgeMs()) {
                 missing.add(new MissingNode(
                         node,
                         zone,
-                        String.format(Locale.ROOT, "%s was last heard %.0f s ago", node, (nowMs - at) / 1000)));
+                        String.format(Locale.ROOT, "%s was last heard %.0f s ago", node, (nowMs - heardMs) / 1000)));
             }
         });
-        return new PoolSnapshot(settings, out, flows, missing, tenantDemand);
+        return new PoolSnapshot(settings, estimatedPools, flows, missing, tenantDemand);
     }
 
-    private Pool estimatePool(double nowMs, PoolName name, PoolEstimates l) {
-        CallEstimates c = callers.get(new CallerKey(name.tier(), name.zone()));
-        double calls = c == null || c.callerRate.mean() <= 0 ? 0 : c.callRate.mean() / c.callerRate.mean();
-        double callsSpread = c == null ? 0 : c.ratio.spread(nowMs);
-        double each = l.busyServers.mean() > 0 ? l.successRate.mean() / l.busyServers.mean() : 0;
-        double spread = l.capacityPerServer.isKnown() ? l.capacityPerServer.spread(nowMs) : Double.POSITIVE_INFINITY;
-        double within = calls * downstreamServiceMs(name);
-        double service = l.serviceMs.mean();
+    private Pool estimatePool(double nowMs, PoolName name, PoolEstimates estimates) {
+        CallEstimates callEstimates = callers.get(new CallerKey(name.tier(), name.zone()));
+        double callsPerAttempt = callEstimates == null || callEstimates.callerRate.mean() <= 0
+                ? 0
+                : callEstimates.callRate.mean() / callEstimates.callerRate.mean();
+        double callsSpread = callEstimates == null ? 0 : callEstimates.ratio.spread(nowMs);
+        double capacityPerServer =
+                estimates.busyServers.mean() > 0 ? estimates.successRate.mean() / estimates.busyServers.mean() : 0;
+        double spread = estimates.capacityPerServer.isKnown()
+                ? estimates.capacityPerServer.spread(nowMs)
+                : Double.POSITIVE_INFINITY;
+        double downstreamMs = callsPerAttempt * downstreamServiceMs(name);
+        double serviceMs = estimates.serviceMs.mean();
         // What the next tier takes is not this one's work; a tenth at the least is its own.
-        double work = Math.max(0.1 * service, service - within);
-        String unknown = unknownReason(nowMs, l, spread);
-        Map<String, Double> mix = new TreeMap<>();
-        double all =
-                l.classRates.values().stream().mapToDouble(MovingEstimate::mean).sum();
-        if (all > 0) {
-            l.classRates.forEach((k, v) -> mix.put(k, v.mean() / all));
+        double ownWorkMs = Math.max(0.1 * serviceMs, serviceMs - downstreamMs);
+        String unknownReason = unknownReason(nowMs, estimates, spread);
+        Map<String, Double> classMix = new TreeMap<>();
+        double totalRate = estimates.classRates.values().stream()
+                .mapToDouble(MovingEstimate::mean)
+                .sum();
+        if (totalRate > 0) {
+            estimates.classRates.forEach((className, rate) -> classMix.put(className, rate.mean() / totalRate));
         }
-        double capacity = each * l.servers;
-        double parallel = Math.max(l.servers, capacity * work / 1000);
-        PoolObservation s = l.lastObservation;
-        double variation = l.squaredVariation.isKnown() ? l.squaredVariation.mean() : 1;
+        double capacity = capacityPerServer * estimates.servers;
+        double concurrency = Math.max(estimates.servers, capacity * ownWorkMs / 1000);
+        PoolObservation last = estimates.lastObservation;
+        double squaredVariation = estimates.squaredVariation.isKnown() ? estimates.squaredVariation.mean() : 1;
         return new Pool(
                 name,
-                l.servers,
-                s.slots(),
-                s.connections() > 0 ? s.connections() : s.slots(),
+                estimates.servers,
+                last.slots(),
+                last.connections() > 0 ? last.connections() : last.slots(),
                 capacity,
                 Math.sqrt(spread * spread + settings.clockDrift() * settings.clockDrift()),
-                work,
-                variation,
-                parallel,
-                calls,
+                ownWorkMs,
+                squaredVariation,
+                concurrency,
+                callsPerAttempt,
                 callsSpread,
-                mix,
-                s.coldCapacityRatio(),
-                s.warmUpMs(),
-                s.degradedCapacityRatio(),
-                s.degradedAtCalls(),
-                l.correction,
-                l.correctionSpread,
-                l.recentAttemptRate.mean(),
-                unknown);
+                classMix,
+                last.coldCapacityRatio(),
+                last.warmUpMs(),
+                last.degradedCapacityRatio(),
+                last.degradedAtCalls(),
+                estimates.correction,
+                estimates.correctionSpread,
+                estimates.recentAttemptRate.mean(),
+                unknownReason);
     }
 
     private double downstreamServiceMs(PoolName name) {
-        int t = settings.tiers().indexOf(name.tier());
-        if (t < 0 || t + 1 >= settings.tiers().size()) {
+        int tierIndex = settings.tiers().indexOf(name.tier());
+        if (tierIndex < 0 || tierIndex + 1 >= settings.tiers().size()) {
             return 0;
         }
-        String next = settings.tiers().get(t + 1);
+        String nextTier = settings.tiers().get(tierIndex + 1);
         double sum = 0;
-        double weight = 0;
-        for (Map.Entry<PoolName, PoolEstimates> e : pools.entrySet()) {
-            MovingEstimate service = e.getValue().serviceMs;
-            if (e.getKey().tier().equals(next) && service.isKnown()) {
-                double w = e.getKey().zone().equals(name.zone()) ? 1 : 1e-3;
-                sum += w * service.mean();
-                weight += w;
+        double totalWeight = 0;
+        for (Map.Entry<PoolName, PoolEstimates> entry : pools.entrySet()) {
+            MovingEstimate serviceMs = entry.getValue().serviceMs;
+            if (entry.getKey().tier().equals(nextTier) && serviceMs.isKnown()) {
+                double weight = entry.getKey().zone().equals(name.zone()) ? 1 : 1e-3;
+                sum += weight * serviceMs.mean();
+                totalWeight += weight;
             }
         }
-        return weight > 0 ? sum / weight : 0;
+        return totalWeight > 0 ? sum / totalWeight : 0;
     }
 
-    private static String unknownReason(double nowMs, PoolEstimates l, double spread) {
-        if (l.servers == 0) {
+    private static String unknownReason(double nowMs, PoolEstimates estimates, double spread) {
+        if (estimates.servers == 0) {
             return "no server of it is known to run";
         }
-        if (!l.recentAttemptRate.isKnown() || l.recentAttemptRate.mean() < MIN_ATTEMPT_RATE / 10) {
+        if (!estimates.recentAttemptRate.isKnown() || estimates.recentAttemptRate.mean() < MIN_ATTEMPT_RATE / 10) {
             return "it has no load to learn from";
         }
-        if (!l.capacityPerServer.isKnown()) {
+        if (!estimates.capacityPerServer.isKnown()) {
             return "nobody tells how busy its servers are";
         }
-        if (l.capacityPerServer.weight() < MIN_WEIGHT) {
+        if (estimates.capacityPerServer.weight() < MIN_WEIGHT) {
             return "it was seen too shortly";
         }
-        if (l.lastObservation.slots() <= 0) {
+        if (estimates.lastObservation.slots() <= 0) {
             return "its slots are not known";
         }
         return spread > MAX_SPREAD
@@ -441,11 +451,11 @@
 
     /** Forgets pools whose last record is long gone; from time to time. */
     public void forgetPools(double nowMs) {
-        Iterator<Map.Entry<PoolName, PoolEstimates>> i = pools.entrySet().iterator();
-        while (i.hasNext()) {
-            PoolName name = i.next().getKey();
+        Iterator<Map.Entry<PoolName, PoolEstimates>> iterator = pools.entrySet().iterator();
+        while (iterator.hasNext()) {
+            PoolName name = iterator.next().getKey();
             if (records.keySet().stream().noneMatch(k -> k.pool().equals(name))) {
-                i.remove();
+                iterator.remove();
                 flowRates.keySet().removeIf(o -> o.pool().equals(name));
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolName.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolName.java
@@ -30,8 +30,8 @@
     }
 
     @Override
-    public int compareTo(PoolName o) {
-        return ORDER.compare(this, o);
+    public int compareTo(PoolName other) {
+        return ORDER.compare(this, other);
     }
 
     @JsonValue
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
@@ -70,18 +70,18 @@
         }
 
         /** The same pool with so many servers of the same sort more. */
-        Pool withMoreServers(int more) {
-            double grown = (servers + more) / (double) Math.max(1, servers);
+        Pool withMoreServers(int addedServers) {
+            double growth = (servers + addedServers) / (double) Math.max(1, servers);
             return new Pool(
                     name,
-                    servers + more,
+                    servers + addedServers,
                     slots,
                     connections,
-                    capacity * grown,
+                    capacity * growth,
                     capacitySpread,
                     ownWorkMs,
                     squaredVariation,
-                    concurrency * grown,
+                    concurrency * growth,
                     callsPerAttempt,
                     callsSpread,
                     classMix,
@@ -145,7 +145,7 @@
     }
 
     /** The same with other pools. */
-    PoolSnapshot withPools(List<Pool> others) {
-        return new PoolSnapshot(settings, others, flows, missingNodes, tenantDemand);
+    PoolSnapshot withPools(List<Pool> newPools) {
+        return new PoolSnapshot(settings, newPools, flows, missingNodes, tenantDemand);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
@@ -39,75 +39,76 @@
      * @param pauseMs the shortest pause between two steps
      */
     public static Proposal propose(
-            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, SharePolicy shares, long seed) {
+            PoolSnapshot snapshot, EvacuationPlan template, double pauseMs, SharePolicy shares, long seed) {
         Forecast atOnce = null;
-        for (int n : STEP_COUNTS) {
-            EvacuationPlan p = wanted.withSteps(evenSteps(1, n, pauseMs));
-            Forecast f = forecast(picture, p, shares, seed);
-            if (f.verdict() == Verdict.UNKNOWN || f.pools().stream().anyMatch(x -> x.verdict() == Verdict.UNKNOWN)) {
-                return new Proposal(null, f, Map.of(), "not all pools are known");
+        for (int stepCount : STEP_COUNTS) {
+            EvacuationPlan plan = template.withSteps(evenSteps(1, stepCount, pauseMs));
+            Forecast forecast = forecast(snapshot, plan, shares, seed);
+            if (forecast.verdict() == Verdict.UNKNOWN
+                    || forecast.pools().stream().anyMatch(pool -> pool.verdict() == Verdict.UNKNOWN)) {
+                return new Proposal(null, forecast, Map.of(), "not all pools are known");
             }
-            if (nothingSaturates(f)) {
-                return new Proposal(p, f, Map.of(), null);
+            if (nothingSaturates(forecast)) {
+                return new Proposal(plan, forecast, Map.of(), null);
             }
-            atOnce = atOnce == null ? f : atOnce;
+            atOnce = atOnce == null ? forecast : atOnce;
         }
-        EvacuationPlan later = findPlanThatWaitsForAddedServers(picture, wanted, pauseMs, shares, seed);
-        if (later != null) {
-            return new Proposal(later, forecast(picture, later, shares, seed), Map.of(), null);
+        EvacuationPlan staged = findPlanThatWaitsForAddedServers(snapshot, template, pauseMs, shares, seed);
+        if (staged != null) {
+            return new Proposal(staged, forecast(snapshot, staged, shares, seed), Map.of(), null);
         }
-        Map<PoolName, Integer> missing =
-                findAdditionalServers(picture, wanted.withSteps(evenSteps(1, 1, pauseMs)), shares, seed);
+        Map<PoolName, Integer> additionalServers =
+                findAdditionalServers(snapshot, template.withSteps(evenSteps(1, 1, pauseMs)), shares, seed);
         return new Proposal(
                 null,
                 atOnce,
-                missing,
-                missing.isEmpty()
+                additionalServers,
+                additionalServers.isEmpty()
                         ? "no number of servers was found that would do"
                         : "no order of steps does it without more servers");
     }
 
-    private static Forecast forecast(PoolSnapshot picture, EvacuationPlan p, SharePolicy shares, long seed) {
-        double[] moved = new double[p.steps().size()];
+    private static Forecast forecast(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
+        double[] moved = new double[plan.steps().size()];
         for (int i = 0; i < moved.length; i++) {
-            moved[i] = p.movedFraction(i + 1);
+            moved[i] = plan.movedFraction(i + 1);
         }
-        return Forecast.of(picture, p, moved, shares, seed, TRAJECTORIES);
+        return Forecast.of(snapshot, plan, moved, shares, seed, TRAJECTORIES);
     }
 
-    private static boolean nothingSaturates(Forecast f) {
-        return f.pools().stream()
-                .allMatch(
-                        p -> p.verdict() != Verdict.UNKNOWN && p.saturationProbability() < MAX_SATURATION_PROBABILITY);
+    private static boolean nothingSaturates(Forecast forecast) {
+        return forecast.pools().stream()
+                .allMatch(plan ->
+                        plan.verdict() != Verdict.UNKNOWN && plan.saturationProbability() < MAX_SATURATION_PROBABILITY);
     }
 
-    private static List<EvacuationPlan.Step> evenSteps(double part, int n, double pauseMs) {
+    private static List<EvacuationPlan.Step> evenSteps(double part, int stepCount, double pauseMs) {
         List<EvacuationPlan.Step> steps = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            steps.add(new EvacuationPlan.Step(part / n, pauseMs));
+        for (int i = 0; i < stepCount; i++) {
+            steps.add(new EvacuationPlan.Step(part / stepCount, pauseMs));
         }
         return steps;
     }
 
     /** What holds at once, then a wait until the servers that come are warm, then the rest. */
     private static EvacuationPlan findPlanThatWaitsForAddedServers(
-            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, SharePolicy shares, long seed) {
-        double warm = 0;
-        for (EvacuationPlan.AddedServers c : wanted.addedServers()) {
-            Pool p = picture.pool(c.pool());
-            warm = Math.max(warm, c.afterMs() + (p == null ? 0 : p.warmUpMs()));
+            PoolSnapshot snapshot, EvacuationPlan template, double pauseMs, SharePolicy shares, long seed) {
+        double warmAtMs = 0;
+        for (EvacuationPlan.AddedServers added : template.addedServers()) {
+            Pool plan = snapshot.pool(added.pool());
+            warmAtMs = Math.max(warmAtMs, added.afterMs() + (plan == null ? 0 : plan.warmUpMs()));
         }
-        if (warm == 0) {
+        if (warmAtMs == 0) {
             return null;
         }
         for (double first : FIRST_FRACTIONS) {
-            for (int n : STEP_COUNTS) {
+            for (int stepCount : STEP_COUNTS) {
                 List<EvacuationPlan.Step> steps = new ArrayList<>();
-                steps.add(new EvacuationPlan.Step(first, Math.max(pauseMs, warm)));
-                steps.addAll(evenSteps(1 - first, n, pauseMs));
-                EvacuationPlan p = wanted.withSteps(steps);
-                if (nothingSaturates(forecast(picture, p, shares, seed))) {
-                    return p;
+                steps.add(new EvacuationPlan.Step(first, Math.max(pauseMs, warmAtMs)));
+                steps.addAll(evenSteps(1 - first, stepCount, pauseMs));
+                EvacuationPlan plan = template.withSteps(steps);
+                if (nothingSaturates(forecast(snapshot, plan, shares, seed))) {
+                    return plan;
                 }
             }
         }
@@ -116,42 +117,42 @@
 
     /** Grows the pools that fall until none does, then takes back what was too much. */
     private static Map<PoolName, Integer> findAdditionalServers(
-            PoolSnapshot picture, EvacuationPlan atOnce, SharePolicy shares, long seed) {
-        Map<PoolName, Integer> more = new TreeMap<>();
+            PoolSnapshot snapshot, EvacuationPlan atOnce, SharePolicy shares, long seed) {
+        Map<PoolName, Integer> added = new TreeMap<>();
         boolean done = false;
-        for (int round = 0; round < MAX_ROUNDS && !done; round++) {
-            Forecast f = forecast(withServersAdded(picture, more), atOnce, shares, seed);
-            done = nothingSaturates(f);
-            for (PoolForecast p : f.pools()) {
-                if (p.saturationProbability() >= MAX_SATURATION_PROBABILITY) {
-                    Pool pool = picture.pool(p.pool());
-                    more.merge(p.pool(), Math.max(1, (int) (pool.servers() * GROWTH_PER_ROUND)), Integer::sum);
+        for (int attempt = 0; attempt < MAX_ROUNDS && !done; attempt++) {
+            Forecast forecast = forecast(withServersAdded(snapshot, added), atOnce, shares, seed);
+            done = nothingSaturates(forecast);
+            for (PoolForecast plan : forecast.pools()) {
+                if (plan.saturationProbability() >= MAX_SATURATION_PROBABILITY) {
+                    Pool pool = snapshot.pool(plan.pool());
+                    added.merge(plan.pool(), Math.max(1, (int) (pool.servers() * GROWTH_PER_ROUND)), Integer::sum);
                 }
             }
         }
         if (!done) {
             return Map.of();
         }
-        for (PoolName name : List.copyOf(more.keySet())) {
-            while (more.getOrDefault(name, 0) > 0) {
-                Map<PoolName, Integer> less = new TreeMap<>(more);
-                less.merge(name, -1, Integer::sum);
-                less.values().removeIf(n -> n == 0);
-                if (!nothingSaturates(forecast(withServersAdded(picture, less), atOnce, shares, seed))) {
+        for (PoolName name : List.copyOf(added.keySet())) {
+            while (added.getOrDefault(name, 0) > 0) {
+                Map<PoolName, Integer> fewer = new TreeMap<>(added);
+                fewer.merge(name, -1, Integer::sum);
+                fewer.values().removeIf(stepCount -> stepCount == 0);
+                if (!nothingSaturates(forecast(withServersAdded(snapshot, fewer), atOnce, shares, seed))) {
                     break;
                 }
-                more.clear();
-                more.putAll(less);
+                added.clear();
+                added.putAll(fewer);
             }
         }
-        return more;
+        return added;
     }
 
-    private static PoolSnapshot withServersAdded(PoolSnapshot picture, Map<PoolName, Integer> more) {
+    private static PoolSnapshot withServersAdded(PoolSnapshot snapshot, Map<PoolName, Integer> added) {
         List<Pool> pools = new ArrayList<>();
-        for (Pool p : picture.pools()) {
-            pools.add(p.withMoreServers(more.getOrDefault(p.name(), 0)));
+        for (Pool plan : snapshot.pools()) {
+            pools.add(plan.withMoreServers(added.getOrDefault(plan.name(), 0)));
         }
-        return picture.withPools(pools);
+        return snapshot.withPools(pools);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Queues.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Queues.java
@@ -12,27 +12,27 @@
     private Queues() {}
 
     /** The part of arrivals that must wait in M/M/c with this offered load (arrivals times mean work). */
-    static double erlangC(int c, double offered) {
-        if (offered <= 0) {
+    static double erlangC(int c, double offeredLoad) {
+        if (offeredLoad <= 0) {
             return 0;
         }
-        if (offered >= c) {
+        if (offeredLoad >= c) {
             return 1;
         }
-        double b = 1;
+        double blocking = 1;
         for (int k = 1; k <= c; k++) {
-            b = offered * b / (k + offered * b);
+            blocking = offeredLoad * blocking / (k + offeredLoad * blocking);
         }
-        return b / (1 - offered / c * (1 - b));
+        return blocking / (1 - offeredLoad / c * (1 - blocking));
     }
 
     /** Mean wait before work by Allen and Cunneen; infinite from the load of 1 on. */
-    static double allenCunneen(int c, double arrivals, double work, double arrivalsVariation, double workVariation) {
-        double offered = arrivals * work;
-        if (offered >= c) {
+    static double allenCunneen(int c, double arrivalRate, double serviceTime, double arrivalScv, double serviceScv) {
+        double offeredLoad = arrivalRate * serviceTime;
+        if (offeredLoad >= c) {
             return Double.POSITIVE_INFINITY;
         }
-        return erlangC(c, offered) * work / (c - offered) * (arrivalsVariation + workVariation) / 2;
+        return erlangC(c, offeredLoad) * serviceTime / (c - offeredLoad) * (arrivalScv + serviceScv) / 2;
     }
 
     /** Mean number that wait in M/M/c by Sakasegawa, at the load rho of each server; c need not be whole. */
@@ -44,13 +44,16 @@
      * The part of arrivals whose wait is longer than this: the wait of those that must wait is taken for exponential
      * (exact in M/M/c).
      */
-    static double waitExceedsProbability(int c, double arrivals, double work, double workVariation, double than) {
-        double offered = arrivals * work;
-        double wait = allenCunneen(c, arrivals, work, 1, workVariation);
+    static double waitExceedsProbability(
+            int c, double arrivalRate, double serviceTime, double serviceScv, double threshold) {
+        double offeredLoad = arrivalRate * serviceTime;
+        double wait = allenCunneen(c, arrivalRate, serviceTime, 1, serviceScv);
         if (!Double.isFinite(wait)) {
             return 1;
         }
-        double must = erlangC(c, offered);
-        return must <= 0 ? 0 : must * Math.exp(-than * must / Math.max(1e-12, wait));
+        double waitProbability = erlangC(c, offeredLoad);
+        return waitProbability <= 0
+                ? 0
+                : waitProbability * Math.exp(-threshold * waitProbability / Math.max(1e-12, wait));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/SharePolicy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/SharePolicy.java
@@ -13,36 +13,39 @@
      * @param connections what there is
      * @param wanted what each tenant wants
      */
-    Map<String, Double> allocate(PoolName pool, double connections, Map<String, Double> wanted);
+    Map<String, Double> allocate(PoolName pool, double connections, Map<String, Double> demands);
 
     /** Max-min fairness by water-filling with these weights; a tenant that has none weighs 1. */
     static SharePolicy maxMin(Map<String, Double> weights) {
-        Map<String, Double> fixed = Map.copyOf(weights);
+        Map<String, Double> fixedWeights = Map.copyOf(weights);
         return (pool, connections, wanted) -> {
-            Map<String, Double> out = new TreeMap<>();
-            Map<String, Double> open = new TreeMap<>(wanted);
-            double left = connections;
-            while (!open.isEmpty()) {
-                double all = 0;
-                for (String t : open.keySet()) {
-                    all += fixed.getOrDefault(t, 1.0);
+            Map<String, Double> allocated = new TreeMap<>();
+            Map<String, Double> unsatisfied = new TreeMap<>(wanted);
+            double remaining = connections;
+            while (!unsatisfied.isEmpty()) {
+                double totalWeight = 0;
+                for (String tenant : unsatisfied.keySet()) {
+                    totalWeight += fixedWeights.getOrDefault(tenant, 1.0);
                 }
-                double level = left / all;
-                Map<String, Double> fed = new TreeMap<>();
-                open.forEach((t, w) -> {
-                    if (w <= level * fixed.getOrDefault(t, 1.0)) {
-                        fed.put(t, w);
+                double level = remaining / totalWeight;
+                Map<String, Double> satisfied = new TreeMap<>();
+                unsatisfied.forEach((tenant, demand) -> {
+                    if (demand <= level * fixedWeights.getOrDefault(tenant, 1.0)) {
+                        satisfied.put(tenant, demand);
                     }
                 });
-                if (fed.isEmpty()) {
-                    open.forEach((t, w) -> out.put(t, level * fixed.getOrDefault(t, 1.0)));
+                if (satisfied.isEmpty()) {
+                    unsatisfied.forEach(
+                            (tenant, demand) -> allocated.put(tenant, level * fixedWeights.getOrDefault(tenant, 1.0)));
                     break;
                 }
-                out.putAll(fed);
-                open.keySet().removeAll(fed.keySet());
-                left -= fed.values().stream().mapToDouble(Double::doubleValue).sum();
+                allocated.putAll(satisfied);
+                unsatisfied.keySet().removeAll(satisfied.keySet());
+                remaining -= satisfied.values().stream()
+                        .mapToDouble(Double::doubleValue)
+                        .sum();
             }
-            return out;
+            return allocated;
         };
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
@@ -44,12 +44,12 @@
      * @throws IOException if it is not one, or asks for what no plan may
      */
     public static WeightCommand decode(byte[] bytes) throws IOException {
-        WeightCommand o = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, WeightCommand.class);
-        if (o == null
-                || !(o.validForMs() > 0 && o.validForMs() <= MAX_VALIDITY_MS)
-                || o.weights().values().stream().anyMatch(p -> !(p >= 0 && p <= 1))) {
+        WeightCommand command = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, WeightCommand.class);
+        if (command == null
+                || !(command.validForMs() > 0 && command.validForMs() <= MAX_VALIDITY_MS)
+                || command.weights().values().stream().anyMatch(weight -> !(weight >= 0 && weight <= 1))) {
             throw new IOException("not an order");
         }
-        return o;
+        return command;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/Allocation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/Allocation.java
@@ -40,12 +40,12 @@
                 .mapToDouble(p -> Math.max(0, p.allocated() - p.entitlement()))
                 .sum();
         List<Loan> loans = new ArrayList<>();
-        tenants.forEach((from, f) -> tenants.forEach((to, t) -> {
-            double lent = f.entitlement() - f.allocated();
-            double part = lent * (t.allocated() - t.entitlement()) / borrowed;
+        tenants.forEach((from, lender) -> tenants.forEach((to, borrower) -> {
+            double unused = lender.entitlement() - lender.allocated();
+            double connections = unused * (borrower.allocated() - borrower.entitlement()) / borrowed;
             // Guards against a list of all pairs: less than a tenth of a connection is nobody's concern.
-            if (lent > 0 && t.allocated() > t.entitlement() && part >= 0.1) {
-                loans.add(new Loan(from, to, part));
+            if (unused > 0 && borrower.allocated() > borrower.entitlement() && connections >= 0.1) {
+                loans.add(new Loan(from, to, connections));
             }
         }));
         return loans;
--- a/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
@@ -68,156 +68,167 @@
         distribute(root, true, true);
         List<RuleNode> leaves = new ArrayList<>();
         collectLeaves(root, leaves);
-        Map<String, Map<String, Double>> exact = new TreeMap<>();
-        Map<String, Allocation.TenantAllocation> parts = new LinkedHashMap<>();
-        for (RuleNode p : leaves) {
-            parts.put(
-                    p.key,
+        Map<String, Map<String, Double>> exactShares = new TreeMap<>();
+        Map<String, Allocation.TenantAllocation> tenants = new LinkedHashMap<>();
+        for (RuleNode leaf : leaves) {
+            tenants.put(
+                    leaf.key,
                     new Allocation.TenantAllocation(
-                            p.allocated, p.demand, p.entitlement, Math.min(p.floor, p.demand), p.rule.weight()));
-            double sum = p.demandByNode.values().stream().mapToDouble(d -> d).sum();
-            p.demandByNode.forEach((node, d) ->
-                    exact.computeIfAbsent(node, k -> new HashMap<>()).put(p.key, p.allocated * d / sum));
+                            leaf.allocated,
+                            leaf.demand,
+                            leaf.entitlement,
+                            Math.min(leaf.floor, leaf.demand),
+                            leaf.rule.weight()));
+            double totalDemand = leaf.demandByNode.values().stream()
+                    .mapToDouble(amount -> amount)
+                    .sum();
+            leaf.demandByNode.forEach((node, amount) -> exactShares
+                    .computeIfAbsent(node, k -> new HashMap<>())
+                    .put(leaf.key, leaf.allocated * amount / totalDemand));
         }
-        return new Allocation(roundToWholeConnections(capacity, exact), parts);
+        return new Allocation(roundToWholeConnections(capacity, exactShares), tenants);
     }
 
     private static RuleNode buildTree(ShareRules rules, Map<String, Map<String, Double>> demand) {
         RuleNode root = new RuleNode("", new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()));
         Map<String, RuleNode> leaves = new HashMap<>();
-        for (Rule g : rules.groups()) {
-            RuleNode group = new RuleNode(g.name(), g);
+        for (Rule groupRule : rules.groups()) {
+            RuleNode group = new RuleNode(groupRule.name(), groupRule);
             root.children.add(group);
-            for (Rule t : g.children()) {
-                RuleNode tenant = new RuleNode(t.name(), t);
+            for (Rule tenantRule : groupRule.children()) {
+                RuleNode tenant = new RuleNode(tenantRule.name(), tenantRule);
                 group.children.add(tenant);
-                if (t.children().isEmpty()) {
-                    leaves.put(t.name(), tenant);
+                if (tenantRule.children().isEmpty()) {
+                    leaves.put(tenantRule.name(), tenant);
                 } else {
                     // Calls of classes that are not named stand beside the named ones, with weight 1.
-                    RuleNode unnamed =
-                            new RuleNode(t.name(), new Rule(t.name(), 1, 0, Double.POSITIVE_INFINITY, List.of()));
+                    RuleNode unnamed = new RuleNode(
+                            tenantRule.name(), new Rule(tenantRule.name(), 1, 0, Double.POSITIVE_INFINITY, List.of()));
                     tenant.children.add(unnamed);
-                    leaves.put(t.name(), unnamed);
-                    for (Rule c : t.children()) {
-                        RuleNode place = new RuleNode(t.name() + "/" + c.name(), c);
-                        tenant.children.add(place);
-                        leaves.put(place.key, place);
+                    leaves.put(tenantRule.name(), unnamed);
+                    for (Rule classRule : tenantRule.children()) {
+                        RuleNode classNode = new RuleNode(tenantRule.name() + "/" + classRule.name(), classRule);
+                        tenant.children.add(classNode);
+                        leaves.put(classNode.key, classNode);
                     }
                 }
             }
         }
         RuleNode others = new RuleNode("", rules.others());
         root.children.add(others);
-        demand.forEach((node, tenants) -> tenants.forEach((key, d) -> {
-            if (d > 0) {
+        demand.forEach((node, tenants) -> tenants.forEach((key, amount) -> {
+            if (amount > 0) {
                 leaves.computeIfAbsent(key, k -> {
-                            RuleNode p = new RuleNode(k, new Rule(k, 1, 0, Double.POSITIVE_INFINITY, List.of()));
-                            others.children.add(p);
-                            return p;
+                            RuleNode unlisted = new RuleNode(k, new Rule(k, 1, 0, Double.POSITIVE_INFINITY, List.of()));
+                            others.children.add(unlisted);
+                            return unlisted;
                         })
                         .demandByNode
-                        .put(node, d * (1 + HEADROOM) + HEADROOM_ROOT * Math.sqrt(d));
+                        .put(node, amount * (1 + HEADROOM) + HEADROOM_ROOT * Math.sqrt(amount));
             }
         }));
-        others.children.sort(Comparator.comparing(p -> p.key));
+        others.children.sort(Comparator.comparing(unlisted -> unlisted.key));
         return root;
     }
 
     /** Takes away what has no demand, and sums up what is left. */
-    private static void prune(RuleNode p) {
-        p.children.forEach(Allocator::prune);
-        p.children.removeIf(u -> u.demand <= 0);
-        double sum = p.demandByNode.values().stream().mapToDouble(d -> d).sum();
-        double floors = 0;
-        double ceilings = p.children.isEmpty() ? Double.POSITIVE_INFINITY : 0;
-        for (RuleNode u : p.children) {
-            sum += u.demand;
-            floors += u.floor;
-            ceilings += u.ceiling;
+    private static void prune(RuleNode node) {
+        node.children.forEach(Allocator::prune);
+        node.children.removeIf(child -> child.demand <= 0);
+        double demand = node.demandByNode.values().stream().mapToDouble(d -> d).sum();
+        double sumFloors = 0;
+        double sumCeilings = node.children.isEmpty() ? Double.POSITIVE_INFINITY : 0;
+        for (RuleNode child : node.children) {
+            demand += child.demand;
+            sumFloors += child.floor;
+            sumCeilings += child.ceiling;
         }
-        p.ceiling = Math.min(p.ceiling, ceilings);
-        p.demand = Math.min(p.ceiling, sum);
-        p.floor = Math.min(p.demand, Math.max(p.rule.floor(), floors));
+        node.ceiling = Math.min(node.ceiling, sumCeilings);
+        node.demand = Math.min(node.ceiling, demand);
+        node.floor = Math.min(node.demand, Math.max(node.rule.floor(), sumFloors));
     }
 
     /** Divides what a place has among those under it: what is wanted, what is left, or what each is entitled to. */
-    private static void distribute(RuleNode p, boolean all, boolean entitled) {
-        int n = p.children.size();
-        double[] weights = new double[n];
-        double[] floors = new double[n];
-        double[] most = new double[n];
-        for (int i = 0; i < n; i++) {
-            RuleNode u = p.children.get(i);
-            weights[i] = u.rule.weight();
-            floors[i] = all && !entitled ? u.allocated : u.floor;
-            most[i] = all ? Math.max(u.ceiling, floors[i]) : u.demand;
-            most[i] = Math.min(most[i], Math.max(floors[i], entitled ? p.entitlement : p.allocated));
+    private static void distribute(RuleNode node, boolean toCeilings, boolean entitlement) {
+        int childCount = node.children.size();
+        double[] weights = new double[childCount];
+        double[] floors = new double[childCount];
+        double[] maxima = new double[childCount];
+        for (int i = 0; i < childCount; i++) {
+            RuleNode child = node.children.get(i);
+            weights[i] = child.rule.weight();
+            floors[i] = toCeilings && !entitlement ? child.allocated : child.floor;
+            maxima[i] = toCeilings ? Math.max(child.ceiling, floors[i]) : child.demand;
+            maxima[i] = Math.min(maxima[i], Math.max(floors[i], entitlement ? node.entitlement : node.allocated));
         }
-        double[] given = WaterFilling.fill(entitled ? p.entitlement : p.allocated, weights, floors, most);
-        for (int i = 0; i < n; i++) {
-            RuleNode u = p.children.get(i);
-            if (entitled) {
-                u.entitlement = given[i];
+        double[] amounts = WaterFilling.fill(entitlement ? node.entitlement : node.allocated, weights, floors, maxima);
+        for (int i = 0; i < childCount; i++) {
+            RuleNode child = node.children.get(i);
+            if (entitlement) {
+                child.entitlement = amounts[i];
             } else {
-                u.allocated = given[i];
+                child.allocated = amounts[i];
             }
-            distribute(u, all, entitled);
+            distribute(child, toCeilings, entitlement);
         }
     }
 
-    private static void collectLeaves(RuleNode p, List<RuleNode> found) {
-        if (p.children.isEmpty()) {
-            found.add(p);
+    private static void collectLeaves(RuleNode node, List<RuleNode> leaves) {
+        if (node.children.isEmpty()) {
+            leaves.add(node);
         }
-        p.children.forEach(u -> collectLeaves(u, found));
+        node.children.forEach(child -> collectLeaves(child, leaves));
     }
 
     private Map<String, Map<String, Double>> roundToWholeConnections(
-            int capacity, Map<String, Map<String, Double>> exact) {
-        Map<String, Double> sums = new TreeMap<>();
-        exact.forEach((node, tenants) ->
-                sums.put(node, tenants.values().stream().mapToDouble(d -> d).sum()));
-        roundingCarry.keySet().retainAll(sums.keySet());
-        double all =
-                Math.min(capacity, sums.values().stream().mapToDouble(d -> d).sum());
-        int left = (int) Math.floor(all + 1e-6);
-        Map<String, Integer> totals = new TreeMap<>();
-        boolean one = left >= sums.size();
-        for (Map.Entry<String, Double> e : sums.entrySet()) {
-            double due = e.getValue() + roundingCarry.getOrDefault(e.getKey(), 0.0);
-            int t = Math.max(one ? 1 : 0, (int) Math.floor(due + EPSILON));
-            totals.put(e.getKey(), t);
-            left -= t;
+            int capacity, Map<String, Map<String, Double>> exactShares) {
+        Map<String, Double> nodeSums = new TreeMap<>();
+        exactShares.forEach((node, tenants) -> nodeSums.put(
+                node, tenants.values().stream().mapToDouble(amount -> amount).sum()));
+        roundingCarry.keySet().retainAll(nodeSums.keySet());
+        double total = Math.min(
+                capacity,
+                nodeSums.values().stream().mapToDouble(amount -> amount).sum());
+        int remaining = (int) Math.floor(total + 1e-6);
+        Map<String, Integer> nodeTotals = new TreeMap<>();
+        boolean oneForEach = remaining >= nodeSums.size();
+        for (Map.Entry<String, Double> entry : nodeSums.entrySet()) {
+            double exactTotal = entry.getValue() + roundingCarry.getOrDefault(entry.getKey(), 0.0);
+            int nodeTotal = Math.max(oneForEach ? 1 : 0, (int) Math.floor(exactTotal + EPSILON));
+            nodeTotals.put(entry.getKey(), nodeTotal);
+            remaining -= nodeTotal;
         }
-        List<String> byRemainder = new ArrayList<>(sums.keySet());
+        List<String> byRemainder = new ArrayList<>(nodeSums.keySet());
         byRemainder.sort(Comparator.comparingDouble(
-                        (String k) -> totals.get(k) - sums.get(k) - roundingCarry.getOrDefault(k, 0.0))
+                        (String k) -> nodeTotals.get(k) - nodeSums.get(k) - roundingCarry.getOrDefault(k, 0.0))
                 .thenComparing(k -> k));
-        for (int i = 0; left > 0 && i < byRemainder.size(); i++, left--) {
-            totals.merge(byRemainder.get(i), 1, Integer::sum);
+        for (int i = 0; remaining > 0 && i < byRemainder.size(); i++, remaining--) {
+            nodeTotals.merge(byRemainder.get(i), 1, Integer::sum);
         }
         // Guards against a sum over the capacity, by those that got their first one or what was carried over.
-        while (left < 0) {
-            String most = null;
+        while (remaining < 0) {
+            String mostRoundedUp = null;
             for (String k : byRemainder) {
-                if (totals.get(k) > (one ? 1 : 0)
-                        && (most == null || totals.get(k) - sums.get(k) > totals.get(most) - sums.get(most))) {
-                    most = k;
+                if (nodeTotals.get(k) > (oneForEach ? 1 : 0)
+                        && (mostRoundedUp == null
+                                || nodeTotals.get(k) - nodeSums.get(k)
+                                        > nodeTotals.get(mostRoundedUp) - nodeSums.get(mostRoundedUp))) {
+                    mostRoundedUp = k;
                 }
             }
-            totals.merge(most, -1, Integer::sum);
-            left++;
+            nodeTotals.merge(mostRoundedUp, -1, Integer::sum);
+            remaining++;
         }
-        Map<String, Map<String, Double>> found = new TreeMap<>();
-        exact.forEach((node, tenants) -> {
-            double sum = sums.get(node);
-            int t = totals.get(node);
-            roundingCarry.put(node, Math.max(-1, Math.min(1, sum + roundingCarry.getOrDefault(node, 0.0) - t)));
+        Map<String, Map<String, Double>> rounded = new TreeMap<>();
+        exactShares.forEach((node, tenants) -> {
+            double nodeSum = nodeSums.get(node);
+            int nodeTotal = nodeTotals.get(node);
+            roundingCarry.put(
+                    node, Math.max(-1, Math.min(1, nodeSum + roundingCarry.getOrDefault(node, 0.0) - nodeTotal)));
             Map<String, Double> scaled = new TreeMap<>();
-            tenants.forEach((k, d) -> scaled.put(k, sum > 0 ? d * t / sum : 0));
-            found.put(node, scaled);
+            tenants.forEach((k, amount) -> scaled.put(k, nodeSum > 0 ? amount * nodeTotal / nodeSum : 0));
+            rounded.put(node, scaled);
         });
-        return found;
+        return rounded;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -62,12 +62,12 @@
     }
 
     /** Its own list has the pool at so many connections, and the agreed membership has so many members. */
-    public void updatePool(int capacityNow, int membersNow) {
-        if (capacity != capacityNow || members != membersNow) {
-            capacity = capacityNow;
+    public void updatePool(int newCapacity, int newMembers) {
+        if (capacity != newCapacity || members != newMembers) {
+            capacity = newCapacity;
             lowestCapacity = Math.min(lowestCapacity, capacity);
             reduceCapacity(capacity);
-            members = membersNow;
+            members = newMembers;
             nextUpdateMs = Double.NEGATIVE_INFINITY;
             requestSoon = true;
         }
@@ -75,30 +75,32 @@
 
     /** What its tenants wanted and used since the last reading. */
     public void recordDemand(double nowMs, List<TenantUse> uses) {
-        double part =
+        double weight =
                 Double.isNaN(demandReadAtMs) ? 1 : 1 - Math.exp(-(nowMs - demandReadAtMs) / DEMAND_TIME_CONSTANT_MS);
         demandReadAtMs = nowMs;
-        Map<String, PoolUse> now = new HashMap<>();
-        for (TenantUse u : uses) {
-            now.put(u.tenant(), new PoolUse(u.demand(), u.running(), u.rejectedPerSecond(), u.meanMs()));
+        Map<String, PoolUse> currentUse = new HashMap<>();
+        for (TenantUse use : uses) {
+            currentUse.put(
+                    use.tenant(), new PoolUse(use.demand(), use.running(), use.rejectedPerSecond(), use.meanMs()));
         }
-        demand.forEach((t, u) -> now.putIfAbsent(t, new PoolUse(0, 0, 0, u.meanMs())));
-        now.replaceAll((t, u) -> {
-            PoolUse before = demand.get(t);
-            return before == null
-                    ? u
+        demand.forEach((tenant, use) -> currentUse.putIfAbsent(tenant, new PoolUse(0, 0, 0, use.meanMs())));
+        currentUse.replaceAll((tenant, use) -> {
+            PoolUse previous = demand.get(tenant);
+            return previous == null
+                    ? use
                     : new PoolUse(
-                            before.demand() + part * (u.demand() - before.demand()),
-                            u.inUse(),
-                            u.rejectedPerSecond(),
-                            u.meanMs());
+                            previous.demand() + weight * (use.demand() - previous.demand()),
+                            use.inUse(),
+                            use.rejectedPerSecond(),
+                            use.meanMs());
         });
         // A tenant that is new here can't wait for its turn.
-        requestSoon |= now.keySet().stream().anyMatch(t -> !demand.containsKey(t) && !leaseByTenant.containsKey(t));
+        requestSoon |= currentUse.keySet().stream()
+                .anyMatch(tenant -> !demand.containsKey(tenant) && !leaseByTenant.containsKey(tenant));
         demand.clear();
-        now.forEach((t, u) -> {
-            if (u.demand() > 0.01) {
-                demand.put(t, u);
+        currentUse.forEach((tenant, use) -> {
+            if (use.demand() > 0.01) {
+                demand.put(tenant, use);
             }
         });
     }
@@ -144,33 +146,33 @@
     }
 
     /** An answer has come. */
-    public void receive(double nowMs, QuotaLeaseMessage.Grant g) {
+    public void receive(double nowMs, QuotaLeaseMessage.Grant grant) {
         // Guards against answers to another life or an older question, whose lease runs from another moment, and
         // against a lessor that was replaced.
-        if (g.incarnation() != incarnation
-                || g.requestNumber() != lastRequest
-                || g.requestNumber() == activeRequest
-                || g.token() < highestToken
-                || g.leaseMs() > terms.leaseMs()) {
+        if (grant.incarnation() != incarnation
+                || grant.requestNumber() != lastRequest
+                || grant.requestNumber() == activeRequest
+                || grant.token() < highestToken
+                || grant.leaseMs() > terms.leaseMs()) {
             return;
         }
-        activeRequest = g.requestNumber();
-        grantToken = g.token();
+        activeRequest = grant.requestNumber();
+        grantToken = grant.token();
         highestToken = grantToken;
-        leaseEndMs = requestedAtMs + g.leaseMs();
+        leaseEndMs = requestedAtMs + grant.leaseMs();
         grantReceivedAtMs = nowMs;
-        leaseByTenant = g.tenants();
-        leasedTotal = g.total();
-        leaseCapacity = Math.max(1, g.capacity());
+        leaseByTenant = grant.tenants();
+        leasedTotal = grant.total();
+        leaseCapacity = Math.max(1, grant.capacity());
         reduceCapacity(lowestCapacity);
         ackPending = true;
         nextUpdateMs = Double.NEGATIVE_INFINITY;
     }
 
     /** There is another lease to be had. */
-    public void receive(QuotaLeaseMessage.RenewalNotice n) {
-        requestSoon |= n.token() >= highestToken;
-        highestToken = Math.max(highestToken, n.token());
+    public void receive(QuotaLeaseMessage.RenewalNotice notice) {
+        requestSoon |= notice.token() >= highestToken;
+        highestToken = Math.max(highestToken, notice.token());
     }
 
     /** Whether there is something new to tell the node's reducer. */
@@ -181,25 +183,27 @@
     /** What the node's tenants may hold now. */
     public TenantQuotas quotas(double nowMs) {
         quotaEpoch++;
-        int guaranteed = terms.guaranteedFraction(capacity, members);
-        int between = Math.min(leasedTotal, guaranteed);
-        double lentUntil = grantReceivedAtMs + terms.shareLentMs();
+        int guaranteedShare = terms.guaranteedFraction(capacity, members);
+        int reducedShare = Math.min(leasedTotal, guaranteedShare);
+        double shareLentUntilMs = grantReceivedAtMs + terms.shareLentMs();
         if (nowMs < leaseEndMs) {
             nextUpdateMs = leaseEndMs;
-            return quotasUntil(leasedTotal, leaseEndMs, between);
+            return quotasUntil(leasedTotal, leaseEndMs, reducedShare);
         }
-        nextUpdateMs = nowMs < lentUntil ? lentUntil : Double.POSITIVE_INFINITY;
-        return nowMs < lentUntil
-                ? quotasUntil(between, lentUntil, guaranteed)
-                : quotasUntil(guaranteed, Double.POSITIVE_INFINITY, guaranteed);
+        nextUpdateMs = nowMs < shareLentUntilMs ? shareLentUntilMs : Double.POSITIVE_INFINITY;
+        return nowMs < shareLentUntilMs
+                ? quotasUntil(reducedShare, shareLentUntilMs, guaranteedShare)
+                : quotasUntil(guaranteedShare, Double.POSITIVE_INFINITY, guaranteedShare);
     }
 
     /** Connections that it may use now. */
     public int usableConnections(double nowMs) {
-        int guaranteed = terms.guaranteedFraction(capacity, members);
+        int guaranteedShare = terms.guaranteedFraction(capacity, members);
         return nowMs < leaseEndMs
                 ? leasedTotal
-                : nowMs < grantReceivedAtMs + terms.shareLentMs() ? Math.min(leasedTotal, guaranteed) : guaranteed;
+                : nowMs < grantReceivedAtMs + terms.shareLentMs()
+                        ? Math.min(leasedTotal, guaranteedShare)
+                        : guaranteedShare;
     }
 
     /** Whether calls that outlast the lease are to be given up now. */
@@ -213,20 +217,20 @@
     }
 
     /** Cuts its lease to a smaller pool: for good, as the lessor does, so that growth gives nobody what others got. */
-    private void reduceCapacity(int to) {
-        if (to < leaseCapacity) {
-            int before = leasedTotal;
-            leasedTotal = (int) Math.floor((double) leasedTotal * to / leaseCapacity + 1e-9);
-            leaseCapacity = Math.max(1, to);
-            double part = before == 0 ? 0 : (double) leasedTotal / before;
+    private void reduceCapacity(int newCapacity) {
+        if (newCapacity < leaseCapacity) {
+            int previousTotal = leasedTotal;
+            leasedTotal = (int) Math.floor((double) leasedTotal * newCapacity / leaseCapacity + 1e-9);
+            leaseCapacity = Math.max(1, newCapacity);
+            double remainingFraction = previousTotal == 0 ? 0 : (double) leasedTotal / previousTotal;
             leaseByTenant = leaseByTenant.entrySet().stream()
-                    .collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue() * part));
+                    .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue() * remainingFraction));
         }
     }
 
-    private TenantQuotas quotasUntil(int now, double until, int then) {
-        Map<String, Double> tenants = split(now);
-        return new TenantQuotas(quotaEpoch, tenants, 0, Map.of(), until, split(then));
+    private TenantQuotas quotasUntil(int current, double untilMs, int afterwards) {
+        Map<String, Double> tenants = split(current);
+        return new TenantQuotas(quotaEpoch, tenants, 0, Map.of(), untilMs, split(afterwards));
     }
 
     /** Connections split as the last lease was; all tenants together where there was none. */
@@ -234,36 +238,36 @@
         if (leasedTotal == 0) {
             return Map.of("", (double) connections);
         }
-        Map<String, Double> parts = new HashMap<>();
-        leaseByTenant.forEach((t, d) -> parts.put(t, d * connections / leasedTotal));
-        return parts;
+        Map<String, Double> quotas = new HashMap<>();
+        leaseByTenant.forEach((tenant, leased) -> quotas.put(tenant, leased * connections / leasedTotal));
+        return quotas;
     }
 
     private Map<String, PoolUse> demandByNamedTenant() {
         if (demand.size() <= MAX_NAMED_TENANTS) {
             return demand;
         }
-        List<Map.Entry<String, PoolUse>> all = new ArrayList<>(demand.entrySet());
-        all.sort(Comparator.comparingDouble(
-                        (Map.Entry<String, PoolUse> e) -> -e.getValue().demand())
+        List<Map.Entry<String, PoolUse>> sorted = new ArrayList<>(demand.entrySet());
+        sorted.sort(Comparator.comparingDouble(
+                        (Map.Entry<String, PoolUse> entry) -> -entry.getValue().demand())
                 .thenComparing(Map.Entry::getKey));
         Map<String, PoolUse> named = new HashMap<>();
-        double wanted = 0;
-        double used = 0;
-        double refused = 0;
-        double held = 0;
-        for (int i = 0; i < all.size(); i++) {
-            PoolUse u = all.get(i).getValue();
-            if (i < MAX_NAMED_TENANTS && !all.get(i).getKey().isEmpty()) {
-                named.put(all.get(i).getKey(), u);
+        double demand = 0;
+        double inUse = 0;
+        double rejectedPerSecond = 0;
+        double weightedHoldMs = 0;
+        for (int i = 0; i < sorted.size(); i++) {
+            PoolUse use = sorted.get(i).getValue();
+            if (i < MAX_NAMED_TENANTS && !sorted.get(i).getKey().isEmpty()) {
+                named.put(sorted.get(i).getKey(), use);
             } else {
-                wanted += u.demand();
-                used += u.inUse();
-                refused += u.rejectedPerSecond();
-                held += u.demand() * u.meanMs();
+                demand += use.demand();
+                inUse += use.inUse();
+                rejectedPerSecond += use.rejectedPerSecond();
+                weightedHoldMs += use.demand() * use.meanMs();
             }
         }
-        named.put("", new PoolUse(wanted, used, refused, wanted > 0 ? held / wanted : 0));
+        named.put("", new PoolUse(demand, inUse, rejectedPerSecond, demand > 0 ? weightedHoldMs / demand : 0));
         return named;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseMessage.java
@@ -112,9 +112,9 @@
             @JsonProperty("token") long token) implements QuotaLeaseMessage {}
 
     /** As bytes. */
-    static byte[] encode(QuotaLeaseMessage m) {
+    static byte[] encode(QuotaLeaseMessage message) {
         try {
-            return Codec.CBOR.writeValueAsBytes(m);
+            return Codec.CBOR.writeValueAsBytes(message);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
