--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
@@ -125,32 +125,32 @@
 
     /** The agreed membership. A member that is taken out must have been stopped. */
     public void setMembers(Collection<String> names) {
-        int before = guaranteedShare;
+        int previousShare = guaranteedShare;
         nodes.keySet().retainAll(names);
-        names.forEach(n -> nodes.computeIfAbsent(n, k -> new Node()));
+        names.forEach(name -> nodes.computeIfAbsent(name, k -> new Node()));
         memberCount = names.size();
         guaranteedShare = terms.guaranteedFraction(capacity, memberCount);
-        nodes.values().forEach(n -> n.previousGuaranteedShare = Math.max(before, guaranteedShare));
+        nodes.values().forEach(name -> name.previousGuaranteedShare = Math.max(previousShare, guaranteedShare));
         allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
     /** The pool's connections, by the file and the list. */
     public void capacity(int connections) {
         if (connections < capacity) {
-            for (Node n : nodes.values()) {
-                n.previousGuaranteedShare = 0;
-                n.inUse = scaleDown(n.inUse, capacity, connections);
-                n.inherited = scaleDown(n.inherited, capacity, connections);
-                List<IssuedGrant> before = new ArrayList<>(n.issued);
-                n.issued.clear();
-                for (IssuedGrant g : before) {
-                    IssuedGrant less = new IssuedGrant(
-                            g.requestNumber(),
-                            scaleDown(g.total(), capacity, connections),
-                            g.issuedAtMs(),
-                            g.tenants());
-                    n.issued.add(less);
-                    n.activeGrant = g == n.activeGrant ? less : n.activeGrant;
+            for (Node node : nodes.values()) {
+                node.previousGuaranteedShare = 0;
+                node.inUse = scaleDown(node.inUse, capacity, connections);
+                node.inherited = scaleDown(node.inherited, capacity, connections);
+                List<IssuedGrant> previousGrants = new ArrayList<>(node.issued);
+                node.issued.clear();
+                for (IssuedGrant grant : previousGrants) {
+                    IssuedGrant reduced = new IssuedGrant(
+                            grant.requestNumber(),
+                            scaleDown(grant.total(), capacity, connections),
+                            grant.issuedAtMs(),
+                            grant.tenants());
+                    node.issued.add(reduced);
+                    node.activeGrant = grant == node.activeGrant ? reduced : node.activeGrant;
                 }
             }
         }
@@ -160,8 +160,8 @@
     }
 
     /** The agreed rules. */
-    public void rules(ShareRules r) {
-        rules = r;
+    public void rules(ShareRules newRules) {
+        rules = newRules;
         allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
@@ -174,10 +174,10 @@
         allocation = Allocation.NONE;
         allocatedAtMs = Double.NEGATIVE_INFINITY;
         starvations.clear();
-        nodes.replaceAll((k, n) -> {
-            Node fresh = new Node();
-            fresh.previousGuaranteedShare = n.previousGuaranteedShare;
-            return fresh;
+        nodes.replaceAll((k, previous) -> {
+            Node replacement = new Node();
+            replacement.previousGuaranteedShare = previous.previousGuaranteedShare;
+            return replacement;
         });
     }
 
@@ -187,27 +187,27 @@
     }
 
     /** What a node was heard to want by others than itself, such as by records; what it says itself counts more. */
-    public void recordReportedDemand(double nowMs, String node, Map<String, PoolUse> demand, double ageMs) {
-        Node n = nodes.get(node);
-        if (n != null && n.incarnation == Long.MIN_VALUE && ageMs <= DEMAND_VALID_LEASES * terms.leaseMs()) {
-            n.demand = demand;
-            n.demandAtMs = nowMs - ageMs;
+    public void recordReportedDemand(double nowMs, String nodeName, Map<String, PoolUse> demand, double ageMs) {
+        Node node = nodes.get(nodeName);
+        if (node != null && node.incarnation == Long.MIN_VALUE && ageMs <= DEMAND_VALID_LEASES * terms.leaseMs()) {
+            node.demand = demand;
+            node.demandAtMs = nowMs - ageMs;
         }
     }
 
     /** A message has come. */
-    public List<Outgoing> receive(double nowMs, String from, QuotaLeaseMessage m) {
-        Node n = nodes.get(from);
-        if (!holdsRole || n == null) {
+    public List<Outgoing> receive(double nowMs, String from, QuotaLeaseMessage message) {
+        Node node = nodes.get(from);
+        if (!holdsRole || node == null) {
             return List.of();
         }
-        if (m instanceof QuotaLeaseMessage.Request a) {
-            return handleRequest(nowMs, from, n, a);
+        if (message instanceof QuotaLeaseMessage.Request request) {
+            return handleRequest(nowMs, from, node, request);
         }
-        if (m instanceof QuotaLeaseMessage.Ack a && a.incarnation() == n.incarnation) {
-            confirmActive(n, a.requestNumber());
-            if (n.activeGrant != null && n.activeGrant.requestNumber() == a.requestNumber()) {
-                n.inUse = Math.max(0, a.inUse());
+        if (message instanceof QuotaLeaseMessage.Ack a && a.incarnation() == node.incarnation) {
+            confirmActive(node, a.requestNumber());
+            if (node.activeGrant != null && node.activeGrant.requestNumber() == a.requestNumber()) {
+                node.inUse = Math.max(0, a.inUse());
             }
         }
         return runDue(nowMs);
@@ -218,32 +218,32 @@
         if (!holdsRole || nowMs < allocatedAtMs + ALLOCATION_INTERVAL_MS) {
             return List.of();
         }
-        List<Outgoing> out = new ArrayList<>();
+        List<Outgoing> messages = new ArrayList<>();
         if (isRecovering(nowMs)) {
             allocatedAtMs = nowMs;
-            boolean heard = nowMs >= tookOverAtMs + listenMs();
-            nodes.forEach((name, n) -> {
-                if (nowMs >= n.noticeSentMs + listenMs()
-                        && (heard ? n.inherited > 0 && n.issued.isEmpty() : !n.inheritedKnown)) {
-                    n.noticeSentMs = nowMs;
-                    out.add(new Outgoing(name, new QuotaLeaseMessage.RenewalNotice(pool, token)));
+            boolean listened = nowMs >= tookOverAtMs + listenMs();
+            nodes.forEach((name, node) -> {
+                if (nowMs >= node.noticeSentMs + listenMs()
+                        && (listened ? node.inherited > 0 && node.issued.isEmpty() : !node.inheritedKnown)) {
+                    node.noticeSentMs = nowMs;
+                    messages.add(new Outgoing(name, new QuotaLeaseMessage.RenewalNotice(pool, token)));
                 }
             });
-            return out;
+            return messages;
         }
         updateAllocation(nowMs);
-        int left = capacity - maxUse(nowMs);
-        for (Map.Entry<String, Node> e : nodes.entrySet()) {
-            Node n = e.getValue();
-            if (n.lastRequest > 0
-                    && nowMs >= n.noticeSentMs + terms.minRequestIntervalMs()
-                    && nowMs < n.demandAtMs + terms.leaseMs()
-                    && needsNewLease(e.getKey(), n, left)) {
-                n.noticeSentMs = nowMs;
-                out.add(new Outgoing(e.getKey(), new QuotaLeaseMessage.RenewalNotice(pool, token)));
+        int unused = capacity - maxUse(nowMs);
+        for (Map.Entry<String, Node> entry : nodes.entrySet()) {
+            Node node = entry.getValue();
+            if (node.lastRequest > 0
+                    && nowMs >= node.noticeSentMs + terms.minRequestIntervalMs()
+                    && nowMs < node.demandAtMs + terms.leaseMs()
+                    && needsNewLease(entry.getKey(), node, unused)) {
+                node.noticeSentMs = nowMs;
+                messages.add(new Outgoing(entry.getKey(), new QuotaLeaseMessage.RenewalNotice(pool, token)));
             }
         }
-        return out;
+        return messages;
     }
 
     /** When {@link #due} is to be called. */
@@ -254,29 +254,41 @@
     /** Connections that all members may use together at the most. */
     public int maxUse(double nowMs) {
         int sum = 0;
-        for (Node n : nodes.values()) {
-            sum += maxUse(n, nowMs);
+        for (Node node : nodes.values()) {
+            sum += maxUse(node, nowMs);
         }
         return sum;
     }
 
     /** For staff. */
     public State state(double nowMs) {
-        List<NodeState> found = new ArrayList<>();
-        nodes.forEach((name, n) -> found.add(new NodeState(
+        List<NodeState> nodeStates = new ArrayList<>();
+        nodes.forEach((name, node) -> nodeStates.add(new NodeState(
                 name,
-                n.issued.isEmpty() ? 0 : n.issued.getLast().total(),
-                maxUse(n, nowMs),
-                n.inUse,
-                nowMs - n.demandAtMs)));
-        List<StarvedTenant> hungry = new ArrayList<>();
-        starvations.forEach((t, h) -> {
-            if (nowMs - h.sinceMs() > rules.starvationMs()) {
-                hungry.add(new StarvedTenant(t, h.floor(), h.inUse(), nowMs - h.sinceMs(), starvationCause(t, nowMs)));
+                node.issued.isEmpty() ? 0 : node.issued.getLast().total(),
+                maxUse(node, nowMs),
+                node.inUse,
+                nowMs - node.demandAtMs)));
+        List<StarvedTenant> starvedTenants = new ArrayList<>();
+        starvations.forEach((tenant, starvation) -> {
+            if (nowMs - starvation.sinceMs() > rules.starvationMs()) {
+                starvedTenants.add(new StarvedTenant(
+                        tenant,
+                        starvation.floor(),
+                        starvation.inUse(),
+                        nowMs - starvation.sinceMs(),
+                        starvationCause(tenant, nowMs)));
             }
         });
         return new State(
-                holdsRole, token, holdsRole && isRecovering(nowMs), capacity, maxUse(nowMs), found, allocation, hungry);
+                holdsRole,
+                token,
+                holdsRole && isRecovering(nowMs),
+                capacity,
+                maxUse(nowMs),
+                nodeStates,
+                allocation,
+                starvedTenants);
     }
 
     private boolean isRecovering(double nowMs) {
@@ -288,148 +300,153 @@
         return terms.requestIntervalMs() / 2;
     }
 
-    private List<Outgoing> handleRequest(double nowMs, String from, Node n, QuotaLeaseMessage.Request a) {
-        if (a.incarnation() < n.incarnation || a.incarnation() == n.incarnation && a.requestNumber() <= n.lastRequest) {
+    private List<Outgoing> handleRequest(double nowMs, String from, Node node, QuotaLeaseMessage.Request request) {
+        if (request.incarnation() < node.incarnation
+                || request.incarnation() == node.incarnation && request.requestNumber() <= node.lastRequest) {
             // Guards against old demand that is said again.
             return List.of();
         }
-        if (a.incarnation() > n.incarnation) {
+        if (request.incarnation() > node.incarnation) {
             // Its former life has ended, and with it all that it used. It begins with nothing.
-            n.issued.clear();
-            n.activeGrant = null;
-            n.incarnation = a.incarnation();
-            n.inheritedKnown = false;
-            n.inherited = 0;
-            n.shareLentUntilMs = Double.NEGATIVE_INFINITY;
-        }
-        n.lastRequest = a.requestNumber();
-        n.demandAtMs = nowMs;
-        n.demand = a.demand();
-        if (a.token() == token) {
-            confirmActive(n, a.activeRequest());
-        }
-        n.inUse = Math.max(0, a.inUse());
-        if (isRecovering(nowMs) && a.highestToken() < token) {
+            node.issued.clear();
+            node.activeGrant = null;
+            node.incarnation = request.incarnation();
+            node.inheritedKnown = false;
+            node.inherited = 0;
+            node.shareLentUntilMs = Double.NEGATIVE_INFINITY;
+        }
+        node.lastRequest = request.requestNumber();
+        node.demandAtMs = nowMs;
+        node.demand = request.demand();
+        if (request.token() == token) {
+            confirmActive(node, request.activeRequest());
+        }
+        node.inUse = Math.max(0, request.inUse());
+        if (isRecovering(nowMs) && request.highestToken() < token) {
             // Guards against a question from before it took over: what it shows may have been given to others since.
             return List.of(new Outgoing(from, new QuotaLeaseMessage.RenewalNotice(pool, token)));
         }
-        if (!n.inheritedKnown) {
-            n.inheritedKnown = true;
-            n.inherited = a.token() < token ? Math.max(0, a.leased()) : 0;
+        if (!node.inheritedKnown) {
+            node.inheritedKnown = true;
+            node.inherited = request.token() < token ? Math.max(0, request.leased()) : 0;
             // Its last answer came a lease less what is left before this question at the earliest, and that question
             // was asked after the takeover.
-            n.shareLentUntilMs = n.inherited > 0
+            node.shareLentUntilMs = node.inherited > 0
                     ? tookOverAtMs
-                            + Math.min(a.remainingMs(), terms.leaseMs())
+                            + Math.min(request.remainingMs(), terms.leaseMs())
                                     * (1 - terms.clockDrift())
                                     / (1 + terms.clockDrift())
                     : Double.NEGATIVE_INFINITY;
         }
-        Map<String, Double> give = isRecovering(nowMs) ? renewInheritedLease(nowMs, n) : newLease(nowMs, from, n);
-        List<Outgoing> out = new ArrayList<>();
-        if (give != null) {
-            int total =
-                    (int) Math.round(give.values().stream().mapToDouble(d -> d).sum());
-            n.issued.add(new IssuedGrant(a.requestNumber(), total, nowMs, give));
-            out.add(new Outgoing(
+        Map<String, Double> leaseByTenant =
+                isRecovering(nowMs) ? renewInheritedLease(nowMs, node) : newLease(nowMs, from, node);
+        List<Outgoing> messages = new ArrayList<>();
+        if (leaseByTenant != null) {
+            int total = (int) Math.round(
+                    leaseByTenant.values().stream().mapToDouble(d -> d).sum());
+            node.issued.add(new IssuedGrant(request.requestNumber(), total, nowMs, leaseByTenant));
+            messages.add(new Outgoing(
                     from,
                     new QuotaLeaseMessage.Grant(
                             pool,
-                            n.incarnation,
-                            a.requestNumber(),
+                            node.incarnation,
+                            request.requestNumber(),
                             token,
                             terms.leaseMs(),
                             capacity,
                             memberCount,
-                            give)));
+                            leaseByTenant)));
         }
-        out.addAll(runDue(nowMs));
-        return out;
+        messages.addAll(runDue(nowMs));
+        return messages;
     }
 
     /** What it showed that it holds of another lessor, cut by what those not heard of may count on. */
-    private Map<String, Double> renewInheritedLease(double nowMs, Node n) {
-        if (n.inherited == 0 || capacity <= 0 || nowMs < tookOverAtMs + listenMs()) {
+    private Map<String, Double> renewInheritedLease(double nowMs, Node node) {
+        if (node.inherited == 0 || capacity <= 0 || nowMs < tookOverAtMs + listenMs()) {
             return null;
         }
-        double unheard = 0;
+        double unreported = 0;
         // Calls beyond a lease that was lowered: what is renewed lies in what they leave.
-        double beyond = 0;
-        for (Node o : nodes.values()) {
-            beyond += o.inheritedKnown ? Math.max(0, o.inUse - o.inherited) : 0;
-            unheard += o != n && !hasLentShare(o, nowMs) ? Math.max(guaranteedShare, o.previousGuaranteedShare) : 0;
-        }
-        int total = (int) Math.floor(n.inherited * Math.max(0, 1 - unheard / Math.max(1, capacity - beyond)) + 1e-9);
-        return split(total, n.demand);
+        double excessUse = 0;
+        for (Node other : nodes.values()) {
+            excessUse += other.inheritedKnown ? Math.max(0, other.inUse - other.inherited) : 0;
+            unreported += other != node && !hasLentShare(other, nowMs)
+                    ? Math.max(guaranteedShare, other.previousGuaranteedShare)
+                    : 0;
+        }
+        int total = (int) Math.floor(node.inherited * Math.max(0, 1 - unreported / Math.max(1, capacity - excessUse))
+                + 1e-9);
+        return split(total, node.demand);
     }
 
-    private Map<String, Double> newLease(double nowMs, String from, Node n) {
+    private Map<String, Double> newLease(double nowMs, String from, Node node) {
         if (nowMs >= allocatedAtMs + ALLOCATION_INTERVAL_MS
                 || !allocation.connectionsByNode().containsKey(from)) {
             updateAllocation(nowMs);
         }
-        int others = maxUse(nowMs) - maxUse(n, nowMs);
-        int total = Math.min(allocation.nodeTotal(from), Math.max(0, capacity - others));
+        int usedByOthers = maxUse(nowMs) - maxUse(node, nowMs);
+        int total = Math.min(allocation.nodeTotal(from), Math.max(0, capacity - usedByOthers));
         Map<String, Double> target = allocation.connectionsByNode().getOrDefault(from, Map.of());
         return scaleTo(target, total);
     }
 
-    private static Map<String, Double> scaleTo(Map<String, Double> parts, int total) {
-        double sum = parts.values().stream().mapToDouble(d -> d).sum();
-        Map<String, Double> found = new HashMap<>();
+    private static Map<String, Double> scaleTo(Map<String, Double> shares, int total) {
+        double sum = shares.values().stream().mapToDouble(amount -> amount).sum();
+        Map<String, Double> scaled = new HashMap<>();
         if (sum > 0 && total > 0) {
-            parts.forEach((t, d) -> found.put(t, d * total / sum));
+            shares.forEach((tenant, amount) -> scaled.put(tenant, amount * total / sum));
         }
-        return found;
+        return scaled;
     }
 
     /** Among the tenants of one node alone, by the rules. */
     private Map<String, Double> split(int total, Map<String, PoolUse> demand) {
-        Map<String, Double> wanted = new HashMap<>();
-        demand.forEach((t, u) -> wanted.put(t, boundedDemand(u.demand())));
+        Map<String, Double> bounded = new HashMap<>();
+        demand.forEach((tenant, use) -> bounded.put(tenant, boundedDemand(use.demand())));
         return scaleTo(
                 new Allocator()
-                        .allocate(total, rules, Map.of("", wanted))
+                        .allocate(total, rules, Map.of("", bounded))
                         .connectionsByNode()
                         .getOrDefault("", Map.of()),
                 total);
     }
 
     /** It has said that it acts by this answer: those before it count no more. */
-    private static void confirmActive(Node n, long number) {
-        IssuedGrant found = null;
-        for (IssuedGrant g : n.issued) {
-            if (g.requestNumber() == number) {
-                found = g;
+    private static void confirmActive(Node node, long requestNumber) {
+        IssuedGrant confirmed = null;
+        for (IssuedGrant grant : node.issued) {
+            if (grant.requestNumber() == requestNumber) {
+                confirmed = grant;
             }
         }
-        if (found != null) {
-            n.activeGrant = found;
-            while (n.issued.peekFirst() != found) {
-                n.issued.removeFirst();
+        if (confirmed != null) {
+            node.activeGrant = confirmed;
+            while (node.issued.peekFirst() != confirmed) {
+                node.issued.removeFirst();
             }
         }
     }
 
     /** Whether its guaranteed part is lent: leases granted now run out before it counts on that again. */
-    private boolean hasLentShare(Node n, double nowMs) {
-        return n.activeGrant != null && nowMs <= n.activeGrant.issuedAtMs() + terms.leaseMs()
-                || nowMs <= n.shareLentUntilMs;
+    private boolean hasLentShare(Node node, double nowMs) {
+        return node.activeGrant != null && nowMs <= node.activeGrant.issuedAtMs() + terms.leaseMs()
+                || nowMs <= node.shareLentUntilMs;
     }
 
-    private int maxUse(Node n, double nowMs) {
-        while (!n.issued.isEmpty() && nowMs > n.issued.peekFirst().issuedAtMs() + terms.expiryWaitMs()) {
-            n.issued.removeFirst();
+    private int maxUse(Node node, double nowMs) {
+        while (!node.issued.isEmpty() && nowMs > node.issued.peekFirst().issuedAtMs() + terms.expiryWaitMs()) {
+            node.issued.removeFirst();
         }
-        int most = hasLentShare(n, nowMs) ? 0 : Math.max(guaranteedShare, n.previousGuaranteedShare);
-        for (IssuedGrant g : n.issued) {
-            most = Math.max(most, g.total());
+        int max = hasLentShare(node, nowMs) ? 0 : Math.max(guaranteedShare, node.previousGuaranteedShare);
+        for (IssuedGrant grant : node.issued) {
+            max = Math.max(max, grant.total());
         }
-        if (!n.issued.isEmpty()) {
+        if (!node.issued.isEmpty()) {
             // Calls that began under an earlier lease and go on.
-            most = Math.max(most, n.inUse);
+            max = Math.max(max, node.inUse);
         }
-        return most;
+        return max;
     }
 
     /** A lease as its node cuts it by its own list, for good. */
@@ -437,22 +454,24 @@
         return (int) Math.floor((double) connections * to / from + 1e-9);
     }
 
-    private boolean needsNewLease(String name, Node n, int left) {
-        if (n.issued.isEmpty()) {
-            return left > 0;
+    private boolean needsNewLease(String name, Node node, int unused) {
+        if (node.issued.isEmpty()) {
+            return unused > 0;
         }
-        IssuedGrant g = n.issued.getLast();
+        IssuedGrant grant = node.issued.getLast();
         Map<String, Double> target = allocation.connectionsByNode().getOrDefault(name, Map.of());
         int total = allocation.nodeTotal(name);
-        if (total < g.total()) {
+        if (total < grant.total()) {
             return true;
         }
-        if (total > g.total() && left > 0) {
+        if (total > grant.total() && unused > 0) {
             return true;
         }
-        for (Map.Entry<String, Double> e : target.entrySet()) {
-            double off = Math.abs(e.getValue() - g.tenants().getOrDefault(e.getKey(), 0.0));
-            if (total == g.total() && off > MIN_RENEWAL_DEVIATION && off > RENEWAL_DEVIATION * e.getValue()) {
+        for (Map.Entry<String, Double> entry : target.entrySet()) {
+            double deviation = Math.abs(entry.getValue() - grant.tenants().getOrDefault(entry.getKey(), 0.0));
+            if (total == grant.total()
+                    && deviation > MIN_RENEWAL_DEVIATION
+                    && deviation > RENEWAL_DEVIATION * entry.getValue()) {
                 return true;
             }
         }
@@ -462,34 +481,35 @@
     private void updateAllocation(double nowMs) {
         allocatedAtMs = nowMs;
         Map<String, Map<String, Double>> demand = new TreeMap<>();
-        Map<String, double[]> sums = new HashMap<>();
-        nodes.forEach((name, n) -> {
-            if (nowMs - n.demandAtMs <= DEMAND_VALID_LEASES * terms.leaseMs()) {
-                Map<String, Double> believed = new HashMap<>();
-                n.demand.forEach((t, u) -> {
-                    believed.put(t, credibleDemand(nowMs, n, t, u));
-                    double[] sum = sums.computeIfAbsent(t, k -> new double[2]);
-                    sum[0] += boundedDemand(u.demand());
-                    sum[1] += boundedDemand(u.inUse());
+        Map<String, double[]> totalsByTenant = new HashMap<>();
+        nodes.forEach((name, node) -> {
+            if (nowMs - node.demandAtMs <= DEMAND_VALID_LEASES * terms.leaseMs()) {
+                Map<String, Double> credible = new HashMap<>();
+                node.demand.forEach((tenant, use) -> {
+                    credible.put(tenant, credibleDemand(nowMs, node, tenant, use));
+                    double[] totals = totalsByTenant.computeIfAbsent(tenant, k -> new double[2]);
+                    totals[0] += boundedDemand(use.demand());
+                    totals[1] += boundedDemand(use.inUse());
                 });
-                demand.put(name, believed);
+                demand.put(name, credible);
             }
         });
         allocation = allocator.allocate(capacity, rules, demand);
-        updateStarvations(nowMs, sums);
+        updateStarvations(nowMs, totalsByTenant);
     }
 
     /** No node wants more than there is; who leaves unused what it has asked for is believed by its use. */
-    private double credibleDemand(double nowMs, Node n, String tenant, PoolUse u) {
-        double wanted = boundedDemand(u.demand());
-        double leased = n.activeGrant == null ? 0 : n.activeGrant.tenants().getOrDefault(tenant, 0.0);
-        boolean idle = leased >= 1 && u.inUse() < 0.5 * Math.min(leased, wanted);
+    private double credibleDemand(double nowMs, Node node, String tenant, PoolUse use) {
+        double demand = boundedDemand(use.demand());
+        double leased =
+                node.activeGrant == null ? 0 : node.activeGrant.tenants().getOrDefault(tenant, 0.0);
+        boolean idle = leased >= 1 && use.inUse() < 0.5 * Math.min(leased, demand);
         if (!idle) {
-            n.idleSinceMs.remove(tenant);
-            return wanted;
+            node.idleSinceMs.remove(tenant);
+            return demand;
         }
-        double since = n.idleSinceMs.computeIfAbsent(tenant, k -> nowMs);
-        return nowMs - since < terms.leaseMs() ? wanted : Math.min(wanted, 2 * boundedDemand(u.inUse()) + 1);
+        double idleSinceMs = node.idleSinceMs.computeIfAbsent(tenant, k -> nowMs);
+        return nowMs - idleSinceMs < terms.leaseMs() ? demand : Math.min(demand, 2 * boundedDemand(use.inUse()) + 1);
     }
 
     private double boundedDemand(double connections) {
@@ -497,36 +517,40 @@
         return connections > 0 ? Math.min(connections, capacity) : 0;
     }
 
-    private void updateStarvations(double nowMs, Map<String, double[]> sums) {
+    private void updateStarvations(double nowMs, Map<String, double[]> totalsByTenant) {
         if (nowMs < starvationCheckedMs + 200) {
             return;
         }
         starvationCheckedMs = nowMs;
-        allocation.tenants().forEach((t, p) -> {
-            double[] sum = sums.getOrDefault(t, new double[2]);
-            double floor = Math.min(p.floor(), sum[0]);
-            if (floor > 0.5 && sum[1] < 0.9 * floor) {
-                double since = starvations.containsKey(t) ? starvations.get(t).sinceMs() : nowMs;
-                starvations.put(t, new Starvation(since, floor, sum[1]));
+        allocation.tenants().forEach((tenant, allocated) -> {
+            double[] totals = totalsByTenant.getOrDefault(tenant, new double[2]);
+            double floor = Math.min(allocated.floor(), totals[0]);
+            if (floor > 0.5 && totals[1] < 0.9 * floor) {
+                double sinceMs = starvations.containsKey(tenant)
+                        ? starvations.get(tenant).sinceMs()
+                        : nowMs;
+                starvations.put(tenant, new Starvation(sinceMs, floor, totals[1]));
             } else {
-                starvations.remove(t);
+                starvations.remove(tenant);
             }
         });
         starvations.keySet().retainAll(allocation.tenants().keySet());
     }
 
     private String starvationCause(String tenant, double nowMs) {
-        Allocation.TenantAllocation p = allocation.tenants().get(tenant);
-        if (p != null && p.allocated() < 0.9 * p.floor()) {
+        Allocation.TenantAllocation allocated = allocation.tenants().get(tenant);
+        if (allocated != null && allocated.allocated() < 0.9 * allocated.floor()) {
             return "the floors are more than the pool has";
         }
-        for (Map.Entry<String, Node> e : nodes.entrySet()) {
-            Node n = e.getValue();
-            int total = allocation.nodeTotal(e.getKey());
-            if (maxUse(n, nowMs) > total + 1) {
-                return nowMs - n.demandAtMs > terms.requestIntervalMs() * 2
-                        ? "node " + e.getKey() + " is not heard of and may use " + maxUse(n, nowMs) + " connections"
-                        : "node " + e.getKey() + " has " + n.inUse + " connections in use and " + total + " for it";
+        for (Map.Entry<String, Node> entry : nodes.entrySet()) {
+            Node node = entry.getValue();
+            int total = allocation.nodeTotal(entry.getKey());
+            if (maxUse(node, nowMs) > total + 1) {
+                return nowMs - node.demandAtMs > terms.requestIntervalMs() * 2
+                        ? "node " + entry.getKey() + " is not heard of and may use " + maxUse(node, nowMs)
+                                + " connections"
+                        : "node " + entry.getKey() + " has " + node.inUse + " connections in use and " + total
+                                + " for it";
             }
         }
         return "its lease is granted and not used";
--- a/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
@@ -54,8 +54,8 @@
     public static final class InvalidSharesException extends Exception {
         private static final long serialVersionUID = 1;
 
-        private InvalidSharesException(List<String> faults) {
-            super(String.join("; ", faults));
+        private InvalidSharesException(List<String> errors) {
+            super(String.join("; ", errors));
         }
     }
 
@@ -66,10 +66,11 @@
 
     /** What a call's connections are counted under: its tenant, with its class where the tenant has classes. */
     public String quotaKey(String tenant, String className) {
-        for (Rule g : groups) {
-            for (Rule t : g.children()) {
-                if (t.name().equals(tenant)) {
-                    return t.children().stream().anyMatch(c -> c.name().equals(className))
+        for (Rule group : groups) {
+            for (Rule tenantRule : group.children()) {
+                if (tenantRule.name().equals(tenant)) {
+                    return tenantRule.children().stream()
+                                    .anyMatch(classRule -> classRule.name().equals(className))
                             ? tenant + "/" + className
                             : tenant;
                 }
@@ -84,139 +85,153 @@
      * @throws Unusable with all its faults, each with its place
      */
     public static ShareRules parse(byte[] content) throws InvalidSharesException {
-        List<String> faults = new ArrayList<>();
-        JsonNode top;
+        List<String> errors = new ArrayList<>();
+        JsonNode root;
         try {
-            top = JSON.readTree(content);
+            root = JSON.readTree(content);
         } catch (JsonProcessingException e) {
             throw new InvalidSharesException(List.of("line " + e.getLocation().getLineNr() + ", column "
                     + e.getLocation().getColumnNr() + ": " + e.getOriginalMessage()));
         } catch (IOException e) {
             throw new InvalidSharesException(List.of(String.valueOf(e.getMessage())));
         }
-        if (top == null || !top.isObject()) {
+        if (root == null || !root.isObject()) {
             throw new InvalidSharesException(List.of("an object is wanted"));
         }
-        checkNames(top, "", Set.of("groups", "others", "hunger_ms"), faults);
-        int[] count = {0};
-        List<Rule> groups = parseRules(top, "", 0, count, faults);
-        JsonNode o = top.path("others");
-        if (!o.isMissingNode() && !o.isObject()) {
-            faults.add("others: an object is wanted");
-        }
-        checkNames(o, "others.", Set.of("weight", "floor", "ceiling"), faults);
-        Rule others = parseRule("", o, "others.", List.of(), faults);
-        double hunger = parseNumber(top, "hunger_ms", "", 2000, 1, 3_600_000, faults);
-        Set<String> seen = new HashSet<>();
-        groups.forEach(g -> g.children().forEach(t -> {
-            if (!seen.add(t.name())) {
-                faults.add("tenant '" + t.name() + "' stands in two places");
+        checkNames(root, "", Set.of("groups", "others", "hunger_ms"), errors);
+        int[] ruleCount = {0};
+        List<Rule> groups = parseRules(root, "", 0, ruleCount, errors);
+        JsonNode othersNode = root.path("others");
+        if (!othersNode.isMissingNode() && !othersNode.isObject()) {
+            errors.add("others: an object is wanted");
+        }
+        checkNames(othersNode, "others.", Set.of("weight", "floor", "ceiling"), errors);
+        Rule others = parseRule("", othersNode, "others.", List.of(), errors);
+        double starvationMs = parseNumber(root, "hunger_ms", "", 2000, 1, 3_600_000, errors);
+        Set<String> tenantNames = new HashSet<>();
+        groups.forEach(group -> group.children().forEach(tenant -> {
+            if (!tenantNames.add(tenant.name())) {
+                errors.add("tenant '" + tenant.name() + "' stands in two places");
             }
         }));
-        if (count[0] > MAX_RULES) {
-            faults.add("more than " + MAX_RULES + " rules");
+        if (ruleCount[0] > MAX_RULES) {
+            errors.add("more than " + MAX_RULES + " rules");
         }
-        if (!faults.isEmpty()) {
-            throw new InvalidSharesException(faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidSharesException(errors);
         }
-        return new ShareRules(groups, others, hunger);
+        return new ShareRules(groups, others, starvationMs);
     }
 
     /** The content that {@link #parse} reads. */
     public byte[] encode() {
-        Map<String, Object> top = new LinkedHashMap<>();
-        top.put("groups", groups.stream().map(g -> toMap(g, 1)).toList());
-        top.put("others", toMap(others, 3));
-        top.put("hunger_ms", starvationMs);
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("groups", groups.stream().map(group -> toMap(group, 1)).toList());
+        root.put("others", toMap(others, 3));
+        root.put("hunger_ms", starvationMs);
         try {
-            return JSON.writeValueAsString(top).getBytes(StandardCharsets.UTF_8);
+            return JSON.writeValueAsString(root).getBytes(StandardCharsets.UTF_8);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Map<String, Object> toMap(Rule r, int level) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        if (!r.name().isEmpty()) {
-            m.put("name", r.name());
-        }
-        m.put("weight", r.weight());
-        m.put("floor", r.floor());
-        if (Double.isFinite(r.ceiling())) {
-            m.put("ceiling", r.ceiling());
-        }
-        if (!r.children().isEmpty()) {
-            m.put(
+    private static Map<String, Object> toMap(Rule rule, int level) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        if (!rule.name().isEmpty()) {
+            fields.put("name", rule.name());
+        }
+        fields.put("weight", rule.weight());
+        fields.put("floor", rule.floor());
+        if (Double.isFinite(rule.ceiling())) {
+            fields.put("ceiling", rule.ceiling());
+        }
+        if (!rule.children().isEmpty()) {
+            fields.put(
                     LEVELS[level],
-                    r.children().stream().map(u -> toMap(u, level + 1)).toList());
+                    rule.children().stream()
+                            .map(child -> toMap(child, level + 1))
+                            .toList());
         }
-        return m;
+        return fields;
     }
 
-    private static List<Rule> parseRules(JsonNode of, String place, int level, int[] count, List<String> faults) {
-        List<Rule> found = new ArrayList<>();
-        if (level == LEVELS.length || of.path(LEVELS[level]).isMissingNode()) {
-            return found;
+    private static List<Rule> parseRules(
+            JsonNode parent, String path, int level, int[] ruleCount, List<String> errors) {
+        List<Rule> rules = new ArrayList<>();
+        if (level == LEVELS.length || parent.path(LEVELS[level]).isMissingNode()) {
+            return rules;
         }
-        JsonNode all = of.get(LEVELS[level]);
-        if (!all.isArray()) {
-            faults.add(place + LEVELS[level] + ": an array is wanted");
-            return found;
+        JsonNode array = parent.get(LEVELS[level]);
+        if (!array.isArray()) {
+            errors.add(path + LEVELS[level] + ": an array is wanted");
+            return rules;
         }
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < all.size() && count[0] <= MAX_RULES; i++) {
-            count[0]++;
-            String here = place + LEVELS[level] + "[" + i + "].";
-            JsonNode one = all.get(i);
-            if (!one.isObject()) {
-                faults.add(here + " an object is wanted");
+        for (int i = 0; i < array.size() && ruleCount[0] <= MAX_RULES; i++) {
+            ruleCount[0]++;
+            String elementPath = path + LEVELS[level] + "[" + i + "].";
+            JsonNode element = array.get(i);
+            if (!element.isObject()) {
+                errors.add(elementPath + " an object is wanted");
                 continue;
             }
-            Set<String> known = new HashSet<>(Set.of("name", "weight", "floor", "ceiling"));
+            Set<String> knownNames = new HashSet<>(Set.of("name", "weight", "floor", "ceiling"));
             if (level + 1 < LEVELS.length) {
-                known.add(LEVELS[level + 1]);
+                knownNames.add(LEVELS[level + 1]);
             }
-            checkNames(one, here, known, faults);
-            String name = one.path("name").asText("");
+            checkNames(element, elementPath, knownNames, errors);
+            String name = element.path("name").asText("");
             if (name.isEmpty() || name.length() > 200 || name.contains("/") || !names.add(name)) {
-                faults.add(here + "name: one of its own of 1 to 200 letters without '/' is wanted");
+                errors.add(elementPath + "name: one of its own of 1 to 200 letters without '/' is wanted");
             }
-            found.add(parseRule(name, one, here, parseRules(one, here, level + 1, count, faults), faults));
-        }
-        return found;
+            rules.add(parseRule(
+                    name,
+                    element,
+                    elementPath,
+                    parseRules(element, elementPath, level + 1, ruleCount, errors),
+                    errors));
+        }
+        return rules;
     }
 
-    private static Rule parseRule(String name, JsonNode o, String place, List<Rule> under, List<String> faults) {
-        double weight = parseNumber(o, "weight", place, 1, 1 / MAX_WEIGHT, MAX_WEIGHT, faults);
-        double ceiling = parseNumber(o, "ceiling", place, Double.POSITIVE_INFINITY, 0, 1e9, faults);
-        double floor = parseNumber(o, "floor", place, 0, 0, 1e9, faults);
+    private static Rule parseRule(String name, JsonNode object, String path, List<Rule> children, List<String> errors) {
+        double weight = parseNumber(object, "weight", path, 1, 1 / MAX_WEIGHT, MAX_WEIGHT, errors);
+        double ceiling = parseNumber(object, "ceiling", path, Double.POSITIVE_INFINITY, 0, 1e9, errors);
+        double floor = parseNumber(object, "floor", path, 0, 0, 1e9, errors);
         if (floor > ceiling) {
-            faults.add(place + "floor: is over the ceiling");
+            errors.add(path + "floor: is over the ceiling");
         }
-        if (under.stream().mapToDouble(Rule::floor).sum() > ceiling) {
-            faults.add(place + "ceiling: is under the floors below it together");
+        if (children.stream().mapToDouble(Rule::floor).sum() > ceiling) {
+            errors.add(path + "ceiling: is under the floors below it together");
         }
-        return new Rule(name, weight, floor, ceiling, under);
+        return new Rule(name, weight, floor, ceiling, children);
     }
 
     private static double parseNumber(
-            JsonNode o, String name, String place, double otherwise, double least, double most, List<String> faults) {
-        JsonNode n = o.path(name);
-        if (n.isMissingNode()) {
-            return otherwise;
-        }
-        double d = n.asDouble(Double.NaN);
-        if (!n.isNumber() || !(d >= least && d <= most)) {
-            faults.add(place + name + ": a number within " + least + " to " + most + " is wanted");
-            return otherwise;
-        }
-        return d;
+            JsonNode object,
+            String name,
+            String path,
+            double defaultValue,
+            double min,
+            double max,
+            List<String> errors) {
+        JsonNode node = object.path(name);
+        if (node.isMissingNode()) {
+            return defaultValue;
+        }
+        double value = node.asDouble(Double.NaN);
+        if (!node.isNumber() || !(value >= min && value <= max)) {
+            errors.add(path + name + ": a number within " + min + " to " + max + " is wanted");
+            return defaultValue;
+        }
+        return value;
     }
 
-    private static void checkNames(JsonNode o, String place, Set<String> known, List<String> faults) {
-        o.fieldNames().forEachRemaining(n -> {
-            if (!known.contains(n)) {
-                faults.add(place + n + ": unknown");
+    private static void checkNames(JsonNode object, String path, Set<String> knownNames, List<String> errors) {
+        object.fieldNames().forEachRemaining(name -> {
+            if (!knownNames.contains(name)) {
+                errors.add(path + name + ": unknown");
             }
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/share/WaterFilling.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/WaterFilling.java
@@ -19,22 +19,22 @@
      * @param wanted at the most
      */
     static double[] fill(double amount, double[] weights, double[] floors, double[] wanted) {
-        int n = weights.length;
-        double[] given = new double[n];
+        int count = weights.length;
+        double[] filled = new double[count];
         double sumFloors = Arrays.stream(floors).sum();
         if (sumFloors >= amount) {
-            for (int i = 0; i < n; i++) {
-                given[i] = sumFloors > 0 ? floors[i] * Math.max(0, amount) / sumFloors : 0;
+            for (int i = 0; i < count; i++) {
+                filled[i] = sumFloors > 0 ? floors[i] * Math.max(0, amount) / sumFloors : 0;
             }
-            return given;
+            return filled;
         }
         if (Arrays.stream(wanted).sum() <= amount) {
             return wanted.clone();
         }
         // At level x each has min(wanted, max(floor, weight * x)): it rises from floor/weight to wanted/weight.
-        double[] levels = new double[2 * n];
-        Integer[] order = new Integer[2 * n];
-        for (int i = 0; i < n; i++) {
+        double[] levels = new double[2 * count];
+        Integer[] order = new Integer[2 * count];
+        for (int i = 0; i < count; i++) {
             levels[2 * i] = floors[i] / weights[i];
             levels[2 * i + 1] = wanted[i] / weights[i];
             order[2 * i] = 2 * i;
@@ -43,20 +43,20 @@
         Arrays.sort(order, (a, b) -> Double.compare(levels[a], levels[b]));
         double level = 0;
         double slope = 0;
-        double left = amount - sumFloors;
-        for (int at : order) {
-            double need = slope * (levels[at] - level);
-            if (need >= left) {
+        double remaining = amount - sumFloors;
+        for (int breakpoint : order) {
+            double required = slope * (levels[breakpoint] - level);
+            if (required >= remaining) {
                 break;
             }
-            left -= need;
-            level = levels[at];
-            slope += at % 2 == 0 ? weights[at / 2] : -weights[at / 2];
+            remaining -= required;
+            level = levels[breakpoint];
+            slope += breakpoint % 2 == 0 ? weights[breakpoint / 2] : -weights[breakpoint / 2];
         }
-        level += slope > 1e-12 ? left / slope : 0;
-        for (int i = 0; i < n; i++) {
-            given[i] = Math.min(wanted[i], Math.max(floors[i], weights[i] * level));
+        level += slope > 1e-12 ? remaining / slope : 0;
+        for (int i = 0; i < count; i++) {
+            filled[i] = Math.min(wanted[i], Math.max(floors[i], weights[i] * level));
         }
-        return given;
+        return filled;
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ZoneRecords.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ZoneRecords.java
@@ -36,68 +36,68 @@
 
     static Map<String, String> nodes() {
         Map<String, String> all = new LinkedHashMap<>();
-        for (String z : ZONES) {
-            all.put("n-" + z + "1", z);
-            all.put("n-" + z + "2", z);
+        for (String zone : ZONES) {
+            all.put("n-" + zone + "1", zone);
+            all.put("n-" + zone + "2", zone);
         }
         return all;
     }
 
     List<PoolReport> records() {
-        List<PoolReport> out = new ArrayList<>();
+        List<PoolReport> reports = new ArrayList<>();
         sequence++;
         nodes().forEach((node, zone) -> {
             double clock = clockRates.getOrDefault(node, 1.0);
-            double first = firstAttemptRates.get(zone) / 2 / clock;
+            double firstRate = firstAttemptRates.get(zone) / 2 / clock;
             // Seconds differ a little, as they do.
-            double wave = 1 + 0.03 * Math.sin(sequence * 1.7 + node.hashCode());
-            add(out, node, zone, "front", first * wave, frontServers.get(zone), FRONT_CAPACITY, 26, 90);
+            double variation = 1 + 0.03 * Math.sin(sequence * 1.7 + node.hashCode());
+            add(reports, node, zone, "front", firstRate * variation, frontServers.get(zone), FRONT_CAPACITY, 26, 90);
             add(
-                    out,
+                    reports,
                     node,
                     zone,
                     "parcel",
-                    first * wave * CALLS_PER_ATTEMPT,
+                    firstRate * variation * CALLS_PER_ATTEMPT,
                     parcelServers.get(zone),
                     PARCEL_CAPACITY,
                     30,
                     21);
         });
-        return out;
+        return reports;
     }
 
     private void add(
-            List<PoolReport> out,
+            List<PoolReport> reports,
             String node,
             String zone,
             String tier,
             double rate,
             int servers,
-            double each,
+            double capacityEach,
             double slots,
             double serviceMs) {
-        double u = Math.min(1, rate * 2 * clockRates.getOrDefault(node, 1.0) / (servers * each));
-        for (String c : List.of("view", "file")) {
-            double mine = rate * ("view".equals(c) ? 0.7 : 0.3);
-            out.add(new PoolReport(
+        double utilisation = Math.min(1, rate * 2 * clockRates.getOrDefault(node, 1.0) / (servers * capacityEach));
+        for (String className : List.of("view", "file")) {
+            double classRate = rate * ("view".equals(className) ? 0.7 : 0.3);
+            reports.add(new PoolReport(
                     node,
                     zone,
                     new PoolName(tier, zone, "std"),
-                    c,
+                    className,
                     new RecordVersion(1, sequence),
                     new PoolObservation(
-                            mine,
-                            mine,
+                            classRate,
+                            classRate,
                             0,
                             servers,
                             slots,
-                            mine * serviceMs / 1000,
+                            classRate * serviceMs / 1000,
                             serviceMs,
                             serviceMs,
                             1,
                             0,
                             1000,
-                            u,
+                            utilisation,
                             slots + 6,
                             0.4,
                             6000,
@@ -109,11 +109,11 @@
 
     /** A model that has seen so many seconds of it. */
     PoolModel trainedModel(int seconds) {
-        PoolModel m = new PoolModel(SETTINGS);
-        m.expectNodes(nodes());
-        for (int i = 0; i < seconds; i++) {
-            m.update(1000.0 * i, 0, records());
+        PoolModel model = new PoolModel(SETTINGS);
+        model.expectNodes(nodes());
+        for (int second = 0; second < seconds; second++) {
+            model.update(1000.0 * second, 0, records());
         }
-        return m;
+        return model;
     }
 }
