--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/CommandFilter.java
@@ -5,19 +5,19 @@
 import java.util.Optional;
 
 /**
- * A node's side: which orders it follows. One of an earlier driver, or of an earlier record of the same driver, is
- * passed over, however late it comes. Plain; from one thread.
+ * Decides which of an evacuation driver's commands a node follows. A command of an earlier driver, or one that follows
+ * from an earlier agreed record of the same driver, is ignored, however late it arrives. Not thread-safe.
  */
 public final class CommandFilter {
     private final double clockDrift;
     private ZoneWeights lastAccepted = new ZoneWeights(0, 0, Map.of(), 0);
 
-    /** At a node whose clock's rate is off by this part at the most. */
+    /** Creates a filter for a node whose clock rate is off by at most the fraction {@code clockDrift}. */
     public CommandFilter(double clockDrift) {
         this.clockDrift = clockDrift;
     }
 
-    /** An order has come; what holds from now on, or nothing if it is passed over. */
+    /** Returns the zone weights in force from now on, or empty if the command is outdated and ignored. */
     public Optional<ZoneWeights> accept(WeightCommand command, double nowMs) {
         if (command.token() < lastAccepted.driverToken()
                 || command.token() == lastAccepted.driverToken() && command.epoch() < lastAccepted.epoch()) {
@@ -28,12 +28,12 @@
         return Optional.of(lastAccepted);
     }
 
-    /** The part of its usual load that a zone has at this moment. */
+    /** Returns the fraction of its usual load that a zone keeps at this time; 1 once the last command has expired. */
     public double weight(String zone, double nowMs) {
         return nowMs < lastAccepted.untilMs() ? lastAccepted.weights().getOrDefault(zone, 1.0) : 1;
     }
 
-    /** What was told last. */
+    /** Returns the weights of the last accepted command. */
     public ZoneWeights lastAccepted() {
         return lastAccepted;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DailyProfile.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DailyProfile.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * How the load of an origin goes over the day: a mean for each quarter of an hour, learnt from day to day. Says nothing
- * until it has seen both quarters that are compared on two days.
+ * The daily load profile of each origin: a mean rate for each quarter of an hour, learnt from day to day. It predicts
+ * nothing until it has seen both of the compared quarters on two days.
  */
 final class DailyProfile {
     private static final int QUARTERS = 96;
     private static final double QUARTER_MS = 15 * 60_000.0;
-    /** A new day's part of a quarter's mean. */
+    /** The weight of a new day in a quarter's mean. */
     private static final double NEW_DAY_WEIGHT = 0.3;
 
     private static final int MIN_DAYS = 2;
-    /** Relative spread of the load after an hour of which nothing is known, and of one that was seen. */
+    /** Relative spread that an hour's wait adds, without and with a known profile. */
     private static final double HOURLY_SPREAD_UNKNOWN = 0.15;
 
     private static final double HOURLY_SPREAD_KNOWN = 0.04;
@@ -56,7 +56,7 @@
         curve.currentCount++;
     }
 
-    /** The load at a time of the day as a multiple of that at another; 1 if not known. */
+    /** Returns the load at one time of day as a multiple of the load at another; 1 if the profile is not known. */
     double ratio(String origin, double fromTimeOfDayMs, double toTimeOfDayMs) {
         return isKnown(origin, fromTimeOfDayMs, toTimeOfDayMs)
                 ? curves.get(origin).quarterMeans[quarterOf(toTimeOfDayMs)]
@@ -74,7 +74,7 @@
                 && curve.quarterMeans[from] > 0;
     }
 
-    /** Relative spread that the time between adds. */
+    /** Returns the relative spread that the time between the two adds to a prediction. */
     double spread(String origin, double fromTimeOfDayMs, double toTimeOfDayMs) {
         double hours = Math.max(0, toTimeOfDayMs - fromTimeOfDayMs) / 3_600_000;
         return (isKnown(origin, fromTimeOfDayMs, toTimeOfDayMs) ? HOURLY_SPREAD_KNOWN : HOURLY_SPREAD_UNKNOWN)
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
@@ -9,19 +9,20 @@
 import java.util.Map;
 
 /**
- * Drives the plan that there is: a machine that takes a time, the agreed record and what is seen of pools, and hands
- * back what the record should become. What it keeps between turns is when it first saw the record as it is, and sums
- * since then; a driver that takes over holds the running step for its whole pause again, never shorter.
+ * Drives the agreed evacuation plan: a state machine that takes the time, the agreed record and measurements of the
+ * pools, and returns the record that should follow. Between calls it keeps only the time at which it first saw the
+ * current generation of the record and what it has accumulated since. A driver that takes over therefore holds the
+ * running step for its full pause again, never for less.
  */
 public final class Driver {
     /**
-     * What halts a plan.
+     * The limits beyond which a plan is halted.
      *
-     * @param partOff a foretold load that is off by this part, and outside its interval
-     * @param utilisation the part of what servers can do
-     * @param failing the part of tries that fails for want of room or time
-     * @param graceMs for so long after a step's begin, figures of before are still seen
-     * @param silentMs a pool that is not heard of for longer
+     * @param maxLoadDeviation the largest relative deviation of a load that lies outside its predicted interval
+     * @param maxUtilisation the largest fraction of the servers' capacity in use
+     * @param maxFailureRatio the largest fraction of attempts that fail because slots, connections or time run out
+     * @param settlingMs how long after the start of a step measurements still include load from before it
+     * @param maxAgeMs a pool whose latest measurement is older counts as not reporting
      */
     public record Limits(
             double maxLoadDeviation,
@@ -29,37 +30,37 @@
             double maxFailureRatio,
             double settlingMs,
             double maxAgeMs) {
-        /** The usual ones. */
+        /** The default limits. */
         public static final Limits DEFAULTS = new Limits(0.2, 0.98, 0.03, 2000, 6000);
     }
 
     /**
-     * What is seen of a pool of late, all nodes together.
+     * Recent measurements of a pool, summed over all nodes.
      *
-     * @param pool its name
-     * @param servers servers that run
-     * @param attempts tries a second
-     * @param utilisation the part of their time for which servers work; negative if not known
-     * @param failing the part of tries that fails
-     * @param heardMs the age of it
+     * @param pool the pool's name
+     * @param servers the number of running servers
+     * @param attemptRate attempts per second
+     * @param utilisation the fraction of time that servers are busy; negative if not known
+     * @param failureRatio the fraction of attempts that fail
+     * @param ageMs the age of the measurement
      */
     public record PoolMeasurement(
             PoolName pool, int servers, double attemptRate, double utilisation, double failureRatio, double ageMs) {}
 
     /**
-     * What a rehearsal has shown of the load that moves to a pool.
+     * What a rehearsal has shown about the load that moves to a pool.
      *
      * @param pool the pool
-     * @param factor what came as a multiple of what was foretold
-     * @param weight what that is worth, 0 to 1
+     * @param factor the observed increase as a multiple of the predicted one
+     * @param weight the weight of this observation, 0 to 1
      */
     public record Correction(PoolName pool, double factor, double weight) {}
 
     /**
-     * What is to be done.
+     * The outcome of one call of {@link #decide}.
      *
-     * @param next what the record should become; null if it stays
-     * @param corrections what the model has to learn
+     * @param nextState the record to propose; null to keep the current one
+     * @param corrections corrections for the pool model
      */
     public record Decision(PlanState nextState, List<Correction> corrections) {
         static final Decision UNCHANGED = new Decision(null, List.of());
@@ -71,9 +72,9 @@
         double overLimitMs;
     }
 
-    /** A foretold figure is compared once it was seen for so long. */
+    /** A predicted rate is compared only with a mean over at least this long. */
     private static final double MIN_OBSERVED_MS = 2500;
-    /** A bound is passed once it was for so long: one second's figure is noise. */
+    /** A limit counts as exceeded only after this long: the value of a single second is noise. */
     private static final double MIN_OVER_LIMIT_MS = 1400;
 
     private static final double MIN_LOAD = 1;
@@ -85,20 +86,20 @@
     private double lastDecisionMs;
     private final Map<PoolName, LoadAccumulator> accumulators = new HashMap<>();
 
-    /** A driver of this name. */
+    /** Creates a driver that signs its changes with this name. */
     public Driver(String driverName, Limits limits) {
         this.driverName = driverName;
         this.limits = limits;
     }
 
     /**
-     * One turn.
+     * Decides whether the plan moves on, halts or stays as it is.
      *
-     * @param nowMs now
+     * @param nowMs the current time
      * @param state the agreed record
-     * @param ofGeneration its generation
-     * @param token this driver's
-     * @param seen what is seen of all pools now
+     * @param stateGeneration the record's generation
+     * @param token this driver's token
+     * @param measurements the latest measurements of all pools
      */
     public Decision decide(
             double nowMs, PlanState state, long stateGeneration, long token, List<PoolMeasurement> measurements) {
@@ -163,7 +164,7 @@
         return new Decision(state, List.of());
     }
 
-    /** The reason to halt; null if there is none. */
+    /** Returns the reason to halt; null if there is none. */
     private String findHaltReason(
             PlanState state, List<PoolMeasurement> measurements, double elapsedMs, double sinceLastMs) {
         Map<PoolName, PoolMeasurement> byPool = new HashMap<>();
@@ -214,7 +215,7 @@
 
     private boolean deviates(
             Interval predicted, double meanRate, PoolPrediction prediction, PoolMeasurement measurement) {
-        // More servers than were foretold take more of what moves; that is no fault while load is carried.
+        // A pool with more servers than predicted attracts more of the moved load; no fault as long as it serves it.
         boolean extraServersTakeMore = measurement.servers() > prediction.servers() && meanRate > predicted.expected();
         return !extraServersTakeMore
                 && !predicted.contains(meanRate)
@@ -229,7 +230,7 @@
         return state.step() < prediction.steps().size() ? prediction.steps().get(state.step()) : null;
     }
 
-    /** What came beside what was foretold, weighed by how far it stands out from chance. */
+    /** Compares observed with predicted increases, weighted by how far each stands out from random variation. */
     private List<Correction> computeCorrections(PlanState state, double elapsedMs) {
         List<Correction> corrections = new ArrayList<>();
         for (PoolPrediction prediction : state.predictions()) {
@@ -239,7 +240,7 @@
                 continue;
             }
             double observedIncrease = accumulator.rateIntegral / accumulator.observedMs - prediction.baselineRate();
-            // Chance of arrivals while it was held, and that of the load it is compared with.
+            // Variance of the Poisson arrivals during the rehearsal, plus that of the predicted load.
             double variance = prediction.rehearsal().expected() / (accumulator.observedMs / 1000)
                     + Math.pow(
                             (prediction.rehearsal().high()
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -22,29 +22,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's part in driving: asks for the role while a plan has to be driven, and while it holds it, tells every node
- * what the agreed record says and proposes what comes next. {@link #tick} is called a few times a second from one
- * thread; it waits for nothing.
+ * Runs the evacuation driver at a member: acquires the driver role while a plan needs a driver, and while it holds the
+ * role, sends every node the weights that follow from the agreed record and proposes the next record. {@link #tick} is
+ * called a few times per second from one thread and never blocks.
  *
- * <p>Two drivers: the role is held by one member at any moment; orders carry its token, and nodes pass over a lower
- * one. A driver that can't reach a majority loses the role and falls silent, and what it told ends by itself.
+ * <p>Two drivers can't interfere: one member at a time holds the role, commands carry its token, and nodes ignore a
+ * command with a lower token. A driver that can't reach a majority loses the role and stops sending; its last commands
+ * then expire.
  */
 public final class DriverTask {
-    /** The role of the one who drives. */
+    /** The name of the role that the driving member holds. */
     public static final String ROLE = "evacuation";
 
     private static final Logger LOG = LoggerFactory.getLogger(DriverTask.class);
 
     /**
-     * Times.
+     * The driver's intervals and timeouts.
      *
-     * @param holdMs for how long the role is asked
-     * @param orderMs how often orders are repeated
-     * @param forMs for how long an order holds: longer than it takes another member to take over
-     * @param withinMs for how long a proposal is waited for
+     * @param leaseMs the lease time for which the role is requested
+     * @param commandIntervalMs how often commands are repeated
+     * @param commandValidityMs how long a command is valid: longer than another member needs to take over
+     * @param proposalTimeoutMs how long to wait for a proposal
      */
     public record Timing(double leaseMs, double commandIntervalMs, double commandValidityMs, double proposalTimeoutMs) {
-        /** The usual ones. */
+        /** The default times. */
         public static final Timing DEFAULTS = new Timing(3000, 500, 10_000, 2500);
     }
 
@@ -62,11 +63,11 @@
     private long lastCommandEpoch = -1;
 
     /**
-     * A member's part.
+     * Creates the task of one member.
      *
-     * @param seen what is seen of pools now
-     * @param learns takes what rehearsals have shown
-     * @param local takes the orders for this member's own node
+     * @param measurements supplies the latest measurements of the pools
+     * @param correctionSink receives the corrections that rehearsals yield
+     * @param localCommandSink receives the commands for this member's own node
      */
     public DriverTask(
             AgreedValues agreedValues,
@@ -85,7 +86,7 @@
         this.localCommandSink = localCommandSink;
     }
 
-    /** One turn. */
+    /** Acquires or extends the role, proposes the next record and sends commands where they are due. */
     public void tick(double nowMs) {
         Optional<Acting> activeValues = agreedValues.acting(AgreedValues.EVACUATION);
         if (activeValues.isEmpty() || activeValues.get().one() == null) {
@@ -101,7 +102,7 @@
         boolean needsDriver = state.status().needsDriver()
                 || otherState != null && otherState.status().needsDriver();
         if (!needsDriver) {
-            // Orders of a plan that is over end by themselves; the last one says that all is as usual.
+            // Commands of a finished plan expire; the last one already restores the usual weights.
             long generation = activeValues.get().one().generation();
             if (lastCommandEpoch != generation) {
                 agreedValues
@@ -118,21 +119,21 @@
         long token = lease.get().token();
         long epoch = activeValues.get().one().generation();
         if (otherState == null && (pendingProposal == null || pendingProposal.isDone())) {
-            Decision turn = driver.decide(nowMs, state, epoch, token, measurements.get());
-            turn.corrections().forEach(correctionSink);
-            if (turn.nextState() != null) {
+            Decision decision = driver.decide(nowMs, state, epoch, token, measurements.get());
+            decision.corrections().forEach(correctionSink);
+            if (decision.nextState() != null) {
                 LOG.atInfo()
                         .addKeyValue("plan", state.plan().name())
-                        .addKeyValue("step", turn.nextState().step())
+                        .addKeyValue("step", decision.nextState().step())
                         .log(
-                                "evacuation becomes {}: {}",
-                                PlanState.lowerCaseName(turn.nextState().status()),
-                                turn.nextState()
+                                "evacuation status changes to {}: {}",
+                                PlanState.lowerCaseName(decision.nextState().status()),
+                                decision.nextState()
                                         .history()
-                                        .get(turn.nextState().history().size() - 1)
+                                        .get(decision.nextState().history().size() - 1)
                                         .reason());
                 pendingProposal = agreedValues.propose(
-                        AgreedValues.EVACUATION, epoch, turn.nextState().encode(), timing.proposalTimeoutMs());
+                        AgreedValues.EVACUATION, epoch, decision.nextState().encode(), timing.proposalTimeoutMs());
             }
         }
         if (nowMs - lastCommandMs >= timing.commandIntervalMs() || epoch != lastCommandEpoch) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /** While two records are acted by, a zone keeps the larger part: what both allow. */
+    /** While two records are in force at once, each zone keeps the larger of its two weights: both records allow it. */
     private static Map<String, Double> mergeWeights(PlanState state, PlanState otherState) {
         Map<String, Double> weights = new HashMap<>(state.zoneWeights());
         if (otherState != null) {
@@ -151,7 +152,7 @@
         return weights;
     }
 
-    /** Claims the role, or extends its lease, unless a claim is still unanswered. */
+    /** Acquires the role or extends its lease, unless an earlier request is still unanswered. */
     private void acquireOrExtendRole(double nowMs) {
         boolean answered = pendingLease == null || pendingLease.isDone();
         if (answered && nowMs - lastAcquireMs >= timing.leaseMs() / 3) {
@@ -164,7 +165,7 @@
         WeightCommand command = new WeightCommand(token, epoch, weights, timing.commandValidityMs());
         byte[] body = command.encode();
         for (Member member : links.peers()) {
-            // A full queue loses one; the next comes soon.
+            // A full queue drops this command; it is repeated shortly.
             links.send(member.name(), MessageStream.EVACUATION, body);
         }
         localCommandSink.accept(command);
@@ -178,7 +179,7 @@
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("generation", value.generation())
-                    .log("the agreed plan can't be read: {}", e.getMessage());
+                    .log("cannot decode the agreed evacuation plan: {}", e.getMessage());
             return null;
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationStatus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/EvacuationStatus.java
@@ -4,21 +4,21 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Where a plan stands. */
+/** The status of an evacuation plan. */
 public enum EvacuationStatus {
-    /** Written down. */
+    /** The plan has been written. */
     @JsonProperty("DRAFTED")
     DRAFTED,
-    /** It is known what it would do. */
+    /** The plan's effect has been forecast. */
     @JsonProperty("FORECAST")
     FORECAST,
-    /** A small part of the load is moved for a while. */
+    /** A small fraction of the load is moved for a limited time. */
     @JsonProperty("REHEARSING")
     REHEARSING,
-    /** Something passed its bound or was not as foretold, or staff said so: all load is where it usually is. */
+    /** A limit was exceeded, the load deviated from the forecast or an operator stopped it: all load is as usual. */
     @JsonProperty("HALTED")
     HALTED,
-    /** The rehearsal was as foretold. */
+    /** The rehearsal matched the forecast. */
     @JsonProperty("PASSED")
     PASSED,
     /** Load is moved step by step. */
@@ -27,17 +27,17 @@
     /** All load is moved. */
     @JsonProperty("EVACUATED")
     EVACUATED,
-    /** Load comes back step by step. */
+    /** Load returns step by step. */
     @JsonProperty("RETURNING")
     RETURNING,
-    /** Done: all load is where it usually is. */
+    /** Finished: all load is as usual. */
     @JsonProperty("CLOSED")
     CLOSED,
-    /** Given up before it was done. */
+    /** Given up before it was finished. */
     @JsonProperty("ABANDONED")
     ABANDONED;
 
-    /** What may come after it. */
+    /** Returns the statuses that may follow this one. */
     public Set<EvacuationStatus> allowedNext() {
         return switch (this) {
             case DRAFTED -> EnumSet.of(FORECAST, ABANDONED);
@@ -52,12 +52,12 @@
         };
     }
 
-    /** Whether load may be elsewhere than usual: somebody must drive it. */
+    /** Whether load may be away from its usual zone, so that a driver has to be active. */
     public boolean needsDriver() {
         return this == REHEARSING || this == EVACUATING || this == EVACUATED || this == RETURNING;
     }
 
-    /** Whether another plan may be drafted after it. */
+    /** Whether another plan may be drafted after this one. */
     public boolean isTerminal() {
         return this == CLOSED || this == ABANDONED;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
@@ -11,32 +11,32 @@
 import org.apache.commons.math3.special.Erf;
 
 /**
- * One course of a plan through all pools, as a fluid. Each pool's calls in work follow the pointwise stationary fluid
- * flow approximation (Wang, Tipper and Banerjee, A new method for analyzing time-varying queues, Performance
- * Evaluation 1996): what it completes is what a stationary M/G/c queue completes that holds as many, with the number
- * waiting by Sakasegawa. Where chance is drawn as well it makes the queues by itself (a reflected diffusion: Kingman,
- * On queues in heavy traffic, 1962), and the number waiting is left out. Tries call the next tier while they hold
- * their slot, so that a slow pool fills the slots of those before it, and a full one spares those behind it.
+ * A fluid simulation of a plan through all pools. The number of attempts in service in each pool follows the pointwise
+ * stationary fluid flow approximation (Wang, Tipper and Banerjee, A new method for analyzing time-varying queues,
+ * Performance Evaluation 1996): the pool completes as much as a stationary M/G/c queue with the same number in the
+ * system, whose queue length is Sakasegawa's. With random arrivals the queues arise from the noise itself (a reflected
+ * diffusion: Kingman, On queues in heavy traffic, 1962), and Sakasegawa's term is left out. Attempts call the next tier
+ * while they hold their slot, so a slow pool fills the slots of its callers, and a full pool relieves those it calls.
  */
 final class FluidModel {
     private static final double STEP_MS = 50;
     private static final double STEP_S = STEP_MS / 1000;
-    /** Before the plan: long enough that what lies in the pools is what their load puts there. */
+    /** The time before the plan's start: long enough for the pools to fill to the level of their usual load. */
     private static final double LEAD_IN_MS = 10_000;
 
     private static final int GRID_SIZE = 400;
     private static final double MAX_GRID_LOAD = 0.9975;
-    /** Noise holds for so many steps. */
+    /** How many steps each noise value lasts. */
     private static final int NOISE_STEPS = 2;
-    /** Every how many steps the part that is late is looked at. */
+    /** The fraction of late attempts is recomputed once in so many steps. */
     private static final int LATENESS_INTERVAL_STEPS = 4;
-    /** How fast the part that fails makes clients and nodes try again. */
+    /** How fast retries by clients and nodes follow the failure ratio, per step. */
     private static final double FEEDBACK_GAIN = 0.1;
 
     private static final double DEGRADES_AFTER_MS = 2000;
     private static final double RECOVERS_AFTER_MS = 3500;
 
-    /** Factors on what the picture holds; the noise of arrivals, or none. */
+    /** Random factors on the values of the snapshot; and the source of arrival noise, or null for none. */
     static final class ParameterSample {
         final double[] capacityFactors;
         final double[] callFactors;
@@ -59,7 +59,7 @@
         }
     }
 
-    /** What a course came to: by pool, and by pool and step. */
+    /** The result of one simulation: per pool, and per step and pool. */
     static final class Trajectory {
         final double[] saturationMs;
         final Resource[] exhaustedResource;
@@ -95,15 +95,15 @@
     private final EvacuationPlan plan;
     private final double[] movedFractions;
     private final double[] stepEndsMs;
-    /** By tier: its pools. */
+    /** For each tier, the indices of its pools. */
     private final List<int[]> poolsByTier = new ArrayList<>();
 
     private final int[] zoneOfPool;
-    /** Part of the zone's load of its tier that a pool takes. */
+    /** The fraction of its zone's load of the tier that each pool takes. */
     private final double[] shareInZone;
-    /** By tier, origin and zone: where load goes usually. */
+    /** By tier, origin and zone: the fraction of the origin's load that usually goes to the zone. */
     private final double[][][] usualRouting;
-    /** By flow: origin and whether it is of the first tier. */
+    /** For each flow, the zone index of its origin; below, the index of its pool. */
     private final int[] originOfFlow;
 
     private final int[] poolOfFlow;
@@ -111,7 +111,7 @@
     private final double[][] fluidOccupancy;
     private final double[] arrivalDispersion;
 
-    /** The courses of this plan; moved parts may be told apart from the plan's own steps. */
+    /** Prepares simulations of a plan; {@code movedFractions} may differ from those of the plan's own steps. */
     FluidModel(PoolSnapshot snapshot, EvacuationPlan plan, double[] movedFractions) {
         this.snapshot = snapshot;
         this.plan = plan;
@@ -150,8 +150,8 @@
         shareInZone = new double[pools.size()];
         usualRouting = new double[poolsByTier.size()][zones.size()][zones.size()];
         for (int tierIndex = 0; tierIndex < poolsByTier.size(); tierIndex++) {
-            shareInZone(poolsByTier.get(tierIndex));
-            usualRouting(tierIndex);
+            computeSharesInZone(poolsByTier.get(tierIndex));
+            computeUsualRouting(tierIndex);
         }
         meanOccupancy = new double[pools.size()][];
         fluidOccupancy = new double[pools.size()][];
@@ -173,7 +173,7 @@
         return -1;
     }
 
-    private void shareInZone(int[] tier) {
+    private void computeSharesInZone(int[] tier) {
         for (int i : tier) {
             double ownRate = pools.get(i).attemptRate();
             double zoneRate = 0;
@@ -192,7 +192,7 @@
         return pools.get(pool).servers() * pools.get(pool).slots();
     }
 
-    private void usualRouting(int tier) {
+    private void computeUsualRouting(int tier) {
         for (int flow = 0; flow < poolOfFlow.length; flow++) {
             if (poolOfFlow[flow] >= 0
                     && pools.get(poolOfFlow[flow])
@@ -215,12 +215,12 @@
         }
     }
 
-    /** Slots beyond what is worked on share it evenly, and then the work's variation does not matter. */
+    /** With more slots than the servers can work on, attempts share them evenly and the work's variation drops out. */
     private static boolean isSlotLimited(Pool pool) {
         return pool.slots() * pool.servers() <= Math.max(1, pool.concurrency()) * 1.05;
     }
 
-    /** The number in work and before it at each load of the grid: as it is in the mean, or without any chance. */
+    /** The number in the system at each load of the grid, with the mean queue or as a fluid without any queue. */
     private static double[] occupancyTable(Pool pool, boolean withQueue) {
         double[] occupancy = new double[GRID_SIZE + 1];
         double concurrency = Math.max(1, pool.concurrency());
@@ -233,11 +233,12 @@
     }
 
     /**
-     * The number in work at a step's end that fits its completions: n + most * rho(n) = before, solved on the grid, so
-     * that steps longer than a call's work do not swing.
+     * The number left in service at the end of a step that is consistent with the step's completions: solves
+     * occupancy + maxCompletions * rho(occupancy) = inService on the grid. This implicit step
+     * prevents oscillation where a step is longer than the work of an attempt.
      *
-     * @param most what all servers complete in a step at the most
-     * @param scale servers there are for each that the table was made for
+     * @param maxCompletions the most that all servers can complete in a step
+     * @param scale the number of servers relative to that for which the table was made
      */
     private static double remainingInService(
             double[] occupancy, double inService, double maxCompletions, double scale) {
@@ -414,7 +415,7 @@
                             trajectory.saturationMs[i] = timeMs;
                             trajectory.exhaustedResource[i] = dominantCause(failureCauses[i]);
                         }
-                        // The later half of a step, where its load has come.
+                        // Sampled in the second half of a step, when the step's load has arrived.
                         if (timeMs
                                 >= stepEndsMs[planStep]
                                         - plan.steps().get(planStep).pauseMs() / 2) {
@@ -458,7 +459,7 @@
         return dominant;
     }
 
-    /** First tries go where they go usually, what a zone does not keep to the others by their slots. */
+    /** Routes first attempts as usual; what the evacuated zone gives up goes to the others in proportion to slots. */
     private void distributeFirstAttempts(
             int tier, double[] rateByZone, double retained, ParameterSample sample, double[] firstAttemptRate) {
         double[] weightByZone = new double[zones.size()];
@@ -504,7 +505,7 @@
         return servers;
     }
 
-    /** How many tries come for a first one: nodes' within attempts and budget, clients' within theirs. */
+    /** Attempts per first attempt: nodes retry within their attempts and budget, clients within their own limit. */
     private double attemptsPerFirstAttempt(int pool, int tier, double failureRatio, double rejectionRatio) {
         double nodeRetries = 0;
         double retryProbability = rejectionRatio;
@@ -524,7 +525,7 @@
             double rejectedAfterRetries = nodeRetries >= settings.retryBudget()
                     ? rejectionRatio
                     : Math.pow(rejectionRatio, settings.maxAttempts());
-            // Refused calls have not run and may all be tried again; late ones end with their client's time.
+            // Rejected requests have not run and may all be retried; late ones end with their client's deadline.
             double clientRetryProbability = Math.min(
                     0.95,
                     rejectedAfterRetries
@@ -540,7 +541,7 @@
         return (1 + nodeRetries) * (1 + clientRetries);
     }
 
-    /** The time of a call to the next tier, as the pool's zone sends them. */
+    /** The mean time of a call to the next tier, weighted by where the pool's zone sends its calls. */
     private double downstreamCallMs(int tier, int caller, double retained, double[] responseMs, double[] failureRatio) {
         if (tier + 1 >= poolsByTier.size()) {
             return 0;
@@ -557,7 +558,7 @@
                         * totalSlots(callee)
                         / Math.max(1, slotsOutsideEvacuatedZone(tier + 1));
             }
-            // A call that is turned away comes back at once.
+            // A rejected call returns at once.
             sum += weight * responseMs[callee] * (1 - Math.min(1, failureRatio[callee]) / 2);
             totalWeight += weight;
         }
@@ -572,7 +573,7 @@
         return total;
     }
 
-    /** The part of calls that take longer than their classes' time: their work is taken for lognormal. */
+    /** The fraction of attempts that exceed the deadline of their class, with lognormal work. */
     private double lateFraction(Pool pool, double queueMs, double ownMs, double downstreamMs) {
         double stretch = Math.max(1, ownMs / Math.max(1e-6, pool.ownWorkMs()));
         double sigma2 = Math.log1p(Math.max(0.01, pool.squaredVariation()));
@@ -589,7 +590,7 @@
         return totalShare > 0 ? weightedLate / totalShare : 0;
     }
 
-    /** Nobody stays longer than the longest deadline. */
+    /** Removes what exceeds the load of the longest deadline: no attempt stays longer than that. */
     private void dropExpired(
             int i, Pool pool, double attemptRate, double[] waiting, double[] inService, double[] inDownstreamCall) {
         double maxSeconds = pool.classMix().keySet().stream()
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -17,60 +17,60 @@
 import org.apache.commons.math3.stat.descriptive.rank.Percentile;
 
 /**
- * What a plan would do to the pools that remain. The course of the plan is computed as it is expected, and many times
- * more with figures drawn within their spreads and with the chance of arrivals; verdicts and intervals are counts of
- * those courses.
+ * The predicted effect of a plan on the remaining pools. The plan is simulated once with the expected values, and many
+ * times with values sampled within their spreads and with random arrivals; verdicts and intervals are statistics of
+ * those simulations.
  *
  * @param plan the plan's name
- * @param zone the zone that is emptied
- * @param verdict the worst of the pools'
+ * @param zone the evacuated zone
+ * @param verdict the worst verdict of any pool
  * @param pools the pools of the other zones
  */
 public record Forecast(String plan, String zone, Verdict verdict, List<PoolForecast> pools) {
-    /** Courses that are drawn. */
+    /** The number of sampled simulations. */
     static final int TRAJECTORIES = 80;
-    /** A pool saturates if it does in so many of the courses; it is tight if it does in so many. */
+    /** The fractions of sampled simulations from which on a pool counts as saturating, and as tight. */
     private static final double SATURATES_PROBABILITY = 0.5;
 
     private static final double TIGHT_PROBABILITY = 0.1;
     private static final double TIGHT_UTILISATION = 0.9;
-    /** The interval's ends, in percent: it holds in eight cases of ten. */
+    /** The percentiles of the interval's ends: it covers 80% of the sampled simulations. */
     private static final double LOW_PERCENTILE = 10;
 
     private static final double HIGH_PERCENTILE = 90;
     private static final double MEDIAN_PERCENTILE = 50;
     private static final double FULLY_GRANTED = 0.995;
 
-    /** What becomes of a pool. */
+    /** The verdict on a pool. */
     public enum Verdict {
-        /** It serves what comes. */
+        /** It serves its load. */
         @JsonProperty("HOLDS")
         HOLDS,
-        /** It serves what is expected, with little room or by luck. */
+        /** It serves the expected load, but with little headroom or not in all simulations. */
         @JsonProperty("TIGHT")
         TIGHT,
-        /** A stated part of what comes fails for want of room or time. */
+        /** More than the configured fraction of its attempts fails because slots, connections or time run out. */
         @JsonProperty("SATURATES")
         SATURATES,
-        /** Nothing can be said; the reason stands beside it. Not a guess: it counts as no permission. */
+        /** No prediction is possible, for the given reason. This is not a guess, and does not permit an evacuation. */
         @JsonProperty("UNKNOWN")
         UNKNOWN
     }
 
-    /** What a pool runs out of. */
+    /** The resource that a pool exhausts. */
     public enum Resource {
-        /** All slots are taken: calls wait, and then are turned away. */
+        /** All slots are in use: requests wait, and then are rejected. */
         SLOTS,
-        /** No more calls may be open, though slots are free. */
+        /** The limit of open requests is reached while slots are free. */
         CONNECTIONS,
-        /** Calls are served, but after their class's time. */
+        /** Requests are served, but after the deadline of their class. */
         DEADLINE
     }
 
     /**
-     * A figure between bounds that hold in eight cases of ten.
+     * A value with an interval that covers 80% of the cases.
      *
-     * @param expected in the middle
+     * @param expected the median
      * @param low the lower bound
      * @param high the upper bound
      */
@@ -78,25 +78,25 @@
             @JsonProperty("expected") double expected,
             @JsonProperty("low") double low,
             @JsonProperty("high") double high) {
-        /** Whether it lies between the bounds. */
+        /** Whether a value lies within the bounds. */
         public boolean contains(double value) {
             return value >= low && value <= high;
         }
     }
 
     /**
-     * A pool in a step, in the step's later half.
+     * The forecast of a pool during the second half of a step.
      *
-     * @param step which, from 0
-     * @param load tries a second, repeats included
-     * @param utilisation the part of what its servers can do
-     * @param slots the part of its slots that is taken at the most
-     * @param connections the part of its connections that is taken at the most
-     * @param waitMs the mean wait before work, by Allen and Cunneen; negative if it grows without bound
-     * @param responseMs the mean time of an answer
-     * @param late the part whose wait alone is longer than the shortest deadline
-     * @param amplification tries for a first try
-     * @param refusedTenants tenants that shares would not give all that they want, with the part that is refused
+     * @param step the step's index, from 0
+     * @param load attempts per second, retries included
+     * @param utilisation the fraction of the servers' capacity in use
+     * @param slots the highest fraction of its slots in use
+     * @param connections the highest fraction of its connections in use
+     * @param waitMs the mean wait before service, by Allen and Cunneen; negative if it grows without bound
+     * @param responseMs the mean response time
+     * @param lateFraction the fraction of attempts whose wait alone exceeds the shortest deadline
+     * @param amplification attempts per first attempt
+     * @param rejectedTenants tenants whose demand the share policy would not meet, with the rejected fraction of it
      */
     public record StepForecast(
             int step,
@@ -106,36 +106,36 @@
             double connections,
             double waitMs,
             double responseMs,
-            double lateFraction,
+            @JsonProperty("late") double lateFraction,
             double amplification,
-            Map<String, Double> rejectedTenants) {}
+            @JsonProperty("refusedTenants") Map<String, Double> rejectedTenants) {}
 
     /**
-     * A pool.
+     * The forecast of a pool.
      *
-     * @param pool its name
-     * @param verdict what becomes of it
-     * @param why why nothing can be said
-     * @param part the part of the courses in which it saturates
-     * @param atMs when, from the first step's begin; null if it does in none
-     * @param step the step in which it does; -1 if in none
-     * @param resource what runs out first
-     * @param next the pool that falls next, if one does
-     * @param steps step by step
+     * @param pool the pool's name
+     * @param verdict the verdict
+     * @param reason why no prediction is possible; null if one is
+     * @param saturationProbability the fraction of sampled simulations in which it saturates
+     * @param saturationMs when it saturates, after the start of the first step; null if it never does
+     * @param step the step in which it saturates; -1 if it never does
+     * @param resource the resource that is exhausted first
+     * @param nextSaturated the pool that saturates next, if any
+     * @param steps the forecast of each step
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     public record PoolForecast(
             PoolName pool,
             Verdict verdict,
-            String reason,
-            double saturationProbability,
-            Interval saturationMs,
+            @JsonProperty("why") String reason,
+            @JsonProperty("part") double saturationProbability,
+            @JsonProperty("atMs") Interval saturationMs,
             int step,
             Resource resource,
-            PoolName nextSaturated,
+            @JsonProperty("next") PoolName nextSaturated,
             List<StepForecast> steps) {}
 
-    /** Forecasts a plan that has no faults; the same seed gives the same forecast. */
+    /** Forecasts a valid plan; the same seed gives the same forecast. */
     public static Forecast of(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
         double[] movedFractions = new double[plan.steps().size()];
         for (int i = 0; i < movedFractions.length; i++) {
@@ -144,7 +144,7 @@
         return of(snapshot, plan, movedFractions, shares, seed, TRAJECTORIES);
     }
 
-    /** Forecasts a rehearsal of it: one step, held for its time. */
+    /** Forecasts the plan's rehearsal: a single step of the rehearsal's fraction and duration. */
     public static Forecast rehearsal(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
         EvacuationPlan rehearsal =
                 plan.withSteps(List.of(new EvacuationPlan.Step(plan.rehearsalFraction(), plan.rehearsalMs())));
@@ -180,7 +180,7 @@
     }
 
     private static Verdict worse(Verdict a, Verdict b) {
-        // What saturates is certain harm and said first; what is unknown comes before what is tight.
+        // SATURATES is certain harm and ranks highest; UNKNOWN ranks above TIGHT.
         int[] rank = {0, 1, 3, 2};
         return rank[a.ordinal()] >= rank[b.ordinal()] ? a : b;
     }
@@ -275,7 +275,7 @@
                 steps);
     }
 
-    /** The pool that saturates next after this one in a course; -1 if none does. */
+    /** Returns the index of the pool that saturates next after this one in a simulation; -1 if none does. */
     private static int nextSaturatedPool(Trajectory trajectory, int poolIndex) {
         int next = -1;
         for (int other = 0; other < trajectory.saturationMs.length; other++) {
@@ -292,7 +292,7 @@
         if (pool.unknownReason() != null) {
             return pool.unknownReason();
         }
-        // Load that a missing node sends is load that nobody tells: in its own zone, and wherever the plan moves it.
+        // The load that a missing node sends is not reported: neither in its own zone nor where the plan moves it.
         for (MissingNode missing : snapshot.missingNodes()) {
             boolean affectsPool =
                     missing.zone().equals(pool.name().zone()) || missing.zone().equals(plan.zone());
@@ -304,14 +304,14 @@
                 return missing.reason();
             }
         }
-        // What flows from an unknown pool of a tier before it comes here, and nobody knows how much.
+        // The load that a pool receives from an unknown pool of an earlier tier is unknown too.
         for (Pool caller : snapshot.pools()) {
             if (caller.unknownReason() != null
                     && !caller.name().zone().equals(plan.zone())
                     && caller.name().zone().equals(pool.name().zone())
                     && snapshot.settings().tiers().indexOf(caller.name().tier())
                             < snapshot.settings().tiers().indexOf(pool.name().tier())) {
-                return caller.name() + ", which calls it, is unknown: " + caller.unknownReason();
+                return caller.name() + ", which calls it, can't be predicted: " + caller.unknownReason();
             }
         }
         return null;
@@ -391,7 +391,7 @@
         return rejected;
     }
 
-    /** The forecast of a pool; null if it is not among them. */
+    /** Returns the forecast of a pool; null if it has none. */
     public PoolForecast of(PoolName name) {
         return pools.stream().filter(p -> p.pool().equals(name)).findFirst().orElse(null);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/ForecastSettings.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * What a forecast takes as given: the fleet's settings, not what is observed.
+ * The configured inputs of a forecast, as opposed to the observed ones.
  *
- * @param tiers the tiers' names, the one that clients call first
- * @param classes the classes by name
- * @param attempts tries of a call at a node, at most
- * @param budget what further tries at a node may add, as a part of first tries
- * @param clientTries tries of a client, at most
- * @param failing a pool saturates once this part of the tries that come to it fails for want of room or time ...
- * @param windowMs ... over so long
- * @param freshMs a record whose owner was not heard of for longer is not acted on
- * @param drift the part by which clocks' rates may be off
- * @param halfLifeMs after what time an observation counts half
+ * @param tiers the names of the tiers, starting with the one that clients call
+ * @param classes the request classes by name
+ * @param maxAttempts the maximum number of attempts of a request at a node
+ * @param retryBudget the most that a node's retries may add, as a fraction of first attempts
+ * @param maxClientAttempts the maximum number of attempts of a client
+ * @param saturationFailureRatio a pool saturates once this fraction of its attempts fails for lack of resources or time
+ * @param saturationWindowMs the time window of that fraction
+ * @param maxRecordAgeMs a record whose owner has not confirmed it for longer is not used
+ * @param clockDrift the largest relative error of a clock's rate
+ * @param halfLifeMs the age at which an observation's weight has halved
  */
 public record ForecastSettings(
         List<String> tiers,
@@ -29,14 +29,14 @@
         double clockDrift,
         double halfLifeMs) {
     /**
-     * A class.
+     * The settings of a request class.
      *
-     * @param deadlineMs the time that a try of its client waits
-     * @param repeatable whether it may be tried again after it may have run
+     * @param deadlineMs how long a client waits for one attempt
+     * @param idempotent whether a request that may have run may be retried
      */
     public record ClassSettings(double deadlineMs, boolean idempotent) {}
 
-    /** Keeps its own copies; rejects what no fleet could be. */
+    /** Copies the collections; rejects impossible values. */
     public ForecastSettings {
         tiers = List.copyOf(tiers);
         classes = Map.copyOf(classes);
@@ -49,16 +49,16 @@
                 || !(maxRecordAgeMs > 0)
                 || !(clockDrift >= 0 && clockDrift < 0.5)
                 || !(halfLifeMs > 0)) {
-            throw new IllegalArgumentException("terms out of bounds");
+            throw new IllegalArgumentException("forecast settings out of bounds");
         }
     }
 
-    /** The usual figures for these tiers and classes. */
+    /** Returns the default settings for these tiers and classes. */
     public static ForecastSettings withDefaults(List<String> tiers, Map<String, ClassSettings> classes) {
         return new ForecastSettings(tiers, classes, 3, 0.2, 3, 0.05, 2000, 15_000, 0.01, 20_000);
     }
 
-    /** The time that a try of this class waits; a class that is not named waits as long as the longest. */
+    /** Returns the deadline of a class; an unknown class has the longest deadline of all. */
     double deadlineMs(String className) {
         ClassSettings settings = classes.get(className);
         return settings != null
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
@@ -1,15 +1,15 @@
 package brackenbridge.fleet.evacuation;
 
 /**
- * A figure that is learnt by exponentially weighted mean and variance (Finch, Incremental calculation of weighted mean
- * and variance, 2009), with a spread that widens with age and with thin data.
+ * An estimate by exponentially weighted mean and variance (Finch, Incremental calculation of weighted mean and
+ * variance, 2009), with a spread that widens with age and with few observations.
  */
 final class MovingEstimate {
-    /** What one observation says of the next, at the least: figures of neighbouring seconds are not independent. */
+    /** Factor on the variance of the mean: values of neighbouring seconds are not independent. */
     private static final double CORRELATION_FACTOR = 2;
-    /** Relative spread that a single observation leaves open. */
+    /** Relative spread after a single observation. */
     private static final double SINGLE_SAMPLE_SPREAD = 0.3;
-    /** Relative spread that a minute's age adds. */
+    /** Relative spread that each minute of age adds. */
     private static final double SPREAD_PER_MINUTE = 0.1;
 
     private final double halfLifeMs;
@@ -43,12 +43,12 @@
         return mean;
     }
 
-    /** For how many observations of late it stands. */
+    /** Returns the effective number of recent observations. */
     double weight() {
         return weight;
     }
 
-    /** Relative standard deviation of the figure as an estimate of what is true now; infinite if nothing is known. */
+    /** Returns the relative standard deviation of the estimate as of now; infinite if there is no observation. */
     double spread(double nowMs) {
         if (weight == 0 || mean == 0) {
             return weight == 0 ? Double.POSITIVE_INFINITY : 0;
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
@@ -15,17 +15,17 @@
 import java.util.Map;
 
 /**
- * The agreed record of the one plan that there is. What nodes are told follows from it alone, so whoever drives it does
- * the same, also twice.
+ * The agreed record of the only evacuation plan. The weights that nodes receive follow from this record alone, so any
+ * driver computes the same ones, and repeating them does no harm.
  *
  * @param plan the plan
- * @param status where it stands
- * @param step the step that is held now, from 0, while load is moved or comes back
- * @param foretold what the forecast said, by pool
- * @param verdict the forecast's verdict
- * @param override staff said that it is carried out although no rehearsal passed
- * @param token of whoever wrote it last as its driver; 0 if staff did
- * @param history what became of it, the latest last; bounded
+ * @param status the plan's status
+ * @param step the index of the current step, from 0, while load is moved or returns
+ * @param predictions the forecast loads by pool
+ * @param verdict the verdict of the forecast
+ * @param override whether an operator allows the evacuation although no rehearsal has passed
+ * @param token the token of the driver that wrote the record; 0 if an operator did
+ * @param history the latest changes, oldest first; bounded
  */
 public record PlanState(
         @JsonProperty("plan") EvacuationPlan plan,
@@ -36,7 +36,7 @@
         @JsonProperty("override") boolean override,
         @JsonProperty("token") long token,
         @JsonProperty("history") List<HistoryEntry> history) {
-    /** Pools whose figures an agreed record carries. */
+    /** The maximum number of pools whose predictions a record carries. */
     public static final int MAX_POOLS = 128;
 
     private static final int MAX_HISTORY = 100;
@@ -51,13 +51,13 @@
             .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, true);
 
     /**
-     * What was foretold of a pool.
+     * The predicted load of a pool.
      *
-     * @param pool its name
-     * @param servers the servers for which it was
-     * @param before tries a second before anything was moved
-     * @param rehearsal tries a second while the rehearsal holds
-     * @param steps tries a second while each step holds
+     * @param pool the pool's name
+     * @param servers the number of servers for which the prediction was made
+     * @param baselineRate attempts per second before any load was moved
+     * @param rehearsal attempts per second during the rehearsal
+     * @param steps attempts per second during each step
      */
     public record PoolPrediction(
             @JsonProperty("pool") PoolName pool,
@@ -67,12 +67,12 @@
             @JsonProperty("steps") List<Interval> steps) {}
 
     /**
-     * What has happened.
+     * A change of the plan's status or step.
      *
-     * @param status what it became
-     * @param step the step
-     * @param by who did it
-     * @param why the reason
+     * @param status the new status
+     * @param step the new step
+     * @param actor who made the change
+     * @param reason why
      */
     public record HistoryEntry(
             @JsonProperty("status") EvacuationStatus status,
@@ -80,7 +80,7 @@
             @JsonProperty("by") String actor,
             @JsonProperty("why") String reason) {}
 
-    /** Keeps its own copies, and the latest of its history. */
+    /** Copies the lists and keeps the latest history entries. */
     public PlanState {
         predictions = predictions == null ? List.of() : List.copyOf(predictions);
         history = history == null
@@ -88,7 +88,7 @@
                 : List.copyOf(history.subList(Math.max(0, history.size() - MAX_HISTORY), history.size()));
     }
 
-    /** A new plan. */
+    /** Returns the record of a new plan. */
     public static PlanState drafted(EvacuationPlan plan, String actor) {
         return new PlanState(
                 plan,
@@ -102,17 +102,17 @@
     }
 
     /**
-     * The same plan at another status or step.
+     * Returns the record of the same plan with another status or step.
      *
-     * @throws IllegalStateException if that may not come after where it stands
+     * @throws IllegalStateException if that may not follow the current status or step
      */
     public PlanState transitionTo(EvacuationStatus next, int nextStep, long driverToken, String actor, String reason) {
         if (!status.allowedNext().contains(next)) {
             throw new IllegalStateException(
-                    plan.name() + " is " + lowerCaseName(status) + "; it can't be " + lowerCaseName(next) + " next");
+                    plan.name() + " is " + lowerCaseName(status) + " and can't become " + lowerCaseName(next));
         }
         if (next == EvacuationStatus.EVACUATING && status == EvacuationStatus.FORECAST && !override) {
-            throw new IllegalStateException(plan.name() + " has not passed a rehearsal; staff may override that");
+            throw new IllegalStateException(plan.name() + " has not passed a rehearsal; an operator may override this");
         }
         if (next == status && next != EvacuationStatus.FORECAST && nextStep != step + 1) {
             throw new IllegalStateException("step " + nextStep + " does not follow step " + step);
@@ -122,18 +122,18 @@
         return new PlanState(plan, next, nextStep, predictions, verdict, override, driverToken, newHistory);
     }
 
-    /** The same with what a forecast says. */
+    /** Returns the record with the predictions and verdict of a new forecast. */
     public PlanState predictions(List<PoolPrediction> newPredictions, Verdict newVerdict, String actor) {
         PlanState next = transitionTo(EvacuationStatus.FORECAST, 0, 0, actor, lowerCaseName(newVerdict));
         return new PlanState(plan, next.status(), 0, newPredictions, newVerdict, false, 0, next.history());
     }
 
-    /** The same, to be carried out whatever its rehearsal said. */
+    /** Returns the record with permission to evacuate whatever the rehearsal showed. */
     public PlanState withOverride() {
         return new PlanState(plan, status, step, predictions, verdict, true, token, history);
     }
 
-    /** The part of its usual load that the plan's zone keeps. */
+    /** Returns the fraction of its usual load that the plan's zone keeps. */
     public double retainedFraction() {
         return switch (status) {
             case REHEARSING -> 1 - plan.rehearsalFraction();
@@ -144,7 +144,7 @@
         };
     }
 
-    /** What nodes are to be told. */
+    /** Returns the zone weights that nodes have to apply. */
     public Map<String, Double> zoneWeights() {
         return Map.of(plan.zone(), Math.max(0, retainedFraction()));
     }
@@ -153,7 +153,7 @@
         return constant.name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    /** As bytes, for the agreed record. */
+    /** Encodes the record as JSON. */
     public byte[] encode() {
         try {
             return JSON.writeValueAsBytes(this);
@@ -163,9 +163,9 @@
     }
 
     /**
-     * Reads it.
+     * Decodes a record.
      *
-     * @throws IOException if it is not one
+     * @throws IOException if the bytes are not a valid record
      */
     public static PlanState decode(byte[] bytes) throws IOException {
         PlanState state = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, PlanState.class);
@@ -177,12 +177,12 @@
                 || state.step() > EvacuationPlan.MAX_ENTRIES
                 || state.plan().steps().size() > EvacuationPlan.MAX_ENTRIES
                 || state.predictions().size() > MAX_POOLS) {
-            throw new IOException("not a plan's record");
+            throw new IOException("not a valid evacuation plan record");
         }
         return state;
     }
 
-    /** What the forecasts of a plan and of its rehearsal say, as the record carries it. */
+    /** Returns the predictions from the forecasts of a plan and of its rehearsal, as the record carries them. */
     public static List<PoolPrediction> predictions(
             PoolSnapshot snapshot, Forecast forecast, Forecast rehearsalForecast) {
         List<PoolPrediction> predictions = new ArrayList<>();
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
@@ -14,42 +14,42 @@
 import java.util.TreeMap;
 
 /**
- * What is learnt of pools from the records of all nodes. Plain: takes times and values, from one thread.
+ * Estimates the properties of pools from the records of all nodes. Without I/O; not thread-safe.
  *
  * <p>Capacity follows from the utilisation law of operational analysis (Denning and Buzen, The operational analysis of
- * queueing network models, 1978): tries a second over the utilisation that servers tell. It needs no guess of what a
- * server is like, and no load near the limit.
+ * queueing network models, 1978): attempts per second divided by the utilisation that servers report. This requires
+ * neither assumptions about a server nor load near its limit.
  */
 public final class PoolModel {
-    /** Nodes, pools and classes together that are kept: what comes from peers must not fill the memory. */
+    /** The maximum number of records by node, pool and class, so that peers can't exhaust the memory. */
     private static final int MAX_RECORDS = 200_000;
 
     private static final double FORGET_AFTER_MS = 600_000;
-    /** Capacity and calls change more slowly than load. */
+    /** Factor on the half-life of capacity and call estimates, which change more slowly than load. */
     private static final double SLOW_HALF_LIFE_FACTOR = 4;
-    /** Less than this says nothing of what a server can do. */
+    /** At a lower utilisation, a measurement says nothing about capacity. */
     private static final double MIN_UTILISATION = 0.02;
 
     private static final double MIN_ATTEMPT_RATE = 0.5;
     private static final double MIN_WEIGHT = 3;
-    /** A capacity known worse than this is not known. */
+    /** A capacity whose spread is larger counts as unknown. */
     private static final double MAX_SPREAD = 0.35;
-    /** How far moved load may go otherwise than by slots, as long as no rehearsal has shown how it goes. */
+    /** Spread of moved load around a split by slots, until a rehearsal has shown how it splits. */
     private static final double UNREHEARSED_SPREAD = 0.06;
 
     private static final double REHEARSED_SPREAD = 0.02;
     private static final double MAX_CORRECTION = 3;
 
     /**
-     * A record of a node.
+     * A record of a node, as read from the replica.
      *
-     * @param node its owner
+     * @param node the owner
      * @param zone the owner's zone
      * @param pool the pool
-     * @param className the class
-     * @param version the owner's count: what was learnt once is not learnt again
-     * @param seen its content
-     * @param heardMs how long ago its owner was last known to hold it so
+     * @param className the request class
+     * @param version the owner's version of the record; each version is learnt from once
+     * @param observation the content
+     * @param ageMs the time since the owner last confirmed the record
      */
     public record PoolReport(
             String node,
@@ -104,31 +104,31 @@
     private List<TenantDemand> tenantDemand = List.of();
     private double timeOfDayMs;
 
-    /** Knows nothing yet. */
+    /** Creates a model without any observations. */
     public PoolModel(ForecastSettings terms) {
         this.settings = terms;
     }
 
-    /** What it takes as given. */
+    /** Returns the configured inputs. */
     public ForecastSettings settings() {
         return settings;
     }
 
-    /** The nodes that there should be, with their zones: one that is not heard is missed. */
+    /** Sets the nodes that should report, with their zones; those that do not are listed as missing. */
     public void expectNodes(Map<String, String> nodes) {
         expectedNodes = Map.copyOf(nodes);
     }
 
-    /** What tenants want of pools, all nodes together. */
+    /** Sets the demand of tenants for pools, summed over all nodes. */
     public void setTenantDemand(List<TenantDemand> demand) {
         tenantDemand = List.copyOf(demand);
     }
 
     /**
-     * Learns from the records as they are now; one that was learnt is passed over, one that is too old as well.
+     * Learns from the current records; those already learnt from and those that are too old are skipped.
      *
-     * @param nowMs now, by this member's clock
-     * @param nowDayMs now, as a time of the day
+     * @param nowMs the current time by this member's clock
+     * @param nowTimeOfDayMs the current time of day
      */
     public void update(double nowMs, double nowTimeOfDayMs, List<PoolReport> reports) {
         timeOfDayMs = nowTimeOfDayMs;
@@ -146,7 +146,7 @@
                 records.put(key, record);
             }
             record.confirmedAtMs = nowMs - report.ageMs();
-            // What its owner has taken back counts no more.
+            // A record that its owner has removed no longer counts.
             present.put(key, record);
             if (!report.version().equals(record.version)
                     && report.ageMs() <= settings.maxRecordAgeMs()
@@ -157,7 +157,7 @@
                 changed = true;
             }
         }
-        // Guards against names of the past that fill the memory.
+        // Guards against names that are no longer used filling the memory.
         records.values().removeIf(record -> nowMs - record.confirmedAtMs > FORGET_AFTER_MS);
         lastHeardMs.values().removeIf(at -> nowMs - at > FORGET_AFTER_MS);
         if (changed) {
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Guards against figures that a faulty node sends: they must not spoil what others see. */
+    /** Guards against implausible values from a faulty node, which would distort the estimates. */
     private static boolean isPlausible(PoolObservation observation) {
         return observation != null
                 && isPlausibleValue(observation.arrivalRate())
@@ -302,9 +302,9 @@
     }
 
     /**
-     * A rehearsal has shown that the load which was moved to a pool was off by this factor.
+     * Applies the result of a rehearsal: the load that moved to a pool differed from the prediction by this factor.
      *
-     * @param weight how much the rehearsal is worth beside what was known, 0 to 1
+     * @param weight the rehearsal's weight relative to what was known before, 0 to 1
      */
     public void applyCorrection(PoolName pool, double factor, double weight) {
         PoolEstimates estimates = pools.get(pool);
@@ -315,7 +315,7 @@
         }
     }
 
-    /** How the pools are now, for a plan that starts at this time of the day; negative for now. */
+    /** Returns the current state of the pools, for a plan that starts at this time of day; negative for now. */
     public PoolSnapshot snapshot(double nowMs, double startTimeOfDayMs) {
         List<Pool> estimatedPools = new ArrayList<>();
         for (Map.Entry<PoolName, PoolEstimates> entry : pools.entrySet()) {
@@ -343,12 +343,12 @@
         new TreeMap<>(expectedNodes).forEach((node, zone) -> {
             Double heardMs = lastHeardMs.get(node);
             if (heardMs == null) {
-                missing.add(new MissingNode(node, zone, node + " was never heard"));
+                missing.add(new MissingNode(node, zone, node + " has never reported"));
             } else if (nowMs - heardMs > settings.maxRecordAgeMs()) {
                 missing.add(new MissingNode(
                         node,
                         zone,
-                        String.format(Locale.ROOT, "%s was last heard %.0f s ago", node, (nowMs - heardMs) / 1000)));
+                        String.format(Locale.ROOT, "%s last reported %.0f s ago", node, (nowMs - heardMs) / 1000)));
             }
         });
         return new PoolSnapshot(settings, estimatedPools, flows, missing, tenantDemand);
@@ -367,7 +367,7 @@
                 : Double.POSITIVE_INFINITY;
         double downstreamMs = callsPerAttempt * downstreamServiceMs(name);
         double serviceMs = estimates.serviceMs.mean();
-        // What the next tier takes is not this one's work; a tenth at the least is its own.
+        // Time spent in the next tier is not this tier's own work; at least a tenth of the service time is.
         double ownWorkMs = Math.max(0.1 * serviceMs, serviceMs - downstreamMs);
         String unknownReason = unknownReason(nowMs, estimates, spread);
         Map<String, Double> classMix = new TreeMap<>();
@@ -425,31 +425,31 @@
 
     private static String unknownReason(double nowMs, PoolEstimates estimates, double spread) {
         if (estimates.servers == 0) {
-            return "no server of it is known to run";
+            return "it has no running server";
         }
         if (!estimates.recentAttemptRate.isKnown() || estimates.recentAttemptRate.mean() < MIN_ATTEMPT_RATE / 10) {
-            return "it has no load to learn from";
+            return "it has no load to estimate its capacity from";
         }
         if (!estimates.capacityPerServer.isKnown()) {
-            return "nobody tells how busy its servers are";
+            return "no node reports the utilisation of its servers";
         }
         if (estimates.capacityPerServer.weight() < MIN_WEIGHT) {
-            return "it was seen too shortly";
+            return "it has been observed for too short a time";
         }
         if (estimates.lastObservation.slots() <= 0) {
-            return "its slots are not known";
+            return "the number of its slots is unknown";
         }
         return spread > MAX_SPREAD
-                ? String.format(Locale.ROOT, "its capacity is known to %.0f%% only", 100 * spread)
+                ? String.format(Locale.ROOT, "its capacity is known only to within %.0f%%", 100 * spread)
                 : null;
     }
 
-    /** The pools that are known. */
+    /** Returns the names of the known pools. */
     public List<PoolName> poolNames() {
         return List.copyOf(pools.keySet());
     }
 
-    /** Forgets pools whose last record is long gone; from time to time. */
+    /** Removes pools that no longer have any records; to be called from time to time. */
     public void forgetPools(double nowMs) {
         Iterator<Map.Entry<PoolName, PoolEstimates>> iterator = pools.entrySet().iterator();
         while (iterator.hasNext()) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolName.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolName.java
@@ -9,22 +9,22 @@
  *
  * @param tier the tier
  * @param zone the zone
- * @param kind what tells its servers from others of the tier and zone
+ * @param kind what distinguishes the pool's servers from others of the same tier and zone
  */
 public record PoolName(String tier, String zone, String kind) implements Comparable<PoolName> {
     private static final Comparator<PoolName> ORDER =
             Comparator.comparing(PoolName::tier).thenComparing(PoolName::zone).thenComparing(PoolName::kind);
 
     /**
-     * Reads a name.
+     * Parses a name.
      *
-     * @throws IllegalArgumentException if it has not three parts
+     * @throws IllegalArgumentException if it does not consist of three non-empty parts
      */
     @JsonCreator
     public static PoolName parse(String name) {
         String[] parts = name.split("/", -1);
         if (parts.length != 3 || parts[0].isEmpty() || parts[1].isEmpty() || parts[2].isEmpty()) {
-            throw new IllegalArgumentException("a pool is tier/zone/kind, not " + name);
+            throw new IllegalArgumentException("pool name must have the form tier/zone/kind: " + name);
         }
         return new PoolName(parts[0], parts[1], parts[2]);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolObservation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolObservation.java
@@ -3,27 +3,28 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What one node sees of a class at a pool: a record of space {@code POOLS}, as JSON. A pool is the servers of one tier,
- * zone and kind; its name is {@code tier/zone/kind}. Figures of the pool as a whole (servers to {@code slowAt}) are the
- * same in the records of all its classes.
+ * What one node observes of a request class at a pool: a record of space {@code POOLS}, as JSON. A pool consists of the
+ * servers of one tier, zone and kind; its name is {@code tier/zone/kind}. Values that describe the pool itself, such as
+ * {@code servers} and those from {@code utilisation} to {@code degradedAtCalls}, are the same in the records of all its
+ * classes.
  *
- * @param arrivals first tries a second that this node sends there
- * @param attempts all tries a second
- * @param refused calls a second that this node turned away
- * @param servers servers of the pool that this node knows to run
- * @param slots calls that one server works on at the same time, as far as known; 0 if not
- * @param busy the mean number of this node's calls that are at the pool
- * @param serviceMs mean time of an answer when the pool is at ease, in milliseconds; 0 if not known
- * @param latencyMs mean time of an answer of late, in milliseconds
- * @param squaredVariation squared coefficient of variation of the answers' times
- * @param failed the part of tries that failed
- * @param overMs for how long all this was seen, in milliseconds
- * @param utilisation the mean part of their time for which servers say they work, 0 to 1; negative if none says
- * @param connections calls that one server may have open, those that wait for a slot included; 0 if not known
- * @param coldFrom the part of its speed that a server has at its start; 1 if it has all
- * @param coldMs after what time it has all
- * @param slowPart the part of its speed that was left to a server after a backlog; 1 if none was ever seen
- * @param slowAt calls at a server from which on that was so; 0 if none was ever seen
+ * @param arrivalRate first attempts per second that this node sends to the pool
+ * @param attemptRate all attempts per second
+ * @param rejectionRate requests per second that this node rejected
+ * @param servers running servers of the pool that this node knows of
+ * @param slots requests that one server works on at the same time; 0 if not known
+ * @param inFlight the mean number of this node's requests in flight at the pool
+ * @param serviceMs mean response time of the uncongested pool, in milliseconds; 0 if not known
+ * @param latencyMs recent mean response time, in milliseconds
+ * @param squaredVariation squared coefficient of variation of the response times
+ * @param failureRatio the fraction of attempts that failed
+ * @param windowMs the length of the observation window, in milliseconds
+ * @param utilisation the mean fraction of time that servers report to be busy, 0 to 1; negative if none reports it
+ * @param connections requests that one server may have open, those waiting for a slot included; 0 if not known
+ * @param coldCapacityRatio the fraction of its speed that a server starts with; 1 if it starts at full speed
+ * @param warmUpMs the time until a server reaches full speed
+ * @param degradedCapacityRatio the fraction of its speed that a server kept after a backlog; 1 if never observed
+ * @param degradedAtCalls the number of requests at a server from which on it degraded; 0 if never observed
  */
 public record PoolObservation(
         @JsonProperty("arrivals") double arrivalRate,
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolSnapshot.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * The pools as the model holds them at a moment, for a forecast: figures with their spreads (relative standard
+ * The pools as the model knows them at one moment, as input of a forecast: values with their spreads (relative standard
  * deviations), and what is not known.
  *
- * @param terms what is given
+ * @param settings the configured inputs
  * @param pools the pools
- * @param flows how the load of an origin (a zone's nodes) goes to a pool
- * @param missing nodes that are not heard, with the reason
- * @param tenants connections that tenants want of a pool, and for how many there is room by their shares
+ * @param flows the load from each origin (the nodes of a zone) to each pool
+ * @param missingNodes nodes that do not report, with the reason
+ * @param tenantDemand the connections of each pool that tenants demand
  */
 public record PoolSnapshot(
         ForecastSettings settings,
@@ -20,28 +20,28 @@
         List<MissingNode> missingNodes,
         List<TenantDemand> tenantDemand) {
     /**
-     * A pool.
+     * The estimated properties of a pool.
      *
-     * @param name its name
-     * @param servers its servers
-     * @param slots slots of each
-     * @param connections open calls that each takes, waiting ones included
-     * @param capacity tries a second that all together can do
-     * @param capacitySpread its spread
-     * @param workMs a try's own work, without its calls to the next tier
-     * @param variation squared coefficient of variation of the work
-     * @param parallel tries that all servers together work on at full speed
-     * @param calls calls to the next tier that a try makes
-     * @param callsSpread their spread
-     * @param mix the classes' parts of the tries
-     * @param coldFrom the part of its speed with which a server starts
-     * @param coldMs after what time it has all
-     * @param slowPart the part of its speed that is left after a backlog
-     * @param slowAt calls at a server from which on that is so; 0 if never
-     * @param correction by what moved load that comes here was off in rehearsals, as a factor
-     * @param correctionSpread how well that is known
-     * @param attempts tries a second of late
-     * @param unknown why nothing can be said of it; null if something can
+     * @param name the pool's name
+     * @param servers the number of servers
+     * @param slots slots per server
+     * @param connections open requests per server, waiting ones included
+     * @param capacity attempts per second of all servers together
+     * @param capacitySpread the spread of the capacity
+     * @param ownWorkMs the work of an attempt without its calls to the next tier
+     * @param squaredVariation squared coefficient of variation of the work
+     * @param concurrency attempts that all servers together work on at full speed
+     * @param callsPerAttempt calls to the next tier per attempt
+     * @param callsSpread the spread of the calls per attempt
+     * @param classMix the fraction of the attempts in each class
+     * @param coldCapacityRatio the fraction of its speed that a server starts with
+     * @param warmUpMs the time until a server reaches full speed
+     * @param degradedCapacityRatio the fraction of its speed that a server keeps after a backlog
+     * @param degradedAtCalls the number of requests at a server from which on it degrades; 0 if never
+     * @param correction the ratio of observed to predicted load that rehearsals moved here
+     * @param correctionSpread the spread of the correction
+     * @param attemptRate recent attempts per second
+     * @param unknownReason why no prediction is possible; null if one is
      */
     public record Pool(
             PoolName name,
@@ -64,12 +64,12 @@
             double correctionSpread,
             double attemptRate,
             String unknownReason) {
-        /** What one server can do, tries a second. */
+        /** Returns the capacity of one server in attempts per second. */
         double capacityPerServer() {
             return capacity / Math.max(1, servers);
         }
 
-        /** The same pool with so many servers of the same sort more. */
+        /** Returns the same pool with this many more servers of the same kind. */
         Pool withMoreServers(int addedServers) {
             double growth = (servers + addedServers) / (double) Math.max(1, servers);
             return new Pool(
@@ -97,34 +97,34 @@
     }
 
     /**
-     * First tries from an origin to a pool.
+     * First attempts from an origin to a pool.
      *
-     * @param origin the zone of the nodes that send them
-     * @param to the pool
-     * @param rate first tries a second
-     * @param spread its spread
+     * @param origin the zone of the sending nodes
+     * @param pool the pool
+     * @param rate first attempts per second
+     * @param spread the spread of the rate
      */
     public record Flow(String origin, PoolName pool, double rate, double spread) {}
 
     /**
-     * A node that is not heard.
+     * A node that does not report.
      *
-     * @param node its name
+     * @param node the node's name
      * @param zone its zone
-     * @param why the reason
+     * @param reason why it counts as missing
      */
     public record MissingNode(String node, String zone, String reason) {}
 
     /**
-     * What a tenant wants of a pool.
+     * A tenant's demand for a pool.
      *
      * @param pool the pool
      * @param tenant the tenant
-     * @param wanted connections that it would use now
+     * @param connections the connections that it would use now
      */
     public record TenantDemand(PoolName pool, String tenant, double connections) {}
 
-    /** Keeps its own copies. */
+    /** Copies the lists. */
     public PoolSnapshot {
         pools = List.copyOf(pools);
         flows = List.copyOf(flows);
@@ -132,19 +132,19 @@
         tenantDemand = List.copyOf(tenantDemand);
     }
 
-    /** The pool of this name; null if there is none. */
+    /** Returns the pool of this name; null if there is none. */
     public Pool pool(PoolName name) {
         return pools.stream().filter(p -> p.name().equals(name)).findFirst().orElse(null);
     }
 
-    /** All zones in which there are pools. */
+    /** Returns all zones that have pools. */
     public java.util.Set<String> zones() {
         java.util.Set<String> zones = new java.util.TreeSet<>();
         pools.forEach(p -> zones.add(p.name().zone()));
         return zones;
     }
 
-    /** The same with other pools. */
+    /** Returns the same snapshot with other pools. */
     PoolSnapshot withPools(List<Pool> newPools) {
         return new PoolSnapshot(settings, newPools, flows, missingNodes, tenantDemand);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Looks for the fastest order of steps that saturates nothing, or says what is missing for one. */
+/** Finds the fastest sequence of steps that saturates no pool, or the additional servers that would allow one. */
 public final class Proposer {
     private static final int TRAJECTORIES = 40;
-    /** A step order is taken only if no pool saturates in more of the courses. */
+    /** A plan is accepted only if each pool saturates in a smaller fraction of the simulations. */
     private static final double MAX_SATURATION_PROBABILITY = 0.1;
 
     private static final int[] STEP_COUNTS = {1, 2, 3, 4, 6, 8, 12, 16};
@@ -20,12 +20,12 @@
     private static final double GROWTH_PER_ROUND = 0.08;
 
     /**
-     * What was found.
+     * The result of a search.
      *
      * @param plan the fastest plan; null if there is none
-     * @param forecast its forecast, or that of moving all at once where there is no plan
-     * @param missing servers by pool with which one step would do; empty if there is a plan or nothing can be said
-     * @param why why there is none; null if there is
+     * @param forecast the plan's forecast; without a plan, that of moving all load at once
+     * @param additionalServers the servers by pool that would allow a single step; empty with a plan, or if unknown
+     * @param reason why there is no plan; null if there is one
      */
     public record Proposal(
             EvacuationPlan plan, Forecast forecast, Map<PoolName, Integer> additionalServers, String reason) {}
@@ -33,9 +33,9 @@
     private Proposer() {}
 
     /**
-     * Looks for a plan.
+     * Searches for a plan.
      *
-     * @param wanted its name, zone, rehearsal, return and servers that come; its steps are replaced
+     * @param template the name, zone, rehearsal, return steps and added servers of the plan; its steps are replaced
      * @param pauseMs the shortest pause between two steps
      */
     public static Proposal propose(
@@ -46,7 +46,7 @@
             Forecast forecast = forecast(snapshot, plan, shares, seed);
             if (forecast.verdict() == Verdict.UNKNOWN
                     || forecast.pools().stream().anyMatch(pool -> pool.verdict() == Verdict.UNKNOWN)) {
-                return new Proposal(null, forecast, Map.of(), "not all pools are known");
+                return new Proposal(null, forecast, Map.of(), "not all pools can be predicted");
             }
             if (nothingSaturates(forecast)) {
                 return new Proposal(plan, forecast, Map.of(), null);
@@ -64,8 +64,8 @@
                 atOnce,
                 additionalServers,
                 additionalServers.isEmpty()
-                        ? "no number of servers was found that would do"
-                        : "no order of steps does it without more servers");
+                        ? "no number of additional servers was found that suffices"
+                        : "no sequence of steps avoids saturation without additional servers");
     }
 
     private static Forecast forecast(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
@@ -82,15 +82,15 @@
                         plan.verdict() != Verdict.UNKNOWN && plan.saturationProbability() < MAX_SATURATION_PROBABILITY);
     }
 
-    private static List<EvacuationPlan.Step> evenSteps(double part, int stepCount, double pauseMs) {
+    private static List<EvacuationPlan.Step> evenSteps(double fraction, int stepCount, double pauseMs) {
         List<EvacuationPlan.Step> steps = new ArrayList<>();
         for (int i = 0; i < stepCount; i++) {
-            steps.add(new EvacuationPlan.Step(part / stepCount, pauseMs));
+            steps.add(new EvacuationPlan.Step(fraction / stepCount, pauseMs));
         }
         return steps;
     }
 
-    /** What holds at once, then a wait until the servers that come are warm, then the rest. */
+    /** Moves what is possible at once, waits until the added servers are warm, then moves the rest. */
     private static EvacuationPlan findPlanThatWaitsForAddedServers(
             PoolSnapshot snapshot, EvacuationPlan template, double pauseMs, SharePolicy shares, long seed) {
         double warmAtMs = 0;
@@ -115,7 +115,7 @@
         return null;
     }
 
-    /** Grows the pools that fall until none does, then takes back what was too much. */
+    /** Adds servers to the saturating pools until none saturates, then removes those that were not needed. */
     private static Map<PoolName, Integer> findAdditionalServers(
             PoolSnapshot snapshot, EvacuationPlan atOnce, SharePolicy shares, long seed) {
         Map<PoolName, Integer> added = new TreeMap<>();
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Queues.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Queues.java
@@ -1,17 +1,17 @@
 package brackenbridge.fleet.evacuation;
 
 /**
- * Waiting in queues with many servers, by published approximations. Times in any one unit.
+ * Published approximations of waiting in multi-server queues. Times are in any single unit.
  *
  * <p>Erlang C by the recursion of Erlang B (stable: Cooper, Introduction to Queueing Theory, 1981); the wait of G/G/c
- * by Allen and Cunneen (Allen, Probability, Statistics and Queueing Theory, 1990), which is Kingman's bound (1961)
- * carried over to c servers, and by Sakasegawa (An approximation formula L_q = a rho^b / (1 - rho), 1977); Whitt,
- * Approximations for the GI/G/m queue, 1993, compares them.
+ * by Allen and Cunneen (Allen, Probability, Statistics and Queueing Theory, 1990), which extends Kingman's bound (1961)
+ * to c servers, and by Sakasegawa (An approximation formula L_q = a rho^b / (1 - rho), 1977); Whitt, Approximations for
+ * the GI/G/m queue, 1993, compares them.
  */
 final class Queues {
     private Queues() {}
 
-    /** The part of arrivals that must wait in M/M/c with this offered load (arrivals times mean work). */
+    /** The probability of waiting in M/M/c with this offered load (arrival rate times mean service time). */
     static double erlangC(int c, double offeredLoad) {
         if (offeredLoad <= 0) {
             return 0;
@@ -26,7 +26,7 @@
         return blocking / (1 - offeredLoad / c * (1 - blocking));
     }
 
-    /** Mean wait before work by Allen and Cunneen; infinite from the load of 1 on. */
+    /** The mean wait by Allen and Cunneen; infinite from utilisation 1 on. Scv: squared coefficient of variation. */
     static double allenCunneen(int c, double arrivalRate, double serviceTime, double arrivalScv, double serviceScv) {
         double offeredLoad = arrivalRate * serviceTime;
         if (offeredLoad >= c) {
@@ -35,14 +35,14 @@
         return erlangC(c, offeredLoad) * serviceTime / (c - offeredLoad) * (arrivalScv + serviceScv) / 2;
     }
 
-    /** Mean number that wait in M/M/c by Sakasegawa, at the load rho of each server; c need not be whole. */
+    /** The mean queue length of M/M/c by Sakasegawa at utilisation rho; c need not be an integer. */
     static double sakasegawaQueueLength(double c, double rho) {
         return rho >= 1 ? Double.POSITIVE_INFINITY : Math.pow(rho, Math.sqrt(2 * (c + 1))) / (1 - rho);
     }
 
     /**
-     * The part of arrivals whose wait is longer than this: the wait of those that must wait is taken for exponential
-     * (exact in M/M/c).
+     * The probability that a wait exceeds the threshold. The wait of those that have to wait is taken as exponential,
+     * which is exact in M/M/c.
      */
     static double waitExceedsProbability(
             int c, double arrivalRate, double serviceTime, double serviceScv, double threshold) {
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/SharePolicy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/SharePolicy.java
@@ -3,24 +3,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Who gets how many connections of a pool when not all can be served: the fleet's rule of shares. */
+/** Divides a pool's connections among tenants when their demand exceeds them. */
 @FunctionalInterface
 public interface SharePolicy {
     /**
-     * What each tenant gets.
+     * Returns the connections that each tenant gets.
      *
      * @param pool the pool
-     * @param connections what there is
-     * @param wanted what each tenant wants
+     * @param connections the available connections
+     * @param demands the connections that each tenant demands
      */
     Map<String, Double> allocate(PoolName pool, double connections, Map<String, Double> demands);
 
-    /** Max-min fairness by water-filling with these weights; a tenant that has none weighs 1. */
+    /** Max-min fairness by water-filling with these weights; a tenant without a weight has weight 1. */
     static SharePolicy maxMin(Map<String, Double> weights) {
         Map<String, Double> fixedWeights = Map.copyOf(weights);
-        return (pool, connections, wanted) -> {
+        return (pool, connections, demands) -> {
             Map<String, Double> allocated = new TreeMap<>();
-            Map<String, Double> unsatisfied = new TreeMap<>(wanted);
+            Map<String, Double> unsatisfied = new TreeMap<>(demands);
             double remaining = connections;
             while (!unsatisfied.isEmpty()) {
                 double totalWeight = 0;
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/WeightCommand.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /**
- * What a driver tells every node, again and again: a message of stream {@code EVACUATION}.
+ * The zone weights that a driver repeatedly sends to every node: a message of stream {@code EVACUATION}.
  *
- * @param token the driver's
- * @param epoch the generation of the agreed record that it follows from
- * @param parts the part of its usual load that each zone keeps
- * @param forMs for how long it holds from its arrival
+ * @param token the driver's token
+ * @param epoch the generation of the agreed record that the weights follow from
+ * @param weights the fraction of its usual load that each zone keeps
+ * @param validForMs how long the command is valid after its arrival
  */
 public record WeightCommand(
         @JsonProperty("token") long token,
@@ -24,12 +24,12 @@
     private static final int MAX_BYTES = 64 * 1024;
     private static final double MAX_VALIDITY_MS = 120_000;
 
-    /** Keeps its own copy. */
+    /** Copies the map. */
     public WeightCommand {
         weights = weights == null ? Map.of() : Map.copyOf(weights);
     }
 
-    /** As bytes. */
+    /** Encodes the command as JSON. */
     public byte[] encode() {
         try {
             return JSON.writeValueAsBytes(this);
@@ -39,16 +39,16 @@
     }
 
     /**
-     * Reads it.
+     * Decodes a command.
      *
-     * @throws IOException if it is not one, or asks for what no plan may
+     * @throws IOException if the bytes are not a valid command or a value is out of bounds
      */
     public static WeightCommand decode(byte[] bytes) throws IOException {
         WeightCommand command = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, WeightCommand.class);
         if (command == null
                 || !(command.validForMs() > 0 && command.validForMs() <= MAX_VALIDITY_MS)
                 || command.weights().values().stream().anyMatch(weight -> !(weight >= 0 && weight <= 1))) {
-            throw new IOException("not an order");
+            throw new IOException("not a valid weight command");
         }
         return command;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/package-info.java
@@ -1,2 +1,2 @@
-/** Which pools would saturate if a zone were evacuated: model, forecast, plan, rehearsal, who drives it. */
+/** Evacuation of zones: pool model, saturation forecast, plan, rehearsal and the driver that carries the plan out. */
 package brackenbridge.fleet.evacuation;
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
@@ -29,14 +29,14 @@
         assertEquals(ZoneRecords.CALLS_PER_ATTEMPT, picture.pool(FRONT_B).callsPerAttempt(), 0.05);
         Forecast forecast = forecast(records.trainedModel(60), plan());
         assertEquals(Verdict.HOLDS, forecast.verdict(), () -> forecast.toString());
-        // A half of zone a's load comes to it.
+        // Half of zone a's load moves to zone b.
         assertEquals(90, forecast.of(FRONT_B).steps().get(3).load().expected(), 4);
         assertTrue(forecast.of(FRONT_B).steps().get(3).load().contains(90));
     }
 
     @Test
     void predictsSaturationInTheStepThatExceedsCapacity() {
-        // Zone b can do 165 a second and has 120; the third quarter of the 60 passes it with half of each.
+        // Zone b can serve 165/s and has 120/s. It gets half of zone a's 120/s in four steps; the third exhausts it.
         records.firstAttemptRates.put("b", 120.0);
         records.firstAttemptRates.put("a", 120.0);
         records.parcelServers.replaceAll((zone, servers) -> 8);
@@ -115,11 +115,11 @@
         model.setTenantDemand(List.of(
                 new PoolSnapshot.TenantDemand(FRONT_B, "large", 120),
                 new PoolSnapshot.TenantDemand(FRONT_B, "small", 5)));
-        Map<String, Double> refused =
+        Map<String, Double> rejected =
                 forecast(model, plan()).of(FRONT_B).steps().get(3).rejectedTenants();
-        assertEquals(List.of("large"), List.copyOf(refused.keySet()));
-        // 130 slots, 7.5 for the small one; the large one wants 180.
-        assertEquals(1 - 122.5 / 180, refused.get("large"), 0.05);
+        assertEquals(List.of("large"), List.copyOf(rejected.keySet()));
+        // Of the 130 slots the small tenant gets 7.5; the large one demands 180.
+        assertEquals(1 - 122.5 / 180, rejected.get("large"), 0.05);
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The forms of an evacuation's orders and of the agreed plan, against the golden files. */
+/** Checks the encoded weight commands, observations and plan records against the golden files. */
 class GoldenFormsTest {
     private static final PoolName POOL = new PoolName("tier-1", "zone-a", "large");
-    /** Listed one by one, so that each keeps its file when it is renamed. */
+    /** Listed one by one, so that each constant keeps its file when it is renamed. */
     private static final List<EvacuationStatus> STATUSES = List.of(
             EvacuationStatus.DRAFTED,
             EvacuationStatus.FORECAST,
@@ -53,7 +53,7 @@
 
     @Test
     void weightCommand() throws IOException {
-        // A map of one key: the order of more is not defined.
+        // A map with a single key: the order of several is not defined.
         GoldenFiles.check(
                 "evacuation/order",
                 new WeightCommand(77, 12, Map.of("zone-a", 0.75), 2500.5),
@@ -89,7 +89,7 @@
         GoldenFiles.check("evacuation/plan-" + name, state, PlanState::encode, PlanState::decode);
     }
 
-    /** Histories keep them, and staff read them. */
+    /** The lower-case names are part of plan histories and of what operators read. */
     @Test
     void lowerCaseNamesOfStatusesAndVerdicts() throws IOException {
         StringBuilder words = new StringBuilder();
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/QueuesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/QueuesTest.java
@@ -13,7 +13,7 @@
     @Test
     void erlangCMatchesTextbookValuesAndIsStableForManyServers() {
         assertEquals(0.5, Queues.erlangC(1, 0.5), 1e-12);
-        // Two servers: 2 a^2 / (2 - a) / (1 + a + a^2 / (2 - a) ...) at a = 1 is one third.
+        // Two servers at offered load a = 1: a^2 / (2 - a) / (1 + a + a^2 / (2 - a)) is one third.
         assertEquals(1 / 3.0, Queues.erlangC(2, 1), 1e-12);
         double many = Queues.erlangC(5000, 4900);
         assertTrue(many > 0 && many < 0.5, "" + many);
@@ -24,7 +24,7 @@
             @ForAll @IntRange(min = 1, max = 60) int c,
             @ForAll @DoubleRange(min = 0.05, max = 0.95) double rho,
             @ForAll @DoubleRange(min = 0, max = 9) double variation) {
-        // Pollaczek and Khinchin.
+        // Pollaczek-Khinchine formula.
         assertEquals(rho / (1 - rho) * (1 + variation) / 2, Queues.allenCunneen(1, rho, 1, 1, variation), 1e-9);
         double lower = Queues.allenCunneen(c, 0.9 * rho * c, 1, 1, variation);
         assertTrue(lower <= Queues.allenCunneen(c, rho * c, 1, 1, variation));
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ZoneRecords.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ZoneRecords.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Records as nodes of three zones would write them: front servers that call parcel servers, in each zone. */
+/** Records as the nodes of three zones would write them; in each zone, front servers call parcel servers. */
 final class ZoneRecords {
     static final ForecastSettings SETTINGS = ForecastSettings.withDefaults(
             List.of("front", "parcel"),
@@ -19,7 +19,7 @@
                     new ForecastSettings.ClassSettings(7500, false)));
     static final List<String> ZONES = List.of("a", "b", "c");
 
-    /** First tries a second of each zone, evenly over its two nodes. */
+    /** First attempts per second of each zone, split evenly over its two nodes. */
     final Map<String, Double> firstAttemptRates = new TreeMap<>(Map.of("a", 60.0, "b", 60.0, "c", 60.0));
 
     final Map<String, Integer> frontServers = new TreeMap<>(Map.of("a", 5, "b", 5, "c", 5));
@@ -28,7 +28,7 @@
     final Map<String, Double> clockRates = new TreeMap<>();
     private long sequence;
 
-    /** Tries a second that a front server and a parcel server can do. */
+    /** Attempts per second that one front server and one parcel server can serve. */
     static final double FRONT_CAPACITY = 33;
 
     static final double PARCEL_CAPACITY = 100;
@@ -49,7 +49,7 @@
         nodes().forEach((node, zone) -> {
             double clock = clockRates.getOrDefault(node, 1.0);
             double firstRate = firstAttemptRates.get(zone) / 2 / clock;
-            // Seconds differ a little, as they do.
+            // A small variation from second to second.
             double variation = 1 + 0.03 * Math.sin(sequence * 1.7 + node.hashCode());
             add(reports, node, zone, "front", firstRate * variation, frontServers.get(zone), FRONT_CAPACITY, 26, 90);
             add(
@@ -107,7 +107,7 @@
         }
     }
 
-    /** A model that has seen so many seconds of it. */
+    /** Returns a model that has learnt from this many seconds of records. */
     PoolModel trainedModel(int seconds) {
         PoolModel model = new PoolModel(SETTINGS);
         model.expectNodes(nodes());
