--- a/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
@@ -10,18 +10,18 @@
 import java.util.TreeMap;
 
 /**
- * Divides a pool's connections over tenants and nodes: weighted max-min fairness over all nodes at once, from the
- * groups down to tenants and classes; then each tenant's part over nodes by its demand there, as Pisces (Shue,
- * Freedman and Shaikh, OSDI 2012) splits weights over replicas.
+ * Divides a pool's connections among tenants and nodes: weighted max-min fairness over all nodes at once, from groups
+ * down to tenants and classes; then each tenant's share among nodes by its demand there, as Pisces (Shue, Freedman and
+ * Shaikh, OSDI 2012) splits weights over replicas.
  *
- * <p>What is left when all have what they want goes on by weights up to ceilings, to those who have demand, so that a
- * rise finds room before it is heard of. Nodes get whole connections, by the largest remainders, and what a node
- * lost or won by that is carried over to the next division: over time each tenant has its part to less than a
- * connection. A node with demand gets one at least as long as there are as many connections as such nodes. Not for
- * more than one thread.
+ * <p>Connections left over when all demand is met are divided by weight, up to the ceilings, among those with demand,
+ * so that a rise in demand can be served before it is reported. Nodes get whole connections by largest remainder, and
+ * each node's rounding error is carried over to the next allocation, so that over time each tenant gets its share to
+ * within one connection. A node with demand gets at least one connection as long as there are as many connections as
+ * such nodes. Not thread-safe.
  */
 public final class Allocator {
-    /** What is believed to be wanted beyond the mean: a part of it, and a part of its root. */
+    /** Headroom added to the mean demand: a fraction of it and a multiple of its square root. */
     private static final double HEADROOM = 0.05;
 
     private static final double HEADROOM_ROOT = 0.25;
@@ -48,11 +48,11 @@
     }
 
     /**
-     * Divides.
+     * Divides the connections.
      *
-     * @param capacity connections of the pool
+     * @param capacity the pool's connections
      * @param rules weights, floors and ceilings
-     * @param demand for each node and tenant, connections that are believed to be wanted there
+     * @param demand for each node and tenant, the estimated demand in connections
      */
     public Allocation allocate(int capacity, ShareRules rules, Map<String, Map<String, Double>> demand) {
         RuleNode root = buildTree(rules, demand);
@@ -101,7 +101,7 @@
                 if (tenantRule.children().isEmpty()) {
                     leaves.put(tenantRule.name(), tenant);
                 } else {
-                    // Calls of classes that are not named stand beside the named ones, with weight 1.
+                    // Requests of unnamed classes form a sibling of the named classes, with weight 1.
                     RuleNode unnamed = new RuleNode(
                             tenantRule.name(), new Rule(tenantRule.name(), 1, 0, Double.POSITIVE_INFINITY, List.of()));
                     tenant.children.add(unnamed);
@@ -131,7 +131,7 @@
         return root;
     }
 
-    /** Takes away what has no demand, and sums up what is left. */
+    /** Removes nodes without demand from the tree and sums up the rest. */
     private static void prune(RuleNode node) {
         node.children.forEach(Allocator::prune);
         node.children.removeIf(child -> child.demand <= 0);
@@ -148,7 +148,7 @@
         node.floor = Math.min(node.demand, Math.max(node.rule.floor(), sumFloors));
     }
 
-    /** Divides what a place has among those under it: what is wanted, what is left, or what each is entitled to. */
+    /** Divides a node's connections among its children: up to demand, up to ceilings, or the entitlements. */
     private static void distribute(RuleNode node, boolean toCeilings, boolean entitlement) {
         int childCount = node.children.size();
         double[] weights = new double[childCount];
@@ -205,7 +205,7 @@
         for (int i = 0; remaining > 0 && i < byRemainder.size(); i++, remaining--) {
             nodeTotals.merge(byRemainder.get(i), 1, Integer::sum);
         }
-        // Guards against a sum over the capacity, by those that got their first one or what was carried over.
+        // Guards against a sum above the capacity, from minimum connections or carried rounding errors.
         while (remaining < 0) {
             String mostRoundedUp = null;
             for (String k : byRemainder) {
--- a/fleet/src/main/java/brackenbridge/fleet/share/PoolUse.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/PoolUse.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What a node's tenant wants and uses of a pool: a record of space {@code DEMAND}, as JSON.
+ * A tenant's demand for and use of a pool at one node: a record of space {@code DEMAND}, as JSON.
  *
- * @param wanted connections that it would use now if it were alone, in flight and waiting together
- * @param used connections that it uses now
- * @param refused calls a second that were turned away for want of its share
- * @param meanMs how long one of its calls holds a connection, in milliseconds
+ * @param demand connections that it would use now without other tenants, in flight and waiting together
+ * @param inUse connections that it uses now
+ * @param rejectedPerSecond requests per second rejected because its share was exhausted
+ * @param meanMs how long one of its requests holds a connection, in milliseconds
  */
 public record PoolUse(
         @JsonProperty("wanted") double demand,
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -11,20 +11,21 @@
 import java.util.stream.Collectors;
 
 /**
- * A node's side of the leases of one pool: asks, and says what its tenants may hold.
+ * A node's side of the leases of one pool: requests leases and computes the quotas of the node's tenants.
  *
- * <p>It acts by an answer for a lease from the moment of the question; then, until the leases of those to whom its
- * guaranteed part may have been lent have run out, by the smaller of that lease and the guaranteed part; then by the
- * guaranteed part. A node that has just started begins with nothing, in the same way: an earlier life of it may have
- * lent its part. Where the pool is smaller by its own list than the lessor knew, it takes its part of that. Plain:
- * times and values in, values out; times by one clock that never goes back.
+ * <p>A grant is in force for one lease from the moment of its request. After that, until all leases that may have
+ * borrowed this node's guaranteed share have expired, the node uses the smaller of the last lease and the guaranteed
+ * share, and then the guaranteed share. A node that has just started begins with nothing and waits in the same way,
+ * because its guaranteed share may be lent since an earlier incarnation. If the pool is smaller by the node's own
+ * endpoint list than the lease server knew, the lease shrinks in proportion. Without I/O; times are of one monotonic
+ * clock.
  */
 public final class QuotaLeaseClient {
-    /** Tenants that a question names; the smaller ones count together. */
+    /** The number of tenants that a request names; the smaller ones are summed up. */
     static final int MAX_NAMED_TENANTS = 1000;
-    /** How fast demand's estimate follows, in milliseconds. */
+    /** The time constant of the demand estimate, in milliseconds. */
     private static final double DEMAND_TIME_CONSTANT_MS = 150;
-    /** At what part of the time to drain calls are given up: the rest is for doing so. */
+    /** The fraction of the drain time after which requests are cancelled; the rest is for the cancellation itself. */
     private static final double CANCEL_AT_DRAIN_FRACTION = 0.85;
 
     private final String pool;
@@ -40,7 +41,7 @@
     private double leaseEndMs = Double.NEGATIVE_INFINITY;
     private double grantReceivedAtMs;
     private int capacity;
-    /** The smallest that the pool was since the last question. */
+    /** The smallest capacity since the last request. */
     private int lowestCapacity;
 
     private int members;
@@ -53,7 +54,7 @@
     private long quotaEpoch;
     private double nextUpdateMs = Double.NEGATIVE_INFINITY;
 
-    /** A node that starts now. */
+    /** Creates the client of a node that starts now. */
     public QuotaLeaseClient(String pool, QuotaLeaseTerms terms, long life, double nowMs) {
         this.pool = pool;
         this.terms = terms;
@@ -61,7 +62,7 @@
         this.grantReceivedAtMs = nowMs;
     }
 
-    /** Its own list has the pool at so many connections, and the agreed membership has so many members. */
+    /** Sets the pool's connections by the node's own endpoint list, and the number of agreed members. */
     public void updatePool(int newCapacity, int newMembers) {
         if (capacity != newCapacity || members != newMembers) {
             capacity = newCapacity;
@@ -73,7 +74,7 @@
         }
     }
 
-    /** What its tenants wanted and used since the last reading. */
+    /** Records what its tenants demanded and used since the last call. */
     public void recordDemand(double nowMs, List<TenantUse> uses) {
         double weight =
                 Double.isNaN(demandReadAtMs) ? 1 : 1 - Math.exp(-(nowMs - demandReadAtMs) / DEMAND_TIME_CONSTANT_MS);
@@ -94,7 +95,7 @@
                             use.rejectedPerSecond(),
                             use.meanMs());
         });
-        // A tenant that is new here can't wait for its turn.
+        // A tenant that is new at this node must not wait for the next regular request.
         requestSoon |= currentUse.keySet().stream()
                 .anyMatch(tenant -> !demand.containsKey(tenant) && !leaseByTenant.containsKey(tenant));
         demand.clear();
@@ -105,18 +106,18 @@
         });
     }
 
-    /** Connections that it uses now. */
-    public void inUse(int connections) {
+    /** Sets the number of connections in use. */
+    public void setInUse(int connections) {
         ackPending |= inUse > leasedTotal && connections < inUse;
         inUse = connections;
     }
 
-    /** When the next question is due. */
+    /** Returns when the next request is due. */
     public double nextRequestMs() {
         return requestedAtMs + (requestSoon ? terms.minRequestIntervalMs() : terms.requestIntervalMs());
     }
 
-    /** It asks now. */
+    /** Creates the next request. */
     public QuotaLeaseMessage.Request request(double nowMs) {
         lastRequest++;
         requestedAtMs = nowMs;
@@ -136,7 +137,7 @@
                 demandByNamedTenant());
     }
 
-    /** What is to be said of connections given back; empty if nothing. */
+    /** Returns the acknowledgement that is due after connections were returned; empty if none is. */
     public Optional<QuotaLeaseMessage.Ack> pendingAck() {
         if (!ackPending || activeRequest == 0) {
             return Optional.empty();
@@ -145,10 +146,10 @@
         return Optional.of(new QuotaLeaseMessage.Ack(pool, incarnation, activeRequest, inUse));
     }
 
-    /** An answer has come. */
+    /** Handles a grant. */
     public void receive(double nowMs, QuotaLeaseMessage.Grant grant) {
-        // Guards against answers to another life or an older question, whose lease runs from another moment, and
-        // against a lessor that was replaced.
+        // Guards against grants for another incarnation or an older request, whose lease runs from another moment, and
+        // against a lease server that has been replaced.
         if (grant.incarnation() != incarnation
                 || grant.requestNumber() != lastRequest
                 || grant.requestNumber() == activeRequest
@@ -169,21 +170,21 @@
         nextUpdateMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** There is another lease to be had. */
+    /** Handles a notice that a new lease is available. */
     public void receive(QuotaLeaseMessage.RenewalNotice notice) {
         requestSoon |= notice.token() >= highestToken;
         highestToken = Math.max(highestToken, notice.token());
     }
 
-    /** Whether there is something new to tell the node's reducer. */
+    /** Whether the quotas of the node's reducer have to be updated. */
     public boolean hasUpdate(double nowMs) {
         return members > 0 && nowMs >= nextUpdateMs;
     }
 
-    /** What the node's tenants may hold now. */
+    /** Returns the current quotas of the node's tenants. */
     public TenantQuotas quotas(double nowMs) {
         quotaEpoch++;
-        int guaranteedShare = terms.guaranteedFraction(capacity, members);
+        int guaranteedShare = terms.guaranteedConnections(capacity, members);
         int reducedShare = Math.min(leasedTotal, guaranteedShare);
         double shareLentUntilMs = grantReceivedAtMs + terms.shareLentMs();
         if (nowMs < leaseEndMs) {
@@ -196,9 +197,9 @@
                 : quotasUntil(guaranteedShare, Double.POSITIVE_INFINITY, guaranteedShare);
     }
 
-    /** Connections that it may use now. */
+    /** Returns the connections that the node may use now. */
     public int usableConnections(double nowMs) {
-        int guaranteedShare = terms.guaranteedFraction(capacity, members);
+        int guaranteedShare = terms.guaranteedConnections(capacity, members);
         return nowMs < leaseEndMs
                 ? leasedTotal
                 : nowMs < grantReceivedAtMs + terms.shareLentMs()
@@ -206,17 +207,17 @@
                         : guaranteedShare;
     }
 
-    /** Whether calls that outlast the lease are to be given up now. */
+    /** Whether requests that outlast the lease have to be cancelled now. */
     public boolean mustCancelOverdueCalls(double nowMs) {
         return nowMs >= leaseEndMs + CANCEL_AT_DRAIN_FRACTION * terms.drainMs() && inUse > usableConnections(nowMs);
     }
 
-    /** Demand as it was last read, as it is put among the records of the fleet. */
+    /** Returns the demand as last recorded, as published in the fleet's records. */
     public Map<String, PoolUse> demand() {
         return Map.copyOf(demand);
     }
 
-    /** Cuts its lease to a smaller pool: for good, as the lessor does, so that growth gives nobody what others got. */
+    /** Shrinks the lease to a smaller pool for good, as the server does: later growth may be granted to others. */
     private void reduceCapacity(int newCapacity) {
         if (newCapacity < leaseCapacity) {
             int previousTotal = leasedTotal;
@@ -233,7 +234,7 @@
         return new TenantQuotas(quotaEpoch, tenants, 0, Map.of(), untilMs, split(afterwards));
     }
 
-    /** Connections split as the last lease was; all tenants together where there was none. */
+    /** Splits connections in proportion to the last lease; without one, gives them to all tenants together. */
     private Map<String, Double> split(int connections) {
         if (leasedTotal == 0) {
             return Map.of("", (double) connections);
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseMessage.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** What a lessor and the nodes say to each other, over a stream of their own; each may be lost, late or repeated. */
+/** The messages between the lease server and the nodes, on a stream of their own; any may be lost, late or repeated. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = QuotaLeaseMessage.Request.class, name = "ask"),
@@ -18,24 +18,24 @@
     @JsonSubTypes.Type(value = QuotaLeaseMessage.RenewalNotice.class, name = "nudge")
 })
 public sealed interface QuotaLeaseMessage {
-    /** The longest message; bytes. */
+    /** The maximum size of a message in bytes. */
     int MAX_BYTES = 1 << 18;
 
-    /** The pool. */
+    /** The name of the pool. */
     String pool();
 
     /**
-     * A node asks for its lease.
+     * A node's request for a lease.
      *
-     * @param life its life
-     * @param number counts its questions in this life
-     * @param acting the question by whose answer it acts; 0 if by none
-     * @param token the token of who gave that answer
-     * @param heard the highest token that it has heard of
-     * @param held connections that it may use by that answer now; 0 if it has run out
-     * @param leftMs for how long it still may
-     * @param busy connections that it uses
-     * @param demand what each tenant wants and uses there
+     * @param incarnation the node's incarnation
+     * @param requestNumber counts the requests of this incarnation
+     * @param activeRequest the request whose grant is in force; 0 if there is none
+     * @param token the token of the server that granted it
+     * @param highestToken the highest token that the node has seen
+     * @param leased connections that the node may use by that grant now; 0 if it has expired
+     * @param remainingMs how long that grant is still valid
+     * @param inUse connections in use
+     * @param demand the demand and use of each tenant at this node
      */
     record Request(
             @JsonProperty("pool") String pool,
@@ -49,22 +49,22 @@
             @JsonProperty("busy") int inUse,
             @JsonProperty("demand") Map<String, PoolUse> demand)
             implements QuotaLeaseMessage {
-        /** Keeps its own copy. */
+        /** Copies the map. */
         public Request {
             demand = Map.copyOf(demand);
         }
     }
 
     /**
-     * A lease, from the moment of the question on.
+     * A lease, valid from the moment of its request.
      *
-     * @param life whose life asked
-     * @param number its question
-     * @param token the lessor's: a lower one than was heard of is passed over
-     * @param leaseMs for how long it holds
-     * @param capacity connections of the pool as the lessor knows it
-     * @param members members of the fleet, for the guaranteed part
-     * @param tenants connections for each tenant; together a whole number
+     * @param incarnation the incarnation of the requesting node
+     * @param requestNumber the request that it answers
+     * @param token the server's token; a node that has seen a higher one ignores the grant
+     * @param leaseMs the duration of the lease
+     * @param capacity the pool's connections as known to the server
+     * @param members the number of fleet members, which determines the guaranteed share
+     * @param tenants connections for each tenant; their sum is an integer
      */
     record Grant(
             @JsonProperty("pool") String pool,
@@ -76,12 +76,12 @@
             @JsonProperty("members") int members,
             @JsonProperty("tenants") Map<String, Double> tenants)
             implements QuotaLeaseMessage {
-        /** Keeps its own copy. */
+        /** Copies the map. */
         public Grant {
             tenants = Map.copyOf(tenants);
         }
 
-        /** Connections over all tenants. */
+        /** Returns the connections over all tenants. */
         int total() {
             return (int)
                     Math.round(tenants.values().stream().mapToDouble(d -> d).sum());
@@ -89,11 +89,11 @@
     }
 
     /**
-     * A node acts by an answer.
+     * Acknowledges that a node has put a grant into force.
      *
-     * @param life its life
-     * @param number the question
-     * @param busy connections that it uses: those beyond the lease are still to be given back
+     * @param incarnation the node's incarnation
+     * @param requestNumber the request that the grant answered
+     * @param inUse connections in use; those beyond the lease still have to be returned
      */
     record Ack(
             @JsonProperty("pool") String pool,
@@ -103,15 +103,15 @@
             implements QuotaLeaseMessage {}
 
     /**
-     * There is another lease to be had: ask now. It carries no promise.
+     * Notifies a node that a different lease is available and that it should send a request now. Promises nothing.
      *
-     * @param token the lessor's
+     * @param token the server's token
      */
     record RenewalNotice(
             @JsonProperty("pool") String pool,
             @JsonProperty("token") long token) implements QuotaLeaseMessage {}
 
-    /** As bytes. */
+    /** Encodes a message as CBOR. */
     static byte[] encode(QuotaLeaseMessage message) {
         try {
             return Codec.CBOR.writeValueAsBytes(message);
@@ -121,13 +121,13 @@
     }
 
     /**
-     * From bytes.
+     * Decodes a message.
      *
-     * @throws IOException if they are none
+     * @throws IOException if the bytes are not a valid message
      */
     static QuotaLeaseMessage decode(byte[] bytes) throws IOException {
         if (bytes.length > MAX_BYTES) {
-            throw new IOException("a message of " + bytes.length + " bytes");
+            throw new IOException("lease message of " + bytes.length + " bytes exceeds " + MAX_BYTES);
         }
         try {
             return Codec.CBOR.readValue(bytes, QuotaLeaseMessage.class);
@@ -136,7 +136,7 @@
         }
     }
 
-    /** The library's mapper, within bounds. */
+    /** The CBOR mapper, with limits on nesting and string lengths. */
     final class Codec {
         private static final ObjectMapper CBOR = new ObjectMapper(CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
@@ -9,30 +9,31 @@
 import java.util.TreeMap;
 
 /**
- * Grants the leases of one pool: the part of the member that holds the role. Plain: times, messages and values in,
- * messages out; times by one clock that never goes back.
+ * Grants the leases of one pool at the member that holds the lease server role. Without I/O; times are of one monotonic
+ * clock.
  *
- * <p>Promise: what all members may use together never passes the pool's capacity, whatever messages are lost, late or
- * repeated, whoever stalls, starts again or is cut off, and whoever was the lessor before. Assumed: clocks' rates
- * differ by the drift at most; the role has one holder at a time, who asks before each act whether it is; a node
- * acts as {@link QuotaLeaseClient} does; nodes hear of a smaller pool by their own lists as soon as the lessor does.
+ * <p>Invariant: the connections that all members together may use never exceed the pool's capacity, whatever messages
+ * are lost, late or repeated, whichever members stall, restart or are cut off, and whoever was the lease server before.
+ * Assumptions: clock rates differ by at most the drift; one member at a time holds the role and checks this before each
+ * action; nodes behave as {@link QuotaLeaseClient}; nodes learn of a smaller pool from their own endpoint lists as soon
+ * as the server does.
  *
- * <p>What a member may use at the most is the largest of: the answers that it may act by, those being the last that
- * it has said that it acts by and all later ones, until they have run out and drained; what it last said that it
- * uses; and its guaranteed part, from a lease on after the answer that it last said that it acts by. Until then that
- * part is lent, for the leases that rest on it have run out before the node counts on it again. An answer gives no
- * more than the capacity leaves beside all others' most.
+ * <p>The most that a member may use is the largest of: the grants that may be in force, which are the last one that it
+ * acknowledged and all later ones, until they have expired and drained; the connections that it last reported in use;
+ * and its guaranteed share, from one lease after the grant that it last acknowledged. Until then that share is lent to
+ * others, because the leases that include it expire before the node counts on it again. A grant contains at most what
+ * the capacity leaves beside the most that all others may use.
  *
- * <p>A new lessor knows no leases. For one wait it only renews what nodes show that they hold, cut by the part that
- * the guaranteed parts of those it has not heard of are of the pool: together with them that is no more than there
- * was.
+ * <p>A new server knows no leases. For one expiry time it only renews the leases that nodes report, reduced by the
+ * fraction of the pool that the guaranteed shares of the nodes that have not reported amount to. Together with those
+ * shares this is no more than before.
  */
 public final class QuotaLeaseServer {
-    /** How often it divides anew; milliseconds. */
+    /** The interval between allocations, in milliseconds. */
     private static final double ALLOCATION_INTERVAL_MS = 25;
-    /** A node's demand is believed for as long as this after its question, in leases. */
+    /** How long a node's demand is valid after its request, in leases. */
     private static final double DEMAND_VALID_LEASES = 1.5;
-    /** A lease is worth another answer if a tenant's part of it is off by this part and this many connections. */
+    /** A lease is renewed if a tenant's share deviates by more than this fraction and this many connections. */
     private static final double RENEWAL_DEVIATION = 0.02;
 
     private static final double MIN_RENEWAL_DEVIATION = 0.2;
@@ -57,35 +58,35 @@
      * A message to a node.
      *
      * @param to the node
-     * @param message what
+     * @param message the message
      */
     public record Outgoing(String to, QuotaLeaseMessage message) {}
 
     /**
-     * A tenant that is under its floor though it wants more: an alarm.
+     * An alarm about a tenant that stays below its floor despite demand.
      *
-     * @param tenant which
+     * @param tenant the tenant
      * @param floor connections that it should have
-     * @param used connections that it uses
-     * @param forMs for how long already
-     * @param cause why, as far as known
+     * @param inUse connections that it uses
+     * @param durationMs how long this has lasted
+     * @param cause the reason, as far as known
      */
     public record StarvedTenant(String tenant, double floor, double inUse, double durationMs, String cause) {}
 
     /**
-     * A node as the lessor sees it; for staff.
+     * The state of a node as known to the server, for operators.
      *
      * @param leased connections of the last lease
-     * @param most connections that it may use at the most
-     * @param busy connections that it said it uses
-     * @param heardMs how long ago it asked last
+     * @param maxUse the most connections that it may use
+     * @param inUse connections that it last reported in use
+     * @param requestAgeMs the time since its last request
      */
     public record NodeState(String node, int leased, int maxUse, int inUse, double requestAgeMs) {}
 
     /**
-     * All that the lessor knows; for staff.
+     * The state of the server, for operators.
      *
-     * @param waits whether it still waits for another's leases to run out
+     * @param recovering whether it still waits for the leases of an earlier server to expire
      */
     public record State(
             boolean holdsRole,
@@ -117,25 +118,25 @@
         private int previousGuaranteedShare;
     }
 
-    /** A lessor that does not act yet. */
+    /** Creates a server that does not hold the role yet. */
     public QuotaLeaseServer(String pool, QuotaLeaseTerms terms) {
         this.pool = pool;
         this.terms = terms;
     }
 
-    /** The agreed membership. A member that is taken out must have been stopped. */
+    /** Sets the agreed membership. A removed member must have been stopped before. */
     public void setMembers(Collection<String> names) {
         int previousShare = guaranteedShare;
         nodes.keySet().retainAll(names);
         names.forEach(name -> nodes.computeIfAbsent(name, k -> new Node()));
         memberCount = names.size();
-        guaranteedShare = terms.guaranteedFraction(capacity, memberCount);
+        guaranteedShare = terms.guaranteedConnections(capacity, memberCount);
         nodes.values().forEach(name -> name.previousGuaranteedShare = Math.max(previousShare, guaranteedShare));
         allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** The pool's connections, by the file and the list. */
-    public void capacity(int connections) {
+    /** Sets the pool's connections, as given by the fleet file and the endpoint list. */
+    public void setCapacity(int connections) {
         if (connections < capacity) {
             for (Node node : nodes.values()) {
                 node.previousGuaranteedShare = 0;
@@ -155,17 +156,17 @@
             }
         }
         capacity = connections;
-        guaranteedShare = terms.guaranteedFraction(capacity, memberCount);
+        guaranteedShare = terms.guaranteedConnections(capacity, memberCount);
         allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** The agreed rules. */
-    public void rules(ShareRules newRules) {
+    /** Sets the agreed rules. */
+    public void setRules(ShareRules newRules) {
         rules = newRules;
         allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** It holds the role from now on, by this token. */
+    /** Starts to act as the lease server, under this token. */
     public void takeOver(double nowMs, long newToken) {
         holdsRole = true;
         token = newToken;
@@ -181,12 +182,12 @@
         });
     }
 
-    /** It holds the role no longer. */
+    /** Stops acting as the lease server. */
     public void loseRole() {
         holdsRole = false;
     }
 
-    /** What a node was heard to want by others than itself, such as by records; what it says itself counts more. */
+    /** Records a node's demand from another source, such as a replicated record; the node's own requests replace it. */
     public void recordReportedDemand(double nowMs, String nodeName, Map<String, PoolUse> demand, double ageMs) {
         Node node = nodes.get(nodeName);
         if (node != null && node.incarnation == Long.MIN_VALUE && ageMs <= DEMAND_VALID_LEASES * terms.leaseMs()) {
@@ -195,7 +196,7 @@
         }
     }
 
-    /** A message has come. */
+    /** Handles a message from a node. */
     public List<Outgoing> receive(double nowMs, String from, QuotaLeaseMessage message) {
         Node node = nodes.get(from);
         if (!holdsRole || node == null) {
@@ -213,7 +214,7 @@
         return runDue(nowMs);
     }
 
-    /** Time has passed: divides anew if it is time, and nudges those who are worth it. */
+    /** Updates the allocation if it is due, and notifies nodes that should request a new lease. */
     public List<Outgoing> runDue(double nowMs) {
         if (!holdsRole || nowMs < allocatedAtMs + ALLOCATION_INTERVAL_MS) {
             return List.of();
@@ -246,12 +247,12 @@
         return messages;
     }
 
-    /** When {@link #due} is to be called. */
+    /** Returns when {@link #runDue} has to be called next. */
     public double nextRunMs() {
         return holdsRole ? allocatedAtMs + ALLOCATION_INTERVAL_MS : Double.POSITIVE_INFINITY;
     }
 
-    /** Connections that all members may use together at the most. */
+    /** Returns the most connections that all members together may use. */
     public int maxUse(double nowMs) {
         int sum = 0;
         for (Node node : nodes.values()) {
@@ -260,7 +261,7 @@
         return sum;
     }
 
-    /** For staff. */
+    /** Returns the server's state, for operators. */
     public State state(double nowMs) {
         List<NodeState> nodeStates = new ArrayList<>();
         nodes.forEach((name, node) -> nodeStates.add(new NodeState(
@@ -295,7 +296,7 @@
         return token > 0 && nowMs < tookOverAtMs + terms.expiryWaitMs();
     }
 
-    /** How long a new lessor listens before it renews anything; milliseconds. */
+    /** How long a new server collects reports before it renews leases, in milliseconds. */
     private double listenMs() {
         return terms.requestIntervalMs() / 2;
     }
@@ -303,11 +304,11 @@
     private List<Outgoing> handleRequest(double nowMs, String from, Node node, QuotaLeaseMessage.Request request) {
         if (request.incarnation() < node.incarnation
                 || request.incarnation() == node.incarnation && request.requestNumber() <= node.lastRequest) {
-            // Guards against old demand that is said again.
+            // Guards against repeated requests with outdated demand.
             return List.of();
         }
         if (request.incarnation() > node.incarnation) {
-            // Its former life has ended, and with it all that it used. It begins with nothing.
+            // The former incarnation has ended, and its use with it. The new one starts with nothing.
             node.issued.clear();
             node.activeGrant = null;
             node.incarnation = request.incarnation();
@@ -323,14 +324,14 @@
         }
         node.inUse = Math.max(0, request.inUse());
         if (isRecovering(nowMs) && request.highestToken() < token) {
-            // Guards against a question from before it took over: what it shows may have been given to others since.
+            // Guards against a request from before the takeover: its lease may have been granted to others since.
             return List.of(new Outgoing(from, new QuotaLeaseMessage.RenewalNotice(pool, token)));
         }
         if (!node.inheritedKnown) {
             node.inheritedKnown = true;
             node.inherited = request.token() < token ? Math.max(0, request.leased()) : 0;
-            // Its last answer came a lease less what is left before this question at the earliest, and that question
-            // was asked after the takeover.
+            // The last grant arrived no earlier than one lease minus the remaining time before this request, and this
+            // request was sent after the takeover.
             node.shareLentUntilMs = node.inherited > 0
                     ? tookOverAtMs
                             + Math.min(request.remainingMs(), terms.leaseMs())
@@ -361,13 +362,13 @@
         return messages;
     }
 
-    /** What it showed that it holds of another lessor, cut by what those not heard of may count on. */
+    /** Renews the lease that a node reports from an earlier server, reduced by what unreported nodes may count on. */
     private Map<String, Double> renewInheritedLease(double nowMs, Node node) {
         if (node.inherited == 0 || capacity <= 0 || nowMs < tookOverAtMs + listenMs()) {
             return null;
         }
         double unreported = 0;
-        // Calls beyond a lease that was lowered: what is renewed lies in what they leave.
+        // Requests beyond a reduced lease are still in flight: what is renewed must fit into what they leave.
         double excessUse = 0;
         for (Node other : nodes.values()) {
             excessUse += other.inheritedKnown ? Math.max(0, other.inUse - other.inherited) : 0;
@@ -400,7 +401,7 @@
         return scaled;
     }
 
-    /** Among the tenants of one node alone, by the rules. */
+    /** Splits the connections of one node among its tenants, by the rules. */
     private Map<String, Double> split(int total, Map<String, PoolUse> demand) {
         Map<String, Double> bounded = new HashMap<>();
         demand.forEach((tenant, use) -> bounded.put(tenant, boundedDemand(use.demand())));
@@ -412,7 +413,7 @@
                 total);
     }
 
-    /** It has said that it acts by this answer: those before it count no more. */
+    /** The node has confirmed that this grant is in force: earlier ones no longer count. */
     private static void confirmActive(Node node, long requestNumber) {
         IssuedGrant confirmed = null;
         for (IssuedGrant grant : node.issued) {
@@ -428,7 +429,7 @@
         }
     }
 
-    /** Whether its guaranteed part is lent: leases granted now run out before it counts on that again. */
+    /** Whether the node's guaranteed share is lent: leases granted now expire before the node counts on it again. */
     private boolean hasLentShare(Node node, double nowMs) {
         return node.activeGrant != null && nowMs <= node.activeGrant.issuedAtMs() + terms.leaseMs()
                 || nowMs <= node.shareLentUntilMs;
@@ -443,13 +444,13 @@
             max = Math.max(max, grant.total());
         }
         if (!node.issued.isEmpty()) {
-            // Calls that began under an earlier lease and go on.
+            // Requests that began under an earlier lease and are still in flight.
             max = Math.max(max, node.inUse);
         }
         return max;
     }
 
-    /** A lease as its node cuts it by its own list, for good. */
+    /** Shrinks a lease as the node itself does when its endpoint list shrinks; it does not grow back. */
     private static int scaleDown(int connections, int from, int to) {
         return (int) Math.floor((double) connections * to / from + 1e-9);
     }
@@ -498,7 +499,7 @@
         updateStarvations(nowMs, totalsByTenant);
     }
 
-    /** No node wants more than there is; who leaves unused what it has asked for is believed by its use. */
+    /** Returns the demand, limited to the capacity; a tenant that leaves its lease unused is limited by its use. */
     private double credibleDemand(double nowMs, Node node, String tenant, PoolUse use) {
         double demand = boundedDemand(use.demand());
         double leased =
@@ -513,7 +514,7 @@
     }
 
     private double boundedDemand(double connections) {
-        // Guards against what is no number, and against a node that says that it wants more than there is.
+        // Guards against NaN, and against a node that reports a demand above the capacity.
         return connections > 0 ? Math.min(connections, capacity) : 0;
     }
 
@@ -540,19 +541,19 @@
     private String starvationCause(String tenant, double nowMs) {
         Allocation.TenantAllocation allocated = allocation.tenants().get(tenant);
         if (allocated != null && allocated.allocated() < 0.9 * allocated.floor()) {
-            return "the floors are more than the pool has";
+            return "the floors exceed the pool's connections";
         }
         for (Map.Entry<String, Node> entry : nodes.entrySet()) {
             Node node = entry.getValue();
             int total = allocation.nodeTotal(entry.getKey());
             if (maxUse(node, nowMs) > total + 1) {
                 return nowMs - node.demandAtMs > terms.requestIntervalMs() * 2
-                        ? "node " + entry.getKey() + " is not heard of and may use " + maxUse(node, nowMs)
+                        ? "node " + entry.getKey() + " does not report and may use " + maxUse(node, nowMs)
                                 + " connections"
-                        : "node " + entry.getKey() + " has " + node.inUse + " connections in use and " + total
-                                + " for it";
+                        : "node " + entry.getKey() + " has " + node.inUse + " connections in use but is allocated "
+                                + total;
             }
         }
-        return "its lease is granted and not used";
+        return "its lease is granted but not used";
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
@@ -15,15 +15,15 @@
 import java.util.Set;
 
 /**
- * Who may have what part of a pool: the content of the agreed value {@code shares}, the same for each pool. A tree of
- * groups, tenants and, where a tenant has them, classes.
+ * The rules by which a pool is shared: the content of the agreed value {@code shares}, the same for each pool. They
+ * form a tree of groups, tenants and, where a tenant has them, classes.
  *
- * @param groups the groups that are named
+ * @param groups the named groups
  * @param others weight, floor and ceiling of all tenants together that no group names; each of them has weight 1
- * @param hungerMs a tenant that is under its floor with demand for longer is an alarm; milliseconds
+ * @param starvationMs a tenant with demand that stays below its floor for longer raises an alarm; milliseconds
  */
 public record ShareRules(List<Rule> groups, Rule others, double starvationMs) {
-    /** No groups: all tenants alike. */
+    /** Rules without groups: all tenants are equal. */
     public static final ShareRules NONE =
             new ShareRules(List.of(), new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()), 2000);
 
@@ -35,22 +35,22 @@
     private static final String[] LEVELS = {"groups", "tenants", "classes"};
 
     /**
-     * A place in the tree.
+     * A node of the tree.
      *
      * @param name its name
-     * @param weight its part beside its neighbours' when all want more
-     * @param floor connections that it has before anyone has more than a floor, if it wants them
-     * @param ceiling connections that it never has more than
-     * @param under the places under it; none for one that calls belong to
+     * @param weight its share relative to its siblings when all have more demand
+     * @param floor connections that it gets, if it has the demand, before any sibling gets more than its own floor
+     * @param ceiling the most connections that it gets
+     * @param children its children; empty for a leaf, to which requests belong
      */
     public record Rule(String name, double weight, double floor, double ceiling, List<Rule> children) {
-        /** Keeps its own copy. */
+        /** Copies the list. */
         public Rule {
             children = List.copyOf(children);
         }
     }
 
-    /** The content can't be used; says all that is wrong with it. */
+    /** Reports content that is not valid, with all its errors. */
     public static final class InvalidSharesException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -59,12 +59,12 @@
         }
     }
 
-    /** Keeps its own copy. */
+    /** Copies the list. */
     public ShareRules {
         groups = List.copyOf(groups);
     }
 
-    /** What a call's connections are counted under: its tenant, with its class where the tenant has classes. */
+    /** Returns the key under which a request's connections count: its tenant, with its class if the rules name it. */
     public String quotaKey(String tenant, String className) {
         for (Rule group : groups) {
             for (Rule tenantRule : group.children()) {
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Reads the agreed content.
+     * Parses the agreed content.
      *
-     * @throws Unusable with all its faults, each with its place
+     * @throws InvalidSharesException with all errors, each with its path
      */
     public static ShareRules parse(byte[] content) throws InvalidSharesException {
         List<String> errors = new ArrayList<>();
@@ -96,14 +96,14 @@
             throw new InvalidSharesException(List.of(String.valueOf(e.getMessage())));
         }
         if (root == null || !root.isObject()) {
-            throw new InvalidSharesException(List.of("an object is wanted"));
+            throw new InvalidSharesException(List.of("the content must be an object"));
         }
         checkNames(root, "", Set.of("groups", "others", "hunger_ms"), errors);
         int[] ruleCount = {0};
         List<Rule> groups = parseRules(root, "", 0, ruleCount, errors);
         JsonNode othersNode = root.path("others");
         if (!othersNode.isMissingNode() && !othersNode.isObject()) {
-            errors.add("others: an object is wanted");
+            errors.add("others: must be an object");
         }
         checkNames(othersNode, "others.", Set.of("weight", "floor", "ceiling"), errors);
         Rule others = parseRule("", othersNode, "others.", List.of(), errors);
@@ -111,7 +111,7 @@
         Set<String> tenantNames = new HashSet<>();
         groups.forEach(group -> group.children().forEach(tenant -> {
             if (!tenantNames.add(tenant.name())) {
-                errors.add("tenant '" + tenant.name() + "' stands in two places");
+                errors.add("tenant '" + tenant.name() + "' is listed twice");
             }
         }));
         if (ruleCount[0] > MAX_RULES) {
@@ -123,7 +123,7 @@
         return new ShareRules(groups, others, starvationMs);
     }
 
-    /** The content that {@link #parse} reads. */
+    /** Encodes the rules as {@link #parse} reads them. */
     public byte[] encode() {
         Map<String, Object> root = new LinkedHashMap<>();
         root.put("groups", groups.stream().map(group -> toMap(group, 1)).toList());
@@ -164,7 +164,7 @@
         }
         JsonNode array = parent.get(LEVELS[level]);
         if (!array.isArray()) {
-            errors.add(path + LEVELS[level] + ": an array is wanted");
+            errors.add(path + LEVELS[level] + ": must be an array");
             return rules;
         }
         Set<String> names = new HashSet<>();
@@ -173,7 +173,7 @@
             String elementPath = path + LEVELS[level] + "[" + i + "].";
             JsonNode element = array.get(i);
             if (!element.isObject()) {
-                errors.add(elementPath + " an object is wanted");
+                errors.add(elementPath + " must be an object");
                 continue;
             }
             Set<String> knownNames = new HashSet<>(Set.of("name", "weight", "floor", "ceiling"));
@@ -183,7 +183,7 @@
             checkNames(element, elementPath, knownNames, errors);
             String name = element.path("name").asText("");
             if (name.isEmpty() || name.length() > 200 || name.contains("/") || !names.add(name)) {
-                errors.add(elementPath + "name: one of its own of 1 to 200 letters without '/' is wanted");
+                errors.add(elementPath + "name: must be unique, of 1 to 200 characters, without '/'");
             }
             rules.add(parseRule(
                     name,
@@ -203,7 +203,7 @@
             errors.add(path + "floor: is over the ceiling");
         }
         if (children.stream().mapToDouble(Rule::floor).sum() > ceiling) {
-            errors.add(path + "ceiling: is under the floors below it together");
+            errors.add(path + "ceiling: is below the sum of the floors under it");
         }
         return new Rule(name, weight, floor, ceiling, children);
     }
@@ -222,7 +222,7 @@
         }
         double value = node.asDouble(Double.NaN);
         if (!node.isNumber() || !(value >= min && value <= max)) {
-            errors.add(path + name + ": a number within " + min + " to " + max + " is wanted");
+            errors.add(path + name + ": must be a number from " + min + " to " + max);
             return defaultValue;
         }
         return value;
@@ -231,7 +231,7 @@
     private static void checkNames(JsonNode object, String path, Set<String> knownNames, List<String> errors) {
         object.fieldNames().forEachRemaining(name -> {
             if (!knownNames.contains(name)) {
-                errors.add(path + name + ": unknown");
+                errors.add(path + name + ": unknown key");
             }
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/share/WaterFilling.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/WaterFilling.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Weighted max-min fairness with floors and ceilings: what each gets is its weight times one level, but never under
- * its floor nor over what it wants (Bertsekas and Gallager, Data Networks, 1992, section 6.5).
+ * Weighted max-min fairness with floors and ceilings: each gets its weight times a common level, but at least its floor
+ * and at most its demand (Bertsekas and Gallager, Data Networks, 1992, section 6.5).
  */
 final class WaterFilling {
     private WaterFilling() {}
@@ -12,13 +12,12 @@
     /**
      * Divides an amount.
      *
-     * @param amount what there is; what is left when all have what they want stays undivided
-     * @param weights greater than 0
-     * @param floors at the most what is wanted; where they are more than there is together, they are all cut by the
-     *     same part
-     * @param wanted at the most
+     * @param amount the available amount; what exceeds the total demand stays undivided
+     * @param weights positive weights
+     * @param floors at most the demand; if their sum exceeds the amount, all are reduced by the same factor
+     * @param demands the demand of each
      */
-    static double[] fill(double amount, double[] weights, double[] floors, double[] wanted) {
+    static double[] fill(double amount, double[] weights, double[] floors, double[] demands) {
         int count = weights.length;
         double[] filled = new double[count];
         double sumFloors = Arrays.stream(floors).sum();
@@ -28,15 +27,15 @@
             }
             return filled;
         }
-        if (Arrays.stream(wanted).sum() <= amount) {
-            return wanted.clone();
+        if (Arrays.stream(demands).sum() <= amount) {
+            return demands.clone();
         }
-        // At level x each has min(wanted, max(floor, weight * x)): it rises from floor/weight to wanted/weight.
+        // At level x each gets min(demand, max(floor, weight * x)), which rises from floor/weight to demand/weight.
         double[] levels = new double[2 * count];
         Integer[] order = new Integer[2 * count];
         for (int i = 0; i < count; i++) {
             levels[2 * i] = floors[i] / weights[i];
-            levels[2 * i + 1] = wanted[i] / weights[i];
+            levels[2 * i + 1] = demands[i] / weights[i];
             order[2 * i] = 2 * i;
             order[2 * i + 1] = 2 * i + 1;
         }
@@ -55,7 +54,7 @@
         }
         level += slope > 1e-12 ? remaining / slope : 0;
         for (int i = 0; i < count; i++) {
-            filled[i] = Math.min(wanted[i], Math.max(floors[i], weights[i] * level));
+            filled[i] = Math.min(demands[i], Math.max(floors[i], weights[i] * level));
         }
         return filled;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/share/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/package-info.java
@@ -1,2 +1,2 @@
-/** Tenants' shares of connections over the fleet: demand, allocation, leases, credits, hunger. */
+/** Tenants' shares of connections across the fleet: demand, allocation, leases, loans and starvation. */
 package brackenbridge.fleet.share;
--- a/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
@@ -57,7 +57,7 @@
         for (int i = 0; i < n; i++) {
             assertTrue(filled[i] <= wanted[i] + 1e-9 && filled[i] >= floors[i] - 1e-9);
             for (int j = 0; j < n; j++) {
-                // One that wants more is no lower than one that is above its floor.
+                // An entry with unmet demand is at no lower level than any entry above its floor.
                 assertTrue(filled[i] >= wanted[i] - 1e-6
                         || filled[j] <= floors[j] + 1e-6
                         || filled[i] / weights[i] >= filled[j] / weights[j] - 1e-6);
--- a/fleet/src/test/java/brackenbridge/fleet/share/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/share/GoldenFormsTest.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The forms of the messages about leases of connections and of the rules, against the golden files. */
+/** Checks the encoded lease messages, records and share rules against the golden files. */
 class GoldenFormsTest {
     private static Map<String, QuotaLeaseMessage> messages() {
         Map<String, QuotaLeaseMessage> messages = new LinkedHashMap<>();
-        // Maps of one key: the order of more is not defined.
+        // Maps with a single key: the order of several is not defined.
         messages.put(
                 "ask",
                 new QuotaLeaseMessage.Request(
