--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
@@ -103,7 +103,7 @@
     private final double[] shareInZone;
     /** By tier, origin and zone: the fraction of the origin's load that usually goes to the zone. */
     private final double[][][] usualRouting;
-    /** For each flow, the zone index of its origin; below, the index of its pool. */
+    /** For each flow, the zone of its origin and its pool, as indices. */
     private final int[] originOfFlow;
 
     private final int[] poolOfFlow;
@@ -215,7 +215,10 @@
         }
     }
 
-    /** With more slots than the servers can work on, attempts share them evenly and the work's variation drops out. */
+    /**
+     * Whether attempts queue for slots. With more slots than the servers can work on, attempts share the servers evenly
+     * instead, and the variation of the work does not matter.
+     */
     private static boolean isSlotLimited(Pool pool) {
         return pool.slots() * pool.servers() <= Math.max(1, pool.concurrency()) * 1.05;
     }
@@ -234,8 +237,8 @@
 
     /**
      * The number left in service at the end of a step that is consistent with the step's completions: solves
-     * occupancy + maxCompletions * rho(occupancy) = inService on the grid. This implicit step
-     * prevents oscillation where a step is longer than the work of an attempt.
+     * occupancy + maxCompletions * rho(occupancy) = inService on the grid. This implicit step prevents oscillation where
+     * a step is longer than the work of an attempt.
      *
      * @param maxCompletions the most that all servers can complete in a step
      * @param scale the number of servers relative to that for which the table was made
@@ -590,7 +593,7 @@
         return totalShare > 0 ? weightedLate / totalShare : 0;
     }
 
-    /** Removes what exceeds the load of the longest deadline: no attempt stays longer than that. */
+    /** Drops attempts beyond those that arrive within the longest deadline: none stays longer than that. */
     private void dropExpired(
             int i, Pool pool, double attemptRate, double[] waiting, double[] inService, double[] inDownstreamCall) {
         double maxSeconds = pool.classMix().keySet().stream()
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -381,10 +381,10 @@
         if (!demand.isEmpty()) {
             Map<String, Double> allocated =
                     shares.allocate(pool.name(), pool.servers() * Math.min(pool.slots(), pool.connections()), demand);
-            demand.forEach((tenant, wanted) -> {
+            demand.forEach((tenant, demanded) -> {
                 double granted = allocated.getOrDefault(tenant, 0.0);
-                if (wanted > 0 && granted < wanted * FULLY_GRANTED) {
-                    rejected.put(tenant, 1 - granted / wanted);
+                if (demanded > 0 && granted < demanded * FULLY_GRANTED) {
+                    rejected.put(tenant, 1 - granted / demanded);
                 }
             });
         }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
@@ -95,7 +95,7 @@
 
     private final ForecastSettings settings;
     private final Map<RecordKey, StoredRecord> records = new HashMap<>();
-    private final Map<String, Double> lastHeardMs = new TreeMap<>();
+    private final Map<String, Double> lastReportedMs = new TreeMap<>();
     private final Map<PoolName, PoolEstimates> pools = new TreeMap<>();
     private final Map<FlowKey, MovingEstimate> flowRates = new HashMap<>();
     private final Map<CallerKey, CallEstimates> callers = new HashMap<>();
@@ -105,8 +105,8 @@
     private double timeOfDayMs;
 
     /** Creates a model without any observations. */
-    public PoolModel(ForecastSettings terms) {
-        this.settings = terms;
+    public PoolModel(ForecastSettings settings) {
+        this.settings = settings;
     }
 
     /** Returns the configured inputs. */
@@ -135,7 +135,7 @@
         boolean changed = false;
         Map<RecordKey, StoredRecord> present = new HashMap<>();
         for (PoolReport report : reports) {
-            lastHeardMs.merge(report.node(), nowMs - report.ageMs(), Math::max);
+            lastReportedMs.merge(report.node(), nowMs - report.ageMs(), Math::max);
             RecordKey key = new RecordKey(report.node(), report.pool(), report.className());
             StoredRecord record = records.get(key);
             if (record == null) {
@@ -159,7 +159,7 @@
         }
         // Guards against names that are no longer used filling the memory.
         records.values().removeIf(record -> nowMs - record.confirmedAtMs > FORGET_AFTER_MS);
-        lastHeardMs.values().removeIf(at -> nowMs - at > FORGET_AFTER_MS);
+        lastReportedMs.values().removeIf(at -> nowMs - at > FORGET_AFTER_MS);
         if (changed) {
             learn(nowMs, present);
         }
@@ -341,14 +341,14 @@
         });
         List<MissingNode> missing = new ArrayList<>();
         new TreeMap<>(expectedNodes).forEach((node, zone) -> {
-            Double heardMs = lastHeardMs.get(node);
-            if (heardMs == null) {
+            Double reportedMs = lastReportedMs.get(node);
+            if (reportedMs == null) {
                 missing.add(new MissingNode(node, zone, node + " has never reported"));
-            } else if (nowMs - heardMs > settings.maxRecordAgeMs()) {
+            } else if (nowMs - reportedMs > settings.maxRecordAgeMs()) {
                 missing.add(new MissingNode(
                         node,
                         zone,
-                        String.format(Locale.ROOT, "%s last reported %.0f s ago", node, (nowMs - heardMs) / 1000)));
+                        String.format(Locale.ROOT, "%s last reported %.0f s ago", node, (nowMs - reportedMs) / 1000)));
             }
         });
         return new PoolSnapshot(settings, estimatedPools, flows, missing, tenantDemand);
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
@@ -69,17 +69,17 @@
     }
 
     private static Forecast forecast(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
-        double[] moved = new double[plan.steps().size()];
-        for (int i = 0; i < moved.length; i++) {
-            moved[i] = plan.movedFraction(i + 1);
+        double[] movedFractions = new double[plan.steps().size()];
+        for (int i = 0; i < movedFractions.length; i++) {
+            movedFractions[i] = plan.movedFraction(i + 1);
         }
-        return Forecast.of(snapshot, plan, moved, shares, seed, TRAJECTORIES);
+        return Forecast.of(snapshot, plan, movedFractions, shares, seed, TRAJECTORIES);
     }
 
     private static boolean nothingSaturates(Forecast forecast) {
         return forecast.pools().stream()
-                .allMatch(plan ->
-                        plan.verdict() != Verdict.UNKNOWN && plan.saturationProbability() < MAX_SATURATION_PROBABILITY);
+                .allMatch(pool ->
+                        pool.verdict() != Verdict.UNKNOWN && pool.saturationProbability() < MAX_SATURATION_PROBABILITY);
     }
 
     private static List<EvacuationPlan.Step> evenSteps(double fraction, int stepCount, double pauseMs) {
@@ -95,17 +95,17 @@
             PoolSnapshot snapshot, EvacuationPlan template, double pauseMs, SharePolicy shares, long seed) {
         double warmAtMs = 0;
         for (EvacuationPlan.AddedServers added : template.addedServers()) {
-            Pool plan = snapshot.pool(added.pool());
-            warmAtMs = Math.max(warmAtMs, added.afterMs() + (plan == null ? 0 : plan.warmUpMs()));
+            Pool pool = snapshot.pool(added.pool());
+            warmAtMs = Math.max(warmAtMs, added.afterMs() + (pool == null ? 0 : pool.warmUpMs()));
         }
         if (warmAtMs == 0) {
             return null;
         }
-        for (double first : FIRST_FRACTIONS) {
+        for (double firstFraction : FIRST_FRACTIONS) {
             for (int stepCount : STEP_COUNTS) {
                 List<EvacuationPlan.Step> steps = new ArrayList<>();
-                steps.add(new EvacuationPlan.Step(first, Math.max(pauseMs, warmAtMs)));
-                steps.addAll(evenSteps(1 - first, stepCount, pauseMs));
+                steps.add(new EvacuationPlan.Step(firstFraction, Math.max(pauseMs, warmAtMs)));
+                steps.addAll(evenSteps(1 - firstFraction, stepCount, pauseMs));
                 EvacuationPlan plan = template.withSteps(steps);
                 if (nothingSaturates(forecast(snapshot, plan, shares, seed))) {
                     return plan;
@@ -120,13 +120,14 @@
             PoolSnapshot snapshot, EvacuationPlan atOnce, SharePolicy shares, long seed) {
         Map<PoolName, Integer> added = new TreeMap<>();
         boolean done = false;
-        for (int attempt = 0; attempt < MAX_ROUNDS && !done; attempt++) {
+        for (int round = 0; round < MAX_ROUNDS && !done; round++) {
             Forecast forecast = forecast(withServersAdded(snapshot, added), atOnce, shares, seed);
             done = nothingSaturates(forecast);
-            for (PoolForecast plan : forecast.pools()) {
-                if (plan.saturationProbability() >= MAX_SATURATION_PROBABILITY) {
-                    Pool pool = snapshot.pool(plan.pool());
-                    added.merge(plan.pool(), Math.max(1, (int) (pool.servers() * GROWTH_PER_ROUND)), Integer::sum);
+            for (PoolForecast poolForecast : forecast.pools()) {
+                if (poolForecast.saturationProbability() >= MAX_SATURATION_PROBABILITY) {
+                    Pool pool = snapshot.pool(poolForecast.pool());
+                    added.merge(
+                            poolForecast.pool(), Math.max(1, (int) (pool.servers() * GROWTH_PER_ROUND)), Integer::sum);
                 }
             }
         }
@@ -137,7 +138,7 @@
             while (added.getOrDefault(name, 0) > 0) {
                 Map<PoolName, Integer> fewer = new TreeMap<>(added);
                 fewer.merge(name, -1, Integer::sum);
-                fewer.values().removeIf(stepCount -> stepCount == 0);
+                fewer.values().removeIf(count -> count == 0);
                 if (!nothingSaturates(forecast(withServersAdded(snapshot, fewer), atOnce, shares, seed))) {
                     break;
                 }
@@ -150,8 +151,8 @@
 
     private static PoolSnapshot withServersAdded(PoolSnapshot snapshot, Map<PoolName, Integer> added) {
         List<Pool> pools = new ArrayList<>();
-        for (Pool plan : snapshot.pools()) {
-            pools.add(plan.withMoreServers(added.getOrDefault(plan.name(), 0)));
+        for (Pool pool : snapshot.pools()) {
+            pools.add(pool.withMoreServers(added.getOrDefault(pool.name(), 0)));
         }
         return snapshot.withPools(pools);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -55,10 +55,10 @@
     private double nextUpdateMs = Double.NEGATIVE_INFINITY;
 
     /** Creates the client of a node that starts now. */
-    public QuotaLeaseClient(String pool, QuotaLeaseTerms terms, long life, double nowMs) {
+    public QuotaLeaseClient(String pool, QuotaLeaseTerms terms, long incarnation, double nowMs) {
         this.pool = pool;
         this.terms = terms;
-        this.incarnation = life;
+        this.incarnation = incarnation;
         this.grantReceivedAtMs = nowMs;
     }
 
@@ -253,22 +253,28 @@
                         (Map.Entry<String, PoolUse> entry) -> -entry.getValue().demand())
                 .thenComparing(Map.Entry::getKey));
         Map<String, PoolUse> named = new HashMap<>();
-        double demand = 0;
-        double inUse = 0;
-        double rejectedPerSecond = 0;
+        double otherDemand = 0;
+        double otherInUse = 0;
+        double otherRejectedPerSecond = 0;
         double weightedHoldMs = 0;
         for (int i = 0; i < sorted.size(); i++) {
             PoolUse use = sorted.get(i).getValue();
             if (i < MAX_NAMED_TENANTS && !sorted.get(i).getKey().isEmpty()) {
                 named.put(sorted.get(i).getKey(), use);
             } else {
-                demand += use.demand();
-                inUse += use.inUse();
-                rejectedPerSecond += use.rejectedPerSecond();
+                otherDemand += use.demand();
+                otherInUse += use.inUse();
+                otherRejectedPerSecond += use.rejectedPerSecond();
                 weightedHoldMs += use.demand() * use.meanMs();
             }
         }
-        named.put("", new PoolUse(demand, inUse, rejectedPerSecond, demand > 0 ? weightedHoldMs / demand : 0));
+        named.put(
+                "",
+                new PoolUse(
+                        otherDemand,
+                        otherInUse,
+                        otherRejectedPerSecond,
+                        otherDemand > 0 ? weightedHoldMs / otherDemand : 0));
         return named;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
@@ -131,7 +131,7 @@
         names.forEach(name -> nodes.computeIfAbsent(name, k -> new Node()));
         memberCount = names.size();
         guaranteedShare = terms.guaranteedConnections(capacity, memberCount);
-        nodes.values().forEach(name -> name.previousGuaranteedShare = Math.max(previousShare, guaranteedShare));
+        nodes.values().forEach(node -> node.previousGuaranteedShare = Math.max(previousShare, guaranteedShare));
         allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
@@ -205,10 +205,10 @@
         if (message instanceof QuotaLeaseMessage.Request request) {
             return handleRequest(nowMs, from, node, request);
         }
-        if (message instanceof QuotaLeaseMessage.Ack a && a.incarnation() == node.incarnation) {
-            confirmActive(node, a.requestNumber());
-            if (node.activeGrant != null && node.activeGrant.requestNumber() == a.requestNumber()) {
-                node.inUse = Math.max(0, a.inUse());
+        if (message instanceof QuotaLeaseMessage.Ack ack && ack.incarnation() == node.incarnation) {
+            confirmActive(node, ack.requestNumber());
+            if (node.activeGrant != null && node.activeGrant.requestNumber() == ack.requestNumber()) {
+                node.inUse = Math.max(0, ack.inUse());
             }
         }
         return runDue(nowMs);
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
@@ -24,9 +24,9 @@
 
     @Test
     void learnsCapacityAndPredictsThatPoolsWithRoomHold() {
-        PoolSnapshot picture = records.trainedModel(60).snapshot(60_000, -1);
-        assertEquals(5 * ZoneRecords.FRONT_CAPACITY, picture.pool(FRONT_B).capacity(), 5);
-        assertEquals(ZoneRecords.CALLS_PER_ATTEMPT, picture.pool(FRONT_B).callsPerAttempt(), 0.05);
+        PoolSnapshot snapshot = records.trainedModel(60).snapshot(60_000, -1);
+        assertEquals(5 * ZoneRecords.FRONT_CAPACITY, snapshot.pool(FRONT_B).capacity(), 5);
+        assertEquals(ZoneRecords.CALLS_PER_ATTEMPT, snapshot.pool(FRONT_B).callsPerAttempt(), 0.05);
         Forecast forecast = forecast(records.trainedModel(60), plan());
         assertEquals(Verdict.HOLDS, forecast.verdict(), () -> forecast.toString());
         // Half of zone a's load moves to zone b.
@@ -58,11 +58,11 @@
         records.parcelServers.put("b", 2);
         records.firstAttemptRates.put("b", 80.0);
         Forecast forecast = forecast(records.trainedModel(60), plan());
-        PoolForecast behind = forecast.of(PARCEL_B);
-        assertEquals(Verdict.SATURATES, behind.verdict());
+        PoolForecast downstream = forecast.of(PARCEL_B);
+        assertEquals(Verdict.SATURATES, downstream.verdict());
         assertTrue(forecast.of(FRONT_B).steps().get(3).slots()
                 > 2 * forecast.of(FRONT_B).steps().get(0).slots());
-        assertTrue(behind.steps().get(3).amplification() > 1.02);
+        assertTrue(downstream.steps().get(3).amplification() > 1.02);
     }
 
     @Test
@@ -148,8 +148,8 @@
                 null,
                 0,
                 List.of(new EvacuationPlan.AddedServers(PoolName.parse("front/a/gone"), 1, 0)));
-        List<String> faults = invalid.validationErrors(pools);
-        assertEquals(6, faults.size(), faults::toString);
+        List<String> errors = invalid.validationErrors(pools);
+        assertEquals(6, errors.size(), errors::toString);
         assertTrue(EvacuationPlan.withEvenSteps("p", "a", 2, 5000)
                 .validationErrors(List.of(PoolName.parse("front/a/std")))
                 .get(0)
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/GoldenFormsTest.java
@@ -42,13 +42,13 @@
                 List.of(new EvacuationPlan.Step(1, 500)),
                 60_000,
                 List.of(new EvacuationPlan.AddedServers(POOL, 3, 1500)));
-        PlanState.PoolPrediction foretold = new PlanState.PoolPrediction(
+        PlanState.PoolPrediction prediction = new PlanState.PoolPrediction(
                 POOL, 7, 100.5, new Interval(101, 95, 107.5), List.of(new Interval(120, 110, 130)));
         List<PlanState.HistoryEntry> history = new ArrayList<>();
-        for (EvacuationStatus before : STATUSES) {
-            history.add(new PlanState.HistoryEntry(before, 1, "staff", "because"));
+        for (EvacuationStatus previous : STATUSES) {
+            history.add(new PlanState.HistoryEntry(previous, 1, "staff", "because"));
         }
-        return new PlanState(plan, status, 1, List.of(foretold), verdict, true, 77, history);
+        return new PlanState(plan, status, 1, List.of(prediction), verdict, true, 77, history);
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ZoneRecords.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ZoneRecords.java
@@ -35,12 +35,12 @@
     static final double CALLS_PER_ATTEMPT = 2;
 
     static Map<String, String> nodes() {
-        Map<String, String> all = new LinkedHashMap<>();
+        Map<String, String> zoneByNode = new LinkedHashMap<>();
         for (String zone : ZONES) {
-            all.put("n-" + zone + "1", zone);
-            all.put("n-" + zone + "2", zone);
+            zoneByNode.put("n-" + zone + "1", zone);
+            zoneByNode.put("n-" + zone + "2", zone);
         }
-        return all;
+        return zoneByNode;
     }
 
     List<PoolReport> records() {
--- a/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/share/AllocatorTest.java
@@ -39,26 +39,26 @@
     @Property(tries = 500, seed = "29")
     void waterFillingIsMaxMinFair(@ForAll long seed) {
         Random random = new Random(seed);
-        int n = 1 + random.nextInt(8);
-        double[] weights = random.doubles(n, 0.1, 5).toArray();
-        double[] wanted = random.doubles(n, 0, 20).toArray();
-        double[] floors = Arrays.stream(wanted)
-                .map(amount -> random.nextBoolean() ? 0 : amount * random.nextDouble() / n)
+        int count = 1 + random.nextInt(8);
+        double[] weights = random.doubles(count, 0.1, 5).toArray();
+        double[] demands = random.doubles(count, 0, 20).toArray();
+        double[] floors = Arrays.stream(demands)
+                .map(amount -> random.nextBoolean() ? 0 : amount * random.nextDouble() / count)
                 .toArray();
         double amount = random.nextDouble() * 60;
-        double[] filled = WaterFilling.fill(amount, weights, floors, wanted);
+        double[] filled = WaterFilling.fill(amount, weights, floors, demands);
         assertEquals(
-                Math.min(amount, Arrays.stream(wanted).sum()),
+                Math.min(amount, Arrays.stream(demands).sum()),
                 Arrays.stream(filled).sum(),
                 1e-6);
         if (Arrays.stream(floors).sum() >= amount) {
             return;
         }
-        for (int i = 0; i < n; i++) {
-            assertTrue(filled[i] <= wanted[i] + 1e-9 && filled[i] >= floors[i] - 1e-9);
-            for (int j = 0; j < n; j++) {
+        for (int i = 0; i < count; i++) {
+            assertTrue(filled[i] <= demands[i] + 1e-9 && filled[i] >= floors[i] - 1e-9);
+            for (int j = 0; j < count; j++) {
                 // An entry with unmet demand is at no lower level than any entry above its floor.
-                assertTrue(filled[i] >= wanted[i] - 1e-6
+                assertTrue(filled[i] >= demands[i] - 1e-6
                         || filled[j] <= floors[j] + 1e-6
                         || filled[i] / weights[i] >= filled[j] / weights[j] - 1e-6);
             }
@@ -67,16 +67,16 @@
 
     @Test
     void groupsAreDividedBeforeTenantsAndUnusedConnectionsAreLent() throws ShareRules.InvalidSharesException {
-        ShareRules random =
+        ShareRules rules =
                 rules("{'groups':[{'name':'gold','weight':3,'tenants':[{'name':'a'},{'name':'b','weight':2}]},"
                         + "{'name':'free','ceiling':30,'tenants':[{'name':'c','floor':5},{'name':'d'}]}]}");
         Allocation contended = new Allocator()
-                .allocate(120, random, Map.of("n0", Map.of("a", 500.0, "b", 500.0, "c", 500.0, "d", 500.0)));
+                .allocate(120, rules, Map.of("n0", Map.of("a", 500.0, "b", 500.0, "c", 500.0, "d", 500.0)));
         assertEquals(30, contended.tenants().get("a").allocated(), 1e-6);
         assertEquals(60, contended.tenants().get("b").allocated(), 1e-6);
         assertEquals(15, contended.tenants().get("c").allocated(), 1e-6);
         Allocation underused =
-                new Allocator().allocate(120, random, Map.of("n0", Map.of("a", 500.0, "b", 4.0, "c", 500.0)));
+                new Allocator().allocate(120, rules, Map.of("n0", Map.of("a", 500.0, "b", 4.0, "c", 500.0)));
         assertEquals(30, underused.tenants().get("c").allocated(), 1e-6);
         assertTrue(underused.tenants().get("a").allocated() > 84, underused::toString);
         assertTrue(
@@ -98,14 +98,16 @@
         }
         Allocator allocator = new Allocator();
         Map<String, Double> sums = new HashMap<>();
-        for (int turn = 0; turn < 50; turn++) {
-            Allocation filled = allocator.allocate(1950, ShareRules.NONE, demand);
+        for (int round = 0; round < 50; round++) {
+            Allocation allocation = allocator.allocate(1950, ShareRules.NONE, demand);
             assertEquals(
-                    1950, demand.keySet().stream().mapToInt(filled::nodeTotal).sum());
-            filled.connectionsByNode()
+                    1950,
+                    demand.keySet().stream().mapToInt(allocation::nodeTotal).sum());
+            allocation
+                    .connectionsByNode()
                     .values()
-                    .forEach(message ->
-                            message.forEach((tenant, amount) -> sums.merge(tenant, amount / 50, Double::sum)));
+                    .forEach(tenantShares ->
+                            tenantShares.forEach((tenant, amount) -> sums.merge(tenant, amount / 50, Double::sum)));
         }
         sums.forEach((tenant, amount) -> assertEquals(1.95, amount, 0.03, tenant));
     }
@@ -114,7 +116,7 @@
     void nodeTotalsNeverExceedCapacity(@ForAll long seed) {
         Random random = new Random(seed);
         Allocator allocator = new Allocator();
-        for (int turn = 0; turn < 5; turn++) {
+        for (int round = 0; round < 5; round++) {
             Map<String, Map<String, Double>> demand = new HashMap<>();
             for (int i = 0; i < 1 + random.nextInt(12); i++) {
                 demand.put(
@@ -123,15 +125,16 @@
                                 Map.of("t" + random.nextInt(4), random.nextDouble() * 30, "x", random.nextDouble())));
             }
             int capacity = random.nextInt(40);
-            Allocation filled = allocator.allocate(capacity, ShareRules.NONE, demand);
-            assertTrue(demand.keySet().stream().mapToInt(filled::nodeTotal).sum() <= capacity);
-            filled.connectionsByNode()
+            Allocation allocation = allocator.allocate(capacity, ShareRules.NONE, demand);
+            assertTrue(demand.keySet().stream().mapToInt(allocation::nodeTotal).sum() <= capacity);
+            allocation
+                    .connectionsByNode()
                     .values()
-                    .forEach(message -> assertEquals(
-                            Math.rint(message.values().stream()
+                    .forEach(tenantShares -> assertEquals(
+                            Math.rint(tenantShares.values().stream()
                                     .mapToDouble(amount -> amount)
                                     .sum()),
-                            message.values().stream()
+                            tenantShares.values().stream()
                                     .mapToDouble(amount -> amount)
                                     .sum(),
                             1e-6));
@@ -140,12 +143,12 @@
 
     @Test
     void rulesRoundTripAndAllErrorsAreReported() throws ShareRules.InvalidSharesException {
-        ShareRules random = rules("{'groups':[{'name':'g','weight':2,'tenants':[{'name':'a','classes':"
+        ShareRules rules = rules("{'groups':[{'name':'g','weight':2,'tenants':[{'name':'a','classes':"
                 + "[{'name':'view','weight':3}]}]}],'others':{'weight':0.5},'hunger_ms':900}");
-        assertEquals("a/view", random.quotaKey("a", "view"));
-        assertEquals("a", random.quotaKey("a", "file"));
-        assertEquals("z", random.quotaKey("z", "view"));
-        assertEquals(random, ShareRules.parse(random.encode()));
+        assertEquals("a/view", rules.quotaKey("a", "view"));
+        assertEquals("a", rules.quotaKey("a", "file"));
+        assertEquals("z", rules.quotaKey("z", "view"));
+        assertEquals(rules, ShareRules.parse(rules.encode()));
         ShareRules.InvalidSharesException error = assertThrows(
                 ShareRules.InvalidSharesException.class,
                 () -> rules("{'groups':[{'name':'g','wait':2,"
