--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
@@ -237,8 +237,8 @@
 
     /**
      * The number left in service at the end of a step that is consistent with the step's completions: solves
-     * occupancy + maxCompletions * rho(occupancy) = inService on the grid. This implicit step prevents oscillation where
-     * a step is longer than the work of an attempt.
+     * occupancy + maxCompletions * rho(occupancy) = inService on the grid. This implicit step prevents oscillation
+     * where a step is longer than the work of an attempt.
      *
      * @param maxCompletions the most that all servers can complete in a step
      * @param scale the number of servers relative to that for which the table was made
