--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Driver.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.Forecast.Within;
-import brackenbridge.fleet.evacuation.PlanState.Foretold;
+import brackenbridge.fleet.evacuation.Forecast.Interval;
+import brackenbridge.fleet.evacuation.PlanState.PoolPrediction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -9,226 +9,253 @@
 import java.util.Map;
 
 /**
- * Drives the plan that there is: a machine that takes a time, the agreed record and what is seen of pools, and hands
- * back what the record should become. What it keeps between turns is when it first saw the record as it is, and sums
- * since then; a driver that takes over holds the running step for its whole pause again, never shorter.
+ * Drives the agreed evacuation plan: a state machine that takes the time, the agreed record and measurements of the
+ * pools, and returns the record that should follow. Between calls it keeps only the time at which it first saw the
+ * current generation of the record and what it has accumulated since. A driver that takes over therefore holds the
+ * running step for its full pause again, never for less.
  */
 public final class Driver {
     /**
-     * What halts a plan.
+     * The limits beyond which a plan is halted.
      *
-     * @param partOff a foretold load that is off by this part, and outside its interval
-     * @param utilisation the part of what servers can do
-     * @param failing the part of tries that fails for want of room or time
-     * @param graceMs for so long after a step's begin, figures of before are still seen
-     * @param silentMs a pool that is not heard of for longer
+     * @param maxLoadDeviation the largest relative deviation of a load that lies outside its predicted interval
+     * @param maxUtilisation the largest fraction of the servers' capacity in use
+     * @param maxFailureRatio the largest fraction of attempts that fail because slots, connections or time run out
+     * @param settlingMs how long after the start of a step measurements still include load from before it
+     * @param maxAgeMs a pool whose latest measurement is older counts as not reporting
      */
-    public record Limits(double partOff, double utilisation, double failing, double graceMs, double silentMs) {
-        /** The usual ones. */
-        public static final Limits USUAL = new Limits(0.2, 0.98, 0.03, 2000, 6000);
+    public record Limits(
+            double maxLoadDeviation,
+            double maxUtilisation,
+            double maxFailureRatio,
+            double settlingMs,
+            double maxAgeMs) {
+        /** The default limits. */
+        public static final Limits DEFAULTS = new Limits(0.2, 0.98, 0.03, 2000, 6000);
     }
 
     /**
-     * What is seen of a pool of late, all nodes together.
+     * Recent measurements of a pool, summed over all nodes.
      *
-     * @param pool its name
-     * @param servers servers that run
-     * @param attempts tries a second
-     * @param utilisation the part of their time for which servers work; negative if not known
-     * @param failing the part of tries that fails
-     * @param heardMs the age of it
+     * @param pool the pool's name
+     * @param servers the number of running servers
+     * @param attemptRate attempts per second
+     * @param utilisation the fraction of time that servers are busy; negative if not known
+     * @param failureRatio the fraction of attempts that fail
+     * @param ageMs the age of the measurement
      */
-    public record Seen(
-            PoolName pool, int servers, double attempts, double utilisation, double failing, double heardMs) {}
+    public record PoolMeasurement(
+            PoolName pool, int servers, double attemptRate, double utilisation, double failureRatio, double ageMs) {}
 
     /**
-     * What a rehearsal has shown of the load that moves to a pool.
+     * What a rehearsal has shown about the load that moves to a pool.
      *
      * @param pool the pool
-     * @param factor what came as a multiple of what was foretold
-     * @param weight what that is worth, 0 to 1
+     * @param factor the observed increase as a multiple of the predicted one
+     * @param weight the weight of this observation, 0 to 1
      */
     public record Correction(PoolName pool, double factor, double weight) {}
 
     /**
-     * What is to be done.
+     * The outcome of one call of {@link #decide}.
      *
-     * @param next what the record should become; null if it stays
-     * @param corrections what the model has to learn
+     * @param nextState the record to propose; null to keep the current one
+     * @param corrections corrections for the pool model
      */
-    public record Turn(PlanState next, List<Correction> corrections) {
-        static final Turn STAY = new Turn(null, List.of());
+    public record Decision(PlanState nextState, List<Correction> corrections) {
+        static final Decision UNCHANGED = new Decision(null, List.of());
     }
 
-    private static final class Sum {
-        double load;
-        double loadMs;
-        double over;
+    private static final class LoadAccumulator {
+        double rateIntegral;
+        double observedMs;
+        double overLimitMs;
     }
 
-    /** A foretold figure is compared once it was seen for so long. */
-    private static final double COMPARED_MS = 2500;
-    /** A bound is passed once it was for so long: one second's figure is noise. */
-    private static final double PASSED_MS = 1400;
+    /** A predicted rate is compared only with a mean over at least this long. */
+    private static final double MIN_OBSERVED_MS = 2500;
+    /** A limit counts as exceeded only after this long: the value of a single second is noise. */
+    private static final double MIN_OVER_LIMIT_MS = 1400;
 
-    private static final double LEAST_LOAD = 1;
+    private static final double MIN_LOAD = 1;
 
-    private final String me;
+    private final String driverName;
     private final Limits limits;
     private long generation = -1;
-    private double beganMs;
-    private double lastMs;
-    private final Map<PoolName, Sum> sums = new HashMap<>();
+    private double stateSinceMs;
+    private double lastDecisionMs;
+    private final Map<PoolName, LoadAccumulator> accumulators = new HashMap<>();
 
-    /** A driver of this name. */
-    public Driver(String me, Limits limits) {
-        this.me = me;
+    /** Creates a driver that signs its changes with this name. */
+    public Driver(String driverName, Limits limits) {
+        this.driverName = driverName;
         this.limits = limits;
     }
 
     /**
-     * One turn.
+     * Decides whether the plan moves on, halts or stays as it is.
      *
-     * @param nowMs now
+     * @param nowMs the current time
      * @param state the agreed record
-     * @param ofGeneration its generation
-     * @param token this driver's
-     * @param seen what is seen of all pools now
+     * @param stateGeneration the record's generation
+     * @param token this driver's token
+     * @param measurements the latest measurements of all pools
      */
-    public Turn turn(double nowMs, PlanState state, long ofGeneration, long token, List<Seen> seen) {
-        if (!state.status().driven()) {
-            return Turn.STAY;
+    public Decision decide(
+            double nowMs, PlanState state, long stateGeneration, long token, List<PoolMeasurement> measurements) {
+        if (!state.status().needsDriver()) {
+            return Decision.UNCHANGED;
         }
-        if (ofGeneration != generation) {
-            generation = ofGeneration;
-            beganMs = nowMs;
-            lastMs = nowMs;
-            sums.clear();
+        if (stateGeneration != generation) {
+            generation = stateGeneration;
+            stateSinceMs = nowMs;
+            lastDecisionMs = nowMs;
+            accumulators.clear();
         }
-        double held = nowMs - beganMs;
-        double since = nowMs - lastMs;
-        lastMs = nowMs;
+        double elapsedMs = nowMs - stateSinceMs;
+        double sinceLastMs = nowMs - lastDecisionMs;
+        lastDecisionMs = nowMs;
         if (state.status() == EvacuationStatus.EVACUATED) {
-            return state.plan().backAfterMs() > 0 && held >= state.plan().backAfterMs()
-                    ? next(state.to(EvacuationStatus.RETURNING, 0, token, me, "its time is over"))
-                    : Turn.STAY;
+            return state.plan().returnAfterMs() > 0 && elapsedMs >= state.plan().returnAfterMs()
+                    ? changeTo(state.transitionTo(EvacuationStatus.RETURNING, 0, token, driverName, "its time is over"))
+                    : Decision.UNCHANGED;
         }
         if (state.status() == EvacuationStatus.RETURNING) {
-            return returning(state, token, held);
+            return continueReturn(state, token, elapsedMs);
         }
-        String why = watch(state, seen, held, since);
-        if (why != null) {
-            List<Correction> learnt =
-                    state.status() == EvacuationStatus.REHEARSING ? corrections(state, held) : List.of();
-            return new Turn(state.to(EvacuationStatus.HALTED, state.step(), token, me, why), learnt);
+        String haltReason = findHaltReason(state, measurements, elapsedMs, sinceLastMs);
+        if (haltReason != null) {
+            List<Correction> corrections =
+                    state.status() == EvacuationStatus.REHEARSING ? computeCorrections(state, elapsedMs) : List.of();
+            return new Decision(
+                    state.transitionTo(EvacuationStatus.HALTED, state.step(), token, driverName, haltReason),
+                    corrections);
         }
         if (state.status() == EvacuationStatus.REHEARSING) {
-            return held < state.plan().rehearsalMs()
-                    ? Turn.STAY
-                    : new Turn(
-                            state.to(EvacuationStatus.PASSED, 0, token, me, "as foretold"), corrections(state, held));
+            return elapsedMs < state.plan().rehearsalMs()
+                    ? Decision.UNCHANGED
+                    : new Decision(
+                            state.transitionTo(EvacuationStatus.PASSED, 0, token, driverName, "as foretold"),
+                            computeCorrections(state, elapsedMs));
         }
         List<EvacuationPlan.Step> steps = state.plan().steps();
-        if (held < steps.get(Math.min(state.step(), steps.size() - 1)).pauseMs()) {
-            return Turn.STAY;
+        if (elapsedMs < steps.get(Math.min(state.step(), steps.size() - 1)).pauseMs()) {
+            return Decision.UNCHANGED;
         }
-        return next(
+        return changeTo(
                 state.step() + 1 < steps.size()
-                        ? state.to(EvacuationStatus.EVACUATING, state.step() + 1, token, me, "")
-                        : state.to(EvacuationStatus.EVACUATED, 0, token, me, ""));
+                        ? state.transitionTo(EvacuationStatus.EVACUATING, state.step() + 1, token, driverName, "")
+                        : state.transitionTo(EvacuationStatus.EVACUATED, 0, token, driverName, ""));
     }
 
-    private Turn returning(PlanState state, long token, double held) {
-        List<EvacuationPlan.Step> back = state.plan().back();
-        if (state.step() < back.size() && held < back.get(state.step()).pauseMs()) {
-            return Turn.STAY;
+    private Decision continueReturn(PlanState state, long token, double elapsedMs) {
+        List<EvacuationPlan.Step> returnSteps = state.plan().returnSteps();
+        if (state.step() < returnSteps.size()
+                && elapsedMs < returnSteps.get(state.step()).pauseMs()) {
+            return Decision.UNCHANGED;
         }
-        return next(
-                state.step() + 1 < back.size()
-                        ? state.to(EvacuationStatus.RETURNING, state.step() + 1, token, me, "")
-                        : state.to(EvacuationStatus.CLOSED, 0, token, me, "all load is back"));
+        return changeTo(
+                state.step() + 1 < returnSteps.size()
+                        ? state.transitionTo(EvacuationStatus.RETURNING, state.step() + 1, token, driverName, "")
+                        : state.transitionTo(EvacuationStatus.CLOSED, 0, token, driverName, "all load is back"));
     }
 
-    private static Turn next(PlanState state) {
-        return new Turn(state, List.of());
+    private static Decision changeTo(PlanState state) {
+        return new Decision(state, List.of());
     }
 
-    /** The reason to halt; null if there is none. */
-    private String watch(PlanState state, List<Seen> seen, double held, double since) {
-        Map<PoolName, Seen> by = new HashMap<>();
-        seen.forEach(s -> by.put(s.pool(), s));
-        for (Foretold f : state.foretold()) {
-            Seen s = by.get(f.pool());
-            if (s == null || s.heardMs() > limits.silentMs()) {
-                if (held > limits.silentMs()) {
-                    return f.pool() + " is not heard of";
+    /** Returns the reason to halt; null if there is none. */
+    private String findHaltReason(
+            PlanState state, List<PoolMeasurement> measurements, double elapsedMs, double sinceLastMs) {
+        Map<PoolName, PoolMeasurement> byPool = new HashMap<>();
+        measurements.forEach(measurement -> byPool.put(measurement.pool(), measurement));
+        for (PoolPrediction prediction : state.predictions()) {
+            PoolMeasurement measurement = byPool.get(prediction.pool());
+            if (measurement == null || measurement.ageMs() > limits.maxAgeMs()) {
+                if (elapsedMs > limits.maxAgeMs()) {
+                    return prediction.pool() + " is not heard of";
                 }
                 continue;
             }
-            Sum sum = sums.computeIfAbsent(f.pool(), p -> new Sum());
-            boolean passed = s.failing() > limits.failing() || s.utilisation() > limits.utilisation();
-            sum.over = passed ? sum.over + since : 0;
-            if (sum.over >= PASSED_MS) {
-                return s.failing() > limits.failing()
-                        ? text("%s passed its bound: %.1f%% of tries fail", f.pool(), 100 * s.failing())
-                        : text("%s passed its bound: %.0f%% in use", f.pool(), 100 * s.utilisation());
+            LoadAccumulator accumulator = accumulators.computeIfAbsent(prediction.pool(), p -> new LoadAccumulator());
+            boolean overLimit = measurement.failureRatio() > limits.maxFailureRatio()
+                    || measurement.utilisation() > limits.maxUtilisation();
+            accumulator.overLimitMs = overLimit ? accumulator.overLimitMs + sinceLastMs : 0;
+            if (accumulator.overLimitMs >= MIN_OVER_LIMIT_MS) {
+                return measurement.failureRatio() > limits.maxFailureRatio()
+                        ? format(
+                                "%s passed its bound: %.1f%% of tries fail",
+                                prediction.pool(), 100 * measurement.failureRatio())
+                        : format(
+                                "%s passed its bound: %.0f%% in use",
+                                prediction.pool(), 100 * measurement.utilisation());
             }
-            if (state.status() == EvacuationStatus.REHEARSING && s.servers() != f.servers()) {
-                return text("%s has %d servers, not %d: forecast again", f.pool(), s.servers(), f.servers());
+            if (state.status() == EvacuationStatus.REHEARSING && measurement.servers() != prediction.servers()) {
+                return format(
+                        "%s has %d servers, not %d: forecast again",
+                        prediction.pool(), measurement.servers(), prediction.servers());
             }
-            if (held < limits.graceMs()) {
+            if (elapsedMs < limits.settlingMs()) {
                 continue;
             }
-            sum.load += s.attempts() * since;
-            sum.loadMs += since;
-            Within expected = expected(state, f);
-            double mean = sum.loadMs > 0 ? sum.load / sum.loadMs : 0;
-            if (expected != null && sum.loadMs >= COMPARED_MS && off(expected, mean, f, s)) {
-                return text(
+            accumulator.rateIntegral += measurement.attemptRate() * sinceLastMs;
+            accumulator.observedMs += sinceLastMs;
+            Interval predicted = predictedRate(state, prediction);
+            double meanRate = accumulator.observedMs > 0 ? accumulator.rateIntegral / accumulator.observedMs : 0;
+            if (predicted != null
+                    && accumulator.observedMs >= MIN_OBSERVED_MS
+                    && deviates(predicted, meanRate, prediction, measurement)) {
+                return format(
                         "%s has %.1f tries a second, foretold were %.1f (%.1f to %.1f)",
-                        f.pool(), mean, expected.expected(), expected.low(), expected.high());
+                        prediction.pool(), meanRate, predicted.expected(), predicted.low(), predicted.high());
             }
         }
         return null;
     }
 
-    private boolean off(Within expected, double mean, Foretold f, Seen s) {
-        // More servers than were foretold take more of what moves; that is no fault while load is carried.
-        boolean more = s.servers() > f.servers() && mean > expected.expected();
-        return !more
-                && !expected.holds(mean)
-                && Math.abs(mean - expected.expected()) > limits.partOff() * Math.max(LEAST_LOAD, expected.expected());
+    private boolean deviates(
+            Interval predicted, double meanRate, PoolPrediction prediction, PoolMeasurement measurement) {
+        // A pool with more servers than predicted attracts more of the moved load; no fault as long as it serves it.
+        boolean extraServersTakeMore = measurement.servers() > prediction.servers() && meanRate > predicted.expected();
+        return !extraServersTakeMore
+                && !predicted.contains(meanRate)
+                && Math.abs(meanRate - predicted.expected())
+                        > limits.maxLoadDeviation() * Math.max(MIN_LOAD, predicted.expected());
     }
 
-    private static Within expected(PlanState state, Foretold f) {
+    private static Interval predictedRate(PlanState state, PoolPrediction prediction) {
         if (state.status() == EvacuationStatus.REHEARSING) {
-            return f.rehearsal();
+            return prediction.rehearsal();
         }
-        return state.step() < f.steps().size() ? f.steps().get(state.step()) : null;
+        return state.step() < prediction.steps().size() ? prediction.steps().get(state.step()) : null;
     }
 
-    /** What came beside what was foretold, weighed by how far it stands out from chance. */
-    private List<Correction> corrections(PlanState state, double held) {
-        List<Correction> out = new ArrayList<>();
-        for (Foretold f : state.foretold()) {
-            Sum sum = sums.get(f.pool());
-            double moved = f.rehearsal().expected() - f.before();
-            if (sum == null || sum.loadMs < COMPARED_MS || moved <= 0) {
+    /** Compares observed with predicted increases, weighted by how far each stands out from random variation. */
+    private List<Correction> computeCorrections(PlanState state, double elapsedMs) {
+        List<Correction> corrections = new ArrayList<>();
+        for (PoolPrediction prediction : state.predictions()) {
+            LoadAccumulator accumulator = accumulators.get(prediction.pool());
+            double predictedIncrease = prediction.rehearsal().expected() - prediction.baselineRate();
+            if (accumulator == null || accumulator.observedMs < MIN_OBSERVED_MS || predictedIncrease <= 0) {
                 continue;
             }
-            double came = sum.load / sum.loadMs - f.before();
-            // Chance of arrivals while it was held, and that of the load it is compared with.
-            double noise = f.rehearsal().expected() / (sum.loadMs / 1000)
-                    + Math.pow((f.rehearsal().high() - f.rehearsal().low()) / 2.56, 2);
-            double weight = moved * moved / (moved * moved + noise);
-            if (came > 0 && weight > 0.01) {
-                out.add(new Correction(f.pool(), came / moved, weight));
+            double observedIncrease = accumulator.rateIntegral / accumulator.observedMs - prediction.baselineRate();
+            // Variance of the Poisson arrivals during the rehearsal, plus that of the predicted load.
+            double variance = prediction.rehearsal().expected() / (accumulator.observedMs / 1000)
+                    + Math.pow(
+                            (prediction.rehearsal().high()
+                                            - prediction.rehearsal().low())
+                                    / 2.56,
+                            2);
+            double weight = predictedIncrease * predictedIncrease / (predictedIncrease * predictedIncrease + variance);
+            if (observedIncrease > 0 && weight > 0.01) {
+                corrections.add(new Correction(prediction.pool(), observedIncrease / predictedIncrease, weight));
             }
         }
-        return out;
+        return corrections;
     }
 
-    private static String text(String format, Object... args) {
-        return String.format(Locale.ROOT, format, args);
+    private static String format(String pattern, Object... args) {
+        return String.format(Locale.ROOT, pattern, args);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -5,8 +5,8 @@
 import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import brackenbridge.fleet.evacuation.Driver.Correction;
-import brackenbridge.fleet.evacuation.Driver.Seen;
-import brackenbridge.fleet.evacuation.Driver.Turn;
+import brackenbridge.fleet.evacuation.Driver.Decision;
+import brackenbridge.fleet.evacuation.Driver.PoolMeasurement;
 import brackenbridge.fleet.peer.Member;
 import brackenbridge.fleet.peer.MessageStream;
 import brackenbridge.fleet.peer.PeerLinks;
@@ -22,159 +22,164 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's part in driving: asks for the role while a plan has to be driven, and while it holds it, tells every node
- * what the agreed record says and proposes what comes next. {@link #tick} is called a few times a second from one
- * thread; it waits for nothing.
+ * Runs the evacuation driver at a member: acquires the driver role while a plan needs a driver, and while it holds the
+ * role, sends every node the weights that follow from the agreed record and proposes the next record. {@link #tick} is
+ * called a few times per second from one thread and never blocks.
  *
- * <p>Two drivers: the role is held by one member at any moment; orders carry its token, and nodes pass over a lower
- * one. A driver that can't reach a majority loses the role and falls silent, and what it told ends by itself.
+ * <p>Two drivers can't interfere: one member at a time holds the role, commands carry its token, and nodes ignore a
+ * command with a lower token. A driver that can't reach a majority loses the role and stops sending; its last commands
+ * then expire.
  */
 public final class DriverTask {
-    /** The role of the one who drives. */
+    /** The name of the role that the driving member holds. */
     public static final String ROLE = "evacuation";
 
     private static final Logger LOG = LoggerFactory.getLogger(DriverTask.class);
 
     /**
-     * Times.
+     * The driver's intervals and timeouts.
      *
-     * @param holdMs for how long the role is asked
-     * @param orderMs how often orders are repeated
-     * @param forMs for how long an order holds: longer than it takes another member to take over
-     * @param withinMs for how long a proposal is waited for
+     * @param leaseMs the lease time for which the role is requested
+     * @param commandIntervalMs how often commands are repeated
+     * @param commandValidityMs how long a command is valid: longer than another member needs to take over
+     * @param proposalTimeoutMs how long to wait for a proposal
      */
-    public record Times(double holdMs, double orderMs, double forMs, double withinMs) {
-        /** The usual ones. */
-        public static final Times USUAL = new Times(3000, 500, 10_000, 2500);
+    public record Timing(double leaseMs, double commandIntervalMs, double commandValidityMs, double proposalTimeoutMs) {
+        /** The default times. */
+        public static final Timing DEFAULTS = new Timing(3000, 500, 10_000, 2500);
     }
 
-    private final AgreedValues agreed;
+    private final AgreedValues agreedValues;
     private final PeerLinks links;
     private final Driver driver;
-    private final Times times;
-    private final Supplier<List<Seen>> seen;
-    private final Consumer<Correction> learns;
-    private final Consumer<WeightCommand> local;
-    private CompletableFuture<Lease> claim;
-    private CompletableFuture<Verdict> proposed;
-    private double claimedMs = Double.NEGATIVE_INFINITY;
-    private double orderedMs = Double.NEGATIVE_INFINITY;
-    private long orderedEpoch = -1;
+    private final Timing timing;
+    private final Supplier<List<PoolMeasurement>> measurements;
+    private final Consumer<Correction> correctionSink;
+    private final Consumer<WeightCommand> localCommandSink;
+    private CompletableFuture<Lease> pendingLease;
+    private CompletableFuture<Verdict> pendingProposal;
+    private double lastAcquireMs = Double.NEGATIVE_INFINITY;
+    private double lastCommandMs = Double.NEGATIVE_INFINITY;
+    private long lastCommandEpoch = -1;
 
     /**
-     * A member's part.
+     * Creates the task of one member.
      *
-     * @param seen what is seen of pools now
-     * @param learns takes what rehearsals have shown
-     * @param local takes the orders for this member's own node
+     * @param measurements supplies the latest measurements of the pools
+     * @param correctionSink receives the corrections that rehearsals yield
+     * @param localCommandSink receives the commands for this member's own node
      */
     public DriverTask(
-            AgreedValues agreed,
+            AgreedValues agreedValues,
             PeerLinks links,
             Driver driver,
-            Times times,
-            Supplier<List<Seen>> seen,
-            Consumer<Correction> learns,
-            Consumer<WeightCommand> local) {
-        this.agreed = agreed;
+            Timing timing,
+            Supplier<List<PoolMeasurement>> measurements,
+            Consumer<Correction> correctionSink,
+            Consumer<WeightCommand> localCommandSink) {
+        this.agreedValues = agreedValues;
         this.links = links;
         this.driver = driver;
-        this.times = times;
-        this.seen = seen;
-        this.learns = learns;
-        this.local = local;
+        this.timing = timing;
+        this.measurements = measurements;
+        this.correctionSink = correctionSink;
+        this.localCommandSink = localCommandSink;
     }
 
-    /** One turn. */
+    /** Acquires or extends the role, proposes the next record and sends commands where they are due. */
     public void tick(double nowMs) {
-        Optional<Acting> acting = agreed.acting(AgreedValues.EVACUATION);
-        if (acting.isEmpty() || acting.get().one() == null) {
+        Optional<Acting> activeValues = agreedValues.acting(AgreedValues.EVACUATION);
+        if (activeValues.isEmpty() || activeValues.get().one() == null) {
             return;
         }
-        PlanState one = read(acting.get().one());
-        PlanState other =
-                acting.get().other() == null ? null : read(acting.get().other());
-        if (one == null || acting.get().other() != null && other == null) {
+        PlanState state = decode(activeValues.get().one());
+        PlanState otherState = activeValues.get().other() == null
+                ? null
+                : decode(activeValues.get().other());
+        if (state == null || activeValues.get().other() != null && otherState == null) {
             return;
         }
-        boolean wanted =
-                one.status().driven() || other != null && other.status().driven();
-        if (!wanted) {
-            // Orders of a plan that is over end by themselves; the last one says that all is as usual.
-            long generation = acting.get().one().generation();
-            if (orderedEpoch != generation) {
-                agreed.heldLease(ROLE).ifPresent(lease -> order(nowMs, lease.token(), one.parts(), generation));
+        boolean needsDriver = state.status().needsDriver()
+                || otherState != null && otherState.status().needsDriver();
+        if (!needsDriver) {
+            // Commands of a finished plan expire; the last one already restores the usual weights.
+            long generation = activeValues.get().one().generation();
+            if (lastCommandEpoch != generation) {
+                agreedValues
+                        .heldLease(ROLE)
+                        .ifPresent(lease -> sendCommand(nowMs, lease.token(), state.zoneWeights(), generation));
             }
             return;
         }
-        claimRole(nowMs);
-        Optional<Lease> lease = agreed.heldLease(ROLE);
-        if (lease.isEmpty() || one.token() > lease.get().token()) {
+        acquireOrExtendRole(nowMs);
+        Optional<Lease> lease = agreedValues.heldLease(ROLE);
+        if (lease.isEmpty() || state.token() > lease.get().token()) {
             return;
         }
         long token = lease.get().token();
-        long epoch = acting.get().one().generation();
-        if (other == null && (proposed == null || proposed.isDone())) {
-            Turn turn = driver.turn(nowMs, one, epoch, token, seen.get());
-            turn.corrections().forEach(learns);
-            if (turn.next() != null) {
+        long epoch = activeValues.get().one().generation();
+        if (otherState == null && (pendingProposal == null || pendingProposal.isDone())) {
+            Decision decision = driver.decide(nowMs, state, epoch, token, measurements.get());
+            decision.corrections().forEach(correctionSink);
+            if (decision.nextState() != null) {
                 LOG.atInfo()
-                        .addKeyValue("plan", one.plan().name())
-                        .addKeyValue("step", turn.next().step())
+                        .addKeyValue("plan", state.plan().name())
+                        .addKeyValue("step", decision.nextState().step())
                         .log(
-                                "evacuation becomes {}: {}",
-                                PlanState.name(turn.next().status()),
-                                turn.next()
+                                "evacuation status changes to {}: {}",
+                                PlanState.lowerCaseName(decision.nextState().status()),
+                                decision.nextState()
                                         .history()
-                                        .get(turn.next().history().size() - 1)
-                                        .why());
-                proposed = agreed.propose(
-                        AgreedValues.EVACUATION, epoch, turn.next().bytes(), times.withinMs());
+                                        .get(decision.nextState().history().size() - 1)
+                                        .reason());
+                pendingProposal = agreedValues.propose(
+                        AgreedValues.EVACUATION, epoch, decision.nextState().encode(), timing.proposalTimeoutMs());
             }
         }
-        if (nowMs - orderedMs >= times.orderMs() || epoch != orderedEpoch) {
-            order(nowMs, token, both(one, other), epoch);
+        if (nowMs - lastCommandMs >= timing.commandIntervalMs() || epoch != lastCommandEpoch) {
+            sendCommand(nowMs, token, mergeWeights(state, otherState), epoch);
         }
     }
 
-    /** While two records are acted by, a zone keeps the larger part: what both allow. */
-    private static Map<String, Double> both(PlanState one, PlanState other) {
-        Map<String, Double> parts = new HashMap<>(one.parts());
-        if (other != null) {
-            other.parts().forEach((z, p) -> parts.merge(z, p, Math::max));
-            parts.replaceAll((z, p) -> Math.max(p, other.parts().getOrDefault(z, 1.0)));
+    /** While two records are in force at once, each zone keeps the larger of its two weights: both records allow it. */
+    private static Map<String, Double> mergeWeights(PlanState state, PlanState otherState) {
+        Map<String, Double> weights = new HashMap<>(state.zoneWeights());
+        if (otherState != null) {
+            otherState.zoneWeights().forEach((zone, weight) -> weights.merge(zone, weight, Math::max));
+            weights.replaceAll(
+                    (zone, weight) -> Math.max(weight, otherState.zoneWeights().getOrDefault(zone, 1.0)));
         }
-        return parts;
+        return weights;
     }
 
-    /** Claims the role, or extends its lease, unless a claim is still unanswered. */
-    private void claimRole(double nowMs) {
-        boolean answered = claim == null || claim.isDone();
-        if (answered && nowMs - claimedMs >= times.holdMs() / 3) {
-            claimedMs = nowMs;
-            claim = agreed.acquire(ROLE, times.holdMs());
+    /** Acquires the role or extends its lease, unless an earlier request is still unanswered. */
+    private void acquireOrExtendRole(double nowMs) {
+        boolean answered = pendingLease == null || pendingLease.isDone();
+        if (answered && nowMs - lastAcquireMs >= timing.leaseMs() / 3) {
+            lastAcquireMs = nowMs;
+            pendingLease = agreedValues.acquire(ROLE, timing.leaseMs());
         }
     }
 
-    private void order(double nowMs, long token, Map<String, Double> parts, long epoch) {
-        WeightCommand o = new WeightCommand(token, epoch, parts, times.forMs());
-        byte[] body = o.bytes();
-        for (Member m : links.peers()) {
-            // A full queue loses one; the next comes soon.
-            links.send(m.name(), MessageStream.EVACUATION, body);
+    private void sendCommand(double nowMs, long token, Map<String, Double> weights, long epoch) {
+        WeightCommand command = new WeightCommand(token, epoch, weights, timing.commandValidityMs());
+        byte[] body = command.encode();
+        for (Member member : links.peers()) {
+            // A full queue drops this command; it is repeated shortly.
+            links.send(member.name(), MessageStream.EVACUATION, body);
         }
-        local.accept(o);
-        orderedMs = nowMs;
-        orderedEpoch = epoch;
+        localCommandSink.accept(command);
+        lastCommandMs = nowMs;
+        lastCommandEpoch = epoch;
     }
 
-    private static PlanState read(AgreedValues.Value v) {
+    private static PlanState decode(AgreedValues.Value value) {
         try {
-            return PlanState.read(v.content());
+            return PlanState.decode(value.content());
         } catch (IOException e) {
             LOG.atWarn()
-                    .addKeyValue("generation", v.generation())
-                    .log("the agreed plan can't be read: {}", e.getMessage());
+                    .addKeyValue("generation", value.generation())
+                    .log("cannot decode the agreed evacuation plan: {}", e.getMessage());
             return null;
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/FluidModel.java
@@ -11,45 +11,45 @@
 import org.apache.commons.math3.special.Erf;
 
 /**
- * One course of a plan through all pools, as a fluid. Each pool's calls in work follow the pointwise stationary fluid
- * flow approximation (Wang, Tipper and Banerjee, A new method for analyzing time-varying queues, Performance
- * Evaluation 1996): what it completes is what a stationary M/G/c queue completes that holds as many, with the number
- * waiting by Sakasegawa. Where chance is drawn as well it makes the queues by itself (a reflected diffusion: Kingman,
- * On queues in heavy traffic, 1962), and the number waiting is left out. Tries call the next tier while they hold
- * their slot, so that a slow pool fills the slots of those before it, and a full one spares those behind it.
+ * A fluid simulation of a plan through all pools. The number of attempts in service in each pool follows the pointwise
+ * stationary fluid flow approximation (Wang, Tipper and Banerjee, A new method for analyzing time-varying queues,
+ * Performance Evaluation 1996): the pool completes as much as a stationary M/G/c queue with the same number in the
+ * system, whose queue length is Sakasegawa's. With random arrivals the queues arise from the noise itself (a reflected
+ * diffusion: Kingman, On queues in heavy traffic, 1962), and Sakasegawa's term is left out. Attempts call the next tier
+ * while they hold their slot, so a slow pool fills the slots of its callers, and a full pool relieves those it calls.
  */
 final class FluidModel {
     private static final double STEP_MS = 50;
     private static final double STEP_S = STEP_MS / 1000;
-    /** Before the plan: long enough that what lies in the pools is what their load puts there. */
-    private static final double BEFORE_MS = 10_000;
+    /** The time before the plan's start: long enough for the pools to fill to the level of their usual load. */
+    private static final double LEAD_IN_MS = 10_000;
 
-    private static final int GRID = 400;
-    private static final double TOP = 0.9975;
-    /** Noise holds for so many steps. */
+    private static final int GRID_SIZE = 400;
+    private static final double MAX_GRID_LOAD = 0.9975;
+    /** How many steps each noise value lasts. */
     private static final int NOISE_STEPS = 2;
-    /** Every how many steps the part that is late is looked at. */
-    private static final int LATE_STEPS = 4;
-    /** How fast the part that fails makes clients and nodes try again. */
-    private static final double REACTION = 0.1;
+    /** The fraction of late attempts is recomputed once in so many steps. */
+    private static final int LATENESS_INTERVAL_STEPS = 4;
+    /** How fast retries by clients and nodes follow the failure ratio, per step. */
+    private static final double FEEDBACK_GAIN = 0.1;
 
-    private static final double SLOW_AFTER_MS = 2000;
-    private static final double RESTED_AFTER_MS = 3500;
+    private static final double DEGRADES_AFTER_MS = 2000;
+    private static final double RECOVERS_AFTER_MS = 3500;
 
-    /** Factors on what the picture holds; the noise of arrivals, or none. */
-    static final class Draw {
-        final double[] capacity;
-        final double[] calls;
-        final double[] correction;
-        final double[] flow;
-        final RandomGenerator noise;
+    /** Random factors on the values of the snapshot; and the source of arrival noise, or null for none. */
+    static final class ParameterSample {
+        final double[] capacityFactors;
+        final double[] callFactors;
+        final double[] correctionFactors;
+        final double[] flowFactors;
+        final RandomGenerator arrivalNoise;
 
-        Draw(int pools, int flows, RandomGenerator noise) {
-            capacity = ones(pools);
-            calls = ones(pools);
-            correction = ones(pools);
-            flow = ones(flows);
-            this.noise = noise;
+        ParameterSample(int pools, int flows, RandomGenerator noise) {
+            capacityFactors = ones(pools);
+            callFactors = ones(pools);
+            correctionFactors = ones(pools);
+            flowFactors = ones(flows);
+            this.arrivalNoise = noise;
         }
 
         private static double[] ones(int n) {
@@ -59,106 +59,108 @@
         }
     }
 
-    /** What a course came to: by pool, and by pool and step. */
-    static final class Course {
-        final double[] saturatesMs;
-        final Resource[] resource;
-        final double[][] load;
-        final double[][] firstTries;
-        final double[][] slots;
-        final double[][] connections;
+    /** The result of one simulation: per pool, and per step and pool. */
+    static final class Trajectory {
+        final double[] saturationMs;
+        final Resource[] exhaustedResource;
+        final double[][] attemptRate;
+        final double[][] firstAttemptRate;
+        final double[][] slotUse;
+        final double[][] connectionUse;
         final double[][] responseMs;
-        final double[][] failing;
+        final double[][] failureRatio;
         final double[][] utilisation;
-        final double[] lastFailing;
+        final double[] finalFailureRatio;
 
-        Course(int pools, int steps) {
-            saturatesMs = new double[pools];
-            Arrays.fill(saturatesMs, Double.NaN);
-            resource = new Resource[pools];
-            load = new double[steps][pools];
-            firstTries = new double[steps][pools];
-            slots = new double[steps][pools];
-            connections = new double[steps][pools];
+        Trajectory(int pools, int steps) {
+            saturationMs = new double[pools];
+            Arrays.fill(saturationMs, Double.NaN);
+            exhaustedResource = new Resource[pools];
+            attemptRate = new double[steps][pools];
+            firstAttemptRate = new double[steps][pools];
+            slotUse = new double[steps][pools];
+            connectionUse = new double[steps][pools];
             responseMs = new double[steps][pools];
-            failing = new double[steps][pools];
+            failureRatio = new double[steps][pools];
             utilisation = new double[steps][pools];
-            lastFailing = new double[pools];
+            finalFailureRatio = new double[pools];
         }
     }
 
-    private final PoolSnapshot picture;
-    private final ForecastSettings terms;
+    private final PoolSnapshot snapshot;
+    private final ForecastSettings settings;
     private final List<Pool> pools;
     private final List<String> zones;
-    private final int planZone;
+    private final int evacuatedZone;
     private final EvacuationPlan plan;
-    private final double[] movedAt;
-    private final double[] endsMs;
-    /** By tier: its pools. */
-    private final List<int[]> tiers = new ArrayList<>();
+    private final double[] movedFractions;
+    private final double[] stepEndsMs;
+    /** For each tier, the indices of its pools. */
+    private final List<int[]> poolsByTier = new ArrayList<>();
 
-    private final int[] zoneOf;
-    /** Part of the zone's load of its tier that a pool takes. */
-    private final double[] split;
-    /** By tier, origin and zone: where load goes usually. */
-    private final double[][][] usual;
-    /** By flow: origin and whether it is of the first tier. */
-    private final int[] originOf;
+    private final int[] zoneOfPool;
+    /** The fraction of its zone's load of the tier that each pool takes. */
+    private final double[] shareInZone;
+    /** By tier, origin and zone: the fraction of the origin's load that usually goes to the zone. */
+    private final double[][][] usualRouting;
+    /** For each flow, the zone of its origin and its pool, as indices. */
+    private final int[] originOfFlow;
 
-    private final int[] poolOf;
-    private final double[][] rhoAt;
-    private final double[][] plainAt;
-    private final double[] chance;
+    private final int[] poolOfFlow;
+    private final double[][] meanOccupancy;
+    private final double[][] fluidOccupancy;
+    private final double[] arrivalDispersion;
 
-    /** The courses of this plan; moved parts may be told apart from the plan's own steps. */
-    FluidModel(PoolSnapshot picture, EvacuationPlan plan, double[] movedAt) {
-        this.picture = picture;
+    /** Prepares simulations of a plan; {@code movedFractions} may differ from those of the plan's own steps. */
+    FluidModel(PoolSnapshot snapshot, EvacuationPlan plan, double[] movedFractions) {
+        this.snapshot = snapshot;
         this.plan = plan;
-        this.terms = picture.terms();
-        this.pools = picture.pools();
-        this.zones = new ArrayList<>(picture.zones());
-        for (Flow f : picture.flows()) {
-            if (!zones.contains(f.origin())) {
-                zones.add(f.origin());
+        this.settings = snapshot.settings();
+        this.pools = snapshot.pools();
+        this.zones = new ArrayList<>(snapshot.zones());
+        for (Flow flow : snapshot.flows()) {
+            if (!zones.contains(flow.origin())) {
+                zones.add(flow.origin());
             }
         }
-        this.planZone = zones.indexOf(plan.zone());
-        this.movedAt = movedAt;
-        endsMs = new double[movedAt.length];
-        double at = 0;
-        for (int i = 0; i < endsMs.length; i++) {
-            at += plan.steps().get(i).pauseMs();
-            endsMs[i] = at;
-        }
-        zoneOf = pools.stream().mapToInt(p -> zones.indexOf(p.name().zone())).toArray();
-        for (String tier : terms.tiers()) {
-            List<Integer> of = new ArrayList<>();
+        this.evacuatedZone = zones.indexOf(plan.zone());
+        this.movedFractions = movedFractions;
+        stepEndsMs = new double[movedFractions.length];
+        double endMs = 0;
+        for (int i = 0; i < stepEndsMs.length; i++) {
+            endMs += plan.steps().get(i).pauseMs();
+            stepEndsMs[i] = endMs;
+        }
+        zoneOfPool =
+                pools.stream().mapToInt(p -> zones.indexOf(p.name().zone())).toArray();
+        for (String tier : settings.tiers()) {
+            List<Integer> poolIndices = new ArrayList<>();
             for (int i = 0; i < pools.size(); i++) {
                 if (pools.get(i).name().tier().equals(tier)) {
-                    of.add(i);
+                    poolIndices.add(i);
                 }
             }
-            tiers.add(of.stream().mapToInt(Integer::intValue).toArray());
+            poolsByTier.add(poolIndices.stream().mapToInt(Integer::intValue).toArray());
         }
-        originOf = picture.flows().stream()
-                .mapToInt(f -> zones.indexOf(f.origin()))
+        originOfFlow = snapshot.flows().stream()
+                .mapToInt(flow -> zones.indexOf(flow.origin()))
                 .toArray();
-        poolOf = picture.flows().stream().mapToInt(f -> indexOf(f.to())).toArray();
-        split = new double[pools.size()];
-        usual = new double[tiers.size()][zones.size()][zones.size()];
-        for (int t = 0; t < tiers.size(); t++) {
-            split(tiers.get(t));
-            usual(t);
-        }
-        rhoAt = new double[pools.size()][];
-        plainAt = new double[pools.size()][];
-        chance = new double[pools.size()];
+        poolOfFlow =
+                snapshot.flows().stream().mapToInt(flow -> indexOf(flow.pool())).toArray();
+        shareInZone = new double[pools.size()];
+        usualRouting = new double[poolsByTier.size()][zones.size()][zones.size()];
+        for (int tierIndex = 0; tierIndex < poolsByTier.size(); tierIndex++) {
+            computeSharesInZone(poolsByTier.get(tierIndex));
+            computeUsualRouting(tierIndex);
+        }
+        meanOccupancy = new double[pools.size()][];
+        fluidOccupancy = new double[pools.size()][];
+        arrivalDispersion = new double[pools.size()];
         for (int i = 0; i < pools.size(); i++) {
-            Pool p = pools.get(i);
-            rhoAt[i] = table(p, true);
-            plainAt[i] = table(p, false);
-            chance[i] = 1 + (inTurn(p) ? p.variation() : 1);
+            Pool pool = pools.get(i);
+            meanOccupancy[i] = occupancyTable(pool, true);
+            fluidOccupancy[i] = occupancyTable(pool, false);
+            arrivalDispersion[i] = 1 + (isSlotLimited(pool) ? pool.squaredVariation() : 1);
         }
     }
 
@@ -171,396 +173,471 @@
         return -1;
     }
 
-    private void split(int[] tier) {
+    private void computeSharesInZone(int[] tier) {
         for (int i : tier) {
-            double mine = pools.get(i).attempts();
-            double all = 0;
-            double slots = 0;
+            double ownRate = pools.get(i).attemptRate();
+            double zoneRate = 0;
+            double zoneSlots = 0;
             for (int j : tier) {
-                if (zoneOf[j] == zoneOf[i]) {
-                    all += pools.get(j).attempts();
-                    slots += room(j);
+                if (zoneOfPool[j] == zoneOfPool[i]) {
+                    zoneRate += pools.get(j).attemptRate();
+                    zoneSlots += totalSlots(j);
                 }
             }
-            split[i] = all > 0 ? mine / all : slots > 0 ? room(i) / slots : 0;
+            shareInZone[i] = zoneRate > 0 ? ownRate / zoneRate : zoneSlots > 0 ? totalSlots(i) / zoneSlots : 0;
         }
     }
 
-    private double room(int pool) {
+    private double totalSlots(int pool) {
         return pools.get(pool).servers() * pools.get(pool).slots();
     }
 
-    private void usual(int t) {
-        for (int f = 0; f < poolOf.length; f++) {
-            if (poolOf[f] >= 0
-                    && pools.get(poolOf[f]).name().tier().equals(terms.tiers().get(t))) {
-                usual[t][originOf[f]][zoneOf[poolOf[f]]] +=
-                        picture.flows().get(f).rate();
+    private void computeUsualRouting(int tier) {
+        for (int flow = 0; flow < poolOfFlow.length; flow++) {
+            if (poolOfFlow[flow] >= 0
+                    && pools.get(poolOfFlow[flow])
+                            .name()
+                            .tier()
+                            .equals(settings.tiers().get(tier))) {
+                usualRouting[tier][originOfFlow[flow]][zoneOfPool[poolOfFlow[flow]]] +=
+                        snapshot.flows().get(flow).rate();
             }
         }
-        for (int o = 0; o < zones.size(); o++) {
-            double sum = Arrays.stream(usual[t][o]).sum();
+        for (int origin = 0; origin < zones.size(); origin++) {
+            double sum = Arrays.stream(usualRouting[tier][origin]).sum();
             if (sum > 0) {
-                for (int z = 0; z < zones.size(); z++) {
-                    usual[t][o][z] /= sum;
+                for (int zone = 0; zone < zones.size(); zone++) {
+                    usualRouting[tier][origin][zone] /= sum;
                 }
             } else {
-                usual[t][o][o] = 1;
+                usualRouting[tier][origin][origin] = 1;
             }
         }
     }
 
-    /** Slots beyond what is worked on share it evenly, and then the work's variation does not matter. */
-    private static boolean inTurn(Pool p) {
-        return p.slots() * p.servers() <= Math.max(1, p.parallel()) * 1.05;
+    /**
+     * Whether attempts queue for slots. With more slots than the servers can work on, attempts share the servers evenly
+     * instead, and the variation of the work does not matter.
+     */
+    private static boolean isSlotLimited(Pool pool) {
+        return pool.slots() * pool.servers() <= Math.max(1, pool.concurrency()) * 1.05;
     }
 
-    /** The number in work and before it at each load of the grid: as it is in the mean, or without any chance. */
-    private static double[] table(Pool p, boolean mean) {
-        double[] n = new double[GRID + 1];
-        double c = Math.max(1, p.parallel());
-        double factor = !mean ? 0 : inTurn(p) ? (1 + p.variation()) / 2 : 1;
-        for (int i = 0; i <= GRID; i++) {
-            double rho = TOP * i / GRID;
-            n[i] = c * rho + factor * Queues.waiting(c, rho);
-        }
-        return n;
+    /** The number in the system at each load of the grid, with the mean queue or as a fluid without any queue. */
+    private static double[] occupancyTable(Pool pool, boolean withQueue) {
+        double[] occupancy = new double[GRID_SIZE + 1];
+        double concurrency = Math.max(1, pool.concurrency());
+        double factor = !withQueue ? 0 : isSlotLimited(pool) ? (1 + pool.squaredVariation()) / 2 : 1;
+        for (int i = 0; i <= GRID_SIZE; i++) {
+            double rho = MAX_GRID_LOAD * i / GRID_SIZE;
+            occupancy[i] = concurrency * rho + factor * Queues.sakasegawaQueueLength(concurrency, rho);
+        }
+        return occupancy;
     }
 
     /**
-     * The number in work at a step's end that fits its completions: n + most * rho(n) = before, solved on the grid, so
-     * that steps longer than a call's work do not swing.
+     * The number left in service at the end of a step that is consistent with the step's completions: solves
+     * occupancy + maxCompletions * rho(occupancy) = inService on the grid. This implicit step prevents oscillation
+     * where a step is longer than the work of an attempt.
      *
-     * @param most what all servers complete in a step at the most
-     * @param scale servers there are for each that the table was made for
+     * @param maxCompletions the most that all servers can complete in a step
+     * @param scale the number of servers relative to that for which the table was made
      */
-    private static double left(double[] n, double before, double most, double scale) {
-        if (before >= n[GRID] * scale + TOP * most) {
-            return before - most * Math.min(1, TOP + (1 - TOP) * (before / (n[GRID] * scale + TOP * most) - 1));
+    private static double remainingInService(
+            double[] occupancy, double inService, double maxCompletions, double scale) {
+        if (inService >= occupancy[GRID_SIZE] * scale + MAX_GRID_LOAD * maxCompletions) {
+            return inService
+                    - maxCompletions
+                            * Math.min(
+                                    1,
+                                    MAX_GRID_LOAD
+                                            + (1 - MAX_GRID_LOAD)
+                                                    * (inService
+                                                                    / (occupancy[GRID_SIZE] * scale
+                                                                            + MAX_GRID_LOAD * maxCompletions)
+                                                            - 1));
         }
         int low = 0;
-        int high = GRID;
+        int high = GRID_SIZE;
         while (high - low > 1) {
             int mid = (low + high) >>> 1;
-            if (n[mid] * scale + TOP * mid / GRID * most <= before) {
+            if (occupancy[mid] * scale + MAX_GRID_LOAD * mid / GRID_SIZE * maxCompletions <= inService) {
                 low = mid;
             } else {
                 high = mid;
             }
         }
-        double atLow = n[low] * scale + TOP * low / GRID * most;
-        double atHigh = n[high] * scale + TOP * high / GRID * most;
-        double part = (before - atLow) / Math.max(1e-12, atHigh - atLow);
-        return scale * (n[low] + part * (n[high] - n[low]));
+        double atLow = occupancy[low] * scale + MAX_GRID_LOAD * low / GRID_SIZE * maxCompletions;
+        double atHigh = occupancy[high] * scale + MAX_GRID_LOAD * high / GRID_SIZE * maxCompletions;
+        double interpolation = (inService - atLow) / Math.max(1e-12, atHigh - atLow);
+        return scale * (occupancy[low] + interpolation * (occupancy[high] - occupancy[low]));
     }
 
     int stepAt(double ms) {
-        for (int i = 0; i < endsMs.length; i++) {
-            if (ms < endsMs[i]) {
+        for (int i = 0; i < stepEndsMs.length; i++) {
+            if (ms < stepEndsMs[i]) {
                 return i;
             }
         }
-        return endsMs.length - 1;
+        return stepEndsMs.length - 1;
     }
 
-    Course run(Draw draw) {
-        int n = pools.size();
-        Course out = new Course(n, Math.max(1, movedAt.length));
-        double[] waiting = new double[n];
-        double[] working = new double[n];
-        double[] calling = new double[n];
-        double[] done = new double[n];
-        double[] failing = new double[n];
-        double[] refusing = new double[n];
-        double[] late = new double[n];
-        double[] response = new double[n];
-        double[] noise = new double[n];
-        double[] slowSince = new double[n];
-        double[] restSince = new double[n];
-        boolean[] slow = new boolean[n];
-        double[] inflow = new double[n];
-        int window = Math.max(1, (int) Math.round(terms.windowMs() / STEP_MS));
-        double[][] failed = new double[n][window];
-        double[][] came = new double[n][window];
-        double[] failedSum = new double[n];
-        double[] cameSum = new double[n];
-        double[] scale = new double[n];
-        double[][] causes = new double[n][Resource.values().length];
-        Arrays.fill(noise, 1);
-        Arrays.fill(slowSince, Double.NaN);
-        Arrays.fill(restSince, Double.NaN);
-        for (int i = 0; i < n; i++) {
-            response[i] = pools.get(i).workMs();
-        }
-        double[] first = new double[zones.size()];
-        for (int f = 0; f < poolOf.length; f++) {
-            if (poolOf[f] >= 0
-                    && pools.get(poolOf[f]).name().tier().equals(terms.tiers().get(0))) {
-                first[originOf[f]] += picture.flows().get(f).rate() * draw.flow[f];
+    Trajectory simulate(ParameterSample sample) {
+        int poolCount = pools.size();
+        Trajectory trajectory = new Trajectory(poolCount, Math.max(1, movedFractions.length));
+        double[] waiting = new double[poolCount];
+        double[] inService = new double[poolCount];
+        double[] inDownstreamCall = new double[poolCount];
+        double[] completionRate = new double[poolCount];
+        double[] failureRatio = new double[poolCount];
+        double[] rejectionRatio = new double[poolCount];
+        double[] lateRatio = new double[poolCount];
+        double[] responseMs = new double[poolCount];
+        double[] noiseFactor = new double[poolCount];
+        double[] overloadedSinceMs = new double[poolCount];
+        double[] recoveringSinceMs = new double[poolCount];
+        boolean[] degraded = new boolean[poolCount];
+        double[] firstAttemptRate = new double[poolCount];
+        int windowSteps = Math.max(1, (int) Math.round(settings.saturationWindowMs() / STEP_MS));
+        double[][] failedInWindow = new double[poolCount][windowSteps];
+        double[][] arrivedInWindow = new double[poolCount][windowSteps];
+        double[] failedSum = new double[poolCount];
+        double[] arrivedSum = new double[poolCount];
+        double[] serverScale = new double[poolCount];
+        double[][] failureCauses = new double[poolCount][Resource.values().length];
+        Arrays.fill(noiseFactor, 1);
+        Arrays.fill(overloadedSinceMs, Double.NaN);
+        Arrays.fill(recoveringSinceMs, Double.NaN);
+        for (int i = 0; i < poolCount; i++) {
+            responseMs[i] = pools.get(i).ownWorkMs();
+        }
+        double[] clientRateByZone = new double[zones.size()];
+        for (int flow = 0; flow < poolOfFlow.length; flow++) {
+            if (poolOfFlow[flow] >= 0
+                    && pools.get(poolOfFlow[flow])
+                            .name()
+                            .tier()
+                            .equals(settings.tiers().get(0))) {
+                clientRateByZone[originOfFlow[flow]] +=
+                        snapshot.flows().get(flow).rate() * sample.flowFactors[flow];
             }
         }
-        double length = endsMs.length == 0 ? 0 : endsMs[endsMs.length - 1];
-        long ticks = Math.round((BEFORE_MS + length) / STEP_MS);
-        int[] counted = new int[out.load.length];
-        for (long k = 0; k < ticks; k++) {
-            double at = k * STEP_MS - BEFORE_MS;
-            int step = at < 0 ? -1 : stepAt(at);
-            double keeps = step < 0 ? 1 : 1 - movedAt[step];
-            double[] from = first;
-            for (int t = 0; t < tiers.size(); t++) {
-                Arrays.fill(inflow, 0);
-                spread(t, from, keeps, draw, inflow);
-                double[] next = new double[zones.size()];
-                for (int i : tiers.get(t)) {
-                    Pool p = pools.get(i);
-                    double servers = servers(p, at);
-                    scale[i] = servers / Math.max(1, p.servers());
-                    if (draw.noise != null && k % NOISE_STEPS == 0) {
-                        double calls = Math.max(0.1, inflow[i] * STEP_S * NOISE_STEPS);
-                        noise[i] = Math.max(0, 1 + draw.noise.nextGaussian() * Math.sqrt(chance[i] / calls));
+        double durationMs = stepEndsMs.length == 0 ? 0 : stepEndsMs[stepEndsMs.length - 1];
+        long timeSteps = Math.round((LEAD_IN_MS + durationMs) / STEP_MS);
+        int[] sampleCounts = new int[trajectory.attemptRate.length];
+        for (long timeStep = 0; timeStep < timeSteps; timeStep++) {
+            double timeMs = timeStep * STEP_MS - LEAD_IN_MS;
+            int planStep = timeMs < 0 ? -1 : stepAt(timeMs);
+            double retained = planStep < 0 ? 1 : 1 - movedFractions[planStep];
+            double[] rateByZone = clientRateByZone;
+            for (int tier = 0; tier < poolsByTier.size(); tier++) {
+                Arrays.fill(firstAttemptRate, 0);
+                distributeFirstAttempts(tier, rateByZone, retained, sample, firstAttemptRate);
+                double[] nextRateByZone = new double[zones.size()];
+                for (int i : poolsByTier.get(tier)) {
+                    Pool pool = pools.get(i);
+                    double servers = effectiveServers(pool, timeMs);
+                    serverScale[i] = servers / Math.max(1, pool.servers());
+                    if (sample.arrivalNoise != null && timeStep % NOISE_STEPS == 0) {
+                        double expectedArrivals = Math.max(0.1, firstAttemptRate[i] * STEP_S * NOISE_STEPS);
+                        noiseFactor[i] = Math.max(
+                                0,
+                                1
+                                        + sample.arrivalNoise.nextGaussian()
+                                                * Math.sqrt(arrivalDispersion[i] / expectedArrivals));
                     }
-                    double again = again(i, t, failing[i], refusing[i]);
-                    double attempts = inflow[i] * again * noise[i];
-                    double rateCalls = p.calls() * draw.calls[i];
-                    double callMs = rateCalls * nextMs(t, i, keeps, response, failing);
-                    double speed = p.capacity() * draw.capacity[i] * scale[i] * (slow[i] ? p.slowPart() : 1);
-                    double slotsAll = servers * p.slots();
-                    double limit = servers * Math.max(1, p.connections());
-                    double in = attempts * STEP_S;
-                    double held = waiting[i] + working[i] + calling[i];
-                    double refused = Math.min(in, Math.max(0, held + in - limit));
-                    double free = Math.max(0, slotsAll - working[i] - calling[i]);
-                    waiting[i] += in - refused;
-                    double admitted = Math.min(waiting[i], free);
-                    waiting[i] -= admitted;
-                    double inWork = working[i] + admitted;
-                    double[] table = draw.noise == null ? rhoAt[i] : plainAt[i];
-                    working[i] = left(table, inWork, speed * STEP_S, Math.max(1e-9, scale[i]));
-                    double doneWork = inWork - working[i];
-                    double before = calling[i] + doneWork;
-                    calling[i] = callMs <= 0 ? 0 : before / (1 + STEP_MS / callMs);
-                    done[i] = (before - calling[i]) / STEP_S;
-                    double workRate = doneWork / STEP_S;
-                    double queueMs = workRate > 1e-6 ? 1000 * waiting[i] / workRate : waiting[i] > 0 ? 1e6 : 0;
-                    double ownMs = workRate > 1e-6 ? Math.max(p.workMs(), 1000 * working[i] / workRate) : p.workMs();
-                    response[i] = Math.min(60_000, queueMs + ownMs + callMs);
-                    if (k % LATE_STEPS == 0) {
-                        late[i] = late(p, queueMs, ownMs, callMs);
+                    double attemptsPerFirst = attemptsPerFirstAttempt(i, tier, failureRatio[i], rejectionRatio[i]);
+                    double attemptRate = firstAttemptRate[i] * attemptsPerFirst * noiseFactor[i];
+                    double callsPerAttempt = pool.callsPerAttempt() * sample.callFactors[i];
+                    double downstreamMs =
+                            callsPerAttempt * downstreamCallMs(tier, i, retained, responseMs, failureRatio);
+                    double capacity = pool.capacity()
+                            * sample.capacityFactors[i]
+                            * serverScale[i]
+                            * (degraded[i] ? pool.degradedCapacityRatio() : 1);
+                    double slots = servers * pool.slots();
+                    double maxOpen = servers * Math.max(1, pool.connections());
+                    double arrived = attemptRate * STEP_S;
+                    double open = waiting[i] + inService[i] + inDownstreamCall[i];
+                    double rejected = Math.min(arrived, Math.max(0, open + arrived - maxOpen));
+                    double freeSlots = Math.max(0, slots - inService[i] - inDownstreamCall[i]);
+                    waiting[i] += arrived - rejected;
+                    double started = Math.min(waiting[i], freeSlots);
+                    waiting[i] -= started;
+                    double inServiceBefore = inService[i] + started;
+                    double[] occupancy = sample.arrivalNoise == null ? meanOccupancy[i] : fluidOccupancy[i];
+                    inService[i] = remainingInService(
+                            occupancy, inServiceBefore, capacity * STEP_S, Math.max(1e-9, serverScale[i]));
+                    double served = inServiceBefore - inService[i];
+                    double inCallBefore = inDownstreamCall[i] + served;
+                    inDownstreamCall[i] = downstreamMs <= 0 ? 0 : inCallBefore / (1 + STEP_MS / downstreamMs);
+                    completionRate[i] = (inCallBefore - inDownstreamCall[i]) / STEP_S;
+                    double serviceRate = served / STEP_S;
+                    double queueMs = serviceRate > 1e-6 ? 1000 * waiting[i] / serviceRate : waiting[i] > 0 ? 1e6 : 0;
+                    double ownMs = serviceRate > 1e-6
+                            ? Math.max(pool.ownWorkMs(), 1000 * inService[i] / serviceRate)
+                            : pool.ownWorkMs();
+                    responseMs[i] = Math.min(60_000, queueMs + ownMs + downstreamMs);
+                    if (timeStep % LATENESS_INTERVAL_STEPS == 0) {
+                        lateRatio[i] = lateFraction(pool, queueMs, ownMs, downstreamMs);
                     }
-                    leave(i, p, attempts, waiting, working, calling);
-                    slow(
+                    dropExpired(i, pool, attemptRate, waiting, inService, inDownstreamCall);
+                    updateDegradation(
                             i,
-                            p,
-                            at,
-                            (waiting[i] + working[i] + calling[i]) / Math.max(1, servers),
-                            slow,
-                            slowSince,
-                            restSince);
-                    next[zoneOf[i]] += workRate * rateCalls;
-                    double fails = refused + late[i] * (in - refused);
-                    double part = in > 1e-9 ? fails / in : 0;
-                    failing[i] += REACTION * (part - failing[i]);
-                    refusing[i] += REACTION * ((in > 1e-9 ? refused / in : 0) - refusing[i]);
-                    int slot = (int) (k % window);
-                    causes[i][0] *= 1 - REACTION;
-                    causes[i][1] *= 1 - REACTION;
-                    causes[i][2] *= 1 - REACTION;
-                    causes[i][limit > slotsAll ? Resource.SLOTS.ordinal() : Resource.CONNECTIONS.ordinal()] += refused;
-                    causes[i][free <= 0 ? Resource.SLOTS.ordinal() : Resource.DEADLINE.ordinal()] += fails - refused;
-                    failedSum[i] += fails - failed[i][slot];
-                    cameSum[i] += in - came[i][slot];
-                    failed[i][slot] = fails;
-                    came[i][slot] = in;
-                    double slotShare = (working[i] + calling[i]) / Math.max(1, slotsAll);
-                    double connectionShare = (waiting[i] + working[i] + calling[i]) / limit;
-                    if (at >= 0) {
-                        if (Double.isNaN(out.saturatesMs[i])
-                                && k >= window
-                                && cameSum[i] > 1e-6
-                                && failedSum[i] / cameSum[i] >= terms.failing()) {
-                            out.saturatesMs[i] = at;
-                            out.resource[i] = largest(causes[i]);
+                            pool,
+                            timeMs,
+                            (waiting[i] + inService[i] + inDownstreamCall[i]) / Math.max(1, servers),
+                            degraded,
+                            overloadedSinceMs,
+                            recoveringSinceMs);
+                    nextRateByZone[zoneOfPool[i]] += serviceRate * callsPerAttempt;
+                    double failures = rejected + lateRatio[i] * (arrived - rejected);
+                    double stepFailureRatio = arrived > 1e-9 ? failures / arrived : 0;
+                    failureRatio[i] += FEEDBACK_GAIN * (stepFailureRatio - failureRatio[i]);
+                    rejectionRatio[i] +=
+                            FEEDBACK_GAIN * ((arrived > 1e-9 ? rejected / arrived : 0) - rejectionRatio[i]);
+                    int windowSlot = (int) (timeStep % windowSteps);
+                    failureCauses[i][0] *= 1 - FEEDBACK_GAIN;
+                    failureCauses[i][1] *= 1 - FEEDBACK_GAIN;
+                    failureCauses[i][2] *= 1 - FEEDBACK_GAIN;
+                    failureCauses[i][maxOpen > slots ? Resource.SLOTS.ordinal() : Resource.CONNECTIONS.ordinal()] +=
+                            rejected;
+                    failureCauses[i][freeSlots <= 0 ? Resource.SLOTS.ordinal() : Resource.DEADLINE.ordinal()] +=
+                            failures - rejected;
+                    failedSum[i] += failures - failedInWindow[i][windowSlot];
+                    arrivedSum[i] += arrived - arrivedInWindow[i][windowSlot];
+                    failedInWindow[i][windowSlot] = failures;
+                    arrivedInWindow[i][windowSlot] = arrived;
+                    double slotUse = (inService[i] + inDownstreamCall[i]) / Math.max(1, slots);
+                    double connectionUse = (waiting[i] + inService[i] + inDownstreamCall[i]) / maxOpen;
+                    if (timeMs >= 0) {
+                        if (Double.isNaN(trajectory.saturationMs[i])
+                                && timeStep >= windowSteps
+                                && arrivedSum[i] > 1e-6
+                                && failedSum[i] / arrivedSum[i] >= settings.saturationFailureRatio()) {
+                            trajectory.saturationMs[i] = timeMs;
+                            trajectory.exhaustedResource[i] = dominantCause(failureCauses[i]);
                         }
-                        // The later half of a step, where its load has come.
-                        if (at >= endsMs[step] - plan.steps().get(step).pauseMs() / 2) {
-                            int c = counted[step];
-                            out.load[step][i] += (attempts - out.load[step][i]) / (c + 1);
-                            out.firstTries[step][i] += (inflow[i] - out.firstTries[step][i]) / (c + 1);
-                            out.slots[step][i] = Math.max(out.slots[step][i], slotShare);
-                            out.connections[step][i] = Math.max(out.connections[step][i], connectionShare);
-                            out.responseMs[step][i] += (response[i] - out.responseMs[step][i]) / (c + 1);
-                            out.failing[step][i] += (part - out.failing[step][i]) / (c + 1);
-                            out.utilisation[step][i] += (Math.min(1, attempts / Math.max(1e-9, speed))
-                                            - out.utilisation[step][i])
-                                    / (c + 1);
+                        // Sampled in the second half of a step, when the step's load has arrived.
+                        if (timeMs
+                                >= stepEndsMs[planStep]
+                                        - plan.steps().get(planStep).pauseMs() / 2) {
+                            int samples = sampleCounts[planStep];
+                            trajectory.attemptRate[planStep][i] +=
+                                    (attemptRate - trajectory.attemptRate[planStep][i]) / (samples + 1);
+                            trajectory.firstAttemptRate[planStep][i] +=
+                                    (firstAttemptRate[i] - trajectory.firstAttemptRate[planStep][i]) / (samples + 1);
+                            trajectory.slotUse[planStep][i] = Math.max(trajectory.slotUse[planStep][i], slotUse);
+                            trajectory.connectionUse[planStep][i] =
+                                    Math.max(trajectory.connectionUse[planStep][i], connectionUse);
+                            trajectory.responseMs[planStep][i] +=
+                                    (responseMs[i] - trajectory.responseMs[planStep][i]) / (samples + 1);
+                            trajectory.failureRatio[planStep][i] +=
+                                    (stepFailureRatio - trajectory.failureRatio[planStep][i]) / (samples + 1);
+                            trajectory.utilisation[planStep][i] += (Math.min(1, attemptRate / Math.max(1e-9, capacity))
+                                            - trajectory.utilisation[planStep][i])
+                                    / (samples + 1);
                         }
                     }
                 }
-                from = next;
+                rateByZone = nextRateByZone;
             }
-            if (at >= 0 && at >= endsMs[step] - plan.steps().get(step).pauseMs() / 2) {
-                counted[step]++;
+            if (timeMs >= 0
+                    && timeMs
+                            >= stepEndsMs[planStep] - plan.steps().get(planStep).pauseMs() / 2) {
+                sampleCounts[planStep]++;
             }
         }
-        System.arraycopy(failing, 0, out.lastFailing, 0, n);
-        return out;
+        System.arraycopy(failureRatio, 0, trajectory.finalFailureRatio, 0, poolCount);
+        return trajectory;
     }
 
-    private static Resource largest(double[] causes) {
-        Resource most = Resource.DEADLINE;
-        for (Resource r : Resource.values()) {
-            if (causes[r.ordinal()] > causes[most.ordinal()]) {
-                most = r;
+    private static Resource dominantCause(double[] causes) {
+        Resource dominant = Resource.DEADLINE;
+        for (Resource resource : Resource.values()) {
+            if (causes[resource.ordinal()] > causes[dominant.ordinal()]) {
+                dominant = resource;
             }
         }
-        return most;
+        return dominant;
     }
 
-    /** First tries go where they go usually, what a zone does not keep to the others by their slots. */
-    private void spread(int t, double[] from, double keeps, Draw draw, double[] inflow) {
-        double[] weight = new double[zones.size()];
-        double all = 0;
-        for (int i : tiers.get(t)) {
-            if (zoneOf[i] != planZone) {
-                double w = room(i) * pools.get(i).correction() * draw.correction[i];
-                weight[zoneOf[i]] += w;
-                all += w;
+    /** Routes first attempts as usual; what the evacuated zone gives up goes to the others in proportion to slots. */
+    private void distributeFirstAttempts(
+            int tier, double[] rateByZone, double retained, ParameterSample sample, double[] firstAttemptRate) {
+        double[] weightByZone = new double[zones.size()];
+        double totalWeight = 0;
+        for (int i : poolsByTier.get(tier)) {
+            if (zoneOfPool[i] != evacuatedZone) {
+                double weight = totalSlots(i) * pools.get(i).correction() * sample.correctionFactors[i];
+                weightByZone[zoneOfPool[i]] += weight;
+                totalWeight += weight;
             }
         }
-        double[] to = new double[zones.size()];
-        for (int o = 0; o < zones.size(); o++) {
-            double moved = planZone < 0 ? 0 : from[o] * usual[t][o][planZone] * (1 - keeps);
-            for (int z = 0; z < zones.size(); z++) {
-                to[z] += from[o] * usual[t][o][z] * (z == planZone ? keeps : 1);
-                to[z] += all > 0 ? moved * weight[z] / all : 0;
+        double[] rateToZone = new double[zones.size()];
+        for (int origin = 0; origin < zones.size(); origin++) {
+            double movedRate = evacuatedZone < 0
+                    ? 0
+                    : rateByZone[origin] * usualRouting[tier][origin][evacuatedZone] * (1 - retained);
+            for (int zone = 0; zone < zones.size(); zone++) {
+                rateToZone[zone] +=
+                        rateByZone[origin] * usualRouting[tier][origin][zone] * (zone == evacuatedZone ? retained : 1);
+                rateToZone[zone] += totalWeight > 0 ? movedRate * weightByZone[zone] / totalWeight : 0;
             }
         }
-        for (int i : tiers.get(t)) {
-            inflow[i] += to[zoneOf[i]] * split[i];
+        for (int i : poolsByTier.get(tier)) {
+            firstAttemptRate[i] += rateToZone[zoneOfPool[i]] * shareInZone[i];
         }
     }
 
-    private double servers(Pool p, double at) {
-        double servers = p.servers();
-        for (EvacuationPlan.Comes c : plan.comes()) {
-            if (c.pool().equals(p.name()) && at >= c.afterMs()) {
-                double warm = p.coldMs() <= 0
+    private double effectiveServers(Pool pool, double timeMs) {
+        double servers = pool.servers();
+        for (EvacuationPlan.AddedServers added : plan.addedServers()) {
+            if (added.pool().equals(pool.name()) && timeMs >= added.afterMs()) {
+                double warmFraction = pool.warmUpMs() <= 0
                         ? 1
-                        : Math.min(1, p.coldFrom() + (1 - p.coldFrom()) * (at - c.afterMs()) / p.coldMs());
-                servers += c.servers() * warm;
+                        : Math.min(
+                                1,
+                                pool.coldCapacityRatio()
+                                        + (1 - pool.coldCapacityRatio())
+                                                * (timeMs - added.afterMs())
+                                                / pool.warmUpMs());
+                servers += added.servers() * warmFraction;
             }
         }
         return servers;
     }
 
-    /** How many tries come for a first one: nodes' within attempts and budget, clients' within theirs. */
-    private double again(int i, int t, double failing, double refusing) {
-        double node = 0;
-        double q = refusing;
-        for (int a = 1; a < terms.attempts(); a++) {
-            node += q;
-            q *= refusing;
-        }
-        node = Math.min(node, terms.budget());
-        double client = 0;
-        if (t == 0) {
-            double repeatable = 0;
-            double all = 0;
-            for (Map.Entry<String, Double> c : pools.get(i).mix().entrySet()) {
-                all += c.getValue();
-                repeatable += terms.repeatable(c.getKey()) ? c.getValue() : 0;
+    /** Attempts per first attempt: nodes retry within their attempts and budget, clients within their own limit. */
+    private double attemptsPerFirstAttempt(int pool, int tier, double failureRatio, double rejectionRatio) {
+        double nodeRetries = 0;
+        double retryProbability = rejectionRatio;
+        for (int attempt = 1; attempt < settings.maxAttempts(); attempt++) {
+            nodeRetries += retryProbability;
+            retryProbability *= rejectionRatio;
+        }
+        nodeRetries = Math.min(nodeRetries, settings.retryBudget());
+        double clientRetries = 0;
+        if (tier == 0) {
+            double idempotentShare = 0;
+            double totalShare = 0;
+            for (Map.Entry<String, Double> entry : pools.get(pool).classMix().entrySet()) {
+                totalShare += entry.getValue();
+                idempotentShare += settings.isIdempotent(entry.getKey()) ? entry.getValue() : 0;
             }
-            double lost = node >= terms.budget() ? refusing : Math.pow(refusing, terms.attempts());
-            // Refused calls have not run and may all be tried again; late ones end with their client's time.
-            double q1 = Math.min(0.95, lost + (all > 0 ? repeatable / all : 1) * Math.max(0, failing - refusing) / 2);
-            double power = q1;
-            for (int a = 1; a < terms.clientTries(); a++) {
-                client += power;
-                power *= q1;
+            double rejectedAfterRetries = nodeRetries >= settings.retryBudget()
+                    ? rejectionRatio
+                    : Math.pow(rejectionRatio, settings.maxAttempts());
+            // Rejected requests have not run and may all be retried; late ones end with their client's deadline.
+            double clientRetryProbability = Math.min(
+                    0.95,
+                    rejectedAfterRetries
+                            + (totalShare > 0 ? idempotentShare / totalShare : 1)
+                                    * Math.max(0, failureRatio - rejectionRatio)
+                                    / 2);
+            double probability = clientRetryProbability;
+            for (int attempt = 1; attempt < settings.maxClientAttempts(); attempt++) {
+                clientRetries += probability;
+                probability *= clientRetryProbability;
             }
         }
-        return (1 + node) * (1 + client);
+        return (1 + nodeRetries) * (1 + clientRetries);
     }
 
-    /** The time of a call to the next tier, as the pool's zone sends them. */
-    private double nextMs(int t, int i, double keeps, double[] response, double[] failing) {
-        if (t + 1 >= tiers.size()) {
+    /** The mean time of a call to the next tier, weighted by where the pool's zone sends its calls. */
+    private double downstreamCallMs(int tier, int caller, double retained, double[] responseMs, double[] failureRatio) {
+        if (tier + 1 >= poolsByTier.size()) {
             return 0;
         }
         double sum = 0;
-        double weight = 0;
-        for (int j : tiers.get(t + 1)) {
-            double w = usual[t + 1][zoneOf[i]][zoneOf[j]] * split[j];
-            if (zoneOf[j] == planZone) {
-                w *= keeps;
-            } else if (planZone >= 0) {
-                w += usual[t + 1][zoneOf[i]][planZone] * (1 - keeps) * room(j) / Math.max(1, roomBeside(t + 1));
+        double totalWeight = 0;
+        for (int callee : poolsByTier.get(tier + 1)) {
+            double weight = usualRouting[tier + 1][zoneOfPool[caller]][zoneOfPool[callee]] * shareInZone[callee];
+            if (zoneOfPool[callee] == evacuatedZone) {
+                weight *= retained;
+            } else if (evacuatedZone >= 0) {
+                weight += usualRouting[tier + 1][zoneOfPool[caller]][evacuatedZone]
+                        * (1 - retained)
+                        * totalSlots(callee)
+                        / Math.max(1, slotsOutsideEvacuatedZone(tier + 1));
             }
-            // A call that is turned away comes back at once.
-            sum += w * response[j] * (1 - Math.min(1, failing[j]) / 2);
-            weight += w;
+            // A rejected call returns at once.
+            sum += weight * responseMs[callee] * (1 - Math.min(1, failureRatio[callee]) / 2);
+            totalWeight += weight;
         }
-        return weight > 0 ? sum / weight : 0;
+        return totalWeight > 0 ? sum / totalWeight : 0;
     }
 
-    private double roomBeside(int t) {
-        double all = 0;
-        for (int j : tiers.get(t)) {
-            all += zoneOf[j] == planZone ? 0 : room(j);
+    private double slotsOutsideEvacuatedZone(int tier) {
+        double total = 0;
+        for (int pool : poolsByTier.get(tier)) {
+            total += zoneOfPool[pool] == evacuatedZone ? 0 : totalSlots(pool);
         }
-        return all;
+        return total;
     }
 
-    /** The part of calls that take longer than their classes' time: their work is taken for lognormal. */
-    private double late(Pool p, double queueMs, double ownMs, double callMs) {
-        double stretch = Math.max(1, ownMs / Math.max(1e-6, p.workMs()));
-        double sigma2 = Math.log1p(Math.max(0.01, p.variation()));
-        double mu = Math.log(Math.max(1e-6, p.workMs())) - sigma2 / 2;
-        double sum = 0;
-        double all = 0;
-        for (Map.Entry<String, Double> c : p.mix().entrySet()) {
-            double left = (terms.deadlineMs(c.getKey()) - queueMs - callMs) / stretch;
-            double part = left <= 0 ? 1 : 0.5 * Erf.erfc((Math.log(left) - mu) / Math.sqrt(2 * sigma2));
-            sum += c.getValue() * part;
-            all += c.getValue();
-        }
-        return all > 0 ? sum / all : 0;
+    /** The fraction of attempts that exceed the deadline of their class, with lognormal work. */
+    private double lateFraction(Pool pool, double queueMs, double ownMs, double downstreamMs) {
+        double stretch = Math.max(1, ownMs / Math.max(1e-6, pool.ownWorkMs()));
+        double sigma2 = Math.log1p(Math.max(0.01, pool.squaredVariation()));
+        double mu = Math.log(Math.max(1e-6, pool.ownWorkMs())) - sigma2 / 2;
+        double weightedLate = 0;
+        double totalShare = 0;
+        for (Map.Entry<String, Double> entry : pool.classMix().entrySet()) {
+            double remainingMs = (settings.deadlineMs(entry.getKey()) - queueMs - downstreamMs) / stretch;
+            double lateProbability =
+                    remainingMs <= 0 ? 1 : 0.5 * Erf.erfc((Math.log(remainingMs) - mu) / Math.sqrt(2 * sigma2));
+            weightedLate += entry.getValue() * lateProbability;
+            totalShare += entry.getValue();
+        }
+        return totalShare > 0 ? weightedLate / totalShare : 0;
     }
 
-    /** Nobody stays longer than the longest deadline. */
-    private void leave(int i, Pool p, double attempts, double[] waiting, double[] working, double[] calling) {
-        double most =
-                p.mix().keySet().stream().mapToDouble(terms::deadlineMs).max().orElse(10_000) / 1000;
-        double over = waiting[i] + working[i] + calling[i] - Math.max(1, attempts * most);
-        if (over > 0) {
-            double gone = Math.min(over, waiting[i]);
-            waiting[i] -= gone;
-            double more = Math.min(over - gone, working[i]);
-            working[i] -= more;
-            calling[i] = Math.max(0, calling[i] - (over - gone - more));
+    /** Drops attempts beyond those that arrive within the longest deadline: none stays longer than that. */
+    private void dropExpired(
+            int i, Pool pool, double attemptRate, double[] waiting, double[] inService, double[] inDownstreamCall) {
+        double maxSeconds = pool.classMix().keySet().stream()
+                        .mapToDouble(settings::deadlineMs)
+                        .max()
+                        .orElse(10_000)
+                / 1000;
+        double excess = waiting[i] + inService[i] + inDownstreamCall[i] - Math.max(1, attemptRate * maxSeconds);
+        if (excess > 0) {
+            double dropped = Math.min(excess, waiting[i]);
+            waiting[i] -= dropped;
+            double droppedInService = Math.min(excess - dropped, inService[i]);
+            inService[i] -= droppedInService;
+            inDownstreamCall[i] = Math.max(0, inDownstreamCall[i] - (excess - dropped - droppedInService));
         }
     }
 
-    private static void slow(int i, Pool p, double at, double each, boolean[] slow, double[] since, double[] rest) {
-        if (p.slowAt() <= 0 || p.slowPart() >= 1) {
+    private static void updateDegradation(
+            int i,
+            Pool pool,
+            double timeMs,
+            double openPerServer,
+            boolean[] degraded,
+            double[] overloadedSinceMs,
+            double[] recoveringSinceMs) {
+        if (pool.degradedAtCalls() <= 0 || pool.degradedCapacityRatio() >= 1) {
             return;
         }
-        if (!slow[i]) {
-            if (each < p.slowAt()) {
-                since[i] = Double.NaN;
-            } else if (Double.isNaN(since[i])) {
-                since[i] = at;
-            } else if (at - since[i] >= SLOW_AFTER_MS) {
-                slow[i] = true;
-                rest[i] = Double.NaN;
+        if (!degraded[i]) {
+            if (openPerServer < pool.degradedAtCalls()) {
+                overloadedSinceMs[i] = Double.NaN;
+            } else if (Double.isNaN(overloadedSinceMs[i])) {
+                overloadedSinceMs[i] = timeMs;
+            } else if (timeMs - overloadedSinceMs[i] >= DEGRADES_AFTER_MS) {
+                degraded[i] = true;
+                recoveringSinceMs[i] = Double.NaN;
             }
-        } else if (each > p.slowAt() / 4) {
-            rest[i] = Double.NaN;
-        } else if (Double.isNaN(rest[i])) {
-            rest[i] = at;
-        } else if (at - rest[i] >= RESTED_AFTER_MS) {
-            slow[i] = false;
-            since[i] = Double.NaN;
+        } else if (openPerServer > pool.degradedAtCalls() / 4) {
+            recoveringSinceMs[i] = Double.NaN;
+        } else if (Double.isNaN(recoveringSinceMs[i])) {
+            recoveringSinceMs[i] = timeMs;
+        } else if (timeMs - recoveringSinceMs[i] >= RECOVERS_AFTER_MS) {
+            degraded[i] = false;
+            overloadedSinceMs[i] = Double.NaN;
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Forecast.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.evacuation;
 
-import brackenbridge.fleet.evacuation.FluidModel.Course;
-import brackenbridge.fleet.evacuation.FluidModel.Draw;
+import brackenbridge.fleet.evacuation.FluidModel.ParameterSample;
+import brackenbridge.fleet.evacuation.FluidModel.Trajectory;
 import brackenbridge.fleet.evacuation.PoolSnapshot.Flow;
-import brackenbridge.fleet.evacuation.PoolSnapshot.Missing;
+import brackenbridge.fleet.evacuation.PoolSnapshot.MissingNode;
 import brackenbridge.fleet.evacuation.PoolSnapshot.Pool;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.annotation.JsonProperty;
@@ -17,344 +17,381 @@
 import org.apache.commons.math3.stat.descriptive.rank.Percentile;
 
 /**
- * What a plan would do to the pools that remain. The course of the plan is computed as it is expected, and many times
- * more with figures drawn within their spreads and with the chance of arrivals; verdicts and intervals are counts of
- * those courses.
+ * The predicted effect of a plan on the remaining pools. The plan is simulated once with the expected values, and many
+ * times with values sampled within their spreads and with random arrivals; verdicts and intervals are statistics of
+ * those simulations.
  *
  * @param plan the plan's name
- * @param zone the zone that is emptied
- * @param verdict the worst of the pools'
+ * @param zone the evacuated zone
+ * @param verdict the worst verdict of any pool
  * @param pools the pools of the other zones
  */
 public record Forecast(String plan, String zone, Verdict verdict, List<PoolForecast> pools) {
-    /** Courses that are drawn. */
-    static final int COURSES = 80;
-    /** A pool saturates if it does in so many of the courses; it is tight if it does in so many. */
-    private static final double LIKELY = 0.5;
+    /** The number of sampled simulations. */
+    static final int TRAJECTORIES = 80;
+    /** The fractions of sampled simulations from which on a pool counts as saturating, and as tight. */
+    private static final double SATURATES_PROBABILITY = 0.5;
 
-    private static final double POSSIBLE = 0.1;
-    private static final double TIGHT_SHARE = 0.9;
-    /** The interval's ends, in percent: it holds in eight cases of ten. */
-    private static final double LOW = 10;
+    private static final double TIGHT_PROBABILITY = 0.1;
+    private static final double TIGHT_UTILISATION = 0.9;
+    /** The percentiles of the interval's ends: it covers 80% of the sampled simulations. */
+    private static final double LOW_PERCENTILE = 10;
 
-    private static final double HIGH = 90;
-    private static final double HALF = 50;
-    private static final double SERVED = 0.995;
+    private static final double HIGH_PERCENTILE = 90;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double FULLY_GRANTED = 0.995;
 
-    /** What becomes of a pool. */
+    /** The verdict on a pool. */
     public enum Verdict {
-        /** It serves what comes. */
+        /** It serves its load. */
         @JsonProperty("HOLDS")
         HOLDS,
-        /** It serves what is expected, with little room or by luck. */
+        /** It serves the expected load, but with little headroom or not in all simulations. */
         @JsonProperty("TIGHT")
         TIGHT,
-        /** A stated part of what comes fails for want of room or time. */
+        /** More than the configured fraction of its attempts fails because slots, connections or time run out. */
         @JsonProperty("SATURATES")
         SATURATES,
-        /** Nothing can be said; the reason stands beside it. Not a guess: it counts as no permission. */
+        /** No prediction is possible, for the given reason. This is not a guess, and does not permit an evacuation. */
         @JsonProperty("UNKNOWN")
         UNKNOWN
     }
 
-    /** What a pool runs out of. */
+    /** The resource that a pool exhausts. */
     public enum Resource {
-        /** All slots are taken: calls wait, and then are turned away. */
+        /** All slots are in use: requests wait, and then are rejected. */
         SLOTS,
-        /** No more calls may be open, though slots are free. */
+        /** The limit of open requests is reached while slots are free. */
         CONNECTIONS,
-        /** Calls are served, but after their class's time. */
+        /** Requests are served, but after the deadline of their class. */
         DEADLINE
     }
 
     /**
-     * A figure between bounds that hold in eight cases of ten.
+     * A value with an interval that covers 80% of the cases.
      *
-     * @param expected in the middle
+     * @param expected the median
      * @param low the lower bound
      * @param high the upper bound
      */
-    public record Within(
+    public record Interval(
             @JsonProperty("expected") double expected,
             @JsonProperty("low") double low,
             @JsonProperty("high") double high) {
-        /** Whether it lies between the bounds. */
-        public boolean holds(double value) {
+        /** Whether a value lies within the bounds. */
+        public boolean contains(double value) {
             return value >= low && value <= high;
         }
     }
 
     /**
-     * A pool in a step, in the step's later half.
+     * The forecast of a pool during the second half of a step.
      *
-     * @param step which, from 0
-     * @param load tries a second, repeats included
-     * @param utilisation the part of what its servers can do
-     * @param slots the part of its slots that is taken at the most
-     * @param connections the part of its connections that is taken at the most
-     * @param waitMs the mean wait before work, by Allen and Cunneen; negative if it grows without bound
-     * @param responseMs the mean time of an answer
-     * @param late the part whose wait alone is longer than the shortest deadline
-     * @param amplification tries for a first try
-     * @param refusedTenants tenants that shares would not give all that they want, with the part that is refused
+     * @param step the step's index, from 0
+     * @param load attempts per second, retries included
+     * @param utilisation the fraction of the servers' capacity in use
+     * @param slots the highest fraction of its slots in use
+     * @param connections the highest fraction of its connections in use
+     * @param waitMs the mean wait before service, by Allen and Cunneen; negative if it grows without bound
+     * @param responseMs the mean response time
+     * @param lateFraction the fraction of attempts whose wait alone exceeds the shortest deadline
+     * @param amplification attempts per first attempt
+     * @param rejectedTenants tenants whose demand the share policy would not meet, with the rejected fraction of it
      */
     public record StepForecast(
             int step,
-            Within load,
+            Interval load,
             double utilisation,
             double slots,
             double connections,
             double waitMs,
             double responseMs,
-            double late,
+            @JsonProperty("late") double lateFraction,
             double amplification,
-            Map<String, Double> refusedTenants) {}
+            @JsonProperty("refusedTenants") Map<String, Double> rejectedTenants) {}
 
     /**
-     * A pool.
+     * The forecast of a pool.
      *
-     * @param pool its name
-     * @param verdict what becomes of it
-     * @param why why nothing can be said
-     * @param part the part of the courses in which it saturates
-     * @param atMs when, from the first step's begin; null if it does in none
-     * @param step the step in which it does; -1 if in none
-     * @param resource what runs out first
-     * @param next the pool that falls next, if one does
-     * @param steps step by step
+     * @param pool the pool's name
+     * @param verdict the verdict
+     * @param reason why no prediction is possible; null if one is
+     * @param saturationProbability the fraction of sampled simulations in which it saturates
+     * @param saturationMs when it saturates, after the start of the first step; null if it never does
+     * @param step the step in which it saturates; -1 if it never does
+     * @param resource the resource that is exhausted first
+     * @param nextSaturated the pool that saturates next, if any
+     * @param steps the forecast of each step
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     public record PoolForecast(
             PoolName pool,
             Verdict verdict,
-            String why,
-            double part,
-            Within atMs,
+            @JsonProperty("why") String reason,
+            @JsonProperty("part") double saturationProbability,
+            @JsonProperty("atMs") Interval saturationMs,
             int step,
             Resource resource,
-            PoolName next,
+            @JsonProperty("next") PoolName nextSaturated,
             List<StepForecast> steps) {}
 
-    /** Forecasts a plan that has no faults; the same seed gives the same forecast. */
-    public static Forecast of(PoolSnapshot picture, EvacuationPlan plan, Shares shares, long seed) {
-        double[] moved = new double[plan.steps().size()];
-        for (int i = 0; i < moved.length; i++) {
-            moved[i] = plan.moved(i + 1);
+    /** Forecasts a valid plan; the same seed gives the same forecast. */
+    public static Forecast of(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
+        double[] movedFractions = new double[plan.steps().size()];
+        for (int i = 0; i < movedFractions.length; i++) {
+            movedFractions[i] = plan.movedFraction(i + 1);
         }
-        return of(picture, plan, moved, shares, seed, COURSES);
+        return of(snapshot, plan, movedFractions, shares, seed, TRAJECTORIES);
     }
 
-    /** Forecasts a rehearsal of it: one step, held for its time. */
-    public static Forecast rehearsal(PoolSnapshot picture, EvacuationPlan plan, Shares shares, long seed) {
-        EvacuationPlan one = plan.with(List.of(new EvacuationPlan.Step(plan.rehearsalPart(), plan.rehearsalMs())));
-        return of(picture, one, new double[] {plan.rehearsalPart()}, shares, seed, COURSES);
+    /** Forecasts the plan's rehearsal: a single step of the rehearsal's fraction and duration. */
+    public static Forecast rehearsal(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
+        EvacuationPlan rehearsal =
+                plan.withSteps(List.of(new EvacuationPlan.Step(plan.rehearsalFraction(), plan.rehearsalMs())));
+        return of(snapshot, rehearsal, new double[] {plan.rehearsalFraction()}, shares, seed, TRAJECTORIES);
     }
 
     static Forecast of(
-            PoolSnapshot picture, EvacuationPlan plan, double[] moved, Shares shares, long seed, int courses) {
-        FluidModel fluid = new FluidModel(picture, plan, moved);
+            PoolSnapshot snapshot,
+            EvacuationPlan plan,
+            double[] movedFractions,
+            SharePolicy shares,
+            long seed,
+            int trajectoryCount) {
+        FluidModel model = new FluidModel(snapshot, plan, movedFractions);
         RandomGenerator random = new Well19937c(seed);
-        Course central =
-                fluid.run(new Draw(picture.pools().size(), picture.flows().size(), null));
-        List<Course> drawn = new ArrayList<>();
-        for (int i = 0; i < courses; i++) {
-            drawn.add(fluid.run(draw(picture, random)));
+        Trajectory expected = model.simulate(
+                new ParameterSample(snapshot.pools().size(), snapshot.flows().size(), null));
+        List<Trajectory> samples = new ArrayList<>();
+        for (int i = 0; i < trajectoryCount; i++) {
+            samples.add(model.simulate(sampleParameters(snapshot, random)));
         }
-        List<PoolForecast> out = new ArrayList<>();
+        List<PoolForecast> forecasts = new ArrayList<>();
         Verdict worst = Verdict.HOLDS;
-        for (int i = 0; i < picture.pools().size(); i++) {
-            if (!picture.pools().get(i).name().zone().equals(plan.zone())) {
-                PoolForecast p = pool(picture, plan, moved, fluid, shares, i, central, drawn);
-                out.add(p);
-                worst = worse(worst, p.verdict());
+        for (int i = 0; i < snapshot.pools().size(); i++) {
+            if (!snapshot.pools().get(i).name().zone().equals(plan.zone())) {
+                PoolForecast forecast =
+                        forecastPool(snapshot, plan, movedFractions, model, shares, i, expected, samples);
+                forecasts.add(forecast);
+                worst = worse(worst, forecast.verdict());
             }
         }
-        return new Forecast(plan.name(), plan.zone(), out.isEmpty() ? Verdict.UNKNOWN : worst, out);
+        return new Forecast(plan.name(), plan.zone(), forecasts.isEmpty() ? Verdict.UNKNOWN : worst, forecasts);
     }
 
     private static Verdict worse(Verdict a, Verdict b) {
-        // What saturates is certain harm and said first; what is unknown comes before what is tight.
+        // SATURATES is certain harm and ranks highest; UNKNOWN ranks above TIGHT.
         int[] rank = {0, 1, 3, 2};
         return rank[a.ordinal()] >= rank[b.ordinal()] ? a : b;
     }
 
-    private static Draw draw(PoolSnapshot picture, RandomGenerator random) {
-        Draw d = new Draw(picture.pools().size(), picture.flows().size(), random);
-        for (int i = 0; i < d.capacity.length; i++) {
-            Pool p = picture.pools().get(i);
-            d.capacity[i] = factor(random, p.capacitySpread());
-            d.calls[i] = factor(random, p.callsSpread());
-            d.correction[i] = factor(random, p.correctionSpread());
+    private static ParameterSample sampleParameters(PoolSnapshot snapshot, RandomGenerator random) {
+        ParameterSample sample =
+                new ParameterSample(snapshot.pools().size(), snapshot.flows().size(), random);
+        for (int i = 0; i < sample.capacityFactors.length; i++) {
+            Pool pool = snapshot.pools().get(i);
+            sample.capacityFactors[i] = lognormalFactor(random, pool.capacitySpread());
+            sample.callFactors[i] = lognormalFactor(random, pool.callsSpread());
+            sample.correctionFactors[i] = lognormalFactor(random, pool.correctionSpread());
         }
-        for (int i = 0; i < d.flow.length; i++) {
-            d.flow[i] = factor(random, picture.flows().get(i).spread());
+        for (int i = 0; i < sample.flowFactors.length; i++) {
+            sample.flowFactors[i] =
+                    lognormalFactor(random, snapshot.flows().get(i).spread());
         }
-        return d;
+        return sample;
     }
 
-    private static double factor(RandomGenerator random, double spread) {
-        double z = random.nextGaussian();
+    private static double lognormalFactor(RandomGenerator random, double spread) {
+        double normal = random.nextGaussian();
         double sigma = Double.isFinite(spread) ? Math.min(spread, 1) : 1;
-        return Math.exp(sigma * z - sigma * sigma / 2);
+        return Math.exp(sigma * normal - sigma * sigma / 2);
     }
 
-    private static PoolForecast pool(
-            PoolSnapshot picture,
+    private static PoolForecast forecastPool(
+            PoolSnapshot snapshot,
             EvacuationPlan plan,
-            double[] moved,
-            FluidModel fluid,
-            Shares shares,
-            int i,
-            Course central,
-            List<Course> drawn) {
-        Pool p = picture.pools().get(i);
-        String why = why(picture, plan, p);
-        int fell = 0;
-        List<Double> times = new ArrayList<>();
-        Map<Resource, Integer> resources = new TreeMap<>();
-        Map<Integer, Integer> nexts = new HashMap<>();
-        for (Course c : drawn) {
-            if (!Double.isNaN(c.saturatesMs[i])) {
-                fell++;
-                times.add(c.saturatesMs[i]);
-                resources.merge(c.resource[i], 1, Integer::sum);
-                int next = next(c, i);
-                if (next >= 0) {
-                    nexts.merge(next, 1, Integer::sum);
+            double[] movedFractions,
+            FluidModel model,
+            SharePolicy shares,
+            int poolIndex,
+            Trajectory expected,
+            List<Trajectory> samples) {
+        Pool pool = snapshot.pools().get(poolIndex);
+        String unknownReason = unknownReason(snapshot, plan, pool);
+        int saturatedCount = 0;
+        List<Double> saturationTimes = new ArrayList<>();
+        Map<Resource, Integer> resourceCounts = new TreeMap<>();
+        Map<Integer, Integer> nextCounts = new HashMap<>();
+        for (Trajectory trajectory : samples) {
+            if (!Double.isNaN(trajectory.saturationMs[poolIndex])) {
+                saturatedCount++;
+                saturationTimes.add(trajectory.saturationMs[poolIndex]);
+                resourceCounts.merge(trajectory.exhaustedResource[poolIndex], 1, Integer::sum);
+                int nextIndex = nextSaturatedPool(trajectory, poolIndex);
+                if (nextIndex >= 0) {
+                    nextCounts.merge(nextIndex, 1, Integer::sum);
                 }
             }
         }
-        double part = drawn.isEmpty() ? 0 : fell / (double) drawn.size();
-        Within at = times.isEmpty() ? null : within(times);
+        double probability = samples.isEmpty() ? 0 : saturatedCount / (double) samples.size();
+        Interval saturationMs = saturationTimes.isEmpty() ? null : intervalOf(saturationTimes);
         List<StepForecast> steps = new ArrayList<>();
-        double fullest = 0;
-        for (int s = 0; s < moved.length; s++) {
-            StepForecast f = step(picture, p, shares, s, i, central, drawn);
-            fullest = Math.max(fullest, Math.max(f.utilisation(), Math.max(f.slots(), f.connections())));
-            steps.add(f);
+        double maxUse = 0;
+        for (int step = 0; step < movedFractions.length; step++) {
+            StepForecast forecast = forecastStep(snapshot, pool, shares, step, poolIndex, expected, samples);
+            maxUse = Math.max(
+                    maxUse, Math.max(forecast.utilisation(), Math.max(forecast.slots(), forecast.connections())));
+            steps.add(forecast);
         }
-        Verdict verdict = why != null
+        Verdict verdict = unknownReason != null
                 ? Verdict.UNKNOWN
-                : part >= LIKELY
+                : probability >= SATURATES_PROBABILITY
                         ? Verdict.SATURATES
-                        : part >= POSSIBLE || fullest >= TIGHT_SHARE ? Verdict.TIGHT : Verdict.HOLDS;
-        PoolName next = null;
-        for (Map.Entry<Integer, Integer> e : nexts.entrySet()) {
-            if (e.getValue() * 2 >= fell) {
-                next = picture.pools().get(e.getKey()).name();
+                        : probability >= TIGHT_PROBABILITY || maxUse >= TIGHT_UTILISATION
+                                ? Verdict.TIGHT
+                                : Verdict.HOLDS;
+        PoolName nextSaturated = null;
+        for (Map.Entry<Integer, Integer> entry : nextCounts.entrySet()) {
+            if (entry.getValue() * 2 >= saturatedCount) {
+                nextSaturated = snapshot.pools().get(entry.getKey()).name();
             }
         }
-        Resource first = resources.entrySet().stream()
+        Resource firstResource = resourceCounts.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey)
                 .orElse(null);
-        if (why != null) {
-            return new PoolForecast(p.name(), verdict, why, 0, null, -1, null, null, List.of());
+        if (unknownReason != null) {
+            return new PoolForecast(pool.name(), verdict, unknownReason, 0, null, -1, null, null, List.of());
         }
         return new PoolForecast(
-                p.name(), verdict, null, part, at, at == null ? -1 : fluid.stepAt(at.expected()), first, next, steps);
+                pool.name(),
+                verdict,
+                null,
+                probability,
+                saturationMs,
+                saturationMs == null ? -1 : model.stepAt(saturationMs.expected()),
+                firstResource,
+                nextSaturated,
+                steps);
     }
 
-    /** The pool that saturates next after this one in a course; -1 if none does. */
-    private static int next(Course c, int i) {
+    /** Returns the index of the pool that saturates next after this one in a simulation; -1 if none does. */
+    private static int nextSaturatedPool(Trajectory trajectory, int poolIndex) {
         int next = -1;
-        for (int j = 0; j < c.saturatesMs.length; j++) {
-            if (j != i
-                    && c.saturatesMs[j] >= c.saturatesMs[i]
-                    && (next < 0 || c.saturatesMs[j] < c.saturatesMs[next])) {
-                next = j;
+        for (int other = 0; other < trajectory.saturationMs.length; other++) {
+            if (other != poolIndex
+                    && trajectory.saturationMs[other] >= trajectory.saturationMs[poolIndex]
+                    && (next < 0 || trajectory.saturationMs[other] < trajectory.saturationMs[next])) {
+                next = other;
             }
         }
         return next;
     }
 
-    private static String why(PoolSnapshot picture, EvacuationPlan plan, Pool p) {
-        if (p.unknown() != null) {
-            return p.unknown();
+    private static String unknownReason(PoolSnapshot snapshot, EvacuationPlan plan, Pool pool) {
+        if (pool.unknownReason() != null) {
+            return pool.unknownReason();
         }
-        // Load that a missing node sends is load that nobody tells: in its own zone, and wherever the plan moves it.
-        for (Missing m : picture.missing()) {
-            boolean reaches = m.zone().equals(p.name().zone()) || m.zone().equals(plan.zone());
-            for (Flow f : picture.flows()) {
-                reaches |= f.origin().equals(m.zone()) && f.to().equals(p.name()) && f.rate() > 0;
+        // The load that a missing node sends is not reported: neither in its own zone nor where the plan moves it.
+        for (MissingNode missing : snapshot.missingNodes()) {
+            boolean affectsPool =
+                    missing.zone().equals(pool.name().zone()) || missing.zone().equals(plan.zone());
+            for (Flow flow : snapshot.flows()) {
+                affectsPool |=
+                        flow.origin().equals(missing.zone()) && flow.pool().equals(pool.name()) && flow.rate() > 0;
             }
-            if (reaches) {
-                return m.why();
+            if (affectsPool) {
+                return missing.reason();
             }
         }
-        // What flows from an unknown pool of a tier before it comes here, and nobody knows how much.
-        for (Pool q : picture.pools()) {
-            if (q.unknown() != null
-                    && !q.name().zone().equals(plan.zone())
-                    && q.name().zone().equals(p.name().zone())
-                    && picture.terms().tiers().indexOf(q.name().tier())
-                            < picture.terms().tiers().indexOf(p.name().tier())) {
-                return q.name() + ", which calls it, is unknown: " + q.unknown();
+        // The load that a pool receives from an unknown pool of an earlier tier is unknown too.
+        for (Pool caller : snapshot.pools()) {
+            if (caller.unknownReason() != null
+                    && !caller.name().zone().equals(plan.zone())
+                    && caller.name().zone().equals(pool.name().zone())
+                    && snapshot.settings().tiers().indexOf(caller.name().tier())
+                            < snapshot.settings().tiers().indexOf(pool.name().tier())) {
+                return caller.name() + ", which calls it, can't be predicted: " + caller.unknownReason();
             }
         }
         return null;
     }
 
-    private static Within within(List<Double> values) {
-        double[] all = values.stream().mapToDouble(Double::doubleValue).toArray();
-        Percentile p = new Percentile();
-        p.setData(all);
-        return new Within(p.evaluate(HALF), p.evaluate(LOW), p.evaluate(HIGH));
+    private static Interval intervalOf(List<Double> values) {
+        double[] samples = values.stream().mapToDouble(Double::doubleValue).toArray();
+        Percentile percentile = new Percentile();
+        percentile.setData(samples);
+        return new Interval(
+                percentile.evaluate(MEDIAN_PERCENTILE),
+                percentile.evaluate(LOW_PERCENTILE),
+                percentile.evaluate(HIGH_PERCENTILE));
     }
 
-    private static StepForecast step(
-            PoolSnapshot picture, Pool p, Shares shares, int s, int i, Course central, List<Course> drawn) {
-        List<Double> loads = new ArrayList<>();
-        for (Course c : drawn) {
-            loads.add(c.load[s][i]);
+    private static StepForecast forecastStep(
+            PoolSnapshot snapshot,
+            Pool pool,
+            SharePolicy shares,
+            int step,
+            int poolIndex,
+            Trajectory expected,
+            List<Trajectory> samples) {
+        List<Double> rates = new ArrayList<>();
+        for (Trajectory trajectory : samples) {
+            rates.add(trajectory.attemptRate[step][poolIndex]);
         }
-        double load = central.load[s][i];
-        Within within = loads.isEmpty() ? new Within(load, load, load) : within(loads);
-        int c = Math.max(1, (int) Math.round(p.parallel()));
-        double workS = c / Math.max(1e-9, p.capacity());
-        double shortest = p.mix().keySet().stream()
-                .mapToDouble(picture.terms()::deadlineMs)
+        double attemptRate = expected.attemptRate[step][poolIndex];
+        Interval interval = rates.isEmpty() ? new Interval(attemptRate, attemptRate, attemptRate) : intervalOf(rates);
+        int concurrency = Math.max(1, (int) Math.round(pool.concurrency()));
+        double serviceS = concurrency / Math.max(1e-9, pool.capacity());
+        double shortestDeadlineMs = pool.classMix().keySet().stream()
+                .mapToDouble(snapshot.settings()::deadlineMs)
                 .min()
                 .orElse(10_000);
-        double wait = Queues.allenCunneen(c, load, workS, 1, p.variation());
-        double late = Queues.waitsLonger(c, load, workS, p.variation(), Math.max(0, shortest - p.workMs()) / 1000);
-        double first = central.firstTries[s][i];
+        double waitS = Queues.allenCunneen(concurrency, attemptRate, serviceS, 1, pool.squaredVariation());
+        double lateFraction = Queues.waitExceedsProbability(
+                concurrency,
+                attemptRate,
+                serviceS,
+                pool.squaredVariation(),
+                Math.max(0, shortestDeadlineMs - pool.ownWorkMs()) / 1000);
+        double firstAttemptRate = expected.firstAttemptRate[step][poolIndex];
         return new StepForecast(
-                s,
-                within,
-                central.utilisation[s][i],
-                central.slots[s][i],
-                central.connections[s][i],
-                Double.isFinite(wait) ? wait * 1000 : -1,
-                central.responseMs[s][i],
-                late,
-                first > 0 ? load / first : 1,
-                refused(picture, p, shares, load));
+                step,
+                interval,
+                expected.utilisation[step][poolIndex],
+                expected.slotUse[step][poolIndex],
+                expected.connectionUse[step][poolIndex],
+                Double.isFinite(waitS) ? waitS * 1000 : -1,
+                expected.responseMs[step][poolIndex],
+                lateFraction,
+                firstAttemptRate > 0 ? attemptRate / firstAttemptRate : 1,
+                rejectedByTenant(snapshot, pool, shares, attemptRate));
     }
 
-    private static Map<String, Double> refused(PoolSnapshot picture, Pool p, Shares shares, double load) {
-        Map<String, Double> wanted = new TreeMap<>();
-        double grown = p.attempts() > 0 ? load / p.attempts() : 1;
-        for (PoolSnapshot.Want w : picture.tenants()) {
-            if (w.pool().equals(p.name())) {
-                wanted.merge(w.tenant(), w.wanted() * grown, Double::sum);
+    private static Map<String, Double> rejectedByTenant(
+            PoolSnapshot snapshot, Pool pool, SharePolicy shares, double attemptRate) {
+        Map<String, Double> demand = new TreeMap<>();
+        double growth = pool.attemptRate() > 0 ? attemptRate / pool.attemptRate() : 1;
+        for (PoolSnapshot.TenantDemand tenantDemand : snapshot.tenantDemand()) {
+            if (tenantDemand.pool().equals(pool.name())) {
+                demand.merge(tenantDemand.tenant(), tenantDemand.connections() * growth, Double::sum);
             }
         }
-        Map<String, Double> out = new TreeMap<>();
-        if (!wanted.isEmpty()) {
-            Map<String, Double> granted =
-                    shares.granted(p.name(), p.servers() * Math.min(p.slots(), p.connections()), wanted);
-            wanted.forEach((t, w) -> {
-                double gets = granted.getOrDefault(t, 0.0);
-                if (w > 0 && gets < w * SERVED) {
-                    out.put(t, 1 - gets / w);
+        Map<String, Double> rejected = new TreeMap<>();
+        if (!demand.isEmpty()) {
+            Map<String, Double> allocated =
+                    shares.allocate(pool.name(), pool.servers() * Math.min(pool.slots(), pool.connections()), demand);
+            demand.forEach((tenant, demanded) -> {
+                double granted = allocated.getOrDefault(tenant, 0.0);
+                if (demanded > 0 && granted < demanded * FULLY_GRANTED) {
+                    rejected.put(tenant, 1 - granted / demanded);
                 }
             });
         }
-        return out;
+        return rejected;
     }
 
-    /** The forecast of a pool; null if it is not among them. */
+    /** Returns the forecast of a pool; null if it has none. */
     public PoolForecast of(PoolName name) {
         return pools.stream().filter(p -> p.pool().equals(name)).findFirst().orElse(null);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/MovingEstimate.java
@@ -1,16 +1,16 @@
 package brackenbridge.fleet.evacuation;
 
 /**
- * A figure that is learnt by exponentially weighted mean and variance (Finch, Incremental calculation of weighted mean
- * and variance, 2009), with a spread that widens with age and with thin data.
+ * An estimate by exponentially weighted mean and variance (Finch, Incremental calculation of weighted mean and
+ * variance, 2009), with a spread that widens with age and with few observations.
  */
 final class MovingEstimate {
-    /** What one observation says of the next, at the least: figures of neighbouring seconds are not independent. */
-    private static final double CORRELATED = 2;
-    /** Relative spread that a single observation leaves open. */
-    private static final double THIN = 0.3;
-    /** Relative spread that a minute's age adds. */
-    private static final double AGE_A_MINUTE = 0.1;
+    /** Factor on the variance of the mean: values of neighbouring seconds are not independent. */
+    private static final double CORRELATION_FACTOR = 2;
+    /** Relative spread after a single observation. */
+    private static final double SINGLE_SAMPLE_SPREAD = 0.3;
+    /** Relative spread that each minute of age adds. */
+    private static final double SPREAD_PER_MINUTE = 0.1;
 
     private final double halfLifeMs;
     private double mean;
@@ -22,20 +22,20 @@
         this.halfLifeMs = halfLifeMs;
     }
 
-    void take(double nowMs, double value) {
+    void add(double nowMs, double value) {
         if (!Double.isFinite(value)) {
             return;
         }
-        double kept = weight == 0 ? 0 : Math.pow(0.5, Math.max(0, nowMs - lastMs) / halfLifeMs);
-        weight = weight * kept + 1;
-        double part = 1 / weight;
-        double off = value - mean;
-        mean += part * off;
-        variance = (1 - part) * (variance + part * off * off);
+        double decay = weight == 0 ? 0 : Math.pow(0.5, Math.max(0, nowMs - lastMs) / halfLifeMs);
+        weight = weight * decay + 1;
+        double gain = 1 / weight;
+        double deviation = value - mean;
+        mean += gain * deviation;
+        variance = (1 - gain) * (variance + gain * deviation * deviation);
         lastMs = nowMs;
     }
 
-    boolean known() {
+    boolean isKnown() {
         return weight > 0;
     }
 
@@ -43,19 +43,19 @@
         return mean;
     }
 
-    /** For how many observations of late it stands. */
+    /** Returns the effective number of recent observations. */
     double weight() {
         return weight;
     }
 
-    /** Relative standard deviation of the figure as an estimate of what is true now; infinite if nothing is known. */
+    /** Returns the relative standard deviation of the estimate as of now; infinite if there is no observation. */
     double spread(double nowMs) {
         if (weight == 0 || mean == 0) {
             return weight == 0 ? Double.POSITIVE_INFINITY : 0;
         }
-        double seen = variance * CORRELATED / weight / (mean * mean);
-        double thin = THIN / weight;
-        double age = AGE_A_MINUTE * Math.max(0, nowMs - lastMs) / 60_000;
-        return Math.sqrt(seen + thin * thin + age * age);
+        double sampling = variance * CORRELATION_FACTOR / weight / (mean * mean);
+        double fewSamples = SINGLE_SAMPLE_SPREAD / weight;
+        double age = SPREAD_PER_MINUTE * Math.max(0, nowMs - lastMs) / 60_000;
+        return Math.sqrt(sampling + fewSamples * fewSamples + age * age);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PlanState.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
+import brackenbridge.fleet.evacuation.Forecast.Interval;
 import brackenbridge.fleet.evacuation.Forecast.Verdict;
-import brackenbridge.fleet.evacuation.Forecast.Within;
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -15,81 +15,81 @@
 import java.util.Map;
 
 /**
- * The agreed record of the one plan that there is. What nodes are told follows from it alone, so whoever drives it does
- * the same, also twice.
+ * The agreed record of the only evacuation plan. The weights that nodes receive follow from this record alone, so any
+ * driver computes the same ones, and repeating them does no harm.
  *
  * @param plan the plan
- * @param status where it stands
- * @param step the step that is held now, from 0, while load is moved or comes back
- * @param foretold what the forecast said, by pool
- * @param verdict the forecast's verdict
- * @param override staff said that it is carried out although no rehearsal passed
- * @param token of whoever wrote it last as its driver; 0 if staff did
- * @param history what became of it, the latest last; bounded
+ * @param status the plan's status
+ * @param step the index of the current step, from 0, while load is moved or returns
+ * @param predictions the forecast loads by pool
+ * @param verdict the verdict of the forecast
+ * @param override whether an operator allows the evacuation although no rehearsal has passed
+ * @param token the token of the driver that wrote the record; 0 if an operator did
+ * @param history the latest changes, oldest first; bounded
  */
 public record PlanState(
         @JsonProperty("plan") EvacuationPlan plan,
         @JsonProperty("status") EvacuationStatus status,
         @JsonProperty("step") int step,
-        @JsonProperty("foretold") List<Foretold> foretold,
+        @JsonProperty("foretold") List<PoolPrediction> predictions,
         @JsonProperty("verdict") Verdict verdict,
         @JsonProperty("override") boolean override,
         @JsonProperty("token") long token,
-        @JsonProperty("history") List<Entry> history) {
-    /** Pools whose figures an agreed record carries. */
-    public static final int MOST_POOLS = 128;
+        @JsonProperty("history") List<HistoryEntry> history) {
+    /** The maximum number of pools whose predictions a record carries. */
+    public static final int MAX_POOLS = 128;
 
-    private static final int MOST_HISTORY = 100;
-    private static final int MOST_BYTES = 4 << 20;
+    private static final int MAX_HISTORY = 100;
+    private static final int MAX_BYTES = 4 << 20;
     private static final ObjectMapper JSON = new ObjectMapper(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
                             .maxNestingDepth(20)
                             .maxStringLength(10_000)
-                            .maxDocumentLength(MOST_BYTES)
+                            .maxDocumentLength(MAX_BYTES)
                             .build())
                     .build())
             .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, true);
 
     /**
-     * What was foretold of a pool.
+     * The predicted load of a pool.
      *
-     * @param pool its name
-     * @param servers the servers for which it was
-     * @param before tries a second before anything was moved
-     * @param rehearsal tries a second while the rehearsal holds
-     * @param steps tries a second while each step holds
+     * @param pool the pool's name
+     * @param servers the number of servers for which the prediction was made
+     * @param baselineRate attempts per second before any load was moved
+     * @param rehearsal attempts per second during the rehearsal
+     * @param steps attempts per second during each step
      */
-    public record Foretold(
+    public record PoolPrediction(
             @JsonProperty("pool") PoolName pool,
             @JsonProperty("servers") int servers,
-            @JsonProperty("before") double before,
-            @JsonProperty("rehearsal") Within rehearsal,
-            @JsonProperty("steps") List<Within> steps) {}
+            @JsonProperty("before") double baselineRate,
+            @JsonProperty("rehearsal") Interval rehearsal,
+            @JsonProperty("steps") List<Interval> steps) {}
 
     /**
-     * What has happened.
+     * A change of the plan's status or step.
      *
-     * @param status what it became
-     * @param step the step
-     * @param by who did it
-     * @param why the reason
+     * @param status the new status
+     * @param step the new step
+     * @param actor who made the change
+     * @param reason why
      */
-    public record Entry(
+    public record HistoryEntry(
             @JsonProperty("status") EvacuationStatus status,
             @JsonProperty("step") int step,
-            @JsonProperty("by") String by,
-            @JsonProperty("why") String why) {}
+            @JsonProperty("by") String actor,
+            @JsonProperty("why") String reason) {}
 
-    /** Keeps its own copies, and the latest of its history. */
+    /** Copies the lists and keeps the latest history entries. */
     public PlanState {
-        foretold = foretold == null ? List.of() : List.copyOf(foretold);
+        predictions = predictions == null ? List.of() : List.copyOf(predictions);
         history = history == null
                 ? List.of()
-                : List.copyOf(history.subList(Math.max(0, history.size() - MOST_HISTORY), history.size()));
+                : List.copyOf(history.subList(Math.max(0, history.size() - MAX_HISTORY), history.size()));
     }
 
-    /** A new plan. */
-    public static PlanState drafted(EvacuationPlan plan, String by) {
+    /** Returns the record of a new plan. */
+    public static PlanState drafted(EvacuationPlan plan, String actor) {
         return new PlanState(
                 plan,
                 EvacuationStatus.DRAFTED,
@@ -98,63 +98,63 @@
                 null,
                 false,
                 0,
-                List.of(new Entry(EvacuationStatus.DRAFTED, 0, by, "")));
+                List.of(new HistoryEntry(EvacuationStatus.DRAFTED, 0, actor, "")));
     }
 
     /**
-     * The same plan at another status or step.
+     * Returns the record of the same plan with another status or step.
      *
-     * @throws IllegalStateException if that may not come after where it stands
+     * @throws IllegalStateException if that may not follow the current status or step
      */
-    public PlanState to(EvacuationStatus next, int nextStep, long byToken, String by, String why) {
-        if (!status.next().contains(next)) {
+    public PlanState transitionTo(EvacuationStatus next, int nextStep, long driverToken, String actor, String reason) {
+        if (!status.allowedNext().contains(next)) {
             throw new IllegalStateException(
-                    plan.name() + " is " + name(status) + "; it can't be " + name(next) + " next");
+                    plan.name() + " is " + lowerCaseName(status) + " and can't become " + lowerCaseName(next));
         }
         if (next == EvacuationStatus.EVACUATING && status == EvacuationStatus.FORECAST && !override) {
-            throw new IllegalStateException(plan.name() + " has not passed a rehearsal; staff may override that");
+            throw new IllegalStateException(plan.name() + " has not passed a rehearsal; an operator may override this");
         }
         if (next == status && next != EvacuationStatus.FORECAST && nextStep != step + 1) {
             throw new IllegalStateException("step " + nextStep + " does not follow step " + step);
         }
-        List<Entry> longer = new ArrayList<>(history);
-        longer.add(new Entry(next, nextStep, by, why));
-        return new PlanState(plan, next, nextStep, foretold, verdict, override, byToken, longer);
+        List<HistoryEntry> newHistory = new ArrayList<>(history);
+        newHistory.add(new HistoryEntry(next, nextStep, actor, reason));
+        return new PlanState(plan, next, nextStep, predictions, verdict, override, driverToken, newHistory);
     }
 
-    /** The same with what a forecast says. */
-    public PlanState foretold(List<Foretold> now, Verdict of, String by) {
-        PlanState next = to(EvacuationStatus.FORECAST, 0, 0, by, name(of));
-        return new PlanState(plan, next.status(), 0, now, of, false, 0, next.history());
+    /** Returns the record with the predictions and verdict of a new forecast. */
+    public PlanState predictions(List<PoolPrediction> newPredictions, Verdict newVerdict, String actor) {
+        PlanState next = transitionTo(EvacuationStatus.FORECAST, 0, 0, actor, lowerCaseName(newVerdict));
+        return new PlanState(plan, next.status(), 0, newPredictions, newVerdict, false, 0, next.history());
     }
 
-    /** The same, to be carried out whatever its rehearsal said. */
-    public PlanState overridden() {
-        return new PlanState(plan, status, step, foretold, verdict, true, token, history);
+    /** Returns the record with permission to evacuate whatever the rehearsal showed. */
+    public PlanState withOverride() {
+        return new PlanState(plan, status, step, predictions, verdict, true, token, history);
     }
 
-    /** The part of its usual load that the plan's zone keeps. */
-    public double keeps() {
+    /** Returns the fraction of its usual load that the plan's zone keeps. */
+    public double retainedFraction() {
         return switch (status) {
-            case REHEARSING -> 1 - plan.rehearsalPart();
-            case EVACUATING -> 1 - plan.moved(step + 1);
-            case EVACUATED -> 1 - plan.moved(plan.steps().size());
-            case RETURNING -> 1 - plan.stillMoved(step + 1);
+            case REHEARSING -> 1 - plan.rehearsalFraction();
+            case EVACUATING -> 1 - plan.movedFraction(step + 1);
+            case EVACUATED -> 1 - plan.movedFraction(plan.steps().size());
+            case RETURNING -> 1 - plan.movedFractionDuringReturn(step + 1);
             default -> 1;
         };
     }
 
-    /** What nodes are to be told. */
-    public Map<String, Double> parts() {
-        return Map.of(plan.zone(), Math.max(0, keeps()));
+    /** Returns the zone weights that nodes have to apply. */
+    public Map<String, Double> zoneWeights() {
+        return Map.of(plan.zone(), Math.max(0, retainedFraction()));
     }
 
-    static String name(Enum<?> e) {
-        return e.name().toLowerCase(java.util.Locale.ROOT);
+    static String lowerCaseName(Enum<?> constant) {
+        return constant.name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    /** As bytes, for the agreed record. */
-    public byte[] bytes() {
+    /** Encodes the record as JSON. */
+    public byte[] encode() {
         try {
             return JSON.writeValueAsBytes(this);
         } catch (JsonProcessingException e) {
@@ -163,43 +163,46 @@
     }
 
     /**
-     * Reads it.
+     * Decodes a record.
      *
-     * @throws IOException if it is not one
+     * @throws IOException if the bytes are not a valid record
      */
-    public static PlanState read(byte[] bytes) throws IOException {
-        PlanState s = bytes.length > MOST_BYTES ? null : JSON.readValue(bytes, PlanState.class);
-        if (s == null
-                || s.plan() == null
-                || s.status() == null
-                || s.plan().zone() == null
-                || s.step() < 0
-                || s.step() > EvacuationPlan.MOST
-                || s.plan().steps().size() > EvacuationPlan.MOST
-                || s.foretold().size() > MOST_POOLS) {
-            throw new IOException("not a plan's record");
+    public static PlanState decode(byte[] bytes) throws IOException {
+        PlanState state = bytes.length > MAX_BYTES ? null : JSON.readValue(bytes, PlanState.class);
+        if (state == null
+                || state.plan() == null
+                || state.status() == null
+                || state.plan().zone() == null
+                || state.step() < 0
+                || state.step() > EvacuationPlan.MAX_ENTRIES
+                || state.plan().steps().size() > EvacuationPlan.MAX_ENTRIES
+                || state.predictions().size() > MAX_POOLS) {
+            throw new IOException("not a valid evacuation plan record");
         }
-        return s;
+        return state;
     }
 
-    /** What the forecasts of a plan and of its rehearsal say, as the record carries it. */
-    public static List<Foretold> foretold(PoolSnapshot picture, Forecast all, Forecast rehearsal) {
-        List<Foretold> out = new ArrayList<>();
-        for (Forecast.PoolForecast p : all.pools()) {
-            Forecast.PoolForecast r = rehearsal.of(p.pool());
-            PoolSnapshot.Pool now = picture.pool(p.pool());
-            if (out.size() < MOST_POOLS
-                    && now != null
-                    && r != null
-                    && !r.steps().isEmpty()) {
-                out.add(new Foretold(
-                        p.pool(),
-                        now.servers(),
-                        now.attempts(),
-                        r.steps().get(0).load(),
-                        p.steps().stream().map(Forecast.StepForecast::load).toList()));
+    /** Returns the predictions from the forecasts of a plan and of its rehearsal, as the record carries them. */
+    public static List<PoolPrediction> predictions(
+            PoolSnapshot snapshot, Forecast forecast, Forecast rehearsalForecast) {
+        List<PoolPrediction> predictions = new ArrayList<>();
+        for (Forecast.PoolForecast planned : forecast.pools()) {
+            Forecast.PoolForecast rehearsed = rehearsalForecast.of(planned.pool());
+            PoolSnapshot.Pool pool = snapshot.pool(planned.pool());
+            if (predictions.size() < MAX_POOLS
+                    && pool != null
+                    && rehearsed != null
+                    && !rehearsed.steps().isEmpty()) {
+                predictions.add(new PoolPrediction(
+                        planned.pool(),
+                        pool.servers(),
+                        pool.attemptRate(),
+                        rehearsed.steps().get(0).load(),
+                        planned.steps().stream()
+                                .map(Forecast.StepForecast::load)
+                                .toList()));
             }
         }
-        return out;
+        return predictions;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/PoolModel.java
@@ -1,9 +1,9 @@
 package brackenbridge.fleet.evacuation;
 
 import brackenbridge.fleet.evacuation.PoolSnapshot.Flow;
-import brackenbridge.fleet.evacuation.PoolSnapshot.Missing;
+import brackenbridge.fleet.evacuation.PoolSnapshot.MissingNode;
 import brackenbridge.fleet.evacuation.PoolSnapshot.Pool;
-import brackenbridge.fleet.evacuation.PoolSnapshot.Want;
+import brackenbridge.fleet.evacuation.PoolSnapshot.TenantDemand;
 import brackenbridge.fleet.replica.RecordVersion;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,435 +14,449 @@
 import java.util.TreeMap;
 
 /**
- * What is learnt of pools from the records of all nodes. Plain: takes times and values, from one thread.
+ * Estimates the properties of pools from the records of all nodes. Without I/O; not thread-safe.
  *
  * <p>Capacity follows from the utilisation law of operational analysis (Denning and Buzen, The operational analysis of
- * queueing network models, 1978): tries a second over the utilisation that servers tell. It needs no guess of what a
- * server is like, and no load near the limit.
+ * queueing network models, 1978): attempts per second divided by the utilisation that servers report. This requires
+ * neither assumptions about a server nor load near its limit.
  */
 public final class PoolModel {
-    /** Nodes, pools and classes together that are kept: what comes from peers must not fill the memory. */
-    private static final int MOST = 200_000;
+    /** The maximum number of records by node, pool and class, so that peers can't exhaust the memory. */
+    private static final int MAX_RECORDS = 200_000;
 
-    private static final double FORGOTTEN_MS = 600_000;
-    /** Capacity and calls change more slowly than load. */
-    private static final double SLOWER = 4;
-    /** Less than this says nothing of what a server can do. */
-    private static final double LEAST_UTILISATION = 0.02;
+    private static final double FORGET_AFTER_MS = 600_000;
+    /** Factor on the half-life of capacity and call estimates, which change more slowly than load. */
+    private static final double SLOW_HALF_LIFE_FACTOR = 4;
+    /** At a lower utilisation, a measurement says nothing about capacity. */
+    private static final double MIN_UTILISATION = 0.02;
 
-    private static final double LEAST_ATTEMPTS = 0.5;
-    private static final double ENOUGH = 3;
-    /** A capacity known worse than this is not known. */
-    private static final double WORST_SPREAD = 0.35;
-    /** How far moved load may go otherwise than by slots, as long as no rehearsal has shown how it goes. */
-    private static final double UNREHEARSED = 0.06;
+    private static final double MIN_ATTEMPT_RATE = 0.5;
+    private static final double MIN_WEIGHT = 3;
+    /** A capacity whose spread is larger counts as unknown. */
+    private static final double MAX_SPREAD = 0.35;
+    /** Spread of moved load around a split by slots, until a rehearsal has shown how it splits. */
+    private static final double UNREHEARSED_SPREAD = 0.06;
 
-    private static final double REHEARSED = 0.02;
-    private static final double MOST_CORRECTION = 3;
+    private static final double REHEARSED_SPREAD = 0.02;
+    private static final double MAX_CORRECTION = 3;
 
     /**
-     * A record of a node.
+     * A record of a node, as read from the replica.
      *
-     * @param node its owner
+     * @param node the owner
      * @param zone the owner's zone
      * @param pool the pool
-     * @param className the class
-     * @param version the owner's count: what was learnt once is not learnt again
-     * @param seen its content
-     * @param heardMs how long ago its owner was last known to hold it so
+     * @param className the request class
+     * @param version the owner's version of the record; each version is learnt from once
+     * @param observation the content
+     * @param ageMs the time since the owner last confirmed the record
      */
-    public record Observation(
+    public record PoolReport(
             String node,
             String zone,
             PoolName pool,
             String className,
             RecordVersion version,
-            PoolObservation seen,
-            double heardMs) {}
+            PoolObservation observation,
+            double ageMs) {}
 
-    private record Key(String node, PoolName pool, String className) {}
+    private record RecordKey(String node, PoolName pool, String className) {}
 
-    private record Origin(String zone, PoolName pool) {}
+    private record FlowKey(String zone, PoolName pool) {}
 
-    private record Caller(String tier, String zone) {}
+    private record CallerKey(String tier, String zone) {}
 
-    private static final class Kept {
+    private static final class StoredRecord {
         String zone;
         RecordVersion version;
-        PoolObservation seen;
-        double heldMs;
+        PoolObservation observation;
+        double confirmedAtMs;
     }
 
-    private final class Learning {
-        final MovingEstimate attempts = new MovingEstimate(terms.halfLifeMs() * SLOWER);
-        final MovingEstimate now = new MovingEstimate(terms.halfLifeMs());
-        final MovingEstimate busyServers = new MovingEstimate(terms.halfLifeMs() * SLOWER);
-        final MovingEstimate each = new MovingEstimate(terms.halfLifeMs() * SLOWER);
-        final MovingEstimate serviceMs = new MovingEstimate(terms.halfLifeMs() * SLOWER);
-        final MovingEstimate variation = new MovingEstimate(terms.halfLifeMs() * SLOWER);
-        final Map<String, MovingEstimate> classes = new HashMap<>();
-        PoolObservation last;
+    private final class PoolEstimates {
+        final MovingEstimate successRate = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
+        final MovingEstimate recentAttemptRate = new MovingEstimate(settings.halfLifeMs());
+        final MovingEstimate busyServers = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
+        final MovingEstimate capacityPerServer = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
+        final MovingEstimate serviceMs = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
+        final MovingEstimate squaredVariation = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
+        final Map<String, MovingEstimate> classRates = new HashMap<>();
+        PoolObservation lastObservation;
         int servers;
         double correction = 1;
-        double correctionSpread = UNREHEARSED;
+        double correctionSpread = UNREHEARSED_SPREAD;
     }
 
-    private final class Calls {
-        final MovingEstimate made = new MovingEstimate(terms.halfLifeMs() * SLOWER);
-        final MovingEstimate by = new MovingEstimate(terms.halfLifeMs() * SLOWER);
-        final MovingEstimate ratio = new MovingEstimate(terms.halfLifeMs() * SLOWER);
+    private final class CallEstimates {
+        final MovingEstimate callRate = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
+        final MovingEstimate callerRate = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
+        final MovingEstimate ratio = new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR);
     }
 
-    private final ForecastSettings terms;
-    private final Map<Key, Kept> kept = new HashMap<>();
-    private final Map<String, Double> heardAt = new TreeMap<>();
-    private final Map<PoolName, Learning> pools = new TreeMap<>();
-    private final Map<Origin, MovingEstimate> origins = new HashMap<>();
-    private final Map<Caller, Calls> callers = new HashMap<>();
-    private final DailyProfile swing = new DailyProfile();
-    private Map<String, String> expected = Map.of();
-    private List<Want> wants = List.of();
-    private double dayMs;
+    private final ForecastSettings settings;
+    private final Map<RecordKey, StoredRecord> records = new HashMap<>();
+    private final Map<String, Double> lastReportedMs = new TreeMap<>();
+    private final Map<PoolName, PoolEstimates> pools = new TreeMap<>();
+    private final Map<FlowKey, MovingEstimate> flowRates = new HashMap<>();
+    private final Map<CallerKey, CallEstimates> callers = new HashMap<>();
+    private final DailyProfile dailyProfile = new DailyProfile();
+    private Map<String, String> expectedNodes = Map.of();
+    private List<TenantDemand> tenantDemand = List.of();
+    private double timeOfDayMs;
 
-    /** Knows nothing yet. */
-    public PoolModel(ForecastSettings terms) {
-        this.terms = terms;
+    /** Creates a model without any observations. */
+    public PoolModel(ForecastSettings settings) {
+        this.settings = settings;
     }
 
-    /** What it takes as given. */
-    public ForecastSettings terms() {
-        return terms;
+    /** Returns the configured inputs. */
+    public ForecastSettings settings() {
+        return settings;
     }
 
-    /** The nodes that there should be, with their zones: one that is not heard is missed. */
-    public void expect(Map<String, String> nodes) {
-        expected = Map.copyOf(nodes);
+    /** Sets the nodes that should report, with their zones; those that do not are listed as missing. */
+    public void expectNodes(Map<String, String> nodes) {
+        expectedNodes = Map.copyOf(nodes);
     }
 
-    /** What tenants want of pools, all nodes together. */
-    public void wanted(List<Want> now) {
-        wants = List.copyOf(now);
+    /** Sets the demand of tenants for pools, summed over all nodes. */
+    public void setTenantDemand(List<TenantDemand> demand) {
+        tenantDemand = List.copyOf(demand);
     }
 
     /**
-     * Learns from the records as they are now; one that was learnt is passed over, one that is too old as well.
+     * Learns from the current records; those already learnt from and those that are too old are skipped.
      *
-     * @param nowMs now, by this member's clock
-     * @param nowDayMs now, as a time of the day
+     * @param nowMs the current time by this member's clock
+     * @param nowTimeOfDayMs the current time of day
      */
-    public void take(double nowMs, double nowDayMs, List<Observation> all) {
-        dayMs = nowDayMs;
-        boolean news = false;
-        Map<Key, Kept> present = new HashMap<>();
-        for (Observation o : all) {
-            heardAt.merge(o.node(), nowMs - o.heardMs(), Math::max);
-            Key key = new Key(o.node(), o.pool(), o.className());
-            Kept k = kept.get(key);
-            if (k == null) {
-                if (kept.size() >= MOST || !sane(o.seen())) {
+    public void update(double nowMs, double nowTimeOfDayMs, List<PoolReport> reports) {
+        timeOfDayMs = nowTimeOfDayMs;
+        boolean changed = false;
+        Map<RecordKey, StoredRecord> present = new HashMap<>();
+        for (PoolReport report : reports) {
+            lastReportedMs.merge(report.node(), nowMs - report.ageMs(), Math::max);
+            RecordKey key = new RecordKey(report.node(), report.pool(), report.className());
+            StoredRecord record = records.get(key);
+            if (record == null) {
+                if (records.size() >= MAX_RECORDS || !isPlausible(report.observation())) {
                     continue;
                 }
-                k = new Kept();
-                kept.put(key, k);
+                record = new StoredRecord();
+                records.put(key, record);
             }
-            k.heldMs = nowMs - o.heardMs();
-            // What its owner has taken back counts no more.
-            present.put(key, k);
-            if (!o.version().equals(k.version) && o.heardMs() <= terms.freshMs() && sane(o.seen())) {
-                k.version = o.version();
-                k.seen = o.seen();
-                k.zone = o.zone();
-                news = true;
+            record.confirmedAtMs = nowMs - report.ageMs();
+            // A record that its owner has removed no longer counts.
+            present.put(key, record);
+            if (!report.version().equals(record.version)
+                    && report.ageMs() <= settings.maxRecordAgeMs()
+                    && isPlausible(report.observation())) {
+                record.version = report.version();
+                record.observation = report.observation();
+                record.zone = report.zone();
+                changed = true;
             }
         }
-        // Guards against names of the past that fill the memory.
-        kept.values().removeIf(k -> nowMs - k.heldMs > FORGOTTEN_MS);
-        heardAt.values().removeIf(at -> nowMs - at > FORGOTTEN_MS);
-        if (news) {
+        // Guards against names that are no longer used filling the memory.
+        records.values().removeIf(record -> nowMs - record.confirmedAtMs > FORGET_AFTER_MS);
+        lastReportedMs.values().removeIf(at -> nowMs - at > FORGET_AFTER_MS);
+        if (changed) {
             learn(nowMs, present);
         }
     }
 
-    /** Guards against figures that a faulty node sends: they must not spoil what others see. */
-    private static boolean sane(PoolObservation s) {
-        return s != null
-                && fine(s.arrivals())
-                && fine(s.attempts())
-                && fine(s.refused())
-                && s.servers() >= 0
-                && s.servers() <= 1_000_000
-                && fine(s.slots())
-                && fine(s.busy())
-                && fine(s.serviceMs())
-                && fine(s.latencyMs())
-                && fine(s.squaredVariation())
-                && s.failed() >= 0
-                && s.failed() <= 1
-                && s.utilisation() <= 1.01
-                && fine(s.connections())
-                && s.coldFrom() > 0
-                && s.coldFrom() <= 1
-                && fine(s.coldMs())
-                && s.slowPart() > 0
-                && s.slowPart() <= 1
-                && fine(s.slowAt());
+    /** Guards against implausible values from a faulty node, which would distort the estimates. */
+    private static boolean isPlausible(PoolObservation observation) {
+        return observation != null
+                && isPlausibleValue(observation.arrivalRate())
+                && isPlausibleValue(observation.attemptRate())
+                && isPlausibleValue(observation.rejectionRate())
+                && observation.servers() >= 0
+                && observation.servers() <= 1_000_000
+                && isPlausibleValue(observation.slots())
+                && isPlausibleValue(observation.inFlight())
+                && isPlausibleValue(observation.serviceMs())
+                && isPlausibleValue(observation.latencyMs())
+                && isPlausibleValue(observation.squaredVariation())
+                && observation.failureRatio() >= 0
+                && observation.failureRatio() <= 1
+                && observation.utilisation() <= 1.01
+                && isPlausibleValue(observation.connections())
+                && observation.coldCapacityRatio() > 0
+                && observation.coldCapacityRatio() <= 1
+                && isPlausibleValue(observation.warmUpMs())
+                && observation.degradedCapacityRatio() > 0
+                && observation.degradedCapacityRatio() <= 1
+                && isPlausibleValue(observation.degradedAtCalls());
     }
 
-    private static boolean fine(double v) {
-        return v >= 0 && v < 1e12;
+    private static boolean isPlausibleValue(double value) {
+        return value >= 0 && value < 1e12;
     }
 
-    private static final class Sum {
-        double attempts;
-        double good;
-        double utilisation;
-        double told;
-        double service;
-        double serviced;
-        double variation;
+    private static final class PoolTotals {
+        double attemptRate;
+        double successRate;
+        double utilisationSum;
+        double utilisationCount;
+        double serviceTimeSum;
+        double serviceTimeWeight;
+        double variationSum;
         int servers;
-        PoolObservation last;
-        final Map<String, Double> classes = new TreeMap<>();
+        PoolObservation lastObservation;
+        final Map<String, Double> classRates = new TreeMap<>();
     }
 
-    private void learn(double nowMs, Map<Key, Kept> present) {
-        Map<PoolName, Sum> sums = new TreeMap<>();
-        Map<Origin, Double> from = new HashMap<>();
-        for (Map.Entry<Key, Kept> e : present.entrySet()) {
-            Kept k = e.getValue();
-            if (k.seen == null || nowMs - k.heldMs > terms.freshMs()) {
+    private void learn(double nowMs, Map<RecordKey, StoredRecord> present) {
+        Map<PoolName, PoolTotals> totalsByPool = new TreeMap<>();
+        Map<FlowKey, Double> ratesByFlow = new HashMap<>();
+        for (Map.Entry<RecordKey, StoredRecord> entry : present.entrySet()) {
+            StoredRecord record = entry.getValue();
+            if (record.observation == null || nowMs - record.confirmedAtMs > settings.maxRecordAgeMs()) {
                 continue;
             }
-            PoolObservation s = k.seen;
-            Sum sum = sums.computeIfAbsent(e.getKey().pool(), p -> new Sum());
-            sum.attempts += s.attempts();
-            sum.good += s.attempts() * (1 - s.failed());
-            sum.servers = Math.max(sum.servers, s.servers());
-            sum.classes.merge(e.getKey().className(), s.attempts(), Double::sum);
-            if (s.utilisation() >= 0) {
-                sum.utilisation += s.utilisation();
-                sum.told++;
+            PoolObservation observation = record.observation;
+            PoolTotals totals = totalsByPool.computeIfAbsent(entry.getKey().pool(), p -> new PoolTotals());
+            totals.attemptRate += observation.attemptRate();
+            totals.successRate += observation.attemptRate() * (1 - observation.failureRatio());
+            totals.servers = Math.max(totals.servers, observation.servers());
+            totals.classRates.merge(entry.getKey().className(), observation.attemptRate(), Double::sum);
+            if (observation.utilisation() >= 0) {
+                totals.utilisationSum += observation.utilisation();
+                totals.utilisationCount++;
             }
-            if (s.serviceMs() > 0 && s.attempts() > 0) {
-                sum.service += s.serviceMs() * s.attempts();
-                sum.variation += s.squaredVariation() * s.attempts();
-                sum.serviced += s.attempts();
+            if (observation.serviceMs() > 0 && observation.attemptRate() > 0) {
+                totals.serviceTimeSum += observation.serviceMs() * observation.attemptRate();
+                totals.variationSum += observation.squaredVariation() * observation.attemptRate();
+                totals.serviceTimeWeight += observation.attemptRate();
             }
-            if (sum.last == null || s.slowAt() > 0) {
-                sum.last = s;
+            if (totals.lastObservation == null || observation.degradedAtCalls() > 0) {
+                totals.lastObservation = observation;
             }
-            from.merge(new Origin(k.zone, e.getKey().pool()), s.arrivals(), Double::sum);
+            ratesByFlow.merge(new FlowKey(record.zone, entry.getKey().pool()), observation.arrivalRate(), Double::sum);
         }
-        sums.forEach((name, sum) -> learn(nowMs, pools.computeIfAbsent(name, n -> new Learning()), sum));
-        from.forEach((o, rate) -> origins.computeIfAbsent(o, n -> new MovingEstimate(terms.halfLifeMs()))
-                .take(nowMs, rate));
-        calls(nowMs, sums, from);
-        if (!terms.tiers().isEmpty()) {
-            Map<String, Double> first = new HashMap<>();
-            from.forEach((o, rate) -> {
-                if (o.pool().tier().equals(terms.tiers().get(0))) {
-                    first.merge(o.zone(), rate, Double::sum);
+        totalsByPool.forEach(
+                (name, totals) -> learn(nowMs, pools.computeIfAbsent(name, n -> new PoolEstimates()), totals));
+        ratesByFlow.forEach((flow, rate) -> flowRates
+                .computeIfAbsent(flow, n -> new MovingEstimate(settings.halfLifeMs()))
+                .add(nowMs, rate));
+        learnCalls(nowMs, totalsByPool, ratesByFlow);
+        if (!settings.tiers().isEmpty()) {
+            Map<String, Double> ratesByZone = new HashMap<>();
+            ratesByFlow.forEach((flow, rate) -> {
+                if (flow.pool().tier().equals(settings.tiers().get(0))) {
+                    ratesByZone.merge(flow.zone(), rate, Double::sum);
                 }
             });
-            first.forEach((zone, rate) -> swing.take(zone, dayMs, rate));
+            ratesByZone.forEach((zone, rate) -> dailyProfile.add(zone, timeOfDayMs, rate));
         }
     }
 
-    private void learn(double nowMs, Learning l, Sum sum) {
-        l.servers = sum.servers;
-        l.last = sum.last;
-        l.now.take(nowMs, sum.attempts);
-        double u = sum.told > 0 ? sum.utilisation / sum.told : -1;
-        if (u >= LEAST_UTILISATION && sum.good >= LEAST_ATTEMPTS && sum.servers > 0) {
-            l.attempts.take(nowMs, sum.good);
-            l.busyServers.take(nowMs, u * sum.servers);
-            l.each.take(nowMs, sum.good / (u * sum.servers));
+    private void learn(double nowMs, PoolEstimates estimates, PoolTotals totals) {
+        estimates.servers = totals.servers;
+        estimates.lastObservation = totals.lastObservation;
+        estimates.recentAttemptRate.add(nowMs, totals.attemptRate);
+        double utilisation = totals.utilisationCount > 0 ? totals.utilisationSum / totals.utilisationCount : -1;
+        if (utilisation >= MIN_UTILISATION && totals.successRate >= MIN_ATTEMPT_RATE && totals.servers > 0) {
+            estimates.successRate.add(nowMs, totals.successRate);
+            estimates.busyServers.add(nowMs, utilisation * totals.servers);
+            estimates.capacityPerServer.add(nowMs, totals.successRate / (utilisation * totals.servers));
         }
-        if (sum.serviced > 0) {
-            l.serviceMs.take(nowMs, sum.service / sum.serviced);
-            l.variation.take(nowMs, sum.variation / sum.serviced);
+        if (totals.serviceTimeWeight > 0) {
+            estimates.serviceMs.add(nowMs, totals.serviceTimeSum / totals.serviceTimeWeight);
+            estimates.squaredVariation.add(nowMs, totals.variationSum / totals.serviceTimeWeight);
         }
-        sum.classes.forEach((c, rate) -> l.classes
-                .computeIfAbsent(c, k -> new MovingEstimate(terms.halfLifeMs() * SLOWER))
-                .take(nowMs, rate));
+        totals.classRates.forEach((className, rate) -> estimates
+                .classRates
+                .computeIfAbsent(className, k -> new MovingEstimate(settings.halfLifeMs() * SLOW_HALF_LIFE_FACTOR))
+                .add(nowMs, rate));
     }
 
-    private void calls(double nowMs, Map<PoolName, Sum> sums, Map<Origin, Double> from) {
-        for (int t = 0; t + 1 < terms.tiers().size(); t++) {
-            String tier = terms.tiers().get(t);
-            String next = terms.tiers().get(t + 1);
-            Map<String, Double> by = new TreeMap<>();
-            sums.forEach((p, s) -> {
-                if (p.tier().equals(tier)) {
-                    by.merge(p.zone(), s.good, Double::sum);
+    private void learnCalls(double nowMs, Map<PoolName, PoolTotals> totalsByPool, Map<FlowKey, Double> ratesByFlow) {
+        for (int tierIndex = 0; tierIndex + 1 < settings.tiers().size(); tierIndex++) {
+            String tier = settings.tiers().get(tierIndex);
+            String nextTier = settings.tiers().get(tierIndex + 1);
+            Map<String, Double> successByZone = new TreeMap<>();
+            totalsByPool.forEach((pool, totals) -> {
+                if (pool.tier().equals(tier)) {
+                    successByZone.merge(pool.zone(), totals.successRate, Double::sum);
                 }
             });
-            Map<String, Double> made = new TreeMap<>();
-            from.forEach((o, rate) -> {
-                if (o.pool().tier().equals(next)) {
-                    made.merge(o.zone(), rate, Double::sum);
+            Map<String, Double> callsByZone = new TreeMap<>();
+            ratesByFlow.forEach((flow, rate) -> {
+                if (flow.pool().tier().equals(nextTier)) {
+                    callsByZone.merge(flow.zone(), rate, Double::sum);
                 }
             });
-            for (Map.Entry<String, Double> e : by.entrySet()) {
-                if (e.getValue() >= LEAST_ATTEMPTS) {
-                    Calls c = callers.computeIfAbsent(new Caller(tier, e.getKey()), k -> new Calls());
-                    double rate = made.getOrDefault(e.getKey(), 0.0);
-                    c.made.take(nowMs, rate);
-                    c.by.take(nowMs, e.getValue());
-                    c.ratio.take(nowMs, rate / e.getValue());
+            for (Map.Entry<String, Double> entry : successByZone.entrySet()) {
+                if (entry.getValue() >= MIN_ATTEMPT_RATE) {
+                    CallEstimates estimates =
+                            callers.computeIfAbsent(new CallerKey(tier, entry.getKey()), k -> new CallEstimates());
+                    double rate = callsByZone.getOrDefault(entry.getKey(), 0.0);
+                    estimates.callRate.add(nowMs, rate);
+                    estimates.callerRate.add(nowMs, entry.getValue());
+                    estimates.ratio.add(nowMs, rate / entry.getValue());
                 }
             }
         }
     }
 
     /**
-     * A rehearsal has shown that the load which was moved to a pool was off by this factor.
+     * Applies the result of a rehearsal: the load that moved to a pool differed from the prediction by this factor.
      *
-     * @param weight how much the rehearsal is worth beside what was known, 0 to 1
+     * @param weight the rehearsal's weight relative to what was known before, 0 to 1
      */
-    public void correct(PoolName pool, double factor, double weight) {
-        Learning l = pools.get(pool);
-        if (l != null && factor > 0 && Double.isFinite(factor) && weight > 0 && weight <= 1) {
-            double bounded = Math.max(1 / MOST_CORRECTION, Math.min(MOST_CORRECTION, factor));
-            l.correction *= Math.exp(weight * Math.log(bounded));
-            l.correctionSpread = Math.max(REHEARSED, l.correctionSpread * (1 - weight));
+    public void applyCorrection(PoolName pool, double factor, double weight) {
+        PoolEstimates estimates = pools.get(pool);
+        if (estimates != null && factor > 0 && Double.isFinite(factor) && weight > 0 && weight <= 1) {
+            double bounded = Math.max(1 / MAX_CORRECTION, Math.min(MAX_CORRECTION, factor));
+            estimates.correction *= Math.exp(weight * Math.log(bounded));
+            estimates.correctionSpread = Math.max(REHEARSED_SPREAD, estimates.correctionSpread * (1 - weight));
         }
     }
 
-    /** How the pools are now, for a plan that starts at this time of the day; negative for now. */
-    public PoolSnapshot picture(double nowMs, double startDayMs) {
-        List<Pool> out = new ArrayList<>();
-        for (Map.Entry<PoolName, Learning> e : pools.entrySet()) {
-            out.add(pool(nowMs, e.getKey(), e.getValue()));
+    /** Returns the current state of the pools, for a plan that starts at this time of day; negative for now. */
+    public PoolSnapshot snapshot(double nowMs, double startTimeOfDayMs) {
+        List<Pool> estimatedPools = new ArrayList<>();
+        for (Map.Entry<PoolName, PoolEstimates> entry : pools.entrySet()) {
+            estimatedPools.add(estimatePool(nowMs, entry.getKey(), entry.getValue()));
         }
         List<Flow> flows = new ArrayList<>();
-        Map<Origin, MovingEstimate> sorted = new TreeMap<>((a, b) -> {
-            int by = a.zone().compareTo(b.zone());
-            return by != 0 ? by : a.pool().compareTo(b.pool());
+        Map<FlowKey, MovingEstimate> sorted = new TreeMap<>((left, right) -> {
+            int byZone = left.zone().compareTo(right.zone());
+            return byZone != 0 ? byZone : left.pool().compareTo(right.pool());
         });
-        sorted.putAll(origins);
-        sorted.forEach((o, l) -> {
-            double factor = startDayMs < 0 ? 1 : swing.factor(o.zone(), dayMs, startDayMs);
-            double wait = startDayMs < 0 ? 0 : swing.spread(o.zone(), dayMs, startDayMs);
-            double spread = l.spread(nowMs);
+        sorted.putAll(flowRates);
+        sorted.forEach((flow, rate) -> {
+            double dayRatio = startTimeOfDayMs < 0 ? 1 : dailyProfile.ratio(flow.zone(), timeOfDayMs, startTimeOfDayMs);
+            double daySpread =
+                    startTimeOfDayMs < 0 ? 0 : dailyProfile.spread(flow.zone(), timeOfDayMs, startTimeOfDayMs);
+            double spread = rate.spread(nowMs);
             flows.add(new Flow(
-                    o.zone(),
-                    o.pool(),
-                    l.mean() * factor,
-                    Math.sqrt(spread * spread + terms.drift() * terms.drift() + wait * wait)));
+                    flow.zone(),
+                    flow.pool(),
+                    rate.mean() * dayRatio,
+                    Math.sqrt(
+                            spread * spread + settings.clockDrift() * settings.clockDrift() + daySpread * daySpread)));
         });
-        List<Missing> missing = new ArrayList<>();
-        new TreeMap<>(expected).forEach((node, zone) -> {
-            Double at = heardAt.get(node);
-            if (at == null) {
-                missing.add(new Missing(node, zone, node + " was never heard"));
-            } else if (nowMs - at > terms.freshMs()) {
-                missing.add(new Missing(
+        List<MissingNode> missing = new ArrayList<>();
+        new TreeMap<>(expectedNodes).forEach((node, zone) -> {
+            Double reportedMs = lastReportedMs.get(node);
+            if (reportedMs == null) {
+                missing.add(new MissingNode(node, zone, node + " has never reported"));
+            } else if (nowMs - reportedMs > settings.maxRecordAgeMs()) {
+                missing.add(new MissingNode(
                         node,
                         zone,
-                        String.format(Locale.ROOT, "%s was last heard %.0f s ago", node, (nowMs - at) / 1000)));
+                        String.format(Locale.ROOT, "%s last reported %.0f s ago", node, (nowMs - reportedMs) / 1000)));
             }
         });
-        return new PoolSnapshot(terms, out, flows, missing, wants);
+        return new PoolSnapshot(settings, estimatedPools, flows, missing, tenantDemand);
     }
 
-    private Pool pool(double nowMs, PoolName name, Learning l) {
-        Calls c = callers.get(new Caller(name.tier(), name.zone()));
-        double calls = c == null || c.by.mean() <= 0 ? 0 : c.made.mean() / c.by.mean();
-        double callsSpread = c == null ? 0 : c.ratio.spread(nowMs);
-        double each = l.busyServers.mean() > 0 ? l.attempts.mean() / l.busyServers.mean() : 0;
-        double spread = l.each.known() ? l.each.spread(nowMs) : Double.POSITIVE_INFINITY;
-        double within = calls * nextServiceMs(name);
-        double service = l.serviceMs.mean();
-        // What the next tier takes is not this one's work; a tenth at the least is its own.
-        double work = Math.max(0.1 * service, service - within);
-        String unknown = unknown(nowMs, l, spread);
-        Map<String, Double> mix = new TreeMap<>();
-        double all =
-                l.classes.values().stream().mapToDouble(MovingEstimate::mean).sum();
-        if (all > 0) {
-            l.classes.forEach((k, v) -> mix.put(k, v.mean() / all));
+    private Pool estimatePool(double nowMs, PoolName name, PoolEstimates estimates) {
+        CallEstimates callEstimates = callers.get(new CallerKey(name.tier(), name.zone()));
+        double callsPerAttempt = callEstimates == null || callEstimates.callerRate.mean() <= 0
+                ? 0
+                : callEstimates.callRate.mean() / callEstimates.callerRate.mean();
+        double callsSpread = callEstimates == null ? 0 : callEstimates.ratio.spread(nowMs);
+        double capacityPerServer =
+                estimates.busyServers.mean() > 0 ? estimates.successRate.mean() / estimates.busyServers.mean() : 0;
+        double spread = estimates.capacityPerServer.isKnown()
+                ? estimates.capacityPerServer.spread(nowMs)
+                : Double.POSITIVE_INFINITY;
+        double downstreamMs = callsPerAttempt * downstreamServiceMs(name);
+        double serviceMs = estimates.serviceMs.mean();
+        // Time spent in the next tier is not this tier's own work; at least a tenth of the service time is.
+        double ownWorkMs = Math.max(0.1 * serviceMs, serviceMs - downstreamMs);
+        String unknownReason = unknownReason(nowMs, estimates, spread);
+        Map<String, Double> classMix = new TreeMap<>();
+        double totalRate = estimates.classRates.values().stream()
+                .mapToDouble(MovingEstimate::mean)
+                .sum();
+        if (totalRate > 0) {
+            estimates.classRates.forEach((className, rate) -> classMix.put(className, rate.mean() / totalRate));
         }
-        double capacity = each * l.servers;
-        double parallel = Math.max(l.servers, capacity * work / 1000);
-        PoolObservation s = l.last;
-        double variation = l.variation.known() ? l.variation.mean() : 1;
+        double capacity = capacityPerServer * estimates.servers;
+        double concurrency = Math.max(estimates.servers, capacity * ownWorkMs / 1000);
+        PoolObservation last = estimates.lastObservation;
+        double squaredVariation = estimates.squaredVariation.isKnown() ? estimates.squaredVariation.mean() : 1;
         return new Pool(
                 name,
-                l.servers,
-                s.slots(),
-                s.connections() > 0 ? s.connections() : s.slots(),
+                estimates.servers,
+                last.slots(),
+                last.connections() > 0 ? last.connections() : last.slots(),
                 capacity,
-                Math.sqrt(spread * spread + terms.drift() * terms.drift()),
-                work,
-                variation,
-                parallel,
-                calls,
+                Math.sqrt(spread * spread + settings.clockDrift() * settings.clockDrift()),
+                ownWorkMs,
+                squaredVariation,
+                concurrency,
+                callsPerAttempt,
                 callsSpread,
-                mix,
-                s.coldFrom(),
-                s.coldMs(),
-                s.slowPart(),
-                s.slowAt(),
-                l.correction,
-                l.correctionSpread,
-                l.now.mean(),
-                unknown);
+                classMix,
+                last.coldCapacityRatio(),
+                last.warmUpMs(),
+                last.degradedCapacityRatio(),
+                last.degradedAtCalls(),
+                estimates.correction,
+                estimates.correctionSpread,
+                estimates.recentAttemptRate.mean(),
+                unknownReason);
     }
 
-    private double nextServiceMs(PoolName name) {
-        int t = terms.tiers().indexOf(name.tier());
-        if (t < 0 || t + 1 >= terms.tiers().size()) {
+    private double downstreamServiceMs(PoolName name) {
+        int tierIndex = settings.tiers().indexOf(name.tier());
+        if (tierIndex < 0 || tierIndex + 1 >= settings.tiers().size()) {
             return 0;
         }
-        String next = terms.tiers().get(t + 1);
+        String nextTier = settings.tiers().get(tierIndex + 1);
         double sum = 0;
-        double weight = 0;
-        for (Map.Entry<PoolName, Learning> e : pools.entrySet()) {
-            MovingEstimate service = e.getValue().serviceMs;
-            if (e.getKey().tier().equals(next) && service.known()) {
-                double w = e.getKey().zone().equals(name.zone()) ? 1 : 1e-3;
-                sum += w * service.mean();
-                weight += w;
+        double totalWeight = 0;
+        for (Map.Entry<PoolName, PoolEstimates> entry : pools.entrySet()) {
+            MovingEstimate serviceMs = entry.getValue().serviceMs;
+            if (entry.getKey().tier().equals(nextTier) && serviceMs.isKnown()) {
+                double weight = entry.getKey().zone().equals(name.zone()) ? 1 : 1e-3;
+                sum += weight * serviceMs.mean();
+                totalWeight += weight;
             }
         }
-        return weight > 0 ? sum / weight : 0;
+        return totalWeight > 0 ? sum / totalWeight : 0;
     }
 
-    private static String unknown(double nowMs, Learning l, double spread) {
-        if (l.servers == 0) {
-            return "no server of it is known to run";
+    private static String unknownReason(double nowMs, PoolEstimates estimates, double spread) {
+        if (estimates.servers == 0) {
+            return "it has no running server";
         }
-        if (!l.now.known() || l.now.mean() < LEAST_ATTEMPTS / 10) {
-            return "it has no load to learn from";
+        if (!estimates.recentAttemptRate.isKnown() || estimates.recentAttemptRate.mean() < MIN_ATTEMPT_RATE / 10) {
+            return "it has no load to estimate its capacity from";
         }
-        if (!l.each.known()) {
-            return "nobody tells how busy its servers are";
+        if (!estimates.capacityPerServer.isKnown()) {
+            return "no node reports the utilisation of its servers";
         }
-        if (l.each.weight() < ENOUGH) {
-            return "it was seen too shortly";
+        if (estimates.capacityPerServer.weight() < MIN_WEIGHT) {
+            return "it has been observed for too short a time";
         }
-        if (l.last.slots() <= 0) {
-            return "its slots are not known";
+        if (estimates.lastObservation.slots() <= 0) {
+            return "the number of its slots is unknown";
         }
-        return spread > WORST_SPREAD
-                ? String.format(Locale.ROOT, "its capacity is known to %.0f%% only", 100 * spread)
+        return spread > MAX_SPREAD
+                ? String.format(Locale.ROOT, "its capacity is known only to within %.0f%%", 100 * spread)
                 : null;
     }
 
-    /** The pools that are known. */
-    public List<PoolName> names() {
+    /** Returns the names of the known pools. */
+    public List<PoolName> poolNames() {
         return List.copyOf(pools.keySet());
     }
 
-    /** Forgets pools whose last record is long gone; from time to time. */
-    public void forget(double nowMs) {
-        Iterator<Map.Entry<PoolName, Learning>> i = pools.entrySet().iterator();
-        while (i.hasNext()) {
-            PoolName name = i.next().getKey();
-            if (kept.keySet().stream().noneMatch(k -> k.pool().equals(name))) {
-                i.remove();
-                origins.keySet().removeIf(o -> o.pool().equals(name));
+    /** Removes pools that no longer have any records; to be called from time to time. */
+    public void forgetPools(double nowMs) {
+        Iterator<Map.Entry<PoolName, PoolEstimates>> iterator = pools.entrySet().iterator();
+        while (iterator.hasNext()) {
+            PoolName name = iterator.next().getKey();
+            if (records.keySet().stream().noneMatch(k -> k.pool().equals(name))) {
+                iterator.remove();
+                flowRates.keySet().removeIf(o -> o.pool().equals(name));
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/Proposer.java
@@ -8,146 +8,152 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Looks for the fastest order of steps that saturates nothing, or says what is missing for one. */
+/** Finds the fastest sequence of steps that saturates no pool, or the additional servers that would allow one. */
 public final class Proposer {
-    private static final int COURSES = 40;
-    /** A step order is taken only if no pool saturates in more of the courses. */
-    private static final double MOST_PART = 0.1;
+    private static final int TRAJECTORIES = 40;
+    /** A plan is accepted only if each pool saturates in a smaller fraction of the simulations. */
+    private static final double MAX_SATURATION_PROBABILITY = 0.1;
 
-    private static final int[] STEPS = {1, 2, 3, 4, 6, 8, 12, 16};
-    private static final double[] FIRST = {0.9, 0.8, 0.7, 0.6, 0.5, 0.4, 0.3, 0.2, 0.1};
-    private static final int ROUNDS = 60;
-    private static final double GROWTH = 0.08;
+    private static final int[] STEP_COUNTS = {1, 2, 3, 4, 6, 8, 12, 16};
+    private static final double[] FIRST_FRACTIONS = {0.9, 0.8, 0.7, 0.6, 0.5, 0.4, 0.3, 0.2, 0.1};
+    private static final int MAX_ROUNDS = 60;
+    private static final double GROWTH_PER_ROUND = 0.08;
 
     /**
-     * What was found.
+     * The result of a search.
      *
      * @param plan the fastest plan; null if there is none
-     * @param forecast its forecast, or that of moving all at once where there is no plan
-     * @param missing servers by pool with which one step would do; empty if there is a plan or nothing can be said
-     * @param why why there is none; null if there is
+     * @param forecast the plan's forecast; without a plan, that of moving all load at once
+     * @param additionalServers the servers by pool that would allow a single step; empty with a plan, or if unknown
+     * @param reason why there is no plan; null if there is one
      */
-    public record Proposal(EvacuationPlan plan, Forecast forecast, Map<PoolName, Integer> missing, String why) {}
+    public record Proposal(
+            EvacuationPlan plan, Forecast forecast, Map<PoolName, Integer> additionalServers, String reason) {}
 
     private Proposer() {}
 
     /**
-     * Looks for a plan.
+     * Searches for a plan.
      *
-     * @param wanted its name, zone, rehearsal, return and servers that come; its steps are replaced
+     * @param template the name, zone, rehearsal, return steps and added servers of the plan; its steps are replaced
      * @param pauseMs the shortest pause between two steps
      */
     public static Proposal propose(
-            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, Shares shares, long seed) {
+            PoolSnapshot snapshot, EvacuationPlan template, double pauseMs, SharePolicy shares, long seed) {
         Forecast atOnce = null;
-        for (int n : STEPS) {
-            EvacuationPlan p = wanted.with(even(1, n, pauseMs));
-            Forecast f = forecast(picture, p, shares, seed);
-            if (f.verdict() == Verdict.UNKNOWN || f.pools().stream().anyMatch(x -> x.verdict() == Verdict.UNKNOWN)) {
-                return new Proposal(null, f, Map.of(), "not all pools are known");
+        for (int stepCount : STEP_COUNTS) {
+            EvacuationPlan plan = template.withSteps(evenSteps(1, stepCount, pauseMs));
+            Forecast forecast = forecast(snapshot, plan, shares, seed);
+            if (forecast.verdict() == Verdict.UNKNOWN
+                    || forecast.pools().stream().anyMatch(pool -> pool.verdict() == Verdict.UNKNOWN)) {
+                return new Proposal(null, forecast, Map.of(), "not all pools can be predicted");
             }
-            if (holds(f)) {
-                return new Proposal(p, f, Map.of(), null);
+            if (nothingSaturates(forecast)) {
+                return new Proposal(plan, forecast, Map.of(), null);
             }
-            atOnce = atOnce == null ? f : atOnce;
+            atOnce = atOnce == null ? forecast : atOnce;
         }
-        EvacuationPlan later = afterServersCame(picture, wanted, pauseMs, shares, seed);
-        if (later != null) {
-            return new Proposal(later, forecast(picture, later, shares, seed), Map.of(), null);
+        EvacuationPlan staged = findPlanThatWaitsForAddedServers(snapshot, template, pauseMs, shares, seed);
+        if (staged != null) {
+            return new Proposal(staged, forecast(snapshot, staged, shares, seed), Map.of(), null);
         }
-        Map<PoolName, Integer> missing = missing(picture, wanted.with(even(1, 1, pauseMs)), shares, seed);
+        Map<PoolName, Integer> additionalServers =
+                findAdditionalServers(snapshot, template.withSteps(evenSteps(1, 1, pauseMs)), shares, seed);
         return new Proposal(
                 null,
                 atOnce,
-                missing,
-                missing.isEmpty()
-                        ? "no number of servers was found that would do"
-                        : "no order of steps does it without more servers");
+                additionalServers,
+                additionalServers.isEmpty()
+                        ? "no number of additional servers was found that suffices"
+                        : "no sequence of steps avoids saturation without additional servers");
     }
 
-    private static Forecast forecast(PoolSnapshot picture, EvacuationPlan p, Shares shares, long seed) {
-        double[] moved = new double[p.steps().size()];
-        for (int i = 0; i < moved.length; i++) {
-            moved[i] = p.moved(i + 1);
+    private static Forecast forecast(PoolSnapshot snapshot, EvacuationPlan plan, SharePolicy shares, long seed) {
+        double[] movedFractions = new double[plan.steps().size()];
+        for (int i = 0; i < movedFractions.length; i++) {
+            movedFractions[i] = plan.movedFraction(i + 1);
         }
-        return Forecast.of(picture, p, moved, shares, seed, COURSES);
+        return Forecast.of(snapshot, plan, movedFractions, shares, seed, TRAJECTORIES);
     }
 
-    private static boolean holds(Forecast f) {
-        return f.pools().stream().allMatch(p -> p.verdict() != Verdict.UNKNOWN && p.part() < MOST_PART);
+    private static boolean nothingSaturates(Forecast forecast) {
+        return forecast.pools().stream()
+                .allMatch(pool ->
+                        pool.verdict() != Verdict.UNKNOWN && pool.saturationProbability() < MAX_SATURATION_PROBABILITY);
     }
 
-    private static List<EvacuationPlan.Step> even(double part, int n, double pauseMs) {
+    private static List<EvacuationPlan.Step> evenSteps(double fraction, int stepCount, double pauseMs) {
         List<EvacuationPlan.Step> steps = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            steps.add(new EvacuationPlan.Step(part / n, pauseMs));
+        for (int i = 0; i < stepCount; i++) {
+            steps.add(new EvacuationPlan.Step(fraction / stepCount, pauseMs));
         }
         return steps;
     }
 
-    /** What holds at once, then a wait until the servers that come are warm, then the rest. */
-    private static EvacuationPlan afterServersCame(
-            PoolSnapshot picture, EvacuationPlan wanted, double pauseMs, Shares shares, long seed) {
-        double warm = 0;
-        for (EvacuationPlan.Comes c : wanted.comes()) {
-            Pool p = picture.pool(c.pool());
-            warm = Math.max(warm, c.afterMs() + (p == null ? 0 : p.coldMs()));
+    /** Moves what is possible at once, waits until the added servers are warm, then moves the rest. */
+    private static EvacuationPlan findPlanThatWaitsForAddedServers(
+            PoolSnapshot snapshot, EvacuationPlan template, double pauseMs, SharePolicy shares, long seed) {
+        double warmAtMs = 0;
+        for (EvacuationPlan.AddedServers added : template.addedServers()) {
+            Pool pool = snapshot.pool(added.pool());
+            warmAtMs = Math.max(warmAtMs, added.afterMs() + (pool == null ? 0 : pool.warmUpMs()));
         }
-        if (warm == 0) {
+        if (warmAtMs == 0) {
             return null;
         }
-        for (double first : FIRST) {
-            for (int n : STEPS) {
+        for (double firstFraction : FIRST_FRACTIONS) {
+            for (int stepCount : STEP_COUNTS) {
                 List<EvacuationPlan.Step> steps = new ArrayList<>();
-                steps.add(new EvacuationPlan.Step(first, Math.max(pauseMs, warm)));
-                steps.addAll(even(1 - first, n, pauseMs));
-                EvacuationPlan p = wanted.with(steps);
-                if (holds(forecast(picture, p, shares, seed))) {
-                    return p;
+                steps.add(new EvacuationPlan.Step(firstFraction, Math.max(pauseMs, warmAtMs)));
+                steps.addAll(evenSteps(1 - firstFraction, stepCount, pauseMs));
+                EvacuationPlan plan = template.withSteps(steps);
+                if (nothingSaturates(forecast(snapshot, plan, shares, seed))) {
+                    return plan;
                 }
             }
         }
         return null;
     }
 
-    /** Grows the pools that fall until none does, then takes back what was too much. */
-    private static Map<PoolName, Integer> missing(
-            PoolSnapshot picture, EvacuationPlan atOnce, Shares shares, long seed) {
-        Map<PoolName, Integer> more = new TreeMap<>();
+    /** Adds servers to the saturating pools until none saturates, then removes those that were not needed. */
+    private static Map<PoolName, Integer> findAdditionalServers(
+            PoolSnapshot snapshot, EvacuationPlan atOnce, SharePolicy shares, long seed) {
+        Map<PoolName, Integer> added = new TreeMap<>();
         boolean done = false;
-        for (int round = 0; round < ROUNDS && !done; round++) {
-            Forecast f = forecast(grown(picture, more), atOnce, shares, seed);
-            done = holds(f);
-            for (PoolForecast p : f.pools()) {
-                if (p.part() >= MOST_PART) {
-                    Pool pool = picture.pool(p.pool());
-                    more.merge(p.pool(), Math.max(1, (int) (pool.servers() * GROWTH)), Integer::sum);
+        for (int round = 0; round < MAX_ROUNDS && !done; round++) {
+            Forecast forecast = forecast(withServersAdded(snapshot, added), atOnce, shares, seed);
+            done = nothingSaturates(forecast);
+            for (PoolForecast poolForecast : forecast.pools()) {
+                if (poolForecast.saturationProbability() >= MAX_SATURATION_PROBABILITY) {
+                    Pool pool = snapshot.pool(poolForecast.pool());
+                    added.merge(
+                            poolForecast.pool(), Math.max(1, (int) (pool.servers() * GROWTH_PER_ROUND)), Integer::sum);
                 }
             }
         }
         if (!done) {
             return Map.of();
         }
-        for (PoolName name : List.copyOf(more.keySet())) {
-            while (more.getOrDefault(name, 0) > 0) {
-                Map<PoolName, Integer> less = new TreeMap<>(more);
-                less.merge(name, -1, Integer::sum);
-                less.values().removeIf(n -> n == 0);
-                if (!holds(forecast(grown(picture, less), atOnce, shares, seed))) {
+        for (PoolName name : List.copyOf(added.keySet())) {
+            while (added.getOrDefault(name, 0) > 0) {
+                Map<PoolName, Integer> fewer = new TreeMap<>(added);
+                fewer.merge(name, -1, Integer::sum);
+                fewer.values().removeIf(count -> count == 0);
+                if (!nothingSaturates(forecast(withServersAdded(snapshot, fewer), atOnce, shares, seed))) {
                     break;
                 }
-                more.clear();
-                more.putAll(less);
+                added.clear();
+                added.putAll(fewer);
             }
         }
-        return more;
+        return added;
     }
 
-    private static PoolSnapshot grown(PoolSnapshot picture, Map<PoolName, Integer> more) {
+    private static PoolSnapshot withServersAdded(PoolSnapshot snapshot, Map<PoolName, Integer> added) {
         List<Pool> pools = new ArrayList<>();
-        for (Pool p : picture.pools()) {
-            pools.add(p.with(more.getOrDefault(p.name(), 0)));
+        for (Pool pool : snapshot.pools()) {
+            pools.add(pool.withMoreServers(added.getOrDefault(pool.name(), 0)));
         }
-        return picture.with(pools);
+        return snapshot.withPools(pools);
     }
 }
