--- a/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/Allocator.java
@@ -10,37 +10,37 @@
 import java.util.TreeMap;
 
 /**
- * Divides a pool's connections over tenants and nodes: weighted max-min fairness over all nodes at once, from the
- * groups down to tenants and classes; then each tenant's part over nodes by its demand there, as Pisces (Shue,
- * Freedman and Shaikh, OSDI 2012) splits weights over replicas.
+ * Divides a pool's connections among tenants and nodes: weighted max-min fairness over all nodes at once, from groups
+ * down to tenants and classes; then each tenant's share among nodes by its demand there, as Pisces (Shue, Freedman and
+ * Shaikh, OSDI 2012) splits weights over replicas.
  *
- * <p>What is left when all have what they want goes on by weights up to ceilings, to those who have demand, so that a
- * rise finds room before it is heard of. Nodes get whole connections, by the largest remainders, and what a node
- * lost or won by that is carried over to the next division: over time each tenant has its part to less than a
- * connection. A node with demand gets one at least as long as there are as many connections as such nodes. Not for
- * more than one thread.
+ * <p>Connections left over when all demand is met are divided by weight, up to the ceilings, among those with demand,
+ * so that a rise in demand can be served before it is reported. Nodes get whole connections by largest remainder, and
+ * each node's rounding error is carried over to the next allocation, so that over time each tenant gets its share to
+ * within one connection. A node with demand gets at least one connection as long as there are as many connections as
+ * such nodes. Not thread-safe.
  */
 public final class Allocator {
-    /** What is believed to be wanted beyond the mean: a part of it, and a part of its root. */
+    /** Headroom added to the mean demand: a fraction of it and a multiple of its square root. */
     private static final double HEADROOM = 0.05;
 
     private static final double HEADROOM_ROOT = 0.25;
-    private static final double LEAST = 1e-9;
+    private static final double EPSILON = 1e-9;
 
-    private final Map<String, Double> carried = new HashMap<>();
+    private final Map<String, Double> roundingCarry = new HashMap<>();
 
-    private static final class Place {
+    private static final class RuleNode {
         private final String key;
         private final Rule rule;
-        private final List<Place> under = new ArrayList<>();
-        private final Map<String, Double> demand = new TreeMap<>();
-        private double wanted;
+        private final List<RuleNode> children = new ArrayList<>();
+        private final Map<String, Double> demandByNode = new TreeMap<>();
+        private double demand;
         private double floor;
         private double ceiling;
-        private double given;
-        private double entitled;
+        private double allocated;
+        private double entitlement;
 
-        private Place(String key, Rule rule) {
+        private RuleNode(String key, Rule rule) {
             this.key = key;
             this.rule = rule;
             this.ceiling = rule.ceiling();
@@ -48,173 +48,187 @@
     }
 
     /**
-     * Divides.
+     * Divides the connections.
      *
-     * @param capacity connections of the pool
+     * @param capacity the pool's connections
      * @param rules weights, floors and ceilings
-     * @param demand for each node and tenant, connections that are believed to be wanted there
+     * @param demand for each node and tenant, the estimated demand in connections
      */
-    public Allocation divide(int capacity, ShareRules rules, Map<String, Map<String, Double>> demand) {
-        Place root = tree(rules, demand);
+    public Allocation allocate(int capacity, ShareRules rules, Map<String, Map<String, Double>> demand) {
+        RuleNode root = buildTree(rules, demand);
         prune(root);
-        if (root.under.isEmpty() || capacity <= 0) {
-            carried.clear();
+        if (root.children.isEmpty() || capacity <= 0) {
+            roundingCarry.clear();
             return Allocation.NONE;
         }
-        root.given = capacity;
-        give(root, false, false);
-        give(root, true, false);
-        root.entitled = capacity;
-        give(root, true, true);
-        List<Place> leaves = new ArrayList<>();
-        leaves(root, leaves);
-        Map<String, Map<String, Double>> exact = new TreeMap<>();
-        Map<String, Allocation.Part> parts = new LinkedHashMap<>();
-        for (Place p : leaves) {
-            parts.put(
-                    p.key,
-                    new Allocation.Part(p.given, p.wanted, p.entitled, Math.min(p.floor, p.wanted), p.rule.weight()));
-            double sum = p.demand.values().stream().mapToDouble(d -> d).sum();
-            p.demand.forEach((node, d) ->
-                    exact.computeIfAbsent(node, k -> new HashMap<>()).put(p.key, p.given * d / sum));
+        root.allocated = capacity;
+        distribute(root, false, false);
+        distribute(root, true, false);
+        root.entitlement = capacity;
+        distribute(root, true, true);
+        List<RuleNode> leaves = new ArrayList<>();
+        collectLeaves(root, leaves);
+        Map<String, Map<String, Double>> exactShares = new TreeMap<>();
+        Map<String, Allocation.TenantAllocation> tenants = new LinkedHashMap<>();
+        for (RuleNode leaf : leaves) {
+            tenants.put(
+                    leaf.key,
+                    new Allocation.TenantAllocation(
+                            leaf.allocated,
+                            leaf.demand,
+                            leaf.entitlement,
+                            Math.min(leaf.floor, leaf.demand),
+                            leaf.rule.weight()));
+            double totalDemand = leaf.demandByNode.values().stream()
+                    .mapToDouble(amount -> amount)
+                    .sum();
+            leaf.demandByNode.forEach((node, amount) -> exactShares
+                    .computeIfAbsent(node, k -> new HashMap<>())
+                    .put(leaf.key, leaf.allocated * amount / totalDemand));
         }
-        return new Allocation(whole(capacity, exact), parts);
+        return new Allocation(roundToWholeConnections(capacity, exactShares), tenants);
     }
 
-    private static Place tree(ShareRules rules, Map<String, Map<String, Double>> demand) {
-        Place root = new Place("", new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()));
-        Map<String, Place> leaves = new HashMap<>();
-        for (Rule g : rules.groups()) {
-            Place group = new Place(g.name(), g);
-            root.under.add(group);
-            for (Rule t : g.under()) {
-                Place tenant = new Place(t.name(), t);
-                group.under.add(tenant);
-                if (t.under().isEmpty()) {
-                    leaves.put(t.name(), tenant);
+    private static RuleNode buildTree(ShareRules rules, Map<String, Map<String, Double>> demand) {
+        RuleNode root = new RuleNode("", new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()));
+        Map<String, RuleNode> leaves = new HashMap<>();
+        for (Rule groupRule : rules.groups()) {
+            RuleNode group = new RuleNode(groupRule.name(), groupRule);
+            root.children.add(group);
+            for (Rule tenantRule : groupRule.children()) {
+                RuleNode tenant = new RuleNode(tenantRule.name(), tenantRule);
+                group.children.add(tenant);
+                if (tenantRule.children().isEmpty()) {
+                    leaves.put(tenantRule.name(), tenant);
                 } else {
-                    // Calls of classes that are not named stand beside the named ones, with weight 1.
-                    Place unnamed = new Place(t.name(), new Rule(t.name(), 1, 0, Double.POSITIVE_INFINITY, List.of()));
-                    tenant.under.add(unnamed);
-                    leaves.put(t.name(), unnamed);
-                    for (Rule c : t.under()) {
-                        Place place = new Place(t.name() + "/" + c.name(), c);
-                        tenant.under.add(place);
-                        leaves.put(place.key, place);
+                    // Requests of unnamed classes form a sibling of the named classes, with weight 1.
+                    RuleNode unnamed = new RuleNode(
+                            tenantRule.name(), new Rule(tenantRule.name(), 1, 0, Double.POSITIVE_INFINITY, List.of()));
+                    tenant.children.add(unnamed);
+                    leaves.put(tenantRule.name(), unnamed);
+                    for (Rule classRule : tenantRule.children()) {
+                        RuleNode classNode = new RuleNode(tenantRule.name() + "/" + classRule.name(), classRule);
+                        tenant.children.add(classNode);
+                        leaves.put(classNode.key, classNode);
                     }
                 }
             }
         }
-        Place others = new Place("", rules.others());
-        root.under.add(others);
-        demand.forEach((node, tenants) -> tenants.forEach((key, d) -> {
-            if (d > 0) {
+        RuleNode others = new RuleNode("", rules.others());
+        root.children.add(others);
+        demand.forEach((node, tenants) -> tenants.forEach((key, amount) -> {
+            if (amount > 0) {
                 leaves.computeIfAbsent(key, k -> {
-                            Place p = new Place(k, new Rule(k, 1, 0, Double.POSITIVE_INFINITY, List.of()));
-                            others.under.add(p);
-                            return p;
+                            RuleNode unlisted = new RuleNode(k, new Rule(k, 1, 0, Double.POSITIVE_INFINITY, List.of()));
+                            others.children.add(unlisted);
+                            return unlisted;
                         })
-                        .demand
-                        .put(node, d * (1 + HEADROOM) + HEADROOM_ROOT * Math.sqrt(d));
+                        .demandByNode
+                        .put(node, amount * (1 + HEADROOM) + HEADROOM_ROOT * Math.sqrt(amount));
             }
         }));
-        others.under.sort(Comparator.comparing(p -> p.key));
+        others.children.sort(Comparator.comparing(unlisted -> unlisted.key));
         return root;
     }
 
-    /** Takes away what has no demand, and sums up what is left. */
-    private static void prune(Place p) {
-        p.under.forEach(Allocator::prune);
-        p.under.removeIf(u -> u.wanted <= 0);
-        double sum = p.demand.values().stream().mapToDouble(d -> d).sum();
-        double floors = 0;
-        double ceilings = p.under.isEmpty() ? Double.POSITIVE_INFINITY : 0;
-        for (Place u : p.under) {
-            sum += u.wanted;
-            floors += u.floor;
-            ceilings += u.ceiling;
+    /** Removes nodes without demand from the tree and sums up the rest. */
+    private static void prune(RuleNode node) {
+        node.children.forEach(Allocator::prune);
+        node.children.removeIf(child -> child.demand <= 0);
+        double demand = node.demandByNode.values().stream().mapToDouble(d -> d).sum();
+        double sumFloors = 0;
+        double sumCeilings = node.children.isEmpty() ? Double.POSITIVE_INFINITY : 0;
+        for (RuleNode child : node.children) {
+            demand += child.demand;
+            sumFloors += child.floor;
+            sumCeilings += child.ceiling;
         }
-        p.ceiling = Math.min(p.ceiling, ceilings);
-        p.wanted = Math.min(p.ceiling, sum);
-        p.floor = Math.min(p.wanted, Math.max(p.rule.floor(), floors));
+        node.ceiling = Math.min(node.ceiling, sumCeilings);
+        node.demand = Math.min(node.ceiling, demand);
+        node.floor = Math.min(node.demand, Math.max(node.rule.floor(), sumFloors));
     }
 
-    /** Divides what a place has among those under it: what is wanted, what is left, or what each is entitled to. */
-    private static void give(Place p, boolean all, boolean entitled) {
-        int n = p.under.size();
-        double[] weights = new double[n];
-        double[] floors = new double[n];
-        double[] most = new double[n];
-        for (int i = 0; i < n; i++) {
-            Place u = p.under.get(i);
-            weights[i] = u.rule.weight();
-            floors[i] = all && !entitled ? u.given : u.floor;
-            most[i] = all ? Math.max(u.ceiling, floors[i]) : u.wanted;
-            most[i] = Math.min(most[i], Math.max(floors[i], entitled ? p.entitled : p.given));
+    /** Divides a node's connections among its children: up to demand, up to ceilings, or the entitlements. */
+    private static void distribute(RuleNode node, boolean toCeilings, boolean entitlement) {
+        int childCount = node.children.size();
+        double[] weights = new double[childCount];
+        double[] floors = new double[childCount];
+        double[] maxima = new double[childCount];
+        for (int i = 0; i < childCount; i++) {
+            RuleNode child = node.children.get(i);
+            weights[i] = child.rule.weight();
+            floors[i] = toCeilings && !entitlement ? child.allocated : child.floor;
+            maxima[i] = toCeilings ? Math.max(child.ceiling, floors[i]) : child.demand;
+            maxima[i] = Math.min(maxima[i], Math.max(floors[i], entitlement ? node.entitlement : node.allocated));
         }
-        double[] given = WaterFilling.fill(entitled ? p.entitled : p.given, weights, floors, most);
-        for (int i = 0; i < n; i++) {
-            Place u = p.under.get(i);
-            if (entitled) {
-                u.entitled = given[i];
+        double[] amounts = WaterFilling.fill(entitlement ? node.entitlement : node.allocated, weights, floors, maxima);
+        for (int i = 0; i < childCount; i++) {
+            RuleNode child = node.children.get(i);
+            if (entitlement) {
+                child.entitlement = amounts[i];
             } else {
-                u.given = given[i];
+                child.allocated = amounts[i];
             }
-            give(u, all, entitled);
+            distribute(child, toCeilings, entitlement);
         }
     }
 
-    private static void leaves(Place p, List<Place> found) {
-        if (p.under.isEmpty()) {
-            found.add(p);
+    private static void collectLeaves(RuleNode node, List<RuleNode> leaves) {
+        if (node.children.isEmpty()) {
+            leaves.add(node);
         }
-        p.under.forEach(u -> leaves(u, found));
+        node.children.forEach(child -> collectLeaves(child, leaves));
     }
 
-    private Map<String, Map<String, Double>> whole(int capacity, Map<String, Map<String, Double>> exact) {
-        Map<String, Double> sums = new TreeMap<>();
-        exact.forEach((node, tenants) ->
-                sums.put(node, tenants.values().stream().mapToDouble(d -> d).sum()));
-        carried.keySet().retainAll(sums.keySet());
-        double all =
-                Math.min(capacity, sums.values().stream().mapToDouble(d -> d).sum());
-        int left = (int) Math.floor(all + 1e-6);
-        Map<String, Integer> totals = new TreeMap<>();
-        boolean one = left >= sums.size();
-        for (Map.Entry<String, Double> e : sums.entrySet()) {
-            double due = e.getValue() + carried.getOrDefault(e.getKey(), 0.0);
-            int t = Math.max(one ? 1 : 0, (int) Math.floor(due + LEAST));
-            totals.put(e.getKey(), t);
-            left -= t;
+    private Map<String, Map<String, Double>> roundToWholeConnections(
+            int capacity, Map<String, Map<String, Double>> exactShares) {
+        Map<String, Double> nodeSums = new TreeMap<>();
+        exactShares.forEach((node, tenants) -> nodeSums.put(
+                node, tenants.values().stream().mapToDouble(amount -> amount).sum()));
+        roundingCarry.keySet().retainAll(nodeSums.keySet());
+        double total = Math.min(
+                capacity,
+                nodeSums.values().stream().mapToDouble(amount -> amount).sum());
+        int remaining = (int) Math.floor(total + 1e-6);
+        Map<String, Integer> nodeTotals = new TreeMap<>();
+        boolean oneForEach = remaining >= nodeSums.size();
+        for (Map.Entry<String, Double> entry : nodeSums.entrySet()) {
+            double exactTotal = entry.getValue() + roundingCarry.getOrDefault(entry.getKey(), 0.0);
+            int nodeTotal = Math.max(oneForEach ? 1 : 0, (int) Math.floor(exactTotal + EPSILON));
+            nodeTotals.put(entry.getKey(), nodeTotal);
+            remaining -= nodeTotal;
         }
-        List<String> byRemainder = new ArrayList<>(sums.keySet());
-        byRemainder.sort(
-                Comparator.comparingDouble((String k) -> totals.get(k) - sums.get(k) - carried.getOrDefault(k, 0.0))
-                        .thenComparing(k -> k));
-        for (int i = 0; left > 0 && i < byRemainder.size(); i++, left--) {
-            totals.merge(byRemainder.get(i), 1, Integer::sum);
+        List<String> byRemainder = new ArrayList<>(nodeSums.keySet());
+        byRemainder.sort(Comparator.comparingDouble(
+                        (String k) -> nodeTotals.get(k) - nodeSums.get(k) - roundingCarry.getOrDefault(k, 0.0))
+                .thenComparing(k -> k));
+        for (int i = 0; remaining > 0 && i < byRemainder.size(); i++, remaining--) {
+            nodeTotals.merge(byRemainder.get(i), 1, Integer::sum);
         }
-        // Guards against a sum over the capacity, by those that got their first one or what was carried over.
-        while (left < 0) {
-            String most = null;
+        // Guards against a sum above the capacity, from minimum connections or carried rounding errors.
+        while (remaining < 0) {
+            String mostRoundedUp = null;
             for (String k : byRemainder) {
-                if (totals.get(k) > (one ? 1 : 0)
-                        && (most == null || totals.get(k) - sums.get(k) > totals.get(most) - sums.get(most))) {
-                    most = k;
+                if (nodeTotals.get(k) > (oneForEach ? 1 : 0)
+                        && (mostRoundedUp == null
+                                || nodeTotals.get(k) - nodeSums.get(k)
+                                        > nodeTotals.get(mostRoundedUp) - nodeSums.get(mostRoundedUp))) {
+                    mostRoundedUp = k;
                 }
             }
-            totals.merge(most, -1, Integer::sum);
-            left++;
+            nodeTotals.merge(mostRoundedUp, -1, Integer::sum);
+            remaining++;
         }
-        Map<String, Map<String, Double>> found = new TreeMap<>();
-        exact.forEach((node, tenants) -> {
-            double sum = sums.get(node);
-            int t = totals.get(node);
-            carried.put(node, Math.max(-1, Math.min(1, sum + carried.getOrDefault(node, 0.0) - t)));
+        Map<String, Map<String, Double>> rounded = new TreeMap<>();
+        exactShares.forEach((node, tenants) -> {
+            double nodeSum = nodeSums.get(node);
+            int nodeTotal = nodeTotals.get(node);
+            roundingCarry.put(
+                    node, Math.max(-1, Math.min(1, nodeSum + roundingCarry.getOrDefault(node, 0.0) - nodeTotal)));
             Map<String, Double> scaled = new TreeMap<>();
-            tenants.forEach((k, d) -> scaled.put(k, sum > 0 ? d * t / sum : 0));
-            found.put(node, scaled);
+            tenants.forEach((k, amount) -> scaled.put(k, nodeSum > 0 ? amount * nodeTotal / nodeSum : 0));
+            rounded.put(node, scaled);
         });
-        return found;
+        return rounded;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseClient.java
@@ -11,254 +11,270 @@
 import java.util.stream.Collectors;
 
 /**
- * A node's side of the leases of one pool: asks, and says what its tenants may hold.
+ * A node's side of the leases of one pool: requests leases and computes the quotas of the node's tenants.
  *
- * <p>It acts by an answer for a lease from the moment of the question; then, until the leases of those to whom its
- * guaranteed part may have been lent have run out, by the smaller of that lease and the guaranteed part; then by the
- * guaranteed part. A node that has just started begins with nothing, in the same way: an earlier life of it may have
- * lent its part. Where the pool is smaller by its own list than the lessor knew, it takes its part of that. Plain:
- * times and values in, values out; times by one clock that never goes back.
+ * <p>A grant is in force for one lease from the moment of its request. After that, until all leases that may have
+ * borrowed this node's guaranteed share have expired, the node uses the smaller of the last lease and the guaranteed
+ * share, and then the guaranteed share. A node that has just started begins with nothing and waits in the same way,
+ * because its guaranteed share may be lent since an earlier incarnation. If the pool is smaller by the node's own
+ * endpoint list than the lease server knew, the lease shrinks in proportion. Without I/O; times are of one monotonic
+ * clock.
  */
 public final class QuotaLeaseClient {
-    /** Tenants that a question names; the smaller ones count together. */
-    static final int MOST_NAMED = 1000;
-    /** How fast demand's estimate follows, in milliseconds. */
-    private static final double FOLLOW_MS = 150;
-    /** At what part of the time to drain calls are given up: the rest is for doing so. */
-    private static final double GIVE_UP = 0.85;
+    /** The number of tenants that a request names; the smaller ones are summed up. */
+    static final int MAX_NAMED_TENANTS = 1000;
+    /** The time constant of the demand estimate, in milliseconds. */
+    private static final double DEMAND_TIME_CONSTANT_MS = 150;
+    /** The fraction of the drain time after which requests are cancelled; the rest is for the cancellation itself. */
+    private static final double CANCEL_AT_DRAIN_FRACTION = 0.85;
 
     private final String pool;
     private final QuotaLeaseTerms terms;
-    private final long life;
+    private final long incarnation;
     private final Map<String, PoolUse> demand = new HashMap<>();
-    private double readAtMs = Double.NaN;
-    private long asked;
-    private double askedAtMs = Double.NEGATIVE_INFINITY;
-    private long acting;
-    private long token;
-    private long heard;
-    private double untilMs = Double.NEGATIVE_INFINITY;
-    private double answeredAtMs;
+    private double demandReadAtMs = Double.NaN;
+    private long lastRequest;
+    private double requestedAtMs = Double.NEGATIVE_INFINITY;
+    private long activeRequest;
+    private long grantToken;
+    private long highestToken;
+    private double leaseEndMs = Double.NEGATIVE_INFINITY;
+    private double grantReceivedAtMs;
     private int capacity;
-    /** The smallest that the pool was since the last question. */
-    private int lowest;
+    /** The smallest capacity since the last request. */
+    private int lowestCapacity;
 
     private int members;
-    private int leased;
-    private int leasedOf = 1;
-    private Map<String, Double> lease = Map.of();
-    private int busy;
-    private boolean toAck;
-    private boolean nudged;
-    private long epoch;
-    private double tellAtMs = Double.NEGATIVE_INFINITY;
+    private int leasedTotal;
+    private int leaseCapacity = 1;
+    private Map<String, Double> leaseByTenant = Map.of();
+    private int inUse;
+    private boolean ackPending;
+    private boolean requestSoon;
+    private long quotaEpoch;
+    private double nextUpdateMs = Double.NEGATIVE_INFINITY;
 
-    /** A node that starts now. */
-    public QuotaLeaseClient(String pool, QuotaLeaseTerms terms, long life, double nowMs) {
+    /** Creates the client of a node that starts now. */
+    public QuotaLeaseClient(String pool, QuotaLeaseTerms terms, long incarnation, double nowMs) {
         this.pool = pool;
         this.terms = terms;
-        this.life = life;
-        this.answeredAtMs = nowMs;
+        this.incarnation = incarnation;
+        this.grantReceivedAtMs = nowMs;
     }
 
-    /** Its own list has the pool at so many connections, and the agreed membership has so many members. */
-    public void knows(int capacityNow, int membersNow) {
-        if (capacity != capacityNow || members != membersNow) {
-            capacity = capacityNow;
-            lowest = Math.min(lowest, capacity);
-            cut(capacity);
-            members = membersNow;
-            tellAtMs = Double.NEGATIVE_INFINITY;
-            nudged = true;
+    /** Sets the pool's connections by the node's own endpoint list, and the number of agreed members. */
+    public void updatePool(int newCapacity, int newMembers) {
+        if (capacity != newCapacity || members != newMembers) {
+            capacity = newCapacity;
+            lowestCapacity = Math.min(lowestCapacity, capacity);
+            reduceCapacity(capacity);
+            members = newMembers;
+            nextUpdateMs = Double.NEGATIVE_INFINITY;
+            requestSoon = true;
         }
     }
 
-    /** What its tenants wanted and used since the last reading. */
-    public void read(double nowMs, List<TenantUsage> uses) {
-        double part = Double.isNaN(readAtMs) ? 1 : 1 - Math.exp(-(nowMs - readAtMs) / FOLLOW_MS);
-        readAtMs = nowMs;
-        Map<String, PoolUse> now = new HashMap<>();
-        for (TenantUsage u : uses) {
-            now.put(u.tenant(), new PoolUse(u.demand(), u.running(), u.rejectedPerSecond(), u.meanHoldMs()));
+    /** Records what its tenants demanded and used since the last call. */
+    public void recordDemand(double nowMs, List<TenantUsage> uses) {
+        double weight =
+                Double.isNaN(demandReadAtMs) ? 1 : 1 - Math.exp(-(nowMs - demandReadAtMs) / DEMAND_TIME_CONSTANT_MS);
+        demandReadAtMs = nowMs;
+        Map<String, PoolUse> currentUse = new HashMap<>();
+        for (TenantUsage use : uses) {
+            currentUse.put(
+                    use.tenant(), new PoolUse(use.demand(), use.running(), use.rejectedPerSecond(), use.meanHoldMs()));
         }
-        demand.forEach((t, u) -> now.putIfAbsent(t, new PoolUse(0, 0, 0, u.meanMs())));
-        now.replaceAll((t, u) -> {
-            PoolUse before = demand.get(t);
-            return before == null
-                    ? u
+        demand.forEach((tenant, use) -> currentUse.putIfAbsent(tenant, new PoolUse(0, 0, 0, use.meanMs())));
+        currentUse.replaceAll((tenant, use) -> {
+            PoolUse previous = demand.get(tenant);
+            return previous == null
+                    ? use
                     : new PoolUse(
-                            before.wanted() + part * (u.wanted() - before.wanted()), u.used(), u.refused(), u.meanMs());
+                            previous.demand() + weight * (use.demand() - previous.demand()),
+                            use.inUse(),
+                            use.rejectedPerSecond(),
+                            use.meanMs());
         });
-        // A tenant that is new here can't wait for its turn.
-        nudged |= now.keySet().stream().anyMatch(t -> !demand.containsKey(t) && !lease.containsKey(t));
+        // A tenant that is new at this node must not wait for the next regular request.
+        requestSoon |= currentUse.keySet().stream()
+                .anyMatch(tenant -> !demand.containsKey(tenant) && !leaseByTenant.containsKey(tenant));
         demand.clear();
-        now.forEach((t, u) -> {
-            if (u.wanted() > 0.01) {
-                demand.put(t, u);
+        currentUse.forEach((tenant, use) -> {
+            if (use.demand() > 0.01) {
+                demand.put(tenant, use);
             }
         });
     }
 
-    /** Connections that it uses now. */
-    public void busy(int connections) {
-        toAck |= busy > leased && connections < busy;
-        busy = connections;
+    /** Sets the number of connections in use. */
+    public void setInUse(int connections) {
+        ackPending |= inUse > leasedTotal && connections < inUse;
+        inUse = connections;
     }
 
-    /** When the next question is due. */
-    public double askAtMs() {
-        return askedAtMs + (nudged ? terms.leastMs() : terms.askMs());
+    /** Returns when the next request is due. */
+    public double nextRequestMs() {
+        return requestedAtMs + (requestSoon ? terms.minRequestIntervalMs() : terms.requestIntervalMs());
     }
 
-    /** It asks now. */
-    public QuotaLeaseMessage.Ask ask(double nowMs) {
-        asked++;
-        askedAtMs = nowMs;
-        lowest = capacity;
-        nudged = false;
-        toAck = false;
-        return new QuotaLeaseMessage.Ask(
+    /** Creates the next request. */
+    public QuotaLeaseMessage.Request request(double nowMs) {
+        lastRequest++;
+        requestedAtMs = nowMs;
+        lowestCapacity = capacity;
+        requestSoon = false;
+        ackPending = false;
+        return new QuotaLeaseMessage.Request(
                 pool,
-                life,
-                asked,
-                acting,
-                token,
-                heard,
-                nowMs < untilMs ? leased : 0,
-                Math.max(0, untilMs - nowMs),
-                busy,
-                named());
+                incarnation,
+                lastRequest,
+                activeRequest,
+                grantToken,
+                highestToken,
+                nowMs < leaseEndMs ? leasedTotal : 0,
+                Math.max(0, leaseEndMs - nowMs),
+                inUse,
+                demandByNamedTenant());
     }
 
-    /** What is to be said of connections given back; empty if nothing. */
-    public Optional<QuotaLeaseMessage.Ack> ack() {
-        if (!toAck || acting == 0) {
+    /** Returns the acknowledgement that is due after connections were returned; empty if none is. */
+    public Optional<QuotaLeaseMessage.Ack> pendingAck() {
+        if (!ackPending || activeRequest == 0) {
             return Optional.empty();
         }
-        toAck = false;
-        return Optional.of(new QuotaLeaseMessage.Ack(pool, life, acting, busy));
+        ackPending = false;
+        return Optional.of(new QuotaLeaseMessage.Ack(pool, incarnation, activeRequest, inUse));
     }
 
-    /** An answer has come. */
-    public void took(double nowMs, QuotaLeaseMessage.Grant g) {
-        // Guards against answers to another life or an older question, whose lease runs from another moment, and
-        // against a lessor that was replaced.
-        if (g.life() != life
-                || g.number() != asked
-                || g.number() == acting
-                || g.token() < heard
-                || g.leaseMs() > terms.leaseMs()) {
+    /** Handles a grant. */
+    public void receive(double nowMs, QuotaLeaseMessage.Grant grant) {
+        // Guards against grants for another incarnation or an older request, whose lease runs from another moment, and
+        // against a lease server that has been replaced.
+        if (grant.incarnation() != incarnation
+                || grant.requestNumber() != lastRequest
+                || grant.requestNumber() == activeRequest
+                || grant.token() < highestToken
+                || grant.leaseMs() > terms.leaseMs()) {
             return;
         }
-        acting = g.number();
-        token = g.token();
-        heard = token;
-        untilMs = askedAtMs + g.leaseMs();
-        answeredAtMs = nowMs;
-        lease = g.tenants();
-        leased = g.total();
-        leasedOf = Math.max(1, g.capacity());
-        cut(lowest);
-        toAck = true;
-        tellAtMs = Double.NEGATIVE_INFINITY;
+        activeRequest = grant.requestNumber();
+        grantToken = grant.token();
+        highestToken = grantToken;
+        leaseEndMs = requestedAtMs + grant.leaseMs();
+        grantReceivedAtMs = nowMs;
+        leaseByTenant = grant.tenants();
+        leasedTotal = grant.total();
+        leaseCapacity = Math.max(1, grant.capacity());
+        reduceCapacity(lowestCapacity);
+        ackPending = true;
+        nextUpdateMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** There is another lease to be had. */
-    public void took(QuotaLeaseMessage.Nudge n) {
-        nudged |= n.token() >= heard;
-        heard = Math.max(heard, n.token());
+    /** Handles a notice that a new lease is available. */
+    public void receive(QuotaLeaseMessage.RenewalNotice notice) {
+        requestSoon |= notice.token() >= highestToken;
+        highestToken = Math.max(highestToken, notice.token());
     }
 
-    /** Whether there is something new to tell the node's reducer. */
-    public boolean news(double nowMs) {
-        return members > 0 && nowMs >= tellAtMs;
+    /** Whether the quotas of the node's reducer have to be updated. */
+    public boolean hasUpdate(double nowMs) {
+        return members > 0 && nowMs >= nextUpdateMs;
     }
 
-    /** What the node's tenants may hold now. */
-    public TenantQuotas allowances(double nowMs) {
-        epoch++;
-        int guaranteed = terms.guaranteed(capacity, members);
-        int between = Math.min(leased, guaranteed);
-        double lentUntil = answeredAtMs + terms.lentMs();
-        if (nowMs < untilMs) {
-            tellAtMs = untilMs;
-            return allow(leased, untilMs, between);
+    /** Returns the current quotas of the node's tenants. */
+    public TenantQuotas quotas(double nowMs) {
+        quotaEpoch++;
+        int guaranteedShare = terms.guaranteedConnections(capacity, members);
+        int reducedShare = Math.min(leasedTotal, guaranteedShare);
+        double shareLentUntilMs = grantReceivedAtMs + terms.shareLentMs();
+        if (nowMs < leaseEndMs) {
+            nextUpdateMs = leaseEndMs;
+            return quotasUntil(leasedTotal, leaseEndMs, reducedShare);
         }
-        tellAtMs = nowMs < lentUntil ? lentUntil : Double.POSITIVE_INFINITY;
-        return nowMs < lentUntil
-                ? allow(between, lentUntil, guaranteed)
-                : allow(guaranteed, Double.POSITIVE_INFINITY, guaranteed);
+        nextUpdateMs = nowMs < shareLentUntilMs ? shareLentUntilMs : Double.POSITIVE_INFINITY;
+        return nowMs < shareLentUntilMs
+                ? quotasUntil(reducedShare, shareLentUntilMs, guaranteedShare)
+                : quotasUntil(guaranteedShare, Double.POSITIVE_INFINITY, guaranteedShare);
     }
 
-    /** Connections that it may use now. */
-    public int mayUse(double nowMs) {
-        int guaranteed = terms.guaranteed(capacity, members);
-        return nowMs < untilMs
-                ? leased
-                : nowMs < answeredAtMs + terms.lentMs() ? Math.min(leased, guaranteed) : guaranteed;
+    /** Returns the connections that the node may use now. */
+    public int usableConnections(double nowMs) {
+        int guaranteedShare = terms.guaranteedConnections(capacity, members);
+        return nowMs < leaseEndMs
+                ? leasedTotal
+                : nowMs < grantReceivedAtMs + terms.shareLentMs()
+                        ? Math.min(leasedTotal, guaranteedShare)
+                        : guaranteedShare;
     }
 
-    /** Whether calls that outlast the lease are to be given up now. */
-    public boolean overstays(double nowMs) {
-        return nowMs >= untilMs + GIVE_UP * terms.drainMs() && busy > mayUse(nowMs);
+    /** Whether requests that outlast the lease have to be cancelled now. */
+    public boolean mustCancelOverdueCalls(double nowMs) {
+        return nowMs >= leaseEndMs + CANCEL_AT_DRAIN_FRACTION * terms.drainMs() && inUse > usableConnections(nowMs);
     }
 
-    /** Demand as it was last read, as it is put among the records of the fleet. */
+    /** Returns the demand as last recorded, as published in the fleet's records. */
     public Map<String, PoolUse> demand() {
         return Map.copyOf(demand);
     }
 
-    /** Cuts its lease to a smaller pool: for good, as the lessor does, so that growth gives nobody what others got. */
-    private void cut(int to) {
-        if (to < leasedOf) {
-            int before = leased;
-            leased = (int) Math.floor((double) leased * to / leasedOf + 1e-9);
-            leasedOf = Math.max(1, to);
-            double part = before == 0 ? 0 : (double) leased / before;
-            lease = lease.entrySet().stream().collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue() * part));
+    /** Shrinks the lease to a smaller pool for good, as the server does: later growth may be granted to others. */
+    private void reduceCapacity(int newCapacity) {
+        if (newCapacity < leaseCapacity) {
+            int previousTotal = leasedTotal;
+            leasedTotal = (int) Math.floor((double) leasedTotal * newCapacity / leaseCapacity + 1e-9);
+            leaseCapacity = Math.max(1, newCapacity);
+            double remainingFraction = previousTotal == 0 ? 0 : (double) leasedTotal / previousTotal;
+            leaseByTenant = leaseByTenant.entrySet().stream()
+                    .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue() * remainingFraction));
         }
     }
 
-    private TenantQuotas allow(int now, double until, int then) {
-        Map<String, Double> tenants = split(now);
-        return new TenantQuotas(epoch, tenants, 0, Map.of(), until, split(then));
+    private TenantQuotas quotasUntil(int current, double untilMs, int afterwards) {
+        Map<String, Double> tenants = split(current);
+        return new TenantQuotas(quotaEpoch, tenants, 0, Map.of(), untilMs, split(afterwards));
     }
 
-    /** Connections split as the last lease was; all tenants together where there was none. */
+    /** Splits connections in proportion to the last lease; without one, gives them to all tenants together. */
     private Map<String, Double> split(int connections) {
-        if (leased == 0) {
+        if (leasedTotal == 0) {
             return Map.of("", (double) connections);
         }
-        Map<String, Double> parts = new HashMap<>();
-        lease.forEach((t, d) -> parts.put(t, d * connections / leased));
-        return parts;
+        Map<String, Double> quotas = new HashMap<>();
+        leaseByTenant.forEach((tenant, leased) -> quotas.put(tenant, leased * connections / leasedTotal));
+        return quotas;
     }
 
-    private Map<String, PoolUse> named() {
-        if (demand.size() <= MOST_NAMED) {
+    private Map<String, PoolUse> demandByNamedTenant() {
+        if (demand.size() <= MAX_NAMED_TENANTS) {
             return demand;
         }
-        List<Map.Entry<String, PoolUse>> all = new ArrayList<>(demand.entrySet());
-        all.sort(Comparator.comparingDouble(
-                        (Map.Entry<String, PoolUse> e) -> -e.getValue().wanted())
+        List<Map.Entry<String, PoolUse>> sorted = new ArrayList<>(demand.entrySet());
+        sorted.sort(Comparator.comparingDouble(
+                        (Map.Entry<String, PoolUse> entry) -> -entry.getValue().demand())
                 .thenComparing(Map.Entry::getKey));
         Map<String, PoolUse> named = new HashMap<>();
-        double wanted = 0;
-        double used = 0;
-        double refused = 0;
-        double held = 0;
-        for (int i = 0; i < all.size(); i++) {
-            PoolUse u = all.get(i).getValue();
-            if (i < MOST_NAMED && !all.get(i).getKey().isEmpty()) {
-                named.put(all.get(i).getKey(), u);
+        double otherDemand = 0;
+        double otherInUse = 0;
+        double otherRejectedPerSecond = 0;
+        double weightedHoldMs = 0;
+        for (int i = 0; i < sorted.size(); i++) {
+            PoolUse use = sorted.get(i).getValue();
+            if (i < MAX_NAMED_TENANTS && !sorted.get(i).getKey().isEmpty()) {
+                named.put(sorted.get(i).getKey(), use);
             } else {
-                wanted += u.wanted();
-                used += u.used();
-                refused += u.refused();
-                held += u.wanted() * u.meanMs();
+                otherDemand += use.demand();
+                otherInUse += use.inUse();
+                otherRejectedPerSecond += use.rejectedPerSecond();
+                weightedHoldMs += use.demand() * use.meanMs();
             }
         }
-        named.put("", new PoolUse(wanted, used, refused, wanted > 0 ? held / wanted : 0));
+        named.put(
+                "",
+                new PoolUse(
+                        otherDemand,
+                        otherInUse,
+                        otherRejectedPerSecond,
+                        otherDemand > 0 ? weightedHoldMs / otherDemand : 0));
         return named;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/QuotaLeaseServer.java
@@ -9,501 +9,551 @@
 import java.util.TreeMap;
 
 /**
- * Grants the leases of one pool: the part of the member that holds the role. Plain: times, messages and values in,
- * messages out; times by one clock that never goes back.
+ * Grants the leases of one pool at the member that holds the lease server role. Without I/O; times are of one monotonic
+ * clock.
  *
- * <p>Promise: what all members may use together never passes the pool's capacity, whatever messages are lost, late or
- * repeated, whoever stalls, starts again or is cut off, and whoever was the lessor before. Assumed: clocks' rates
- * differ by the drift at most; the role has one holder at a time, who asks before each act whether it is; a node
- * acts as {@link QuotaLeaseClient} does; nodes hear of a smaller pool by their own lists as soon as the lessor does.
+ * <p>Invariant: the connections that all members together may use never exceed the pool's capacity, whatever messages
+ * are lost, late or repeated, whichever members stall, restart or are cut off, and whoever was the lease server before.
+ * Assumptions: clock rates differ by at most the drift; one member at a time holds the role and checks this before each
+ * action; nodes behave as {@link QuotaLeaseClient}; nodes learn of a smaller pool from their own endpoint lists as soon
+ * as the server does.
  *
- * <p>What a member may use at the most is the largest of: the answers that it may act by, those being the last that
- * it has said that it acts by and all later ones, until they have run out and drained; what it last said that it
- * uses; and its guaranteed part, from a lease on after the answer that it last said that it acts by. Until then that
- * part is lent, for the leases that rest on it have run out before the node counts on it again. An answer gives no
- * more than the capacity leaves beside all others' most.
+ * <p>The most that a member may use is the largest of: the grants that may be in force, which are the last one that it
+ * acknowledged and all later ones, until they have expired and drained; the connections that it last reported in use;
+ * and its guaranteed share, from one lease after the grant that it last acknowledged. Until then that share is lent to
+ * others, because the leases that include it expire before the node counts on it again. A grant contains at most what
+ * the capacity leaves beside the most that all others may use.
  *
- * <p>A new lessor knows no leases. For one wait it only renews what nodes show that they hold, cut by the part that
- * the guaranteed parts of those it has not heard of are of the pool: together with them that is no more than there
- * was.
+ * <p>A new server knows no leases. For one expiry time it only renews the leases that nodes report, reduced by the
+ * fraction of the pool that the guaranteed shares of the nodes that have not reported amount to. Together with those
+ * shares this is no more than before.
  */
 public final class QuotaLeaseServer {
-    /** How often it divides anew; milliseconds. */
-    private static final double TURN_MS = 25;
-    /** A node's demand is believed for as long as this after its question, in leases. */
-    private static final double BELIEVED_LEASES = 1.5;
-    /** A lease is worth another answer if a tenant's part of it is off by this part and this many connections. */
-    private static final double OFF = 0.02;
+    /** The interval between allocations, in milliseconds. */
+    private static final double ALLOCATION_INTERVAL_MS = 25;
+    /** How long a node's demand is valid after its request, in leases. */
+    private static final double DEMAND_VALID_LEASES = 1.5;
+    /** A lease is renewed if a tenant's share deviates by more than this fraction and this many connections. */
+    private static final double RENEWAL_DEVIATION = 0.02;
 
-    private static final double OFF_LEAST = 0.2;
+    private static final double MIN_RENEWAL_DEVIATION = 0.2;
 
     private final String pool;
     private final QuotaLeaseTerms terms;
     private final Map<String, Node> nodes = new TreeMap<>();
-    private final Map<String, Hunger> hungers = new TreeMap<>();
+    private final Map<String, Starvation> starvations = new TreeMap<>();
     private ShareRules rules = ShareRules.NONE;
     private int capacity;
-    private int guaranteed;
-    private int membersNow;
+    private int guaranteedShare;
+    private int memberCount;
     private Allocator allocator = new Allocator();
-    private Allocation current = Allocation.NONE;
-    private double dividedAtMs = Double.NEGATIVE_INFINITY;
-    private boolean acts;
+    private Allocation allocation = Allocation.NONE;
+    private double allocatedAtMs = Double.NEGATIVE_INFINITY;
+    private boolean holdsRole;
     private long token;
     private double tookOverAtMs;
-    private double hungryReadMs;
+    private double starvationCheckedMs;
 
     /**
      * A message to a node.
      *
      * @param to the node
-     * @param message what
+     * @param message the message
      */
-    public record Out(String to, QuotaLeaseMessage message) {}
+    public record Outgoing(String to, QuotaLeaseMessage message) {}
 
     /**
-     * A tenant that is under its floor though it wants more: an alarm.
+     * An alarm about a tenant that stays below its floor despite demand.
      *
-     * @param tenant which
+     * @param tenant the tenant
      * @param floor connections that it should have
-     * @param used connections that it uses
-     * @param forMs for how long already
-     * @param cause why, as far as known
+     * @param inUse connections that it uses
+     * @param durationMs how long this has lasted
+     * @param cause the reason, as far as known
      */
-    public record Hungry(String tenant, double floor, double used, double forMs, String cause) {}
+    public record StarvedTenant(String tenant, double floor, double inUse, double durationMs, String cause) {}
 
     /**
-     * A node as the lessor sees it; for staff.
+     * The state of a node as known to the server, for operators.
      *
      * @param leased connections of the last lease
-     * @param most connections that it may use at the most
-     * @param busy connections that it said it uses
-     * @param heardMs how long ago it asked last
+     * @param maxUse the most connections that it may use
+     * @param inUse connections that it last reported in use
+     * @param requestAgeMs the time since its last request
      */
-    public record NodeState(String node, int leased, int most, int busy, double heardMs) {}
+    public record NodeState(String node, int leased, int maxUse, int inUse, double requestAgeMs) {}
 
     /**
-     * All that the lessor knows; for staff.
+     * The state of the server, for operators.
      *
-     * @param waits whether it still waits for another's leases to run out
+     * @param recovering whether it still waits for the leases of an earlier server to expire
      */
     public record State(
-            boolean acts,
+            boolean holdsRole,
             long token,
-            boolean waits,
+            boolean recovering,
             int capacity,
-            int most,
+            int maxUse,
             List<NodeState> nodes,
             Allocation allocation,
-            List<Hungry> hungry) {}
+            List<StarvedTenant> starvedTenants) {}
 
-    private record Granted(long number, int total, double atMs, Map<String, Double> tenants) {}
+    private record IssuedGrant(long requestNumber, int total, double issuedAtMs, Map<String, Double> tenants) {}
 
-    private record Hunger(double sinceMs, double floor, double used) {}
+    private record Starvation(double sinceMs, double floor, double inUse) {}
 
     private static final class Node {
-        private long life = Long.MIN_VALUE;
-        private long number;
-        private double heardMs = Double.NEGATIVE_INFINITY;
+        private long incarnation = Long.MIN_VALUE;
+        private long lastRequest;
+        private double demandAtMs = Double.NEGATIVE_INFINITY;
         private Map<String, PoolUse> demand = Map.of();
-        private final Map<String, Double> doubtedSince = new HashMap<>();
-        private final ArrayDeque<Granted> out = new ArrayDeque<>();
-        private Granted acting;
-        private int busy;
-        private boolean based;
-        private int base;
-        private double lendsUntilMs = Double.NEGATIVE_INFINITY;
-        private double nudgedMs = Double.NEGATIVE_INFINITY;
-        private int guaranteedBefore;
+        private final Map<String, Double> idleSinceMs = new HashMap<>();
+        private final ArrayDeque<IssuedGrant> issued = new ArrayDeque<>();
+        private IssuedGrant activeGrant;
+        private int inUse;
+        private boolean inheritedKnown;
+        private int inherited;
+        private double shareLentUntilMs = Double.NEGATIVE_INFINITY;
+        private double noticeSentMs = Double.NEGATIVE_INFINITY;
+        private int previousGuaranteedShare;
     }
 
-    /** A lessor that does not act yet. */
+    /** Creates a server that does not hold the role yet. */
     public QuotaLeaseServer(String pool, QuotaLeaseTerms terms) {
         this.pool = pool;
         this.terms = terms;
     }
 
-    /** The agreed membership. A member that is taken out must have been stopped. */
-    public void members(Collection<String> names) {
-        int before = guaranteed;
+    /** Sets the agreed membership. A removed member must have been stopped before. */
+    public void setMembers(Collection<String> names) {
+        int previousShare = guaranteedShare;
         nodes.keySet().retainAll(names);
-        names.forEach(n -> nodes.computeIfAbsent(n, k -> new Node()));
-        membersNow = names.size();
-        guaranteed = terms.guaranteed(capacity, membersNow);
-        nodes.values().forEach(n -> n.guaranteedBefore = Math.max(before, guaranteed));
-        dividedAtMs = Double.NEGATIVE_INFINITY;
+        names.forEach(name -> nodes.computeIfAbsent(name, k -> new Node()));
+        memberCount = names.size();
+        guaranteedShare = terms.guaranteedConnections(capacity, memberCount);
+        nodes.values().forEach(node -> node.previousGuaranteedShare = Math.max(previousShare, guaranteedShare));
+        allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** The pool's connections, by the file and the list. */
-    public void capacity(int connections) {
+    /** Sets the pool's connections, as given by the fleet file and the endpoint list. */
+    public void setCapacity(int connections) {
         if (connections < capacity) {
-            for (Node n : nodes.values()) {
-                n.guaranteedBefore = 0;
-                n.busy = cut(n.busy, capacity, connections);
-                n.base = cut(n.base, capacity, connections);
-                List<Granted> before = new ArrayList<>(n.out);
-                n.out.clear();
-                for (Granted g : before) {
-                    Granted less =
-                            new Granted(g.number(), cut(g.total(), capacity, connections), g.atMs(), g.tenants());
-                    n.out.add(less);
-                    n.acting = g == n.acting ? less : n.acting;
+            for (Node node : nodes.values()) {
+                node.previousGuaranteedShare = 0;
+                node.inUse = scaleDown(node.inUse, capacity, connections);
+                node.inherited = scaleDown(node.inherited, capacity, connections);
+                List<IssuedGrant> previousGrants = new ArrayList<>(node.issued);
+                node.issued.clear();
+                for (IssuedGrant grant : previousGrants) {
+                    IssuedGrant reduced = new IssuedGrant(
+                            grant.requestNumber(),
+                            scaleDown(grant.total(), capacity, connections),
+                            grant.issuedAtMs(),
+                            grant.tenants());
+                    node.issued.add(reduced);
+                    node.activeGrant = grant == node.activeGrant ? reduced : node.activeGrant;
                 }
             }
         }
         capacity = connections;
-        guaranteed = terms.guaranteed(capacity, membersNow);
-        dividedAtMs = Double.NEGATIVE_INFINITY;
+        guaranteedShare = terms.guaranteedConnections(capacity, memberCount);
+        allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** The agreed rules. */
-    public void rules(ShareRules r) {
-        rules = r;
-        dividedAtMs = Double.NEGATIVE_INFINITY;
+    /** Sets the agreed rules. */
+    public void setRules(ShareRules newRules) {
+        rules = newRules;
+        allocatedAtMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** It holds the role from now on, by this token. */
-    public void takesOver(double nowMs, long newToken) {
-        acts = true;
+    /** Starts to act as the lease server, under this token. */
+    public void takeOver(double nowMs, long newToken) {
+        holdsRole = true;
         token = newToken;
         tookOverAtMs = nowMs;
         allocator = new Allocator();
-        current = Allocation.NONE;
-        dividedAtMs = Double.NEGATIVE_INFINITY;
-        hungers.clear();
-        nodes.replaceAll((k, n) -> {
-            Node fresh = new Node();
-            fresh.guaranteedBefore = n.guaranteedBefore;
-            return fresh;
+        allocation = Allocation.NONE;
+        allocatedAtMs = Double.NEGATIVE_INFINITY;
+        starvations.clear();
+        nodes.replaceAll((k, previous) -> {
+            Node replacement = new Node();
+            replacement.previousGuaranteedShare = previous.previousGuaranteedShare;
+            return replacement;
         });
     }
 
-    /** It holds the role no longer. */
-    public void lost() {
-        acts = false;
+    /** Stops acting as the lease server. */
+    public void loseRole() {
+        holdsRole = false;
     }
 
-    /** What a node was heard to want by others than itself, such as by records; what it says itself counts more. */
-    public void heard(double nowMs, String node, Map<String, PoolUse> demand, double ageMs) {
-        Node n = nodes.get(node);
-        if (n != null && n.life == Long.MIN_VALUE && ageMs <= BELIEVED_LEASES * terms.leaseMs()) {
-            n.demand = demand;
-            n.heardMs = nowMs - ageMs;
+    /** Records a node's demand from another source, such as a replicated record; the node's own requests replace it. */
+    public void recordReportedDemand(double nowMs, String nodeName, Map<String, PoolUse> demand, double ageMs) {
+        Node node = nodes.get(nodeName);
+        if (node != null && node.incarnation == Long.MIN_VALUE && ageMs <= DEMAND_VALID_LEASES * terms.leaseMs()) {
+            node.demand = demand;
+            node.demandAtMs = nowMs - ageMs;
         }
     }
 
-    /** A message has come. */
-    public List<Out> took(double nowMs, String from, QuotaLeaseMessage m) {
-        Node n = nodes.get(from);
-        if (!acts || n == null) {
+    /** Handles a message from a node. */
+    public List<Outgoing> receive(double nowMs, String from, QuotaLeaseMessage message) {
+        Node node = nodes.get(from);
+        if (!holdsRole || node == null) {
             return List.of();
         }
-        if (m instanceof QuotaLeaseMessage.Ask a) {
-            return asked(nowMs, from, n, a);
+        if (message instanceof QuotaLeaseMessage.Request request) {
+            return handleRequest(nowMs, from, node, request);
         }
-        if (m instanceof QuotaLeaseMessage.Ack a && a.life() == n.life) {
-            acted(n, a.number());
-            if (n.acting != null && n.acting.number() == a.number()) {
-                n.busy = Math.max(0, a.busy());
+        if (message instanceof QuotaLeaseMessage.Ack ack && ack.incarnation() == node.incarnation) {
+            confirmActive(node, ack.requestNumber());
+            if (node.activeGrant != null && node.activeGrant.requestNumber() == ack.requestNumber()) {
+                node.inUse = Math.max(0, ack.inUse());
             }
         }
-        return due(nowMs);
+        return runDue(nowMs);
     }
 
-    /** Time has passed: divides anew if it is time, and nudges those who are worth it. */
-    public List<Out> due(double nowMs) {
-        if (!acts || nowMs < dividedAtMs + TURN_MS) {
+    /** Updates the allocation if it is due, and notifies nodes that should request a new lease. */
+    public List<Outgoing> runDue(double nowMs) {
+        if (!holdsRole || nowMs < allocatedAtMs + ALLOCATION_INTERVAL_MS) {
             return List.of();
         }
-        List<Out> out = new ArrayList<>();
-        if (waits(nowMs)) {
-            dividedAtMs = nowMs;
-            boolean heard = nowMs >= tookOverAtMs + hearMs();
-            nodes.forEach((name, n) -> {
-                if (nowMs >= n.nudgedMs + hearMs() && (heard ? n.base > 0 && n.out.isEmpty() : !n.based)) {
-                    n.nudgedMs = nowMs;
-                    out.add(new Out(name, new QuotaLeaseMessage.Nudge(pool, token)));
+        List<Outgoing> messages = new ArrayList<>();
+        if (isRecovering(nowMs)) {
+            allocatedAtMs = nowMs;
+            boolean listened = nowMs >= tookOverAtMs + listenMs();
+            nodes.forEach((name, node) -> {
+                if (nowMs >= node.noticeSentMs + listenMs()
+                        && (listened ? node.inherited > 0 && node.issued.isEmpty() : !node.inheritedKnown)) {
+                    node.noticeSentMs = nowMs;
+                    messages.add(new Outgoing(name, new QuotaLeaseMessage.RenewalNotice(pool, token)));
                 }
             });
-            return out;
-        }
-        divide(nowMs);
-        int left = capacity - most(nowMs);
-        for (Map.Entry<String, Node> e : nodes.entrySet()) {
-            Node n = e.getValue();
-            if (n.number > 0
-                    && nowMs >= n.nudgedMs + terms.leastMs()
-                    && nowMs < n.heardMs + terms.leaseMs()
-                    && worth(e.getKey(), n, left)) {
-                n.nudgedMs = nowMs;
-                out.add(new Out(e.getKey(), new QuotaLeaseMessage.Nudge(pool, token)));
+            return messages;
+        }
+        updateAllocation(nowMs);
+        int unused = capacity - maxUse(nowMs);
+        for (Map.Entry<String, Node> entry : nodes.entrySet()) {
+            Node node = entry.getValue();
+            if (node.lastRequest > 0
+                    && nowMs >= node.noticeSentMs + terms.minRequestIntervalMs()
+                    && nowMs < node.demandAtMs + terms.leaseMs()
+                    && needsNewLease(entry.getKey(), node, unused)) {
+                node.noticeSentMs = nowMs;
+                messages.add(new Outgoing(entry.getKey(), new QuotaLeaseMessage.RenewalNotice(pool, token)));
             }
         }
-        return out;
+        return messages;
     }
 
-    /** When {@link #due} is to be called. */
-    public double wakeMs() {
-        return acts ? dividedAtMs + TURN_MS : Double.POSITIVE_INFINITY;
+    /** Returns when {@link #runDue} has to be called next. */
+    public double nextRunMs() {
+        return holdsRole ? allocatedAtMs + ALLOCATION_INTERVAL_MS : Double.POSITIVE_INFINITY;
     }
 
-    /** Connections that all members may use together at the most. */
-    public int most(double nowMs) {
+    /** Returns the most connections that all members together may use. */
+    public int maxUse(double nowMs) {
         int sum = 0;
-        for (Node n : nodes.values()) {
-            sum += most(n, nowMs);
+        for (Node node : nodes.values()) {
+            sum += maxUse(node, nowMs);
         }
         return sum;
     }
 
-    /** For staff. */
+    /** Returns the server's state, for operators. */
     public State state(double nowMs) {
-        List<NodeState> found = new ArrayList<>();
-        nodes.forEach((name, n) -> found.add(new NodeState(
-                name, n.out.isEmpty() ? 0 : n.out.getLast().total(), most(n, nowMs), n.busy, nowMs - n.heardMs)));
-        List<Hungry> hungry = new ArrayList<>();
-        hungers.forEach((t, h) -> {
-            if (nowMs - h.sinceMs() > rules.hungerMs()) {
-                hungry.add(new Hungry(t, h.floor(), h.used(), nowMs - h.sinceMs(), cause(t, nowMs)));
+        List<NodeState> nodeStates = new ArrayList<>();
+        nodes.forEach((name, node) -> nodeStates.add(new NodeState(
+                name,
+                node.issued.isEmpty() ? 0 : node.issued.getLast().total(),
+                maxUse(node, nowMs),
+                node.inUse,
+                nowMs - node.demandAtMs)));
+        List<StarvedTenant> starvedTenants = new ArrayList<>();
+        starvations.forEach((tenant, starvation) -> {
+            if (nowMs - starvation.sinceMs() > rules.starvationMs()) {
+                starvedTenants.add(new StarvedTenant(
+                        tenant,
+                        starvation.floor(),
+                        starvation.inUse(),
+                        nowMs - starvation.sinceMs(),
+                        starvationCause(tenant, nowMs)));
             }
         });
-        return new State(acts, token, acts && waits(nowMs), capacity, most(nowMs), found, current, hungry);
+        return new State(
+                holdsRole,
+                token,
+                holdsRole && isRecovering(nowMs),
+                capacity,
+                maxUse(nowMs),
+                nodeStates,
+                allocation,
+                starvedTenants);
     }
 
-    private boolean waits(double nowMs) {
-        return token > 0 && nowMs < tookOverAtMs + terms.waitMs();
+    private boolean isRecovering(double nowMs) {
+        return token > 0 && nowMs < tookOverAtMs + terms.expiryWaitMs();
     }
 
-    /** How long a new lessor listens before it renews anything; milliseconds. */
-    private double hearMs() {
-        return terms.askMs() / 2;
+    /** How long a new server collects reports before it renews leases, in milliseconds. */
+    private double listenMs() {
+        return terms.requestIntervalMs() / 2;
     }
 
-    private List<Out> asked(double nowMs, String from, Node n, QuotaLeaseMessage.Ask a) {
-        if (a.life() < n.life || a.life() == n.life && a.number() <= n.number) {
-            // Guards against old demand that is said again.
+    private List<Outgoing> handleRequest(double nowMs, String from, Node node, QuotaLeaseMessage.Request request) {
+        if (request.incarnation() < node.incarnation
+                || request.incarnation() == node.incarnation && request.requestNumber() <= node.lastRequest) {
+            // Guards against repeated requests with outdated demand.
             return List.of();
         }
-        if (a.life() > n.life) {
-            // Its former life has ended, and with it all that it used. It begins with nothing.
-            n.out.clear();
-            n.acting = null;
-            n.life = a.life();
-            n.based = false;
-            n.base = 0;
-            n.lendsUntilMs = Double.NEGATIVE_INFINITY;
-        }
-        n.number = a.number();
-        n.heardMs = nowMs;
-        n.demand = a.demand();
-        if (a.token() == token) {
-            acted(n, a.acting());
-        }
-        n.busy = Math.max(0, a.busy());
-        if (waits(nowMs) && a.heard() < token) {
-            // Guards against a question from before it took over: what it shows may have been given to others since.
-            return List.of(new Out(from, new QuotaLeaseMessage.Nudge(pool, token)));
-        }
-        if (!n.based) {
-            n.based = true;
-            n.base = a.token() < token ? Math.max(0, a.held()) : 0;
-            // Its last answer came a lease less what is left before this question at the earliest, and that question
-            // was asked after the takeover.
-            n.lendsUntilMs = n.base > 0
-                    ? tookOverAtMs + Math.min(a.leftMs(), terms.leaseMs()) * (1 - terms.drift()) / (1 + terms.drift())
+        if (request.incarnation() > node.incarnation) {
+            // The former incarnation has ended, and its use with it. The new one starts with nothing.
+            node.issued.clear();
+            node.activeGrant = null;
+            node.incarnation = request.incarnation();
+            node.inheritedKnown = false;
+            node.inherited = 0;
+            node.shareLentUntilMs = Double.NEGATIVE_INFINITY;
+        }
+        node.lastRequest = request.requestNumber();
+        node.demandAtMs = nowMs;
+        node.demand = request.demand();
+        if (request.token() == token) {
+            confirmActive(node, request.activeRequest());
+        }
+        node.inUse = Math.max(0, request.inUse());
+        if (isRecovering(nowMs) && request.highestToken() < token) {
+            // Guards against a request from before the takeover: its lease may have been granted to others since.
+            return List.of(new Outgoing(from, new QuotaLeaseMessage.RenewalNotice(pool, token)));
+        }
+        if (!node.inheritedKnown) {
+            node.inheritedKnown = true;
+            node.inherited = request.token() < token ? Math.max(0, request.leased()) : 0;
+            // The last grant arrived no earlier than one lease minus the remaining time before this request, and this
+            // request was sent after the takeover.
+            node.shareLentUntilMs = node.inherited > 0
+                    ? tookOverAtMs
+                            + Math.min(request.remainingMs(), terms.leaseMs())
+                                    * (1 - terms.clockDrift())
+                                    / (1 + terms.clockDrift())
                     : Double.NEGATIVE_INFINITY;
         }
-        Map<String, Double> give = waits(nowMs) ? renewed(nowMs, n) : fresh(nowMs, from, n);
-        List<Out> out = new ArrayList<>();
-        if (give != null) {
-            int total =
-                    (int) Math.round(give.values().stream().mapToDouble(d -> d).sum());
-            n.out.add(new Granted(a.number(), total, nowMs, give));
-            out.add(new Out(
+        Map<String, Double> leaseByTenant =
+                isRecovering(nowMs) ? renewInheritedLease(nowMs, node) : newLease(nowMs, from, node);
+        List<Outgoing> messages = new ArrayList<>();
+        if (leaseByTenant != null) {
+            int total = (int) Math.round(
+                    leaseByTenant.values().stream().mapToDouble(d -> d).sum());
+            node.issued.add(new IssuedGrant(request.requestNumber(), total, nowMs, leaseByTenant));
+            messages.add(new Outgoing(
                     from,
                     new QuotaLeaseMessage.Grant(
-                            pool, n.life, a.number(), token, terms.leaseMs(), capacity, membersNow, give)));
-        }
-        out.addAll(due(nowMs));
-        return out;
+                            pool,
+                            node.incarnation,
+                            request.requestNumber(),
+                            token,
+                            terms.leaseMs(),
+                            capacity,
+                            memberCount,
+                            leaseByTenant)));
+        }
+        messages.addAll(runDue(nowMs));
+        return messages;
     }
 
-    /** What it showed that it holds of another lessor, cut by what those not heard of may count on. */
-    private Map<String, Double> renewed(double nowMs, Node n) {
-        if (n.base == 0 || capacity <= 0 || nowMs < tookOverAtMs + hearMs()) {
+    /** Renews the lease that a node reports from an earlier server, reduced by what unreported nodes may count on. */
+    private Map<String, Double> renewInheritedLease(double nowMs, Node node) {
+        if (node.inherited == 0 || capacity <= 0 || nowMs < tookOverAtMs + listenMs()) {
             return null;
         }
-        double unheard = 0;
-        // Calls beyond a lease that was lowered: what is renewed lies in what they leave.
-        double beyond = 0;
-        for (Node o : nodes.values()) {
-            beyond += o.based ? Math.max(0, o.busy - o.base) : 0;
-            unheard += o != n && !lends(o, nowMs) ? Math.max(guaranteed, o.guaranteedBefore) : 0;
-        }
-        int total = (int) Math.floor(n.base * Math.max(0, 1 - unheard / Math.max(1, capacity - beyond)) + 1e-9);
-        return split(total, n.demand);
+        double unreported = 0;
+        // Requests beyond a reduced lease are still in flight: what is renewed must fit into what they leave.
+        double excessUse = 0;
+        for (Node other : nodes.values()) {
+            excessUse += other.inheritedKnown ? Math.max(0, other.inUse - other.inherited) : 0;
+            unreported += other != node && !hasLentShare(other, nowMs)
+                    ? Math.max(guaranteedShare, other.previousGuaranteedShare)
+                    : 0;
+        }
+        int total = (int) Math.floor(node.inherited * Math.max(0, 1 - unreported / Math.max(1, capacity - excessUse))
+                + 1e-9);
+        return split(total, node.demand);
     }
 
-    private Map<String, Double> fresh(double nowMs, String from, Node n) {
-        if (nowMs >= dividedAtMs + TURN_MS || !current.nodes().containsKey(from)) {
-            divide(nowMs);
+    private Map<String, Double> newLease(double nowMs, String from, Node node) {
+        if (nowMs >= allocatedAtMs + ALLOCATION_INTERVAL_MS
+                || !allocation.connectionsByNode().containsKey(from)) {
+            updateAllocation(nowMs);
         }
-        int others = most(nowMs) - most(n, nowMs);
-        int total = Math.min(current.total(from), Math.max(0, capacity - others));
-        Map<String, Double> target = current.nodes().getOrDefault(from, Map.of());
-        return scaled(target, total);
+        int usedByOthers = maxUse(nowMs) - maxUse(node, nowMs);
+        int total = Math.min(allocation.nodeTotal(from), Math.max(0, capacity - usedByOthers));
+        Map<String, Double> target = allocation.connectionsByNode().getOrDefault(from, Map.of());
+        return scaleTo(target, total);
     }
 
-    private static Map<String, Double> scaled(Map<String, Double> parts, int total) {
-        double sum = parts.values().stream().mapToDouble(d -> d).sum();
-        Map<String, Double> found = new HashMap<>();
+    private static Map<String, Double> scaleTo(Map<String, Double> shares, int total) {
+        double sum = shares.values().stream().mapToDouble(amount -> amount).sum();
+        Map<String, Double> scaled = new HashMap<>();
         if (sum > 0 && total > 0) {
-            parts.forEach((t, d) -> found.put(t, d * total / sum));
+            shares.forEach((tenant, amount) -> scaled.put(tenant, amount * total / sum));
         }
-        return found;
+        return scaled;
     }
 
-    /** Among the tenants of one node alone, by the rules. */
+    /** Splits the connections of one node among its tenants, by the rules. */
     private Map<String, Double> split(int total, Map<String, PoolUse> demand) {
-        Map<String, Double> wanted = new HashMap<>();
-        demand.forEach((t, u) -> wanted.put(t, bounded(u.wanted())));
-        return scaled(
-                new Allocator().divide(total, rules, Map.of("", wanted)).nodes().getOrDefault("", Map.of()), total);
+        Map<String, Double> bounded = new HashMap<>();
+        demand.forEach((tenant, use) -> bounded.put(tenant, boundedDemand(use.demand())));
+        return scaleTo(
+                new Allocator()
+                        .allocate(total, rules, Map.of("", bounded))
+                        .connectionsByNode()
+                        .getOrDefault("", Map.of()),
+                total);
     }
 
-    /** It has said that it acts by this answer: those before it count no more. */
-    private static void acted(Node n, long number) {
-        Granted found = null;
-        for (Granted g : n.out) {
-            if (g.number() == number) {
-                found = g;
+    /** The node has confirmed that this grant is in force: earlier ones no longer count. */
+    private static void confirmActive(Node node, long requestNumber) {
+        IssuedGrant confirmed = null;
+        for (IssuedGrant grant : node.issued) {
+            if (grant.requestNumber() == requestNumber) {
+                confirmed = grant;
             }
         }
-        if (found != null) {
-            n.acting = found;
-            while (n.out.peekFirst() != found) {
-                n.out.removeFirst();
+        if (confirmed != null) {
+            node.activeGrant = confirmed;
+            while (node.issued.peekFirst() != confirmed) {
+                node.issued.removeFirst();
             }
         }
     }
 
-    /** Whether its guaranteed part is lent: leases granted now run out before it counts on that again. */
-    private boolean lends(Node n, double nowMs) {
-        return n.acting != null && nowMs <= n.acting.atMs() + terms.leaseMs() || nowMs <= n.lendsUntilMs;
+    /** Whether the node's guaranteed share is lent: leases granted now expire before the node counts on it again. */
+    private boolean hasLentShare(Node node, double nowMs) {
+        return node.activeGrant != null && nowMs <= node.activeGrant.issuedAtMs() + terms.leaseMs()
+                || nowMs <= node.shareLentUntilMs;
     }
 
-    private int most(Node n, double nowMs) {
-        while (!n.out.isEmpty() && nowMs > n.out.peekFirst().atMs() + terms.waitMs()) {
-            n.out.removeFirst();
+    private int maxUse(Node node, double nowMs) {
+        while (!node.issued.isEmpty() && nowMs > node.issued.peekFirst().issuedAtMs() + terms.expiryWaitMs()) {
+            node.issued.removeFirst();
         }
-        int most = lends(n, nowMs) ? 0 : Math.max(guaranteed, n.guaranteedBefore);
-        for (Granted g : n.out) {
-            most = Math.max(most, g.total());
+        int max = hasLentShare(node, nowMs) ? 0 : Math.max(guaranteedShare, node.previousGuaranteedShare);
+        for (IssuedGrant grant : node.issued) {
+            max = Math.max(max, grant.total());
         }
-        if (!n.out.isEmpty()) {
-            // Calls that began under an earlier lease and go on.
-            most = Math.max(most, n.busy);
+        if (!node.issued.isEmpty()) {
+            // Requests that began under an earlier lease and are still in flight.
+            max = Math.max(max, node.inUse);
         }
-        return most;
+        return max;
     }
 
-    /** A lease as its node cuts it by its own list, for good. */
-    private static int cut(int connections, int from, int to) {
+    /** Shrinks a lease as the node itself does when its endpoint list shrinks; it does not grow back. */
+    private static int scaleDown(int connections, int from, int to) {
         return (int) Math.floor((double) connections * to / from + 1e-9);
     }
 
-    private boolean worth(String name, Node n, int left) {
-        if (n.out.isEmpty()) {
-            return left > 0;
+    private boolean needsNewLease(String name, Node node, int unused) {
+        if (node.issued.isEmpty()) {
+            return unused > 0;
         }
-        Granted g = n.out.getLast();
-        Map<String, Double> target = current.nodes().getOrDefault(name, Map.of());
-        int total = current.total(name);
-        if (total < g.total()) {
+        IssuedGrant grant = node.issued.getLast();
+        Map<String, Double> target = allocation.connectionsByNode().getOrDefault(name, Map.of());
+        int total = allocation.nodeTotal(name);
+        if (total < grant.total()) {
             return true;
         }
-        if (total > g.total() && left > 0) {
+        if (total > grant.total() && unused > 0) {
             return true;
         }
-        for (Map.Entry<String, Double> e : target.entrySet()) {
-            double off = Math.abs(e.getValue() - g.tenants().getOrDefault(e.getKey(), 0.0));
-            if (total == g.total() && off > OFF_LEAST && off > OFF * e.getValue()) {
+        for (Map.Entry<String, Double> entry : target.entrySet()) {
+            double deviation = Math.abs(entry.getValue() - grant.tenants().getOrDefault(entry.getKey(), 0.0));
+            if (total == grant.total()
+                    && deviation > MIN_RENEWAL_DEVIATION
+                    && deviation > RENEWAL_DEVIATION * entry.getValue()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void divide(double nowMs) {
-        dividedAtMs = nowMs;
+    private void updateAllocation(double nowMs) {
+        allocatedAtMs = nowMs;
         Map<String, Map<String, Double>> demand = new TreeMap<>();
-        Map<String, double[]> sums = new HashMap<>();
-        nodes.forEach((name, n) -> {
-            if (nowMs - n.heardMs <= BELIEVED_LEASES * terms.leaseMs()) {
-                Map<String, Double> believed = new HashMap<>();
-                n.demand.forEach((t, u) -> {
-                    believed.put(t, believed(nowMs, n, t, u));
-                    double[] sum = sums.computeIfAbsent(t, k -> new double[2]);
-                    sum[0] += bounded(u.wanted());
-                    sum[1] += bounded(u.used());
+        Map<String, double[]> totalsByTenant = new HashMap<>();
+        nodes.forEach((name, node) -> {
+            if (nowMs - node.demandAtMs <= DEMAND_VALID_LEASES * terms.leaseMs()) {
+                Map<String, Double> credible = new HashMap<>();
+                node.demand.forEach((tenant, use) -> {
+                    credible.put(tenant, credibleDemand(nowMs, node, tenant, use));
+                    double[] totals = totalsByTenant.computeIfAbsent(tenant, k -> new double[2]);
+                    totals[0] += boundedDemand(use.demand());
+                    totals[1] += boundedDemand(use.inUse());
                 });
-                demand.put(name, believed);
+                demand.put(name, credible);
             }
         });
-        current = allocator.divide(capacity, rules, demand);
-        hunger(nowMs, sums);
+        allocation = allocator.allocate(capacity, rules, demand);
+        updateStarvations(nowMs, totalsByTenant);
     }
 
-    /** No node wants more than there is; who leaves unused what it has asked for is believed by its use. */
-    private double believed(double nowMs, Node n, String tenant, PoolUse u) {
-        double wanted = bounded(u.wanted());
-        double leased = n.acting == null ? 0 : n.acting.tenants().getOrDefault(tenant, 0.0);
-        boolean idle = leased >= 1 && u.used() < 0.5 * Math.min(leased, wanted);
+    /** Returns the demand, limited to the capacity; a tenant that leaves its lease unused is limited by its use. */
+    private double credibleDemand(double nowMs, Node node, String tenant, PoolUse use) {
+        double demand = boundedDemand(use.demand());
+        double leased =
+                node.activeGrant == null ? 0 : node.activeGrant.tenants().getOrDefault(tenant, 0.0);
+        boolean idle = leased >= 1 && use.inUse() < 0.5 * Math.min(leased, demand);
         if (!idle) {
-            n.doubtedSince.remove(tenant);
-            return wanted;
+            node.idleSinceMs.remove(tenant);
+            return demand;
         }
-        double since = n.doubtedSince.computeIfAbsent(tenant, k -> nowMs);
-        return nowMs - since < terms.leaseMs() ? wanted : Math.min(wanted, 2 * bounded(u.used()) + 1);
+        double idleSinceMs = node.idleSinceMs.computeIfAbsent(tenant, k -> nowMs);
+        return nowMs - idleSinceMs < terms.leaseMs() ? demand : Math.min(demand, 2 * boundedDemand(use.inUse()) + 1);
     }
 
-    private double bounded(double connections) {
-        // Guards against what is no number, and against a node that says that it wants more than there is.
+    private double boundedDemand(double connections) {
+        // Guards against NaN, and against a node that reports a demand above the capacity.
         return connections > 0 ? Math.min(connections, capacity) : 0;
     }
 
-    private void hunger(double nowMs, Map<String, double[]> sums) {
-        if (nowMs < hungryReadMs + 200) {
+    private void updateStarvations(double nowMs, Map<String, double[]> totalsByTenant) {
+        if (nowMs < starvationCheckedMs + 200) {
             return;
         }
-        hungryReadMs = nowMs;
-        current.tenants().forEach((t, p) -> {
-            double[] sum = sums.getOrDefault(t, new double[2]);
-            double floor = Math.min(p.floor(), sum[0]);
-            if (floor > 0.5 && sum[1] < 0.9 * floor) {
-                double since = hungers.containsKey(t) ? hungers.get(t).sinceMs() : nowMs;
-                hungers.put(t, new Hunger(since, floor, sum[1]));
+        starvationCheckedMs = nowMs;
+        allocation.tenants().forEach((tenant, allocated) -> {
+            double[] totals = totalsByTenant.getOrDefault(tenant, new double[2]);
+            double floor = Math.min(allocated.floor(), totals[0]);
+            if (floor > 0.5 && totals[1] < 0.9 * floor) {
+                double sinceMs = starvations.containsKey(tenant)
+                        ? starvations.get(tenant).sinceMs()
+                        : nowMs;
+                starvations.put(tenant, new Starvation(sinceMs, floor, totals[1]));
             } else {
-                hungers.remove(t);
+                starvations.remove(tenant);
             }
         });
-        hungers.keySet().retainAll(current.tenants().keySet());
+        starvations.keySet().retainAll(allocation.tenants().keySet());
     }
 
-    private String cause(String tenant, double nowMs) {
-        Allocation.Part p = current.tenants().get(tenant);
-        if (p != null && p.given() < 0.9 * p.floor()) {
-            return "the floors are more than the pool has";
-        }
-        for (Map.Entry<String, Node> e : nodes.entrySet()) {
-            Node n = e.getValue();
-            int total = current.total(e.getKey());
-            if (most(n, nowMs) > total + 1) {
-                return nowMs - n.heardMs > terms.askMs() * 2
-                        ? "node " + e.getKey() + " is not heard of and may use " + most(n, nowMs) + " connections"
-                        : "node " + e.getKey() + " has " + n.busy + " connections in use and " + total + " for it";
+    private String starvationCause(String tenant, double nowMs) {
+        Allocation.TenantAllocation allocated = allocation.tenants().get(tenant);
+        if (allocated != null && allocated.allocated() < 0.9 * allocated.floor()) {
+            return "the floors exceed the pool's connections";
+        }
+        for (Map.Entry<String, Node> entry : nodes.entrySet()) {
+            Node node = entry.getValue();
+            int total = allocation.nodeTotal(entry.getKey());
+            if (maxUse(node, nowMs) > total + 1) {
+                return nowMs - node.demandAtMs > terms.requestIntervalMs() * 2
+                        ? "node " + entry.getKey() + " does not report and may use " + maxUse(node, nowMs)
+                                + " connections"
+                        : "node " + entry.getKey() + " has " + node.inUse + " connections in use but is allocated "
+                                + total;
             }
         }
-        return "its lease is granted and not used";
+        return "its lease is granted but not used";
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
+++ b/fleet/src/main/java/brackenbridge/fleet/share/ShareRules.java
@@ -15,61 +15,62 @@
 import java.util.Set;
 
 /**
- * Who may have what part of a pool: the content of the agreed value {@code shares}, the same for each pool. A tree of
- * groups, tenants and, where a tenant has them, classes.
+ * The rules by which a pool is shared: the content of the agreed value {@code shares}, the same for each pool. They
+ * form a tree of groups, tenants and, where a tenant has them, classes.
  *
- * @param groups the groups that are named
+ * @param groups the named groups
  * @param others weight, floor and ceiling of all tenants together that no group names; each of them has weight 1
- * @param hungerMs a tenant that is under its floor with demand for longer is an alarm; milliseconds
+ * @param starvationMs a tenant with demand that stays below its floor for longer raises an alarm; milliseconds
  */
-public record ShareRules(List<Rule> groups, Rule others, double hungerMs) {
-    /** No groups: all tenants alike. */
+public record ShareRules(List<Rule> groups, Rule others, double starvationMs) {
+    /** Rules without groups: all tenants are equal. */
     public static final ShareRules NONE =
             new ShareRules(List.of(), new Rule("", 1, 0, Double.POSITIVE_INFINITY, List.of()), 2000);
 
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
-    private static final int MOST_RULES = 100_000;
-    private static final double MOST_WEIGHT = 1e6;
+    private static final int MAX_RULES = 100_000;
+    private static final double MAX_WEIGHT = 1e6;
     private static final String[] LEVELS = {"groups", "tenants", "classes"};
 
     /**
-     * A place in the tree.
+     * A node of the tree.
      *
      * @param name its name
-     * @param weight its part beside its neighbours' when all want more
-     * @param floor connections that it has before anyone has more than a floor, if it wants them
-     * @param ceiling connections that it never has more than
-     * @param under the places under it; none for one that calls belong to
+     * @param weight its share relative to its siblings when all have more demand
+     * @param floor connections that it gets, if it has the demand, before any sibling gets more than its own floor
+     * @param ceiling the most connections that it gets
+     * @param children its children; empty for a leaf, to which requests belong
      */
-    public record Rule(String name, double weight, double floor, double ceiling, List<Rule> under) {
-        /** Keeps its own copy. */
+    public record Rule(String name, double weight, double floor, double ceiling, List<Rule> children) {
+        /** Copies the list. */
         public Rule {
-            under = List.copyOf(under);
+            children = List.copyOf(children);
         }
     }
 
-    /** The content can't be used; says all that is wrong with it. */
-    public static final class Unusable extends Exception {
+    /** Reports content that is not valid, with all its errors. */
+    public static final class InvalidSharesException extends Exception {
         private static final long serialVersionUID = 1;
 
-        private Unusable(List<String> faults) {
-            super(String.join("; ", faults));
+        private InvalidSharesException(List<String> errors) {
+            super(String.join("; ", errors));
         }
     }
 
-    /** Keeps its own copy. */
+    /** Copies the list. */
     public ShareRules {
         groups = List.copyOf(groups);
     }
 
-    /** What a call's connections are counted under: its tenant, with its class where the tenant has classes. */
-    public String key(String tenant, String className) {
-        for (Rule g : groups) {
-            for (Rule t : g.under()) {
-                if (t.name().equals(tenant)) {
-                    return t.under().stream().anyMatch(c -> c.name().equals(className))
+    /** Returns the key under which a request's connections count: its tenant, with its class if the rules name it. */
+    public String quotaKey(String tenant, String className) {
+        for (Rule group : groups) {
+            for (Rule tenantRule : group.children()) {
+                if (tenantRule.name().equals(tenant)) {
+                    return tenantRule.children().stream()
+                                    .anyMatch(classRule -> classRule.name().equals(className))
                             ? tenant + "/" + className
                             : tenant;
                 }
@@ -79,142 +80,158 @@
     }
 
     /**
-     * Reads the agreed content.
+     * Parses the agreed content.
      *
-     * @throws Unusable with all its faults, each with its place
+     * @throws InvalidSharesException with all errors, each with its path
      */
-    public static ShareRules parse(byte[] content) throws Unusable {
-        List<String> faults = new ArrayList<>();
-        JsonNode top;
+    public static ShareRules parse(byte[] content) throws InvalidSharesException {
+        List<String> errors = new ArrayList<>();
+        JsonNode root;
         try {
-            top = JSON.readTree(content);
+            root = JSON.readTree(content);
         } catch (JsonProcessingException e) {
-            throw new Unusable(List.of("line " + e.getLocation().getLineNr() + ", column "
+            throw new InvalidSharesException(List.of("line " + e.getLocation().getLineNr() + ", column "
                     + e.getLocation().getColumnNr() + ": " + e.getOriginalMessage()));
         } catch (IOException e) {
-            throw new Unusable(List.of(String.valueOf(e.getMessage())));
-        }
-        if (top == null || !top.isObject()) {
-            throw new Unusable(List.of("an object is wanted"));
-        }
-        names(top, "", Set.of("groups", "others", "hunger_ms"), faults);
-        int[] count = {0};
-        List<Rule> groups = rules(top, "", 0, count, faults);
-        JsonNode o = top.path("others");
-        if (!o.isMissingNode() && !o.isObject()) {
-            faults.add("others: an object is wanted");
-        }
-        names(o, "others.", Set.of("weight", "floor", "ceiling"), faults);
-        Rule others = rule("", o, "others.", List.of(), faults);
-        double hunger = number(top, "hunger_ms", "", 2000, 1, 3_600_000, faults);
-        Set<String> seen = new HashSet<>();
-        groups.forEach(g -> g.under().forEach(t -> {
-            if (!seen.add(t.name())) {
-                faults.add("tenant '" + t.name() + "' stands in two places");
+            throw new InvalidSharesException(List.of(String.valueOf(e.getMessage())));
+        }
+        if (root == null || !root.isObject()) {
+            throw new InvalidSharesException(List.of("the content must be an object"));
+        }
+        checkNames(root, "", Set.of("groups", "others", "hunger_ms"), errors);
+        int[] ruleCount = {0};
+        List<Rule> groups = parseRules(root, "", 0, ruleCount, errors);
+        JsonNode othersNode = root.path("others");
+        if (!othersNode.isMissingNode() && !othersNode.isObject()) {
+            errors.add("others: must be an object");
+        }
+        checkNames(othersNode, "others.", Set.of("weight", "floor", "ceiling"), errors);
+        Rule others = parseRule("", othersNode, "others.", List.of(), errors);
+        double starvationMs = parseNumber(root, "hunger_ms", "", 2000, 1, 3_600_000, errors);
+        Set<String> tenantNames = new HashSet<>();
+        groups.forEach(group -> group.children().forEach(tenant -> {
+            if (!tenantNames.add(tenant.name())) {
+                errors.add("tenant '" + tenant.name() + "' is listed twice");
             }
         }));
-        if (count[0] > MOST_RULES) {
-            faults.add("more than " + MOST_RULES + " rules");
+        if (ruleCount[0] > MAX_RULES) {
+            errors.add("more than " + MAX_RULES + " rules");
         }
-        if (!faults.isEmpty()) {
-            throw new Unusable(faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidSharesException(errors);
         }
-        return new ShareRules(groups, others, hunger);
+        return new ShareRules(groups, others, starvationMs);
     }
 
-    /** The content that {@link #parse} reads. */
-    public byte[] content() {
-        Map<String, Object> top = new LinkedHashMap<>();
-        top.put("groups", groups.stream().map(g -> map(g, 1)).toList());
-        top.put("others", map(others, 3));
-        top.put("hunger_ms", hungerMs);
+    /** Encodes the rules as {@link #parse} reads them. */
+    public byte[] encode() {
+        Map<String, Object> root = new LinkedHashMap<>();
+        root.put("groups", groups.stream().map(group -> toMap(group, 1)).toList());
+        root.put("others", toMap(others, 3));
+        root.put("hunger_ms", starvationMs);
         try {
-            return JSON.writeValueAsString(top).getBytes(StandardCharsets.UTF_8);
+            return JSON.writeValueAsString(root).getBytes(StandardCharsets.UTF_8);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Map<String, Object> map(Rule r, int level) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        if (!r.name().isEmpty()) {
-            m.put("name", r.name());
-        }
-        m.put("weight", r.weight());
-        m.put("floor", r.floor());
-        if (Double.isFinite(r.ceiling())) {
-            m.put("ceiling", r.ceiling());
-        }
-        if (!r.under().isEmpty()) {
-            m.put(LEVELS[level], r.under().stream().map(u -> map(u, level + 1)).toList());
-        }
-        return m;
+    private static Map<String, Object> toMap(Rule rule, int level) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        if (!rule.name().isEmpty()) {
+            fields.put("name", rule.name());
+        }
+        fields.put("weight", rule.weight());
+        fields.put("floor", rule.floor());
+        if (Double.isFinite(rule.ceiling())) {
+            fields.put("ceiling", rule.ceiling());
+        }
+        if (!rule.children().isEmpty()) {
+            fields.put(
+                    LEVELS[level],
+                    rule.children().stream()
+                            .map(child -> toMap(child, level + 1))
+                            .toList());
+        }
+        return fields;
     }
 
-    private static List<Rule> rules(JsonNode of, String place, int level, int[] count, List<String> faults) {
-        List<Rule> found = new ArrayList<>();
-        if (level == LEVELS.length || of.path(LEVELS[level]).isMissingNode()) {
-            return found;
+    private static List<Rule> parseRules(
+            JsonNode parent, String path, int level, int[] ruleCount, List<String> errors) {
+        List<Rule> rules = new ArrayList<>();
+        if (level == LEVELS.length || parent.path(LEVELS[level]).isMissingNode()) {
+            return rules;
         }
-        JsonNode all = of.get(LEVELS[level]);
-        if (!all.isArray()) {
-            faults.add(place + LEVELS[level] + ": an array is wanted");
-            return found;
+        JsonNode array = parent.get(LEVELS[level]);
+        if (!array.isArray()) {
+            errors.add(path + LEVELS[level] + ": must be an array");
+            return rules;
         }
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < all.size() && count[0] <= MOST_RULES; i++) {
-            count[0]++;
-            String here = place + LEVELS[level] + "[" + i + "].";
-            JsonNode one = all.get(i);
-            if (!one.isObject()) {
-                faults.add(here + " an object is wanted");
+        for (int i = 0; i < array.size() && ruleCount[0] <= MAX_RULES; i++) {
+            ruleCount[0]++;
+            String elementPath = path + LEVELS[level] + "[" + i + "].";
+            JsonNode element = array.get(i);
+            if (!element.isObject()) {
+                errors.add(elementPath + " must be an object");
                 continue;
             }
-            Set<String> known = new HashSet<>(Set.of("name", "weight", "floor", "ceiling"));
+            Set<String> knownNames = new HashSet<>(Set.of("name", "weight", "floor", "ceiling"));
             if (level + 1 < LEVELS.length) {
-                known.add(LEVELS[level + 1]);
+                knownNames.add(LEVELS[level + 1]);
             }
-            names(one, here, known, faults);
-            String name = one.path("name").asText("");
+            checkNames(element, elementPath, knownNames, errors);
+            String name = element.path("name").asText("");
             if (name.isEmpty() || name.length() > 200 || name.contains("/") || !names.add(name)) {
-                faults.add(here + "name: one of its own of 1 to 200 letters without '/' is wanted");
+                errors.add(elementPath + "name: must be unique, of 1 to 200 characters, without '/'");
             }
-            found.add(rule(name, one, here, rules(one, here, level + 1, count, faults), faults));
-        }
-        return found;
+            rules.add(parseRule(
+                    name,
+                    element,
+                    elementPath,
+                    parseRules(element, elementPath, level + 1, ruleCount, errors),
+                    errors));
+        }
+        return rules;
     }
 
-    private static Rule rule(String name, JsonNode o, String place, List<Rule> under, List<String> faults) {
-        double weight = number(o, "weight", place, 1, 1 / MOST_WEIGHT, MOST_WEIGHT, faults);
-        double ceiling = number(o, "ceiling", place, Double.POSITIVE_INFINITY, 0, 1e9, faults);
-        double floor = number(o, "floor", place, 0, 0, 1e9, faults);
+    private static Rule parseRule(String name, JsonNode object, String path, List<Rule> children, List<String> errors) {
+        double weight = parseNumber(object, "weight", path, 1, 1 / MAX_WEIGHT, MAX_WEIGHT, errors);
+        double ceiling = parseNumber(object, "ceiling", path, Double.POSITIVE_INFINITY, 0, 1e9, errors);
+        double floor = parseNumber(object, "floor", path, 0, 0, 1e9, errors);
         if (floor > ceiling) {
-            faults.add(place + "floor: is over the ceiling");
+            errors.add(path + "floor: is over the ceiling");
         }
-        if (under.stream().mapToDouble(Rule::floor).sum() > ceiling) {
-            faults.add(place + "ceiling: is under the floors below it together");
+        if (children.stream().mapToDouble(Rule::floor).sum() > ceiling) {
+            errors.add(path + "ceiling: is below the sum of the floors under it");
         }
-        return new Rule(name, weight, floor, ceiling, under);
+        return new Rule(name, weight, floor, ceiling, children);
     }
 
-    private static double number(
-            JsonNode o, String name, String place, double otherwise, double least, double most, List<String> faults) {
-        JsonNode n = o.path(name);
-        if (n.isMissingNode()) {
-            return otherwise;
-        }
-        double d = n.asDouble(Double.NaN);
-        if (!n.isNumber() || !(d >= least && d <= most)) {
-            faults.add(place + name + ": a number within " + least + " to " + most + " is wanted");
-            return otherwise;
-        }
-        return d;
+    private static double parseNumber(
+            JsonNode object,
+            String name,
+            String path,
+            double defaultValue,
+            double min,
+            double max,
+            List<String> errors) {
+        JsonNode node = object.path(name);
+        if (node.isMissingNode()) {
+            return defaultValue;
+        }
+        double value = node.asDouble(Double.NaN);
+        if (!node.isNumber() || !(value >= min && value <= max)) {
+            errors.add(path + name + ": must be a number from " + min + " to " + max);
+            return defaultValue;
+        }
+        return value;
     }
 
-    private static void names(JsonNode o, String place, Set<String> known, List<String> faults) {
-        o.fieldNames().forEachRemaining(n -> {
-            if (!known.contains(n)) {
-                faults.add(place + n + ": unknown");
+    private static void checkNames(JsonNode object, String path, Set<String> knownNames, List<String> errors) {
+        object.fieldNames().forEachRemaining(name -> {
+            if (!knownNames.contains(name)) {
+                errors.add(path + name + ": unknown key");
             }
         });
     }
--- a/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/evacuation/ForecastTest.java
@@ -12,126 +12,133 @@
 class ForecastTest {
     private static final PoolName FRONT_B = PoolName.parse("front/b/std");
     private static final PoolName PARCEL_B = PoolName.parse("parcel/b/std");
-    private final Observed observed = new Observed();
+    private final ZoneRecords records = new ZoneRecords();
 
-    private static Forecast forecast(PoolModel m, EvacuationPlan plan) {
-        return Forecast.of(m.picture(60_000, -1), plan, Shares.maxMin(Map.of()), 7);
+    private static Forecast forecast(PoolModel model, EvacuationPlan plan) {
+        return Forecast.of(model.snapshot(60_000, -1), plan, SharePolicy.maxMin(Map.of()), 7);
     }
 
     private static EvacuationPlan plan() {
-        return EvacuationPlan.even("p", "a", 4, 10_000);
+        return EvacuationPlan.withEvenSteps("p", "a", 4, 10_000);
     }
 
     @Test
-    void learnsWhatPoolsCanDoAndHoldsWhereThereIsRoom() {
-        PoolSnapshot picture = observed.learnt(60).picture(60_000, -1);
-        assertEquals(5 * Observed.FRONT, picture.pool(FRONT_B).capacity(), 5);
-        assertEquals(Observed.CALLS, picture.pool(FRONT_B).calls(), 0.05);
-        Forecast f = forecast(observed.learnt(60), plan());
-        assertEquals(Verdict.HOLDS, f.verdict(), () -> f.toString());
-        // A half of zone a's load comes to it.
-        assertEquals(90, f.of(FRONT_B).steps().get(3).load().expected(), 4);
-        assertTrue(f.of(FRONT_B).steps().get(3).load().holds(90));
+    void learnsCapacityAndPredictsThatPoolsWithRoomHold() {
+        PoolSnapshot snapshot = records.trainedModel(60).snapshot(60_000, -1);
+        assertEquals(5 * ZoneRecords.FRONT_CAPACITY, snapshot.pool(FRONT_B).capacity(), 5);
+        assertEquals(ZoneRecords.CALLS_PER_ATTEMPT, snapshot.pool(FRONT_B).callsPerAttempt(), 0.05);
+        Forecast forecast = forecast(records.trainedModel(60), plan());
+        assertEquals(Verdict.HOLDS, forecast.verdict(), () -> forecast.toString());
+        // Half of zone a's load moves to zone b.
+        assertEquals(90, forecast.of(FRONT_B).steps().get(3).load().expected(), 4);
+        assertTrue(forecast.of(FRONT_B).steps().get(3).load().contains(90));
     }
 
     @Test
-    void saturatesInTheStepThatPassesWhatThePoolCanDo() {
-        // Zone b can do 165 a second and has 120; the third quarter of the 60 passes it with half of each.
-        observed.rates.put("b", 120.0);
-        observed.rates.put("a", 120.0);
-        observed.parcels.replaceAll((z, n) -> 8);
-        PoolForecast p = forecast(observed.learnt(60), plan()).of(FRONT_B);
-        assertEquals(Verdict.SATURATES, p.verdict());
-        assertEquals(Forecast.Resource.SLOTS, p.resource());
+    void predictsSaturationInTheStepThatExceedsCapacity() {
+        // Zone b can serve 165/s and has 120/s. It gets half of zone a's 120/s in four steps; the third exhausts it.
+        records.firstAttemptRates.put("b", 120.0);
+        records.firstAttemptRates.put("a", 120.0);
+        records.parcelServers.replaceAll((zone, servers) -> 8);
+        PoolForecast poolForecast = forecast(records.trainedModel(60), plan()).of(FRONT_B);
+        assertEquals(Verdict.SATURATES, poolForecast.verdict());
+        assertEquals(Forecast.Resource.SLOTS, poolForecast.resource());
         assertTrue(
-                p.atMs().expected() > 20_000 && p.atMs().expected() < 40_000,
-                () -> p.atMs().toString());
-        assertTrue(p.atMs().low() <= p.atMs().expected()
-                && p.atMs().expected() <= p.atMs().high());
+                poolForecast.saturationMs().expected() > 20_000
+                        && poolForecast.saturationMs().expected() < 40_000,
+                () -> poolForecast.saturationMs().toString());
+        assertTrue(
+                poolForecast.saturationMs().low() <= poolForecast.saturationMs().expected()
+                        && poolForecast.saturationMs().expected()
+                                <= poolForecast.saturationMs().high());
     }
 
     @Test
-    void aSlowPoolBehindFillsTheSlotsOfTheOneBeforeIt() {
-        observed.parcels.put("b", 2);
-        observed.rates.put("b", 80.0);
-        Forecast f = forecast(observed.learnt(60), plan());
-        PoolForecast behind = f.of(PARCEL_B);
-        assertEquals(Verdict.SATURATES, behind.verdict());
-        assertTrue(f.of(FRONT_B).steps().get(3).slots()
-                > 2 * f.of(FRONT_B).steps().get(0).slots());
-        assertTrue(behind.steps().get(3).amplification() > 1.02);
+    void aSlowDownstreamPoolFillsTheSlotsOfItsCallers() {
+        records.parcelServers.put("b", 2);
+        records.firstAttemptRates.put("b", 80.0);
+        Forecast forecast = forecast(records.trainedModel(60), plan());
+        PoolForecast downstream = forecast.of(PARCEL_B);
+        assertEquals(Verdict.SATURATES, downstream.verdict());
+        assertTrue(forecast.of(FRONT_B).steps().get(3).slots()
+                > 2 * forecast.of(FRONT_B).steps().get(0).slots());
+        assertTrue(downstream.steps().get(3).amplification() > 1.02);
     }
 
     @Test
-    void saysUnknownWithTheReasonInPlaceOfAGuess() {
-        observed.heardMs.put("n-a1", 40_000.0);
-        Forecast f = forecast(observed.learnt(60), plan());
-        assertEquals(Verdict.UNKNOWN, f.verdict());
-        assertTrue(f.of(FRONT_B).why().contains("n-a1"), f.of(FRONT_B).why());
-        Observed idle = new Observed();
-        idle.rates.put("c", 0.0);
-        PoolForecast p = forecast(idle.learnt(60), plan()).of(PoolName.parse("front/c/std"));
-        assertEquals(Verdict.UNKNOWN, p.verdict());
-        assertTrue(p.why().contains("no load"), p.why());
+    void reportsUnknownWithTheReasonWhenDataIsMissing() {
+        records.ageMs.put("n-a1", 40_000.0);
+        Forecast forecast = forecast(records.trainedModel(60), plan());
+        assertEquals(Verdict.UNKNOWN, forecast.verdict());
+        assertTrue(
+                forecast.of(FRONT_B).reason().contains("n-a1"),
+                forecast.of(FRONT_B).reason());
+        ZoneRecords idle = new ZoneRecords();
+        idle.firstAttemptRates.put("c", 0.0);
+        PoolForecast poolForecast = forecast(idle.trainedModel(60), plan()).of(PoolName.parse("front/c/std"));
+        assertEquals(Verdict.UNKNOWN, poolForecast.verdict());
+        assertTrue(poolForecast.reason().contains("no load"), poolForecast.reason());
     }
 
     @Test
-    void intervalsWidenWithAgeAndThinData() {
-        PoolModel m = observed.learnt(60);
-        m.expect(Map.of());
-        double young = width(Forecast.of(m.picture(60_000, -1), plan(), Shares.maxMin(Map.of()), 3));
-        double old = width(Forecast.of(m.picture(150_000, -1), plan(), Shares.maxMin(Map.of()), 3));
+    void intervalsWidenWithAgeAndFewSamples() {
+        PoolModel model = records.trainedModel(60);
+        model.expectNodes(Map.of());
+        double young = width(Forecast.of(model.snapshot(60_000, -1), plan(), SharePolicy.maxMin(Map.of()), 3));
+        double old = width(Forecast.of(model.snapshot(150_000, -1), plan(), SharePolicy.maxMin(Map.of()), 3));
         assertTrue(old > 1.5 * young, young + " " + old);
-        assertTrue(observed.learnt(4).picture(4000, -1).pool(FRONT_B).capacitySpread()
-                > 1.5 * m.picture(60_000, -1).pool(FRONT_B).capacitySpread());
+        assertTrue(records.trainedModel(4).snapshot(4000, -1).pool(FRONT_B).capacitySpread()
+                > 1.5 * model.snapshot(60_000, -1).pool(FRONT_B).capacitySpread());
     }
 
-    private static double width(Forecast f) {
-        return f.pools().stream()
-                .filter(p -> !p.steps().isEmpty())
-                .mapToDouble(p ->
-                        p.steps().get(0).load().high() - p.steps().get(0).load().low())
+    private static double width(Forecast forecast) {
+        return forecast.pools().stream()
+                .filter(poolForecast -> !poolForecast.steps().isEmpty())
+                .mapToDouble(poolForecast -> poolForecast.steps().get(0).load().high()
+                        - poolForecast.steps().get(0).load().low())
                 .average()
                 .orElse(0);
     }
 
     @Test
     void aClockThatRunsFastChangesNoVerdict() {
-        observed.clocks.put("n-a1", 1.01);
-        observed.clocks.put("n-b2", 1.01);
-        Forecast f = forecast(observed.learnt(60), plan());
-        assertEquals(Verdict.HOLDS, f.verdict());
-        assertTrue(f.of(FRONT_B).steps().get(3).load().holds(90));
+        records.clockRates.put("n-a1", 1.01);
+        records.clockRates.put("n-b2", 1.01);
+        Forecast forecast = forecast(records.trainedModel(60), plan());
+        assertEquals(Verdict.HOLDS, forecast.verdict());
+        assertTrue(forecast.of(FRONT_B).steps().get(3).load().contains(90));
     }
 
     @Test
-    void namesTheTenantsThatSharesWouldRefuse() {
-        PoolModel m = observed.learnt(60);
-        m.wanted(List.of(new PoolSnapshot.Want(FRONT_B, "large", 120), new PoolSnapshot.Want(FRONT_B, "small", 5)));
-        Map<String, Double> refused =
-                forecast(m, plan()).of(FRONT_B).steps().get(3).refusedTenants();
-        assertEquals(List.of("large"), List.copyOf(refused.keySet()));
-        // 130 slots, 7.5 for the small one; the large one wants 180.
-        assertEquals(1 - 122.5 / 180, refused.get("large"), 0.05);
+    void listsTenantsThatTheSharePolicyWouldReject() {
+        PoolModel model = records.trainedModel(60);
+        model.setTenantDemand(List.of(
+                new PoolSnapshot.TenantDemand(FRONT_B, "large", 120),
+                new PoolSnapshot.TenantDemand(FRONT_B, "small", 5)));
+        Map<String, Double> rejected =
+                forecast(model, plan()).of(FRONT_B).steps().get(3).rejectedTenants();
+        assertEquals(List.of("large"), List.copyOf(rejected.keySet()));
+        // Of the 130 slots the small tenant gets 7.5; the large one demands 180.
+        assertEquals(1 - 122.5 / 180, rejected.get("large"), 0.05);
     }
 
     @Test
-    void aDayThatWasSeenTwiceMovesTheForecast() {
-        DailyProfile s = new DailyProfile();
+    void dailyProfileScalesLoadOnceItHasSeenTwoDays() {
+        DailyProfile profile = new DailyProfile();
         for (int day = 0; day < 3; day++) {
-            for (int q = 0; q < 96; q++) {
-                s.take("a", q * 900_000.0, q == 40 ? 200 : 100);
+            for (int quarter = 0; quarter < 96; quarter++) {
+                profile.add("a", quarter * 900_000.0, quarter == 40 ? 200 : 100);
             }
         }
-        assertEquals(2, s.factor("a", 0, 40 * 900_000.0), 1e-9);
-        assertEquals(1, new DailyProfile().factor("a", 0, 40 * 900_000.0), 1e-9);
+        assertEquals(2, profile.ratio("a", 0, 40 * 900_000.0), 1e-9);
+        assertEquals(1, new DailyProfile().ratio("a", 0, 40 * 900_000.0), 1e-9);
     }
 
     @Test
-    void checksAPlanWhole() {
-        List<PoolName> pools = observed.learnt(5).names();
-        assertEquals(List.of(), plan().faults(pools));
-        EvacuationPlan bad = new EvacuationPlan(
+    void reportsAllValidationErrorsOfAPlan() {
+        List<PoolName> pools = records.trainedModel(5).poolNames();
+        assertEquals(List.of(), plan().validationErrors(pools));
+        EvacuationPlan invalid = new EvacuationPlan(
                 "no name",
                 "z",
                 -1,
@@ -140,15 +147,15 @@
                 8000,
                 null,
                 0,
-                List.of(new EvacuationPlan.Comes(PoolName.parse("front/a/gone"), 1, 0)));
-        List<String> faults = bad.faults(pools);
-        assertEquals(6, faults.size(), faults::toString);
-        assertTrue(EvacuationPlan.even("p", "a", 2, 5000)
-                .faults(List.of(PoolName.parse("front/a/std")))
+                List.of(new EvacuationPlan.AddedServers(PoolName.parse("front/a/gone"), 1, 0)));
+        List<String> errors = invalid.validationErrors(pools);
+        assertEquals(6, errors.size(), errors::toString);
+        assertTrue(EvacuationPlan.withEvenSteps("p", "a", 2, 5000)
+                .validationErrors(List.of(PoolName.parse("front/a/std")))
                 .get(0)
                 .contains("last one"));
-        assertTrue(EvacuationPlan.even("p", "a", 2, 5000)
-                .faults(List.of(PoolName.parse("front/a/std"), PARCEL_B))
+        assertTrue(EvacuationPlan.withEvenSteps("p", "a", 2, 5000)
+                .validationErrors(List.of(PoolName.parse("front/a/std"), PARCEL_B))
                 .get(0)
                 .contains("last one with [front]"));
     }
