--- a/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
@@ -1,5 +1,6 @@
 package brackenbridge.fleet.replica;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
@@ -32,7 +33,11 @@
      * @param differing how many copies were found to differ and were not made one yet
      * @param outOfDecision whether it differs after the rule was applied: nobody acts on its copies
      */
-    record Level(boolean level, long behind, long differing, boolean outOfDecision) {}
+    record Level(
+            @JsonProperty("level") boolean level,
+            @JsonProperty("behind") long behind,
+            @JsonProperty("differing") long differing,
+            @JsonProperty("outOfDecision") boolean outOfDecision) {}
 
     /** Hears of records that have changed. */
     @FunctionalInterface
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -5,6 +5,7 @@
 import brackenbridge.fleet.peer.MemberStatus;
 import brackenbridge.fleet.peer.MessageStream;
 import brackenbridge.fleet.peer.PeerLinks;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -42,7 +43,13 @@
      * @param aside why its present incarnation was quarantined; null if it was not
      */
     public record Status(
-            String member, long life, long wrote, long have, double heardMs, MemberStatus standing, String aside) {}
+            @JsonProperty("member") String member,
+            @JsonProperty("life") long life,
+            @JsonProperty("wrote") long wrote,
+            @JsonProperty("have") long have,
+            @JsonProperty("heardMs") double heardMs,
+            @JsonProperty("standing") MemberStatus standing,
+            @JsonProperty("aside") String aside) {}
 
     /**
      * What a member's exchange has done.
@@ -56,13 +63,13 @@
      * @param onDisk whether the disk takes what is written; false without a disk
      */
     public record Figures(
-            long sentBytes,
-            long dropped,
-            long unsent,
-            long unreadable,
-            long differences,
-            long records,
-            boolean onDisk) {}
+            @JsonProperty("sentBytes") long sentBytes,
+            @JsonProperty("dropped") long dropped,
+            @JsonProperty("unsent") long unsent,
+            @JsonProperty("unreadable") long unreadable,
+            @JsonProperty("differences") long differences,
+            @JsonProperty("records") long records,
+            @JsonProperty("onDisk") boolean onDisk) {}
 
     private final PeerLinks links;
     private final ReplicaDisk disk;
