--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -77,7 +77,7 @@
         }
         Path directory = file.directory() == null ? null : file.directory().resolve(name);
         disk = directory == null ? null : ReplicaDisk.open(directory, file.fleet(), name, clock.nowMs());
-        long life = disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life();
+        long life = disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation();
         PeerLimits usual = PeerLimits.standard();
         FleetFile.Links l = file.links();
         List<Member> peers =
@@ -106,7 +106,7 @@
                 links,
                 disk,
                 clock,
-                ReplicationLimits.DEFAULT.sending(file.replica().bytesPerSecond()));
+                ReplicationLimits.DEFAULT.withBytesPerSecond(file.replica().bytesPerSecond()));
         FleetFile.Agreement a = file.agreed();
         agreed = new AgreementMember(
                 links,
@@ -128,12 +128,13 @@
         shown.forEach(k -> Gauge.builder(
                         "fleet.links." + k, () -> links.figures().getOrDefault(k, 0.0))
                 .register(metrics));
-        Gauge.builder("fleet.replica.behind", () -> replica.level().behind()).register(metrics);
-        Gauge.builder("fleet.replica.differing", () -> replica.level().differing())
+        Gauge.builder("fleet.replica.behind", () -> replica.syncState().missingWrites())
                 .register(metrics);
-        Gauge.builder("fleet.replica.level", () -> replica.level().level() ? 1 : 0)
+        Gauge.builder("fleet.replica.differing", () -> replica.syncState().differingLogs())
                 .register(metrics);
-        Gauge.builder("fleet.replica.on.disk", () -> replica.figures().onDisk() ? 1 : 0)
+        Gauge.builder("fleet.replica.level", () -> replica.syncState().caughtUp() ? 1 : 0)
+                .register(metrics);
+        Gauge.builder("fleet.replica.on.disk", () -> replica.statistics().diskHealthy() ? 1 : 0)
                 .description("1 while the disk takes what the replica writes; 0 without a disk")
                 .register(metrics);
         agreed.bind(metrics);
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
@@ -29,22 +29,22 @@
     }
 
     private AdminHttpServer.Answer status(boolean json) {
-        Replica.Level level = replica.level();
+        Replica.SyncState level = replica.syncState();
         List<ReplicaNode.Status> all = replica.status();
         if (json) {
             Map<String, Object> out = new LinkedHashMap<>();
             out.put("level", level);
             out.put("members", all);
-            out.put("figures", replica.figures());
+            out.put("figures", replica.statistics());
             return new AdminHttpServer.Answer(true, json(out));
         }
         StringBuilder s = new StringBuilder(String.format(
                 Locale.ROOT,
                 "level %s, behind %d, differing %d, out of decision %s%n%-16s %16s %10s %10s %9s %-8s %s%n",
-                level.level(),
-                level.behind(),
-                level.differing(),
-                level.outOfDecision(),
+                level.caughtUp(),
+                level.missingWrites(),
+                level.differingLogs(),
+                level.excludedFromDecisions(),
                 "member",
                 "life",
                 "wrote",
@@ -57,18 +57,18 @@
                     Locale.ROOT,
                     "%-16s %16d %10d %10d %9.0f %-8s %s%n",
                     m.member(),
-                    m.life(),
-                    m.wrote(),
-                    m.have(),
-                    m.heardMs(),
-                    m.standing().label(),
-                    m.aside() == null ? "" : m.aside()));
+                    m.incarnation(),
+                    m.announcedSequence(),
+                    m.appliedSequence(),
+                    m.heartbeatAgeMs(),
+                    m.status().label(),
+                    m.quarantineReason() == null ? "" : m.quarantineReason()));
         }
         return new AdminHttpServer.Answer(true, s.toString());
     }
 
     private AdminHttpServer.Answer diff(boolean json) {
-        List<Difference> found = replica.diff();
+        List<Difference> found = replica.recentDifferences();
         if (json) {
             return new AdminHttpServer.Answer(true, json(found));
         }
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -132,7 +132,7 @@
         this.links = links;
         this.replica = replica;
         this.agreed = agreed;
-        replica.listen(this::changed);
+        replica.addListener(this::changed);
         sampler = daemon(this::sample, "sample");
         teller = daemon(() -> print(to), "tell");
     }
@@ -186,7 +186,7 @@
         }
     }
 
-    private void changed(RecordSpace space, String owner, String key, Replica.Seen now) {
+    private void changed(RecordSpace space, String owner, String key, Replica.ReadRecord now) {
         if (space != OWN || owner.equals(links.me().name())) {
             return;
         }
@@ -209,7 +209,7 @@
 
     private Map<String, Map<String, Long>> have() {
         Map<String, Map<String, Long>> all = new LinkedHashMap<>();
-        for (Replica.Seen s : replica.seen(OWN)) {
+        for (Replica.ReadRecord s : replica.readAll(OWN)) {
             all.computeIfAbsent(s.owner(), o -> new LinkedHashMap<>()).put(s.key(), number(s.value()));
         }
         return all;
@@ -220,7 +220,7 @@
         try {
             while (true) {
                 double before = now();
-                Replica.Level l = replica.level();
+                Replica.SyncState l = replica.syncState();
                 span(
                         level,
                         l,
@@ -231,13 +231,13 @@
                                 "level",
                                 Map.of(
                                         "level",
-                                        l.level(),
+                                        l.caughtUp(),
                                         "behind",
-                                        l.behind(),
+                                        l.missingWrites(),
                                         "differing",
-                                        l.differing(),
+                                        l.differingLogs(),
                                         "out",
-                                        l.outOfDecision(),
+                                        l.excludedFromDecisions(),
                                         "have",
                                         have())));
                 watched.forEach((name, s) -> sampleActs(name, s));
@@ -343,9 +343,9 @@
                             "diff",
                             Map.of(
                                     "behind",
-                                    replica.level().behind(),
+                                    replica.syncState().missingWrites(),
                                     "differing",
-                                    replica.level().differing()));
+                                    replica.syncState().differingLogs()));
                 case "status" ->
                     say(
                             now(),
@@ -356,11 +356,11 @@
                                     "peers",
                                     peers(),
                                     "level",
-                                    replica.level().level(),
+                                    replica.syncState().caughtUp(),
                                     "links",
                                     links instanceof TcpPeerLinks t ? t.figures() : Map.of(),
                                     "replica",
-                                    replica instanceof ReplicaNode n ? n.figures() : Map.of()));
+                                    replica instanceof ReplicaNode n ? n.statistics() : Map.of()));
                 case "propose" -> propose(w[1], w[2]);
                 case "watch" -> put(watched, w[1]);
                 case "acting" ->
@@ -486,14 +486,14 @@
         Clock clock = Clock.system();
         Path disk = Path.of(o.disk);
         try (ReplicaDisk records = ReplicaDisk.open(disk.resolve("replica"), o.fleet, o.name, clock.nowMs());
-                TcpPeerLinks links =
-                        new TcpPeerLinks(o.me(), records.life(), o.fleet, members, clock, PeerLimits.standard());
+                TcpPeerLinks links = new TcpPeerLinks(
+                        o.me(), records.incarnation(), o.fleet, members, clock, PeerLimits.standard());
                 ReplicaNode replica = new ReplicaNode(links, records, clock, ReplicationLimits.DEFAULT);
                 AgreementMember agreed = new AgreementMember(
                         links,
                         disk.resolve("agreed"),
                         clock,
-                        AgreedSettings.of(o.fleet, members, records.life() ^ o.name.hashCode()));
+                        AgreedSettings.of(o.fleet, members, records.incarnation() ^ o.name.hashCode()));
                 StateMember member = new StateMember(links, replica, agreed, to)) {
             agreed.start();
             replica.start();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -79,7 +79,7 @@
     }
 
     /** The digests of the next logs to compare with this peer; all come in turn, the peer's own one each time. */
-    public ReplicationMessage.Digests nextDigests(String peer) {
+    public ReplicationMessage.LogDigests nextDigests(String peer) {
         Set<CatchUp.LogId> of = new LinkedHashSet<>();
         of.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
         of.add(new CatchUp.LogId(store.localMember(), store.incarnation()));
@@ -93,43 +93,43 @@
             of.add(all.get((from + i) % all.size()));
         }
         next = all.isEmpty() ? next : all.get((from + Math.min(all.size(), MAX_LOGS_PER_MESSAGE - 2)) % all.size());
-        List<ReplicationMessage.Digest> digests = new ArrayList<>();
+        List<ReplicationMessage.LogDigest> digests = new ArrayList<>();
         for (CatchUp.LogId o : of) {
             long[] d = store.digests(o.owner(), o.incarnation());
             if (d != null) {
-                digests.add(new ReplicationMessage.Digest(
+                digests.add(new ReplicationMessage.LogDigest(
                         o.owner(),
                         o.incarnation(),
                         store.appliedSequence(o.owner(), o.incarnation()).orElse(0),
                         OwnerLog.digest(d)));
             }
         }
-        return new ReplicationMessage.Digests(digests);
+        return new ReplicationMessage.LogDigests(digests);
     }
 
     /** Takes a peer's digests; answers with ranges where they differ. */
-    public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.Digests m) {
+    public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.LogDigests m) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        for (ReplicationMessage.Digest d : m.digests()) {
-            long[] mine = digestsAt(d.owner(), d.life(), d.have());
+        for (ReplicationMessage.LogDigest d : m.digests()) {
+            long[] mine = digestsAt(d.owner(), d.incarnation(), d.appliedSequence());
             if (mine == null) {
                 continue;
             }
             if (OwnerLog.digest(mine) == d.digest()) {
-                onEqual(peer, d.owner(), d.life());
+                onEqual(peer, d.owner(), d.incarnation());
             } else {
-                answers.add(ranges(d.owner(), d.life(), d.have(), mine));
+                answers.add(ranges(d.owner(), d.incarnation(), d.appliedSequence(), mine));
             }
         }
         return answers;
     }
 
-    private static ReplicationMessage.Ranges ranges(String owner, long life, long have, long[] digests) {
+    private static ReplicationMessage.RangeDigests ranges(String owner, long life, long have, long[] digests) {
         List<Long> list = new ArrayList<>();
         for (long d : digests) {
             list.add(d);
         }
-        return new ReplicationMessage.Ranges(owner, life, have, list);
+        return new ReplicationMessage.RangeDigests(owner, life, have, list);
     }
 
     /** Only copies that are equally far are compared. */
@@ -147,9 +147,9 @@
     }
 
     /** Takes a peer's digests by range; answers with the records of ranges that differ. */
-    public List<ReplicationMessage> onRanges(String peer, ReplicationMessage.Ranges m) {
+    public List<ReplicationMessage> onRanges(String peer, ReplicationMessage.RangeDigests m) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        long[] mine = digestsAt(m.owner(), m.life(), m.have());
+        long[] mine = digestsAt(m.owner(), m.incarnation(), m.appliedSequence());
         if (mine == null) {
             return answers;
         }
@@ -157,13 +157,13 @@
         for (int r = 0; r < mine.length; r++) {
             if (mine[r] != m.digests().get(r)) {
                 differ = true;
-                answers.addAll(copies(m.owner(), m.life(), m.have(), r, true));
+                answers.addAll(copies(m.owner(), m.incarnation(), m.appliedSequence(), r, true));
             }
         }
         if (differ) {
-            onDifferent(peer, m.owner(), m.life());
+            onDifferent(peer, m.owner(), m.incarnation());
         } else {
-            onEqual(peer, m.owner(), m.life());
+            onEqual(peer, m.owner(), m.incarnation());
         }
         return answers;
     }
@@ -187,57 +187,60 @@
         List<ReplicationMessage> pieces = new ArrayList<>();
         List<ReplicatedRecord> piece = new ArrayList<>();
         int bytes = 0;
-        for (ReplicatedRecord e : store.range(owner, life, range)) {
-            if (!piece.isEmpty() && (bytes + e.bytes() > MAX_PIECE_BYTES || piece.size() == ReplicationMessage.MOST)) {
-                pieces.add(new ReplicationMessage.Copies(owner, life, have, range, pieces.size(), false, ask, piece));
+        for (ReplicatedRecord e : store.recordsInRange(owner, life, range)) {
+            if (!piece.isEmpty()
+                    && (bytes + e.bytes() > MAX_PIECE_BYTES || piece.size() == ReplicationMessage.MAX_LIST_SIZE)) {
+                pieces.add(new ReplicationMessage.RangeRecords(
+                        owner, life, have, range, pieces.size(), false, ask, piece));
                 piece = new ArrayList<>();
                 bytes = 0;
             }
             piece.add(e);
             bytes += e.bytes();
         }
-        pieces.add(new ReplicationMessage.Copies(owner, life, have, range, pieces.size(), true, ask, piece));
+        pieces.add(new ReplicationMessage.RangeRecords(owner, life, have, range, pieces.size(), true, ask, piece));
         return pieces;
     }
 
     /** Takes a peer's records of a range, and applies the rule; answers with those here if asked to. */
-    public List<ReplicationMessage> onCopies(String peer, ReplicationMessage.Copies m, double nowMs) {
-        if (store.appliedSequence(m.owner(), m.life()).orElse(0) != m.have()
-                || store.digests(m.owner(), m.life()) == null) {
+    public List<ReplicationMessage> onCopies(String peer, ReplicationMessage.RangeRecords m, double nowMs) {
+        if (store.appliedSequence(m.owner(), m.incarnation()).orElse(0) != m.appliedSequence()
+                || store.digests(m.owner(), m.incarnation()) == null) {
             return List.of();
         }
-        List<ReplicationMessage> answer =
-                m.ask() && m.last() ? copies(m.owner(), m.life(), m.have(), m.range(), false) : List.of();
+        List<ReplicationMessage> answer = m.replyRequested() && m.lastPiece()
+                ? copies(m.owner(), m.incarnation(), m.appliedSequence(), m.range(), false)
+                : List.of();
         Map<RecordKey, ReplicatedRecord> theirs = new TreeMap<>();
-        m.entries().forEach(e -> theirs.put(e.item(), e));
+        m.records().forEach(e -> theirs.put(e.recordKey(), e));
         Set<RecordKey> items = new TreeSet<>(theirs.keySet());
         RecordKey first =
-                m.part() == 0 || theirs.isEmpty() ? null : m.entries().get(0).item();
-        RecordKey last = m.last()
+                m.piece() == 0 || theirs.isEmpty() ? null : m.records().get(0).recordKey();
+        RecordKey last = m.lastPiece()
                 ? null
-                : m.entries().isEmpty()
+                : m.records().isEmpty()
                         ? first
-                        : m.entries().get(m.entries().size() - 1).item();
-        for (ReplicatedRecord e : store.range(m.owner(), m.life(), m.range())) {
-            if ((first == null || e.item().compareTo(first) >= 0)
-                    && (last == null || e.item().compareTo(last) <= 0)) {
-                items.add(e.item());
+                        : m.records().get(m.records().size() - 1).recordKey();
+        for (ReplicatedRecord e : store.recordsInRange(m.owner(), m.incarnation(), m.range())) {
+            if ((first == null || e.recordKey().compareTo(first) >= 0)
+                    && (last == null || e.recordKey().compareTo(last) <= 0)) {
+                items.add(e.recordKey());
             }
         }
-        if (!peer.equals(m.owner()) || !m.ask()) {
-            open.add(new CatchUp.LogId(m.owner(), m.life()));
+        if (!peer.equals(m.owner()) || !m.replyRequested()) {
+            open.add(new CatchUp.LogId(m.owner(), m.incarnation()));
         }
         for (RecordKey i : items) {
             ReplicatedRecord t = theirs.get(i);
             if (t == null
-                    || t.item().range() == m.range()
-                            && t.version().life() == m.life()
-                            && t.version().sequence() <= m.have()) {
-                applyRule(peer, m.owner(), m.life(), i, t, nowMs);
+                    || t.recordKey().range() == m.range()
+                            && t.version().incarnation() == m.incarnation()
+                            && t.version().sequence() <= m.appliedSequence()) {
+                applyRule(peer, m.owner(), m.incarnation(), i, t, nowMs);
             }
         }
-        if (m.last() && m.owner().equals(store.localMember())) {
-            open.remove(new CatchUp.LogId(m.owner(), m.life()));
+        if (m.lastPiece() && m.owner().equals(store.localMember())) {
+            open.remove(new CatchUp.LogId(m.owner(), m.incarnation()));
         }
         return answer;
     }
@@ -245,22 +248,22 @@
     private void applyRule(
             String peer, String owner, long life, RecordKey item, ReplicatedRecord theirs, double nowMs) {
         ReplicatedRecord mine = store.record(owner, life, item);
-        boolean goneHere = mine == null || mine.gone();
-        boolean goneThere = theirs == null || theirs.gone();
+        boolean goneHere = mine == null || mine.removed();
+        boolean goneThere = theirs == null || theirs.removed();
         if (goneHere && goneThere
                 || mine != null
                         && theirs != null
-                        && mine.sum() == theirs.sum()
-                        && mine.intact(owner)
-                        && theirs.intact(owner)) {
+                        && mine.checksum() == theirs.checksum()
+                        && mine.hasValidChecksum(owner)
+                        && theirs.hasValidChecksum(owner)) {
             return;
         }
         boolean own = owner.equals(store.localMember()) && life == store.incarnation();
         boolean present = life == store.newestIncarnation(owner);
         Verdict v;
-        if (mine != null && !mine.intact(owner)) {
-            v = theirs != null && theirs.intact(owner) || !own ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
-        } else if (theirs != null && !theirs.intact(owner) || own) {
+        if (mine != null && !mine.hasValidChecksum(owner)) {
+            v = theirs != null && theirs.hasValidChecksum(owner) || !own ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+        } else if (theirs != null && !theirs.hasValidChecksum(owner) || own) {
             v = Verdict.KEPT_MINE;
         } else if (theirs == null) {
             v = peer.equals(owner) && present ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
@@ -274,22 +277,22 @@
         if (own
                 && mine != null
                 && theirs != null
-                && mine.intact(owner)
-                && theirs.intact(owner)
+                && mine.hasValidChecksum(owner)
+                && theirs.hasValidChecksum(owner)
                 && mine.version().equals(theirs.version())) {
             v = Verdict.TWO_WRITERS;
         }
         addDifference(new Difference(
                 nowMs, owner, life, item.space(), item.key(), peer, text(owner, mine), text(owner, theirs), v));
         if (v == Verdict.TOOK_THEIRS) {
-            store.repair(owner, life, item, theirs != null && !theirs.intact(owner) ? null : theirs, nowMs);
+            store.repair(owner, life, item, theirs != null && !theirs.hasValidChecksum(owner) ? null : theirs, nowMs);
         } else if (v == Verdict.TWO_WRITERS) {
             store.resolveConflict(owner, life, mine, theirs);
         }
     }
 
     private static String text(String owner, ReplicatedRecord e) {
-        return e == null ? "nothing" : e.intact(owner) ? e.toString() : e + " (not what was written)";
+        return e == null ? "nothing" : e.hasValidChecksum(owner) ? e.toString() : e + " (not what was written)";
     }
 
     private void addDifference(Difference d) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -125,7 +125,8 @@
                 if (requests.size() < MAX_LOGS_PER_REQUEST) {
                     requests.add(of);
                     gap.requests++;
-                    gap.nextRequestAtMs = nowMs + limits.againMs() * Math.min(MAX_BACKOFF_FACTOR, gap.requests);
+                    gap.nextRequestAtMs =
+                            nowMs + limits.requestTimeoutMs() * Math.min(MAX_BACKOFF_FACTOR, gap.requests);
                 }
             }
         });
@@ -140,13 +141,13 @@
     }
 
     /**
-     * Whether all that was named is here, but for what was named within {@link ReplicationLimits#lagMs}; the first
+     * Whether all that was named is here, but for what was named within {@link ReplicationLimits#maxLagMs}; the first
      * time, without that.
      *
      * @param initialized whether enough peers have listed what they have
      */
     public boolean isLevel(boolean initialized, double nowMs) {
         wasLevel |= initialized && gaps.isEmpty();
-        return wasLevel && gaps.values().stream().allMatch(gap -> nowMs - gap.behindSinceMs <= limits.lagMs());
+        return wasLevel && gaps.values().stream().allMatch(gap -> nowMs - gap.behindSinceMs <= limits.maxLagMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ChangeNotifier.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ChangeNotifier.java
@@ -49,7 +49,7 @@
     @Override
     public void run() {
         while (!monitor.isClosed()) {
-            Map<ChangedRecord, Replica.Seen> changes;
+            Map<ChangedRecord, Replica.ReadRecord> changes;
             try {
                 changes = awaitChanges();
             } catch (InterruptedException e) {
@@ -59,8 +59,8 @@
         }
     }
 
-    private Map<ChangedRecord, Replica.Seen> awaitChanges() throws InterruptedException {
-        Map<ChangedRecord, Replica.Seen> changes = new LinkedHashMap<>();
+    private Map<ChangedRecord, Replica.ReadRecord> awaitChanges() throws InterruptedException {
+        Map<ChangedRecord, Replica.ReadRecord> changes = new LinkedHashMap<>();
         monitor.lock();
         try {
             while (pending.isEmpty() && !monitor.isClosed()) {
@@ -76,10 +76,10 @@
         return changes;
     }
 
-    private void notifyListeners(ChangedRecord change, Replica.Seen now) {
+    private void notifyListeners(ChangedRecord change, Replica.ReadRecord now) {
         for (Replica.Listener listener : listeners) {
             try {
-                listener.changed(change.space(), change.owner(), change.key(), now);
+                listener.onChange(change.space(), change.owner(), change.key(), now);
             } catch (RuntimeException e) {
                 LOG.error("a listener failed on {}", change, e);
             }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
@@ -24,8 +24,8 @@
 
     List<ReplicatedRecord> range(String owner, long incarnation, int range) {
         return all(owner, incarnation).stream()
-                .filter(record -> record.item().range() == range)
-                .sorted((a, b) -> a.item().compareTo(b.item()))
+                .filter(record -> record.recordKey().range() == range)
+                .sorted((a, b) -> a.recordKey().compareTo(b.recordKey()))
                 .toList();
     }
 
@@ -41,7 +41,7 @@
 
     void repair(String owner, long incarnation, RecordKey key, ReplicatedRecord replacement, double nowMs) {
         OwnerLog log = table.log(owner, incarnation);
-        if (log == null || replacement != null && !replacement.intact(owner)) {
+        if (log == null || replacement != null && !replacement.hasValidChecksum(owner)) {
             return;
         }
         if (replacement == null) {
@@ -65,8 +65,8 @@
             return;
         }
         log.all().forEach(record -> {
-            log.drop(record.item());
-            table.addChange(name, incarnation, record.item());
+            log.drop(record.recordKey());
+            table.addChange(name, incarnation, record.recordKey());
         });
         log.appliedSequence = 0;
         log.tombstoneFloor = 0;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
@@ -49,7 +49,7 @@
         this.monitor = monitor;
         this.store = store;
         this.disk = disk;
-        diskIncarnation = disk.life();
+        diskIncarnation = disk.incarnation();
     }
 
     /** Queues a change; with the lock held. */
@@ -65,7 +65,7 @@
         for (String owner : store.owners()) {
             for (long incarnation : store.incarnations(owner)) {
                 LinkedHashSet<RecordKey> keys = pendingOf(new CatchUp.LogId(owner, incarnation));
-                store.all(owner, incarnation).forEach(record -> keys.add(record.item()));
+                store.records(owner, incarnation).forEach(record -> keys.add(record.recordKey()));
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
@@ -16,24 +16,24 @@
     }
 
     boolean put(RecordSpace space, String key, byte[] value, double nowMs) {
-        space.requireKind(RecordSpace.Kind.OWN);
+        space.requireKind(RecordSpace.Kind.REGISTER);
         return write(space, key, Objects.requireNonNull(value), 0, 0, nowMs);
     }
 
     boolean remove(RecordSpace space, String key, double nowMs) {
-        space.requireKind(RecordSpace.Kind.OWN);
+        space.requireKind(RecordSpace.Kind.REGISTER);
         ReplicatedRecord record = local.log().get(new RecordKey(space, key));
-        return record != null && !record.gone() && write(space, key, null, 0, 0, nowMs);
+        return record != null && !record.removed() && write(space, key, null, 0, 0, nowMs);
     }
 
     boolean add(RecordSpace space, String key, long increment, double nowMs) {
-        space.requireKind(RecordSpace.Kind.COUNTED);
+        space.requireKind(RecordSpace.Kind.COUNTER);
         if (increment < 0) {
             throw new IllegalArgumentException("a counter only grows: " + increment);
         }
         ReplicatedRecord record = local.log().get(new RecordKey(space, key));
         long count = record == null ? 0 : record.count();
-        long below = record == null ? 0 : record.below();
+        long below = record == null ? 0 : record.foldedBelow();
         long sum = increment > Long.MAX_VALUE - count ? Long.MAX_VALUE : count + increment;
         return write(space, key, null, sum, below, nowMs);
     }
@@ -61,8 +61,8 @@
         TreeSet<RecordKey> keys = new TreeSet<>();
         for (OwnerLog log : owner.logs.headMap(below).values()) {
             log.all().stream()
-                    .filter(record -> record.space().kind() == RecordSpace.Kind.COUNTED)
-                    .forEach(record -> keys.add(record.item()));
+                    .filter(record -> record.space().kind() == RecordSpace.Kind.COUNTER)
+                    .forEach(record -> keys.add(record.recordKey()));
         }
         int folded = 0;
         for (RecordKey key : keys) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
@@ -12,93 +12,93 @@
         this.local = local;
     }
 
-    RecordStore.MergeResult merge(ReplicationMessage.Chunk chunk, double nowMs) {
+    RecordStore.MergeResult merge(ReplicationMessage.LogChunk chunk, double nowMs) {
         OwnerState owner = table.findOrAdd(chunk.owner());
         if (owner == null) {
             return RecordStore.MergeResult.REJECTED;
         }
-        for (ReplicatedRecord record : chunk.entries()) {
-            if (!record.intact(chunk.owner())) {
+        for (ReplicatedRecord record : chunk.records()) {
+            if (!record.hasValidChecksum(chunk.owner())) {
                 table.addAlarm("a peer sent a record of " + chunk.owner() + " that is not what it wrote: " + record);
                 return RecordStore.MergeResult.REJECTED;
             }
         }
         boolean ofLocal = local.isNamed(chunk.owner());
-        if (ofLocal && chunk.life() >= local.incarnation) {
+        if (ofLocal && chunk.incarnation() >= local.incarnation) {
             checkOwnLog(owner, chunk);
             return RecordStore.MergeResult.KNOWN;
         }
         if (!ofLocal) {
-            table.advanceIncarnation(chunk.owner(), owner, chunk.newest());
+            table.advanceIncarnation(chunk.owner(), owner, chunk.newestIncarnation());
         }
-        OwnerLog log = owner.logs.computeIfAbsent(chunk.life(), of -> new OwnerLog(chunk.owner(), of));
-        findConflicts(owner, log, chunk.entries());
-        RecordStore.MergeResult result = log.size() + chunk.entries().size() > RecordStore.MAX_RECORDS
+        OwnerLog log = owner.logs.computeIfAbsent(chunk.incarnation(), of -> new OwnerLog(chunk.owner(), of));
+        findConflicts(owner, log, chunk.records());
+        RecordStore.MergeResult result = log.size() + chunk.records().size() > RecordStore.MAX_RECORDS
                 ? RecordStore.MergeResult.REJECTED
                 : append(owner, log, chunk, nowMs);
         owner.updateCompleteness();
-        table.addChange(chunk.owner(), chunk.life(), null);
+        table.addChange(chunk.owner(), chunk.incarnation(), null);
         table.removeObsoleteLogs(chunk.owner(), owner, log);
         return result;
     }
 
     /** This member alone writes its present incarnation: a peer that has more of it has it from another process. */
-    private void checkOwnLog(OwnerState owner, ReplicationMessage.Chunk chunk) {
-        if (chunk.life() != local.incarnation) {
+    private void checkOwnLog(OwnerState owner, ReplicationMessage.LogChunk chunk) {
+        if (chunk.incarnation() != local.incarnation) {
             return;
         }
-        findConflicts(owner, local.log(), chunk.entries());
+        findConflicts(owner, local.log(), chunk.records());
         long written = local.log().appliedSequence;
-        if (chunk.to() > written) {
-            local.quarantine("a peer has write " + chunk.to() + " of this life, " + written + " were made");
+        if (chunk.upToSequence() > written) {
+            local.quarantine("a peer has write " + chunk.upToSequence() + " of this life, " + written + " were made");
         }
     }
 
     private RecordStore.MergeResult append(
-            OwnerState owner, OwnerLog log, ReplicationMessage.Chunk chunk, double nowMs) {
+            OwnerState owner, OwnerLog log, ReplicationMessage.LogChunk chunk, double nowMs) {
         boolean ended = log.incarnation < owner.incarnation;
-        return chunk.base() == 0 || ended
+        return chunk.snapshotEnd() == 0 || ended
                 ? appendLog(owner, log, chunk, nowMs)
                 : appendSnapshot(owner, log, chunk, nowMs);
     }
 
     private RecordStore.MergeResult appendLog(
-            OwnerState owner, OwnerLog log, ReplicationMessage.Chunk chunk, double nowMs) {
-        if (chunk.from() > log.appliedSequence) {
+            OwnerState owner, OwnerLog log, ReplicationMessage.LogChunk chunk, double nowMs) {
+        if (chunk.afterSequence() > log.appliedSequence) {
             return RecordStore.MergeResult.GAP;
         }
-        if (chunk.to() <= log.appliedSequence) {
+        if (chunk.upToSequence() <= log.appliedSequence) {
             return RecordStore.MergeResult.KNOWN;
         }
-        applyAfter(owner, log, log.appliedSequence, chunk.entries(), nowMs);
-        log.appliedSequence = chunk.to();
+        applyAfter(owner, log, log.appliedSequence, chunk.records(), nowMs);
+        log.appliedSequence = chunk.upToSequence();
         log.clearSnapshot();
         return RecordStore.MergeResult.NEW;
     }
 
     private RecordStore.MergeResult appendSnapshot(
-            OwnerState owner, OwnerLog log, ReplicationMessage.Chunk chunk, double nowMs) {
-        if (chunk.base() <= log.appliedSequence) {
+            OwnerState owner, OwnerLog log, ReplicationMessage.LogChunk chunk, double nowMs) {
+        if (chunk.snapshotEnd() <= log.appliedSequence) {
             return RecordStore.MergeResult.KNOWN;
         }
-        if (log.snapshotEnd != chunk.base()) {
-            if (chunk.from() != 0) {
+        if (log.snapshotEnd != chunk.snapshotEnd()) {
+            if (chunk.afterSequence() != 0) {
                 return RecordStore.MergeResult.GAP;
             }
-            log.snapshotEnd = chunk.base();
+            log.snapshotEnd = chunk.snapshotEnd();
             log.snapshotCursor = 0;
         }
-        if (chunk.from() > log.snapshotCursor) {
+        if (chunk.afterSequence() > log.snapshotCursor) {
             return RecordStore.MergeResult.GAP;
         }
-        if (chunk.to() <= log.snapshotCursor) {
+        if (chunk.upToSequence() <= log.snapshotCursor) {
             return RecordStore.MergeResult.KNOWN;
         }
-        log.dropBetween(log.snapshotCursor, chunk.to(), chunk.entries())
+        log.dropBetween(log.snapshotCursor, chunk.upToSequence(), chunk.records())
                 .forEach(key -> table.addChange(log.owner, log.incarnation, key));
-        applyAfter(owner, log, log.snapshotCursor, chunk.entries(), nowMs);
-        log.snapshotCursor = chunk.to();
-        log.tombstoneFloor = Math.max(log.tombstoneFloor, chunk.floor());
+        applyAfter(owner, log, log.snapshotCursor, chunk.records(), nowMs);
+        log.snapshotCursor = chunk.upToSequence();
+        log.tombstoneFloor = Math.max(log.tombstoneFloor, chunk.tombstoneFloor());
         if (log.snapshotCursor >= log.snapshotEnd) {
             log.appliedSequence = log.snapshotEnd;
             log.clearSnapshot();
@@ -118,7 +118,7 @@
     private void findConflicts(OwnerState owner, OwnerLog log, List<ReplicatedRecord> records) {
         for (ReplicatedRecord record : records) {
             ReplicatedRecord mine = log.at(record.version().sequence());
-            if (mine != null && mine.sum() != record.sum() && mine.intact(log.owner)) {
+            if (mine != null && mine.checksum() != record.checksum() && mine.hasValidChecksum(log.owner)) {
                 table.resolveConflict(owner, log, mine, record);
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
@@ -17,8 +17,8 @@
         this.local = local;
     }
 
-    List<ReplicationMessage.Mark> marks(Iterable<String> names, double nowMs) {
-        List<ReplicationMessage.Mark> marks = new ArrayList<>();
+    List<ReplicationMessage.OwnerSummary> marks(Iterable<String> names, double nowMs) {
+        List<ReplicationMessage.OwnerSummary> marks = new ArrayList<>();
         for (String name : names) {
             OwnerState owner = table.find(name);
             if (owner != null) {
@@ -28,12 +28,12 @@
         return marks;
     }
 
-    private ReplicationMessage.Mark mark(String name, OwnerState owner, double nowMs) {
+    private ReplicationMessage.OwnerSummary mark(String name, OwnerState owner, double nowMs) {
         OwnerLog log = owner.newestLog();
         long applied = log == null ? 0 : log.appliedSequence;
         boolean self = local.isNamed(name) && owner.incarnation == local.incarnation;
         double ageMs = self ? 0 : Math.min(MAX_AGE_MS, Math.max(0, nowMs - owner.lastHeardAtMs));
-        return new ReplicationMessage.Mark(
+        return new ReplicationMessage.OwnerSummary(
                 name,
                 owner.incarnation,
                 owner.nonce,
@@ -44,12 +44,12 @@
                 owner.quarantineReason != null);
     }
 
-    List<ReplicationMessage.Have> endedIncarnations() {
-        List<ReplicationMessage.Have> ended = new ArrayList<>();
+    List<ReplicationMessage.EndedLog> endedIncarnations() {
+        List<ReplicationMessage.EndedLog> ended = new ArrayList<>();
         table.all()
                 .forEach((name, owner) -> owner.logs.headMap(owner.incarnation).forEach((incarnation, log) -> {
                     if (log.size() > 0) {
-                        ended.add(new ReplicationMessage.Have(name, incarnation, log.appliedSequence));
+                        ended.add(new ReplicationMessage.EndedLog(name, incarnation, log.appliedSequence));
                     }
                 }));
         return ended;
@@ -65,32 +65,33 @@
         return ended ? OptionalLong.empty() : OptionalLong.of(0);
     }
 
-    ReplicationMessage.Want request(String name, long incarnation) {
+    ReplicationMessage.LogRequest request(String name, long incarnation) {
         OwnerLog log = table.log(name, incarnation);
         return log == null
-                ? new ReplicationMessage.Want(name, incarnation, 0, 0, 0)
-                : new ReplicationMessage.Want(
+                ? new ReplicationMessage.LogRequest(name, incarnation, 0, 0, 0)
+                : new ReplicationMessage.LogRequest(
                         name, incarnation, log.appliedSequence, log.snapshotCursor, log.snapshotEnd);
     }
 
-    ReplicationMessage.Chunk answer(ReplicationMessage.Want want, int maxBytes) {
+    ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest want, int maxBytes) {
         OwnerState owner = table.find(want.owner());
-        OwnerLog log = table.log(want.owner(), want.life());
-        if (log == null || log.appliedSequence <= want.have()) {
+        OwnerLog log = table.log(want.owner(), want.incarnation());
+        if (log == null || log.appliedSequence <= want.appliedSequence()) {
             return null;
         }
-        if (want.life() < owner.incarnation || want.have() >= log.tombstoneFloor) {
-            return log.piece(want.have(), log.appliedSequence, 0, owner.incarnation, maxBytes);
+        if (want.incarnation() < owner.incarnation || want.appliedSequence() >= log.tombstoneFloor) {
+            return log.piece(want.appliedSequence(), log.appliedSequence, 0, owner.incarnation, maxBytes);
         }
         // A snapshot that another began goes on only if no tombstone after its end was forgotten since.
-        boolean resumes =
-                want.base() > want.have() && want.base() <= log.appliedSequence && want.cursor() < want.base();
+        boolean resumes = want.snapshotEnd() > want.appliedSequence()
+                && want.snapshotEnd() <= log.appliedSequence
+                && want.snapshotCursor() < want.snapshotEnd();
         return resumes
-                ? log.piece(want.cursor(), want.base(), want.base(), owner.incarnation, maxBytes)
+                ? log.piece(want.snapshotCursor(), want.snapshotEnd(), want.snapshotEnd(), owner.incarnation, maxBytes)
                 : log.piece(0, log.appliedSequence, log.appliedSequence, owner.incarnation, maxBytes);
     }
 
-    ReplicationMessage.Chunk readAfter(String name, long incarnation, long sequence, int maxBytes) {
+    ReplicationMessage.LogChunk readAfter(String name, long incarnation, long sequence, int maxBytes) {
         OwnerLog log = table.log(name, incarnation);
         return log == null || sequence >= log.appliedSequence || sequence < log.tombstoneFloor
                 ? null
--- a/fleet/src/main/java/brackenbridge/fleet/replica/MarkMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/MarkMerger.java
@@ -19,53 +19,53 @@
     }
 
     /** Merges a mark; true if it was news. */
-    boolean merge(ReplicationMessage.Mark mark, double nowMs) {
+    boolean merge(ReplicationMessage.OwnerSummary mark, double nowMs) {
         if (local.isNamed(mark.owner())) {
             return mergeOfLocal(mark, nowMs);
         }
         OwnerState owner = table.findOrAdd(mark.owner());
-        if (owner == null || mark.life() < owner.incarnation) {
+        if (owner == null || mark.incarnation() < owner.incarnation) {
             return false;
         }
-        boolean news = table.advanceIncarnation(mark.owner(), owner, mark.life());
+        boolean news = table.advanceIncarnation(mark.owner(), owner, mark.incarnation());
         if (owner.nonce == 0) {
             owner.nonce = mark.nonce();
         } else if (mark.nonce() != 0 && mark.nonce() != owner.nonce) {
             news |= table.quarantine(
                     mark.owner(),
                     owner,
-                    "two processes write as " + mark.owner() + " in life " + mark.life() + ": "
+                    "two processes write as " + mark.owner() + " in life " + mark.incarnation() + ": "
                             + Long.toHexString(owner.nonce) + " and " + Long.toHexString(mark.nonce()));
         }
-        if (mark.aside()) {
-            news |= table.quarantine(mark.owner(), owner, "put aside by another member in life " + mark.life());
+        if (mark.quarantined()) {
+            news |= table.quarantine(mark.owner(), owner, "put aside by another member in life " + mark.incarnation());
         }
         return mergeHeartbeat(owner, mark, nowMs) | news;
     }
 
-    private static boolean mergeHeartbeat(OwnerState owner, ReplicationMessage.Mark mark, double nowMs) {
-        if (mark.beat() < owner.heartbeat) {
+    private static boolean mergeHeartbeat(OwnerState owner, ReplicationMessage.OwnerSummary mark, double nowMs) {
+        if (mark.heartbeat() < owner.heartbeat) {
             return false;
         }
-        boolean news = mark.beat() > owner.heartbeat;
-        owner.heartbeat = mark.beat();
-        owner.announcedSequence = Math.max(owner.announcedSequence, mark.said());
+        boolean news = mark.heartbeat() > owner.heartbeat;
+        owner.heartbeat = mark.heartbeat();
+        owner.announcedSequence = Math.max(owner.announcedSequence, mark.announcedSequence());
         owner.lastHeardAtMs = Math.max(owner.lastHeardAtMs, nowMs - mark.ageMs());
         owner.updateCompleteness();
         return news;
     }
 
     /** Merges what a peer knows of this member itself. */
-    private boolean mergeOfLocal(ReplicationMessage.Mark mark, double nowMs) {
-        boolean sameIncarnation = mark.life() == local.incarnation;
+    private boolean mergeOfLocal(ReplicationMessage.OwnerSummary mark, double nowMs) {
+        boolean sameIncarnation = mark.incarnation() == local.incarnation;
         if (sameIncarnation && (mark.nonce() == local.nonce || mark.nonce() == 0)) {
             local.confirmed = true;
-            if (mark.aside()) {
+            if (mark.quarantined()) {
                 local.quarantine("put aside by another member in life " + local.incarnation);
             }
             return false;
         }
-        if (mark.life() < local.incarnation || mark.life() == 0) {
+        if (mark.incarnation() < local.incarnation || mark.incarnation() == 0) {
             return false;
         }
         boolean nothingAnnounced = !local.announced || !local.confirmed && local.log().appliedSequence == 0;
@@ -74,14 +74,14 @@
             // Guards against an old disk and a time of day that went back: the other process is this member's own
             // past, or nothing was announced in this incarnation yet.
             table.addAlarm("incarnation " + local.incarnation + " of " + local.name + " is not the latest, peers know "
-                    + mark.life() + ": takes the next");
-            startIncarnation(mark.life() + 1, nowMs);
+                    + mark.incarnation() + ": takes the next");
+            startIncarnation(mark.incarnation() + 1, nowMs);
             return true;
         }
         return local.quarantine(
                 sameIncarnation
                         ? "another process writes as " + local.name + " in life " + local.incarnation
-                        : "another process writes as " + local.name + " in a later life, " + mark.life());
+                        : "another process writes as " + local.name + " in a later life, " + mark.incarnation());
     }
 
     /**
@@ -97,7 +97,7 @@
         owner.incarnation = next;
         owner.quarantineReason = null;
         owner.logs.put(next, new OwnerLog(local.name, next));
-        written.forEach(record -> table.addChange(local.name, ended.incarnation, record.item()));
+        written.forEach(record -> table.addChange(local.name, ended.incarnation, record.recordKey()));
         if (local.announced) {
             ended.end();
             owner.logs.put(ended.incarnation, ended);
@@ -105,9 +105,9 @@
         }
         table.addChange(local.name, ended.incarnation, null);
         for (ReplicatedRecord record : written) {
-            boolean own = record.space().kind() == RecordSpace.Kind.OWN;
-            if (!record.gone() && (own || !local.announced)) {
-                writer.write(record.space(), record.key(), record.value(), record.count(), record.below(), nowMs);
+            boolean own = record.space().kind() == RecordSpace.Kind.REGISTER;
+            if (!record.removed() && (own || !local.announced)) {
+                writer.write(record.space(), record.key(), record.value(), record.count(), record.foldedBelow(), nowMs);
             }
         }
         table.addChange(local.name, next, null);
--- a/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
@@ -72,7 +72,7 @@
 
     /** Takes a write if it is later than what is here of its key. */
     boolean apply(ReplicatedRecord e, double nowMs) {
-        ReplicatedRecord now = byKey.get(e.item());
+        ReplicatedRecord now = byKey.get(e.recordKey());
         if (now != null && now.version().sequence() >= e.version().sequence()) {
             return false;
         }
@@ -82,15 +82,15 @@
 
     /** Puts this one in the place of whatever is here of its key. */
     void replace(ReplicatedRecord e, double nowMs) {
-        ReplicatedRecord before = byKey.put(e.item(), e);
+        ReplicatedRecord before = byKey.put(e.recordKey(), e);
         if (before != null) {
             bySequence.remove(before.version().sequence());
         }
         ReplicatedRecord other = bySequence.put(e.version().sequence(), e);
-        if (other != null && !other.item().equals(e.item())) {
-            byKey.remove(other.item());
+        if (other != null && !other.recordKey().equals(e.recordKey())) {
+            byKey.remove(other.recordKey());
         }
-        if (e.gone()) {
+        if (e.removed()) {
             tombstones.add(new Tombstone(e.version().sequence(), nowMs));
         }
     }
@@ -110,10 +110,10 @@
         for (ReplicatedRecord e :
                 List.copyOf(bySequence.subMap(from, false, to, true).values())) {
             // Guards a count that only this copy has: its later value may never come.
-            if (e.space().kind() == RecordSpace.Kind.OWN
+            if (e.space().kind() == RecordSpace.Kind.REGISTER
                     && !keep.contains(e.version().sequence())) {
-                drop(e.item());
-                dropped.add(e.item());
+                drop(e.recordKey());
+                dropped.add(e.recordKey());
             }
         }
         return dropped;
@@ -123,9 +123,9 @@
     List<RecordKey> end() {
         List<RecordKey> dropped = new ArrayList<>();
         for (ReplicatedRecord e : List.copyOf(bySequence.values())) {
-            if (e.space().kind() == RecordSpace.Kind.OWN) {
-                drop(e.item());
-                dropped.add(e.item());
+            if (e.space().kind() == RecordSpace.Kind.REGISTER) {
+                drop(e.recordKey());
+                dropped.add(e.recordKey());
             }
         }
         tombstones.clear();
@@ -152,9 +152,9 @@
                 && tombstones.peek().sequence() <= appliedSequence) {
             Tombstone oldest = tombstones.poll();
             ReplicatedRecord e = bySequence.get(oldest.sequence());
-            if (e != null && e.gone()) {
-                drop(e.item());
-                forgotten.add(e.item());
+            if (e != null && e.removed()) {
+                drop(e.recordKey());
+                forgotten.add(e.recordKey());
             }
             tombstoneFloor = Math.max(tombstoneFloor, oldest.sequence());
         }
@@ -162,29 +162,30 @@
     }
 
     /** What was written last after a write, up to so many bytes; {@code end} is how far it may go. */
-    ReplicationMessage.Chunk piece(long from, long end, long snapshot, long newest, int mostBytes) {
+    ReplicationMessage.LogChunk piece(long from, long end, long snapshot, long newest, int mostBytes) {
         List<ReplicatedRecord> entries = new ArrayList<>();
         int bytes = 0;
         long to = end;
         for (ReplicatedRecord e :
                 bySequence.subMap(from, false, Math.max(from, end), true).values()) {
-            if (!entries.isEmpty() && (bytes + e.bytes() > mostBytes || entries.size() == ReplicationMessage.MOST)) {
+            if (!entries.isEmpty()
+                    && (bytes + e.bytes() > mostBytes || entries.size() == ReplicationMessage.MAX_LIST_SIZE)) {
                 to = entries.get(entries.size() - 1).version().sequence();
                 break;
             }
             entries.add(e);
             bytes += e.bytes();
         }
-        return new ReplicationMessage.Chunk(
+        return new ReplicationMessage.LogChunk(
                 owner, incarnation, newest, from, Math.max(from, to), snapshot, tombstoneFloor, entries);
     }
 
     /** A digest for each range of keys, over what the copy holds by now: nothing is remembered from when it came. */
     long[] digests() {
-        long[] d = new long[RecordKey.RANGES];
+        long[] d = new long[RecordKey.RANGE_COUNT];
         for (ReplicatedRecord e : bySequence.values()) {
-            if (!e.gone()) {
-                d[e.item().range()] += mix(e.actual(owner));
+            if (!e.removed()) {
+                d[e.recordKey().range()] += mix(e.computeChecksum(owner));
             }
         }
         return d;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/PeerProgress.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/PeerProgress.java
@@ -17,5 +17,5 @@
     Map<Long, Long> endedSequences = Map.of();
 
     Map<Long, Long> partialEndedSequences = new TreeMap<>();
-    final Map<CatchUp.LogId, ReplicationMessage.Want> pending = new LinkedHashMap<>();
+    final Map<CatchUp.LogId, ReplicationMessage.LogRequest> pending = new LinkedHashMap<>();
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
@@ -8,11 +8,11 @@
  */
 public record RecordKey(RecordSpace space, String key) implements Comparable<RecordKey> {
     /** Ranges of keys by which copies are compared. */
-    static final int RANGES = 16;
+    static final int RANGE_COUNT = 16;
 
     int range() {
         int h = key.hashCode() * 31 + space.ordinal();
-        return (h ^ h >>> 16 ^ h >>> 8) & RANGES - 1;
+        return (h ^ h >>> 16 ^ h >>> 8) & RANGE_COUNT - 1;
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
@@ -15,7 +15,7 @@
     }
 
     long sum(RecordSpace space, String key) {
-        space.requireKind(RecordSpace.Kind.COUNTED);
+        space.requireKind(RecordSpace.Kind.COUNTER);
         RecordKey recordKey = new RecordKey(space, key);
         long sum = 0;
         for (OwnerState owner : table.states()) {
@@ -28,12 +28,12 @@
         return sum;
     }
 
-    List<Replica.Seen> readAll(RecordSpace space, double nowMs) {
-        List<Replica.Seen> readable = new ArrayList<>();
+    List<Replica.ReadRecord> readAll(RecordSpace space, double nowMs) {
+        List<Replica.ReadRecord> readable = new ArrayList<>();
         table.all().forEach((name, owner) -> {
             for (OwnerLog log : owner.logs.values()) {
                 for (ReplicatedRecord record : log.all()) {
-                    Replica.Seen seen = record.space() == space ? read(name, owner, log, record, nowMs) : null;
+                    Replica.ReadRecord seen = record.space() == space ? read(name, owner, log, record, nowMs) : null;
                     if (seen != null) {
                         readable.add(seen);
                     }
@@ -43,22 +43,23 @@
         return readable;
     }
 
-    Replica.Seen read(String name, RecordSpace space, String key, double nowMs) {
+    Replica.ReadRecord read(String name, RecordSpace space, String key, double nowMs) {
         OwnerState owner = table.find(name);
         OwnerLog log = owner == null ? null : owner.newestLog();
         ReplicatedRecord record = log == null ? null : log.get(new RecordKey(space, key));
         return record == null ? null : read(name, owner, log, record, nowMs);
     }
 
-    private Replica.Seen read(String name, OwnerState owner, OwnerLog log, ReplicatedRecord record, double nowMs) {
-        boolean own = record.space().kind() == RecordSpace.Kind.OWN;
+    private Replica.ReadRecord read(
+            String name, OwnerState owner, OwnerLog log, ReplicatedRecord record, double nowMs) {
+        boolean own = record.space().kind() == RecordSpace.Kind.REGISTER;
         boolean unreadable = owner.quarantineReason != null || log.incarnation < owner.incarnation;
-        if (record.gone() || own && unreadable) {
+        if (record.removed() || own && unreadable) {
             return null;
         }
         byte[] value = own ? record.value() : Long.toString(record.count()).getBytes(StandardCharsets.US_ASCII);
         double ageMs = local.isNamed(name) ? 0 : Math.max(0, nowMs - owner.lastCompleteAtMs);
-        return new Replica.Seen(name, record.key(), record.version(), value, ageMs);
+        return new Replica.ReadRecord(name, record.key(), record.version(), value, ageMs);
     }
 
     double heartbeatAgeMs(String name, double nowMs) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -8,32 +8,32 @@
  */
 public enum RecordSpace {
     /** What a node sees of each server: key is the host. */
-    SERVERS(Kind.OWN, 10_000),
+    SERVERS(Kind.REGISTER, 10_000),
     /** What a node's tenants want and use of each pool: key is {@code pool/tenant}. */
-    DEMAND(Kind.OWN, 3_000),
+    DEMAND(Kind.REGISTER, 3_000),
     /** What a node sees of each pool and class: key is {@code pool/class}. */
-    POOLS(Kind.OWN, 15_000),
+    POOLS(Kind.REGISTER, 15_000),
     /** How far a node is, what it holds and how old: key is empty. */
-    NODES(Kind.OWN, 10_000),
+    NODES(Kind.REGISTER, 10_000),
     /** Connection time that each tenant has used: key is {@code pool/tenant}. */
-    USED(Kind.COUNTED, Double.POSITIVE_INFINITY),
+    USED(Kind.COUNTER, Double.POSITIVE_INFINITY),
     /** Attempts that went out: key is the pool. */
-    ATTEMPTS(Kind.COUNTED, Double.POSITIVE_INFINITY);
+    ATTEMPTS(Kind.COUNTER, Double.POSITIVE_INFINITY);
 
     /** The rule by which copies become one. */
     public enum Kind {
         /** One writer: the newer by incarnation and sequence wins; two writers of one name are both quarantined. */
-        OWN,
+        REGISTER,
         /** A sum over writers that survives a writer's end: each writer's part only grows. */
-        COUNTED
+        COUNTER
     }
 
     private final Kind kind;
-    private final double freshMs;
+    private final double maxAgeMs;
 
     RecordSpace(Kind kind, double freshMs) {
         this.kind = kind;
-        this.freshMs = freshMs;
+        this.maxAgeMs = freshMs;
     }
 
     /** Its rule. */
@@ -42,8 +42,8 @@
     }
 
     /** A record whose owner was not heard of for longer than this is not acted on; milliseconds. */
-    public double freshMs() {
-        return freshMs;
+    public double maxAgeMs() {
+        return maxAgeMs;
     }
 
     /**
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
@@ -187,7 +187,7 @@
     }
 
     /** Counts a heartbeat of this member. */
-    public void heartbeat() {
+    public void incrementHeartbeat() {
         local.heartbeat++;
     }
 
@@ -197,12 +197,12 @@
     }
 
     /** The marks of these owners; unknown ones are left out. */
-    public List<ReplicationMessage.Mark> marks(Iterable<String> names, double nowMs) {
+    public List<ReplicationMessage.OwnerSummary> summaries(Iterable<String> names, double nowMs) {
         return logReader.marks(names, nowMs);
     }
 
     /** Ended incarnations of all owners of which counters are kept. */
-    public List<ReplicationMessage.Have> endedIncarnations() {
+    public List<ReplicationMessage.EndedLog> endedLogs() {
         return logReader.endedIncarnations();
     }
 
@@ -211,7 +211,7 @@
      *
      * @return whether it was news
      */
-    public boolean merge(ReplicationMessage.Mark mark, double nowMs) {
+    public boolean merge(ReplicationMessage.OwnerSummary mark, double nowMs) {
         return markMerger.merge(mark, nowMs);
     }
 
@@ -235,7 +235,7 @@
     }
 
     /** What to request to get on with this incarnation. */
-    public ReplicationMessage.Want request(String owner, long incarnation) {
+    public ReplicationMessage.LogRequest createRequest(String owner, long incarnation) {
         return logReader.request(owner, incarnation);
     }
 
@@ -246,7 +246,7 @@
      * @param maxBytes about how many bytes
      * @return null if there is nothing here that the other lacks
      */
-    public ReplicationMessage.Chunk answer(ReplicationMessage.Want want, int maxBytes) {
+    public ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest want, int maxBytes) {
         return logReader.answer(want, maxBytes);
     }
 
@@ -256,12 +256,12 @@
      * @param maxBytes about how many bytes
      * @return null if there is nothing after it, or tombstones after it are forgotten
      */
-    public ReplicationMessage.Chunk readAfter(String owner, long incarnation, long sequence, int maxBytes) {
+    public ReplicationMessage.LogChunk readAfter(String owner, long incarnation, long sequence, int maxBytes) {
         return logReader.readAfter(owner, incarnation, sequence, maxBytes);
     }
 
     /** Merges a piece of a log or of a snapshot. */
-    public MergeResult merge(ReplicationMessage.Chunk chunk, double nowMs) {
+    public MergeResult merge(ReplicationMessage.LogChunk chunk, double nowMs) {
         return logMerger.merge(chunk, nowMs);
     }
 
@@ -301,12 +301,12 @@
     }
 
     /** Records of one incarnation in a range of keys, in the order of keys, tombstones among them. */
-    public List<ReplicatedRecord> range(String owner, long incarnation, int range) {
+    public List<ReplicatedRecord> recordsInRange(String owner, long incarnation, int range) {
         return copies.range(owner, incarnation, range);
     }
 
     /** All records of one incarnation, tombstones among them, in the order of writes. */
-    public List<ReplicatedRecord> all(String owner, long incarnation) {
+    public List<ReplicatedRecord> records(String owner, long incarnation) {
         return copies.all(owner, incarnation);
     }
 
@@ -346,12 +346,12 @@
     }
 
     /** All records of a space but for ended incarnations' and quarantined ones. */
-    public List<Replica.Seen> readAll(RecordSpace space, double nowMs) {
+    public List<Replica.ReadRecord> readAll(RecordSpace space, double nowMs) {
         return reader.readAll(space, nowMs);
     }
 
     /** One record of an owner's newest incarnation; null if there is none, or it is quarantined. */
-    public Replica.Seen read(String owner, RecordSpace space, String key, double nowMs) {
+    public Replica.ReadRecord read(String owner, RecordSpace space, String key, double nowMs) {
         return reader.read(owner, space, key, nowMs);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
@@ -153,7 +153,7 @@
             addAlarm(name + " has more than " + RecordStore.MAX_ENDED_INCARNATIONS
                     + " incarnations whose counters are not folded: incarnation " + first.incarnation
                     + " is dropped with " + first.all());
-            first.all().forEach(record -> addChange(name, first.incarnation, record.item()));
+            first.all().forEach(record -> addChange(name, first.incarnation, record.recordKey()));
             addChange(name, first.incarnation, null);
         }
     }
@@ -171,7 +171,7 @@
         addAlarm(reason + ": its records are quarantined until a later incarnation");
         OwnerLog log = owner.newestLog();
         if (log != null) {
-            log.all().forEach(record -> addChange(name, owner.incarnation, record.item()));
+            log.all().forEach(record -> addChange(name, owner.incarnation, record.recordKey()));
         }
         return true;
     }
@@ -183,9 +183,9 @@
      * this one are dropped in the same step.
      */
     void apply(OwnerState owner, OwnerLog log, ReplicatedRecord record, double nowMs) {
-        if (record.space().kind() == RecordSpace.Kind.OWN) {
+        if (record.space().kind() == RecordSpace.Kind.REGISTER) {
             if (log.incarnation == owner.incarnation && log.apply(record, nowMs)) {
-                addChange(log.owner, log.incarnation, record.item());
+                addChange(log.owner, log.incarnation, record.recordKey());
             }
             return;
         }
@@ -193,15 +193,15 @@
             return;
         }
         if (log.apply(record, nowMs)) {
-            addChange(log.owner, log.incarnation, record.item());
+            addChange(log.owner, log.incarnation, record.recordKey());
             dropFolded(owner, log, record);
         }
     }
 
     private static boolean isFoldedIntoLater(OwnerState owner, OwnerLog log, ReplicatedRecord record) {
         for (OwnerLog later : owner.logs.tailMap(log.incarnation, false).values()) {
-            ReplicatedRecord folded = later.get(record.item());
-            if (folded != null && folded.below() > log.incarnation) {
+            ReplicatedRecord folded = later.get(record.recordKey());
+            if (folded != null && folded.foldedBelow() > log.incarnation) {
                 return true;
             }
         }
@@ -209,10 +209,10 @@
     }
 
     private void dropFolded(OwnerState owner, OwnerLog log, ReplicatedRecord record) {
-        long below = Math.min(record.below(), log.incarnation);
+        long below = Math.min(record.foldedBelow(), log.incarnation);
         for (OwnerLog earlier : List.copyOf(owner.logs.headMap(below).values())) {
-            earlier.drop(record.item());
-            addChange(log.owner, earlier.incarnation, record.item());
+            earlier.drop(record.recordKey());
+            addChange(log.owner, earlier.incarnation, record.recordKey());
             removeObsoleteLogs(log.owner, owner, earlier);
         }
     }
@@ -222,10 +222,10 @@
         String both = "one write of " + log.owner + " with two contents: here " + mine + ", there " + theirs;
         if (log.incarnation == owner.incarnation) {
             quarantine(log.owner, owner, both);
-        } else if (theirs.count() > mine.count() && theirs.item().equals(mine.item())) {
+        } else if (theirs.count() > mine.count() && theirs.recordKey().equals(mine.recordKey())) {
             addAlarm(both + ": the greater count stays");
             log.replace(theirs, 0);
-            addChange(log.owner, log.incarnation, mine.item());
+            addChange(log.owner, log.incarnation, mine.recordKey());
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
@@ -6,9 +6,11 @@
  * @param life the owner's incarnation
  * @param sequence the sequence number: counts the owner's writes in this incarnation, over all spaces, from 1
  */
-public record RecordVersion(long life, long sequence) implements Comparable<RecordVersion> {
+public record RecordVersion(long incarnation, long sequence) implements Comparable<RecordVersion> {
     @Override
     public int compareTo(RecordVersion o) {
-        return life != o.life ? Long.compare(life, o.life) : Long.compare(sequence, o.sequence);
+        return incarnation != o.incarnation
+                ? Long.compare(incarnation, o.incarnation)
+                : Long.compare(sequence, o.sequence);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
@@ -18,10 +18,10 @@
      * @param heardMs how long ago its owner was last known to hold it so, in milliseconds; by this member's clock, so
      *     that it is never too small by more than a message's way
      */
-    record Seen(String owner, String key, RecordVersion version, byte[] value, double heardMs) {
+    record ReadRecord(String owner, String key, RecordVersion version, byte[] value, double ageMs) {
         /** Whether it may be acted on. */
-        public boolean fresh(RecordSpace space) {
-            return heardMs <= space.freshMs();
+        public boolean isFresh(RecordSpace space) {
+            return ageMs <= space.maxAgeMs();
         }
     }
 
@@ -33,17 +33,17 @@
      * @param differing how many copies were found to differ and were not made one yet
      * @param outOfDecision whether it differs after the rule was applied: nobody acts on its copies
      */
-    record Level(
-            @JsonProperty("level") boolean level,
-            @JsonProperty("behind") long behind,
-            @JsonProperty("differing") long differing,
-            @JsonProperty("outOfDecision") boolean outOfDecision) {}
+    record SyncState(
+            @JsonProperty("level") boolean caughtUp,
+            @JsonProperty("behind") long missingWrites,
+            @JsonProperty("differing") long differingLogs,
+            @JsonProperty("outOfDecision") boolean excludedFromDecisions) {}
 
     /** Hears of records that have changed. */
     @FunctionalInterface
     interface Listener {
         /** This record is another from now on; null if it is gone. */
-        void changed(RecordSpace space, String owner, String key, Seen now);
+        void onChange(RecordSpace space, String owner, String key, ReadRecord now);
     }
 
     /**
@@ -71,11 +71,11 @@
     long sum(RecordSpace space, String key);
 
     /** All records of a space, of all owners, this one included. */
-    List<Seen> seen(RecordSpace space);
+    List<ReadRecord> readAll(RecordSpace space);
 
     /** Whether this member has caught up. */
-    Level level();
+    SyncState syncState();
 
     /** Adds a listener; it is called on one thread, for changes from now on. */
-    void listen(Listener listener);
+    void addListener(Listener listener);
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
@@ -55,7 +55,7 @@
     private final StoreFile file;
     private final String fleet;
     private final String member;
-    private long life;
+    private long incarnation;
     private boolean failed;
     private MVStore store;
     private MVMap<String, byte[]> logHeads;
@@ -86,7 +86,7 @@
         this.file = file;
         this.fleet = fleet;
         this.member = member;
-        this.life = life;
+        this.incarnation = life;
         useStore(store);
     }
 
@@ -206,7 +206,7 @@
      * The incarnation with which a process begins that has no disk. After the time of day went back it may be earlier
      * than one that peers know, and is outlived then, by the links and the replica alike.
      */
-    public static long lifeWithout(double nowMs) {
+    public static long incarnationWithoutDisk(double nowMs) {
         return (long) nowMs;
     }
 
@@ -221,13 +221,13 @@
     }
 
     /** The incarnation that was taken at this start. */
-    public long life() {
-        return life;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** An incarnation that was taken later, since peers knew a later one; the next write writes it. */
     void useIncarnation(long later) {
-        life = later;
+        incarnation = later;
     }
 
     /** Whether the next write must be of everything: one has failed, or what is there was read at a start. */
@@ -249,7 +249,7 @@
             // Guards against a page of the file that can't be read, which shows as any kind of exception.
             store.closeImmediately();
             useStore(replaceBroken(file, firstLine(e)));
-            writeHeader(header, fleet, member, life);
+            writeHeader(header, fleet, member, incarnation);
             store.commit();
             store.sync();
             return;
@@ -267,7 +267,7 @@
             byte[] b = verifyChecksum(e.getValue());
             try {
                 ReplicatedRecord entry = b == null ? null : ReplicationCodec.readEntry(b);
-                if (entry == null || !entry.intact(of.substring(0, of.indexOf('\0')))) {
+                if (entry == null || !entry.hasValidChecksum(of.substring(0, of.indexOf('\0')))) {
                     bad.merge(of, 1, Integer::sum);
                 } else {
                     entries.computeIfAbsent(of, k -> new ArrayList<>()).add(entry);
@@ -366,8 +366,8 @@
     }
 
     private void put(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) {
-        if (!text(header, "life").equals(Long.toString(life))) {
-            writeHeader(header, fleet, member, life);
+        if (!text(header, "life").equals(Long.toString(incarnation))) {
+            writeHeader(header, fleet, member, incarnation);
         }
         for (Batch b : batches) {
             String of = b.owner() + '\0' + b.life();
@@ -376,7 +376,7 @@
                 continue;
             }
             b.gone().forEach(i -> records.remove(key(of, i)));
-            b.entries().forEach(e -> records.put(key(of, e.item()), withChecksum(ReplicationCodec.write(e))));
+            b.entries().forEach(e -> records.put(key(of, e.recordKey()), withChecksum(ReplicationCodec.write(e))));
             logHeads.put(
                     of,
                     withChecksum(ByteBuffer.allocate(20)
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -44,12 +44,12 @@
      */
     public record Status(
             @JsonProperty("member") String member,
-            @JsonProperty("life") long life,
-            @JsonProperty("wrote") long wrote,
-            @JsonProperty("have") long have,
-            @JsonProperty("heardMs") double heardMs,
-            @JsonProperty("standing") MemberStatus standing,
-            @JsonProperty("aside") String aside) {}
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("wrote") long announcedSequence,
+            @JsonProperty("have") long appliedSequence,
+            @JsonProperty("heardMs") double heartbeatAgeMs,
+            @JsonProperty("standing") MemberStatus status,
+            @JsonProperty("aside") String quarantineReason) {}
 
     /**
      * What a member's exchange has done.
@@ -62,14 +62,14 @@
      * @param records records that are held
      * @param onDisk whether the disk takes what is written; false without a disk
      */
-    public record Figures(
+    public record Statistics(
             @JsonProperty("sentBytes") long sentBytes,
-            @JsonProperty("dropped") long dropped,
-            @JsonProperty("unsent") long unsent,
-            @JsonProperty("unreadable") long unreadable,
+            @JsonProperty("dropped") long throttledMessages,
+            @JsonProperty("unsent") long unsentMessages,
+            @JsonProperty("unreadable") long malformedMessages,
             @JsonProperty("differences") long differences,
             @JsonProperty("records") long records,
-            @JsonProperty("onDisk") boolean onDisk) {}
+            @JsonProperty("onDisk") boolean diskHealthy) {}
 
     private final PeerLinks links;
     private final ReplicaDisk disk;
@@ -102,7 +102,8 @@
         this.disk = disk;
         this.clock = clock;
         long nonce = new java.security.SecureRandom().nextLong() | 1;
-        long incarnation = Math.max(links.life(), disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life());
+        long incarnation = Math.max(
+                links.life(), disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation());
         store = new RecordStore(links.me().name(), incarnation, nonce, true);
         notifier = new ChangeNotifier(monitor, store, clock);
         diskWriter = disk == null ? null : new DiskWriter(monitor, store, disk);
@@ -143,8 +144,8 @@
     // ---- turns ----
 
     /** One step of the protocol under the lock; what it sends goes out without it. */
-    private void runTurn(Supplier<List<ReplicationProtocol.Out>> step) {
-        List<ReplicationProtocol.Out> messages;
+    private void runTurn(Supplier<List<ReplicationProtocol.OutgoingMessage>> step) {
+        List<ReplicationProtocol.OutgoingMessage> messages;
         List<String> alarms;
         monitor.lock();
         try {
@@ -163,7 +164,7 @@
         send(messages);
     }
 
-    private void send(List<ReplicationProtocol.Out> messages) {
+    private void send(List<ReplicationProtocol.OutgoingMessage> messages) {
         long unsent = messages.stream()
                 .filter(message -> !links.send(message.peer(), MessageStream.REPLICA, message.body()))
                 .count();
@@ -262,34 +263,34 @@
     }
 
     @Override
-    public List<Seen> seen(RecordSpace space) {
+    public List<ReadRecord> readAll(RecordSpace space) {
         return monitor.locked(() -> store.readAll(space, clock.nowMs()));
     }
 
     @Override
-    public Level level() {
-        return monitor.locked(() -> protocol.level(clock.nowMs()));
+    public SyncState syncState() {
+        return monitor.locked(() -> protocol.syncState(clock.nowMs()));
     }
 
     @Override
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         notifier.addListener(listener);
     }
 
     /** This member's incarnation: greater than that of its links if peers knew a later one. */
-    public long life() {
+    public long incarnation() {
         return monitor.locked(store::incarnation);
     }
 
     /** This member's last write. */
-    public RecordVersion version() {
+    public RecordVersion latestVersion() {
         return monitor.locked(() -> new RecordVersion(
                 store.incarnation(),
                 store.appliedSequence(store.localMember(), store.incarnation()).orElse(0)));
     }
 
     /** The last differences that were found, with both values; what {@code state diff} shows. */
-    public List<AntiEntropy.Difference> diff() {
+    public List<AntiEntropy.Difference> recentDifferences() {
         return monitor.locked(() -> protocol.antiEntropy().recentDifferences());
     }
 
@@ -318,25 +319,25 @@
     }
 
     /** What it has done. */
-    public Figures figures() {
-        return monitor.locked(() -> new Figures(
+    public Statistics statistics() {
+        return monitor.locked(() -> new Statistics(
                 protocol.sentBytes(),
-                protocol.dropped(),
+                protocol.throttledMessages(),
                 unsentMessages,
-                protocol.unreadable(),
+                protocol.malformedMessages(),
                 protocol.antiEntropy().totalDifferences(),
                 store.size(),
                 diskWriter != null && diskWriter.isHealthy()));
     }
 
     /** How many peers have said that they hold all writes of this member up to this one. */
-    public int heldBy(RecordVersion version) {
+    public int countPeersHolding(RecordVersion version) {
         return monitor.locked(
-                () -> version.life() == store.incarnation() ? protocol.peersHolding(version.sequence()) : 0);
+                () -> version.incarnation() == store.incarnation() ? protocol.peersHolding(version.sequence()) : 0);
     }
 
     /** Waits until all that was written until now is on the disk; false if the time is over or there is no disk. */
-    public boolean awaitDisk(double withinMs) throws InterruptedException {
+    public boolean awaitFlushed(double withinMs) throws InterruptedException {
         return diskWriter != null && diskWriter.awaitFlushed(withinMs);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
@@ -18,26 +18,32 @@
  * @param sum a checksum over all of it and the owner's name, made by the owner at the write
  */
 public record ReplicatedRecord(
-        RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below, long sum) {
+        RecordSpace space,
+        String key,
+        RecordVersion version,
+        byte[] value,
+        long count,
+        long foldedBelow,
+        long checksum) {
     /** Characters of a key, at the most. */
-    public static final int MOST_KEY = 512;
+    public static final int MAX_KEY_LENGTH = 512;
     /** Bytes of a value, at the most. */
-    public static final int MOST_VALUE = 16 << 10;
+    public static final int MAX_VALUE_BYTES = 16 << 10;
 
     /** Checks what can be checked without the owner's name. */
     public ReplicatedRecord {
         if (space == null
                 || key == null
-                || key.length() > MOST_KEY
+                || key.length() > MAX_KEY_LENGTH
                 || !text(key)
                 || version == null
-                || version.life() < 0
+                || version.incarnation() < 0
                 || version.sequence() < 1
-                || value != null && value.length > MOST_VALUE
+                || value != null && value.length > MAX_VALUE_BYTES
                 || count < 0
-                || below < 0
-                || below > version.life()
-                || space.kind() == RecordSpace.Kind.COUNTED && value != null) {
+                || foldedBelow < 0
+                || foldedBelow > version.incarnation()
+                || space.kind() == RecordSpace.Kind.COUNTER && value != null) {
             throw new IllegalArgumentException("not a record");
         }
     }
@@ -46,7 +52,7 @@
     public static ReplicatedRecord of(
             String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
         return new ReplicatedRecord(
-                space, key, version, value, count, below, sum(owner, space, key, version, value, count, below));
+                space, key, version, value, count, below, checksum(owner, space, key, version, value, count, below));
     }
 
     /** Whether this can be written as UTF-8 and read again: half a surrogate pair can't. */
@@ -56,22 +62,22 @@
     }
 
     /** Whether it is a tombstone: the key was removed. */
-    public boolean gone() {
-        return value == null && space.kind() == RecordSpace.Kind.OWN;
+    public boolean removed() {
+        return value == null && space.kind() == RecordSpace.Kind.REGISTER;
     }
 
     /** Whether it still is what its owner wrote: guards against a bit that flipped in memory, on a disk or a way. */
-    public boolean intact(String owner) {
-        return sum == actual(owner);
+    public boolean hasValidChecksum(String owner) {
+        return checksum == computeChecksum(owner);
     }
 
     /** The checksum of what it holds by now. */
-    long actual(String owner) {
-        return sum(owner, space, key, version, value, count, below);
+    long computeChecksum(String owner) {
+        return checksum(owner, space, key, version, value, count, foldedBelow);
     }
 
     /** What it is found by. */
-    public RecordKey item() {
+    public RecordKey recordKey() {
         return new RecordKey(space, key);
     }
 
@@ -81,7 +87,7 @@
     }
 
     /** Two cyclic checksums of different polynomials side by side: 64 bits against accidents, not against intent. */
-    private static long sum(
+    private static long checksum(
             String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
         byte[] o = owner.getBytes(StandardCharsets.UTF_8);
         byte[] k = key.getBytes(StandardCharsets.UTF_8);
@@ -91,7 +97,7 @@
                 .putInt(space.ordinal())
                 .putInt(k.length)
                 .put(k)
-                .putLong(version.life())
+                .putLong(version.incarnation())
                 .putLong(version.sequence())
                 .putLong(count)
                 .putLong(below)
@@ -109,11 +115,11 @@
 
     @Override
     public String toString() {
-        return space + "/" + key + "@" + version.life() + "." + version.sequence() + "="
-                + (gone()
+        return space + "/" + key + "@" + version.incarnation() + "." + version.sequence() + "="
+                + (removed()
                         ? "gone"
                         : value == null
-                                ? count + (below == 0 ? "" : " with all below " + below)
+                                ? count + (foldedBelow == 0 ? "" : " with all below " + foldedBelow)
                                 : value.length > 64
                                         ? value.length + " bytes"
                                         : new String(value, StandardCharsets.UTF_8));
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
@@ -19,15 +19,15 @@
  */
 public final class ReplicationCodec {
     /** Bytes of a message, at the most. */
-    public static final int MOST_BYTES = 256 << 10;
+    public static final int MAX_BYTES = 256 << 10;
 
     private static final List<Class<? extends ReplicationMessage>> KINDS = List.of(
-            ReplicationMessage.Marks.class,
-            ReplicationMessage.Wants.class,
-            ReplicationMessage.Chunk.class,
-            ReplicationMessage.Digests.class,
-            ReplicationMessage.Ranges.class,
-            ReplicationMessage.Copies.class);
+            ReplicationMessage.OwnerSummaries.class,
+            ReplicationMessage.LogRequests.class,
+            ReplicationMessage.LogChunk.class,
+            ReplicationMessage.LogDigests.class,
+            ReplicationMessage.RangeDigests.class,
+            ReplicationMessage.RangeRecords.class);
     private static final ObjectMapper MAPPER = mapper();
     private static final List<ObjectReader> READERS =
             KINDS.stream().map(k -> MAPPER.readerFor(k)).toList();
@@ -40,8 +40,8 @@
         CBORFactory factory = CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
                         .maxNestingDepth(6)
-                        .maxDocumentLength(MOST_BYTES)
-                        .maxStringLength(2 * ReplicatedRecord.MOST_VALUE)
+                        .maxDocumentLength(MAX_BYTES)
+                        .maxStringLength(2 * ReplicatedRecord.MAX_VALUE_BYTES)
                         .maxNameLength(64)
                         .maxNumberLength(32)
                         .build())
@@ -72,7 +72,7 @@
      * @throws IOException if they are none, or go past a bound
      */
     public static ReplicationMessage read(byte[] all) throws IOException {
-        if (all.length < 2 || all.length > MOST_BYTES || all[0] < 0 || all[0] >= KINDS.size()) {
+        if (all.length < 2 || all.length > MAX_BYTES || all[0] < 0 || all[0] >= KINDS.size()) {
             throw new IOException("not a message of replication, " + all.length + " bytes");
         }
         return read(READERS.get(all[0]), all, 1, all.length - 1);
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
@@ -15,39 +15,48 @@
  * @param pieceBytes the size of a piece of a log, about
  */
 public record ReplicationLimits(
-        double bytesASecond,
-        double pushMs,
-        double beatMs,
-        double digestMs,
-        double againMs,
-        double lagMs,
-        double removalMs,
-        int mesh,
+        double bytesPerSecond,
+        double pushIntervalMs,
+        double heartbeatIntervalMs,
+        double digestIntervalMs,
+        double requestTimeoutMs,
+        double maxLagMs,
+        double tombstoneRetentionMs,
+        int maxMeshPeers,
         int fanOut,
-        int pieceBytes) {
+        int chunkBytes) {
     /** What holds without a word in the file. */
     public static final ReplicationLimits DEFAULT =
             new ReplicationLimits(1_000_000, 20, 1000, 2000, 300, 2000, 60_000, 32, 4, 32 << 10);
 
     /** Checks bounds. */
     public ReplicationLimits {
-        if (!(pushMs >= 1
-                        && beatMs >= pushMs
-                        && digestMs >= pushMs
-                        && againMs >= pushMs
-                        && lagMs >= againMs
-                        && removalMs >= beatMs)
-                || mesh < 1
+        if (!(pushIntervalMs >= 1
+                        && heartbeatIntervalMs >= pushIntervalMs
+                        && digestIntervalMs >= pushIntervalMs
+                        && requestTimeoutMs >= pushIntervalMs
+                        && maxLagMs >= requestTimeoutMs
+                        && tombstoneRetentionMs >= heartbeatIntervalMs)
+                || maxMeshPeers < 1
                 || fanOut < 1
-                || pieceBytes < 1024
-                || pieceBytes > 128 << 10) {
+                || chunkBytes < 1024
+                || chunkBytes > 128 << 10) {
             throw new IllegalArgumentException("terms out of bounds");
         }
     }
 
     /** The same with another bound on what it sends. */
-    public ReplicationLimits sending(double most) {
+    public ReplicationLimits withBytesPerSecond(double most) {
         return new ReplicationLimits(
-                most, pushMs, beatMs, digestMs, againMs, lagMs, removalMs, mesh, fanOut, pieceBytes);
+                most,
+                pushIntervalMs,
+                heartbeatIntervalMs,
+                digestIntervalMs,
+                requestTimeoutMs,
+                maxLagMs,
+                tombstoneRetentionMs,
+                maxMeshPeers,
+                fanOut,
+                chunkBytes);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
@@ -10,7 +10,7 @@
  */
 public sealed interface ReplicationMessage {
     /** Elements of any list of a message, at the most. */
-    int MOST = 1024;
+    int MAX_LIST_SIZE = 1024;
 
     /**
      * That an owner is alive, and how far the sender's copy of its newest incarnation is.
@@ -25,11 +25,19 @@
      * @param aside whether this incarnation was quarantined because two wrote in it
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Mark(String owner, long life, long nonce, long beat, long said, long have, long ageMs, boolean aside) {
+    record OwnerSummary(
+            String owner,
+            long incarnation,
+            long nonce,
+            long heartbeat,
+            long announcedSequence,
+            long appliedSequence,
+            long ageMs,
+            boolean quarantined) {
         /** Checks bounds. */
-        public Mark {
+        public OwnerSummary {
             name(owner);
-            notNegative(life, beat, said, have, ageMs);
+            notNegative(incarnation, heartbeat, announcedSequence, appliedSequence, ageMs);
         }
     }
 
@@ -41,11 +49,11 @@
      * @param have how many of its writes
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Have(String owner, long life, long have) {
+    record EndedLog(String owner, long incarnation, long appliedSequence) {
         /** Checks bounds. */
-        public Have {
+        public EndedLog {
             name(owner);
-            notNegative(life, have);
+            notNegative(incarnation, appliedSequence);
         }
     }
 
@@ -58,10 +66,12 @@
      * @param ended ended incarnations of which counters are kept
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Marks(boolean ask, boolean whole, List<Mark> marks, List<Have> ended) implements ReplicationMessage {
+    record OwnerSummaries(
+            boolean replyRequested, boolean complete, List<OwnerSummary> summaries, List<EndedLog> endedLogs)
+            implements ReplicationMessage {
         /** Checks bounds. */
-        public Marks {
-            most(marks, ended);
+        public OwnerSummaries {
+            most(summaries, endedLogs);
         }
     }
 
@@ -75,11 +85,11 @@
      * @param base with a snapshot under way: it ends at this write; else 0
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Want(String owner, long life, long have, long cursor, long base) {
+    record LogRequest(String owner, long incarnation, long appliedSequence, long snapshotCursor, long snapshotEnd) {
         /** Checks bounds. */
-        public Want {
+        public LogRequest {
             name(owner);
-            notNegative(life, have, cursor, base);
+            notNegative(incarnation, appliedSequence, snapshotCursor, snapshotEnd);
         }
     }
 
@@ -89,10 +99,10 @@
      * @param wants of which incarnations
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Wants(List<Want> wants) implements ReplicationMessage {
+    record LogRequests(List<LogRequest> requests) implements ReplicationMessage {
         /** Checks bounds. */
-        public Wants {
-            most(wants);
+        public LogRequests {
+            most(requests);
         }
     }
 
@@ -111,31 +121,33 @@
      * @param entries the writes, earliest first
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Chunk(
+    record LogChunk(
             String owner,
-            long life,
-            long newest,
-            long from,
-            long to,
-            long base,
-            long floor,
-            List<ReplicatedRecord> entries)
+            long incarnation,
+            long newestIncarnation,
+            long afterSequence,
+            long upToSequence,
+            long snapshotEnd,
+            long tombstoneFloor,
+            List<ReplicatedRecord> records)
             implements ReplicationMessage {
         /** Checks bounds and order. */
-        public Chunk {
+        public LogChunk {
             name(owner);
-            notNegative(life, newest, from, to, base, floor);
-            most(entries);
-            long last = from;
-            for (ReplicatedRecord e : entries) {
-                if (e.version().life() != life
+            notNegative(incarnation, newestIncarnation, afterSequence, upToSequence, snapshotEnd, tombstoneFloor);
+            most(records);
+            long last = afterSequence;
+            for (ReplicatedRecord e : records) {
+                if (e.version().incarnation() != incarnation
                         || e.version().sequence() <= last
-                        || e.version().sequence() > to) {
+                        || e.version().sequence() > upToSequence) {
                     throw new IllegalArgumentException("a write out of order");
                 }
                 last = e.version().sequence();
             }
-            if (to < from || life > newest || base != 0 && to > base) {
+            if (upToSequence < afterSequence
+                    || incarnation > newestIncarnation
+                    || snapshotEnd != 0 && upToSequence > snapshotEnd) {
                 throw new IllegalArgumentException("not a piece of a log");
             }
         }
@@ -150,11 +162,11 @@
      * @param digest over all ranges of keys
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Digest(String owner, long life, long have, long digest) {
+    record LogDigest(String owner, long incarnation, long appliedSequence, long digest) {
         /** Checks bounds. */
-        public Digest {
+        public LogDigest {
             name(owner);
-            notNegative(life, have);
+            notNegative(incarnation, appliedSequence);
         }
     }
 
@@ -164,9 +176,9 @@
      * @param digests of which incarnations
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Digests(List<Digest> digests) implements ReplicationMessage {
+    record LogDigests(List<LogDigest> digests) implements ReplicationMessage {
         /** Checks bounds. */
-        public Digests {
+        public LogDigests {
             most(digests);
         }
     }
@@ -180,13 +192,14 @@
      * @param digests one for each range
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Ranges(String owner, long life, long have, List<Long> digests) implements ReplicationMessage {
+    record RangeDigests(String owner, long incarnation, long appliedSequence, List<Long> digests)
+            implements ReplicationMessage {
         /** Checks bounds. */
-        public Ranges {
+        public RangeDigests {
             name(owner);
-            notNegative(life, have);
+            notNegative(incarnation, appliedSequence);
             if (digests == null
-                    || digests.size() != RecordKey.RANGES
+                    || digests.size() != RecordKey.RANGE_COUNT
                     || digests.stream().anyMatch(Objects::isNull)) {
                 throw new IllegalArgumentException("not as many ranges as there are");
             }
@@ -206,22 +219,22 @@
      * @param entries the records in the order of their keys, complete from the first one's key to the last one's
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Copies(
+    record RangeRecords(
             String owner,
-            long life,
-            long have,
+            long incarnation,
+            long appliedSequence,
             int range,
-            int part,
-            boolean last,
-            boolean ask,
-            List<ReplicatedRecord> entries)
+            int piece,
+            boolean lastPiece,
+            boolean replyRequested,
+            List<ReplicatedRecord> records)
             implements ReplicationMessage {
         /** Checks bounds. */
-        public Copies {
+        public RangeRecords {
             name(owner);
-            notNegative(life, have, range, part);
-            most(entries);
-            if (range >= RecordKey.RANGES) {
+            notNegative(incarnation, appliedSequence, range, piece);
+            most(records);
+            if (range >= RecordKey.RANGE_COUNT) {
                 throw new IllegalArgumentException("no such range");
             }
         }
@@ -243,7 +256,7 @@
 
     private static void most(List<?>... lists) {
         for (List<?> l : lists) {
-            if (l == null || l.size() > MOST || l.stream().anyMatch(Objects::isNull)) {
+            if (l == null || l.size() > MAX_LIST_SIZE || l.stream().anyMatch(Objects::isNull)) {
                 throw new IllegalArgumentException("not a list within bounds");
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -34,7 +34,7 @@
      * @param peer to whom
      * @param body the message
      */
-    public record Out(String peer, byte[] body) {}
+    public record OutgoingMessage(String peer, byte[] body) {}
 
     private final RecordStore store;
     private final ReplicationLimits limits;
@@ -59,23 +59,23 @@
 
     private int compareWith;
     private long sentBytes;
-    private long dropped;
-    private long unreadable;
+    private long throttledMessages;
+    private long malformedMessages;
 
     /** A protocol for this copy; it begins at this time, in milliseconds. */
     public ReplicationProtocol(RecordStore store, ReplicationLimits limits, SplittableRandom random, double nowMs) {
         this.store = store;
         this.limits = limits;
         this.random = random;
-        this.bucket = new TokenBucket(limits.bytesASecond());
+        this.bucket = new TokenBucket(limits.bytesPerSecond());
         this.catchUp = new CatchUp(limits);
         this.antiEntropy = new AntiEntropy(store);
         beganMs = nowMs;
         store.startSilently(nowMs);
         pushAtMs = nowMs;
-        beatAtMs = nowMs + random.nextDouble() * limits.beatMs();
-        digestAtMs = nowMs + (1 + random.nextDouble()) * limits.digestMs();
-        foldAtMs = nowMs + FOLD_HEARTBEATS * limits.beatMs();
+        beatAtMs = nowMs + random.nextDouble() * limits.heartbeatIntervalMs();
+        digestAtMs = nowMs + (1 + random.nextDouble()) * limits.digestIntervalMs();
+        foldAtMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
     }
 
     /**
@@ -119,35 +119,35 @@
     // ---- out ----
 
     /** What is to be sent by now. */
-    public List<Out> tick(double nowMs) {
-        List<Out> out = new ArrayList<>();
+    public List<OutgoingMessage> tick(double nowMs) {
+        List<OutgoingMessage> out = new ArrayList<>();
         if ((!initialized || nowMs >= listRequestAtMs) && !reachable.isEmpty()) {
-            listRequestAtMs = nowMs + limits.beatMs();
+            listRequestAtMs = nowMs + limits.heartbeatIntervalMs();
             requestLists(nowMs, out);
         }
         if (nowMs >= beatAtMs) {
-            beatAtMs = Math.max(beatAtMs + limits.beatMs(), nowMs);
-            store.heartbeat();
+            beatAtMs = Math.max(beatAtMs + limits.heartbeatIntervalMs(), nowMs);
+            store.incrementHeartbeat();
             changedOwners.add(store.localMember());
-            store.forgetTombstones(nowMs, limits.removalMs());
-            for (String p : samplePeers(reachable.size() > limits.mesh() ? 1 : 2)) {
+            store.forgetTombstones(nowMs, limits.tombstoneRetentionMs());
+            for (String p : samplePeers(reachable.size() > limits.maxMeshPeers() ? 1 : 2)) {
                 sendMarks(p, true, nowMs, out);
             }
         }
         if (nowMs >= foldAtMs) {
-            foldAtMs = nowMs + FOLD_HEARTBEATS * limits.beatMs();
+            foldAtMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
             foldEndedIncarnations(nowMs);
         }
         if (nowMs >= pushAtMs) {
-            pushAtMs = Math.max(pushAtMs + limits.pushMs(), nowMs);
+            pushAtMs = Math.max(pushAtMs + limits.pushIntervalMs(), nowMs);
             push(nowMs, out);
             requestMissing(nowMs, out);
             answerRequests(nowMs, out);
         }
         if (nowMs >= digestAtMs && initialized && !reachable.isEmpty()) {
-            digestAtMs = nowMs + limits.digestMs() * (0.75 + 0.5 * random.nextDouble());
+            digestAtMs = nowMs + limits.digestIntervalMs() * (0.75 + 0.5 * random.nextDouble());
             String p = reachable.get(compareWith++ % reachable.size());
-            ReplicationMessage.Digests d = antiEntropy.nextDigests(p);
+            ReplicationMessage.LogDigests d = antiEntropy.nextDigests(p);
             if (!d.digests().isEmpty() && bucket.canSendDeferrable(nowMs)) {
                 send(p, d, nowMs, out);
             }
@@ -155,21 +155,21 @@
         return out;
     }
 
-    private void send(String peer, ReplicationMessage m, double nowMs, List<Out> out) {
+    private void send(String peer, ReplicationMessage m, double nowMs, List<OutgoingMessage> out) {
         if (!bucket.canSendUrgent(nowMs)) {
-            dropped++;
+            throttledMessages++;
             return;
         }
         byte[] body = ReplicationCodec.write(m);
         bucket.consume(body.length);
         sentBytes += body.length;
-        out.add(new Out(peer, body));
+        out.add(new OutgoingMessage(peer, body));
     }
 
     /** Requests full lists of marks from peers that have not sent one yet. */
-    private void requestLists(double nowMs, List<Out> out) {
+    private void requestLists(double nowMs, List<OutgoingMessage> out) {
         long told = reachable.stream().filter(n -> peers.get(n).hasListedAll).count();
-        boolean large = reachable.size() > limits.mesh();
+        boolean large = reachable.size() > limits.maxMeshPeers();
         int most = large ? 2 * limits.fanOut() : reachable.size();
         if (told < Math.min(most, reachable.size())) {
             int asked = 0;
@@ -180,7 +180,7 @@
                 if (!p.hasListedAll) {
                     asked++;
                     if (p.listRequestAtMs <= nowMs) {
-                        p.listRequestAtMs = nowMs + limits.beatMs();
+                        p.listRequestAtMs = nowMs + limits.heartbeatIntervalMs();
                         sendMarks(n, true, nowMs, out);
                     }
                 }
@@ -191,7 +191,7 @@
             // enough.
             int enough = large
                     ? LISTS_IN_LARGE_FLEET
-                    : nowMs > beganMs + PATIENT_HEARTBEATS * limits.beatMs() ? 1 : reachable.size();
+                    : nowMs > beganMs + PATIENT_HEARTBEATS * limits.heartbeatIntervalMs() ? 1 : reachable.size();
             initialized = told > 0 && told >= Math.min(reachable.size(), enough);
             if (initialized) {
                 store.startAnnouncing();
@@ -201,25 +201,29 @@
     }
 
     /** All marks there are, in as many messages as it takes. */
-    private void sendMarks(String peer, boolean ask, double nowMs, List<Out> out) {
+    private void sendMarks(String peer, boolean ask, double nowMs, List<OutgoingMessage> out) {
         TreeSet<String> names = new TreeSet<>(store.owners());
         if (!initialized) {
             // Guards against an incarnation that was used before: nobody announces itself before it has heard the
             // others.
             names.remove(store.localMember());
         }
-        List<ReplicationMessage.Mark> marks = store.marks(names, nowMs);
-        List<ReplicationMessage.Have> ended = store.endedIncarnations();
-        int pieces = 1 + Math.max(marks.size(), ended.size()) / ReplicationMessage.MOST;
+        List<ReplicationMessage.OwnerSummary> marks = store.summaries(names, nowMs);
+        List<ReplicationMessage.EndedLog> ended = store.endedLogs();
+        int pieces = 1 + Math.max(marks.size(), ended.size()) / ReplicationMessage.MAX_LIST_SIZE;
         for (int i = 0; i < pieces; i++) {
             boolean last = i == pieces - 1;
-            send(peer, new ReplicationMessage.Marks(ask && last, last, slice(marks, i), slice(ended, i)), nowMs, out);
+            send(
+                    peer,
+                    new ReplicationMessage.OwnerSummaries(ask && last, last, slice(marks, i), slice(ended, i)),
+                    nowMs,
+                    out);
         }
     }
 
     private static <T> List<T> slice(List<T> list, int piece) {
-        int from = Math.min(list.size(), piece * ReplicationMessage.MOST);
-        return list.subList(from, Math.min(list.size(), from + ReplicationMessage.MOST));
+        int from = Math.min(list.size(), piece * ReplicationMessage.MAX_LIST_SIZE);
+        return list.subList(from, Math.min(list.size(), from + ReplicationMessage.MAX_LIST_SIZE));
     }
 
     private List<String> samplePeers(int many) {
@@ -233,26 +237,26 @@
         return drawn.stream().map(reachable::get).toList();
     }
 
-    private void push(double nowMs, List<Out> out) {
+    private void push(double nowMs, List<OutgoingMessage> out) {
         if (!initialized || changedOwners.isEmpty()) {
             return;
         }
-        boolean large = reachable.size() > limits.mesh();
+        boolean large = reachable.size() > limits.maxMeshPeers();
         List<String> of = large
                 ? List.copyOf(changedOwners)
                 : changedOwners.contains(store.localMember()) ? List.of(store.localMember()) : List.of();
         if (!of.isEmpty()) {
             if (of.contains(store.localMember()) && pushAfter.containsKey(store.localMember())) {
-                store.heartbeat();
+                store.incrementHeartbeat();
             }
             List<ReplicationMessage> messages = new ArrayList<>();
-            List<ReplicationMessage.Mark> marks = store.marks(of, nowMs);
-            for (int i = 0; i * ReplicationMessage.MOST < marks.size(); i++) {
-                messages.add(new ReplicationMessage.Marks(false, false, slice(marks, i), List.of()));
+            List<ReplicationMessage.OwnerSummary> marks = store.summaries(of, nowMs);
+            for (int i = 0; i * ReplicationMessage.MAX_LIST_SIZE < marks.size(); i++) {
+                messages.add(new ReplicationMessage.OwnerSummaries(false, false, slice(marks, i), List.of()));
             }
             for (String o : of) {
-                ReplicationMessage.Chunk c = pushAfter.containsKey(o)
-                        ? store.readAfter(o, store.newestIncarnation(o), pushAfter.get(o), limits.pieceBytes())
+                ReplicationMessage.LogChunk c = pushAfter.containsKey(o)
+                        ? store.readAfter(o, store.newestIncarnation(o), pushAfter.get(o), limits.chunkBytes())
                         : null;
                 if (c != null) {
                     messages.add(c);
@@ -268,19 +272,19 @@
         pushAfter.clear();
     }
 
-    private void requestMissing(double nowMs, List<Out> out) {
+    private void requestMissing(double nowMs, List<OutgoingMessage> out) {
         catchUp.dueRequests(nowMs)
                 .forEach((peer, of) -> send(
                         peer,
-                        new ReplicationMessage.Wants(of.stream()
-                                .map(o -> store.request(o.owner(), o.incarnation()))
+                        new ReplicationMessage.LogRequests(of.stream()
+                                .map(o -> store.createRequest(o.owner(), o.incarnation()))
                                 .toList()),
                         nowMs,
                         out));
     }
 
     /** Answers requests as far as the rate limit allows: each peer gets a piece in turn. */
-    private void answerRequests(double nowMs, List<Out> out) {
+    private void answerRequests(double nowMs, List<OutgoingMessage> out) {
         while (!requesters.isEmpty() && bucket.canSendDeferrable(nowMs)) {
             String n = requesters.iterator().next();
             requesters.remove(n);
@@ -289,7 +293,7 @@
                 continue;
             }
             CatchUp.LogId of = p.pending.keySet().iterator().next();
-            ReplicationMessage.Chunk c = store.answer(p.pending.remove(of), limits.pieceBytes());
+            ReplicationMessage.LogChunk c = store.answer(p.pending.remove(of), limits.chunkBytes());
             if (c != null) {
                 send(n, c, nowMs, out);
             }
@@ -330,8 +334,8 @@
      * @param body the message
      * @return what is to be sent at once in answer
      */
-    public List<Out> onMessage(String peer, long life, byte[] body, double nowMs) {
-        List<Out> out = new ArrayList<>();
+    public List<OutgoingMessage> onMessage(String peer, long life, byte[] body, double nowMs) {
+        List<OutgoingMessage> out = new ArrayList<>();
         PeerProgress p = peers.get(peer);
         // Guards against what an ended process of the peer left on its way.
         if (p == null || life < p.life) {
@@ -342,32 +346,32 @@
         try {
             m = ReplicationCodec.read(body);
         } catch (java.io.IOException e) {
-            unreadable++;
+            malformedMessages++;
             return out;
         }
-        if (m instanceof ReplicationMessage.Marks marks) {
+        if (m instanceof ReplicationMessage.OwnerSummaries marks) {
             onMarks(peer, p, marks, nowMs, out);
-        } else if (m instanceof ReplicationMessage.Wants wants) {
-            for (ReplicationMessage.Want w : wants.wants()) {
+        } else if (m instanceof ReplicationMessage.LogRequests wants) {
+            for (ReplicationMessage.LogRequest w : wants.requests()) {
                 if (p.pending.size() < MAX_PENDING_REQUESTS) {
-                    p.pending.put(new CatchUp.LogId(w.owner(), w.life()), w);
+                    p.pending.put(new CatchUp.LogId(w.owner(), w.incarnation()), w);
                 }
             }
             requesters.add(peer);
             answerRequests(nowMs, out);
-        } else if (m instanceof ReplicationMessage.Chunk c) {
+        } else if (m instanceof ReplicationMessage.LogChunk c) {
             onChunk(peer, c, nowMs, out);
-        } else if (m instanceof ReplicationMessage.Digests d) {
+        } else if (m instanceof ReplicationMessage.LogDigests d) {
             answer(peer, antiEntropy.onDigests(peer, d), nowMs, out);
-        } else if (m instanceof ReplicationMessage.Ranges r) {
+        } else if (m instanceof ReplicationMessage.RangeDigests r) {
             answer(peer, antiEntropy.onRanges(peer, r), nowMs, out);
-        } else if (m instanceof ReplicationMessage.Copies c) {
+        } else if (m instanceof ReplicationMessage.RangeRecords c) {
             answer(peer, antiEntropy.onCopies(peer, c, nowMs), nowMs, out);
         }
         return out;
     }
 
-    private void answer(String peer, List<ReplicationMessage> answers, double nowMs, List<Out> out) {
+    private void answer(String peer, List<ReplicationMessage> answers, double nowMs, List<OutgoingMessage> out) {
         for (ReplicationMessage a : answers) {
             if (bucket.canSendDeferrable(nowMs)) {
                 send(peer, a, nowMs, out);
@@ -375,33 +379,34 @@
         }
     }
 
-    private void onMarks(String peer, PeerProgress p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
-        for (ReplicationMessage.Mark mark : m.marks()) {
+    private void onMarks(
+            String peer, PeerProgress p, ReplicationMessage.OwnerSummaries m, double nowMs, List<OutgoingMessage> out) {
+        for (ReplicationMessage.OwnerSummary mark : m.summaries()) {
             long newest = store.newestIncarnation(mark.owner());
             if (store.merge(mark, nowMs)) {
                 changedOwners.add(mark.owner());
             }
-            if (mark.life() > newest) {
-                catchUp.dropEnded(mark.owner(), mark.life());
+            if (mark.incarnation() > newest) {
+                catchUp.dropEnded(mark.owner(), mark.incarnation());
                 pushAfter.remove(mark.owner());
             }
-            onPosition(peer, mark.owner(), mark.life(), mark.have(), nowMs);
-            if (mark.owner().equals(store.localMember()) && mark.life() == store.incarnation()) {
-                p.localSequence = Math.max(p.localSequence, mark.have());
+            onPosition(peer, mark.owner(), mark.incarnation(), mark.appliedSequence(), nowMs);
+            if (mark.owner().equals(store.localMember()) && mark.incarnation() == store.incarnation()) {
+                p.localSequence = Math.max(p.localSequence, mark.appliedSequence());
             }
         }
-        for (ReplicationMessage.Have h : m.ended()) {
-            onPosition(peer, h.owner(), h.life(), h.have(), nowMs);
+        for (ReplicationMessage.EndedLog h : m.endedLogs()) {
+            onPosition(peer, h.owner(), h.incarnation(), h.appliedSequence(), nowMs);
             if (h.owner().equals(store.localMember())) {
-                p.partialEndedSequences.put(h.life(), h.have());
+                p.partialEndedSequences.put(h.incarnation(), h.appliedSequence());
             }
         }
-        if (m.whole()) {
+        if (m.complete()) {
             p.hasListedAll = true;
             p.endedSequences = p.partialEndedSequences;
             p.partialEndedSequences = new TreeMap<>();
         }
-        if (m.ask()) {
+        if (m.replyRequested()) {
             sendMarks(peer, false, nowMs, out);
         }
     }
@@ -424,29 +429,34 @@
         return lives.size() > RecordStore.MAX_ENDED_INCARNATIONS ? lives.get(0) : 0;
     }
 
-    private void onChunk(String peer, ReplicationMessage.Chunk c, double nowMs, List<Out> out) {
-        long had = store.appliedSequence(c.owner(), c.life()).orElse(0);
+    private void onChunk(String peer, ReplicationMessage.LogChunk c, double nowMs, List<OutgoingMessage> out) {
+        long had = store.appliedSequence(c.owner(), c.incarnation()).orElse(0);
         RecordStore.MergeResult t = store.merge(c, nowMs);
-        CatchUp.LogId of = new CatchUp.LogId(c.owner(), c.life());
+        CatchUp.LogId of = new CatchUp.LogId(c.owner(), c.incarnation());
         if (t == RecordStore.MergeResult.NEW) {
-            if (c.life() == store.newestIncarnation(c.owner())) {
+            if (c.incarnation() == store.newestIncarnation(c.owner())) {
                 changedOwners.add(c.owner());
                 pushAfter.merge(c.owner(), had, Math::min);
             }
-            catchUp.onProgress(of, store.appliedSequence(c.owner(), c.life()).orElse(c.to()), nowMs);
+            catchUp.onProgress(
+                    of, store.appliedSequence(c.owner(), c.incarnation()).orElse(c.upToSequence()), nowMs);
             requestMissing(nowMs, out);
         } else if (t == RecordStore.MergeResult.GAP) {
-            onPosition(peer, c.owner(), c.life(), c.base() == 0 ? c.to() : c.base(), nowMs);
+            onPosition(
+                    peer, c.owner(), c.incarnation(), c.snapshotEnd() == 0 ? c.upToSequence() : c.snapshotEnd(), nowMs);
         } else if (t == RecordStore.MergeResult.KNOWN) {
-            catchUp.onProgress(of, Math.max(had, c.life() < store.newestIncarnation(c.owner()) ? c.to() : 0), nowMs);
+            catchUp.onProgress(
+                    of,
+                    Math.max(had, c.incarnation() < store.newestIncarnation(c.owner()) ? c.upToSequence() : 0),
+                    nowMs);
         }
     }
 
     // ---- figures ----
 
     /** How far this member is. */
-    public Replica.Level level(double nowMs) {
-        return new Replica.Level(
+    public Replica.SyncState syncState(double nowMs) {
+        return new Replica.SyncState(
                 catchUp.isLevel(initialized, nowMs),
                 catchUp.missingWrites(),
                 antiEntropy.openLogs(),
@@ -475,17 +485,18 @@
     }
 
     /** Messages that were not sent for want of bytes. */
-    public long dropped() {
-        return dropped;
+    public long throttledMessages() {
+        return throttledMessages;
     }
 
     /** Messages that could not be read. */
-    public long unreadable() {
-        return unreadable;
+    public long malformedMessages() {
+        return malformedMessages;
     }
 
     @Override
     public String toString() {
-        return store.localMember() + ": " + Arrays.toString(new long[] {sentBytes, dropped, unreadable});
+        return store.localMember() + ": "
+                + Arrays.toString(new long[] {sentBytes, throttledMessages, malformedMessages});
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
@@ -175,16 +175,16 @@
         }
 
         @Override
-        public List<Seen> seen(RecordSpace space) {
+        public List<ReadRecord> readAll(RecordSpace space) {
             return List.of();
         }
 
         @Override
-        public Level level() {
-            return new Level(true, 0, 0, false);
+        public SyncState syncState() {
+            return new SyncState(true, 0, 0, false);
         }
 
         @Override
-        public void listen(Listener listener) {}
+        public void addListener(Listener listener) {}
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -50,11 +50,11 @@
     private void written(String value) {
         owner.put(RecordSpace.SERVERS, "h", value.getBytes(UTF_8), 0);
         owner.add(RecordSpace.USED, "k", 1, 0);
-        copy.merge(owner.answer(copy.request("a", 3), 1 << 20), 0);
+        copy.merge(owner.answer(copy.createRequest("a", 3), 1 << 20), 0);
     }
 
     private void write(ReplicaDisk d) throws IOException {
-        List<ReplicatedRecord> all = copy.all("a", 3);
+        List<ReplicatedRecord> all = copy.records("a", 3);
         d.write(
                 List.of(new ReplicaDisk.Batch(
                         "a", 3, copy.appliedSequence("a", 3).orElseThrow(), 0, all, List.of())),
@@ -64,7 +64,7 @@
     /** How far the copy is that is on the disk now; what is there must be what was written up to there. */
     private long onDisk() throws IOException {
         try (ReplicaDisk d = open()) {
-            RecordStore s = new RecordStore("b", d.life(), 8, false);
+            RecordStore s = new RecordStore("b", d.incarnation(), 8, false);
             d.restore(s);
             long have = s.appliedSequence("a", 3).orElse(0);
             assertEquals(have / 2, s.sum(RecordSpace.USED, "k"));
@@ -105,7 +105,7 @@
         faults.heal();
         // The next process reads the second from memory that was never synced.
         ReplicaDisk next = open();
-        RecordStore s = new RecordStore("b", next.life(), 8, false);
+        RecordStore s = new RecordStore("b", next.incarnation(), 8, false);
         next.restore(s);
         assertTrue(next.needsFullWrite());
         write(next);
@@ -229,7 +229,7 @@
             now = w.file().equals(fresh) ? w.onto(now, w.bytes().length) : now;
         }
         try (ReplicaDisk next = open()) {
-            RecordStore s = new RecordStore("b", next.life(), 8, false);
+            RecordStore s = new RecordStore("b", next.incarnation(), 8, false);
             next.restore(s);
             write(next);
         }
@@ -268,23 +268,23 @@
     void aNodeGoesOnWhileItsDiskFailsAndWritesAllOnceItTakesIt() throws Exception {
         try (Wires wires = new Wires("b")) {
             ReplicaDisk d = open();
-            ReplicaNode n = new ReplicaNode(wires.end("b", d.life()), d, Clock.system(), FAST);
+            ReplicaNode n = new ReplicaNode(wires.end("b", d.incarnation()), d, Clock.system(), FAST);
             n.start();
             n.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8));
-            assertTrue(n.awaitDisk(10_000));
+            assertTrue(n.awaitFlushed(10_000));
             faults.fail(Fault.SYNC_ERROR);
             n.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8));
-            await().atMost(Duration.ofSeconds(20)).until(() -> !n.figures().onDisk());
-            assertFalse(n.awaitDisk(1));
+            await().atMost(Duration.ofSeconds(20)).until(() -> !n.statistics().diskHealthy());
+            assertFalse(n.awaitFlushed(1));
             n.add(RecordSpace.USED, "k", 5);
             faults.heal();
-            await().atMost(Duration.ofSeconds(20)).until(() -> n.figures().onDisk());
-            assertTrue(n.awaitDisk(10_000));
+            await().atMost(Duration.ofSeconds(20)).until(() -> n.statistics().diskHealthy());
+            assertTrue(n.awaitFlushed(10_000));
             n.close();
             faults.losePower();
         }
         try (ReplicaDisk d = open()) {
-            RecordStore s = new RecordStore("b", d.life(), 8, false);
+            RecordStore s = new RecordStore("b", d.incarnation(), 8, false);
             d.restore(s);
             assertEquals(5, s.sum(RecordSpace.USED, "k"));
         }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -34,7 +34,7 @@
     Path directory;
 
     private static ReplicatedRecord entry(RecordSpace space, int sequence) {
-        boolean counted = space.kind() == RecordSpace.Kind.COUNTED;
+        boolean counted = space.kind() == RecordSpace.Kind.COUNTER;
         return ReplicatedRecord.of(
                 OWNER,
                 space,
@@ -62,27 +62,29 @@
         Map<String, ReplicationMessage> messages = new LinkedHashMap<>();
         messages.put(
                 "marks",
-                new ReplicationMessage.Marks(
+                new ReplicationMessage.OwnerSummaries(
                         true,
                         false,
-                        List.of(new ReplicationMessage.Mark(OWNER, LIFE, -7, 8, 9, 10, 11, true)),
-                        List.of(new ReplicationMessage.Have("n2", 3, 4))));
-        messages.put("wants", new ReplicationMessage.Wants(List.of(new ReplicationMessage.Want(OWNER, LIFE, 5, 6, 7))));
-        messages.put("chunk", new ReplicationMessage.Chunk(OWNER, LIFE, LIFE + 1, 0, 7, 8, 2, entries()));
+                        List.of(new ReplicationMessage.OwnerSummary(OWNER, LIFE, -7, 8, 9, 10, 11, true)),
+                        List.of(new ReplicationMessage.EndedLog("n2", 3, 4))));
+        messages.put(
+                "wants",
+                new ReplicationMessage.LogRequests(List.of(new ReplicationMessage.LogRequest(OWNER, LIFE, 5, 6, 7))));
+        messages.put("chunk", new ReplicationMessage.LogChunk(OWNER, LIFE, LIFE + 1, 0, 7, 8, 2, entries()));
         messages.put(
                 "digests",
-                new ReplicationMessage.Digests(
-                        List.of(new ReplicationMessage.Digest(OWNER, LIFE, 9, -123_456_789_012L))));
+                new ReplicationMessage.LogDigests(
+                        List.of(new ReplicationMessage.LogDigest(OWNER, LIFE, 9, -123_456_789_012L))));
         messages.put(
                 "ranges",
-                new ReplicationMessage.Ranges(
+                new ReplicationMessage.RangeDigests(
                         OWNER,
                         LIFE,
                         9,
-                        LongStream.range(0, RecordKey.RANGES)
+                        LongStream.range(0, RecordKey.RANGE_COUNT)
                                 .mapToObj(i -> i * 1_000_003L - 5)
                                 .toList()));
-        messages.put("copies", new ReplicationMessage.Copies(OWNER, LIFE, 9, 3, 1, true, false, entries()));
+        messages.put("copies", new ReplicationMessage.RangeRecords(OWNER, LIFE, 9, 3, 1, true, false, entries()));
         return messages;
     }
 
@@ -104,7 +106,7 @@
             assertEquals(
                     true,
                     ReplicationCodec.readEntry(GoldenFiles.bytes("replica/entry-" + i))
-                            .intact(OWNER));
+                            .hasValidChecksum(OWNER));
         }
         GoldenFiles.check("replica/entry-removed", removed(71), ReplicationCodec::write, ReplicationCodec::readEntry);
     }
@@ -117,10 +119,10 @@
         Path copy = Files.createDirectories(directory.resolve("copy"));
         Files.write(copy.resolve("replica.mv"), GoldenFiles.bytes("replica/replica-disk-replica.mv"));
         try (ReplicaDisk disk = ReplicaDisk.open(copy, "fleet", "n2", 0)) {
-            assertEquals((long) DISK_LIFE + 1, disk.life());
-            RecordStore store = new RecordStore("n2", disk.life(), 8, false);
+            assertEquals((long) DISK_LIFE + 1, disk.incarnation());
+            RecordStore store = new RecordStore("n2", disk.incarnation(), 8, false);
             disk.restore(store);
-            GoldenFiles.assertSame("records", entries(), store.all(OWNER, LIFE));
+            GoldenFiles.assertSame("records", entries(), store.records(OWNER, LIFE));
             assertEquals(OptionalLong.of(7), store.appliedSequence(OWNER, LIFE));
             assertEquals(2, store.tombstoneFloor(OWNER, LIFE));
         }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -20,10 +20,10 @@
     }
 
     private static void pull(RecordStore to, RecordStore from) {
-        from.marks(from.owners(), 0).forEach(m -> to.merge(m, 0));
+        from.summaries(from.owners(), 0).forEach(m -> to.merge(m, 0));
         for (String o : from.owners()) {
             for (long l : from.incarnations(o)) {
-                ReplicationMessage.Chunk c = from.answer(to.request(o, l), 1 << 20);
+                ReplicationMessage.LogChunk c = from.answer(to.createRequest(o, l), 1 << 20);
                 if (c != null) {
                     to.merge(c, 0);
                 }
@@ -66,7 +66,7 @@
         one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
         two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
         pull(b, one);
-        b.merge(two.answer(new ReplicationMessage.Want("a", 5, 0, 0, 0), 1000), 0);
+        b.merge(two.answer(new ReplicationMessage.LogRequest("a", 5, 0, 0, 0), 1000), 0);
         assertNotNull(b.quarantineReason("a"));
         String alarm = b.drainAlarms().toString();
         assertTrue(alarm.contains("=1") && alarm.contains("=2"), alarm);
@@ -88,8 +88,8 @@
         assertNotNull(before.quarantineReason("a"), "the process that still runs under that name stands aside");
     }
 
-    private static ReplicationMessage.Mark markOfA(long life, long ageMs) {
-        return new ReplicationMessage.Mark("a", life, 77, 3, 5, 5, ageMs, false);
+    private static ReplicationMessage.OwnerSummary markOfA(long life, long ageMs) {
+        return new ReplicationMessage.OwnerSummary("a", life, 77, 3, 5, 5, ageMs, false);
     }
 
     @Test
@@ -140,16 +140,18 @@
         RecordStore a = store("a", 1);
         RecordStore b = store("b", 1);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        a.heartbeat();
-        ReplicationMessage.Mark first = a.marks(List.of("a"), 0).get(0);
-        b.merge(a.answer(b.request("a", 1), 1000), 100);
-        b.merge(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat(), 1, 1, 250, false), 1000);
-        assertEquals(250, b.read("a", RecordSpace.SERVERS, "h", 1000).heardMs());
+        a.incrementHeartbeat();
+        ReplicationMessage.OwnerSummary first = a.summaries(List.of("a"), 0).get(0);
+        b.merge(a.answer(b.createRequest("a", 1), 1000), 100);
+        b.merge(new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat(), 1, 1, 250, false), 1000);
+        assertEquals(250, b.read("a", RecordSpace.SERVERS, "h", 1000).ageMs());
         // It has written again, which is not here: the record is as old as the last sign at which it was the last.
-        b.merge(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat() + 5, 2, 2, 10, false), 2000);
+        b.merge(
+                new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat() + 5, 2, 2, 10, false),
+                2000);
         assertEquals(10, b.heartbeatAgeMs("a", 2000));
-        assertEquals(1250, b.read("a", RecordSpace.SERVERS, "h", 2000).heardMs());
-        assertFalse(b.read("a", RecordSpace.SERVERS, "h", 20_000).fresh(RecordSpace.SERVERS));
+        assertEquals(1250, b.read("a", RecordSpace.SERVERS, "h", 2000).ageMs());
+        assertFalse(b.read("a", RecordSpace.SERVERS, "h", 20_000).isFresh(RecordSpace.SERVERS));
     }
 
     @Test
@@ -166,19 +168,19 @@
         a.remove(RecordSpace.SERVERS, "h", 0);
         a.put(RecordSpace.SERVERS, "y", "1".getBytes(UTF_8), 0);
         a.forgetTombstones(1000, 60_000);
-        assertTrue(a.all("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
+        assertTrue(a.records("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
         a.forgetTombstones(100_000, 60_000);
-        assertEquals(1, a.all("a", 1).size());
+        assertEquals(1, a.records("a", 1).size());
         pull(other, late);
         pull(late, a);
         pull(other, a);
         for (RecordStore s : List.of(late, other)) {
             assertEquals(
                     a.readAll(RecordSpace.SERVERS, 0).stream()
-                            .map(Replica.Seen::key)
+                            .map(Replica.ReadRecord::key)
                             .toList(),
                     s.readAll(RecordSpace.SERVERS, 0).stream()
-                            .map(Replica.Seen::key)
+                            .map(Replica.ReadRecord::key)
                             .toList());
         }
     }
@@ -215,16 +217,16 @@
             }
             pull(b, a);
             // Values are shared in memory here: b gets its own, as it would from a wire.
-            for (ReplicatedRecord e : b.all("a", 1)) {
+            for (ReplicatedRecord e : b.records("a", 1)) {
                 b.repair(
                         "a",
                         1,
-                        e.item(),
+                        e.recordKey(),
                         new ReplicatedRecord(
-                                e.space(), e.key(), e.version(), e.value().clone(), 0, 0, e.sum()),
+                                e.space(), e.key(), e.version(), e.value().clone(), 0, 0, e.checksum()),
                         0);
             }
-            ReplicatedRecord hit = b.all("a", 1).get(random.nextInt(50));
+            ReplicatedRecord hit = b.records("a", 1).get(random.nextInt(50));
             hit.value()[random.nextInt(hit.value().length)] ^= (byte) (1 << random.nextInt(8));
             AntiEntropy da = new AntiEntropy(a);
             AntiEntropy db = new AntiEntropy(b);
@@ -237,15 +239,15 @@
             compare(da, db);
             assertEquals(1, db.totalDifferences());
             assertEquals(0, db.openLogs());
-            assertEquals(a.all("a", 1).toString(), b.all("a", 1).toString());
+            assertEquals(a.records("a", 1).toString(), b.records("a", 1).toString());
         }
     }
 
     private static void compare(AntiEntropy a, AntiEntropy b) {
         for (ReplicationMessage r : b.onDigests("a", a.nextDigests("b"))) {
-            for (ReplicationMessage c : a.onRanges("b", (ReplicationMessage.Ranges) r)) {
-                for (ReplicationMessage back : b.onCopies("a", (ReplicationMessage.Copies) c, 0)) {
-                    a.onCopies("b", (ReplicationMessage.Copies) back, 0);
+            for (ReplicationMessage c : a.onRanges("b", (ReplicationMessage.RangeDigests) r)) {
+                for (ReplicationMessage back : b.onCopies("a", (ReplicationMessage.RangeRecords) c, 0)) {
+                    a.onCopies("b", (ReplicationMessage.RangeRecords) back, 0);
                 }
             }
         }
@@ -266,7 +268,7 @@
             db.onRanges(
                     "a",
                     da.onDigests("b", db.nextDigests("a")).stream()
-                            .map(m -> (ReplicationMessage.Ranges) m)
+                            .map(m -> (ReplicationMessage.RangeDigests) m)
                             .findFirst()
                             .orElseThrow());
         }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
@@ -29,7 +29,7 @@
         for (int i = 0; i < 300; i++) {
             a.put(RecordSpace.SERVERS, "h" + i % 100, ("value " + i).getBytes(UTF_8), 0);
         }
-        full.merge(a.answer(new ReplicationMessage.Want("a", 3, 0, 0, 0), 1 << 20), 0);
+        full.merge(a.answer(new ReplicationMessage.LogRequest("a", 3, 0, 0, 0), 1 << 20), 0);
     }
 
     private ReplicaDisk open(double nowMs) throws IOException {
@@ -38,12 +38,12 @@
 
     private void write(ReplicaDisk d) throws IOException {
         d.write(
-                List.of(new ReplicaDisk.Batch("a", 3, 300L, 0, full.all("a", 3), List.of())),
+                List.of(new ReplicaDisk.Batch("a", 3, 300L, 0, full.records("a", 3), List.of())),
                 Map.of(new CatchUp.LogId("a", 3), 100));
     }
 
     private RecordStore read(ReplicaDisk d) throws IOException {
-        RecordStore s = new RecordStore("b", d.life(), 8, false);
+        RecordStore s = new RecordStore("b", d.incarnation(), 8, false);
         d.restore(s);
         return s;
     }
@@ -52,20 +52,20 @@
     void whatWasWrittenIsReadAndLivesGrowWhateverTheClockSays() throws IOException {
         long first;
         try (ReplicaDisk d = open(1000)) {
-            first = d.life();
+            first = d.incarnation();
             write(d);
         }
         try (ReplicaDisk d = open(10)) {
-            assertEquals(first + 1, d.life());
+            assertEquals(first + 1, d.incarnation());
             RecordStore s = read(d);
-            assertEquals(full.all("a", 3).toString(), s.all("a", 3).toString());
+            assertEquals(full.records("a", 3).toString(), s.records("a", 3).toString());
             assertEquals(300, s.appliedSequence("a", 3).orElseThrow());
-            assertTrue(s.readAll(RecordSpace.SERVERS, 0).stream().noneMatch(e -> e.fresh(RecordSpace.SERVERS)));
+            assertTrue(s.readAll(RecordSpace.SERVERS, 0).stream().noneMatch(e -> e.isFresh(RecordSpace.SERVERS)));
             assertTrue(
                     assertThrows(IOException.class, () -> open(0)).getMessage().contains("another process"));
         }
         try (ReplicaDisk d = open(1e12)) {
-            assertEquals(1_000_000_000_000L, d.life());
+            assertEquals(1_000_000_000_000L, d.incarnation());
         }
     }
 
@@ -100,8 +100,8 @@
             }
             Files.write(file, bad);
             try (ReplicaDisk d = open(1)) {
-                String read = read(d).all("a", 3).toString();
-                assertTrue(read.equals("[]") || read.equals(full.all("a", 3).toString()), read);
+                String read = read(d).records("a", 3).toString();
+                assertTrue(read.equals("[]") || read.equals(full.records("a", 3).toString()), read);
                 whole += read.equals("[]") ? 0 : 1;
                 write(d);
             } catch (IOException refused) {
@@ -124,7 +124,7 @@
             Files.delete(file);
             Files.move(away, file);
             write(d);
-            assertFalse(read(d).all("a", 3).isEmpty());
+            assertFalse(read(d).records("a", 3).isEmpty());
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
@@ -42,7 +42,7 @@
     }
 
     private ReplicaNode start(String name, ReplicaDisk disk) throws IOException {
-        Wires.End end = wires.end(name, disk == null ? (long) clock.nowMs() : disk.life());
+        Wires.End end = wires.end(name, disk == null ? (long) clock.nowMs() : disk.incarnation());
         ReplicaNode n = new ReplicaNode(end, disk, clock, FAST);
         n.start();
         end.start();
@@ -61,7 +61,7 @@
 
     private static Map<String, String> at(ReplicaNode n, RecordSpace space) {
         Map<String, String> all = new TreeMap<>();
-        n.seen(space).forEach(s -> all.put(s.owner() + "/" + s.key(), new String(s.value(), UTF_8)));
+        n.readAll(space).forEach(s -> all.put(s.owner() + "/" + s.key(), new String(s.value(), UTF_8)));
         return all;
     }
 
@@ -90,9 +90,9 @@
         allHold(RecordSpace.SERVERS, Map.of("a/h0", "v180", "a/h1", "v181"));
         await().untilAsserted(() ->
                 nodes.values().forEach(n -> assertEquals(600, n.sum(RecordSpace.ATTEMPTS, "pool"))));
-        await().untilAsserted(
-                        () -> nodes.values().forEach(n -> assertTrue(n.level().level(), n.level()::toString)));
-        assertEquals(0, a.figures().differences());
+        await().untilAsserted(() ->
+                nodes.values().forEach(n -> assertTrue(n.syncState().caughtUp(), n.syncState()::toString)));
+        assertEquals(0, a.statistics().differences());
     }
 
     @Test
@@ -110,7 +110,7 @@
         nodes.get("a").put(RecordSpace.POOLS, "p", "2".getBytes(UTF_8));
         for (String n : new String[] {"b", "c"}) {
             ReplicaNode r = start(n, n.equals("b") ? disk("b") : null);
-            await().until(() -> r.level().level());
+            await().until(() -> r.syncState().caughtUp());
             assertEquals(n.equals("b") ? 12 : 13, r.sum(RecordSpace.USED, "k"));
             assertEquals("2", at(r, RecordSpace.POOLS).get("a/p"));
             r.add(RecordSpace.USED, "k", 1);
@@ -127,9 +127,9 @@
         wires.cut("a", "c");
         wires.cut("c", "a");
         Map<String, String> heard = new ConcurrentHashMap<>();
-        c.listen((space, owner, key, now) -> heard.put(owner + key, new String(now.value(), UTF_8)));
+        c.addListener((space, owner, key, now) -> heard.put(owner + key, new String(now.value(), UTF_8)));
         a.put(RecordSpace.DEMAND, "p/t", "9".getBytes(UTF_8));
         await().until(() -> "9".equals(heard.get("ap/t")));
-        await().until(() -> c.seen(RecordSpace.DEMAND).get(0).fresh(RecordSpace.DEMAND));
+        await().until(() -> c.readAll(RecordSpace.DEMAND).get(0).isFresh(RecordSpace.DEMAND));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
@@ -21,27 +21,27 @@
 
     @Provide
     Arbitrary<ReplicationMessage> messages() {
-        Arbitrary<ReplicationMessage.Mark> mark = Combinators.combine(
+        Arbitrary<ReplicationMessage.OwnerSummary> mark = Combinators.combine(
                         NAME, COUNT, Arbitraries.longs(), COUNT, COUNT, COUNT, COUNT)
-                .as((n, l, x, b, s, h, a) -> new ReplicationMessage.Mark(n, l, x, b, s, h, a, h % 2 == 0));
-        Arbitrary<ReplicationMessage.Have> have =
-                Combinators.combine(NAME, COUNT, COUNT).as(ReplicationMessage.Have::new);
-        Arbitrary<ReplicationMessage.Want> want =
-                Combinators.combine(NAME, COUNT, COUNT, COUNT, COUNT).as(ReplicationMessage.Want::new);
-        Arbitrary<ReplicationMessage.Digest> digest =
-                Combinators.combine(NAME, COUNT, COUNT, Arbitraries.longs()).as(ReplicationMessage.Digest::new);
+                .as((n, l, x, b, s, h, a) -> new ReplicationMessage.OwnerSummary(n, l, x, b, s, h, a, h % 2 == 0));
+        Arbitrary<ReplicationMessage.EndedLog> have =
+                Combinators.combine(NAME, COUNT, COUNT).as(ReplicationMessage.EndedLog::new);
+        Arbitrary<ReplicationMessage.LogRequest> want =
+                Combinators.combine(NAME, COUNT, COUNT, COUNT, COUNT).as(ReplicationMessage.LogRequest::new);
+        Arbitrary<ReplicationMessage.LogDigest> digest =
+                Combinators.combine(NAME, COUNT, COUNT, Arbitraries.longs()).as(ReplicationMessage.LogDigest::new);
         return Arbitraries.oneOf(
                 Combinators.combine(mark.list().ofMaxSize(20), have.list().ofMaxSize(5))
-                        .as((m, h) -> new ReplicationMessage.Marks(m.isEmpty(), true, m, h)),
-                want.list().ofMaxSize(20).map(ReplicationMessage.Wants::new),
-                digest.list().ofMaxSize(20).map(ReplicationMessage.Digests::new),
+                        .as((m, h) -> new ReplicationMessage.OwnerSummaries(m.isEmpty(), true, m, h)),
+                want.list().ofMaxSize(20).map(ReplicationMessage.LogRequests::new),
+                digest.list().ofMaxSize(20).map(ReplicationMessage.LogDigests::new),
                 Combinators.combine(
-                                NAME, COUNT, COUNT, Arbitraries.longs().list().ofSize(RecordKey.RANGES))
-                        .as(ReplicationMessage.Ranges::new),
+                                NAME, COUNT, COUNT, Arbitraries.longs().list().ofSize(RecordKey.RANGE_COUNT))
+                        .as(ReplicationMessage.RangeDigests::new),
                 Combinators.combine(NAME, entries(9))
-                        .as((n, e) -> new ReplicationMessage.Chunk(n, 9, 9, 0, 100, 0, 0, e)),
+                        .as((n, e) -> new ReplicationMessage.LogChunk(n, 9, 9, 0, 100, 0, 0, e)),
                 Combinators.combine(NAME, entries(9))
-                        .as((n, e) -> new ReplicationMessage.Copies(n, 9, 100, 3, 0, true, true, e)));
+                        .as((n, e) -> new ReplicationMessage.RangeRecords(n, 9, 100, 3, 0, true, true, e)));
     }
 
     private static Arbitrary<List<ReplicatedRecord>> entries(long life) {
@@ -60,7 +60,7 @@
                     for (int i = 0; i < all.length; i++) {
                         Object[] o = list.get(i);
                         RecordSpace s = (RecordSpace) o[0];
-                        boolean own = s.kind() == RecordSpace.Kind.OWN;
+                        boolean own = s.kind() == RecordSpace.Kind.REGISTER;
                         all[i] = ReplicatedRecord.of(
                                 "o",
                                 s,
@@ -79,8 +79,8 @@
         ReplicationMessage read = ReplicationCodec.read(ReplicationCodec.write(m));
         // Values are arrays, which records do not compare by content; their checksums do.
         assertEquals(m.toString(), read.toString());
-        if (read instanceof ReplicationMessage.Chunk c) {
-            assertTrue(c.entries().stream().allMatch(e -> e.intact("o")));
+        if (read instanceof ReplicationMessage.LogChunk c) {
+            assertTrue(c.records().stream().allMatch(e -> e.hasValidChecksum("o")));
         }
     }
 
@@ -124,7 +124,7 @@
         Arrays.fill(deep, (byte) 0x81);
         deep[0] = 0;
         assertThrows(IOException.class, () -> ReplicationCodec.read(deep));
-        assertThrows(IOException.class, () -> ReplicationCodec.read(new byte[ReplicationCodec.MOST_BYTES + 1]));
+        assertThrows(IOException.class, () -> ReplicationCodec.read(new byte[ReplicationCodec.MAX_BYTES + 1]));
         // A text whose length is said to be two thousand million bytes.
         assertThrows(
                 IOException.class,
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -48,7 +48,7 @@
 
         /** The value that a member has written, as this one holds it. */
         String sees(String owner) {
-            return replica.seen(RecordSpace.NODES).stream()
+            return replica.readAll(RecordSpace.NODES).stream()
                     .filter(s -> s.owner().equals(owner))
                     .map(s -> new String(s.value(), UTF_8))
                     .findFirst()
@@ -65,7 +65,7 @@
     private Process start(String name, boolean withDisk, String value) throws IOException {
         Clock clock = Clock.from(() -> System.currentTimeMillis() + stepMs.get(), System::nanoTime);
         ReplicaDisk disk = withDisk ? ReplicaDisk.open(folder.resolve(name), "f", name, clock.nowMs()) : null;
-        long life = disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life();
+        long life = disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation();
         TcpPeerLinks links =
                 new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), life, "f", List.of(), clock, LIMITS);
         Process p = new Process(links, new ReplicaNode(links, disk, clock, FAST));
@@ -118,7 +118,7 @@
             await().atMost(Duration.ofSeconds(20))
                     .pollInterval(Duration.ofMillis(5))
                     .untilAsserted(() -> {
-                        assertTrue(again.replica().level().level());
+                        assertTrue(again.replica().syncState().caughtUp());
                         assertEquals(sum, again.replica().sum(RecordSpace.USED, "k"));
                         assertEquals(sum, a.replica().sum(RecordSpace.USED, "k"));
                     });
@@ -126,7 +126,7 @@
                     .filter(s -> s.member().equals("b"))
                     .findFirst()
                     .orElseThrow()
-                    .aside());
+                    .quarantineReason());
         }
     }
 
--- a/lab/src/main/java/brackenbridge/lab/cli/Replicate.java
+++ b/lab/src/main/java/brackenbridge/lab/cli/Replicate.java
@@ -68,7 +68,7 @@
     }
 
     private int fleet() {
-        ReplicationLimits terms = ReplicationLimits.DEFAULT.sending(budget);
+        ReplicationLimits terms = ReplicationLimits.DEFAULT.withBytesPerSecond(budget);
         SimulatedReplicaFleet f = new SimulatedReplicaFleet(
                 new SimulatedReplicaFleet.Plan(nodes, keys, writes, lost, change, terms, seed));
         SimulatedReplicaFleet.Outcome o = f.run();
@@ -77,7 +77,7 @@
                 "%d members of %d records, %s, %d level after the warm-up%n",
                 nodes,
                 keys,
-                nodes - 1 > terms.mesh() ? "each passes news on to " + terms.fanOut() : "each tells all",
+                nodes - 1 > terms.maxMeshPeers() ? "each passes news on to " + terms.fanOut() : "each tells all",
                 o.level());
         System.out.printf(
                 Locale.ROOT,
--- a/lab/src/main/java/brackenbridge/lab/replica/ReplicationModel.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/ReplicationModel.java
@@ -140,8 +140,8 @@
             n.folds++;
             // Assumed: nothing of an ended life is on its way for as long as a fold waits.
             n.sent.values()
-                    .removeIf(m ->
-                            m.message() instanceof ReplicationMessage.Chunk c && c.life() < n.stores[0].incarnation());
+                    .removeIf(m -> m.message() instanceof ReplicationMessage.LogChunk c
+                            && c.incarnation() < n.stores[0].incarnation());
             fold(n);
             next.put("a folds", n);
         }
@@ -180,12 +180,12 @@
         RecordStore a = n.stores[0];
         Map<Long, List<ReplicatedRecord>> logs = new TreeMap<>(n.written.logs());
         List<ReplicatedRecord> log = new ArrayList<>(logs.getOrDefault(a.incarnation(), List.of()));
-        a.all(OWNER, a.incarnation()).stream()
+        a.records(OWNER, a.incarnation()).stream()
                 .filter(e -> e.version().sequence() > had)
                 .forEach(log::add);
         logs.put(a.incarnation(), log);
         n.written = new Written(logs, n.written.added());
-        ReplicationMessage.Chunk c = a.readAfter(OWNER, a.incarnation(), had, 1 << 10);
+        ReplicationMessage.LogChunk c = a.readAfter(OWNER, a.incarnation(), had, 1 << 10);
         if (c != null) {
             for (int i = 1; i < NAMES.length; i++) {
                 put(n, i, c);
@@ -238,7 +238,7 @@
     private void restore(RecordStore to, RecordStore disk) {
         for (String owner : disk.owners()) {
             for (long life : disk.incarnations(owner)) {
-                List<ReplicatedRecord> all = disk.all(owner, life);
+                List<ReplicatedRecord> all = disk.records(owner, life);
                 if (mistake == ReplicationMistake.DISK_HALF_WRITTEN && !all.isEmpty()) {
                     all = all.subList(0, all.size() - 1);
                 }
@@ -255,19 +255,19 @@
     /** One asks another for what it lacks of each life of the owner; question and answer may each be late. */
     private void asks(State s, int i, int j, Map<String, State> next) {
         for (long life : s.stores[j].incarnations(OWNER)) {
-            ReplicationMessage.Want w = s.stores[i].request(OWNER, life);
+            ReplicationMessage.LogRequest w = s.stores[i].createRequest(OWNER, life);
             if (s.wants < bounds.wants() && lacks(s, i, j, life)) {
                 State n = s.copy();
                 n.wants++;
-                put(n, j, new ReplicationMessage.Wants(List.of(w)));
+                put(n, j, new ReplicationMessage.LogRequests(List.of(w)));
                 next.put(NAMES[i] + " asks " + NAMES[j] + " for " + w, n);
             }
         }
         for (Sent m : s.sent.values()) {
-            if (m.to() == j && m.message() instanceof ReplicationMessage.Wants w && s.pieces < bounds.pieces()) {
+            if (m.to() == j && m.message() instanceof ReplicationMessage.LogRequests w && s.pieces < bounds.pieces()) {
                 State n = s.copy();
                 n.pieces++;
-                ReplicationMessage.Chunk c = piece(s.stores[j], w.wants().get(0));
+                ReplicationMessage.LogChunk c = piece(s.stores[j], w.requests().get(0));
                 if (c != null) {
                     put(n, i, c);
                     next.put(NAMES[j] + " answers " + NAMES[i] + " with " + c, n);
@@ -282,76 +282,105 @@
                         > s.stores[i].appliedSequence(OWNER, life).orElse(0);
     }
 
-    private ReplicationMessage.Chunk piece(RecordStore from, ReplicationMessage.Want w) {
-        ReplicationMessage.Chunk c = from.answer(w, PIECE);
+    private ReplicationMessage.LogChunk piece(RecordStore from, ReplicationMessage.LogRequest w) {
+        ReplicationMessage.LogChunk c = from.answer(w, PIECE);
         if (c == null) {
             return null;
         }
-        long end = c.base() != 0
-                ? c.base()
-                : from.appliedSequence(c.owner(), c.life()).orElse(0);
+        long end = c.snapshotEnd() != 0
+                ? c.snapshotEnd()
+                : from.appliedSequence(c.owner(), c.incarnation()).orElse(0);
         return switch (mistake) {
             case PIECE_SAYS_ALL ->
-                new ReplicationMessage.Chunk(
-                        c.owner(), c.life(), c.newest(), c.from(), end, c.base(), c.floor(), c.entries());
+                new ReplicationMessage.LogChunk(
+                        c.owner(),
+                        c.incarnation(),
+                        c.newestIncarnation(),
+                        c.afterSequence(),
+                        end,
+                        c.snapshotEnd(),
+                        c.tombstoneFloor(),
+                        c.records());
             case SNAPSHOT_AS_TAIL ->
-                c.base() == 0
+                c.snapshotEnd() == 0
                         ? c
                         : from.copy()
                                                 .answer(
-                                                        new ReplicationMessage.Want(
+                                                        new ReplicationMessage.LogRequest(
                                                                 w.owner(),
-                                                                w.life(),
-                                                                from.tombstoneFloor(w.owner(), w.life()),
+                                                                w.incarnation(),
+                                                                from.tombstoneFloor(w.owner(), w.incarnation()),
                                                                 0,
                                                                 0),
                                                         PIECE)
                                         == null
-                                ? new ReplicationMessage.Chunk(
-                                        c.owner(), c.life(), c.newest(), w.have(), end, 0, 0, List.of())
+                                ? new ReplicationMessage.LogChunk(
+                                        c.owner(),
+                                        c.incarnation(),
+                                        c.newestIncarnation(),
+                                        w.appliedSequence(),
+                                        end,
+                                        0,
+                                        0,
+                                        List.of())
                                 : tail(from, w, c, end);
             case SNAPSHOT_DONE_EARLY ->
-                c.base() == 0
+                c.snapshotEnd() == 0
                         ? c
-                        : new ReplicationMessage.Chunk(
-                                c.owner(), c.life(), c.newest(), c.from(), end, end, c.floor(), c.entries());
+                        : new ReplicationMessage.LogChunk(
+                                c.owner(),
+                                c.incarnation(),
+                                c.newestIncarnation(),
+                                c.afterSequence(),
+                                end,
+                                end,
+                                c.tombstoneFloor(),
+                                c.records());
             default -> c;
         };
     }
 
-    private static ReplicationMessage.Chunk tail(
-            RecordStore from, ReplicationMessage.Want w, ReplicationMessage.Chunk c, long end) {
-        List<ReplicatedRecord> entries = from.all(w.owner(), w.life()).stream()
-                .filter(e -> e.version().sequence() > w.have())
+    private static ReplicationMessage.LogChunk tail(
+            RecordStore from, ReplicationMessage.LogRequest w, ReplicationMessage.LogChunk c, long end) {
+        List<ReplicatedRecord> entries = from.records(w.owner(), w.incarnation()).stream()
+                .filter(e -> e.version().sequence() > w.appliedSequence())
                 .toList();
-        return new ReplicationMessage.Chunk(c.owner(), c.life(), c.newest(), w.have(), end, 0, 0, entries);
+        return new ReplicationMessage.LogChunk(
+                c.owner(), c.incarnation(), c.newestIncarnation(), w.appliedSequence(), end, 0, 0, entries);
     }
 
     private void arrives(State n, Sent sent) {
-        if (sent.message() instanceof ReplicationMessage.Chunk c) {
+        if (sent.message() instanceof ReplicationMessage.LogChunk c) {
             take(n.stores[sent.to()], c);
         }
     }
 
-    private void take(RecordStore to, ReplicationMessage.Chunk c) {
-        long have = to.appliedSequence(c.owner(), c.life()).orElse(0);
-        ReplicationMessage.Chunk taken = c;
-        if (mistake == ReplicationMistake.GAP_FORGIVEN && c.from() > have && c.base() == 0) {
-            taken = new ReplicationMessage.Chunk(
-                    c.owner(), c.life(), c.newest(), have, c.to(), 0, c.floor(), c.entries());
+    private void take(RecordStore to, ReplicationMessage.LogChunk c) {
+        long have = to.appliedSequence(c.owner(), c.incarnation()).orElse(0);
+        ReplicationMessage.LogChunk taken = c;
+        if (mistake == ReplicationMistake.GAP_FORGIVEN && c.afterSequence() > have && c.snapshotEnd() == 0) {
+            taken = new ReplicationMessage.LogChunk(
+                    c.owner(),
+                    c.incarnation(),
+                    c.newestIncarnation(),
+                    have,
+                    c.upToSequence(),
+                    0,
+                    c.tombstoneFloor(),
+                    c.records());
         } else if (mistake == ReplicationMistake.OLD_LIFE_INTO_NEW
-                && c.life() < to.newestIncarnation(c.owner())
+                && c.incarnation() < to.newestIncarnation(c.owner())
                 && !to.localMember().equals(OWNER)) {
             long life = to.newestIncarnation(c.owner());
-            taken = new ReplicationMessage.Chunk(
+            taken = new ReplicationMessage.LogChunk(
                     c.owner(),
                     life,
                     life,
-                    c.from(),
-                    c.to(),
-                    c.base(),
-                    c.floor(),
-                    c.entries().stream()
+                    c.afterSequence(),
+                    c.upToSequence(),
+                    c.snapshotEnd(),
+                    c.tombstoneFloor(),
+                    c.records().stream()
                             .map(e -> ReplicatedRecord.of(
                                     OWNER,
                                     e.space(),
@@ -359,20 +388,20 @@
                                     new RecordVersion(life, e.version().sequence()),
                                     e.value(),
                                     e.count(),
-                                    e.below()))
+                                    e.foldedBelow()))
                             .toList());
         } else if (mistake == ReplicationMistake.COUNT_ADDED_ON_MERGE) {
-            taken = new ReplicationMessage.Chunk(
+            taken = new ReplicationMessage.LogChunk(
                     c.owner(),
-                    c.life(),
-                    c.newest(),
-                    c.from(),
-                    c.to(),
-                    c.base(),
-                    c.floor(),
-                    c.entries().stream()
+                    c.incarnation(),
+                    c.newestIncarnation(),
+                    c.afterSequence(),
+                    c.upToSequence(),
+                    c.snapshotEnd(),
+                    c.tombstoneFloor(),
+                    c.records().stream()
                             .map(e -> {
-                                ReplicatedRecord mine = to.record(OWNER, c.life(), e.item());
+                                ReplicatedRecord mine = to.record(OWNER, c.incarnation(), e.recordKey());
                                 return mine == null || e.count() == 0
                                         ? e
                                         : ReplicatedRecord.of(
@@ -382,17 +411,17 @@
                                                 e.version(),
                                                 null,
                                                 e.count() + mine.count(),
-                                                e.below());
+                                                e.foldedBelow());
                             })
                             .toList());
         }
         to.merge(taken, 0);
-        if (mistake == ReplicationMistake.LAST_COME_WINS && c.life() == to.newestIncarnation(OWNER)) {
-            c.entries().forEach(e -> to.repair(OWNER, c.life(), e.item(), e, 0));
+        if (mistake == ReplicationMistake.LAST_COME_WINS && c.incarnation() == to.newestIncarnation(OWNER)) {
+            c.records().forEach(e -> to.repair(OWNER, c.incarnation(), e.recordKey(), e, 0));
         } else if (mistake == ReplicationMistake.COUNT_ADDED_ON_MERGE) {
-            for (ReplicatedRecord e : taken.entries()) {
+            for (ReplicatedRecord e : taken.records()) {
                 if (e.count() > 0) {
-                    to.repair(OWNER, c.life(), e.item(), e, 0);
+                    to.repair(OWNER, c.incarnation(), e.recordKey(), e, 0);
                 }
             }
         } else if (mistake == ReplicationMistake.SUMS_END_WITH_LIFE) {
@@ -437,12 +466,13 @@
                 return store.localMember() + " counts " + sum + ", added were " + s.written.added();
             }
             for (long life : store.quarantineReason(OWNER) == null ? store.incarnations(OWNER) : List.<Long>of()) {
-                for (ReplicatedRecord e : store.all(OWNER, life)) {
-                    Long other = contents.putIfAbsent(e.version(), e.sum());
-                    if (other != null && other != e.sum()) {
+                for (ReplicatedRecord e : store.records(OWNER, life)) {
+                    Long other = contents.putIfAbsent(e.version(), e.checksum());
+                    if (other != null && other != e.checksum()) {
                         return "two contents of write " + e.version();
                     }
-                    if (s.written.logs().getOrDefault(life, List.of()).stream().noneMatch(w -> w.sum() == e.sum())) {
+                    if (s.written.logs().getOrDefault(life, List.of()).stream()
+                            .noneMatch(w -> w.checksum() == e.checksum())) {
                         return store.localMember() + " holds what nobody wrote: " + e;
                     }
                 }
@@ -469,14 +499,14 @@
                 return store.localMember() + " has not heard of life " + n.stores[0].incarnation();
             }
             Map<RecordKey, ReplicatedRecord> want = new TreeMap<>();
-            s.written.logs().getOrDefault(life, List.of()).forEach(e -> want.put(e.item(), e));
-            want.values().removeIf(ReplicatedRecord::gone);
+            s.written.logs().getOrDefault(life, List.of()).forEach(e -> want.put(e.recordKey(), e));
+            want.values().removeIf(ReplicatedRecord::removed);
             Map<RecordKey, ReplicatedRecord> has = new TreeMap<>();
-            store.all(OWNER, life).stream().filter(e -> !e.gone()).forEach(e -> has.put(e.item(), e));
+            store.records(OWNER, life).stream().filter(e -> !e.removed()).forEach(e -> has.put(e.recordKey(), e));
             if (!want.keySet().equals(has.keySet())
                     || want.entrySet().stream()
-                            .anyMatch(e ->
-                                    has.get(e.getKey()).sum() != e.getValue().sum())) {
+                            .anyMatch(e -> has.get(e.getKey()).checksum()
+                                    != e.getValue().checksum())) {
                 return store.localMember() + " has " + has.values() + " in the end, written were " + want.values();
             }
             long sum = store.sum(RecordSpace.USED, SUM);
@@ -495,8 +525,8 @@
                 if (i == j) {
                     continue;
                 }
-                for (ReplicationMessage.Mark m : n.stores[j].marks(List.of(OWNER), 0)) {
-                    moved |= n.stores[i].newestIncarnation(OWNER) < m.life();
+                for (ReplicationMessage.OwnerSummary m : n.stores[j].summaries(List.of(OWNER), 0)) {
+                    moved |= n.stores[i].newestIncarnation(OWNER) < m.incarnation();
                     if (i != 0) {
                         n.stores[i].merge(m, 0);
                     }
@@ -505,7 +535,7 @@
                     boolean named = life == n.stores[j].newestIncarnation(OWNER) || n.stores[j].size(OWNER, life) > 0;
                     if (named && lacks(n, i, j, life)) {
                         String before = Objects.toString(n.stores[i]);
-                        ReplicationMessage.Chunk c = piece(n.stores[j], n.stores[i].request(OWNER, life));
+                        ReplicationMessage.LogChunk c = piece(n.stores[j], n.stores[i].createRequest(OWNER, life));
                         if (c != null) {
                             take(n.stores[i], c);
                             moved |= !before.equals(n.stores[i].toString());
--- a/lab/src/main/java/brackenbridge/lab/replica/SimulatedReplicaFleet.java
+++ b/lab/src/main/java/brackenbridge/lab/replica/SimulatedReplicaFleet.java
@@ -86,8 +86,8 @@
             queue.at(Math.max(queue.nowMs() + 1, protocol.nextTickMs()), this::turn);
         }
 
-        void send(List<ReplicationProtocol.Out> out) {
-            for (ReplicationProtocol.Out o : out) {
+        void send(List<ReplicationProtocol.OutgoingMessage> out) {
+            for (ReplicationProtocol.OutgoingMessage o : out) {
                 Node to = nodes.get(Integer.parseInt(o.peer().substring(1)));
                 if (random.nextDouble() >= plan.lost()) {
                     queue.at(queue.nowMs() + 0.5 + 4.5 * random.nextDouble(), () -> to.took(this, o.body()));
@@ -152,7 +152,7 @@
             for (int k = 0; k < plan.keys(); k++) {
                 n.store.put(RecordSpace.SERVERS, "host" + k, value(k), 0);
             }
-            queue.at(random.nextDouble() * plan.terms().pushMs(), n::turn);
+            queue.at(random.nextDouble() * plan.terms().pushIntervalMs(), n::turn);
         }
     }
 
@@ -175,7 +175,7 @@
 
     private int level() {
         return (int) nodes.stream()
-                .filter(n -> n.protocol.level(queue.nowMs()).level())
+                .filter(n -> n.protocol.syncState(queue.nowMs()).caughtUp())
                 .count();
     }
 
@@ -243,12 +243,12 @@
                         o.store.put(RecordSpace.SERVERS, key, value(i), now);
                     }
                 }
-                o.store.forgetTombstones(now + awayMs, plan.terms().removalMs());
-                ReplicationMessage.Chunk c =
-                        o.store.answer(new ReplicationMessage.Want(o.name, o.store.incarnation(), had, 0, 0), 1 << 20);
+                o.store.forgetTombstones(now + awayMs, plan.terms().tombstoneRetentionMs());
+                ReplicationMessage.LogChunk c = o.store.answer(
+                        new ReplicationMessage.LogRequest(o.name, o.store.incarnation(), had, 0, 0), 1 << 20);
                 nodes.stream().filter(n -> n != one && n != o).forEach(n -> {
                     n.store.merge(c, now);
-                    n.store.forgetTombstones(now + awayMs, plan.terms().removalMs());
+                    n.store.forgetTombstones(now + awayMs, plan.terms().tombstoneRetentionMs());
                 });
             }
         }
@@ -262,7 +262,8 @@
         long[] behind = new long[1];
         Node other = nodes.get(nodes.size() - 1);
         boolean level = runUntil(600_000, () -> {
-            behind[0] = Math.max(behind[0], one.protocol.level(queue.nowMs()).behind());
+            behind[0] =
+                    Math.max(behind[0], one.protocol.syncState(queue.nowMs()).missingWrites());
             return nodes.stream()
                     .allMatch(o -> one.store
                                     .appliedSequence(o.name, o.store.incarnation())
@@ -276,8 +277,8 @@
     }
 
     private static String text(Node at, Node of) {
-        return at.store.all(of.name, of.store.incarnation()).stream()
-                .filter(e -> !e.gone())
+        return at.store.records(of.name, of.store.incarnation()).stream()
+                .filter(e -> !e.removed())
                 .toList()
                 .toString();
     }
--- a/lab/src/test/java/brackenbridge/lab/replica/ReplicateTest.java
+++ b/lab/src/test/java/brackenbridge/lab/replica/ReplicateTest.java
@@ -34,7 +34,7 @@
 
     @Test
     void aFleetIsOneSoonAfterAWriteAndOneThatWasAwayIsLevelWithinItsBytes() {
-        ReplicationLimits terms = ReplicationLimits.DEFAULT.sending(200_000);
+        ReplicationLimits terms = ReplicationLimits.DEFAULT.withBytesPerSecond(200_000);
         SimulatedReplicaFleet f =
                 new SimulatedReplicaFleet(new SimulatedReplicaFleet.Plan(40, 5, 2, 0.05, 2000, terms, 3));
         SimulatedReplicaFleet.Outcome o = f.run();
