--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -25,7 +25,7 @@
     static final int MAX_MISMATCHES = 3;
 
     /** Differences and alarms that are kept, at the most. */
-    private static final int MAX_KEPT = 256;
+    private static final int MAX_RECENT = 256;
 
     private static final int MAX_LOGS_PER_MESSAGE = 256;
     private static final int MAX_PIECE_BYTES = 64 << 10;
@@ -67,11 +67,11 @@
     private final RecordStore store;
     private final ArrayDeque<Difference> differences = new ArrayDeque<>();
     private final Map<CatchUp.LogId, Integer> mismatches = new HashMap<>();
-    private final Set<CatchUp.LogId> open = new TreeSet<>();
-    private final Set<CatchUp.LogId> discarded = new TreeSet<>();
+    private final Set<CatchUp.LogId> differingLogs = new TreeSet<>();
+    private final Set<CatchUp.LogId> discardedLogs = new TreeSet<>();
     private final List<String> alarms = new ArrayList<>();
-    private CatchUp.LogId next = new CatchUp.LogId("", 0);
-    private long total;
+    private CatchUp.LogId nextLog = new CatchUp.LogId("", 0);
+    private long totalDifferences;
 
     /** Of this copy. */
     public AntiEntropy(RecordStore store) {
@@ -80,233 +80,260 @@
 
     /** The digests of the next logs to compare with this peer; all come in turn, the peer's own one each time. */
     public ReplicationMessage.LogDigests nextDigests(String peer) {
-        Set<CatchUp.LogId> of = new LinkedHashSet<>();
-        of.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
-        of.add(new CatchUp.LogId(store.localMember(), store.incarnation()));
-        List<CatchUp.LogId> all = new ArrayList<>();
-        store.owners().forEach(o -> store.incarnations(o).forEach(l -> all.add(new CatchUp.LogId(o, l))));
-        int from = 0;
-        while (from < all.size() && all.get(from).compareTo(next) < 0) {
-            from++;
+        Set<CatchUp.LogId> selected = new LinkedHashSet<>();
+        selected.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
+        selected.add(new CatchUp.LogId(store.localMember(), store.incarnation()));
+        List<CatchUp.LogId> known = new ArrayList<>();
+        store.owners()
+                .forEach(owner -> store.incarnations(owner)
+                        .forEach(incarnation -> known.add(new CatchUp.LogId(owner, incarnation))));
+        int start = 0;
+        while (start < known.size() && known.get(start).compareTo(nextLog) < 0) {
+            start++;
         }
-        for (int i = 0; i < all.size() && of.size() < MAX_LOGS_PER_MESSAGE; i++) {
-            of.add(all.get((from + i) % all.size()));
+        for (int i = 0; i < known.size() && selected.size() < MAX_LOGS_PER_MESSAGE; i++) {
+            selected.add(known.get((start + i) % known.size()));
         }
-        next = all.isEmpty() ? next : all.get((from + Math.min(all.size(), MAX_LOGS_PER_MESSAGE - 2)) % all.size());
+        nextLog = known.isEmpty()
+                ? nextLog
+                : known.get((start + Math.min(known.size(), MAX_LOGS_PER_MESSAGE - 2)) % known.size());
         List<ReplicationMessage.LogDigest> digests = new ArrayList<>();
-        for (CatchUp.LogId o : of) {
-            long[] d = store.digests(o.owner(), o.incarnation());
-            if (d != null) {
+        for (CatchUp.LogId log : selected) {
+            long[] ranges = store.digests(log.owner(), log.incarnation());
+            if (ranges != null) {
                 digests.add(new ReplicationMessage.LogDigest(
-                        o.owner(),
-                        o.incarnation(),
-                        store.appliedSequence(o.owner(), o.incarnation()).orElse(0),
-                        OwnerLog.digest(d)));
+                        log.owner(),
+                        log.incarnation(),
+                        store.appliedSequence(log.owner(), log.incarnation()).orElse(0),
+                        OwnerLog.combineDigests(ranges)));
             }
         }
         return new ReplicationMessage.LogDigests(digests);
     }
 
     /** Takes a peer's digests; answers with ranges where they differ. */
-    public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.LogDigests m) {
+    public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.LogDigests message) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        for (ReplicationMessage.LogDigest d : m.digests()) {
-            long[] mine = digestsAt(d.owner(), d.incarnation(), d.appliedSequence());
-            if (mine == null) {
+        for (ReplicationMessage.LogDigest digest : message.digests()) {
+            long[] ours = digestsIfAppliedTo(digest.owner(), digest.incarnation(), digest.appliedSequence());
+            if (ours == null) {
                 continue;
             }
-            if (OwnerLog.digest(mine) == d.digest()) {
-                onEqual(peer, d.owner(), d.incarnation());
+            if (OwnerLog.combineDigests(ours) == digest.digest()) {
+                onEqualDigests(peer, digest.owner(), digest.incarnation());
             } else {
-                answers.add(ranges(d.owner(), d.incarnation(), d.appliedSequence(), mine));
+                answers.add(rangeDigests(digest.owner(), digest.incarnation(), digest.appliedSequence(), ours));
             }
         }
         return answers;
     }
 
-    private static ReplicationMessage.RangeDigests ranges(String owner, long life, long have, long[] digests) {
+    private static ReplicationMessage.RangeDigests rangeDigests(
+            String owner, long incarnation, long appliedSequence, long[] digests) {
         List<Long> list = new ArrayList<>();
-        for (long d : digests) {
-            list.add(d);
+        for (long digest : digests) {
+            list.add(digest);
         }
-        return new ReplicationMessage.RangeDigests(owner, life, have, list);
+        return new ReplicationMessage.RangeDigests(owner, incarnation, appliedSequence, list);
     }
 
     /** Only copies that are equally far are compared. */
-    private long[] digestsAt(String owner, long life, long have) {
-        return store.appliedSequence(owner, life).orElse(0) == have ? store.digests(owner, life) : null;
+    private long[] digestsIfAppliedTo(String owner, long incarnation, long appliedSequence) {
+        return store.appliedSequence(owner, incarnation).orElse(0) == appliedSequence
+                ? store.digests(owner, incarnation)
+                : null;
     }
 
-    private void onEqual(String peer, String owner, long life) {
-        CatchUp.LogId of = new CatchUp.LogId(owner, life);
-        open.remove(of);
-        if (peer.equals(owner) || life < store.newestIncarnation(owner)) {
-            mismatches.remove(of);
-            discarded.remove(of);
+    private void onEqualDigests(String peer, String owner, long incarnation) {
+        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
+        differingLogs.remove(log);
+        if (peer.equals(owner) || incarnation < store.newestIncarnation(owner)) {
+            mismatches.remove(log);
+            discardedLogs.remove(log);
         }
     }
 
     /** Takes a peer's digests by range; answers with the records of ranges that differ. */
-    public List<ReplicationMessage> onRanges(String peer, ReplicationMessage.RangeDigests m) {
+    public List<ReplicationMessage> onRangeDigests(String peer, ReplicationMessage.RangeDigests message) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        long[] mine = digestsAt(m.owner(), m.incarnation(), m.appliedSequence());
-        if (mine == null) {
+        long[] ours = digestsIfAppliedTo(message.owner(), message.incarnation(), message.appliedSequence());
+        if (ours == null) {
             return answers;
         }
         boolean differ = false;
-        for (int r = 0; r < mine.length; r++) {
-            if (mine[r] != m.digests().get(r)) {
+        for (int range = 0; range < ours.length; range++) {
+            if (ours[range] != message.digests().get(range)) {
                 differ = true;
-                answers.addAll(copies(m.owner(), m.incarnation(), m.appliedSequence(), r, true));
+                answers.addAll(
+                        rangeRecords(message.owner(), message.incarnation(), message.appliedSequence(), range, true));
             }
         }
         if (differ) {
-            onDifferent(peer, m.owner(), m.incarnation());
+            onDifferentDigests(peer, message.owner(), message.incarnation());
         } else {
-            onEqual(peer, m.owner(), m.incarnation());
+            onEqualDigests(peer, message.owner(), message.incarnation());
         }
         return answers;
     }
 
-    private void onDifferent(String peer, String owner, long life) {
-        CatchUp.LogId of = new CatchUp.LogId(owner, life);
+    private void onDifferentDigests(String peer, String owner, long incarnation) {
+        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
         if (owner.equals(store.localMember())) {
             return;
         }
-        open.add(of);
-        if (peer.equals(owner) && mismatches.merge(of, 1, Integer::sum) >= MAX_MISMATCHES) {
-            mismatches.remove(of);
-            discarded.add(of);
-            addAlarm("the copy of " + owner + " in life " + life + " still differs from its owner's after "
+        differingLogs.add(log);
+        if (peer.equals(owner) && mismatches.merge(log, 1, Integer::sum) >= MAX_MISMATCHES) {
+            mismatches.remove(log);
+            discardedLogs.add(log);
+            addAlarm("the copy of " + owner + " in life " + incarnation + " still differs from its owner's after "
                     + MAX_MISMATCHES + " times: out of decision, fetched whole");
-            store.discard(owner, life);
+            store.discard(owner, incarnation);
         }
     }
 
-    private List<ReplicationMessage> copies(String owner, long life, long have, int range, boolean ask) {
+    private List<ReplicationMessage> rangeRecords(
+            String owner, long incarnation, long appliedSequence, int range, boolean replyRequested) {
         List<ReplicationMessage> pieces = new ArrayList<>();
         List<ReplicatedRecord> piece = new ArrayList<>();
         int bytes = 0;
-        for (ReplicatedRecord e : store.recordsInRange(owner, life, range)) {
+        for (ReplicatedRecord record : store.recordsInRange(owner, incarnation, range)) {
             if (!piece.isEmpty()
-                    && (bytes + e.bytes() > MAX_PIECE_BYTES || piece.size() == ReplicationMessage.MAX_LIST_SIZE)) {
+                    && (bytes + record.estimatedBytes() > MAX_PIECE_BYTES
+                            || piece.size() == ReplicationMessage.MAX_LIST_SIZE)) {
                 pieces.add(new ReplicationMessage.RangeRecords(
-                        owner, life, have, range, pieces.size(), false, ask, piece));
+                        owner, incarnation, appliedSequence, range, pieces.size(), false, replyRequested, piece));
                 piece = new ArrayList<>();
                 bytes = 0;
             }
-            piece.add(e);
-            bytes += e.bytes();
+            piece.add(record);
+            bytes += record.estimatedBytes();
         }
-        pieces.add(new ReplicationMessage.RangeRecords(owner, life, have, range, pieces.size(), true, ask, piece));
+        pieces.add(new ReplicationMessage.RangeRecords(
+                owner, incarnation, appliedSequence, range, pieces.size(), true, replyRequested, piece));
         return pieces;
     }
 
     /** Takes a peer's records of a range, and applies the rule; answers with those here if asked to. */
-    public List<ReplicationMessage> onCopies(String peer, ReplicationMessage.RangeRecords m, double nowMs) {
-        if (store.appliedSequence(m.owner(), m.incarnation()).orElse(0) != m.appliedSequence()
-                || store.digests(m.owner(), m.incarnation()) == null) {
+    public List<ReplicationMessage> onRangeRecords(String peer, ReplicationMessage.RangeRecords message, double nowMs) {
+        if (store.appliedSequence(message.owner(), message.incarnation()).orElse(0) != message.appliedSequence()
+                || store.digests(message.owner(), message.incarnation()) == null) {
             return List.of();
         }
-        List<ReplicationMessage> answer = m.replyRequested() && m.lastPiece()
-                ? copies(m.owner(), m.incarnation(), m.appliedSequence(), m.range(), false)
+        List<ReplicationMessage> answer = message.replyRequested() && message.lastPiece()
+                ? rangeRecords(
+                        message.owner(), message.incarnation(), message.appliedSequence(), message.range(), false)
                 : List.of();
         Map<RecordKey, ReplicatedRecord> theirs = new TreeMap<>();
-        m.records().forEach(e -> theirs.put(e.recordKey(), e));
-        Set<RecordKey> items = new TreeSet<>(theirs.keySet());
-        RecordKey first =
-                m.piece() == 0 || theirs.isEmpty() ? null : m.records().get(0).recordKey();
-        RecordKey last = m.lastPiece()
+        message.records().forEach(record -> theirs.put(record.recordKey(), record));
+        Set<RecordKey> keys = new TreeSet<>(theirs.keySet());
+        RecordKey first = message.piece() == 0 || theirs.isEmpty()
                 ? null
-                : m.records().isEmpty()
+                : message.records().get(0).recordKey();
+        RecordKey last = message.lastPiece()
+                ? null
+                : message.records().isEmpty()
                         ? first
-                        : m.records().get(m.records().size() - 1).recordKey();
-        for (ReplicatedRecord e : store.recordsInRange(m.owner(), m.incarnation(), m.range())) {
-            if ((first == null || e.recordKey().compareTo(first) >= 0)
-                    && (last == null || e.recordKey().compareTo(last) <= 0)) {
-                items.add(e.recordKey());
+                        : message.records().get(message.records().size() - 1).recordKey();
+        for (ReplicatedRecord record : store.recordsInRange(message.owner(), message.incarnation(), message.range())) {
+            if ((first == null || record.recordKey().compareTo(first) >= 0)
+                    && (last == null || record.recordKey().compareTo(last) <= 0)) {
+                keys.add(record.recordKey());
             }
         }
-        if (!peer.equals(m.owner()) || !m.replyRequested()) {
-            open.add(new CatchUp.LogId(m.owner(), m.incarnation()));
+        if (!peer.equals(message.owner()) || !message.replyRequested()) {
+            differingLogs.add(new CatchUp.LogId(message.owner(), message.incarnation()));
         }
-        for (RecordKey i : items) {
-            ReplicatedRecord t = theirs.get(i);
-            if (t == null
-                    || t.recordKey().range() == m.range()
-                            && t.version().incarnation() == m.incarnation()
-                            && t.version().sequence() <= m.appliedSequence()) {
-                applyRule(peer, m.owner(), m.incarnation(), i, t, nowMs);
+        for (RecordKey key : keys) {
+            ReplicatedRecord theirRecord = theirs.get(key);
+            if (theirRecord == null
+                    || theirRecord.recordKey().rangeIndex() == message.range()
+                            && theirRecord.version().incarnation() == message.incarnation()
+                            && theirRecord.version().sequence() <= message.appliedSequence()) {
+                resolve(peer, message.owner(), message.incarnation(), key, theirRecord, nowMs);
             }
         }
-        if (m.lastPiece() && m.owner().equals(store.localMember())) {
-            open.remove(new CatchUp.LogId(m.owner(), m.incarnation()));
+        if (message.lastPiece() && message.owner().equals(store.localMember())) {
+            differingLogs.remove(new CatchUp.LogId(message.owner(), message.incarnation()));
         }
         return answer;
     }
 
-    private void applyRule(
-            String peer, String owner, long life, RecordKey item, ReplicatedRecord theirs, double nowMs) {
-        ReplicatedRecord mine = store.record(owner, life, item);
-        boolean goneHere = mine == null || mine.removed();
+    private void resolve(
+            String peer, String owner, long incarnation, RecordKey key, ReplicatedRecord theirs, double nowMs) {
+        ReplicatedRecord ours = store.record(owner, incarnation, key);
+        boolean goneHere = ours == null || ours.removed();
         boolean goneThere = theirs == null || theirs.removed();
         if (goneHere && goneThere
-                || mine != null
+                || ours != null
                         && theirs != null
-                        && mine.checksum() == theirs.checksum()
-                        && mine.hasValidChecksum(owner)
+                        && ours.checksum() == theirs.checksum()
+                        && ours.hasValidChecksum(owner)
                         && theirs.hasValidChecksum(owner)) {
             return;
         }
-        boolean own = owner.equals(store.localMember()) && life == store.incarnation();
-        boolean present = life == store.newestIncarnation(owner);
-        Verdict v;
-        if (mine != null && !mine.hasValidChecksum(owner)) {
-            v = theirs != null && theirs.hasValidChecksum(owner) || !own ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
-        } else if (theirs != null && !theirs.hasValidChecksum(owner) || own) {
-            v = Verdict.KEPT_MINE;
+        boolean ownLog = owner.equals(store.localMember()) && incarnation == store.incarnation();
+        boolean present = incarnation == store.newestIncarnation(owner);
+        Verdict verdict;
+        if (ours != null && !ours.hasValidChecksum(owner)) {
+            verdict = theirs != null && theirs.hasValidChecksum(owner) || !ownLog
+                    ? Verdict.TOOK_THEIRS
+                    : Verdict.KEPT_MINE;
+        } else if (theirs != null && !theirs.hasValidChecksum(owner) || ownLog) {
+            verdict = Verdict.KEPT_MINE;
         } else if (theirs == null) {
-            v = peer.equals(owner) && present ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
-        } else if (mine == null) {
-            v = Verdict.TOOK_THEIRS;
-        } else if (mine.version().equals(theirs.version())) {
-            v = Verdict.TWO_WRITERS;
+            verdict = peer.equals(owner) && present ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+        } else if (ours == null) {
+            verdict = Verdict.TOOK_THEIRS;
+        } else if (ours.version().equals(theirs.version())) {
+            verdict = Verdict.TWO_WRITERS;
         } else {
-            v = theirs.version().compareTo(mine.version()) > 0 ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+            verdict = theirs.version().compareTo(ours.version()) > 0 ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
         }
-        if (own
-                && mine != null
+        if (ownLog
+                && ours != null
                 && theirs != null
-                && mine.hasValidChecksum(owner)
+                && ours.hasValidChecksum(owner)
                 && theirs.hasValidChecksum(owner)
-                && mine.version().equals(theirs.version())) {
-            v = Verdict.TWO_WRITERS;
+                && ours.version().equals(theirs.version())) {
+            verdict = Verdict.TWO_WRITERS;
         }
         addDifference(new Difference(
-                nowMs, owner, life, item.space(), item.key(), peer, text(owner, mine), text(owner, theirs), v));
-        if (v == Verdict.TOOK_THEIRS) {
-            store.repair(owner, life, item, theirs != null && !theirs.hasValidChecksum(owner) ? null : theirs, nowMs);
-        } else if (v == Verdict.TWO_WRITERS) {
-            store.resolveConflict(owner, life, mine, theirs);
+                nowMs,
+                owner,
+                incarnation,
+                key.space(),
+                key.key(),
+                peer,
+                describe(owner, ours),
+                describe(owner, theirs),
+                verdict));
+        if (verdict == Verdict.TOOK_THEIRS) {
+            store.repair(
+                    owner, incarnation, key, theirs != null && !theirs.hasValidChecksum(owner) ? null : theirs, nowMs);
+        } else if (verdict == Verdict.TWO_WRITERS) {
+            store.resolveConflict(owner, incarnation, ours, theirs);
         }
     }
 
-    private static String text(String owner, ReplicatedRecord e) {
-        return e == null ? "nothing" : e.hasValidChecksum(owner) ? e.toString() : e + " (not what was written)";
+    private static String describe(String owner, ReplicatedRecord record) {
+        return record == null
+                ? "nothing"
+                : record.hasValidChecksum(owner) ? record.toString() : record + " (not what was written)";
     }
 
-    private void addDifference(Difference d) {
-        total++;
-        if (differences.size() == MAX_KEPT) {
+    private void addDifference(Difference difference) {
+        totalDifferences++;
+        if (differences.size() == MAX_RECENT) {
             differences.removeFirst();
         }
-        differences.addLast(d);
-        addAlarm("copies differ: " + d.owner() + " life " + d.life() + " " + d.space() + "/" + d.key() + ": here "
-                + d.mine() + ", at " + d.peer() + " " + d.theirs() + ": " + d.verdict());
+        differences.addLast(difference);
+        addAlarm("copies differ: " + difference.owner() + " life " + difference.life() + " " + difference.space() + "/"
+                + difference.key() + ": here " + difference.mine() + ", at " + difference.peer() + " "
+                + difference.theirs() + ": " + difference.verdict());
     }
 
     private void addAlarm(String text) {
-        if (alarms.size() < MAX_KEPT) {
+        if (alarms.size() < MAX_RECENT) {
             alarms.add(text);
         }
     }
@@ -325,19 +352,19 @@
 
     /** How many were found since the start. */
     public long totalDifferences() {
-        return total;
+        return totalDifferences;
     }
 
     /** Logs that were found to differ and were not found equal since. */
-    public int openLogs() {
-        open.removeIf(o -> o.incarnation() < store.newestIncarnation(o.owner())
-                && store.appliedSequence(o.owner(), o.incarnation()).isEmpty());
-        return open.size();
+    public int countDifferingLogs() {
+        differingLogs.removeIf(log -> log.incarnation() < store.newestIncarnation(log.owner())
+                && store.appliedSequence(log.owner(), log.incarnation()).isEmpty());
+        return differingLogs.size();
     }
 
     /** Whether a copy here still differs after the rule: nobody acts on this member's copies. */
-    public boolean outOfDecision() {
-        discarded.removeIf(o -> o.incarnation() < store.newestIncarnation(o.owner()));
-        return !discarded.isEmpty();
+    public boolean hasDiscardedLogs() {
+        discardedLogs.removeIf(log -> log.incarnation() < store.newestIncarnation(log.owner()));
+        return !discardedLogs.isEmpty();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -20,9 +20,9 @@
      */
     public record LogId(String owner, long incarnation) implements Comparable<LogId> {
         @Override
-        public int compareTo(LogId o) {
-            int c = owner.compareTo(o.owner);
-            return c != 0 ? c : Long.compare(incarnation, o.incarnation);
+        public int compareTo(LogId other) {
+            int byOwner = owner.compareTo(other.owner);
+            return byOwner != 0 ? byOwner : Long.compare(incarnation, other.incarnation);
         }
     }
 
@@ -42,7 +42,7 @@
         /** Requests since the last progress. */
         int requests;
         /** When a peer last named it, in milliseconds. */
-        double namedAtMs;
+        double lastReportedMs;
     }
 
     /** A log that was requested in vain and that no peer has named for so long is forgotten; milliseconds. */
@@ -54,11 +54,11 @@
     /** The pause between requests grows up to so many times the first. */
     private static final int MAX_BACKOFF_FACTOR = 8;
     /** Requests in vain after which a log that is not named any more is forgotten. */
-    private static final int MAX_REQUESTS_UNNAMED = 2;
+    private static final int MAX_REQUESTS_UNREPORTED = 2;
 
     private final ReplicationLimits limits;
     private final Map<LogId, Gap> gaps = new TreeMap<>();
-    private boolean wasLevel;
+    private boolean wasCaughtUp;
 
     /** Nothing was named yet. */
     public CatchUp(ReplicationLimits limits) {
@@ -66,43 +66,43 @@
     }
 
     /** A peer has named the sequence number that its copy of a log has reached. */
-    public void onPosition(String peer, LogId of, long named, long applied, double nowMs) {
-        if (named <= applied) {
+    public void onPosition(String peer, LogId log, long reported, long applied, double nowMs) {
+        if (reported <= applied) {
             return;
         }
-        Gap gap = gaps.get(of);
+        Gap gap = gaps.get(log);
         if (gap == null) {
             if (gaps.size() >= 2 * RecordStore.MAX_OWNERS) {
                 return;
             }
             gap = new Gap();
             gap.behindSinceMs = nowMs;
-            gap.lagTargetSequence = named;
-            gaps.put(of, gap);
+            gap.lagTargetSequence = reported;
+            gaps.put(log, gap);
         }
         gap.appliedSequence = applied;
         // The first who has all of it stays the one to ask, unless it did not answer.
-        if (named > gap.targetSequence || gap.requests > MAX_REQUESTS_TO_SOURCE) {
+        if (reported > gap.targetSequence || gap.requests > MAX_REQUESTS_TO_SOURCE) {
             gap.source = peer;
             gap.requests = 0;
         }
-        gap.targetSequence = Math.max(gap.targetSequence, named);
-        gap.namedAtMs = nowMs;
+        gap.targetSequence = Math.max(gap.targetSequence, reported);
+        gap.lastReportedMs = nowMs;
     }
 
     /** Incarnations of an owner before this one have ended: what peers keep of them is named anew. */
     public void dropEnded(String owner, long before) {
-        gaps.keySet().removeIf(of -> of.owner().equals(owner) && of.incarnation() < before);
+        gaps.keySet().removeIf(log -> log.owner().equals(owner) && log.incarnation() < before);
     }
 
     /** The copy here has reached this sequence number; {@link Long#MAX_VALUE} if it is not needed any more. */
-    public void onProgress(LogId of, long applied, double nowMs) {
-        Gap gap = gaps.get(of);
+    public void onProgress(LogId log, long applied, double nowMs) {
+        Gap gap = gaps.get(log);
         if (gap == null) {
             return;
         }
         if (applied >= gap.targetSequence) {
-            gaps.remove(of);
+            gaps.remove(log);
             return;
         }
         if (applied >= gap.lagTargetSequence) {
@@ -118,12 +118,14 @@
     public Map<String, List<LogId>> dueRequests(double nowMs) {
         Map<String, List<LogId>> due = new LinkedHashMap<>();
         // Guards against waiting for ever for what nobody in reach names any more: folded, or its only holder is gone.
-        gaps.values().removeIf(gap -> gap.requests > MAX_REQUESTS_UNNAMED && nowMs - gap.namedAtMs > FORGET_AFTER_MS);
-        gaps.forEach((of, gap) -> {
+        gaps.values()
+                .removeIf(
+                        gap -> gap.requests > MAX_REQUESTS_UNREPORTED && nowMs - gap.lastReportedMs > FORGET_AFTER_MS);
+        gaps.forEach((log, gap) -> {
             if (gap.nextRequestAtMs <= nowMs) {
-                List<LogId> requests = due.computeIfAbsent(gap.source, p -> new ArrayList<>());
+                List<LogId> requests = due.computeIfAbsent(gap.source, source -> new ArrayList<>());
                 if (requests.size() < MAX_LOGS_PER_REQUEST) {
-                    requests.add(of);
+                    requests.add(log);
                     gap.requests++;
                     gap.nextRequestAtMs =
                             nowMs + limits.requestTimeoutMs() * Math.min(MAX_BACKOFF_FACTOR, gap.requests);
@@ -146,8 +148,8 @@
      *
      * @param initialized whether enough peers have listed what they have
      */
-    public boolean isLevel(boolean initialized, double nowMs) {
-        wasLevel |= initialized && gaps.isEmpty();
-        return wasLevel && gaps.values().stream().allMatch(gap -> nowMs - gap.behindSinceMs <= limits.maxLagMs());
+    public boolean isCaughtUp(boolean initialized, double nowMs) {
+        wasCaughtUp |= initialized && gaps.isEmpty();
+        return wasCaughtUp && gaps.values().stream().allMatch(gap -> nowMs - gap.behindSinceMs <= limits.maxLagMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
@@ -22,16 +22,16 @@
         return owner == null ? List.of() : List.copyOf(owner.logs.keySet());
     }
 
-    List<ReplicatedRecord> range(String owner, long incarnation, int range) {
-        return all(owner, incarnation).stream()
-                .filter(record -> record.recordKey().range() == range)
-                .sorted((a, b) -> a.recordKey().compareTo(b.recordKey()))
+    List<ReplicatedRecord> recordsInRange(String owner, long incarnation, int range) {
+        return records(owner, incarnation).stream()
+                .filter(record -> record.recordKey().rangeIndex() == range)
+                .sorted((first, second) -> first.recordKey().compareTo(second.recordKey()))
                 .toList();
     }
 
-    List<ReplicatedRecord> all(String owner, long incarnation) {
+    List<ReplicatedRecord> records(String owner, long incarnation) {
         OwnerLog log = table.log(owner, incarnation);
-        return log == null ? List.of() : log.all();
+        return log == null ? List.of() : log.records();
     }
 
     ReplicatedRecord record(String owner, long incarnation, RecordKey key) {
@@ -52,10 +52,10 @@
         table.addChange(owner, incarnation, key);
     }
 
-    void resolveConflict(String name, long incarnation, ReplicatedRecord mine, ReplicatedRecord theirs) {
+    void resolveConflict(String name, long incarnation, ReplicatedRecord ours, ReplicatedRecord theirs) {
         OwnerLog log = table.log(name, incarnation);
         if (log != null) {
-            table.resolveConflict(table.find(name), log, mine, theirs);
+            table.resolveConflict(table.find(name), log, ours, theirs);
         }
     }
 
@@ -64,7 +64,7 @@
         if (log == null || local.isNamed(name) && incarnation == local.incarnation) {
             return;
         }
-        log.all().forEach(record -> {
+        log.records().forEach(record -> {
             log.drop(record.recordKey());
             table.addChange(name, incarnation, record.recordKey());
         });
--- a/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
@@ -204,9 +204,9 @@
     boolean awaitFlushed(double withinMs) throws InterruptedException {
         monitor.lock();
         try {
-            long left = (long) (withinMs * 1e6);
-            while ((!pending.isEmpty() || writing) && left > 0) {
-                left = monitor.awaitChange(left);
+            long remainingNanos = (long) (withinMs * 1e6);
+            while ((!pending.isEmpty() || writing) && remainingNanos > 0) {
+                remainingNanos = monitor.awaitChange(remainingNanos);
             }
             return pending.isEmpty() && !writing && healthy;
         } finally {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
@@ -60,7 +60,7 @@
         OwnerState owner = local.state();
         TreeSet<RecordKey> keys = new TreeSet<>();
         for (OwnerLog log : owner.logs.headMap(below).values()) {
-            log.all().stream()
+            log.records().stream()
                     .filter(record -> record.space().kind() == RecordSpace.Kind.COUNTER)
                     .forEach(record -> keys.add(record.recordKey()));
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
@@ -31,7 +31,7 @@
         if (!ofLocal) {
             table.advanceIncarnation(chunk.owner(), owner, chunk.newestIncarnation());
         }
-        OwnerLog log = owner.logs.computeIfAbsent(chunk.incarnation(), of -> new OwnerLog(chunk.owner(), of));
+        OwnerLog log = owner.logs.computeIfAbsent(chunk.incarnation(), ended -> new OwnerLog(chunk.owner(), ended));
         findConflicts(owner, log, chunk.records());
         RecordStore.MergeResult result = log.size() + chunk.records().size() > RecordStore.MAX_RECORDS
                 ? RecordStore.MergeResult.REJECTED
@@ -94,7 +94,7 @@
         if (chunk.upToSequence() <= log.snapshotCursor) {
             return RecordStore.MergeResult.KNOWN;
         }
-        log.dropBetween(log.snapshotCursor, chunk.upToSequence(), chunk.records())
+        log.dropUnlisted(log.snapshotCursor, chunk.upToSequence(), chunk.records())
                 .forEach(key -> table.addChange(log.owner, log.incarnation, key));
         applyAfter(owner, log, log.snapshotCursor, chunk.records(), nowMs);
         log.snapshotCursor = chunk.upToSequence();
@@ -117,9 +117,9 @@
 
     private void findConflicts(OwnerState owner, OwnerLog log, List<ReplicatedRecord> records) {
         for (ReplicatedRecord record : records) {
-            ReplicatedRecord mine = log.at(record.version().sequence());
-            if (mine != null && mine.checksum() != record.checksum() && mine.hasValidChecksum(log.owner)) {
-                table.resolveConflict(owner, log, mine, record);
+            ReplicatedRecord ours = log.getBySequence(record.version().sequence());
+            if (ours != null && ours.checksum() != record.checksum() && ours.hasValidChecksum(log.owner)) {
+                table.resolveConflict(owner, log, ours, record);
             }
         }
     }
@@ -131,7 +131,7 @@
             return;
         }
         table.advanceIncarnation(name, owner, incarnation);
-        OwnerLog log = owner.logs.computeIfAbsent(incarnation, of -> new OwnerLog(name, of));
+        OwnerLog log = owner.logs.computeIfAbsent(incarnation, ended -> new OwnerLog(name, ended));
         records.forEach(record -> table.apply(owner, log, record, 0));
         log.appliedSequence = appliedSequence;
         log.tombstoneFloor = tombstoneFloor;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
@@ -17,18 +17,18 @@
         this.local = local;
     }
 
-    List<ReplicationMessage.OwnerSummary> marks(Iterable<String> names, double nowMs) {
+    List<ReplicationMessage.OwnerSummary> summaries(Iterable<String> names, double nowMs) {
         List<ReplicationMessage.OwnerSummary> marks = new ArrayList<>();
         for (String name : names) {
             OwnerState owner = table.find(name);
             if (owner != null) {
-                marks.add(mark(name, owner, nowMs));
+                marks.add(summarize(name, owner, nowMs));
             }
         }
         return marks;
     }
 
-    private ReplicationMessage.OwnerSummary mark(String name, OwnerState owner, double nowMs) {
+    private ReplicationMessage.OwnerSummary summarize(String name, OwnerState owner, double nowMs) {
         OwnerLog log = owner.newestLog();
         long applied = log == null ? 0 : log.appliedSequence;
         boolean self = local.isNamed(name) && owner.incarnation == local.incarnation;
@@ -44,9 +44,9 @@
                 owner.quarantineReason != null);
     }
 
-    List<ReplicationMessage.EndedLog> endedIncarnations() {
+    List<ReplicationMessage.EndedLog> endedLogs() {
         List<ReplicationMessage.EndedLog> ended = new ArrayList<>();
-        table.all()
+        table.ownersByName()
                 .forEach((name, owner) -> owner.logs.headMap(owner.incarnation).forEach((incarnation, log) -> {
                     if (log.size() > 0) {
                         ended.add(new ReplicationMessage.EndedLog(name, incarnation, log.appliedSequence));
@@ -65,7 +65,7 @@
         return ended ? OptionalLong.empty() : OptionalLong.of(0);
     }
 
-    ReplicationMessage.LogRequest request(String name, long incarnation) {
+    ReplicationMessage.LogRequest createRequest(String name, long incarnation) {
         OwnerLog log = table.log(name, incarnation);
         return log == null
                 ? new ReplicationMessage.LogRequest(name, incarnation, 0, 0, 0)
@@ -73,28 +73,33 @@
                         name, incarnation, log.appliedSequence, log.snapshotCursor, log.snapshotEnd);
     }
 
-    ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest want, int maxBytes) {
-        OwnerState owner = table.find(want.owner());
-        OwnerLog log = table.log(want.owner(), want.incarnation());
-        if (log == null || log.appliedSequence <= want.appliedSequence()) {
+    ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest request, int maxBytes) {
+        OwnerState owner = table.find(request.owner());
+        OwnerLog log = table.log(request.owner(), request.incarnation());
+        if (log == null || log.appliedSequence <= request.appliedSequence()) {
             return null;
         }
-        if (want.incarnation() < owner.incarnation || want.appliedSequence() >= log.tombstoneFloor) {
-            return log.piece(want.appliedSequence(), log.appliedSequence, 0, owner.incarnation, maxBytes);
+        if (request.incarnation() < owner.incarnation || request.appliedSequence() >= log.tombstoneFloor) {
+            return log.readChunk(request.appliedSequence(), log.appliedSequence, 0, owner.incarnation, maxBytes);
         }
         // A snapshot that another began goes on only if no tombstone after its end was forgotten since.
-        boolean resumes = want.snapshotEnd() > want.appliedSequence()
-                && want.snapshotEnd() <= log.appliedSequence
-                && want.snapshotCursor() < want.snapshotEnd();
+        boolean resumes = request.snapshotEnd() > request.appliedSequence()
+                && request.snapshotEnd() <= log.appliedSequence
+                && request.snapshotCursor() < request.snapshotEnd();
         return resumes
-                ? log.piece(want.snapshotCursor(), want.snapshotEnd(), want.snapshotEnd(), owner.incarnation, maxBytes)
-                : log.piece(0, log.appliedSequence, log.appliedSequence, owner.incarnation, maxBytes);
+                ? log.readChunk(
+                        request.snapshotCursor(),
+                        request.snapshotEnd(),
+                        request.snapshotEnd(),
+                        owner.incarnation,
+                        maxBytes)
+                : log.readChunk(0, log.appliedSequence, log.appliedSequence, owner.incarnation, maxBytes);
     }
 
     ReplicationMessage.LogChunk readAfter(String name, long incarnation, long sequence, int maxBytes) {
         OwnerLog log = table.log(name, incarnation);
         return log == null || sequence >= log.appliedSequence || sequence < log.tombstoneFloor
                 ? null
-                : log.piece(sequence, log.appliedSequence, 0, table.find(name).incarnation, maxBytes);
+                : log.readChunk(sequence, log.appliedSequence, 0, table.find(name).incarnation, maxBytes);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
@@ -53,16 +53,16 @@
         return copy;
     }
 
-    ReplicatedRecord get(RecordKey item) {
-        return byKey.get(item);
+    ReplicatedRecord get(RecordKey key) {
+        return byKey.get(key);
     }
 
-    ReplicatedRecord at(long sequence) {
+    ReplicatedRecord getBySequence(long sequence) {
         return bySequence.get(sequence);
     }
 
     /** All, in the order of writes. */
-    List<ReplicatedRecord> all() {
+    List<ReplicatedRecord> records() {
         return List.copyOf(bySequence.values());
     }
 
@@ -71,61 +71,61 @@
     }
 
     /** Takes a write if it is later than what is here of its key. */
-    boolean apply(ReplicatedRecord e, double nowMs) {
-        ReplicatedRecord now = byKey.get(e.recordKey());
-        if (now != null && now.version().sequence() >= e.version().sequence()) {
+    boolean apply(ReplicatedRecord record, double nowMs) {
+        ReplicatedRecord present = byKey.get(record.recordKey());
+        if (present != null && present.version().sequence() >= record.version().sequence()) {
             return false;
         }
-        replace(e, nowMs);
+        replace(record, nowMs);
         return true;
     }
 
     /** Puts this one in the place of whatever is here of its key. */
-    void replace(ReplicatedRecord e, double nowMs) {
-        ReplicatedRecord before = byKey.put(e.recordKey(), e);
-        if (before != null) {
-            bySequence.remove(before.version().sequence());
+    void replace(ReplicatedRecord record, double nowMs) {
+        ReplicatedRecord previous = byKey.put(record.recordKey(), record);
+        if (previous != null) {
+            bySequence.remove(previous.version().sequence());
         }
-        ReplicatedRecord other = bySequence.put(e.version().sequence(), e);
-        if (other != null && !other.recordKey().equals(e.recordKey())) {
-            byKey.remove(other.recordKey());
+        ReplicatedRecord replaced = bySequence.put(record.version().sequence(), record);
+        if (replaced != null && !replaced.recordKey().equals(record.recordKey())) {
+            byKey.remove(replaced.recordKey());
         }
-        if (e.removed()) {
-            tombstones.add(new Tombstone(e.version().sequence(), nowMs));
+        if (record.removed()) {
+            tombstones.add(new Tombstone(record.version().sequence(), nowMs));
         }
     }
 
-    void drop(RecordKey item) {
-        ReplicatedRecord e = byKey.remove(item);
-        if (e != null) {
-            bySequence.remove(e.version().sequence());
+    void drop(RecordKey key) {
+        ReplicatedRecord record = byKey.remove(key);
+        if (record != null) {
+            bySequence.remove(record.version().sequence());
         }
     }
 
     /** Drops what lies between these writes and is none of those kept. */
-    List<RecordKey> dropBetween(long from, long to, List<ReplicatedRecord> kept) {
-        Set<Long> keep = new HashSet<>();
-        kept.forEach(e -> keep.add(e.version().sequence()));
+    List<RecordKey> dropUnlisted(long afterSequence, long upToSequence, List<ReplicatedRecord> listed) {
+        Set<Long> listedSequences = new HashSet<>();
+        listed.forEach(record -> listedSequences.add(record.version().sequence()));
         List<RecordKey> dropped = new ArrayList<>();
-        for (ReplicatedRecord e :
-                List.copyOf(bySequence.subMap(from, false, to, true).values())) {
+        for (ReplicatedRecord record : List.copyOf(
+                bySequence.subMap(afterSequence, false, upToSequence, true).values())) {
             // Guards a count that only this copy has: its later value may never come.
-            if (e.space().kind() == RecordSpace.Kind.REGISTER
-                    && !keep.contains(e.version().sequence())) {
-                drop(e.recordKey());
-                dropped.add(e.recordKey());
+            if (record.space().kind() == RecordSpace.Kind.REGISTER
+                    && !listedSequences.contains(record.version().sequence())) {
+                drop(record.recordKey());
+                dropped.add(record.recordKey());
             }
         }
         return dropped;
     }
 
     /** Its incarnation has ended: only counters are kept. */
-    List<RecordKey> end() {
+    List<RecordKey> endIncarnation() {
         List<RecordKey> dropped = new ArrayList<>();
-        for (ReplicatedRecord e : List.copyOf(bySequence.values())) {
-            if (e.space().kind() == RecordSpace.Kind.REGISTER) {
-                drop(e.recordKey());
-                dropped.add(e.recordKey());
+        for (ReplicatedRecord record : List.copyOf(bySequence.values())) {
+            if (record.space().kind() == RecordSpace.Kind.REGISTER) {
+                drop(record.recordKey());
+                dropped.add(record.recordKey());
             }
         }
         tombstones.clear();
@@ -145,16 +145,16 @@
      * Forgets tombstones that are older than this, and the oldest above the bound. Whoever still lacks one of them is
      * below the floor from then on and gets a snapshot, and what that does not name is gone.
      */
-    List<RecordKey> forgetTombstones(double nowMs, double afterMs) {
+    List<RecordKey> forgetTombstones(double nowMs, double retentionMs) {
         List<RecordKey> forgotten = new ArrayList<>();
         while (!tombstones.isEmpty()
-                && (tombstones.size() > MAX_TOMBSTONES || tombstones.peek().atMs() <= nowMs - afterMs)
+                && (tombstones.size() > MAX_TOMBSTONES || tombstones.peek().atMs() <= nowMs - retentionMs)
                 && tombstones.peek().sequence() <= appliedSequence) {
             Tombstone oldest = tombstones.poll();
-            ReplicatedRecord e = bySequence.get(oldest.sequence());
-            if (e != null && e.removed()) {
-                drop(e.recordKey());
-                forgotten.add(e.recordKey());
+            ReplicatedRecord record = bySequence.get(oldest.sequence());
+            if (record != null && record.removed()) {
+                drop(record.recordKey());
+                forgotten.add(record.recordKey());
             }
             tombstoneFloor = Math.max(tombstoneFloor, oldest.sequence());
         }
@@ -162,49 +162,59 @@
     }
 
     /** What was written last after a write, up to so many bytes; {@code end} is how far it may go. */
-    ReplicationMessage.LogChunk piece(long from, long end, long snapshot, long newest, int mostBytes) {
+    ReplicationMessage.LogChunk readChunk(
+            long afterSequence, long lastSequence, long chunkSnapshotEnd, long newestIncarnation, int maxBytes) {
         List<ReplicatedRecord> entries = new ArrayList<>();
         int bytes = 0;
-        long to = end;
-        for (ReplicatedRecord e :
-                bySequence.subMap(from, false, Math.max(from, end), true).values()) {
+        long upToSequence = lastSequence;
+        for (ReplicatedRecord record : bySequence
+                .subMap(afterSequence, false, Math.max(afterSequence, lastSequence), true)
+                .values()) {
             if (!entries.isEmpty()
-                    && (bytes + e.bytes() > mostBytes || entries.size() == ReplicationMessage.MAX_LIST_SIZE)) {
-                to = entries.get(entries.size() - 1).version().sequence();
+                    && (bytes + record.estimatedBytes() > maxBytes
+                            || entries.size() == ReplicationMessage.MAX_LIST_SIZE)) {
+                upToSequence = entries.get(entries.size() - 1).version().sequence();
                 break;
             }
-            entries.add(e);
-            bytes += e.bytes();
+            entries.add(record);
+            bytes += record.estimatedBytes();
         }
         return new ReplicationMessage.LogChunk(
-                owner, incarnation, newest, from, Math.max(from, to), snapshot, tombstoneFloor, entries);
+                owner,
+                incarnation,
+                newestIncarnation,
+                afterSequence,
+                Math.max(afterSequence, upToSequence),
+                chunkSnapshotEnd,
+                tombstoneFloor,
+                entries);
     }
 
     /** A digest for each range of keys, over what the copy holds by now: nothing is remembered from when it came. */
     long[] digests() {
-        long[] d = new long[RecordKey.RANGE_COUNT];
-        for (ReplicatedRecord e : bySequence.values()) {
-            if (!e.removed()) {
-                d[e.recordKey().range()] += mix(e.computeChecksum(owner));
+        long[] digests = new long[RecordKey.RANGE_COUNT];
+        for (ReplicatedRecord record : bySequence.values()) {
+            if (!record.removed()) {
+                digests[record.recordKey().rangeIndex()] += mixBits(record.computeChecksum(owner));
             }
         }
-        return d;
+        return digests;
     }
 
     /** A digest over all ranges. */
-    static long digest(long[] ranges) {
-        long all = 0;
-        for (long r : ranges) {
-            all = mix(all + r);
+    static long combineDigests(long[] ranges) {
+        long combined = 0;
+        for (long range : ranges) {
+            combined = mixBits(combined + range);
         }
-        return all;
+        return combined;
     }
 
     /** The finaliser of SplitMix64, so that sums of similar checksums don't cancel out. */
-    private static long mix(long z) {
-        long a = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        long b = (a ^ a >>> 27) * 0x94d049bb133111ebL;
-        return b ^ b >>> 31;
+    private static long mixBits(long value) {
+        long first = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
+        long second = (first ^ first >>> 27) * 0x94d049bb133111ebL;
+        return second ^ second >>> 31;
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/replica/PeerProgress.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/PeerProgress.java
@@ -6,16 +6,16 @@
 
 /** What the protocol knows of one peer. Mutable; of the {@link ReplicationProtocol} that holds it. */
 final class PeerProgress {
-    long life;
+    long incarnation;
     /** Whether it has sent all its marks since it was last reachable. */
-    boolean hasListedAll;
+    boolean hasSentAllSummaries;
     /** The sequence number of this member's log that it has said to hold. */
-    long localSequence;
+    long acknowledgedSequence;
 
-    double listRequestAtMs = Double.NEGATIVE_INFINITY;
+    double nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
     /** What it holds of this member's ended incarnations, by its last full list. */
     Map<Long, Long> endedSequences = Map.of();
 
     Map<Long, Long> partialEndedSequences = new TreeMap<>();
-    final Map<CatchUp.LogId, ReplicationMessage.LogRequest> pending = new LinkedHashMap<>();
+    final Map<CatchUp.LogId, ReplicationMessage.LogRequest> pendingRequests = new LinkedHashMap<>();
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
@@ -10,13 +10,13 @@
     /** Ranges of keys by which copies are compared. */
     static final int RANGE_COUNT = 16;
 
-    int range() {
-        int h = key.hashCode() * 31 + space.ordinal();
-        return (h ^ h >>> 16 ^ h >>> 8) & RANGE_COUNT - 1;
+    int rangeIndex() {
+        int hash = key.hashCode() * 31 + space.ordinal();
+        return (hash ^ hash >>> 16 ^ hash >>> 8) & RANGE_COUNT - 1;
     }
 
     @Override
-    public int compareTo(RecordKey o) {
-        return space != o.space ? space.compareTo(o.space) : key.compareTo(o.key);
+    public int compareTo(RecordKey other) {
+        return space != other.space ? space.compareTo(other.space) : key.compareTo(other.key);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
@@ -30,9 +30,9 @@
 
     List<Replica.ReadRecord> readAll(RecordSpace space, double nowMs) {
         List<Replica.ReadRecord> readable = new ArrayList<>();
-        table.all().forEach((name, owner) -> {
+        table.ownersByName().forEach((name, owner) -> {
             for (OwnerLog log : owner.logs.values()) {
-                for (ReplicatedRecord record : log.all()) {
+                for (ReplicatedRecord record : log.records()) {
                     Replica.ReadRecord seen = record.space() == space ? read(name, owner, log, record, nowMs) : null;
                     if (seen != null) {
                         readable.add(seen);
@@ -52,12 +52,12 @@
 
     private Replica.ReadRecord read(
             String name, OwnerState owner, OwnerLog log, ReplicatedRecord record, double nowMs) {
-        boolean own = record.space().kind() == RecordSpace.Kind.REGISTER;
+        boolean register = record.space().kind() == RecordSpace.Kind.REGISTER;
         boolean unreadable = owner.quarantineReason != null || log.incarnation < owner.incarnation;
-        if (record.removed() || own && unreadable) {
+        if (record.removed() || register && unreadable) {
             return null;
         }
-        byte[] value = own ? record.value() : Long.toString(record.count()).getBytes(StandardCharsets.US_ASCII);
+        byte[] value = register ? record.value() : Long.toString(record.count()).getBytes(StandardCharsets.US_ASCII);
         double ageMs = local.isNamed(name) ? 0 : Math.max(0, nowMs - owner.lastCompleteAtMs);
         return new Replica.ReadRecord(name, record.key(), record.version(), value, ageMs);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
@@ -13,7 +13,7 @@
  * Counters are grow-only, one for each owner and incarnation (Shapiro, Preguica, Baquero, Zawirski: Conflict-free
  * replicated data types, 2011), and outlive both.
  *
- * <p>Each concern is a class of its own over one {@link RecordTable}: {@link LocalWriter}, {@link MarkMerger},
+ * <p>Each concern is a class of its own over one {@link RecordTable}: {@link LocalWriter}, {@link SummaryMerger},
  * {@link LogMerger}, {@link LogReader}, {@link CopyRepair} and {@link RecordReader}.
  */
 public final class RecordStore {
@@ -39,10 +39,10 @@
     private final RecordTable table;
     private final LocalOwner local;
     private final LocalWriter writer;
-    private final MarkMerger markMerger;
+    private final SummaryMerger summaryMerger;
     private final LogMerger logMerger;
     private final LogReader logReader;
-    private final CopyRepair copies;
+    private final CopyRepair copyRepair;
     private final RecordReader reader;
 
     /**
@@ -66,10 +66,10 @@
         this.table = table;
         this.local = local;
         writer = new LocalWriter(table, local);
-        markMerger = new MarkMerger(table, local, writer);
+        summaryMerger = new SummaryMerger(table, local, writer);
         logMerger = new LogMerger(table, local);
         logReader = new LogReader(table, local);
-        copies = new CopyRepair(table, local);
+        copyRepair = new CopyRepair(table, local);
         reader = new RecordReader(table, local);
     }
 
@@ -150,8 +150,8 @@
      * @return how many keys were folded
      * @throws IllegalArgumentException if the present incarnation would be folded
      */
-    public int foldCounters(long below, double nowMs) {
-        return writer.foldCounters(below, nowMs);
+    public int foldCounters(long endBefore, double nowMs) {
+        return writer.foldCounters(endBefore, nowMs);
     }
 
     /** This member's ended incarnations of which counters are kept, each with its applied sequence number. */
@@ -164,11 +164,12 @@
      *
      * @param afterMs older than this, in milliseconds
      */
-    public void forgetTombstones(double nowMs, double afterMs) {
+    public void forgetTombstones(double nowMs, double retentionMs) {
         for (OwnerState owner : table.states()) {
             OwnerLog log = owner.newestLog();
             if (log != null) {
-                log.forgetTombstones(nowMs, afterMs).forEach(key -> table.addChange(log.owner, log.incarnation, key));
+                log.forgetTombstones(nowMs, retentionMs)
+                        .forEach(key -> table.addChange(log.owner, log.incarnation, key));
             }
         }
     }
@@ -198,12 +199,12 @@
 
     /** The marks of these owners; unknown ones are left out. */
     public List<ReplicationMessage.OwnerSummary> summaries(Iterable<String> names, double nowMs) {
-        return logReader.marks(names, nowMs);
+        return logReader.summaries(names, nowMs);
     }
 
     /** Ended incarnations of all owners of which counters are kept. */
     public List<ReplicationMessage.EndedLog> endedLogs() {
-        return logReader.endedIncarnations();
+        return logReader.endedLogs();
     }
 
     /**
@@ -212,7 +213,7 @@
      * @return whether it was news
      */
     public boolean merge(ReplicationMessage.OwnerSummary mark, double nowMs) {
-        return markMerger.merge(mark, nowMs);
+        return summaryMerger.merge(mark, nowMs);
     }
 
     /** Why an owner's newest incarnation is quarantined; null if it is not. */
@@ -236,7 +237,7 @@
 
     /** What to request to get on with this incarnation. */
     public ReplicationMessage.LogRequest createRequest(String owner, long incarnation) {
-        return logReader.request(owner, incarnation);
+        return logReader.createRequest(owner, incarnation);
     }
 
     /**
@@ -246,8 +247,8 @@
      * @param maxBytes about how many bytes
      * @return null if there is nothing here that the other lacks
      */
-    public ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest want, int maxBytes) {
-        return logReader.answer(want, maxBytes);
+    public ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest request, int maxBytes) {
+        return logReader.answer(request, maxBytes);
     }
 
     /**
@@ -292,27 +293,27 @@
 
     /** Digests of this copy by range; null if it has none of this incarnation, or a snapshot is under way. */
     public long[] digests(String owner, long incarnation) {
-        return copies.digests(owner, incarnation);
+        return copyRepair.digests(owner, incarnation);
     }
 
     /** Incarnations of this owner of which something is here, earliest first. */
     public List<Long> incarnations(String owner) {
-        return copies.incarnations(owner);
+        return copyRepair.incarnations(owner);
     }
 
     /** Records of one incarnation in a range of keys, in the order of keys, tombstones among them. */
     public List<ReplicatedRecord> recordsInRange(String owner, long incarnation, int range) {
-        return copies.range(owner, incarnation, range);
+        return copyRepair.recordsInRange(owner, incarnation, range);
     }
 
     /** All records of one incarnation, tombstones among them, in the order of writes. */
     public List<ReplicatedRecord> records(String owner, long incarnation) {
-        return copies.all(owner, incarnation);
+        return copyRepair.records(owner, incarnation);
     }
 
     /** The last write of this key by this incarnation, a tombstone too; null if there is none. */
     public ReplicatedRecord record(String owner, long incarnation, RecordKey key) {
-        return copies.record(owner, incarnation, key);
+        return copyRepair.record(owner, incarnation, key);
     }
 
     /**
@@ -321,17 +322,17 @@
      * @param replacement the right one; null drops the copy; ignored if its checksum does not match
      */
     public void repair(String owner, long incarnation, RecordKey key, ReplicatedRecord replacement, double nowMs) {
-        copies.repair(owner, incarnation, key, replacement, nowMs);
+        copyRepair.repair(owner, incarnation, key, replacement, nowMs);
     }
 
     /** Two contents of one write were found in a comparison. */
-    void resolveConflict(String owner, long incarnation, ReplicatedRecord mine, ReplicatedRecord theirs) {
-        copies.resolveConflict(owner, incarnation, mine, theirs);
+    void resolveConflict(String owner, long incarnation, ReplicatedRecord ours, ReplicatedRecord theirs) {
+        copyRepair.resolveConflict(owner, incarnation, ours, theirs);
     }
 
     /** Discards a copy, so that all of it is fetched again; never this member's present incarnation. */
     public void discard(String owner, long incarnation) {
-        copies.discard(owner, incarnation);
+        copyRepair.discard(owner, incarnation);
     }
 
     // ---- reads ----
@@ -374,7 +375,7 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder(local.name).append(local.incarnation);
-        table.all()
+        table.ownersByName()
                 .forEach((name, owner) -> text.append(' ')
                         .append(name)
                         .append(owner.incarnation)
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
@@ -28,7 +28,7 @@
 
     private final TreeMap<String, OwnerState> owners = new TreeMap<>();
     /** The same by hash: with a thousand owners, names are looked up for each mark of each message. */
-    private final Map<String, OwnerState> byName = new HashMap<>();
+    private final Map<String, OwnerState> ownersByHash = new HashMap<>();
 
     private final boolean tracksChanges;
     private final Set<Change> changes = new LinkedHashSet<>();
@@ -47,7 +47,7 @@
     RecordTable copy() {
         RecordTable copy = new RecordTable(false);
         owners.forEach((name, owner) -> copy.owners.put(name, owner.copy()));
-        copy.byName.putAll(copy.owners);
+        copy.ownersByHash.putAll(copy.owners);
         return copy;
     }
 
@@ -59,7 +59,7 @@
     }
 
     /** All known owners by name, in order. */
-    Map<String, OwnerState> all() {
+    Map<String, OwnerState> ownersByName() {
         return owners;
     }
 
@@ -69,23 +69,23 @@
 
     /** An owner; null if it is not known. */
     OwnerState find(String name) {
-        return byName.get(name);
+        return ownersByHash.get(name);
     }
 
     /** An owner, added if it is not known; null if there are {@link RecordStore#MAX_OWNERS} already. */
     OwnerState findOrAdd(String name) {
-        OwnerState owner = byName.get(name);
+        OwnerState owner = ownersByHash.get(name);
         if (owner == null && owners.size() < RecordStore.MAX_OWNERS) {
             owner = new OwnerState();
             owners.put(name, owner);
-            byName.put(name, owner);
+            ownersByHash.put(name, owner);
         }
         return owner;
     }
 
     /** The log of one incarnation; null if nothing of it is here. */
     OwnerLog log(String name, long incarnation) {
-        OwnerState owner = byName.get(name);
+        OwnerState owner = ownersByHash.get(name);
         return owner == null ? null : owner.logs.get(incarnation);
     }
 
@@ -135,7 +135,7 @@
         owner.lastCompleteAtMs = Double.NEGATIVE_INFINITY;
         owner.quarantineReason = null;
         for (OwnerLog log : List.copyOf(owner.logs.headMap(newest).values())) {
-            log.end().forEach(key -> addChange(name, log.incarnation, key));
+            log.endIncarnation().forEach(key -> addChange(name, log.incarnation, key));
             removeObsoleteLogs(name, owner, log);
         }
         addChange(name, newest, null);
@@ -149,12 +149,12 @@
             addChange(name, log.incarnation, null);
         }
         while (owner.logs.size() > RecordStore.MAX_ENDED_INCARNATIONS + 1) {
-            OwnerLog first = owner.logs.pollFirstEntry().getValue();
+            OwnerLog oldest = owner.logs.pollFirstEntry().getValue();
             addAlarm(name + " has more than " + RecordStore.MAX_ENDED_INCARNATIONS
-                    + " incarnations whose counters are not folded: incarnation " + first.incarnation
-                    + " is dropped with " + first.all());
-            first.all().forEach(record -> addChange(name, first.incarnation, record.recordKey()));
-            addChange(name, first.incarnation, null);
+                    + " incarnations whose counters are not folded: incarnation " + oldest.incarnation
+                    + " is dropped with " + oldest.records());
+            oldest.records().forEach(record -> addChange(name, oldest.incarnation, record.recordKey()));
+            addChange(name, oldest.incarnation, null);
         }
     }
 
@@ -171,7 +171,7 @@
         addAlarm(reason + ": its records are quarantined until a later incarnation");
         OwnerLog log = owner.newestLog();
         if (log != null) {
-            log.all().forEach(record -> addChange(name, owner.incarnation, record.recordKey()));
+            log.records().forEach(record -> addChange(name, owner.incarnation, record.recordKey()));
         }
         return true;
     }
@@ -218,14 +218,14 @@
     }
 
     /** One write was found with two contents: the newest incarnation is quarantined, of counters the greater stays. */
-    void resolveConflict(OwnerState owner, OwnerLog log, ReplicatedRecord mine, ReplicatedRecord theirs) {
-        String both = "one write of " + log.owner + " with two contents: here " + mine + ", there " + theirs;
+    void resolveConflict(OwnerState owner, OwnerLog log, ReplicatedRecord ours, ReplicatedRecord theirs) {
+        String conflict = "one write of " + log.owner + " with two contents: here " + ours + ", there " + theirs;
         if (log.incarnation == owner.incarnation) {
-            quarantine(log.owner, owner, both);
-        } else if (theirs.count() > mine.count() && theirs.recordKey().equals(mine.recordKey())) {
-            addAlarm(both + ": the greater count stays");
+            quarantine(log.owner, owner, conflict);
+        } else if (theirs.count() > ours.count() && theirs.recordKey().equals(ours.recordKey())) {
+            addAlarm(conflict + ": the greater count stays");
             log.replace(theirs, 0);
-            addChange(log.owner, log.incarnation, mine.recordKey());
+            addChange(log.owner, log.incarnation, ours.recordKey());
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
@@ -8,9 +8,9 @@
  */
 public record RecordVersion(long incarnation, long sequence) implements Comparable<RecordVersion> {
     @Override
-    public int compareTo(RecordVersion o) {
-        return incarnation != o.incarnation
-                ? Long.compare(incarnation, o.incarnation)
-                : Long.compare(sequence, o.sequence);
+    public int compareTo(RecordVersion other) {
+        return incarnation != other.incarnation
+                ? Long.compare(incarnation, other.incarnation)
+                : Long.compare(sequence, other.sequence);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
@@ -37,7 +37,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaDisk.class);
     private static final String FILE = "replica.mv";
     /** What is written anew, until it is whole. */
-    private static final String FRESH = FILE + ".new";
+    private static final String NEW_FILE = FILE + ".new";
 
     /**
      * What is to be written of one incarnation of an owner.
@@ -50,13 +50,18 @@
      * @param gone records that are gone
      */
     record Batch(
-            String owner, long life, Long have, long floor, List<ReplicatedRecord> entries, List<RecordKey> gone) {}
+            String owner,
+            long incarnation,
+            Long appliedSequence,
+            long tombstoneFloor,
+            List<ReplicatedRecord> records,
+            List<RecordKey> removedKeys) {}
 
     private final StoreFile file;
     private final String fleet;
     private final String member;
     private long incarnation;
-    private boolean failed;
+    private boolean writeFailed;
     private MVStore store;
     private MVMap<String, byte[]> logHeads;
     private MVMap<String, byte[]> records;
@@ -68,7 +73,7 @@
      * @param scheme of the file system; empty for the usual one
      */
     private record StoreFile(String scheme, Path path) {
-        FilePath at() {
+        FilePath filePath() {
             return FilePath.get(scheme + path);
         }
 
@@ -82,22 +87,22 @@
         }
     }
 
-    private ReplicaDisk(StoreFile file, String fleet, String member, MVStore store, long life) {
+    private ReplicaDisk(StoreFile file, String fleet, String member, MVStore store, long incarnation) {
         this.file = file;
         this.fleet = fleet;
         this.member = member;
-        this.incarnation = life;
+        this.incarnation = incarnation;
         useStore(store);
     }
 
     private void useStore(MVStore opened) {
         store = opened;
-        header = map(opened, "header");
-        logHeads = map(opened, "heads");
-        records = map(opened, "records");
+        header = openMap(opened, "header");
+        logHeads = openMap(opened, "heads");
+        records = openMap(opened, "records");
     }
 
-    private static MVMap<String, byte[]> map(MVStore store, String name) {
+    private static MVMap<String, byte[]> openMap(MVStore store, String name) {
         return store.openMap(
                 name,
                 new MVMap.Builder<String, byte[]>()
@@ -107,7 +112,7 @@
 
     private static MVStore open(StoreFile file) {
         return new MVStore.Builder()
-                .fileName(file.at().toString())
+                .fileName(file.filePath().toString())
                 .autoCommitDisabled()
                 .cacheSize(4)
                 .open();
@@ -161,45 +166,45 @@
                         || m.getErrorCode() == DataUtils.ERROR_WRITING_FAILED);
     }
 
-    private static MVStore replaceBroken(StoreFile file, String why) {
+    private static MVStore replaceBroken(StoreFile file, String reason) {
         StoreFile broken = file.sibling(FILE + ".broken");
-        LOG.error("{} is broken ({}): kept as {}, begins empty and catches up from peers", file, why, broken);
-        file.at().moveTo(broken.at(), true);
+        LOG.error("{} is broken ({}): kept as {}, begins empty and catches up from peers", file, reason, broken);
+        file.filePath().moveTo(broken.filePath(), true);
         return open(file);
     }
 
     private static ReplicaDisk initialize(StoreFile file, MVStore store, String fleet, String member, double nowMs)
             throws IOException {
-        MVMap<String, byte[]> header = map(store, "header");
-        String wrong = !header.isEmpty() && !text(header, "schema").equals(Integer.toString(SCHEMA))
+        MVMap<String, byte[]> header = openMap(store, "header");
+        String mismatch = !header.isEmpty() && !text(header, "schema").equals(Integer.toString(SCHEMA))
                 ? "is written in another way, " + text(header, "schema")
                 : !header.isEmpty() && !text(header, "fleet").equals(fleet)
                         ? "belongs to the fleet " + text(header, "fleet") + ", not to " + fleet
                         : !header.isEmpty() && !text(header, "member").equals(member)
                                 ? "belongs to the member " + text(header, "member") + ", not to " + member
                                 : null;
-        if (wrong != null) {
+        if (mismatch != null) {
             store.closeImmediately();
-            throw new IOException(file + " " + wrong);
+            throw new IOException(file + " " + mismatch);
         }
-        long before = 0;
+        long previous = 0;
         try {
-            before = header.isEmpty() ? 0 : Long.parseLong(text(header, "life"));
+            previous = header.isEmpty() ? 0 : Long.parseLong(text(header, "life"));
         } catch (NumberFormatException e) {
             LOG.error("{} does not say its life: takes the time of day", file);
         }
-        long life = Math.max(before + 1, (long) nowMs);
-        writeHeader(header, fleet, member, life);
+        long incarnation = Math.max(previous + 1, (long) nowMs);
+        writeHeader(header, fleet, member, incarnation);
         store.commit();
         store.sync();
-        return new ReplicaDisk(file, fleet, member, store, life);
+        return new ReplicaDisk(file, fleet, member, store, incarnation);
     }
 
-    private static void writeHeader(MVMap<String, byte[]> header, String fleet, String member, long life) {
+    private static void writeHeader(MVMap<String, byte[]> header, String fleet, String member, long incarnation) {
         header.put("schema", text(Integer.toString(SCHEMA)));
         header.put("fleet", text(fleet));
         header.put("member", text(member));
-        header.put("life", text(Long.toString(life)));
+        header.put("life", text(Long.toString(incarnation)));
     }
 
     /**
@@ -210,14 +215,14 @@
         return (long) nowMs;
     }
 
-    private static byte[] text(String s) {
-        byte[] b = s.getBytes(StandardCharsets.UTF_8);
-        return withChecksum(b);
+    private static byte[] text(String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        return withChecksum(bytes);
     }
 
     private static String text(MVMap<String, byte[]> map, String key) {
-        byte[] b = verifyChecksum(map.get(key));
-        return b == null ? "unknown" : new String(b, StandardCharsets.UTF_8);
+        byte[] bytes = verifyChecksum(map.get(key));
+        return bytes == null ? "unknown" : new String(bytes, StandardCharsets.UTF_8);
     }
 
     /** The incarnation that was taken at this start. */
@@ -226,13 +231,13 @@
     }
 
     /** An incarnation that was taken later, since peers knew a later one; the next write writes it. */
-    void useIncarnation(long later) {
-        incarnation = later;
+    void useIncarnation(long newer) {
+        incarnation = newer;
     }
 
     /** Whether the next write must be of everything: one has failed, or what is there was read at a start. */
     boolean needsFullWrite() {
-        return failed;
+        return writeFailed;
     }
 
     /**
@@ -241,10 +246,10 @@
      *
      * @throws IOException if no file can be written there
      */
-    public void restore(RecordStore to) throws IOException {
-        List<Runnable> whole = new ArrayList<>();
+    public void restore(RecordStore target) throws IOException {
+        List<Runnable> intactLogs = new ArrayList<>();
         try {
-            read(to, whole);
+            read(target, intactLogs);
         } catch (RuntimeException e) {
             // Guards against a page of the file that can't be read, which shows as any kind of exception.
             store.closeImmediately();
@@ -254,63 +259,64 @@
             store.sync();
             return;
         }
-        whole.forEach(Runnable::run);
+        intactLogs.forEach(Runnable::run);
         // The process before may have ended after a sync that failed: what was read need not be on the disk.
-        failed = true;
+        writeFailed = true;
     }
 
-    private void read(RecordStore to, List<Runnable> whole) {
+    private void read(RecordStore target, List<Runnable> intactLogs) {
         Map<String, List<ReplicatedRecord>> entries = new HashMap<>();
-        Map<String, Integer> bad = new HashMap<>();
-        for (Map.Entry<String, byte[]> e : records.entrySet()) {
-            String of = e.getKey().substring(0, secondSeparator(e.getKey()));
-            byte[] b = verifyChecksum(e.getValue());
+        Map<String, Integer> malformed = new HashMap<>();
+        for (Map.Entry<String, byte[]> stored : records.entrySet()) {
+            String logKey = stored.getKey().substring(0, secondSeparator(stored.getKey()));
+            byte[] bytes = verifyChecksum(stored.getValue());
             try {
-                ReplicatedRecord entry = b == null ? null : ReplicationCodec.readEntry(b);
-                if (entry == null || !entry.hasValidChecksum(of.substring(0, of.indexOf('\0')))) {
-                    bad.merge(of, 1, Integer::sum);
+                ReplicatedRecord record = bytes == null ? null : ReplicationCodec.readRecord(bytes);
+                if (record == null || !record.hasValidChecksum(logKey.substring(0, logKey.indexOf('\0')))) {
+                    malformed.merge(logKey, 1, Integer::sum);
                 } else {
-                    entries.computeIfAbsent(of, k -> new ArrayList<>()).add(entry);
+                    entries.computeIfAbsent(logKey, logName -> new ArrayList<>())
+                            .add(record);
                 }
-            } catch (IOException x) {
-                bad.merge(of, 1, Integer::sum);
+            } catch (IOException malformedRecord) {
+                malformed.merge(logKey, 1, Integer::sum);
             }
         }
-        for (Map.Entry<String, byte[]> e : logHeads.entrySet()) {
-            byte[] b = verifyChecksum(e.getValue());
-            int cut = e.getKey().indexOf('\0');
-            String owner = e.getKey().substring(0, cut);
-            long of = Long.parseLong(e.getKey().substring(cut + 1));
-            List<ReplicatedRecord> logRecords = entries.getOrDefault(e.getKey(), List.of());
-            if (b == null
-                    || b.length != 20
-                    || bad.containsKey(e.getKey())
-                    || ByteBuffer.wrap(b).getInt(16) != logRecords.size()) {
+        for (Map.Entry<String, byte[]> stored : logHeads.entrySet()) {
+            byte[] bytes = verifyChecksum(stored.getValue());
+            int separator = stored.getKey().indexOf('\0');
+            String owner = stored.getKey().substring(0, separator);
+            long ofIncarnation = Long.parseLong(stored.getKey().substring(separator + 1));
+            List<ReplicatedRecord> logRecords = entries.getOrDefault(stored.getKey(), List.of());
+            if (bytes == null
+                    || bytes.length != 20
+                    || malformed.containsKey(stored.getKey())
+                    || ByteBuffer.wrap(bytes).getInt(16) != logRecords.size()) {
                 LOG.error(
                         "{}: {} life {} is not whole on disk ({} of its records can't be read): fetched from peers",
                         file,
                         owner,
-                        of,
-                        bad.getOrDefault(e.getKey(), 0));
-                removeLog(e.getKey());
+                        ofIncarnation,
+                        malformed.getOrDefault(stored.getKey(), 0));
+                removeLog(stored.getKey());
                 continue;
             }
-            ByteBuffer head = ByteBuffer.wrap(b);
-            long have = head.getLong();
-            long floor = head.getLong();
-            whole.add(() -> to.restore(owner, of, have, floor, logRecords));
+            ByteBuffer head = ByteBuffer.wrap(bytes);
+            long appliedSequence = head.getLong();
+            long tombstoneFloor = head.getLong();
+            intactLogs.add(() -> target.restore(owner, ofIncarnation, appliedSequence, tombstoneFloor, logRecords));
         }
     }
 
-    private void removeLog(String of) {
-        logHeads.remove(of);
+    private void removeLog(String logKey) {
+        logHeads.remove(logKey);
         List<String> keys = new ArrayList<>();
-        for (java.util.Iterator<String> i = records.keyIterator(of + '\0'); i.hasNext(); ) {
-            String k = i.next();
-            if (!k.startsWith(of + '\0')) {
+        for (java.util.Iterator<String> i = records.keyIterator(logKey + '\0'); i.hasNext(); ) {
+            String recordKey = i.next();
+            if (!recordKey.startsWith(logKey + '\0')) {
                 break;
             }
-            keys.add(k);
+            keys.add(recordKey);
         }
         keys.forEach(records::remove);
     }
@@ -326,36 +332,36 @@
      */
     void write(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
         try {
-            if (failed || store == null || store.isClosed()) {
-                writeFreshFile(batches, sizes);
+            if (writeFailed || store == null || store.isClosed()) {
+                writeNewFile(batches, sizes);
             } else {
-                put(batches, sizes);
+                putBatches(batches, sizes);
             }
         } catch (RuntimeException e) {
             // A store that failed once does not write again.
-            failed = true;
+            writeFailed = true;
             store.closeImmediately();
             throw new IOException(file + ": " + firstLine(e), e);
         }
     }
 
-    private void writeFreshFile(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
-        failed = true;
+    private void writeNewFile(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
+        writeFailed = true;
         store.closeImmediately();
-        StoreFile fresh = file.sibling(FRESH);
-        if (fresh.at().exists()) {
-            fresh.at().delete();
+        StoreFile fresh = file.sibling(NEW_FILE);
+        if (fresh.filePath().exists()) {
+            fresh.filePath().delete();
         }
         try {
             useStore(open(fresh));
-            put(batches, sizes);
+            putBatches(batches, sizes);
         } finally {
             store.closeImmediately();
         }
-        fresh.at().moveTo(file.at(), true);
+        fresh.filePath().moveTo(file.filePath(), true);
         syncDirectory(file.path().getParent());
         useStore(open(file));
-        failed = false;
+        writeFailed = false;
     }
 
     /** The new name of a file lasts once its directory is synced. */
@@ -365,24 +371,26 @@
         }
     }
 
-    private void put(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) {
+    private void putBatches(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) {
         if (!text(header, "life").equals(Long.toString(incarnation))) {
             writeHeader(header, fleet, member, incarnation);
         }
-        for (Batch b : batches) {
-            String of = b.owner() + '\0' + b.life();
-            if (b.have() == null) {
-                removeLog(of);
+        for (Batch batch : batches) {
+            String logKey = batch.owner() + '\0' + batch.incarnation();
+            if (batch.appliedSequence() == null) {
+                removeLog(logKey);
                 continue;
             }
-            b.gone().forEach(i -> records.remove(key(of, i)));
-            b.entries().forEach(e -> records.put(key(of, e.recordKey()), withChecksum(ReplicationCodec.write(e))));
+            batch.removedKeys().forEach(key -> records.remove(recordEntryKey(logKey, key)));
+            batch.records()
+                    .forEach(record -> records.put(
+                            recordEntryKey(logKey, record.recordKey()), withChecksum(ReplicationCodec.write(record))));
             logHeads.put(
-                    of,
+                    logKey,
                     withChecksum(ByteBuffer.allocate(20)
-                            .putLong(b.have())
-                            .putLong(b.floor())
-                            .putInt(sizes.get(new CatchUp.LogId(b.owner(), b.life())))
+                            .putLong(batch.appliedSequence())
+                            .putLong(batch.tombstoneFloor())
+                            .putInt(sizes.get(new CatchUp.LogId(batch.owner(), batch.incarnation())))
                             .array()));
         }
         store.commit();
@@ -390,35 +398,37 @@
     }
 
     /** Lets go of the file as a failure would, without writing what is open. */
-    void abandon() {
-        failed = true;
+    void closeImmediately() {
+        writeFailed = true;
         store.closeImmediately();
     }
 
-    private static String key(String of, RecordKey i) {
-        return of + '\0' + i.space() + '\0' + i.key();
+    private static String recordEntryKey(String logKey, RecordKey key) {
+        return logKey + '\0' + key.space() + '\0' + key.key();
     }
 
     private static String firstLine(Exception e) {
         return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     }
 
-    private static byte[] withChecksum(byte[] b) {
-        CRC32C c = new CRC32C();
-        c.update(b, 0, b.length);
-        return ByteBuffer.allocate(b.length + 4)
-                .put(b)
-                .putInt((int) c.getValue())
+    private static byte[] withChecksum(byte[] bytes) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, bytes.length);
+        return ByteBuffer.allocate(bytes.length + 4)
+                .put(bytes)
+                .putInt((int) crc.getValue())
                 .array();
     }
 
-    private static byte[] verifyChecksum(byte[] b) {
-        if (b == null || b.length < 4) {
+    private static byte[] verifyChecksum(byte[] bytes) {
+        if (bytes == null || bytes.length < 4) {
             return null;
         }
-        CRC32C c = new CRC32C();
-        c.update(b, 0, b.length - 4);
-        return ByteBuffer.wrap(b).getInt(b.length - 4) == (int) c.getValue() ? Arrays.copyOf(b, b.length - 4) : null;
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, bytes.length - 4);
+        return ByteBuffer.wrap(bytes).getInt(bytes.length - 4) == (int) crc.getValue()
+                ? Arrays.copyOf(bytes, bytes.length - 4)
+                : null;
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -27,9 +27,9 @@
     /** The longest wait between two turns of the protocol, in milliseconds. */
     private static final double MAX_WAIT_MS = 50;
     /** Of failed turns, one in so many is logged. */
-    private static final long LOG_EVERY_FAILED = 1000;
+    private static final long FAILURES_PER_LOG_LINE = 1000;
     /** How long closing waits for each thread, in milliseconds. */
-    private static final long JOIN_MS = 2000;
+    private static final long JOIN_TIMEOUT_MS = 2000;
 
     /**
      * What a member holds of another; a line of {@code state status}.
@@ -85,7 +85,7 @@
     private final RecordStore store;
     private final ReplicationProtocol protocol;
     private long unsentMessages;
-    private long failedTurns;
+    private long failedSteps;
     private boolean peersChanged = true;
 
     /**
@@ -115,8 +115,9 @@
         protocol = new ReplicationProtocol(store, limits, new SplittableRandom(nonce), clock.nowMs());
         links.receive(
                 MessageStream.REPLICA,
-                (peer, of, body) -> runTurn(() -> protocol.onMessage(peer, of, body, clock.nowMs())));
-        links.watch((peer, status, of) -> runTurn(() -> {
+                (peer, peerIncarnation, body) ->
+                        runStep(() -> protocol.onMessage(peer, peerIncarnation, body, clock.nowMs())));
+        links.watch((peer, status, peerIncarnation) -> runStep(() -> {
             peersChanged = true;
             if (status == MemberStatus.ALIVE) {
                 protocol.onPeerReachable(peer);
@@ -135,16 +136,16 @@
     }
 
     private static Thread startThread(String name, Runnable body) {
-        Thread t = new Thread(body, name);
-        t.setDaemon(true);
-        t.start();
-        return t;
+        Thread thread = new Thread(body, name);
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
     // ---- turns ----
 
     /** One step of the protocol under the lock; what it sends goes out without it. */
-    private void runTurn(Supplier<List<ReplicationProtocol.OutgoingMessage>> step) {
+    private void runStep(Supplier<List<ReplicationProtocol.OutgoingMessage>> step) {
         List<ReplicationProtocol.OutgoingMessage> messages;
         List<String> alarms;
         monitor.lock();
@@ -153,8 +154,8 @@
             alarms = collectChanges();
         } catch (RuntimeException e) {
             // Guards against a fault here taking a peer's thread, or the process, with it.
-            if (failedTurns++ % LOG_EVERY_FAILED == 0) {
-                LOG.error("a turn of the replica failed, {} until now", failedTurns, e);
+            if (failedSteps++ % FAILURES_PER_LOG_LINE == 0) {
+                LOG.error("a turn of the replica failed, {} until now", failedSteps, e);
             }
             return;
         } finally {
@@ -193,14 +194,14 @@
     /** Drives the protocol's timers until the end. */
     private void runTimers() {
         while (!monitor.isClosed()) {
-            runTurn(() -> {
+            runStep(() -> {
                 updatePeers();
                 return protocol.tick(clock.nowMs());
             });
             monitor.lock();
             try {
                 double waitMs = protocol.nextTickMs() - clock.nowMs();
-                peersChanged |= links.peers().size() != protocol.configuredPeers();
+                peersChanged |= links.peers().size() != protocol.countConfiguredPeers();
                 monitor.pause(Math.min(waitMs, MAX_WAIT_MS));
             } catch (InterruptedException e) {
                 return;
@@ -213,11 +214,11 @@
     private void updatePeers() {
         if (peersChanged) {
             peersChanged = false;
-            List<String> all = links.peers().stream().map(Member::name).toList();
-            List<String> reachable = all.stream()
+            List<String> names = links.peers().stream().map(Member::name).toList();
+            List<String> reachable = names.stream()
                     .filter(peer -> links.standing(peer) != MemberStatus.DEAD)
                     .toList();
-            protocol.setPeers(all, reachable);
+            protocol.setPeers(names, reachable);
         }
     }
 
@@ -225,8 +226,8 @@
 
     @Override
     public void put(RecordSpace space, String key, byte[] value) {
-        byte[] mine = value.clone();
-        write(() -> store.put(space, key, mine, clock.nowMs()));
+        byte[] copy = value.clone();
+        write(() -> store.put(space, key, copy, clock.nowMs()));
     }
 
     @Override
@@ -235,21 +236,23 @@
     }
 
     @Override
-    public void add(RecordSpace space, String key, long by) {
-        write(() -> by > 0 ? store.add(space, key, by, clock.nowMs()) : by < 0 && refuse(by));
+    public void add(RecordSpace space, String key, long increment) {
+        write(() -> increment > 0
+                ? store.add(space, key, increment, clock.nowMs())
+                : increment < 0 && rejectNegative(increment));
     }
 
-    private static boolean refuse(long by) {
-        throw new IllegalArgumentException("a part of a sum only grows: " + by);
+    private static boolean rejectNegative(long increment) {
+        throw new IllegalArgumentException("a part of a sum only grows: " + increment);
     }
 
     private void write(Supplier<Boolean> action) {
         monitor.lock();
         try {
-            long before = store.appliedSequence(store.localMember(), store.incarnation())
+            long previousSequence = store.appliedSequence(store.localMember(), store.incarnation())
                     .orElse(0);
             if (action.get()) {
-                protocol.onLocalWrite(before);
+                protocol.onLocalWrite(previousSequence);
                 collectChanges().forEach(LOG::error);
             }
         } finally {
@@ -297,24 +300,24 @@
     /** What is held of each member; what {@code state status} shows. */
     public List<Status> status() {
         Map<String, MemberStatus> standings = new TreeMap<>();
-        links.peers().forEach(p -> standings.put(p.name(), links.standing(p.name())));
+        links.peers().forEach(peer -> standings.put(peer.name(), links.standing(peer.name())));
         standings.put(store.localMember(), MemberStatus.ALIVE);
         return monitor.locked(() -> {
-            List<Status> all = new ArrayList<>();
+            List<Status> statuses = new ArrayList<>();
             LinkedHashSet<String> names = new LinkedHashSet<>(standings.keySet());
             names.addAll(store.owners());
-            for (String n : names) {
-                long newest = store.newestIncarnation(n);
-                all.add(new Status(
-                        n,
+            for (String name : names) {
+                long newest = store.newestIncarnation(name);
+                statuses.add(new Status(
+                        name,
                         newest,
-                        store.announcedSequence(n),
-                        store.appliedSequence(n, newest).orElse(0),
-                        store.heartbeatAgeMs(n, clock.nowMs()),
-                        standings.getOrDefault(n, MemberStatus.UNKNOWN),
-                        store.quarantineReason(n)));
+                        store.announcedSequence(name),
+                        store.appliedSequence(name, newest).orElse(0),
+                        store.heartbeatAgeMs(name, clock.nowMs()),
+                        standings.getOrDefault(name, MemberStatus.UNKNOWN),
+                        store.quarantineReason(name)));
             }
-            return all;
+            return statuses;
         });
     }
 
@@ -332,8 +335,8 @@
 
     /** How many peers have said that they hold all writes of this member up to this one. */
     public int countPeersHolding(RecordVersion version) {
-        return monitor.locked(
-                () -> version.incarnation() == store.incarnation() ? protocol.peersHolding(version.sequence()) : 0);
+        return monitor.locked(() ->
+                version.incarnation() == store.incarnation() ? protocol.countPeersHolding(version.sequence()) : 0);
     }
 
     /** Waits until all that was written until now is on the disk; false if the time is over or there is no disk. */
@@ -344,9 +347,9 @@
     @Override
     public void close() {
         monitor.close();
-        for (Thread t : threads) {
+        for (Thread thread : threads) {
             try {
-                t.join(JOIN_MS);
+                thread.join(JOIN_TIMEOUT_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
@@ -35,7 +35,7 @@
         if (space == null
                 || key == null
                 || key.length() > MAX_KEY_LENGTH
-                || !text(key)
+                || !isEncodable(key)
                 || version == null
                 || version.incarnation() < 0
                 || version.sequence() < 1
@@ -56,9 +56,11 @@
     }
 
     /** Whether this can be written as UTF-8 and read again: half a surrogate pair can't. */
-    static boolean text(String s) {
-        return s.chars().noneMatch(c -> c >= Character.MIN_SURROGATE && c <= Character.MAX_SURROGATE)
-                || StandardCharsets.UTF_8.newEncoder().canEncode(s);
+    static boolean isEncodable(String text) {
+        return text.chars()
+                        .noneMatch(character ->
+                                character >= Character.MIN_SURROGATE && character <= Character.MAX_SURROGATE)
+                || StandardCharsets.UTF_8.newEncoder().canEncode(text);
     }
 
     /** Whether it is a tombstone: the key was removed. */
@@ -82,35 +84,36 @@
     }
 
     /** About how many bytes it takes in a message. */
-    int bytes() {
+    int estimatedBytes() {
         return 40 + key.length() + (value == null ? 0 : value.length);
     }
 
     /** Two cyclic checksums of different polynomials side by side: 64 bits against accidents, not against intent. */
     private static long checksum(
             String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
-        byte[] o = owner.getBytes(StandardCharsets.UTF_8);
-        byte[] k = key.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(o.length + k.length + (value == null ? 0 : value.length) + 48);
-        b.putInt(o.length)
-                .put(o)
+        byte[] ownerBytes = owner.getBytes(StandardCharsets.UTF_8);
+        byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+        ByteBuffer buffer =
+                ByteBuffer.allocate(ownerBytes.length + keyBytes.length + (value == null ? 0 : value.length) + 48);
+        buffer.putInt(ownerBytes.length)
+                .put(ownerBytes)
                 .putInt(space.ordinal())
-                .putInt(k.length)
-                .put(k)
+                .putInt(keyBytes.length)
+                .put(keyBytes)
                 .putLong(version.incarnation())
                 .putLong(version.sequence())
                 .putLong(count)
                 .putLong(below)
                 .putInt(value == null ? -1 : value.length);
         if (value != null) {
-            b.put(value);
+            buffer.put(value);
         }
-        return over(new CRC32C(), b) << 32 | over(new CRC32(), b);
+        return computeCrc(new CRC32C(), buffer) << 32 | computeCrc(new CRC32(), buffer);
     }
 
-    private static long over(Checksum c, ByteBuffer b) {
-        c.update(b.array(), 0, b.position());
-        return c.getValue();
+    private static long computeCrc(Checksum checksum, ByteBuffer buffer) {
+        checksum.update(buffer.array(), 0, buffer.position());
+        return checksum.getValue();
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
@@ -21,22 +21,22 @@
     /** Bytes of a message, at the most. */
     public static final int MAX_BYTES = 256 << 10;
 
-    private static final List<Class<? extends ReplicationMessage>> KINDS = List.of(
+    private static final List<Class<? extends ReplicationMessage>> MESSAGE_TYPES = List.of(
             ReplicationMessage.OwnerSummaries.class,
             ReplicationMessage.LogRequests.class,
             ReplicationMessage.LogChunk.class,
             ReplicationMessage.LogDigests.class,
             ReplicationMessage.RangeDigests.class,
             ReplicationMessage.RangeRecords.class);
-    private static final ObjectMapper MAPPER = mapper();
+    private static final ObjectMapper MAPPER = createMapper();
     private static final List<ObjectReader> READERS =
-            KINDS.stream().map(k -> MAPPER.readerFor(k)).toList();
-    private static final ObjectReader ENTRY = MAPPER.readerFor(ReplicatedRecord.class);
+            MESSAGE_TYPES.stream().map(type -> MAPPER.readerFor(type)).toList();
+    private static final ObjectReader RECORD_READER = MAPPER.readerFor(ReplicatedRecord.class);
     private static final ObjectWriter WRITER = MAPPER.writer();
 
     private ReplicationCodec() {}
 
-    private static ObjectMapper mapper() {
+    private static ObjectMapper createMapper() {
         CBORFactory factory = CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
                         .maxNestingDepth(6)
@@ -46,24 +46,24 @@
                         .maxNumberLength(32)
                         .build())
                 .build();
-        ObjectMapper m = CBORMapper.builder(factory)
+        ObjectMapper mapper = CBORMapper.builder(factory)
                 .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                 .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
                 .enable(SerializationFeature.WRITE_ENUMS_USING_INDEX)
                 .build();
-        m.configOverride(ReplicatedRecord.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
-        m.configOverride(RecordVersion.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
-        return m;
+        mapper.configOverride(ReplicatedRecord.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
+        mapper.configOverride(RecordVersion.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
+        return mapper;
     }
 
     /** A message as bytes. */
-    public static byte[] write(ReplicationMessage m) {
-        byte[] body = bytes(m);
-        byte[] all = new byte[body.length + 1];
-        all[0] = (byte) KINDS.indexOf(m.getClass());
-        System.arraycopy(body, 0, all, 1, body.length);
-        return all;
+    public static byte[] write(ReplicationMessage message) {
+        byte[] body = encode(message);
+        byte[] bytes = new byte[body.length + 1];
+        bytes[0] = (byte) MESSAGE_TYPES.indexOf(message.getClass());
+        System.arraycopy(body, 0, bytes, 1, body.length);
+        return bytes;
     }
 
     /**
@@ -71,41 +71,41 @@
      *
      * @throws IOException if they are none, or go past a bound
      */
-    public static ReplicationMessage read(byte[] all) throws IOException {
-        if (all.length < 2 || all.length > MAX_BYTES || all[0] < 0 || all[0] >= KINDS.size()) {
-            throw new IOException("not a message of replication, " + all.length + " bytes");
+    public static ReplicationMessage read(byte[] bytes) throws IOException {
+        if (bytes.length < 2 || bytes.length > MAX_BYTES || bytes[0] < 0 || bytes[0] >= MESSAGE_TYPES.size()) {
+            throw new IOException("not a message of replication, " + bytes.length + " bytes");
         }
-        return read(READERS.get(all[0]), all, 1, all.length - 1);
+        return read(READERS.get(bytes[0]), bytes, 1, bytes.length - 1);
     }
 
     /** A record as bytes. */
-    static byte[] write(ReplicatedRecord e) {
-        return bytes(e);
+    static byte[] write(ReplicatedRecord record) {
+        return encode(record);
     }
 
     /** A record from bytes. */
-    static ReplicatedRecord readEntry(byte[] bytes) throws IOException {
-        return read(ENTRY, bytes, 0, bytes.length);
+    static ReplicatedRecord readRecord(byte[] bytes) throws IOException {
+        return read(RECORD_READER, bytes, 0, bytes.length);
     }
 
-    private static byte[] bytes(Object o) {
+    private static byte[] encode(Object object) {
         try {
-            return WRITER.writeValueAsBytes(o);
+            return WRITER.writeValueAsBytes(object);
         } catch (IOException e) {
-            throw new IllegalStateException("can't be written: " + o, e);
+            throw new IllegalStateException("can't be written: " + object, e);
         }
     }
 
-    private static <T> T read(ObjectReader reader, byte[] all, int from, int length) throws IOException {
+    private static <T> T read(ObjectReader reader, byte[] bytes, int offset, int length) throws IOException {
         try {
-            T read = reader.readValue(all, from, length);
-            if (read == null) {
+            T decoded = reader.readValue(bytes, offset, length);
+            if (decoded == null) {
                 throw new IOException("nothing in it");
             }
-            return read;
+            return decoded;
         } catch (RuntimeException e) {
             // Guards against a parser's own fault on bytes from outside.
-            throw new IOException("can't be read: " + Arrays.hashCode(all), e);
+            throw new IOException("can't be read: " + Arrays.hashCode(bytes), e);
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
@@ -46,9 +46,9 @@
     }
 
     /** The same with another bound on what it sends. */
-    public ReplicationLimits withBytesPerSecond(double most) {
+    public ReplicationLimits withBytesPerSecond(double bytesPerSecond) {
         return new ReplicationLimits(
-                most,
+                bytesPerSecond,
                 pushIntervalMs,
                 heartbeatIntervalMs,
                 digestIntervalMs,
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
@@ -36,8 +36,8 @@
             boolean quarantined) {
         /** Checks bounds. */
         public OwnerSummary {
-            name(owner);
-            notNegative(incarnation, heartbeat, announcedSequence, appliedSequence, ageMs);
+            requireName(owner);
+            requireNonNegative(incarnation, heartbeat, announcedSequence, appliedSequence, ageMs);
         }
     }
 
@@ -52,8 +52,8 @@
     record EndedLog(String owner, long incarnation, long appliedSequence) {
         /** Checks bounds. */
         public EndedLog {
-            name(owner);
-            notNegative(incarnation, appliedSequence);
+            requireName(owner);
+            requireNonNegative(incarnation, appliedSequence);
         }
     }
 
@@ -71,7 +71,7 @@
             implements ReplicationMessage {
         /** Checks bounds. */
         public OwnerSummaries {
-            most(summaries, endedLogs);
+            requireBounded(summaries, endedLogs);
         }
     }
 
@@ -88,8 +88,8 @@
     record LogRequest(String owner, long incarnation, long appliedSequence, long snapshotCursor, long snapshotEnd) {
         /** Checks bounds. */
         public LogRequest {
-            name(owner);
-            notNegative(incarnation, appliedSequence, snapshotCursor, snapshotEnd);
+            requireName(owner);
+            requireNonNegative(incarnation, appliedSequence, snapshotCursor, snapshotEnd);
         }
     }
 
@@ -102,7 +102,7 @@
     record LogRequests(List<LogRequest> requests) implements ReplicationMessage {
         /** Checks bounds. */
         public LogRequests {
-            most(requests);
+            requireBounded(requests);
         }
     }
 
@@ -133,17 +133,18 @@
             implements ReplicationMessage {
         /** Checks bounds and order. */
         public LogChunk {
-            name(owner);
-            notNegative(incarnation, newestIncarnation, afterSequence, upToSequence, snapshotEnd, tombstoneFloor);
-            most(records);
-            long last = afterSequence;
-            for (ReplicatedRecord e : records) {
-                if (e.version().incarnation() != incarnation
-                        || e.version().sequence() <= last
-                        || e.version().sequence() > upToSequence) {
+            requireName(owner);
+            requireNonNegative(
+                    incarnation, newestIncarnation, afterSequence, upToSequence, snapshotEnd, tombstoneFloor);
+            requireBounded(records);
+            long previous = afterSequence;
+            for (ReplicatedRecord record : records) {
+                if (record.version().incarnation() != incarnation
+                        || record.version().sequence() <= previous
+                        || record.version().sequence() > upToSequence) {
                     throw new IllegalArgumentException("a write out of order");
                 }
-                last = e.version().sequence();
+                previous = record.version().sequence();
             }
             if (upToSequence < afterSequence
                     || incarnation > newestIncarnation
@@ -165,8 +166,8 @@
     record LogDigest(String owner, long incarnation, long appliedSequence, long digest) {
         /** Checks bounds. */
         public LogDigest {
-            name(owner);
-            notNegative(incarnation, appliedSequence);
+            requireName(owner);
+            requireNonNegative(incarnation, appliedSequence);
         }
     }
 
@@ -179,7 +180,7 @@
     record LogDigests(List<LogDigest> digests) implements ReplicationMessage {
         /** Checks bounds. */
         public LogDigests {
-            most(digests);
+            requireBounded(digests);
         }
     }
 
@@ -196,8 +197,8 @@
             implements ReplicationMessage {
         /** Checks bounds. */
         public RangeDigests {
-            name(owner);
-            notNegative(incarnation, appliedSequence);
+            requireName(owner);
+            requireNonNegative(incarnation, appliedSequence);
             if (digests == null
                     || digests.size() != RecordKey.RANGE_COUNT
                     || digests.stream().anyMatch(Objects::isNull)) {
@@ -231,32 +232,32 @@
             implements ReplicationMessage {
         /** Checks bounds. */
         public RangeRecords {
-            name(owner);
-            notNegative(incarnation, appliedSequence, range, piece);
-            most(records);
+            requireName(owner);
+            requireNonNegative(incarnation, appliedSequence, range, piece);
+            requireBounded(records);
             if (range >= RecordKey.RANGE_COUNT) {
                 throw new IllegalArgumentException("no such range");
             }
         }
     }
 
-    private static void name(String name) {
-        if (name == null || name.isEmpty() || name.length() > 128 || !ReplicatedRecord.text(name)) {
+    private static void requireName(String name) {
+        if (name == null || name.isEmpty() || name.length() > 128 || !ReplicatedRecord.isEncodable(name)) {
             throw new IllegalArgumentException("not a member's name");
         }
     }
 
-    private static void notNegative(long... numbers) {
-        for (long n : numbers) {
-            if (n < 0) {
+    private static void requireNonNegative(long... numbers) {
+        for (long number : numbers) {
+            if (number < 0) {
                 throw new IllegalArgumentException("a negative number");
             }
         }
     }
 
-    private static void most(List<?>... lists) {
-        for (List<?> l : lists) {
-            if (l == null || l.size() > MAX_LIST_SIZE || l.stream().anyMatch(Objects::isNull)) {
+    private static void requireBounded(List<?>... lists) {
+        for (List<?> list : lists) {
+            if (list == null || list.size() > MAX_LIST_SIZE || list.stream().anyMatch(Objects::isNull)) {
                 throw new IllegalArgumentException("not a list within bounds");
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -24,9 +24,9 @@
     /** Between two attempts to fold ended incarnations, in heartbeats. */
     private static final int FOLD_HEARTBEATS = 10;
     /** After so many heartbeats one full list is enough to begin with. */
-    private static final int PATIENT_HEARTBEATS = 3;
+    private static final int FULL_WAIT_HEARTBEATS = 3;
     /** Full lists that are enough to begin with in a large fleet. */
-    private static final int LISTS_IN_LARGE_FLEET = 3;
+    private static final int LARGE_FLEET_SUMMARIES = 3;
 
     /**
      * A message to send.
@@ -43,21 +43,21 @@
     private final CatchUp catchUp;
     private final AntiEntropy antiEntropy;
     private final Map<String, PeerProgress> peers = new TreeMap<>();
-    private List<String> configured = List.of();
-    private List<String> reachable = List.of();
+    private List<String> configuredPeers = List.of();
+    private List<String> reachablePeers = List.of();
     private final LinkedHashSet<String> requesters = new LinkedHashSet<>();
     private final TreeSet<String> changedOwners = new TreeSet<>();
-    private final Map<String, Long> pushAfter = new HashMap<>();
-    private final double beganMs;
-    private double pushAtMs;
-    private double beatAtMs;
-    private double listRequestAtMs = Double.NEGATIVE_INFINITY;
-    private double digestAtMs;
-    private double foldAtMs;
+    private final Map<String, Long> pushFromSequences = new HashMap<>();
+    private final double startedAtMs;
+    private double nextPushMs;
+    private double nextHeartbeatMs;
+    private double nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
+    private double nextDigestMs;
+    private double nextFoldMs;
     /** Whether enough peers have listed all their marks; this member announces nothing before. */
     private boolean initialized;
 
-    private int compareWith;
+    private int nextDigestPeer;
     private long sentBytes;
     private long throttledMessages;
     private long malformedMessages;
@@ -70,12 +70,12 @@
         this.bucket = new TokenBucket(limits.bytesPerSecond());
         this.catchUp = new CatchUp(limits);
         this.antiEntropy = new AntiEntropy(store);
-        beganMs = nowMs;
+        startedAtMs = nowMs;
         store.startSilently(nowMs);
-        pushAtMs = nowMs;
-        beatAtMs = nowMs + random.nextDouble() * limits.heartbeatIntervalMs();
-        digestAtMs = nowMs + (1 + random.nextDouble()) * limits.digestIntervalMs();
-        foldAtMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
+        nextPushMs = nowMs;
+        nextHeartbeatMs = nowMs + random.nextDouble() * limits.heartbeatIntervalMs();
+        nextDigestMs = nowMs + (1 + random.nextDouble()) * limits.digestIntervalMs();
+        nextFoldMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
     }
 
     /**
@@ -84,20 +84,20 @@
      * @param all peers by the configuration
      * @param reach those that can be reached, as far as is known
      */
-    public void setPeers(List<String> all, List<String> reach) {
-        configured = List.copyOf(all);
-        reachable = List.copyOf(reach);
-        peers.keySet().retainAll(configured);
-        configured.forEach(p -> peers.computeIfAbsent(p, n -> new PeerProgress()));
+    public void setPeers(List<String> configured, List<String> reachable) {
+        configuredPeers = List.copyOf(configured);
+        reachablePeers = List.copyOf(reachable);
+        peers.keySet().retainAll(configuredPeers);
+        configuredPeers.forEach(peer -> peers.computeIfAbsent(peer, name -> new PeerProgress()));
     }
 
     /** A peer can be reached again: positions of logs are compared with it at once. */
     public void onPeerReachable(String peer) {
-        PeerProgress p = peers.get(peer);
-        if (p != null) {
-            p.listRequestAtMs = Double.NEGATIVE_INFINITY;
-            p.hasListedAll = false;
-            listRequestAtMs = Double.NEGATIVE_INFINITY;
+        PeerProgress progress = peers.get(peer);
+        if (progress != null) {
+            progress.nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
+            progress.hasSentAllSummaries = false;
+            nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
         }
     }
 
@@ -106,14 +106,14 @@
      *
      * @param had the sequence number before the writes
      */
-    public void onLocalWrite(long had) {
+    public void onLocalWrite(long previousSequence) {
         changedOwners.add(store.localMember());
-        pushAfter.merge(store.localMember(), had, Math::min);
+        pushFromSequences.merge(store.localMember(), previousSequence, Math::min);
     }
 
     /** The next time at which {@link #tick} has something to do, in milliseconds. */
     public double nextTickMs() {
-        return Math.min(pushAtMs, beatAtMs);
+        return Math.min(nextPushMs, nextHeartbeatMs);
     }
 
     // ---- out ----
@@ -121,67 +121,69 @@
     /** What is to be sent by now. */
     public List<OutgoingMessage> tick(double nowMs) {
         List<OutgoingMessage> out = new ArrayList<>();
-        if ((!initialized || nowMs >= listRequestAtMs) && !reachable.isEmpty()) {
-            listRequestAtMs = nowMs + limits.heartbeatIntervalMs();
-            requestLists(nowMs, out);
+        if ((!initialized || nowMs >= nextSummaryRequestMs) && !reachablePeers.isEmpty()) {
+            nextSummaryRequestMs = nowMs + limits.heartbeatIntervalMs();
+            requestSummaries(nowMs, out);
         }
-        if (nowMs >= beatAtMs) {
-            beatAtMs = Math.max(beatAtMs + limits.heartbeatIntervalMs(), nowMs);
+        if (nowMs >= nextHeartbeatMs) {
+            nextHeartbeatMs = Math.max(nextHeartbeatMs + limits.heartbeatIntervalMs(), nowMs);
             store.incrementHeartbeat();
             changedOwners.add(store.localMember());
             store.forgetTombstones(nowMs, limits.tombstoneRetentionMs());
-            for (String p : samplePeers(reachable.size() > limits.maxMeshPeers() ? 1 : 2)) {
-                sendMarks(p, true, nowMs, out);
+            for (String peer : samplePeers(reachablePeers.size() > limits.maxMeshPeers() ? 1 : 2)) {
+                sendSummaries(peer, true, nowMs, out);
             }
         }
-        if (nowMs >= foldAtMs) {
-            foldAtMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
+        if (nowMs >= nextFoldMs) {
+            nextFoldMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
             foldEndedIncarnations(nowMs);
         }
-        if (nowMs >= pushAtMs) {
-            pushAtMs = Math.max(pushAtMs + limits.pushIntervalMs(), nowMs);
+        if (nowMs >= nextPushMs) {
+            nextPushMs = Math.max(nextPushMs + limits.pushIntervalMs(), nowMs);
             push(nowMs, out);
             requestMissing(nowMs, out);
             answerRequests(nowMs, out);
         }
-        if (nowMs >= digestAtMs && initialized && !reachable.isEmpty()) {
-            digestAtMs = nowMs + limits.digestIntervalMs() * (0.75 + 0.5 * random.nextDouble());
-            String p = reachable.get(compareWith++ % reachable.size());
-            ReplicationMessage.LogDigests d = antiEntropy.nextDigests(p);
-            if (!d.digests().isEmpty() && bucket.canSendDeferrable(nowMs)) {
-                send(p, d, nowMs, out);
+        if (nowMs >= nextDigestMs && initialized && !reachablePeers.isEmpty()) {
+            nextDigestMs = nowMs + limits.digestIntervalMs() * (0.75 + 0.5 * random.nextDouble());
+            String peer = reachablePeers.get(nextDigestPeer++ % reachablePeers.size());
+            ReplicationMessage.LogDigests digests = antiEntropy.nextDigests(peer);
+            if (!digests.digests().isEmpty() && bucket.canSendDeferrable(nowMs)) {
+                send(peer, digests, nowMs, out);
             }
         }
         return out;
     }
 
-    private void send(String peer, ReplicationMessage m, double nowMs, List<OutgoingMessage> out) {
+    private void send(String peer, ReplicationMessage message, double nowMs, List<OutgoingMessage> out) {
         if (!bucket.canSendUrgent(nowMs)) {
             throttledMessages++;
             return;
         }
-        byte[] body = ReplicationCodec.write(m);
+        byte[] body = ReplicationCodec.write(message);
         bucket.consume(body.length);
         sentBytes += body.length;
         out.add(new OutgoingMessage(peer, body));
     }
 
     /** Requests full lists of marks from peers that have not sent one yet. */
-    private void requestLists(double nowMs, List<OutgoingMessage> out) {
-        long told = reachable.stream().filter(n -> peers.get(n).hasListedAll).count();
-        boolean large = reachable.size() > limits.maxMeshPeers();
-        int most = large ? 2 * limits.fanOut() : reachable.size();
-        if (told < Math.min(most, reachable.size())) {
-            int asked = 0;
-            int from = random.nextInt(reachable.size());
-            for (int i = 0; i < reachable.size() && asked < most; i++) {
-                String n = reachable.get((from + i) % reachable.size());
-                PeerProgress p = peers.get(n);
-                if (!p.hasListedAll) {
-                    asked++;
-                    if (p.listRequestAtMs <= nowMs) {
-                        p.listRequestAtMs = nowMs + limits.heartbeatIntervalMs();
-                        sendMarks(n, true, nowMs, out);
+    private void requestSummaries(double nowMs, List<OutgoingMessage> out) {
+        long listed = reachablePeers.stream()
+                .filter(peer -> peers.get(peer).hasSentAllSummaries)
+                .count();
+        boolean large = reachablePeers.size() > limits.maxMeshPeers();
+        int maxRequests = large ? 2 * limits.fanOut() : reachablePeers.size();
+        if (listed < Math.min(maxRequests, reachablePeers.size())) {
+            int considered = 0;
+            int start = random.nextInt(reachablePeers.size());
+            for (int i = 0; i < reachablePeers.size() && considered < maxRequests; i++) {
+                String peer = reachablePeers.get((start + i) % reachablePeers.size());
+                PeerProgress progress = peers.get(peer);
+                if (!progress.hasSentAllSummaries) {
+                    considered++;
+                    if (progress.nextSummaryRequestMs <= nowMs) {
+                        progress.nextSummaryRequestMs = nowMs + limits.heartbeatIntervalMs();
+                        sendSummaries(peer, true, nowMs, out);
                     }
                 }
             }
@@ -189,10 +191,12 @@
         if (!initialized) {
             // Some that can't be reached are not known as such yet: after a few heartbeats, those who answered are
             // enough.
-            int enough = large
-                    ? LISTS_IN_LARGE_FLEET
-                    : nowMs > beganMs + PATIENT_HEARTBEATS * limits.heartbeatIntervalMs() ? 1 : reachable.size();
-            initialized = told > 0 && told >= Math.min(reachable.size(), enough);
+            int required = large
+                    ? LARGE_FLEET_SUMMARIES
+                    : nowMs > startedAtMs + FULL_WAIT_HEARTBEATS * limits.heartbeatIntervalMs()
+                            ? 1
+                            : reachablePeers.size();
+            initialized = listed > 0 && listed >= Math.min(reachablePeers.size(), required);
             if (initialized) {
                 store.startAnnouncing();
                 onLocalWrite(0);
@@ -201,7 +205,7 @@
     }
 
     /** All marks there are, in as many messages as it takes. */
-    private void sendMarks(String peer, boolean ask, double nowMs, List<OutgoingMessage> out) {
+    private void sendSummaries(String peer, boolean replyRequested, double nowMs, List<OutgoingMessage> out) {
         TreeSet<String> names = new TreeSet<>(store.owners());
         if (!initialized) {
             // Guards against an incarnation that was used before: nobody announces itself before it has heard the
@@ -215,69 +219,74 @@
             boolean last = i == pieces - 1;
             send(
                     peer,
-                    new ReplicationMessage.OwnerSummaries(ask && last, last, slice(marks, i), slice(ended, i)),
+                    new ReplicationMessage.OwnerSummaries(
+                            replyRequested && last, last, slice(marks, i), slice(ended, i)),
                     nowMs,
                     out);
         }
     }
 
     private static <T> List<T> slice(List<T> list, int piece) {
-        int from = Math.min(list.size(), piece * ReplicationMessage.MAX_LIST_SIZE);
-        return list.subList(from, Math.min(list.size(), from + ReplicationMessage.MAX_LIST_SIZE));
+        int start = Math.min(list.size(), piece * ReplicationMessage.MAX_LIST_SIZE);
+        return list.subList(start, Math.min(list.size(), start + ReplicationMessage.MAX_LIST_SIZE));
     }
 
-    private List<String> samplePeers(int many) {
-        if (many >= reachable.size()) {
-            return reachable;
+    private List<String> samplePeers(int count) {
+        if (count >= reachablePeers.size()) {
+            return reachablePeers;
         }
-        TreeSet<Integer> drawn = new TreeSet<>();
-        while (drawn.size() < many) {
-            drawn.add(random.nextInt(reachable.size()));
+        TreeSet<Integer> sampled = new TreeSet<>();
+        while (sampled.size() < count) {
+            sampled.add(random.nextInt(reachablePeers.size()));
         }
-        return drawn.stream().map(reachable::get).toList();
+        return sampled.stream().map(reachablePeers::get).toList();
     }
 
     private void push(double nowMs, List<OutgoingMessage> out) {
         if (!initialized || changedOwners.isEmpty()) {
             return;
         }
-        boolean large = reachable.size() > limits.maxMeshPeers();
-        List<String> of = large
+        boolean large = reachablePeers.size() > limits.maxMeshPeers();
+        List<String> owners = large
                 ? List.copyOf(changedOwners)
                 : changedOwners.contains(store.localMember()) ? List.of(store.localMember()) : List.of();
-        if (!of.isEmpty()) {
-            if (of.contains(store.localMember()) && pushAfter.containsKey(store.localMember())) {
+        if (!owners.isEmpty()) {
+            if (owners.contains(store.localMember()) && pushFromSequences.containsKey(store.localMember())) {
                 store.incrementHeartbeat();
             }
             List<ReplicationMessage> messages = new ArrayList<>();
-            List<ReplicationMessage.OwnerSummary> marks = store.summaries(of, nowMs);
+            List<ReplicationMessage.OwnerSummary> marks = store.summaries(owners, nowMs);
             for (int i = 0; i * ReplicationMessage.MAX_LIST_SIZE < marks.size(); i++) {
                 messages.add(new ReplicationMessage.OwnerSummaries(false, false, slice(marks, i), List.of()));
             }
-            for (String o : of) {
-                ReplicationMessage.LogChunk c = pushAfter.containsKey(o)
-                        ? store.readAfter(o, store.newestIncarnation(o), pushAfter.get(o), limits.chunkBytes())
+            for (String owner : owners) {
+                ReplicationMessage.LogChunk chunk = pushFromSequences.containsKey(owner)
+                        ? store.readAfter(
+                                owner,
+                                store.newestIncarnation(owner),
+                                pushFromSequences.get(owner),
+                                limits.chunkBytes())
                         : null;
-                if (c != null) {
-                    messages.add(c);
+                if (chunk != null) {
+                    messages.add(chunk);
                 }
             }
-            for (String p : large ? samplePeers(limits.fanOut()) : reachable) {
-                for (ReplicationMessage m : messages) {
-                    send(p, m, nowMs, out);
+            for (String peer : large ? samplePeers(limits.fanOut()) : reachablePeers) {
+                for (ReplicationMessage message : messages) {
+                    send(peer, message, nowMs, out);
                 }
             }
         }
         changedOwners.clear();
-        pushAfter.clear();
+        pushFromSequences.clear();
     }
 
     private void requestMissing(double nowMs, List<OutgoingMessage> out) {
         catchUp.dueRequests(nowMs)
-                .forEach((peer, of) -> send(
+                .forEach((peer, logs) -> send(
                         peer,
-                        new ReplicationMessage.LogRequests(of.stream()
-                                .map(o -> store.createRequest(o.owner(), o.incarnation()))
+                        new ReplicationMessage.LogRequests(logs.stream()
+                                .map(log -> store.createRequest(log.owner(), log.incarnation()))
                                 .toList()),
                         nowMs,
                         out));
@@ -286,19 +295,19 @@
     /** Answers requests as far as the rate limit allows: each peer gets a piece in turn. */
     private void answerRequests(double nowMs, List<OutgoingMessage> out) {
         while (!requesters.isEmpty() && bucket.canSendDeferrable(nowMs)) {
-            String n = requesters.iterator().next();
-            requesters.remove(n);
-            PeerProgress p = peers.get(n);
-            if (p == null || p.pending.isEmpty()) {
+            String peer = requesters.iterator().next();
+            requesters.remove(peer);
+            PeerProgress progress = peers.get(peer);
+            if (progress == null || progress.pendingRequests.isEmpty()) {
                 continue;
             }
-            CatchUp.LogId of = p.pending.keySet().iterator().next();
-            ReplicationMessage.LogChunk c = store.answer(p.pending.remove(of), limits.chunkBytes());
-            if (c != null) {
-                send(n, c, nowMs, out);
+            CatchUp.LogId log = progress.pendingRequests.keySet().iterator().next();
+            ReplicationMessage.LogChunk chunk = store.answer(progress.pendingRequests.remove(log), limits.chunkBytes());
+            if (chunk != null) {
+                send(peer, chunk, nowMs, out);
             }
-            if (!p.pending.isEmpty()) {
-                requesters.add(n);
+            if (!progress.pendingRequests.isEmpty()) {
+                requesters.add(peer);
             }
         }
     }
@@ -306,20 +315,21 @@
     /** Folds ended incarnations of this member once all members have said to hold as much of them as this one. */
     private void foldEndedIncarnations(double nowMs) {
         Map<Long, Long> ended = store.endedLocalIncarnations();
-        long below = 0;
-        for (Map.Entry<Long, Long> e : ended.entrySet()) {
-            if (!configured.stream()
-                    .allMatch(
-                            p -> e.getValue().equals(peers.get(p).endedSequences.get(e.getKey())))) {
+        long endBefore = 0;
+        for (Map.Entry<Long, Long> endedSequence : ended.entrySet()) {
+            if (!configuredPeers.stream()
+                    .allMatch(peer -> endedSequence
+                            .getValue()
+                            .equals(peers.get(peer).endedSequences.get(endedSequence.getKey())))) {
                 break;
             }
-            below = e.getKey() + 1;
+            endBefore = endedSequence.getKey() + 1;
         }
-        if (below > 0 && catchUp.isLevel(initialized, nowMs)) {
-            long had = store.appliedSequence(store.localMember(), store.incarnation())
+        if (endBefore > 0 && catchUp.isCaughtUp(initialized, nowMs)) {
+            long previousSequence = store.appliedSequence(store.localMember(), store.incarnation())
                     .orElse(0);
-            if (store.foldCounters(below, nowMs) > 0) {
-                onLocalWrite(had);
+            if (store.foldCounters(endBefore, nowMs) > 0) {
+                onLocalWrite(previousSequence);
             }
         }
     }
@@ -334,120 +344,134 @@
      * @param body the message
      * @return what is to be sent at once in answer
      */
-    public List<OutgoingMessage> onMessage(String peer, long life, byte[] body, double nowMs) {
+    public List<OutgoingMessage> onMessage(String peer, long incarnation, byte[] body, double nowMs) {
         List<OutgoingMessage> out = new ArrayList<>();
-        PeerProgress p = peers.get(peer);
+        PeerProgress progress = peers.get(peer);
         // Guards against what an ended process of the peer left on its way.
-        if (p == null || life < p.life) {
+        if (progress == null || incarnation < progress.incarnation) {
             return out;
         }
-        p.life = life;
-        ReplicationMessage m;
+        progress.incarnation = incarnation;
+        ReplicationMessage message;
         try {
-            m = ReplicationCodec.read(body);
+            message = ReplicationCodec.read(body);
         } catch (java.io.IOException e) {
             malformedMessages++;
             return out;
         }
-        if (m instanceof ReplicationMessage.OwnerSummaries marks) {
-            onMarks(peer, p, marks, nowMs, out);
-        } else if (m instanceof ReplicationMessage.LogRequests wants) {
-            for (ReplicationMessage.LogRequest w : wants.requests()) {
-                if (p.pending.size() < MAX_PENDING_REQUESTS) {
-                    p.pending.put(new CatchUp.LogId(w.owner(), w.incarnation()), w);
+        if (message instanceof ReplicationMessage.OwnerSummaries marks) {
+            onSummaries(peer, progress, marks, nowMs, out);
+        } else if (message instanceof ReplicationMessage.LogRequests wants) {
+            for (ReplicationMessage.LogRequest request : wants.requests()) {
+                if (progress.pendingRequests.size() < MAX_PENDING_REQUESTS) {
+                    progress.pendingRequests.put(new CatchUp.LogId(request.owner(), request.incarnation()), request);
                 }
             }
             requesters.add(peer);
             answerRequests(nowMs, out);
-        } else if (m instanceof ReplicationMessage.LogChunk c) {
-            onChunk(peer, c, nowMs, out);
-        } else if (m instanceof ReplicationMessage.LogDigests d) {
-            answer(peer, antiEntropy.onDigests(peer, d), nowMs, out);
-        } else if (m instanceof ReplicationMessage.RangeDigests r) {
-            answer(peer, antiEntropy.onRanges(peer, r), nowMs, out);
-        } else if (m instanceof ReplicationMessage.RangeRecords c) {
-            answer(peer, antiEntropy.onCopies(peer, c, nowMs), nowMs, out);
+        } else if (message instanceof ReplicationMessage.LogChunk chunk) {
+            onChunk(peer, chunk, nowMs, out);
+        } else if (message instanceof ReplicationMessage.LogDigests digests) {
+            sendAnswers(peer, antiEntropy.onDigests(peer, digests), nowMs, out);
+        } else if (message instanceof ReplicationMessage.RangeDigests ranges) {
+            sendAnswers(peer, antiEntropy.onRangeDigests(peer, ranges), nowMs, out);
+        } else if (message instanceof ReplicationMessage.RangeRecords records) {
+            sendAnswers(peer, antiEntropy.onRangeRecords(peer, records, nowMs), nowMs, out);
         }
         return out;
     }
 
-    private void answer(String peer, List<ReplicationMessage> answers, double nowMs, List<OutgoingMessage> out) {
-        for (ReplicationMessage a : answers) {
+    private void sendAnswers(String peer, List<ReplicationMessage> answers, double nowMs, List<OutgoingMessage> out) {
+        for (ReplicationMessage answer : answers) {
             if (bucket.canSendDeferrable(nowMs)) {
-                send(peer, a, nowMs, out);
+                send(peer, answer, nowMs, out);
             }
         }
     }
 
-    private void onMarks(
-            String peer, PeerProgress p, ReplicationMessage.OwnerSummaries m, double nowMs, List<OutgoingMessage> out) {
-        for (ReplicationMessage.OwnerSummary mark : m.summaries()) {
+    private void onSummaries(
+            String peer,
+            PeerProgress progress,
+            ReplicationMessage.OwnerSummaries summaries,
+            double nowMs,
+            List<OutgoingMessage> out) {
+        for (ReplicationMessage.OwnerSummary mark : summaries.summaries()) {
             long newest = store.newestIncarnation(mark.owner());
             if (store.merge(mark, nowMs)) {
                 changedOwners.add(mark.owner());
             }
             if (mark.incarnation() > newest) {
                 catchUp.dropEnded(mark.owner(), mark.incarnation());
-                pushAfter.remove(mark.owner());
+                pushFromSequences.remove(mark.owner());
             }
             onPosition(peer, mark.owner(), mark.incarnation(), mark.appliedSequence(), nowMs);
             if (mark.owner().equals(store.localMember()) && mark.incarnation() == store.incarnation()) {
-                p.localSequence = Math.max(p.localSequence, mark.appliedSequence());
+                progress.acknowledgedSequence = Math.max(progress.acknowledgedSequence, mark.appliedSequence());
             }
         }
-        for (ReplicationMessage.EndedLog h : m.endedLogs()) {
-            onPosition(peer, h.owner(), h.incarnation(), h.appliedSequence(), nowMs);
-            if (h.owner().equals(store.localMember())) {
-                p.partialEndedSequences.put(h.incarnation(), h.appliedSequence());
+        for (ReplicationMessage.EndedLog ended : summaries.endedLogs()) {
+            onPosition(peer, ended.owner(), ended.incarnation(), ended.appliedSequence(), nowMs);
+            if (ended.owner().equals(store.localMember())) {
+                progress.partialEndedSequences.put(ended.incarnation(), ended.appliedSequence());
             }
         }
-        if (m.complete()) {
-            p.hasListedAll = true;
-            p.endedSequences = p.partialEndedSequences;
-            p.partialEndedSequences = new TreeMap<>();
+        if (summaries.complete()) {
+            progress.hasSentAllSummaries = true;
+            progress.endedSequences = progress.partialEndedSequences;
+            progress.partialEndedSequences = new TreeMap<>();
         }
-        if (m.replyRequested()) {
-            sendMarks(peer, false, nowMs, out);
+        if (summaries.replyRequested()) {
+            sendSummaries(peer, false, nowMs, out);
         }
     }
 
-    private void onPosition(String peer, String owner, long life, long have, double nowMs) {
-        if (owner.equals(store.localMember()) && life >= store.incarnation()) {
+    private void onPosition(String peer, String owner, long incarnation, long reportedSequence, double nowMs) {
+        if (owner.equals(store.localMember()) && incarnation >= store.incarnation()) {
             return;
         }
-        CatchUp.LogId of = new CatchUp.LogId(owner, life);
-        long held = store.appliedSequence(owner, life).orElse(0);
-        if (life < store.newestIncarnation(owner)) {
+        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
+        long appliedSequence = store.appliedSequence(owner, incarnation).orElse(0);
+        if (incarnation < store.newestIncarnation(owner)) {
             // What remains of an ended incarnation is fetched only if it was not folded.
-            held = store.appliedSequence(owner, life).orElse(life < oldestKept(owner) ? Long.MAX_VALUE : 0);
+            appliedSequence = store.appliedSequence(owner, incarnation)
+                    .orElse(incarnation < oldestKeptIncarnation(owner) ? Long.MAX_VALUE : 0);
         }
-        catchUp.onPosition(peer, of, have, held, nowMs);
+        catchUp.onPosition(peer, log, reportedSequence, appliedSequence, nowMs);
     }
 
-    private long oldestKept(String owner) {
-        List<Long> lives = store.incarnations(owner);
-        return lives.size() > RecordStore.MAX_ENDED_INCARNATIONS ? lives.get(0) : 0;
+    private long oldestKeptIncarnation(String owner) {
+        List<Long> incarnations = store.incarnations(owner);
+        return incarnations.size() > RecordStore.MAX_ENDED_INCARNATIONS ? incarnations.get(0) : 0;
     }
 
-    private void onChunk(String peer, ReplicationMessage.LogChunk c, double nowMs, List<OutgoingMessage> out) {
-        long had = store.appliedSequence(c.owner(), c.incarnation()).orElse(0);
-        RecordStore.MergeResult t = store.merge(c, nowMs);
-        CatchUp.LogId of = new CatchUp.LogId(c.owner(), c.incarnation());
-        if (t == RecordStore.MergeResult.NEW) {
-            if (c.incarnation() == store.newestIncarnation(c.owner())) {
-                changedOwners.add(c.owner());
-                pushAfter.merge(c.owner(), had, Math::min);
+    private void onChunk(String peer, ReplicationMessage.LogChunk chunk, double nowMs, List<OutgoingMessage> out) {
+        long previousSequence =
+                store.appliedSequence(chunk.owner(), chunk.incarnation()).orElse(0);
+        RecordStore.MergeResult result = store.merge(chunk, nowMs);
+        CatchUp.LogId log = new CatchUp.LogId(chunk.owner(), chunk.incarnation());
+        if (result == RecordStore.MergeResult.NEW) {
+            if (chunk.incarnation() == store.newestIncarnation(chunk.owner())) {
+                changedOwners.add(chunk.owner());
+                pushFromSequences.merge(chunk.owner(), previousSequence, Math::min);
             }
             catchUp.onProgress(
-                    of, store.appliedSequence(c.owner(), c.incarnation()).orElse(c.upToSequence()), nowMs);
+                    log,
+                    store.appliedSequence(chunk.owner(), chunk.incarnation()).orElse(chunk.upToSequence()),
+                    nowMs);
             requestMissing(nowMs, out);
-        } else if (t == RecordStore.MergeResult.GAP) {
+        } else if (result == RecordStore.MergeResult.GAP) {
             onPosition(
-                    peer, c.owner(), c.incarnation(), c.snapshotEnd() == 0 ? c.upToSequence() : c.snapshotEnd(), nowMs);
-        } else if (t == RecordStore.MergeResult.KNOWN) {
+                    peer,
+                    chunk.owner(),
+                    chunk.incarnation(),
+                    chunk.snapshotEnd() == 0 ? chunk.upToSequence() : chunk.snapshotEnd(),
+                    nowMs);
+        } else if (result == RecordStore.MergeResult.KNOWN) {
             catchUp.onProgress(
-                    of,
-                    Math.max(had, c.incarnation() < store.newestIncarnation(c.owner()) ? c.upToSequence() : 0),
+                    log,
+                    Math.max(
+                            previousSequence,
+                            chunk.incarnation() < store.newestIncarnation(chunk.owner()) ? chunk.upToSequence() : 0),
                     nowMs);
         }
     }
@@ -457,10 +481,10 @@
     /** How far this member is. */
     public Replica.SyncState syncState(double nowMs) {
         return new Replica.SyncState(
-                catchUp.isLevel(initialized, nowMs),
+                catchUp.isCaughtUp(initialized, nowMs),
                 catchUp.missingWrites(),
-                antiEntropy.openLogs(),
-                antiEntropy.outOfDecision() || store.quarantineReason(store.localMember()) != null);
+                antiEntropy.countDifferingLogs(),
+                antiEntropy.hasDiscardedLogs() || store.quarantineReason(store.localMember()) != null);
     }
 
     /** The copies that differ. */
@@ -469,14 +493,15 @@
     }
 
     /** How many peers there are by the file. */
-    int configuredPeers() {
-        return configured.size();
+    int countConfiguredPeers() {
+        return configuredPeers.size();
     }
 
     /** How many peers have said that they hold this member's writes up to this one. */
-    int peersHolding(long sequence) {
-        return (int)
-                peers.values().stream().filter(p -> p.localSequence >= sequence).count();
+    int countPeersHolding(long sequence) {
+        return (int) peers.values().stream()
+                .filter(progress -> progress.acknowledgedSequence >= sequence)
+                .count();
     }
 
     /** Bytes sent since the start. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/MarkMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/SummaryMerger.java
@@ -7,12 +7,12 @@
  * this member itself may say that another process has used its name; then this one either takes a later incarnation, as
  * a SWIM member refutes a suspicion (Das, Gupta, Motivala: SWIM, 2002), or is quarantined.
  */
-final class MarkMerger {
+final class SummaryMerger {
     private final RecordTable table;
     private final LocalOwner local;
     private final LocalWriter writer;
 
-    MarkMerger(RecordTable table, LocalOwner local, LocalWriter writer) {
+    SummaryMerger(RecordTable table, LocalOwner local, LocalWriter writer) {
         this.table = table;
         this.local = local;
         this.writer = writer;
@@ -91,7 +91,7 @@
     private void startIncarnation(long next, double nowMs) {
         OwnerState owner = local.state();
         OwnerLog ended = owner.logs.remove(local.incarnation);
-        List<ReplicatedRecord> written = ended.all();
+        List<ReplicatedRecord> written = ended.records();
         local.incarnation = next;
         local.confirmed = false;
         owner.incarnation = next;
@@ -99,14 +99,14 @@
         owner.logs.put(next, new OwnerLog(local.name, next));
         written.forEach(record -> table.addChange(local.name, ended.incarnation, record.recordKey()));
         if (local.announced) {
-            ended.end();
+            ended.endIncarnation();
             owner.logs.put(ended.incarnation, ended);
             table.removeObsoleteLogs(local.name, owner, ended);
         }
         table.addChange(local.name, ended.incarnation, null);
         for (ReplicatedRecord record : written) {
-            boolean own = record.space().kind() == RecordSpace.Kind.REGISTER;
-            if (!record.removed() && (own || !local.announced)) {
+            boolean register = record.space().kind() == RecordSpace.Kind.REGISTER;
+            if (!record.removed() && (register || !local.announced)) {
                 writer.write(record.space(), record.key(), record.value(), record.count(), record.foldedBelow(), nowMs);
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/TokenBucket.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/TokenBucket.java
@@ -5,11 +5,11 @@
     /** The bucket holds what comes in within this time, in milliseconds. */
     private static final double CAPACITY_MS = 250;
 
-    private static final double MIN_BYTES_A_SECOND = 1000;
+    private static final double MIN_BYTES_PER_SECOND = 1000;
 
     private final double bytesPerMs;
     private double tokens;
-    private double atMs = Double.NaN;
+    private double refilledAtMs = Double.NaN;
 
     /**
      * A full bucket.
@@ -18,7 +18,7 @@
      * @throws IllegalArgumentException below 1000 bytes a second
      */
     public TokenBucket(double bytesASecond) {
-        if (!(bytesASecond >= MIN_BYTES_A_SECOND)) {
+        if (!(bytesASecond >= MIN_BYTES_PER_SECOND)) {
             throw new IllegalArgumentException("at least 1000 bytes a second: " + bytesASecond);
         }
         bytesPerMs = bytesASecond / 1000;
@@ -47,9 +47,9 @@
     }
 
     private void refill(double nowMs) {
-        if (nowMs > atMs) {
-            tokens = Math.min(capacity(), tokens + (nowMs - atMs) * bytesPerMs);
+        if (nowMs > refilledAtMs) {
+            tokens = Math.min(capacity(), tokens + (nowMs - refilledAtMs) * bytesPerMs);
         }
-        atMs = nowMs;
+        refilledAtMs = nowMs;
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -28,265 +28,268 @@
             new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
 
     /** So many zeros on both sides of a cut are no record's. */
-    private static final int FILLING = 64;
+    private static final int PADDING = 64;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private FaultyFiles.Faults faults;
     private final RecordStore owner = new RecordStore("a", 3, 9, false);
     private final RecordStore copy = new RecordStore("b", 1, 7, false);
 
     @BeforeEach
-    void below() {
-        faults = FaultyFiles.below(folder);
+    void interceptFiles() {
+        faults = FaultyFiles.below(directory);
     }
 
     private ReplicaDisk open() throws IOException {
-        return ReplicaDisk.open(folder, "fleet", "b", 1, FaultyFiles.SCHEME);
+        return ReplicaDisk.open(directory, "fleet", "b", 1, FaultyFiles.SCHEME);
     }
 
     /** The owner writes, and the copy has it. */
-    private void written(String value) {
+    private void writeAndReplicate(String value) {
         owner.put(RecordSpace.SERVERS, "h", value.getBytes(UTF_8), 0);
         owner.add(RecordSpace.USED, "k", 1, 0);
         copy.merge(owner.answer(copy.createRequest("a", 3), 1 << 20), 0);
     }
 
-    private void write(ReplicaDisk d) throws IOException {
-        List<ReplicatedRecord> all = copy.records("a", 3);
-        d.write(
+    private void writeToDisk(ReplicaDisk disk) throws IOException {
+        List<ReplicatedRecord> records = copy.records("a", 3);
+        disk.write(
                 List.of(new ReplicaDisk.Batch(
-                        "a", 3, copy.appliedSequence("a", 3).orElseThrow(), 0, all, List.of())),
-                Map.of(new CatchUp.LogId("a", 3), all.size()));
+                        "a", 3, copy.appliedSequence("a", 3).orElseThrow(), 0, records, List.of())),
+                Map.of(new CatchUp.LogId("a", 3), records.size()));
     }
 
     /** How far the copy is that is on the disk now; what is there must be what was written up to there. */
-    private long onDisk() throws IOException {
-        try (ReplicaDisk d = open()) {
-            RecordStore s = new RecordStore("b", d.incarnation(), 8, false);
-            d.restore(s);
-            long have = s.appliedSequence("a", 3).orElse(0);
-            assertEquals(have / 2, s.sum(RecordSpace.USED, "k"));
-            d.abandon();
-            return have;
+    private long sequenceOnDisk() throws IOException {
+        try (ReplicaDisk disk = open()) {
+            RecordStore store = new RecordStore("b", disk.incarnation(), 8, false);
+            disk.restore(store);
+            long appliedSequence = store.appliedSequence("a", 3).orElse(0);
+            assertEquals(appliedSequence / 2, store.sum(RecordSpace.USED, "k"));
+            disk.closeImmediately();
+            return appliedSequence;
         }
     }
 
     @Test
-    void whatWasWrittenOverAFailureIsThereAfterALossOfPower() throws IOException {
+    void writesAfterAFailureSurvivePowerLoss() throws IOException {
         for (Fault fault : Fault.values()) {
-            ReplicaDisk d = open();
-            written("before " + fault);
-            write(d);
-            written("lost " + fault);
+            ReplicaDisk disk = open();
+            writeAndReplicate("before " + fault);
+            writeToDisk(disk);
+            writeAndReplicate("lost " + fault);
             faults.fail(fault);
-            assertThrows(IOException.class, () -> write(d));
-            assertThrows(IOException.class, () -> write(d), "it goes on");
+            assertThrows(IOException.class, () -> writeToDisk(disk));
+            assertThrows(IOException.class, () -> writeToDisk(disk), "it goes on");
             faults.heal();
-            write(d);
-            written("after " + fault);
-            write(d);
-            d.abandon();
+            writeToDisk(disk);
+            writeAndReplicate("after " + fault);
+            writeToDisk(disk);
+            disk.closeImmediately();
             faults.losePower();
-            assertEquals(copy.appliedSequence("a", 3).orElseThrow(), onDisk(), fault.toString());
+            assertEquals(copy.appliedSequence("a", 3).orElseThrow(), sequenceOnDisk(), fault.toString());
         }
     }
 
     @Test
-    void whatWasReadAfterAFailedSyncIsSyncedAnewByTheNextProcess() throws IOException {
-        ReplicaDisk d = open();
-        written("first");
-        write(d);
-        written("second");
+    void nextProcessSyncsWhatItReadAfterAFailedSync() throws IOException {
+        ReplicaDisk disk = open();
+        writeAndReplicate("first");
+        writeToDisk(disk);
+        writeAndReplicate("second");
         faults.fail(Fault.SYNC_ERROR);
-        assertThrows(IOException.class, () -> write(d));
-        d.abandon();
+        assertThrows(IOException.class, () -> writeToDisk(disk));
+        disk.closeImmediately();
         faults.heal();
         // The next process reads the second from memory that was never synced.
-        ReplicaDisk next = open();
-        RecordStore s = new RecordStore("b", next.incarnation(), 8, false);
-        next.restore(s);
-        assertTrue(next.needsFullWrite());
-        write(next);
-        next.abandon();
+        ReplicaDisk nextDisk = open();
+        RecordStore store = new RecordStore("b", nextDisk.incarnation(), 8, false);
+        nextDisk.restore(store);
+        assertTrue(nextDisk.needsFullWrite());
+        writeToDisk(nextDisk);
+        nextDisk.closeImmediately();
         faults.losePower();
-        assertEquals(4, onDisk());
+        assertEquals(4, sequenceOnDisk());
     }
 
     @Test
-    void aDiskThatIsFullAtTheStartIsNotPutAside() throws IOException {
-        try (ReplicaDisk d = open()) {
-            written("first");
-            write(d);
+    void accessFailureAtOpenDoesNotReplaceTheFile() throws IOException {
+        try (ReplicaDisk disk = open()) {
+            writeAndReplicate("first");
+            writeToDisk(disk);
         }
         for (Fault fault : Fault.values()) {
             faults.fail(fault);
-            String why = assertThrows(IOException.class, this::open).getMessage();
-            assertEquals(1, why.lines().count(), why);
+            String message = assertThrows(IOException.class, this::open).getMessage();
+            assertEquals(1, message.lines().count(), message);
             faults.heal();
-            assertFalse(Files.exists(folder.resolve("replica.mv.broken")));
-            assertEquals(2, onDisk(), fault.toString());
+            assertFalse(Files.exists(directory.resolve("replica.mv.broken")));
+            assertEquals(2, sequenceOnDisk(), fault.toString());
         }
     }
 
     @Test
-    void randomFaultsAndLossesOfPowerTakeNothingThatWasAcknowledged() throws IOException {
+    void randomFaultsAndPowerLossKeepAcknowledgedWrites() throws IOException {
         for (long seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            long acknowledged = onDisk();
-            ReplicaDisk d = open();
+            long acknowledged = sequenceOnDisk();
+            ReplicaDisk disk = open();
             faults.draw(seed, 0.15);
             for (int i = 0; i < 20; i++) {
-                written(seed + "/" + i);
+                writeAndReplicate(seed + "/" + i);
                 try {
-                    write(d);
+                    writeToDisk(disk);
                     acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 } catch (IOException refused) {
-                    assertTrue(d.needsFullWrite());
+                    assertTrue(disk.needsFullWrite());
                 }
             }
-            d.abandon();
+            disk.closeImmediately();
             faults.heal();
             if (random.nextBoolean()) {
                 faults.losePower();
             }
-            long there = onDisk();
-            assertTrue(there >= acknowledged, "seed " + seed + ": " + there + " of " + acknowledged);
+            long sequence = sequenceOnDisk();
+            assertTrue(sequence >= acknowledged, "seed " + seed + ": " + sequence + " of " + acknowledged);
         }
         assertTrue(faults.failed() > 20, "failed " + faults.failed());
     }
 
     /** Whether a write that is cut here is cut within the zeros that fill up a block. */
-    private static boolean withinFilling(byte[] bytes, int prefix) {
+    private static boolean isWithinPadding(byte[] bytes, int prefix) {
         int zeros = 0;
-        for (int i = Math.max(0, prefix - FILLING); i < Math.min(bytes.length, prefix + FILLING); i++) {
+        for (int i = Math.max(0, prefix - PADDING); i < Math.min(bytes.length, prefix + PADDING); i++) {
             zeros += bytes[i] == 0 ? 1 : 0;
         }
-        return zeros == 2 * FILLING;
+        return zeros == 2 * PADDING;
     }
 
     /** Every length of each write of the last one that a kill can leave, with the file as it was then. */
-    private void tornAtEveryByte(Path file, byte[] before, List<FaultyFiles.Write> writes, long least)
+    private void tearEachWrite(Path file, byte[] before, List<FaultyFiles.Write> writes, long minSequence)
             throws IOException {
-        byte[] now = before;
-        for (FaultyFiles.Write w : writes) {
-            if (!w.file().equals(file)) {
+        byte[] content = before;
+        for (FaultyFiles.Write write : writes) {
+            if (!write.file().equals(file)) {
                 continue;
             }
-            byte[] last = null;
-            for (int prefix = 0; prefix <= w.bytes().length; prefix++) {
-                byte[] torn = w.onto(now, prefix);
-                if (!Arrays.equals(torn, last) && !withinFilling(w.bytes(), prefix)) {
+            byte[] previous = null;
+            for (int prefix = 0; prefix <= write.bytes().length; prefix++) {
+                byte[] torn = write.onto(content, prefix);
+                if (!Arrays.equals(torn, previous) && !isWithinPadding(write.bytes(), prefix)) {
                     Files.write(file, torn);
-                    long there = onDisk();
-                    assertTrue(there >= least, w.at() + "+" + prefix + " of " + w.bytes().length + ": " + there);
+                    long sequence = sequenceOnDisk();
+                    assertTrue(
+                            sequence >= minSequence,
+                            write.at() + "+" + prefix + " of " + write.bytes().length + ": " + sequence);
                 }
-                last = torn;
+                previous = torn;
             }
-            now = last;
+            content = previous;
         }
     }
 
     @Test
-    void everyLengthOfATornLastWriteLeavesWhatWasWrittenBefore() throws IOException {
-        Path file = folder.resolve("replica.mv");
-        ReplicaDisk d = open();
-        written("first");
-        write(d);
+    void tornLastWriteKeepsEarlierWrites() throws IOException {
+        Path file = directory.resolve("replica.mv");
+        ReplicaDisk disk = open();
+        writeAndReplicate("first");
+        writeToDisk(disk);
         byte[] before = Files.readAllBytes(file);
-        written("second");
+        writeAndReplicate("second");
         faults.record();
-        write(d);
-        d.abandon();
-        tornAtEveryByte(file, before, faults.recorded(), 2);
-        assertEquals(4, onDisk());
+        writeToDisk(disk);
+        disk.closeImmediately();
+        tearEachWrite(file, before, faults.recorded(), 2);
+        assertEquals(4, sequenceOnDisk());
     }
 
     @Test
-    void everyLengthOfATornFreshFileLeavesTheOldOne() throws IOException {
-        Path fresh = folder.resolve("replica.mv.new");
-        ReplicaDisk d = open();
-        written("first");
-        write(d);
-        d.abandon();
-        byte[] before = Files.readAllBytes(folder.resolve("replica.mv"));
-        written("second");
+    void tornNewFileKeepsTheOldFile() throws IOException {
+        Path fresh = directory.resolve("replica.mv.new");
+        ReplicaDisk disk = open();
+        writeAndReplicate("first");
+        writeToDisk(disk);
+        disk.closeImmediately();
+        byte[] before = Files.readAllBytes(directory.resolve("replica.mv"));
+        writeAndReplicate("second");
         faults.record();
-        write(d);
-        d.abandon();
+        writeToDisk(disk);
+        disk.closeImmediately();
         List<FaultyFiles.Write> writes = faults.recorded();
-        assertTrue(writes.stream().anyMatch(w -> w.file().equals(fresh)));
-        Files.write(folder.resolve("replica.mv"), before);
-        byte[] now = {};
-        for (FaultyFiles.Write w : writes) {
-            for (int prefix = 0; w.file().equals(fresh) && prefix <= w.bytes().length; prefix++) {
-                if (!withinFilling(w.bytes(), prefix)) {
-                    Files.write(fresh, w.onto(now, prefix));
-                    assertEquals(2, onDisk(), w.at() + "+" + prefix);
+        assertTrue(writes.stream().anyMatch(write -> write.file().equals(fresh)));
+        Files.write(directory.resolve("replica.mv"), before);
+        byte[] content = {};
+        for (FaultyFiles.Write write : writes) {
+            for (int prefix = 0; write.file().equals(fresh) && prefix <= write.bytes().length; prefix++) {
+                if (!isWithinPadding(write.bytes(), prefix)) {
+                    Files.write(fresh, write.onto(content, prefix));
+                    assertEquals(2, sequenceOnDisk(), write.at() + "+" + prefix);
                 }
             }
-            now = w.file().equals(fresh) ? w.onto(now, w.bytes().length) : now;
+            content = write.file().equals(fresh) ? write.onto(content, write.bytes().length) : content;
         }
-        try (ReplicaDisk next = open()) {
-            RecordStore s = new RecordStore("b", next.incarnation(), 8, false);
-            next.restore(s);
-            write(next);
+        try (ReplicaDisk nextDisk = open()) {
+            RecordStore store = new RecordStore("b", nextDisk.incarnation(), 8, false);
+            nextDisk.restore(store);
+            writeToDisk(nextDisk);
         }
         assertFalse(Files.exists(fresh));
-        assertEquals(4, onDisk());
+        assertEquals(4, sequenceOnDisk());
     }
 
     @Test
-    void aKillAtAnyWriteOrSyncLeavesWhatWasAcknowledged() throws IOException {
-        for (long at = 0; at < 40; at++) {
-            ReplicaDisk d = open();
+    void killAtAnyFileOperationKeepsAcknowledgedWrites() throws IOException {
+        for (long operation = 0; operation < 40; operation++) {
+            ReplicaDisk disk = open();
             long acknowledged = copy.appliedSequence("a", 3).orElse(0);
-            faults.killAt(faults.operations() + at, (int) (at * 37 % 4096));
+            faults.killAt(faults.operations() + operation, (int) (operation * 37 % 4096));
             try {
                 for (int i = 0; i < 3; i++) {
-                    written(at + "/" + i);
-                    write(d);
+                    writeAndReplicate(operation + "/" + i);
+                    writeToDisk(disk);
                     acknowledged = copy.appliedSequence("a", 3).orElseThrow();
                 }
             } catch (IOException killed) {
-                assertTrue(d.needsFullWrite());
+                assertTrue(disk.needsFullWrite());
             }
-            d.abandon();
+            disk.closeImmediately();
             faults.heal();
-            assertTrue(onDisk() >= acknowledged, "killed at " + at);
+            assertTrue(sequenceOnDisk() >= acknowledged, "killed at " + operation);
             // The next process goes on with all that the copy holds.
-            ReplicaDisk next = open();
-            next.abandon();
-            write(next);
-            next.abandon();
+            ReplicaDisk nextDisk = open();
+            nextDisk.closeImmediately();
+            writeToDisk(nextDisk);
+            nextDisk.closeImmediately();
         }
     }
 
     /** The node goes on from memory, says so, and writes everything once the disk takes it. */
     @Test
-    void aNodeGoesOnWhileItsDiskFailsAndWritesAllOnceItTakesIt() throws Exception {
-        try (Wires wires = new Wires("b")) {
-            ReplicaDisk d = open();
-            ReplicaNode n = new ReplicaNode(wires.end("b", d.incarnation()), d, Clock.system(), FAST);
-            n.start();
-            n.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8));
-            assertTrue(n.awaitFlushed(10_000));
+    void nodeContinuesWhileItsDiskFailsAndWritesEverythingAfterwards() throws Exception {
+        try (InMemoryLinks wires = new InMemoryLinks("b")) {
+            ReplicaDisk disk = open();
+            ReplicaNode node = new ReplicaNode(wires.connect("b", disk.incarnation()), disk, Clock.system(), FAST);
+            node.start();
+            node.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8));
+            assertTrue(node.awaitFlushed(10_000));
             faults.fail(Fault.SYNC_ERROR);
-            n.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8));
-            await().atMost(Duration.ofSeconds(20)).until(() -> !n.statistics().diskHealthy());
-            assertFalse(n.awaitFlushed(1));
-            n.add(RecordSpace.USED, "k", 5);
+            node.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8));
+            await().atMost(Duration.ofSeconds(20))
+                    .until(() -> !node.statistics().diskHealthy());
+            assertFalse(node.awaitFlushed(1));
+            node.add(RecordSpace.USED, "k", 5);
             faults.heal();
-            await().atMost(Duration.ofSeconds(20)).until(() -> n.statistics().diskHealthy());
-            assertTrue(n.awaitFlushed(10_000));
-            n.close();
+            await().atMost(Duration.ofSeconds(20)).until(() -> node.statistics().diskHealthy());
+            assertTrue(node.awaitFlushed(10_000));
+            node.close();
             faults.losePower();
         }
-        try (ReplicaDisk d = open()) {
-            RecordStore s = new RecordStore("b", d.incarnation(), 8, false);
-            d.restore(s);
-            assertEquals(5, s.sum(RecordSpace.USED, "k"));
+        try (ReplicaDisk disk = open()) {
+            RecordStore store = new RecordStore("b", disk.incarnation(), 8, false);
+            disk.restore(store);
+            assertEquals(5, store.sum(RecordSpace.USED, "k"));
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -19,8 +19,8 @@
 /** The forms of the replicas' messages, records and disk, against the golden files. */
 class GoldenFormsTest {
     private static final String OWNER = "n1";
-    private static final long LIFE = 1_700_000_000_001L;
-    private static final double DISK_LIFE = 1_700_000_000_777.0;
+    private static final long INCARNATION = 1_700_000_000_001L;
+    private static final double DISK_INCARNATION = 1_700_000_000_777.0;
     /** Listed one by one, so that each keeps its file when it is renamed. */
     private static final List<RecordSpace> SPACES = List.of(
             RecordSpace.SERVERS,
@@ -33,107 +33,119 @@
     @TempDir
     Path directory;
 
-    private static ReplicatedRecord entry(RecordSpace space, int sequence) {
+    private static ReplicatedRecord createRecord(RecordSpace space, int sequence) {
         boolean counted = space.kind() == RecordSpace.Kind.COUNTER;
         return ReplicatedRecord.of(
                 OWNER,
                 space,
                 "pool/tenant-" + sequence,
-                new RecordVersion(LIFE, sequence),
+                new RecordVersion(INCARNATION, sequence),
                 counted ? null : "{\"wanted\":1}".getBytes(StandardCharsets.UTF_8),
                 counted ? 70_000L + sequence : 0,
-                counted ? LIFE - 1 : 0);
+                counted ? INCARNATION - 1 : 0);
     }
 
-    private static ReplicatedRecord removed(int sequence) {
-        return ReplicatedRecord.of(OWNER, RecordSpace.SERVERS, "gone", new RecordVersion(LIFE, sequence), null, 0, 0);
+    private static ReplicatedRecord createRemovedRecord(int sequence) {
+        return ReplicatedRecord.of(
+                OWNER, RecordSpace.SERVERS, "gone", new RecordVersion(INCARNATION, sequence), null, 0, 0);
     }
 
-    private static List<ReplicatedRecord> entries() {
-        List<ReplicatedRecord> entries = new ArrayList<>();
+    private static List<ReplicatedRecord> createRecords() {
+        List<ReplicatedRecord> records = new ArrayList<>();
         for (RecordSpace space : SPACES) {
-            entries.add(entry(space, entries.size() + 1));
+            records.add(createRecord(space, records.size() + 1));
         }
-        entries.add(removed(entries.size() + 1));
-        return entries;
+        records.add(createRemovedRecord(records.size() + 1));
+        return records;
     }
 
-    private static Map<String, ReplicationMessage> messages() {
+    private static Map<String, ReplicationMessage> createMessages() {
         Map<String, ReplicationMessage> messages = new LinkedHashMap<>();
         messages.put(
                 "marks",
                 new ReplicationMessage.OwnerSummaries(
                         true,
                         false,
-                        List.of(new ReplicationMessage.OwnerSummary(OWNER, LIFE, -7, 8, 9, 10, 11, true)),
+                        List.of(new ReplicationMessage.OwnerSummary(OWNER, INCARNATION, -7, 8, 9, 10, 11, true)),
                         List.of(new ReplicationMessage.EndedLog("n2", 3, 4))));
         messages.put(
                 "wants",
-                new ReplicationMessage.LogRequests(List.of(new ReplicationMessage.LogRequest(OWNER, LIFE, 5, 6, 7))));
-        messages.put("chunk", new ReplicationMessage.LogChunk(OWNER, LIFE, LIFE + 1, 0, 7, 8, 2, entries()));
+                new ReplicationMessage.LogRequests(
+                        List.of(new ReplicationMessage.LogRequest(OWNER, INCARNATION, 5, 6, 7))));
+        messages.put(
+                "chunk",
+                new ReplicationMessage.LogChunk(OWNER, INCARNATION, INCARNATION + 1, 0, 7, 8, 2, createRecords()));
         messages.put(
                 "digests",
                 new ReplicationMessage.LogDigests(
-                        List.of(new ReplicationMessage.LogDigest(OWNER, LIFE, 9, -123_456_789_012L))));
+                        List.of(new ReplicationMessage.LogDigest(OWNER, INCARNATION, 9, -123_456_789_012L))));
         messages.put(
                 "ranges",
                 new ReplicationMessage.RangeDigests(
                         OWNER,
-                        LIFE,
+                        INCARNATION,
                         9,
                         LongStream.range(0, RecordKey.RANGE_COUNT)
                                 .mapToObj(i -> i * 1_000_003L - 5)
                                 .toList()));
-        messages.put("copies", new ReplicationMessage.RangeRecords(OWNER, LIFE, 9, 3, 1, true, false, entries()));
+        messages.put(
+                "copies",
+                new ReplicationMessage.RangeRecords(OWNER, INCARNATION, 9, 3, 1, true, false, createRecords()));
         return messages;
     }
 
     @Test
-    void eachMessage() throws IOException {
-        GoldenFiles.assertAllCovered(ReplicationMessage.class, messages().values());
-        for (Map.Entry<String, ReplicationMessage> message : messages().entrySet()) {
+    void messagesMatchGoldenFiles() throws IOException {
+        GoldenFiles.assertAllCovered(ReplicationMessage.class, createMessages().values());
+        for (Map.Entry<String, ReplicationMessage> message : createMessages().entrySet()) {
             GoldenFiles.check(
                     "replica/" + message.getKey(), message.getValue(), ReplicationCodec::write, ReplicationCodec::read);
         }
     }
 
     @Test
-    void aRecordOfEachSpace() throws IOException {
+    void recordsOfEachSpaceMatchGoldenFiles() throws IOException {
         assertEquals(RecordSpace.values().length, SPACES.size());
         for (int i = 0; i < SPACES.size(); i++) {
-            ReplicatedRecord entry = entry(SPACES.get(i), 70);
-            GoldenFiles.check("replica/entry-" + i, entry, ReplicationCodec::write, ReplicationCodec::readEntry);
+            ReplicatedRecord record = createRecord(SPACES.get(i), 70);
+            GoldenFiles.check("replica/entry-" + i, record, ReplicationCodec::write, ReplicationCodec::readRecord);
             assertEquals(
                     true,
-                    ReplicationCodec.readEntry(GoldenFiles.bytes("replica/entry-" + i))
+                    ReplicationCodec.readRecord(GoldenFiles.bytes("replica/entry-" + i))
                             .hasValidChecksum(OWNER));
         }
-        GoldenFiles.check("replica/entry-removed", removed(71), ReplicationCodec::write, ReplicationCodec::readEntry);
+        GoldenFiles.check(
+                "replica/entry-removed",
+                createRemovedRecord(71),
+                ReplicationCodec::write,
+                ReplicationCodec::readRecord);
     }
 
     @Test
-    void diskOfAReplica() throws IOException {
+    void diskMatchesGoldenFile() throws IOException {
         if (GoldenFiles.writing()) {
             writeDisk();
         }
         Path copy = Files.createDirectories(directory.resolve("copy"));
         Files.write(copy.resolve("replica.mv"), GoldenFiles.bytes("replica/replica-disk-replica.mv"));
         try (ReplicaDisk disk = ReplicaDisk.open(copy, "fleet", "n2", 0)) {
-            assertEquals((long) DISK_LIFE + 1, disk.incarnation());
+            assertEquals((long) DISK_INCARNATION + 1, disk.incarnation());
             RecordStore store = new RecordStore("n2", disk.incarnation(), 8, false);
             disk.restore(store);
-            GoldenFiles.assertSame("records", entries(), store.records(OWNER, LIFE));
-            assertEquals(OptionalLong.of(7), store.appliedSequence(OWNER, LIFE));
-            assertEquals(2, store.tombstoneFloor(OWNER, LIFE));
+            GoldenFiles.assertSame("records", createRecords(), store.records(OWNER, INCARNATION));
+            assertEquals(OptionalLong.of(7), store.appliedSequence(OWNER, INCARNATION));
+            assertEquals(2, store.tombstoneFloor(OWNER, INCARNATION));
         }
     }
 
     private void writeDisk() throws IOException {
         Path written = directory.resolve("written");
-        try (ReplicaDisk disk = ReplicaDisk.open(written, "fleet", "n2", DISK_LIFE)) {
+        try (ReplicaDisk disk = ReplicaDisk.open(written, "fleet", "n2", DISK_INCARNATION)) {
             disk.write(
-                    List.of(new ReplicaDisk.Batch(OWNER, LIFE, 7L, 2, entries(), List.of())),
-                    Map.of(new CatchUp.LogId(OWNER, LIFE), entries().size()));
+                    List.of(new ReplicaDisk.Batch(OWNER, INCARNATION, 7L, 2, createRecords(), List.of())),
+                    Map.of(
+                            new CatchUp.LogId(OWNER, INCARNATION),
+                            createRecords().size()));
         }
         GoldenFiles.replaceIfAsked(
                 "replica/replica-disk-replica.mv", Files.readAllBytes(written.resolve("replica.mv")));
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/InMemoryLinks.java
@@ -0,0 +1,154 @@
+package brackenbridge.fleet.replica;
+
+import brackenbridge.fleet.peer.Member;
+import brackenbridge.fleet.peer.MemberStatus;
+import brackenbridge.fleet.peer.MessageStream;
+import brackenbridge.fleet.peer.PeerLinks;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+
+/** Links in memory, with faults: lost and repeated messages, cut ways, members that are gone. */
+final class InMemoryLinks implements AutoCloseable {
+    private final Map<String, MemberLinks> links = new ConcurrentHashMap<>();
+    private final Set<String> blockedLinks = ConcurrentHashMap.newKeySet();
+    private final List<String> memberNames;
+    private final SplittableRandom random = new SplittableRandom(7);
+    private volatile double lossRate;
+    private volatile double duplicationRate;
+
+    InMemoryLinks(String... names) {
+        this.memberNames = List.of(names);
+    }
+
+    void setFaults(double lossProbability, double duplicationProbability) {
+        lossRate = lossProbability;
+        duplicationRate = duplicationProbability;
+    }
+
+    void blockedLinks(String from, String to) {
+        blockedLinks.add(from + ">" + to);
+    }
+
+    void restoreLinks() {
+        blockedLinks.clear();
+    }
+
+    private synchronized boolean chance(double probability) {
+        return random.nextDouble() < probability;
+    }
+
+    /** A new process under this name; the one before it is gone. */
+    MemberLinks connect(String name, long incarnation) {
+        MemberLinks link = new MemberLinks(name, incarnation);
+        MemberLinks previous = links.put(name, link);
+        if (previous != null) {
+            previous.close();
+        }
+        return link;
+    }
+
+    @Override
+    public void close() {
+        links.values().forEach(MemberLinks::close);
+    }
+
+    final class MemberLinks implements PeerLinks {
+        private final String name;
+        private final long life;
+        private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> {
+            Thread thread = new Thread(r, "wire");
+            thread.setDaemon(true);
+            return thread;
+        });
+        private volatile Receiver receiver;
+        private final List<Watcher> watchers = new ArrayList<>();
+
+        private MemberLinks(String name, long incarnation) {
+            this.name = name;
+            this.life = incarnation;
+        }
+
+        @Override
+        public Member me() {
+            return new Member(name, "127.0.0.1:1", "z");
+        }
+
+        @Override
+        public long life() {
+            return life;
+        }
+
+        @Override
+        public List<Member> peers() {
+            return memberNames.stream()
+                    .filter(peer -> !peer.equals(name))
+                    .map(peer -> new Member(peer, "127.0.0.1:1", "z"))
+                    .toList();
+        }
+
+        @Override
+        public MemberStatus standing(String peer) {
+            return links.containsKey(peer) ? MemberStatus.ALIVE : MemberStatus.DEAD;
+        }
+
+        @Override
+        public boolean send(String peer, MessageStream stream, byte[] body) {
+            MemberLinks target = links.get(peer);
+            if (target == null || blockedLinks.contains(name + ">" + peer) || chance(lossRate)) {
+                return target != null;
+            }
+            target.deliver(name, life, body);
+            if (chance(duplicationRate)) {
+                target.deliver(name, life, body);
+            }
+            return true;
+        }
+
+        private void deliver(String from, long incarnation, byte[] body) {
+            if (!thread.isShutdown()) {
+                try {
+                    thread.execute(() -> {
+                        if (receiver != null) {
+                            receiver.onMessage(from, incarnation, body);
+                        }
+                    });
+                } catch (java.util.concurrent.RejectedExecutionException e) {
+                    // The process ended as the message came: it is lost.
+                    return;
+                }
+            }
+        }
+
+        @Override
+        public void receive(MessageStream stream, Receiver messageReceiver) {
+            receiver = messageReceiver;
+        }
+
+        @Override
+        public void watch(Watcher watcher) {
+            watchers.add(watcher);
+        }
+
+        @Override
+        public void start() {
+            memberNames.stream().filter(peer -> !peer.equals(name)).forEach(peer -> {
+                MemberLinks link = links.get(peer);
+                if (link != null) {
+                    link.watchers.forEach(watcher -> watcher.onStatus(name, MemberStatus.ALIVE, life));
+                }
+            });
+        }
+
+        @Override
+        public void close() {
+            links.remove(name, this);
+            thread.shutdownNow();
+        }
+    }
+}
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -13,59 +13,59 @@
 import org.junit.jupiter.api.Test;
 
 class RecordStoreTest {
-    private static final RecordKey ITEM = new RecordKey(RecordSpace.SERVERS, "h");
+    private static final RecordKey KEY = new RecordKey(RecordSpace.SERVERS, "h");
 
-    private static RecordStore store(String me, long life) {
-        return new RecordStore(me, life, life + 1, false);
+    private static RecordStore store(String member, long incarnation) {
+        return new RecordStore(member, incarnation, incarnation + 1, false);
     }
 
-    private static void pull(RecordStore to, RecordStore from) {
-        from.summaries(from.owners(), 0).forEach(m -> to.merge(m, 0));
-        for (String o : from.owners()) {
-            for (long l : from.incarnations(o)) {
-                ReplicationMessage.LogChunk c = from.answer(to.createRequest(o, l), 1 << 20);
-                if (c != null) {
-                    to.merge(c, 0);
+    private static void replicate(RecordStore to, RecordStore from) {
+        from.summaries(from.owners(), 0).forEach(summary -> to.merge(summary, 0));
+        for (String owner : from.owners()) {
+            for (long incarnation : from.incarnations(owner)) {
+                ReplicationMessage.LogChunk chunk = from.answer(to.createRequest(owner, incarnation), 1 << 20);
+                if (chunk != null) {
+                    to.merge(chunk, 0);
                 }
             }
         }
     }
 
     @Test
-    void twoWritersOfOneLifeArePutAsideByAllUntilALaterLife() {
+    void twoWritersOfOneIncarnationAreQuarantinedUntilALaterOne() {
         RecordStore one = new RecordStore("a", 5, 101, false);
         RecordStore two = new RecordStore("a", 5, 202, false);
         RecordStore b = store("b", 1);
         RecordStore c = store("c", 1);
         one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
         two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        pull(b, one);
-        pull(c, two);
+        replicate(b, one);
+        replicate(c, two);
         assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
-        pull(b, c);
+        replicate(b, c);
         assertTrue(b.readAll(RecordSpace.SERVERS, 0).isEmpty());
         assertTrue(b.drainAlarms().toString().contains("65 and ca"), "both processes are named");
         // Whoever hears of it from b puts it aside as well, the writers themselves included.
-        pull(c, b);
-        pull(one, b);
+        replicate(c, b);
+        replicate(one, b);
         assertTrue(c.readAll(RecordSpace.SERVERS, 0).isEmpty());
         assertNotNull(one.quarantineReason("a"));
         assertFalse(one.put(RecordSpace.SERVERS, "h", "3".getBytes(UTF_8), 0));
         RecordStore later = new RecordStore("a", 6, 303, false);
         later.put(RecordSpace.SERVERS, "h", "4".getBytes(UTF_8), 0);
-        pull(b, later);
+        replicate(b, later);
         assertNull(b.quarantineReason("a"));
         assertEquals("4", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
     }
 
     @Test
-    void oneWriteWithTwoContentsIsFoundThoughBothGiveOneNonce() {
+    void conflictingContentsAreDetectedDespiteEqualNonces() {
         RecordStore one = new RecordStore("a", 5, 101, false);
         RecordStore two = new RecordStore("a", 5, 101, false);
         RecordStore b = store("b", 1);
         one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
         two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        pull(b, one);
+        replicate(b, one);
         b.merge(two.answer(new ReplicationMessage.LogRequest("a", 5, 0, 0, 0), 1000), 0);
         assertNotNull(b.quarantineReason("a"));
         String alarm = b.drainAlarms().toString();
@@ -73,70 +73,70 @@
     }
 
     @Test
-    void whoHearsOfALaterLifeOfItsOwnTakesTheNextBeforeItWritesAndStandsAsideAfter() {
+    void laterOwnIncarnationIsSurpassedBeforeWritingAndQuarantinedAfter() {
         RecordStore peer = store("b", 1);
         RecordStore before = store("a", 9);
         before.add(RecordSpace.USED, "k", 3, 0);
-        pull(peer, before);
+        replicate(peer, before);
         RecordStore old = store("a", 4);
-        pull(old, peer);
+        replicate(old, peer);
         assertEquals(10, old.incarnation());
         assertTrue(old.add(RecordSpace.USED, "k", 1, 0));
         assertEquals(4, old.sum(RecordSpace.USED, "k"));
-        pull(peer, old);
-        pull(before, peer);
+        replicate(peer, old);
+        replicate(before, peer);
         assertNotNull(before.quarantineReason("a"), "the process that still runs under that name stands aside");
     }
 
-    private static ReplicationMessage.OwnerSummary markOfA(long life, long ageMs) {
-        return new ReplicationMessage.OwnerSummary("a", life, 77, 3, 5, 5, ageMs, false);
+    private static ReplicationMessage.OwnerSummary summaryOfA(long incarnation, long ageMs) {
+        return new ReplicationMessage.OwnerSummary("a", incarnation, 77, 3, 5, 5, ageMs, false);
     }
 
     @Test
-    void whatWasWrittenBeforeAnybodyWasToldGoesOnInTheLifeAfterItsPast() {
+    void unannouncedWritesMoveToTheNextIncarnation() {
         RecordStore a = store("a", 4);
         a.startSilently(10_000);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
         a.put(RecordSpace.SERVERS, "x", "1".getBytes(UTF_8), 10_000);
         a.remove(RecordSpace.SERVERS, "x", 10_000);
         a.add(RecordSpace.USED, "k", 3, 10_000);
-        assertTrue(a.merge(markOfA(9, 500), 11_000));
+        assertTrue(a.merge(summaryOfA(9, 500), 11_000));
         assertEquals(10, a.incarnation());
         assertNull(a.quarantineReason("a"));
         assertEquals(List.of(10L), a.incarnations("a"));
         assertEquals(1, a.readAll(RecordSpace.SERVERS, 11_000).size());
         assertEquals(3, a.sum(RecordSpace.USED, "k"));
-        assertFalse(a.merge(markOfA(9, 500), 12_000), "it is heard of again");
+        assertFalse(a.merge(summaryOfA(9, 500), 12_000), "it is heard of again");
         RecordStore b = store("b", 1);
-        pull(b, a);
+        replicate(b, a);
         assertEquals("1", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
         assertEquals(3, b.sum(RecordSpace.USED, "k"));
     }
 
     @Test
-    void lifeThatGaveNoSignSinceThisProcessBeganIsItsPastThoughItsWritesAreTold() {
+    void incarnationSilentSinceProcessStartIsTreatedAsOwnPast() {
         RecordStore a = store("a", 4);
         RecordStore b = store("b", 1);
         a.startSilently(10_000);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
         a.add(RecordSpace.USED, "k", 3, 10_000);
         a.startAnnouncing();
-        pull(b, a);
-        assertTrue(a.merge(markOfA(9, 2000), 11_000));
+        replicate(b, a);
+        assertTrue(a.merge(summaryOfA(9, 2000), 11_000));
         assertEquals(10, a.incarnation());
         assertTrue(a.add(RecordSpace.USED, "k", 1, 11_000));
         assertEquals(4, a.sum(RecordSpace.USED, "k"), "the earlier part stays, as one of an ended life");
-        pull(b, a);
+        replicate(b, a);
         assertEquals(4, b.sum(RecordSpace.USED, "k"));
         assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
         // One that gave a sign since is another process: two must not write under one name.
-        assertTrue(a.merge(markOfA(12, 500), 11_000));
+        assertTrue(a.merge(summaryOfA(12, 500), 11_000));
         assertNotNull(a.quarantineReason("a"));
         assertEquals(10, a.incarnation());
     }
 
     @Test
-    void ageIsCountedFromTheOwnersSignOverAllWaysAndHoldsOnlyWhatIsHere() {
+    void ageCountsFromTheOwnersHeartbeatAndOnlyForReceivedWrites() {
         RecordStore a = store("a", 1);
         RecordStore b = store("b", 1);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
@@ -155,12 +155,12 @@
     }
 
     @Test
-    void removalsAreForgottenWithinBoundsAndNothingComesBack() {
+    void tombstonesAreBoundedAndRemovedRecordsDoNotReturn() {
         RecordStore a = store("a", 1);
-        RecordStore late = store("b", 1);
+        RecordStore stale = store("b", 1);
         RecordStore other = store("c", 1);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        pull(late, a);
+        replicate(stale, a);
         for (int i = 0; i < 5000; i++) {
             a.put(RecordSpace.SERVERS, "x" + i, "1".getBytes(UTF_8), 0);
             a.remove(RecordSpace.SERVERS, "x" + i, 0);
@@ -171,34 +171,34 @@
         assertTrue(a.records("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
         a.forgetTombstones(100_000, 60_000);
         assertEquals(1, a.records("a", 1).size());
-        pull(other, late);
-        pull(late, a);
-        pull(other, a);
-        for (RecordStore s : List.of(late, other)) {
+        replicate(other, stale);
+        replicate(stale, a);
+        replicate(other, a);
+        for (RecordStore store : List.of(stale, other)) {
             assertEquals(
                     a.readAll(RecordSpace.SERVERS, 0).stream()
                             .map(Replica.ReadRecord::key)
                             .toList(),
-                    s.readAll(RecordSpace.SERVERS, 0).stream()
+                    store.readAll(RecordSpace.SERVERS, 0).stream()
                             .map(Replica.ReadRecord::key)
                             .toList());
         }
     }
 
     @Test
-    void manyLivesAreFoldedAndTheSumStays() {
+    void foldingManyIncarnationsKeepsTheSum() {
         List<RecordStore> peers = new ArrayList<>(List.of(store("b", 1), store("c", 1)));
         long sum = 0;
-        for (int life = 1; life <= 60; life++) {
-            RecordStore a = store("a", life);
-            peers.forEach(p -> pull(a, p));
+        for (int incarnation = 1; incarnation <= 60; incarnation++) {
+            RecordStore a = store("a", incarnation);
+            peers.forEach(peer -> replicate(a, peer));
             assertEquals(sum, a.sum(RecordSpace.USED, "k"));
-            a.add(RecordSpace.USED, "k", life, 0);
-            sum += life;
-            peers.forEach(p -> pull(p, a));
-            if (life % 10 == 0) {
-                a.foldCounters(life, 0);
-                peers.forEach(p -> pull(p, a));
+            a.add(RecordSpace.USED, "k", incarnation, 0);
+            sum += incarnation;
+            peers.forEach(peer -> replicate(peer, a));
+            if (incarnation % 10 == 0) {
+                a.foldCounters(incarnation, 0);
+                peers.forEach(peer -> replicate(peer, a));
                 assertEquals(1, peers.get(0).incarnations("a").size());
             }
         }
@@ -207,7 +207,7 @@
 
     /** Three copies, of which one has a byte flipped at random: found by digests alone, made one, with both values. */
     @Test
-    void aSilentlyCorruptedCopyIsFoundAndMendedWithoutAReader() {
+    void silentCorruptionIsDetectedAndRepairedWithoutReads() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 20; round++) {
             RecordStore a = store("a", 1);
@@ -215,67 +215,73 @@
             for (int i = 0; i < 50; i++) {
                 a.put(RecordSpace.SERVERS, "h" + i, ("value " + i).getBytes(UTF_8), 0);
             }
-            pull(b, a);
+            replicate(b, a);
             // Values are shared in memory here: b gets its own, as it would from a wire.
-            for (ReplicatedRecord e : b.records("a", 1)) {
+            for (ReplicatedRecord record : b.records("a", 1)) {
                 b.repair(
                         "a",
                         1,
-                        e.recordKey(),
+                        record.recordKey(),
                         new ReplicatedRecord(
-                                e.space(), e.key(), e.version(), e.value().clone(), 0, 0, e.checksum()),
+                                record.space(),
+                                record.key(),
+                                record.version(),
+                                record.value().clone(),
+                                0,
+                                0,
+                                record.checksum()),
                         0);
             }
-            ReplicatedRecord hit = b.records("a", 1).get(random.nextInt(50));
-            hit.value()[random.nextInt(hit.value().length)] ^= (byte) (1 << random.nextInt(8));
-            AntiEntropy da = new AntiEntropy(a);
-            AntiEntropy db = new AntiEntropy(b);
-            compare(da, db);
-            assertEquals(1, db.totalDifferences());
+            ReplicatedRecord corrupted = b.records("a", 1).get(random.nextInt(50));
+            corrupted.value()[random.nextInt(corrupted.value().length)] ^= (byte) (1 << random.nextInt(8));
+            AntiEntropy ofOwner = new AntiEntropy(a);
+            AntiEntropy ofCopy = new AntiEntropy(b);
+            runAntiEntropy(ofOwner, ofCopy);
+            assertEquals(1, ofCopy.totalDifferences());
             assertEquals(
                     AntiEntropy.Verdict.TOOK_THEIRS,
-                    db.recentDifferences().get(0).verdict());
-            assertTrue(db.recentDifferences().get(0).mine().contains("not what was written"));
-            compare(da, db);
-            assertEquals(1, db.totalDifferences());
-            assertEquals(0, db.openLogs());
+                    ofCopy.recentDifferences().get(0).verdict());
+            assertTrue(ofCopy.recentDifferences().get(0).mine().contains("not what was written"));
+            runAntiEntropy(ofOwner, ofCopy);
+            assertEquals(1, ofCopy.totalDifferences());
+            assertEquals(0, ofCopy.countDifferingLogs());
             assertEquals(a.records("a", 1).toString(), b.records("a", 1).toString());
         }
     }
 
-    private static void compare(AntiEntropy a, AntiEntropy b) {
-        for (ReplicationMessage r : b.onDigests("a", a.nextDigests("b"))) {
-            for (ReplicationMessage c : a.onRanges("b", (ReplicationMessage.RangeDigests) r)) {
-                for (ReplicationMessage back : b.onCopies("a", (ReplicationMessage.RangeRecords) c, 0)) {
-                    a.onCopies("b", (ReplicationMessage.RangeRecords) back, 0);
+    private static void runAntiEntropy(AntiEntropy a, AntiEntropy b) {
+        for (ReplicationMessage ranges : b.onDigests("a", a.nextDigests("b"))) {
+            for (ReplicationMessage records : a.onRangeDigests("b", (ReplicationMessage.RangeDigests) ranges)) {
+                for (ReplicationMessage reply : b.onRangeRecords("a", (ReplicationMessage.RangeRecords) records, 0)) {
+                    a.onRangeRecords("b", (ReplicationMessage.RangeRecords) reply, 0);
                 }
             }
         }
     }
 
     @Test
-    void aCopyThatStillDiffersFromItsOwnersIsOutOfDecisionUntilItCameWhole() {
+    void copyThatStillDiffersIsExcludedUntilFetchedAgain() {
         RecordStore a = store("a", 1);
         RecordStore b = store("b", 1);
         a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        pull(b, a);
-        AntiEntropy da = new AntiEntropy(a);
-        AntiEntropy db = new AntiEntropy(b);
+        replicate(b, a);
+        AntiEntropy ofOwner = new AntiEntropy(a);
+        AntiEntropy ofCopy = new AntiEntropy(b);
         for (int i = 0; i < AntiEntropy.MAX_MISMATCHES; i++) {
-            assertFalse(db.outOfDecision());
+            assertFalse(ofCopy.hasDiscardedLogs());
             // What the rule mends, something breaks again.
-            b.repair("a", 1, ITEM, null, 0);
-            db.onRanges(
+            b.repair("a", 1, KEY, null, 0);
+            ofCopy.onRangeDigests(
                     "a",
-                    da.onDigests("b", db.nextDigests("a")).stream()
-                            .map(m -> (ReplicationMessage.RangeDigests) m)
+                    ofOwner.onDigests("b", ofCopy.nextDigests("a")).stream()
+                            .map(summary -> (ReplicationMessage.RangeDigests) summary)
                             .findFirst()
                             .orElseThrow());
         }
-        assertTrue(db.outOfDecision());
+        assertTrue(ofCopy.hasDiscardedLogs());
         assertEquals(0, b.appliedSequence("a", 1).orElseThrow());
-        pull(b, a);
-        db.onDigests("a", da.nextDigests("b"));
-        assertFalse(db.outOfDecision());
+        replicate(b, a);
+        ofCopy.onDigests("a", ofOwner.nextDigests("b"));
+        assertFalse(ofCopy.hasDiscardedLogs());
     }
 }
