--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
@@ -15,102 +15,115 @@
 import net.jqwik.api.Provide;
 
 class ReplicationCodecTest {
-    private static final Arbitrary<Long> COUNT = Arbitraries.longs().between(0, Long.MAX_VALUE);
+    private static final Arbitrary<Long> NON_NEGATIVE = Arbitraries.longs().between(0, Long.MAX_VALUE);
     private static final Arbitrary<String> NAME =
             Arbitraries.strings().withCharRange(' ', '\ud7ff').ofMinLength(1).ofMaxLength(128);
 
     @Provide
     Arbitrary<ReplicationMessage> messages() {
-        Arbitrary<ReplicationMessage.OwnerSummary> mark = Combinators.combine(
-                        NAME, COUNT, Arbitraries.longs(), COUNT, COUNT, COUNT, COUNT)
-                .as((n, l, x, b, s, h, a) -> new ReplicationMessage.OwnerSummary(n, l, x, b, s, h, a, h % 2 == 0));
-        Arbitrary<ReplicationMessage.EndedLog> have =
-                Combinators.combine(NAME, COUNT, COUNT).as(ReplicationMessage.EndedLog::new);
-        Arbitrary<ReplicationMessage.LogRequest> want =
-                Combinators.combine(NAME, COUNT, COUNT, COUNT, COUNT).as(ReplicationMessage.LogRequest::new);
-        Arbitrary<ReplicationMessage.LogDigest> digest =
-                Combinators.combine(NAME, COUNT, COUNT, Arbitraries.longs()).as(ReplicationMessage.LogDigest::new);
+        Arbitrary<ReplicationMessage.OwnerSummary> summary = Combinators.combine(
+                        NAME, NON_NEGATIVE, Arbitraries.longs(), NON_NEGATIVE, NON_NEGATIVE, NON_NEGATIVE, NON_NEGATIVE)
+                .as((name, incarnation, nonce, heartbeat, announced, applied, age) ->
+                        new ReplicationMessage.OwnerSummary(
+                                name, incarnation, nonce, heartbeat, announced, applied, age, applied % 2 == 0));
+        Arbitrary<ReplicationMessage.EndedLog> endedLog =
+                Combinators.combine(NAME, NON_NEGATIVE, NON_NEGATIVE).as(ReplicationMessage.EndedLog::new);
+        Arbitrary<ReplicationMessage.LogRequest> request = Combinators.combine(
+                        NAME, NON_NEGATIVE, NON_NEGATIVE, NON_NEGATIVE, NON_NEGATIVE)
+                .as(ReplicationMessage.LogRequest::new);
+        Arbitrary<ReplicationMessage.LogDigest> digest = Combinators.combine(
+                        NAME, NON_NEGATIVE, NON_NEGATIVE, Arbitraries.longs())
+                .as(ReplicationMessage.LogDigest::new);
         return Arbitraries.oneOf(
-                Combinators.combine(mark.list().ofMaxSize(20), have.list().ofMaxSize(5))
-                        .as((m, h) -> new ReplicationMessage.OwnerSummaries(m.isEmpty(), true, m, h)),
-                want.list().ofMaxSize(20).map(ReplicationMessage.LogRequests::new),
+                Combinators.combine(
+                                summary.list().ofMaxSize(20), endedLog.list().ofMaxSize(5))
+                        .as((summaryList, endedList) -> new ReplicationMessage.OwnerSummaries(
+                                summaryList.isEmpty(), true, summaryList, endedList)),
+                request.list().ofMaxSize(20).map(ReplicationMessage.LogRequests::new),
                 digest.list().ofMaxSize(20).map(ReplicationMessage.LogDigests::new),
                 Combinators.combine(
-                                NAME, COUNT, COUNT, Arbitraries.longs().list().ofSize(RecordKey.RANGE_COUNT))
+                                NAME,
+                                NON_NEGATIVE,
+                                NON_NEGATIVE,
+                                Arbitraries.longs().list().ofSize(RecordKey.RANGE_COUNT))
                         .as(ReplicationMessage.RangeDigests::new),
-                Combinators.combine(NAME, entries(9))
-                        .as((n, e) -> new ReplicationMessage.LogChunk(n, 9, 9, 0, 100, 0, 0, e)),
-                Combinators.combine(NAME, entries(9))
-                        .as((n, e) -> new ReplicationMessage.RangeRecords(n, 9, 100, 3, 0, true, true, e)));
+                Combinators.combine(NAME, records(9))
+                        .as((name, records) -> new ReplicationMessage.LogChunk(name, 9, 9, 0, 100, 0, 0, records)),
+                Combinators.combine(NAME, records(9))
+                        .as((name, records) ->
+                                new ReplicationMessage.RangeRecords(name, 9, 100, 3, 0, true, true, records)));
     }
 
-    private static Arbitrary<List<ReplicatedRecord>> entries(long life) {
+    private static Arbitrary<List<ReplicatedRecord>> records(long incarnation) {
         Arbitrary<byte[]> value =
                 Arbitraries.bytes().array(byte[].class).ofMaxSize(40).injectNull(0.2);
         return Combinators.combine(
                         Arbitraries.of(RecordSpace.values()),
                         Arbitraries.strings().withCharRange(' ', '\ud7ff').ofMaxLength(40),
                         value,
-                        COUNT)
-                .as((s, k, v, c) -> new Object[] {s, k, v, c})
+                        NON_NEGATIVE)
+                .as((space, key, content, count) -> new Object[] {space, key, content, count})
                 .list()
                 .ofMaxSize(20)
                 .map(list -> {
-                    ReplicatedRecord[] all = new ReplicatedRecord[list.size()];
-                    for (int i = 0; i < all.length; i++) {
-                        Object[] o = list.get(i);
-                        RecordSpace s = (RecordSpace) o[0];
-                        boolean own = s.kind() == RecordSpace.Kind.REGISTER;
-                        all[i] = ReplicatedRecord.of(
+                    ReplicatedRecord[] records = new ReplicatedRecord[list.size()];
+                    for (int i = 0; i < records.length; i++) {
+                        Object[] fields = list.get(i);
+                        RecordSpace space = (RecordSpace) fields[0];
+                        boolean register = space.kind() == RecordSpace.Kind.REGISTER;
+                        records[i] = ReplicatedRecord.of(
                                 "o",
-                                s,
-                                (String) o[1],
-                                new RecordVersion(life, i + 1),
-                                own ? (byte[]) o[2] : null,
-                                own ? 0 : (Long) o[3],
-                                own ? 0 : life - 1);
+                                space,
+                                (String) fields[1],
+                                new RecordVersion(incarnation, i + 1),
+                                register ? (byte[]) fields[2] : null,
+                                register ? 0 : (Long) fields[3],
+                                register ? 0 : incarnation - 1);
                     }
-                    return Arrays.asList(all);
+                    return Arrays.asList(records);
                 });
     }
 
     @Property(tries = 300, seed = "11")
-    void whatIsWrittenIsRead(@ForAll("messages") ReplicationMessage m) throws IOException {
-        ReplicationMessage read = ReplicationCodec.read(ReplicationCodec.write(m));
+    void encodedMessagesAreDecoded(@ForAll("messages") ReplicationMessage message) throws IOException {
+        ReplicationMessage decoded = ReplicationCodec.read(ReplicationCodec.write(message));
         // Values are arrays, which records do not compare by content; their checksums do.
-        assertEquals(m.toString(), read.toString());
-        if (read instanceof ReplicationMessage.LogChunk c) {
-            assertTrue(c.records().stream().allMatch(e -> e.hasValidChecksum("o")));
+        assertEquals(message.toString(), decoded.toString());
+        if (decoded instanceof ReplicationMessage.LogChunk chunk) {
+            assertTrue(chunk.records().stream().allMatch(record -> record.hasValidChecksum("o")));
         }
     }
 
     /** Bytes changed, cut or added in any place: another message of the same bounds, or refused; nothing else. */
     @Property(tries = 3000, seed = "12")
-    void bytesFromOutsideAreReadWithinBoundsOrRefused(
-            @ForAll("messages") ReplicationMessage m, @ForAll long where, @ForAll byte with, @ForAll byte[] tail)
+    void alteredMessagesAreDecodedWithinBoundsOrRejected(
+            @ForAll("messages") ReplicationMessage message,
+            @ForAll long position,
+            @ForAll byte mask,
+            @ForAll byte[] tail)
             throws IOException {
-        byte[] b = ReplicationCodec.write(m);
-        b[(int) Long.remainderUnsigned(where, b.length)] ^= with;
-        byte[] all = Arrays.copyOf(
-                b,
-                where % 3 == 0
-                        ? (int) Long.remainderUnsigned(where >> 8, b.length) + 1
-                        : b.length + (where % 3 == 1 ? tail.length : 0));
-        if (all.length > b.length) {
-            System.arraycopy(tail, 0, all, b.length, tail.length);
+        byte[] encoded = ReplicationCodec.write(message);
+        encoded[(int) Long.remainderUnsigned(position, encoded.length)] ^= mask;
+        byte[] altered = Arrays.copyOf(
+                encoded,
+                position % 3 == 0
+                        ? (int) Long.remainderUnsigned(position >> 8, encoded.length) + 1
+                        : encoded.length + (position % 3 == 1 ? tail.length : 0));
+        if (altered.length > encoded.length) {
+            System.arraycopy(tail, 0, altered, encoded.length, tail.length);
         }
         try {
-            ReplicationMessage read = ReplicationCodec.read(all);
+            ReplicationMessage decoded = ReplicationCodec.read(altered);
             assertEquals(
-                    read.toString(),
-                    ReplicationCodec.read(ReplicationCodec.write(read)).toString());
+                    decoded.toString(),
+                    ReplicationCodec.read(ReplicationCodec.write(decoded)).toString());
         } catch (IOException refused) {
             assertTrue(refused.getMessage() != null);
         }
     }
 
     @Property(tries = 3000, seed = "13")
-    void anyBytesAtAllAreRefusedOrAMessage(@ForAll byte[] bytes) {
+    void arbitraryBytesAreDecodedOrRejected(@ForAll byte[] bytes) {
         try {
             ReplicationCodec.read(bytes);
         } catch (IOException refused) {
@@ -119,7 +132,7 @@
     }
 
     @Property(tries = 1)
-    void longAndDeepOnesAreRefused() {
+    void oversizedAndDeeplyNestedMessagesAreRejected() {
         byte[] deep = new byte[1000];
         Arrays.fill(deep, (byte) 0x81);
         deep[0] = 0;
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -25,19 +25,19 @@
 class SteppedClockTest {
     private static final ReplicationLimits FAST =
             new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
-    private static final PeerLimits LIMITS =
+    private static final PeerLimits PEER_LIMITS =
             new PeerLimits(64 << 10, 256 << 10, 64, 20, 300, 1500, 1000, 10, 100, 4, 3);
     private static final long HOUR_MS = 3_600_000;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
-    private final AtomicLong stepMs = new AtomicLong();
+    private final AtomicLong clockOffsetMs = new AtomicLong();
     private final List<Process> processes = new ArrayList<>();
 
     /** What one process of a member holds. */
     private record Process(TcpPeerLinks links, ReplicaNode replica) {
-        void end() {
+        void close() {
             links.close();
             replica.close();
         }
@@ -47,83 +47,83 @@
         }
 
         /** The value that a member has written, as this one holds it. */
-        String sees(String owner) {
+        String readValue(String owner) {
             return replica.readAll(RecordSpace.NODES).stream()
-                    .filter(s -> s.owner().equals(owner))
-                    .map(s -> new String(s.value(), UTF_8))
+                    .filter(record -> record.owner().equals(owner))
+                    .map(record -> new String(record.value(), UTF_8))
                     .findFirst()
                     .orElse("");
         }
     }
 
     @AfterEach
-    void end() {
-        processes.forEach(Process::end);
+    void closeProcesses() {
+        processes.forEach(Process::close);
     }
 
     /** A process whose clock takes its origin now. It has written before it meets anybody, as a node does. */
     private Process start(String name, boolean withDisk, String value) throws IOException {
-        Clock clock = Clock.from(() -> System.currentTimeMillis() + stepMs.get(), System::nanoTime);
-        ReplicaDisk disk = withDisk ? ReplicaDisk.open(folder.resolve(name), "f", name, clock.nowMs()) : null;
-        long life = disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation();
+        Clock clock = Clock.from(() -> System.currentTimeMillis() + clockOffsetMs.get(), System::nanoTime);
+        ReplicaDisk disk = withDisk ? ReplicaDisk.open(directory.resolve(name), "f", name, clock.nowMs()) : null;
+        long incarnation = disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation();
         TcpPeerLinks links =
-                new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), life, "f", List.of(), clock, LIMITS);
-        Process p = new Process(links, new ReplicaNode(links, disk, clock, FAST));
-        processes.add(p);
-        p.put(value);
-        p.replica().add(RecordSpace.USED, "k", 1);
-        p.replica().start();
+                new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), incarnation, "f", List.of(), clock, PEER_LIMITS);
+        Process process = new Process(links, new ReplicaNode(links, disk, clock, FAST));
+        processes.add(process);
+        process.put(value);
+        process.replica().add(RecordSpace.USED, "k", 1);
+        process.replica().start();
         links.start();
-        return p;
+        return process;
     }
 
-    private Process startAgain(Process before, String name, boolean withDisk, String value) throws IOException {
-        before.end();
-        processes.remove(before);
+    private Process restart(Process previous, String name, boolean withDisk, String value) throws IOException {
+        previous.close();
+        processes.remove(previous);
         return start(name, withDisk, value);
     }
 
-    private static void meet(Process... all) {
+    private static void connect(Process... processesToConnect) {
         List<Member> members = new ArrayList<>();
-        for (Process p : all) {
-            members.add(p.links().me());
+        for (Process process : processesToConnect) {
+            members.add(process.links().me());
         }
-        for (Process p : all) {
-            p.links().update(members);
+        for (Process process : processesToConnect) {
+            process.links().update(members);
         }
     }
 
-    private static void awaitHeard(Process by, String name, String value) {
+    private static void awaitValue(Process reader, String name, String value) {
         await().atMost(Duration.ofSeconds(20))
                 .pollInterval(Duration.ofMillis(5))
                 .untilAsserted(() -> {
-                    assertEquals(value, by.sees(name));
-                    assertEquals(MemberStatus.ALIVE, by.links().standing(name));
+                    assertEquals(value, reader.readValue(name));
+                    assertEquals(MemberStatus.ALIVE, reader.links().standing(name));
                 });
     }
 
-    private void startsAgainAfterSteps(boolean withDisk) throws IOException {
+    private void restartAfterClockSteps(boolean withDisk) throws IOException {
         Process a = start("a", false, "a");
         Process b = start("b", withDisk, "0");
-        meet(a, b);
-        awaitHeard(a, "b", "0");
+        connect(a, b);
+        awaitValue(a, "b", "0");
         long[] steps = {-HOUR_MS, HOUR_MS, -3000, 3 * HOUR_MS, -5 * HOUR_MS};
         for (int i = 0; i < steps.length; i++) {
-            stepMs.addAndGet(steps[i]);
-            b = startAgain(b, "b", withDisk, "after " + steps[i]);
-            meet(a, b);
-            awaitHeard(a, "b", "after " + steps[i]);
-            Process again = b;
-            long sum = 3 + i;
+            clockOffsetMs.addAndGet(steps[i]);
+            b = restart(b, "b", withDisk, "after " + steps[i]);
+            connect(a, b);
+            awaitValue(a, "b", "after " + steps[i]);
+            Process restarted = b;
+            long expectedSum = 3 + i;
             await().atMost(Duration.ofSeconds(20))
                     .pollInterval(Duration.ofMillis(5))
                     .untilAsserted(() -> {
-                        assertTrue(again.replica().syncState().caughtUp());
-                        assertEquals(sum, again.replica().sum(RecordSpace.USED, "k"));
-                        assertEquals(sum, a.replica().sum(RecordSpace.USED, "k"));
+                        assertTrue(restarted.replica().syncState().caughtUp());
+                        assertEquals(expectedSum, restarted.replica().sum(RecordSpace.USED, "k"));
+                        assertEquals(expectedSum, a.replica().sum(RecordSpace.USED, "k"));
                     });
             assertNull(b.replica().status().stream()
-                    .filter(s -> s.member().equals("b"))
+                    .filter(record -> record.member().equals("b"))
                     .findFirst()
                     .orElseThrow()
                     .quarantineReason());
@@ -131,24 +131,24 @@
     }
 
     @Test
-    void withoutADiskItIsHeardAtOnceAndItsSumsStay() throws IOException {
-        startsAgainAfterSteps(false);
+    void restartWithoutDiskIsVisibleAndKeepsCounters() throws IOException {
+        restartAfterClockSteps(false);
     }
 
     @Test
-    void withItsDiskItIsHeardAtOnceAndItsSumsStay() throws IOException {
-        startsAgainAfterSteps(true);
+    void restartWithDiskIsVisibleAndKeepsCounters() throws IOException {
+        restartAfterClockSteps(true);
     }
 
     @Test
-    void withItsDiskLostItIsHeardAtOnce() throws IOException {
+    void restartWithLostDiskIsVisible() throws IOException {
         Process a = start("a", false, "a");
         Process b = start("b", true, "first");
-        meet(a, b);
-        awaitHeard(a, "b", "first");
-        stepMs.addAndGet(-HOUR_MS);
-        Process again = startAgain(b, "b", false, "second");
-        meet(a, again);
-        awaitHeard(a, "b", "second");
+        connect(a, b);
+        awaitValue(a, "b", "first");
+        clockOffsetMs.addAndGet(-HOUR_MS);
+        Process restarted = restart(b, "b", false, "second");
+        connect(a, restarted);
+        awaitValue(a, "b", "second");
     }
 }
