--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -11,47 +11,49 @@
 import java.util.TreeSet;
 
 /**
- * Anti-entropy by content: finds copies that differ at rest, without a reader: digests of logs, then of ranges of
- * keys, then the records of a range; and makes them one by a rule that is the same at every member:
+ * Anti-entropy by content: detects copies that differ although their positions are equal, without waiting for a read.
+ * It compares digests of logs, then of ranges of keys, then the records of a range, and resolves differences by a rule
+ * that is the same at every member:
  * <ol>
- * <li>the owner's copy of its present incarnation decides, what it lacks is gone;
- * <li>a record that is no longer what its owner wrote (its checksum) yields to one that is;
- * <li>the later write wins; a record that only one has stays;
- * <li>two contents of one write are two writers: both are quarantined; of sums, the greater count stays.
+ * <li>the owner's copy of its present incarnation is authoritative; a record that it lacks was removed;
+ * <li>a record whose checksum does not match its content is replaced by one whose checksum does;
+ * <li>the later write wins; a record that only one copy has is kept;
+ * <li>two contents of one write mean two writers: the incarnation is quarantined; in an ended incarnation the greater
+ *     count is kept.
  * </ol>
  */
 public final class AntiEntropy {
-    /** Comparisons with the owner that still find a difference after repair, until the copy is discarded. */
+    /** The number of comparisons with the owner that find a difference, after which the copy is discarded. */
     static final int MAX_MISMATCHES = 3;
 
-    /** Differences and alarms that are kept, at the most. */
+    /** The maximum number of kept differences, and of kept alarms. */
     private static final int MAX_RECENT = 256;
 
     private static final int MAX_LOGS_PER_MESSAGE = 256;
     private static final int MAX_PIECE_BYTES = 64 << 10;
 
-    /** What became of a difference. */
+    /** How a difference was resolved. */
     public enum Verdict {
-        /** The peer's record was taken, or its word that there is none. */
+        /** The peer's copy was taken; the record was dropped if the peer has none. */
         TOOK_THEIRS,
-        /** The record here stands. */
+        /** The local record was kept. */
         KEPT_MINE,
-        /** Two writers. */
+        /** Two processes wrote under one name and incarnation. */
         TWO_WRITERS
     }
 
     /**
-     * Two copies of a record that differed.
+     * A difference between two copies of a record. {@code state diff} prints it with the names of its components.
      *
-     * @param atMs when it was found
-     * @param owner whose record
-     * @param life of which incarnation
-     * @param space its space
-     * @param key its key
-     * @param peer who holds the other copy
-     * @param mine the copy here, as text
-     * @param theirs the other, as text
-     * @param verdict what became of it
+     * @param atMs when it was found, in milliseconds
+     * @param owner the owner of the record
+     * @param life the owner's incarnation
+     * @param space the space of the record
+     * @param key the key of the record
+     * @param peer the member that has the other copy
+     * @param mine the local copy, as text
+     * @param theirs the peer's copy, as text
+     * @param verdict how the difference was resolved
      */
     public record Difference(
             double atMs,
@@ -73,12 +75,12 @@
     private CatchUp.LogId nextLog = new CatchUp.LogId("", 0);
     private long totalDifferences;
 
-    /** Of this copy. */
+    /** Creates the comparison of this copy with those of peers. */
     public AntiEntropy(RecordStore store) {
         this.store = store;
     }
 
-    /** The digests of the next logs to compare with this peer; all come in turn, the peer's own one each time. */
+    /** Digests of the next logs to compare with a peer: all logs in turn, and those of both members each time. */
     public ReplicationMessage.LogDigests nextDigests(String peer) {
         Set<CatchUp.LogId> selected = new LinkedHashSet<>();
         selected.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
@@ -111,18 +113,18 @@
         return new ReplicationMessage.LogDigests(digests);
     }
 
-    /** Takes a peer's digests; answers with ranges where they differ. */
+    /** Handles a peer's digests; answers with digests by range for logs that differ. */
     public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.LogDigests message) {
         List<ReplicationMessage> answers = new ArrayList<>();
         for (ReplicationMessage.LogDigest digest : message.digests()) {
-            long[] ours = digestsIfAppliedTo(digest.owner(), digest.incarnation(), digest.appliedSequence());
-            if (ours == null) {
+            long[] local = digestsIfAppliedTo(digest.owner(), digest.incarnation(), digest.appliedSequence());
+            if (local == null) {
                 continue;
             }
-            if (OwnerLog.combineDigests(ours) == digest.digest()) {
+            if (OwnerLog.combineDigests(local) == digest.digest()) {
                 onEqualDigests(peer, digest.owner(), digest.incarnation());
             } else {
-                answers.add(rangeDigests(digest.owner(), digest.incarnation(), digest.appliedSequence(), ours));
+                answers.add(rangeDigests(digest.owner(), digest.incarnation(), digest.appliedSequence(), local));
             }
         }
         return answers;
@@ -137,7 +139,7 @@
         return new ReplicationMessage.RangeDigests(owner, incarnation, appliedSequence, list);
     }
 
-    /** Only copies that are equally far are compared. */
+    /** The digests by range of a copy that is at this position; null if it is not, since only equal positions compare. */
     private long[] digestsIfAppliedTo(String owner, long incarnation, long appliedSequence) {
         return store.appliedSequence(owner, incarnation).orElse(0) == appliedSequence
                 ? store.digests(owner, incarnation)
@@ -153,22 +155,22 @@
         }
     }
 
-    /** Takes a peer's digests by range; answers with the records of ranges that differ. */
+    /** Handles a peer's digests by range; answers with the records of ranges that differ. */
     public List<ReplicationMessage> onRangeDigests(String peer, ReplicationMessage.RangeDigests message) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        long[] ours = digestsIfAppliedTo(message.owner(), message.incarnation(), message.appliedSequence());
-        if (ours == null) {
+        long[] local = digestsIfAppliedTo(message.owner(), message.incarnation(), message.appliedSequence());
+        if (local == null) {
             return answers;
         }
-        boolean differ = false;
-        for (int range = 0; range < ours.length; range++) {
-            if (ours[range] != message.digests().get(range)) {
-                differ = true;
+        boolean anyDifferent = false;
+        for (int range = 0; range < local.length; range++) {
+            if (local[range] != message.digests().get(range)) {
+                anyDifferent = true;
                 answers.addAll(
                         rangeRecords(message.owner(), message.incarnation(), message.appliedSequence(), range, true));
             }
         }
-        if (differ) {
+        if (anyDifferent) {
             onDifferentDigests(peer, message.owner(), message.incarnation());
         } else {
             onEqualDigests(peer, message.owner(), message.incarnation());
@@ -185,8 +187,8 @@
         if (peer.equals(owner) && mismatches.merge(log, 1, Integer::sum) >= MAX_MISMATCHES) {
             mismatches.remove(log);
             discardedLogs.add(log);
-            addAlarm("the copy of " + owner + " in life " + incarnation + " still differs from its owner's after "
-                    + MAX_MISMATCHES + " times: out of decision, fetched whole");
+            addAlarm("the copy of " + owner + " incarnation " + incarnation + " still differs from the owner's after "
+                    + MAX_MISMATCHES + " comparisons: discarded and fetched again, excluded from decisions until then");
             store.discard(owner, incarnation);
         }
     }
@@ -213,13 +215,13 @@
         return pieces;
     }
 
-    /** Takes a peer's records of a range, and applies the rule; answers with those here if asked to. */
+    /** Handles a peer's records of a range and resolves differences; answers with the local records on request. */
     public List<ReplicationMessage> onRangeRecords(String peer, ReplicationMessage.RangeRecords message, double nowMs) {
         if (store.appliedSequence(message.owner(), message.incarnation()).orElse(0) != message.appliedSequence()
                 || store.digests(message.owner(), message.incarnation()) == null) {
             return List.of();
         }
-        List<ReplicationMessage> answer = message.replyRequested() && message.lastPiece()
+        List<ReplicationMessage> answers = message.replyRequested() && message.lastPiece()
                 ? rangeRecords(
                         message.owner(), message.incarnation(), message.appliedSequence(), message.range(), false)
                 : List.of();
@@ -255,46 +257,46 @@
         if (message.lastPiece() && message.owner().equals(store.localMember())) {
             differingLogs.remove(new CatchUp.LogId(message.owner(), message.incarnation()));
         }
-        return answer;
+        return answers;
     }
 
     private void resolve(
             String peer, String owner, long incarnation, RecordKey key, ReplicatedRecord theirs, double nowMs) {
-        ReplicatedRecord ours = store.record(owner, incarnation, key);
-        boolean goneHere = ours == null || ours.removed();
-        boolean goneThere = theirs == null || theirs.removed();
-        if (goneHere && goneThere
-                || ours != null
+        ReplicatedRecord local = store.record(owner, incarnation, key);
+        boolean removedHere = local == null || local.removed();
+        boolean removedThere = theirs == null || theirs.removed();
+        if (removedHere && removedThere
+                || local != null
                         && theirs != null
-                        && ours.checksum() == theirs.checksum()
-                        && ours.hasValidChecksum(owner)
+                        && local.checksum() == theirs.checksum()
+                        && local.hasValidChecksum(owner)
                         && theirs.hasValidChecksum(owner)) {
             return;
         }
         boolean ownLog = owner.equals(store.localMember()) && incarnation == store.incarnation();
-        boolean present = incarnation == store.newestIncarnation(owner);
+        boolean newestIncarnation = incarnation == store.newestIncarnation(owner);
         Verdict verdict;
-        if (ours != null && !ours.hasValidChecksum(owner)) {
+        if (local != null && !local.hasValidChecksum(owner)) {
             verdict = theirs != null && theirs.hasValidChecksum(owner) || !ownLog
                     ? Verdict.TOOK_THEIRS
                     : Verdict.KEPT_MINE;
         } else if (theirs != null && !theirs.hasValidChecksum(owner) || ownLog) {
             verdict = Verdict.KEPT_MINE;
         } else if (theirs == null) {
-            verdict = peer.equals(owner) && present ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
-        } else if (ours == null) {
+            verdict = peer.equals(owner) && newestIncarnation ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+        } else if (local == null) {
             verdict = Verdict.TOOK_THEIRS;
-        } else if (ours.version().equals(theirs.version())) {
+        } else if (local.version().equals(theirs.version())) {
             verdict = Verdict.TWO_WRITERS;
         } else {
-            verdict = theirs.version().compareTo(ours.version()) > 0 ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+            verdict = theirs.version().compareTo(local.version()) > 0 ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
         }
         if (ownLog
-                && ours != null
+                && local != null
                 && theirs != null
-                && ours.hasValidChecksum(owner)
+                && local.hasValidChecksum(owner)
                 && theirs.hasValidChecksum(owner)
-                && ours.version().equals(theirs.version())) {
+                && local.version().equals(theirs.version())) {
             verdict = Verdict.TWO_WRITERS;
         }
         addDifference(new Difference(
@@ -304,21 +306,21 @@
                 key.space(),
                 key.key(),
                 peer,
-                describe(owner, ours),
+                describe(owner, local),
                 describe(owner, theirs),
                 verdict));
         if (verdict == Verdict.TOOK_THEIRS) {
             store.repair(
                     owner, incarnation, key, theirs != null && !theirs.hasValidChecksum(owner) ? null : theirs, nowMs);
         } else if (verdict == Verdict.TWO_WRITERS) {
-            store.resolveConflict(owner, incarnation, ours, theirs);
+            store.resolveConflict(owner, incarnation, local, theirs);
         }
     }
 
     private static String describe(String owner, ReplicatedRecord record) {
         return record == null
                 ? "nothing"
-                : record.hasValidChecksum(owner) ? record.toString() : record + " (not what was written)";
+                : record.hasValidChecksum(owner) ? record.toString() : record + " (checksum mismatch)";
     }
 
     private void addDifference(Difference difference) {
@@ -327,7 +329,8 @@
             differences.removeFirst();
         }
         differences.addLast(difference);
-        addAlarm("copies differ: " + difference.owner() + " life " + difference.life() + " " + difference.space() + "/"
+        addAlarm("copies differ: " + difference.owner() + " incarnation " + difference.life() + " " + difference.space()
+                + "/"
                 + difference.key() + ": here " + difference.mine() + ", at " + difference.peer() + " "
                 + difference.theirs() + ": " + difference.verdict());
     }
@@ -338,31 +341,31 @@
         }
     }
 
-    /** What was found that an operator should know, since the last call. */
+    /** The alarms for the operator since the last call. */
     public List<String> drainAlarms() {
         List<String> drained = List.copyOf(alarms);
         alarms.clear();
         return drained;
     }
 
-    /** The last differences that were found, earliest first. */
+    /** The latest differences, earliest first. */
     public List<Difference> recentDifferences() {
         return List.copyOf(differences);
     }
 
-    /** How many were found since the start. */
+    /** The number of differences since the start. */
     public long totalDifferences() {
         return totalDifferences;
     }
 
-    /** Logs that were found to differ and were not found equal since. */
+    /** The number of logs that were found to differ and were not found equal since. */
     public int countDifferingLogs() {
         differingLogs.removeIf(log -> log.incarnation() < store.newestIncarnation(log.owner())
                 && store.appliedSequence(log.owner(), log.incarnation()).isEmpty());
         return differingLogs.size();
     }
 
-    /** Whether a copy here still differs after the rule: nobody acts on this member's copies. */
+    /** Whether a copy was discarded since it still differed after repair; decisions must not use copies until then. */
     public boolean hasDiscardedLogs() {
         discardedLogs.removeIf(log -> log.incarnation() < store.newestIncarnation(log.owner()));
         return !discardedLogs.isEmpty();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -7,16 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * Catch-up: which logs are behind what peers have named, from which peer to request the rest, and when. Not
- * thread-safe.
- * Bounded: one gap for each log that is behind, {@code 2 * MAX_OWNERS} at the most.
+ * Tracks which logs are behind the positions that peers have reported, and decides from which peer to request the
+ * missing writes and when. Holds one gap for each log that is behind, at most {@code 2 * MAX_OWNERS}. Not thread-safe.
  */
 public final class CatchUp {
     /**
      * The log of one incarnation of an owner.
      *
-     * @param owner whose
-     * @param incarnation which of its incarnations
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
      */
     public record LogId(String owner, long incarnation) implements Comparable<LogId> {
         @Override
@@ -26,46 +25,47 @@
         }
     }
 
+    /** The writes of one log that are missing here. */
     private static final class Gap {
-        /** The greatest sequence number that a peer has named. */
+        /** The greatest sequence number that a peer has reported. */
         long targetSequence;
-        /** All up to this sequence number is here. */
+        /** All writes up to this sequence number are applied here. */
         long appliedSequence;
         /** The peer to request from. */
         String source;
-        /** Since when writes up to {@link #lagTargetSequence} are missing, in milliseconds. */
+        /** The time since which writes up to {@link #lagTargetSequence} are missing, in milliseconds. */
         double behindSinceMs;
-        /** The target when the present lag began. */
+        /** The value of {@link #targetSequence} when the present lag began. */
         long lagTargetSequence;
 
         double nextRequestAtMs;
-        /** Requests since the last progress. */
+        /** The number of requests since the last progress. */
         int requests;
-        /** When a peer last named it, in milliseconds. */
+        /** The time at which a peer last reported the log, in milliseconds. */
         double lastReportedMs;
     }
 
-    /** A log that was requested in vain and that no peer has named for so long is forgotten; milliseconds. */
+    /** A log whose requests stay unanswered is forgotten if no peer reports it for this time, in milliseconds. */
     private static final double FORGET_AFTER_MS = 5000;
-    /** Logs in one request, at the most. */
+    /** The maximum number of logs in one request. */
     private static final int MAX_LOGS_PER_REQUEST = 64;
-    /** Requests in vain from one peer, after which another that names the log takes its place. */
+    /** Unanswered requests to one peer, after which another peer that reports the log replaces it. */
     private static final int MAX_REQUESTS_TO_SOURCE = 1;
-    /** The pause between requests grows up to so many times the first. */
+    /** The backoff between requests grows up to this multiple of the first. */
     private static final int MAX_BACKOFF_FACTOR = 8;
-    /** Requests in vain after which a log that is not named any more is forgotten. */
+    /** Unanswered requests after which a log that is no longer reported is forgotten. */
     private static final int MAX_REQUESTS_UNREPORTED = 2;
 
     private final ReplicationLimits limits;
     private final Map<LogId, Gap> gaps = new TreeMap<>();
     private boolean wasCaughtUp;
 
-    /** Nothing was named yet. */
+    /** Creates a tracker without any gaps. */
     public CatchUp(ReplicationLimits limits) {
         this.limits = limits;
     }
 
-    /** A peer has named the sequence number that its copy of a log has reached. */
+    /** A peer has reported the position of its copy of a log. */
     public void onPosition(String peer, LogId log, long reported, long applied, double nowMs) {
         if (reported <= applied) {
             return;
@@ -81,7 +81,7 @@
             gaps.put(log, gap);
         }
         gap.appliedSequence = applied;
-        // The first who has all of it stays the one to ask, unless it did not answer.
+        // The first peer that reported the target remains the source unless it did not answer.
         if (reported > gap.targetSequence || gap.requests > MAX_REQUESTS_TO_SOURCE) {
             gap.source = peer;
             gap.requests = 0;
@@ -90,12 +90,12 @@
         gap.lastReportedMs = nowMs;
     }
 
-    /** Incarnations of an owner before this one have ended: what peers keep of them is named anew. */
+    /** Drops the gaps of an owner's ended incarnations; peers report again what they keep of them. */
     public void dropEnded(String owner, long before) {
         gaps.keySet().removeIf(log -> log.owner().equals(owner) && log.incarnation() < before);
     }
 
-    /** The copy here has reached this sequence number; {@link Long#MAX_VALUE} if it is not needed any more. */
+    /** The local copy has reached this position; {@link Long#MAX_VALUE} if the log is not needed any more. */
     public void onProgress(LogId log, long applied, double nowMs) {
         Gap gap = gaps.get(log);
         if (gap == null) {
@@ -114,10 +114,11 @@
         gap.nextRequestAtMs = nowMs;
     }
 
-    /** What to request now, by peer; each is requested again with a growing pause until there is progress. */
+    /** Logs to request now, by peer; each is requested again with a growing backoff until there is progress. */
     public Map<String, List<LogId>> dueRequests(double nowMs) {
         Map<String, List<LogId>> due = new LinkedHashMap<>();
-        // Guards against waiting for ever for what nobody in reach names any more: folded, or its only holder is gone.
+        // Guards against waiting forever for a log that no reachable peer reports any more, since it was folded or its
+        // only holder is unreachable.
         gaps.values()
                 .removeIf(
                         gap -> gap.requests > MAX_REQUESTS_UNREPORTED && nowMs - gap.lastReportedMs > FORGET_AFTER_MS);
@@ -135,7 +136,7 @@
         return due;
     }
 
-    /** How many writes it is known to lack: at least as many as records, since some were written over. */
+    /** The number of missing writes; at least the number of missing records, since some writes were overwritten. */
     public long missingWrites() {
         return gaps.values().stream()
                 .mapToLong(gap -> gap.targetSequence - gap.appliedSequence)
@@ -143,10 +144,10 @@
     }
 
     /**
-     * Whether all that was named is here, but for what was named within {@link ReplicationLimits#maxLagMs}; the first
-     * time, without that.
+     * Whether no gap is older than {@link ReplicationLimits#maxLagMs}. For the first time this requires that there are
+     * no gaps at all.
      *
-     * @param initialized whether enough peers have listed what they have
+     * @param initialized whether enough peers have sent all their summaries
      */
     public boolean isCaughtUp(boolean initialized, double nowMs) {
         wasCaughtUp |= initialized && gaps.isEmpty();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ChangeNotifier.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ChangeNotifier.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls listeners on a thread of its own, without the lock. Several changes of one record before a call are one: the
- * listener gets the record as it is by then.
+ * Notifies listeners on its own thread, without the lock. Several changes of a record before a notification are
+ * combined: the listener receives the latest record.
  */
 final class ChangeNotifier implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeNotifier.class);
@@ -45,7 +45,7 @@
                 change.key().space(), change.owner(), change.key().key()));
     }
 
-    /** Notifies listeners until the end. */
+    /** Notifies listeners until the replica is closed. */
     @Override
     public void run() {
         while (!monitor.isClosed()) {
@@ -81,7 +81,7 @@
             try {
                 listener.onChange(change.space(), change.owner(), change.key(), now);
             } catch (RuntimeException e) {
-                LOG.error("a listener failed on {}", change, e);
+                LOG.error("listener failed for {}", change, e);
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Digests and records of single logs for comparison with a peer's copies, and the repair of copies that differ. */
+/** Provides digests and records of single logs for comparison with a peer's copies, and repairs copies that differ. */
 final class CopyRepair {
     private final RecordTable table;
     private final LocalOwner local;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
@@ -10,23 +10,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes changed records to disk on a thread of its own, behind the changes in memory. What the disk refused is written
- * again later; memory goes on meanwhile.
+ * Writes changed records to disk asynchronously, on its own thread. Changes whose write failed are written again later;
+ * the copy in memory stays in use meanwhile.
  */
 final class DiskWriter implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(DiskWriter.class);
-    /** Changes within this time are written together, in milliseconds. */
+    /** Changes within this time are written in one batch, in milliseconds. */
     private static final double BATCH_MS = 50;
-    /** Between a write that failed and the next, in milliseconds. */
+    /** The pause after a failed write, in milliseconds. */
     private static final double RETRY_MS = 2000;
 
     /**
-     * What one write takes to the disk.
+     * The content of one write to disk.
      *
      * @param localIncarnation this member's incarnation
      * @param keys changed keys by log
      * @param batches the records of those keys
-     * @param sizes how many records each log has
+     * @param sizes the number of records of each log
      */
     private record Flush(
             long localIncarnation,
@@ -37,7 +37,7 @@
     private final ReplicaMonitor monitor;
     private final RecordStore store;
     private final ReplicaDisk disk;
-    /** The incarnation that the disk has; of the writing thread. */
+    /** The incarnation stored on disk; used only by the writing thread. */
     private long diskIncarnation;
 
     // Guarded by the monitor.
@@ -79,7 +79,7 @@
         return healthy;
     }
 
-    /** Writes until the end. */
+    /** Writes until the replica is closed. */
     @Override
     public void run() {
         try {
@@ -90,7 +90,7 @@
                 }
             }
         } catch (InterruptedException e) {
-            // The node ends; closing it writes what is pending.
+            // The node is closing; close() writes pending changes.
         }
     }
 
@@ -116,9 +116,9 @@
     }
 
     /**
-     * Writes all that is pending.
+     * Writes all pending changes.
      *
-     * @return false if the disk did not take it
+     * @return false if the write failed
      */
     boolean flush() {
         Flush flush = monitor.locked(this::takePending);
@@ -134,7 +134,7 @@
 
     private Flush takePending() {
         if (disk.needsFullWrite()) {
-            // Whatever the file had may be lost with what failed.
+            // After a failed write, earlier content of the file may be lost as well.
             enqueueAll();
         }
         Flush flush = new Flush(store.incarnation(), new TreeMap<>(pending), new ArrayList<>(), new TreeMap<>());
@@ -178,7 +178,7 @@
             return true;
         } catch (IOException | RuntimeException e) {
             if (monitor.locked(this::isHealthy)) {
-                LOG.error("the disk does not take the replica, memory goes on: {}", e.getMessage());
+                LOG.error("writing the replica to disk failed, continuing in memory: {}", e.getMessage());
             }
             return false;
         }
@@ -186,7 +186,7 @@
 
     private void finish(Flush flush, boolean succeeded) {
         if (succeeded && !healthy) {
-            LOG.warn("the disk takes the replica again");
+            LOG.warn("writing the replica to disk succeeds again");
         }
         healthy = succeeded;
         writing = false;
@@ -197,9 +197,9 @@
     }
 
     /**
-     * Waits until all changes until now are on the disk.
+     * Waits until all changes until now are on disk.
      *
-     * @return false if the time is over first, or the last write failed
+     * @return false if the time ran out, or the last write failed
      */
     boolean awaitFlushed(double withinMs) throws InterruptedException {
         monitor.lock();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LocalOwner.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LocalOwner.java
@@ -1,23 +1,23 @@
 package brackenbridge.fleet.replica;
 
 /**
- * This member as an owner: its name, process and present incarnation. Mutable; guarded by whoever guards the
- * {@link RecordStore}.
+ * This member as an owner of records: its name, process and present incarnation. Mutable; guarded by the lock that
+ * guards the {@link RecordStore}.
  */
 final class LocalOwner {
     final String name;
-    /** Drawn at random by this process. */
+    /** A random number that identifies this process. */
     final long nonce;
 
     private final RecordTable table;
 
     long incarnation;
     long heartbeat;
-    /** Whether peers have named this incarnation with this process's nonce. */
+    /** Whether peers have reported this incarnation with this process's nonce. */
     boolean confirmed;
-    /** Whether others may know of this incarnation's writes. */
+    /** Whether peers may know writes of this incarnation. */
     boolean announced = true;
-    /** When this process began, in milliseconds; a heartbeat of this member before it was another process's. */
+    /** When this process started, in milliseconds; an earlier heartbeat of this member came from another process. */
     double startedAtMs = Double.NEGATIVE_INFINITY;
 
     LocalOwner(RecordTable table, String name, long incarnation, long nonce) {
@@ -27,7 +27,7 @@
         this.nonce = nonce;
     }
 
-    /** The same on an independent copy of the table. */
+    /** A copy that refers to another table. */
     LocalOwner copy(RecordTable other) {
         LocalOwner copy = new LocalOwner(other, name, incarnation, nonce);
         copy.heartbeat = heartbeat;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Writes of this member: own records, counters, and the folding of its ended incarnations' counters. */
+/** Writes this member's registers and counters, and folds the counters of its ended incarnations. */
 final class LocalWriter {
     private final RecordTable table;
     private final LocalOwner local;
@@ -29,17 +29,17 @@
     boolean add(RecordSpace space, String key, long increment, double nowMs) {
         space.requireKind(RecordSpace.Kind.COUNTER);
         if (increment < 0) {
-            throw new IllegalArgumentException("a counter only grows: " + increment);
+            throw new IllegalArgumentException("a counter can only grow, increment " + increment);
         }
         ReplicatedRecord record = local.log().get(new RecordKey(space, key));
         long count = record == null ? 0 : record.count();
-        long below = record == null ? 0 : record.foldedBelow();
+        long foldedBelow = record == null ? 0 : record.foldedBelow();
         long sum = increment > Long.MAX_VALUE - count ? Long.MAX_VALUE : count + increment;
-        return write(space, key, null, sum, below, nowMs);
+        return write(space, key, null, sum, foldedBelow, nowMs);
     }
 
-    /** Appends a write to the log; false if this incarnation is quarantined or the bound on records is met. */
-    boolean write(RecordSpace space, String key, byte[] value, long count, long below, double nowMs) {
+    /** Appends a write to the log; false if this incarnation is quarantined or has the maximum number of records. */
+    boolean write(RecordSpace space, String key, byte[] value, long count, long foldedBelow, double nowMs) {
         OwnerState owner = local.state();
         OwnerLog log = local.log();
         boolean full = log.size() >= RecordStore.MAX_RECORDS && log.get(new RecordKey(space, key)) == null;
@@ -47,19 +47,19 @@
             return false;
         }
         RecordVersion version = new RecordVersion(local.incarnation, log.appliedSequence + 1);
-        table.apply(owner, log, ReplicatedRecord.of(local.name, space, key, version, value, count, below), nowMs);
+        table.apply(owner, log, ReplicatedRecord.of(local.name, space, key, version, value, count, foldedBelow), nowMs);
         log.appliedSequence++;
         table.addChange(local.name, local.incarnation, null);
         return true;
     }
 
-    int foldCounters(long below, double nowMs) {
-        if (below > local.incarnation) {
+    int foldCounters(long foldedBelow, double nowMs) {
+        if (foldedBelow > local.incarnation) {
             throw new IllegalArgumentException("only ended incarnations are folded");
         }
         OwnerState owner = local.state();
         TreeSet<RecordKey> keys = new TreeSet<>();
-        for (OwnerLog log : owner.logs.headMap(below).values()) {
+        for (OwnerLog log : owner.logs.headMap(foldedBelow).values()) {
             log.records().stream()
                     .filter(record -> record.space().kind() == RecordSpace.Kind.COUNTER)
                     .forEach(record -> keys.add(record.recordKey()));
@@ -68,22 +68,22 @@
         for (RecordKey key : keys) {
             ReplicatedRecord present = local.log().get(key);
             long count = present == null ? 0 : present.count();
-            for (OwnerLog log : owner.logs.headMap(below).values()) {
-                ReplicatedRecord ended = log.get(key);
-                count += ended == null ? 0 : ended.count();
+            for (OwnerLog log : owner.logs.headMap(foldedBelow).values()) {
+                ReplicatedRecord endedRecord = log.get(key);
+                count += endedRecord == null ? 0 : endedRecord.count();
             }
-            folded += write(key.space(), key.key(), null, count, below, nowMs) ? 1 : 0;
+            folded += write(key.space(), key.key(), null, count, foldedBelow, nowMs) ? 1 : 0;
         }
         return folded;
     }
 
     Map<Long, Long> endedIncarnations() {
-        TreeMap<Long, Long> ended = new TreeMap<>();
+        TreeMap<Long, Long> endedSequences = new TreeMap<>();
         local.state().logs.headMap(local.incarnation).forEach((incarnation, log) -> {
             if (log.size() > 0) {
-                ended.put(incarnation, log.appliedSequence);
+                endedSequences.put(incarnation, log.appliedSequence);
             }
         });
-        return ended;
+        return endedSequences;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Merges pieces of other owners' logs and snapshots that peers send or that were read from disk. */
+/** Merges chunks of logs and snapshots that peers sent, and logs that were read from disk. */
 final class LogMerger {
     private final RecordTable table;
     private final LocalOwner local;
@@ -19,7 +19,7 @@
         }
         for (ReplicatedRecord record : chunk.records()) {
             if (!record.hasValidChecksum(chunk.owner())) {
-                table.addAlarm("a peer sent a record of " + chunk.owner() + " that is not what it wrote: " + record);
+                table.addAlarm("a peer sent a record of " + chunk.owner() + " with a checksum mismatch: " + record);
                 return RecordStore.MergeResult.REJECTED;
             }
         }
@@ -31,7 +31,8 @@
         if (!ofLocal) {
             table.advanceIncarnation(chunk.owner(), owner, chunk.newestIncarnation());
         }
-        OwnerLog log = owner.logs.computeIfAbsent(chunk.incarnation(), ended -> new OwnerLog(chunk.owner(), ended));
+        OwnerLog log = owner.logs.computeIfAbsent(
+                chunk.incarnation(), newIncarnation -> new OwnerLog(chunk.owner(), newIncarnation));
         findConflicts(owner, log, chunk.records());
         RecordStore.MergeResult result = log.size() + chunk.records().size() > RecordStore.MAX_RECORDS
                 ? RecordStore.MergeResult.REJECTED
@@ -42,22 +43,23 @@
         return result;
     }
 
-    /** This member alone writes its present incarnation: a peer that has more of it has it from another process. */
+    /** Checks that no peer has writes of this member's present incarnation which another process must have made. */
     private void checkOwnLog(OwnerState owner, ReplicationMessage.LogChunk chunk) {
         if (chunk.incarnation() != local.incarnation) {
             return;
         }
         findConflicts(owner, local.log(), chunk.records());
-        long written = local.log().appliedSequence;
-        if (chunk.upToSequence() > written) {
-            local.quarantine("a peer has write " + chunk.upToSequence() + " of this life, " + written + " were made");
+        long ownSequence = local.log().appliedSequence;
+        if (chunk.upToSequence() > ownSequence) {
+            local.quarantine("a peer has write " + chunk.upToSequence() + " of this incarnation, which has made only "
+                    + ownSequence);
         }
     }
 
     private RecordStore.MergeResult append(
             OwnerState owner, OwnerLog log, ReplicationMessage.LogChunk chunk, double nowMs) {
-        boolean ended = log.incarnation < owner.incarnation;
-        return chunk.snapshotEnd() == 0 || ended
+        boolean incarnationEnded = log.incarnation < owner.incarnation;
+        return chunk.snapshotEnd() == 0 || incarnationEnded
                 ? appendLog(owner, log, chunk, nowMs)
                 : appendSnapshot(owner, log, chunk, nowMs);
     }
@@ -131,7 +133,7 @@
             return;
         }
         table.advanceIncarnation(name, owner, incarnation);
-        OwnerLog log = owner.logs.computeIfAbsent(incarnation, ended -> new OwnerLog(name, ended));
+        OwnerLog log = owner.logs.computeIfAbsent(incarnation, newIncarnation -> new OwnerLog(name, newIncarnation));
         records.forEach(record -> table.apply(owner, log, record, 0));
         log.appliedSequence = appliedSequence;
         log.tombstoneFloor = tombstoneFloor;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** What peers are told of the logs here: marks, what is missing, and pieces of logs and snapshots. */
+/** Creates the messages that describe the local logs: summaries, requests, and chunks of logs and snapshots. */
 final class LogReader {
-    /** The greatest age that a mark carries, in milliseconds; longer ones are shortened to it. */
+    /** The maximum age in a summary, in milliseconds; greater ages are reduced to it. */
     private static final double MAX_AGE_MS = 1e15;
 
     private final RecordTable table;
@@ -18,14 +18,14 @@
     }
 
     List<ReplicationMessage.OwnerSummary> summaries(Iterable<String> names, double nowMs) {
-        List<ReplicationMessage.OwnerSummary> marks = new ArrayList<>();
+        List<ReplicationMessage.OwnerSummary> summaries = new ArrayList<>();
         for (String name : names) {
             OwnerState owner = table.find(name);
             if (owner != null) {
-                marks.add(summarize(name, owner, nowMs));
+                summaries.add(summarize(name, owner, nowMs));
             }
         }
-        return marks;
+        return summaries;
     }
 
     private ReplicationMessage.OwnerSummary summarize(String name, OwnerState owner, double nowMs) {
@@ -45,14 +45,14 @@
     }
 
     List<ReplicationMessage.EndedLog> endedLogs() {
-        List<ReplicationMessage.EndedLog> ended = new ArrayList<>();
+        List<ReplicationMessage.EndedLog> endedLogs = new ArrayList<>();
         table.ownersByName()
                 .forEach((name, owner) -> owner.logs.headMap(owner.incarnation).forEach((incarnation, log) -> {
                     if (log.size() > 0) {
-                        ended.add(new ReplicationMessage.EndedLog(name, incarnation, log.appliedSequence));
+                        endedLogs.add(new ReplicationMessage.EndedLog(name, incarnation, log.appliedSequence));
                     }
                 }));
-        return ended;
+        return endedLogs;
     }
 
     OptionalLong appliedSequence(String name, long incarnation) {
@@ -82,7 +82,8 @@
         if (request.incarnation() < owner.incarnation || request.appliedSequence() >= log.tombstoneFloor) {
             return log.readChunk(request.appliedSequence(), log.appliedSequence, 0, owner.incarnation, maxBytes);
         }
-        // A snapshot that another began goes on only if no tombstone after its end was forgotten since.
+        // A snapshot that another member began may be resumed. If tombstones after its end were forgotten since, the
+        // requester is below the floor when it ends, and its next request starts another snapshot.
         boolean resumes = request.snapshotEnd() > request.appliedSequence()
                 && request.snapshotEnd() <= log.appliedSequence
                 && request.snapshotCursor() < request.snapshotEnd();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
@@ -10,26 +10,26 @@
 import java.util.TreeMap;
 
 /**
- * A copy of the log of one incarnation of one owner: of each key the last write, in the order of sequence numbers. What
- * is missing after any sequence number is the log's tail. Tombstones stand in it for a bounded time; below
- * {@link #tombstoneFloor} they are forgotten, and who needs that far back gets a snapshot. Mutable; guarded by whoever
+ * A copy of the compacted log of one incarnation of an owner: the last write of each key, in the order of sequence
+ * numbers. A peer at any position lacks the tail of the log after it. Tombstones are kept for a bounded time; up to
+ * {@link #tombstoneFloor} they are forgotten, and a peer below it receives a snapshot. Mutable; guarded by the lock that
  * guards the {@link RecordStore}.
  */
 final class OwnerLog {
-    /** Tombstones that are remembered, at the most. */
+    /** The maximum number of kept tombstones. */
     static final int MAX_TOMBSTONES = 1024;
 
     private record Tombstone(long sequence, double atMs) {}
 
     final String owner;
     final long incarnation;
-    /** All up to this write is here, or was written over by a later one. */
+    /** All writes up to this one are applied, or were overwritten by a later one. */
     long appliedSequence;
     /** Tombstones up to this write may be forgotten. */
     long tombstoneFloor;
-    /** A snapshot that is under way ends at this write; 0 if none is. */
+    /** The position at which a snapshot in progress ends; 0 if there is none. */
     long snapshotEnd;
-    /** The snapshot is taken up to this write. */
+    /** The position up to which that snapshot is applied. */
     long snapshotCursor;
 
     private final TreeMap<Long, ReplicatedRecord> bySequence = new TreeMap<>();
@@ -61,7 +61,7 @@
         return bySequence.get(sequence);
     }
 
-    /** All, in the order of writes. */
+    /** All records, in the order of writes. */
     List<ReplicatedRecord> records() {
         return List.copyOf(bySequence.values());
     }
@@ -70,7 +70,7 @@
         return bySequence.size();
     }
 
-    /** Takes a write if it is later than what is here of its key. */
+    /** Applies a write if it is later than the present record of its key. */
     boolean apply(ReplicatedRecord record, double nowMs) {
         ReplicatedRecord present = byKey.get(record.recordKey());
         if (present != null && present.version().sequence() >= record.version().sequence()) {
@@ -80,7 +80,7 @@
         return true;
     }
 
-    /** Puts this one in the place of whatever is here of its key. */
+    /** Replaces the present record of this key, if any. */
     void replace(ReplicatedRecord record, double nowMs) {
         ReplicatedRecord previous = byKey.put(record.recordKey(), record);
         if (previous != null) {
@@ -102,14 +102,14 @@
         }
     }
 
-    /** Drops what lies between these writes and is none of those kept. */
+    /** Drops registers between these positions that are not listed. */
     List<RecordKey> dropUnlisted(long afterSequence, long upToSequence, List<ReplicatedRecord> listed) {
         Set<Long> listedSequences = new HashSet<>();
         listed.forEach(record -> listedSequences.add(record.version().sequence()));
         List<RecordKey> dropped = new ArrayList<>();
         for (ReplicatedRecord record : List.copyOf(
                 bySequence.subMap(afterSequence, false, upToSequence, true).values())) {
-            // Guards a count that only this copy has: its later value may never come.
+            // Guards a counter that only this copy has: a later value may never arrive.
             if (record.space().kind() == RecordSpace.Kind.REGISTER
                     && !listedSequences.contains(record.version().sequence())) {
                 drop(record.recordKey());
@@ -119,7 +119,7 @@
         return dropped;
     }
 
-    /** Its incarnation has ended: only counters are kept. */
+    /** Ends the incarnation, of which only counters are kept. Returns the keys of the dropped registers. */
     List<RecordKey> endIncarnation() {
         List<RecordKey> dropped = new ArrayList<>();
         for (ReplicatedRecord record : List.copyOf(bySequence.values())) {
@@ -129,21 +129,22 @@
             }
         }
         tombstones.clear();
-        // Counts are never removed, so what a snapshot has brought until now is as good as a log up to there.
+        // Counters are never removed, so a partial snapshot is equivalent to the log up to its cursor.
         appliedSequence = Math.max(appliedSequence, snapshotCursor);
         clearSnapshot();
         return dropped;
     }
 
-    /** No snapshot is under way any more. */
+    /** Ends a snapshot in progress. */
     void clearSnapshot() {
         snapshotEnd = 0;
         snapshotCursor = 0;
     }
 
     /**
-     * Forgets tombstones that are older than this, and the oldest above the bound. Whoever still lacks one of them is
-     * below the floor from then on and gets a snapshot, and what that does not name is gone.
+     * Forgets tombstones that are older than the retention, and the oldest ones above the maximum number. A peer that
+     * lacks one of them is below the floor from then on and receives a snapshot, which removes the records that it does
+     * not list.
      */
     List<RecordKey> forgetTombstones(double nowMs, double retentionMs) {
         List<RecordKey> forgotten = new ArrayList<>();
@@ -161,22 +162,31 @@
         return forgotten;
     }
 
-    /** What was written last after a write, up to so many bytes; {@code end} is how far it may go. */
+    /**
+     * Reads a chunk of the log or of a snapshot.
+     *
+     * @param afterSequence the exclusive lower bound
+     * @param lastSequence the inclusive upper bound
+     * @param chunkSnapshotEnd the position at which the snapshot ends; 0 for a chunk of the log
+     * @param newestIncarnation the newest known incarnation of the owner
+     * @param maxBytes the approximate maximum size
+     */
     ReplicationMessage.LogChunk readChunk(
             long afterSequence, long lastSequence, long chunkSnapshotEnd, long newestIncarnation, int maxBytes) {
-        List<ReplicatedRecord> entries = new ArrayList<>();
+        List<ReplicatedRecord> chunkRecords = new ArrayList<>();
         int bytes = 0;
         long upToSequence = lastSequence;
         for (ReplicatedRecord record : bySequence
                 .subMap(afterSequence, false, Math.max(afterSequence, lastSequence), true)
                 .values()) {
-            if (!entries.isEmpty()
+            if (!chunkRecords.isEmpty()
                     && (bytes + record.estimatedBytes() > maxBytes
-                            || entries.size() == ReplicationMessage.MAX_LIST_SIZE)) {
-                upToSequence = entries.get(entries.size() - 1).version().sequence();
+                            || chunkRecords.size() == ReplicationMessage.MAX_LIST_SIZE)) {
+                upToSequence =
+                        chunkRecords.get(chunkRecords.size() - 1).version().sequence();
                 break;
             }
-            entries.add(record);
+            chunkRecords.add(record);
             bytes += record.estimatedBytes();
         }
         return new ReplicationMessage.LogChunk(
@@ -187,10 +197,10 @@
                 Math.max(afterSequence, upToSequence),
                 chunkSnapshotEnd,
                 tombstoneFloor,
-                entries);
+                chunkRecords);
     }
 
-    /** A digest for each range of keys, over what the copy holds by now: nothing is remembered from when it came. */
+    /** Digests by range of keys, computed from the present content rather than cached, so that corruption is detected. */
     long[] digests() {
         long[] digests = new long[RecordKey.RANGE_COUNT];
         for (ReplicatedRecord record : bySequence.values()) {
@@ -201,7 +211,7 @@
         return digests;
     }
 
-    /** A digest over all ranges. */
+    /** Combines the digests of all ranges. */
     static long combineDigests(long[] ranges) {
         long combined = 0;
         for (long range : ranges) {
@@ -210,7 +220,7 @@
         return combined;
     }
 
-    /** The finaliser of SplitMix64, so that sums of similar checksums don't cancel out. */
+    /** The finalizer of SplitMix64, so that sums of similar checksums don't cancel out. */
     private static long mixBits(long value) {
         long first = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
         long second = (first ^ first >>> 27) * 0x94d049bb133111ebL;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/OwnerState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerState.java
@@ -3,21 +3,22 @@
 import java.util.TreeMap;
 
 /**
- * What this member knows of one owner: its newest incarnation, how current the copy of it is, and the logs of it and of
- * ended incarnations whose counters are not folded yet. Mutable; guarded by whoever guards the {@link RecordStore}.
+ * This member's state of one owner: the owner's newest incarnation, how current the copy is, and the logs of that
+ * incarnation and of ended ones whose counters are not folded yet. Mutable; guarded by the lock that guards the
+ * {@link RecordStore}.
  */
 final class OwnerState {
-    /** The newest incarnation that was heard of; 0 if none. */
+    /** The newest known incarnation; 0 if none. */
     long incarnation;
-    /** Drawn by the owner's process; 0 if unknown. */
+    /** The random number that identifies the owner's process; 0 if unknown. */
     long nonce;
-    /** The last heartbeat of this incarnation. */
+    /** The number of the last heartbeat of this incarnation. */
     long heartbeat;
-    /** The sequence number that the owner had reached at that heartbeat. */
+    /** The owner's position in its log at that heartbeat. */
     long announcedSequence;
-    /** When the owner gave that heartbeat, by the local clock in milliseconds. */
+    /** When the owner sent that heartbeat, in milliseconds of the local clock. */
     double lastHeardAtMs = Double.NEGATIVE_INFINITY;
-    /** The last heartbeat at which all that the owner had announced was here, in milliseconds. */
+    /** The time of the last heartbeat whose announced writes were all applied here, in milliseconds. */
     double lastCompleteAtMs = Double.NEGATIVE_INFINITY;
     /** Why the newest incarnation is quarantined; null if it is not. */
     String quarantineReason;
@@ -33,7 +34,7 @@
         copy.lastHeardAtMs = lastHeardAtMs;
         copy.lastCompleteAtMs = lastCompleteAtMs;
         copy.quarantineReason = quarantineReason;
-        logs.forEach((of, log) -> copy.logs.put(of, log.copy()));
+        logs.forEach((ofIncarnation, log) -> copy.logs.put(ofIncarnation, log.copy()));
         return copy;
     }
 
@@ -42,7 +43,7 @@
         return logs.get(incarnation);
     }
 
-    /** If all that was announced is here, the copy is as current as the last heartbeat. */
+    /** Records that the copy is as current as the last heartbeat if all announced writes are applied. */
     void updateCompleteness() {
         OwnerLog log = newestLog();
         if ((log == null ? 0 : log.appliedSequence) >= announcedSequence) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
@@ -3,11 +3,11 @@
 /**
  * Identifies a record within one incarnation of its owner.
  *
- * @param space the space
- * @param key the key in it
+ * @param space the space of the record
+ * @param key the key within the space
  */
 public record RecordKey(RecordSpace space, String key) implements Comparable<RecordKey> {
-    /** Ranges of keys by which copies are compared. */
+    /** The number of ranges into which keys are hashed for comparing copies. */
     static final int RANGE_COUNT = 16;
 
     int rangeIndex() {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads for the process itself: records that may be acted on with their ages, and sums of counters. */
+/** Reads for callers in this process: records with their ages, and sums of counters. */
 final class RecordReader {
     private final RecordTable table;
     private final LocalOwner local;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -1,30 +1,30 @@
 package brackenbridge.fleet.replica;
 
 /**
- * What is replicated, and by which rule copies that differ are made one.
+ * The spaces of replicated records, with their kind and the age limit for decisions.
  *
- * <p>The file {@code docs/design/replication.md} has for each: owner, kind, how old it may be before it is not acted
- * on, and what a node does without it.
+ * <p>The file {@code docs/design/replication.md} lists for each space its owner, kind and age limit, and what a node does
+ * without the record.
  */
 public enum RecordSpace {
-    /** What a node sees of each server: key is the host. */
+    /** A node's observation of each server; the key is the host. */
     SERVERS(Kind.REGISTER, 10_000),
-    /** What a node's tenants want and use of each pool: key is {@code pool/tenant}. */
+    /** The demand and usage of each pool by a node's tenants; the key is {@code pool/tenant}. */
     DEMAND(Kind.REGISTER, 3_000),
-    /** What a node sees of each pool and class: key is {@code pool/class}. */
+    /** A node's observation of each pool and request class; the key is {@code pool/class}. */
     POOLS(Kind.REGISTER, 15_000),
-    /** How far a node is, what it holds and how old: key is empty. */
+    /** The progress of a node, the versions that it has and their age; the key is empty. */
     NODES(Kind.REGISTER, 10_000),
-    /** Connection time that each tenant has used: key is {@code pool/tenant}. */
+    /** Connection time used by each tenant; the key is {@code pool/tenant}. */
     USED(Kind.COUNTER, Double.POSITIVE_INFINITY),
-    /** Attempts that went out: key is the pool. */
+    /** Attempts that were sent; the key is the pool. */
     ATTEMPTS(Kind.COUNTER, Double.POSITIVE_INFINITY);
 
-    /** The rule by which copies become one. */
+    /** The kinds of records, which differ in how copies are merged. */
     public enum Kind {
-        /** One writer: the newer by incarnation and sequence wins; two writers of one name are both quarantined. */
+        /** One writer; the latest incarnation and sequence number wins. Two writers under one name are both quarantined. */
         REGISTER,
-        /** A sum over writers that survives a writer's end: each writer's part only grows. */
+        /** A sum over writers, each of whose parts only grows; a part outlives its writer's incarnation. */
         COUNTER
     }
 
@@ -36,20 +36,20 @@
         this.maxAgeMs = freshMs;
     }
 
-    /** Its rule. */
+    /** The kind of the records in this space. */
     public Kind kind() {
         return kind;
     }
 
-    /** A record whose owner was not heard of for longer than this is not acted on; milliseconds. */
+    /** Decisions must not be based on records that are older than this, in milliseconds. */
     public double maxAgeMs() {
         return maxAgeMs;
     }
 
     /**
-     * Checks the rule.
+     * Checks the kind of the records in this space.
      *
-     * @throws IllegalArgumentException if it is another one
+     * @throws IllegalArgumentException if it is a different kind
      */
     void requireKind(Kind required) {
         if (kind != required) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
@@ -5,34 +5,33 @@
 import java.util.OptionalLong;
 
 /**
- * One member's copy of all own and counted records, by owner and incarnation. It knows no peers, sockets, threads or
- * disks: times and values in, values out. Not thread-safe: one thread at a time. Times are milliseconds of the local
- * monotonic clock.
+ * One member's copy of all registers and counters, by owner and incarnation. It has no I/O, threads or timers: the
+ * caller passes times and values. Not thread-safe. Times are milliseconds of the local monotonic clock.
  *
- * <p>Own records belong to an incarnation: those of an earlier one are gone as soon as a later one is heard of.
- * Counters are grow-only, one for each owner and incarnation (Shapiro, Preguica, Baquero, Zawirski: Conflict-free
- * replicated data types, 2011), and outlive both.
+ * <p>Registers belong to an incarnation and are dropped as soon as a later one is known. Counters are grow-only, one for
+ * each owner and incarnation (Shapiro, Preguica, Baquero, Zawirski: Conflict-free replicated data types, 2011), and are
+ * kept after both have ended.
  *
- * <p>Each concern is a class of its own over one {@link RecordTable}: {@link LocalWriter}, {@link SummaryMerger},
+ * <p>Each concern is a separate class on a shared {@link RecordTable}: {@link LocalWriter}, {@link SummaryMerger},
  * {@link LogMerger}, {@link LogReader}, {@link CopyRepair} and {@link RecordReader}.
  */
 public final class RecordStore {
-    /** Owners that are held, at the most. */
+    /** The maximum number of owners. */
     public static final int MAX_OWNERS = 4096;
-    /** Records of one incarnation of an owner, at the most. */
+    /** The maximum number of records of one incarnation of an owner. */
     public static final int MAX_RECORDS = 200_000;
-    /** Ended incarnations of an owner of which counters are kept, at the most. */
+    /** The maximum number of ended incarnations of an owner whose counters are kept. */
     public static final int MAX_ENDED_INCARNATIONS = 16;
 
-    /** What became of a piece of a log. */
+    /** The result of merging a chunk. */
     public enum MergeResult {
-        /** It was new. */
+        /** The chunk contained new writes. */
         NEW,
-        /** All of it was known. */
+        /** All of its writes were known. */
         KNOWN,
-        /** What lies before it is missing. */
+        /** Writes before the chunk are missing. */
         GAP,
-        /** A checksum does not match, or it goes past a bound. */
+        /** A checksum does not match, or a bound is exceeded. */
         REJECTED
     }
 
@@ -46,12 +45,12 @@
     private final RecordReader reader;
 
     /**
-     * An empty copy.
+     * Creates an empty copy.
      *
      * @param member the name of this member
      * @param incarnation its incarnation
-     * @param nonce drawn at random by this process
-     * @param tracksChanges whether it remembers what has changed, for {@link #drainChanges}
+     * @param nonce a random number that identifies this process
+     * @param tracksChanges whether changes are collected for {@link #drainChanges}
      */
     public RecordStore(String member, long incarnation, long nonce, boolean tracksChanges) {
         this(new RecordTable(tracksChanges), member, incarnation, nonce);
@@ -73,7 +72,7 @@
         reader = new RecordReader(table, local);
     }
 
-    /** An independent copy, which tracks no changes. */
+    /** A deep copy, which does not track changes. */
     public RecordStore copy() {
         RecordTable other = table.copy();
         return new RecordStore(other, local.copy(other));
@@ -89,80 +88,81 @@
         return local.incarnation;
     }
 
-    /** Drawn at random by this process. */
+    /** The random number that identifies this process. */
     public long nonce() {
         return local.nonce;
     }
 
-    /** Owners that are known, this member included. */
+    /** The names of all known owners, including this member. */
     public List<String> owners() {
         return table.names();
     }
 
-    /** What was found that an operator should know, since the last call. */
+    /** The alarms for the operator since the last call. */
     public List<String> drainAlarms() {
         return table.drainAlarms();
     }
 
-    /** What has changed since the last call. */
+    /** The changes since the last call. */
     List<RecordTable.Change> drainChanges() {
         return table.drainChanges();
     }
 
-    // ---- own writes ----
+    // ---- local writes ----
 
     /**
-     * Writes a record of this member's own.
+     * Writes one of this member's registers.
      *
      * @return false if this incarnation is quarantined or has {@link #MAX_RECORDS} already
-     * @throws IllegalArgumentException if the space is not of own records
+     * @throws IllegalArgumentException if the space does not contain registers
      */
     public boolean put(RecordSpace space, String key, byte[] value, double nowMs) {
         return writer.put(space, key, value, nowMs);
     }
 
     /**
-     * Removes a record of this member's own; a tombstone stands for it.
+     * Removes one of this member's registers and leaves a tombstone.
      *
      * @return false if there is none, or as for {@link #put}
-     * @throws IllegalArgumentException if the space is not of own records
+     * @throws IllegalArgumentException if the space does not contain registers
      */
     public boolean remove(RecordSpace space, String key, double nowMs) {
         return writer.remove(space, key, nowMs);
     }
 
     /**
-     * Adds to this incarnation's counter; it stays at {@link Long#MAX_VALUE} once it is there.
+     * Adds to this incarnation's counter, which saturates at {@link Long#MAX_VALUE}.
      *
      * @return false as for {@link #put}
-     * @throws IllegalArgumentException if the space is not of counters, or the increment is negative
+     * @throws IllegalArgumentException if the space does not contain counters, or the increment is negative
      */
     public boolean add(RecordSpace space, String key, long increment, double nowMs) {
         return writer.add(space, key, increment, nowMs);
     }
 
     /**
-     * Folds counters of this member's ended incarnations into the present one. Each key's write says which incarnations
-     * are within it, so whoever applies it drops those in the same step: nothing is counted twice at any copy at any
-     * time. Nothing is lost either if no copy anywhere knows more of those incarnations than this one.
+     * Folds counters of this member's ended incarnations into the present one. The write of each key contains the
+     * incarnations that it includes, so that a copy drops them in the step in which it applies the write: nothing is
+     * counted twice in any copy at any time. Nothing is lost if no other copy has more writes of those incarnations than
+     * this one.
      *
-     * @param below incarnations earlier than this
-     * @return how many keys were folded
+     * @param endBefore incarnations earlier than this are folded
+     * @return the number of folded keys
      * @throws IllegalArgumentException if the present incarnation would be folded
      */
     public int foldCounters(long endBefore, double nowMs) {
         return writer.foldCounters(endBefore, nowMs);
     }
 
-    /** This member's ended incarnations of which counters are kept, each with its applied sequence number. */
+    /** This member's ended incarnations whose counters are kept, each with its position. */
     public Map<Long, Long> endedLocalIncarnations() {
         return writer.endedIncarnations();
     }
 
     /**
-     * Forgets tombstones, those above the bound and old ones.
+     * Forgets old tombstones, and those above the maximum number.
      *
-     * @param afterMs older than this, in milliseconds
+     * @param retentionMs the age from which tombstones are old, in milliseconds
      */
     public void forgetTombstones(double nowMs, double retentionMs) {
         for (OwnerState owner : table.states()) {
@@ -176,44 +176,44 @@
 
     // ---- incarnations and heartbeats ----
 
-    /** This process begins now, and announces nothing that it writes until {@link #startAnnouncing}. */
+    /** Marks the start of this process, which announces none of its writes before {@link #startAnnouncing}. */
     void startSilently(double nowMs) {
         local.startedAtMs = nowMs;
         local.announced = local.log().appliedSequence > 0;
     }
 
-    /** From now on others may hear what is written here. */
+    /** Marks that peers may receive writes of this member from now on. */
     void startAnnouncing() {
         local.announced = true;
     }
 
-    /** Counts a heartbeat of this member. */
+    /** Advances the number of this member's heartbeat. */
     public void incrementHeartbeat() {
         local.heartbeat++;
     }
 
-    /** Whether peers have named this incarnation with this process's nonce. */
+    /** Whether peers have reported this incarnation with this process's nonce. */
     public boolean isConfirmedByPeers() {
         return local.confirmed;
     }
 
-    /** The marks of these owners; unknown ones are left out. */
+    /** Summaries of these owners; unknown ones are left out. */
     public List<ReplicationMessage.OwnerSummary> summaries(Iterable<String> names, double nowMs) {
         return logReader.summaries(names, nowMs);
     }
 
-    /** Ended incarnations of all owners of which counters are kept. */
+    /** The positions of all ended incarnations whose counters are kept. */
     public List<ReplicationMessage.EndedLog> endedLogs() {
         return logReader.endedLogs();
     }
 
     /**
-     * Merges a mark.
+     * Merges a summary.
      *
-     * @return whether it was news
+     * @return whether it changed the state
      */
-    public boolean merge(ReplicationMessage.OwnerSummary mark, double nowMs) {
-        return summaryMerger.merge(mark, nowMs);
+    public boolean merge(ReplicationMessage.OwnerSummary summary, double nowMs) {
+        return summaryMerger.merge(summary, nowMs);
     }
 
     /** Why an owner's newest incarnation is quarantined; null if it is not. */
@@ -222,7 +222,7 @@
         return owner == null ? null : owner.quarantineReason;
     }
 
-    /** The newest incarnation of this owner that was heard of; 0 if none. */
+    /** The newest known incarnation of this owner; 0 if none. */
     public long newestIncarnation(String name) {
         OwnerState owner = table.find(name);
         return owner == null ? 0 : owner.incarnation;
@@ -230,46 +230,46 @@
 
     // ---- logs ----
 
-    /** All writes up to this one are here; empty if the incarnation has ended and nothing of it is kept. */
+    /** The position of a copy: all writes up to it are applied; empty if the incarnation has ended and none is kept. */
     public OptionalLong appliedSequence(String owner, long incarnation) {
         return logReader.appliedSequence(owner, incarnation);
     }
 
-    /** What to request to get on with this incarnation. */
+    /** Creates a request for the missing writes of this incarnation. */
     public ReplicationMessage.LogRequest createRequest(String owner, long incarnation) {
         return logReader.createRequest(owner, incarnation);
     }
 
     /**
-     * A piece of what is requested: the log after what the other has; where tombstones after that are forgotten, a
-     * piece of a snapshot.
+     * Answers a request with a chunk of the log after the requester's position, or with a chunk of a snapshot if
+     * tombstones after that position were forgotten.
      *
-     * @param maxBytes about how many bytes
-     * @return null if there is nothing here that the other lacks
+     * @param maxBytes the approximate maximum size of the chunk
+     * @return null if there is nothing here that the requester lacks
      */
     public ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest request, int maxBytes) {
         return logReader.answer(request, maxBytes);
     }
 
     /**
-     * The log after one write, whatever a certain peer has.
+     * Reads a chunk of the log after one write, for pushing.
      *
-     * @param maxBytes about how many bytes
-     * @return null if there is nothing after it, or tombstones after it are forgotten
+     * @param maxBytes the approximate maximum size of the chunk
+     * @return null if there is nothing after the write, or tombstones after it were forgotten
      */
     public ReplicationMessage.LogChunk readAfter(String owner, long incarnation, long sequence, int maxBytes) {
         return logReader.readAfter(owner, incarnation, sequence, maxBytes);
     }
 
-    /** Merges a piece of a log or of a snapshot. */
+    /** Merges a chunk of a log or of a snapshot. */
     public MergeResult merge(ReplicationMessage.LogChunk chunk, double nowMs) {
         return logMerger.merge(chunk, nowMs);
     }
 
     /**
-     * Puts back what a disk had of one incarnation; nothing of this member's present one.
+     * Restores the log of one incarnation from disk; ignored for this member's present incarnation.
      *
-     * @param appliedSequence all up to this write are in it
+     * @param appliedSequence all writes up to this one are applied
      * @param tombstoneFloor tombstones up to this write may be forgotten
      */
     public void restore(
@@ -277,13 +277,13 @@
         logMerger.restore(owner, incarnation, appliedSequence, tombstoneFloor, records);
     }
 
-    /** How many records of this incarnation are here. */
+    /** The number of records of this incarnation. */
     public int size(String owner, long incarnation) {
         OwnerLog log = table.log(owner, incarnation);
         return log == null ? 0 : log.size();
     }
 
-    /** Tombstones of this incarnation up to this write may be forgotten. */
+    /** Tombstones of this incarnation up to this write may have been forgotten. */
     public long tombstoneFloor(String owner, long incarnation) {
         OwnerLog log = table.log(owner, incarnation);
         return log == null ? 0 : log.tombstoneFloor;
@@ -291,46 +291,46 @@
 
     // ---- digests and repair ----
 
-    /** Digests of this copy by range; null if it has none of this incarnation, or a snapshot is under way. */
+    /** Digests of a copy by range; null if there is no such copy, or a snapshot of it is in progress. */
     public long[] digests(String owner, long incarnation) {
         return copyRepair.digests(owner, incarnation);
     }
 
-    /** Incarnations of this owner of which something is here, earliest first. */
+    /** The incarnations of this owner that have a log here, earliest first. */
     public List<Long> incarnations(String owner) {
         return copyRepair.incarnations(owner);
     }
 
-    /** Records of one incarnation in a range of keys, in the order of keys, tombstones among them. */
+    /** The records of one incarnation in a range of keys, including tombstones, in the order of keys. */
     public List<ReplicatedRecord> recordsInRange(String owner, long incarnation, int range) {
         return copyRepair.recordsInRange(owner, incarnation, range);
     }
 
-    /** All records of one incarnation, tombstones among them, in the order of writes. */
+    /** All records of one incarnation, including tombstones, in the order of writes. */
     public List<ReplicatedRecord> records(String owner, long incarnation) {
         return copyRepair.records(owner, incarnation);
     }
 
-    /** The last write of this key by this incarnation, a tombstone too; null if there is none. */
+    /** The last write of a key by this incarnation, which may be a tombstone; null if there is none. */
     public ReplicatedRecord record(String owner, long incarnation, RecordKey key) {
         return copyRepair.record(owner, incarnation, key);
     }
 
     /**
-     * Replaces a copy that the rule found to be the wrong one.
+     * Replaces a record whose copy was found to be wrong.
      *
-     * @param replacement the right one; null drops the copy; ignored if its checksum does not match
+     * @param replacement the correct record; null drops the record; ignored if its checksum does not match
      */
     public void repair(String owner, long incarnation, RecordKey key, ReplicatedRecord replacement, double nowMs) {
         copyRepair.repair(owner, incarnation, key, replacement, nowMs);
     }
 
-    /** Two contents of one write were found in a comparison. */
+    /** Resolves a conflict of two contents of one write. */
     void resolveConflict(String owner, long incarnation, ReplicatedRecord ours, ReplicatedRecord theirs) {
         copyRepair.resolveConflict(owner, incarnation, ours, theirs);
     }
 
-    /** Discards a copy, so that all of it is fetched again; never this member's present incarnation. */
+    /** Discards a copy, so that it is fetched again; ignored for this member's present incarnation. */
     public void discard(String owner, long incarnation) {
         copyRepair.discard(owner, incarnation);
     }
@@ -338,40 +338,40 @@
     // ---- reads ----
 
     /**
-     * The sum over all owners and incarnations; it stays at {@link Long#MAX_VALUE} once it is there.
+     * The sum of a counter over all owners and incarnations, which saturates at {@link Long#MAX_VALUE}.
      *
-     * @throws IllegalArgumentException if the space is not of counters
+     * @throws IllegalArgumentException if the space does not contain counters
      */
     public long sum(RecordSpace space, String key) {
         return reader.sum(space, key);
     }
 
-    /** All records of a space but for ended incarnations' and quarantined ones. */
+    /** All records of a space except registers of ended or quarantined incarnations. */
     public List<Replica.ReadRecord> readAll(RecordSpace space, double nowMs) {
         return reader.readAll(space, nowMs);
     }
 
-    /** One record of an owner's newest incarnation; null if there is none, or it is quarantined. */
+    /** One record of an owner's newest incarnation; null if there is none, or it is a quarantined register. */
     public Replica.ReadRecord read(String owner, RecordSpace space, String key, double nowMs) {
         return reader.read(owner, space, key, nowMs);
     }
 
-    /** How long ago this owner gave its last heartbeat, in milliseconds; infinite if it never did. */
+    /** The time since this owner's last heartbeat, in milliseconds; infinite if there was none. */
     public double heartbeatAgeMs(String owner, double nowMs) {
         return reader.heartbeatAgeMs(owner, nowMs);
     }
 
-    /** The sequence number that the newest incarnation of this owner is said to have reached. */
+    /** The announced position of this owner's newest incarnation. */
     public long announcedSequence(String owner) {
         return reader.announcedSequence(owner);
     }
 
-    /** How many records are here, of all owners. */
+    /** The number of records of all owners. */
     public long size() {
         return reader.size();
     }
 
-    /** Everything, for comparison. */
+    /** The complete state as text, for comparison. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder(local.name).append(local.incarnation);
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
@@ -10,24 +10,24 @@
 import java.util.TreeMap;
 
 /**
- * All owners with their logs, and the rules by which one record enters them. It also collects what has changed and what
- * an operator should know. Mutable; guarded by whoever guards the {@link RecordStore}.
+ * All owners with their logs, and the rules for applying one record. It also collects changes and alarms for the
+ * operator. Mutable; guarded by the lock that guards the {@link RecordStore}.
  */
 final class RecordTable {
-    /** Alarms that are kept until they are read. */
+    /** The maximum number of alarms that are kept until they are drained. */
     private static final int MAX_ALARMS = 256;
 
     /**
-     * Something that changed.
+     * A change of a record or of a log.
      *
-     * @param owner whose record
-     * @param incarnation of which incarnation
-     * @param key which record; null for the log itself: its position, or that it was dropped
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param key the changed record; null if the position of the log changed or the log was dropped
      */
     record Change(String owner, long incarnation, RecordKey key) {}
 
     private final TreeMap<String, OwnerState> owners = new TreeMap<>();
-    /** The same by hash: with a thousand owners, names are looked up for each mark of each message. */
+    /** The same owners hashed by name: in a fleet of a thousand, each message looks up many names. */
     private final Map<String, OwnerState> ownersByHash = new HashMap<>();
 
     private final boolean tracksChanges;
@@ -35,7 +35,7 @@
     private final List<String> alarms = new ArrayList<>();
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
      * @param tracksChanges whether changes are collected for {@link #drainChanges}
      */
@@ -43,7 +43,7 @@
         this.tracksChanges = tracksChanges;
     }
 
-    /** An independent copy, which tracks no changes. */
+    /** A deep copy, which does not track changes. */
     RecordTable copy() {
         RecordTable copy = new RecordTable(false);
         owners.forEach((name, owner) -> copy.owners.put(name, owner.copy()));
@@ -51,7 +51,7 @@
         return copy;
     }
 
-    // ---- look-up ----
+    // ---- lookup ----
 
     /** Names of all known owners, in order. */
     List<String> names() {
@@ -67,12 +67,12 @@
         return owners.values();
     }
 
-    /** An owner; null if it is not known. */
+    /** An owner; null if it is unknown. */
     OwnerState find(String name) {
         return ownersByHash.get(name);
     }
 
-    /** An owner, added if it is not known; null if there are {@link RecordStore#MAX_OWNERS} already. */
+    /** An owner, added if it is unknown; null if there are {@link RecordStore#MAX_OWNERS} already. */
     OwnerState findOrAdd(String name) {
         OwnerState owner = ownersByHash.get(name);
         if (owner == null && owners.size() < RecordStore.MAX_OWNERS) {
@@ -83,7 +83,7 @@
         return owner;
     }
 
-    /** The log of one incarnation; null if nothing of it is here. */
+    /** The log of one incarnation; null if there is none here. */
     OwnerLog log(String name, long incarnation) {
         OwnerState owner = ownersByHash.get(name);
         return owner == null ? null : owner.logs.get(incarnation);
@@ -97,7 +97,7 @@
         }
     }
 
-    /** What has changed since the last call. */
+    /** The changes since the last call. */
     List<Change> drainChanges() {
         List<Change> drained = List.copyOf(changes);
         changes.clear();
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Alarms since the last call. */
+    /** The alarms since the last call. */
     List<String> drainAlarms() {
         List<String> drained = List.copyOf(alarms);
         alarms.clear();
@@ -120,9 +120,9 @@
     // ---- incarnations ----
 
     /**
-     * A later incarnation of an owner ends all before it.
+     * Advances an owner to a later incarnation, which ends all earlier ones.
      *
-     * @return whether it is later than what was known
+     * @return whether it is later than the newest known one
      */
     boolean advanceIncarnation(String name, OwnerState owner, long newest) {
         if (newest <= owner.incarnation) {
@@ -142,7 +142,7 @@
         return true;
     }
 
-    /** Removes this log if it has ended and is empty, and the oldest logs above the bound. */
+    /** Removes this log if its incarnation has ended and it is empty, and the oldest logs above the maximum number. */
     void removeObsoleteLogs(String name, OwnerState owner, OwnerLog log) {
         if (log.incarnation < owner.incarnation && log.size() == 0) {
             owner.logs.remove(log.incarnation);
@@ -151,24 +151,25 @@
         while (owner.logs.size() > RecordStore.MAX_ENDED_INCARNATIONS + 1) {
             OwnerLog oldest = owner.logs.pollFirstEntry().getValue();
             addAlarm(name + " has more than " + RecordStore.MAX_ENDED_INCARNATIONS
-                    + " incarnations whose counters are not folded: incarnation " + oldest.incarnation
-                    + " is dropped with " + oldest.records());
+                    + " ended incarnations with counters that are not folded; dropped incarnation " + oldest.incarnation
+                    + " with " + oldest.records());
             oldest.records().forEach(record -> addChange(name, oldest.incarnation, record.recordKey()));
             addChange(name, oldest.incarnation, null);
         }
     }
 
     /**
-     * Two processes wrote in this owner's newest incarnation: its records are not read until a later one.
+     * Quarantines an owner's newest incarnation, in which two processes wrote: its registers are not read until there
+     * is a later incarnation.
      *
-     * @return whether this is new
+     * @return whether it was not quarantined before
      */
     boolean quarantine(String name, OwnerState owner, String reason) {
         if (owner.quarantineReason != null) {
             return false;
         }
         owner.quarantineReason = reason;
-        addAlarm(reason + ": its records are quarantined until a later incarnation");
+        addAlarm(reason + "; its records are quarantined until a later incarnation");
         OwnerLog log = owner.newestLog();
         if (log != null) {
             log.records().forEach(record -> addChange(name, owner.incarnation, record.recordKey()));
@@ -179,8 +180,8 @@
     // ---- records ----
 
     /**
-     * Applies one write. A counter that is folded into a later incarnation stays out, and those that are folded into
-     * this one are dropped in the same step.
+     * Applies one write. A counter that was folded into a later incarnation is ignored; counters that were folded into
+     * this one are dropped from earlier incarnations in the same step.
      */
     void apply(OwnerState owner, OwnerLog log, ReplicatedRecord record, double nowMs) {
         if (record.space().kind() == RecordSpace.Kind.REGISTER) {
@@ -209,21 +210,25 @@
     }
 
     private void dropFolded(OwnerState owner, OwnerLog log, ReplicatedRecord record) {
-        long below = Math.min(record.foldedBelow(), log.incarnation);
-        for (OwnerLog earlier : List.copyOf(owner.logs.headMap(below).values())) {
+        long endBefore = Math.min(record.foldedBelow(), log.incarnation);
+        for (OwnerLog earlier : List.copyOf(owner.logs.headMap(endBefore).values())) {
             earlier.drop(record.recordKey());
             addChange(log.owner, earlier.incarnation, record.recordKey());
             removeObsoleteLogs(log.owner, owner, earlier);
         }
     }
 
-    /** One write was found with two contents: the newest incarnation is quarantined, of counters the greater stays. */
+    /**
+     * Resolves a conflict of two contents of one write: the newest incarnation is quarantined; in an ended one the
+     * greater count is kept.
+     */
     void resolveConflict(OwnerState owner, OwnerLog log, ReplicatedRecord ours, ReplicatedRecord theirs) {
-        String conflict = "one write of " + log.owner + " with two contents: here " + ours + ", there " + theirs;
+        String conflict =
+                "conflicting contents of one write of " + log.owner + ": here " + ours + ", at a peer " + theirs;
         if (log.incarnation == owner.incarnation) {
             quarantine(log.owner, owner, conflict);
         } else if (theirs.count() > ours.count() && theirs.recordKey().equals(ours.recordKey())) {
-            addAlarm(conflict + ": the greater count stays");
+            addAlarm(conflict + "; the greater count is kept");
             log.replace(theirs, 0);
             addChange(log.owner, log.incarnation, ours.recordKey());
         }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordVersion.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.replica;
 
 /**
- * Which write of its owner a record is: incarnation and sequence number, of no clock.
+ * The version of a record: a logical timestamp that does not depend on a clock.
  *
- * @param life the owner's incarnation
- * @param sequence the sequence number: counts the owner's writes in this incarnation, over all spaces, from 1
+ * @param incarnation the owner's incarnation
+ * @param sequence the number of the owner's write within this incarnation, over all spaces, from 1
  */
 public record RecordVersion(long incarnation, long sequence) implements Comparable<RecordVersion> {
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
@@ -23,31 +23,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's copy on disk: one file of H2's MVStore, written behind by appended chunks, each commit whole or not at
- * all. Every record carries a checksum of its own. The header says whose it is.
+ * A member's copy on disk: one file of H2's MVStore, which appends chunks with atomic commits. Every record has its own
+ * checksum. The header contains fleet, member and incarnation.
  *
- * <p>A write counts once it is synced. After one that failed nobody knows which pages of the file reached the disk, and
- * a sync that succeeds later does not say: the next write is of everything, to a fresh file that takes the place of
- * the old one when it is synced. Until then the old file stays as it was left.
+ * <p>A write is durable once it is synced. After a failed write it is unknown which pages of the file reached the disk,
+ * and a later successful sync does not tell. Therefore the next write contains everything and goes to a new file, which
+ * replaces the old one after it was synced. Until then the old file is left unchanged.
  */
 public final class ReplicaDisk implements AutoCloseable {
-    /** The way of writing; another one is not read. */
+    /** The version of the file format; files of other versions are not read. */
     static final int SCHEMA = 1;
 
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaDisk.class);
     private static final String FILE = "replica.mv";
-    /** What is written anew, until it is whole. */
+    /** The name of a new file until it is complete. */
     private static final String NEW_FILE = FILE + ".new";
 
     /**
-     * What is to be written of one incarnation of an owner.
+     * The changes to write for one incarnation of an owner.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param have how far the copy is; empty if the incarnation is gone
-     * @param floor how far tombstones are forgotten
-     * @param entries records that changed
-     * @param gone records that are gone
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param appliedSequence the position of the copy; null if the log was dropped
+     * @param tombstoneFloor tombstones up to this write may be forgotten
+     * @param records changed records
+     * @param removedKeys keys of records that were dropped
      */
     record Batch(
             String owner,
@@ -68,9 +68,10 @@
     private MVMap<String, byte[]> header;
 
     /**
-     * A file, by the name that the store opens it by.
+     * A file with the scheme by which the store opens it.
      *
-     * @param scheme of the file system; empty for the usual one
+     * @param scheme the scheme of the file system; empty for the default one
+     * @param path the path of the file
      */
     private record StoreFile(String scheme, Path path) {
         FilePath filePath() {
@@ -119,17 +120,18 @@
     }
 
     /**
-     * Opens a member's directory, and takes the next incarnation: greater than the one before, and at least the time
-     * of day in milliseconds, so that a member whose disk is lost or old begins a later one unless the clock went
-     * back.
+     * Opens a member's directory and takes the next incarnation. It is greater than the previous one and at least the
+     * wall-clock time in milliseconds, so that a member whose disk was lost or is old takes a later incarnation unless
+     * the clock went back.
      *
-     * @throws IOException in one line, if it is another fleet's or another member's, or a process has it open
+     * @throws IOException with a one-line message, if the file belongs to another fleet or member, is open in another
+     *     process or can't be accessed
      */
     public static ReplicaDisk open(Path directory, String fleet, String member, double nowMs) throws IOException {
         return open(directory, fleet, member, nowMs, "");
     }
 
-    /** The same, on a file system of this scheme. */
+    /** Opens a directory on the file system with this scheme. */
     static ReplicaDisk open(Path directory, String fleet, String member, double nowMs, String scheme)
             throws IOException {
         Files.createDirectories(directory);
@@ -159,7 +161,7 @@
         }
     }
 
-    /** Whether the disk does not take or give bytes, which says nothing against those that are there. */
+    /** Whether reading or writing failed, which does not mean that the content is damaged. */
     private static boolean isAccessFailure(RuntimeException e) {
         return e instanceof MVStoreException m
                 && (m.getErrorCode() == DataUtils.ERROR_READING_FAILED
@@ -168,7 +170,11 @@
 
     private static MVStore replaceBroken(StoreFile file, String reason) {
         StoreFile broken = file.sibling(FILE + ".broken");
-        LOG.error("{} is broken ({}): kept as {}, begins empty and catches up from peers", file, reason, broken);
+        LOG.error(
+                "{} is damaged ({}): kept as {}, starting with an empty file and catching up from peers",
+                file,
+                reason,
+                broken);
         file.filePath().moveTo(broken.filePath(), true);
         return open(file);
     }
@@ -176,12 +182,12 @@
     private static ReplicaDisk initialize(StoreFile file, MVStore store, String fleet, String member, double nowMs)
             throws IOException {
         MVMap<String, byte[]> header = openMap(store, "header");
-        String mismatch = !header.isEmpty() && !text(header, "schema").equals(Integer.toString(SCHEMA))
-                ? "is written in another way, " + text(header, "schema")
-                : !header.isEmpty() && !text(header, "fleet").equals(fleet)
-                        ? "belongs to the fleet " + text(header, "fleet") + ", not to " + fleet
-                        : !header.isEmpty() && !text(header, "member").equals(member)
-                                ? "belongs to the member " + text(header, "member") + ", not to " + member
+        String mismatch = !header.isEmpty() && !readText(header, "schema").equals(Integer.toString(SCHEMA))
+                ? "has the unsupported schema " + readText(header, "schema")
+                : !header.isEmpty() && !readText(header, "fleet").equals(fleet)
+                        ? "belongs to the fleet " + readText(header, "fleet") + ", not to " + fleet
+                        : !header.isEmpty() && !readText(header, "member").equals(member)
+                                ? "belongs to the member " + readText(header, "member") + ", not to " + member
                                 : null;
         if (mismatch != null) {
             store.closeImmediately();
@@ -189,9 +195,9 @@
         }
         long previous = 0;
         try {
-            previous = header.isEmpty() ? 0 : Long.parseLong(text(header, "life"));
+            previous = header.isEmpty() ? 0 : Long.parseLong(readText(header, "life"));
         } catch (NumberFormatException e) {
-            LOG.error("{} does not say its life: takes the time of day", file);
+            LOG.error("{} has no valid incarnation: using the wall-clock time", file);
         }
         long incarnation = Math.max(previous + 1, (long) nowMs);
         writeHeader(header, fleet, member, incarnation);
@@ -201,48 +207,48 @@
     }
 
     private static void writeHeader(MVMap<String, byte[]> header, String fleet, String member, long incarnation) {
-        header.put("schema", text(Integer.toString(SCHEMA)));
-        header.put("fleet", text(fleet));
-        header.put("member", text(member));
-        header.put("life", text(Long.toString(incarnation)));
+        header.put("schema", encodeText(Integer.toString(SCHEMA)));
+        header.put("fleet", encodeText(fleet));
+        header.put("member", encodeText(member));
+        header.put("life", encodeText(Long.toString(incarnation)));
     }
 
     /**
-     * The incarnation with which a process begins that has no disk. After the time of day went back it may be earlier
-     * than one that peers know, and is outlived then, by the links and the replica alike.
+     * The first incarnation of a process without a disk. After the wall clock was set back it may be earlier than one
+     * that peers know; then both the links and the replica take a later one.
      */
     public static long incarnationWithoutDisk(double nowMs) {
         return (long) nowMs;
     }
 
-    private static byte[] text(String text) {
+    private static byte[] encodeText(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return withChecksum(bytes);
     }
 
-    private static String text(MVMap<String, byte[]> map, String key) {
+    private static String readText(MVMap<String, byte[]> map, String key) {
         byte[] bytes = verifyChecksum(map.get(key));
         return bytes == null ? "unknown" : new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** The incarnation that was taken at this start. */
+    /** The incarnation of this process, as taken at the start or set later. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** An incarnation that was taken later, since peers knew a later one; the next write writes it. */
+    /** Sets a newer incarnation, taken because peers knew a later one; the next write stores it. */
     void useIncarnation(long newer) {
         incarnation = newer;
     }
 
-    /** Whether the next write must be of everything: one has failed, or what is there was read at a start. */
+    /** Whether the next write must contain everything, after a failed write or after {@link #restore}. */
     boolean needsFullWrite() {
         return writeFailed;
     }
 
     /**
-     * Puts all that can be read into a copy; an incarnation with a record that can't is left out, and fetched from
-     * peers. A file that can't be read through is put aside, and an empty one begun.
+     * Restores all intact logs into a copy. A log with a malformed record is left out and fetched from peers. An
+     * unreadable file is renamed and replaced by an empty one.
      *
      * @throws IOException if no file can be written there
      */
@@ -251,7 +257,7 @@
         try {
             read(target, intactLogs);
         } catch (RuntimeException e) {
-            // Guards against a page of the file that can't be read, which shows as any kind of exception.
+            // Guards against an unreadable page of the file, on which the store may throw any exception.
             store.closeImmediately();
             useStore(replaceBroken(file, firstLine(e)));
             writeHeader(header, fleet, member, incarnation);
@@ -260,12 +266,13 @@
             return;
         }
         intactLogs.forEach(Runnable::run);
-        // The process before may have ended after a sync that failed: what was read need not be on the disk.
+        // The previous process may have ended after a failed sync: what was read may be in the page cache only and not
+        // on the disk.
         writeFailed = true;
     }
 
     private void read(RecordStore target, List<Runnable> intactLogs) {
-        Map<String, List<ReplicatedRecord>> entries = new HashMap<>();
+        Map<String, List<ReplicatedRecord>> recordsByLog = new HashMap<>();
         Map<String, Integer> malformed = new HashMap<>();
         for (Map.Entry<String, byte[]> stored : records.entrySet()) {
             String logKey = stored.getKey().substring(0, secondSeparator(stored.getKey()));
@@ -275,7 +282,8 @@
                 if (record == null || !record.hasValidChecksum(logKey.substring(0, logKey.indexOf('\0')))) {
                     malformed.merge(logKey, 1, Integer::sum);
                 } else {
-                    entries.computeIfAbsent(logKey, logName -> new ArrayList<>())
+                    recordsByLog
+                            .computeIfAbsent(logKey, logName -> new ArrayList<>())
                             .add(record);
                 }
             } catch (IOException malformedRecord) {
@@ -287,13 +295,13 @@
             int separator = stored.getKey().indexOf('\0');
             String owner = stored.getKey().substring(0, separator);
             long ofIncarnation = Long.parseLong(stored.getKey().substring(separator + 1));
-            List<ReplicatedRecord> logRecords = entries.getOrDefault(stored.getKey(), List.of());
+            List<ReplicatedRecord> logRecords = recordsByLog.getOrDefault(stored.getKey(), List.of());
             if (bytes == null
                     || bytes.length != 20
                     || malformed.containsKey(stored.getKey())
                     || ByteBuffer.wrap(bytes).getInt(16) != logRecords.size()) {
                 LOG.error(
-                        "{}: {} life {} is not whole on disk ({} of its records can't be read): fetched from peers",
+                        "{}: the log of {} incarnation {} is incomplete ({} malformed records): fetched from peers",
                         file,
                         owner,
                         ofIncarnation,
@@ -326,9 +334,11 @@
     }
 
     /**
-     * Writes what changed, whole or not at all; if {@link #needsFullWrite}, this must be everything.
+     * Writes changes atomically. If {@link #needsFullWrite}, the batches must contain all records.
      *
-     * @throws IOException if the disk does not take it: full, gone, broken
+     * @param batches the changes, one batch for each log
+     * @param sizes the number of records of each log
+     * @throws IOException if the write fails
      */
     void write(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
         try {
@@ -338,7 +348,7 @@
                 putBatches(batches, sizes);
             }
         } catch (RuntimeException e) {
-            // A store that failed once does not write again.
+            // A store does not write again after a failure.
             writeFailed = true;
             store.closeImmediately();
             throw new IOException(file + ": " + firstLine(e), e);
@@ -348,23 +358,23 @@
     private void writeNewFile(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
         writeFailed = true;
         store.closeImmediately();
-        StoreFile fresh = file.sibling(NEW_FILE);
-        if (fresh.filePath().exists()) {
-            fresh.filePath().delete();
+        StoreFile newFile = file.sibling(NEW_FILE);
+        if (newFile.filePath().exists()) {
+            newFile.filePath().delete();
         }
         try {
-            useStore(open(fresh));
+            useStore(open(newFile));
             putBatches(batches, sizes);
         } finally {
             store.closeImmediately();
         }
-        fresh.filePath().moveTo(file.filePath(), true);
+        newFile.filePath().moveTo(file.filePath(), true);
         syncDirectory(file.path().getParent());
         useStore(open(file));
         writeFailed = false;
     }
 
-    /** The new name of a file lasts once its directory is synced. */
+    /** Syncs a directory, which makes the renaming of a file durable. */
     private static void syncDirectory(Path directory) throws IOException {
         try (FileChannel channel = FileChannel.open(directory)) {
             channel.force(true);
@@ -372,7 +382,7 @@
     }
 
     private void putBatches(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) {
-        if (!text(header, "life").equals(Long.toString(incarnation))) {
+        if (!readText(header, "life").equals(Long.toString(incarnation))) {
             writeHeader(header, fleet, member, incarnation);
         }
         for (Batch batch : batches) {
@@ -397,7 +407,7 @@
         store.sync();
     }
 
-    /** Lets go of the file as a failure would, without writing what is open. */
+    /** Closes the file as a failure would, without writing uncommitted changes. */
     void closeImmediately() {
         writeFailed = true;
         store.closeImmediately();
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaMonitor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaMonitor.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
 
-/** The lock that guards a replica's state, and what its threads wait for: a change, or the end. */
+/** The lock that guards a replica's state, with conditions on which its threads wait for a change or for closing. */
 final class ReplicaMonitor {
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
@@ -33,7 +33,7 @@
         return closed;
     }
 
-    /** Ends all waits. */
+    /** Marks the replica as closed and ends all waits. */
     void close() {
         lock.lock();
         try {
@@ -45,26 +45,26 @@
         }
     }
 
-    /** Wakes who waits for a change; with the lock held. */
+    /** Wakes threads that wait for a change; with the lock held. */
     void signalChange() {
         changed.signalAll();
     }
 
-    /** Waits for a change or the end; with the lock held. It may wake for neither. */
+    /** Waits for a change or for closing; with the lock held. May wake spuriously. */
     void awaitChange() throws InterruptedException {
         changed.await();
     }
 
     /**
-     * Waits for a change or the end; with the lock held. It may wake for neither.
+     * Waits for a change or for closing; with the lock held. May wake spuriously.
      *
-     * @return the nanoseconds that are left
+     * @return the remaining nanoseconds
      */
     long awaitChange(long nanos) throws InterruptedException {
         return changed.awaitNanos(nanos);
     }
 
-    /** Waits for so many milliseconds or the end; with the lock held, which is released meanwhile. */
+    /** Waits for this time or for closing; with the lock held, which is released meanwhile. */
     void pause(double ms) throws InterruptedException {
         long left = (long) (ms * TimeUnit.MILLISECONDS.toNanos(1));
         while (left > 0 && !closed) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -18,29 +18,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's replica in a process: links, threads and a disk around {@link ReplicationProtocol}. One thread drives the
- * protocol's timers, one writes behind to the disk, one calls listeners; peers' threads deliver messages. The lock is
- * held for one message or one turn.
+ * Runs a member's replica in a process: links, threads and a disk around {@link ReplicationProtocol}. One thread drives
+ * the protocol's timers, one writes to disk asynchronously, one notifies listeners; threads of the peer links deliver
+ * messages. The lock is held for one message or one timer step.
  */
 public final class ReplicaNode implements Replica, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaNode.class);
-    /** The longest wait between two turns of the protocol, in milliseconds. */
+    /** The longest wait between two timer steps, in milliseconds. */
     private static final double MAX_WAIT_MS = 50;
-    /** Of failed turns, one in so many is logged. */
+    /** One of this many failed steps is logged. */
     private static final long FAILURES_PER_LOG_LINE = 1000;
-    /** How long closing waits for each thread, in milliseconds. */
+    /** The time that closing waits for each thread, in milliseconds. */
     private static final long JOIN_TIMEOUT_MS = 2000;
 
     /**
-     * What a member holds of another; a line of {@code state status}.
+     * This member's copy of another member's log; a line of {@code state status}.
      *
-     * @param member which
-     * @param life its newest incarnation known here
-     * @param wrote how many writes it is said to have made in it
-     * @param have how many of them are here
-     * @param heardMs how long ago it last gave a heartbeat, in milliseconds; infinite if never
-     * @param standing what links say of it
-     * @param aside why its present incarnation was quarantined; null if it was not
+     * @param member the name of that member
+     * @param incarnation its newest known incarnation
+     * @param announcedSequence the number of writes that it has announced in that incarnation
+     * @param appliedSequence the number of them that are applied here
+     * @param heartbeatAgeMs the time since its last heartbeat, in milliseconds; infinite if there was none
+     * @param status its status by the peer links
+     * @param quarantineReason why that incarnation is quarantined; null if it is not
      */
     public record Status(
             @JsonProperty("member") String member,
@@ -52,15 +52,15 @@
             @JsonProperty("aside") String quarantineReason) {}
 
     /**
-     * What a member's exchange has done.
+     * Statistics of the replication since the start.
      *
-     * @param sentBytes bytes sent since the start
-     * @param dropped messages not sent for want of bytes a second
-     * @param unsent messages that links did not take
-     * @param unreadable messages that could not be read
-     * @param differences differences found since the start
-     * @param records records that are held
-     * @param onDisk whether the disk takes what is written; false without a disk
+     * @param sentBytes bytes sent
+     * @param throttledMessages messages not sent because of the limit on bytes per second
+     * @param unsentMessages messages that the links did not accept
+     * @param malformedMessages received messages that could not be decoded
+     * @param differences differences found between copies
+     * @param records records in this copy
+     * @param diskHealthy whether the last write to disk succeeded; false without a disk
      */
     public record Statistics(
             @JsonProperty("sentBytes") long sentBytes,
@@ -76,7 +76,7 @@
     private final Clock clock;
     private final ReplicaMonitor monitor = new ReplicaMonitor();
     private final ChangeNotifier notifier;
-    /** Null without a disk. */
+    /** Writes changes to disk; null without a disk. */
     private final DiskWriter diskWriter;
 
     private final List<Thread> threads = new ArrayList<>();
@@ -89,13 +89,13 @@
     private boolean peersChanged = true;
 
     /**
-     * A replica that is not started.
+     * Creates a replica without starting it.
      *
-     * @param links links that are not started either
+     * @param links peer links that are not started yet
      * @param disk the disk; null for none
-     * @param clock the clock
+     * @param clock the source of the time
      * @param limits bounds and intervals of the replication
-     * @throws IOException if the disk can be neither read nor begun anew
+     * @throws IOException if the disk can be neither read nor replaced by an empty file
      */
     public ReplicaNode(PeerLinks links, ReplicaDisk disk, Clock clock, ReplicationLimits limits) throws IOException {
         this.links = links;
@@ -126,7 +126,7 @@
         }));
     }
 
-    /** Begins to exchange; links are started by whoever made them. */
+    /** Starts the threads of the replica; the caller starts the links. */
     public void start() {
         threads.add(startThread("replica-turn", this::runTimers));
         threads.add(startThread("replica-tell", notifier));
@@ -142,9 +142,9 @@
         return thread;
     }
 
-    // ---- turns ----
+    // ---- protocol steps ----
 
-    /** One step of the protocol under the lock; what it sends goes out without it. */
+    /** Runs one step of the protocol under the lock, then sends its messages without the lock. */
     private void runStep(Supplier<List<ReplicationProtocol.OutgoingMessage>> step) {
         List<ReplicationProtocol.OutgoingMessage> messages;
         List<String> alarms;
@@ -153,9 +153,9 @@
             messages = step.get();
             alarms = collectChanges();
         } catch (RuntimeException e) {
-            // Guards against a fault here taking a peer's thread, or the process, with it.
+            // Guards against a fault here ending a thread of the peer links, or the process.
             if (failedSteps++ % FAILURES_PER_LOG_LINE == 0) {
-                LOG.error("a turn of the replica failed, {} until now", failedSteps, e);
+                LOG.error("replication step failed, {} failures so far", failedSteps, e);
             }
             return;
         } finally {
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Queues what a turn has changed for listeners and the disk, and returns its alarms; with the lock held. */
+    /** Queues the changes of a step for listeners and the disk, and returns its alarms; with the lock held. */
     private List<String> collectChanges() {
         boolean notifies = notifier.hasListeners();
         for (RecordTable.Change change : store.drainChanges()) {
@@ -191,7 +191,7 @@
         return alarms;
     }
 
-    /** Drives the protocol's timers until the end. */
+    /** Drives the protocol's timers until the replica is closed. */
     private void runTimers() {
         while (!monitor.isClosed()) {
             runStep(() -> {
@@ -222,7 +222,7 @@
         }
     }
 
-    // ---- for the process ----
+    // ---- reads and writes ----
 
     @Override
     public void put(RecordSpace space, String key, byte[] value) {
@@ -243,7 +243,7 @@
     }
 
     private static boolean rejectNegative(long increment) {
-        throw new IllegalArgumentException("a part of a sum only grows: " + increment);
+        throw new IllegalArgumentException("a counter can only grow, increment " + increment);
     }
 
     private void write(Supplier<Boolean> action) {
@@ -280,24 +280,24 @@
         notifier.addListener(listener);
     }
 
-    /** This member's incarnation: greater than that of its links if peers knew a later one. */
+    /** This member's incarnation; later than that of its links if peers knew a later one. */
     public long incarnation() {
         return monitor.locked(store::incarnation);
     }
 
-    /** This member's last write. */
+    /** The version of this member's last write. */
     public RecordVersion latestVersion() {
         return monitor.locked(() -> new RecordVersion(
                 store.incarnation(),
                 store.appliedSequence(store.localMember(), store.incarnation()).orElse(0)));
     }
 
-    /** The last differences that were found, with both values; what {@code state diff} shows. */
+    /** The latest differences between copies, with both values; shown by {@code state diff}. */
     public List<AntiEntropy.Difference> recentDifferences() {
         return monitor.locked(() -> protocol.antiEntropy().recentDifferences());
     }
 
-    /** What is held of each member; what {@code state status} shows. */
+    /** The state of the copy of each member's log; shown by {@code state status}. */
     public List<Status> status() {
         Map<String, MemberStatus> standings = new TreeMap<>();
         links.peers().forEach(peer -> standings.put(peer.name(), links.standing(peer.name())));
@@ -321,7 +321,7 @@
         });
     }
 
-    /** What it has done. */
+    /** Statistics since the start. */
     public Statistics statistics() {
         return monitor.locked(() -> new Statistics(
                 protocol.sentBytes(),
@@ -333,13 +333,17 @@
                 diskWriter != null && diskWriter.isHealthy()));
     }
 
-    /** How many peers have said that they hold all writes of this member up to this one. */
+    /** The number of peers that have reported all writes of this member up to this one as applied. */
     public int countPeersHolding(RecordVersion version) {
         return monitor.locked(() ->
                 version.incarnation() == store.incarnation() ? protocol.countPeersHolding(version.sequence()) : 0);
     }
 
-    /** Waits until all that was written until now is on the disk; false if the time is over or there is no disk. */
+    /**
+     * Waits until all changes until now are on disk.
+     *
+     * @return false if the time ran out, the last write failed or there is no disk
+     */
     public boolean awaitFlushed(double withinMs) throws InterruptedException {
         return diskWriter != null && diskWriter.awaitFlushed(withinMs);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
@@ -9,13 +9,14 @@
 /**
  * The last write of one key by one incarnation of its owner. Immutable.
  *
- * @param space the space
- * @param key the key within it, at most {@link #MOST_KEY} characters
- * @param version when, by the owner's count
- * @param value the content of an own record; null if it was removed, and for counted ones
- * @param count what this incarnation of the owner has added, and what was folded into it; 0 for own ones
- * @param below counters of incarnations earlier than this one are folded into {@code count}; 0 if none is
- * @param sum a checksum over all of it and the owner's name, made by the owner at the write
+ * @param space the space of the record
+ * @param key the key within the space, at most {@link #MAX_KEY_LENGTH} characters
+ * @param version incarnation and sequence number of the write
+ * @param value the content of a register; null if it was removed, and for counters
+ * @param count the sum that this incarnation of the owner has added, including what was folded into it; 0 for registers
+ * @param foldedBelow {@code count} includes the counters of the owner's incarnations before this one; 0 if it
+ *     includes none
+ * @param checksum a checksum over all components and the owner's name, computed by the owner at the write
  */
 public record ReplicatedRecord(
         RecordSpace space,
@@ -25,12 +26,12 @@
         long count,
         long foldedBelow,
         long checksum) {
-    /** Characters of a key, at the most. */
+    /** The maximum length of a key in characters. */
     public static final int MAX_KEY_LENGTH = 512;
-    /** Bytes of a value, at the most. */
+    /** The maximum size of a value in bytes. */
     public static final int MAX_VALUE_BYTES = 16 << 10;
 
-    /** Checks what can be checked without the owner's name. */
+    /** Checks bounds; the checksum is not checked, since it needs the owner's name. */
     public ReplicatedRecord {
         if (space == null
                 || key == null
@@ -44,18 +45,30 @@
                 || foldedBelow < 0
                 || foldedBelow > version.incarnation()
                 || space.kind() == RecordSpace.Kind.COUNTER && value != null) {
-            throw new IllegalArgumentException("not a record");
+            throw new IllegalArgumentException("malformed record");
         }
     }
 
-    /** A record with its checksum. */
+    /** Creates a record and computes its checksum. */
     public static ReplicatedRecord of(
-            String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
+            String owner,
+            RecordSpace space,
+            String key,
+            RecordVersion version,
+            byte[] value,
+            long count,
+            long foldedBelow) {
         return new ReplicatedRecord(
-                space, key, version, value, count, below, checksum(owner, space, key, version, value, count, below));
+                space,
+                key,
+                version,
+                value,
+                count,
+                foldedBelow,
+                computeChecksum(owner, space, key, version, value, count, foldedBelow));
     }
 
-    /** Whether this can be written as UTF-8 and read again: half a surrogate pair can't. */
+    /** Whether a text can be encoded as UTF-8; an unpaired surrogate can't. */
     static boolean isEncodable(String text) {
         return text.chars()
                         .noneMatch(character ->
@@ -63,34 +76,40 @@
                 || StandardCharsets.UTF_8.newEncoder().canEncode(text);
     }
 
-    /** Whether it is a tombstone: the key was removed. */
+    /** Whether this is a tombstone, which marks the removal of its key. */
     public boolean removed() {
         return value == null && space.kind() == RecordSpace.Kind.REGISTER;
     }
 
-    /** Whether it still is what its owner wrote: guards against a bit that flipped in memory, on a disk or a way. */
+    /** Whether the checksum matches the content. Guards against bits flipped in memory, on disk or in transit. */
     public boolean hasValidChecksum(String owner) {
         return checksum == computeChecksum(owner);
     }
 
-    /** The checksum of what it holds by now. */
+    /** Computes the checksum of the present content. */
     long computeChecksum(String owner) {
-        return checksum(owner, space, key, version, value, count, foldedBelow);
+        return computeChecksum(owner, space, key, version, value, count, foldedBelow);
     }
 
-    /** What it is found by. */
+    /** The key of this record including its space. */
     public RecordKey recordKey() {
         return new RecordKey(space, key);
     }
 
-    /** About how many bytes it takes in a message. */
+    /** The approximate size of this record in a message, in bytes. */
     int estimatedBytes() {
         return 40 + key.length() + (value == null ? 0 : value.length);
     }
 
-    /** Two cyclic checksums of different polynomials side by side: 64 bits against accidents, not against intent. */
-    private static long checksum(
-            String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
+    /** Combines CRC-32C and CRC-32 to 64 bits, which detect accidental changes but not deliberate ones. */
+    private static long computeChecksum(
+            String owner,
+            RecordSpace space,
+            String key,
+            RecordVersion version,
+            byte[] value,
+            long count,
+            long foldedBelow) {
         byte[] ownerBytes = owner.getBytes(StandardCharsets.UTF_8);
         byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
         ByteBuffer buffer =
@@ -103,7 +122,7 @@
                 .putLong(version.incarnation())
                 .putLong(version.sequence())
                 .putLong(count)
-                .putLong(below)
+                .putLong(foldedBelow)
                 .putInt(value == null ? -1 : value.length);
         if (value != null) {
             buffer.put(value);
@@ -120,9 +139,9 @@
     public String toString() {
         return space + "/" + key + "@" + version.incarnation() + "." + version.sequence() + "="
                 + (removed()
-                        ? "gone"
+                        ? "removed"
                         : value == null
-                                ? count + (foldedBelow == 0 ? "" : " with all below " + foldedBelow)
+                                ? count + (foldedBelow == 0 ? "" : " including incarnations before " + foldedBelow)
                                 : value.length > 64
                                         ? value.length + " bytes"
                                         : new String(value, StandardCharsets.UTF_8));
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
@@ -14,11 +14,11 @@
 import java.util.List;
 
 /**
- * Messages and records as bytes: one byte that says which message it is, then CBOR (RFC 8949) by Jackson. Reading is
- * bounded in length and depth, and answers anything else than a message with an {@link IOException}.
+ * Encodes messages and records as one byte for the message type, followed by CBOR (RFC 8949) written by Jackson. Records
+ * have no type byte. Decoding is bounded in length and depth, and throws an {@link IOException} on malformed input.
  */
 public final class ReplicationCodec {
-    /** Bytes of a message, at the most. */
+    /** The maximum size of a message in bytes. */
     public static final int MAX_BYTES = 256 << 10;
 
     private static final List<Class<? extends ReplicationMessage>> MESSAGE_TYPES = List.of(
@@ -57,7 +57,7 @@
         return mapper;
     }
 
-    /** A message as bytes. */
+    /** Encodes a message. */
     public static byte[] write(ReplicationMessage message) {
         byte[] body = encode(message);
         byte[] bytes = new byte[body.length + 1];
@@ -67,23 +67,23 @@
     }
 
     /**
-     * A message from bytes.
+     * Decodes a message.
      *
-     * @throws IOException if they are none, or go past a bound
+     * @throws IOException if the bytes are malformed or exceed a bound
      */
     public static ReplicationMessage read(byte[] bytes) throws IOException {
         if (bytes.length < 2 || bytes.length > MAX_BYTES || bytes[0] < 0 || bytes[0] >= MESSAGE_TYPES.size()) {
-            throw new IOException("not a message of replication, " + bytes.length + " bytes");
+            throw new IOException("not a replication message: " + bytes.length + " bytes");
         }
         return read(READERS.get(bytes[0]), bytes, 1, bytes.length - 1);
     }
 
-    /** A record as bytes. */
+    /** Encodes a record. */
     static byte[] write(ReplicatedRecord record) {
         return encode(record);
     }
 
-    /** A record from bytes. */
+    /** Decodes a record. */
     static ReplicatedRecord readRecord(byte[] bytes) throws IOException {
         return read(RECORD_READER, bytes, 0, bytes.length);
     }
@@ -92,7 +92,7 @@
         try {
             return WRITER.writeValueAsBytes(object);
         } catch (IOException e) {
-            throw new IllegalStateException("can't be written: " + object, e);
+            throw new IllegalStateException("can't be encoded: " + object, e);
         }
     }
 
@@ -100,12 +100,13 @@
         try {
             T decoded = reader.readValue(bytes, offset, length);
             if (decoded == null) {
-                throw new IOException("nothing in it");
+                throw new IOException("decoded to null");
             }
             return decoded;
         } catch (RuntimeException e) {
-            // Guards against a parser's own fault on bytes from outside.
-            throw new IOException("can't be read: " + Arrays.hashCode(bytes), e);
+            // Guards against exceptions of the parser on malformed input.
+            throw new IOException(
+                    "can't be decoded: " + bytes.length + " bytes with hash " + Arrays.hashCode(bytes), e);
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
@@ -1,18 +1,19 @@
 package brackenbridge.fleet.replica;
 
 /**
- * How a member exchanges records; times in milliseconds.
+ * Bounds and intervals of the replication; times in milliseconds.
  *
- * @param bytesASecond what it sends, at the most
- * @param pushMs writes of so long go out together
- * @param beatMs between two heartbeats; so often it also compares how far it is with others
- * @param digestMs between two comparisons of contents
- * @param againMs after so long without an answer it asks again
- * @param lagMs a member that lacks for longer what it knows of is not level
- * @param removalMs how long a removal is remembered
- * @param mesh up to so many peers, a write goes from its owner to each; with more, each passes news on to some
- * @param fanOut to how many news are passed on, above that
- * @param pieceBytes the size of a piece of a log, about
+ * @param bytesPerSecond the maximum rate of sent bytes
+ * @param pushIntervalMs the interval at which writes are pushed; writes within it are batched
+ * @param heartbeatIntervalMs the interval of heartbeats, and of the comparison of log positions with peers
+ * @param digestIntervalMs the mean interval of digest comparisons
+ * @param requestTimeoutMs the time after which an unanswered request is repeated; multiplied by the backoff
+ * @param maxLagMs a member that lacks reported writes for longer than this is not caught up
+ * @param tombstoneRetentionMs the time after which tombstones are forgotten
+ * @param maxMeshPeers up to this number of reachable peers an owner pushes its writes to each of them; above it, members
+ *     forward changes by gossip
+ * @param fanOut the number of peers to which a member forwards changes by gossip
+ * @param chunkBytes the approximate size of a chunk of a log
  */
 public record ReplicationLimits(
         double bytesPerSecond,
@@ -25,7 +26,7 @@
         int maxMeshPeers,
         int fanOut,
         int chunkBytes) {
-    /** What holds without a word in the file. */
+    /** The limits that apply where the fleet file sets none. */
     public static final ReplicationLimits DEFAULT =
             new ReplicationLimits(1_000_000, 20, 1000, 2000, 300, 2000, 60_000, 32, 4, 32 << 10);
 
@@ -41,11 +42,11 @@
                 || fanOut < 1
                 || chunkBytes < 1024
                 || chunkBytes > 128 << 10) {
-            throw new IllegalArgumentException("terms out of bounds");
+            throw new IllegalArgumentException("replication limits out of bounds");
         }
     }
 
-    /** The same with another bound on what it sends. */
+    /** A copy with another rate of sent bytes. */
     public ReplicationLimits withBytesPerSecond(double bytesPerSecond) {
         return new ReplicationLimits(
                 bytesPerSecond,
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationMessage.java
@@ -5,24 +5,26 @@
 import java.util.Objects;
 
 /**
- * What members tell each other about own and counted records. All are idempotent, and each may be lost, late, repeated
- * or out of order.
+ * Messages of the replication of registers and counters. All are idempotent, and each may be lost, delayed, duplicated
+ * or reordered.
  */
 public sealed interface ReplicationMessage {
-    /** Elements of any list of a message, at the most. */
+    /** The maximum number of elements of a list in a message. */
     int MAX_LIST_SIZE = 1024;
 
     /**
-     * That an owner is alive, and how far the sender's copy of its newest incarnation is.
+     * An owner's last heartbeat, and the position of the sender's copy of its newest incarnation.
      *
-     * @param owner whose
-     * @param life its newest incarnation that the sender has heard of
-     * @param nonce drawn by the owner's process at its start: two for one incarnation are two writers
-     * @param beat grows with every heartbeat
-     * @param said how many writes the owner had made at that beat
-     * @param have how many of them the sender has
-     * @param ageMs how long ago the owner gave this beat, as far as the sender's clock and those before it know
-     * @param aside whether this incarnation was quarantined because two wrote in it
+     * @param owner the owner's name
+     * @param incarnation the newest incarnation known to the sender
+     * @param nonce a random number drawn by the owner's process at its start; two of them in one incarnation mean two
+     *     writers
+     * @param heartbeat the number of the heartbeat, which grows with each one
+     * @param announcedSequence the number of writes that the owner had made at that heartbeat
+     * @param appliedSequence the number of them that the sender has applied
+     * @param ageMs the time since the owner sent that heartbeat, by the clocks of the sender and of the members that
+     *     forwarded it
+     * @param quarantined whether this incarnation was quarantined because two processes wrote in it
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record OwnerSummary(
@@ -42,11 +44,11 @@
     }
 
     /**
-     * How much of an ended incarnation the sender has.
+     * The position of the sender's copy of an ended incarnation.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param have how many of its writes
+     * @param owner the owner's name
+     * @param incarnation the ended incarnation
+     * @param appliedSequence the number of its writes that the sender has applied
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record EndedLog(String owner, long incarnation, long appliedSequence) {
@@ -58,12 +60,12 @@
     }
 
     /**
-     * Marks, all that the sender has or the news.
+     * Summaries of all owners known to the sender, or of changed ones.
      *
-     * @param ask whether the sender wants the receiver's in return
-     * @param whole whether this ends a list of all that the sender has
-     * @param marks newest incarnations
-     * @param ended ended incarnations of which counters are kept
+     * @param replyRequested whether the receiver is to send its summaries in return
+     * @param complete whether this is the last part of a list of all the sender's summaries
+     * @param summaries the owners' newest incarnations
+     * @param endedLogs ended incarnations whose counters are kept
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record OwnerSummaries(
@@ -76,13 +78,13 @@
     }
 
     /**
-     * Asks for what is missing of one incarnation.
+     * Requests the missing writes of one incarnation.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param have all up to this write are there
-     * @param cursor with a snapshot under way: it is taken up to this write; else 0
-     * @param base with a snapshot under way: it ends at this write; else 0
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param appliedSequence all writes up to this one are applied
+     * @param snapshotCursor the position up to which a snapshot in progress is applied; 0 if there is none
+     * @param snapshotEnd the position at which that snapshot ends; 0 if there is none
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record LogRequest(String owner, long incarnation, long appliedSequence, long snapshotCursor, long snapshotEnd) {
@@ -94,9 +96,9 @@
     }
 
     /**
-     * Asks for what is missing.
+     * Requests missing writes.
      *
-     * @param wants of which incarnations
+     * @param requests one request for each incarnation
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record LogRequests(List<LogRequest> requests) implements ReplicationMessage {
@@ -107,18 +109,20 @@
     }
 
     /**
-     * The last writes of all keys of one incarnation that were written last after {@code from} and up to {@code to}.
+     * A chunk of the log or of a snapshot of one incarnation: the last write of each key whose sequence number is
+     * greater than {@code afterSequence} and at most {@code upToSequence}.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param newest the newest incarnation that the sender knows; if later, this one has ended and its own records
-     *     are left out
-     * @param from after this write
-     * @param to up to this write
-     * @param base 0: the receiver needs all up to {@code from}; else this is a piece of a snapshot that ends at this
-     *     write, and what the receiver has between {@code from} and {@code to} that is not in it is gone
-     * @param floor tombstones up to this write are forgotten by the sender
-     * @param entries the writes, earliest first
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param newestIncarnation the newest incarnation known to the sender; if it is later, {@code incarnation} has
+     *     ended and its registers are left out
+     * @param afterSequence the exclusive lower bound of the sequence numbers
+     * @param upToSequence the inclusive upper bound of the sequence numbers
+     * @param snapshotEnd 0 for a chunk of the log, before which the receiver needs all writes up to
+     *     {@code afterSequence}; otherwise the position at which the snapshot ends, and records of the receiver within
+     *     the bounds that are not in the chunk were removed
+     * @param tombstoneFloor the sender has forgotten tombstones up to this write
+     * @param records the writes, earliest first
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record LogChunk(
@@ -142,25 +146,25 @@
                 if (record.version().incarnation() != incarnation
                         || record.version().sequence() <= previous
                         || record.version().sequence() > upToSequence) {
-                    throw new IllegalArgumentException("a write out of order");
+                    throw new IllegalArgumentException("write out of order: " + record.version());
                 }
                 previous = record.version().sequence();
             }
             if (upToSequence < afterSequence
                     || incarnation > newestIncarnation
                     || snapshotEnd != 0 && upToSequence > snapshotEnd) {
-                throw new IllegalArgumentException("not a piece of a log");
+                throw new IllegalArgumentException("malformed bounds of a log chunk");
             }
         }
     }
 
     /**
-     * A digest of a copy of one incarnation.
+     * A digest of the sender's copy of one incarnation.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param have up to which write the copy is
-     * @param digest over all ranges of keys
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param appliedSequence the position of the copy
+     * @param digest the digest over all ranges of keys
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record LogDigest(String owner, long incarnation, long appliedSequence, long digest) {
@@ -172,9 +176,9 @@
     }
 
     /**
-     * Digests of copies, for comparison.
+     * Digests of the sender's copies, for comparison.
      *
-     * @param digests of which incarnations
+     * @param digests one digest for each incarnation
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record LogDigests(List<LogDigest> digests) implements ReplicationMessage {
@@ -185,12 +189,12 @@
     }
 
     /**
-     * Digests of a copy by ranges of keys.
+     * Digests of the sender's copy of one incarnation by ranges of keys.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param have up to which write the copy is
-     * @param digests one for each range
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param appliedSequence the position of the copy
+     * @param digests one digest for each range
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record RangeDigests(String owner, long incarnation, long appliedSequence, List<Long> digests)
@@ -202,22 +206,23 @@
             if (digests == null
                     || digests.size() != RecordKey.RANGE_COUNT
                     || digests.stream().anyMatch(Objects::isNull)) {
-                throw new IllegalArgumentException("not as many ranges as there are");
+                throw new IllegalArgumentException("expected " + RecordKey.RANGE_COUNT + " digests");
             }
         }
     }
 
     /**
-     * All records of a copy in a range of keys, as it holds them.
+     * The records of a range of keys in the sender's copy of one incarnation.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param have up to which write the copy is
-     * @param range which range
-     * @param part counts the pieces of the range from 0
-     * @param last whether it is the last piece
-     * @param ask whether the sender wants the receiver's in return
-     * @param entries the records in the order of their keys, complete from the first one's key to the last one's
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param appliedSequence the position of the copy
+     * @param range the index of the range
+     * @param piece the index of this piece of the range, from 0
+     * @param lastPiece whether this is the last piece
+     * @param replyRequested whether the receiver is to send its records in return
+     * @param records the records in the order of their keys; no record of the copy is left out between the first and
+     *     the last key
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record RangeRecords(
@@ -236,21 +241,21 @@
             requireNonNegative(incarnation, appliedSequence, range, piece);
             requireBounded(records);
             if (range >= RecordKey.RANGE_COUNT) {
-                throw new IllegalArgumentException("no such range");
+                throw new IllegalArgumentException("no such range: " + range);
             }
         }
     }
 
     private static void requireName(String name) {
         if (name == null || name.isEmpty() || name.length() > 128 || !ReplicatedRecord.isEncodable(name)) {
-            throw new IllegalArgumentException("not a member's name");
+            throw new IllegalArgumentException("malformed member name");
         }
     }
 
     private static void requireNonNegative(long... numbers) {
         for (long number : numbers) {
             if (number < 0) {
-                throw new IllegalArgumentException("a negative number");
+                throw new IllegalArgumentException("negative number: " + number);
             }
         }
     }
@@ -258,7 +263,7 @@
     private static void requireBounded(List<?>... lists) {
         for (List<?> list : lists) {
             if (list == null || list.size() > MAX_LIST_SIZE || list.stream().anyMatch(Objects::isNull)) {
-                throw new IllegalArgumentException("not a list within bounds");
+                throw new IllegalArgumentException("malformed list: null, too long or with null elements");
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -1,7 +1,6 @@
 package brackenbridge.fleet.replica;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -11,28 +10,28 @@
 import java.util.TreeSet;
 
 /**
- * Which messages go to which peer, and when. Writes are pushed at once: by their owner to each peer in a small fleet;
- * in a large one each member passes news on to a few, once (rumours, Demers et al., Epidemic algorithms for replicated
- * database maintenance, 1987). Beside that every member compares how far it is with others again and again
- * (anti-entropy, the same paper), asks for what it lacks, and compares contents by digests.
+ * Decides which messages are sent to which peer, and when. Writes are pushed immediately: in a small fleet by their owner
+ * to each peer; in a large one each member forwards a change once to a few peers (rumor mongering; Demers et al.,
+ * Epidemic algorithms for replicated database maintenance, 1987). In addition every member periodically compares log
+ * positions with peers (anti-entropy, same paper), requests missing writes, and compares contents by digests.
  *
- * <p>Times and messages in, messages out. One thread at a time.
+ * <p>Without I/O, threads or timers: the caller passes times and messages. Not thread-safe.
  */
 public final class ReplicationProtocol {
-    /** Requests of one peer that wait for an answer, at the most. */
+    /** The maximum number of unanswered requests of one peer. */
     private static final int MAX_PENDING_REQUESTS = 1024;
-    /** Between two attempts to fold ended incarnations, in heartbeats. */
+    /** The interval of attempts to fold ended incarnations, in heartbeats. */
     private static final int FOLD_HEARTBEATS = 10;
-    /** After so many heartbeats one full list is enough to begin with. */
+    /** After this number of heartbeats the complete summaries of one peer suffice for initialization. */
     private static final int FULL_WAIT_HEARTBEATS = 3;
-    /** Full lists that are enough to begin with in a large fleet. */
+    /** The number of peers whose complete summaries suffice for initialization in a large fleet. */
     private static final int LARGE_FLEET_SUMMARIES = 3;
 
     /**
      * A message to send.
      *
-     * @param peer to whom
-     * @param body the message
+     * @param peer the receiver
+     * @param body the encoded message
      */
     public record OutgoingMessage(String peer, byte[] body) {}
 
@@ -45,16 +44,20 @@
     private final Map<String, PeerProgress> peers = new TreeMap<>();
     private List<String> configuredPeers = List.of();
     private List<String> reachablePeers = List.of();
+    /** Peers with unanswered requests, in the order of their turns. */
     private final LinkedHashSet<String> requesters = new LinkedHashSet<>();
+    /** Owners whose summaries have changed since the last push. */
     private final TreeSet<String> changedOwners = new TreeSet<>();
-    private final Map<String, Long> pushFromSequences = new HashMap<>();
+    /** The position after which to push, by owner with new writes. */
+    private final Map<String, Long> pushAfterSequences = new HashMap<>();
+
     private final double startedAtMs;
     private double nextPushMs;
     private double nextHeartbeatMs;
     private double nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
     private double nextDigestMs;
     private double nextFoldMs;
-    /** Whether enough peers have listed all their marks; this member announces nothing before. */
+    /** Whether enough peers have sent all their summaries; this member announces nothing before. */
     private boolean initialized;
 
     private int nextDigestPeer;
@@ -62,7 +65,7 @@
     private long throttledMessages;
     private long malformedMessages;
 
-    /** A protocol for this copy; it begins at this time, in milliseconds. */
+    /** Creates the protocol for a copy; {@code nowMs} is the time of its start. */
     public ReplicationProtocol(RecordStore store, ReplicationLimits limits, SplittableRandom random, double nowMs) {
         this.store = store;
         this.limits = limits;
@@ -81,8 +84,8 @@
     /**
      * Sets the peers.
      *
-     * @param all peers by the configuration
-     * @param reach those that can be reached, as far as is known
+     * @param configured all peers of the fleet file
+     * @param reachable those that are not known to be dead
      */
     public void setPeers(List<String> configured, List<String> reachable) {
         configuredPeers = List.copyOf(configured);
@@ -91,7 +94,7 @@
         configuredPeers.forEach(peer -> peers.computeIfAbsent(peer, name -> new PeerProgress()));
     }
 
-    /** A peer can be reached again: positions of logs are compared with it at once. */
+    /** A peer has become reachable; log positions are compared with it immediately. */
     public void onPeerReachable(String peer) {
         PeerProgress progress = peers.get(peer);
         if (progress != null) {
@@ -102,13 +105,13 @@
     }
 
     /**
-     * This member has written.
+     * This member has written; the writes are pushed in the next interval.
      *
-     * @param had the sequence number before the writes
+     * @param previousSequence the sequence number before the writes
      */
     public void onLocalWrite(long previousSequence) {
         changedOwners.add(store.localMember());
-        pushFromSequences.merge(store.localMember(), previousSequence, Math::min);
+        pushAfterSequences.merge(store.localMember(), previousSequence, Math::min);
     }
 
     /** The next time at which {@link #tick} has something to do, in milliseconds. */
@@ -116,9 +119,9 @@
         return Math.min(nextPushMs, nextHeartbeatMs);
     }
 
-    // ---- out ----
+    // ---- sending ----
 
-    /** What is to be sent by now. */
+    /** Runs the timers that are due and returns the messages to send. */
     public List<OutgoingMessage> tick(double nowMs) {
         List<OutgoingMessage> out = new ArrayList<>();
         if ((!initialized || nowMs >= nextSummaryRequestMs) && !reachablePeers.isEmpty()) {
@@ -166,7 +169,7 @@
         out.add(new OutgoingMessage(peer, body));
     }
 
-    /** Requests full lists of marks from peers that have not sent one yet. */
+    /** Requests complete summaries from peers that have not sent them yet. */
     private void requestSummaries(double nowMs, List<OutgoingMessage> out) {
         long listed = reachablePeers.stream()
                 .filter(peer -> peers.get(peer).hasSentAllSummaries)
@@ -189,13 +192,9 @@
             }
         }
         if (!initialized) {
-            // Some that can't be reached are not known as such yet: after a few heartbeats, those who answered are
-            // enough.
-            int required = large
-                    ? LARGE_FLEET_SUMMARIES
-                    : nowMs > startedAtMs + FULL_WAIT_HEARTBEATS * limits.heartbeatIntervalMs()
-                            ? 1
-                            : reachablePeers.size();
+            // Some unreachable peers may not be known as such yet: after a few heartbeats one answer suffices.
+            boolean waited = nowMs > startedAtMs + FULL_WAIT_HEARTBEATS * limits.heartbeatIntervalMs();
+            int required = large ? LARGE_FLEET_SUMMARIES : waited ? 1 : reachablePeers.size();
             initialized = listed > 0 && listed >= Math.min(reachablePeers.size(), required);
             if (initialized) {
                 store.startAnnouncing();
@@ -204,25 +203,21 @@
         }
     }
 
-    /** All marks there are, in as many messages as it takes. */
+    /** Sends all summaries, in as many messages as needed. */
     private void sendSummaries(String peer, boolean replyRequested, double nowMs, List<OutgoingMessage> out) {
         TreeSet<String> names = new TreeSet<>(store.owners());
         if (!initialized) {
-            // Guards against an incarnation that was used before: nobody announces itself before it has heard the
-            // others.
+            // Guards against reuse of an earlier incarnation: summaries of others must arrive first.
             names.remove(store.localMember());
         }
-        List<ReplicationMessage.OwnerSummary> marks = store.summaries(names, nowMs);
-        List<ReplicationMessage.EndedLog> ended = store.endedLogs();
-        int pieces = 1 + Math.max(marks.size(), ended.size()) / ReplicationMessage.MAX_LIST_SIZE;
+        List<ReplicationMessage.OwnerSummary> summaries = store.summaries(names, nowMs);
+        List<ReplicationMessage.EndedLog> endedLogs = store.endedLogs();
+        int pieces = 1 + Math.max(summaries.size(), endedLogs.size()) / ReplicationMessage.MAX_LIST_SIZE;
         for (int i = 0; i < pieces; i++) {
             boolean last = i == pieces - 1;
-            send(
-                    peer,
-                    new ReplicationMessage.OwnerSummaries(
-                            replyRequested && last, last, slice(marks, i), slice(ended, i)),
-                    nowMs,
-                    out);
+            ReplicationMessage.OwnerSummaries message = new ReplicationMessage.OwnerSummaries(
+                    replyRequested && last, last, slice(summaries, i), slice(endedLogs, i));
+            send(peer, message, nowMs, out);
         }
     }
 
@@ -251,22 +246,19 @@
                 ? List.copyOf(changedOwners)
                 : changedOwners.contains(store.localMember()) ? List.of(store.localMember()) : List.of();
         if (!owners.isEmpty()) {
-            if (owners.contains(store.localMember()) && pushFromSequences.containsKey(store.localMember())) {
+            if (owners.contains(store.localMember()) && pushAfterSequences.containsKey(store.localMember())) {
                 store.incrementHeartbeat();
             }
             List<ReplicationMessage> messages = new ArrayList<>();
-            List<ReplicationMessage.OwnerSummary> marks = store.summaries(owners, nowMs);
-            for (int i = 0; i * ReplicationMessage.MAX_LIST_SIZE < marks.size(); i++) {
-                messages.add(new ReplicationMessage.OwnerSummaries(false, false, slice(marks, i), List.of()));
+            List<ReplicationMessage.OwnerSummary> summaries = store.summaries(owners, nowMs);
+            for (int i = 0; i * ReplicationMessage.MAX_LIST_SIZE < summaries.size(); i++) {
+                messages.add(new ReplicationMessage.OwnerSummaries(false, false, slice(summaries, i), List.of()));
             }
             for (String owner : owners) {
-                ReplicationMessage.LogChunk chunk = pushFromSequences.containsKey(owner)
-                        ? store.readAfter(
-                                owner,
-                                store.newestIncarnation(owner),
-                                pushFromSequences.get(owner),
-                                limits.chunkBytes())
-                        : null;
+                Long after = pushAfterSequences.get(owner);
+                long newest = store.newestIncarnation(owner);
+                ReplicationMessage.LogChunk chunk =
+                        after == null ? null : store.readAfter(owner, newest, after, limits.chunkBytes());
                 if (chunk != null) {
                     messages.add(chunk);
                 }
@@ -278,21 +270,19 @@
             }
         }
         changedOwners.clear();
-        pushFromSequences.clear();
+        pushAfterSequences.clear();
     }
 
     private void requestMissing(double nowMs, List<OutgoingMessage> out) {
-        catchUp.dueRequests(nowMs)
-                .forEach((peer, logs) -> send(
-                        peer,
-                        new ReplicationMessage.LogRequests(logs.stream()
-                                .map(log -> store.createRequest(log.owner(), log.incarnation()))
-                                .toList()),
-                        nowMs,
-                        out));
+        catchUp.dueRequests(nowMs).forEach((peer, logs) -> {
+            List<ReplicationMessage.LogRequest> requests = logs.stream()
+                    .map(log -> store.createRequest(log.owner(), log.incarnation()))
+                    .toList();
+            send(peer, new ReplicationMessage.LogRequests(requests), nowMs, out);
+        });
     }
 
-    /** Answers requests as far as the rate limit allows: each peer gets a piece in turn. */
+    /** Answers requests as far as the rate limit allows, with one chunk for each peer in turn. */
     private void answerRequests(double nowMs, List<OutgoingMessage> out) {
         while (!requesters.isEmpty() && bucket.canSendDeferrable(nowMs)) {
             String peer = requesters.iterator().next();
@@ -312,18 +302,14 @@
         }
     }
 
-    /** Folds ended incarnations of this member once all members have said to hold as much of them as this one. */
+    /** Folds ended incarnations of this member once all peers have reported the same positions in them. */
     private void foldEndedIncarnations(double nowMs) {
-        Map<Long, Long> ended = store.endedLocalIncarnations();
         long endBefore = 0;
-        for (Map.Entry<Long, Long> endedSequence : ended.entrySet()) {
-            if (!configuredPeers.stream()
-                    .allMatch(peer -> endedSequence
-                            .getValue()
-                            .equals(peers.get(peer).endedSequences.get(endedSequence.getKey())))) {
+        for (Map.Entry<Long, Long> ended : store.endedLocalIncarnations().entrySet()) {
+            if (!configuredPeers.stream().allMatch(peer -> peers.get(peer).hasEndedLog(ended))) {
                 break;
             }
-            endBefore = endedSequence.getKey() + 1;
+            endBefore = ended.getKey() + 1;
         }
         if (endBefore > 0 && catchUp.isCaughtUp(initialized, nowMs)) {
             long previousSequence = store.appliedSequence(store.localMember(), store.incarnation())
@@ -334,20 +320,21 @@
         }
     }
 
-    // ---- in ----
+    // ---- receiving ----
 
     /**
-     * A message has come.
+     * Handles a received message.
      *
-     * @param peer who sent it
-     * @param life the incarnation of the sender's process
-     * @param body the message
-     * @return what is to be sent at once in answer
+     * @param peer the sender
+     * @param incarnation the incarnation of the sender's process
+     * @param body the encoded message
+     * @param nowMs the present time in milliseconds
+     * @return messages to send in answer
      */
     public List<OutgoingMessage> onMessage(String peer, long incarnation, byte[] body, double nowMs) {
         List<OutgoingMessage> out = new ArrayList<>();
         PeerProgress progress = peers.get(peer);
-        // Guards against what an ended process of the peer left on its way.
+        // Guards against delayed messages of an ended process of the peer.
         if (progress == null || incarnation < progress.incarnation) {
             return out;
         }
@@ -359,10 +346,10 @@
             malformedMessages++;
             return out;
         }
-        if (message instanceof ReplicationMessage.OwnerSummaries marks) {
-            onSummaries(peer, progress, marks, nowMs, out);
-        } else if (message instanceof ReplicationMessage.LogRequests wants) {
-            for (ReplicationMessage.LogRequest request : wants.requests()) {
+        if (message instanceof ReplicationMessage.OwnerSummaries summaries) {
+            onSummaries(peer, progress, summaries, nowMs, out);
+        } else if (message instanceof ReplicationMessage.LogRequests requests) {
+            for (ReplicationMessage.LogRequest request : requests.requests()) {
                 if (progress.pendingRequests.size() < MAX_PENDING_REQUESTS) {
                     progress.pendingRequests.put(new CatchUp.LogId(request.owner(), request.incarnation()), request);
                 }
@@ -395,18 +382,18 @@
             ReplicationMessage.OwnerSummaries summaries,
             double nowMs,
             List<OutgoingMessage> out) {
-        for (ReplicationMessage.OwnerSummary mark : summaries.summaries()) {
-            long newest = store.newestIncarnation(mark.owner());
-            if (store.merge(mark, nowMs)) {
-                changedOwners.add(mark.owner());
+        for (ReplicationMessage.OwnerSummary summary : summaries.summaries()) {
+            long newest = store.newestIncarnation(summary.owner());
+            if (store.merge(summary, nowMs)) {
+                changedOwners.add(summary.owner());
             }
-            if (mark.incarnation() > newest) {
-                catchUp.dropEnded(mark.owner(), mark.incarnation());
-                pushFromSequences.remove(mark.owner());
+            if (summary.incarnation() > newest) {
+                catchUp.dropEnded(summary.owner(), summary.incarnation());
+                pushAfterSequences.remove(summary.owner());
             }
-            onPosition(peer, mark.owner(), mark.incarnation(), mark.appliedSequence(), nowMs);
-            if (mark.owner().equals(store.localMember()) && mark.incarnation() == store.incarnation()) {
-                progress.acknowledgedSequence = Math.max(progress.acknowledgedSequence, mark.appliedSequence());
+            onPosition(peer, summary.owner(), summary.incarnation(), summary.appliedSequence(), nowMs);
+            if (summary.owner().equals(store.localMember()) && summary.incarnation() == store.incarnation()) {
+                progress.acknowledgedSequence = Math.max(progress.acknowledgedSequence, summary.appliedSequence());
             }
         }
         for (ReplicationMessage.EndedLog ended : summaries.endedLogs()) {
@@ -416,9 +403,7 @@
             }
         }
         if (summaries.complete()) {
-            progress.hasSentAllSummaries = true;
-            progress.endedSequences = progress.partialEndedSequences;
-            progress.partialEndedSequences = new TreeMap<>();
+            progress.completeSummaries();
         }
         if (summaries.replyRequested()) {
             sendSummaries(peer, false, nowMs, out);
@@ -429,14 +414,10 @@
         if (owner.equals(store.localMember()) && incarnation >= store.incarnation()) {
             return;
         }
-        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
-        long appliedSequence = store.appliedSequence(owner, incarnation).orElse(0);
-        if (incarnation < store.newestIncarnation(owner)) {
-            // What remains of an ended incarnation is fetched only if it was not folded.
-            appliedSequence = store.appliedSequence(owner, incarnation)
-                    .orElse(incarnation < oldestKeptIncarnation(owner) ? Long.MAX_VALUE : 0);
-        }
-        catchUp.onPosition(peer, log, reportedSequence, appliedSequence, nowMs);
+        // The rest of an ended incarnation is requested only if it was not folded.
+        boolean folded = incarnation < store.newestIncarnation(owner) && incarnation < oldestKeptIncarnation(owner);
+        long appliedSequence = store.appliedSequence(owner, incarnation).orElse(folded ? Long.MAX_VALUE : 0);
+        catchUp.onPosition(peer, new CatchUp.LogId(owner, incarnation), reportedSequence, appliedSequence, nowMs);
     }
 
     private long oldestKeptIncarnation(String owner) {
@@ -445,40 +426,32 @@
     }
 
     private void onChunk(String peer, ReplicationMessage.LogChunk chunk, double nowMs, List<OutgoingMessage> out) {
-        long previousSequence =
-                store.appliedSequence(chunk.owner(), chunk.incarnation()).orElse(0);
+        String owner = chunk.owner();
+        long incarnation = chunk.incarnation();
+        long previousSequence = store.appliedSequence(owner, incarnation).orElse(0);
         RecordStore.MergeResult result = store.merge(chunk, nowMs);
-        CatchUp.LogId log = new CatchUp.LogId(chunk.owner(), chunk.incarnation());
+        long newest = store.newestIncarnation(owner);
+        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
         if (result == RecordStore.MergeResult.NEW) {
-            if (chunk.incarnation() == store.newestIncarnation(chunk.owner())) {
-                changedOwners.add(chunk.owner());
-                pushFromSequences.merge(chunk.owner(), previousSequence, Math::min);
+            if (incarnation == newest) {
+                changedOwners.add(owner);
+                pushAfterSequences.merge(owner, previousSequence, Math::min);
             }
-            catchUp.onProgress(
-                    log,
-                    store.appliedSequence(chunk.owner(), chunk.incarnation()).orElse(chunk.upToSequence()),
-                    nowMs);
+            long applied = store.appliedSequence(owner, incarnation).orElse(chunk.upToSequence());
+            catchUp.onProgress(log, applied, nowMs);
             requestMissing(nowMs, out);
         } else if (result == RecordStore.MergeResult.GAP) {
-            onPosition(
-                    peer,
-                    chunk.owner(),
-                    chunk.incarnation(),
-                    chunk.snapshotEnd() == 0 ? chunk.upToSequence() : chunk.snapshotEnd(),
-                    nowMs);
+            long reported = chunk.snapshotEnd() == 0 ? chunk.upToSequence() : chunk.snapshotEnd();
+            onPosition(peer, owner, incarnation, reported, nowMs);
         } else if (result == RecordStore.MergeResult.KNOWN) {
-            catchUp.onProgress(
-                    log,
-                    Math.max(
-                            previousSequence,
-                            chunk.incarnation() < store.newestIncarnation(chunk.owner()) ? chunk.upToSequence() : 0),
-                    nowMs);
+            long known = incarnation < newest ? chunk.upToSequence() : 0;
+            catchUp.onProgress(log, Math.max(previousSequence, known), nowMs);
         }
     }
 
-    // ---- figures ----
+    // ---- statistics ----
 
-    /** How far this member is. */
+    /** How current this member's copy is. */
     public Replica.SyncState syncState(double nowMs) {
         return new Replica.SyncState(
                 catchUp.isCaughtUp(initialized, nowMs),
@@ -487,20 +460,20 @@
                 antiEntropy.hasDiscardedLogs() || store.quarantineReason(store.localMember()) != null);
     }
 
-    /** The copies that differ. */
+    /** The comparison of copies by content. */
     public AntiEntropy antiEntropy() {
         return antiEntropy;
     }
 
-    /** How many peers there are by the file. */
+    /** The number of peers of the fleet file. */
     int countConfiguredPeers() {
         return configuredPeers.size();
     }
 
-    /** How many peers have said that they hold this member's writes up to this one. */
+    /** The number of peers that have reported this member's writes up to this one as applied. */
     int countPeersHolding(long sequence) {
         return (int) peers.values().stream()
-                .filter(progress -> progress.acknowledgedSequence >= sequence)
+                .filter(p -> p.acknowledgedSequence >= sequence)
                 .count();
     }
 
@@ -509,19 +482,18 @@
         return sentBytes;
     }
 
-    /** Messages that were not sent for want of bytes. */
+    /** Messages that were not sent because of the rate limit. */
     public long throttledMessages() {
         return throttledMessages;
     }
 
-    /** Messages that could not be read. */
+    /** Received messages that could not be decoded. */
     public long malformedMessages() {
         return malformedMessages;
     }
 
     @Override
     public String toString() {
-        return store.localMember() + ": "
-                + Arrays.toString(new long[] {sentBytes, throttledMessages, malformedMessages});
+        return store.localMember() + ": [" + sentBytes + ", " + throttledMessages + ", " + malformedMessages + "]";
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/SummaryMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/SummaryMerger.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Merges marks, by which peers say which incarnation of an owner is the newest and how far it has written. A mark of
- * this member itself may say that another process has used its name; then this one either takes a later incarnation, as
- * a SWIM member refutes a suspicion (Das, Gupta, Motivala: SWIM, 2002), or is quarantined.
+ * Merges summaries, in which peers report the newest incarnation of an owner and its position. A summary of this member
+ * itself may show that another process has used its name; then this process either takes a later incarnation, as a SWIM
+ * member refutes a suspicion (Das, Gupta, Motivala: SWIM, 2002), or is quarantined.
  */
 final class SummaryMerger {
     private final RecordTable table;
@@ -18,92 +18,94 @@
         this.writer = writer;
     }
 
-    /** Merges a mark; true if it was news. */
-    boolean merge(ReplicationMessage.OwnerSummary mark, double nowMs) {
-        if (local.isNamed(mark.owner())) {
-            return mergeOfLocal(mark, nowMs);
+    /** Merges a summary; returns whether it changed the state. */
+    boolean merge(ReplicationMessage.OwnerSummary summary, double nowMs) {
+        if (local.isNamed(summary.owner())) {
+            return mergeOfLocal(summary, nowMs);
         }
-        OwnerState owner = table.findOrAdd(mark.owner());
-        if (owner == null || mark.incarnation() < owner.incarnation) {
+        OwnerState owner = table.findOrAdd(summary.owner());
+        if (owner == null || summary.incarnation() < owner.incarnation) {
             return false;
         }
-        boolean news = table.advanceIncarnation(mark.owner(), owner, mark.incarnation());
+        boolean changed = table.advanceIncarnation(summary.owner(), owner, summary.incarnation());
         if (owner.nonce == 0) {
-            owner.nonce = mark.nonce();
-        } else if (mark.nonce() != 0 && mark.nonce() != owner.nonce) {
-            news |= table.quarantine(
-                    mark.owner(),
+            owner.nonce = summary.nonce();
+        } else if (summary.nonce() != 0 && summary.nonce() != owner.nonce) {
+            changed |= table.quarantine(
+                    summary.owner(),
                     owner,
-                    "two processes write as " + mark.owner() + " in life " + mark.incarnation() + ": "
-                            + Long.toHexString(owner.nonce) + " and " + Long.toHexString(mark.nonce()));
+                    "two processes write as " + summary.owner() + " in incarnation " + summary.incarnation() + ": "
+                            + Long.toHexString(owner.nonce) + " and " + Long.toHexString(summary.nonce()));
         }
-        if (mark.quarantined()) {
-            news |= table.quarantine(mark.owner(), owner, "put aside by another member in life " + mark.incarnation());
+        if (summary.quarantined()) {
+            changed |= table.quarantine(
+                    summary.owner(), owner, "quarantined by another member in incarnation " + summary.incarnation());
         }
-        return mergeHeartbeat(owner, mark, nowMs) | news;
+        return mergeHeartbeat(owner, summary, nowMs) | changed;
     }
 
-    private static boolean mergeHeartbeat(OwnerState owner, ReplicationMessage.OwnerSummary mark, double nowMs) {
-        if (mark.heartbeat() < owner.heartbeat) {
+    private static boolean mergeHeartbeat(OwnerState owner, ReplicationMessage.OwnerSummary summary, double nowMs) {
+        if (summary.heartbeat() < owner.heartbeat) {
             return false;
         }
-        boolean news = mark.heartbeat() > owner.heartbeat;
-        owner.heartbeat = mark.heartbeat();
-        owner.announcedSequence = Math.max(owner.announcedSequence, mark.announcedSequence());
-        owner.lastHeardAtMs = Math.max(owner.lastHeardAtMs, nowMs - mark.ageMs());
+        boolean changed = summary.heartbeat() > owner.heartbeat;
+        owner.heartbeat = summary.heartbeat();
+        owner.announcedSequence = Math.max(owner.announcedSequence, summary.announcedSequence());
+        owner.lastHeardAtMs = Math.max(owner.lastHeardAtMs, nowMs - summary.ageMs());
         owner.updateCompleteness();
-        return news;
+        return changed;
     }
 
-    /** Merges what a peer knows of this member itself. */
-    private boolean mergeOfLocal(ReplicationMessage.OwnerSummary mark, double nowMs) {
-        boolean sameIncarnation = mark.incarnation() == local.incarnation;
-        if (sameIncarnation && (mark.nonce() == local.nonce || mark.nonce() == 0)) {
+    /** Merges a peer's summary of this member itself. */
+    private boolean mergeOfLocal(ReplicationMessage.OwnerSummary summary, double nowMs) {
+        boolean sameIncarnation = summary.incarnation() == local.incarnation;
+        if (sameIncarnation && (summary.nonce() == local.nonce || summary.nonce() == 0)) {
             local.confirmed = true;
-            if (mark.quarantined()) {
-                local.quarantine("put aside by another member in life " + local.incarnation);
+            if (summary.quarantined()) {
+                local.quarantine("quarantined by another member in incarnation " + local.incarnation);
             }
             return false;
         }
-        if (mark.incarnation() < local.incarnation || mark.incarnation() == 0) {
+        if (summary.incarnation() < local.incarnation || summary.incarnation() == 0) {
             return false;
         }
         boolean nothingAnnounced = !local.announced || !local.confirmed && local.log().appliedSequence == 0;
-        boolean otherProcessEnded = nowMs - mark.ageMs() < local.startedAtMs;
+        boolean otherProcessEnded = nowMs - summary.ageMs() < local.startedAtMs;
         if (nothingAnnounced || otherProcessEnded) {
-            // Guards against an old disk and a time of day that went back: the other process is this member's own
-            // past, or nothing was announced in this incarnation yet.
-            table.addAlarm("incarnation " + local.incarnation + " of " + local.name + " is not the latest, peers know "
-                    + mark.incarnation() + ": takes the next");
-            startIncarnation(mark.incarnation() + 1, nowMs);
+            // Guards against an old disk and a wall clock that was set back: the other process is an earlier process of
+            // this member, or nothing was announced in this incarnation yet.
+            table.addAlarm("incarnation " + local.incarnation + " of " + local.name + " is not the newest, peers know "
+                    + summary.incarnation() + ": taking the next one");
+            startIncarnation(summary.incarnation() + 1, nowMs);
             return true;
         }
         return local.quarantine(
                 sameIncarnation
-                        ? "another process writes as " + local.name + " in life " + local.incarnation
-                        : "another process writes as " + local.name + " in a later life, " + mark.incarnation());
+                        ? "another process writes as " + local.name + " in incarnation " + local.incarnation
+                        : "another process writes as " + local.name + " in the later incarnation "
+                                + summary.incarnation());
     }
 
     /**
-     * Goes on in a later incarnation with all that was written in this one. Counts that others may know stay where they
-     * are, as parts of an ended incarnation, so that none is counted twice.
+     * Starts a later incarnation and writes the records of this one again. Counters that peers may know remain in the
+     * ended incarnation, so that none is counted twice.
      */
     private void startIncarnation(long next, double nowMs) {
         OwnerState owner = local.state();
-        OwnerLog ended = owner.logs.remove(local.incarnation);
-        List<ReplicatedRecord> written = ended.records();
+        OwnerLog endedLog = owner.logs.remove(local.incarnation);
+        List<ReplicatedRecord> written = endedLog.records();
         local.incarnation = next;
         local.confirmed = false;
         owner.incarnation = next;
         owner.quarantineReason = null;
         owner.logs.put(next, new OwnerLog(local.name, next));
-        written.forEach(record -> table.addChange(local.name, ended.incarnation, record.recordKey()));
+        written.forEach(record -> table.addChange(local.name, endedLog.incarnation, record.recordKey()));
         if (local.announced) {
-            ended.endIncarnation();
-            owner.logs.put(ended.incarnation, ended);
-            table.removeObsoleteLogs(local.name, owner, ended);
+            endedLog.endIncarnation();
+            owner.logs.put(endedLog.incarnation, endedLog);
+            table.removeObsoleteLogs(local.name, owner, endedLog);
         }
-        table.addChange(local.name, ended.incarnation, null);
+        table.addChange(local.name, endedLog.incarnation, null);
         for (ReplicatedRecord record : written) {
             boolean register = record.space().kind() == RecordSpace.Kind.REGISTER;
             if (!record.removed() && (register || !local.announced)) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/TokenBucket.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/TokenBucket.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.replica;
 
-/** A token bucket that bounds the bytes sent a second; it holds a quarter of a second's worth. Not thread-safe. */
+/** A token bucket that limits the bytes sent per second; its capacity is 250 ms of the rate. Not thread-safe. */
 public final class TokenBucket {
-    /** The bucket holds what comes in within this time, in milliseconds. */
+    /** The time in which an empty bucket fills up, in milliseconds. */
     private static final double CAPACITY_MS = 250;
 
     private static final double MIN_BYTES_PER_SECOND = 1000;
@@ -12,14 +12,14 @@
     private double refilledAtMs = Double.NaN;
 
     /**
-     * A full bucket.
+     * Creates a full bucket.
      *
-     * @param bytesASecond the rate
-     * @throws IllegalArgumentException below 1000 bytes a second
+     * @param bytesPerSecond the rate
+     * @throws IllegalArgumentException if the rate is below 1000 bytes per second
      */
     public TokenBucket(double bytesASecond) {
         if (!(bytesASecond >= MIN_BYTES_PER_SECOND)) {
-            throw new IllegalArgumentException("at least 1000 bytes a second: " + bytesASecond);
+            throw new IllegalArgumentException("rate must be at least 1000 bytes per second: " + bytesASecond);
         }
         bytesPerMs = bytesASecond / 1000;
         tokens = capacity();
@@ -29,19 +29,19 @@
         return bytesPerMs * CAPACITY_MS;
     }
 
-    /** Whether something that can't wait may go out: at most one message is sent on credit. */
+    /** Whether a message that can't wait may be sent; at most one message overdraws the bucket. */
     public boolean canSendUrgent(double nowMs) {
         refill(nowMs);
         return tokens > 0;
     }
 
-    /** Whether something that can wait may go out: a quarter is kept for what can't. */
+    /** Whether a message that can wait may be sent; a quarter of the capacity is reserved for those that can't. */
     public boolean canSendDeferrable(double nowMs) {
         refill(nowMs);
         return tokens > capacity() / 4;
     }
 
-    /** So many bytes went out. */
+    /** Takes the tokens of sent bytes. */
     public void consume(int bytes) {
         tokens -= bytes;
     }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -207,7 +207,7 @@
 
     @Test
     void tornNewFileKeepsTheOldFile() throws IOException {
-        Path fresh = directory.resolve("replica.mv.new");
+        Path newFile = directory.resolve("replica.mv.new");
         ReplicaDisk disk = open();
         writeAndReplicate("first");
         writeToDisk(disk);
@@ -218,24 +218,24 @@
         writeToDisk(disk);
         disk.closeImmediately();
         List<FaultyFiles.Write> writes = faults.recorded();
-        assertTrue(writes.stream().anyMatch(write -> write.file().equals(fresh)));
+        assertTrue(writes.stream().anyMatch(write -> write.file().equals(newFile)));
         Files.write(directory.resolve("replica.mv"), before);
         byte[] content = {};
         for (FaultyFiles.Write write : writes) {
-            for (int prefix = 0; write.file().equals(fresh) && prefix <= write.bytes().length; prefix++) {
+            for (int prefix = 0; write.file().equals(newFile) && prefix <= write.bytes().length; prefix++) {
                 if (!isWithinPadding(write.bytes(), prefix)) {
-                    Files.write(fresh, write.onto(content, prefix));
+                    Files.write(newFile, write.onto(content, prefix));
                     assertEquals(2, sequenceOnDisk(), write.at() + "+" + prefix);
                 }
             }
-            content = write.file().equals(fresh) ? write.onto(content, write.bytes().length) : content;
+            content = write.file().equals(newFile) ? write.onto(content, write.bytes().length) : content;
         }
         try (ReplicaDisk nextDisk = open()) {
             RecordStore store = new RecordStore("b", nextDisk.incarnation(), 8, false);
             nextDisk.restore(store);
             writeToDisk(nextDisk);
         }
-        assertFalse(Files.exists(fresh));
+        assertFalse(Files.exists(newFile));
         assertEquals(4, sequenceOnDisk());
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/InMemoryLinks.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/InMemoryLinks.java
@@ -31,8 +31,8 @@
         duplicationRate = duplicationProbability;
     }
 
-    void blockedLinks(String from, String to) {
-        blockedLinks.add(from + ">" + to);
+    void blockedLinks(String from, String receiver) {
+        blockedLinks.add(from + ">" + receiver);
     }
 
     void restoreLinks() {
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -35,40 +35,41 @@
     void twoWritersOfOneIncarnationAreQuarantinedUntilALaterOne() {
         RecordStore one = new RecordStore("a", 5, 101, false);
         RecordStore two = new RecordStore("a", 5, 202, false);
-        RecordStore b = store("b", 1);
-        RecordStore c = store("c", 1);
+        RecordStore storeB = store("b", 1);
+        RecordStore storeC = store("c", 1);
         one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
         two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        replicate(b, one);
-        replicate(c, two);
-        assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
-        replicate(b, c);
-        assertTrue(b.readAll(RecordSpace.SERVERS, 0).isEmpty());
-        assertTrue(b.drainAlarms().toString().contains("65 and ca"), "both processes are named");
+        replicate(storeB, one);
+        replicate(storeC, two);
+        assertEquals(1, storeB.readAll(RecordSpace.SERVERS, 0).size());
+        replicate(storeB, storeC);
+        assertTrue(storeB.readAll(RecordSpace.SERVERS, 0).isEmpty());
+        assertTrue(storeB.drainAlarms().toString().contains("65 and ca"), "both processes are named");
         // Whoever hears of it from b puts it aside as well, the writers themselves included.
-        replicate(c, b);
-        replicate(one, b);
-        assertTrue(c.readAll(RecordSpace.SERVERS, 0).isEmpty());
+        replicate(storeC, storeB);
+        replicate(one, storeB);
+        assertTrue(storeC.readAll(RecordSpace.SERVERS, 0).isEmpty());
         assertNotNull(one.quarantineReason("a"));
         assertFalse(one.put(RecordSpace.SERVERS, "h", "3".getBytes(UTF_8), 0));
         RecordStore later = new RecordStore("a", 6, 303, false);
         later.put(RecordSpace.SERVERS, "h", "4".getBytes(UTF_8), 0);
-        replicate(b, later);
-        assertNull(b.quarantineReason("a"));
-        assertEquals("4", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
+        replicate(storeB, later);
+        assertNull(storeB.quarantineReason("a"));
+        assertEquals(
+                "4", new String(storeB.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
     }
 
     @Test
     void conflictingContentsAreDetectedDespiteEqualNonces() {
         RecordStore one = new RecordStore("a", 5, 101, false);
         RecordStore two = new RecordStore("a", 5, 101, false);
-        RecordStore b = store("b", 1);
+        RecordStore storeB = store("b", 1);
         one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
         two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        replicate(b, one);
-        b.merge(two.answer(new ReplicationMessage.LogRequest("a", 5, 0, 0, 0), 1000), 0);
-        assertNotNull(b.quarantineReason("a"));
-        String alarm = b.drainAlarms().toString();
+        replicate(storeB, one);
+        storeB.merge(two.answer(new ReplicationMessage.LogRequest("a", 5, 0, 0, 0), 1000), 0);
+        assertNotNull(storeB.quarantineReason("a"));
+        String alarm = storeB.drainAlarms().toString();
         assertTrue(alarm.contains("=1") && alarm.contains("=2"), alarm);
     }
 
@@ -94,89 +95,92 @@
 
     @Test
     void unannouncedWritesMoveToTheNextIncarnation() {
-        RecordStore a = store("a", 4);
-        a.startSilently(10_000);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
-        a.put(RecordSpace.SERVERS, "x", "1".getBytes(UTF_8), 10_000);
-        a.remove(RecordSpace.SERVERS, "x", 10_000);
-        a.add(RecordSpace.USED, "k", 3, 10_000);
-        assertTrue(a.merge(summaryOfA(9, 500), 11_000));
-        assertEquals(10, a.incarnation());
-        assertNull(a.quarantineReason("a"));
-        assertEquals(List.of(10L), a.incarnations("a"));
-        assertEquals(1, a.readAll(RecordSpace.SERVERS, 11_000).size());
-        assertEquals(3, a.sum(RecordSpace.USED, "k"));
-        assertFalse(a.merge(summaryOfA(9, 500), 12_000), "it is heard of again");
-        RecordStore b = store("b", 1);
-        replicate(b, a);
-        assertEquals("1", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
-        assertEquals(3, b.sum(RecordSpace.USED, "k"));
+        RecordStore storeA = store("a", 4);
+        storeA.startSilently(10_000);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
+        storeA.put(RecordSpace.SERVERS, "x", "1".getBytes(UTF_8), 10_000);
+        storeA.remove(RecordSpace.SERVERS, "x", 10_000);
+        storeA.add(RecordSpace.USED, "k", 3, 10_000);
+        assertTrue(storeA.merge(summaryOfA(9, 500), 11_000));
+        assertEquals(10, storeA.incarnation());
+        assertNull(storeA.quarantineReason("a"));
+        assertEquals(List.of(10L), storeA.incarnations("a"));
+        assertEquals(1, storeA.readAll(RecordSpace.SERVERS, 11_000).size());
+        assertEquals(3, storeA.sum(RecordSpace.USED, "k"));
+        assertFalse(storeA.merge(summaryOfA(9, 500), 12_000), "it is heard of again");
+        RecordStore storeB = store("b", 1);
+        replicate(storeB, storeA);
+        assertEquals(
+                "1", new String(storeB.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
+        assertEquals(3, storeB.sum(RecordSpace.USED, "k"));
     }
 
     @Test
     void incarnationSilentSinceProcessStartIsTreatedAsOwnPast() {
-        RecordStore a = store("a", 4);
-        RecordStore b = store("b", 1);
-        a.startSilently(10_000);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
-        a.add(RecordSpace.USED, "k", 3, 10_000);
-        a.startAnnouncing();
-        replicate(b, a);
-        assertTrue(a.merge(summaryOfA(9, 2000), 11_000));
-        assertEquals(10, a.incarnation());
-        assertTrue(a.add(RecordSpace.USED, "k", 1, 11_000));
-        assertEquals(4, a.sum(RecordSpace.USED, "k"), "the earlier part stays, as one of an ended life");
-        replicate(b, a);
-        assertEquals(4, b.sum(RecordSpace.USED, "k"));
-        assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
+        RecordStore storeA = store("a", 4);
+        RecordStore storeB = store("b", 1);
+        storeA.startSilently(10_000);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
+        storeA.add(RecordSpace.USED, "k", 3, 10_000);
+        storeA.startAnnouncing();
+        replicate(storeB, storeA);
+        assertTrue(storeA.merge(summaryOfA(9, 2000), 11_000));
+        assertEquals(10, storeA.incarnation());
+        assertTrue(storeA.add(RecordSpace.USED, "k", 1, 11_000));
+        assertEquals(4, storeA.sum(RecordSpace.USED, "k"), "the earlier part stays, as one of an ended life");
+        replicate(storeB, storeA);
+        assertEquals(4, storeB.sum(RecordSpace.USED, "k"));
+        assertEquals(1, storeB.readAll(RecordSpace.SERVERS, 0).size());
         // One that gave a sign since is another process: two must not write under one name.
-        assertTrue(a.merge(summaryOfA(12, 500), 11_000));
-        assertNotNull(a.quarantineReason("a"));
-        assertEquals(10, a.incarnation());
+        assertTrue(storeA.merge(summaryOfA(12, 500), 11_000));
+        assertNotNull(storeA.quarantineReason("a"));
+        assertEquals(10, storeA.incarnation());
     }
 
     @Test
     void ageCountsFromTheOwnersHeartbeatAndOnlyForReceivedWrites() {
-        RecordStore a = store("a", 1);
-        RecordStore b = store("b", 1);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        a.incrementHeartbeat();
-        ReplicationMessage.OwnerSummary first = a.summaries(List.of("a"), 0).get(0);
-        b.merge(a.answer(b.createRequest("a", 1), 1000), 100);
-        b.merge(new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat(), 1, 1, 250, false), 1000);
-        assertEquals(250, b.read("a", RecordSpace.SERVERS, "h", 1000).ageMs());
+        RecordStore storeA = store("a", 1);
+        RecordStore storeB = store("b", 1);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        storeA.incrementHeartbeat();
+        ReplicationMessage.OwnerSummary first =
+                storeA.summaries(List.of("a"), 0).get(0);
+        storeB.merge(storeA.answer(storeB.createRequest("a", 1), 1000), 100);
+        storeB.merge(
+                new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat(), 1, 1, 250, false), 1000);
+        assertEquals(250, storeB.read("a", RecordSpace.SERVERS, "h", 1000).ageMs());
         // It has written again, which is not here: the record is as old as the last sign at which it was the last.
-        b.merge(
+        storeB.merge(
                 new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat() + 5, 2, 2, 10, false),
                 2000);
-        assertEquals(10, b.heartbeatAgeMs("a", 2000));
-        assertEquals(1250, b.read("a", RecordSpace.SERVERS, "h", 2000).ageMs());
-        assertFalse(b.read("a", RecordSpace.SERVERS, "h", 20_000).isFresh(RecordSpace.SERVERS));
+        assertEquals(10, storeB.heartbeatAgeMs("a", 2000));
+        assertEquals(1250, storeB.read("a", RecordSpace.SERVERS, "h", 2000).ageMs());
+        assertFalse(storeB.read("a", RecordSpace.SERVERS, "h", 20_000).isFresh(RecordSpace.SERVERS));
     }
 
     @Test
     void tombstonesAreBoundedAndRemovedRecordsDoNotReturn() {
-        RecordStore a = store("a", 1);
+        RecordStore storeA = store("a", 1);
         RecordStore stale = store("b", 1);
         RecordStore other = store("c", 1);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        replicate(stale, a);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        replicate(stale, storeA);
         for (int i = 0; i < 5000; i++) {
-            a.put(RecordSpace.SERVERS, "x" + i, "1".getBytes(UTF_8), 0);
-            a.remove(RecordSpace.SERVERS, "x" + i, 0);
+            storeA.put(RecordSpace.SERVERS, "x" + i, "1".getBytes(UTF_8), 0);
+            storeA.remove(RecordSpace.SERVERS, "x" + i, 0);
         }
-        a.remove(RecordSpace.SERVERS, "h", 0);
-        a.put(RecordSpace.SERVERS, "y", "1".getBytes(UTF_8), 0);
-        a.forgetTombstones(1000, 60_000);
-        assertTrue(a.records("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
-        a.forgetTombstones(100_000, 60_000);
-        assertEquals(1, a.records("a", 1).size());
+        storeA.remove(RecordSpace.SERVERS, "h", 0);
+        storeA.put(RecordSpace.SERVERS, "y", "1".getBytes(UTF_8), 0);
+        storeA.forgetTombstones(1000, 60_000);
+        assertTrue(storeA.records("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
+        storeA.forgetTombstones(100_000, 60_000);
+        assertEquals(1, storeA.records("a", 1).size());
         replicate(other, stale);
-        replicate(stale, a);
-        replicate(other, a);
+        replicate(stale, storeA);
+        replicate(other, storeA);
         for (RecordStore store : List.of(stale, other)) {
             assertEquals(
-                    a.readAll(RecordSpace.SERVERS, 0).stream()
+                    storeA.readAll(RecordSpace.SERVERS, 0).stream()
                             .map(Replica.ReadRecord::key)
                             .toList(),
                     store.readAll(RecordSpace.SERVERS, 0).stream()
@@ -190,15 +194,15 @@
         List<RecordStore> peers = new ArrayList<>(List.of(store("b", 1), store("c", 1)));
         long sum = 0;
         for (int incarnation = 1; incarnation <= 60; incarnation++) {
-            RecordStore a = store("a", incarnation);
-            peers.forEach(peer -> replicate(a, peer));
-            assertEquals(sum, a.sum(RecordSpace.USED, "k"));
-            a.add(RecordSpace.USED, "k", incarnation, 0);
+            RecordStore storeA = store("a", incarnation);
+            peers.forEach(peer -> replicate(storeA, peer));
+            assertEquals(sum, storeA.sum(RecordSpace.USED, "k"));
+            storeA.add(RecordSpace.USED, "k", incarnation, 0);
             sum += incarnation;
-            peers.forEach(peer -> replicate(peer, a));
+            peers.forEach(peer -> replicate(peer, storeA));
             if (incarnation % 10 == 0) {
-                a.foldCounters(incarnation, 0);
-                peers.forEach(peer -> replicate(peer, a));
+                storeA.foldCounters(incarnation, 0);
+                peers.forEach(peer -> replicate(peer, storeA));
                 assertEquals(1, peers.get(0).incarnations("a").size());
             }
         }
@@ -210,15 +214,15 @@
     void silentCorruptionIsDetectedAndRepairedWithoutReads() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 20; round++) {
-            RecordStore a = store("a", 1);
-            RecordStore b = store("b", 1);
+            RecordStore storeA = store("a", 1);
+            RecordStore storeB = store("b", 1);
             for (int i = 0; i < 50; i++) {
-                a.put(RecordSpace.SERVERS, "h" + i, ("value " + i).getBytes(UTF_8), 0);
+                storeA.put(RecordSpace.SERVERS, "h" + i, ("value " + i).getBytes(UTF_8), 0);
             }
-            replicate(b, a);
+            replicate(storeB, storeA);
             // Values are shared in memory here: b gets its own, as it would from a wire.
-            for (ReplicatedRecord record : b.records("a", 1)) {
-                b.repair(
+            for (ReplicatedRecord record : storeB.records("a", 1)) {
+                storeB.repair(
                         "a",
                         1,
                         record.recordKey(),
@@ -232,10 +236,10 @@
                                 record.checksum()),
                         0);
             }
-            ReplicatedRecord corrupted = b.records("a", 1).get(random.nextInt(50));
+            ReplicatedRecord corrupted = storeB.records("a", 1).get(random.nextInt(50));
             corrupted.value()[random.nextInt(corrupted.value().length)] ^= (byte) (1 << random.nextInt(8));
-            AntiEntropy ofOwner = new AntiEntropy(a);
-            AntiEntropy ofCopy = new AntiEntropy(b);
+            AntiEntropy ofOwner = new AntiEntropy(storeA);
+            AntiEntropy ofCopy = new AntiEntropy(storeB);
             runAntiEntropy(ofOwner, ofCopy);
             assertEquals(1, ofCopy.totalDifferences());
             assertEquals(
@@ -245,15 +249,17 @@
             runAntiEntropy(ofOwner, ofCopy);
             assertEquals(1, ofCopy.totalDifferences());
             assertEquals(0, ofCopy.countDifferingLogs());
-            assertEquals(a.records("a", 1).toString(), b.records("a", 1).toString());
+            assertEquals(
+                    storeA.records("a", 1).toString(), storeB.records("a", 1).toString());
         }
     }
 
-    private static void runAntiEntropy(AntiEntropy a, AntiEntropy b) {
-        for (ReplicationMessage ranges : b.onDigests("a", a.nextDigests("b"))) {
-            for (ReplicationMessage records : a.onRangeDigests("b", (ReplicationMessage.RangeDigests) ranges)) {
-                for (ReplicationMessage reply : b.onRangeRecords("a", (ReplicationMessage.RangeRecords) records, 0)) {
-                    a.onRangeRecords("b", (ReplicationMessage.RangeRecords) reply, 0);
+    private static void runAntiEntropy(AntiEntropy ofOwner, AntiEntropy ofCopy) {
+        for (ReplicationMessage ranges : ofCopy.onDigests("a", ofOwner.nextDigests("b"))) {
+            for (ReplicationMessage records : ofOwner.onRangeDigests("b", (ReplicationMessage.RangeDigests) ranges)) {
+                for (ReplicationMessage reply :
+                        ofCopy.onRangeRecords("a", (ReplicationMessage.RangeRecords) records, 0)) {
+                    ofOwner.onRangeRecords("b", (ReplicationMessage.RangeRecords) reply, 0);
                 }
             }
         }
@@ -261,16 +267,16 @@
 
     @Test
     void copyThatStillDiffersIsExcludedUntilFetchedAgain() {
-        RecordStore a = store("a", 1);
-        RecordStore b = store("b", 1);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        replicate(b, a);
-        AntiEntropy ofOwner = new AntiEntropy(a);
-        AntiEntropy ofCopy = new AntiEntropy(b);
+        RecordStore storeA = store("a", 1);
+        RecordStore storeB = store("b", 1);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        replicate(storeB, storeA);
+        AntiEntropy ofOwner = new AntiEntropy(storeA);
+        AntiEntropy ofCopy = new AntiEntropy(storeB);
         for (int i = 0; i < AntiEntropy.MAX_MISMATCHES; i++) {
             assertFalse(ofCopy.hasDiscardedLogs());
             // What the rule mends, something breaks again.
-            b.repair("a", 1, KEY, null, 0);
+            storeB.repair("a", 1, KEY, null, 0);
             ofCopy.onRangeDigests(
                     "a",
                     ofOwner.onDigests("b", ofCopy.nextDigests("a")).stream()
@@ -279,8 +285,8 @@
                             .orElseThrow());
         }
         assertTrue(ofCopy.hasDiscardedLogs());
-        assertEquals(0, b.appliedSequence("a", 1).orElseThrow());
-        replicate(b, a);
+        assertEquals(0, storeB.appliedSequence("a", 1).orElseThrow());
+        replicate(storeB, storeA);
         ofCopy.onDigests("a", ofOwner.nextDigests("b"));
         assertFalse(ofCopy.hasDiscardedLogs());
     }
