--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
@@ -78,23 +78,23 @@
     @Test
     void writesAndRemovalsConvergeDespiteLostAndDuplicatedMessages() throws IOException {
         links.setFaults(0.3, 0.3);
-        ReplicaNode a = start("a", null);
-        ReplicaNode b = start("b", null);
-        ReplicaNode c = start("c", null);
+        ReplicaNode nodeA = start("a", null);
+        ReplicaNode nodeB = start("b", null);
+        ReplicaNode nodeC = start("c", null);
         for (int i = 0; i < 200; i++) {
-            a.put(RecordSpace.SERVERS, "h" + i % 20, ("v" + i).getBytes(UTF_8));
-            b.add(RecordSpace.ATTEMPTS, "pool", 2);
-            c.add(RecordSpace.ATTEMPTS, "pool", 1);
+            nodeA.put(RecordSpace.SERVERS, "h" + i % 20, ("v" + i).getBytes(UTF_8));
+            nodeB.add(RecordSpace.ATTEMPTS, "pool", 2);
+            nodeC.add(RecordSpace.ATTEMPTS, "pool", 1);
         }
         for (int i = 2; i < 20; i++) {
-            a.remove(RecordSpace.SERVERS, "h" + i);
+            nodeA.remove(RecordSpace.SERVERS, "h" + i);
         }
         awaitValues(RecordSpace.SERVERS, Map.of("a/h0", "v180", "a/h1", "v181"));
         await().untilAsserted(() ->
                 nodes.values().forEach(node -> assertEquals(600, node.sum(RecordSpace.ATTEMPTS, "pool"))));
         await().untilAsserted(() ->
                 nodes.values().forEach(node -> assertTrue(node.syncState().caughtUp(), node.syncState()::toString)));
-        assertEquals(0, a.statistics().differences());
+        assertEquals(0, nodeA.statistics().differences());
     }
 
     @Test
@@ -123,15 +123,15 @@
 
     @Test
     void writesReachABlockedPeerThroughAnother() throws IOException {
-        ReplicaNode a = start("a", null);
+        ReplicaNode nodeA = start("a", null);
         start("b", null);
-        ReplicaNode c = start("c", null);
+        ReplicaNode nodeC = start("c", null);
         links.blockedLinks("a", "c");
         links.blockedLinks("c", "a");
         Map<String, String> received = new ConcurrentHashMap<>();
-        c.addListener((space, owner, key, now) -> received.put(owner + key, new String(now.value(), UTF_8)));
-        a.put(RecordSpace.DEMAND, "p/t", "9".getBytes(UTF_8));
+        nodeC.addListener((space, owner, key, now) -> received.put(owner + key, new String(now.value(), UTF_8)));
+        nodeA.put(RecordSpace.DEMAND, "p/t", "9".getBytes(UTF_8));
         await().until(() -> "9".equals(received.get("ap/t")));
-        await().until(() -> c.readAll(RecordSpace.DEMAND).get(0).isFresh(RecordSpace.DEMAND));
+        await().until(() -> nodeC.readAll(RecordSpace.DEMAND).get(0).isFresh(RecordSpace.DEMAND));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -103,26 +103,26 @@
     }
 
     private void restartAfterClockSteps(boolean withDisk) throws IOException {
-        Process a = start("a", false, "a");
-        Process b = start("b", withDisk, "0");
-        connect(a, b);
-        awaitValue(a, "b", "0");
+        Process processA = start("a", false, "a");
+        Process processB = start("b", withDisk, "0");
+        connect(processA, processB);
+        awaitValue(processA, "b", "0");
         long[] steps = {-HOUR_MS, HOUR_MS, -3000, 3 * HOUR_MS, -5 * HOUR_MS};
         for (int i = 0; i < steps.length; i++) {
             clockOffsetMs.addAndGet(steps[i]);
-            b = restart(b, "b", withDisk, "after " + steps[i]);
-            connect(a, b);
-            awaitValue(a, "b", "after " + steps[i]);
-            Process restarted = b;
+            processB = restart(processB, "b", withDisk, "after " + steps[i]);
+            connect(processA, processB);
+            awaitValue(processA, "b", "after " + steps[i]);
+            Process restarted = processB;
             long expectedSum = 3 + i;
             await().atMost(Duration.ofSeconds(20))
                     .pollInterval(Duration.ofMillis(5))
                     .untilAsserted(() -> {
                         assertTrue(restarted.replica().syncState().caughtUp());
                         assertEquals(expectedSum, restarted.replica().sum(RecordSpace.USED, "k"));
-                        assertEquals(expectedSum, a.replica().sum(RecordSpace.USED, "k"));
+                        assertEquals(expectedSum, processA.replica().sum(RecordSpace.USED, "k"));
                     });
-            assertNull(b.replica().status().stream()
+            assertNull(processB.replica().status().stream()
                     .filter(record -> record.member().equals("b"))
                     .findFirst()
                     .orElseThrow()
@@ -142,13 +142,13 @@
 
     @Test
     void restartWithLostDiskIsVisible() throws IOException {
-        Process a = start("a", false, "a");
-        Process b = start("b", true, "first");
-        connect(a, b);
-        awaitValue(a, "b", "first");
+        Process processA = start("a", false, "a");
+        Process processB = start("b", true, "first");
+        connect(processA, processB);
+        awaitValue(processA, "b", "first");
         clockOffsetMs.addAndGet(-HOUR_MS);
-        Process restarted = restart(b, "b", false, "second");
-        connect(a, restarted);
-        awaitValue(a, "b", "second");
+        Process restarted = restart(processB, "b", false, "second");
+        connect(processA, restarted);
+        awaitValue(processA, "b", "second");
     }
 }
