--- a/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/DiskWriter.java
@@ -149,11 +149,11 @@
 
     private ReplicaDisk.Batch batch(CatchUp.LogId log, Iterable<RecordKey> keys) {
         List<ReplicatedRecord> records = new ArrayList<>();
-        List<RecordKey> gone = new ArrayList<>();
+        List<RecordKey> removedKeys = new ArrayList<>();
         for (RecordKey key : keys) {
             ReplicatedRecord record = store.record(log.owner(), log.incarnation(), key);
             if (record == null) {
-                gone.add(key);
+                removedKeys.add(key);
             } else {
                 records.add(record);
             }
@@ -165,7 +165,7 @@
                 exists ? store.appliedSequence(log.owner(), log.incarnation()).orElse(0) : null,
                 store.tombstoneFloor(log.owner(), log.incarnation()),
                 records,
-                gone);
+                removedKeys);
     }
 
     private boolean write(Flush flush) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordTable.java
@@ -200,8 +200,8 @@
     }
 
     private static boolean isFoldedIntoLater(OwnerState owner, OwnerLog log, ReplicatedRecord record) {
-        for (OwnerLog later : owner.logs.tailMap(log.incarnation, false).values()) {
-            ReplicatedRecord folded = later.get(record.recordKey());
+        for (OwnerLog laterLog : owner.logs.tailMap(log.incarnation, false).values()) {
+            ReplicatedRecord folded = laterLog.get(record.recordKey());
             if (folded != null && folded.foldedBelow() > log.incarnation) {
                 return true;
             }
@@ -211,10 +211,10 @@
 
     private void dropFolded(OwnerState owner, OwnerLog log, ReplicatedRecord record) {
         long endBefore = Math.min(record.foldedBelow(), log.incarnation);
-        for (OwnerLog earlier : List.copyOf(owner.logs.headMap(endBefore).values())) {
-            earlier.drop(record.recordKey());
-            addChange(log.owner, earlier.incarnation, record.recordKey());
-            removeObsoleteLogs(log.owner, owner, earlier);
+        for (OwnerLog earlierLog : List.copyOf(owner.logs.headMap(endBefore).values())) {
+            earlierLog.drop(record.recordKey());
+            addChange(log.owner, earlierLog.incarnation, record.recordKey());
+            removeObsoleteLogs(log.owner, owner, earlierLog);
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A disk that fails for a while, a kill between two writes, and a loss of power. */
+/** Tests the disk under temporary failures, kills during writes, and power loss. */
 class DiskFaultsTest {
     private static final ReplicationLimits FAST =
             new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
 
-    /** So many zeros on both sides of a cut are no record's. */
+    /** This number of zeros on both sides of a cut can only be padding, not part of a record. */
     private static final int PADDING = 64;
 
     @TempDir
@@ -46,7 +46,7 @@
         return ReplicaDisk.open(directory, "fleet", "b", 1, FaultyFiles.SCHEME);
     }
 
-    /** The owner writes, and the copy has it. */
+    /** Writes at the owner and merges into the copy. */
     private void writeAndReplicate(String value) {
         owner.put(RecordSpace.SERVERS, "h", value.getBytes(UTF_8), 0);
         owner.add(RecordSpace.USED, "k", 1, 0);
@@ -61,7 +61,7 @@
                 Map.of(new CatchUp.LogId("a", 3), records.size()));
     }
 
-    /** How far the copy is that is on the disk now; what is there must be what was written up to there. */
+    /** The position of the copy on disk; checks that its counter matches this position. */
     private long sequenceOnDisk() throws IOException {
         try (ReplicaDisk disk = open()) {
             RecordStore store = new RecordStore("b", disk.incarnation(), 8, false);
@@ -82,7 +82,7 @@
             writeAndReplicate("lost " + fault);
             faults.fail(fault);
             assertThrows(IOException.class, () -> writeToDisk(disk));
-            assertThrows(IOException.class, () -> writeToDisk(disk), "it goes on");
+            assertThrows(IOException.class, () -> writeToDisk(disk), "it fails until the fault is removed");
             faults.heal();
             writeToDisk(disk);
             writeAndReplicate("after " + fault);
@@ -103,7 +103,7 @@
         assertThrows(IOException.class, () -> writeToDisk(disk));
         disk.closeImmediately();
         faults.heal();
-        // The next process reads the second from memory that was never synced.
+        // The next process reads the second write from the page cache, which was never synced.
         ReplicaDisk nextDisk = open();
         RecordStore store = new RecordStore("b", nextDisk.incarnation(), 8, false);
         nextDisk.restore(store);
@@ -157,7 +157,7 @@
         assertTrue(faults.failed() > 20, "failed " + faults.failed());
     }
 
-    /** Whether a write that is cut here is cut within the zeros that fill up a block. */
+    /** Whether a write that is cut at this position is cut within the padding of a block. */
     private static boolean isWithinPadding(byte[] bytes, int prefix) {
         int zeros = 0;
         for (int i = Math.max(0, prefix - PADDING); i < Math.min(bytes.length, prefix + PADDING); i++) {
@@ -166,7 +166,7 @@
         return zeros == 2 * PADDING;
     }
 
-    /** Every length of each write of the last one that a kill can leave, with the file as it was then. */
+    /** Cuts each recorded write at every length that a kill can leave, and checks what can be read from the file. */
     private void tearEachWrite(Path file, byte[] before, List<FaultyFiles.Write> writes, long minSequence)
             throws IOException {
         byte[] content = before;
@@ -257,7 +257,7 @@
             disk.closeImmediately();
             faults.heal();
             assertTrue(sequenceOnDisk() >= acknowledged, "killed at " + operation);
-            // The next process goes on with all that the copy holds.
+            // The next process writes the complete copy.
             ReplicaDisk nextDisk = open();
             nextDisk.closeImmediately();
             writeToDisk(nextDisk);
@@ -265,12 +265,12 @@
         }
     }
 
-    /** The node goes on from memory, says so, and writes everything once the disk takes it. */
+    /** A node must continue in memory while its disk fails, report it, and write everything once the disk works again. */
     @Test
     void nodeContinuesWhileItsDiskFailsAndWritesEverythingAfterwards() throws Exception {
-        try (InMemoryLinks wires = new InMemoryLinks("b")) {
+        try (InMemoryLinks links = new InMemoryLinks("b")) {
             ReplicaDisk disk = open();
-            ReplicaNode node = new ReplicaNode(wires.connect("b", disk.incarnation()), disk, Clock.system(), FAST);
+            ReplicaNode node = new ReplicaNode(links.connect("b", disk.incarnation()), disk, Clock.system(), FAST);
             node.start();
             node.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8));
             assertTrue(node.awaitFlushed(10_000));
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The forms of the replicas' messages, records and disk, against the golden files. */
+/** Compares the serialized forms of messages, records and the disk with the golden files. */
 class GoldenFormsTest {
     private static final String OWNER = "n1";
     private static final long INCARNATION = 1_700_000_000_001L;
     private static final double DISK_INCARNATION = 1_700_000_000_777.0;
-    /** Listed one by one, so that each keeps its file when it is renamed. */
+    /** Listed explicitly, so that each space keeps its golden file when it is renamed. */
     private static final List<RecordSpace> SPACES = List.of(
             RecordSpace.SERVERS,
             RecordSpace.DEMAND,
--- a/fleet/src/test/java/brackenbridge/fleet/replica/InMemoryLinks.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/InMemoryLinks.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** Links in memory, with faults: lost and repeated messages, cut ways, members that are gone. */
+/** Peer links in memory with faults: lost and duplicated messages, blocked directions, stopped members. */
 final class InMemoryLinks implements AutoCloseable {
     private final Map<String, MemberLinks> links = new ConcurrentHashMap<>();
     private final Set<String> blockedLinks = ConcurrentHashMap.newKeySet();
@@ -31,8 +31,9 @@
         duplicationRate = duplicationProbability;
     }
 
-    void blockedLinks(String from, String receiver) {
-        blockedLinks.add(from + ">" + receiver);
+    /** Blocks messages in one direction. */
+    void blockLink(String sender, String receiver) {
+        blockedLinks.add(sender + ">" + receiver);
     }
 
     void restoreLinks() {
@@ -43,7 +44,7 @@
         return random.nextDouble() < probability;
     }
 
-    /** A new process under this name; the one before it is gone. */
+    /** Creates the links of a new process under this name, and closes those of the previous one. */
     MemberLinks connect(String name, long incarnation) {
         MemberLinks link = new MemberLinks(name, incarnation);
         MemberLinks previous = links.put(name, link);
@@ -58,11 +59,12 @@
         links.values().forEach(MemberLinks::close);
     }
 
+    /** The links of one process of a member. */
     final class MemberLinks implements PeerLinks {
         private final String name;
-        private final long life;
-        private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> {
-            Thread thread = new Thread(r, "wire");
+        private final long incarnation;
+        private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "in-memory-link");
             thread.setDaemon(true);
             return thread;
         });
@@ -71,7 +73,7 @@
 
         private MemberLinks(String name, long incarnation) {
             this.name = name;
-            this.life = incarnation;
+            this.incarnation = incarnation;
         }
 
         @Override
@@ -81,7 +83,7 @@
 
         @Override
         public long life() {
-            return life;
+            return incarnation;
         }
 
         @Override
@@ -103,23 +105,23 @@
             if (target == null || blockedLinks.contains(name + ">" + peer) || chance(lossRate)) {
                 return target != null;
             }
-            target.deliver(name, life, body);
+            target.deliver(name, incarnation, body);
             if (chance(duplicationRate)) {
-                target.deliver(name, life, body);
+                target.deliver(name, incarnation, body);
             }
             return true;
         }
 
-        private void deliver(String from, long incarnation, byte[] body) {
+        private void deliver(String sender, long senderIncarnation, byte[] body) {
             if (!thread.isShutdown()) {
                 try {
                     thread.execute(() -> {
                         if (receiver != null) {
-                            receiver.onMessage(from, incarnation, body);
+                            receiver.onMessage(sender, senderIncarnation, body);
                         }
                     });
                 } catch (java.util.concurrent.RejectedExecutionException e) {
-                    // The process ended as the message came: it is lost.
+                    // The process ended while the message was delivered, so that it is lost.
                     return;
                 }
             }
@@ -140,7 +142,7 @@
             memberNames.stream().filter(peer -> !peer.equals(name)).forEach(peer -> {
                 MemberLinks link = links.get(peer);
                 if (link != null) {
-                    link.watchers.forEach(watcher -> watcher.onStatus(name, MemberStatus.ALIVE, life));
+                    link.watchers.forEach(watcher -> watcher.onStatus(name, MemberStatus.ALIVE, incarnation));
                 }
             });
         }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -12,6 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests merging, folding, ages, tombstones and repair of the store without a network. */
 class RecordStoreTest {
     private static final RecordKey KEY = new RecordKey(RecordSpace.SERVERS, "h");
 
@@ -19,13 +20,13 @@
         return new RecordStore(member, incarnation, incarnation + 1, false);
     }
 
-    private static void replicate(RecordStore to, RecordStore from) {
-        from.summaries(from.owners(), 0).forEach(summary -> to.merge(summary, 0));
-        for (String owner : from.owners()) {
-            for (long incarnation : from.incarnations(owner)) {
-                ReplicationMessage.LogChunk chunk = from.answer(to.createRequest(owner, incarnation), 1 << 20);
+    private static void replicate(RecordStore target, RecordStore source) {
+        source.summaries(source.owners(), 0).forEach(summary -> target.merge(summary, 0));
+        for (String owner : source.owners()) {
+            for (long incarnation : source.incarnations(owner)) {
+                ReplicationMessage.LogChunk chunk = source.answer(target.createRequest(owner, incarnation), 1 << 20);
                 if (chunk != null) {
-                    to.merge(chunk, 0);
+                    target.merge(chunk, 0);
                 }
             }
         }
@@ -33,24 +34,26 @@
 
     @Test
     void twoWritersOfOneIncarnationAreQuarantinedUntilALaterOne() {
-        RecordStore one = new RecordStore("a", 5, 101, false);
-        RecordStore two = new RecordStore("a", 5, 202, false);
+        RecordStore first = new RecordStore("a", 5, 101, false);
+        RecordStore second = new RecordStore("a", 5, 202, false);
         RecordStore storeB = store("b", 1);
         RecordStore storeC = store("c", 1);
-        one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        replicate(storeB, one);
-        replicate(storeC, two);
+        first.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        second.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
+        replicate(storeB, first);
+        replicate(storeC, second);
         assertEquals(1, storeB.readAll(RecordSpace.SERVERS, 0).size());
         replicate(storeB, storeC);
         assertTrue(storeB.readAll(RecordSpace.SERVERS, 0).isEmpty());
-        assertTrue(storeB.drainAlarms().toString().contains("65 and ca"), "both processes are named");
-        // Whoever hears of it from b puts it aside as well, the writers themselves included.
+        assertTrue(
+                storeB.drainAlarms().toString().contains("65 and ca"),
+                "the alarm contains the nonces of both processes");
+        // Whoever receives the summary from b quarantines the incarnation as well, including the writers themselves.
         replicate(storeC, storeB);
-        replicate(one, storeB);
+        replicate(first, storeB);
         assertTrue(storeC.readAll(RecordSpace.SERVERS, 0).isEmpty());
-        assertNotNull(one.quarantineReason("a"));
-        assertFalse(one.put(RecordSpace.SERVERS, "h", "3".getBytes(UTF_8), 0));
+        assertNotNull(first.quarantineReason("a"));
+        assertFalse(first.put(RecordSpace.SERVERS, "h", "3".getBytes(UTF_8), 0));
         RecordStore later = new RecordStore("a", 6, 303, false);
         later.put(RecordSpace.SERVERS, "h", "4".getBytes(UTF_8), 0);
         replicate(storeB, later);
@@ -61,13 +64,13 @@
 
     @Test
     void conflictingContentsAreDetectedDespiteEqualNonces() {
-        RecordStore one = new RecordStore("a", 5, 101, false);
-        RecordStore two = new RecordStore("a", 5, 101, false);
+        RecordStore first = new RecordStore("a", 5, 101, false);
+        RecordStore second = new RecordStore("a", 5, 101, false);
         RecordStore storeB = store("b", 1);
-        one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        replicate(storeB, one);
-        storeB.merge(two.answer(new ReplicationMessage.LogRequest("a", 5, 0, 0, 0), 1000), 0);
+        first.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        second.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
+        replicate(storeB, first);
+        storeB.merge(second.answer(new ReplicationMessage.LogRequest("a", 5, 0, 0, 0), 1000), 0);
         assertNotNull(storeB.quarantineReason("a"));
         String alarm = storeB.drainAlarms().toString();
         assertTrue(alarm.contains("=1") && alarm.contains("=2"), alarm);
@@ -76,17 +79,17 @@
     @Test
     void laterOwnIncarnationIsSurpassedBeforeWritingAndQuarantinedAfter() {
         RecordStore peer = store("b", 1);
-        RecordStore before = store("a", 9);
-        before.add(RecordSpace.USED, "k", 3, 0);
-        replicate(peer, before);
-        RecordStore old = store("a", 4);
-        replicate(old, peer);
-        assertEquals(10, old.incarnation());
-        assertTrue(old.add(RecordSpace.USED, "k", 1, 0));
-        assertEquals(4, old.sum(RecordSpace.USED, "k"));
-        replicate(peer, old);
-        replicate(before, peer);
-        assertNotNull(before.quarantineReason("a"), "the process that still runs under that name stands aside");
+        RecordStore running = store("a", 9);
+        running.add(RecordSpace.USED, "k", 3, 0);
+        replicate(peer, running);
+        RecordStore restarted = store("a", 4);
+        replicate(restarted, peer);
+        assertEquals(10, restarted.incarnation());
+        assertTrue(restarted.add(RecordSpace.USED, "k", 1, 0));
+        assertEquals(4, restarted.sum(RecordSpace.USED, "k"));
+        replicate(peer, restarted);
+        replicate(running, peer);
+        assertNotNull(running.quarantineReason("a"), "the process that still runs under this name is quarantined");
     }
 
     private static ReplicationMessage.OwnerSummary summaryOfA(long incarnation, long ageMs) {
@@ -107,7 +110,7 @@
         assertEquals(List.of(10L), storeA.incarnations("a"));
         assertEquals(1, storeA.readAll(RecordSpace.SERVERS, 11_000).size());
         assertEquals(3, storeA.sum(RecordSpace.USED, "k"));
-        assertFalse(storeA.merge(summaryOfA(9, 500), 12_000), "it is heard of again");
+        assertFalse(storeA.merge(summaryOfA(9, 500), 12_000), "a repeated summary changes nothing");
         RecordStore storeB = store("b", 1);
         replicate(storeB, storeA);
         assertEquals(
@@ -127,11 +130,11 @@
         assertTrue(storeA.merge(summaryOfA(9, 2000), 11_000));
         assertEquals(10, storeA.incarnation());
         assertTrue(storeA.add(RecordSpace.USED, "k", 1, 11_000));
-        assertEquals(4, storeA.sum(RecordSpace.USED, "k"), "the earlier part stays, as one of an ended life");
+        assertEquals(4, storeA.sum(RecordSpace.USED, "k"), "the earlier count is kept as that of an ended incarnation");
         replicate(storeB, storeA);
         assertEquals(4, storeB.sum(RecordSpace.USED, "k"));
         assertEquals(1, storeB.readAll(RecordSpace.SERVERS, 0).size());
-        // One that gave a sign since is another process: two must not write under one name.
+        // A heartbeat since then came from another process: two must not write under one name.
         assertTrue(storeA.merge(summaryOfA(12, 500), 11_000));
         assertNotNull(storeA.quarantineReason("a"));
         assertEquals(10, storeA.incarnation());
@@ -149,7 +152,8 @@
         storeB.merge(
                 new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat(), 1, 1, 250, false), 1000);
         assertEquals(250, storeB.read("a", RecordSpace.SERVERS, "h", 1000).ageMs());
-        // It has written again, which is not here: the record is as old as the last sign at which it was the last.
+        // The owner announced a write that is missing here: the record is as old as the last heartbeat before that
+        // write.
         storeB.merge(
                 new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat() + 5, 2, 2, 10, false),
                 2000);
@@ -162,7 +166,7 @@
     void tombstonesAreBoundedAndRemovedRecordsDoNotReturn() {
         RecordStore storeA = store("a", 1);
         RecordStore stale = store("b", 1);
-        RecordStore other = store("c", 1);
+        RecordStore unaware = store("c", 1);
         storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
         replicate(stale, storeA);
         for (int i = 0; i < 5000; i++) {
@@ -175,10 +179,10 @@
         assertTrue(storeA.records("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
         storeA.forgetTombstones(100_000, 60_000);
         assertEquals(1, storeA.records("a", 1).size());
-        replicate(other, stale);
+        replicate(unaware, stale);
         replicate(stale, storeA);
-        replicate(other, storeA);
-        for (RecordStore store : List.of(stale, other)) {
+        replicate(unaware, storeA);
+        for (RecordStore store : List.of(stale, unaware)) {
             assertEquals(
                     storeA.readAll(RecordSpace.SERVERS, 0).stream()
                             .map(Replica.ReadRecord::key)
@@ -209,7 +213,10 @@
         assertEquals(sum, peers.get(1).sum(RecordSpace.USED, "k"));
     }
 
-    /** Three copies, of which one has a byte flipped at random: found by digests alone, made one, with both values. */
+    /**
+     * Guards against corruption that no read reveals: a random bit of one copy is flipped; digests must find the record,
+     * the owner's copy must replace it, and the difference must report both values.
+     */
     @Test
     void silentCorruptionIsDetectedAndRepairedWithoutReads() {
         SplittableRandom random = new SplittableRandom(3);
@@ -220,7 +227,7 @@
                 storeA.put(RecordSpace.SERVERS, "h" + i, ("value " + i).getBytes(UTF_8), 0);
             }
             replicate(storeB, storeA);
-            // Values are shared in memory here: b gets its own, as it would from a wire.
+            // Both stores share the values in memory: b gets its own copies, as it would over a network.
             for (ReplicatedRecord record : storeB.records("a", 1)) {
                 storeB.repair(
                         "a",
@@ -245,7 +252,7 @@
             assertEquals(
                     AntiEntropy.Verdict.TOOK_THEIRS,
                     ofCopy.recentDifferences().get(0).verdict());
-            assertTrue(ofCopy.recentDifferences().get(0).mine().contains("not what was written"));
+            assertTrue(ofCopy.recentDifferences().get(0).mine().contains("checksum mismatch"));
             runAntiEntropy(ofOwner, ofCopy);
             assertEquals(1, ofCopy.totalDifferences());
             assertEquals(0, ofCopy.countDifferingLogs());
@@ -275,12 +282,12 @@
         AntiEntropy ofCopy = new AntiEntropy(storeB);
         for (int i = 0; i < AntiEntropy.MAX_MISMATCHES; i++) {
             assertFalse(ofCopy.hasDiscardedLogs());
-            // What the rule mends, something breaks again.
+            // Damages the copy again after each repair.
             storeB.repair("a", 1, KEY, null, 0);
             ofCopy.onRangeDigests(
                     "a",
                     ofOwner.onDigests("b", ofCopy.nextDigests("a")).stream()
-                            .map(summary -> (ReplicationMessage.RangeDigests) summary)
+                            .map(message -> (ReplicationMessage.RangeDigests) message)
                             .findFirst()
                             .orElseThrow());
         }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaDiskTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests what a disk stores and restores, and what it rejects. */
 class ReplicaDiskTest {
     @TempDir
     private Path directory;
@@ -85,7 +86,7 @@
         assertTrue(member.contains("belongs to the member b, not to x"), member);
     }
 
-    /** A file cut anywhere, or with any bit flipped: what is read is what was written, or nothing of that life. */
+    /** A truncated file or one with a flipped bit must yield either the complete log as written or none of it. */
     @Test
     void truncationAndFlippedBitsAreNeverReadAsRecords() throws IOException {
         try (ReplicaDisk disk = open(1)) {
@@ -111,7 +112,7 @@
                 assertTrue(refused.getMessage().lines().count() == 1, refused.getMessage());
             }
         }
-        assertTrue(readable > 0 && readable < 150, "faults hit: " + readable);
+        assertTrue(readable > 0 && readable < 150, "readable files: " + readable);
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicaNodeTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests convergence of nodes with threads and links in memory. */
 class ReplicaNodeTest {
     private static final ReplicationLimits FAST =
             new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
@@ -105,7 +106,7 @@
         nodes.get("b").add(RecordSpace.USED, "k", 5);
         nodes.get("c").add(RecordSpace.USED, "k", 7);
         nodes.get("a").put(RecordSpace.POOLS, "p", "1".getBytes(UTF_8));
-        nodes.get("b").put(RecordSpace.POOLS, "gone with its life", "1".getBytes(UTF_8));
+        nodes.get("b").put(RecordSpace.POOLS, "dropped with its incarnation", "1".getBytes(UTF_8));
         await().untilAsserted(() -> nodes.values().forEach(node -> assertEquals(12, node.sum(RecordSpace.USED, "k"))));
         stop("b");
         stop("c");
@@ -126,8 +127,8 @@
         ReplicaNode nodeA = start("a", null);
         start("b", null);
         ReplicaNode nodeC = start("c", null);
-        links.blockedLinks("a", "c");
-        links.blockedLinks("c", "a");
+        links.blockLink("a", "c");
+        links.blockLink("c", "a");
         Map<String, String> received = new ConcurrentHashMap<>();
         nodeC.addListener((space, owner, key, now) -> received.put(owner + key, new String(now.value(), UTF_8)));
         nodeA.put(RecordSpace.DEMAND, "p/t", "9".getBytes(UTF_8));
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
@@ -14,6 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
+/** Tests encoding and decoding of messages, and rejection of malformed ones. */
 class ReplicationCodecTest {
     private static final Arbitrary<Long> NON_NEGATIVE = Arbitraries.longs().between(0, Long.MAX_VALUE);
     private static final Arbitrary<String> NAME =
@@ -87,14 +88,14 @@
     @Property(tries = 300, seed = "11")
     void encodedMessagesAreDecoded(@ForAll("messages") ReplicationMessage message) throws IOException {
         ReplicationMessage decoded = ReplicationCodec.read(ReplicationCodec.write(message));
-        // Values are arrays, which records do not compare by content; their checksums do.
+        // Records do not compare arrays by content, so the checksums verify the values.
         assertEquals(message.toString(), decoded.toString());
         if (decoded instanceof ReplicationMessage.LogChunk chunk) {
             assertTrue(chunk.records().stream().allMatch(record -> record.hasValidChecksum("o")));
         }
     }
 
-    /** Bytes changed, cut or added in any place: another message of the same bounds, or refused; nothing else. */
+    /** Altered, truncated or extended bytes must decode to a message within bounds or be rejected with an IOException. */
     @Property(tries = 3000, seed = "12")
     void alteredMessagesAreDecodedWithinBoundsOrRejected(
             @ForAll("messages") ReplicationMessage message,
@@ -138,7 +139,7 @@
         deep[0] = 0;
         assertThrows(IOException.class, () -> ReplicationCodec.read(deep));
         assertThrows(IOException.class, () -> ReplicationCodec.read(new byte[ReplicationCodec.MAX_BYTES + 1]));
-        // A text whose length is said to be two thousand million bytes.
+        // A text with a declared length of two billion bytes.
         assertThrows(
                 IOException.class,
                 () -> ReplicationCodec.read(
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A member starts again after its wall clock was stepped; links, replica and disk as in a node. */
+/**
+ * Guards against a member that peers ignore or quarantine after it restarts with a stepped wall clock, from which its
+ * incarnation is derived. Uses links, replica and disk as in a node.
+ */
 class SteppedClockTest {
     private static final ReplicationLimits FAST =
             new ReplicationLimits(10_000_000, 5, 50, 60, 30, 500, 60_000, 32, 4, 4096);
@@ -35,7 +38,7 @@
     private final AtomicLong clockOffsetMs = new AtomicLong();
     private final List<Process> processes = new ArrayList<>();
 
-    /** What one process of a member holds. */
+    /** The links and the replica of one process of a member. */
     private record Process(TcpPeerLinks links, ReplicaNode replica) {
         void close() {
             links.close();
@@ -46,7 +49,7 @@
             replica.put(RecordSpace.NODES, "state", value.getBytes(UTF_8));
         }
 
-        /** The value that a member has written, as this one holds it. */
+        /** A member's value in this process's copy; empty if there is none. */
         String readValue(String owner) {
             return replica.readAll(RecordSpace.NODES).stream()
                     .filter(record -> record.owner().equals(owner))
@@ -61,7 +64,7 @@
         processes.forEach(Process::close);
     }
 
-    /** A process whose clock takes its origin now. It has written before it meets anybody, as a node does. */
+    /** Starts a process whose clock begins now. It writes before it connects to any peer, as a node does. */
     private Process start(String name, boolean withDisk, String value) throws IOException {
         Clock clock = Clock.from(() -> System.currentTimeMillis() + clockOffsetMs.get(), System::nanoTime);
         ReplicaDisk disk = withDisk ? ReplicaDisk.open(directory.resolve(name), "f", name, clock.nowMs()) : null;
