--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -139,7 +139,7 @@
         return new ReplicationMessage.RangeDigests(owner, incarnation, appliedSequence, list);
     }
 
-    /** The digests by range of a copy that is at this position; null if it is not, since only equal positions compare. */
+    /** The digests by range if the copy is at this position, else null: only copies at equal positions are compared. */
     private long[] digestsIfAppliedTo(String owner, long incarnation, long appliedSequence) {
         return store.appliedSequence(owner, incarnation).orElse(0) == appliedSequence
                 ? store.digests(owner, incarnation)
@@ -273,6 +273,28 @@
                         && theirs.hasValidChecksum(owner)) {
             return;
         }
+        Verdict verdict = decide(peer, owner, incarnation, local, theirs);
+        addDifference(new Difference(
+                nowMs,
+                owner,
+                incarnation,
+                key.space(),
+                key.key(),
+                peer,
+                describe(owner, local),
+                describe(owner, theirs),
+                verdict));
+        if (verdict == Verdict.TOOK_THEIRS) {
+            store.repair(
+                    owner, incarnation, key, theirs != null && !theirs.hasValidChecksum(owner) ? null : theirs, nowMs);
+        } else if (verdict == Verdict.TWO_WRITERS) {
+            store.resolveConflict(owner, incarnation, local, theirs);
+        }
+    }
+
+    /** Decides between two copies that differ. */
+    private Verdict decide(
+            String peer, String owner, long incarnation, ReplicatedRecord local, ReplicatedRecord theirs) {
         boolean ownLog = owner.equals(store.localMember()) && incarnation == store.incarnation();
         boolean newestIncarnation = incarnation == store.newestIncarnation(owner);
         Verdict verdict;
@@ -299,22 +321,7 @@
                 && local.version().equals(theirs.version())) {
             verdict = Verdict.TWO_WRITERS;
         }
-        addDifference(new Difference(
-                nowMs,
-                owner,
-                incarnation,
-                key.space(),
-                key.key(),
-                peer,
-                describe(owner, local),
-                describe(owner, theirs),
-                verdict));
-        if (verdict == Verdict.TOOK_THEIRS) {
-            store.repair(
-                    owner, incarnation, key, theirs != null && !theirs.hasValidChecksum(owner) ? null : theirs, nowMs);
-        } else if (verdict == Verdict.TWO_WRITERS) {
-            store.resolveConflict(owner, incarnation, local, theirs);
-        }
+        return verdict;
     }
 
     private static String describe(String owner, ReplicatedRecord record) {
@@ -329,10 +336,9 @@
             differences.removeFirst();
         }
         differences.addLast(difference);
-        addAlarm("copies differ: " + difference.owner() + " incarnation " + difference.life() + " " + difference.space()
-                + "/"
-                + difference.key() + ": here " + difference.mine() + ", at " + difference.peer() + " "
-                + difference.theirs() + ": " + difference.verdict());
+        addAlarm("copies differ: " + difference.owner() + " incarnation " + difference.life() + " "
+                + difference.space() + "/" + difference.key() + ": here " + difference.mine() + ", at "
+                + difference.peer() + " " + difference.theirs() + ": " + difference.verdict());
     }
 
     private void addAlarm(String text) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerLog.java
@@ -12,8 +12,8 @@
 /**
  * A copy of the compacted log of one incarnation of an owner: the last write of each key, in the order of sequence
  * numbers. A peer at any position lacks the tail of the log after it. Tombstones are kept for a bounded time; up to
- * {@link #tombstoneFloor} they are forgotten, and a peer below it receives a snapshot. Mutable; guarded by the lock that
- * guards the {@link RecordStore}.
+ * {@link #tombstoneFloor} they are forgotten, and a peer below it receives a snapshot. Mutable; guarded by the lock
+ * that guards the {@link RecordStore}.
  */
 final class OwnerLog {
     /** The maximum number of kept tombstones. */
@@ -200,7 +200,7 @@
                 chunkRecords);
     }
 
-    /** Digests by range of keys, computed from the present content rather than cached, so that corruption is detected. */
+    /** Digests by range of keys, computed from the present content and not cached, so that corruption is detected. */
     long[] digests() {
         long[] digests = new long[RecordKey.RANGE_COUNT];
         for (ReplicatedRecord record : bySequence.values()) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -3,8 +3,8 @@
 /**
  * The spaces of replicated records, with their kind and the age limit for decisions.
  *
- * <p>The file {@code docs/design/replication.md} lists for each space its owner, kind and age limit, and what a node does
- * without the record.
+ * <p>The file {@code docs/design/replication.md} lists for each space its owner, kind and age limit, and what a node
+ * does without the record.
  */
 public enum RecordSpace {
     /** A node's observation of each server; the key is the host. */
@@ -22,7 +22,7 @@
 
     /** The kinds of records, which differ in how copies are merged. */
     public enum Kind {
-        /** One writer; the latest incarnation and sequence number wins. Two writers under one name are both quarantined. */
+        /** One writer; the latest incarnation and sequence number wins. Two writers of one name are quarantined. */
         REGISTER,
         /** A sum over writers, each of whose parts only grows; a part outlives its writer's incarnation. */
         COUNTER
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordStore.java
@@ -8,9 +8,9 @@
  * One member's copy of all registers and counters, by owner and incarnation. It has no I/O, threads or timers: the
  * caller passes times and values. Not thread-safe. Times are milliseconds of the local monotonic clock.
  *
- * <p>Registers belong to an incarnation and are dropped as soon as a later one is known. Counters are grow-only, one for
- * each owner and incarnation (Shapiro, Preguica, Baquero, Zawirski: Conflict-free replicated data types, 2011), and are
- * kept after both have ended.
+ * <p>Registers belong to an incarnation and are dropped as soon as a later one is known. Counters are grow-only, one
+ * for each owner and incarnation (Shapiro, Preguica, Baquero, Zawirski: Conflict-free replicated data types, 2011), and
+ * are kept after both have ended.
  *
  * <p>Each concern is a separate class on a shared {@link RecordTable}: {@link LocalWriter}, {@link SummaryMerger},
  * {@link LogMerger}, {@link LogReader}, {@link CopyRepair} and {@link RecordReader}.
@@ -143,8 +143,8 @@
     /**
      * Folds counters of this member's ended incarnations into the present one. The write of each key contains the
      * incarnations that it includes, so that a copy drops them in the step in which it applies the write: nothing is
-     * counted twice in any copy at any time. Nothing is lost if no other copy has more writes of those incarnations than
-     * this one.
+     * counted twice in any copy at any time. Nothing is lost if no other copy has more writes of those incarnations
+     * than this one.
      *
      * @param endBefore incarnations earlier than this are folded
      * @return the number of folded keys
--- a/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/Replica.java
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Writes one of this member's registers. The write is dropped if this member is quarantined or has too many records.
+     * Writes one of this member's registers. The write is dropped if this member is quarantined or has too many
+     * records.
      *
      * @throws IllegalArgumentException if the space does not contain registers, or key or value are too long
      */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * Encodes messages and records as one byte for the message type, followed by CBOR (RFC 8949) written by Jackson. Records
- * have no type byte. Decoding is bounded in length and depth, and throws an {@link IOException} on malformed input.
+ * Encodes messages as one byte for the type, followed by CBOR (RFC 8949) written by Jackson; records as CBOR without a
+ * type. Decoding is bounded in length and depth, and throws an {@link IOException} on malformed input.
  */
 public final class ReplicationCodec {
     /** The maximum size of a message in bytes. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationLimits.java
@@ -10,8 +10,8 @@
  * @param requestTimeoutMs the time after which an unanswered request is repeated; multiplied by the backoff
  * @param maxLagMs a member that lacks reported writes for longer than this is not caught up
  * @param tombstoneRetentionMs the time after which tombstones are forgotten
- * @param maxMeshPeers up to this number of reachable peers an owner pushes its writes to each of them; above it, members
- *     forward changes by gossip
+ * @param maxMeshPeers up to this number of reachable peers an owner pushes its writes to each of them; above it,
+ *     members forward changes by gossip
  * @param fanOut the number of peers to which a member forwards changes by gossip
  * @param chunkBytes the approximate size of a chunk of a log
  */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 
 /**
- * Decides which messages are sent to which peer, and when. Writes are pushed immediately: in a small fleet by their owner
- * to each peer; in a large one each member forwards a change once to a few peers (rumor mongering; Demers et al.,
+ * Decides which messages are sent to which peer, and when. Writes are pushed immediately: in a small fleet by their
+ * owner to each peer; in a large one each member forwards a change once to a few peers (rumor mongering; Demers et al.,
  * Epidemic algorithms for replicated database maintenance, 1987). In addition every member periodically compares log
  * positions with peers (anti-entropy, same paper), requests missing writes, and compares contents by digests.
  *
--- a/fleet/src/main/java/brackenbridge/fleet/replica/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/package-info.java
@@ -27,8 +27,8 @@
  *   <li>{@code replica-turn} drives the protocol's timers;
  *   <li>threads of the peer links deliver messages, and any thread of the process may read and write;
  *   <li>{@code replica-tell} notifies listeners, without the lock ({@code ChangeNotifier});
- *   <li>only {@code replica-disk} writes {@link brackenbridge.fleet.replica.ReplicaDisk}, asynchronously and without the
- *       lock ({@code DiskWriter}); before that thread starts and after it ends, the thread that opens or closes the
+ *   <li>only {@code replica-disk} writes {@link brackenbridge.fleet.replica.ReplicaDisk}, asynchronously and without
+ *       the lock ({@code DiskWriter}); before that thread starts and after it ends, the thread that opens or closes the
  *       node writes.
  * </ul>
  */
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -265,7 +265,7 @@
         }
     }
 
-    /** A node must continue in memory while its disk fails, report it, and write everything once the disk works again. */
+    /** A node must continue in memory while its disk fails, report it, and write everything once the disk works. */
     @Test
     void nodeContinuesWhileItsDiskFailsAndWritesEverythingAfterwards() throws Exception {
         try (InMemoryLinks links = new InMemoryLinks("b")) {
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -214,8 +214,8 @@
     }
 
     /**
-     * Guards against corruption that no read reveals: a random bit of one copy is flipped; digests must find the record,
-     * the owner's copy must replace it, and the difference must report both values.
+     * Guards against corruption that no read reveals: a random bit of one copy is flipped. Digests must find the
+     * record, the owner's copy must replace it, and the difference must report the checksum mismatch.
      */
     @Test
     void silentCorruptionIsDetectedAndRepairedWithoutReads() {
--- a/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/ReplicationCodecTest.java
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Altered, truncated or extended bytes must decode to a message within bounds or be rejected with an IOException. */
+    /** Altered, truncated or extended bytes must decode to a message within bounds or cause an IOException. */
     @Property(tries = 3000, seed = "12")
     void alteredMessagesAreDecodedWithinBoundsOrRejected(
             @ForAll("messages") ReplicationMessage message,
