--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -296,7 +296,7 @@
     private Verdict decide(
             String peer, String owner, long incarnation, ReplicatedRecord local, ReplicatedRecord theirs) {
         boolean ownLog = owner.equals(store.localMember()) && incarnation == store.incarnation();
-        boolean newestIncarnation = incarnation == store.newestIncarnation(owner);
+        boolean isNewest = incarnation == store.newestIncarnation(owner);
         Verdict verdict;
         if (local != null && !local.hasValidChecksum(owner)) {
             verdict = theirs != null && theirs.hasValidChecksum(owner) || !ownLog
@@ -305,7 +305,7 @@
         } else if (theirs != null && !theirs.hasValidChecksum(owner) || ownLog) {
             verdict = Verdict.KEPT_MINE;
         } else if (theirs == null) {
-            verdict = peer.equals(owner) && newestIncarnation ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+            verdict = peer.equals(owner) && isNewest ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
         } else if (local == null) {
             verdict = Verdict.TOOK_THEIRS;
         } else if (local.version().equals(theirs.version())) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CatchUp.java
@@ -91,8 +91,8 @@
     }
 
     /** Drops the gaps of an owner's ended incarnations; peers report again what they keep of them. */
-    public void dropEnded(String owner, long before) {
-        gaps.keySet().removeIf(log -> log.owner().equals(owner) && log.incarnation() < before);
+    public void dropEnded(String owner, long newest) {
+        gaps.keySet().removeIf(log -> log.owner().equals(owner) && log.incarnation() < newest);
     }
 
     /** The local copy has reached this position; {@link Long#MAX_VALUE} if the log is not needed any more. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LocalWriter.java
@@ -53,13 +53,13 @@
         return true;
     }
 
-    int foldCounters(long foldedBelow, double nowMs) {
-        if (foldedBelow > local.incarnation) {
+    int foldCounters(long endBefore, double nowMs) {
+        if (endBefore > local.incarnation) {
             throw new IllegalArgumentException("only ended incarnations are folded");
         }
         OwnerState owner = local.state();
         TreeSet<RecordKey> keys = new TreeSet<>();
-        for (OwnerLog log : owner.logs.headMap(foldedBelow).values()) {
+        for (OwnerLog log : owner.logs.headMap(endBefore).values()) {
             log.records().stream()
                     .filter(record -> record.space().kind() == RecordSpace.Kind.COUNTER)
                     .forEach(record -> keys.add(record.recordKey()));
@@ -68,11 +68,11 @@
         for (RecordKey key : keys) {
             ReplicatedRecord present = local.log().get(key);
             long count = present == null ? 0 : present.count();
-            for (OwnerLog log : owner.logs.headMap(foldedBelow).values()) {
+            for (OwnerLog log : owner.logs.headMap(endBefore).values()) {
                 ReplicatedRecord endedRecord = log.get(key);
                 count += endedRecord == null ? 0 : endedRecord.count();
             }
-            folded += write(key.space(), key.key(), null, count, foldedBelow, nowMs) ? 1 : 0;
+            folded += write(key.space(), key.key(), null, count, endBefore, nowMs) ? 1 : 0;
         }
         return folded;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogMerger.java
@@ -23,12 +23,12 @@
                 return RecordStore.MergeResult.REJECTED;
             }
         }
-        boolean ofLocal = local.isNamed(chunk.owner());
-        if (ofLocal && chunk.incarnation() >= local.incarnation) {
+        boolean ownedLocally = local.isNamed(chunk.owner());
+        if (ownedLocally && chunk.incarnation() >= local.incarnation) {
             checkOwnLog(owner, chunk);
             return RecordStore.MergeResult.KNOWN;
         }
-        if (!ofLocal) {
+        if (!ownedLocally) {
             table.advanceIncarnation(chunk.owner(), owner, chunk.newestIncarnation());
         }
         OwnerLog log = owner.logs.computeIfAbsent(
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
@@ -32,7 +32,7 @@
         OwnerLog log = owner.newestLog();
         long applied = log == null ? 0 : log.appliedSequence;
         boolean self = local.isNamed(name) && owner.incarnation == local.incarnation;
-        double ageMs = self ? 0 : Math.min(MAX_AGE_MS, Math.max(0, nowMs - owner.lastHeardAtMs));
+        double ageMs = self ? 0 : Math.min(MAX_AGE_MS, Math.max(0, nowMs - owner.lastHeartbeatAtMs));
         return new ReplicationMessage.OwnerSummary(
                 name,
                 owner.incarnation,
--- a/fleet/src/main/java/brackenbridge/fleet/replica/OwnerState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/OwnerState.java
@@ -17,7 +17,7 @@
     /** The owner's position in its log at that heartbeat. */
     long announcedSequence;
     /** When the owner sent that heartbeat, in milliseconds of the local clock. */
-    double lastHeardAtMs = Double.NEGATIVE_INFINITY;
+    double lastHeartbeatAtMs = Double.NEGATIVE_INFINITY;
     /** The time of the last heartbeat whose announced writes were all applied here, in milliseconds. */
     double lastCompleteAtMs = Double.NEGATIVE_INFINITY;
     /** Why the newest incarnation is quarantined; null if it is not. */
@@ -31,7 +31,7 @@
         copy.nonce = nonce;
         copy.heartbeat = heartbeat;
         copy.announcedSequence = announcedSequence;
-        copy.lastHeardAtMs = lastHeardAtMs;
+        copy.lastHeartbeatAtMs = lastHeartbeatAtMs;
         copy.lastCompleteAtMs = lastCompleteAtMs;
         copy.quarantineReason = quarantineReason;
         logs.forEach((ofIncarnation, log) -> copy.logs.put(ofIncarnation, log.copy()));
@@ -47,7 +47,7 @@
     void updateCompleteness() {
         OwnerLog log = newestLog();
         if ((log == null ? 0 : log.appliedSequence) >= announcedSequence) {
-            lastCompleteAtMs = Math.max(lastCompleteAtMs, lastHeardAtMs);
+            lastCompleteAtMs = Math.max(lastCompleteAtMs, lastHeartbeatAtMs);
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/PeerProgress.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/PeerProgress.java
@@ -9,7 +9,7 @@
     long incarnation;
     /** Whether it has sent all its summaries since it last became reachable. */
     boolean hasSentAllSummaries;
-    /** The position of its copy of this member's log, as it last reported. */
+    /** The greatest position of its copy of this member's log that it has reported. */
     long acknowledgedSequence;
 
     /** The earliest time to request all its summaries again, in milliseconds. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordReader.java
@@ -67,7 +67,7 @@
         if (local.isNamed(name)) {
             return 0;
         }
-        return owner == null ? Double.POSITIVE_INFINITY : Math.max(0, nowMs - owner.lastHeardAtMs);
+        return owner == null ? Double.POSITIVE_INFINITY : Math.max(0, nowMs - owner.lastHeartbeatAtMs);
     }
 
     long announcedSequence(String name) {
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordSpace.java
@@ -31,9 +31,9 @@
     private final Kind kind;
     private final double maxAgeMs;
 
-    RecordSpace(Kind kind, double freshMs) {
+    RecordSpace(Kind kind, double maxAgeMs) {
         this.kind = kind;
-        this.maxAgeMs = freshMs;
+        this.maxAgeMs = maxAgeMs;
     }
 
     /** The kind of the records in this space. */
--- a/fleet/src/main/java/brackenbridge/fleet/replica/SummaryMerger.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/SummaryMerger.java
@@ -21,7 +21,7 @@
     /** Merges a summary; returns whether it changed the state. */
     boolean merge(ReplicationMessage.OwnerSummary summary, double nowMs) {
         if (local.isNamed(summary.owner())) {
-            return mergeOfLocal(summary, nowMs);
+            return mergeLocal(summary, nowMs);
         }
         OwnerState owner = table.findOrAdd(summary.owner());
         if (owner == null || summary.incarnation() < owner.incarnation) {
@@ -51,13 +51,13 @@
         boolean changed = summary.heartbeat() > owner.heartbeat;
         owner.heartbeat = summary.heartbeat();
         owner.announcedSequence = Math.max(owner.announcedSequence, summary.announcedSequence());
-        owner.lastHeardAtMs = Math.max(owner.lastHeardAtMs, nowMs - summary.ageMs());
+        owner.lastHeartbeatAtMs = Math.max(owner.lastHeartbeatAtMs, nowMs - summary.ageMs());
         owner.updateCompleteness();
         return changed;
     }
 
     /** Merges a peer's summary of this member itself. */
-    private boolean mergeOfLocal(ReplicationMessage.OwnerSummary summary, double nowMs) {
+    private boolean mergeLocal(ReplicationMessage.OwnerSummary summary, double nowMs) {
         boolean sameIncarnation = summary.incarnation() == local.incarnation;
         if (sameIncarnation && (summary.nonce() == local.nonce || summary.nonce() == 0)) {
             local.confirmed = true;
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -126,7 +126,7 @@
                         assertEquals(expectedSum, processA.replica().sum(RecordSpace.USED, "k"));
                     });
             assertNull(processB.replica().status().stream()
-                    .filter(record -> record.member().equals("b"))
+                    .filter(status -> status.member().equals("b"))
                     .findFirst()
                     .orElseThrow()
                     .quarantineReason());
