--- a/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/AntiEntropy.java
@@ -11,47 +11,49 @@
 import java.util.TreeSet;
 
 /**
- * Anti-entropy by content: finds copies that differ at rest, without a reader: digests of logs, then of ranges of
- * keys, then the records of a range; and makes them one by a rule that is the same at every member:
+ * Anti-entropy by content: detects copies that differ although their positions are equal, without waiting for a read.
+ * It compares digests of logs, then of ranges of keys, then the records of a range, and resolves differences by a rule
+ * that is the same at every member:
  * <ol>
- * <li>the owner's copy of its present incarnation decides, what it lacks is gone;
- * <li>a record that is no longer what its owner wrote (its checksum) yields to one that is;
- * <li>the later write wins; a record that only one has stays;
- * <li>two contents of one write are two writers: both are quarantined; of sums, the greater count stays.
+ * <li>the owner's copy of its present incarnation is authoritative; a record that it lacks was removed;
+ * <li>a record whose checksum does not match its content is replaced by one whose checksum does;
+ * <li>the later write wins; a record that only one copy has is kept;
+ * <li>two contents of one write mean two writers: the incarnation is quarantined; in an ended incarnation the greater
+ *     count is kept.
  * </ol>
  */
 public final class AntiEntropy {
-    /** Comparisons with the owner that still find a difference after repair, until the copy is discarded. */
+    /** The number of comparisons with the owner that find a difference, after which the copy is discarded. */
     static final int MAX_MISMATCHES = 3;
 
-    /** Differences and alarms that are kept, at the most. */
-    private static final int MAX_KEPT = 256;
+    /** The maximum number of kept differences, and of kept alarms. */
+    private static final int MAX_RECENT = 256;
 
     private static final int MAX_LOGS_PER_MESSAGE = 256;
     private static final int MAX_PIECE_BYTES = 64 << 10;
 
-    /** What became of a difference. */
+    /** How a difference was resolved. */
     public enum Verdict {
-        /** The peer's record was taken, or its word that there is none. */
+        /** The peer's copy was taken; the record was dropped if the peer has none. */
         TOOK_THEIRS,
-        /** The record here stands. */
+        /** The local record was kept. */
         KEPT_MINE,
-        /** Two writers. */
+        /** Two processes wrote under one name and incarnation. */
         TWO_WRITERS
     }
 
     /**
-     * Two copies of a record that differed.
+     * A difference between two copies of a record. {@code state diff} prints it with the names of its components.
      *
-     * @param atMs when it was found
-     * @param owner whose record
-     * @param life of which incarnation
-     * @param space its space
-     * @param key its key
-     * @param peer who holds the other copy
-     * @param mine the copy here, as text
-     * @param theirs the other, as text
-     * @param verdict what became of it
+     * @param atMs when it was found, in milliseconds
+     * @param owner the owner of the record
+     * @param life the owner's incarnation
+     * @param space the space of the record
+     * @param key the key of the record
+     * @param peer the member that has the other copy
+     * @param mine the local copy, as text
+     * @param theirs the peer's copy, as text
+     * @param verdict how the difference was resolved
      */
     public record Difference(
             double atMs,
@@ -67,274 +69,311 @@
     private final RecordStore store;
     private final ArrayDeque<Difference> differences = new ArrayDeque<>();
     private final Map<CatchUp.LogId, Integer> mismatches = new HashMap<>();
-    private final Set<CatchUp.LogId> open = new TreeSet<>();
-    private final Set<CatchUp.LogId> discarded = new TreeSet<>();
+    private final Set<CatchUp.LogId> differingLogs = new TreeSet<>();
+    private final Set<CatchUp.LogId> discardedLogs = new TreeSet<>();
     private final List<String> alarms = new ArrayList<>();
-    private CatchUp.LogId next = new CatchUp.LogId("", 0);
-    private long total;
+    private CatchUp.LogId nextLog = new CatchUp.LogId("", 0);
+    private long totalDifferences;
 
-    /** Of this copy. */
+    /** Creates the comparison of this copy with those of peers. */
     public AntiEntropy(RecordStore store) {
         this.store = store;
     }
 
-    /** The digests of the next logs to compare with this peer; all come in turn, the peer's own one each time. */
-    public ReplicationMessage.Digests nextDigests(String peer) {
-        Set<CatchUp.LogId> of = new LinkedHashSet<>();
-        of.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
-        of.add(new CatchUp.LogId(store.localMember(), store.incarnation()));
-        List<CatchUp.LogId> all = new ArrayList<>();
-        store.owners().forEach(o -> store.incarnations(o).forEach(l -> all.add(new CatchUp.LogId(o, l))));
-        int from = 0;
-        while (from < all.size() && all.get(from).compareTo(next) < 0) {
-            from++;
+    /** Digests of the next logs to compare with a peer: all logs in turn, and those of both members each time. */
+    public ReplicationMessage.LogDigests nextDigests(String peer) {
+        Set<CatchUp.LogId> selected = new LinkedHashSet<>();
+        selected.add(new CatchUp.LogId(peer, store.newestIncarnation(peer)));
+        selected.add(new CatchUp.LogId(store.localMember(), store.incarnation()));
+        List<CatchUp.LogId> known = new ArrayList<>();
+        store.owners()
+                .forEach(owner -> store.incarnations(owner)
+                        .forEach(incarnation -> known.add(new CatchUp.LogId(owner, incarnation))));
+        int start = 0;
+        while (start < known.size() && known.get(start).compareTo(nextLog) < 0) {
+            start++;
         }
-        for (int i = 0; i < all.size() && of.size() < MAX_LOGS_PER_MESSAGE; i++) {
-            of.add(all.get((from + i) % all.size()));
+        for (int i = 0; i < known.size() && selected.size() < MAX_LOGS_PER_MESSAGE; i++) {
+            selected.add(known.get((start + i) % known.size()));
         }
-        next = all.isEmpty() ? next : all.get((from + Math.min(all.size(), MAX_LOGS_PER_MESSAGE - 2)) % all.size());
-        List<ReplicationMessage.Digest> digests = new ArrayList<>();
-        for (CatchUp.LogId o : of) {
-            long[] d = store.digests(o.owner(), o.incarnation());
-            if (d != null) {
-                digests.add(new ReplicationMessage.Digest(
-                        o.owner(),
-                        o.incarnation(),
-                        store.appliedSequence(o.owner(), o.incarnation()).orElse(0),
-                        OwnerLog.digest(d)));
+        nextLog = known.isEmpty()
+                ? nextLog
+                : known.get((start + Math.min(known.size(), MAX_LOGS_PER_MESSAGE - 2)) % known.size());
+        List<ReplicationMessage.LogDigest> digests = new ArrayList<>();
+        for (CatchUp.LogId log : selected) {
+            long[] ranges = store.digests(log.owner(), log.incarnation());
+            if (ranges != null) {
+                digests.add(new ReplicationMessage.LogDigest(
+                        log.owner(),
+                        log.incarnation(),
+                        store.appliedSequence(log.owner(), log.incarnation()).orElse(0),
+                        OwnerLog.combineDigests(ranges)));
             }
         }
-        return new ReplicationMessage.Digests(digests);
+        return new ReplicationMessage.LogDigests(digests);
     }
 
-    /** Takes a peer's digests; answers with ranges where they differ. */
-    public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.Digests m) {
+    /** Handles a peer's digests; answers with digests by range for logs that differ. */
+    public List<ReplicationMessage> onDigests(String peer, ReplicationMessage.LogDigests message) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        for (ReplicationMessage.Digest d : m.digests()) {
-            long[] mine = digestsAt(d.owner(), d.life(), d.have());
-            if (mine == null) {
+        for (ReplicationMessage.LogDigest digest : message.digests()) {
+            long[] local = digestsIfAppliedTo(digest.owner(), digest.incarnation(), digest.appliedSequence());
+            if (local == null) {
                 continue;
             }
-            if (OwnerLog.digest(mine) == d.digest()) {
-                onEqual(peer, d.owner(), d.life());
+            if (OwnerLog.combineDigests(local) == digest.digest()) {
+                onEqualDigests(peer, digest.owner(), digest.incarnation());
             } else {
-                answers.add(ranges(d.owner(), d.life(), d.have(), mine));
+                answers.add(rangeDigests(digest.owner(), digest.incarnation(), digest.appliedSequence(), local));
             }
         }
         return answers;
     }
 
-    private static ReplicationMessage.Ranges ranges(String owner, long life, long have, long[] digests) {
+    private static ReplicationMessage.RangeDigests rangeDigests(
+            String owner, long incarnation, long appliedSequence, long[] digests) {
         List<Long> list = new ArrayList<>();
-        for (long d : digests) {
-            list.add(d);
+        for (long digest : digests) {
+            list.add(digest);
         }
-        return new ReplicationMessage.Ranges(owner, life, have, list);
+        return new ReplicationMessage.RangeDigests(owner, incarnation, appliedSequence, list);
     }
 
-    /** Only copies that are equally far are compared. */
-    private long[] digestsAt(String owner, long life, long have) {
-        return store.appliedSequence(owner, life).orElse(0) == have ? store.digests(owner, life) : null;
+    /** The digests by range if the copy is at this position, else null: only copies at equal positions are compared. */
+    private long[] digestsIfAppliedTo(String owner, long incarnation, long appliedSequence) {
+        return store.appliedSequence(owner, incarnation).orElse(0) == appliedSequence
+                ? store.digests(owner, incarnation)
+                : null;
     }
 
-    private void onEqual(String peer, String owner, long life) {
-        CatchUp.LogId of = new CatchUp.LogId(owner, life);
-        open.remove(of);
-        if (peer.equals(owner) || life < store.newestIncarnation(owner)) {
-            mismatches.remove(of);
-            discarded.remove(of);
+    private void onEqualDigests(String peer, String owner, long incarnation) {
+        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
+        differingLogs.remove(log);
+        if (peer.equals(owner) || incarnation < store.newestIncarnation(owner)) {
+            mismatches.remove(log);
+            discardedLogs.remove(log);
         }
     }
 
-    /** Takes a peer's digests by range; answers with the records of ranges that differ. */
-    public List<ReplicationMessage> onRanges(String peer, ReplicationMessage.Ranges m) {
+    /** Handles a peer's digests by range; answers with the records of ranges that differ. */
+    public List<ReplicationMessage> onRangeDigests(String peer, ReplicationMessage.RangeDigests message) {
         List<ReplicationMessage> answers = new ArrayList<>();
-        long[] mine = digestsAt(m.owner(), m.life(), m.have());
-        if (mine == null) {
+        long[] local = digestsIfAppliedTo(message.owner(), message.incarnation(), message.appliedSequence());
+        if (local == null) {
             return answers;
         }
-        boolean differ = false;
-        for (int r = 0; r < mine.length; r++) {
-            if (mine[r] != m.digests().get(r)) {
-                differ = true;
-                answers.addAll(copies(m.owner(), m.life(), m.have(), r, true));
+        boolean anyDifferent = false;
+        for (int range = 0; range < local.length; range++) {
+            if (local[range] != message.digests().get(range)) {
+                anyDifferent = true;
+                answers.addAll(
+                        rangeRecords(message.owner(), message.incarnation(), message.appliedSequence(), range, true));
             }
         }
-        if (differ) {
-            onDifferent(peer, m.owner(), m.life());
+        if (anyDifferent) {
+            onDifferentDigests(peer, message.owner(), message.incarnation());
         } else {
-            onEqual(peer, m.owner(), m.life());
+            onEqualDigests(peer, message.owner(), message.incarnation());
         }
         return answers;
     }
 
-    private void onDifferent(String peer, String owner, long life) {
-        CatchUp.LogId of = new CatchUp.LogId(owner, life);
+    private void onDifferentDigests(String peer, String owner, long incarnation) {
+        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
         if (owner.equals(store.localMember())) {
             return;
         }
-        open.add(of);
-        if (peer.equals(owner) && mismatches.merge(of, 1, Integer::sum) >= MAX_MISMATCHES) {
-            mismatches.remove(of);
-            discarded.add(of);
-            addAlarm("the copy of " + owner + " in life " + life + " still differs from its owner's after "
-                    + MAX_MISMATCHES + " times: out of decision, fetched whole");
-            store.discard(owner, life);
+        differingLogs.add(log);
+        if (peer.equals(owner) && mismatches.merge(log, 1, Integer::sum) >= MAX_MISMATCHES) {
+            mismatches.remove(log);
+            discardedLogs.add(log);
+            addAlarm("the copy of " + owner + " incarnation " + incarnation + " still differs from the owner's after "
+                    + MAX_MISMATCHES + " comparisons: discarded and fetched again, excluded from decisions until then");
+            store.discard(owner, incarnation);
         }
     }
 
-    private List<ReplicationMessage> copies(String owner, long life, long have, int range, boolean ask) {
+    private List<ReplicationMessage> rangeRecords(
+            String owner, long incarnation, long appliedSequence, int range, boolean replyRequested) {
         List<ReplicationMessage> pieces = new ArrayList<>();
         List<ReplicatedRecord> piece = new ArrayList<>();
         int bytes = 0;
-        for (ReplicatedRecord e : store.range(owner, life, range)) {
-            if (!piece.isEmpty() && (bytes + e.bytes() > MAX_PIECE_BYTES || piece.size() == ReplicationMessage.MOST)) {
-                pieces.add(new ReplicationMessage.Copies(owner, life, have, range, pieces.size(), false, ask, piece));
+        for (ReplicatedRecord record : store.recordsInRange(owner, incarnation, range)) {
+            if (!piece.isEmpty()
+                    && (bytes + record.estimatedBytes() > MAX_PIECE_BYTES
+                            || piece.size() == ReplicationMessage.MAX_LIST_SIZE)) {
+                pieces.add(new ReplicationMessage.RangeRecords(
+                        owner, incarnation, appliedSequence, range, pieces.size(), false, replyRequested, piece));
                 piece = new ArrayList<>();
                 bytes = 0;
             }
-            piece.add(e);
-            bytes += e.bytes();
+            piece.add(record);
+            bytes += record.estimatedBytes();
         }
-        pieces.add(new ReplicationMessage.Copies(owner, life, have, range, pieces.size(), true, ask, piece));
+        pieces.add(new ReplicationMessage.RangeRecords(
+                owner, incarnation, appliedSequence, range, pieces.size(), true, replyRequested, piece));
         return pieces;
     }
 
-    /** Takes a peer's records of a range, and applies the rule; answers with those here if asked to. */
-    public List<ReplicationMessage> onCopies(String peer, ReplicationMessage.Copies m, double nowMs) {
-        if (store.appliedSequence(m.owner(), m.life()).orElse(0) != m.have()
-                || store.digests(m.owner(), m.life()) == null) {
+    /** Handles a peer's records of a range and resolves differences; answers with the local records on request. */
+    public List<ReplicationMessage> onRangeRecords(String peer, ReplicationMessage.RangeRecords message, double nowMs) {
+        if (store.appliedSequence(message.owner(), message.incarnation()).orElse(0) != message.appliedSequence()
+                || store.digests(message.owner(), message.incarnation()) == null) {
             return List.of();
         }
-        List<ReplicationMessage> answer =
-                m.ask() && m.last() ? copies(m.owner(), m.life(), m.have(), m.range(), false) : List.of();
+        List<ReplicationMessage> answers = message.replyRequested() && message.lastPiece()
+                ? rangeRecords(
+                        message.owner(), message.incarnation(), message.appliedSequence(), message.range(), false)
+                : List.of();
         Map<RecordKey, ReplicatedRecord> theirs = new TreeMap<>();
-        m.entries().forEach(e -> theirs.put(e.item(), e));
-        Set<RecordKey> items = new TreeSet<>(theirs.keySet());
-        RecordKey first =
-                m.part() == 0 || theirs.isEmpty() ? null : m.entries().get(0).item();
-        RecordKey last = m.last()
+        message.records().forEach(record -> theirs.put(record.recordKey(), record));
+        Set<RecordKey> keys = new TreeSet<>(theirs.keySet());
+        RecordKey first = message.piece() == 0 || theirs.isEmpty()
                 ? null
-                : m.entries().isEmpty()
+                : message.records().get(0).recordKey();
+        RecordKey last = message.lastPiece()
+                ? null
+                : message.records().isEmpty()
                         ? first
-                        : m.entries().get(m.entries().size() - 1).item();
-        for (ReplicatedRecord e : store.range(m.owner(), m.life(), m.range())) {
-            if ((first == null || e.item().compareTo(first) >= 0)
-                    && (last == null || e.item().compareTo(last) <= 0)) {
-                items.add(e.item());
+                        : message.records().get(message.records().size() - 1).recordKey();
+        for (ReplicatedRecord record : store.recordsInRange(message.owner(), message.incarnation(), message.range())) {
+            if ((first == null || record.recordKey().compareTo(first) >= 0)
+                    && (last == null || record.recordKey().compareTo(last) <= 0)) {
+                keys.add(record.recordKey());
             }
         }
-        if (!peer.equals(m.owner()) || !m.ask()) {
-            open.add(new CatchUp.LogId(m.owner(), m.life()));
+        if (!peer.equals(message.owner()) || !message.replyRequested()) {
+            differingLogs.add(new CatchUp.LogId(message.owner(), message.incarnation()));
         }
-        for (RecordKey i : items) {
-            ReplicatedRecord t = theirs.get(i);
-            if (t == null
-                    || t.item().range() == m.range()
-                            && t.version().life() == m.life()
-                            && t.version().sequence() <= m.have()) {
-                applyRule(peer, m.owner(), m.life(), i, t, nowMs);
+        for (RecordKey key : keys) {
+            ReplicatedRecord theirRecord = theirs.get(key);
+            if (theirRecord == null
+                    || theirRecord.recordKey().rangeIndex() == message.range()
+                            && theirRecord.version().incarnation() == message.incarnation()
+                            && theirRecord.version().sequence() <= message.appliedSequence()) {
+                resolve(peer, message.owner(), message.incarnation(), key, theirRecord, nowMs);
             }
         }
-        if (m.last() && m.owner().equals(store.localMember())) {
-            open.remove(new CatchUp.LogId(m.owner(), m.life()));
+        if (message.lastPiece() && message.owner().equals(store.localMember())) {
+            differingLogs.remove(new CatchUp.LogId(message.owner(), message.incarnation()));
         }
-        return answer;
+        return answers;
     }
 
-    private void applyRule(
-            String peer, String owner, long life, RecordKey item, ReplicatedRecord theirs, double nowMs) {
-        ReplicatedRecord mine = store.record(owner, life, item);
-        boolean goneHere = mine == null || mine.gone();
-        boolean goneThere = theirs == null || theirs.gone();
-        if (goneHere && goneThere
-                || mine != null
+    private void resolve(
+            String peer, String owner, long incarnation, RecordKey key, ReplicatedRecord theirs, double nowMs) {
+        ReplicatedRecord local = store.record(owner, incarnation, key);
+        boolean removedHere = local == null || local.removed();
+        boolean removedThere = theirs == null || theirs.removed();
+        if (removedHere && removedThere
+                || local != null
                         && theirs != null
-                        && mine.sum() == theirs.sum()
-                        && mine.intact(owner)
-                        && theirs.intact(owner)) {
+                        && local.checksum() == theirs.checksum()
+                        && local.hasValidChecksum(owner)
+                        && theirs.hasValidChecksum(owner)) {
             return;
         }
-        boolean own = owner.equals(store.localMember()) && life == store.incarnation();
-        boolean present = life == store.newestIncarnation(owner);
-        Verdict v;
-        if (mine != null && !mine.intact(owner)) {
-            v = theirs != null && theirs.intact(owner) || !own ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
-        } else if (theirs != null && !theirs.intact(owner) || own) {
-            v = Verdict.KEPT_MINE;
+        Verdict verdict = decide(peer, owner, incarnation, local, theirs);
+        addDifference(new Difference(
+                nowMs,
+                owner,
+                incarnation,
+                key.space(),
+                key.key(),
+                peer,
+                describe(owner, local),
+                describe(owner, theirs),
+                verdict));
+        if (verdict == Verdict.TOOK_THEIRS) {
+            store.repair(
+                    owner, incarnation, key, theirs != null && !theirs.hasValidChecksum(owner) ? null : theirs, nowMs);
+        } else if (verdict == Verdict.TWO_WRITERS) {
+            store.resolveConflict(owner, incarnation, local, theirs);
+        }
+    }
+
+    /** Decides between two copies that differ. */
+    private Verdict decide(
+            String peer, String owner, long incarnation, ReplicatedRecord local, ReplicatedRecord theirs) {
+        boolean ownLog = owner.equals(store.localMember()) && incarnation == store.incarnation();
+        boolean isNewest = incarnation == store.newestIncarnation(owner);
+        Verdict verdict;
+        if (local != null && !local.hasValidChecksum(owner)) {
+            verdict = theirs != null && theirs.hasValidChecksum(owner) || !ownLog
+                    ? Verdict.TOOK_THEIRS
+                    : Verdict.KEPT_MINE;
+        } else if (theirs != null && !theirs.hasValidChecksum(owner) || ownLog) {
+            verdict = Verdict.KEPT_MINE;
         } else if (theirs == null) {
-            v = peer.equals(owner) && present ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
-        } else if (mine == null) {
-            v = Verdict.TOOK_THEIRS;
-        } else if (mine.version().equals(theirs.version())) {
-            v = Verdict.TWO_WRITERS;
+            verdict = peer.equals(owner) && isNewest ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+        } else if (local == null) {
+            verdict = Verdict.TOOK_THEIRS;
+        } else if (local.version().equals(theirs.version())) {
+            verdict = Verdict.TWO_WRITERS;
         } else {
-            v = theirs.version().compareTo(mine.version()) > 0 ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
+            verdict = theirs.version().compareTo(local.version()) > 0 ? Verdict.TOOK_THEIRS : Verdict.KEPT_MINE;
         }
-        if (own
-                && mine != null
+        if (ownLog
+                && local != null
                 && theirs != null
-                && mine.intact(owner)
-                && theirs.intact(owner)
-                && mine.version().equals(theirs.version())) {
-            v = Verdict.TWO_WRITERS;
-        }
-        addDifference(new Difference(
-                nowMs, owner, life, item.space(), item.key(), peer, text(owner, mine), text(owner, theirs), v));
-        if (v == Verdict.TOOK_THEIRS) {
-            store.repair(owner, life, item, theirs != null && !theirs.intact(owner) ? null : theirs, nowMs);
-        } else if (v == Verdict.TWO_WRITERS) {
-            store.resolveConflict(owner, life, mine, theirs);
+                && local.hasValidChecksum(owner)
+                && theirs.hasValidChecksum(owner)
+                && local.version().equals(theirs.version())) {
+            verdict = Verdict.TWO_WRITERS;
         }
+        return verdict;
     }
 
-    private static String text(String owner, ReplicatedRecord e) {
-        return e == null ? "nothing" : e.intact(owner) ? e.toString() : e + " (not what was written)";
+    private static String describe(String owner, ReplicatedRecord record) {
+        return record == null
+                ? "nothing"
+                : record.hasValidChecksum(owner) ? record.toString() : record + " (checksum mismatch)";
     }
 
-    private void addDifference(Difference d) {
-        total++;
-        if (differences.size() == MAX_KEPT) {
+    private void addDifference(Difference difference) {
+        totalDifferences++;
+        if (differences.size() == MAX_RECENT) {
             differences.removeFirst();
         }
-        differences.addLast(d);
-        addAlarm("copies differ: " + d.owner() + " life " + d.life() + " " + d.space() + "/" + d.key() + ": here "
-                + d.mine() + ", at " + d.peer() + " " + d.theirs() + ": " + d.verdict());
+        differences.addLast(difference);
+        addAlarm("copies differ: " + difference.owner() + " incarnation " + difference.life() + " "
+                + difference.space() + "/" + difference.key() + ": here " + difference.mine() + ", at "
+                + difference.peer() + " " + difference.theirs() + ": " + difference.verdict());
     }
 
     private void addAlarm(String text) {
-        if (alarms.size() < MAX_KEPT) {
+        if (alarms.size() < MAX_RECENT) {
             alarms.add(text);
         }
     }
 
-    /** What was found that an operator should know, since the last call. */
+    /** The alarms for the operator since the last call. */
     public List<String> drainAlarms() {
         List<String> drained = List.copyOf(alarms);
         alarms.clear();
         return drained;
     }
 
-    /** The last differences that were found, earliest first. */
+    /** The latest differences, earliest first. */
     public List<Difference> recentDifferences() {
         return List.copyOf(differences);
     }
 
-    /** How many were found since the start. */
+    /** The number of differences since the start. */
     public long totalDifferences() {
-        return total;
+        return totalDifferences;
     }
 
-    /** Logs that were found to differ and were not found equal since. */
-    public int openLogs() {
-        open.removeIf(o -> o.incarnation() < store.newestIncarnation(o.owner())
-                && store.appliedSequence(o.owner(), o.incarnation()).isEmpty());
-        return open.size();
+    /** The number of logs that were found to differ and were not found equal since. */
+    public int countDifferingLogs() {
+        differingLogs.removeIf(log -> log.incarnation() < store.newestIncarnation(log.owner())
+                && store.appliedSequence(log.owner(), log.incarnation()).isEmpty());
+        return differingLogs.size();
     }
 
-    /** Whether a copy here still differs after the rule: nobody acts on this member's copies. */
-    public boolean outOfDecision() {
-        discarded.removeIf(o -> o.incarnation() < store.newestIncarnation(o.owner()));
-        return !discarded.isEmpty();
+    /** Whether a copy was discarded since it still differed after repair; decisions must not use copies until then. */
+    public boolean hasDiscardedLogs() {
+        discardedLogs.removeIf(log -> log.incarnation() < store.newestIncarnation(log.owner()));
+        return !discardedLogs.isEmpty();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ChangeNotifier.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ChangeNotifier.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls listeners on a thread of its own, without the lock. Several changes of one record before a call are one: the
- * listener gets the record as it is by then.
+ * Notifies listeners on its own thread, without the lock. Several changes of a record before a notification are
+ * combined: the listener receives the latest record.
  */
 final class ChangeNotifier implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeNotifier.class);
@@ -45,11 +45,11 @@
                 change.key().space(), change.owner(), change.key().key()));
     }
 
-    /** Notifies listeners until the end. */
+    /** Notifies listeners until the replica is closed. */
     @Override
     public void run() {
         while (!monitor.isClosed()) {
-            Map<ChangedRecord, Replica.Seen> changes;
+            Map<ChangedRecord, Replica.ReadRecord> changes;
             try {
                 changes = awaitChanges();
             } catch (InterruptedException e) {
@@ -59,8 +59,8 @@
         }
     }
 
-    private Map<ChangedRecord, Replica.Seen> awaitChanges() throws InterruptedException {
-        Map<ChangedRecord, Replica.Seen> changes = new LinkedHashMap<>();
+    private Map<ChangedRecord, Replica.ReadRecord> awaitChanges() throws InterruptedException {
+        Map<ChangedRecord, Replica.ReadRecord> changes = new LinkedHashMap<>();
         monitor.lock();
         try {
             while (pending.isEmpty() && !monitor.isClosed()) {
@@ -76,12 +76,12 @@
         return changes;
     }
 
-    private void notifyListeners(ChangedRecord change, Replica.Seen now) {
+    private void notifyListeners(ChangedRecord change, Replica.ReadRecord now) {
         for (Replica.Listener listener : listeners) {
             try {
-                listener.changed(change.space(), change.owner(), change.key(), now);
+                listener.onChange(change.space(), change.owner(), change.key(), now);
             } catch (RuntimeException e) {
-                LOG.error("a listener failed on {}", change, e);
+                LOG.error("listener failed for {}", change, e);
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/CopyRepair.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Digests and records of single logs for comparison with a peer's copies, and the repair of copies that differ. */
+/** Provides digests and records of single logs for comparison with a peer's copies, and repairs copies that differ. */
 final class CopyRepair {
     private final RecordTable table;
     private final LocalOwner local;
@@ -22,16 +22,16 @@
         return owner == null ? List.of() : List.copyOf(owner.logs.keySet());
     }
 
-    List<ReplicatedRecord> range(String owner, long incarnation, int range) {
-        return all(owner, incarnation).stream()
-                .filter(record -> record.item().range() == range)
-                .sorted((a, b) -> a.item().compareTo(b.item()))
+    List<ReplicatedRecord> recordsInRange(String owner, long incarnation, int range) {
+        return records(owner, incarnation).stream()
+                .filter(record -> record.recordKey().rangeIndex() == range)
+                .sorted((first, second) -> first.recordKey().compareTo(second.recordKey()))
                 .toList();
     }
 
-    List<ReplicatedRecord> all(String owner, long incarnation) {
+    List<ReplicatedRecord> records(String owner, long incarnation) {
         OwnerLog log = table.log(owner, incarnation);
-        return log == null ? List.of() : log.all();
+        return log == null ? List.of() : log.records();
     }
 
     ReplicatedRecord record(String owner, long incarnation, RecordKey key) {
@@ -41,7 +41,7 @@
 
     void repair(String owner, long incarnation, RecordKey key, ReplicatedRecord replacement, double nowMs) {
         OwnerLog log = table.log(owner, incarnation);
-        if (log == null || replacement != null && !replacement.intact(owner)) {
+        if (log == null || replacement != null && !replacement.hasValidChecksum(owner)) {
             return;
         }
         if (replacement == null) {
@@ -52,10 +52,10 @@
         table.addChange(owner, incarnation, key);
     }
 
-    void resolveConflict(String name, long incarnation, ReplicatedRecord mine, ReplicatedRecord theirs) {
+    void resolveConflict(String name, long incarnation, ReplicatedRecord ours, ReplicatedRecord theirs) {
         OwnerLog log = table.log(name, incarnation);
         if (log != null) {
-            table.resolveConflict(table.find(name), log, mine, theirs);
+            table.resolveConflict(table.find(name), log, ours, theirs);
         }
     }
 
@@ -64,9 +64,9 @@
         if (log == null || local.isNamed(name) && incarnation == local.incarnation) {
             return;
         }
-        log.all().forEach(record -> {
-            log.drop(record.item());
-            table.addChange(name, incarnation, record.item());
+        log.records().forEach(record -> {
+            log.drop(record.recordKey());
+            table.addChange(name, incarnation, record.recordKey());
         });
         log.appliedSequence = 0;
         log.tombstoneFloor = 0;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/LogReader.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** What peers are told of the logs here: marks, what is missing, and pieces of logs and snapshots. */
+/** Creates the messages that describe the local logs: summaries, requests, and chunks of logs and snapshots. */
 final class LogReader {
-    /** The greatest age that a mark carries, in milliseconds; longer ones are shortened to it. */
+    /** The maximum age in a summary, in milliseconds; greater ages are reduced to it. */
     private static final double MAX_AGE_MS = 1e15;
 
     private final RecordTable table;
@@ -17,23 +17,23 @@
         this.local = local;
     }
 
-    List<ReplicationMessage.Mark> marks(Iterable<String> names, double nowMs) {
-        List<ReplicationMessage.Mark> marks = new ArrayList<>();
+    List<ReplicationMessage.OwnerSummary> summaries(Iterable<String> names, double nowMs) {
+        List<ReplicationMessage.OwnerSummary> summaries = new ArrayList<>();
         for (String name : names) {
             OwnerState owner = table.find(name);
             if (owner != null) {
-                marks.add(mark(name, owner, nowMs));
+                summaries.add(summarize(name, owner, nowMs));
             }
         }
-        return marks;
+        return summaries;
     }
 
-    private ReplicationMessage.Mark mark(String name, OwnerState owner, double nowMs) {
+    private ReplicationMessage.OwnerSummary summarize(String name, OwnerState owner, double nowMs) {
         OwnerLog log = owner.newestLog();
         long applied = log == null ? 0 : log.appliedSequence;
         boolean self = local.isNamed(name) && owner.incarnation == local.incarnation;
-        double ageMs = self ? 0 : Math.min(MAX_AGE_MS, Math.max(0, nowMs - owner.lastHeardAtMs));
-        return new ReplicationMessage.Mark(
+        double ageMs = self ? 0 : Math.min(MAX_AGE_MS, Math.max(0, nowMs - owner.lastHeartbeatAtMs));
+        return new ReplicationMessage.OwnerSummary(
                 name,
                 owner.incarnation,
                 owner.nonce,
@@ -44,15 +44,15 @@
                 owner.quarantineReason != null);
     }
 
-    List<ReplicationMessage.Have> endedIncarnations() {
-        List<ReplicationMessage.Have> ended = new ArrayList<>();
-        table.all()
+    List<ReplicationMessage.EndedLog> endedLogs() {
+        List<ReplicationMessage.EndedLog> endedLogs = new ArrayList<>();
+        table.ownersByName()
                 .forEach((name, owner) -> owner.logs.headMap(owner.incarnation).forEach((incarnation, log) -> {
                     if (log.size() > 0) {
-                        ended.add(new ReplicationMessage.Have(name, incarnation, log.appliedSequence));
+                        endedLogs.add(new ReplicationMessage.EndedLog(name, incarnation, log.appliedSequence));
                     }
                 }));
-        return ended;
+        return endedLogs;
     }
 
     OptionalLong appliedSequence(String name, long incarnation) {
@@ -65,35 +65,42 @@
         return ended ? OptionalLong.empty() : OptionalLong.of(0);
     }
 
-    ReplicationMessage.Want request(String name, long incarnation) {
+    ReplicationMessage.LogRequest createRequest(String name, long incarnation) {
         OwnerLog log = table.log(name, incarnation);
         return log == null
-                ? new ReplicationMessage.Want(name, incarnation, 0, 0, 0)
-                : new ReplicationMessage.Want(
+                ? new ReplicationMessage.LogRequest(name, incarnation, 0, 0, 0)
+                : new ReplicationMessage.LogRequest(
                         name, incarnation, log.appliedSequence, log.snapshotCursor, log.snapshotEnd);
     }
 
-    ReplicationMessage.Chunk answer(ReplicationMessage.Want want, int maxBytes) {
-        OwnerState owner = table.find(want.owner());
-        OwnerLog log = table.log(want.owner(), want.life());
-        if (log == null || log.appliedSequence <= want.have()) {
+    ReplicationMessage.LogChunk answer(ReplicationMessage.LogRequest request, int maxBytes) {
+        OwnerState owner = table.find(request.owner());
+        OwnerLog log = table.log(request.owner(), request.incarnation());
+        if (log == null || log.appliedSequence <= request.appliedSequence()) {
             return null;
         }
-        if (want.life() < owner.incarnation || want.have() >= log.tombstoneFloor) {
-            return log.piece(want.have(), log.appliedSequence, 0, owner.incarnation, maxBytes);
+        if (request.incarnation() < owner.incarnation || request.appliedSequence() >= log.tombstoneFloor) {
+            return log.readChunk(request.appliedSequence(), log.appliedSequence, 0, owner.incarnation, maxBytes);
         }
-        // A snapshot that another began goes on only if no tombstone after its end was forgotten since.
-        boolean resumes =
-                want.base() > want.have() && want.base() <= log.appliedSequence && want.cursor() < want.base();
+        // A snapshot that another member began may be resumed. If tombstones after its end were forgotten since, the
+        // requester is below the floor when it ends, and its next request starts another snapshot.
+        boolean resumes = request.snapshotEnd() > request.appliedSequence()
+                && request.snapshotEnd() <= log.appliedSequence
+                && request.snapshotCursor() < request.snapshotEnd();
         return resumes
-                ? log.piece(want.cursor(), want.base(), want.base(), owner.incarnation, maxBytes)
-                : log.piece(0, log.appliedSequence, log.appliedSequence, owner.incarnation, maxBytes);
+                ? log.readChunk(
+                        request.snapshotCursor(),
+                        request.snapshotEnd(),
+                        request.snapshotEnd(),
+                        owner.incarnation,
+                        maxBytes)
+                : log.readChunk(0, log.appliedSequence, log.appliedSequence, owner.incarnation, maxBytes);
     }
 
-    ReplicationMessage.Chunk readAfter(String name, long incarnation, long sequence, int maxBytes) {
+    ReplicationMessage.LogChunk readAfter(String name, long incarnation, long sequence, int maxBytes) {
         OwnerLog log = table.log(name, incarnation);
         return log == null || sequence >= log.appliedSequence || sequence < log.tombstoneFloor
                 ? null
-                : log.piece(sequence, log.appliedSequence, 0, table.find(name).incarnation, maxBytes);
+                : log.readChunk(sequence, log.appliedSequence, 0, table.find(name).incarnation, maxBytes);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/RecordKey.java
@@ -3,20 +3,20 @@
 /**
  * Identifies a record within one incarnation of its owner.
  *
- * @param space the space
- * @param key the key in it
+ * @param space the space of the record
+ * @param key the key within the space
  */
 public record RecordKey(RecordSpace space, String key) implements Comparable<RecordKey> {
-    /** Ranges of keys by which copies are compared. */
-    static final int RANGES = 16;
+    /** The number of ranges into which keys are hashed for comparing copies. */
+    static final int RANGE_COUNT = 16;
 
-    int range() {
-        int h = key.hashCode() * 31 + space.ordinal();
-        return (h ^ h >>> 16 ^ h >>> 8) & RANGES - 1;
+    int rangeIndex() {
+        int hash = key.hashCode() * 31 + space.ordinal();
+        return (hash ^ hash >>> 16 ^ hash >>> 8) & RANGE_COUNT - 1;
     }
 
     @Override
-    public int compareTo(RecordKey o) {
-        return space != o.space ? space.compareTo(o.space) : key.compareTo(o.key);
+    public int compareTo(RecordKey other) {
+        return space != other.space ? space.compareTo(other.space) : key.compareTo(other.key);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaDisk.java
@@ -23,52 +23,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's copy on disk: one file of H2's MVStore, written behind by appended chunks, each commit whole or not at
- * all. Every record carries a checksum of its own. The header says whose it is.
+ * A member's copy on disk: one file of H2's MVStore, which appends chunks with atomic commits. Every record has its own
+ * checksum. The header contains fleet, member and incarnation.
  *
- * <p>A write counts once it is synced. After one that failed nobody knows which pages of the file reached the disk, and
- * a sync that succeeds later does not say: the next write is of everything, to a fresh file that takes the place of
- * the old one when it is synced. Until then the old file stays as it was left.
+ * <p>A write is durable once it is synced. After a failed write it is unknown which pages of the file reached the disk,
+ * and a later successful sync does not tell. Therefore the next write contains everything and goes to a new file, which
+ * replaces the old one after it was synced. Until then the old file is left unchanged.
  */
 public final class ReplicaDisk implements AutoCloseable {
-    /** The way of writing; another one is not read. */
+    /** The version of the file format; files of other versions are not read. */
     static final int SCHEMA = 1;
 
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaDisk.class);
     private static final String FILE = "replica.mv";
-    /** What is written anew, until it is whole. */
-    private static final String FRESH = FILE + ".new";
+    /** The name of a new file until it is complete. */
+    private static final String NEW_FILE = FILE + ".new";
 
     /**
-     * What is to be written of one incarnation of an owner.
+     * The changes to write for one incarnation of an owner.
      *
-     * @param owner whose
-     * @param life which incarnation
-     * @param have how far the copy is; empty if the incarnation is gone
-     * @param floor how far tombstones are forgotten
-     * @param entries records that changed
-     * @param gone records that are gone
+     * @param owner the owner's name
+     * @param incarnation the owner's incarnation
+     * @param appliedSequence the position of the copy; null if the log was dropped
+     * @param tombstoneFloor tombstones up to this write may be forgotten
+     * @param records changed records
+     * @param removedKeys keys of records that were dropped
      */
     record Batch(
-            String owner, long life, Long have, long floor, List<ReplicatedRecord> entries, List<RecordKey> gone) {}
+            String owner,
+            long incarnation,
+            Long appliedSequence,
+            long tombstoneFloor,
+            List<ReplicatedRecord> records,
+            List<RecordKey> removedKeys) {}
 
     private final StoreFile file;
     private final String fleet;
     private final String member;
-    private long life;
-    private boolean failed;
+    private long incarnation;
+    private boolean writeFailed;
     private MVStore store;
     private MVMap<String, byte[]> logHeads;
     private MVMap<String, byte[]> records;
     private MVMap<String, byte[]> header;
 
     /**
-     * A file, by the name that the store opens it by.
+     * A file with the scheme by which the store opens it.
      *
-     * @param scheme of the file system; empty for the usual one
+     * @param scheme the scheme of the file system; empty for the default one
+     * @param path the path of the file
      */
     private record StoreFile(String scheme, Path path) {
-        FilePath at() {
+        FilePath filePath() {
             return FilePath.get(scheme + path);
         }
 
@@ -82,22 +88,22 @@
         }
     }
 
-    private ReplicaDisk(StoreFile file, String fleet, String member, MVStore store, long life) {
+    private ReplicaDisk(StoreFile file, String fleet, String member, MVStore store, long incarnation) {
         this.file = file;
         this.fleet = fleet;
         this.member = member;
-        this.life = life;
+        this.incarnation = incarnation;
         useStore(store);
     }
 
     private void useStore(MVStore opened) {
         store = opened;
-        header = map(opened, "header");
-        logHeads = map(opened, "heads");
-        records = map(opened, "records");
+        header = openMap(opened, "header");
+        logHeads = openMap(opened, "heads");
+        records = openMap(opened, "records");
     }
 
-    private static MVMap<String, byte[]> map(MVStore store, String name) {
+    private static MVMap<String, byte[]> openMap(MVStore store, String name) {
         return store.openMap(
                 name,
                 new MVMap.Builder<String, byte[]>()
@@ -107,24 +113,25 @@
 
     private static MVStore open(StoreFile file) {
         return new MVStore.Builder()
-                .fileName(file.at().toString())
+                .fileName(file.filePath().toString())
                 .autoCommitDisabled()
                 .cacheSize(4)
                 .open();
     }
 
     /**
-     * Opens a member's directory, and takes the next incarnation: greater than the one before, and at least the time
-     * of day in milliseconds, so that a member whose disk is lost or old begins a later one unless the clock went
-     * back.
+     * Opens a member's directory and takes the next incarnation. It is greater than the previous one and at least the
+     * wall-clock time in milliseconds, so that a member whose disk was lost or is old takes a later incarnation unless
+     * the clock went back.
      *
-     * @throws IOException in one line, if it is another fleet's or another member's, or a process has it open
+     * @throws IOException with a one-line message, if the file belongs to another fleet or member, is open in another
+     *     process or can't be accessed
      */
     public static ReplicaDisk open(Path directory, String fleet, String member, double nowMs) throws IOException {
         return open(directory, fleet, member, nowMs, "");
     }
 
-    /** The same, on a file system of this scheme. */
+    /** Opens a directory on the file system with this scheme. */
     static ReplicaDisk open(Path directory, String fleet, String member, double nowMs, String scheme)
             throws IOException {
         Files.createDirectories(directory);
@@ -154,163 +161,170 @@
         }
     }
 
-    /** Whether the disk does not take or give bytes, which says nothing against those that are there. */
+    /** Whether reading or writing failed, which does not mean that the content is damaged. */
     private static boolean isAccessFailure(RuntimeException e) {
         return e instanceof MVStoreException m
                 && (m.getErrorCode() == DataUtils.ERROR_READING_FAILED
                         || m.getErrorCode() == DataUtils.ERROR_WRITING_FAILED);
     }
 
-    private static MVStore replaceBroken(StoreFile file, String why) {
+    private static MVStore replaceBroken(StoreFile file, String reason) {
         StoreFile broken = file.sibling(FILE + ".broken");
-        LOG.error("{} is broken ({}): kept as {}, begins empty and catches up from peers", file, why, broken);
-        file.at().moveTo(broken.at(), true);
+        LOG.error(
+                "{} is damaged ({}): kept as {}, starting with an empty file and catching up from peers",
+                file,
+                reason,
+                broken);
+        file.filePath().moveTo(broken.filePath(), true);
         return open(file);
     }
 
     private static ReplicaDisk initialize(StoreFile file, MVStore store, String fleet, String member, double nowMs)
             throws IOException {
-        MVMap<String, byte[]> header = map(store, "header");
-        String wrong = !header.isEmpty() && !text(header, "schema").equals(Integer.toString(SCHEMA))
-                ? "is written in another way, " + text(header, "schema")
-                : !header.isEmpty() && !text(header, "fleet").equals(fleet)
-                        ? "belongs to the fleet " + text(header, "fleet") + ", not to " + fleet
-                        : !header.isEmpty() && !text(header, "member").equals(member)
-                                ? "belongs to the member " + text(header, "member") + ", not to " + member
+        MVMap<String, byte[]> header = openMap(store, "header");
+        String mismatch = !header.isEmpty() && !readText(header, "schema").equals(Integer.toString(SCHEMA))
+                ? "has the unsupported schema " + readText(header, "schema")
+                : !header.isEmpty() && !readText(header, "fleet").equals(fleet)
+                        ? "belongs to the fleet " + readText(header, "fleet") + ", not to " + fleet
+                        : !header.isEmpty() && !readText(header, "member").equals(member)
+                                ? "belongs to the member " + readText(header, "member") + ", not to " + member
                                 : null;
-        if (wrong != null) {
+        if (mismatch != null) {
             store.closeImmediately();
-            throw new IOException(file + " " + wrong);
+            throw new IOException(file + " " + mismatch);
         }
-        long before = 0;
+        long previous = 0;
         try {
-            before = header.isEmpty() ? 0 : Long.parseLong(text(header, "life"));
+            previous = header.isEmpty() ? 0 : Long.parseLong(readText(header, "life"));
         } catch (NumberFormatException e) {
-            LOG.error("{} does not say its life: takes the time of day", file);
+            LOG.error("{} has no valid incarnation: using the wall-clock time", file);
         }
-        long life = Math.max(before + 1, (long) nowMs);
-        writeHeader(header, fleet, member, life);
+        long incarnation = Math.max(previous + 1, (long) nowMs);
+        writeHeader(header, fleet, member, incarnation);
         store.commit();
         store.sync();
-        return new ReplicaDisk(file, fleet, member, store, life);
+        return new ReplicaDisk(file, fleet, member, store, incarnation);
     }
 
-    private static void writeHeader(MVMap<String, byte[]> header, String fleet, String member, long life) {
-        header.put("schema", text(Integer.toString(SCHEMA)));
-        header.put("fleet", text(fleet));
-        header.put("member", text(member));
-        header.put("life", text(Long.toString(life)));
+    private static void writeHeader(MVMap<String, byte[]> header, String fleet, String member, long incarnation) {
+        header.put("schema", encodeText(Integer.toString(SCHEMA)));
+        header.put("fleet", encodeText(fleet));
+        header.put("member", encodeText(member));
+        header.put("life", encodeText(Long.toString(incarnation)));
     }
 
     /**
-     * The incarnation with which a process begins that has no disk. After the time of day went back it may be earlier
-     * than one that peers know, and is outlived then, by the links and the replica alike.
+     * The first incarnation of a process without a disk. After the wall clock was set back it may be earlier than one
+     * that peers know; then both the links and the replica take a later one.
      */
-    public static long lifeWithout(double nowMs) {
+    public static long incarnationWithoutDisk(double nowMs) {
         return (long) nowMs;
     }
 
-    private static byte[] text(String s) {
-        byte[] b = s.getBytes(StandardCharsets.UTF_8);
-        return withChecksum(b);
+    private static byte[] encodeText(String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        return withChecksum(bytes);
     }
 
-    private static String text(MVMap<String, byte[]> map, String key) {
-        byte[] b = verifyChecksum(map.get(key));
-        return b == null ? "unknown" : new String(b, StandardCharsets.UTF_8);
+    private static String readText(MVMap<String, byte[]> map, String key) {
+        byte[] bytes = verifyChecksum(map.get(key));
+        return bytes == null ? "unknown" : new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** The incarnation that was taken at this start. */
-    public long life() {
-        return life;
+    /** The incarnation of this process, as taken at the start or set later. */
+    public long incarnation() {
+        return incarnation;
     }
 
-    /** An incarnation that was taken later, since peers knew a later one; the next write writes it. */
-    void useIncarnation(long later) {
-        life = later;
+    /** Sets a newer incarnation, taken because peers knew a later one; the next write stores it. */
+    void useIncarnation(long newer) {
+        incarnation = newer;
     }
 
-    /** Whether the next write must be of everything: one has failed, or what is there was read at a start. */
+    /** Whether the next write must contain everything, after a failed write or after {@link #restore}. */
     boolean needsFullWrite() {
-        return failed;
+        return writeFailed;
     }
 
     /**
-     * Puts all that can be read into a copy; an incarnation with a record that can't is left out, and fetched from
-     * peers. A file that can't be read through is put aside, and an empty one begun.
+     * Restores all intact logs into a copy. A log with a malformed record is left out and fetched from peers. An
+     * unreadable file is renamed and replaced by an empty one.
      *
      * @throws IOException if no file can be written there
      */
-    public void restore(RecordStore to) throws IOException {
-        List<Runnable> whole = new ArrayList<>();
+    public void restore(RecordStore target) throws IOException {
+        List<Runnable> intactLogs = new ArrayList<>();
         try {
-            read(to, whole);
+            read(target, intactLogs);
         } catch (RuntimeException e) {
-            // Guards against a page of the file that can't be read, which shows as any kind of exception.
+            // Guards against an unreadable page of the file, on which the store may throw any exception.
             store.closeImmediately();
             useStore(replaceBroken(file, firstLine(e)));
-            writeHeader(header, fleet, member, life);
+            writeHeader(header, fleet, member, incarnation);
             store.commit();
             store.sync();
             return;
         }
-        whole.forEach(Runnable::run);
-        // The process before may have ended after a sync that failed: what was read need not be on the disk.
-        failed = true;
+        intactLogs.forEach(Runnable::run);
+        // The previous process may have ended after a failed sync: what was read may be in the page cache only and not
+        // on the disk.
+        writeFailed = true;
     }
 
-    private void read(RecordStore to, List<Runnable> whole) {
-        Map<String, List<ReplicatedRecord>> entries = new HashMap<>();
-        Map<String, Integer> bad = new HashMap<>();
-        for (Map.Entry<String, byte[]> e : records.entrySet()) {
-            String of = e.getKey().substring(0, secondSeparator(e.getKey()));
-            byte[] b = verifyChecksum(e.getValue());
+    private void read(RecordStore target, List<Runnable> intactLogs) {
+        Map<String, List<ReplicatedRecord>> recordsByLog = new HashMap<>();
+        Map<String, Integer> malformed = new HashMap<>();
+        for (Map.Entry<String, byte[]> stored : records.entrySet()) {
+            String logKey = stored.getKey().substring(0, secondSeparator(stored.getKey()));
+            byte[] bytes = verifyChecksum(stored.getValue());
             try {
-                ReplicatedRecord entry = b == null ? null : ReplicationCodec.readEntry(b);
-                if (entry == null || !entry.intact(of.substring(0, of.indexOf('\0')))) {
-                    bad.merge(of, 1, Integer::sum);
+                ReplicatedRecord record = bytes == null ? null : ReplicationCodec.readRecord(bytes);
+                if (record == null || !record.hasValidChecksum(logKey.substring(0, logKey.indexOf('\0')))) {
+                    malformed.merge(logKey, 1, Integer::sum);
                 } else {
-                    entries.computeIfAbsent(of, k -> new ArrayList<>()).add(entry);
+                    recordsByLog
+                            .computeIfAbsent(logKey, logName -> new ArrayList<>())
+                            .add(record);
                 }
-            } catch (IOException x) {
-                bad.merge(of, 1, Integer::sum);
+            } catch (IOException malformedRecord) {
+                malformed.merge(logKey, 1, Integer::sum);
             }
         }
-        for (Map.Entry<String, byte[]> e : logHeads.entrySet()) {
-            byte[] b = verifyChecksum(e.getValue());
-            int cut = e.getKey().indexOf('\0');
-            String owner = e.getKey().substring(0, cut);
-            long of = Long.parseLong(e.getKey().substring(cut + 1));
-            List<ReplicatedRecord> logRecords = entries.getOrDefault(e.getKey(), List.of());
-            if (b == null
-                    || b.length != 20
-                    || bad.containsKey(e.getKey())
-                    || ByteBuffer.wrap(b).getInt(16) != logRecords.size()) {
+        for (Map.Entry<String, byte[]> stored : logHeads.entrySet()) {
+            byte[] bytes = verifyChecksum(stored.getValue());
+            int separator = stored.getKey().indexOf('\0');
+            String owner = stored.getKey().substring(0, separator);
+            long ofIncarnation = Long.parseLong(stored.getKey().substring(separator + 1));
+            List<ReplicatedRecord> logRecords = recordsByLog.getOrDefault(stored.getKey(), List.of());
+            if (bytes == null
+                    || bytes.length != 20
+                    || malformed.containsKey(stored.getKey())
+                    || ByteBuffer.wrap(bytes).getInt(16) != logRecords.size()) {
                 LOG.error(
-                        "{}: {} life {} is not whole on disk ({} of its records can't be read): fetched from peers",
+                        "{}: the log of {} incarnation {} is incomplete ({} malformed records): fetched from peers",
                         file,
                         owner,
-                        of,
-                        bad.getOrDefault(e.getKey(), 0));
-                removeLog(e.getKey());
+                        ofIncarnation,
+                        malformed.getOrDefault(stored.getKey(), 0));
+                removeLog(stored.getKey());
                 continue;
             }
-            ByteBuffer head = ByteBuffer.wrap(b);
-            long have = head.getLong();
-            long floor = head.getLong();
-            whole.add(() -> to.restore(owner, of, have, floor, logRecords));
+            ByteBuffer head = ByteBuffer.wrap(bytes);
+            long appliedSequence = head.getLong();
+            long tombstoneFloor = head.getLong();
+            intactLogs.add(() -> target.restore(owner, ofIncarnation, appliedSequence, tombstoneFloor, logRecords));
         }
     }
 
-    private void removeLog(String of) {
-        logHeads.remove(of);
+    private void removeLog(String logKey) {
+        logHeads.remove(logKey);
         List<String> keys = new ArrayList<>();
-        for (java.util.Iterator<String> i = records.keyIterator(of + '\0'); i.hasNext(); ) {
-            String k = i.next();
-            if (!k.startsWith(of + '\0')) {
+        for (java.util.Iterator<String> i = records.keyIterator(logKey + '\0'); i.hasNext(); ) {
+            String recordKey = i.next();
+            if (!recordKey.startsWith(logKey + '\0')) {
                 break;
             }
-            keys.add(k);
+            keys.add(recordKey);
         }
         keys.forEach(records::remove);
     }
@@ -320,105 +334,111 @@
     }
 
     /**
-     * Writes what changed, whole or not at all; if {@link #needsFullWrite}, this must be everything.
+     * Writes changes atomically. If {@link #needsFullWrite}, the batches must contain all records.
      *
-     * @throws IOException if the disk does not take it: full, gone, broken
+     * @param batches the changes, one batch for each log
+     * @param sizes the number of records of each log
+     * @throws IOException if the write fails
      */
     void write(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
         try {
-            if (failed || store == null || store.isClosed()) {
-                writeFreshFile(batches, sizes);
+            if (writeFailed || store == null || store.isClosed()) {
+                writeNewFile(batches, sizes);
             } else {
-                put(batches, sizes);
+                putBatches(batches, sizes);
             }
         } catch (RuntimeException e) {
-            // A store that failed once does not write again.
-            failed = true;
+            // A store does not write again after a failure.
+            writeFailed = true;
             store.closeImmediately();
             throw new IOException(file + ": " + firstLine(e), e);
         }
     }
 
-    private void writeFreshFile(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
-        failed = true;
+    private void writeNewFile(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) throws IOException {
+        writeFailed = true;
         store.closeImmediately();
-        StoreFile fresh = file.sibling(FRESH);
-        if (fresh.at().exists()) {
-            fresh.at().delete();
+        StoreFile newFile = file.sibling(NEW_FILE);
+        if (newFile.filePath().exists()) {
+            newFile.filePath().delete();
         }
         try {
-            useStore(open(fresh));
-            put(batches, sizes);
+            useStore(open(newFile));
+            putBatches(batches, sizes);
         } finally {
             store.closeImmediately();
         }
-        fresh.at().moveTo(file.at(), true);
+        newFile.filePath().moveTo(file.filePath(), true);
         syncDirectory(file.path().getParent());
         useStore(open(file));
-        failed = false;
+        writeFailed = false;
     }
 
-    /** The new name of a file lasts once its directory is synced. */
+    /** Syncs a directory, which makes the renaming of a file durable. */
     private static void syncDirectory(Path directory) throws IOException {
         try (FileChannel channel = FileChannel.open(directory)) {
             channel.force(true);
         }
     }
 
-    private void put(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) {
-        if (!text(header, "life").equals(Long.toString(life))) {
-            writeHeader(header, fleet, member, life);
+    private void putBatches(List<Batch> batches, Map<CatchUp.LogId, Integer> sizes) {
+        if (!readText(header, "life").equals(Long.toString(incarnation))) {
+            writeHeader(header, fleet, member, incarnation);
         }
-        for (Batch b : batches) {
-            String of = b.owner() + '\0' + b.life();
-            if (b.have() == null) {
-                removeLog(of);
+        for (Batch batch : batches) {
+            String logKey = batch.owner() + '\0' + batch.incarnation();
+            if (batch.appliedSequence() == null) {
+                removeLog(logKey);
                 continue;
             }
-            b.gone().forEach(i -> records.remove(key(of, i)));
-            b.entries().forEach(e -> records.put(key(of, e.item()), withChecksum(ReplicationCodec.write(e))));
+            batch.removedKeys().forEach(key -> records.remove(recordEntryKey(logKey, key)));
+            batch.records()
+                    .forEach(record -> records.put(
+                            recordEntryKey(logKey, record.recordKey()), withChecksum(ReplicationCodec.write(record))));
             logHeads.put(
-                    of,
+                    logKey,
                     withChecksum(ByteBuffer.allocate(20)
-                            .putLong(b.have())
-                            .putLong(b.floor())
-                            .putInt(sizes.get(new CatchUp.LogId(b.owner(), b.life())))
+                            .putLong(batch.appliedSequence())
+                            .putLong(batch.tombstoneFloor())
+                            .putInt(sizes.get(new CatchUp.LogId(batch.owner(), batch.incarnation())))
                             .array()));
         }
         store.commit();
         store.sync();
     }
 
-    /** Lets go of the file as a failure would, without writing what is open. */
-    void abandon() {
-        failed = true;
+    /** Closes the file as a failure would, without writing uncommitted changes. */
+    void closeImmediately() {
+        writeFailed = true;
         store.closeImmediately();
     }
 
-    private static String key(String of, RecordKey i) {
-        return of + '\0' + i.space() + '\0' + i.key();
+    private static String recordEntryKey(String logKey, RecordKey key) {
+        return logKey + '\0' + key.space() + '\0' + key.key();
     }
 
     private static String firstLine(Exception e) {
         return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     }
 
-    private static byte[] withChecksum(byte[] b) {
-        CRC32C c = new CRC32C();
-        c.update(b, 0, b.length);
-        return ByteBuffer.allocate(b.length + 4)
-                .put(b)
-                .putInt((int) c.getValue())
+    private static byte[] withChecksum(byte[] bytes) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, bytes.length);
+        return ByteBuffer.allocate(bytes.length + 4)
+                .put(bytes)
+                .putInt((int) crc.getValue())
                 .array();
     }
 
-    private static byte[] verifyChecksum(byte[] b) {
-        if (b == null || b.length < 4) {
+    private static byte[] verifyChecksum(byte[] bytes) {
+        if (bytes == null || bytes.length < 4) {
             return null;
         }
-        CRC32C c = new CRC32C();
-        c.update(b, 0, b.length - 4);
-        return ByteBuffer.wrap(b).getInt(b.length - 4) == (int) c.getValue() ? Arrays.copyOf(b, b.length - 4) : null;
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, bytes.length - 4);
+        return ByteBuffer.wrap(bytes).getInt(bytes.length - 4) == (int) crc.getValue()
+                ? Arrays.copyOf(bytes, bytes.length - 4)
+                : null;
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -5,6 +5,7 @@
 import brackenbridge.fleet.peer.MemberStatus;
 import brackenbridge.fleet.peer.MessageStream;
 import brackenbridge.fleet.peer.PeerLinks;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -17,59 +18,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's replica in a process: links, threads and a disk around {@link ReplicationProtocol}. One thread drives the
- * protocol's timers, one writes behind to the disk, one calls listeners; peers' threads deliver messages. The lock is
- * held for one message or one turn.
+ * Runs a member's replica in a process: links, threads and a disk around {@link ReplicationProtocol}. One thread drives
+ * the protocol's timers, one writes to disk asynchronously, one notifies listeners; threads of the peer links deliver
+ * messages. The lock is held for one message or one timer step.
  */
 public final class ReplicaNode implements Replica, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaNode.class);
-    /** The longest wait between two turns of the protocol, in milliseconds. */
+    /** The longest wait between two timer steps, in milliseconds. */
     private static final double MAX_WAIT_MS = 50;
-    /** Of failed turns, one in so many is logged. */
-    private static final long LOG_EVERY_FAILED = 1000;
-    /** How long closing waits for each thread, in milliseconds. */
-    private static final long JOIN_MS = 2000;
+    /** One of this many failed steps is logged. */
+    private static final long FAILURES_PER_LOG_LINE = 1000;
+    /** The time that closing waits for each thread, in milliseconds. */
+    private static final long JOIN_TIMEOUT_MS = 2000;
 
     /**
-     * What a member holds of another; a line of {@code state status}.
+     * This member's copy of another member's log; a line of {@code state status}.
      *
-     * @param member which
-     * @param life its newest incarnation known here
-     * @param wrote how many writes it is said to have made in it
-     * @param have how many of them are here
-     * @param heardMs how long ago it last gave a heartbeat, in milliseconds; infinite if never
-     * @param standing what links say of it
-     * @param aside why its present incarnation was quarantined; null if it was not
+     * @param member the name of that member
+     * @param incarnation its newest known incarnation
+     * @param announcedSequence the number of writes that it has announced in that incarnation
+     * @param appliedSequence the number of them that are applied here
+     * @param heartbeatAgeMs the time since its last heartbeat, in milliseconds; infinite if there was none
+     * @param status its status by the peer links
+     * @param quarantineReason why that incarnation is quarantined; null if it is not
      */
     public record Status(
-            String member, long life, long wrote, long have, double heardMs, MemberStatus standing, String aside) {}
+            @JsonProperty("member") String member,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("wrote") long announcedSequence,
+            @JsonProperty("have") long appliedSequence,
+            @JsonProperty("heardMs") double heartbeatAgeMs,
+            @JsonProperty("standing") MemberStatus status,
+            @JsonProperty("aside") String quarantineReason) {}
 
     /**
-     * What a member's exchange has done.
+     * Statistics of the replication since the start.
      *
-     * @param sentBytes bytes sent since the start
-     * @param dropped messages not sent for want of bytes a second
-     * @param unsent messages that links did not take
-     * @param unreadable messages that could not be read
-     * @param differences differences found since the start
-     * @param records records that are held
-     * @param onDisk whether the disk takes what is written; false without a disk
+     * @param sentBytes bytes sent
+     * @param throttledMessages messages not sent because of the limit on bytes per second
+     * @param unsentMessages messages that the links did not accept
+     * @param malformedMessages received messages that could not be decoded
+     * @param differences differences found between copies
+     * @param records records in this copy
+     * @param diskHealthy whether the last write to disk succeeded; false without a disk
      */
-    public record Figures(
-            long sentBytes,
-            long dropped,
-            long unsent,
-            long unreadable,
-            long differences,
-            long records,
-            boolean onDisk) {}
+    public record Statistics(
+            @JsonProperty("sentBytes") long sentBytes,
+            @JsonProperty("dropped") long throttledMessages,
+            @JsonProperty("unsent") long unsentMessages,
+            @JsonProperty("unreadable") long malformedMessages,
+            @JsonProperty("differences") long differences,
+            @JsonProperty("records") long records,
+            @JsonProperty("onDisk") boolean diskHealthy) {}
 
     private final PeerLinks links;
     private final ReplicaDisk disk;
     private final Clock clock;
     private final ReplicaMonitor monitor = new ReplicaMonitor();
     private final ChangeNotifier notifier;
-    /** Null without a disk. */
+    /** Writes changes to disk; null without a disk. */
     private final DiskWriter diskWriter;
 
     private final List<Thread> threads = new ArrayList<>();
@@ -78,24 +85,25 @@
     private final RecordStore store;
     private final ReplicationProtocol protocol;
     private long unsentMessages;
-    private long failedTurns;
+    private long failedSteps;
     private boolean peersChanged = true;
 
     /**
-     * A replica that is not started.
+     * Creates a replica without starting it.
      *
-     * @param links links that are not started either
+     * @param links peer links that are not started yet
      * @param disk the disk; null for none
-     * @param clock the clock
+     * @param clock the source of the time
      * @param limits bounds and intervals of the replication
-     * @throws IOException if the disk can be neither read nor begun anew
+     * @throws IOException if the disk can be neither read nor replaced by an empty file
      */
     public ReplicaNode(PeerLinks links, ReplicaDisk disk, Clock clock, ReplicationLimits limits) throws IOException {
         this.links = links;
         this.disk = disk;
         this.clock = clock;
         long nonce = new java.security.SecureRandom().nextLong() | 1;
-        long incarnation = Math.max(links.life(), disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life());
+        long incarnation = Math.max(
+                links.life(), disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation());
         store = new RecordStore(links.me().name(), incarnation, nonce, true);
         notifier = new ChangeNotifier(monitor, store, clock);
         diskWriter = disk == null ? null : new DiskWriter(monitor, store, disk);
@@ -107,8 +115,9 @@
         protocol = new ReplicationProtocol(store, limits, new SplittableRandom(nonce), clock.nowMs());
         links.receive(
                 MessageStream.REPLICA,
-                (peer, of, body) -> runTurn(() -> protocol.onMessage(peer, of, body, clock.nowMs())));
-        links.watch((peer, status, of) -> runTurn(() -> {
+                (peer, peerIncarnation, body) ->
+                        runStep(() -> protocol.onMessage(peer, peerIncarnation, body, clock.nowMs())));
+        links.watch((peer, status, peerIncarnation) -> runStep(() -> {
             peersChanged = true;
             if (status == MemberStatus.ALIVE) {
                 protocol.onPeerReachable(peer);
@@ -117,7 +126,7 @@
         }));
     }
 
-    /** Begins to exchange; links are started by whoever made them. */
+    /** Starts the threads of the replica; the caller starts the links. */
     public void start() {
         threads.add(startThread("replica-turn", this::runTimers));
         threads.add(startThread("replica-tell", notifier));
@@ -127,26 +136,26 @@
     }
 
     private static Thread startThread(String name, Runnable body) {
-        Thread t = new Thread(body, name);
-        t.setDaemon(true);
-        t.start();
-        return t;
+        Thread thread = new Thread(body, name);
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
-    // ---- turns ----
+    // ---- protocol steps ----
 
-    /** One step of the protocol under the lock; what it sends goes out without it. */
-    private void runTurn(Supplier<List<ReplicationProtocol.Out>> step) {
-        List<ReplicationProtocol.Out> messages;
+    /** Runs one step of the protocol under the lock, then sends its messages without the lock. */
+    private void runStep(Supplier<List<ReplicationProtocol.OutgoingMessage>> step) {
+        List<ReplicationProtocol.OutgoingMessage> messages;
         List<String> alarms;
         monitor.lock();
         try {
             messages = step.get();
             alarms = collectChanges();
         } catch (RuntimeException e) {
-            // Guards against a fault here taking a peer's thread, or the process, with it.
-            if (failedTurns++ % LOG_EVERY_FAILED == 0) {
-                LOG.error("a turn of the replica failed, {} until now", failedTurns, e);
+            // Guards against a fault here ending a thread of the peer links, or the process.
+            if (failedSteps++ % FAILURES_PER_LOG_LINE == 0) {
+                LOG.error("replication step failed, {} failures so far", failedSteps, e);
             }
             return;
         } finally {
@@ -156,7 +165,7 @@
         send(messages);
     }
 
-    private void send(List<ReplicationProtocol.Out> messages) {
+    private void send(List<ReplicationProtocol.OutgoingMessage> messages) {
         long unsent = messages.stream()
                 .filter(message -> !links.send(message.peer(), MessageStream.REPLICA, message.body()))
                 .count();
@@ -165,7 +174,7 @@
         }
     }
 
-    /** Queues what a turn has changed for listeners and the disk, and returns its alarms; with the lock held. */
+    /** Queues the changes of a step for listeners and the disk, and returns its alarms; with the lock held. */
     private List<String> collectChanges() {
         boolean notifies = notifier.hasListeners();
         for (RecordTable.Change change : store.drainChanges()) {
@@ -182,17 +191,17 @@
         return alarms;
     }
 
-    /** Drives the protocol's timers until the end. */
+    /** Drives the protocol's timers until the replica is closed. */
     private void runTimers() {
         while (!monitor.isClosed()) {
-            runTurn(() -> {
+            runStep(() -> {
                 updatePeers();
                 return protocol.tick(clock.nowMs());
             });
             monitor.lock();
             try {
                 double waitMs = protocol.nextTickMs() - clock.nowMs();
-                peersChanged |= links.peers().size() != protocol.configuredPeers();
+                peersChanged |= links.peers().size() != protocol.countConfiguredPeers();
                 monitor.pause(Math.min(waitMs, MAX_WAIT_MS));
             } catch (InterruptedException e) {
                 return;
@@ -205,20 +214,20 @@
     private void updatePeers() {
         if (peersChanged) {
             peersChanged = false;
-            List<String> all = links.peers().stream().map(Member::name).toList();
-            List<String> reachable = all.stream()
+            List<String> names = links.peers().stream().map(Member::name).toList();
+            List<String> reachable = names.stream()
                     .filter(peer -> links.standing(peer) != MemberStatus.DEAD)
                     .toList();
-            protocol.setPeers(all, reachable);
+            protocol.setPeers(names, reachable);
         }
     }
 
-    // ---- for the process ----
+    // ---- reads and writes ----
 
     @Override
     public void put(RecordSpace space, String key, byte[] value) {
-        byte[] mine = value.clone();
-        write(() -> store.put(space, key, mine, clock.nowMs()));
+        byte[] copy = value.clone();
+        write(() -> store.put(space, key, copy, clock.nowMs()));
     }
 
     @Override
@@ -227,21 +236,23 @@
     }
 
     @Override
-    public void add(RecordSpace space, String key, long by) {
-        write(() -> by > 0 ? store.add(space, key, by, clock.nowMs()) : by < 0 && refuse(by));
+    public void add(RecordSpace space, String key, long increment) {
+        write(() -> increment > 0
+                ? store.add(space, key, increment, clock.nowMs())
+                : increment < 0 && rejectNegative(increment));
     }
 
-    private static boolean refuse(long by) {
-        throw new IllegalArgumentException("a part of a sum only grows: " + by);
+    private static boolean rejectNegative(long increment) {
+        throw new IllegalArgumentException("a counter can only grow, increment " + increment);
     }
 
     private void write(Supplier<Boolean> action) {
         monitor.lock();
         try {
-            long before = store.appliedSequence(store.localMember(), store.incarnation())
+            long previousSequence = store.appliedSequence(store.localMember(), store.incarnation())
                     .orElse(0);
             if (action.get()) {
-                protocol.onLocalWrite(before);
+                protocol.onLocalWrite(previousSequence);
                 collectChanges().forEach(LOG::error);
             }
         } finally {
@@ -255,90 +266,94 @@
     }
 
     @Override
-    public List<Seen> seen(RecordSpace space) {
+    public List<ReadRecord> readAll(RecordSpace space) {
         return monitor.locked(() -> store.readAll(space, clock.nowMs()));
     }
 
     @Override
-    public Level level() {
-        return monitor.locked(() -> protocol.level(clock.nowMs()));
+    public SyncState syncState() {
+        return monitor.locked(() -> protocol.syncState(clock.nowMs()));
     }
 
     @Override
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         notifier.addListener(listener);
     }
 
-    /** This member's incarnation: greater than that of its links if peers knew a later one. */
-    public long life() {
+    /** This member's incarnation; later than that of its links if peers knew a later one. */
+    public long incarnation() {
         return monitor.locked(store::incarnation);
     }
 
-    /** This member's last write. */
-    public RecordVersion version() {
+    /** The version of this member's last write. */
+    public RecordVersion latestVersion() {
         return monitor.locked(() -> new RecordVersion(
                 store.incarnation(),
                 store.appliedSequence(store.localMember(), store.incarnation()).orElse(0)));
     }
 
-    /** The last differences that were found, with both values; what {@code state diff} shows. */
-    public List<AntiEntropy.Difference> diff() {
+    /** The latest differences between copies, with both values; shown by {@code state diff}. */
+    public List<AntiEntropy.Difference> recentDifferences() {
         return monitor.locked(() -> protocol.antiEntropy().recentDifferences());
     }
 
-    /** What is held of each member; what {@code state status} shows. */
+    /** The state of the copy of each member's log; shown by {@code state status}. */
     public List<Status> status() {
         Map<String, MemberStatus> standings = new TreeMap<>();
-        links.peers().forEach(p -> standings.put(p.name(), links.standing(p.name())));
+        links.peers().forEach(peer -> standings.put(peer.name(), links.standing(peer.name())));
         standings.put(store.localMember(), MemberStatus.ALIVE);
         return monitor.locked(() -> {
-            List<Status> all = new ArrayList<>();
+            List<Status> statuses = new ArrayList<>();
             LinkedHashSet<String> names = new LinkedHashSet<>(standings.keySet());
             names.addAll(store.owners());
-            for (String n : names) {
-                long newest = store.newestIncarnation(n);
-                all.add(new Status(
-                        n,
+            for (String name : names) {
+                long newest = store.newestIncarnation(name);
+                statuses.add(new Status(
+                        name,
                         newest,
-                        store.announcedSequence(n),
-                        store.appliedSequence(n, newest).orElse(0),
-                        store.heartbeatAgeMs(n, clock.nowMs()),
-                        standings.getOrDefault(n, MemberStatus.UNKNOWN),
-                        store.quarantineReason(n)));
+                        store.announcedSequence(name),
+                        store.appliedSequence(name, newest).orElse(0),
+                        store.heartbeatAgeMs(name, clock.nowMs()),
+                        standings.getOrDefault(name, MemberStatus.UNKNOWN),
+                        store.quarantineReason(name)));
             }
-            return all;
+            return statuses;
         });
     }
 
-    /** What it has done. */
-    public Figures figures() {
-        return monitor.locked(() -> new Figures(
+    /** Statistics since the start. */
+    public Statistics statistics() {
+        return monitor.locked(() -> new Statistics(
                 protocol.sentBytes(),
-                protocol.dropped(),
+                protocol.throttledMessages(),
                 unsentMessages,
-                protocol.unreadable(),
+                protocol.malformedMessages(),
                 protocol.antiEntropy().totalDifferences(),
                 store.size(),
                 diskWriter != null && diskWriter.isHealthy()));
     }
 
-    /** How many peers have said that they hold all writes of this member up to this one. */
-    public int heldBy(RecordVersion version) {
-        return monitor.locked(
-                () -> version.life() == store.incarnation() ? protocol.peersHolding(version.sequence()) : 0);
+    /** The number of peers that have reported all writes of this member up to this one as applied. */
+    public int countPeersHolding(RecordVersion version) {
+        return monitor.locked(() ->
+                version.incarnation() == store.incarnation() ? protocol.countPeersHolding(version.sequence()) : 0);
     }
 
-    /** Waits until all that was written until now is on the disk; false if the time is over or there is no disk. */
-    public boolean awaitDisk(double withinMs) throws InterruptedException {
+    /**
+     * Waits until all changes until now are on disk.
+     *
+     * @return false if the time ran out, the last write failed or there is no disk
+     */
+    public boolean awaitFlushed(double withinMs) throws InterruptedException {
         return diskWriter != null && diskWriter.awaitFlushed(withinMs);
     }
 
     @Override
     public void close() {
         monitor.close();
-        for (Thread t : threads) {
+        for (Thread thread : threads) {
             try {
-                t.join(JOIN_MS);
+                thread.join(JOIN_TIMEOUT_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicatedRecord.java
@@ -9,111 +9,139 @@
 /**
  * The last write of one key by one incarnation of its owner. Immutable.
  *
- * @param space the space
- * @param key the key within it, at most {@link #MOST_KEY} characters
- * @param version when, by the owner's count
- * @param value the content of an own record; null if it was removed, and for counted ones
- * @param count what this incarnation of the owner has added, and what was folded into it; 0 for own ones
- * @param below counters of incarnations earlier than this one are folded into {@code count}; 0 if none is
- * @param sum a checksum over all of it and the owner's name, made by the owner at the write
+ * @param space the space of the record
+ * @param key the key within the space, at most {@link #MAX_KEY_LENGTH} characters
+ * @param version incarnation and sequence number of the write
+ * @param value the content of a register; null if it was removed, and for counters
+ * @param count the sum that this incarnation of the owner has added, including what was folded into it; 0 for registers
+ * @param foldedBelow {@code count} includes the counters of the owner's incarnations before this one; 0 if it
+ *     includes none
+ * @param checksum a checksum over all components and the owner's name, computed by the owner at the write
  */
 public record ReplicatedRecord(
-        RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below, long sum) {
-    /** Characters of a key, at the most. */
-    public static final int MOST_KEY = 512;
-    /** Bytes of a value, at the most. */
-    public static final int MOST_VALUE = 16 << 10;
+        RecordSpace space,
+        String key,
+        RecordVersion version,
+        byte[] value,
+        long count,
+        long foldedBelow,
+        long checksum) {
+    /** The maximum length of a key in characters. */
+    public static final int MAX_KEY_LENGTH = 512;
+    /** The maximum size of a value in bytes. */
+    public static final int MAX_VALUE_BYTES = 16 << 10;
 
-    /** Checks what can be checked without the owner's name. */
+    /** Checks bounds; the checksum is not checked, since it needs the owner's name. */
     public ReplicatedRecord {
         if (space == null
                 || key == null
-                || key.length() > MOST_KEY
-                || !text(key)
+                || key.length() > MAX_KEY_LENGTH
+                || !isEncodable(key)
                 || version == null
-                || version.life() < 0
+                || version.incarnation() < 0
                 || version.sequence() < 1
-                || value != null && value.length > MOST_VALUE
+                || value != null && value.length > MAX_VALUE_BYTES
                 || count < 0
-                || below < 0
-                || below > version.life()
-                || space.kind() == RecordSpace.Kind.COUNTED && value != null) {
-            throw new IllegalArgumentException("not a record");
+                || foldedBelow < 0
+                || foldedBelow > version.incarnation()
+                || space.kind() == RecordSpace.Kind.COUNTER && value != null) {
+            throw new IllegalArgumentException("malformed record");
         }
     }
 
-    /** A record with its checksum. */
+    /** Creates a record and computes its checksum. */
     public static ReplicatedRecord of(
-            String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
+            String owner,
+            RecordSpace space,
+            String key,
+            RecordVersion version,
+            byte[] value,
+            long count,
+            long foldedBelow) {
         return new ReplicatedRecord(
-                space, key, version, value, count, below, sum(owner, space, key, version, value, count, below));
+                space,
+                key,
+                version,
+                value,
+                count,
+                foldedBelow,
+                computeChecksum(owner, space, key, version, value, count, foldedBelow));
     }
 
-    /** Whether this can be written as UTF-8 and read again: half a surrogate pair can't. */
-    static boolean text(String s) {
-        return s.chars().noneMatch(c -> c >= Character.MIN_SURROGATE && c <= Character.MAX_SURROGATE)
-                || StandardCharsets.UTF_8.newEncoder().canEncode(s);
+    /** Whether a text can be encoded as UTF-8; an unpaired surrogate can't. */
+    static boolean isEncodable(String text) {
+        return text.chars()
+                        .noneMatch(character ->
+                                character >= Character.MIN_SURROGATE && character <= Character.MAX_SURROGATE)
+                || StandardCharsets.UTF_8.newEncoder().canEncode(text);
     }
 
-    /** Whether it is a tombstone: the key was removed. */
-    public boolean gone() {
-        return value == null && space.kind() == RecordSpace.Kind.OWN;
+    /** Whether this is a tombstone, which marks the removal of its key. */
+    public boolean removed() {
+        return value == null && space.kind() == RecordSpace.Kind.REGISTER;
     }
 
-    /** Whether it still is what its owner wrote: guards against a bit that flipped in memory, on a disk or a way. */
-    public boolean intact(String owner) {
-        return sum == actual(owner);
+    /** Whether the checksum matches the content. Guards against bits flipped in memory, on disk or in transit. */
+    public boolean hasValidChecksum(String owner) {
+        return checksum == computeChecksum(owner);
     }
 
-    /** The checksum of what it holds by now. */
-    long actual(String owner) {
-        return sum(owner, space, key, version, value, count, below);
+    /** Computes the checksum of the present content. */
+    long computeChecksum(String owner) {
+        return computeChecksum(owner, space, key, version, value, count, foldedBelow);
     }
 
-    /** What it is found by. */
-    public RecordKey item() {
+    /** The key of this record including its space. */
+    public RecordKey recordKey() {
         return new RecordKey(space, key);
     }
 
-    /** About how many bytes it takes in a message. */
-    int bytes() {
+    /** The approximate size of this record in a message, in bytes. */
+    int estimatedBytes() {
         return 40 + key.length() + (value == null ? 0 : value.length);
     }
 
-    /** Two cyclic checksums of different polynomials side by side: 64 bits against accidents, not against intent. */
-    private static long sum(
-            String owner, RecordSpace space, String key, RecordVersion version, byte[] value, long count, long below) {
-        byte[] o = owner.getBytes(StandardCharsets.UTF_8);
-        byte[] k = key.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(o.length + k.length + (value == null ? 0 : value.length) + 48);
-        b.putInt(o.length)
-                .put(o)
+    /** Combines CRC-32C and CRC-32 to 64 bits, which detect accidental changes but not deliberate ones. */
+    private static long computeChecksum(
+            String owner,
+            RecordSpace space,
+            String key,
+            RecordVersion version,
+            byte[] value,
+            long count,
+            long foldedBelow) {
+        byte[] ownerBytes = owner.getBytes(StandardCharsets.UTF_8);
+        byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+        ByteBuffer buffer =
+                ByteBuffer.allocate(ownerBytes.length + keyBytes.length + (value == null ? 0 : value.length) + 48);
+        buffer.putInt(ownerBytes.length)
+                .put(ownerBytes)
                 .putInt(space.ordinal())
-                .putInt(k.length)
-                .put(k)
-                .putLong(version.life())
+                .putInt(keyBytes.length)
+                .put(keyBytes)
+                .putLong(version.incarnation())
                 .putLong(version.sequence())
                 .putLong(count)
-                .putLong(below)
+                .putLong(foldedBelow)
                 .putInt(value == null ? -1 : value.length);
         if (value != null) {
-            b.put(value);
+            buffer.put(value);
         }
-        return over(new CRC32C(), b) << 32 | over(new CRC32(), b);
+        return computeCrc(new CRC32C(), buffer) << 32 | computeCrc(new CRC32(), buffer);
     }
 
-    private static long over(Checksum c, ByteBuffer b) {
-        c.update(b.array(), 0, b.position());
-        return c.getValue();
+    private static long computeCrc(Checksum checksum, ByteBuffer buffer) {
+        checksum.update(buffer.array(), 0, buffer.position());
+        return checksum.getValue();
     }
 
     @Override
     public String toString() {
-        return space + "/" + key + "@" + version.life() + "." + version.sequence() + "="
-                + (gone()
-                        ? "gone"
+        return space + "/" + key + "@" + version.incarnation() + "." + version.sequence() + "="
+                + (removed()
+                        ? "removed"
                         : value == null
-                                ? count + (below == 0 ? "" : " with all below " + below)
+                                ? count + (foldedBelow == 0 ? "" : " including incarnations before " + foldedBelow)
                                 : value.length > 64
                                         ? value.length + " bytes"
                                         : new String(value, StandardCharsets.UTF_8));
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationCodec.java
@@ -14,98 +14,99 @@
 import java.util.List;
 
 /**
- * Messages and records as bytes: one byte that says which message it is, then CBOR (RFC 8949) by Jackson. Reading is
- * bounded in length and depth, and answers anything else than a message with an {@link IOException}.
+ * Encodes messages as one byte for the type, followed by CBOR (RFC 8949) written by Jackson; records as CBOR without a
+ * type. Decoding is bounded in length and depth, and throws an {@link IOException} on malformed input.
  */
 public final class ReplicationCodec {
-    /** Bytes of a message, at the most. */
-    public static final int MOST_BYTES = 256 << 10;
+    /** The maximum size of a message in bytes. */
+    public static final int MAX_BYTES = 256 << 10;
 
-    private static final List<Class<? extends ReplicationMessage>> KINDS = List.of(
-            ReplicationMessage.Marks.class,
-            ReplicationMessage.Wants.class,
-            ReplicationMessage.Chunk.class,
-            ReplicationMessage.Digests.class,
-            ReplicationMessage.Ranges.class,
-            ReplicationMessage.Copies.class);
-    private static final ObjectMapper MAPPER = mapper();
+    private static final List<Class<? extends ReplicationMessage>> MESSAGE_TYPES = List.of(
+            ReplicationMessage.OwnerSummaries.class,
+            ReplicationMessage.LogRequests.class,
+            ReplicationMessage.LogChunk.class,
+            ReplicationMessage.LogDigests.class,
+            ReplicationMessage.RangeDigests.class,
+            ReplicationMessage.RangeRecords.class);
+    private static final ObjectMapper MAPPER = createMapper();
     private static final List<ObjectReader> READERS =
-            KINDS.stream().map(k -> MAPPER.readerFor(k)).toList();
-    private static final ObjectReader ENTRY = MAPPER.readerFor(ReplicatedRecord.class);
+            MESSAGE_TYPES.stream().map(type -> MAPPER.readerFor(type)).toList();
+    private static final ObjectReader RECORD_READER = MAPPER.readerFor(ReplicatedRecord.class);
     private static final ObjectWriter WRITER = MAPPER.writer();
 
     private ReplicationCodec() {}
 
-    private static ObjectMapper mapper() {
+    private static ObjectMapper createMapper() {
         CBORFactory factory = CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
                         .maxNestingDepth(6)
-                        .maxDocumentLength(MOST_BYTES)
-                        .maxStringLength(2 * ReplicatedRecord.MOST_VALUE)
+                        .maxDocumentLength(MAX_BYTES)
+                        .maxStringLength(2 * ReplicatedRecord.MAX_VALUE_BYTES)
                         .maxNameLength(64)
                         .maxNumberLength(32)
                         .build())
                 .build();
-        ObjectMapper m = CBORMapper.builder(factory)
+        ObjectMapper mapper = CBORMapper.builder(factory)
                 .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                 .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
                 .enable(SerializationFeature.WRITE_ENUMS_USING_INDEX)
                 .build();
-        m.configOverride(ReplicatedRecord.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
-        m.configOverride(RecordVersion.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
-        return m;
+        mapper.configOverride(ReplicatedRecord.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
+        mapper.configOverride(RecordVersion.class).setFormat(JsonFormat.Value.forShape(JsonFormat.Shape.ARRAY));
+        return mapper;
     }
 
-    /** A message as bytes. */
-    public static byte[] write(ReplicationMessage m) {
-        byte[] body = bytes(m);
-        byte[] all = new byte[body.length + 1];
-        all[0] = (byte) KINDS.indexOf(m.getClass());
-        System.arraycopy(body, 0, all, 1, body.length);
-        return all;
+    /** Encodes a message. */
+    public static byte[] write(ReplicationMessage message) {
+        byte[] body = encode(message);
+        byte[] bytes = new byte[body.length + 1];
+        bytes[0] = (byte) MESSAGE_TYPES.indexOf(message.getClass());
+        System.arraycopy(body, 0, bytes, 1, body.length);
+        return bytes;
     }
 
     /**
-     * A message from bytes.
+     * Decodes a message.
      *
-     * @throws IOException if they are none, or go past a bound
+     * @throws IOException if the bytes are malformed or exceed a bound
      */
-    public static ReplicationMessage read(byte[] all) throws IOException {
-        if (all.length < 2 || all.length > MOST_BYTES || all[0] < 0 || all[0] >= KINDS.size()) {
-            throw new IOException("not a message of replication, " + all.length + " bytes");
+    public static ReplicationMessage read(byte[] bytes) throws IOException {
+        if (bytes.length < 2 || bytes.length > MAX_BYTES || bytes[0] < 0 || bytes[0] >= MESSAGE_TYPES.size()) {
+            throw new IOException("not a replication message: " + bytes.length + " bytes");
         }
-        return read(READERS.get(all[0]), all, 1, all.length - 1);
+        return read(READERS.get(bytes[0]), bytes, 1, bytes.length - 1);
     }
 
-    /** A record as bytes. */
-    static byte[] write(ReplicatedRecord e) {
-        return bytes(e);
+    /** Encodes a record. */
+    static byte[] write(ReplicatedRecord record) {
+        return encode(record);
     }
 
-    /** A record from bytes. */
-    static ReplicatedRecord readEntry(byte[] bytes) throws IOException {
-        return read(ENTRY, bytes, 0, bytes.length);
+    /** Decodes a record. */
+    static ReplicatedRecord readRecord(byte[] bytes) throws IOException {
+        return read(RECORD_READER, bytes, 0, bytes.length);
     }
 
-    private static byte[] bytes(Object o) {
+    private static byte[] encode(Object object) {
         try {
-            return WRITER.writeValueAsBytes(o);
+            return WRITER.writeValueAsBytes(object);
         } catch (IOException e) {
-            throw new IllegalStateException("can't be written: " + o, e);
+            throw new IllegalStateException("can't be encoded: " + object, e);
         }
     }
 
-    private static <T> T read(ObjectReader reader, byte[] all, int from, int length) throws IOException {
+    private static <T> T read(ObjectReader reader, byte[] bytes, int offset, int length) throws IOException {
         try {
-            T read = reader.readValue(all, from, length);
-            if (read == null) {
-                throw new IOException("nothing in it");
+            T decoded = reader.readValue(bytes, offset, length);
+            if (decoded == null) {
+                throw new IOException("decoded to null");
             }
-            return read;
+            return decoded;
         } catch (RuntimeException e) {
-            // Guards against a parser's own fault on bytes from outside.
-            throw new IOException("can't be read: " + Arrays.hashCode(all), e);
+            // Guards against exceptions of the parser on malformed input.
+            throw new IOException(
+                    "can't be decoded: " + bytes.length + " bytes with hash " + Arrays.hashCode(bytes), e);
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicationProtocol.java
@@ -1,7 +1,6 @@
 package brackenbridge.fleet.replica;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -11,30 +10,30 @@
 import java.util.TreeSet;
 
 /**
- * Which messages go to which peer, and when. Writes are pushed at once: by their owner to each peer in a small fleet;
- * in a large one each member passes news on to a few, once (rumours, Demers et al., Epidemic algorithms for replicated
- * database maintenance, 1987). Beside that every member compares how far it is with others again and again
- * (anti-entropy, the same paper), asks for what it lacks, and compares contents by digests.
+ * Decides which messages are sent to which peer, and when. Writes are pushed immediately: in a small fleet by their
+ * owner to each peer; in a large one each member forwards a change once to a few peers (rumor mongering; Demers et al.,
+ * Epidemic algorithms for replicated database maintenance, 1987). In addition every member periodically compares log
+ * positions with peers (anti-entropy, same paper), requests missing writes, and compares contents by digests.
  *
- * <p>Times and messages in, messages out. One thread at a time.
+ * <p>Without I/O, threads or timers: the caller passes times and messages. Not thread-safe.
  */
 public final class ReplicationProtocol {
-    /** Requests of one peer that wait for an answer, at the most. */
+    /** The maximum number of unanswered requests of one peer. */
     private static final int MAX_PENDING_REQUESTS = 1024;
-    /** Between two attempts to fold ended incarnations, in heartbeats. */
+    /** The interval of attempts to fold ended incarnations, in heartbeats. */
     private static final int FOLD_HEARTBEATS = 10;
-    /** After so many heartbeats one full list is enough to begin with. */
-    private static final int PATIENT_HEARTBEATS = 3;
-    /** Full lists that are enough to begin with in a large fleet. */
-    private static final int LISTS_IN_LARGE_FLEET = 3;
+    /** After this number of heartbeats the complete summaries of one peer suffice for initialization. */
+    private static final int FULL_WAIT_HEARTBEATS = 3;
+    /** The number of peers whose complete summaries suffice for initialization in a large fleet. */
+    private static final int LARGE_FLEET_SUMMARIES = 3;
 
     /**
      * A message to send.
      *
-     * @param peer to whom
-     * @param body the message
+     * @param peer the receiver
+     * @param body the encoded message
      */
-    public record Out(String peer, byte[] body) {}
+    public record OutgoingMessage(String peer, byte[] body) {}
 
     private final RecordStore store;
     private final ReplicationLimits limits;
@@ -43,156 +42,160 @@
     private final CatchUp catchUp;
     private final AntiEntropy antiEntropy;
     private final Map<String, PeerProgress> peers = new TreeMap<>();
-    private List<String> configured = List.of();
-    private List<String> reachable = List.of();
+    private List<String> configuredPeers = List.of();
+    private List<String> reachablePeers = List.of();
+    /** Peers with unanswered requests, in the order of their turns. */
     private final LinkedHashSet<String> requesters = new LinkedHashSet<>();
+    /** Owners whose summaries have changed since the last push. */
     private final TreeSet<String> changedOwners = new TreeSet<>();
-    private final Map<String, Long> pushAfter = new HashMap<>();
-    private final double beganMs;
-    private double pushAtMs;
-    private double beatAtMs;
-    private double listRequestAtMs = Double.NEGATIVE_INFINITY;
-    private double digestAtMs;
-    private double foldAtMs;
-    /** Whether enough peers have listed all their marks; this member announces nothing before. */
+    /** The position after which to push, by owner with new writes. */
+    private final Map<String, Long> pushAfterSequences = new HashMap<>();
+
+    private final double startedAtMs;
+    private double nextPushMs;
+    private double nextHeartbeatMs;
+    private double nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
+    private double nextDigestMs;
+    private double nextFoldMs;
+    /** Whether enough peers have sent all their summaries; this member announces nothing before. */
     private boolean initialized;
 
-    private int compareWith;
+    private int nextDigestPeer;
     private long sentBytes;
-    private long dropped;
-    private long unreadable;
+    private long throttledMessages;
+    private long malformedMessages;
 
-    /** A protocol for this copy; it begins at this time, in milliseconds. */
+    /** Creates the protocol for a copy; {@code nowMs} is the time of its start. */
     public ReplicationProtocol(RecordStore store, ReplicationLimits limits, SplittableRandom random, double nowMs) {
         this.store = store;
         this.limits = limits;
         this.random = random;
-        this.bucket = new TokenBucket(limits.bytesASecond());
+        this.bucket = new TokenBucket(limits.bytesPerSecond());
         this.catchUp = new CatchUp(limits);
         this.antiEntropy = new AntiEntropy(store);
-        beganMs = nowMs;
+        startedAtMs = nowMs;
         store.startSilently(nowMs);
-        pushAtMs = nowMs;
-        beatAtMs = nowMs + random.nextDouble() * limits.beatMs();
-        digestAtMs = nowMs + (1 + random.nextDouble()) * limits.digestMs();
-        foldAtMs = nowMs + FOLD_HEARTBEATS * limits.beatMs();
+        nextPushMs = nowMs;
+        nextHeartbeatMs = nowMs + random.nextDouble() * limits.heartbeatIntervalMs();
+        nextDigestMs = nowMs + (1 + random.nextDouble()) * limits.digestIntervalMs();
+        nextFoldMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
     }
 
     /**
      * Sets the peers.
      *
-     * @param all peers by the configuration
-     * @param reach those that can be reached, as far as is known
+     * @param configured all peers of the fleet file
+     * @param reachable those that are not known to be dead
      */
-    public void setPeers(List<String> all, List<String> reach) {
-        configured = List.copyOf(all);
-        reachable = List.copyOf(reach);
-        peers.keySet().retainAll(configured);
-        configured.forEach(p -> peers.computeIfAbsent(p, n -> new PeerProgress()));
+    public void setPeers(List<String> configured, List<String> reachable) {
+        configuredPeers = List.copyOf(configured);
+        reachablePeers = List.copyOf(reachable);
+        peers.keySet().retainAll(configuredPeers);
+        configuredPeers.forEach(peer -> peers.computeIfAbsent(peer, name -> new PeerProgress()));
     }
 
-    /** A peer can be reached again: positions of logs are compared with it at once. */
+    /** A peer has become reachable; log positions are compared with it immediately. */
     public void onPeerReachable(String peer) {
-        PeerProgress p = peers.get(peer);
-        if (p != null) {
-            p.listRequestAtMs = Double.NEGATIVE_INFINITY;
-            p.hasListedAll = false;
-            listRequestAtMs = Double.NEGATIVE_INFINITY;
+        PeerProgress progress = peers.get(peer);
+        if (progress != null) {
+            progress.nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
+            progress.hasSentAllSummaries = false;
+            nextSummaryRequestMs = Double.NEGATIVE_INFINITY;
         }
     }
 
     /**
-     * This member has written.
+     * This member has written; the writes are pushed in the next interval.
      *
-     * @param had the sequence number before the writes
+     * @param previousSequence the sequence number before the writes
      */
-    public void onLocalWrite(long had) {
+    public void onLocalWrite(long previousSequence) {
         changedOwners.add(store.localMember());
-        pushAfter.merge(store.localMember(), had, Math::min);
+        pushAfterSequences.merge(store.localMember(), previousSequence, Math::min);
     }
 
     /** The next time at which {@link #tick} has something to do, in milliseconds. */
     public double nextTickMs() {
-        return Math.min(pushAtMs, beatAtMs);
+        return Math.min(nextPushMs, nextHeartbeatMs);
     }
 
-    // ---- out ----
+    // ---- sending ----
 
-    /** What is to be sent by now. */
-    public List<Out> tick(double nowMs) {
-        List<Out> out = new ArrayList<>();
-        if ((!initialized || nowMs >= listRequestAtMs) && !reachable.isEmpty()) {
-            listRequestAtMs = nowMs + limits.beatMs();
-            requestLists(nowMs, out);
+    /** Runs the timers that are due and returns the messages to send. */
+    public List<OutgoingMessage> tick(double nowMs) {
+        List<OutgoingMessage> out = new ArrayList<>();
+        if ((!initialized || nowMs >= nextSummaryRequestMs) && !reachablePeers.isEmpty()) {
+            nextSummaryRequestMs = nowMs + limits.heartbeatIntervalMs();
+            requestSummaries(nowMs, out);
         }
-        if (nowMs >= beatAtMs) {
-            beatAtMs = Math.max(beatAtMs + limits.beatMs(), nowMs);
-            store.heartbeat();
+        if (nowMs >= nextHeartbeatMs) {
+            nextHeartbeatMs = Math.max(nextHeartbeatMs + limits.heartbeatIntervalMs(), nowMs);
+            store.incrementHeartbeat();
             changedOwners.add(store.localMember());
-            store.forgetTombstones(nowMs, limits.removalMs());
-            for (String p : samplePeers(reachable.size() > limits.mesh() ? 1 : 2)) {
-                sendMarks(p, true, nowMs, out);
+            store.forgetTombstones(nowMs, limits.tombstoneRetentionMs());
+            for (String peer : samplePeers(reachablePeers.size() > limits.maxMeshPeers() ? 1 : 2)) {
+                sendSummaries(peer, true, nowMs, out);
             }
         }
-        if (nowMs >= foldAtMs) {
-            foldAtMs = nowMs + FOLD_HEARTBEATS * limits.beatMs();
+        if (nowMs >= nextFoldMs) {
+            nextFoldMs = nowMs + FOLD_HEARTBEATS * limits.heartbeatIntervalMs();
             foldEndedIncarnations(nowMs);
         }
-        if (nowMs >= pushAtMs) {
-            pushAtMs = Math.max(pushAtMs + limits.pushMs(), nowMs);
+        if (nowMs >= nextPushMs) {
+            nextPushMs = Math.max(nextPushMs + limits.pushIntervalMs(), nowMs);
             push(nowMs, out);
             requestMissing(nowMs, out);
             answerRequests(nowMs, out);
         }
-        if (nowMs >= digestAtMs && initialized && !reachable.isEmpty()) {
-            digestAtMs = nowMs + limits.digestMs() * (0.75 + 0.5 * random.nextDouble());
-            String p = reachable.get(compareWith++ % reachable.size());
-            ReplicationMessage.Digests d = antiEntropy.nextDigests(p);
-            if (!d.digests().isEmpty() && bucket.canSendDeferrable(nowMs)) {
-                send(p, d, nowMs, out);
+        if (nowMs >= nextDigestMs && initialized && !reachablePeers.isEmpty()) {
+            nextDigestMs = nowMs + limits.digestIntervalMs() * (0.75 + 0.5 * random.nextDouble());
+            String peer = reachablePeers.get(nextDigestPeer++ % reachablePeers.size());
+            ReplicationMessage.LogDigests digests = antiEntropy.nextDigests(peer);
+            if (!digests.digests().isEmpty() && bucket.canSendDeferrable(nowMs)) {
+                send(peer, digests, nowMs, out);
             }
         }
         return out;
     }
 
-    private void send(String peer, ReplicationMessage m, double nowMs, List<Out> out) {
+    private void send(String peer, ReplicationMessage message, double nowMs, List<OutgoingMessage> out) {
         if (!bucket.canSendUrgent(nowMs)) {
-            dropped++;
+            throttledMessages++;
             return;
         }
-        byte[] body = ReplicationCodec.write(m);
+        byte[] body = ReplicationCodec.write(message);
         bucket.consume(body.length);
         sentBytes += body.length;
-        out.add(new Out(peer, body));
+        out.add(new OutgoingMessage(peer, body));
     }
 
-    /** Requests full lists of marks from peers that have not sent one yet. */
-    private void requestLists(double nowMs, List<Out> out) {
-        long told = reachable.stream().filter(n -> peers.get(n).hasListedAll).count();
-        boolean large = reachable.size() > limits.mesh();
-        int most = large ? 2 * limits.fanOut() : reachable.size();
-        if (told < Math.min(most, reachable.size())) {
-            int asked = 0;
-            int from = random.nextInt(reachable.size());
-            for (int i = 0; i < reachable.size() && asked < most; i++) {
-                String n = reachable.get((from + i) % reachable.size());
-                PeerProgress p = peers.get(n);
-                if (!p.hasListedAll) {
-                    asked++;
-                    if (p.listRequestAtMs <= nowMs) {
-                        p.listRequestAtMs = nowMs + limits.beatMs();
-                        sendMarks(n, true, nowMs, out);
+    /** Requests complete summaries from peers that have not sent them yet. */
+    private void requestSummaries(double nowMs, List<OutgoingMessage> out) {
+        long listed = reachablePeers.stream()
+                .filter(peer -> peers.get(peer).hasSentAllSummaries)
+                .count();
+        boolean large = reachablePeers.size() > limits.maxMeshPeers();
+        int maxRequests = large ? 2 * limits.fanOut() : reachablePeers.size();
+        if (listed < Math.min(maxRequests, reachablePeers.size())) {
+            int considered = 0;
+            int start = random.nextInt(reachablePeers.size());
+            for (int i = 0; i < reachablePeers.size() && considered < maxRequests; i++) {
+                String peer = reachablePeers.get((start + i) % reachablePeers.size());
+                PeerProgress progress = peers.get(peer);
+                if (!progress.hasSentAllSummaries) {
+                    considered++;
+                    if (progress.nextSummaryRequestMs <= nowMs) {
+                        progress.nextSummaryRequestMs = nowMs + limits.heartbeatIntervalMs();
+                        sendSummaries(peer, true, nowMs, out);
                     }
                 }
             }
         }
         if (!initialized) {
-            // Some that can't be reached are not known as such yet: after a few heartbeats, those who answered are
-            // enough.
-            int enough = large
-                    ? LISTS_IN_LARGE_FLEET
-                    : nowMs > beganMs + PATIENT_HEARTBEATS * limits.beatMs() ? 1 : reachable.size();
-            initialized = told > 0 && told >= Math.min(reachable.size(), enough);
+            // Some unreachable peers may not be known as such yet: after a few heartbeats one answer suffices.
+            boolean waited = nowMs > startedAtMs + FULL_WAIT_HEARTBEATS * limits.heartbeatIntervalMs();
+            int required = large ? LARGE_FLEET_SUMMARIES : waited ? 1 : reachablePeers.size();
+            initialized = listed > 0 && listed >= Math.min(reachablePeers.size(), required);
             if (initialized) {
                 store.startAnnouncing();
                 onLocalWrite(0);
@@ -200,273 +203,278 @@
         }
     }
 
-    /** All marks there are, in as many messages as it takes. */
-    private void sendMarks(String peer, boolean ask, double nowMs, List<Out> out) {
+    /** Sends all summaries, in as many messages as needed. */
+    private void sendSummaries(String peer, boolean replyRequested, double nowMs, List<OutgoingMessage> out) {
         TreeSet<String> names = new TreeSet<>(store.owners());
         if (!initialized) {
-            // Guards against an incarnation that was used before: nobody announces itself before it has heard the
-            // others.
+            // Guards against reuse of an earlier incarnation: summaries of others must arrive first.
             names.remove(store.localMember());
         }
-        List<ReplicationMessage.Mark> marks = store.marks(names, nowMs);
-        List<ReplicationMessage.Have> ended = store.endedIncarnations();
-        int pieces = 1 + Math.max(marks.size(), ended.size()) / ReplicationMessage.MOST;
+        List<ReplicationMessage.OwnerSummary> summaries = store.summaries(names, nowMs);
+        List<ReplicationMessage.EndedLog> endedLogs = store.endedLogs();
+        int pieces = 1 + Math.max(summaries.size(), endedLogs.size()) / ReplicationMessage.MAX_LIST_SIZE;
         for (int i = 0; i < pieces; i++) {
             boolean last = i == pieces - 1;
-            send(peer, new ReplicationMessage.Marks(ask && last, last, slice(marks, i), slice(ended, i)), nowMs, out);
+            ReplicationMessage.OwnerSummaries message = new ReplicationMessage.OwnerSummaries(
+                    replyRequested && last, last, slice(summaries, i), slice(endedLogs, i));
+            send(peer, message, nowMs, out);
         }
     }
 
     private static <T> List<T> slice(List<T> list, int piece) {
-        int from = Math.min(list.size(), piece * ReplicationMessage.MOST);
-        return list.subList(from, Math.min(list.size(), from + ReplicationMessage.MOST));
+        int start = Math.min(list.size(), piece * ReplicationMessage.MAX_LIST_SIZE);
+        return list.subList(start, Math.min(list.size(), start + ReplicationMessage.MAX_LIST_SIZE));
     }
 
-    private List<String> samplePeers(int many) {
-        if (many >= reachable.size()) {
-            return reachable;
+    private List<String> samplePeers(int count) {
+        if (count >= reachablePeers.size()) {
+            return reachablePeers;
         }
-        TreeSet<Integer> drawn = new TreeSet<>();
-        while (drawn.size() < many) {
-            drawn.add(random.nextInt(reachable.size()));
+        TreeSet<Integer> sampled = new TreeSet<>();
+        while (sampled.size() < count) {
+            sampled.add(random.nextInt(reachablePeers.size()));
         }
-        return drawn.stream().map(reachable::get).toList();
+        return sampled.stream().map(reachablePeers::get).toList();
     }
 
-    private void push(double nowMs, List<Out> out) {
+    private void push(double nowMs, List<OutgoingMessage> out) {
         if (!initialized || changedOwners.isEmpty()) {
             return;
         }
-        boolean large = reachable.size() > limits.mesh();
-        List<String> of = large
+        boolean large = reachablePeers.size() > limits.maxMeshPeers();
+        List<String> owners = large
                 ? List.copyOf(changedOwners)
                 : changedOwners.contains(store.localMember()) ? List.of(store.localMember()) : List.of();
-        if (!of.isEmpty()) {
-            if (of.contains(store.localMember()) && pushAfter.containsKey(store.localMember())) {
-                store.heartbeat();
+        if (!owners.isEmpty()) {
+            if (owners.contains(store.localMember()) && pushAfterSequences.containsKey(store.localMember())) {
+                store.incrementHeartbeat();
             }
             List<ReplicationMessage> messages = new ArrayList<>();
-            List<ReplicationMessage.Mark> marks = store.marks(of, nowMs);
-            for (int i = 0; i * ReplicationMessage.MOST < marks.size(); i++) {
-                messages.add(new ReplicationMessage.Marks(false, false, slice(marks, i), List.of()));
+            List<ReplicationMessage.OwnerSummary> summaries = store.summaries(owners, nowMs);
+            for (int i = 0; i * ReplicationMessage.MAX_LIST_SIZE < summaries.size(); i++) {
+                messages.add(new ReplicationMessage.OwnerSummaries(false, false, slice(summaries, i), List.of()));
             }
-            for (String o : of) {
-                ReplicationMessage.Chunk c = pushAfter.containsKey(o)
-                        ? store.readAfter(o, store.newestIncarnation(o), pushAfter.get(o), limits.pieceBytes())
-                        : null;
-                if (c != null) {
-                    messages.add(c);
+            for (String owner : owners) {
+                Long after = pushAfterSequences.get(owner);
+                long newest = store.newestIncarnation(owner);
+                ReplicationMessage.LogChunk chunk =
+                        after == null ? null : store.readAfter(owner, newest, after, limits.chunkBytes());
+                if (chunk != null) {
+                    messages.add(chunk);
                 }
             }
-            for (String p : large ? samplePeers(limits.fanOut()) : reachable) {
-                for (ReplicationMessage m : messages) {
-                    send(p, m, nowMs, out);
+            for (String peer : large ? samplePeers(limits.fanOut()) : reachablePeers) {
+                for (ReplicationMessage message : messages) {
+                    send(peer, message, nowMs, out);
                 }
             }
         }
         changedOwners.clear();
-        pushAfter.clear();
+        pushAfterSequences.clear();
     }
 
-    private void requestMissing(double nowMs, List<Out> out) {
-        catchUp.dueRequests(nowMs)
-                .forEach((peer, of) -> send(
-                        peer,
-                        new ReplicationMessage.Wants(of.stream()
-                                .map(o -> store.request(o.owner(), o.incarnation()))
-                                .toList()),
-                        nowMs,
-                        out));
+    private void requestMissing(double nowMs, List<OutgoingMessage> out) {
+        catchUp.dueRequests(nowMs).forEach((peer, logs) -> {
+            List<ReplicationMessage.LogRequest> requests = logs.stream()
+                    .map(log -> store.createRequest(log.owner(), log.incarnation()))
+                    .toList();
+            send(peer, new ReplicationMessage.LogRequests(requests), nowMs, out);
+        });
     }
 
-    /** Answers requests as far as the rate limit allows: each peer gets a piece in turn. */
-    private void answerRequests(double nowMs, List<Out> out) {
+    /** Answers requests as far as the rate limit allows, with one chunk for each peer in turn. */
+    private void answerRequests(double nowMs, List<OutgoingMessage> out) {
         while (!requesters.isEmpty() && bucket.canSendDeferrable(nowMs)) {
-            String n = requesters.iterator().next();
-            requesters.remove(n);
-            PeerProgress p = peers.get(n);
-            if (p == null || p.pending.isEmpty()) {
+            String peer = requesters.iterator().next();
+            requesters.remove(peer);
+            PeerProgress progress = peers.get(peer);
+            if (progress == null || progress.pendingRequests.isEmpty()) {
                 continue;
             }
-            CatchUp.LogId of = p.pending.keySet().iterator().next();
-            ReplicationMessage.Chunk c = store.answer(p.pending.remove(of), limits.pieceBytes());
-            if (c != null) {
-                send(n, c, nowMs, out);
+            CatchUp.LogId log = progress.pendingRequests.keySet().iterator().next();
+            ReplicationMessage.LogChunk chunk = store.answer(progress.pendingRequests.remove(log), limits.chunkBytes());
+            if (chunk != null) {
+                send(peer, chunk, nowMs, out);
             }
-            if (!p.pending.isEmpty()) {
-                requesters.add(n);
+            if (!progress.pendingRequests.isEmpty()) {
+                requesters.add(peer);
             }
         }
     }
 
-    /** Folds ended incarnations of this member once all members have said to hold as much of them as this one. */
+    /** Folds ended incarnations of this member once all peers have reported the same positions in them. */
     private void foldEndedIncarnations(double nowMs) {
-        Map<Long, Long> ended = store.endedLocalIncarnations();
-        long below = 0;
-        for (Map.Entry<Long, Long> e : ended.entrySet()) {
-            if (!configured.stream()
-                    .allMatch(
-                            p -> e.getValue().equals(peers.get(p).endedSequences.get(e.getKey())))) {
+        long endBefore = 0;
+        for (Map.Entry<Long, Long> ended : store.endedLocalIncarnations().entrySet()) {
+            if (!configuredPeers.stream().allMatch(peer -> peers.get(peer).hasEndedLog(ended))) {
                 break;
             }
-            below = e.getKey() + 1;
+            endBefore = ended.getKey() + 1;
         }
-        if (below > 0 && catchUp.isLevel(initialized, nowMs)) {
-            long had = store.appliedSequence(store.localMember(), store.incarnation())
+        if (endBefore > 0 && catchUp.isCaughtUp(initialized, nowMs)) {
+            long previousSequence = store.appliedSequence(store.localMember(), store.incarnation())
                     .orElse(0);
-            if (store.foldCounters(below, nowMs) > 0) {
-                onLocalWrite(had);
+            if (store.foldCounters(endBefore, nowMs) > 0) {
+                onLocalWrite(previousSequence);
             }
         }
     }
 
-    // ---- in ----
+    // ---- receiving ----
 
     /**
-     * A message has come.
+     * Handles a received message.
      *
-     * @param peer who sent it
-     * @param life the incarnation of the sender's process
-     * @param body the message
-     * @return what is to be sent at once in answer
+     * @param peer the sender
+     * @param incarnation the incarnation of the sender's process
+     * @param body the encoded message
+     * @param nowMs the present time in milliseconds
+     * @return messages to send in answer
      */
-    public List<Out> onMessage(String peer, long life, byte[] body, double nowMs) {
-        List<Out> out = new ArrayList<>();
-        PeerProgress p = peers.get(peer);
-        // Guards against what an ended process of the peer left on its way.
-        if (p == null || life < p.life) {
+    public List<OutgoingMessage> onMessage(String peer, long incarnation, byte[] body, double nowMs) {
+        List<OutgoingMessage> out = new ArrayList<>();
+        PeerProgress progress = peers.get(peer);
+        // Guards against delayed messages of an ended process of the peer.
+        if (progress == null || incarnation < progress.incarnation) {
             return out;
         }
-        p.life = life;
-        ReplicationMessage m;
+        progress.incarnation = incarnation;
+        ReplicationMessage message;
         try {
-            m = ReplicationCodec.read(body);
+            message = ReplicationCodec.read(body);
         } catch (java.io.IOException e) {
-            unreadable++;
+            malformedMessages++;
             return out;
         }
-        if (m instanceof ReplicationMessage.Marks marks) {
-            onMarks(peer, p, marks, nowMs, out);
-        } else if (m instanceof ReplicationMessage.Wants wants) {
-            for (ReplicationMessage.Want w : wants.wants()) {
-                if (p.pending.size() < MAX_PENDING_REQUESTS) {
-                    p.pending.put(new CatchUp.LogId(w.owner(), w.life()), w);
+        if (message instanceof ReplicationMessage.OwnerSummaries summaries) {
+            onSummaries(peer, progress, summaries, nowMs, out);
+        } else if (message instanceof ReplicationMessage.LogRequests requests) {
+            for (ReplicationMessage.LogRequest request : requests.requests()) {
+                if (progress.pendingRequests.size() < MAX_PENDING_REQUESTS) {
+                    progress.pendingRequests.put(new CatchUp.LogId(request.owner(), request.incarnation()), request);
                 }
             }
             requesters.add(peer);
             answerRequests(nowMs, out);
-        } else if (m instanceof ReplicationMessage.Chunk c) {
-            onChunk(peer, c, nowMs, out);
-        } else if (m instanceof ReplicationMessage.Digests d) {
-            answer(peer, antiEntropy.onDigests(peer, d), nowMs, out);
-        } else if (m instanceof ReplicationMessage.Ranges r) {
-            answer(peer, antiEntropy.onRanges(peer, r), nowMs, out);
-        } else if (m instanceof ReplicationMessage.Copies c) {
-            answer(peer, antiEntropy.onCopies(peer, c, nowMs), nowMs, out);
+        } else if (message instanceof ReplicationMessage.LogChunk chunk) {
+            onChunk(peer, chunk, nowMs, out);
+        } else if (message instanceof ReplicationMessage.LogDigests digests) {
+            sendAnswers(peer, antiEntropy.onDigests(peer, digests), nowMs, out);
+        } else if (message instanceof ReplicationMessage.RangeDigests ranges) {
+            sendAnswers(peer, antiEntropy.onRangeDigests(peer, ranges), nowMs, out);
+        } else if (message instanceof ReplicationMessage.RangeRecords records) {
+            sendAnswers(peer, antiEntropy.onRangeRecords(peer, records, nowMs), nowMs, out);
         }
         return out;
     }
 
-    private void answer(String peer, List<ReplicationMessage> answers, double nowMs, List<Out> out) {
-        for (ReplicationMessage a : answers) {
+    private void sendAnswers(String peer, List<ReplicationMessage> answers, double nowMs, List<OutgoingMessage> out) {
+        for (ReplicationMessage answer : answers) {
             if (bucket.canSendDeferrable(nowMs)) {
-                send(peer, a, nowMs, out);
+                send(peer, answer, nowMs, out);
             }
         }
     }
 
-    private void onMarks(String peer, PeerProgress p, ReplicationMessage.Marks m, double nowMs, List<Out> out) {
-        for (ReplicationMessage.Mark mark : m.marks()) {
-            long newest = store.newestIncarnation(mark.owner());
-            if (store.merge(mark, nowMs)) {
-                changedOwners.add(mark.owner());
+    private void onSummaries(
+            String peer,
+            PeerProgress progress,
+            ReplicationMessage.OwnerSummaries summaries,
+            double nowMs,
+            List<OutgoingMessage> out) {
+        for (ReplicationMessage.OwnerSummary summary : summaries.summaries()) {
+            long newest = store.newestIncarnation(summary.owner());
+            if (store.merge(summary, nowMs)) {
+                changedOwners.add(summary.owner());
             }
-            if (mark.life() > newest) {
-                catchUp.dropEnded(mark.owner(), mark.life());
-                pushAfter.remove(mark.owner());
+            if (summary.incarnation() > newest) {
+                catchUp.dropEnded(summary.owner(), summary.incarnation());
+                pushAfterSequences.remove(summary.owner());
             }
-            onPosition(peer, mark.owner(), mark.life(), mark.have(), nowMs);
-            if (mark.owner().equals(store.localMember()) && mark.life() == store.incarnation()) {
-                p.localSequence = Math.max(p.localSequence, mark.have());
+            onPosition(peer, summary.owner(), summary.incarnation(), summary.appliedSequence(), nowMs);
+            if (summary.owner().equals(store.localMember()) && summary.incarnation() == store.incarnation()) {
+                progress.acknowledgedSequence = Math.max(progress.acknowledgedSequence, summary.appliedSequence());
             }
         }
-        for (ReplicationMessage.Have h : m.ended()) {
-            onPosition(peer, h.owner(), h.life(), h.have(), nowMs);
-            if (h.owner().equals(store.localMember())) {
-                p.partialEndedSequences.put(h.life(), h.have());
+        for (ReplicationMessage.EndedLog ended : summaries.endedLogs()) {
+            onPosition(peer, ended.owner(), ended.incarnation(), ended.appliedSequence(), nowMs);
+            if (ended.owner().equals(store.localMember())) {
+                progress.partialEndedSequences.put(ended.incarnation(), ended.appliedSequence());
             }
         }
-        if (m.whole()) {
-            p.hasListedAll = true;
-            p.endedSequences = p.partialEndedSequences;
-            p.partialEndedSequences = new TreeMap<>();
+        if (summaries.complete()) {
+            progress.completeSummaries();
         }
-        if (m.ask()) {
-            sendMarks(peer, false, nowMs, out);
+        if (summaries.replyRequested()) {
+            sendSummaries(peer, false, nowMs, out);
         }
     }
 
-    private void onPosition(String peer, String owner, long life, long have, double nowMs) {
-        if (owner.equals(store.localMember()) && life >= store.incarnation()) {
+    private void onPosition(String peer, String owner, long incarnation, long reportedSequence, double nowMs) {
+        if (owner.equals(store.localMember()) && incarnation >= store.incarnation()) {
             return;
         }
-        CatchUp.LogId of = new CatchUp.LogId(owner, life);
-        long held = store.appliedSequence(owner, life).orElse(0);
-        if (life < store.newestIncarnation(owner)) {
-            // What remains of an ended incarnation is fetched only if it was not folded.
-            held = store.appliedSequence(owner, life).orElse(life < oldestKept(owner) ? Long.MAX_VALUE : 0);
-        }
-        catchUp.onPosition(peer, of, have, held, nowMs);
+        // The rest of an ended incarnation is requested only if it was not folded.
+        boolean folded = incarnation < store.newestIncarnation(owner) && incarnation < oldestKeptIncarnation(owner);
+        long appliedSequence = store.appliedSequence(owner, incarnation).orElse(folded ? Long.MAX_VALUE : 0);
+        catchUp.onPosition(peer, new CatchUp.LogId(owner, incarnation), reportedSequence, appliedSequence, nowMs);
     }
 
-    private long oldestKept(String owner) {
-        List<Long> lives = store.incarnations(owner);
-        return lives.size() > RecordStore.MAX_ENDED_INCARNATIONS ? lives.get(0) : 0;
+    private long oldestKeptIncarnation(String owner) {
+        List<Long> incarnations = store.incarnations(owner);
+        return incarnations.size() > RecordStore.MAX_ENDED_INCARNATIONS ? incarnations.get(0) : 0;
     }
 
-    private void onChunk(String peer, ReplicationMessage.Chunk c, double nowMs, List<Out> out) {
-        long had = store.appliedSequence(c.owner(), c.life()).orElse(0);
-        RecordStore.MergeResult t = store.merge(c, nowMs);
-        CatchUp.LogId of = new CatchUp.LogId(c.owner(), c.life());
-        if (t == RecordStore.MergeResult.NEW) {
-            if (c.life() == store.newestIncarnation(c.owner())) {
-                changedOwners.add(c.owner());
-                pushAfter.merge(c.owner(), had, Math::min);
+    private void onChunk(String peer, ReplicationMessage.LogChunk chunk, double nowMs, List<OutgoingMessage> out) {
+        String owner = chunk.owner();
+        long incarnation = chunk.incarnation();
+        long previousSequence = store.appliedSequence(owner, incarnation).orElse(0);
+        RecordStore.MergeResult result = store.merge(chunk, nowMs);
+        long newest = store.newestIncarnation(owner);
+        CatchUp.LogId log = new CatchUp.LogId(owner, incarnation);
+        if (result == RecordStore.MergeResult.NEW) {
+            if (incarnation == newest) {
+                changedOwners.add(owner);
+                pushAfterSequences.merge(owner, previousSequence, Math::min);
             }
-            catchUp.onProgress(of, store.appliedSequence(c.owner(), c.life()).orElse(c.to()), nowMs);
+            long applied = store.appliedSequence(owner, incarnation).orElse(chunk.upToSequence());
+            catchUp.onProgress(log, applied, nowMs);
             requestMissing(nowMs, out);
-        } else if (t == RecordStore.MergeResult.GAP) {
-            onPosition(peer, c.owner(), c.life(), c.base() == 0 ? c.to() : c.base(), nowMs);
-        } else if (t == RecordStore.MergeResult.KNOWN) {
-            catchUp.onProgress(of, Math.max(had, c.life() < store.newestIncarnation(c.owner()) ? c.to() : 0), nowMs);
+        } else if (result == RecordStore.MergeResult.GAP) {
+            long reported = chunk.snapshotEnd() == 0 ? chunk.upToSequence() : chunk.snapshotEnd();
+            onPosition(peer, owner, incarnation, reported, nowMs);
+        } else if (result == RecordStore.MergeResult.KNOWN) {
+            long known = incarnation < newest ? chunk.upToSequence() : 0;
+            catchUp.onProgress(log, Math.max(previousSequence, known), nowMs);
         }
     }
 
-    // ---- figures ----
+    // ---- statistics ----
 
-    /** How far this member is. */
-    public Replica.Level level(double nowMs) {
-        return new Replica.Level(
-                catchUp.isLevel(initialized, nowMs),
+    /** How current this member's copy is. */
+    public Replica.SyncState syncState(double nowMs) {
+        return new Replica.SyncState(
+                catchUp.isCaughtUp(initialized, nowMs),
                 catchUp.missingWrites(),
-                antiEntropy.openLogs(),
-                antiEntropy.outOfDecision() || store.quarantineReason(store.localMember()) != null);
+                antiEntropy.countDifferingLogs(),
+                antiEntropy.hasDiscardedLogs() || store.quarantineReason(store.localMember()) != null);
     }
 
-    /** The copies that differ. */
+    /** The comparison of copies by content. */
     public AntiEntropy antiEntropy() {
         return antiEntropy;
     }
 
-    /** How many peers there are by the file. */
-    int configuredPeers() {
-        return configured.size();
+    /** The number of peers of the fleet file. */
+    int countConfiguredPeers() {
+        return configuredPeers.size();
     }
 
-    /** How many peers have said that they hold this member's writes up to this one. */
-    int peersHolding(long sequence) {
-        return (int)
-                peers.values().stream().filter(p -> p.localSequence >= sequence).count();
+    /** The number of peers that have reported this member's writes up to this one as applied. */
+    int countPeersHolding(long sequence) {
+        return (int) peers.values().stream()
+                .filter(p -> p.acknowledgedSequence >= sequence)
+                .count();
     }
 
     /** Bytes sent since the start. */
@@ -474,18 +482,18 @@
         return sentBytes;
     }
 
-    /** Messages that were not sent for want of bytes. */
-    public long dropped() {
-        return dropped;
+    /** Messages that were not sent because of the rate limit. */
+    public long throttledMessages() {
+        return throttledMessages;
     }
 
-    /** Messages that could not be read. */
-    public long unreadable() {
-        return unreadable;
+    /** Received messages that could not be decoded. */
+    public long malformedMessages() {
+        return malformedMessages;
     }
 
     @Override
     public String toString() {
-        return store.localMember() + ": " + Arrays.toString(new long[] {sentBytes, dropped, unreadable});
+        return store.localMember() + ": [" + sentBytes + ", " + throttledMessages + ", " + malformedMessages + "]";
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/RecordStoreTest.java
@@ -12,268 +12,289 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests merging, folding, ages, tombstones and repair of the store without a network. */
 class RecordStoreTest {
-    private static final RecordKey ITEM = new RecordKey(RecordSpace.SERVERS, "h");
+    private static final RecordKey KEY = new RecordKey(RecordSpace.SERVERS, "h");
 
-    private static RecordStore store(String me, long life) {
-        return new RecordStore(me, life, life + 1, false);
+    private static RecordStore store(String member, long incarnation) {
+        return new RecordStore(member, incarnation, incarnation + 1, false);
     }
 
-    private static void pull(RecordStore to, RecordStore from) {
-        from.marks(from.owners(), 0).forEach(m -> to.merge(m, 0));
-        for (String o : from.owners()) {
-            for (long l : from.incarnations(o)) {
-                ReplicationMessage.Chunk c = from.answer(to.request(o, l), 1 << 20);
-                if (c != null) {
-                    to.merge(c, 0);
+    private static void replicate(RecordStore target, RecordStore source) {
+        source.summaries(source.owners(), 0).forEach(summary -> target.merge(summary, 0));
+        for (String owner : source.owners()) {
+            for (long incarnation : source.incarnations(owner)) {
+                ReplicationMessage.LogChunk chunk = source.answer(target.createRequest(owner, incarnation), 1 << 20);
+                if (chunk != null) {
+                    target.merge(chunk, 0);
                 }
             }
         }
     }
 
     @Test
-    void twoWritersOfOneLifeArePutAsideByAllUntilALaterLife() {
-        RecordStore one = new RecordStore("a", 5, 101, false);
-        RecordStore two = new RecordStore("a", 5, 202, false);
-        RecordStore b = store("b", 1);
-        RecordStore c = store("c", 1);
-        one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        pull(b, one);
-        pull(c, two);
-        assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
-        pull(b, c);
-        assertTrue(b.readAll(RecordSpace.SERVERS, 0).isEmpty());
-        assertTrue(b.drainAlarms().toString().contains("65 and ca"), "both processes are named");
-        // Whoever hears of it from b puts it aside as well, the writers themselves included.
-        pull(c, b);
-        pull(one, b);
-        assertTrue(c.readAll(RecordSpace.SERVERS, 0).isEmpty());
-        assertNotNull(one.quarantineReason("a"));
-        assertFalse(one.put(RecordSpace.SERVERS, "h", "3".getBytes(UTF_8), 0));
+    void twoWritersOfOneIncarnationAreQuarantinedUntilALaterOne() {
+        RecordStore first = new RecordStore("a", 5, 101, false);
+        RecordStore second = new RecordStore("a", 5, 202, false);
+        RecordStore storeB = store("b", 1);
+        RecordStore storeC = store("c", 1);
+        first.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        second.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
+        replicate(storeB, first);
+        replicate(storeC, second);
+        assertEquals(1, storeB.readAll(RecordSpace.SERVERS, 0).size());
+        replicate(storeB, storeC);
+        assertTrue(storeB.readAll(RecordSpace.SERVERS, 0).isEmpty());
+        assertTrue(
+                storeB.drainAlarms().toString().contains("65 and ca"),
+                "the alarm contains the nonces of both processes");
+        // Whoever receives the summary from b quarantines the incarnation as well, including the writers themselves.
+        replicate(storeC, storeB);
+        replicate(first, storeB);
+        assertTrue(storeC.readAll(RecordSpace.SERVERS, 0).isEmpty());
+        assertNotNull(first.quarantineReason("a"));
+        assertFalse(first.put(RecordSpace.SERVERS, "h", "3".getBytes(UTF_8), 0));
         RecordStore later = new RecordStore("a", 6, 303, false);
         later.put(RecordSpace.SERVERS, "h", "4".getBytes(UTF_8), 0);
-        pull(b, later);
-        assertNull(b.quarantineReason("a"));
-        assertEquals("4", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
+        replicate(storeB, later);
+        assertNull(storeB.quarantineReason("a"));
+        assertEquals(
+                "4", new String(storeB.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
     }
 
     @Test
-    void oneWriteWithTwoContentsIsFoundThoughBothGiveOneNonce() {
-        RecordStore one = new RecordStore("a", 5, 101, false);
-        RecordStore two = new RecordStore("a", 5, 101, false);
-        RecordStore b = store("b", 1);
-        one.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        two.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
-        pull(b, one);
-        b.merge(two.answer(new ReplicationMessage.Want("a", 5, 0, 0, 0), 1000), 0);
-        assertNotNull(b.quarantineReason("a"));
-        String alarm = b.drainAlarms().toString();
+    void conflictingContentsAreDetectedDespiteEqualNonces() {
+        RecordStore first = new RecordStore("a", 5, 101, false);
+        RecordStore second = new RecordStore("a", 5, 101, false);
+        RecordStore storeB = store("b", 1);
+        first.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        second.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8), 0);
+        replicate(storeB, first);
+        storeB.merge(second.answer(new ReplicationMessage.LogRequest("a", 5, 0, 0, 0), 1000), 0);
+        assertNotNull(storeB.quarantineReason("a"));
+        String alarm = storeB.drainAlarms().toString();
         assertTrue(alarm.contains("=1") && alarm.contains("=2"), alarm);
     }
 
     @Test
-    void whoHearsOfALaterLifeOfItsOwnTakesTheNextBeforeItWritesAndStandsAsideAfter() {
+    void laterOwnIncarnationIsSurpassedBeforeWritingAndQuarantinedAfter() {
         RecordStore peer = store("b", 1);
-        RecordStore before = store("a", 9);
-        before.add(RecordSpace.USED, "k", 3, 0);
-        pull(peer, before);
-        RecordStore old = store("a", 4);
-        pull(old, peer);
-        assertEquals(10, old.incarnation());
-        assertTrue(old.add(RecordSpace.USED, "k", 1, 0));
-        assertEquals(4, old.sum(RecordSpace.USED, "k"));
-        pull(peer, old);
-        pull(before, peer);
-        assertNotNull(before.quarantineReason("a"), "the process that still runs under that name stands aside");
+        RecordStore running = store("a", 9);
+        running.add(RecordSpace.USED, "k", 3, 0);
+        replicate(peer, running);
+        RecordStore restarted = store("a", 4);
+        replicate(restarted, peer);
+        assertEquals(10, restarted.incarnation());
+        assertTrue(restarted.add(RecordSpace.USED, "k", 1, 0));
+        assertEquals(4, restarted.sum(RecordSpace.USED, "k"));
+        replicate(peer, restarted);
+        replicate(running, peer);
+        assertNotNull(running.quarantineReason("a"), "the process that still runs under this name is quarantined");
     }
 
-    private static ReplicationMessage.Mark markOfA(long life, long ageMs) {
-        return new ReplicationMessage.Mark("a", life, 77, 3, 5, 5, ageMs, false);
+    private static ReplicationMessage.OwnerSummary summaryOfA(long incarnation, long ageMs) {
+        return new ReplicationMessage.OwnerSummary("a", incarnation, 77, 3, 5, 5, ageMs, false);
     }
 
     @Test
-    void whatWasWrittenBeforeAnybodyWasToldGoesOnInTheLifeAfterItsPast() {
-        RecordStore a = store("a", 4);
-        a.startSilently(10_000);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
-        a.put(RecordSpace.SERVERS, "x", "1".getBytes(UTF_8), 10_000);
-        a.remove(RecordSpace.SERVERS, "x", 10_000);
-        a.add(RecordSpace.USED, "k", 3, 10_000);
-        assertTrue(a.merge(markOfA(9, 500), 11_000));
-        assertEquals(10, a.incarnation());
-        assertNull(a.quarantineReason("a"));
-        assertEquals(List.of(10L), a.incarnations("a"));
-        assertEquals(1, a.readAll(RecordSpace.SERVERS, 11_000).size());
-        assertEquals(3, a.sum(RecordSpace.USED, "k"));
-        assertFalse(a.merge(markOfA(9, 500), 12_000), "it is heard of again");
-        RecordStore b = store("b", 1);
-        pull(b, a);
-        assertEquals("1", new String(b.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
-        assertEquals(3, b.sum(RecordSpace.USED, "k"));
+    void unannouncedWritesMoveToTheNextIncarnation() {
+        RecordStore storeA = store("a", 4);
+        storeA.startSilently(10_000);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
+        storeA.put(RecordSpace.SERVERS, "x", "1".getBytes(UTF_8), 10_000);
+        storeA.remove(RecordSpace.SERVERS, "x", 10_000);
+        storeA.add(RecordSpace.USED, "k", 3, 10_000);
+        assertTrue(storeA.merge(summaryOfA(9, 500), 11_000));
+        assertEquals(10, storeA.incarnation());
+        assertNull(storeA.quarantineReason("a"));
+        assertEquals(List.of(10L), storeA.incarnations("a"));
+        assertEquals(1, storeA.readAll(RecordSpace.SERVERS, 11_000).size());
+        assertEquals(3, storeA.sum(RecordSpace.USED, "k"));
+        assertFalse(storeA.merge(summaryOfA(9, 500), 12_000), "a repeated summary changes nothing");
+        RecordStore storeB = store("b", 1);
+        replicate(storeB, storeA);
+        assertEquals(
+                "1", new String(storeB.readAll(RecordSpace.SERVERS, 0).get(0).value(), UTF_8));
+        assertEquals(3, storeB.sum(RecordSpace.USED, "k"));
     }
 
     @Test
-    void lifeThatGaveNoSignSinceThisProcessBeganIsItsPastThoughItsWritesAreTold() {
-        RecordStore a = store("a", 4);
-        RecordStore b = store("b", 1);
-        a.startSilently(10_000);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
-        a.add(RecordSpace.USED, "k", 3, 10_000);
-        a.startAnnouncing();
-        pull(b, a);
-        assertTrue(a.merge(markOfA(9, 2000), 11_000));
-        assertEquals(10, a.incarnation());
-        assertTrue(a.add(RecordSpace.USED, "k", 1, 11_000));
-        assertEquals(4, a.sum(RecordSpace.USED, "k"), "the earlier part stays, as one of an ended life");
-        pull(b, a);
-        assertEquals(4, b.sum(RecordSpace.USED, "k"));
-        assertEquals(1, b.readAll(RecordSpace.SERVERS, 0).size());
-        // One that gave a sign since is another process: two must not write under one name.
-        assertTrue(a.merge(markOfA(12, 500), 11_000));
-        assertNotNull(a.quarantineReason("a"));
-        assertEquals(10, a.incarnation());
+    void incarnationSilentSinceProcessStartIsTreatedAsOwnPast() {
+        RecordStore storeA = store("a", 4);
+        RecordStore storeB = store("b", 1);
+        storeA.startSilently(10_000);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 10_000);
+        storeA.add(RecordSpace.USED, "k", 3, 10_000);
+        storeA.startAnnouncing();
+        replicate(storeB, storeA);
+        assertTrue(storeA.merge(summaryOfA(9, 2000), 11_000));
+        assertEquals(10, storeA.incarnation());
+        assertTrue(storeA.add(RecordSpace.USED, "k", 1, 11_000));
+        assertEquals(4, storeA.sum(RecordSpace.USED, "k"), "the earlier count is kept as that of an ended incarnation");
+        replicate(storeB, storeA);
+        assertEquals(4, storeB.sum(RecordSpace.USED, "k"));
+        assertEquals(1, storeB.readAll(RecordSpace.SERVERS, 0).size());
+        // A heartbeat since then came from another process: two must not write under one name.
+        assertTrue(storeA.merge(summaryOfA(12, 500), 11_000));
+        assertNotNull(storeA.quarantineReason("a"));
+        assertEquals(10, storeA.incarnation());
     }
 
     @Test
-    void ageIsCountedFromTheOwnersSignOverAllWaysAndHoldsOnlyWhatIsHere() {
-        RecordStore a = store("a", 1);
-        RecordStore b = store("b", 1);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        a.heartbeat();
-        ReplicationMessage.Mark first = a.marks(List.of("a"), 0).get(0);
-        b.merge(a.answer(b.request("a", 1), 1000), 100);
-        b.merge(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat(), 1, 1, 250, false), 1000);
-        assertEquals(250, b.read("a", RecordSpace.SERVERS, "h", 1000).heardMs());
-        // It has written again, which is not here: the record is as old as the last sign at which it was the last.
-        b.merge(new ReplicationMessage.Mark("a", 1, first.nonce(), first.beat() + 5, 2, 2, 10, false), 2000);
-        assertEquals(10, b.heartbeatAgeMs("a", 2000));
-        assertEquals(1250, b.read("a", RecordSpace.SERVERS, "h", 2000).heardMs());
-        assertFalse(b.read("a", RecordSpace.SERVERS, "h", 20_000).fresh(RecordSpace.SERVERS));
+    void ageCountsFromTheOwnersHeartbeatAndOnlyForReceivedWrites() {
+        RecordStore storeA = store("a", 1);
+        RecordStore storeB = store("b", 1);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        storeA.incrementHeartbeat();
+        ReplicationMessage.OwnerSummary first =
+                storeA.summaries(List.of("a"), 0).get(0);
+        storeB.merge(storeA.answer(storeB.createRequest("a", 1), 1000), 100);
+        storeB.merge(
+                new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat(), 1, 1, 250, false), 1000);
+        assertEquals(250, storeB.read("a", RecordSpace.SERVERS, "h", 1000).ageMs());
+        // The owner announced a write that is missing here: the record is as old as the last heartbeat before that
+        // write.
+        storeB.merge(
+                new ReplicationMessage.OwnerSummary("a", 1, first.nonce(), first.heartbeat() + 5, 2, 2, 10, false),
+                2000);
+        assertEquals(10, storeB.heartbeatAgeMs("a", 2000));
+        assertEquals(1250, storeB.read("a", RecordSpace.SERVERS, "h", 2000).ageMs());
+        assertFalse(storeB.read("a", RecordSpace.SERVERS, "h", 20_000).isFresh(RecordSpace.SERVERS));
     }
 
     @Test
-    void removalsAreForgottenWithinBoundsAndNothingComesBack() {
-        RecordStore a = store("a", 1);
-        RecordStore late = store("b", 1);
-        RecordStore other = store("c", 1);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        pull(late, a);
+    void tombstonesAreBoundedAndRemovedRecordsDoNotReturn() {
+        RecordStore storeA = store("a", 1);
+        RecordStore stale = store("b", 1);
+        RecordStore unaware = store("c", 1);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        replicate(stale, storeA);
         for (int i = 0; i < 5000; i++) {
-            a.put(RecordSpace.SERVERS, "x" + i, "1".getBytes(UTF_8), 0);
-            a.remove(RecordSpace.SERVERS, "x" + i, 0);
+            storeA.put(RecordSpace.SERVERS, "x" + i, "1".getBytes(UTF_8), 0);
+            storeA.remove(RecordSpace.SERVERS, "x" + i, 0);
         }
-        a.remove(RecordSpace.SERVERS, "h", 0);
-        a.put(RecordSpace.SERVERS, "y", "1".getBytes(UTF_8), 0);
-        a.forgetTombstones(1000, 60_000);
-        assertTrue(a.all("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
-        a.forgetTombstones(100_000, 60_000);
-        assertEquals(1, a.all("a", 1).size());
-        pull(other, late);
-        pull(late, a);
-        pull(other, a);
-        for (RecordStore s : List.of(late, other)) {
+        storeA.remove(RecordSpace.SERVERS, "h", 0);
+        storeA.put(RecordSpace.SERVERS, "y", "1".getBytes(UTF_8), 0);
+        storeA.forgetTombstones(1000, 60_000);
+        assertTrue(storeA.records("a", 1).size() <= OwnerLog.MAX_TOMBSTONES + 1, "bounded by number");
+        storeA.forgetTombstones(100_000, 60_000);
+        assertEquals(1, storeA.records("a", 1).size());
+        replicate(unaware, stale);
+        replicate(stale, storeA);
+        replicate(unaware, storeA);
+        for (RecordStore store : List.of(stale, unaware)) {
             assertEquals(
-                    a.readAll(RecordSpace.SERVERS, 0).stream()
-                            .map(Replica.Seen::key)
+                    storeA.readAll(RecordSpace.SERVERS, 0).stream()
+                            .map(Replica.ReadRecord::key)
                             .toList(),
-                    s.readAll(RecordSpace.SERVERS, 0).stream()
-                            .map(Replica.Seen::key)
+                    store.readAll(RecordSpace.SERVERS, 0).stream()
+                            .map(Replica.ReadRecord::key)
                             .toList());
         }
     }
 
     @Test
-    void manyLivesAreFoldedAndTheSumStays() {
+    void foldingManyIncarnationsKeepsTheSum() {
         List<RecordStore> peers = new ArrayList<>(List.of(store("b", 1), store("c", 1)));
         long sum = 0;
-        for (int life = 1; life <= 60; life++) {
-            RecordStore a = store("a", life);
-            peers.forEach(p -> pull(a, p));
-            assertEquals(sum, a.sum(RecordSpace.USED, "k"));
-            a.add(RecordSpace.USED, "k", life, 0);
-            sum += life;
-            peers.forEach(p -> pull(p, a));
-            if (life % 10 == 0) {
-                a.foldCounters(life, 0);
-                peers.forEach(p -> pull(p, a));
+        for (int incarnation = 1; incarnation <= 60; incarnation++) {
+            RecordStore storeA = store("a", incarnation);
+            peers.forEach(peer -> replicate(storeA, peer));
+            assertEquals(sum, storeA.sum(RecordSpace.USED, "k"));
+            storeA.add(RecordSpace.USED, "k", incarnation, 0);
+            sum += incarnation;
+            peers.forEach(peer -> replicate(peer, storeA));
+            if (incarnation % 10 == 0) {
+                storeA.foldCounters(incarnation, 0);
+                peers.forEach(peer -> replicate(peer, storeA));
                 assertEquals(1, peers.get(0).incarnations("a").size());
             }
         }
         assertEquals(sum, peers.get(1).sum(RecordSpace.USED, "k"));
     }
 
-    /** Three copies, of which one has a byte flipped at random: found by digests alone, made one, with both values. */
+    /**
+     * Guards against corruption that no read reveals: a random bit of one copy is flipped. Digests must find the
+     * record, the owner's copy must replace it, and the difference must report the checksum mismatch.
+     */
     @Test
-    void aSilentlyCorruptedCopyIsFoundAndMendedWithoutAReader() {
+    void silentCorruptionIsDetectedAndRepairedWithoutReads() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 20; round++) {
-            RecordStore a = store("a", 1);
-            RecordStore b = store("b", 1);
+            RecordStore storeA = store("a", 1);
+            RecordStore storeB = store("b", 1);
             for (int i = 0; i < 50; i++) {
-                a.put(RecordSpace.SERVERS, "h" + i, ("value " + i).getBytes(UTF_8), 0);
+                storeA.put(RecordSpace.SERVERS, "h" + i, ("value " + i).getBytes(UTF_8), 0);
             }
-            pull(b, a);
-            // Values are shared in memory here: b gets its own, as it would from a wire.
-            for (ReplicatedRecord e : b.all("a", 1)) {
-                b.repair(
+            replicate(storeB, storeA);
+            // Both stores share the values in memory: b gets its own copies, as it would over a network.
+            for (ReplicatedRecord record : storeB.records("a", 1)) {
+                storeB.repair(
                         "a",
                         1,
-                        e.item(),
+                        record.recordKey(),
                         new ReplicatedRecord(
-                                e.space(), e.key(), e.version(), e.value().clone(), 0, 0, e.sum()),
+                                record.space(),
+                                record.key(),
+                                record.version(),
+                                record.value().clone(),
+                                0,
+                                0,
+                                record.checksum()),
                         0);
             }
-            ReplicatedRecord hit = b.all("a", 1).get(random.nextInt(50));
-            hit.value()[random.nextInt(hit.value().length)] ^= (byte) (1 << random.nextInt(8));
-            AntiEntropy da = new AntiEntropy(a);
-            AntiEntropy db = new AntiEntropy(b);
-            compare(da, db);
-            assertEquals(1, db.totalDifferences());
+            ReplicatedRecord corrupted = storeB.records("a", 1).get(random.nextInt(50));
+            corrupted.value()[random.nextInt(corrupted.value().length)] ^= (byte) (1 << random.nextInt(8));
+            AntiEntropy ofOwner = new AntiEntropy(storeA);
+            AntiEntropy ofCopy = new AntiEntropy(storeB);
+            runAntiEntropy(ofOwner, ofCopy);
+            assertEquals(1, ofCopy.totalDifferences());
             assertEquals(
                     AntiEntropy.Verdict.TOOK_THEIRS,
-                    db.recentDifferences().get(0).verdict());
-            assertTrue(db.recentDifferences().get(0).mine().contains("not what was written"));
-            compare(da, db);
-            assertEquals(1, db.totalDifferences());
-            assertEquals(0, db.openLogs());
-            assertEquals(a.all("a", 1).toString(), b.all("a", 1).toString());
+                    ofCopy.recentDifferences().get(0).verdict());
+            assertTrue(ofCopy.recentDifferences().get(0).mine().contains("checksum mismatch"));
+            runAntiEntropy(ofOwner, ofCopy);
+            assertEquals(1, ofCopy.totalDifferences());
+            assertEquals(0, ofCopy.countDifferingLogs());
+            assertEquals(
+                    storeA.records("a", 1).toString(), storeB.records("a", 1).toString());
         }
     }
 
-    private static void compare(AntiEntropy a, AntiEntropy b) {
-        for (ReplicationMessage r : b.onDigests("a", a.nextDigests("b"))) {
-            for (ReplicationMessage c : a.onRanges("b", (ReplicationMessage.Ranges) r)) {
-                for (ReplicationMessage back : b.onCopies("a", (ReplicationMessage.Copies) c, 0)) {
-                    a.onCopies("b", (ReplicationMessage.Copies) back, 0);
+    private static void runAntiEntropy(AntiEntropy ofOwner, AntiEntropy ofCopy) {
+        for (ReplicationMessage ranges : ofCopy.onDigests("a", ofOwner.nextDigests("b"))) {
+            for (ReplicationMessage records : ofOwner.onRangeDigests("b", (ReplicationMessage.RangeDigests) ranges)) {
+                for (ReplicationMessage reply :
+                        ofCopy.onRangeRecords("a", (ReplicationMessage.RangeRecords) records, 0)) {
+                    ofOwner.onRangeRecords("b", (ReplicationMessage.RangeRecords) reply, 0);
                 }
             }
         }
     }
 
     @Test
-    void aCopyThatStillDiffersFromItsOwnersIsOutOfDecisionUntilItCameWhole() {
-        RecordStore a = store("a", 1);
-        RecordStore b = store("b", 1);
-        a.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
-        pull(b, a);
-        AntiEntropy da = new AntiEntropy(a);
-        AntiEntropy db = new AntiEntropy(b);
+    void copyThatStillDiffersIsExcludedUntilFetchedAgain() {
+        RecordStore storeA = store("a", 1);
+        RecordStore storeB = store("b", 1);
+        storeA.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8), 0);
+        replicate(storeB, storeA);
+        AntiEntropy ofOwner = new AntiEntropy(storeA);
+        AntiEntropy ofCopy = new AntiEntropy(storeB);
         for (int i = 0; i < AntiEntropy.MAX_MISMATCHES; i++) {
-            assertFalse(db.outOfDecision());
-            // What the rule mends, something breaks again.
-            b.repair("a", 1, ITEM, null, 0);
-            db.onRanges(
+            assertFalse(ofCopy.hasDiscardedLogs());
+            // Damages the copy again after each repair.
+            storeB.repair("a", 1, KEY, null, 0);
+            ofCopy.onRangeDigests(
                     "a",
-                    da.onDigests("b", db.nextDigests("a")).stream()
-                            .map(m -> (ReplicationMessage.Ranges) m)
+                    ofOwner.onDigests("b", ofCopy.nextDigests("a")).stream()
+                            .map(message -> (ReplicationMessage.RangeDigests) message)
                             .findFirst()
                             .orElseThrow());
         }
-        assertTrue(db.outOfDecision());
-        assertEquals(0, b.appliedSequence("a", 1).orElseThrow());
-        pull(b, a);
-        db.onDigests("a", da.nextDigests("b"));
-        assertFalse(db.outOfDecision());
+        assertTrue(ofCopy.hasDiscardedLogs());
+        assertEquals(0, storeB.appliedSequence("a", 1).orElseThrow());
+        replicate(storeB, storeA);
+        ofCopy.onDigests("a", ofOwner.nextDigests("b"));
+        assertFalse(ofCopy.hasDiscardedLogs());
     }
 }
