--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedSettings.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedSettings.java
@@ -18,13 +18,13 @@
 public record AgreedSettings(
         String fleet,
         List<String> voters,
-        LeaseTerms terms,
-        double beatMs,
-        int patienceBeats,
-        double maxRoleMs,
+        LeaseTerms leaseTerms,
+        double heartbeatMs,
+        int leaderTimeoutHeartbeats,
+        double maxRoleLeaseMs,
         long seed) {
     /** Most voters that are taken from a file: more make each decision slower and none safer. */
-    public static final int MOST_VOTERS = 5;
+    public static final int MAX_VOTERS = 5;
 
     /** What can't be kept is rejected with an {@link IllegalArgumentException}. */
     public AgreedSettings {
@@ -35,22 +35,25 @@
         if (voters.isEmpty() || voters.size() > 7 || voters.stream().distinct().count() != voters.size()) {
             throw new IllegalArgumentException("voters: " + voters);
         }
-        if (!(beatMs >= 10 && beatMs <= 1000) || patienceBeats < 3 || patienceBeats > 100) {
-            throw new IllegalArgumentException("beatMs: " + beatMs + ", patienceBeats: " + patienceBeats);
+        if (!(heartbeatMs >= 10 && heartbeatMs <= 1000)
+                || leaderTimeoutHeartbeats < 3
+                || leaderTimeoutHeartbeats > 100) {
+            throw new IllegalArgumentException(
+                    "beatMs: " + heartbeatMs + ", patienceBeats: " + leaderTimeoutHeartbeats);
         }
-        if (!(maxRoleMs > 0 && maxRoleMs <= 600_000)) {
-            throw new IllegalArgumentException("maxRoleMs: " + maxRoleMs);
+        if (!(maxRoleLeaseMs > 0 && maxRoleLeaseMs <= 600_000)) {
+            throw new IllegalArgumentException("maxRoleMs: " + maxRoleLeaseMs);
         }
     }
 
     /** The usual terms: leases of 1.6 s at 1% of drift, beats of 150 ms of which five may be missed. */
-    public static AgreedSettings of(String fleet, List<Member> members, long seed) {
+    public static AgreedSettings withDefaults(String fleet, List<Member> members, long seed) {
         return new AgreedSettings(fleet, voters(members), new LeaseTerms(1600, 0.01), 150, 5, 10_000, seed);
     }
 
     /** Who votes: the first members of the file, the largest odd number up to {@link #MOST_VOTERS}. */
     public static List<String> voters(List<Member> members) {
-        int n = Math.min(MOST_VOTERS, members.size());
+        int n = Math.min(MAX_VOTERS, members.size());
         return members.stream().map(Member::name).limit(n % 2 == 0 ? n - 1 : n).toList();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -62,7 +62,7 @@
                 && begin.life() == context.processLife()
                 && begin.number() == consensus.leaderTermNumber();
         consensus.beginTerm(
-                leads ? new LeaderLeases(context.settings().terms(), consensus.state(), context.nowMs()) : null);
+                leads ? new LeaderLeases(context.settings().leaseTerms(), consensus.state(), context.nowMs()) : null);
         if (leads) {
             context.counters().leaderTerms.increment();
             LOG.info(
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedValues.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedValues.java
@@ -43,7 +43,7 @@
      * @param content its content
      * @param by who proposed it
      */
-    record Value(String name, long generation, byte[] content, String by) {}
+    record Value(String name, long generation, byte[] content, String proposer) {}
 
     /**
      * What a member may act by now.
@@ -51,7 +51,7 @@
      * @param one the generation in force
      * @param other the one that is staged beside it: keep to both; null if none
      */
-    record Acting(Value one, Value other) {}
+    record EffectiveValues(Value inForce, Value staged) {}
 
     /**
      * Proposes a value.
@@ -61,10 +61,10 @@
     CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs);
 
     /** What this member may act by at this moment; empty in doubt: its lease is over or it has never been told. */
-    Optional<Acting> acting(String name);
+    Optional<EffectiveValues> effectiveValues(String name);
 
     /** The last value known here, whether or not it may be acted by; empty if there was never one. */
-    Optional<Value> known(String name);
+    Optional<Value> lastKnown(String name);
 
     /**
      * Asks to be the one who acts in this role. The role is held by one member at any moment, by any clock that keeps
@@ -90,7 +90,7 @@
     Optional<Lease> heldLease(String role);
 
     /** Whether this member holds the role now, by its own clock: to be asked before each act. */
-    default boolean holds(String role) {
+    default boolean holdsLease(String role) {
         return heldLease(role).isPresent();
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -61,7 +61,7 @@
                 clock,
                 settings,
                 links,
-                new MemberThread(name, MILLIS_PER_SECOND / settings.beatMs(), counters.dropped),
+                new MemberThread(name, MILLIS_PER_SECOND / settings.heartbeatMs(), counters.dropped),
                 counters,
                 new MemberAlarm(name),
                 this::send);
@@ -81,12 +81,12 @@
     }
 
     /** Sets who can use a value's content; without one, every content can be used. Before {@link #start}. */
-    public void usable(String name, Predicate<byte[]> validator) {
+    public void setValidator(String name, Predicate<byte[]> validator) {
         leaseClient.addValidator(name, validator);
     }
 
     /** Adds a listener for the names of decided values; called on this member's thread, and must not block. */
-    public void listen(Consumer<String> listener) {
+    public void addValueListener(Consumer<String> listener) {
         leaseClient.addValueListener(listener);
     }
 
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public Optional<Acting> acting(String name) {
+    public Optional<EffectiveValues> effectiveValues(String name) {
         LeaseView view = leaseClient.view();
         return view.acting(name, context.nowMs());
     }
@@ -204,7 +204,7 @@
      * Whether this member was told all that is decided within the last lease: no value is in force anywhere that it
      * does not act by, alone or beside the one before.
      */
-    public boolean confirmed() {
+    public boolean hasValidLease() {
         return context.nowMs() < leaseClient.view().leaseUntilMs();
     }
 
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public Optional<Value> known(String name) {
+    public Optional<Value> lastKnown(String name) {
         return leaseClient.view().known(name);
     }
 
@@ -264,7 +264,7 @@
     }
 
     /** Registers its counters and gauges with the fleet's metrics. */
-    public void bind(MeterRegistry registry) {
+    public void registerMetrics(MeterRegistry registry) {
         context.counters().bind(registry);
         Gauge.builder("agreed.lease.left.ms", this, AgreementMember::leaseLeftMs)
                 .description("What is left of this member's lease")
@@ -284,7 +284,7 @@
     }
 
     /** Whether this member leads as far as it knows; for operators, not for decisions. */
-    public boolean leads() {
+    public boolean isLeader() {
         return status().contains(", leads");
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -64,7 +64,7 @@
     void onClaim(String peer, AgreementMessage.Claim claim) {
         if (leadsOrRedirects(peer)
                 && claim.forMs() > 0
-                && claim.forMs() <= context.settings().maxRoleMs()
+                && claim.forMs() <= context.settings().maxRoleLeaseMs()
                 && claim.role().length() <= AgreedState.MAX_NAME) {
             answerAfterRead(nowMs -> answerClaim(nowMs, peer, claim));
         }
@@ -142,7 +142,8 @@
 
     private void startRead() {
         double nowMs = context.nowMs();
-        double patienceMs = context.settings().beatMs() * context.settings().patienceBeats();
+        double patienceMs =
+                context.settings().heartbeatMs() * context.settings().leaderTimeoutHeartbeats();
         if (waitingRequests.isEmpty() || nowMs < readStartedMs + patienceMs) {
             return;
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -39,7 +39,7 @@
         this.consensus = consensus;
         this.viewListener = viewListener;
         this.schedule = new RenewalSchedule(
-                context.settings().terms(),
+                context.settings().leaseTerms(),
                 new SplittableRandom(context.settings().seed()));
         this.view = LeaseView.start(context.processLife());
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -4,7 +4,7 @@
 import brackenbridge.core.generation.EffectiveVersions;
 import brackenbridge.core.generation.LeaseGrant;
 import brackenbridge.core.generation.LeaseHolder;
-import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.EffectiveValues;
 import brackenbridge.fleet.agreed.AgreedValues.Value;
 import java.util.ArrayList;
 import java.util.List;
@@ -99,13 +99,13 @@
         return k == null ? EffectiveVersions.IN_DOUBT : k.holder().effectiveVersions(nowMs);
     }
 
-    Optional<Acting> acting(String name, double nowMs) {
+    Optional<EffectiveValues> acting(String name, double nowMs) {
         EffectiveVersions a = effectiveVersions(name, nowMs);
         if (a.inDoubt()) {
             return Optional.empty();
         }
         Map<Long, Value> v = names.get(name).values();
-        return Optional.of(new Acting(v.get(a.one()), a.other() == a.one() ? null : v.get(a.other())));
+        return Optional.of(new EffectiveValues(v.get(a.one()), a.other() == a.one() ? null : v.get(a.other())));
     }
 
     /** The last value that was in force as far as it was told. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftConsensus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftConsensus.java
@@ -88,7 +88,7 @@
                 .setStateMachine(new AgreedStateMachine(context, this, self, listener))
                 .setStore(store)
                 .setRandom(new Random(settings.seed()))
-                .setClock(new HeartbeatClock(context.clock(), MILLIS_PER_SECOND / settings.beatMs()))
+                .setClock(new HeartbeatClock(context.clock(), MILLIS_PER_SECOND / settings.heartbeatMs()))
                 .setRaftNodeReportListener(report -> {});
         raft = (store.restored().isPresent()
                         ? builder.setRestoredState(store.restored().get())
@@ -104,7 +104,7 @@
         return RaftConfig.newBuilder()
                 .setLeaderElectionTimeoutMillis((long) (MILLIS_PER_SECOND * electionHeartbeats))
                 .setLeaderHeartbeatPeriodSecs(1)
-                .setLeaderHeartbeatTimeoutSecs(settings.patienceBeats())
+                .setLeaderHeartbeatTimeoutSecs(settings.leaderTimeoutHeartbeats())
                 .setAppendEntriesRequestBatchSize(AgreementCodec.BATCH)
                 .setCommitCountToTakeSnapshot(SNAPSHOT_ENTRIES)
                 .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -93,7 +93,7 @@
             verdict.complete(outcome.verdict());
             return;
         }
-        double untilMs = context.nowMs() + context.settings().terms().leaseMs();
+        double untilMs = context.nowMs() + context.settings().leaseTerms().leaseMs();
         unseenDecisions.add(new UnseenDecision(name, outcome.generation(), untilMs, verdict));
         completeSeenDecisions();
     }
@@ -116,7 +116,7 @@
      * @throws IllegalArgumentException if the role's name or the time is out of bounds
      */
     CompletableFuture<Lease> claim(String role, double forMs) {
-        double maxRoleMs = context.settings().maxRoleMs();
+        double maxRoleMs = context.settings().maxRoleLeaseMs();
         if (role.isEmpty() || role.length() > AgreedState.MAX_NAME || !(forMs > 0) || forMs > maxRoleMs) {
             throw new IllegalArgumentException("role '" + role + "' for " + forMs + " ms of at most " + maxRoleMs);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.EffectiveValues;
 import brackenbridge.fleet.agreed.AgreedValues.Value;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import java.nio.charset.StandardCharsets;
@@ -34,7 +34,7 @@
      * @param done whether what was asked for is done or shown
      * @param text for people
      */
-    public record Reply(boolean done, String text) {}
+    public record Reply(boolean succeeded, String text) {}
 
     /**
      * Proposes a content.
@@ -42,8 +42,9 @@
      * @param against the generation that it was made against; below 0: the one in force as this member knows it
      */
     public Reply propose(String name, String content, long against) {
-        long expected =
-                against >= 0 ? against : node.known(name).map(Value::generation).orElse(0L);
+        long expected = against >= 0
+                ? against
+                : node.lastKnown(name).map(Value::generation).orElse(0L);
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > AgreedState.MAX_CONTENT) {
             return new Reply(false, bytes.length + " bytes; at most " + AgreedState.MAX_CONTENT);
@@ -67,18 +68,19 @@
 
     /** What is in force or staged, as this member may act by it. */
     public Reply show(String name) {
-        Optional<Acting> acting = node.acting(name);
+        Optional<EffectiveValues> acting = node.effectiveValues(name);
         if (acting.isEmpty()) {
-            return node.known(name)
+            return node.lastKnown(name)
                     .map(v -> new Reply(false, "in doubt; last known:\n" + text(v)))
                     .orElse(new Reply(false, "nothing is known of " + name));
         }
-        Value other = acting.get().other();
-        return new Reply(true, text(acting.get().one()) + (other == null ? "" : "\nstaged beside it:\n" + text(other)));
+        Value other = acting.get().staged();
+        return new Reply(
+                true, text(acting.get().inForce()) + (other == null ? "" : "\nstaged beside it:\n" + text(other)));
     }
 
     private static String text(Value v) {
-        return "generation " + v.generation() + " by " + v.by() + "\n"
+        return "generation " + v.generation() + " by " + v.proposer() + "\n"
                 + new String(v.content(), StandardCharsets.UTF_8);
     }
 
@@ -99,14 +101,14 @@
     /** Proposes an older generation's content as a new one; numbers never go back. */
     public Reply withdraw(String name, long to) {
         Reply older = content(name, to);
-        return older.done() ? propose(name, older.text(), -1) : older;
+        return older.succeeded() ? propose(name, older.text(), -1) : older;
     }
 
     /** What is not the same in two generations. */
     public Reply diff(String name, long from, long to) {
         Reply one = content(name, from);
         Reply other = content(name, to);
-        return !one.done() ? one : !other.done() ? other : new Reply(true, diff(one.text(), other.text()));
+        return !one.succeeded() ? one : !other.succeeded() ? other : new Reply(true, diff(one.text(), other.text()));
     }
 
     /** Whether a majority answers, who leads, and what is in force. */
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
 import brackenbridge.fleet.agreed.AgreedValues;
-import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.EffectiveValues;
 import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import brackenbridge.fleet.evacuation.Driver.Correction;
@@ -87,21 +87,21 @@
 
     /** One turn. */
     public void tick(double nowMs) {
-        Optional<Acting> acting = agreed.acting(AgreedValues.EVACUATION);
-        if (acting.isEmpty() || acting.get().one() == null) {
+        Optional<EffectiveValues> acting = agreed.effectiveValues(AgreedValues.EVACUATION);
+        if (acting.isEmpty() || acting.get().inForce() == null) {
             return;
         }
-        PlanState one = read(acting.get().one());
+        PlanState one = read(acting.get().inForce());
         PlanState other =
-                acting.get().other() == null ? null : read(acting.get().other());
-        if (one == null || acting.get().other() != null && other == null) {
+                acting.get().staged() == null ? null : read(acting.get().staged());
+        if (one == null || acting.get().staged() != null && other == null) {
             return;
         }
         boolean wanted =
                 one.status().driven() || other != null && other.status().driven();
         if (!wanted) {
             // Orders of a plan that is over end by themselves; the last one says that all is as usual.
-            long generation = acting.get().one().generation();
+            long generation = acting.get().inForce().generation();
             if (orderedEpoch != generation) {
                 agreed.heldLease(ROLE).ifPresent(lease -> order(nowMs, lease.token(), one.parts(), generation));
             }
@@ -113,7 +113,7 @@
             return;
         }
         long token = lease.get().token();
-        long epoch = acting.get().one().generation();
+        long epoch = acting.get().inForce().generation();
         if (other == null && (proposed == null || proposed.isDone())) {
             Turn turn = driver.turn(nowMs, one, epoch, token, seen.get());
             turn.corrections().forEach(learns);
--- a/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
@@ -56,11 +56,11 @@
                         new NodeNames(file.control().nodes()),
                         file.control().limits()),
                 clock,
-                agreed::confirmed,
+                agreed::hasValidLease,
                 member.metrics());
         exchange = new ReportExchange(member.links(), clock);
         member.statusOfNodes(() -> FleetStatus.text(exchange.all()));
-        agreed.listen(value -> agreed.known(value)
+        agreed.addValueListener(value -> agreed.lastKnown(value)
                 .ifPresent(known -> server.publish(new Resource(known.name(), known.generation(), known.content()))));
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -136,13 +136,13 @@
         Gauge.builder("fleet.replica.on.disk", () -> replica.figures().onDisk() ? 1 : 0)
                 .description("1 while the disk takes what the replica writes; 0 without a disk")
                 .register(metrics);
-        agreed.bind(metrics);
+        agreed.registerMetrics(metrics);
         rooms.put("state", new StateAdminHandler(replica));
         SettingsAdminHandler settings = new SettingsAdminHandler(agreed, PATIENCE_MS);
         rooms.put("settings", (words, body, json) -> {
             SettingsAdminHandler.Reply r = settings(settings, words, new String(body, StandardCharsets.UTF_8));
             return new AdminHttpServer.Answer(
-                    r.done(), words.equals(List.of("status")) ? r.text() + statusOfNodes.get() : r.text());
+                    r.succeeded(), words.equals(List.of("status")) ? r.text() + statusOfNodes.get() : r.text());
         });
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -252,10 +252,10 @@
     private void sampleActs(String name, Span s) {
         double before = now();
         List<AgreedValues.Value> values = new ArrayList<>();
-        agreed.acting(name).ifPresent(a -> {
-            values.add(a.one());
-            if (a.other() != null) {
-                values.add(a.other());
+        agreed.effectiveValues(name).ifPresent(a -> {
+            values.add(a.inForce());
+            if (a.staged() != null) {
+                values.add(a.staged());
             }
         });
         List<Long> generations =
@@ -371,16 +371,16 @@
                                     "name",
                                     w[1],
                                     "generations",
-                                    agreed.acting(w[1])
-                                            .map(a -> a.other() == null
-                                                    ? List.of(a.one().generation())
+                                    agreed.effectiveValues(w[1])
+                                            .map(a -> a.staged() == null
+                                                    ? List.of(a.inForce().generation())
                                                     : List.of(
-                                                            a.one().generation(),
-                                                            a.other().generation()))
+                                                            a.inForce().generation(),
+                                                            a.staged().generation()))
                                             .orElse(List.of())));
                 case "known" -> say(now(), "known", Map.of("name", w[1], "value", known(w[1])));
                 case "hold" -> hold(w[1], Double.parseDouble(w[2]));
-                case "holds" -> say(now(), "asked", Map.of("role", w[1], "holds", agreed.holds(w[1])));
+                case "holds" -> say(now(), "asked", Map.of("role", w[1], "holds", agreed.holdsLease(w[1])));
                 case "final" -> sayAll(w);
                 case "end" -> ended.countDown();
                 default -> say(now(), "unknown", Map.of("line", line));
@@ -404,7 +404,7 @@
     }
 
     private Map<String, Object> known(String name) {
-        Optional<AgreedValues.Value> v = agreed.known(name);
+        Optional<AgreedValues.Value> v = agreed.lastKnown(name);
         return v.isEmpty()
                 ? Map.of()
                 : Map.of(
@@ -415,7 +415,8 @@
     }
 
     private void propose(String name, String content) {
-        long expected = agreed.known(name).map(AgreedValues.Value::generation).orElse(0L);
+        long expected =
+                agreed.lastKnown(name).map(AgreedValues.Value::generation).orElse(0L);
         agreed.propose(name, expected, content.getBytes(StandardCharsets.UTF_8), PROPOSED_WITHIN_MS)
                 .whenComplete((verdict, fault) -> say(
                         now(),
@@ -493,7 +494,7 @@
                         links,
                         disk.resolve("agreed"),
                         clock,
-                        AgreedSettings.of(o.fleet, members, records.life() ^ o.name.hashCode()));
+                        AgreedSettings.withDefaults(o.fleet, members, records.life() ^ o.name.hashCode()));
                 StateMember member = new StateMember(links, replica, agreed, to)) {
             agreed.start();
             replica.start();
--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -53,11 +53,11 @@
      * @param at from where
      * @param bytes what
      */
-    public record Write(Path file, long at, byte[] bytes) {
+    public record Write(Path file, long offset, byte[] bytes) {
         /** The file with so many bytes of this write. */
-        public byte[] onto(byte[] before, int prefix) {
-            byte[] torn = Arrays.copyOf(before, (int) Math.max(before.length, prefix == 0 ? 0 : at + prefix));
-            System.arraycopy(bytes, 0, torn, (int) at, prefix);
+        public byte[] applyTo(byte[] before, int prefix) {
+            byte[] torn = Arrays.copyOf(before, (int) Math.max(before.length, prefix == 0 ? 0 : offset + prefix));
+            System.arraycopy(bytes, 0, torn, (int) offset, prefix);
             return torn;
         }
     }
@@ -74,29 +74,29 @@
     /** Faults below one directory. */
     public static final class Faults {
         private final Map<String, Image> images = new TreeMap<>();
-        private long operations;
-        private long failed;
+        private long operationCount;
+        private long failedCount;
         private long failFrom = Long.MAX_VALUE;
         private Fault always;
         private Random random;
         private double part;
         private long killAt = Long.MAX_VALUE;
         private int killPrefix;
-        private List<Write> recorded;
+        private List<Write> stopRecording;
 
         /** All operations from now on fail so; a fault of writes leaves syncs alone, and the other way round. */
-        public void fail(Fault fault) {
+        public void failAll(Fault fault) {
             failAfter(0, fault);
         }
 
         /** So many operations succeed, all later ones fail as with {@link #fail}. */
         public synchronized void failAfter(long succeeding, Fault fault) {
             always = fault;
-            failFrom = operations + succeeding;
+            failFrom = operationCount + succeeding;
         }
 
         /** This part of all operations fails, as the seed draws. */
-        public synchronized void draw(long seed, double failingPart) {
+        public synchronized void failRandomly(long seed, double failingPart) {
             random = new Random(seed);
             part = failingPart;
         }
@@ -108,7 +108,7 @@
         }
 
         /** Nothing fails any more. */
-        public synchronized void heal() {
+        public synchronized void clear() {
             failFrom = Long.MAX_VALUE;
             always = null;
             random = null;
@@ -116,29 +116,29 @@
         }
 
         /** Keeps the writes from now on, until they are taken. */
-        public synchronized void record() {
-            recorded = new ArrayList<>();
+        public synchronized void startRecording() {
+            stopRecording = new ArrayList<>();
         }
 
         /** The writes since {@link #record}. */
-        public synchronized List<Write> recorded() {
-            List<Write> taken = recorded;
-            recorded = null;
+        public synchronized List<Write> stopRecording() {
+            List<Write> taken = stopRecording;
+            stopRecording = null;
             return taken;
         }
 
         /** Writes and syncs until now. */
-        public synchronized long operations() {
-            return operations;
+        public synchronized long operationCount() {
+            return operationCount;
         }
 
         /** How many of them failed. */
-        public synchronized long failed() {
-            return failed;
+        public synchronized long failedCount() {
+            return failedCount;
         }
 
         /** Leaves of each file what was synced. */
-        public synchronized void losePower() throws IOException {
+        public synchronized void simulatePowerLoss() throws IOException {
             for (Map.Entry<String, Image> e : images.entrySet()) {
                 Files.write(Path.of(e.getKey()), e.getValue().durable);
                 e.getValue().unsynced.clear();
@@ -146,8 +146,8 @@
         }
 
         private Fault next(boolean sync) {
-            operations++;
-            if (always != null && operations > failFrom) {
+            operationCount++;
+            if (always != null && operationCount > failFrom) {
                 return (always == Fault.SYNC_ERROR) == sync ? always : null;
             }
             if (random == null || random.nextDouble() >= part) {
@@ -174,9 +174,9 @@
         }
 
         private synchronized int write(String file, FileChannel to, ByteBuffer bytes, long at) throws IOException {
-            if (operations >= killAt) {
-                int prefix = operations == killAt ? killPrefix : 0;
-                operations++;
+            if (operationCount >= killAt) {
+                int prefix = operationCount == killAt ? killPrefix : 0;
+                operationCount++;
                 put(file, to, bytes, at, Math.min(prefix, bytes.remaining()));
                 throw new IOException("killed");
             }
@@ -184,7 +184,7 @@
             if (fault == null) {
                 return put(file, to, bytes, at, bytes.remaining());
             }
-            failed++;
+            failedCount++;
             if (fault == Fault.SHORT_WRITE) {
                 put(file, to, bytes, at, bytes.remaining() / 2);
             }
@@ -193,10 +193,10 @@
 
         private int put(String file, FileChannel to, ByteBuffer bytes, long at, int length) throws IOException {
             ByteBuffer piece = bytes.slice(bytes.position(), length);
-            if (recorded != null) {
+            if (stopRecording != null) {
                 byte[] copy = new byte[length];
                 piece.duplicate().get(copy);
-                recorded.add(new Write(Path.of(file), at, copy));
+                stopRecording.add(new Write(Path.of(file), at, copy));
             }
             while (piece.hasRemaining()) {
                 to.write(piece, at + piece.position());
@@ -207,13 +207,13 @@
         }
 
         private synchronized void sync(String file, FileChannel of) throws IOException {
-            if (operations >= killAt) {
-                operations++;
+            if (operationCount >= killAt) {
+                operationCount++;
                 throw new IOException("killed");
             }
             Image image = image(file);
             if (next(true) != null) {
-                failed++;
+                failedCount++;
                 image.unsynced.clear();
                 throw new IOException("Input/output error");
             }
@@ -230,7 +230,7 @@
         }
 
         private synchronized void truncate(FileChannel of, long size) throws IOException {
-            if (operations >= killAt) {
+            if (operationCount >= killAt) {
                 throw new IOException("killed");
             }
             of.truncate(size);
@@ -249,7 +249,7 @@
     }
 
     /** Faults below this directory from now on; none until a test asks for one. */
-    public static Faults below(Path directory) {
+    public static Faults injectBelow(Path directory) {
         Faults faults = new Faults();
         DIRECTORIES.put(directory.toString(), faults);
         return faults;
--- a/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
@@ -47,22 +47,22 @@
     public static <T> void check(String name, T object, Writer<? super T> writer, Reader<? extends T> reader)
             throws IOException {
         byte[] written = writer.write(object);
-        replaceIfAsked(name, written);
-        byte[] golden = bytes(name);
+        writeIfEnabled(name, written);
+        byte[] golden = read(name);
         assertEquals(lines(golden), lines(written), () -> name + ": written differently than " + text(golden));
         T read = reader.read(golden);
-        assertSame(name, object, read);
+        assertDeepEquals(name, object, read);
         assertArrayEquals(golden, writer.write(read), name + ": read and written again");
     }
 
     /** Whether golden files are to be written first. */
-    public static boolean writing() {
+    public static boolean isWriteEnabled() {
         return System.getProperty(WRITE_PROPERTY) != null;
     }
 
     /** Replaces a golden file's content if that was asked for. */
-    public static void replaceIfAsked(String name, byte[] content) throws IOException {
-        if (writing()) {
+    public static void writeIfEnabled(String name, byte[] content) throws IOException {
+        if (isWriteEnabled()) {
             Path file = Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex");
             Files.createDirectories(file.getParent());
             Files.writeString(file, lines(content));
@@ -70,8 +70,8 @@
     }
 
     /** A golden file's content. */
-    public static byte[] bytes(String name) throws IOException {
-        if (writing()) {
+    public static byte[] read(String name) throws IOException {
+        if (isWriteEnabled()) {
             return parse(Files.readString(Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex")));
         }
         try (InputStream in = GoldenFiles.class.getResourceAsStream("/golden/" + name + ".hex")) {
@@ -98,12 +98,12 @@
     }
 
     /** Both have the same class and the same values throughout; arrays are compared by content. */
-    public static void assertSame(String place, Object expected, Object actual) {
+    public static void assertDeepEquals(String place, Object expected, Object actual) {
         if (expected instanceof byte[] bytes) {
             assertArrayEquals(bytes, (byte[]) actual, place);
         } else if (expected instanceof Map<?, ?> map) {
             assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), place);
-            map.forEach((key, value) -> assertSame(place + "." + key, value, ((Map<?, ?>) actual).get(key)));
+            map.forEach((key, value) -> assertDeepEquals(place + "." + key, value, ((Map<?, ?>) actual).get(key)));
         } else if (expected instanceof Iterable<?> all) {
             assertSameElements(place, all, (Iterable<?>) actual);
         } else if (expected != null && hasFieldsOfItsOwn(expected.getClass())) {
@@ -123,7 +123,7 @@
         int index = 0;
         for (Object element : expected) {
             assertEquals(true, others.hasNext(), place + " ends before " + index);
-            assertSame(place + "[" + index + "]", element, others.next());
+            assertDeepEquals(place + "[" + index + "]", element, others.next());
             index++;
         }
         assertEquals(false, others.hasNext(), place + " goes on after " + index);
@@ -134,7 +134,7 @@
             for (Field field : type.getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
-                    assertSame(place + "." + field.getName(), value(field, expected), value(field, actual));
+                    assertDeepEquals(place + "." + field.getName(), value(field, expected), value(field, actual));
                 }
             }
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -35,7 +35,10 @@
     private void start(String name) throws Exception {
         PeerLinks l = net.links(name);
         AgreementMember n = new AgreementMember(
-                l, root.resolve(name), Clock.system(), AgreedSettings.of("f", net.members(), name.hashCode()));
+                l,
+                root.resolve(name),
+                Clock.system(),
+                AgreedSettings.withDefaults("f", net.members(), name.hashCode()));
         n.start();
         nodes.put(name, n);
         links.put(name, l);
@@ -56,7 +59,7 @@
         String[] who = new String[1];
         until(() -> {
             List<String> l = nodes.entrySet().stream()
-                    .filter(e -> e.getValue().leads())
+                    .filter(e -> e.getValue().isLeader())
                     .map(Map.Entry::getKey)
                     .toList();
             who[0] = l.size() == 1 ? l.get(0) : null;
@@ -67,7 +70,7 @@
 
     private long inForce(String at) {
         return nodes.get(at)
-                .known(AgreedValues.SETTINGS)
+                .lastKnown(AgreedValues.SETTINGS)
                 .map(AgreedValues.Value::generation)
                 .orElse(0L);
     }
@@ -99,8 +102,8 @@
         return nodes.entrySet().stream()
                 .allMatch(e -> e.getKey().equals(but)
                         || e.getValue()
-                                .acting(AgreedValues.SETTINGS)
-                                .map(a -> a.other() == null && a.one().generation() == g)
+                                .effectiveValues(AgreedValues.SETTINGS)
+                                .map(a -> a.staged() == null && a.inForce().generation() == g)
                                 .orElse(false));
     }
 
@@ -128,8 +131,8 @@
             force.add(propose("m10", 4096));
             net.cut();
             until(() -> nodes.values().stream()
-                    .allMatch(n -> n.acting(AgreedValues.SETTINGS)
-                            .map(a -> a.other() == null && a.one().generation() == inForce("m10"))
+                    .allMatch(n -> n.effectiveValues(AgreedValues.SETTINGS)
+                            .map(a -> a.staged() == null && a.inForce().generation() == inForce("m10"))
                             .orElse(false)));
         }
         say("in force, one out of reach", force);
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -53,8 +53,8 @@
     }
 
     private boolean acts(AgreementMember n, long generation) {
-        return n.acting(AgreedValues.SETTINGS)
-                .map(a -> a.other() == null && a.one().generation() == generation)
+        return n.effectiveValues(AgreedValues.SETTINGS)
+                .map(a -> a.staged() == null && a.inForce().generation() == generation)
                 .orElse(false);
     }
 
@@ -64,7 +64,7 @@
 
     private String known(String at) {
         return members.node(at)
-                .known(AgreedValues.SETTINGS)
+                .lastKnown(AgreedValues.SETTINGS)
                 .map(v -> new String(v.content(), StandardCharsets.UTF_8))
                 .orElse("");
     }
@@ -110,10 +110,10 @@
         assertEquals(
                 "from line 1\n- a\n+ b\n",
                 calls.diff(AgreedValues.SETTINGS, 1, 3).text());
-        assertTrue(calls.withdraw(AgreedValues.SETTINGS, 1).done());
+        assertTrue(calls.withdraw(AgreedValues.SETTINGS, 1).succeeded());
         awaitActs(4);
         assertTrue(calls.show(AgreedValues.SETTINGS).text().startsWith("generation 4 by m1\na"));
-        assertFalse(calls.withdraw(AgreedValues.SETTINGS, 9).done());
+        assertFalse(calls.withdraw(AgreedValues.SETTINGS, 9).succeeded());
     }
 
     @Test
@@ -126,7 +126,8 @@
         CompletableFuture<Verdict> alone = proposing(old, 1, "alone", 1500);
         String other = old.equals("m0") ? "m1" : "m0";
         assertEquals(Verdict.IN_FORCE, propose(other, 1, "b"));
-        assertTrue(members.node(old).acting(AgreedValues.SETTINGS).isEmpty(), "cut off for longer than a lease");
+        assertTrue(
+                members.node(old).effectiveValues(AgreedValues.SETTINGS).isEmpty(), "cut off for longer than a lease");
         assertEquals(Verdict.UNKNOWN, alone.get(5, TimeUnit.SECONDS));
         members.net.cut();
         awaitActs(2);
@@ -226,9 +227,9 @@
         String holder = "m3";
         String next = leader.equals("m0") ? "m1" : "m0";
         Lease first = hold(holder, 500);
-        assertTrue(members.node(holder).holds("driver"));
+        assertTrue(members.node(holder).holdsLease("driver"));
         assertEquals(holder, hold(next, 500).holder());
-        assertFalse(members.node(next).holds("driver"));
+        assertFalse(members.node(next).holdsLease("driver"));
         Lease longer = hold(holder, 500);
         assertEquals(first.token(), longer.token());
         assertTrue(longer.untilMs() > first.untilMs());
@@ -248,7 +249,7 @@
         assertTrue(taken.token() > first.token());
         still.countDown();
         late.get(10, TimeUnit.SECONDS);
-        assertFalse(stalled.holds("driver"));
+        assertFalse(stalled.holdsLease("driver"));
     }
 
     @Test
@@ -277,7 +278,7 @@
             List<CompletableFuture<Lease>> claims = new ArrayList<>();
             members.all().forEach(n -> claims.add(n.acquire("driver", 300)));
             long expected = members.node(at)
-                    .known(AgreedValues.SETTINGS)
+                    .lastKnown(AgreedValues.SETTINGS)
                     .map(AgreedValues.Value::generation)
                     .orElse(0L);
             String content = "round " + round;
@@ -295,7 +296,7 @@
         assertTrue(acknowledged.size() >= 4, "acknowledged " + acknowledged);
         members.net.faults(0, 0, 300);
         SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m0"), 5000);
-        String all = soon().until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::done)
+        String all = soon().until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::succeeded)
                 .text();
         List<String> kept = new ArrayList<>();
         for (String line : all.split("\n")) {
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -329,12 +329,12 @@
 
     @Test
     void diskOfAVoter() throws IOException {
-        if (GoldenFiles.writing()) {
+        if (GoldenFiles.isWriteEnabled()) {
             writeDisk();
         }
         Path copy = Files.createDirectories(directory.resolve("copy"));
         for (String file : DISK_FILES) {
-            Files.write(copy.resolve(file), GoldenFiles.bytes("agreed/voter-disk-" + file));
+            Files.write(copy.resolve(file), GoldenFiles.read("agreed/voter-disk-" + file));
         }
         try (VoterStore store = VoterStore.open(copy, "fleet", "m1")) {
             assertTrue(store.disk().matches("[0-9a-f]{24}"), store.disk());
@@ -349,16 +349,16 @@
     }
 
     private static void assertRestored(RestoredRaftState restored) {
-        GoldenFiles.assertSame(
+        GoldenFiles.assertDeepEquals(
                 "me", ME, restored.getLocalEndpointPersistentState().getLocalEndpoint());
         assertEquals(true, restored.getLocalEndpointPersistentState().isVoting());
-        GoldenFiles.assertSame("members", VIEW, restored.getInitialGroupMembers());
-        GoldenFiles.assertSame("term", term(ME), restored.getTermPersistentState());
+        GoldenFiles.assertDeepEquals("members", VIEW, restored.getInitialGroupMembers());
+        GoldenFiles.assertDeepEquals("term", term(ME), restored.getTermPersistentState());
         assertEquals(3, restored.getSnapshotEntry().getIndex());
         assertEquals(1, restored.getSnapshotEntry().getTerm());
-        GoldenFiles.assertSame("snapshot", List.of(chunk()), (Iterable<?>)
+        GoldenFiles.assertDeepEquals("snapshot", List.of(chunk()), (Iterable<?>)
                 restored.getSnapshotEntry().getOperation());
-        GoldenFiles.assertSame("entries", diskEntries(), restored.getLogEntries());
+        GoldenFiles.assertDeepEquals("entries", diskEntries(), restored.getLogEntries());
     }
 
     private static List<LogEntry> diskEntries() {
@@ -387,7 +387,7 @@
             store.persistAndFlushTerm(term(ME));
         }
         for (String file : DISK_FILES) {
-            GoldenFiles.replaceIfAsked("agreed/voter-disk-" + file, Files.readAllBytes(written.resolve(file)));
+            GoldenFiles.writeIfEnabled("agreed/voter-disk-" + file, Files.readAllBytes(written.resolve(file)));
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -65,8 +65,8 @@
                                     k -> say("kept " + at + " " + new String(k.content(), StandardCharsets.UTF_8))));
                 }
             } else if (words[0].equals("who")) {
-                say("who " + node.leads() + " "
-                        + node.known(AgreedValues.SETTINGS)
+                say("who " + node.isLeader() + " "
+                        + node.lastKnown(AgreedValues.SETTINGS)
                                 .map(AgreedValues.Value::generation)
                                 .orElse(0L));
             }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
@@ -76,7 +76,7 @@
                     }
                 },
                 settings(name));
-        n.usable(AgreedValues.SETTINGS, c -> !new String(c, StandardCharsets.UTF_8).contains("bad at " + name));
+        n.setValidator(AgreedValues.SETTINGS, c -> !new String(c, StandardCharsets.UTF_8).contains("bad at " + name));
         n.useFileScheme(scheme);
         n.start();
         l.start();
@@ -116,7 +116,7 @@
         List<String> who = new ArrayList<>();
         synchronized (nodes) {
             nodes.forEach((name, n) -> {
-                if (n.leads()) {
+                if (n.isLeader()) {
                     who.add(name);
                 }
             });
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
@@ -36,17 +36,17 @@
     }
 
     private static String shown(SettingsAdminHandler.Reply reply) {
-        return (reply.done() ? "done: " : "not done: ") + reply.text() + "\n";
+        return (reply.succeeded() ? "done: " : "not done: ") + reply.text() + "\n";
     }
 
     /** Asks until the answer is a good one: a member that has just started has no leader yet. */
     private static SettingsAdminHandler.Reply untilDone(Supplier<SettingsAdminHandler.Reply> question) {
         SettingsAdminHandler.Reply reply = question.get();
-        for (int i = 0; i < MAX_POLLS && !reply.done(); i++) {
+        for (int i = 0; i < MAX_POLLS && !reply.succeeded(); i++) {
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
             reply = question.get();
         }
-        assertTrue(reply.done(), reply.text());
+        assertTrue(reply.succeeded(), reply.text());
         return reply;
     }
 
@@ -78,7 +78,7 @@
     void namesOfTheMetrics() throws IOException {
         try (Members members = new Members(1, directory, 1)) {
             SimpleMeterRegistry metrics = new SimpleMeterRegistry();
-            members.node("m0").bind(metrics);
+            members.node("m0").registerMetrics(metrics);
             String names = metrics.getMeters().stream()
                     .map(meter -> meter.getId().getName() + " " + meter.getId().getTags() + "\n")
                     .sorted()
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -41,7 +41,7 @@
     @BeforeEach
     void fill() throws IOException {
         directory = root.resolve("m");
-        faults = FaultyFiles.below(directory);
+        faults = FaultyFiles.injectBelow(directory);
         try (VoterStore s = open()) {
             RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
@@ -93,11 +93,11 @@
         for (Fault fault : Fault.values()) {
             VoterStore s = open();
             vote(s);
-            faults.fail(fault);
+            faults.failAll(fault);
             assertThrows(IOException.class, () -> vote(s));
             assertTrue(s.failed());
             assertThrows(IOException.class, this::open, "it can't be written yet");
-            faults.heal();
+            faults.clear();
             assertThrows(IOException.class, () -> vote(s), "nothing more is promised by what failed");
             s.close();
             try (VoterStore again = open()) {
@@ -105,7 +105,7 @@
                 term = again.restored().orElseThrow().getTermPersistentState().getTerm();
                 vote(again);
             }
-            faults.losePower();
+            faults.simulatePowerLoss();
             assertEquals(term, onDisk(), fault.toString());
         }
     }
@@ -113,10 +113,10 @@
     @Test
     void aDiskThatIsFullAtTheStartIsNotTakenForADamagedOne() throws IOException {
         for (Fault fault : Fault.values()) {
-            faults.fail(fault);
+            faults.failAll(fault);
             IOException refused = assertThrows(IOException.class, this::open);
             assertFalse(refused instanceof VoterStore.Damaged, refused.toString());
-            faults.heal();
+            faults.clear();
             assertEquals(term, onDisk(), fault.toString());
         }
     }
@@ -135,7 +135,7 @@
                     assertFalse(refused instanceof VoterStore.Damaged, fault + " after " + refusals + ": " + refused);
                     refusals++;
                 }
-                faults.heal();
+                faults.clear();
                 assertEquals(term, onDisk(), fault + " after " + refusals);
             }
             assertTrue(refusals > 2, fault + " was refused only " + refusals + " times");
@@ -146,7 +146,7 @@
     void randomFaultsAndLossesOfPowerTakeNoVote() throws IOException {
         for (long seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
-            faults.draw(seed, 0.1);
+            faults.failRandomly(seed, 0.1);
             for (int i = 0; i < 10; i++) {
                 try (VoterStore s = open()) {
                     term = s.restored().orElseThrow().getTermPersistentState().getTerm();
@@ -155,18 +155,18 @@
                 } catch (VoterStore.Damaged e) {
                     throw new AssertionError("seed " + seed, e);
                 } catch (IOException refused) {
-                    assertTrue(faults.failed() > 0);
+                    assertTrue(faults.failedCount() > 0);
                 }
             }
-            faults.heal();
+            faults.clear();
             if (random.nextBoolean()) {
-                faults.losePower();
+                faults.simulatePowerLoss();
             }
             int there = onDisk();
             assertTrue(there >= term, "seed " + seed + ": " + there + " of " + term);
             term = there;
         }
-        assertTrue(faults.failed() > 20, "failed " + faults.failed());
+        assertTrue(faults.failedCount() > 20, "failed " + faults.failedCount());
     }
 
     @Test
@@ -174,21 +174,21 @@
         VoterStore s = open();
         vote(s);
         Map<Path, byte[]> before = files();
-        faults.record();
+        faults.startRecording();
         vote(s);
         s.close();
         Map<Path, byte[]> now = new HashMap<>(before);
-        for (FaultyFiles.Write w : faults.recorded()) {
+        for (FaultyFiles.Write w : faults.stopRecording()) {
             byte[] last = null;
             for (int prefix = 0; prefix <= w.bytes().length; prefix++) {
-                byte[] torn = w.onto(now.get(w.file()), prefix);
+                byte[] torn = w.applyTo(now.get(w.file()), prefix);
                 if (!Arrays.equals(torn, last)) {
                     for (Map.Entry<Path, byte[]> e : now.entrySet()) {
                         Files.write(e.getKey(), e.getValue());
                     }
                     Files.write(w.file(), torn);
                     int there = onDisk();
-                    assertTrue(there >= term - 1, w.file() + " " + w.at() + "+" + prefix + ": " + there);
+                    assertTrue(there >= term - 1, w.file() + " " + w.offset() + "+" + prefix + ": " + there);
                     last = torn;
                 }
             }
@@ -208,7 +208,7 @@
     @Test
     void aKillAtAnyWriteOrSyncLeavesWhatWasPromised() throws IOException {
         for (int at = 0; at < 60; at++) {
-            faults.killAt(faults.operations() + at, at * 37 % 4096);
+            faults.killAt(faults.operationCount() + at, at * 37 % 4096);
             try (VoterStore s = open()) {
                 vote(s);
                 vote(s);
@@ -221,7 +221,7 @@
                 }
                 assertEquals("killed", first.getMessage(), killed.toString());
             }
-            faults.heal();
+            faults.clear();
             int there = onDisk();
             assertTrue(there >= term, "killed at " + at + ": " + there + " of " + term);
             term = there;
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -31,7 +31,7 @@
 
     private void begin(long seed) throws Exception {
         for (int i = 0; i < 3; i++) {
-            disks.put("m" + i, FaultyFiles.below(root.resolve("m" + i)));
+            disks.put("m" + i, FaultyFiles.injectBelow(root.resolve("m" + i)));
         }
         members = new Members(3, root, seed, FaultyFiles.SCHEME);
     }
@@ -66,15 +66,15 @@
         String other = leads ? names.get(0) : leader;
         String third = names.get(1);
         decide("m0", 0, "a");
-        disks.get(failing).fail(fault);
+        disks.get(failing).failAll(fault);
         decide(other, 1, "b");
         soon().until(() -> members.node(failing).status().contains("does not vote: its disk can't be written"));
         assertTrue(
                 members.node(failing).alarm().contains("disk"),
                 () -> members.node(failing).alarm());
-        assertFalse(members.node(failing).leads());
+        assertFalse(members.node(failing).isLeader());
         decide(other, 2, "c");
-        disks.get(failing).heal();
+        disks.get(failing).clear();
         soon().until(() -> members.node(failing).alarm().isEmpty()
                 && members.node(failing).status().matches("(?s).*, (votes|leads).*"));
         // From here on nothing is decided without it.
@@ -109,20 +109,20 @@
         begin(47);
         awaitLeader();
         decide("m0", 0, "a");
-        disks.values().forEach(d -> d.fail(Fault.WRITE_ERROR));
+        disks.values().forEach(d -> d.failAll(Fault.WRITE_ERROR));
         Verdict v = members.node("m1")
                 .propose(AgreedValues.SETTINGS, 1, "b".getBytes(StandardCharsets.UTF_8), 1000)
                 .get(25, TimeUnit.SECONDS);
         assertEquals(Verdict.UNKNOWN, v);
-        soon().until(() -> members.all().stream().noneMatch(AgreementMember::leads));
-        disks.values().forEach(FaultyFiles.Faults::heal);
+        soon().until(() -> members.all().stream().noneMatch(AgreementMember::isLeader));
+        disks.values().forEach(FaultyFiles.Faults::clear);
         awaitLeader();
         soon().until(() -> members.all().stream()
-                .allMatch(n -> n.acting(AgreedValues.SETTINGS).isPresent()));
+                .allMatch(n -> n.effectiveValues(AgreedValues.SETTINGS).isPresent()));
         long generation = members.node("m0")
-                .acting(AgreedValues.SETTINGS)
+                .effectiveValues(AgreedValues.SETTINGS)
                 .orElseThrow()
-                .one()
+                .inForce()
                 .generation();
         assertTrue(generation >= 1, "in force: " + generation);
     }
--- a/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
@@ -93,12 +93,12 @@
         }
 
         @Override
-        public Optional<Acting> acting(String name) {
+        public Optional<EffectiveValues> effectiveValues(String name) {
             return Optional.empty();
         }
 
         @Override
-        public Optional<Value> known(String name) {
+        public Optional<Value> lastKnown(String name) {
             return Optional.empty();
         }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -39,7 +39,7 @@
 
     @BeforeEach
     void below() {
-        faults = FaultyFiles.below(folder);
+        faults = FaultyFiles.injectBelow(folder);
     }
 
     private ReplicaDisk open() throws IOException {
@@ -80,15 +80,15 @@
             written("before " + fault);
             write(d);
             written("lost " + fault);
-            faults.fail(fault);
+            faults.failAll(fault);
             assertThrows(IOException.class, () -> write(d));
             assertThrows(IOException.class, () -> write(d), "it goes on");
-            faults.heal();
+            faults.clear();
             write(d);
             written("after " + fault);
             write(d);
             d.abandon();
-            faults.losePower();
+            faults.simulatePowerLoss();
             assertEquals(copy.appliedSequence("a", 3).orElseThrow(), onDisk(), fault.toString());
         }
     }
@@ -99,10 +99,10 @@
         written("first");
         write(d);
         written("second");
-        faults.fail(Fault.SYNC_ERROR);
+        faults.failAll(Fault.SYNC_ERROR);
         assertThrows(IOException.class, () -> write(d));
         d.abandon();
-        faults.heal();
+        faults.clear();
         // The next process reads the second from memory that was never synced.
         ReplicaDisk next = open();
         RecordStore s = new RecordStore("b", next.life(), 8, false);
@@ -110,7 +110,7 @@
         assertTrue(next.needsFullWrite());
         write(next);
         next.abandon();
-        faults.losePower();
+        faults.simulatePowerLoss();
         assertEquals(4, onDisk());
     }
 
@@ -121,10 +121,10 @@
             write(d);
         }
         for (Fault fault : Fault.values()) {
-            faults.fail(fault);
+            faults.failAll(fault);
             String why = assertThrows(IOException.class, this::open).getMessage();
             assertEquals(1, why.lines().count(), why);
-            faults.heal();
+            faults.clear();
             assertFalse(Files.exists(folder.resolve("replica.mv.broken")));
             assertEquals(2, onDisk(), fault.toString());
         }
@@ -136,7 +136,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             long acknowledged = onDisk();
             ReplicaDisk d = open();
-            faults.draw(seed, 0.15);
+            faults.failRandomly(seed, 0.15);
             for (int i = 0; i < 20; i++) {
                 written(seed + "/" + i);
                 try {
@@ -147,14 +147,14 @@
                 }
             }
             d.abandon();
-            faults.heal();
+            faults.clear();
             if (random.nextBoolean()) {
-                faults.losePower();
+                faults.simulatePowerLoss();
             }
             long there = onDisk();
             assertTrue(there >= acknowledged, "seed " + seed + ": " + there + " of " + acknowledged);
         }
-        assertTrue(faults.failed() > 20, "failed " + faults.failed());
+        assertTrue(faults.failedCount() > 20, "failed " + faults.failedCount());
     }
 
     /** Whether a write that is cut here is cut within the zeros that fill up a block. */
@@ -176,11 +176,11 @@
             }
             byte[] last = null;
             for (int prefix = 0; prefix <= w.bytes().length; prefix++) {
-                byte[] torn = w.onto(now, prefix);
+                byte[] torn = w.applyTo(now, prefix);
                 if (!Arrays.equals(torn, last) && !withinFilling(w.bytes(), prefix)) {
                     Files.write(file, torn);
                     long there = onDisk();
-                    assertTrue(there >= least, w.at() + "+" + prefix + " of " + w.bytes().length + ": " + there);
+                    assertTrue(there >= least, w.offset() + "+" + prefix + " of " + w.bytes().length + ": " + there);
                 }
                 last = torn;
             }
@@ -196,10 +196,10 @@
         write(d);
         byte[] before = Files.readAllBytes(file);
         written("second");
-        faults.record();
+        faults.startRecording();
         write(d);
         d.abandon();
-        tornAtEveryByte(file, before, faults.recorded(), 2);
+        tornAtEveryByte(file, before, faults.stopRecording(), 2);
         assertEquals(4, onDisk());
     }
 
@@ -212,21 +212,21 @@
         d.abandon();
         byte[] before = Files.readAllBytes(folder.resolve("replica.mv"));
         written("second");
-        faults.record();
+        faults.startRecording();
         write(d);
         d.abandon();
-        List<FaultyFiles.Write> writes = faults.recorded();
+        List<FaultyFiles.Write> writes = faults.stopRecording();
         assertTrue(writes.stream().anyMatch(w -> w.file().equals(fresh)));
         Files.write(folder.resolve("replica.mv"), before);
         byte[] now = {};
         for (FaultyFiles.Write w : writes) {
             for (int prefix = 0; w.file().equals(fresh) && prefix <= w.bytes().length; prefix++) {
                 if (!withinFilling(w.bytes(), prefix)) {
-                    Files.write(fresh, w.onto(now, prefix));
-                    assertEquals(2, onDisk(), w.at() + "+" + prefix);
+                    Files.write(fresh, w.applyTo(now, prefix));
+                    assertEquals(2, onDisk(), w.offset() + "+" + prefix);
                 }
             }
-            now = w.file().equals(fresh) ? w.onto(now, w.bytes().length) : now;
+            now = w.file().equals(fresh) ? w.applyTo(now, w.bytes().length) : now;
         }
         try (ReplicaDisk next = open()) {
             RecordStore s = new RecordStore("b", next.life(), 8, false);
@@ -242,7 +242,7 @@
         for (long at = 0; at < 40; at++) {
             ReplicaDisk d = open();
             long acknowledged = copy.appliedSequence("a", 3).orElse(0);
-            faults.killAt(faults.operations() + at, (int) (at * 37 % 4096));
+            faults.killAt(faults.operationCount() + at, (int) (at * 37 % 4096));
             try {
                 for (int i = 0; i < 3; i++) {
                     written(at + "/" + i);
@@ -253,7 +253,7 @@
                 assertTrue(d.needsFullWrite());
             }
             d.abandon();
-            faults.heal();
+            faults.clear();
             assertTrue(onDisk() >= acknowledged, "killed at " + at);
             // The next process goes on with all that the copy holds.
             ReplicaDisk next = open();
@@ -272,16 +272,16 @@
             n.start();
             n.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8));
             assertTrue(n.awaitDisk(10_000));
-            faults.fail(Fault.SYNC_ERROR);
+            faults.failAll(Fault.SYNC_ERROR);
             n.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8));
             await().atMost(Duration.ofSeconds(20)).until(() -> !n.figures().onDisk());
             assertFalse(n.awaitDisk(1));
             n.add(RecordSpace.USED, "k", 5);
-            faults.heal();
+            faults.clear();
             await().atMost(Duration.ofSeconds(20)).until(() -> n.figures().onDisk());
             assertTrue(n.awaitDisk(10_000));
             n.close();
-            faults.losePower();
+            faults.simulatePowerLoss();
         }
         try (ReplicaDisk d = open()) {
             RecordStore s = new RecordStore("b", d.life(), 8, false);
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -103,7 +103,7 @@
             GoldenFiles.check("replica/entry-" + i, entry, ReplicationCodec::write, ReplicationCodec::readEntry);
             assertEquals(
                     true,
-                    ReplicationCodec.readEntry(GoldenFiles.bytes("replica/entry-" + i))
+                    ReplicationCodec.readEntry(GoldenFiles.read("replica/entry-" + i))
                             .intact(OWNER));
         }
         GoldenFiles.check("replica/entry-removed", removed(71), ReplicationCodec::write, ReplicationCodec::readEntry);
@@ -111,16 +111,16 @@
 
     @Test
     void diskOfAReplica() throws IOException {
-        if (GoldenFiles.writing()) {
+        if (GoldenFiles.isWriteEnabled()) {
             writeDisk();
         }
         Path copy = Files.createDirectories(directory.resolve("copy"));
-        Files.write(copy.resolve("replica.mv"), GoldenFiles.bytes("replica/replica-disk-replica.mv"));
+        Files.write(copy.resolve("replica.mv"), GoldenFiles.read("replica/replica-disk-replica.mv"));
         try (ReplicaDisk disk = ReplicaDisk.open(copy, "fleet", "n2", 0)) {
             assertEquals((long) DISK_LIFE + 1, disk.life());
             RecordStore store = new RecordStore("n2", disk.life(), 8, false);
             disk.restore(store);
-            GoldenFiles.assertSame("records", entries(), store.all(OWNER, LIFE));
+            GoldenFiles.assertDeepEquals("records", entries(), store.all(OWNER, LIFE));
             assertEquals(OptionalLong.of(7), store.appliedSequence(OWNER, LIFE));
             assertEquals(2, store.tombstoneFloor(OWNER, LIFE));
         }
@@ -133,7 +133,7 @@
                     List.of(new ReplicaDisk.Batch(OWNER, LIFE, 7L, 2, entries(), List.of())),
                     Map.of(new CatchUp.LogId(OWNER, LIFE), entries().size()));
         }
-        GoldenFiles.replaceIfAsked(
+        GoldenFiles.writeIfEnabled(
                 "replica/replica-disk-replica.mv", Files.readAllBytes(written.resolve("replica.mv")));
     }
 }
