--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -16,17 +16,17 @@
  */
 final class AgreedState {
     /** Longest content, in bytes. */
-    static final int MAX_CONTENT = 256 * 1024;
+    static final int MAX_CONTENT_BYTES = 256 * 1024;
     /** Longest name of a value or role. */
-    static final int MAX_NAME = 64;
+    static final int MAX_NAME_LENGTH = 64;
     /** Names that are kept at most; their contents together are bounded by {@link #MAX_BYTES}. */
     static final int MAX_NAMES = 1024;
     /** Contents that are kept at most, of all names and generations; in bytes. A snapshot has room for them. */
-    static final long MAX_BYTES = 48L * 1024 * 1024;
+    static final long MAX_TOTAL_BYTES = 48L * 1024 * 1024;
 
     private static final int MAX_ROLES = 256;
     /** Generations of a name that are kept beside those in force and staged. */
-    private static final int MAX_HISTORY = 16;
+    private static final int MAX_HISTORY_GENERATIONS = 16;
 
     private static final int MAX_HISTORY_BYTES = 512 * 1024;
     /** The authority's terms where no lease is granted. */
@@ -53,12 +53,12 @@
     record Generation(
             @JsonProperty("generation") long generation,
             @JsonProperty("content") byte[] content,
-            @JsonProperty("by") String by,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
-            @JsonProperty("came") Outcome came) {
-        Generation with(Outcome next) {
-            return new Generation(generation, content, by, life, number, next);
+            @JsonProperty("by") String proposer,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
+            @JsonProperty("came") Outcome outcome) {
+        Generation withOutcome(Outcome next) {
+            return new Generation(generation, content, proposer, incarnation, requestNumber, next);
         }
     }
 
@@ -69,25 +69,25 @@
      * @param last the greatest generation that was used
      * @param history the generations that are kept, oldest first
      */
-    record Named(
+    record NamedValue(
             @JsonProperty("name") String name,
-            @JsonProperty("word") DecidedVersion word,
-            @JsonProperty("last") long last,
+            @JsonProperty("word") DecidedVersion decided,
+            @JsonProperty("last") long lastGeneration,
             @JsonProperty("history") List<Generation> history) {}
 
     /** Who acts in a role, since when by count, and with which longest lease. */
-    record Role(
+    record RoleState(
             @JsonProperty("role") String role,
             @JsonProperty("holder") String holder,
-            @JsonProperty("life") long life,
+            @JsonProperty("life") long incarnation,
             @JsonProperty("token") long token,
-            @JsonProperty("forMs") double forMs) {}
+            @JsonProperty("forMs") double maxLeaseMs) {}
 
     /** A copy of all of it, for snapshots. */
-    record Image(
+    record Snapshot(
             @JsonProperty("reign") long leaderTerm,
-            @JsonProperty("names") List<Named> names,
-            @JsonProperty("roles") List<Role> roles) {}
+            @JsonProperty("names") List<NamedValue> names,
+            @JsonProperty("roles") List<RoleState> roles) {}
 
     /** What a command has done; {@code VOID}: nothing, as it was overtaken. */
     enum Result {
@@ -101,45 +101,45 @@
         VOID
     }
 
-    private final Map<String, Named> names = new TreeMap<>();
-    private final Map<String, Role> roles = new TreeMap<>();
+    private final Map<String, NamedValue> names = new TreeMap<>();
+    private final Map<String, RoleState> roles = new TreeMap<>();
     private long leaderTerm;
-    private long bytes;
+    private long contentBytes;
 
     /** How many leader terms have begun. */
     long leaderTerm() {
         return leaderTerm;
     }
 
-    Map<String, Named> names() {
+    Map<String, NamedValue> names() {
         return names;
     }
 
-    Optional<Named> named(String name) {
+    Optional<NamedValue> find(String name) {
         return Optional.ofNullable(names.get(name));
     }
 
-    Optional<Role> role(String role) {
+    Optional<RoleState> role(String role) {
         return Optional.ofNullable(roles.get(role));
     }
 
-    Map<String, Role> roles() {
+    Map<String, RoleState> roles() {
         return roles;
     }
 
     /** A generation that is kept. */
-    Optional<Generation> kept(String name, long generation) {
-        return named(name).stream()
+    Optional<Generation> findGeneration(String name, long generation) {
+        return find(name).stream()
                 .flatMap(n -> n.history().stream())
                 .filter(k -> k.generation() == generation)
                 .findFirst();
     }
 
     /** The generation that this proposal became, if it did. */
-    Optional<Generation> proposed(String name, String by, long life, long number) {
-        return named(name).stream()
+    Optional<Generation> findProposal(String name, String by, long life, long number) {
+        return find(name).stream()
                 .flatMap(n -> n.history().stream())
-                .filter(k -> k.by().equals(by) && k.life() == life && k.number() == number)
+                .filter(k -> k.proposer().equals(by) && k.incarnation() == life && k.requestNumber() == number)
                 .findFirst();
     }
 
@@ -153,74 +153,81 @@
             return stage(s);
         }
         if (op instanceof LogCommand.Activate a) {
-            Named n = names.get(a.name());
-            return current(n, a.version(), a.leaderTerm()) ? settle(n, Outcome.IN_FORCE) : Result.VOID;
+            NamedValue n = names.get(a.name());
+            return isCurrent(n, a.version(), a.leaderTerm()) ? resolveStaged(n, Outcome.IN_FORCE) : Result.VOID;
         }
         if (op instanceof LogCommand.Abandon a) {
-            Named n = names.get(a.name());
-            return current(n, a.version(), a.leaderTerm()) ? settle(n, Outcome.ABANDONED) : Result.VOID;
+            NamedValue n = names.get(a.name());
+            return isCurrent(n, a.version(), a.leaderTerm()) ? resolveStaged(n, Outcome.ABANDONED) : Result.VOID;
         }
-        return take((LogCommand.Take) op);
+        return grantRole((LogCommand.GrantRole) op);
     }
 
     // Guards against a command of an earlier leader term, or for a decision that was overtaken on the way.
-    private boolean current(Named n, long version, long commandTerm) {
+    private boolean isCurrent(NamedValue n, long version, long commandTerm) {
         return n != null
                 && commandTerm == leaderTerm
-                && n.word().version() == version
-                && n.word().staged() != 0;
+                && n.decided().version() == version
+                && n.decided().staged() != 0;
     }
 
     private Result stage(LogCommand.Stage s) {
-        Optional<Generation> again = proposed(s.name(), s.by(), s.life(), s.number());
+        Optional<Generation> again = findProposal(s.name(), s.proposer(), s.incarnation(), s.requestNumber());
         if (again.isPresent()) {
-            return Result.valueOf(again.get().came().name());
+            return Result.valueOf(again.get().outcome().name());
         }
         if (!names.containsKey(s.name()) && names.size() >= MAX_NAMES
-                || s.content().length > MAX_CONTENT
-                || s.name().length() > MAX_NAME
-                || bytes + s.content().length > MAX_BYTES) {
+                || s.content().length > MAX_CONTENT_BYTES
+                || s.name().length() > MAX_NAME_LENGTH
+                || contentBytes + s.content().length > MAX_TOTAL_BYTES) {
             return Result.FULL;
         }
-        Named n = names.getOrDefault(s.name(), new Named(s.name(), DecidedVersion.NONE, 0, List.of()));
-        LeaseAuthority a = alone(n);
-        LeaseAuthority.ProposalVerdict v = a.judgeProposal(s.expected());
+        NamedValue n = names.getOrDefault(s.name(), new NamedValue(s.name(), DecidedVersion.NONE, 0, List.of()));
+        LeaseAuthority a = authority(n);
+        LeaseAuthority.ProposalVerdict v = a.judgeProposal(s.expectedGeneration());
         if (v != LeaseAuthority.ProposalVerdict.STAGED) {
             return Result.valueOf(v.name());
         }
         LeaseAuthority staged = a.stage();
         List<Generation> history = new ArrayList<>(n.history());
-        history.add(new Generation(staged.lastGeneration(), s.content(), s.by(), s.life(), s.number(), Outcome.STAGED));
-        keep(new Named(s.name(), staged.decided(), staged.lastGeneration(), trimmed(history, staged.decided())));
+        history.add(new Generation(
+                staged.lastGeneration(),
+                s.content(),
+                s.proposer(),
+                s.incarnation(),
+                s.requestNumber(),
+                Outcome.STAGED));
+        put(new NamedValue(
+                s.name(), staged.decided(), staged.lastGeneration(), trimHistory(history, staged.decided())));
         return Result.STAGED;
     }
 
-    private Result settle(Named n, Outcome came) {
-        LeaseAuthority a = alone(n);
-        long settled = n.word().staged();
+    private Result resolveStaged(NamedValue n, Outcome came) {
+        LeaseAuthority a = authority(n);
+        long settled = n.decided().staged();
         LeaseAuthority next = came == Outcome.IN_FORCE ? a.activate(0) : a.abandon();
         List<Generation> history = n.history().stream()
-                .map(k -> k.generation() == settled ? k.with(came) : k)
+                .map(k -> k.generation() == settled ? k.withOutcome(came) : k)
                 .toList();
-        keep(new Named(n.name(), next.decided(), n.last(), trimmed(history, next.decided())));
+        put(new NamedValue(n.name(), next.decided(), n.lastGeneration(), trimHistory(history, next.decided())));
         return Result.valueOf(came.name());
     }
 
-    private void keep(Named named) {
-        Named before = names.put(named.name(), named);
-        bytes += bytes(named) - (before == null ? 0 : bytes(before));
+    private void put(NamedValue named) {
+        NamedValue before = names.put(named.name(), named);
+        contentBytes += contentBytes(named) - (before == null ? 0 : contentBytes(before));
     }
 
-    private static long bytes(Named named) {
+    private static long contentBytes(NamedValue named) {
         return named.history().stream().mapToLong(kept -> kept.content().length).sum();
     }
 
     /** The rules of words and numbers are the authority's; the leases that it waits for are the leader's to know. */
-    private static LeaseAuthority alone(Named n) {
-        return new LeaseAuthority(NO_LEASES, n.word(), n.last(), Double.NEGATIVE_INFINITY, Map.of());
+    private static LeaseAuthority authority(NamedValue n) {
+        return new LeaseAuthority(NO_LEASES, n.decided(), n.lastGeneration(), Double.NEGATIVE_INFINITY, Map.of());
     }
 
-    private static List<Generation> trimmed(List<Generation> history, DecidedVersion word) {
+    private static List<Generation> trimHistory(List<Generation> history, DecidedVersion word) {
         List<Generation> kept = new ArrayList<>();
         int count = 0;
         long bytes = 0;
@@ -230,45 +237,45 @@
             bytes += k.content().length;
             if (k.generation() == word.inForce()
                     || k.generation() == word.staged()
-                    || count <= MAX_HISTORY && bytes <= MAX_HISTORY_BYTES) {
+                    || count <= MAX_HISTORY_GENERATIONS && bytes <= MAX_HISTORY_BYTES) {
                 kept.add(0, k);
             }
         }
         return List.copyOf(kept);
     }
 
-    private Result take(LogCommand.Take t) {
-        Role r = roles.get(t.role());
-        if (t.leaderTerm() != leaderTerm || t.token() != (r == null ? 0 : r.token())) {
+    private Result grantRole(LogCommand.GrantRole t) {
+        RoleState r = roles.get(t.role());
+        if (t.leaderTerm() != leaderTerm || t.previousToken() != (r == null ? 0 : r.token())) {
             return Result.VOID;
         }
         if (r == null && roles.size() >= MAX_ROLES) {
             return Result.FULL;
         }
-        boolean same = r != null && r.holder().equals(t.holder()) && r.life() == t.life();
+        boolean same = r != null && r.holder().equals(t.holder()) && r.incarnation() == t.incarnation();
         roles.put(
                 t.role(),
-                new Role(
+                new RoleState(
                         t.role(),
                         t.holder(),
-                        t.life(),
-                        same ? r.token() : t.token() + 1,
-                        same ? Math.max(r.forMs(), t.forMs()) : t.forMs()));
+                        t.incarnation(),
+                        same ? r.token() : t.previousToken() + 1,
+                        same ? Math.max(r.maxLeaseMs(), t.leaseMs()) : t.leaseMs()));
         return Result.DONE;
     }
 
     /** What a snapshot is made of. */
-    Image image() {
-        return new Image(leaderTerm, List.copyOf(names.values()), List.copyOf(roles.values()));
+    Snapshot snapshot() {
+        return new Snapshot(leaderTerm, List.copyOf(names.values()), List.copyOf(roles.values()));
     }
 
     /** Replaces all by a snapshot's state. */
-    void restore(Image image) {
+    void restore(Snapshot image) {
         names.clear();
         roles.clear();
         leaderTerm = image.leaderTerm();
-        bytes = 0;
-        image.names().forEach(this::keep);
+        contentBytes = 0;
+        image.names().forEach(this::put);
         image.roles().forEach(r -> roles.put(r.role(), r));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -16,7 +16,7 @@
     private static final long SNAPSHOT_BYTES = 4 << 20;
 
     /** Requests that are answered once a majority has confirmed that it follows this leader. */
-    record Read(Runnable action) {}
+    record LinearizableRead(Runnable action) {}
 
     private final MemberContext context;
     private final RaftConsensus consensus;
@@ -33,23 +33,23 @@
 
     @Override
     public Object runOperation(long commitIndex, Object operation) {
-        if (operation instanceof Read read) {
+        if (operation instanceof LinearizableRead read) {
             read.action().run();
             return null;
         }
         LogCommand command = (LogCommand) operation;
         AgreedState.Result result = consensus.state().apply(command);
-        boundLog(command);
+        snapshotIfDue(command);
         if (command instanceof LogCommand.BeginTerm begin) {
             beginTerm(begin);
-        } else if (consensus.leads() && result != AgreedState.Result.VOID) {
+        } else if (consensus.isLeader() && result != AgreedState.Result.VOID) {
             listener.onApplied(command, result);
         }
         return result;
     }
 
     /** Guards the log's memory and disk against few but long contents. */
-    private void boundLog(LogCommand command) {
+    private void snapshotIfDue(LogCommand command) {
         bytesSinceSnapshot += command instanceof LogCommand.Stage stage ? stage.content().length : 0;
         if (bytesSinceSnapshot > SNAPSHOT_BYTES) {
             bytesSinceSnapshot = 0;
@@ -59,8 +59,8 @@
 
     private void beginTerm(LogCommand.BeginTerm begin) {
         boolean leads = begin.leader().equals(self.toString())
-                && begin.life() == context.processLife()
-                && begin.number() == consensus.leaderTermNumber();
+                && begin.incarnation() == context.incarnation()
+                && begin.termNumber() == consensus.leaderTermNumber();
         consensus.beginTerm(
                 leads ? new LeaderLeases(context.settings().leaseTerms(), consensus.state(), context.nowMs()) : null);
         if (leads) {
@@ -75,7 +75,7 @@
 
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-        byte[] image = AgreementCodec.image(consensus.state().image());
+        byte[] image = AgreementCodec.snapshot(consensus.state().snapshot());
         for (int from = 0; from < image.length; from += AgreementCodec.SNAPSHOT_CHUNK_BYTES) {
             chunks.accept(Arrays.copyOfRange(
                     image, from, Math.min(image.length, from + AgreementCodec.SNAPSHOT_CHUNK_BYTES)));
@@ -87,7 +87,7 @@
         ByteArrayOutputStream image = new ByteArrayOutputStream();
         chunks.forEach(chunk -> image.writeBytes((byte[]) chunk));
         try {
-            consensus.state().restore(AgreementCodec.image(image.toByteArray()));
+            consensus.state().restore(AgreementCodec.snapshot(image.toByteArray()));
             consensus.stepDown();
         } catch (IOException e) {
             // It is the library's to stop this voter then: its state is unknown.
@@ -97,6 +97,6 @@
 
     @Override
     public Object getNewTermOperation() {
-        return new LogCommand.BeginTerm(self.toString(), context.processLife(), consensus.nextLeaderTermNumber());
+        return new LogCommand.BeginTerm(self.toString(), context.incarnation(), consensus.nextLeaderTermNumber());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
@@ -24,16 +24,16 @@
  */
 final class AgreementCodec {
     /** Longest message; a link's frames must have room for it. */
-    static final int MAX_MESSAGE = 900 * 1024;
+    static final int MAX_MESSAGE_BYTES = 900 * 1024;
     /** Entries in one message: their contents stay below {@link #MAX_MESSAGE}. */
-    static final int BATCH = 3;
+    static final int MAX_BATCH_ENTRIES = 3;
     /** Length of a snapshot's chunks, in bytes. */
     static final int SNAPSHOT_CHUNK_BYTES = 512 * 1024;
 
     private static final int MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024;
-    static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    static final ObjectMapper MAPPER = mapper(MAX_MESSAGE);
-    private static final ObjectMapper IMAGES = mapper(MAX_SNAPSHOT_BYTES);
+    static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
+    static final ObjectMapper MAPPER = mapper(MAX_MESSAGE_BYTES);
+    private static final ObjectMapper SNAPSHOT_MAPPER = mapper(MAX_SNAPSHOT_BYTES);
 
     private AgreementCodec() {}
 
@@ -64,7 +64,7 @@
     }
 
     /** Reads, and makes whatever can't be read an {@link IOException}. */
-    static <T> T read(Reader<T> reader) throws IOException {
+    static <T> T parse(Reader<T> reader) throws IOException {
         try {
             T read = reader.read();
             if (read == null) {
@@ -101,10 +101,10 @@
 
     /** Parses a frame. */
     static Frame frame(byte[] body) throws IOException {
-        if (body.length > MAX_MESSAGE) {
+        if (body.length > MAX_MESSAGE_BYTES) {
             throw new IOException("message of " + body.length + " bytes");
         }
-        return read(() -> {
+        return parse(() -> {
             JsonNode n = MAPPER.readTree(body);
             return n.has("n")
                     ? new Frame(MAPPER.treeToValue(n.get("n"), AgreementMessage.class), null)
@@ -113,47 +113,47 @@
     }
 
     /** The form of a snapshot. */
-    static byte[] image(AgreedState.Image image) {
+    static byte[] snapshot(AgreedState.Snapshot image) {
         try {
-            return IMAGES.writeValueAsBytes(image);
+            return SNAPSHOT_MAPPER.writeValueAsBytes(image);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    static AgreedState.Image image(byte[] body) throws IOException {
-        return read(() -> IMAGES.readValue(body, AgreedState.Image.class));
+    static AgreedState.Snapshot snapshot(byte[] body) throws IOException {
+        return parse(() -> SNAPSHOT_MAPPER.readValue(body, AgreedState.Snapshot.class));
     }
 
     /** The stored form of a log entry. */
-    static byte[] entry(LogEntry e) {
+    static byte[] logEntry(LogEntry e) {
         return bytes(RaftLogTrees.tree(e));
     }
 
-    static LogEntry entry(byte[] body) throws IOException {
-        return read(() -> RaftLogTrees.logEntry(MAPPER.readTree(body)));
+    static LogEntry logEntry(byte[] body) throws IOException {
+        return parse(() -> RaftLogTrees.logEntry(MAPPER.readTree(body)));
     }
 
     /** The stored form of a snapshot's chunk. */
-    static byte[] chunk(SnapshotChunk c) {
+    static byte[] snapshotChunk(SnapshotChunk c) {
         return bytes(RaftLogTrees.tree(c));
     }
 
-    static SnapshotChunk chunk(byte[] body) throws IOException {
-        return read(() -> RaftLogTrees.snapshotChunk(MAPPER.readTree(body)));
+    static SnapshotChunk snapshotChunk(byte[] body) throws IOException {
+        return parse(() -> RaftLogTrees.snapshotChunk(MAPPER.readTree(body)));
     }
 
     /** The stored form of a group's members. */
-    static byte[] members(RaftGroupMembersView v) {
+    static byte[] groupMembers(RaftGroupMembersView v) {
         return bytes(RaftLogTrees.tree(v));
     }
 
-    static RaftGroupMembersView members(byte[] body) throws IOException {
-        return read(() -> RaftLogTrees.view(MAPPER.readTree(body)));
+    static RaftGroupMembersView groupMembers(byte[] body) throws IOException {
+        return parse(() -> RaftLogTrees.view(MAPPER.readTree(body)));
     }
 
     /** The stored form of the current term and vote. */
-    static byte[] term(RaftTermPersistentState t) {
+    static byte[] termState(RaftTermPersistentState t) {
         ObjectNode n = MAPPER.createObjectNode().put("term", t.getTerm());
         return bytes(
                 t.getVotedFor() == null
@@ -161,10 +161,11 @@
                         : n.put("voted", (String) t.getVotedFor().getId()));
     }
 
-    static RaftTermPersistentState term(byte[] body) throws IOException {
-        return read(() -> {
+    static RaftTermPersistentState termState(byte[] body) throws IOException {
+        return parse(() -> {
             JsonNode n = MAPPER.readTree(body);
-            return MODEL.createRaftTermPersistentStateBuilder()
+            return MODEL_FACTORY
+                    .createRaftTermPersistentStateBuilder()
                     .setTerm(JsonFields.intValue(n, "term"))
                     .setVotedFor(n.has("voted") ? JsonFields.endpoint(n, "voted") : null)
                     .build();
@@ -172,16 +173,17 @@
     }
 
     /** The stored form of the voter's own endpoint. */
-    static byte[] self(RaftEndpointPersistentState e) {
+    static byte[] endpointState(RaftEndpointPersistentState e) {
         return bytes(MAPPER.createObjectNode()
                 .put("me", (String) e.getLocalEndpoint().getId())
                 .put("voting", e.isVoting()));
     }
 
-    static RaftEndpointPersistentState self(byte[] body) throws IOException {
-        return read(() -> {
+    static RaftEndpointPersistentState endpointState(byte[] body) throws IOException {
+        return parse(() -> {
             JsonNode n = MAPPER.readTree(body);
-            return MODEL.createRaftEndpointPersistentStateBuilder()
+            return MODEL_FACTORY
+                    .createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(JsonFields.endpoint(n, "me"))
                     .setVoting(JsonFields.required(n, "voting").asBoolean())
                     .build();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -100,7 +100,7 @@
             recovery.openDisk();
         }
         leaseClient.start(context.nowMs());
-        context.thread().every(TICK_MS, this::tick);
+        context.thread().scheduleRepeatedly(TICK_MS, this::tick);
     }
 
     private void tick() {
@@ -158,31 +158,31 @@
     }
 
     private void onMessage(String peer, AgreementMessage message) {
-        if (message instanceof AgreementMessage.Question question) {
-            leaderService.onQuestion(peer, question);
-        } else if (message instanceof AgreementMessage.Propose proposal) {
-            leaderService.onPropose(peer, proposal);
-        } else if (message instanceof AgreementMessage.Claim claim) {
-            leaderService.onClaim(peer, claim);
-        } else if (message instanceof AgreementMessage.Look look) {
-            leaderService.onLook(peer, look);
-        } else if (message instanceof AgreementMessage.Answer answer) {
-            leaseClient.onAnswer(peer, answer);
+        if (message instanceof AgreementMessage.RenewalRequest question) {
+            leaderService.onRenewalRequest(peer, question);
+        } else if (message instanceof AgreementMessage.ProposeRequest proposal) {
+            leaderService.onProposeRequest(peer, proposal);
+        } else if (message instanceof AgreementMessage.ClaimRequest claim) {
+            leaderService.onClaimRequest(peer, claim);
+        } else if (message instanceof AgreementMessage.HistoryRequest look) {
+            leaderService.onHistoryRequest(peer, look);
+        } else if (message instanceof AgreementMessage.RenewalResponse answer) {
+            leaseClient.onRenewalResponse(peer, answer);
         } else if (message instanceof AgreementMessage.Hint hint) {
             leaseClient.onHint(peer, hint);
-        } else if (message instanceof AgreementMessage.Elsewhere redirect) {
-            leaseClient.onElsewhere(peer, redirect);
-        } else if (message instanceof AgreementMessage.Outcome outcome) {
-            requests.onAnswer(outcome.life(), outcome.number(), outcome);
-        } else if (message instanceof AgreementMessage.Claimed claimed) {
-            requests.onAnswer(claimed.life(), claimed.number(), claimed);
-        } else if (message instanceof AgreementMessage.Looked looked) {
-            requests.onAnswer(looked.life(), looked.number(), looked);
+        } else if (message instanceof AgreementMessage.NotLeader redirect) {
+            leaseClient.onNotLeader(peer, redirect);
+        } else if (message instanceof AgreementMessage.ProposeResponse outcome) {
+            requests.onResponse(outcome.incarnation(), outcome.requestNumber(), outcome);
+        } else if (message instanceof AgreementMessage.ClaimResponse claimed) {
+            requests.onResponse(claimed.incarnation(), claimed.requestNumber(), claimed);
+        } else if (message instanceof AgreementMessage.HistoryResponse looked) {
+            requests.onResponse(looked.incarnation(), looked.requestNumber(), looked);
         } else if (message instanceof AgreementMessage.Hello hello) {
             recovery.onHello(peer, hello);
-        } else if (message instanceof AgreementMessage.Facts facts) {
-            recovery.onFacts(peer, facts);
-        } else if (message instanceof AgreementMessage.Join join && consensus.leads()) {
+        } else if (message instanceof AgreementMessage.HelloResponse facts) {
+            recovery.onHelloResponse(peer, facts);
+        } else if (message instanceof AgreementMessage.JoinRequest join && consensus.isLeader()) {
             consensus.admitReplacement(peer, join);
         }
     }
@@ -197,7 +197,7 @@
     @Override
     public Optional<EffectiveValues> effectiveValues(String name) {
         LeaseView view = leaseClient.view();
-        return view.acting(name, context.nowMs());
+        return view.effectiveValues(name, context.nowMs());
     }
 
     /**
@@ -229,7 +229,7 @@
 
     @Override
     public Optional<Value> lastKnown(String name) {
-        return leaseClient.view().known(name);
+        return leaseClient.view().lastKnown(name);
     }
 
     @Override
@@ -243,8 +243,9 @@
     }
 
     /** The generations of a name that are kept, oldest first; empty if no voter answers within the time. */
-    CompletableFuture<Optional<AgreementMessage.Looked>> look(String name, long generation, double withinMs) {
-        return requests.look(name, generation, withinMs);
+    CompletableFuture<Optional<AgreementMessage.HistoryResponse>> readHistory(
+            String name, long generation, double withinMs) {
+        return requests.readHistory(name, generation, withinMs);
     }
 
     // For operators.
@@ -314,7 +315,7 @@
 
     /** Ends at once, as a killed process does: nothing more is written or told. */
     void halt() {
-        context.thread().end();
+        context.thread().shutDown();
         recovery.closeDisk();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
@@ -13,18 +13,18 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "note")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = AgreementMessage.Hello.class, name = "hello"),
-    @JsonSubTypes.Type(value = AgreementMessage.Facts.class, name = "facts"),
-    @JsonSubTypes.Type(value = AgreementMessage.Join.class, name = "join"),
-    @JsonSubTypes.Type(value = AgreementMessage.Question.class, name = "question"),
-    @JsonSubTypes.Type(value = AgreementMessage.Answer.class, name = "answer"),
-    @JsonSubTypes.Type(value = AgreementMessage.Elsewhere.class, name = "elsewhere"),
+    @JsonSubTypes.Type(value = AgreementMessage.HelloResponse.class, name = "facts"),
+    @JsonSubTypes.Type(value = AgreementMessage.JoinRequest.class, name = "join"),
+    @JsonSubTypes.Type(value = AgreementMessage.RenewalRequest.class, name = "question"),
+    @JsonSubTypes.Type(value = AgreementMessage.RenewalResponse.class, name = "answer"),
+    @JsonSubTypes.Type(value = AgreementMessage.NotLeader.class, name = "elsewhere"),
     @JsonSubTypes.Type(value = AgreementMessage.Hint.class, name = "hint"),
-    @JsonSubTypes.Type(value = AgreementMessage.Propose.class, name = "propose"),
-    @JsonSubTypes.Type(value = AgreementMessage.Outcome.class, name = "outcome"),
-    @JsonSubTypes.Type(value = AgreementMessage.Claim.class, name = "claim"),
-    @JsonSubTypes.Type(value = AgreementMessage.Claimed.class, name = "claimed"),
-    @JsonSubTypes.Type(value = AgreementMessage.Look.class, name = "look"),
-    @JsonSubTypes.Type(value = AgreementMessage.Looked.class, name = "looked"),
+    @JsonSubTypes.Type(value = AgreementMessage.ProposeRequest.class, name = "propose"),
+    @JsonSubTypes.Type(value = AgreementMessage.ProposeResponse.class, name = "outcome"),
+    @JsonSubTypes.Type(value = AgreementMessage.ClaimRequest.class, name = "claim"),
+    @JsonSubTypes.Type(value = AgreementMessage.ClaimResponse.class, name = "claimed"),
+    @JsonSubTypes.Type(value = AgreementMessage.HistoryRequest.class, name = "look"),
+    @JsonSubTypes.Type(value = AgreementMessage.HistoryResponse.class, name = "looked"),
 })
 sealed interface AgreementMessage {
     /**
@@ -33,9 +33,10 @@
      * @param starts how often its disk was started with
      */
     record Hello(
-            @JsonProperty("disk") String disk,
-            @JsonProperty("starts") long starts,
-            @JsonProperty("life") long life) implements AgreementMessage {}
+            @JsonProperty("disk") String diskId,
+            @JsonProperty("starts") long startCount,
+            @JsonProperty("life") long incarnation)
+            implements AgreementMessage {}
 
     /**
      * The answer to a hello.
@@ -49,19 +50,19 @@
      * @param seenStarts that disk's starts then
      * @param seenLife the asker's life then
      */
-    record Facts(
-            @JsonProperty("disk") String disk,
+    record HelloResponse(
+            @JsonProperty("disk") String diskId,
             @JsonProperty("founding") List<String> bootstrapVoters,
-            @JsonProperty("follows") String follows,
+            @JsonProperty("follows") String followedGroup,
             @JsonProperty("members") List<String> members,
-            @JsonProperty("membersSince") long membersSince,
-            @JsonProperty("seenDisk") String seenDisk,
-            @JsonProperty("seenStarts") long seenStarts,
-            @JsonProperty("seenLife") long seenLife)
+            @JsonProperty("membersSince") long membersLogIndex,
+            @JsonProperty("seenDisk") String lastSeenDiskId,
+            @JsonProperty("seenStarts") long lastSeenStartCount,
+            @JsonProperty("seenLife") long lastSeenIncarnation)
             implements AgreementMessage {}
 
     /** A voter with a new disk asks to take its old one's place. */
-    record Join(@JsonProperty("endpoint") String endpoint) implements AgreementMessage {}
+    record JoinRequest(@JsonProperty("endpoint") String endpoint) implements AgreementMessage {}
 
     /**
      * What a member holds of a name.
@@ -70,58 +71,58 @@
      * @param refused the generation that it can't use; 0 if none
      * @param has the generations whose content it has
      */
-    record Heard(
+    record NameState(
             @JsonProperty("name") String name,
             @JsonProperty("version") long version,
-            @JsonProperty("refused") long refused,
-            @JsonProperty("has") List<Long> has) {}
+            @JsonProperty("refused") long rejectedGeneration,
+            @JsonProperty("has") List<Long> knownGenerations) {}
 
     /** A member asks whether it may go on, and by what: one question for all names. */
-    record Question(
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
-            @JsonProperty("heard") List<Heard> heard)
+    record RenewalRequest(
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
+            @JsonProperty("heard") List<NameState> names)
             implements AgreementMessage {}
 
     /** A generation's content. */
-    record Item(
+    record GenerationContent(
             @JsonProperty("generation") long generation,
             @JsonProperty("content") byte[] content,
-            @JsonProperty("by") String by) {}
+            @JsonProperty("by") String proposer) {}
 
     /** What is decided of a name, with the contents that the asker lacks. */
-    record Told(
+    record NameUpdate(
             @JsonProperty("name") String name,
-            @JsonProperty("word") DecidedVersion word,
-            @JsonProperty("items") List<Item> items) {}
+            @JsonProperty("word") DecidedVersion decided,
+            @JsonProperty("items") List<GenerationContent> contents) {}
 
     /**
      * The answer to a question; a name whose contents had no room is not in it and is asked for again.
      *
      * @param whole whether all names had room
      */
-    record Answer(
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
+    record RenewalResponse(
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
             @JsonProperty("founding") String groupId,
             @JsonProperty("leaseMs") double leaseMs,
-            @JsonProperty("told") List<Told> told,
-            @JsonProperty("whole") boolean whole)
+            @JsonProperty("told") List<NameUpdate> updates,
+            @JsonProperty("whole") boolean complete)
             implements AgreementMessage {}
 
     /** The asked one does not lead; empty if it does not know who does. */
-    record Elsewhere(@JsonProperty("leader") String leader) implements AgreementMessage {}
+    record NotLeader(@JsonProperty("leader") String leader) implements AgreementMessage {}
 
     /** There is news, or another leader: the sender. Carries no promise. */
     record Hint(@JsonProperty("reign") long leaderTerm) implements AgreementMessage {}
 
     /** A proposal; sent again until there is an outcome. */
-    record Propose(
+    record ProposeRequest(
             @JsonProperty("name") String name,
-            @JsonProperty("expected") long expected,
+            @JsonProperty("expected") long expectedGeneration,
             @JsonProperty("content") byte[] content,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number)
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber)
             implements AgreementMessage {}
 
     /**
@@ -129,19 +130,19 @@
      *
      * @param generation the number that it was given; 0 if none
      */
-    record Outcome(
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
+    record ProposeResponse(
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
             @JsonProperty("verdict") AgreedValues.Verdict verdict,
             @JsonProperty("generation") long generation)
             implements AgreementMessage {}
 
     /** A member asks to act in a role, or to go on in it. */
-    record Claim(
+    record ClaimRequest(
             @JsonProperty("role") String role,
-            @JsonProperty("forMs") double forMs,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number)
+            @JsonProperty("forMs") double leaseMs,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber)
             implements AgreementMessage {}
 
     /**
@@ -149,34 +150,34 @@
      *
      * @param forMs for how long from the moment of the claim, if it is the asker; else 0
      */
-    record Claimed(
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
+    record ClaimResponse(
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
             @JsonProperty("holder") String holder,
             @JsonProperty("token") long token,
-            @JsonProperty("forMs") double forMs)
+            @JsonProperty("forMs") double leaseMs)
             implements AgreementMessage {}
 
     /** Staff ask for a name's generations; a generation of 0 asks for the list, without contents. */
-    record Look(
+    record HistoryRequest(
             @JsonProperty("name") String name,
             @JsonProperty("generation") long generation,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number)
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber)
             implements AgreementMessage {}
 
     /** A generation of a name's history: {@code came} is what came of it. */
-    record Line(
+    record HistoryEntry(
             @JsonProperty("generation") long generation,
-            @JsonProperty("by") String by,
-            @JsonProperty("bytes") int bytes,
-            @JsonProperty("came") String came) {}
+            @JsonProperty("by") String proposer,
+            @JsonProperty("bytes") int contentBytes,
+            @JsonProperty("came") String outcome) {}
 
     /** The answer for staff. */
-    record Looked(
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
-            @JsonProperty("lines") List<Line> lines,
+    record HistoryResponse(
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
+            @JsonProperty("lines") List<HistoryEntry> entries,
             @JsonProperty("content") byte[] content)
             implements AgreementMessage {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/HeartbeatClock.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/HeartbeatClock.java
@@ -8,17 +8,17 @@
 /** The Raft library's clock. It counts heartbeats in whole seconds: here one of its seconds is one heartbeat. */
 final class HeartbeatClock extends java.time.Clock {
     private final Clock clock;
-    private final double speed;
+    private final double rate;
 
     /** A clock that runs so many times as fast as the other. */
     HeartbeatClock(Clock clock, double speed) {
         this.clock = clock;
-        this.speed = speed;
+        this.rate = speed;
     }
 
     @Override
     public long millis() {
-        return (long) (clock.nowMs() * speed);
+        return (long) (clock.nowMs() * rate);
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -24,15 +24,15 @@
  */
 final class LeaderLeases {
     /** Contents in one answer at most, in bytes. */
-    private static final int MAX_ANSWER_BYTES = 600 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 600 * 1024;
 
     /** What is done with a claim. */
     sealed interface ClaimDecision {
         /** It is answered at once. */
-        record Answer(AgreementMessage.Claimed message) implements ClaimDecision {}
+        record Respond(AgreementMessage.ClaimResponse response) implements ClaimDecision {}
 
         /** A command must be written first; it is answered by {@link #grantRole} once that is applied. */
-        record WriteFirst(LogCommand.Take command) implements ClaimDecision {}
+        record WriteFirst(LogCommand.GrantRole command) implements ClaimDecision {}
 
         /** Another command for the role is on its way: the claim is not answered, its sender repeats it. */
         record Ignore() implements ClaimDecision {}
@@ -43,11 +43,11 @@
     private final LeaseTerms terms;
     private final AgreedState state;
     private final long leaderTerm;
-    private final double settledMs;
+    private final double earlierLeasesEndMs;
     private final Map<String, LeaseAuthority> authorities = new TreeMap<>();
-    private final Map<String, String> refused = new HashMap<>();
-    private final Map<String, Integer> ids = new HashMap<>();
-    private final Map<Integer, Double> leases = new HashMap<>();
+    private final Map<String, String> rejectedBy = new HashMap<>();
+    private final Map<String, Integer> holderIds = new HashMap<>();
+    private final Map<Integer, Double> leaseEndById = new HashMap<>();
     private final Map<String, RoleLease> roles = new HashMap<>();
     private final Set<String> inFlight = new HashSet<>();
 
@@ -56,11 +56,12 @@
         this.terms = terms;
         this.state = state;
         this.leaderTerm = state.leaderTerm();
-        this.settledMs = nowMs + terms.authorityWaitMs();
+        this.earlierLeasesEndMs = nowMs + terms.authorityWaitMs();
         state.names()
                 .values()
-                .forEach(n -> authorities.put(n.name(), LeaseAuthority.start(terms, nowMs, n.word(), n.last())));
-        state.roles().values().forEach(r -> roles.put(r.role(), new RoleLease(nowMs + waitMs(r.forMs()), false)));
+                .forEach(n ->
+                        authorities.put(n.name(), LeaseAuthority.start(terms, nowMs, n.decided(), n.lastGeneration())));
+        state.roles().values().forEach(r -> roles.put(r.role(), new RoleLease(nowMs + waitMs(r.maxLeaseMs()), false)));
     }
 
     long leaderTerm() {
@@ -68,8 +69,8 @@
     }
 
     /** From when it has waited out all that earlier leaders granted of names; milliseconds. */
-    double settledMs() {
-        return settledMs;
+    double earlierLeasesEndMs() {
+        return earlierLeasesEndMs;
     }
 
     private double waitMs(double forMs) {
@@ -78,35 +79,38 @@
 
     /** What is decided of this name has changed. */
     void onApplied(String name) {
-        AgreedState.Named n = state.named(name).orElseThrow();
+        AgreedState.NamedValue n = state.find(name).orElseThrow();
         LeaseAuthority before = authorities.get(name);
         Map<Integer, LeaseAuthority.GrantedLease> holders = new TreeMap<>();
         if (before == null) {
             // Whoever may act by other names is waited for here as well, so that it can refuse the first.
-            leases.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.GrantedLease(untilMs, 0)));
+            leaseEndById.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.GrantedLease(untilMs, 0)));
         } else {
             holders.putAll(before.holders());
         }
-        authorities.put(name, new LeaseAuthority(terms, n.word(), n.last(), settledMs, holders));
+        authorities.put(name, new LeaseAuthority(terms, n.decided(), n.lastGeneration(), earlierLeasesEndMs, holders));
         inFlight.remove(name);
-        refused.remove(name);
+        rejectedBy.remove(name);
     }
 
     /** The answer to a question; from now on its asker is waited for. */
-    AgreementMessage.Answer answerRequest(double nowMs, String asker, AgreementMessage.Question q, String groupId) {
-        int id = ids.computeIfAbsent(asker, a -> ids.size() + 1);
-        leases.put(id, nowMs + terms.authorityWaitMs());
-        Map<String, AgreementMessage.Heard> heard = new HashMap<>();
-        q.heard().forEach(h -> heard.put(h.name(), h));
-        List<AgreementMessage.Told> told = new ArrayList<>();
-        int room = MAX_ANSWER_BYTES;
+    AgreementMessage.RenewalResponse renew(
+            double nowMs, String asker, AgreementMessage.RenewalRequest q, String groupId) {
+        int id = holderIds.computeIfAbsent(asker, a -> holderIds.size() + 1);
+        leaseEndById.put(id, nowMs + terms.authorityWaitMs());
+        Map<String, AgreementMessage.NameState> heard = new HashMap<>();
+        q.names().forEach(h -> heard.put(h.name(), h));
+        List<AgreementMessage.NameUpdate> told = new ArrayList<>();
+        int room = MAX_RESPONSE_BYTES;
         boolean whole = true;
         for (Map.Entry<String, LeaseAuthority> e : authorities.entrySet()) {
-            AgreementMessage.Heard h =
-                    heard.getOrDefault(e.getKey(), new AgreementMessage.Heard(e.getKey(), 0, 0, List.of()));
-            LeaseRequest ask = new LeaseRequest(id, q.life(), q.number(), h.version(), h.refused());
+            AgreementMessage.NameState h =
+                    heard.getOrDefault(e.getKey(), new AgreementMessage.NameState(e.getKey(), 0, 0, List.of()));
+            LeaseRequest ask =
+                    new LeaseRequest(id, q.incarnation(), q.requestNumber(), h.version(), h.rejectedGeneration());
             LeaseAuthority a = e.getValue();
-            List<AgreementMessage.Item> items = items(a.decided(), e.getKey(), h.has());
+            List<AgreementMessage.GenerationContent> items =
+                    missingContents(a.decided(), e.getKey(), h.knownGenerations());
             int bytes = items.stream().mapToInt(i -> i.content().length).sum();
             if (bytes > room) {
                 whole = false;
@@ -114,22 +118,23 @@
             }
             room -= bytes;
             if (a.isStagedRejectedBy(ask)) {
-                refused.put(e.getKey(), asker);
+                rejectedBy.put(e.getKey(), asker);
             }
             LeaseAuthority next = a.onRequest(nowMs, ask);
             e.setValue(next);
             LeaseGrant g = next.grant(ask);
-            told.add(new AgreementMessage.Told(e.getKey(), g.decided(), items));
+            told.add(new AgreementMessage.NameUpdate(e.getKey(), g.decided(), items));
         }
-        return new AgreementMessage.Answer(q.life(), q.number(), groupId, terms.leaseMs(), told, whole);
+        return new AgreementMessage.RenewalResponse(
+                q.incarnation(), q.requestNumber(), groupId, terms.leaseMs(), told, whole);
     }
 
-    private List<AgreementMessage.Item> items(DecidedVersion word, String name, List<Long> has) {
-        List<AgreementMessage.Item> items = new ArrayList<>();
+    private List<AgreementMessage.GenerationContent> missingContents(DecidedVersion word, String name, List<Long> has) {
+        List<AgreementMessage.GenerationContent> items = new ArrayList<>();
         for (long g : new long[] {word.inForce(), word.staged()}) {
             if (g != 0 && !has.contains(g)) {
-                AgreedState.Generation k = state.kept(name, g).orElseThrow();
-                items.add(new AgreementMessage.Item(g, k.content(), k.by()));
+                AgreedState.Generation k = state.findGeneration(name, g).orElseThrow();
+                items.add(new AgreementMessage.GenerationContent(g, k.content(), k.proposer()));
             }
         }
         return items;
@@ -142,8 +147,8 @@
             if (a.decided().staged() == 0 || inFlight.contains(name)) {
                 return;
             }
-            if (refused.containsKey(name)) {
-                due.add(new LogCommand.Abandon(name, a.decided().version(), leaderTerm, refused.get(name)));
+            if (rejectedBy.containsKey(name)) {
+                due.add(new LogCommand.Abandon(name, a.decided().version(), leaderTerm, rejectedBy.get(name)));
                 inFlight.add(name);
             } else if (a.mayActivate(nowMs)) {
                 due.add(new LogCommand.Activate(name, a.decided().version(), leaderTerm));
@@ -159,56 +164,58 @@
             inFlight.remove(a.name());
         } else if (op instanceof LogCommand.Abandon a) {
             inFlight.remove(a.name());
-        } else if (op instanceof LogCommand.Take t) {
+        } else if (op instanceof LogCommand.GrantRole t) {
             roles.computeIfPresent(t.role(), (r, l) -> new RoleLease(l.untilMs(), false));
         }
     }
 
     /** A member claims a role. */
-    ClaimDecision claimRole(double nowMs, String member, AgreementMessage.Claim c) {
-        Optional<AgreedState.Role> role = state.role(c.role());
+    ClaimDecision claimRole(double nowMs, String member, AgreementMessage.ClaimRequest c) {
+        Optional<AgreedState.RoleState> role = state.role(c.role());
         RoleLease lease = roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
             // Guards against a lease that is lengthened while the role goes to another.
             return new ClaimDecision.Ignore();
         }
-        long token = role.map(AgreedState.Role::token).orElse(0L);
+        long token = role.map(AgreedState.RoleState::token).orElse(0L);
         boolean same = role.isPresent()
                 && role.get().holder().equals(member)
-                && role.get().life() == c.life();
-        if (same && c.forMs() <= role.get().forMs()) {
-            return new ClaimDecision.Answer(granted(nowMs, c));
+                && role.get().incarnation() == c.incarnation();
+        if (same && c.leaseMs() <= role.get().maxLeaseMs()) {
+            return new ClaimDecision.Respond(grantClaim(nowMs, c));
         }
         if (same || nowMs >= lease.untilMs()) {
             roles.put(c.role(), new RoleLease(lease.untilMs(), true));
             return new ClaimDecision.WriteFirst(
-                    new LogCommand.Take(c.role(), member, c.life(), c.forMs(), token, leaderTerm));
+                    new LogCommand.GrantRole(c.role(), member, c.incarnation(), c.leaseMs(), token, leaderTerm));
         }
-        String holder = role.map(AgreedState.Role::holder).orElse("");
-        return new ClaimDecision.Answer(new AgreementMessage.Claimed(c.life(), c.number(), holder, token, 0));
+        String holder = role.map(AgreedState.RoleState::holder).orElse("");
+        return new ClaimDecision.Respond(
+                new AgreementMessage.ClaimResponse(c.incarnation(), c.requestNumber(), holder, token, 0));
     }
 
     /** The claim's entry was applied in this leader term: it is granted. */
-    AgreementMessage.Claimed grantRole(double nowMs, AgreementMessage.Claim c) {
+    AgreementMessage.ClaimResponse grantRole(double nowMs, AgreementMessage.ClaimRequest c) {
         roles.computeIfPresent(c.role(), (r, l) -> new RoleLease(l.untilMs(), false));
-        return granted(nowMs, c);
+        return grantClaim(nowMs, c);
     }
 
-    private AgreementMessage.Claimed granted(double nowMs, AgreementMessage.Claim c) {
-        AgreedState.Role role = state.role(c.role()).orElseThrow();
+    private AgreementMessage.ClaimResponse grantClaim(double nowMs, AgreementMessage.ClaimRequest c) {
+        AgreedState.RoleState role = state.role(c.role()).orElseThrow();
         double until = Math.max(
-                nowMs + waitMs(c.forMs()),
+                nowMs + waitMs(c.leaseMs()),
                 roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
                         .untilMs());
         roles.put(c.role(), new RoleLease(until, false));
-        return new AgreementMessage.Claimed(c.life(), c.number(), role.holder(), role.token(), c.forMs());
+        return new AgreementMessage.ClaimResponse(
+                c.incarnation(), c.requestNumber(), role.holder(), role.token(), c.leaseMs());
     }
 
     /** Who is waited for before what is staged can be in force, for staff. */
-    List<String> waitsFor(String name, double nowMs) {
+    List<String> pendingHolders(String name, double nowMs) {
         LeaseAuthority a = authorities.get(name);
         List<String> who = new ArrayList<>();
-        ids.forEach((member, id) -> {
+        holderIds.forEach((member, id) -> {
             LeaseAuthority.GrantedLease h = a == null ? null : a.holders().get(id);
             if (h != null
                     && a.decided().staged() != 0
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -40,48 +40,48 @@
     }
 
     /** Whether this member leads; if not, the asker is told who does. */
-    private boolean leadsOrRedirects(String peer) {
-        if (!consensus.leads()) {
-            context.send(peer, new AgreementMessage.Elsewhere(consensus.leader()));
+    private boolean isLeaderOrRedirect(String peer) {
+        if (!consensus.isLeader()) {
+            context.send(peer, new AgreementMessage.NotLeader(consensus.leader()));
         }
-        return consensus.leads();
+        return consensus.isLeader();
     }
 
-    void onQuestion(String peer, AgreementMessage.Question question) {
+    void onRenewalRequest(String peer, AgreementMessage.RenewalRequest question) {
         context.counters().leaseRequests.increment();
-        if (leadsOrRedirects(peer)) {
-            answerAfterRead(nowMs ->
-                    context.send(peer, consensus.leases().answerRequest(nowMs, peer, question, consensus.groupId())));
+        if (isLeaderOrRedirect(peer)) {
+            answerAfterRead(
+                    nowMs -> context.send(peer, consensus.leases().renew(nowMs, peer, question, consensus.groupId())));
         }
     }
 
-    void onPropose(String peer, AgreementMessage.Propose proposal) {
-        if (leadsOrRedirects(peer)) {
-            proposals.onPropose(peer, proposal);
+    void onProposeRequest(String peer, AgreementMessage.ProposeRequest proposal) {
+        if (isLeaderOrRedirect(peer)) {
+            proposals.onProposeRequest(peer, proposal);
         }
     }
 
-    void onClaim(String peer, AgreementMessage.Claim claim) {
-        if (leadsOrRedirects(peer)
-                && claim.forMs() > 0
-                && claim.forMs() <= context.settings().maxRoleLeaseMs()
-                && claim.role().length() <= AgreedState.MAX_NAME) {
+    void onClaimRequest(String peer, AgreementMessage.ClaimRequest claim) {
+        if (isLeaderOrRedirect(peer)
+                && claim.leaseMs() > 0
+                && claim.leaseMs() <= context.settings().maxRoleLeaseMs()
+                && claim.role().length() <= AgreedState.MAX_NAME_LENGTH) {
             answerAfterRead(nowMs -> answerClaim(nowMs, peer, claim));
         }
     }
 
     /** Guards whoever looks before proposing again: a voter that is behind does not know what is acknowledged. */
-    void onLook(String peer, AgreementMessage.Look look) {
-        if (leadsOrRedirects(peer)) {
+    void onHistoryRequest(String peer, AgreementMessage.HistoryRequest look) {
+        if (isLeaderOrRedirect(peer)) {
             answerAfterRead(nowMs -> context.send(peer, history(look)));
         }
     }
 
     /** Starts a read that is due and writes the entries that leases allow by now. */
     void tick(double nowMs) {
-        if (consensus.leads()) {
+        if (consensus.isLeader()) {
             startRead();
-            writeDue(nowMs);
+            replicateDueCommands(nowMs);
         }
     }
 
@@ -97,7 +97,7 @@
         proposals.forgetWaiters();
         waitingRequests.clear();
         if (leads) {
-            hintAll();
+            broadcastHint();
         }
     }
 
@@ -113,7 +113,7 @@
                     context.name(),
                     abandon.version(),
                     abandon.name(),
-                    abandon.by());
+                    abandon.rejectedBy());
             onValueApplied(abandon.name(), true);
         }
     }
@@ -122,12 +122,12 @@
         if (changed) {
             context.counters().decisions.increment();
             consensus.leases().onApplied(name);
-            hintAll();
+            broadcastHint();
         }
         proposals.sendOutcomes(name);
     }
 
-    private void hintAll() {
+    private void broadcastHint() {
         AgreementMessage.Hint hint = new AgreementMessage.Hint(consensus.state().leaderTerm());
         context.broadcast(hint);
         context.send(context.name(), hint);
@@ -155,7 +155,7 @@
         readStartedMs = nowMs;
         consensus
                 .readLinearizable(() -> answerBatch(batch, leases, nowMs))
-                .whenComplete((result, failure) -> context.execute(() -> onReadEnded(leases, nowMs, failure)));
+                .whenComplete((result, failure) -> context.execute(() -> onReadCompleted(leases, nowMs, failure)));
     }
 
     private void answerBatch(List<DoubleConsumer> batch, LeaderLeases leases, double startedMs) {
@@ -164,24 +164,24 @@
             majorityConfirmedMs = startedMs;
             double nowMs = context.nowMs();
             batch.forEach(answer ->
-                    context.thread().safely(() -> answer.accept(nowMs)).run());
+                    context.thread().logFailures(() -> answer.accept(nowMs)).run());
         }
     }
 
-    private void onReadEnded(LeaderLeases leases, double startedMs, Throwable failure) {
+    private void onReadCompleted(LeaderLeases leases, double startedMs, Throwable failure) {
         if (readStartedMs == startedMs) {
             readStartedMs = Double.NaN;
         }
         if (failure instanceof NotLeaderException && consensus.leases() == leases) {
             consensus.stepDown();
         }
-        if (consensus.leads()) {
-            writeDue(context.nowMs());
+        if (consensus.isLeader()) {
+            replicateDueCommands(context.nowMs());
             startRead();
         }
     }
 
-    private void writeDue(double nowMs) {
+    private void replicateDueCommands(double nowMs) {
         LeaderLeases leases = consensus.leases();
         leases.dueCommands(nowMs)
                 .forEach(command -> consensus
@@ -193,17 +193,18 @@
                         })));
     }
 
-    private void answerClaim(double nowMs, String peer, AgreementMessage.Claim claim) {
+    private void answerClaim(double nowMs, String peer, AgreementMessage.ClaimRequest claim) {
         LeaderLeases leases = consensus.leases();
         LeaderLeases.ClaimDecision decision = leases.claimRole(nowMs, peer, claim);
-        if (decision instanceof LeaderLeases.ClaimDecision.Answer answer) {
-            context.send(peer, answer.message());
+        if (decision instanceof LeaderLeases.ClaimDecision.Respond answer) {
+            context.send(peer, answer.response());
         } else if (decision instanceof LeaderLeases.ClaimDecision.WriteFirst write) {
-            writeClaim(peer, claim, write.command(), leases);
+            replicateClaim(peer, claim, write.command(), leases);
         }
     }
 
-    private void writeClaim(String peer, AgreementMessage.Claim claim, LogCommand.Take command, LeaderLeases leases) {
+    private void replicateClaim(
+            String peer, AgreementMessage.ClaimRequest claim, LogCommand.GrantRole command, LeaderLeases leases) {
         consensus
                 .replicate(command)
                 .whenComplete((result, failure) -> context.execute(() -> {
@@ -218,21 +219,22 @@
                 }));
     }
 
-    private AgreementMessage.Looked history(AgreementMessage.Look look) {
+    private AgreementMessage.HistoryResponse history(AgreementMessage.HistoryRequest look) {
         AgreedState state = consensus.state();
-        byte[] content = state.kept(look.name(), look.generation())
+        byte[] content = state.findGeneration(look.name(), look.generation())
                 .map(AgreedState.Generation::content)
                 .orElse(new byte[0]);
-        List<AgreementMessage.Line> lines = state.named(look.name()).stream()
-                .flatMap(named -> named.history().stream().map(kept -> line(named, kept)))
+        List<AgreementMessage.HistoryEntry> lines = state.find(look.name()).stream()
+                .flatMap(named -> named.history().stream().map(kept -> historyEntry(named, kept)))
                 .toList();
-        return new AgreementMessage.Looked(look.life(), look.number(), lines, content);
+        return new AgreementMessage.HistoryResponse(look.incarnation(), look.requestNumber(), lines, content);
     }
 
-    private static AgreementMessage.Line line(AgreedState.Named named, AgreedState.Generation kept) {
-        String outcome = kept.came().name().toLowerCase(Locale.ROOT);
-        boolean inForce = kept.generation() == named.word().inForce();
-        return new AgreementMessage.Line(
-                kept.generation(), kept.by(), kept.content().length, outcome + (inForce ? ", now" : ""));
+    private static AgreementMessage.HistoryEntry historyEntry(
+            AgreedState.NamedValue named, AgreedState.Generation kept) {
+        String outcome = kept.outcome().name().toLowerCase(Locale.ROOT);
+        boolean inForce = kept.generation() == named.decided().inForce();
+        return new AgreementMessage.HistoryEntry(
+                kept.generation(), kept.proposer(), kept.content().length, outcome + (inForce ? ", now" : ""));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -25,13 +25,13 @@
     private final Map<String, Predicate<byte[]>> validators = new ConcurrentHashMap<>();
     private final List<Consumer<String>> valueListeners = new CopyOnWriteArrayList<>();
     private volatile LeaseView view;
-    private double answeredMs = Double.NEGATIVE_INFINITY;
+    private double lastResponseMs = Double.NEGATIVE_INFINITY;
     private String followedGroup = "";
     private String believedLeader = "";
     private long lastLeaderTerm;
     private int failedRequests;
     private double nextRequestMs;
-    private boolean awaitingAnswer;
+    private boolean awaitingResponse;
 
     /** A client that has asked for nothing yet; the listener runs after each change of the view. */
     LeaseClient(MemberContext context, RaftConsensus consensus, Runnable viewListener) {
@@ -41,7 +41,7 @@
         this.schedule = new RenewalSchedule(
                 context.settings().leaseTerms(),
                 new SplittableRandom(context.settings().seed()));
-        this.view = LeaseView.start(context.processLife());
+        this.view = LeaseView.start(context.incarnation());
     }
 
     void addValidator(String name, Predicate<byte[]> validator) {
@@ -58,8 +58,8 @@
     }
 
     /** When the leader last answered, in milliseconds; negative infinity if never. */
-    double answeredMs() {
-        return answeredMs;
+    double lastResponseMs() {
+        return lastResponseMs;
     }
 
     /** The Raft group that this member has acted by; empty if none. */
@@ -73,7 +73,7 @@
     }
 
     /** Whom to ask: the leader as far as known, else one voter after another. */
-    String target() {
+    String requestTarget() {
         String leader = consensus.leader();
         if (!leader.isEmpty()) {
             return leader;
@@ -94,9 +94,9 @@
         if (nowMs < nextRequestMs) {
             return;
         }
-        if (awaitingAnswer) {
+        if (awaitingResponse) {
             // The last request was not answered: its target may be gone.
-            awaitingAnswer = false;
+            awaitingResponse = false;
             believedLeader = "";
             failedRequests++;
             nextRequestMs = schedule.nextAfterFailureMs(nowMs);
@@ -104,13 +104,13 @@
         }
         view = view.startRequest(nowMs);
         schedule.onRequestSent(nowMs);
-        awaitingAnswer = true;
+        awaitingResponse = true;
         nextRequestMs = nowMs + schedule.responseTimeoutMs();
-        context.send(target(), view.question());
+        context.send(requestTarget(), view.renewalRequest());
     }
 
     /** Takes the leader's grant; one of another Raft group raises the alarm. */
-    void onAnswer(String peer, AgreementMessage.Answer answer) {
+    void onRenewalResponse(String peer, AgreementMessage.RenewalResponse answer) {
         if (!followedGroup.isEmpty() && !followedGroup.equals(answer.groupId())) {
             context.counters().foreign.increment();
             context.alarm()
@@ -119,36 +119,38 @@
             return;
         }
         LeaseView before = view;
-        LeaseView next = before.onAnswer(answer, this::isUsable);
+        LeaseView next = before.onRenewalResponse(answer, this::isValid);
         if (next == before) {
             return;
         }
         followedGroup = answer.groupId();
         believedLeader = peer;
         view = next;
-        answeredMs = context.nowMs();
-        List<String> changedNames = answer.told().stream()
-                .map(AgreementMessage.Told::name)
-                .filter(name -> next.word(name).version() > before.word(name).version())
+        lastResponseMs = context.nowMs();
+        List<String> changedNames = answer.updates().stream()
+                .map(AgreementMessage.NameUpdate::name)
+                .filter(name ->
+                        next.decided(name).version() > before.decided(name).version())
                 .toList();
-        double requestMs = schedule.nextAfterGrantMs(answeredMs, !changedNames.isEmpty());
+        double requestMs = schedule.nextAfterGrantMs(lastResponseMs, !changedNames.isEmpty());
         // A hint may have come while the request was on its way: it stays.
-        nextRequestMs = awaitingAnswer ? requestMs : Math.min(nextRequestMs, requestMs);
-        awaitingAnswer = false;
+        nextRequestMs = awaitingResponse ? requestMs : Math.min(nextRequestMs, requestMs);
+        awaitingResponse = false;
         viewListener.run();
-        changedNames.forEach(name -> publishChange(next, name));
+        changedNames.forEach(name -> notifyChanged(next, name));
     }
 
-    private void publishChange(LeaseView current, String name) {
-        if (current.refused(name) != 0) {
-            context.alarm().raise("generation " + current.refused(name) + " of " + name + " can't be used here");
+    private void notifyChanged(LeaseView current, String name) {
+        if (current.rejectedGeneration(name) != 0) {
+            context.alarm()
+                    .raise("generation " + current.rejectedGeneration(name) + " of " + name + " can't be used here");
         }
-        valueListeners.forEach(
-                listener -> context.thread().safely(() -> listener.accept(name)).run());
+        valueListeners.forEach(listener ->
+                context.thread().logFailures(() -> listener.accept(name)).run());
     }
 
     /** Whether this member can use a content under a name; any thread. */
-    boolean isUsable(String name, byte[] content) {
+    boolean isValid(String name, byte[] content) {
         try {
             return validators.getOrDefault(name, any -> true).test(content);
         } catch (RuntimeException e) {
@@ -165,14 +167,14 @@
         lastLeaderTerm = hint.leaderTerm();
         believedLeader = peer;
         double requestMs = schedule.nextAfterHintMs(context.nowMs());
-        if (!awaitingAnswer || requestMs < nextRequestMs) {
-            awaitingAnswer = false;
+        if (!awaitingResponse || requestMs < nextRequestMs) {
+            awaitingResponse = false;
             nextRequestMs = requestMs;
         }
     }
 
     /** The member asked does not lead: asks the one that it names, or the next voter. */
-    void onElsewhere(String peer, AgreementMessage.Elsewhere redirect) {
+    void onNotLeader(String peer, AgreementMessage.NotLeader redirect) {
         String leader = redirect.leader();
         if (!leader.isEmpty()
                 && context.links().peers().stream().anyMatch(p -> p.name().equals(leader))) {
@@ -181,8 +183,8 @@
             believedLeader = "";
             failedRequests++;
         }
-        if (awaitingAnswer) {
-            awaitingAnswer = false;
+        if (awaitingResponse) {
+            awaitingResponse = false;
             nextRequestMs = schedule.nextAfterHintMs(context.nowMs());
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -19,16 +19,16 @@
  */
 final class LeaseView {
     /** A name's holder with the contents that it knows. */
-    private record Known(LeaseHolder holder, Map<Long, Value> values) {}
+    private record NameLease(LeaseHolder holder, Map<Long, Value> values) {}
 
     /** Asks as all holders do; the holder of a name that was not heard of before. */
-    private final LeaseHolder fresh;
+    private final LeaseHolder unnamedHolder;
 
-    private final Map<String, Known> names;
+    private final Map<String, NameLease> names;
     private final double leaseUntilMs;
 
-    private LeaseView(LeaseHolder fresh, Map<String, Known> names, double leaseUntilMs) {
-        this.fresh = fresh;
+    private LeaseView(LeaseHolder fresh, Map<String, NameLease> names, double leaseUntilMs) {
+        this.unnamedHolder = fresh;
         this.names = names;
         this.leaseUntilMs = leaseUntilMs;
     }
@@ -40,19 +40,20 @@
 
     /** A request for the lease leaves now. */
     LeaseView startRequest(double nowMs) {
-        Map<String, Known> next = new TreeMap<>();
-        names.forEach((n, k) -> next.put(n, new Known(k.holder().sendRequest(nowMs), k.values())));
-        return new LeaseView(fresh.sendRequest(nowMs), next, leaseUntilMs);
+        Map<String, NameLease> next = new TreeMap<>();
+        names.forEach((n, k) -> next.put(n, new NameLease(k.holder().sendRequest(nowMs), k.values())));
+        return new LeaseView(unnamedHolder.sendRequest(nowMs), next, leaseUntilMs);
     }
 
-    AgreementMessage.Question question() {
-        List<AgreementMessage.Heard> heard = new ArrayList<>();
-        names.forEach((n, k) -> heard.add(new AgreementMessage.Heard(
+    AgreementMessage.RenewalRequest renewalRequest() {
+        List<AgreementMessage.NameState> heard = new ArrayList<>();
+        names.forEach((n, k) -> heard.add(new AgreementMessage.NameState(
                 n,
                 k.holder().decided().version(),
                 k.holder().rejectedGeneration(),
                 List.copyOf(k.values().keySet()))));
-        return new AgreementMessage.Question(fresh.incarnation(), fresh.lastRequestNumber(), heard);
+        return new AgreementMessage.RenewalRequest(
+                unnamedHolder.incarnation(), unnamedHolder.lastRequestNumber(), heard);
     }
 
     /**
@@ -60,46 +61,52 @@
      *
      * @param usable whether this member can use a content under a name
      */
-    LeaseView onAnswer(AgreementMessage.Answer a, BiPredicate<String, byte[]> usable) {
-        if (a.life() != fresh.incarnation() || a.number() != fresh.lastRequestNumber()) {
+    LeaseView onRenewalResponse(AgreementMessage.RenewalResponse a, BiPredicate<String, byte[]> usable) {
+        if (a.incarnation() != unnamedHolder.incarnation() || a.requestNumber() != unnamedHolder.lastRequestNumber()) {
             return this;
         }
-        Map<String, Known> next = new TreeMap<>(names);
-        for (AgreementMessage.Told t : a.told()) {
-            Known before = names.getOrDefault(t.name(), new Known(fresh, Map.of()));
-            LeaseHolder told = before.holder().onGrant(new LeaseGrant(a.life(), a.number(), t.word(), a.leaseMs()));
+        Map<String, NameLease> next = new TreeMap<>(names);
+        for (AgreementMessage.NameUpdate t : a.updates()) {
+            NameLease before = names.getOrDefault(t.name(), new NameLease(unnamedHolder, Map.of()));
+            LeaseHolder told = before.holder()
+                    .onGrant(new LeaseGrant(a.incarnation(), a.requestNumber(), t.decided(), a.leaseMs()));
             if (told == before.holder()) {
                 continue;
             }
             Map<Long, Value> values = new TreeMap<>();
             DecidedVersion w = told.decided();
-            before.values().forEach((g, v) -> keep(values, w, v));
-            t.items().forEach(i -> keep(values, w, new Value(t.name(), i.generation(), i.content(), i.by())));
-            long refused =
-                    !can(w.staged(), values, usable) ? w.staged() : !can(w.inForce(), values, usable) ? w.inForce() : 0;
-            next.put(t.name(), new Known(told.rejectGeneration(refused), values));
+            before.values().forEach((g, v) -> putIfDecided(values, w, v));
+            t.contents()
+                    .forEach(i ->
+                            putIfDecided(values, w, new Value(t.name(), i.generation(), i.content(), i.proposer())));
+            long refused = !isUsable(w.staged(), values, usable)
+                    ? w.staged()
+                    : !isUsable(w.inForce(), values, usable) ? w.inForce() : 0;
+            next.put(t.name(), new NameLease(told.rejectGeneration(refused), values));
         }
         return new LeaseView(
-                fresh, next, a.whole() ? Math.max(leaseUntilMs, fresh.lastRequestAtMs() + a.leaseMs()) : leaseUntilMs);
+                unnamedHolder,
+                next,
+                a.complete() ? Math.max(leaseUntilMs, unnamedHolder.lastRequestAtMs() + a.leaseMs()) : leaseUntilMs);
     }
 
-    private static void keep(Map<Long, Value> values, DecidedVersion w, Value v) {
+    private static void putIfDecided(Map<Long, Value> values, DecidedVersion w, Value v) {
         if (v.generation() == w.inForce() || v.generation() == w.staged()) {
             values.put(v.generation(), v);
         }
     }
 
-    private static boolean can(long generation, Map<Long, Value> values, BiPredicate<String, byte[]> usable) {
+    private static boolean isUsable(long generation, Map<Long, Value> values, BiPredicate<String, byte[]> usable) {
         Value v = values.get(generation);
         return generation == 0 || v != null && usable.test(v.name(), v.content());
     }
 
     EffectiveVersions effectiveVersions(String name, double nowMs) {
-        Known k = names.get(name);
+        NameLease k = names.get(name);
         return k == null ? EffectiveVersions.IN_DOUBT : k.holder().effectiveVersions(nowMs);
     }
 
-    Optional<EffectiveValues> acting(String name, double nowMs) {
+    Optional<EffectiveValues> effectiveValues(String name, double nowMs) {
         EffectiveVersions a = effectiveVersions(name, nowMs);
         if (a.inDoubt()) {
             return Optional.empty();
@@ -109,17 +116,17 @@
     }
 
     /** The last value that was in force as far as it was told. */
-    Optional<Value> known(String name) {
+    Optional<Value> lastKnown(String name) {
         return Optional.ofNullable(names.get(name))
                 .map(k -> k.values().get(k.holder().decided().inForce()));
     }
 
-    DecidedVersion word(String name) {
+    DecidedVersion decided(String name) {
         return names.containsKey(name) ? names.get(name).holder().decided() : DecidedVersion.NONE;
     }
 
     /** The generation of this name that it can't use; 0 if none. */
-    long refused(String name) {
+    long rejectedGeneration(String name) {
         return names.containsKey(name) ? names.get(name).holder().rejectedGeneration() : 0;
     }
 
@@ -133,7 +140,7 @@
     }
 
     /** The number of its last question. */
-    long asked() {
-        return fresh.lastRequestNumber();
+    long lastRequestNumber() {
+        return unnamedHolder.lastRequestNumber();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LogCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LogCommand.java
@@ -11,7 +11,7 @@
     @JsonSubTypes.Type(value = LogCommand.Stage.class, name = "stage"),
     @JsonSubTypes.Type(value = LogCommand.Activate.class, name = "activate"),
     @JsonSubTypes.Type(value = LogCommand.Abandon.class, name = "abandon"),
-    @JsonSubTypes.Type(value = LogCommand.Take.class, name = "take"),
+    @JsonSubTypes.Type(value = LogCommand.GrantRole.class, name = "take"),
 })
 sealed interface LogCommand {
     /**
@@ -23,8 +23,9 @@
      */
     record BeginTerm(
             @JsonProperty("leader") String leader,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number) implements LogCommand {}
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long termNumber)
+            implements LogCommand {}
 
     /**
      * A proposal; repeated ones of the same proposer, life and number count once.
@@ -33,11 +34,11 @@
      */
     record Stage(
             @JsonProperty("name") String name,
-            @JsonProperty("expected") long expected,
+            @JsonProperty("expected") long expectedGeneration,
             @JsonProperty("content") byte[] content,
-            @JsonProperty("by") String by,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number)
+            @JsonProperty("by") String proposer,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber)
             implements LogCommand {}
 
     /**
@@ -57,7 +58,7 @@
             @JsonProperty("name") String name,
             @JsonProperty("version") long version,
             @JsonProperty("reign") long leaderTerm,
-            @JsonProperty("by") String by)
+            @JsonProperty("by") String rejectedBy)
             implements LogCommand {}
 
     /**
@@ -66,12 +67,12 @@
      * @param forMs the lease, milliseconds
      * @param token the token that the leader found there
      */
-    record Take(
+    record GrantRole(
             @JsonProperty("role") String role,
             @JsonProperty("holder") String holder,
-            @JsonProperty("life") long life,
-            @JsonProperty("forMs") double forMs,
-            @JsonProperty("token") long token,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("forMs") double leaseMs,
+            @JsonProperty("token") long previousToken,
             @JsonProperty("reign") long leaderTerm)
             implements LogCommand {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberContext.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberContext.java
@@ -18,7 +18,7 @@
  */
 record MemberContext(
         String name,
-        long processLife,
+        long incarnation,
         Clock clock,
         AgreedSettings settings,
         PeerLinks links,
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
@@ -11,10 +11,10 @@
 /** The one thread on which a member's part of the agreement runs, the Raft library's part too. */
 final class MemberThread implements RaftNodeExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(MemberThread.class);
-    private static final long END_S = 2;
+    private static final long SHUTDOWN_TIMEOUT_S = 2;
 
     private final String member;
-    private final double speed;
+    private final double raftClockRate;
     private final LongAdder dropped;
     private final ScheduledThreadPoolExecutor pool;
 
@@ -27,7 +27,7 @@
      */
     MemberThread(String member, double speed, LongAdder dropped) {
         this.member = member;
-        this.speed = speed;
+        this.raftClockRate = speed;
         this.dropped = dropped;
         pool = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreed-" + member);
@@ -38,7 +38,7 @@
     }
 
     /** Guards the thread: a fault in one event is logged and ends that event only. */
-    Runnable safely(Runnable event) {
+    Runnable logFailures(Runnable event) {
         return () -> {
             try {
                 event.run();
@@ -52,7 +52,7 @@
     @Override
     public void execute(Runnable event) {
         try {
-            pool.execute(safely(event));
+            pool.execute(logFailures(event));
         } catch (RejectedExecutionException e) {
             // It is closed: nothing is owed any more.
             dropped.increment();
@@ -60,12 +60,12 @@
     }
 
     /** Runs an event again and again, so many milliseconds after it has ended. */
-    void every(long ms, Runnable event) {
-        pool.scheduleWithFixedDelay(safely(event), 0, ms, TimeUnit.MILLISECONDS);
+    void scheduleRepeatedly(long ms, Runnable event) {
+        pool.scheduleWithFixedDelay(logFailures(event), 0, ms, TimeUnit.MILLISECONDS);
     }
 
     /** Whether the thread has ended: nothing is run any more. */
-    boolean isEnded() {
+    boolean isShutDown() {
         return pool.isShutdown();
     }
 
@@ -75,10 +75,10 @@
     }
 
     /** Ends at once: nothing that waits is done any more. */
-    void end() {
+    void shutDown() {
         pool.shutdownNow();
         try {
-            pool.awaitTermination(END_S, TimeUnit.SECONDS);
+            pool.awaitTermination(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -92,7 +92,7 @@
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
-            pool.schedule(safely(task), (long) (unit.toNanos(delay) / speed), TimeUnit.NANOSECONDS);
+            pool.schedule(logFailures(task), (long) (unit.toNanos(delay) / raftClockRate), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             dropped.increment();
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
@@ -17,8 +17,8 @@
     private static final class Request {
         private final AgreementMessage message;
         private final double untilMs;
-        private final Consumer<AgreementMessage> answered;
-        private final Runnable timedOut;
+        private final Consumer<AgreementMessage> onResponse;
+        private final Runnable onTimeout;
         private double sentMs;
 
         Request(
@@ -30,14 +30,14 @@
             this.message = message;
             this.sentMs = sentMs;
             this.untilMs = untilMs;
-            this.answered = answered;
-            this.timedOut = timedOut;
+            this.onResponse = answered;
+            this.onTimeout = timedOut;
         }
     }
 
     private final Consumer<AgreementMessage> sender;
     private final Map<Long, Request> requests = new TreeMap<>();
-    private long numbers;
+    private long lastNumber;
 
     /** Sends by this, to whoever leads. */
     PendingRequests(Consumer<AgreementMessage> sender) {
@@ -55,16 +55,16 @@
             timedOut.run();
             return;
         }
-        long number = ++numbers;
+        long number = ++lastNumber;
         Request request = new Request(message.apply(number), nowMs, untilMs, answered, timedOut);
         requests.put(number, request);
         sender.accept(request.message);
     }
 
-    void answered(long number, AgreementMessage answer) {
+    void complete(long number, AgreementMessage answer) {
         Request request = requests.remove(number);
         if (request != null) {
-            request.answered.accept(answer);
+            request.onResponse.accept(answer);
         }
     }
 
@@ -74,7 +74,7 @@
             Request request = all.next();
             if (nowMs >= request.untilMs) {
                 all.remove();
-                request.timedOut.run();
+                request.onTimeout.run();
             } else if (nowMs >= request.sentMs + RESEND_MS) {
                 request.sentMs = nowMs;
                 sender.accept(request.message);
@@ -83,8 +83,8 @@
     }
 
     /** All are over. */
-    void end() {
-        requests.values().forEach(request -> request.timedOut.run());
+    void timeOutAll() {
+        requests.values().forEach(request -> request.onTimeout.run());
         requests.clear();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
@@ -19,7 +19,7 @@
     private final MemberContext context;
     private final RaftConsensus consensus;
     private final List<Waiter> waiters = new ArrayList<>();
-    private final Set<Waiter> staging = new HashSet<>();
+    private final Set<Waiter> inFlight = new HashSet<>();
 
     ProposalService(MemberContext context, RaftConsensus consensus) {
         this.context = context;
@@ -33,16 +33,16 @@
 
     void reset() {
         waiters.clear();
-        staging.clear();
+        inFlight.clear();
     }
 
     /** Stages a proposal, unless it is on its way already or breaks a bound; only while this member leads. */
-    void onPropose(String peer, AgreementMessage.Propose proposal) {
-        Waiter waiter = new Waiter(peer, proposal.name(), proposal.life(), proposal.number());
-        if (staging.contains(waiter)
-                || staging.size() >= RaftConsensus.MAX_PENDING_ENTRIES
-                || proposal.name().length() > AgreedState.MAX_NAME
-                || proposal.content().length > AgreedState.MAX_CONTENT) {
+    void onProposeRequest(String peer, AgreementMessage.ProposeRequest proposal) {
+        Waiter waiter = new Waiter(peer, proposal.name(), proposal.incarnation(), proposal.requestNumber());
+        if (inFlight.contains(waiter)
+                || inFlight.size() >= RaftConsensus.MAX_PENDING_ENTRIES
+                || proposal.name().length() > AgreedState.MAX_NAME_LENGTH
+                || proposal.content().length > AgreedState.MAX_CONTENT_BYTES) {
             return;
         }
         if (!waiters.contains(waiter) && waiters.size() < MAX_WAITERS) {
@@ -50,14 +50,19 @@
         }
         if (consensus
                 .state()
-                .proposed(proposal.name(), peer, proposal.life(), proposal.number())
+                .findProposal(proposal.name(), peer, proposal.incarnation(), proposal.requestNumber())
                 .isPresent()) {
             sendOutcomes(proposal.name());
             return;
         }
-        staging.add(waiter);
+        inFlight.add(waiter);
         LogCommand.Stage command = new LogCommand.Stage(
-                proposal.name(), proposal.expected(), proposal.content(), peer, proposal.life(), proposal.number());
+                proposal.name(),
+                proposal.expectedGeneration(),
+                proposal.content(),
+                peer,
+                proposal.incarnation(),
+                proposal.requestNumber());
         consensus
                 .replicate(command)
                 .whenComplete((result, failure) ->
@@ -65,10 +70,11 @@
     }
 
     private void onStaged(Waiter waiter, AgreedState.Result result) {
-        staging.remove(waiter);
+        inFlight.remove(waiter);
         rejection(result).ifPresent(verdict -> {
             waiters.remove(waiter);
-            context.send(waiter.peer(), new AgreementMessage.Outcome(waiter.life(), waiter.number(), verdict, 0));
+            context.send(
+                    waiter.peer(), new AgreementMessage.ProposeResponse(waiter.life(), waiter.number(), verdict, 0));
         });
     }
 
@@ -90,15 +96,15 @@
         for (Iterator<Waiter> all = waiters.iterator(); all.hasNext(); ) {
             Waiter waiter = all.next();
             Optional<AgreedState.Generation> kept = waiter.name().equals(name)
-                    ? consensus.state().proposed(name, waiter.peer(), waiter.life(), waiter.number())
+                    ? consensus.state().findProposal(name, waiter.peer(), waiter.life(), waiter.number())
                     : Optional.empty();
-            if (kept.isPresent() && kept.get().came() != AgreedState.Outcome.STAGED) {
+            if (kept.isPresent() && kept.get().outcome() != AgreedState.Outcome.STAGED) {
                 all.remove();
                 Verdict verdict =
-                        kept.get().came() == AgreedState.Outcome.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
+                        kept.get().outcome() == AgreedState.Outcome.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
                 context.send(
                         waiter.peer(),
-                        new AgreementMessage.Outcome(
+                        new AgreementMessage.ProposeResponse(
                                 waiter.life(),
                                 waiter.number(),
                                 verdict,
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftConsensus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftConsensus.java
@@ -37,7 +37,7 @@
     private final MemberContext context;
     private final AgreedState state = new AgreedState();
     private AppliedListener listener;
-    private RaftNode raft;
+    private RaftNode raftNode;
     private LeaderLeases leases;
     private String groupId = "";
     private long leaderTermNumber;
@@ -61,12 +61,12 @@
         return leases;
     }
 
-    boolean leads() {
+    boolean isLeader() {
         return leases != null;
     }
 
     boolean isStarted() {
-        return raft != null;
+        return raftNode != null;
     }
 
     /** The Raft group that this member takes part in; empty before the first start. */
@@ -76,7 +76,7 @@
 
     /** Starts the library's node with what the store has, or with the bootstrap voters if it has nothing. */
     void start(VoterStore store, VoterEndpoint self, List<String> bootstrapVoters) {
-        groupId = VoterAdmission.id(bootstrapVoters);
+        groupId = VoterAdmission.groupId(bootstrapVoters);
         List<RaftEndpoint> initialMembers = new ArrayList<>();
         bootstrapVoters.forEach(voter -> initialMembers.add(VoterEndpoint.parse(voter)));
         AgreedSettings settings = context.settings();
@@ -90,11 +90,11 @@
                 .setRandom(new Random(settings.seed()))
                 .setClock(new HeartbeatClock(context.clock(), MILLIS_PER_SECOND / settings.heartbeatMs()))
                 .setRaftNodeReportListener(report -> {});
-        raft = (store.restored().isPresent()
+        raftNode = (store.restored().isPresent()
                         ? builder.setRestoredState(store.restored().get())
                         : builder.setLocalEndpoint(self).setInitialGroupMembers(initialMembers))
                 .build();
-        raft.start();
+        raftNode.start();
     }
 
     private RaftConfig config(AgreedSettings settings) {
@@ -105,7 +105,7 @@
                 .setLeaderElectionTimeoutMillis((long) (MILLIS_PER_SECOND * electionHeartbeats))
                 .setLeaderHeartbeatPeriodSecs(1)
                 .setLeaderHeartbeatTimeoutSecs(settings.leaderTimeoutHeartbeats())
-                .setAppendEntriesRequestBatchSize(AgreementCodec.BATCH)
+                .setAppendEntriesRequestBatchSize(AgreementCodec.MAX_BATCH_ENTRIES)
                 .setCommitCountToTakeSnapshot(SNAPSHOT_ENTRIES)
                 .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
                 .setTransferSnapshotsFromFollowersEnabled(false)
@@ -113,20 +113,20 @@
     }
 
     /** Forgets a node that has stopped with its disk, and all that it had applied. */
-    void discard() {
-        raft = null;
+    void discardNode() {
+        raftNode = null;
         leases = null;
-        state.restore(new AgreedState().image());
+        state.restore(new AgreedState().snapshot());
     }
 
     /** Ends the library's node. */
     CompletableFuture<?> terminate() {
-        return raft.terminate();
+        return raftNode.terminate();
     }
 
     /** Hands over a message of another voter; one of another Raft group raises the alarm. */
     void onMessage(String peer, RaftMessage message) {
-        if (raft == null || !((VoterEndpoint) message.getSender()).name().equals(peer)) {
+        if (raftNode == null || !((VoterEndpoint) message.getSender()).name().equals(peer)) {
             return;
         }
         if (!message.getGroupId().equals(groupId)) {
@@ -135,23 +135,26 @@
                     .raise(peer + " follows another founding, " + message.getGroupId() + "; here it is " + groupId);
             return;
         }
-        raft.handle(message);
+        raftNode.handle(message);
     }
 
     /** Appends an entry to the log; only while this member leads. */
     CompletableFuture<Ordered<AgreedState.Result>> replicate(LogCommand command) {
-        return raft.replicate(command);
+        return raftNode.replicate(command);
     }
 
     /** Runs this once a majority has confirmed, from now on, that it follows this member. */
     CompletableFuture<Ordered<Object>> readLinearizable(Runnable read) {
-        return raft.query(
-                new AgreedStateMachine.Read(read), QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty());
+        return raftNode.query(
+                new AgreedStateMachine.LinearizableRead(read),
+                QueryPolicy.LINEARIZABLE,
+                Optional.empty(),
+                Optional.empty());
     }
 
     void takeSnapshot() {
-        if (raft != null) {
-            raft.takeSnapshot();
+        if (raftNode != null) {
+            raftNode.takeSnapshot();
         }
     }
 
@@ -179,7 +182,7 @@
         if (leases != null) {
             return context.name();
         }
-        RaftEndpoint leader = raft == null ? null : raft.getTerm().getLeaderEndpoint();
+        RaftEndpoint leader = raftNode == null ? null : raftNode.getTerm().getLeaderEndpoint();
         return leader == null ? "" : ((VoterEndpoint) leader).name();
     }
 
@@ -189,24 +192,24 @@
      * @return whether a pre-vote was started
      */
     boolean replaceStalePreVote() {
-        return StalePreVote.replace(raft);
+        return StalePreVote.replace(raftNode);
     }
 
     /** The library's term. */
     int raftTerm() {
-        return raft.getTerm().getTerm();
+        return raftNode.getTerm().getTerm();
     }
 
     RaftGroupMembers committedMembers() {
-        return raft.getCommittedMembers();
+        return raftNode.getCommittedMembers();
     }
 
     /**
      * Lets a voter with a new disk take its old one's place: the old one is removed, the new one becomes a learner and
      * then a voter. Each call makes one change of members at most.
      */
-    void admitReplacement(String peer, AgreementMessage.Join request) {
-        RaftGroupMembers members = raft.getCommittedMembers();
+    void admitReplacement(String peer, AgreementMessage.JoinRequest request) {
+        RaftGroupMembers members = raftNode.getCommittedMembers();
         VoterEndpoint replacement;
         try {
             replacement = VoterEndpoint.parse(request.endpoint());
@@ -216,7 +219,7 @@
         }
         if (!replacement.name().equals(peer)
                 || !context.settings().voters().contains(peer)
-                || raft.getEffectiveMembers().getLogIndex() != members.getLogIndex()) {
+                || raftNode.getEffectiveMembers().getLogIndex() != members.getLogIndex()) {
             return;
         }
         Optional<RaftEndpoint> replaced = members.getMembers().stream()
@@ -232,7 +235,7 @@
     }
 
     private void promoteOnceCaughtUp(VoterEndpoint learner, RaftGroupMembers members) {
-        raft.getReport()
+        raftNode.getReport()
                 .whenComplete((report, failure) -> context.execute(() -> {
                     if (report == null || leases == null) {
                         return;
@@ -246,7 +249,7 @@
     }
 
     private void changeMembers(RaftEndpoint member, MembershipChangeMode mode, RaftGroupMembers members) {
-        raft.changeMembership(member, mode, members.getLogIndex())
+        raftNode.changeMembership(member, mode, members.getLogIndex())
                 .whenComplete((result, failure) -> LOG.info(
                         "agreement at {}: {} {}: {}",
                         context.name(),
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftLogTrees.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftLogTrees.java
@@ -44,13 +44,13 @@
 
     private static Object operation(JsonNode n) throws IOException {
         if (n.has("o")) {
-            return AgreementCodec.read(() -> AgreementCodec.MAPPER.treeToValue(n.get("o"), LogCommand.class));
+            return AgreementCodec.parse(() -> AgreementCodec.MAPPER.treeToValue(n.get("o"), LogCommand.class));
         }
         if (n.has("b")) {
-            return AgreementCodec.read(() -> n.get("b").binaryValue());
+            return AgreementCodec.parse(() -> n.get("b").binaryValue());
         }
         JsonNode m = JsonFields.required(n, "m");
-        return AgreementCodec.MODEL
+        return AgreementCodec.MODEL_FACTORY
                 .createUpdateRaftGroupMembersOpBuilder()
                 .setEndpoint(JsonFields.endpoint(m, "e"))
                 .setMode(MembershipChangeMode.valueOf(JsonFields.text(m, "y")))
@@ -61,7 +61,7 @@
 
     /** A log entry. */
     static LogEntry logEntry(JsonNode n) throws IOException {
-        return AgreementCodec.MODEL
+        return AgreementCodec.MODEL_FACTORY
                 .createLogEntryBuilder()
                 .setIndex(JsonFields.longValue(n, "i"))
                 .setTerm(JsonFields.intValue(n, "t"))
@@ -71,7 +71,7 @@
 
     /** A chunk of a snapshot. */
     static SnapshotChunk snapshotChunk(JsonNode n) throws IOException {
-        return AgreementCodec.MODEL
+        return AgreementCodec.MODEL_FACTORY
                 .createSnapshotChunkBuilder()
                 .setIndex(JsonFields.longValue(n, "i"))
                 .setTerm(JsonFields.intValue(n, "t"))
@@ -92,7 +92,7 @@
 
     /** A group's members. */
     static RaftGroupMembersView view(JsonNode n) throws IOException {
-        return AgreementCodec.MODEL
+        return AgreementCodec.MODEL_FACTORY
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(JsonFields.longValue(n, "i"))
                 .setMembers(JsonFields.endpoints(n, "all"))
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftMessageTrees.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftMessageTrees.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.agreed;
 
 import static brackenbridge.fleet.agreed.AgreementCodec.MAPPER;
-import static brackenbridge.fleet.agreed.AgreementCodec.MODEL;
+import static brackenbridge.fleet.agreed.AgreementCodec.MODEL_FACTORY;
 import static brackenbridge.fleet.agreed.JsonFields.endpoint;
 import static brackenbridge.fleet.agreed.JsonFields.endpoints;
 import static brackenbridge.fleet.agreed.JsonFields.intValue;
@@ -138,7 +138,8 @@
         for (JsonNode entry : required(tree, "e")) {
             entries.add(RaftLogTrees.logEntry(entry));
         }
-        return MODEL.createAppendEntriesRequestBuilder()
+        return MODEL_FACTORY
+                .createAppendEntriesRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -152,7 +153,8 @@
     }
 
     private static RaftMessage appendSuccess(Header header, JsonNode tree) throws IOException {
-        return MODEL.createAppendEntriesSuccessResponseBuilder()
+        return MODEL_FACTORY
+                .createAppendEntriesSuccessResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -163,7 +165,8 @@
     }
 
     private static RaftMessage appendFailure(Header header, JsonNode tree) throws IOException {
-        return MODEL.createAppendEntriesFailureResponseBuilder()
+        return MODEL_FACTORY
+                .createAppendEntriesFailureResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -174,7 +177,8 @@
     }
 
     private static RaftMessage install(Header header, JsonNode tree) throws IOException {
-        return MODEL.createInstallSnapshotRequestBuilder()
+        return MODEL_FACTORY
+                .createInstallSnapshotRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -191,7 +195,8 @@
     }
 
     private static RaftMessage installResponse(Header header, JsonNode tree) throws IOException {
-        return MODEL.createInstallSnapshotResponseBuilder()
+        return MODEL_FACTORY
+                .createInstallSnapshotResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -203,7 +208,8 @@
     }
 
     private static RaftMessage preVote(Header header, JsonNode tree) throws IOException {
-        return MODEL.createPreVoteRequestBuilder()
+        return MODEL_FACTORY
+                .createPreVoteRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -213,7 +219,8 @@
     }
 
     private static RaftMessage preVoteResponse(Header header, JsonNode tree) throws IOException {
-        return MODEL.createPreVoteResponseBuilder()
+        return MODEL_FACTORY
+                .createPreVoteResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -222,7 +229,8 @@
     }
 
     private static RaftMessage vote(Header header, JsonNode tree) throws IOException {
-        return MODEL.createVoteRequestBuilder()
+        return MODEL_FACTORY
+                .createVoteRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -233,7 +241,8 @@
     }
 
     private static RaftMessage voteResponse(Header header, JsonNode tree) throws IOException {
-        return MODEL.createVoteResponseBuilder()
+        return MODEL_FACTORY
+                .createVoteResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -242,7 +251,8 @@
     }
 
     private static RaftMessage triggerElection(Header header, JsonNode tree) throws IOException {
-        return MODEL.createTriggerLeaderElectionRequestBuilder()
+        return MODEL_FACTORY
+                .createTriggerLeaderElectionRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftStateLoader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftStateLoader.java
@@ -36,36 +36,37 @@
             SnapshotEntry snapshot = latestSnapshot();
             List<LogEntry> entries = entriesFrom(snapshot == null ? 1 : snapshot.getIndex() + 1);
             return new RestoredRaftState(
-                    AgreementCodec.self(value("endpoint")),
-                    AgreementCodec.members(value("initial")),
-                    AgreementCodec.term(value("term")),
+                    AgreementCodec.endpointState(value("endpoint")),
+                    AgreementCodec.groupMembers(value("initial")),
+                    AgreementCodec.termState(value("term")),
                     snapshot,
                     entries);
-        } catch (VoterStore.Damaged e) {
+        } catch (VoterStore.DamagedDiskException e) {
             throw e;
         } catch (IOException e) {
-            throw new VoterStore.Damaged(e.getMessage(), e);
+            throw new VoterStore.DamagedDiskException(e.getMessage(), e);
         }
     }
 
     private byte[] value(String key) throws IOException {
-        return StoreChecksums.unsealed(key, meta.get(key));
+        return StoreChecksums.verifiedValue(key, meta.get(key));
     }
 
     private List<LogEntry> entriesFrom(long firstIndex) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
         long next = firstIndex;
         for (Map.Entry<Long, byte[]> stored : log.entrySet()) {
-            LogEntry entry =
-                    AgreementCodec.entry(StoreChecksums.unsealed(stored.getKey().toString(), stored.getValue()));
+            LogEntry entry = AgreementCodec.logEntry(
+                    StoreChecksums.verifiedValue(stored.getKey().toString(), stored.getValue()));
             if (entry.getIndex() != stored.getKey()) {
-                throw new VoterStore.Damaged("entry " + entry.getIndex() + " in place " + stored.getKey(), null);
+                throw new VoterStore.DamagedDiskException(
+                        "entry " + entry.getIndex() + " in place " + stored.getKey(), null);
             }
             if (entry.getIndex() < next && entries.isEmpty()) {
                 continue;
             }
             if (entry.getIndex() != next) {
-                throw new VoterStore.Damaged("entry " + entry.getIndex() + " after " + (next - 1), null);
+                throw new VoterStore.DamagedDiskException("entry " + entry.getIndex() + " after " + (next - 1), null);
             }
             next++;
             entries.add(entry);
@@ -78,7 +79,8 @@
         List<SnapshotChunk> collected = new ArrayList<>();
         List<SnapshotChunk> complete = List.of();
         for (Map.Entry<String, byte[]> stored : chunks.entrySet()) {
-            SnapshotChunk chunk = AgreementCodec.chunk(StoreChecksums.unsealed(stored.getKey(), stored.getValue()));
+            SnapshotChunk chunk =
+                    AgreementCodec.snapshotChunk(StoreChecksums.verifiedValue(stored.getKey(), stored.getValue()));
             if (!collected.isEmpty() && collected.get(0).getIndex() != chunk.getIndex()) {
                 collected = new ArrayList<>();
             }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -35,7 +35,7 @@
     RequestClient(MemberContext context, LeaseClient leaseClient) {
         this.context = context;
         this.leaseClient = leaseClient;
-        this.pending = new PendingRequests(message -> context.send(leaseClient.target(), message));
+        this.pending = new PendingRequests(message -> context.send(leaseClient.requestTarget(), message));
     }
 
     /** Who holds which role, as far as this member was told; any thread. */
@@ -52,14 +52,14 @@
     /** Ends all requests. */
     void close() {
         closed = true;
-        pending.end();
+        pending.timeOutAll();
         unseenDecisions.forEach(decision -> decision.verdict().complete(Verdict.IN_FORCE));
     }
 
     /** Takes an answer to a request of this process; one to an earlier process is passed over. */
-    void onAnswer(long life, long number, AgreementMessage answer) {
-        if (life == context.processLife()) {
-            pending.answered(number, answer);
+    void onResponse(long life, long number, AgreementMessage answer) {
+        if (life == context.incarnation()) {
+            pending.complete(number, answer);
         }
     }
 
@@ -70,25 +70,25 @@
      */
     CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs) {
         if (name.isEmpty()
-                || name.length() > AgreedState.MAX_NAME
-                || content.length > AgreedState.MAX_CONTENT
+                || name.length() > AgreedState.MAX_NAME_LENGTH
+                || content.length > AgreedState.MAX_CONTENT_BYTES
                 || expected < 0) {
             throw new IllegalArgumentException("name '" + name + "', expected " + expected + ", " + content.length
-                    + " bytes of at most " + AgreedState.MAX_CONTENT);
+                    + " bytes of at most " + AgreedState.MAX_CONTENT_BYTES);
         }
-        if (!leaseClient.isUsable(name, content)) {
+        if (!leaseClient.isValid(name, content)) {
             return CompletableFuture.completedFuture(Verdict.REFUSED);
         }
         CompletableFuture<Verdict> verdict = new CompletableFuture<>();
         request(
                 withinMs,
-                number -> new AgreementMessage.Propose(name, expected, content, context.processLife(), number),
-                answer -> onOutcome(name, (AgreementMessage.Outcome) answer, verdict),
+                number -> new AgreementMessage.ProposeRequest(name, expected, content, context.incarnation(), number),
+                answer -> onOutcome(name, (AgreementMessage.ProposeResponse) answer, verdict),
                 () -> verdict.complete(Verdict.UNKNOWN));
         return verdict;
     }
 
-    private void onOutcome(String name, AgreementMessage.Outcome outcome, CompletableFuture<Verdict> verdict) {
+    private void onOutcome(String name, AgreementMessage.ProposeResponse outcome, CompletableFuture<Verdict> verdict) {
         if (outcome.verdict() != Verdict.IN_FORCE) {
             verdict.complete(outcome.verdict());
             return;
@@ -102,7 +102,7 @@
     void completeSeenDecisions() {
         for (Iterator<UnseenDecision> all = unseenDecisions.iterator(); all.hasNext(); ) {
             UnseenDecision decision = all.next();
-            if (leaseClient.view().word(decision.name()).inForce() >= decision.generation()
+            if (leaseClient.view().decided(decision.name()).inForce() >= decision.generation()
                     || context.nowMs() >= decision.untilMs()) {
                 all.remove();
                 decision.verdict().complete(Verdict.IN_FORCE);
@@ -117,7 +117,7 @@
      */
     CompletableFuture<Lease> claim(String role, double forMs) {
         double maxRoleMs = context.settings().maxRoleLeaseMs();
-        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME || !(forMs > 0) || forMs > maxRoleMs) {
+        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME_LENGTH || !(forMs > 0) || forMs > maxRoleMs) {
             throw new IllegalArgumentException("role '" + role + "' for " + forMs + " ms of at most " + maxRoleMs);
         }
         // The lease counts from here: before the request leaves.
@@ -125,9 +125,9 @@
         CompletableFuture<Lease> lease = new CompletableFuture<>();
         request(
                 Math.max(MIN_CLAIM_MS, Math.min(forMs / 2, MAX_CLAIM_MS)),
-                number -> new AgreementMessage.Claim(role, forMs, context.processLife(), number),
+                number -> new AgreementMessage.ClaimRequest(role, forMs, context.incarnation(), number),
                 answer -> {
-                    Lease granted = roleLease((AgreementMessage.Claimed) answer, requestedMs);
+                    Lease granted = roleLease((AgreementMessage.ClaimResponse) answer, requestedMs);
                     rememberRoleLease(role, granted);
                     lease.complete(granted);
                 },
@@ -135,10 +135,10 @@
         return lease;
     }
 
-    private Lease roleLease(AgreementMessage.Claimed answer, double requestedMs) {
-        boolean granted = answer.holder().equals(context.name()) && answer.forMs() > 0;
+    private Lease roleLease(AgreementMessage.ClaimResponse answer, double requestedMs) {
+        boolean granted = answer.holder().equals(context.name()) && answer.leaseMs() > 0;
         return new Lease(
-                answer.holder(), answer.token(), granted ? requestedMs + answer.forMs() : Double.NEGATIVE_INFINITY);
+                answer.holder(), answer.token(), granted ? requestedMs + answer.leaseMs() : Double.NEGATIVE_INFINITY);
     }
 
     private void rememberRoleLease(String role, Lease lease) {
@@ -162,12 +162,13 @@
     }
 
     /** The generations of a name that are kept, oldest first; empty if no voter answers within the time. */
-    CompletableFuture<Optional<AgreementMessage.Looked>> look(String name, long generation, double withinMs) {
-        CompletableFuture<Optional<AgreementMessage.Looked>> history = new CompletableFuture<>();
+    CompletableFuture<Optional<AgreementMessage.HistoryResponse>> readHistory(
+            String name, long generation, double withinMs) {
+        CompletableFuture<Optional<AgreementMessage.HistoryResponse>> history = new CompletableFuture<>();
         request(
                 withinMs,
-                number -> new AgreementMessage.Look(name, generation, context.processLife(), number),
-                answer -> history.complete(Optional.of((AgreementMessage.Looked) answer)),
+                number -> new AgreementMessage.HistoryRequest(name, generation, context.incarnation(), number),
+                answer -> history.complete(Optional.of((AgreementMessage.HistoryResponse) answer)),
                 () -> history.complete(Optional.empty()));
         return history;
     }
@@ -185,7 +186,7 @@
                 pending.send(context.nowMs(), untilMs, message, onAnswer, onTimeout);
             }
         });
-        if (context.thread().isEnded()) {
+        if (context.thread().isShutDown()) {
             onTimeout.run();
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
@@ -15,7 +15,7 @@
 
 /** What staff do with agreed values, as text in and out; each call waits for its answer, at most for the time given. */
 public final class SettingsAdminHandler {
-    private final AgreementMember node;
+    private final AgreementMember member;
     private final double withinMs;
 
     /**
@@ -24,7 +24,7 @@
      * @param withinMs how long an answer is waited for
      */
     public SettingsAdminHandler(AgreementMember node, double withinMs) {
-        this.node = node;
+        this.member = node;
         this.withinMs = withinMs;
     }
 
@@ -44,12 +44,12 @@
     public Reply propose(String name, String content, long against) {
         long expected = against >= 0
                 ? against
-                : node.lastKnown(name).map(Value::generation).orElse(0L);
+                : member.lastKnown(name).map(Value::generation).orElse(0L);
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > AgreedState.MAX_CONTENT) {
-            return new Reply(false, bytes.length + " bytes; at most " + AgreedState.MAX_CONTENT);
+        if (bytes.length > AgreedState.MAX_CONTENT_BYTES) {
+            return new Reply(false, bytes.length + " bytes; at most " + AgreedState.MAX_CONTENT_BYTES);
         }
-        Optional<Verdict> v = wait(node.propose(name, expected, bytes, withinMs));
+        Optional<Verdict> v = await(member.propose(name, expected, bytes, withinMs));
         return new Reply(
                 v.isPresent() && v.get() == Verdict.IN_FORCE,
                 switch (v.orElse(Verdict.UNKNOWN)) {
@@ -68,33 +68,38 @@
 
     /** What is in force or staged, as this member may act by it. */
     public Reply show(String name) {
-        Optional<EffectiveValues> acting = node.effectiveValues(name);
+        Optional<EffectiveValues> acting = member.effectiveValues(name);
         if (acting.isEmpty()) {
-            return node.lastKnown(name)
-                    .map(v -> new Reply(false, "in doubt; last known:\n" + text(v)))
+            return member.lastKnown(name)
+                    .map(v -> new Reply(false, "in doubt; last known:\n" + format(v)))
                     .orElse(new Reply(false, "nothing is known of " + name));
         }
         Value other = acting.get().staged();
         return new Reply(
-                true, text(acting.get().inForce()) + (other == null ? "" : "\nstaged beside it:\n" + text(other)));
+                true, format(acting.get().inForce()) + (other == null ? "" : "\nstaged beside it:\n" + format(other)));
     }
 
-    private static String text(Value v) {
+    private static String format(Value v) {
         return "generation " + v.generation() + " by " + v.proposer() + "\n"
                 + new String(v.content(), StandardCharsets.UTF_8);
     }
 
     /** The generations that are kept, oldest first. */
     public Reply history(String name) {
-        Optional<AgreementMessage.Looked> l = look(name, 0);
+        Optional<AgreementMessage.HistoryResponse> l = readHistory(name, 0);
         if (l.isEmpty()) {
-            return silent();
+            return noResponse();
         }
         StringBuilder s = new StringBuilder();
         l.get()
-                .lines()
+                .entries()
                 .forEach(i -> s.append(String.format(
-                        Locale.ROOT, "%6d  %-16s %8d bytes  by %s%n", i.generation(), i.came(), i.bytes(), i.by())));
+                        Locale.ROOT,
+                        "%6d  %-16s %8d bytes  by %s%n",
+                        i.generation(),
+                        i.outcome(),
+                        i.contentBytes(),
+                        i.proposer())));
         return new Reply(s.length() > 0, s.length() > 0 ? s.toString() : "nothing is known of " + name);
     }
 
@@ -113,27 +118,27 @@
 
     /** Whether a majority answers, who leads, and what is in force. */
     public Reply status() {
-        return new Reply(node.alarm().isEmpty(), node.status());
+        return new Reply(member.alarm().isEmpty(), member.status());
     }
 
     private Reply content(String name, long generation) {
-        Optional<AgreementMessage.Looked> l = look(name, generation);
+        Optional<AgreementMessage.HistoryResponse> l = readHistory(name, generation);
         return l.isEmpty()
-                ? silent()
-                : l.get().lines().stream().noneMatch(i -> i.generation() == generation)
+                ? noResponse()
+                : l.get().entries().stream().noneMatch(i -> i.generation() == generation)
                         ? new Reply(false, "generation " + generation + " of " + name + " is not kept")
                         : new Reply(true, new String(l.get().content(), StandardCharsets.UTF_8));
     }
 
-    private Optional<AgreementMessage.Looked> look(String name, long generation) {
-        return wait(node.look(name, generation, withinMs)).flatMap(o -> o);
+    private Optional<AgreementMessage.HistoryResponse> readHistory(String name, long generation) {
+        return await(member.readHistory(name, generation, withinMs)).flatMap(o -> o);
     }
 
-    private Reply silent() {
+    private Reply noResponse() {
         return new Reply(false, "no voter has answered in " + Math.round(withinMs) + " ms");
     }
 
-    private <T> Optional<T> wait(CompletableFuture<T> f) {
+    private <T> Optional<T> await(CompletableFuture<T> f) {
         try {
             return Optional.of(f.get((long) withinMs + 1000, TimeUnit.MILLISECONDS));
         } catch (TimeoutException | ExecutionException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StatusReport.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StatusReport.java
@@ -61,7 +61,7 @@
     }
 
     private String role() {
-        if (consensus.leads()) {
+        if (consensus.isLeader()) {
             return ", leads";
         }
         if (!context.isVoter()) {
@@ -77,23 +77,23 @@
     }
 
     private String majority(double nowMs) {
-        double answeredMs = consensus.leads() ? leaderService.majorityConfirmedMs() : leaseClient.answeredMs();
+        double answeredMs = consensus.isLeader() ? leaderService.majorityConfirmedMs() : leaseClient.lastResponseMs();
         if (answeredMs == Double.NEGATIVE_INFINITY) {
-            return consensus.leads() ? "not yet" : "never answered";
+            return consensus.isLeader() ? "not yet" : "never answered";
         }
         return "answered " + formatMs(nowMs - answeredMs) + " ago";
     }
 
     private String value(String name, double nowMs) {
-        DecidedVersion decided = leaseClient.view().word(name);
+        DecidedVersion decided = leaseClient.view().decided(name);
         StringBuilder text = new StringBuilder("generation " + decided.inForce() + " in force");
         if (decided.staged() != 0) {
             text.append(", ").append(decided.staged()).append(" staged");
-            if (consensus.leads()) {
-                text.append(", waits for ").append(consensus.leases().waitsFor(name, nowMs));
+            if (consensus.isLeader()) {
+                text.append(", waits for ").append(consensus.leases().pendingHolders(name, nowMs));
             }
         }
-        long refused = leaseClient.view().refused(name);
+        long refused = leaseClient.view().rejectedGeneration(name);
         if (refused != 0) {
             text.append(", ").append(refused).append(" can't be used here");
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StoreChecksums.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StoreChecksums.java
@@ -12,7 +12,7 @@
     private StoreChecksums() {}
 
     /** The value behind its checksum. */
-    static byte[] sealed(String key, byte[] value) {
+    static byte[] withChecksum(String key, byte[] value) {
         return ByteBuffer.allocate(value.length + CHECKSUM_BYTES)
                 .putInt(crc(key, value, 0))
                 .put(value)
@@ -24,9 +24,9 @@
      *
      * @throws VoterStore.Damaged if the checksum is not that of this key and value
      */
-    static byte[] unsealed(String key, byte[] sealed) throws VoterStore.Damaged {
+    static byte[] verifiedValue(String key, byte[] sealed) throws VoterStore.DamagedDiskException {
         if (sealed.length < CHECKSUM_BYTES || ByteBuffer.wrap(sealed).getInt() != crc(key, sealed, CHECKSUM_BYTES)) {
-            throw new VoterStore.Damaged("checksum of " + key, null);
+            throw new VoterStore.DamagedDiskException("checksum of " + key, null);
         }
         return Arrays.copyOfRange(sealed, CHECKSUM_BYTES, sealed.length);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterAdmission.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterAdmission.java
@@ -46,34 +46,34 @@
      * @param joining whether it has asked for its old disk's place and is not known to have it yet
      * @param since the change of members by which it became one; 0 at the bootstrap
      */
-    record Self(
+    record LocalVoter(
             VoterEndpoint endpoint,
-            long starts,
-            long life,
+            long startCount,
+            long incarnation,
             List<String> bootstrapVoters,
             boolean joining,
-            long since) {}
+            long joinLogIndex) {}
 
     /** The bootstrap voters by the disk or else by the answers; empty if none are known. */
-    static List<String> bootstrapVoters(Self self, Map<String, AgreementMessage.Facts> answers) {
+    static List<String> bootstrapVoters(LocalVoter self, Map<String, AgreementMessage.HelloResponse> answers) {
         return !self.bootstrapVoters().isEmpty()
                 ? self.bootstrapVoters()
                 : answers.values().stream()
-                        .map(AgreementMessage.Facts::bootstrapVoters)
+                        .map(AgreementMessage.HelloResponse::bootstrapVoters)
                         .filter(f -> !f.isEmpty())
                         .findFirst()
                         .orElse(List.of());
     }
 
     /** The next step, by the answers that have come. */
-    static Step step(Self self, List<String> voters, Map<String, AgreementMessage.Facts> answers) {
+    static Step nextStep(LocalVoter self, List<String> voters, Map<String, AgreementMessage.HelloResponse> answers) {
         String me = self.endpoint().toString();
         List<String> bootstrapVoters = bootstrapVoters(self, answers);
-        String id = bootstrapVoters.isEmpty() ? "" : id(bootstrapVoters);
+        String id = bootstrapVoters.isEmpty() ? "" : groupId(bootstrapVoters);
         boolean torn = answers.values().stream()
-                .anyMatch(f ->
-                        !f.bootstrapVoters().isEmpty() && !f.bootstrapVoters().equals(bootstrapVoters)
-                                || !f.follows().isEmpty() && !f.follows().equals(id));
+                .anyMatch(f -> !f.bootstrapVoters().isEmpty()
+                                && !f.bootstrapVoters().equals(bootstrapVoters)
+                        || !f.followedGroup().isEmpty() && !f.followedGroup().equals(id));
         if (torn) {
             return Step.SPLIT;
         }
@@ -83,13 +83,14 @@
                     ? Step.BOOTSTRAP
                     : Step.WAIT;
         }
-        for (AgreementMessage.Facts f : answers.values()) {
-            boolean later = f.seenDisk().equals(self.endpoint().disk())
-                    && (f.seenStarts() > self.starts()
-                            || f.seenStarts() == self.starts() && f.seenLife() != self.life());
+        for (AgreementMessage.HelloResponse f : answers.values()) {
+            boolean later = f.lastSeenDiskId().equals(self.endpoint().diskId())
+                    && (f.lastSeenStartCount() > self.startCount()
+                            || f.lastSeenStartCount() == self.startCount()
+                                    && f.lastSeenIncarnation() != self.incarnation());
             boolean replaced = !self.bootstrapVoters().isEmpty()
                     && !self.joining()
-                    && f.membersSince() > self.since()
+                    && f.membersLogIndex() > self.joinLogIndex()
                     && !f.members().contains(me);
             if (later || replaced) {
                 return Step.PUT_ASIDE;
@@ -100,7 +101,7 @@
     }
 
     /** The Raft group's id: the same for the same bootstrap voters with the same disks. */
-    static String id(List<String> bootstrapVoters) {
+    static String groupId(List<String> bootstrapVoters) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256")
                     .digest(String.join(",", bootstrapVoters).getBytes(StandardCharsets.UTF_8));
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
@@ -11,17 +11,17 @@
  * @param name the member
  * @param disk the disk's number, drawn when it was empty
  */
-record VoterEndpoint(String name, String disk) implements RaftEndpoint {
-    private static final int LONGEST = 128;
+record VoterEndpoint(String name, String diskId) implements RaftEndpoint {
+    private static final int MAX_LENGTH = 128;
 
     VoterEndpoint {
         if (name.isEmpty()
-                || disk.isEmpty()
-                || name.length() > LONGEST
-                || disk.length() > LONGEST
+                || diskId.isEmpty()
+                || name.length() > MAX_LENGTH
+                || diskId.length() > MAX_LENGTH
                 || name.indexOf('@') >= 0
-                || disk.indexOf('@') >= 0) {
-            throw new IllegalArgumentException("voter: " + name + "@" + disk);
+                || diskId.indexOf('@') >= 0) {
+            throw new IllegalArgumentException("voter: " + name + "@" + diskId);
         }
     }
 
@@ -39,11 +39,11 @@
 
     @Override
     public Object getId() {
-        return name + "@" + disk;
+        return name + "@" + diskId;
     }
 
     @Override
     public String toString() {
-        return name + "@" + disk;
+        return name + "@" + diskId;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -28,16 +28,16 @@
     private final RaftConsensus consensus;
     private final LeaderService leaderService;
     private final LeaseClient leaseClient;
-    private final Supplier<String> target;
+    private final Supplier<String> requestTarget;
     private final Path directory;
-    private final Map<String, AgreementMessage.Facts> facts = new HashMap<>();
+    private final Map<String, AgreementMessage.HelloResponse> helloResponses = new HashMap<>();
     private String scheme = "";
     private VoterStore store;
     private VoterEndpoint endpoint;
     private boolean joining;
-    private double helloMs = Double.NEGATIVE_INFINITY;
+    private double lastHelloMs = Double.NEGATIVE_INFINITY;
     private double reopenAtMs = Double.NEGATIVE_INFINITY;
-    private double joinMs = Double.NEGATIVE_INFINITY;
+    private double lastJoinRequestMs = Double.NEGATIVE_INFINITY;
 
     /**
      * A voter that has not opened its disk yet.
@@ -54,7 +54,7 @@
         this.consensus = consensus;
         this.leaderService = leaderService;
         this.leaseClient = leaseClient;
-        this.target = leaseClient::target;
+        this.requestTarget = leaseClient::requestTarget;
         this.directory = directory;
     }
 
@@ -72,13 +72,13 @@
         String fleet = context.settings().fleet();
         try {
             store = VoterStore.open(directory, fleet, context.name(), scheme);
-        } catch (VoterStore.Damaged e) {
+        } catch (VoterStore.DamagedDiskException e) {
             Path aside = VoterStore.putAside(directory);
             context.alarm().raise("disk damaged and put aside as " + aside + ": " + e.getMessage());
             store = VoterStore.open(directory, fleet, context.name(), scheme);
         }
-        endpoint = new VoterEndpoint(context.name(), store.disk());
-        joining = store.joining();
+        endpoint = new VoterEndpoint(context.name(), store.diskId());
+        joining = store.isJoining();
     }
 
     /** Whether it waits for its old disk's place. */
@@ -92,7 +92,7 @@
 
     /** The disk, for operators' figures. */
     String describeDisk() {
-        return (directory == null ? "memory only" : store.bytes() + " bytes") + ", " + store.forced()
+        return (directory == null ? "memory only" : store.fileBytes() + " bytes") + ", " + store.forcedWrites()
                 + " writes forced";
     }
 
@@ -108,8 +108,8 @@
         if (store.failed()) {
             onDiskFailed(nowMs);
         } else if (!consensus.isStarted()) {
-            if (nowMs >= helloMs + HELLO_INTERVAL_MS) {
-                helloMs = nowMs;
+            if (nowMs >= lastHelloMs + HELLO_INTERVAL_MS) {
+                lastHelloMs = nowMs;
                 sendHello();
             }
         } else {
@@ -121,19 +121,19 @@
         if (consensus.replaceStalePreVote()) {
             LOG.warn("agreement at {}: the leader is silent and a stale pre-vote was left: votes anew", context.name());
         }
-        if (joining && nowMs >= joinMs + JOIN_INTERVAL_MS) {
-            joinMs = nowMs;
+        if (joining && nowMs >= lastJoinRequestMs + JOIN_INTERVAL_MS) {
+            lastJoinRequestMs = nowMs;
             requestJoin();
         }
     }
 
     private void requestJoin() {
         if (!consensus.committedMembers().getVotingMembers().contains(endpoint)) {
-            context.send(target.get(), new AgreementMessage.Join(endpoint.toString()));
+            context.send(requestTarget.get(), new AgreementMessage.JoinRequest(endpoint.toString()));
             return;
         }
         joining = false;
-        write(() -> store.joined(consensus.committedMembers().getLogIndex()));
+        runDiskAction(() -> store.saveJoined(consensus.committedMembers().getLogIndex()));
         context.alarm().clear();
         LOG.info("agreement at {}: votes as {}", context.name(), endpoint);
     }
@@ -157,15 +157,15 @@
             return;
         }
         context.alarm().clear();
-        helloMs = Double.NEGATIVE_INFINITY;
+        lastHelloMs = Double.NEGATIVE_INFINITY;
         LOG.warn("agreement at {}: the disk takes writes again, this member asks to vote", context.name());
     }
 
     /** The library's node has stopped with the disk; another one begins with what the disk has, as after a start. */
     private void stopVoting() {
-        consensus.discard();
+        consensus.discardNode();
         leaderService.reset();
-        facts.clear();
+        helloResponses.clear();
     }
 
     @FunctionalInterface
@@ -173,7 +173,7 @@
         void run() throws IOException;
     }
 
-    private void write(DiskAction action) {
+    private void runDiskAction(DiskAction action) {
         try {
             action.run();
         } catch (IOException e) {
@@ -182,8 +182,9 @@
     }
 
     private void sendHello() {
-        write(() -> context.broadcast(new AgreementMessage.Hello(store.disk(), store.starts(), context.processLife())));
-        admit();
+        runDiskAction(() -> context.broadcast(
+                new AgreementMessage.Hello(store.diskId(), store.startCount(), context.incarnation())));
+        takeNextStep();
     }
 
     /** Answers a hello with what this member knows, and remembers the asker's disk. */
@@ -197,10 +198,10 @@
                     && !store.failed()
                     && context.settings().voters().contains(peer)) {
                 bootstrapVoters = store.bootstrapVoters();
-                seen = store.seen(peer).map(last -> last.split(" ")).orElse(seen);
-                String current = hello.disk() + " " + hello.starts() + " " + hello.life();
+                seen = store.lastSeen(peer).map(last -> last.split(" ")).orElse(seen);
+                String current = hello.diskId() + " " + hello.startCount() + " " + hello.incarnation();
                 if (!current.equals(String.join(" ", seen))) {
-                    store.seen(peer, current);
+                    store.lastSeen(peer, current);
                 }
                 if (consensus.isStarted()) {
                     members = VoterEndpoint.ids(consensus.committedMembers().getVotingMembers());
@@ -210,8 +211,8 @@
         } catch (IOException e) {
             context.alarm().raise("disk: " + e.getMessage());
         }
-        AgreementMessage.Facts answer = new AgreementMessage.Facts(
-                endpoint == null ? "" : endpoint.disk(),
+        AgreementMessage.HelloResponse answer = new AgreementMessage.HelloResponse(
+                endpoint == null ? "" : endpoint.diskId(),
                 bootstrapVoters,
                 leaseClient.followedGroup(),
                 members,
@@ -222,22 +223,27 @@
         context.send(peer, answer);
     }
 
-    void onFacts(String peer, AgreementMessage.Facts answer) {
+    void onHelloResponse(String peer, AgreementMessage.HelloResponse answer) {
         if (!consensus.isStarted() && context.isVoter()) {
-            facts.put(peer, answer);
-            admit();
+            helloResponses.put(peer, answer);
+            takeNextStep();
         }
     }
 
-    private void admit() {
+    private void takeNextStep() {
         if (consensus.isStarted() || store.failed()) {
             return;
         }
-        write(() -> {
-            VoterAdmission.Self self = new VoterAdmission.Self(
-                    endpoint, store.starts(), context.processLife(), store.bootstrapVoters(), joining, store.since());
-            List<String> known = VoterAdmission.bootstrapVoters(self, facts);
-            switch (VoterAdmission.step(self, context.settings().voters(), facts)) {
+        runDiskAction(() -> {
+            VoterAdmission.LocalVoter self = new VoterAdmission.LocalVoter(
+                    endpoint,
+                    store.startCount(),
+                    context.incarnation(),
+                    store.bootstrapVoters(),
+                    joining,
+                    store.joinLogIndex());
+            List<String> known = VoterAdmission.bootstrapVoters(self, helloResponses);
+            switch (VoterAdmission.nextStep(self, context.settings().voters(), helloResponses)) {
                 case BOOTSTRAP -> startVoting(bootstrapVoters(), false);
                 case START -> startVoting(known, false);
                 case JOIN -> startVoting(known, true);
@@ -255,7 +261,7 @@
         return context.settings().voters().stream()
                 .map(voter -> voter.equals(context.name())
                         ? endpoint
-                        : new VoterEndpoint(voter, facts.get(voter).disk()))
+                        : new VoterEndpoint(voter, helloResponses.get(voter).diskId()))
                 .map(VoterEndpoint::toString)
                 .toList();
     }
@@ -265,7 +271,7 @@
         context.alarm()
                 .raise("the disk is old, copied or was replaced; put aside as "
                         + (directory == null ? "nothing" : VoterStore.putAside(directory)));
-        facts.clear();
+        helloResponses.clear();
         openDisk();
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -32,7 +32,7 @@
 /**
  * A voter's disk: terms, votes, entries and snapshots in one file of an MVStore, each value with its own checksum, and
  * beside it the count of writes that were forced. What was forced is there when it is opened again, or the disk is
- * {@link Damaged}: a store that goes back to an earlier chunk must not pass for whole.
+ * {@link DamagedDiskException}: a store that goes back to an earlier chunk must not pass for whole.
  *
  * <p>Once a write has failed nobody knows which pages of the file reached the disk, and a sync that succeeds later does
  * not say. So nothing more is written to that file: {@link #open} reads what is there, writes it anew to a fresh file,
@@ -41,7 +41,7 @@
 final class VoterStore implements RaftStore, AutoCloseable {
     private static final String FILE = "agreed.mv";
     /** What is written anew at an opening, until it is whole. */
-    private static final String FRESH = FILE + ".new";
+    private static final String REWRITTEN_FILE = FILE + ".new";
     /** Unreferenced chunks of the file are kept so long; each write is forced, so that none needs them. */
     private static final int CHUNK_RETENTION_MS = 5000;
     /** The file is compacted after so many forced writes. */
@@ -51,19 +51,19 @@
     private static final int COMPACT_BYTES = 4 << 20;
 
     /** The disk has lost or changed what was forced to it: it counts as lost. */
-    static final class Damaged extends IOException {
+    static final class DamagedDiskException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Damaged(String message, Throwable cause) {
+        DamagedDiskException(String message, Throwable cause) {
             super(message, cause);
         }
     }
 
     /** The disk belongs to another fleet or member: staff have mixed something up. */
-    static final class Foreign extends IOException {
+    static final class ForeignDiskException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Foreign(String message) {
+        ForeignDiskException(String message) {
             super(message);
         }
     }
@@ -72,26 +72,26 @@
     private final MVMap<String, byte[]> meta;
     private final MVMap<Long, byte[]> log;
     private final MVMap<String, byte[]> chunks;
-    private final FileChannel mark;
+    private final FileChannel markChannel;
     private final WriteMark writeMark;
     private final Path file;
-    private long count;
+    private long writeCount;
     private volatile boolean failed;
-    private volatile long forced;
+    private volatile long forcedWrites;
     private RestoredRaftState restored;
 
     private VoterStore(MVStore store, FileChannel mark, Path file) {
         this.store = store;
-        this.mark = mark;
+        this.markChannel = mark;
         this.writeMark = new WriteMark(mark);
         this.file = file;
         store.setRetentionTime(CHUNK_RETENTION_MS);
-        this.meta = store.openMap("meta", map(StringDataType.INSTANCE));
-        this.log = store.openMap("log", map(LongDataType.INSTANCE));
-        this.chunks = store.openMap("chunks", map(StringDataType.INSTANCE));
+        this.meta = store.openMap("meta", mapBuilder(StringDataType.INSTANCE));
+        this.log = store.openMap("log", mapBuilder(LongDataType.INSTANCE));
+        this.chunks = store.openMap("chunks", mapBuilder(StringDataType.INSTANCE));
     }
 
-    private static <K> MVMap.Builder<K, byte[]> map(DataType<K> keys) {
+    private static <K> MVMap.Builder<K, byte[]> mapBuilder(DataType<K> keys) {
         MVMap.Builder<K, byte[]> b = new MVMap.Builder<>();
         b.setKeyType(keys);
         b.setValueType(ByteArrayDataType.INSTANCE);
@@ -110,14 +110,14 @@
     /** The same, on a file system of this scheme. */
     static VoterStore open(Path directory, String fleet, String member, String scheme) throws IOException {
         if (directory == null) {
-            return ready(
+            return initialize(
                     new VoterStore(new MVStore.Builder().autoCommitDisabled().open(), null, null), fleet, member);
         }
         Files.createDirectories(directory);
         Path file = directory.resolve(FILE);
         Path marks = directory.resolve(WriteMark.FILE);
         if (Files.exists(marks) && !Files.exists(file)) {
-            throw new Damaged(file + " is gone", null);
+            throw new DamagedDiskException(file + " is gone", null);
         }
         FileChannel mark = FilePath.get(scheme + marks).open("rw");
         MVStore opened = null;
@@ -126,10 +126,10 @@
                 throw new IOException(directory + " is in use by another process");
             }
             if (Files.exists(file)) {
-                writeAnew(directory, fleet, member, scheme, mark);
+                rewrite(directory, fleet, member, scheme, mark);
             }
-            opened = opened(scheme + file);
-            return ready(new VoterStore(opened, mark, file), fleet, member);
+            opened = openStore(scheme + file);
+            return initialize(new VoterStore(opened, mark, file), fleet, member);
         } catch (OverlappingFileLockException e) {
             close(opened, mark);
             throw new IOException(directory + " is in use by this process", e);
@@ -143,11 +143,11 @@
                 throw new IOException(file + ": " + e.getMessage(), e);
             }
             // Guards against whatever the store makes of bytes that were changed, lengths without end among them.
-            throw new Damaged(file + ": " + e, e);
+            throw new DamagedDiskException(file + ": " + e, e);
         }
     }
 
-    private static MVStore opened(String name) {
+    private static MVStore openStore(String name) {
         return new MVStore.Builder().fileName(name).autoCommitDisabled().open();
     }
 
@@ -155,21 +155,21 @@
      * Writes what is there to a fresh file, which takes the old one's place: the process before may have ended after a
      * sync that failed, so that what can be read need not be on the disk.
      */
-    private static void writeAnew(Path directory, String fleet, String member, String scheme, FileChannel mark)
+    private static void rewrite(Path directory, String fleet, String member, String scheme, FileChannel mark)
             throws IOException {
         FilePath file = FilePath.get(scheme + directory.resolve(FILE));
-        FilePath fresh = FilePath.get(scheme + directory.resolve(FRESH));
+        FilePath fresh = FilePath.get(scheme + directory.resolve(REWRITTEN_FILE));
         if (fresh.exists()) {
             fresh.delete();
         }
-        MVStore from = opened(file.toString());
+        MVStore from = openStore(file.toString());
         MVStore to = null;
         try {
             VoterStore old = new VoterStore(from, mark, directory.resolve(FILE));
-            if (!old.empty()) {
+            if (!old.isEmpty()) {
                 old.verify(fleet, member);
             }
-            to = opened(fresh.toString());
+            to = openStore(fresh.toString());
             VoterStore anew = new VoterStore(to, null, null);
             anew.meta.putAll(old.meta);
             anew.log.putAll(old.log);
@@ -195,36 +195,36 @@
         mark.close();
     }
 
-    private boolean empty() throws IOException {
+    private boolean isEmpty() throws IOException {
         return meta.isEmpty() && log.isEmpty() && writeMark.read() == 0;
     }
 
     /** What is there is whole, is this member's, and goes as far as was forced. */
     private void verify(String fleet, String member) throws IOException {
-        check();
-        if (!text("fleet").equals(fleet) || !text("member").equals(member)) {
-            throw new Foreign("disk of fleet '" + text("fleet") + "', member '" + text("member") + "'; this is fleet '"
-                    + fleet + "', member '" + member + "'");
+        verifyChecksums();
+        if (!metaText("fleet").equals(fleet) || !metaText("member").equals(member)) {
+            throw new ForeignDiskException("disk of fleet '" + metaText("fleet") + "', member '" + metaText("member")
+                    + "'; this is fleet '" + fleet + "', member '" + member + "'");
         }
-        count = Long.parseLong(meta.containsKey("count") ? text("count") : "0");
+        writeCount = Long.parseLong(meta.containsKey("count") ? metaText("count") : "0");
         long marked = writeMark.read();
-        if (count < marked) {
-            throw new Damaged("write " + marked + " was forced, the store ends with " + count, null);
+        if (writeCount < marked) {
+            throw new DamagedDiskException("write " + marked + " was forced, the store ends with " + writeCount, null);
         }
     }
 
-    private static VoterStore ready(VoterStore s, String fleet, String member) throws IOException {
-        if (s.empty()) {
+    private static VoterStore initialize(VoterStore s, String fleet, String member) throws IOException {
+        if (s.isEmpty()) {
             byte[] number = new byte[12];
             new SecureRandom().nextBytes(number);
-            s.putText("fleet", fleet);
-            s.putText("member", member);
-            s.putText("disk", HexFormat.of().formatHex(number));
-            s.putText("starts", "0");
+            s.putMetaText("fleet", fleet);
+            s.putMetaText("member", member);
+            s.putMetaText("disk", HexFormat.of().formatHex(number));
+            s.putMetaText("starts", "0");
         }
         s.verify(fleet, member);
         s.restored = new RaftStateLoader(s.meta, s.log, s.chunks).load();
-        s.putText("starts", String.valueOf(s.starts() + 1));
+        s.putMetaText("starts", String.valueOf(s.startCount() + 1));
         s.flush();
         return s;
     }
@@ -249,83 +249,83 @@
         }
     }
 
-    private void check() throws Damaged {
+    private void verifyChecksums() throws DamagedDiskException {
         for (Map.Entry<String, byte[]> e : meta.entrySet()) {
-            StoreChecksums.unsealed(e.getKey(), e.getValue());
+            StoreChecksums.verifiedValue(e.getKey(), e.getValue());
         }
         for (Map.Entry<String, byte[]> e : chunks.entrySet()) {
-            StoreChecksums.unsealed(e.getKey(), e.getValue());
+            StoreChecksums.verifiedValue(e.getKey(), e.getValue());
         }
         for (Map.Entry<Long, byte[]> e : log.entrySet()) {
-            StoreChecksums.unsealed(e.getKey().toString(), e.getValue());
+            StoreChecksums.verifiedValue(e.getKey().toString(), e.getValue());
         }
     }
 
-    private String text(String key) throws IOException {
+    private String metaText(String key) throws IOException {
         byte[] value = meta.get(key);
         if (value == null) {
-            throw new Damaged("no " + key, null);
+            throw new DamagedDiskException("no " + key, null);
         }
-        return new String(StoreChecksums.unsealed(key, value), StandardCharsets.UTF_8);
+        return new String(StoreChecksums.verifiedValue(key, value), StandardCharsets.UTF_8);
     }
 
-    private void putText(String key, String value) {
-        meta.put(key, StoreChecksums.sealed(key, value.getBytes(StandardCharsets.UTF_8)));
+    private void putMetaText(String key, String value) {
+        meta.put(key, StoreChecksums.withChecksum(key, value.getBytes(StandardCharsets.UTF_8)));
     }
 
     // What the member stores beside the Raft library's state.
 
     /** This disk's number, drawn when it was empty. */
-    String disk() throws IOException {
-        return text("disk");
+    String diskId() throws IOException {
+        return metaText("disk");
     }
 
     /** How often it was started with, this time included. */
-    long starts() throws IOException {
-        return Long.parseLong(text("starts"));
+    long startCount() throws IOException {
+        return Long.parseLong(metaText("starts"));
     }
 
     /** The bootstrap voters of the Raft group that it takes part in; empty if none. */
     List<String> bootstrapVoters() throws IOException {
-        return meta.containsKey("founding") ? List.of(text("founding").split(",")) : List.of();
+        return meta.containsKey("founding") ? List.of(metaText("founding").split(",")) : List.of();
     }
 
     /** Stores the Raft group that it takes part in from now on; {@code joining} until it is one of its voters. */
     void saveBootstrapVoters(List<String> bootstrapVoters, boolean joining) throws IOException {
         write(() -> {
-            putText("founding", String.join(",", bootstrapVoters));
-            putText("joining", String.valueOf(joining));
+            putMetaText("founding", String.join(",", bootstrapVoters));
+            putMetaText("joining", String.valueOf(joining));
         });
         flush();
     }
 
     /** It is one of the voters since this change of members. */
-    void joined(long since) throws IOException {
+    void saveJoined(long since) throws IOException {
         write(() -> {
-            putText("joining", "false");
-            putText("since", String.valueOf(since));
+            putMetaText("joining", "false");
+            putMetaText("since", String.valueOf(since));
         });
         flush();
     }
 
     /** The change of members by which it became a voter; 0 at the bootstrap. */
-    long since() throws IOException {
-        return meta.containsKey("since") ? Long.parseLong(text("since")) : 0;
+    long joinLogIndex() throws IOException {
+        return meta.containsKey("since") ? Long.parseLong(metaText("since")) : 0;
     }
 
     /** Whether it has asked for its old disk's place and is not known to have it yet. */
-    boolean joining() throws IOException {
-        return meta.containsKey("joining") && Boolean.parseBoolean(text("joining"));
+    boolean isJoining() throws IOException {
+        return meta.containsKey("joining") && Boolean.parseBoolean(metaText("joining"));
     }
 
     /** What another voter said of itself when it was last heard of; empty if never. */
-    Optional<String> seen(String member) throws IOException {
-        return meta.containsKey("seen/" + member) ? Optional.of(text("seen/" + member)) : Optional.empty();
+    Optional<String> lastSeen(String member) throws IOException {
+        return meta.containsKey("seen/" + member) ? Optional.of(metaText("seen/" + member)) : Optional.empty();
     }
 
     /** Remembers what another voter said of itself. */
-    void seen(String member, String said) throws IOException {
-        write(() -> putText("seen/" + member, said));
+    void lastSeen(String member, String said) throws IOException {
+        write(() -> putMetaText("seen/" + member, said));
         flush();
     }
 
@@ -335,7 +335,7 @@
     }
 
     /** Bytes of the file; 0 in memory. */
-    long bytes() {
+    long fileBytes() {
         try {
             return file == null ? 0 : Files.size(file);
         } catch (IOException e) {
@@ -344,8 +344,8 @@
     }
 
     /** How often something was forced since it was opened. */
-    long forced() {
-        return forced;
+    long forcedWrites() {
+        return forcedWrites;
     }
 
     /** Whether a write has failed: nothing more is written or promised. */
@@ -374,49 +374,49 @@
     @Override
     public void flush() throws IOException {
         write(() -> {
-            count++;
-            putText("count", String.valueOf(count));
+            writeCount++;
+            putMetaText("count", String.valueOf(writeCount));
             store.commit();
-            if (file != null && count % COMPACT_WRITES == 0) {
+            if (file != null && writeCount % COMPACT_WRITES == 0) {
                 store.compact(COMPACT_FILL_PERCENT, COMPACT_BYTES);
             }
             store.sync();
-            writeMark.force(count);
-            forced++;
+            writeMark.force(writeCount);
+            forcedWrites++;
         });
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState e) throws IOException {
-        write(() -> meta.put("endpoint", StoreChecksums.sealed("endpoint", AgreementCodec.self(e))));
+        write(() -> meta.put("endpoint", StoreChecksums.withChecksum("endpoint", AgreementCodec.endpointState(e))));
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) throws IOException {
-        write(() -> meta.put("initial", StoreChecksums.sealed("initial", AgreementCodec.members(v))));
+        write(() -> meta.put("initial", StoreChecksums.withChecksum("initial", AgreementCodec.groupMembers(v))));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        write(() -> meta.put("term", StoreChecksums.sealed("term", AgreementCodec.term(t))));
+        write(() -> meta.put("term", StoreChecksums.withChecksum("term", AgreementCodec.termState(t))));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        write(() -> entries.forEach(e ->
-                log.put(e.getIndex(), StoreChecksums.sealed(String.valueOf(e.getIndex()), AgreementCodec.entry(e)))));
+        write(() -> entries.forEach(e -> log.put(
+                e.getIndex(), StoreChecksums.withChecksum(String.valueOf(e.getIndex()), AgreementCodec.logEntry(e)))));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
-        String key = key(c.getIndex(), c.getSnapshotChunkIndex());
-        write(() -> chunks.put(key, StoreChecksums.sealed(key, AgreementCodec.chunk(c))));
+        String key = chunkKey(c.getIndex(), c.getSnapshotChunkIndex());
+        write(() -> chunks.put(key, StoreChecksums.withChecksum(key, AgreementCodec.snapshotChunk(c))));
     }
 
-    private static String key(long index, int chunk) {
+    private static String chunkKey(long index, int chunk) {
         return String.format("%019d/%05d", index, chunk);
     }
 
@@ -442,7 +442,7 @@
     public void deleteSnapshotChunks(long index, int chunkCount) throws IOException {
         write(() -> {
             for (int i = 0; i < chunkCount; i++) {
-                chunks.remove(key(index, i));
+                chunks.remove(chunkKey(index, i));
             }
         });
     }
@@ -452,8 +452,8 @@
         try {
             // What was not forced was promised to nobody.
             store.closeImmediately();
-            if (mark != null) {
-                mark.close();
+            if (markChannel != null) {
+                markChannel.close();
             }
         } catch (IOException | RuntimeException e) {
             failed = true;
--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -67,7 +67,7 @@
 
     /** A file as a loss of power would leave it. */
     private static final class Image {
-        byte[] durable = {};
+        byte[] syncedBytes = {};
         final List<Range> unsynced = new ArrayList<>();
     }
 
@@ -77,9 +77,9 @@
         private long operationCount;
         private long failedCount;
         private long failFrom = Long.MAX_VALUE;
-        private Fault always;
+        private Fault fixedFault;
         private Random random;
-        private double part;
+        private double failureRate;
         private long killAt = Long.MAX_VALUE;
         private int killPrefix;
         private List<Write> stopRecording;
@@ -91,14 +91,14 @@
 
         /** So many operations succeed, all later ones fail as with {@link #fail}. */
         public synchronized void failAfter(long succeeding, Fault fault) {
-            always = fault;
+            fixedFault = fault;
             failFrom = operationCount + succeeding;
         }
 
         /** This part of all operations fails, as the seed draws. */
         public synchronized void failRandomly(long seed, double failingPart) {
             random = new Random(seed);
-            part = failingPart;
+            failureRate = failingPart;
         }
 
         /** The process ends within the operation after so many others: a write leaves its first bytes only. */
@@ -110,7 +110,7 @@
         /** Nothing fails any more. */
         public synchronized void clear() {
             failFrom = Long.MAX_VALUE;
-            always = null;
+            fixedFault = null;
             random = null;
             killAt = Long.MAX_VALUE;
         }
@@ -140,17 +140,17 @@
         /** Leaves of each file what was synced. */
         public synchronized void simulatePowerLoss() throws IOException {
             for (Map.Entry<String, Image> e : images.entrySet()) {
-                Files.write(Path.of(e.getKey()), e.getValue().durable);
+                Files.write(Path.of(e.getKey()), e.getValue().syncedBytes);
                 e.getValue().unsynced.clear();
             }
         }
 
-        private Fault next(boolean sync) {
+        private Fault nextFault(boolean sync) {
             operationCount++;
-            if (always != null && operationCount > failFrom) {
-                return (always == Fault.SYNC_ERROR) == sync ? always : null;
+            if (fixedFault != null && operationCount > failFrom) {
+                return (fixedFault == Fault.SYNC_ERROR) == sync ? fixedFault : null;
             }
-            if (random == null || random.nextDouble() >= part) {
+            if (random == null || random.nextDouble() >= failureRate) {
                 return null;
             }
             return sync ? Fault.SYNC_ERROR : Fault.values()[random.nextInt(Fault.SYNC_ERROR.ordinal())];
@@ -159,12 +159,12 @@
         private synchronized Image image(String file) {
             return images.computeIfAbsent(file, f -> {
                 Image image = new Image();
-                image.durable = bytes(f);
+                image.syncedBytes = readFile(f);
                 return image;
             });
         }
 
-        private static byte[] bytes(String file) {
+        private static byte[] readFile(String file) {
             try {
                 Path path = Path.of(file);
                 return Files.exists(path) ? Files.readAllBytes(path) : new byte[0];
@@ -177,21 +177,21 @@
             if (operationCount >= killAt) {
                 int prefix = operationCount == killAt ? killPrefix : 0;
                 operationCount++;
-                put(file, to, bytes, at, Math.min(prefix, bytes.remaining()));
+                writePrefix(file, to, bytes, at, Math.min(prefix, bytes.remaining()));
                 throw new IOException("killed");
             }
-            Fault fault = next(false);
+            Fault fault = nextFault(false);
             if (fault == null) {
-                return put(file, to, bytes, at, bytes.remaining());
+                return writePrefix(file, to, bytes, at, bytes.remaining());
             }
             failedCount++;
             if (fault == Fault.SHORT_WRITE) {
-                put(file, to, bytes, at, bytes.remaining() / 2);
+                writePrefix(file, to, bytes, at, bytes.remaining() / 2);
             }
             throw new IOException(fault == Fault.WRITE_ERROR ? "Input/output error" : "No space left on device");
         }
 
-        private int put(String file, FileChannel to, ByteBuffer bytes, long at, int length) throws IOException {
+        private int writePrefix(String file, FileChannel to, ByteBuffer bytes, long at, int length) throws IOException {
             ByteBuffer piece = bytes.slice(bytes.position(), length);
             if (stopRecording != null) {
                 byte[] copy = new byte[length];
@@ -212,20 +212,20 @@
                 throw new IOException("killed");
             }
             Image image = image(file);
-            if (next(true) != null) {
+            if (nextFault(true) != null) {
                 failedCount++;
                 image.unsynced.clear();
                 throw new IOException("Input/output error");
             }
-            byte[] now = bytes(file);
-            byte[] durable = Arrays.copyOf(image.durable, (int) of.size());
+            byte[] now = readFile(file);
+            byte[] durable = Arrays.copyOf(image.syncedBytes, (int) of.size());
             for (Range r : image.unsynced) {
                 int to = (int) Math.min(now.length, r.from() + r.length());
                 if (r.from() < to) {
                     System.arraycopy(now, (int) r.from(), durable, (int) r.from(), (int) (to - r.from()));
                 }
             }
-            image.durable = durable;
+            image.syncedBytes = durable;
             image.unsynced.clear();
         }
 
@@ -236,11 +236,11 @@
             of.truncate(size);
         }
 
-        private synchronized void deleted(String file) {
+        private synchronized void onDelete(String file) {
             images.remove(file);
         }
 
-        private synchronized void moved(String from, String to) {
+        private synchronized void onMove(String from, String to) {
             Image image = images.remove(from);
             if (image != null) {
                 images.put(to, image);
@@ -272,13 +272,13 @@
     @Override
     public void moveTo(FilePath to, boolean atomicReplace) {
         super.moveTo(to, atomicReplace);
-        faults().moved(getBase().toString(), to.unwrap().toString());
+        faults().onMove(getBase().toString(), to.unwrap().toString());
     }
 
     @Override
     public void delete() {
         super.delete();
-        faults().deleted(getBase().toString());
+        faults().onDelete(getBase().toString());
     }
 
     @Override
--- a/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
@@ -49,7 +49,10 @@
         byte[] written = writer.write(object);
         writeIfEnabled(name, written);
         byte[] golden = read(name);
-        assertEquals(lines(golden), lines(written), () -> name + ": written differently than " + text(golden));
+        assertEquals(
+                toHexLines(golden),
+                toHexLines(written),
+                () -> name + ": written differently than " + toPrintable(golden));
         T read = reader.read(golden);
         assertDeepEquals(name, object, read);
         assertArrayEquals(golden, writer.write(read), name + ": read and written again");
@@ -65,26 +68,26 @@
         if (isWriteEnabled()) {
             Path file = Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex");
             Files.createDirectories(file.getParent());
-            Files.writeString(file, lines(content));
+            Files.writeString(file, toHexLines(content));
         }
     }
 
     /** A golden file's content. */
     public static byte[] read(String name) throws IOException {
         if (isWriteEnabled()) {
-            return parse(Files.readString(Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex")));
+            return parseHex(Files.readString(Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex")));
         }
         try (InputStream in = GoldenFiles.class.getResourceAsStream("/golden/" + name + ".hex")) {
             assertNotNull(in, "no golden file " + name);
-            return parse(new String(in.readAllBytes(), StandardCharsets.US_ASCII));
+            return parseHex(new String(in.readAllBytes(), StandardCharsets.US_ASCII));
         }
     }
 
-    private static byte[] parse(String hex) {
+    private static byte[] parseHex(String hex) {
         return HexFormat.of().parseHex(hex.replace("\n", ""));
     }
 
-    private static String lines(byte[] content) {
+    private static String toHexLines(byte[] content) {
         StringBuilder hex = new StringBuilder();
         for (int from = 0; from < content.length; from += BYTES_PER_LINE) {
             int to = Math.min(content.length, from + BYTES_PER_LINE);
@@ -93,7 +96,7 @@
         return hex.toString();
     }
 
-    private static String text(byte[] content) {
+    private static String toPrintable(byte[] content) {
         return new String(content, StandardCharsets.ISO_8859_1).replaceAll("[^ -~]", ".");
     }
 
@@ -106,7 +109,7 @@
             map.forEach((key, value) -> assertDeepEquals(place + "." + key, value, ((Map<?, ?>) actual).get(key)));
         } else if (expected instanceof Iterable<?> all) {
             assertSameElements(place, all, (Iterable<?>) actual);
-        } else if (expected != null && hasFieldsOfItsOwn(expected.getClass())) {
+        } else if (expected != null && isComparedByFields(expected.getClass())) {
             assertEquals(expected.getClass(), actual == null ? null : actual.getClass(), place);
             assertSameFields(place, expected, actual);
         } else {
@@ -114,7 +117,7 @@
         }
     }
 
-    private static boolean hasFieldsOfItsOwn(Class<?> type) {
+    private static boolean isComparedByFields(Class<?> type) {
         return type.isRecord() || type.getName().startsWith("io.microraft.model.");
     }
 
@@ -134,13 +137,14 @@
             for (Field field : type.getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
-                    assertDeepEquals(place + "." + field.getName(), value(field, expected), value(field, actual));
+                    assertDeepEquals(
+                            place + "." + field.getName(), fieldValue(field, expected), fieldValue(field, actual));
                 }
             }
         }
     }
 
-    private static Object value(Field field, Object of) {
+    private static Object fieldValue(Field field, Object of) {
         try {
             return field.get(of);
         } catch (IllegalAccessException e) {
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -18,8 +18,8 @@
 final class AgreedFigures {
     private static final int MEMBERS = 12;
 
-    private final MemoryNet net = new MemoryNet(MEMBERS, 1);
-    private final Map<String, AgreementMember> nodes = new TreeMap<>();
+    private final InMemoryNetwork network = new InMemoryNetwork(MEMBERS, 1);
+    private final Map<String, AgreementMember> members = new TreeMap<>();
     private final Map<String, PeerLinks> links = new TreeMap<>();
     private final Path root;
 
@@ -33,18 +33,18 @@
     }
 
     private void start(String name) throws Exception {
-        PeerLinks l = net.links(name);
+        PeerLinks l = network.links(name);
         AgreementMember n = new AgreementMember(
                 l,
                 root.resolve(name),
                 Clock.system(),
-                AgreedSettings.withDefaults("f", net.members(), name.hashCode()));
+                AgreedSettings.withDefaults("f", network.members(), name.hashCode()));
         n.start();
-        nodes.put(name, n);
+        members.put(name, n);
         links.put(name, l);
     }
 
-    private static double until(BooleanSupplier what) {
+    private static double timeUntil(BooleanSupplier what) {
         long from = System.nanoTime();
         while (!what.getAsBoolean()) {
             if (System.nanoTime() - from > 30_000_000_000L) {
@@ -57,8 +57,8 @@
 
     private String leader() {
         String[] who = new String[1];
-        until(() -> {
-            List<String> l = nodes.entrySet().stream()
+        timeUntil(() -> {
+            List<String> l = members.entrySet().stream()
                     .filter(e -> e.getValue().isLeader())
                     .map(Map.Entry::getKey)
                     .toList();
@@ -69,7 +69,7 @@
     }
 
     private long inForce(String at) {
-        return nodes.get(at)
+        return members.get(at)
                 .lastKnown(AgreedValues.SETTINGS)
                 .map(AgreedValues.Value::generation)
                 .orElse(0L);
@@ -77,7 +77,7 @@
 
     private double propose(String at, int bytes) throws Exception {
         long from = System.nanoTime();
-        Verdict v = nodes.get(at)
+        Verdict v = members.get(at)
                 .propose(AgreedValues.SETTINGS, inForce(at), new byte[bytes], 20_000)
                 .get();
         if (v != Verdict.IN_FORCE) {
@@ -86,7 +86,7 @@
         return (System.nanoTime() - from) / 1e6;
     }
 
-    private static void say(String what, List<Double> ms) {
+    private static void printQuantiles(String what, List<Double> ms) {
         List<Double> s = ms.stream().sorted().toList();
         System.out.printf(
                 Locale.ROOT,
@@ -98,8 +98,8 @@
                 s.get(s.size() - 1));
     }
 
-    private boolean all(long g, String but) {
-        return nodes.entrySet().stream()
+    private boolean allUse(long g, String but) {
+        return members.entrySet().stream()
                 .allMatch(e -> e.getKey().equals(but)
                         || e.getValue()
                                 .effectiveValues(AgreedValues.SETTINGS)
@@ -113,38 +113,38 @@
         }
         String leader = leader();
         propose("m11", 4096);
-        until(() -> all(1, ""));
+        timeUntil(() -> allUse(1, ""));
         List<Double> force = new ArrayList<>();
         List<Double> everywhere = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             long from = System.nanoTime();
             force.add(propose("m10", 4096));
             long now = inForce("m10");
-            until(() -> all(now, ""));
+            timeUntil(() -> allUse(now, ""));
             everywhere.add((System.nanoTime() - from) / 1e6);
         }
-        say("in force, none out of reach", force);
-        say("all act by it, none out of reach", everywhere);
+        printQuantiles("in force, none out of reach", force);
+        printQuantiles("all act by it, none out of reach", everywhere);
         force.clear();
         for (int i = 0; i < 20; i++) {
-            net.cut("m9");
+            network.partition("m9");
             force.add(propose("m10", 4096));
-            net.cut();
-            until(() -> nodes.values().stream()
+            network.partition();
+            timeUntil(() -> members.values().stream()
                     .allMatch(n -> n.effectiveValues(AgreedValues.SETTINGS)
                             .map(a -> a.staged() == null && a.inForce().generation() == inForce("m10"))
                             .orElse(false)));
         }
-        say("in force, one out of reach", force);
-        flood(leader);
-        long before = bytes("m0");
+        printQuantiles("in force, one out of reach", force);
+        measureRenewals(leader);
+        long before = diskBytes("m0");
         System.out.println("bytes on disk after 121 proposals of 4 KiB: " + before);
-        roles();
+        measureClaims();
         List<Double> leads = new ArrayList<>();
         List<Double> again = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             String old = leader();
-            AgreementMember n = nodes.remove(old);
+            AgreementMember n = members.remove(old);
             links.get(old).close();
             long from = System.nanoTime();
             n.halt();
@@ -153,28 +153,28 @@
             propose("m10", 4096);
             again.add((System.nanoTime() - from) / 1e6);
             start(old);
-            until(() -> nodes.get(old).status().contains("left"));
+            timeUntil(() -> members.get(old).status().contains("left"));
         }
-        say("takeover: another leads after", leads);
-        say("takeover: a proposal made then is in force after", again);
-        System.out.println("bytes on disk at the end: " + bytes("m0"));
-        nodes.values().forEach(AgreementMember::halt);
+        printQuantiles("takeover: another leads after", leads);
+        printQuantiles("takeover: a proposal made then is in force after", again);
+        System.out.println("bytes on disk at the end: " + diskBytes("m0"));
+        members.values().forEach(AgreementMember::halt);
     }
 
-    private long bytes(String name) throws Exception {
+    private long diskBytes(String name) throws Exception {
         return Files.size(root.resolve(name).resolve("agreed.mv"));
     }
 
     /** Questions as fast as the leader answers them, at most 200 on their way. */
-    private void flood(String leader) {
+    private void measureRenewals(String leader) {
         PeerLinks l = links.get("m8");
         AtomicLong answers = new AtomicLong();
-        nodes.remove("m8").halt();
+        members.remove("m8").halt();
         l.receive(MessageStream.AGREED, (p, life, b) -> answers.incrementAndGet());
-        byte[] q = AgreementCodec.frame(new AgreementMessage.Question(
+        byte[] q = AgreementCodec.frame(new AgreementMessage.RenewalRequest(
                 l.life(),
                 1,
-                List.of(new AgreementMessage.Heard(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
+                List.of(new AgreementMessage.NameState(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
         long from = System.nanoTime();
         long sent = 0;
         while (System.nanoTime() - from < 5_000_000_000L) {
@@ -186,18 +186,18 @@
         System.out.printf(Locale.ROOT, "questions answered a second: %.0f%n", answers.get() / 5.0);
     }
 
-    private void roles() throws Exception {
+    private void measureClaims() throws Exception {
         List<Double> first = new ArrayList<>();
         List<Double> further = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             long from = System.nanoTime();
-            nodes.get("m7").acquire("role" + i, 1000).get();
+            members.get("m7").acquire("role" + i, 1000).get();
             first.add((System.nanoTime() - from) / 1e6);
             from = System.nanoTime();
-            nodes.get("m7").acquire("role" + i, 1000).get();
+            members.get("m7").acquire("role" + i, 1000).get();
             further.add((System.nanoTime() - from) / 1e6);
         }
-        say("a role is taken", first);
-        say("a role is extended", further);
+        printQuantiles("a role is taken", first);
+        printQuantiles("a role is extended", further);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
@@ -33,14 +33,20 @@
     Path root;
 
     /** What a process saw between two moments of the machine's one monotonic clock. */
-    private record Seen(int by, long before, long after, long token, long low, long high) {}
+    private record Observation(
+            int process,
+            long beforeNanos,
+            long afterNanos,
+            long token,
+            long lowestGeneration,
+            long highestGeneration) {}
 
     private final Process[] processes = new Process[3];
-    private final String[] who = new String[3];
+    private final String[] whoReplies = new String[3];
     private final List<Integer> ports = new ArrayList<>();
-    private final List<Seen> log = new ArrayList<>();
+    private final List<Observation> observations = new ArrayList<>();
     private final Map<String, String> verdicts = new ConcurrentHashMap<>();
-    private final Map<Long, String> kept = new ConcurrentHashMap<>();
+    private final Map<Long, String> history = new ConcurrentHashMap<>();
 
     private void start(int i) throws IOException {
         List<String> command = new ArrayList<>(List.of(
@@ -57,22 +63,22 @@
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
         processes[i] = p;
-        Thread reader = new Thread(() -> read(i, p), "reads " + i);
+        Thread reader = new Thread(() -> readOutput(i, p), "reads " + i);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read(int i, Process p) {
+    private void readOutput(int i, Process p) {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(p.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] w = line.split(" ");
                 switch (w[0]) {
                     case "sees" -> {
-                        synchronized (log) {
+                        synchronized (observations) {
                             // The last line of a process that was killed may be cut off.
                             if (w.length == 6) {
-                                log.add(new Seen(
+                                observations.add(new Observation(
                                         i,
                                         Long.parseLong(w[1]),
                                         Long.parseLong(w[2]),
@@ -83,23 +89,23 @@
                         }
                     }
                     case "verdict" -> verdicts.put(w[1], w[2]);
-                    case "kept" -> kept.put(Long.parseLong(w[1]), w.length > 2 ? w[2] : "");
-                    default -> who[i] = w[1] + " " + w[2];
+                    case "kept" -> history.put(Long.parseLong(w[1]), w.length > 2 ? w[2] : "");
+                    default -> whoReplies[i] = w[1] + " " + w[2];
                 }
             }
         } catch (IOException e) {
             // It was killed: its pipe is closed.
-            who[i] = "";
+            whoReplies[i] = "";
         }
     }
 
-    private void say(int i, String line) {
+    private void send(int i, String line) {
         try {
             OutputStream out = processes[i].getOutputStream();
             out.write((line + "\n").getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            who[i] = "";
+            whoReplies[i] = "";
         }
     }
 
@@ -111,24 +117,25 @@
                         .waitFor());
     }
 
-    private static ConditionFactory soon() {
+    private static ConditionFactory await20s() {
         return await().atMost(Duration.ofSeconds(20)).pollInterval(Duration.ofMillis(20));
     }
 
-    private int leader() {
+    private int awaitLeader() {
         // One try takes 2 s at most; a process that is not up by then is asked again, for as long as the wait allows.
-        return soon().ignoreException(ConditionTimeoutException.class)
+        return await20s()
+                .ignoreException(ConditionTimeoutException.class)
                 .until(
                         () -> {
-                            Arrays.fill(who, "");
+                            Arrays.fill(whoReplies, "");
                             for (int i = 0; i < 3; i++) {
-                                say(i, "who");
+                                send(i, "who");
                             }
                             await().atMost(Duration.ofSeconds(2))
-                                    .until(() -> Arrays.stream(who).noneMatch(String::isEmpty));
+                                    .until(() -> Arrays.stream(whoReplies).noneMatch(String::isEmpty));
                             List<Integer> leads = new ArrayList<>();
                             for (int i = 0; i < 3; i++) {
-                                if (who[i].startsWith("true")) {
+                                if (whoReplies[i].startsWith("true")) {
                                     leads.add(i);
                                 }
                             }
@@ -137,14 +144,16 @@
                         l -> l >= 0);
     }
 
-    private Seen lastHeld() {
-        synchronized (log) {
-            return log.stream().max(Comparator.comparingLong(Seen::token)).orElseThrow();
+    private Observation latestHolder() {
+        synchronized (observations) {
+            return observations.stream()
+                    .max(Comparator.comparingLong(Observation::token))
+                    .orElseThrow();
         }
     }
 
     @AfterEach
-    void end() {
+    void killProcesses() {
         for (Process p : processes) {
             if (p != null) {
                 p.destroyForcibly();
@@ -153,7 +162,7 @@
     }
 
     @Test
-    void whatWasAcknowledgedOutlivesLeadersKilledAndStalledAndNoRoleIsHeldTwice() throws Exception {
+    void acknowledgedProposalsSurviveKilledAndStalledLeaders() throws Exception {
         for (int i = 0; i < 3; i++) {
             try (ServerSocket s = new ServerSocket(0)) {
                 ports.add(s.getLocalPort());
@@ -164,14 +173,14 @@
         }
         Set<String> acknowledged = new HashSet<>();
         for (int round = 0; round < 6; round++) {
-            int leader = leader();
+            int leader = awaitLeader();
             int other = (leader + 1) % 3;
-            long expected = Long.parseLong(who[other].split(" ")[1]);
+            long expected = Long.parseLong(whoReplies[other].split(" ")[1]);
             String content = "round" + round;
-            say(other, "propose " + expected + " " + content);
+            send(other, "propose " + expected + " " + content);
             boolean kill = round % 2 == 0;
             signal(kill ? "KILL" : "STOP", leader);
-            soon().until(() -> verdicts.containsKey(content));
+            await20s().until(() -> verdicts.containsKey(content));
             if (verdicts.get(content).equals("IN_FORCE")) {
                 acknowledged.add(content);
             }
@@ -181,52 +190,53 @@
             } else {
                 signal("CONT", leader);
             }
-            soon().until(() -> leader() >= 0);
+            await20s().until(() -> awaitLeader() >= 0);
         }
         assertTrue(acknowledged.size() >= 3, "verdicts " + verdicts);
         // The holder stands still until another has the role, and must not take itself for it when it goes on.
         for (int round = 0; round < 2; round++) {
-            Seen held = soon().until(this::lastHeld, s -> s.token() > 0);
-            signal("STOP", held.by());
-            soon().until(() -> lastHeld().token() > held.token());
-            signal("CONT", held.by());
+            Observation held = await20s().until(this::latestHolder, s -> s.token() > 0);
+            signal("STOP", held.process());
+            await20s().until(() -> latestHolder().token() > held.token());
+            signal("CONT", held.process());
         }
-        leader();
-        say(1, "history");
-        soon().until(() -> kept.values().containsAll(acknowledged));
-        List<Seen> all;
-        synchronized (log) {
-            all = List.copyOf(log);
+        awaitLeader();
+        send(1, "history");
+        await20s().until(() -> history.values().containsAll(acknowledged));
+        List<Observation> all;
+        synchronized (observations) {
+            all = List.copyOf(observations);
         }
-        assertTrue(all.stream().map(Seen::token).distinct().count() >= 4, "the role has changed hands");
-        judge(all);
+        assertTrue(all.stream().map(Observation::token).distinct().count() >= 4, "the role has changed hands");
+        assertConsistent(all);
     }
 
-    private static void judge(List<Seen> all) {
+    private static void assertConsistent(List<Observation> all) {
         // What is higher was seen at the latest at this moment; whoever is lower must not be seen after it.
         TreeMap<Long, Long> tokenBy = new TreeMap<>();
         TreeMap<Long, Long> lowBy = new TreeMap<>();
         Map<Long, Integer> holder = new TreeMap<>();
-        for (Seen s : all) {
+        for (Observation s : all) {
             if (s.token() > 0) {
-                tokenBy.merge(s.token(), s.after(), Math::min);
-                assertEquals(s.by(), holder.merge(s.token(), s.by(), (a, b) -> a), "token " + s.token());
+                tokenBy.merge(s.token(), s.afterNanos(), Math::min);
+                assertEquals(s.process(), holder.merge(s.token(), s.process(), (a, b) -> a), "token " + s.token());
             }
-            if (s.low() > 0) {
-                lowBy.merge(s.low(), s.after(), Math::min);
+            if (s.lowestGeneration() > 0) {
+                lowBy.merge(s.lowestGeneration(), s.afterNanos(), Math::min);
             }
         }
-        for (Seen s : all) {
+        for (Observation s : all) {
             if (s.token() > 0) {
                 tokenBy.tailMap(s.token(), false)
                         .values()
-                        .forEach(at -> assertTrue(s.before() <= at, s + ": another held it before"));
+                        .forEach(at -> assertTrue(s.beforeNanos() <= at, s + ": another held it before"));
             }
-            if (s.low() > 0) {
-                lowBy.tailMap(s.high(), false)
+            if (s.lowestGeneration() > 0) {
+                lowBy.tailMap(s.highestGeneration(), false)
                         .values()
                         .forEach(at -> assertTrue(
-                                s.before() <= at, s + ": another acted by a later one before, and by none of these"));
+                                s.beforeNanos() <= at,
+                                s + ": another acted by a later one before, and by none of these"));
             }
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
@@ -46,7 +46,7 @@
                 number.map(n -> new LogCommand.BeginTerm("a@1", n, n)),
                 number.map(n -> new LogCommand.Activate("s", n, n)),
                 number.map(n -> new LogCommand.Abandon("s", n, n, "b")),
-                number.map(n -> new LogCommand.Take("r", "a", n, 1.5, n, n)),
+                number.map(n -> new LogCommand.GrantRole("r", "a", n, 1.5, n, n)),
                 Arbitraries.of(MembershipChangeMode.class)
                         .map(m -> MODEL.createUpdateRaftGroupMembersOpBuilder()
                                 .setMembers(ALL)
@@ -172,7 +172,7 @@
     }
 
     @Property(tries = 400, seed = "5")
-    void eachMessageOfTheLibraryIsTheSameAfterItsWay(@ForAll("messages") RaftMessage m) throws IOException {
+    void raftMessagesRoundTrip(@ForAll("messages") RaftMessage m) throws IOException {
         byte[] once = AgreementCodec.frame(m);
         RaftMessage back = AgreementCodec.frame(once).raftMessage();
         assertEquals(m.getClass(), back.getClass());
@@ -180,7 +180,7 @@
     }
 
     @Property(tries = 600, seed = "6")
-    void whatWasChangedOnTheWayIsReadOrRefusedAndNothingElse(
+    void corruptedMessageIsParsedOrRejected(
             @ForAll("messages") RaftMessage m,
             @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 1 << 20) Integer> at,
             @ForAll byte with,
@@ -190,15 +190,15 @@
             b[i % b.length] ^= with;
         }
         byte[] sent = cut ? Arrays.copyOf(b, at.get(0) % b.length) : b;
-        readOrRefused(sent);
+        assertParsedOrRejected(sent);
     }
 
     @Property(tries = 600, seed = "7")
-    void anyBytesAreReadOrRefused(@ForAll @Size(max = 300) byte[] b) {
-        readOrRefused(b);
+    void arbitraryBytesAreParsedOrRejected(@ForAll @Size(max = 300) byte[] b) {
+        assertParsedOrRejected(b);
     }
 
-    private static void readOrRefused(byte[] b) {
+    private static void assertParsedOrRejected(byte[] b) {
         try {
             AgreementCodec.Frame f = AgreementCodec.frame(b);
             assertEquals(f.message() == null, f.raftMessage() != null);
@@ -208,23 +208,26 @@
     }
 
     @Example
-    void notesAreTheSameAfterTheirWayAndWithoutAFieldTheyAreRefused() throws IOException {
-        AgreementMessage.Answer a = new AgreementMessage.Answer(
+    void agreementMessagesRoundTripAndMissingFieldIsRejected() throws IOException {
+        AgreementMessage.RenewalResponse a = new AgreementMessage.RenewalResponse(
                 3,
                 4,
                 "f",
                 1600,
-                List.of(new AgreementMessage.Told(
-                        "s", new DecidedVersion(5, 2, 3), List.of(new AgreementMessage.Item(3, new byte[] {7}, "m")))),
+                List.of(new AgreementMessage.NameUpdate(
+                        "s",
+                        new DecidedVersion(5, 2, 3),
+                        List.of(new AgreementMessage.GenerationContent(3, new byte[] {7}, "m")))),
                 true);
-        AgreementMessage.Answer back = (AgreementMessage.Answer)
+        AgreementMessage.RenewalResponse back = (AgreementMessage.RenewalResponse)
                 AgreementCodec.frame(AgreementCodec.frame(a)).message();
-        assertEquals(a.told().get(0).word(), back.told().get(0).word());
-        assertArrayEquals(new byte[] {7}, back.told().get(0).items().get(0).content());
+        assertEquals(a.updates().get(0).decided(), back.updates().get(0).decided());
+        assertArrayEquals(
+                new byte[] {7}, back.updates().get(0).contents().get(0).content());
         byte[] whole = AgreementCodec.frame(new AgreementMessage.Hint(9));
         String as = new String(whole, StandardCharsets.ISO_8859_1);
         byte[] other = as.replace("reign", "reigm").getBytes(StandardCharsets.ISO_8859_1);
         assertThrows(IOException.class, () -> AgreementCodec.frame(other));
-        assertThrows(IOException.class, () -> AgreementCodec.frame(new byte[AgreementCodec.MAX_MESSAGE + 1]));
+        assertThrows(IOException.class, () -> AgreementCodec.frame(new byte[AgreementCodec.MAX_MESSAGE_BYTES + 1]));
     }
 }
