--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -30,78 +30,78 @@
     @TempDir
     Path root;
 
-    private Members members;
+    private InProcessFleet fleet;
 
     private static byte[] bytes(String s) {
         return s.getBytes(StandardCharsets.UTF_8);
     }
 
-    private CompletableFuture<Verdict> proposing(String at, long expected, String content, double withinMs) {
-        return members.node(at).propose(AgreedValues.SETTINGS, expected, bytes(content), withinMs);
+    private CompletableFuture<Verdict> proposeAsync(String at, long expected, String content, double withinMs) {
+        return fleet.member(at).propose(AgreedValues.SETTINGS, expected, bytes(content), withinMs);
     }
 
     private Verdict propose(String at, long expected, String content) throws Exception {
-        return proposing(at, expected, content, 8000).get(10, TimeUnit.SECONDS);
+        return proposeAsync(at, expected, content, 8000).get(10, TimeUnit.SECONDS);
     }
 
-    private static ConditionFactory soon() {
+    private static ConditionFactory await15s() {
         return await().atMost(Duration.ofSeconds(15)).pollInterval(Duration.ofMillis(5));
     }
 
     private String awaitLeader() {
-        return soon().until(() -> members.leader(), l -> !l.isEmpty());
+        return await15s().until(() -> fleet.leader(), l -> !l.isEmpty());
     }
 
-    private boolean acts(AgreementMember n, long generation) {
+    private boolean usesOnly(AgreementMember n, long generation) {
         return n.effectiveValues(AgreedValues.SETTINGS)
                 .map(a -> a.staged() == null && a.inForce().generation() == generation)
                 .orElse(false);
     }
 
-    private void awaitActs(long generation) {
-        soon().until(() -> members.all().stream().allMatch(n -> acts(n, generation)));
+    private void awaitAllUse(long generation) {
+        await15s().until(() -> fleet.all().stream().allMatch(n -> usesOnly(n, generation)));
     }
 
-    private String known(String at) {
-        return members.node(at)
+    private String lastKnown(String at) {
+        return fleet.member(at)
                 .lastKnown(AgreedValues.SETTINGS)
                 .map(v -> new String(v.content(), StandardCharsets.UTF_8))
                 .orElse("");
     }
 
-    private Lease hold(String at, double forMs) throws Exception {
-        return members.node(at).acquire("driver", forMs).get(10, TimeUnit.SECONDS);
+    private Lease claim(String at, double forMs) throws Exception {
+        return fleet.member(at).acquire("driver", forMs).get(10, TimeUnit.SECONDS);
     }
 
     @AfterEach
-    void nobodyContradicts() {
-        members.close();
-        assertTrue(members.looked() > 100, "looked " + members.looked());
-        assertEquals(List.of(), members.breaches());
+    void assertNoViolations() {
+        fleet.close();
+        assertTrue(fleet.checks() > 100, "looked " + fleet.checks());
+        assertEquals(List.of(), fleet.violations());
     }
 
     @Test
-    void aProposalFromAMemberThatDoesNotVoteIsInForceAtAllAndOneMadeAgainstAnOlderIsNot() throws Exception {
-        members = new Members(4, root, 1);
+    void nonVoterProposalTakesEffectEverywhereAndStaleProposalIsOvertaken() throws Exception {
+        fleet = new InProcessFleet(4, root, 1);
         awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m3", 0, "a"));
-        awaitActs(1);
+        awaitAllUse(1);
         assertEquals(Verdict.OVERTAKEN, propose("m0", 0, "b"));
         assertEquals(Verdict.IN_FORCE, propose("m0", 1, "b"));
-        awaitActs(2);
-        assertEquals("b", known("m3"));
+        awaitAllUse(2);
+        assertEquals("b", lastKnown("m3"));
     }
 
     @Test
-    void whatOneMemberCannotUseIsAbandonedAndItsNumberIsBurnt() throws Exception {
-        members = new Members(3, null, 2);
+    void valueRejectedByOneMemberIsAbandonedAndItsGenerationIsNotReused() throws Exception {
+        fleet = new InProcessFleet(3, null, 2);
         awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        awaitActs(1);
+        awaitAllUse(1);
         assertEquals(Verdict.REFUSED, propose("m0", 1, "bad at m2"));
         assertEquals(Verdict.IN_FORCE, propose("m0", 1, "b"));
-        awaitActs(3);
-        SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m1"), 3000);
+        awaitAllUse(3);
+        SettingsAdminHandler calls = new SettingsAdminHandler(fleet.member("m1"), 3000);
         assertTrue(
                 calls.history(AgreedValues.SETTINGS)
                         .text()
@@ -111,54 +111,54 @@
                 "from line 1\n- a\n+ b\n",
                 calls.diff(AgreedValues.SETTINGS, 1, 3).text());
         assertTrue(calls.withdraw(AgreedValues.SETTINGS, 1).succeeded());
-        awaitActs(4);
+        awaitAllUse(4);
         assertTrue(calls.show(AgreedValues.SETTINGS).text().startsWith("generation 4 by m1\na"));
         assertFalse(calls.withdraw(AgreedValues.SETTINGS, 9).succeeded());
     }
 
     @Test
-    void aLeaderThatIsCutOffDecidesNothingAndIsInDoubtWhileTheMajorityGoesOn() throws Exception {
-        members = new Members(3, root, 3);
+    void partitionedLeaderDecidesNothingWhileMajorityContinues() throws Exception {
+        fleet = new InProcessFleet(3, root, 3);
         String old = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        awaitActs(1);
-        members.net.cut(old);
-        CompletableFuture<Verdict> alone = proposing(old, 1, "alone", 1500);
+        awaitAllUse(1);
+        fleet.network.partition(old);
+        CompletableFuture<Verdict> alone = proposeAsync(old, 1, "alone", 1500);
         String other = old.equals("m0") ? "m1" : "m0";
         assertEquals(Verdict.IN_FORCE, propose(other, 1, "b"));
         assertTrue(
-                members.node(old).effectiveValues(AgreedValues.SETTINGS).isEmpty(), "cut off for longer than a lease");
+                fleet.member(old).effectiveValues(AgreedValues.SETTINGS).isEmpty(), "cut off for longer than a lease");
         assertEquals(Verdict.UNKNOWN, alone.get(5, TimeUnit.SECONDS));
-        members.net.cut();
-        awaitActs(2);
-        assertEquals("b", known(old));
+        fleet.network.partition();
+        awaitAllUse(2);
+        assertEquals("b", lastKnown(old));
     }
 
     @Test
-    void aProposalOutlivesItsLeaderAndAllOfThemAtOnce() throws Exception {
-        members = new Members(3, root, 4);
+    void proposalSurvivesLeaderCrashAndRestartOfAllMembers() throws Exception {
+        fleet = new InProcessFleet(3, root, 4);
         String old = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        awaitActs(1);
+        awaitAllUse(1);
         String other = old.equals("m0") ? "m1" : "m0";
-        CompletableFuture<Verdict> verdict = proposing(other, 1, "b", 8000);
-        members.kill(old);
+        CompletableFuture<Verdict> verdict = proposeAsync(other, 1, "b", 8000);
+        fleet.kill(old);
         assertEquals(Verdict.IN_FORCE, verdict.get(10, TimeUnit.SECONDS));
         for (String m : List.of("m0", "m1", "m2")) {
-            if (members.node(m) != null) {
-                members.kill(m);
+            if (fleet.member(m) != null) {
+                fleet.kill(m);
             }
         }
         for (String m : List.of("m0", "m1", "m2")) {
-            members.start(m, 1);
+            fleet.start(m, 1);
         }
-        awaitActs(2);
-        assertEquals("b", known(old));
+        awaitAllUse(2);
+        assertEquals("b", lastKnown(old));
         assertEquals(Verdict.IN_FORCE, propose(old, 2, "c"));
     }
 
-    private void lose(String name) throws IOException {
-        try (Stream<Path> files = Files.walk(members.disk(name))) {
+    private void deleteDisk(String name) throws IOException {
+        try (Stream<Path> files = Files.walk(fleet.disk(name))) {
             for (Path p : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 Files.delete(p);
             }
@@ -166,76 +166,78 @@
     }
 
     @Test
-    void aVoterThatLostItsDiskVotesAgainOnlyAsAnother() throws Exception {
-        members = new Members(3, root, 5);
+    void voterWithLostDiskRejoinsAsNewVoter() throws Exception {
+        fleet = new InProcessFleet(3, root, 5);
         String leader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
         String lost = leader.equals("m1") ? "m2" : "m1";
         // So much that the log's beginning is gone: the new disk starts from a snapshot of several pieces.
         for (int g = 1; g < 20; g++) {
-            byte[] large = new byte[AgreedState.MAX_CONTENT];
+            byte[] large = new byte[AgreedState.MAX_CONTENT_BYTES];
             assertEquals(
                     Verdict.IN_FORCE,
-                    members.node("m0")
+                    fleet.member("m0")
                             .propose(AgreedValues.SETTINGS, g, large, 8000)
                             .get(10, TimeUnit.SECONDS));
         }
-        members.kill(lost);
-        lose(lost);
-        members.start(lost, 1);
-        soon().until(() -> members.node(lost).status().contains("votes")
-                && !members.node(lost).status().contains("joins"));
+        fleet.kill(lost);
+        deleteDisk(lost);
+        fleet.start(lost, 1);
+        await15s()
+                .until(() -> fleet.member(lost).status().contains("votes")
+                        && !fleet.member(lost).status().contains("joins"));
         // With the third one gone, nothing is decided but by the new disk's vote.
         String third = List.of("m0", "m1", "m2").stream()
                 .filter(m -> !m.equals(lost) && !m.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        members.kill(third);
+        fleet.kill(third);
         assertEquals(Verdict.IN_FORCE, propose(lost, 20, "b"));
-        assertEquals("b", known(lost));
+        assertEquals("b", lastKnown(lost));
     }
 
     @Test
-    void anOldDiskIsPutAside() throws Exception {
-        members = new Members(3, root, 6);
+    void restoredOldDiskIsPutAside() throws Exception {
+        fleet = new InProcessFleet(3, root, 6);
         String leader = awaitLeader();
         String name = leader.equals("m1") ? "m2" : "m1";
-        members.kill(name);
+        fleet.kill(name);
         Path copy = root.resolve("copy");
         Files.createDirectories(copy);
         for (String f : List.of("agreed.mv", "agreed.mark")) {
-            Files.copy(members.disk(name).resolve(f), copy.resolve(f));
+            Files.copy(fleet.disk(name).resolve(f), copy.resolve(f));
         }
-        members.start(name, 1);
-        soon().until(() -> members.node(name).status().contains("votes"));
+        fleet.start(name, 1);
+        await15s().until(() -> fleet.member(name).status().contains("votes"));
         assertEquals(Verdict.IN_FORCE, propose(name, 0, "a"));
-        members.kill(name);
-        lose(name);
-        Files.move(copy, members.disk(name));
-        members.start(name, 1);
-        soon().until(() -> Files.exists(root.resolve(name + ".aside-1")));
-        soon().until(() -> members.node(name).status().contains("votes")
-                && !members.node(name).status().contains("joins"));
-        awaitActs(1);
+        fleet.kill(name);
+        deleteDisk(name);
+        Files.move(copy, fleet.disk(name));
+        fleet.start(name, 1);
+        await15s().until(() -> Files.exists(root.resolve(name + ".aside-1")));
+        await15s()
+                .until(() -> fleet.member(name).status().contains("votes")
+                        && !fleet.member(name).status().contains("joins"));
+        awaitAllUse(1);
     }
 
     @Test
-    void aRoleIsHeldByOneAlsoWhenItsHolderStandsStillAndTheLeaderGoes() throws Exception {
-        members = new Members(4, root, 7);
+    void roleHasOneHolderWhenHolderStallsAndLeaderCrashes() throws Exception {
+        fleet = new InProcessFleet(4, root, 7);
         String leader = awaitLeader();
         // One that doesn't vote, so that a majority is left when it stands still and the leader is gone.
         String holder = "m3";
         String next = leader.equals("m0") ? "m1" : "m0";
-        Lease first = hold(holder, 500);
-        assertTrue(members.node(holder).holdsLease("driver"));
-        assertEquals(holder, hold(next, 500).holder());
-        assertFalse(members.node(next).holdsLease("driver"));
-        Lease longer = hold(holder, 500);
+        Lease first = claim(holder, 500);
+        assertTrue(fleet.member(holder).holdsLease("driver"));
+        assertEquals(holder, claim(next, 500).holder());
+        assertFalse(fleet.member(next).holdsLease("driver"));
+        Lease longer = claim(holder, 500);
         assertEquals(first.token(), longer.token());
         assertTrue(longer.untilMs() > first.untilMs());
         // Its thread stands still: an answer that lay in its queue must not lengthen what is over.
         CountDownLatch still = new CountDownLatch(1);
-        AgreementMember stalled = members.node(holder);
+        AgreementMember stalled = fleet.member(holder);
         CompletableFuture<Lease> late = stalled.acquire("driver", 500);
         stalled.execute(() -> {
             try {
@@ -244,8 +246,8 @@
                 Thread.currentThread().interrupt();
             }
         });
-        members.kill(leader);
-        Lease taken = soon().until(() -> hold(next, 500), h -> h.holder().equals(next) && h.untilMs() > 0);
+        fleet.kill(leader);
+        Lease taken = await15s().until(() -> claim(next, 500), h -> h.holder().equals(next) && h.untilMs() > 0);
         assertTrue(taken.token() > first.token());
         still.countDown();
         late.get(10, TimeUnit.SECONDS);
@@ -253,57 +255,58 @@
     }
 
     @Test
-    void inAStormNothingAcknowledgedIsLostAndNobodyContradicts() throws Exception {
+    void acknowledgedProposalsSurviveRandomFaults() throws Exception {
         Random random = new Random(8);
-        members = new Members(5, root, 8);
+        fleet = new InProcessFleet(5, root, 8);
         awaitLeader();
-        members.net.faults(0.05, 0.05, 8000);
+        fleet.network.setFaults(0.05, 0.05, 8000);
         Map<Long, String> acknowledged = new TreeMap<>();
-        List<String> names = members.net.members().stream().map(m -> m.name()).toList();
+        List<String> names = fleet.network.members().stream().map(m -> m.name()).toList();
         for (int round = 0; round < 8; round++) {
             String struck = names.get(random.nextInt(5));
             String also = names.get(random.nextInt(5));
             int kind = random.nextInt(3);
             if (kind == 0) {
-                members.kill(struck);
+                fleet.kill(struck);
             } else if (kind == 1) {
-                members.net.cut(struck);
+                fleet.network.partition(struck);
             } else {
-                members.net.cut(struck, also);
+                fleet.network.partition(struck, also);
             }
             String at = names.stream()
                     .filter(n -> !n.equals(struck) && !n.equals(also))
                     .findFirst()
                     .orElseThrow();
             List<CompletableFuture<Lease>> claims = new ArrayList<>();
-            members.all().forEach(n -> claims.add(n.acquire("driver", 300)));
-            long expected = members.node(at)
+            fleet.all().forEach(n -> claims.add(n.acquire("driver", 300)));
+            long expected = fleet.member(at)
                     .lastKnown(AgreedValues.SETTINGS)
                     .map(AgreedValues.Value::generation)
                     .orElse(0L);
             String content = "round " + round;
-            if (proposing(at, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
+            if (proposeAsync(at, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
                 acknowledged.put((long) round, content);
             }
             for (CompletableFuture<Lease> c : claims) {
                 c.get(10, TimeUnit.SECONDS);
             }
-            members.net.cut();
+            fleet.network.partition();
             if (kind == 0) {
-                members.start(struck, random.nextBoolean() ? 1.01 : 0.99);
+                fleet.start(struck, random.nextBoolean() ? 1.01 : 0.99);
             }
         }
         assertTrue(acknowledged.size() >= 4, "acknowledged " + acknowledged);
-        members.net.faults(0, 0, 300);
-        SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m0"), 5000);
-        String all = soon().until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::succeeded)
+        fleet.network.setFaults(0, 0, 300);
+        SettingsAdminHandler calls = new SettingsAdminHandler(fleet.member("m0"), 5000);
+        String all = await15s()
+                .until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::succeeded)
                 .text();
         List<String> kept = new ArrayList<>();
         for (String line : all.split("\n")) {
             long g = Long.parseLong(line.trim().split(" ")[0]);
             kept.add(new String(
-                    members.node("m0")
-                            .look(AgreedValues.SETTINGS, g, 5000)
+                    fleet.member("m0")
+                            .readHistory(AgreedValues.SETTINGS, g, 5000)
                             .get(8, TimeUnit.SECONDS)
                             .orElseThrow()
                             .content(),
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -44,44 +44,44 @@
     @TempDir
     Path directory;
 
-    private static Map<String, AgreementMessage> notes() {
+    private static Map<String, AgreementMessage> agreementMessages() {
         Map<String, AgreementMessage> notes = new LinkedHashMap<>();
         notes.put("hello", new AgreementMessage.Hello("0123456789ab", 3, 1_700_000_000_001L));
         notes.put(
                 "facts",
-                new AgreementMessage.Facts(
+                new AgreementMessage.HelloResponse(
                         "ba9876543210", List.of("m1@1", "m2@2"), "m1@1", List.of("m1@1"), 17, "0123456789ab", 2, 5));
-        notes.put("join", new AgreementMessage.Join("m1@0123456789ab"));
+        notes.put("join", new AgreementMessage.JoinRequest("m1@0123456789ab"));
         notes.put(
                 "question",
-                new AgreementMessage.Question(
-                        7, 8, List.of(new AgreementMessage.Heard("settings/tier-1", 9, 10, List.of(11L, 12L)))));
+                new AgreementMessage.RenewalRequest(
+                        7, 8, List.of(new AgreementMessage.NameState("settings/tier-1", 9, 10, List.of(11L, 12L)))));
         notes.put(
                 "answer",
-                new AgreementMessage.Answer(
+                new AgreementMessage.RenewalResponse(
                         7,
                         8,
                         "m1@1",
                         1600.5,
-                        List.of(new AgreementMessage.Told(
+                        List.of(new AgreementMessage.NameUpdate(
                                 "shares",
                                 new DecidedVersion(5, 2, 3),
-                                List.of(new AgreementMessage.Item(3, CONTENT, "staff")))),
+                                List.of(new AgreementMessage.GenerationContent(3, CONTENT, "staff")))),
                         true));
-        notes.put("elsewhere", new AgreementMessage.Elsewhere("m2"));
+        notes.put("elsewhere", new AgreementMessage.NotLeader("m2"));
         notes.put("hint", new AgreementMessage.Hint(300));
-        notes.put("propose", new AgreementMessage.Propose("shares", 2, CONTENT, 7, 9));
+        notes.put("propose", new AgreementMessage.ProposeRequest("shares", 2, CONTENT, 7, 9));
         List<AgreedValues.Verdict> verdicts = verdicts();
         for (int i = 0; i < verdicts.size(); i++) {
-            notes.put("outcome-" + i, new AgreementMessage.Outcome(7, 9, verdicts.get(i), 4));
+            notes.put("outcome-" + i, new AgreementMessage.ProposeResponse(7, 9, verdicts.get(i), 4));
         }
-        notes.put("claim", new AgreementMessage.Claim("lessor/pool", 2500.25, 7, 10));
-        notes.put("claimed", new AgreementMessage.Claimed(7, 10, "m2", 77, 2500.25));
-        notes.put("look", new AgreementMessage.Look("shares", 3, 7, 11));
+        notes.put("claim", new AgreementMessage.ClaimRequest("lessor/pool", 2500.25, 7, 10));
+        notes.put("claimed", new AgreementMessage.ClaimResponse(7, 10, "m2", 77, 2500.25));
+        notes.put("look", new AgreementMessage.HistoryRequest("shares", 3, 7, 11));
         notes.put(
                 "looked",
-                new AgreementMessage.Looked(
-                        7, 11, List.of(new AgreementMessage.Line(3, "staff", 5, "in force")), CONTENT));
+                new AgreementMessage.HistoryResponse(
+                        7, 11, List.of(new AgreementMessage.HistoryEntry(3, "staff", 5, "in force")), CONTENT));
         return notes;
     }
 
@@ -95,13 +95,13 @@
                 AgreedValues.Verdict.UNKNOWN);
     }
 
-    private static Map<String, LogCommand> operations() {
+    private static Map<String, LogCommand> commands() {
         Map<String, LogCommand> operations = new LinkedHashMap<>();
         operations.put("reign", new LogCommand.BeginTerm("m1@1", 5, 6));
         operations.put("stage", new LogCommand.Stage("shares", 2, CONTENT, "m2", 7, 9));
         operations.put("activate", new LogCommand.Activate("shares", 4, 3));
         operations.put("abandon", new LogCommand.Abandon("shares", 4, 3, "m3"));
-        operations.put("take", new LogCommand.Take("lessor/pool", "m2", 7, 2500.25, 77, 3));
+        operations.put("take", new LogCommand.GrantRole("lessor/pool", "m2", 7, 2500.25, 77, 3));
         return operations;
     }
 
@@ -247,15 +247,15 @@
                 .build();
     }
 
-    private static AgreedState.Image image() {
+    private static AgreedState.Snapshot snapshot() {
         List<AgreedState.Generation> history = List.of(
                 new AgreedState.Generation(1, CONTENT, "staff", 7, 8, AgreedState.Outcome.ABANDONED),
                 new AgreedState.Generation(2, CONTENT, "staff", 7, 9, AgreedState.Outcome.IN_FORCE),
                 new AgreedState.Generation(3, CONTENT, "m2", 7, 10, AgreedState.Outcome.STAGED));
-        return new AgreedState.Image(
+        return new AgreedState.Snapshot(
                 6,
-                List.of(new AgreedState.Named("shares", new DecidedVersion(5, 2, 3), 3, history)),
-                List.of(new AgreedState.Role("lessor/pool", "m2", 7, 77, 2500.25)));
+                List.of(new AgreedState.NamedValue("shares", new DecidedVersion(5, 2, 3), 3, history)),
+                List.of(new AgreedState.RoleState("lessor/pool", "m2", 7, 77, 2500.25)));
     }
 
     private static RaftTermPersistentState term(RaftEndpoint votedFor) {
@@ -266,10 +266,10 @@
     }
 
     @Test
-    void eachNote() throws IOException {
-        GoldenFiles.assertAllCovered(AgreementMessage.class, notes().values());
+    void agreementMessagesMatchGoldenFiles() throws IOException {
+        GoldenFiles.assertAllCovered(AgreementMessage.class, agreementMessages().values());
         assertEquals(AgreedValues.Verdict.values().length, verdicts().size());
-        for (Map.Entry<String, AgreementMessage> note : notes().entrySet()) {
+        for (Map.Entry<String, AgreementMessage> note : agreementMessages().entrySet()) {
             GoldenFiles.check(
                     "agreed/note-" + note.getKey(),
                     note.getValue(),
@@ -279,27 +279,27 @@
     }
 
     @Test
-    void eachOperation() throws IOException {
-        GoldenFiles.assertAllCovered(LogCommand.class, operations().values());
-        for (Map.Entry<String, LogCommand> operation : operations().entrySet()) {
+    void logEntriesMatchGoldenFiles() throws IOException {
+        GoldenFiles.assertAllCovered(LogCommand.class, commands().values());
+        for (Map.Entry<String, LogCommand> operation : commands().entrySet()) {
             GoldenFiles.check(
                     "agreed/entry-" + operation.getKey(),
                     entry(4, operation.getValue()),
-                    AgreementCodec::entry,
-                    AgreementCodec::entry);
+                    AgreementCodec::logEntry,
+                    AgreementCodec::logEntry);
         }
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
             GoldenFiles.check(
                     "agreed/entry-members-" + mode.ordinal(),
                     entry(5, membership(mode)),
-                    AgreementCodec::entry,
-                    AgreementCodec::entry);
+                    AgreementCodec::logEntry,
+                    AgreementCodec::logEntry);
         }
-        GoldenFiles.check("agreed/entry-bytes", entry(6, CONTENT), AgreementCodec::entry, AgreementCodec::entry);
+        GoldenFiles.check("agreed/entry-bytes", entry(6, CONTENT), AgreementCodec::logEntry, AgreementCodec::logEntry);
     }
 
     @Test
-    void eachMessageOfTheRaftLibrary() throws IOException {
+    void raftMessagesMatchGoldenFiles() throws IOException {
         for (Map.Entry<String, RaftMessage> message : raftMessages().entrySet()) {
             GoldenFiles.check(
                     "agreed/raft-" + message.getKey(),
@@ -310,25 +310,26 @@
     }
 
     @Test
-    void valuesOnDisk() throws IOException {
+    void storedValuesMatchGoldenFiles() throws IOException {
         assertEquals(3, AgreedState.Outcome.values().length);
-        GoldenFiles.check("agreed/image", image(), AgreementCodec::image, AgreementCodec::image);
-        GoldenFiles.check("agreed/snapshot-chunk", chunk(), AgreementCodec::chunk, AgreementCodec::chunk);
-        GoldenFiles.check("agreed/members", VIEW, AgreementCodec::members, AgreementCodec::members);
-        GoldenFiles.check("agreed/term", term(ME), AgreementCodec::term, AgreementCodec::term);
-        GoldenFiles.check("agreed/term-without-vote", term(null), AgreementCodec::term, AgreementCodec::term);
+        GoldenFiles.check("agreed/image", snapshot(), AgreementCodec::snapshot, AgreementCodec::snapshot);
+        GoldenFiles.check(
+                "agreed/snapshot-chunk", chunk(), AgreementCodec::snapshotChunk, AgreementCodec::snapshotChunk);
+        GoldenFiles.check("agreed/members", VIEW, AgreementCodec::groupMembers, AgreementCodec::groupMembers);
+        GoldenFiles.check("agreed/term", term(ME), AgreementCodec::termState, AgreementCodec::termState);
+        GoldenFiles.check("agreed/term-without-vote", term(null), AgreementCodec::termState, AgreementCodec::termState);
         GoldenFiles.check(
                 "agreed/local-endpoint",
                 MODEL.createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(ME)
                         .setVoting(true)
                         .build(),
-                AgreementCodec::self,
-                AgreementCodec::self);
+                AgreementCodec::endpointState,
+                AgreementCodec::endpointState);
     }
 
     @Test
-    void diskOfAVoter() throws IOException {
+    void opensGoldenVoterDisk() throws IOException {
         if (GoldenFiles.isWriteEnabled()) {
             writeDisk();
         }
@@ -337,13 +338,13 @@
             Files.write(copy.resolve(file), GoldenFiles.read("agreed/voter-disk-" + file));
         }
         try (VoterStore store = VoterStore.open(copy, "fleet", "m1")) {
-            assertTrue(store.disk().matches("[0-9a-f]{24}"), store.disk());
-            assertEquals(2, store.starts());
+            assertTrue(store.diskId().matches("[0-9a-f]{24}"), store.diskId());
+            assertEquals(2, store.startCount());
             assertEquals(List.of("m1", "m2"), store.bootstrapVoters());
-            assertEquals(false, store.joining());
-            assertEquals(17, store.since());
-            assertEquals(Optional.of("ba9876543210 2 5"), store.seen("m2"));
-            assertEquals(Optional.empty(), store.seen("m3"));
+            assertEquals(false, store.isJoining());
+            assertEquals(17, store.joinLogIndex());
+            assertEquals(Optional.of("ba9876543210 2 5"), store.lastSeen("m2"));
+            assertEquals(Optional.empty(), store.lastSeen("m3"));
             assertRestored(store.restored().orElseThrow());
         }
     }
@@ -364,7 +365,7 @@
     private static List<LogEntry> diskEntries() {
         List<LogEntry> entries = new ArrayList<>();
         long index = 4;
-        for (LogCommand operation : operations().values()) {
+        for (LogCommand operation : commands().values()) {
             entries.add(entry(index++, operation));
         }
         entries.add(entry(index, membership(MembershipChangeMode.REMOVE_MEMBER)));
@@ -375,8 +376,8 @@
         Path written = directory.resolve("written");
         try (VoterStore store = VoterStore.open(written, "fleet", "m1")) {
             store.saveBootstrapVoters(List.of("m1", "m2"), true);
-            store.joined(17);
-            store.seen("m2", "ba9876543210 2 5");
+            store.saveJoined(17);
+            store.lastSeen("m2", "ba9876543210 2 5");
             store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(ME)
                     .setVoting(true)
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemoryNet.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
@@ -19,18 +19,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Links within one process, with faults: loss, repetition, delay and partition. */
-final class MemoryNet implements AutoCloseable {
-    private final Map<String, Ends> ends = new ConcurrentHashMap<>();
+final class InMemoryNetwork implements AutoCloseable {
+    private final Map<String, InMemoryLinks> linksByMember = new ConcurrentHashMap<>();
     private final List<Member> members = new ArrayList<>();
-    private final ScheduledExecutorService wire = Executors.newSingleThreadScheduledExecutor();
-    private final AtomicLong lives = new AtomicLong();
+    private final ScheduledExecutorService deliveries = Executors.newSingleThreadScheduledExecutor();
+    private final AtomicLong lastIncarnation = new AtomicLong();
     private final Random random;
-    private volatile Set<String> cut = Set.of();
-    private volatile double loss;
-    private volatile double twice;
-    private volatile int delayUs = 300;
+    private volatile Set<String> partition = Set.of();
+    private volatile double lossRate;
+    private volatile double duplicateRate;
+    private volatile int maxDelayUs = 300;
 
-    MemoryNet(int n, long seed) {
+    InMemoryNetwork(int n, long seed) {
         random = new Random(seed);
         for (int i = 0; i < n; i++) {
             members.add(new Member("m" + i, "127.0.0.1:0", "z"));
@@ -43,37 +43,37 @@
 
     /** Links of a member's new life. */
     PeerLinks links(String name) {
-        Ends e = new Ends(
+        InMemoryLinks e = new InMemoryLinks(
                 members.stream().filter(m -> m.name().equals(name)).findFirst().orElseThrow());
-        ends.put(name, e);
+        linksByMember.put(name, e);
         return e;
     }
 
     /** Nothing passes between these and the others, either way. */
-    void cut(String... names) {
-        cut = Set.copyOf(List.of(names));
+    void partition(String... names) {
+        partition = Set.copyOf(List.of(names));
     }
 
     /** Parts of messages that are lost or come twice, and how late they are at the most. */
-    void faults(double lost, double repeated, int delayedUs) {
-        loss = lost;
-        twice = repeated;
-        delayUs = delayedUs;
+    void setFaults(double lost, double repeated, int delayedUs) {
+        lossRate = lost;
+        duplicateRate = repeated;
+        maxDelayUs = delayedUs;
     }
 
     @Override
     public void close() {
-        wire.shutdownNow();
-        new HashSet<>(ends.values()).forEach(Ends::close);
+        deliveries.shutdownNow();
+        new HashSet<>(linksByMember.values()).forEach(InMemoryLinks::close);
     }
 
-    private final class Ends implements PeerLinks {
+    private final class InMemoryLinks implements PeerLinks {
         private final Member me;
-        private final long life = lives.incrementAndGet();
+        private final long life = lastIncarnation.incrementAndGet();
         private final ExecutorService thread = Executors.newSingleThreadExecutor();
         private final Map<MessageStream, Receiver> receivers = new ConcurrentHashMap<>();
 
-        Ends(Member me) {
+        InMemoryLinks(Member me) {
             this.me = me;
         }
 
@@ -102,12 +102,12 @@
             int copies;
             long us;
             synchronized (random) {
-                copies = random.nextDouble() < loss ? 0 : random.nextDouble() < twice ? 2 : 1;
-                us = random.nextInt(delayUs);
+                copies = random.nextDouble() < lossRate ? 0 : random.nextDouble() < duplicateRate ? 2 : 1;
+                us = random.nextInt(maxDelayUs);
             }
             for (int i = 0; i < copies; i++) {
                 try {
-                    wire.schedule(() -> arrives(peer, stream, body), us + i * 20_000L, TimeUnit.MICROSECONDS);
+                    deliveries.schedule(() -> deliver(peer, stream, body), us + i * 20_000L, TimeUnit.MICROSECONDS);
                 } catch (RejectedExecutionException e) {
                     return false;
                 }
@@ -115,9 +115,9 @@
             return true;
         }
 
-        private void arrives(String peer, MessageStream stream, byte[] body) {
-            Ends to = ends.get(peer);
-            if (to == null || cut.contains(peer) != cut.contains(me.name())) {
+        private void deliver(String peer, MessageStream stream, byte[] body) {
+            InMemoryLinks to = linksByMember.get(peer);
+            if (to == null || partition.contains(peer) != partition.contains(me.name())) {
                 return;
             }
             try {
@@ -141,7 +141,7 @@
 
         @Override
         public void close() {
-            ends.remove(me.name(), this);
+            linksByMember.remove(me.name(), this);
             thread.shutdownNow();
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/Members.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InProcessFleet.java
@@ -15,43 +15,43 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** Members in one process, watched at every moment: no two contradict each other, no role is held twice. */
-final class Members implements AutoCloseable {
+final class InProcessFleet implements AutoCloseable {
     static final double LEASE_MS = 400;
     private static final double DRIFT = 0.01;
 
-    final MemoryNet net;
+    final InMemoryNetwork network;
     private final Path root;
     private final String scheme;
-    private final Map<String, AgreementMember> nodes = new TreeMap<>();
+    private final Map<String, AgreementMember> members = new TreeMap<>();
     private final Map<String, PeerLinks> links = new HashMap<>();
-    private final List<String> breaches = new CopyOnWriteArrayList<>();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
     private final Map<String, Long> tokens = new HashMap<>();
-    private final Clock base = Clock.system();
-    private final Thread watch;
-    private volatile boolean over;
-    private volatile long looked;
+    private final Clock systemClock = Clock.system();
+    private final Thread checkUntilClosed;
+    private volatile boolean closed;
+    private volatile long checks;
 
-    Members(int n, Path root, long seed) throws IOException {
+    InProcessFleet(int n, Path root, long seed) throws IOException {
         this(n, root, seed, "");
     }
 
     /** Members whose disks are on a file system of this scheme. */
-    Members(int n, Path root, long seed, String scheme) throws IOException {
+    InProcessFleet(int n, Path root, long seed, String scheme) throws IOException {
         this.scheme = scheme;
-        this.net = new MemoryNet(n, seed);
+        this.network = new InMemoryNetwork(n, seed);
         this.root = root;
         for (int i = 0; i < n; i++) {
             start("m" + i, 1);
         }
-        watch = new Thread(this::watch, "watch");
-        watch.setDaemon(true);
-        watch.start();
+        checkUntilClosed = new Thread(this::checkUntilClosed, "watch");
+        checkUntilClosed.setDaemon(true);
+        checkUntilClosed.start();
     }
 
     AgreedSettings settings(String name) {
         return new AgreedSettings(
                 "f",
-                AgreedSettings.voters(net.members()),
+                AgreedSettings.voters(network.members()),
                 new LeaseTerms(LEASE_MS, DRIFT),
                 40,
                 5,
@@ -65,14 +65,14 @@
 
     /** Starts a member whose clock has this rate. */
     AgreementMember start(String name, double rate) throws IOException {
-        PeerLinks l = net.links(name);
+        PeerLinks l = network.links(name);
         AgreementMember n = new AgreementMember(
                 l,
                 disk(name),
                 new Clock() {
                     @Override
                     public double nowMs() {
-                        return base.nowMs() * rate;
+                        return systemClock.nowMs() * rate;
                     }
                 },
                 settings(name));
@@ -80,8 +80,8 @@
         n.useFileScheme(scheme);
         n.start();
         l.start();
-        synchronized (nodes) {
-            nodes.put(name, n);
+        synchronized (members) {
+            members.put(name, n);
             links.put(name, l);
         }
         return n;
@@ -91,31 +91,31 @@
     void kill(String name) {
         AgreementMember n;
         PeerLinks l;
-        synchronized (nodes) {
-            n = nodes.remove(name);
+        synchronized (members) {
+            n = members.remove(name);
             l = links.remove(name);
         }
         l.close();
         n.halt();
     }
 
-    AgreementMember node(String name) {
-        synchronized (nodes) {
-            return nodes.get(name);
+    AgreementMember member(String name) {
+        synchronized (members) {
+            return members.get(name);
         }
     }
 
     List<AgreementMember> all() {
-        synchronized (nodes) {
-            return new ArrayList<>(nodes.values());
+        synchronized (members) {
+            return new ArrayList<>(members.values());
         }
     }
 
     /** Who leads, by its own word; empty if nobody or more than one says so. */
     String leader() {
         List<String> who = new ArrayList<>();
-        synchronized (nodes) {
-            nodes.forEach((name, n) -> {
+        synchronized (members) {
+            members.forEach((name, n) -> {
                 if (n.isLeader()) {
                     who.add(name);
                 }
@@ -124,23 +124,23 @@
         return who.size() == 1 ? who.get(0) : "";
     }
 
-    List<String> breaches() {
-        return breaches;
+    List<String> violations() {
+        return violations;
     }
 
-    long looked() {
-        return looked;
+    long checks() {
+        return checks;
     }
 
-    private void watch() {
-        while (!over) {
-            look();
+    private void checkUntilClosed() {
+        while (!closed) {
+            check();
             Thread.onSpinWait();
         }
     }
 
     /** Two collects that are the same: all of it was so at the moment between them. */
-    private void look() {
+    private void check() {
         List<AgreementMember> all = all();
         List<Object> once = collect(all);
         double[] now = all.stream().mapToDouble(n -> n.clock().nowMs()).toArray();
@@ -150,14 +150,14 @@
                 return;
             }
         }
-        looked++;
+        checks++;
         for (String name : List.of(AgreedValues.SETTINGS, AgreedValues.SHARES)) {
             for (int i = 0; i < all.size(); i++) {
                 for (int j = 0; j < i; j++) {
                     EffectiveVersions a = ((LeaseView) once.get(2 * i)).effectiveVersions(name, now[i]);
                     EffectiveVersions b = ((LeaseView) once.get(2 * j)).effectiveVersions(name, now[j]);
                     if (a.contradicts(b)) {
-                        breaches.add(name + ": " + a + " beside " + b);
+                        violations.add(name + ": " + a + " beside " + b);
                     }
                 }
             }
@@ -171,10 +171,10 @@
                 if (h.untilMs() > now[at]) {
                     String other = holders.put(role, h.holder());
                     if (other != null) {
-                        breaches.add(role + " held by " + other + " and " + h.holder());
+                        violations.add(role + " held by " + other + " and " + h.holder());
                     }
                     if (h.token() < tokens.getOrDefault(role, 0L)) {
-                        breaches.add(role + ": token " + h.token() + " after " + tokens.get(role));
+                        violations.add(role + ": token " + h.token() + " after " + tokens.get(role));
                     }
                     tokens.merge(role, h.token(), Math::max);
                 }
@@ -193,15 +193,15 @@
 
     @Override
     public void close() {
-        over = true;
+        closed = true;
         try {
-            watch.join(5000);
+            checkUntilClosed.join(5000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        synchronized (nodes) {
-            nodes.values().forEach(AgreementMember::halt);
+        synchronized (members) {
+            members.values().forEach(AgreementMember::halt);
         }
-        net.close();
+        network.close();
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
@@ -14,60 +14,61 @@
 
     private static AgreedState.Result decide(AgreedState state, String name, byte[] content, long number) {
         AgreedState.Result staged = state.apply(new LogCommand.Stage(name, 0, content, "m1", 1, number));
-        long version = state.named(name).map(named -> named.word().version()).orElse(0L);
+        long version = state.find(name).map(named -> named.decided().version()).orElse(0L);
         state.apply(new LogCommand.Activate(name, version, state.leaderTerm()));
         return staged;
     }
 
-    private static AgreedState reigning() {
+    private static AgreedState stateWithLeaderTerm() {
         AgreedState state = new AgreedState();
         state.apply(new LogCommand.BeginTerm("m1", 1, 1));
         return state;
     }
 
     @Test
-    void anAnswerWithoutRoomForAllNamesLendsNoLeaseForAllOfThem() {
-        AgreedState state = reigning();
+    void incompleteResponseDoesNotExtendLease() {
+        AgreedState state = stateWithLeaderTerm();
         for (int i = 0; i < 4; i++) {
-            decide(state, "name-" + i, new byte[AgreedState.MAX_CONTENT], i + 1);
+            decide(state, "name-" + i, new byte[AgreedState.MAX_CONTENT_BYTES], i + 1);
         }
         LeaderLeases lead = new LeaderLeases(TERMS, state, 0);
         LeaseView part = LeaseView.start(7).startRequest(100);
-        AgreementMessage.Answer first = lead.answerRequest(100, "m2", part.question(), "f");
-        assertFalse(first.whole());
-        part = part.onAnswer(first, (name, content) -> true);
+        AgreementMessage.RenewalResponse first = lead.renew(100, "m2", part.renewalRequest(), "f");
+        assertFalse(first.complete());
+        part = part.onRenewalResponse(first, (name, content) -> true);
         assertFalse(part.leaseUntilMs() > 100, "names are missing still");
-        AgreementMessage.Answer next = first;
-        for (int asked = 0; !next.whole() && asked < 4; asked++) {
+        AgreementMessage.RenewalResponse next = first;
+        for (int asked = 0; !next.complete() && asked < 4; asked++) {
             part = part.startRequest(200 + asked);
-            next = lead.answerRequest(200 + asked, "m2", part.question(), "f");
-            part = part.onAnswer(next, (name, content) -> true);
+            next = lead.renew(200 + asked, "m2", part.renewalRequest(), "f");
+            part = part.onRenewalResponse(next, (name, content) -> true);
         }
-        assertTrue(next.whole());
+        assertTrue(next.complete());
         assertEquals(4, part.names().size());
         assertTrue(part.leaseUntilMs() > 1700);
     }
 
     @Test
-    void namesAndBytesAreBounded() {
-        AgreedState state = reigning();
+    void nameCountAndTotalBytesAreBounded() {
+        AgreedState state = stateWithLeaderTerm();
         for (int i = 0; i < AgreedState.MAX_NAMES; i++) {
             assertEquals(AgreedState.Result.STAGED, decide(state, "name-" + i, new byte[8], i + 1));
         }
         assertEquals(AgreedState.Result.FULL, decide(state, "one too many", new byte[8], 99_999));
-        AgreedState large = reigning();
-        long most = AgreedState.MAX_BYTES / AgreedState.MAX_CONTENT;
+        AgreedState large = stateWithLeaderTerm();
+        long most = AgreedState.MAX_TOTAL_BYTES / AgreedState.MAX_CONTENT_BYTES;
         for (int i = 0; i < most; i++) {
             assertEquals(
-                    AgreedState.Result.STAGED, decide(large, "name-" + i, new byte[AgreedState.MAX_CONTENT], i + 1));
+                    AgreedState.Result.STAGED,
+                    decide(large, "name-" + i, new byte[AgreedState.MAX_CONTENT_BYTES], i + 1));
         }
         assertEquals(AgreedState.Result.FULL, decide(large, "another", new byte[8], 99_999));
         AgreedState copy = new AgreedState();
-        copy.restore(large.image());
+        copy.restore(large.snapshot());
         assertEquals(
                 AgreedState.Result.FULL,
                 decide(copy, "another", new byte[8], 99_999),
                 "a copy knows its bytes as well");
-        assertEquals(List.of(), copy.named("another").stream().toList());
+        assertEquals(List.of(), copy.find("another").stream().toList());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -46,26 +46,26 @@
                         me.name().hashCode()));
         node.start();
         links.start();
-        Thread talk = new Thread(() -> talk(node), "talk");
+        Thread talk = new Thread(() -> reportState(node), "talk");
         talk.setDaemon(true);
         talk.start();
-        claim(node);
+        claimRepeatedly(node);
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String[] words = line.split(" ");
             if (words[0].equals("propose")) {
                 long expected = Long.parseLong(words[1]);
                 node.propose(AgreedValues.SETTINGS, expected, words[2].getBytes(StandardCharsets.UTF_8), 8000)
-                        .thenAccept(v -> say("verdict " + words[2] + " " + v));
+                        .thenAccept(v -> println("verdict " + words[2] + " " + v));
             } else if (words[0].equals("history")) {
                 for (long g = 1; g < 100; g++) {
                     long at = g;
-                    node.look(AgreedValues.SETTINGS, g, 4000)
-                            .thenAccept(l -> l.ifPresent(
-                                    k -> say("kept " + at + " " + new String(k.content(), StandardCharsets.UTF_8))));
+                    node.readHistory(AgreedValues.SETTINGS, g, 4000)
+                            .thenAccept(l -> l.ifPresent(k ->
+                                    println("kept " + at + " " + new String(k.content(), StandardCharsets.UTF_8))));
                 }
             } else if (words[0].equals("who")) {
-                say("who " + node.isLeader() + " "
+                println("who " + node.isLeader() + " "
                         + node.lastKnown(AgreedValues.SETTINGS)
                                 .map(AgreedValues.Value::generation)
                                 .orElse(0L));
@@ -75,24 +75,25 @@
         System.exit(0);
     }
 
-    private static synchronized void say(String line) {
+    private static synchronized void println(String line) {
         System.out.println(line);
         System.out.flush();
     }
 
-    private static void claim(AgreementMember node) {
+    private static void claimRepeatedly(AgreementMember node) {
         node.acquire("driver", 300)
-                .thenRunAsync(() -> claim(node), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
+                .thenRunAsync(
+                        () -> claimRepeatedly(node), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
     }
 
-    private static void talk(AgreementMember node) {
+    private static void reportState(AgreementMember node) {
         while (true) {
             long before = System.nanoTime();
             long token = node.heldLease("driver").map(AgreedValues.Lease::token).orElse(0L);
             EffectiveVersions a = node.leaseView()
                     .effectiveVersions(AgreedValues.SETTINGS, node.clock().nowMs());
             long after = System.nanoTime();
-            say("sees " + before + " " + after + " " + token + " " + Math.min(a.one(), a.other()) + " "
+            println("sees " + before + " " + after + " " + token + " " + Math.min(a.one(), a.other()) + " "
                     + Math.max(a.one(), a.other()));
             LockSupport.parkNanos(2_000_000);
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
@@ -35,12 +35,12 @@
         return status.replaceAll("@[0-9a-f]{24}", "@ID").replaceAll("\\b[0-9]+\\b", "N");
     }
 
-    private static String shown(SettingsAdminHandler.Reply reply) {
+    private static String format(SettingsAdminHandler.Reply reply) {
         return (reply.succeeded() ? "done: " : "not done: ") + reply.text() + "\n";
     }
 
     /** Asks until the answer is a good one: a member that has just started has no leader yet. */
-    private static SettingsAdminHandler.Reply untilDone(Supplier<SettingsAdminHandler.Reply> question) {
+    private static SettingsAdminHandler.Reply pollUntilSucceeded(Supplier<SettingsAdminHandler.Reply> question) {
         SettingsAdminHandler.Reply reply = question.get();
         for (int i = 0; i < MAX_POLLS && !reply.succeeded(); i++) {
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
@@ -51,34 +51,34 @@
     }
 
     @Test
-    void answersOfTheSettingsCommand() throws IOException {
-        try (Members members = new Members(1, directory, 1)) {
-            SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m0"), WITHIN_MS);
+    void settingsRepliesMatchGoldenFile() throws IOException {
+        try (InProcessFleet members = new InProcessFleet(1, directory, 1)) {
+            SettingsAdminHandler calls = new SettingsAdminHandler(members.member("m0"), WITHIN_MS);
             String name = AgreedValues.SETTINGS;
-            untilDone(calls::status);
+            pollUntilSucceeded(calls::status);
             StringBuilder answers = new StringBuilder();
-            answers.append(shown(calls.show(name)));
-            answers.append(shown(calls.history(name)));
-            answers.append(shown(calls.propose(name, "first\nsame\n", 0)));
-            answers.append(shown(calls.propose(name, "late\n", 0)));
-            answers.append(shown(calls.propose(name, "bad at m0\n", -1)));
-            answers.append(shown(calls.propose(name, "second\nsame\n", -1)));
-            answers.append(shown(untilDone(() -> calls.show(name))));
-            answers.append(shown(calls.history(name)));
-            answers.append(shown(calls.diff(name, 1, 2)));
-            answers.append(shown(calls.diff(name, 1, 99)));
-            answers.append(shown(calls.withdraw(name, 99)));
-            answers.append(maskStatus(shown(untilDone(calls::status))));
-            answers.append(shown(calls.propose(name, "x".repeat(AgreedState.MAX_CONTENT + 1), -1)));
+            answers.append(format(calls.show(name)));
+            answers.append(format(calls.history(name)));
+            answers.append(format(calls.propose(name, "first\nsame\n", 0)));
+            answers.append(format(calls.propose(name, "late\n", 0)));
+            answers.append(format(calls.propose(name, "bad at m0\n", -1)));
+            answers.append(format(calls.propose(name, "second\nsame\n", -1)));
+            answers.append(format(pollUntilSucceeded(() -> calls.show(name))));
+            answers.append(format(calls.history(name)));
+            answers.append(format(calls.diff(name, 1, 2)));
+            answers.append(format(calls.diff(name, 1, 99)));
+            answers.append(format(calls.withdraw(name, 99)));
+            answers.append(maskStatus(format(pollUntilSucceeded(calls::status))));
+            answers.append(format(calls.propose(name, "x".repeat(AgreedState.MAX_CONTENT_BYTES + 1), -1)));
             check("settings-answers", answers.toString());
         }
     }
 
     @Test
-    void namesOfTheMetrics() throws IOException {
-        try (Members members = new Members(1, directory, 1)) {
+    void metricNamesMatchGoldenFile() throws IOException {
+        try (InProcessFleet members = new InProcessFleet(1, directory, 1)) {
             SimpleMeterRegistry metrics = new SimpleMeterRegistry();
-            members.node("m0").registerMetrics(metrics);
+            members.member("m0").registerMetrics(metrics);
             String names = metrics.getMeters().stream()
                     .map(meter -> meter.getId().getName() + " " + meter.getId().getTags() + "\n")
                     .sorted()
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -27,27 +27,27 @@
 class StalePreVoteTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final int TERM = 1;
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
 
-    private final MemoryNet net = new MemoryNet(3, 1);
-    private final BlockingQueue<RaftMessage> told = new LinkedBlockingQueue<>();
+    private final InMemoryNetwork network = new InMemoryNetwork(3, 1);
+    private final BlockingQueue<RaftMessage> receivedByLeader = new LinkedBlockingQueue<>();
     private PeerLinks leader;
     private AgreementMember voter;
 
     @BeforeEach
     void start() throws IOException {
         // Without delay messages arrive in the order in which they were sent.
-        net.faults(0, 0, 1);
-        scripted("m1");
-        leader = scripted("m2");
-        PeerLinks links = net.links("m0");
+        network.setFaults(0, 0, 1);
+        scriptedVoter("m1");
+        leader = scriptedVoter("m2");
+        PeerLinks links = network.links("m0");
         voter = new AgreementMember(
                 links,
                 null,
                 Clock.system(),
                 new AgreedSettings(
                         "f",
-                        AgreedSettings.voters(net.members()),
+                        AgreedSettings.voters(network.members()),
                         new LeaseTerms(400, 0.01),
                         40,
                         5,
@@ -60,22 +60,22 @@
     @AfterEach
     void end() {
         voter.halt();
-        net.close();
+        network.close();
     }
 
     /** A voter that tells of its disk and keeps what the library says to it; all else is this test's. */
-    private PeerLinks scripted(String name) {
-        PeerLinks links = net.links(name);
+    private PeerLinks scriptedVoter(String name) {
+        PeerLinks links = network.links(name);
         links.receive(MessageStream.AGREED, (peer, life, body) -> {
             AgreementCodec.Frame frame = frame(body);
             if (frame.message() instanceof AgreementMessage.Hello) {
                 links.send(
                         peer,
                         MessageStream.AGREED,
-                        AgreementCodec.frame(
-                                new AgreementMessage.Facts("d-" + name, List.of(), "", List.of(), 0, "", 0, 0)));
+                        AgreementCodec.frame(new AgreementMessage.HelloResponse(
+                                "d-" + name, List.of(), "", List.of(), 0, "", 0, 0)));
             } else if (frame.raftMessage() != null && name.equals("m2")) {
-                told.add(frame.raftMessage());
+                receivedByLeader.add(frame.raftMessage());
             }
         });
         return links;
@@ -90,18 +90,17 @@
     }
 
     private <T extends RaftMessage> T await(Class<T> kind) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (true) {
-            RaftMessage next = told.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
-            assertNotNull(
-                    next, () -> "no " + kind.getSimpleName() + " within " + PATIENCE_S + " s:\n" + voter.status());
+            RaftMessage next = receivedByLeader.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
+            assertNotNull(next, () -> "no " + kind.getSimpleName() + " within " + TIMEOUT_S + " s:\n" + voter.status());
             if (kind.isInstance(next)) {
                 return kind.cast(next);
             }
         }
     }
 
-    private PreVoteRequest awaitPreVoteOf(int nextTerm) throws InterruptedException {
+    private PreVoteRequest awaitPreVoteForTerm(int nextTerm) throws InterruptedException {
         while (true) {
             PreVoteRequest next = await(PreVoteRequest.class);
             if (next.getTerm() == nextTerm) {
@@ -111,7 +110,7 @@
     }
 
     @Test
-    void votesAnewWhenTheLeaderThatOvertookItsPreVoteFallsSilent() throws Exception {
+    void startsNewPreVoteWhenLeaderOfStalePreVoteFallsSilent() throws Exception {
         PreVoteRequest first = await(PreVoteRequest.class);
         VoterEndpoint me = new VoterEndpoint("m2", "d-m2");
         leader.send(
@@ -128,7 +127,7 @@
         assertTrue(await(VoteResponse.class).isGranted());
 
         // Nothing is heard of the leader in time: a pre-vote begins, and then the leader is heard of.
-        awaitPreVoteOf(TERM + 1);
+        awaitPreVoteForTerm(TERM + 1);
         leader.send(
                 "m0",
                 MessageStream.AGREED,
@@ -146,7 +145,7 @@
         await(AppendEntriesSuccessResponse.class);
 
         // The leader says nothing more.
-        PreVoteRequest again = awaitPreVoteOf(TERM + 1);
+        PreVoteRequest again = awaitPreVoteForTerm(TERM + 1);
         assertEquals(
                 "m0", assertInstanceOf(VoterEndpoint.class, again.getSender()).name());
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -29,7 +29,7 @@
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint ME = new VoterEndpoint("m", "d");
     /** More writes and syncs than any opening needs. */
-    private static final int MOST_OPERATIONS_OF_AN_OPENING = 200;
+    private static final int MAX_OPEN_OPERATIONS = 200;
 
     @TempDir
     Path root;
@@ -39,7 +39,7 @@
     private int term;
 
     @BeforeEach
-    void fill() throws IOException {
+    void initializeStore() throws IOException {
         directory = root.resolve("m");
         faults = FaultyFiles.injectBelow(directory);
         try (VoterStore s = open()) {
@@ -53,7 +53,7 @@
                     .setVoting(true)
                     .build());
             s.persistAndFlushInitialGroupMembers(one);
-            vote(s);
+            persistVote(s);
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Votes in the next term, and takes an entry of it. */
-    private void vote(VoterStore s) throws IOException {
+    private void persistVote(VoterStore s) throws IOException {
         s.persistLogEntries(List.of(entry(term + 1)));
         s.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(term + 1)
@@ -80,7 +80,7 @@
     }
 
     /** The last term that the disk has a vote of; all entries up to there must be with it. */
-    private int onDisk() throws IOException {
+    private int readLastTerm() throws IOException {
         try (VoterStore s = open()) {
             RestoredRaftState r = s.restored().orElseThrow();
             assertEquals(r.getTermPersistentState().getTerm(), r.getLogEntries().size());
@@ -89,70 +89,72 @@
     }
 
     @Test
-    void votesOverAFailureAreThereAfterALossOfPower() throws IOException {
+    void votesSurviveDiskFaultAndPowerLoss() throws IOException {
         for (Fault fault : Fault.values()) {
             VoterStore s = open();
-            vote(s);
+            persistVote(s);
             faults.failAll(fault);
-            assertThrows(IOException.class, () -> vote(s));
+            assertThrows(IOException.class, () -> persistVote(s));
             assertTrue(s.failed());
             assertThrows(IOException.class, this::open, "it can't be written yet");
             faults.clear();
-            assertThrows(IOException.class, () -> vote(s), "nothing more is promised by what failed");
+            assertThrows(IOException.class, () -> persistVote(s), "nothing more is promised by what failed");
             s.close();
             try (VoterStore again = open()) {
                 // A vote that was not given may be on the disk all the same; it binds, as it would have.
                 term = again.restored().orElseThrow().getTermPersistentState().getTerm();
-                vote(again);
+                persistVote(again);
             }
             faults.simulatePowerLoss();
-            assertEquals(term, onDisk(), fault.toString());
+            assertEquals(term, readLastTerm(), fault.toString());
         }
     }
 
     @Test
-    void aDiskThatIsFullAtTheStartIsNotTakenForADamagedOne() throws IOException {
+    void diskFaultAtOpenIsNotReportedAsDamage() throws IOException {
         for (Fault fault : Fault.values()) {
             faults.failAll(fault);
             IOException refused = assertThrows(IOException.class, this::open);
-            assertFalse(refused instanceof VoterStore.Damaged, refused.toString());
+            assertFalse(refused instanceof VoterStore.DamagedDiskException, refused.toString());
             faults.clear();
-            assertEquals(term, onDisk(), fault.toString());
+            assertEquals(term, readLastTerm(), fault.toString());
         }
     }
 
     /** Each fault from each write or sync of an opening on, until the opening needs no more of them. */
     @Test
-    void aFaultAtAnyOperationOfAnOpeningIsToldAsADiskThatFails() throws IOException {
+    void faultAtAnyOperationOfOpenIsNotReportedAsDamage() throws IOException {
         for (Fault fault : Fault.values()) {
             int refusals = 0;
             for (boolean opened = false; !opened; ) {
-                assertTrue(refusals < MOST_OPERATIONS_OF_AN_OPENING, fault + ": it never opens");
+                assertTrue(refusals < MAX_OPEN_OPERATIONS, fault + ": it never opens");
                 faults.failAfter(refusals, fault);
                 try (VoterStore s = open()) {
                     opened = s.restored().isPresent();
                 } catch (IOException refused) {
-                    assertFalse(refused instanceof VoterStore.Damaged, fault + " after " + refusals + ": " + refused);
+                    assertFalse(
+                            refused instanceof VoterStore.DamagedDiskException,
+                            fault + " after " + refusals + ": " + refused);
                     refusals++;
                 }
                 faults.clear();
-                assertEquals(term, onDisk(), fault + " after " + refusals);
+                assertEquals(term, readLastTerm(), fault + " after " + refusals);
             }
             assertTrue(refusals > 2, fault + " was refused only " + refusals + " times");
         }
     }
 
     @Test
-    void randomFaultsAndLossesOfPowerTakeNoVote() throws IOException {
+    void votesSurviveRandomFaultsAndPowerLoss() throws IOException {
         for (long seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
             faults.failRandomly(seed, 0.1);
             for (int i = 0; i < 10; i++) {
                 try (VoterStore s = open()) {
                     term = s.restored().orElseThrow().getTermPersistentState().getTerm();
-                    vote(s);
-                    vote(s);
-                } catch (VoterStore.Damaged e) {
+                    persistVote(s);
+                    persistVote(s);
+                } catch (VoterStore.DamagedDiskException e) {
                     throw new AssertionError("seed " + seed, e);
                 } catch (IOException refused) {
                     assertTrue(faults.failedCount() > 0);
@@ -162,7 +164,7 @@
             if (random.nextBoolean()) {
                 faults.simulatePowerLoss();
             }
-            int there = onDisk();
+            int there = readLastTerm();
             assertTrue(there >= term, "seed " + seed + ": " + there + " of " + term);
             term = there;
         }
@@ -170,12 +172,12 @@
     }
 
     @Test
-    void everyLengthOfATornLastWriteLeavesTheVoteBefore() throws IOException {
+    void previousVoteSurvivesTornWriteOfAnyLength() throws IOException {
         VoterStore s = open();
-        vote(s);
+        persistVote(s);
         Map<Path, byte[]> before = files();
         faults.startRecording();
-        vote(s);
+        persistVote(s);
         s.close();
         Map<Path, byte[]> now = new HashMap<>(before);
         for (FaultyFiles.Write w : faults.stopRecording()) {
@@ -187,14 +189,14 @@
                         Files.write(e.getKey(), e.getValue());
                     }
                     Files.write(w.file(), torn);
-                    int there = onDisk();
+                    int there = readLastTerm();
                     assertTrue(there >= term - 1, w.file() + " " + w.offset() + "+" + prefix + ": " + there);
                     last = torn;
                 }
             }
             now.put(w.file(), last);
         }
-        assertEquals(term, onDisk());
+        assertEquals(term, readLastTerm());
     }
 
     private Map<Path, byte[]> files() throws IOException {
@@ -206,13 +208,13 @@
     }
 
     @Test
-    void aKillAtAnyWriteOrSyncLeavesWhatWasPromised() throws IOException {
+    void persistedVotesSurviveKillAtAnyOperation() throws IOException {
         for (int at = 0; at < 60; at++) {
             faults.killAt(faults.operationCount() + at, at * 37 % 4096);
             try (VoterStore s = open()) {
-                vote(s);
-                vote(s);
-            } catch (VoterStore.Damaged e) {
+                persistVote(s);
+                persistVote(s);
+            } catch (VoterStore.DamagedDiskException e) {
                 throw new AssertionError("killed at " + at, e);
             } catch (IOException killed) {
                 Throwable first = killed;
@@ -222,7 +224,7 @@
                 assertEquals("killed", first.getMessage(), killed.toString());
             }
             faults.clear();
-            int there = onDisk();
+            int there = readLastTerm();
             assertTrue(there >= term, "killed at " + at + ": " + there + " of " + term);
             term = there;
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -27,38 +27,38 @@
     Path root;
 
     private final Map<String, FaultyFiles.Faults> disks = new TreeMap<>();
-    private Members members;
+    private InProcessFleet fleet;
 
-    private void begin(long seed) throws Exception {
+    private void startFleet(long seed) throws Exception {
         for (int i = 0; i < 3; i++) {
             disks.put("m" + i, FaultyFiles.injectBelow(root.resolve("m" + i)));
         }
-        members = new Members(3, root, seed, FaultyFiles.SCHEME);
+        fleet = new InProcessFleet(3, root, seed, FaultyFiles.SCHEME);
     }
 
     @AfterEach
-    void nobodyContradicts() {
-        members.close();
-        assertEquals(List.of(), members.breaches());
+    void assertNoViolations() {
+        fleet.close();
+        assertEquals(List.of(), fleet.violations());
     }
 
-    private static ConditionFactory soon() {
+    private static ConditionFactory await30s() {
         return await().atMost(Duration.ofSeconds(30)).pollInterval(Duration.ofMillis(5));
     }
 
     private String awaitLeader() {
-        return soon().until(() -> members.leader(), l -> !l.isEmpty());
+        return await30s().until(() -> fleet.leader(), l -> !l.isEmpty());
     }
 
     private void decide(String at, long expected, String content) throws Exception {
-        Verdict v = members.node(at)
+        Verdict v = fleet.member(at)
                 .propose(AgreedValues.SETTINGS, expected, content.getBytes(StandardCharsets.UTF_8), 20_000)
                 .get(25, TimeUnit.SECONDS);
-        assertEquals(Verdict.IN_FORCE, v, () -> members.node(at).status());
+        assertEquals(Verdict.IN_FORCE, v, () -> fleet.member(at).status());
     }
 
-    private void failsAndComesBack(Fault fault, boolean leads) throws Exception {
-        begin(31 + fault.ordinal());
+    private void assertStopsVotingAndRecovers(Fault fault, boolean leads) throws Exception {
+        startFleet(31 + fault.ordinal());
         String leader = awaitLeader();
         List<String> names = new ArrayList<>(disks.keySet());
         names.remove(leader);
@@ -68,58 +68,60 @@
         decide("m0", 0, "a");
         disks.get(failing).failAll(fault);
         decide(other, 1, "b");
-        soon().until(() -> members.node(failing).status().contains("does not vote: its disk can't be written"));
+        await30s().until(() -> fleet.member(failing).status().contains("does not vote: its disk can't be written"));
         assertTrue(
-                members.node(failing).alarm().contains("disk"),
-                () -> members.node(failing).alarm());
-        assertFalse(members.node(failing).isLeader());
+                fleet.member(failing).alarm().contains("disk"),
+                () -> fleet.member(failing).alarm());
+        assertFalse(fleet.member(failing).isLeader());
         decide(other, 2, "c");
         disks.get(failing).clear();
-        soon().until(() -> members.node(failing).alarm().isEmpty()
-                && members.node(failing).status().matches("(?s).*, (votes|leads).*"));
+        await30s()
+                .until(() -> fleet.member(failing).alarm().isEmpty()
+                        && fleet.member(failing).status().matches("(?s).*, (votes|leads).*"));
         // From here on nothing is decided without it.
-        members.kill(third);
+        fleet.kill(third);
         decide(other, 3, "d");
         decide(failing, 4, "e");
     }
 
     @Test
-    void leaderWhoseSyncsFailStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.SYNC_ERROR, true);
+    void leaderWithFailingSyncsStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.SYNC_ERROR, true);
     }
 
     @Test
-    void voterWhoseSyncsFailStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.SYNC_ERROR, false);
+    void followerWithFailingSyncsStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.SYNC_ERROR, false);
     }
 
     @Test
-    void leaderWhoseDiskIsFullStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.NO_SPACE, true);
+    void leaderWithFullDiskStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.NO_SPACE, true);
     }
 
     @Test
-    void voterWhoseWritesFailHalfwayStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.SHORT_WRITE, false);
+    void followerWithShortWritesStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.SHORT_WRITE, false);
     }
 
     /** All disks fail at once, so that there is no majority; then nothing that was decided is lost. */
     @Test
-    void allVotersWhoseWritesFailDecideNothingAndGoOnWithWhatWasDecided() throws Exception {
-        begin(47);
+    void failureOfAllDisksPreservesDecidedValues() throws Exception {
+        startFleet(47);
         awaitLeader();
         decide("m0", 0, "a");
         disks.values().forEach(d -> d.failAll(Fault.WRITE_ERROR));
-        Verdict v = members.node("m1")
+        Verdict v = fleet.member("m1")
                 .propose(AgreedValues.SETTINGS, 1, "b".getBytes(StandardCharsets.UTF_8), 1000)
                 .get(25, TimeUnit.SECONDS);
         assertEquals(Verdict.UNKNOWN, v);
-        soon().until(() -> members.all().stream().noneMatch(AgreementMember::isLeader));
+        await30s().until(() -> fleet.all().stream().noneMatch(AgreementMember::isLeader));
         disks.values().forEach(FaultyFiles.Faults::clear);
         awaitLeader();
-        soon().until(() -> members.all().stream()
-                .allMatch(n -> n.effectiveValues(AgreedValues.SETTINGS).isPresent()));
-        long generation = members.node("m0")
+        await30s()
+                .until(() -> fleet.all().stream()
+                        .allMatch(n -> n.effectiveValues(AgreedValues.SETTINGS).isPresent()));
+        long generation = fleet.member("m0")
                 .effectiveValues(AgreedValues.SETTINGS)
                 .orElseThrow()
                 .inForce()
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
@@ -30,7 +30,7 @@
     private Path disk;
 
     @BeforeEach
-    void fill() throws IOException {
+    void initializeStore() throws IOException {
         disk = root.resolve("m");
         try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void whatWasForcedIsThereAgainAndWhatWasNotIsNot() throws IOException {
+    void reopenedStoreHasForcedWritesOnly() throws IOException {
         try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             RestoredRaftState r = s.restored().orElseThrow();
             assertEquals(7, r.getTermPersistentState().getTerm());
@@ -89,44 +89,44 @@
             assertEquals(
                     List.of(4L, 5L),
                     r.getLogEntries().stream().map(LogEntry::getIndex).toList());
-            assertEquals(2, s.starts());
+            assertEquals(2, s.startCount());
         }
     }
 
     @Test
-    void theDiskOfAnotherFleetOrMemberOrInUseIsRefused() throws IOException {
-        assertThrows(VoterStore.Foreign.class, () -> VoterStore.open(disk, "g", "m"));
-        assertThrows(VoterStore.Foreign.class, () -> VoterStore.open(disk, "f", "n"));
+    void rejectsDiskOfAnotherFleetOrMemberOrInUse() throws IOException {
+        assertThrows(VoterStore.ForeignDiskException.class, () -> VoterStore.open(disk, "g", "m"));
+        assertThrows(VoterStore.ForeignDiskException.class, () -> VoterStore.open(disk, "f", "n"));
         try (VoterStore s = VoterStore.open(disk, "f", "m")) {
             assertTrue(
                     assertThrows(IOException.class, () -> VoterStore.open(disk, "f", "m"))
                             .getMessage()
                             .contains("in use"),
-                    () -> "forced " + s.forced());
+                    () -> "forced " + s.forcedWrites());
         }
     }
 
     @Test
-    void aStoreThatWentBackToAnEarlierWriteIsDamagedAndItsSuccessorIsAnotherDisk() throws IOException {
+    void rolledBackStoreIsDamagedAndReplacedByNewDiskId() throws IOException {
         Path file = disk.resolve("agreed.mv");
         byte[] before = Files.readAllBytes(file);
         String number;
         try (VoterStore s = VoterStore.open(disk, "f", "m")) {
-            number = s.disk();
+            number = s.diskId();
             s.saveBootstrapVoters(List.of("m@d"), false);
         }
         Files.write(file, before);
-        assertThrows(VoterStore.Damaged.class, () -> VoterStore.open(disk, "f", "m"));
+        assertThrows(VoterStore.DamagedDiskException.class, () -> VoterStore.open(disk, "f", "m"));
         Path aside = VoterStore.putAside(disk);
         assertTrue(Files.exists(aside.resolve("agreed.mv")));
         try (VoterStore s = VoterStore.open(disk, "f", "m")) {
-            assertNotEquals(number, s.disk());
+            assertNotEquals(number, s.diskId());
             assertTrue(s.restored().isEmpty());
         }
     }
 
     @Test
-    void aTornEndOrAFlippedBitNeverPassesForWhatWasForced() throws IOException {
+    void truncationAndBitFlipsAreDetected() throws IOException {
         Path file = disk.resolve("agreed.mv");
         byte[] whole = Files.readAllBytes(file);
         byte[] mark = Files.readAllBytes(disk.resolve("agreed.mark"));
@@ -152,9 +152,10 @@
                         r.getLogEntries().stream().map(LogEntry::getIndex).toList());
                 for (LogEntry e : r.getLogEntries()) {
                     assertEquals(
-                            new String(AgreementCodec.entry(entry(e.getIndex()))), new String(AgreementCodec.entry(e)));
+                            new String(AgreementCodec.logEntry(entry(e.getIndex()))),
+                            new String(AgreementCodec.logEntry(e)));
                 }
-            } catch (VoterStore.Damaged e) {
+            } catch (VoterStore.DamagedDiskException e) {
                 found++;
             }
         }
