--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedSettings.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedSettings.java
@@ -53,7 +53,10 @@
 
     /** Who votes: the first members of the file, the largest odd number up to {@link #MOST_VOTERS}. */
     public static List<String> voters(List<Member> members) {
-        int n = Math.min(MAX_VOTERS, members.size());
-        return members.stream().map(Member::name).limit(n % 2 == 0 ? n - 1 : n).toList();
+        int count = Math.min(MAX_VOTERS, members.size());
+        return members.stream()
+                .map(Member::name)
+                .limit(count % 2 == 0 ? count - 1 : count)
+                .toList();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -130,87 +130,95 @@
     /** A generation that is kept. */
     Optional<Generation> findGeneration(String name, long generation) {
         return find(name).stream()
-                .flatMap(n -> n.history().stream())
-                .filter(k -> k.generation() == generation)
+                .flatMap(named -> named.history().stream())
+                .filter(kept -> kept.generation() == generation)
                 .findFirst();
     }
 
     /** The generation that this proposal became, if it did. */
-    Optional<Generation> findProposal(String name, String by, long life, long number) {
+    Optional<Generation> findProposal(String name, String proposer, long incarnation, long requestNumber) {
         return find(name).stream()
-                .flatMap(n -> n.history().stream())
-                .filter(k -> k.proposer().equals(by) && k.incarnation() == life && k.requestNumber() == number)
+                .flatMap(named -> named.history().stream())
+                .filter(kept -> kept.proposer().equals(proposer)
+                        && kept.incarnation() == incarnation
+                        && kept.requestNumber() == requestNumber)
                 .findFirst();
     }
 
     /** Applies a command of the log. */
-    Result apply(LogCommand op) {
-        if (op instanceof LogCommand.BeginTerm) {
+    Result apply(LogCommand command) {
+        if (command instanceof LogCommand.BeginTerm) {
             leaderTerm++;
             return Result.DONE;
         }
-        if (op instanceof LogCommand.Stage s) {
-            return stage(s);
+        if (command instanceof LogCommand.Stage stage) {
+            return stage(stage);
         }
-        if (op instanceof LogCommand.Activate a) {
-            NamedValue n = names.get(a.name());
-            return isCurrent(n, a.version(), a.leaderTerm()) ? resolveStaged(n, Outcome.IN_FORCE) : Result.VOID;
+        if (command instanceof LogCommand.Activate activate) {
+            NamedValue value = names.get(activate.name());
+            return isCurrent(value, activate.version(), activate.leaderTerm())
+                    ? resolveStaged(value, Outcome.IN_FORCE)
+                    : Result.VOID;
         }
-        if (op instanceof LogCommand.Abandon a) {
-            NamedValue n = names.get(a.name());
-            return isCurrent(n, a.version(), a.leaderTerm()) ? resolveStaged(n, Outcome.ABANDONED) : Result.VOID;
+        if (command instanceof LogCommand.Abandon abandon) {
+            NamedValue value = names.get(abandon.name());
+            return isCurrent(value, abandon.version(), abandon.leaderTerm())
+                    ? resolveStaged(value, Outcome.ABANDONED)
+                    : Result.VOID;
         }
-        return grantRole((LogCommand.GrantRole) op);
+        return grantRole((LogCommand.GrantRole) command);
     }
 
     // Guards against a command of an earlier leader term, or for a decision that was overtaken on the way.
-    private boolean isCurrent(NamedValue n, long version, long commandTerm) {
-        return n != null
+    private boolean isCurrent(NamedValue value, long version, long commandTerm) {
+        return value != null
                 && commandTerm == leaderTerm
-                && n.decided().version() == version
-                && n.decided().staged() != 0;
+                && value.decided().version() == version
+                && value.decided().staged() != 0;
     }
 
-    private Result stage(LogCommand.Stage s) {
-        Optional<Generation> again = findProposal(s.name(), s.proposer(), s.incarnation(), s.requestNumber());
-        if (again.isPresent()) {
-            return Result.valueOf(again.get().outcome().name());
+    private Result stage(LogCommand.Stage command) {
+        Optional<Generation> duplicate =
+                findProposal(command.name(), command.proposer(), command.incarnation(), command.requestNumber());
+        if (duplicate.isPresent()) {
+            return Result.valueOf(duplicate.get().outcome().name());
         }
-        if (!names.containsKey(s.name()) && names.size() >= MAX_NAMES
-                || s.content().length > MAX_CONTENT_BYTES
-                || s.name().length() > MAX_NAME_LENGTH
-                || contentBytes + s.content().length > MAX_TOTAL_BYTES) {
+        if (!names.containsKey(command.name()) && names.size() >= MAX_NAMES
+                || command.content().length > MAX_CONTENT_BYTES
+                || command.name().length() > MAX_NAME_LENGTH
+                || contentBytes + command.content().length > MAX_TOTAL_BYTES) {
             return Result.FULL;
         }
-        NamedValue n = names.getOrDefault(s.name(), new NamedValue(s.name(), DecidedVersion.NONE, 0, List.of()));
-        LeaseAuthority a = authority(n);
-        LeaseAuthority.ProposalVerdict v = a.judgeProposal(s.expectedGeneration());
-        if (v != LeaseAuthority.ProposalVerdict.STAGED) {
-            return Result.valueOf(v.name());
+        NamedValue value =
+                names.getOrDefault(command.name(), new NamedValue(command.name(), DecidedVersion.NONE, 0, List.of()));
+        LeaseAuthority authority = authority(value);
+        LeaseAuthority.ProposalVerdict verdict = authority.judgeProposal(command.expectedGeneration());
+        if (verdict != LeaseAuthority.ProposalVerdict.STAGED) {
+            return Result.valueOf(verdict.name());
         }
-        LeaseAuthority staged = a.stage();
-        List<Generation> history = new ArrayList<>(n.history());
+        LeaseAuthority staged = authority.stage();
+        List<Generation> history = new ArrayList<>(value.history());
         history.add(new Generation(
                 staged.lastGeneration(),
-                s.content(),
-                s.proposer(),
-                s.incarnation(),
-                s.requestNumber(),
+                command.content(),
+                command.proposer(),
+                command.incarnation(),
+                command.requestNumber(),
                 Outcome.STAGED));
         put(new NamedValue(
-                s.name(), staged.decided(), staged.lastGeneration(), trimHistory(history, staged.decided())));
+                command.name(), staged.decided(), staged.lastGeneration(), trimHistory(history, staged.decided())));
         return Result.STAGED;
     }
 
-    private Result resolveStaged(NamedValue n, Outcome came) {
-        LeaseAuthority a = authority(n);
-        long settled = n.decided().staged();
-        LeaseAuthority next = came == Outcome.IN_FORCE ? a.activate(0) : a.abandon();
-        List<Generation> history = n.history().stream()
-                .map(k -> k.generation() == settled ? k.withOutcome(came) : k)
+    private Result resolveStaged(NamedValue value, Outcome outcome) {
+        LeaseAuthority authority = authority(value);
+        long resolvedGeneration = value.decided().staged();
+        LeaseAuthority next = outcome == Outcome.IN_FORCE ? authority.activate(0) : authority.abandon();
+        List<Generation> history = value.history().stream()
+                .map(kept -> kept.generation() == resolvedGeneration ? kept.withOutcome(outcome) : kept)
                 .toList();
-        put(new NamedValue(n.name(), next.decided(), n.lastGeneration(), trimHistory(history, next.decided())));
-        return Result.valueOf(came.name());
+        put(new NamedValue(value.name(), next.decided(), value.lastGeneration(), trimHistory(history, next.decided())));
+        return Result.valueOf(outcome.name());
     }
 
     private void put(NamedValue named) {
@@ -223,44 +231,46 @@
     }
 
     /** The rules of words and numbers are the authority's; the leases that it waits for are the leader's to know. */
-    private static LeaseAuthority authority(NamedValue n) {
-        return new LeaseAuthority(NO_LEASES, n.decided(), n.lastGeneration(), Double.NEGATIVE_INFINITY, Map.of());
+    private static LeaseAuthority authority(NamedValue value) {
+        return new LeaseAuthority(
+                NO_LEASES, value.decided(), value.lastGeneration(), Double.NEGATIVE_INFINITY, Map.of());
     }
 
-    private static List<Generation> trimHistory(List<Generation> history, DecidedVersion word) {
+    private static List<Generation> trimHistory(List<Generation> history, DecidedVersion decided) {
         List<Generation> kept = new ArrayList<>();
         int count = 0;
         long bytes = 0;
         for (int i = history.size() - 1; i >= 0; i--) {
-            Generation k = history.get(i);
+            Generation generation = history.get(i);
             count++;
-            bytes += k.content().length;
-            if (k.generation() == word.inForce()
-                    || k.generation() == word.staged()
+            bytes += generation.content().length;
+            if (generation.generation() == decided.inForce()
+                    || generation.generation() == decided.staged()
                     || count <= MAX_HISTORY_GENERATIONS && bytes <= MAX_HISTORY_BYTES) {
-                kept.add(0, k);
+                kept.add(0, generation);
             }
         }
         return List.copyOf(kept);
     }
 
-    private Result grantRole(LogCommand.GrantRole t) {
-        RoleState r = roles.get(t.role());
-        if (t.leaderTerm() != leaderTerm || t.previousToken() != (r == null ? 0 : r.token())) {
+    private Result grantRole(LogCommand.GrantRole command) {
+        RoleState role = roles.get(command.role());
+        if (command.leaderTerm() != leaderTerm || command.previousToken() != (role == null ? 0 : role.token())) {
             return Result.VOID;
         }
-        if (r == null && roles.size() >= MAX_ROLES) {
+        if (role == null && roles.size() >= MAX_ROLES) {
             return Result.FULL;
         }
-        boolean same = r != null && r.holder().equals(t.holder()) && r.incarnation() == t.incarnation();
+        boolean same =
+                role != null && role.holder().equals(command.holder()) && role.incarnation() == command.incarnation();
         roles.put(
-                t.role(),
+                command.role(),
                 new RoleState(
-                        t.role(),
-                        t.holder(),
-                        t.incarnation(),
-                        same ? r.token() : t.previousToken() + 1,
-                        same ? Math.max(r.maxLeaseMs(), t.leaseMs()) : t.leaseMs()));
+                        command.role(),
+                        command.holder(),
+                        command.incarnation(),
+                        same ? role.token() : command.previousToken() + 1,
+                        same ? Math.max(role.maxLeaseMs(), command.leaseMs()) : command.leaseMs()));
         return Result.DONE;
     }
 
@@ -276,6 +286,6 @@
         leaderTerm = image.leaderTerm();
         contentBytes = 0;
         image.names().forEach(this::put);
-        image.roles().forEach(r -> roles.put(r.role(), r));
+        image.roles().forEach(role -> roles.put(role.role(), role));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -75,19 +75,19 @@
 
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-        byte[] image = AgreementCodec.snapshot(consensus.state().snapshot());
-        for (int from = 0; from < image.length; from += AgreementCodec.SNAPSHOT_CHUNK_BYTES) {
+        byte[] snapshot = AgreementCodec.snapshot(consensus.state().snapshot());
+        for (int from = 0; from < snapshot.length; from += AgreementCodec.SNAPSHOT_CHUNK_BYTES) {
             chunks.accept(Arrays.copyOfRange(
-                    image, from, Math.min(image.length, from + AgreementCodec.SNAPSHOT_CHUNK_BYTES)));
+                    snapshot, from, Math.min(snapshot.length, from + AgreementCodec.SNAPSHOT_CHUNK_BYTES)));
         }
     }
 
     @Override
     public void installSnapshot(long commitIndex, List<Object> chunks) {
-        ByteArrayOutputStream image = new ByteArrayOutputStream();
-        chunks.forEach(chunk -> image.writeBytes((byte[]) chunk));
+        ByteArrayOutputStream snapshot = new ByteArrayOutputStream();
+        chunks.forEach(chunk -> snapshot.writeBytes((byte[]) chunk));
         try {
-            consensus.state().restore(AgreementCodec.snapshot(image.toByteArray()));
+            consensus.state().restore(AgreementCodec.snapshot(snapshot.toByteArray()));
             consensus.stepDown();
         } catch (IOException e) {
             // It is the library's to stop this voter then: its state is unknown.
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
@@ -37,11 +37,11 @@
 
     private AgreementCodec() {}
 
-    private static ObjectMapper mapper(long longest) {
+    private static ObjectMapper mapper(long maxBytes) {
         CBORFactory factory = CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
                         .maxNestingDepth(16)
-                        .maxDocumentLength(longest)
+                        .maxDocumentLength(maxBytes)
                         .maxNameLength(64)
                         .maxNumberLength(40)
                         .maxStringLength(4096)
@@ -66,11 +66,11 @@
     /** Reads, and makes whatever can't be read an {@link IOException}. */
     static <T> T parse(Reader<T> reader) throws IOException {
         try {
-            T read = reader.read();
-            if (read == null) {
+            T value = reader.read();
+            if (value == null) {
                 throw new IOException("nothing there");
             }
-            return read;
+            return value;
         } catch (RuntimeException e) {
             // Guards against builders and records that reject what they are given.
             throw new IOException("not readable: " + e.getMessage(), e);
@@ -87,16 +87,16 @@
 
     /** The frame of a member's message. */
     static byte[] frame(AgreementMessage message) {
-        ObjectNode n = MAPPER.createObjectNode();
-        n.set("n", MAPPER.valueToTree(message));
-        return bytes(n);
+        ObjectNode tree = MAPPER.createObjectNode();
+        tree.set("n", MAPPER.valueToTree(message));
+        return bytes(tree);
     }
 
     /** The frame of a message of the Raft library. */
     static byte[] frame(RaftMessage message) {
-        ObjectNode n = MAPPER.createObjectNode();
-        n.set("r", RaftMessageTrees.tree(message));
-        return bytes(n);
+        ObjectNode tree = MAPPER.createObjectNode();
+        tree.set("r", RaftMessageTrees.tree(message));
+        return bytes(tree);
     }
 
     /** Parses a frame. */
@@ -105,10 +105,10 @@
             throw new IOException("message of " + body.length + " bytes");
         }
         return parse(() -> {
-            JsonNode n = MAPPER.readTree(body);
-            return n.has("n")
-                    ? new Frame(MAPPER.treeToValue(n.get("n"), AgreementMessage.class), null)
-                    : new Frame(null, RaftMessageTrees.message(JsonFields.required(n, "r")));
+            JsonNode tree = MAPPER.readTree(body);
+            return tree.has("n")
+                    ? new Frame(MAPPER.treeToValue(tree.get("n"), AgreementMessage.class), null)
+                    : new Frame(null, RaftMessageTrees.message(JsonFields.required(tree, "r")));
         });
     }
 
@@ -126,8 +126,8 @@
     }
 
     /** The stored form of a log entry. */
-    static byte[] logEntry(LogEntry e) {
-        return bytes(RaftLogTrees.tree(e));
+    static byte[] logEntry(LogEntry entry) {
+        return bytes(RaftLogTrees.tree(entry));
     }
 
     static LogEntry logEntry(byte[] body) throws IOException {
@@ -135,8 +135,8 @@
     }
 
     /** The stored form of a snapshot's chunk. */
-    static byte[] snapshotChunk(SnapshotChunk c) {
-        return bytes(RaftLogTrees.tree(c));
+    static byte[] snapshotChunk(SnapshotChunk chunk) {
+        return bytes(RaftLogTrees.tree(chunk));
     }
 
     static SnapshotChunk snapshotChunk(byte[] body) throws IOException {
@@ -144,8 +144,8 @@
     }
 
     /** The stored form of a group's members. */
-    static byte[] groupMembers(RaftGroupMembersView v) {
-        return bytes(RaftLogTrees.tree(v));
+    static byte[] groupMembers(RaftGroupMembersView members) {
+        return bytes(RaftLogTrees.tree(members));
     }
 
     static RaftGroupMembersView groupMembers(byte[] body) throws IOException {
@@ -153,39 +153,39 @@
     }
 
     /** The stored form of the current term and vote. */
-    static byte[] termState(RaftTermPersistentState t) {
-        ObjectNode n = MAPPER.createObjectNode().put("term", t.getTerm());
+    static byte[] termState(RaftTermPersistentState state) {
+        ObjectNode tree = MAPPER.createObjectNode().put("term", state.getTerm());
         return bytes(
-                t.getVotedFor() == null
-                        ? n
-                        : n.put("voted", (String) t.getVotedFor().getId()));
+                state.getVotedFor() == null
+                        ? tree
+                        : tree.put("voted", (String) state.getVotedFor().getId()));
     }
 
     static RaftTermPersistentState termState(byte[] body) throws IOException {
         return parse(() -> {
-            JsonNode n = MAPPER.readTree(body);
+            JsonNode tree = MAPPER.readTree(body);
             return MODEL_FACTORY
                     .createRaftTermPersistentStateBuilder()
-                    .setTerm(JsonFields.intValue(n, "term"))
-                    .setVotedFor(n.has("voted") ? JsonFields.endpoint(n, "voted") : null)
+                    .setTerm(JsonFields.intValue(tree, "term"))
+                    .setVotedFor(tree.has("voted") ? JsonFields.endpoint(tree, "voted") : null)
                     .build();
         });
     }
 
     /** The stored form of the voter's own endpoint. */
-    static byte[] endpointState(RaftEndpointPersistentState e) {
+    static byte[] endpointState(RaftEndpointPersistentState state) {
         return bytes(MAPPER.createObjectNode()
-                .put("me", (String) e.getLocalEndpoint().getId())
-                .put("voting", e.isVoting()));
+                .put("me", (String) state.getLocalEndpoint().getId())
+                .put("voting", state.isVoting()));
     }
 
     static RaftEndpointPersistentState endpointState(byte[] body) throws IOException {
         return parse(() -> {
-            JsonNode n = MAPPER.readTree(body);
+            JsonNode tree = MAPPER.readTree(body);
             return MODEL_FACTORY
                     .createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(JsonFields.endpoint(n, "me"))
-                    .setVoting(JsonFields.required(n, "voting").asBoolean())
+                    .setLocalEndpoint(JsonFields.endpoint(tree, "me"))
+                    .setVoting(JsonFields.required(tree, "voting").asBoolean())
                     .build();
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -130,7 +130,7 @@
         }
     }
 
-    private void onFrame(String peer, long life, byte[] body) {
+    private void onFrame(String peer, long incarnation, byte[] body) {
         if (waitingMessages.get() >= MAX_WAITING_MESSAGES) {
             context.counters().dropped.increment();
             return;
@@ -158,32 +158,32 @@
     }
 
     private void onMessage(String peer, AgreementMessage message) {
-        if (message instanceof AgreementMessage.RenewalRequest question) {
-            leaderService.onRenewalRequest(peer, question);
-        } else if (message instanceof AgreementMessage.ProposeRequest proposal) {
-            leaderService.onProposeRequest(peer, proposal);
-        } else if (message instanceof AgreementMessage.ClaimRequest claim) {
-            leaderService.onClaimRequest(peer, claim);
-        } else if (message instanceof AgreementMessage.HistoryRequest look) {
-            leaderService.onHistoryRequest(peer, look);
-        } else if (message instanceof AgreementMessage.RenewalResponse answer) {
-            leaseClient.onRenewalResponse(peer, answer);
+        if (message instanceof AgreementMessage.RenewalRequest request) {
+            leaderService.onRenewalRequest(peer, request);
+        } else if (message instanceof AgreementMessage.ProposeRequest request) {
+            leaderService.onProposeRequest(peer, request);
+        } else if (message instanceof AgreementMessage.ClaimRequest request) {
+            leaderService.onClaimRequest(peer, request);
+        } else if (message instanceof AgreementMessage.HistoryRequest request) {
+            leaderService.onHistoryRequest(peer, request);
+        } else if (message instanceof AgreementMessage.RenewalResponse response) {
+            leaseClient.onRenewalResponse(peer, response);
         } else if (message instanceof AgreementMessage.Hint hint) {
             leaseClient.onHint(peer, hint);
-        } else if (message instanceof AgreementMessage.NotLeader redirect) {
-            leaseClient.onNotLeader(peer, redirect);
-        } else if (message instanceof AgreementMessage.ProposeResponse outcome) {
-            requests.onResponse(outcome.incarnation(), outcome.requestNumber(), outcome);
-        } else if (message instanceof AgreementMessage.ClaimResponse claimed) {
-            requests.onResponse(claimed.incarnation(), claimed.requestNumber(), claimed);
-        } else if (message instanceof AgreementMessage.HistoryResponse looked) {
-            requests.onResponse(looked.incarnation(), looked.requestNumber(), looked);
+        } else if (message instanceof AgreementMessage.NotLeader response) {
+            leaseClient.onNotLeader(peer, response);
+        } else if (message instanceof AgreementMessage.ProposeResponse response) {
+            requests.onResponse(response.incarnation(), response.requestNumber(), response);
+        } else if (message instanceof AgreementMessage.ClaimResponse response) {
+            requests.onResponse(response.incarnation(), response.requestNumber(), response);
+        } else if (message instanceof AgreementMessage.HistoryResponse response) {
+            requests.onResponse(response.incarnation(), response.requestNumber(), response);
         } else if (message instanceof AgreementMessage.Hello hello) {
             recovery.onHello(peer, hello);
-        } else if (message instanceof AgreementMessage.HelloResponse facts) {
-            recovery.onHelloResponse(peer, facts);
-        } else if (message instanceof AgreementMessage.JoinRequest join && consensus.isLeader()) {
-            consensus.admitReplacement(peer, join);
+        } else if (message instanceof AgreementMessage.HelloResponse response) {
+            recovery.onHelloResponse(peer, response);
+        } else if (message instanceof AgreementMessage.JoinRequest request && consensus.isLeader()) {
+            consensus.admitReplacement(peer, request);
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/HeartbeatClock.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/HeartbeatClock.java
@@ -11,9 +11,9 @@
     private final double rate;
 
     /** A clock that runs so many times as fast as the other. */
-    HeartbeatClock(Clock clock, double speed) {
+    HeartbeatClock(Clock clock, double rate) {
         this.clock = clock;
-        this.rate = speed;
+        this.rate = rate;
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/JsonFields.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/JsonFields.java
@@ -13,11 +13,11 @@
     /** The voters of a list, in its order. */
     static Collection<RaftEndpoint> endpoints(JsonNode parent, String key) throws IOException {
         // The library's members keep the order in which they came.
-        Collection<RaftEndpoint> all = new LinkedHashSet<>();
-        for (JsonNode e : required(parent, key)) {
-            all.add(VoterEndpoint.parse(e.asText()));
+        Collection<RaftEndpoint> endpoints = new LinkedHashSet<>();
+        for (JsonNode element : required(parent, key)) {
+            endpoints.add(VoterEndpoint.parse(element.asText()));
         }
-        return all;
+        return endpoints;
     }
 
     /** A property that must be there. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -59,9 +59,11 @@
         this.earlierLeasesEndMs = nowMs + terms.authorityWaitMs();
         state.names()
                 .values()
-                .forEach(n ->
-                        authorities.put(n.name(), LeaseAuthority.start(terms, nowMs, n.decided(), n.lastGeneration())));
-        state.roles().values().forEach(r -> roles.put(r.role(), new RoleLease(nowMs + waitMs(r.maxLeaseMs()), false)));
+                .forEach(value -> authorities.put(
+                        value.name(), LeaseAuthority.start(terms, nowMs, value.decided(), value.lastGeneration())));
+        state.roles()
+                .values()
+                .forEach(role -> roles.put(role.role(), new RoleLease(nowMs + waitMs(role.maxLeaseMs()), false)));
     }
 
     long leaderTerm() {
@@ -73,13 +75,13 @@
         return earlierLeasesEndMs;
     }
 
-    private double waitMs(double forMs) {
-        return new LeaseTerms(forMs, terms.drift()).authorityWaitMs();
+    private double waitMs(double leaseMs) {
+        return new LeaseTerms(leaseMs, terms.drift()).authorityWaitMs();
     }
 
     /** What is decided of this name has changed. */
     void onApplied(String name) {
-        AgreedState.NamedValue n = state.find(name).orElseThrow();
+        AgreedState.NamedValue value = state.find(name).orElseThrow();
         LeaseAuthority before = authorities.get(name);
         Map<Integer, LeaseAuthority.GrantedLease> holders = new TreeMap<>();
         if (before == null) {
@@ -88,70 +90,75 @@
         } else {
             holders.putAll(before.holders());
         }
-        authorities.put(name, new LeaseAuthority(terms, n.decided(), n.lastGeneration(), earlierLeasesEndMs, holders));
+        authorities.put(
+                name, new LeaseAuthority(terms, value.decided(), value.lastGeneration(), earlierLeasesEndMs, holders));
         inFlight.remove(name);
         rejectedBy.remove(name);
     }
 
     /** The answer to a question; from now on its asker is waited for. */
     AgreementMessage.RenewalResponse renew(
-            double nowMs, String asker, AgreementMessage.RenewalRequest q, String groupId) {
-        int id = holderIds.computeIfAbsent(asker, a -> holderIds.size() + 1);
+            double nowMs, String member, AgreementMessage.RenewalRequest request, String groupId) {
+        int id = holderIds.computeIfAbsent(member, holder -> holderIds.size() + 1);
         leaseEndById.put(id, nowMs + terms.authorityWaitMs());
-        Map<String, AgreementMessage.NameState> heard = new HashMap<>();
-        q.names().forEach(h -> heard.put(h.name(), h));
-        List<AgreementMessage.NameUpdate> told = new ArrayList<>();
-        int room = MAX_RESPONSE_BYTES;
-        boolean whole = true;
-        for (Map.Entry<String, LeaseAuthority> e : authorities.entrySet()) {
-            AgreementMessage.NameState h =
-                    heard.getOrDefault(e.getKey(), new AgreementMessage.NameState(e.getKey(), 0, 0, List.of()));
-            LeaseRequest ask =
-                    new LeaseRequest(id, q.incarnation(), q.requestNumber(), h.version(), h.rejectedGeneration());
-            LeaseAuthority a = e.getValue();
-            List<AgreementMessage.GenerationContent> items =
-                    missingContents(a.decided(), e.getKey(), h.knownGenerations());
-            int bytes = items.stream().mapToInt(i -> i.content().length).sum();
-            if (bytes > room) {
-                whole = false;
+        Map<String, AgreementMessage.NameState> states = new HashMap<>();
+        request.names().forEach(state -> states.put(state.name(), state));
+        List<AgreementMessage.NameUpdate> updates = new ArrayList<>();
+        int remainingBytes = MAX_RESPONSE_BYTES;
+        boolean complete = true;
+        for (Map.Entry<String, LeaseAuthority> entry : authorities.entrySet()) {
+            AgreementMessage.NameState state = states.getOrDefault(
+                    entry.getKey(), new AgreementMessage.NameState(entry.getKey(), 0, 0, List.of()));
+            LeaseRequest leaseRequest = new LeaseRequest(
+                    id, request.incarnation(), request.requestNumber(), state.version(), state.rejectedGeneration());
+            LeaseAuthority authority = entry.getValue();
+            List<AgreementMessage.GenerationContent> contents =
+                    missingContents(authority.decided(), entry.getKey(), state.knownGenerations());
+            int bytes = contents.stream()
+                    .mapToInt(content -> content.content().length)
+                    .sum();
+            if (bytes > remainingBytes) {
+                complete = false;
                 continue;
             }
-            room -= bytes;
-            if (a.isStagedRejectedBy(ask)) {
-                rejectedBy.put(e.getKey(), asker);
+            remainingBytes -= bytes;
+            if (authority.isStagedRejectedBy(leaseRequest)) {
+                rejectedBy.put(entry.getKey(), member);
             }
-            LeaseAuthority next = a.onRequest(nowMs, ask);
-            e.setValue(next);
-            LeaseGrant g = next.grant(ask);
-            told.add(new AgreementMessage.NameUpdate(e.getKey(), g.decided(), items));
+            LeaseAuthority next = authority.onRequest(nowMs, leaseRequest);
+            entry.setValue(next);
+            LeaseGrant grant = next.grant(leaseRequest);
+            updates.add(new AgreementMessage.NameUpdate(entry.getKey(), grant.decided(), contents));
         }
         return new AgreementMessage.RenewalResponse(
-                q.incarnation(), q.requestNumber(), groupId, terms.leaseMs(), told, whole);
+                request.incarnation(), request.requestNumber(), groupId, terms.leaseMs(), updates, complete);
     }
 
-    private List<AgreementMessage.GenerationContent> missingContents(DecidedVersion word, String name, List<Long> has) {
-        List<AgreementMessage.GenerationContent> items = new ArrayList<>();
-        for (long g : new long[] {word.inForce(), word.staged()}) {
-            if (g != 0 && !has.contains(g)) {
-                AgreedState.Generation k = state.findGeneration(name, g).orElseThrow();
-                items.add(new AgreementMessage.GenerationContent(g, k.content(), k.proposer()));
+    private List<AgreementMessage.GenerationContent> missingContents(
+            DecidedVersion decided, String name, List<Long> knownGenerations) {
+        List<AgreementMessage.GenerationContent> contents = new ArrayList<>();
+        for (long generation : new long[] {decided.inForce(), decided.staged()}) {
+            if (generation != 0 && !knownGenerations.contains(generation)) {
+                AgreedState.Generation kept =
+                        state.findGeneration(name, generation).orElseThrow();
+                contents.add(new AgreementMessage.GenerationContent(generation, kept.content(), kept.proposer()));
             }
         }
-        return items;
+        return contents;
     }
 
     /** The entries that may be written now; each once, until {@link #onApplied} or {@link #onWriteFailed}. */
     List<LogCommand> dueCommands(double nowMs) {
         List<LogCommand> due = new ArrayList<>();
-        authorities.forEach((name, a) -> {
-            if (a.decided().staged() == 0 || inFlight.contains(name)) {
+        authorities.forEach((name, authority) -> {
+            if (authority.decided().staged() == 0 || inFlight.contains(name)) {
                 return;
             }
             if (rejectedBy.containsKey(name)) {
-                due.add(new LogCommand.Abandon(name, a.decided().version(), leaderTerm, rejectedBy.get(name)));
+                due.add(new LogCommand.Abandon(name, authority.decided().version(), leaderTerm, rejectedBy.get(name)));
                 inFlight.add(name);
-            } else if (a.mayActivate(nowMs)) {
-                due.add(new LogCommand.Activate(name, a.decided().version(), leaderTerm));
+            } else if (authority.mayActivate(nowMs)) {
+                due.add(new LogCommand.Activate(name, authority.decided().version(), leaderTerm));
                 inFlight.add(name);
             }
         });
@@ -159,71 +166,72 @@
     }
 
     /** This entry was not taken by the log: it may be tried again. */
-    void onWriteFailed(LogCommand op) {
-        if (op instanceof LogCommand.Activate a) {
-            inFlight.remove(a.name());
-        } else if (op instanceof LogCommand.Abandon a) {
-            inFlight.remove(a.name());
-        } else if (op instanceof LogCommand.GrantRole t) {
-            roles.computeIfPresent(t.role(), (r, l) -> new RoleLease(l.untilMs(), false));
+    void onWriteFailed(LogCommand command) {
+        if (command instanceof LogCommand.Activate activate) {
+            inFlight.remove(activate.name());
+        } else if (command instanceof LogCommand.Abandon abandon) {
+            inFlight.remove(abandon.name());
+        } else if (command instanceof LogCommand.GrantRole grant) {
+            roles.computeIfPresent(grant.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
         }
     }
 
     /** A member claims a role. */
-    ClaimDecision claimRole(double nowMs, String member, AgreementMessage.ClaimRequest c) {
-        Optional<AgreedState.RoleState> role = state.role(c.role());
-        RoleLease lease = roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
+    ClaimDecision claimRole(double nowMs, String member, AgreementMessage.ClaimRequest claim) {
+        Optional<AgreedState.RoleState> role = state.role(claim.role());
+        RoleLease lease = roles.getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
             // Guards against a lease that is lengthened while the role goes to another.
             return new ClaimDecision.Ignore();
         }
         long token = role.map(AgreedState.RoleState::token).orElse(0L);
-        boolean same = role.isPresent()
+        boolean renewal = role.isPresent()
                 && role.get().holder().equals(member)
-                && role.get().incarnation() == c.incarnation();
-        if (same && c.leaseMs() <= role.get().maxLeaseMs()) {
-            return new ClaimDecision.Respond(grantClaim(nowMs, c));
+                && role.get().incarnation() == claim.incarnation();
+        if (renewal && claim.leaseMs() <= role.get().maxLeaseMs()) {
+            return new ClaimDecision.Respond(grantClaim(nowMs, claim));
         }
-        if (same || nowMs >= lease.untilMs()) {
-            roles.put(c.role(), new RoleLease(lease.untilMs(), true));
-            return new ClaimDecision.WriteFirst(
-                    new LogCommand.GrantRole(c.role(), member, c.incarnation(), c.leaseMs(), token, leaderTerm));
+        if (renewal || nowMs >= lease.untilMs()) {
+            roles.put(claim.role(), new RoleLease(lease.untilMs(), true));
+            return new ClaimDecision.WriteFirst(new LogCommand.GrantRole(
+                    claim.role(), member, claim.incarnation(), claim.leaseMs(), token, leaderTerm));
         }
         String holder = role.map(AgreedState.RoleState::holder).orElse("");
         return new ClaimDecision.Respond(
-                new AgreementMessage.ClaimResponse(c.incarnation(), c.requestNumber(), holder, token, 0));
+                new AgreementMessage.ClaimResponse(claim.incarnation(), claim.requestNumber(), holder, token, 0));
     }
 
     /** The claim's entry was applied in this leader term: it is granted. */
-    AgreementMessage.ClaimResponse grantRole(double nowMs, AgreementMessage.ClaimRequest c) {
-        roles.computeIfPresent(c.role(), (r, l) -> new RoleLease(l.untilMs(), false));
-        return grantClaim(nowMs, c);
+    AgreementMessage.ClaimResponse grantRole(double nowMs, AgreementMessage.ClaimRequest claim) {
+        roles.computeIfPresent(claim.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
+        return grantClaim(nowMs, claim);
     }
 
-    private AgreementMessage.ClaimResponse grantClaim(double nowMs, AgreementMessage.ClaimRequest c) {
-        AgreedState.RoleState role = state.role(c.role()).orElseThrow();
-        double until = Math.max(
-                nowMs + waitMs(c.leaseMs()),
-                roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
+    private AgreementMessage.ClaimResponse grantClaim(double nowMs, AgreementMessage.ClaimRequest claim) {
+        AgreedState.RoleState role = state.role(claim.role()).orElseThrow();
+        double endMs = Math.max(
+                nowMs + waitMs(claim.leaseMs()),
+                roles.getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
                         .untilMs());
-        roles.put(c.role(), new RoleLease(until, false));
+        roles.put(claim.role(), new RoleLease(endMs, false));
         return new AgreementMessage.ClaimResponse(
-                c.incarnation(), c.requestNumber(), role.holder(), role.token(), c.leaseMs());
+                claim.incarnation(), claim.requestNumber(), role.holder(), role.token(), claim.leaseMs());
     }
 
     /** Who is waited for before what is staged can be in force, for staff. */
     List<String> pendingHolders(String name, double nowMs) {
-        LeaseAuthority a = authorities.get(name);
-        List<String> who = new ArrayList<>();
+        LeaseAuthority authority = authorities.get(name);
+        List<String> pending = new ArrayList<>();
         holderIds.forEach((member, id) -> {
-            LeaseAuthority.GrantedLease h = a == null ? null : a.holders().get(id);
-            if (h != null
-                    && a.decided().staged() != 0
-                    && nowMs < h.untilMs()
-                    && h.effectiveVersion() < a.decided().version()) {
-                who.add(member);
+            LeaseAuthority.GrantedLease state =
+                    authority == null ? null : authority.holders().get(id);
+            if (state != null
+                    && authority.decided().staged() != 0
+                    && nowMs < state.untilMs()
+                    && state.effectiveVersion() < authority.decided().version()) {
+                pending.add(member);
             }
         });
-        return who;
+        return pending;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -71,9 +71,9 @@
     }
 
     /** Guards whoever looks before proposing again: a voter that is behind does not know what is acknowledged. */
-    void onHistoryRequest(String peer, AgreementMessage.HistoryRequest look) {
+    void onHistoryRequest(String peer, AgreementMessage.HistoryRequest request) {
         if (isLeaderOrRedirect(peer)) {
-            answerAfterRead(nowMs -> context.send(peer, history(look)));
+            answerAfterRead(nowMs -> context.send(peer, history(request)));
         }
     }
 
@@ -219,15 +219,15 @@
                 }));
     }
 
-    private AgreementMessage.HistoryResponse history(AgreementMessage.HistoryRequest look) {
+    private AgreementMessage.HistoryResponse history(AgreementMessage.HistoryRequest request) {
         AgreedState state = consensus.state();
-        byte[] content = state.findGeneration(look.name(), look.generation())
+        byte[] content = state.findGeneration(request.name(), request.generation())
                 .map(AgreedState.Generation::content)
                 .orElse(new byte[0]);
-        List<AgreementMessage.HistoryEntry> lines = state.find(look.name()).stream()
+        List<AgreementMessage.HistoryEntry> lines = state.find(request.name()).stream()
                 .flatMap(named -> named.history().stream().map(kept -> historyEntry(named, kept)))
                 .toList();
-        return new AgreementMessage.HistoryResponse(look.incarnation(), look.requestNumber(), lines, content);
+        return new AgreementMessage.HistoryResponse(request.incarnation(), request.requestNumber(), lines, content);
     }
 
     private static AgreementMessage.HistoryEntry historyEntry(
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -174,10 +174,11 @@
     }
 
     /** The member asked does not lead: asks the one that it names, or the next voter. */
-    void onNotLeader(String peer, AgreementMessage.NotLeader redirect) {
-        String leader = redirect.leader();
+    void onNotLeader(String peer, AgreementMessage.NotLeader response) {
+        String leader = response.leader();
         if (!leader.isEmpty()
-                && context.links().peers().stream().anyMatch(p -> p.name().equals(leader))) {
+                && context.links().peers().stream()
+                        .anyMatch(candidate -> candidate.name().equals(leader))) {
             believedLeader = leader;
         } else if (believedLeader.equals(peer)) {
             believedLeader = "";
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -41,19 +41,20 @@
     /** A request for the lease leaves now. */
     LeaseView startRequest(double nowMs) {
         Map<String, NameLease> next = new TreeMap<>();
-        names.forEach((n, k) -> next.put(n, new NameLease(k.holder().sendRequest(nowMs), k.values())));
+        names.forEach(
+                (name, lease) -> next.put(name, new NameLease(lease.holder().sendRequest(nowMs), lease.values())));
         return new LeaseView(unnamedHolder.sendRequest(nowMs), next, leaseUntilMs);
     }
 
     AgreementMessage.RenewalRequest renewalRequest() {
-        List<AgreementMessage.NameState> heard = new ArrayList<>();
-        names.forEach((n, k) -> heard.add(new AgreementMessage.NameState(
-                n,
-                k.holder().decided().version(),
-                k.holder().rejectedGeneration(),
-                List.copyOf(k.values().keySet()))));
+        List<AgreementMessage.NameState> states = new ArrayList<>();
+        names.forEach((name, lease) -> states.add(new AgreementMessage.NameState(
+                name,
+                lease.holder().decided().version(),
+                lease.holder().rejectedGeneration(),
+                List.copyOf(lease.values().keySet()))));
         return new AgreementMessage.RenewalRequest(
-                unnamedHolder.incarnation(), unnamedHolder.lastRequestNumber(), heard);
+                unnamedHolder.incarnation(), unnamedHolder.lastRequestNumber(), states);
     }
 
     /**
@@ -61,64 +62,72 @@
      *
      * @param usable whether this member can use a content under a name
      */
-    LeaseView onRenewalResponse(AgreementMessage.RenewalResponse a, BiPredicate<String, byte[]> usable) {
-        if (a.incarnation() != unnamedHolder.incarnation() || a.requestNumber() != unnamedHolder.lastRequestNumber()) {
+    LeaseView onRenewalResponse(AgreementMessage.RenewalResponse response, BiPredicate<String, byte[]> validator) {
+        if (response.incarnation() != unnamedHolder.incarnation()
+                || response.requestNumber() != unnamedHolder.lastRequestNumber()) {
             return this;
         }
         Map<String, NameLease> next = new TreeMap<>(names);
-        for (AgreementMessage.NameUpdate t : a.updates()) {
-            NameLease before = names.getOrDefault(t.name(), new NameLease(unnamedHolder, Map.of()));
-            LeaseHolder told = before.holder()
-                    .onGrant(new LeaseGrant(a.incarnation(), a.requestNumber(), t.decided(), a.leaseMs()));
-            if (told == before.holder()) {
+        for (AgreementMessage.NameUpdate update : response.updates()) {
+            NameLease before = names.getOrDefault(update.name(), new NameLease(unnamedHolder, Map.of()));
+            LeaseHolder holder = before.holder()
+                    .onGrant(new LeaseGrant(
+                            response.incarnation(), response.requestNumber(), update.decided(), response.leaseMs()));
+            if (holder == before.holder()) {
                 continue;
             }
             Map<Long, Value> values = new TreeMap<>();
-            DecidedVersion w = told.decided();
-            before.values().forEach((g, v) -> putIfDecided(values, w, v));
-            t.contents()
-                    .forEach(i ->
-                            putIfDecided(values, w, new Value(t.name(), i.generation(), i.content(), i.proposer())));
-            long refused = !isUsable(w.staged(), values, usable)
-                    ? w.staged()
-                    : !isUsable(w.inForce(), values, usable) ? w.inForce() : 0;
-            next.put(t.name(), new NameLease(told.rejectGeneration(refused), values));
+            DecidedVersion decided = holder.decided();
+            before.values().forEach((generation, value) -> putIfDecided(values, decided, value));
+            update.contents()
+                    .forEach(content -> putIfDecided(
+                            values,
+                            decided,
+                            new Value(update.name(), content.generation(), content.content(), content.proposer())));
+            long rejectedGeneration = !isUsable(decided.staged(), values, validator)
+                    ? decided.staged()
+                    : !isUsable(decided.inForce(), values, validator) ? decided.inForce() : 0;
+            next.put(update.name(), new NameLease(holder.rejectGeneration(rejectedGeneration), values));
         }
         return new LeaseView(
                 unnamedHolder,
                 next,
-                a.complete() ? Math.max(leaseUntilMs, unnamedHolder.lastRequestAtMs() + a.leaseMs()) : leaseUntilMs);
+                response.complete()
+                        ? Math.max(leaseUntilMs, unnamedHolder.lastRequestAtMs() + response.leaseMs())
+                        : leaseUntilMs);
     }
 
-    private static void putIfDecided(Map<Long, Value> values, DecidedVersion w, Value v) {
-        if (v.generation() == w.inForce() || v.generation() == w.staged()) {
-            values.put(v.generation(), v);
+    private static void putIfDecided(Map<Long, Value> values, DecidedVersion decided, Value value) {
+        if (value.generation() == decided.inForce() || value.generation() == decided.staged()) {
+            values.put(value.generation(), value);
         }
     }
 
-    private static boolean isUsable(long generation, Map<Long, Value> values, BiPredicate<String, byte[]> usable) {
-        Value v = values.get(generation);
-        return generation == 0 || v != null && usable.test(v.name(), v.content());
+    private static boolean isUsable(long generation, Map<Long, Value> values, BiPredicate<String, byte[]> validator) {
+        Value value = values.get(generation);
+        return generation == 0 || value != null && validator.test(value.name(), value.content());
     }
 
     EffectiveVersions effectiveVersions(String name, double nowMs) {
-        NameLease k = names.get(name);
-        return k == null ? EffectiveVersions.IN_DOUBT : k.holder().effectiveVersions(nowMs);
+        NameLease lease = names.get(name);
+        return lease == null ? EffectiveVersions.IN_DOUBT : lease.holder().effectiveVersions(nowMs);
     }
 
     Optional<EffectiveValues> effectiveValues(String name, double nowMs) {
-        EffectiveVersions a = effectiveVersions(name, nowMs);
-        if (a.inDoubt()) {
+        EffectiveVersions effective = effectiveVersions(name, nowMs);
+        if (effective.inDoubt()) {
             return Optional.empty();
         }
-        Map<Long, Value> v = names.get(name).values();
-        return Optional.of(new EffectiveValues(v.get(a.one()), a.other() == a.one() ? null : v.get(a.other())));
+        Map<Long, Value> value = names.get(name).values();
+        return Optional.of(new EffectiveValues(
+                value.get(effective.one()),
+                effective.other() == effective.one() ? null : value.get(effective.other())));
     }
 
     /** The last value that was in force as far as it was told. */
     Optional<Value> lastKnown(String name) {
         return Optional.ofNullable(names.get(name))
-                .map(k -> k.values().get(k.holder().decided().inForce()));
+                .map(lease -> lease.values().get(lease.holder().decided().inForce()));
     }
 
     DecidedVersion decided(String name) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
@@ -25,9 +25,9 @@
      * @param speed how many of the library's seconds pass in one
      * @param dropped counts what came after the end
      */
-    MemberThread(String member, double speed, LongAdder dropped) {
+    MemberThread(String member, double raftClockRate, LongAdder dropped) {
         this.member = member;
-        this.raftClockRate = speed;
+        this.raftClockRate = raftClockRate;
         this.dropped = dropped;
         pool = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreed-" + member);
@@ -60,8 +60,8 @@
     }
 
     /** Runs an event again and again, so many milliseconds after it has ended. */
-    void scheduleRepeatedly(long ms, Runnable event) {
-        pool.scheduleWithFixedDelay(logFailures(event), 0, ms, TimeUnit.MILLISECONDS);
+    void scheduleRepeatedly(long intervalMs, Runnable event) {
+        pool.scheduleWithFixedDelay(logFailures(event), 0, intervalMs, TimeUnit.MILLISECONDS);
     }
 
     /** Whether the thread has ended: nothing is run any more. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
@@ -25,13 +25,13 @@
                 AgreementMessage message,
                 double sentMs,
                 double untilMs,
-                Consumer<AgreementMessage> answered,
-                Runnable timedOut) {
+                Consumer<AgreementMessage> onResponse,
+                Runnable onTimeout) {
             this.message = message;
             this.sentMs = sentMs;
             this.untilMs = untilMs;
-            this.onResponse = answered;
-            this.onTimeout = timedOut;
+            this.onResponse = onResponse;
+            this.onTimeout = onTimeout;
         }
     }
 
@@ -49,31 +49,31 @@
             double nowMs,
             double untilMs,
             LongFunction<AgreementMessage> message,
-            Consumer<AgreementMessage> answered,
-            Runnable timedOut) {
+            Consumer<AgreementMessage> onResponse,
+            Runnable onTimeout) {
         if (requests.size() >= MAX_PENDING) {
-            timedOut.run();
+            onTimeout.run();
             return;
         }
         long number = ++lastNumber;
-        Request request = new Request(message.apply(number), nowMs, untilMs, answered, timedOut);
+        Request request = new Request(message.apply(number), nowMs, untilMs, onResponse, onTimeout);
         requests.put(number, request);
         sender.accept(request.message);
     }
 
-    void complete(long number, AgreementMessage answer) {
+    void complete(long number, AgreementMessage response) {
         Request request = requests.remove(number);
         if (request != null) {
-            request.onResponse.accept(answer);
+            request.onResponse.accept(response);
         }
     }
 
     /** Sends again what has waited long enough, and gives up what is over. */
     void tick(double nowMs) {
-        for (Iterator<Request> all = requests.values().iterator(); all.hasNext(); ) {
-            Request request = all.next();
+        for (Iterator<Request> iterator = requests.values().iterator(); iterator.hasNext(); ) {
+            Request request = iterator.next();
             if (nowMs >= request.untilMs) {
-                all.remove();
+                iterator.remove();
                 request.onTimeout.run();
             } else if (nowMs >= request.sentMs + RESEND_MS) {
                 request.sentMs = nowMs;
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
@@ -37,12 +37,12 @@
     }
 
     /** Stages a proposal, unless it is on its way already or breaks a bound; only while this member leads. */
-    void onProposeRequest(String peer, AgreementMessage.ProposeRequest proposal) {
-        Waiter waiter = new Waiter(peer, proposal.name(), proposal.incarnation(), proposal.requestNumber());
+    void onProposeRequest(String peer, AgreementMessage.ProposeRequest request) {
+        Waiter waiter = new Waiter(peer, request.name(), request.incarnation(), request.requestNumber());
         if (inFlight.contains(waiter)
                 || inFlight.size() >= RaftConsensus.MAX_PENDING_ENTRIES
-                || proposal.name().length() > AgreedState.MAX_NAME_LENGTH
-                || proposal.content().length > AgreedState.MAX_CONTENT_BYTES) {
+                || request.name().length() > AgreedState.MAX_NAME_LENGTH
+                || request.content().length > AgreedState.MAX_CONTENT_BYTES) {
             return;
         }
         if (!waiters.contains(waiter) && waiters.size() < MAX_WAITERS) {
@@ -50,19 +50,19 @@
         }
         if (consensus
                 .state()
-                .findProposal(proposal.name(), peer, proposal.incarnation(), proposal.requestNumber())
+                .findProposal(request.name(), peer, request.incarnation(), request.requestNumber())
                 .isPresent()) {
-            sendOutcomes(proposal.name());
+            sendOutcomes(request.name());
             return;
         }
         inFlight.add(waiter);
         LogCommand.Stage command = new LogCommand.Stage(
-                proposal.name(),
-                proposal.expectedGeneration(),
-                proposal.content(),
+                request.name(),
+                request.expectedGeneration(),
+                request.content(),
                 peer,
-                proposal.incarnation(),
-                proposal.requestNumber());
+                request.incarnation(),
+                request.requestNumber());
         consensus
                 .replicate(command)
                 .whenComplete((result, failure) ->
@@ -93,22 +93,22 @@
 
     /** Tells the proposers of a name's settled generations what became of them. */
     void sendOutcomes(String name) {
-        for (Iterator<Waiter> all = waiters.iterator(); all.hasNext(); ) {
-            Waiter waiter = all.next();
-            Optional<AgreedState.Generation> kept = waiter.name().equals(name)
+        for (Iterator<Waiter> iterator = waiters.iterator(); iterator.hasNext(); ) {
+            Waiter waiter = iterator.next();
+            Optional<AgreedState.Generation> generation = waiter.name().equals(name)
                     ? consensus.state().findProposal(name, waiter.peer(), waiter.life(), waiter.number())
                     : Optional.empty();
-            if (kept.isPresent() && kept.get().outcome() != AgreedState.Outcome.STAGED) {
-                all.remove();
+            if (generation.isPresent() && generation.get().outcome() != AgreedState.Outcome.STAGED) {
+                iterator.remove();
                 Verdict verdict =
-                        kept.get().outcome() == AgreedState.Outcome.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
+                        generation.get().outcome() == AgreedState.Outcome.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
                 context.send(
                         waiter.peer(),
                         new AgreementMessage.ProposeResponse(
                                 waiter.life(),
                                 waiter.number(),
                                 verdict,
-                                kept.get().generation()));
+                                generation.get().generation()));
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftLogTrees.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftLogTrees.java
@@ -18,92 +18,94 @@
     private RaftLogTrees() {}
 
     /** The tree of a log entry or of a snapshot chunk. */
-    static ObjectNode tree(BaseLogEntry e) {
-        ObjectNode n =
-                AgreementCodec.MAPPER.createObjectNode().put("i", e.getIndex()).put("t", e.getTerm());
-        Object op = e.getOperation();
-        if (op instanceof LogCommand o) {
-            n.set("o", AgreementCodec.MAPPER.valueToTree(o));
-        } else if (op instanceof byte[] b) {
-            n.put("b", b);
-        } else if (op instanceof UpdateRaftGroupMembersOp u) {
-            ObjectNode m = n.putObject("m")
-                    .put("e", (String) u.getEndpoint().getId())
-                    .put("y", u.getMode().name());
-            m.set("all", ids(u.getMembers()));
-            m.set("vote", ids(u.getVotingMembers()));
+    static ObjectNode tree(BaseLogEntry entry) {
+        ObjectNode tree = AgreementCodec.MAPPER
+                .createObjectNode()
+                .put("i", entry.getIndex())
+                .put("t", entry.getTerm());
+        Object operation = entry.getOperation();
+        if (operation instanceof LogCommand command) {
+            tree.set("o", AgreementCodec.MAPPER.valueToTree(command));
+        } else if (operation instanceof byte[] bytes) {
+            tree.put("b", bytes);
+        } else if (operation instanceof UpdateRaftGroupMembersOp update) {
+            ObjectNode change = tree.putObject("m")
+                    .put("e", (String) update.getEndpoint().getId())
+                    .put("y", update.getMode().name());
+            change.set("all", ids(update.getMembers()));
+            change.set("vote", ids(update.getVotingMembers()));
         } else {
-            throw new IllegalArgumentException("operation " + op);
+            throw new IllegalArgumentException("operation " + operation);
         }
-        if (e instanceof SnapshotChunk c) {
-            n.put("ci", c.getSnapshotChunkIndex()).put("cn", c.getSnapshotChunkCount());
-            n.set("v", tree(c.getGroupMembersView()));
+        if (entry instanceof SnapshotChunk chunk) {
+            tree.put("ci", chunk.getSnapshotChunkIndex()).put("cn", chunk.getSnapshotChunkCount());
+            tree.set("v", tree(chunk.getGroupMembersView()));
         }
-        return n;
+        return tree;
     }
 
-    private static Object operation(JsonNode n) throws IOException {
-        if (n.has("o")) {
-            return AgreementCodec.parse(() -> AgreementCodec.MAPPER.treeToValue(n.get("o"), LogCommand.class));
+    private static Object operation(JsonNode tree) throws IOException {
+        if (tree.has("o")) {
+            return AgreementCodec.parse(() -> AgreementCodec.MAPPER.treeToValue(tree.get("o"), LogCommand.class));
         }
-        if (n.has("b")) {
-            return AgreementCodec.parse(() -> n.get("b").binaryValue());
+        if (tree.has("b")) {
+            return AgreementCodec.parse(() -> tree.get("b").binaryValue());
         }
-        JsonNode m = JsonFields.required(n, "m");
+        JsonNode update = JsonFields.required(tree, "m");
         return AgreementCodec.MODEL_FACTORY
                 .createUpdateRaftGroupMembersOpBuilder()
-                .setEndpoint(JsonFields.endpoint(m, "e"))
-                .setMode(MembershipChangeMode.valueOf(JsonFields.text(m, "y")))
-                .setMembers(JsonFields.endpoints(m, "all"))
-                .setVotingMembers(JsonFields.endpoints(m, "vote"))
+                .setEndpoint(JsonFields.endpoint(update, "e"))
+                .setMode(MembershipChangeMode.valueOf(JsonFields.text(update, "y")))
+                .setMembers(JsonFields.endpoints(update, "all"))
+                .setVotingMembers(JsonFields.endpoints(update, "vote"))
                 .build();
     }
 
     /** A log entry. */
-    static LogEntry logEntry(JsonNode n) throws IOException {
+    static LogEntry logEntry(JsonNode tree) throws IOException {
         return AgreementCodec.MODEL_FACTORY
                 .createLogEntryBuilder()
-                .setIndex(JsonFields.longValue(n, "i"))
-                .setTerm(JsonFields.intValue(n, "t"))
-                .setOperation(operation(n))
+                .setIndex(JsonFields.longValue(tree, "i"))
+                .setTerm(JsonFields.intValue(tree, "t"))
+                .setOperation(operation(tree))
                 .build();
     }
 
     /** A chunk of a snapshot. */
-    static SnapshotChunk snapshotChunk(JsonNode n) throws IOException {
+    static SnapshotChunk snapshotChunk(JsonNode tree) throws IOException {
         return AgreementCodec.MODEL_FACTORY
                 .createSnapshotChunkBuilder()
-                .setIndex(JsonFields.longValue(n, "i"))
-                .setTerm(JsonFields.intValue(n, "t"))
-                .setOperation(operation(n))
-                .setSnapshotChunkIndex(JsonFields.intValue(n, "ci"))
-                .setSnapshotChunkCount(JsonFields.intValue(n, "cn"))
-                .setGroupMembersView(view(JsonFields.required(n, "v")))
+                .setIndex(JsonFields.longValue(tree, "i"))
+                .setTerm(JsonFields.intValue(tree, "t"))
+                .setOperation(operation(tree))
+                .setSnapshotChunkIndex(JsonFields.intValue(tree, "ci"))
+                .setSnapshotChunkCount(JsonFields.intValue(tree, "cn"))
+                .setGroupMembersView(view(JsonFields.required(tree, "v")))
                 .build();
     }
 
     /** The tree of a group's members. */
-    static ObjectNode tree(RaftGroupMembersView v) {
-        ObjectNode n = AgreementCodec.MAPPER.createObjectNode().put("i", v.getLogIndex());
-        n.set("all", ids(v.getMembers()));
-        n.set("vote", ids(v.getVotingMembers()));
-        return n;
+    static ObjectNode tree(RaftGroupMembersView members) {
+        ObjectNode tree = AgreementCodec.MAPPER.createObjectNode().put("i", members.getLogIndex());
+        tree.set("all", ids(members.getMembers()));
+        tree.set("vote", ids(members.getVotingMembers()));
+        return tree;
     }
 
     /** A group's members. */
-    static RaftGroupMembersView view(JsonNode n) throws IOException {
+    static RaftGroupMembersView view(JsonNode tree) throws IOException {
         return AgreementCodec.MODEL_FACTORY
                 .createRaftGroupMembersViewBuilder()
-                .setLogIndex(JsonFields.longValue(n, "i"))
-                .setMembers(JsonFields.endpoints(n, "all"))
-                .setVotingMembers(JsonFields.endpoints(n, "vote"))
+                .setLogIndex(JsonFields.longValue(tree, "i"))
+                .setMembers(JsonFields.endpoints(tree, "all"))
+                .setVotingMembers(JsonFields.endpoints(tree, "vote"))
                 .build();
     }
 
     /** The tree of voters. */
     static ArrayNode ids(Collection<RaftEndpoint> all) {
-        ArrayNode n = AgreementCodec.MAPPER.createArrayNode();
-        VoterEndpoint.ids(all).forEach(n::add);
-        return n;
+        ArrayNode tree = AgreementCodec.MAPPER.createArrayNode();
+        VoterEndpoint.ids(all).forEach(tree::add);
+        return tree;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -57,9 +57,9 @@
     }
 
     /** Takes an answer to a request of this process; one to an earlier process is passed over. */
-    void onResponse(long life, long number, AgreementMessage answer) {
-        if (life == context.incarnation()) {
-            pending.complete(number, answer);
+    void onResponse(long incarnation, long requestNumber, AgreementMessage response) {
+        if (incarnation == context.incarnation()) {
+            pending.complete(requestNumber, response);
         }
     }
 
@@ -68,13 +68,13 @@
      *
      * @throws IllegalArgumentException if a name, content or generation is out of bounds
      */
-    CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs) {
+    CompletableFuture<Verdict> propose(String name, long expectedGeneration, byte[] content, double withinMs) {
         if (name.isEmpty()
                 || name.length() > AgreedState.MAX_NAME_LENGTH
                 || content.length > AgreedState.MAX_CONTENT_BYTES
-                || expected < 0) {
-            throw new IllegalArgumentException("name '" + name + "', expected " + expected + ", " + content.length
-                    + " bytes of at most " + AgreedState.MAX_CONTENT_BYTES);
+                || expectedGeneration < 0) {
+            throw new IllegalArgumentException("name '" + name + "', expected " + expectedGeneration + ", "
+                    + content.length + " bytes of at most " + AgreedState.MAX_CONTENT_BYTES);
         }
         if (!leaseClient.isValid(name, content)) {
             return CompletableFuture.completedFuture(Verdict.REFUSED);
@@ -82,8 +82,9 @@
         CompletableFuture<Verdict> verdict = new CompletableFuture<>();
         request(
                 withinMs,
-                number -> new AgreementMessage.ProposeRequest(name, expected, content, context.incarnation(), number),
-                answer -> onOutcome(name, (AgreementMessage.ProposeResponse) answer, verdict),
+                requestNumber -> new AgreementMessage.ProposeRequest(
+                        name, expectedGeneration, content, context.incarnation(), requestNumber),
+                response -> onOutcome(name, (AgreementMessage.ProposeResponse) response, verdict),
                 () -> verdict.complete(Verdict.UNKNOWN));
         return verdict;
     }
@@ -100,11 +101,11 @@
 
     /** Tells proposers once this member knows the value as well, so that the next proposal is made against it. */
     void completeSeenDecisions() {
-        for (Iterator<UnseenDecision> all = unseenDecisions.iterator(); all.hasNext(); ) {
-            UnseenDecision decision = all.next();
+        for (Iterator<UnseenDecision> iterator = unseenDecisions.iterator(); iterator.hasNext(); ) {
+            UnseenDecision decision = iterator.next();
             if (leaseClient.view().decided(decision.name()).inForce() >= decision.generation()
                     || context.nowMs() >= decision.untilMs()) {
-                all.remove();
+                iterator.remove();
                 decision.verdict().complete(Verdict.IN_FORCE);
             }
         }
@@ -115,19 +116,19 @@
      *
      * @throws IllegalArgumentException if the role's name or the time is out of bounds
      */
-    CompletableFuture<Lease> claim(String role, double forMs) {
+    CompletableFuture<Lease> claim(String role, double leaseMs) {
         double maxRoleMs = context.settings().maxRoleLeaseMs();
-        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME_LENGTH || !(forMs > 0) || forMs > maxRoleMs) {
-            throw new IllegalArgumentException("role '" + role + "' for " + forMs + " ms of at most " + maxRoleMs);
+        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME_LENGTH || !(leaseMs > 0) || leaseMs > maxRoleMs) {
+            throw new IllegalArgumentException("role '" + role + "' for " + leaseMs + " ms of at most " + maxRoleMs);
         }
         // The lease counts from here: before the request leaves.
         double requestedMs = context.nowMs();
         CompletableFuture<Lease> lease = new CompletableFuture<>();
         request(
-                Math.max(MIN_CLAIM_MS, Math.min(forMs / 2, MAX_CLAIM_MS)),
-                number -> new AgreementMessage.ClaimRequest(role, forMs, context.incarnation(), number),
-                answer -> {
-                    Lease granted = roleLease((AgreementMessage.ClaimResponse) answer, requestedMs);
+                Math.max(MIN_CLAIM_MS, Math.min(leaseMs / 2, MAX_CLAIM_MS)),
+                requestNumber -> new AgreementMessage.ClaimRequest(role, leaseMs, context.incarnation(), requestNumber),
+                response -> {
+                    Lease granted = roleLease((AgreementMessage.ClaimResponse) response, requestedMs);
                     rememberRoleLease(role, granted);
                     lease.complete(granted);
                 },
@@ -135,10 +136,12 @@
         return lease;
     }
 
-    private Lease roleLease(AgreementMessage.ClaimResponse answer, double requestedMs) {
-        boolean granted = answer.holder().equals(context.name()) && answer.leaseMs() > 0;
+    private Lease roleLease(AgreementMessage.ClaimResponse response, double requestedMs) {
+        boolean granted = response.holder().equals(context.name()) && response.leaseMs() > 0;
         return new Lease(
-                answer.holder(), answer.token(), granted ? requestedMs + answer.leaseMs() : Double.NEGATIVE_INFINITY);
+                response.holder(),
+                response.token(),
+                granted ? requestedMs + response.leaseMs() : Double.NEGATIVE_INFINITY);
     }
 
     private void rememberRoleLease(String role, Lease lease) {
@@ -167,8 +170,9 @@
         CompletableFuture<Optional<AgreementMessage.HistoryResponse>> history = new CompletableFuture<>();
         request(
                 withinMs,
-                number -> new AgreementMessage.HistoryRequest(name, generation, context.incarnation(), number),
-                answer -> history.complete(Optional.of((AgreementMessage.HistoryResponse) answer)),
+                requestNumber ->
+                        new AgreementMessage.HistoryRequest(name, generation, context.incarnation(), requestNumber),
+                response -> history.complete(Optional.of((AgreementMessage.HistoryResponse) response)),
                 () -> history.complete(Optional.empty()));
         return history;
     }
@@ -176,14 +180,14 @@
     private void request(
             double withinMs,
             LongFunction<AgreementMessage> message,
-            Consumer<AgreementMessage> onAnswer,
+            Consumer<AgreementMessage> onResponse,
             Runnable onTimeout) {
         double untilMs = context.nowMs() + withinMs;
         context.execute(() -> {
             if (closed) {
                 onTimeout.run();
             } else {
-                pending.send(context.nowMs(), untilMs, message, onAnswer, onTimeout);
+                pending.send(context.nowMs(), untilMs, message, onResponse, onTimeout);
             }
         });
         if (context.thread().isShutDown()) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
@@ -49,10 +49,10 @@
         if (bytes.length > AgreedState.MAX_CONTENT_BYTES) {
             return new Reply(false, bytes.length + " bytes; at most " + AgreedState.MAX_CONTENT_BYTES);
         }
-        Optional<Verdict> v = await(member.propose(name, expected, bytes, withinMs));
+        Optional<Verdict> verdict = await(member.propose(name, expected, bytes, withinMs));
         return new Reply(
-                v.isPresent() && v.get() == Verdict.IN_FORCE,
-                switch (v.orElse(Verdict.UNKNOWN)) {
+                verdict.isPresent() && verdict.get() == Verdict.IN_FORCE,
+                switch (verdict.orElse(Verdict.UNKNOWN)) {
                     case IN_FORCE -> "in force; nobody acts by generation " + expected + " any more";
                     case OVERTAKEN ->
                         "not taken: it was made against generation " + expected
@@ -71,49 +71,52 @@
         Optional<EffectiveValues> acting = member.effectiveValues(name);
         if (acting.isEmpty()) {
             return member.lastKnown(name)
-                    .map(v -> new Reply(false, "in doubt; last known:\n" + format(v)))
+                    .map(value -> new Reply(false, "in doubt; last known:\n" + format(value)))
                     .orElse(new Reply(false, "nothing is known of " + name));
         }
-        Value other = acting.get().staged();
+        Value staged = acting.get().staged();
         return new Reply(
-                true, format(acting.get().inForce()) + (other == null ? "" : "\nstaged beside it:\n" + format(other)));
+                true,
+                format(acting.get().inForce()) + (staged == null ? "" : "\nstaged beside it:\n" + format(staged)));
     }
 
-    private static String format(Value v) {
-        return "generation " + v.generation() + " by " + v.proposer() + "\n"
-                + new String(v.content(), StandardCharsets.UTF_8);
+    private static String format(Value value) {
+        return "generation " + value.generation() + " by " + value.proposer() + "\n"
+                + new String(value.content(), StandardCharsets.UTF_8);
     }
 
     /** The generations that are kept, oldest first. */
     public Reply history(String name) {
-        Optional<AgreementMessage.HistoryResponse> l = readHistory(name, 0);
-        if (l.isEmpty()) {
+        Optional<AgreementMessage.HistoryResponse> response = readHistory(name, 0);
+        if (response.isEmpty()) {
             return noResponse();
         }
-        StringBuilder s = new StringBuilder();
-        l.get()
+        StringBuilder text = new StringBuilder();
+        response.get()
                 .entries()
-                .forEach(i -> s.append(String.format(
+                .forEach(entry -> text.append(String.format(
                         Locale.ROOT,
                         "%6d  %-16s %8d bytes  by %s%n",
-                        i.generation(),
-                        i.outcome(),
-                        i.contentBytes(),
-                        i.proposer())));
-        return new Reply(s.length() > 0, s.length() > 0 ? s.toString() : "nothing is known of " + name);
+                        entry.generation(),
+                        entry.outcome(),
+                        entry.contentBytes(),
+                        entry.proposer())));
+        return new Reply(text.length() > 0, text.length() > 0 ? text.toString() : "nothing is known of " + name);
     }
 
     /** Proposes an older generation's content as a new one; numbers never go back. */
-    public Reply withdraw(String name, long to) {
-        Reply older = content(name, to);
+    public Reply withdraw(String name, long generation) {
+        Reply older = content(name, generation);
         return older.succeeded() ? propose(name, older.text(), -1) : older;
     }
 
     /** What is not the same in two generations. */
-    public Reply diff(String name, long from, long to) {
-        Reply one = content(name, from);
-        Reply other = content(name, to);
-        return !one.succeeded() ? one : !other.succeeded() ? other : new Reply(true, diff(one.text(), other.text()));
+    public Reply diff(String name, long firstGeneration, long secondGeneration) {
+        Reply first = content(name, firstGeneration);
+        Reply second = content(name, secondGeneration);
+        return !first.succeeded()
+                ? first
+                : !second.succeeded() ? second : new Reply(true, diff(first.text(), second.text()));
     }
 
     /** Whether a majority answers, who leads, and what is in force. */
@@ -122,12 +125,12 @@
     }
 
     private Reply content(String name, long generation) {
-        Optional<AgreementMessage.HistoryResponse> l = readHistory(name, generation);
-        return l.isEmpty()
+        Optional<AgreementMessage.HistoryResponse> response = readHistory(name, generation);
+        return response.isEmpty()
                 ? noResponse()
-                : l.get().entries().stream().noneMatch(i -> i.generation() == generation)
+                : response.get().entries().stream().noneMatch(entry -> entry.generation() == generation)
                         ? new Reply(false, "generation " + generation + " of " + name + " is not kept")
-                        : new Reply(true, new String(l.get().content(), StandardCharsets.UTF_8));
+                        : new Reply(true, new String(response.get().content(), StandardCharsets.UTF_8));
     }
 
     private Optional<AgreementMessage.HistoryResponse> readHistory(String name, long generation) {
@@ -138,9 +141,9 @@
         return new Reply(false, "no voter has answered in " + Math.round(withinMs) + " ms");
     }
 
-    private <T> Optional<T> await(CompletableFuture<T> f) {
+    private <T> Optional<T> await(CompletableFuture<T> future) {
         try {
-            return Optional.of(f.get((long) withinMs + 1000, TimeUnit.MILLISECONDS));
+            return Optional.of(future.get((long) withinMs + 1000, TimeUnit.MILLISECONDS));
         } catch (TimeoutException | ExecutionException e) {
             return Optional.empty();
         } catch (InterruptedException e) {
@@ -151,23 +154,26 @@
 
     /** The lines between the first and the last that differ: those that go, then those that come. */
     static String diff(String from, String to) {
-        List<String> a = Arrays.asList(from.split("\n", -1));
-        List<String> b = Arrays.asList(to.split("\n", -1));
-        int start = 0;
-        while (start < Math.min(a.size(), b.size()) && a.get(start).equals(b.get(start))) {
-            start++;
+        List<String> first = Arrays.asList(from.split("\n", -1));
+        List<String> second = Arrays.asList(to.split("\n", -1));
+        int prefix = 0;
+        while (prefix < Math.min(first.size(), second.size())
+                && first.get(prefix).equals(second.get(prefix))) {
+            prefix++;
         }
-        int end = 0;
-        while (end < Math.min(a.size(), b.size()) - start
-                && a.get(a.size() - 1 - end).equals(b.get(b.size() - 1 - end))) {
-            end++;
+        int suffix = 0;
+        while (suffix < Math.min(first.size(), second.size()) - prefix
+                && first.get(first.size() - 1 - suffix).equals(second.get(second.size() - 1 - suffix))) {
+            suffix++;
         }
-        StringBuilder s = new StringBuilder();
-        if (a.size() - end > start || b.size() - end > start) {
-            s.append("from line ").append(start + 1).append('\n');
+        StringBuilder text = new StringBuilder();
+        if (first.size() - suffix > prefix || second.size() - suffix > prefix) {
+            text.append("from line ").append(prefix + 1).append('\n');
         }
-        a.subList(start, a.size() - end).forEach(l -> s.append("- ").append(l).append('\n'));
-        b.subList(start, b.size() - end).forEach(l -> s.append("+ ").append(l).append('\n'));
-        return s.toString();
+        first.subList(prefix, first.size() - suffix)
+                .forEach(line -> text.append("- ").append(line).append('\n'));
+        second.subList(prefix, second.size() - suffix)
+                .forEach(line -> text.append("+ ").append(line).append('\n'));
+        return text.toString();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StoreChecksums.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StoreChecksums.java
@@ -24,18 +24,18 @@
      *
      * @throws VoterStore.Damaged if the checksum is not that of this key and value
      */
-    static byte[] verifiedValue(String key, byte[] sealed) throws VoterStore.DamagedDiskException {
-        if (sealed.length < CHECKSUM_BYTES || ByteBuffer.wrap(sealed).getInt() != crc(key, sealed, CHECKSUM_BYTES)) {
+    static byte[] verifiedValue(String key, byte[] stored) throws VoterStore.DamagedDiskException {
+        if (stored.length < CHECKSUM_BYTES || ByteBuffer.wrap(stored).getInt() != crc(key, stored, CHECKSUM_BYTES)) {
             throw new VoterStore.DamagedDiskException("checksum of " + key, null);
         }
-        return Arrays.copyOfRange(sealed, CHECKSUM_BYTES, sealed.length);
+        return Arrays.copyOfRange(stored, CHECKSUM_BYTES, stored.length);
     }
 
     /** CRC-32C of a key and of the bytes from an offset on. */
     static int crc(String key, byte[] bytes, int from) {
-        CRC32C crc = new CRC32C();
-        crc.update(key.getBytes(StandardCharsets.UTF_8));
-        crc.update(bytes, from, bytes.length - from);
-        return (int) crc.getValue();
+        CRC32C checksum = new CRC32C();
+        checksum.update(key.getBytes(StandardCharsets.UTF_8));
+        checksum.update(bytes, from, bytes.length - from);
+        return (int) checksum.getValue();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterAdmission.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterAdmission.java
@@ -55,49 +55,51 @@
             long joinLogIndex) {}
 
     /** The bootstrap voters by the disk or else by the answers; empty if none are known. */
-    static List<String> bootstrapVoters(LocalVoter self, Map<String, AgreementMessage.HelloResponse> answers) {
+    static List<String> bootstrapVoters(LocalVoter self, Map<String, AgreementMessage.HelloResponse> responses) {
         return !self.bootstrapVoters().isEmpty()
                 ? self.bootstrapVoters()
-                : answers.values().stream()
+                : responses.values().stream()
                         .map(AgreementMessage.HelloResponse::bootstrapVoters)
-                        .filter(f -> !f.isEmpty())
+                        .filter(response -> !response.isEmpty())
                         .findFirst()
                         .orElse(List.of());
     }
 
     /** The next step, by the answers that have come. */
-    static Step nextStep(LocalVoter self, List<String> voters, Map<String, AgreementMessage.HelloResponse> answers) {
-        String me = self.endpoint().toString();
-        List<String> bootstrapVoters = bootstrapVoters(self, answers);
-        String id = bootstrapVoters.isEmpty() ? "" : groupId(bootstrapVoters);
-        boolean torn = answers.values().stream()
-                .anyMatch(f -> !f.bootstrapVoters().isEmpty()
-                                && !f.bootstrapVoters().equals(bootstrapVoters)
-                        || !f.followedGroup().isEmpty() && !f.followedGroup().equals(id));
-        if (torn) {
+    static Step nextStep(LocalVoter self, List<String> voters, Map<String, AgreementMessage.HelloResponse> responses) {
+        String endpoint = self.endpoint().toString();
+        List<String> bootstrapVoters = bootstrapVoters(self, responses);
+        String groupId = bootstrapVoters.isEmpty() ? "" : groupId(bootstrapVoters);
+        boolean split = responses.values().stream()
+                .anyMatch(response -> !response.bootstrapVoters().isEmpty()
+                                && !response.bootstrapVoters().equals(bootstrapVoters)
+                        || !response.followedGroup().isEmpty()
+                                && !response.followedGroup().equals(groupId));
+        if (split) {
             return Step.SPLIT;
         }
-        long heard = answers.keySet().stream().filter(voters::contains).count();
+        long voterResponses =
+                responses.keySet().stream().filter(voters::contains).count();
         if (bootstrapVoters.isEmpty()) {
-            return voters.get(0).equals(self.endpoint().name()) && heard == voters.size() - 1
+            return voters.get(0).equals(self.endpoint().name()) && voterResponses == voters.size() - 1
                     ? Step.BOOTSTRAP
                     : Step.WAIT;
         }
-        for (AgreementMessage.HelloResponse f : answers.values()) {
-            boolean later = f.lastSeenDiskId().equals(self.endpoint().diskId())
-                    && (f.lastSeenStartCount() > self.startCount()
-                            || f.lastSeenStartCount() == self.startCount()
-                                    && f.lastSeenIncarnation() != self.incarnation());
+        for (AgreementMessage.HelloResponse response : responses.values()) {
+            boolean later = response.lastSeenDiskId().equals(self.endpoint().diskId())
+                    && (response.lastSeenStartCount() > self.startCount()
+                            || response.lastSeenStartCount() == self.startCount()
+                                    && response.lastSeenIncarnation() != self.incarnation());
             boolean replaced = !self.bootstrapVoters().isEmpty()
                     && !self.joining()
-                    && f.membersLogIndex() > self.joinLogIndex()
-                    && !f.members().contains(me);
+                    && response.membersLogIndex() > self.joinLogIndex()
+                    && !response.members().contains(endpoint);
             if (later || replaced) {
                 return Step.PUT_ASIDE;
             }
         }
-        boolean as = self.bootstrapVoters().isEmpty() ? bootstrapVoters.contains(me) : !self.joining();
-        return !as ? Step.JOIN : heard < voters.size() / 2 ? Step.WAIT : Step.START;
+        boolean isVoter = self.bootstrapVoters().isEmpty() ? bootstrapVoters.contains(endpoint) : !self.joining();
+        return !isVoter ? Step.JOIN : voterResponses < voters.size() / 2 ? Step.WAIT : Step.START;
     }
 
     /** The Raft group's id: the same for the same bootstrap voters with the same disks. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
@@ -26,15 +26,15 @@
     }
 
     static VoterEndpoint parse(String id) {
-        int at = id.indexOf('@');
-        if (at < 0) {
+        int separator = id.indexOf('@');
+        if (separator < 0) {
             throw new IllegalArgumentException("voter: " + id);
         }
-        return new VoterEndpoint(id.substring(0, at), id.substring(at + 1));
+        return new VoterEndpoint(id.substring(0, separator), id.substring(separator + 1));
     }
 
-    static List<String> ids(Collection<? extends RaftEndpoint> all) {
-        return all.stream().map(e -> (String) e.getId()).toList();
+    static List<String> ids(Collection<? extends RaftEndpoint> endpoints) {
+        return endpoints.stream().map(endpoint -> (String) endpoint.getId()).toList();
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -188,7 +188,7 @@
     }
 
     /** Answers a hello with what this member knows, and remembers the asker's disk. */
-    void onHello(String peer, AgreementMessage.Hello hello) {
+    void onHello(String peer, AgreementMessage.Hello request) {
         List<String> members = List.of();
         List<String> bootstrapVoters = List.of();
         long since = 0;
@@ -199,7 +199,7 @@
                     && context.settings().voters().contains(peer)) {
                 bootstrapVoters = store.bootstrapVoters();
                 seen = store.lastSeen(peer).map(last -> last.split(" ")).orElse(seen);
-                String current = hello.diskId() + " " + hello.startCount() + " " + hello.incarnation();
+                String current = request.diskId() + " " + request.startCount() + " " + request.incarnation();
                 if (!current.equals(String.join(" ", seen))) {
                     store.lastSeen(peer, current);
                 }
@@ -211,7 +211,7 @@
         } catch (IOException e) {
             context.alarm().raise("disk: " + e.getMessage());
         }
-        AgreementMessage.HelloResponse answer = new AgreementMessage.HelloResponse(
+        AgreementMessage.HelloResponse response = new AgreementMessage.HelloResponse(
                 endpoint == null ? "" : endpoint.diskId(),
                 bootstrapVoters,
                 leaseClient.followedGroup(),
@@ -220,12 +220,12 @@
                 seen[0],
                 Long.parseLong(seen[1]),
                 Long.parseLong(seen[2]));
-        context.send(peer, answer);
+        context.send(peer, response);
     }
 
-    void onHelloResponse(String peer, AgreementMessage.HelloResponse answer) {
+    void onHelloResponse(String peer, AgreementMessage.HelloResponse response) {
         if (!consensus.isStarted() && context.isVoter()) {
-            helloResponses.put(peer, answer);
+            helloResponses.put(peer, response);
             takeNextStep();
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -80,10 +80,10 @@
     private volatile long forcedWrites;
     private RestoredRaftState restored;
 
-    private VoterStore(MVStore store, FileChannel mark, Path file) {
+    private VoterStore(MVStore store, FileChannel markChannel, Path file) {
         this.store = store;
-        this.markChannel = mark;
-        this.writeMark = new WriteMark(mark);
+        this.markChannel = markChannel;
+        this.writeMark = new WriteMark(markChannel);
         this.file = file;
         store.setRetentionTime(CHUNK_RETENTION_MS);
         this.meta = store.openMap("meta", mapBuilder(StringDataType.INSTANCE));
@@ -92,10 +92,10 @@
     }
 
     private static <K> MVMap.Builder<K, byte[]> mapBuilder(DataType<K> keys) {
-        MVMap.Builder<K, byte[]> b = new MVMap.Builder<>();
-        b.setKeyType(keys);
-        b.setValueType(ByteArrayDataType.INSTANCE);
-        return b;
+        MVMap.Builder<K, byte[]> builder = new MVMap.Builder<>();
+        builder.setKeyType(keys);
+        builder.setValueType(ByteArrayDataType.INSTANCE);
+        return builder;
     }
 
     /**
@@ -115,30 +115,31 @@
         }
         Files.createDirectories(directory);
         Path file = directory.resolve(FILE);
-        Path marks = directory.resolve(WriteMark.FILE);
-        if (Files.exists(marks) && !Files.exists(file)) {
+        Path markFile = directory.resolve(WriteMark.FILE);
+        if (Files.exists(markFile) && !Files.exists(file)) {
             throw new DamagedDiskException(file + " is gone", null);
         }
-        FileChannel mark = FilePath.get(scheme + marks).open("rw");
-        MVStore opened = null;
+        FileChannel markChannel = FilePath.get(scheme + markFile).open("rw");
+        MVStore store = null;
         try {
-            if (mark.tryLock() == null) {
+            if (markChannel.tryLock() == null) {
                 throw new IOException(directory + " is in use by another process");
             }
             if (Files.exists(file)) {
-                rewrite(directory, fleet, member, scheme, mark);
+                rewrite(directory, fleet, member, scheme, markChannel);
             }
-            opened = openStore(scheme + file);
-            return initialize(new VoterStore(opened, mark, file), fleet, member);
+            store = openStore(scheme + file);
+            return initialize(new VoterStore(store, markChannel, file), fleet, member);
         } catch (OverlappingFileLockException e) {
-            close(opened, mark);
+            close(store, markChannel);
             throw new IOException(directory + " is in use by this process", e);
         } catch (IOException e) {
-            close(opened, mark);
+            close(store, markChannel);
             throw e;
         } catch (RuntimeException | AssertionError | OutOfMemoryError e) {
-            close(opened, mark);
-            if (e instanceof MVStoreException m && m.getErrorCode() == DataUtils.ERROR_WRITING_FAILED) {
+            close(store, markChannel);
+            if (e instanceof MVStoreException storeException
+                    && storeException.getErrorCode() == DataUtils.ERROR_WRITING_FAILED) {
                 // The disk does not take bytes, which says nothing against those that are there.
                 throw new IOException(file + ": " + e.getMessage(), e);
             }
@@ -147,52 +148,52 @@
         }
     }
 
-    private static MVStore openStore(String name) {
-        return new MVStore.Builder().fileName(name).autoCommitDisabled().open();
+    private static MVStore openStore(String fileName) {
+        return new MVStore.Builder().fileName(fileName).autoCommitDisabled().open();
     }
 
     /**
      * Writes what is there to a fresh file, which takes the old one's place: the process before may have ended after a
      * sync that failed, so that what can be read need not be on the disk.
      */
-    private static void rewrite(Path directory, String fleet, String member, String scheme, FileChannel mark)
+    private static void rewrite(Path directory, String fleet, String member, String scheme, FileChannel markChannel)
             throws IOException {
         FilePath file = FilePath.get(scheme + directory.resolve(FILE));
-        FilePath fresh = FilePath.get(scheme + directory.resolve(REWRITTEN_FILE));
-        if (fresh.exists()) {
-            fresh.delete();
+        FilePath rewrittenFile = FilePath.get(scheme + directory.resolve(REWRITTEN_FILE));
+        if (rewrittenFile.exists()) {
+            rewrittenFile.delete();
         }
-        MVStore from = openStore(file.toString());
-        MVStore to = null;
+        MVStore source = openStore(file.toString());
+        MVStore target = null;
         try {
-            VoterStore old = new VoterStore(from, mark, directory.resolve(FILE));
+            VoterStore old = new VoterStore(source, markChannel, directory.resolve(FILE));
             if (!old.isEmpty()) {
                 old.verify(fleet, member);
             }
-            to = openStore(fresh.toString());
-            VoterStore anew = new VoterStore(to, null, null);
-            anew.meta.putAll(old.meta);
-            anew.log.putAll(old.log);
-            anew.chunks.putAll(old.chunks);
-            to.commit();
-            to.sync();
+            target = openStore(rewrittenFile.toString());
+            VoterStore rewritten = new VoterStore(target, null, null);
+            rewritten.meta.putAll(old.meta);
+            rewritten.log.putAll(old.log);
+            rewritten.chunks.putAll(old.chunks);
+            target.commit();
+            target.sync();
         } finally {
-            from.closeImmediately();
-            if (to != null) {
-                to.closeImmediately();
+            source.closeImmediately();
+            if (target != null) {
+                target.closeImmediately();
             }
         }
-        fresh.moveTo(file, true);
-        try (FileChannel names = FileChannel.open(directory)) {
-            names.force(true);
+        rewrittenFile.moveTo(file, true);
+        try (FileChannel directoryChannel = FileChannel.open(directory)) {
+            directoryChannel.force(true);
         }
     }
 
-    private static void close(MVStore opened, FileChannel mark) throws IOException {
-        if (opened != null) {
-            opened.closeImmediately();
+    private static void close(MVStore store, FileChannel markChannel) throws IOException {
+        if (store != null) {
+            store.closeImmediately();
         }
-        mark.close();
+        markChannel.close();
     }
 
     private boolean isEmpty() throws IOException {
@@ -213,20 +214,20 @@
         }
     }
 
-    private static VoterStore initialize(VoterStore s, String fleet, String member) throws IOException {
-        if (s.isEmpty()) {
+    private static VoterStore initialize(VoterStore store, String fleet, String member) throws IOException {
+        if (store.isEmpty()) {
             byte[] number = new byte[12];
             new SecureRandom().nextBytes(number);
-            s.putMetaText("fleet", fleet);
-            s.putMetaText("member", member);
-            s.putMetaText("disk", HexFormat.of().formatHex(number));
-            s.putMetaText("starts", "0");
+            store.putMetaText("fleet", fleet);
+            store.putMetaText("member", member);
+            store.putMetaText("disk", HexFormat.of().formatHex(number));
+            store.putMetaText("starts", "0");
         }
-        s.verify(fleet, member);
-        s.restored = new RaftStateLoader(s.meta, s.log, s.chunks).load();
-        s.putMetaText("starts", String.valueOf(s.startCount() + 1));
-        s.flush();
-        return s;
+        store.verify(fleet, member);
+        store.restored = new RaftStateLoader(store.meta, store.log, store.chunks).load();
+        store.putMetaText("starts", String.valueOf(store.startCount() + 1));
+        store.flush();
+        return store;
     }
 
     /** Moves a voter's files to a directory beside theirs, whose name is the answer: staff may look at them. */
@@ -250,14 +251,14 @@
     }
 
     private void verifyChecksums() throws DamagedDiskException {
-        for (Map.Entry<String, byte[]> e : meta.entrySet()) {
-            StoreChecksums.verifiedValue(e.getKey(), e.getValue());
+        for (Map.Entry<String, byte[]> entry : meta.entrySet()) {
+            StoreChecksums.verifiedValue(entry.getKey(), entry.getValue());
         }
-        for (Map.Entry<String, byte[]> e : chunks.entrySet()) {
-            StoreChecksums.verifiedValue(e.getKey(), e.getValue());
+        for (Map.Entry<String, byte[]> entry : chunks.entrySet()) {
+            StoreChecksums.verifiedValue(entry.getKey(), entry.getValue());
         }
-        for (Map.Entry<Long, byte[]> e : log.entrySet()) {
-            StoreChecksums.verifiedValue(e.getKey().toString(), e.getValue());
+        for (Map.Entry<Long, byte[]> entry : log.entrySet()) {
+            StoreChecksums.verifiedValue(entry.getKey().toString(), entry.getValue());
         }
     }
 
@@ -324,8 +325,8 @@
     }
 
     /** Remembers what another voter said of itself. */
-    void lastSeen(String member, String said) throws IOException {
-        write(() -> putMetaText("seen/" + member, said));
+    void lastSeen(String member, String state) throws IOException {
+        write(() -> putMetaText("seen/" + member, state));
         flush();
     }
 
@@ -359,12 +360,12 @@
     }
 
     /** After a write that failed nobody knows what is on the disk, so nothing more is promised by it. */
-    private void write(Write w) throws IOException {
+    private void write(Write write) throws IOException {
         if (failed) {
             throw new IOException("the disk has failed");
         }
         try {
-            w.run();
+            write.run();
         } catch (IOException | RuntimeException e) {
             failed = true;
             throw new IOException("disk: " + e.getMessage(), e);
@@ -387,33 +388,35 @@
     }
 
     @Override
-    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState e) throws IOException {
-        write(() -> meta.put("endpoint", StoreChecksums.withChecksum("endpoint", AgreementCodec.endpointState(e))));
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
+        write(() ->
+                meta.put("endpoint", StoreChecksums.withChecksum("endpoint", AgreementCodec.endpointState(endpoint))));
         flush();
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) throws IOException {
-        write(() -> meta.put("initial", StoreChecksums.withChecksum("initial", AgreementCodec.groupMembers(v))));
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+        write(() -> meta.put("initial", StoreChecksums.withChecksum("initial", AgreementCodec.groupMembers(members))));
         flush();
     }
 
     @Override
-    public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        write(() -> meta.put("term", StoreChecksums.withChecksum("term", AgreementCodec.termState(t))));
+    public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
+        write(() -> meta.put("term", StoreChecksums.withChecksum("term", AgreementCodec.termState(state))));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        write(() -> entries.forEach(e -> log.put(
-                e.getIndex(), StoreChecksums.withChecksum(String.valueOf(e.getIndex()), AgreementCodec.logEntry(e)))));
+        write(() -> entries.forEach(entry -> log.put(
+                entry.getIndex(),
+                StoreChecksums.withChecksum(String.valueOf(entry.getIndex()), AgreementCodec.logEntry(entry)))));
     }
 
     @Override
-    public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
-        String key = chunkKey(c.getIndex(), c.getSnapshotChunkIndex());
-        write(() -> chunks.put(key, StoreChecksums.withChecksum(key, AgreementCodec.snapshotChunk(c))));
+    public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
+        String key = chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex());
+        write(() -> chunks.put(key, StoreChecksums.withChecksum(key, AgreementCodec.snapshotChunk(chunk))));
     }
 
     private static String chunkKey(long index, int chunk) {
--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -139,9 +139,9 @@
 
         /** Leaves of each file what was synced. */
         public synchronized void simulatePowerLoss() throws IOException {
-            for (Map.Entry<String, Image> e : images.entrySet()) {
-                Files.write(Path.of(e.getKey()), e.getValue().syncedBytes);
-                e.getValue().unsynced.clear();
+            for (Map.Entry<String, Image> image : images.entrySet()) {
+                Files.write(Path.of(image.getKey()), image.getValue().syncedBytes);
+                image.getValue().unsynced.clear();
             }
         }
 
@@ -157,9 +157,9 @@
         }
 
         private synchronized Image image(String file) {
-            return images.computeIfAbsent(file, f -> {
+            return images.computeIfAbsent(file, path -> {
                 Image image = new Image();
-                image.syncedBytes = readFile(f);
+                image.syncedBytes = readFile(path);
                 return image;
             });
         }
@@ -168,45 +168,47 @@
             try {
                 Path path = Path.of(file);
                 return Files.exists(path) ? Files.readAllBytes(path) : new byte[0];
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
+            } catch (IOException image) {
+                throw new UncheckedIOException(image);
             }
         }
 
-        private synchronized int write(String file, FileChannel to, ByteBuffer bytes, long at) throws IOException {
+        private synchronized int write(String file, FileChannel target, ByteBuffer bytes, long offset)
+                throws IOException {
             if (operationCount >= killAt) {
                 int prefix = operationCount == killAt ? killPrefix : 0;
                 operationCount++;
-                writePrefix(file, to, bytes, at, Math.min(prefix, bytes.remaining()));
+                writePrefix(file, target, bytes, offset, Math.min(prefix, bytes.remaining()));
                 throw new IOException("killed");
             }
             Fault fault = nextFault(false);
             if (fault == null) {
-                return writePrefix(file, to, bytes, at, bytes.remaining());
+                return writePrefix(file, target, bytes, offset, bytes.remaining());
             }
             failedCount++;
             if (fault == Fault.SHORT_WRITE) {
-                writePrefix(file, to, bytes, at, bytes.remaining() / 2);
+                writePrefix(file, target, bytes, offset, bytes.remaining() / 2);
             }
             throw new IOException(fault == Fault.WRITE_ERROR ? "Input/output error" : "No space left on device");
         }
 
-        private int writePrefix(String file, FileChannel to, ByteBuffer bytes, long at, int length) throws IOException {
+        private int writePrefix(String file, FileChannel target, ByteBuffer bytes, long offset, int length)
+                throws IOException {
             ByteBuffer piece = bytes.slice(bytes.position(), length);
             if (stopRecording != null) {
                 byte[] copy = new byte[length];
                 piece.duplicate().get(copy);
-                stopRecording.add(new Write(Path.of(file), at, copy));
+                stopRecording.add(new Write(Path.of(file), offset, copy));
             }
             while (piece.hasRemaining()) {
-                to.write(piece, at + piece.position());
+                target.write(piece, offset + piece.position());
             }
             bytes.position(bytes.position() + length);
-            image(file).unsynced.add(new Range(at, length));
+            image(file).unsynced.add(new Range(offset, length));
             return length;
         }
 
-        private synchronized void sync(String file, FileChannel of) throws IOException {
+        private synchronized void sync(String file, FileChannel channel) throws IOException {
             if (operationCount >= killAt) {
                 operationCount++;
                 throw new IOException("killed");
@@ -217,33 +219,33 @@
                 image.unsynced.clear();
                 throw new IOException("Input/output error");
             }
-            byte[] now = readFile(file);
-            byte[] durable = Arrays.copyOf(image.syncedBytes, (int) of.size());
+            byte[] current = readFile(file);
+            byte[] durable = Arrays.copyOf(image.syncedBytes, (int) channel.size());
             for (Range r : image.unsynced) {
-                int to = (int) Math.min(now.length, r.from() + r.length());
-                if (r.from() < to) {
-                    System.arraycopy(now, (int) r.from(), durable, (int) r.from(), (int) (to - r.from()));
+                int target = (int) Math.min(current.length, r.from() + r.length());
+                if (r.from() < target) {
+                    System.arraycopy(current, (int) r.from(), durable, (int) r.from(), (int) (target - r.from()));
                 }
             }
             image.syncedBytes = durable;
             image.unsynced.clear();
         }
 
-        private synchronized void truncate(FileChannel of, long size) throws IOException {
+        private synchronized void truncate(FileChannel channel, long size) throws IOException {
             if (operationCount >= killAt) {
                 throw new IOException("killed");
             }
-            of.truncate(size);
+            channel.truncate(size);
         }
 
         private synchronized void onDelete(String file) {
             images.remove(file);
         }
 
-        private synchronized void onMove(String from, String to) {
+        private synchronized void onMove(String from, String target) {
             Image image = images.remove(from);
             if (image != null) {
-                images.put(to, image);
+                images.put(target, image);
             }
         }
     }
@@ -258,7 +260,7 @@
     private Faults faults() {
         String file = unwrap().toString();
         return DIRECTORIES.entrySet().stream()
-                .filter(e -> file.startsWith(e.getKey()))
+                .filter(image -> file.startsWith(image.getKey()))
                 .map(Map.Entry::getValue)
                 .findFirst()
                 .orElseThrow(() -> new IllegalStateException("no faults below " + file));
@@ -270,9 +272,9 @@
     }
 
     @Override
-    public void moveTo(FilePath to, boolean atomicReplace) {
-        super.moveTo(to, atomicReplace);
-        faults().onMove(getBase().toString(), to.unwrap().toString());
+    public void moveTo(FilePath target, boolean atomicReplace) {
+        super.moveTo(target, atomicReplace);
+        faults().onMove(getBase().toString(), target.unwrap().toString());
     }
 
     @Override
@@ -304,13 +306,13 @@
         }
 
         @Override
-        public int read(ByteBuffer to, long at) throws IOException {
-            return base.read(to, at);
+        public int read(ByteBuffer target, long offset) throws IOException {
+            return base.read(target, offset);
         }
 
         @Override
-        public int write(ByteBuffer from, long at) throws IOException {
-            return faults.write(file, base, from, at);
+        public int write(ByteBuffer from, long offset) throws IOException {
+            return faults.write(file, base, from, offset);
         }
 
         @Override
--- a/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
@@ -122,14 +122,14 @@
     }
 
     private static void assertSameElements(String place, Iterable<?> expected, Iterable<?> actual) {
-        Iterator<?> others = actual.iterator();
+        Iterator<?> actualElements = actual.iterator();
         int index = 0;
         for (Object element : expected) {
-            assertEquals(true, others.hasNext(), place + " ends before " + index);
-            assertDeepEquals(place + "[" + index + "]", element, others.next());
+            assertEquals(true, actualElements.hasNext(), place + " ends before " + index);
+            assertDeepEquals(place + "[" + index + "]", element, actualElements.next());
             index++;
         }
-        assertEquals(false, others.hasNext(), place + " goes on after " + index);
+        assertEquals(false, actualElements.hasNext(), place + " goes on after " + index);
     }
 
     private static void assertSameFields(String place, Object expected, Object actual) {
@@ -144,9 +144,9 @@
         }
     }
 
-    private static Object fieldValue(Field field, Object of) {
+    private static Object fieldValue(Field field, Object object) {
         try {
-            return field.get(of);
+            return field.get(object);
         } catch (IllegalAccessException e) {
             throw new UncheckedIOException(new IOException(e));
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -33,77 +33,78 @@
     }
 
     private void start(String name) throws Exception {
-        PeerLinks l = network.links(name);
-        AgreementMember n = new AgreementMember(
-                l,
+        PeerLinks memberLinks = network.links(name);
+        AgreementMember member = new AgreementMember(
+                memberLinks,
                 root.resolve(name),
                 Clock.system(),
                 AgreedSettings.withDefaults("f", network.members(), name.hashCode()));
-        n.start();
-        members.put(name, n);
-        links.put(name, l);
+        member.start();
+        members.put(name, member);
+        links.put(name, memberLinks);
     }
 
-    private static double timeUntil(BooleanSupplier what) {
-        long from = System.nanoTime();
-        while (!what.getAsBoolean()) {
-            if (System.nanoTime() - from > 30_000_000_000L) {
+    private static double timeUntil(BooleanSupplier condition) {
+        long startNanos = System.nanoTime();
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() - startNanos > 30_000_000_000L) {
                 throw new IllegalStateException("not in 30 s");
             }
             Thread.onSpinWait();
         }
-        return (System.nanoTime() - from) / 1e6;
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 
     private String leader() {
-        String[] who = new String[1];
+        String[] leader = new String[1];
         timeUntil(() -> {
-            List<String> l = members.entrySet().stream()
-                    .filter(e -> e.getValue().isLeader())
+            List<String> leaders = members.entrySet().stream()
+                    .filter(entry -> entry.getValue().isLeader())
                     .map(Map.Entry::getKey)
                     .toList();
-            who[0] = l.size() == 1 ? l.get(0) : null;
-            return who[0] != null;
+            leader[0] = leaders.size() == 1 ? leaders.get(0) : null;
+            return leader[0] != null;
         });
-        return who[0];
+        return leader[0];
     }
 
-    private long inForce(String at) {
-        return members.get(at)
+    private long inForce(String member) {
+        return members.get(member)
                 .lastKnown(AgreedValues.SETTINGS)
                 .map(AgreedValues.Value::generation)
                 .orElse(0L);
     }
 
-    private double propose(String at, int bytes) throws Exception {
-        long from = System.nanoTime();
-        Verdict v = members.get(at)
-                .propose(AgreedValues.SETTINGS, inForce(at), new byte[bytes], 20_000)
+    private double propose(String member, int bytes) throws Exception {
+        long startNanos = System.nanoTime();
+        Verdict verdict = members.get(member)
+                .propose(AgreedValues.SETTINGS, inForce(member), new byte[bytes], 20_000)
                 .get();
-        if (v != Verdict.IN_FORCE) {
-            throw new IllegalStateException(v.toString());
+        if (verdict != Verdict.IN_FORCE) {
+            throw new IllegalStateException(verdict.toString());
         }
-        return (System.nanoTime() - from) / 1e6;
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private static void printQuantiles(String what, List<Double> ms) {
-        List<Double> s = ms.stream().sorted().toList();
+    private static void printQuantiles(String condition, List<Double> ms) {
+        List<Double> sorted = ms.stream().sorted().toList();
         System.out.printf(
                 Locale.ROOT,
                 "%s: n %d, p50 %.0f, p99 %.0f, max %.0f ms%n",
-                what,
-                s.size(),
-                s.get(s.size() / 2),
-                s.get(Math.min(s.size() - 1, s.size() * 99 / 100)),
-                s.get(s.size() - 1));
+                condition,
+                sorted.size(),
+                sorted.get(sorted.size() / 2),
+                sorted.get(Math.min(sorted.size() - 1, sorted.size() * 99 / 100)),
+                sorted.get(sorted.size() - 1));
     }
 
-    private boolean allUse(long g, String but) {
+    private boolean allUse(long generation, String excluded) {
         return members.entrySet().stream()
-                .allMatch(e -> e.getKey().equals(but)
-                        || e.getValue()
+                .allMatch(entry -> entry.getKey().equals(excluded)
+                        || entry.getValue()
                                 .effectiveValues(AgreedValues.SETTINGS)
-                                .map(a -> a.staged() == null && a.inForce().generation() == g)
+                                .map(values -> values.staged() == null
+                                        && values.inForce().generation() == generation)
                                 .orElse(false));
     }
 
@@ -114,49 +115,50 @@
         String leader = leader();
         propose("m11", 4096);
         timeUntil(() -> allUse(1, ""));
-        List<Double> force = new ArrayList<>();
-        List<Double> everywhere = new ArrayList<>();
+        List<Double> inForceMs = new ArrayList<>();
+        List<Double> usedByAllMs = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            long from = System.nanoTime();
-            force.add(propose("m10", 4096));
-            long now = inForce("m10");
-            timeUntil(() -> allUse(now, ""));
-            everywhere.add((System.nanoTime() - from) / 1e6);
+            long startNanos = System.nanoTime();
+            inForceMs.add(propose("m10", 4096));
+            long generation = inForce("m10");
+            timeUntil(() -> allUse(generation, ""));
+            usedByAllMs.add((System.nanoTime() - startNanos) / 1e6);
         }
-        printQuantiles("in force, none out of reach", force);
-        printQuantiles("all act by it, none out of reach", everywhere);
-        force.clear();
+        printQuantiles("in force, none out of reach", inForceMs);
+        printQuantiles("all act by it, none out of reach", usedByAllMs);
+        inForceMs.clear();
         for (int i = 0; i < 20; i++) {
             network.partition("m9");
-            force.add(propose("m10", 4096));
+            inForceMs.add(propose("m10", 4096));
             network.partition();
             timeUntil(() -> members.values().stream()
-                    .allMatch(n -> n.effectiveValues(AgreedValues.SETTINGS)
-                            .map(a -> a.staged() == null && a.inForce().generation() == inForce("m10"))
+                    .allMatch(member -> member.effectiveValues(AgreedValues.SETTINGS)
+                            .map(values ->
+                                    values.staged() == null && values.inForce().generation() == inForce("m10"))
                             .orElse(false)));
         }
-        printQuantiles("in force, one out of reach", force);
+        printQuantiles("in force, one out of reach", inForceMs);
         measureRenewals(leader);
         long before = diskBytes("m0");
         System.out.println("bytes on disk after 121 proposals of 4 KiB: " + before);
         measureClaims();
-        List<Double> leads = new ArrayList<>();
-        List<Double> again = new ArrayList<>();
+        List<Double> takeoverMs = new ArrayList<>();
+        List<Double> proposalMs = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            String old = leader();
-            AgreementMember n = members.remove(old);
-            links.get(old).close();
-            long from = System.nanoTime();
-            n.halt();
+            String oldLeader = leader();
+            AgreementMember member = members.remove(oldLeader);
+            links.get(oldLeader).close();
+            long startNanos = System.nanoTime();
+            member.halt();
             leader();
-            leads.add((System.nanoTime() - from) / 1e6);
+            takeoverMs.add((System.nanoTime() - startNanos) / 1e6);
             propose("m10", 4096);
-            again.add((System.nanoTime() - from) / 1e6);
-            start(old);
-            timeUntil(() -> members.get(old).status().contains("left"));
+            proposalMs.add((System.nanoTime() - startNanos) / 1e6);
+            start(oldLeader);
+            timeUntil(() -> members.get(oldLeader).status().contains("left"));
         }
-        printQuantiles("takeover: another leads after", leads);
-        printQuantiles("takeover: a proposal made then is in force after", again);
+        printQuantiles("takeover: another leads after", takeoverMs);
+        printQuantiles("takeover: a proposal made then is in force after", proposalMs);
         System.out.println("bytes on disk at the end: " + diskBytes("m0"));
         members.values().forEach(AgreementMember::halt);
     }
@@ -167,19 +169,19 @@
 
     /** Questions as fast as the leader answers them, at most 200 on their way. */
     private void measureRenewals(String leader) {
-        PeerLinks l = links.get("m8");
+        PeerLinks memberLinks = links.get("m8");
         AtomicLong answers = new AtomicLong();
         members.remove("m8").halt();
-        l.receive(MessageStream.AGREED, (p, life, b) -> answers.incrementAndGet());
-        byte[] q = AgreementCodec.frame(new AgreementMessage.RenewalRequest(
-                l.life(),
+        memberLinks.receive(MessageStream.AGREED, (p, life, body) -> answers.incrementAndGet());
+        byte[] request = AgreementCodec.frame(new AgreementMessage.RenewalRequest(
+                memberLinks.life(),
                 1,
                 List.of(new AgreementMessage.NameState(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         long sent = 0;
-        while (System.nanoTime() - from < 5_000_000_000L) {
+        while (System.nanoTime() - startNanos < 5_000_000_000L) {
             if (sent - answers.get() < 200) {
-                l.send(leader, MessageStream.AGREED, q);
+                memberLinks.send(leader, MessageStream.AGREED, request);
                 sent++;
             }
         }
@@ -187,17 +189,17 @@
     }
 
     private void measureClaims() throws Exception {
-        List<Double> first = new ArrayList<>();
-        List<Double> further = new ArrayList<>();
+        List<Double> firstMs = new ArrayList<>();
+        List<Double> renewalMs = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             members.get("m7").acquire("role" + i, 1000).get();
-            first.add((System.nanoTime() - from) / 1e6);
-            from = System.nanoTime();
+            firstMs.add((System.nanoTime() - startNanos) / 1e6);
+            startNanos = System.nanoTime();
             members.get("m7").acquire("role" + i, 1000).get();
-            further.add((System.nanoTime() - from) / 1e6);
+            renewalMs.add((System.nanoTime() - startNanos) / 1e6);
         }
-        printQuantiles("a role is taken", first);
-        printQuantiles("a role is extended", further);
+        printQuantiles("a role is taken", firstMs);
+        printQuantiles("a role is extended", renewalMs);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
@@ -48,7 +48,7 @@
     private final Map<String, String> verdicts = new ConcurrentHashMap<>();
     private final Map<Long, String> history = new ConcurrentHashMap<>();
 
-    private void start(int i) throws IOException {
+    private void start(int index) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx128m",
@@ -56,63 +56,63 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 MemberMain.class.getName(),
-                String.valueOf(i),
-                root.resolve("m" + i).toString()));
-        ports.forEach(p -> command.add(String.valueOf(p)));
-        Process p = new ProcessBuilder(command)
+                String.valueOf(index),
+                root.resolve("m" + index).toString()));
+        ports.forEach(process -> command.add(String.valueOf(process)));
+        Process process = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        processes[i] = p;
-        Thread reader = new Thread(() -> readOutput(i, p), "reads " + i);
+        processes[index] = process;
+        Thread reader = new Thread(() -> readOutput(index, process), "reads " + index);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void readOutput(int i, Process p) {
+    private void readOutput(int index, Process process) {
         try (BufferedReader in =
-                new BufferedReader(new InputStreamReader(p.getInputStream(), StandardCharsets.UTF_8))) {
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                String[] w = line.split(" ");
-                switch (w[0]) {
+                String[] words = line.split(" ");
+                switch (words[0]) {
                     case "sees" -> {
                         synchronized (observations) {
                             // The last line of a process that was killed may be cut off.
-                            if (w.length == 6) {
+                            if (words.length == 6) {
                                 observations.add(new Observation(
-                                        i,
-                                        Long.parseLong(w[1]),
-                                        Long.parseLong(w[2]),
-                                        Long.parseLong(w[3]),
-                                        Long.parseLong(w[4]),
-                                        Long.parseLong(w[5])));
+                                        index,
+                                        Long.parseLong(words[1]),
+                                        Long.parseLong(words[2]),
+                                        Long.parseLong(words[3]),
+                                        Long.parseLong(words[4]),
+                                        Long.parseLong(words[5])));
                             }
                         }
                     }
-                    case "verdict" -> verdicts.put(w[1], w[2]);
-                    case "kept" -> history.put(Long.parseLong(w[1]), w.length > 2 ? w[2] : "");
-                    default -> whoReplies[i] = w[1] + " " + w[2];
+                    case "verdict" -> verdicts.put(words[1], words[2]);
+                    case "kept" -> history.put(Long.parseLong(words[1]), words.length > 2 ? words[2] : "");
+                    default -> whoReplies[index] = words[1] + " " + words[2];
                 }
             }
         } catch (IOException e) {
             // It was killed: its pipe is closed.
-            whoReplies[i] = "";
+            whoReplies[index] = "";
         }
     }
 
-    private void send(int i, String line) {
+    private void send(int index, String line) {
         try {
-            OutputStream out = processes[i].getOutputStream();
+            OutputStream out = processes[index].getOutputStream();
             out.write((line + "\n").getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            whoReplies[i] = "";
+            whoReplies[index] = "";
         }
     }
 
-    private void signal(String which, int i) throws Exception {
+    private void signal(String which, int index) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + which, String.valueOf(processes[i].pid()))
+                new ProcessBuilder("kill", "-" + which, String.valueOf(processes[index].pid()))
                         .start()
                         .waitFor());
     }
@@ -141,7 +141,7 @@
                             }
                             return leads.size() == 1 ? leads.get(0) : -1;
                         },
-                        l -> l >= 0);
+                        leader -> leader >= 0);
     }
 
     private Observation latestHolder() {
@@ -154,9 +154,9 @@
 
     @AfterEach
     void killProcesses() {
-        for (Process p : processes) {
-            if (p != null) {
-                p.destroyForcibly();
+        for (Process process : processes) {
+            if (process != null) {
+                process.destroyForcibly();
             }
         }
     }
@@ -164,8 +164,8 @@
     @Test
     void acknowledgedProposalsSurviveKilledAndStalledLeaders() throws Exception {
         for (int i = 0; i < 3; i++) {
-            try (ServerSocket s = new ServerSocket(0)) {
-                ports.add(s.getLocalPort());
+            try (ServerSocket socket = new ServerSocket(0)) {
+                ports.add(socket.getLocalPort());
             }
         }
         for (int i = 0; i < 3; i++) {
@@ -174,10 +174,10 @@
         Set<String> acknowledged = new HashSet<>();
         for (int round = 0; round < 6; round++) {
             int leader = awaitLeader();
-            int other = (leader + 1) % 3;
-            long expected = Long.parseLong(whoReplies[other].split(" ")[1]);
+            int proposer = (leader + 1) % 3;
+            long expected = Long.parseLong(whoReplies[proposer].split(" ")[1]);
             String content = "round" + round;
-            send(other, "propose " + expected + " " + content);
+            send(proposer, "propose " + expected + " " + content);
             boolean kill = round % 2 == 0;
             signal(kill ? "KILL" : "STOP", leader);
             await20s().until(() -> verdicts.containsKey(content));
@@ -195,48 +195,52 @@
         assertTrue(acknowledged.size() >= 3, "verdicts " + verdicts);
         // The holder stands still until another has the role, and must not take itself for it when it goes on.
         for (int round = 0; round < 2; round++) {
-            Observation held = await20s().until(this::latestHolder, s -> s.token() > 0);
-            signal("STOP", held.process());
-            await20s().until(() -> latestHolder().token() > held.token());
-            signal("CONT", held.process());
+            Observation holder = await20s().until(this::latestHolder, observation -> observation.token() > 0);
+            signal("STOP", holder.process());
+            await20s().until(() -> latestHolder().token() > holder.token());
+            signal("CONT", holder.process());
         }
         awaitLeader();
         send(1, "history");
         await20s().until(() -> history.values().containsAll(acknowledged));
-        List<Observation> all;
+        List<Observation> observed;
         synchronized (observations) {
-            all = List.copyOf(observations);
+            observed = List.copyOf(observations);
         }
-        assertTrue(all.stream().map(Observation::token).distinct().count() >= 4, "the role has changed hands");
-        assertConsistent(all);
+        assertTrue(observed.stream().map(Observation::token).distinct().count() >= 4, "the role has changed hands");
+        assertConsistent(observed);
     }
 
-    private static void assertConsistent(List<Observation> all) {
+    private static void assertConsistent(List<Observation> observed) {
         // What is higher was seen at the latest at this moment; whoever is lower must not be seen after it.
         TreeMap<Long, Long> tokenBy = new TreeMap<>();
         TreeMap<Long, Long> lowBy = new TreeMap<>();
         Map<Long, Integer> holder = new TreeMap<>();
-        for (Observation s : all) {
-            if (s.token() > 0) {
-                tokenBy.merge(s.token(), s.afterNanos(), Math::min);
-                assertEquals(s.process(), holder.merge(s.token(), s.process(), (a, b) -> a), "token " + s.token());
+        for (Observation observation : observed) {
+            if (observation.token() > 0) {
+                tokenBy.merge(observation.token(), observation.afterNanos(), Math::min);
+                assertEquals(
+                        observation.process(),
+                        holder.merge(observation.token(), observation.process(), (a, b) -> a),
+                        "token " + observation.token());
             }
-            if (s.lowestGeneration() > 0) {
-                lowBy.merge(s.lowestGeneration(), s.afterNanos(), Math::min);
+            if (observation.lowestGeneration() > 0) {
+                lowBy.merge(observation.lowestGeneration(), observation.afterNanos(), Math::min);
             }
         }
-        for (Observation s : all) {
-            if (s.token() > 0) {
-                tokenBy.tailMap(s.token(), false)
+        for (Observation observation : observed) {
+            if (observation.token() > 0) {
+                tokenBy.tailMap(observation.token(), false)
                         .values()
-                        .forEach(at -> assertTrue(s.beforeNanos() <= at, s + ": another held it before"));
+                        .forEach(atNanos -> assertTrue(
+                                observation.beforeNanos() <= atNanos, observation + ": another held it before"));
             }
-            if (s.lowestGeneration() > 0) {
-                lowBy.tailMap(s.highestGeneration(), false)
+            if (observation.lowestGeneration() > 0) {
+                lowBy.tailMap(observation.highestGeneration(), false)
                         .values()
-                        .forEach(at -> assertTrue(
-                                s.beforeNanos() <= at,
-                                s + ": another acted by a later one before, and by none of these"));
+                        .forEach(atNanos -> assertTrue(
+                                observation.beforeNanos() <= atNanos,
+                                observation + ": another acted by a later one before, and by none of these"));
             }
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
@@ -42,7 +42,8 @@
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(400);
         Arbitrary<Long> number = Arbitraries.longs().between(0, Long.MAX_VALUE);
         return Arbitraries.oneOf(
-                Combinators.combine(bytes, number, number).as((b, n, m) -> new LogCommand.Stage("s", n, b, "a", m, n)),
+                Combinators.combine(bytes, number, number)
+                        .as((content, n, m) -> new LogCommand.Stage("s", n, content, "a", m, n)),
                 number.map(n -> new LogCommand.BeginTerm("a@1", n, n)),
                 number.map(n -> new LogCommand.Activate("s", n, n)),
                 number.map(n -> new LogCommand.Abandon("s", n, n, "b")),
@@ -172,36 +173,36 @@
     }
 
     @Property(tries = 400, seed = "5")
-    void raftMessagesRoundTrip(@ForAll("messages") RaftMessage m) throws IOException {
-        byte[] once = AgreementCodec.frame(m);
-        RaftMessage back = AgreementCodec.frame(once).raftMessage();
-        assertEquals(m.getClass(), back.getClass());
-        assertArrayEquals(once, AgreementCodec.frame(back));
+    void raftMessagesRoundTrip(@ForAll("messages") RaftMessage message) throws IOException {
+        byte[] encoded = AgreementCodec.frame(message);
+        RaftMessage decoded = AgreementCodec.frame(encoded).raftMessage();
+        assertEquals(message.getClass(), decoded.getClass());
+        assertArrayEquals(encoded, AgreementCodec.frame(decoded));
     }
 
     @Property(tries = 600, seed = "6")
     void corruptedMessageIsParsedOrRejected(
-            @ForAll("messages") RaftMessage m,
-            @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 1 << 20) Integer> at,
-            @ForAll byte with,
-            @ForAll boolean cut) {
-        byte[] b = AgreementCodec.frame(m);
-        for (int i : at) {
-            b[i % b.length] ^= with;
+            @ForAll("messages") RaftMessage message,
+            @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 1 << 20) Integer> positions,
+            @ForAll byte mask,
+            @ForAll boolean truncate) {
+        byte[] bytes = AgreementCodec.frame(message);
+        for (int i : positions) {
+            bytes[i % bytes.length] ^= mask;
         }
-        byte[] sent = cut ? Arrays.copyOf(b, at.get(0) % b.length) : b;
-        assertParsedOrRejected(sent);
+        byte[] received = truncate ? Arrays.copyOf(bytes, positions.get(0) % bytes.length) : bytes;
+        assertParsedOrRejected(received);
     }
 
     @Property(tries = 600, seed = "7")
-    void arbitraryBytesAreParsedOrRejected(@ForAll @Size(max = 300) byte[] b) {
-        assertParsedOrRejected(b);
+    void arbitraryBytesAreParsedOrRejected(@ForAll @Size(max = 300) byte[] bytes) {
+        assertParsedOrRejected(bytes);
     }
 
-    private static void assertParsedOrRejected(byte[] b) {
+    private static void assertParsedOrRejected(byte[] bytes) {
         try {
-            AgreementCodec.Frame f = AgreementCodec.frame(b);
-            assertEquals(f.message() == null, f.raftMessage() != null);
+            AgreementCodec.Frame frame = AgreementCodec.frame(bytes);
+            assertEquals(frame.message() == null, frame.raftMessage() != null);
         } catch (IOException e) {
             assertNotNull(e.getMessage());
         }
@@ -209,7 +210,7 @@
 
     @Example
     void agreementMessagesRoundTripAndMissingFieldIsRejected() throws IOException {
-        AgreementMessage.RenewalResponse a = new AgreementMessage.RenewalResponse(
+        AgreementMessage.RenewalResponse response = new AgreementMessage.RenewalResponse(
                 3,
                 4,
                 "f",
@@ -219,14 +220,15 @@
                         new DecidedVersion(5, 2, 3),
                         List.of(new AgreementMessage.GenerationContent(3, new byte[] {7}, "m")))),
                 true);
-        AgreementMessage.RenewalResponse back = (AgreementMessage.RenewalResponse)
-                AgreementCodec.frame(AgreementCodec.frame(a)).message();
-        assertEquals(a.updates().get(0).decided(), back.updates().get(0).decided());
+        AgreementMessage.RenewalResponse decoded = (AgreementMessage.RenewalResponse)
+                AgreementCodec.frame(AgreementCodec.frame(response)).message();
+        assertEquals(
+                response.updates().get(0).decided(), decoded.updates().get(0).decided());
         assertArrayEquals(
-                new byte[] {7}, back.updates().get(0).contents().get(0).content());
-        byte[] whole = AgreementCodec.frame(new AgreementMessage.Hint(9));
-        String as = new String(whole, StandardCharsets.ISO_8859_1);
-        byte[] other = as.replace("reign", "reigm").getBytes(StandardCharsets.ISO_8859_1);
+                new byte[] {7}, decoded.updates().get(0).contents().get(0).content());
+        byte[] encoded = AgreementCodec.frame(new AgreementMessage.Hint(9));
+        String text = new String(encoded, StandardCharsets.ISO_8859_1);
+        byte[] other = text.replace("reign", "reigm").getBytes(StandardCharsets.ISO_8859_1);
         assertThrows(IOException.class, () -> AgreementCodec.frame(other));
         assertThrows(IOException.class, () -> AgreementCodec.frame(new byte[AgreementCodec.MAX_MESSAGE_BYTES + 1]));
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -32,16 +32,16 @@
 
     private InProcessFleet fleet;
 
-    private static byte[] bytes(String s) {
-        return s.getBytes(StandardCharsets.UTF_8);
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private CompletableFuture<Verdict> proposeAsync(String at, long expected, String content, double withinMs) {
-        return fleet.member(at).propose(AgreedValues.SETTINGS, expected, bytes(content), withinMs);
+    private CompletableFuture<Verdict> proposeAsync(String member, long expected, String content, double withinMs) {
+        return fleet.member(member).propose(AgreedValues.SETTINGS, expected, bytes(content), withinMs);
     }
 
-    private Verdict propose(String at, long expected, String content) throws Exception {
-        return proposeAsync(at, expected, content, 8000).get(10, TimeUnit.SECONDS);
+    private Verdict propose(String member, long expected, String content) throws Exception {
+        return proposeAsync(member, expected, content, 8000).get(10, TimeUnit.SECONDS);
     }
 
     private static ConditionFactory await15s() {
@@ -49,28 +49,28 @@
     }
 
     private String awaitLeader() {
-        return await15s().until(() -> fleet.leader(), l -> !l.isEmpty());
+        return await15s().until(() -> fleet.leader(), leader -> !leader.isEmpty());
     }
 
-    private boolean usesOnly(AgreementMember n, long generation) {
-        return n.effectiveValues(AgreedValues.SETTINGS)
-                .map(a -> a.staged() == null && a.inForce().generation() == generation)
+    private boolean usesOnly(AgreementMember member, long generation) {
+        return member.effectiveValues(AgreedValues.SETTINGS)
+                .map(values -> values.staged() == null && values.inForce().generation() == generation)
                 .orElse(false);
     }
 
     private void awaitAllUse(long generation) {
-        await15s().until(() -> fleet.all().stream().allMatch(n -> usesOnly(n, generation)));
+        await15s().until(() -> fleet.all().stream().allMatch(member -> usesOnly(member, generation)));
     }
 
-    private String lastKnown(String at) {
-        return fleet.member(at)
+    private String lastKnown(String member) {
+        return fleet.member(member)
                 .lastKnown(AgreedValues.SETTINGS)
-                .map(v -> new String(v.content(), StandardCharsets.UTF_8))
+                .map(value -> new String(value.content(), StandardCharsets.UTF_8))
                 .orElse("");
     }
 
-    private Lease claim(String at, double forMs) throws Exception {
-        return fleet.member(at).acquire("driver", forMs).get(10, TimeUnit.SECONDS);
+    private Lease claim(String member, double leaseMs) throws Exception {
+        return fleet.member(member).acquire("driver", leaseMs).get(10, TimeUnit.SECONDS);
     }
 
     @AfterEach
@@ -119,48 +119,49 @@
     @Test
     void partitionedLeaderDecidesNothingWhileMajorityContinues() throws Exception {
         fleet = new InProcessFleet(3, root, 3);
-        String old = awaitLeader();
+        String oldLeader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
         awaitAllUse(1);
-        fleet.network.partition(old);
-        CompletableFuture<Verdict> alone = proposeAsync(old, 1, "alone", 1500);
-        String other = old.equals("m0") ? "m1" : "m0";
+        fleet.network.partition(oldLeader);
+        CompletableFuture<Verdict> alone = proposeAsync(oldLeader, 1, "alone", 1500);
+        String other = oldLeader.equals("m0") ? "m1" : "m0";
         assertEquals(Verdict.IN_FORCE, propose(other, 1, "b"));
         assertTrue(
-                fleet.member(old).effectiveValues(AgreedValues.SETTINGS).isEmpty(), "cut off for longer than a lease");
+                fleet.member(oldLeader).effectiveValues(AgreedValues.SETTINGS).isEmpty(),
+                "cut off for longer than a lease");
         assertEquals(Verdict.UNKNOWN, alone.get(5, TimeUnit.SECONDS));
         fleet.network.partition();
         awaitAllUse(2);
-        assertEquals("b", lastKnown(old));
+        assertEquals("b", lastKnown(oldLeader));
     }
 
     @Test
     void proposalSurvivesLeaderCrashAndRestartOfAllMembers() throws Exception {
         fleet = new InProcessFleet(3, root, 4);
-        String old = awaitLeader();
+        String oldLeader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
         awaitAllUse(1);
-        String other = old.equals("m0") ? "m1" : "m0";
+        String other = oldLeader.equals("m0") ? "m1" : "m0";
         CompletableFuture<Verdict> verdict = proposeAsync(other, 1, "b", 8000);
-        fleet.kill(old);
+        fleet.kill(oldLeader);
         assertEquals(Verdict.IN_FORCE, verdict.get(10, TimeUnit.SECONDS));
-        for (String m : List.of("m0", "m1", "m2")) {
-            if (fleet.member(m) != null) {
-                fleet.kill(m);
+        for (String member : List.of("m0", "m1", "m2")) {
+            if (fleet.member(member) != null) {
+                fleet.kill(member);
             }
         }
-        for (String m : List.of("m0", "m1", "m2")) {
-            fleet.start(m, 1);
+        for (String member : List.of("m0", "m1", "m2")) {
+            fleet.start(member, 1);
         }
         awaitAllUse(2);
-        assertEquals("b", lastKnown(old));
-        assertEquals(Verdict.IN_FORCE, propose(old, 2, "c"));
+        assertEquals("b", lastKnown(oldLeader));
+        assertEquals(Verdict.IN_FORCE, propose(oldLeader, 2, "c"));
     }
 
     private void deleteDisk(String name) throws IOException {
         try (Stream<Path> files = Files.walk(fleet.disk(name))) {
-            for (Path p : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                Files.delete(p);
+            for (Path path : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+                Files.delete(path);
             }
         }
     }
@@ -170,30 +171,30 @@
         fleet = new InProcessFleet(3, root, 5);
         String leader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        String lost = leader.equals("m1") ? "m2" : "m1";
+        String lostVoter = leader.equals("m1") ? "m2" : "m1";
         // So much that the log's beginning is gone: the new disk starts from a snapshot of several pieces.
-        for (int g = 1; g < 20; g++) {
+        for (int generation = 1; generation < 20; generation++) {
             byte[] large = new byte[AgreedState.MAX_CONTENT_BYTES];
             assertEquals(
                     Verdict.IN_FORCE,
                     fleet.member("m0")
-                            .propose(AgreedValues.SETTINGS, g, large, 8000)
+                            .propose(AgreedValues.SETTINGS, generation, large, 8000)
                             .get(10, TimeUnit.SECONDS));
         }
-        fleet.kill(lost);
-        deleteDisk(lost);
-        fleet.start(lost, 1);
+        fleet.kill(lostVoter);
+        deleteDisk(lostVoter);
+        fleet.start(lostVoter, 1);
         await15s()
-                .until(() -> fleet.member(lost).status().contains("votes")
-                        && !fleet.member(lost).status().contains("joins"));
+                .until(() -> fleet.member(lostVoter).status().contains("votes")
+                        && !fleet.member(lostVoter).status().contains("joins"));
         // With the third one gone, nothing is decided but by the new disk's vote.
         String third = List.of("m0", "m1", "m2").stream()
-                .filter(m -> !m.equals(lost) && !m.equals(leader))
+                .filter(member -> !member.equals(lostVoter) && !member.equals(leader))
                 .findFirst()
                 .orElseThrow();
         fleet.kill(third);
-        assertEquals(Verdict.IN_FORCE, propose(lost, 20, "b"));
-        assertEquals("b", lastKnown(lost));
+        assertEquals(Verdict.IN_FORCE, propose(lostVoter, 20, "b"));
+        assertEquals("b", lastKnown(lostVoter));
     }
 
     @Test
@@ -204,8 +205,8 @@
         fleet.kill(name);
         Path copy = root.resolve("copy");
         Files.createDirectories(copy);
-        for (String f : List.of("agreed.mv", "agreed.mark")) {
-            Files.copy(fleet.disk(name).resolve(f), copy.resolve(f));
+        for (String file : List.of("agreed.mv", "agreed.mark")) {
+            Files.copy(fleet.disk(name).resolve(file), copy.resolve(file));
         }
         fleet.start(name, 1);
         await15s().until(() -> fleet.member(name).status().contains("votes"));
@@ -236,20 +237,21 @@
         assertEquals(first.token(), longer.token());
         assertTrue(longer.untilMs() > first.untilMs());
         // Its thread stands still: an answer that lay in its queue must not lengthen what is over.
-        CountDownLatch still = new CountDownLatch(1);
+        CountDownLatch released = new CountDownLatch(1);
         AgreementMember stalled = fleet.member(holder);
         CompletableFuture<Lease> late = stalled.acquire("driver", 500);
         stalled.execute(() -> {
             try {
-                still.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
         fleet.kill(leader);
-        Lease taken = await15s().until(() -> claim(next, 500), h -> h.holder().equals(next) && h.untilMs() > 0);
+        Lease taken =
+                await15s().until(() -> claim(next, 500), lease -> lease.holder().equals(next) && lease.untilMs() > 0);
         assertTrue(taken.token() > first.token());
-        still.countDown();
+        released.countDown();
         late.get(10, TimeUnit.SECONDS);
         assertFalse(stalled.holdsLease("driver"));
     }
@@ -261,38 +263,39 @@
         awaitLeader();
         fleet.network.setFaults(0.05, 0.05, 8000);
         Map<Long, String> acknowledged = new TreeMap<>();
-        List<String> names = fleet.network.members().stream().map(m -> m.name()).toList();
+        List<String> names =
+                fleet.network.members().stream().map(member -> member.name()).toList();
         for (int round = 0; round < 8; round++) {
-            String struck = names.get(random.nextInt(5));
-            String also = names.get(random.nextInt(5));
-            int kind = random.nextInt(3);
-            if (kind == 0) {
-                fleet.kill(struck);
-            } else if (kind == 1) {
-                fleet.network.partition(struck);
+            String victim = names.get(random.nextInt(5));
+            String otherVictim = names.get(random.nextInt(5));
+            int fault = random.nextInt(3);
+            if (fault == 0) {
+                fleet.kill(victim);
+            } else if (fault == 1) {
+                fleet.network.partition(victim);
             } else {
-                fleet.network.partition(struck, also);
+                fleet.network.partition(victim, otherVictim);
             }
-            String at = names.stream()
-                    .filter(n -> !n.equals(struck) && !n.equals(also))
+            String member = names.stream()
+                    .filter(survivor -> !survivor.equals(victim) && !survivor.equals(otherVictim))
                     .findFirst()
                     .orElseThrow();
             List<CompletableFuture<Lease>> claims = new ArrayList<>();
-            fleet.all().forEach(n -> claims.add(n.acquire("driver", 300)));
-            long expected = fleet.member(at)
+            fleet.all().forEach(survivor -> claims.add(survivor.acquire("driver", 300)));
+            long expected = fleet.member(member)
                     .lastKnown(AgreedValues.SETTINGS)
                     .map(AgreedValues.Value::generation)
                     .orElse(0L);
             String content = "round " + round;
-            if (proposeAsync(at, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
+            if (proposeAsync(member, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
                 acknowledged.put((long) round, content);
             }
-            for (CompletableFuture<Lease> c : claims) {
-                c.get(10, TimeUnit.SECONDS);
+            for (CompletableFuture<Lease> claim : claims) {
+                claim.get(10, TimeUnit.SECONDS);
             }
             fleet.network.partition();
-            if (kind == 0) {
-                fleet.start(struck, random.nextBoolean() ? 1.01 : 0.99);
+            if (fault == 0) {
+                fleet.start(victim, random.nextBoolean() ? 1.01 : 0.99);
             }
         }
         assertTrue(acknowledged.size() >= 4, "acknowledged " + acknowledged);
@@ -303,10 +306,10 @@
                 .text();
         List<String> kept = new ArrayList<>();
         for (String line : all.split("\n")) {
-            long g = Long.parseLong(line.trim().split(" ")[0]);
+            long generation = Long.parseLong(line.trim().split(" ")[0]);
             kept.add(new String(
                     fleet.member("m0")
-                            .readHistory(AgreedValues.SETTINGS, g, 5000)
+                            .readHistory(AgreedValues.SETTINGS, generation, 5000)
                             .get(8, TimeUnit.SECONDS)
                             .orElseThrow()
                             .content(),
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -274,7 +274,7 @@
                     "agreed/note-" + note.getKey(),
                     note.getValue(),
                     AgreementCodec::frame,
-                    form -> AgreementCodec.frame(form).message());
+                    bytes -> AgreementCodec.frame(bytes).message());
         }
     }
 
@@ -305,7 +305,7 @@
                     "agreed/raft-" + message.getKey(),
                     message.getValue(),
                     AgreementCodec::frame,
-                    form -> AgreementCodec.frame(form).raftMessage());
+                    bytes -> AgreementCodec.frame(bytes).raftMessage());
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
@@ -30,9 +30,9 @@
     private volatile double duplicateRate;
     private volatile int maxDelayUs = 300;
 
-    InMemoryNetwork(int n, long seed) {
+    InMemoryNetwork(int count, long seed) {
         random = new Random(seed);
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             members.add(new Member("m" + i, "127.0.0.1:0", "z"));
         }
     }
@@ -43,10 +43,12 @@
 
     /** Links of a member's new life. */
     PeerLinks links(String name) {
-        InMemoryLinks e = new InMemoryLinks(
-                members.stream().filter(m -> m.name().equals(name)).findFirst().orElseThrow());
-        linksByMember.put(name, e);
-        return e;
+        InMemoryLinks links = new InMemoryLinks(members.stream()
+                .filter(member -> member.name().equals(name))
+                .findFirst()
+                .orElseThrow());
+        linksByMember.put(name, links);
+        return links;
     }
 
     /** Nothing passes between these and the others, either way. */
@@ -89,7 +91,7 @@
 
         @Override
         public List<Member> peers() {
-            return members.stream().filter(m -> !m.equals(me)).toList();
+            return members.stream().filter(member -> !member.equals(me)).toList();
         }
 
         @Override
@@ -100,15 +102,16 @@
         @Override
         public boolean send(String peer, MessageStream stream, byte[] body) {
             int copies;
-            long us;
+            long delayUs;
             synchronized (random) {
                 copies = random.nextDouble() < lossRate ? 0 : random.nextDouble() < duplicateRate ? 2 : 1;
-                us = random.nextInt(maxDelayUs);
+                delayUs = random.nextInt(maxDelayUs);
             }
             for (int i = 0; i < copies; i++) {
                 try {
-                    deliveries.schedule(() -> deliver(peer, stream, body), us + i * 20_000L, TimeUnit.MICROSECONDS);
-                } catch (RejectedExecutionException e) {
+                    deliveries.schedule(
+                            () -> deliver(peer, stream, body), delayUs + i * 20_000L, TimeUnit.MICROSECONDS);
+                } catch (RejectedExecutionException links) {
                     return false;
                 }
             }
@@ -116,13 +119,13 @@
         }
 
         private void deliver(String peer, MessageStream stream, byte[] body) {
-            InMemoryLinks to = linksByMember.get(peer);
-            if (to == null || partition.contains(peer) != partition.contains(me.name())) {
+            InMemoryLinks target = linksByMember.get(peer);
+            if (target == null || partition.contains(peer) != partition.contains(me.name())) {
                 return;
             }
             try {
-                to.thread.execute(() -> to.receivers.get(stream).onMessage(me.name(), life, body));
-            } catch (RejectedExecutionException e) {
+                target.thread.execute(() -> target.receivers.get(stream).onMessage(me.name(), life, body));
+            } catch (RejectedExecutionException links) {
                 // It has ended: lost, as on a broken link.
                 return;
             }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/InProcessFleet.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InProcessFleet.java
@@ -31,16 +31,16 @@
     private volatile boolean closed;
     private volatile long checks;
 
-    InProcessFleet(int n, Path root, long seed) throws IOException {
-        this(n, root, seed, "");
+    InProcessFleet(int count, Path root, long seed) throws IOException {
+        this(count, root, seed, "");
     }
 
     /** Members whose disks are on a file system of this scheme. */
-    InProcessFleet(int n, Path root, long seed, String scheme) throws IOException {
+    InProcessFleet(int count, Path root, long seed, String scheme) throws IOException {
         this.scheme = scheme;
-        this.network = new InMemoryNetwork(n, seed);
+        this.network = new InMemoryNetwork(count, seed);
         this.root = root;
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             start("m" + i, 1);
         }
         checkUntilClosed = new Thread(this::checkUntilClosed, "watch");
@@ -65,9 +65,9 @@
 
     /** Starts a member whose clock has this rate. */
     AgreementMember start(String name, double rate) throws IOException {
-        PeerLinks l = network.links(name);
-        AgreementMember n = new AgreementMember(
-                l,
+        PeerLinks memberLinks = network.links(name);
+        AgreementMember member = new AgreementMember(
+                memberLinks,
                 disk(name),
                 new Clock() {
                     @Override
@@ -76,27 +76,29 @@
                     }
                 },
                 settings(name));
-        n.setValidator(AgreedValues.SETTINGS, c -> !new String(c, StandardCharsets.UTF_8).contains("bad at " + name));
-        n.useFileScheme(scheme);
-        n.start();
-        l.start();
+        member.setValidator(
+                AgreedValues.SETTINGS,
+                content -> !new String(content, StandardCharsets.UTF_8).contains("bad at " + name));
+        member.useFileScheme(scheme);
+        member.start();
+        memberLinks.start();
         synchronized (members) {
-            members.put(name, n);
-            links.put(name, l);
+            members.put(name, member);
+            links.put(name, memberLinks);
         }
-        return n;
+        return member;
     }
 
     /** Ends it as a kill does. */
     void kill(String name) {
-        AgreementMember n;
-        PeerLinks l;
+        AgreementMember member;
+        PeerLinks memberLinks;
         synchronized (members) {
-            n = members.remove(name);
-            l = links.remove(name);
+            member = members.remove(name);
+            memberLinks = links.remove(name);
         }
-        l.close();
-        n.halt();
+        memberLinks.close();
+        member.halt();
     }
 
     AgreementMember member(String name) {
@@ -113,15 +115,15 @@
 
     /** Who leads, by its own word; empty if nobody or more than one says so. */
     String leader() {
-        List<String> who = new ArrayList<>();
+        List<String> leaders = new ArrayList<>();
         synchronized (members) {
-            members.forEach((name, n) -> {
-                if (n.isLeader()) {
-                    who.add(name);
+            members.forEach((name, member) -> {
+                if (member.isLeader()) {
+                    leaders.add(name);
                 }
             });
         }
-        return who.size() == 1 ? who.get(0) : "";
+        return leaders.size() == 1 ? leaders.get(0) : "";
     }
 
     List<String> violations() {
@@ -141,52 +143,53 @@
 
     /** Two collects that are the same: all of it was so at the moment between them. */
     private void check() {
-        List<AgreementMember> all = all();
-        List<Object> once = collect(all);
-        double[] now = all.stream().mapToDouble(n -> n.clock().nowMs()).toArray();
-        List<Object> again = collect(all);
-        for (int i = 0; i < once.size(); i++) {
-            if (once.get(i) != again.get(i)) {
+        List<AgreementMember> members = all();
+        List<Object> first = collect(members);
+        double[] nowMs =
+                members.stream().mapToDouble(member -> member.clock().nowMs()).toArray();
+        List<Object> second = collect(members);
+        for (int i = 0; i < first.size(); i++) {
+            if (first.get(i) != second.get(i)) {
                 return;
             }
         }
         checks++;
         for (String name : List.of(AgreedValues.SETTINGS, AgreedValues.SHARES)) {
-            for (int i = 0; i < all.size(); i++) {
+            for (int i = 0; i < members.size(); i++) {
                 for (int j = 0; j < i; j++) {
-                    EffectiveVersions a = ((LeaseView) once.get(2 * i)).effectiveVersions(name, now[i]);
-                    EffectiveVersions b = ((LeaseView) once.get(2 * j)).effectiveVersions(name, now[j]);
-                    if (a.contradicts(b)) {
-                        violations.add(name + ": " + a + " beside " + b);
+                    EffectiveVersions effective = ((LeaseView) first.get(2 * i)).effectiveVersions(name, nowMs[i]);
+                    EffectiveVersions otherEffective = ((LeaseView) first.get(2 * j)).effectiveVersions(name, nowMs[j]);
+                    if (effective.contradicts(otherEffective)) {
+                        violations.add(name + ": " + effective + " beside " + otherEffective);
                     }
                 }
             }
         }
         Map<String, String> holders = new HashMap<>();
-        for (int i = 0; i < all.size(); i++) {
-            int at = i;
+        for (int i = 0; i < members.size(); i++) {
+            int memberIndex = i;
             @SuppressWarnings("unchecked")
-            Map<String, AgreedValues.Lease> held = (Map<String, AgreedValues.Lease>) once.get(2 * i + 1);
-            held.forEach((role, h) -> {
-                if (h.untilMs() > now[at]) {
-                    String other = holders.put(role, h.holder());
+            Map<String, AgreedValues.Lease> leases = (Map<String, AgreedValues.Lease>) first.get(2 * i + 1);
+            leases.forEach((role, lease) -> {
+                if (lease.untilMs() > nowMs[memberIndex]) {
+                    String other = holders.put(role, lease.holder());
                     if (other != null) {
-                        violations.add(role + " held by " + other + " and " + h.holder());
+                        violations.add(role + " held by " + other + " and " + lease.holder());
                     }
-                    if (h.token() < tokens.getOrDefault(role, 0L)) {
-                        violations.add(role + ": token " + h.token() + " after " + tokens.get(role));
+                    if (lease.token() < tokens.getOrDefault(role, 0L)) {
+                        violations.add(role + ": token " + lease.token() + " after " + tokens.get(role));
                     }
-                    tokens.merge(role, h.token(), Math::max);
+                    tokens.merge(role, lease.token(), Math::max);
                 }
             });
         }
     }
 
-    private static List<Object> collect(List<AgreementMember> all) {
+    private static List<Object> collect(List<AgreementMember> members) {
         List<Object> collected = new ArrayList<>();
-        for (AgreementMember n : all) {
-            collected.add(n.leaseView());
-            collected.add(n.roleLeases());
+        for (AgreementMember member : members) {
+            collected.add(member.leaseView());
+            collected.add(member.roleLeases());
         }
         return collected;
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
@@ -31,21 +31,21 @@
         for (int i = 0; i < 4; i++) {
             decide(state, "name-" + i, new byte[AgreedState.MAX_CONTENT_BYTES], i + 1);
         }
-        LeaderLeases lead = new LeaderLeases(TERMS, state, 0);
-        LeaseView part = LeaseView.start(7).startRequest(100);
-        AgreementMessage.RenewalResponse first = lead.renew(100, "m2", part.renewalRequest(), "f");
+        LeaderLeases leases = new LeaderLeases(TERMS, state, 0);
+        LeaseView view = LeaseView.start(7).startRequest(100);
+        AgreementMessage.RenewalResponse first = leases.renew(100, "m2", view.renewalRequest(), "f");
         assertFalse(first.complete());
-        part = part.onRenewalResponse(first, (name, content) -> true);
-        assertFalse(part.leaseUntilMs() > 100, "names are missing still");
-        AgreementMessage.RenewalResponse next = first;
-        for (int asked = 0; !next.complete() && asked < 4; asked++) {
-            part = part.startRequest(200 + asked);
-            next = lead.renew(200 + asked, "m2", part.renewalRequest(), "f");
-            part = part.onRenewalResponse(next, (name, content) -> true);
+        view = view.onRenewalResponse(first, (name, content) -> true);
+        assertFalse(view.leaseUntilMs() > 100, "names are missing still");
+        AgreementMessage.RenewalResponse response = first;
+        for (int attempt = 0; !response.complete() && attempt < 4; attempt++) {
+            view = view.startRequest(200 + attempt);
+            response = leases.renew(200 + attempt, "m2", view.renewalRequest(), "f");
+            view = view.onRenewalResponse(response, (name, content) -> true);
         }
-        assertTrue(next.complete());
-        assertEquals(4, part.names().size());
-        assertTrue(part.leaseUntilMs() > 1700);
+        assertTrue(response.complete());
+        assertEquals(4, view.names().size());
+        assertTrue(view.leaseUntilMs() > 1700);
     }
 
     @Test
@@ -56,8 +56,8 @@
         }
         assertEquals(AgreedState.Result.FULL, decide(state, "one too many", new byte[8], 99_999));
         AgreedState large = stateWithLeaderTerm();
-        long most = AgreedState.MAX_TOTAL_BYTES / AgreedState.MAX_CONTENT_BYTES;
-        for (int i = 0; i < most; i++) {
+        long maxContents = AgreedState.MAX_TOTAL_BYTES / AgreedState.MAX_CONTENT_BYTES;
+        for (int i = 0; i < maxContents; i++) {
             assertEquals(
                     AgreedState.Result.STAGED,
                     decide(large, "name-" + i, new byte[AgreedState.MAX_CONTENT_BYTES], i + 1));
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -52,19 +52,19 @@
         claimRepeatedly(node);
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String[] words = line.split(" ");
-            if (words[0].equals("propose")) {
-                long expected = Long.parseLong(words[1]);
-                node.propose(AgreedValues.SETTINGS, expected, words[2].getBytes(StandardCharsets.UTF_8), 8000)
-                        .thenAccept(v -> println("verdict " + words[2] + " " + v));
-            } else if (words[0].equals("history")) {
-                for (long g = 1; g < 100; g++) {
-                    long at = g;
-                    node.readHistory(AgreedValues.SETTINGS, g, 4000)
-                            .thenAccept(l -> l.ifPresent(k ->
-                                    println("kept " + at + " " + new String(k.content(), StandardCharsets.UTF_8))));
+            String[] command = line.split(" ");
+            if (command[0].equals("propose")) {
+                long expected = Long.parseLong(command[1]);
+                node.propose(AgreedValues.SETTINGS, expected, command[2].getBytes(StandardCharsets.UTF_8), 8000)
+                        .thenAccept(verdict -> println("verdict " + command[2] + " " + verdict));
+            } else if (command[0].equals("history")) {
+                for (long generation = 1; generation < 100; generation++) {
+                    long requested = generation;
+                    node.readHistory(AgreedValues.SETTINGS, generation, 4000)
+                            .thenAccept(response -> response.ifPresent(found -> println(
+                                    "kept " + requested + " " + new String(found.content(), StandardCharsets.UTF_8))));
                 }
-            } else if (words[0].equals("who")) {
+            } else if (command[0].equals("who")) {
                 println("who " + node.isLeader() + " "
                         + node.lastKnown(AgreedValues.SETTINGS)
                                 .map(AgreedValues.Value::generation)
@@ -90,11 +90,11 @@
         while (true) {
             long before = System.nanoTime();
             long token = node.heldLease("driver").map(AgreedValues.Lease::token).orElse(0L);
-            EffectiveVersions a = node.leaseView()
+            EffectiveVersions effective = node.leaseView()
                     .effectiveVersions(AgreedValues.SETTINGS, node.clock().nowMs());
             long after = System.nanoTime();
-            println("sees " + before + " " + after + " " + token + " " + Math.min(a.one(), a.other()) + " "
-                    + Math.max(a.one(), a.other()));
+            println("sees " + before + " " + after + " " + token + " " + Math.min(effective.one(), effective.other())
+                    + " " + Math.max(effective.one(), effective.other()));
             LockSupport.parkNanos(2_000_000);
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
@@ -40,11 +40,11 @@
     }
 
     /** Asks until the answer is a good one: a member that has just started has no leader yet. */
-    private static SettingsAdminHandler.Reply pollUntilSucceeded(Supplier<SettingsAdminHandler.Reply> question) {
-        SettingsAdminHandler.Reply reply = question.get();
+    private static SettingsAdminHandler.Reply pollUntilSucceeded(Supplier<SettingsAdminHandler.Reply> request) {
+        SettingsAdminHandler.Reply reply = request.get();
         for (int i = 0; i < MAX_POLLS && !reply.succeeded(); i++) {
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
-            reply = question.get();
+            reply = request.get();
         }
         assertTrue(reply.succeeded(), reply.text());
         return reply;
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -90,9 +90,9 @@
     }
 
     private <T extends RaftMessage> T await(Class<T> kind) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (true) {
-            RaftMessage next = receivedByLeader.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
+            RaftMessage next = receivedByLeader.poll(deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
             assertNotNull(next, () -> "no " + kind.getSimpleName() + " within " + TIMEOUT_S + " s:\n" + voter.status());
             if (kind.isInstance(next)) {
                 return kind.cast(next);
@@ -112,13 +112,13 @@
     @Test
     void startsNewPreVoteWhenLeaderOfStalePreVoteFallsSilent() throws Exception {
         PreVoteRequest first = await(PreVoteRequest.class);
-        VoterEndpoint me = new VoterEndpoint("m2", "d-m2");
+        VoterEndpoint leaderEndpoint = new VoterEndpoint("m2", "d-m2");
         leader.send(
                 "m0",
                 MessageStream.AGREED,
                 AgreementCodec.frame(MODEL.createVoteRequestBuilder()
                         .setGroupId(first.getGroupId())
-                        .setSender(me)
+                        .setSender(leaderEndpoint)
                         .setTerm(TERM)
                         .setLastLogTerm(0)
                         .setLastLogIndex(0)
@@ -133,7 +133,7 @@
                 MessageStream.AGREED,
                 AgreementCodec.frame(MODEL.createAppendEntriesRequestBuilder()
                         .setGroupId(first.getGroupId())
-                        .setSender(me)
+                        .setSender(leaderEndpoint)
                         .setTerm(TERM)
                         .setPreviousLogTerm(0)
                         .setPreviousLogIndex(0)
@@ -145,8 +145,8 @@
         await(AppendEntriesSuccessResponse.class);
 
         // The leader says nothing more.
-        PreVoteRequest again = awaitPreVoteForTerm(TERM + 1);
+        PreVoteRequest second = awaitPreVoteForTerm(TERM + 1);
         assertEquals(
-                "m0", assertInstanceOf(VoterEndpoint.class, again.getSender()).name());
+                "m0", assertInstanceOf(VoterEndpoint.class, second.getSender()).name());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -42,18 +42,18 @@
     void initializeStore() throws IOException {
         directory = root.resolve("m");
         faults = FaultyFiles.injectBelow(directory);
-        try (VoterStore s = open()) {
-            RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
+        try (VoterStore store = open()) {
+            RaftGroupMembersView members = MODEL.createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
                     .setMembers(Set.of(ME))
                     .setVotingMembers(Set.of(ME))
                     .build();
-            s.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
+            store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(ME)
                     .setVoting(true)
                     .build());
-            s.persistAndFlushInitialGroupMembers(one);
-            persistVote(s);
+            store.persistAndFlushInitialGroupMembers(members);
+            persistVote(store);
         }
     }
 
@@ -62,9 +62,9 @@
     }
 
     /** Votes in the next term, and takes an entry of it. */
-    private void persistVote(VoterStore s) throws IOException {
-        s.persistLogEntries(List.of(entry(term + 1)));
-        s.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
+    private void persistVote(VoterStore store) throws IOException {
+        store.persistLogEntries(List.of(entry(term + 1)));
+        store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(term + 1)
                 .setVotedFor(ME)
                 .build());
@@ -81,29 +81,34 @@
 
     /** The last term that the disk has a vote of; all entries up to there must be with it. */
     private int readLastTerm() throws IOException {
-        try (VoterStore s = open()) {
-            RestoredRaftState r = s.restored().orElseThrow();
-            assertEquals(r.getTermPersistentState().getTerm(), r.getLogEntries().size());
-            return r.getTermPersistentState().getTerm();
+        try (VoterStore store = open()) {
+            RestoredRaftState restored = store.restored().orElseThrow();
+            assertEquals(
+                    restored.getTermPersistentState().getTerm(),
+                    restored.getLogEntries().size());
+            return restored.getTermPersistentState().getTerm();
         }
     }
 
     @Test
     void votesSurviveDiskFaultAndPowerLoss() throws IOException {
         for (Fault fault : Fault.values()) {
-            VoterStore s = open();
-            persistVote(s);
+            VoterStore store = open();
+            persistVote(store);
             faults.failAll(fault);
-            assertThrows(IOException.class, () -> persistVote(s));
-            assertTrue(s.failed());
+            assertThrows(IOException.class, () -> persistVote(store));
+            assertTrue(store.failed());
             assertThrows(IOException.class, this::open, "it can't be written yet");
             faults.clear();
-            assertThrows(IOException.class, () -> persistVote(s), "nothing more is promised by what failed");
-            s.close();
-            try (VoterStore again = open()) {
+            assertThrows(IOException.class, () -> persistVote(store), "nothing more is promised by what failed");
+            store.close();
+            try (VoterStore reopened = open()) {
                 // A vote that was not given may be on the disk all the same; it binds, as it would have.
-                term = again.restored().orElseThrow().getTermPersistentState().getTerm();
-                persistVote(again);
+                term = reopened.restored()
+                        .orElseThrow()
+                        .getTermPersistentState()
+                        .getTerm();
+                persistVote(reopened);
             }
             faults.simulatePowerLoss();
             assertEquals(term, readLastTerm(), fault.toString());
@@ -129,8 +134,8 @@
             for (boolean opened = false; !opened; ) {
                 assertTrue(refusals < MAX_OPEN_OPERATIONS, fault + ": it never opens");
                 faults.failAfter(refusals, fault);
-                try (VoterStore s = open()) {
-                    opened = s.restored().isPresent();
+                try (VoterStore store = open()) {
+                    opened = store.restored().isPresent();
                 } catch (IOException refused) {
                     assertFalse(
                             refused instanceof VoterStore.DamagedDiskException,
@@ -150,12 +155,15 @@
             Random random = new Random(seed);
             faults.failRandomly(seed, 0.1);
             for (int i = 0; i < 10; i++) {
-                try (VoterStore s = open()) {
-                    term = s.restored().orElseThrow().getTermPersistentState().getTerm();
-                    persistVote(s);
-                    persistVote(s);
-                } catch (VoterStore.DamagedDiskException e) {
-                    throw new AssertionError("seed " + seed, e);
+                try (VoterStore store = open()) {
+                    term = store.restored()
+                            .orElseThrow()
+                            .getTermPersistentState()
+                            .getTerm();
+                    persistVote(store);
+                    persistVote(store);
+                } catch (VoterStore.DamagedDiskException file) {
+                    throw new AssertionError("seed " + seed, file);
                 } catch (IOException refused) {
                     assertTrue(faults.failedCount() > 0);
                 }
@@ -164,37 +172,39 @@
             if (random.nextBoolean()) {
                 faults.simulatePowerLoss();
             }
-            int there = readLastTerm();
-            assertTrue(there >= term, "seed " + seed + ": " + there + " of " + term);
-            term = there;
+            int persistedTerm = readLastTerm();
+            assertTrue(persistedTerm >= term, "seed " + seed + ": " + persistedTerm + " of " + term);
+            term = persistedTerm;
         }
         assertTrue(faults.failedCount() > 20, "failed " + faults.failedCount());
     }
 
     @Test
     void previousVoteSurvivesTornWriteOfAnyLength() throws IOException {
-        VoterStore s = open();
-        persistVote(s);
+        VoterStore store = open();
+        persistVote(store);
         Map<Path, byte[]> before = files();
         faults.startRecording();
-        persistVote(s);
-        s.close();
-        Map<Path, byte[]> now = new HashMap<>(before);
-        for (FaultyFiles.Write w : faults.stopRecording()) {
+        persistVote(store);
+        store.close();
+        Map<Path, byte[]> files = new HashMap<>(before);
+        for (FaultyFiles.Write write : faults.stopRecording()) {
             byte[] last = null;
-            for (int prefix = 0; prefix <= w.bytes().length; prefix++) {
-                byte[] torn = w.applyTo(now.get(w.file()), prefix);
+            for (int prefix = 0; prefix <= write.bytes().length; prefix++) {
+                byte[] torn = write.applyTo(files.get(write.file()), prefix);
                 if (!Arrays.equals(torn, last)) {
-                    for (Map.Entry<Path, byte[]> e : now.entrySet()) {
-                        Files.write(e.getKey(), e.getValue());
+                    for (Map.Entry<Path, byte[]> file : files.entrySet()) {
+                        Files.write(file.getKey(), file.getValue());
                     }
-                    Files.write(w.file(), torn);
-                    int there = readLastTerm();
-                    assertTrue(there >= term - 1, w.file() + " " + w.offset() + "+" + prefix + ": " + there);
+                    Files.write(write.file(), torn);
+                    int persistedTerm = readLastTerm();
+                    assertTrue(
+                            persistedTerm >= term - 1,
+                            write.file() + " " + write.offset() + "+" + prefix + ": " + persistedTerm);
                     last = torn;
                 }
             }
-            now.put(w.file(), last);
+            files.put(write.file(), last);
         }
         assertEquals(term, readLastTerm());
     }
@@ -209,24 +219,24 @@
 
     @Test
     void persistedVotesSurviveKillAtAnyOperation() throws IOException {
-        for (int at = 0; at < 60; at++) {
-            faults.killAt(faults.operationCount() + at, at * 37 % 4096);
-            try (VoterStore s = open()) {
-                persistVote(s);
-                persistVote(s);
-            } catch (VoterStore.DamagedDiskException e) {
-                throw new AssertionError("killed at " + at, e);
+        for (int operation = 0; operation < 60; operation++) {
+            faults.killAt(faults.operationCount() + operation, operation * 37 % 4096);
+            try (VoterStore store = open()) {
+                persistVote(store);
+                persistVote(store);
+            } catch (VoterStore.DamagedDiskException file) {
+                throw new AssertionError("killed at " + operation, file);
             } catch (IOException killed) {
-                Throwable first = killed;
-                while (first.getCause() != null) {
-                    first = first.getCause();
+                Throwable rootCause = killed;
+                while (rootCause.getCause() != null) {
+                    rootCause = rootCause.getCause();
                 }
-                assertEquals("killed", first.getMessage(), killed.toString());
+                assertEquals("killed", rootCause.getMessage(), killed.toString());
             }
             faults.clear();
-            int there = readLastTerm();
-            assertTrue(there >= term, "killed at " + at + ": " + there + " of " + term);
-            term = there;
+            int persistedTerm = readLastTerm();
+            assertTrue(persistedTerm >= term, "killed at " + operation + ": " + persistedTerm + " of " + term);
+            term = persistedTerm;
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterAdmissionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterAdmissionTest.java
@@ -14,23 +14,23 @@
     private static final AgreementMessage.HelloResponse EMPTY = response(List.of(), "", List.of(), 0, "", 0, 0);
 
     private static AgreementMessage.HelloResponse response(
-            List<String> founding,
-            String follows,
+            List<String> bootstrapVoters,
+            String followedGroup,
             List<String> members,
-            long since,
+            long membersLogIndex,
             String seenDisk,
             long seenStarts,
             long seenLife) {
         return new AgreementMessage.HelloResponse(
-                "1", founding, follows, members, since, seenDisk, seenStarts, seenLife);
+                "1", bootstrapVoters, followedGroup, members, membersLogIndex, seenDisk, seenStarts, seenLife);
     }
 
     private static LocalVoter voterWithEmptyDisk(String name, String disk) {
         return new LocalVoter(new VoterEndpoint(name, disk), 1, 9, List.of(), false, 0);
     }
 
-    private static Step nextStep(LocalVoter self, Map<String, AgreementMessage.HelloResponse> answers) {
-        return VoterAdmission.nextStep(self, VOTERS, answers);
+    private static Step nextStep(LocalVoter self, Map<String, AgreementMessage.HelloResponse> responses) {
+        return VoterAdmission.nextStep(self, VOTERS, responses);
     }
 
     @Test
@@ -48,21 +48,21 @@
 
     @Test
     void emptyDiskStartsOnlyAsBootstrapVoterElseJoins() {
-        AgreementMessage.HelloResponse founded = response(BOOTSTRAP_VOTERS, "", List.of(), 0, "", 0, 0);
-        assertEquals(Step.START, nextStep(voterWithEmptyDisk("b", "1"), Map.of("a", founded)));
+        AgreementMessage.HelloResponse response = response(BOOTSTRAP_VOTERS, "", List.of(), 0, "", 0, 0);
+        assertEquals(Step.START, nextStep(voterWithEmptyDisk("b", "1"), Map.of("a", response)));
         // A copy from before the founding, of a disk that has been started since.
         assertEquals(
                 Step.PUT_ASIDE,
                 nextStep(
                         voterWithEmptyDisk("b", "1"),
                         Map.of("a", response(BOOTSTRAP_VOTERS, "", List.of(), 0, "1", 2, 8))));
-        assertEquals(Step.JOIN, nextStep(voterWithEmptyDisk("b", "2"), Map.of("a", founded)));
-        assertEquals(Step.JOIN, nextStep(voterWithEmptyDisk("a", "2"), Map.of("b", founded, "c", EMPTY)));
+        assertEquals(Step.JOIN, nextStep(voterWithEmptyDisk("b", "2"), Map.of("a", response)));
+        assertEquals(Step.JOIN, nextStep(voterWithEmptyDisk("a", "2"), Map.of("b", response, "c", EMPTY)));
         assertEquals(
                 Step.SPLIT,
                 nextStep(
                         voterWithEmptyDisk("b", "2"),
-                        Map.of("a", founded, "c", response(List.of("x@1"), "", List.of(), 0, "", 0, 0))));
+                        Map.of("a", response, "c", response(List.of("x@1"), "", List.of(), 0, "", 0, 0))));
     }
 
     @Test
@@ -85,10 +85,10 @@
         assertEquals(
                 Step.PUT_ASIDE, nextStep(self, Map.of("a", response(BOOTSTRAP_VOTERS, "", without, 7, "2", 1, 8))));
         // Members of before it joined say nothing against it.
-        LocalVoter later = new LocalVoter(new VoterEndpoint("b", "2"), 5, 9, BOOTSTRAP_VOTERS, false, 8);
+        LocalVoter replacement = new LocalVoter(new VoterEndpoint("b", "2"), 5, 9, BOOTSTRAP_VOTERS, false, 8);
         assertEquals(
                 Step.START,
-                nextStep(later, Map.of("a", response(BOOTSTRAP_VOTERS, "", BOOTSTRAP_VOTERS, 0, "2", 4, 8))));
+                nextStep(replacement, Map.of("a", response(BOOTSTRAP_VOTERS, "", BOOTSTRAP_VOTERS, 0, "2", 4, 8))));
         LocalVoter joining = new LocalVoter(new VoterEndpoint("b", "3"), 5, 9, BOOTSTRAP_VOTERS, true, 0);
         assertEquals(Step.JOIN, nextStep(joining, Map.of("a", response(BOOTSTRAP_VOTERS, "", without, 7, "", 0, 0))));
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -47,23 +47,23 @@
     }
 
     private String awaitLeader() {
-        return await30s().until(() -> fleet.leader(), l -> !l.isEmpty());
+        return await30s().until(() -> fleet.leader(), leader -> !leader.isEmpty());
     }
 
-    private void decide(String at, long expected, String content) throws Exception {
-        Verdict v = fleet.member(at)
+    private void decide(String member, long expected, String content) throws Exception {
+        Verdict verdict = fleet.member(member)
                 .propose(AgreedValues.SETTINGS, expected, content.getBytes(StandardCharsets.UTF_8), 20_000)
                 .get(25, TimeUnit.SECONDS);
-        assertEquals(Verdict.IN_FORCE, v, () -> fleet.member(at).status());
+        assertEquals(Verdict.IN_FORCE, verdict, () -> fleet.member(member).status());
     }
 
-    private void assertStopsVotingAndRecovers(Fault fault, boolean leads) throws Exception {
+    private void assertStopsVotingAndRecovers(Fault fault, boolean failLeader) throws Exception {
         startFleet(31 + fault.ordinal());
         String leader = awaitLeader();
         List<String> names = new ArrayList<>(disks.keySet());
         names.remove(leader);
-        String failing = leads ? leader : names.get(0);
-        String other = leads ? names.get(0) : leader;
+        String failing = failLeader ? leader : names.get(0);
+        String other = failLeader ? names.get(0) : leader;
         String third = names.get(1);
         decide("m0", 0, "a");
         disks.get(failing).failAll(fault);
@@ -110,17 +110,18 @@
         startFleet(47);
         awaitLeader();
         decide("m0", 0, "a");
-        disks.values().forEach(d -> d.failAll(Fault.WRITE_ERROR));
-        Verdict v = fleet.member("m1")
+        disks.values().forEach(disk -> disk.failAll(Fault.WRITE_ERROR));
+        Verdict verdict = fleet.member("m1")
                 .propose(AgreedValues.SETTINGS, 1, "b".getBytes(StandardCharsets.UTF_8), 1000)
                 .get(25, TimeUnit.SECONDS);
-        assertEquals(Verdict.UNKNOWN, v);
+        assertEquals(Verdict.UNKNOWN, verdict);
         await30s().until(() -> fleet.all().stream().noneMatch(AgreementMember::isLeader));
         disks.values().forEach(FaultyFiles.Faults::clear);
         awaitLeader();
         await30s()
                 .until(() -> fleet.all().stream()
-                        .allMatch(n -> n.effectiveValues(AgreedValues.SETTINGS).isPresent()));
+                        .allMatch(member ->
+                                member.effectiveValues(AgreedValues.SETTINGS).isPresent()));
         long generation = fleet.member("m0")
                 .effectiveValues(AgreedValues.SETTINGS)
                 .orElseThrow()
