--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
@@ -32,42 +32,42 @@
     @BeforeEach
     void initializeStore() throws IOException {
         disk = root.resolve("m");
-        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
-            RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
+        try (VoterStore store = VoterStore.open(disk, "f", "m")) {
+            RaftGroupMembersView members = MODEL.createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
                     .setMembers(Set.of(ME))
                     .setVotingMembers(Set.of(ME))
                     .build();
-            s.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
+            store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(ME)
                     .setVoting(true)
                     .build());
-            s.persistAndFlushInitialGroupMembers(one);
-            s.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder()
+            store.persistAndFlushInitialGroupMembers(members);
+            store.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder()
                     .setIndex(3)
                     .setTerm(1)
                     .setOperation(new byte[] {1, 2, 3})
                     .setSnapshotChunkIndex(0)
                     .setSnapshotChunkCount(1)
-                    .setGroupMembersView(one)
+                    .setGroupMembersView(members)
                     .build());
             // The first of two pieces only: a snapshot that was being taken.
-            s.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder()
+            store.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder()
                     .setIndex(5)
                     .setTerm(1)
                     .setOperation(new byte[] {4})
                     .setSnapshotChunkIndex(0)
                     .setSnapshotChunkCount(2)
-                    .setGroupMembersView(one)
+                    .setGroupMembersView(members)
                     .build());
-            s.persistLogEntries(List.of(entry(2), entry(3), entry(4), entry(5), entry(6)));
-            s.truncateLogEntriesFrom(6);
-            s.truncateLogEntriesUntil(2);
-            s.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
+            store.persistLogEntries(List.of(entry(2), entry(3), entry(4), entry(5), entry(6)));
+            store.truncateLogEntriesFrom(6);
+            store.truncateLogEntriesUntil(2);
+            store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                     .setTerm(7)
                     .setVotedFor(ME)
                     .build());
-            s.persistLogEntries(List.of(entry(6)));
+            store.persistLogEntries(List.of(entry(6)));
         }
     }
 
@@ -81,15 +81,15 @@
 
     @Test
     void reopenedStoreHasForcedWritesOnly() throws IOException {
-        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
-            RestoredRaftState r = s.restored().orElseThrow();
-            assertEquals(7, r.getTermPersistentState().getTerm());
-            assertEquals(ME, r.getTermPersistentState().getVotedFor());
-            assertEquals(3, r.getSnapshotEntry().getIndex());
+        try (VoterStore store = VoterStore.open(disk, "f", "m")) {
+            RestoredRaftState restored = store.restored().orElseThrow();
+            assertEquals(7, restored.getTermPersistentState().getTerm());
+            assertEquals(ME, restored.getTermPersistentState().getVotedFor());
+            assertEquals(3, restored.getSnapshotEntry().getIndex());
             assertEquals(
                     List.of(4L, 5L),
-                    r.getLogEntries().stream().map(LogEntry::getIndex).toList());
-            assertEquals(2, s.startCount());
+                    restored.getLogEntries().stream().map(LogEntry::getIndex).toList());
+            assertEquals(2, store.startCount());
         }
     }
 
@@ -97,12 +97,12 @@
     void rejectsDiskOfAnotherFleetOrMemberOrInUse() throws IOException {
         assertThrows(VoterStore.ForeignDiskException.class, () -> VoterStore.open(disk, "g", "m"));
         assertThrows(VoterStore.ForeignDiskException.class, () -> VoterStore.open(disk, "f", "n"));
-        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
+        try (VoterStore store = VoterStore.open(disk, "f", "m")) {
             assertTrue(
                     assertThrows(IOException.class, () -> VoterStore.open(disk, "f", "m"))
                             .getMessage()
                             .contains("in use"),
-                    () -> "forced " + s.forcedWrites());
+                    () -> "forced " + store.forcedWrites());
         }
     }
 
@@ -111,54 +111,56 @@
         Path file = disk.resolve("agreed.mv");
         byte[] before = Files.readAllBytes(file);
         String number;
-        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
-            number = s.diskId();
-            s.saveBootstrapVoters(List.of("m@d"), false);
+        try (VoterStore store = VoterStore.open(disk, "f", "m")) {
+            number = store.diskId();
+            store.saveBootstrapVoters(List.of("m@d"), false);
         }
         Files.write(file, before);
         assertThrows(VoterStore.DamagedDiskException.class, () -> VoterStore.open(disk, "f", "m"));
         Path aside = VoterStore.putAside(disk);
         assertTrue(Files.exists(aside.resolve("agreed.mv")));
-        try (VoterStore s = VoterStore.open(disk, "f", "m")) {
-            assertNotEquals(number, s.diskId());
-            assertTrue(s.restored().isEmpty());
+        try (VoterStore store = VoterStore.open(disk, "f", "m")) {
+            assertNotEquals(number, store.diskId());
+            assertTrue(store.restored().isEmpty());
         }
     }
 
     @Test
     void truncationAndBitFlipsAreDetected() throws IOException {
         Path file = disk.resolve("agreed.mv");
-        byte[] whole = Files.readAllBytes(file);
+        byte[] intact = Files.readAllBytes(file);
         byte[] mark = Files.readAllBytes(disk.resolve("agreed.mark"));
         Random random = new Random(11);
-        int found = 0;
+        int detected = 0;
         for (int i = 0; i < 150; i++) {
-            Files.write(file, whole);
+            Files.write(file, intact);
             Files.write(disk.resolve("agreed.mark"), mark);
-            try (RandomAccessFile f = new RandomAccessFile(file.toFile(), "rw")) {
+            try (RandomAccessFile corrupted = new RandomAccessFile(file.toFile(), "rw")) {
                 if (i % 3 == 0) {
-                    f.setLength(random.nextInt(whole.length));
+                    corrupted.setLength(random.nextInt(intact.length));
                 } else {
-                    int at = random.nextInt(whole.length);
-                    f.seek(at);
-                    f.write(whole[at] ^ 1 << random.nextInt(8));
+                    int offset = random.nextInt(intact.length);
+                    corrupted.seek(offset);
+                    corrupted.write(intact[offset] ^ 1 << random.nextInt(8));
                 }
             }
-            try (VoterStore s = VoterStore.open(disk, "f", "m")) {
-                RestoredRaftState r = s.restored().orElseThrow();
-                assertEquals(7, r.getTermPersistentState().getTerm(), "round " + i);
+            try (VoterStore store = VoterStore.open(disk, "f", "m")) {
+                RestoredRaftState restored = store.restored().orElseThrow();
+                assertEquals(7, restored.getTermPersistentState().getTerm(), "round " + i);
                 assertEquals(
                         List.of(4L, 5L),
-                        r.getLogEntries().stream().map(LogEntry::getIndex).toList());
-                for (LogEntry e : r.getLogEntries()) {
+                        restored.getLogEntries().stream()
+                                .map(LogEntry::getIndex)
+                                .toList());
+                for (LogEntry entry : restored.getLogEntries()) {
                     assertEquals(
-                            new String(AgreementCodec.logEntry(entry(e.getIndex()))),
-                            new String(AgreementCodec.logEntry(e)));
+                            new String(AgreementCodec.logEntry(entry(entry.getIndex()))),
+                            new String(AgreementCodec.logEntry(entry)));
                 }
             } catch (VoterStore.DamagedDiskException e) {
-                found++;
+                detected++;
             }
         }
-        assertTrue(found > 30, "found " + found);
+        assertTrue(detected > 30, "found " + detected);
     }
 }
