--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -11,28 +11,28 @@
 import java.util.TreeMap;
 
 /**
- * What is decided, as far as this voter knows: the same at each voter after the same entries. Its bounds are constants,
- * for each voter must come to the same result.
+ * The replicated state: after the same log entries it is the same at each voter. Its limits are constants, not
+ * settings, because each voter must compute the same result.
  */
 final class AgreedState {
-    /** Longest content, in bytes. */
+    /** Maximum length of a content, in bytes. */
     static final int MAX_CONTENT_BYTES = 256 * 1024;
-    /** Longest name of a value or role. */
+    /** Maximum length of the name of a value or role. */
     static final int MAX_NAME_LENGTH = 64;
-    /** Names that are kept at most; their contents together are bounded by {@link #MAX_BYTES}. */
+    /** Maximum number of names; the total size of their contents is limited by {@link #MAX_TOTAL_BYTES}. */
     static final int MAX_NAMES = 1024;
-    /** Contents that are kept at most, of all names and generations; in bytes. A snapshot has room for them. */
+    /** Maximum size of all stored contents, of all names and generations, in bytes; it fits into a snapshot. */
     static final long MAX_TOTAL_BYTES = 48L * 1024 * 1024;
 
     private static final int MAX_ROLES = 256;
-    /** Generations of a name that are kept beside those in force and staged. */
+    /** Stored generations of a name, in addition to those in force and staged. */
     private static final int MAX_HISTORY_GENERATIONS = 16;
 
     private static final int MAX_HISTORY_BYTES = 512 * 1024;
-    /** The authority's terms where no lease is granted. */
+    /** The terms of the authority here, where no lease is granted. */
     private static final LeaseTerms NO_LEASES = new LeaseTerms(1, 0);
 
-    /** What became of a generation. */
+    /** State of a generation. */
     enum Outcome {
         @JsonProperty("STAGED")
         STAGED,
@@ -43,12 +43,12 @@
     }
 
     /**
-     * A generation that is kept.
+     * A stored generation.
      *
-     * @param by who proposed it
-     * @param life the proposer's process
-     * @param number the proposal's number in that process
-     * @param came what became of it
+     * @param proposer the member that proposed it
+     * @param incarnation the proposer's incarnation
+     * @param requestNumber the number of the proposal in that incarnation
+     * @param outcome whether it is staged, came into force or was abandoned
      */
     record Generation(
             @JsonProperty("generation") long generation,
@@ -63,11 +63,11 @@
     }
 
     /**
-     * All that is decided of a name.
+     * The state of a name.
      *
-     * @param word the generations in force and staged
-     * @param last the greatest generation that was used
-     * @param history the generations that are kept, oldest first
+     * @param decided the generations in force and staged
+     * @param lastGeneration the highest generation number used so far
+     * @param history the stored generations, oldest first
      */
     record NamedValue(
             @JsonProperty("name") String name,
@@ -75,7 +75,13 @@
             @JsonProperty("last") long lastGeneration,
             @JsonProperty("history") List<Generation> history) {}
 
-    /** Who acts in a role, since when by count, and with which longest lease. */
+    /**
+     * The lease holder of a role.
+     *
+     * @param incarnation the holder's incarnation
+     * @param token fencing token, higher for each new holder
+     * @param maxLeaseMs the longest lease that the holder was granted, in milliseconds
+     */
     record RoleState(
             @JsonProperty("role") String role,
             @JsonProperty("holder") String holder,
@@ -83,13 +89,13 @@
             @JsonProperty("token") long token,
             @JsonProperty("forMs") double maxLeaseMs) {}
 
-    /** A copy of all of it, for snapshots. */
+    /** An immutable copy of the state. */
     record Snapshot(
             @JsonProperty("reign") long leaderTerm,
             @JsonProperty("names") List<NamedValue> names,
             @JsonProperty("roles") List<RoleState> roles) {}
 
-    /** What a command has done; {@code VOID}: nothing, as it was overtaken. */
+    /** Result of a command; {@code VOID} if it had no effect because it was outdated. */
     enum Result {
         STAGED,
         IN_FORCE,
@@ -106,7 +112,7 @@
     private long leaderTerm;
     private long contentBytes;
 
-    /** How many leader terms have begun. */
+    /** Number of leader terms that have begun. */
     long leaderTerm() {
         return leaderTerm;
     }
@@ -127,7 +133,7 @@
         return roles;
     }
 
-    /** A generation that is kept. */
+    /** Returns a stored generation. */
     Optional<Generation> findGeneration(String name, long generation) {
         return find(name).stream()
                 .flatMap(named -> named.history().stream())
@@ -135,7 +141,7 @@
                 .findFirst();
     }
 
-    /** The generation that this proposal became, if it did. */
+    /** Returns the generation that was created from this proposal, if it is stored. */
     Optional<Generation> findProposal(String name, String proposer, long incarnation, long requestNumber) {
         return find(name).stream()
                 .flatMap(named -> named.history().stream())
@@ -169,7 +175,7 @@
         return grantRole((LogCommand.GrantRole) command);
     }
 
-    // Guards against a command of an earlier leader term, or for a decision that was overtaken on the way.
+    // Guards against a command of an earlier leader term, or for a version that has been superseded meanwhile.
     private boolean isCurrent(NamedValue value, long version, long commandTerm) {
         return value != null
                 && commandTerm == leaderTerm
@@ -230,7 +236,7 @@
         return named.history().stream().mapToLong(kept -> kept.content().length).sum();
     }
 
-    /** The rules of words and numbers are the authority's; the leases that it waits for are the leader's to know. */
+    /** Applies the core's rules for versions and generations without leases, which only the leader knows. */
     private static LeaseAuthority authority(NamedValue value) {
         return new LeaseAuthority(
                 NO_LEASES, value.decided(), value.lastGeneration(), Double.NEGATIVE_INFINITY, Map.of());
@@ -274,12 +280,12 @@
         return Result.DONE;
     }
 
-    /** What a snapshot is made of. */
+    /** Returns a copy of the state, for a snapshot. */
     Snapshot snapshot() {
         return new Snapshot(leaderTerm, List.copyOf(names.values()), List.copyOf(roles.values()));
     }
 
-    /** Replaces all by a snapshot's state. */
+    /** Replaces the state by a snapshot. */
     void restore(Snapshot image) {
         names.clear();
         roles.clear();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -9,13 +9,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies the replicated log's entries to {@link AgreedState}; the Raft library calls it on the member's thread. */
+/** Applies entries of the replicated log to {@link AgreedState}; the Raft library calls it on the member's thread. */
 final class AgreedStateMachine implements StateMachine {
     private static final Logger LOG = LoggerFactory.getLogger(AgreedStateMachine.class);
-    /** A snapshot is taken after so many bytes of contents. */
+    /** Bytes of contents after which a snapshot is taken. */
     private static final long SNAPSHOT_BYTES = 4 << 20;
 
-    /** Requests that are answered once a majority has confirmed that it follows this leader. */
+    /** A linearizable read: the action runs once a majority has confirmed that it follows this leader. */
     record LinearizableRead(Runnable action) {}
 
     private final MemberContext context;
@@ -48,7 +48,7 @@
         return result;
     }
 
-    /** Guards the log's memory and disk against few but long contents. */
+    /** Guards the memory and disk space of the log against few but large contents. */
     private void snapshotIfDue(LogCommand command) {
         bytesSinceSnapshot += command instanceof LogCommand.Stage stage ? stage.content().length : 0;
         if (bytesSinceSnapshot > SNAPSHOT_BYTES) {
@@ -66,7 +66,7 @@
         if (leads) {
             context.counters().leaderTerms.increment();
             LOG.info(
-                    "agreement at {}: leads in leader term {}",
+                    "agreement at {}: became leader in leader term {}",
                     context.name(),
                     consensus.state().leaderTerm());
         }
@@ -90,7 +90,7 @@
             consensus.state().restore(AgreementCodec.snapshot(snapshot.toByteArray()));
             consensus.stepDown();
         } catch (IOException e) {
-            // It is the library's to stop this voter then: its state is unknown.
+            // The state of this voter is unknown now; the exception makes the library stop it.
             throw new IllegalStateException(e);
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedValues.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedValues.java
@@ -5,95 +5,96 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What a majority of the members has decided. Values have a name; at no moment do two members act by two values of one
- * name that have no generation in common ({@code docs/design/agreement.md}).
+ * Named values and role leases, decided by a majority of the voters. At no moment do two members use sets of
+ * generations of one name that have no generation in common ({@code docs/design/agreement.md}).
  */
 public interface AgreedValues {
-    /** Names of values that are known to the fleet; others may be used as well. */
+    /** Settings. This and the following are the names that the fleet itself uses; others may be used as well. */
     String SETTINGS = "settings";
     /** Tenants' weights, floors and ceilings. */
     String SHARES = "shares";
-    /** Plans of evacuation. */
+    /** Evacuation plans. */
     String EVACUATION = "evacuation";
 
-    /** What came of a proposal. */
+    /** Result of a proposal. */
     enum Verdict {
-        /** In force: nobody acts by the one before any more. */
+        /** In force: no member uses the previous generation any more. */
         @JsonProperty("IN_FORCE")
         IN_FORCE,
-        /** Another generation is in force than the one it was made against. */
+        /** The generation in force is not the one that the proposal expected. */
         @JsonProperty("OVERTAKEN")
         OVERTAKEN,
-        /** Another one is staged. */
+        /** Another proposal is staged. */
         @JsonProperty("ANOTHER_STAGED")
         ANOTHER_STAGED,
-        /** A member can't use it. */
+        /** Rejected: a member can't use the content, or a limit is exceeded. */
         @JsonProperty("REFUSED")
         REFUSED,
-        /** No majority within the time: it may come into force later, or never. */
+        /** No majority in time: the proposal may still come into force, or never. */
         @JsonProperty("UNKNOWN")
         UNKNOWN
     }
 
     /**
-     * A value.
+     * A generation of a value.
      *
-     * @param name its name
-     * @param generation its number, never used twice
-     * @param content its content
-     * @param by who proposed it
+     * @param name the name
+     * @param generation the number of the generation, never used twice
+     * @param content the content
+     * @param proposer the member that proposed it
      */
     record Value(String name, long generation, byte[] content, String proposer) {}
 
     /**
-     * What a member may act by now.
+     * The values that a member may use now. While one is staged, the member may do only what both allow.
      *
-     * @param one the generation in force
-     * @param other the one that is staged beside it: keep to both; null if none
+     * @param inForce the generation in force
+     * @param staged the generation that is staged; null if there is none
      */
     record EffectiveValues(Value inForce, Value staged) {}
 
     /**
      * Proposes a value.
      *
-     * @param expected the generation that it was made against; 0 for the first
+     * @param expected the generation that has to be in force, as in a compare-and-set; 0 for the first
      */
     CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs);
 
-    /** What this member may act by at this moment; empty in doubt: its lease is over or it has never been told. */
+    /** The values that this member may use now; empty if its lease has expired or none was granted yet. */
     Optional<EffectiveValues> effectiveValues(String name);
 
-    /** The last value known here, whether or not it may be acted by; empty if there was never one. */
+    /** The last value in force known to this member, whether or not it may still be used; empty if there is none. */
     Optional<Value> lastKnown(String name);
 
     /**
-     * Asks to be the one who acts in this role. The role is held by one member at any moment, by any clock that keeps
-     * to the drift; the same member extends it by asking again.
+     * Requests the lease of a role, or extends it if this member holds it. At any moment at most one member holds the
+     * lease, provided that the members' clocks keep to the configured drift.
      *
-     * @return until when this member holds it by its own clock; a time in the past if another holds it
+     * @return the lease, with its end by this member's clock; a time in the past if another member holds it
      */
     CompletableFuture<Lease> acquire(String role, double forMs);
 
     /**
-     * Who holds a role.
+     * The lease of a role.
      *
-     * @param holder its name; empty if unknown
-     * @param token greater for each new holder: orders that carry a lower one are passed over
-     * @param untilMs until when, by this member's clock, if it is this member
+     * @param holder the lease holder; empty if unknown
+     * @param token fencing token, higher for each new holder: receivers ignore orders that carry a lower one
+     * @param untilMs the end of the lease by this member's clock, if this member is the holder
      */
     record Lease(String holder, long token, double untilMs) {}
 
     /**
-     * This member's lease of the role, if it holds it now by its own clock: to be asked before each act. Its token is
-     * the one to act by; a token that was kept from an earlier answer may be of a lease that another held after.
+     * This member's lease of the role, if it holds it now by its own clock; to be called before each action in the
+     * role. Actions must carry this lease's token: a token kept from an earlier call may belong to a lease after which
+     * another member has held the role.
      */
     Optional<Lease> heldLease(String role);
 
-    /** Whether this member holds the role now, by its own clock: to be asked before each act. */
+    /** Whether this member holds the role now, by its own clock; to be called before each action in the role. */
     default boolean holdsLease(String role) {
         return heldLease(role).isPresent();
     }
 
-    /** Whether a majority answers, and who leads; for staff. */
+    /** Whether a majority answers and which member leads, as text for operators. */
     String status();
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
@@ -19,15 +19,15 @@
 import java.io.IOException;
 
 /**
- * CBOR forms (RFC 8949) of members' messages, of the Raft library's messages and of what is written to disk. Whatever
- * can't be parsed is an {@link IOException} and nothing else.
+ * CBOR encoding (RFC 8949) of the members' messages, of the Raft library's messages and of stored data. Any input that
+ * can't be parsed causes an {@link IOException} and no other exception.
  */
 final class AgreementCodec {
-    /** Longest message; a link's frames must have room for it. */
+    /** Maximum length of a message; it must fit into a frame of a link. */
     static final int MAX_MESSAGE_BYTES = 900 * 1024;
-    /** Entries in one message: their contents stay below {@link #MAX_MESSAGE}. */
+    /** Maximum number of log entries in one message; their contents stay below {@link #MAX_MESSAGE_BYTES}. */
     static final int MAX_BATCH_ENTRIES = 3;
-    /** Length of a snapshot's chunks, in bytes. */
+    /** Length of a snapshot chunk, in bytes. */
     static final int SNAPSHOT_CHUNK_BYTES = 512 * 1024;
 
     private static final int MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024;
@@ -51,11 +51,11 @@
                 .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                 .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
                 .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
-                // A later version may say more.
+                // Later versions may add properties.
                 .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 
-    /** What a frame carried: one of the two is null. */
+    /** Content of a frame: one of the two messages is null. */
     record Frame(AgreementMessage message, RaftMessage raftMessage) {}
 
     @FunctionalInterface
@@ -63,17 +63,17 @@
         T read() throws IOException;
     }
 
-    /** Reads, and makes whatever can't be read an {@link IOException}. */
+    /** Runs a reader and converts its runtime exceptions to an {@link IOException}. */
     static <T> T parse(Reader<T> reader) throws IOException {
         try {
             T value = reader.read();
             if (value == null) {
-                throw new IOException("nothing there");
+                throw new IOException("empty document");
             }
             return value;
         } catch (RuntimeException e) {
-            // Guards against builders and records that reject what they are given.
-            throw new IOException("not readable: " + e.getMessage(), e);
+            // Guards against builders and records that reject values.
+            throw new IOException("malformed: " + e.getMessage(), e);
         }
     }
 
@@ -85,24 +85,24 @@
         }
     }
 
-    /** The frame of a member's message. */
+    /** Encodes a message between members as a frame. */
     static byte[] frame(AgreementMessage message) {
         ObjectNode tree = MAPPER.createObjectNode();
         tree.set("n", MAPPER.valueToTree(message));
         return bytes(tree);
     }
 
-    /** The frame of a message of the Raft library. */
+    /** Encodes a message of the Raft library as a frame. */
     static byte[] frame(RaftMessage message) {
         ObjectNode tree = MAPPER.createObjectNode();
         tree.set("r", RaftMessageTrees.tree(message));
         return bytes(tree);
     }
 
-    /** Parses a frame. */
+    /** Decodes a frame. */
     static Frame frame(byte[] body) throws IOException {
         if (body.length > MAX_MESSAGE_BYTES) {
-            throw new IOException("message of " + body.length + " bytes");
+            throw new IOException("message of " + body.length + " bytes exceeds " + MAX_MESSAGE_BYTES);
         }
         return parse(() -> {
             JsonNode tree = MAPPER.readTree(body);
@@ -112,7 +112,7 @@
         });
     }
 
-    /** The form of a snapshot. */
+    /** Encodes a snapshot. */
     static byte[] snapshot(AgreedState.Snapshot image) {
         try {
             return SNAPSHOT_MAPPER.writeValueAsBytes(image);
@@ -125,7 +125,7 @@
         return parse(() -> SNAPSHOT_MAPPER.readValue(body, AgreedState.Snapshot.class));
     }
 
-    /** The stored form of a log entry. */
+    /** Encodes a log entry for storage. */
     static byte[] logEntry(LogEntry entry) {
         return bytes(RaftLogTrees.tree(entry));
     }
@@ -134,7 +134,7 @@
         return parse(() -> RaftLogTrees.logEntry(MAPPER.readTree(body)));
     }
 
-    /** The stored form of a snapshot's chunk. */
+    /** Encodes a snapshot chunk for storage. */
     static byte[] snapshotChunk(SnapshotChunk chunk) {
         return bytes(RaftLogTrees.tree(chunk));
     }
@@ -143,7 +143,7 @@
         return parse(() -> RaftLogTrees.snapshotChunk(MAPPER.readTree(body)));
     }
 
-    /** The stored form of a group's members. */
+    /** Encodes the members of a Raft group for storage. */
     static byte[] groupMembers(RaftGroupMembersView members) {
         return bytes(RaftLogTrees.tree(members));
     }
@@ -152,7 +152,7 @@
         return parse(() -> RaftLogTrees.view(MAPPER.readTree(body)));
     }
 
-    /** The stored form of the current term and vote. */
+    /** Encodes the current term and vote for storage. */
     static byte[] termState(RaftTermPersistentState state) {
         ObjectNode tree = MAPPER.createObjectNode().put("term", state.getTerm());
         return bytes(
@@ -172,7 +172,7 @@
         });
     }
 
-    /** The stored form of the voter's own endpoint. */
+    /** Encodes the voter's own endpoint for storage. */
     static byte[] endpointState(RaftEndpointPersistentState state) {
         return bytes(MAPPER.createObjectNode()
                 .put("me", (String) state.getLocalEndpoint().getId())
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCounters.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCounters.java
@@ -4,15 +4,15 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import java.util.concurrent.atomic.LongAdder;
 
-/** A member's counters; any thread may count and read. */
+/** The counters of a member; thread-safe. */
 final class AgreementCounters {
     /** Lease requests received. */
     final LongAdder leaseRequests = new LongAdder();
-    /** Decisions applied while this member led. */
+    /** Decisions applied while this member was the leader. */
     final LongAdder decisions = new LongAdder();
-    /** Times that this member began to lead. */
+    /** Leader terms that this member has begun. */
     final LongAdder leaderTerms = new LongAdder();
-    /** Messages dropped because a queue was full or the member had ended. */
+    /** Messages dropped because a queue was full or the member had stopped. */
     final LongAdder dropped = new LongAdder();
     /** Messages that could not be parsed. */
     final LongAdder malformed = new LongAdder();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's part of the agreement ({@code docs/design/agreed.md}): composes the consensus, the leader's services, the
- * member's own lease and requests, and a voter's recovery, and hands each message and tick to them. All of it runs on
- * one thread of this member's; what others read ({@link #acting}, {@link #heldLease}) are immutable values.
+ * One member of the agreement ({@code docs/design/agreed.md}). Owns the consensus, the leader's services, the member's
+ * own lease and requests, and a voter's recovery, and dispatches messages and ticks to them. All of them run on one
+ * thread; methods for other threads ({@link #effectiveValues}, {@link #heldLease}) read immutable values.
  */
 public final class AgreementMember implements AgreedValues, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(AgreementMember.class);
@@ -31,7 +31,7 @@
     private static final long TICK_MS = 10;
     private static final long STATUS_TIMEOUT_S = 1;
     private static final long CLOSE_TIMEOUT_S = 2;
-    /** Messages that wait for this member's thread; more are dropped, as a link might. */
+    /** Messages queued for this member's thread; further ones are dropped, as a lossy link would drop them. */
     private static final int MAX_WAITING_MESSAGES = 4096;
 
     private final MemberContext context;
@@ -45,12 +45,13 @@
     private boolean closed;
 
     /**
-     * A member that has not started.
+     * Creates a member; {@link #start} starts it.
      *
-     * @param links its links, which are started by whoever made them
-     * @param directory where a voter keeps its log and votes; null: in memory, which is a disk lost at each end
-     * @param clock its clock
-     * @param settings the same at all members, but for the seed
+     * @param links the member's links; the caller starts them
+     * @param directory where a voter stores its log and votes; null keeps them in memory, so that they are lost at
+     *     each stop
+     * @param clock the member's clock
+     * @param settings the same at all members except for the seed
      */
     public AgreementMember(PeerLinks links, Path directory, Clock clock, AgreedSettings settings) {
         String name = links.me().name();
@@ -75,23 +76,26 @@
         links.receive(MessageStream.AGREED, this::onFrame);
     }
 
-    /** The voter's files are on a file system of this scheme; before {@link #start}. */
+    /** Sets the scheme of the file system that stores the voter's files; to be called before {@link #start}. */
     void useFileScheme(String fileScheme) {
         recovery.useFileScheme(fileScheme);
     }
 
-    /** Sets who can use a value's content; without one, every content can be used. Before {@link #start}. */
+    /**
+     * Sets the validator of a value's content; without one, every content is valid. To be called before {@link
+     * #start}.
+     */
     public void setValidator(String name, Predicate<byte[]> validator) {
         leaseClient.addValidator(name, validator);
     }
 
-    /** Adds a listener for the names of decided values; called on this member's thread, and must not block. */
+    /** Adds a listener for the names of changed values; it is called on this member's thread and must not block. */
     public void addValueListener(Consumer<String> listener) {
         leaseClient.addValueListener(listener);
     }
 
     /**
-     * Begins to take part.
+     * Starts the member.
      *
      * @throws IOException if the disk can't be used, or belongs to another fleet or member
      */
@@ -120,7 +124,7 @@
         requests.completeSeenDecisions();
     }
 
-    // Messages.
+    // Messages to and from the other members.
 
     private void send(String peer, AgreementMessage message) {
         if (peer.equals(context.name())) {
@@ -140,7 +144,7 @@
             frame = AgreementCodec.frame(body);
         } catch (IOException e) {
             context.counters().malformed.increment();
-            LOG.warn("agreement at {}: malformed message of {}: {}", context.name(), peer, e.getMessage());
+            LOG.warn("agreement at {}: malformed message from {}: {}", context.name(), peer, e.getMessage());
             return;
         }
         waitingMessages.incrementAndGet();
@@ -187,7 +191,7 @@
         }
     }
 
-    // What others ask of the member.
+    // Client interface.
 
     @Override
     public CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs) {
@@ -201,19 +205,19 @@
     }
 
     /**
-     * Whether this member was told all that is decided within the last lease: no value is in force anywhere that it
-     * does not act by, alone or beside the one before.
+     * Whether this member has a valid lease for all names. While it does, every value in force at any member is among
+     * this member's effective values, alone or together with the previous one.
      */
     public boolean hasValidLease() {
         return context.nowMs() < leaseClient.view().leaseUntilMs();
     }
 
-    /** What the member was granted, for a check of all members at one moment. */
+    /** The leases of this member, for tests that compare all members at one moment. */
     LeaseView leaseView() {
         return leaseClient.view();
     }
 
-    /** The role leases it knows of, for a check of all members at one moment. */
+    /** The role leases that this member knows of, for tests that compare all members at one moment. */
     Map<String, Lease> roleLeases() {
         return requests.roleLeases();
     }
@@ -222,7 +226,7 @@
         return context.clock();
     }
 
-    /** Runs an event on this member's thread, behind all that waits. */
+    /** Runs an event on this member's thread, after all queued events. */
     void execute(Runnable event) {
         context.execute(event);
     }
@@ -242,13 +246,13 @@
         return requests.heldLease(role);
     }
 
-    /** The generations of a name that are kept, oldest first; empty if no voter answers within the time. */
+    /** Reads the stored generations of a name, oldest first; empty if no voter answers in time. */
     CompletableFuture<Optional<AgreementMessage.HistoryResponse>> readHistory(
             String name, long generation, double withinMs) {
         return requests.readHistory(name, generation, withinMs);
     }
 
-    // For operators.
+    // Operator interface.
 
     @Override
     public String status() {
@@ -264,7 +268,7 @@
         }
     }
 
-    /** Registers its counters and gauges with the fleet's metrics. */
+    /** Registers the member's counters and gauges. */
     public void registerMetrics(MeterRegistry registry) {
         context.counters().bind(registry);
         Gauge.builder("agreed.lease.left.ms", this, AgreementMember::leaseLeftMs)
@@ -279,17 +283,17 @@
         return Math.max(0, leaseClient.view().leaseUntilMs() - context.nowMs());
     }
 
-    /** What is wrong, for operators; empty if nothing is known to be. */
+    /** The current alarm, for operators; empty if there is none. */
     public String alarm() {
         return context.alarm().text();
     }
 
-    /** Whether this member leads as far as it knows; for operators, not for decisions. */
+    /** Whether this member believes that it is the leader; for operators, not for decisions. */
     public boolean isLeader() {
         return status().contains(", leads");
     }
 
-    /** Ends the member's part and closes its disk; waits a bounded time for the consensus to end. */
+    /** Stops the member and closes its disk; waits a bounded time for the consensus to terminate. */
     @Override
     public void close() {
         CompletableFuture<Void> done = new CompletableFuture<>();
@@ -306,14 +310,14 @@
         try {
             done.get(CLOSE_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (TimeoutException | ExecutionException e) {
-            LOG.warn("agreement at {}: not ended in time", context.name());
+            LOG.warn("agreement at {}: consensus did not terminate within {} s", context.name(), CLOSE_TIMEOUT_S);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         halt();
     }
 
-    /** Ends at once, as a killed process does: nothing more is written or told. */
+    /** Stops at once, like a killed process: nothing more is written or sent. */
     void halt() {
         context.thread().shutDown();
         recovery.closeDisk();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMessage.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Messages between members beside the Raft library's. Any may be lost, delayed or repeated. Components keep their
- * serialized names, which are older than the Java names.
+ * Messages between members, in addition to those of the Raft library. Messages may be lost, delayed or duplicated. The
+ * serialized names of types and components are fixed and differ from the Java names.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "note")
 @JsonSubTypes({
@@ -28,9 +28,9 @@
 })
 sealed interface AgreementMessage {
     /**
-     * A voter has started and asks what the others know of it.
+     * A voter has started and asks the other members what they know about it.
      *
-     * @param starts how often its disk was started with
+     * @param startCount the number of starts with its disk
      */
     record Hello(
             @JsonProperty("disk") String diskId,
@@ -39,16 +39,16 @@
             implements AgreementMessage {}
 
     /**
-     * The answer to a hello.
+     * The response to a {@link Hello}.
      *
-     * @param disk the answerer's disk; empty if it does not vote
-     * @param bootstrapVoters the voters that the Raft group began with; empty if the answerer knows of none
-     * @param follows the Raft group that it has acted by; empty if none
-     * @param members the voters of now; empty if unknown
-     * @param membersSince the change of members that made them the voters; 0 at the bootstrap
-     * @param seenDisk the asker's disk when it was last heard of before
-     * @param seenStarts that disk's starts then
-     * @param seenLife the asker's life then
+     * @param diskId the responder's disk; empty if it is not a voter
+     * @param bootstrapVoters the initial voters of the Raft group; empty if the responder knows no group
+     * @param followedGroup the Raft group whose leases the responder has accepted; empty if none
+     * @param members the current voters; empty if unknown
+     * @param membersLogIndex the log index of the membership change that made them voters; 0 at the bootstrap
+     * @param lastSeenDiskId the requester's disk by its previous hello; empty if there was none
+     * @param lastSeenStartCount the start count by that hello
+     * @param lastSeenIncarnation the requester's incarnation by that hello
      */
     record HelloResponse(
             @JsonProperty("disk") String diskId,
@@ -61,15 +61,15 @@
             @JsonProperty("seenLife") long lastSeenIncarnation)
             implements AgreementMessage {}
 
-    /** A voter with a new disk asks to take its old one's place. */
+    /** A voter with a new disk asks to replace the voter with its old disk. */
     record JoinRequest(@JsonProperty("endpoint") String endpoint) implements AgreementMessage {}
 
     /**
-     * What a member holds of a name.
+     * What a member knows of a name.
      *
-     * @param version the version of the decision that it acts by
-     * @param refused the generation that it can't use; 0 if none
-     * @param has the generations whose content it has
+     * @param version the decided version that it uses
+     * @param rejectedGeneration the generation that it can't use; 0 if none
+     * @param knownGenerations the generations whose content it has
      */
     record NameState(
             @JsonProperty("name") String name,
@@ -77,29 +77,30 @@
             @JsonProperty("refused") long rejectedGeneration,
             @JsonProperty("has") List<Long> knownGenerations) {}
 
-    /** A member asks whether it may go on, and by what: one question for all names. */
+    /** A member requests to renew its lease and to get changed values: one request for all names. */
     record RenewalRequest(
             @JsonProperty("life") long incarnation,
             @JsonProperty("number") long requestNumber,
             @JsonProperty("heard") List<NameState> names)
             implements AgreementMessage {}
 
-    /** A generation's content. */
+    /** The content of a generation. */
     record GenerationContent(
             @JsonProperty("generation") long generation,
             @JsonProperty("content") byte[] content,
             @JsonProperty("by") String proposer) {}
 
-    /** What is decided of a name, with the contents that the asker lacks. */
+    /** The decided version of a name, with the contents that the requester lacks. */
     record NameUpdate(
             @JsonProperty("name") String name,
             @JsonProperty("word") DecidedVersion decided,
             @JsonProperty("items") List<GenerationContent> contents) {}
 
     /**
-     * The answer to a question; a name whose contents had no room is not in it and is asked for again.
+     * The response to a {@link RenewalRequest}. Names whose contents exceed the size limit are omitted; the next
+     * request gets them.
      *
-     * @param whole whether all names had room
+     * @param complete whether it includes all names
      */
     record RenewalResponse(
             @JsonProperty("life") long incarnation,
@@ -110,13 +111,13 @@
             @JsonProperty("whole") boolean complete)
             implements AgreementMessage {}
 
-    /** The asked one does not lead; empty if it does not know who does. */
+    /** The receiver of a request is not the leader; {@code leader} is empty if it does not know the leader. */
     record NotLeader(@JsonProperty("leader") String leader) implements AgreementMessage {}
 
-    /** There is news, or another leader: the sender. Carries no promise. */
+    /** The sender is the leader, and a value has changed or a leader term has begun. Grants nothing. */
     record Hint(@JsonProperty("reign") long leaderTerm) implements AgreementMessage {}
 
-    /** A proposal; sent again until there is an outcome. */
+    /** A proposal; resent until there is a response. */
     record ProposeRequest(
             @JsonProperty("name") String name,
             @JsonProperty("expected") long expectedGeneration,
@@ -126,9 +127,9 @@
             implements AgreementMessage {}
 
     /**
-     * What came of a proposal.
+     * The result of a proposal.
      *
-     * @param generation the number that it was given; 0 if none
+     * @param generation the generation created from it; 0 if none
      */
     record ProposeResponse(
             @JsonProperty("life") long incarnation,
@@ -137,7 +138,7 @@
             @JsonProperty("generation") long generation)
             implements AgreementMessage {}
 
-    /** A member asks to act in a role, or to go on in it. */
+    /** A member requests the lease of a role, or its renewal. */
     record ClaimRequest(
             @JsonProperty("role") String role,
             @JsonProperty("forMs") double leaseMs,
@@ -146,9 +147,10 @@
             implements AgreementMessage {}
 
     /**
-     * Who acts in it.
+     * The response to a {@link ClaimRequest}.
      *
-     * @param forMs for how long from the moment of the claim, if it is the asker; else 0
+     * @param holder the lease holder of the role
+     * @param leaseMs the lease, counted from the sending of the request, if the requester is the holder; else 0
      */
     record ClaimResponse(
             @JsonProperty("life") long incarnation,
@@ -158,7 +160,7 @@
             @JsonProperty("forMs") double leaseMs)
             implements AgreementMessage {}
 
-    /** Staff ask for a name's generations; a generation of 0 asks for the list, without contents. */
+    /** An operator's request for the generations of a name; generation 0 requests the list without a content. */
     record HistoryRequest(
             @JsonProperty("name") String name,
             @JsonProperty("generation") long generation,
@@ -166,14 +168,14 @@
             @JsonProperty("number") long requestNumber)
             implements AgreementMessage {}
 
-    /** A generation of a name's history: {@code came} is what came of it. */
+    /** A generation in the history of a name. */
     record HistoryEntry(
             @JsonProperty("generation") long generation,
             @JsonProperty("by") String proposer,
             @JsonProperty("bytes") int contentBytes,
             @JsonProperty("came") String outcome) {}
 
-    /** The answer for staff. */
+    /** The response to a {@link HistoryRequest}; the content is empty if the generation is not stored. */
     record HistoryResponse(
             @JsonProperty("life") long incarnation,
             @JsonProperty("number") long requestNumber,
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/FailStopExecutor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/FailStopExecutor.java
@@ -5,14 +5,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Runs a voter's part of the Raft library for as long as its disk takes what is written. From the first write that
- * fails nothing of that part runs any more, so that no vote and no acknowledgement can rest on it.
+ * Runs the Raft library's tasks of a voter until a write to its disk fails. After that it runs none of them, so that no
+ * vote and no acknowledgement relies on data that may not be on disk.
  */
 final class FailStopExecutor implements RaftNodeExecutor {
     private final MemberThread thread;
     private final BooleanSupplier failed;
 
-    /** Runs on this thread until the disk has failed. */
+    /** Runs tasks on this thread until {@code failed} returns true. */
     FailStopExecutor(MemberThread thread, BooleanSupplier failed) {
         this.thread = thread;
         this.failed = failed;
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/HeartbeatClock.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/HeartbeatClock.java
@@ -5,12 +5,15 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** The Raft library's clock. It counts heartbeats in whole seconds: here one of its seconds is one heartbeat. */
+/**
+ * The clock given to the Raft library. The library configures heartbeats in whole seconds, so one second of this clock
+ * lasts one heartbeat interval.
+ */
 final class HeartbeatClock extends java.time.Clock {
     private final Clock clock;
     private final double rate;
 
-    /** A clock that runs so many times as fast as the other. */
+    /** A clock that runs {@code rate} times as fast as the given one. */
     HeartbeatClock(Clock clock, double rate) {
         this.clock = clock;
         this.rate = rate;
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -15,26 +15,27 @@
 import java.util.TreeMap;
 
 /**
- * The leases granted in one leader term, by name and role. The term begins when its own entry is applied, after which
- * no earlier leader is followed. The leases of earlier terms are unknown: all of them are waited out (Gray and
- * Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989).
+ * The leases granted in one leader term, by name and role. The term begins when its first entry is applied, after which
+ * no earlier leader is followed. The leases granted in earlier terms are unknown, so the leader waits until all of them
+ * must have expired (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
+ * Consistency", 1989).
  *
- * <p>Whatever grants a lease ({@link #answerRequest}, {@link #claimRole}) must be called only after a majority has
- * confirmed, since the request came, that it follows this leader.
+ * <p>The methods that grant a lease ({@link #renew}, {@link #claimRole}) must be called only after a majority has
+ * confirmed, later than the request arrived, that it follows this leader.
  */
 final class LeaderLeases {
-    /** Contents in one answer at most, in bytes. */
+    /** Maximum size of the contents in one response, in bytes. */
     private static final int MAX_RESPONSE_BYTES = 600 * 1024;
 
-    /** What is done with a claim. */
+    /** How a claim is processed. */
     sealed interface ClaimDecision {
         /** It is answered at once. */
         record Respond(AgreementMessage.ClaimResponse response) implements ClaimDecision {}
 
-        /** A command must be written first; it is answered by {@link #grantRole} once that is applied. */
+        /** A command must be replicated first; once it is applied, {@link #grantRole} returns the response. */
         record WriteFirst(LogCommand.GrantRole command) implements ClaimDecision {}
 
-        /** Another command for the role is on its way: the claim is not answered, its sender repeats it. */
+        /** Another command for the role is in flight: the claim is not answered, and its sender retries. */
         record Ignore() implements ClaimDecision {}
     }
 
@@ -51,7 +52,7 @@
     private final Map<String, RoleLease> roles = new HashMap<>();
     private final Set<String> inFlight = new HashSet<>();
 
-    /** A leader term that begins now. */
+    /** Creates the leases of a leader term that begins now. */
     LeaderLeases(LeaseTerms terms, AgreedState state, double nowMs) {
         this.terms = terms;
         this.state = state;
@@ -70,7 +71,7 @@
         return leaderTerm;
     }
 
-    /** From when it has waited out all that earlier leaders granted of names; milliseconds. */
+    /** Time at which all leases for names granted by earlier leaders have expired, in milliseconds. */
     double earlierLeasesEndMs() {
         return earlierLeasesEndMs;
     }
@@ -79,13 +80,13 @@
         return new LeaseTerms(leaseMs, terms.drift()).authorityWaitMs();
     }
 
-    /** What is decided of this name has changed. */
+    /** The decided version of this name has changed. */
     void onApplied(String name) {
         AgreedState.NamedValue value = state.find(name).orElseThrow();
         LeaseAuthority before = authorities.get(name);
         Map<Integer, LeaseAuthority.GrantedLease> holders = new TreeMap<>();
         if (before == null) {
-            // Whoever may act by other names is waited for here as well, so that it can refuse the first.
+            // Holders of leases for other names must confirm the first generation too, so that they can reject it.
             leaseEndById.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.GrantedLease(untilMs, 0)));
         } else {
             holders.putAll(before.holders());
@@ -96,24 +97,24 @@
         rejectedBy.remove(name);
     }
 
-    /** The answer to a question; from now on its asker is waited for. */
+    /** Grants a lease for all names; from now on, activation of a staged generation waits for this holder. */
     AgreementMessage.RenewalResponse renew(
             double nowMs, String member, AgreementMessage.RenewalRequest request, String groupId) {
         int id = holderIds.computeIfAbsent(member, holder -> holderIds.size() + 1);
         leaseEndById.put(id, nowMs + terms.authorityWaitMs());
         Map<String, AgreementMessage.NameState> states = new HashMap<>();
-        request.names().forEach(state -> states.put(state.name(), state));
+        request.names().forEach(known -> states.put(known.name(), known));
         List<AgreementMessage.NameUpdate> updates = new ArrayList<>();
         int remainingBytes = MAX_RESPONSE_BYTES;
         boolean complete = true;
         for (Map.Entry<String, LeaseAuthority> entry : authorities.entrySet()) {
-            AgreementMessage.NameState state = states.getOrDefault(
+            AgreementMessage.NameState known = states.getOrDefault(
                     entry.getKey(), new AgreementMessage.NameState(entry.getKey(), 0, 0, List.of()));
             LeaseRequest leaseRequest = new LeaseRequest(
-                    id, request.incarnation(), request.requestNumber(), state.version(), state.rejectedGeneration());
+                    id, request.incarnation(), request.requestNumber(), known.version(), known.rejectedGeneration());
             LeaseAuthority authority = entry.getValue();
             List<AgreementMessage.GenerationContent> contents =
-                    missingContents(authority.decided(), entry.getKey(), state.knownGenerations());
+                    missingContents(authority.decided(), entry.getKey(), known.knownGenerations());
             int bytes = contents.stream()
                     .mapToInt(content -> content.content().length)
                     .sum();
@@ -147,7 +148,7 @@
         return contents;
     }
 
-    /** The entries that may be written now; each once, until {@link #onApplied} or {@link #onWriteFailed}. */
+    /** Commands that are due, each returned once until {@link #onApplied} or {@link #onWriteFailed} is called for it. */
     List<LogCommand> dueCommands(double nowMs) {
         List<LogCommand> due = new ArrayList<>();
         authorities.forEach((name, authority) -> {
@@ -165,7 +166,7 @@
         return due;
     }
 
-    /** This entry was not taken by the log: it may be tried again. */
+    /** This command was not appended to the log and may be retried. */
     void onWriteFailed(LogCommand command) {
         if (command instanceof LogCommand.Activate activate) {
             inFlight.remove(activate.name());
@@ -176,12 +177,12 @@
         }
     }
 
-    /** A member claims a role. */
+    /** Processes a member's claim of a role. */
     ClaimDecision claimRole(double nowMs, String member, AgreementMessage.ClaimRequest claim) {
         Optional<AgreedState.RoleState> role = state.role(claim.role());
         RoleLease lease = roles.getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
-            // Guards against a lease that is lengthened while the role goes to another.
+            // Guards against extending a lease while the role is being granted to another member.
             return new ClaimDecision.Ignore();
         }
         long token = role.map(AgreedState.RoleState::token).orElse(0L);
@@ -201,7 +202,7 @@
                 new AgreementMessage.ClaimResponse(claim.incarnation(), claim.requestNumber(), holder, token, 0));
     }
 
-    /** The claim's entry was applied in this leader term: it is granted. */
+    /** Grants a claim whose command was applied in this leader term. */
     AgreementMessage.ClaimResponse grantRole(double nowMs, AgreementMessage.ClaimRequest claim) {
         roles.computeIfPresent(claim.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
         return grantClaim(nowMs, claim);
@@ -218,17 +219,17 @@
                 claim.incarnation(), claim.requestNumber(), role.holder(), role.token(), claim.leaseMs());
     }
 
-    /** Who is waited for before what is staged can be in force, for staff. */
+    /** The lease holders for which activation of the staged generation waits, for operators. */
     List<String> pendingHolders(String name, double nowMs) {
         LeaseAuthority authority = authorities.get(name);
         List<String> pending = new ArrayList<>();
         holderIds.forEach((member, id) -> {
-            LeaseAuthority.GrantedLease state =
+            LeaseAuthority.GrantedLease granted =
                     authority == null ? null : authority.holders().get(id);
-            if (state != null
+            if (granted != null
                     && authority.decided().staged() != 0
-                    && nowMs < state.untilMs()
-                    && state.effectiveVersion() < authority.decided().version()) {
+                    && nowMs < granted.untilMs()
+                    && granted.effectiveVersion() < authority.decided().version()) {
                 pending.add(member);
             }
         });
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -11,12 +11,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's answers to lease requests, role claims and operators' reads. Each waits for a linearizable read, in
- * batches: a majority has confirmed, since the request came, that it follows this leader. For the member's thread.
+ * The leader's responses to renewal requests, role claims and operators' reads. Each of them is sent after a
+ * linearizable read: a majority has confirmed, later than the request arrived, that it follows this leader. Requests
+ * are read in batches. Confined to the member's thread.
  */
 final class LeaderService implements AppliedListener {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
-    /** Requests that wait for a read; more are dropped, as a link might. */
+    /** Requests that wait for a read; further ones are dropped, as a lossy link would drop them. */
     private static final int MAX_WAITING_REQUESTS = 4096;
     /** Requests answered by one read. */
     private static final int MAX_READ_BATCH = 256;
@@ -34,12 +35,12 @@
         this.proposals = proposals;
     }
 
-    /** When a majority last confirmed this leader, in milliseconds; negative infinity if never. */
+    /** Time at which a majority last confirmed this leader, in milliseconds; negative infinity if never. */
     double majorityConfirmedMs() {
         return majorityConfirmedMs;
     }
 
-    /** Whether this member leads; if not, the asker is told who does. */
+    /** Returns whether this member is the leader; if not, redirects the requester to the leader. */
     private boolean isLeaderOrRedirect(String peer) {
         if (!consensus.isLeader()) {
             context.send(peer, new AgreementMessage.NotLeader(consensus.leader()));
@@ -70,14 +71,17 @@
         }
     }
 
-    /** Guards whoever looks before proposing again: a voter that is behind does not know what is acknowledged. */
+    /**
+     * Answers an operator's read after a linearizable read. Guards operators who check the history before they propose
+     * again: a voter that lags behind does not know all acknowledged proposals.
+     */
     void onHistoryRequest(String peer, AgreementMessage.HistoryRequest request) {
         if (isLeaderOrRedirect(peer)) {
             answerAfterRead(nowMs -> context.send(peer, history(request)));
         }
     }
 
-    /** Starts a read that is due and writes the entries that leases allow by now. */
+    /** Starts a read that is due and replicates the commands that the leases allow by now. */
     void tick(double nowMs) {
         if (consensus.isLeader()) {
             startRead();
@@ -85,7 +89,7 @@
         }
     }
 
-    /** Forgets all requests, as the node that was to answer them is gone. */
+    /** Discards all requests, because the Raft node that was to answer them has stopped. */
     void reset() {
         proposals.reset();
         waitingRequests.clear();
@@ -109,7 +113,7 @@
             onValueApplied(activate.name(), true);
         } else if (command instanceof LogCommand.Abandon abandon) {
             LOG.warn(
-                    "agreement at {}: {} of {} can't be used by {}: abandoned",
+                    "agreement at {}: version {} of {} was rejected by {}: abandoned",
                     context.name(),
                     abandon.version(),
                     abandon.name(),
@@ -159,7 +163,7 @@
     }
 
     private void answerBatch(List<DoubleConsumer> batch, LeaderLeases leases, double startedMs) {
-        // Guards against an answer in a later term, which knows other leases.
+        // Guards against responses in a later leader term, whose leases differ.
         if (consensus.leases() == leases) {
             majorityConfirmedMs = startedMs;
             double nowMs = context.nowMs();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's own lease: asks the leader for it again and again, finds out who leads, and keeps what was granted as an
- * immutable {@link LeaseView} that any thread may read. All else is for the member's thread.
+ * Obtains and renews a member's lease: finds the leader, sends it renewal requests, and stores the granted leases as an
+ * immutable {@link LeaseView} that any thread may read. All other state is confined to the member's thread.
  */
 final class LeaseClient {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseClient.class);
@@ -33,7 +33,7 @@
     private double nextRequestMs;
     private boolean awaitingResponse;
 
-    /** A client that has asked for nothing yet; the listener runs after each change of the view. */
+    /** Creates a client without a lease; {@code viewListener} runs after each change of the view. */
     LeaseClient(MemberContext context, RaftConsensus consensus, Runnable viewListener) {
         this.context = context;
         this.consensus = consensus;
@@ -52,27 +52,27 @@
         valueListeners.add(listener);
     }
 
-    /** What this member may act by; any thread. */
+    /** The current leases; may be called by any thread. */
     LeaseView view() {
         return view;
     }
 
-    /** When the leader last answered, in milliseconds; negative infinity if never. */
+    /** Time of the leader's last response, in milliseconds; negative infinity if there was none. */
     double lastResponseMs() {
         return lastResponseMs;
     }
 
-    /** The Raft group that this member has acted by; empty if none. */
+    /** The Raft group whose leases this member has accepted; empty if none. */
     String followedGroup() {
         return followedGroup;
     }
 
-    /** The leader by the last answer or hint; empty if unknown. */
+    /** The leader by the last response or hint; empty if unknown. */
     String believedLeader() {
         return believedLeader;
     }
 
-    /** Whom to ask: the leader as far as known, else one voter after another. */
+    /** The member to send requests to: the leader if known, else the voters in turn. */
     String requestTarget() {
         String leader = consensus.leader();
         if (!leader.isEmpty()) {
@@ -89,13 +89,13 @@
         nextRequestMs = schedule.firstRequestMs(nowMs);
     }
 
-    /** Asks for the lease if it is time to. */
+    /** Sends a renewal request if one is due. */
     void tick(double nowMs) {
         if (nowMs < nextRequestMs) {
             return;
         }
         if (awaitingResponse) {
-            // The last request was not answered: its target may be gone.
+            // The last request was not answered: its target may be dead.
             awaitingResponse = false;
             believedLeader = "";
             failedRequests++;
@@ -109,12 +109,12 @@
         context.send(requestTarget(), view.renewalRequest());
     }
 
-    /** Takes the leader's grant; one of another Raft group raises the alarm. */
+    /** Processes a leader's grant; a grant of another Raft group raises the alarm. */
     void onRenewalResponse(String peer, AgreementMessage.RenewalResponse answer) {
         if (!followedGroup.isEmpty() && !followedGroup.equals(answer.groupId())) {
             context.counters().foreign.increment();
             context.alarm()
-                    .raise(peer + " answers for another founding, " + answer.groupId() + "; here it is "
+                    .raise(peer + " answers for Raft group " + answer.groupId() + "; this member follows "
                             + followedGroup);
             return;
         }
@@ -133,7 +133,7 @@
                         next.decided(name).version() > before.decided(name).version())
                 .toList();
         double requestMs = schedule.nextAfterGrantMs(lastResponseMs, !changedNames.isEmpty());
-        // A hint may have come while the request was on its way: it stays.
+        // A hint that arrived while the request was in flight must not be overridden by a later time.
         nextRequestMs = awaitingResponse ? requestMs : Math.min(nextRequestMs, requestMs);
         awaitingResponse = false;
         viewListener.run();
@@ -149,17 +149,17 @@
                 context.thread().logFailures(() -> listener.accept(name)).run());
     }
 
-    /** Whether this member can use a content under a name; any thread. */
+    /** Whether a content is valid for this name; may be called by any thread. */
     boolean isValid(String name, byte[] content) {
         try {
             return validators.getOrDefault(name, any -> true).test(content);
         } catch (RuntimeException e) {
-            LOG.warn("agreement at {}: {} can't be read", context.name(), name, e);
+            LOG.warn("agreement at {}: the validator of {} failed", context.name(), name, e);
             return false;
         }
     }
 
-    /** A leader has news, or has just begun to lead: asks soon. */
+    /** The leader has changed, or a value has: requests a renewal soon. */
     void onHint(String peer, AgreementMessage.Hint hint) {
         if (hint.leaderTerm() < lastLeaderTerm) {
             return;
@@ -173,7 +173,7 @@
         }
     }
 
-    /** The member asked does not lead: asks the one that it names, or the next voter. */
+    /** The target is not the leader: sends the next request to the leader that it names, or to the next voter. */
     void onNotLeader(String peer, AgreementMessage.NotLeader response) {
         String leader = response.leader();
         if (!leader.isEmpty()
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -14,14 +14,14 @@
 import java.util.function.BiPredicate;
 
 /**
- * A member's own lease: what it may act by, for all names, by one request. Immutable; each event makes another. A name
- * has a holder and a decision of its own; the lease of all runs from the same request.
+ * A member's leases and the values that it may use under them, for all names. Immutable: each event creates a new view.
+ * Each name has its own lease holder and decided version; all of them are renewed by the same request.
  */
 final class LeaseView {
-    /** A name's holder with the contents that it knows. */
+    /** The lease holder of a name with the known values of that name. */
     private record NameLease(LeaseHolder holder, Map<Long, Value> values) {}
 
-    /** Asks as all holders do; the holder of a name that was not heard of before. */
+    /** Counts requests like the holders of all names; a name seen for the first time starts with this holder. */
     private final LeaseHolder unnamedHolder;
 
     private final Map<String, NameLease> names;
@@ -33,12 +33,12 @@
         this.leaseUntilMs = leaseUntilMs;
     }
 
-    /** A process that has just started. */
+    /** The view of a process that has just started. */
     static LeaseView start(long life) {
         return new LeaseView(LeaseHolder.start(0, life), Map.of(), Double.NEGATIVE_INFINITY);
     }
 
-    /** A request for the lease leaves now. */
+    /** Returns the view after a renewal request is sent now. */
     LeaseView startRequest(double nowMs) {
         Map<String, NameLease> next = new TreeMap<>();
         names.forEach(
@@ -58,9 +58,9 @@
     }
 
     /**
-     * An answer has come.
+     * Returns the view after a response.
      *
-     * @param usable whether this member can use a content under a name
+     * @param validator whether this member can use a content for a name
      */
     LeaseView onRenewalResponse(AgreementMessage.RenewalResponse response, BiPredicate<String, byte[]> validator) {
         if (response.incarnation() != unnamedHolder.incarnation()
@@ -118,13 +118,13 @@
         if (effective.inDoubt()) {
             return Optional.empty();
         }
-        Map<Long, Value> value = names.get(name).values();
+        Map<Long, Value> values = names.get(name).values();
         return Optional.of(new EffectiveValues(
-                value.get(effective.one()),
-                effective.other() == effective.one() ? null : value.get(effective.other())));
+                values.get(effective.one()),
+                effective.other() == effective.one() ? null : values.get(effective.other())));
     }
 
-    /** The last value that was in force as far as it was told. */
+    /** The last value in force that this member was notified of. */
     Optional<Value> lastKnown(String name) {
         return Optional.ofNullable(names.get(name))
                 .map(lease -> lease.values().get(lease.holder().decided().inForce()));
@@ -134,7 +134,7 @@
         return names.containsKey(name) ? names.get(name).holder().decided() : DecidedVersion.NONE;
     }
 
-    /** The generation of this name that it can't use; 0 if none. */
+    /** The generation of this name that the member can't use; 0 if none. */
     long rejectedGeneration(String name) {
         return names.containsKey(name) ? names.get(name).holder().rejectedGeneration() : 0;
     }
@@ -143,12 +143,12 @@
         return List.copyOf(names.keySet());
     }
 
-    /** Until when it may act by what it was told last, of all names; milliseconds. */
+    /** End of the lease that covers all names, in milliseconds. */
     double leaseUntilMs() {
         return leaseUntilMs;
     }
 
-    /** The number of its last question. */
+    /** The number of the last renewal request. */
     long lastRequestNumber() {
         return unnamedHolder.lastRequestNumber();
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LinkTransport.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LinkTransport.java
@@ -7,7 +7,7 @@
 import io.microraft.model.message.RaftMessage;
 import io.microraft.transport.Transport;
 
-/** The Raft library's messages over the links of the fleet. */
+/** Sends the Raft library's messages over the links of the fleet. */
 final class LinkTransport implements Transport {
     private final PeerLinks links;
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LogCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LogCommand.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** What is written to the log that all voters share; each has the same effect at each of them. */
+/** Commands of the replicated log; each has the same effect at every voter. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "op")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = LogCommand.BeginTerm.class, name = "reign"),
@@ -15,11 +15,11 @@
 })
 sealed interface LogCommand {
     /**
-     * A voter leads from here on; the first entry of each of its terms.
+     * A voter has become the leader; the first entry of each of its terms.
      *
-     * @param leader who
-     * @param life in which of its lives
-     * @param number counts its leader terms in this life
+     * @param leader the voter
+     * @param incarnation the voter's incarnation
+     * @param termNumber counts the leader terms of that incarnation
      */
     record BeginTerm(
             @JsonProperty("leader") String leader,
@@ -28,9 +28,9 @@
             implements LogCommand {}
 
     /**
-     * A proposal; repeated ones of the same proposer, life and number count once.
+     * Stages a proposal. Duplicates, which have the same proposer, incarnation and request number, have no effect.
      *
-     * @param expected the generation that it was made against
+     * @param expectedGeneration the generation that has to be in force
      */
     record Stage(
             @JsonProperty("name") String name,
@@ -42,10 +42,10 @@
             implements LogCommand {}
 
     /**
-     * Whoever acted by another generation has heard of the staged one or can't act any more.
+     * Puts the staged generation into force: each lease holder knows of it, or its lease has expired.
      *
-     * @param version the decision's version for which that was found
-     * @param leaderTerm the leader term that found it: no other knows the leases that it looked at
+     * @param version the decided version for which the leader checked this
+     * @param leaderTerm the leader term that checked it; no other knows the leases that the check relied on
      */
     record Activate(
             @JsonProperty("name") String name,
@@ -53,7 +53,7 @@
             @JsonProperty("reign") long leaderTerm)
             implements LogCommand {}
 
-    /** A member can't use what is staged. */
+    /** Abandons the staged generation, because a member can't use it. */
     record Abandon(
             @JsonProperty("name") String name,
             @JsonProperty("version") long version,
@@ -62,10 +62,10 @@
             implements LogCommand {}
 
     /**
-     * A role has a new holder, or its holder a longer lease.
+     * Grants a role to a new holder, or a longer lease to its present holder.
      *
-     * @param forMs the lease, milliseconds
-     * @param token the token that the leader found there
+     * @param leaseMs the lease, in milliseconds
+     * @param previousToken the role's token when the leader created the command; the command is void if it has changed
      */
     record GrantRole(
             @JsonProperty("role") String role,
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberAlarm.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberAlarm.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What is wrong with a member, as operators read it. Raised on the member's thread, read on any. */
+/** The alarm of a member, for operators. Raised on the member's thread, read by any thread. */
 final class MemberAlarm {
     private static final Logger LOG = LoggerFactory.getLogger(MemberAlarm.class);
 
@@ -14,7 +14,7 @@
         this.member = member;
     }
 
-    /** Replaces the alarm; a text that stands already is not logged again. */
+    /** Sets the alarm; logs it unless it is already set with this text. */
     void raise(String cause) {
         if (!cause.equals(text)) {
             text = cause;
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberContext.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberContext.java
@@ -4,16 +4,17 @@
 import brackenbridge.fleet.peer.PeerLinks;
 
 /**
- * What the parts of one member share.
+ * Dependencies shared by the components of one member.
  *
  * @param name the member's name
- * @param processLife tells this process from others of the same member; unchanged if the links take a later life
+ * @param incarnation distinguishes this process from others of the same member; unchanged if the links take a later
+ *     incarnation
  * @param clock the member's clock
- * @param settings the same at all members, but for the seed
+ * @param settings the same at all members except for the seed
  * @param links the links to the other members
- * @param thread the one thread on which all parts run
+ * @param thread the only thread on which the components run
  * @param counters the member's metrics
- * @param alarm what is wrong, for operators
+ * @param alarm the member's alarm, for operators
  * @param sender sends a message to a member, this one included
  */
 record MemberContext(
@@ -30,11 +31,11 @@
     /** Sends messages to members by name. */
     @FunctionalInterface
     interface MessageSender {
-        /** Sends a message; it may be lost, delayed or repeated. */
+        /** Sends a message; it may be lost, delayed or duplicated. */
         void send(String peer, AgreementMessage message);
     }
 
-    /** The member's time, in milliseconds. */
+    /** The time of the member's clock, in milliseconds. */
     double nowMs() {
         return clock.nowMs();
     }
@@ -43,7 +44,7 @@
         sender.send(peer, message);
     }
 
-    /** Runs an event on the member's thread, behind all that waits already. */
+    /** Runs an event on the member's thread, after all queued events. */
     void execute(Runnable event) {
         thread.execute(event);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread on which a member's part of the agreement runs, the Raft library's part too. */
+/** The only thread on which a member's components run, including the Raft library. */
 final class MemberThread implements RaftNodeExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(MemberThread.class);
     private static final long SHUTDOWN_TIMEOUT_S = 2;
@@ -19,11 +19,11 @@
     private final ScheduledThreadPoolExecutor pool;
 
     /**
-     * A thread that has nothing to do yet.
+     * Creates the thread.
      *
-     * @param member whose
-     * @param speed how many of the library's seconds pass in one
-     * @param dropped counts what came after the end
+     * @param member the member's name
+     * @param raftClockRate how many seconds of the library's clock pass in one second
+     * @param dropped counts the events submitted after the shutdown
      */
     MemberThread(String member, double raftClockRate, LongAdder dropped) {
         this.member = member;
@@ -37,44 +37,44 @@
         pool.setRemoveOnCancelPolicy(true);
     }
 
-    /** Guards the thread: a fault in one event is logged and ends that event only. */
+    /** Guards the thread: an exception in an event is logged and ends that event only. */
     Runnable logFailures(Runnable event) {
         return () -> {
             try {
                 event.run();
             } catch (RuntimeException e) {
-                LOG.error("agreement at {}: an event failed", member, e);
+                LOG.error("agreement at {}: uncaught exception in an event", member, e);
             }
         };
     }
 
-    /** Runs an event behind all that waits already; none once the thread has ended. */
+    /** Runs an event after all queued events; drops it if the thread has been shut down. */
     @Override
     public void execute(Runnable event) {
         try {
             pool.execute(logFailures(event));
         } catch (RejectedExecutionException e) {
-            // It is closed: nothing is owed any more.
+            // The thread has been shut down: nobody waits for the event.
             dropped.increment();
         }
     }
 
-    /** Runs an event again and again, so many milliseconds after it has ended. */
+    /** Runs an event repeatedly, with a fixed delay between the end of one run and the start of the next. */
     void scheduleRepeatedly(long intervalMs, Runnable event) {
         pool.scheduleWithFixedDelay(logFailures(event), 0, intervalMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether the thread has ended: nothing is run any more. */
+    /** Whether the thread has been shut down, so that no event runs any more. */
     boolean isShutDown() {
         return pool.isShutdown();
     }
 
-    /** What {@link java.util.concurrent.CompletableFuture} runs on. */
+    /** This thread as an executor for {@link java.util.concurrent.CompletableFuture}. */
     java.util.concurrent.Executor executor() {
         return pool;
     }
 
-    /** Ends at once: nothing that waits is done any more. */
+    /** Shuts down at once: queued events are discarded. */
     void shutDown() {
         pool.shutdownNow();
         try {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
@@ -7,8 +7,8 @@
 import java.util.function.LongFunction;
 
 /**
- * Requests of a member to the leader: each is sent again until it is answered or its time is over. Proposals, claims
- * and questions of operators; for the member's own thread.
+ * A member's pending requests to the leader: proposals, role claims and operators' reads. Each is resent until it is
+ * answered or times out. Confined to the member's thread.
  */
 final class PendingRequests {
     private static final double RESEND_MS = 200;
@@ -39,12 +39,12 @@
     private final Map<Long, Request> requests = new TreeMap<>();
     private long lastNumber;
 
-    /** Sends by this, to whoever leads. */
+    /** Creates an empty set of requests; {@code sender} sends a message to the leader. */
     PendingRequests(Consumer<AgreementMessage> sender) {
         this.sender = sender;
     }
 
-    /** Sends a request with a number of its own; too many at once are over at once. */
+    /** Sends a request with a new number; if too many are pending, it times out at once. */
     void send(
             double nowMs,
             double untilMs,
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Sends again what has waited long enough, and gives up what is over. */
+    /** Resends the requests that are due, and ends those that have timed out. */
     void tick(double nowMs) {
         for (Iterator<Request> iterator = requests.values().iterator(); iterator.hasNext(); ) {
             Request request = iterator.next();
@@ -82,7 +82,7 @@
         }
     }
 
-    /** All are over. */
+    /** Times out all requests. */
     void timeOutAll() {
         requests.values().forEach(request -> request.onTimeout.run());
         requests.clear();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
@@ -8,12 +8,15 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The leader's side of proposals: writes each to the log once and sends its outcome. For the member's thread. */
+/**
+ * The leader's side of proposals: appends each to the log once and sends the result to its proposer. Confined to the
+ * member's thread.
+ */
 final class ProposalService {
-    /** Proposers that wait for an outcome. */
+    /** Maximum number of proposers that wait for a result. */
     private static final int MAX_WAITERS = 4 * RaftConsensus.MAX_PENDING_ENTRIES;
 
-    /** A proposal whose outcome another member waits for. */
+    /** A proposal for whose result a member waits. */
     private record Waiter(String peer, String name, long life, long number) {}
 
     private final MemberContext context;
@@ -26,7 +29,7 @@
         this.consensus = consensus;
     }
 
-    /** A new term has begun: proposers send again to whoever leads now. */
+    /** A new leader term has begun: proposers resend their proposals to the new leader. */
     void forgetWaiters() {
         waiters.clear();
     }
@@ -36,7 +39,7 @@
         inFlight.clear();
     }
 
-    /** Stages a proposal, unless it is on its way already or breaks a bound; only while this member leads. */
+    /** Stages a proposal unless it is already in flight or exceeds a limit; only while this member is the leader. */
     void onProposeRequest(String peer, AgreementMessage.ProposeRequest request) {
         Waiter waiter = new Waiter(peer, request.name(), request.incarnation(), request.requestNumber());
         if (inFlight.contains(waiter)
@@ -78,7 +81,7 @@
         });
     }
 
-    /** The verdict on a proposal that was not staged; empty if it was, or if nothing is known of it. */
+    /** The verdict on a proposal that was not staged; empty if it was, or if the result is unknown. */
     private static Optional<Verdict> rejection(AgreedState.Result result) {
         if (result == null) {
             return Optional.empty();
@@ -91,7 +94,7 @@
         };
     }
 
-    /** Tells the proposers of a name's settled generations what became of them. */
+    /** Sends the results of a name's decided proposals to their proposers. */
     void sendOutcomes(String name) {
         for (Iterator<Waiter> iterator = waiters.iterator(); iterator.hasNext(); ) {
             Waiter waiter = iterator.next();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftConsensus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftConsensus.java
@@ -18,20 +18,21 @@
 
 /**
  * Adapter of the Raft library (MicroRaft; Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
- * 2014): its configuration, its node, the replicated state and whether this member leads. For the member's thread.
+ * 2014): its configuration, its node, the replicated state and whether this member is the leader. Confined to the
+ * member's thread.
  */
 final class RaftConsensus {
     private static final Logger LOG = LoggerFactory.getLogger(RaftConsensus.class);
     private static final double MILLIS_PER_SECOND = 1000;
-    /** Entries on their way into the log, and proposals that are staged at once. */
+    /** Maximum number of uncommitted log entries, and of proposals in flight. */
     static final int MAX_PENDING_ENTRIES = 256;
-    /** Length of an election, in heartbeats. */
+    /** Election timeout, in heartbeats. */
     private static final double ELECTION_HEARTBEATS = 2;
-    /** By how much longer each later voter of the settings waits for an election, in heartbeats. */
+    /** Additional election timeout for each position in the list of voters, in heartbeats. */
     private static final double ELECTION_STAGGER_HEARTBEATS = 1.5;
-    /** A snapshot is taken after so many entries. */
+    /** Log entries after which a snapshot is taken. */
     private static final int SNAPSHOT_ENTRIES = 1000;
-    /** A learner that lacks at most so many entries of the leader's log is made a voter. */
+    /** Maximum number of entries by which a learner may lag behind the leader to be promoted to a voter. */
     private static final long PROMOTION_LAG_ENTRIES = 50;
 
     private final MemberContext context;
@@ -46,17 +47,17 @@
         this.context = context;
     }
 
-    /** Who hears of applied entries; set once, before the start. */
+    /** Sets the listener for applied entries; to be called once, before the start. */
     void setListener(AppliedListener appliedListener) {
         listener = appliedListener;
     }
 
-    /** What the applied entries have decided. */
+    /** The replicated state after all applied entries. */
     AgreedState state() {
         return state;
     }
 
-    /** The leases that this member grants; null unless it leads. */
+    /** The leases that this member grants; null unless it is the leader. */
     LeaderLeases leases() {
         return leases;
     }
@@ -74,7 +75,7 @@
         return groupId;
     }
 
-    /** Starts the library's node with what the store has, or with the bootstrap voters if it has nothing. */
+    /** Starts the library's node with the state in the store, or with the bootstrap voters if the store is empty. */
     void start(VoterStore store, VoterEndpoint self, List<String> bootstrapVoters) {
         groupId = VoterAdmission.groupId(bootstrapVoters);
         List<RaftEndpoint> initialMembers = new ArrayList<>();
@@ -99,7 +100,7 @@
 
     private RaftConfig config(AgreedSettings settings) {
         int rank = settings.voters().indexOf(context.name());
-        // The library's own jitter is shorter than a disk's write, so that votes would stay split for long.
+        // The library's own jitter is shorter than a disk write, which would lead to repeated split votes.
         double electionHeartbeats = ELECTION_HEARTBEATS + ELECTION_STAGGER_HEARTBEATS * rank;
         return RaftConfig.newBuilder()
                 .setLeaderElectionTimeoutMillis((long) (MILLIS_PER_SECOND * electionHeartbeats))
@@ -112,19 +113,19 @@
                 .build();
     }
 
-    /** Forgets a node that has stopped with its disk, and all that it had applied. */
+    /** Discards a node that has stopped because its disk failed, and the state that it had applied. */
     void discardNode() {
         raftNode = null;
         leases = null;
         state.restore(new AgreedState().snapshot());
     }
 
-    /** Ends the library's node. */
+    /** Terminates the library's node. */
     CompletableFuture<?> terminate() {
         return raftNode.terminate();
     }
 
-    /** Hands over a message of another voter; one of another Raft group raises the alarm. */
+    /** Passes a message from another voter to the library; a message of another Raft group raises the alarm. */
     void onMessage(String peer, RaftMessage message) {
         if (raftNode == null || !((VoterEndpoint) message.getSender()).name().equals(peer)) {
             return;
@@ -132,18 +133,19 @@
         if (!message.getGroupId().equals(groupId)) {
             context.counters().foreign.increment();
             context.alarm()
-                    .raise(peer + " follows another founding, " + message.getGroupId() + "; here it is " + groupId);
+                    .raise(peer + " belongs to Raft group " + message.getGroupId() + "; this member belongs to "
+                            + groupId);
             return;
         }
         raftNode.handle(message);
     }
 
-    /** Appends an entry to the log; only while this member leads. */
+    /** Appends a command to the log; only while this member is the leader. */
     CompletableFuture<Ordered<AgreedState.Result>> replicate(LogCommand command) {
         return raftNode.replicate(command);
     }
 
-    /** Runs this once a majority has confirmed, from now on, that it follows this member. */
+    /** Runs an action once a majority has confirmed, after this call, that it follows this member. */
     CompletableFuture<Ordered<Object>> readLinearizable(Runnable read) {
         return raftNode.query(
                 new AgreedStateMachine.LinearizableRead(read),
@@ -158,7 +160,7 @@
         }
     }
 
-    /** Counts the terms that this process has begun as leader, also over a disk's failure. */
+    /** Number of leader terms that this process has begun; not reset when the disk fails. */
     long leaderTermNumber() {
         return leaderTermNumber;
     }
@@ -167,17 +169,17 @@
         return ++leaderTermNumber;
     }
 
-    /** A new leader's term has begun; this member's own if it has leases to grant. */
+    /** A leader term has begun; {@code newLeases} is null if another member is the leader. */
     void beginTerm(LeaderLeases newLeases) {
         leases = newLeases;
     }
 
-    /** This member does not lead any more. */
+    /** This member is no longer the leader. */
     void stepDown() {
         leases = null;
     }
 
-    /** The leader's name as far as known; empty if unknown. */
+    /** The leader's name; empty if unknown. */
     String leader() {
         if (leases != null) {
             return context.name();
@@ -187,7 +189,7 @@
     }
 
     /**
-     * Starts a fresh pre-vote if the leader is silent and a stale one keeps the library from it.
+     * Starts a new pre-vote if the leader is silent and a stale pre-vote prevents the library from starting one.
      *
      * @return whether a pre-vote was started
      */
@@ -195,7 +197,7 @@
         return StalePreVote.replace(raftNode);
     }
 
-    /** The library's term. */
+    /** The Raft term. */
     int raftTerm() {
         return raftNode.getTerm().getTerm();
     }
@@ -205,8 +207,8 @@
     }
 
     /**
-     * Lets a voter with a new disk take its old one's place: the old one is removed, the new one becomes a learner and
-     * then a voter. Each call makes one change of members at most.
+     * Replaces a voter that has a new disk: the voter with the old disk is removed, the one with the new disk becomes a
+     * learner and then a voter. Each call makes at most one membership change.
      */
     void admitReplacement(String peer, AgreementMessage.JoinRequest request) {
         RaftGroupMembers members = raftNode.getCommittedMembers();
@@ -251,7 +253,7 @@
     private void changeMembers(RaftEndpoint member, MembershipChangeMode mode, RaftGroupMembers members) {
         raftNode.changeMembership(member, mode, members.getLogIndex())
                 .whenComplete((result, failure) -> LOG.info(
-                        "agreement at {}: {} {}: {}",
+                        "agreement at {}: membership change {} of {}: {}",
                         context.name(),
                         mode,
                         member,
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftLogTrees.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftLogTrees.java
@@ -13,11 +13,11 @@
 import java.io.IOException;
 import java.util.Collection;
 
-/** Log entries, snapshot chunks and members of the Raft library as trees, and back. */
+/** Converts log entries, snapshot chunks and members of the Raft library to trees and back. */
 final class RaftLogTrees {
     private RaftLogTrees() {}
 
-    /** The tree of a log entry or of a snapshot chunk. */
+    /** Converts a log entry or a snapshot chunk to a tree. */
     static ObjectNode tree(BaseLogEntry entry) {
         ObjectNode tree = AgreementCodec.MAPPER
                 .createObjectNode()
@@ -35,7 +35,7 @@
             change.set("all", ids(update.getMembers()));
             change.set("vote", ids(update.getVotingMembers()));
         } else {
-            throw new IllegalArgumentException("operation " + operation);
+            throw new IllegalArgumentException("unsupported log operation: " + operation);
         }
         if (entry instanceof SnapshotChunk chunk) {
             tree.put("ci", chunk.getSnapshotChunkIndex()).put("cn", chunk.getSnapshotChunkCount());
@@ -61,7 +61,7 @@
                 .build();
     }
 
-    /** A log entry. */
+    /** Reads a log entry. */
     static LogEntry logEntry(JsonNode tree) throws IOException {
         return AgreementCodec.MODEL_FACTORY
                 .createLogEntryBuilder()
@@ -71,7 +71,7 @@
                 .build();
     }
 
-    /** A chunk of a snapshot. */
+    /** Reads a snapshot chunk. */
     static SnapshotChunk snapshotChunk(JsonNode tree) throws IOException {
         return AgreementCodec.MODEL_FACTORY
                 .createSnapshotChunkBuilder()
@@ -84,7 +84,7 @@
                 .build();
     }
 
-    /** The tree of a group's members. */
+    /** Converts the members of a Raft group to a tree. */
     static ObjectNode tree(RaftGroupMembersView members) {
         ObjectNode tree = AgreementCodec.MAPPER.createObjectNode().put("i", members.getLogIndex());
         tree.set("all", ids(members.getMembers()));
@@ -92,7 +92,7 @@
         return tree;
     }
 
-    /** A group's members. */
+    /** Reads the members of a Raft group. */
     static RaftGroupMembersView view(JsonNode tree) throws IOException {
         return AgreementCodec.MODEL_FACTORY
                 .createRaftGroupMembersViewBuilder()
@@ -102,7 +102,7 @@
                 .build();
     }
 
-    /** The tree of voters. */
+    /** Converts voters to an array of their ids. */
     static ArrayNode ids(Collection<RaftEndpoint> all) {
         ArrayNode tree = AgreementCodec.MAPPER.createArrayNode();
         VoterEndpoint.ids(all).forEach(tree::add);
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftMessageTrees.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftMessageTrees.java
@@ -29,14 +29,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The Raft library's messages as trees, and back. Keys are short, for each message carries them. */
+/** Converts the Raft library's messages to trees and back. Keys are short, because each message contains them. */
 final class RaftMessageTrees {
     private RaftMessageTrees() {}
 
-    /** What all messages carry: the Raft group, the sender and its term. */
+    /** Properties of all messages: the Raft group, the sender and the sender's term. */
     private record Header(String groupId, RaftEndpoint sender, int term) {}
 
-    /** The tree of a message; key {@code k} names its type. */
+    /** Converts a message to a tree; property {@code k} is its type. */
     static ObjectNode tree(RaftMessage message) {
         ObjectNode tree = MAPPER.createObjectNode()
                 .put("g", (String) message.getGroupId())
@@ -102,7 +102,8 @@
         } else if (message instanceof TriggerLeaderElectionRequest request) {
             tree.put("k", "lead").put("lt", request.getLastLogTerm()).put("i", request.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException(message.getClass().getName());
+            throw new IllegalArgumentException(
+                    "unsupported message: " + message.getClass().getName());
         }
     }
 
@@ -111,7 +112,7 @@
     }
 
     /**
-     * The message of a tree.
+     * Reads a message.
      *
      * @throws IOException if its type is unknown, or a property is missing or out of range
      */
@@ -129,7 +130,7 @@
             case "vote" -> vote(header, tree);
             case "voted" -> voteResponse(header, tree);
             case "lead" -> triggerElection(header, tree);
-            default -> throw new IOException("message " + type);
+            default -> throw new IOException("unknown message type '" + type + "'");
         };
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftStateLoader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftStateLoader.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads what the Raft library goes on with after a restart: its endpoint, term, latest snapshot and log. */
+/** Loads the state that the Raft library needs after a restart: its endpoint, term, latest snapshot and log. */
 final class RaftStateLoader {
     private final Map<String, byte[]> meta;
     private final Map<Long, byte[]> log;
     private final Map<String, byte[]> chunks;
 
-    /** Reads from maps of sealed values, each ordered by its keys. */
+    /** Creates a loader for maps of values with checksums, each ordered by its keys. */
     RaftStateLoader(Map<String, byte[]> meta, Map<Long, byte[]> log, Map<String, byte[]> chunks) {
         this.meta = meta;
         this.log = log;
@@ -24,9 +24,9 @@
     }
 
     /**
-     * The stored state; null if the library has not begun on this disk.
+     * Loads the stored state; null if the library has not been started with this disk.
      *
-     * @throws VoterStore.Damaged if something is missing or can't be read
+     * @throws VoterStore.DamagedDiskException if something is missing or can't be read
      */
     RestoredRaftState load() throws IOException {
         if (!meta.containsKey("endpoint") || !meta.containsKey("initial") || !meta.containsKey("term")) {
@@ -60,13 +60,14 @@
                     StoreChecksums.verifiedValue(stored.getKey().toString(), stored.getValue()));
             if (entry.getIndex() != stored.getKey()) {
                 throw new VoterStore.DamagedDiskException(
-                        "entry " + entry.getIndex() + " in place " + stored.getKey(), null);
+                        "log entry " + entry.getIndex() + " is stored at index " + stored.getKey(), null);
             }
             if (entry.getIndex() < next && entries.isEmpty()) {
                 continue;
             }
             if (entry.getIndex() != next) {
-                throw new VoterStore.DamagedDiskException("entry " + entry.getIndex() + " after " + (next - 1), null);
+                throw new VoterStore.DamagedDiskException(
+                        "log entry " + entry.getIndex() + " follows entry " + (next - 1), null);
             }
             next++;
             entries.add(entry);
@@ -74,7 +75,7 @@
         return entries;
     }
 
-    /** The latest snapshot all of whose chunks are there; null if there is none. */
+    /** The latest complete snapshot; null if there is none. */
     private SnapshotEntry latestSnapshot() throws IOException {
         List<SnapshotChunk> collected = new ArrayList<>();
         List<SnapshotChunk> complete = List.of();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -13,16 +13,16 @@
 import java.util.function.LongFunction;
 
 /**
- * A member's own requests to the leader: proposals, role claims and operators' reads. Any thread may ask; answers come
- * on the member's thread.
+ * A member's own requests to the leader: proposals, role claims and operators' reads. Any thread may send them;
+ * responses are processed on the member's thread.
  */
 final class RequestClient {
-    /** A claim is sent again for at least so long, and at most for {@link #MAX_CLAIM_MS}. */
+    /** Minimum time for which a claim is resent; {@link #MAX_CLAIM_MS} is the maximum. */
     private static final double MIN_CLAIM_MS = 400;
 
     private static final double MAX_CLAIM_MS = 5000;
 
-    /** A proposal in force whose generation this member has not been told of yet. */
+    /** A proposal in force whose generation this member's lease does not include yet. */
     private record UnseenDecision(String name, long generation, double untilMs, CompletableFuture<Verdict> verdict) {}
 
     private final MemberContext context;
@@ -38,25 +38,25 @@
         this.pending = new PendingRequests(message -> context.send(leaseClient.requestTarget(), message));
     }
 
-    /** Who holds which role, as far as this member was told; any thread. */
+    /** The known lease of each role; may be called by any thread. */
     Map<String, Lease> roleLeases() {
         return roleLeases;
     }
 
-    /** Completes what can be, sends again what is unanswered, and ends what is overdue. */
+    /** Completes proposals whose generation is known by now, resends requests, and ends those that timed out. */
     void tick(double nowMs) {
         completeSeenDecisions();
         pending.tick(nowMs);
     }
 
-    /** Ends all requests. */
+    /** Ends all requests: proposals in force complete as such, all others time out. */
     void close() {
         closed = true;
         pending.timeOutAll();
         unseenDecisions.forEach(decision -> decision.verdict().complete(Verdict.IN_FORCE));
     }
 
-    /** Takes an answer to a request of this process; one to an earlier process is passed over. */
+    /** Processes a response to a request of this process; a response to an earlier incarnation is ignored. */
     void onResponse(long incarnation, long requestNumber, AgreementMessage response) {
         if (incarnation == context.incarnation()) {
             pending.complete(requestNumber, response);
@@ -66,7 +66,7 @@
     /**
      * Proposes a value ({@link AgreedValues#propose}).
      *
-     * @throws IllegalArgumentException if a name, content or generation is out of bounds
+     * @throws IllegalArgumentException if the name, content or generation is out of range
      */
     CompletableFuture<Verdict> propose(String name, long expectedGeneration, byte[] content, double withinMs) {
         if (name.isEmpty()
@@ -99,7 +99,7 @@
         completeSeenDecisions();
     }
 
-    /** Tells proposers once this member knows the value as well, so that the next proposal is made against it. */
+    /** Completes proposals once this member knows the new value, so that the next proposal can expect it. */
     void completeSeenDecisions() {
         for (Iterator<UnseenDecision> iterator = unseenDecisions.iterator(); iterator.hasNext(); ) {
             UnseenDecision decision = iterator.next();
@@ -114,14 +114,14 @@
     /**
      * Claims a role ({@link AgreedValues#acquire}).
      *
-     * @throws IllegalArgumentException if the role's name or the time is out of bounds
+     * @throws IllegalArgumentException if the role's name or the lease is out of range
      */
     CompletableFuture<Lease> claim(String role, double leaseMs) {
         double maxRoleMs = context.settings().maxRoleLeaseMs();
         if (role.isEmpty() || role.length() > AgreedState.MAX_NAME_LENGTH || !(leaseMs > 0) || leaseMs > maxRoleMs) {
             throw new IllegalArgumentException("role '" + role + "' for " + leaseMs + " ms of at most " + maxRoleMs);
         }
-        // The lease counts from here: before the request leaves.
+        // The lease counts from here, which is before the request is sent.
         double requestedMs = context.nowMs();
         CompletableFuture<Lease> lease = new CompletableFuture<>();
         request(
@@ -157,14 +157,14 @@
         roleLeases = Map.copyOf(next);
     }
 
-    /** This member's lease of the role, if it holds it now by its own clock; any thread. */
+    /** This member's lease of the role, if it holds it now by its own clock; may be called by any thread. */
     Optional<Lease> heldLease(String role) {
         return Optional.ofNullable(roleLeases.get(role))
                 .filter(lease -> lease.holder().equals(context.name()))
                 .filter(lease -> context.nowMs() < lease.untilMs());
     }
 
-    /** The generations of a name that are kept, oldest first; empty if no voter answers within the time. */
+    /** Reads the stored generations of a name, oldest first; empty if no voter answers in time. */
     CompletableFuture<Optional<AgreementMessage.HistoryResponse>> readHistory(
             String name, long generation, double withinMs) {
         CompletableFuture<Optional<AgreementMessage.HistoryResponse>> history = new CompletableFuture<>();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
@@ -13,33 +13,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** What staff do with agreed values, as text in and out; each call waits for its answer, at most for the time given. */
+/** Operators' commands for agreed values, with text input and output. Each call blocks until its reply or a timeout. */
 public final class SettingsAdminHandler {
     private final AgreementMember member;
     private final double withinMs;
 
     /**
-     * Calls by this member.
+     * Creates a handler that sends its requests through this member.
      *
-     * @param withinMs how long an answer is waited for
+     * @param withinMs the timeout of a request, in milliseconds
      */
-    public SettingsAdminHandler(AgreementMember node, double withinMs) {
-        this.member = node;
+    public SettingsAdminHandler(AgreementMember member, double withinMs) {
+        this.member = member;
         this.withinMs = withinMs;
     }
 
     /**
-     * What a call came to.
+     * The reply to a command.
      *
-     * @param done whether what was asked for is done or shown
-     * @param text for people
+     * @param succeeded whether the command succeeded
+     * @param text the result or the reason of the failure, for operators
      */
     public record Reply(boolean succeeded, String text) {}
 
     /**
      * Proposes a content.
      *
-     * @param against the generation that it was made against; below 0: the one in force as this member knows it
+     * @param against the generation that has to be in force; if negative, the last one in force known to this member
      */
     public Reply propose(String name, String content, long against) {
         long expected = against >= 0
@@ -57,27 +57,26 @@
                     case OVERTAKEN ->
                         "not taken: it was made against generation " + expected
                                 + ", and another is in force; look at it and propose again";
-                    case ANOTHER_STAGED -> "not taken: another proposal is under way";
+                    case ANOTHER_STAGED -> "not taken: another proposal is staged";
                     case REFUSED -> "refused: a member can't use it; its status and log say why";
                     case UNKNOWN ->
                         "no majority has answered in " + Math.round(withinMs)
-                                + " ms: it may still come into force, or never;"
-                                + " look at the history before you propose again";
+                                + " ms: the proposal may still come into force, or never;"
+                                + " check the history before you propose again";
                 });
     }
 
-    /** What is in force or staged, as this member may act by it. */
+    /** Shows the values in force and staged that this member may use. */
     public Reply show(String name) {
-        Optional<EffectiveValues> acting = member.effectiveValues(name);
-        if (acting.isEmpty()) {
+        Optional<EffectiveValues> effective = member.effectiveValues(name);
+        if (effective.isEmpty()) {
             return member.lastKnown(name)
                     .map(value -> new Reply(false, "in doubt; last known:\n" + format(value)))
                     .orElse(new Reply(false, "nothing is known of " + name));
         }
-        Value staged = acting.get().staged();
+        Value staged = effective.get().staged();
         return new Reply(
-                true,
-                format(acting.get().inForce()) + (staged == null ? "" : "\nstaged beside it:\n" + format(staged)));
+                true, format(effective.get().inForce()) + (staged == null ? "" : "\nstaged:\n" + format(staged)));
     }
 
     private static String format(Value value) {
@@ -85,7 +84,7 @@
                 + new String(value.content(), StandardCharsets.UTF_8);
     }
 
-    /** The generations that are kept, oldest first. */
+    /** Lists the stored generations, oldest first. */
     public Reply history(String name) {
         Optional<AgreementMessage.HistoryResponse> response = readHistory(name, 0);
         if (response.isEmpty()) {
@@ -104,13 +103,13 @@
         return new Reply(text.length() > 0, text.length() > 0 ? text.toString() : "nothing is known of " + name);
     }
 
-    /** Proposes an older generation's content as a new one; numbers never go back. */
+    /** Proposes the content of an older generation as a new generation; generation numbers never decrease. */
     public Reply withdraw(String name, long generation) {
         Reply older = content(name, generation);
         return older.succeeded() ? propose(name, older.text(), -1) : older;
     }
 
-    /** What is not the same in two generations. */
+    /** Shows the difference between two generations. */
     public Reply diff(String name, long firstGeneration, long secondGeneration) {
         Reply first = content(name, firstGeneration);
         Reply second = content(name, secondGeneration);
@@ -119,7 +118,7 @@
                 : !second.succeeded() ? second : new Reply(true, diff(first.text(), second.text()));
     }
 
-    /** Whether a majority answers, who leads, and what is in force. */
+    /** Shows whether a majority answers, which member leads, and what is in force. */
     public Reply status() {
         return new Reply(member.alarm().isEmpty(), member.status());
     }
@@ -134,7 +133,7 @@
     }
 
     private Optional<AgreementMessage.HistoryResponse> readHistory(String name, long generation) {
-        return await(member.readHistory(name, generation, withinMs)).flatMap(o -> o);
+        return await(member.readHistory(name, generation, withinMs)).flatMap(response -> response);
     }
 
     private Reply noResponse() {
@@ -152,7 +151,7 @@
         }
     }
 
-    /** The lines between the first and the last that differ: those that go, then those that come. */
+    /** Lists the lines between the first and the last difference: first the removed ones, then the added ones. */
     static String diff(String from, String to) {
         List<String> first = Arrays.asList(from.split("\n", -1));
         List<String> second = Arrays.asList(to.split("\n", -1));
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StalePreVote.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StalePreVote.java
@@ -6,19 +6,19 @@
 import io.microraft.impl.state.RaftState;
 
 /**
- * Guards elections against a fault of the Raft library (MicroRaft 0.7). A follower that hears of its leader while its
- * own pre-vote of the same term is under way follows that leader, but never forgets the pre-vote. When that leader
- * falls silent, the library's heartbeat task takes the stale pre-vote for a running one and starts no other: the
- * follower keeps the dead leader until someone else raises the term, which nobody may be able to.
+ * Guards elections against a bug of the Raft library (MicroRaft 0.7). A follower that receives a message of its leader
+ * during its own pre-vote in the same term follows that leader, but does not reset the pre-vote state. When that leader
+ * fails, the library's heartbeat task assumes that the stale pre-vote is still running and starts no new one. The
+ * follower keeps the dead leader until another voter raises the term, which may never happen.
  */
 final class StalePreVote {
     private StalePreVote() {}
 
     /**
-     * Does what the library's heartbeat task omits: if the leader's heartbeats have timed out and a stale pre-vote is
-     * left, forgets the leader and starts a fresh pre-vote. To be called on the library's thread.
+     * Does what the library's heartbeat task omits: if the leader's heartbeats have timed out and there is a stale
+     * pre-vote, resets the leader and starts a new pre-vote. To be called on the library's thread.
      *
-     * @param raft this voter's part of the library
+     * @param raft the library's node of this voter
      * @return whether a pre-vote was started
      */
     static boolean replace(RaftNode raft) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StatusReport.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StatusReport.java
@@ -3,7 +3,7 @@
 import brackenbridge.core.generation.DecidedVersion;
 import java.util.Locale;
 
-/** The text that operators read of a member's part in the agreement; made on the member's thread. */
+/** Renders the status of a member as text for operators; to be called on the member's thread. */
 final class StatusReport {
     private final MemberContext context;
     private final RaftConsensus consensus;
@@ -27,7 +27,7 @@
         this.recovery = recovery;
     }
 
-    /** The report as it is now, one property a line. */
+    /** Renders the current status, one property per line. */
     String render() {
         double nowMs = context.nowMs();
         StringBuilder report = new StringBuilder();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StoreChecksums.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StoreChecksums.java
@@ -5,13 +5,16 @@
 import java.util.Arrays;
 import java.util.zip.CRC32C;
 
-/** Stored values with a checksum each, over key and value: the store's own cover its pages' heads only. */
+/**
+ * Stores each value with a checksum of its key and content, because the checksums of the store itself cover only the
+ * headers of its pages.
+ */
 final class StoreChecksums {
     private static final int CHECKSUM_BYTES = 4;
 
     private StoreChecksums() {}
 
-    /** The value behind its checksum. */
+    /** Prepends the checksum to a value. */
     static byte[] withChecksum(String key, byte[] value) {
         return ByteBuffer.allocate(value.length + CHECKSUM_BYTES)
                 .putInt(crc(key, value, 0))
@@ -20,18 +23,18 @@
     }
 
     /**
-     * The value of a sealed one.
+     * Verifies the checksum of a stored value and returns the value without it.
      *
-     * @throws VoterStore.Damaged if the checksum is not that of this key and value
+     * @throws VoterStore.DamagedDiskException if the checksum does not match
      */
     static byte[] verifiedValue(String key, byte[] stored) throws VoterStore.DamagedDiskException {
         if (stored.length < CHECKSUM_BYTES || ByteBuffer.wrap(stored).getInt() != crc(key, stored, CHECKSUM_BYTES)) {
-            throw new VoterStore.DamagedDiskException("checksum of " + key, null);
+            throw new VoterStore.DamagedDiskException("checksum mismatch of '" + key + "'", null);
         }
         return Arrays.copyOfRange(stored, CHECKSUM_BYTES, stored.length);
     }
 
-    /** CRC-32C of a key and of the bytes from an offset on. */
+    /** CRC-32C of a key and of the bytes starting at an offset. */
     static int crc(String key, byte[] bytes, int from) {
         CRC32C checksum = new CRC32C();
         checksum.update(key.getBytes(StandardCharsets.UTF_8));
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterAdmission.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterAdmission.java
@@ -8,43 +8,44 @@
 import java.util.Map;
 
 /**
- * Whether a voter may take part, and as who. A vote or an entry that was forced to a disk may have been counted on by
- * the others; so a disk that is new, old or copied must never pass for the one that they counted on.
+ * Decides whether a voter may take part in the Raft group, and as which voter. Other voters may rely on each vote and
+ * entry that was forced to a disk, so a disk that is new, outdated or copied must never be taken for that disk.
  *
  * <ul>
- * <li>A voter is a member with the number of its disk. The first voter of the settings bootstraps the Raft group,
- * once: when all voters are there and no member, voter or not, knows of a group.
- * <li>A voter with an empty disk joins the group that it hears of: as one of its voters if its disk is one of them,
- * else it asks to take its old disk's place, which the others decide by a change of members.
- * <li>A bootstrap voter waits until a majority has told what it knows. A disk that was replaced, or that was
- * heard of with a later start, is put aside; it comes back as an empty one.
+ * <li>A voter is identified by its member and the id of its disk. The first voter of the settings bootstraps the Raft
+ * group once, when all voters have responded and no member, voter or not, knows a group.
+ * <li>A voter with an empty disk joins the group that the responses name: if its disk is one of the group's voters, as
+ * that voter; otherwise it requests to replace its old disk, which the group decides by a membership change.
+ * <li>A bootstrap voter waits for the responses of a majority. A disk that was replaced, or that another member has
+ * seen at a later start, is put aside, and the voter continues with an empty one.
  * </ul>
  */
 final class VoterAdmission {
     private VoterAdmission() {}
 
-    /** What to do. */
+    /** The next step of a voter. */
     enum Step {
-        /** Ask on. */
+        /** Wait for further responses. */
         WAIT,
-        /** Bootstrap the group with the voters that were heard of. */
+        /** Bootstrap the group with the voters that have responded. */
         BOOTSTRAP,
-        /** Take part as one of the bootstrap voters. */
+        /** Start as one of the group's voters. */
         START,
-        /** Ask for the old disk's place. */
+        /** Start, and request to replace the old disk. */
         JOIN,
-        /** This disk is old, copied or was replaced: it counts as lost. */
+        /** Put the disk aside and treat it as lost: it is outdated, copied or was replaced. */
         PUT_ASIDE,
         /** Members follow different Raft groups: operators must decide which disks to keep. */
         SPLIT
     }
 
     /**
-     * What a voter knows of itself.
+     * The voter's own state.
      *
-     * @param bootstrapVoters the bootstrap voters of the group that its disk takes part in; empty if none
-     * @param joining whether it has asked for its old disk's place and is not known to have it yet
-     * @param since the change of members by which it became one; 0 at the bootstrap
+     * @param startCount the number of starts with its disk
+     * @param bootstrapVoters the bootstrap voters of the Raft group stored on its disk; empty if none
+     * @param joining whether it has requested to replace its old disk and does not know yet that it was accepted
+     * @param joinLogIndex the log index of the membership change that made it a voter; 0 at the bootstrap
      */
     record LocalVoter(
             VoterEndpoint endpoint,
@@ -54,18 +55,18 @@
             boolean joining,
             long joinLogIndex) {}
 
-    /** The bootstrap voters by the disk or else by the answers; empty if none are known. */
+    /** The bootstrap voters stored on the disk, or else those in the responses; empty if none are known. */
     static List<String> bootstrapVoters(LocalVoter self, Map<String, AgreementMessage.HelloResponse> responses) {
         return !self.bootstrapVoters().isEmpty()
                 ? self.bootstrapVoters()
                 : responses.values().stream()
                         .map(AgreementMessage.HelloResponse::bootstrapVoters)
-                        .filter(response -> !response.isEmpty())
+                        .filter(bootstrapVoters -> !bootstrapVoters.isEmpty())
                         .findFirst()
                         .orElse(List.of());
     }
 
-    /** The next step, by the answers that have come. */
+    /** Decides the next step by the responses received so far. */
     static Step nextStep(LocalVoter self, List<String> voters, Map<String, AgreementMessage.HelloResponse> responses) {
         String endpoint = self.endpoint().toString();
         List<String> bootstrapVoters = bootstrapVoters(self, responses);
@@ -102,7 +103,7 @@
         return !isVoter ? Step.JOIN : voterResponses < voters.size() / 2 ? Step.WAIT : Step.START;
     }
 
-    /** The Raft group's id: the same for the same bootstrap voters with the same disks. */
+    /** The id of the Raft group: a hash of the bootstrap voters, including their disk ids. */
     static String groupId(List<String> bootstrapVoters) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256")
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * A voter: a member with the disk that it has. The same member with another disk is another voter, so that a vote or a
- * log entry that was lost with a disk is never counted on.
+ * A voter: a member together with its disk. The same member with another disk is another voter, so that the group never
+ * relies on votes or log entries that were lost with the old disk.
  *
  * @param name the member
- * @param disk the disk's number, drawn when it was empty
+ * @param diskId the random id that the disk got when it was empty
  */
 record VoterEndpoint(String name, String diskId) implements RaftEndpoint {
     private static final int MAX_LENGTH = 128;
@@ -21,14 +21,14 @@
                 || diskId.length() > MAX_LENGTH
                 || name.indexOf('@') >= 0
                 || diskId.indexOf('@') >= 0) {
-            throw new IllegalArgumentException("voter: " + name + "@" + diskId);
+            throw new IllegalArgumentException("malformed voter: '" + name + "@" + diskId + "'");
         }
     }
 
     static VoterEndpoint parse(String id) {
         int separator = id.indexOf('@');
         if (separator < 0) {
-            throw new IllegalArgumentException("voter: " + id);
+            throw new IllegalArgumentException("malformed voter: '" + id + "'");
         }
         return new VoterEndpoint(id.substring(0, separator), id.substring(separator + 1));
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A voter's way into the Raft group: opens its disk, asks the other voters what they know of it, starts the consensus
- * by {@link VoterAdmission}'s rules, and begins anew after its disk has failed. For the member's thread.
+ * Start and recovery of a voter: opens its disk, asks the other members what they know about it, starts the consensus
+ * by the rules of {@link VoterAdmission}, and restarts it after a disk failure. Confined to the member's thread.
  */
 final class VoterRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(VoterRecovery.class);
-    /** Between two rounds of hellos. */
+    /** Interval of hellos to the other members. */
     private static final double HELLO_INTERVAL_MS = 200;
-    /** Between two requests to take the old disk's place. */
+    /** Interval of requests to replace the old disk. */
     private static final double JOIN_INTERVAL_MS = 500;
-    /** How long after a failure the disk is opened again. */
+    /** Interval of attempts to reopen a failed disk. */
     private static final double REOPEN_INTERVAL_MS = 1000;
 
     private static final String DISK_FAILED = "the disk can't be written: this member does not vote until it can";
@@ -40,9 +40,9 @@
     private double lastJoinRequestMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A voter that has not opened its disk yet.
+     * Creates a voter that has not opened its disk yet.
      *
-     * @param directory where its files are; null for memory only, which is a disk that is lost at each end
+     * @param directory the directory of its files; null keeps them in memory, so that they are lost at each stop
      */
     VoterRecovery(
             MemberContext context,
@@ -58,13 +58,13 @@
         this.directory = directory;
     }
 
-    /** The files are on a file system of this scheme; before {@link #openDisk}. */
+    /** Sets the scheme of the file system that stores the files; to be called before {@link #openDisk}. */
     void useFileScheme(String fileScheme) {
         scheme = fileScheme;
     }
 
     /**
-     * Opens the disk; a damaged one is put aside and begun anew.
+     * Opens the disk; puts a damaged one aside and opens an empty one.
      *
      * @throws IOException if the disk can't be used, or belongs to another fleet or member
      */
@@ -81,7 +81,7 @@
         joining = store.isJoining();
     }
 
-    /** Whether it waits for its old disk's place. */
+    /** Whether the voter waits to replace its old disk. */
     boolean isJoining() {
         return joining;
     }
@@ -90,7 +90,7 @@
         return store != null && store.failed();
     }
 
-    /** The disk, for operators' figures. */
+    /** Describes the disk, for operators. */
     String describeDisk() {
         return (directory == null ? "memory only" : store.fileBytes() + " bytes") + ", " + store.forcedWrites()
                 + " writes forced";
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Does what is due: reopens a failed disk, asks the other voters, renews a stale pre-vote, or asks to join. */
+    /** Performs what is due: reopens a failed disk, sends hellos, replaces a stale pre-vote, or requests to join. */
     void tick(double nowMs) {
         if (store.failed()) {
             onDiskFailed(nowMs);
@@ -119,7 +119,9 @@
 
     private void tickStarted(double nowMs) {
         if (consensus.replaceStalePreVote()) {
-            LOG.warn("agreement at {}: the leader is silent and a stale pre-vote was left: votes anew", context.name());
+            LOG.warn(
+                    "agreement at {}: the leader is silent, a stale pre-vote was replaced by a new one",
+                    context.name());
         }
         if (joining && nowMs >= lastJoinRequestMs + JOIN_INTERVAL_MS) {
             lastJoinRequestMs = nowMs;
@@ -135,10 +137,10 @@
         joining = false;
         runDiskAction(() -> store.saveJoined(consensus.committedMembers().getLogIndex()));
         context.alarm().clear();
-        LOG.info("agreement at {}: votes as {}", context.name(), endpoint);
+        LOG.info("agreement at {}: became a voter as {}", context.name(), endpoint);
     }
 
-    /** A disk that has failed is tried again from time to time; until it takes writes, this member does not vote. */
+    /** Reopens a failed disk periodically; this member does not vote until a write succeeds. */
     private void onDiskFailed(double nowMs) {
         if (consensus.isStarted()) {
             context.alarm().raise(DISK_FAILED);
@@ -158,10 +160,10 @@
         }
         context.alarm().clear();
         lastHelloMs = Double.NEGATIVE_INFINITY;
-        LOG.warn("agreement at {}: the disk takes writes again, this member asks to vote", context.name());
+        LOG.warn("agreement at {}: the disk can be written again, this member rejoins the voters", context.name());
     }
 
-    /** The library's node has stopped with the disk; another one begins with what the disk has, as after a start. */
+    /** Discards the Raft node, which has stopped with the disk; a new one starts from the disk, as after a restart. */
     private void stopVoting() {
         consensus.discardNode();
         leaderService.reset();
@@ -187,7 +189,7 @@
         takeNextStep();
     }
 
-    /** Answers a hello with what this member knows, and remembers the asker's disk. */
+    /** Answers a hello with what this member knows, and stores the requester's disk. */
     void onHello(String peer, AgreementMessage.Hello request) {
         List<String> members = List.of();
         List<String> bootstrapVoters = List.of();
@@ -201,7 +203,7 @@
                 seen = store.lastSeen(peer).map(last -> last.split(" ")).orElse(seen);
                 String current = request.diskId() + " " + request.startCount() + " " + request.incarnation();
                 if (!current.equals(String.join(" ", seen))) {
-                    store.lastSeen(peer, current);
+                    store.saveLastSeen(peer, current);
                 }
                 if (consensus.isStarted()) {
                     members = VoterEndpoint.ids(consensus.committedMembers().getVotingMembers());
@@ -249,9 +251,10 @@
                 case JOIN -> startVoting(known, true);
                 case PUT_ASIDE -> replaceDisk();
                 case SPLIT ->
-                    context.alarm().raise("members follow different foundings: staff must decide which disks to keep");
+                    context.alarm()
+                            .raise("members follow different Raft groups: operators must decide which disks to keep");
                 default -> {
-                    // It asks on.
+                    // Wait for further responses.
                 }
             }
         });
@@ -282,10 +285,10 @@
         joining = asReplacement;
         consensus.start(store, endpoint, bootstrapVoters);
         LOG.info(
-                "agreement at {}: takes part as {} in Raft group {}{}",
+                "agreement at {}: started as {} in Raft group {}{}",
                 context.name(),
                 endpoint,
                 consensus.groupId(),
-                joining ? ", asks for its old disk's place" : "");
+                joining ? ", requests to replace its old disk" : "");
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -30,27 +30,28 @@
 import org.h2.store.fs.FilePath;
 
 /**
- * A voter's disk: terms, votes, entries and snapshots in one file of an MVStore, each value with its own checksum, and
- * beside it the count of writes that were forced. What was forced is there when it is opened again, or the disk is
- * {@link DamagedDiskException}: a store that goes back to an earlier chunk must not pass for whole.
+ * The disk of a voter: terms, votes, entries and snapshots in one MVStore file, each value with its own checksum, and a
+ * second file with the number of forced writes. All forced writes are present when the disk is opened again, otherwise
+ * opening throws a {@link DamagedDiskException}: a store that has fallen back to an earlier chunk must not be taken for
+ * an intact one.
  *
- * <p>Once a write has failed nobody knows which pages of the file reached the disk, and a sync that succeeds later does
- * not say. So nothing more is written to that file: {@link #open} reads what is there, writes it anew to a fresh file,
- * and goes on with that once it is synced.
+ * <p>After a failed write it is unknown which pages of the file reached the disk, and a later successful sync does not
+ * tell. So nothing more is written to that file: {@link #open} copies its content to a new file, syncs that, and
+ * continues with it.
  */
 final class VoterStore implements RaftStore, AutoCloseable {
     private static final String FILE = "agreed.mv";
-    /** What is written anew at an opening, until it is whole. */
+    /** The copy that {@link #open} writes, until it is complete. */
     private static final String REWRITTEN_FILE = FILE + ".new";
-    /** Unreferenced chunks of the file are kept so long; each write is forced, so that none needs them. */
+    /** Retention time of unreferenced chunks in the file; short, because each write is forced and none needs them. */
     private static final int CHUNK_RETENTION_MS = 5000;
-    /** The file is compacted after so many forced writes. */
+    /** Forced writes after which the file is compacted. */
     private static final int COMPACT_WRITES = 100;
 
     private static final int COMPACT_FILL_PERCENT = 70;
     private static final int COMPACT_BYTES = 4 << 20;
 
-    /** The disk has lost or changed what was forced to it: it counts as lost. */
+    /** The disk has lost or changed forced data, so it must be treated as lost. */
     static final class DamagedDiskException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -59,7 +60,7 @@
         }
     }
 
-    /** The disk belongs to another fleet or member: staff have mixed something up. */
+    /** The disk belongs to another fleet or member, which is a configuration error. */
     static final class ForeignDiskException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -99,15 +100,15 @@
     }
 
     /**
-     * Opens a member's disk; an empty one becomes this member's.
+     * Opens a member's disk; an empty one is assigned to this member.
      *
-     * @param directory where; null for memory only, which is a disk that is lost at each end
+     * @param directory the directory of the files; null keeps them in memory, so that they are lost at each stop
      */
     static VoterStore open(Path directory, String fleet, String member) throws IOException {
         return open(directory, fleet, member, "");
     }
 
-    /** The same, on a file system of this scheme. */
+    /** Opens a member's disk on a file system of this scheme. */
     static VoterStore open(Path directory, String fleet, String member, String scheme) throws IOException {
         if (directory == null) {
             return initialize(
@@ -117,7 +118,7 @@
         Path file = directory.resolve(FILE);
         Path markFile = directory.resolve(WriteMark.FILE);
         if (Files.exists(markFile) && !Files.exists(file)) {
-            throw new DamagedDiskException(file + " is gone", null);
+            throw new DamagedDiskException(file + " is missing", null);
         }
         FileChannel markChannel = FilePath.get(scheme + markFile).open("rw");
         MVStore store = null;
@@ -140,10 +141,10 @@
             close(store, markChannel);
             if (e instanceof MVStoreException storeException
                     && storeException.getErrorCode() == DataUtils.ERROR_WRITING_FAILED) {
-                // The disk does not take bytes, which says nothing against those that are there.
+                // A failed write does not mean that the existing data is damaged.
                 throw new IOException(file + ": " + e.getMessage(), e);
             }
-            // Guards against whatever the store makes of bytes that were changed, lengths without end among them.
+            // Guards against any failure of the store on corrupted bytes, such as huge lengths.
             throw new DamagedDiskException(file + ": " + e, e);
         }
     }
@@ -153,8 +154,8 @@
     }
 
     /**
-     * Writes what is there to a fresh file, which takes the old one's place: the process before may have ended after a
-     * sync that failed, so that what can be read need not be on the disk.
+     * Copies the content to a new file, which replaces the old one: the previous process may have ended after a failed
+     * sync, so that data that can be read is not necessarily on the disk.
      */
     private static void rewrite(Path directory, String fleet, String member, String scheme, FileChannel markChannel)
             throws IOException {
@@ -200,7 +201,7 @@
         return meta.isEmpty() && log.isEmpty() && writeMark.read() == 0;
     }
 
-    /** What is there is whole, is this member's, and goes as far as was forced. */
+    /** Verifies that the content is intact, belongs to this member and includes all forced writes. */
     private void verify(String fleet, String member) throws IOException {
         verifyChecksums();
         if (!metaText("fleet").equals(fleet) || !metaText("member").equals(member)) {
@@ -210,7 +211,7 @@
         writeCount = Long.parseLong(meta.containsKey("count") ? metaText("count") : "0");
         long marked = writeMark.read();
         if (writeCount < marked) {
-            throw new DamagedDiskException("write " + marked + " was forced, the store ends with " + writeCount, null);
+            throw new DamagedDiskException("the store ends at write " + writeCount + " of " + marked, null);
         }
     }
 
@@ -230,13 +231,13 @@
         return store;
     }
 
-    /** Moves a voter's files to a directory beside theirs, whose name is the answer: staff may look at them. */
+    /** Moves a voter's files to a sibling directory and returns it, so that operators can inspect them. */
     static Path putAside(Path directory) throws IOException {
         for (int i = 1; ; i++) {
             Path aside = directory.resolveSibling(directory.getFileName() + ".aside-" + i);
             if (!Files.exists(aside)) {
                 Files.createDirectory(aside);
-                // The mark last: without it, a file that goes back to an earlier write would pass for whole.
+                // The write mark is moved last: without it, a store that lacks forced writes would be accepted.
                 for (String name : List.of(FILE, WriteMark.FILE)) {
                     if (Files.exists(directory.resolve(name))) {
                         Files.move(directory.resolve(name), aside.resolve(name), StandardCopyOption.ATOMIC_MOVE);
@@ -265,7 +266,7 @@
     private String metaText(String key) throws IOException {
         byte[] value = meta.get(key);
         if (value == null) {
-            throw new DamagedDiskException("no " + key, null);
+            throw new DamagedDiskException("missing key '" + key + "'", null);
         }
         return new String(StoreChecksums.verifiedValue(key, value), StandardCharsets.UTF_8);
     }
@@ -274,24 +275,24 @@
         meta.put(key, StoreChecksums.withChecksum(key, value.getBytes(StandardCharsets.UTF_8)));
     }
 
-    // What the member stores beside the Raft library's state.
+    // State of the member, in addition to the Raft library's.
 
-    /** This disk's number, drawn when it was empty. */
+    /** The random id that the disk got when it was empty. */
     String diskId() throws IOException {
         return metaText("disk");
     }
 
-    /** How often it was started with, this time included. */
+    /** The number of starts with this disk, including the current one. */
     long startCount() throws IOException {
         return Long.parseLong(metaText("starts"));
     }
 
-    /** The bootstrap voters of the Raft group that it takes part in; empty if none. */
+    /** The bootstrap voters of the voter's Raft group; empty if it has none yet. */
     List<String> bootstrapVoters() throws IOException {
         return meta.containsKey("founding") ? List.of(metaText("founding").split(",")) : List.of();
     }
 
-    /** Stores the Raft group that it takes part in from now on; {@code joining} until it is one of its voters. */
+    /** Stores the voter's Raft group; {@code joining} if it is not one of the group's voters yet. */
     void saveBootstrapVoters(List<String> bootstrapVoters, boolean joining) throws IOException {
         write(() -> {
             putMetaText("founding", String.join(",", bootstrapVoters));
@@ -300,7 +301,7 @@
         flush();
     }
 
-    /** It is one of the voters since this change of members. */
+    /** Stores that it has become a voter by the membership change with this log index. */
     void saveJoined(long since) throws IOException {
         write(() -> {
             putMetaText("joining", "false");
@@ -309,33 +310,33 @@
         flush();
     }
 
-    /** The change of members by which it became a voter; 0 at the bootstrap. */
+    /** The log index of the membership change that made it a voter; 0 at the bootstrap. */
     long joinLogIndex() throws IOException {
         return meta.containsKey("since") ? Long.parseLong(metaText("since")) : 0;
     }
 
-    /** Whether it has asked for its old disk's place and is not known to have it yet. */
+    /** Whether it has requested to replace its old disk and does not know yet that it was accepted. */
     boolean isJoining() throws IOException {
         return meta.containsKey("joining") && Boolean.parseBoolean(metaText("joining"));
     }
 
-    /** What another voter said of itself when it was last heard of; empty if never. */
+    /** The disk id, start count and incarnation in another voter's last hello; empty if there was none. */
     Optional<String> lastSeen(String member) throws IOException {
         return meta.containsKey("seen/" + member) ? Optional.of(metaText("seen/" + member)) : Optional.empty();
     }
 
-    /** Remembers what another voter said of itself. */
-    void lastSeen(String member, String state) throws IOException {
+    /** Stores the disk id, start count and incarnation in another voter's last hello. */
+    void saveLastSeen(String member, String state) throws IOException {
         write(() -> putMetaText("seen/" + member, state));
         flush();
     }
 
-    /** What the library goes on with; empty if it has not begun on this disk. */
+    /** The state that the library starts from; empty if it has not been started with this disk. */
     Optional<RestoredRaftState> restored() {
         return Optional.ofNullable(restored);
     }
 
-    /** Bytes of the file; 0 in memory. */
+    /** Length of the file in bytes; 0 in memory. */
     long fileBytes() {
         try {
             return file == null ? 0 : Files.size(file);
@@ -344,12 +345,12 @@
         }
     }
 
-    /** How often something was forced since it was opened. */
+    /** The number of forced writes since the disk was opened. */
     long forcedWrites() {
         return forcedWrites;
     }
 
-    /** Whether a write has failed: nothing more is written or promised. */
+    /** Whether a write has failed; then nothing more is written or acknowledged. */
     boolean failed() {
         return failed;
     }
@@ -359,10 +360,10 @@
         void run() throws IOException;
     }
 
-    /** After a write that failed nobody knows what is on the disk, so nothing more is promised by it. */
+    /** Runs a write. After a failed write the content of the disk is unknown, so all later writes are rejected. */
     private void write(Write write) throws IOException {
         if (failed) {
-            throw new IOException("the disk has failed");
+            throw new IOException("a previous write to the disk has failed");
         }
         try {
             write.run();
@@ -453,7 +454,7 @@
     @Override
     public void close() {
         try {
-            // What was not forced was promised to nobody.
+            // Writes that were not forced have not been acknowledged and may be lost.
             store.closeImmediately();
             if (markChannel != null) {
                 markChannel.close();
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/WriteMark.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/WriteMark.java
@@ -5,27 +5,27 @@
 import java.nio.channels.FileChannel;
 import java.util.Arrays;
 
-/** The count of writes that were forced, in a file beside the store: two slots that are written in turn. */
+/** The number of forced writes, in a file next to the store with two slots that are written alternately. */
 final class WriteMark {
-    /** The mark's file, also the key of its checksum. */
+    /** Name of the file, and key of its checksums. */
     static final String FILE = "agreed.mark";
-    /** The two slots lie in different sectors, so that a torn write destroys one only. */
+    /** The slots are in different sectors, so that a torn write destroys at most one. */
     private static final int SECTOR_BYTES = 4096;
 
     private static final int SLOTS = 2;
-    /** A slot: the count, 8 bytes, and its checksum. */
+    /** Length of a slot: a count of 8 bytes and its checksum. */
     private static final int SLOT_BYTES = 12;
 
     private static final int COUNT_BYTES = 8;
 
     private final FileChannel channel;
 
-    /** A mark in this file; null: none is kept. */
+    /** Creates a mark in this file; null disables it. */
     WriteMark(FileChannel channel) {
         this.channel = channel;
     }
 
-    /** The highest count that was forced; 0 if none was. */
+    /** Reads the highest count that was forced; 0 if there is none. */
     long read() throws IOException {
         long highest = 0;
         for (int slot = 0; channel != null && slot < SLOTS; slot++) {
@@ -38,7 +38,7 @@
         return highest;
     }
 
-    /** Forces a count to the disk. */
+    /** Writes a count and forces it to the disk. */
     void force(long count) throws IOException {
         if (channel == null) {
             return;
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -377,7 +377,7 @@
         try (VoterStore store = VoterStore.open(written, "fleet", "m1")) {
             store.saveBootstrapVoters(List.of("m1", "m2"), true);
             store.saveJoined(17);
-            store.lastSeen("m2", "ba9876543210 2 5");
+            store.saveLastSeen("m2", "ba9876543210 2 5");
             store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(ME)
                     .setVoting(true)
