--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -228,8 +228,8 @@
     }
 
     private void put(NamedValue named) {
-        NamedValue before = names.put(named.name(), named);
-        contentBytes += contentBytes(named) - (before == null ? 0 : contentBytes(before));
+        NamedValue previous = names.put(named.name(), named);
+        contentBytes += contentBytes(named) - (previous == null ? 0 : contentBytes(previous));
     }
 
     private static long contentBytes(NamedValue named) {
@@ -286,12 +286,12 @@
     }
 
     /** Replaces the state by a snapshot. */
-    void restore(Snapshot image) {
+    void restore(Snapshot snapshot) {
         names.clear();
         roles.clear();
-        leaderTerm = image.leaderTerm();
+        leaderTerm = snapshot.leaderTerm();
         contentBytes = 0;
-        image.names().forEach(this::put);
-        image.roles().forEach(role -> roles.put(role.role(), role));
+        snapshot.names().forEach(this::put);
+        snapshot.roles().forEach(role -> roles.put(role.role(), role));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -148,7 +148,7 @@
         return contents;
     }
 
-    /** Commands that are due, each returned once until {@link #onApplied} or {@link #onWriteFailed} is called for it. */
+    /** Returns the due commands, each only once until {@link #onApplied} or {@link #onWriteFailed} is called for it. */
     List<LogCommand> dueCommands(double nowMs) {
         List<LogCommand> due = new ArrayList<>();
         authorities.forEach((name, authority) -> {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -48,26 +48,26 @@
         return consensus.isLeader();
     }
 
-    void onRenewalRequest(String peer, AgreementMessage.RenewalRequest question) {
+    void onRenewalRequest(String peer, AgreementMessage.RenewalRequest request) {
         context.counters().leaseRequests.increment();
         if (isLeaderOrRedirect(peer)) {
             answerAfterRead(
-                    nowMs -> context.send(peer, consensus.leases().renew(nowMs, peer, question, consensus.groupId())));
+                    nowMs -> context.send(peer, consensus.leases().renew(nowMs, peer, request, consensus.groupId())));
         }
     }
 
-    void onProposeRequest(String peer, AgreementMessage.ProposeRequest proposal) {
+    void onProposeRequest(String peer, AgreementMessage.ProposeRequest request) {
         if (isLeaderOrRedirect(peer)) {
-            proposals.onProposeRequest(peer, proposal);
+            proposals.onProposeRequest(peer, request);
         }
     }
 
-    void onClaimRequest(String peer, AgreementMessage.ClaimRequest claim) {
+    void onClaimRequest(String peer, AgreementMessage.ClaimRequest request) {
         if (isLeaderOrRedirect(peer)
-                && claim.leaseMs() > 0
-                && claim.leaseMs() <= context.settings().maxRoleLeaseMs()
-                && claim.role().length() <= AgreedState.MAX_NAME_LENGTH) {
-            answerAfterRead(nowMs -> answerClaim(nowMs, peer, claim));
+                && request.leaseMs() > 0
+                && request.leaseMs() <= context.settings().maxRoleLeaseMs()
+                && request.role().length() <= AgreedState.MAX_NAME_LENGTH) {
+            answerAfterRead(nowMs -> answerClaim(nowMs, peer, request));
         }
     }
 
@@ -77,7 +77,7 @@
      */
     void onHistoryRequest(String peer, AgreementMessage.HistoryRequest request) {
         if (isLeaderOrRedirect(peer)) {
-            answerAfterRead(nowMs -> context.send(peer, history(request)));
+            answerAfterRead(nowMs -> context.send(peer, historyResponse(request)));
         }
     }
 
@@ -197,18 +197,18 @@
                         })));
     }
 
-    private void answerClaim(double nowMs, String peer, AgreementMessage.ClaimRequest claim) {
+    private void answerClaim(double nowMs, String peer, AgreementMessage.ClaimRequest request) {
         LeaderLeases leases = consensus.leases();
-        LeaderLeases.ClaimDecision decision = leases.claimRole(nowMs, peer, claim);
+        LeaderLeases.ClaimDecision decision = leases.claimRole(nowMs, peer, request);
         if (decision instanceof LeaderLeases.ClaimDecision.Respond answer) {
             context.send(peer, answer.response());
         } else if (decision instanceof LeaderLeases.ClaimDecision.WriteFirst write) {
-            replicateClaim(peer, claim, write.command(), leases);
+            replicateClaim(peer, request, write.command(), leases);
         }
     }
 
     private void replicateClaim(
-            String peer, AgreementMessage.ClaimRequest claim, LogCommand.GrantRole command, LeaderLeases leases) {
+            String peer, AgreementMessage.ClaimRequest request, LogCommand.GrantRole command, LeaderLeases leases) {
         consensus
                 .replicate(command)
                 .whenComplete((result, failure) -> context.execute(() -> {
@@ -216,14 +216,14 @@
                         return;
                     }
                     if (failure == null && result.getResult() == AgreedState.Result.DONE) {
-                        context.send(peer, leases.grantRole(context.nowMs(), claim));
+                        context.send(peer, leases.grantRole(context.nowMs(), request));
                     } else {
                         leases.onWriteFailed(command);
                     }
                 }));
     }
 
-    private AgreementMessage.HistoryResponse history(AgreementMessage.HistoryRequest request) {
+    private AgreementMessage.HistoryResponse historyResponse(AgreementMessage.HistoryRequest request) {
         AgreedState state = consensus.state();
         byte[] content = state.findGeneration(request.name(), request.generation())
                 .map(AgreedState.Generation::content)
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -110,24 +110,24 @@
     }
 
     /** Processes a leader's grant; a grant of another Raft group raises the alarm. */
-    void onRenewalResponse(String peer, AgreementMessage.RenewalResponse answer) {
-        if (!followedGroup.isEmpty() && !followedGroup.equals(answer.groupId())) {
+    void onRenewalResponse(String peer, AgreementMessage.RenewalResponse response) {
+        if (!followedGroup.isEmpty() && !followedGroup.equals(response.groupId())) {
             context.counters().foreign.increment();
             context.alarm()
-                    .raise(peer + " answers for Raft group " + answer.groupId() + "; this member follows "
+                    .raise(peer + " answers for Raft group " + response.groupId() + "; this member follows "
                             + followedGroup);
             return;
         }
         LeaseView before = view;
-        LeaseView next = before.onRenewalResponse(answer, this::isValid);
+        LeaseView next = before.onRenewalResponse(response, this::isValid);
         if (next == before) {
             return;
         }
-        followedGroup = answer.groupId();
+        followedGroup = response.groupId();
         believedLeader = peer;
         view = next;
         lastResponseMs = context.nowMs();
-        List<String> changedNames = answer.updates().stream()
+        List<String> changedNames = response.updates().stream()
                 .map(AgreementMessage.NameUpdate::name)
                 .filter(name ->
                         next.decided(name).version() > before.decided(name).version())
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -27,15 +27,15 @@
     private final Map<String, NameLease> names;
     private final double leaseUntilMs;
 
-    private LeaseView(LeaseHolder fresh, Map<String, NameLease> names, double leaseUntilMs) {
-        this.unnamedHolder = fresh;
+    private LeaseView(LeaseHolder unnamedHolder, Map<String, NameLease> names, double leaseUntilMs) {
+        this.unnamedHolder = unnamedHolder;
         this.names = names;
         this.leaseUntilMs = leaseUntilMs;
     }
 
     /** The view of a process that has just started. */
-    static LeaseView start(long life) {
-        return new LeaseView(LeaseHolder.start(0, life), Map.of(), Double.NEGATIVE_INFINITY);
+    static LeaseView start(long incarnation) {
+        return new LeaseView(LeaseHolder.start(0, incarnation), Map.of(), Double.NEGATIVE_INFINITY);
     }
 
     /** Returns the view after a renewal request is sent now. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
@@ -17,7 +17,7 @@
     private static final int MAX_WAITERS = 4 * RaftConsensus.MAX_PENDING_ENTRIES;
 
     /** A proposal for whose result a member waits. */
-    private record Waiter(String peer, String name, long life, long number) {}
+    private record Waiter(String peer, String name, long incarnation, long requestNumber) {}
 
     private final MemberContext context;
     private final RaftConsensus consensus;
@@ -77,7 +77,8 @@
         rejection(result).ifPresent(verdict -> {
             waiters.remove(waiter);
             context.send(
-                    waiter.peer(), new AgreementMessage.ProposeResponse(waiter.life(), waiter.number(), verdict, 0));
+                    waiter.peer(),
+                    new AgreementMessage.ProposeResponse(waiter.incarnation(), waiter.requestNumber(), verdict, 0));
         });
     }
 
@@ -99,7 +100,7 @@
         for (Iterator<Waiter> iterator = waiters.iterator(); iterator.hasNext(); ) {
             Waiter waiter = iterator.next();
             Optional<AgreedState.Generation> generation = waiter.name().equals(name)
-                    ? consensus.state().findProposal(name, waiter.peer(), waiter.life(), waiter.number())
+                    ? consensus.state().findProposal(name, waiter.peer(), waiter.incarnation(), waiter.requestNumber())
                     : Optional.empty();
             if (generation.isPresent() && generation.get().outcome() != AgreedState.Outcome.STAGED) {
                 iterator.remove();
@@ -108,8 +109,8 @@
                 context.send(
                         waiter.peer(),
                         new AgreementMessage.ProposeResponse(
-                                waiter.life(),
-                                waiter.number(),
+                                waiter.incarnation(),
+                                waiter.requestNumber(),
                                 verdict,
                                 generation.get().generation()));
             }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -84,18 +84,19 @@
                 withinMs,
                 requestNumber -> new AgreementMessage.ProposeRequest(
                         name, expectedGeneration, content, context.incarnation(), requestNumber),
-                response -> onOutcome(name, (AgreementMessage.ProposeResponse) response, verdict),
+                response -> onProposeResponse(name, (AgreementMessage.ProposeResponse) response, verdict),
                 () -> verdict.complete(Verdict.UNKNOWN));
         return verdict;
     }
 
-    private void onOutcome(String name, AgreementMessage.ProposeResponse outcome, CompletableFuture<Verdict> verdict) {
-        if (outcome.verdict() != Verdict.IN_FORCE) {
-            verdict.complete(outcome.verdict());
+    private void onProposeResponse(
+            String name, AgreementMessage.ProposeResponse response, CompletableFuture<Verdict> verdict) {
+        if (response.verdict() != Verdict.IN_FORCE) {
+            verdict.complete(response.verdict());
             return;
         }
         double untilMs = context.nowMs() + context.settings().leaseTerms().leaseMs();
-        unseenDecisions.add(new UnseenDecision(name, outcome.generation(), untilMs, verdict));
+        unseenDecisions.add(new UnseenDecision(name, response.generation(), untilMs, verdict));
         completeSeenDecisions();
     }
 
@@ -137,18 +138,18 @@
     }
 
     private Lease roleLease(AgreementMessage.ClaimResponse response, double requestedMs) {
-        boolean granted = response.holder().equals(context.name()) && response.leaseMs() > 0;
+        boolean lease = response.holder().equals(context.name()) && response.leaseMs() > 0;
         return new Lease(
                 response.holder(),
                 response.token(),
-                granted ? requestedMs + response.leaseMs() : Double.NEGATIVE_INFINITY);
+                lease ? requestedMs + response.leaseMs() : Double.NEGATIVE_INFINITY);
     }
 
     private void rememberRoleLease(String role, Lease lease) {
-        Lease before = roleLeases.get(role);
-        boolean outdated = before != null
-                && (lease.token() < before.token()
-                        || lease.token() == before.token() && lease.untilMs() <= before.untilMs());
+        Lease previous = roleLeases.get(role);
+        boolean outdated = previous != null
+                && (lease.token() < previous.token()
+                        || lease.token() == previous.token() && lease.untilMs() <= previous.untilMs());
         if (outdated) {
             return;
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/StalePreVote.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/StalePreVote.java
@@ -21,8 +21,8 @@
      * @param raft the library's node of this voter
      * @return whether a pre-vote was started
      */
-    static boolean replace(RaftNode raft) {
-        RaftNodeImpl node = (RaftNodeImpl) raft;
+    static boolean replace(RaftNode raftNode) {
+        RaftNodeImpl node = (RaftNodeImpl) raftNode;
         RaftState state = node.state();
         boolean stale =
                 state.role() == RaftRole.FOLLOWER && state.leader() != null && state.preCandidateState() != null;
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -73,8 +73,8 @@
         try {
             store = VoterStore.open(directory, fleet, context.name(), scheme);
         } catch (VoterStore.DamagedDiskException e) {
-            Path aside = VoterStore.putAside(directory);
-            context.alarm().raise("disk damaged and put aside as " + aside + ": " + e.getMessage());
+            Path asideDirectory = VoterStore.putAside(directory);
+            context.alarm().raise("disk damaged and put aside as " + asideDirectory + ": " + e.getMessage());
             store = VoterStore.open(directory, fleet, context.name(), scheme);
         }
         endpoint = new VoterEndpoint(context.name(), store.diskId());
--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -19,13 +19,13 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * A file system with faults below the stores, of the scheme {@code faulty}. Below each directory it counts writes and
- * syncs, fails those that a test names or a seed draws, and keeps what would be left after a loss of power: what was
- * written before a sync that succeeded. What was written before one that failed is never synced by a later one, as
+ * An H2 file system with scheme {@code faulty} that injects faults into stores. For each directory it counts writes and
+ * syncs, fails those selected by a test or by a random seed, and tracks the content that would survive a loss of power:
+ * the data written before a successful sync. Data written before a failed sync is never synced by a later one, because
  * Linux drops such pages.
  */
 public final class FaultyFiles extends FilePathWrapper {
-    /** What names of files begin with. */
+    /** Prefix of file names. */
     public static final String SCHEME = "faulty:";
 
     private static final Map<String, Faults> DIRECTORIES = new ConcurrentHashMap<>();
@@ -34,27 +34,27 @@
         FilePath.register(new FaultyFiles());
     }
 
-    /** What goes wrong with one operation. */
+    /** A fault of an operation. */
     public enum Fault {
-        /** A write takes nothing: the disk is full. */
+        /** A write writes nothing: the disk is full. */
         NO_SPACE,
-        /** A write takes a part, then the disk is full. */
+        /** A write writes a part of the data, then the disk is full. */
         SHORT_WRITE,
-        /** A write fails with an error of the device. */
+        /** A write fails with a device error. */
         WRITE_ERROR,
-        /** A sync fails, and what it was for is dropped. */
+        /** A sync fails, and the unsynced data is dropped. */
         SYNC_ERROR
     }
 
     /**
-     * A write, for a test that leaves it half done.
+     * A recorded write, for tests that apply it partially.
      *
-     * @param file which
-     * @param at from where
-     * @param bytes what
+     * @param file the file
+     * @param offset the offset in the file
+     * @param bytes the data
      */
     public record Write(Path file, long offset, byte[] bytes) {
-        /** The file with so many bytes of this write. */
+        /** Returns the content of the file after the first {@code prefix} bytes of this write. */
         public byte[] applyTo(byte[] before, int prefix) {
             byte[] torn = Arrays.copyOf(before, (int) Math.max(before.length, prefix == 0 ? 0 : offset + prefix));
             System.arraycopy(bytes, 0, torn, (int) offset, prefix);
@@ -62,10 +62,10 @@
         }
     }
 
-    /** The part of a file that was written since the last sync. */
+    /** A range of a file that was written since the last sync. */
     private record Range(long from, int length) {}
 
-    /** A file as a loss of power would leave it. */
+    /** The content of a file that would survive a loss of power. */
     private static final class Image {
         byte[] syncedBytes = {};
         final List<Range> unsynced = new ArrayList<>();
@@ -84,30 +84,30 @@
         private int killPrefix;
         private List<Write> stopRecording;
 
-        /** All operations from now on fail so; a fault of writes leaves syncs alone, and the other way round. */
+        /** Fails all further operations; a write fault does not affect syncs, and vice versa. */
         public void failAll(Fault fault) {
             failAfter(0, fault);
         }
 
-        /** So many operations succeed, all later ones fail as with {@link #fail}. */
+        /** Lets a number of operations succeed and fails all later ones like {@link #failAll}. */
         public synchronized void failAfter(long succeeding, Fault fault) {
             fixedFault = fault;
             failFrom = operationCount + succeeding;
         }
 
-        /** This part of all operations fails, as the seed draws. */
-        public synchronized void failRandomly(long seed, double failingPart) {
+        /** Fails operations randomly with this rate. */
+        public synchronized void failRandomly(long seed, double rate) {
             random = new Random(seed);
-            failureRate = failingPart;
+            failureRate = rate;
         }
 
-        /** The process ends within the operation after so many others: a write leaves its first bytes only. */
+        /** Simulates a kill during this operation: a write writes only its first {@code prefix} bytes. */
         public synchronized void killAt(long operation, int prefix) {
             killAt = operation;
             killPrefix = prefix;
         }
 
-        /** Nothing fails any more. */
+        /** Stops injecting faults. */
         public synchronized void clear() {
             failFrom = Long.MAX_VALUE;
             fixedFault = null;
@@ -115,29 +115,29 @@
             killAt = Long.MAX_VALUE;
         }
 
-        /** Keeps the writes from now on, until they are taken. */
+        /** Records all writes until {@link #stopRecording}. */
         public synchronized void startRecording() {
             stopRecording = new ArrayList<>();
         }
 
-        /** The writes since {@link #record}. */
+        /** Stops recording and returns the writes since {@link #startRecording}. */
         public synchronized List<Write> stopRecording() {
             List<Write> taken = stopRecording;
             stopRecording = null;
             return taken;
         }
 
-        /** Writes and syncs until now. */
+        /** The number of writes and syncs so far. */
         public synchronized long operationCount() {
             return operationCount;
         }
 
-        /** How many of them failed. */
+        /** The number of failed operations. */
         public synchronized long failedCount() {
             return failedCount;
         }
 
-        /** Leaves of each file what was synced. */
+        /** Resets each file to its last synced content. */
         public synchronized void simulatePowerLoss() throws IOException {
             for (Map.Entry<String, Image> image : images.entrySet()) {
                 Files.write(Path.of(image.getKey()), image.getValue().syncedBytes);
@@ -250,7 +250,7 @@
         }
     }
 
-    /** Faults below this directory from now on; none until a test asks for one. */
+    /** Registers a directory below which the returned object injects faults; initially it injects none. */
     public static Faults injectBelow(Path directory) {
         Faults faults = new Faults();
         DIRECTORIES.put(directory.toString(), faults);
@@ -263,7 +263,7 @@
                 .filter(image -> file.startsWith(image.getKey()))
                 .map(Map.Entry::getValue)
                 .findFirst()
-                .orElseThrow(() -> new IllegalStateException("no faults below " + file));
+                .orElseThrow(() -> new IllegalStateException("no faults registered for " + file));
     }
 
     @Override
--- a/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
@@ -18,11 +18,11 @@
 import java.util.TreeSet;
 
 /**
- * Serialized forms as files under {@code src/test/resources/golden}, against which what is written and read now is
- * compared. With the system property {@value #WRITE_PROPERTY} the files are written first; see the README beside them.
+ * Golden files in {@code src/test/resources/golden}, with which serialized objects are compared. With the system
+ * property {@value #WRITE_PROPERTY} the files are written first; see the README in that directory.
  */
 public final class GoldenFiles {
-    /** Set to the directory of the golden files, their content is replaced by what is written now. */
+    /** If set to the directory of the golden files, their content is replaced by the current serialized form. */
     public static final String WRITE_PROPERTY = "golden.write";
 
     private static final int BYTES_PER_LINE = 40;
@@ -32,18 +32,18 @@
     /** Reads an object from its serialized form. */
     @FunctionalInterface
     public interface Reader<T> {
-        /** The object. */
+        /** Reads the object. */
         T read(byte[] form) throws IOException;
     }
 
-    /** Writes an object's serialized form. */
+    /** Serializes an object. */
     @FunctionalInterface
     public interface Writer<T> {
-        /** The form. */
+        /** Returns the serialized form. */
         byte[] write(T object) throws IOException;
     }
 
-    /** The object is written as the golden file has it, and is read from there with the same values. */
+    /** Asserts that the object serializes to the golden file and that reading the file returns an equal object. */
     public static <T> void check(String name, T object, Writer<? super T> writer, Reader<? extends T> reader)
             throws IOException {
         byte[] written = writer.write(object);
@@ -52,18 +52,18 @@
         assertEquals(
                 toHexLines(golden),
                 toHexLines(written),
-                () -> name + ": written differently than " + toPrintable(golden));
+                () -> name + ": serialized form differs from " + toPrintable(golden));
         T read = reader.read(golden);
         assertDeepEquals(name, object, read);
-        assertArrayEquals(golden, writer.write(read), name + ": read and written again");
+        assertArrayEquals(golden, writer.write(read), name + ": serialized again after reading");
     }
 
-    /** Whether golden files are to be written first. */
+    /** Whether the golden files are written first. */
     public static boolean isWriteEnabled() {
         return System.getProperty(WRITE_PROPERTY) != null;
     }
 
-    /** Replaces a golden file's content if that was asked for. */
+    /** Replaces the content of a golden file if writing is enabled. */
     public static void writeIfEnabled(String name, byte[] content) throws IOException {
         if (isWriteEnabled()) {
             Path file = Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex");
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A golden file's content. */
+    /** Returns the content of a golden file. */
     public static byte[] read(String name) throws IOException {
         if (isWriteEnabled()) {
             return parseHex(Files.readString(Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex")));
@@ -100,7 +100,7 @@
         return new String(content, StandardCharsets.ISO_8859_1).replaceAll("[^ -~]", ".");
     }
 
-    /** Both have the same class and the same values throughout; arrays are compared by content. */
+    /** Asserts that two objects have the same class and values, recursively; arrays are compared by content. */
     public static void assertDeepEquals(String place, Object expected, Object actual) {
         if (expected instanceof byte[] bytes) {
             assertArrayEquals(bytes, (byte[]) actual, place);
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Each concrete type that a sealed type permits is among those that were checked. */
+    /** Asserts that all permitted subtypes of a sealed type are among the checked objects. */
     public static void assertAllCovered(Class<?> sealedType, Iterable<?> checked) {
         TreeSet<String> permitted = new TreeSet<>();
         for (Class<?> type : sealedType.getPermittedSubclasses()) {
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 
-/** Measures what {@code docs/design/agreed.md} says: twelve members of which five vote, usual terms, by hand. */
+/**
+ * Measures the figures in {@code docs/design/agreed.md}: twelve members, five of them voters, with default settings. To
+ * be run manually.
+ */
 final class AgreedFigures {
     private static final int MEMBERS = 12;
 
@@ -48,7 +51,7 @@
         long startNanos = System.nanoTime();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - startNanos > 30_000_000_000L) {
-                throw new IllegalStateException("not in 30 s");
+                throw new IllegalStateException("condition not met within 30 s");
             }
             Thread.onSpinWait();
         }
@@ -81,17 +84,17 @@
                 .propose(AgreedValues.SETTINGS, inForce(member), new byte[bytes], 20_000)
                 .get();
         if (verdict != Verdict.IN_FORCE) {
-            throw new IllegalStateException(verdict.toString());
+            throw new IllegalStateException("proposal not in force: " + verdict);
         }
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private static void printQuantiles(String condition, List<Double> ms) {
-        List<Double> sorted = ms.stream().sorted().toList();
+    private static void printQuantiles(String label, List<Double> durationsMs) {
+        List<Double> sorted = durationsMs.stream().sorted().toList();
         System.out.printf(
                 Locale.ROOT,
                 "%s: n %d, p50 %.0f, p99 %.0f, max %.0f ms%n",
-                condition,
+                label,
                 sorted.size(),
                 sorted.get(sorted.size() / 2),
                 sorted.get(Math.min(sorted.size() - 1, sorted.size() * 99 / 100)),
@@ -124,8 +127,8 @@
             timeUntil(() -> allUse(generation, ""));
             usedByAllMs.add((System.nanoTime() - startNanos) / 1e6);
         }
-        printQuantiles("in force, none out of reach", inForceMs);
-        printQuantiles("all act by it, none out of reach", usedByAllMs);
+        printQuantiles("in force, no member partitioned", inForceMs);
+        printQuantiles("used by all members, no member partitioned", usedByAllMs);
         inForceMs.clear();
         for (int i = 0; i < 20; i++) {
             network.partition("m9");
@@ -137,10 +140,10 @@
                                     values.staged() == null && values.inForce().generation() == inForce("m10"))
                             .orElse(false)));
         }
-        printQuantiles("in force, one out of reach", inForceMs);
+        printQuantiles("in force, one member partitioned", inForceMs);
         measureRenewals(leader);
-        long before = diskBytes("m0");
-        System.out.println("bytes on disk after 121 proposals of 4 KiB: " + before);
+        long bytesBefore = diskBytes("m0");
+        System.out.println("bytes on disk after 121 proposals of 4 KiB: " + bytesBefore);
         measureClaims();
         List<Double> takeoverMs = new ArrayList<>();
         List<Double> proposalMs = new ArrayList<>();
@@ -157,8 +160,8 @@
             start(oldLeader);
             timeUntil(() -> members.get(oldLeader).status().contains("left"));
         }
-        printQuantiles("takeover: another leads after", takeoverMs);
-        printQuantiles("takeover: a proposal made then is in force after", proposalMs);
+        printQuantiles("leader crash: new leader after", takeoverMs);
+        printQuantiles("leader crash: new proposal in force after", proposalMs);
         System.out.println("bytes on disk at the end: " + diskBytes("m0"));
         members.values().forEach(AgreementMember::halt);
     }
@@ -167,12 +170,12 @@
         return Files.size(root.resolve(name).resolve("agreed.mv"));
     }
 
-    /** Questions as fast as the leader answers them, at most 200 on their way. */
+    /** Sends renewal requests as fast as the leader answers them, with at most 200 in flight. */
     private void measureRenewals(String leader) {
         PeerLinks memberLinks = links.get("m8");
-        AtomicLong answers = new AtomicLong();
+        AtomicLong responses = new AtomicLong();
         members.remove("m8").halt();
-        memberLinks.receive(MessageStream.AGREED, (p, life, body) -> answers.incrementAndGet());
+        memberLinks.receive(MessageStream.AGREED, (peer, life, body) -> responses.incrementAndGet());
         byte[] request = AgreementCodec.frame(new AgreementMessage.RenewalRequest(
                 memberLinks.life(),
                 1,
@@ -180,12 +183,12 @@
         long startNanos = System.nanoTime();
         long sent = 0;
         while (System.nanoTime() - startNanos < 5_000_000_000L) {
-            if (sent - answers.get() < 200) {
+            if (sent - responses.get() < 200) {
                 memberLinks.send(leader, MessageStream.AGREED, request);
                 sent++;
             }
         }
-        System.out.printf(Locale.ROOT, "questions answered a second: %.0f%n", answers.get() / 5.0);
+        System.out.printf(Locale.ROOT, "renewal requests answered per second: %.0f%n", responses.get() / 5.0);
     }
 
     private void measureClaims() throws Exception {
@@ -199,7 +202,7 @@
             members.get("m7").acquire("role" + i, 1000).get();
             renewalMs.add((System.nanoTime() - startNanos) / 1e6);
         }
-        printQuantiles("a role is taken", firstMs);
-        printQuantiles("a role is extended", renewalMs);
+        printQuantiles("role claimed", firstMs);
+        printQuantiles("role lease extended", renewalMs);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
@@ -27,12 +27,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members as processes, whose leader is killed or stands still in the middle of a proposal; judged by one log. */
+/**
+ * Members in separate processes. The leader is killed or stopped during proposals, and role holders are stopped; the
+ * observations of all processes must be consistent and no acknowledged proposal may be lost.
+ */
 class AgreedProcessesTest {
     @TempDir
     Path root;
 
-    /** What a process saw between two moments of the machine's one monotonic clock. */
+    /** The state of a process between two times of the machine's monotonic clock, which all processes share. */
     private record Observation(
             int process,
             long beforeNanos,
@@ -58,12 +61,12 @@
                 MemberMain.class.getName(),
                 String.valueOf(index),
                 root.resolve("m" + index).toString()));
-        ports.forEach(process -> command.add(String.valueOf(process)));
+        ports.forEach(port -> command.add(String.valueOf(port)));
         Process process = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
         processes[index] = process;
-        Thread reader = new Thread(() -> readOutput(index, process), "reads " + index);
+        Thread reader = new Thread(() -> readOutput(index, process), "reader-" + index);
         reader.setDaemon(true);
         reader.start();
     }
@@ -76,7 +79,7 @@
                 switch (words[0]) {
                     case "sees" -> {
                         synchronized (observations) {
-                            // The last line of a process that was killed may be cut off.
+                            // The last line of a killed process may be incomplete.
                             if (words.length == 6) {
                                 observations.add(new Observation(
                                         index,
@@ -94,7 +97,7 @@
                 }
             }
         } catch (IOException e) {
-            // It was killed: its pipe is closed.
+            // The process was killed, which closes its pipe.
             whoReplies[index] = "";
         }
     }
@@ -109,10 +112,10 @@
         }
     }
 
-    private void signal(String which, int index) throws Exception {
+    private void signal(String signal, int index) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + which, String.valueOf(processes[index].pid()))
+                new ProcessBuilder("kill", "-" + signal, String.valueOf(processes[index].pid()))
                         .start()
                         .waitFor());
     }
@@ -122,7 +125,7 @@
     }
 
     private int awaitLeader() {
-        // One try takes 2 s at most; a process that is not up by then is asked again, for as long as the wait allows.
+        // Each attempt waits up to 2 s; a process that is not up by then is asked again until the overall timeout.
         return await20s()
                 .ignoreException(ConditionTimeoutException.class)
                 .until(
@@ -133,13 +136,13 @@
                             }
                             await().atMost(Duration.ofSeconds(2))
                                     .until(() -> Arrays.stream(whoReplies).noneMatch(String::isEmpty));
-                            List<Integer> leads = new ArrayList<>();
+                            List<Integer> leaders = new ArrayList<>();
                             for (int i = 0; i < 3; i++) {
                                 if (whoReplies[i].startsWith("true")) {
-                                    leads.add(i);
+                                    leaders.add(i);
                                 }
                             }
-                            return leads.size() == 1 ? leads.get(0) : -1;
+                            return leaders.size() == 1 ? leaders.get(0) : -1;
                         },
                         leader -> leader >= 0);
     }
@@ -178,13 +181,13 @@
             long expected = Long.parseLong(whoReplies[proposer].split(" ")[1]);
             String content = "round" + round;
             send(proposer, "propose " + expected + " " + content);
-            boolean kill = round % 2 == 0;
-            signal(kill ? "KILL" : "STOP", leader);
+            boolean killed = round % 2 == 0;
+            signal(killed ? "KILL" : "STOP", leader);
             await20s().until(() -> verdicts.containsKey(content));
             if (verdicts.get(content).equals("IN_FORCE")) {
                 acknowledged.add(content);
             }
-            if (kill) {
+            if (killed) {
                 processes[leader].waitFor();
                 start(leader);
             } else {
@@ -192,8 +195,8 @@
             }
             await20s().until(() -> awaitLeader() >= 0);
         }
-        assertTrue(acknowledged.size() >= 3, "verdicts " + verdicts);
-        // The holder stands still until another has the role, and must not take itself for it when it goes on.
+        assertTrue(acknowledged.size() >= 3, "verdicts: " + verdicts);
+        // The holder is stopped until another process has the role, and must not consider itself the holder afterwards.
         for (int round = 0; round < 2; round++) {
             Observation holder = await20s().until(this::latestHolder, observation -> observation.token() > 0);
             signal("STOP", holder.process());
@@ -207,40 +210,43 @@
         synchronized (observations) {
             observed = List.copyOf(observations);
         }
-        assertTrue(observed.stream().map(Observation::token).distinct().count() >= 4, "the role has changed hands");
+        assertTrue(observed.stream().map(Observation::token).distinct().count() >= 4, "too few holders of the role");
         assertConsistent(observed);
     }
 
     private static void assertConsistent(List<Observation> observed) {
-        // What is higher was seen at the latest at this moment; whoever is lower must not be seen after it.
-        TreeMap<Long, Long> tokenBy = new TreeMap<>();
-        TreeMap<Long, Long> lowBy = new TreeMap<>();
+        // The earliest time by which each token and generation was in use; lower ones must not be in use after it.
+        TreeMap<Long, Long> seenTokens = new TreeMap<>();
+        TreeMap<Long, Long> seenGenerations = new TreeMap<>();
         Map<Long, Integer> holder = new TreeMap<>();
         for (Observation observation : observed) {
             if (observation.token() > 0) {
-                tokenBy.merge(observation.token(), observation.afterNanos(), Math::min);
+                seenTokens.merge(observation.token(), observation.afterNanos(), Math::min);
                 assertEquals(
                         observation.process(),
-                        holder.merge(observation.token(), observation.process(), (a, b) -> a),
+                        holder.merge(observation.token(), observation.process(), (first, second) -> first),
                         "token " + observation.token());
             }
             if (observation.lowestGeneration() > 0) {
-                lowBy.merge(observation.lowestGeneration(), observation.afterNanos(), Math::min);
+                seenGenerations.merge(observation.lowestGeneration(), observation.afterNanos(), Math::min);
             }
         }
         for (Observation observation : observed) {
             if (observation.token() > 0) {
-                tokenBy.tailMap(observation.token(), false)
+                seenTokens
+                        .tailMap(observation.token(), false)
                         .values()
                         .forEach(atNanos -> assertTrue(
-                                observation.beforeNanos() <= atNanos, observation + ": another held it before"));
+                                observation.beforeNanos() <= atNanos,
+                                observation + ": a higher token was in use before"));
             }
             if (observation.lowestGeneration() > 0) {
-                lowBy.tailMap(observation.highestGeneration(), false)
+                seenGenerations
+                        .tailMap(observation.highestGeneration(), false)
                         .values()
                         .forEach(atNanos -> assertTrue(
                                 observation.beforeNanos() <= atNanos,
-                                observation + ": another acted by a later one before, and by none of these"));
+                                observation + ": only later generations were in use elsewhere before"));
             }
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementCodecTest.java
@@ -27,6 +27,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
+/** Messages must round-trip; malformed input must be rejected with an {@link IOException} and nothing else. */
 class AgreementCodecTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint A = new VoterEndpoint("a", "1");
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -26,6 +26,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Members in one process, under crashes, partitions, lost disks and stalls. After each test, {@link InProcessFleet}
+ * must have found no contradicting values and no role with two holders.
+ */
 class AgreementMemberTest {
     @TempDir
     Path root;
@@ -76,7 +80,7 @@
     @AfterEach
     void assertNoViolations() {
         fleet.close();
-        assertTrue(fleet.checks() > 100, "looked " + fleet.checks());
+        assertTrue(fleet.checks() > 100, "checks: " + fleet.checks());
         assertEquals(List.of(), fleet.violations());
     }
 
@@ -123,13 +127,13 @@
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
         awaitAllUse(1);
         fleet.network.partition(oldLeader);
-        CompletableFuture<Verdict> alone = proposeAsync(oldLeader, 1, "alone", 1500);
+        CompletableFuture<Verdict> isolated = proposeAsync(oldLeader, 1, "alone", 1500);
         String other = oldLeader.equals("m0") ? "m1" : "m0";
         assertEquals(Verdict.IN_FORCE, propose(other, 1, "b"));
         assertTrue(
                 fleet.member(oldLeader).effectiveValues(AgreedValues.SETTINGS).isEmpty(),
-                "cut off for longer than a lease");
-        assertEquals(Verdict.UNKNOWN, alone.get(5, TimeUnit.SECONDS));
+                "partitioned for longer than a lease");
+        assertEquals(Verdict.UNKNOWN, isolated.get(5, TimeUnit.SECONDS));
         fleet.network.partition();
         awaitAllUse(2);
         assertEquals("b", lastKnown(oldLeader));
@@ -158,8 +162,8 @@
         assertEquals(Verdict.IN_FORCE, propose(oldLeader, 2, "c"));
     }
 
-    private void deleteDisk(String name) throws IOException {
-        try (Stream<Path> files = Files.walk(fleet.disk(name))) {
+    private void deleteDisk(String member) throws IOException {
+        try (Stream<Path> files = Files.walk(fleet.disk(member))) {
             for (Path path : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
             }
@@ -172,7 +176,7 @@
         String leader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
         String lostVoter = leader.equals("m1") ? "m2" : "m1";
-        // So much that the log's beginning is gone: the new disk starts from a snapshot of several pieces.
+        // Enough data to truncate the beginning of the log: the new disk starts from a snapshot of several chunks.
         for (int generation = 1; generation < 20; generation++) {
             byte[] large = new byte[AgreedState.MAX_CONTENT_BYTES];
             assertEquals(
@@ -187,7 +191,7 @@
         await15s()
                 .until(() -> fleet.member(lostVoter).status().contains("votes")
                         && !fleet.member(lostVoter).status().contains("joins"));
-        // With the third one gone, nothing is decided but by the new disk's vote.
+        // Without the third voter, every decision needs the vote of the new disk.
         String third = List.of("m0", "m1", "m2").stream()
                 .filter(member -> !member.equals(lostVoter) && !member.equals(leader))
                 .findFirst()
@@ -201,24 +205,24 @@
     void restoredOldDiskIsPutAside() throws Exception {
         fleet = new InProcessFleet(3, root, 6);
         String leader = awaitLeader();
-        String name = leader.equals("m1") ? "m2" : "m1";
-        fleet.kill(name);
+        String voter = leader.equals("m1") ? "m2" : "m1";
+        fleet.kill(voter);
         Path copy = root.resolve("copy");
         Files.createDirectories(copy);
         for (String file : List.of("agreed.mv", "agreed.mark")) {
-            Files.copy(fleet.disk(name).resolve(file), copy.resolve(file));
+            Files.copy(fleet.disk(voter).resolve(file), copy.resolve(file));
         }
-        fleet.start(name, 1);
-        await15s().until(() -> fleet.member(name).status().contains("votes"));
-        assertEquals(Verdict.IN_FORCE, propose(name, 0, "a"));
-        fleet.kill(name);
-        deleteDisk(name);
-        Files.move(copy, fleet.disk(name));
-        fleet.start(name, 1);
-        await15s().until(() -> Files.exists(root.resolve(name + ".aside-1")));
+        fleet.start(voter, 1);
+        await15s().until(() -> fleet.member(voter).status().contains("votes"));
+        assertEquals(Verdict.IN_FORCE, propose(voter, 0, "a"));
+        fleet.kill(voter);
+        deleteDisk(voter);
+        Files.move(copy, fleet.disk(voter));
+        fleet.start(voter, 1);
+        await15s().until(() -> Files.exists(root.resolve(voter + ".aside-1")));
         await15s()
-                .until(() -> fleet.member(name).status().contains("votes")
-                        && !fleet.member(name).status().contains("joins"));
+                .until(() -> fleet.member(voter).status().contains("votes")
+                        && !fleet.member(voter).status().contains("joins"));
         awaitAllUse(1);
     }
 
@@ -226,20 +230,20 @@
     void roleHasOneHolderWhenHolderStallsAndLeaderCrashes() throws Exception {
         fleet = new InProcessFleet(4, root, 7);
         String leader = awaitLeader();
-        // One that doesn't vote, so that a majority is left when it stands still and the leader is gone.
+        // The holder is not a voter, so that a majority is left when it stalls and the leader is dead.
         String holder = "m3";
-        String next = leader.equals("m0") ? "m1" : "m0";
-        Lease first = claim(holder, 500);
+        String otherMember = leader.equals("m0") ? "m1" : "m0";
+        Lease initialLease = claim(holder, 500);
         assertTrue(fleet.member(holder).holdsLease("driver"));
-        assertEquals(holder, claim(next, 500).holder());
-        assertFalse(fleet.member(next).holdsLease("driver"));
-        Lease longer = claim(holder, 500);
-        assertEquals(first.token(), longer.token());
-        assertTrue(longer.untilMs() > first.untilMs());
-        // Its thread stands still: an answer that lay in its queue must not lengthen what is over.
+        assertEquals(holder, claim(otherMember, 500).holder());
+        assertFalse(fleet.member(otherMember).holdsLease("driver"));
+        Lease extendedLease = claim(holder, 500);
+        assertEquals(initialLease.token(), extendedLease.token());
+        assertTrue(extendedLease.untilMs() > initialLease.untilMs());
+        // The holder's thread stalls. A response queued meanwhile must not extend the expired lease.
         CountDownLatch released = new CountDownLatch(1);
         AgreementMember stalled = fleet.member(holder);
-        CompletableFuture<Lease> late = stalled.acquire("driver", 500);
+        CompletableFuture<Lease> lateClaim = stalled.acquire("driver", 500);
         stalled.execute(() -> {
             try {
                 released.await();
@@ -248,11 +252,13 @@
             }
         });
         fleet.kill(leader);
-        Lease taken =
-                await15s().until(() -> claim(next, 500), lease -> lease.holder().equals(next) && lease.untilMs() > 0);
-        assertTrue(taken.token() > first.token());
+        Lease newLease = await15s()
+                .until(
+                        () -> claim(otherMember, 500),
+                        lease -> lease.holder().equals(otherMember) && lease.untilMs() > 0);
+        assertTrue(newLease.token() > initialLease.token());
         released.countDown();
-        late.get(10, TimeUnit.SECONDS);
+        lateClaim.get(10, TimeUnit.SECONDS);
         assertFalse(stalled.holdsLease("driver"));
     }
 
@@ -276,18 +282,18 @@
             } else {
                 fleet.network.partition(victim, otherVictim);
             }
-            String member = names.stream()
+            String proposer = names.stream()
                     .filter(survivor -> !survivor.equals(victim) && !survivor.equals(otherVictim))
                     .findFirst()
                     .orElseThrow();
             List<CompletableFuture<Lease>> claims = new ArrayList<>();
-            fleet.all().forEach(survivor -> claims.add(survivor.acquire("driver", 300)));
-            long expected = fleet.member(member)
+            fleet.all().forEach(member -> claims.add(member.acquire("driver", 300)));
+            long expected = fleet.member(proposer)
                     .lastKnown(AgreedValues.SETTINGS)
                     .map(AgreedValues.Value::generation)
                     .orElse(0L);
             String content = "round " + round;
-            if (proposeAsync(member, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
+            if (proposeAsync(proposer, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
                 acknowledged.put((long) round, content);
             }
             for (CompletableFuture<Lease> claim : claims) {
@@ -298,16 +304,16 @@
                 fleet.start(victim, random.nextBoolean() ? 1.01 : 0.99);
             }
         }
-        assertTrue(acknowledged.size() >= 4, "acknowledged " + acknowledged);
+        assertTrue(acknowledged.size() >= 4, "acknowledged: " + acknowledged);
         fleet.network.setFaults(0, 0, 300);
         SettingsAdminHandler calls = new SettingsAdminHandler(fleet.member("m0"), 5000);
-        String all = await15s()
+        String listing = await15s()
                 .until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::succeeded)
                 .text();
-        List<String> kept = new ArrayList<>();
-        for (String line : all.split("\n")) {
+        List<String> contents = new ArrayList<>();
+        for (String line : listing.split("\n")) {
             long generation = Long.parseLong(line.trim().split(" ")[0]);
-            kept.add(new String(
+            contents.add(new String(
                     fleet.member("m0")
                             .readHistory(AgreedValues.SETTINGS, generation, 5000)
                             .get(8, TimeUnit.SECONDS)
@@ -315,6 +321,6 @@
                             .content(),
                     StandardCharsets.UTF_8));
         }
-        assertTrue(kept.containsAll(acknowledged.values()), kept + " of " + acknowledged);
+        assertTrue(contents.containsAll(acknowledged.values()), contents + " of " + acknowledged);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/GoldenFormsTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The forms of the agreement's messages and of a voter's disk, against the golden files. */
+/** The encoding of the agreement's messages and of a voter's disk must match the golden files. */
 class GoldenFormsTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint ME = new VoterEndpoint("m1", "0123456789ab");
@@ -85,7 +85,7 @@
         return notes;
     }
 
-    /** Listed one by one, so that each keeps its file when it is renamed. */
+    /** Listed explicitly, so that each constant keeps its golden file when it is renamed. */
     private static List<AgreedValues.Verdict> verdicts() {
         return List.of(
                 AgreedValues.Verdict.IN_FORCE,
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Links within one process, with faults: loss, repetition, delay and partition. */
+/** Links within one process, with injected loss, duplication, delay and partitions. */
 final class InMemoryNetwork implements AutoCloseable {
     private final Map<String, InMemoryLinks> linksByMember = new ConcurrentHashMap<>();
     private final List<Member> members = new ArrayList<>();
@@ -41,7 +41,7 @@
         return members;
     }
 
-    /** Links of a member's new life. */
+    /** Creates the links of a new incarnation of a member. */
     PeerLinks links(String name) {
         InMemoryLinks links = new InMemoryLinks(members.stream()
                 .filter(member -> member.name().equals(name))
@@ -51,16 +51,16 @@
         return links;
     }
 
-    /** Nothing passes between these and the others, either way. */
+    /** Drops all messages between these members and the others, in both directions. */
     void partition(String... names) {
         partition = Set.copyOf(List.of(names));
     }
 
-    /** Parts of messages that are lost or come twice, and how late they are at the most. */
-    void setFaults(double lost, double repeated, int delayedUs) {
-        lossRate = lost;
-        duplicateRate = repeated;
-        maxDelayUs = delayedUs;
+    /** Sets the rates of lost and duplicated messages and the maximum delay. */
+    void setFaults(double newLossRate, double newDuplicateRate, int newMaxDelayUs) {
+        lossRate = newLossRate;
+        duplicateRate = newDuplicateRate;
+        maxDelayUs = newMaxDelayUs;
     }
 
     @Override
@@ -126,7 +126,7 @@
             try {
                 target.thread.execute(() -> target.receivers.get(stream).onMessage(me.name(), life, body));
             } catch (RejectedExecutionException links) {
-                // It has ended: lost, as on a broken link.
+                // The receiver has stopped: the message is lost, as on a broken link.
                 return;
             }
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/InProcessFleet.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InProcessFleet.java
@@ -14,7 +14,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Members in one process, watched at every moment: no two contradict each other, no role is held twice. */
+/**
+ * Members in one process. A thread continuously checks that no two members use contradicting generations and that no
+ * role has two holders.
+ */
 final class InProcessFleet implements AutoCloseable {
     static final double LEASE_MS = 400;
     private static final double DRIFT = 0.01;
@@ -27,7 +30,7 @@
     private final List<String> violations = new CopyOnWriteArrayList<>();
     private final Map<String, Long> tokens = new HashMap<>();
     private final Clock systemClock = Clock.system();
-    private final Thread checkUntilClosed;
+    private final Thread checker;
     private volatile boolean closed;
     private volatile long checks;
 
@@ -35,7 +38,7 @@
         this(count, root, seed, "");
     }
 
-    /** Members whose disks are on a file system of this scheme. */
+    /** Creates members whose disks are on a file system of this scheme. */
     InProcessFleet(int count, Path root, long seed, String scheme) throws IOException {
         this.scheme = scheme;
         this.network = new InMemoryNetwork(count, seed);
@@ -43,9 +46,9 @@
         for (int i = 0; i < count; i++) {
             start("m" + i, 1);
         }
-        checkUntilClosed = new Thread(this::checkUntilClosed, "watch");
-        checkUntilClosed.setDaemon(true);
-        checkUntilClosed.start();
+        checker = new Thread(this::checkUntilClosed, "checker");
+        checker.setDaemon(true);
+        checker.start();
     }
 
     AgreedSettings settings(String name) {
@@ -63,7 +66,7 @@
         return root == null ? null : root.resolve(name);
     }
 
-    /** Starts a member whose clock has this rate. */
+    /** Starts a member whose clock runs at this rate. */
     AgreementMember start(String name, double rate) throws IOException {
         PeerLinks memberLinks = network.links(name);
         AgreementMember member = new AgreementMember(
@@ -89,7 +92,7 @@
         return member;
     }
 
-    /** Ends it as a kill does. */
+    /** Stops a member like a killed process. */
     void kill(String name) {
         AgreementMember member;
         PeerLinks memberLinks;
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Who leads, by its own word; empty if nobody or more than one says so. */
+    /** The member that reports to be the leader; empty if none or more than one does. */
     String leader() {
         List<String> leaders = new ArrayList<>();
         synchronized (members) {
@@ -141,7 +144,10 @@
         }
     }
 
-    /** Two collects that are the same: all of it was so at the moment between them. */
+    /**
+     * Checks a consistent snapshot of all members: if two subsequent collects return the same objects, all of them were
+     * current at the moment between the two.
+     */
     private void check() {
         List<AgreementMember> members = all();
         List<Object> first = collect(members);
@@ -160,7 +166,7 @@
                     EffectiveVersions effective = ((LeaseView) first.get(2 * i)).effectiveVersions(name, nowMs[i]);
                     EffectiveVersions otherEffective = ((LeaseView) first.get(2 * j)).effectiveVersions(name, nowMs[j]);
                     if (effective.contradicts(otherEffective)) {
-                        violations.add(name + ": " + effective + " beside " + otherEffective);
+                        violations.add(name + ": " + effective + " contradicts " + otherEffective);
                     }
                 }
             }
@@ -198,7 +204,7 @@
     public void close() {
         closed = true;
         try {
-            checkUntilClosed.join(5000);
+            checker.join(5000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of names, and contents that have no room in one answer: a lease for all names needs all of them told. */
+/**
+ * Many names, whose contents exceed the size of one response. The lease for all names must be extended only by a
+ * response that includes all of them. Also checks the limits on names and contents.
+ */
 class ManyNamesTest {
     private static final LeaseTerms TERMS = new LeaseTerms(1600, 0.01);
 
@@ -36,7 +39,7 @@
         AgreementMessage.RenewalResponse first = leases.renew(100, "m2", view.renewalRequest(), "f");
         assertFalse(first.complete());
         view = view.onRenewalResponse(first, (name, content) -> true);
-        assertFalse(view.leaseUntilMs() > 100, "names are missing still");
+        assertFalse(view.leaseUntilMs() > 100, "some names are still missing");
         AgreementMessage.RenewalResponse response = first;
         for (int attempt = 0; !response.complete() && attempt < 4; attempt++) {
             view = view.startRequest(200 + attempt);
@@ -68,7 +71,7 @@
         assertEquals(
                 AgreedState.Result.FULL,
                 decide(copy, "another", new byte[8], 99_999),
-                "a copy knows its bytes as well");
+                "restored state counts its content bytes");
         assertEquals(List.of(), copy.find("another").stream().toList());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -17,8 +17,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A member in a process of its own, for tests: number, disk, ports. It claims the role "driver" all the time and says
- * what it acts by and holds, each with the monotonic time before and after it looked.
+ * Runs a member in its own process, for tests; arguments are its index, its disk and all ports. It claims the role
+ * "driver" repeatedly and prints the generations that it uses and the role token that it holds, with the monotonic time
+ * before and after reading them.
  */
 final class MemberMain {
     private MemberMain() {}
@@ -32,7 +33,7 @@
         Clock clock = Clock.system();
         TcpPeerLinks links =
                 new TcpPeerLinks(me, System.currentTimeMillis(), "f", members, clock, PeerLimits.standard());
-        AgreementMember node = new AgreementMember(
+        AgreementMember member = new AgreementMember(
                 links,
                 Path.of(args[1]),
                 clock,
@@ -44,34 +45,34 @@
                         5,
                         2000,
                         me.name().hashCode()));
-        node.start();
+        member.start();
         links.start();
-        Thread talk = new Thread(() -> reportState(node), "talk");
-        talk.setDaemon(true);
-        talk.start();
-        claimRepeatedly(node);
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = in.readLine(); line != null; line = in.readLine()) {
+        Thread reporter = new Thread(() -> reportState(member), "reporter");
+        reporter.setDaemon(true);
+        reporter.start();
+        claimRepeatedly(member);
+        BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        for (String line = input.readLine(); line != null; line = input.readLine()) {
             String[] command = line.split(" ");
             if (command[0].equals("propose")) {
                 long expected = Long.parseLong(command[1]);
-                node.propose(AgreedValues.SETTINGS, expected, command[2].getBytes(StandardCharsets.UTF_8), 8000)
+                member.propose(AgreedValues.SETTINGS, expected, command[2].getBytes(StandardCharsets.UTF_8), 8000)
                         .thenAccept(verdict -> println("verdict " + command[2] + " " + verdict));
             } else if (command[0].equals("history")) {
                 for (long generation = 1; generation < 100; generation++) {
                     long requested = generation;
-                    node.readHistory(AgreedValues.SETTINGS, generation, 4000)
+                    member.readHistory(AgreedValues.SETTINGS, generation, 4000)
                             .thenAccept(response -> response.ifPresent(found -> println(
                                     "kept " + requested + " " + new String(found.content(), StandardCharsets.UTF_8))));
                 }
             } else if (command[0].equals("who")) {
-                println("who " + node.isLeader() + " "
-                        + node.lastKnown(AgreedValues.SETTINGS)
+                println("who " + member.isLeader() + " "
+                        + member.lastKnown(AgreedValues.SETTINGS)
                                 .map(AgreedValues.Value::generation)
                                 .orElse(0L));
             }
         }
-        // Its parent is gone.
+        // The parent process has ended.
         System.exit(0);
     }
 
@@ -80,21 +81,23 @@
         System.out.flush();
     }
 
-    private static void claimRepeatedly(AgreementMember node) {
-        node.acquire("driver", 300)
+    private static void claimRepeatedly(AgreementMember member) {
+        member.acquire("driver", 300)
                 .thenRunAsync(
-                        () -> claimRepeatedly(node), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
+                        () -> claimRepeatedly(member), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
     }
 
-    private static void reportState(AgreementMember node) {
+    private static void reportState(AgreementMember member) {
         while (true) {
-            long before = System.nanoTime();
-            long token = node.heldLease("driver").map(AgreedValues.Lease::token).orElse(0L);
-            EffectiveVersions effective = node.leaseView()
-                    .effectiveVersions(AgreedValues.SETTINGS, node.clock().nowMs());
-            long after = System.nanoTime();
-            println("sees " + before + " " + after + " " + token + " " + Math.min(effective.one(), effective.other())
-                    + " " + Math.max(effective.one(), effective.other()));
+            long beforeNanos = System.nanoTime();
+            long token =
+                    member.heldLease("driver").map(AgreedValues.Lease::token).orElse(0L);
+            EffectiveVersions effective = member.leaseView()
+                    .effectiveVersions(AgreedValues.SETTINGS, member.clock().nowMs());
+            long afterNanos = System.nanoTime();
+            println("sees " + beforeNanos + " " + afterNanos + " " + token + " "
+                    + Math.min(effective.one(), effective.other()) + " "
+                    + Math.max(effective.one(), effective.other()));
             LockSupport.parkNanos(2_000_000);
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/OperatorFormsTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What operators read of the agreement, against the golden files: the answers of the command {@code settings} and the
- * names of the metrics. In the status what depends on the moment is masked.
+ * The replies of the command {@code settings} and the metric names must match the golden files. Values in the status
+ * that depend on time are masked.
  */
 @Timeout(60)
 class OperatorFormsTest {
@@ -30,7 +30,7 @@
         GoldenFiles.check("agreed/" + name, text, String::getBytes, String::new);
     }
 
-    /** The identity of a voter's disk is random, and numbers depend on the moment. */
+    /** Masks the random id of a voter's disk and all numbers, which depend on time. */
     private static String maskStatus(String status) {
         return status.replaceAll("@[0-9a-f]{24}", "@ID").replaceAll("\\b[0-9]+\\b", "N");
     }
@@ -39,7 +39,7 @@
         return (reply.succeeded() ? "done: " : "not done: ") + reply.text() + "\n";
     }
 
-    /** Asks until the answer is a good one: a member that has just started has no leader yet. */
+    /** Repeats a request until it succeeds: a member that has just started knows no leader yet. */
     private static SettingsAdminHandler.Reply pollUntilSucceeded(Supplier<SettingsAdminHandler.Reply> request) {
         SettingsAdminHandler.Reply reply = request.get();
         for (int i = 0; i < MAX_POLLS && !reply.succeeded(); i++) {
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -23,7 +23,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A voter whose pre-vote is overtaken by the leader of the same term, among two scripted voters. */
+/**
+ * A voter receives a message of the current leader during its own pre-vote, then the leader fails. Guards against the
+ * library's fault that the stale pre-vote blocks all later ones ({@link StalePreVote}). The two other voters are
+ * scripted.
+ */
 class StalePreVoteTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final int TERM = 1;
@@ -36,7 +40,7 @@
 
     @BeforeEach
     void start() throws IOException {
-        // Without delay messages arrive in the order in which they were sent.
+        // Without delay, messages arrive in the order in which they were sent.
         network.setFaults(0, 0, 1);
         scriptedVoter("m1");
         leader = scriptedVoter("m2");
@@ -63,7 +67,7 @@
         network.close();
     }
 
-    /** A voter that tells of its disk and keeps what the library says to it; all else is this test's. */
+    /** A voter that answers hellos and records the library's messages to the leader; the test does everything else. */
     private PeerLinks scriptedVoter(String name) {
         PeerLinks links = network.links(name);
         links.receive(MessageStream.AGREED, (peer, life, body) -> {
@@ -126,7 +130,7 @@
                         .build()));
         assertTrue(await(VoteResponse.class).isGranted());
 
-        // Nothing is heard of the leader in time: a pre-vote begins, and then the leader is heard of.
+        // The leader's heartbeat times out: a pre-vote begins, and then a message of the leader arrives.
         awaitPreVoteForTerm(TERM + 1);
         leader.send(
                 "m0",
@@ -144,7 +148,7 @@
                         .build()));
         await(AppendEntriesSuccessResponse.class);
 
-        // The leader says nothing more.
+        // The leader sends nothing more.
         PreVoteRequest second = awaitPreVoteForTerm(TERM + 1);
         assertEquals(
                 "m0", assertInstanceOf(VoterEndpoint.class, second.getSender()).name());
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -24,11 +24,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A voter's disk that fails for a while, a kill between two writes, and a loss of power. */
+/**
+ * Votes and entries that were persisted must survive temporary disk faults, a kill during any write and a loss of
+ * power; a disk that fails must not be treated as damaged, because its votes would be lost.
+ */
 class StoreFaultsTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint ME = new VoterEndpoint("m", "d");
-    /** More writes and syncs than any opening needs. */
+    /** More writes and syncs than opening a store needs. */
     private static final int MAX_OPEN_OPERATIONS = 200;
 
     @TempDir
@@ -61,7 +64,7 @@
         return VoterStore.open(directory, "f", "m", FaultyFiles.SCHEME);
     }
 
-    /** Votes in the next term, and takes an entry of it. */
+    /** Persists a vote in the next term and a log entry of that term. */
     private void persistVote(VoterStore store) throws IOException {
         store.persistLogEntries(List.of(entry(term + 1)));
         store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
@@ -79,7 +82,7 @@
                 .build();
     }
 
-    /** The last term that the disk has a vote of; all entries up to there must be with it. */
+    /** Reads the term of the last vote on the disk; all log entries up to that term must be present. */
     private int readLastTerm() throws IOException {
         try (VoterStore store = open()) {
             RestoredRaftState restored = store.restored().orElseThrow();
@@ -98,12 +101,12 @@
             faults.failAll(fault);
             assertThrows(IOException.class, () -> persistVote(store));
             assertTrue(store.failed());
-            assertThrows(IOException.class, this::open, "it can't be written yet");
+            assertThrows(IOException.class, this::open, "the disk still fails");
             faults.clear();
-            assertThrows(IOException.class, () -> persistVote(store), "nothing more is promised by what failed");
+            assertThrows(IOException.class, () -> persistVote(store), "a store that has failed accepts no writes");
             store.close();
             try (VoterStore reopened = open()) {
-                // A vote that was not given may be on the disk all the same; it binds, as it would have.
+                // A vote whose write failed may still be on the disk; it counts like any other.
                 term = reopened.restored()
                         .orElseThrow()
                         .getTermPersistentState()
@@ -119,33 +122,33 @@
     void diskFaultAtOpenIsNotReportedAsDamage() throws IOException {
         for (Fault fault : Fault.values()) {
             faults.failAll(fault);
-            IOException refused = assertThrows(IOException.class, this::open);
-            assertFalse(refused instanceof VoterStore.DamagedDiskException, refused.toString());
+            IOException failure = assertThrows(IOException.class, this::open);
+            assertFalse(failure instanceof VoterStore.DamagedDiskException, failure.toString());
             faults.clear();
             assertEquals(term, readLastTerm(), fault.toString());
         }
     }
 
-    /** Each fault from each write or sync of an opening on, until the opening needs no more of them. */
+    /** Injects each fault starting at each write or sync of opening the store, until opening succeeds. */
     @Test
     void faultAtAnyOperationOfOpenIsNotReportedAsDamage() throws IOException {
         for (Fault fault : Fault.values()) {
-            int refusals = 0;
+            int failures = 0;
             for (boolean opened = false; !opened; ) {
-                assertTrue(refusals < MAX_OPEN_OPERATIONS, fault + ": it never opens");
-                faults.failAfter(refusals, fault);
+                assertTrue(failures < MAX_OPEN_OPERATIONS, fault + ": the store never opens");
+                faults.failAfter(failures, fault);
                 try (VoterStore store = open()) {
                     opened = store.restored().isPresent();
-                } catch (IOException refused) {
+                } catch (IOException failure) {
                     assertFalse(
-                            refused instanceof VoterStore.DamagedDiskException,
-                            fault + " after " + refusals + ": " + refused);
-                    refusals++;
+                            failure instanceof VoterStore.DamagedDiskException,
+                            fault + " after " + failures + ": " + failure);
+                    failures++;
                 }
                 faults.clear();
-                assertEquals(term, readLastTerm(), fault + " after " + refusals);
+                assertEquals(term, readLastTerm(), fault + " after " + failures);
             }
-            assertTrue(refusals > 2, fault + " was refused only " + refusals + " times");
+            assertTrue(failures > 2, fault + ": opening failed only " + failures + " times");
         }
     }
 
@@ -162,9 +165,9 @@
                             .getTerm();
                     persistVote(store);
                     persistVote(store);
-                } catch (VoterStore.DamagedDiskException file) {
-                    throw new AssertionError("seed " + seed, file);
-                } catch (IOException refused) {
+                } catch (VoterStore.DamagedDiskException damage) {
+                    throw new AssertionError("seed " + seed, damage);
+                } catch (IOException failure) {
                     assertTrue(faults.failedCount() > 0);
                 }
             }
@@ -176,7 +179,7 @@
             assertTrue(persistedTerm >= term, "seed " + seed + ": " + persistedTerm + " of " + term);
             term = persistedTerm;
         }
-        assertTrue(faults.failedCount() > 20, "failed " + faults.failedCount());
+        assertTrue(faults.failedCount() > 20, "failed operations: " + faults.failedCount());
     }
 
     @Test
@@ -224,8 +227,8 @@
             try (VoterStore store = open()) {
                 persistVote(store);
                 persistVote(store);
-            } catch (VoterStore.DamagedDiskException file) {
-                throw new AssertionError("killed at " + operation, file);
+            } catch (VoterStore.DamagedDiskException damage) {
+                throw new AssertionError("killed at " + operation, damage);
             } catch (IOException killed) {
                 Throwable rootCause = killed;
                 while (rootCause.getCause() != null) {
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterAdmissionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterAdmissionTest.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** The steps of a starting voter, by its disk and by the responses of the other members. */
 class VoterAdmissionTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
     private static final List<String> BOOTSTRAP_VOTERS = List.of("a@1", "b@1", "c@1");
@@ -18,11 +19,18 @@
             String followedGroup,
             List<String> members,
             long membersLogIndex,
-            String seenDisk,
-            long seenStarts,
-            long seenLife) {
+            String lastSeenDiskId,
+            long lastSeenStartCount,
+            long lastSeenIncarnation) {
         return new AgreementMessage.HelloResponse(
-                "1", bootstrapVoters, followedGroup, members, membersLogIndex, seenDisk, seenStarts, seenLife);
+                "1",
+                bootstrapVoters,
+                followedGroup,
+                members,
+                membersLogIndex,
+                lastSeenDiskId,
+                lastSeenStartCount,
+                lastSeenIncarnation);
     }
 
     private static LocalVoter voterWithEmptyDisk(String name, String disk) {
@@ -50,7 +58,7 @@
     void emptyDiskStartsOnlyAsBootstrapVoterElseJoins() {
         AgreementMessage.HelloResponse response = response(BOOTSTRAP_VOTERS, "", List.of(), 0, "", 0, 0);
         assertEquals(Step.START, nextStep(voterWithEmptyDisk("b", "1"), Map.of("a", response)));
-        // A copy from before the founding, of a disk that has been started since.
+        // A copy made before the bootstrap, of a disk that has been started again since.
         assertEquals(
                 Step.PUT_ASIDE,
                 nextStep(
@@ -84,7 +92,7 @@
         List<String> without = List.of("a@1", "c@1", "b@2");
         assertEquals(
                 Step.PUT_ASIDE, nextStep(self, Map.of("a", response(BOOTSTRAP_VOTERS, "", without, 7, "2", 1, 8))));
-        // Members of before it joined say nothing against it.
+        // A list of voters from before this voter joined is no evidence that it was replaced.
         LocalVoter replacement = new LocalVoter(new VoterEndpoint("b", "2"), 5, 9, BOOTSTRAP_VOTERS, false, 8);
         assertEquals(
                 Step.START,
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Voters whose disks fail for a while and take writes again. */
+/** Voters with temporary disk faults must stop voting, recover, and lose no decided value. */
 class VoterDiskFaultsTest {
     @TempDir
     Path root;
@@ -64,7 +64,7 @@
         names.remove(leader);
         String failing = failLeader ? leader : names.get(0);
         String other = failLeader ? names.get(0) : leader;
-        String third = names.get(1);
+        String thirdVoter = names.get(1);
         decide("m0", 0, "a");
         disks.get(failing).failAll(fault);
         decide(other, 1, "b");
@@ -78,8 +78,8 @@
         await30s()
                 .until(() -> fleet.member(failing).alarm().isEmpty()
                         && fleet.member(failing).status().matches("(?s).*, (votes|leads).*"));
-        // From here on nothing is decided without it.
-        fleet.kill(third);
+        // From here on each decision needs the vote of the recovered voter.
+        fleet.kill(thirdVoter);
         decide(other, 3, "d");
         decide(failing, 4, "e");
     }
@@ -104,7 +104,7 @@
         assertStopsVotingAndRecovers(Fault.SHORT_WRITE, false);
     }
 
-    /** All disks fail at once, so that there is no majority; then nothing that was decided is lost. */
+    /** All disks fail at once, so that there is no majority; values decided before must not be lost. */
     @Test
     void failureOfAllDisksPreservesDecidedValues() throws Exception {
         startFleet(47);
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The store of a voter must return all forced writes when it is opened again, or report the disk as damaged. */
 class VoterStoreTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint ME = new VoterEndpoint("m", "d");
@@ -51,7 +52,7 @@
                     .setSnapshotChunkCount(1)
                     .setGroupMembersView(members)
                     .build());
-            // The first of two pieces only: a snapshot that was being taken.
+            // An incomplete snapshot: only the first of two chunks.
             store.persistSnapshotChunk(MODEL.createSnapshotChunkBuilder()
                     .setIndex(5)
                     .setTerm(1)
@@ -161,6 +162,6 @@
                 detected++;
             }
         }
-        assertTrue(detected > 30, "found " + detected);
+        assertTrue(detected > 30, "detected: " + detected);
     }
 }
