--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -69,7 +69,7 @@
         consensus = new RaftConsensus(context);
         leaderService = new LeaderService(context, consensus, new ProposalService(context, consensus));
         consensus.setListener(leaderService);
-        leaseClient = new LeaseClient(context, consensus, this::onLeaseView);
+        leaseClient = new LeaseClient(context, consensus, this::onViewChanged);
         requests = new RequestClient(context, leaseClient);
         recovery = new VoterRecovery(context, consensus, leaderService, leaseClient, directory);
         statusReport = new StatusReport(context, consensus, leaderService, leaseClient, requests, recovery);
@@ -120,7 +120,7 @@
         requests.tick(nowMs);
     }
 
-    private void onLeaseView() {
+    private void onViewChanged() {
         requests.completeSeenDecisions();
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -45,11 +45,11 @@
     private final AgreedState state;
     private final long leaderTerm;
     private final double earlierLeasesEndMs;
-    private final Map<String, LeaseAuthority> authorities = new TreeMap<>();
+    private final Map<String, LeaseAuthority> authorityByName = new TreeMap<>();
     private final Map<String, String> rejectedBy = new HashMap<>();
     private final Map<String, Integer> holderIds = new HashMap<>();
     private final Map<Integer, Double> leaseEndById = new HashMap<>();
-    private final Map<String, RoleLease> roles = new HashMap<>();
+    private final Map<String, RoleLease> roleLeases = new HashMap<>();
     private final Set<String> inFlight = new HashSet<>();
 
     /** Creates the leases of a leader term that begins now. */
@@ -60,11 +60,11 @@
         this.earlierLeasesEndMs = nowMs + terms.authorityWaitMs();
         state.names()
                 .values()
-                .forEach(value -> authorities.put(
+                .forEach(value -> authorityByName.put(
                         value.name(), LeaseAuthority.start(terms, nowMs, value.decided(), value.lastGeneration())));
         state.roles()
                 .values()
-                .forEach(role -> roles.put(role.role(), new RoleLease(nowMs + waitMs(role.maxLeaseMs()), false)));
+                .forEach(role -> roleLeases.put(role.role(), new RoleLease(nowMs + waitMs(role.maxLeaseMs()), false)));
     }
 
     long leaderTerm() {
@@ -83,7 +83,7 @@
     /** The decided version of this name has changed. */
     void onApplied(String name) {
         AgreedState.NamedValue value = state.find(name).orElseThrow();
-        LeaseAuthority before = authorities.get(name);
+        LeaseAuthority before = authorityByName.get(name);
         Map<Integer, LeaseAuthority.GrantedLease> holders = new TreeMap<>();
         if (before == null) {
             // Holders of leases for other names must confirm the first generation too, so that they can reject it.
@@ -91,7 +91,7 @@
         } else {
             holders.putAll(before.holders());
         }
-        authorities.put(
+        authorityByName.put(
                 name, new LeaseAuthority(terms, value.decided(), value.lastGeneration(), earlierLeasesEndMs, holders));
         inFlight.remove(name);
         rejectedBy.remove(name);
@@ -107,7 +107,7 @@
         List<AgreementMessage.NameUpdate> updates = new ArrayList<>();
         int remainingBytes = MAX_RESPONSE_BYTES;
         boolean complete = true;
-        for (Map.Entry<String, LeaseAuthority> entry : authorities.entrySet()) {
+        for (Map.Entry<String, LeaseAuthority> entry : authorityByName.entrySet()) {
             AgreementMessage.NameState known = states.getOrDefault(
                     entry.getKey(), new AgreementMessage.NameState(entry.getKey(), 0, 0, List.of()));
             LeaseRequest leaseRequest = new LeaseRequest(
@@ -151,7 +151,7 @@
     /** Returns the due commands, each only once until {@link #onApplied} or {@link #onWriteFailed} is called for it. */
     List<LogCommand> dueCommands(double nowMs) {
         List<LogCommand> due = new ArrayList<>();
-        authorities.forEach((name, authority) -> {
+        authorityByName.forEach((name, authority) -> {
             if (authority.decided().staged() == 0 || inFlight.contains(name)) {
                 return;
             }
@@ -173,14 +173,14 @@
         } else if (command instanceof LogCommand.Abandon abandon) {
             inFlight.remove(abandon.name());
         } else if (command instanceof LogCommand.GrantRole grant) {
-            roles.computeIfPresent(grant.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
+            roleLeases.computeIfPresent(grant.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
         }
     }
 
     /** Processes a member's claim of a role. */
     ClaimDecision claimRole(double nowMs, String member, AgreementMessage.ClaimRequest claim) {
         Optional<AgreedState.RoleState> role = state.role(claim.role());
-        RoleLease lease = roles.getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
+        RoleLease lease = roleLeases.getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
             // Guards against extending a lease while the role is being granted to another member.
             return new ClaimDecision.Ignore();
@@ -193,7 +193,7 @@
             return new ClaimDecision.Respond(grantClaim(nowMs, claim));
         }
         if (renewal || nowMs >= lease.untilMs()) {
-            roles.put(claim.role(), new RoleLease(lease.untilMs(), true));
+            roleLeases.put(claim.role(), new RoleLease(lease.untilMs(), true));
             return new ClaimDecision.WriteFirst(new LogCommand.GrantRole(
                     claim.role(), member, claim.incarnation(), claim.leaseMs(), token, leaderTerm));
         }
@@ -204,7 +204,7 @@
 
     /** Grants a claim whose command was applied in this leader term. */
     AgreementMessage.ClaimResponse grantRole(double nowMs, AgreementMessage.ClaimRequest claim) {
-        roles.computeIfPresent(claim.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
+        roleLeases.computeIfPresent(claim.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
         return grantClaim(nowMs, claim);
     }
 
@@ -212,16 +212,17 @@
         AgreedState.RoleState role = state.role(claim.role()).orElseThrow();
         double endMs = Math.max(
                 nowMs + waitMs(claim.leaseMs()),
-                roles.getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
+                roleLeases
+                        .getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
                         .untilMs());
-        roles.put(claim.role(), new RoleLease(endMs, false));
+        roleLeases.put(claim.role(), new RoleLease(endMs, false));
         return new AgreementMessage.ClaimResponse(
                 claim.incarnation(), claim.requestNumber(), role.holder(), role.token(), claim.leaseMs());
     }
 
     /** The lease holders for which activation of the staged generation waits, for operators. */
     List<String> pendingHolders(String name, double nowMs) {
-        LeaseAuthority authority = authorities.get(name);
+        LeaseAuthority authority = authorityByName.get(name);
         List<String> pending = new ArrayList<>();
         holderIds.forEach((member, id) -> {
             LeaseAuthority.GrantedLease granted =
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -22,7 +22,7 @@
 
     private static final double MAX_CLAIM_MS = 5000;
 
-    /** A proposal in force whose generation this member's lease does not include yet. */
+    /** A proposal in force whose generation this member has not received yet. */
     private record UnseenDecision(String name, long generation, double untilMs, CompletableFuture<Verdict> verdict) {}
 
     private final MemberContext context;
@@ -118,9 +118,13 @@
      * @throws IllegalArgumentException if the role's name or the lease is out of range
      */
     CompletableFuture<Lease> claim(String role, double leaseMs) {
-        double maxRoleMs = context.settings().maxRoleLeaseMs();
-        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME_LENGTH || !(leaseMs > 0) || leaseMs > maxRoleMs) {
-            throw new IllegalArgumentException("role '" + role + "' for " + leaseMs + " ms of at most " + maxRoleMs);
+        double maxRoleLeaseMs = context.settings().maxRoleLeaseMs();
+        if (role.isEmpty()
+                || role.length() > AgreedState.MAX_NAME_LENGTH
+                || !(leaseMs > 0)
+                || leaseMs > maxRoleLeaseMs) {
+            throw new IllegalArgumentException(
+                    "role '" + role + "' for " + leaseMs + " ms of at most " + maxRoleLeaseMs);
         }
         // The lease counts from here, which is before the request is sent.
         double requestedMs = context.nowMs();
@@ -138,11 +142,11 @@
     }
 
     private Lease roleLease(AgreementMessage.ClaimResponse response, double requestedMs) {
-        boolean lease = response.holder().equals(context.name()) && response.leaseMs() > 0;
+        boolean granted = response.holder().equals(context.name()) && response.leaseMs() > 0;
         return new Lease(
                 response.holder(),
                 response.token(),
-                lease ? requestedMs + response.leaseMs() : Double.NEGATIVE_INFINITY);
+                granted ? requestedMs + response.leaseMs() : Double.NEGATIVE_INFINITY);
     }
 
     private void rememberRoleLease(String role, Lease lease) {
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -193,21 +193,21 @@
     void onHello(String peer, AgreementMessage.Hello request) {
         List<String> members = List.of();
         List<String> bootstrapVoters = List.of();
-        long since = 0;
-        String[] seen = {"", "0", "0"};
+        long membersLogIndex = 0;
+        String[] lastSeen = {"", "0", "0"};
         try {
             if (context.isVoter()
                     && !store.failed()
                     && context.settings().voters().contains(peer)) {
                 bootstrapVoters = store.bootstrapVoters();
-                seen = store.lastSeen(peer).map(last -> last.split(" ")).orElse(seen);
+                lastSeen = store.lastSeen(peer).map(last -> last.split(" ")).orElse(lastSeen);
                 String current = request.diskId() + " " + request.startCount() + " " + request.incarnation();
-                if (!current.equals(String.join(" ", seen))) {
+                if (!current.equals(String.join(" ", lastSeen))) {
                     store.saveLastSeen(peer, current);
                 }
                 if (consensus.isStarted()) {
                     members = VoterEndpoint.ids(consensus.committedMembers().getVotingMembers());
-                    since = consensus.committedMembers().getLogIndex();
+                    membersLogIndex = consensus.committedMembers().getLogIndex();
                 }
             }
         } catch (IOException e) {
@@ -218,10 +218,10 @@
                 bootstrapVoters,
                 leaseClient.followedGroup(),
                 members,
-                since,
-                seen[0],
-                Long.parseLong(seen[1]),
-                Long.parseLong(seen[2]));
+                membersLogIndex,
+                lastSeen[0],
+                Long.parseLong(lastSeen[1]),
+                Long.parseLong(lastSeen[2]));
         context.send(peer, response);
     }
 
@@ -244,11 +244,11 @@
                     store.bootstrapVoters(),
                     joining,
                     store.joinLogIndex());
-            List<String> known = VoterAdmission.bootstrapVoters(self, helloResponses);
+            List<String> knownBootstrapVoters = VoterAdmission.bootstrapVoters(self, helloResponses);
             switch (VoterAdmission.nextStep(self, context.settings().voters(), helloResponses)) {
                 case BOOTSTRAP -> startVoting(bootstrapVoters(), false);
-                case START -> startVoting(known, false);
-                case JOIN -> startVoting(known, true);
+                case START -> startVoting(knownBootstrapVoters, false);
+                case JOIN -> startVoting(knownBootstrapVoters, true);
                 case PUT_ASIDE -> replaceDisk();
                 case SPLIT ->
                     context.alarm()
--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -82,7 +82,7 @@
         private double failureRate;
         private long killAt = Long.MAX_VALUE;
         private int killPrefix;
-        private List<Write> stopRecording;
+        private List<Write> recordedWrites;
 
         /** Fails all further operations; a write fault does not affect syncs, and vice versa. */
         public void failAll(Fault fault) {
@@ -101,7 +101,10 @@
             failureRate = rate;
         }
 
-        /** Simulates a kill during this operation: a write writes only its first {@code prefix} bytes. */
+        /**
+         * Simulates a kill during this operation: if it is a write, only its first {@code prefix} bytes are written. All
+         * later operations fail.
+         */
         public synchronized void killAt(long operation, int prefix) {
             killAt = operation;
             killPrefix = prefix;
@@ -117,13 +120,13 @@
 
         /** Records all writes until {@link #stopRecording}. */
         public synchronized void startRecording() {
-            stopRecording = new ArrayList<>();
+            recordedWrites = new ArrayList<>();
         }
 
         /** Stops recording and returns the writes since {@link #startRecording}. */
         public synchronized List<Write> stopRecording() {
-            List<Write> taken = stopRecording;
-            stopRecording = null;
+            List<Write> taken = recordedWrites;
+            recordedWrites = null;
             return taken;
         }
 
@@ -195,10 +198,10 @@
         private int writePrefix(String file, FileChannel target, ByteBuffer bytes, long offset, int length)
                 throws IOException {
             ByteBuffer piece = bytes.slice(bytes.position(), length);
-            if (stopRecording != null) {
+            if (recordedWrites != null) {
                 byte[] copy = new byte[length];
                 piece.duplicate().get(copy);
-                stopRecording.add(new Write(Path.of(file), offset, copy));
+                recordedWrites.add(new Write(Path.of(file), offset, copy));
             }
             while (piece.hasRemaining()) {
                 target.write(piece, offset + piece.position());
--- a/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
@@ -101,19 +101,19 @@
     }
 
     /** Asserts that two objects have the same class and values, recursively; arrays are compared by content. */
-    public static void assertDeepEquals(String place, Object expected, Object actual) {
+    public static void assertDeepEquals(String path, Object expected, Object actual) {
         if (expected instanceof byte[] bytes) {
-            assertArrayEquals(bytes, (byte[]) actual, place);
+            assertArrayEquals(bytes, (byte[]) actual, path);
         } else if (expected instanceof Map<?, ?> map) {
-            assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), place);
-            map.forEach((key, value) -> assertDeepEquals(place + "." + key, value, ((Map<?, ?>) actual).get(key)));
+            assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), path);
+            map.forEach((key, value) -> assertDeepEquals(path + "." + key, value, ((Map<?, ?>) actual).get(key)));
         } else if (expected instanceof Iterable<?> all) {
-            assertSameElements(place, all, (Iterable<?>) actual);
+            assertSameElements(path, all, (Iterable<?>) actual);
         } else if (expected != null && isComparedByFields(expected.getClass())) {
-            assertEquals(expected.getClass(), actual == null ? null : actual.getClass(), place);
-            assertSameFields(place, expected, actual);
+            assertEquals(expected.getClass(), actual == null ? null : actual.getClass(), path);
+            assertSameFields(path, expected, actual);
         } else {
-            assertEquals(expected, actual, place);
+            assertEquals(expected, actual, path);
         }
     }
 
@@ -121,24 +121,24 @@
         return type.isRecord() || type.getName().startsWith("io.microraft.model.");
     }
 
-    private static void assertSameElements(String place, Iterable<?> expected, Iterable<?> actual) {
+    private static void assertSameElements(String path, Iterable<?> expected, Iterable<?> actual) {
         Iterator<?> actualElements = actual.iterator();
         int index = 0;
         for (Object element : expected) {
-            assertEquals(true, actualElements.hasNext(), place + " ends before " + index);
-            assertDeepEquals(place + "[" + index + "]", element, actualElements.next());
+            assertEquals(true, actualElements.hasNext(), path + " ends before " + index);
+            assertDeepEquals(path + "[" + index + "]", element, actualElements.next());
             index++;
         }
-        assertEquals(false, actualElements.hasNext(), place + " goes on after " + index);
+        assertEquals(false, actualElements.hasNext(), path + " goes on after " + index);
     }
 
-    private static void assertSameFields(String place, Object expected, Object actual) {
+    private static void assertSameFields(String path, Object expected, Object actual) {
         for (Class<?> type = expected.getClass(); type != null && type != Object.class; type = type.getSuperclass()) {
             for (Field field : type.getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
                     assertDeepEquals(
-                            place + "." + field.getName(), fieldValue(field, expected), fieldValue(field, actual));
+                            path + "." + field.getName(), fieldValue(field, expected), fieldValue(field, actual));
                 }
             }
         }
@@ -159,7 +159,7 @@
             permitted.add(type.getName());
         }
         TreeSet<String> seen = new TreeSet<>();
-        checked.forEach(one -> seen.add(one.getClass().getName()));
-        assertEquals(permitted, seen, "types without a golden file, or of another kind");
+        checked.forEach(object -> seen.add(object.getClass().getName()));
+        assertEquals(permitted, seen, "types without a golden file, or unexpected types");
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -175,7 +175,7 @@
         PeerLinks memberLinks = links.get("m8");
         AtomicLong responses = new AtomicLong();
         members.remove("m8").halt();
-        memberLinks.receive(MessageStream.AGREED, (peer, life, body) -> responses.incrementAndGet());
+        memberLinks.receive(MessageStream.AGREED, (peer, incarnation, body) -> responses.incrementAndGet());
         byte[] request = AgreementCodec.frame(new AgreementMessage.RenewalRequest(
                 memberLinks.life(),
                 1,
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
@@ -72,9 +72,9 @@
     }
 
     private void readOutput(int index, Process process) {
-        try (BufferedReader in =
+        try (BufferedReader input =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
+            for (String line = input.readLine(); line != null; line = input.readLine()) {
                 String[] words = line.split(" ");
                 switch (words[0]) {
                     case "sees" -> {
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -192,11 +192,11 @@
                 .until(() -> fleet.member(lostVoter).status().contains("votes")
                         && !fleet.member(lostVoter).status().contains("joins"));
         // Without the third voter, every decision needs the vote of the new disk.
-        String third = List.of("m0", "m1", "m2").stream()
+        String thirdVoter = List.of("m0", "m1", "m2").stream()
                 .filter(member -> !member.equals(lostVoter) && !member.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        fleet.kill(third);
+        fleet.kill(thirdVoter);
         assertEquals(Verdict.IN_FORCE, propose(lostVoter, 20, "b"));
         assertEquals("b", lastKnown(lostVoter));
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
@@ -25,7 +25,7 @@
     private final ScheduledExecutorService deliveries = Executors.newSingleThreadScheduledExecutor();
     private final AtomicLong lastIncarnation = new AtomicLong();
     private final Random random;
-    private volatile Set<String> partition = Set.of();
+    private volatile Set<String> partitioned = Set.of();
     private volatile double lossRate;
     private volatile double duplicateRate;
     private volatile int maxDelayUs = 300;
@@ -53,7 +53,7 @@
 
     /** Drops all messages between these members and the others, in both directions. */
     void partition(String... names) {
-        partition = Set.copyOf(List.of(names));
+        partitioned = Set.copyOf(List.of(names));
     }
 
     /** Sets the rates of lost and duplicated messages and the maximum delay. */
@@ -71,7 +71,7 @@
 
     private final class InMemoryLinks implements PeerLinks {
         private final Member me;
-        private final long life = lastIncarnation.incrementAndGet();
+        private final long incarnation = lastIncarnation.incrementAndGet();
         private final ExecutorService thread = Executors.newSingleThreadExecutor();
         private final Map<MessageStream, Receiver> receivers = new ConcurrentHashMap<>();
 
@@ -86,7 +86,7 @@
 
         @Override
         public long life() {
-            return life;
+            return incarnation;
         }
 
         @Override
@@ -120,11 +120,11 @@
 
         private void deliver(String peer, MessageStream stream, byte[] body) {
             InMemoryLinks target = linksByMember.get(peer);
-            if (target == null || partition.contains(peer) != partition.contains(me.name())) {
+            if (target == null || partitioned.contains(peer) != partitioned.contains(me.name())) {
                 return;
             }
             try {
-                target.thread.execute(() -> target.receivers.get(stream).onMessage(me.name(), life, body));
+                target.thread.execute(() -> target.receivers.get(stream).onMessage(me.name(), incarnation, body));
             } catch (RejectedExecutionException links) {
                 // The receiver has stopped: the message is lost, as on a broken link.
                 return;
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/InProcessFleet.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InProcessFleet.java
@@ -67,7 +67,7 @@
     }
 
     /** Starts a member whose clock runs at this rate. */
-    AgreementMember start(String name, double rate) throws IOException {
+    AgreementMember start(String name, double clockRate) throws IOException {
         PeerLinks memberLinks = network.links(name);
         AgreementMember member = new AgreementMember(
                 memberLinks,
@@ -75,7 +75,7 @@
                 new Clock() {
                     @Override
                     public double nowMs() {
-                        return systemClock.nowMs() * rate;
+                        return systemClock.nowMs() * clockRate;
                     }
                 },
                 settings(name));
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/ManyNamesTest.java
@@ -15,8 +15,8 @@
 class ManyNamesTest {
     private static final LeaseTerms TERMS = new LeaseTerms(1600, 0.01);
 
-    private static AgreedState.Result decide(AgreedState state, String name, byte[] content, long number) {
-        AgreedState.Result staged = state.apply(new LogCommand.Stage(name, 0, content, "m1", 1, number));
+    private static AgreedState.Result decide(AgreedState state, String name, byte[] content, long requestNumber) {
+        AgreedState.Result staged = state.apply(new LogCommand.Stage(name, 0, content, "m1", 1, requestNumber));
         long version = state.find(name).map(named -> named.decided().version()).orElse(0L);
         state.apply(new LogCommand.Activate(name, version, state.leaderTerm()));
         return staged;
@@ -58,20 +58,20 @@
             assertEquals(AgreedState.Result.STAGED, decide(state, "name-" + i, new byte[8], i + 1));
         }
         assertEquals(AgreedState.Result.FULL, decide(state, "one too many", new byte[8], 99_999));
-        AgreedState large = stateWithLeaderTerm();
+        AgreedState fullState = stateWithLeaderTerm();
         long maxContents = AgreedState.MAX_TOTAL_BYTES / AgreedState.MAX_CONTENT_BYTES;
         for (int i = 0; i < maxContents; i++) {
             assertEquals(
                     AgreedState.Result.STAGED,
-                    decide(large, "name-" + i, new byte[AgreedState.MAX_CONTENT_BYTES], i + 1));
+                    decide(fullState, "name-" + i, new byte[AgreedState.MAX_CONTENT_BYTES], i + 1));
         }
-        assertEquals(AgreedState.Result.FULL, decide(large, "another", new byte[8], 99_999));
-        AgreedState copy = new AgreedState();
-        copy.restore(large.snapshot());
+        assertEquals(AgreedState.Result.FULL, decide(fullState, "another", new byte[8], 99_999));
+        AgreedState restoredState = new AgreedState();
+        restoredState.restore(fullState.snapshot());
         assertEquals(
                 AgreedState.Result.FULL,
-                decide(copy, "another", new byte[8], 99_999),
+                decide(restoredState, "another", new byte[8], 99_999),
                 "restored state counts its content bytes");
-        assertEquals(List.of(), copy.find("another").stream().toList());
+        assertEquals(List.of(), restoredState.find("another").stream().toList());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -70,7 +70,7 @@
     /** A voter that answers hellos and records the library's messages to the leader; the test does everything else. */
     private PeerLinks scriptedVoter(String name) {
         PeerLinks links = network.links(name);
-        links.receive(MessageStream.AGREED, (peer, life, body) -> {
+        links.receive(MessageStream.AGREED, (peer, incarnation, body) -> {
             AgreementCodec.Frame frame = frame(body);
             if (frame.message() instanceof AgreementMessage.Hello) {
                 links.send(
@@ -93,13 +93,13 @@
         }
     }
 
-    private <T extends RaftMessage> T await(Class<T> kind) throws InterruptedException {
+    private <T extends RaftMessage> T await(Class<T> type) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (true) {
             RaftMessage next = receivedByLeader.poll(deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
-            assertNotNull(next, () -> "no " + kind.getSimpleName() + " within " + TIMEOUT_S + " s:\n" + voter.status());
-            if (kind.isInstance(next)) {
-                return kind.cast(next);
+            assertNotNull(next, () -> "no " + type.getSimpleName() + " within " + TIMEOUT_S + " s:\n" + voter.status());
+            if (type.isInstance(next)) {
+                return type.cast(next);
             }
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -63,24 +63,24 @@
         List<String> names = new ArrayList<>(disks.keySet());
         names.remove(leader);
         String failing = failLeader ? leader : names.get(0);
-        String other = failLeader ? names.get(0) : leader;
+        String otherVoter = failLeader ? names.get(0) : leader;
         String thirdVoter = names.get(1);
         decide("m0", 0, "a");
         disks.get(failing).failAll(fault);
-        decide(other, 1, "b");
+        decide(otherVoter, 1, "b");
         await30s().until(() -> fleet.member(failing).status().contains("does not vote: its disk can't be written"));
         assertTrue(
                 fleet.member(failing).alarm().contains("disk"),
                 () -> fleet.member(failing).alarm());
         assertFalse(fleet.member(failing).isLeader());
-        decide(other, 2, "c");
+        decide(otherVoter, 2, "c");
         disks.get(failing).clear();
         await30s()
                 .until(() -> fleet.member(failing).alarm().isEmpty()
                         && fleet.member(failing).status().matches("(?s).*, (votes|leads).*"));
         // From here on each decision needs the vote of the recovered voter.
         fleet.kill(thirdVoter);
-        decide(other, 3, "d");
+        decide(otherVoter, 3, "d");
         decide(failing, 4, "e");
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterStoreTest.java
@@ -111,9 +111,9 @@
     void rolledBackStoreIsDamagedAndReplacedByNewDiskId() throws IOException {
         Path file = disk.resolve("agreed.mv");
         byte[] before = Files.readAllBytes(file);
-        String number;
+        String diskId;
         try (VoterStore store = VoterStore.open(disk, "f", "m")) {
-            number = store.diskId();
+            diskId = store.diskId();
             store.saveBootstrapVoters(List.of("m@d"), false);
         }
         Files.write(file, before);
@@ -121,7 +121,7 @@
         Path aside = VoterStore.putAside(disk);
         assertTrue(Files.exists(aside.resolve("agreed.mv")));
         try (VoterStore store = VoterStore.open(disk, "f", "m")) {
-            assertNotEquals(number, store.diskId());
+            assertNotEquals(diskId, store.diskId());
             assertTrue(store.restored().isEmpty());
         }
     }
