--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -102,8 +102,8 @@
         }
 
         /**
-         * Simulates a kill during this operation: if it is a write, only its first {@code prefix} bytes are written. All
-         * later operations fail.
+         * Simulates a kill during this operation: if it is a write, only its first {@code prefix} bytes are written.
+         * All later operations fail.
          */
         public synchronized void killAt(long operation, int prefix) {
             killAt = operation;
