--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedState.java
@@ -11,28 +11,28 @@
 import java.util.TreeMap;
 
 /**
- * What is decided, as far as this voter knows: the same at each voter after the same entries. Its bounds are constants,
- * for each voter must come to the same result.
+ * The replicated state: after the same log entries it is the same at each voter. Its limits are constants, not
+ * settings, because each voter must compute the same result.
  */
 final class AgreedState {
-    /** Longest content, in bytes. */
-    static final int MAX_CONTENT = 256 * 1024;
-    /** Longest name of a value or role. */
-    static final int MAX_NAME = 64;
-    /** Names that are kept at most; their contents together are bounded by {@link #MAX_BYTES}. */
+    /** Maximum length of a content, in bytes. */
+    static final int MAX_CONTENT_BYTES = 256 * 1024;
+    /** Maximum length of the name of a value or role. */
+    static final int MAX_NAME_LENGTH = 64;
+    /** Maximum number of names; the total size of their contents is limited by {@link #MAX_TOTAL_BYTES}. */
     static final int MAX_NAMES = 1024;
-    /** Contents that are kept at most, of all names and generations; in bytes. A snapshot has room for them. */
-    static final long MAX_BYTES = 48L * 1024 * 1024;
+    /** Maximum size of all stored contents, of all names and generations, in bytes; it fits into a snapshot. */
+    static final long MAX_TOTAL_BYTES = 48L * 1024 * 1024;
 
     private static final int MAX_ROLES = 256;
-    /** Generations of a name that are kept beside those in force and staged. */
-    private static final int MAX_HISTORY = 16;
+    /** Stored generations of a name, in addition to those in force and staged. */
+    private static final int MAX_HISTORY_GENERATIONS = 16;
 
     private static final int MAX_HISTORY_BYTES = 512 * 1024;
-    /** The authority's terms where no lease is granted. */
+    /** The terms of the authority here, where no lease is granted. */
     private static final LeaseTerms NO_LEASES = new LeaseTerms(1, 0);
 
-    /** What became of a generation. */
+    /** State of a generation. */
     enum Outcome {
         @JsonProperty("STAGED")
         STAGED,
@@ -43,53 +43,59 @@
     }
 
     /**
-     * A generation that is kept.
+     * A stored generation.
      *
-     * @param by who proposed it
-     * @param life the proposer's process
-     * @param number the proposal's number in that process
-     * @param came what became of it
+     * @param proposer the member that proposed it
+     * @param incarnation the proposer's incarnation
+     * @param requestNumber the number of the proposal in that incarnation
+     * @param outcome whether it is staged, came into force or was abandoned
      */
     record Generation(
             @JsonProperty("generation") long generation,
             @JsonProperty("content") byte[] content,
-            @JsonProperty("by") String by,
-            @JsonProperty("life") long life,
-            @JsonProperty("number") long number,
-            @JsonProperty("came") Outcome came) {
-        Generation with(Outcome next) {
-            return new Generation(generation, content, by, life, number, next);
+            @JsonProperty("by") String proposer,
+            @JsonProperty("life") long incarnation,
+            @JsonProperty("number") long requestNumber,
+            @JsonProperty("came") Outcome outcome) {
+        Generation withOutcome(Outcome next) {
+            return new Generation(generation, content, proposer, incarnation, requestNumber, next);
         }
     }
 
     /**
-     * All that is decided of a name.
+     * The state of a name.
      *
-     * @param word the generations in force and staged
-     * @param last the greatest generation that was used
-     * @param history the generations that are kept, oldest first
+     * @param decided the generations in force and staged
+     * @param lastGeneration the highest generation number used so far
+     * @param history the stored generations, oldest first
      */
-    record Named(
+    record NamedValue(
             @JsonProperty("name") String name,
-            @JsonProperty("word") DecidedVersion word,
-            @JsonProperty("last") long last,
+            @JsonProperty("word") DecidedVersion decided,
+            @JsonProperty("last") long lastGeneration,
             @JsonProperty("history") List<Generation> history) {}
 
-    /** Who acts in a role, since when by count, and with which longest lease. */
-    record Role(
+    /**
+     * The lease holder of a role.
+     *
+     * @param incarnation the holder's incarnation
+     * @param token fencing token, higher for each new holder
+     * @param maxLeaseMs the longest lease that the holder was granted, in milliseconds
+     */
+    record RoleState(
             @JsonProperty("role") String role,
             @JsonProperty("holder") String holder,
-            @JsonProperty("life") long life,
+            @JsonProperty("life") long incarnation,
             @JsonProperty("token") long token,
-            @JsonProperty("forMs") double forMs) {}
+            @JsonProperty("forMs") double maxLeaseMs) {}
 
-    /** A copy of all of it, for snapshots. */
-    record Image(
+    /** An immutable copy of the state. */
+    record Snapshot(
             @JsonProperty("reign") long leaderTerm,
-            @JsonProperty("names") List<Named> names,
-            @JsonProperty("roles") List<Role> roles) {}
+            @JsonProperty("names") List<NamedValue> names,
+            @JsonProperty("roles") List<RoleState> roles) {}
 
-    /** What a command has done; {@code VOID}: nothing, as it was overtaken. */
+    /** Result of a command; {@code VOID} if it had no effect because it was outdated. */
     enum Result {
         STAGED,
         IN_FORCE,
@@ -101,174 +107,191 @@
         VOID
     }
 
-    private final Map<String, Named> names = new TreeMap<>();
-    private final Map<String, Role> roles = new TreeMap<>();
+    private final Map<String, NamedValue> names = new TreeMap<>();
+    private final Map<String, RoleState> roles = new TreeMap<>();
     private long leaderTerm;
-    private long bytes;
+    private long contentBytes;
 
-    /** How many leader terms have begun. */
+    /** Number of leader terms that have begun. */
     long leaderTerm() {
         return leaderTerm;
     }
 
-    Map<String, Named> names() {
+    Map<String, NamedValue> names() {
         return names;
     }
 
-    Optional<Named> named(String name) {
+    Optional<NamedValue> find(String name) {
         return Optional.ofNullable(names.get(name));
     }
 
-    Optional<Role> role(String role) {
+    Optional<RoleState> role(String role) {
         return Optional.ofNullable(roles.get(role));
     }
 
-    Map<String, Role> roles() {
+    Map<String, RoleState> roles() {
         return roles;
     }
 
-    /** A generation that is kept. */
-    Optional<Generation> kept(String name, long generation) {
-        return named(name).stream()
-                .flatMap(n -> n.history().stream())
-                .filter(k -> k.generation() == generation)
+    /** Returns a stored generation. */
+    Optional<Generation> findGeneration(String name, long generation) {
+        return find(name).stream()
+                .flatMap(named -> named.history().stream())
+                .filter(kept -> kept.generation() == generation)
                 .findFirst();
     }
 
-    /** The generation that this proposal became, if it did. */
-    Optional<Generation> proposed(String name, String by, long life, long number) {
-        return named(name).stream()
-                .flatMap(n -> n.history().stream())
-                .filter(k -> k.by().equals(by) && k.life() == life && k.number() == number)
+    /** Returns the generation that was created from this proposal, if it is stored. */
+    Optional<Generation> findProposal(String name, String proposer, long incarnation, long requestNumber) {
+        return find(name).stream()
+                .flatMap(named -> named.history().stream())
+                .filter(kept -> kept.proposer().equals(proposer)
+                        && kept.incarnation() == incarnation
+                        && kept.requestNumber() == requestNumber)
                 .findFirst();
     }
 
     /** Applies a command of the log. */
-    Result apply(LogCommand op) {
-        if (op instanceof LogCommand.BeginTerm) {
+    Result apply(LogCommand command) {
+        if (command instanceof LogCommand.BeginTerm) {
             leaderTerm++;
             return Result.DONE;
         }
-        if (op instanceof LogCommand.Stage s) {
-            return stage(s);
+        if (command instanceof LogCommand.Stage stage) {
+            return stage(stage);
         }
-        if (op instanceof LogCommand.Activate a) {
-            Named n = names.get(a.name());
-            return current(n, a.version(), a.leaderTerm()) ? settle(n, Outcome.IN_FORCE) : Result.VOID;
+        if (command instanceof LogCommand.Activate activate) {
+            NamedValue value = names.get(activate.name());
+            return isCurrent(value, activate.version(), activate.leaderTerm())
+                    ? resolveStaged(value, Outcome.IN_FORCE)
+                    : Result.VOID;
         }
-        if (op instanceof LogCommand.Abandon a) {
-            Named n = names.get(a.name());
-            return current(n, a.version(), a.leaderTerm()) ? settle(n, Outcome.ABANDONED) : Result.VOID;
+        if (command instanceof LogCommand.Abandon abandon) {
+            NamedValue value = names.get(abandon.name());
+            return isCurrent(value, abandon.version(), abandon.leaderTerm())
+                    ? resolveStaged(value, Outcome.ABANDONED)
+                    : Result.VOID;
         }
-        return take((LogCommand.Take) op);
+        return grantRole((LogCommand.GrantRole) command);
     }
 
-    // Guards against a command of an earlier leader term, or for a decision that was overtaken on the way.
-    private boolean current(Named n, long version, long commandTerm) {
-        return n != null
+    // Guards against a command of an earlier leader term, or for a version that has been superseded meanwhile.
+    private boolean isCurrent(NamedValue value, long version, long commandTerm) {
+        return value != null
                 && commandTerm == leaderTerm
-                && n.word().version() == version
-                && n.word().staged() != 0;
+                && value.decided().version() == version
+                && value.decided().staged() != 0;
     }
 
-    private Result stage(LogCommand.Stage s) {
-        Optional<Generation> again = proposed(s.name(), s.by(), s.life(), s.number());
-        if (again.isPresent()) {
-            return Result.valueOf(again.get().came().name());
+    private Result stage(LogCommand.Stage command) {
+        Optional<Generation> duplicate =
+                findProposal(command.name(), command.proposer(), command.incarnation(), command.requestNumber());
+        if (duplicate.isPresent()) {
+            return Result.valueOf(duplicate.get().outcome().name());
         }
-        if (!names.containsKey(s.name()) && names.size() >= MAX_NAMES
-                || s.content().length > MAX_CONTENT
-                || s.name().length() > MAX_NAME
-                || bytes + s.content().length > MAX_BYTES) {
+        if (!names.containsKey(command.name()) && names.size() >= MAX_NAMES
+                || command.content().length > MAX_CONTENT_BYTES
+                || command.name().length() > MAX_NAME_LENGTH
+                || contentBytes + command.content().length > MAX_TOTAL_BYTES) {
             return Result.FULL;
         }
-        Named n = names.getOrDefault(s.name(), new Named(s.name(), DecidedVersion.NONE, 0, List.of()));
-        LeaseAuthority a = alone(n);
-        LeaseAuthority.ProposalVerdict v = a.evaluateProposal(s.expected());
-        if (v != LeaseAuthority.ProposalVerdict.STAGED) {
-            return Result.valueOf(v.name());
+        NamedValue value =
+                names.getOrDefault(command.name(), new NamedValue(command.name(), DecidedVersion.NONE, 0, List.of()));
+        LeaseAuthority authority = authority(value);
+        LeaseAuthority.ProposalVerdict verdict = authority.evaluateProposal(command.expectedGeneration());
+        if (verdict != LeaseAuthority.ProposalVerdict.STAGED) {
+            return Result.valueOf(verdict.name());
         }
-        LeaseAuthority staged = a.stage();
-        List<Generation> history = new ArrayList<>(n.history());
-        history.add(new Generation(staged.lastGeneration(), s.content(), s.by(), s.life(), s.number(), Outcome.STAGED));
-        keep(new Named(s.name(), staged.decided(), staged.lastGeneration(), trimmed(history, staged.decided())));
+        LeaseAuthority staged = authority.stage();
+        List<Generation> history = new ArrayList<>(value.history());
+        history.add(new Generation(
+                staged.lastGeneration(),
+                command.content(),
+                command.proposer(),
+                command.incarnation(),
+                command.requestNumber(),
+                Outcome.STAGED));
+        put(new NamedValue(
+                command.name(), staged.decided(), staged.lastGeneration(), trimHistory(history, staged.decided())));
         return Result.STAGED;
     }
 
-    private Result settle(Named n, Outcome came) {
-        LeaseAuthority a = alone(n);
-        long settled = n.word().staged();
-        LeaseAuthority next = came == Outcome.IN_FORCE ? a.activate(0) : a.abandon();
-        List<Generation> history = n.history().stream()
-                .map(k -> k.generation() == settled ? k.with(came) : k)
+    private Result resolveStaged(NamedValue value, Outcome outcome) {
+        LeaseAuthority authority = authority(value);
+        long resolvedGeneration = value.decided().staged();
+        LeaseAuthority next = outcome == Outcome.IN_FORCE ? authority.activate(0) : authority.abandon();
+        List<Generation> history = value.history().stream()
+                .map(kept -> kept.generation() == resolvedGeneration ? kept.withOutcome(outcome) : kept)
                 .toList();
-        keep(new Named(n.name(), next.decided(), n.last(), trimmed(history, next.decided())));
-        return Result.valueOf(came.name());
+        put(new NamedValue(value.name(), next.decided(), value.lastGeneration(), trimHistory(history, next.decided())));
+        return Result.valueOf(outcome.name());
     }
 
-    private void keep(Named named) {
-        Named before = names.put(named.name(), named);
-        bytes += bytes(named) - (before == null ? 0 : bytes(before));
+    private void put(NamedValue named) {
+        NamedValue previous = names.put(named.name(), named);
+        contentBytes += contentBytes(named) - (previous == null ? 0 : contentBytes(previous));
     }
 
-    private static long bytes(Named named) {
+    private static long contentBytes(NamedValue named) {
         return named.history().stream().mapToLong(kept -> kept.content().length).sum();
     }
 
-    /** The rules of words and numbers are the authority's; the leases that it waits for are the leader's to know. */
-    private static LeaseAuthority alone(Named n) {
-        return new LeaseAuthority(NO_LEASES, n.word(), n.last(), Double.NEGATIVE_INFINITY, Map.of());
+    /** Applies the core's rules for versions and generations without leases, which only the leader knows. */
+    private static LeaseAuthority authority(NamedValue value) {
+        return new LeaseAuthority(
+                NO_LEASES, value.decided(), value.lastGeneration(), Double.NEGATIVE_INFINITY, Map.of());
     }
 
-    private static List<Generation> trimmed(List<Generation> history, DecidedVersion word) {
+    private static List<Generation> trimHistory(List<Generation> history, DecidedVersion decided) {
         List<Generation> kept = new ArrayList<>();
         int count = 0;
         long bytes = 0;
         for (int i = history.size() - 1; i >= 0; i--) {
-            Generation k = history.get(i);
+            Generation generation = history.get(i);
             count++;
-            bytes += k.content().length;
-            if (k.generation() == word.inForce()
-                    || k.generation() == word.staged()
-                    || count <= MAX_HISTORY && bytes <= MAX_HISTORY_BYTES) {
-                kept.add(0, k);
+            bytes += generation.content().length;
+            if (generation.generation() == decided.inForce()
+                    || generation.generation() == decided.staged()
+                    || count <= MAX_HISTORY_GENERATIONS && bytes <= MAX_HISTORY_BYTES) {
+                kept.add(0, generation);
             }
         }
         return List.copyOf(kept);
     }
 
-    private Result take(LogCommand.Take t) {
-        Role r = roles.get(t.role());
-        if (t.leaderTerm() != leaderTerm || t.token() != (r == null ? 0 : r.token())) {
+    private Result grantRole(LogCommand.GrantRole command) {
+        RoleState role = roles.get(command.role());
+        if (command.leaderTerm() != leaderTerm || command.previousToken() != (role == null ? 0 : role.token())) {
             return Result.VOID;
         }
-        if (r == null && roles.size() >= MAX_ROLES) {
+        if (role == null && roles.size() >= MAX_ROLES) {
             return Result.FULL;
         }
-        boolean same = r != null && r.holder().equals(t.holder()) && r.life() == t.life();
+        boolean same =
+                role != null && role.holder().equals(command.holder()) && role.incarnation() == command.incarnation();
         roles.put(
-                t.role(),
-                new Role(
-                        t.role(),
-                        t.holder(),
-                        t.life(),
-                        same ? r.token() : t.token() + 1,
-                        same ? Math.max(r.forMs(), t.forMs()) : t.forMs()));
+                command.role(),
+                new RoleState(
+                        command.role(),
+                        command.holder(),
+                        command.incarnation(),
+                        same ? role.token() : command.previousToken() + 1,
+                        same ? Math.max(role.maxLeaseMs(), command.leaseMs()) : command.leaseMs()));
         return Result.DONE;
     }
 
-    /** What a snapshot is made of. */
-    Image image() {
-        return new Image(leaderTerm, List.copyOf(names.values()), List.copyOf(roles.values()));
+    /** Returns a copy of the state, for a snapshot. */
+    Snapshot snapshot() {
+        return new Snapshot(leaderTerm, List.copyOf(names.values()), List.copyOf(roles.values()));
     }
 
-    /** Replaces all by a snapshot's state. */
-    void restore(Image image) {
+    /** Replaces the state by a snapshot. */
+    void restore(Snapshot snapshot) {
         names.clear();
         roles.clear();
-        leaderTerm = image.leaderTerm();
-        bytes = 0;
-        image.names().forEach(this::keep);
-        image.roles().forEach(r -> roles.put(r.role(), r));
+        leaderTerm = snapshot.leaderTerm();
+        contentBytes = 0;
+        snapshot.names().forEach(this::put);
+        snapshot.roles().forEach(role -> roles.put(role.role(), role));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreedStateMachine.java
@@ -9,14 +9,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies the replicated log's entries to {@link AgreedState}; the Raft library calls it on the member's thread. */
+/** Applies entries of the replicated log to {@link AgreedState}; the Raft library calls it on the member's thread. */
 final class AgreedStateMachine implements StateMachine {
     private static final Logger LOG = LoggerFactory.getLogger(AgreedStateMachine.class);
-    /** A snapshot is taken after so many bytes of contents. */
+    /** Bytes of contents after which a snapshot is taken. */
     private static final long SNAPSHOT_BYTES = 4 << 20;
 
-    /** Requests that are answered once a majority has confirmed that it follows this leader. */
-    record Read(Runnable action) {}
+    /** A linearizable read: the action runs once a majority has confirmed that it follows this leader. */
+    record LinearizableRead(Runnable action) {}
 
     private final MemberContext context;
     private final RaftConsensus consensus;
@@ -33,23 +33,23 @@
 
     @Override
     public Object runOperation(long commitIndex, Object operation) {
-        if (operation instanceof Read read) {
+        if (operation instanceof LinearizableRead read) {
             read.action().run();
             return null;
         }
         LogCommand command = (LogCommand) operation;
         AgreedState.Result result = consensus.state().apply(command);
-        boundLog(command);
+        snapshotIfDue(command);
         if (command instanceof LogCommand.BeginTerm begin) {
             beginTerm(begin);
-        } else if (consensus.leads() && result != AgreedState.Result.VOID) {
+        } else if (consensus.isLeader() && result != AgreedState.Result.VOID) {
             listener.onApplied(command, result);
         }
         return result;
     }
 
-    /** Guards the log's memory and disk against few but long contents. */
-    private void boundLog(LogCommand command) {
+    /** Guards the memory and disk space of the log against few but large contents. */
+    private void snapshotIfDue(LogCommand command) {
         bytesSinceSnapshot += command instanceof LogCommand.Stage stage ? stage.content().length : 0;
         if (bytesSinceSnapshot > SNAPSHOT_BYTES) {
             bytesSinceSnapshot = 0;
@@ -59,14 +59,14 @@
 
     private void beginTerm(LogCommand.BeginTerm begin) {
         boolean leads = begin.leader().equals(self.toString())
-                && begin.life() == context.processLife()
-                && begin.number() == consensus.leaderTermNumber();
+                && begin.incarnation() == context.incarnation()
+                && begin.termNumber() == consensus.leaderTermNumber();
         consensus.beginTerm(
-                leads ? new LeaderLeases(context.settings().terms(), consensus.state(), context.nowMs()) : null);
+                leads ? new LeaderLeases(context.settings().leaseTerms(), consensus.state(), context.nowMs()) : null);
         if (leads) {
             context.counters().leaderTerms.increment();
             LOG.info(
-                    "agreement at {}: leads in leader term {}",
+                    "agreement at {}: became leader in leader term {}",
                     context.name(),
                     consensus.state().leaderTerm());
         }
@@ -75,28 +75,28 @@
 
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-        byte[] image = AgreementCodec.image(consensus.state().image());
-        for (int from = 0; from < image.length; from += AgreementCodec.SNAPSHOT_CHUNK_BYTES) {
+        byte[] snapshot = AgreementCodec.snapshot(consensus.state().snapshot());
+        for (int from = 0; from < snapshot.length; from += AgreementCodec.SNAPSHOT_CHUNK_BYTES) {
             chunks.accept(Arrays.copyOfRange(
-                    image, from, Math.min(image.length, from + AgreementCodec.SNAPSHOT_CHUNK_BYTES)));
+                    snapshot, from, Math.min(snapshot.length, from + AgreementCodec.SNAPSHOT_CHUNK_BYTES)));
         }
     }
 
     @Override
     public void installSnapshot(long commitIndex, List<Object> chunks) {
-        ByteArrayOutputStream image = new ByteArrayOutputStream();
-        chunks.forEach(chunk -> image.writeBytes((byte[]) chunk));
+        ByteArrayOutputStream snapshot = new ByteArrayOutputStream();
+        chunks.forEach(chunk -> snapshot.writeBytes((byte[]) chunk));
         try {
-            consensus.state().restore(AgreementCodec.image(image.toByteArray()));
+            consensus.state().restore(AgreementCodec.snapshot(snapshot.toByteArray()));
             consensus.stepDown();
         } catch (IOException e) {
-            // It is the library's to stop this voter then: its state is unknown.
+            // The state of this voter is unknown now; the exception makes the library stop it.
             throw new IllegalStateException(e);
         }
     }
 
     @Override
     public Object getNewTermOperation() {
-        return new LogCommand.BeginTerm(self.toString(), context.processLife(), consensus.nextLeaderTermNumber());
+        return new LogCommand.BeginTerm(self.toString(), context.incarnation(), consensus.nextLeaderTermNumber());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementCodec.java
@@ -19,29 +19,29 @@
 import java.io.IOException;
 
 /**
- * CBOR forms (RFC 8949) of members' messages, of the Raft library's messages and of what is written to disk. Whatever
- * can't be parsed is an {@link IOException} and nothing else.
+ * CBOR encoding (RFC 8949) of the members' messages, of the Raft library's messages and of stored data. Any input that
+ * can't be parsed causes an {@link IOException} and no other exception.
  */
 final class AgreementCodec {
-    /** Longest message; a link's frames must have room for it. */
-    static final int MAX_MESSAGE = 900 * 1024;
-    /** Entries in one message: their contents stay below {@link #MAX_MESSAGE}. */
-    static final int BATCH = 3;
-    /** Length of a snapshot's chunks, in bytes. */
+    /** Maximum length of a message; it must fit into a frame of a link. */
+    static final int MAX_MESSAGE_BYTES = 900 * 1024;
+    /** Maximum number of log entries in one message; their contents stay below {@link #MAX_MESSAGE_BYTES}. */
+    static final int MAX_BATCH_ENTRIES = 3;
+    /** Length of a snapshot chunk, in bytes. */
     static final int SNAPSHOT_CHUNK_BYTES = 512 * 1024;
 
     private static final int MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024;
-    static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    static final ObjectMapper MAPPER = mapper(MAX_MESSAGE);
-    private static final ObjectMapper IMAGES = mapper(MAX_SNAPSHOT_BYTES);
+    static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
+    static final ObjectMapper MAPPER = mapper(MAX_MESSAGE_BYTES);
+    private static final ObjectMapper SNAPSHOT_MAPPER = mapper(MAX_SNAPSHOT_BYTES);
 
     private AgreementCodec() {}
 
-    private static ObjectMapper mapper(long longest) {
+    private static ObjectMapper mapper(long maxBytes) {
         CBORFactory factory = CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
                         .maxNestingDepth(16)
-                        .maxDocumentLength(longest)
+                        .maxDocumentLength(maxBytes)
                         .maxNameLength(64)
                         .maxNumberLength(40)
                         .maxStringLength(4096)
@@ -51,11 +51,11 @@
                 .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                 .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
                 .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
-                // A later version may say more.
+                // Later versions may add properties.
                 .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 
-    /** What a frame carried: one of the two is null. */
+    /** Content of a frame: one of the two messages is null. */
     record Frame(AgreementMessage message, RaftMessage raftMessage) {}
 
     @FunctionalInterface
@@ -63,17 +63,17 @@
         T read() throws IOException;
     }
 
-    /** Reads, and makes whatever can't be read an {@link IOException}. */
-    static <T> T read(Reader<T> reader) throws IOException {
+    /** Runs a reader and converts its runtime exceptions to an {@link IOException}. */
+    static <T> T parse(Reader<T> reader) throws IOException {
         try {
-            T read = reader.read();
-            if (read == null) {
-                throw new IOException("nothing there");
+            T value = reader.read();
+            if (value == null) {
+                throw new IOException("empty document");
             }
-            return read;
+            return value;
         } catch (RuntimeException e) {
-            // Guards against builders and records that reject what they are given.
-            throw new IOException("not readable: " + e.getMessage(), e);
+            // Guards against builders and records that reject values.
+            throw new IOException("malformed: " + e.getMessage(), e);
         }
     }
 
@@ -85,105 +85,107 @@
         }
     }
 
-    /** The frame of a member's message. */
+    /** Encodes a message between members as a frame. */
     static byte[] frame(AgreementMessage message) {
-        ObjectNode n = MAPPER.createObjectNode();
-        n.set("n", MAPPER.valueToTree(message));
-        return bytes(n);
+        ObjectNode tree = MAPPER.createObjectNode();
+        tree.set("n", MAPPER.valueToTree(message));
+        return bytes(tree);
     }
 
-    /** The frame of a message of the Raft library. */
+    /** Encodes a message of the Raft library as a frame. */
     static byte[] frame(RaftMessage message) {
-        ObjectNode n = MAPPER.createObjectNode();
-        n.set("r", RaftMessageTrees.tree(message));
-        return bytes(n);
+        ObjectNode tree = MAPPER.createObjectNode();
+        tree.set("r", RaftMessageTrees.tree(message));
+        return bytes(tree);
     }
 
-    /** Parses a frame. */
+    /** Decodes a frame. */
     static Frame frame(byte[] body) throws IOException {
-        if (body.length > MAX_MESSAGE) {
-            throw new IOException("message of " + body.length + " bytes");
+        if (body.length > MAX_MESSAGE_BYTES) {
+            throw new IOException("message of " + body.length + " bytes exceeds " + MAX_MESSAGE_BYTES);
         }
-        return read(() -> {
-            JsonNode n = MAPPER.readTree(body);
-            return n.has("n")
-                    ? new Frame(MAPPER.treeToValue(n.get("n"), AgreementMessage.class), null)
-                    : new Frame(null, RaftMessageTrees.message(JsonFields.required(n, "r")));
+        return parse(() -> {
+            JsonNode tree = MAPPER.readTree(body);
+            return tree.has("n")
+                    ? new Frame(MAPPER.treeToValue(tree.get("n"), AgreementMessage.class), null)
+                    : new Frame(null, RaftMessageTrees.message(JsonFields.required(tree, "r")));
         });
     }
 
-    /** The form of a snapshot. */
-    static byte[] image(AgreedState.Image image) {
+    /** Encodes a snapshot. */
+    static byte[] snapshot(AgreedState.Snapshot image) {
         try {
-            return IMAGES.writeValueAsBytes(image);
+            return SNAPSHOT_MAPPER.writeValueAsBytes(image);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    static AgreedState.Image image(byte[] body) throws IOException {
-        return read(() -> IMAGES.readValue(body, AgreedState.Image.class));
+    static AgreedState.Snapshot snapshot(byte[] body) throws IOException {
+        return parse(() -> SNAPSHOT_MAPPER.readValue(body, AgreedState.Snapshot.class));
     }
 
-    /** The stored form of a log entry. */
-    static byte[] entry(LogEntry e) {
-        return bytes(RaftLogTrees.tree(e));
+    /** Encodes a log entry for storage. */
+    static byte[] logEntry(LogEntry entry) {
+        return bytes(RaftLogTrees.tree(entry));
     }
 
-    static LogEntry entry(byte[] body) throws IOException {
-        return read(() -> RaftLogTrees.logEntry(MAPPER.readTree(body)));
+    static LogEntry logEntry(byte[] body) throws IOException {
+        return parse(() -> RaftLogTrees.logEntry(MAPPER.readTree(body)));
     }
 
-    /** The stored form of a snapshot's chunk. */
-    static byte[] chunk(SnapshotChunk c) {
-        return bytes(RaftLogTrees.tree(c));
+    /** Encodes a snapshot chunk for storage. */
+    static byte[] snapshotChunk(SnapshotChunk chunk) {
+        return bytes(RaftLogTrees.tree(chunk));
     }
 
-    static SnapshotChunk chunk(byte[] body) throws IOException {
-        return read(() -> RaftLogTrees.snapshotChunk(MAPPER.readTree(body)));
+    static SnapshotChunk snapshotChunk(byte[] body) throws IOException {
+        return parse(() -> RaftLogTrees.snapshotChunk(MAPPER.readTree(body)));
     }
 
-    /** The stored form of a group's members. */
-    static byte[] members(RaftGroupMembersView v) {
-        return bytes(RaftLogTrees.tree(v));
+    /** Encodes the members of a Raft group for storage. */
+    static byte[] groupMembers(RaftGroupMembersView members) {
+        return bytes(RaftLogTrees.tree(members));
     }
 
-    static RaftGroupMembersView members(byte[] body) throws IOException {
-        return read(() -> RaftLogTrees.view(MAPPER.readTree(body)));
+    static RaftGroupMembersView groupMembers(byte[] body) throws IOException {
+        return parse(() -> RaftLogTrees.view(MAPPER.readTree(body)));
     }
 
-    /** The stored form of the current term and vote. */
-    static byte[] term(RaftTermPersistentState t) {
-        ObjectNode n = MAPPER.createObjectNode().put("term", t.getTerm());
+    /** Encodes the current term and vote for storage. */
+    static byte[] termState(RaftTermPersistentState state) {
+        ObjectNode tree = MAPPER.createObjectNode().put("term", state.getTerm());
         return bytes(
-                t.getVotedFor() == null
-                        ? n
-                        : n.put("voted", (String) t.getVotedFor().getId()));
-    }
-
-    static RaftTermPersistentState term(byte[] body) throws IOException {
-        return read(() -> {
-            JsonNode n = MAPPER.readTree(body);
-            return MODEL.createRaftTermPersistentStateBuilder()
-                    .setTerm(JsonFields.intValue(n, "term"))
-                    .setVotedFor(n.has("voted") ? JsonFields.endpoint(n, "voted") : null)
+                state.getVotedFor() == null
+                        ? tree
+                        : tree.put("voted", (String) state.getVotedFor().getId()));
+    }
+
+    static RaftTermPersistentState termState(byte[] body) throws IOException {
+        return parse(() -> {
+            JsonNode tree = MAPPER.readTree(body);
+            return MODEL_FACTORY
+                    .createRaftTermPersistentStateBuilder()
+                    .setTerm(JsonFields.intValue(tree, "term"))
+                    .setVotedFor(tree.has("voted") ? JsonFields.endpoint(tree, "voted") : null)
                     .build();
         });
     }
 
-    /** The stored form of the voter's own endpoint. */
-    static byte[] self(RaftEndpointPersistentState e) {
+    /** Encodes the voter's own endpoint for storage. */
+    static byte[] endpointState(RaftEndpointPersistentState state) {
         return bytes(MAPPER.createObjectNode()
-                .put("me", (String) e.getLocalEndpoint().getId())
-                .put("voting", e.isVoting()));
+                .put("me", (String) state.getLocalEndpoint().getId())
+                .put("voting", state.isVoting()));
     }
 
-    static RaftEndpointPersistentState self(byte[] body) throws IOException {
-        return read(() -> {
-            JsonNode n = MAPPER.readTree(body);
-            return MODEL.createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(JsonFields.endpoint(n, "me"))
-                    .setVoting(JsonFields.required(n, "voting").asBoolean())
+    static RaftEndpointPersistentState endpointState(byte[] body) throws IOException {
+        return parse(() -> {
+            JsonNode tree = MAPPER.readTree(body);
+            return MODEL_FACTORY
+                    .createRaftEndpointPersistentStateBuilder()
+                    .setLocalEndpoint(JsonFields.endpoint(tree, "me"))
+                    .setVoting(JsonFields.required(tree, "voting").asBoolean())
                     .build();
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderLeases.java
@@ -15,26 +15,27 @@
 import java.util.TreeMap;
 
 /**
- * The leases granted in one leader term, by name and role. The term begins when its own entry is applied, after which
- * no earlier leader is followed. The leases of earlier terms are unknown: all of them are waited out (Gray and
- * Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989).
+ * The leases granted in one leader term, by name and role. The term begins when its first entry is applied, after which
+ * no earlier leader is followed. The leases granted in earlier terms are unknown, so the leader waits until all of them
+ * must have expired (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
+ * Consistency", 1989).
  *
- * <p>Whatever grants a lease ({@link #answerRequest}, {@link #claimRole}) must be called only after a majority has
- * confirmed, since the request came, that it follows this leader.
+ * <p>The methods that grant a lease ({@link #renew}, {@link #claimRole}) must be called only after a majority has
+ * confirmed, later than the request arrived, that it follows this leader.
  */
 final class LeaderLeases {
-    /** Contents in one answer at most, in bytes. */
-    private static final int MAX_ANSWER_BYTES = 600 * 1024;
+    /** Maximum size of the contents in one response, in bytes. */
+    private static final int MAX_RESPONSE_BYTES = 600 * 1024;
 
-    /** What is done with a claim. */
+    /** How a claim is processed. */
     sealed interface ClaimDecision {
         /** It is answered at once. */
-        record Answer(AgreementMessage.Claimed message) implements ClaimDecision {}
+        record Respond(AgreementMessage.ClaimResponse response) implements ClaimDecision {}
 
-        /** A command must be written first; it is answered by {@link #grantRole} once that is applied. */
-        record WriteFirst(LogCommand.Take command) implements ClaimDecision {}
+        /** A command must be replicated first; once it is applied, {@link #grantRole} returns the response. */
+        record WriteFirst(LogCommand.GrantRole command) implements ClaimDecision {}
 
-        /** Another command for the role is on its way: the claim is not answered, its sender repeats it. */
+        /** Another command for the role is in flight: the claim is not answered, and its sender retries. */
         record Ignore() implements ClaimDecision {}
     }
 
@@ -43,180 +44,196 @@
     private final LeaseTerms terms;
     private final AgreedState state;
     private final long leaderTerm;
-    private final double settledMs;
-    private final Map<String, LeaseAuthority> authorities = new TreeMap<>();
-    private final Map<String, String> refused = new HashMap<>();
-    private final Map<String, Integer> ids = new HashMap<>();
-    private final Map<Integer, Double> leases = new HashMap<>();
-    private final Map<String, RoleLease> roles = new HashMap<>();
+    private final double earlierLeasesEndMs;
+    private final Map<String, LeaseAuthority> authorityByName = new TreeMap<>();
+    private final Map<String, String> rejectedBy = new HashMap<>();
+    private final Map<String, Integer> holderIds = new HashMap<>();
+    private final Map<Integer, Double> leaseEndById = new HashMap<>();
+    private final Map<String, RoleLease> roleLeases = new HashMap<>();
     private final Set<String> inFlight = new HashSet<>();
 
-    /** A leader term that begins now. */
+    /** Creates the leases of a leader term that begins now. */
     LeaderLeases(LeaseTerms terms, AgreedState state, double nowMs) {
         this.terms = terms;
         this.state = state;
         this.leaderTerm = state.leaderTerm();
-        this.settledMs = nowMs + terms.authorityWaitMs();
+        this.earlierLeasesEndMs = nowMs + terms.authorityWaitMs();
         state.names()
                 .values()
-                .forEach(n -> authorities.put(n.name(), LeaseAuthority.start(terms, nowMs, n.word(), n.last())));
-        state.roles().values().forEach(r -> roles.put(r.role(), new RoleLease(nowMs + waitMs(r.forMs()), false)));
+                .forEach(value -> authorityByName.put(
+                        value.name(), LeaseAuthority.start(terms, nowMs, value.decided(), value.lastGeneration())));
+        state.roles()
+                .values()
+                .forEach(role -> roleLeases.put(role.role(), new RoleLease(nowMs + waitMs(role.maxLeaseMs()), false)));
     }
 
     long leaderTerm() {
         return leaderTerm;
     }
 
-    /** From when it has waited out all that earlier leaders granted of names; milliseconds. */
-    double settledMs() {
-        return settledMs;
+    /** Time at which all leases for names granted by earlier leaders have expired, in milliseconds. */
+    double earlierLeasesEndMs() {
+        return earlierLeasesEndMs;
     }
 
-    private double waitMs(double forMs) {
-        return new LeaseTerms(forMs, terms.drift()).authorityWaitMs();
+    private double waitMs(double leaseMs) {
+        return new LeaseTerms(leaseMs, terms.drift()).authorityWaitMs();
     }
 
-    /** What is decided of this name has changed. */
+    /** The decided version of this name has changed. */
     void onApplied(String name) {
-        AgreedState.Named n = state.named(name).orElseThrow();
-        LeaseAuthority before = authorities.get(name);
+        AgreedState.NamedValue value = state.find(name).orElseThrow();
+        LeaseAuthority before = authorityByName.get(name);
         Map<Integer, LeaseAuthority.GrantedLease> holders = new TreeMap<>();
         if (before == null) {
-            // Whoever may act by other names is waited for here as well, so that it can refuse the first.
-            leases.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.GrantedLease(untilMs, 0)));
+            // Holders of leases for other names must confirm the first generation too, so that they can reject it.
+            leaseEndById.forEach((id, untilMs) -> holders.put(id, new LeaseAuthority.GrantedLease(untilMs, 0)));
         } else {
             holders.putAll(before.holders());
         }
-        authorities.put(name, new LeaseAuthority(terms, n.word(), n.last(), settledMs, holders));
+        authorityByName.put(
+                name, new LeaseAuthority(terms, value.decided(), value.lastGeneration(), earlierLeasesEndMs, holders));
         inFlight.remove(name);
-        refused.remove(name);
+        rejectedBy.remove(name);
     }
 
-    /** The answer to a question; from now on its asker is waited for. */
-    AgreementMessage.Answer answerRequest(double nowMs, String asker, AgreementMessage.Question q, String groupId) {
-        int id = ids.computeIfAbsent(asker, a -> ids.size() + 1);
-        leases.put(id, nowMs + terms.authorityWaitMs());
-        Map<String, AgreementMessage.Heard> heard = new HashMap<>();
-        q.heard().forEach(h -> heard.put(h.name(), h));
-        List<AgreementMessage.Told> told = new ArrayList<>();
-        int room = MAX_ANSWER_BYTES;
-        boolean whole = true;
-        for (Map.Entry<String, LeaseAuthority> e : authorities.entrySet()) {
-            AgreementMessage.Heard h =
-                    heard.getOrDefault(e.getKey(), new AgreementMessage.Heard(e.getKey(), 0, 0, List.of()));
-            LeaseRequest ask = new LeaseRequest(id, q.life(), q.number(), h.version(), h.refused());
-            LeaseAuthority a = e.getValue();
-            List<AgreementMessage.Item> items = items(a.decided(), e.getKey(), h.has());
-            int bytes = items.stream().mapToInt(i -> i.content().length).sum();
-            if (bytes > room) {
-                whole = false;
+    /** Grants a lease for all names; from now on, activation of a staged generation waits for this holder. */
+    AgreementMessage.RenewalResponse renew(
+            double nowMs, String member, AgreementMessage.RenewalRequest request, String groupId) {
+        int id = holderIds.computeIfAbsent(member, holder -> holderIds.size() + 1);
+        leaseEndById.put(id, nowMs + terms.authorityWaitMs());
+        Map<String, AgreementMessage.NameState> states = new HashMap<>();
+        request.names().forEach(known -> states.put(known.name(), known));
+        List<AgreementMessage.NameUpdate> updates = new ArrayList<>();
+        int remainingBytes = MAX_RESPONSE_BYTES;
+        boolean complete = true;
+        for (Map.Entry<String, LeaseAuthority> entry : authorityByName.entrySet()) {
+            AgreementMessage.NameState known = states.getOrDefault(
+                    entry.getKey(), new AgreementMessage.NameState(entry.getKey(), 0, 0, List.of()));
+            LeaseRequest leaseRequest = new LeaseRequest(
+                    id, request.incarnation(), request.requestNumber(), known.version(), known.rejectedGeneration());
+            LeaseAuthority authority = entry.getValue();
+            List<AgreementMessage.GenerationContent> contents =
+                    missingContents(authority.decided(), entry.getKey(), known.knownGenerations());
+            int bytes = contents.stream()
+                    .mapToInt(content -> content.content().length)
+                    .sum();
+            if (bytes > remainingBytes) {
+                complete = false;
                 continue;
             }
-            room -= bytes;
-            if (a.isStagedRejectedBy(ask)) {
-                refused.put(e.getKey(), asker);
+            remainingBytes -= bytes;
+            if (authority.isStagedRejectedBy(leaseRequest)) {
+                rejectedBy.put(entry.getKey(), member);
             }
-            LeaseAuthority next = a.onRequest(nowMs, ask);
-            e.setValue(next);
-            LeaseGrant g = next.grant(ask);
-            told.add(new AgreementMessage.Told(e.getKey(), g.decided(), items));
+            LeaseAuthority next = authority.onRequest(nowMs, leaseRequest);
+            entry.setValue(next);
+            LeaseGrant grant = next.grant(leaseRequest);
+            updates.add(new AgreementMessage.NameUpdate(entry.getKey(), grant.decided(), contents));
         }
-        return new AgreementMessage.Answer(q.life(), q.number(), groupId, terms.leaseMs(), told, whole);
+        return new AgreementMessage.RenewalResponse(
+                request.incarnation(), request.requestNumber(), groupId, terms.leaseMs(), updates, complete);
     }
 
-    private List<AgreementMessage.Item> items(DecidedVersion word, String name, List<Long> has) {
-        List<AgreementMessage.Item> items = new ArrayList<>();
-        for (long g : new long[] {word.inForce(), word.staged()}) {
-            if (g != 0 && !has.contains(g)) {
-                AgreedState.Generation k = state.kept(name, g).orElseThrow();
-                items.add(new AgreementMessage.Item(g, k.content(), k.by()));
+    private List<AgreementMessage.GenerationContent> missingContents(
+            DecidedVersion decided, String name, List<Long> knownGenerations) {
+        List<AgreementMessage.GenerationContent> contents = new ArrayList<>();
+        for (long generation : new long[] {decided.inForce(), decided.staged()}) {
+            if (generation != 0 && !knownGenerations.contains(generation)) {
+                AgreedState.Generation kept =
+                        state.findGeneration(name, generation).orElseThrow();
+                contents.add(new AgreementMessage.GenerationContent(generation, kept.content(), kept.proposer()));
             }
         }
-        return items;
+        return contents;
     }
 
-    /** The entries that may be written now; each once, until {@link #onApplied} or {@link #onWriteFailed}. */
+    /** Returns the due commands, each only once until {@link #onApplied} or {@link #onWriteFailed} is called for it. */
     List<LogCommand> dueCommands(double nowMs) {
         List<LogCommand> due = new ArrayList<>();
-        authorities.forEach((name, a) -> {
-            if (a.decided().staged() == 0 || inFlight.contains(name)) {
+        authorityByName.forEach((name, authority) -> {
+            if (authority.decided().staged() == 0 || inFlight.contains(name)) {
                 return;
             }
-            if (refused.containsKey(name)) {
-                due.add(new LogCommand.Abandon(name, a.decided().version(), leaderTerm, refused.get(name)));
+            if (rejectedBy.containsKey(name)) {
+                due.add(new LogCommand.Abandon(name, authority.decided().version(), leaderTerm, rejectedBy.get(name)));
                 inFlight.add(name);
-            } else if (a.mayActivate(nowMs)) {
-                due.add(new LogCommand.Activate(name, a.decided().version(), leaderTerm));
+            } else if (authority.mayActivate(nowMs)) {
+                due.add(new LogCommand.Activate(name, authority.decided().version(), leaderTerm));
                 inFlight.add(name);
             }
         });
         return due;
     }
 
-    /** This entry was not taken by the log: it may be tried again. */
-    void onWriteFailed(LogCommand op) {
-        if (op instanceof LogCommand.Activate a) {
-            inFlight.remove(a.name());
-        } else if (op instanceof LogCommand.Abandon a) {
-            inFlight.remove(a.name());
-        } else if (op instanceof LogCommand.Take t) {
-            roles.computeIfPresent(t.role(), (r, l) -> new RoleLease(l.untilMs(), false));
+    /** This command was not appended to the log and may be retried. */
+    void onWriteFailed(LogCommand command) {
+        if (command instanceof LogCommand.Activate activate) {
+            inFlight.remove(activate.name());
+        } else if (command instanceof LogCommand.Abandon abandon) {
+            inFlight.remove(abandon.name());
+        } else if (command instanceof LogCommand.GrantRole grant) {
+            roleLeases.computeIfPresent(grant.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
         }
     }
 
-    /** A member claims a role. */
-    ClaimDecision claimRole(double nowMs, String member, AgreementMessage.Claim c) {
-        Optional<AgreedState.Role> role = state.role(c.role());
-        RoleLease lease = roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
+    /** Processes a member's claim of a role. */
+    ClaimDecision claimRole(double nowMs, String member, AgreementMessage.ClaimRequest claim) {
+        Optional<AgreedState.RoleState> role = state.role(claim.role());
+        RoleLease lease = roleLeases.getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false));
         if (lease.inFlight()) {
-            // Guards against a lease that is lengthened while the role goes to another.
+            // Guards against extending a lease while the role is being granted to another member.
             return new ClaimDecision.Ignore();
         }
-        long token = role.map(AgreedState.Role::token).orElse(0L);
-        boolean same = role.isPresent()
+        long token = role.map(AgreedState.RoleState::token).orElse(0L);
+        boolean renewal = role.isPresent()
                 && role.get().holder().equals(member)
-                && role.get().life() == c.life();
-        if (same && c.forMs() <= role.get().forMs()) {
-            return new ClaimDecision.Answer(granted(nowMs, c));
+                && role.get().incarnation() == claim.incarnation();
+        if (renewal && claim.leaseMs() <= role.get().maxLeaseMs()) {
+            return new ClaimDecision.Respond(grantClaim(nowMs, claim));
         }
-        if (same || nowMs >= lease.untilMs()) {
-            roles.put(c.role(), new RoleLease(lease.untilMs(), true));
-            return new ClaimDecision.WriteFirst(
-                    new LogCommand.Take(c.role(), member, c.life(), c.forMs(), token, leaderTerm));
+        if (renewal || nowMs >= lease.untilMs()) {
+            roleLeases.put(claim.role(), new RoleLease(lease.untilMs(), true));
+            return new ClaimDecision.WriteFirst(new LogCommand.GrantRole(
+                    claim.role(), member, claim.incarnation(), claim.leaseMs(), token, leaderTerm));
         }
-        String holder = role.map(AgreedState.Role::holder).orElse("");
-        return new ClaimDecision.Answer(new AgreementMessage.Claimed(c.life(), c.number(), holder, token, 0));
+        String holder = role.map(AgreedState.RoleState::holder).orElse("");
+        return new ClaimDecision.Respond(
+                new AgreementMessage.ClaimResponse(claim.incarnation(), claim.requestNumber(), holder, token, 0));
     }
 
-    /** The claim's entry was applied in this leader term: it is granted. */
-    AgreementMessage.Claimed grantRole(double nowMs, AgreementMessage.Claim c) {
-        roles.computeIfPresent(c.role(), (r, l) -> new RoleLease(l.untilMs(), false));
-        return granted(nowMs, c);
+    /** Grants a claim whose command was applied in this leader term. */
+    AgreementMessage.ClaimResponse grantRole(double nowMs, AgreementMessage.ClaimRequest claim) {
+        roleLeases.computeIfPresent(claim.role(), (role, lease) -> new RoleLease(lease.untilMs(), false));
+        return grantClaim(nowMs, claim);
     }
 
-    private AgreementMessage.Claimed granted(double nowMs, AgreementMessage.Claim c) {
-        AgreedState.Role role = state.role(c.role()).orElseThrow();
-        double until = Math.max(
-                nowMs + waitMs(c.forMs()),
-                roles.getOrDefault(c.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
+    private AgreementMessage.ClaimResponse grantClaim(double nowMs, AgreementMessage.ClaimRequest claim) {
+        AgreedState.RoleState role = state.role(claim.role()).orElseThrow();
+        double endMs = Math.max(
+                nowMs + waitMs(claim.leaseMs()),
+                roleLeases
+                        .getOrDefault(claim.role(), new RoleLease(Double.NEGATIVE_INFINITY, false))
                         .untilMs());
-        roles.put(c.role(), new RoleLease(until, false));
-        return new AgreementMessage.Claimed(c.life(), c.number(), role.holder(), role.token(), c.forMs());
+        roleLeases.put(claim.role(), new RoleLease(endMs, false));
+        return new AgreementMessage.ClaimResponse(
+                claim.incarnation(), claim.requestNumber(), role.holder(), role.token(), claim.leaseMs());
     }
 
-    /** Who is waited for before what is staged can be in force, for staff. */
-    List<String> waitsFor(String name, double nowMs) {
-        LeaseAuthority a = authorities.get(name);
-        List<String> who = new ArrayList<>();
-        ids.forEach((member, id) -> {
-            LeaseAuthority.GrantedLease h = a == null ? null : a.holders().get(id);
-            if (h != null
-                    && a.decided().staged() != 0
-                    && nowMs < h.untilMs()
-                    && h.acknowledgedVersion() < a.decided().version()) {
-                who.add(member);
+    /** The lease holders for which activation of the staged generation waits, for operators. */
+    List<String> pendingHolders(String name, double nowMs) {
+        LeaseAuthority authority = authorityByName.get(name);
+        List<String> pending = new ArrayList<>();
+        holderIds.forEach((member, id) -> {
+            LeaseAuthority.GrantedLease granted =
+                    authority == null ? null : authority.holders().get(id);
+            if (granted != null
+                    && authority.decided().staged() != 0
+                    && nowMs < granted.untilMs()
+                    && granted.acknowledgedVersion() < authority.decided().version()) {
+                pending.add(member);
             }
         });
-        return who;
+        return pending;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaderService.java
@@ -11,12 +11,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's answers to lease requests, role claims and operators' reads. Each waits for a linearizable read, in
- * batches: a majority has confirmed, since the request came, that it follows this leader. For the member's thread.
+ * The leader's responses to renewal requests, role claims and operators' reads. Each of them is sent after a
+ * linearizable read: a majority has confirmed, later than the request arrived, that it follows this leader. Requests
+ * are read in batches. Confined to the member's thread.
  */
 final class LeaderService implements AppliedListener {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
-    /** Requests that wait for a read; more are dropped, as a link might. */
+    /** Requests that wait for a read; further ones are dropped, as a lossy link would drop them. */
     private static final int MAX_WAITING_REQUESTS = 4096;
     /** Requests answered by one read. */
     private static final int MAX_READ_BATCH = 256;
@@ -34,58 +35,61 @@
         this.proposals = proposals;
     }
 
-    /** When a majority last confirmed this leader, in milliseconds; negative infinity if never. */
+    /** Time at which a majority last confirmed this leader, in milliseconds; negative infinity if never. */
     double majorityConfirmedMs() {
         return majorityConfirmedMs;
     }
 
-    /** Whether this member leads; if not, the asker is told who does. */
-    private boolean leadsOrRedirects(String peer) {
-        if (!consensus.leads()) {
-            context.send(peer, new AgreementMessage.Elsewhere(consensus.leader()));
+    /** Returns whether this member is the leader; if not, redirects the requester to the leader. */
+    private boolean isLeaderOrRedirect(String peer) {
+        if (!consensus.isLeader()) {
+            context.send(peer, new AgreementMessage.NotLeader(consensus.leader()));
         }
-        return consensus.leads();
+        return consensus.isLeader();
     }
 
-    void onQuestion(String peer, AgreementMessage.Question question) {
+    void onRenewalRequest(String peer, AgreementMessage.RenewalRequest request) {
         context.counters().leaseRequests.increment();
-        if (leadsOrRedirects(peer)) {
-            answerAfterRead(nowMs ->
-                    context.send(peer, consensus.leases().answerRequest(nowMs, peer, question, consensus.groupId())));
+        if (isLeaderOrRedirect(peer)) {
+            answerAfterRead(
+                    nowMs -> context.send(peer, consensus.leases().renew(nowMs, peer, request, consensus.groupId())));
         }
     }
 
-    void onPropose(String peer, AgreementMessage.Propose proposal) {
-        if (leadsOrRedirects(peer)) {
-            proposals.onPropose(peer, proposal);
+    void onProposeRequest(String peer, AgreementMessage.ProposeRequest request) {
+        if (isLeaderOrRedirect(peer)) {
+            proposals.onProposeRequest(peer, request);
         }
     }
 
-    void onClaim(String peer, AgreementMessage.Claim claim) {
-        if (leadsOrRedirects(peer)
-                && claim.forMs() > 0
-                && claim.forMs() <= context.settings().maxRoleMs()
-                && claim.role().length() <= AgreedState.MAX_NAME) {
-            answerAfterRead(nowMs -> answerClaim(nowMs, peer, claim));
+    void onClaimRequest(String peer, AgreementMessage.ClaimRequest request) {
+        if (isLeaderOrRedirect(peer)
+                && request.leaseMs() > 0
+                && request.leaseMs() <= context.settings().maxRoleLeaseMs()
+                && request.role().length() <= AgreedState.MAX_NAME_LENGTH) {
+            answerAfterRead(nowMs -> answerClaim(nowMs, peer, request));
         }
     }
 
-    /** Guards whoever looks before proposing again: a voter that is behind does not know what is acknowledged. */
-    void onLook(String peer, AgreementMessage.Look look) {
-        if (leadsOrRedirects(peer)) {
-            answerAfterRead(nowMs -> context.send(peer, history(look)));
+    /**
+     * Answers an operator's read after a linearizable read. Guards operators who check the history before they propose
+     * again: a voter that lags behind does not know all acknowledged proposals.
+     */
+    void onHistoryRequest(String peer, AgreementMessage.HistoryRequest request) {
+        if (isLeaderOrRedirect(peer)) {
+            answerAfterRead(nowMs -> context.send(peer, historyResponse(request)));
         }
     }
 
-    /** Starts a read that is due and writes the entries that leases allow by now. */
+    /** Starts a read that is due and replicates the commands that the leases allow by now. */
     void tick(double nowMs) {
-        if (consensus.leads()) {
+        if (consensus.isLeader()) {
             startRead();
-            writeDue(nowMs);
+            replicateDueCommands(nowMs);
         }
     }
 
-    /** Forgets all requests, as the node that was to answer them is gone. */
+    /** Discards all requests, because the Raft node that was to answer them has stopped. */
     void reset() {
         proposals.reset();
         waitingRequests.clear();
@@ -97,7 +101,7 @@
         proposals.forgetWaiters();
         waitingRequests.clear();
         if (leads) {
-            hintAll();
+            broadcastHint();
         }
     }
 
@@ -109,11 +113,11 @@
             onValueApplied(activate.name(), true);
         } else if (command instanceof LogCommand.Abandon abandon) {
             LOG.warn(
-                    "agreement at {}: {} of {} can't be used by {}: abandoned",
+                    "agreement at {}: version {} of {} was rejected by {}: abandoned",
                     context.name(),
                     abandon.version(),
                     abandon.name(),
-                    abandon.by());
+                    abandon.rejectedBy());
             onValueApplied(abandon.name(), true);
         }
     }
@@ -122,12 +126,12 @@
         if (changed) {
             context.counters().decisions.increment();
             consensus.leases().onApplied(name);
-            hintAll();
+            broadcastHint();
         }
         proposals.sendOutcomes(name);
     }
 
-    private void hintAll() {
+    private void broadcastHint() {
         AgreementMessage.Hint hint = new AgreementMessage.Hint(consensus.state().leaderTerm());
         context.broadcast(hint);
         context.send(context.name(), hint);
@@ -142,7 +146,8 @@
 
     private void startRead() {
         double nowMs = context.nowMs();
-        double patienceMs = context.settings().beatMs() * context.settings().patienceBeats();
+        double patienceMs =
+                context.settings().heartbeatMs() * context.settings().leaderTimeoutHeartbeats();
         if (waitingRequests.isEmpty() || nowMs < readStartedMs + patienceMs) {
             return;
         }
@@ -154,33 +159,33 @@
         readStartedMs = nowMs;
         consensus
                 .readLinearizable(() -> answerBatch(batch, leases, nowMs))
-                .whenComplete((result, failure) -> context.execute(() -> onReadEnded(leases, nowMs, failure)));
+                .whenComplete((result, failure) -> context.execute(() -> onReadCompleted(leases, nowMs, failure)));
     }
 
     private void answerBatch(List<DoubleConsumer> batch, LeaderLeases leases, double startedMs) {
-        // Guards against an answer in a later term, which knows other leases.
+        // Guards against responses in a later leader term, whose leases differ.
         if (consensus.leases() == leases) {
             majorityConfirmedMs = startedMs;
             double nowMs = context.nowMs();
             batch.forEach(answer ->
-                    context.thread().safely(() -> answer.accept(nowMs)).run());
+                    context.thread().logFailures(() -> answer.accept(nowMs)).run());
         }
     }
 
-    private void onReadEnded(LeaderLeases leases, double startedMs, Throwable failure) {
+    private void onReadCompleted(LeaderLeases leases, double startedMs, Throwable failure) {
         if (readStartedMs == startedMs) {
             readStartedMs = Double.NaN;
         }
         if (failure instanceof NotLeaderException && consensus.leases() == leases) {
             consensus.stepDown();
         }
-        if (consensus.leads()) {
-            writeDue(context.nowMs());
+        if (consensus.isLeader()) {
+            replicateDueCommands(context.nowMs());
             startRead();
         }
     }
 
-    private void writeDue(double nowMs) {
+    private void replicateDueCommands(double nowMs) {
         LeaderLeases leases = consensus.leases();
         leases.dueCommands(nowMs)
                 .forEach(command -> consensus
@@ -192,17 +197,18 @@
                         })));
     }
 
-    private void answerClaim(double nowMs, String peer, AgreementMessage.Claim claim) {
+    private void answerClaim(double nowMs, String peer, AgreementMessage.ClaimRequest request) {
         LeaderLeases leases = consensus.leases();
-        LeaderLeases.ClaimDecision decision = leases.claimRole(nowMs, peer, claim);
-        if (decision instanceof LeaderLeases.ClaimDecision.Answer answer) {
-            context.send(peer, answer.message());
+        LeaderLeases.ClaimDecision decision = leases.claimRole(nowMs, peer, request);
+        if (decision instanceof LeaderLeases.ClaimDecision.Respond answer) {
+            context.send(peer, answer.response());
         } else if (decision instanceof LeaderLeases.ClaimDecision.WriteFirst write) {
-            writeClaim(peer, claim, write.command(), leases);
+            replicateClaim(peer, request, write.command(), leases);
         }
     }
 
-    private void writeClaim(String peer, AgreementMessage.Claim claim, LogCommand.Take command, LeaderLeases leases) {
+    private void replicateClaim(
+            String peer, AgreementMessage.ClaimRequest request, LogCommand.GrantRole command, LeaderLeases leases) {
         consensus
                 .replicate(command)
                 .whenComplete((result, failure) -> context.execute(() -> {
@@ -210,28 +216,29 @@
                         return;
                     }
                     if (failure == null && result.getResult() == AgreedState.Result.DONE) {
-                        context.send(peer, leases.grantRole(context.nowMs(), claim));
+                        context.send(peer, leases.grantRole(context.nowMs(), request));
                     } else {
                         leases.onWriteFailed(command);
                     }
                 }));
     }
 
-    private AgreementMessage.Looked history(AgreementMessage.Look look) {
+    private AgreementMessage.HistoryResponse historyResponse(AgreementMessage.HistoryRequest request) {
         AgreedState state = consensus.state();
-        byte[] content = state.kept(look.name(), look.generation())
+        byte[] content = state.findGeneration(request.name(), request.generation())
                 .map(AgreedState.Generation::content)
                 .orElse(new byte[0]);
-        List<AgreementMessage.Line> lines = state.named(look.name()).stream()
-                .flatMap(named -> named.history().stream().map(kept -> line(named, kept)))
+        List<AgreementMessage.HistoryEntry> lines = state.find(request.name()).stream()
+                .flatMap(named -> named.history().stream().map(kept -> historyEntry(named, kept)))
                 .toList();
-        return new AgreementMessage.Looked(look.life(), look.number(), lines, content);
+        return new AgreementMessage.HistoryResponse(request.incarnation(), request.requestNumber(), lines, content);
     }
 
-    private static AgreementMessage.Line line(AgreedState.Named named, AgreedState.Generation kept) {
-        String outcome = kept.came().name().toLowerCase(Locale.ROOT);
-        boolean inForce = kept.generation() == named.word().inForce();
-        return new AgreementMessage.Line(
-                kept.generation(), kept.by(), kept.content().length, outcome + (inForce ? ", now" : ""));
+    private static AgreementMessage.HistoryEntry historyEntry(
+            AgreedState.NamedValue named, AgreedState.Generation kept) {
+        String outcome = kept.outcome().name().toLowerCase(Locale.ROOT);
+        boolean inForce = kept.generation() == named.decided().inForce();
+        return new AgreementMessage.HistoryEntry(
+                kept.generation(), kept.proposer(), kept.content().length, outcome + (inForce ? ", now" : ""));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseClient.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member's own lease: asks the leader for it again and again, finds out who leads, and keeps what was granted as an
- * immutable {@link LeaseView} that any thread may read. All else is for the member's thread.
+ * Obtains and renews a member's lease: finds the leader, sends it renewal requests, and stores the granted leases as an
+ * immutable {@link LeaseView} that any thread may read. All other state is confined to the member's thread.
  */
 final class LeaseClient {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseClient.class);
@@ -25,23 +25,23 @@
     private final Map<String, Predicate<byte[]>> validators = new ConcurrentHashMap<>();
     private final List<Consumer<String>> valueListeners = new CopyOnWriteArrayList<>();
     private volatile LeaseView view;
-    private double answeredMs = Double.NEGATIVE_INFINITY;
+    private double lastResponseMs = Double.NEGATIVE_INFINITY;
     private String followedGroup = "";
     private String believedLeader = "";
     private long lastLeaderTerm;
     private int failedRequests;
     private double nextRequestMs;
-    private boolean awaitingAnswer;
+    private boolean awaitingResponse;
 
-    /** A client that has asked for nothing yet; the listener runs after each change of the view. */
+    /** Creates a client without a lease; {@code viewListener} runs after each change of the view. */
     LeaseClient(MemberContext context, RaftConsensus consensus, Runnable viewListener) {
         this.context = context;
         this.consensus = consensus;
         this.viewListener = viewListener;
         this.schedule = new RenewalSchedule(
-                context.settings().terms(),
+                context.settings().leaseTerms(),
                 new SplittableRandom(context.settings().seed()));
-        this.view = LeaseView.start(context.processLife());
+        this.view = LeaseView.start(context.incarnation());
     }
 
     void addValidator(String name, Predicate<byte[]> validator) {
@@ -52,28 +52,28 @@
         valueListeners.add(listener);
     }
 
-    /** What this member may act by; any thread. */
+    /** The current leases; may be called by any thread. */
     LeaseView view() {
         return view;
     }
 
-    /** When the leader last answered, in milliseconds; negative infinity if never. */
-    double answeredMs() {
-        return answeredMs;
+    /** Time of the leader's last response, in milliseconds; negative infinity if there was none. */
+    double lastResponseMs() {
+        return lastResponseMs;
     }
 
-    /** The Raft group that this member has acted by; empty if none. */
+    /** The Raft group whose leases this member has accepted; empty if none. */
     String followedGroup() {
         return followedGroup;
     }
 
-    /** The leader by the last answer or hint; empty if unknown. */
+    /** The leader by the last response or hint; empty if unknown. */
     String believedLeader() {
         return believedLeader;
     }
 
-    /** Whom to ask: the leader as far as known, else one voter after another. */
-    String target() {
+    /** The member to send requests to: the leader if known, else the voters in turn. */
+    String requestTarget() {
         String leader = consensus.leader();
         if (!leader.isEmpty()) {
             return leader;
@@ -89,14 +89,14 @@
         nextRequestMs = schedule.firstRequestMs(nowMs);
     }
 
-    /** Asks for the lease if it is time to. */
+    /** Sends a renewal request if one is due. */
     void tick(double nowMs) {
         if (nowMs < nextRequestMs) {
             return;
         }
-        if (awaitingAnswer) {
-            // The last request was not answered: its target may be gone.
-            awaitingAnswer = false;
+        if (awaitingResponse) {
+            // The last request was not answered: its target may be dead.
+            awaitingResponse = false;
             believedLeader = "";
             failedRequests++;
             nextRequestMs = schedule.nextAfterFailureMs(nowMs);
@@ -104,60 +104,62 @@
         }
         view = view.startRequest(nowMs);
         schedule.onRequestSent(nowMs);
-        awaitingAnswer = true;
+        awaitingResponse = true;
         nextRequestMs = nowMs + schedule.responseTimeoutMs();
-        context.send(target(), view.question());
+        context.send(requestTarget(), view.renewalRequest());
     }
 
-    /** Takes the leader's grant; one of another Raft group raises the alarm. */
-    void onAnswer(String peer, AgreementMessage.Answer answer) {
-        if (!followedGroup.isEmpty() && !followedGroup.equals(answer.groupId())) {
+    /** Processes a leader's grant; a grant of another Raft group raises the alarm. */
+    void onRenewalResponse(String peer, AgreementMessage.RenewalResponse response) {
+        if (!followedGroup.isEmpty() && !followedGroup.equals(response.groupId())) {
             context.counters().foreign.increment();
             context.alarm()
-                    .raise(peer + " answers for another founding, " + answer.groupId() + "; here it is "
+                    .raise(peer + " answers for Raft group " + response.groupId() + "; this member follows "
                             + followedGroup);
             return;
         }
         LeaseView before = view;
-        LeaseView next = before.onAnswer(answer, this::isUsable);
+        LeaseView next = before.onRenewalResponse(response, this::isValid);
         if (next == before) {
             return;
         }
-        followedGroup = answer.groupId();
+        followedGroup = response.groupId();
         believedLeader = peer;
         view = next;
-        answeredMs = context.nowMs();
-        List<String> changedNames = answer.told().stream()
-                .map(AgreementMessage.Told::name)
-                .filter(name -> next.word(name).version() > before.word(name).version())
+        lastResponseMs = context.nowMs();
+        List<String> changedNames = response.updates().stream()
+                .map(AgreementMessage.NameUpdate::name)
+                .filter(name ->
+                        next.decided(name).version() > before.decided(name).version())
                 .toList();
-        double requestMs = schedule.nextAfterGrantMs(answeredMs, !changedNames.isEmpty());
-        // A hint may have come while the request was on its way: it stays.
-        nextRequestMs = awaitingAnswer ? requestMs : Math.min(nextRequestMs, requestMs);
-        awaitingAnswer = false;
+        double requestMs = schedule.nextAfterGrantMs(lastResponseMs, !changedNames.isEmpty());
+        // A hint that arrived while the request was in flight must not be overridden by a later time.
+        nextRequestMs = awaitingResponse ? requestMs : Math.min(nextRequestMs, requestMs);
+        awaitingResponse = false;
         viewListener.run();
-        changedNames.forEach(name -> publishChange(next, name));
+        changedNames.forEach(name -> notifyChanged(next, name));
     }
 
-    private void publishChange(LeaseView current, String name) {
-        if (current.refused(name) != 0) {
-            context.alarm().raise("generation " + current.refused(name) + " of " + name + " can't be used here");
+    private void notifyChanged(LeaseView current, String name) {
+        if (current.rejectedGeneration(name) != 0) {
+            context.alarm()
+                    .raise("generation " + current.rejectedGeneration(name) + " of " + name + " can't be used here");
         }
-        valueListeners.forEach(
-                listener -> context.thread().safely(() -> listener.accept(name)).run());
+        valueListeners.forEach(listener ->
+                context.thread().logFailures(() -> listener.accept(name)).run());
     }
 
-    /** Whether this member can use a content under a name; any thread. */
-    boolean isUsable(String name, byte[] content) {
+    /** Whether a content is valid for this name; may be called by any thread. */
+    boolean isValid(String name, byte[] content) {
         try {
             return validators.getOrDefault(name, any -> true).test(content);
         } catch (RuntimeException e) {
-            LOG.warn("agreement at {}: {} can't be read", context.name(), name, e);
+            LOG.warn("agreement at {}: the validator of {} failed", context.name(), name, e);
             return false;
         }
     }
 
-    /** A leader has news, or has just begun to lead: asks soon. */
+    /** The leader has changed, or a value has: requests a renewal soon. */
     void onHint(String peer, AgreementMessage.Hint hint) {
         if (hint.leaderTerm() < lastLeaderTerm) {
             return;
@@ -165,24 +167,25 @@
         lastLeaderTerm = hint.leaderTerm();
         believedLeader = peer;
         double requestMs = schedule.nextAfterHintMs(context.nowMs());
-        if (!awaitingAnswer || requestMs < nextRequestMs) {
-            awaitingAnswer = false;
+        if (!awaitingResponse || requestMs < nextRequestMs) {
+            awaitingResponse = false;
             nextRequestMs = requestMs;
         }
     }
 
-    /** The member asked does not lead: asks the one that it names, or the next voter. */
-    void onElsewhere(String peer, AgreementMessage.Elsewhere redirect) {
-        String leader = redirect.leader();
+    /** The target is not the leader: sends the next request to the leader that it names, or to the next voter. */
+    void onNotLeader(String peer, AgreementMessage.NotLeader response) {
+        String leader = response.leader();
         if (!leader.isEmpty()
-                && context.links().peers().stream().anyMatch(p -> p.name().equals(leader))) {
+                && context.links().peers().stream()
+                        .anyMatch(candidate -> candidate.name().equals(leader))) {
             believedLeader = leader;
         } else if (believedLeader.equals(peer)) {
             believedLeader = "";
             failedRequests++;
         }
-        if (awaitingAnswer) {
-            awaitingAnswer = false;
+        if (awaitingResponse) {
+            awaitingResponse = false;
             nextRequestMs = schedule.nextAfterHintMs(context.nowMs());
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LeaseView.java
@@ -4,7 +4,7 @@
 import brackenbridge.core.generation.EffectiveGenerations;
 import brackenbridge.core.generation.LeaseGrant;
 import brackenbridge.core.generation.LeaseHolder;
-import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.EffectiveValues;
 import brackenbridge.fleet.agreed.AgreedValues.Value;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,112 +14,128 @@
 import java.util.function.BiPredicate;
 
 /**
- * A member's own lease: what it may act by, for all names, by one request. Immutable; each event makes another. A name
- * has a holder and a decision of its own; the lease of all runs from the same request.
+ * A member's leases and the values that it may use under them, for all names. Immutable: each event creates a new view.
+ * Each name has its own lease holder and decided version; all of them are renewed by the same request.
  */
 final class LeaseView {
-    /** A name's holder with the contents that it knows. */
-    private record Known(LeaseHolder holder, Map<Long, Value> values) {}
+    /** The lease holder of a name with the known values of that name. */
+    private record NameLease(LeaseHolder holder, Map<Long, Value> values) {}
 
-    /** Asks as all holders do; the holder of a name that was not heard of before. */
-    private final LeaseHolder fresh;
+    /** Counts requests like the holders of all names; a name seen for the first time starts with this holder. */
+    private final LeaseHolder unnamedHolder;
 
-    private final Map<String, Known> names;
+    private final Map<String, NameLease> names;
     private final double leaseUntilMs;
 
-    private LeaseView(LeaseHolder fresh, Map<String, Known> names, double leaseUntilMs) {
-        this.fresh = fresh;
+    private LeaseView(LeaseHolder unnamedHolder, Map<String, NameLease> names, double leaseUntilMs) {
+        this.unnamedHolder = unnamedHolder;
         this.names = names;
         this.leaseUntilMs = leaseUntilMs;
     }
 
-    /** A process that has just started. */
-    static LeaseView start(long life) {
-        return new LeaseView(LeaseHolder.start(0, life), Map.of(), Double.NEGATIVE_INFINITY);
+    /** The view of a process that has just started. */
+    static LeaseView start(long incarnation) {
+        return new LeaseView(LeaseHolder.start(0, incarnation), Map.of(), Double.NEGATIVE_INFINITY);
     }
 
-    /** A request for the lease leaves now. */
+    /** Returns the view after a renewal request is sent now. */
     LeaseView startRequest(double nowMs) {
-        Map<String, Known> next = new TreeMap<>();
-        names.forEach((n, k) -> next.put(n, new Known(k.holder().sendRequest(nowMs), k.values())));
-        return new LeaseView(fresh.sendRequest(nowMs), next, leaseUntilMs);
+        Map<String, NameLease> next = new TreeMap<>();
+        names.forEach(
+                (name, lease) -> next.put(name, new NameLease(lease.holder().sendRequest(nowMs), lease.values())));
+        return new LeaseView(unnamedHolder.sendRequest(nowMs), next, leaseUntilMs);
     }
 
-    AgreementMessage.Question question() {
-        List<AgreementMessage.Heard> heard = new ArrayList<>();
-        names.forEach((n, k) -> heard.add(new AgreementMessage.Heard(
-                n,
-                k.holder().decided().version(),
-                k.holder().rejectedGeneration(),
-                List.copyOf(k.values().keySet()))));
-        return new AgreementMessage.Question(fresh.incarnation(), fresh.lastRequestNumber(), heard);
+    AgreementMessage.RenewalRequest renewalRequest() {
+        List<AgreementMessage.NameState> states = new ArrayList<>();
+        names.forEach((name, lease) -> states.add(new AgreementMessage.NameState(
+                name,
+                lease.holder().decided().version(),
+                lease.holder().rejectedGeneration(),
+                List.copyOf(lease.values().keySet()))));
+        return new AgreementMessage.RenewalRequest(
+                unnamedHolder.incarnation(), unnamedHolder.lastRequestNumber(), states);
     }
 
     /**
-     * An answer has come.
+     * Returns the view after a response.
      *
-     * @param usable whether this member can use a content under a name
+     * @param validator whether this member can use a content for a name
      */
-    LeaseView onAnswer(AgreementMessage.Answer a, BiPredicate<String, byte[]> usable) {
-        if (a.life() != fresh.incarnation() || a.number() != fresh.lastRequestNumber()) {
+    LeaseView onRenewalResponse(AgreementMessage.RenewalResponse response, BiPredicate<String, byte[]> validator) {
+        if (response.incarnation() != unnamedHolder.incarnation()
+                || response.requestNumber() != unnamedHolder.lastRequestNumber()) {
             return this;
         }
-        Map<String, Known> next = new TreeMap<>(names);
-        for (AgreementMessage.Told t : a.told()) {
-            Known before = names.getOrDefault(t.name(), new Known(fresh, Map.of()));
-            LeaseHolder told = before.holder().onGrant(new LeaseGrant(a.life(), a.number(), t.word(), a.leaseMs()));
-            if (told == before.holder()) {
+        Map<String, NameLease> next = new TreeMap<>(names);
+        for (AgreementMessage.NameUpdate update : response.updates()) {
+            NameLease before = names.getOrDefault(update.name(), new NameLease(unnamedHolder, Map.of()));
+            LeaseHolder holder = before.holder()
+                    .onGrant(new LeaseGrant(
+                            response.incarnation(), response.requestNumber(), update.decided(), response.leaseMs()));
+            if (holder == before.holder()) {
                 continue;
             }
             Map<Long, Value> values = new TreeMap<>();
-            DecidedVersion w = told.decided();
-            before.values().forEach((g, v) -> keep(values, w, v));
-            t.items().forEach(i -> keep(values, w, new Value(t.name(), i.generation(), i.content(), i.by())));
-            long refused =
-                    !can(w.staged(), values, usable) ? w.staged() : !can(w.inForce(), values, usable) ? w.inForce() : 0;
-            next.put(t.name(), new Known(told.rejectGeneration(refused), values));
+            DecidedVersion decided = holder.decided();
+            before.values().forEach((generation, value) -> putIfDecided(values, decided, value));
+            update.contents()
+                    .forEach(content -> putIfDecided(
+                            values,
+                            decided,
+                            new Value(update.name(), content.generation(), content.content(), content.proposer())));
+            long rejectedGeneration = !isUsable(decided.staged(), values, validator)
+                    ? decided.staged()
+                    : !isUsable(decided.inForce(), values, validator) ? decided.inForce() : 0;
+            next.put(update.name(), new NameLease(holder.rejectGeneration(rejectedGeneration), values));
         }
         return new LeaseView(
-                fresh, next, a.whole() ? Math.max(leaseUntilMs, fresh.lastRequestAtMs() + a.leaseMs()) : leaseUntilMs);
+                unnamedHolder,
+                next,
+                response.complete()
+                        ? Math.max(leaseUntilMs, unnamedHolder.lastRequestAtMs() + response.leaseMs())
+                        : leaseUntilMs);
     }
 
-    private static void keep(Map<Long, Value> values, DecidedVersion w, Value v) {
-        if (v.generation() == w.inForce() || v.generation() == w.staged()) {
-            values.put(v.generation(), v);
+    private static void putIfDecided(Map<Long, Value> values, DecidedVersion decided, Value value) {
+        if (value.generation() == decided.inForce() || value.generation() == decided.staged()) {
+            values.put(value.generation(), value);
         }
     }
 
-    private static boolean can(long generation, Map<Long, Value> values, BiPredicate<String, byte[]> usable) {
-        Value v = values.get(generation);
-        return generation == 0 || v != null && usable.test(v.name(), v.content());
+    private static boolean isUsable(long generation, Map<Long, Value> values, BiPredicate<String, byte[]> validator) {
+        Value value = values.get(generation);
+        return generation == 0 || value != null && validator.test(value.name(), value.content());
     }
 
     EffectiveGenerations effectiveVersions(String name, double nowMs) {
-        Known k = names.get(name);
-        return k == null ? EffectiveGenerations.IN_DOUBT : k.holder().effectiveGenerations(nowMs);
+        NameLease lease = names.get(name);
+        return lease == null ? EffectiveGenerations.IN_DOUBT : lease.holder().effectiveGenerations(nowMs);
     }
 
-    Optional<Acting> acting(String name, double nowMs) {
-        EffectiveGenerations a = effectiveVersions(name, nowMs);
-        if (a.inDoubt()) {
+    Optional<EffectiveValues> effectiveValues(String name, double nowMs) {
+        EffectiveGenerations effective = effectiveVersions(name, nowMs);
+        if (effective.inDoubt()) {
             return Optional.empty();
         }
-        Map<Long, Value> v = names.get(name).values();
-        return Optional.of(new Acting(v.get(a.first()), a.second() == a.first() ? null : v.get(a.second())));
+        Map<Long, Value> values = names.get(name).values();
+        return Optional.of(new EffectiveValues(
+                values.get(effective.first()),
+                effective.second() == effective.first() ? null : values.get(effective.second())));
     }
 
-    /** The last value that was in force as far as it was told. */
-    Optional<Value> known(String name) {
+    /** The last value in force that this member was notified of. */
+    Optional<Value> lastKnown(String name) {
         return Optional.ofNullable(names.get(name))
-                .map(k -> k.values().get(k.holder().decided().inForce()));
+                .map(lease -> lease.values().get(lease.holder().decided().inForce()));
     }
 
-    DecidedVersion word(String name) {
+    DecidedVersion decided(String name) {
         return names.containsKey(name) ? names.get(name).holder().decided() : DecidedVersion.NONE;
     }
 
-    /** The generation of this name that it can't use; 0 if none. */
-    long refused(String name) {
+    /** The generation of this name that the member can't use; 0 if none. */
+    long rejectedGeneration(String name) {
         return names.containsKey(name) ? names.get(name).holder().rejectedGeneration() : 0;
     }
 
@@ -127,13 +143,13 @@
         return List.copyOf(names.keySet());
     }
 
-    /** Until when it may act by what it was told last, of all names; milliseconds. */
+    /** End of the lease that covers all names, in milliseconds. */
     double leaseUntilMs() {
         return leaseUntilMs;
     }
 
-    /** The number of its last question. */
-    long asked() {
-        return fresh.lastRequestNumber();
+    /** The number of the last renewal request. */
+    long lastRequestNumber() {
+        return unnamedHolder.lastRequestNumber();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/MemberThread.java
@@ -8,26 +8,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread on which a member's part of the agreement runs, the Raft library's part too. */
+/** The only thread on which a member's components run, including the Raft library. */
 final class MemberThread implements RaftNodeExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(MemberThread.class);
-    private static final long END_S = 2;
+    private static final long SHUTDOWN_TIMEOUT_S = 2;
 
     private final String member;
-    private final double speed;
+    private final double raftClockRate;
     private final LongAdder dropped;
     private final ScheduledThreadPoolExecutor pool;
 
     /**
-     * A thread that has nothing to do yet.
+     * Creates the thread.
      *
-     * @param member whose
-     * @param speed how many of the library's seconds pass in one
-     * @param dropped counts what came after the end
+     * @param member the member's name
+     * @param raftClockRate how many seconds of the library's clock pass in one second
+     * @param dropped counts the events submitted after the shutdown
      */
-    MemberThread(String member, double speed, LongAdder dropped) {
+    MemberThread(String member, double raftClockRate, LongAdder dropped) {
         this.member = member;
-        this.speed = speed;
+        this.raftClockRate = raftClockRate;
         this.dropped = dropped;
         pool = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreed-" + member);
@@ -37,48 +37,48 @@
         pool.setRemoveOnCancelPolicy(true);
     }
 
-    /** Guards the thread: a fault in one event is logged and ends that event only. */
-    Runnable safely(Runnable event) {
+    /** Guards the thread: an exception in an event is logged and ends that event only. */
+    Runnable logFailures(Runnable event) {
         return () -> {
             try {
                 event.run();
             } catch (RuntimeException e) {
-                LOG.error("agreement at {}: an event failed", member, e);
+                LOG.error("agreement at {}: uncaught exception in an event", member, e);
             }
         };
     }
 
-    /** Runs an event behind all that waits already; none once the thread has ended. */
+    /** Runs an event after all queued events; drops it if the thread has been shut down. */
     @Override
     public void execute(Runnable event) {
         try {
-            pool.execute(safely(event));
+            pool.execute(logFailures(event));
         } catch (RejectedExecutionException e) {
-            // It is closed: nothing is owed any more.
+            // The thread has been shut down: nobody waits for the event.
             dropped.increment();
         }
     }
 
-    /** Runs an event again and again, so many milliseconds after it has ended. */
-    void every(long ms, Runnable event) {
-        pool.scheduleWithFixedDelay(safely(event), 0, ms, TimeUnit.MILLISECONDS);
+    /** Runs an event repeatedly, with a fixed delay between the end of one run and the start of the next. */
+    void scheduleRepeatedly(long intervalMs, Runnable event) {
+        pool.scheduleWithFixedDelay(logFailures(event), 0, intervalMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether the thread has ended: nothing is run any more. */
-    boolean isEnded() {
+    /** Whether the thread has been shut down, so that no event runs any more. */
+    boolean isShutDown() {
         return pool.isShutdown();
     }
 
-    /** What {@link java.util.concurrent.CompletableFuture} runs on. */
+    /** This thread as an executor for {@link java.util.concurrent.CompletableFuture}. */
     java.util.concurrent.Executor executor() {
         return pool;
     }
 
-    /** Ends at once: nothing that waits is done any more. */
-    void end() {
+    /** Shuts down at once: queued events are discarded. */
+    void shutDown() {
         pool.shutdownNow();
         try {
-            pool.awaitTermination(END_S, TimeUnit.SECONDS);
+            pool.awaitTermination(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -92,7 +92,7 @@
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
-            pool.schedule(safely(task), (long) (unit.toNanos(delay) / speed), TimeUnit.NANOSECONDS);
+            pool.schedule(logFailures(task), (long) (unit.toNanos(delay) / raftClockRate), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             dropped.increment();
         }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/PendingRequests.java
@@ -7,8 +7,8 @@
 import java.util.function.LongFunction;
 
 /**
- * Requests of a member to the leader: each is sent again until it is answered or its time is over. Proposals, claims
- * and questions of operators; for the member's own thread.
+ * A member's pending requests to the leader: proposals, role claims and operators' reads. Each is resent until it is
+ * answered or times out. Confined to the member's thread.
  */
 final class PendingRequests {
     private static final double RESEND_MS = 200;
@@ -17,64 +17,64 @@
     private static final class Request {
         private final AgreementMessage message;
         private final double untilMs;
-        private final Consumer<AgreementMessage> answered;
-        private final Runnable timedOut;
+        private final Consumer<AgreementMessage> onResponse;
+        private final Runnable onTimeout;
         private double sentMs;
 
         Request(
                 AgreementMessage message,
                 double sentMs,
                 double untilMs,
-                Consumer<AgreementMessage> answered,
-                Runnable timedOut) {
+                Consumer<AgreementMessage> onResponse,
+                Runnable onTimeout) {
             this.message = message;
             this.sentMs = sentMs;
             this.untilMs = untilMs;
-            this.answered = answered;
-            this.timedOut = timedOut;
+            this.onResponse = onResponse;
+            this.onTimeout = onTimeout;
         }
     }
 
     private final Consumer<AgreementMessage> sender;
     private final Map<Long, Request> requests = new TreeMap<>();
-    private long numbers;
+    private long lastNumber;
 
-    /** Sends by this, to whoever leads. */
+    /** Creates an empty set of requests; {@code sender} sends a message to the leader. */
     PendingRequests(Consumer<AgreementMessage> sender) {
         this.sender = sender;
     }
 
-    /** Sends a request with a number of its own; too many at once are over at once. */
+    /** Sends a request with a new number; if too many are pending, it times out at once. */
     void send(
             double nowMs,
             double untilMs,
             LongFunction<AgreementMessage> message,
-            Consumer<AgreementMessage> answered,
-            Runnable timedOut) {
+            Consumer<AgreementMessage> onResponse,
+            Runnable onTimeout) {
         if (requests.size() >= MAX_PENDING) {
-            timedOut.run();
+            onTimeout.run();
             return;
         }
-        long number = ++numbers;
-        Request request = new Request(message.apply(number), nowMs, untilMs, answered, timedOut);
+        long number = ++lastNumber;
+        Request request = new Request(message.apply(number), nowMs, untilMs, onResponse, onTimeout);
         requests.put(number, request);
         sender.accept(request.message);
     }
 
-    void answered(long number, AgreementMessage answer) {
+    void complete(long number, AgreementMessage response) {
         Request request = requests.remove(number);
         if (request != null) {
-            request.answered.accept(answer);
+            request.onResponse.accept(response);
         }
     }
 
-    /** Sends again what has waited long enough, and gives up what is over. */
+    /** Resends the requests that are due, and ends those that have timed out. */
     void tick(double nowMs) {
-        for (Iterator<Request> all = requests.values().iterator(); all.hasNext(); ) {
-            Request request = all.next();
+        for (Iterator<Request> iterator = requests.values().iterator(); iterator.hasNext(); ) {
+            Request request = iterator.next();
             if (nowMs >= request.untilMs) {
-                all.remove();
-                request.timedOut.run();
+                iterator.remove();
+                request.onTimeout.run();
             } else if (nowMs >= request.sentMs + RESEND_MS) {
                 request.sentMs = nowMs;
                 sender.accept(request.message);
@@ -82,9 +82,9 @@
         }
     }
 
-    /** All are over. */
-    void end() {
-        requests.values().forEach(request -> request.timedOut.run());
+    /** Times out all requests. */
+    void timeOutAll() {
+        requests.values().forEach(request -> request.onTimeout.run());
         requests.clear();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/ProposalService.java
@@ -8,41 +8,44 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The leader's side of proposals: writes each to the log once and sends its outcome. For the member's thread. */
+/**
+ * The leader's side of proposals: appends each to the log once and sends the result to its proposer. Confined to the
+ * member's thread.
+ */
 final class ProposalService {
-    /** Proposers that wait for an outcome. */
+    /** Maximum number of proposers that wait for a result. */
     private static final int MAX_WAITERS = 4 * RaftConsensus.MAX_PENDING_ENTRIES;
 
-    /** A proposal whose outcome another member waits for. */
-    private record Waiter(String peer, String name, long life, long number) {}
+    /** A proposal for whose result a member waits. */
+    private record Waiter(String peer, String name, long incarnation, long requestNumber) {}
 
     private final MemberContext context;
     private final RaftConsensus consensus;
     private final List<Waiter> waiters = new ArrayList<>();
-    private final Set<Waiter> staging = new HashSet<>();
+    private final Set<Waiter> inFlight = new HashSet<>();
 
     ProposalService(MemberContext context, RaftConsensus consensus) {
         this.context = context;
         this.consensus = consensus;
     }
 
-    /** A new term has begun: proposers send again to whoever leads now. */
+    /** A new leader term has begun: proposers resend their proposals to the new leader. */
     void forgetWaiters() {
         waiters.clear();
     }
 
     void reset() {
         waiters.clear();
-        staging.clear();
+        inFlight.clear();
     }
 
-    /** Stages a proposal, unless it is on its way already or breaks a bound; only while this member leads. */
-    void onPropose(String peer, AgreementMessage.Propose proposal) {
-        Waiter waiter = new Waiter(peer, proposal.name(), proposal.life(), proposal.number());
-        if (staging.contains(waiter)
-                || staging.size() >= RaftConsensus.MAX_PENDING_ENTRIES
-                || proposal.name().length() > AgreedState.MAX_NAME
-                || proposal.content().length > AgreedState.MAX_CONTENT) {
+    /** Stages a proposal unless it is already in flight or exceeds a limit; only while this member is the leader. */
+    void onProposeRequest(String peer, AgreementMessage.ProposeRequest request) {
+        Waiter waiter = new Waiter(peer, request.name(), request.incarnation(), request.requestNumber());
+        if (inFlight.contains(waiter)
+                || inFlight.size() >= RaftConsensus.MAX_PENDING_ENTRIES
+                || request.name().length() > AgreedState.MAX_NAME_LENGTH
+                || request.content().length > AgreedState.MAX_CONTENT_BYTES) {
             return;
         }
         if (!waiters.contains(waiter) && waiters.size() < MAX_WAITERS) {
@@ -50,14 +53,19 @@
         }
         if (consensus
                 .state()
-                .proposed(proposal.name(), peer, proposal.life(), proposal.number())
+                .findProposal(request.name(), peer, request.incarnation(), request.requestNumber())
                 .isPresent()) {
-            sendOutcomes(proposal.name());
+            sendOutcomes(request.name());
             return;
         }
-        staging.add(waiter);
+        inFlight.add(waiter);
         LogCommand.Stage command = new LogCommand.Stage(
-                proposal.name(), proposal.expected(), proposal.content(), peer, proposal.life(), proposal.number());
+                request.name(),
+                request.expectedGeneration(),
+                request.content(),
+                peer,
+                request.incarnation(),
+                request.requestNumber());
         consensus
                 .replicate(command)
                 .whenComplete((result, failure) ->
@@ -65,14 +73,16 @@
     }
 
     private void onStaged(Waiter waiter, AgreedState.Result result) {
-        staging.remove(waiter);
+        inFlight.remove(waiter);
         rejection(result).ifPresent(verdict -> {
             waiters.remove(waiter);
-            context.send(waiter.peer(), new AgreementMessage.Outcome(waiter.life(), waiter.number(), verdict, 0));
+            context.send(
+                    waiter.peer(),
+                    new AgreementMessage.ProposeResponse(waiter.incarnation(), waiter.requestNumber(), verdict, 0));
         });
     }
 
-    /** The verdict on a proposal that was not staged; empty if it was, or if nothing is known of it. */
+    /** The verdict on a proposal that was not staged; empty if it was, or if the result is unknown. */
     private static Optional<Verdict> rejection(AgreedState.Result result) {
         if (result == null) {
             return Optional.empty();
@@ -85,24 +95,24 @@
         };
     }
 
-    /** Tells the proposers of a name's settled generations what became of them. */
+    /** Sends the results of a name's decided proposals to their proposers. */
     void sendOutcomes(String name) {
-        for (Iterator<Waiter> all = waiters.iterator(); all.hasNext(); ) {
-            Waiter waiter = all.next();
-            Optional<AgreedState.Generation> kept = waiter.name().equals(name)
-                    ? consensus.state().proposed(name, waiter.peer(), waiter.life(), waiter.number())
+        for (Iterator<Waiter> iterator = waiters.iterator(); iterator.hasNext(); ) {
+            Waiter waiter = iterator.next();
+            Optional<AgreedState.Generation> generation = waiter.name().equals(name)
+                    ? consensus.state().findProposal(name, waiter.peer(), waiter.incarnation(), waiter.requestNumber())
                     : Optional.empty();
-            if (kept.isPresent() && kept.get().came() != AgreedState.Outcome.STAGED) {
-                all.remove();
+            if (generation.isPresent() && generation.get().outcome() != AgreedState.Outcome.STAGED) {
+                iterator.remove();
                 Verdict verdict =
-                        kept.get().came() == AgreedState.Outcome.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
+                        generation.get().outcome() == AgreedState.Outcome.IN_FORCE ? Verdict.IN_FORCE : Verdict.REFUSED;
                 context.send(
                         waiter.peer(),
-                        new AgreementMessage.Outcome(
-                                waiter.life(),
-                                waiter.number(),
+                        new AgreementMessage.ProposeResponse(
+                                waiter.incarnation(),
+                                waiter.requestNumber(),
                                 verdict,
-                                kept.get().generation()));
+                                generation.get().generation()));
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftMessageTrees.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftMessageTrees.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.agreed;
 
 import static brackenbridge.fleet.agreed.AgreementCodec.MAPPER;
-import static brackenbridge.fleet.agreed.AgreementCodec.MODEL;
+import static brackenbridge.fleet.agreed.AgreementCodec.MODEL_FACTORY;
 import static brackenbridge.fleet.agreed.JsonFields.endpoint;
 import static brackenbridge.fleet.agreed.JsonFields.endpoints;
 import static brackenbridge.fleet.agreed.JsonFields.intValue;
@@ -29,14 +29,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The Raft library's messages as trees, and back. Keys are short, for each message carries them. */
+/** Converts the Raft library's messages to trees and back. Keys are short, because each message contains them. */
 final class RaftMessageTrees {
     private RaftMessageTrees() {}
 
-    /** What all messages carry: the Raft group, the sender and its term. */
+    /** Properties of all messages: the Raft group, the sender and the sender's term. */
     private record Header(String groupId, RaftEndpoint sender, int term) {}
 
-    /** The tree of a message; key {@code k} names its type. */
+    /** Converts a message to a tree; property {@code k} is its type. */
     static ObjectNode tree(RaftMessage message) {
         ObjectNode tree = MAPPER.createObjectNode()
                 .put("g", (String) message.getGroupId())
@@ -102,7 +102,8 @@
         } else if (message instanceof TriggerLeaderElectionRequest request) {
             tree.put("k", "lead").put("lt", request.getLastLogTerm()).put("i", request.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException(message.getClass().getName());
+            throw new IllegalArgumentException(
+                    "unsupported message: " + message.getClass().getName());
         }
     }
 
@@ -111,7 +112,7 @@
     }
 
     /**
-     * The message of a tree.
+     * Reads a message.
      *
      * @throws IOException if its type is unknown, or a property is missing or out of range
      */
@@ -129,7 +130,7 @@
             case "vote" -> vote(header, tree);
             case "voted" -> voteResponse(header, tree);
             case "lead" -> triggerElection(header, tree);
-            default -> throw new IOException("message " + type);
+            default -> throw new IOException("unknown message type '" + type + "'");
         };
     }
 
@@ -138,7 +139,8 @@
         for (JsonNode entry : required(tree, "e")) {
             entries.add(RaftLogTrees.logEntry(entry));
         }
-        return MODEL.createAppendEntriesRequestBuilder()
+        return MODEL_FACTORY
+                .createAppendEntriesRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -152,7 +154,8 @@
     }
 
     private static RaftMessage appendSuccess(Header header, JsonNode tree) throws IOException {
-        return MODEL.createAppendEntriesSuccessResponseBuilder()
+        return MODEL_FACTORY
+                .createAppendEntriesSuccessResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -163,7 +166,8 @@
     }
 
     private static RaftMessage appendFailure(Header header, JsonNode tree) throws IOException {
-        return MODEL.createAppendEntriesFailureResponseBuilder()
+        return MODEL_FACTORY
+                .createAppendEntriesFailureResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -174,7 +178,8 @@
     }
 
     private static RaftMessage install(Header header, JsonNode tree) throws IOException {
-        return MODEL.createInstallSnapshotRequestBuilder()
+        return MODEL_FACTORY
+                .createInstallSnapshotRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -191,7 +196,8 @@
     }
 
     private static RaftMessage installResponse(Header header, JsonNode tree) throws IOException {
-        return MODEL.createInstallSnapshotResponseBuilder()
+        return MODEL_FACTORY
+                .createInstallSnapshotResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -203,7 +209,8 @@
     }
 
     private static RaftMessage preVote(Header header, JsonNode tree) throws IOException {
-        return MODEL.createPreVoteRequestBuilder()
+        return MODEL_FACTORY
+                .createPreVoteRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -213,7 +220,8 @@
     }
 
     private static RaftMessage preVoteResponse(Header header, JsonNode tree) throws IOException {
-        return MODEL.createPreVoteResponseBuilder()
+        return MODEL_FACTORY
+                .createPreVoteResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -222,7 +230,8 @@
     }
 
     private static RaftMessage vote(Header header, JsonNode tree) throws IOException {
-        return MODEL.createVoteRequestBuilder()
+        return MODEL_FACTORY
+                .createVoteRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -233,7 +242,8 @@
     }
 
     private static RaftMessage voteResponse(Header header, JsonNode tree) throws IOException {
-        return MODEL.createVoteResponseBuilder()
+        return MODEL_FACTORY
+                .createVoteResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
@@ -242,7 +252,8 @@
     }
 
     private static RaftMessage triggerElection(Header header, JsonNode tree) throws IOException {
-        return MODEL.createTriggerLeaderElectionRequestBuilder()
+        return MODEL_FACTORY
+                .createTriggerLeaderElectionRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RaftStateLoader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RaftStateLoader.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads what the Raft library goes on with after a restart: its endpoint, term, latest snapshot and log. */
+/** Loads the state that the Raft library needs after a restart: its endpoint, term, latest snapshot and log. */
 final class RaftStateLoader {
     private final Map<String, byte[]> meta;
     private final Map<Long, byte[]> log;
     private final Map<String, byte[]> chunks;
 
-    /** Reads from maps of sealed values, each ordered by its keys. */
+    /** Creates a loader for maps of values with checksums, each ordered by its keys. */
     RaftStateLoader(Map<String, byte[]> meta, Map<Long, byte[]> log, Map<String, byte[]> chunks) {
         this.meta = meta;
         this.log = log;
@@ -24,9 +24,9 @@
     }
 
     /**
-     * The stored state; null if the library has not begun on this disk.
+     * Loads the stored state; null if the library has not been started with this disk.
      *
-     * @throws VoterStore.Damaged if something is missing or can't be read
+     * @throws VoterStore.DamagedDiskException if something is missing or can't be read
      */
     RestoredRaftState load() throws IOException {
         if (!meta.containsKey("endpoint") || !meta.containsKey("initial") || !meta.containsKey("term")) {
@@ -36,36 +36,38 @@
             SnapshotEntry snapshot = latestSnapshot();
             List<LogEntry> entries = entriesFrom(snapshot == null ? 1 : snapshot.getIndex() + 1);
             return new RestoredRaftState(
-                    AgreementCodec.self(value("endpoint")),
-                    AgreementCodec.members(value("initial")),
-                    AgreementCodec.term(value("term")),
+                    AgreementCodec.endpointState(value("endpoint")),
+                    AgreementCodec.groupMembers(value("initial")),
+                    AgreementCodec.termState(value("term")),
                     snapshot,
                     entries);
-        } catch (VoterStore.Damaged e) {
+        } catch (VoterStore.DamagedDiskException e) {
             throw e;
         } catch (IOException e) {
-            throw new VoterStore.Damaged(e.getMessage(), e);
+            throw new VoterStore.DamagedDiskException(e.getMessage(), e);
         }
     }
 
     private byte[] value(String key) throws IOException {
-        return StoreChecksums.unsealed(key, meta.get(key));
+        return StoreChecksums.verifiedValue(key, meta.get(key));
     }
 
     private List<LogEntry> entriesFrom(long firstIndex) throws IOException {
         List<LogEntry> entries = new ArrayList<>();
         long next = firstIndex;
         for (Map.Entry<Long, byte[]> stored : log.entrySet()) {
-            LogEntry entry =
-                    AgreementCodec.entry(StoreChecksums.unsealed(stored.getKey().toString(), stored.getValue()));
+            LogEntry entry = AgreementCodec.logEntry(
+                    StoreChecksums.verifiedValue(stored.getKey().toString(), stored.getValue()));
             if (entry.getIndex() != stored.getKey()) {
-                throw new VoterStore.Damaged("entry " + entry.getIndex() + " in place " + stored.getKey(), null);
+                throw new VoterStore.DamagedDiskException(
+                        "log entry " + entry.getIndex() + " is stored at index " + stored.getKey(), null);
             }
             if (entry.getIndex() < next && entries.isEmpty()) {
                 continue;
             }
             if (entry.getIndex() != next) {
-                throw new VoterStore.Damaged("entry " + entry.getIndex() + " after " + (next - 1), null);
+                throw new VoterStore.DamagedDiskException(
+                        "log entry " + entry.getIndex() + " follows entry " + (next - 1), null);
             }
             next++;
             entries.add(entry);
@@ -73,12 +75,13 @@
         return entries;
     }
 
-    /** The latest snapshot all of whose chunks are there; null if there is none. */
+    /** The latest complete snapshot; null if there is none. */
     private SnapshotEntry latestSnapshot() throws IOException {
         List<SnapshotChunk> collected = new ArrayList<>();
         List<SnapshotChunk> complete = List.of();
         for (Map.Entry<String, byte[]> stored : chunks.entrySet()) {
-            SnapshotChunk chunk = AgreementCodec.chunk(StoreChecksums.unsealed(stored.getKey(), stored.getValue()));
+            SnapshotChunk chunk =
+                    AgreementCodec.snapshotChunk(StoreChecksums.verifiedValue(stored.getKey(), stored.getValue()));
             if (!collected.isEmpty() && collected.get(0).getIndex() != chunk.getIndex()) {
                 collected = new ArrayList<>();
             }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/RequestClient.java
@@ -13,16 +13,16 @@
 import java.util.function.LongFunction;
 
 /**
- * A member's own requests to the leader: proposals, role claims and operators' reads. Any thread may ask; answers come
- * on the member's thread.
+ * A member's own requests to the leader: proposals, role claims and operators' reads. Any thread may send them;
+ * responses are processed on the member's thread.
  */
 final class RequestClient {
-    /** A claim is sent again for at least so long, and at most for {@link #MAX_CLAIM_MS}. */
+    /** Minimum time for which a claim is resent; {@link #MAX_CLAIM_MS} is the maximum. */
     private static final double MIN_CLAIM_MS = 400;
 
     private static final double MAX_CLAIM_MS = 5000;
 
-    /** A proposal in force whose generation this member has not been told of yet. */
+    /** A proposal in force whose generation this member has not received yet. */
     private record UnseenDecision(String name, long generation, double untilMs, CompletableFuture<Verdict> verdict) {}
 
     private final MemberContext context;
@@ -35,76 +35,78 @@
     RequestClient(MemberContext context, LeaseClient leaseClient) {
         this.context = context;
         this.leaseClient = leaseClient;
-        this.pending = new PendingRequests(message -> context.send(leaseClient.target(), message));
+        this.pending = new PendingRequests(message -> context.send(leaseClient.requestTarget(), message));
     }
 
-    /** Who holds which role, as far as this member was told; any thread. */
+    /** The known lease of each role; may be called by any thread. */
     Map<String, Lease> roleLeases() {
         return roleLeases;
     }
 
-    /** Completes what can be, sends again what is unanswered, and ends what is overdue. */
+    /** Completes proposals whose generation is known by now, resends requests, and ends those that timed out. */
     void tick(double nowMs) {
         completeSeenDecisions();
         pending.tick(nowMs);
     }
 
-    /** Ends all requests. */
+    /** Ends all requests: proposals in force complete as such, all others time out. */
     void close() {
         closed = true;
-        pending.end();
+        pending.timeOutAll();
         unseenDecisions.forEach(decision -> decision.verdict().complete(Verdict.IN_FORCE));
     }
 
-    /** Takes an answer to a request of this process; one to an earlier process is passed over. */
-    void onAnswer(long life, long number, AgreementMessage answer) {
-        if (life == context.processLife()) {
-            pending.answered(number, answer);
+    /** Processes a response to a request of this process; a response to an earlier incarnation is ignored. */
+    void onResponse(long incarnation, long requestNumber, AgreementMessage response) {
+        if (incarnation == context.incarnation()) {
+            pending.complete(requestNumber, response);
         }
     }
 
     /**
      * Proposes a value ({@link AgreedValues#propose}).
      *
-     * @throws IllegalArgumentException if a name, content or generation is out of bounds
+     * @throws IllegalArgumentException if the name, content or generation is out of range
      */
-    CompletableFuture<Verdict> propose(String name, long expected, byte[] content, double withinMs) {
+    CompletableFuture<Verdict> propose(String name, long expectedGeneration, byte[] content, double withinMs) {
         if (name.isEmpty()
-                || name.length() > AgreedState.MAX_NAME
-                || content.length > AgreedState.MAX_CONTENT
-                || expected < 0) {
-            throw new IllegalArgumentException("name '" + name + "', expected " + expected + ", " + content.length
-                    + " bytes of at most " + AgreedState.MAX_CONTENT);
+                || name.length() > AgreedState.MAX_NAME_LENGTH
+                || content.length > AgreedState.MAX_CONTENT_BYTES
+                || expectedGeneration < 0) {
+            throw new IllegalArgumentException("name '" + name + "', expected " + expectedGeneration + ", "
+                    + content.length + " bytes of at most " + AgreedState.MAX_CONTENT_BYTES);
         }
-        if (!leaseClient.isUsable(name, content)) {
+        if (!leaseClient.isValid(name, content)) {
             return CompletableFuture.completedFuture(Verdict.REFUSED);
         }
         CompletableFuture<Verdict> verdict = new CompletableFuture<>();
         request(
                 withinMs,
-                number -> new AgreementMessage.Propose(name, expected, content, context.processLife(), number),
-                answer -> onOutcome(name, (AgreementMessage.Outcome) answer, verdict),
+                requestNumber -> new AgreementMessage.ProposeRequest(
+                        name, expectedGeneration, content, context.incarnation(), requestNumber),
+                response -> onProposeResponse(name, (AgreementMessage.ProposeResponse) response, verdict),
                 () -> verdict.complete(Verdict.UNKNOWN));
         return verdict;
     }
 
-    private void onOutcome(String name, AgreementMessage.Outcome outcome, CompletableFuture<Verdict> verdict) {
-        if (outcome.verdict() != Verdict.IN_FORCE) {
-            verdict.complete(outcome.verdict());
+    private void onProposeResponse(
+            String name, AgreementMessage.ProposeResponse response, CompletableFuture<Verdict> verdict) {
+        if (response.verdict() != Verdict.IN_FORCE) {
+            verdict.complete(response.verdict());
             return;
         }
-        double untilMs = context.nowMs() + context.settings().terms().leaseMs();
-        unseenDecisions.add(new UnseenDecision(name, outcome.generation(), untilMs, verdict));
+        double untilMs = context.nowMs() + context.settings().leaseTerms().leaseMs();
+        unseenDecisions.add(new UnseenDecision(name, response.generation(), untilMs, verdict));
         completeSeenDecisions();
     }
 
-    /** Tells proposers once this member knows the value as well, so that the next proposal is made against it. */
+    /** Completes proposals once this member knows the new value, so that the next proposal can expect it. */
     void completeSeenDecisions() {
-        for (Iterator<UnseenDecision> all = unseenDecisions.iterator(); all.hasNext(); ) {
-            UnseenDecision decision = all.next();
-            if (leaseClient.view().word(decision.name()).inForce() >= decision.generation()
+        for (Iterator<UnseenDecision> iterator = unseenDecisions.iterator(); iterator.hasNext(); ) {
+            UnseenDecision decision = iterator.next();
+            if (leaseClient.view().decided(decision.name()).inForce() >= decision.generation()
                     || context.nowMs() >= decision.untilMs()) {
-                all.remove();
+                iterator.remove();
                 decision.verdict().complete(Verdict.IN_FORCE);
             }
         }
@@ -113,21 +115,25 @@
     /**
      * Claims a role ({@link AgreedValues#acquire}).
      *
-     * @throws IllegalArgumentException if the role's name or the time is out of bounds
+     * @throws IllegalArgumentException if the role's name or the lease is out of range
      */
-    CompletableFuture<Lease> claim(String role, double forMs) {
-        double maxRoleMs = context.settings().maxRoleMs();
-        if (role.isEmpty() || role.length() > AgreedState.MAX_NAME || !(forMs > 0) || forMs > maxRoleMs) {
-            throw new IllegalArgumentException("role '" + role + "' for " + forMs + " ms of at most " + maxRoleMs);
+    CompletableFuture<Lease> claim(String role, double leaseMs) {
+        double maxRoleLeaseMs = context.settings().maxRoleLeaseMs();
+        if (role.isEmpty()
+                || role.length() > AgreedState.MAX_NAME_LENGTH
+                || !(leaseMs > 0)
+                || leaseMs > maxRoleLeaseMs) {
+            throw new IllegalArgumentException(
+                    "role '" + role + "' for " + leaseMs + " ms of at most " + maxRoleLeaseMs);
         }
-        // The lease counts from here: before the request leaves.
+        // The lease counts from here, which is before the request is sent.
         double requestedMs = context.nowMs();
         CompletableFuture<Lease> lease = new CompletableFuture<>();
         request(
-                Math.max(MIN_CLAIM_MS, Math.min(forMs / 2, MAX_CLAIM_MS)),
-                number -> new AgreementMessage.Claim(role, forMs, context.processLife(), number),
-                answer -> {
-                    Lease granted = roleLease((AgreementMessage.Claimed) answer, requestedMs);
+                Math.max(MIN_CLAIM_MS, Math.min(leaseMs / 2, MAX_CLAIM_MS)),
+                requestNumber -> new AgreementMessage.ClaimRequest(role, leaseMs, context.incarnation(), requestNumber),
+                response -> {
+                    Lease granted = roleLease((AgreementMessage.ClaimResponse) response, requestedMs);
                     rememberRoleLease(role, granted);
                     lease.complete(granted);
                 },
@@ -135,17 +141,19 @@
         return lease;
     }
 
-    private Lease roleLease(AgreementMessage.Claimed answer, double requestedMs) {
-        boolean granted = answer.holder().equals(context.name()) && answer.forMs() > 0;
+    private Lease roleLease(AgreementMessage.ClaimResponse response, double requestedMs) {
+        boolean granted = response.holder().equals(context.name()) && response.leaseMs() > 0;
         return new Lease(
-                answer.holder(), answer.token(), granted ? requestedMs + answer.forMs() : Double.NEGATIVE_INFINITY);
+                response.holder(),
+                response.token(),
+                granted ? requestedMs + response.leaseMs() : Double.NEGATIVE_INFINITY);
     }
 
     private void rememberRoleLease(String role, Lease lease) {
-        Lease before = roleLeases.get(role);
-        boolean outdated = before != null
-                && (lease.token() < before.token()
-                        || lease.token() == before.token() && lease.untilMs() <= before.untilMs());
+        Lease previous = roleLeases.get(role);
+        boolean outdated = previous != null
+                && (lease.token() < previous.token()
+                        || lease.token() == previous.token() && lease.untilMs() <= previous.untilMs());
         if (outdated) {
             return;
         }
@@ -154,20 +162,22 @@
         roleLeases = Map.copyOf(next);
     }
 
-    /** This member's lease of the role, if it holds it now by its own clock; any thread. */
+    /** This member's lease of the role, if it holds it now by its own clock; may be called by any thread. */
     Optional<Lease> heldLease(String role) {
         return Optional.ofNullable(roleLeases.get(role))
                 .filter(lease -> lease.holder().equals(context.name()))
                 .filter(lease -> context.nowMs() < lease.untilMs());
     }
 
-    /** The generations of a name that are kept, oldest first; empty if no voter answers within the time. */
-    CompletableFuture<Optional<AgreementMessage.Looked>> look(String name, long generation, double withinMs) {
-        CompletableFuture<Optional<AgreementMessage.Looked>> history = new CompletableFuture<>();
+    /** Reads the stored generations of a name, oldest first; empty if no voter answers in time. */
+    CompletableFuture<Optional<AgreementMessage.HistoryResponse>> readHistory(
+            String name, long generation, double withinMs) {
+        CompletableFuture<Optional<AgreementMessage.HistoryResponse>> history = new CompletableFuture<>();
         request(
                 withinMs,
-                number -> new AgreementMessage.Look(name, generation, context.processLife(), number),
-                answer -> history.complete(Optional.of((AgreementMessage.Looked) answer)),
+                requestNumber ->
+                        new AgreementMessage.HistoryRequest(name, generation, context.incarnation(), requestNumber),
+                response -> history.complete(Optional.of((AgreementMessage.HistoryResponse) response)),
                 () -> history.complete(Optional.empty()));
         return history;
     }
@@ -175,17 +185,17 @@
     private void request(
             double withinMs,
             LongFunction<AgreementMessage> message,
-            Consumer<AgreementMessage> onAnswer,
+            Consumer<AgreementMessage> onResponse,
             Runnable onTimeout) {
         double untilMs = context.nowMs() + withinMs;
         context.execute(() -> {
             if (closed) {
                 onTimeout.run();
             } else {
-                pending.send(context.nowMs(), untilMs, message, onAnswer, onTimeout);
+                pending.send(context.nowMs(), untilMs, message, onResponse, onTimeout);
             }
         });
-        if (context.thread().isEnded()) {
+        if (context.thread().isShutDown()) {
             onTimeout.run();
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/SettingsAdminHandler.java
@@ -1,6 +1,6 @@
 package brackenbridge.fleet.agreed;
 
-import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.EffectiveValues;
 import brackenbridge.fleet.agreed.AgreedValues.Value;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import java.nio.charset.StandardCharsets;
@@ -13,127 +13,136 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** What staff do with agreed values, as text in and out; each call waits for its answer, at most for the time given. */
+/** Operators' commands for agreed values, with text input and output. Each call blocks until its reply or a timeout. */
 public final class SettingsAdminHandler {
-    private final AgreementMember node;
+    private final AgreementMember member;
     private final double withinMs;
 
     /**
-     * Calls by this member.
+     * Creates a handler that sends its requests through this member.
      *
-     * @param withinMs how long an answer is waited for
+     * @param withinMs the timeout of a request, in milliseconds
      */
-    public SettingsAdminHandler(AgreementMember node, double withinMs) {
-        this.node = node;
+    public SettingsAdminHandler(AgreementMember member, double withinMs) {
+        this.member = member;
         this.withinMs = withinMs;
     }
 
     /**
-     * What a call came to.
+     * The reply to a command.
      *
-     * @param done whether what was asked for is done or shown
-     * @param text for people
+     * @param succeeded whether the command succeeded
+     * @param text the result or the reason of the failure, for operators
      */
-    public record Reply(boolean done, String text) {}
+    public record Reply(boolean succeeded, String text) {}
 
     /**
      * Proposes a content.
      *
-     * @param against the generation that it was made against; below 0: the one in force as this member knows it
+     * @param against the generation that has to be in force; if negative, the last one in force known to this member
      */
     public Reply propose(String name, String content, long against) {
-        long expected =
-                against >= 0 ? against : node.known(name).map(Value::generation).orElse(0L);
+        long expected = against >= 0
+                ? against
+                : member.lastKnown(name).map(Value::generation).orElse(0L);
         byte[] bytes = content.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > AgreedState.MAX_CONTENT) {
-            return new Reply(false, bytes.length + " bytes; at most " + AgreedState.MAX_CONTENT);
+        if (bytes.length > AgreedState.MAX_CONTENT_BYTES) {
+            return new Reply(false, bytes.length + " bytes; at most " + AgreedState.MAX_CONTENT_BYTES);
         }
-        Optional<Verdict> v = wait(node.propose(name, expected, bytes, withinMs));
+        Optional<Verdict> verdict = await(member.propose(name, expected, bytes, withinMs));
         return new Reply(
-                v.isPresent() && v.get() == Verdict.IN_FORCE,
-                switch (v.orElse(Verdict.UNKNOWN)) {
+                verdict.isPresent() && verdict.get() == Verdict.IN_FORCE,
+                switch (verdict.orElse(Verdict.UNKNOWN)) {
                     case IN_FORCE -> "in force; nobody acts by generation " + expected + " any more";
                     case OVERTAKEN ->
                         "not taken: it was made against generation " + expected
                                 + ", and another is in force; look at it and propose again";
-                    case ANOTHER_STAGED -> "not taken: another proposal is under way";
+                    case ANOTHER_STAGED -> "not taken: another proposal is staged";
                     case REFUSED -> "refused: a member can't use it; its status and log say why";
                     case UNKNOWN ->
                         "no majority has answered in " + Math.round(withinMs)
-                                + " ms: it may still come into force, or never;"
-                                + " look at the history before you propose again";
+                                + " ms: the proposal may still come into force, or never;"
+                                + " check the history before you propose again";
                 });
     }
 
-    /** What is in force or staged, as this member may act by it. */
+    /** Shows the values in force and staged that this member may use. */
     public Reply show(String name) {
-        Optional<Acting> acting = node.acting(name);
-        if (acting.isEmpty()) {
-            return node.known(name)
-                    .map(v -> new Reply(false, "in doubt; last known:\n" + text(v)))
+        Optional<EffectiveValues> effective = member.effectiveValues(name);
+        if (effective.isEmpty()) {
+            return member.lastKnown(name)
+                    .map(value -> new Reply(false, "in doubt; last known:\n" + format(value)))
                     .orElse(new Reply(false, "nothing is known of " + name));
         }
-        Value other = acting.get().other();
-        return new Reply(true, text(acting.get().one()) + (other == null ? "" : "\nstaged beside it:\n" + text(other)));
+        Value staged = effective.get().staged();
+        return new Reply(
+                true, format(effective.get().inForce()) + (staged == null ? "" : "\nstaged:\n" + format(staged)));
     }
 
-    private static String text(Value v) {
-        return "generation " + v.generation() + " by " + v.by() + "\n"
-                + new String(v.content(), StandardCharsets.UTF_8);
+    private static String format(Value value) {
+        return "generation " + value.generation() + " by " + value.proposer() + "\n"
+                + new String(value.content(), StandardCharsets.UTF_8);
     }
 
-    /** The generations that are kept, oldest first. */
+    /** Lists the stored generations, oldest first. */
     public Reply history(String name) {
-        Optional<AgreementMessage.Looked> l = look(name, 0);
-        if (l.isEmpty()) {
-            return silent();
+        Optional<AgreementMessage.HistoryResponse> response = readHistory(name, 0);
+        if (response.isEmpty()) {
+            return noResponse();
         }
-        StringBuilder s = new StringBuilder();
-        l.get()
-                .lines()
-                .forEach(i -> s.append(String.format(
-                        Locale.ROOT, "%6d  %-16s %8d bytes  by %s%n", i.generation(), i.came(), i.bytes(), i.by())));
-        return new Reply(s.length() > 0, s.length() > 0 ? s.toString() : "nothing is known of " + name);
+        StringBuilder text = new StringBuilder();
+        response.get()
+                .entries()
+                .forEach(entry -> text.append(String.format(
+                        Locale.ROOT,
+                        "%6d  %-16s %8d bytes  by %s%n",
+                        entry.generation(),
+                        entry.outcome(),
+                        entry.contentBytes(),
+                        entry.proposer())));
+        return new Reply(text.length() > 0, text.length() > 0 ? text.toString() : "nothing is known of " + name);
     }
 
-    /** Proposes an older generation's content as a new one; numbers never go back. */
-    public Reply withdraw(String name, long to) {
-        Reply older = content(name, to);
-        return older.done() ? propose(name, older.text(), -1) : older;
+    /** Proposes the content of an older generation as a new generation; generation numbers never decrease. */
+    public Reply withdraw(String name, long generation) {
+        Reply older = content(name, generation);
+        return older.succeeded() ? propose(name, older.text(), -1) : older;
     }
 
-    /** What is not the same in two generations. */
-    public Reply diff(String name, long from, long to) {
-        Reply one = content(name, from);
-        Reply other = content(name, to);
-        return !one.done() ? one : !other.done() ? other : new Reply(true, diff(one.text(), other.text()));
+    /** Shows the difference between two generations. */
+    public Reply diff(String name, long firstGeneration, long secondGeneration) {
+        Reply first = content(name, firstGeneration);
+        Reply second = content(name, secondGeneration);
+        return !first.succeeded()
+                ? first
+                : !second.succeeded() ? second : new Reply(true, diff(first.text(), second.text()));
     }
 
-    /** Whether a majority answers, who leads, and what is in force. */
+    /** Shows whether a majority answers, which member leads, and what is in force. */
     public Reply status() {
-        return new Reply(node.alarm().isEmpty(), node.status());
+        return new Reply(member.alarm().isEmpty(), member.status());
     }
 
     private Reply content(String name, long generation) {
-        Optional<AgreementMessage.Looked> l = look(name, generation);
-        return l.isEmpty()
-                ? silent()
-                : l.get().lines().stream().noneMatch(i -> i.generation() == generation)
+        Optional<AgreementMessage.HistoryResponse> response = readHistory(name, generation);
+        return response.isEmpty()
+                ? noResponse()
+                : response.get().entries().stream().noneMatch(entry -> entry.generation() == generation)
                         ? new Reply(false, "generation " + generation + " of " + name + " is not kept")
-                        : new Reply(true, new String(l.get().content(), StandardCharsets.UTF_8));
+                        : new Reply(true, new String(response.get().content(), StandardCharsets.UTF_8));
     }
 
-    private Optional<AgreementMessage.Looked> look(String name, long generation) {
-        return wait(node.look(name, generation, withinMs)).flatMap(o -> o);
+    private Optional<AgreementMessage.HistoryResponse> readHistory(String name, long generation) {
+        return await(member.readHistory(name, generation, withinMs)).flatMap(response -> response);
     }
 
-    private Reply silent() {
+    private Reply noResponse() {
         return new Reply(false, "no voter has answered in " + Math.round(withinMs) + " ms");
     }
 
-    private <T> Optional<T> wait(CompletableFuture<T> f) {
+    private <T> Optional<T> await(CompletableFuture<T> future) {
         try {
-            return Optional.of(f.get((long) withinMs + 1000, TimeUnit.MILLISECONDS));
+            return Optional.of(future.get((long) withinMs + 1000, TimeUnit.MILLISECONDS));
         } catch (TimeoutException | ExecutionException e) {
             return Optional.empty();
         } catch (InterruptedException e) {
@@ -142,25 +151,28 @@
         }
     }
 
-    /** The lines between the first and the last that differ: those that go, then those that come. */
+    /** Lists the lines between the first and the last difference: first the removed ones, then the added ones. */
     static String diff(String from, String to) {
-        List<String> a = Arrays.asList(from.split("\n", -1));
-        List<String> b = Arrays.asList(to.split("\n", -1));
-        int start = 0;
-        while (start < Math.min(a.size(), b.size()) && a.get(start).equals(b.get(start))) {
-            start++;
+        List<String> first = Arrays.asList(from.split("\n", -1));
+        List<String> second = Arrays.asList(to.split("\n", -1));
+        int prefix = 0;
+        while (prefix < Math.min(first.size(), second.size())
+                && first.get(prefix).equals(second.get(prefix))) {
+            prefix++;
         }
-        int end = 0;
-        while (end < Math.min(a.size(), b.size()) - start
-                && a.get(a.size() - 1 - end).equals(b.get(b.size() - 1 - end))) {
-            end++;
+        int suffix = 0;
+        while (suffix < Math.min(first.size(), second.size()) - prefix
+                && first.get(first.size() - 1 - suffix).equals(second.get(second.size() - 1 - suffix))) {
+            suffix++;
         }
-        StringBuilder s = new StringBuilder();
-        if (a.size() - end > start || b.size() - end > start) {
-            s.append("from line ").append(start + 1).append('\n');
+        StringBuilder text = new StringBuilder();
+        if (first.size() - suffix > prefix || second.size() - suffix > prefix) {
+            text.append("from line ").append(prefix + 1).append('\n');
         }
-        a.subList(start, a.size() - end).forEach(l -> s.append("- ").append(l).append('\n'));
-        b.subList(start, b.size() - end).forEach(l -> s.append("+ ").append(l).append('\n'));
-        return s.toString();
+        first.subList(prefix, first.size() - suffix)
+                .forEach(line -> text.append("- ").append(line).append('\n'));
+        second.subList(prefix, second.size() - suffix)
+                .forEach(line -> text.append("+ ").append(line).append('\n'));
+        return text.toString();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterEndpoint.java
@@ -5,45 +5,45 @@
 import java.util.List;
 
 /**
- * A voter: a member with the disk that it has. The same member with another disk is another voter, so that a vote or a
- * log entry that was lost with a disk is never counted on.
+ * A voter: a member together with its disk. The same member with another disk is another voter, so that the group never
+ * relies on votes or log entries that were lost with the old disk.
  *
  * @param name the member
- * @param disk the disk's number, drawn when it was empty
+ * @param diskId the random id that the disk got when it was empty
  */
-record VoterEndpoint(String name, String disk) implements RaftEndpoint {
-    private static final int LONGEST = 128;
+record VoterEndpoint(String name, String diskId) implements RaftEndpoint {
+    private static final int MAX_LENGTH = 128;
 
     VoterEndpoint {
         if (name.isEmpty()
-                || disk.isEmpty()
-                || name.length() > LONGEST
-                || disk.length() > LONGEST
+                || diskId.isEmpty()
+                || name.length() > MAX_LENGTH
+                || diskId.length() > MAX_LENGTH
                 || name.indexOf('@') >= 0
-                || disk.indexOf('@') >= 0) {
-            throw new IllegalArgumentException("voter: " + name + "@" + disk);
+                || diskId.indexOf('@') >= 0) {
+            throw new IllegalArgumentException("malformed voter: '" + name + "@" + diskId + "'");
         }
     }
 
     static VoterEndpoint parse(String id) {
-        int at = id.indexOf('@');
-        if (at < 0) {
-            throw new IllegalArgumentException("voter: " + id);
+        int separator = id.indexOf('@');
+        if (separator < 0) {
+            throw new IllegalArgumentException("malformed voter: '" + id + "'");
         }
-        return new VoterEndpoint(id.substring(0, at), id.substring(at + 1));
+        return new VoterEndpoint(id.substring(0, separator), id.substring(separator + 1));
     }
 
-    static List<String> ids(Collection<? extends RaftEndpoint> all) {
-        return all.stream().map(e -> (String) e.getId()).toList();
+    static List<String> ids(Collection<? extends RaftEndpoint> endpoints) {
+        return endpoints.stream().map(endpoint -> (String) endpoint.getId()).toList();
     }
 
     @Override
     public Object getId() {
-        return name + "@" + disk;
+        return name + "@" + diskId;
     }
 
     @Override
     public String toString() {
-        return name + "@" + disk;
+        return name + "@" + diskId;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterRecovery.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A voter's way into the Raft group: opens its disk, asks the other voters what they know of it, starts the consensus
- * by {@link VoterAdmission}'s rules, and begins anew after its disk has failed. For the member's thread.
+ * Start and recovery of a voter: opens its disk, asks the other members what they know about it, starts the consensus
+ * by the rules of {@link VoterAdmission}, and restarts it after a disk failure. Confined to the member's thread.
  */
 final class VoterRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(VoterRecovery.class);
-    /** Between two rounds of hellos. */
+    /** Interval of hellos to the other members. */
     private static final double HELLO_INTERVAL_MS = 200;
-    /** Between two requests to take the old disk's place. */
+    /** Interval of requests to replace the old disk. */
     private static final double JOIN_INTERVAL_MS = 500;
-    /** How long after a failure the disk is opened again. */
+    /** Interval of attempts to reopen a failed disk. */
     private static final double REOPEN_INTERVAL_MS = 1000;
 
     private static final String DISK_FAILED = "the disk can't be written: this member does not vote until it can";
@@ -28,21 +28,21 @@
     private final RaftConsensus consensus;
     private final LeaderService leaderService;
     private final LeaseClient leaseClient;
-    private final Supplier<String> target;
+    private final Supplier<String> requestTarget;
     private final Path directory;
-    private final Map<String, AgreementMessage.Facts> facts = new HashMap<>();
+    private final Map<String, AgreementMessage.HelloResponse> helloResponses = new HashMap<>();
     private String scheme = "";
     private VoterStore store;
     private VoterEndpoint endpoint;
     private boolean joining;
-    private double helloMs = Double.NEGATIVE_INFINITY;
+    private double lastHelloMs = Double.NEGATIVE_INFINITY;
     private double reopenAtMs = Double.NEGATIVE_INFINITY;
-    private double joinMs = Double.NEGATIVE_INFINITY;
+    private double lastJoinRequestMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A voter that has not opened its disk yet.
+     * Creates a voter that has not opened its disk yet.
      *
-     * @param directory where its files are; null for memory only, which is a disk that is lost at each end
+     * @param directory the directory of its files; null keeps them in memory, so that they are lost at each stop
      */
     VoterRecovery(
             MemberContext context,
@@ -54,17 +54,17 @@
         this.consensus = consensus;
         this.leaderService = leaderService;
         this.leaseClient = leaseClient;
-        this.target = leaseClient::target;
+        this.requestTarget = leaseClient::requestTarget;
         this.directory = directory;
     }
 
-    /** The files are on a file system of this scheme; before {@link #openDisk}. */
+    /** Sets the scheme of the file system that stores the files; to be called before {@link #openDisk}. */
     void useFileScheme(String fileScheme) {
         scheme = fileScheme;
     }
 
     /**
-     * Opens the disk; a damaged one is put aside and begun anew.
+     * Opens the disk; puts a damaged one aside and opens an empty one.
      *
      * @throws IOException if the disk can't be used, or belongs to another fleet or member
      */
@@ -72,16 +72,16 @@
         String fleet = context.settings().fleet();
         try {
             store = VoterStore.open(directory, fleet, context.name(), scheme);
-        } catch (VoterStore.Damaged e) {
-            Path aside = VoterStore.putAside(directory);
-            context.alarm().raise("disk damaged and put aside as " + aside + ": " + e.getMessage());
+        } catch (VoterStore.DamagedDiskException e) {
+            Path asideDirectory = VoterStore.putAside(directory);
+            context.alarm().raise("disk damaged and put aside as " + asideDirectory + ": " + e.getMessage());
             store = VoterStore.open(directory, fleet, context.name(), scheme);
         }
-        endpoint = new VoterEndpoint(context.name(), store.disk());
-        joining = store.joining();
+        endpoint = new VoterEndpoint(context.name(), store.diskId());
+        joining = store.isJoining();
     }
 
-    /** Whether it waits for its old disk's place. */
+    /** Whether the voter waits to replace its old disk. */
     boolean isJoining() {
         return joining;
     }
@@ -90,9 +90,9 @@
         return store != null && store.failed();
     }
 
-    /** The disk, for operators' figures. */
+    /** Describes the disk, for operators. */
     String describeDisk() {
-        return (directory == null ? "memory only" : store.bytes() + " bytes") + ", " + store.forced()
+        return (directory == null ? "memory only" : store.fileBytes() + " bytes") + ", " + store.forcedWrites()
                 + " writes forced";
     }
 
@@ -103,13 +103,13 @@
         }
     }
 
-    /** Does what is due: reopens a failed disk, asks the other voters, renews a stale pre-vote, or asks to join. */
+    /** Performs what is due: reopens a failed disk, sends hellos, replaces a stale pre-vote, or requests to join. */
     void tick(double nowMs) {
         if (store.failed()) {
             onDiskFailed(nowMs);
         } else if (!consensus.isStarted()) {
-            if (nowMs >= helloMs + HELLO_INTERVAL_MS) {
-                helloMs = nowMs;
+            if (nowMs >= lastHelloMs + HELLO_INTERVAL_MS) {
+                lastHelloMs = nowMs;
                 sendHello();
             }
         } else {
@@ -119,26 +119,28 @@
 
     private void tickStarted(double nowMs) {
         if (consensus.replaceStalePreVote()) {
-            LOG.warn("agreement at {}: the leader is silent and a stale pre-vote was left: votes anew", context.name());
+            LOG.warn(
+                    "agreement at {}: the leader is silent, a stale pre-vote was replaced by a new one",
+                    context.name());
         }
-        if (joining && nowMs >= joinMs + JOIN_INTERVAL_MS) {
-            joinMs = nowMs;
+        if (joining && nowMs >= lastJoinRequestMs + JOIN_INTERVAL_MS) {
+            lastJoinRequestMs = nowMs;
             requestJoin();
         }
     }
 
     private void requestJoin() {
         if (!consensus.committedMembers().getVotingMembers().contains(endpoint)) {
-            context.send(target.get(), new AgreementMessage.Join(endpoint.toString()));
+            context.send(requestTarget.get(), new AgreementMessage.JoinRequest(endpoint.toString()));
             return;
         }
         joining = false;
-        write(() -> store.joined(consensus.committedMembers().getLogIndex()));
+        runDiskAction(() -> store.saveJoined(consensus.committedMembers().getLogIndex()));
         context.alarm().clear();
-        LOG.info("agreement at {}: votes as {}", context.name(), endpoint);
+        LOG.info("agreement at {}: became a voter as {}", context.name(), endpoint);
     }
 
-    /** A disk that has failed is tried again from time to time; until it takes writes, this member does not vote. */
+    /** Reopens a failed disk periodically; this member does not vote until a write succeeds. */
     private void onDiskFailed(double nowMs) {
         if (consensus.isStarted()) {
             context.alarm().raise(DISK_FAILED);
@@ -157,15 +159,15 @@
             return;
         }
         context.alarm().clear();
-        helloMs = Double.NEGATIVE_INFINITY;
-        LOG.warn("agreement at {}: the disk takes writes again, this member asks to vote", context.name());
+        lastHelloMs = Double.NEGATIVE_INFINITY;
+        LOG.warn("agreement at {}: the disk can be written again, this member rejoins the voters", context.name());
     }
 
-    /** The library's node has stopped with the disk; another one begins with what the disk has, as after a start. */
+    /** Discards the Raft node, which has stopped with the disk; a new one starts from the disk, as after a restart. */
     private void stopVoting() {
-        consensus.discard();
+        consensus.discardNode();
         leaderService.reset();
-        facts.clear();
+        helloResponses.clear();
     }
 
     @FunctionalInterface
@@ -173,7 +175,7 @@
         void run() throws IOException;
     }
 
-    private void write(DiskAction action) {
+    private void runDiskAction(DiskAction action) {
         try {
             action.run();
         } catch (IOException e) {
@@ -182,70 +184,77 @@
     }
 
     private void sendHello() {
-        write(() -> context.broadcast(new AgreementMessage.Hello(store.disk(), store.starts(), context.processLife())));
-        admit();
+        runDiskAction(() -> context.broadcast(
+                new AgreementMessage.Hello(store.diskId(), store.startCount(), context.incarnation())));
+        takeNextStep();
     }
 
-    /** Answers a hello with what this member knows, and remembers the asker's disk. */
-    void onHello(String peer, AgreementMessage.Hello hello) {
+    /** Answers a hello with what this member knows, and stores the requester's disk. */
+    void onHello(String peer, AgreementMessage.Hello request) {
         List<String> members = List.of();
         List<String> bootstrapVoters = List.of();
-        long since = 0;
-        String[] seen = {"", "0", "0"};
+        long membersLogIndex = 0;
+        String[] lastSeen = {"", "0", "0"};
         try {
             if (context.isVoter()
                     && !store.failed()
                     && context.settings().voters().contains(peer)) {
                 bootstrapVoters = store.bootstrapVoters();
-                seen = store.seen(peer).map(last -> last.split(" ")).orElse(seen);
-                String current = hello.disk() + " " + hello.starts() + " " + hello.life();
-                if (!current.equals(String.join(" ", seen))) {
-                    store.seen(peer, current);
+                lastSeen = store.lastSeen(peer).map(last -> last.split(" ")).orElse(lastSeen);
+                String current = request.diskId() + " " + request.startCount() + " " + request.incarnation();
+                if (!current.equals(String.join(" ", lastSeen))) {
+                    store.saveLastSeen(peer, current);
                 }
                 if (consensus.isStarted()) {
                     members = VoterEndpoint.ids(consensus.committedMembers().getVotingMembers());
-                    since = consensus.committedMembers().getLogIndex();
+                    membersLogIndex = consensus.committedMembers().getLogIndex();
                 }
             }
         } catch (IOException e) {
             context.alarm().raise("disk: " + e.getMessage());
         }
-        AgreementMessage.Facts answer = new AgreementMessage.Facts(
-                endpoint == null ? "" : endpoint.disk(),
+        AgreementMessage.HelloResponse response = new AgreementMessage.HelloResponse(
+                endpoint == null ? "" : endpoint.diskId(),
                 bootstrapVoters,
                 leaseClient.followedGroup(),
                 members,
-                since,
-                seen[0],
-                Long.parseLong(seen[1]),
-                Long.parseLong(seen[2]));
-        context.send(peer, answer);
+                membersLogIndex,
+                lastSeen[0],
+                Long.parseLong(lastSeen[1]),
+                Long.parseLong(lastSeen[2]));
+        context.send(peer, response);
     }
 
-    void onFacts(String peer, AgreementMessage.Facts answer) {
+    void onHelloResponse(String peer, AgreementMessage.HelloResponse response) {
         if (!consensus.isStarted() && context.isVoter()) {
-            facts.put(peer, answer);
-            admit();
+            helloResponses.put(peer, response);
+            takeNextStep();
         }
     }
 
-    private void admit() {
+    private void takeNextStep() {
         if (consensus.isStarted() || store.failed()) {
             return;
         }
-        write(() -> {
-            VoterAdmission.Self self = new VoterAdmission.Self(
-                    endpoint, store.starts(), context.processLife(), store.bootstrapVoters(), joining, store.since());
-            List<String> known = VoterAdmission.bootstrapVoters(self, facts);
-            switch (VoterAdmission.step(self, context.settings().voters(), facts)) {
+        runDiskAction(() -> {
+            VoterAdmission.LocalVoter self = new VoterAdmission.LocalVoter(
+                    endpoint,
+                    store.startCount(),
+                    context.incarnation(),
+                    store.bootstrapVoters(),
+                    joining,
+                    store.joinLogIndex());
+            List<String> knownBootstrapVoters = VoterAdmission.bootstrapVoters(self, helloResponses);
+            switch (VoterAdmission.nextStep(self, context.settings().voters(), helloResponses)) {
                 case BOOTSTRAP -> startVoting(bootstrapVoters(), false);
-                case START -> startVoting(known, false);
-                case JOIN -> startVoting(known, true);
+                case START -> startVoting(knownBootstrapVoters, false);
+                case JOIN -> startVoting(knownBootstrapVoters, true);
                 case PUT_ASIDE -> replaceDisk();
                 case SPLIT ->
-                    context.alarm().raise("members follow different foundings: staff must decide which disks to keep");
+                    context.alarm()
+                            .raise("members follow different Raft groups: operators must decide which disks to keep");
                 default -> {
-                    // It asks on.
+                    // Wait for further responses.
                 }
             }
         });
@@ -255,7 +264,7 @@
         return context.settings().voters().stream()
                 .map(voter -> voter.equals(context.name())
                         ? endpoint
-                        : new VoterEndpoint(voter, facts.get(voter).disk()))
+                        : new VoterEndpoint(voter, helloResponses.get(voter).diskId()))
                 .map(VoterEndpoint::toString)
                 .toList();
     }
@@ -265,7 +274,7 @@
         context.alarm()
                 .raise("the disk is old, copied or was replaced; put aside as "
                         + (directory == null ? "nothing" : VoterStore.putAside(directory)));
-        facts.clear();
+        helloResponses.clear();
         openDisk();
     }
 
@@ -276,10 +285,10 @@
         joining = asReplacement;
         consensus.start(store, endpoint, bootstrapVoters);
         LOG.info(
-                "agreement at {}: takes part as {} in Raft group {}{}",
+                "agreement at {}: started as {} in Raft group {}{}",
                 context.name(),
                 endpoint,
                 consensus.groupId(),
-                joining ? ", asks for its old disk's place" : "");
+                joining ? ", requests to replace its old disk" : "");
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/VoterStore.java
@@ -30,40 +30,41 @@
 import org.h2.store.fs.FilePath;
 
 /**
- * A voter's disk: terms, votes, entries and snapshots in one file of an MVStore, each value with its own checksum, and
- * beside it the count of writes that were forced. What was forced is there when it is opened again, or the disk is
- * {@link Damaged}: a store that goes back to an earlier chunk must not pass for whole.
+ * The disk of a voter: terms, votes, entries and snapshots in one MVStore file, each value with its own checksum, and a
+ * second file with the number of forced writes. All forced writes are present when the disk is opened again, otherwise
+ * opening throws a {@link DamagedDiskException}: a store that has fallen back to an earlier chunk must not be taken for
+ * an intact one.
  *
- * <p>Once a write has failed nobody knows which pages of the file reached the disk, and a sync that succeeds later does
- * not say. So nothing more is written to that file: {@link #open} reads what is there, writes it anew to a fresh file,
- * and goes on with that once it is synced.
+ * <p>After a failed write it is unknown which pages of the file reached the disk, and a later successful sync does not
+ * tell. So nothing more is written to that file: {@link #open} copies its content to a new file, syncs that, and
+ * continues with it.
  */
 final class VoterStore implements RaftStore, AutoCloseable {
     private static final String FILE = "agreed.mv";
-    /** What is written anew at an opening, until it is whole. */
-    private static final String FRESH = FILE + ".new";
-    /** Unreferenced chunks of the file are kept so long; each write is forced, so that none needs them. */
+    /** The copy that {@link #open} writes, until it is complete. */
+    private static final String REWRITTEN_FILE = FILE + ".new";
+    /** Retention time of unreferenced chunks in the file; short, because each write is forced and none needs them. */
     private static final int CHUNK_RETENTION_MS = 5000;
-    /** The file is compacted after so many forced writes. */
+    /** Forced writes after which the file is compacted. */
     private static final int COMPACT_WRITES = 100;
 
     private static final int COMPACT_FILL_PERCENT = 70;
     private static final int COMPACT_BYTES = 4 << 20;
 
-    /** The disk has lost or changed what was forced to it: it counts as lost. */
-    static final class Damaged extends IOException {
+    /** The disk has lost or changed forced data, so it must be treated as lost. */
+    static final class DamagedDiskException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Damaged(String message, Throwable cause) {
+        DamagedDiskException(String message, Throwable cause) {
             super(message, cause);
         }
     }
 
-    /** The disk belongs to another fleet or member: staff have mixed something up. */
-    static final class Foreign extends IOException {
+    /** The disk belongs to another fleet or member, which is a configuration error. */
+    static final class ForeignDiskException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Foreign(String message) {
+        ForeignDiskException(String message) {
             super(message);
         }
     }
@@ -72,170 +73,171 @@
     private final MVMap<String, byte[]> meta;
     private final MVMap<Long, byte[]> log;
     private final MVMap<String, byte[]> chunks;
-    private final FileChannel mark;
+    private final FileChannel markChannel;
     private final WriteMark writeMark;
     private final Path file;
-    private long count;
+    private long writeCount;
     private volatile boolean failed;
-    private volatile long forced;
+    private volatile long forcedWrites;
     private RestoredRaftState restored;
 
-    private VoterStore(MVStore store, FileChannel mark, Path file) {
+    private VoterStore(MVStore store, FileChannel markChannel, Path file) {
         this.store = store;
-        this.mark = mark;
-        this.writeMark = new WriteMark(mark);
+        this.markChannel = markChannel;
+        this.writeMark = new WriteMark(markChannel);
         this.file = file;
         store.setRetentionTime(CHUNK_RETENTION_MS);
-        this.meta = store.openMap("meta", map(StringDataType.INSTANCE));
-        this.log = store.openMap("log", map(LongDataType.INSTANCE));
-        this.chunks = store.openMap("chunks", map(StringDataType.INSTANCE));
+        this.meta = store.openMap("meta", mapBuilder(StringDataType.INSTANCE));
+        this.log = store.openMap("log", mapBuilder(LongDataType.INSTANCE));
+        this.chunks = store.openMap("chunks", mapBuilder(StringDataType.INSTANCE));
     }
 
-    private static <K> MVMap.Builder<K, byte[]> map(DataType<K> keys) {
-        MVMap.Builder<K, byte[]> b = new MVMap.Builder<>();
-        b.setKeyType(keys);
-        b.setValueType(ByteArrayDataType.INSTANCE);
-        return b;
+    private static <K> MVMap.Builder<K, byte[]> mapBuilder(DataType<K> keys) {
+        MVMap.Builder<K, byte[]> builder = new MVMap.Builder<>();
+        builder.setKeyType(keys);
+        builder.setValueType(ByteArrayDataType.INSTANCE);
+        return builder;
     }
 
     /**
-     * Opens a member's disk; an empty one becomes this member's.
+     * Opens a member's disk; an empty one is assigned to this member.
      *
-     * @param directory where; null for memory only, which is a disk that is lost at each end
+     * @param directory the directory of the files; null keeps them in memory, so that they are lost at each stop
      */
     static VoterStore open(Path directory, String fleet, String member) throws IOException {
         return open(directory, fleet, member, "");
     }
 
-    /** The same, on a file system of this scheme. */
+    /** Opens a member's disk on a file system of this scheme. */
     static VoterStore open(Path directory, String fleet, String member, String scheme) throws IOException {
         if (directory == null) {
-            return ready(
+            return initialize(
                     new VoterStore(new MVStore.Builder().autoCommitDisabled().open(), null, null), fleet, member);
         }
         Files.createDirectories(directory);
         Path file = directory.resolve(FILE);
-        Path marks = directory.resolve(WriteMark.FILE);
-        if (Files.exists(marks) && !Files.exists(file)) {
-            throw new Damaged(file + " is gone", null);
+        Path markFile = directory.resolve(WriteMark.FILE);
+        if (Files.exists(markFile) && !Files.exists(file)) {
+            throw new DamagedDiskException(file + " is missing", null);
         }
-        FileChannel mark = FilePath.get(scheme + marks).open("rw");
-        MVStore opened = null;
+        FileChannel markChannel = FilePath.get(scheme + markFile).open("rw");
+        MVStore store = null;
         try {
-            if (mark.tryLock() == null) {
+            if (markChannel.tryLock() == null) {
                 throw new IOException(directory + " is in use by another process");
             }
             if (Files.exists(file)) {
-                writeAnew(directory, fleet, member, scheme, mark);
+                rewrite(directory, fleet, member, scheme, markChannel);
             }
-            opened = opened(scheme + file);
-            return ready(new VoterStore(opened, mark, file), fleet, member);
+            store = openStore(scheme + file);
+            return initialize(new VoterStore(store, markChannel, file), fleet, member);
         } catch (OverlappingFileLockException e) {
-            close(opened, mark);
+            close(store, markChannel);
             throw new IOException(directory + " is in use by this process", e);
         } catch (IOException e) {
-            close(opened, mark);
+            close(store, markChannel);
             throw e;
         } catch (RuntimeException | AssertionError | OutOfMemoryError e) {
-            close(opened, mark);
-            if (e instanceof MVStoreException m && m.getErrorCode() == DataUtils.ERROR_WRITING_FAILED) {
-                // The disk does not take bytes, which says nothing against those that are there.
+            close(store, markChannel);
+            if (e instanceof MVStoreException storeException
+                    && storeException.getErrorCode() == DataUtils.ERROR_WRITING_FAILED) {
+                // A failed write does not mean that the existing data is damaged.
                 throw new IOException(file + ": " + e.getMessage(), e);
             }
-            // Guards against whatever the store makes of bytes that were changed, lengths without end among them.
-            throw new Damaged(file + ": " + e, e);
+            // Guards against any failure of the store on corrupted bytes, such as huge lengths.
+            throw new DamagedDiskException(file + ": " + e, e);
         }
     }
 
-    private static MVStore opened(String name) {
-        return new MVStore.Builder().fileName(name).autoCommitDisabled().open();
+    private static MVStore openStore(String fileName) {
+        return new MVStore.Builder().fileName(fileName).autoCommitDisabled().open();
     }
 
     /**
-     * Writes what is there to a fresh file, which takes the old one's place: the process before may have ended after a
-     * sync that failed, so that what can be read need not be on the disk.
+     * Copies the content to a new file, which replaces the old one: the previous process may have ended after a failed
+     * sync, so that data that can be read is not necessarily on the disk.
      */
-    private static void writeAnew(Path directory, String fleet, String member, String scheme, FileChannel mark)
+    private static void rewrite(Path directory, String fleet, String member, String scheme, FileChannel markChannel)
             throws IOException {
         FilePath file = FilePath.get(scheme + directory.resolve(FILE));
-        FilePath fresh = FilePath.get(scheme + directory.resolve(FRESH));
-        if (fresh.exists()) {
-            fresh.delete();
+        FilePath rewrittenFile = FilePath.get(scheme + directory.resolve(REWRITTEN_FILE));
+        if (rewrittenFile.exists()) {
+            rewrittenFile.delete();
         }
-        MVStore from = opened(file.toString());
-        MVStore to = null;
+        MVStore source = openStore(file.toString());
+        MVStore target = null;
         try {
-            VoterStore old = new VoterStore(from, mark, directory.resolve(FILE));
-            if (!old.empty()) {
+            VoterStore old = new VoterStore(source, markChannel, directory.resolve(FILE));
+            if (!old.isEmpty()) {
                 old.verify(fleet, member);
             }
-            to = opened(fresh.toString());
-            VoterStore anew = new VoterStore(to, null, null);
-            anew.meta.putAll(old.meta);
-            anew.log.putAll(old.log);
-            anew.chunks.putAll(old.chunks);
-            to.commit();
-            to.sync();
+            target = openStore(rewrittenFile.toString());
+            VoterStore rewritten = new VoterStore(target, null, null);
+            rewritten.meta.putAll(old.meta);
+            rewritten.log.putAll(old.log);
+            rewritten.chunks.putAll(old.chunks);
+            target.commit();
+            target.sync();
         } finally {
-            from.closeImmediately();
-            if (to != null) {
-                to.closeImmediately();
+            source.closeImmediately();
+            if (target != null) {
+                target.closeImmediately();
             }
         }
-        fresh.moveTo(file, true);
-        try (FileChannel names = FileChannel.open(directory)) {
-            names.force(true);
+        rewrittenFile.moveTo(file, true);
+        try (FileChannel directoryChannel = FileChannel.open(directory)) {
+            directoryChannel.force(true);
         }
     }
 
-    private static void close(MVStore opened, FileChannel mark) throws IOException {
-        if (opened != null) {
-            opened.closeImmediately();
+    private static void close(MVStore store, FileChannel markChannel) throws IOException {
+        if (store != null) {
+            store.closeImmediately();
         }
-        mark.close();
+        markChannel.close();
     }
 
-    private boolean empty() throws IOException {
+    private boolean isEmpty() throws IOException {
         return meta.isEmpty() && log.isEmpty() && writeMark.read() == 0;
     }
 
-    /** What is there is whole, is this member's, and goes as far as was forced. */
+    /** Verifies that the content is intact, belongs to this member and includes all forced writes. */
     private void verify(String fleet, String member) throws IOException {
-        check();
-        if (!text("fleet").equals(fleet) || !text("member").equals(member)) {
-            throw new Foreign("disk of fleet '" + text("fleet") + "', member '" + text("member") + "'; this is fleet '"
-                    + fleet + "', member '" + member + "'");
+        verifyChecksums();
+        if (!metaText("fleet").equals(fleet) || !metaText("member").equals(member)) {
+            throw new ForeignDiskException("disk of fleet '" + metaText("fleet") + "', member '" + metaText("member")
+                    + "'; this is fleet '" + fleet + "', member '" + member + "'");
         }
-        count = Long.parseLong(meta.containsKey("count") ? text("count") : "0");
+        writeCount = Long.parseLong(meta.containsKey("count") ? metaText("count") : "0");
         long marked = writeMark.read();
-        if (count < marked) {
-            throw new Damaged("write " + marked + " was forced, the store ends with " + count, null);
+        if (writeCount < marked) {
+            throw new DamagedDiskException("the store ends at write " + writeCount + " of " + marked, null);
         }
     }
 
-    private static VoterStore ready(VoterStore s, String fleet, String member) throws IOException {
-        if (s.empty()) {
+    private static VoterStore initialize(VoterStore store, String fleet, String member) throws IOException {
+        if (store.isEmpty()) {
             byte[] number = new byte[12];
             new SecureRandom().nextBytes(number);
-            s.putText("fleet", fleet);
-            s.putText("member", member);
-            s.putText("disk", HexFormat.of().formatHex(number));
-            s.putText("starts", "0");
+            store.putMetaText("fleet", fleet);
+            store.putMetaText("member", member);
+            store.putMetaText("disk", HexFormat.of().formatHex(number));
+            store.putMetaText("starts", "0");
         }
-        s.verify(fleet, member);
-        s.restored = new RaftStateLoader(s.meta, s.log, s.chunks).load();
-        s.putText("starts", String.valueOf(s.starts() + 1));
-        s.flush();
-        return s;
+        store.verify(fleet, member);
+        store.restored = new RaftStateLoader(store.meta, store.log, store.chunks).load();
+        store.putMetaText("starts", String.valueOf(store.startCount() + 1));
+        store.flush();
+        return store;
     }
 
-    /** Moves a voter's files to a directory beside theirs, whose name is the answer: staff may look at them. */
+    /** Moves a voter's files to a sibling directory and returns it, so that operators can inspect them. */
     static Path putAside(Path directory) throws IOException {
         for (int i = 1; ; i++) {
             Path aside = directory.resolveSibling(directory.getFileName() + ".aside-" + i);
             if (!Files.exists(aside)) {
                 Files.createDirectory(aside);
-                // The mark last: without it, a file that goes back to an earlier write would pass for whole.
+                // The write mark is moved last: without it, a store that lacks forced writes would be accepted.
                 for (String name : List.of(FILE, WriteMark.FILE)) {
                     if (Files.exists(directory.resolve(name))) {
                         Files.move(directory.resolve(name), aside.resolve(name), StandardCopyOption.ATOMIC_MOVE);
@@ -249,93 +251,93 @@
         }
     }
 
-    private void check() throws Damaged {
-        for (Map.Entry<String, byte[]> e : meta.entrySet()) {
-            StoreChecksums.unsealed(e.getKey(), e.getValue());
+    private void verifyChecksums() throws DamagedDiskException {
+        for (Map.Entry<String, byte[]> entry : meta.entrySet()) {
+            StoreChecksums.verifiedValue(entry.getKey(), entry.getValue());
         }
-        for (Map.Entry<String, byte[]> e : chunks.entrySet()) {
-            StoreChecksums.unsealed(e.getKey(), e.getValue());
+        for (Map.Entry<String, byte[]> entry : chunks.entrySet()) {
+            StoreChecksums.verifiedValue(entry.getKey(), entry.getValue());
         }
-        for (Map.Entry<Long, byte[]> e : log.entrySet()) {
-            StoreChecksums.unsealed(e.getKey().toString(), e.getValue());
+        for (Map.Entry<Long, byte[]> entry : log.entrySet()) {
+            StoreChecksums.verifiedValue(entry.getKey().toString(), entry.getValue());
         }
     }
 
-    private String text(String key) throws IOException {
+    private String metaText(String key) throws IOException {
         byte[] value = meta.get(key);
         if (value == null) {
-            throw new Damaged("no " + key, null);
+            throw new DamagedDiskException("missing key '" + key + "'", null);
         }
-        return new String(StoreChecksums.unsealed(key, value), StandardCharsets.UTF_8);
+        return new String(StoreChecksums.verifiedValue(key, value), StandardCharsets.UTF_8);
     }
 
-    private void putText(String key, String value) {
-        meta.put(key, StoreChecksums.sealed(key, value.getBytes(StandardCharsets.UTF_8)));
+    private void putMetaText(String key, String value) {
+        meta.put(key, StoreChecksums.withChecksum(key, value.getBytes(StandardCharsets.UTF_8)));
     }
 
-    // What the member stores beside the Raft library's state.
+    // State of the member, in addition to the Raft library's.
 
-    /** This disk's number, drawn when it was empty. */
-    String disk() throws IOException {
-        return text("disk");
+    /** The random id that the disk got when it was empty. */
+    String diskId() throws IOException {
+        return metaText("disk");
     }
 
-    /** How often it was started with, this time included. */
-    long starts() throws IOException {
-        return Long.parseLong(text("starts"));
+    /** The number of starts with this disk, including the current one. */
+    long startCount() throws IOException {
+        return Long.parseLong(metaText("starts"));
     }
 
-    /** The bootstrap voters of the Raft group that it takes part in; empty if none. */
+    /** The bootstrap voters of the voter's Raft group; empty if it has none yet. */
     List<String> bootstrapVoters() throws IOException {
-        return meta.containsKey("founding") ? List.of(text("founding").split(",")) : List.of();
+        return meta.containsKey("founding") ? List.of(metaText("founding").split(",")) : List.of();
     }
 
-    /** Stores the Raft group that it takes part in from now on; {@code joining} until it is one of its voters. */
+    /** Stores the voter's Raft group; {@code joining} if it is not one of the group's voters yet. */
     void saveBootstrapVoters(List<String> bootstrapVoters, boolean joining) throws IOException {
         write(() -> {
-            putText("founding", String.join(",", bootstrapVoters));
-            putText("joining", String.valueOf(joining));
+            putMetaText("founding", String.join(",", bootstrapVoters));
+            putMetaText("joining", String.valueOf(joining));
         });
         flush();
     }
 
-    /** It is one of the voters since this change of members. */
-    void joined(long since) throws IOException {
+    /** Stores that it has become a voter by the membership change with this log index. */
+    void saveJoined(long since) throws IOException {
         write(() -> {
-            putText("joining", "false");
-            putText("since", String.valueOf(since));
+            putMetaText("joining", "false");
+            putMetaText("since", String.valueOf(since));
         });
         flush();
     }
 
-    /** The change of members by which it became a voter; 0 at the bootstrap. */
-    long since() throws IOException {
-        return meta.containsKey("since") ? Long.parseLong(text("since")) : 0;
+    /** The log index of the membership change that made it a voter; 0 at the bootstrap. */
+    long joinLogIndex() throws IOException {
+        return meta.containsKey("since") ? Long.parseLong(metaText("since")) : 0;
     }
 
-    /** Whether it has asked for its old disk's place and is not known to have it yet. */
-    boolean joining() throws IOException {
-        return meta.containsKey("joining") && Boolean.parseBoolean(text("joining"));
+    /** Whether it has requested to replace its old disk and does not know yet that it was accepted. */
+    boolean isJoining() throws IOException {
+        return meta.containsKey("joining") && Boolean.parseBoolean(metaText("joining"));
     }
 
-    /** What another voter said of itself when it was last heard of; empty if never. */
-    Optional<String> seen(String member) throws IOException {
-        return meta.containsKey("seen/" + member) ? Optional.of(text("seen/" + member)) : Optional.empty();
+    /** The disk id, start count and incarnation in another voter's last hello; empty if there was none. */
+    Optional<String> lastSeen(String member) throws IOException {
+        return meta.containsKey("seen/" + member) ? Optional.of(metaText("seen/" + member)) : Optional.empty();
     }
 
-    /** Remembers what another voter said of itself. */
-    void seen(String member, String said) throws IOException {
-        write(() -> putText("seen/" + member, said));
+    /** Stores the disk id, start count and incarnation in another voter's last hello. */
+    void saveLastSeen(String member, String state) throws IOException {
+        write(() -> putMetaText("seen/" + member, state));
         flush();
     }
 
-    /** What the library goes on with; empty if it has not begun on this disk. */
+    /** The state that the library starts from; empty if it has not been started with this disk. */
     Optional<RestoredRaftState> restored() {
         return Optional.ofNullable(restored);
     }
 
-    /** Bytes of the file; 0 in memory. */
-    long bytes() {
+    /** Length of the file in bytes; 0 in memory. */
+    long fileBytes() {
         try {
             return file == null ? 0 : Files.size(file);
         } catch (IOException e) {
@@ -343,12 +345,12 @@
         }
     }
 
-    /** How often something was forced since it was opened. */
-    long forced() {
-        return forced;
+    /** The number of forced writes since the disk was opened. */
+    long forcedWrites() {
+        return forcedWrites;
     }
 
-    /** Whether a write has failed: nothing more is written or promised. */
+    /** Whether a write has failed; then nothing more is written or acknowledged. */
     boolean failed() {
         return failed;
     }
@@ -358,13 +360,13 @@
         void run() throws IOException;
     }
 
-    /** After a write that failed nobody knows what is on the disk, so nothing more is promised by it. */
-    private void write(Write w) throws IOException {
+    /** Runs a write. After a failed write the content of the disk is unknown, so all later writes are rejected. */
+    private void write(Write write) throws IOException {
         if (failed) {
-            throw new IOException("the disk has failed");
+            throw new IOException("a previous write to the disk has failed");
         }
         try {
-            w.run();
+            write.run();
         } catch (IOException | RuntimeException e) {
             failed = true;
             throw new IOException("disk: " + e.getMessage(), e);
@@ -374,49 +376,51 @@
     @Override
     public void flush() throws IOException {
         write(() -> {
-            count++;
-            putText("count", String.valueOf(count));
+            writeCount++;
+            putMetaText("count", String.valueOf(writeCount));
             store.commit();
-            if (file != null && count % COMPACT_WRITES == 0) {
+            if (file != null && writeCount % COMPACT_WRITES == 0) {
                 store.compact(COMPACT_FILL_PERCENT, COMPACT_BYTES);
             }
             store.sync();
-            writeMark.force(count);
-            forced++;
+            writeMark.force(writeCount);
+            forcedWrites++;
         });
     }
 
     @Override
-    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState e) throws IOException {
-        write(() -> meta.put("endpoint", StoreChecksums.sealed("endpoint", AgreementCodec.self(e))));
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
+        write(() ->
+                meta.put("endpoint", StoreChecksums.withChecksum("endpoint", AgreementCodec.endpointState(endpoint))));
         flush();
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) throws IOException {
-        write(() -> meta.put("initial", StoreChecksums.sealed("initial", AgreementCodec.members(v))));
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+        write(() -> meta.put("initial", StoreChecksums.withChecksum("initial", AgreementCodec.groupMembers(members))));
         flush();
     }
 
     @Override
-    public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        write(() -> meta.put("term", StoreChecksums.sealed("term", AgreementCodec.term(t))));
+    public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
+        write(() -> meta.put("term", StoreChecksums.withChecksum("term", AgreementCodec.termState(state))));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        write(() -> entries.forEach(e ->
-                log.put(e.getIndex(), StoreChecksums.sealed(String.valueOf(e.getIndex()), AgreementCodec.entry(e)))));
+        write(() -> entries.forEach(entry -> log.put(
+                entry.getIndex(),
+                StoreChecksums.withChecksum(String.valueOf(entry.getIndex()), AgreementCodec.logEntry(entry)))));
     }
 
     @Override
-    public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
-        String key = key(c.getIndex(), c.getSnapshotChunkIndex());
-        write(() -> chunks.put(key, StoreChecksums.sealed(key, AgreementCodec.chunk(c))));
+    public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
+        String key = chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex());
+        write(() -> chunks.put(key, StoreChecksums.withChecksum(key, AgreementCodec.snapshotChunk(chunk))));
     }
 
-    private static String key(long index, int chunk) {
+    private static String chunkKey(long index, int chunk) {
         return String.format("%019d/%05d", index, chunk);
     }
 
@@ -442,7 +446,7 @@
     public void deleteSnapshotChunks(long index, int chunkCount) throws IOException {
         write(() -> {
             for (int i = 0; i < chunkCount; i++) {
-                chunks.remove(key(index, i));
+                chunks.remove(chunkKey(index, i));
             }
         });
     }
@@ -450,10 +454,10 @@
     @Override
     public void close() {
         try {
-            // What was not forced was promised to nobody.
+            // Writes that were not forced have not been acknowledged and may be lost.
             store.closeImmediately();
-            if (mark != null) {
-                mark.close();
+            if (markChannel != null) {
+                markChannel.close();
             }
         } catch (IOException | RuntimeException e) {
             failed = true;
--- a/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
+++ b/fleet/src/main/java/brackenbridge/fleet/evacuation/DriverTask.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.evacuation;
 
 import brackenbridge.fleet.agreed.AgreedValues;
-import brackenbridge.fleet.agreed.AgreedValues.Acting;
+import brackenbridge.fleet.agreed.AgreedValues.EffectiveValues;
 import brackenbridge.fleet.agreed.AgreedValues.Lease;
 import brackenbridge.fleet.agreed.AgreedValues.Verdict;
 import brackenbridge.fleet.evacuation.Driver.Correction;
@@ -88,22 +88,22 @@
 
     /** Acquires or extends the role, proposes the next record and sends commands where they are due. */
     public void tick(double nowMs) {
-        Optional<Acting> activeValues = agreedValues.acting(AgreedValues.EVACUATION);
-        if (activeValues.isEmpty() || activeValues.get().one() == null) {
+        Optional<EffectiveValues> activeValues = agreedValues.effectiveValues(AgreedValues.EVACUATION);
+        if (activeValues.isEmpty() || activeValues.get().inForce() == null) {
             return;
         }
-        PlanState state = decode(activeValues.get().one());
-        PlanState otherState = activeValues.get().other() == null
+        PlanState state = decode(activeValues.get().inForce());
+        PlanState otherState = activeValues.get().staged() == null
                 ? null
-                : decode(activeValues.get().other());
-        if (state == null || activeValues.get().other() != null && otherState == null) {
+                : decode(activeValues.get().staged());
+        if (state == null || activeValues.get().staged() != null && otherState == null) {
             return;
         }
         boolean needsDriver = state.status().needsDriver()
                 || otherState != null && otherState.status().needsDriver();
         if (!needsDriver) {
             // Commands of a finished plan expire; the last one already restores the usual weights.
-            long generation = activeValues.get().one().generation();
+            long generation = activeValues.get().inForce().generation();
             if (lastCommandEpoch != generation) {
                 agreedValues
                         .heldLease(ROLE)
@@ -117,7 +117,7 @@
             return;
         }
         long token = lease.get().token();
-        long epoch = activeValues.get().one().generation();
+        long epoch = activeValues.get().inForce().generation();
         if (otherState == null && (pendingProposal == null || pendingProposal.isDone())) {
             Decision decision = driver.decide(nowMs, state, epoch, token, measurements.get());
             decision.corrections().forEach(correctionSink);
