--- a/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/FaultyFiles.java
@@ -19,13 +19,13 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * A file system with faults below the stores, of the scheme {@code faulty}. Below each directory it counts writes and
- * syncs, fails those that a test names or a seed draws, and keeps what would be left after a loss of power: what was
- * written before a sync that succeeded. What was written before one that failed is never synced by a later one, as
+ * An H2 file system with scheme {@code faulty} that injects faults into stores. For each directory it counts writes and
+ * syncs, fails those selected by a test or by a random seed, and tracks the content that would survive a loss of power:
+ * the data written before a successful sync. Data written before a failed sync is never synced by a later one, because
  * Linux drops such pages.
  */
 public final class FaultyFiles extends FilePathWrapper {
-    /** What names of files begin with. */
+    /** Prefix of file names. */
     public static final String SCHEME = "faulty:";
 
     private static final Map<String, Faults> DIRECTORIES = new ConcurrentHashMap<>();
@@ -34,222 +34,227 @@
         FilePath.register(new FaultyFiles());
     }
 
-    /** What goes wrong with one operation. */
+    /** A fault of an operation. */
     public enum Fault {
-        /** A write takes nothing: the disk is full. */
+        /** A write writes nothing: the disk is full. */
         NO_SPACE,
-        /** A write takes a part, then the disk is full. */
+        /** A write writes a part of the data, then the disk is full. */
         SHORT_WRITE,
-        /** A write fails with an error of the device. */
+        /** A write fails with a device error. */
         WRITE_ERROR,
-        /** A sync fails, and what it was for is dropped. */
+        /** A sync fails, and the unsynced data is dropped. */
         SYNC_ERROR
     }
 
     /**
-     * A write, for a test that leaves it half done.
+     * A recorded write, for tests that apply it partially.
      *
-     * @param file which
-     * @param at from where
-     * @param bytes what
+     * @param file the file
+     * @param offset the offset in the file
+     * @param bytes the data
      */
-    public record Write(Path file, long at, byte[] bytes) {
-        /** The file with so many bytes of this write. */
-        public byte[] onto(byte[] before, int prefix) {
-            byte[] torn = Arrays.copyOf(before, (int) Math.max(before.length, prefix == 0 ? 0 : at + prefix));
-            System.arraycopy(bytes, 0, torn, (int) at, prefix);
+    public record Write(Path file, long offset, byte[] bytes) {
+        /** Returns the content of the file after the first {@code prefix} bytes of this write. */
+        public byte[] applyTo(byte[] before, int prefix) {
+            byte[] torn = Arrays.copyOf(before, (int) Math.max(before.length, prefix == 0 ? 0 : offset + prefix));
+            System.arraycopy(bytes, 0, torn, (int) offset, prefix);
             return torn;
         }
     }
 
-    /** The part of a file that was written since the last sync. */
+    /** A range of a file that was written since the last sync. */
     private record Range(long from, int length) {}
 
-    /** A file as a loss of power would leave it. */
+    /** The content of a file that would survive a loss of power. */
     private static final class Image {
-        byte[] durable = {};
+        byte[] syncedBytes = {};
         final List<Range> unsynced = new ArrayList<>();
     }
 
     /** Faults below one directory. */
     public static final class Faults {
         private final Map<String, Image> images = new TreeMap<>();
-        private long operations;
-        private long failed;
+        private long operationCount;
+        private long failedCount;
         private long failFrom = Long.MAX_VALUE;
-        private Fault always;
+        private Fault fixedFault;
         private Random random;
-        private double part;
+        private double failureRate;
         private long killAt = Long.MAX_VALUE;
         private int killPrefix;
-        private List<Write> recorded;
+        private List<Write> recordedWrites;
 
-        /** All operations from now on fail so; a fault of writes leaves syncs alone, and the other way round. */
-        public void fail(Fault fault) {
+        /** Fails all further operations; a write fault does not affect syncs, and vice versa. */
+        public void failAll(Fault fault) {
             failAfter(0, fault);
         }
 
-        /** So many operations succeed, all later ones fail as with {@link #fail}. */
+        /** Lets a number of operations succeed and fails all later ones like {@link #failAll}. */
         public synchronized void failAfter(long succeeding, Fault fault) {
-            always = fault;
-            failFrom = operations + succeeding;
+            fixedFault = fault;
+            failFrom = operationCount + succeeding;
         }
 
-        /** This part of all operations fails, as the seed draws. */
-        public synchronized void draw(long seed, double failingPart) {
+        /** Fails operations randomly with this rate. */
+        public synchronized void failRandomly(long seed, double rate) {
             random = new Random(seed);
-            part = failingPart;
+            failureRate = rate;
         }
 
-        /** The process ends within the operation after so many others: a write leaves its first bytes only. */
+        /**
+         * Simulates a kill during this operation: if it is a write, only its first {@code prefix} bytes are written.
+         * All later operations fail.
+         */
         public synchronized void killAt(long operation, int prefix) {
             killAt = operation;
             killPrefix = prefix;
         }
 
-        /** Nothing fails any more. */
-        public synchronized void heal() {
+        /** Stops injecting faults. */
+        public synchronized void clear() {
             failFrom = Long.MAX_VALUE;
-            always = null;
+            fixedFault = null;
             random = null;
             killAt = Long.MAX_VALUE;
         }
 
-        /** Keeps the writes from now on, until they are taken. */
-        public synchronized void record() {
-            recorded = new ArrayList<>();
+        /** Records all writes until {@link #stopRecording}. */
+        public synchronized void startRecording() {
+            recordedWrites = new ArrayList<>();
         }
 
-        /** The writes since {@link #record}. */
-        public synchronized List<Write> recorded() {
-            List<Write> taken = recorded;
-            recorded = null;
+        /** Stops recording and returns the writes since {@link #startRecording}. */
+        public synchronized List<Write> stopRecording() {
+            List<Write> taken = recordedWrites;
+            recordedWrites = null;
             return taken;
         }
 
-        /** Writes and syncs until now. */
-        public synchronized long operations() {
-            return operations;
+        /** The number of writes and syncs so far. */
+        public synchronized long operationCount() {
+            return operationCount;
         }
 
-        /** How many of them failed. */
-        public synchronized long failed() {
-            return failed;
+        /** The number of failed operations. */
+        public synchronized long failedCount() {
+            return failedCount;
         }
 
-        /** Leaves of each file what was synced. */
-        public synchronized void losePower() throws IOException {
-            for (Map.Entry<String, Image> e : images.entrySet()) {
-                Files.write(Path.of(e.getKey()), e.getValue().durable);
-                e.getValue().unsynced.clear();
+        /** Resets each file to its last synced content. */
+        public synchronized void simulatePowerLoss() throws IOException {
+            for (Map.Entry<String, Image> image : images.entrySet()) {
+                Files.write(Path.of(image.getKey()), image.getValue().syncedBytes);
+                image.getValue().unsynced.clear();
             }
         }
 
-        private Fault next(boolean sync) {
-            operations++;
-            if (always != null && operations > failFrom) {
-                return (always == Fault.SYNC_ERROR) == sync ? always : null;
+        private Fault nextFault(boolean sync) {
+            operationCount++;
+            if (fixedFault != null && operationCount > failFrom) {
+                return (fixedFault == Fault.SYNC_ERROR) == sync ? fixedFault : null;
             }
-            if (random == null || random.nextDouble() >= part) {
+            if (random == null || random.nextDouble() >= failureRate) {
                 return null;
             }
             return sync ? Fault.SYNC_ERROR : Fault.values()[random.nextInt(Fault.SYNC_ERROR.ordinal())];
         }
 
         private synchronized Image image(String file) {
-            return images.computeIfAbsent(file, f -> {
+            return images.computeIfAbsent(file, path -> {
                 Image image = new Image();
-                image.durable = bytes(f);
+                image.syncedBytes = readFile(path);
                 return image;
             });
         }
 
-        private static byte[] bytes(String file) {
+        private static byte[] readFile(String file) {
             try {
                 Path path = Path.of(file);
                 return Files.exists(path) ? Files.readAllBytes(path) : new byte[0];
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
+            } catch (IOException image) {
+                throw new UncheckedIOException(image);
             }
         }
 
-        private synchronized int write(String file, FileChannel to, ByteBuffer bytes, long at) throws IOException {
-            if (operations >= killAt) {
-                int prefix = operations == killAt ? killPrefix : 0;
-                operations++;
-                put(file, to, bytes, at, Math.min(prefix, bytes.remaining()));
+        private synchronized int write(String file, FileChannel target, ByteBuffer bytes, long offset)
+                throws IOException {
+            if (operationCount >= killAt) {
+                int prefix = operationCount == killAt ? killPrefix : 0;
+                operationCount++;
+                writePrefix(file, target, bytes, offset, Math.min(prefix, bytes.remaining()));
                 throw new IOException("killed");
             }
-            Fault fault = next(false);
+            Fault fault = nextFault(false);
             if (fault == null) {
-                return put(file, to, bytes, at, bytes.remaining());
+                return writePrefix(file, target, bytes, offset, bytes.remaining());
             }
-            failed++;
+            failedCount++;
             if (fault == Fault.SHORT_WRITE) {
-                put(file, to, bytes, at, bytes.remaining() / 2);
+                writePrefix(file, target, bytes, offset, bytes.remaining() / 2);
             }
             throw new IOException(fault == Fault.WRITE_ERROR ? "Input/output error" : "No space left on device");
         }
 
-        private int put(String file, FileChannel to, ByteBuffer bytes, long at, int length) throws IOException {
+        private int writePrefix(String file, FileChannel target, ByteBuffer bytes, long offset, int length)
+                throws IOException {
             ByteBuffer piece = bytes.slice(bytes.position(), length);
-            if (recorded != null) {
+            if (recordedWrites != null) {
                 byte[] copy = new byte[length];
                 piece.duplicate().get(copy);
-                recorded.add(new Write(Path.of(file), at, copy));
+                recordedWrites.add(new Write(Path.of(file), offset, copy));
             }
             while (piece.hasRemaining()) {
-                to.write(piece, at + piece.position());
+                target.write(piece, offset + piece.position());
             }
             bytes.position(bytes.position() + length);
-            image(file).unsynced.add(new Range(at, length));
+            image(file).unsynced.add(new Range(offset, length));
             return length;
         }
 
-        private synchronized void sync(String file, FileChannel of) throws IOException {
-            if (operations >= killAt) {
-                operations++;
+        private synchronized void sync(String file, FileChannel channel) throws IOException {
+            if (operationCount >= killAt) {
+                operationCount++;
                 throw new IOException("killed");
             }
             Image image = image(file);
-            if (next(true) != null) {
-                failed++;
+            if (nextFault(true) != null) {
+                failedCount++;
                 image.unsynced.clear();
                 throw new IOException("Input/output error");
             }
-            byte[] now = bytes(file);
-            byte[] durable = Arrays.copyOf(image.durable, (int) of.size());
+            byte[] current = readFile(file);
+            byte[] durable = Arrays.copyOf(image.syncedBytes, (int) channel.size());
             for (Range r : image.unsynced) {
-                int to = (int) Math.min(now.length, r.from() + r.length());
-                if (r.from() < to) {
-                    System.arraycopy(now, (int) r.from(), durable, (int) r.from(), (int) (to - r.from()));
+                int target = (int) Math.min(current.length, r.from() + r.length());
+                if (r.from() < target) {
+                    System.arraycopy(current, (int) r.from(), durable, (int) r.from(), (int) (target - r.from()));
                 }
             }
-            image.durable = durable;
+            image.syncedBytes = durable;
             image.unsynced.clear();
         }
 
-        private synchronized void truncate(FileChannel of, long size) throws IOException {
-            if (operations >= killAt) {
+        private synchronized void truncate(FileChannel channel, long size) throws IOException {
+            if (operationCount >= killAt) {
                 throw new IOException("killed");
             }
-            of.truncate(size);
+            channel.truncate(size);
         }
 
-        private synchronized void deleted(String file) {
+        private synchronized void onDelete(String file) {
             images.remove(file);
         }
 
-        private synchronized void moved(String from, String to) {
+        private synchronized void onMove(String from, String target) {
             Image image = images.remove(from);
             if (image != null) {
-                images.put(to, image);
+                images.put(target, image);
             }
         }
     }
 
-    /** Faults below this directory from now on; none until a test asks for one. */
-    public static Faults below(Path directory) {
+    /** Registers a directory below which the returned object injects faults; initially it injects none. */
+    public static Faults injectBelow(Path directory) {
         Faults faults = new Faults();
         DIRECTORIES.put(directory.toString(), faults);
         return faults;
@@ -258,10 +263,10 @@
     private Faults faults() {
         String file = unwrap().toString();
         return DIRECTORIES.entrySet().stream()
-                .filter(e -> file.startsWith(e.getKey()))
+                .filter(image -> file.startsWith(image.getKey()))
                 .map(Map.Entry::getValue)
                 .findFirst()
-                .orElseThrow(() -> new IllegalStateException("no faults below " + file));
+                .orElseThrow(() -> new IllegalStateException("no faults registered for " + file));
     }
 
     @Override
@@ -270,15 +275,15 @@
     }
 
     @Override
-    public void moveTo(FilePath to, boolean atomicReplace) {
-        super.moveTo(to, atomicReplace);
-        faults().moved(getBase().toString(), to.unwrap().toString());
+    public void moveTo(FilePath target, boolean atomicReplace) {
+        super.moveTo(target, atomicReplace);
+        faults().onMove(getBase().toString(), target.unwrap().toString());
     }
 
     @Override
     public void delete() {
         super.delete();
-        faults().deleted(getBase().toString());
+        faults().onDelete(getBase().toString());
     }
 
     @Override
@@ -304,13 +309,13 @@
         }
 
         @Override
-        public int read(ByteBuffer to, long at) throws IOException {
-            return base.read(to, at);
+        public int read(ByteBuffer target, long offset) throws IOException {
+            return base.read(target, offset);
         }
 
         @Override
-        public int write(ByteBuffer from, long at) throws IOException {
-            return faults.write(file, base, from, at);
+        public int write(ByteBuffer from, long offset) throws IOException {
+            return faults.write(file, base, from, offset);
         }
 
         @Override
--- a/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
+++ b/fleet/src/test/java/brackenbridge/fleet/GoldenFiles.java
@@ -18,11 +18,11 @@
 import java.util.TreeSet;
 
 /**
- * Serialized forms as files under {@code src/test/resources/golden}, against which what is written and read now is
- * compared. With the system property {@value #WRITE_PROPERTY} the files are written first; see the README beside them.
+ * Golden files in {@code src/test/resources/golden}, with which serialized objects are compared. With the system
+ * property {@value #WRITE_PROPERTY} the files are written first; see the README in that directory.
  */
 public final class GoldenFiles {
-    /** Set to the directory of the golden files, their content is replaced by what is written now. */
+    /** If set to the directory of the golden files, their content is replaced by the current serialized form. */
     public static final String WRITE_PROPERTY = "golden.write";
 
     private static final int BYTES_PER_LINE = 40;
@@ -32,59 +32,62 @@
     /** Reads an object from its serialized form. */
     @FunctionalInterface
     public interface Reader<T> {
-        /** The object. */
+        /** Reads the object. */
         T read(byte[] form) throws IOException;
     }
 
-    /** Writes an object's serialized form. */
+    /** Serializes an object. */
     @FunctionalInterface
     public interface Writer<T> {
-        /** The form. */
+        /** Returns the serialized form. */
         byte[] write(T object) throws IOException;
     }
 
-    /** The object is written as the golden file has it, and is read from there with the same values. */
+    /** Asserts that the object serializes to the golden file and that reading the file returns an equal object. */
     public static <T> void check(String name, T object, Writer<? super T> writer, Reader<? extends T> reader)
             throws IOException {
         byte[] written = writer.write(object);
-        replaceIfAsked(name, written);
-        byte[] golden = bytes(name);
-        assertEquals(lines(golden), lines(written), () -> name + ": written differently than " + text(golden));
+        writeIfEnabled(name, written);
+        byte[] golden = read(name);
+        assertEquals(
+                toHexLines(golden),
+                toHexLines(written),
+                () -> name + ": serialized form differs from " + toPrintable(golden));
         T read = reader.read(golden);
-        assertSame(name, object, read);
-        assertArrayEquals(golden, writer.write(read), name + ": read and written again");
+        assertDeepEquals(name, object, read);
+        assertArrayEquals(golden, writer.write(read), name + ": serialized again after reading");
     }
 
-    /** Whether golden files are to be written first. */
-    public static boolean writing() {
+    /** Whether the golden files are written first. */
+    public static boolean isWriteEnabled() {
         return System.getProperty(WRITE_PROPERTY) != null;
     }
 
-    /** Replaces a golden file's content if that was asked for. */
-    public static void replaceIfAsked(String name, byte[] content) throws IOException {
-        if (writing()) {
+    /** Replaces the content of a golden file if writing is enabled. */
+    public static void writeIfEnabled(String name, byte[] content) throws IOException {
+        if (isWriteEnabled()) {
             Path file = Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex");
             Files.createDirectories(file.getParent());
-            Files.writeString(file, lines(content));
+            Files.writeString(file, toHexLines(content));
         }
     }
 
-    /** A golden file's content. */
-    public static byte[] bytes(String name) throws IOException {
-        if (writing()) {
-            return parse(Files.readString(Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex")));
+    /** Returns the content of a golden file. */
+    public static byte[] read(String name) throws IOException {
+        if (isWriteEnabled()) {
+            return parseHex(Files.readString(Path.of(System.getProperty(WRITE_PROPERTY), name + ".hex")));
         }
         try (InputStream in = GoldenFiles.class.getResourceAsStream("/golden/" + name + ".hex")) {
             assertNotNull(in, "no golden file " + name);
-            return parse(new String(in.readAllBytes(), StandardCharsets.US_ASCII));
+            return parseHex(new String(in.readAllBytes(), StandardCharsets.US_ASCII));
         }
     }
 
-    private static byte[] parse(String hex) {
+    private static byte[] parseHex(String hex) {
         return HexFormat.of().parseHex(hex.replace("\n", ""));
     }
 
-    private static String lines(byte[] content) {
+    private static String toHexLines(byte[] content) {
         StringBuilder hex = new StringBuilder();
         for (int from = 0; from < content.length; from += BYTES_PER_LINE) {
             int to = Math.min(content.length, from + BYTES_PER_LINE);
@@ -93,69 +96,70 @@
         return hex.toString();
     }
 
-    private static String text(byte[] content) {
+    private static String toPrintable(byte[] content) {
         return new String(content, StandardCharsets.ISO_8859_1).replaceAll("[^ -~]", ".");
     }
 
-    /** Both have the same class and the same values throughout; arrays are compared by content. */
-    public static void assertSame(String place, Object expected, Object actual) {
+    /** Asserts that two objects have the same class and values, recursively; arrays are compared by content. */
+    public static void assertDeepEquals(String path, Object expected, Object actual) {
         if (expected instanceof byte[] bytes) {
-            assertArrayEquals(bytes, (byte[]) actual, place);
+            assertArrayEquals(bytes, (byte[]) actual, path);
         } else if (expected instanceof Map<?, ?> map) {
-            assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), place);
-            map.forEach((key, value) -> assertSame(place + "." + key, value, ((Map<?, ?>) actual).get(key)));
+            assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), path);
+            map.forEach((key, value) -> assertDeepEquals(path + "." + key, value, ((Map<?, ?>) actual).get(key)));
         } else if (expected instanceof Iterable<?> all) {
-            assertSameElements(place, all, (Iterable<?>) actual);
-        } else if (expected != null && hasFieldsOfItsOwn(expected.getClass())) {
-            assertEquals(expected.getClass(), actual == null ? null : actual.getClass(), place);
-            assertSameFields(place, expected, actual);
+            assertSameElements(path, all, (Iterable<?>) actual);
+        } else if (expected != null && isComparedByFields(expected.getClass())) {
+            assertEquals(expected.getClass(), actual == null ? null : actual.getClass(), path);
+            assertSameFields(path, expected, actual);
         } else {
-            assertEquals(expected, actual, place);
+            assertEquals(expected, actual, path);
         }
     }
 
-    private static boolean hasFieldsOfItsOwn(Class<?> type) {
+    private static boolean isComparedByFields(Class<?> type) {
         return type.isRecord() || type.getName().startsWith("io.microraft.model.");
     }
 
-    private static void assertSameElements(String place, Iterable<?> expected, Iterable<?> actual) {
-        Iterator<?> others = actual.iterator();
+    private static void assertSameElements(String path, Iterable<?> expected, Iterable<?> actual) {
+        Iterator<?> actualElements = actual.iterator();
         int index = 0;
         for (Object element : expected) {
-            assertEquals(true, others.hasNext(), place + " ends before " + index);
-            assertSame(place + "[" + index + "]", element, others.next());
+            assertEquals(true, actualElements.hasNext(), path + " ends before " + index);
+            assertDeepEquals(path + "[" + index + "]", element, actualElements.next());
             index++;
         }
-        assertEquals(false, others.hasNext(), place + " goes on after " + index);
+        assertEquals(false, actualElements.hasNext(), path + " goes on after " + index);
     }
 
-    private static void assertSameFields(String place, Object expected, Object actual) {
+    private static void assertSameFields(String path, Object expected, Object actual) {
         for (Class<?> type = expected.getClass(); type != null && type != Object.class; type = type.getSuperclass()) {
             for (Field field : type.getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
-                    assertSame(place + "." + field.getName(), value(field, expected), value(field, actual));
+                    assertDeepEquals(
+                            path + "." + field.getName(), fieldValue(field, expected), fieldValue(field, actual));
                 }
             }
         }
     }
 
-    private static Object value(Field field, Object of) {
+    private static Object fieldValue(Field field, Object object) {
         try {
-            return field.get(of);
+            return field.get(object);
         } catch (IllegalAccessException e) {
             throw new UncheckedIOException(new IOException(e));
         }
     }
 
-    /** Each concrete type that a sealed type permits is among those that were checked. */
+    /** Asserts that all permitted subtypes of a sealed type are among the checked objects. */
     public static void assertAllCovered(Class<?> sealedType, Iterable<?> checked) {
         TreeSet<String> permitted = new TreeSet<>();
         for (Class<?> type : sealedType.getPermittedSubclasses()) {
             permitted.add(type.getName());
         }
         TreeSet<String> seen = new TreeSet<>();
-        checked.forEach(one -> seen.add(one.getClass().getName()));
-        assertEquals(permitted, seen, "types without a golden file, or of another kind");
+        checked.forEach(object -> seen.add(object.getClass().getName()));
+        assertEquals(permitted, seen, "types without a golden file, or unexpected types");
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -14,12 +14,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 
-/** Measures what {@code docs/design/agreed.md} says: twelve members of which five vote, usual terms, by hand. */
+/**
+ * Measures the figures in {@code docs/design/agreed.md}: twelve members, five of them voters, with default settings. To
+ * be run manually.
+ */
 final class AgreedFigures {
     private static final int MEMBERS = 12;
 
-    private final MemoryNet net = new MemoryNet(MEMBERS, 1);
-    private final Map<String, AgreementMember> nodes = new TreeMap<>();
+    private final InMemoryNetwork network = new InMemoryNetwork(MEMBERS, 1);
+    private final Map<String, AgreementMember> members = new TreeMap<>();
     private final Map<String, PeerLinks> links = new TreeMap<>();
     private final Path root;
 
@@ -33,74 +36,78 @@
     }
 
     private void start(String name) throws Exception {
-        PeerLinks l = net.links(name);
-        AgreementMember n = new AgreementMember(
-                l, root.resolve(name), Clock.system(), AgreedSettings.of("f", net.members(), name.hashCode()));
-        n.start();
-        nodes.put(name, n);
-        links.put(name, l);
+        PeerLinks memberLinks = network.links(name);
+        AgreementMember member = new AgreementMember(
+                memberLinks,
+                root.resolve(name),
+                Clock.system(),
+                AgreedSettings.withDefaults("f", network.members(), name.hashCode()));
+        member.start();
+        members.put(name, member);
+        links.put(name, memberLinks);
     }
 
-    private static double until(BooleanSupplier what) {
-        long from = System.nanoTime();
-        while (!what.getAsBoolean()) {
-            if (System.nanoTime() - from > 30_000_000_000L) {
-                throw new IllegalStateException("not in 30 s");
+    private static double timeUntil(BooleanSupplier condition) {
+        long startNanos = System.nanoTime();
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() - startNanos > 30_000_000_000L) {
+                throw new IllegalStateException("condition not met within 30 s");
             }
             Thread.onSpinWait();
         }
-        return (System.nanoTime() - from) / 1e6;
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 
     private String leader() {
-        String[] who = new String[1];
-        until(() -> {
-            List<String> l = nodes.entrySet().stream()
-                    .filter(e -> e.getValue().leads())
+        String[] leader = new String[1];
+        timeUntil(() -> {
+            List<String> leaders = members.entrySet().stream()
+                    .filter(entry -> entry.getValue().isLeader())
                     .map(Map.Entry::getKey)
                     .toList();
-            who[0] = l.size() == 1 ? l.get(0) : null;
-            return who[0] != null;
+            leader[0] = leaders.size() == 1 ? leaders.get(0) : null;
+            return leader[0] != null;
         });
-        return who[0];
+        return leader[0];
     }
 
-    private long inForce(String at) {
-        return nodes.get(at)
-                .known(AgreedValues.SETTINGS)
+    private long inForce(String member) {
+        return members.get(member)
+                .lastKnown(AgreedValues.SETTINGS)
                 .map(AgreedValues.Value::generation)
                 .orElse(0L);
     }
 
-    private double propose(String at, int bytes) throws Exception {
-        long from = System.nanoTime();
-        Verdict v = nodes.get(at)
-                .propose(AgreedValues.SETTINGS, inForce(at), new byte[bytes], 20_000)
+    private double propose(String member, int bytes) throws Exception {
+        long startNanos = System.nanoTime();
+        Verdict verdict = members.get(member)
+                .propose(AgreedValues.SETTINGS, inForce(member), new byte[bytes], 20_000)
                 .get();
-        if (v != Verdict.IN_FORCE) {
-            throw new IllegalStateException(v.toString());
+        if (verdict != Verdict.IN_FORCE) {
+            throw new IllegalStateException("proposal not in force: " + verdict);
         }
-        return (System.nanoTime() - from) / 1e6;
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private static void say(String what, List<Double> ms) {
-        List<Double> s = ms.stream().sorted().toList();
+    private static void printQuantiles(String label, List<Double> durationsMs) {
+        List<Double> sorted = durationsMs.stream().sorted().toList();
         System.out.printf(
                 Locale.ROOT,
                 "%s: n %d, p50 %.0f, p99 %.0f, max %.0f ms%n",
-                what,
-                s.size(),
-                s.get(s.size() / 2),
-                s.get(Math.min(s.size() - 1, s.size() * 99 / 100)),
-                s.get(s.size() - 1));
+                label,
+                sorted.size(),
+                sorted.get(sorted.size() / 2),
+                sorted.get(Math.min(sorted.size() - 1, sorted.size() * 99 / 100)),
+                sorted.get(sorted.size() - 1));
     }
 
-    private boolean all(long g, String but) {
-        return nodes.entrySet().stream()
-                .allMatch(e -> e.getKey().equals(but)
-                        || e.getValue()
-                                .acting(AgreedValues.SETTINGS)
-                                .map(a -> a.other() == null && a.one().generation() == g)
+    private boolean allUse(long generation, String excluded) {
+        return members.entrySet().stream()
+                .allMatch(entry -> entry.getKey().equals(excluded)
+                        || entry.getValue()
+                                .effectiveValues(AgreedValues.SETTINGS)
+                                .map(values -> values.staged() == null
+                                        && values.inForce().generation() == generation)
                                 .orElse(false));
     }
 
@@ -110,91 +117,92 @@
         }
         String leader = leader();
         propose("m11", 4096);
-        until(() -> all(1, ""));
-        List<Double> force = new ArrayList<>();
-        List<Double> everywhere = new ArrayList<>();
+        timeUntil(() -> allUse(1, ""));
+        List<Double> inForceMs = new ArrayList<>();
+        List<Double> usedByAllMs = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            long from = System.nanoTime();
-            force.add(propose("m10", 4096));
-            long now = inForce("m10");
-            until(() -> all(now, ""));
-            everywhere.add((System.nanoTime() - from) / 1e6);
+            long startNanos = System.nanoTime();
+            inForceMs.add(propose("m10", 4096));
+            long generation = inForce("m10");
+            timeUntil(() -> allUse(generation, ""));
+            usedByAllMs.add((System.nanoTime() - startNanos) / 1e6);
         }
-        say("in force, none out of reach", force);
-        say("all act by it, none out of reach", everywhere);
-        force.clear();
+        printQuantiles("in force, no member partitioned", inForceMs);
+        printQuantiles("used by all members, no member partitioned", usedByAllMs);
+        inForceMs.clear();
         for (int i = 0; i < 20; i++) {
-            net.cut("m9");
-            force.add(propose("m10", 4096));
-            net.cut();
-            until(() -> nodes.values().stream()
-                    .allMatch(n -> n.acting(AgreedValues.SETTINGS)
-                            .map(a -> a.other() == null && a.one().generation() == inForce("m10"))
+            network.partition("m9");
+            inForceMs.add(propose("m10", 4096));
+            network.partition();
+            timeUntil(() -> members.values().stream()
+                    .allMatch(member -> member.effectiveValues(AgreedValues.SETTINGS)
+                            .map(values ->
+                                    values.staged() == null && values.inForce().generation() == inForce("m10"))
                             .orElse(false)));
         }
-        say("in force, one out of reach", force);
-        flood(leader);
-        long before = bytes("m0");
-        System.out.println("bytes on disk after 121 proposals of 4 KiB: " + before);
-        roles();
-        List<Double> leads = new ArrayList<>();
-        List<Double> again = new ArrayList<>();
+        printQuantiles("in force, one member partitioned", inForceMs);
+        measureRenewals(leader);
+        long bytesBefore = diskBytes("m0");
+        System.out.println("bytes on disk after 121 proposals of 4 KiB: " + bytesBefore);
+        measureClaims();
+        List<Double> takeoverMs = new ArrayList<>();
+        List<Double> proposalMs = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            String old = leader();
-            AgreementMember n = nodes.remove(old);
-            links.get(old).close();
-            long from = System.nanoTime();
-            n.halt();
+            String oldLeader = leader();
+            AgreementMember member = members.remove(oldLeader);
+            links.get(oldLeader).close();
+            long startNanos = System.nanoTime();
+            member.halt();
             leader();
-            leads.add((System.nanoTime() - from) / 1e6);
+            takeoverMs.add((System.nanoTime() - startNanos) / 1e6);
             propose("m10", 4096);
-            again.add((System.nanoTime() - from) / 1e6);
-            start(old);
-            until(() -> nodes.get(old).status().contains("left"));
+            proposalMs.add((System.nanoTime() - startNanos) / 1e6);
+            start(oldLeader);
+            timeUntil(() -> members.get(oldLeader).status().contains("left"));
         }
-        say("takeover: another leads after", leads);
-        say("takeover: a proposal made then is in force after", again);
-        System.out.println("bytes on disk at the end: " + bytes("m0"));
-        nodes.values().forEach(AgreementMember::halt);
+        printQuantiles("leader crash: new leader after", takeoverMs);
+        printQuantiles("leader crash: new proposal in force after", proposalMs);
+        System.out.println("bytes on disk at the end: " + diskBytes("m0"));
+        members.values().forEach(AgreementMember::halt);
     }
 
-    private long bytes(String name) throws Exception {
+    private long diskBytes(String name) throws Exception {
         return Files.size(root.resolve(name).resolve("agreed.mv"));
     }
 
-    /** Questions as fast as the leader answers them, at most 200 on their way. */
-    private void flood(String leader) {
-        PeerLinks l = links.get("m8");
-        AtomicLong answers = new AtomicLong();
-        nodes.remove("m8").halt();
-        l.receive(MessageStream.AGREED, (p, life, b) -> answers.incrementAndGet());
-        byte[] q = AgreementCodec.frame(new AgreementMessage.Question(
-                l.life(),
+    /** Sends renewal requests as fast as the leader answers them, with at most 200 in flight. */
+    private void measureRenewals(String leader) {
+        PeerLinks memberLinks = links.get("m8");
+        AtomicLong responses = new AtomicLong();
+        members.remove("m8").halt();
+        memberLinks.receive(MessageStream.AGREED, (peer, incarnation, body) -> responses.incrementAndGet());
+        byte[] request = AgreementCodec.frame(new AgreementMessage.RenewalRequest(
+                memberLinks.life(),
                 1,
-                List.of(new AgreementMessage.Heard(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
-        long from = System.nanoTime();
+                List.of(new AgreementMessage.NameState(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
+        long startNanos = System.nanoTime();
         long sent = 0;
-        while (System.nanoTime() - from < 5_000_000_000L) {
-            if (sent - answers.get() < 200) {
-                l.send(leader, MessageStream.AGREED, q);
+        while (System.nanoTime() - startNanos < 5_000_000_000L) {
+            if (sent - responses.get() < 200) {
+                memberLinks.send(leader, MessageStream.AGREED, request);
                 sent++;
             }
         }
-        System.out.printf(Locale.ROOT, "questions answered a second: %.0f%n", answers.get() / 5.0);
+        System.out.printf(Locale.ROOT, "renewal requests answered per second: %.0f%n", responses.get() / 5.0);
     }
 
-    private void roles() throws Exception {
-        List<Double> first = new ArrayList<>();
-        List<Double> further = new ArrayList<>();
+    private void measureClaims() throws Exception {
+        List<Double> firstMs = new ArrayList<>();
+        List<Double> renewalMs = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            long from = System.nanoTime();
-            nodes.get("m7").acquire("role" + i, 1000).get();
-            first.add((System.nanoTime() - from) / 1e6);
-            from = System.nanoTime();
-            nodes.get("m7").acquire("role" + i, 1000).get();
-            further.add((System.nanoTime() - from) / 1e6);
+            long startNanos = System.nanoTime();
+            members.get("m7").acquire("role" + i, 1000).get();
+            firstMs.add((System.nanoTime() - startNanos) / 1e6);
+            startNanos = System.nanoTime();
+            members.get("m7").acquire("role" + i, 1000).get();
+            renewalMs.add((System.nanoTime() - startNanos) / 1e6);
         }
-        say("a role is taken", first);
-        say("a role is extended", further);
+        printQuantiles("role claimed", firstMs);
+        printQuantiles("role lease extended", renewalMs);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedProcessesTest.java
@@ -27,22 +27,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members as processes, whose leader is killed or stands still in the middle of a proposal; judged by one log. */
+/**
+ * Members in separate processes. The leader is killed or stopped during proposals, and role holders are stopped; the
+ * observations of all processes must be consistent and no acknowledged proposal may be lost.
+ */
 class AgreedProcessesTest {
     @TempDir
     Path root;
 
-    /** What a process saw between two moments of the machine's one monotonic clock. */
-    private record Seen(int by, long before, long after, long token, long low, long high) {}
+    /** The state of a process between two times of the machine's monotonic clock, which all processes share. */
+    private record Observation(
+            int process,
+            long beforeNanos,
+            long afterNanos,
+            long token,
+            long lowestGeneration,
+            long highestGeneration) {}
 
     private final Process[] processes = new Process[3];
-    private final String[] who = new String[3];
+    private final String[] whoReplies = new String[3];
     private final List<Integer> ports = new ArrayList<>();
-    private final List<Seen> log = new ArrayList<>();
+    private final List<Observation> observations = new ArrayList<>();
     private final Map<String, String> verdicts = new ConcurrentHashMap<>();
-    private final Map<Long, String> kept = new ConcurrentHashMap<>();
+    private final Map<Long, String> history = new ConcurrentHashMap<>();
 
-    private void start(int i) throws IOException {
+    private void start(int index) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx128m",
@@ -50,113 +59,116 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 MemberMain.class.getName(),
-                String.valueOf(i),
-                root.resolve("m" + i).toString()));
-        ports.forEach(p -> command.add(String.valueOf(p)));
-        Process p = new ProcessBuilder(command)
+                String.valueOf(index),
+                root.resolve("m" + index).toString()));
+        ports.forEach(port -> command.add(String.valueOf(port)));
+        Process process = new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        processes[i] = p;
-        Thread reader = new Thread(() -> read(i, p), "reads " + i);
+        processes[index] = process;
+        Thread reader = new Thread(() -> readOutput(index, process), "reader-" + index);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read(int i, Process p) {
-        try (BufferedReader in =
-                new BufferedReader(new InputStreamReader(p.getInputStream(), StandardCharsets.UTF_8))) {
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
-                String[] w = line.split(" ");
-                switch (w[0]) {
+    private void readOutput(int index, Process process) {
+        try (BufferedReader input =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+            for (String line = input.readLine(); line != null; line = input.readLine()) {
+                String[] words = line.split(" ");
+                switch (words[0]) {
                     case "sees" -> {
-                        synchronized (log) {
-                            // The last line of a process that was killed may be cut off.
-                            if (w.length == 6) {
-                                log.add(new Seen(
-                                        i,
-                                        Long.parseLong(w[1]),
-                                        Long.parseLong(w[2]),
-                                        Long.parseLong(w[3]),
-                                        Long.parseLong(w[4]),
-                                        Long.parseLong(w[5])));
+                        synchronized (observations) {
+                            // The last line of a killed process may be incomplete.
+                            if (words.length == 6) {
+                                observations.add(new Observation(
+                                        index,
+                                        Long.parseLong(words[1]),
+                                        Long.parseLong(words[2]),
+                                        Long.parseLong(words[3]),
+                                        Long.parseLong(words[4]),
+                                        Long.parseLong(words[5])));
                             }
                         }
                     }
-                    case "verdict" -> verdicts.put(w[1], w[2]);
-                    case "kept" -> kept.put(Long.parseLong(w[1]), w.length > 2 ? w[2] : "");
-                    default -> who[i] = w[1] + " " + w[2];
+                    case "verdict" -> verdicts.put(words[1], words[2]);
+                    case "kept" -> history.put(Long.parseLong(words[1]), words.length > 2 ? words[2] : "");
+                    default -> whoReplies[index] = words[1] + " " + words[2];
                 }
             }
         } catch (IOException e) {
-            // It was killed: its pipe is closed.
-            who[i] = "";
+            // The process was killed, which closes its pipe.
+            whoReplies[index] = "";
         }
     }
 
-    private void say(int i, String line) {
+    private void send(int index, String line) {
         try {
-            OutputStream out = processes[i].getOutputStream();
+            OutputStream out = processes[index].getOutputStream();
             out.write((line + "\n").getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            who[i] = "";
+            whoReplies[index] = "";
         }
     }
 
-    private void signal(String which, int i) throws Exception {
+    private void signal(String signal, int index) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + which, String.valueOf(processes[i].pid()))
+                new ProcessBuilder("kill", "-" + signal, String.valueOf(processes[index].pid()))
                         .start()
                         .waitFor());
     }
 
-    private static ConditionFactory soon() {
+    private static ConditionFactory await20s() {
         return await().atMost(Duration.ofSeconds(20)).pollInterval(Duration.ofMillis(20));
     }
 
-    private int leader() {
-        // One try takes 2 s at most; a process that is not up by then is asked again, for as long as the wait allows.
-        return soon().ignoreException(ConditionTimeoutException.class)
+    private int awaitLeader() {
+        // Each attempt waits up to 2 s; a process that is not up by then is asked again until the overall timeout.
+        return await20s()
+                .ignoreException(ConditionTimeoutException.class)
                 .until(
                         () -> {
-                            Arrays.fill(who, "");
+                            Arrays.fill(whoReplies, "");
                             for (int i = 0; i < 3; i++) {
-                                say(i, "who");
+                                send(i, "who");
                             }
                             await().atMost(Duration.ofSeconds(2))
-                                    .until(() -> Arrays.stream(who).noneMatch(String::isEmpty));
-                            List<Integer> leads = new ArrayList<>();
+                                    .until(() -> Arrays.stream(whoReplies).noneMatch(String::isEmpty));
+                            List<Integer> leaders = new ArrayList<>();
                             for (int i = 0; i < 3; i++) {
-                                if (who[i].startsWith("true")) {
-                                    leads.add(i);
+                                if (whoReplies[i].startsWith("true")) {
+                                    leaders.add(i);
                                 }
                             }
-                            return leads.size() == 1 ? leads.get(0) : -1;
+                            return leaders.size() == 1 ? leaders.get(0) : -1;
                         },
-                        l -> l >= 0);
+                        leader -> leader >= 0);
     }
 
-    private Seen lastHeld() {
-        synchronized (log) {
-            return log.stream().max(Comparator.comparingLong(Seen::token)).orElseThrow();
+    private Observation latestHolder() {
+        synchronized (observations) {
+            return observations.stream()
+                    .max(Comparator.comparingLong(Observation::token))
+                    .orElseThrow();
         }
     }
 
     @AfterEach
-    void end() {
-        for (Process p : processes) {
-            if (p != null) {
-                p.destroyForcibly();
+    void killProcesses() {
+        for (Process process : processes) {
+            if (process != null) {
+                process.destroyForcibly();
             }
         }
     }
 
     @Test
-    void whatWasAcknowledgedOutlivesLeadersKilledAndStalledAndNoRoleIsHeldTwice() throws Exception {
+    void acknowledgedProposalsSurviveKilledAndStalledLeaders() throws Exception {
         for (int i = 0; i < 3; i++) {
-            try (ServerSocket s = new ServerSocket(0)) {
-                ports.add(s.getLocalPort());
+            try (ServerSocket socket = new ServerSocket(0)) {
+                ports.add(socket.getLocalPort());
             }
         }
         for (int i = 0; i < 3; i++) {
@@ -164,69 +176,77 @@
         }
         Set<String> acknowledged = new HashSet<>();
         for (int round = 0; round < 6; round++) {
-            int leader = leader();
-            int other = (leader + 1) % 3;
-            long expected = Long.parseLong(who[other].split(" ")[1]);
+            int leader = awaitLeader();
+            int proposer = (leader + 1) % 3;
+            long expected = Long.parseLong(whoReplies[proposer].split(" ")[1]);
             String content = "round" + round;
-            say(other, "propose " + expected + " " + content);
-            boolean kill = round % 2 == 0;
-            signal(kill ? "KILL" : "STOP", leader);
-            soon().until(() -> verdicts.containsKey(content));
+            send(proposer, "propose " + expected + " " + content);
+            boolean killed = round % 2 == 0;
+            signal(killed ? "KILL" : "STOP", leader);
+            await20s().until(() -> verdicts.containsKey(content));
             if (verdicts.get(content).equals("IN_FORCE")) {
                 acknowledged.add(content);
             }
-            if (kill) {
+            if (killed) {
                 processes[leader].waitFor();
                 start(leader);
             } else {
                 signal("CONT", leader);
             }
-            soon().until(() -> leader() >= 0);
+            await20s().until(() -> awaitLeader() >= 0);
         }
-        assertTrue(acknowledged.size() >= 3, "verdicts " + verdicts);
-        // The holder stands still until another has the role, and must not take itself for it when it goes on.
+        assertTrue(acknowledged.size() >= 3, "verdicts: " + verdicts);
+        // The holder is stopped until another process has the role, and must not consider itself the holder afterwards.
         for (int round = 0; round < 2; round++) {
-            Seen held = soon().until(this::lastHeld, s -> s.token() > 0);
-            signal("STOP", held.by());
-            soon().until(() -> lastHeld().token() > held.token());
-            signal("CONT", held.by());
+            Observation holder = await20s().until(this::latestHolder, observation -> observation.token() > 0);
+            signal("STOP", holder.process());
+            await20s().until(() -> latestHolder().token() > holder.token());
+            signal("CONT", holder.process());
         }
-        leader();
-        say(1, "history");
-        soon().until(() -> kept.values().containsAll(acknowledged));
-        List<Seen> all;
-        synchronized (log) {
-            all = List.copyOf(log);
+        awaitLeader();
+        send(1, "history");
+        await20s().until(() -> history.values().containsAll(acknowledged));
+        List<Observation> observed;
+        synchronized (observations) {
+            observed = List.copyOf(observations);
         }
-        assertTrue(all.stream().map(Seen::token).distinct().count() >= 4, "the role has changed hands");
-        judge(all);
+        assertTrue(observed.stream().map(Observation::token).distinct().count() >= 4, "too few holders of the role");
+        assertConsistent(observed);
     }
 
-    private static void judge(List<Seen> all) {
-        // What is higher was seen at the latest at this moment; whoever is lower must not be seen after it.
-        TreeMap<Long, Long> tokenBy = new TreeMap<>();
-        TreeMap<Long, Long> lowBy = new TreeMap<>();
+    private static void assertConsistent(List<Observation> observed) {
+        // The earliest time by which each token and generation was in use; lower ones must not be in use after it.
+        TreeMap<Long, Long> seenTokens = new TreeMap<>();
+        TreeMap<Long, Long> seenGenerations = new TreeMap<>();
         Map<Long, Integer> holder = new TreeMap<>();
-        for (Seen s : all) {
-            if (s.token() > 0) {
-                tokenBy.merge(s.token(), s.after(), Math::min);
-                assertEquals(s.by(), holder.merge(s.token(), s.by(), (a, b) -> a), "token " + s.token());
+        for (Observation observation : observed) {
+            if (observation.token() > 0) {
+                seenTokens.merge(observation.token(), observation.afterNanos(), Math::min);
+                assertEquals(
+                        observation.process(),
+                        holder.merge(observation.token(), observation.process(), (first, second) -> first),
+                        "token " + observation.token());
             }
-            if (s.low() > 0) {
-                lowBy.merge(s.low(), s.after(), Math::min);
+            if (observation.lowestGeneration() > 0) {
+                seenGenerations.merge(observation.lowestGeneration(), observation.afterNanos(), Math::min);
             }
         }
-        for (Seen s : all) {
-            if (s.token() > 0) {
-                tokenBy.tailMap(s.token(), false)
+        for (Observation observation : observed) {
+            if (observation.token() > 0) {
+                seenTokens
+                        .tailMap(observation.token(), false)
                         .values()
-                        .forEach(at -> assertTrue(s.before() <= at, s + ": another held it before"));
+                        .forEach(atNanos -> assertTrue(
+                                observation.beforeNanos() <= atNanos,
+                                observation + ": a higher token was in use before"));
             }
-            if (s.low() > 0) {
-                lowBy.tailMap(s.high(), false)
+            if (observation.lowestGeneration() > 0) {
+                seenGenerations
+                        .tailMap(observation.highestGeneration(), false)
                         .values()
-                        .forEach(at -> assertTrue(
-                                s.before() <= at, s + ": another acted by a later one before, and by none of these"));
+                        .forEach(atNanos -> assertTrue(
+                                observation.beforeNanos() <= atNanos,
+                                observation + ": only later generations were in use elsewhere before"));
             }
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreementMemberTest.java
@@ -26,82 +26,86 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Members in one process, under crashes, partitions, lost disks and stalls. After each test, {@link InProcessFleet}
+ * must have found no contradicting values and no role with two holders.
+ */
 class AgreementMemberTest {
     @TempDir
     Path root;
 
-    private Members members;
+    private InProcessFleet fleet;
 
-    private static byte[] bytes(String s) {
-        return s.getBytes(StandardCharsets.UTF_8);
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private CompletableFuture<Verdict> proposing(String at, long expected, String content, double withinMs) {
-        return members.node(at).propose(AgreedValues.SETTINGS, expected, bytes(content), withinMs);
+    private CompletableFuture<Verdict> proposeAsync(String member, long expected, String content, double withinMs) {
+        return fleet.member(member).propose(AgreedValues.SETTINGS, expected, bytes(content), withinMs);
     }
 
-    private Verdict propose(String at, long expected, String content) throws Exception {
-        return proposing(at, expected, content, 8000).get(10, TimeUnit.SECONDS);
+    private Verdict propose(String member, long expected, String content) throws Exception {
+        return proposeAsync(member, expected, content, 8000).get(10, TimeUnit.SECONDS);
     }
 
-    private static ConditionFactory soon() {
+    private static ConditionFactory await15s() {
         return await().atMost(Duration.ofSeconds(15)).pollInterval(Duration.ofMillis(5));
     }
 
     private String awaitLeader() {
-        return soon().until(() -> members.leader(), l -> !l.isEmpty());
+        return await15s().until(() -> fleet.leader(), leader -> !leader.isEmpty());
     }
 
-    private boolean acts(AgreementMember n, long generation) {
-        return n.acting(AgreedValues.SETTINGS)
-                .map(a -> a.other() == null && a.one().generation() == generation)
+    private boolean usesOnly(AgreementMember member, long generation) {
+        return member.effectiveValues(AgreedValues.SETTINGS)
+                .map(values -> values.staged() == null && values.inForce().generation() == generation)
                 .orElse(false);
     }
 
-    private void awaitActs(long generation) {
-        soon().until(() -> members.all().stream().allMatch(n -> acts(n, generation)));
+    private void awaitAllUse(long generation) {
+        await15s().until(() -> fleet.all().stream().allMatch(member -> usesOnly(member, generation)));
     }
 
-    private String known(String at) {
-        return members.node(at)
-                .known(AgreedValues.SETTINGS)
-                .map(v -> new String(v.content(), StandardCharsets.UTF_8))
+    private String lastKnown(String member) {
+        return fleet.member(member)
+                .lastKnown(AgreedValues.SETTINGS)
+                .map(value -> new String(value.content(), StandardCharsets.UTF_8))
                 .orElse("");
     }
 
-    private Lease hold(String at, double forMs) throws Exception {
-        return members.node(at).acquire("driver", forMs).get(10, TimeUnit.SECONDS);
+    private Lease claim(String member, double leaseMs) throws Exception {
+        return fleet.member(member).acquire("driver", leaseMs).get(10, TimeUnit.SECONDS);
     }
 
     @AfterEach
-    void nobodyContradicts() {
-        members.close();
-        assertTrue(members.looked() > 100, "looked " + members.looked());
-        assertEquals(List.of(), members.breaches());
+    void assertNoViolations() {
+        fleet.close();
+        assertTrue(fleet.checks() > 100, "checks: " + fleet.checks());
+        assertEquals(List.of(), fleet.violations());
     }
 
     @Test
-    void aProposalFromAMemberThatDoesNotVoteIsInForceAtAllAndOneMadeAgainstAnOlderIsNot() throws Exception {
-        members = new Members(4, root, 1);
+    void nonVoterProposalTakesEffectEverywhereAndStaleProposalIsOvertaken() throws Exception {
+        fleet = new InProcessFleet(4, root, 1);
         awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m3", 0, "a"));
-        awaitActs(1);
+        awaitAllUse(1);
         assertEquals(Verdict.OVERTAKEN, propose("m0", 0, "b"));
         assertEquals(Verdict.IN_FORCE, propose("m0", 1, "b"));
-        awaitActs(2);
-        assertEquals("b", known("m3"));
+        awaitAllUse(2);
+        assertEquals("b", lastKnown("m3"));
     }
 
     @Test
-    void whatOneMemberCannotUseIsAbandonedAndItsNumberIsBurnt() throws Exception {
-        members = new Members(3, null, 2);
+    void valueRejectedByOneMemberIsAbandonedAndItsGenerationIsNotReused() throws Exception {
+        fleet = new InProcessFleet(3, null, 2);
         awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        awaitActs(1);
+        awaitAllUse(1);
         assertEquals(Verdict.REFUSED, propose("m0", 1, "bad at m2"));
         assertEquals(Verdict.IN_FORCE, propose("m0", 1, "b"));
-        awaitActs(3);
-        SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m1"), 3000);
+        awaitAllUse(3);
+        SettingsAdminHandler calls = new SettingsAdminHandler(fleet.member("m1"), 3000);
         assertTrue(
                 calls.history(AgreedValues.SETTINGS)
                         .text()
@@ -110,204 +114,213 @@
         assertEquals(
                 "from line 1\n- a\n+ b\n",
                 calls.diff(AgreedValues.SETTINGS, 1, 3).text());
-        assertTrue(calls.withdraw(AgreedValues.SETTINGS, 1).done());
-        awaitActs(4);
+        assertTrue(calls.withdraw(AgreedValues.SETTINGS, 1).succeeded());
+        awaitAllUse(4);
         assertTrue(calls.show(AgreedValues.SETTINGS).text().startsWith("generation 4 by m1\na"));
-        assertFalse(calls.withdraw(AgreedValues.SETTINGS, 9).done());
+        assertFalse(calls.withdraw(AgreedValues.SETTINGS, 9).succeeded());
     }
 
     @Test
-    void aLeaderThatIsCutOffDecidesNothingAndIsInDoubtWhileTheMajorityGoesOn() throws Exception {
-        members = new Members(3, root, 3);
-        String old = awaitLeader();
+    void partitionedLeaderDecidesNothingWhileMajorityContinues() throws Exception {
+        fleet = new InProcessFleet(3, root, 3);
+        String oldLeader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        awaitActs(1);
-        members.net.cut(old);
-        CompletableFuture<Verdict> alone = proposing(old, 1, "alone", 1500);
-        String other = old.equals("m0") ? "m1" : "m0";
+        awaitAllUse(1);
+        fleet.network.partition(oldLeader);
+        CompletableFuture<Verdict> isolated = proposeAsync(oldLeader, 1, "alone", 1500);
+        String other = oldLeader.equals("m0") ? "m1" : "m0";
         assertEquals(Verdict.IN_FORCE, propose(other, 1, "b"));
-        assertTrue(members.node(old).acting(AgreedValues.SETTINGS).isEmpty(), "cut off for longer than a lease");
-        assertEquals(Verdict.UNKNOWN, alone.get(5, TimeUnit.SECONDS));
-        members.net.cut();
-        awaitActs(2);
-        assertEquals("b", known(old));
+        assertTrue(
+                fleet.member(oldLeader).effectiveValues(AgreedValues.SETTINGS).isEmpty(),
+                "partitioned for longer than a lease");
+        assertEquals(Verdict.UNKNOWN, isolated.get(5, TimeUnit.SECONDS));
+        fleet.network.partition();
+        awaitAllUse(2);
+        assertEquals("b", lastKnown(oldLeader));
     }
 
     @Test
-    void aProposalOutlivesItsLeaderAndAllOfThemAtOnce() throws Exception {
-        members = new Members(3, root, 4);
-        String old = awaitLeader();
+    void proposalSurvivesLeaderCrashAndRestartOfAllMembers() throws Exception {
+        fleet = new InProcessFleet(3, root, 4);
+        String oldLeader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        awaitActs(1);
-        String other = old.equals("m0") ? "m1" : "m0";
-        CompletableFuture<Verdict> verdict = proposing(other, 1, "b", 8000);
-        members.kill(old);
+        awaitAllUse(1);
+        String other = oldLeader.equals("m0") ? "m1" : "m0";
+        CompletableFuture<Verdict> verdict = proposeAsync(other, 1, "b", 8000);
+        fleet.kill(oldLeader);
         assertEquals(Verdict.IN_FORCE, verdict.get(10, TimeUnit.SECONDS));
-        for (String m : List.of("m0", "m1", "m2")) {
-            if (members.node(m) != null) {
-                members.kill(m);
+        for (String member : List.of("m0", "m1", "m2")) {
+            if (fleet.member(member) != null) {
+                fleet.kill(member);
             }
         }
-        for (String m : List.of("m0", "m1", "m2")) {
-            members.start(m, 1);
+        for (String member : List.of("m0", "m1", "m2")) {
+            fleet.start(member, 1);
         }
-        awaitActs(2);
-        assertEquals("b", known(old));
-        assertEquals(Verdict.IN_FORCE, propose(old, 2, "c"));
+        awaitAllUse(2);
+        assertEquals("b", lastKnown(oldLeader));
+        assertEquals(Verdict.IN_FORCE, propose(oldLeader, 2, "c"));
     }
 
-    private void lose(String name) throws IOException {
-        try (Stream<Path> files = Files.walk(members.disk(name))) {
-            for (Path p : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                Files.delete(p);
+    private void deleteDisk(String member) throws IOException {
+        try (Stream<Path> files = Files.walk(fleet.disk(member))) {
+            for (Path path : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+                Files.delete(path);
             }
         }
     }
 
     @Test
-    void aVoterThatLostItsDiskVotesAgainOnlyAsAnother() throws Exception {
-        members = new Members(3, root, 5);
+    void voterWithLostDiskRejoinsAsNewVoter() throws Exception {
+        fleet = new InProcessFleet(3, root, 5);
         String leader = awaitLeader();
         assertEquals(Verdict.IN_FORCE, propose("m0", 0, "a"));
-        String lost = leader.equals("m1") ? "m2" : "m1";
-        // So much that the log's beginning is gone: the new disk starts from a snapshot of several pieces.
-        for (int g = 1; g < 20; g++) {
-            byte[] large = new byte[AgreedState.MAX_CONTENT];
+        String lostVoter = leader.equals("m1") ? "m2" : "m1";
+        // Enough data to truncate the beginning of the log: the new disk starts from a snapshot of several chunks.
+        for (int generation = 1; generation < 20; generation++) {
+            byte[] large = new byte[AgreedState.MAX_CONTENT_BYTES];
             assertEquals(
                     Verdict.IN_FORCE,
-                    members.node("m0")
-                            .propose(AgreedValues.SETTINGS, g, large, 8000)
+                    fleet.member("m0")
+                            .propose(AgreedValues.SETTINGS, generation, large, 8000)
                             .get(10, TimeUnit.SECONDS));
         }
-        members.kill(lost);
-        lose(lost);
-        members.start(lost, 1);
-        soon().until(() -> members.node(lost).status().contains("votes")
-                && !members.node(lost).status().contains("joins"));
-        // With the third one gone, nothing is decided but by the new disk's vote.
-        String third = List.of("m0", "m1", "m2").stream()
-                .filter(m -> !m.equals(lost) && !m.equals(leader))
+        fleet.kill(lostVoter);
+        deleteDisk(lostVoter);
+        fleet.start(lostVoter, 1);
+        await15s()
+                .until(() -> fleet.member(lostVoter).status().contains("votes")
+                        && !fleet.member(lostVoter).status().contains("joins"));
+        // Without the third voter, every decision needs the vote of the new disk.
+        String thirdVoter = List.of("m0", "m1", "m2").stream()
+                .filter(member -> !member.equals(lostVoter) && !member.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        members.kill(third);
-        assertEquals(Verdict.IN_FORCE, propose(lost, 20, "b"));
-        assertEquals("b", known(lost));
+        fleet.kill(thirdVoter);
+        assertEquals(Verdict.IN_FORCE, propose(lostVoter, 20, "b"));
+        assertEquals("b", lastKnown(lostVoter));
     }
 
     @Test
-    void anOldDiskIsPutAside() throws Exception {
-        members = new Members(3, root, 6);
+    void restoredOldDiskIsPutAside() throws Exception {
+        fleet = new InProcessFleet(3, root, 6);
         String leader = awaitLeader();
-        String name = leader.equals("m1") ? "m2" : "m1";
-        members.kill(name);
+        String voter = leader.equals("m1") ? "m2" : "m1";
+        fleet.kill(voter);
         Path copy = root.resolve("copy");
         Files.createDirectories(copy);
-        for (String f : List.of("agreed.mv", "agreed.mark")) {
-            Files.copy(members.disk(name).resolve(f), copy.resolve(f));
+        for (String file : List.of("agreed.mv", "agreed.mark")) {
+            Files.copy(fleet.disk(voter).resolve(file), copy.resolve(file));
         }
-        members.start(name, 1);
-        soon().until(() -> members.node(name).status().contains("votes"));
-        assertEquals(Verdict.IN_FORCE, propose(name, 0, "a"));
-        members.kill(name);
-        lose(name);
-        Files.move(copy, members.disk(name));
-        members.start(name, 1);
-        soon().until(() -> Files.exists(root.resolve(name + ".aside-1")));
-        soon().until(() -> members.node(name).status().contains("votes")
-                && !members.node(name).status().contains("joins"));
-        awaitActs(1);
+        fleet.start(voter, 1);
+        await15s().until(() -> fleet.member(voter).status().contains("votes"));
+        assertEquals(Verdict.IN_FORCE, propose(voter, 0, "a"));
+        fleet.kill(voter);
+        deleteDisk(voter);
+        Files.move(copy, fleet.disk(voter));
+        fleet.start(voter, 1);
+        await15s().until(() -> Files.exists(root.resolve(voter + ".aside-1")));
+        await15s()
+                .until(() -> fleet.member(voter).status().contains("votes")
+                        && !fleet.member(voter).status().contains("joins"));
+        awaitAllUse(1);
     }
 
     @Test
-    void aRoleIsHeldByOneAlsoWhenItsHolderStandsStillAndTheLeaderGoes() throws Exception {
-        members = new Members(4, root, 7);
+    void roleHasOneHolderWhenHolderStallsAndLeaderCrashes() throws Exception {
+        fleet = new InProcessFleet(4, root, 7);
         String leader = awaitLeader();
-        // One that doesn't vote, so that a majority is left when it stands still and the leader is gone.
+        // The holder is not a voter, so that a majority is left when it stalls and the leader is dead.
         String holder = "m3";
-        String next = leader.equals("m0") ? "m1" : "m0";
-        Lease first = hold(holder, 500);
-        assertTrue(members.node(holder).holds("driver"));
-        assertEquals(holder, hold(next, 500).holder());
-        assertFalse(members.node(next).holds("driver"));
-        Lease longer = hold(holder, 500);
-        assertEquals(first.token(), longer.token());
-        assertTrue(longer.untilMs() > first.untilMs());
-        // Its thread stands still: an answer that lay in its queue must not lengthen what is over.
-        CountDownLatch still = new CountDownLatch(1);
-        AgreementMember stalled = members.node(holder);
-        CompletableFuture<Lease> late = stalled.acquire("driver", 500);
+        String otherMember = leader.equals("m0") ? "m1" : "m0";
+        Lease initialLease = claim(holder, 500);
+        assertTrue(fleet.member(holder).holdsLease("driver"));
+        assertEquals(holder, claim(otherMember, 500).holder());
+        assertFalse(fleet.member(otherMember).holdsLease("driver"));
+        Lease extendedLease = claim(holder, 500);
+        assertEquals(initialLease.token(), extendedLease.token());
+        assertTrue(extendedLease.untilMs() > initialLease.untilMs());
+        // The holder's thread stalls. A response queued meanwhile must not extend the expired lease.
+        CountDownLatch released = new CountDownLatch(1);
+        AgreementMember stalled = fleet.member(holder);
+        CompletableFuture<Lease> lateClaim = stalled.acquire("driver", 500);
         stalled.execute(() -> {
             try {
-                still.await();
+                released.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        members.kill(leader);
-        Lease taken = soon().until(() -> hold(next, 500), h -> h.holder().equals(next) && h.untilMs() > 0);
-        assertTrue(taken.token() > first.token());
-        still.countDown();
-        late.get(10, TimeUnit.SECONDS);
-        assertFalse(stalled.holds("driver"));
+        fleet.kill(leader);
+        Lease newLease = await15s()
+                .until(
+                        () -> claim(otherMember, 500),
+                        lease -> lease.holder().equals(otherMember) && lease.untilMs() > 0);
+        assertTrue(newLease.token() > initialLease.token());
+        released.countDown();
+        lateClaim.get(10, TimeUnit.SECONDS);
+        assertFalse(stalled.holdsLease("driver"));
     }
 
     @Test
-    void inAStormNothingAcknowledgedIsLostAndNobodyContradicts() throws Exception {
+    void acknowledgedProposalsSurviveRandomFaults() throws Exception {
         Random random = new Random(8);
-        members = new Members(5, root, 8);
+        fleet = new InProcessFleet(5, root, 8);
         awaitLeader();
-        members.net.faults(0.05, 0.05, 8000);
+        fleet.network.setFaults(0.05, 0.05, 8000);
         Map<Long, String> acknowledged = new TreeMap<>();
-        List<String> names = members.net.members().stream().map(m -> m.name()).toList();
+        List<String> names =
+                fleet.network.members().stream().map(member -> member.name()).toList();
         for (int round = 0; round < 8; round++) {
-            String struck = names.get(random.nextInt(5));
-            String also = names.get(random.nextInt(5));
-            int kind = random.nextInt(3);
-            if (kind == 0) {
-                members.kill(struck);
-            } else if (kind == 1) {
-                members.net.cut(struck);
+            String victim = names.get(random.nextInt(5));
+            String otherVictim = names.get(random.nextInt(5));
+            int fault = random.nextInt(3);
+            if (fault == 0) {
+                fleet.kill(victim);
+            } else if (fault == 1) {
+                fleet.network.partition(victim);
             } else {
-                members.net.cut(struck, also);
+                fleet.network.partition(victim, otherVictim);
             }
-            String at = names.stream()
-                    .filter(n -> !n.equals(struck) && !n.equals(also))
+            String proposer = names.stream()
+                    .filter(survivor -> !survivor.equals(victim) && !survivor.equals(otherVictim))
                     .findFirst()
                     .orElseThrow();
             List<CompletableFuture<Lease>> claims = new ArrayList<>();
-            members.all().forEach(n -> claims.add(n.acquire("driver", 300)));
-            long expected = members.node(at)
-                    .known(AgreedValues.SETTINGS)
+            fleet.all().forEach(member -> claims.add(member.acquire("driver", 300)));
+            long expected = fleet.member(proposer)
+                    .lastKnown(AgreedValues.SETTINGS)
                     .map(AgreedValues.Value::generation)
                     .orElse(0L);
             String content = "round " + round;
-            if (proposing(at, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
+            if (proposeAsync(proposer, expected, content, 4000).get(8, TimeUnit.SECONDS) == Verdict.IN_FORCE) {
                 acknowledged.put((long) round, content);
             }
-            for (CompletableFuture<Lease> c : claims) {
-                c.get(10, TimeUnit.SECONDS);
+            for (CompletableFuture<Lease> claim : claims) {
+                claim.get(10, TimeUnit.SECONDS);
             }
-            members.net.cut();
-            if (kind == 0) {
-                members.start(struck, random.nextBoolean() ? 1.01 : 0.99);
+            fleet.network.partition();
+            if (fault == 0) {
+                fleet.start(victim, random.nextBoolean() ? 1.01 : 0.99);
             }
         }
-        assertTrue(acknowledged.size() >= 4, "acknowledged " + acknowledged);
-        members.net.faults(0, 0, 300);
-        SettingsAdminHandler calls = new SettingsAdminHandler(members.node("m0"), 5000);
-        String all = soon().until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::done)
+        assertTrue(acknowledged.size() >= 4, "acknowledged: " + acknowledged);
+        fleet.network.setFaults(0, 0, 300);
+        SettingsAdminHandler calls = new SettingsAdminHandler(fleet.member("m0"), 5000);
+        String listing = await15s()
+                .until(() -> calls.history(AgreedValues.SETTINGS), SettingsAdminHandler.Reply::succeeded)
                 .text();
-        List<String> kept = new ArrayList<>();
-        for (String line : all.split("\n")) {
-            long g = Long.parseLong(line.trim().split(" ")[0]);
-            kept.add(new String(
-                    members.node("m0")
-                            .look(AgreedValues.SETTINGS, g, 5000)
+        List<String> contents = new ArrayList<>();
+        for (String line : listing.split("\n")) {
+            long generation = Long.parseLong(line.trim().split(" ")[0]);
+            contents.add(new String(
+                    fleet.member("m0")
+                            .readHistory(AgreedValues.SETTINGS, generation, 5000)
                             .get(8, TimeUnit.SECONDS)
                             .orElseThrow()
                             .content(),
                     StandardCharsets.UTF_8));
         }
-        assertTrue(kept.containsAll(acknowledged.values()), kept + " of " + acknowledged);
+        assertTrue(contents.containsAll(acknowledged.values()), contents + " of " + acknowledged);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -17,8 +17,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A member in a process of its own, for tests: number, disk, ports. It claims the role "driver" all the time and says
- * what it acts by and holds, each with the monotonic time before and after it looked.
+ * Runs a member in its own process, for tests; arguments are its index, its disk and all ports. It claims the role
+ * "driver" repeatedly and prints the generations that it uses and the role token that it holds, with the monotonic time
+ * before and after reading them.
  */
 final class MemberMain {
     private MemberMain() {}
@@ -32,7 +33,7 @@
         Clock clock = Clock.system();
         TcpPeerLinks links =
                 new TcpPeerLinks(me, System.currentTimeMillis(), "f", members, clock, PeerLimits.standard());
-        AgreementMember node = new AgreementMember(
+        AgreementMember member = new AgreementMember(
                 links,
                 Path.of(args[1]),
                 clock,
@@ -44,56 +45,59 @@
                         5,
                         2000,
                         me.name().hashCode()));
-        node.start();
+        member.start();
         links.start();
-        Thread talk = new Thread(() -> talk(node), "talk");
-        talk.setDaemon(true);
-        talk.start();
-        claim(node);
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String[] words = line.split(" ");
-            if (words[0].equals("propose")) {
-                long expected = Long.parseLong(words[1]);
-                node.propose(AgreedValues.SETTINGS, expected, words[2].getBytes(StandardCharsets.UTF_8), 8000)
-                        .thenAccept(v -> say("verdict " + words[2] + " " + v));
-            } else if (words[0].equals("history")) {
-                for (long g = 1; g < 100; g++) {
-                    long at = g;
-                    node.look(AgreedValues.SETTINGS, g, 4000)
-                            .thenAccept(l -> l.ifPresent(
-                                    k -> say("kept " + at + " " + new String(k.content(), StandardCharsets.UTF_8))));
+        Thread reporter = new Thread(() -> reportState(member), "reporter");
+        reporter.setDaemon(true);
+        reporter.start();
+        claimRepeatedly(member);
+        BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        for (String line = input.readLine(); line != null; line = input.readLine()) {
+            String[] command = line.split(" ");
+            if (command[0].equals("propose")) {
+                long expected = Long.parseLong(command[1]);
+                member.propose(AgreedValues.SETTINGS, expected, command[2].getBytes(StandardCharsets.UTF_8), 8000)
+                        .thenAccept(verdict -> println("verdict " + command[2] + " " + verdict));
+            } else if (command[0].equals("history")) {
+                for (long generation = 1; generation < 100; generation++) {
+                    long requested = generation;
+                    member.readHistory(AgreedValues.SETTINGS, generation, 4000)
+                            .thenAccept(response -> response.ifPresent(found -> println(
+                                    "kept " + requested + " " + new String(found.content(), StandardCharsets.UTF_8))));
                 }
-            } else if (words[0].equals("who")) {
-                say("who " + node.leads() + " "
-                        + node.known(AgreedValues.SETTINGS)
+            } else if (command[0].equals("who")) {
+                println("who " + member.isLeader() + " "
+                        + member.lastKnown(AgreedValues.SETTINGS)
                                 .map(AgreedValues.Value::generation)
                                 .orElse(0L));
             }
         }
-        // Its parent is gone.
+        // The parent process has ended.
         System.exit(0);
     }
 
-    private static synchronized void say(String line) {
+    private static synchronized void println(String line) {
         System.out.println(line);
         System.out.flush();
     }
 
-    private static void claim(AgreementMember node) {
-        node.acquire("driver", 300)
-                .thenRunAsync(() -> claim(node), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
+    private static void claimRepeatedly(AgreementMember member) {
+        member.acquire("driver", 300)
+                .thenRunAsync(
+                        () -> claimRepeatedly(member), CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS));
     }
 
-    private static void talk(AgreementMember node) {
+    private static void reportState(AgreementMember member) {
         while (true) {
-            long before = System.nanoTime();
-            long token = node.heldLease("driver").map(AgreedValues.Lease::token).orElse(0L);
-            EffectiveGenerations a = node.leaseView()
-                    .effectiveVersions(AgreedValues.SETTINGS, node.clock().nowMs());
-            long after = System.nanoTime();
-            say("sees " + before + " " + after + " " + token + " " + Math.min(a.first(), a.second()) + " "
-                    + Math.max(a.first(), a.second()));
+            long beforeNanos = System.nanoTime();
+            long token =
+                    member.heldLease("driver").map(AgreedValues.Lease::token).orElse(0L);
+            EffectiveGenerations effective = member.leaseView()
+                    .effectiveVersions(AgreedValues.SETTINGS, member.clock().nowMs());
+            long afterNanos = System.nanoTime();
+            println("sees " + beforeNanos + " " + afterNanos + " " + token + " "
+                    + Math.min(effective.first(), effective.second()) + " "
+                    + Math.max(effective.first(), effective.second()));
             LockSupport.parkNanos(2_000_000);
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -23,31 +23,35 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A voter whose pre-vote is overtaken by the leader of the same term, among two scripted voters. */
+/**
+ * A voter receives a message of the current leader during its own pre-vote, then the leader fails. Guards against the
+ * library's fault that the stale pre-vote blocks all later ones ({@link StalePreVote}). The two other voters are
+ * scripted.
+ */
 class StalePreVoteTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final int TERM = 1;
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
 
-    private final MemoryNet net = new MemoryNet(3, 1);
-    private final BlockingQueue<RaftMessage> told = new LinkedBlockingQueue<>();
+    private final InMemoryNetwork network = new InMemoryNetwork(3, 1);
+    private final BlockingQueue<RaftMessage> receivedByLeader = new LinkedBlockingQueue<>();
     private PeerLinks leader;
     private AgreementMember voter;
 
     @BeforeEach
     void start() throws IOException {
-        // Without delay messages arrive in the order in which they were sent.
-        net.faults(0, 0, 1);
-        scripted("m1");
-        leader = scripted("m2");
-        PeerLinks links = net.links("m0");
+        // Without delay, messages arrive in the order in which they were sent.
+        network.setFaults(0, 0, 1);
+        scriptedVoter("m1");
+        leader = scriptedVoter("m2");
+        PeerLinks links = network.links("m0");
         voter = new AgreementMember(
                 links,
                 null,
                 Clock.system(),
                 new AgreedSettings(
                         "f",
-                        AgreedSettings.voters(net.members()),
+                        AgreedSettings.voters(network.members()),
                         new LeaseTerms(400, 0.01),
                         40,
                         5,
@@ -60,22 +64,22 @@
     @AfterEach
     void end() {
         voter.halt();
-        net.close();
+        network.close();
     }
 
-    /** A voter that tells of its disk and keeps what the library says to it; all else is this test's. */
-    private PeerLinks scripted(String name) {
-        PeerLinks links = net.links(name);
-        links.receive(MessageStream.AGREED, (peer, life, body) -> {
+    /** A voter that answers hellos and records the library's messages to the leader; the test does everything else. */
+    private PeerLinks scriptedVoter(String name) {
+        PeerLinks links = network.links(name);
+        links.receive(MessageStream.AGREED, (peer, incarnation, body) -> {
             AgreementCodec.Frame frame = frame(body);
             if (frame.message() instanceof AgreementMessage.Hello) {
                 links.send(
                         peer,
                         MessageStream.AGREED,
-                        AgreementCodec.frame(
-                                new AgreementMessage.Facts("d-" + name, List.of(), "", List.of(), 0, "", 0, 0)));
+                        AgreementCodec.frame(new AgreementMessage.HelloResponse(
+                                "d-" + name, List.of(), "", List.of(), 0, "", 0, 0)));
             } else if (frame.raftMessage() != null && name.equals("m2")) {
-                told.add(frame.raftMessage());
+                receivedByLeader.add(frame.raftMessage());
             }
         });
         return links;
@@ -89,19 +93,18 @@
         }
     }
 
-    private <T extends RaftMessage> T await(Class<T> kind) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    private <T extends RaftMessage> T await(Class<T> type) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (true) {
-            RaftMessage next = told.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
-            assertNotNull(
-                    next, () -> "no " + kind.getSimpleName() + " within " + PATIENCE_S + " s:\n" + voter.status());
-            if (kind.isInstance(next)) {
-                return kind.cast(next);
+            RaftMessage next = receivedByLeader.poll(deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
+            assertNotNull(next, () -> "no " + type.getSimpleName() + " within " + TIMEOUT_S + " s:\n" + voter.status());
+            if (type.isInstance(next)) {
+                return type.cast(next);
             }
         }
     }
 
-    private PreVoteRequest awaitPreVoteOf(int nextTerm) throws InterruptedException {
+    private PreVoteRequest awaitPreVoteForTerm(int nextTerm) throws InterruptedException {
         while (true) {
             PreVoteRequest next = await(PreVoteRequest.class);
             if (next.getTerm() == nextTerm) {
@@ -111,15 +114,15 @@
     }
 
     @Test
-    void votesAnewWhenTheLeaderThatOvertookItsPreVoteFallsSilent() throws Exception {
+    void startsNewPreVoteWhenLeaderOfStalePreVoteFallsSilent() throws Exception {
         PreVoteRequest first = await(PreVoteRequest.class);
-        VoterEndpoint me = new VoterEndpoint("m2", "d-m2");
+        VoterEndpoint leaderEndpoint = new VoterEndpoint("m2", "d-m2");
         leader.send(
                 "m0",
                 MessageStream.AGREED,
                 AgreementCodec.frame(MODEL.createVoteRequestBuilder()
                         .setGroupId(first.getGroupId())
-                        .setSender(me)
+                        .setSender(leaderEndpoint)
                         .setTerm(TERM)
                         .setLastLogTerm(0)
                         .setLastLogIndex(0)
@@ -127,14 +130,14 @@
                         .build()));
         assertTrue(await(VoteResponse.class).isGranted());
 
-        // Nothing is heard of the leader in time: a pre-vote begins, and then the leader is heard of.
-        awaitPreVoteOf(TERM + 1);
+        // The leader's heartbeat times out: a pre-vote begins, and then a message of the leader arrives.
+        awaitPreVoteForTerm(TERM + 1);
         leader.send(
                 "m0",
                 MessageStream.AGREED,
                 AgreementCodec.frame(MODEL.createAppendEntriesRequestBuilder()
                         .setGroupId(first.getGroupId())
-                        .setSender(me)
+                        .setSender(leaderEndpoint)
                         .setTerm(TERM)
                         .setPreviousLogTerm(0)
                         .setPreviousLogIndex(0)
@@ -145,9 +148,9 @@
                         .build()));
         await(AppendEntriesSuccessResponse.class);
 
-        // The leader says nothing more.
-        PreVoteRequest again = awaitPreVoteOf(TERM + 1);
+        // The leader sends nothing more.
+        PreVoteRequest second = awaitPreVoteForTerm(TERM + 1);
         assertEquals(
-                "m0", assertInstanceOf(VoterEndpoint.class, again.getSender()).name());
+                "m0", assertInstanceOf(VoterEndpoint.class, second.getSender()).name());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StoreFaultsTest.java
@@ -24,12 +24,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A voter's disk that fails for a while, a kill between two writes, and a loss of power. */
+/**
+ * Votes and entries that were persisted must survive temporary disk faults, a kill during any write and a loss of
+ * power; a disk that fails must not be treated as damaged, because its votes would be lost.
+ */
 class StoreFaultsTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint ME = new VoterEndpoint("m", "d");
-    /** More writes and syncs than any opening needs. */
-    private static final int MOST_OPERATIONS_OF_AN_OPENING = 200;
+    /** More writes and syncs than opening a store needs. */
+    private static final int MAX_OPEN_OPERATIONS = 200;
 
     @TempDir
     Path root;
@@ -39,21 +42,21 @@
     private int term;
 
     @BeforeEach
-    void fill() throws IOException {
+    void initializeStore() throws IOException {
         directory = root.resolve("m");
-        faults = FaultyFiles.below(directory);
-        try (VoterStore s = open()) {
-            RaftGroupMembersView one = MODEL.createRaftGroupMembersViewBuilder()
+        faults = FaultyFiles.injectBelow(directory);
+        try (VoterStore store = open()) {
+            RaftGroupMembersView members = MODEL.createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
                     .setMembers(Set.of(ME))
                     .setVotingMembers(Set.of(ME))
                     .build();
-            s.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
+            store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(ME)
                     .setVoting(true)
                     .build());
-            s.persistAndFlushInitialGroupMembers(one);
-            vote(s);
+            store.persistAndFlushInitialGroupMembers(members);
+            persistVote(store);
         }
     }
 
@@ -61,10 +64,10 @@
         return VoterStore.open(directory, "f", "m", FaultyFiles.SCHEME);
     }
 
-    /** Votes in the next term, and takes an entry of it. */
-    private void vote(VoterStore s) throws IOException {
-        s.persistLogEntries(List.of(entry(term + 1)));
-        s.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
+    /** Persists a vote in the next term and a log entry of that term. */
+    private void persistVote(VoterStore store) throws IOException {
+        store.persistLogEntries(List.of(entry(term + 1)));
+        store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(term + 1)
                 .setVotedFor(ME)
                 .build());
@@ -79,122 +82,134 @@
                 .build();
     }
 
-    /** The last term that the disk has a vote of; all entries up to there must be with it. */
-    private int onDisk() throws IOException {
-        try (VoterStore s = open()) {
-            RestoredRaftState r = s.restored().orElseThrow();
-            assertEquals(r.getTermPersistentState().getTerm(), r.getLogEntries().size());
-            return r.getTermPersistentState().getTerm();
+    /** Reads the term of the last vote on the disk; all log entries up to that term must be present. */
+    private int readLastTerm() throws IOException {
+        try (VoterStore store = open()) {
+            RestoredRaftState restored = store.restored().orElseThrow();
+            assertEquals(
+                    restored.getTermPersistentState().getTerm(),
+                    restored.getLogEntries().size());
+            return restored.getTermPersistentState().getTerm();
         }
     }
 
     @Test
-    void votesOverAFailureAreThereAfterALossOfPower() throws IOException {
+    void votesSurviveDiskFaultAndPowerLoss() throws IOException {
         for (Fault fault : Fault.values()) {
-            VoterStore s = open();
-            vote(s);
-            faults.fail(fault);
-            assertThrows(IOException.class, () -> vote(s));
-            assertTrue(s.failed());
-            assertThrows(IOException.class, this::open, "it can't be written yet");
-            faults.heal();
-            assertThrows(IOException.class, () -> vote(s), "nothing more is promised by what failed");
-            s.close();
-            try (VoterStore again = open()) {
-                // A vote that was not given may be on the disk all the same; it binds, as it would have.
-                term = again.restored().orElseThrow().getTermPersistentState().getTerm();
-                vote(again);
+            VoterStore store = open();
+            persistVote(store);
+            faults.failAll(fault);
+            assertThrows(IOException.class, () -> persistVote(store));
+            assertTrue(store.failed());
+            assertThrows(IOException.class, this::open, "the disk still fails");
+            faults.clear();
+            assertThrows(IOException.class, () -> persistVote(store), "a store that has failed accepts no writes");
+            store.close();
+            try (VoterStore reopened = open()) {
+                // A vote whose write failed may still be on the disk; it counts like any other.
+                term = reopened.restored()
+                        .orElseThrow()
+                        .getTermPersistentState()
+                        .getTerm();
+                persistVote(reopened);
             }
-            faults.losePower();
-            assertEquals(term, onDisk(), fault.toString());
+            faults.simulatePowerLoss();
+            assertEquals(term, readLastTerm(), fault.toString());
         }
     }
 
     @Test
-    void aDiskThatIsFullAtTheStartIsNotTakenForADamagedOne() throws IOException {
+    void diskFaultAtOpenIsNotReportedAsDamage() throws IOException {
         for (Fault fault : Fault.values()) {
-            faults.fail(fault);
-            IOException refused = assertThrows(IOException.class, this::open);
-            assertFalse(refused instanceof VoterStore.Damaged, refused.toString());
-            faults.heal();
-            assertEquals(term, onDisk(), fault.toString());
+            faults.failAll(fault);
+            IOException failure = assertThrows(IOException.class, this::open);
+            assertFalse(failure instanceof VoterStore.DamagedDiskException, failure.toString());
+            faults.clear();
+            assertEquals(term, readLastTerm(), fault.toString());
         }
     }
 
-    /** Each fault from each write or sync of an opening on, until the opening needs no more of them. */
+    /** Injects each fault starting at each write or sync of opening the store, until opening succeeds. */
     @Test
-    void aFaultAtAnyOperationOfAnOpeningIsToldAsADiskThatFails() throws IOException {
+    void faultAtAnyOperationOfOpenIsNotReportedAsDamage() throws IOException {
         for (Fault fault : Fault.values()) {
-            int refusals = 0;
+            int failures = 0;
             for (boolean opened = false; !opened; ) {
-                assertTrue(refusals < MOST_OPERATIONS_OF_AN_OPENING, fault + ": it never opens");
-                faults.failAfter(refusals, fault);
-                try (VoterStore s = open()) {
-                    opened = s.restored().isPresent();
-                } catch (IOException refused) {
-                    assertFalse(refused instanceof VoterStore.Damaged, fault + " after " + refusals + ": " + refused);
-                    refusals++;
+                assertTrue(failures < MAX_OPEN_OPERATIONS, fault + ": the store never opens");
+                faults.failAfter(failures, fault);
+                try (VoterStore store = open()) {
+                    opened = store.restored().isPresent();
+                } catch (IOException failure) {
+                    assertFalse(
+                            failure instanceof VoterStore.DamagedDiskException,
+                            fault + " after " + failures + ": " + failure);
+                    failures++;
                 }
-                faults.heal();
-                assertEquals(term, onDisk(), fault + " after " + refusals);
+                faults.clear();
+                assertEquals(term, readLastTerm(), fault + " after " + failures);
             }
-            assertTrue(refusals > 2, fault + " was refused only " + refusals + " times");
+            assertTrue(failures > 2, fault + ": opening failed only " + failures + " times");
         }
     }
 
     @Test
-    void randomFaultsAndLossesOfPowerTakeNoVote() throws IOException {
+    void votesSurviveRandomFaultsAndPowerLoss() throws IOException {
         for (long seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
-            faults.draw(seed, 0.1);
+            faults.failRandomly(seed, 0.1);
             for (int i = 0; i < 10; i++) {
-                try (VoterStore s = open()) {
-                    term = s.restored().orElseThrow().getTermPersistentState().getTerm();
-                    vote(s);
-                    vote(s);
-                } catch (VoterStore.Damaged e) {
-                    throw new AssertionError("seed " + seed, e);
-                } catch (IOException refused) {
-                    assertTrue(faults.failed() > 0);
+                try (VoterStore store = open()) {
+                    term = store.restored()
+                            .orElseThrow()
+                            .getTermPersistentState()
+                            .getTerm();
+                    persistVote(store);
+                    persistVote(store);
+                } catch (VoterStore.DamagedDiskException damage) {
+                    throw new AssertionError("seed " + seed, damage);
+                } catch (IOException failure) {
+                    assertTrue(faults.failedCount() > 0);
                 }
             }
-            faults.heal();
+            faults.clear();
             if (random.nextBoolean()) {
-                faults.losePower();
+                faults.simulatePowerLoss();
             }
-            int there = onDisk();
-            assertTrue(there >= term, "seed " + seed + ": " + there + " of " + term);
-            term = there;
+            int persistedTerm = readLastTerm();
+            assertTrue(persistedTerm >= term, "seed " + seed + ": " + persistedTerm + " of " + term);
+            term = persistedTerm;
         }
-        assertTrue(faults.failed() > 20, "failed " + faults.failed());
+        assertTrue(faults.failedCount() > 20, "failed operations: " + faults.failedCount());
     }
 
     @Test
-    void everyLengthOfATornLastWriteLeavesTheVoteBefore() throws IOException {
-        VoterStore s = open();
-        vote(s);
+    void previousVoteSurvivesTornWriteOfAnyLength() throws IOException {
+        VoterStore store = open();
+        persistVote(store);
         Map<Path, byte[]> before = files();
-        faults.record();
-        vote(s);
-        s.close();
-        Map<Path, byte[]> now = new HashMap<>(before);
-        for (FaultyFiles.Write w : faults.recorded()) {
+        faults.startRecording();
+        persistVote(store);
+        store.close();
+        Map<Path, byte[]> files = new HashMap<>(before);
+        for (FaultyFiles.Write write : faults.stopRecording()) {
             byte[] last = null;
-            for (int prefix = 0; prefix <= w.bytes().length; prefix++) {
-                byte[] torn = w.onto(now.get(w.file()), prefix);
+            for (int prefix = 0; prefix <= write.bytes().length; prefix++) {
+                byte[] torn = write.applyTo(files.get(write.file()), prefix);
                 if (!Arrays.equals(torn, last)) {
-                    for (Map.Entry<Path, byte[]> e : now.entrySet()) {
-                        Files.write(e.getKey(), e.getValue());
+                    for (Map.Entry<Path, byte[]> file : files.entrySet()) {
+                        Files.write(file.getKey(), file.getValue());
                     }
-                    Files.write(w.file(), torn);
-                    int there = onDisk();
-                    assertTrue(there >= term - 1, w.file() + " " + w.at() + "+" + prefix + ": " + there);
+                    Files.write(write.file(), torn);
+                    int persistedTerm = readLastTerm();
+                    assertTrue(
+                            persistedTerm >= term - 1,
+                            write.file() + " " + write.offset() + "+" + prefix + ": " + persistedTerm);
                     last = torn;
                 }
             }
-            now.put(w.file(), last);
+            files.put(write.file(), last);
         }
-        assertEquals(term, onDisk());
+        assertEquals(term, readLastTerm());
     }
 
     private Map<Path, byte[]> files() throws IOException {
@@ -206,25 +221,25 @@
     }
 
     @Test
-    void aKillAtAnyWriteOrSyncLeavesWhatWasPromised() throws IOException {
-        for (int at = 0; at < 60; at++) {
-            faults.killAt(faults.operations() + at, at * 37 % 4096);
-            try (VoterStore s = open()) {
-                vote(s);
-                vote(s);
-            } catch (VoterStore.Damaged e) {
-                throw new AssertionError("killed at " + at, e);
+    void persistedVotesSurviveKillAtAnyOperation() throws IOException {
+        for (int operation = 0; operation < 60; operation++) {
+            faults.killAt(faults.operationCount() + operation, operation * 37 % 4096);
+            try (VoterStore store = open()) {
+                persistVote(store);
+                persistVote(store);
+            } catch (VoterStore.DamagedDiskException damage) {
+                throw new AssertionError("killed at " + operation, damage);
             } catch (IOException killed) {
-                Throwable first = killed;
-                while (first.getCause() != null) {
-                    first = first.getCause();
+                Throwable rootCause = killed;
+                while (rootCause.getCause() != null) {
+                    rootCause = rootCause.getCause();
                 }
-                assertEquals("killed", first.getMessage(), killed.toString());
+                assertEquals("killed", rootCause.getMessage(), killed.toString());
             }
-            faults.heal();
-            int there = onDisk();
-            assertTrue(there >= term, "killed at " + at + ": " + there + " of " + term);
-            term = there;
+            faults.clear();
+            int persistedTerm = readLastTerm();
+            assertTrue(persistedTerm >= term, "killed at " + operation + ": " + persistedTerm + " of " + term);
+            term = persistedTerm;
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/VoterDiskFaultsTest.java
@@ -21,108 +21,111 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Voters whose disks fail for a while and take writes again. */
+/** Voters with temporary disk faults must stop voting, recover, and lose no decided value. */
 class VoterDiskFaultsTest {
     @TempDir
     Path root;
 
     private final Map<String, FaultyFiles.Faults> disks = new TreeMap<>();
-    private Members members;
+    private InProcessFleet fleet;
 
-    private void begin(long seed) throws Exception {
+    private void startFleet(long seed) throws Exception {
         for (int i = 0; i < 3; i++) {
-            disks.put("m" + i, FaultyFiles.below(root.resolve("m" + i)));
+            disks.put("m" + i, FaultyFiles.injectBelow(root.resolve("m" + i)));
         }
-        members = new Members(3, root, seed, FaultyFiles.SCHEME);
+        fleet = new InProcessFleet(3, root, seed, FaultyFiles.SCHEME);
     }
 
     @AfterEach
-    void nobodyContradicts() {
-        members.close();
-        assertEquals(List.of(), members.breaches());
+    void assertNoViolations() {
+        fleet.close();
+        assertEquals(List.of(), fleet.violations());
     }
 
-    private static ConditionFactory soon() {
+    private static ConditionFactory await30s() {
         return await().atMost(Duration.ofSeconds(30)).pollInterval(Duration.ofMillis(5));
     }
 
     private String awaitLeader() {
-        return soon().until(() -> members.leader(), l -> !l.isEmpty());
+        return await30s().until(() -> fleet.leader(), leader -> !leader.isEmpty());
     }
 
-    private void decide(String at, long expected, String content) throws Exception {
-        Verdict v = members.node(at)
+    private void decide(String member, long expected, String content) throws Exception {
+        Verdict verdict = fleet.member(member)
                 .propose(AgreedValues.SETTINGS, expected, content.getBytes(StandardCharsets.UTF_8), 20_000)
                 .get(25, TimeUnit.SECONDS);
-        assertEquals(Verdict.IN_FORCE, v, () -> members.node(at).status());
+        assertEquals(Verdict.IN_FORCE, verdict, () -> fleet.member(member).status());
     }
 
-    private void failsAndComesBack(Fault fault, boolean leads) throws Exception {
-        begin(31 + fault.ordinal());
+    private void assertStopsVotingAndRecovers(Fault fault, boolean failLeader) throws Exception {
+        startFleet(31 + fault.ordinal());
         String leader = awaitLeader();
         List<String> names = new ArrayList<>(disks.keySet());
         names.remove(leader);
-        String failing = leads ? leader : names.get(0);
-        String other = leads ? names.get(0) : leader;
-        String third = names.get(1);
+        String failing = failLeader ? leader : names.get(0);
+        String otherVoter = failLeader ? names.get(0) : leader;
+        String thirdVoter = names.get(1);
         decide("m0", 0, "a");
-        disks.get(failing).fail(fault);
-        decide(other, 1, "b");
-        soon().until(() -> members.node(failing).status().contains("does not vote: its disk can't be written"));
+        disks.get(failing).failAll(fault);
+        decide(otherVoter, 1, "b");
+        await30s().until(() -> fleet.member(failing).status().contains("does not vote: its disk can't be written"));
         assertTrue(
-                members.node(failing).alarm().contains("disk"),
-                () -> members.node(failing).alarm());
-        assertFalse(members.node(failing).leads());
-        decide(other, 2, "c");
-        disks.get(failing).heal();
-        soon().until(() -> members.node(failing).alarm().isEmpty()
-                && members.node(failing).status().matches("(?s).*, (votes|leads).*"));
-        // From here on nothing is decided without it.
-        members.kill(third);
-        decide(other, 3, "d");
+                fleet.member(failing).alarm().contains("disk"),
+                () -> fleet.member(failing).alarm());
+        assertFalse(fleet.member(failing).isLeader());
+        decide(otherVoter, 2, "c");
+        disks.get(failing).clear();
+        await30s()
+                .until(() -> fleet.member(failing).alarm().isEmpty()
+                        && fleet.member(failing).status().matches("(?s).*, (votes|leads).*"));
+        // From here on each decision needs the vote of the recovered voter.
+        fleet.kill(thirdVoter);
+        decide(otherVoter, 3, "d");
         decide(failing, 4, "e");
     }
 
     @Test
-    void leaderWhoseSyncsFailStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.SYNC_ERROR, true);
+    void leaderWithFailingSyncsStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.SYNC_ERROR, true);
     }
 
     @Test
-    void voterWhoseSyncsFailStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.SYNC_ERROR, false);
+    void followerWithFailingSyncsStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.SYNC_ERROR, false);
     }
 
     @Test
-    void leaderWhoseDiskIsFullStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.NO_SPACE, true);
+    void leaderWithFullDiskStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.NO_SPACE, true);
     }
 
     @Test
-    void voterWhoseWritesFailHalfwayStopsVotingAndComesBack() throws Exception {
-        failsAndComesBack(Fault.SHORT_WRITE, false);
+    void followerWithShortWritesStopsVotingAndRecovers() throws Exception {
+        assertStopsVotingAndRecovers(Fault.SHORT_WRITE, false);
     }
 
-    /** All disks fail at once, so that there is no majority; then nothing that was decided is lost. */
+    /** All disks fail at once, so that there is no majority; values decided before must not be lost. */
     @Test
-    void allVotersWhoseWritesFailDecideNothingAndGoOnWithWhatWasDecided() throws Exception {
-        begin(47);
+    void failureOfAllDisksPreservesDecidedValues() throws Exception {
+        startFleet(47);
         awaitLeader();
         decide("m0", 0, "a");
-        disks.values().forEach(d -> d.fail(Fault.WRITE_ERROR));
-        Verdict v = members.node("m1")
+        disks.values().forEach(disk -> disk.failAll(Fault.WRITE_ERROR));
+        Verdict verdict = fleet.member("m1")
                 .propose(AgreedValues.SETTINGS, 1, "b".getBytes(StandardCharsets.UTF_8), 1000)
                 .get(25, TimeUnit.SECONDS);
-        assertEquals(Verdict.UNKNOWN, v);
-        soon().until(() -> members.all().stream().noneMatch(AgreementMember::leads));
-        disks.values().forEach(FaultyFiles.Faults::heal);
+        assertEquals(Verdict.UNKNOWN, verdict);
+        await30s().until(() -> fleet.all().stream().noneMatch(AgreementMember::isLeader));
+        disks.values().forEach(FaultyFiles.Faults::clear);
         awaitLeader();
-        soon().until(() -> members.all().stream()
-                .allMatch(n -> n.acting(AgreedValues.SETTINGS).isPresent()));
-        long generation = members.node("m0")
-                .acting(AgreedValues.SETTINGS)
+        await30s()
+                .until(() -> fleet.all().stream()
+                        .allMatch(member ->
+                                member.effectiveValues(AgreedValues.SETTINGS).isPresent()));
+        long generation = fleet.member("m0")
+                .effectiveValues(AgreedValues.SETTINGS)
                 .orElseThrow()
-                .one()
+                .inForce()
                 .generation();
         assertTrue(generation >= 1, "in force: " + generation);
     }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/DiskFaultsTest.java
@@ -39,7 +39,7 @@
 
     @BeforeEach
     void interceptFiles() {
-        faults = FaultyFiles.below(directory);
+        faults = FaultyFiles.injectBelow(directory);
     }
 
     private ReplicaDisk open() throws IOException {
@@ -80,15 +80,15 @@
             writeAndReplicate("before " + fault);
             writeToDisk(disk);
             writeAndReplicate("lost " + fault);
-            faults.fail(fault);
+            faults.failAll(fault);
             assertThrows(IOException.class, () -> writeToDisk(disk));
             assertThrows(IOException.class, () -> writeToDisk(disk), "it fails until the fault is removed");
-            faults.heal();
+            faults.clear();
             writeToDisk(disk);
             writeAndReplicate("after " + fault);
             writeToDisk(disk);
             disk.closeImmediately();
-            faults.losePower();
+            faults.simulatePowerLoss();
             assertEquals(copy.appliedSequence("a", 3).orElseThrow(), sequenceOnDisk(), fault.toString());
         }
     }
@@ -99,10 +99,10 @@
         writeAndReplicate("first");
         writeToDisk(disk);
         writeAndReplicate("second");
-        faults.fail(Fault.SYNC_ERROR);
+        faults.failAll(Fault.SYNC_ERROR);
         assertThrows(IOException.class, () -> writeToDisk(disk));
         disk.closeImmediately();
-        faults.heal();
+        faults.clear();
         // The next process reads the second write from the page cache, which was never synced.
         ReplicaDisk nextDisk = open();
         RecordStore store = new RecordStore("b", nextDisk.incarnation(), 8, false);
@@ -110,7 +110,7 @@
         assertTrue(nextDisk.needsFullWrite());
         writeToDisk(nextDisk);
         nextDisk.closeImmediately();
-        faults.losePower();
+        faults.simulatePowerLoss();
         assertEquals(4, sequenceOnDisk());
     }
 
@@ -121,10 +121,10 @@
             writeToDisk(disk);
         }
         for (Fault fault : Fault.values()) {
-            faults.fail(fault);
+            faults.failAll(fault);
             String message = assertThrows(IOException.class, this::open).getMessage();
             assertEquals(1, message.lines().count(), message);
-            faults.heal();
+            faults.clear();
             assertFalse(Files.exists(directory.resolve("replica.mv.broken")));
             assertEquals(2, sequenceOnDisk(), fault.toString());
         }
@@ -136,7 +136,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             long acknowledged = sequenceOnDisk();
             ReplicaDisk disk = open();
-            faults.draw(seed, 0.15);
+            faults.failRandomly(seed, 0.15);
             for (int i = 0; i < 20; i++) {
                 writeAndReplicate(seed + "/" + i);
                 try {
@@ -147,14 +147,14 @@
                 }
             }
             disk.closeImmediately();
-            faults.heal();
+            faults.clear();
             if (random.nextBoolean()) {
-                faults.losePower();
+                faults.simulatePowerLoss();
             }
             long sequence = sequenceOnDisk();
             assertTrue(sequence >= acknowledged, "seed " + seed + ": " + sequence + " of " + acknowledged);
         }
-        assertTrue(faults.failed() > 20, "failed " + faults.failed());
+        assertTrue(faults.failedCount() > 20, "failed " + faults.failedCount());
     }
 
     /** Whether a write that is cut at this position is cut within the padding of a block. */
@@ -176,13 +176,13 @@
             }
             byte[] previous = null;
             for (int prefix = 0; prefix <= write.bytes().length; prefix++) {
-                byte[] torn = write.onto(content, prefix);
+                byte[] torn = write.applyTo(content, prefix);
                 if (!Arrays.equals(torn, previous) && !isWithinPadding(write.bytes(), prefix)) {
                     Files.write(file, torn);
                     long sequence = sequenceOnDisk();
                     assertTrue(
                             sequence >= minSequence,
-                            write.at() + "+" + prefix + " of " + write.bytes().length + ": " + sequence);
+                            write.offset() + "+" + prefix + " of " + write.bytes().length + ": " + sequence);
                 }
                 previous = torn;
             }
@@ -198,10 +198,10 @@
         writeToDisk(disk);
         byte[] before = Files.readAllBytes(file);
         writeAndReplicate("second");
-        faults.record();
+        faults.startRecording();
         writeToDisk(disk);
         disk.closeImmediately();
-        tearEachWrite(file, before, faults.recorded(), 2);
+        tearEachWrite(file, before, faults.stopRecording(), 2);
         assertEquals(4, sequenceOnDisk());
     }
 
@@ -214,21 +214,21 @@
         disk.closeImmediately();
         byte[] before = Files.readAllBytes(directory.resolve("replica.mv"));
         writeAndReplicate("second");
-        faults.record();
+        faults.startRecording();
         writeToDisk(disk);
         disk.closeImmediately();
-        List<FaultyFiles.Write> writes = faults.recorded();
+        List<FaultyFiles.Write> writes = faults.stopRecording();
         assertTrue(writes.stream().anyMatch(write -> write.file().equals(newFile)));
         Files.write(directory.resolve("replica.mv"), before);
         byte[] content = {};
         for (FaultyFiles.Write write : writes) {
             for (int prefix = 0; write.file().equals(newFile) && prefix <= write.bytes().length; prefix++) {
                 if (!isWithinPadding(write.bytes(), prefix)) {
-                    Files.write(newFile, write.onto(content, prefix));
-                    assertEquals(2, sequenceOnDisk(), write.at() + "+" + prefix);
+                    Files.write(newFile, write.applyTo(content, prefix));
+                    assertEquals(2, sequenceOnDisk(), write.offset() + "+" + prefix);
                 }
             }
-            content = write.file().equals(newFile) ? write.onto(content, write.bytes().length) : content;
+            content = write.file().equals(newFile) ? write.applyTo(content, write.bytes().length) : content;
         }
         try (ReplicaDisk nextDisk = open()) {
             RecordStore store = new RecordStore("b", nextDisk.incarnation(), 8, false);
@@ -244,7 +244,7 @@
         for (long operation = 0; operation < 40; operation++) {
             ReplicaDisk disk = open();
             long acknowledged = copy.appliedSequence("a", 3).orElse(0);
-            faults.killAt(faults.operations() + operation, (int) (operation * 37 % 4096));
+            faults.killAt(faults.operationCount() + operation, (int) (operation * 37 % 4096));
             try {
                 for (int i = 0; i < 3; i++) {
                     writeAndReplicate(operation + "/" + i);
@@ -255,7 +255,7 @@
                 assertTrue(disk.needsFullWrite());
             }
             disk.closeImmediately();
-            faults.heal();
+            faults.clear();
             assertTrue(sequenceOnDisk() >= acknowledged, "killed at " + operation);
             // The next process writes the complete copy.
             ReplicaDisk nextDisk = open();
@@ -274,17 +274,17 @@
             node.start();
             node.put(RecordSpace.SERVERS, "h", "1".getBytes(UTF_8));
             assertTrue(node.awaitFlushed(10_000));
-            faults.fail(Fault.SYNC_ERROR);
+            faults.failAll(Fault.SYNC_ERROR);
             node.put(RecordSpace.SERVERS, "h", "2".getBytes(UTF_8));
             await().atMost(Duration.ofSeconds(20))
                     .until(() -> !node.statistics().diskHealthy());
             assertFalse(node.awaitFlushed(1));
             node.add(RecordSpace.USED, "k", 5);
-            faults.heal();
+            faults.clear();
             await().atMost(Duration.ofSeconds(20)).until(() -> node.statistics().diskHealthy());
             assertTrue(node.awaitFlushed(10_000));
             node.close();
-            faults.losePower();
+            faults.simulatePowerLoss();
         }
         try (ReplicaDisk disk = open()) {
             RecordStore store = new RecordStore("b", disk.incarnation(), 8, false);
--- a/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/GoldenFormsTest.java
@@ -111,7 +111,7 @@
             GoldenFiles.check("replica/entry-" + i, record, ReplicationCodec::write, ReplicationCodec::readRecord);
             assertEquals(
                     true,
-                    ReplicationCodec.readRecord(GoldenFiles.bytes("replica/entry-" + i))
+                    ReplicationCodec.readRecord(GoldenFiles.read("replica/entry-" + i))
                             .hasValidChecksum(OWNER));
         }
         GoldenFiles.check(
@@ -123,16 +123,16 @@
 
     @Test
     void diskMatchesGoldenFile() throws IOException {
-        if (GoldenFiles.writing()) {
+        if (GoldenFiles.isWriteEnabled()) {
             writeDisk();
         }
         Path copy = Files.createDirectories(directory.resolve("copy"));
-        Files.write(copy.resolve("replica.mv"), GoldenFiles.bytes("replica/replica-disk-replica.mv"));
+        Files.write(copy.resolve("replica.mv"), GoldenFiles.read("replica/replica-disk-replica.mv"));
         try (ReplicaDisk disk = ReplicaDisk.open(copy, "fleet", "n2", 0)) {
             assertEquals((long) DISK_INCARNATION + 1, disk.incarnation());
             RecordStore store = new RecordStore("n2", disk.incarnation(), 8, false);
             disk.restore(store);
-            GoldenFiles.assertSame("records", createRecords(), store.records(OWNER, INCARNATION));
+            GoldenFiles.assertDeepEquals("records", createRecords(), store.records(OWNER, INCARNATION));
             assertEquals(OptionalLong.of(7), store.appliedSequence(OWNER, INCARNATION));
             assertEquals(2, store.tombstoneFloor(OWNER, INCARNATION));
         }
@@ -147,7 +147,7 @@
                             new CatchUp.LogId(OWNER, INCARNATION),
                             createRecords().size()));
         }
-        GoldenFiles.replaceIfAsked(
+        GoldenFiles.writeIfEnabled(
                 "replica/replica-disk-replica.mv", Files.readAllBytes(written.resolve("replica.mv")));
     }
 }
