--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -154,7 +154,7 @@
         }
         sender.recordDirect(sentMs);
         sender.onSequence(now, message.sequence(), sentMs);
-        sender.raiseIncarnation(now, message.incarnation());
+        sender.raiseRefutationNumber(now, message.refutationNumber());
         if (message.has(SwimMessage.FAREWELL)) {
             suspicion.markLeft(now, sender);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -45,7 +45,7 @@
             members.recordConflict(now, member, entry.life(), entry.instance());
             return;
         }
-        member.raiseIncarnation(now, entry.incarnation());
+        member.raiseRefutationNumber(now, entry.refutationNumber());
         if (entry.ageMs() >= 0 && sentMs - entry.ageMs() > member.lastAliveMs) {
             member.helper = from.name;
             member.recordAlive(sentMs - entry.ageMs());
@@ -57,7 +57,7 @@
     private void beginLife(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
         // A process that is dead already is not reported as alive first.
         suspicion.beginLife(now, member, entry.life(), entry.instance(), entry.status());
-        member.deadIncarnation = entry.status() == MemberStatus.DEAD ? entry.incarnation() : -1;
+        member.deadRefutationNumber = entry.status() == MemberStatus.DEAD ? entry.refutationNumber() : -1;
         if (entry.ageMs() < 0) {
             member.recordAlive(sentMs);
         }
@@ -73,7 +73,7 @@
             suspicion.markLeft(now, member);
         } else if (entry.status() == MemberStatus.ALIVE) {
             member.suspectedBy.remove(from.name);
-        } else if (entry.incarnation() >= member.incarnation) {
+        } else if (entry.refutationNumber() >= member.refutationNumber) {
             member.suspectedBy.add(from.name);
             boolean heardHere = member.silenceMs(now) < FailureDetector.PROBE_AFTER_INTERVALS * limits.beatMs();
             if (!member.left && heardHere && replies.size() < MAX_SUSPECTS) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
@@ -78,7 +78,7 @@
         int sequence = to.nextSequence(now);
         double heldMs = Math.max(0, now - to.receivedAtMs);
         SwimMessage message = new SwimMessage(
-                flags, sequence, to.receivedSequence, heldMs, refutation.incarnation(), entries, probeRequests);
+                flags, sequence, to.receivedSequence, heldMs, refutation.refutationNumber(), entries, probeRequests);
         return new FailureDetector.Outgoing(to.name, message);
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
@@ -25,9 +25,9 @@
     long life;
     long instance;
     /** SWIM's incarnation number within this life: greater after each refutation. */
-    int incarnation;
+    int refutationNumber;
     /** The incarnation that was declared dead; -1 if none. */
-    int deadIncarnation = -1;
+    int deadRefutationNumber = -1;
     /** Whether it has said farewell. */
     boolean left;
 
@@ -163,9 +163,9 @@
     }
 
     /** A greater incarnation refutes suspicions of the earlier ones (SWIM, section 4.2). */
-    void raiseIncarnation(double now, int heard) {
-        if (heard > incarnation) {
-            incarnation = heard;
+    void raiseRefutationNumber(double now, int heard) {
+        if (heard > refutationNumber) {
+            refutationNumber = heard;
             suspectedBy.clear();
             changedMs = now;
         }
@@ -176,8 +176,8 @@
         known = true;
         life = newLife;
         instance = newInstance;
-        incarnation = 0;
-        deadIncarnation = -1;
+        refutationNumber = 0;
+        deadRefutationNumber = -1;
         left = false;
         suspectedBy.clear();
         learnedMs = now;
@@ -191,6 +191,6 @@
     /** As other members are told of it. */
     SwimMessage.Entry toEntry(double now) {
         double ageMs = lastAliveMs == NEVER ? -1 : now - lastAliveMs;
-        return new SwimMessage.Entry(name, life, instance, incarnation, status, left, ageMs);
+        return new SwimMessage.Entry(name, life, instance, refutationNumber, status, left, ageMs);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
@@ -9,7 +9,7 @@
     private final long instance;
     private final MemberTable members;
     private long life;
-    private int incarnation;
+    private int refutationNumber;
     private double startedMs = MemberState.NEVER;
     private long endedLife = Long.MIN_VALUE;
     private long reportedInstance;
@@ -25,7 +25,7 @@
     /** This member has taken another life. */
     void beginLife(long nextLife) {
         life = nextLife;
-        incarnation = 0;
+        refutationNumber = 0;
         reportedInstance = 0;
     }
 
@@ -43,9 +43,9 @@
         boolean doubted = entry.status() == MemberStatus.SUSPECT || entry.status() == MemberStatus.DEAD;
         if (entry.life() == life
                 && doubted
-                && entry.incarnation() >= incarnation
-                && entry.incarnation() < Integer.MAX_VALUE) {
-            incarnation = entry.incarnation() + 1;
+                && entry.refutationNumber() >= refutationNumber
+                && entry.refutationNumber() < Integer.MAX_VALUE) {
+            refutationNumber = entry.refutationNumber() + 1;
             refutations++;
         }
     }
@@ -70,8 +70,8 @@
     }
 
     /** This member's incarnation number in its present life. */
-    int incarnation() {
-        return incarnation;
+    int refutationNumber() {
+        return refutationNumber;
     }
 
     /** Suspicions of this member that it has refuted. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
@@ -32,7 +32,7 @@
         double silenceMs = member.silenceMs(now);
         double suspectMs = limits.suspectMs() * localHealth.multiplier();
         if (member.status == MemberStatus.DEAD) {
-            if (member.incarnation > member.deadIncarnation && silenceMs < suspectMs) {
+            if (member.refutationNumber > member.deadRefutationNumber && silenceMs < suspectMs) {
                 setStatus(now, member, MemberStatus.ALIVE, false);
             }
         } else if (silenceMs < suspectMs) {
@@ -40,7 +40,7 @@
         } else if (silenceMs < deadAfterMs(member)) {
             setStatus(now, member, MemberStatus.SUSPECT, false);
         } else {
-            member.deadIncarnation = member.incarnation;
+            member.deadRefutationNumber = member.refutationNumber;
             setStatus(now, member, MemberStatus.DEAD, false);
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -22,7 +22,7 @@
         int sequence,
         int echo,
         double heldMs,
-        int incarnation,
+        int refutationNumber,
         List<Entry> entries,
         List<String> probeRequests) {
     /** The receiver is to answer at once. */
@@ -48,7 +48,7 @@
      * @param ageMs how long ago it was surely alive; negative if that is not known
      */
     record Entry(
-            String name, long life, long instance, int incarnation, MemberStatus status, boolean left, double ageMs) {}
+            String name, long life, long instance, int refutationNumber, MemberStatus status, boolean left, double ageMs) {}
 
     boolean has(int flag) {
         return (flags & flag) != 0;
@@ -62,11 +62,11 @@
                 .putInt(sequence)
                 .putInt(echo)
                 .putFloat((float) heldMs)
-                .putInt(incarnation);
+                .putInt(refutationNumber);
         out.put((byte) entries.size()).put((byte) probeRequests.size());
         for (Entry e : entries) {
             WireFormat.text(out, e.name());
-            out.putLong(e.life()).putLong(e.instance()).putInt(e.incarnation());
+            out.putLong(e.life()).putLong(e.instance()).putInt(e.refutationNumber());
             out.put((byte) (e.status().ordinal() | (e.left() ? 16 : 0))).putFloat((float) Math.max(-1, e.ageMs()));
         }
         for (String target : probeRequests) {
