--- a/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/AgreementMember.java
@@ -53,11 +53,11 @@
      * @param settings the same at all members, but for the seed
      */
     public AgreementMember(PeerLinks links, Path directory, Clock clock, AgreedSettings settings) {
-        String name = links.me().name();
+        String name = links.self().name();
         AgreementCounters counters = new AgreementCounters();
         context = new MemberContext(
                 name,
-                links.life(),
+                links.incarnation(),
                 clock,
                 settings,
                 links,
@@ -72,7 +72,7 @@
         requests = new RequestClient(context, leaseClient);
         recovery = new VoterRecovery(context, consensus, leaderService, leaseClient, directory);
         statusReport = new StatusReport(context, consensus, leaderService, leaseClient, requests, recovery);
-        links.receive(MessageStream.AGREED, this::onFrame);
+        links.setReceiver(MessageStream.AGREED, this::onFrame);
     }
 
     /** The voter's files are on a file system of this scheme; before {@link #start}. */
--- a/fleet/src/main/java/brackenbridge/fleet/agreed/LinkTransport.java
+++ b/fleet/src/main/java/brackenbridge/fleet/agreed/LinkTransport.java
@@ -22,6 +22,6 @@
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-        return links.standing(((VoterEndpoint) endpoint).name()) != MemberStatus.DEAD;
+        return links.status(((VoterEndpoint) endpoint).name()) != MemberStatus.DEAD;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
@@ -281,10 +281,10 @@
         if (machines.isEmpty()) {
             table.fault("machine", "nobody serves: name one member at least");
         }
-        ControlLimits usual = ControlLimits.STANDARD;
+        ControlLimits usual = ControlLimits.DEFAULTS;
         List<String> nodes = table.texts("nodes", NODES);
         double heartbeat = table.span("heartbeat", usual.heartbeatMs(), 10, 60_000);
-        double silence = table.span("silence", usual.silenceMs(), 30, 600_000);
+        double silence = table.span("silence", usual.silenceTimeoutMs(), 30, 600_000);
         double admissions = table.number("admissions", usual.admissionsPerSecond(), 0.1, 1e6);
         int maxNodes = table.whole("max_nodes", usual.maxSubscribers(), 1, 100_000);
         table.end();
@@ -297,17 +297,17 @@
                             silence,
                             silence,
                             usual.coalesceMs(),
-                            Math.max(silence, usual.slowReaderMs()),
-                            usual.connectMs(),
+                            Math.max(silence, usual.slowReaderTimeoutMs()),
+                            usual.connectTimeoutMs(),
                             usual.retryBaseMs(),
                             usual.retryMaxMs(),
                             usual.startSpreadMs(),
-                            usual.homeMinMs(),
-                            usual.homeMaxMs(),
+                            usual.returnHomeMinMs(),
+                            usual.returnHomeMaxMs(),
                             admissions,
                             usual.admissionBurst(),
                             maxNodes,
-                            usual.maxUnsubscribed()));
+                            usual.maxUnsubscribedConnections()));
         } catch (IllegalArgumentException e) {
             table.fault("silence", e.getMessage());
             return null;
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
@@ -3,7 +3,7 @@
 import brackenbridge.clock.Clock;
 import brackenbridge.fleet.control.ControlMessage.MachineHeartbeat;
 import brackenbridge.fleet.control.ControlMessage.NodeHeartbeat;
-import brackenbridge.fleet.control.ControlMessage.Refuse;
+import brackenbridge.fleet.control.ControlMessage.Reject;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
@@ -173,7 +173,7 @@
                 .group(loop)
                 .channelFactory(sockets)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limits.connectMs())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limits.connectTimeoutMs())
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -299,7 +299,7 @@
         private void received(ControlMessage message) throws ProtocolException {
             if (message instanceof Welcome && !welcomed) {
                 welcomed = true;
-            } else if (message instanceof Refuse refuse) {
+            } else if (message instanceof Reject refuse) {
                 refused(refuse);
             } else if (message instanceof Update update && welcomed) {
                 held.offer(update.resource(), applier::apply).ifPresent(acknowledge -> {
@@ -320,20 +320,20 @@
             }
         }
 
-        private void refused(Refuse refuse) {
-            if (refuse.refusal() == SubscriptionRejection.BUSY && refuse.retryAfterMs() > 0) {
-                selector.askedToWait(Math.min(refuse.retryAfterMs(), limits.homeMaxMs()));
+        private void refused(Reject refuse) {
+            if (refuse.rejection() == SubscriptionRejection.BUSY && refuse.retryAfterMs() > 0) {
+                selector.askedToWait(Math.min(refuse.retryAfterMs(), limits.returnHomeMaxMs()));
                 leave(this, "busy");
-            } else if (refuse.refusal().isTransient()) {
-                end(this, refuse.refusal().name());
+            } else if (refuse.rejection().isTransient()) {
+                end(this, refuse.rejection().name());
             } else {
                 LOG.warn(
                         "{}: control machine {} refuses this node: {}",
                         settings.node(),
                         machine.name(),
-                        refuse.refusal());
+                        refuse.rejection());
                 selector.askedToWait(selector.homeAfterMs());
-                leave(this, refuse.refusal().name());
+                leave(this, refuse.rejection().name());
             }
         }
 
@@ -344,9 +344,9 @@
             }
             if (paused) {
                 send(new NodeHeartbeat(heartbeatRead));
-            } else if (!welcomed && now - beganMs > limits.connectMs()) {
+            } else if (!welcomed && now - beganMs > limits.connectTimeoutMs()) {
                 end(this, "no welcome");
-            } else if (now - lastReadMs > limits.silenceMs()) {
+            } else if (now - lastReadMs > limits.silenceTimeoutMs()) {
                 end(this, "silent");
             } else if (settings.machines().size() > 1 && now - lastConfirmedMs > selector.patienceMs()) {
                 end(this, "its heartbeats are not confirmed");
@@ -361,7 +361,7 @@
     }
 
     /** For the laboratory: stops reading, or goes on, as a node does that stands still. */
-    public void pauseReading(boolean on) {
+    public void setReadingPaused(boolean on) {
         loop.execute(() -> {
             paused = on;
             if (session != null && session.channel != null) {
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
@@ -18,7 +18,7 @@
     /** The version of the protocol that is spoken. */
     static final int VERSION = 1;
     /** Longest message, in bytes: a resource of the longest content and what stands around it. */
-    static final int MAX_MESSAGE = Resource.MAX_CONTENT + 1024;
+    static final int MAX_MESSAGE = Resource.MAX_CONTENT_BYTES + 1024;
 
     private static final int HEAD = 2;
     private static final int MAX_NESTING = 6;
@@ -29,7 +29,7 @@
             ControlMessage.Welcome.class,
             ControlMessage.Update.class,
             ControlMessage.MachineHeartbeat.class,
-            ControlMessage.Refuse.class);
+            ControlMessage.Reject.class);
     private static final ObjectMapper MAPPER = mapper();
     private static final List<ObjectReader> READERS =
             KINDS.stream().map(MAPPER::readerFor).toList();
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlLimits.java
@@ -21,42 +21,44 @@
  */
 public record ControlLimits(
         double heartbeatMs,
-        double silenceMs,
-        double unconfirmedMs,
+        double silenceTimeoutMs,
+        double unconfirmedTimeoutMs,
         double coalesceMs,
-        double slowReaderMs,
-        double connectMs,
+        double slowReaderTimeoutMs,
+        double connectTimeoutMs,
         double retryBaseMs,
         double retryMaxMs,
         double startSpreadMs,
-        double homeMinMs,
-        double homeMaxMs,
+        double returnHomeMinMs,
+        double returnHomeMaxMs,
         double admissionsPerSecond,
         int admissionBurst,
         int maxSubscribers,
-        int maxUnsubscribed) {
+        int maxUnsubscribedConnections) {
 
     /** The limits for 1,600 nodes and nine machines; {@code docs/design/control.md} has the reason of each. */
-    public static final ControlLimits STANDARD =
+    public static final ControlLimits DEFAULTS =
             new ControlLimits(750, 2250, 2250, 50, 3000, 1000, 250, 4000, 1000, 30_000, 90_000, 200, 100, 800, 256);
 
     /** Rejects limits that can't be kept. */
     public ControlLimits {
-        if (!(heartbeatMs >= 10) || !(silenceMs >= 3 * heartbeatMs) || !(unconfirmedMs >= 2 * heartbeatMs)) {
-            throw new IllegalArgumentException("heartbeat " + heartbeatMs + ", silence " + silenceMs + ", unconfirmed "
-                    + unconfirmedMs + " ms: silence takes three heartbeats, unconfirmed two");
+        if (!(heartbeatMs >= 10)
+                || !(silenceTimeoutMs >= 3 * heartbeatMs)
+                || !(unconfirmedTimeoutMs >= 2 * heartbeatMs)) {
+            throw new IllegalArgumentException("heartbeat " + heartbeatMs + ", silence " + silenceTimeoutMs
+                    + ", unconfirmed " + unconfirmedTimeoutMs + " ms: silence takes three heartbeats, unconfirmed two");
         }
         if (!(coalesceMs >= 0)
-                || !(slowReaderMs > 0)
-                || !(connectMs > 0)
+                || !(slowReaderTimeoutMs > 0)
+                || !(connectTimeoutMs > 0)
                 || !(retryBaseMs > 0)
                 || !(retryMaxMs >= retryBaseMs)
                 || !(startSpreadMs >= 0)
-                || !(homeMinMs > 0)
-                || !(homeMaxMs >= homeMinMs)) {
+                || !(returnHomeMinMs > 0)
+                || !(returnHomeMaxMs >= returnHomeMinMs)) {
             throw new IllegalArgumentException("times must be above 0, a longest not below its least");
         }
-        if (!(admissionsPerSecond > 0) || admissionBurst < 1 || maxSubscribers < 1 || maxUnsubscribed < 1) {
+        if (!(admissionsPerSecond > 0) || admissionBurst < 1 || maxSubscribers < 1 || maxUnsubscribedConnections < 1) {
             throw new IllegalArgumentException("counts must be 1 or more");
         }
     }
@@ -68,15 +70,15 @@
      * @param failedMachines how many machines in a row the node tries in vain after it lost its own
      * @param leaseMs the agreement's lease: a machine may pass a change on so much later than another
      */
-    public double worstCaseMs(int failedMachines, double leaseMs) {
-        double detected = silenceMs + heartbeatMs;
+    public double maxPropagationMs(int failedMachines, double leaseMs) {
+        double detected = silenceTimeoutMs + heartbeatMs;
         double tried = 0;
         double bound = retryBaseMs;
         for (int i = 0; i < failedMachines; i++) {
-            tried += bound + connectMs;
+            tried += bound + connectTimeoutMs;
             bound = Math.min(retryMaxMs, 2 * bound);
         }
-        double served = bound + 2 * connectMs + coalesceMs;
+        double served = bound + 2 * connectTimeoutMs + coalesceMs;
         return leaseMs + detected + tried + served;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
@@ -11,7 +11,7 @@
     /** Most resources that one node may subscribe to. */
     int MAX_RESOURCES = 256;
     /** Longest reason for the refusal of a version, in characters. */
-    int MAX_REASON = 200;
+    int MAX_REASON_LENGTH = 200;
 
     /**
      * What a node holds of a resource.
@@ -41,7 +41,7 @@
      * @param resources what it subscribes to
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Subscribe(String fleet, String node, String region, long connection, List<HeldVersion> resources)
+    record Subscribe(String fleet, String node, String region, long connectionNumber, List<HeldVersion> resources)
             implements ControlMessage {
         /** Rejects what is out of bounds; too many resources are left to the machine, which has a name for it. */
         public Subscribe {
@@ -65,7 +65,7 @@
         /** Rejects what is out of bounds. */
         public Acknowledge {
             Resource.checkName(name);
-            if (version < 1 || reason.length() > MAX_REASON) {
+            if (version < 1 || reason.length() > MAX_REASON_LENGTH) {
                 throw new IllegalArgumentException(name + ": version " + version + ", reason of " + reason.length());
             }
         }
@@ -109,5 +109,5 @@
      * @param retryAfterMs when to come back to this machine, in milliseconds; 0 if it makes no difference
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Refuse(SubscriptionRejection refusal, double retryAfterMs) implements ControlMessage {}
+    record Reject(SubscriptionRejection rejection, double retryAfterMs) implements ControlMessage {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
@@ -4,7 +4,7 @@
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
 import brackenbridge.fleet.control.ControlMessage.MachineHeartbeat;
 import brackenbridge.fleet.control.ControlMessage.NodeHeartbeat;
-import brackenbridge.fleet.control.ControlMessage.Refuse;
+import brackenbridge.fleet.control.ControlMessage.Reject;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
@@ -248,7 +248,7 @@
             connections.add(this);
             if (stopping) {
                 refuse(SubscriptionRejection.STOPPING, 0, "");
-            } else if (connections.size() - byNode.size() > limits.maxUnsubscribed()) {
+            } else if (connections.size() - byNode.size() > limits.maxUnsubscribedConnections()) {
                 refuse(SubscriptionRejection.BUSY, limits.retryMaxMs(), "too many connections without a subscription");
             }
         }
@@ -282,7 +282,7 @@
                     received(ControlFrames.read(frame));
                 }
             } catch (ProtocolException e) {
-                refuse(e.refusal(), 0, e.getMessage());
+                refuse(e.rejection(), 0, e.getMessage());
             } finally {
                 frame.release();
             }
@@ -341,7 +341,7 @@
                 return;
             }
             NodeConnection before = byNode.get(request.node());
-            if (before != null && before.number >= request.connection()) {
+            if (before != null && before.number >= request.connectionNumber()) {
                 refuse(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection is here");
                 return;
             }
@@ -363,7 +363,7 @@
         private void admitted(Subscribe request) {
             node = request.node();
             region = request.region();
-            number = request.connection();
+            number = request.connectionNumber();
             subscription = new Subscription(request, table);
             byNode.put(node, this);
             subscription
@@ -419,13 +419,13 @@
                 return;
             }
             if (subscription == null) {
-                if (nowMs - acceptedMs > limits.silenceMs()) {
+                if (nowMs - acceptedMs > limits.silenceTimeoutMs()) {
                     refuse(SubscriptionRejection.NO_SUBSCRIPTION, 0, "");
                 }
-            } else if (nowMs - lastReadMs > limits.silenceMs()) {
+            } else if (nowMs - lastReadMs > limits.silenceTimeoutMs()) {
                 refuse(SubscriptionRejection.SILENT, 0, node);
-            } else if (nowMs - blockedSinceMs > limits.slowReaderMs()
-                    || nowMs - unansweredSinceMs > limits.slowReaderMs()) {
+            } else if (nowMs - blockedSinceMs > limits.slowReaderTimeoutMs()
+                    || nowMs - unansweredSinceMs > limits.slowReaderTimeoutMs()) {
                 refuse(SubscriptionRejection.SLOW_READER, 0, node);
             } else if (channel.isWritable()) {
                 write(heartbeat);
@@ -447,7 +447,7 @@
             recordRejection(refusal, String.valueOf(channel.remoteAddress()), why);
             forget();
             channel.pipeline().remove(io.netty.handler.codec.LengthFieldBasedFrameDecoder.class);
-            write(ControlFrames.bytes(new Refuse(refusal, retryAfterMs)));
+            write(ControlFrames.bytes(new Reject(refusal, retryAfterMs)));
             channel.flush();
             ((DuplexChannel) channel).shutdownOutput();
             loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
--- a/fleet/src/main/java/brackenbridge/fleet/control/FleetStatus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/FleetStatus.java
@@ -30,10 +30,10 @@
     private FleetStatus() {}
 
     /** The text: each machine, then each region with the versions that differ and some of the nodes behind. */
-    public static String text(List<ReportExchange.Dated> reports) {
+    public static String format(List<ReportExchange.AgedReport> reports) {
         Map<String, Region> regions = new TreeMap<>();
         StringBuilder text = new StringBuilder();
-        for (ReportExchange.Dated dated : reports) {
+        for (ReportExchange.AgedReport dated : reports) {
             MachineReport report = dated.report();
             int nodes = report.regions().stream()
                     .mapToInt(MachineReport.RegionReport::nodes)
--- a/fleet/src/main/java/brackenbridge/fleet/control/HeldResources.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/HeldResources.java
@@ -58,7 +58,7 @@
     }
 
     private static String shortened(String reason) {
-        return reason.substring(0, Math.min(reason.length(), ControlMessage.MAX_REASON));
+        return reason.substring(0, Math.min(reason.length(), ControlMessage.MAX_REASON_LENGTH));
     }
 
     /** The versions to resume from. */
--- a/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
@@ -112,12 +112,12 @@
      * machine was: while no majority can be reached, nodes do not wander from machine to machine all the time.
      */
     double patienceMs() {
-        double longest = limits.homeMaxMs();
-        return Math.min(longest, limits.unconfirmedMs() * (1L << Math.min(unconfirmedRounds, MAX_DOUBLINGS)));
+        double longest = limits.returnHomeMaxMs();
+        return Math.min(longest, limits.unconfirmedTimeoutMs() * (1L << Math.min(unconfirmedRounds, MAX_DOUBLINGS)));
     }
 
     /** How long to stay with a machine of another region. */
     double homeAfterMs() {
-        return limits.homeMinMs() + random.nextDouble() * (limits.homeMaxMs() - limits.homeMinMs());
+        return limits.returnHomeMinMs() + random.nextDouble() * (limits.returnHomeMaxMs() - limits.returnHomeMinMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
@@ -7,16 +7,16 @@
     private static final long serialVersionUID = 1L;
 
     /** What is refused. */
-    private final SubscriptionRejection refusal;
+    private final SubscriptionRejection rejection;
 
     /** With the reason to tell and to count, and a text for the log. */
     public ProtocolException(SubscriptionRejection refusal, String text) {
         super(text);
-        this.refusal = refusal;
+        this.rejection = refusal;
     }
 
     /** The reason. */
-    public SubscriptionRejection refusal() {
-        return refusal;
+    public SubscriptionRejection rejection() {
+        return rejection;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
@@ -43,7 +43,7 @@
      * @param report the report
      * @param ageMs how long ago it came, in milliseconds
      */
-    public record Dated(MachineReport report, double ageMs) {}
+    public record AgedReport(MachineReport report, double ageMs) {}
 
     private record Received(MachineReport report, double atMs) {}
 
@@ -55,7 +55,7 @@
     public ReportExchange(PeerLinks links, Clock clock) {
         this.links = links;
         this.clock = clock;
-        links.receive(MessageStream.CONTROL, (peer, life, body) -> take(peer, body));
+        links.setReceiver(MessageStream.CONTROL, (peer, life, body) -> take(peer, body));
     }
 
     private void take(String peer, byte[] body) {
@@ -85,10 +85,10 @@
     }
 
     /** The last report of each machine, this one's too. */
-    public List<Dated> all() {
+    public List<AgedReport> latestReports() {
         double now = clock.nowMs();
-        List<Dated> all = new ArrayList<>();
-        received.values().forEach(last -> all.add(new Dated(last.report(), now - last.atMs())));
+        List<AgedReport> all = new ArrayList<>();
+        received.values().forEach(last -> all.add(new AgedReport(last.report(), now - last.atMs())));
         all.sort(java.util.Comparator.comparing(dated -> dated.report().machine()));
         return all;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/control/Resource.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/Resource.java
@@ -12,9 +12,9 @@
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Resource(String name, long version, byte[] content) {
     /** Longest name, in characters. */
-    public static final int MAX_NAME = 64;
+    public static final int MAX_NAME_LENGTH = 64;
     /** Longest content, in bytes. */
-    public static final int MAX_CONTENT = 256 * 1024;
+    public static final int MAX_CONTENT_BYTES = 256 * 1024;
 
     /** Rejects what is out of bounds with an {@link IllegalArgumentException}. */
     public Resource {
@@ -22,14 +22,15 @@
         if (version < 1) {
             throw new IllegalArgumentException("version of " + name + ": " + version);
         }
-        if (content.length > MAX_CONTENT) {
-            throw new IllegalArgumentException(name + ": " + content.length + " bytes of at most " + MAX_CONTENT);
+        if (content.length > MAX_CONTENT_BYTES) {
+            throw new IllegalArgumentException(name + ": " + content.length + " bytes of at most " + MAX_CONTENT_BYTES);
         }
     }
 
     static void checkName(String name) {
-        if (name == null || name.isEmpty() || name.length() > MAX_NAME) {
-            throw new IllegalArgumentException("resource name of 1 to " + MAX_NAME + " characters: '" + name + "'");
+        if (name == null || name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
+            throw new IllegalArgumentException(
+                    "resource name of 1 to " + MAX_NAME_LENGTH + " characters: '" + name + "'");
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
@@ -59,7 +59,7 @@
                 agreed::confirmed,
                 member.metrics());
         exchange = new ReportExchange(member.links(), clock);
-        member.statusOfNodes(() -> FleetStatus.text(exchange.all()));
+        member.statusOfNodes(() -> FleetStatus.format(exchange.latestReports()));
         agreed.listen(value -> agreed.known(value)
                 .ifPresent(known -> server.publish(new Resource(known.name(), known.generation(), known.content()))));
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -78,7 +78,7 @@
         Path directory = file.directory() == null ? null : file.directory().resolve(name);
         disk = directory == null ? null : ReplicaDisk.open(directory, file.fleet(), name, clock.nowMs());
         long life = disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life();
-        PeerLimits usual = PeerLimits.standard();
+        PeerLimits usual = PeerLimits.defaults();
         FleetFile.Links l = file.links();
         List<Member> peers =
                 file.members().stream().filter(m -> !m.name().equals(name)).toList();
@@ -93,15 +93,15 @@
                 new PeerLimits(
                         l.frameBytes(),
                         l.queueBytes(),
-                        usual.queueMessages(),
+                        usual.maxQueueMessages(),
                         l.beatMs(),
                         l.suspectMs(),
                         l.goneMs(),
-                        usual.handshakeMs(),
-                        usual.dialMinMs(),
-                        usual.dialMaxMs(),
-                        usual.strangers(),
-                        usual.asked()));
+                        usual.handshakeTimeoutMs(),
+                        usual.dialBackoffMinMs(),
+                        usual.dialBackoffMaxMs(),
+                        usual.maxPendingHandshakes(),
+                        usual.probeHelpers()));
         replica = new ReplicaNode(
                 links,
                 disk,
@@ -123,10 +123,10 @@
                         AGREED_PATIENCE,
                         LONGEST_ROLE_MS,
                         life));
-        Set<String> shown = new TreeSet<>(links.figures().keySet());
+        Set<String> shown = new TreeSet<>(links.metrics().keySet());
         shown.addAll(LINK_COUNTS);
         shown.forEach(k -> Gauge.builder(
-                        "fleet.links." + k, () -> links.figures().getOrDefault(k, 0.0))
+                        "fleet.links." + k, () -> links.metrics().getOrDefault(k, 0.0))
                 .register(metrics));
         Gauge.builder("fleet.replica.behind", () -> replica.level().behind()).register(metrics);
         Gauge.builder("fleet.replica.differing", () -> replica.level().differing())
@@ -226,7 +226,7 @@
                 "member {} of fleet {}, life {}, {} peers, {} disk",
                 me.name(),
                 file.fleet(),
-                links.life(),
+                links.incarnation(),
                 links.peers().size(),
                 disk == null ? "no" : "with a");
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -66,7 +66,7 @@
                 config.settings().coldCapacityRatio(),
                 config.settings().warmUpTime() / 1000.0);
         CommandFilter orders = new CommandFilter(file.agreed().drift());
-        fleet.links().receive(MessageStream.EVACUATION, (peer, life, body) -> {
+        fleet.links().setReceiver(MessageStream.EVACUATION, (peer, life, body) -> {
             try {
                 take(orders, WeightCommand.read(body), clock.nowMs(), node);
             } catch (IOException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -150,7 +150,7 @@
     /** Starts to tell; its parts run. */
     void start() {
         teller.start();
-        say(now(), "ready", Map.of("life", links.life()));
+        say(now(), "ready", Map.of("life", links.incarnation()));
         sampler.start();
     }
 
@@ -187,7 +187,7 @@
     }
 
     private void changed(RecordSpace space, String owner, String key, Replica.Seen now) {
-        if (space != OWN || owner.equals(links.me().name())) {
+        if (space != OWN || owner.equals(links.self().name())) {
             return;
         }
         say(
@@ -358,7 +358,7 @@
                                     "level",
                                     replica.level().level(),
                                     "links",
-                                    links instanceof TcpPeerLinks t ? t.figures() : Map.of(),
+                                    links instanceof TcpPeerLinks t ? t.metrics() : Map.of(),
                                     "replica",
                                     replica instanceof ReplicaNode n ? n.figures() : Map.of()));
                 case "propose" -> propose(w[1], w[2]);
@@ -399,7 +399,7 @@
 
     private Map<String, String> peers() {
         Map<String, String> all = new LinkedHashMap<>();
-        links.peers().forEach(p -> all.put(p.name(), links.standing(p.name()).text()));
+        links.peers().forEach(p -> all.put(p.name(), links.status(p.name()).text()));
         return all;
     }
 
@@ -487,7 +487,7 @@
         Path disk = Path.of(o.disk);
         try (ReplicaDisk records = ReplicaDisk.open(disk.resolve("replica"), o.fleet, o.name, clock.nowMs());
                 TcpPeerLinks links =
-                        new TcpPeerLinks(o.me(), records.life(), o.fleet, members, clock, PeerLimits.standard());
+                        new TcpPeerLinks(o.me(), records.life(), o.fleet, members, clock, PeerLimits.defaults());
                 ReplicaNode replica = new ReplicaNode(links, records, clock, ReplicationLimits.DEFAULT);
                 AgreementMember agreed = new AgreementMember(
                         links,
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
@@ -121,7 +121,7 @@
             if (context.closing()) {
                 return false;
             }
-            if (strangers.size() >= context.limits.strangers()) {
+            if (strangers.size() >= context.limits.maxPendingHandshakes()) {
                 // The oldest is closed for those that come next, so that nobody holds the places for long.
                 context.metrics.count("strangers_refused");
                 strangers.iterator().next().close("too many strangers");
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
@@ -62,7 +62,7 @@
             peer.lastRejectionByPeer = null;
             peer.lastLoggedRejection = null;
             peer.unknownMemberRejections = 0;
-            connection.completeHandshake(context.limits.goneMs());
+            connection.completeHandshake(context.limits.deadAfterMs());
             connection.establishedAtMs = now;
             peer.connection = connection;
             context.metrics.count("links_made");
@@ -91,7 +91,7 @@
     void read(PeerConnection connection) {
         try {
             while (!connection.closed) {
-                FrameCodec.Frame frame = FrameCodec.read(connection.in, context.limits.frameBytes());
+                FrameCodec.Frame frame = FrameCodec.read(connection.in, context.limits.maxFrameBytes());
                 context.metrics.count("frames_in");
                 if (frame.stream() == MessageStream.LIVENESS) {
                     onSwimMessage(connection, SwimMessage.decode(frame.body()));
@@ -151,7 +151,7 @@
                 membership.detector().onDisconnected(connection.peerName);
                 double durationMs = context.clock.nowMs() - connection.establishedAtMs;
                 // After a connection that lasted, the next dial is soon again.
-                peer.dialFailures = durationMs > context.limits.goneMs() ? 0 : peer.dialFailures + 1;
+                peer.dialFailures = durationMs > context.limits.deadAfterMs() ? 0 : peer.dialFailures + 1;
                 registry.backOff(peer);
             }
             context.signalChange();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
@@ -83,14 +83,14 @@
         boolean preferred = present.outbound == lowerName;
         double idleMs = context.clock.nowMs() - present.lastReadAtMs;
         // A peer that dials has lost its connection, if nothing is read from the one that stands here.
-        return !preferred || idleMs > FailureDetector.PROBE_AFTER_INTERVALS * context.limits.beatMs();
+        return !preferred || idleMs > FailureDetector.PROBE_AFTER_INTERVALS * context.limits.heartbeatMs();
     }
 
     /** With the lock: sets the time of the next dial, by exponential backoff with full jitter. */
     void backOff(Peer peer) {
         peer.dialFailures = Math.min(peer.dialFailures + 1, Peer.MAX_DIAL_FAILURES);
-        double ceilingMs =
-                Math.min(context.limits.dialMaxMs(), context.limits.dialMinMs() * Math.pow(2, peer.dialFailures));
+        double ceilingMs = Math.min(
+                context.limits.dialBackoffMaxMs(), context.limits.dialBackoffMinMs() * Math.pow(2, peer.dialFailures));
         peer.nextDialAtMs = context.clock.nowMs() + ceilingMs * context.random.nextDouble();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
@@ -37,7 +37,7 @@
 
     /** With the lock: starts the peer's thread. The lower name dials first, so that dials seldom cross. */
     void start(Peer peer) {
-        double waitMs = context.self().name().compareTo(peer.name()) < 0 ? 0 : context.limits.dialMinMs();
+        double waitMs = context.self().name().compareTo(peer.name()) < 0 ? 0 : context.limits.dialBackoffMinMs();
         peer.nextDialAtMs = context.clock.nowMs() + waitMs * (1 + context.random.nextDouble());
         peer.dialerThread = context.startThread("peer-to-" + peer.name(), () -> keepConnected(peer));
     }
@@ -136,7 +136,8 @@
 
     private PeerConnection connect(Peer peer, Socket socket, String target, long life) throws IOException {
         InetSocketAddress address = PeerAddress.parse(target);
-        socket.connect(new InetSocketAddress(address.getHostString(), address.getPort()), context.limits.handshakeMs());
+        socket.connect(
+                new InetSocketAddress(address.getHostString(), address.getPort()), context.limits.handshakeTimeoutMs());
         PeerConnection connection = new PeerConnection(socket, true, context.limits, context.clock, context.metrics);
         connection.peerName = peer.name();
         connection.announcedLife = life;
@@ -176,7 +177,7 @@
                 welcome.from().equals(name) ? validator.validate(connection, welcome) : HandshakeRejection.WRONG_MEMBER;
         if (rejection != null) {
             synchronized (context.lock) {
-                peer.dialFailures = Math.max(peer.dialFailures, rejection.lasting() ? Peer.MAX_DIAL_FAILURES : 0);
+                peer.dialFailures = Math.max(peer.dialFailures, rejection.isPermanent() ? Peer.MAX_DIAL_FAILURES : 0);
             }
             rejections.reject(connection, rejection, validator.knownLife(name), welcome);
             return false;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -52,11 +52,11 @@
         this.limits = limits;
         Random random = new Random(seed);
         members = new MemberTable(me, random);
-        localHealth = new LocalHealth(limits.beatMs(), members);
+        localHealth = new LocalHealth(limits.heartbeatMs(), members);
         suspicion = new Suspicion(limits, members, localHealth);
         refutation = new SelfRefutation(me, life, instance, members);
         prober = new IndirectProber(limits, members, localHealth);
-        gossipSender = new GossipSender(limits.beatMs(), members, refutation, random);
+        gossipSender = new GossipSender(limits.heartbeatMs(), members, refutation, random);
         gossipReceiver = new GossipReceiver(me, limits, members, suspicion, refutation);
     }
 
@@ -317,6 +317,6 @@
 
     /** How many peers are heard but do not hear this member. */
     int countOneWay() {
-        return members.countOneWay(limits.suspectMs());
+        return members.countOneWay(limits.suspectAfterMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -75,7 +75,7 @@
             member.suspectedBy.remove(from.name);
         } else if (entry.refutationNumber() >= member.refutationNumber) {
             member.suspectedBy.add(from.name);
-            boolean heardHere = member.silenceMs(now) < FailureDetector.PROBE_AFTER_INTERVALS * limits.beatMs();
+            boolean heardHere = member.silenceMs(now) < FailureDetector.PROBE_AFTER_INTERVALS * limits.heartbeatMs();
             if (!member.left && heardHere && replies.size() < MAX_SUSPECTS) {
                 replies.add(member.toEntry(now));
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -8,7 +8,7 @@
 
 /**
  * What two members say before the first message: the dialler a {@link Hello}, the other its own hello as a welcome,
- * the dialler {@link Ready}; each of them {@link Refuse} instead. On the wire: magic (4 bytes), length (2), kind,
+ * the dialler {@link Ready}; each of them {@link Reject} instead. On the wire: magic (4 bytes), length (2), kind,
  * lowest and highest version the sender speaks (1 each), the fields, CRC32C of all before it (4). The head stays as it
  * is in every later version, so that two versions can refuse each other in words.
  */
@@ -50,7 +50,7 @@
      * No link.
      *
      * @param why the reason
-     * @param life a life that the refusing side knows, for {@link HandshakeRejection#STALE_LIFE}
+     * @param life a life that the refusing side knows, for {@link HandshakeRejection#STALE_INCARNATION}
      * @param text what staff should read
      */
     record Refuse(HandshakeRejection why, long life, String text) implements Part {}
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
@@ -13,7 +13,7 @@
     /** The caller is not in this member's list. */
     UNKNOWN_MEMBER("unknown_member", "not a member", true),
     /** The caller's life is earlier than one that was heard of: an old disk, or a copy that was started before. */
-    STALE_LIFE("old_life", "earlier life", true),
+    STALE_INCARNATION("old_life", "earlier life", true),
     /** Two processes live under the caller's name. */
     DUPLICATE_NAME("duplicate", "two nodes of one name", true),
     /** The pair has its connection; crossing dials end so. */
@@ -23,12 +23,12 @@
 
     private final String counter;
     private final String text;
-    private final boolean lasting;
+    private final boolean isPermanent;
 
     HandshakeRejection(String counter, String text, boolean lasting) {
         this.counter = counter;
         this.text = text;
-        this.lasting = lasting;
+        this.isPermanent = lasting;
     }
 
     /** The counter of handshakes that this member has rejected so; it does not follow the constant's name. */
@@ -47,7 +47,7 @@
     }
 
     /** Whether dialling again soon is of no use. */
-    public boolean lasting() {
-        return lasting;
+    public boolean isPermanent() {
+        return isPermanent;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
@@ -54,7 +54,7 @@
     private HandshakeRejection validateLife(Peer peer, Handshake.Hello hello, long known) {
         FailureDetector detector = membership.detector();
         if (hello.life() < known) {
-            return HandshakeRejection.STALE_LIFE;
+            return HandshakeRejection.STALE_INCARNATION;
         }
         boolean sameLifeElsewhere = hello.life() == known && hello.instance() != detector.instanceOf(hello.from());
         if (sameLifeElsewhere || peer.connection != null && hello.life() > known && earlierLifeAnswers(peer, hello)) {
@@ -82,7 +82,8 @@
     private boolean earlierLifeAnswers(Peer peer, Handshake.Hello hello) {
         PeerConnection earlier = peer.connection;
         double startedAtMs = clock.nowMs();
-        double untilMs = startedAtMs + Math.min(context.limits.suspectMs(), context.limits.handshakeMs() * PROBE_SHARE);
+        double untilMs = startedAtMs
+                + Math.min(context.limits.suspectAfterMs(), context.limits.handshakeTimeoutMs() * PROBE_SHARE);
         while (!context.closing() && !earlier.closed && peer.connection == earlier) {
             if (membership.detector().lastDirectMs(hello.from()) > startedAtMs) {
                 return true;
@@ -91,7 +92,7 @@
             if (left <= 0) {
                 return false;
             }
-            context.awaitChange(Math.min(left, context.limits.beatMs() / 2));
+            context.awaitChange(Math.min(left, context.limits.heartbeatMs() / 2));
             if (Thread.currentThread().isInterrupted()) {
                 return false;
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
@@ -30,7 +30,7 @@
                     context.awaitChange(dueMs - now);
                     continue;
                 }
-                dueMs = Math.max(dueMs + context.limits.beatMs(), now);
+                dueMs = Math.max(dueMs + context.limits.heartbeatMs(), now);
                 checkConnections(now, now - lastTickMs);
                 lastTickMs = now;
                 membership.process(membership.detector().tick(now));
@@ -39,7 +39,7 @@
     }
 
     private void checkConnections(double now, double sinceLastTickMs) {
-        boolean late = sinceLastTickMs > LATE_INTERVALS * context.limits.beatMs();
+        boolean late = sinceLastTickMs > LATE_INTERVALS * context.limits.heartbeatMs();
         for (Peer peer : registry.peers()) {
             PeerConnection connection = peer.connection;
             if (connection != null) {
@@ -51,7 +51,7 @@
     private void check(PeerConnection connection, double now, double sinceLastTickMs, boolean late) {
         FailureDetector detector = membership.detector();
         double receiving = connection.receiveStartedAtMs;
-        if (receiving > 0 && now - receiving > context.limits.beatMs()) {
+        if (receiving > 0 && now - receiving > context.limits.heartbeatMs()) {
             context.metrics.count("receiver_slow_beats");
             detector.excuseSilence(now, connection.peerName, sinceLastTickMs);
         }
@@ -59,10 +59,10 @@
         if (writing > 0 && late) {
             // This process itself was paused; the other side may have taken everything by now.
             connection.writeStartedAtMs = now;
-        } else if (writing > 0 && now - writing > context.limits.goneMs()) {
+        } else if (writing > 0 && now - writing > context.limits.deadAfterMs()) {
             context.metrics.count("writes_stalled");
             connection.close("takes nothing");
-        } else if (detector.unheardForMs(connection.peerName) > context.limits.goneMs()) {
+        } else if (detector.unheardForMs(connection.peerName) > context.limits.deadAfterMs()) {
             context.metrics.count("one_way_closed");
             connection.close("does not hear us");
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -21,7 +21,7 @@
     boolean needsProbe(double now, MemberState member) {
         boolean watched = member.known && !member.left && member.status != MemberStatus.DEAD;
         double directSilenceMs = now - member.lastDirectMs - member.excusedMs;
-        if (watched && directSilenceMs > FailureDetector.PROBE_AFTER_INTERVALS * limits.beatMs()) {
+        if (watched && directSilenceMs > FailureDetector.PROBE_AFTER_INTERVALS * limits.heartbeatMs()) {
             return true;
         }
         if (!watched || member.lastAliveMs == member.lastDirectMs) {
@@ -44,7 +44,7 @@
 
     private void chooseHelpers(MemberState target, Map<String, List<String>> requests) {
         List<MemberState> order = members.all();
-        int missing = limits.asked();
+        int missing = limits.probeHelpers();
         if (target.helper != null && addRequest(requests, members.get(target.helper), target.name)) {
             missing--;
         }
@@ -73,7 +73,7 @@
      * @return whether the member is to be probed now on the peer's behalf
      */
     boolean onRequest(double now, MemberState target, String requester) {
-        if (!target.connected || now - target.lastDirectMs <= limits.beatMs()) {
+        if (!target.connected || now - target.lastDirectMs <= limits.heartbeatMs()) {
             return false;
         }
         boolean first = target.probeRequesters.isEmpty();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
@@ -21,7 +21,7 @@
     private final FailureDetector detector;
     private final WatcherQueue watcherCalls;
     private final List<PeerLinks.Watcher> watchers = new ArrayList<>();
-    private final List<TcpPeerLinks.Alarm> alarms = new ArrayList<>();
+    private final List<TcpPeerLinks.FaultListener> alarms = new ArrayList<>();
     private boolean connectedInThisLife;
     private int renewals;
 
@@ -41,7 +41,7 @@
         watchers.add(watcher);
     }
 
-    void alarm(TcpPeerLinks.Alarm alarm) {
+    void alarm(TcpPeerLinks.FaultListener alarm) {
         alarms.add(alarm);
     }
 
@@ -115,7 +115,7 @@
         watcherCalls.add(
                 name,
                 () -> LOG.error("{}: {}: {}", name.equals(self) ? "this member, " + name : name, reason.text(), text));
-        for (TcpPeerLinks.Alarm alarm : alarms) {
+        for (TcpPeerLinks.FaultListener alarm : alarms) {
             watcherCalls.add(name, () -> alarm.onFault(name, reason, text));
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerAddress.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerAddress.java
@@ -32,8 +32,8 @@
      * @throws IllegalArgumentException if not
      */
     static String requireValidName(String name) {
-        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > PeerLimits.NAME_BYTES) {
-            throw new IllegalArgumentException("a name has from 1 to " + PeerLimits.NAME_BYTES + " bytes: " + name);
+        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > PeerLimits.MAX_NAME_BYTES) {
+            throw new IllegalArgumentException("a name has from 1 to " + PeerLimits.MAX_NAME_BYTES + " bytes: " + name);
         }
         return name;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
@@ -51,8 +51,8 @@
         socket.setTcpNoDelay(true);
         openedAtMs = clock.nowMs();
         lastReadAtMs = openedAtMs;
-        handshakeDeadlineMs = openedAtMs + limits.handshakeMs();
-        sendQueue = new SendQueue(limits.queueBytes(), limits.queueMessages());
+        handshakeDeadlineMs = openedAtMs + limits.handshakeTimeoutMs();
+        sendQueue = new SendQueue(limits.maxQueueBytes(), limits.maxQueueMessages());
         InputStream raw = socket.getInputStream();
         in = new BufferedInputStream(
                 new InputStream() {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLimits.java
@@ -17,53 +17,53 @@
  * @param asked how many others are asked at a time whether they hear a silent peer
  */
 public record PeerLimits(
-        int frameBytes,
-        long queueBytes,
-        int queueMessages,
-        double beatMs,
-        double suspectMs,
-        double goneMs,
-        int handshakeMs,
-        double dialMinMs,
-        double dialMaxMs,
-        int strangers,
-        int asked) {
+        int maxFrameBytes,
+        long maxQueueBytes,
+        int maxQueueMessages,
+        double heartbeatMs,
+        double suspectAfterMs,
+        double deadAfterMs,
+        int handshakeTimeoutMs,
+        double dialBackoffMinMs,
+        double dialBackoffMaxMs,
+        int maxPendingHandshakes,
+        int probeHelpers) {
     /** Bytes of a member's, a zone's or a fleet's name, in UTF-8. */
-    public static final int NAME_BYTES = 64;
+    public static final int MAX_NAME_BYTES = 64;
 
     /** Checks each value; faults are told by {@link IllegalArgumentException}. */
     public PeerLimits {
-        demand(frameBytes >= 4096 && frameBytes <= 64 << 20, "frameBytes must be from 4096 to 67108864");
-        demand(queueBytes >= frameBytes, "queueBytes must hold one frame at least");
-        demand(queueMessages > 0, "queueMessages must be positive");
-        demand(beatMs >= 1, "beatMs must be 1 at least");
-        demand(suspectMs >= 4 * beatMs, "suspectMs must be four beats at least");
-        demand(goneMs >= 2 * suspectMs, "goneMs must be twice suspectMs at least");
-        demand(handshakeMs > 0, "handshakeMs must be positive");
-        demand(dialMinMs > 0 && dialMaxMs >= dialMinMs, "dialMaxMs must not be under dialMinMs");
-        demand(strangers > 0, "strangers must be positive");
-        demand(asked > 0, "asked must be positive");
+        demand(maxFrameBytes >= 4096 && maxFrameBytes <= 64 << 20, "frameBytes must be from 4096 to 67108864");
+        demand(maxQueueBytes >= maxFrameBytes, "queueBytes must hold one frame at least");
+        demand(maxQueueMessages > 0, "queueMessages must be positive");
+        demand(heartbeatMs >= 1, "beatMs must be 1 at least");
+        demand(suspectAfterMs >= 4 * heartbeatMs, "suspectMs must be four beats at least");
+        demand(deadAfterMs >= 2 * suspectAfterMs, "goneMs must be twice suspectMs at least");
+        demand(handshakeTimeoutMs > 0, "handshakeMs must be positive");
+        demand(dialBackoffMinMs > 0 && dialBackoffMaxMs >= dialBackoffMinMs, "dialMaxMs must not be under dialMinMs");
+        demand(maxPendingHandshakes > 0, "strangers must be positive");
+        demand(probeHelpers > 0, "asked must be positive");
     }
 
     /** What a fleet of some tens of members in one region does well with. */
-    public static PeerLimits standard() {
+    public static PeerLimits defaults() {
         return new PeerLimits(1 << 20, 4 << 20, 4096, 250, 1250, 4000, 2000, 100, 5000, 32, 3);
     }
 
     /** The same with other times of liveness. */
-    public PeerLimits beating(double beat, double suspect, double gone) {
+    public PeerLimits withLivenessTimeouts(double beat, double suspect, double gone) {
         return new PeerLimits(
-                frameBytes,
-                queueBytes,
-                queueMessages,
+                maxFrameBytes,
+                maxQueueBytes,
+                maxQueueMessages,
                 beat,
                 suspect,
                 gone,
-                handshakeMs,
-                dialMinMs,
-                dialMaxMs,
-                strangers,
-                asked);
+                handshakeTimeoutMs,
+                dialBackoffMinMs,
+                dialBackoffMaxMs,
+                maxPendingHandshakes,
+                probeHelpers);
     }
 
     private static void demand(boolean holds, String fault) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
@@ -28,25 +28,25 @@
     }
 
     /** This member. */
-    Member me();
+    Member self();
 
     /** This member's life: greater at each start. */
-    long life();
+    long incarnation();
 
     /** The other members, as they are configured or have joined. */
     List<Member> peers();
 
     /** The peer's status as this member holds it. */
-    MemberStatus standing(String peer);
+    MemberStatus status(String peer);
 
     /** Queues a message; false if there is no link to this peer or its queue is full: nothing was taken then. */
     boolean send(String peer, MessageStream stream, byte[] body);
 
     /** Sets the receiver of this stream's messages; before {@link #start}. */
-    void receive(MessageStream stream, Receiver receiver);
+    void setReceiver(MessageStream stream, Receiver receiver);
 
     /** Adds a watcher of statuses; before {@link #start}. */
-    void watch(Watcher watcher);
+    void addWatcher(Watcher watcher);
 
     /** Begins to listen and to link. */
     void start() throws java.io.IOException;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
@@ -40,7 +40,7 @@
     void reject(PeerConnection connection, HandshakeRejection reason, long knownLife, String description)
             throws IOException {
         onRejected(connection, reason, description);
-        String text = reason == HandshakeRejection.STALE_LIFE
+        String text = reason == HandshakeRejection.STALE_INCARNATION
                 ? "life " + knownLife + " is known"
                 : "by " + context.self().name() + " of " + context.fleet;
         connection.send(new Handshake.Refuse(reason, knownLife, text));
@@ -53,7 +53,7 @@
         synchronized (context.lock) {
             // An unknown member may be configured by now: of two lists one is always the first to change.
             Peer peer = reason == HandshakeRejection.UNKNOWN_MEMBER ? null : registry.peer(connection.peerName);
-            logged = reason.lasting()
+            logged = reason.isPermanent()
                     && (peer != null
                             ? reportPeer(peer, reason, description)
                             : reportStranger(connection.peerName, reason, description));
@@ -100,16 +100,16 @@
         context.metrics.count(reason.rejectedByPeerCounter());
         synchronized (context.lock) {
             Peer peer = registry.peer(name);
-            if (peer == null || !reason.lasting()) {
+            if (peer == null || !reason.isPermanent()) {
                 LOG.debug("{} rejects: {}: {}", name, reason.text(), refuse.text());
                 return;
             }
-            if (reason == HandshakeRejection.STALE_LIFE && refuse.life() < context.life()) {
+            if (reason == HandshakeRejection.STALE_INCARNATION && refuse.life() < context.life()) {
                 // The rejection was meant for the life before.
                 return;
             }
             boolean ownIdentity =
-                    reason == HandshakeRejection.DUPLICATE_NAME || reason == HandshakeRejection.STALE_LIFE;
+                    reason == HandshakeRejection.DUPLICATE_NAME || reason == HandshakeRejection.STALE_INCARNATION;
             if (ownIdentity && !membership.connectedInThisLife() && membership.renewLife(refuse.life())) {
                 return;
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
@@ -30,7 +30,7 @@
             return;
         }
         double silenceMs = member.silenceMs(now);
-        double suspectMs = limits.suspectMs() * localHealth.multiplier();
+        double suspectMs = limits.suspectAfterMs() * localHealth.multiplier();
         if (member.status == MemberStatus.DEAD) {
             if (member.refutationNumber > member.deadRefutationNumber && silenceMs < suspectMs) {
                 setStatus(now, member, MemberStatus.ALIVE, false);
@@ -60,7 +60,7 @@
         }
         int expected = Math.min(MAX_CONFIRMATIONS, others);
         double confirmed = expected == 0 ? 1 : Math.log(1 + Math.min(confirmations, expected)) / Math.log(1 + expected);
-        return limits.goneMs() * (UNCONFIRMED_FACTOR - confirmed) * localHealth.multiplier();
+        return limits.deadAfterMs() * (UNCONFIRMED_FACTOR - confirmed) * localHealth.multiplier();
     }
 
     /** Another process of the member was heard of, with this status. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -48,15 +48,22 @@
      * @param ageMs how long ago it was surely alive; negative if that is not known
      */
     record Entry(
-            String name, long life, long instance, int refutationNumber, MemberStatus status, boolean left, double ageMs) {}
+            String name,
+            long life,
+            long instance,
+            int refutationNumber,
+            MemberStatus status,
+            boolean left,
+            double ageMs) {}
 
     boolean has(int flag) {
         return (flags & flag) != 0;
     }
 
     byte[] encode() {
-        int most =
-                24 + entries.size() * (27 + PeerLimits.NAME_BYTES) + probeRequests.size() * (1 + PeerLimits.NAME_BYTES);
+        int most = 24
+                + entries.size() * (27 + PeerLimits.MAX_NAME_BYTES)
+                + probeRequests.size() * (1 + PeerLimits.MAX_NAME_BYTES);
         ByteBuffer out = ByteBuffer.allocate(most);
         out.put((byte) flags)
                 .putInt(sequence)
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
@@ -40,7 +40,7 @@
 
     /** Is notified of faults that operators must mend: a rejection that lasts, two nodes of one name. */
     @FunctionalInterface
-    public interface Alarm {
+    public interface FaultListener {
         /**
          * A fault was found.
          *
@@ -100,12 +100,12 @@
     }
 
     @Override
-    public Member me() {
+    public Member self() {
         return context.self();
     }
 
     @Override
-    public long life() {
+    public long incarnation() {
         return context.life();
     }
 
@@ -124,27 +124,27 @@
     }
 
     @Override
-    public MemberStatus standing(String peer) {
+    public MemberStatus status(String peer) {
         synchronized (context.lock) {
             return membership.detector().status(peer);
         }
     }
 
     /** Whether there is a connection with this peer; it may be alive by what others hear and have none. */
-    public boolean linked(String peer) {
+    public boolean isConnected(String peer) {
         return registry.connection(peer) != null;
     }
 
     /** Names of the peers that have a connection now. */
-    public Collection<String> links() {
+    public Collection<String> connectedPeers() {
         return registry.connectedNames();
     }
 
     @Override
     public boolean send(String peer, MessageStream stream, byte[] body) {
         requirePublic(stream);
-        if (body.length > context.limits.frameBytes()) {
-            throw new IllegalArgumentException(body.length + " bytes, over " + context.limits.frameBytes());
+        if (body.length > context.limits.maxFrameBytes()) {
+            throw new IllegalArgumentException(body.length + " bytes, over " + context.limits.maxFrameBytes());
         }
         PeerConnection connection = registry.connection(peer);
         if (connection == null) {
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void receive(MessageStream stream, Receiver receiver) {
+    public void setReceiver(MessageStream stream, Receiver receiver) {
         requirePublic(stream);
         reader.setReceiver(stream, receiver);
     }
@@ -171,17 +171,17 @@
     }
 
     @Override
-    public void watch(Watcher watcher) {
+    public void addWatcher(Watcher watcher) {
         membership.watch(watcher);
     }
 
     /** Adds an alarm; before {@link #start}. */
-    public void alarm(Alarm alarm) {
+    public void addFaultListener(FaultListener alarm) {
         membership.alarm(alarm);
     }
 
     /** Counters since the start and present gauges, by name. */
-    public Map<String, Double> figures() {
+    public Map<String, Double> metrics() {
         Map<String, Double> all = context.metrics.snapshot();
         synchronized (context.lock) {
             all.put("links", (double) registry.connectedNames().size());
@@ -209,7 +209,8 @@
             membership.start();
             registry.peers().forEach(dialer::start);
         }
-        LOG.info("{} of fleet {} listens on {}, life {}", me().name(), context.fleet, me().address(), life());
+        LOG.info(
+                "{} of fleet {} listens on {}, life {}", self().name(), context.fleet, self().address(), incarnation());
     }
 
     /**
@@ -220,7 +221,7 @@
     public void update(List<Member> members) {
         Map<String, Member> wanted = new HashMap<>();
         for (Member member : members) {
-            if (!member.name().equals(me().name())
+            if (!member.name().equals(self().name())
                     && wanted.put(member.name(), PeerAddress.requireValid(member)) != null) {
                 throw new IllegalArgumentException("two members of the name " + member.name());
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WireFormat.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WireFormat.java
@@ -61,7 +61,7 @@
     /** A name: not empty, bounded. */
     static String name(ByteBuffer in) throws WireException {
         String name = text(in);
-        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > PeerLimits.NAME_BYTES) {
+        if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > PeerLimits.MAX_NAME_BYTES) {
             throw new WireException("a name that is empty or too long");
         }
         return name;
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -95,8 +95,9 @@
         this.disk = disk;
         this.clock = clock;
         long nonce = new java.security.SecureRandom().nextLong() | 1;
-        long incarnation = Math.max(links.life(), disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life());
-        store = new RecordStore(links.me().name(), incarnation, nonce, true);
+        long incarnation =
+                Math.max(links.incarnation(), disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life());
+        store = new RecordStore(links.self().name(), incarnation, nonce, true);
         notifier = new ChangeNotifier(monitor, store, clock);
         diskWriter = disk == null ? null : new DiskWriter(monitor, store, disk);
         if (disk != null) {
@@ -105,10 +106,10 @@
             diskWriter.enqueueAll();
         }
         protocol = new ReplicationProtocol(store, limits, new SplittableRandom(nonce), clock.nowMs());
-        links.receive(
+        links.setReceiver(
                 MessageStream.REPLICA,
                 (peer, of, body) -> runTurn(() -> protocol.onMessage(peer, of, body, clock.nowMs())));
-        links.watch((peer, status, of) -> runTurn(() -> {
+        links.addWatcher((peer, status, of) -> runTurn(() -> {
             peersChanged = true;
             if (status == MemberStatus.ALIVE) {
                 protocol.onPeerReachable(peer);
@@ -207,7 +208,7 @@
             peersChanged = false;
             List<String> all = links.peers().stream().map(Member::name).toList();
             List<String> reachable = all.stream()
-                    .filter(peer -> links.standing(peer) != MemberStatus.DEAD)
+                    .filter(peer -> links.status(peer) != MemberStatus.DEAD)
                     .toList();
             protocol.setPeers(all, reachable);
         }
@@ -289,7 +290,7 @@
     /** What is held of each member; what {@code state status} shows. */
     public List<Status> status() {
         Map<String, MemberStatus> standings = new TreeMap<>();
-        links.peers().forEach(p -> standings.put(p.name(), links.standing(p.name())));
+        links.peers().forEach(p -> standings.put(p.name(), links.status(p.name())));
         standings.put(store.localMember(), MemberStatus.ALIVE);
         return monitor.locked(() -> {
             List<Status> all = new ArrayList<>();
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -167,9 +167,9 @@
         PeerLinks l = links.get("m8");
         AtomicLong answers = new AtomicLong();
         nodes.remove("m8").halt();
-        l.receive(MessageStream.AGREED, (p, life, b) -> answers.incrementAndGet());
+        l.setReceiver(MessageStream.AGREED, (p, life, b) -> answers.incrementAndGet());
         byte[] q = AgreementCodec.frame(new AgreementMessage.Question(
-                l.life(),
+                l.incarnation(),
                 1,
                 List.of(new AgreementMessage.Heard(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
         long from = System.nanoTime();
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemberMain.java
@@ -31,7 +31,7 @@
         Member me = members.get(Integer.parseInt(args[0]));
         Clock clock = Clock.system();
         TcpPeerLinks links =
-                new TcpPeerLinks(me, System.currentTimeMillis(), "f", members, clock, PeerLimits.standard());
+                new TcpPeerLinks(me, System.currentTimeMillis(), "f", members, clock, PeerLimits.defaults());
         AgreementMember node = new AgreementMember(
                 links,
                 Path.of(args[1]),
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/MemoryNet.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/MemoryNet.java
@@ -78,12 +78,12 @@
         }
 
         @Override
-        public Member me() {
+        public Member self() {
             return me;
         }
 
         @Override
-        public long life() {
+        public long incarnation() {
             return life;
         }
 
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public MemberStatus standing(String peer) {
+        public MemberStatus status(String peer) {
             return MemberStatus.ALIVE;
         }
 
@@ -129,12 +129,12 @@
         }
 
         @Override
-        public void receive(MessageStream stream, Receiver receiver) {
+        public void setReceiver(MessageStream stream, Receiver receiver) {
             receivers.put(stream, receiver);
         }
 
         @Override
-        public void watch(Watcher watcher) {}
+        public void addWatcher(Watcher watcher) {}
 
         @Override
         public void start() {}
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -66,7 +66,7 @@
     /** A voter that tells of its disk and keeps what the library says to it; all else is this test's. */
     private PeerLinks scripted(String name) {
         PeerLinks links = net.links(name);
-        links.receive(MessageStream.AGREED, (peer, life, body) -> {
+        links.setReceiver(MessageStream.AGREED, (peer, life, body) -> {
             AgreementCodec.Frame frame = frame(body);
             if (frame.message() instanceof AgreementMessage.Hello) {
                 links.send(
--- a/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
@@ -76,7 +76,7 @@
     @Test
     void theControlExampleNamesWhatHoldsWhereNothingIsSaid() throws FileFaults {
         FleetFile example = FleetFile.read(Path.of("../deploy/control.toml"));
-        assertEquals(ControlLimits.STANDARD, example.control().limits());
+        assertEquals(ControlLimits.DEFAULTS, example.control().limits());
         assertEquals(List.of("*"), example.control().nodes());
         assertEquals("south", example.control().machine("c2").region());
         assertEquals(3, example.control().machines().size());
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
@@ -9,7 +9,7 @@
 import brackenbridge.fleet.control.ControlMessage.HeldVersion;
 import brackenbridge.fleet.control.ControlMessage.MachineHeartbeat;
 import brackenbridge.fleet.control.ControlMessage.NodeHeartbeat;
-import brackenbridge.fleet.control.ControlMessage.Refuse;
+import brackenbridge.fleet.control.ControlMessage.Reject;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
@@ -28,16 +28,16 @@
             new NodeHeartbeat(12),
             new Welcome("c1", 750),
             new MachineHeartbeat(13, true),
-            new Refuse(SubscriptionRejection.BUSY, 1250));
+            new Reject(SubscriptionRejection.BUSY, 1250));
 
     @Test
     void everyMessageIsTheSameAfterItsWay() throws ProtocolException {
         for (ControlMessage message : ALL) {
             assertEquals(message, ControlCodec.read(ControlCodec.write(message)));
         }
-        byte[] content = new byte[Resource.MAX_CONTENT];
+        byte[] content = new byte[Resource.MAX_CONTENT_BYTES];
         Arrays.fill(content, (byte) 7);
-        byte[] longest = ControlCodec.write(new Update(new Resource("x".repeat(Resource.MAX_NAME), 9, content)));
+        byte[] longest = ControlCodec.write(new Update(new Resource("x".repeat(Resource.MAX_NAME_LENGTH), 9, content)));
         assertTrue(longest.length <= ControlCodec.MAX_MESSAGE, longest.length + " bytes");
         Update back = (Update) ControlCodec.read(longest);
         assertArrayEquals(content, back.resource().content());
@@ -51,7 +51,7 @@
 
     private static SubscriptionRejection refusalOf(byte[] bytes) {
         return assertThrows(ProtocolException.class, () -> ControlCodec.read(bytes))
-                .refusal();
+                .rejection();
     }
 
     @Test
@@ -72,7 +72,8 @@
     void valuesOutOfBoundsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Resource("a", 0, new byte[0]));
         assertThrows(IllegalArgumentException.class, () -> new Resource("", 1, new byte[0]));
-        assertThrows(IllegalArgumentException.class, () -> new Resource("a", 1, new byte[Resource.MAX_CONTENT + 1]));
+        assertThrows(
+                IllegalArgumentException.class, () -> new Resource("a", 1, new byte[Resource.MAX_CONTENT_BYTES + 1]));
         assertThrows(IllegalArgumentException.class, () -> new HeldVersion("a", 1, 2));
     }
 
@@ -99,8 +100,8 @@
         try {
             ControlCodec.read(bytes);
         } catch (ProtocolException e) {
-            assertTrue(e.refusal() == SubscriptionRejection.UNREADABLE
-                    || e.refusal() == SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
+            assertTrue(e.rejection() == SubscriptionRejection.UNREADABLE
+                    || e.rejection() == SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlLimitsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlLimitsTest.java
@@ -19,16 +19,16 @@
 
     @Test
     void aChangeIsInForceInTimeWithTwoMachinesInARowThatDoNotAnswer() {
-        double worst = AGREED_MS + ControlLimits.STANDARD.worstCaseMs(2, LEASE_MS);
+        double worst = AGREED_MS + ControlLimits.DEFAULTS.maxPropagationMs(2, LEASE_MS);
         assertTrue(worst <= TARGET_MS, worst + " ms");
         assertTrue(
-                AGREED_MS + ControlLimits.STANDARD.worstCaseMs(4, LEASE_MS) > TARGET_MS,
+                AGREED_MS + ControlLimits.DEFAULTS.maxPropagationMs(4, LEASE_MS) > TARGET_MS,
                 "with four it is not promised");
     }
 
     @Test
     void limitsThatCannotBeKeptAreRejected() {
-        ControlLimits usual = ControlLimits.STANDARD;
+        ControlLimits usual = ControlLimits.DEFAULTS;
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new ControlLimits(
@@ -37,8 +37,8 @@
                 IllegalArgumentException.class,
                 () -> new ControlLimits(
                         usual.heartbeatMs(),
-                        usual.silenceMs(),
-                        usual.unconfirmedMs(),
+                        usual.silenceTimeoutMs(),
+                        usual.unconfirmedTimeoutMs(),
                         50,
                         3000,
                         1000,
@@ -55,8 +55,8 @@
                 IllegalArgumentException.class,
                 () -> new ControlLimits(
                         usual.heartbeatMs(),
-                        usual.silenceMs(),
-                        usual.unconfirmedMs(),
+                        usual.silenceTimeoutMs(),
+                        usual.unconfirmedTimeoutMs(),
                         50,
                         3000,
                         1000,
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
@@ -6,7 +6,7 @@
 import brackenbridge.clock.Clock;
 import brackenbridge.fleet.control.ControlMessage.HeldVersion;
 import brackenbridge.fleet.control.ControlMessage.NodeHeartbeat;
-import brackenbridge.fleet.control.ControlMessage.Refuse;
+import brackenbridge.fleet.control.ControlMessage.Reject;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
@@ -216,7 +216,7 @@
         ControlClient node = node("n1", "north", FAST, machine);
         await(() -> applied.getOrDefault("n1", 0L) == 1);
         machine.publish(2, "bad settings");
-        await(() -> FleetStatus.text(List.of(new ReportExchange.Dated(machine.server.report(), 0)))
+        await(() -> FleetStatus.format(List.of(new ReportExchange.AgedReport(machine.server.report(), 0)))
                 .contains("n1: " + SETTINGS + " at version 1, newest 2, refused: it is bad"));
         assertEquals(1, applied.get("n1"));
         assertEquals(1, node.status().rejected());
@@ -260,12 +260,12 @@
         node("n2", "north", FAST, machine);
         machine.publish(1, "one");
         await(() -> applied.size() == 2);
-        slow.pauseReading(true);
+        slow.setReadingPaused(true);
         await(() -> machine.refused(SubscriptionRejection.SLOW_READER) >= 1);
         machine.publish(2, "two");
         await(() -> applied.get("n2") == 2);
         assertEquals(1, applied.get("n1"));
-        slow.pauseReading(false);
+        slow.setReadingPaused(false);
         await(() -> applied.get("n1") == 2);
     }
 
@@ -321,14 +321,14 @@
         /** The reason that it is told, before the connection ends. */
         SubscriptionRejection refusal() throws IOException {
             ControlMessage message = read();
-            while (!(message instanceof Refuse)) {
+            while (!(message instanceof Reject)) {
                 message = read();
             }
             try {
                 in.readInt();
                 throw new AssertionError("the connection goes on behind a refusal");
             } catch (EOFException e) {
-                return ((Refuse) message).refusal();
+                return ((Reject) message).rejection();
             }
         }
 
@@ -411,7 +411,7 @@
         Machine machine = machine("c1", "north", FAST);
         List<Raw> idle = new ArrayList<>();
         try {
-            for (int i = 0; i < FAST.maxUnsubscribed() + 5; i++) {
+            for (int i = 0; i < FAST.maxUnsubscribedConnections() + 5; i++) {
                 idle.add(new Raw(machine));
             }
             await(() -> machine.refused(SubscriptionRejection.BUSY) >= 5);
--- a/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulation.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulation.java
@@ -53,7 +53,7 @@
         private void dial(Machine machine) {
             attempts.merge((long) (nowMs / 1000), 1, Integer::sum);
             if (!reach(region, machine.is.region())) {
-                at(nowMs + limits.connectMs(), this, this::failed);
+                at(nowMs + limits.connectTimeoutMs(), this, this::failed);
                 return;
             }
             at(nowMs + 2 * WAY_MS, this, () -> subscribe(machine));
@@ -88,7 +88,8 @@
             } else {
                 confirmedSinceMs = Double.NaN;
             }
-            if (silent && nowMs - confirmedMs > limits.silenceMs() || nowMs - confirmedMs > selector.patienceMs()) {
+            if (silent && nowMs - confirmedMs > limits.silenceTimeoutMs()
+                    || nowMs - confirmedMs > selector.patienceMs()) {
                 leave();
                 failed();
             } else if (nowMs >= homeAtMs) {
--- a/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulationTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulationTest.java
@@ -21,7 +21,7 @@
         for (int i = 0; i < regions.length(); i++) {
             machines.add(new ControlMachine("m" + i, regions.substring(i, i + 1), "127.0.0.1:" + (9000 + i)));
         }
-        return new FleetSimulation(machines, REGIONS, NODES, ControlLimits.STANDARD, seed);
+        return new FleetSimulation(machines, REGIONS, NODES, ControlLimits.DEFAULTS, seed);
     }
 
     @ParameterizedTest
@@ -55,7 +55,7 @@
             assertTrue(
                     fleet.allConfirmedMs() - backMs < DEADLINE_MS,
                     "the last after " + (fleet.allConfirmedMs() - backMs) + " ms");
-            fleet.runUntil(backMs + 4 * ControlLimits.STANDARD.homeMaxMs());
+            fleet.runUntil(backMs + 4 * ControlLimits.DEFAULTS.returnHomeMaxMs());
             assertEquals(NODES, fleet.atHome(), "all are at home again");
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -65,7 +65,7 @@
         messages.put("update", new ControlMessage.Update(new Resource("shares", 3, CONTENT)));
         messages.put("machine-heartbeat", new ControlMessage.MachineHeartbeat(70_001, true));
         for (int i = 0; i < REFUSALS.size(); i++) {
-            messages.put("refuse-" + i, new ControlMessage.Refuse(REFUSALS.get(i), 250.25));
+            messages.put("refuse-" + i, new ControlMessage.Reject(REFUSALS.get(i), 250.25));
         }
         return messages;
     }
@@ -110,7 +110,7 @@
         RecordingLinks recording = new RecordingLinks();
         ReportExchange exchange = new ReportExchange(recording, Clock.system());
         recording.receiver.onMessage("c1", 1, form);
-        return exchange.all().get(0).report();
+        return exchange.latestReports().get(0).report();
     }
 
     @Test
@@ -121,7 +121,7 @@
                 "c1",
                 new InetSocketAddress("127.0.0.1", 0),
                 new NodeNames(List.of("n*")),
-                ControlLimits.STANDARD);
+                ControlLimits.DEFAULTS);
         new ControlServer(settings, Clock.system(), () -> true, metrics).close();
         String names = metrics.getMeters().stream()
                 .map(meter -> meter.getId().getName() + " " + meter.getId().getTags() + "\n")
--- a/fleet/src/test/java/brackenbridge/fleet/control/MachineSelectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/MachineSelectorTest.java
@@ -15,7 +15,7 @@
 
 /** Which machine a node tries next, when, and how a fleet of nodes spreads over them. */
 class MachineSelectorTest {
-    private static final ControlLimits LIMITS = ControlLimits.STANDARD;
+    private static final ControlLimits LIMITS = ControlLimits.DEFAULTS;
 
     /** Nine machines in six regions: two each in the first three. */
     private static List<ControlMachine> nine() {
@@ -94,19 +94,19 @@
     void patienceWithUnconfirmedMachinesDoublesByTheRoundAndEndsWithAConfirmedOne() {
         MachineSelector selector = selector("a", 4);
         selector.next();
-        assertEquals(LIMITS.unconfirmedMs(), selector.patienceMs());
+        assertEquals(LIMITS.unconfirmedTimeoutMs(), selector.patienceMs());
         for (int i = 0; i < 9; i++) {
             selector.failed();
             selector.next();
         }
-        assertEquals(2 * LIMITS.unconfirmedMs(), selector.patienceMs());
+        assertEquals(2 * LIMITS.unconfirmedTimeoutMs(), selector.patienceMs());
         for (int i = 0; i < 200; i++) {
             selector.failed();
             selector.next();
         }
-        assertEquals(LIMITS.homeMaxMs(), selector.patienceMs());
+        assertEquals(LIMITS.returnHomeMaxMs(), selector.patienceMs());
         selector.confirmed();
-        assertEquals(LIMITS.unconfirmedMs(), selector.patienceMs());
+        assertEquals(LIMITS.unconfirmedTimeoutMs(), selector.patienceMs());
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
@@ -12,12 +12,12 @@
     Receiver receiver;
 
     @Override
-    public Member me() {
+    public Member self() {
         return new Member("c1", "127.0.0.1:1", "z1");
     }
 
     @Override
-    public long life() {
+    public long incarnation() {
         return 1;
     }
 
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public MemberStatus standing(String peer) {
+    public MemberStatus status(String peer) {
         return MemberStatus.ALIVE;
     }
 
@@ -38,12 +38,12 @@
     }
 
     @Override
-    public void receive(MessageStream stream, Receiver newReceiver) {
+    public void setReceiver(MessageStream stream, Receiver newReceiver) {
         receiver = newReceiver;
     }
 
     @Override
-    public void watch(Watcher watcher) {
+    public void addWatcher(Watcher watcher) {
         // Nobody's standing changes.
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
@@ -112,7 +112,7 @@
     }
 
     private String fleetStatus() {
-        return FleetStatus.text(List.of(new ReportExchange.Dated(server.report(), 0)));
+        return FleetStatus.format(List.of(new ReportExchange.AgedReport(server.report(), 0)));
     }
 
     @Test
--- a/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
@@ -121,12 +121,12 @@
     /** A member without peers. */
     private static final class StubLinks implements PeerLinks {
         @Override
-        public Member me() {
+        public Member self() {
             return new Member("m0", "127.0.0.1:0", "a");
         }
 
         @Override
-        public long life() {
+        public long incarnation() {
             return 1;
         }
 
@@ -136,7 +136,7 @@
         }
 
         @Override
-        public MemberStatus standing(String peer) {
+        public MemberStatus status(String peer) {
             throw new IllegalArgumentException(peer);
         }
 
@@ -146,10 +146,10 @@
         }
 
         @Override
-        public void receive(MessageStream stream, Receiver receiver) {}
+        public void setReceiver(MessageStream stream, Receiver receiver) {}
 
         @Override
-        public void watch(Watcher watcher) {}
+        public void addWatcher(Watcher watcher) {}
 
         @Override
         public void start() {}
--- a/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class FailureDetectorTest {
-    private static final PeerLimits LIMITS = PeerLimits.standard();
+    private static final PeerLimits LIMITS = PeerLimits.defaults();
 
     /** Members that exchange beats over simulated lines; one seed gives one history. */
     private static final class World {
@@ -67,7 +67,7 @@
             FailureDetector d = new FailureDetector(names.get(i), life, instance(i, life), LIMITS, random.nextLong());
             d.update(names);
             members[i] = d;
-            in(random.nextDouble() * LIMITS.beatMs(), () -> tick(i, d));
+            in(random.nextDouble() * LIMITS.heartbeatMs(), () -> tick(i, d));
         }
 
         static long instance(int i, long life) {
@@ -99,7 +99,7 @@
             }
             send(i, d.tick(local(i)));
             note(i);
-            in(LIMITS.beatMs(), () -> tick(i, d));
+            in(LIMITS.heartbeatMs(), () -> tick(i, d));
         }
 
         void send(int i, List<FailureDetector.Outgoing> out) {
@@ -181,7 +181,7 @@
             w.run(5000 + seed);
             double died = w.now;
             w.end(0);
-            w.run(2 * LIMITS.goneMs() + 3 * LIMITS.beatMs());
+            w.run(2 * LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
             w.awaitAll(0, MemberStatus.DEAD);
             for (World.Seen s : w.seen) {
                 if (s.standing() == MemberStatus.DEAD) {
@@ -200,8 +200,9 @@
                 sorted[sorted.length * 99 / 100],
                 sorted[sorted.length - 1],
                 wrong);
-        assertTrue(sorted[0] > LIMITS.goneMs() - 4 * LIMITS.beatMs(), "too soon: " + sorted[0]);
-        assertTrue(sorted[sorted.length / 2] < LIMITS.goneMs() + 2 * LIMITS.beatMs(), "p50 of " + sorted.length);
+        assertTrue(sorted[0] > LIMITS.deadAfterMs() - 4 * LIMITS.heartbeatMs(), "too soon: " + sorted[0]);
+        assertTrue(
+                sorted[sorted.length / 2] < LIMITS.deadAfterMs() + 2 * LIMITS.heartbeatMs(), "p50 of " + sorted.length);
         assertEquals(0, wrong);
     }
 
@@ -275,7 +276,7 @@
         // The beats of this half second arrive from 1.3 to 3.9 s after their sending, when their sender has ended.
         double died = w.now;
         w.end(0);
-        w.run(LIMITS.goneMs() + 3 * LIMITS.beatMs());
+        w.run(LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
         assertEquals(MemberStatus.DEAD, w.members[1].status("n0"), "by " + (w.now - died));
         w.run(10_000);
         assertEquals(MemberStatus.DEAD, w.members[1].status("n0"));
@@ -362,10 +363,10 @@
         int sent = 0;
         double now = 0;
         while (d.status("b") != MemberStatus.DEAD) {
-            now += LIMITS.beatMs();
+            now += LIMITS.heartbeatMs();
             sent = d.tick(now).get(0).message().sequence();
         }
-        assertEquals(LIMITS.goneMs(), now, LIMITS.beatMs());
+        assertEquals(LIMITS.deadAfterMs(), now, LIMITS.heartbeatMs());
         d.onMessage(now + 10, "b", 1, 2, new SwimMessage(0, 1, sent, 5, 0, List.of(), List.of()));
         assertEquals(MemberStatus.DEAD, d.status("b"), "it does not know yet that it was held gone");
         d.onMessage(now + 20, "b", 1, 2, new SwimMessage(0, 2, sent, 15, 1, List.of(), List.of()));
--- a/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
@@ -24,7 +24,7 @@
             HandshakeRejection.FLEET_MISMATCH,
             HandshakeRejection.WRONG_MEMBER,
             HandshakeRejection.UNKNOWN_MEMBER,
-            HandshakeRejection.STALE_LIFE,
+            HandshakeRejection.STALE_INCARNATION,
             HandshakeRejection.DUPLICATE_NAME,
             HandshakeRejection.ALREADY_CONNECTED,
             HandshakeRejection.SHUTTING_DOWN);
--- a/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
@@ -25,10 +25,10 @@
 
     private TcpPeerLinks begin(int i, long life) throws Exception {
         TcpPeerLinks links = new TcpPeerLinks(
-                new Member("node-" + i, "127.0.0.1:0", "zone"), life, "fleet", List.of(), clock, PeerLimits.standard());
-        links.watch((peer, standing, its) -> {
+                new Member("node-" + i, "127.0.0.1:0", "zone"), life, "fleet", List.of(), clock, PeerLimits.defaults());
+        links.addWatcher((peer, standing, its) -> {
             if (standing == MemberStatus.DEAD) {
-                gone.put(links.me().name() + " " + peer + " " + its, clock.nowMs());
+                gone.put(links.self().name() + " " + peer + " " + its, clock.nowMs());
             }
         });
         links.start();
@@ -36,18 +36,18 @@
     }
 
     private void meet() {
-        List<Member> members = all.stream().map(TcpPeerLinks::me).toList();
+        List<Member> members = all.stream().map(TcpPeerLinks::self).toList();
         all.forEach(l -> l.update(members));
         Awaitility.await()
                 .atMost(java.time.Duration.ofMinutes(1))
                 .until(() -> all.stream()
-                        .allMatch(l -> l.figures().get("peers_alive") == all.size() - 1
-                                && l.links().size() == all.size() - 1));
+                        .allMatch(l -> l.metrics().get("peers_alive") == all.size() - 1
+                                && l.connectedPeers().size() == all.size() - 1));
     }
 
     private double sum(String figure) {
         return all.stream()
-                .mapToDouble(l -> l.figures().getOrDefault(figure, 0.0))
+                .mapToDouble(l -> l.metrics().getOrDefault(figure, 0.0))
                 .sum();
     }
 
@@ -59,7 +59,7 @@
         double from = clock.nowMs();
         meet();
         System.out.printf("%d members: all linked after %.0f ms%n", members, clock.nowMs() - from);
-        for (String name : all.get(1).figures().keySet()) {
+        for (String name : all.get(1).metrics().keySet()) {
             System.out.print(name + "=" + (long) sum(name) + " ");
         }
         System.out.println();
@@ -81,12 +81,13 @@
             TcpPeerLinks victim = all.remove(d % members);
             double died = clock.nowMs();
             victim.halt();
-            String key = " " + victim.me().name() + " " + victim.life();
+            String key = " " + victim.self().name() + " " + victim.incarnation();
             Awaitility.await()
                     .atMost(java.time.Duration.ofMinutes(1))
-                    .until(() -> all.stream().allMatch(l -> gone.containsKey(l.me().name() + key)));
-            all.forEach(l -> took.add(gone.get(l.me().name() + key) - died));
-            all.add(d % members, begin(d % members, victim.life() + 1));
+                    .until(() ->
+                            all.stream().allMatch(l -> gone.containsKey(l.self().name() + key)));
+            all.forEach(l -> took.add(gone.get(l.self().name() + key) - died));
+            all.add(d % members, begin(d % members, victim.incarnation() + 1));
             meet();
         }
         double[] sorted = took.stream().mapToDouble(t -> t).sorted().toArray();
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
@@ -9,7 +9,7 @@
 
 /** A member as a process of its own: tells its address and each standing; its members come line by line. */
 final class PeerProcess {
-    static final PeerLimits LIMITS = TcpPeerLinksTest.QUICK.beating(50, 400, 1200);
+    static final PeerLimits LIMITS = TcpPeerLinksTest.QUICK.withLivenessTimeouts(50, 400, 1200);
 
     private PeerProcess() {}
 
@@ -22,9 +22,9 @@
                 List.of(),
                 Clock.system(),
                 LIMITS);
-        links.watch((peer, standing, life) -> System.out.println(peer + " " + standing + " " + life));
+        links.addWatcher((peer, standing, life) -> System.out.println(peer + " " + standing + " " + life));
         links.start();
-        System.out.println("at " + links.me().address());
+        System.out.println("at " + links.self().address());
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             List<Member> members = new ArrayList<>();
--- a/fleet/src/test/java/brackenbridge/fleet/peer/RejectionHandlerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/RejectionHandlerTest.java
@@ -20,7 +20,7 @@
     private static final HandshakeRejection LAST = HandshakeRejection.DUPLICATE_NAME;
 
     private final LinkContext context =
-            new LinkContext(new Member("c", "127.0.0.1:1", "z"), 1, "fleet", Clock.system(), PeerLimits.standard());
+            new LinkContext(new Member("c", "127.0.0.1:1", "z"), 1, "fleet", Clock.system(), PeerLimits.defaults());
     private final ConnectionRegistry registry = new ConnectionRegistry(context);
     private final Membership membership = new Membership(context, registry);
     private final RejectionHandler handler = new RejectionHandler(context, registry, membership);
--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -23,9 +23,9 @@
     static final PeerLimits QUICK = new PeerLimits(64 << 10, 256 << 10, 64, 20, 150, 500, 400, 10, 100, 4, 3);
 
     /** Waits longer than the other side, so that the other side is the one that closes. */
-    static final PeerLimits PATIENT = QUICK.beating(20, 150, 9000);
+    static final PeerLimits PATIENT = QUICK.withLivenessTimeouts(20, 150, 9000);
     /** A busy machine does not break a link by itself. */
-    static final PeerLimits CALM = QUICK.beating(20, 300, 1500);
+    static final PeerLimits CALM = QUICK.withLivenessTimeouts(20, 300, 1500);
 
     private final List<TcpPeerLinks> open = new ArrayList<>();
     private final List<Relay> relays = new CopyOnWriteArrayList<>();
@@ -41,8 +41,8 @@
         for (TcpPeerLinks links : open) {
             assertEquals(
                     0,
-                    links.figures().get("threads"),
-                    "threads of " + links.me().name());
+                    links.metrics().get("threads"),
+                    "threads of " + links.self().name());
         }
     }
 
@@ -50,9 +50,9 @@
         TcpPeerLinks links =
                 new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), life, fleet, List.of(), Clock.system(), limits);
         open.add(links);
-        links.receive(
+        links.setReceiver(
                 MessageStream.REPLICA, (peer, from, body) -> heard.add(name + "<" + peer + from + new String(body)));
-        links.alarm((who, why, text) -> alarms.add(name + ":" + who + ":" + why));
+        links.addFaultListener((who, why, text) -> alarms.add(name + ":" + who + ":" + why));
         links.start();
         return links;
     }
@@ -67,7 +67,7 @@
         volatile boolean spoil;
 
         Relay(TcpPeerLinks listener) throws IOException {
-            String address = listener.me().address();
+            String address = listener.self().address();
             target = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             relays.add(this);
             run(() -> {
@@ -82,7 +82,7 @@
         }
 
         Member stands(TcpPeerLinks listener) {
-            return new Member(listener.me().name(), "127.0.0.1:" + door.getLocalPort(), "z");
+            return new Member(listener.self().name(), "127.0.0.1:" + door.getLocalPort(), "z");
         }
 
         private void pump(Socket from, Socket to, boolean up) throws IOException {
@@ -143,13 +143,13 @@
     }
 
     private static double figure(TcpPeerLinks links, String name) {
-        return links.figures().getOrDefault(name, 0.0);
+        return links.metrics().getOrDefault(name, 0.0);
     }
 
     /** a and b, whose link goes through the relay only: b does not know where a is. */
     private Relay through(TcpPeerLinks a, TcpPeerLinks b) throws IOException {
         Relay relay = new Relay(b);
-        b.update(List.of(new Member(a.me().name(), "127.0.0.1:1", "z")));
+        b.update(List.of(new Member(a.self().name(), "127.0.0.1:1", "z")));
         a.update(List.of(relay.stands(b)));
         awaitLinks(1, a, b);
         return relay;
@@ -158,7 +158,7 @@
     private static void meet(TcpPeerLinks... all) {
         List<Member> members = new ArrayList<>();
         for (TcpPeerLinks links : all) {
-            members.add(links.me());
+            members.add(links.self());
         }
         for (TcpPeerLinks links : all) {
             links.update(members);
@@ -167,7 +167,7 @@
 
     private static void awaitLinks(int each, TcpPeerLinks... all) {
         for (TcpPeerLinks links : all) {
-            await().until(() -> links.links().size() == each);
+            await().until(() -> links.connectedPeers().size() == each);
         }
     }
 
@@ -178,18 +178,18 @@
         TcpPeerLinks c = links("c", 1, "f", QUICK);
         meet(a, b, c);
         awaitLinks(2, a, b, c);
-        assertEquals(MemberStatus.ALIVE, a.standing("b"));
+        assertEquals(MemberStatus.ALIVE, a.status("b"));
         assertTrue(b.send("a", MessageStream.REPLICA, "x".getBytes()));
         assertTrue(b.send("c", MessageStream.REPLICA, "y".getBytes()));
         await().until(() -> heard.contains("a<b7x") && heard.contains("c<b7y"));
         b.close();
-        await().until(() -> a.standing("b") == MemberStatus.DEAD && c.standing("b") == MemberStatus.DEAD);
+        await().until(() -> a.status("b") == MemberStatus.DEAD && c.status("b") == MemberStatus.DEAD);
         assertFalse(a.send("b", MessageStream.REPLICA, "z".getBytes()));
-        assertEquals(0, a.figures().get("deaths"), "a farewell is no death");
-        assertEquals(0, b.figures().get("threads"));
+        assertEquals(0, a.metrics().get("deaths"), "a farewell is no death");
+        assertEquals(0, b.metrics().get("threads"));
         TcpPeerLinks again = links("b", 8, "f", QUICK);
         meet(a, again, c);
-        await().until(() -> a.standing("b") == MemberStatus.ALIVE && c.standing("b") == MemberStatus.ALIVE);
+        await().until(() -> a.status("b") == MemberStatus.ALIVE && c.status("b") == MemberStatus.ALIVE);
         assertTrue(alarms.isEmpty(), alarms::toString);
     }
 
@@ -201,12 +201,14 @@
         await().until(() -> figure(a, "refused_another_fleet") > 0 && figure(b, "refused_by_another_fleet") > 0);
         assertTrue(alarms.contains("b:a:FLEET_MISMATCH"), alarms::toString);
         TcpPeerLinks c = links("c", 1, "f", QUICK);
-        c.update(List.of(a.me()));
+        c.update(List.of(a.self()));
         await().until(() -> figure(a, "refused_unknown_member") > 0);
         // d is listed at the address that a has now.
-        c.update(List.of(new Member("d", a.me().address(), "z")));
+        c.update(List.of(new Member("d", a.self().address(), "z")));
         await().until(() -> figure(a, "refused_not_the_one") > 0 && alarms.contains("c:d:WRONG_MEMBER"));
-        assertTrue(a.links().isEmpty() && b.links().isEmpty() && c.links().isEmpty());
+        assertTrue(a.connectedPeers().isEmpty()
+                && b.connectedPeers().isEmpty()
+                && c.connectedPeers().isEmpty());
     }
 
     @Test
@@ -234,10 +236,10 @@
         TcpPeerLinks later = links("b", 6, "f", QUICK);
         meet(a, later);
         awaitLinks(1, a, later);
-        earlier.update(List.of(a.me()));
+        earlier.update(List.of(a.self()));
         await().until(() -> alarms.contains("b:b:STALE_LIFE") && alarms.contains("a:b:STALE_LIFE"));
-        assertEquals(4, earlier.life());
-        assertTrue(earlier.links().isEmpty());
+        assertEquals(4, earlier.incarnation());
+        assertTrue(earlier.connectedPeers().isEmpty());
         assertTrue(later.send("a", MessageStream.REPLICA, "x".getBytes()));
         await().until(() -> heard.contains("a<b6x"));
     }
@@ -255,8 +257,8 @@
         awaitLinks(1, a, after);
         await().until(() -> after.send("a", MessageStream.REPLICA, "x".getBytes()));
         await().until(() -> heard.contains("a<b3600001x"));
-        assertEquals(3_600_001, after.life());
-        await().until(() -> a.standing("b") == MemberStatus.ALIVE);
+        assertEquals(3_600_001, after.incarnation());
+        await().until(() -> a.status("b") == MemberStatus.ALIVE);
         assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), alarms::toString);
     }
 
@@ -268,17 +270,17 @@
         meet(a, before);
         awaitLinks(1, a, before);
         before.halt();
-        await().until(() -> a.standing("b") == MemberStatus.DEAD);
+        await().until(() -> a.status("b") == MemberStatus.DEAD);
         TcpPeerLinks after = links("b", 4, "f", QUICK);
         TcpPeerLinks c = links("c", 1, "f", QUICK);
-        c.update(List.of(after.me()));
-        after.update(List.of(c.me()));
+        c.update(List.of(after.self()));
+        after.update(List.of(c.self()));
         awaitLinks(1, after, c);
-        assertEquals(4, after.life());
+        assertEquals(4, after.incarnation());
         meet(a, after, c);
         awaitLinks(2, a, after, c);
-        assertEquals(10, after.life());
-        await().until(() -> a.standing("b") == MemberStatus.ALIVE && c.standing("b") == MemberStatus.ALIVE);
+        assertEquals(10, after.incarnation());
+        await().until(() -> a.status("b") == MemberStatus.ALIVE && c.status("b") == MemberStatus.ALIVE);
         assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), alarms::toString);
     }
 
@@ -289,11 +291,11 @@
         meet(a, b);
         awaitLinks(1, a, b);
         TcpPeerLinks copy = links("b", 6, "f", QUICK);
-        copy.update(List.of(a.me()));
+        copy.update(List.of(a.self()));
         await().until(() -> alarms.contains("a:b:DUPLICATE_NAME"));
         await().until(() ->
                 alarms.stream().filter(t -> t.equals("b:b:DUPLICATE_NAME")).count() >= 2);
-        assertTrue(b.links().contains("a") && copy.links().isEmpty(), "the first one keeps its link");
+        assertTrue(b.connectedPeers().contains("a") && copy.connectedPeers().isEmpty(), "the first one keeps its link");
     }
 
     @Test
@@ -321,7 +323,7 @@
         await().until(() -> figure(a, "writes_stalled") + figure(a, "one_way_closed") > 0);
         relay.hold(false, false);
         awaitLinks(1, a, b);
-        await().until(() -> a.standing("b") == MemberStatus.ALIVE && b.standing("a") == MemberStatus.ALIVE);
+        await().until(() -> a.status("b") == MemberStatus.ALIVE && b.status("a") == MemberStatus.ALIVE);
     }
 
     @Test
@@ -330,15 +332,15 @@
         TcpPeerLinks b = links("b", 1, "f", PATIENT);
         TcpPeerLinks c = links("c", 1, "f", CALM);
         Relay relay = new Relay(b);
-        b.update(List.of(new Member("a", "127.0.0.1:1", "z"), c.me()));
-        a.update(List.of(relay.stands(b), c.me()));
-        c.update(List.of(a.me(), b.me()));
+        b.update(List.of(new Member("a", "127.0.0.1:1", "z"), c.self()));
+        a.update(List.of(relay.stands(b), c.self()));
+        c.update(List.of(a.self(), b.self()));
         awaitLinks(2, a, b, c);
         relay.hold(true, false);
         await().until(() -> figure(a, "one_way_closed") > 0);
         // b has told where it listens: the next dial goes there, past the broken line.
-        await().until(() -> figure(a, "links_made") > 2 && a.linked("b"));
-        assertEquals(MemberStatus.ALIVE, b.standing("a"), "c hears it");
+        await().until(() -> figure(a, "links_made") > 2 && a.isConnected("b"));
+        assertEquals(MemberStatus.ALIVE, b.status("a"), "c hears it");
         assertEquals(0, figure(a, "deaths") + figure(b, "deaths") + figure(c, "deaths"));
     }
 
@@ -346,13 +348,13 @@
     void strangersHoldNoThreadsAndKeepNobodyOut() throws Exception {
         TcpPeerLinks a = links("a", 1, "f", QUICK);
         List<Socket> held = new ArrayList<>();
-        String address = a.me().address();
+        String address = a.self().address();
         for (int i = 0; i < 40; i++) {
             held.add(new Socket("127.0.0.1", Integer.parseInt(address.substring(address.indexOf(':') + 1))));
         }
         held.get(39).getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
         await().until(() -> figure(a, "strangers_refused") > 0);
-        assertTrue(figure(a, "strangers") <= QUICK.strangers());
+        assertTrue(figure(a, "strangers") <= QUICK.maxPendingHandshakes());
         TcpPeerLinks b = links("b", 1, "f", QUICK);
         meet(a, b);
         awaitLinks(1, a, b);
@@ -375,12 +377,13 @@
                 all.stream().allMatch(m -> figure(m, "threads") == 3 + 2 * 7 && figure(m, "peers_alive") == 7));
         for (TcpPeerLinks from : members) {
             for (TcpPeerLinks to : members) {
-                assertTrue(from == to || from.send(to.me().name(), MessageStream.REPLICA, "!".getBytes()));
+                assertTrue(from == to || from.send(to.self().name(), MessageStream.REPLICA, "!".getBytes()));
             }
         }
         await().until(() -> heard.size() == 56);
         all.get(0).update(List.of());
-        await().until(() -> all.get(1).links().size() == 6 && all.get(0).links().isEmpty());
+        await().until(() -> all.get(1).connectedPeers().size() == 6
+                && all.get(0).connectedPeers().isEmpty());
         assertTrue(all.get(0).peers().isEmpty());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
@@ -118,7 +118,7 @@
     @Test
     void whatIsWrittenIsReadBack() throws IOException {
         assertEquals(HELLO, Handshake.read(new ByteArrayInputStream(Handshake.bytes(HELLO))));
-        Handshake.Part no = new Handshake.Refuse(HandshakeRejection.STALE_LIFE, 9, "x".repeat(80));
+        Handshake.Part no = new Handshake.Refuse(HandshakeRejection.STALE_INCARNATION, 9, "x".repeat(80));
         assertEquals(no, Handshake.read(new ByteArrayInputStream(Handshake.bytes(no))));
         assertEquals(BEAT, SwimMessage.decode(BEAT.encode()));
         FrameCodec.Frame frame =
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -86,7 +86,7 @@
     private static void meet(Process... all) {
         List<Member> members = new ArrayList<>();
         for (Process p : all) {
-            members.add(p.links().me());
+            members.add(p.links().self());
         }
         for (Process p : all) {
             p.links().update(members);
@@ -98,7 +98,7 @@
                 .pollInterval(Duration.ofMillis(5))
                 .untilAsserted(() -> {
                     assertEquals(value, by.sees(name));
-                    assertEquals(MemberStatus.ALIVE, by.links().standing(name));
+                    assertEquals(MemberStatus.ALIVE, by.links().status(name));
                 });
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/Wires.java
@@ -75,12 +75,12 @@
         }
 
         @Override
-        public Member me() {
+        public Member self() {
             return new Member(name, "127.0.0.1:1", "z");
         }
 
         @Override
-        public long life() {
+        public long incarnation() {
             return life;
         }
 
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public MemberStatus standing(String peer) {
+        public MemberStatus status(String peer) {
             return ends.containsKey(peer) ? MemberStatus.ALIVE : MemberStatus.DEAD;
         }
 
@@ -126,12 +126,12 @@
         }
 
         @Override
-        public void receive(MessageStream stream, Receiver r) {
+        public void setReceiver(MessageStream stream, Receiver r) {
             receiver = r;
         }
 
         @Override
-        public void watch(Watcher w) {
+        public void addWatcher(Watcher w) {
             watchers.add(w);
         }
 
--- a/lab/src/main/java/brackenbridge/lab/scale/HollowNodes.java
+++ b/lab/src/main/java/brackenbridge/lab/scale/HollowNodes.java
@@ -127,7 +127,7 @@
             case "dump" -> loop.execute(this::dump);
             case "pause", "resume" ->
                 loop.execute(() ->
-                        range(words).forEach(node -> nodes.get(node).pauseReading(words[0].equals("pause"))));
+                        range(words).forEach(node -> nodes.get(node).setReadingPaused(words[0].equals("pause"))));
             case "restart" -> restart(range(words), Double.parseDouble(words[3]));
             default -> say(Json.object().add("what", "unknown").add("command", words[0]));
         }
@@ -156,7 +156,7 @@
         ControlClient[] self = new ControlClient[1];
         ControlClient client = new ControlClient(
                 new ControlClient.Settings(
-                        options.fleet, "n" + node, options.region, machines, resources, ControlLimits.STANDARD),
+                        options.fleet, "n" + node, options.region, machines, resources, ControlLimits.DEFAULTS),
                 loop,
                 clock,
                 new SplittableRandom(options.seed * 7919 + node * 31L + ++starts),
