--- a/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
@@ -24,7 +24,7 @@
     private final RejectionHandler rejections;
     private final ConnectionReader reader;
     /** Accepted connections whose handshake is not done, the oldest first; guarded by the lock. */
-    private final Set<PeerConnection> strangers = new LinkedHashSet<>();
+    private final Set<PeerConnection> pendingHandshakes = new LinkedHashSet<>();
 
     private ServerSocket listener;
 
@@ -67,7 +67,7 @@
 
     /** With the lock: closes the listener and all connections whose handshake is not done. */
     void close() {
-        strangers.forEach(stranger -> stranger.close("this member ends"));
+        pendingHandshakes.forEach(stranger -> stranger.close("this member ends"));
         if (listener != null) {
             try {
                 listener.close();
@@ -78,8 +78,8 @@
     }
 
     /** With the lock: how many accepted connections have not done their handshake. */
-    int strangerCount() {
-        return strangers.size();
+    int pendingHandshakeCount() {
+        return pendingHandshakes.size();
     }
 
     private void acceptAll() {
@@ -121,10 +121,10 @@
             if (context.closing()) {
                 return false;
             }
-            if (strangers.size() >= context.limits.maxPendingHandshakes()) {
+            if (pendingHandshakes.size() >= context.limits.maxPendingHandshakes()) {
                 // The oldest is closed for those that come next, so that nobody holds the places for long.
                 context.metrics.count("strangers_refused");
-                strangers.iterator().next().close("too many strangers");
+                pendingHandshakes.iterator().next().close("too many strangers");
                 return false;
             }
             PeerConnection connection;
@@ -134,7 +134,7 @@
                 LOG.debug("closed before it was accepted: {}", e.getMessage());
                 return false;
             }
-            strangers.add(connection);
+            pendingHandshakes.add(connection);
             context.startThread("peer-from-" + socket.getPort(), () -> serve(connection));
             return true;
         }
@@ -151,7 +151,7 @@
             LOG.debug("handshake from {}: {}", connection.socket, e.getMessage());
         } finally {
             synchronized (context.lock) {
-                strangers.remove(connection);
+                pendingHandshakes.remove(connection);
             }
             if (!attached) {
                 connection.close("no link");
@@ -163,10 +163,10 @@
     }
 
     private boolean answerHandshake(PeerConnection connection) throws IOException {
-        Handshake.Part part = Handshake.read(connection.in);
-        if (part instanceof Handshake.Foreign foreign) {
-            String description = "speaks " + foreign.lowest() + " to " + foreign.highest() + ", we " + Handshake.LOWEST
-                    + " to " + Handshake.HIGHEST;
+        Handshake.Message part = Handshake.read(connection.in);
+        if (part instanceof Handshake.IncompatibleVersion foreign) {
+            String description = "speaks " + foreign.minVersion() + " to " + foreign.maxVersion() + ", we " + Handshake.MIN_VERSION
+                    + " to " + Handshake.MAX_VERSION;
             rejections.reject(connection, HandshakeRejection.VERSION_MISMATCH, 0, description);
             return false;
         }
@@ -191,8 +191,8 @@
                 connection.announcedLife,
                 context.instance,
                 0));
-        Handshake.Part last = Handshake.read(connection.in);
-        if (last instanceof Handshake.Refuse refuse) {
+        Handshake.Message last = Handshake.read(connection.in);
+        if (last instanceof Handshake.Reject refuse) {
             rejections.onRejectedBy(hello.from(), refuse);
             return false;
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
@@ -54,7 +54,7 @@
                 present.close("another connection takes its place");
             }
             if (!connection.outbound) {
-                peer.lastInboundDial = hello.dial();
+                peer.lastInboundDial = hello.dialNumber();
                 peer.lastInboundInstance = hello.instance();
                 Peer.closeQuietly(peer.dialingSocket);
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
@@ -51,8 +51,8 @@
     }
 
     /** With the lock: queues these messages for the peers that have a connection. */
-    void send(List<FailureDetector.Outgoing> messages) {
-        for (FailureDetector.Outgoing message : messages) {
+    void send(List<FailureDetector.OutgoingMessage> messages) {
+        for (FailureDetector.OutgoingMessage message : messages) {
             PeerConnection connection = connection(message.to());
             if (connection != null
                     && !connection.sendQueue.offer(
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
@@ -151,22 +151,22 @@
                 return false;
             }
             peer.dialingSocket = null;
-            peer.handshaking = connection;
+            peer.handshakingConnection = connection;
             return !context.closing() && !peer.removed;
         }
     }
 
     private boolean exchangeHellos(Peer peer, PeerConnection connection, Handshake.Hello hello) throws IOException {
         connection.send(hello);
-        Handshake.Part part = Handshake.read(connection.in);
+        Handshake.Message part = Handshake.read(connection.in);
         String name = peer.name();
-        if (part instanceof Handshake.Refuse refuse) {
+        if (part instanceof Handshake.Reject refuse) {
             rejections.onRejectedBy(name, refuse);
             return false;
         }
-        if (part instanceof Handshake.Foreign) {
+        if (part instanceof Handshake.IncompatibleVersion) {
             rejections.onRejectedBy(
-                    name, new Handshake.Refuse(HandshakeRejection.VERSION_MISMATCH, 0, "answers in another version"));
+                    name, new Handshake.Reject(HandshakeRejection.VERSION_MISMATCH, 0, "answers in another version"));
             return false;
         }
         if (!(part instanceof Handshake.Hello welcome) || !welcome.welcome()) {
@@ -195,7 +195,7 @@
     private void endDial(Peer peer, Socket socket, PeerConnection connection, boolean attached) {
         synchronized (context.lock) {
             peer.dialingSocket = null;
-            peer.handshaking = null;
+            peer.handshakingConnection = null;
             if (!attached) {
                 Peer.closeQuietly(socket);
                 if (connection != null) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -42,7 +42,7 @@
     record Change(String peer, MemberStatus status, long life) {}
 
     /** A message that is to be sent. */
-    record Outgoing(String to, SwimMessage message) {}
+    record OutgoingMessage(String to, SwimMessage message) {}
 
     /** Two processes live under one name; it may be this member's own. */
     record Conflict(String name, long life, long instance, long otherLife, long otherInstance) {}
@@ -84,7 +84,7 @@
      * @param openedAtMs when its handshake began
      * @return the messages that are to be sent
      */
-    List<Outgoing> onConnected(double now, double openedAtMs, String name, long remoteLife, long remoteInstance) {
+    List<OutgoingMessage> onConnected(double now, double openedAtMs, String name, long remoteLife, long remoteInstance) {
         MemberState member = members.get(name);
         refutation.onStarted(now);
         if (member == null) {
@@ -97,7 +97,7 @@
             members.recordConflict(now, member, remoteLife, remoteInstance);
             return List.of();
         }
-        member.recordDirect(openedAtMs);
+        member.recordDirectContact(openedAtMs);
         suspicion.evaluate(now, member);
         return List.of(gossipSender.newMessage(now, member, 0, List.of()));
     }
@@ -115,7 +115,7 @@
      *
      * @return the messages that are to be sent
      */
-    List<Outgoing> tick(double now) {
+    List<OutgoingMessage> tick(double now) {
         refutation.onStarted(now);
         localHealth.onTick(now);
         List<MemberState> silent = new ArrayList<>();
@@ -126,7 +126,7 @@
             }
         }
         Map<String, List<String>> probeRequests = prober.chooseHelpers(silent);
-        List<Outgoing> out = new ArrayList<>();
+        List<OutgoingMessage> out = new ArrayList<>();
         for (MemberState member : members.all()) {
             if (member.connected) {
                 List<String> targets = probeRequests.getOrDefault(member.name, List.of());
@@ -141,24 +141,24 @@
      *
      * @return the messages that are to be sent at once
      */
-    List<Outgoing> onMessage(double now, String from, long remoteLife, long remoteInstance, SwimMessage message) {
+    List<OutgoingMessage> onMessage(double now, String from, long remoteLife, long remoteInstance, SwimMessage message) {
         MemberState sender = members.get(from);
         if (sender == null) {
             return List.of();
         }
         // A pause of this process may be seen here before the next tick.
         localHealth.onActivity(now);
-        double sentMs = sender.sentNoLaterThan(now, message);
+        double sentMs = sender.sendTimeLowerBound(now, message);
         if (sender.known && (remoteLife != sender.life || remoteInstance != sender.instance)) {
             return onOtherProcess(now, sender, remoteLife, remoteInstance, sentMs);
         }
-        sender.recordDirect(sentMs);
+        sender.recordDirectContact(sentMs);
         sender.onSequence(now, message.sequence(), sentMs);
         sender.raiseRefutationNumber(now, message.refutationNumber());
-        if (message.has(SwimMessage.FAREWELL)) {
+        if (message.has(SwimMessage.LEAVING)) {
             suspicion.markLeft(now, sender);
         }
-        if (message.has(SwimMessage.ANSWER)) {
+        if (message.has(SwimMessage.PROBE_REPLY)) {
             localHealth.onProbeAnswered();
         }
         List<SwimMessage.Entry> replies = new ArrayList<>();
@@ -166,25 +166,25 @@
             gossipReceiver.apply(now, sender, sentMs, entry, replies);
         }
         suspicion.evaluate(now, sender);
-        List<Outgoing> out = new ArrayList<>();
+        List<OutgoingMessage> out = new ArrayList<>();
         onProbeRequests(now, sender, message, replies, out);
         if (!replies.isEmpty() || message.has(SwimMessage.REPLY_NOW)) {
-            int flags = message.probeRequests().isEmpty() ? 0 : SwimMessage.ANSWER;
+            int flags = message.probeRequests().isEmpty() ? 0 : SwimMessage.PROBE_REPLY;
             out.add(gossipSender.newMessage(now, sender, flags, List.of(), replies));
         }
         answerProbeRequesters(now, sender, out);
         return out;
     }
 
-    private List<Outgoing> onOtherProcess(
+    private List<OutgoingMessage> onOtherProcess(
             double now, MemberState sender, long remoteLife, long remoteInstance, double sentMs) {
         if (remoteLife < sender.life && sender.lastAliveMs < sender.connectedAtMs) {
             // The later life gave no sign since the earlier one connected: it has ended, and its successor, which
             // began under an earlier time of day, has not heard of it yet.
             return List.of(
-                    gossipSender.newMessage(now, sender, SwimMessage.ANSWER, List.of(), List.of(sender.toEntry(now))));
+                    gossipSender.newMessage(now, sender, SwimMessage.PROBE_REPLY, List.of(), List.of(sender.toEntry(now))));
         }
-        if (remoteLife == sender.life || sentMs > sender.learnedMs) {
+        if (remoteLife == sender.life || sentMs > sender.incarnationLearnedMs) {
             // Sent after another process of this name was heard of: both live.
             members.recordConflict(now, sender, remoteLife, remoteInstance);
         }
@@ -192,7 +192,7 @@
     }
 
     private void onProbeRequests(
-            double now, MemberState sender, SwimMessage message, List<SwimMessage.Entry> replies, List<Outgoing> out) {
+            double now, MemberState sender, SwimMessage message, List<SwimMessage.Entry> replies, List<OutgoingMessage> out) {
         for (String name : message.probeRequests()) {
             MemberState target = members.get(name);
             if (target != null && target != sender && target.known) {
@@ -205,33 +205,33 @@
     }
 
     /** The sender was probed on behalf of these members, and has spoken. */
-    private void answerProbeRequesters(double now, MemberState sender, List<Outgoing> out) {
+    private void answerProbeRequesters(double now, MemberState sender, List<OutgoingMessage> out) {
         for (String requester : sender.probeRequesters) {
             MemberState member = members.get(requester);
             if (member != null && member.connected) {
                 out.add(gossipSender.newMessage(
-                        now, member, SwimMessage.ANSWER, List.of(), List.of(sender.toEntry(now))));
+                        now, member, SwimMessage.PROBE_REPLY, List.of(), List.of(sender.toEntry(now))));
             }
         }
         sender.probeRequesters.clear();
     }
 
     /** The messages that tell all connected peers that this member ends. */
-    List<Outgoing> farewell(double now) {
-        List<Outgoing> out = new ArrayList<>();
+    List<OutgoingMessage> leaveMessages(double now) {
+        List<OutgoingMessage> out = new ArrayList<>();
         for (MemberState member : members.all()) {
             if (member.connected) {
-                out.add(gossipSender.newMessage(now, member, SwimMessage.FAREWELL, List.of()));
+                out.add(gossipSender.newMessage(now, member, SwimMessage.LEAVING, List.of()));
             }
         }
         return out;
     }
 
     /** This member itself did not read for so long what this peer sent: that is no silence of the peer. */
-    void excuseSilence(double now, String name, double ms) {
+    void discountSilence(double now, String name, double ms) {
         MemberState member = members.get(name);
         if (member != null) {
-            member.excuse(ms, now);
+            member.discountSilence(ms, now);
         }
     }
 
@@ -277,9 +277,9 @@
     }
 
     /** For how long the peer had not heard what it was sent, by its last message: it may not hear us. */
-    double unheardForMs(String name) {
+    double unacknowledgedForMs(String name) {
         MemberState member = members.get(name);
-        return member == null || !member.connected ? 0 : member.unheardForMs;
+        return member == null || !member.connected ? 0 : member.unacknowledgedForMs;
     }
 
     /** Lifeguard's local health score; 0 is healthy. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/FrameCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FrameCodec.java
@@ -11,7 +11,7 @@
  * that never come. All numbers are big-endian.
  */
 final class FrameCodec {
-    static final int HEAD = 13;
+    static final int HEADER_BYTES = 13;
     private static final MessageStream[] STREAMS = MessageStream.values();
 
     private FrameCodec() {}
@@ -20,10 +20,10 @@
     record Frame(MessageStream stream, byte[] body) {}
 
     /** The bytes that go before the body. */
-    static byte[] head(MessageStream stream, byte[] body) {
-        ByteBuffer out = ByteBuffer.allocate(HEAD);
-        out.putInt(body.length).put((byte) stream.ordinal()).putInt(WireFormat.crc(body, 0, body.length));
-        out.putInt(WireFormat.crc(out.array(), 0, HEAD - 4));
+    static byte[] encodeHeader(MessageStream stream, byte[] body) {
+        ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES);
+        out.putInt(body.length).put((byte) stream.ordinal()).putInt(WireFormat.crc32c(body, 0, body.length));
+        out.putInt(WireFormat.crc32c(out.array(), 0, HEADER_BYTES - 4));
         return out.array();
     }
 
@@ -34,15 +34,15 @@
      * @throws EOFException at the end, also within a message
      */
     static Frame read(InputStream in, int most) throws IOException {
-        byte[] head = in.readNBytes(HEAD);
-        if (head.length < HEAD) {
+        byte[] head = in.readNBytes(HEADER_BYTES);
+        if (head.length < HEADER_BYTES) {
             throw new EOFException(head.length == 0 ? "ended" : "ended within a message");
         }
         ByteBuffer fields = ByteBuffer.wrap(head);
         int length = fields.getInt();
         int stream = fields.get() & 0xff;
         int sum = fields.getInt();
-        if (fields.getInt() != WireFormat.crc(head, 0, HEAD - 4)) {
+        if (fields.getInt() != WireFormat.crc32c(head, 0, HEADER_BYTES - 4)) {
             throw new WireException("the sum of a message's head is wrong");
         }
         if (length < 0 || length > most) {
@@ -55,7 +55,7 @@
         if (body.length < length) {
             throw new EOFException("ended within a message");
         }
-        if (WireFormat.crc(body, 0, length) != sum) {
+        if (WireFormat.crc32c(body, 0, length) != sum) {
             throw new WireException("the sum of a message is wrong");
         }
         return new Frame(STREAMS[stream], body);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -47,7 +47,7 @@
         }
         member.raiseRefutationNumber(now, entry.refutationNumber());
         if (entry.ageMs() >= 0 && sentMs - entry.ageMs() > member.lastAliveMs) {
-            member.helper = from.name;
+            member.preferredHelper = from.name;
             member.recordAlive(sentMs - entry.ageMs());
         }
         applyStatus(now, from, member, entry, replies);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
@@ -17,7 +17,7 @@
     private static final int MAX_SUSPECTS = GossipReceiver.MAX_SUSPECTS;
     private static final int MAX_CHANGES = 16;
     /** So many members are told of in turn, changed or not. */
-    private static final int ROTATED = 2;
+    private static final int ROTATED_MEMBERS = 2;
 
     private final double intervalMs;
     private final MemberTable members;
@@ -32,7 +32,7 @@
     }
 
     /** A message to this member with what is to be gossiped. */
-    FailureDetector.Outgoing newMessage(double now, MemberState to, int flags, List<String> probeRequests) {
+    FailureDetector.OutgoingMessage newMessage(double now, MemberState to, int flags, List<String> probeRequests) {
         return newMessage(now, to, flags, probeRequests, selectEntries(now, to));
     }
 
@@ -53,7 +53,7 @@
             } else if (now - member.changedMs < CHANGE_INTERVALS * intervalMs && changes < MAX_CHANGES) {
                 changes++;
                 entries.add(member.toEntry(now));
-            } else if (i < ROTATED) {
+            } else if (i < ROTATED_MEMBERS) {
                 entries.add(member.toEntry(now));
             }
         }
@@ -61,11 +61,11 @@
     }
 
     /** A message to this member with these entries, after what it must know of itself. */
-    FailureDetector.Outgoing newMessage(
+    FailureDetector.OutgoingMessage newMessage(
             double now, MemberState to, int flags, List<String> probeRequests, List<SwimMessage.Entry> selected) {
         List<SwimMessage.Entry> entries = new ArrayList<>();
         if (now - to.conflictMs < CONFLICT_INTERVALS * intervalMs) {
-            entries.add(otherProcess(to));
+            entries.add(otherProcessEntry(to));
         } else if (to.known && (to.status == MemberStatus.SUSPECT || to.status == MemberStatus.DEAD)) {
             // The doubted member is told, so that it can refute.
             entries.add(to.toEntry(now));
@@ -79,11 +79,11 @@
         double heldMs = Math.max(0, now - to.receivedAtMs);
         SwimMessage message = new SwimMessage(
                 flags, sequence, to.receivedSequence, heldMs, refutation.refutationNumber(), entries, probeRequests);
-        return new FailureDetector.Outgoing(to.name, message);
+        return new FailureDetector.OutgoingMessage(to.name, message);
     }
 
     /** Of two processes of one name, the one that is not at the other end of the connection. */
-    private static SwimMessage.Entry otherProcess(MemberState to) {
+    private static SwimMessage.Entry otherProcessEntry(MemberState to) {
         FailureDetector.Conflict conflict = to.conflict;
         boolean first = to.connectionInstance == conflict.instance();
         long life = first ? conflict.otherLife() : conflict.life();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -13,19 +13,19 @@
  * is in every later version, so that two versions can refuse each other in words.
  */
 final class Handshake {
-    static final int LOWEST = 1;
-    static final int HIGHEST = 1;
+    static final int MIN_VERSION = 1;
+    static final int MAX_VERSION = 1;
     /** Longest handshake: bounds what a stranger makes this side allocate. */
-    static final int MOST = 1024;
+    static final int MAX_BYTES = 1024;
 
     private static final int MAGIC = 0x42425031;
-    private static final int HEAD = 9;
-    private static final HandshakeRejection[] REFUSALS = HandshakeRejection.values();
+    private static final int HEADER_BYTES = 9;
+    private static final HandshakeRejection[] REJECTIONS = HandshakeRejection.values();
 
     private Handshake() {}
 
     /** One part of a handshake. */
-    sealed interface Part permits Hello, Ready, Refuse, Foreign {}
+    sealed interface Message permits Hello, Ready, Reject, IncompatibleVersion {}
 
     /**
      * Who speaks.
@@ -40,11 +40,11 @@
      * @param dial counts the speaker's dials, so that an old one that arrives late does not replace a newer
      */
     record Hello(
-            boolean welcome, String fleet, String from, String to, String address, long life, long instance, long dial)
-            implements Part {}
+            boolean welcome, String fleet, String from, String to, String address, long life, long instance, long dialNumber)
+            implements Message {}
 
     /** The link stands. */
-    record Ready() implements Part {}
+    record Ready() implements Message {}
 
     /**
      * No link.
@@ -53,34 +53,34 @@
      * @param life a life that the refusing side knows, for {@link HandshakeRejection#STALE_INCARNATION}
      * @param text what staff should read
      */
-    record Refuse(HandshakeRejection why, long life, String text) implements Part {}
+    record Reject(HandshakeRejection reason, long life, String text) implements Message {}
 
     /** A part whose versions have none in common with ours: its fields are not read. */
-    record Foreign(int lowest, int highest) implements Part {}
+    record IncompatibleVersion(int minVersion, int maxVersion) implements Message {}
 
-    static byte[] bytes(Part part) {
-        ByteBuffer out = ByteBuffer.allocate(MOST);
-        out.position(HEAD);
-        int kind = write(part, out);
-        int length = out.position() - HEAD;
-        out.putInt(0, MAGIC).putShort(4, (short) length).put(6, (byte) kind).put(7, (byte) LOWEST);
-        out.put(8, (byte) HIGHEST);
-        out.putInt(WireFormat.crc(out.array(), 0, HEAD + length));
+    static byte[] encode(Message part) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
+        out.position(HEADER_BYTES);
+        int kind = encodeFields(part, out);
+        int length = out.position() - HEADER_BYTES;
+        out.putInt(0, MAGIC).putShort(4, (short) length).put(6, (byte) kind).put(7, (byte) MIN_VERSION);
+        out.put(8, (byte) MAX_VERSION);
+        out.putInt(WireFormat.crc32c(out.array(), 0, HEADER_BYTES + length));
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    private static int write(Part part, ByteBuffer out) {
+    private static int encodeFields(Message part, ByteBuffer out) {
         if (part instanceof Hello hello) {
             WireFormat.text(out, hello.fleet());
             WireFormat.text(out, hello.from());
             WireFormat.text(out, hello.to());
             WireFormat.text(out, hello.address());
-            out.putLong(hello.life()).putLong(hello.instance()).putLong(hello.dial());
+            out.putLong(hello.life()).putLong(hello.instance()).putLong(hello.dialNumber());
             return hello.welcome() ? 2 : 1;
         }
-        if (part instanceof Refuse refuse) {
+        if (part instanceof Reject refuse) {
             String text = refuse.text();
-            out.put((byte) refuse.why().ordinal()).putLong(refuse.life());
+            out.put((byte) refuse.reason().ordinal()).putLong(refuse.life());
             WireFormat.text(out, text.length() > 80 ? text.substring(0, 80) : text);
             return 4;
         }
@@ -93,8 +93,8 @@
      * @throws WireException for anything that is none
      * @throws EOFException if the other has ended
      */
-    static Part read(InputStream in) throws IOException {
-        byte[] head = exactly(in, HEAD);
+    static Message read(InputStream in) throws IOException {
+        byte[] head = readExactly(in, HEADER_BYTES);
         ByteBuffer fields = ByteBuffer.wrap(head);
         if (fields.getInt() != MAGIC) {
             throw new WireException("no handshake of this protocol");
@@ -103,33 +103,33 @@
         int kind = fields.get() & 0xff;
         int lowest = fields.get() & 0xff;
         int highest = fields.get() & 0xff;
-        if (length > MOST - HEAD - 4) {
+        if (length > MAX_BYTES - HEADER_BYTES - 4) {
             throw new WireException("a handshake of " + length + " bytes");
         }
-        byte[] rest = exactly(in, length + 4);
-        byte[] all = Arrays.copyOf(head, HEAD + length);
-        System.arraycopy(rest, 0, all, HEAD, length);
-        if (ByteBuffer.wrap(rest).getInt(length) != WireFormat.crc(all, 0, all.length)) {
+        byte[] rest = readExactly(in, length + 4);
+        byte[] all = Arrays.copyOf(head, HEADER_BYTES + length);
+        System.arraycopy(rest, 0, all, HEADER_BYTES, length);
+        if (ByteBuffer.wrap(rest).getInt(length) != WireFormat.crc32c(all, 0, all.length)) {
             throw new WireException("the sum of a handshake is wrong");
         }
         if (lowest > highest) {
             throw new WireException("versions from " + lowest + " to " + highest);
         }
-        if (lowest > HIGHEST || highest < LOWEST) {
-            return new Foreign(lowest, highest);
+        if (lowest > MAX_VERSION || highest < MIN_VERSION) {
+            return new IncompatibleVersion(lowest, highest);
         }
-        return WireFormat.whole(Arrays.copyOf(rest, length), body -> part(kind, body));
+        return WireFormat.readAll(Arrays.copyOf(rest, length), body -> decode(kind, body));
     }
 
-    private static Part part(int kind, ByteBuffer in) throws WireException {
+    private static Message decode(int kind, ByteBuffer in) throws WireException {
         switch (kind) {
             case 1:
             case 2:
                 return new Hello(
                         kind == 2,
-                        WireFormat.name(in),
-                        WireFormat.name(in),
-                        WireFormat.name(in),
+                        WireFormat.readName(in),
+                        WireFormat.readName(in),
+                        WireFormat.readName(in),
                         WireFormat.text(in),
                         in.getLong(),
                         in.getLong(),
@@ -141,13 +141,13 @@
                 long life = in.getLong();
                 String text = WireFormat.text(in);
                 // Guards against a reason of a later build: it is still a refusal.
-                return new Refuse(why < REFUSALS.length ? REFUSALS[why] : HandshakeRejection.MALFORMED, life, text);
+                return new Reject(why < REJECTIONS.length ? REJECTIONS[why] : HandshakeRejection.MALFORMED, life, text);
             default:
                 throw new WireException("a handshake of the unknown kind " + kind);
         }
     }
 
-    private static byte[] exactly(InputStream in, int count) throws IOException {
+    private static byte[] readExactly(InputStream in, int count) throws IOException {
         byte[] bytes = in.readNBytes(count);
         if (bytes.length < count) {
             throw new EOFException("ended within the handshake");
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
@@ -68,7 +68,7 @@
         if (connection.outbound || hello.life() != known) {
             return null;
         }
-        if (hello.instance() == peer.lastInboundInstance && hello.dial() <= peer.lastInboundDial) {
+        if (hello.instance() == peer.lastInboundInstance && hello.dialNumber() <= peer.lastInboundDial) {
             return HandshakeRejection.ALREADY_CONNECTED;
         }
         PeerConnection present = peer.connection;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
@@ -53,7 +53,7 @@
         double receiving = connection.receiveStartedAtMs;
         if (receiving > 0 && now - receiving > context.limits.heartbeatMs()) {
             context.metrics.count("receiver_slow_beats");
-            detector.excuseSilence(now, connection.peerName, sinceLastTickMs);
+            detector.discountSilence(now, connection.peerName, sinceLastTickMs);
         }
         double writing = connection.writeStartedAtMs;
         if (writing > 0 && late) {
@@ -62,7 +62,7 @@
         } else if (writing > 0 && now - writing > context.limits.deadAfterMs()) {
             context.metrics.count("writes_stalled");
             connection.close("takes nothing");
-        } else if (detector.unheardForMs(connection.peerName) > context.limits.deadAfterMs()) {
+        } else if (detector.unacknowledgedForMs(connection.peerName) > context.limits.deadAfterMs()) {
             context.metrics.count("one_way_closed");
             connection.close("does not hear us");
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -20,12 +20,12 @@
     /** Whether others are to be asked for this member now; forgets its helper where there is no need. */
     boolean needsProbe(double now, MemberState member) {
         boolean watched = member.known && !member.left && member.status != MemberStatus.DEAD;
-        double directSilenceMs = now - member.lastDirectMs - member.excusedMs;
+        double directSilenceMs = now - member.lastDirectMs - member.discountedMs;
         if (watched && directSilenceMs > FailureDetector.PROBE_AFTER_INTERVALS * limits.heartbeatMs()) {
             return true;
         }
         if (!watched || member.lastAliveMs == member.lastDirectMs) {
-            member.helper = null;
+            member.preferredHelper = null;
         }
         return false;
     }
@@ -45,15 +45,15 @@
     private void chooseHelpers(MemberState target, Map<String, List<String>> requests) {
         List<MemberState> order = members.all();
         int missing = limits.probeHelpers();
-        if (target.helper != null && addRequest(requests, members.get(target.helper), target.name)) {
+        if (target.preferredHelper != null && addRequest(requests, members.get(target.preferredHelper), target.name)) {
             missing--;
         }
         for (int i = 0; i < order.size() && missing > 0; i++) {
-            MemberState helper = order.get(target.helperTurn++ % order.size());
-            if (target.helperTurn == Integer.MAX_VALUE) {
-                target.helperTurn = 0;
+            MemberState helper = order.get(target.nextHelperIndex++ % order.size());
+            if (target.nextHelperIndex == Integer.MAX_VALUE) {
+                target.nextHelperIndex = 0;
             }
-            if (helper != target && !helper.name.equals(target.helper) && addRequest(requests, helper, target.name)) {
+            if (helper != target && !helper.name.equals(target.preferredHelper) && addRequest(requests, helper, target.name)) {
                 missing--;
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
@@ -57,7 +57,7 @@
         pauses++;
         raiseScore();
         for (MemberState member : members.all()) {
-            member.excuse(gapMs - intervalMs, now);
+            member.discountSilence(gapMs - intervalMs, now);
         }
         return true;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
@@ -38,11 +38,11 @@
     /** When its status, life or incarnation last changed. */
     double changedMs = NEVER;
     /** When its present life was first heard of. */
-    double learnedMs = NEVER;
+    double incarnationLearnedMs = NEVER;
     /** The part of its silence during which this member itself did not run or read. */
-    double excusedMs;
+    double discountedMs;
 
-    double excusedAtMs = NEVER;
+    double discountedAtMs = NEVER;
 
     boolean connected;
     /** The process at the other end of the connection. */
@@ -50,9 +50,9 @@
 
     double connectedAtMs;
     /** The number of the last message sent over the connection. */
-    int sequence;
+    int sentSequence;
     /** The greatest of these numbers that the member has acknowledged, and when it was sent. */
-    int acknowledged;
+    int acknowledgedSequence;
 
     double acknowledgedSentAtMs;
     /** The number of the last message received over the connection, and when it came. */
@@ -60,12 +60,12 @@
 
     double receivedAtMs;
     /** For how long the member had not heard what it was sent, by its last message. */
-    double unheardForMs;
+    double unacknowledgedForMs;
 
     /** The member that last heard this silent one: it is asked first. */
-    String helper;
+    String preferredHelper;
     /** Where in the member table the next helper is looked for. */
-    int helperTurn;
+    int nextHelperIndex;
 
     FailureDetector.Conflict conflict;
     double conflictMs = NEVER;
@@ -80,39 +80,39 @@
         connected = true;
         connectionInstance = connectedInstance;
         connectedAtMs = now;
-        acknowledged = 0;
+        acknowledgedSequence = 0;
         acknowledgedSentAtMs = openedAtMs;
-        sequence = 0;
+        sentSequence = 0;
         receivedSequence = 0;
         receivedAtMs = now;
-        unheardForMs = 0;
+        unacknowledgedForMs = 0;
     }
 
     void onDisconnected() {
         connected = false;
-        unheardForMs = 0;
+        unacknowledgedForMs = 0;
         probeRequesters.clear();
     }
 
     /** Numbers a message that is sent now. */
     int nextSequence(double now) {
-        sequence++;
-        sentAtMs[sequence % SENT_WINDOW_MESSAGES] = now;
-        return sequence;
+        sentSequence++;
+        sentAtMs[sentSequence % SENT_WINDOW_MESSAGES] = now;
+        return sentSequence;
     }
 
     /**
      * A time no later than the sending of this message: that of our message which it acknowledges, and the time for
      * which the member has held the acknowledgement.
      */
-    double sentNoLaterThan(double now, SwimMessage message) {
-        int echo = message.echo();
-        if (echo > acknowledged && echo <= sequence) {
+    double sendTimeLowerBound(double now, SwimMessage message) {
+        int echo = message.ackSequence();
+        if (echo > acknowledgedSequence && echo <= sentSequence) {
             acknowledgedSentAtMs = inWindow(echo) ? sentAtMs[echo % SENT_WINDOW_MESSAGES] : acknowledgedSentAtMs;
-            acknowledged = echo;
+            acknowledgedSequence = echo;
         }
-        if (echo == acknowledged) {
-            return Math.min(now, acknowledgedSentAtMs + message.heldMs());
+        if (echo == acknowledgedSequence) {
+            return Math.min(now, acknowledgedSentAtMs + message.ackDelayMs());
         }
         // One that was overtaken, or a number that was never sent: proves only that the connection was there.
         return Math.min(now, connectedAtMs);
@@ -123,43 +123,43 @@
         if (number > receivedSequence) {
             receivedSequence = number;
             receivedAtMs = now;
-            unheardForMs = sequence == acknowledged ? 0 : Math.max(0, sentMs - firstUnheardSentAtMs());
+            unacknowledgedForMs = sentSequence == acknowledgedSequence ? 0 : Math.max(0, sentMs - firstUnacknowledgedSentAtMs());
         }
     }
 
     /** When the first message was sent that the member has not acknowledged. */
-    private double firstUnheardSentAtMs() {
-        int first = acknowledged + 1;
+    private double firstUnacknowledgedSentAtMs() {
+        int first = acknowledgedSequence + 1;
         return inWindow(first) ? sentAtMs[first % SENT_WINDOW_MESSAGES] : acknowledgedSentAtMs;
     }
 
     private boolean inWindow(int number) {
-        return number > sequence - SENT_WINDOW_MESSAGES;
+        return number > sentSequence - SENT_WINDOW_MESSAGES;
     }
 
     /** The member was surely alive at this time. */
     void recordAlive(double atMs) {
         if (atMs > lastAliveMs) {
             lastAliveMs = atMs;
-            excusedMs = Math.min(excusedMs, Math.max(0, excusedAtMs - atMs));
+            discountedMs = Math.min(discountedMs, Math.max(0, discountedAtMs - atMs));
         }
     }
 
     /** The member itself has sent something at this time. */
-    void recordDirect(double atMs) {
+    void recordDirectContact(double atMs) {
         recordAlive(atMs);
         lastDirectMs = Math.max(lastDirectMs, atMs);
     }
 
     /** So much of the member's silence is this member's own fault. */
-    void excuse(double ms, double now) {
-        excusedMs += ms;
-        excusedAtMs = now;
+    void discountSilence(double ms, double now) {
+        discountedMs += ms;
+        discountedAtMs = now;
     }
 
     /** For how long nobody has heard the member, less what is excused. */
     double silenceMs(double now) {
-        return Math.max(0, now - lastAliveMs - excusedMs);
+        return Math.max(0, now - lastAliveMs - discountedMs);
     }
 
     /** A greater incarnation refutes suspicions of the earlier ones (SWIM, section 4.2). */
@@ -180,11 +180,11 @@
         deadRefutationNumber = -1;
         left = false;
         suspectedBy.clear();
-        learnedMs = now;
+        incarnationLearnedMs = now;
         changedMs = now;
         lastAliveMs = NEVER;
         lastDirectMs = NEVER;
-        excusedMs = 0;
+        discountedMs = 0;
         conflictMs = NEVER;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
@@ -69,7 +69,7 @@
     int countOneWay(double unheardMs) {
         int count = 0;
         for (MemberState member : order) {
-            boolean oneWay = member.connected && member.status == MemberStatus.ALIVE && member.unheardForMs > unheardMs;
+            boolean oneWay = member.connected && member.status == MemberStatus.ALIVE && member.unacknowledgedForMs > unheardMs;
             count += oneWay ? 1 : 0;
         }
         return count;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
@@ -21,7 +21,7 @@
     private final FailureDetector detector;
     private final WatcherQueue watcherCalls;
     private final List<PeerLinks.Watcher> watchers = new ArrayList<>();
-    private final List<TcpPeerLinks.FaultListener> alarms = new ArrayList<>();
+    private final List<TcpPeerLinks.FaultListener> faultListeners = new ArrayList<>();
     private boolean connectedInThisLife;
     private int renewals;
 
@@ -37,12 +37,12 @@
         return detector;
     }
 
-    void watch(PeerLinks.Watcher watcher) {
+    void addWatcher(PeerLinks.Watcher watcher) {
         watchers.add(watcher);
     }
 
-    void alarm(TcpPeerLinks.FaultListener alarm) {
-        alarms.add(alarm);
+    void addFaultListener(TcpPeerLinks.FaultListener alarm) {
+        faultListeners.add(alarm);
     }
 
     /** Starts the thread that calls watchers and alarms. */
@@ -74,7 +74,7 @@
     }
 
     /** Sends the detector's messages and handles the events it has collected. */
-    void process(List<FailureDetector.Outgoing> messages) {
+    void process(List<FailureDetector.OutgoingMessage> messages) {
         registry.send(messages);
         long past = detector.endedLife();
         if (past != Long.MIN_VALUE) {
@@ -85,7 +85,7 @@
         }
         for (FailureDetector.Conflict conflict : detector.drainConflicts()) {
             context.metrics.count("conflicts");
-            raise(
+            raiseFault(
                     conflict.name(),
                     HandshakeRejection.DUPLICATE_NAME,
                     "lives " + conflict.life() + " and " + conflict.otherLife() + ", processes "
@@ -110,12 +110,12 @@
     }
 
     /** Logs a fault that operators must see to and passes it to the alarms. */
-    void raise(String name, HandshakeRejection reason, String text) {
+    void raiseFault(String name, HandshakeRejection reason, String text) {
         String self = context.self().name();
         watcherCalls.add(
                 name,
                 () -> LOG.error("{}: {}: {}", name.equals(self) ? "this member, " + name : name, reason.text(), text));
-        for (TcpPeerLinks.FaultListener alarm : alarms) {
+        for (TcpPeerLinks.FaultListener alarm : faultListeners) {
             watcherCalls.add(name, () -> alarm.onFault(name, reason, text));
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Peer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Peer.java
@@ -24,7 +24,7 @@
     /** The socket of a dial whose handshake has not begun. */
     Socket dialingSocket;
     /** The outbound connection whose handshake is under way. */
-    PeerConnection handshaking;
+    PeerConnection handshakingConnection;
     /** The peer's own thread, which dials and then writes. */
     Thread dialerThread;
 
@@ -65,8 +65,8 @@
     /** With the lock: ends a dial that is under way. */
     void cancelDial() {
         closeQuietly(dialingSocket);
-        if (handshaking != null) {
-            handshaking.close("no dial any more");
+        if (handshakingConnection != null) {
+            handshakingConnection.close("no dial any more");
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
@@ -91,8 +91,8 @@
         socket.setSoTimeout((int) Math.max(1, silenceMs));
     }
 
-    void send(Handshake.Part part) throws IOException {
-        byte[] bytes = Handshake.bytes(part);
+    void send(Handshake.Message part) throws IOException {
+        byte[] bytes = Handshake.encode(part);
         out.write(bytes);
         metrics.count("bytes_out", bytes.length);
     }
@@ -109,7 +109,7 @@
                 return;
             }
             while (frame != null) {
-                filled = appendFrame(filled, FrameCodec.head(frame.stream(), frame.body()), frame.body());
+                filled = appendFrame(filled, FrameCodec.encodeHeader(frame.stream(), frame.body()), frame.body());
                 metrics.count("frames_out");
                 frame = filled < WRITE_BUFFER_BYTES / 2 ? sendQueue.poll() : null;
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLimits.java
@@ -33,16 +33,16 @@
 
     /** Checks each value; faults are told by {@link IllegalArgumentException}. */
     public PeerLimits {
-        demand(maxFrameBytes >= 4096 && maxFrameBytes <= 64 << 20, "frameBytes must be from 4096 to 67108864");
-        demand(maxQueueBytes >= maxFrameBytes, "queueBytes must hold one frame at least");
-        demand(maxQueueMessages > 0, "queueMessages must be positive");
-        demand(heartbeatMs >= 1, "beatMs must be 1 at least");
-        demand(suspectAfterMs >= 4 * heartbeatMs, "suspectMs must be four beats at least");
-        demand(deadAfterMs >= 2 * suspectAfterMs, "goneMs must be twice suspectMs at least");
-        demand(handshakeTimeoutMs > 0, "handshakeMs must be positive");
-        demand(dialBackoffMinMs > 0 && dialBackoffMaxMs >= dialBackoffMinMs, "dialMaxMs must not be under dialMinMs");
-        demand(maxPendingHandshakes > 0, "strangers must be positive");
-        demand(probeHelpers > 0, "asked must be positive");
+        require(maxFrameBytes >= 4096 && maxFrameBytes <= 64 << 20, "frameBytes must be from 4096 to 67108864");
+        require(maxQueueBytes >= maxFrameBytes, "queueBytes must hold one frame at least");
+        require(maxQueueMessages > 0, "queueMessages must be positive");
+        require(heartbeatMs >= 1, "beatMs must be 1 at least");
+        require(suspectAfterMs >= 4 * heartbeatMs, "suspectMs must be four beats at least");
+        require(deadAfterMs >= 2 * suspectAfterMs, "goneMs must be twice suspectMs at least");
+        require(handshakeTimeoutMs > 0, "handshakeMs must be positive");
+        require(dialBackoffMinMs > 0 && dialBackoffMaxMs >= dialBackoffMinMs, "dialMaxMs must not be under dialMinMs");
+        require(maxPendingHandshakes > 0, "strangers must be positive");
+        require(probeHelpers > 0, "asked must be positive");
     }
 
     /** What a fleet of some tens of members in one region does well with. */
@@ -66,7 +66,7 @@
                 probeHelpers);
     }
 
-    private static void demand(boolean holds, String fault) {
+    private static void require(boolean holds, String fault) {
         if (!holds) {
             throw new IllegalArgumentException(fault);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
@@ -43,7 +43,7 @@
         String text = reason == HandshakeRejection.STALE_INCARNATION
                 ? "life " + knownLife + " is known"
                 : "by " + context.self().name() + " of " + context.fleet;
-        connection.send(new Handshake.Refuse(reason, knownLife, text));
+        connection.send(new Handshake.Reject(reason, knownLife, text));
     }
 
     /** Counts and logs a handshake that this member rejects. */
@@ -76,7 +76,7 @@
         }
         peer.lastLoggedRejection = reason;
         peer.lastLoggedRejectionAtMs = now;
-        membership.raise(peer.name(), reason, description);
+        membership.raiseFault(peer.name(), reason, description);
         return true;
     }
 
@@ -89,14 +89,14 @@
         }
         strangerLoggedAtMs.put(reason, now);
         if (name.equals(context.self().name())) {
-            membership.raise(name, reason, description);
+            membership.raiseFault(name, reason, description);
         }
         return true;
     }
 
     /** A peer has rejected this member. */
-    void onRejectedBy(String name, Handshake.Refuse refuse) {
-        HandshakeRejection reason = refuse.why();
+    void onRejectedBy(String name, Handshake.Reject refuse) {
+        HandshakeRejection reason = refuse.reason();
         context.metrics.count(reason.rejectedByPeerCounter());
         synchronized (context.lock) {
             Peer peer = registry.peer(name);
@@ -128,7 +128,7 @@
                         peer.member.address(),
                         reason.text(),
                         refuse.text());
-                membership.raise(ownIdentity ? context.self().name() : name, reason, refuse.text());
+                membership.raiseFault(ownIdentity ? context.self().name() : name, reason, refuse.text());
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SendQueue.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SendQueue.java
@@ -13,11 +13,11 @@
 
     private static final MessageStream[] STREAMS = MessageStream.values();
 
-    private final long bytesMost;
-    private final int messagesMost;
+    private final long maxBytes;
+    private final int maxMessages;
     private final Queue[] queues = new Queue[STREAMS.length];
-    private int turn = 1;
-    private boolean granted;
+    private int currentQueue = 1;
+    private boolean quantumGranted;
     private boolean ended;
 
     private static final class Queue {
@@ -27,8 +27,8 @@
     }
 
     SendQueue(long bytesMost, int messagesMost) {
-        this.bytesMost = bytesMost;
-        this.messagesMost = messagesMost;
+        this.maxBytes = bytesMost;
+        this.maxMessages = messagesMost;
         for (int i = 0; i < queues.length; i++) {
             queues[i] = new Queue();
         }
@@ -37,7 +37,7 @@
     /** Takes the message, or says that the stream's queue is full. */
     synchronized boolean offer(MessageStream stream, byte[] body) {
         Queue queue = queues[stream.ordinal()];
-        if (ended || queue.messages.size() >= messagesMost || queue.bytes + body.length > bytesMost) {
+        if (ended || queue.messages.size() >= maxMessages || queue.bytes + body.length > maxBytes) {
             return false;
         }
         queue.messages.add(body);
@@ -49,29 +49,29 @@
     /** The next message by turn; null if there is none now. */
     synchronized FrameCodec.Frame poll() {
         if (!queues[0].messages.isEmpty()) {
-            return taken(0);
+            return dequeue(0);
         }
         if (isEmpty()) {
             return null;
         }
         while (true) {
-            Queue queue = queues[turn];
+            Queue queue = queues[currentQueue];
             if (!queue.messages.isEmpty()) {
-                if (!granted) {
+                if (!quantumGranted) {
                     queue.deficit += QUANTUM;
-                    granted = true;
+                    quantumGranted = true;
                 }
-                int cost = queue.messages.peek().length + FrameCodec.HEAD;
+                int cost = queue.messages.peek().length + FrameCodec.HEADER_BYTES;
                 if (cost <= queue.deficit) {
                     queue.deficit -= cost;
-                    return taken(turn);
+                    return dequeue(currentQueue);
                 }
             }
             if (queue.messages.isEmpty()) {
                 queue.deficit = 0;
             }
-            granted = false;
-            turn = turn + 1 < queues.length ? turn + 1 : 1;
+            quantumGranted = false;
+            currentQueue = currentQueue + 1 < queues.length ? currentQueue + 1 : 1;
         }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /** Messages that wait in a stream. */
-    synchronized int waiting(MessageStream stream) {
+    synchronized int queuedMessages(MessageStream stream) {
         return queues[stream.ordinal()].messages.size();
     }
 
@@ -106,7 +106,7 @@
         return true;
     }
 
-    private FrameCodec.Frame taken(int stream) {
+    private FrameCodec.Frame dequeue(int stream) {
         byte[] body = queues[stream].messages.poll();
         queues[stream].bytes -= body.length;
         return new FrameCodec.Frame(STREAMS[stream], body);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -20,17 +20,17 @@
 record SwimMessage(
         int flags,
         int sequence,
-        int echo,
-        double heldMs,
+        int ackSequence,
+        double ackDelayMs,
         int refutationNumber,
         List<Entry> entries,
         List<String> probeRequests) {
     /** The receiver is to answer at once. */
     static final int REPLY_NOW = 1;
     /** It answers a request for a probe. */
-    static final int ANSWER = 2;
+    static final int PROBE_REPLY = 2;
     /** The sender shuts down. */
-    static final int FAREWELL = 4;
+    static final int LEAVING = 4;
 
     static final int MAX_ENTRIES = 64;
     static final int MAX_PROBE_REQUESTS = 32;
@@ -67,8 +67,8 @@
         ByteBuffer out = ByteBuffer.allocate(most);
         out.put((byte) flags)
                 .putInt(sequence)
-                .putInt(echo)
-                .putFloat((float) heldMs)
+                .putInt(ackSequence)
+                .putFloat((float) ackDelayMs)
                 .putInt(refutationNumber);
         out.put((byte) entries.size()).put((byte) probeRequests.size());
         for (Entry e : entries) {
@@ -83,14 +83,14 @@
     }
 
     static SwimMessage decode(byte[] bytes) throws WireException {
-        return WireFormat.whole(bytes, SwimMessage::read);
+        return WireFormat.readAll(bytes, SwimMessage::decodeFields);
     }
 
-    private static SwimMessage read(ByteBuffer in) throws WireException {
+    private static SwimMessage decodeFields(ByteBuffer in) throws WireException {
         int flags = in.get() & 0xff;
         int sequence = in.getInt();
         int echo = in.getInt();
-        double held = WireFormat.length(in);
+        double held = WireFormat.readDurationMs(in);
         int incarnation = in.getInt();
         int entries = in.get() & 0xff;
         int requests = in.get() & 0xff;
@@ -99,17 +99,17 @@
         }
         List<Entry> known = new ArrayList<>(entries);
         for (int i = 0; i < entries; i++) {
-            known.add(entry(in));
+            known.add(decodeEntry(in));
         }
         List<String> wanted = new ArrayList<>(requests);
         for (int i = 0; i < requests; i++) {
-            wanted.add(WireFormat.name(in));
+            wanted.add(WireFormat.readName(in));
         }
         return new SwimMessage(flags, sequence, echo, held, incarnation, known, wanted);
     }
 
-    private static Entry entry(ByteBuffer in) throws WireException {
-        String name = WireFormat.name(in);
+    private static Entry decodeEntry(ByteBuffer in) throws WireException {
+        String name = WireFormat.readName(in);
         long life = in.getLong();
         long instance = in.getLong();
         int incarnation = in.getInt();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
@@ -27,7 +27,7 @@
 public final class TcpPeerLinks implements PeerLinks {
     private static final Logger LOG = LoggerFactory.getLogger(TcpPeerLinks.class);
     /** How long {@link #close} waits for the farewell to be written and read. */
-    private static final double FAREWELL_TIMEOUT_MS = 500;
+    private static final double LEAVE_TIMEOUT_MS = 500;
 
     private final LinkContext context;
     private final ConnectionRegistry registry;
@@ -172,12 +172,12 @@
 
     @Override
     public void addWatcher(Watcher watcher) {
-        membership.watch(watcher);
+        membership.addWatcher(watcher);
     }
 
     /** Adds an alarm; before {@link #start}. */
     public void addFaultListener(FaultListener alarm) {
-        membership.alarm(alarm);
+        membership.addFaultListener(alarm);
     }
 
     /** Counters since the start and present gauges, by name. */
@@ -185,7 +185,7 @@
         Map<String, Double> all = context.metrics.snapshot();
         synchronized (context.lock) {
             all.put("links", (double) registry.connectedNames().size());
-            all.put("strangers", (double) acceptor.strangerCount());
+            all.put("strangers", (double) acceptor.pendingHandshakeCount());
             all.put("threads", (double) context.threadCount());
             membership.addMetrics(all);
         }
@@ -267,7 +267,7 @@
     }
 
     /** Ends as a killed process does: peers are not notified. */
-    void halt() {
+    void abort() {
         stop(false);
     }
 
@@ -279,7 +279,7 @@
                 return;
             }
             if (farewell) {
-                registry.send(membership.detector().farewell(context.clock.nowMs()));
+                registry.send(membership.detector().leaveMessages(context.clock.nowMs()));
             }
             context.beginClosing();
             membership.close();
@@ -288,8 +288,8 @@
             context.signalChange();
             running = context.runningThreads();
         }
-        awaitClosed(open, farewell ? FAREWELL_TIMEOUT_MS : 0);
-        context.stopThreads(running, 2 * FAREWELL_TIMEOUT_MS);
+        awaitClosed(open, farewell ? LEAVE_TIMEOUT_MS : 0);
+        context.stopThreads(running, 2 * LEAVE_TIMEOUT_MS);
     }
 
     /** With the lock: no message is queued any more; the open connections are returned. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
@@ -16,12 +16,12 @@
     private record Call(String peer, Runnable run) {}
 
     private final ArrayDeque<Call> calls = new ArrayDeque<>();
-    private final LinkMetrics figures;
-    private boolean ending;
+    private final LinkMetrics metrics;
+    private boolean ended;
 
     /** An empty queue that counts calls that were lost or failed. */
     WatcherQueue(LinkMetrics figures) {
-        this.figures = figures;
+        this.metrics = figures;
     }
 
     /** Adds a call about this peer. */
@@ -31,7 +31,7 @@
                     .filter(call -> Objects.equals(call.peer(), peer))
                     .findFirst()
                     .orElse(calls.peek()));
-            figures.count("events_lost");
+            metrics.count("events_lost");
         }
         calls.add(new Call(peer, run));
         notifyAll();
@@ -39,7 +39,7 @@
 
     /** No call comes any more: {@link #run} returns once all that wait are made. */
     synchronized void end() {
-        ending = true;
+        ended = true;
         notifyAll();
     }
 
@@ -49,7 +49,7 @@
             try {
                 call.run().run();
             } catch (RuntimeException e) {
-                figures.count("watcher_failed");
+                metrics.count("watcher_failed");
                 LOG.error("a watcher failed", e);
             }
         }
@@ -57,7 +57,7 @@
 
     /** The next call; null at the end. */
     private synchronized Call next() {
-        while (calls.isEmpty() && !ending) {
+        while (calls.isEmpty() && !ended) {
             try {
                 wait();
             } catch (InterruptedException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WireFormat.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WireFormat.java
@@ -12,12 +12,12 @@
 
     /** A reader's body: faults of the bytes come as {@link WireException} only. */
     @FunctionalInterface
-    interface Body<T> {
+    interface Reader<T> {
         T read(ByteBuffer in) throws WireException;
     }
 
     /** Reads the whole array; what is short or has bytes left over is a fault. */
-    static <T> T whole(byte[] bytes, Body<T> body) throws WireException {
+    static <T> T readAll(byte[] bytes, Reader<T> body) throws WireException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             T value = body.read(in);
@@ -30,7 +30,7 @@
         }
     }
 
-    static int crc(byte[] bytes, int from, int length) {
+    static int crc32c(byte[] bytes, int from, int length) {
         CRC32C sum = new CRC32C();
         sum.update(bytes, from, length);
         return (int) sum.getValue();
@@ -59,7 +59,7 @@
     }
 
     /** A name: not empty, bounded. */
-    static String name(ByteBuffer in) throws WireException {
+    static String readName(ByteBuffer in) throws WireException {
         String name = text(in);
         if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > PeerLimits.MAX_NAME_BYTES) {
             throw new WireException("a name that is empty or too long");
@@ -67,7 +67,7 @@
         return name;
     }
 
-    static double length(ByteBuffer in) throws WireException {
+    static double readDurationMs(ByteBuffer in) throws WireException {
         float ms = in.getFloat();
         if (!(ms >= 0) || Float.isInfinite(ms)) {
             throw new WireException("a length of time that is none");
--- a/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
@@ -14,132 +14,132 @@
     private static final PeerLimits LIMITS = PeerLimits.defaults();
 
     /** Members that exchange beats over simulated lines; one seed gives one history. */
-    private static final class World {
+    private static final class SimulatedCluster {
         final int size;
         final Random random;
         final FailureDetector[] members;
         final long[] lives;
-        final double[] stoppedUntil;
-        final double[] offset;
+        final double[] pausedUntilMs;
+        final double[] clockOffsetMs;
         final List<String> names = new ArrayList<>();
         final PriorityQueue<Event> events = new PriorityQueue<>();
         /** Each change: who holds it, of whom, what, when. */
-        final List<Seen> seen = new ArrayList<>();
+        final List<StatusChange> statusChanges = new ArrayList<>();
 
-        double now;
-        double loss;
+        double nowMs;
+        double lossProbability;
         double delayMs = 1;
-        BiPredicate<Integer, Integer> cut = (from, to) -> false;
+        BiPredicate<Integer, Integer> isCut = (from, to) -> false;
         long order;
 
-        record Seen(int by, int of, MemberStatus standing, double at) {}
+        record StatusChange(int observer, int subject, MemberStatus status, double atMs) {}
 
-        record Event(double at, long order, Runnable work) implements Comparable<Event> {
+        record Event(double atMs, long order, Runnable work) implements Comparable<Event> {
             @Override
             public int compareTo(Event o) {
-                return at != o.at ? Double.compare(at, o.at) : Long.compare(order, o.order);
+                return atMs != o.atMs ? Double.compare(atMs, o.atMs) : Long.compare(order, o.order);
             }
         }
 
-        World(int size, long seed) {
+        SimulatedCluster(int size, long seed) {
             this.size = size;
             random = new Random(seed);
             members = new FailureDetector[size];
             lives = new long[size];
-            stoppedUntil = new double[size];
-            offset = new double[size];
+            pausedUntilMs = new double[size];
+            clockOffsetMs = new double[size];
             for (int i = 0; i < size; i++) {
                 names.add("n" + i);
             }
             for (int i = 0; i < size; i++) {
-                begin(i, 1);
+                startMember(i, 1);
             }
             for (int i = 0; i < size; i++) {
                 for (int j = 0; j < size; j++) {
-                    link(i, j);
+                    connect(i, j);
                 }
             }
         }
 
-        void begin(int i, long life) {
+        void startMember(int i, long life) {
             lives[i] = life;
-            offset[i] = random.nextDouble() * 1e6;
+            clockOffsetMs[i] = random.nextDouble() * 1e6;
             FailureDetector d = new FailureDetector(names.get(i), life, instance(i, life), LIMITS, random.nextLong());
             d.update(names);
             members[i] = d;
-            in(random.nextDouble() * LIMITS.heartbeatMs(), () -> tick(i, d));
+            schedule(random.nextDouble() * LIMITS.heartbeatMs(), () -> tick(i, d));
         }
 
         static long instance(int i, long life) {
             return 1000L * (i + 1) + life;
         }
 
-        void link(int i, int j) {
+        void connect(int i, int j) {
             if (i != j) {
-                send(i, members[i].onConnected(local(i), local(i) - 1, names.get(j), lives[j], instance(j, lives[j])));
-                note(i);
+                send(i, members[i].onConnected(localTimeMs(i), localTimeMs(i) - 1, names.get(j), lives[j], instance(j, lives[j])));
+                recordChanges(i);
             }
         }
 
-        double local(int i) {
-            return now + offset[i];
+        double localTimeMs(int i) {
+            return nowMs + clockOffsetMs[i];
         }
 
-        void in(double ms, Runnable work) {
-            events.add(new Event(now + ms, order++, work));
+        void schedule(double ms, Runnable work) {
+            events.add(new Event(nowMs + ms, order++, work));
         }
 
         void tick(int i, FailureDetector d) {
             if (members[i] != d) {
                 return;
             }
-            if (now < stoppedUntil[i]) {
-                in(stoppedUntil[i] - now, () -> tick(i, d));
+            if (nowMs < pausedUntilMs[i]) {
+                schedule(pausedUntilMs[i] - nowMs, () -> tick(i, d));
                 return;
             }
-            send(i, d.tick(local(i)));
-            note(i);
-            in(LIMITS.heartbeatMs(), () -> tick(i, d));
+            send(i, d.tick(localTimeMs(i)));
+            recordChanges(i);
+            schedule(LIMITS.heartbeatMs(), () -> tick(i, d));
         }
 
-        void send(int i, List<FailureDetector.Outgoing> out) {
-            for (FailureDetector.Outgoing o : out) {
+        void send(int i, List<FailureDetector.OutgoingMessage> out) {
+            for (FailureDetector.OutgoingMessage o : out) {
                 int j = names.indexOf(o.to());
-                if (random.nextDouble() >= loss && !cut.test(i, j)) {
+                if (random.nextDouble() >= lossProbability && !isCut.test(i, j)) {
                     byte[] wire = o.message().encode();
                     long life = lives[i];
                     FailureDetector target = members[j];
-                    in(delayMs * (0.5 + random.nextDouble()), () -> take(j, target, i, life, wire));
+                    schedule(delayMs * (0.5 + random.nextDouble()), () -> receive(j, target, i, life, wire));
                 }
             }
         }
 
-        void take(int j, FailureDetector target, int from, long life, byte[] wire) {
+        void receive(int j, FailureDetector target, int from, long life, byte[] wire) {
             if (members[j] != target) {
                 return;
             }
-            if (now < stoppedUntil[j]) {
-                in(stoppedUntil[j] - now, () -> take(j, target, from, life, wire));
+            if (nowMs < pausedUntilMs[j]) {
+                schedule(pausedUntilMs[j] - nowMs, () -> receive(j, target, from, life, wire));
                 return;
             }
             try {
                 send(
                         j,
                         target.onMessage(
-                                local(j), names.get(from), life, instance(from, life), SwimMessage.decode(wire)));
+                                localTimeMs(j), names.get(from), life, instance(from, life), SwimMessage.decode(wire)));
             } catch (WireException e) {
                 throw new AssertionError(e);
             }
-            note(j);
+            recordChanges(j);
         }
 
-        void note(int i) {
+        void recordChanges(int i) {
             for (FailureDetector.Change c : members[i].drainChanges()) {
-                seen.add(new Seen(i, names.indexOf(c.peer()), c.status(), now));
+                statusChanges.add(new StatusChange(i, names.indexOf(c.peer()), c.status(), nowMs));
             }
         }
 
-        void end(int i) {
+        void killMember(int i) {
             members[i] = null;
             for (int j = 0; j < size; j++) {
                 if (members[j] != null) {
@@ -148,21 +148,21 @@
             }
         }
 
-        void run(double ms) {
-            double until = now + ms;
-            while (!events.isEmpty() && events.peek().at() <= until) {
+        void runFor(double ms) {
+            double until = nowMs + ms;
+            while (!events.isEmpty() && events.peek().atMs() <= until) {
                 Event e = events.poll();
-                now = e.at();
+                nowMs = e.atMs();
                 e.work().run();
             }
-            now = until;
+            nowMs = until;
         }
 
         long count(MemberStatus standing) {
-            return seen.stream().filter(s -> s.standing() == standing).count();
+            return statusChanges.stream().filter(s -> s.status() == standing).count();
         }
 
-        void awaitAll(int of, MemberStatus standing) {
+        void assertStatusEverywhere(int of, MemberStatus standing) {
             for (int i = 0; i < size; i++) {
                 if (i != of && members[i] != null) {
                     assertEquals(standing, members[i].status(names.get(of)), names.get(i) + " of " + names.get(of));
@@ -172,22 +172,22 @@
     }
 
     @Test
-    void deadMemberIsGoneForAllWithinItsBoundAndNoOther() {
+    void everyMemberDeclaresAKilledMemberDeadWithinTheBoundAndNoOther() {
         List<Double> took = new ArrayList<>();
         long wrong = 0;
         for (long seed = 0; seed < 300; seed++) {
-            World w = new World(2 + (int) (seed % 11), seed);
-            w.loss = seed % 3 * 0.15;
-            w.run(5000 + seed);
-            double died = w.now;
-            w.end(0);
-            w.run(2 * LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
-            w.awaitAll(0, MemberStatus.DEAD);
-            for (World.Seen s : w.seen) {
-                if (s.standing() == MemberStatus.DEAD) {
-                    assertEquals(0, s.of(), "a live one is gone, seed " + seed);
-                    took.add(s.at() - died);
-                } else if (s.standing() == MemberStatus.SUSPECT && s.of() != 0) {
+            SimulatedCluster w = new SimulatedCluster(2 + (int) (seed % 11), seed);
+            w.lossProbability = seed % 3 * 0.15;
+            w.runFor(5000 + seed);
+            double died = w.nowMs;
+            w.killMember(0);
+            w.runFor(2 * LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
+            w.assertStatusEverywhere(0, MemberStatus.DEAD);
+            for (SimulatedCluster.StatusChange s : w.statusChanges) {
+                if (s.status() == MemberStatus.DEAD) {
+                    assertEquals(0, s.subject(), "a live one is gone, seed " + seed);
+                    took.add(s.atMs() - died);
+                } else if (s.status() == MemberStatus.SUSPECT && s.subject() != 0) {
                     wrong++;
                 }
             }
@@ -207,120 +207,120 @@
     }
 
     @Test
-    void memberThatOneOtherHearsIsGoneForNobody() {
+    void memberThatOnePeerHearsIsNotDeclaredDead() {
         for (long seed = 0; seed < 100; seed++) {
-            World w = new World(3 + (int) (seed % 12), seed);
-            w.run(3000);
+            SimulatedCluster w = new SimulatedCluster(3 + (int) (seed % 12), seed);
+            w.runFor(3000);
             int friend = 1 + (int) (seed % (w.size - 1));
-            w.cut = (from, to) -> from == 0 && to != friend || to == 0 && from != friend;
-            w.run(20_000);
-            w.awaitAll(0, MemberStatus.ALIVE);
+            w.isCut = (from, to) -> from == 0 && to != friend || to == 0 && from != friend;
+            w.runFor(20_000);
+            w.assertStatusEverywhere(0, MemberStatus.ALIVE);
             assertEquals(0, w.count(MemberStatus.DEAD), "seed " + seed);
         }
     }
 
     @Test
-    void oneWayLossIsSeenBySenderAndDoesNotKill() {
+    void senderDetectsOneWayLossAndNobodyIsDeclaredDead() {
         for (long seed = 0; seed < 100; seed++) {
-            World w = new World(3 + (int) (seed % 10), seed);
-            w.run(3000);
-            w.cut = (from, to) -> from == 0 && to == 1;
-            w.run(10_000);
-            assertTrue(w.members[0].unheardForMs("n1") > 9000, "n0 knows that n1 does not hear it");
+            SimulatedCluster w = new SimulatedCluster(3 + (int) (seed % 10), seed);
+            w.runFor(3000);
+            w.isCut = (from, to) -> from == 0 && to == 1;
+            w.runFor(10_000);
+            assertTrue(w.members[0].unacknowledgedForMs("n1") > 9000, "n0 knows that n1 does not hear it");
             assertEquals(1, w.members[0].countOneWay());
-            assertEquals(0, w.members[1].unheardForMs("n0"));
+            assertEquals(0, w.members[1].unacknowledgedForMs("n0"));
             assertEquals(MemberStatus.ALIVE, w.members[1].status("n0"));
             assertEquals(MemberStatus.ALIVE, w.members[0].status("n1"));
             assertEquals(0, w.count(MemberStatus.DEAD));
-            w.cut = (from, to) -> false;
-            w.run(1000);
+            w.isCut = (from, to) -> false;
+            w.runFor(1000);
             assertEquals(0, w.members[0].countOneWay());
         }
     }
 
     @Test
-    void slowAndLossyLinesAreNoDeath() {
+    void slowAndLossyLinksDeclareNobodyDead() {
         for (long seed = 0; seed < 30; seed++) {
-            World w = new World(4 + (int) (seed % 9), seed);
+            SimulatedCluster w = new SimulatedCluster(4 + (int) (seed % 9), seed);
             w.delayMs = 250;
-            w.loss = 0.3;
-            w.run(60_000);
+            w.lossProbability = 0.3;
+            w.runFor(60_000);
             assertEquals(0, w.count(MemberStatus.DEAD), "seed " + seed);
         }
     }
 
     @Test
-    void memberThatStoodStillTakesNobodyForDeadAndRefutes() {
+    void pausedMemberDeclaresNobodyDeadAndRefutesItsSuspicion() {
         for (long seed = 0; seed < 100; seed++) {
-            World w = new World(3 + (int) (seed % 10), seed);
-            w.run(3000);
-            w.stoppedUntil[0] = w.now + 10_000 + seed * 50;
-            w.run(9_900);
-            w.awaitAll(0, MemberStatus.DEAD);
-            w.run(8_000);
-            for (World.Seen s : w.seen) {
-                assertTrue(s.by() != 0 || s.standing() == MemberStatus.ALIVE, "it doubts others: " + s);
+            SimulatedCluster w = new SimulatedCluster(3 + (int) (seed % 10), seed);
+            w.runFor(3000);
+            w.pausedUntilMs[0] = w.nowMs + 10_000 + seed * 50;
+            w.runFor(9_900);
+            w.assertStatusEverywhere(0, MemberStatus.DEAD);
+            w.runFor(8_000);
+            for (SimulatedCluster.StatusChange s : w.statusChanges) {
+                assertTrue(s.observer() != 0 || s.status() == MemberStatus.ALIVE, "it doubts others: " + s);
             }
-            w.awaitAll(0, MemberStatus.ALIVE);
+            w.assertStatusEverywhere(0, MemberStatus.ALIVE);
             assertTrue(w.members[0].refutations() > 0);
             assertTrue(w.members[0].pauses() > 0);
         }
     }
 
     @Test
-    void beatsThatStoodInTheLineDoNotKeepTheDeadAlive() {
-        World w = new World(2, 5);
-        w.run(3000);
+    void delayedHeartbeatsDoNotKeepADeadMemberAlive() {
+        SimulatedCluster w = new SimulatedCluster(2, 5);
+        w.runFor(3000);
         w.delayMs = 2600;
-        w.run(500);
+        w.runFor(500);
         // The beats of this half second arrive from 1.3 to 3.9 s after their sending, when their sender has ended.
-        double died = w.now;
-        w.end(0);
-        w.run(LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
-        assertEquals(MemberStatus.DEAD, w.members[1].status("n0"), "by " + (w.now - died));
-        w.run(10_000);
+        double died = w.nowMs;
+        w.killMember(0);
+        w.runFor(LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
+        assertEquals(MemberStatus.DEAD, w.members[1].status("n0"), "by " + (w.nowMs - died));
+        w.runFor(10_000);
         assertEquals(MemberStatus.DEAD, w.members[1].status("n0"));
     }
 
     @Test
-    void laterLifeComesBackAndHalvesFindEachOther() {
+    void restartedMemberAndPartitionedHalvesRejoin() {
         for (long seed = 0; seed < 50; seed++) {
-            World w = new World(6, seed);
-            w.run(2000);
-            w.cut = (from, to) -> from < 3 != to < 3;
-            w.run(12_000);
+            SimulatedCluster w = new SimulatedCluster(6, seed);
+            w.runFor(2000);
+            w.isCut = (from, to) -> from < 3 != to < 3;
+            w.runFor(12_000);
             assertEquals(3, w.members[0].count(MemberStatus.DEAD));
-            w.cut = (from, to) -> false;
-            w.run(2000);
+            w.isCut = (from, to) -> false;
+            w.runFor(2000);
             assertEquals(5, w.members[0].count(MemberStatus.ALIVE));
-            w.end(2);
-            w.run(10_000);
-            w.begin(2, 2);
+            w.killMember(2);
+            w.runFor(10_000);
+            w.startMember(2, 2);
             // Only one other has a link with the new life: the rest hear of it.
-            w.link(2, 4);
-            w.link(4, 2);
-            w.run(2000);
-            w.awaitAll(2, MemberStatus.ALIVE);
+            w.connect(2, 4);
+            w.connect(4, 2);
+            w.runFor(2000);
+            w.assertStatusEverywhere(2, MemberStatus.ALIVE);
             assertEquals(2, w.members[0].lifeOf("n2"));
         }
     }
 
     @Test
-    void twoProcessesOfOneNameAreFoundWithoutMeetingOneMember() {
-        World w = new World(4, 1);
-        w.run(2000);
+    void twoProcessesOfOneNameAreDetectedWithoutACommonPeer() {
+        SimulatedCluster w = new SimulatedCluster(4, 1);
+        w.runFor(2000);
         // n3 lives on at n0 and n1; a copy of it, of the same life, has linked with n2 only.
-        w.members[2] = new FailureDetector("n2", 2, World.instance(2, 2), LIMITS, 9);
+        w.members[2] = new FailureDetector("n2", 2, SimulatedCluster.instance(2, 2), LIMITS, 9);
         w.members[2].update(w.names);
         w.lives[2] = 2;
         FailureDetector d = w.members[2];
-        w.in(1, () -> w.tick(2, d));
+        w.schedule(1, () -> w.tick(2, d));
         for (int i = 0; i < 2; i++) {
-            w.link(2, i);
-            w.link(i, 2);
+            w.connect(2, i);
+            w.connect(i, 2);
         }
-        d.onConnected(w.local(2), w.local(2), "n3", 1, 4711);
-        w.run(2000);
+        d.onConnected(w.localTimeMs(2), w.localTimeMs(2), "n3", 1, 4711);
+        w.runFor(2000);
         List<FailureDetector.Conflict> told = w.members[0].drainConflicts();
         assertEquals(1, told.size(), "once: " + told);
         assertEquals("n3", told.get(0).name());
@@ -328,7 +328,7 @@
     }
 
     /** What a peer tells of this member itself, to one that has run for a second. */
-    private static FailureDetector toldOfItself(long life, MemberStatus standing, double ageMs) {
+    private static FailureDetector detectorToldOfItself(long life, MemberStatus standing, double ageMs) {
         FailureDetector d = new FailureDetector("a", 5, 1, LIMITS, 1);
         d.update(List.of("b"));
         d.onConnected(0, 0, "b", 1, 2);
@@ -339,24 +339,24 @@
     }
 
     @Test
-    void laterLifeOfItselfIsItsPastIfItEndedBeforeThisProcessBegan() {
-        assertEquals(9, toldOfItself(9, MemberStatus.DEAD, -1).endedLife());
-        assertEquals(9, toldOfItself(9, MemberStatus.SUSPECT, 2000).endedLife());
-        assertEquals(5, toldOfItself(5, MemberStatus.ALIVE, 2000).endedLife());
-        assertEquals(Long.MIN_VALUE, toldOfItself(4, MemberStatus.DEAD, 2000).endedLife());
+    void laterIncarnationOfItselfIsAnEndedOneIfItWasLastAliveBeforeTheStart() {
+        assertEquals(9, detectorToldOfItself(9, MemberStatus.DEAD, -1).endedLife());
+        assertEquals(9, detectorToldOfItself(9, MemberStatus.SUSPECT, 2000).endedLife());
+        assertEquals(5, detectorToldOfItself(5, MemberStatus.ALIVE, 2000).endedLife());
+        assertEquals(Long.MIN_VALUE, detectorToldOfItself(4, MemberStatus.DEAD, 2000).endedLife());
         for (double ageMs : new double[] {-1, 500}) {
-            FailureDetector second = toldOfItself(9, MemberStatus.ALIVE, ageMs);
+            FailureDetector second = detectorToldOfItself(9, MemberStatus.ALIVE, ageMs);
             assertEquals(Long.MIN_VALUE, second.endedLife(), "it lives beside this one, age " + ageMs);
             assertEquals(1, second.drainConflicts().size());
         }
-        FailureDetector renewed = toldOfItself(9, MemberStatus.DEAD, -1);
+        FailureDetector renewed = detectorToldOfItself(9, MemberStatus.DEAD, -1);
         renewed.beginLife(10);
         assertEquals(Long.MIN_VALUE, renewed.endedLife());
         assertTrue(renewed.drainConflicts().isEmpty());
     }
 
     @Test
-    void goneEndsByAGreaterIncarnationOnly() {
+    void onlyAGreaterRefutationNumberRevivesADeadMember() {
         FailureDetector d = new FailureDetector("a", 1, 1, LIMITS, 1);
         d.update(List.of("b"));
         d.onConnected(0, 0, "b", 1, 2);
--- a/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
@@ -13,12 +13,12 @@
 /** The forms of what members say to each other on a link, against the golden files. */
 class GoldenFormsTest {
     private static final byte[] CONTENT = {0, 1, 127, -128, -1};
-    private static final int LONGEST = 1024;
+    private static final int MAX_FRAME_BYTES = 1024;
     /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static final List<MemberStatus> STANDINGS =
+    private static final List<MemberStatus> STATUSES =
             List.of(MemberStatus.UNKNOWN, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD);
 
-    private static final List<HandshakeRejection> REFUSALS = List.of(
+    private static final List<HandshakeRejection> REJECTIONS = List.of(
             HandshakeRejection.MALFORMED,
             HandshakeRejection.VERSION_MISMATCH,
             HandshakeRejection.FLEET_MISMATCH,
@@ -37,16 +37,16 @@
             MessageStream.CONTROL);
 
     @Test
-    void beats() throws IOException {
-        assertEquals(MemberStatus.values().length, STANDINGS.size());
+    void swimMessages() throws IOException {
+        assertEquals(MemberStatus.values().length, STATUSES.size());
         List<SwimMessage.Entry> entries = new ArrayList<>();
-        for (MemberStatus standing : STANDINGS) {
+        for (MemberStatus standing : STATUSES) {
             entries.add(
                     new SwimMessage.Entry("n" + entries.size(), 1_700_000_000_001L, -9, 3, standing, false, 1500.5));
         }
         entries.add(new SwimMessage.Entry("n9", 4, 5, 6, MemberStatus.DEAD, true, -1));
         SwimMessage all = new SwimMessage(
-                SwimMessage.REPLY_NOW | SwimMessage.ANSWER | SwimMessage.FAREWELL,
+                SwimMessage.REPLY_NOW | SwimMessage.PROBE_REPLY | SwimMessage.LEAVING,
                 70_000,
                 69_999,
                 12.5,
@@ -54,7 +54,7 @@
                 entries,
                 List.of("n3", "n4"));
         GoldenFiles.check("peer/beat", all, SwimMessage::encode, SwimMessage::decode);
-        for (int flag : List.of(SwimMessage.REPLY_NOW, SwimMessage.ANSWER, SwimMessage.FAREWELL)) {
+        for (int flag : List.of(SwimMessage.REPLY_NOW, SwimMessage.PROBE_REPLY, SwimMessage.LEAVING)) {
             SwimMessage flagged = new SwimMessage(flag, 1, 0, 0, 0, List.of(), List.of());
             GoldenFiles.check("peer/beat-flag-" + flag, flagged, SwimMessage::encode, SwimMessage::decode);
         }
@@ -65,9 +65,9 @@
         check("hello", hello(false));
         check("welcome", hello(true));
         check("ready", new Handshake.Ready());
-        assertEquals(HandshakeRejection.values().length, REFUSALS.size());
-        for (int i = 0; i < REFUSALS.size(); i++) {
-            check("refuse-" + i, new Handshake.Refuse(REFUSALS.get(i), 70_000, "n1 has begun a later life"));
+        assertEquals(HandshakeRejection.values().length, REJECTIONS.size());
+        for (int i = 0; i < REJECTIONS.size(); i++) {
+            check("refuse-" + i, new Handshake.Reject(REJECTIONS.get(i), 70_000, "n1 has begun a later life"));
         }
     }
 
@@ -75,11 +75,11 @@
         return new Handshake.Hello(welcome, "fleet", "n1", "n2", "127.0.0.1:7000", 1_700_000_000_001L, -9, 4);
     }
 
-    private static void check(String name, Handshake.Part part) throws IOException {
+    private static void check(String name, Handshake.Message part) throws IOException {
         GoldenFiles.check(
                 "peer/handshake-" + name,
                 part,
-                Handshake::bytes,
+                Handshake::encode,
                 form -> Handshake.read(new ByteArrayInputStream(form)));
     }
 
@@ -90,13 +90,13 @@
             GoldenFiles.check(
                     "peer/frame-" + i,
                     new FrameCodec.Frame(STREAMS.get(i), CONTENT),
-                    GoldenFormsTest::written,
-                    form -> FrameCodec.read(new ByteArrayInputStream(form), LONGEST));
+                    GoldenFormsTest::encodeFrame,
+                    form -> FrameCodec.read(new ByteArrayInputStream(form), MAX_FRAME_BYTES));
         }
     }
 
-    private static byte[] written(FrameCodec.Frame frame) {
-        byte[] head = FrameCodec.head(frame.stream(), frame.body());
+    private static byte[] encodeFrame(FrameCodec.Frame frame) {
+        byte[] head = FrameCodec.encodeHeader(frame.stream(), frame.body());
         return ByteBuffer.allocate(head.length + frame.body().length)
                 .put(head)
                 .put(frame.body())
--- a/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
@@ -13,7 +13,7 @@
 final class MeshCost {
     private final Clock clock = Clock.system();
     private final List<TcpPeerLinks> all = new ArrayList<>();
-    private final Map<String, Double> gone = new ConcurrentHashMap<>();
+    private final Map<String, Double> declaredDeadAtMs = new ConcurrentHashMap<>();
 
     private MeshCost() {}
 
@@ -23,19 +23,19 @@
         System.exit(0);
     }
 
-    private TcpPeerLinks begin(int i, long life) throws Exception {
+    private TcpPeerLinks startMember(int i, long life) throws Exception {
         TcpPeerLinks links = new TcpPeerLinks(
                 new Member("node-" + i, "127.0.0.1:0", "zone"), life, "fleet", List.of(), clock, PeerLimits.defaults());
         links.addWatcher((peer, standing, its) -> {
             if (standing == MemberStatus.DEAD) {
-                gone.put(links.self().name() + " " + peer + " " + its, clock.nowMs());
+                declaredDeadAtMs.put(links.self().name() + " " + peer + " " + its, clock.nowMs());
             }
         });
         links.start();
         return links;
     }
 
-    private void meet() {
+    private void connectAll() {
         List<Member> members = all.stream().map(TcpPeerLinks::self).toList();
         all.forEach(l -> l.update(members));
         Awaitility.await()
@@ -54,10 +54,10 @@
     private void run(int members, int seconds, int deaths) throws Exception {
         OperatingSystemMXBean system = ManagementFactory.getPlatformMXBean(OperatingSystemMXBean.class);
         for (int i = 0; i < members; i++) {
-            all.add(begin(i, 1));
+            all.add(startMember(i, 1));
         }
         double from = clock.nowMs();
-        meet();
+        connectAll();
         System.out.printf("%d members: all linked after %.0f ms%n", members, clock.nowMs() - from);
         for (String name : all.get(1).metrics().keySet()) {
             System.out.print(name + "=" + (long) sum(name) + " ");
@@ -80,15 +80,15 @@
         for (int d = 0; d < deaths; d++) {
             TcpPeerLinks victim = all.remove(d % members);
             double died = clock.nowMs();
-            victim.halt();
+            victim.abort();
             String key = " " + victim.self().name() + " " + victim.incarnation();
             Awaitility.await()
                     .atMost(java.time.Duration.ofMinutes(1))
                     .until(() ->
-                            all.stream().allMatch(l -> gone.containsKey(l.self().name() + key)));
-            all.forEach(l -> took.add(gone.get(l.self().name() + key) - died));
-            all.add(d % members, begin(d % members, victim.incarnation() + 1));
-            meet();
+                            all.stream().allMatch(l -> declaredDeadAtMs.containsKey(l.self().name() + key)));
+            all.forEach(l -> took.add(declaredDeadAtMs.get(l.self().name() + key) - died));
+            all.add(d % members, startMember(d % members, victim.incarnation() + 1));
+            connectAll();
         }
         double[] sorted = took.stream().mapToDouble(t -> t).sorted().toArray();
         if (sorted.length > 0) {
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
@@ -9,7 +9,7 @@
 
 /** A member as a process of its own: tells its address and each standing; its members come line by line. */
 final class PeerProcess {
-    static final PeerLimits LIMITS = TcpPeerLinksTest.QUICK.withLivenessTimeouts(50, 400, 1200);
+    static final PeerLimits LIMITS = TcpPeerLinksTest.SHORT_TIMEOUTS.withLivenessTimeouts(50, 400, 1200);
 
     private PeerProcess() {}
 
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
@@ -19,7 +19,7 @@
     private final class Child {
         final String name;
         final Process process;
-        final List<String> said = new CopyOnWriteArrayList<>();
+        final List<String> output = new CopyOnWriteArrayList<>();
 
         Child(String name, long life) throws IOException {
             this.name = name;
@@ -38,7 +38,7 @@
             Thread reader = new Thread(() -> {
                 try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8)) {
                     for (String line = in.readLine(); line != null; line = in.readLine()) {
-                        said.add(line);
+                        output.add(line);
                     }
                 } catch (IOException e) {
                     // The process was killed: there is nothing more to read.
@@ -50,12 +50,12 @@
         }
 
         String address() {
-            await().until(() -> said.stream().anyMatch(l -> l.startsWith("at ")));
-            return said.get(0).substring(3);
+            await().until(() -> output.stream().anyMatch(l -> l.startsWith("at ")));
+            return output.get(0).substring(3);
         }
 
-        void hears(String line) {
-            await().until(() -> said.contains(line));
+        void awaitLine(String line) {
+            await().until(() -> output.contains(line));
         }
 
         void signal(String signal) throws IOException, InterruptedException {
@@ -67,11 +67,11 @@
         }
 
         long count(String standing) {
-            return said.stream().filter(l -> l.contains(" " + standing + " ")).count();
+            return output.stream().filter(l -> l.contains(" " + standing + " ")).count();
         }
     }
 
-    private void meet(Child... all) throws IOException {
+    private void connectAll(Child... all) throws IOException {
         StringBuilder members = new StringBuilder();
         for (Child child : all) {
             members.append(child.name).append('=').append(child.address()).append(' ');
@@ -83,36 +83,36 @@
     }
 
     @AfterEach
-    void end() {
+    void killChildren() {
         children.forEach(c -> c.process.destroyForcibly());
     }
 
     @Test
-    void stoppedKilledAndReplacedProcessesAreToldApart() throws Exception {
+    void pausedKilledAndRestartedProcessesAreDistinguished() throws Exception {
         Child a = new Child("a", 1);
         Child b = new Child("b", 1);
         Child c = new Child("c", 1);
-        meet(a, b, c);
+        connectAll(a, b, c);
         for (Child child : List.of(a, b)) {
-            child.hears("c ALIVE 1");
+            child.awaitLine("c ALIVE 1");
         }
-        c.hears("a ALIVE 1");
+        c.awaitLine("a ALIVE 1");
         c.signal("-STOP");
-        a.hears("c SUSPECT 1");
-        a.hears("c DEAD 1");
-        b.hears("c DEAD 1");
+        a.awaitLine("c SUSPECT 1");
+        a.awaitLine("c DEAD 1");
+        b.awaitLine("c DEAD 1");
         c.signal("-CONT");
         await().until(() -> a.count("ALIVE") == 3 && b.count("ALIVE") == 3);
-        assertEquals(0, c.count("DEAD") + c.count("SUSPECT"), "who stood still takes nobody for dead: " + c.said);
+        assertEquals(0, c.count("DEAD") + c.count("SUSPECT"), "who stood still takes nobody for dead: " + c.output);
         c.process.destroyForcibly();
         await().until(() -> a.count("DEAD") == 2 && b.count("DEAD") == 2);
         Child later = new Child("c", 2);
-        meet(a, b, later);
-        a.hears("c ALIVE 2");
-        b.hears("c ALIVE 2");
+        connectAll(a, b, later);
+        a.awaitLine("c ALIVE 2");
+        b.awaitLine("c ALIVE 2");
         b.process.getOutputStream().close();
-        a.hears("b DEAD 1");
-        later.hears("b DEAD 1");
-        assertTrue(a.said.stream().noneMatch("b SUSPECT 1"::equals), "a farewell is no silence: " + a.said);
+        a.awaitLine("b DEAD 1");
+        later.awaitLine("b DEAD 1");
+        assertTrue(a.output.stream().noneMatch("b SUSPECT 1"::equals), "a farewell is no silence: " + a.output);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/RejectionHandlerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/RejectionHandlerTest.java
@@ -17,17 +17,17 @@
 
 @Timeout(20)
 class RejectionHandlerTest {
-    private static final HandshakeRejection LAST = HandshakeRejection.DUPLICATE_NAME;
+    private static final HandshakeRejection END_MARKER = HandshakeRejection.DUPLICATE_NAME;
 
     private final LinkContext context =
             new LinkContext(new Member("c", "127.0.0.1:1", "z"), 1, "fleet", Clock.system(), PeerLimits.defaults());
     private final ConnectionRegistry registry = new ConnectionRegistry(context);
     private final Membership membership = new Membership(context, registry);
     private final RejectionHandler handler = new RejectionHandler(context, registry, membership);
-    private final BlockingQueue<HandshakeRejection> alarms = new LinkedBlockingQueue<>();
+    private final BlockingQueue<HandshakeRejection> faults = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void close() {
         synchronized (context.lock) {
             membership.close();
         }
@@ -35,18 +35,18 @@
 
     // Guards against an alarm about a member that joined while its hello was being rejected.
     @Test
-    void aPeerThatWasUnknownWhenItsHelloWasReadIsNoFault() throws Exception {
-        assertEquals(List.of(), alarmsAfter(HandshakeRejection.UNKNOWN_MEMBER));
+    void peerThatBecameKnownDuringItsRejectionRaisesNoFault() throws Exception {
+        assertEquals(List.of(), faultsAfter(HandshakeRejection.UNKNOWN_MEMBER));
     }
 
     @Test
-    void aPeerOfAnotherFleetIsAFault() throws Exception {
-        assertEquals(List.of(HandshakeRejection.FLEET_MISMATCH), alarmsAfter(HandshakeRejection.FLEET_MISMATCH));
+    void peerOfAnotherFleetRaisesAFault() throws Exception {
+        assertEquals(List.of(HandshakeRejection.FLEET_MISMATCH), faultsAfter(HandshakeRejection.FLEET_MISMATCH));
     }
 
     /** What is raised when a hello of the known peer "a" is rejected for this reason. */
-    private List<HandshakeRejection> alarmsAfter(HandshakeRejection reason) throws Exception {
-        membership.alarm((name, why, text) -> alarms.add(why));
+    private List<HandshakeRejection> faultsAfter(HandshakeRejection reason) throws Exception {
+        membership.addFaultListener((name, why, text) -> faults.add(why));
         synchronized (context.lock) {
             membership.start();
             registry.add(new Peer(new Member("a", "127.0.0.1:1", "z")));
@@ -59,16 +59,16 @@
             handler.onRejected(connection, reason, "a hello");
         }
         synchronized (context.lock) {
-            membership.raise("last", LAST, "behind all others");
+            membership.raiseFault("last", END_MARKER, "behind all others");
         }
         List<HandshakeRejection> raised = new ArrayList<>();
-        for (HandshakeRejection next = nextAlarm(); next != LAST; next = nextAlarm()) {
+        for (HandshakeRejection next = nextFault(); next != END_MARKER; next = nextFault()) {
             raised.add(next);
         }
         return raised;
     }
 
-    private HandshakeRejection nextAlarm() throws InterruptedException {
-        return alarms.poll(10, TimeUnit.SECONDS);
+    private HandshakeRejection nextFault() throws InterruptedException {
+        return faults.poll(10, TimeUnit.SECONDS);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.Test;
 
 class TcpPeerLinksTest {
-    static final PeerLimits QUICK = new PeerLimits(64 << 10, 256 << 10, 64, 20, 150, 500, 400, 10, 100, 4, 3);
+    static final PeerLimits SHORT_TIMEOUTS = new PeerLimits(64 << 10, 256 << 10, 64, 20, 150, 500, 400, 10, 100, 4, 3);
 
     /** Waits longer than the other side, so that the other side is the one that closes. */
-    static final PeerLimits PATIENT = QUICK.withLivenessTimeouts(20, 150, 9000);
+    static final PeerLimits LONG_DEAD_TIMEOUT = SHORT_TIMEOUTS.withLivenessTimeouts(20, 150, 9000);
     /** A busy machine does not break a link by itself. */
-    static final PeerLimits CALM = QUICK.withLivenessTimeouts(20, 300, 1500);
+    static final PeerLimits TOLERANT_TIMEOUTS = SHORT_TIMEOUTS.withLivenessTimeouts(20, 300, 1500);
 
     private final List<TcpPeerLinks> open = new ArrayList<>();
     private final List<Relay> relays = new CopyOnWriteArrayList<>();
-    private final Queue<String> heard = new ConcurrentLinkedQueue<>();
-    private final Queue<String> alarms = new ConcurrentLinkedQueue<>();
+    private final Queue<String> received = new ConcurrentLinkedQueue<>();
+    private final Queue<String> faults = new ConcurrentLinkedQueue<>();
 
     @AfterEach
     void close() throws IOException {
@@ -46,52 +46,52 @@
         }
     }
 
-    private TcpPeerLinks links(String name, long life, String fleet, PeerLimits limits) throws Exception {
+    private TcpPeerLinks startLinks(String name, long life, String fleet, PeerLimits limits) throws Exception {
         TcpPeerLinks links =
                 new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), life, fleet, List.of(), Clock.system(), limits);
         open.add(links);
         links.setReceiver(
-                MessageStream.REPLICA, (peer, from, body) -> heard.add(name + "<" + peer + from + new String(body)));
-        links.addFaultListener((who, why, text) -> alarms.add(name + ":" + who + ":" + why));
+                MessageStream.REPLICA, (peer, from, body) -> received.add(name + "<" + peer + from + new String(body)));
+        links.addFaultListener((who, why, text) -> faults.add(name + ":" + who + ":" + why));
         links.start();
         return links;
     }
 
     /** Between a dialler and a listener: can cut, hold or spoil what goes either way. */
     private final class Relay implements AutoCloseable {
-        final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
         final int target;
-        volatile boolean holdToListener;
-        volatile boolean holdToDialler;
-        volatile boolean spoil;
+        volatile boolean blockToListener;
+        volatile boolean blockToDialer;
+        volatile boolean corruptNext;
 
         Relay(TcpPeerLinks listener) throws IOException {
             String address = listener.self().address();
             target = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             relays.add(this);
-            run(() -> {
+            startThread(() -> {
                 while (true) {
-                    Socket from = door.accept();
+                    Socket from = serverSocket.accept();
                     Socket to = new Socket(InetAddress.getLoopbackAddress(), target);
                     sockets.addAll(List.of(from, to));
-                    run(() -> pump(from, to, true));
-                    run(() -> pump(to, from, false));
+                    startThread(() -> copy(from, to, true));
+                    startThread(() -> copy(to, from, false));
                 }
             });
         }
 
-        Member stands(TcpPeerLinks listener) {
-            return new Member(listener.self().name(), "127.0.0.1:" + door.getLocalPort(), "z");
+        Member memberAtRelay(TcpPeerLinks listener) {
+            return new Member(listener.self().name(), "127.0.0.1:" + serverSocket.getLocalPort(), "z");
         }
 
-        private void pump(Socket from, Socket to, boolean up) throws IOException {
+        private void copy(Socket from, Socket to, boolean up) throws IOException {
             byte[] bytes = new byte[4096];
             for (int n = from.getInputStream().read(bytes);
                     n > 0;
                     n = from.getInputStream().read(bytes)) {
                 synchronized (this) {
-                    while (up ? holdToListener : holdToDialler) {
+                    while (up ? blockToListener : blockToDialer) {
                         try {
                             wait();
                         } catch (InterruptedException e) {
@@ -99,8 +99,8 @@
                         }
                     }
                 }
-                if (spoil) {
-                    spoil = false;
+                if (corruptNext) {
+                    corruptNext = false;
                     bytes[n / 2] ^= 4;
                 }
                 to.getOutputStream().write(bytes, 0, n);
@@ -109,27 +109,27 @@
             to.close();
         }
 
-        synchronized void hold(boolean up, boolean down) {
-            holdToListener = up;
-            holdToDialler = down;
+        synchronized void block(boolean up, boolean down) {
+            blockToListener = up;
+            blockToDialer = down;
             notifyAll();
         }
 
         @Override
         public void close() throws IOException {
-            hold(false, false);
-            door.close();
+            block(false, false);
+            serverSocket.close();
             for (Socket socket : sockets) {
                 socket.close();
             }
         }
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void run(Work work) {
+    private static void startThread(IoTask work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
@@ -142,20 +142,20 @@
         thread.start();
     }
 
-    private static double figure(TcpPeerLinks links, String name) {
+    private static double metric(TcpPeerLinks links, String name) {
         return links.metrics().getOrDefault(name, 0.0);
     }
 
     /** a and b, whose link goes through the relay only: b does not know where a is. */
-    private Relay through(TcpPeerLinks a, TcpPeerLinks b) throws IOException {
+    private Relay connectThroughRelay(TcpPeerLinks a, TcpPeerLinks b) throws IOException {
         Relay relay = new Relay(b);
         b.update(List.of(new Member(a.self().name(), "127.0.0.1:1", "z")));
-        a.update(List.of(relay.stands(b)));
-        awaitLinks(1, a, b);
+        a.update(List.of(relay.memberAtRelay(b)));
+        awaitConnections(1, a, b);
         return relay;
     }
 
-    private static void meet(TcpPeerLinks... all) {
+    private static void connectAll(TcpPeerLinks... all) {
         List<Member> members = new ArrayList<>();
         for (TcpPeerLinks links : all) {
             members.add(links.self());
@@ -165,222 +165,222 @@
         }
     }
 
-    private static void awaitLinks(int each, TcpPeerLinks... all) {
+    private static void awaitConnections(int each, TcpPeerLinks... all) {
         for (TcpPeerLinks links : all) {
             await().until(() -> links.connectedPeers().size() == each);
         }
     }
 
     @Test
-    void threeMembersLinkSpeakAndSayFarewell() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", QUICK);
-        TcpPeerLinks b = links("b", 7, "f", QUICK);
-        TcpPeerLinks c = links("c", 1, "f", QUICK);
-        meet(a, b, c);
-        awaitLinks(2, a, b, c);
+    void threeMembersConnectSendAndLeave() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks b = startLinks("b", 7, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks c = startLinks("c", 1, "f", SHORT_TIMEOUTS);
+        connectAll(a, b, c);
+        awaitConnections(2, a, b, c);
         assertEquals(MemberStatus.ALIVE, a.status("b"));
         assertTrue(b.send("a", MessageStream.REPLICA, "x".getBytes()));
         assertTrue(b.send("c", MessageStream.REPLICA, "y".getBytes()));
-        await().until(() -> heard.contains("a<b7x") && heard.contains("c<b7y"));
+        await().until(() -> received.contains("a<b7x") && received.contains("c<b7y"));
         b.close();
         await().until(() -> a.status("b") == MemberStatus.DEAD && c.status("b") == MemberStatus.DEAD);
         assertFalse(a.send("b", MessageStream.REPLICA, "z".getBytes()));
         assertEquals(0, a.metrics().get("deaths"), "a farewell is no death");
         assertEquals(0, b.metrics().get("threads"));
-        TcpPeerLinks again = links("b", 8, "f", QUICK);
-        meet(a, again, c);
+        TcpPeerLinks again = startLinks("b", 8, "f", SHORT_TIMEOUTS);
+        connectAll(a, again, c);
         await().until(() -> a.status("b") == MemberStatus.ALIVE && c.status("b") == MemberStatus.ALIVE);
-        assertTrue(alarms.isEmpty(), alarms::toString);
+        assertTrue(faults.isEmpty(), faults::toString);
     }
 
     @Test
-    void wrongOnesAreRefusedOnBothSidesAndAllAreTold() throws Exception {
-        TcpPeerLinks a = links("a", 5, "f", QUICK);
-        TcpPeerLinks b = links("b", 1, "g", QUICK);
-        meet(a, b);
-        await().until(() -> figure(a, "refused_another_fleet") > 0 && figure(b, "refused_by_another_fleet") > 0);
-        assertTrue(alarms.contains("b:a:FLEET_MISMATCH"), alarms::toString);
-        TcpPeerLinks c = links("c", 1, "f", QUICK);
+    void mismatchedMembersAreRejectedAndBothSidesAreNotified() throws Exception {
+        TcpPeerLinks a = startLinks("a", 5, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks b = startLinks("b", 1, "g", SHORT_TIMEOUTS);
+        connectAll(a, b);
+        await().until(() -> metric(a, "refused_another_fleet") > 0 && metric(b, "refused_by_another_fleet") > 0);
+        assertTrue(faults.contains("b:a:FLEET_MISMATCH"), faults::toString);
+        TcpPeerLinks c = startLinks("c", 1, "f", SHORT_TIMEOUTS);
         c.update(List.of(a.self()));
-        await().until(() -> figure(a, "refused_unknown_member") > 0);
+        await().until(() -> metric(a, "refused_unknown_member") > 0);
         // d is listed at the address that a has now.
         c.update(List.of(new Member("d", a.self().address(), "z")));
-        await().until(() -> figure(a, "refused_not_the_one") > 0 && alarms.contains("c:d:WRONG_MEMBER"));
+        await().until(() -> metric(a, "refused_not_the_one") > 0 && faults.contains("c:d:WRONG_MEMBER"));
         assertTrue(a.connectedPeers().isEmpty()
                 && b.connectedPeers().isEmpty()
                 && c.connectedPeers().isEmpty());
     }
 
     @Test
-    void laterLifeReplacesTheEarlier() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", QUICK);
-        TcpPeerLinks b = links("b", 5, "f", QUICK);
-        meet(a, b);
-        awaitLinks(1, a, b);
-        b.halt();
-        TcpPeerLinks later = links("b", 6, "f", QUICK);
-        meet(a, later);
-        awaitLinks(1, a, later);
+    void laterIncarnationReplacesTheEarlier() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks b = startLinks("b", 5, "f", SHORT_TIMEOUTS);
+        connectAll(a, b);
+        awaitConnections(1, a, b);
+        b.abort();
+        TcpPeerLinks later = startLinks("b", 6, "f", SHORT_TIMEOUTS);
+        connectAll(a, later);
+        awaitConnections(1, a, later);
         assertTrue(later.send("a", MessageStream.REPLICA, "x".getBytes()));
-        await().until(() -> heard.contains("a<b6x"));
+        await().until(() -> received.contains("a<b6x"));
     }
 
     @Test
-    void earlierProcessThatWasLinkedIsRefusedOnceALaterOneIsKnown() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", QUICK);
-        TcpPeerLinks earlier = links("b", 4, "f", QUICK);
-        meet(a, earlier);
-        awaitLinks(1, a, earlier);
+    void earlierIncarnationIsRejectedOnceALaterOneIsKnown() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks earlier = startLinks("b", 4, "f", SHORT_TIMEOUTS);
+        connectAll(a, earlier);
+        awaitConnections(1, a, earlier);
         earlier.update(List.of());
-        awaitLinks(0, a, earlier);
-        TcpPeerLinks later = links("b", 6, "f", QUICK);
-        meet(a, later);
-        awaitLinks(1, a, later);
+        awaitConnections(0, a, earlier);
+        TcpPeerLinks later = startLinks("b", 6, "f", SHORT_TIMEOUTS);
+        connectAll(a, later);
+        awaitConnections(1, a, later);
         earlier.update(List.of(a.self()));
-        await().until(() -> alarms.contains("b:b:STALE_LIFE") && alarms.contains("a:b:STALE_LIFE"));
+        await().until(() -> faults.contains("b:b:STALE_LIFE") && faults.contains("a:b:STALE_LIFE"));
         assertEquals(4, earlier.incarnation());
         assertTrue(earlier.connectedPeers().isEmpty());
         assertTrue(later.send("a", MessageStream.REPLICA, "x".getBytes()));
-        await().until(() -> heard.contains("a<b6x"));
+        await().until(() -> received.contains("a<b6x"));
     }
 
     /** Lives begin with the time of day: an hour's step back between two processes of a member. */
     @Test
-    void processThatBeganUnderAnEarlierTimeOfDayOutlivesItsOwnPast() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", QUICK);
-        TcpPeerLinks before = links("b", 3_600_000, "f", QUICK);
-        meet(a, before);
-        awaitLinks(1, a, before);
-        before.halt();
-        TcpPeerLinks after = links("b", 1000, "f", QUICK);
-        meet(a, after);
-        awaitLinks(1, a, after);
+    void processStartedAfterAClockStepBackTakesALaterIncarnation() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks before = startLinks("b", 3_600_000, "f", SHORT_TIMEOUTS);
+        connectAll(a, before);
+        awaitConnections(1, a, before);
+        before.abort();
+        TcpPeerLinks after = startLinks("b", 1000, "f", SHORT_TIMEOUTS);
+        connectAll(a, after);
+        awaitConnections(1, a, after);
         await().until(() -> after.send("a", MessageStream.REPLICA, "x".getBytes()));
-        await().until(() -> heard.contains("a<b3600001x"));
+        await().until(() -> received.contains("a<b3600001x"));
         assertEquals(3_600_001, after.incarnation());
         await().until(() -> a.status("b") == MemberStatus.ALIVE);
-        assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), alarms::toString);
+        assertTrue(faults.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), faults::toString);
     }
 
     /** c began after the later life had ended, so it links with the earlier number before it hears of the later. */
     @Test
-    void pastLifeIsOutlivedThoughOneThatDoesNotKnowItHasLinked() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", QUICK);
-        TcpPeerLinks before = links("b", 9, "f", QUICK);
-        meet(a, before);
-        awaitLinks(1, a, before);
-        before.halt();
+    void laterIncarnationIsTakenAfterConnectingToAPeerThatDoesNotKnowTheEndedOne() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks before = startLinks("b", 9, "f", SHORT_TIMEOUTS);
+        connectAll(a, before);
+        awaitConnections(1, a, before);
+        before.abort();
         await().until(() -> a.status("b") == MemberStatus.DEAD);
-        TcpPeerLinks after = links("b", 4, "f", QUICK);
-        TcpPeerLinks c = links("c", 1, "f", QUICK);
+        TcpPeerLinks after = startLinks("b", 4, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks c = startLinks("c", 1, "f", SHORT_TIMEOUTS);
         c.update(List.of(after.self()));
         after.update(List.of(c.self()));
-        awaitLinks(1, after, c);
+        awaitConnections(1, after, c);
         assertEquals(4, after.incarnation());
-        meet(a, after, c);
-        awaitLinks(2, a, after, c);
+        connectAll(a, after, c);
+        awaitConnections(2, a, after, c);
         assertEquals(10, after.incarnation());
         await().until(() -> a.status("b") == MemberStatus.ALIVE && c.status("b") == MemberStatus.ALIVE);
-        assertTrue(alarms.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), alarms::toString);
+        assertTrue(faults.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), faults::toString);
     }
 
     @Test
-    void twoProcessesOfOneNameAreFoundAndBothAreTold() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", QUICK);
-        TcpPeerLinks b = links("b", 5, "f", QUICK);
-        meet(a, b);
-        awaitLinks(1, a, b);
-        TcpPeerLinks copy = links("b", 6, "f", QUICK);
+    void twoProcessesOfOneNameAreDetectedAndBothAreNotified() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
+        TcpPeerLinks b = startLinks("b", 5, "f", SHORT_TIMEOUTS);
+        connectAll(a, b);
+        awaitConnections(1, a, b);
+        TcpPeerLinks copy = startLinks("b", 6, "f", SHORT_TIMEOUTS);
         copy.update(List.of(a.self()));
-        await().until(() -> alarms.contains("a:b:DUPLICATE_NAME"));
+        await().until(() -> faults.contains("a:b:DUPLICATE_NAME"));
         await().until(() ->
-                alarms.stream().filter(t -> t.equals("b:b:DUPLICATE_NAME")).count() >= 2);
+                faults.stream().filter(t -> t.equals("b:b:DUPLICATE_NAME")).count() >= 2);
         assertTrue(b.connectedPeers().contains("a") && copy.connectedPeers().isEmpty(), "the first one keeps its link");
     }
 
     @Test
-    void spoiltByteEndsTheConnectionAndNothingSpoiltArrives() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", CALM);
-        TcpPeerLinks b = links("b", 1, "f", CALM);
-        Relay relay = through(a, b);
-        relay.spoil = true;
-        await().until(() -> figure(a, "frames_unreadable") + figure(b, "frames_unreadable") > 0);
-        await().until(() -> a.send("b", MessageStream.REPLICA, "whole".getBytes()) && !heard.isEmpty());
-        assertTrue(heard.stream().allMatch("b<a1whole"::equals), heard::toString);
-        assertEquals(0, figure(a, "deaths") + figure(b, "deaths"));
+    void corruptedByteEndsTheConnectionAndIsNotDelivered() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", TOLERANT_TIMEOUTS);
+        TcpPeerLinks b = startLinks("b", 1, "f", TOLERANT_TIMEOUTS);
+        Relay relay = connectThroughRelay(a, b);
+        relay.corruptNext = true;
+        await().until(() -> metric(a, "frames_unreadable") + metric(b, "frames_unreadable") > 0);
+        await().until(() -> a.send("b", MessageStream.REPLICA, "whole".getBytes()) && !received.isEmpty());
+        assertTrue(received.stream().allMatch("b<a1whole"::equals), received::toString);
+        assertEquals(0, metric(a, "deaths") + metric(b, "deaths"));
     }
 
     @Test
-    void fullQueueIsAnAnswerAndLineThatTakesNothingIsClosed() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", CALM);
-        TcpPeerLinks b = links("b", 1, "f", PATIENT);
-        Relay relay = through(a, b);
-        relay.hold(true, false);
+    void fullQueueIsReportedAndAStalledConnectionIsClosed() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", TOLERANT_TIMEOUTS);
+        TcpPeerLinks b = startLinks("b", 1, "f", LONG_DEAD_TIMEOUT);
+        Relay relay = connectThroughRelay(a, b);
+        relay.block(true, false);
         byte[] body = new byte[60_000];
         await().pollInterval(Duration.ofMillis(1)).until(() -> !a.send("b", MessageStream.REPLICA, body));
         assertTrue(a.send("b", MessageStream.SHARE, body), "another stream has its own room");
-        assertTrue(figure(a, "unsent_queue_full") > 0);
-        await().until(() -> figure(a, "writes_stalled") + figure(a, "one_way_closed") > 0);
-        relay.hold(false, false);
-        awaitLinks(1, a, b);
+        assertTrue(metric(a, "unsent_queue_full") > 0);
+        await().until(() -> metric(a, "writes_stalled") + metric(a, "one_way_closed") > 0);
+        relay.block(false, false);
+        awaitConnections(1, a, b);
         await().until(() -> a.status("b") == MemberStatus.ALIVE && b.status("a") == MemberStatus.ALIVE);
     }
 
     @Test
-    void oneWayLineIsNoDeathAmongThree() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", CALM);
-        TcpPeerLinks b = links("b", 1, "f", PATIENT);
-        TcpPeerLinks c = links("c", 1, "f", CALM);
+    void oneWayLinkAmongThreeMembersDeclaresNobodyDead() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", TOLERANT_TIMEOUTS);
+        TcpPeerLinks b = startLinks("b", 1, "f", LONG_DEAD_TIMEOUT);
+        TcpPeerLinks c = startLinks("c", 1, "f", TOLERANT_TIMEOUTS);
         Relay relay = new Relay(b);
         b.update(List.of(new Member("a", "127.0.0.1:1", "z"), c.self()));
-        a.update(List.of(relay.stands(b), c.self()));
+        a.update(List.of(relay.memberAtRelay(b), c.self()));
         c.update(List.of(a.self(), b.self()));
-        awaitLinks(2, a, b, c);
-        relay.hold(true, false);
-        await().until(() -> figure(a, "one_way_closed") > 0);
+        awaitConnections(2, a, b, c);
+        relay.block(true, false);
+        await().until(() -> metric(a, "one_way_closed") > 0);
         // b has told where it listens: the next dial goes there, past the broken line.
-        await().until(() -> figure(a, "links_made") > 2 && a.isConnected("b"));
+        await().until(() -> metric(a, "links_made") > 2 && a.isConnected("b"));
         assertEquals(MemberStatus.ALIVE, b.status("a"), "c hears it");
-        assertEquals(0, figure(a, "deaths") + figure(b, "deaths") + figure(c, "deaths"));
+        assertEquals(0, metric(a, "deaths") + metric(b, "deaths") + metric(c, "deaths"));
     }
 
     @Test
-    void strangersHoldNoThreadsAndKeepNobodyOut() throws Exception {
-        TcpPeerLinks a = links("a", 1, "f", QUICK);
+    void unidentifiedConnectionsAreBoundedAndBlockNoMember() throws Exception {
+        TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
         List<Socket> held = new ArrayList<>();
         String address = a.self().address();
         for (int i = 0; i < 40; i++) {
             held.add(new Socket("127.0.0.1", Integer.parseInt(address.substring(address.indexOf(':') + 1))));
         }
         held.get(39).getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
-        await().until(() -> figure(a, "strangers_refused") > 0);
-        assertTrue(figure(a, "strangers") <= QUICK.maxPendingHandshakes());
-        TcpPeerLinks b = links("b", 1, "f", QUICK);
-        meet(a, b);
-        awaitLinks(1, a, b);
-        await().until(() -> figure(a, "strangers") == 0);
+        await().until(() -> metric(a, "strangers_refused") > 0);
+        assertTrue(metric(a, "strangers") <= SHORT_TIMEOUTS.maxPendingHandshakes());
+        TcpPeerLinks b = startLinks("b", 1, "f", SHORT_TIMEOUTS);
+        connectAll(a, b);
+        awaitConnections(1, a, b);
+        await().until(() -> metric(a, "strangers") == 0);
         for (Socket socket : held) {
             socket.close();
         }
     }
 
     @Test
-    void crossingDialsLeaveOneConnectionEachTime() throws Exception {
+    void simultaneousDialsLeaveOneConnectionPerPair() throws Exception {
         List<TcpPeerLinks> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            all.add(links("m" + i, 1, "f", QUICK));
+            all.add(startLinks("m" + i, 1, "f", SHORT_TIMEOUTS));
         }
         TcpPeerLinks[] members = all.toArray(new TcpPeerLinks[0]);
-        meet(members);
-        awaitLinks(7, members);
+        connectAll(members);
+        awaitConnections(7, members);
         await().until(() ->
-                all.stream().allMatch(m -> figure(m, "threads") == 3 + 2 * 7 && figure(m, "peers_alive") == 7));
+                all.stream().allMatch(m -> metric(m, "threads") == 3 + 2 * 7 && metric(m, "peers_alive") == 7));
         for (TcpPeerLinks from : members) {
             for (TcpPeerLinks to : members) {
                 assertTrue(from == to || from.send(to.self().name(), MessageStream.REPLICA, "!".getBytes()));
             }
         }
-        await().until(() -> heard.size() == 56);
+        await().until(() -> received.size() == 56);
         all.get(0).update(List.of());
         await().until(() -> all.get(1).connectedPeers().size() == 6
                 && all.get(0).connectedPeers().isEmpty());
--- a/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 class WireFormatTest {
-    private static final int MOST = 4096;
+    private static final int MAX_BYTES = 4096;
     private static final Handshake.Hello HELLO = new Handshake.Hello(false, "fleet", "a", "b", "127.0.0.1:9", 3, 5, 7);
-    private static final SwimMessage BEAT = new SwimMessage(
+    private static final SwimMessage SWIM_MESSAGE = new SwimMessage(
             SwimMessage.REPLY_NOW,
             9,
             8,
@@ -34,11 +34,11 @@
             List.of("c", "d"));
 
     /** Hands out whole requests and notes the greatest that was asked for at once. */
-    private static final class Asked extends InputStream {
+    private static final class RecordingInput extends InputStream {
         final ByteArrayInputStream in;
-        int greatest;
+        int longestRead;
 
-        Asked(byte[] bytes) {
+        RecordingInput(byte[] bytes) {
             in = new ByteArrayInputStream(bytes);
         }
 
@@ -49,7 +49,7 @@
 
         @Override
         public int read(byte[] bytes, int from, int length) {
-            greatest = Math.max(greatest, length);
+            longestRead = Math.max(longestRead, length);
             return in.read(bytes, from, length);
         }
     }
@@ -58,8 +58,8 @@
         Object read(InputStream in) throws IOException;
     }
 
-    private static void bounded(byte[] bytes, Reader reader) {
-        Asked in = new Asked(bytes);
+    private static void assertReadOrRejected(byte[] bytes, Reader reader) {
+        RecordingInput in = new RecordingInput(bytes);
         try {
             reader.read(in);
         } catch (WireException | EOFException e) {
@@ -67,25 +67,25 @@
         } catch (IOException e) {
             throw new AssertionError("another fault", e);
         }
-        assertTrue(in.greatest <= MOST, "asked for " + in.greatest);
+        assertTrue(in.longestRead <= MAX_BYTES, "asked for " + in.longestRead);
     }
 
     private static byte[] frame(byte[] body, MessageStream stream) {
-        byte[] head = FrameCodec.head(stream, body);
+        byte[] head = FrameCodec.encodeHeader(stream, body);
         byte[] all = Arrays.copyOf(head, head.length + body.length);
         System.arraycopy(body, 0, all, head.length, body.length);
         return all;
     }
 
     @Property(tries = 2000, seed = "29")
-    void anyBytesAreReadOrRefused(@ForAll @Size(max = 200) byte[] bytes) {
-        bounded(bytes, in -> FrameCodec.read(in, MOST));
-        bounded(bytes, Handshake::read);
-        bounded(bytes, in -> SwimMessage.decode(bytes));
+    void anyBytesAreReadOrRejected(@ForAll @Size(max = 200) byte[] bytes) {
+        assertReadOrRejected(bytes, in -> FrameCodec.read(in, MAX_BYTES));
+        assertReadOrRejected(bytes, Handshake::read);
+        assertReadOrRejected(bytes, in -> SwimMessage.decode(bytes));
     }
 
     @Property(tries = 2000, seed = "29")
-    void fieldsBehindRightSumsAreReadOrRefused(
+    void anyFieldsWithValidChecksumsAreReadOrRejected(
             @ForAll @Size(max = 120) byte[] fields, @ForAll byte kind, @ForAll int length, @ForAll byte stream) {
         ByteBuffer shake = ByteBuffer.allocate(9 + fields.length + 4);
         shake.putInt(0x42425031)
@@ -93,47 +93,47 @@
                 .put((byte) (kind & 7))
                 .put((byte) 1)
                 .put((byte) 1);
-        shake.put(fields).putInt(WireFormat.crc(shake.array(), 0, 9 + fields.length));
-        bounded(shake.array(), Handshake::read);
-        ByteBuffer head = ByteBuffer.allocate(FrameCodec.HEAD + fields.length);
+        shake.put(fields).putInt(WireFormat.crc32c(shake.array(), 0, 9 + fields.length));
+        assertReadOrRejected(shake.array(), Handshake::read);
+        ByteBuffer head = ByteBuffer.allocate(FrameCodec.HEADER_BYTES + fields.length);
         head.putInt(length)
                 .put(stream)
                 .putInt(0)
-                .putInt(WireFormat.crc(head.array(), 0, 9))
+                .putInt(WireFormat.crc32c(head.array(), 0, 9))
                 .put(fields);
-        bounded(head.array(), in -> FrameCodec.read(in, MOST));
+        assertReadOrRejected(head.array(), in -> FrameCodec.read(in, MAX_BYTES));
     }
 
     @Property(tries = 1000, seed = "29")
-    void oneFlippedBitIsNeverReadAsAMessage(@ForAll @IntRange(max = 1 << 20) int place) {
-        byte[] body = BEAT.encode();
+    void aFlippedBitIsAlwaysDetected(@ForAll @IntRange(max = 1 << 20) int place) {
+        byte[] body = SWIM_MESSAGE.encode();
         byte[] frame = frame(body, MessageStream.SHARE);
-        byte[] hello = Handshake.bytes(HELLO);
+        byte[] hello = Handshake.encode(HELLO);
         frame[place / 8 % frame.length] ^= (byte) (1 << place % 8);
         hello[place / 8 % hello.length] ^= (byte) (1 << place % 8);
-        assertThrows(IOException.class, () -> FrameCodec.read(new ByteArrayInputStream(frame), MOST));
+        assertThrows(IOException.class, () -> FrameCodec.read(new ByteArrayInputStream(frame), MAX_BYTES));
         assertThrows(IOException.class, () -> Handshake.read(new ByteArrayInputStream(hello)));
     }
 
     @Test
-    void whatIsWrittenIsReadBack() throws IOException {
-        assertEquals(HELLO, Handshake.read(new ByteArrayInputStream(Handshake.bytes(HELLO))));
-        Handshake.Part no = new Handshake.Refuse(HandshakeRejection.STALE_INCARNATION, 9, "x".repeat(80));
-        assertEquals(no, Handshake.read(new ByteArrayInputStream(Handshake.bytes(no))));
-        assertEquals(BEAT, SwimMessage.decode(BEAT.encode()));
+    void messagesSurviveEncoding() throws IOException {
+        assertEquals(HELLO, Handshake.read(new ByteArrayInputStream(Handshake.encode(HELLO))));
+        Handshake.Message no = new Handshake.Reject(HandshakeRejection.STALE_INCARNATION, 9, "x".repeat(80));
+        assertEquals(no, Handshake.read(new ByteArrayInputStream(Handshake.encode(no))));
+        assertEquals(SWIM_MESSAGE, SwimMessage.decode(SWIM_MESSAGE.encode()));
         FrameCodec.Frame frame =
-                FrameCodec.read(new ByteArrayInputStream(frame(BEAT.encode(), MessageStream.AGREED)), MOST);
+                FrameCodec.read(new ByteArrayInputStream(frame(SWIM_MESSAGE.encode(), MessageStream.AGREED)), MAX_BYTES);
         assertEquals(MessageStream.AGREED, frame.stream());
-        assertArrayEquals(BEAT.encode(), frame.body());
-        byte[] later = Handshake.bytes(HELLO);
+        assertArrayEquals(SWIM_MESSAGE.encode(), frame.body());
+        byte[] later = Handshake.encode(HELLO);
         later[7] = 2;
         later[8] = 9;
-        ByteBuffer.wrap(later).putInt(later.length - 4, WireFormat.crc(later, 0, later.length - 4));
-        assertInstanceOf(Handshake.Foreign.class, Handshake.read(new ByteArrayInputStream(later)));
+        ByteBuffer.wrap(later).putInt(later.length - 4, WireFormat.crc32c(later, 0, later.length - 4));
+        assertInstanceOf(Handshake.IncompatibleVersion.class, Handshake.read(new ByteArrayInputStream(later)));
     }
 
     @Test
-    void streamsTakeTurnsByBytesAndAreBoundedEach() {
+    void streamsShareTheConnectionByBytesAndEachIsBounded() {
         SendQueue box = new SendQueue(1 << 20, 100);
         for (int i = 0; i < 100; i++) {
             box.offer(MessageStream.SHARE, new byte[100]);
