--- a/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
@@ -165,8 +165,8 @@
     private boolean answerHandshake(PeerConnection connection) throws IOException {
         Handshake.Message part = Handshake.read(connection.in);
         if (part instanceof Handshake.IncompatibleVersion foreign) {
-            String description = "speaks " + foreign.minVersion() + " to " + foreign.maxVersion() + ", we " + Handshake.MIN_VERSION
-                    + " to " + Handshake.MAX_VERSION;
+            String description = "speaks " + foreign.minVersion() + " to " + foreign.maxVersion() + ", we "
+                    + Handshake.MIN_VERSION + " to " + Handshake.MAX_VERSION;
             rejections.reject(connection, HandshakeRejection.VERSION_MISMATCH, 0, description);
             return false;
         }
@@ -177,18 +177,18 @@
         connection.peerName = hello.from();
         HandshakeRejection rejection = validator.validate(connection, hello);
         if (rejection != null) {
-            rejections.reject(connection, rejection, validator.knownLife(hello.from()), hello);
+            rejections.reject(connection, rejection, validator.knownIncarnation(hello.from()), hello);
             return false;
         }
         Member self = context.self();
-        connection.announcedLife = context.life();
+        connection.announcedIncarnation = context.incarnation();
         connection.send(new Handshake.Hello(
                 true,
                 context.fleet,
                 self.name(),
                 hello.from(),
                 self.address(),
-                connection.announcedLife,
+                connection.announcedIncarnation,
                 context.instance,
                 0));
         Handshake.Message last = Handshake.read(connection.in);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
@@ -42,13 +42,14 @@
             Peer peer = registry.peer(hello.from());
             if (context.closing()
                     || peer == null
-                    || connection.announcedLife != context.life()
-                    || hello.life() < membership.detector().lifeOf(hello.from())) {
+                    || connection.announcedIncarnation != context.incarnation()
+                    || hello.incarnation() < membership.detector().incarnationOf(hello.from())) {
                 return false;
             }
             PeerConnection present = peer.connection;
             if (present != null) {
-                if (hello.life() == present.remoteHello.life() && !registry.replaces(connection, present)) {
+                if (hello.incarnation() == present.remoteHello.incarnation()
+                        && !registry.replaces(connection, present)) {
                     return false;
                 }
                 present.close("another connection takes its place");
@@ -74,7 +75,7 @@
                 "connected with {} at {}, life {}, {}",
                 hello.from(),
                 hello.address(),
-                hello.life(),
+                hello.incarnation(),
                 connection.outbound ? "outbound" : "inbound");
         return true;
     }
@@ -119,7 +120,7 @@
         }
         connection.receiveStartedAtMs = context.clock.nowMs();
         try {
-            receiver.onMessage(connection.peerName, connection.remoteHello.life(), frame.body());
+            receiver.onMessage(connection.peerName, connection.remoteHello.incarnation(), frame.body());
         } catch (RuntimeException e) {
             context.metrics.count("receiver_failed");
             LOG.error("the receiver of {} failed on a message from {}", frame.stream(), connection.peerName, e);
@@ -137,7 +138,12 @@
             Handshake.Hello hello = connection.remoteHello;
             membership.process(membership
                     .detector()
-                    .onMessage(context.clock.nowMs(), connection.peerName, hello.life(), hello.instance(), message));
+                    .onMessage(
+                            context.clock.nowMs(),
+                            connection.peerName,
+                            hello.incarnation(),
+                            hello.instance(),
+                            message));
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
@@ -108,7 +108,7 @@
         PeerConnection connection = null;
         boolean attached = false;
         try {
-            connection = connect(peer, socket, target, hello.life());
+            connection = connect(peer, socket, target, hello.incarnation());
             attached = beginHandshake(peer, connection) && exchangeHellos(peer, connection, hello);
             if (attached) {
                 startReader(peer, connection);
@@ -129,18 +129,18 @@
                 self.name(),
                 peer.name(),
                 self.address(),
-                context.life(),
+                context.incarnation(),
                 context.instance,
                 ++dialNumber);
     }
 
-    private PeerConnection connect(Peer peer, Socket socket, String target, long life) throws IOException {
+    private PeerConnection connect(Peer peer, Socket socket, String target, long incarnation) throws IOException {
         InetSocketAddress address = PeerAddress.parse(target);
         socket.connect(
                 new InetSocketAddress(address.getHostString(), address.getPort()), context.limits.handshakeTimeoutMs());
         PeerConnection connection = new PeerConnection(socket, true, context.limits, context.clock, context.metrics);
         connection.peerName = peer.name();
-        connection.announcedLife = life;
+        connection.announcedIncarnation = incarnation;
         return connection;
     }
 
@@ -179,7 +179,7 @@
             synchronized (context.lock) {
                 peer.dialFailures = Math.max(peer.dialFailures, rejection.isPermanent() ? Peer.MAX_DIAL_FAILURES : 0);
             }
-            rejections.reject(connection, rejection, validator.knownLife(name), welcome);
+            rejections.reject(connection, rejection, validator.knownIncarnation(name), welcome);
             return false;
         }
         connection.send(new Handshake.Ready());
--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -39,38 +39,38 @@
     private final GossipReceiver gossipReceiver;
 
     /** A peer's status has changed. */
-    record Change(String peer, MemberStatus status, long life) {}
+    record Change(String peer, MemberStatus status, long incarnation) {}
 
     /** A message that is to be sent. */
     record OutgoingMessage(String to, SwimMessage message) {}
 
     /** Two processes live under one name; it may be this member's own. */
-    record Conflict(String name, long life, long instance, long otherLife, long otherInstance) {}
+    record Conflict(String name, long incarnation, long instance, long otherIncarnation, long otherInstance) {}
 
     /** A detector for this member in this life. */
-    FailureDetector(String me, long life, long instance, PeerLimits limits, long seed) {
+    FailureDetector(String me, long incarnation, long instance, PeerLimits limits, long seed) {
         this.limits = limits;
         Random random = new Random(seed);
         members = new MemberTable(me, random);
         localHealth = new LocalHealth(limits.heartbeatMs(), members);
         suspicion = new Suspicion(limits, members, localHealth);
-        refutation = new SelfRefutation(me, life, instance, members);
+        refutation = new SelfRefutation(me, incarnation, instance, members);
         prober = new IndirectProber(limits, members, localHealth);
         gossipSender = new GossipSender(limits.heartbeatMs(), members, refutation, random);
         gossipReceiver = new GossipReceiver(me, limits, members, suspicion, refutation);
     }
 
     /** This member has taken another life; its connections, which told the earlier one, are to be closed. */
-    void beginLife(long nextLife) {
-        refutation.beginLife(nextLife);
+    void beginIncarnation(long nextIncarnation) {
+        refutation.beginIncarnation(nextIncarnation);
     }
 
     /**
      * The greatest life, at least its own, by which peers know an ended process of this member: taken before the
      * time of day went back, or kept on a disk that was lost. {@link Long#MIN_VALUE} if there is none.
      */
-    long endedLife() {
-        return refutation.endedLife();
+    long endedIncarnation() {
+        return refutation.endedIncarnation();
     }
 
     /** Replaces the other members; those no longer among them are reported dead and forgotten. */
@@ -84,17 +84,18 @@
      * @param openedAtMs when its handshake began
      * @return the messages that are to be sent
      */
-    List<OutgoingMessage> onConnected(double now, double openedAtMs, String name, long remoteLife, long remoteInstance) {
+    List<OutgoingMessage> onConnected(
+            double now, double openedAtMs, String name, long remoteIncarnation, long remoteInstance) {
         MemberState member = members.get(name);
         refutation.onStarted(now);
         if (member == null) {
             return List.of();
         }
         member.onConnected(now, openedAtMs, remoteInstance);
-        if (!member.known || remoteLife > member.life) {
-            suspicion.beginLife(now, member, remoteLife, remoteInstance, MemberStatus.ALIVE);
-        } else if (remoteLife < member.life || remoteInstance != member.instance) {
-            members.recordConflict(now, member, remoteLife, remoteInstance);
+        if (!member.known || remoteIncarnation > member.incarnation) {
+            suspicion.beginIncarnation(now, member, remoteIncarnation, remoteInstance, MemberStatus.ALIVE);
+        } else if (remoteIncarnation < member.incarnation || remoteInstance != member.instance) {
+            members.recordConflict(now, member, remoteIncarnation, remoteInstance);
             return List.of();
         }
         member.recordDirectContact(openedAtMs);
@@ -141,7 +142,8 @@
      *
      * @return the messages that are to be sent at once
      */
-    List<OutgoingMessage> onMessage(double now, String from, long remoteLife, long remoteInstance, SwimMessage message) {
+    List<OutgoingMessage> onMessage(
+            double now, String from, long remoteIncarnation, long remoteInstance, SwimMessage message) {
         MemberState sender = members.get(from);
         if (sender == null) {
             return List.of();
@@ -149,8 +151,8 @@
         // A pause of this process may be seen here before the next tick.
         localHealth.onActivity(now);
         double sentMs = sender.sendTimeLowerBound(now, message);
-        if (sender.known && (remoteLife != sender.life || remoteInstance != sender.instance)) {
-            return onOtherProcess(now, sender, remoteLife, remoteInstance, sentMs);
+        if (sender.known && (remoteIncarnation != sender.incarnation || remoteInstance != sender.instance)) {
+            return onOtherProcess(now, sender, remoteIncarnation, remoteInstance, sentMs);
         }
         sender.recordDirectContact(sentMs);
         sender.onSequence(now, message.sequence(), sentMs);
@@ -177,22 +179,26 @@
     }
 
     private List<OutgoingMessage> onOtherProcess(
-            double now, MemberState sender, long remoteLife, long remoteInstance, double sentMs) {
-        if (remoteLife < sender.life && sender.lastAliveMs < sender.connectedAtMs) {
+            double now, MemberState sender, long remoteIncarnation, long remoteInstance, double sentMs) {
+        if (remoteIncarnation < sender.incarnation && sender.lastAliveMs < sender.connectedAtMs) {
             // The later life gave no sign since the earlier one connected: it has ended, and its successor, which
             // began under an earlier time of day, has not heard of it yet.
-            return List.of(
-                    gossipSender.newMessage(now, sender, SwimMessage.PROBE_REPLY, List.of(), List.of(sender.toEntry(now))));
+            return List.of(gossipSender.newMessage(
+                    now, sender, SwimMessage.PROBE_REPLY, List.of(), List.of(sender.toEntry(now))));
         }
-        if (remoteLife == sender.life || sentMs > sender.incarnationLearnedMs) {
+        if (remoteIncarnation == sender.incarnation || sentMs > sender.incarnationLearnedMs) {
             // Sent after another process of this name was heard of: both live.
-            members.recordConflict(now, sender, remoteLife, remoteInstance);
+            members.recordConflict(now, sender, remoteIncarnation, remoteInstance);
         }
         return List.of();
     }
 
     private void onProbeRequests(
-            double now, MemberState sender, SwimMessage message, List<SwimMessage.Entry> replies, List<OutgoingMessage> out) {
+            double now,
+            MemberState sender,
+            SwimMessage message,
+            List<SwimMessage.Entry> replies,
+            List<OutgoingMessage> out) {
         for (String name : message.probeRequests()) {
             MemberState target = members.get(name);
             if (target != null && target != sender && target.known) {
@@ -236,10 +242,10 @@
     }
 
     /** Another process of this name was found; both are told in the messages that follow. */
-    void onConflict(double now, String name, long otherLife, long otherInstance) {
+    void onConflict(double now, String name, long otherIncarnation, long otherInstance) {
         MemberState member = members.get(name);
         if (member != null && member.known) {
-            members.recordConflict(now, member, otherLife, otherInstance);
+            members.recordConflict(now, member, otherIncarnation, otherInstance);
         }
     }
 
@@ -259,9 +265,9 @@
     }
 
     /** The latest life heard of; {@link Long#MIN_VALUE} if none. */
-    long lifeOf(String name) {
+    long incarnationOf(String name) {
         MemberState member = members.get(name);
-        return member == null || !member.known ? Long.MIN_VALUE : member.life;
+        return member == null || !member.known ? Long.MIN_VALUE : member.incarnation;
     }
 
     /** The process of that life; 0 if none. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -35,14 +35,14 @@
         }
         MemberState member = members.get(entry.name());
         boolean useless = member == null || member == from || entry.status() == MemberStatus.UNKNOWN;
-        if (useless || member.known && entry.life() < member.life) {
+        if (useless || member.known && entry.incarnation() < member.incarnation) {
             return;
         }
-        if (!member.known || entry.life() > member.life) {
-            beginLife(now, member, sentMs, entry);
+        if (!member.known || entry.incarnation() > member.incarnation) {
+            beginIncarnation(now, member, sentMs, entry);
         }
         if (entry.instance() != member.instance) {
-            members.recordConflict(now, member, entry.life(), entry.instance());
+            members.recordConflict(now, member, entry.incarnation(), entry.instance());
             return;
         }
         member.raiseRefutationNumber(now, entry.refutationNumber());
@@ -54,9 +54,9 @@
         suspicion.evaluate(now, member);
     }
 
-    private void beginLife(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
+    private void beginIncarnation(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
         // A process that is dead already is not reported as alive first.
-        suspicion.beginLife(now, member, entry.life(), entry.instance(), entry.status());
+        suspicion.beginIncarnation(now, member, entry.incarnation(), entry.instance(), entry.status());
         member.deadRefutationNumber = entry.status() == MemberStatus.DEAD ? entry.refutationNumber() : -1;
         if (entry.ageMs() < 0) {
             member.recordAlive(sentMs);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
@@ -86,8 +86,8 @@
     private static SwimMessage.Entry otherProcessEntry(MemberState to) {
         FailureDetector.Conflict conflict = to.conflict;
         boolean first = to.connectionInstance == conflict.instance();
-        long life = first ? conflict.otherLife() : conflict.life();
+        long incarnation = first ? conflict.otherIncarnation() : conflict.incarnation();
         long instance = first ? conflict.otherInstance() : conflict.instance();
-        return new SwimMessage.Entry(to.name, life, instance, 0, MemberStatus.ALIVE, false, -1);
+        return new SwimMessage.Entry(to.name, incarnation, instance, 0, MemberStatus.ALIVE, false, -1);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -35,12 +35,19 @@
      * @param from who speaks
      * @param to whom it means
      * @param address where the speaker listens
-     * @param life the speaker's life
+     * @param incarnation the speaker's life
      * @param instance drawn at each start: tells two processes of one name and life apart
      * @param dial counts the speaker's dials, so that an old one that arrives late does not replace a newer
      */
     record Hello(
-            boolean welcome, String fleet, String from, String to, String address, long life, long instance, long dialNumber)
+            boolean welcome,
+            String fleet,
+            String from,
+            String to,
+            String address,
+            long incarnation,
+            long instance,
+            long dialNumber)
             implements Message {}
 
     /** The link stands. */
@@ -50,10 +57,10 @@
      * No link.
      *
      * @param why the reason
-     * @param life a life that the refusing side knows, for {@link HandshakeRejection#STALE_INCARNATION}
+     * @param incarnation a life that the refusing side knows, for {@link HandshakeRejection#STALE_INCARNATION}
      * @param text what staff should read
      */
-    record Reject(HandshakeRejection reason, long life, String text) implements Message {}
+    record Reject(HandshakeRejection reason, long incarnation, String text) implements Message {}
 
     /** A part whose versions have none in common with ours: its fields are not read. */
     record IncompatibleVersion(int minVersion, int maxVersion) implements Message {}
@@ -75,12 +82,12 @@
             WireFormat.text(out, hello.from());
             WireFormat.text(out, hello.to());
             WireFormat.text(out, hello.address());
-            out.putLong(hello.life()).putLong(hello.instance()).putLong(hello.dialNumber());
+            out.putLong(hello.incarnation()).putLong(hello.instance()).putLong(hello.dialNumber());
             return hello.welcome() ? 2 : 1;
         }
         if (part instanceof Reject refuse) {
             String text = refuse.text();
-            out.put((byte) refuse.reason().ordinal()).putLong(refuse.life());
+            out.put((byte) refuse.reason().ordinal()).putLong(refuse.incarnation());
             WireFormat.text(out, text.length() > 80 ? text.substring(0, 80) : text);
             return 4;
         }
@@ -138,10 +145,11 @@
                 return new Ready();
             case 4:
                 int why = in.get() & 0xff;
-                long life = in.getLong();
+                long incarnation = in.getLong();
                 String text = WireFormat.text(in);
                 // Guards against a reason of a later build: it is still a refusal.
-                return new Reject(why < REJECTIONS.length ? REJECTIONS[why] : HandshakeRejection.MALFORMED, life, text);
+                return new Reject(
+                        why < REJECTIONS.length ? REJECTIONS[why] : HandshakeRejection.MALFORMED, incarnation, text);
             default:
                 throw new WireException("a handshake of the unknown kind " + kind);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
@@ -45,19 +45,21 @@
                 return HandshakeRejection.UNKNOWN_MEMBER;
             }
             // Read once: the lock is released while an answer of the earlier life is awaited.
-            long known = membership.detector().lifeOf(hello.from());
-            HandshakeRejection rejection = validateLife(peer, hello, known);
+            long known = membership.detector().incarnationOf(hello.from());
+            HandshakeRejection rejection = validateIncarnation(peer, hello, known);
             return rejection != null ? rejection : validateDial(connection, peer, hello, known);
         }
     }
 
-    private HandshakeRejection validateLife(Peer peer, Handshake.Hello hello, long known) {
+    private HandshakeRejection validateIncarnation(Peer peer, Handshake.Hello hello, long known) {
         FailureDetector detector = membership.detector();
-        if (hello.life() < known) {
+        if (hello.incarnation() < known) {
             return HandshakeRejection.STALE_INCARNATION;
         }
-        boolean sameLifeElsewhere = hello.life() == known && hello.instance() != detector.instanceOf(hello.from());
-        if (sameLifeElsewhere || peer.connection != null && hello.life() > known && earlierLifeAnswers(peer, hello)) {
+        boolean sameIncarnationElsewhere =
+                hello.incarnation() == known && hello.instance() != detector.instanceOf(hello.from());
+        if (sameIncarnationElsewhere
+                || peer.connection != null && hello.incarnation() > known && earlierIncarnationResponds(peer, hello)) {
             membership.onConflict(hello);
             return HandshakeRejection.DUPLICATE_NAME;
         }
@@ -65,7 +67,7 @@
     }
 
     private HandshakeRejection validateDial(PeerConnection connection, Peer peer, Handshake.Hello hello, long known) {
-        if (connection.outbound || hello.life() != known) {
+        if (connection.outbound || hello.incarnation() != known) {
             return null;
         }
         if (hello.instance() == peer.lastInboundInstance && hello.dialNumber() <= peer.lastInboundDial) {
@@ -79,7 +81,7 @@
      * With the lock: a later life has come while the earlier one is connected. Only a message that the earlier one
      * sends after this moment tells a second process from a restart.
      */
-    private boolean earlierLifeAnswers(Peer peer, Handshake.Hello hello) {
+    private boolean earlierIncarnationResponds(Peer peer, Handshake.Hello hello) {
         PeerConnection earlier = peer.connection;
         double startedAtMs = clock.nowMs();
         double untilMs = startedAtMs
@@ -101,9 +103,9 @@
     }
 
     /** The latest life known of this peer; {@link Long#MIN_VALUE} if none. */
-    long knownLife(String name) {
+    long knownIncarnation(String name) {
         synchronized (context.lock) {
-            return membership.detector().lifeOf(name);
+            return membership.detector().incarnationOf(name);
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -53,7 +53,9 @@
             if (target.nextHelperIndex == Integer.MAX_VALUE) {
                 target.nextHelperIndex = 0;
             }
-            if (helper != target && !helper.name.equals(target.preferredHelper) && addRequest(requests, helper, target.name)) {
+            if (helper != target
+                    && !helper.name.equals(target.preferredHelper)
+                    && addRequest(requests, helper, target.name)) {
                 missing--;
             }
         }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LinkContext.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LinkContext.java
@@ -24,12 +24,12 @@
     final Object lock = new Object();
     private final Set<Thread> threads = new HashSet<>();
     private volatile Member self;
-    private volatile long life;
+    private volatile long incarnation;
     private volatile boolean closing;
 
-    LinkContext(Member self, long life, String fleet, Clock clock, PeerLimits limits) {
+    LinkContext(Member self, long incarnation, String fleet, Clock clock, PeerLimits limits) {
         this.self = self;
-        this.life = life;
+        this.incarnation = incarnation;
         this.fleet = fleet;
         this.clock = clock;
         this.limits = limits;
@@ -44,12 +44,12 @@
         self = member;
     }
 
-    long life() {
-        return life;
+    long incarnation() {
+        return incarnation;
     }
 
-    void setLife(long nextLife) {
-        life = nextLife;
+    void setIncarnation(long nextIncarnation) {
+        incarnation = nextIncarnation;
     }
 
     boolean closing() {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
@@ -22,7 +22,7 @@
     boolean known;
 
     MemberStatus status = MemberStatus.UNKNOWN;
-    long life;
+    long incarnation;
     long instance;
     /** SWIM's incarnation number within this life: greater after each refutation. */
     int refutationNumber;
@@ -123,7 +123,8 @@
         if (number > receivedSequence) {
             receivedSequence = number;
             receivedAtMs = now;
-            unacknowledgedForMs = sentSequence == acknowledgedSequence ? 0 : Math.max(0, sentMs - firstUnacknowledgedSentAtMs());
+            unacknowledgedForMs =
+                    sentSequence == acknowledgedSequence ? 0 : Math.max(0, sentMs - firstUnacknowledgedSentAtMs());
         }
     }
 
@@ -172,9 +173,9 @@
     }
 
     /** Another process of the member, of which nothing is held yet. */
-    void beginLife(double now, long newLife, long newInstance) {
+    void beginIncarnation(double now, long newIncarnation, long newInstance) {
         known = true;
-        life = newLife;
+        incarnation = newIncarnation;
         instance = newInstance;
         refutationNumber = 0;
         deadRefutationNumber = -1;
@@ -191,6 +192,6 @@
     /** As other members are told of it. */
     SwimMessage.Entry toEntry(double now) {
         double ageMs = lastAliveMs == NEVER ? -1 : now - lastAliveMs;
-        return new SwimMessage.Entry(name, life, instance, refutationNumber, status, left, ageMs);
+        return new SwimMessage.Entry(name, incarnation, instance, refutationNumber, status, left, ageMs);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
@@ -39,7 +39,7 @@
             MemberState member = i.next();
             if (!names.contains(member.name)) {
                 if (member.status != MemberStatus.DEAD && member.status != MemberStatus.UNKNOWN) {
-                    changes.add(new FailureDetector.Change(member.name, MemberStatus.DEAD, member.life));
+                    changes.add(new FailureDetector.Change(member.name, MemberStatus.DEAD, member.incarnation));
                 }
                 byName.remove(member.name);
                 i.remove();
@@ -69,20 +69,21 @@
     int countOneWay(double unheardMs) {
         int count = 0;
         for (MemberState member : order) {
-            boolean oneWay = member.connected && member.status == MemberStatus.ALIVE && member.unacknowledgedForMs > unheardMs;
+            boolean oneWay =
+                    member.connected && member.status == MemberStatus.ALIVE && member.unacknowledgedForMs > unheardMs;
             count += oneWay ? 1 : 0;
         }
         return count;
     }
 
     void addChange(MemberState member) {
-        changes.add(new FailureDetector.Change(member.name, member.status, member.life));
+        changes.add(new FailureDetector.Change(member.name, member.status, member.incarnation));
     }
 
     /** Another process of a known member was found; it is gossiped, and reported once for each process. */
-    void recordConflict(double now, MemberState member, long otherLife, long otherInstance) {
-        member.conflict =
-                new FailureDetector.Conflict(member.name, member.life, member.instance, otherLife, otherInstance);
+    void recordConflict(double now, MemberState member, long otherIncarnation, long otherInstance) {
+        member.conflict = new FailureDetector.Conflict(
+                member.name, member.incarnation, member.instance, otherIncarnation, otherInstance);
         member.conflictMs = now;
         if (member.reportedInstance != otherInstance) {
             member.reportedInstance = otherInstance;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
@@ -22,7 +22,7 @@
     private final WatcherQueue watcherCalls;
     private final List<PeerLinks.Watcher> watchers = new ArrayList<>();
     private final List<TcpPeerLinks.FaultListener> faultListeners = new ArrayList<>();
-    private boolean connectedInThisLife;
+    private boolean connectedInThisIncarnation;
     private int renewals;
 
     Membership(LinkContext context, ConnectionRegistry registry) {
@@ -30,7 +30,7 @@
         this.registry = registry;
         watcherCalls = new WatcherQueue(context.metrics);
         detector = new FailureDetector(
-                context.self().name(), context.life(), context.instance, context.limits, context.instance);
+                context.self().name(), context.incarnation(), context.instance, context.limits, context.instance);
     }
 
     FailureDetector detector() {
@@ -58,27 +58,28 @@
     /** A connection with a peer was established under the present life. */
     void onConnected(PeerConnection connection, double nowMs) {
         Handshake.Hello hello = connection.remoteHello;
-        connectedInThisLife = true;
-        process(detector.onConnected(nowMs, connection.openedAtMs, hello.from(), hello.life(), hello.instance()));
+        connectedInThisIncarnation = true;
+        process(detector.onConnected(
+                nowMs, connection.openedAtMs, hello.from(), hello.incarnation(), hello.instance()));
     }
 
     /** Whether any connection was established under the present life. */
-    boolean connectedInThisLife() {
-        return connectedInThisLife;
+    boolean connectedInThisIncarnation() {
+        return connectedInThisIncarnation;
     }
 
     /** Reports another live process of this name to the detector. */
     void onConflict(Handshake.Hello hello) {
-        detector.onConflict(context.clock.nowMs(), hello.from(), hello.life(), hello.instance());
+        detector.onConflict(context.clock.nowMs(), hello.from(), hello.incarnation(), hello.instance());
         process(List.of());
     }
 
     /** Sends the detector's messages and handles the events it has collected. */
     void process(List<FailureDetector.OutgoingMessage> messages) {
         registry.send(messages);
-        long past = detector.endedLife();
+        long past = detector.endedIncarnation();
         if (past != Long.MIN_VALUE) {
-            renewLife(past);
+            renewIncarnation(past);
         }
         for (FailureDetector.Change change : detector.drainChanges()) {
             publish(change);
@@ -88,7 +89,7 @@
             raiseFault(
                     conflict.name(),
                     HandshakeRejection.DUPLICATE_NAME,
-                    "lives " + conflict.life() + " and " + conflict.otherLife() + ", processes "
+                    "lives " + conflict.incarnation() + " and " + conflict.otherIncarnation() + ", processes "
                             + Long.toHexString(conflict.instance())
                             + " and " + Long.toHexString(conflict.otherInstance()));
         }
@@ -103,9 +104,10 @@
                         context.self().name(),
                         change.peer(),
                         change.status(),
-                        change.life()));
+                        change.incarnation()));
         for (PeerLinks.Watcher watcher : watchers) {
-            watcherCalls.add(change.peer(), () -> watcher.onStatus(change.peer(), change.status(), change.life()));
+            watcherCalls.add(
+                    change.peer(), () -> watcher.onStatus(change.peer(), change.status(), change.incarnation()));
         }
     }
 
@@ -128,15 +130,15 @@
      *
      * @return whether another life was taken
      */
-    boolean renewLife(long known) {
-        long before = context.life();
+    boolean renewIncarnation(long known) {
+        long before = context.incarnation();
         if (known < before || known == Long.MAX_VALUE || renewals >= MAX_RENEWALS) {
             return false;
         }
         renewals++;
-        context.setLife(known + 1);
-        connectedInThisLife = false;
-        detector.beginLife(known + 1);
+        context.setIncarnation(known + 1);
+        connectedInThisIncarnation = false;
+        detector.beginIncarnation(known + 1);
         context.metrics.count("lives_renewed");
         LOG.warn("{} began life {}, and peers know {}: takes {}", context.self().name(), before, known, known + 1);
         registry.reconnectAll("this member has taken another life");
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
@@ -30,7 +30,7 @@
 
     String peerName = "";
     /** This member's own life, as the other side was told. */
-    long announcedLife;
+    long announcedIncarnation;
 
     double establishedAtMs;
     volatile double lastReadAtMs;
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
@@ -14,17 +14,17 @@
          * A message has come.
          *
          * @param peer who sent it
-         * @param life the sender's life
+         * @param incarnation the sender's life
          * @param body the message; the receiver may keep it
          */
-        void onMessage(String peer, long life, byte[] body);
+        void onMessage(String peer, long incarnation, byte[] body);
     }
 
     /** Is notified of each change of a peer's status. */
     @FunctionalInterface
     interface Watcher {
         /** The peer's status has changed. */
-        void onStatus(String peer, MemberStatus status, long life);
+        void onStatus(String peer, MemberStatus status, long incarnation);
     }
 
     /** This member. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
@@ -29,21 +29,21 @@
     }
 
     /** Rejects a hello or welcome that this member has read, and tells the peer which life is known of it. */
-    void reject(PeerConnection connection, HandshakeRejection reason, long knownLife, Handshake.Hello hello)
+    void reject(PeerConnection connection, HandshakeRejection reason, long knownIncarnation, Handshake.Hello hello)
             throws IOException {
         String description = hello.from() + " of fleet " + hello.fleet() + " at " + hello.address() + ", life "
-                + hello.life() + ", for " + hello.to();
-        reject(connection, reason, knownLife, description);
+                + hello.incarnation() + ", for " + hello.to();
+        reject(connection, reason, knownIncarnation, description);
     }
 
     /** Rejects a handshake and tells the peer why. */
-    void reject(PeerConnection connection, HandshakeRejection reason, long knownLife, String description)
+    void reject(PeerConnection connection, HandshakeRejection reason, long knownIncarnation, String description)
             throws IOException {
         onRejected(connection, reason, description);
         String text = reason == HandshakeRejection.STALE_INCARNATION
-                ? "life " + knownLife + " is known"
+                ? "life " + knownIncarnation + " is known"
                 : "by " + context.self().name() + " of " + context.fleet;
-        connection.send(new Handshake.Reject(reason, knownLife, text));
+        connection.send(new Handshake.Reject(reason, knownIncarnation, text));
     }
 
     /** Counts and logs a handshake that this member rejects. */
@@ -104,13 +104,15 @@
                 LOG.debug("{} rejects: {}: {}", name, reason.text(), refuse.text());
                 return;
             }
-            if (reason == HandshakeRejection.STALE_INCARNATION && refuse.life() < context.life()) {
+            if (reason == HandshakeRejection.STALE_INCARNATION && refuse.incarnation() < context.incarnation()) {
                 // The rejection was meant for the life before.
                 return;
             }
             boolean ownIdentity =
                     reason == HandshakeRejection.DUPLICATE_NAME || reason == HandshakeRejection.STALE_INCARNATION;
-            if (ownIdentity && !membership.connectedInThisLife() && membership.renewLife(refuse.life())) {
+            if (ownIdentity
+                    && !membership.connectedInThisIncarnation()
+                    && membership.renewIncarnation(refuse.incarnation())) {
                 return;
             }
             if (reason == HandshakeRejection.UNKNOWN_MEMBER
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
@@ -8,23 +8,23 @@
     private final String self;
     private final long instance;
     private final MemberTable members;
-    private long life;
+    private long incarnation;
     private int refutationNumber;
     private double startedMs = MemberState.NEVER;
-    private long endedLife = Long.MIN_VALUE;
+    private long endedIncarnation = Long.MIN_VALUE;
     private long reportedInstance;
     private long refutations;
 
-    SelfRefutation(String self, long life, long instance, MemberTable members) {
+    SelfRefutation(String self, long incarnation, long instance, MemberTable members) {
         this.self = self;
-        this.life = life;
+        this.incarnation = incarnation;
         this.instance = instance;
         this.members = members;
     }
 
     /** This member has taken another life. */
-    void beginLife(long nextLife) {
-        life = nextLife;
+    void beginIncarnation(long nextIncarnation) {
+        incarnation = nextIncarnation;
         refutationNumber = 0;
         reportedInstance = 0;
     }
@@ -36,12 +36,12 @@
 
     /** A peer tells at this time what it holds of this member. */
     void onEntry(double at, SwimMessage.Entry entry) {
-        if (entry.life() > life || entry.life() == life && entry.instance() != instance) {
+        if (entry.incarnation() > incarnation || entry.incarnation() == incarnation && entry.instance() != instance) {
             onOtherProcess(at, entry);
             return;
         }
         boolean doubted = entry.status() == MemberStatus.SUSPECT || entry.status() == MemberStatus.DEAD;
-        if (entry.life() == life
+        if (entry.incarnation() == incarnation
                 && doubted
                 && entry.refutationNumber() >= refutationNumber
                 && entry.refutationNumber() < Integer.MAX_VALUE) {
@@ -52,10 +52,11 @@
 
     private void onOtherProcess(double at, SwimMessage.Entry entry) {
         if (hasEnded(at, entry)) {
-            endedLife = Math.max(endedLife, entry.life());
+            endedIncarnation = Math.max(endedIncarnation, entry.incarnation());
         } else if (reportedInstance != entry.instance()) {
             reportedInstance = entry.instance();
-            members.addConflict(new FailureDetector.Conflict(self, life, instance, entry.life(), entry.instance()));
+            members.addConflict(
+                    new FailureDetector.Conflict(self, incarnation, instance, entry.incarnation(), entry.instance()));
         }
     }
 
@@ -64,9 +65,9 @@
         return entry.status() == MemberStatus.DEAD || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
     }
 
-    /** See {@link FailureDetector#endedLife}. */
-    long endedLife() {
-        return endedLife >= life ? endedLife : Long.MIN_VALUE;
+    /** See {@link FailureDetector#endedIncarnation}. */
+    long endedIncarnation() {
+        return endedIncarnation >= incarnation ? endedIncarnation : Long.MIN_VALUE;
     }
 
     /** This member's incarnation number in its present life. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
@@ -64,8 +64,8 @@
     }
 
     /** Another process of the member was heard of, with this status. */
-    void beginLife(double now, MemberState member, long life, long instance, MemberStatus status) {
-        member.beginLife(now, life, instance);
+    void beginIncarnation(double now, MemberState member, long incarnation, long instance, MemberStatus status) {
+        member.beginIncarnation(now, incarnation, instance);
         setStatus(now, member, status, true);
     }
 
@@ -78,15 +78,15 @@
         }
     }
 
-    private void setStatus(double now, MemberState member, MemberStatus status, boolean newLife) {
-        if (member.status == status && !newLife) {
+    private void setStatus(double now, MemberState member, MemberStatus status, boolean newIncarnation) {
+        if (member.status == status && !newIncarnation) {
             return;
         }
         if (status == MemberStatus.SUSPECT) {
             suspicions++;
         } else if (status == MemberStatus.DEAD && !member.left) {
             deaths++;
-        } else if (member.status == MemberStatus.SUSPECT && !newLife) {
+        } else if (member.status == MemberStatus.SUSPECT && !newIncarnation) {
             falseSuspicions++;
         }
         if (status == MemberStatus.ALIVE) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -40,7 +40,7 @@
      * What a member holds of another.
      *
      * @param name whose
-     * @param life its life
+     * @param incarnation its life
      * @param instance its process
      * @param incarnation the greatest known of this life
      * @param status as the sender holds it
@@ -49,7 +49,7 @@
      */
     record Entry(
             String name,
-            long life,
+            long incarnation,
             long instance,
             int refutationNumber,
             MemberStatus status,
@@ -73,7 +73,7 @@
         out.put((byte) entries.size()).put((byte) probeRequests.size());
         for (Entry e : entries) {
             WireFormat.text(out, e.name());
-            out.putLong(e.life()).putLong(e.instance()).putInt(e.refutationNumber());
+            out.putLong(e.incarnation()).putLong(e.instance()).putInt(e.refutationNumber());
             out.put((byte) (e.status().ordinal() | (e.left() ? 16 : 0))).putFloat((float) Math.max(-1, e.ageMs()));
         }
         for (String target : probeRequests) {
@@ -91,10 +91,14 @@
         int sequence = in.getInt();
         int echo = in.getInt();
         double held = WireFormat.readDurationMs(in);
-        int incarnation = in.getInt();
+        int refutationNumber = in.getInt();
         int entries = in.get() & 0xff;
         int requests = in.get() & 0xff;
-        if (sequence < 0 || echo < 0 || incarnation < 0 || entries > MAX_ENTRIES || requests > MAX_PROBE_REQUESTS) {
+        if (sequence < 0
+                || echo < 0
+                || refutationNumber < 0
+                || entries > MAX_ENTRIES
+                || requests > MAX_PROBE_REQUESTS) {
             throw new WireException("a beat beyond its bounds");
         }
         List<Entry> known = new ArrayList<>(entries);
@@ -105,19 +109,19 @@
         for (int i = 0; i < requests; i++) {
             wanted.add(WireFormat.readName(in));
         }
-        return new SwimMessage(flags, sequence, echo, held, incarnation, known, wanted);
+        return new SwimMessage(flags, sequence, echo, held, refutationNumber, known, wanted);
     }
 
     private static Entry decodeEntry(ByteBuffer in) throws WireException {
         String name = WireFormat.readName(in);
-        long life = in.getLong();
+        long incarnation = in.getLong();
         long instance = in.getLong();
-        int incarnation = in.getInt();
+        int refutationNumber = in.getInt();
         int status = in.get() & 0xff;
         float age = in.getFloat();
-        if ((status & 15) >= STATUSES.length || status > 31 || incarnation < 0 || Float.isNaN(age)) {
+        if ((status & 15) >= STATUSES.length || status > 31 || refutationNumber < 0 || Float.isNaN(age)) {
             throw new WireException("an entry beyond its bounds");
         }
-        return new Entry(name, life, instance, incarnation, STATUSES[status & 15], status > 15, age);
+        return new Entry(name, incarnation, instance, refutationNumber, STATUSES[status & 15], status > 15, age);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
@@ -55,14 +55,14 @@
      * Links that are not started yet.
      *
      * @param me this member; port 0 in its address stands for any free one
-     * @param life greater than that of each earlier start
+     * @param incarnation greater than that of each earlier start
      * @param fleet the fleet's name: members of others are refused
      * @param peers the others; this member among them is passed over
      * @param clock the source of time
      * @param limits what the links are granted
      */
-    public TcpPeerLinks(Member me, long life, String fleet, List<Member> peers, Clock clock, PeerLimits limits) {
-        this(me, me.address(), life, fleet, peers, clock, limits);
+    public TcpPeerLinks(Member me, long incarnation, String fleet, List<Member> peers, Clock clock, PeerLimits limits) {
+        this(me, me.address(), incarnation, fleet, peers, clock, limits);
     }
 
     /**
@@ -70,7 +70,7 @@
      *
      * @param me this member, with the address at which its peers reach it
      * @param listenAddress where it listens; port 0 stands for any free one if it is the member's own address
-     * @param life greater than that of each earlier start
+     * @param incarnation greater than that of each earlier start
      * @param fleet the fleet's name: members of others are refused
      * @param peers the others; this member among them is passed over
      * @param clock the source of time
@@ -79,7 +79,7 @@
     public TcpPeerLinks(
             Member me,
             String listenAddress,
-            long life,
+            long incarnation,
             String fleet,
             List<Member> peers,
             Clock clock,
@@ -87,7 +87,7 @@
         PeerAddress.requireValid(me);
         PeerAddress.parse(listenAddress);
         this.listenAddress = listenAddress;
-        context = new LinkContext(me, life, PeerAddress.requireValidName(fleet), clock, limits);
+        context = new LinkContext(me, incarnation, PeerAddress.requireValidName(fleet), clock, limits);
         registry = new ConnectionRegistry(context);
         membership = new Membership(context, registry);
         HandshakeValidator validator = new HandshakeValidator(context, registry, membership);
@@ -106,7 +106,7 @@
 
     @Override
     public long incarnation() {
-        return context.life();
+        return context.incarnation();
     }
 
     /** Drawn at this start: distinguishes two processes of one name and life. */
--- a/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
@@ -18,7 +18,7 @@
         final int size;
         final Random random;
         final FailureDetector[] members;
-        final long[] lives;
+        final long[] incarnations;
         final double[] pausedUntilMs;
         final double[] clockOffsetMs;
         final List<String> names = new ArrayList<>();
@@ -45,7 +45,7 @@
             this.size = size;
             random = new Random(seed);
             members = new FailureDetector[size];
-            lives = new long[size];
+            incarnations = new long[size];
             pausedUntilMs = new double[size];
             clockOffsetMs = new double[size];
             for (int i = 0; i < size; i++) {
@@ -61,22 +61,30 @@
             }
         }
 
-        void startMember(int i, long life) {
-            lives[i] = life;
+        void startMember(int i, long incarnation) {
+            incarnations[i] = incarnation;
             clockOffsetMs[i] = random.nextDouble() * 1e6;
-            FailureDetector d = new FailureDetector(names.get(i), life, instance(i, life), LIMITS, random.nextLong());
+            FailureDetector d =
+                    new FailureDetector(names.get(i), incarnation, instance(i, incarnation), LIMITS, random.nextLong());
             d.update(names);
             members[i] = d;
             schedule(random.nextDouble() * LIMITS.heartbeatMs(), () -> tick(i, d));
         }
 
-        static long instance(int i, long life) {
-            return 1000L * (i + 1) + life;
+        static long instance(int i, long incarnation) {
+            return 1000L * (i + 1) + incarnation;
         }
 
         void connect(int i, int j) {
             if (i != j) {
-                send(i, members[i].onConnected(localTimeMs(i), localTimeMs(i) - 1, names.get(j), lives[j], instance(j, lives[j])));
+                send(
+                        i,
+                        members[i].onConnected(
+                                localTimeMs(i),
+                                localTimeMs(i) - 1,
+                                names.get(j),
+                                incarnations[j],
+                                instance(j, incarnations[j])));
                 recordChanges(i);
             }
         }
@@ -107,26 +115,30 @@
                 int j = names.indexOf(o.to());
                 if (random.nextDouble() >= lossProbability && !isCut.test(i, j)) {
                     byte[] wire = o.message().encode();
-                    long life = lives[i];
+                    long incarnation = incarnations[i];
                     FailureDetector target = members[j];
-                    schedule(delayMs * (0.5 + random.nextDouble()), () -> receive(j, target, i, life, wire));
+                    schedule(delayMs * (0.5 + random.nextDouble()), () -> receive(j, target, i, incarnation, wire));
                 }
             }
         }
 
-        void receive(int j, FailureDetector target, int from, long life, byte[] wire) {
+        void receive(int j, FailureDetector target, int from, long incarnation, byte[] wire) {
             if (members[j] != target) {
                 return;
             }
             if (nowMs < pausedUntilMs[j]) {
-                schedule(pausedUntilMs[j] - nowMs, () -> receive(j, target, from, life, wire));
+                schedule(pausedUntilMs[j] - nowMs, () -> receive(j, target, from, incarnation, wire));
                 return;
             }
             try {
                 send(
                         j,
                         target.onMessage(
-                                localTimeMs(j), names.get(from), life, instance(from, life), SwimMessage.decode(wire)));
+                                localTimeMs(j),
+                                names.get(from),
+                                incarnation,
+                                instance(from, incarnation),
+                                SwimMessage.decode(wire)));
             } catch (WireException e) {
                 throw new AssertionError(e);
             }
@@ -301,7 +313,7 @@
             w.connect(4, 2);
             w.runFor(2000);
             w.assertStatusEverywhere(2, MemberStatus.ALIVE);
-            assertEquals(2, w.members[0].lifeOf("n2"));
+            assertEquals(2, w.members[0].incarnationOf("n2"));
         }
     }
 
@@ -312,7 +324,7 @@
         // n3 lives on at n0 and n1; a copy of it, of the same life, has linked with n2 only.
         w.members[2] = new FailureDetector("n2", 2, SimulatedCluster.instance(2, 2), LIMITS, 9);
         w.members[2].update(w.names);
-        w.lives[2] = 2;
+        w.incarnations[2] = 2;
         FailureDetector d = w.members[2];
         w.schedule(1, () -> w.tick(2, d));
         for (int i = 0; i < 2; i++) {
@@ -328,30 +340,31 @@
     }
 
     /** What a peer tells of this member itself, to one that has run for a second. */
-    private static FailureDetector detectorToldOfItself(long life, MemberStatus standing, double ageMs) {
+    private static FailureDetector detectorToldOfItself(long incarnation, MemberStatus standing, double ageMs) {
         FailureDetector d = new FailureDetector("a", 5, 1, LIMITS, 1);
         d.update(List.of("b"));
         d.onConnected(0, 0, "b", 1, 2);
         d.tick(1000);
-        SwimMessage.Entry e = new SwimMessage.Entry("a", life, 77, 0, standing, false, ageMs);
+        SwimMessage.Entry e = new SwimMessage.Entry("a", incarnation, 77, 0, standing, false, ageMs);
         d.onMessage(1000, "b", 1, 2, new SwimMessage(0, 1, 0, 990, 0, List.of(e), List.of()));
         return d;
     }
 
     @Test
     void laterIncarnationOfItselfIsAnEndedOneIfItWasLastAliveBeforeTheStart() {
-        assertEquals(9, detectorToldOfItself(9, MemberStatus.DEAD, -1).endedLife());
-        assertEquals(9, detectorToldOfItself(9, MemberStatus.SUSPECT, 2000).endedLife());
-        assertEquals(5, detectorToldOfItself(5, MemberStatus.ALIVE, 2000).endedLife());
-        assertEquals(Long.MIN_VALUE, detectorToldOfItself(4, MemberStatus.DEAD, 2000).endedLife());
+        assertEquals(9, detectorToldOfItself(9, MemberStatus.DEAD, -1).endedIncarnation());
+        assertEquals(9, detectorToldOfItself(9, MemberStatus.SUSPECT, 2000).endedIncarnation());
+        assertEquals(5, detectorToldOfItself(5, MemberStatus.ALIVE, 2000).endedIncarnation());
+        assertEquals(
+                Long.MIN_VALUE, detectorToldOfItself(4, MemberStatus.DEAD, 2000).endedIncarnation());
         for (double ageMs : new double[] {-1, 500}) {
             FailureDetector second = detectorToldOfItself(9, MemberStatus.ALIVE, ageMs);
-            assertEquals(Long.MIN_VALUE, second.endedLife(), "it lives beside this one, age " + ageMs);
+            assertEquals(Long.MIN_VALUE, second.endedIncarnation(), "it lives beside this one, age " + ageMs);
             assertEquals(1, second.drainConflicts().size());
         }
         FailureDetector renewed = detectorToldOfItself(9, MemberStatus.DEAD, -1);
-        renewed.beginLife(10);
-        assertEquals(Long.MIN_VALUE, renewed.endedLife());
+        renewed.beginIncarnation(10);
+        assertEquals(Long.MIN_VALUE, renewed.endedIncarnation());
         assertTrue(renewed.drainConflicts().isEmpty());
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
@@ -23,9 +23,14 @@
         System.exit(0);
     }
 
-    private TcpPeerLinks startMember(int i, long life) throws Exception {
+    private TcpPeerLinks startMember(int i, long incarnation) throws Exception {
         TcpPeerLinks links = new TcpPeerLinks(
-                new Member("node-" + i, "127.0.0.1:0", "zone"), life, "fleet", List.of(), clock, PeerLimits.defaults());
+                new Member("node-" + i, "127.0.0.1:0", "zone"),
+                incarnation,
+                "fleet",
+                List.of(),
+                clock,
+                PeerLimits.defaults());
         links.addWatcher((peer, standing, its) -> {
             if (standing == MemberStatus.DEAD) {
                 declaredDeadAtMs.put(links.self().name() + " " + peer + " " + its, clock.nowMs());
@@ -84,8 +89,8 @@
             String key = " " + victim.self().name() + " " + victim.incarnation();
             Awaitility.await()
                     .atMost(java.time.Duration.ofMinutes(1))
-                    .until(() ->
-                            all.stream().allMatch(l -> declaredDeadAtMs.containsKey(l.self().name() + key)));
+                    .until(() -> all.stream()
+                            .allMatch(l -> declaredDeadAtMs.containsKey(l.self().name() + key)));
             all.forEach(l -> took.add(declaredDeadAtMs.get(l.self().name() + key) - died));
             all.add(d % members, startMember(d % members, victim.incarnation() + 1));
             connectAll();
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcess.java
@@ -22,7 +22,8 @@
                 List.of(),
                 Clock.system(),
                 LIMITS);
-        links.addWatcher((peer, standing, life) -> System.out.println(peer + " " + standing + " " + life));
+        links.addWatcher(
+                (peer, standing, incarnation) -> System.out.println(peer + " " + standing + " " + incarnation));
         links.start();
         System.out.println("at " + links.self().address());
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in));
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
@@ -21,7 +21,7 @@
         final Process process;
         final List<String> output = new CopyOnWriteArrayList<>();
 
-        Child(String name, long life) throws IOException {
+        Child(String name, long incarnation) throws IOException {
             this.name = name;
             ProcessBuilder builder = new ProcessBuilder(
                     System.getProperty("java.home") + "/bin/java",
@@ -32,7 +32,7 @@
                     System.getProperty("java.class.path"),
                     PeerProcess.class.getName(),
                     name,
-                    Long.toString(life));
+                    Long.toString(incarnation));
             process = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
             children.add(this);
             Thread reader = new Thread(() -> {
--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -46,9 +46,9 @@
         }
     }
 
-    private TcpPeerLinks startLinks(String name, long life, String fleet, PeerLimits limits) throws Exception {
-        TcpPeerLinks links =
-                new TcpPeerLinks(new Member(name, "127.0.0.1:0", "z"), life, fleet, List.of(), Clock.system(), limits);
+    private TcpPeerLinks startLinks(String name, long incarnation, String fleet, PeerLimits limits) throws Exception {
+        TcpPeerLinks links = new TcpPeerLinks(
+                new Member(name, "127.0.0.1:0", "z"), incarnation, fleet, List.of(), Clock.system(), limits);
         open.add(links);
         links.setReceiver(
                 MessageStream.REPLICA, (peer, from, body) -> received.add(name + "<" + peer + from + new String(body)));
--- a/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
@@ -121,8 +121,8 @@
         Handshake.Message no = new Handshake.Reject(HandshakeRejection.STALE_INCARNATION, 9, "x".repeat(80));
         assertEquals(no, Handshake.read(new ByteArrayInputStream(Handshake.encode(no))));
         assertEquals(SWIM_MESSAGE, SwimMessage.decode(SWIM_MESSAGE.encode()));
-        FrameCodec.Frame frame =
-                FrameCodec.read(new ByteArrayInputStream(frame(SWIM_MESSAGE.encode(), MessageStream.AGREED)), MAX_BYTES);
+        FrameCodec.Frame frame = FrameCodec.read(
+                new ByteArrayInputStream(frame(SWIM_MESSAGE.encode(), MessageStream.AGREED)), MAX_BYTES);
         assertEquals(MessageStream.AGREED, frame.stream());
         assertArrayEquals(SWIM_MESSAGE.encode(), frame.body());
         byte[] later = Handshake.encode(HELLO);
