--- a/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Listens, and answers the handshakes of those that dial this member. One thread accepts; each accepted connection has
- * a thread that answers its handshake and then reads it.
+ * Accepts connections from peers and answers their handshakes. One thread accepts; each accepted connection has its own
+ * thread, which answers the handshake and then reads frames.
  */
 final class Acceptor {
     private static final Logger LOG = LoggerFactory.getLogger(Acceptor.class);
@@ -23,7 +23,7 @@
     private final HandshakeValidator validator;
     private final RejectionHandler rejections;
     private final ConnectionReader reader;
-    /** Accepted connections whose handshake is not done, the oldest first; guarded by the lock. */
+    /** Accepted connections whose handshake is not complete, the oldest first; guarded by the lock. */
     private final Set<PeerConnection> pendingHandshakes = new LinkedHashSet<>();
 
     private ServerSocket listener;
@@ -35,16 +35,16 @@
         this.reader = reader;
     }
 
-    /** With the lock: whether {@link #bind} was called. */
+    /** Whether {@link #bind} was called. The caller holds the lock. */
     boolean bound() {
         return listener != null;
     }
 
     /**
-     * With the lock: binds the listener.
+     * Binds the listener. The caller holds the lock.
      *
-     * @return the port that it has
-     * @throws IOException if it can't listen there
+     * @return the local port
+     * @throws IOException if the address cannot be bound
      */
     int bind(String listenAddress) throws IOException {
         InetSocketAddress address = PeerAddress.parse(listenAddress);
@@ -60,24 +60,24 @@
         return listener.getLocalPort();
     }
 
-    /** With the lock: starts the thread that accepts. */
+    /** Starts the accepting thread. The caller holds the lock. */
     void start() {
         context.startThread("peer-accept", this::acceptAll);
     }
 
-    /** With the lock: closes the listener and all connections whose handshake is not done. */
+    /** Closes the listener and all connections whose handshake is not complete. The caller holds the lock. */
     void close() {
-        pendingHandshakes.forEach(stranger -> stranger.close("this member ends"));
+        pendingHandshakes.forEach(connection -> connection.close("this member shuts down"));
         if (listener != null) {
             try {
                 listener.close();
             } catch (IOException e) {
-                LOG.debug("listener", e);
+                LOG.debug("closing the listener failed", e);
             }
         }
     }
 
-    /** With the lock: how many accepted connections have not done their handshake. */
+    /** The number of accepted connections whose handshake is not complete. The caller holds the lock. */
     int pendingHandshakeCount() {
         return pendingHandshakes.size();
     }
@@ -105,12 +105,12 @@
     private void onAcceptFailed(IOException e, boolean failedBefore, AcceptBackoff backoff) {
         context.metrics.count("accept_failed");
         if (!failedBefore) {
-            LOG.warn("accept: {}", e.getMessage());
+            LOG.warn("accepting a connection failed: {}", e.getMessage());
         }
         long pauseMs = backoff.pauseMs(e);
         if (pauseMs > 0) {
             synchronized (context.lock) {
-                // Guards against a busy loop where no socket can be had.
+                // Guards against a busy loop while no socket can be opened, as when descriptors are exhausted.
                 context.awaitChange(pauseMs);
             }
         }
@@ -122,16 +122,16 @@
                 return false;
             }
             if (pendingHandshakes.size() >= context.limits.maxPendingHandshakes()) {
-                // The oldest is closed for those that come next, so that nobody holds the places for long.
+                // Closes the oldest as well, so that idle connections cannot occupy all places for long.
                 context.metrics.count("strangers_refused");
-                pendingHandshakes.iterator().next().close("too many strangers");
+                pendingHandshakes.iterator().next().close("too many pending handshakes");
                 return false;
             }
             PeerConnection connection;
             try {
                 connection = new PeerConnection(socket, false, context.limits, context.clock, context.metrics);
             } catch (IOException e) {
-                LOG.debug("closed before it was accepted: {}", e.getMessage());
+                LOG.debug("connection closed before its handshake: {}", e.getMessage());
                 return false;
             }
             pendingHandshakes.add(connection);
@@ -148,13 +148,13 @@
             rejections.onRejected(connection, HandshakeRejection.MALFORMED, e.getMessage());
         } catch (IOException e) {
             context.metrics.count("handshakes_broken");
-            LOG.debug("handshake from {}: {}", connection.socket, e.getMessage());
+            LOG.debug("handshake from {} failed: {}", connection.socket, e.getMessage());
         } finally {
             synchronized (context.lock) {
                 pendingHandshakes.remove(connection);
             }
             if (!attached) {
-                connection.close("no link");
+                connection.close("handshake failed");
             }
         }
         if (attached) {
@@ -163,15 +163,16 @@
     }
 
     private boolean answerHandshake(PeerConnection connection) throws IOException {
-        Handshake.Message part = Handshake.read(connection.in);
-        if (part instanceof Handshake.IncompatibleVersion foreign) {
-            String description = "speaks " + foreign.minVersion() + " to " + foreign.maxVersion() + ", we "
-                    + Handshake.MIN_VERSION + " to " + Handshake.MAX_VERSION;
+        Handshake.Message message = Handshake.read(connection.in);
+        if (message instanceof Handshake.IncompatibleVersion incompatible) {
+            String description = "supports versions " + incompatible.minVersion() + " to " + incompatible.maxVersion()
+                    + ", this member " + Handshake.MIN_VERSION + " to " + Handshake.MAX_VERSION;
             rejections.reject(connection, HandshakeRejection.VERSION_MISMATCH, 0, description);
             return false;
         }
-        if (!(part instanceof Handshake.Hello hello) || hello.welcome()) {
-            throw new WireException("no hello");
+        if (!(message instanceof Handshake.Hello hello) || hello.welcome()) {
+            throw new WireException(
+                    "expected a hello, got " + message.getClass().getSimpleName());
         }
         connection.remoteHello = hello;
         connection.peerName = hello.from();
@@ -192,12 +193,13 @@
                 context.instance,
                 0));
         Handshake.Message last = Handshake.read(connection.in);
-        if (last instanceof Handshake.Reject refuse) {
-            rejections.onRejectedBy(hello.from(), refuse);
+        if (last instanceof Handshake.Reject reject) {
+            rejections.onRejectedBy(hello.from(), reject);
             return false;
         }
         if (!(last instanceof Handshake.Ready)) {
-            throw new WireException("neither ready nor refused");
+            throw new WireException(
+                    "expected ready or a rejection, got " + last.getClass().getSimpleName());
         }
         return reader.attach(connection);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionReader.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A connection from the end of its handshake: attaches it to its peer, reads its frames and delivers them to the
- * receivers, and detaches it at its end. Receivers are called on the reading thread.
+ * Handles a connection once its handshake is complete: attaches it to its peer, reads its frames and delivers them to
+ * the receivers, and detaches it when it closes. Receivers are called on the reading thread.
  */
 final class ConnectionReader {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionReader.class);
@@ -25,15 +25,15 @@
         this.membership = membership;
     }
 
-    /** Sets the receiver of a stream; before the links are started. */
+    /** Sets the receiver of a stream. Must be called before the links are started. */
     void setReceiver(MessageStream stream, PeerLinks.Receiver receiver) {
         receivers.put(stream, receiver);
     }
 
     /**
-     * Makes a connection whose handshake is done its peer's own.
+     * Makes a connection whose handshake is complete the connection of its peer.
      *
-     * @return false if the peer has a better one, is no member any more or has a later life
+     * @return false if the peer has a preferred connection, was removed or has a later incarnation
      */
     boolean attach(PeerConnection connection) throws IOException {
         Handshake.Hello hello = connection.remoteHello;
@@ -46,13 +46,13 @@
                     || hello.incarnation() < membership.detector().incarnationOf(hello.from())) {
                 return false;
             }
-            PeerConnection present = peer.connection;
-            if (present != null) {
-                if (hello.incarnation() == present.remoteHello.incarnation()
-                        && !registry.replaces(connection, present)) {
+            PeerConnection current = peer.connection;
+            if (current != null) {
+                if (hello.incarnation() == current.remoteHello.incarnation()
+                        && !registry.replaces(connection, current)) {
                     return false;
                 }
-                present.close("another connection takes its place");
+                current.close("replaced by another connection");
             }
             if (!connection.outbound) {
                 peer.lastInboundDial = hello.dialNumber();
@@ -72,7 +72,7 @@
             context.signalChange();
         }
         LOG.info(
-                "connected with {} at {}, life {}, {}",
+                "connected to {} at {}, incarnation {}, {}",
                 hello.from(),
                 hello.address(),
                 hello.incarnation(),
@@ -83,12 +83,12 @@
     private void noteAnnouncedAddress(Peer peer, String address) {
         if (!address.equals(peer.member.address()) && !address.equals(peer.announcedAddress)) {
             context.metrics.count("address_differs");
-            LOG.warn("{} is listed at {} and announces {}", peer.name(), peer.member.address(), address);
+            LOG.warn("{} is configured at {} but announces {}", peer.name(), peer.member.address(), address);
         }
         peer.announcedAddress = address;
     }
 
-    /** Reads until the connection ends, then detaches it. */
+    /** Reads frames until the connection closes, then detaches it. */
     void read(PeerConnection connection) {
         try {
             while (!connection.closed) {
@@ -102,13 +102,13 @@
             }
         } catch (WireException e) {
             context.metrics.count("frames_unreadable");
-            connection.close("unreadable: " + e.getMessage());
+            connection.close("malformed data: " + e.getMessage());
         } catch (IOException e) {
-            connection.close("read: " + e.getMessage());
+            connection.close("read failed: " + e.getMessage());
         } finally {
-            connection.close("ended");
+            connection.close("closed");
             detach(connection);
-            LOG.info("connection with {} ended: {}", connection.peerName, connection.closeReason);
+            LOG.info("connection to {} closed: {}", connection.peerName, connection.closeReason);
         }
     }
 
@@ -123,7 +123,7 @@
             receiver.onMessage(connection.peerName, connection.remoteHello.incarnation(), frame.body());
         } catch (RuntimeException e) {
             context.metrics.count("receiver_failed");
-            LOG.error("the receiver of {} failed on a message from {}", frame.stream(), connection.peerName, e);
+            LOG.error("the receiver of stream {} failed on a message from {}", frame.stream(), connection.peerName, e);
         } finally {
             connection.receiveStartedAtMs = 0;
         }
@@ -132,7 +132,7 @@
     private void onSwimMessage(PeerConnection connection, SwimMessage message) {
         synchronized (context.lock) {
             if (registry.connection(connection.peerName) != connection) {
-                // Guards against messages left in a connection that was replaced.
+                // Guards against messages that were still buffered in a replaced connection.
                 return;
             }
             Handshake.Hello hello = connection.remoteHello;
@@ -147,7 +147,7 @@
         }
     }
 
-    /** The connection has ended: its peer has none, if it was the peer's. */
+    /** Removes a closed connection from its peer, unless the peer has another one by now. */
     void detach(PeerConnection connection) {
         synchronized (context.lock) {
             Peer peer = registry.peer(connection.peerName);
@@ -156,7 +156,7 @@
                 context.metrics.count("links_lost");
                 membership.detector().onDisconnected(connection.peerName);
                 double durationMs = context.clock.nowMs() - connection.establishedAtMs;
-                // After a connection that lasted, the next dial is soon again.
+                // A connection that lasted resets the dial backoff.
                 peer.dialFailures = durationMs > context.limits.deadAfterMs() ? 0 : peer.dialFailures + 1;
                 registry.backOff(peer);
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/ConnectionRegistry.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The configured peers and which connection each has. Each pair keeps one connection: of two that cross, the one that
- * the lower name has dialled stays. Reads need no lock, changes need that of {@link LinkContext}.
+ * The configured peers and their connections. Each pair of members keeps one connection: if both dial at the same time,
+ * the connection dialed by the member with the lower name stays. Reads need no lock, changes need the lock of
+ * {@link LinkContext}.
  */
 final class ConnectionRegistry {
     private final LinkContext context;
@@ -19,7 +20,7 @@
         this.context = context;
     }
 
-    /** The peer of this name; null if none is configured. */
+    /** The peer with this name; null if none is configured. */
     Peer peer(String name) {
         return peers.get(name);
     }
@@ -39,7 +40,7 @@
         return peer == null ? null : peer.connection;
     }
 
-    /** Names of the peers that have a connection now. */
+    /** Names of the peers that are connected now. */
     List<String> connectedNames() {
         List<String> names = new ArrayList<>();
         for (Peer peer : peers.values()) {
@@ -50,7 +51,7 @@
         return names;
     }
 
-    /** With the lock: queues these messages for the peers that have a connection. */
+    /** Queues these messages for those peers that are connected. The caller holds the lock. */
     void send(List<FailureDetector.OutgoingMessage> messages) {
         for (FailureDetector.OutgoingMessage message : messages) {
             PeerConnection connection = connection(message.to());
@@ -62,7 +63,7 @@
         }
     }
 
-    /** With the lock: closes every connection and dials again at once. */
+    /** Closes every connection and dials again at once. The caller holds the lock. */
     void reconnectAll(String reason) {
         for (Peer peer : peers.values()) {
             if (peer.connection != null) {
@@ -74,19 +75,19 @@
         }
     }
 
-    /** With the lock: whether a new connection with the same process takes the place of the present one. */
-    boolean replaces(PeerConnection fresh, PeerConnection present) {
-        if (present.closed || fresh.outbound == present.outbound) {
+    /** Whether a new connection to the same process replaces the current one. The caller holds the lock. */
+    boolean replaces(PeerConnection candidate, PeerConnection current) {
+        if (current.closed || candidate.outbound == current.outbound) {
             return true;
         }
-        boolean lowerName = context.self().name().compareTo(fresh.peerName) < 0;
-        boolean preferred = present.outbound == lowerName;
-        double idleMs = context.clock.nowMs() - present.lastReadAtMs;
-        // A peer that dials has lost its connection, if nothing is read from the one that stands here.
+        boolean lowerName = context.self().name().compareTo(candidate.peerName) < 0;
+        boolean preferred = current.outbound == lowerName;
+        double idleMs = context.clock.nowMs() - current.lastReadAtMs;
+        // A peer that dials although nothing arrives on the current connection has lost its end of it.
         return !preferred || idleMs > FailureDetector.PROBE_AFTER_INTERVALS * context.limits.heartbeatMs();
     }
 
-    /** With the lock: sets the time of the next dial, by exponential backoff with full jitter. */
+    /** Sets the time of the next dial by exponential backoff with full jitter. The caller holds the lock. */
     void backOff(Peer peer) {
         peer.dialFailures = Math.min(peer.dialFailures + 1, Peer.MAX_DIAL_FAILURES);
         double ceilingMs = Math.min(
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Dials the peers. Each peer has one thread, which dials with backoff while there is no connection and writes the
- * queued messages while there is one, also one that the peer has dialled.
+ * Dials the peers. Each peer has one thread. While the peer is disconnected, the thread dials it with backoff; while it
+ * is connected, by whichever side, the thread writes the queued messages.
  */
 final class Dialer {
     private static final Logger LOG = LoggerFactory.getLogger(Dialer.class);
@@ -19,7 +19,7 @@
     private final HandshakeValidator validator;
     private final RejectionHandler rejections;
     private final ConnectionReader reader;
-    /** Numbers the dials of this process, so that a peer can ignore one that was overtaken; guarded by the lock. */
+    /** Numbers the dials of this process, so that a peer can ignore an outdated one; guarded by the lock. */
     private long dialNumber;
 
     Dialer(
@@ -35,7 +35,10 @@
         this.reader = reader;
     }
 
-    /** With the lock: starts the peer's thread. The lower name dials first, so that dials seldom cross. */
+    /**
+     * Starts the peer's thread. The member with the lower name dials first, so that simultaneous dials are rare. The
+     * caller holds the lock.
+     */
     void start(Peer peer) {
         double waitMs = context.self().name().compareTo(peer.name()) < 0 ? 0 : context.limits.dialBackoffMinMs();
         peer.nextDialAtMs = context.clock.nowMs() + waitMs * (1 + context.random.nextDouble());
@@ -53,7 +56,7 @@
             if (connection != null) {
                 write(peer, connection);
             } else if (leftMs > 0) {
-                // Parked, not waiting on the lock: changes of other peers wake nobody here.
+                // Parks rather than waits on the lock, so that changes of other peers do not wake this thread.
                 LockSupport.parkNanos(this, (long) Math.ceil(leftMs * 1e6));
             } else {
                 dial(peer);
@@ -64,7 +67,7 @@
         }
         synchronized (context.lock) {
             if (peer.connection != null) {
-                peer.connection.close("no member any more");
+                peer.connection.close("removed from the members");
             }
         }
     }
@@ -73,15 +76,15 @@
         try {
             connection.write();
         } catch (IOException e) {
-            connection.close("write: " + e.getMessage());
+            connection.close("write failed: " + e.getMessage());
         } catch (InterruptedException e) {
-            connection.close("this member ends");
+            connection.close("this member shuts down");
         }
         if (context.closing()) {
-            // The farewell is under way; the reader closes the connection.
+            // The leave message is in flight; the reader closes the connection.
             return;
         }
-        connection.close("ended");
+        connection.close("closed");
         reader.detach(connection);
         synchronized (context.lock) {
             if (peer.connection == connection) {
@@ -100,7 +103,7 @@
             }
             peer.dialingSocket = socket;
             peer.dialAttempts++;
-            // The address that a peer has announced is dialled in turn with the configured one.
+            // Alternates between the configured address and the one that the peer announced.
             boolean announced = peer.announcedAddress != null && peer.dialAttempts % 2 == 0;
             target = announced ? peer.announcedAddress : peer.member.address();
             hello = newHello(peer);
@@ -115,7 +118,7 @@
             }
         } catch (IOException | IllegalArgumentException e) {
             context.metrics.count("dials_failed");
-            LOG.debug("dial {} at {}: {}", peer.name(), target, e.getMessage());
+            LOG.debug("dialing {} at {} failed: {}", peer.name(), target, e.getMessage());
         } finally {
             endDial(peer, socket, connection, attached);
         }
@@ -144,7 +147,7 @@
         return connection;
     }
 
-    /** From here on an accepted connection does not end this dial; false if the dial is of no use any more. */
+    /** From here on an accepted connection does not cancel this dial. Returns false if the dial is obsolete. */
     private boolean beginHandshake(Peer peer, PeerConnection connection) {
         synchronized (context.lock) {
             if (peer.connection != null) {
@@ -158,19 +161,22 @@
 
     private boolean exchangeHellos(Peer peer, PeerConnection connection, Handshake.Hello hello) throws IOException {
         connection.send(hello);
-        Handshake.Message part = Handshake.read(connection.in);
+        Handshake.Message message = Handshake.read(connection.in);
         String name = peer.name();
-        if (part instanceof Handshake.Reject refuse) {
-            rejections.onRejectedBy(name, refuse);
+        if (message instanceof Handshake.Reject reject) {
+            rejections.onRejectedBy(name, reject);
             return false;
         }
-        if (part instanceof Handshake.IncompatibleVersion) {
+        if (message instanceof Handshake.IncompatibleVersion) {
             rejections.onRejectedBy(
-                    name, new Handshake.Reject(HandshakeRejection.VERSION_MISMATCH, 0, "answers in another version"));
+                    name,
+                    new Handshake.Reject(
+                            HandshakeRejection.VERSION_MISMATCH, 0, "responded in an unsupported version"));
             return false;
         }
-        if (!(part instanceof Handshake.Hello welcome) || !welcome.welcome()) {
-            throw new WireException("no welcome");
+        if (!(message instanceof Handshake.Hello welcome) || !welcome.welcome()) {
+            throw new WireException(
+                    "expected a welcome, got " + message.getClass().getSimpleName());
         }
         connection.remoteHello = welcome;
         HandshakeRejection rejection =
@@ -199,7 +205,7 @@
             if (!attached) {
                 Peer.closeQuietly(socket);
                 if (connection != null) {
-                    connection.close("no link");
+                    connection.close("handshake failed");
                 }
                 registry.backOff(peer);
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -7,26 +7,28 @@
 import java.util.Random;
 
 /**
- * Who is alive. After SWIM (Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style process group
- * membership protocol", DSN 2002: others are asked before a member is suspected, suspicion comes before death, a
- * greater
- * incarnation refutes) and Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more accurate
- * failure detection", 2018: a member that is itself slow suspects others later, a suspicion that others confirm times
- * out sooner, the suspected member is told first).
+ * Detects failed members. Follows SWIM (Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style
+ * process group membership protocol", DSN 2002): a silent member is probed through others before it is suspected, it is
+ * suspected before it is declared dead, and it refutes a suspicion by a greater incarnation number, here called the
+ * refutation number. Follows Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more
+ * accurate failure detection", 2018): a member that is itself slow suspects others later, the timeout of a suspicion
+ * shrinks as others confirm it, and the suspected member is notified first.
  *
- * <p>Two things differ from the papers. The evidence is <i>when a member was last surely alive</i>, by this member's
- * clock and never too late: a message says which message of ours its sender has heard and how long ago, so that it is
- * no older than the two together. Messages that stood in a full connection for ten seconds prove nothing about now.
- * Such evidence is handed on with its age, so a member that anybody hears is alive for all. And time during which this
- * process itself was paused is taken from every silence.
+ * <p>Two things differ from the papers. First, the evidence is a lower bound of the time at which a member was last
+ * alive, by this member's clock: a message acknowledges one of our messages and states the delay since its sender
+ * received it, so it was sent no earlier than the two together. A message that spent ten seconds in a full socket
+ * buffer therefore does not count as a sign of the present. Evidence is gossiped with its age, so a member that any
+ * other hears is alive for all. Second, time during which this process itself was paused is subtracted from every
+ * silence.
  *
- * <p>This class composes the parts: {@link MemberTable}, {@link LocalHealth}, {@link Suspicion},
- * {@link SelfRefutation},
+ * <p>A member's incarnation is the process that runs under its name: it grows with each start.
+ *
+ * <p>This class composes {@link MemberTable}, {@link LocalHealth}, {@link Suspicion}, {@link SelfRefutation},
  * {@link IndirectProber}, {@link GossipSender} and {@link GossipReceiver}. Not thread-safe. Times are milliseconds of
- * one clock that never goes back.
+ * one monotonic clock.
  */
 public final class FailureDetector {
-    /** Silence in heartbeat intervals after which others are asked. */
+    /** Silence, in heartbeat intervals, after which other members are asked to probe. */
     static final double PROBE_AFTER_INTERVALS = 3;
 
     private final PeerLimits limits;
@@ -41,48 +43,52 @@
     /** A peer's status has changed. */
     record Change(String peer, MemberStatus status, long incarnation) {}
 
-    /** A message that is to be sent. */
+    /** A message to be sent. */
     record OutgoingMessage(String to, SwimMessage message) {}
 
-    /** Two processes live under one name; it may be this member's own. */
+    /** Two processes run under one name, which may be this member's own. */
     record Conflict(String name, long incarnation, long instance, long otherIncarnation, long otherInstance) {}
 
-    /** A detector for this member in this life. */
-    FailureDetector(String me, long incarnation, long instance, PeerLimits limits, long seed) {
+    /** Creates a detector for this member in this incarnation. */
+    FailureDetector(String self, long incarnation, long instance, PeerLimits limits, long seed) {
         this.limits = limits;
         Random random = new Random(seed);
-        members = new MemberTable(me, random);
+        members = new MemberTable(self, random);
         localHealth = new LocalHealth(limits.heartbeatMs(), members);
         suspicion = new Suspicion(limits, members, localHealth);
-        refutation = new SelfRefutation(me, incarnation, instance, members);
+        refutation = new SelfRefutation(self, incarnation, instance, members);
         prober = new IndirectProber(limits, members, localHealth);
         gossipSender = new GossipSender(limits.heartbeatMs(), members, refutation, random);
-        gossipReceiver = new GossipReceiver(me, limits, members, suspicion, refutation);
+        gossipReceiver = new GossipReceiver(self, limits, members, suspicion, refutation);
     }
 
-    /** This member has taken another life; its connections, which told the earlier one, are to be closed. */
+    /**
+     * This member takes another incarnation. The caller closes its connections, whose handshakes announced the earlier
+     * one.
+     */
     void beginIncarnation(long nextIncarnation) {
         refutation.beginIncarnation(nextIncarnation);
     }
 
     /**
-     * The greatest life, at least its own, by which peers know an ended process of this member: taken before the
-     * time of day went back, or kept on a disk that was lost. {@link Long#MIN_VALUE} if there is none.
+     * The greatest incarnation, not less than the present one, by which peers know an ended process of this member. It
+     * was taken before the time of day stepped back, or recorded on a disk that was lost. {@link Long#MIN_VALUE} if
+     * there is none.
      */
     long endedIncarnation() {
         return refutation.endedIncarnation();
     }
 
-    /** Replaces the other members; those no longer among them are reported dead and forgotten. */
+    /** Replaces the set of other members; those no longer in it are reported dead and forgotten. */
     void update(Collection<String> names) {
         members.update(names);
     }
 
     /**
-     * A connection with this peer was established.
+     * A connection to this peer was established.
      *
      * @param openedAtMs when its handshake began
-     * @return the messages that are to be sent
+     * @return the messages to send
      */
     List<OutgoingMessage> onConnected(
             double now, double openedAtMs, String name, long remoteIncarnation, long remoteInstance) {
@@ -103,7 +109,7 @@
         return List.of(gossipSender.newMessage(now, member, 0, List.of()));
     }
 
-    /** The connection with this peer has ended. */
+    /** The connection to this peer was closed. */
     void onDisconnected(String name) {
         MemberState member = members.get(name);
         if (member != null) {
@@ -112,9 +118,9 @@
     }
 
     /**
-     * To be called each heartbeat interval.
+     * Advances the detector. Called once per heartbeat interval.
      *
-     * @return the messages that are to be sent
+     * @return the messages to send
      */
     List<OutgoingMessage> tick(double now) {
         refutation.onStarted(now);
@@ -138,9 +144,9 @@
     }
 
     /**
-     * A message has come over the connection with this peer.
+     * Processes a message received on the connection to this peer.
      *
-     * @return the messages that are to be sent at once
+     * @return the messages to send at once
      */
     List<OutgoingMessage> onMessage(
             double now, String from, long remoteIncarnation, long remoteInstance, SwimMessage message) {
@@ -148,7 +154,7 @@
         if (sender == null) {
             return List.of();
         }
-        // A pause of this process may be seen here before the next tick.
+        // A pause of this process may be detected here before the next tick.
         localHealth.onActivity(now);
         double sentMs = sender.sendTimeLowerBound(now, message);
         if (sender.known && (remoteIncarnation != sender.incarnation || remoteInstance != sender.instance)) {
@@ -181,13 +187,13 @@
     private List<OutgoingMessage> onOtherProcess(
             double now, MemberState sender, long remoteIncarnation, long remoteInstance, double sentMs) {
         if (remoteIncarnation < sender.incarnation && sender.lastAliveMs < sender.connectedAtMs) {
-            // The later life gave no sign since the earlier one connected: it has ended, and its successor, which
-            // began under an earlier time of day, has not heard of it yet.
+            // Nothing was heard of the later incarnation since the earlier one connected: it has ended. Its successor
+            // started under an earlier time of day and has to be notified of it.
             return List.of(gossipSender.newMessage(
                     now, sender, SwimMessage.PROBE_REPLY, List.of(), List.of(sender.toEntry(now))));
         }
         if (remoteIncarnation == sender.incarnation || sentMs > sender.incarnationLearnedMs) {
-            // Sent after another process of this name was heard of: both live.
+            // Sent after another process of this name was heard of: both are running.
             members.recordConflict(now, sender, remoteIncarnation, remoteInstance);
         }
         return List.of();
@@ -210,7 +216,7 @@
         }
     }
 
-    /** The sender was probed on behalf of these members, and has spoken. */
+    /** Replies to the members on whose behalf the sender was probed. */
     private void answerProbeRequesters(double now, MemberState sender, List<OutgoingMessage> out) {
         for (String requester : sender.probeRequesters) {
             MemberState member = members.get(requester);
@@ -222,7 +228,7 @@
         sender.probeRequesters.clear();
     }
 
-    /** The messages that tell all connected peers that this member ends. */
+    /** Messages that notify all connected peers that this member shuts down. */
     List<OutgoingMessage> leaveMessages(double now) {
         List<OutgoingMessage> out = new ArrayList<>();
         for (MemberState member : members.all()) {
@@ -233,7 +239,7 @@
         return out;
     }
 
-    /** This member itself did not read for so long what this peer sent: that is no silence of the peer. */
+    /** Subtracts time from a peer's silence during which this member did not read what the peer sent. */
     void discountSilence(double now, String name, double ms) {
         MemberState member = members.get(name);
         if (member != null) {
@@ -241,7 +247,7 @@
         }
     }
 
-    /** Another process of this name was found; both are told in the messages that follow. */
+    /** Records another process of this name; subsequent messages notify both of them. */
     void onConflict(double now, String name, long otherIncarnation, long otherInstance) {
         MemberState member = members.get(name);
         if (member != null && member.known) {
@@ -249,12 +255,12 @@
         }
     }
 
-    /** What has changed since the last call. */
+    /** Returns the status changes since the last call. */
     List<Change> drainChanges() {
         return members.drainChanges();
     }
 
-    /** Conflicts that were found since the last call, each once. */
+    /** Returns the conflicts detected since the last call, each once. */
     List<Conflict> drainConflicts() {
         return members.drainConflicts();
     }
@@ -264,31 +270,34 @@
         return member == null ? MemberStatus.UNKNOWN : member.status;
     }
 
-    /** The latest life heard of; {@link Long#MIN_VALUE} if none. */
+    /** The latest known incarnation; {@link Long#MIN_VALUE} if none. */
     long incarnationOf(String name) {
         MemberState member = members.get(name);
         return member == null || !member.known ? Long.MIN_VALUE : member.incarnation;
     }
 
-    /** The process of that life; 0 if none. */
+    /** The instance number of that incarnation's process; 0 if none. */
     long instanceOf(String name) {
         MemberState member = members.get(name);
         return member == null ? 0 : member.instance;
     }
 
-    /** When this peer was last surely alive, by its own word over its connection. */
+    /** The latest time at which this peer is known to have been alive, by its own messages. */
     double lastDirectMs(String name) {
         MemberState member = members.get(name);
         return member == null ? MemberState.NEVER : member.lastDirectMs;
     }
 
-    /** For how long the peer had not heard what it was sent, by its last message: it may not hear us. */
+    /**
+     * For how long the peer had not acknowledged a message of this member when it sent its last one. If it is long, the
+     * peer does not receive what this member sends.
+     */
     double unacknowledgedForMs(String name) {
         MemberState member = members.get(name);
         return member == null || !member.connected ? 0 : member.unacknowledgedForMs;
     }
 
-    /** Lifeguard's local health score; 0 is healthy. */
+    /** Lifeguard's local health score; 0 means healthy. */
     int localHealthScore() {
         return localHealth.score();
     }
@@ -297,7 +306,7 @@
         return suspicion.suspicions();
     }
 
-    /** Suspicions that ended with the peer alive in the same life. */
+    /** Suspicions that ended with the peer alive in the same incarnation. */
     long falseSuspicions() {
         return suspicion.falseSuspicions();
     }
@@ -316,12 +325,12 @@
         return suspicion.deaths();
     }
 
-    /** How many peers have this status. */
+    /** The number of peers with this status. */
     int count(MemberStatus status) {
         return members.count(status);
     }
 
-    /** How many peers are heard but do not hear this member. */
+    /** The number of peers that this member receives from but that do not receive from it. */
     int countOneWay() {
         return members.countOneWay(limits.suspectAfterMs());
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Applies what peers tell of members (SWIM, section 4.1), with the age of the evidence. */
+/** Applies gossip about members (SWIM, section 4.1), taking the age of its evidence into account. */
 final class GossipReceiver {
-    /** So many suspected members are told of in one message at most. */
+    /** Maximum number of entries about suspected members in one message. */
     static final int MAX_SUSPECTS = 16;
 
     private final String self;
@@ -25,8 +25,8 @@
     /**
      * Applies one entry of a message.
      *
-     * @param sentMs a time no later than the sending of the message
-     * @param replies receives the entries that the sender should have at once
+     * @param sentMs a lower bound of the time at which the message was sent
+     * @param replies receives the entries to send back at once
      */
     void apply(double now, MemberState from, double sentMs, SwimMessage.Entry entry, List<SwimMessage.Entry> replies) {
         if (entry.name().equals(self)) {
@@ -55,7 +55,7 @@
     }
 
     private void beginIncarnation(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
-        // A process that is dead already is not reported as alive first.
+        // Starts with the reported status, so that a dead process is not first reported as alive.
         suspicion.beginIncarnation(now, member, entry.incarnation(), entry.instance(), entry.status());
         member.deadRefutationNumber = entry.status() == MemberStatus.DEAD ? entry.refutationNumber() : -1;
         if (entry.ageMs() < 0) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipSender.java
@@ -5,18 +5,18 @@
 import java.util.Random;
 
 /**
- * Builds the messages to peers. What is held of members travels with the heartbeats (SWIM's piggybacked dissemination,
- * section 4.1); a doubted member is told first that it is (Lifeguard's buddy system).
+ * Builds the messages to peers. Membership state is piggybacked on heartbeats (SWIM, section 4.1); a message to a
+ * suspected member notifies it of the suspicion first (Lifeguard's buddy system).
  */
 final class GossipSender {
-    /** A change is told for so many heartbeat intervals. */
+    /** Number of heartbeat intervals for which a change is gossiped. */
     private static final int CHANGE_INTERVALS = 6;
-    /** A conflict is told for so many heartbeat intervals. */
+    /** Number of heartbeat intervals for which a conflict is gossiped. */
     private static final int CONFLICT_INTERVALS = 4 * CHANGE_INTERVALS;
 
     private static final int MAX_SUSPECTS = GossipReceiver.MAX_SUSPECTS;
     private static final int MAX_CHANGES = 16;
-    /** So many members are told of in turn, changed or not. */
+    /** Number of members included in rotation, changed or not. */
     private static final int ROTATED_MEMBERS = 2;
 
     private final double intervalMs;
@@ -31,7 +31,7 @@
         this.random = random;
     }
 
-    /** A message to this member with what is to be gossiped. */
+    /** Builds a message to this member with the entries selected for gossip. */
     FailureDetector.OutgoingMessage newMessage(double now, MemberState to, int flags, List<String> probeRequests) {
         return newMessage(now, to, flags, probeRequests, selectEntries(now, to));
     }
@@ -60,14 +60,14 @@
         return entries;
     }
 
-    /** A message to this member with these entries, after what it must know of itself. */
+    /** Builds a message to this member with these entries, preceded by the entry about the member itself. */
     FailureDetector.OutgoingMessage newMessage(
             double now, MemberState to, int flags, List<String> probeRequests, List<SwimMessage.Entry> selected) {
         List<SwimMessage.Entry> entries = new ArrayList<>();
         if (now - to.conflictMs < CONFLICT_INTERVALS * intervalMs) {
             entries.add(otherProcessEntry(to));
         } else if (to.known && (to.status == MemberStatus.SUSPECT || to.status == MemberStatus.DEAD)) {
-            // The doubted member is told, so that it can refute.
+            // Notifies the member of the suspicion, so that it can refute it.
             entries.add(to.toEntry(now));
         }
         for (SwimMessage.Entry entry : selected) {
@@ -76,13 +76,19 @@
             }
         }
         int sequence = to.nextSequence(now);
-        double heldMs = Math.max(0, now - to.receivedAtMs);
+        double ackDelayMs = Math.max(0, now - to.receivedAtMs);
         SwimMessage message = new SwimMessage(
-                flags, sequence, to.receivedSequence, heldMs, refutation.refutationNumber(), entries, probeRequests);
+                flags,
+                sequence,
+                to.receivedSequence,
+                ackDelayMs,
+                refutation.refutationNumber(),
+                entries,
+                probeRequests);
         return new FailureDetector.OutgoingMessage(to.name, message);
     }
 
-    /** Of two processes of one name, the one that is not at the other end of the connection. */
+    /** The entry of the conflicting process that is not at the other end of the connection. */
     private static SwimMessage.Entry otherProcessEntry(MemberState to) {
         FailureDetector.Conflict conflict = to.conflict;
         boolean first = to.connectionInstance == conflict.instance();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -7,15 +7,18 @@
 import java.util.Arrays;
 
 /**
- * What two members say before the first message: the dialler a {@link Hello}, the other its own hello as a welcome,
- * the dialler {@link Ready}; each of them {@link Reject} instead. On the wire: magic (4 bytes), length (2), kind,
- * lowest and highest version the sender speaks (1 each), the fields, CRC32C of all before it (4). The head stays as it
- * is in every later version, so that two versions can refuse each other in words.
+ * The handshake that precedes the frames of a connection. The dialer sends a {@link Hello}, the accepting member its
+ * own hello as a welcome, the dialer {@link Ready}; each may send {@link Reject} instead. On the wire: magic (4 bytes),
+ * length (2), kind, lowest and highest supported version (1 each), the fields, CRC32C of all before it (4). The header
+ * must not change in later versions, so that members without a common version can still reject each other with a
+ * reason.
  */
 final class Handshake {
     static final int MIN_VERSION = 1;
     static final int MAX_VERSION = 1;
-    /** Longest handshake: bounds what a stranger makes this side allocate. */
+    /**
+     * Maximum length of a handshake message: bounds the memory that an unidentified peer can make this side allocate.
+     */
     static final int MAX_BYTES = 1024;
 
     private static final int MAGIC = 0x42425031;
@@ -24,20 +27,20 @@
 
     private Handshake() {}
 
-    /** One part of a handshake. */
+    /** A message of the handshake. */
     sealed interface Message permits Hello, Ready, Reject, IncompatibleVersion {}
 
     /**
-     * Who speaks.
+     * Identifies the sender and the intended receiver.
      *
-     * @param welcome whether it answers a hello
+     * @param welcome whether it is the response to a hello
      * @param fleet name of the fleet
-     * @param from who speaks
-     * @param to whom it means
-     * @param address where the speaker listens
-     * @param incarnation the speaker's life
-     * @param instance drawn at each start: tells two processes of one name and life apart
-     * @param dial counts the speaker's dials, so that an old one that arrives late does not replace a newer
+     * @param from name of the sender
+     * @param to name of the intended receiver
+     * @param address where the sender listens
+     * @param incarnation the sender's incarnation
+     * @param instance random number drawn at each start: distinguishes two processes of one name and incarnation
+     * @param dial counts the sender's dials, so that an old one that arrives late does not replace a newer one
      */
     record Hello(
             boolean welcome,
@@ -50,25 +53,25 @@
             long dialNumber)
             implements Message {}
 
-    /** The link stands. */
+    /** The dialer accepts the welcome: the connection is established. */
     record Ready() implements Message {}
 
     /**
-     * No link.
+     * The sender rejects the connection.
      *
-     * @param why the reason
-     * @param incarnation a life that the refusing side knows, for {@link HandshakeRejection#STALE_INCARNATION}
-     * @param text what staff should read
+     * @param reason the reason
+     * @param incarnation the incarnation known to the rejecting side, for {@link HandshakeRejection#STALE_INCARNATION}
+     * @param text an explanation for operators
      */
     record Reject(HandshakeRejection reason, long incarnation, String text) implements Message {}
 
-    /** A part whose versions have none in common with ours: its fields are not read. */
+    /** A message of a sender that supports no common version; its fields are not read. */
     record IncompatibleVersion(int minVersion, int maxVersion) implements Message {}
 
-    static byte[] encode(Message part) {
+    static byte[] encode(Message message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         out.position(HEADER_BYTES);
-        int kind = encodeFields(part, out);
+        int kind = encodeFields(message, out);
         int length = out.position() - HEADER_BYTES;
         out.putInt(0, MAGIC).putShort(4, (short) length).put(6, (byte) kind).put(7, (byte) MIN_VERSION);
         out.put(8, (byte) MAX_VERSION);
@@ -76,51 +79,51 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    private static int encodeFields(Message part, ByteBuffer out) {
-        if (part instanceof Hello hello) {
-            WireFormat.text(out, hello.fleet());
-            WireFormat.text(out, hello.from());
-            WireFormat.text(out, hello.to());
-            WireFormat.text(out, hello.address());
+    private static int encodeFields(Message message, ByteBuffer out) {
+        if (message instanceof Hello hello) {
+            WireFormat.writeText(out, hello.fleet());
+            WireFormat.writeText(out, hello.from());
+            WireFormat.writeText(out, hello.to());
+            WireFormat.writeText(out, hello.address());
             out.putLong(hello.incarnation()).putLong(hello.instance()).putLong(hello.dialNumber());
             return hello.welcome() ? 2 : 1;
         }
-        if (part instanceof Reject refuse) {
-            String text = refuse.text();
-            out.put((byte) refuse.reason().ordinal()).putLong(refuse.incarnation());
-            WireFormat.text(out, text.length() > 80 ? text.substring(0, 80) : text);
+        if (message instanceof Reject reject) {
+            String text = reject.text();
+            out.put((byte) reject.reason().ordinal()).putLong(reject.incarnation());
+            WireFormat.writeText(out, text.length() > 80 ? text.substring(0, 80) : text);
             return 4;
         }
         return 3;
     }
 
     /**
-     * The next part.
+     * Reads the next message.
      *
-     * @throws WireException for anything that is none
-     * @throws EOFException if the other has ended
+     * @throws WireException if the message is malformed
+     * @throws EOFException if the other side closed the connection
      */
     static Message read(InputStream in) throws IOException {
-        byte[] head = readExactly(in, HEADER_BYTES);
-        ByteBuffer fields = ByteBuffer.wrap(head);
+        byte[] header = readExactly(in, HEADER_BYTES);
+        ByteBuffer fields = ByteBuffer.wrap(header);
         if (fields.getInt() != MAGIC) {
-            throw new WireException("no handshake of this protocol");
+            throw new WireException("not a handshake of this protocol");
         }
         int length = fields.getShort() & 0xffff;
         int kind = fields.get() & 0xff;
         int lowest = fields.get() & 0xff;
         int highest = fields.get() & 0xff;
         if (length > MAX_BYTES - HEADER_BYTES - 4) {
-            throw new WireException("a handshake of " + length + " bytes");
+            throw new WireException("handshake of " + length + " bytes exceeds the limit");
         }
         byte[] rest = readExactly(in, length + 4);
-        byte[] all = Arrays.copyOf(head, HEADER_BYTES + length);
-        System.arraycopy(rest, 0, all, HEADER_BYTES, length);
-        if (ByteBuffer.wrap(rest).getInt(length) != WireFormat.crc32c(all, 0, all.length)) {
-            throw new WireException("the sum of a handshake is wrong");
+        byte[] checked = Arrays.copyOf(header, HEADER_BYTES + length);
+        System.arraycopy(rest, 0, checked, HEADER_BYTES, length);
+        if (ByteBuffer.wrap(rest).getInt(length) != WireFormat.crc32c(checked, 0, checked.length)) {
+            throw new WireException("handshake checksum mismatch");
         }
         if (lowest > highest) {
-            throw new WireException("versions from " + lowest + " to " + highest);
+            throw new WireException("lowest version " + lowest + " is above the highest " + highest);
         }
         if (lowest > MAX_VERSION || highest < MIN_VERSION) {
             return new IncompatibleVersion(lowest, highest);
@@ -137,28 +140,30 @@
                         WireFormat.readName(in),
                         WireFormat.readName(in),
                         WireFormat.readName(in),
-                        WireFormat.text(in),
+                        WireFormat.readText(in),
                         in.getLong(),
                         in.getLong(),
                         in.getLong());
             case 3:
                 return new Ready();
             case 4:
-                int why = in.get() & 0xff;
+                int reasonCode = in.get() & 0xff;
                 long incarnation = in.getLong();
-                String text = WireFormat.text(in);
-                // Guards against a reason of a later build: it is still a refusal.
+                String text = WireFormat.readText(in);
+                // Guards against a reason added in a later build: it is still a rejection.
                 return new Reject(
-                        why < REJECTIONS.length ? REJECTIONS[why] : HandshakeRejection.MALFORMED, incarnation, text);
+                        reasonCode < REJECTIONS.length ? REJECTIONS[reasonCode] : HandshakeRejection.MALFORMED,
+                        incarnation,
+                        text);
             default:
-                throw new WireException("a handshake of the unknown kind " + kind);
+                throw new WireException("unknown handshake kind " + kind);
         }
     }
 
     private static byte[] readExactly(InputStream in, int count) throws IOException {
         byte[] bytes = in.readNBytes(count);
         if (bytes.length < count) {
-            throw new EOFException("ended within the handshake");
+            throw new EOFException("end of stream within the handshake");
         }
         return bytes;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
@@ -1,24 +1,27 @@
 package brackenbridge.fleet.peer;
 
-/** Why a handshake was rejected; both sides log it. The order is the wire's: new ones are added at the end. */
+/** Why a handshake was rejected; both sides log it. Ordinals are used on the wire: append new reasons at the end. */
 public enum HandshakeRejection {
-    /** The bytes were no handshake. */
+    /** The bytes are not a valid handshake. */
     MALFORMED("unreadable", "unreadable", false),
-    /** The two sides have no version of the protocol in common. */
+    /** The two sides have no protocol version in common. */
     VERSION_MISMATCH("version", "no common version", true),
-    /** The other belongs to another fleet. */
+    /** The other side belongs to another fleet. */
     FLEET_MISMATCH("another_fleet", "another fleet", true),
-    /** The member that was dialled is not at this address: another has it now. */
-    WRONG_MEMBER("not_the_one", "not the one dialled", true),
-    /** The caller is not in this member's list. */
+    /** The dialed member is not at this address; another member is. */
+    WRONG_MEMBER("not_the_one", "not the one dialed", true),
+    /** The other side is not among this member's configured peers. */
     UNKNOWN_MEMBER("unknown_member", "not a member", true),
-    /** The caller's life is earlier than one that was heard of: an old disk, or a copy that was started before. */
+    /**
+     * The other side's incarnation is earlier than the latest known: the process runs on an old disk, or is a copy that
+     * was started earlier.
+     */
     STALE_INCARNATION("old_life", "earlier life", true),
-    /** Two processes live under the caller's name. */
+    /** Two processes run under the other side's name. */
     DUPLICATE_NAME("duplicate", "two nodes of one name", true),
-    /** The pair has its connection; crossing dials end so. */
+    /** The pair is already connected, as when both dial at the same time. */
     ALREADY_CONNECTED("linked", "linked already", false),
-    /** This side is about to end. */
+    /** This side is shutting down. */
     SHUTTING_DOWN("closing", "closing", false);
 
     private final String counter;
@@ -31,22 +34,24 @@
         this.isPermanent = lasting;
     }
 
-    /** The counter of handshakes that this member has rejected so; it does not follow the constant's name. */
+    /**
+     * Name of the counter of handshakes that this member rejected for this reason; independent of the constant's name.
+     */
     public String rejectedCounter() {
         return "refused_" + counter;
     }
 
-    /** The counter of handshakes in which a peer has rejected this member so. */
+    /** Name of the counter of handshakes in which a peer rejected this member for this reason. */
     public String rejectedByPeerCounter() {
         return "refused_by_" + counter;
     }
 
-    /** In words. */
+    /** The reason as text, for logs and operators. */
     public String text() {
         return text;
     }
 
-    /** Whether dialling again soon is of no use. */
+    /** Whether an early retry is useless because the configuration has to change first. */
     public boolean isPermanent() {
         return isPermanent;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeValidator.java
@@ -4,7 +4,7 @@
 
 /** Decides whether a peer's hello or welcome is accepted. */
 final class HandshakeValidator {
-    /** Part of the handshake's deadline that may be spent on waiting for the earlier life's next message. */
+    /** Fraction of the handshake timeout that may be spent waiting for the earlier incarnation's next message. */
     private static final double PROBE_SHARE = 0.75;
 
     private final LinkContext context;
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Why this hello or welcome is rejected; null if it is accepted. Blocks for a bounded time where two processes may
-     * have one name.
+     * Why this hello or welcome is rejected; null if it is accepted. Blocks for a bounded time if two processes may run
+     * under one name.
      */
     HandshakeRejection validate(PeerConnection connection, Handshake.Hello hello) {
         if (!hello.fleet().equals(context.fleet)) {
@@ -44,42 +44,45 @@
             if (peer == null) {
                 return HandshakeRejection.UNKNOWN_MEMBER;
             }
-            // Read once: the lock is released while an answer of the earlier life is awaited.
-            long known = membership.detector().incarnationOf(hello.from());
-            HandshakeRejection rejection = validateIncarnation(peer, hello, known);
-            return rejection != null ? rejection : validateDial(connection, peer, hello, known);
+            // Read once: the lock is released while waiting for a message of the earlier incarnation.
+            long knownIncarnation = membership.detector().incarnationOf(hello.from());
+            HandshakeRejection rejection = validateIncarnation(peer, hello, knownIncarnation);
+            return rejection != null ? rejection : validateDial(connection, peer, hello, knownIncarnation);
         }
     }
 
-    private HandshakeRejection validateIncarnation(Peer peer, Handshake.Hello hello, long known) {
+    private HandshakeRejection validateIncarnation(Peer peer, Handshake.Hello hello, long knownIncarnation) {
         FailureDetector detector = membership.detector();
-        if (hello.incarnation() < known) {
+        if (hello.incarnation() < knownIncarnation) {
             return HandshakeRejection.STALE_INCARNATION;
         }
         boolean sameIncarnationElsewhere =
-                hello.incarnation() == known && hello.instance() != detector.instanceOf(hello.from());
+                hello.incarnation() == knownIncarnation && hello.instance() != detector.instanceOf(hello.from());
         if (sameIncarnationElsewhere
-                || peer.connection != null && hello.incarnation() > known && earlierIncarnationResponds(peer, hello)) {
+                || peer.connection != null
+                        && hello.incarnation() > knownIncarnation
+                        && earlierIncarnationResponds(peer, hello)) {
             membership.onConflict(hello);
             return HandshakeRejection.DUPLICATE_NAME;
         }
         return null;
     }
 
-    private HandshakeRejection validateDial(PeerConnection connection, Peer peer, Handshake.Hello hello, long known) {
-        if (connection.outbound || hello.incarnation() != known) {
+    private HandshakeRejection validateDial(
+            PeerConnection connection, Peer peer, Handshake.Hello hello, long knownIncarnation) {
+        if (connection.outbound || hello.incarnation() != knownIncarnation) {
             return null;
         }
         if (hello.instance() == peer.lastInboundInstance && hello.dialNumber() <= peer.lastInboundDial) {
             return HandshakeRejection.ALREADY_CONNECTED;
         }
-        PeerConnection present = peer.connection;
-        return present != null && !registry.replaces(connection, present) ? HandshakeRejection.ALREADY_CONNECTED : null;
+        PeerConnection current = peer.connection;
+        return current != null && !registry.replaces(connection, current) ? HandshakeRejection.ALREADY_CONNECTED : null;
     }
 
     /**
-     * With the lock: a later life has come while the earlier one is connected. Only a message that the earlier one
-     * sends after this moment tells a second process from a restart.
+     * Whether the earlier incarnation, which is still connected, is running beside the later one. Only a message that
+     * the earlier one sends after this moment distinguishes a second process from a restart. The caller holds the lock.
      */
     private boolean earlierIncarnationResponds(Peer peer, Handshake.Hello hello) {
         PeerConnection earlier = peer.connection;
@@ -90,11 +93,11 @@
             if (membership.detector().lastDirectMs(hello.from()) > startedAtMs) {
                 return true;
             }
-            double left = untilMs - clock.nowMs();
-            if (left <= 0) {
+            double leftMs = untilMs - clock.nowMs();
+            if (leftMs <= 0) {
                 return false;
             }
-            context.awaitChange(Math.min(left, context.limits.heartbeatMs() / 2));
+            context.awaitChange(Math.min(leftMs, context.limits.heartbeatMs() / 2));
             if (Thread.currentThread().isInterrupted()) {
                 return false;
             }
@@ -102,7 +105,7 @@
         return false;
     }
 
-    /** The latest life known of this peer; {@link Long#MIN_VALUE} if none. */
+    /** The latest known incarnation of this peer; {@link Long#MIN_VALUE} if none. */
     long knownIncarnation(String name) {
         synchronized (context.lock) {
             return membership.detector().incarnationOf(name);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HeartbeatTimer.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.peer;
 
-/** Drives the failure detector once each heartbeat interval and closes connections that are stuck. */
+/** Drives the failure detector once per heartbeat interval and closes stalled connections. */
 final class HeartbeatTimer {
-    /** A tick that is later than so many intervals is a pause of this process. */
+    /** A gap between two ticks of more intervals than this counts as a pause of this process. */
     private static final double LATE_INTERVALS = 2;
 
     private final LinkContext context;
@@ -15,7 +15,7 @@
         this.membership = membership;
     }
 
-    /** With the lock: starts the timer's thread. */
+    /** Starts the timer's thread. The caller holds the lock. */
     void start() {
         context.startThread("peer-beat", this::run);
     }
@@ -57,14 +57,14 @@
         }
         double writing = connection.writeStartedAtMs;
         if (writing > 0 && late) {
-            // This process itself was paused; the other side may have taken everything by now.
+            // This process itself was paused; the other side may have read everything by now.
             connection.writeStartedAtMs = now;
         } else if (writing > 0 && now - writing > context.limits.deadAfterMs()) {
             context.metrics.count("writes_stalled");
-            connection.close("takes nothing");
+            connection.close("write stalled");
         } else if (detector.unacknowledgedForMs(connection.peerName) > context.limits.deadAfterMs()) {
             context.metrics.count("one_way_closed");
-            connection.close("does not hear us");
+            connection.close("peer does not receive our messages");
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** SWIM's indirect probe (section 3.1, ping-req): others are asked for a silent member before it is suspected. */
+/** SWIM's indirect probe (section 3.1, ping-req): other members probe a silent member before it is suspected. */
 final class IndirectProber {
     private final PeerLimits limits;
     private final MemberTable members;
@@ -17,7 +17,7 @@
         this.localHealth = localHealth;
     }
 
-    /** Whether others are to be asked for this member now; forgets its helper where there is no need. */
+    /** Whether other members should probe this member now; resets its preferred helper if not needed any more. */
     boolean needsProbe(double now, MemberState member) {
         boolean watched = member.known && !member.left && member.status != MemberStatus.DEAD;
         double directSilenceMs = now - member.lastDirectMs - member.discountedMs;
@@ -30,7 +30,7 @@
         return false;
     }
 
-    /** Chooses helpers: the silent members that each of them is asked for, by the helper's name. */
+    /** Chooses helpers; returns the silent members that each is asked to probe, by the helper's name. */
     Map<String, List<String>> chooseHelpers(List<MemberState> silent) {
         Map<String, List<String>> requests = new HashMap<>();
         for (MemberState target : silent) {
@@ -70,9 +70,9 @@
     }
 
     /**
-     * A peer asks for this member: its present entry is to be told.
+     * Processes a peer's request to probe this member.
      *
-     * @return whether the member is to be probed now on the peer's behalf
+     * @return whether to send the member a probe now on the peer's behalf
      */
     boolean onRequest(double now, MemberState target, String requester) {
         if (!target.connected || now - target.lastDirectMs <= limits.heartbeatMs()) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LinkContext.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LinkContext.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * What the parts of {@link TcpPeerLinks} share: this member's identity, the lock that guards peers and the failure
- * detector, and the threads. This class is the one owner of all threads of the links.
+ * State shared by the parts of {@link TcpPeerLinks}: this member's identity, the lock that guards peers and the failure
+ * detector, and the threads. All threads of the links are owned here.
  */
 final class LinkContext {
     final String fleet;
-    /** Drawn at this start: distinguishes two processes of one name and life. */
+    /** Random number drawn at this start: distinguishes two processes of one name and incarnation. */
     final long instance = new SecureRandom().nextLong() | 1;
 
     final PeerLimits limits;
@@ -56,12 +56,12 @@
         return closing;
     }
 
-    /** With the lock: the threads are to end from now on. */
+    /** Signals the threads to terminate. The caller holds the lock. */
     void beginClosing() {
         closing = true;
     }
 
-    /** With the lock: starts a daemon thread whose name begins with this member's. */
+    /** Starts a daemon thread whose name begins with this member's. The caller holds the lock. */
     Thread startThread(String name, Runnable work) {
         Thread thread = new Thread(() -> runAndRemove(work), self.name() + "-" + name);
         thread.setDaemon(true);
@@ -80,26 +80,29 @@
         }
     }
 
-    /** With the lock: the threads that run. */
+    /** The running threads. The caller holds the lock. */
     List<Thread> runningThreads() {
         return new ArrayList<>(threads);
     }
 
-    /** With the lock: how many threads run. */
+    /** The number of running threads. The caller holds the lock. */
     int threadCount() {
         return threads.size();
     }
 
-    /** Without the lock: interrupts these threads and waits for their end, at most for so long in all. */
+    /**
+     * Interrupts these threads and waits for them to terminate, for this time in total. The caller must not hold the
+     * lock.
+     */
     void stopThreads(List<Thread> running, double timeoutMs) {
         for (Thread thread : running) {
             thread.interrupt();
         }
-        double until = clock.nowMs() + timeoutMs;
+        double untilMs = clock.nowMs() + timeoutMs;
         try {
             for (Thread thread : running) {
                 if (thread != Thread.currentThread()) {
-                    thread.join((long) Math.max(1, until - clock.nowMs()));
+                    thread.join((long) Math.max(1, untilMs - clock.nowMs()));
                 }
             }
         } catch (InterruptedException e) {
@@ -107,7 +110,10 @@
         }
     }
 
-    /** With the lock: waits on it; an interrupt stays set, so that the caller's cleanup is completed. */
+    /**
+     * Waits on the lock, which the caller holds. An interrupt is only recorded in the thread, so that the caller's
+     * cleanup is completed.
+     */
     void awaitChange(double timeoutMs) {
         try {
             lock.wait((long) Math.max(1, Math.ceil(timeoutMs)));
@@ -116,7 +122,7 @@
         }
     }
 
-    /** With the lock: wakes those that wait in {@link #awaitChange}. */
+    /** Wakes the threads waiting in {@link #awaitChange}. The caller holds the lock. */
     void signalChange() {
         lock.notifyAll();
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LinkMetrics.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LinkMetrics.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts by name, from any thread. The names are this package's own, so there is a bounded number of them. */
+/** Thread-safe counters by name. Names are constants of this package, so their number is bounded. */
 final class LinkMetrics {
     private final Map<String, LongAdder> counts = new ConcurrentHashMap<>();
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LocalHealth.java
@@ -2,18 +2,17 @@
 
 /**
  * Lifeguard's local health multiplier (Dadgar, Phillips and Currey, "Lifeguard: local health awareness for more
- * accurate
- * failure detection", 2018): a member that was paused, or whose probes nobody answers, is more likely slow itself, so
- * it suspects others later.
+ * accurate failure detection", 2018). A member that was paused, or whose probe requests get no reply, is more likely
+ * slow itself, so it suspects others later.
  */
 final class LocalHealth {
-    /** Greatest score: timeouts of suspicion are multiplied by one more than it at most. */
+    /** Greatest score; suspicion timeouts are multiplied by the score plus one. */
     static final int MAX_SCORE = 4;
-    /** The score falls by one after so many ticks in a row that were in time. */
+    /** Number of consecutive ticks on time after which the score falls by one. */
     private static final int HEALTHY_TICKS = 4;
-    /** A gap of more intervals than this is a pause of this process. */
+    /** A gap of more intervals than this counts as a pause of this process. */
     private static final double PAUSE_INTERVALS = 2;
-    /** A tick is in time if it comes within so many intervals. */
+    /** A tick is on time if it follows the last one within this number of intervals. */
     private static final double IN_TIME_INTERVALS = 1.5;
 
     private final double intervalMs;
@@ -32,7 +31,7 @@
         this.members = members;
     }
 
-    /** A heartbeat interval has passed. */
+    /** Called once per heartbeat interval. */
     void onTick(double now) {
         boolean paused = onActivity(now);
         if (!paused && now - lastTickMs <= IN_TIME_INTERVALS * intervalMs && ++healthyTicks >= HEALTHY_TICKS) {
@@ -44,9 +43,9 @@
     }
 
     /**
-     * Notes that this process runs. After a pause the time of it is excused to every member.
+     * Records that this process is running. A pause is subtracted from the silence of every member.
      *
-     * @return whether there was a pause
+     * @return whether the process was paused
      */
     boolean onActivity(double now) {
         double gapMs = lastActivityMs == MemberState.NEVER ? 0 : now - lastActivityMs;
@@ -62,7 +61,7 @@
         return true;
     }
 
-    /** Others were asked at this tick to probe a silent member. */
+    /** Probe requests about a silent member were sent at this tick. */
     void onProbesSent() {
         if (!probing) {
             probing = true;
@@ -71,7 +70,7 @@
         }
     }
 
-    /** One of those that were asked has answered. */
+    /** A helper replied to a probe request. */
     void onProbeAnswered() {
         answered = true;
     }
@@ -90,17 +89,17 @@
         healthyTicks = 0;
     }
 
-    /** From 0, healthy, to {@link #MAX_SCORE}. */
+    /** The score, from 0 (healthy) to {@link #MAX_SCORE}. */
     int score() {
         return score;
     }
 
-    /** By how much timeouts of suspicion are multiplied. */
+    /** The factor by which suspicion timeouts are multiplied. */
     int multiplier() {
         return 1 + score;
     }
 
-    /** How often this process was paused. */
+    /** The number of pauses of this process. */
     long pauses() {
         return pauses;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Member.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Member.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.peer;
 
 /**
- * A member of the fleet as its file names it.
+ * A member as configured in the fleet file.
  *
- * @param name its name, the same after a restart
+ * @param name its name, which is stable across restarts
  * @param address where its peers reach it, {@code address:port}
- * @param zone the zone it is in
+ * @param zone the zone in which it runs
  */
 public record Member(String name, String address, String zone) {}
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberState.java
@@ -3,68 +3,68 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What the failure detector holds of one member. Times are milliseconds of the detector's clock. */
+/** The failure detector's state of one member. Times are milliseconds of the detector's clock. */
 final class MemberState {
-    /** Stands for a time before all others. */
+    /** A time before all others. */
     static final double NEVER = Double.NEGATIVE_INFINITY;
-    /** Of so many messages the times of sending are kept, the latest ones. */
+    /** Number of latest messages whose send times are kept. */
     private static final int SENT_WINDOW_MESSAGES = 256;
 
     final String name;
-    /** Members that suspect this one too, in its present incarnation. */
+    /** Members that suspect this one at its present refutation number. */
     final Set<String> suspectedBy = new HashSet<>();
-    /** Members that have asked for a probe of this one and wait for the answer. */
+    /** Members that requested a probe of this one and wait for the reply. */
     final Set<String> probeRequesters = new HashSet<>();
 
     private final double[] sentAtMs = new double[SENT_WINDOW_MESSAGES];
 
-    /** Whether any process of this name was heard of. */
+    /** Whether any process of this name is known. */
     boolean known;
 
     MemberStatus status = MemberStatus.UNKNOWN;
     long incarnation;
     long instance;
-    /** SWIM's incarnation number within this life: greater after each refutation. */
+    /** SWIM's incarnation number, counted within the present incarnation: grows with each refutation. */
     int refutationNumber;
-    /** The incarnation that was declared dead; -1 if none. */
+    /** The refutation number at which the member was declared dead; -1 if none. */
     int deadRefutationNumber = -1;
-    /** Whether it has said farewell. */
+    /** Whether it announced its shutdown. */
     boolean left;
 
-    /** When it was last surely alive, by its own word or that of others. */
+    /** The latest time at which it is known to have been alive, by its own messages or gossip. */
     double lastAliveMs = NEVER;
-    /** When it was last surely alive, by its own word. */
+    /** The latest time at which it is known to have been alive, by its own messages. */
     double lastDirectMs = NEVER;
-    /** When its status, life or incarnation last changed. */
+    /** When its status, incarnation or refutation number last changed. */
     double changedMs = NEVER;
-    /** When its present life was first heard of. */
+    /** When its present incarnation was first heard of. */
     double incarnationLearnedMs = NEVER;
-    /** The part of its silence during which this member itself did not run or read. */
+    /** The part of its silence during which this process itself was paused or did not read. */
     double discountedMs;
 
     double discountedAtMs = NEVER;
 
     boolean connected;
-    /** The process at the other end of the connection. */
+    /** The instance number of the process at the other end of the connection. */
     long connectionInstance;
 
     double connectedAtMs;
-    /** The number of the last message sent over the connection. */
+    /** The sequence number of the last message sent on the connection. */
     int sentSequence;
-    /** The greatest of these numbers that the member has acknowledged, and when it was sent. */
+    /** The greatest sequence number that the member has acknowledged, and when that message was sent. */
     int acknowledgedSequence;
 
     double acknowledgedSentAtMs;
-    /** The number of the last message received over the connection, and when it came. */
+    /** The sequence number of the last message received on the connection, and when it arrived. */
     int receivedSequence;
 
     double receivedAtMs;
-    /** For how long the member had not heard what it was sent, by its last message. */
+    /** For how long this member's messages had been unacknowledged when the member sent its last one. */
     double unacknowledgedForMs;
 
-    /** The member that last heard this silent one: it is asked first. */
+    /** The helper that last reported this member alive: it is asked first. */
     String preferredHelper;
-    /** Where in the member table the next helper is looked for. */
+    /** Index in the member table at which the search for the next helper begins. */
     int nextHelperIndex;
 
     FailureDetector.Conflict conflict;
@@ -94,7 +94,7 @@
         probeRequesters.clear();
     }
 
-    /** Numbers a message that is sent now. */
+    /** Assigns a sequence number to a message sent now. */
     int nextSequence(double now) {
         sentSequence++;
         sentAtMs[sentSequence % SENT_WINDOW_MESSAGES] = now;
@@ -102,23 +102,24 @@
     }
 
     /**
-     * A time no later than the sending of this message: that of our message which it acknowledges, and the time for
-     * which the member has held the acknowledgement.
+     * A lower bound of the time at which this message was sent: the send time of our message that it acknowledges, plus
+     * the delay of the acknowledgement.
      */
     double sendTimeLowerBound(double now, SwimMessage message) {
-        int echo = message.ackSequence();
-        if (echo > acknowledgedSequence && echo <= sentSequence) {
-            acknowledgedSentAtMs = inWindow(echo) ? sentAtMs[echo % SENT_WINDOW_MESSAGES] : acknowledgedSentAtMs;
-            acknowledgedSequence = echo;
+        int ackSequence = message.ackSequence();
+        if (ackSequence > acknowledgedSequence && ackSequence <= sentSequence) {
+            acknowledgedSentAtMs =
+                    inWindow(ackSequence) ? sentAtMs[ackSequence % SENT_WINDOW_MESSAGES] : acknowledgedSentAtMs;
+            acknowledgedSequence = ackSequence;
         }
-        if (echo == acknowledgedSequence) {
+        if (ackSequence == acknowledgedSequence) {
             return Math.min(now, acknowledgedSentAtMs + message.ackDelayMs());
         }
-        // One that was overtaken, or a number that was never sent: proves only that the connection was there.
+        // An outdated acknowledgement, or a number that was never sent: proves only that the connection existed.
         return Math.min(now, connectedAtMs);
     }
 
-    /** Notes the number of a message that came over the connection and was sent at {@code sentMs}. */
+    /** Records the sequence number of a message received on the connection and sent at {@code sentMs}. */
     void onSequence(double now, int number, double sentMs) {
         if (number > receivedSequence) {
             receivedSequence = number;
@@ -128,7 +129,7 @@
         }
     }
 
-    /** When the first message was sent that the member has not acknowledged. */
+    /** The send time of the first message that the member has not acknowledged. */
     private double firstUnacknowledgedSentAtMs() {
         int first = acknowledgedSequence + 1;
         return inWindow(first) ? sentAtMs[first % SENT_WINDOW_MESSAGES] : acknowledgedSentAtMs;
@@ -138,7 +139,7 @@
         return number > sentSequence - SENT_WINDOW_MESSAGES;
     }
 
-    /** The member was surely alive at this time. */
+    /** Records that the member was alive at this time. */
     void recordAlive(double atMs) {
         if (atMs > lastAliveMs) {
             lastAliveMs = atMs;
@@ -146,33 +147,33 @@
         }
     }
 
-    /** The member itself has sent something at this time. */
+    /** Records that the member itself sent a message at this time. */
     void recordDirectContact(double atMs) {
         recordAlive(atMs);
         lastDirectMs = Math.max(lastDirectMs, atMs);
     }
 
-    /** So much of the member's silence is this member's own fault. */
+    /** Subtracts time from the member's silence during which this process itself was paused or did not read. */
     void discountSilence(double ms, double now) {
         discountedMs += ms;
         discountedAtMs = now;
     }
 
-    /** For how long nobody has heard the member, less what is excused. */
+    /** For how long no member has heard from this one, less the discounted time. */
     double silenceMs(double now) {
         return Math.max(0, now - lastAliveMs - discountedMs);
     }
 
-    /** A greater incarnation refutes suspicions of the earlier ones (SWIM, section 4.2). */
-    void raiseRefutationNumber(double now, int heard) {
-        if (heard > refutationNumber) {
-            refutationNumber = heard;
+    /** A greater refutation number refutes earlier suspicions (SWIM, section 4.2). */
+    void raiseRefutationNumber(double now, int number) {
+        if (number > refutationNumber) {
+            refutationNumber = number;
             suspectedBy.clear();
             changedMs = now;
         }
     }
 
-    /** Another process of the member, of which nothing is held yet. */
+    /** Resets the state for another process of the member. */
     void beginIncarnation(double now, long newIncarnation, long newInstance) {
         known = true;
         incarnation = newIncarnation;
@@ -189,7 +190,7 @@
         conflictMs = NEVER;
     }
 
-    /** As other members are told of it. */
+    /** The gossip entry about this member. */
     SwimMessage.Entry toEntry(double now) {
         double ageMs = lastAliveMs == NEVER ? -1 : now - lastAliveMs;
         return new SwimMessage.Entry(name, incarnation, instance, refutationNumber, status, left, ageMs);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberStatus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberStatus.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Locale;
 
-/** A member's state as another member holds it. The order is the wire's: new ones are added at the end. */
+/** A member's status in the view of another. Ordinals are used on the wire: append new constants at the end. */
 public enum MemberStatus {
-    /** Never heard of since the start. */
+    /** Not heard of since the start. */
     UNKNOWN("unknown"),
-    /** Heard of lately, by itself or through others. */
+    /** Recently heard from, directly or through other members. */
     ALIVE("alive"),
-    /** Not heard of for a while: it may refute. */
+    /** Silent for longer than the suspicion timeout; it may still refute. */
     SUSPECT("suspect"),
-    /** Declared dead until it is heard of with a later life or a refutation. */
+    /** Declared dead until it appears with a later incarnation or refutes. */
     DEAD("gone");
 
     private final String text;
@@ -20,12 +20,12 @@
         this.text = text;
     }
 
-    /** The word in answers and counters; it does not follow the constant's name. */
+    /** The name in responses and counters; independent of the constant's name. */
     public String text() {
         return text;
     }
 
-    /** The word in the admin API, in tables and in JSON. */
+    /** The name in the admin API, in tables and in JSON. */
     @JsonValue
     public String label() {
         return text.toUpperCase(Locale.ROOT);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MemberTable.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The other members by name, and the changes and conflicts that were found with them. */
+/** The other members by name, and the pending status changes and name conflicts. */
 final class MemberTable {
     private final String self;
     private final Random random;
@@ -23,17 +23,17 @@
         this.random = random;
     }
 
-    /** The member of this name; null if there is none. */
+    /** The member with this name; null if there is none. */
     MemberState get(String name) {
         return byName.get(name);
     }
 
-    /** All members, in an order that differs from one table to the next. */
+    /** All members, in a random order. */
     List<MemberState> all() {
         return order;
     }
 
-    /** Replaces the names: a member that is no longer among them is reported dead and forgotten. */
+    /** Replaces the set of members; one that is no longer in it is reported dead and forgotten. */
     void update(Collection<String> names) {
         for (Iterator<MemberState> i = order.iterator(); i.hasNext(); ) {
             MemberState member = i.next();
@@ -56,7 +56,7 @@
         Collections.shuffle(order, random);
     }
 
-    /** How many members have this status. */
+    /** The number of members with this status. */
     int count(MemberStatus status) {
         int count = 0;
         for (MemberState member : order) {
@@ -65,7 +65,7 @@
         return count;
     }
 
-    /** How many members are heard but have not heard this one for longer than so. */
+    /** The number of live members that have not acknowledged this member's messages for longer than this. */
     int countOneWay(double unheardMs) {
         int count = 0;
         for (MemberState member : order) {
@@ -80,7 +80,7 @@
         changes.add(new FailureDetector.Change(member.name, member.status, member.incarnation));
     }
 
-    /** Another process of a known member was found; it is gossiped, and reported once for each process. */
+    /** Records another process of a known member; it is gossiped, and reported once per process. */
     void recordConflict(double now, MemberState member, long otherIncarnation, long otherInstance) {
         member.conflict = new FailureDetector.Conflict(
                 member.name, member.incarnation, member.instance, otherIncarnation, otherInstance);
@@ -95,14 +95,14 @@
         conflicts.add(conflict);
     }
 
-    /** The changes since the last call. */
+    /** Returns the changes since the last call. */
     List<FailureDetector.Change> drainChanges() {
         List<FailureDetector.Change> taken = List.copyOf(changes);
         changes.clear();
         return taken;
     }
 
-    /** The conflicts since the last call. */
+    /** Returns the conflicts since the last call. */
     List<FailureDetector.Conflict> drainConflicts() {
         List<FailureDetector.Conflict> taken = List.copyOf(conflicts);
         conflicts.clear();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Membership.java
@@ -7,13 +7,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Connects the {@link FailureDetector} with the links: sends its messages, passes its status changes to watchers and
- * its conflicts to alarms, and takes a later life for this member when peers know one. All methods but {@link #watch}
- * and {@link #alarm} are called with the lock of {@link LinkContext}.
+ * Connects the {@link FailureDetector} to the links: sends its messages, passes status changes to watchers and
+ * conflicts to fault listeners, and takes a later incarnation for this member if its peers know one. All methods except
+ * {@link #addWatcher} and {@link #addFaultListener} are called with the lock of {@link LinkContext}.
  */
 final class Membership {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-    /** Bounds how often two processes of one name, of which neither is known to live, can outdo each other. */
+    /** Bounds how often two processes of one name, neither known to be running, can raise their incarnation in turn. */
     private static final int MAX_RENEWALS = 8;
 
     private final LinkContext context;
@@ -41,8 +41,8 @@
         watchers.add(watcher);
     }
 
-    void addFaultListener(TcpPeerLinks.FaultListener alarm) {
-        faultListeners.add(alarm);
+    void addFaultListener(TcpPeerLinks.FaultListener listener) {
+        faultListeners.add(listener);
     }
 
     /** Starts the thread that calls watchers and alarms. */
@@ -50,12 +50,12 @@
         context.startThread("peer-watch", watcherCalls::run);
     }
 
-    /** No call is added any more; the thread ends after those that wait. */
+    /** Stops accepting calls; the thread terminates after the queued ones. */
     void close() {
         watcherCalls.end();
     }
 
-    /** A connection with a peer was established under the present life. */
+    /** A connection to a peer was established in the present incarnation. */
     void onConnected(PeerConnection connection, double nowMs) {
         Handshake.Hello hello = connection.remoteHello;
         connectedInThisIncarnation = true;
@@ -63,23 +63,23 @@
                 nowMs, connection.openedAtMs, hello.from(), hello.incarnation(), hello.instance()));
     }
 
-    /** Whether any connection was established under the present life. */
+    /** Whether any connection was established in the present incarnation. */
     boolean connectedInThisIncarnation() {
         return connectedInThisIncarnation;
     }
 
-    /** Reports another live process of this name to the detector. */
+    /** Reports another running process of the sender's name to the detector. */
     void onConflict(Handshake.Hello hello) {
         detector.onConflict(context.clock.nowMs(), hello.from(), hello.incarnation(), hello.instance());
         process(List.of());
     }
 
-    /** Sends the detector's messages and handles the events it has collected. */
+    /** Sends the detector's messages and handles its pending events. */
     void process(List<FailureDetector.OutgoingMessage> messages) {
         registry.send(messages);
-        long past = detector.endedIncarnation();
-        if (past != Long.MIN_VALUE) {
-            renewIncarnation(past);
+        long endedIncarnation = detector.endedIncarnation();
+        if (endedIncarnation != Long.MIN_VALUE) {
+            renewIncarnation(endedIncarnation);
         }
         for (FailureDetector.Change change : detector.drainChanges()) {
             publish(change);
@@ -89,18 +89,18 @@
             raiseFault(
                     conflict.name(),
                     HandshakeRejection.DUPLICATE_NAME,
-                    "lives " + conflict.incarnation() + " and " + conflict.otherIncarnation() + ", processes "
+                    "incarnations " + conflict.incarnation() + " and " + conflict.otherIncarnation() + ", processes "
                             + Long.toHexString(conflict.instance())
                             + " and " + Long.toHexString(conflict.otherInstance()));
         }
     }
 
     private void publish(FailureDetector.Change change) {
-        // On the watchers' thread, so that a log that blocks holds no lock.
+        // Logged on the watchers' thread, so that a blocking log appender does not hold the lock.
         watcherCalls.add(
                 change.peer(),
                 () -> LOG.info(
-                        "{}: status of {} is {}, life {}",
+                        "{}: status of {} is {}, incarnation {}",
                         context.self().name(),
                         change.peer(),
                         change.status(),
@@ -111,37 +111,42 @@
         }
     }
 
-    /** Logs a fault that operators must see to and passes it to the alarms. */
+    /** Logs a fault that needs an operator and passes it to the fault listeners. */
     void raiseFault(String name, HandshakeRejection reason, String text) {
         String self = context.self().name();
         watcherCalls.add(
                 name,
                 () -> LOG.error("{}: {}: {}", name.equals(self) ? "this member, " + name : name, reason.text(), text));
-        for (TcpPeerLinks.FaultListener alarm : faultListeners) {
-            watcherCalls.add(name, () -> alarm.onFault(name, reason, text));
+        for (TcpPeerLinks.FaultListener listener : faultListeners) {
+            watcherCalls.add(name, () -> listener.onFault(name, reason, text));
         }
     }
 
     /**
-     * Peers know this member by a life that is not earlier than its own, as after a step back of the time of day from
-     * which lives are taken. It takes a later one, as a member of SWIM refutes by a greater incarnation (Das, Gupta and
-     * Motivala, DSN 2002, section 4.2), and connects again. Where a process of the known life still runs, the peer that
-     * is connected with it finds both.
+     * Takes an incarnation later than the one known to peers, if that is not earlier than this member's own, and
+     * reconnects. Incarnations derive from the time of day, so this happens after the clock stepped back. It
+     * corresponds to a SWIM member that refutes by a greater incarnation number (Das, Gupta and Motivala, DSN 2002,
+     * section 4.2). If a process of the known incarnation is still running, the peer connected to it detects both.
      *
-     * @return whether another life was taken
+     * @return whether another incarnation was taken
      */
-    boolean renewIncarnation(long known) {
-        long before = context.incarnation();
-        if (known < before || known == Long.MAX_VALUE || renewals >= MAX_RENEWALS) {
+    boolean renewIncarnation(long knownIncarnation) {
+        long previousIncarnation = context.incarnation();
+        if (knownIncarnation < previousIncarnation || knownIncarnation == Long.MAX_VALUE || renewals >= MAX_RENEWALS) {
             return false;
         }
         renewals++;
-        context.setIncarnation(known + 1);
+        context.setIncarnation(knownIncarnation + 1);
         connectedInThisIncarnation = false;
-        detector.beginIncarnation(known + 1);
+        detector.beginIncarnation(knownIncarnation + 1);
         context.metrics.count("lives_renewed");
-        LOG.warn("{} began life {}, and peers know {}: takes {}", context.self().name(), before, known, known + 1);
-        registry.reconnectAll("this member has taken another life");
+        LOG.warn(
+                "{} started with incarnation {}, but peers know {}: continues with {}",
+                context.self().name(),
+                previousIncarnation,
+                knownIncarnation,
+                knownIncarnation + 1);
+        registry.reconnectAll("this member took another incarnation");
         return true;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/MessageStream.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/MessageStream.java
@@ -1,17 +1,20 @@
 package brackenbridge.fleet.peer;
 
-/** Whose message a frame carries; each has a bounded queue of its own at a link, so that none starves another. */
+/**
+ * The stream to which a frame belongs. Each stream has a bounded queue of its own per connection, so that none starves
+ * another.
+ */
 public enum MessageStream {
-    /** Liveness: beats, suspicion, refutation. */
+    /** Failure detection: heartbeats, suspicions, refutations. */
     LIVENESS,
-    /** Agreement: the Raft library's messages. */
+    /** Agreement: messages of the Raft library. */
     AGREED,
-    /** Own and counted records, digests, catch-up. */
+    /** Replication: register and counter records, digests, catch-up. */
     REPLICA,
-    /** Questions and answers about leases of connections. */
+    /** Requests and responses about leases of connections. */
     SHARE,
-    /** Orders and reports of an evacuation. */
+    /** Commands and reports of an evacuation. */
     EVACUATION,
-    /** What control machines tell each other of the nodes that they serve. */
+    /** Reports exchanged by control machines about the nodes that they serve. */
     CONTROL
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Peer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Peer.java
@@ -7,11 +7,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A configured peer, the connection with it and the state of dialling it. Fields that are not volatile are guarded by
- * the lock of {@link LinkContext}.
+ * A configured peer, its connection and its dialing state. Fields that are not volatile are guarded by the lock of
+ * {@link LinkContext}.
  */
 final class Peer {
-    /** Bounds the exponent of the dial backoff; a lasting rejection sets it at once. */
+    /** Bounds the exponent of the dial backoff; a permanent rejection sets it at once. */
     static final int MAX_DIAL_FAILURES = 16;
 
     private static final Logger LOG = LoggerFactory.getLogger(Peer.class);
@@ -19,27 +19,27 @@
     final Member member;
     volatile PeerConnection connection;
     volatile boolean removed;
-    /** The address that the peer last announced for itself; null before its first handshake. */
+    /** The address that the peer announced last; null before its first handshake. */
     String announcedAddress;
     /** The socket of a dial whose handshake has not begun. */
     Socket dialingSocket;
-    /** The outbound connection whose handshake is under way. */
+    /** The outbound connection whose handshake is in progress. */
     PeerConnection handshakingConnection;
-    /** The peer's own thread, which dials and then writes. */
+    /** The thread that dials this peer and writes to it. */
     Thread dialerThread;
 
     double nextDialAtMs;
     int dialFailures;
     int dialAttempts;
-    /** The greatest dial number seen from the process {@link #lastInboundInstance}. */
+    /** The greatest dial number received from the process {@link #lastInboundInstance}. */
     long lastInboundDial;
 
     long lastInboundInstance;
     /** Why the peer last rejected this member. */
     HandshakeRejection lastRejectionByPeer;
-    /** How often in a row the peer did not know this member. */
+    /** The number of consecutive rejections because the peer did not know this member. */
     int unknownMemberRejections;
-    /** Why this member last logged a rejection of the peer, and when. */
+    /** The reason of the last logged rejection of the peer, and when it was logged. */
     HandshakeRejection lastLoggedRejection;
 
     double lastLoggedRejectionAtMs;
@@ -52,7 +52,7 @@
         return member.name();
     }
 
-    /** With the lock: closes the connection and ends a dial that is under way. */
+    /** Closes the connection and cancels a dial in progress. The caller holds the lock. */
     void disconnect(String reason) {
         if (connection != null) {
             connection.close(reason);
@@ -62,21 +62,21 @@
         LockSupport.unpark(dialerThread);
     }
 
-    /** With the lock: ends a dial that is under way. */
+    /** Cancels a dial in progress. The caller holds the lock. */
     void cancelDial() {
         closeQuietly(dialingSocket);
         if (handshakingConnection != null) {
-            handshakingConnection.close("no dial any more");
+            handshakingConnection.close("dial cancelled");
         }
     }
 
-    /** Closes a socket, null allowed; a failure is only logged. */
+    /** Closes a socket, which may be null; a failure is only logged. */
     static void closeQuietly(Socket socket) {
         if (socket != null) {
             try {
                 socket.close();
             } catch (IOException e) {
-                LOG.debug("socket", e);
+                LOG.debug("closing a socket failed", e);
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerAddress.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerAddress.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Checks of names and addresses of members. */
+/** Validates names and addresses of members. */
 final class PeerAddress {
     private static final Logger LOG = LoggerFactory.getLogger(PeerAddress.class);
     private static final int MAX_ADDRESS_BYTES = 255;
@@ -13,27 +13,28 @@
     private PeerAddress() {}
 
     /**
-     * The member itself, if its name and address are well-formed.
+     * Returns the member if its name and address are well-formed.
      *
-     * @throws IllegalArgumentException if not
+     * @throws IllegalArgumentException if they are not
      */
     static Member requireValid(Member member) {
         requireValidName(member.name());
         parse(member.address());
         if (member.address().getBytes(StandardCharsets.UTF_8).length > MAX_ADDRESS_BYTES) {
-            throw new IllegalArgumentException("address too long: " + member.address());
+            throw new IllegalArgumentException(
+                    "address is longer than " + MAX_ADDRESS_BYTES + " bytes: " + member.address());
         }
         return member;
     }
 
     /**
-     * The name itself, if its length is allowed.
+     * Returns the name if its length is allowed.
      *
-     * @throws IllegalArgumentException if not
+     * @throws IllegalArgumentException if it is not
      */
     static String requireValidName(String name) {
         if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > PeerLimits.MAX_NAME_BYTES) {
-            throw new IllegalArgumentException("a name has from 1 to " + PeerLimits.MAX_NAME_BYTES + " bytes: " + name);
+            throw new IllegalArgumentException("name must have 1 to " + PeerLimits.MAX_NAME_BYTES + " bytes: " + name);
         }
         return name;
     }
@@ -41,7 +42,7 @@
     /**
      * Parses {@code host:port}, without resolving the host.
      *
-     * @throws IllegalArgumentException if the text is no such address
+     * @throws IllegalArgumentException if the text is not a valid address
      */
     static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -52,8 +53,8 @@
                 return InetSocketAddress.createUnresolved(host, port);
             }
         } catch (IllegalArgumentException e) {
-            LOG.debug("no address: {}", text, e);
+            LOG.debug("malformed address: {}", text, e);
         }
-        throw new IllegalArgumentException("not address:port: " + text);
+        throw new IllegalArgumentException("not a valid host:port address: " + text);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerConnection.java
@@ -9,7 +9,8 @@
 import java.net.SocketTimeoutException;
 
 /**
- * A socket to another member, in its handshake or after it. One thread reads, one writes; a third may close it.
+ * A connection to another member, during or after its handshake. One thread reads and one writes; any thread may close
+ * it.
  */
 final class PeerConnection {
     private static final int CHUNK_BYTES = 16 << 10;
@@ -25,18 +26,18 @@
     private final LinkMetrics metrics;
     private final byte[] writeBuffer = new byte[WRITE_BUFFER_BYTES];
     private double handshakeDeadlineMs;
-    /** The other side's hello, once it was read. */
+    /** The other side's hello; null until it is read. */
     Handshake.Hello remoteHello;
 
     String peerName = "";
-    /** This member's own life, as the other side was told. */
+    /** The incarnation that this member announced to the other side. */
     long announcedIncarnation;
 
     double establishedAtMs;
     volatile double lastReadAtMs;
-    /** Since when a write waits for the other side to take bytes; 0 if none does. */
+    /** When the write in progress began; 0 if none is. */
     volatile double writeStartedAtMs;
-    /** Since when a receiver has a message in work; 0 if none has. */
+    /** When the receiver call in progress began; 0 if none is. */
     volatile double receiveStartedAtMs;
 
     volatile boolean closed;
@@ -65,11 +66,11 @@
                     @Override
                     public int read(byte[] bytes, int from, int length) throws IOException {
                         if (handshakeDeadlineMs > 0) {
-                            // Guards against a stranger that sends a byte at a time: the whole handshake has one
-                            // deadline.
+                            // Guards against an unidentified peer that sends a byte at a time: the deadline covers the
+                            // complete handshake.
                             double left = handshakeDeadlineMs - clock.nowMs();
                             if (left < 1) {
-                                throw new SocketTimeoutException("no whole handshake in time");
+                                throw new SocketTimeoutException("handshake not complete before its deadline");
                             }
                             socket.setSoTimeout((int) left);
                         }
@@ -85,26 +86,26 @@
         out = socket.getOutputStream();
     }
 
-    /** The handshake is done: from now on a silence of so long ends the connection. */
+    /** Replaces the handshake's deadline by a read timeout, once the handshake is complete. */
     void completeHandshake(double silenceMs) throws IOException {
         handshakeDeadlineMs = 0;
         socket.setSoTimeout((int) Math.max(1, silenceMs));
     }
 
-    void send(Handshake.Message part) throws IOException {
-        byte[] bytes = Handshake.encode(part);
+    void send(Handshake.Message message) throws IOException {
+        byte[] bytes = Handshake.encode(message);
         out.write(bytes);
         metrics.count("bytes_out", bytes.length);
     }
 
-    /** Writes what waits, until the connection ends. */
+    /** Writes queued messages until the connection is closed. */
     void write() throws IOException, InterruptedException {
         while (!closed) {
             sendQueue.await();
             int filled = 0;
             FrameCodec.Frame frame = sendQueue.poll();
             if (frame == null && sendQueue.ended()) {
-                // What was said last arrives before the end: the other side reads it and then the end.
+                // Closes only the output, so that the other side reads the last messages before the end of the stream.
                 socket.shutdownOutput();
                 return;
             }
@@ -117,7 +118,7 @@
         }
     }
 
-    /** Adds a message to those that are written at once; a long one is written by itself. */
+    /** Appends a frame to the write buffer; a body that does not fit is written directly. */
     private int appendFrame(int filled, byte[] head, byte[] body) throws IOException {
         int at = filled;
         if (at + head.length + body.length > WRITE_BUFFER_BYTES) {
@@ -135,7 +136,7 @@
         return at + body.length;
     }
 
-    /** In pieces, so that a slow line that takes some is told from one that takes nothing. */
+    /** Writes in chunks, so that a slow connection is distinguished from a stalled one. */
     private void writeChunks(byte[] bytes, int length) throws IOException {
         for (int at = 0; at < length; at += CHUNK_BYTES) {
             writeStartedAtMs = clock.nowMs();
@@ -146,7 +147,7 @@
         writeStartedAtMs = 0;
     }
 
-    /** Closes it now; the first reason stays. */
+    /** Closes the connection; only the first reason is kept. */
     void close(String reason) {
         if (!closed) {
             closeReason = closeReason.isEmpty() ? reason : closeReason;
@@ -156,7 +157,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // There is no socket then.
+            // The socket cannot be used any more in either case.
             return;
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLimits.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLimits.java
@@ -1,20 +1,21 @@
 package brackenbridge.fleet.peer;
 
 /**
- * What a member grants its links. Times are milliseconds.
+ * Limits and timeouts of a member's links. Times are milliseconds.
  *
- * @param frameBytes longest body of a message
- * @param queueBytes bytes that wait in one stream of one link
- * @param queueMessages messages that wait in one stream of one link
- * @param beatMs a member speaks to each linked peer this often
- * @param suspectMs a peer that nobody has heard for so long is suspected
- * @param goneMs a peer that nobody has heard for so long is taken for dead, if enough others suspect it too; up to
- *     twice this if they do not. A link on which nothing comes or goes for so long is closed
- * @param handshakeMs a dial and a handshake take at most so long each
- * @param dialMinMs mean wait before the first dial after a loss, doubled after each failure
- * @param dialMaxMs longest wait between two dials
- * @param strangers connections that may stand before the end of their handshake
- * @param asked how many others are asked at a time whether they hear a silent peer
+ * @param maxFrameBytes maximum length of a message body
+ * @param maxQueueBytes maximum bytes queued per stream and link
+ * @param maxQueueMessages maximum messages queued per stream and link
+ * @param heartbeatMs interval between heartbeats to each connected peer
+ * @param suspectAfterMs a peer is suspected after no member has heard from it for this long
+ * @param deadAfterMs a peer is declared dead after no member has heard from it for this long if enough others suspect
+ *     it too, and after up to twice this if they do not. A link that is stalled in either direction for this long is
+ *     closed
+ * @param handshakeTimeoutMs timeout of connecting and of the handshake, each
+ * @param dialBackoffMinMs mean wait before the first dial after a lost connection, doubled after each failure
+ * @param dialBackoffMaxMs longest wait between two dials
+ * @param maxPendingHandshakes maximum accepted connections whose handshake is not complete
+ * @param probeHelpers number of members asked at a time to probe a silent peer
  */
 public record PeerLimits(
         int maxFrameBytes,
@@ -28,37 +29,39 @@
         double dialBackoffMaxMs,
         int maxPendingHandshakes,
         int probeHelpers) {
-    /** Bytes of a member's, a zone's or a fleet's name, in UTF-8. */
+    /** Maximum length of a member, zone or fleet name, in UTF-8 bytes. */
     public static final int MAX_NAME_BYTES = 64;
 
-    /** Checks each value; faults are told by {@link IllegalArgumentException}. */
+    /** Throws an {@link IllegalArgumentException} if a value is out of range. */
     public PeerLimits {
-        require(maxFrameBytes >= 4096 && maxFrameBytes <= 64 << 20, "frameBytes must be from 4096 to 67108864");
-        require(maxQueueBytes >= maxFrameBytes, "queueBytes must hold one frame at least");
-        require(maxQueueMessages > 0, "queueMessages must be positive");
-        require(heartbeatMs >= 1, "beatMs must be 1 at least");
-        require(suspectAfterMs >= 4 * heartbeatMs, "suspectMs must be four beats at least");
-        require(deadAfterMs >= 2 * suspectAfterMs, "goneMs must be twice suspectMs at least");
-        require(handshakeTimeoutMs > 0, "handshakeMs must be positive");
-        require(dialBackoffMinMs > 0 && dialBackoffMaxMs >= dialBackoffMinMs, "dialMaxMs must not be under dialMinMs");
-        require(maxPendingHandshakes > 0, "strangers must be positive");
-        require(probeHelpers > 0, "asked must be positive");
+        require(maxFrameBytes >= 4096 && maxFrameBytes <= 64 << 20, "maxFrameBytes must be from 4096 to 67108864");
+        require(maxQueueBytes >= maxFrameBytes, "maxQueueBytes must be at least maxFrameBytes");
+        require(maxQueueMessages > 0, "maxQueueMessages must be positive");
+        require(heartbeatMs >= 1, "heartbeatMs must be at least 1");
+        require(suspectAfterMs >= 4 * heartbeatMs, "suspectAfterMs must be at least 4 * heartbeatMs");
+        require(deadAfterMs >= 2 * suspectAfterMs, "deadAfterMs must be at least 2 * suspectAfterMs");
+        require(handshakeTimeoutMs > 0, "handshakeTimeoutMs must be positive");
+        require(
+                dialBackoffMinMs > 0 && dialBackoffMaxMs >= dialBackoffMinMs,
+                "dialBackoffMinMs must be positive and at most dialBackoffMaxMs");
+        require(maxPendingHandshakes > 0, "maxPendingHandshakes must be positive");
+        require(probeHelpers > 0, "probeHelpers must be positive");
     }
 
-    /** What a fleet of some tens of members in one region does well with. */
+    /** Defaults for a fleet of some tens of members in one region. */
     public static PeerLimits defaults() {
         return new PeerLimits(1 << 20, 4 << 20, 4096, 250, 1250, 4000, 2000, 100, 5000, 32, 3);
     }
 
-    /** The same with other times of liveness. */
-    public PeerLimits withLivenessTimeouts(double beat, double suspect, double gone) {
+    /** A copy with these timeouts of the failure detector. */
+    public PeerLimits withLivenessTimeouts(double newHeartbeatMs, double newSuspectAfterMs, double newDeadAfterMs) {
         return new PeerLimits(
                 maxFrameBytes,
                 maxQueueBytes,
                 maxQueueMessages,
-                beat,
-                suspect,
-                gone,
+                newHeartbeatMs,
+                newSuspectAfterMs,
+                newDeadAfterMs,
                 handshakeTimeoutMs,
                 dialBackoffMinMs,
                 dialBackoffMaxMs,
@@ -66,9 +69,9 @@
                 probeHelpers);
     }
 
-    private static void require(boolean holds, String fault) {
-        if (!holds) {
-            throw new IllegalArgumentException(fault);
+    private static void require(boolean valid, String message) {
+        if (!valid) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
@@ -3,52 +3,52 @@
 import java.util.List;
 
 /**
- * A member's links to all the others. Messages between two members may be lost, late and, over a broken link, repeated
- * or out of order; those that arrive are whole and unchanged. Sending never blocks.
+ * A member's links to all other members. Messages between two members may be lost, delayed and, across a reconnect,
+ * duplicated or reordered; those that arrive are complete and unchanged. Sending never blocks.
  */
 public interface PeerLinks extends AutoCloseable {
-    /** Receives messages of peers; called on that peer's own thread, one message after another. */
+    /** Receives messages of peers; called sequentially per peer, on that peer's reading thread. */
     @FunctionalInterface
     interface Receiver {
         /**
-         * A message has come.
+         * Called for each message.
          *
-         * @param peer who sent it
-         * @param incarnation the sender's life
+         * @param peer the sender
+         * @param incarnation the sender's incarnation
          * @param body the message; the receiver may keep it
          */
         void onMessage(String peer, long incarnation, byte[] body);
     }
 
-    /** Is notified of each change of a peer's status. */
+    /** Notified of each change of a peer's status. */
     @FunctionalInterface
     interface Watcher {
-        /** The peer's status has changed. */
+        /** Called after the peer's status has changed. */
         void onStatus(String peer, MemberStatus status, long incarnation);
     }
 
     /** This member. */
     Member self();
 
-    /** This member's life: greater at each start. */
+    /** This member's incarnation: grows with each start. */
     long incarnation();
 
-    /** The other members, as they are configured or have joined. */
+    /** The other configured members. */
     List<Member> peers();
 
-    /** The peer's status as this member holds it. */
+    /** The peer's status in this member's view. */
     MemberStatus status(String peer);
 
-    /** Queues a message; false if there is no link to this peer or its queue is full: nothing was taken then. */
+    /** Queues a message; returns false, without queuing it, if the peer is not connected or its queue is full. */
     boolean send(String peer, MessageStream stream, byte[] body);
 
-    /** Sets the receiver of this stream's messages; before {@link #start}. */
+    /** Sets the receiver of this stream's messages. Must be called before {@link #start}. */
     void setReceiver(MessageStream stream, Receiver receiver);
 
-    /** Adds a watcher of statuses; before {@link #start}. */
+    /** Adds a watcher of peer statuses. Must be called before {@link #start}. */
     void addWatcher(Watcher watcher);
 
-    /** Begins to listen and to link. */
+    /** Starts to listen and to connect to peers. */
     void start() throws java.io.IOException;
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
@@ -7,14 +7,14 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 
-/** Sends, receives, counts and logs rejections of handshakes; those that last raise an alarm. */
+/** Sends, receives, counts and logs handshake rejections; permanent ones are reported to fault listeners. */
 final class RejectionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RejectionHandler.class);
-    /** Least time between two log lines about strangers rejected for one reason. */
+    /** Minimum time between two log lines about unknown members rejected for the same reason. */
     private static final double STRANGER_LOG_INTERVAL_MS = 1000;
-    /** Least time between two log lines about one peer rejected for one reason. */
+    /** Minimum time between two log lines about one peer rejected for the same reason. */
     private static final double PEER_LOG_INTERVAL_MS = 600_000;
-    /** How often in a row a peer may not know this member before an alarm is raised. */
+    /** Number of consecutive rejections as an unknown member before a fault is reported. */
     private static final int UNKNOWN_MEMBER_TOLERANCE = 6;
 
     private final LinkContext context;
@@ -28,15 +28,15 @@
         this.membership = membership;
     }
 
-    /** Rejects a hello or welcome that this member has read, and tells the peer which life is known of it. */
+    /** Rejects a hello or welcome and sends the peer the incarnation known of it. */
     void reject(PeerConnection connection, HandshakeRejection reason, long knownIncarnation, Handshake.Hello hello)
             throws IOException {
-        String description = hello.from() + " of fleet " + hello.fleet() + " at " + hello.address() + ", life "
+        String description = hello.from() + " of fleet " + hello.fleet() + " at " + hello.address() + ", incarnation "
                 + hello.incarnation() + ", for " + hello.to();
         reject(connection, reason, knownIncarnation, description);
     }
 
-    /** Rejects a handshake and tells the peer why. */
+    /** Rejects a handshake and sends the peer the reason. */
     void reject(PeerConnection connection, HandshakeRejection reason, long knownIncarnation, String description)
             throws IOException {
         onRejected(connection, reason, description);
@@ -46,12 +46,12 @@
         connection.send(new Handshake.Reject(reason, knownIncarnation, text));
     }
 
-    /** Counts and logs a handshake that this member rejects. */
+    /** Counts and logs a handshake that this member rejects, and reports it if it is a fault. */
     void onRejected(PeerConnection connection, HandshakeRejection reason, String description) {
         context.metrics.count(reason.rejectedCounter());
         boolean logged;
         synchronized (context.lock) {
-            // An unknown member may be configured by now: of two lists one is always the first to change.
+            // An unknown member may be configured by now: members update their lists at different times.
             Peer peer = reason == HandshakeRejection.UNKNOWN_MEMBER ? null : registry.peer(connection.peerName);
             logged = reason.isPermanent()
                     && (peer != null
@@ -80,7 +80,7 @@
         return true;
     }
 
-    /** Guards against a stranger that fills the log: each reason is logged once a second. */
+    /** Guards against unknown members that fill the log: each reason is logged once per second. */
     private boolean reportStranger(String name, HandshakeRejection reason, String description) {
         double now = context.clock.nowMs();
         double lastMs = strangerLoggedAtMs.getOrDefault(reason, Double.NEGATIVE_INFINITY);
@@ -95,42 +95,42 @@
     }
 
     /** A peer has rejected this member. */
-    void onRejectedBy(String name, Handshake.Reject refuse) {
-        HandshakeRejection reason = refuse.reason();
+    void onRejectedBy(String name, Handshake.Reject reject) {
+        HandshakeRejection reason = reject.reason();
         context.metrics.count(reason.rejectedByPeerCounter());
         synchronized (context.lock) {
             Peer peer = registry.peer(name);
             if (peer == null || !reason.isPermanent()) {
-                LOG.debug("{} rejects: {}: {}", name, reason.text(), refuse.text());
+                LOG.debug("{} rejected this member: {}: {}", name, reason.text(), reject.text());
                 return;
             }
-            if (reason == HandshakeRejection.STALE_INCARNATION && refuse.incarnation() < context.incarnation()) {
-                // The rejection was meant for the life before.
+            if (reason == HandshakeRejection.STALE_INCARNATION && reject.incarnation() < context.incarnation()) {
+                // The rejection concerns the previous incarnation.
                 return;
             }
             boolean ownIdentity =
                     reason == HandshakeRejection.DUPLICATE_NAME || reason == HandshakeRejection.STALE_INCARNATION;
             if (ownIdentity
                     && !membership.connectedInThisIncarnation()
-                    && membership.renewIncarnation(refuse.incarnation())) {
+                    && membership.renewIncarnation(reject.incarnation())) {
                 return;
             }
             if (reason == HandshakeRejection.UNKNOWN_MEMBER
                     && ++peer.unknownMemberRejections < UNKNOWN_MEMBER_TOLERANCE) {
-                // Guards against an alarm at each join: of two lists one is always the first to change.
+                // Guards against a fault at each join: members update their lists at different times.
                 return;
             }
-            // Dialling again soon is of no use.
+            // An early retry is useless.
             peer.dialFailures = Math.max(peer.dialFailures, Peer.MAX_DIAL_FAILURES);
             if (peer.lastRejectionByPeer != reason) {
                 peer.lastRejectionByPeer = reason;
                 LOG.warn(
-                        "{} at {} rejects this member: {}: {}",
+                        "{} at {} rejected this member: {}: {}",
                         name,
                         peer.member.address(),
                         reason.text(),
-                        refuse.text());
-                membership.raiseFault(ownIdentity ? context.self().name() : name, reason, refuse.text());
+                        reject.text());
+                membership.raiseFault(ownIdentity ? context.self().name() : name, reason, reject.text());
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.peer;
 
 /**
- * What peers hold of this member itself. Suspicions are refuted by a greater incarnation (SWIM, section 4.2); other
- * processes of this member's name are told apart into ended ones and a second one that lives.
+ * Handles gossip about this member itself. Refutes suspicions by a greater refutation number (SWIM, section 4.2), and
+ * distinguishes ended processes of this member's name from a second one that is running.
  */
 final class SelfRefutation {
     private final String self;
@@ -22,27 +22,27 @@
         this.members = members;
     }
 
-    /** This member has taken another life. */
+    /** This member takes another incarnation. */
     void beginIncarnation(long nextIncarnation) {
         incarnation = nextIncarnation;
         refutationNumber = 0;
         reportedInstance = 0;
     }
 
-    /** Notes the time of the first call as that of this member's start. */
+    /** Records the time of the first call as the start of this member. */
     void onStarted(double now) {
         startedMs = startedMs == MemberState.NEVER ? now : startedMs;
     }
 
-    /** A peer tells at this time what it holds of this member. */
-    void onEntry(double at, SwimMessage.Entry entry) {
+    /** Processes a peer's entry about this member, sent at this time. */
+    void onEntry(double sentMs, SwimMessage.Entry entry) {
         if (entry.incarnation() > incarnation || entry.incarnation() == incarnation && entry.instance() != instance) {
-            onOtherProcess(at, entry);
+            onOtherProcess(sentMs, entry);
             return;
         }
-        boolean doubted = entry.status() == MemberStatus.SUSPECT || entry.status() == MemberStatus.DEAD;
+        boolean suspected = entry.status() == MemberStatus.SUSPECT || entry.status() == MemberStatus.DEAD;
         if (entry.incarnation() == incarnation
-                && doubted
+                && suspected
                 && entry.refutationNumber() >= refutationNumber
                 && entry.refutationNumber() < Integer.MAX_VALUE) {
             refutationNumber = entry.refutationNumber() + 1;
@@ -50,8 +50,8 @@
         }
     }
 
-    private void onOtherProcess(double at, SwimMessage.Entry entry) {
-        if (hasEnded(at, entry)) {
+    private void onOtherProcess(double sentMs, SwimMessage.Entry entry) {
+        if (hasEnded(sentMs, entry)) {
             endedIncarnation = Math.max(endedIncarnation, entry.incarnation());
         } else if (reportedInstance != entry.instance()) {
             reportedInstance = entry.instance();
@@ -60,9 +60,9 @@
         }
     }
 
-    /** Whether the other process is an earlier one, not a second one that lives. */
-    private boolean hasEnded(double at, SwimMessage.Entry entry) {
-        return entry.status() == MemberStatus.DEAD || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
+    /** Whether the other process has ended, rather than running beside this one. */
+    private boolean hasEnded(double sentMs, SwimMessage.Entry entry) {
+        return entry.status() == MemberStatus.DEAD || entry.ageMs() >= 0 && sentMs - entry.ageMs() < startedMs;
     }
 
     /** See {@link FailureDetector#endedIncarnation}. */
@@ -70,12 +70,12 @@
         return endedIncarnation >= incarnation ? endedIncarnation : Long.MIN_VALUE;
     }
 
-    /** This member's incarnation number in its present life. */
+    /** This member's refutation number in its present incarnation. */
     int refutationNumber() {
         return refutationNumber;
     }
 
-    /** Suspicions of this member that it has refuted. */
+    /** The number of suspicions that this member has refuted. */
     long refutations() {
         return refutations;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SendQueue.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SendQueue.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 
 /**
- * What waits to be written at one connection: a bounded queue for each stream. Liveness goes first, for it is rare and
- * short; the others take turns by bytes (deficit round robin, Shreedhar and Varghese, SIGCOMM 1995), so that a stream
- * of long messages takes no more than its part.
+ * The send queue of a connection, with a bounded queue per stream. The liveness stream has priority, as its messages
+ * are few and short; the others share the connection by bytes (deficit round robin, Shreedhar and Varghese, SIGCOMM
+ * 1995), so that a stream of long messages gets no more than its fair share.
  */
 final class SendQueue {
-    /** What a stream may write in one turn; a longer message waits for several turns. */
+    /** Bytes added to a stream's deficit counter per round; a longer message waits for several rounds. */
     static final int QUANTUM = 32 << 10;
 
     private static final MessageStream[] STREAMS = MessageStream.values();
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Takes the message, or says that the stream's queue is full. */
+    /** Queues a message; returns false if the stream's queue is full or the connection has ended. */
     synchronized boolean offer(MessageStream stream, byte[] body) {
         Queue queue = queues[stream.ordinal()];
         if (ended || queue.messages.size() >= maxMessages || queue.bytes + body.length > maxBytes) {
@@ -46,7 +46,7 @@
         return true;
     }
 
-    /** The next message by turn; null if there is none now. */
+    /** The next message in order of service; null if there is none now. */
     synchronized FrameCodec.Frame poll() {
         if (!queues[0].messages.isEmpty()) {
             return dequeue(0);
@@ -75,14 +75,14 @@
         }
     }
 
-    /** Waits until there is a message or the end. */
+    /** Waits until there is a message or {@link #end} was called. */
     synchronized void await() throws InterruptedException {
         while (isEmpty() && !ended) {
             wait();
         }
     }
 
-    /** Nothing is taken any more; what waits may still be polled. */
+    /** Rejects further messages; queued ones can still be polled. */
     synchronized void end() {
         ended = true;
         notifyAll();
@@ -92,7 +92,7 @@
         return ended;
     }
 
-    /** Messages that wait in a stream. */
+    /** The number of messages queued for a stream. */
     synchronized int queuedMessages(MessageStream stream) {
         return queues[stream.ordinal()].messages.size();
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
@@ -1,14 +1,14 @@
 package brackenbridge.fleet.peer;
 
 /**
- * Decides from a member's silence whether it is alive, suspect or dead. Suspicion comes before death and can be refuted
- * (SWIM, section 4.2); its timeout shrinks as other members confirm it and grows with the local health multiplier
- * (Lifeguard's LHA-Suspicion).
+ * Derives a member's status from its silence. A member is suspected before it is declared dead and can refute the
+ * suspicion (SWIM, section 4.2). The timeout of a suspicion shrinks as other members confirm it and grows with the
+ * local health multiplier (Lifeguard's LHA-Suspicion).
  */
 final class Suspicion {
-    /** Confirmations after which the timeout is at its least; Lifeguard's K. */
+    /** Number of confirmations at which the timeout reaches its minimum; Lifeguard's K. */
     private static final int MAX_CONFIRMATIONS = 3;
-    /** The timeout without any confirmation, in units of the least one. */
+    /** The timeout without any confirmation, as a multiple of the minimum. */
     private static final double UNCONFIRMED_FACTOR = 2;
 
     private final PeerLimits limits;
@@ -24,7 +24,7 @@
         this.localHealth = localHealth;
     }
 
-    /** Sets the member's status by its silence. */
+    /** Updates the member's status from its silence. */
     void evaluate(double now, MemberState member) {
         if (!member.known || member.left) {
             return;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Lifeguard's timeout of suspicion: it falls with the logarithm of the number of members that suspect the same one,
-     * from twice the configured time to that time.
+     * Lifeguard's suspicion timeout: falls with the logarithm of the number of members that suspect the same one, from
+     * twice the configured time to the configured time.
      */
     private double deadAfterMs(MemberState suspect) {
         int others = 0;
@@ -63,13 +63,13 @@
         return limits.deadAfterMs() * (UNCONFIRMED_FACTOR - confirmed) * localHealth.multiplier();
     }
 
-    /** Another process of the member was heard of, with this status. */
+    /** Starts tracking another process of the member, with this status. */
     void beginIncarnation(double now, MemberState member, long incarnation, long instance, MemberStatus status) {
         member.beginIncarnation(now, incarnation, instance);
         setStatus(now, member, status, true);
     }
 
-    /** The member has said farewell. */
+    /** The member announced its shutdown. */
     void markLeft(double now, MemberState member) {
         if (!member.left) {
             member.left = true;
@@ -101,7 +101,7 @@
         return suspicions;
     }
 
-    /** Suspicions that ended with the member alive in the same life. */
+    /** Suspicions that ended with the member alive in the same incarnation. */
     long falseSuspicions() {
         return falseSuspicions;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SwimMessage.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * The one message of the failure detector: a heartbeat with gossip, and requests for indirect probes (SWIM,
- * section 3.1).
+ * The message type of the failure detector: a heartbeat with gossip and requests for indirect probes (SWIM, section
+ * 3.1).
  *
- * @param flags of {@link #REPLY_NOW}, {@link #ANSWER} and {@link #FAREWELL}
- * @param sequence numbers the sender's messages to this receiver
- * @param echo greatest sequence the sender has heard from the receiver on this link; 0 is the handshake
- * @param heldMs how long ago that was, by the sender's clock
- * @param incarnation the sender's: greater after each refutation
- * @param entries the gossip: what the sender holds of members
+ * @param flags combination of {@link #REPLY_NOW}, {@link #PROBE_REPLY} and {@link #LEAVING}
+ * @param sequence sequence number of the sender's messages to this receiver
+ * @param ackSequence greatest sequence number that the sender received on this connection; 0 stands for the handshake
+ * @param ackDelayMs time since that message was received, by the sender's clock
+ * @param refutationNumber the sender's refutation number (SWIM's incarnation number); grows with each refutation
+ * @param entries the gossip about members
  * @param probeRequests the members that the receiver is asked to probe
  */
 record SwimMessage(
@@ -25,11 +25,11 @@
         int refutationNumber,
         List<Entry> entries,
         List<String> probeRequests) {
-    /** The receiver is to answer at once. */
+    /** Requests an immediate reply. */
     static final int REPLY_NOW = 1;
-    /** It answers a request for a probe. */
+    /** The message replies to a probe request. */
     static final int PROBE_REPLY = 2;
-    /** The sender shuts down. */
+    /** The sender is shutting down. */
     static final int LEAVING = 4;
 
     static final int MAX_ENTRIES = 64;
@@ -37,15 +37,15 @@
     private static final MemberStatus[] STATUSES = MemberStatus.values();
 
     /**
-     * What a member holds of another.
+     * A gossip entry: the sender's view of a member.
      *
-     * @param name whose
-     * @param incarnation its life
-     * @param instance its process
-     * @param incarnation the greatest known of this life
-     * @param status as the sender holds it
-     * @param left whether it has said farewell
-     * @param ageMs how long ago it was surely alive; negative if that is not known
+     * @param name the member's name
+     * @param incarnation its incarnation
+     * @param instance the instance number of its process
+     * @param refutationNumber the greatest known refutation number of this incarnation
+     * @param status its status
+     * @param left whether it announced its shutdown
+     * @param ageMs time since it was last known to be alive; negative if unknown
      */
     record Entry(
             String name,
@@ -61,23 +61,24 @@
     }
 
     byte[] encode() {
-        int most = 24
+        int maxBytes = 24
                 + entries.size() * (27 + PeerLimits.MAX_NAME_BYTES)
                 + probeRequests.size() * (1 + PeerLimits.MAX_NAME_BYTES);
-        ByteBuffer out = ByteBuffer.allocate(most);
+        ByteBuffer out = ByteBuffer.allocate(maxBytes);
         out.put((byte) flags)
                 .putInt(sequence)
                 .putInt(ackSequence)
                 .putFloat((float) ackDelayMs)
                 .putInt(refutationNumber);
         out.put((byte) entries.size()).put((byte) probeRequests.size());
-        for (Entry e : entries) {
-            WireFormat.text(out, e.name());
-            out.putLong(e.incarnation()).putLong(e.instance()).putInt(e.refutationNumber());
-            out.put((byte) (e.status().ordinal() | (e.left() ? 16 : 0))).putFloat((float) Math.max(-1, e.ageMs()));
+        for (Entry entry : entries) {
+            WireFormat.writeText(out, entry.name());
+            out.putLong(entry.incarnation()).putLong(entry.instance()).putInt(entry.refutationNumber());
+            out.put((byte) (entry.status().ordinal() | (entry.left() ? 16 : 0)))
+                    .putFloat((float) Math.max(-1, entry.ageMs()));
         }
         for (String target : probeRequests) {
-            WireFormat.text(out, target);
+            WireFormat.writeText(out, target);
         }
         return Arrays.copyOf(out.array(), out.position());
     }
@@ -89,27 +90,27 @@
     private static SwimMessage decodeFields(ByteBuffer in) throws WireException {
         int flags = in.get() & 0xff;
         int sequence = in.getInt();
-        int echo = in.getInt();
-        double held = WireFormat.readDurationMs(in);
+        int ackSequence = in.getInt();
+        double ackDelayMs = WireFormat.readDurationMs(in);
         int refutationNumber = in.getInt();
         int entries = in.get() & 0xff;
-        int requests = in.get() & 0xff;
+        int targetCount = in.get() & 0xff;
         if (sequence < 0
-                || echo < 0
+                || ackSequence < 0
                 || refutationNumber < 0
                 || entries > MAX_ENTRIES
-                || requests > MAX_PROBE_REQUESTS) {
-            throw new WireException("a beat beyond its bounds");
+                || targetCount > MAX_PROBE_REQUESTS) {
+            throw new WireException("SWIM message field out of range");
         }
-        List<Entry> known = new ArrayList<>(entries);
+        List<Entry> decodedEntries = new ArrayList<>(entries);
         for (int i = 0; i < entries; i++) {
-            known.add(decodeEntry(in));
+            decodedEntries.add(decodeEntry(in));
         }
-        List<String> wanted = new ArrayList<>(requests);
-        for (int i = 0; i < requests; i++) {
-            wanted.add(WireFormat.readName(in));
+        List<String> targets = new ArrayList<>(targetCount);
+        for (int i = 0; i < targetCount; i++) {
+            targets.add(WireFormat.readName(in));
         }
-        return new SwimMessage(flags, sequence, echo, held, refutationNumber, known, wanted);
+        return new SwimMessage(flags, sequence, ackSequence, ackDelayMs, refutationNumber, decodedEntries, targets);
     }
 
     private static Entry decodeEntry(ByteBuffer in) throws WireException {
@@ -120,7 +121,7 @@
         int status = in.get() & 0xff;
         float age = in.getFloat();
         if ((status & 15) >= STATUSES.length || status > 31 || refutationNumber < 0 || Float.isNaN(age)) {
-            throw new WireException("an entry beyond its bounds");
+            throw new WireException("SWIM entry field out of range");
         }
         return new Entry(name, incarnation, instance, refutationNumber, STATUSES[status & 15], status > 15, age);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/TcpPeerLinks.java
@@ -14,19 +14,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Links over TCP: one connection for each pair of members. Both sides dial; of two connections the one that the lower
- * name has dialled stays. One thread accepts, one drives the heartbeat, one calls the watchers; each peer has one that
- * dials and writes and one that reads. All are daemons and owned by {@link LinkContext}. Peers are not authenticated:
- * the listener belongs in a network of the fleet's own.
+ * Links over TCP, with one connection per pair of members. Both sides dial; of two connections, the one dialed by the
+ * member with the lower name stays. One thread accepts, one drives the heartbeat, one calls the watchers; each peer has
+ * a thread that dials and writes and one that reads. All are daemon threads and owned by {@link LinkContext}. Peers are
+ * not authenticated: the listener must only be reachable from the fleet's private network.
  *
  * <p>Receivers are called on the reading thread: while one runs, nothing more is read from that peer.
  *
- * <p>This class composes the parts: {@link Dialer}, {@link Acceptor}, {@link ConnectionRegistry},
+ * <p>This class composes {@link Dialer}, {@link Acceptor}, {@link ConnectionRegistry},
  * {@link ConnectionReader}, {@link Membership} and {@link HeartbeatTimer}.
  */
 public final class TcpPeerLinks implements PeerLinks {
     private static final Logger LOG = LoggerFactory.getLogger(TcpPeerLinks.class);
-    /** How long {@link #close} waits for the farewell to be written and read. */
+    /** How long {@link #close} waits for the leave messages to be written and read. */
     private static final double LEAVE_TIMEOUT_MS = 500;
 
     private final LinkContext context;
@@ -38,56 +38,59 @@
     private final HeartbeatTimer heartbeatTimer;
     private final String listenAddress;
 
-    /** Is notified of faults that operators must mend: a rejection that lasts, two nodes of one name. */
+    /** Notified of faults that need an operator: a permanent rejection, two nodes with one name. */
     @FunctionalInterface
     public interface FaultListener {
         /**
-         * A fault was found.
+         * Called for each fault.
          *
-         * @param name the member it concerns; this member's own name if another has it too or knows a later life
-         * @param reason why a handshake was rejected
-         * @param text in words
+         * @param name the member concerned; this member's own name if another process has it too, or if peers know a
+         *     later incarnation
+         * @param reason the reason of the rejection
+         * @param text a description for operators
          */
         void onFault(String name, HandshakeRejection reason, String text);
     }
 
     /**
-     * Links that are not started yet.
+     * Creates links, without starting them.
      *
-     * @param me this member; port 0 in its address stands for any free one
+     * @param self this member; port 0 in its address selects any free port
      * @param incarnation greater than that of each earlier start
-     * @param fleet the fleet's name: members of others are refused
-     * @param peers the others; this member among them is passed over
+     * @param fleet the fleet's name; members of other fleets are rejected
+     * @param peers the other members; an entry for this member is ignored
      * @param clock the source of time
-     * @param limits what the links are granted
+     * @param limits limits and timeouts
      */
-    public TcpPeerLinks(Member me, long incarnation, String fleet, List<Member> peers, Clock clock, PeerLimits limits) {
-        this(me, me.address(), incarnation, fleet, peers, clock, limits);
+    public TcpPeerLinks(
+            Member self, long incarnation, String fleet, List<Member> peers, Clock clock, PeerLimits limits) {
+        this(self, self.address(), incarnation, fleet, peers, clock, limits);
     }
 
     /**
-     * Links that are not started yet, of a member that listens elsewhere than where its peers reach it.
+     * Creates links, without starting them, of a member whose listen address differs from the address at which its
+     * peers reach it.
      *
-     * @param me this member, with the address at which its peers reach it
-     * @param listenAddress where it listens; port 0 stands for any free one if it is the member's own address
+     * @param self this member, with the address at which its peers reach it
+     * @param listenAddress where it listens; port 0 selects any free port if this is the member's own address
      * @param incarnation greater than that of each earlier start
-     * @param fleet the fleet's name: members of others are refused
-     * @param peers the others; this member among them is passed over
+     * @param fleet the fleet's name; members of other fleets are rejected
+     * @param peers the other members; an entry for this member is ignored
      * @param clock the source of time
-     * @param limits what the links are granted
+     * @param limits limits and timeouts
      */
     public TcpPeerLinks(
-            Member me,
+            Member self,
             String listenAddress,
             long incarnation,
             String fleet,
             List<Member> peers,
             Clock clock,
             PeerLimits limits) {
-        PeerAddress.requireValid(me);
+        PeerAddress.requireValid(self);
         PeerAddress.parse(listenAddress);
         this.listenAddress = listenAddress;
-        context = new LinkContext(me, incarnation, PeerAddress.requireValidName(fleet), clock, limits);
+        context = new LinkContext(self, incarnation, PeerAddress.requireValidName(fleet), clock, limits);
         registry = new ConnectionRegistry(context);
         membership = new Membership(context, registry);
         HandshakeValidator validator = new HandshakeValidator(context, registry, membership);
@@ -109,7 +112,7 @@
         return context.incarnation();
     }
 
-    /** Drawn at this start: distinguishes two processes of one name and life. */
+    /** Random number drawn at this start: distinguishes two processes of one name and incarnation. */
     public long instance() {
         return context.instance;
     }
@@ -130,12 +133,12 @@
         }
     }
 
-    /** Whether there is a connection with this peer; it may be alive by what others hear and have none. */
+    /** Whether this peer is connected; a peer without a connection may be alive by the gossip of others. */
     public boolean isConnected(String peer) {
         return registry.connection(peer) != null;
     }
 
-    /** Names of the peers that have a connection now. */
+    /** Names of the peers that are connected now. */
     public Collection<String> connectedPeers() {
         return registry.connectedNames();
     }
@@ -144,7 +147,8 @@
     public boolean send(String peer, MessageStream stream, byte[] body) {
         requirePublic(stream);
         if (body.length > context.limits.maxFrameBytes()) {
-            throw new IllegalArgumentException(body.length + " bytes, over " + context.limits.maxFrameBytes());
+            throw new IllegalArgumentException(
+                    "message of " + body.length + " bytes exceeds the limit of " + context.limits.maxFrameBytes());
         }
         PeerConnection connection = registry.connection(peer);
         if (connection == null) {
@@ -166,7 +170,7 @@
 
     private static void requirePublic(MessageStream stream) {
         if (stream == MessageStream.LIVENESS) {
-            throw new IllegalArgumentException("the stream of liveness is the links' own");
+            throw new IllegalArgumentException("the LIVENESS stream is reserved for the failure detector");
         }
     }
 
@@ -175,12 +179,12 @@
         membership.addWatcher(watcher);
     }
 
-    /** Adds an alarm; before {@link #start}. */
-    public void addFaultListener(FaultListener alarm) {
-        membership.addFaultListener(alarm);
+    /** Adds a fault listener. Must be called before {@link #start}. */
+    public void addFaultListener(FaultListener listener) {
+        membership.addFaultListener(listener);
     }
 
-    /** Counters since the start and present gauges, by name. */
+    /** Counters since the start and current gauges, by name. */
     public Map<String, Double> metrics() {
         Map<String, Double> all = context.metrics.snapshot();
         synchronized (context.lock) {
@@ -196,7 +200,7 @@
     public void start() throws IOException {
         synchronized (context.lock) {
             if (acceptor.bound() || context.closing()) {
-                throw new IllegalStateException("started already, or closed");
+                throw new IllegalStateException("links are already started or closed");
             }
             int port = acceptor.bind(listenAddress);
             Member self = context.self();
@@ -210,42 +214,47 @@
             registry.peers().forEach(dialer::start);
         }
         LOG.info(
-                "{} of fleet {} listens on {}, life {}", self().name(), context.fleet, self().address(), incarnation());
+                "{} of fleet {} listens on {}, incarnation {}",
+                self().name(),
+                context.fleet,
+                self().address(),
+                incarnation());
     }
 
     /**
-     * Replaces the configured members: connections with others end, those at a new address are dialled there.
+     * Replaces the configured members: connections to removed members are closed, members with a new address are dialed
+     * there.
      *
      * @throws IllegalArgumentException if a name or address is malformed or a name occurs twice
      */
     public void update(List<Member> members) {
-        Map<String, Member> wanted = new HashMap<>();
+        Map<String, Member> configuredMembers = new HashMap<>();
         for (Member member : members) {
             if (!member.name().equals(self().name())
-                    && wanted.put(member.name(), PeerAddress.requireValid(member)) != null) {
-                throw new IllegalArgumentException("two members of the name " + member.name());
+                    && configuredMembers.put(member.name(), PeerAddress.requireValid(member)) != null) {
+                throw new IllegalArgumentException("duplicate member name " + member.name());
             }
         }
         synchronized (context.lock) {
             if (context.closing()) {
                 return;
             }
-            removeOthers(wanted);
-            wanted.values().forEach(this::addIfAbsent);
-            membership.detector().update(wanted.keySet());
+            removeOthers(configuredMembers);
+            configuredMembers.values().forEach(this::addIfAbsent);
+            membership.detector().update(configuredMembers.keySet());
             membership.process(List.of());
             context.signalChange();
         }
     }
 
-    private void removeOthers(Map<String, Member> wanted) {
+    private void removeOthers(Map<String, Member> configuredMembers) {
         for (Iterator<Peer> i = registry.peers().iterator(); i.hasNext(); ) {
             Peer peer = i.next();
-            Member now = wanted.get(peer.name());
-            if (now == null || !now.address().equals(peer.member.address())) {
+            Member configured = configuredMembers.get(peer.name());
+            if (configured == null || !configured.address().equals(peer.member.address())) {
                 peer.removed = true;
                 membership.detector().onDisconnected(peer.name());
-                peer.disconnect(now == null ? "no member any more" : "has another address now");
+                peer.disconnect(configured == null ? "removed from the members" : "address changed");
                 i.remove();
             }
         }
@@ -266,50 +275,50 @@
         stop(true);
     }
 
-    /** Ends as a killed process does: peers are not notified. */
+    /** Shuts down without notifying peers, as a killed process does. */
     void abort() {
         stop(false);
     }
 
-    private void stop(boolean farewell) {
-        List<PeerConnection> open;
-        List<Thread> running;
+    private void stop(boolean notifyPeers) {
+        List<PeerConnection> openConnections;
+        List<Thread> runningThreads;
         synchronized (context.lock) {
             if (context.closing()) {
                 return;
             }
-            if (farewell) {
+            if (notifyPeers) {
                 registry.send(membership.detector().leaveMessages(context.clock.nowMs()));
             }
             context.beginClosing();
             membership.close();
-            open = endSendQueues();
+            openConnections = endSendQueues();
             acceptor.close();
             context.signalChange();
-            running = context.runningThreads();
+            runningThreads = context.runningThreads();
         }
-        awaitClosed(open, farewell ? LEAVE_TIMEOUT_MS : 0);
-        context.stopThreads(running, 2 * LEAVE_TIMEOUT_MS);
+        awaitClosed(openConnections, notifyPeers ? LEAVE_TIMEOUT_MS : 0);
+        context.stopThreads(runningThreads, 2 * LEAVE_TIMEOUT_MS);
     }
 
-    /** With the lock: no message is queued any more; the open connections are returned. */
+    /** Stops queuing messages and returns the open connections. The caller holds the lock. */
     private List<PeerConnection> endSendQueues() {
-        List<PeerConnection> open = new ArrayList<>();
+        List<PeerConnection> openConnections = new ArrayList<>();
         for (Peer peer : registry.peers()) {
             PeerConnection connection = peer.connection;
             if (connection != null) {
-                open.add(connection);
+                openConnections.add(connection);
                 connection.sendQueue.end();
             }
             peer.cancelDial();
             LockSupport.unpark(peer.dialerThread);
         }
-        return open;
+        return openConnections;
     }
 
-    private void awaitClosed(List<PeerConnection> open, double timeoutMs) {
+    private void awaitClosed(List<PeerConnection> openConnections, double timeoutMs) {
         double untilMs = context.clock.nowMs() + timeoutMs;
-        for (PeerConnection connection : open) {
+        for (PeerConnection connection : openConnections) {
             synchronized (context.lock) {
                 double leftMs = untilMs - context.clock.nowMs();
                 while (leftMs >= 1 && !connection.closed) {
@@ -317,7 +326,7 @@
                     leftMs = untilMs - context.clock.nowMs();
                 }
             }
-            connection.close("this member ends");
+            connection.close("this member shuts down");
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls to watchers and alarms, one after another on a thread of their own, so that one that blocks holds no lock of
- * the links. Bounded: beyond that the oldest call about the same peer gives way.
+ * Queue of calls to watchers and fault listeners, made sequentially on a dedicated thread, so that one that blocks does
+ * not hold the lock of the links. Bounded: when full, the oldest call about the same peer is dropped.
  */
 final class WatcherQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WatcherQueue.class);
@@ -19,12 +19,12 @@
     private final LinkMetrics metrics;
     private boolean ended;
 
-    /** An empty queue that counts calls that were lost or failed. */
+    /** Creates an empty queue that counts dropped and failed calls in these metrics. */
     WatcherQueue(LinkMetrics figures) {
         this.metrics = figures;
     }
 
-    /** Adds a call about this peer. */
+    /** Queues a call about this peer. */
     synchronized void add(String peer, Runnable run) {
         if (calls.size() >= MAX_CALLS) {
             calls.remove(calls.stream()
@@ -37,32 +37,32 @@
         notifyAll();
     }
 
-    /** No call comes any more: {@link #run} returns once all that wait are made. */
+    /** Ends the queue: {@link #run} returns after the queued calls. */
     synchronized void end() {
         ended = true;
         notifyAll();
     }
 
-    /** Makes the calls until the end. */
+    /** Makes the queued calls until {@link #end} is called. */
     void run() {
         for (Call call = next(); call != null; call = next()) {
             try {
                 call.run().run();
             } catch (RuntimeException e) {
                 metrics.count("watcher_failed");
-                LOG.error("a watcher failed", e);
+                LOG.error("a watcher or fault listener failed", e);
             }
         }
     }
 
-    /** The next call; null at the end. */
+    /** Waits for the next call; null after {@link #end}. */
     private synchronized Call next() {
         while (calls.isEmpty() && !ended) {
             try {
                 wait();
             } catch (InterruptedException e) {
-                // Only the end interrupts; what is left is told first.
-                LOG.debug("woken to end");
+                // Interrupted only at shutdown; the queued calls are made first.
+                LOG.debug("interrupted at shutdown");
             }
         }
         return calls.poll();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WireException.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WireException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** What has come over a link is not what this version reads; the connection ends. */
+/** Malformed or unsupported data was received; the connection is closed. */
 public final class WireException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** With the fault in words. */
+    /** Creates an exception with this description of the fault. */
     public WireException(String message) {
         super(message);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WireFormat.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WireFormat.java
@@ -6,46 +6,46 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32C;
 
-/** Small parts of the wire that several readers share. */
+/** Encoding and decoding of primitive fields shared by several messages. */
 final class WireFormat {
     private WireFormat() {}
 
-    /** A reader's body: faults of the bytes come as {@link WireException} only. */
+    /** Decodes a value; malformed bytes are reported as {@link WireException}. */
     @FunctionalInterface
     interface Reader<T> {
         T read(ByteBuffer in) throws WireException;
     }
 
-    /** Reads the whole array; what is short or has bytes left over is a fault. */
+    /** Decodes the complete array; missing and surplus bytes are malformed. */
     static <T> T readAll(byte[] bytes, Reader<T> body) throws WireException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
             T value = body.read(in);
             if (in.hasRemaining()) {
-                throw new WireException(in.remaining() + " bytes too many");
+                throw new WireException(in.remaining() + " surplus bytes");
             }
             return value;
         } catch (BufferUnderflowException e) {
-            throw new WireException("ends too early");
+            throw new WireException("truncated data");
         }
     }
 
     static int crc32c(byte[] bytes, int from, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, from, length);
-        return (int) sum.getValue();
+        CRC32C checksum = new CRC32C();
+        checksum.update(bytes, from, length);
+        return (int) checksum.getValue();
     }
 
-    /** A text with its length before it, one byte. */
-    static void text(ByteBuffer out, String text) {
+    /** Writes a text in UTF-8, preceded by its length in one byte. */
+    static void writeText(ByteBuffer out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > 255) {
-            throw new IllegalArgumentException("a text of " + bytes.length + " bytes");
+            throw new IllegalArgumentException("text of " + bytes.length + " bytes exceeds the limit of 255");
         }
         out.put((byte) bytes.length).put(bytes);
     }
 
-    static String text(ByteBuffer in) throws WireException {
+    static String readText(ByteBuffer in) throws WireException {
         byte[] bytes = new byte[in.get() & 0xff];
         in.get(bytes);
         try {
@@ -54,15 +54,15 @@
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new WireException("a text that is not UTF-8");
+            throw new WireException("text is not valid UTF-8");
         }
     }
 
-    /** A name: not empty, bounded. */
+    /** Reads a name, which is neither empty nor longer than {@link PeerLimits#MAX_NAME_BYTES}. */
     static String readName(ByteBuffer in) throws WireException {
-        String name = text(in);
+        String name = readText(in);
         if (name.isEmpty() || name.getBytes(StandardCharsets.UTF_8).length > PeerLimits.MAX_NAME_BYTES) {
-            throw new WireException("a name that is empty or too long");
+            throw new WireException("name is empty or longer than " + PeerLimits.MAX_NAME_BYTES + " bytes");
         }
         return name;
     }
@@ -70,7 +70,7 @@
     static double readDurationMs(ByteBuffer in) throws WireException {
         float ms = in.getFloat();
         if (!(ms >= 0) || Float.isInfinite(ms)) {
-            throw new WireException("a length of time that is none");
+            throw new WireException("invalid duration " + ms);
         }
         return ms;
     }
