--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -40,7 +40,7 @@
      * @param address where the sender listens
      * @param incarnation the sender's incarnation
      * @param instance random number drawn at each start: distinguishes two processes of one name and incarnation
-     * @param dial counts the sender's dials, so that an old one that arrives late does not replace a newer one
+     * @param dialNumber counts the sender's dials, so that an old one that arrives late does not replace a newer one
      */
     record Hello(
             boolean welcome,
--- a/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/HandshakeRejection.java
@@ -9,7 +9,7 @@
     /** The other side belongs to another fleet. */
     FLEET_MISMATCH("another_fleet", "another fleet", true),
     /** The dialed member is not at this address; another member is. */
-    WRONG_MEMBER("not_the_one", "not the one dialed", true),
+    WRONG_MEMBER("not_the_one", "not the one dialled", true),
     /** The other side is not among this member's configured peers. */
     UNKNOWN_MEMBER("unknown_member", "not a member", true),
     /**
@@ -26,12 +26,12 @@
 
     private final String counter;
     private final String text;
-    private final boolean isPermanent;
+    private final boolean permanent;
 
-    HandshakeRejection(String counter, String text, boolean lasting) {
+    HandshakeRejection(String counter, String text, boolean permanent) {
         this.counter = counter;
         this.text = text;
-        this.isPermanent = lasting;
+        this.permanent = permanent;
     }
 
     /**
@@ -51,8 +51,8 @@
         return text;
     }
 
-    /** Whether an early retry is useless because the configuration has to change first. */
+    /** Whether an early retry is useless because an operator has to remove the cause first. */
     public boolean isPermanent() {
-        return isPermanent;
+        return permanent;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
@@ -11,7 +11,7 @@
 final class RejectionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RejectionHandler.class);
     /** Minimum time between two log lines about unknown members rejected for the same reason. */
-    private static final double STRANGER_LOG_INTERVAL_MS = 1000;
+    private static final double UNKNOWN_LOG_INTERVAL_MS = 1000;
     /** Minimum time between two log lines about one peer rejected for the same reason. */
     private static final double PEER_LOG_INTERVAL_MS = 600_000;
     /** Number of consecutive rejections as an unknown member before a fault is reported. */
@@ -20,7 +20,7 @@
     private final LinkContext context;
     private final ConnectionRegistry registry;
     private final Membership membership;
-    private final Map<HandshakeRejection, Double> strangerLoggedAtMs = new EnumMap<>(HandshakeRejection.class);
+    private final Map<HandshakeRejection, Double> unknownLoggedAtMs = new EnumMap<>(HandshakeRejection.class);
 
     RejectionHandler(LinkContext context, ConnectionRegistry registry, Membership membership) {
         this.context = context;
@@ -56,7 +56,7 @@
             logged = reason.isPermanent()
                     && (peer != null
                             ? reportPeer(peer, reason, description)
-                            : reportStranger(connection.peerName, reason, description));
+                            : reportUnknown(connection.peerName, reason, description));
         }
         if (logged || reason == HandshakeRejection.MALFORMED) {
             LOG.atLevel(logged ? Level.WARN : Level.DEBUG)
@@ -81,13 +81,13 @@
     }
 
     /** Guards against unknown members that fill the log: each reason is logged once per second. */
-    private boolean reportStranger(String name, HandshakeRejection reason, String description) {
+    private boolean reportUnknown(String name, HandshakeRejection reason, String description) {
         double now = context.clock.nowMs();
-        double lastMs = strangerLoggedAtMs.getOrDefault(reason, Double.NEGATIVE_INFINITY);
-        if (now - lastMs <= STRANGER_LOG_INTERVAL_MS) {
+        double lastMs = unknownLoggedAtMs.getOrDefault(reason, Double.NEGATIVE_INFINITY);
+        if (now - lastMs <= UNKNOWN_LOG_INTERVAL_MS) {
             return false;
         }
-        strangerLoggedAtMs.put(reason, now);
+        unknownLoggedAtMs.put(reason, now);
         if (name.equals(context.self().name())) {
             membership.raiseFault(name, reason, description);
         }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/ExternalNamesTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/ExternalNamesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Pins the words by which counters and answers name constants of this package. */
+/** Pins the names of this package's constants in counters and responses. */
 class ExternalNamesTest {
     private static final List<String> REJECTIONS = List.of(
             "unreadable",
@@ -22,7 +22,7 @@
             "closing");
 
     @Test
-    void rejectionsAreCountedByTheirPinnedNames() {
+    void rejectionCountersHavePinnedNames() {
         List<String> rejected = Arrays.stream(HandshakeRejection.values())
                 .map(HandshakeRejection::rejectedCounter)
                 .toList();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void statusesAreAnsweredByTheirPinnedNames() throws JsonProcessingException {
+    void statusesHavePinnedNames() throws JsonProcessingException {
         List<String> texts =
                 Arrays.stream(MemberStatus.values()).map(MemberStatus::text).toList();
         List<String> labels =
--- a/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/FailureDetectorTest.java
@@ -13,7 +13,7 @@
 class FailureDetectorTest {
     private static final PeerLimits LIMITS = PeerLimits.defaults();
 
-    /** Members that exchange beats over simulated lines; one seed gives one history. */
+    /** Failure detectors that exchange messages over a simulated network; deterministic by seed. */
     private static final class SimulatedCluster {
         final int size;
         final Random random;
@@ -23,7 +23,7 @@
         final double[] clockOffsetMs;
         final List<String> names = new ArrayList<>();
         final PriorityQueue<Event> events = new PriorityQueue<>();
-        /** Each change: who holds it, of whom, what, when. */
+        /** All status changes, with the observing member and the observed one. */
         final List<StatusChange> statusChanges = new ArrayList<>();
 
         double nowMs;
@@ -34,10 +34,10 @@
 
         record StatusChange(int observer, int subject, MemberStatus status, double atMs) {}
 
-        record Event(double atMs, long order, Runnable work) implements Comparable<Event> {
+        record Event(double atMs, long order, Runnable action) implements Comparable<Event> {
             @Override
-            public int compareTo(Event o) {
-                return atMs != o.atMs ? Double.compare(atMs, o.atMs) : Long.compare(order, o.order);
+            public int compareTo(Event other) {
+                return atMs != other.atMs ? Double.compare(atMs, other.atMs) : Long.compare(order, other.order);
             }
         }
 
@@ -64,11 +64,11 @@
         void startMember(int i, long incarnation) {
             incarnations[i] = incarnation;
             clockOffsetMs[i] = random.nextDouble() * 1e6;
-            FailureDetector d =
+            FailureDetector detector =
                     new FailureDetector(names.get(i), incarnation, instance(i, incarnation), LIMITS, random.nextLong());
-            d.update(names);
-            members[i] = d;
-            schedule(random.nextDouble() * LIMITS.heartbeatMs(), () -> tick(i, d));
+            detector.update(names);
+            members[i] = detector;
+            schedule(random.nextDouble() * LIMITS.heartbeatMs(), () -> tick(i, detector));
         }
 
         static long instance(int i, long incarnation) {
@@ -93,52 +93,52 @@
             return nowMs + clockOffsetMs[i];
         }
 
-        void schedule(double ms, Runnable work) {
-            events.add(new Event(nowMs + ms, order++, work));
+        void schedule(double ms, Runnable action) {
+            events.add(new Event(nowMs + ms, order++, action));
         }
 
-        void tick(int i, FailureDetector d) {
-            if (members[i] != d) {
+        void tick(int i, FailureDetector detector) {
+            if (members[i] != detector) {
                 return;
             }
             if (nowMs < pausedUntilMs[i]) {
-                schedule(pausedUntilMs[i] - nowMs, () -> tick(i, d));
+                schedule(pausedUntilMs[i] - nowMs, () -> tick(i, detector));
                 return;
             }
-            send(i, d.tick(localTimeMs(i)));
+            send(i, detector.tick(localTimeMs(i)));
             recordChanges(i);
-            schedule(LIMITS.heartbeatMs(), () -> tick(i, d));
+            schedule(LIMITS.heartbeatMs(), () -> tick(i, detector));
         }
 
-        void send(int i, List<FailureDetector.OutgoingMessage> out) {
-            for (FailureDetector.OutgoingMessage o : out) {
-                int j = names.indexOf(o.to());
+        void send(int i, List<FailureDetector.OutgoingMessage> messages) {
+            for (FailureDetector.OutgoingMessage outgoing : messages) {
+                int j = names.indexOf(outgoing.to());
                 if (random.nextDouble() >= lossProbability && !isCut.test(i, j)) {
-                    byte[] wire = o.message().encode();
+                    byte[] bytes = outgoing.message().encode();
                     long incarnation = incarnations[i];
-                    FailureDetector target = members[j];
-                    schedule(delayMs * (0.5 + random.nextDouble()), () -> receive(j, target, i, incarnation, wire));
+                    FailureDetector receiver = members[j];
+                    schedule(delayMs * (0.5 + random.nextDouble()), () -> receive(j, receiver, i, incarnation, bytes));
                 }
             }
         }
 
-        void receive(int j, FailureDetector target, int from, long incarnation, byte[] wire) {
-            if (members[j] != target) {
+        void receive(int j, FailureDetector receiver, int from, long incarnation, byte[] bytes) {
+            if (members[j] != receiver) {
                 return;
             }
             if (nowMs < pausedUntilMs[j]) {
-                schedule(pausedUntilMs[j] - nowMs, () -> receive(j, target, from, incarnation, wire));
+                schedule(pausedUntilMs[j] - nowMs, () -> receive(j, receiver, from, incarnation, bytes));
                 return;
             }
             try {
                 send(
                         j,
-                        target.onMessage(
+                        receiver.onMessage(
                                 localTimeMs(j),
                                 names.get(from),
                                 incarnation,
                                 instance(from, incarnation),
-                                SwimMessage.decode(wire)));
+                                SwimMessage.decode(bytes)));
             } catch (WireException e) {
                 throw new AssertionError(e);
             }
@@ -146,8 +146,8 @@
         }
 
         void recordChanges(int i) {
-            for (FailureDetector.Change c : members[i].drainChanges()) {
-                statusChanges.add(new StatusChange(i, names.indexOf(c.peer()), c.status(), nowMs));
+            for (FailureDetector.Change change : members[i].drainChanges()) {
+                statusChanges.add(new StatusChange(i, names.indexOf(change.peer()), change.status(), nowMs));
             }
         }
 
@@ -163,21 +163,23 @@
         void runFor(double ms) {
             double until = nowMs + ms;
             while (!events.isEmpty() && events.peek().atMs() <= until) {
-                Event e = events.poll();
-                nowMs = e.atMs();
-                e.work().run();
+                Event event = events.poll();
+                nowMs = event.atMs();
+                event.action().run();
             }
             nowMs = until;
         }
 
-        long count(MemberStatus standing) {
-            return statusChanges.stream().filter(s -> s.status() == standing).count();
+        long count(MemberStatus status) {
+            return statusChanges.stream()
+                    .filter(change -> change.status() == status)
+                    .count();
         }
 
-        void assertStatusEverywhere(int of, MemberStatus standing) {
+        void assertStatusEverywhere(int of, MemberStatus status) {
             for (int i = 0; i < size; i++) {
                 if (i != of && members[i] != null) {
-                    assertEquals(standing, members[i].status(names.get(of)), names.get(i) + " of " + names.get(of));
+                    assertEquals(status, members[i].status(names.get(of)), names.get(i) + " of " + names.get(of));
                 }
             }
         }
@@ -185,169 +187,174 @@
 
     @Test
     void everyMemberDeclaresAKilledMemberDeadWithinTheBoundAndNoOther() {
-        List<Double> took = new ArrayList<>();
-        long wrong = 0;
+        List<Double> delaysMs = new ArrayList<>();
+        long falseSuspicions = 0;
         for (long seed = 0; seed < 300; seed++) {
-            SimulatedCluster w = new SimulatedCluster(2 + (int) (seed % 11), seed);
-            w.lossProbability = seed % 3 * 0.15;
-            w.runFor(5000 + seed);
-            double died = w.nowMs;
-            w.killMember(0);
-            w.runFor(2 * LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
-            w.assertStatusEverywhere(0, MemberStatus.DEAD);
-            for (SimulatedCluster.StatusChange s : w.statusChanges) {
-                if (s.status() == MemberStatus.DEAD) {
-                    assertEquals(0, s.subject(), "a live one is gone, seed " + seed);
-                    took.add(s.atMs() - died);
-                } else if (s.status() == MemberStatus.SUSPECT && s.subject() != 0) {
-                    wrong++;
+            SimulatedCluster cluster = new SimulatedCluster(2 + (int) (seed % 11), seed);
+            cluster.lossProbability = seed % 3 * 0.15;
+            cluster.runFor(5000 + seed);
+            double killedAtMs = cluster.nowMs;
+            cluster.killMember(0);
+            cluster.runFor(2 * LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
+            cluster.assertStatusEverywhere(0, MemberStatus.DEAD);
+            for (SimulatedCluster.StatusChange change : cluster.statusChanges) {
+                if (change.status() == MemberStatus.DEAD) {
+                    assertEquals(0, change.subject(), "a running member was declared dead, seed " + seed);
+                    delaysMs.add(change.atMs() - killedAtMs);
+                } else if (change.status() == MemberStatus.SUSPECT && change.subject() != 0) {
+                    falseSuspicions++;
                 }
             }
         }
-        double[] sorted = took.stream().mapToDouble(d -> d).sorted().toArray();
+        double[] sorted = delaysMs.stream().mapToDouble(delay -> delay).sorted().toArray();
         System.out.printf(
-                "dead: %d sightings, p50 %.0f, p99 %.0f, max %.0f ms; suspected wrongly %d%n",
+                "dead: %d detections, p50 %.0f, p99 %.0f, max %.0f ms; false suspicions %d%n",
                 sorted.length,
                 sorted[sorted.length / 2],
                 sorted[sorted.length * 99 / 100],
                 sorted[sorted.length - 1],
-                wrong);
-        assertTrue(sorted[0] > LIMITS.deadAfterMs() - 4 * LIMITS.heartbeatMs(), "too soon: " + sorted[0]);
+                falseSuspicions);
+        assertTrue(sorted[0] > LIMITS.deadAfterMs() - 4 * LIMITS.heartbeatMs(), "declared dead too soon: " + sorted[0]);
         assertTrue(
                 sorted[sorted.length / 2] < LIMITS.deadAfterMs() + 2 * LIMITS.heartbeatMs(), "p50 of " + sorted.length);
-        assertEquals(0, wrong);
+        assertEquals(0, falseSuspicions);
     }
 
     @Test
     void memberThatOnePeerHearsIsNotDeclaredDead() {
         for (long seed = 0; seed < 100; seed++) {
-            SimulatedCluster w = new SimulatedCluster(3 + (int) (seed % 12), seed);
-            w.runFor(3000);
-            int friend = 1 + (int) (seed % (w.size - 1));
-            w.isCut = (from, to) -> from == 0 && to != friend || to == 0 && from != friend;
-            w.runFor(20_000);
-            w.assertStatusEverywhere(0, MemberStatus.ALIVE);
-            assertEquals(0, w.count(MemberStatus.DEAD), "seed " + seed);
+            SimulatedCluster cluster = new SimulatedCluster(3 + (int) (seed % 12), seed);
+            cluster.runFor(3000);
+            int onlyPeer = 1 + (int) (seed % (cluster.size - 1));
+            cluster.isCut = (from, to) -> from == 0 && to != onlyPeer || to == 0 && from != onlyPeer;
+            cluster.runFor(20_000);
+            cluster.assertStatusEverywhere(0, MemberStatus.ALIVE);
+            assertEquals(0, cluster.count(MemberStatus.DEAD), "seed " + seed);
         }
     }
 
     @Test
     void senderDetectsOneWayLossAndNobodyIsDeclaredDead() {
         for (long seed = 0; seed < 100; seed++) {
-            SimulatedCluster w = new SimulatedCluster(3 + (int) (seed % 10), seed);
-            w.runFor(3000);
-            w.isCut = (from, to) -> from == 0 && to == 1;
-            w.runFor(10_000);
-            assertTrue(w.members[0].unacknowledgedForMs("n1") > 9000, "n0 knows that n1 does not hear it");
-            assertEquals(1, w.members[0].countOneWay());
-            assertEquals(0, w.members[1].unacknowledgedForMs("n0"));
-            assertEquals(MemberStatus.ALIVE, w.members[1].status("n0"));
-            assertEquals(MemberStatus.ALIVE, w.members[0].status("n1"));
-            assertEquals(0, w.count(MemberStatus.DEAD));
-            w.isCut = (from, to) -> false;
-            w.runFor(1000);
-            assertEquals(0, w.members[0].countOneWay());
+            SimulatedCluster cluster = new SimulatedCluster(3 + (int) (seed % 10), seed);
+            cluster.runFor(3000);
+            cluster.isCut = (from, to) -> from == 0 && to == 1;
+            cluster.runFor(10_000);
+            assertTrue(
+                    cluster.members[0].unacknowledgedForMs("n1") > 9000,
+                    "n0 detects that n1 does not receive its messages");
+            assertEquals(1, cluster.members[0].countOneWay());
+            assertEquals(0, cluster.members[1].unacknowledgedForMs("n0"));
+            assertEquals(MemberStatus.ALIVE, cluster.members[1].status("n0"));
+            assertEquals(MemberStatus.ALIVE, cluster.members[0].status("n1"));
+            assertEquals(0, cluster.count(MemberStatus.DEAD));
+            cluster.isCut = (from, to) -> false;
+            cluster.runFor(1000);
+            assertEquals(0, cluster.members[0].countOneWay());
         }
     }
 
     @Test
     void slowAndLossyLinksDeclareNobodyDead() {
         for (long seed = 0; seed < 30; seed++) {
-            SimulatedCluster w = new SimulatedCluster(4 + (int) (seed % 9), seed);
-            w.delayMs = 250;
-            w.lossProbability = 0.3;
-            w.runFor(60_000);
-            assertEquals(0, w.count(MemberStatus.DEAD), "seed " + seed);
+            SimulatedCluster cluster = new SimulatedCluster(4 + (int) (seed % 9), seed);
+            cluster.delayMs = 250;
+            cluster.lossProbability = 0.3;
+            cluster.runFor(60_000);
+            assertEquals(0, cluster.count(MemberStatus.DEAD), "seed " + seed);
         }
     }
 
     @Test
     void pausedMemberDeclaresNobodyDeadAndRefutesItsSuspicion() {
         for (long seed = 0; seed < 100; seed++) {
-            SimulatedCluster w = new SimulatedCluster(3 + (int) (seed % 10), seed);
-            w.runFor(3000);
-            w.pausedUntilMs[0] = w.nowMs + 10_000 + seed * 50;
-            w.runFor(9_900);
-            w.assertStatusEverywhere(0, MemberStatus.DEAD);
-            w.runFor(8_000);
-            for (SimulatedCluster.StatusChange s : w.statusChanges) {
-                assertTrue(s.observer() != 0 || s.status() == MemberStatus.ALIVE, "it doubts others: " + s);
+            SimulatedCluster cluster = new SimulatedCluster(3 + (int) (seed % 10), seed);
+            cluster.runFor(3000);
+            cluster.pausedUntilMs[0] = cluster.nowMs + 10_000 + seed * 50;
+            cluster.runFor(9_900);
+            cluster.assertStatusEverywhere(0, MemberStatus.DEAD);
+            cluster.runFor(8_000);
+            for (SimulatedCluster.StatusChange change : cluster.statusChanges) {
+                assertTrue(
+                        change.observer() != 0 || change.status() == MemberStatus.ALIVE,
+                        "the paused member changed the status of another: " + change);
             }
-            w.assertStatusEverywhere(0, MemberStatus.ALIVE);
-            assertTrue(w.members[0].refutations() > 0);
-            assertTrue(w.members[0].pauses() > 0);
+            cluster.assertStatusEverywhere(0, MemberStatus.ALIVE);
+            assertTrue(cluster.members[0].refutations() > 0);
+            assertTrue(cluster.members[0].pauses() > 0);
         }
     }
 
     @Test
     void delayedHeartbeatsDoNotKeepADeadMemberAlive() {
-        SimulatedCluster w = new SimulatedCluster(2, 5);
-        w.runFor(3000);
-        w.delayMs = 2600;
-        w.runFor(500);
-        // The beats of this half second arrive from 1.3 to 3.9 s after their sending, when their sender has ended.
-        double died = w.nowMs;
-        w.killMember(0);
-        w.runFor(LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
-        assertEquals(MemberStatus.DEAD, w.members[1].status("n0"), "by " + (w.nowMs - died));
-        w.runFor(10_000);
-        assertEquals(MemberStatus.DEAD, w.members[1].status("n0"));
+        SimulatedCluster cluster = new SimulatedCluster(2, 5);
+        cluster.runFor(3000);
+        cluster.delayMs = 2600;
+        cluster.runFor(500);
+        // Heartbeats of this half second arrive 1.3 to 3.9 s after they were sent, when their sender is already dead.
+        double killedAtMs = cluster.nowMs;
+        cluster.killMember(0);
+        cluster.runFor(LIMITS.deadAfterMs() + 3 * LIMITS.heartbeatMs());
+        assertEquals(
+                MemberStatus.DEAD, cluster.members[1].status("n0"), "after " + (cluster.nowMs - killedAtMs) + " ms");
+        cluster.runFor(10_000);
+        assertEquals(MemberStatus.DEAD, cluster.members[1].status("n0"));
     }
 
     @Test
     void restartedMemberAndPartitionedHalvesRejoin() {
         for (long seed = 0; seed < 50; seed++) {
-            SimulatedCluster w = new SimulatedCluster(6, seed);
-            w.runFor(2000);
-            w.isCut = (from, to) -> from < 3 != to < 3;
-            w.runFor(12_000);
-            assertEquals(3, w.members[0].count(MemberStatus.DEAD));
-            w.isCut = (from, to) -> false;
-            w.runFor(2000);
-            assertEquals(5, w.members[0].count(MemberStatus.ALIVE));
-            w.killMember(2);
-            w.runFor(10_000);
-            w.startMember(2, 2);
-            // Only one other has a link with the new life: the rest hear of it.
-            w.connect(2, 4);
-            w.connect(4, 2);
-            w.runFor(2000);
-            w.assertStatusEverywhere(2, MemberStatus.ALIVE);
-            assertEquals(2, w.members[0].incarnationOf("n2"));
+            SimulatedCluster cluster = new SimulatedCluster(6, seed);
+            cluster.runFor(2000);
+            cluster.isCut = (from, to) -> from < 3 != to < 3;
+            cluster.runFor(12_000);
+            assertEquals(3, cluster.members[0].count(MemberStatus.DEAD));
+            cluster.isCut = (from, to) -> false;
+            cluster.runFor(2000);
+            assertEquals(5, cluster.members[0].count(MemberStatus.ALIVE));
+            cluster.killMember(2);
+            cluster.runFor(10_000);
+            cluster.startMember(2, 2);
+            // Only n4 is connected to the new incarnation: the others learn of it by gossip.
+            cluster.connect(2, 4);
+            cluster.connect(4, 2);
+            cluster.runFor(2000);
+            cluster.assertStatusEverywhere(2, MemberStatus.ALIVE);
+            assertEquals(2, cluster.members[0].incarnationOf("n2"));
         }
     }
 
     @Test
     void twoProcessesOfOneNameAreDetectedWithoutACommonPeer() {
-        SimulatedCluster w = new SimulatedCluster(4, 1);
-        w.runFor(2000);
-        // n3 lives on at n0 and n1; a copy of it, of the same life, has linked with n2 only.
-        w.members[2] = new FailureDetector("n2", 2, SimulatedCluster.instance(2, 2), LIMITS, 9);
-        w.members[2].update(w.names);
-        w.incarnations[2] = 2;
-        FailureDetector d = w.members[2];
-        w.schedule(1, () -> w.tick(2, d));
+        SimulatedCluster cluster = new SimulatedCluster(4, 1);
+        cluster.runFor(2000);
+        // The first n3 stays connected to n0 and n1; a copy of the same incarnation connects to n2 only.
+        cluster.members[2] = new FailureDetector("n2", 2, SimulatedCluster.instance(2, 2), LIMITS, 9);
+        cluster.members[2].update(cluster.names);
+        cluster.incarnations[2] = 2;
+        FailureDetector detector = cluster.members[2];
+        cluster.schedule(1, () -> cluster.tick(2, detector));
         for (int i = 0; i < 2; i++) {
-            w.connect(2, i);
-            w.connect(i, 2);
+            cluster.connect(2, i);
+            cluster.connect(i, 2);
         }
-        d.onConnected(w.localTimeMs(2), w.localTimeMs(2), "n3", 1, 4711);
-        w.runFor(2000);
-        List<FailureDetector.Conflict> told = w.members[0].drainConflicts();
-        assertEquals(1, told.size(), "once: " + told);
-        assertEquals("n3", told.get(0).name());
-        assertEquals("n3", w.members[3].drainConflicts().get(0).name(), "the first process is told itself");
+        detector.onConnected(cluster.localTimeMs(2), cluster.localTimeMs(2), "n3", 1, 4711);
+        cluster.runFor(2000);
+        List<FailureDetector.Conflict> conflicts = cluster.members[0].drainConflicts();
+        assertEquals(1, conflicts.size(), "reported once: " + conflicts);
+        assertEquals("n3", conflicts.get(0).name());
+        assertEquals("n3", cluster.members[3].drainConflicts().get(0).name(), "the first process is notified as well");
     }
 
-    /** What a peer tells of this member itself, to one that has run for a second. */
-    private static FailureDetector detectorToldOfItself(long incarnation, MemberStatus standing, double ageMs) {
-        FailureDetector d = new FailureDetector("a", 5, 1, LIMITS, 1);
-        d.update(List.of("b"));
-        d.onConnected(0, 0, "b", 1, 2);
-        d.tick(1000);
-        SwimMessage.Entry e = new SwimMessage.Entry("a", incarnation, 77, 0, standing, false, ageMs);
-        d.onMessage(1000, "b", 1, 2, new SwimMessage(0, 1, 0, 990, 0, List.of(e), List.of()));
-        return d;
+    /** A detector that has run for a second, after a peer's gossip about the member itself. */
+    private static FailureDetector detectorToldOfItself(long incarnation, MemberStatus status, double ageMs) {
+        FailureDetector detector = new FailureDetector("a", 5, 1, LIMITS, 1);
+        detector.update(List.of("b"));
+        detector.onConnected(0, 0, "b", 1, 2);
+        detector.tick(1000);
+        SwimMessage.Entry entry = new SwimMessage.Entry("a", incarnation, 77, 0, status, false, ageMs);
+        detector.onMessage(1000, "b", 1, 2, new SwimMessage(0, 1, 0, 990, 0, List.of(entry), List.of()));
+        return detector;
     }
 
     @Test
@@ -358,9 +365,10 @@
         assertEquals(
                 Long.MIN_VALUE, detectorToldOfItself(4, MemberStatus.DEAD, 2000).endedIncarnation());
         for (double ageMs : new double[] {-1, 500}) {
-            FailureDetector second = detectorToldOfItself(9, MemberStatus.ALIVE, ageMs);
-            assertEquals(Long.MIN_VALUE, second.endedIncarnation(), "it lives beside this one, age " + ageMs);
-            assertEquals(1, second.drainConflicts().size());
+            FailureDetector inConflict = detectorToldOfItself(9, MemberStatus.ALIVE, ageMs);
+            assertEquals(
+                    Long.MIN_VALUE, inConflict.endedIncarnation(), "the other process is still running, age " + ageMs);
+            assertEquals(1, inConflict.drainConflicts().size());
         }
         FailureDetector renewed = detectorToldOfItself(9, MemberStatus.DEAD, -1);
         renewed.beginIncarnation(10);
@@ -370,19 +378,19 @@
 
     @Test
     void onlyAGreaterRefutationNumberRevivesADeadMember() {
-        FailureDetector d = new FailureDetector("a", 1, 1, LIMITS, 1);
-        d.update(List.of("b"));
-        d.onConnected(0, 0, "b", 1, 2);
+        FailureDetector detector = new FailureDetector("a", 1, 1, LIMITS, 1);
+        detector.update(List.of("b"));
+        detector.onConnected(0, 0, "b", 1, 2);
         int sent = 0;
         double now = 0;
-        while (d.status("b") != MemberStatus.DEAD) {
+        while (detector.status("b") != MemberStatus.DEAD) {
             now += LIMITS.heartbeatMs();
-            sent = d.tick(now).get(0).message().sequence();
+            sent = detector.tick(now).get(0).message().sequence();
         }
         assertEquals(LIMITS.deadAfterMs(), now, LIMITS.heartbeatMs());
-        d.onMessage(now + 10, "b", 1, 2, new SwimMessage(0, 1, sent, 5, 0, List.of(), List.of()));
-        assertEquals(MemberStatus.DEAD, d.status("b"), "it does not know yet that it was held gone");
-        d.onMessage(now + 20, "b", 1, 2, new SwimMessage(0, 2, sent, 15, 1, List.of(), List.of()));
-        assertEquals(MemberStatus.ALIVE, d.status("b"));
+        detector.onMessage(now + 10, "b", 1, 2, new SwimMessage(0, 1, sent, 5, 0, List.of(), List.of()));
+        assertEquals(MemberStatus.DEAD, detector.status("b"), "the member does not know yet that it was declared dead");
+        detector.onMessage(now + 20, "b", 1, 2, new SwimMessage(0, 2, sent, 15, 1, List.of(), List.of()));
+        assertEquals(MemberStatus.ALIVE, detector.status("b"));
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/GoldenFormsTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The forms of what members say to each other on a link, against the golden files. */
+/** Checks the encoding of all messages between members against the golden files. */
 class GoldenFormsTest {
     private static final byte[] CONTENT = {0, 1, 127, -128, -1};
     private static final int MAX_FRAME_BYTES = 1024;
-    /** Listed one by one, so that each keeps its file when it is renamed. */
+    /** Listed explicitly, so that each constant keeps its golden file when it is renamed. */
     private static final List<MemberStatus> STATUSES =
             List.of(MemberStatus.UNKNOWN, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD);
 
@@ -40,9 +40,8 @@
     void swimMessages() throws IOException {
         assertEquals(MemberStatus.values().length, STATUSES.size());
         List<SwimMessage.Entry> entries = new ArrayList<>();
-        for (MemberStatus standing : STATUSES) {
-            entries.add(
-                    new SwimMessage.Entry("n" + entries.size(), 1_700_000_000_001L, -9, 3, standing, false, 1500.5));
+        for (MemberStatus status : STATUSES) {
+            entries.add(new SwimMessage.Entry("n" + entries.size(), 1_700_000_000_001L, -9, 3, status, false, 1500.5));
         }
         entries.add(new SwimMessage.Entry("n9", 4, 5, 6, MemberStatus.DEAD, true, -1));
         SwimMessage all = new SwimMessage(
@@ -75,10 +74,10 @@
         return new Handshake.Hello(welcome, "fleet", "n1", "n2", "127.0.0.1:7000", 1_700_000_000_001L, -9, 4);
     }
 
-    private static void check(String name, Handshake.Message part) throws IOException {
+    private static void check(String name, Handshake.Message message) throws IOException {
         GoldenFiles.check(
                 "peer/handshake-" + name,
-                part,
+                message,
                 Handshake::encode,
                 form -> Handshake.read(new ByteArrayInputStream(form)));
     }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/MeshCost.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.awaitility.Awaitility;
 
-/** What a full mesh of members in one process costs at rest, and how soon one that ends is found. Not a test. */
+/**
+ * Measures the idle cost of a full mesh of members in one process, and the time until a killed member is detected. Not
+ * a test.
+ */
 final class MeshCost {
     private final Clock clock = Clock.system();
     private final List<TcpPeerLinks> all = new ArrayList<>();
@@ -17,7 +20,7 @@
 
     private MeshCost() {}
 
-    /** Members, seconds at rest, deaths. */
+    /** Arguments: number of members, idle seconds, number of members to kill. */
     public static void main(String[] args) throws Exception {
         new MeshCost().run(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]));
         System.exit(0);
@@ -31,9 +34,9 @@
                 List.of(),
                 clock,
                 PeerLimits.defaults());
-        links.addWatcher((peer, standing, its) -> {
-            if (standing == MemberStatus.DEAD) {
-                declaredDeadAtMs.put(links.self().name() + " " + peer + " " + its, clock.nowMs());
+        links.addWatcher((peer, status, peerIncarnation) -> {
+            if (status == MemberStatus.DEAD) {
+                declaredDeadAtMs.put(links.self().name() + " " + peer + " " + peerIncarnation, clock.nowMs());
             }
         });
         links.start();
@@ -42,17 +45,17 @@
 
     private void connectAll() {
         List<Member> members = all.stream().map(TcpPeerLinks::self).toList();
-        all.forEach(l -> l.update(members));
+        all.forEach(links -> links.update(members));
         Awaitility.await()
                 .atMost(java.time.Duration.ofMinutes(1))
                 .until(() -> all.stream()
-                        .allMatch(l -> l.metrics().get("peers_alive") == all.size() - 1
-                                && l.connectedPeers().size() == all.size() - 1));
+                        .allMatch(links -> links.metrics().get("peers_alive") == all.size() - 1
+                                && links.connectedPeers().size() == all.size() - 1));
     }
 
-    private double sum(String figure) {
+    private double sum(String metric) {
         return all.stream()
-                .mapToDouble(l -> l.metrics().getOrDefault(figure, 0.0))
+                .mapToDouble(links -> links.metrics().getOrDefault(metric, 0.0))
                 .sum();
     }
 
@@ -61,9 +64,9 @@
         for (int i = 0; i < members; i++) {
             all.add(startMember(i, 1));
         }
-        double from = clock.nowMs();
+        double startedAtMs = clock.nowMs();
         connectAll();
-        System.out.printf("%d members: all linked after %.0f ms%n", members, clock.nowMs() - from);
+        System.out.printf("%d members: all connected after %.0f ms%n", members, clock.nowMs() - startedAtMs);
         for (String name : all.get(1).metrics().keySet()) {
             System.out.print(name + "=" + (long) sum(name) + " ");
         }
@@ -72,33 +75,34 @@
         double bytes = sum("bytes_out");
         double frames = sum("frames_out");
         long cpu = system.getProcessCpuTime();
-        from = clock.nowMs();
+        startedAtMs = clock.nowMs();
         Thread.sleep(seconds * 1000L);
-        double passed = (clock.nowMs() - from) / 1000;
+        double elapsedS = (clock.nowMs() - startedAtMs) / 1000;
         System.out.printf(
-                "at rest, a member: %.0f threads, %.0f beats/s and %.0f bytes/s out, %.2f%% of a core%n",
+                "idle, per member: %.0f threads, %.0f frames/s and %.0f bytes/s sent, %.2f%% of a core%n",
                 sum("threads") / members,
-                (sum("frames_out") - frames) / passed / members,
-                (sum("bytes_out") - bytes) / passed / members,
-                (system.getProcessCpuTime() - cpu) / 1e7 / passed / members);
-        List<Double> took = new ArrayList<>();
-        for (int d = 0; d < deaths; d++) {
-            TcpPeerLinks victim = all.remove(d % members);
-            double died = clock.nowMs();
+                (sum("frames_out") - frames) / elapsedS / members,
+                (sum("bytes_out") - bytes) / elapsedS / members,
+                (system.getProcessCpuTime() - cpu) / 1e7 / elapsedS / members);
+        List<Double> delaysMs = new ArrayList<>();
+        for (int death = 0; death < deaths; death++) {
+            TcpPeerLinks victim = all.remove(death % members);
+            double killedAtMs = clock.nowMs();
             victim.abort();
             String key = " " + victim.self().name() + " " + victim.incarnation();
             Awaitility.await()
                     .atMost(java.time.Duration.ofMinutes(1))
                     .until(() -> all.stream()
-                            .allMatch(l -> declaredDeadAtMs.containsKey(l.self().name() + key)));
-            all.forEach(l -> took.add(declaredDeadAtMs.get(l.self().name() + key) - died));
-            all.add(d % members, startMember(d % members, victim.incarnation() + 1));
+                            .allMatch(links ->
+                                    declaredDeadAtMs.containsKey(links.self().name() + key)));
+            all.forEach(links -> delaysMs.add(declaredDeadAtMs.get(links.self().name() + key) - killedAtMs));
+            all.add(death % members, startMember(death % members, victim.incarnation() + 1));
             connectAll();
         }
-        double[] sorted = took.stream().mapToDouble(t -> t).sorted().toArray();
+        double[] sorted = delaysMs.stream().mapToDouble(delay -> delay).sorted().toArray();
         if (sorted.length > 0) {
             System.out.printf(
-                    "%d deaths: found after p50 %.0f, max %.0f ms; false suspicions %.0f, of %d%n",
+                    "%d deaths: detected after p50 %.0f, max %.0f ms; false suspicions %.0f, detections %d%n",
                     deaths,
                     sorted[sorted.length / 2],
                     sorted[sorted.length - 1],
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
@@ -50,7 +50,7 @@
         }
 
         String address() {
-            await().until(() -> output.stream().anyMatch(l -> l.startsWith("at ")));
+            await().until(() -> output.stream().anyMatch(text -> text.startsWith("at ")));
             return output.get(0).substring(3);
         }
 
@@ -66,8 +66,10 @@
                             .waitFor());
         }
 
-        long count(String standing) {
-            return output.stream().filter(l -> l.contains(" " + standing + " ")).count();
+        long count(String status) {
+            return output.stream()
+                    .filter(text -> text.contains(" " + status + " "))
+                    .count();
         }
     }
 
@@ -84,35 +86,40 @@
 
     @AfterEach
     void killChildren() {
-        children.forEach(c -> c.process.destroyForcibly());
+        children.forEach(child -> child.process.destroyForcibly());
     }
 
     @Test
     void pausedKilledAndRestartedProcessesAreDistinguished() throws Exception {
-        Child a = new Child("a", 1);
-        Child b = new Child("b", 1);
-        Child c = new Child("c", 1);
-        connectAll(a, b, c);
-        for (Child child : List.of(a, b)) {
+        Child memberA = new Child("a", 1);
+        Child memberB = new Child("b", 1);
+        Child memberC = new Child("c", 1);
+        connectAll(memberA, memberB, memberC);
+        for (Child child : List.of(memberA, memberB)) {
             child.awaitLine("c ALIVE 1");
         }
-        c.awaitLine("a ALIVE 1");
-        c.signal("-STOP");
-        a.awaitLine("c SUSPECT 1");
-        a.awaitLine("c DEAD 1");
-        b.awaitLine("c DEAD 1");
-        c.signal("-CONT");
-        await().until(() -> a.count("ALIVE") == 3 && b.count("ALIVE") == 3);
-        assertEquals(0, c.count("DEAD") + c.count("SUSPECT"), "who stood still takes nobody for dead: " + c.output);
-        c.process.destroyForcibly();
-        await().until(() -> a.count("DEAD") == 2 && b.count("DEAD") == 2);
+        memberC.awaitLine("a ALIVE 1");
+        memberC.signal("-STOP");
+        memberA.awaitLine("c SUSPECT 1");
+        memberA.awaitLine("c DEAD 1");
+        memberB.awaitLine("c DEAD 1");
+        memberC.signal("-CONT");
+        await().until(() -> memberA.count("ALIVE") == 3 && memberB.count("ALIVE") == 3);
+        assertEquals(
+                0,
+                memberC.count("DEAD") + memberC.count("SUSPECT"),
+                "the paused member declares nobody dead: " + memberC.output);
+        memberC.process.destroyForcibly();
+        await().until(() -> memberA.count("DEAD") == 2 && memberB.count("DEAD") == 2);
         Child later = new Child("c", 2);
-        connectAll(a, b, later);
-        a.awaitLine("c ALIVE 2");
-        b.awaitLine("c ALIVE 2");
-        b.process.getOutputStream().close();
-        a.awaitLine("b DEAD 1");
+        connectAll(memberA, memberB, later);
+        memberA.awaitLine("c ALIVE 2");
+        memberB.awaitLine("c ALIVE 2");
+        memberB.process.getOutputStream().close();
+        memberA.awaitLine("b DEAD 1");
         later.awaitLine("b DEAD 1");
-        assertTrue(a.output.stream().noneMatch("b SUSPECT 1"::equals), "a farewell is no silence: " + a.output);
+        assertTrue(
+                memberA.output.stream().noneMatch("b SUSPECT 1"::equals),
+                "a member that leaves is not suspected first: " + memberA.output);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/peer/RejectionHandlerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/RejectionHandlerTest.java
@@ -33,7 +33,7 @@
         }
     }
 
-    // Guards against an alarm about a member that joined while its hello was being rejected.
+    // Guards against a fault about a member that was configured while its hello was being rejected.
     @Test
     void peerThatBecameKnownDuringItsRejectionRaisesNoFault() throws Exception {
         assertEquals(List.of(), faultsAfter(HandshakeRejection.UNKNOWN_MEMBER));
@@ -44,9 +44,9 @@
         assertEquals(List.of(HandshakeRejection.FLEET_MISMATCH), faultsAfter(HandshakeRejection.FLEET_MISMATCH));
     }
 
-    /** What is raised when a hello of the known peer "a" is rejected for this reason. */
+    /** The faults raised when a hello of the configured peer "a" is rejected for this reason. */
     private List<HandshakeRejection> faultsAfter(HandshakeRejection reason) throws Exception {
-        membership.addFaultListener((name, why, text) -> faults.add(why));
+        membership.addFaultListener((name, rejection, text) -> faults.add(rejection));
         synchronized (context.lock) {
             membership.start();
             registry.add(new Peer(new Member("a", "127.0.0.1:1", "z")));
@@ -59,7 +59,7 @@
             handler.onRejected(connection, reason, "a hello");
         }
         synchronized (context.lock) {
-            membership.raiseFault("last", END_MARKER, "behind all others");
+            membership.raiseFault("last", END_MARKER, "marks the end");
         }
         List<HandshakeRejection> raised = new ArrayList<>();
         for (HandshakeRejection next = nextFault(); next != END_MARKER; next = nextFault()) {
--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -22,9 +22,9 @@
 class TcpPeerLinksTest {
     static final PeerLimits SHORT_TIMEOUTS = new PeerLimits(64 << 10, 256 << 10, 64, 20, 150, 500, 400, 10, 100, 4, 3);
 
-    /** Waits longer than the other side, so that the other side is the one that closes. */
+    /** A longer timeout than the other side's, so that the other side closes the connection first. */
     static final PeerLimits LONG_DEAD_TIMEOUT = SHORT_TIMEOUTS.withLivenessTimeouts(20, 150, 9000);
-    /** A busy machine does not break a link by itself. */
+    /** Timeouts long enough that a busy machine does not lose connections by itself. */
     static final PeerLimits TOLERANT_TIMEOUTS = SHORT_TIMEOUTS.withLivenessTimeouts(20, 300, 1500);
 
     private final List<TcpPeerLinks> open = new ArrayList<>();
@@ -52,12 +52,12 @@
         open.add(links);
         links.setReceiver(
                 MessageStream.REPLICA, (peer, from, body) -> received.add(name + "<" + peer + from + new String(body)));
-        links.addFaultListener((who, why, text) -> faults.add(name + ":" + who + ":" + why));
+        links.addFaultListener((member, reason, text) -> faults.add(name + ":" + member + ":" + reason));
         links.start();
         return links;
     }
 
-    /** Between a dialler and a listener: can cut, hold or spoil what goes either way. */
+    /** A proxy between a dialer and a listener that can block either direction or corrupt a byte. */
     private final class Relay implements AutoCloseable {
         final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -85,13 +85,13 @@
             return new Member(listener.self().name(), "127.0.0.1:" + serverSocket.getLocalPort(), "z");
         }
 
-        private void copy(Socket from, Socket to, boolean up) throws IOException {
+        private void copy(Socket from, Socket to, boolean toListener) throws IOException {
             byte[] bytes = new byte[4096];
-            for (int n = from.getInputStream().read(bytes);
-                    n > 0;
-                    n = from.getInputStream().read(bytes)) {
+            for (int count = from.getInputStream().read(bytes);
+                    count > 0;
+                    count = from.getInputStream().read(bytes)) {
                 synchronized (this) {
-                    while (up ? blockToListener : blockToDialer) {
+                    while (toListener ? blockToListener : blockToDialer) {
                         try {
                             wait();
                         } catch (InterruptedException e) {
@@ -101,17 +101,17 @@
                 }
                 if (corruptNext) {
                     corruptNext = false;
-                    bytes[n / 2] ^= 4;
+                    bytes[count / 2] ^= 4;
                 }
-                to.getOutputStream().write(bytes, 0, n);
+                to.getOutputStream().write(bytes, 0, count);
             }
             from.close();
             to.close();
         }
 
-        synchronized void block(boolean up, boolean down) {
-            blockToListener = up;
-            blockToDialer = down;
+        synchronized void block(boolean toListener, boolean toDialer) {
+            blockToListener = toListener;
+            blockToDialer = toDialer;
             notifyAll();
         }
 
@@ -134,7 +134,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                // A closed socket ends its thread.
+                // The socket was closed: the thread terminates.
                 return;
             }
         });
@@ -146,7 +146,7 @@
         return links.metrics().getOrDefault(name, 0.0);
     }
 
-    /** a and b, whose link goes through the relay only: b does not know where a is. */
+    /** Connects a to b through a relay; b does not know a's address and so cannot dial it directly. */
     private Relay connectThroughRelay(TcpPeerLinks a, TcpPeerLinks b) throws IOException {
         Relay relay = new Relay(b);
         b.update(List.of(new Member(a.self().name(), "127.0.0.1:1", "z")));
@@ -185,7 +185,7 @@
         b.close();
         await().until(() -> a.status("b") == MemberStatus.DEAD && c.status("b") == MemberStatus.DEAD);
         assertFalse(a.send("b", MessageStream.REPLICA, "z".getBytes()));
-        assertEquals(0, a.metrics().get("deaths"), "a farewell is no death");
+        assertEquals(0, a.metrics().get("deaths"), "a member that leaves is not counted as a death");
         assertEquals(0, b.metrics().get("threads"));
         TcpPeerLinks again = startLinks("b", 8, "f", SHORT_TIMEOUTS);
         connectAll(a, again, c);
@@ -203,7 +203,7 @@
         TcpPeerLinks c = startLinks("c", 1, "f", SHORT_TIMEOUTS);
         c.update(List.of(a.self()));
         await().until(() -> metric(a, "refused_unknown_member") > 0);
-        // d is listed at the address that a has now.
+        // d is configured at the address of a.
         c.update(List.of(new Member("d", a.self().address(), "z")));
         await().until(() -> metric(a, "refused_not_the_one") > 0 && faults.contains("c:d:WRONG_MEMBER"));
         assertTrue(a.connectedPeers().isEmpty()
@@ -244,7 +244,7 @@
         await().until(() -> received.contains("a<b6x"));
     }
 
-    /** Lives begin with the time of day: an hour's step back between two processes of a member. */
+    /** Incarnations derive from the time of day, which steps back by an hour between two processes of b. */
     @Test
     void processStartedAfterAClockStepBackTakesALaterIncarnation() throws Exception {
         TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
@@ -259,10 +259,13 @@
         await().until(() -> received.contains("a<b3600001x"));
         assertEquals(3_600_001, after.incarnation());
         await().until(() -> a.status("b") == MemberStatus.ALIVE);
-        assertTrue(faults.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), faults::toString);
+        assertTrue(faults.stream().noneMatch(fault -> fault.endsWith("DUPLICATE_NAME")), faults::toString);
     }
 
-    /** c began after the later life had ended, so it links with the earlier number before it hears of the later. */
+    /**
+     * c starts after the later incarnation has ended, so it connects to the process with the earlier number before it
+     * learns of the later one.
+     */
     @Test
     void laterIncarnationIsTakenAfterConnectingToAPeerThatDoesNotKnowTheEndedOne() throws Exception {
         TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
@@ -281,7 +284,7 @@
         awaitConnections(2, a, after, c);
         assertEquals(10, after.incarnation());
         await().until(() -> a.status("b") == MemberStatus.ALIVE && c.status("b") == MemberStatus.ALIVE);
-        assertTrue(faults.stream().noneMatch(t -> t.endsWith("DUPLICATE_NAME")), faults::toString);
+        assertTrue(faults.stream().noneMatch(fault -> fault.endsWith("DUPLICATE_NAME")), faults::toString);
     }
 
     @Test
@@ -293,9 +296,13 @@
         TcpPeerLinks copy = startLinks("b", 6, "f", SHORT_TIMEOUTS);
         copy.update(List.of(a.self()));
         await().until(() -> faults.contains("a:b:DUPLICATE_NAME"));
-        await().until(() ->
-                faults.stream().filter(t -> t.equals("b:b:DUPLICATE_NAME")).count() >= 2);
-        assertTrue(b.connectedPeers().contains("a") && copy.connectedPeers().isEmpty(), "the first one keeps its link");
+        await().until(() -> faults.stream()
+                        .filter(fault -> fault.equals("b:b:DUPLICATE_NAME"))
+                        .count()
+                >= 2);
+        assertTrue(
+                b.connectedPeers().contains("a") && copy.connectedPeers().isEmpty(),
+                "the first process keeps its connection");
     }
 
     @Test
@@ -318,7 +325,7 @@
         relay.block(true, false);
         byte[] body = new byte[60_000];
         await().pollInterval(Duration.ofMillis(1)).until(() -> !a.send("b", MessageStream.REPLICA, body));
-        assertTrue(a.send("b", MessageStream.SHARE, body), "another stream has its own room");
+        assertTrue(a.send("b", MessageStream.SHARE, body), "another stream has a queue of its own");
         assertTrue(metric(a, "unsent_queue_full") > 0);
         await().until(() -> metric(a, "writes_stalled") + metric(a, "one_way_closed") > 0);
         relay.block(false, false);
@@ -338,28 +345,28 @@
         awaitConnections(2, a, b, c);
         relay.block(true, false);
         await().until(() -> metric(a, "one_way_closed") > 0);
-        // b has told where it listens: the next dial goes there, past the broken line.
+        // b announced its listen address: the next dial goes there and bypasses the blocked relay.
         await().until(() -> metric(a, "links_made") > 2 && a.isConnected("b"));
-        assertEquals(MemberStatus.ALIVE, b.status("a"), "c hears it");
+        assertEquals(MemberStatus.ALIVE, b.status("a"), "c still receives from it");
         assertEquals(0, metric(a, "deaths") + metric(b, "deaths") + metric(c, "deaths"));
     }
 
     @Test
     void unidentifiedConnectionsAreBoundedAndBlockNoMember() throws Exception {
         TcpPeerLinks a = startLinks("a", 1, "f", SHORT_TIMEOUTS);
-        List<Socket> held = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
         String address = a.self().address();
         for (int i = 0; i < 40; i++) {
-            held.add(new Socket("127.0.0.1", Integer.parseInt(address.substring(address.indexOf(':') + 1))));
+            idle.add(new Socket("127.0.0.1", Integer.parseInt(address.substring(address.indexOf(':') + 1))));
         }
-        held.get(39).getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
+        idle.get(39).getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
         await().until(() -> metric(a, "strangers_refused") > 0);
         assertTrue(metric(a, "strangers") <= SHORT_TIMEOUTS.maxPendingHandshakes());
         TcpPeerLinks b = startLinks("b", 1, "f", SHORT_TIMEOUTS);
         connectAll(a, b);
         awaitConnections(1, a, b);
         await().until(() -> metric(a, "strangers") == 0);
-        for (Socket socket : held) {
+        for (Socket socket : idle) {
             socket.close();
         }
     }
@@ -373,8 +380,8 @@
         TcpPeerLinks[] members = all.toArray(new TcpPeerLinks[0]);
         connectAll(members);
         awaitConnections(7, members);
-        await().until(() ->
-                all.stream().allMatch(m -> metric(m, "threads") == 3 + 2 * 7 && metric(m, "peers_alive") == 7));
+        await().until(() -> all.stream()
+                .allMatch(member -> metric(member, "threads") == 3 + 2 * 7 && metric(member, "peers_alive") == 7));
         for (TcpPeerLinks from : members) {
             for (TcpPeerLinks to : members) {
                 assertTrue(from == to || from.send(to.self().name(), MessageStream.REPLICA, "!".getBytes()));
--- a/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/WireFormatTest.java
@@ -33,7 +33,7 @@
             List.of(new SwimMessage.Entry("b", 4, 5, 6, MemberStatus.SUSPECT, true, 17)),
             List.of("c", "d"));
 
-    /** Hands out whole requests and notes the greatest that was asked for at once. */
+    /** An input that records the longest read requested at once. */
     private static final class RecordingInput extends InputStream {
         final ByteArrayInputStream in;
         int longestRead;
@@ -65,9 +65,9 @@
         } catch (WireException | EOFException e) {
             assertTrue(e.getMessage() != null);
         } catch (IOException e) {
-            throw new AssertionError("another fault", e);
+            throw new AssertionError("unexpected exception", e);
         }
-        assertTrue(in.longestRead <= MAX_BYTES, "asked for " + in.longestRead);
+        assertTrue(in.longestRead <= MAX_BYTES, "longest read: " + in.longestRead);
     }
 
     private static byte[] frame(byte[] body, MessageStream stream) {
@@ -87,14 +87,15 @@
     @Property(tries = 2000, seed = "29")
     void anyFieldsWithValidChecksumsAreReadOrRejected(
             @ForAll @Size(max = 120) byte[] fields, @ForAll byte kind, @ForAll int length, @ForAll byte stream) {
-        ByteBuffer shake = ByteBuffer.allocate(9 + fields.length + 4);
-        shake.putInt(0x42425031)
+        ByteBuffer handshake = ByteBuffer.allocate(9 + fields.length + 4);
+        handshake
+                .putInt(0x42425031)
                 .putShort((short) fields.length)
                 .put((byte) (kind & 7))
                 .put((byte) 1)
                 .put((byte) 1);
-        shake.put(fields).putInt(WireFormat.crc32c(shake.array(), 0, 9 + fields.length));
-        assertReadOrRejected(shake.array(), Handshake::read);
+        handshake.put(fields).putInt(WireFormat.crc32c(handshake.array(), 0, 9 + fields.length));
+        assertReadOrRejected(handshake.array(), Handshake::read);
         ByteBuffer head = ByteBuffer.allocate(FrameCodec.HEADER_BYTES + fields.length);
         head.putInt(length)
                 .put(stream)
@@ -105,12 +106,12 @@
     }
 
     @Property(tries = 1000, seed = "29")
-    void aFlippedBitIsAlwaysDetected(@ForAll @IntRange(max = 1 << 20) int place) {
+    void aFlippedBitIsAlwaysDetected(@ForAll @IntRange(max = 1 << 20) int bitIndex) {
         byte[] body = SWIM_MESSAGE.encode();
         byte[] frame = frame(body, MessageStream.SHARE);
         byte[] hello = Handshake.encode(HELLO);
-        frame[place / 8 % frame.length] ^= (byte) (1 << place % 8);
-        hello[place / 8 % hello.length] ^= (byte) (1 << place % 8);
+        frame[bitIndex / 8 % frame.length] ^= (byte) (1 << bitIndex % 8);
+        hello[bitIndex / 8 % hello.length] ^= (byte) (1 << bitIndex % 8);
         assertThrows(IOException.class, () -> FrameCodec.read(new ByteArrayInputStream(frame), MAX_BYTES));
         assertThrows(IOException.class, () -> Handshake.read(new ByteArrayInputStream(hello)));
     }
@@ -118,48 +119,49 @@
     @Test
     void messagesSurviveEncoding() throws IOException {
         assertEquals(HELLO, Handshake.read(new ByteArrayInputStream(Handshake.encode(HELLO))));
-        Handshake.Message no = new Handshake.Reject(HandshakeRejection.STALE_INCARNATION, 9, "x".repeat(80));
-        assertEquals(no, Handshake.read(new ByteArrayInputStream(Handshake.encode(no))));
+        Handshake.Message reject = new Handshake.Reject(HandshakeRejection.STALE_INCARNATION, 9, "x".repeat(80));
+        assertEquals(reject, Handshake.read(new ByteArrayInputStream(Handshake.encode(reject))));
         assertEquals(SWIM_MESSAGE, SwimMessage.decode(SWIM_MESSAGE.encode()));
         FrameCodec.Frame frame = FrameCodec.read(
                 new ByteArrayInputStream(frame(SWIM_MESSAGE.encode(), MessageStream.AGREED)), MAX_BYTES);
         assertEquals(MessageStream.AGREED, frame.stream());
         assertArrayEquals(SWIM_MESSAGE.encode(), frame.body());
-        byte[] later = Handshake.encode(HELLO);
-        later[7] = 2;
-        later[8] = 9;
-        ByteBuffer.wrap(later).putInt(later.length - 4, WireFormat.crc32c(later, 0, later.length - 4));
-        assertInstanceOf(Handshake.IncompatibleVersion.class, Handshake.read(new ByteArrayInputStream(later)));
+        byte[] laterVersion = Handshake.encode(HELLO);
+        laterVersion[7] = 2;
+        laterVersion[8] = 9;
+        ByteBuffer.wrap(laterVersion)
+                .putInt(laterVersion.length - 4, WireFormat.crc32c(laterVersion, 0, laterVersion.length - 4));
+        assertInstanceOf(Handshake.IncompatibleVersion.class, Handshake.read(new ByteArrayInputStream(laterVersion)));
     }
 
     @Test
     void streamsShareTheConnectionByBytesAndEachIsBounded() {
-        SendQueue box = new SendQueue(1 << 20, 100);
+        SendQueue queue = new SendQueue(1 << 20, 100);
         for (int i = 0; i < 100; i++) {
-            box.offer(MessageStream.SHARE, new byte[100]);
+            queue.offer(MessageStream.SHARE, new byte[100]);
         }
-        assertFalse(box.offer(MessageStream.SHARE, new byte[1]), "a hundred messages");
-        int taken = 0;
-        while (box.offer(MessageStream.REPLICA, new byte[100_000])) {
-            taken++;
+        assertFalse(queue.offer(MessageStream.SHARE, new byte[1]), "the limit is a hundred messages");
+        int queued = 0;
+        while (queue.offer(MessageStream.REPLICA, new byte[100_000])) {
+            queued++;
         }
-        assertEquals(10, taken, "bytes");
-        assertTrue(box.offer(MessageStream.LIVENESS, new byte[1]), "each stream has its own bounds");
-        assertEquals(MessageStream.LIVENESS, box.poll().stream());
-        int share = 0;
-        int replica = 0;
-        while (share < 100) {
-            if (box.poll().stream() == MessageStream.SHARE) {
-                share++;
+        assertEquals(10, queued, "the limit in bytes");
+        assertTrue(queue.offer(MessageStream.LIVENESS, new byte[1]), "each stream has limits of its own");
+        assertEquals(MessageStream.LIVENESS, queue.poll().stream());
+        int shareMessages = 0;
+        int replicaMessages = 0;
+        while (shareMessages < 100) {
+            if (queue.poll().stream() == MessageStream.SHARE) {
+                shareMessages++;
             } else {
-                replica++;
+                replicaMessages++;
             }
         }
-        assertTrue(replica <= 1, "a megabyte before ten kilobytes: " + replica);
-        while (replica < 10) {
-            assertEquals(MessageStream.REPLICA, box.poll().stream());
-            replica++;
+        assertTrue(replicaMessages <= 1, "a megabyte was sent before ten kilobytes; messages: " + replicaMessages);
+        while (replicaMessages < 10) {
+            assertEquals(MessageStream.REPLICA, queue.poll().stream());
+            replicaMessages++;
         }
-        assertNull(box.poll());
+        assertNull(queue.poll());
     }
 }
