--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -237,7 +237,7 @@
         connectAll(a, later);
         awaitConnections(1, a, later);
         earlier.update(List.of(a.self()));
-        await().until(() -> faults.contains("b:b:STALE_LIFE") && faults.contains("a:b:STALE_LIFE"));
+        await().until(() -> faults.contains("b:b:STALE_INCARNATION") && faults.contains("a:b:STALE_INCARNATION"));
         assertEquals(4, earlier.incarnation());
         assertTrue(earlier.connectedPeers().isEmpty());
         assertTrue(later.send("a", MessageStream.REPLICA, "x".getBytes()));
