--- a/fleet/src/main/java/brackenbridge/fleet/control/AdmissionLimiter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/AdmissionLimiter.java
@@ -10,8 +10,8 @@
 final class AdmissionLimiter {
     private final double ratePerMs;
     private final int burst;
-    private double used;
-    private double expected;
+    private double usedTokens;
+    private double queuedRetries;
     private double lastMs = Double.NEGATIVE_INFINITY;
 
     /**
@@ -32,13 +32,13 @@
     OptionalDouble admit(double nowMs) {
         double drained = lastMs == Double.NEGATIVE_INFINITY ? 0 : Math.max(0, nowMs - lastMs) * ratePerMs;
         lastMs = Math.max(lastMs, nowMs);
-        used = Math.max(0, used - drained);
-        expected = Math.max(0, expected - drained);
-        if (used + 1 <= burst) {
-            used++;
+        usedTokens = Math.max(0, usedTokens - drained);
+        queuedRetries = Math.max(0, queuedRetries - drained);
+        if (usedTokens + 1 <= burst) {
+            usedTokens++;
             return OptionalDouble.empty();
         }
-        expected++;
-        return OptionalDouble.of((used + expected - burst) / ratePerMs);
+        queuedRetries++;
+        return OptionalDouble.of((usedTokens + queuedRetries - burst) / ratePerMs);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
@@ -86,9 +86,9 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Applier applier;
-    private final ChannelFactory<? extends Channel> sockets;
+    private final ChannelFactory<? extends Channel> channelFactory;
     private final MachineSelector selector;
-    private final HeldResources held;
+    private final SubscribedResources resources;
     private volatile Status status = new Status("", Double.NEGATIVE_INFINITY, 0, 0, 0, 0, 0);
 
     // The event loop's only, from here on.
@@ -96,7 +96,7 @@
     private Future<?> pendingDial;
     private boolean closed;
     private boolean paused;
-    private long lastConnection;
+    private long lastConnectionNumber;
     private double confirmedMs = Double.NEGATIVE_INFINITY;
     private long connections;
     private long accepted;
@@ -122,9 +122,9 @@
         this.loop = loop;
         this.clock = clock;
         this.applier = applier;
-        this.sockets = sockets;
+        this.channelFactory = sockets;
         this.selector = new MachineSelector(settings.machines(), settings.region(), limits, random);
-        this.held = new HeldResources(settings.resources());
+        this.resources = new SubscribedResources(settings.resources());
     }
 
     /** Begins to connect. */
@@ -168,10 +168,10 @@
         }
         Session dialled = new Session(machine);
         session = dialled;
-        InetSocketAddress address = addressOf(machine.address());
+        InetSocketAddress address = parseAddress(machine.address());
         Bootstrap attempt = new Bootstrap()
                 .group(loop)
-                .channelFactory(sockets)
+                .channelFactory(channelFactory)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) limits.connectTimeoutMs())
                 .handler(new ChannelInitializer<>() {
@@ -183,20 +183,20 @@
         dialled.channel = ConnectAttempt.begin(attempt, loop, address, dialled);
     }
 
-    private static InetSocketAddress addressOf(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     /** Gives a connection up and goes on to the next machine. */
-    private void end(Session of, String why) {
+    private void failSession(Session of, String why) {
         if (session == of) {
-            selector.failed();
+            selector.onFailed();
         }
-        leave(of, why);
+        closeSession(of, why);
     }
 
-    private void leave(Session of, String why) {
+    private void closeSession(Session of, String why) {
         of.ended = true;
         if (of.channel != null) {
             of.channel.close();
@@ -213,15 +213,15 @@
     /** One connection to one machine. */
     private final class Session extends ChannelInboundHandlerAdapter implements ConnectAttempt.Listener {
         private final ControlMachine machine;
-        private final double homeAfterMs = selector.homeAfterMs();
+        private final double returnHomeAfterMs = selector.returnHomeDelayMs();
         private Channel channel;
         private Future<?> timer;
         private boolean welcomed;
         private boolean ended;
-        private double beganMs;
-        private double lastReadMs;
-        private double lastConfirmedMs;
-        private long heartbeatRead;
+        private double connectedAtMs;
+        private double lastReadAtMs;
+        private double lastConfirmedAtMs;
+        private long lastHeartbeatSequence;
 
         Session(ControlMachine machine) {
             this.machine = machine;
@@ -234,32 +234,33 @@
 
         @Override
         public void connectFailed(Throwable cause) {
-            end(this, "not connected: " + cause.getMessage());
+            failSession(this, "not connected: " + cause.getMessage());
         }
 
         @Override
         public void notBegun(Throwable cause) {
-            end(this, "no socket: " + cause.getMessage());
+            failSession(this, "no socket: " + cause.getMessage());
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channel = context.channel();
-            beganMs = clock.nowMs();
-            lastReadMs = beganMs;
-            lastConfirmedMs = beganMs;
-            lastConnection = Math.max(lastConnection + 1, (long) beganMs);
+            connectedAtMs = clock.nowMs();
+            lastReadAtMs = connectedAtMs;
+            lastConfirmedAtMs = connectedAtMs;
+            lastConnectionNumber = Math.max(lastConnectionNumber + 1, (long) connectedAtMs);
             connections++;
             if (paused) {
                 channel.config().setAutoRead(false);
             }
-            send(new Subscribe(settings.fleet(), settings.node(), settings.region(), lastConnection, held.versions()));
+            send(new Subscribe(
+                    settings.fleet(), settings.node(), settings.region(), lastConnectionNumber, resources.versions()));
             timer = loop.scheduleAtFixedRate(
-                    this::check, (long) limits.heartbeatMs(), (long) limits.heartbeatMs(), TimeUnit.MILLISECONDS);
+                    this::onTimer, (long) limits.heartbeatMs(), (long) limits.heartbeatMs(), TimeUnit.MILLISECONDS);
         }
 
         private void send(ControlMessage message) {
-            byte[] frame = ControlFrames.bytes(message);
+            byte[] frame = ControlFrames.encode(message);
             bytesOut += frame.length;
             channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
         }
@@ -270,13 +271,13 @@
                 timer.cancel(false);
             }
             if (!ended) {
-                end(this, "connection lost");
+                failSession(this, "connection lost");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            end(this, String.valueOf(cause.getMessage()));
+            failSession(this, String.valueOf(cause.getMessage()));
         }
 
         @Override
@@ -285,34 +286,34 @@
             try {
                 if (!ended) {
                     bytesIn += frame.readableBytes() + (long) ControlFrames.LENGTH_BYTES;
-                    lastReadMs = clock.nowMs();
-                    received(ControlFrames.read(frame));
+                    lastReadAtMs = clock.nowMs();
+                    onMessage(ControlFrames.decode(frame));
                     publishStatus();
                 }
             } catch (ProtocolException e) {
-                end(this, e.getMessage());
+                failSession(this, e.getMessage());
             } finally {
                 frame.release();
             }
         }
 
-        private void received(ControlMessage message) throws ProtocolException {
+        private void onMessage(ControlMessage message) throws ProtocolException {
             if (message instanceof Welcome && !welcomed) {
                 welcomed = true;
             } else if (message instanceof Reject refuse) {
-                refused(refuse);
+                onRejected(refuse);
             } else if (message instanceof Update update && welcomed) {
-                held.offer(update.resource(), applier::apply).ifPresent(acknowledge -> {
+                resources.offer(update.resource(), applier::apply).ifPresent(acknowledge -> {
                     accepted += acknowledge.accepted() ? 1 : 0;
                     rejected += acknowledge.accepted() ? 0 : 1;
                     send(acknowledge);
                 });
             } else if (message instanceof MachineHeartbeat heartbeat && welcomed) {
-                heartbeatRead = heartbeat.sequence();
+                lastHeartbeatSequence = heartbeat.sequence();
                 if (heartbeat.confirmed()) {
-                    lastConfirmedMs = lastReadMs;
-                    confirmedMs = lastReadMs;
-                    selector.confirmed();
+                    lastConfirmedAtMs = lastReadAtMs;
+                    confirmedMs = lastReadAtMs;
+                    selector.onConfirmed();
                 }
             } else {
                 throw new ProtocolException(
@@ -320,41 +321,41 @@
             }
         }
 
-        private void refused(Reject refuse) {
+        private void onRejected(Reject refuse) {
             if (refuse.rejection() == SubscriptionRejection.BUSY && refuse.retryAfterMs() > 0) {
-                selector.askedToWait(Math.min(refuse.retryAfterMs(), limits.returnHomeMaxMs()));
-                leave(this, "busy");
+                selector.onRetryAfter(Math.min(refuse.retryAfterMs(), limits.returnHomeMaxMs()));
+                closeSession(this, "busy");
             } else if (refuse.rejection().isTransient()) {
-                end(this, refuse.rejection().name());
+                failSession(this, refuse.rejection().name());
             } else {
                 LOG.warn(
                         "{}: control machine {} refuses this node: {}",
                         settings.node(),
                         machine.name(),
                         refuse.rejection());
-                selector.askedToWait(selector.homeAfterMs());
-                leave(this, refuse.rejection().name());
+                selector.onRetryAfter(selector.returnHomeDelayMs());
+                closeSession(this, refuse.rejection().name());
             }
         }
 
-        private void check() {
+        private void onTimer() {
             double now = clock.nowMs();
             if (ended) {
                 return;
             }
             if (paused) {
-                send(new NodeHeartbeat(heartbeatRead));
-            } else if (!welcomed && now - beganMs > limits.connectTimeoutMs()) {
-                end(this, "no welcome");
-            } else if (now - lastReadMs > limits.silenceTimeoutMs()) {
-                end(this, "silent");
-            } else if (settings.machines().size() > 1 && now - lastConfirmedMs > selector.patienceMs()) {
-                end(this, "its heartbeats are not confirmed");
-            } else if (!selector.isHome(machine) && now - beganMs > homeAfterMs) {
-                selector.goHome();
-                leave(this, "back to its own region");
+                send(new NodeHeartbeat(lastHeartbeatSequence));
+            } else if (!welcomed && now - connectedAtMs > limits.connectTimeoutMs()) {
+                failSession(this, "no welcome");
+            } else if (now - lastReadAtMs > limits.silenceTimeoutMs()) {
+                failSession(this, "silent");
+            } else if (settings.machines().size() > 1 && now - lastConfirmedAtMs > selector.unconfirmedTimeoutMs()) {
+                failSession(this, "its heartbeats are not confirmed");
+            } else if (!selector.isHome(machine) && now - connectedAtMs > returnHomeAfterMs) {
+                selector.returnHome();
+                closeSession(this, "back to its own region");
             } else if (welcomed) {
-                send(new NodeHeartbeat(heartbeatRead));
+                send(new NodeHeartbeat(lastHeartbeatSequence));
                 publishStatus();
             }
         }
@@ -379,7 +380,7 @@
                 pendingDial = null;
             }
             if (session != null) {
-                leave(session, "closed");
+                closeSession(session, "closed");
             }
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
@@ -18,10 +18,10 @@
     /** The version of the protocol that is spoken. */
     static final int VERSION = 1;
     /** Longest message, in bytes: a resource of the longest content and what stands around it. */
-    static final int MAX_MESSAGE = Resource.MAX_CONTENT_BYTES + 1024;
+    static final int MAX_MESSAGE_BYTES = Resource.MAX_CONTENT_BYTES + 1024;
 
-    private static final int HEAD = 2;
-    private static final int MAX_NESTING = 6;
+    private static final int HEADER_BYTES = 2;
+    private static final int MAX_NESTING_DEPTH = 6;
     private static final List<Class<? extends ControlMessage>> KINDS = List.of(
             ControlMessage.Subscribe.class,
             ControlMessage.Acknowledge.class,
@@ -30,18 +30,18 @@
             ControlMessage.Update.class,
             ControlMessage.MachineHeartbeat.class,
             ControlMessage.Reject.class);
-    private static final ObjectMapper MAPPER = mapper();
+    private static final ObjectMapper MAPPER = newMapper();
     private static final List<ObjectReader> READERS =
             KINDS.stream().map(MAPPER::readerFor).toList();
     private static final ObjectWriter WRITER = MAPPER.writer();
 
     private ControlCodec() {}
 
-    private static ObjectMapper mapper() {
+    private static ObjectMapper newMapper() {
         CBORFactory factory = CBORFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
-                        .maxNestingDepth(MAX_NESTING)
-                        .maxDocumentLength(MAX_MESSAGE)
+                        .maxNestingDepth(MAX_NESTING_DEPTH)
+                        .maxDocumentLength(MAX_MESSAGE_BYTES)
                         .maxStringLength(1024)
                         .maxNameLength(64)
                         .maxNumberLength(32)
@@ -56,21 +56,21 @@
                 .build();
     }
 
-    static byte[] write(ControlMessage message) {
+    static byte[] encode(ControlMessage message) {
         try {
             byte[] body = WRITER.writeValueAsBytes(message);
-            byte[] all = new byte[HEAD + body.length];
+            byte[] all = new byte[HEADER_BYTES + body.length];
             all[0] = VERSION;
             all[1] = (byte) KINDS.indexOf(message.getClass());
-            System.arraycopy(body, 0, all, HEAD, body.length);
+            System.arraycopy(body, 0, all, HEADER_BYTES, body.length);
             return all;
         } catch (IOException e) {
             throw new IllegalStateException("can't be written: " + message, e);
         }
     }
 
-    static ControlMessage read(byte[] all) throws ProtocolException {
-        if (all.length < HEAD) {
+    static ControlMessage decode(byte[] all) throws ProtocolException {
+        if (all.length < HEADER_BYTES) {
             throw new ProtocolException(SubscriptionRejection.UNREADABLE, "a frame of " + all.length + " bytes");
         }
         if (all[0] != VERSION) {
@@ -80,7 +80,7 @@
             throw new ProtocolException(SubscriptionRejection.UNREADABLE, "kind " + all[1]);
         }
         try {
-            ControlMessage message = READERS.get(all[1]).readValue(all, HEAD, all.length - HEAD);
+            ControlMessage message = READERS.get(all[1]).readValue(all, HEADER_BYTES, all.length - HEADER_BYTES);
             if (message == null) {
                 throw new ProtocolException(SubscriptionRejection.UNREADABLE, "an empty message");
             }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlFrames.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlFrames.java
@@ -14,12 +14,12 @@
     /** Cuts what is received into messages; a longer one than allowed is an exception as soon as its length is read. */
     static LengthFieldBasedFrameDecoder decoder() {
         return new LengthFieldBasedFrameDecoder(
-                ControlCodec.MAX_MESSAGE + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
+                ControlCodec.MAX_MESSAGE_BYTES + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
     }
 
     /** A message as it is written; the same bytes may be written to any number of connections. */
-    static byte[] bytes(ControlMessage message) {
-        byte[] body = ControlCodec.write(message);
+    static byte[] encode(ControlMessage message) {
+        byte[] body = ControlCodec.encode(message);
         byte[] frame = new byte[LENGTH_BYTES + body.length];
         Unpooled.wrappedBuffer(frame).setInt(0, body.length);
         System.arraycopy(body, 0, frame, LENGTH_BYTES, body.length);
@@ -27,9 +27,9 @@
     }
 
     /** What the decoder cut out, as a message. */
-    static ControlMessage read(ByteBuf frame) throws ProtocolException {
+    static ControlMessage decode(ByteBuf frame) throws ProtocolException {
         byte[] body = new byte[frame.readableBytes()];
         frame.readBytes(body);
-        return ControlCodec.read(body);
+        return ControlCodec.decode(body);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
@@ -49,15 +49,15 @@
  */
 public final class ControlServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
-    private static final int BACKLOG = 1024;
+    private static final int LISTEN_BACKLOG = 1024;
     /** Above the high mark a connection is not written to until it has fallen below the low one; in bytes. */
     private static final WriteBufferWaterMark WRITE_MARKS = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
     /** What a refused connection still sends is dropped for so long, so that it can read why. */
     private static final long LINGER_MS = 500;
 
-    private static final long STOP_MS = 2000;
+    private static final long STOP_TIMEOUT_MS = 2000;
     /** Log lines for refusals in a second at most; the counters have all of them. */
-    private static final int LOGGED_PER_SECOND = 20;
+    private static final int MAX_LOGGED_PER_SECOND = 20;
 
     /**
      * What a control machine serves.
@@ -79,7 +79,7 @@
     private final EventLoop loop = group.next();
     private final ControlMetrics metrics;
     private volatile MachineReport report;
-    private Channel listening;
+    private Channel serverChannel;
 
     // The event loop's only, from here on.
     private final ResourceTable table = new ResourceTable();
@@ -88,12 +88,12 @@
     private final Set<NodeConnection> connections = new LinkedHashSet<>();
     private final Map<String, NodeConnection> byNode = new HashMap<>();
     private final Map<String, Set<NodeConnection>> byResource = new HashMap<>();
-    private final Set<NodeConnection> dirty = new LinkedHashSet<>();
+    private final Set<NodeConnection> pendingConnections = new LinkedHashSet<>();
     private boolean flushScheduled;
     private boolean stopping;
-    private long heartbeats;
-    private long loggedInSecond;
-    private double loggedSinceMs = Double.NEGATIVE_INFINITY;
+    private long heartbeatSequence;
+    private long loggedInWindow;
+    private double logWindowStartMs = Double.NEGATIVE_INFINITY;
 
     /**
      * A server that is not started.
@@ -117,11 +117,11 @@
      */
     public void start() throws IOException {
         try {
-            listening = new ServerBootstrap()
+            serverChannel = new ServerBootstrap()
                     .group(group)
                     .channel(NioServerSocketChannel.class)
                     .handler(new AcceptRecovery(LOG::warn))
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_MARKS)
                     .childHandler(new ChannelInitializer<>() {
@@ -144,7 +144,7 @@
 
     /** Where it listens. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
     /** A version is in force: nodes that subscribe to it are sent it, unless a newer one is known. From any thread. */
@@ -155,11 +155,11 @@
             }
             frames.remove(resource.name());
             for (NodeConnection connection : byResource.getOrDefault(resource.name(), Set.of())) {
-                if (connection.subscription.changed(resource.name(), table)) {
-                    dirty.add(connection);
+                if (connection.subscription.onResourceChanged(resource.name(), table)) {
+                    pendingConnections.add(connection);
                 }
             }
-            if (!dirty.isEmpty() && !flushScheduled) {
+            if (!pendingConnections.isEmpty() && !flushScheduled) {
                 flushScheduled = true;
                 loop.schedule(this::flush, (long) limits.coalesceMs(), TimeUnit.MILLISECONDS);
             }
@@ -173,19 +173,19 @@
 
     private void flush() {
         flushScheduled = false;
-        List<NodeConnection> now = new ArrayList<>(dirty);
-        dirty.clear();
+        List<NodeConnection> now = new ArrayList<>(pendingConnections);
+        pendingConnections.clear();
         now.forEach(NodeConnection::sendPending);
     }
 
     private byte[] frame(Resource resource) {
-        return frames.computeIfAbsent(resource.name(), name -> ControlFrames.bytes(new Update(resource)));
+        return frames.computeIfAbsent(resource.name(), name -> ControlFrames.encode(new Update(resource)));
     }
 
     private void tick() {
         try {
             boolean holdsLease = confirmed.getAsBoolean();
-            byte[] heartbeat = ControlFrames.bytes(new MachineHeartbeat(++heartbeats, holdsLease));
+            byte[] heartbeat = ControlFrames.encode(new MachineHeartbeat(++heartbeatSequence, holdsLease));
             double now = clock.nowMs();
             for (NodeConnection connection : List.copyOf(connections)) {
                 connection.tick(now, heartbeat);
@@ -214,11 +214,11 @@
     private void recordRejection(SubscriptionRejection refusal, String who, String why) {
         metrics.countRejection(refusal);
         double now = clock.nowMs();
-        if (now >= loggedSinceMs + 1000) {
-            loggedSinceMs = now;
-            loggedInSecond = 0;
+        if (now >= logWindowStartMs + 1000) {
+            logWindowStartMs = now;
+            loggedInWindow = 0;
         }
-        if (loggedInSecond++ < LOGGED_PER_SECOND) {
+        if (loggedInWindow++ < MAX_LOGGED_PER_SECOND) {
             LOG.info("control server {}: refused {} reason={} {}", settings.machine(), who, refusal, why);
         }
     }
@@ -236,7 +236,7 @@
         private Subscription subscription;
         private String node = "";
         private String region = "";
-        private long number;
+        private long connectionNumber;
         private boolean ended;
 
         NodeConnection(Channel channel) {
@@ -247,20 +247,20 @@
         public void channelActive(ChannelHandlerContext context) {
             connections.add(this);
             if (stopping) {
-                refuse(SubscriptionRejection.STOPPING, 0, "");
+                reject(SubscriptionRejection.STOPPING, 0, "");
             } else if (connections.size() - byNode.size() > limits.maxUnsubscribedConnections()) {
-                refuse(SubscriptionRejection.BUSY, limits.retryMaxMs(), "too many connections without a subscription");
+                reject(SubscriptionRejection.BUSY, limits.retryMaxMs(), "too many connections without a subscription");
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            forget();
+            removeConnection();
         }
 
-        private void forget() {
+        private void removeConnection() {
             connections.remove(this);
-            dirty.remove(this);
+            pendingConnections.remove(this);
             byNode.remove(node, this);
             if (subscription != null) {
                 subscription
@@ -279,10 +279,10 @@
                 if (!ended) {
                     metrics.bytesIn.increment(frame.readableBytes() + (double) ControlFrames.LENGTH_BYTES);
                     lastReadMs = clock.nowMs();
-                    received(ControlFrames.read(frame));
+                    onMessage(ControlFrames.decode(frame));
                 }
             } catch (ProtocolException e) {
-                refuse(e.rejection(), 0, e.getMessage());
+                reject(e.rejection(), 0, e.getMessage());
             } finally {
                 frame.release();
             }
@@ -291,19 +291,19 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                refuse(SubscriptionRejection.FRAME_TOO_LONG, 0, String.valueOf(cause.getMessage()));
+                reject(SubscriptionRejection.FRAME_TOO_LONG, 0, String.valueOf(cause.getMessage()));
             } else if (cause instanceof DecoderException) {
-                refuse(SubscriptionRejection.UNREADABLE, 0, String.valueOf(cause.getMessage()));
+                reject(SubscriptionRejection.UNREADABLE, 0, String.valueOf(cause.getMessage()));
             } else {
                 channel.close();
             }
         }
 
-        private void received(ControlMessage message) throws ProtocolException {
+        private void onMessage(ControlMessage message) throws ProtocolException {
             if (message instanceof Subscribe subscribe && subscription == null) {
-                subscribe(subscribe);
+                onSubscribe(subscribe);
             } else if (message instanceof Acknowledge acknowledge && subscription != null) {
-                subscription.acknowledged(acknowledge);
+                subscription.onAcknowledge(acknowledge);
                 if (!acknowledge.accepted()) {
                     metrics.rejectedVersions.increment();
                     LOG.warn(
@@ -324,46 +324,46 @@
             }
         }
 
-        private void subscribe(Subscribe request) {
+        private void onSubscribe(Subscribe request) {
             if (!request.fleet().equals(settings.fleet())) {
-                refuse(SubscriptionRejection.OTHER_FLEET, 0, request.node() + " of fleet " + request.fleet());
+                reject(SubscriptionRejection.OTHER_FLEET, 0, request.node() + " of fleet " + request.fleet());
                 return;
             }
             if (!settings.nodes().contains(request.node())) {
-                refuse(SubscriptionRejection.UNKNOWN_NODE, 0, request.node());
+                reject(SubscriptionRejection.UNKNOWN_NODE, 0, request.node());
                 return;
             }
             if (request.resources().size() > ControlMessage.MAX_RESOURCES) {
-                refuse(
+                reject(
                         SubscriptionRejection.TOO_MANY_RESOURCES,
                         0,
                         request.node() + ": " + request.resources().size());
                 return;
             }
             NodeConnection before = byNode.get(request.node());
-            if (before != null && before.number >= request.connectionNumber()) {
-                refuse(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection is here");
+            if (before != null && before.connectionNumber >= request.connectionNumber()) {
+                reject(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection is here");
                 return;
             }
             if (before == null && byNode.size() >= limits.maxSubscribers()) {
-                refuse(SubscriptionRejection.FULL, 0, request.node());
+                reject(SubscriptionRejection.FULL, 0, request.node());
                 return;
             }
             OptionalDouble retryAfterMs = admissions.admit(clock.nowMs());
             if (retryAfterMs.isPresent()) {
-                refuse(SubscriptionRejection.BUSY, retryAfterMs.getAsDouble(), request.node());
+                reject(SubscriptionRejection.BUSY, retryAfterMs.getAsDouble(), request.node());
                 return;
             }
             if (before != null) {
-                before.refuse(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection has come");
+                before.reject(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection has come");
             }
-            admitted(request);
+            startSubscription(request);
         }
 
-        private void admitted(Subscribe request) {
+        private void startSubscription(Subscribe request) {
             node = request.node();
             region = request.region();
-            number = request.connectionNumber();
+            connectionNumber = request.connectionNumber();
             subscription = new Subscription(request, table);
             byNode.put(node, this);
             subscription
@@ -372,7 +372,7 @@
                             .computeIfAbsent(name, key -> new HashSet<>())
                             .add(this));
             metrics.subscriptions.increment();
-            write(ControlFrames.bytes(new Welcome(settings.machine(), limits.heartbeatMs())));
+            write(ControlFrames.encode(new Welcome(settings.machine(), limits.heartbeatMs())));
             sendPending();
         }
 
@@ -395,10 +395,10 @@
                 metrics.updates.increment();
             }
             channel.flush();
-            noteWritability();
+            updateBlockedSince();
         }
 
-        private void noteWritability() {
+        private void updateBlockedSince() {
             if (channel.isWritable()) {
                 blockedSinceMs = Double.NaN;
             } else if (Double.isNaN(blockedSinceMs)) {
@@ -408,7 +408,7 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            noteWritability();
+            updateBlockedSince();
             if (channel.isWritable()) {
                 sendPending();
             }
@@ -420,34 +420,34 @@
             }
             if (subscription == null) {
                 if (nowMs - acceptedMs > limits.silenceTimeoutMs()) {
-                    refuse(SubscriptionRejection.NO_SUBSCRIPTION, 0, "");
+                    reject(SubscriptionRejection.NO_SUBSCRIPTION, 0, "");
                 }
             } else if (nowMs - lastReadMs > limits.silenceTimeoutMs()) {
-                refuse(SubscriptionRejection.SILENT, 0, node);
+                reject(SubscriptionRejection.SILENT, 0, node);
             } else if (nowMs - blockedSinceMs > limits.slowReaderTimeoutMs()
                     || nowMs - unansweredSinceMs > limits.slowReaderTimeoutMs()) {
-                refuse(SubscriptionRejection.SLOW_READER, 0, node);
+                reject(SubscriptionRejection.SLOW_READER, 0, node);
             } else if (channel.isWritable()) {
                 write(heartbeat);
                 channel.flush();
-                noteWritability();
+                updateBlockedSince();
                 if (Double.isNaN(unansweredSinceMs)) {
-                    unansweredHeartbeat = heartbeats;
+                    unansweredHeartbeat = heartbeatSequence;
                     unansweredSinceMs = nowMs;
                 }
             }
         }
 
         /** Tells why, and closes; what still comes in is dropped for a moment, else it would reset the connection. */
-        void refuse(SubscriptionRejection refusal, double retryAfterMs, String why) {
+        void reject(SubscriptionRejection refusal, double retryAfterMs, String why) {
             if (ended) {
                 return;
             }
             ended = true;
             recordRejection(refusal, String.valueOf(channel.remoteAddress()), why);
-            forget();
+            removeConnection();
             channel.pipeline().remove(io.netty.handler.codec.LengthFieldBasedFrameDecoder.class);
-            write(ControlFrames.bytes(new Reject(refusal, retryAfterMs)));
+            write(ControlFrames.encode(new Reject(refusal, retryAfterMs)));
             channel.flush();
             ((DuplexChannel) channel).shutdownOutput();
             loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
@@ -464,15 +464,15 @@
             loop.submit(() -> {
                         stopping = true;
                         List.copyOf(connections)
-                                .forEach(connection -> connection.refuse(SubscriptionRejection.STOPPING, 0, ""));
-                        if (listening != null) {
-                            listening.close();
+                                .forEach(connection -> connection.reject(SubscriptionRejection.STOPPING, 0, ""));
+                        if (serverChannel != null) {
+                            serverChannel.close();
                         }
                     })
-                    .await(STOP_MS);
+                    .await(STOP_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        group.shutdownGracefully(0, STOP_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_MS);
+        group.shutdownGracefully(0, STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_TIMEOUT_MS);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/FleetStatus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/FleetStatus.java
@@ -39,7 +39,7 @@
                     .mapToInt(MachineReport.RegionReport::nodes)
                     .sum();
             boolean stale = dated.ageMs() > STALE_MS;
-            line(
+            appendLine(
                     text,
                     "machine " + report.machine(),
                     String.format(
@@ -59,20 +59,20 @@
                                 .add(region));
             }
         }
-        regions.forEach((name, region) -> append(text, name, region));
+        regions.forEach((name, region) -> appendRegion(text, name, region));
         return text.toString();
     }
 
-    private static void append(StringBuilder text, String name, Region region) {
-        line(text, "region " + name, region.nodes + " nodes, " + region.current + " act by the newest versions");
+    private static void appendRegion(StringBuilder text, String name, Region region) {
+        appendLine(text, "region " + name, region.nodes + " nodes, " + region.current + " act by the newest versions");
         region.versions.forEach((resource, counts) -> {
             if (counts.size() > 1) {
                 List<String> parts = new ArrayList<>();
                 counts.forEach((version, nodes) -> parts.add(nodes + " by version " + version));
-                line(text, "  " + resource, String.join(", ", parts));
+                appendLine(text, "  " + resource, String.join(", ", parts));
             }
         });
-        region.behind.forEach(node -> line(
+        region.behind.forEach(node -> appendLine(
                 text,
                 "  behind",
                 node.node() + ": " + node.resource() + " at version "
@@ -80,7 +80,7 @@
                         + (node.reason().isEmpty() ? "" : ", refused: " + node.reason())));
     }
 
-    private static void line(StringBuilder text, String key, String value) {
+    private static void appendLine(StringBuilder text, String key, String value) {
         text.append(String.format(Locale.ROOT, "%-20s %s%n", key, value));
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
@@ -20,12 +20,12 @@
     private final String region;
     private final ControlLimits limits;
     private final RandomGenerator random;
-    private List<ControlMachine> round = List.of();
+    private List<ControlMachine> currentRound = List.of();
     private int position;
     private int failures;
     private int unconfirmedRounds;
     private boolean started;
-    private double askedToWaitMs;
+    private double pendingRetryAfterMs;
 
     MachineSelector(List<ControlMachine> machines, String region, ControlLimits limits, RandomGenerator random) {
         if (machines.isEmpty()) {
@@ -41,30 +41,30 @@
     Attempt next() {
         if (!started) {
             started = true;
-            beginRound();
-            return new Attempt(round.get(0), random.nextDouble() * limits.startSpreadMs());
+            startRound();
+            return new Attempt(currentRound.get(0), random.nextDouble() * limits.startSpreadMs());
         }
-        if (position >= round.size()) {
-            beginRound();
+        if (position >= currentRound.size()) {
+            startRound();
         }
-        double delayMs = askedToWaitMs > 0 ? askedToWaitMs : random.nextDouble() * boundMs();
-        askedToWaitMs = 0;
-        return new Attempt(round.get(position), delayMs);
+        double delayMs = pendingRetryAfterMs > 0 ? pendingRetryAfterMs : random.nextDouble() * retryBoundMs();
+        pendingRetryAfterMs = 0;
+        return new Attempt(currentRound.get(position), delayMs);
     }
 
-    private double boundMs() {
+    private double retryBoundMs() {
         double bound = limits.retryBaseMs() * (1L << Math.min(Math.max(0, failures - 1), MAX_DOUBLINGS));
         return Math.min(limits.retryMaxMs(), bound);
     }
 
-    private void beginRound() {
+    private void startRound() {
         List<ControlMachine> home = new ArrayList<>();
         List<ControlMachine> away = new ArrayList<>();
         machines.forEach(machine -> (isHome(machine) ? home : away).add(machine));
         shuffle(home);
         shuffle(away);
         home.addAll(away);
-        round = home;
+        currentRound = home;
         position = 0;
     }
 
@@ -82,42 +82,42 @@
     }
 
     /** The machine serves this node and its heartbeats are confirmed. */
-    void confirmed() {
+    void onConfirmed() {
         failures = 0;
         unconfirmedRounds = 0;
     }
 
     /** The connection failed, was lost or was refused: the next machine's turn. */
-    void failed() {
+    void onFailed() {
         failures++;
         position++;
-        if (position >= round.size()) {
+        if (position >= currentRound.size()) {
             unconfirmedRounds++;
         }
     }
 
     /** The machine asked the node to come back to it after so many milliseconds. */
-    void askedToWait(double retryAfterMs) {
+    void onRetryAfter(double retryAfterMs) {
         // A little later at random: the machine spreads the times, two clocks may still agree to the millisecond.
-        askedToWaitMs = retryAfterMs + random.nextDouble() * limits.heartbeatMs() / 2;
+        pendingRetryAfterMs = retryAfterMs + random.nextDouble() * limits.heartbeatMs() / 2;
     }
 
     /** The node returns to its own region. */
-    void goHome() {
-        beginRound();
+    void returnHome() {
+        startRound();
     }
 
     /**
      * How long to stay with a machine whose heartbeats are not confirmed. It doubles with each round in which no
      * machine was: while no majority can be reached, nodes do not wander from machine to machine all the time.
      */
-    double patienceMs() {
+    double unconfirmedTimeoutMs() {
         double longest = limits.returnHomeMaxMs();
         return Math.min(longest, limits.unconfirmedTimeoutMs() * (1L << Math.min(unconfirmedRounds, MAX_DOUBLINGS)));
     }
 
     /** How long to stay with a machine of another region. */
-    double homeAfterMs() {
+    double returnHomeDelayMs() {
         return limits.returnHomeMinMs() + random.nextDouble() * (limits.returnHomeMaxMs() - limits.returnHomeMinMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/NodeNames.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/NodeNames.java
@@ -6,22 +6,22 @@
 
 /** The nodes that may subscribe: names, or beginnings of names with {@code *} behind them. */
 public final class NodeNames {
-    private static final String ANY_END = "*";
+    private static final String WILDCARD = "*";
 
     private final Set<String> names = new HashSet<>();
-    private final List<String> beginnings;
+    private final List<String> prefixes;
 
     /** From the entries of the fleet's file. */
     public NodeNames(List<String> entries) {
-        entries.stream().filter(entry -> !entry.endsWith(ANY_END)).forEach(names::add);
-        beginnings = entries.stream()
-                .filter(entry -> entry.endsWith(ANY_END))
-                .map(entry -> entry.substring(0, entry.length() - ANY_END.length()))
+        entries.stream().filter(entry -> !entry.endsWith(WILDCARD)).forEach(names::add);
+        prefixes = entries.stream()
+                .filter(entry -> entry.endsWith(WILDCARD))
+                .map(entry -> entry.substring(0, entry.length() - WILDCARD.length()))
                 .toList();
     }
 
     /** Whether a node of this name may subscribe. */
     public boolean contains(String name) {
-        return names.contains(name) || beginnings.stream().anyMatch(name::startsWith);
+        return names.contains(name) || prefixes.stream().anyMatch(name::startsWith);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
@@ -49,22 +49,22 @@
 
     private final PeerLinks links;
     private final Clock clock;
-    private final Map<String, Received> received = new ConcurrentHashMap<>();
+    private final Map<String, Received> latest = new ConcurrentHashMap<>();
 
     /** Exchanges over these links, which are not started yet. */
     public ReportExchange(PeerLinks links, Clock clock) {
         this.links = links;
         this.clock = clock;
-        links.setReceiver(MessageStream.CONTROL, (peer, life, body) -> take(peer, body));
+        links.setReceiver(MessageStream.CONTROL, (peer, life, body) -> onReport(peer, body));
     }
 
-    private void take(String peer, byte[] body) {
+    private void onReport(String peer, byte[] body) {
         try {
             MachineReport report = body.length > MAX_BYTES ? null : MAPPER.readValue(body, MachineReport.class);
             if (report == null || !report.machine().equals(peer)) {
                 throw new IOException("not a report of " + peer + ", " + body.length + " bytes");
             }
-            received.put(peer, new Received(report, clock.nowMs()));
+            latest.put(peer, new Received(report, clock.nowMs()));
         } catch (IOException | RuntimeException e) {
             LOG.warn("{} sends what is no report: {}", peer, e.getMessage());
         }
@@ -72,7 +72,7 @@
 
     /** Sends this machine's report to all others. */
     public void send(MachineReport own) {
-        received.put(own.machine(), new Received(own, clock.nowMs()));
+        latest.put(own.machine(), new Received(own, clock.nowMs()));
         byte[] body;
         try {
             body = MAPPER.writeValueAsBytes(own);
@@ -88,7 +88,7 @@
     public List<AgedReport> latestReports() {
         double now = clock.nowMs();
         List<AgedReport> all = new ArrayList<>();
-        received.values().forEach(last -> all.add(new AgedReport(last.report(), now - last.atMs())));
+        latest.values().forEach(last -> all.add(new AgedReport(last.report(), now - last.atMs())));
         all.sort(java.util.Comparator.comparing(dated -> dated.report().machine()));
         return all;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/control/HeldResources.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/SubscribedResources.java
@@ -13,7 +13,7 @@
  * What a node has of the resources that it subscribes to. A version is taken only if it is newer than every version
  * received before, whichever machine sent it; one that the node can't use leaves the version before in place.
  */
-final class HeldResources {
+final class SubscribedResources {
     /** Tries to act by a version. */
     @FunctionalInterface
     interface Applier {
@@ -21,17 +21,17 @@
         Optional<String> apply(Resource resource);
     }
 
-    private static final class Held {
+    private static final class Progress {
         private long received;
         private long applied;
     }
 
-    private final Map<String, Held> resources = new TreeMap<>();
+    private final Map<String, Progress> resources = new TreeMap<>();
 
-    HeldResources(Collection<String> names) {
+    SubscribedResources(Collection<String> names) {
         names.forEach(name -> {
             Resource.checkName(name);
-            resources.put(name, new Held());
+            resources.put(name, new Progress());
         });
         if (resources.size() > ControlMessage.MAX_RESOURCES) {
             throw new IllegalArgumentException(
@@ -41,7 +41,7 @@
 
     /** Takes a version; returns what to tell the machine, or nothing for one that is old or was not asked for. */
     Optional<Acknowledge> offer(Resource resource, Applier applier) {
-        Held held = resources.get(resource.name());
+        Progress held = resources.get(resource.name());
         if (held == null || resource.version() <= held.received) {
             return Optional.empty();
         }
@@ -54,10 +54,10 @@
                 resource.name(),
                 resource.version(),
                 fault.isEmpty(),
-                fault.map(HeldResources::shortened).orElse("")));
+                fault.map(SubscribedResources::truncate).orElse("")));
     }
 
-    private static String shortened(String reason) {
+    private static String truncate(String reason) {
         return reason.substring(0, Math.min(reason.length(), ControlMessage.MAX_REASON_LENGTH));
     }
 
@@ -70,7 +70,7 @@
 
     /** The version of a resource that the node acts by; 0 if none. */
     long applied(String name) {
-        Held held = resources.get(name);
+        Progress held = resources.get(name);
         return held == null ? 0 : held.applied;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
@@ -25,7 +25,7 @@
     private static final class Progress {
         private long received;
         private long applied;
-        private String refusedBecause = "";
+        private String rejectionReason = "";
     }
 
     private final Map<String, Progress> resources = new LinkedHashMap<>();
@@ -38,7 +38,7 @@
             progress.received = held.received();
             progress.applied = held.applied();
             resources.put(held.name(), progress);
-            changed(held.name(), table);
+            onResourceChanged(held.name(), table);
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** The table may have a newer version of this resource; returns whether something is to be sent now. */
-    boolean changed(String name, ResourceTable table) {
+    boolean onResourceChanged(String name, ResourceTable table) {
         Progress progress = resources.get(name);
         if (progress == null || table.version(name) <= progress.received) {
             return false;
@@ -74,7 +74,7 @@
     }
 
     /** The node has taken or refused a version. One that was not sent, or that is older, changes nothing. */
-    void acknowledged(Acknowledge acknowledge) {
+    void onAcknowledge(Acknowledge acknowledge) {
         Progress progress = resources.get(acknowledge.name());
         if (progress == null
                 || acknowledge.version() > progress.received
@@ -84,7 +84,7 @@
         if (acknowledge.accepted()) {
             progress.applied = acknowledge.version();
         }
-        progress.refusedBecause = acknowledge.reason();
+        progress.rejectionReason = acknowledge.reason();
     }
 
     /** The resources by whose newest version the node does not act yet. */
@@ -93,7 +93,7 @@
         resources.forEach((name, progress) -> {
             long newest = table.version(name);
             if (progress.applied < newest) {
-                behind.add(new Lag(name, progress.applied, newest, progress.refusedBecause));
+                behind.add(new Lag(name, progress.applied, newest, progress.rejectionReason));
             }
         });
         return behind;
--- a/fleet/src/main/java/brackenbridge/fleet/control/SubscriptionRejection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/SubscriptionRejection.java
@@ -44,14 +44,14 @@
     @JsonProperty("STOPPING")
     STOPPING(true);
 
-    private final boolean transientFault;
+    private final boolean isTransientFault;
 
     SubscriptionRejection(boolean transientFault) {
-        this.transientFault = transientFault;
+        this.isTransientFault = transientFault;
     }
 
     /** Whether the same node may succeed later without a change of its configuration. */
     public boolean isTransient() {
-        return transientFault;
+        return isTransientFault;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/package-info.java
@@ -7,7 +7,7 @@
  * subscribed to. The cost of a node does not depend on the number of nodes. The design, its deadline and what was
  * weighed against it are in {@code docs/design/control.md}.
  *
- * <p>{@code ResourceTable}, {@code Subscription}, {@code HeldResources}, {@code MachineSelector} and
+ * <p>{@code ResourceTable}, {@code Subscription}, {@code SubscribedResources}, {@code MachineSelector} and
  * {@code AdmissionLimiter} decide and do no I/O; {@code ControlServer} and {@code ControlClient} own the sockets.
  */
 package brackenbridge.fleet.control;
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
@@ -22,7 +22,7 @@
 
 /** Messages survive their way; whatever else comes is one kind of exception with a named reason. */
 class ControlCodecTest {
-    private static final List<ControlMessage> ALL = List.of(
+    private static final List<ControlMessage> MESSAGES = List.of(
             new Subscribe("fleet", "n1", "north", 7, List.of(new HeldVersion("settings/tier-1", 4, 3))),
             new Acknowledge("settings/tier-1", 5, false, "no settings.classes"),
             new NodeHeartbeat(12),
@@ -31,41 +31,42 @@
             new Reject(SubscriptionRejection.BUSY, 1250));
 
     @Test
-    void everyMessageIsTheSameAfterItsWay() throws ProtocolException {
-        for (ControlMessage message : ALL) {
-            assertEquals(message, ControlCodec.read(ControlCodec.write(message)));
+    void everyMessageSurvivesEncoding() throws ProtocolException {
+        for (ControlMessage message : MESSAGES) {
+            assertEquals(message, ControlCodec.decode(ControlCodec.encode(message)));
         }
         byte[] content = new byte[Resource.MAX_CONTENT_BYTES];
         Arrays.fill(content, (byte) 7);
-        byte[] longest = ControlCodec.write(new Update(new Resource("x".repeat(Resource.MAX_NAME_LENGTH), 9, content)));
-        assertTrue(longest.length <= ControlCodec.MAX_MESSAGE, longest.length + " bytes");
-        Update back = (Update) ControlCodec.read(longest);
+        byte[] longest =
+                ControlCodec.encode(new Update(new Resource("x".repeat(Resource.MAX_NAME_LENGTH), 9, content)));
+        assertTrue(longest.length <= ControlCodec.MAX_MESSAGE_BYTES, longest.length + " bytes");
+        Update back = (Update) ControlCodec.decode(longest);
         assertArrayEquals(content, back.resource().content());
     }
 
     @Test
     void heartbeatsAreShort() {
-        assertTrue(ControlFrames.bytes(new MachineHeartbeat(1_000_000, true)).length <= 16);
-        assertTrue(ControlFrames.bytes(new NodeHeartbeat(1_000_000)).length <= 16);
+        assertTrue(ControlFrames.encode(new MachineHeartbeat(1_000_000, true)).length <= 16);
+        assertTrue(ControlFrames.encode(new NodeHeartbeat(1_000_000)).length <= 16);
     }
 
-    private static SubscriptionRejection refusalOf(byte[] bytes) {
-        return assertThrows(ProtocolException.class, () -> ControlCodec.read(bytes))
+    private static SubscriptionRejection rejectionOf(byte[] bytes) {
+        return assertThrows(ProtocolException.class, () -> ControlCodec.decode(bytes))
                 .rejection();
     }
 
     @Test
-    void anUnknownVersionOrKindOrACutMessageHasItsOwnReason() {
-        byte[] whole = ControlCodec.write(ALL.get(0));
+    void unknownVersionsAndKindsAndTruncatedMessagesAreRejectedWithAReason() {
+        byte[] whole = ControlCodec.encode(MESSAGES.get(0));
         byte[] other = whole.clone();
         other[0] = 2;
-        assertEquals(SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, refusalOf(other));
+        assertEquals(SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, rejectionOf(other));
         byte[] kind = whole.clone();
         kind[1] = 99;
-        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(kind));
-        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(new byte[] {1}));
-        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(Arrays.copyOf(whole, whole.length - 3)));
-        assertEquals(SubscriptionRejection.UNREADABLE, refusalOf(Arrays.copyOf(whole, whole.length + 3)));
+        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(kind));
+        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(new byte[] {1}));
+        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(Arrays.copyOf(whole, whole.length - 3)));
+        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(Arrays.copyOf(whole, whole.length + 3)));
     }
 
     @Test
@@ -78,7 +79,7 @@
     }
 
     @Property(tries = 2000)
-    void randomBytesAreNeverAnythingButAProtocolException(@ForAll @Size(max = 200) byte[] bytes) {
+    void randomBytesAreReadOrCauseAProtocolException(@ForAll @Size(max = 200) byte[] bytes) {
         byte[] headed = bytes.clone();
         if (headed.length > 1) {
             headed[0] = ControlCodec.VERSION;
@@ -86,7 +87,7 @@
         }
         for (byte[] candidate : List.of(bytes, headed)) {
             try {
-                ControlCodec.read(candidate);
+                ControlCodec.decode(candidate);
             } catch (ProtocolException e) {
                 assertTrue(e.getMessage() != null);
             }
@@ -94,11 +95,11 @@
     }
 
     @Property(tries = 1000)
-    void changedMessagesAreReadOrRefused(@ForAll int which, @ForAll int at, @ForAll byte value) {
-        byte[] bytes = ControlCodec.write(ALL.get(Math.floorMod(which, ALL.size())));
+    void corruptedMessagesAreReadOrRejected(@ForAll int which, @ForAll int at, @ForAll byte value) {
+        byte[] bytes = ControlCodec.encode(MESSAGES.get(Math.floorMod(which, MESSAGES.size())));
         bytes[Math.floorMod(at, bytes.length)] = value;
         try {
-            ControlCodec.read(bytes);
+            ControlCodec.decode(bytes);
         } catch (ProtocolException e) {
             assertTrue(e.rejection() == SubscriptionRejection.UNREADABLE
                     || e.rejection() == SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlLimitsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlLimitsTest.java
@@ -14,20 +14,20 @@
     /** The target, the time of an agreement with its leader in place, and its lease; docs/design/control.md. */
     private static final double TARGET_MS = 13_000;
 
-    private static final double AGREED_MS = 2000;
+    private static final double AGREEMENT_MS = 2000;
     private static final double LEASE_MS = 1600;
 
     @Test
-    void aChangeIsInForceInTimeWithTwoMachinesInARowThatDoNotAnswer() {
-        double worst = AGREED_MS + ControlLimits.DEFAULTS.maxPropagationMs(2, LEASE_MS);
+    void changeMeetsTheDeadlineWithTwoUnresponsiveMachinesInARow() {
+        double worst = AGREEMENT_MS + ControlLimits.DEFAULTS.maxPropagationMs(2, LEASE_MS);
         assertTrue(worst <= TARGET_MS, worst + " ms");
         assertTrue(
-                AGREED_MS + ControlLimits.DEFAULTS.maxPropagationMs(4, LEASE_MS) > TARGET_MS,
+                AGREEMENT_MS + ControlLimits.DEFAULTS.maxPropagationMs(4, LEASE_MS) > TARGET_MS,
                 "with four it is not promised");
     }
 
     @Test
-    void limitsThatCannotBeKeptAreRejected() {
+    void inconsistentLimitsAreRejected() {
         ControlLimits usual = ControlLimits.DEFAULTS;
         assertThrows(
                 IllegalArgumentException.class,
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void refusedSubscriptionsComeBackAtTheRateAtWhichTheyAreAdmitted() {
+    void rejectedSubscriptionsRetryAtTheAdmissionRate() {
         AdmissionLimiter limiter = new AdmissionLimiter(100, 20);
         List<Double> told = new ArrayList<>();
         int admitted = 0;
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
@@ -77,7 +77,7 @@
             server.publish(new Resource(SETTINGS, version, content.getBytes(StandardCharsets.UTF_8)));
         }
 
-        double refused(SubscriptionRejection refusal) {
+        double rejections(SubscriptionRejection refusal) {
             return metrics.get("control.refused")
                     .tag("reason", refusal.name().toLowerCase(Locale.ROOT))
                     .counter()
@@ -98,19 +98,19 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<AutoCloseable> opened = new ArrayList<>();
-    private final Map<String, Long> applied = new ConcurrentHashMap<>();
+    private final Map<String, Long> appliedVersions = new ConcurrentHashMap<>();
 
-    private Machine machine(String name, String region, ControlLimits limits) throws IOException {
+    private Machine startMachine(String name, String region, ControlLimits limits) throws IOException {
         Machine machine = new Machine(name, region, limits);
         opened.add(machine);
         return machine;
     }
 
-    private ControlClient node(String name, String region, ControlLimits limits, Machine... machines) {
-        return node(name, region, limits, NioSocketChannel::new, machines);
+    private ControlClient startNode(String name, String region, ControlLimits limits, Machine... machines) {
+        return startNode(name, region, limits, NioSocketChannel::new, machines);
     }
 
-    private ControlClient node(
+    private ControlClient startNode(
             String name,
             String region,
             ControlLimits limits,
@@ -127,7 +127,7 @@
                     if (new String(resource.content(), StandardCharsets.UTF_8).startsWith("bad")) {
                         return Optional.of("it is bad");
                     }
-                    applied.merge(name, resource.version(), Math::max);
+                    appliedVersions.merge(name, resource.version(), Math::max);
                     return Optional.empty();
                 },
                 sockets);
@@ -145,11 +145,11 @@
     }
 
     @Test
-    void nodeWithoutASocketConnectsOnceItHasOne() throws Exception {
-        Machine machine = machine("c1", "here", FAST);
+    void nodeConnectsOnceItCanOpenASocket() throws Exception {
+        Machine machine = startMachine("c1", "here", FAST);
         machine.publish(1, "good");
         AtomicInteger asked = new AtomicInteger();
-        node(
+        startNode(
                 "n1",
                 "here",
                 FAST,
@@ -161,16 +161,16 @@
                     return new NioSocketChannel();
                 },
                 machine);
-        await(() -> applied.getOrDefault("n1", 0L) == 1);
+        await(() -> appliedVersions.getOrDefault("n1", 0L) == 1);
         assertEquals(4, asked.get());
     }
 
     @Test
-    void nodeWhoseConnectFailsConnectsOnceItDoesNot() throws Exception {
-        Machine machine = machine("c1", "here", FAST);
+    void nodeRetriesAfterAFailedConnect() throws Exception {
+        Machine machine = startMachine("c1", "here", FAST);
         machine.publish(1, "good");
         AtomicInteger asked = new AtomicInteger();
-        node(
+        startNode(
                 "n1",
                 "here",
                 FAST,
@@ -184,7 +184,7 @@
                     }
                 },
                 machine);
-        await(() -> applied.getOrDefault("n1", 0L) == 1);
+        await(() -> appliedVersions.getOrDefault("n1", 0L) == 1);
         assertEquals(4, asked.get());
     }
 
@@ -196,108 +196,108 @@
     }
 
     @Test
-    void aNodeGetsWhatIsInForceAndEachChange() throws IOException {
-        Machine machine = machine("c1", "north", FAST);
+    void nodeReceivesTheValueInForceAndEachChange() throws IOException {
+        Machine machine = startMachine("c1", "north", FAST);
         machine.publish(3, "first");
-        ControlClient node = node("n1", "north", FAST, machine);
-        await(() -> applied.getOrDefault("n1", 0L) == 3);
+        ControlClient node = startNode("n1", "north", FAST, machine);
+        await(() -> appliedVersions.getOrDefault("n1", 0L) == 3);
         machine.publish(4, "second");
-        await(() -> applied.get("n1") == 4);
+        await(() -> appliedVersions.get("n1") == 4);
         machine.publish(2, "late");
         await(() -> machine.server.report().regions().stream().anyMatch(region -> region.current() == 1));
-        assertEquals(4, applied.get("n1"));
+        assertEquals(4, appliedVersions.get("n1"));
         assertEquals(1, node.status().connections());
     }
 
     @Test
-    void aVersionThatANodeCannotUseIsReportedAndTheNextOneIsTaken() throws IOException {
-        Machine machine = machine("c1", "north", FAST);
+    void rejectedVersionIsReportedAndTheNextOneIsApplied() throws IOException {
+        Machine machine = startMachine("c1", "north", FAST);
         machine.publish(1, "good");
-        ControlClient node = node("n1", "north", FAST, machine);
-        await(() -> applied.getOrDefault("n1", 0L) == 1);
+        ControlClient node = startNode("n1", "north", FAST, machine);
+        await(() -> appliedVersions.getOrDefault("n1", 0L) == 1);
         machine.publish(2, "bad settings");
         await(() -> FleetStatus.format(List.of(new ReportExchange.AgedReport(machine.server.report(), 0)))
                 .contains("n1: " + SETTINGS + " at version 1, newest 2, refused: it is bad"));
-        assertEquals(1, applied.get("n1"));
+        assertEquals(1, appliedVersions.get("n1"));
         assertEquals(1, node.status().rejected());
         machine.publish(3, "good again");
-        await(() -> applied.get("n1") == 3);
+        await(() -> appliedVersions.get("n1") == 3);
         await(() -> machine.server.report().regions().stream().allMatch(region -> region.current() == 1));
     }
 
     @Test
-    void theNodesOfAMachineThatEndsGoToAnotherAndMissNothing() throws IOException {
-        Machine home = machine("c1", "north", FAST);
-        Machine away = machine("c2", "south", FAST);
-        ControlClient node = node("n1", "north", FAST, home, away);
+    void nodesOfAStoppedMachineMoveToAnotherWithoutMissingAChange() throws IOException {
+        Machine home = startMachine("c1", "north", FAST);
+        Machine away = startMachine("c2", "south", FAST);
+        ControlClient node = startNode("n1", "north", FAST, home, away);
         home.publish(1, "one");
         away.publish(1, "one");
-        await(() -> node.status().machine().equals("c1") && applied.getOrDefault("n1", 0L) == 1);
+        await(() -> node.status().machine().equals("c1") && appliedVersions.getOrDefault("n1", 0L) == 1);
         home.close();
         away.publish(2, "two");
-        await(() -> applied.get("n1") == 2);
+        await(() -> appliedVersions.get("n1") == 2);
         assertEquals("c2", node.status().machine());
     }
 
     @Test
-    void aMachineWithoutALeaseIsLeftForOneThatHasIt() throws IOException {
-        Machine home = machine("c1", "north", FAST);
-        Machine away = machine("c2", "south", FAST);
-        ControlClient node = node("n1", "north", FAST, home, away);
+    void nodeLeavesAMachineWithoutALease() throws IOException {
+        Machine home = startMachine("c1", "north", FAST);
+        Machine away = startMachine("c2", "south", FAST);
+        ControlClient node = startNode("n1", "north", FAST, home, away);
         away.publish(2, "newer");
         await(() -> node.status().machine().equals("c1"));
         home.confirmed = false;
-        await(() -> applied.getOrDefault("n1", 0L) == 2);
+        await(() -> appliedVersions.getOrDefault("n1", 0L) == 2);
         home.confirmed = true;
         await(() -> node.status().machine().equals("c1"));
-        assertEquals(2, applied.get("n1"), "a machine that lags takes nothing back");
+        assertEquals(2, appliedVersions.get("n1"), "a machine that lags takes nothing back");
     }
 
     @Test
-    void aNodeThatDoesNotReadIsDisconnectedAndResumes() throws IOException {
-        Machine machine = machine("c1", "north", FAST);
-        ControlClient slow = node("n1", "north", FAST, machine);
-        node("n2", "north", FAST, machine);
+    void slowReaderIsDisconnectedAndResumes() throws IOException {
+        Machine machine = startMachine("c1", "north", FAST);
+        ControlClient slow = startNode("n1", "north", FAST, machine);
+        startNode("n2", "north", FAST, machine);
         machine.publish(1, "one");
-        await(() -> applied.size() == 2);
+        await(() -> appliedVersions.size() == 2);
         slow.setReadingPaused(true);
-        await(() -> machine.refused(SubscriptionRejection.SLOW_READER) >= 1);
+        await(() -> machine.rejections(SubscriptionRejection.SLOW_READER) >= 1);
         machine.publish(2, "two");
-        await(() -> applied.get("n2") == 2);
-        assertEquals(1, applied.get("n1"));
+        await(() -> appliedVersions.get("n2") == 2);
+        assertEquals(1, appliedVersions.get("n1"));
         slow.setReadingPaused(false);
-        await(() -> applied.get("n1") == 2);
+        await(() -> appliedVersions.get("n1") == 2);
     }
 
     @Test
-    void whoeverComesTooFastIsToldWhenToComeBackAndIsServedThen() throws IOException {
+    void nodesAboveTheAdmissionRateAreServedAfterRetryAfter() throws IOException {
         ControlLimits narrow = new ControlLimits(50, 150, 150, 5, 300, 300, 20, 200, 10, 300, 600, 40, 2, 50, 20);
-        Machine machine = machine("c1", "north", narrow);
+        Machine machine = startMachine("c1", "north", narrow);
         for (int i = 0; i < 12; i++) {
-            node("n" + i, "north", narrow, machine);
+            startNode("n" + i, "north", narrow, machine);
         }
         await(() -> machine.nodes() == 12);
-        assertTrue(machine.refused(SubscriptionRejection.BUSY) >= 1);
+        assertTrue(machine.rejections(SubscriptionRejection.BUSY) >= 1);
     }
 
     @Test
-    void aMachineThatIsFullSendsNodesToTheNext() throws IOException {
+    void fullMachineMakesNodesTryTheNext() throws IOException {
         ControlLimits two = new ControlLimits(50, 150, 150, 5, 300, 300, 20, 200, 10, 60_000, 60_000, 1000, 100, 2, 20);
-        Machine home = machine("c1", "north", two);
-        Machine away = machine("c2", "south", FAST);
+        Machine home = startMachine("c1", "north", two);
+        Machine away = startMachine("c2", "south", FAST);
         for (int i = 0; i < 5; i++) {
-            node("n" + i, "north", two, home, away);
+            startNode("n" + i, "north", two, home, away);
         }
         await(() -> home.nodes() == 2 && away.nodes() == 3);
-        assertTrue(home.refused(SubscriptionRejection.FULL) >= 3);
+        assertTrue(home.rejections(SubscriptionRejection.FULL) >= 3);
     }
 
     /** A connection that speaks the protocol by hand. */
-    private static final class Raw implements AutoCloseable {
+    private static final class RawConnection implements AutoCloseable {
         private final Socket socket;
         private final DataInputStream in;
 
-        Raw(Machine machine) throws IOException {
+        RawConnection(Machine machine) throws IOException {
             socket = new Socket("127.0.0.1", machine.server.address().getPort());
             socket.setSoTimeout(10_000);
             in = new DataInputStream(socket.getInputStream());
@@ -309,17 +309,17 @@
         }
 
         void send(ControlMessage message) throws IOException {
-            send(ControlFrames.bytes(message));
+            send(ControlFrames.encode(message));
         }
 
         ControlMessage read() throws IOException {
             byte[] body = new byte[in.readInt()];
             in.readFully(body);
-            return ControlCodec.read(body);
+            return ControlCodec.decode(body);
         }
 
         /** The reason that it is told, before the connection ends. */
-        SubscriptionRejection refusal() throws IOException {
+        SubscriptionRejection awaitRejection() throws IOException {
             ControlMessage message = read();
             while (!(message instanceof Reject)) {
                 message = read();
@@ -346,87 +346,88 @@
         return new Subscribe(fleet, node, "north", 1, versions);
     }
 
-    private void isRefused(Machine machine, byte[] bytes, SubscriptionRejection expected) throws IOException {
-        double before = machine.refused(expected);
-        try (Raw raw = new Raw(machine)) {
+    private void assertRejected(Machine machine, byte[] bytes, SubscriptionRejection expected) throws IOException {
+        double before = machine.rejections(expected);
+        try (RawConnection raw = new RawConnection(machine)) {
             raw.send(bytes);
-            assertEquals(expected, raw.refusal());
+            assertEquals(expected, raw.awaitRejection());
         }
-        assertEquals(before + 1, machine.refused(expected), expected + " is counted once");
+        assertEquals(before + 1, machine.rejections(expected), expected + " is counted once");
     }
 
     @Test
-    void badInputIsOneNamedRefusalAndNobodyElseNotices() throws IOException {
-        Machine machine = machine("c1", "north", FAST);
-        ControlClient bystander = node("n1", "north", FAST, machine);
+    void malformedInputIsRejectedWithoutAffectingOtherNodes() throws IOException {
+        Machine machine = startMachine("c1", "north", FAST);
+        ControlClient bystander = startNode("n1", "north", FAST, machine);
         await(() -> bystander.status().machine().equals("c1"));
-        byte[] good = ControlFrames.bytes(subscribe("fleet", "n9", 1));
+        byte[] good = ControlFrames.encode(subscribe("fleet", "n9", 1));
         byte[] otherVersion = good.clone();
         otherVersion[ControlFrames.LENGTH_BYTES] = 9;
-        isRefused(machine, otherVersion, SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
-        isRefused(machine, new byte[] {0x7f, 0, 0, 0, 1}, SubscriptionRejection.FRAME_TOO_LONG);
-        isRefused(machine, new byte[] {-1, -1, -1, -1, 1}, SubscriptionRejection.FRAME_TOO_LONG);
-        isRefused(machine, new byte[] {0, 0, 0, 3, 1, 0, 0}, SubscriptionRejection.UNREADABLE);
-        isRefused(
+        assertRejected(machine, otherVersion, SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
+        assertRejected(machine, new byte[] {0x7f, 0, 0, 0, 1}, SubscriptionRejection.FRAME_TOO_LONG);
+        assertRejected(machine, new byte[] {-1, -1, -1, -1, 1}, SubscriptionRejection.FRAME_TOO_LONG);
+        assertRejected(machine, new byte[] {0, 0, 0, 3, 1, 0, 0}, SubscriptionRejection.UNREADABLE);
+        assertRejected(
                 machine,
                 "GET / HTTP/1.1\r\nHost: c1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
                 SubscriptionRejection.FRAME_TOO_LONG);
-        isRefused(machine, ControlFrames.bytes(new NodeHeartbeat(1)), SubscriptionRejection.UNREADABLE);
-        isRefused(machine, ControlFrames.bytes(subscribe("other", "n9", 1)), SubscriptionRejection.OTHER_FLEET);
-        isRefused(machine, ControlFrames.bytes(subscribe("fleet", "stranger", 1)), SubscriptionRejection.UNKNOWN_NODE);
-        isRefused(
+        assertRejected(machine, ControlFrames.encode(new NodeHeartbeat(1)), SubscriptionRejection.UNREADABLE);
+        assertRejected(machine, ControlFrames.encode(subscribe("other", "n9", 1)), SubscriptionRejection.OTHER_FLEET);
+        assertRejected(
+                machine, ControlFrames.encode(subscribe("fleet", "stranger", 1)), SubscriptionRejection.UNKNOWN_NODE);
+        assertRejected(
                 machine,
-                ControlFrames.bytes(subscribe("fleet", "n9", ControlMessage.MAX_RESOURCES + 1)),
+                ControlFrames.encode(subscribe("fleet", "n9", ControlMessage.MAX_RESOURCES + 1)),
                 SubscriptionRejection.TOO_MANY_RESOURCES);
-        isRefused(machine, new byte[0], SubscriptionRejection.NO_SUBSCRIPTION);
-        isRefused(machine, java.util.Arrays.copyOf(good, good.length / 2), SubscriptionRejection.NO_SUBSCRIPTION);
-        try (Raw silent = new Raw(machine)) {
+        assertRejected(machine, new byte[0], SubscriptionRejection.NO_SUBSCRIPTION);
+        assertRejected(machine, java.util.Arrays.copyOf(good, good.length / 2), SubscriptionRejection.NO_SUBSCRIPTION);
+        try (RawConnection silent = new RawConnection(machine)) {
             silent.send(good);
             assertTrue(silent.read() instanceof Welcome);
-            assertEquals(SubscriptionRejection.SILENT, silent.refusal());
+            assertEquals(SubscriptionRejection.SILENT, silent.awaitRejection());
         }
         machine.publish(5, "after all that");
-        await(() -> applied.getOrDefault("n1", 0L) == 5);
+        await(() -> appliedVersions.getOrDefault("n1", 0L) == 5);
         assertEquals(1, bystander.status().connections(), "the bystander's connection is the first one still");
     }
 
     @Test
-    void aLaterConnectionOfTheSameNodeTakesThePlaceOfTheEarlierAndNeverTheOtherWay() throws IOException {
-        Machine machine = machine("c1", "north", FAST);
-        try (Raw first = new Raw(machine);
-                Raw second = new Raw(machine);
-                Raw late = new Raw(machine)) {
+    void laterConnectionOfANodeReplacesTheEarlierAndNotViceVersa() throws IOException {
+        Machine machine = startMachine("c1", "north", FAST);
+        try (RawConnection first = new RawConnection(machine);
+                RawConnection second = new RawConnection(machine);
+                RawConnection late = new RawConnection(machine)) {
             first.send(new Subscribe("fleet", "exact", "north", 5, List.of()));
             assertTrue(first.read() instanceof Welcome);
             second.send(new Subscribe("fleet", "exact", "north", 6, List.of()));
             assertTrue(second.read() instanceof Welcome);
-            assertEquals(SubscriptionRejection.REPLACED, first.refusal());
+            assertEquals(SubscriptionRejection.REPLACED, first.awaitRejection());
             late.send(new Subscribe("fleet", "exact", "north", 4, List.of()));
-            assertEquals(SubscriptionRejection.REPLACED, late.refusal());
+            assertEquals(SubscriptionRejection.REPLACED, late.awaitRejection());
         }
     }
 
     @Test
     void connectionsWithoutASubscriptionAreBounded() throws IOException {
-        Machine machine = machine("c1", "north", FAST);
-        List<Raw> idle = new ArrayList<>();
+        Machine machine = startMachine("c1", "north", FAST);
+        List<RawConnection> idle = new ArrayList<>();
         try {
             for (int i = 0; i < FAST.maxUnsubscribedConnections() + 5; i++) {
-                idle.add(new Raw(machine));
+                idle.add(new RawConnection(machine));
             }
-            await(() -> machine.refused(SubscriptionRejection.BUSY) >= 5);
+            await(() -> machine.rejections(SubscriptionRejection.BUSY) >= 5);
         } finally {
-            for (Raw raw : idle) {
+            for (RawConnection raw : idle) {
                 raw.close();
             }
         }
-        ControlClient node = node("n1", "north", FAST, machine);
+        ControlClient node = startNode("n1", "north", FAST, machine);
         await(() -> node.status().machine().equals("c1"));
     }
 
     /** A machine or a node that is short of processor time is late with its first message, not wrong. */
     @Test
-    void whatTimeAloneCausedIsTriedAgainSoon() {
+    void rejectionsCausedByDelayAreTransient() {
         for (SubscriptionRejection refusal : List.of(
                 SubscriptionRejection.NO_SUBSCRIPTION,
                 SubscriptionRejection.SILENT,
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
@@ -24,12 +24,12 @@
     }
 
     /** The real one; refuses the versions that the test names. */
-    static final class RealReceiver implements Receiver {
-        private final HeldResources held;
+    static final class ResourcesReceiver implements Receiver {
+        private final SubscribedResources held;
         private final List<Long> refused;
 
-        RealReceiver(List<String> names, List<Long> refused) {
-            held = new HeldResources(names);
+        ResourcesReceiver(List<String> names, List<Long> refused) {
+            held = new SubscribedResources(names);
             this.refused = refused;
         }
 
@@ -57,7 +57,7 @@
     private final class Connection {
         private final int machine;
         private final Subscription subscription;
-        private final Deque<Object> toNode = new ArrayDeque<>();
+        private final Deque<Object> inFlight = new ArrayDeque<>();
 
         Connection(int machine) {
             this.machine = machine;
@@ -66,10 +66,10 @@
                     tables.get(machine));
         }
 
-        void pump() {
+        void sendPending() {
             Optional<Resource> next = subscription.next(tables.get(machine));
             while (next.isPresent()) {
-                toNode.add(next.get());
+                inFlight.add(next.get());
                 next = subscription.next(tables.get(machine));
             }
         }
@@ -79,7 +79,7 @@
     private final List<ResourceTable> tables = new ArrayList<>();
     private final long[] decided;
     private final Receiver receiver;
-    private final List<Connection> old = new ArrayList<>();
+    private final List<Connection> abandonedConnections = new ArrayList<>();
     private Connection current;
     private long connectionNumber;
 
@@ -104,38 +104,38 @@
         }
         tables.get(machine).offer(new Resource(names.get(name), decided[name], new byte[0]));
         if (current != null && current.machine == machine) {
-            current.subscription.changed(names.get(name), tables.get(machine));
-            current.pump();
+            current.subscription.onResourceChanged(names.get(name), tables.get(machine));
+            current.sendPending();
         }
     }
 
     /** The node connects to a machine; what was on its way on the connection before may still arrive late. */
     void connect(int machine) {
         if (current != null) {
-            old.add(current);
+            abandonedConnections.add(current);
         }
         current = new Connection(machine);
-        current.pump();
+        current.sendPending();
     }
 
     /** The machine sends a heartbeat, behind all that is pending. */
     void heartbeat() {
         if (current != null) {
-            current.pump();
+            current.sendPending();
             long[] versions = new long[names.size()];
             for (int i = 0; i < versions.length; i++) {
                 versions[i] = tables.get(current.machine).version(names.get(i));
             }
-            current.toNode.add(new SentHeartbeat(versions));
+            current.inFlight.add(new SentHeartbeat(versions));
         }
     }
 
     /** The next message of the connection arrives. */
     void deliver() {
-        if (current == null || current.toNode.isEmpty()) {
+        if (current == null || current.inFlight.isEmpty()) {
             return;
         }
-        Object message = current.toNode.poll();
+        Object message = current.inFlight.poll();
         if (message instanceof SentHeartbeat heartbeat) {
             for (int i = 0; i < heartbeat.versions().length; i++) {
                 long received = receiver.versions().get(i).received();
@@ -145,22 +145,22 @@
                                 + " that was in force when it was sent; received " + received);
             }
         } else {
-            take((Resource) message).ifPresent(current.subscription::acknowledged);
+            receive((Resource) message).ifPresent(current.subscription::onAcknowledge);
         }
     }
 
     /** A message of a connection that was given up arrives late; its acknowledgement goes nowhere. */
     void deliverLate() {
-        for (Connection connection : old) {
-            Object message = connection.toNode.poll();
+        for (Connection connection : abandonedConnections) {
+            Object message = connection.inFlight.poll();
             if (message instanceof Resource resource) {
-                take(resource);
+                receive(resource);
                 return;
             }
         }
     }
 
-    private Optional<Acknowledge> take(Resource resource) {
+    private Optional<Acknowledge> receive(Resource resource) {
         int name = names.indexOf(resource.name());
         long before = receiver.applied(resource.name());
         Optional<Acknowledge> acknowledge = receiver.offer(resource);
@@ -179,7 +179,7 @@
         }
         connect(0);
         heartbeat();
-        while (!current.toNode.isEmpty()) {
+        while (!current.inFlight.isEmpty()) {
             deliver();
         }
         for (int name = 0; name < names.size(); name++) {
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionTest.java
@@ -5,8 +5,8 @@
 
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
 import brackenbridge.fleet.control.ControlMessage.HeldVersion;
-import brackenbridge.fleet.control.DistributionModel.RealReceiver;
 import brackenbridge.fleet.control.DistributionModel.Receiver;
+import brackenbridge.fleet.control.DistributionModel.ResourcesReceiver;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Function;
@@ -27,7 +27,7 @@
     private static final int DEPTH = 7;
     private static final int ACTIONS = 9;
 
-    private static void act(DistributionModel model, int action) {
+    private static void apply(DistributionModel model, int action) {
         switch (action) {
             case 0, 1 -> {
                 model.decide(0);
@@ -52,7 +52,7 @@
         for (int history = 0; history < histories; history++) {
             DistributionModel model = new DistributionModel(List.of(NAME), 2, receiver.get());
             for (int step = 0, rest = history; step < DEPTH; step++, rest /= ACTIONS) {
-                act(model, rest % ACTIONS);
+                apply(model, rest % ACTIONS);
             }
             model.settle(List.of());
         }
@@ -61,21 +61,21 @@
 
     @Test
     void everyShortHistoryKeepsTheNewestVersion() {
-        assertTrue(explore(() -> new RealReceiver(List.of(NAME), List.of())) > 4_000_000);
+        assertTrue(explore(() -> new ResourcesReceiver(List.of(NAME), List.of())) > 4_000_000);
     }
 
     /** A node that acts by whatever comes last. */
-    private static final class TakesAnything implements Receiver {
-        private final Function<Resource, HeldVersion> remembers;
+    private static final class AcceptAllReceiver implements Receiver {
+        private final Function<Resource, HeldVersion> toHeldVersion;
         private HeldVersion held = new HeldVersion(NAME, 0, 0);
 
-        TakesAnything(Function<Resource, HeldVersion> remembers) {
-            this.remembers = remembers;
+        AcceptAllReceiver(Function<Resource, HeldVersion> remembers) {
+            this.toHeldVersion = remembers;
         }
 
         @Override
         public Optional<Acknowledge> offer(Resource resource) {
-            held = remembers.apply(resource);
+            held = toHeldVersion.apply(resource);
             return Optional.of(new Acknowledge(NAME, resource.version(), true, ""));
         }
 
@@ -91,17 +91,18 @@
     }
 
     @Test
-    void aNodeThatTakesALateMessageIsFound() {
+    void modelDetectsANodeThatAppliesALateMessage() {
         assertThrows(
                 AssertionError.class,
-                () -> explore(() ->
-                        new TakesAnything(resource -> new HeldVersion(NAME, resource.version(), resource.version()))));
+                () -> explore(() -> new AcceptAllReceiver(
+                        resource -> new HeldVersion(NAME, resource.version(), resource.version()))));
     }
 
     @Test
-    void aNodeThatDoesNotRememberWhatItHoldsIsFound() {
+    void modelDetectsANodeThatForgetsItsVersions() {
         assertThrows(
-                AssertionError.class, () -> explore(() -> new TakesAnything(resource -> new HeldVersion(NAME, 0, 0))));
+                AssertionError.class,
+                () -> explore(() -> new AcceptAllReceiver(resource -> new HeldVersion(NAME, 0, 0))));
     }
 
     @Property(tries = 400)
@@ -110,7 +111,7 @@
             @ForAll @Size(max = 3) List<@IntRange(min = 1, max = 6) Integer> refused) {
         List<String> names = List.of("a", "b", "c");
         List<Long> refusedVersions = refused.stream().map(Integer::longValue).toList();
-        DistributionModel model = new DistributionModel(names, 3, new RealReceiver(names, refusedVersions));
+        DistributionModel model = new DistributionModel(names, 3, new ResourcesReceiver(names, refusedVersions));
         for (int action : actions) {
             int which = action % 3;
             switch (action / 3) {
--- a/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulation.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulation.java
@@ -13,19 +13,19 @@
  * admitted; for tests. A region that is cut off has no majority: its machines are not confirmed.
  */
 final class FleetSimulation {
-    private static final double WAY_MS = 20;
+    private static final double ONE_WAY_DELAY_MS = 20;
 
     /** Something that happens at a node; an older visit than the node's own is void. */
-    private record Event(double atMs, long order, Node node, long visit, Runnable run) {}
+    private record Event(double atMs, long order, Node node, long generation, Runnable action) {}
 
     /** A control machine. */
     private static final class Machine {
-        private final ControlMachine is;
+        private final ControlMachine address;
         private final AdmissionLimiter admissions;
         private int nodes;
 
         Machine(ControlMachine is, ControlLimits limits) {
-            this.is = is;
+            this.address = is;
             this.admissions = new AdmissionLimiter(limits.admissionsPerSecond(), limits.admissionBurst());
         }
     }
@@ -34,81 +34,85 @@
     private final class Node {
         private final String region;
         private final MachineSelector selector;
-        private Machine served;
-        private long visit;
+        private Machine servingMachine;
+        private long generation;
         private double confirmedSinceMs = Double.NaN;
 
         Node(String region, long seed) {
             this.region = region;
             selector = new MachineSelector(
-                    machines.stream().map(machine -> machine.is).toList(), region, limits, new SplittableRandom(seed));
+                    machines.stream().map(machine -> machine.address).toList(),
+                    region,
+                    limits,
+                    new SplittableRandom(seed));
         }
 
         void connectNext() {
             MachineSelector.Attempt attempt = selector.next();
             Machine machine = byName.get(attempt.machine().name());
-            at(nowMs + attempt.delayMs(), this, () -> dial(machine));
+            schedule(nowMs + attempt.delayMs(), this, () -> dial(machine));
         }
 
         private void dial(Machine machine) {
-            attempts.merge((long) (nowMs / 1000), 1, Integer::sum);
-            if (!reach(region, machine.is.region())) {
-                at(nowMs + limits.connectTimeoutMs(), this, this::failed);
+            attemptsBySecond.merge((long) (nowMs / 1000), 1, Integer::sum);
+            if (!isReachable(region, machine.address.region())) {
+                schedule(nowMs + limits.connectTimeoutMs(), this, this::onFailed);
                 return;
             }
-            at(nowMs + 2 * WAY_MS, this, () -> subscribe(machine));
+            schedule(nowMs + 2 * ONE_WAY_DELAY_MS, this, () -> subscribe(machine));
         }
 
         private void subscribe(Machine machine) {
             if (machine.nodes >= limits.maxSubscribers()) {
-                failed();
+                onFailed();
                 return;
             }
             OptionalDouble retryAfter = machine.admissions.admit(nowMs);
             if (retryAfter.isPresent()) {
-                refused++;
-                selector.askedToWait(retryAfter.getAsDouble());
+                rejected++;
+                selector.onRetryAfter(retryAfter.getAsDouble());
                 connectNext();
                 return;
             }
             machine.nodes++;
-            served = machine;
-            double homeAtMs = selector.isHome(machine.is) ? Double.POSITIVE_INFINITY : nowMs + selector.homeAfterMs();
-            stay(nowMs, homeAtMs);
+            servingMachine = machine;
+            double homeAtMs =
+                    selector.isHome(machine.address) ? Double.POSITIVE_INFINITY : nowMs + selector.returnHomeDelayMs();
+            onHeartbeat(nowMs, homeAtMs);
         }
 
         /** Looks at each heartbeat whether it stays. */
-        private void stay(double lastConfirmedMs, double homeAtMs) {
-            boolean silent = !reach(region, served.is.region());
-            boolean confirmed = !silent && !served.is.region().equals(cut);
+        private void onHeartbeat(double lastConfirmedMs, double homeAtMs) {
+            boolean silent = !isReachable(region, servingMachine.address.region());
+            boolean confirmed = !silent && !servingMachine.address.region().equals(isolatedRegion);
             double confirmedMs = confirmed ? nowMs : lastConfirmedMs;
             if (confirmed) {
-                selector.confirmed();
+                selector.onConfirmed();
                 confirmedSinceMs = Double.isNaN(confirmedSinceMs) ? nowMs : confirmedSinceMs;
             } else {
                 confirmedSinceMs = Double.NaN;
             }
             if (silent && nowMs - confirmedMs > limits.silenceTimeoutMs()
-                    || nowMs - confirmedMs > selector.patienceMs()) {
-                leave();
-                failed();
+                    || nowMs - confirmedMs > selector.unconfirmedTimeoutMs()) {
+                disconnect();
+                onFailed();
             } else if (nowMs >= homeAtMs) {
-                leave();
-                selector.goHome();
+                disconnect();
+                selector.returnHome();
                 connectNext();
             } else {
-                at(nowMs + limits.heartbeatMs(), this, () -> stay(confirmedMs, homeAtMs));
+                schedule(nowMs + limits.heartbeatMs(), this, () -> onHeartbeat(confirmedMs, homeAtMs));
             }
         }
 
-        private void leave() {
-            served.nodes--;
-            served = null;
+        private void disconnect() {
+            servingMachine.nodes--;
+            servingMachine = null;
             confirmedSinceMs = Double.NaN;
         }
 
-        private void failed() {
-            selector.failed();
+        private void onFailed() {
+            selector.onFailed();
             connectNext();
         }
     }
@@ -119,11 +123,11 @@
     private final List<Node> nodes = new ArrayList<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.order(), b.order()));
-    private final Map<Long, Integer> attempts = new HashMap<>();
+    private final Map<Long, Integer> attemptsBySecond = new HashMap<>();
     private double nowMs;
     private long order;
-    private long refused;
-    private String cut = "";
+    private long rejected;
+    private String isolatedRegion = "";
 
     FleetSimulation(List<ControlMachine> machines, List<String> regions, int nodes, ControlLimits limits, long seed) {
         this.limits = limits;
@@ -139,46 +143,47 @@
         }
     }
 
-    private void at(double atMs, Node node, Runnable run) {
-        events.add(new Event(atMs, ++order, node, ++node.visit, run));
+    private void schedule(double atMs, Node node, Runnable run) {
+        events.add(new Event(atMs, ++order, node, ++node.generation, run));
     }
 
-    private boolean reach(String one, String other) {
-        return one.equals(other) || !one.equals(cut) && !other.equals(cut);
+    private boolean isReachable(String one, String other) {
+        return one.equals(other) || !one.equals(isolatedRegion) && !other.equals(isolatedRegion);
     }
 
     /** From now on nothing comes through between this region and the others; empty: all comes through. */
-    void cut(String region) {
-        cut = region;
+    void isolatedRegion(String region) {
+        isolatedRegion = region;
     }
 
     void runUntil(double untilMs) {
         while (!events.isEmpty() && events.peek().atMs() <= untilMs) {
             Event event = events.poll();
             nowMs = event.atMs();
-            if (event.visit() == event.node().visit) {
-                event.run().run();
+            if (event.generation() == event.node().generation) {
+                event.action().run();
             }
         }
         nowMs = untilMs;
     }
 
     /** Nodes that a confirmed machine serves; of this region, or of all but it. */
-    long confirmed(String region, boolean inside) {
+    long countConfirmed(String region, boolean inside) {
         return nodes.stream()
                 .filter(node -> node.region.equals(region) == inside && !Double.isNaN(node.confirmedSinceMs))
                 .count();
     }
 
     /** Nodes that their own region's machine serves. */
-    long atHome() {
+    long countAtHome() {
         return nodes.stream()
-                .filter(node -> node.served != null && node.served.is.region().equals(node.region))
+                .filter(node -> node.servingMachine != null
+                        && node.servingMachine.address.region().equals(node.region))
                 .count();
     }
 
     /** When the last node was served by a confirmed machine; infinite if one is not. */
-    double allConfirmedMs() {
+    double lastConfirmedMs() {
         return nodes.stream()
                 .mapToDouble(
                         node -> Double.isNaN(node.confirmedSinceMs) ? Double.POSITIVE_INFINITY : node.confirmedSinceMs)
@@ -187,19 +192,19 @@
     }
 
     /** The most connections that all nodes together began in a second of this time. */
-    int mostAttempts(double fromMs, double untilMs) {
-        return attempts.entrySet().stream()
+    int maxAttemptsPerSecond(double fromMs, double untilMs) {
+        return attemptsBySecond.entrySet().stream()
                 .filter(entry -> entry.getKey() * 1000 >= fromMs && entry.getKey() * 1000 < untilMs)
                 .mapToInt(Map.Entry::getValue)
                 .max()
                 .orElse(0);
     }
 
-    long refused() {
-        return refused;
+    long rejected() {
+        return rejected;
     }
 
-    int mostNodes() {
+    int maxNodesPerMachine() {
         return machines.stream().mapToInt(machine -> machine.nodes).max().orElse(0);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulationTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulationTest.java
@@ -15,7 +15,7 @@
     private static final double DEADLINE_MS = 13_000;
     private static final List<String> REGIONS = List.of("a", "b", "c", "d", "e", "f");
 
-    private static FleetSimulation fleet(long seed) {
+    private static FleetSimulation newFleet(long seed) {
         List<ControlMachine> machines = new ArrayList<>();
         String regions = "aabbccdef";
         for (int i = 0; i < regions.length(); i++) {
@@ -26,37 +26,37 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void allStartWithinSecondsEachAtItsOwnRegion(long seed) {
-        FleetSimulation fleet = fleet(seed);
+    void allNodesConnectToTheirOwnRegionWithinSeconds(long seed) {
+        FleetSimulation fleet = newFleet(seed);
         fleet.runUntil(10_000);
-        assertTrue(fleet.allConfirmedMs() < 5000, "the last after " + fleet.allConfirmedMs());
-        assertEquals(NODES, fleet.atHome());
-        assertTrue(fleet.mostNodes() < 300, fleet.mostNodes() + " at one machine");
+        assertTrue(fleet.lastConfirmedMs() < 5000, "the last after " + fleet.lastConfirmedMs());
+        assertEquals(NODES, fleet.countAtHome());
+        assertTrue(fleet.maxNodesPerMachine() < 300, fleet.maxNodesPerMachine() + " at one machine");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void aRegionCutOffForTenMinutesAsksModeratelyAndIsBackWithinTheDeadline(long seed) {
+    void isolatedRegionBacksOffAndRecoversWithinTheDeadline(long seed) {
         for (String region : List.of("a", "d")) {
-            FleetSimulation fleet = fleet(seed);
+            FleetSimulation fleet = newFleet(seed);
             fleet.runUntil(10_000);
-            long outside = NODES - fleet.confirmed(region, true);
-            fleet.cut(region);
+            long outside = NODES - fleet.countConfirmed(region, true);
+            fleet.isolatedRegion(region);
             fleet.runUntil(10_000 + DEADLINE_MS);
-            assertEquals(outside, fleet.confirmed(region, false), "nodes outside are served within the deadline");
+            assertEquals(outside, fleet.countConfirmed(region, false), "nodes outside are served within the deadline");
             fleet.runUntil(10_000 + TEN_MINUTES_MS);
-            assertEquals(0, fleet.confirmed(region, true));
-            assertEquals(outside, fleet.confirmed(region, false));
-            int most = fleet.mostAttempts(70_000, 10_000 + TEN_MINUTES_MS);
+            assertEquals(0, fleet.countConfirmed(region, true));
+            assertEquals(outside, fleet.countConfirmed(region, false));
+            int most = fleet.maxAttemptsPerSecond(70_000, 10_000 + TEN_MINUTES_MS);
             assertTrue(most < 400, most + " connections begun in a second while it is cut off");
             double backMs = 10_000 + TEN_MINUTES_MS;
-            fleet.cut("");
+            fleet.isolatedRegion("");
             fleet.runUntil(backMs + DEADLINE_MS);
             assertTrue(
-                    fleet.allConfirmedMs() - backMs < DEADLINE_MS,
-                    "the last after " + (fleet.allConfirmedMs() - backMs) + " ms");
+                    fleet.lastConfirmedMs() - backMs < DEADLINE_MS,
+                    "the last after " + (fleet.lastConfirmedMs() - backMs) + " ms");
             fleet.runUntil(backMs + 4 * ControlLimits.DEFAULTS.returnHomeMaxMs());
-            assertEquals(NODES, fleet.atHome(), "all are at home again");
+            assertEquals(NODES, fleet.countAtHome(), "all are at home again");
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -24,7 +24,7 @@
 class GoldenFormsTest {
     private static final byte[] CONTENT = {0, 1, 127, -128, -1};
     /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static final List<SubscriptionRejection> REFUSALS = List.of(
+    private static final List<SubscriptionRejection> REJECTIONS = List.of(
             SubscriptionRejection.UNREADABLE,
             SubscriptionRejection.FRAME_TOO_LONG,
             SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION,
@@ -64,21 +64,21 @@
         messages.put("welcome", new ControlMessage.Welcome("c1", 1000.5));
         messages.put("update", new ControlMessage.Update(new Resource("shares", 3, CONTENT)));
         messages.put("machine-heartbeat", new ControlMessage.MachineHeartbeat(70_001, true));
-        for (int i = 0; i < REFUSALS.size(); i++) {
-            messages.put("refuse-" + i, new ControlMessage.Reject(REFUSALS.get(i), 250.25));
+        for (int i = 0; i < REJECTIONS.size(); i++) {
+            messages.put("refuse-" + i, new ControlMessage.Reject(REJECTIONS.get(i), 250.25));
         }
         return messages;
     }
 
     @Test
-    void eachMessageWithItsFrame() throws IOException {
+    void messagesMatchTheirGoldenFiles() throws IOException {
         GoldenFiles.assertAllCovered(ControlMessage.class, messages().values());
-        assertEquals(SubscriptionRejection.values().length, REFUSALS.size());
+        assertEquals(SubscriptionRejection.values().length, REJECTIONS.size());
         for (Map.Entry<String, ControlMessage> message : messages().entrySet()) {
             GoldenFiles.check(
                     "control/" + message.getKey(),
                     message.getValue(),
-                    ControlFrames::bytes,
+                    ControlFrames::encode,
                     GoldenFormsTest::readFrame);
         }
     }
@@ -88,7 +88,7 @@
         channel.writeInbound(Unpooled.wrappedBuffer(form));
         ByteBuf frame = channel.readInbound();
         try {
-            return ControlFrames.read(frame);
+            return ControlFrames.decode(frame);
         } finally {
             frame.release();
             channel.finishAndReleaseAll();
@@ -96,17 +96,18 @@
     }
 
     @Test
-    void reportOfAMachine() throws IOException {
-        GoldenFiles.check("control/machine-report", REPORT, GoldenFormsTest::sent, GoldenFormsTest::received);
+    void machineReportMatchesItsGoldenFile() throws IOException {
+        GoldenFiles.check(
+                "control/machine-report", REPORT, GoldenFormsTest::encodeReport, GoldenFormsTest::decodeReport);
     }
 
-    private static byte[] sent(MachineReport report) {
+    private static byte[] encodeReport(MachineReport report) {
         RecordingLinks recording = new RecordingLinks();
         new ReportExchange(recording, Clock.system()).send(report);
         return recording.sent;
     }
 
-    private static MachineReport received(byte[] form) {
+    private static MachineReport decodeReport(byte[] form) {
         RecordingLinks recording = new RecordingLinks();
         ReportExchange exchange = new ReportExchange(recording, Clock.system());
         recording.receiver.onMessage("c1", 1, form);
@@ -114,7 +115,7 @@
     }
 
     @Test
-    void namesOfTheMetrics() throws IOException {
+    void metricNamesMatchTheirGoldenFile() throws IOException {
         SimpleMeterRegistry metrics = new SimpleMeterRegistry();
         ControlServer.Settings settings = new ControlServer.Settings(
                 "fleet",
--- a/fleet/src/test/java/brackenbridge/fleet/control/MachineSelectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/MachineSelectorTest.java
@@ -18,7 +18,7 @@
     private static final ControlLimits LIMITS = ControlLimits.DEFAULTS;
 
     /** Nine machines in six regions: two each in the first three. */
-    private static List<ControlMachine> nine() {
+    private static List<ControlMachine> nineMachines() {
         List<ControlMachine> machines = new ArrayList<>();
         String regions = "aabbccdef";
         for (int i = 0; i < 9; i++) {
@@ -28,30 +28,30 @@
     }
 
     private static MachineSelector selector(String region, long seed) {
-        return new MachineSelector(nine(), region, LIMITS, new SplittableRandom(seed));
+        return new MachineSelector(nineMachines(), region, LIMITS, new SplittableRandom(seed));
     }
 
     @Test
-    void itsOwnRegionComesFirstThenEveryOtherMachineOnce() {
+    void ownRegionComesFirstThenEveryOtherMachineOnce() {
         MachineSelector selector = selector("b", 1);
         Set<String> tried = new HashSet<>();
         for (int i = 0; i < 9; i++) {
             ControlMachine machine = selector.next().machine();
             assertEquals(i < 2, machine.region().equals("b"), "attempt " + i);
             assertTrue(tried.add(machine.name()), "tried twice in a round: " + machine);
-            selector.failed();
+            selector.onFailed();
         }
         assertEquals("b", selector.next().machine().region(), "the next round begins at home");
     }
 
     @Test
-    void theNodesOfALostMachineSpreadOverAllOthers() {
+    void nodesOfALostMachineSpreadOverAllOthers() {
         Map<String, Integer> load = new HashMap<>();
         for (int seed = 0; seed < 800; seed++) {
             MachineSelector selector = selector("d", seed);
             assertEquals("m6", selector.next().machine().name());
-            selector.confirmed();
-            selector.failed();
+            selector.onConfirmed();
+            selector.onFailed();
             load.merge(selector.next().machine().name(), 1, Integer::sum);
         }
         assertEquals(8, load.size());
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void waitsHaveFullJitterUnderABoundThatDoublesUpToTheLongest() {
+    void backoffHasFullJitterUnderADoublingCappedBound() {
         double longestFirst = 0;
         double longestLate = 0;
         double shortestLate = Double.POSITIVE_INFINITY;
         for (int seed = 0; seed < 300; seed++) {
             MachineSelector selector = selector("a", seed);
             assertTrue(selector.next().delayMs() <= LIMITS.startSpreadMs());
-            selector.failed();
+            selector.onFailed();
             longestFirst = Math.max(longestFirst, selector.next().delayMs());
             for (int i = 0; i < 12; i++) {
-                selector.failed();
+                selector.onFailed();
             }
             double late = selector.next().delayMs();
             longestLate = Math.max(longestLate, late);
@@ -81,41 +81,41 @@
     }
 
     @Test
-    void whoIsAskedToWaitComesBackToTheSameMachineNotSooner() {
+    void retryAfterIsHonouredAtTheSameMachine() {
         MachineSelector selector = selector("d", 3);
         ControlMachine asked = selector.next().machine();
-        selector.askedToWait(700);
+        selector.onRetryAfter(700);
         MachineSelector.Attempt next = selector.next();
         assertEquals(asked, next.machine());
         assertTrue(next.delayMs() >= 700 && next.delayMs() <= 700 + LIMITS.heartbeatMs());
     }
 
     @Test
-    void patienceWithUnconfirmedMachinesDoublesByTheRoundAndEndsWithAConfirmedOne() {
+    void unconfirmedTimeoutDoublesPerRoundAndResetsOnConfirmation() {
         MachineSelector selector = selector("a", 4);
         selector.next();
-        assertEquals(LIMITS.unconfirmedTimeoutMs(), selector.patienceMs());
+        assertEquals(LIMITS.unconfirmedTimeoutMs(), selector.unconfirmedTimeoutMs());
         for (int i = 0; i < 9; i++) {
-            selector.failed();
+            selector.onFailed();
             selector.next();
         }
-        assertEquals(2 * LIMITS.unconfirmedTimeoutMs(), selector.patienceMs());
+        assertEquals(2 * LIMITS.unconfirmedTimeoutMs(), selector.unconfirmedTimeoutMs());
         for (int i = 0; i < 200; i++) {
-            selector.failed();
+            selector.onFailed();
             selector.next();
         }
-        assertEquals(LIMITS.returnHomeMaxMs(), selector.patienceMs());
-        selector.confirmed();
-        assertEquals(LIMITS.unconfirmedTimeoutMs(), selector.patienceMs());
+        assertEquals(LIMITS.returnHomeMaxMs(), selector.unconfirmedTimeoutMs());
+        selector.onConfirmed();
+        assertEquals(LIMITS.unconfirmedTimeoutMs(), selector.unconfirmedTimeoutMs());
     }
 
     @Test
-    void aNodeOfARegionWithoutAMachineIsServedByTheOthers() {
+    void nodeOfARegionWithoutAMachineIsServedByTheOthers() {
         Set<String> first = new HashSet<>();
         for (int seed = 0; seed < 100; seed++) {
             first.add(selector("nowhere", seed).next().machine().name());
         }
         assertEquals(9, first.size());
-        assertNotEquals(selector("a", 1).homeAfterMs(), selector("a", 2).homeAfterMs());
+        assertNotEquals(selector("a", 1).returnHomeDelayMs(), selector("a", 2).returnHomeDelayMs());
     }
 }
