--- a/fleet/src/main/java/brackenbridge/fleet/control/AdmissionLimiter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/AdmissionLimiter.java
@@ -3,9 +3,9 @@
 import java.util.OptionalDouble;
 
 /**
- * Bounds how many subscriptions begin at a control machine: a token bucket, with a virtual queue of those that were
- * refused. Each refused one is told a later time to come back than the one before, so that they return at the rate at
- * which they are admitted and not all at once.
+ * Limits the rate of new subscriptions at a control machine by a token bucket and a virtual queue of the rejected ones.
+ * Each rejected subscription gets a later Retry-After than the one before, so that they return at the admission rate
+ * and not all at once.
  */
 final class AdmissionLimiter {
     private final double ratePerMs;
@@ -15,20 +15,21 @@
     private double lastMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A limiter that has admitted nobody yet.
+     * Creates a limiter with a full bucket.
      *
-     * @param perSecond how many begin in a second over a longer time
-     * @param burst how many may begin at once
+     * @param perSecond sustained number of admissions per second
+     * @param burst capacity of the bucket
      */
     AdmissionLimiter(double perSecond, int burst) {
         if (!(perSecond > 0) || burst < 1) {
-            throw new IllegalArgumentException(perSecond + " a second, " + burst + " at once");
+            throw new IllegalArgumentException(
+                    "admission rate must be positive and burst at least 1: " + perSecond + ", " + burst);
         }
         this.ratePerMs = perSecond / 1000;
         this.burst = burst;
     }
 
-    /** Empty if one more may begin now; else after how many milliseconds to come back. */
+    /** Admits one subscription and returns empty, or returns after how many milliseconds to retry. */
     OptionalDouble admit(double nowMs) {
         double drained = lastMs == Double.NEGATIVE_INFINITY ? 0 : Math.max(0, nowMs - lastMs) * ratePerMs;
         lastMs = Math.max(lastMs, nowMs);
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
@@ -29,29 +29,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A node's subscription: one connection to one control machine, another when that one fails, stays silent or has lost
- * the agreement. While there is none, the node acts on by what it was told last. Runs on an event loop that it may
- * share with others; a message of a connection that was given up changes nothing.
+ * A node's subscription: one connection to one control machine, replaced by a connection to another machine when the
+ * first fails, stays silent or loses its lease of the agreement. While disconnected, the node keeps applying the
+ * versions that it received last. Runs on an event loop that it may share with others; messages of an abandoned
+ * connection are ignored.
  */
 public final class ControlClient implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlClient.class);
 
-    /** Acts by versions; called on the event loop, must not wait. */
+    /** Applies versions. Called on the event loop, so it must not block. */
     @FunctionalInterface
     public interface Applier {
-        /** Returns why the version can't be used, and the one before stays; empty if it is acted by from now on. */
+        /**
+         * Applies a version and returns empty, or returns why it is rejected; the previous version then stays in force.
+         */
         Optional<String> apply(Resource resource);
     }
 
     /**
-     * What a node subscribes to, and where.
+     * Settings of a subscription.
      *
      * @param fleet the fleet's name
      * @param node the node's name
-     * @param region where it runs
+     * @param region the region in which the node runs
      * @param machines the control machines
-     * @param resources the names of the resources that it needs
-     * @param limits limits
+     * @param resources the names of the resources to subscribe to
+     * @param limits limits and timeouts
      */
     public record Settings(
             String fleet,
@@ -62,13 +65,13 @@
             ControlLimits limits) {}
 
     /**
-     * How the subscription stands.
+     * The status of the subscription.
      *
-     * @param machine the machine that serves it; empty if none
-     * @param confirmedMs when the last confirmed heartbeat came, by the node's clock; negative infinity if never
-     * @param connections how many connections were made
-     * @param accepted versions that were taken
-     * @param rejected versions that could not be used
+     * @param machine the serving control machine; empty if there is none
+     * @param confirmedMs when the last confirmed heartbeat arrived, by the node's clock; negative infinity if never
+     * @param connections number of established connections
+     * @param accepted number of applied versions
+     * @param rejected number of rejected versions
      * @param bytesIn bytes read
      * @param bytesOut bytes written
      */
@@ -91,7 +94,7 @@
     private final SubscribedResources resources;
     private volatile Status status = new Status("", Double.NEGATIVE_INFINITY, 0, 0, 0, 0, 0);
 
-    // The event loop's only, from here on.
+    // The fields below are confined to the event loop.
     private Session session;
     private Future<?> pendingDial;
     private boolean closed;
@@ -104,35 +107,35 @@
     private long bytesIn;
     private long bytesOut;
 
-    /** A subscription that is not started. */
+    /** Creates a subscription without starting it. */
     public ControlClient(Settings settings, EventLoop loop, Clock clock, RandomGenerator random, Applier applier) {
         this(settings, loop, clock, random, applier, NioSocketChannel::new);
     }
 
-    /** As the other, with other sockets than the system's. */
+    /** Creates a subscription that opens its channels by this factory. */
     ControlClient(
             Settings settings,
             EventLoop loop,
             Clock clock,
             RandomGenerator random,
             Applier applier,
-            ChannelFactory<? extends Channel> sockets) {
+            ChannelFactory<? extends Channel> channelFactory) {
         this.settings = settings;
         this.limits = settings.limits();
         this.loop = loop;
         this.clock = clock;
         this.applier = applier;
-        this.channelFactory = sockets;
+        this.channelFactory = channelFactory;
         this.selector = new MachineSelector(settings.machines(), settings.region(), limits, random);
         this.resources = new SubscribedResources(settings.resources());
     }
 
-    /** Begins to connect. */
+    /** Starts to connect. */
     public void start() {
         loop.execute(this::connectNext);
     }
 
-    /** How it stands; from any thread. */
+    /** The current status. Thread-safe. */
     public Status status() {
         return status;
     }
@@ -166,8 +169,8 @@
         if (closed) {
             return;
         }
-        Session dialled = new Session(machine);
-        session = dialled;
+        Session newSession = new Session(machine);
+        session = newSession;
         InetSocketAddress address = parseAddress(machine.address());
         Bootstrap attempt = new Bootstrap()
                 .group(loop)
@@ -177,10 +180,10 @@
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(ControlFrames.decoder(), dialled);
+                        channel.pipeline().addLast(ControlFrames.decoder(), newSession);
                     }
                 });
-        dialled.channel = ConnectAttempt.begin(attempt, loop, address, dialled);
+        newSession.channel = ConnectAttempt.begin(attempt, loop, address, newSession);
     }
 
     private static InetSocketAddress parseAddress(String text) {
@@ -188,29 +191,30 @@
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** Gives a connection up and goes on to the next machine. */
-    private void failSession(Session of, String why) {
-        if (session == of) {
+    /** Closes a failed session and continues with the next machine. */
+    private void failSession(Session endedSession, String reason) {
+        if (session == endedSession) {
             selector.onFailed();
         }
-        closeSession(of, why);
+        closeSession(endedSession, reason);
     }
 
-    private void closeSession(Session of, String why) {
-        of.ended = true;
-        if (of.channel != null) {
-            of.channel.close();
+    private void closeSession(Session endedSession, String reason) {
+        endedSession.ended = true;
+        if (endedSession.channel != null) {
+            endedSession.channel.close();
         }
-        if (session != of) {
+        if (session != endedSession) {
             return;
         }
-        LOG.debug("{}: leaves control machine {}: {}", settings.node(), of.machine.name(), why);
+        LOG.debug(
+                "{}: disconnecting from control machine {}: {}", settings.node(), endedSession.machine.name(), reason);
         session = null;
         publishStatus();
         connectNext();
     }
 
-    /** One connection to one machine. */
+    /** A connection to a control machine. */
     private final class Session extends ChannelInboundHandlerAdapter implements ConnectAttempt.Listener {
         private final ControlMachine machine;
         private final double returnHomeAfterMs = selector.returnHomeDelayMs();
@@ -229,17 +233,17 @@
 
         @Override
         public void connected() {
-            // The handler speaks first.
+            // The subscription is sent when the channel becomes active.
         }
 
         @Override
         public void connectFailed(Throwable cause) {
-            failSession(this, "not connected: " + cause.getMessage());
+            failSession(this, "connect failed: " + cause.getMessage());
         }
 
         @Override
         public void notBegun(Throwable cause) {
-            failSession(this, "no socket: " + cause.getMessage());
+            failSession(this, "opening a socket failed: " + cause.getMessage());
         }
 
         @Override
@@ -300,8 +304,8 @@
         private void onMessage(ControlMessage message) throws ProtocolException {
             if (message instanceof Welcome && !welcomed) {
                 welcomed = true;
-            } else if (message instanceof Reject refuse) {
-                onRejected(refuse);
+            } else if (message instanceof Reject reject) {
+                onRejected(reject);
             } else if (message instanceof Update update && welcomed) {
                 resources.offer(update.resource(), applier::apply).ifPresent(acknowledge -> {
                     accepted += acknowledge.accepted() ? 1 : 0;
@@ -317,43 +321,44 @@
                 }
             } else {
                 throw new ProtocolException(
-                        SubscriptionRejection.UNREADABLE, message.getClass().getSimpleName() + " is not expected here");
+                        SubscriptionRejection.UNREADABLE,
+                        message.getClass().getSimpleName() + " is not expected in this state");
             }
         }
 
-        private void onRejected(Reject refuse) {
-            if (refuse.rejection() == SubscriptionRejection.BUSY && refuse.retryAfterMs() > 0) {
-                selector.onRetryAfter(Math.min(refuse.retryAfterMs(), limits.returnHomeMaxMs()));
+        private void onRejected(Reject reject) {
+            if (reject.rejection() == SubscriptionRejection.BUSY && reject.retryAfterMs() > 0) {
+                selector.onRetryAfter(Math.min(reject.retryAfterMs(), limits.returnHomeMaxMs()));
                 closeSession(this, "busy");
-            } else if (refuse.rejection().isTransient()) {
-                failSession(this, refuse.rejection().name());
+            } else if (reject.rejection().isTransient()) {
+                failSession(this, reject.rejection().name());
             } else {
                 LOG.warn(
-                        "{}: control machine {} refuses this node: {}",
+                        "{}: control machine {} rejected this node: {}",
                         settings.node(),
                         machine.name(),
-                        refuse.rejection());
+                        reject.rejection());
                 selector.onRetryAfter(selector.returnHomeDelayMs());
-                closeSession(this, refuse.rejection().name());
+                closeSession(this, reject.rejection().name());
             }
         }
 
         private void onTimer() {
-            double now = clock.nowMs();
+            double nowMs = clock.nowMs();
             if (ended) {
                 return;
             }
             if (paused) {
                 send(new NodeHeartbeat(lastHeartbeatSequence));
-            } else if (!welcomed && now - connectedAtMs > limits.connectTimeoutMs()) {
-                failSession(this, "no welcome");
-            } else if (now - lastReadAtMs > limits.silenceTimeoutMs()) {
-                failSession(this, "silent");
-            } else if (settings.machines().size() > 1 && now - lastConfirmedAtMs > selector.unconfirmedTimeoutMs()) {
-                failSession(this, "its heartbeats are not confirmed");
-            } else if (!selector.isHome(machine) && now - connectedAtMs > returnHomeAfterMs) {
+            } else if (!welcomed && nowMs - connectedAtMs > limits.connectTimeoutMs()) {
+                failSession(this, "no welcome before the connect timeout");
+            } else if (nowMs - lastReadAtMs > limits.silenceTimeoutMs()) {
+                failSession(this, "nothing received within the silence timeout");
+            } else if (settings.machines().size() > 1 && nowMs - lastConfirmedAtMs > selector.unconfirmedTimeoutMs()) {
+                failSession(this, "heartbeats not confirmed");
+            } else if (!selector.isHome(machine) && nowMs - connectedAtMs > returnHomeAfterMs) {
                 selector.returnHome();
-                closeSession(this, "back to its own region");
+                closeSession(this, "returning to the own region");
             } else if (welcomed) {
                 send(new NodeHeartbeat(lastHeartbeatSequence));
                 publishStatus();
@@ -361,12 +366,12 @@
         }
     }
 
-    /** For the laboratory: stops reading, or goes on, as a node does that stands still. */
-    public void setReadingPaused(boolean on) {
+    /** Pauses or resumes reading, to simulate a slow reader; used by the lab only. */
+    public void setReadingPaused(boolean readingPaused) {
         loop.execute(() -> {
-            paused = on;
+            paused = readingPaused;
             if (session != null && session.channel != null) {
-                session.channel.config().setAutoRead(!on);
+                session.channel.config().setAutoRead(!readingPaused);
             }
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlCodec.java
@@ -11,13 +11,13 @@
 import java.util.List;
 
 /**
- * Messages as bytes: the protocol's version, the message's kind, then CBOR (RFC 8949). The first two bytes keep their
- * place in every version of the protocol. Whatever can't be read is a {@link ProtocolException}.
+ * Encodes messages: the protocol version, the message kind, then CBOR (RFC 8949). The first two bytes keep their
+ * meaning in every version of the protocol. Malformed input causes a {@link ProtocolException}.
  */
 final class ControlCodec {
-    /** The version of the protocol that is spoken. */
+    /** The supported version of the protocol. */
     static final int VERSION = 1;
-    /** Longest message, in bytes: a resource of the longest content and what stands around it. */
+    /** Maximum length of a message in bytes: a resource with content of maximum length, and its envelope. */
     static final int MAX_MESSAGE_BYTES = Resource.MAX_CONTENT_BYTES + 1024;
 
     private static final int HEADER_BYTES = 2;
@@ -59,36 +59,39 @@
     static byte[] encode(ControlMessage message) {
         try {
             byte[] body = WRITER.writeValueAsBytes(message);
-            byte[] all = new byte[HEADER_BYTES + body.length];
-            all[0] = VERSION;
-            all[1] = (byte) KINDS.indexOf(message.getClass());
-            System.arraycopy(body, 0, all, HEADER_BYTES, body.length);
-            return all;
+            byte[] encoded = new byte[HEADER_BYTES + body.length];
+            encoded[0] = VERSION;
+            encoded[1] = (byte) KINDS.indexOf(message.getClass());
+            System.arraycopy(body, 0, encoded, HEADER_BYTES, body.length);
+            return encoded;
         } catch (IOException e) {
-            throw new IllegalStateException("can't be written: " + message, e);
+            throw new IllegalStateException("cannot encode " + message, e);
         }
     }
 
-    static ControlMessage decode(byte[] all) throws ProtocolException {
-        if (all.length < HEADER_BYTES) {
-            throw new ProtocolException(SubscriptionRejection.UNREADABLE, "a frame of " + all.length + " bytes");
+    static ControlMessage decode(byte[] encoded) throws ProtocolException {
+        if (encoded.length < HEADER_BYTES) {
+            throw new ProtocolException(
+                    SubscriptionRejection.UNREADABLE, "frame of " + encoded.length + " bytes is too short");
         }
-        if (all[0] != VERSION) {
-            throw new ProtocolException(SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, "version " + all[0]);
+        if (encoded[0] != VERSION) {
+            throw new ProtocolException(
+                    SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, "unknown protocol version " + encoded[0]);
         }
-        if (all[1] < 0 || all[1] >= KINDS.size()) {
-            throw new ProtocolException(SubscriptionRejection.UNREADABLE, "kind " + all[1]);
+        if (encoded[1] < 0 || encoded[1] >= KINDS.size()) {
+            throw new ProtocolException(SubscriptionRejection.UNREADABLE, "unknown message kind " + encoded[1]);
         }
         try {
-            ControlMessage message = READERS.get(all[1]).readValue(all, HEADER_BYTES, all.length - HEADER_BYTES);
+            ControlMessage message =
+                    READERS.get(encoded[1]).readValue(encoded, HEADER_BYTES, encoded.length - HEADER_BYTES);
             if (message == null) {
-                throw new ProtocolException(SubscriptionRejection.UNREADABLE, "an empty message");
+                throw new ProtocolException(SubscriptionRejection.UNREADABLE, "empty message");
             }
             return message;
         } catch (ProtocolException e) {
             throw e;
         } catch (IOException | RuntimeException e) {
-            // Records reject what is out of bounds, and a parser may have faults of its own.
+            // Records throw for values out of range, and the parser may throw unexpected exceptions on malformed input.
             throw new ProtocolException(
                     SubscriptionRejection.UNREADABLE, e.getClass().getSimpleName());
         }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlFrames.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlFrames.java
@@ -4,20 +4,20 @@
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 
-/** Messages on a connection: four bytes with the length of what follows, then the message. */
+/** Frames messages on a connection: the length in four bytes, then the message. */
 final class ControlFrames {
-    /** Bytes before each message. */
+    /** Length of the prefix of each message, in bytes. */
     static final int LENGTH_BYTES = 4;
 
     private ControlFrames() {}
 
-    /** Cuts what is received into messages; a longer one than allowed is an exception as soon as its length is read. */
+    /** Splits received bytes into messages; one that exceeds the limit fails as soon as its length is read. */
     static LengthFieldBasedFrameDecoder decoder() {
         return new LengthFieldBasedFrameDecoder(
                 ControlCodec.MAX_MESSAGE_BYTES + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
     }
 
-    /** A message as it is written; the same bytes may be written to any number of connections. */
+    /** Encodes a message with its length; the result may be written to any number of connections. */
     static byte[] encode(ControlMessage message) {
         byte[] body = ControlCodec.encode(message);
         byte[] frame = new byte[LENGTH_BYTES + body.length];
@@ -26,7 +26,7 @@
         return frame;
     }
 
-    /** What the decoder cut out, as a message. */
+    /** Decodes a frame returned by {@link #decoder}. */
     static ControlMessage decode(ByteBuf frame) throws ProtocolException {
         byte[] body = new byte[frame.readableBytes()];
         frame.readBytes(body);
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlMachine.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlMachine.java
@@ -1,10 +1,10 @@
 package brackenbridge.fleet.control;
 
 /**
- * A control machine as the fleet's file names it.
+ * A control machine as configured in the fleet file.
  *
  * @param name its name
- * @param region where it stands
+ * @param region the region in which it runs
  * @param address where nodes reach it, {@code address:port}
  */
 public record ControlMachine(String name, String region, String address) {}
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * What a node and a control machine tell each other over their connection. Each connection is ordered and reliable;
- * what was on its way when it ends is lost, and the versions in the next {@link Subscribe} make up for it.
+ * A message between a node and a control machine. Each connection is ordered and reliable; messages in flight when it
+ * closes are lost, and the versions in the next {@link Subscribe} recover from that.
  */
 public sealed interface ControlMessage {
-    /** Most resources that one node may subscribe to. */
+    /** Maximum number of resources that a node may subscribe to. */
     int MAX_RESOURCES = 256;
-    /** Longest reason for the refusal of a version, in characters. */
+    /** Maximum length of the reason for a rejected version, in characters. */
     int MAX_REASON_LENGTH = 200;
 
     /**
-     * What a node holds of a resource.
+     * The versions of a resource at a node.
      *
      * @param name the resource
-     * @param received the newest version that it was sent, accepted or not; 0 if none
-     * @param applied the version that it acts by; 0 if none
+     * @param received the newest version that the node received, accepted or not; 0 if none
+     * @param applied the version that the node applies; 0 if none
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record HeldVersion(String name, long received, long applied) {
@@ -32,18 +32,18 @@
     }
 
     /**
-     * A node's first message: it subscribes to these resources, from the versions that it holds.
+     * A node's first message: subscribes to these resources, resuming from the versions that the node has.
      *
      * @param fleet the fleet's name
      * @param node the node's name
-     * @param region where the node runs
-     * @param connection grows with each connection of this node, over its restarts as well
-     * @param resources what it subscribes to
+     * @param region the region in which the node runs
+     * @param connectionNumber grows with each connection of this node, across restarts as well
+     * @param resources the resources to subscribe to
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Subscribe(String fleet, String node, String region, long connectionNumber, List<HeldVersion> resources)
             implements ControlMessage {
-        /** Rejects what is out of bounds; too many resources are left to the machine, which has a name for it. */
+        /** Validates the names; the machine checks the number of resources, as it has a rejection for that. */
         public Subscribe {
             Resource.checkName(fleet);
             Resource.checkName(node);
@@ -53,12 +53,12 @@
     }
 
     /**
-     * A node has taken a version, or can't use it and acts on by the one before.
+     * A node applied a version, or rejected it and keeps applying the previous one.
      *
      * @param name the resource
-     * @param version which version
-     * @param accepted whether the node acts by it now
-     * @param reason why not; empty if accepted
+     * @param version the version
+     * @param accepted whether the node applies it
+     * @param reason why it was rejected; empty if it was accepted
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Acknowledge(String name, long version, boolean accepted, String reason) implements ControlMessage {
@@ -72,9 +72,9 @@
     }
 
     /**
-     * The node lives, and has read all that was sent to it before this heartbeat of the machine's.
+     * A node's heartbeat. It acknowledges all messages up to the machine's heartbeat with this sequence number.
      *
-     * @param sequence the machine's last heartbeat that the node has read; 0 if none
+     * @param sequence the last heartbeat of the machine that the node has read; 0 if none
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record NodeHeartbeat(long sequence) implements ControlMessage {}
@@ -83,30 +83,30 @@
      * The subscription is accepted.
      *
      * @param machine the control machine's name
-     * @param heartbeatMs how often it says that it lives, in milliseconds
+     * @param heartbeatMs the machine's heartbeat interval in milliseconds
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Welcome(String machine, double heartbeatMs) implements ControlMessage {}
 
-    /** The newest version of a resource that the node has subscribed to. */
+    /** The newest version of a resource to which the node is subscribed. */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Update(Resource resource) implements ControlMessage {}
 
     /**
-     * The control machine lives.
+     * A control machine's heartbeat.
      *
-     * @param sequence counts its heartbeats
-     * @param confirmed whether it held a lease of the agreement when it sent this: then every change that was told
-     *     {@code IN_FORCE} up to a lease before has been written to this connection before this message
+     * @param sequence sequence number of the heartbeat
+     * @param confirmed whether the machine held a lease of the agreement when it sent this: then every change reported
+     *     as {@code IN_FORCE} up to one lease earlier was written to this connection before this message
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record MachineHeartbeat(long sequence, boolean confirmed) implements ControlMessage {}
 
     /**
-     * The machine ends the connection.
+     * The machine rejects or closes the connection.
      *
-     * @param refusal why
-     * @param retryAfterMs when to come back to this machine, in milliseconds; 0 if it makes no difference
+     * @param rejection the reason
+     * @param retryAfterMs Retry-After for this machine in milliseconds; 0 if waiting makes no difference
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record Reject(SubscriptionRejection rejection, double retryAfterMs) implements ControlMessage {}
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlMetrics.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlMetrics.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The metrics of a control server; the gauges show its last report. */
+/** The metrics of a control server; the gauges are taken from its last report. */
 final class ControlMetrics {
     final Counter subscriptions;
     final Counter updates;
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
@@ -44,29 +44,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves the subscriptions of nodes at a control machine. All of it runs on one event loop; there is no lock and no
- * thread for each connection. A resource is serialized once for all nodes that it goes to.
+ * Serves the subscriptions of nodes at a control machine. Everything runs on one event loop, without locks or a thread
+ * per connection. A resource is serialized once for all nodes that receive it.
  */
 public final class ControlServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
     private static final int LISTEN_BACKLOG = 1024;
-    /** Above the high mark a connection is not written to until it has fallen below the low one; in bytes. */
+    /** In bytes: above the high mark nothing is written to a connection until its buffer falls below the low mark. */
     private static final WriteBufferWaterMark WRITE_MARKS = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
-    /** What a refused connection still sends is dropped for so long, so that it can read why. */
+    /**
+     * For how long input of a rejected connection is discarded before it is closed, so that the node can read the
+     * reason.
+     */
     private static final long LINGER_MS = 500;
 
     private static final long STOP_TIMEOUT_MS = 2000;
-    /** Log lines for refusals in a second at most; the counters have all of them. */
+    /** Maximum number of logged rejections per second; the counters include all of them. */
     private static final int MAX_LOGGED_PER_SECOND = 20;
 
     /**
-     * What a control machine serves.
+     * Settings of a control server.
      *
      * @param fleet the fleet's name
      * @param machine the machine's name
-     * @param address where nodes reach it
-     * @param nodes who may subscribe
-     * @param limits limits
+     * @param address the listen address
+     * @param nodes the nodes that may subscribe
+     * @param limits limits and timeouts
      */
     public record Settings(
             String fleet, String machine, InetSocketAddress address, NodeNames nodes, ControlLimits limits) {}
@@ -81,7 +84,7 @@
     private volatile MachineReport report;
     private Channel serverChannel;
 
-    // The event loop's only, from here on.
+    // The fields below are confined to the event loop.
     private final ResourceTable table = new ResourceTable();
     private final Map<String, byte[]> frames = new HashMap<>();
     private final AdmissionLimiter admissions;
@@ -96,9 +99,9 @@
     private double logWindowStartMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A server that is not started.
+     * Creates a server without starting it.
      *
-     * @param confirmed whether this machine holds a lease of the agreement now; asked on the event loop
+     * @param confirmed returns whether this machine holds a lease of the agreement; called on the event loop
      */
     public ControlServer(Settings settings, Clock clock, BooleanSupplier confirmed, MeterRegistry metrics) {
         this.settings = settings;
@@ -111,9 +114,9 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
-     * @throws IOException if the address is not to be had
+     * @throws IOException if the address cannot be bound
      */
     public void start() throws IOException {
         try {
@@ -134,20 +137,20 @@
                     .syncUninterruptibly()
                     .channel();
         } catch (Exception e) {
-            // Netty throws a failed bind as it is, and that is no RuntimeException.
+            // Netty rethrows the checked exception of a failed bind without declaring it.
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-            throw new IOException("can't listen on " + settings.address() + ": " + e.getMessage(), e);
+            throw new IOException("cannot listen on " + settings.address() + ": " + e.getMessage(), e);
         }
         loop.scheduleAtFixedRate(
                 this::tick, (long) limits.heartbeatMs(), (long) limits.heartbeatMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Where it listens. */
+    /** The local listen address. */
     public InetSocketAddress address() {
         return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    /** A version is in force: nodes that subscribe to it are sent it, unless a newer one is known. From any thread. */
+    /** Sends a version in force to the subscribed nodes, unless a newer one is known. Thread-safe. */
     public void publish(Resource resource) {
         loop.execute(() -> {
             if (!table.offer(resource)) {
@@ -166,16 +169,16 @@
         });
     }
 
-    /** What it last knew of its nodes; a heartbeat old at most. */
+    /** The last report about the connected nodes; at most one heartbeat interval old. */
     public MachineReport report() {
         return report;
     }
 
     private void flush() {
         flushScheduled = false;
-        List<NodeConnection> now = new ArrayList<>(pendingConnections);
+        List<NodeConnection> flushed = new ArrayList<>(pendingConnections);
         pendingConnections.clear();
-        now.forEach(NodeConnection::sendPending);
+        flushed.forEach(NodeConnection::sendPending);
     }
 
     private byte[] frame(Resource resource) {
@@ -186,14 +189,14 @@
         try {
             boolean holdsLease = confirmed.getAsBoolean();
             byte[] heartbeat = ControlFrames.encode(new MachineHeartbeat(++heartbeatSequence, holdsLease));
-            double now = clock.nowMs();
+            double nowMs = clock.nowMs();
             for (NodeConnection connection : List.copyOf(connections)) {
-                connection.tick(now, heartbeat);
+                connection.tick(nowMs, heartbeat);
             }
             report = currentReport(holdsLease);
         } catch (RuntimeException e) {
-            // Guards the next tick: a schedule ends with the first exception.
-            LOG.error("control server {}: a tick failed", settings.machine(), e);
+            // Guards the next tick: an exception would cancel the periodic task.
+            LOG.error("control server {}: periodic task failed", settings.machine(), e);
         }
     }
 
@@ -211,25 +214,25 @@
         return new MachineReport(settings.machine(), holdsLease, reports);
     }
 
-    private void recordRejection(SubscriptionRejection refusal, String who, String why) {
-        metrics.countRejection(refusal);
-        double now = clock.nowMs();
-        if (now >= logWindowStartMs + 1000) {
-            logWindowStartMs = now;
+    private void recordRejection(SubscriptionRejection rejection, String remote, String detail) {
+        metrics.countRejection(rejection);
+        double nowMs = clock.nowMs();
+        if (nowMs >= logWindowStartMs + 1000) {
+            logWindowStartMs = nowMs;
             loggedInWindow = 0;
         }
         if (loggedInWindow++ < MAX_LOGGED_PER_SECOND) {
-            LOG.info("control server {}: refused {} reason={} {}", settings.machine(), who, refusal, why);
+            LOG.info("control server {}: rejected {} reason={} {}", settings.machine(), remote, rejection, detail);
         }
     }
 
-    /** One connection, from its accept on; a node's subscription once it has sent one. */
+    /** An accepted connection; it has a subscription once the node has sent one. */
     private final class NodeConnection extends ChannelInboundHandlerAdapter {
         private final Channel channel;
         private final double acceptedMs = clock.nowMs();
         private double lastReadMs = acceptedMs;
         private double blockedSinceMs = Double.NaN;
-        /** The oldest heartbeat that the node has not answered, and when it was sent; NaN if none. */
+        /** The oldest heartbeat that the node has not acknowledged, and when it was sent; NaN if none. */
         private long unansweredHeartbeat;
 
         private double unansweredSinceMs = Double.NaN;
@@ -307,7 +310,7 @@
                 if (!acknowledge.accepted()) {
                     metrics.rejectedVersions.increment();
                     LOG.warn(
-                            "control server {}: {} can't use version {} of {}: {}",
+                            "control server {}: {} rejected version {} of {}: {}",
                             settings.machine(),
                             node,
                             acknowledge.version(),
@@ -320,7 +323,8 @@
                 }
             } else {
                 throw new ProtocolException(
-                        SubscriptionRejection.UNREADABLE, message.getClass().getSimpleName() + " is not expected here");
+                        SubscriptionRejection.UNREADABLE,
+                        message.getClass().getSimpleName() + " is not expected in this state");
             }
         }
 
@@ -340,12 +344,15 @@
                         request.node() + ": " + request.resources().size());
                 return;
             }
-            NodeConnection before = byNode.get(request.node());
-            if (before != null && before.connectionNumber >= request.connectionNumber()) {
-                reject(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection is here");
+            NodeConnection previous = byNode.get(request.node());
+            if (previous != null && previous.connectionNumber >= request.connectionNumber()) {
+                reject(
+                        SubscriptionRejection.REPLACED,
+                        0,
+                        request.node() + ": a later connection is already established");
                 return;
             }
-            if (before == null && byNode.size() >= limits.maxSubscribers()) {
+            if (previous == null && byNode.size() >= limits.maxSubscribers()) {
                 reject(SubscriptionRejection.FULL, 0, request.node());
                 return;
             }
@@ -354,8 +361,8 @@
                 reject(SubscriptionRejection.BUSY, retryAfterMs.getAsDouble(), request.node());
                 return;
             }
-            if (before != null) {
-                before.reject(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection has come");
+            if (previous != null) {
+                previous.reject(SubscriptionRejection.REPLACED, 0, request.node() + ": replaced by a later connection");
             }
             startSubscription(request);
         }
@@ -381,7 +388,7 @@
             channel.write(Unpooled.wrappedBuffer(frame));
         }
 
-        /** Writes what is pending, as far as the connection takes it. */
+        /** Writes pending resources while the connection is writable. */
         void sendPending() {
             if (ended || subscription == null) {
                 return;
@@ -438,23 +445,26 @@
             }
         }
 
-        /** Tells why, and closes; what still comes in is dropped for a moment, else it would reset the connection. */
-        void reject(SubscriptionRejection refusal, double retryAfterMs, String why) {
+        /**
+         * Sends the reason and closes the connection. Input is discarded for a while before the close, because unread
+         * input would reset the connection before the node reads the reason.
+         */
+        void reject(SubscriptionRejection rejection, double retryAfterMs, String detail) {
             if (ended) {
                 return;
             }
             ended = true;
-            recordRejection(refusal, String.valueOf(channel.remoteAddress()), why);
+            recordRejection(rejection, String.valueOf(channel.remoteAddress()), detail);
             removeConnection();
             channel.pipeline().remove(io.netty.handler.codec.LengthFieldBasedFrameDecoder.class);
-            write(ControlFrames.encode(new Reject(refusal, retryAfterMs)));
+            write(ControlFrames.encode(new Reject(rejection, retryAfterMs)));
             channel.flush();
             ((DuplexChannel) channel).shutdownOutput();
             loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Refuses whoever is connected, so that nodes go elsewhere at once, and ends. */
+    /** Rejects all connected nodes, so that they move to another machine at once, and shuts down. */
     @Override
     public void close() {
         if (group.isShuttingDown()) {
--- a/fleet/src/main/java/brackenbridge/fleet/control/FleetStatus.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/FleetStatus.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The reports of all control machines, added up by region, as text for operators. */
+/** Formats the reports of all control machines, aggregated by region, as text for operators. */
 public final class FleetStatus {
-    /** A report that is older is left out of the sums, and named. */
+    /** Older reports are marked and excluded from the sums. */
     private static final double STALE_MS = 5000;
 
     private static final class Region {
@@ -29,16 +29,16 @@
 
     private FleetStatus() {}
 
-    /** The text: each machine, then each region with the versions that differ and some of the nodes behind. */
+    /** Formats each machine, then each region with its differing versions and some of its outdated nodes. */
     public static String format(List<ReportExchange.AgedReport> reports) {
         Map<String, Region> regions = new TreeMap<>();
         StringBuilder text = new StringBuilder();
-        for (ReportExchange.AgedReport dated : reports) {
-            MachineReport report = dated.report();
+        for (ReportExchange.AgedReport agedReport : reports) {
+            MachineReport report = agedReport.report();
             int nodes = report.regions().stream()
                     .mapToInt(MachineReport.RegionReport::nodes)
                     .sum();
-            boolean stale = dated.ageMs() > STALE_MS;
+            boolean stale = agedReport.ageMs() > STALE_MS;
             appendLine(
                     text,
                     "machine " + report.machine(),
@@ -50,8 +50,8 @@
                             stale
                                     ? String.format(
                                             Locale.ROOT,
-                                            "; last heard of %.0f s ago, not counted",
-                                            dated.ageMs() / 1000)
+                                            "; last report %.0f s ago, not counted",
+                                            agedReport.ageMs() / 1000)
                                     : ""));
             if (!stale) {
                 report.regions()
@@ -68,7 +68,7 @@
         region.versions.forEach((resource, counts) -> {
             if (counts.size() > 1) {
                 List<String> parts = new ArrayList<>();
-                counts.forEach((version, nodes) -> parts.add(nodes + " by version " + version));
+                counts.forEach((version, nodes) -> parts.add(nodes + " at version " + version));
                 appendLine(text, "  " + resource, String.join(", ", parts));
             }
         });
--- a/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
@@ -5,15 +5,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which control machine a node connects to next and when: the machines of its own region first, in an order
- * drawn for this node, so that nodes spread over them without a coordinator; then the others, in an order drawn anew
- * for each round, so that the nodes of a lost machine spread over all that are left. Waits have full jitter.
+ * Selects the control machine that a node connects to next, and the delay before. The machines of its own region come
+ * first, in a random order per node, so that nodes spread over them without a coordinator; then the others, in a random
+ * order per round, so that the nodes of a lost machine spread over all remaining ones. Backoff has full jitter.
  */
 final class MachineSelector {
-    /** Doubling ends here; the wait's bound is reached long before. */
+    /** Guards against overflow of the doubled bound, whose limit is reached long before. */
     private static final int MAX_DOUBLINGS = 16;
 
-    /** The next connection: to whom, and after how many milliseconds. */
+    /** The next connection attempt: the machine, and the delay before in milliseconds. */
     record Attempt(ControlMachine machine, double delayMs) {}
 
     private final List<ControlMachine> machines;
@@ -29,7 +29,7 @@
 
     MachineSelector(List<ControlMachine> machines, String region, ControlLimits limits, RandomGenerator random) {
         if (machines.isEmpty()) {
-            throw new IllegalArgumentException("no control machine");
+            throw new IllegalArgumentException("no control machine is configured");
         }
         this.machines = List.copyOf(machines);
         this.region = region;
@@ -53,27 +53,27 @@
     }
 
     private double retryBoundMs() {
-        double bound = limits.retryBaseMs() * (1L << Math.min(Math.max(0, failures - 1), MAX_DOUBLINGS));
-        return Math.min(limits.retryMaxMs(), bound);
+        double boundMs = limits.retryBaseMs() * (1L << Math.min(Math.max(0, failures - 1), MAX_DOUBLINGS));
+        return Math.min(limits.retryMaxMs(), boundMs);
     }
 
     private void startRound() {
-        List<ControlMachine> home = new ArrayList<>();
-        List<ControlMachine> away = new ArrayList<>();
-        machines.forEach(machine -> (isHome(machine) ? home : away).add(machine));
-        shuffle(home);
-        shuffle(away);
-        home.addAll(away);
-        currentRound = home;
+        List<ControlMachine> ownRegion = new ArrayList<>();
+        List<ControlMachine> otherRegions = new ArrayList<>();
+        machines.forEach(machine -> (isHome(machine) ? ownRegion : otherRegions).add(machine));
+        shuffle(ownRegion);
+        shuffle(otherRegions);
+        ownRegion.addAll(otherRegions);
+        currentRound = ownRegion;
         position = 0;
     }
 
     private void shuffle(List<ControlMachine> list) {
         for (int i = list.size() - 1; i > 0; i--) {
-            int other = random.nextInt(i + 1);
-            ControlMachine moved = list.get(i);
-            list.set(i, list.get(other));
-            list.set(other, moved);
+            int swapIndex = random.nextInt(i + 1);
+            ControlMachine swapped = list.get(i);
+            list.set(i, list.get(swapIndex));
+            list.set(swapIndex, swapped);
         }
     }
 
@@ -81,13 +81,13 @@
         return machine.region().equals(region);
     }
 
-    /** The machine serves this node and its heartbeats are confirmed. */
+    /** The serving machine sent a confirmed heartbeat. */
     void onConfirmed() {
         failures = 0;
         unconfirmedRounds = 0;
     }
 
-    /** The connection failed, was lost or was refused: the next machine's turn. */
+    /** The connection failed, was lost or was rejected: moves on to the next machine. */
     void onFailed() {
         failures++;
         position++;
@@ -96,9 +96,10 @@
         }
     }
 
-    /** The machine asked the node to come back to it after so many milliseconds. */
+    /** The machine sent a Retry-After: the next attempt goes to the same machine after this delay. */
     void onRetryAfter(double retryAfterMs) {
-        // A little later at random: the machine spreads the times, two clocks may still agree to the millisecond.
+        // Adds jitter: the machine spreads its Retry-After values, but two nodes may still retry in the same
+        // millisecond.
         pendingRetryAfterMs = retryAfterMs + random.nextDouble() * limits.heartbeatMs() / 2;
     }
 
@@ -108,15 +109,15 @@
     }
 
     /**
-     * How long to stay with a machine whose heartbeats are not confirmed. It doubles with each round in which no
-     * machine was: while no majority can be reached, nodes do not wander from machine to machine all the time.
+     * How long to stay with a machine whose heartbeats are not confirmed. Doubles with each round without a confirmed
+     * machine, so that nodes do not keep moving from machine to machine while no majority can be reached.
      */
     double unconfirmedTimeoutMs() {
-        double longest = limits.returnHomeMaxMs();
-        return Math.min(longest, limits.unconfirmedTimeoutMs() * (1L << Math.min(unconfirmedRounds, MAX_DOUBLINGS)));
+        double maxMs = limits.returnHomeMaxMs();
+        return Math.min(maxMs, limits.unconfirmedTimeoutMs() * (1L << Math.min(unconfirmedRounds, MAX_DOUBLINGS)));
     }
 
-    /** How long to stay with a machine of another region. */
+    /** How long to stay with a machine of another region; drawn at random. */
     double returnHomeDelayMs() {
         return limits.returnHomeMinMs() + random.nextDouble() * (limits.returnHomeMaxMs() - limits.returnHomeMinMs());
     }
--- a/fleet/src/main/java/brackenbridge/fleet/control/NodeNames.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/NodeNames.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** The nodes that may subscribe: names, or beginnings of names with {@code *} behind them. */
+/** The nodes that may subscribe: names, or name prefixes followed by {@code *}. */
 public final class NodeNames {
     private static final String WILDCARD = "*";
 
     private final Set<String> names = new HashSet<>();
     private final List<String> prefixes;
 
-    /** From the entries of the fleet's file. */
+    /** Creates the set from the entries of the fleet file. */
     public NodeNames(List<String> entries) {
         entries.stream().filter(entry -> !entry.endsWith(WILDCARD)).forEach(names::add);
         prefixes = entries.stream()
--- a/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** Bytes from the other side that break the protocol. */
+/** The other side violated the protocol. */
 public final class ProtocolException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** What is refused. */
+    /** The reason that is sent to the other side. */
     private final SubscriptionRejection rejection;
 
-    /** With the reason to tell and to count, and a text for the log. */
-    public ProtocolException(SubscriptionRejection refusal, String text) {
+    /** Creates an exception with the reason to send and to count, and a text for the log. */
+    public ProtocolException(SubscriptionRejection rejection, String text) {
         super(text);
-        this.rejection = refusal;
+        this.rejection = rejection;
     }
 
     /** The reason. */
--- a/fleet/src/main/java/brackenbridge/fleet/control/RegionReportBuilder.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/RegionReportBuilder.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Adds up the nodes of one region for a machine's report; not thread-safe. */
+/** Aggregates the nodes of one region for a machine's report. Not thread-safe. */
 final class RegionReportBuilder {
     private final Map<String, Map<Long, Integer>> nodesByVersion = new TreeMap<>();
     private final List<MachineReport.NodeBehind> behind = new ArrayList<>();
     private int nodes;
     private int current;
 
-    /** Adds a node's subscription, compared with the newest versions in the table. */
+    /** Adds a node, comparing its subscription with the newest versions in the table. */
     void add(String node, Subscription subscription, ResourceTable table) {
         nodes++;
         List<Subscription.Lag> lags = subscription.behind(table);
@@ -28,7 +28,7 @@
                         .merge(subscription.applied(name), 1, Integer::sum));
     }
 
-    /** The report of the nodes that were added, with at most {@link MachineReport#MAX_VERSIONS} counts. */
+    /** Builds the report of the added nodes, with at most {@link MachineReport#MAX_VERSIONS} version counts. */
     MachineReport.RegionReport build(String region) {
         List<MachineReport.VersionCount> counts = new ArrayList<>();
         nodesByVersion.forEach((name, byVersion) -> byVersion.forEach((version, count) -> {
--- a/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
@@ -18,12 +18,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reports of the control machines to each other: each sends its own to all others at a fixed rate and keeps the last of
- * each. A report that is lost is made up for by the next.
+ * Exchanges reports between control machines: each sends its own to all others at a fixed rate and keeps the latest of
+ * each. A lost report is superseded by the next one.
  */
 public final class ReportExchange {
     private static final Logger LOG = LoggerFactory.getLogger(ReportExchange.class);
-    /** Longest report; bytes. */
+    /** Maximum length of a report in bytes. */
     private static final int MAX_BYTES = 512 * 1024;
 
     private static final ObjectMapper MAPPER = CBORMapper.builder(CBORFactory.builder()
@@ -41,7 +41,7 @@
      * A report with its age.
      *
      * @param report the report
-     * @param ageMs how long ago it came, in milliseconds
+     * @param ageMs time since it was received, in milliseconds
      */
     public record AgedReport(MachineReport report, double ageMs) {}
 
@@ -51,31 +51,32 @@
     private final Clock clock;
     private final Map<String, Received> latest = new ConcurrentHashMap<>();
 
-    /** Exchanges over these links, which are not started yet. */
+    /** Creates an exchange over these links, which must not be started yet. */
     public ReportExchange(PeerLinks links, Clock clock) {
         this.links = links;
         this.clock = clock;
-        links.setReceiver(MessageStream.CONTROL, (peer, life, body) -> onReport(peer, body));
+        links.setReceiver(MessageStream.CONTROL, (peer, incarnation, body) -> onReport(peer, body));
     }
 
     private void onReport(String peer, byte[] body) {
         try {
             MachineReport report = body.length > MAX_BYTES ? null : MAPPER.readValue(body, MachineReport.class);
             if (report == null || !report.machine().equals(peer)) {
-                throw new IOException("not a report of " + peer + ", " + body.length + " bytes");
+                throw new IOException("expected a report of " + peer + " of at most " + MAX_BYTES + " bytes, got "
+                        + body.length + " bytes");
             }
             latest.put(peer, new Received(report, clock.nowMs()));
         } catch (IOException | RuntimeException e) {
-            LOG.warn("{} sends what is no report: {}", peer, e.getMessage());
+            LOG.warn("malformed report from {}: {}", peer, e.getMessage());
         }
     }
 
     /** Sends this machine's report to all others. */
-    public void send(MachineReport own) {
-        latest.put(own.machine(), new Received(own, clock.nowMs()));
+    public void send(MachineReport ownReport) {
+        latest.put(ownReport.machine(), new Received(ownReport, clock.nowMs()));
         byte[] body;
         try {
-            body = MAPPER.writeValueAsBytes(own);
+            body = MAPPER.writeValueAsBytes(ownReport);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -84,12 +85,12 @@
         }
     }
 
-    /** The last report of each machine, this one's too. */
+    /** The latest report of each machine, including this one. */
     public List<AgedReport> latestReports() {
         double now = clock.nowMs();
-        List<AgedReport> all = new ArrayList<>();
-        latest.values().forEach(last -> all.add(new AgedReport(last.report(), now - last.atMs())));
-        all.sort(java.util.Comparator.comparing(dated -> dated.report().machine()));
-        return all;
+        List<AgedReport> reports = new ArrayList<>();
+        latest.values().forEach(received -> reports.add(new AgedReport(received.report(), now - received.atMs())));
+        reports.sort(java.util.Comparator.comparing(dated -> dated.report().machine()));
+        return reports;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/Resource.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/Resource.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * A named value at one version. Its content is whole: a newer version replaces an older one and needs no history.
+ * A named value at one version. The content is complete: a newer version replaces an older one without any history.
  *
  * @param name such as {@code settings/tier-1}
  * @param version the agreed generation; grows with each change of this name and is never used twice
@@ -11,26 +11,27 @@
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Resource(String name, long version, byte[] content) {
-    /** Longest name, in characters. */
+    /** Maximum length of a name in characters. */
     public static final int MAX_NAME_LENGTH = 64;
-    /** Longest content, in bytes. */
+    /** Maximum length of the content in bytes. */
     public static final int MAX_CONTENT_BYTES = 256 * 1024;
 
-    /** Rejects what is out of bounds with an {@link IllegalArgumentException}. */
+    /** Throws an {@link IllegalArgumentException} if a value is out of range. */
     public Resource {
         checkName(name);
         if (version < 1) {
-            throw new IllegalArgumentException("version of " + name + ": " + version);
+            throw new IllegalArgumentException("version of " + name + " must be at least 1: " + version);
         }
         if (content.length > MAX_CONTENT_BYTES) {
-            throw new IllegalArgumentException(name + ": " + content.length + " bytes of at most " + MAX_CONTENT_BYTES);
+            throw new IllegalArgumentException(
+                    name + ": content of " + content.length + " bytes exceeds the limit of " + MAX_CONTENT_BYTES);
         }
     }
 
     static void checkName(String name) {
         if (name == null || name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
             throw new IllegalArgumentException(
-                    "resource name of 1 to " + MAX_NAME_LENGTH + " characters: '" + name + "'");
+                    "name must have 1 to " + MAX_NAME_LENGTH + " characters: '" + name + "'");
         }
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/SubscribedResources.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/SubscribedResources.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 
 /**
- * What a node has of the resources that it subscribes to. A version is taken only if it is newer than every version
- * received before, whichever machine sent it; one that the node can't use leaves the version before in place.
+ * A node's versions of the resources that it subscribes to. A version is applied only if it is newer than every version
+ * received before, whichever machine sent it; a rejected one leaves the previous version in force.
  */
 final class SubscribedResources {
-    /** Tries to act by a version. */
+    /** Applies versions. */
     @FunctionalInterface
     interface Applier {
-        /** Returns why the version can't be used; empty if the node acts by it now. */
+        /** Applies a version and returns empty, or returns why it is rejected. */
         Optional<String> apply(Resource resource);
     }
 
@@ -35,20 +35,20 @@
         });
         if (resources.size() > ControlMessage.MAX_RESOURCES) {
             throw new IllegalArgumentException(
-                    resources.size() + " resources of at most " + ControlMessage.MAX_RESOURCES);
+                    resources.size() + " resources exceed the limit of " + ControlMessage.MAX_RESOURCES);
         }
     }
 
-    /** Takes a version; returns what to tell the machine, or nothing for one that is old or was not asked for. */
+    /** Processes a version; returns its acknowledgement, or empty if it is outdated or not subscribed to. */
     Optional<Acknowledge> offer(Resource resource, Applier applier) {
-        Progress held = resources.get(resource.name());
-        if (held == null || resource.version() <= held.received) {
+        Progress progress = resources.get(resource.name());
+        if (progress == null || resource.version() <= progress.received) {
             return Optional.empty();
         }
-        held.received = resource.version();
+        progress.received = resource.version();
         Optional<String> fault = applier.apply(resource);
         if (fault.isEmpty()) {
-            held.applied = resource.version();
+            progress.applied = resource.version();
         }
         return Optional.of(new Acknowledge(
                 resource.name(),
@@ -61,16 +61,16 @@
         return reason.substring(0, Math.min(reason.length(), ControlMessage.MAX_REASON_LENGTH));
     }
 
-    /** The versions to resume from. */
+    /** The versions from which a new connection resumes. */
     List<HeldVersion> versions() {
         List<HeldVersion> versions = new ArrayList<>();
-        resources.forEach((name, held) -> versions.add(new HeldVersion(name, held.received, held.applied)));
+        resources.forEach((name, progress) -> versions.add(new HeldVersion(name, progress.received, progress.applied)));
         return versions;
     }
 
-    /** The version of a resource that the node acts by; 0 if none. */
+    /** The applied version of a resource; 0 if none. */
     long applied(String name) {
-        Progress held = resources.get(name);
-        return held == null ? 0 : held.applied;
+        Progress progress = resources.get(name);
+        return progress == null ? 0 : progress.applied;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
@@ -13,15 +13,15 @@
 import java.util.Set;
 
 /**
- * One node's subscription at a control machine: what the node has been sent, and what is still to be sent. At most one
- * version of each resource waits, the newest, so a node that reads slowly costs no more memory than one that does not.
+ * A node's subscription at a control machine: the versions that were sent and the resources still to be sent. At most
+ * one version of each resource is pending, the newest, so a slow reader costs no more memory than a fast one.
  *
- * <p>A resource is sent when the table has a newer version than the one that the node has received. The node's own
- * versions are the start, whichever machine it was connected to before: resuming needs no history, and a machine that
- * lags behind sends nothing.
+ * <p>A resource is sent when the table has a newer version than the one that the node has received. A subscription
+ * starts from the versions that the node reports, whichever machine it was connected to before: resuming needs no
+ * history, and a machine that lags behind sends nothing.
  */
 final class Subscription {
-    /** What a node is known to have of one resource. */
+    /** The known versions of one resource at the node. */
     private static final class Progress {
         private long received;
         private long applied;
@@ -31,14 +31,14 @@
     private final Map<String, Progress> resources = new LinkedHashMap<>();
     private final Set<String> pending = new LinkedHashSet<>();
 
-    /** A subscription that begins; what the table has newer is pending at once. */
+    /** Creates a subscription; resources of which the table has a newer version are pending at once. */
     Subscription(Subscribe request, ResourceTable table) {
-        for (HeldVersion held : request.resources()) {
+        for (HeldVersion heldVersion : request.resources()) {
             Progress progress = new Progress();
-            progress.received = held.received();
-            progress.applied = held.applied();
-            resources.put(held.name(), progress);
-            onResourceChanged(held.name(), table);
+            progress.received = heldVersion.received();
+            progress.applied = heldVersion.applied();
+            resources.put(heldVersion.name(), progress);
+            onResourceChanged(heldVersion.name(), table);
         }
     }
 
@@ -46,7 +46,7 @@
         return resources.keySet();
     }
 
-    /** The table may have a newer version of this resource; returns whether something is to be sent now. */
+    /** Marks a resource as pending if the table has a newer version; returns whether it was newly marked. */
     boolean onResourceChanged(String name, ResourceTable table) {
         Progress progress = resources.get(name);
         if (progress == null || table.version(name) <= progress.received) {
@@ -59,7 +59,7 @@
         return !pending.isEmpty();
     }
 
-    /** The next resource to write to the node, at its newest version; it counts as received from now on. */
+    /** Removes the next pending resource, at its newest version, and records it as received. */
     Optional<Resource> next(ResourceTable table) {
         Iterator<String> names = pending.iterator();
         while (names.hasNext()) {
@@ -73,7 +73,7 @@
         return Optional.empty();
     }
 
-    /** The node has taken or refused a version. One that was not sent, or that is older, changes nothing. */
+    /** Processes the acknowledgement of a version; one that was not sent, or is outdated, is ignored. */
     void onAcknowledge(Acknowledge acknowledge) {
         Progress progress = resources.get(acknowledge.name());
         if (progress == null
@@ -87,31 +87,31 @@
         progress.rejectionReason = acknowledge.reason();
     }
 
-    /** The resources by whose newest version the node does not act yet. */
+    /** The resources whose newest version the node does not apply yet. */
     List<Lag> behind(ResourceTable table) {
         List<Lag> behind = new ArrayList<>();
         resources.forEach((name, progress) -> {
-            long newest = table.version(name);
-            if (progress.applied < newest) {
-                behind.add(new Lag(name, progress.applied, newest, progress.rejectionReason));
+            long newestVersion = table.version(name);
+            if (progress.applied < newestVersion) {
+                behind.add(new Lag(name, progress.applied, newestVersion, progress.rejectionReason));
             }
         });
         return behind;
     }
 
-    /** The version that the node acts by; 0 if none is known. */
+    /** The version that the node applies; 0 if none is known. */
     long applied(String name) {
         Progress progress = resources.get(name);
         return progress == null ? 0 : progress.applied;
     }
 
     /**
-     * A resource by whose newest version a node does not act.
+     * A resource whose newest version a node does not apply.
      *
      * @param name the resource
-     * @param applied the version that the node acts by
-     * @param newest the newest that the machine knows
-     * @param reason why the node refused a version; empty if it did not
+     * @param applied the version that the node applies
+     * @param newest the newest version known to the machine
+     * @param reason why the node rejected a version; empty if it did not
      */
     record Lag(String name, long applied, long newest, String reason) {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/SubscriptionRejection.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/SubscriptionRejection.java
@@ -2,45 +2,45 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** Why a control machine does not serve a connection, or ends one. Counted and logged by this name. */
+/** Why a control machine rejects or closes a connection. Counted and logged under the constant's name. */
 public enum SubscriptionRejection {
-    /** A frame that is no message of this protocol, or one that is not allowed at this point. */
+    /** A malformed message, or one that is not allowed in this state. */
     @JsonProperty("UNREADABLE")
     UNREADABLE(false),
-    /** A frame longer than the limit. */
+    /** A frame that exceeds the maximum length. */
     @JsonProperty("FRAME_TOO_LONG")
     FRAME_TOO_LONG(false),
-    /** A version of the protocol that this machine does not speak. */
+    /** A protocol version that this machine does not support. */
     @JsonProperty("UNKNOWN_PROTOCOL_VERSION")
     UNKNOWN_PROTOCOL_VERSION(false),
     /** A node of another fleet. */
     @JsonProperty("OTHER_FLEET")
     OTHER_FLEET(false),
-    /** A node whose name is not in the fleet's file. */
+    /** A node whose name is not in the fleet file. */
     @JsonProperty("UNKNOWN_NODE")
     UNKNOWN_NODE(false),
-    /** More resources than one node may subscribe to. */
+    /** More resources than a node may subscribe to. */
     @JsonProperty("TOO_MANY_RESOURCES")
     TOO_MANY_RESOURCES(false),
-    /** No subscription within the time allowed for it: a node or a machine that is short of processor time. */
+    /** No subscription within the silence timeout, as when the node or the machine is short of CPU time. */
     @JsonProperty("NO_SUBSCRIPTION")
     NO_SUBSCRIPTION(true),
-    /** More subscriptions begin at the moment than this machine admits; it says when to come back. */
+    /** The admission rate of this machine is exceeded; the rejection carries a Retry-After. */
     @JsonProperty("BUSY")
     BUSY(true),
-    /** This machine serves as many nodes as it may. */
+    /** This machine serves its maximum number of nodes. */
     @JsonProperty("FULL")
     FULL(true),
-    /** The node has not read what was sent to it for too long. */
+    /** The node did not read what was sent to it for too long. */
     @JsonProperty("SLOW_READER")
     SLOW_READER(true),
-    /** Nothing was heard of the node for too long. */
+    /** Nothing was received from the node for too long. */
     @JsonProperty("SILENT")
     SILENT(true),
-    /** A newer connection of the same node has taken this one's place. */
+    /** A newer connection of the same node replaced this one. */
     @JsonProperty("REPLACED")
     REPLACED(true),
-    /** This machine is being stopped. */
+    /** This machine is shutting down. */
     @JsonProperty("STOPPING")
     STOPPING(true);
 
@@ -50,7 +50,7 @@
         this.isTransientFault = transientFault;
     }
 
-    /** Whether the same node may succeed later without a change of its configuration. */
+    /** Whether the node may succeed later without a configuration change. */
     public boolean isTransient() {
         return isTransientFault;
     }
