--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Messages survive their way; whatever else comes is one kind of exception with a named reason. */
+/** Messages survive encoding; malformed input causes a {@link ProtocolException} with a reason. */
 class ControlCodecTest {
     private static final List<ControlMessage> MESSAGES = List.of(
             new Subscribe("fleet", "n1", "north", 7, List.of(new HeldVersion("settings/tier-1", 4, 3))),
@@ -40,8 +40,8 @@
         byte[] longest =
                 ControlCodec.encode(new Update(new Resource("x".repeat(Resource.MAX_NAME_LENGTH), 9, content)));
         assertTrue(longest.length <= ControlCodec.MAX_MESSAGE_BYTES, longest.length + " bytes");
-        Update back = (Update) ControlCodec.decode(longest);
-        assertArrayEquals(content, back.resource().content());
+        Update decoded = (Update) ControlCodec.decode(longest);
+        assertArrayEquals(content, decoded.resource().content());
     }
 
     @Test
@@ -57,16 +57,16 @@
 
     @Test
     void unknownVersionsAndKindsAndTruncatedMessagesAreRejectedWithAReason() {
-        byte[] whole = ControlCodec.encode(MESSAGES.get(0));
-        byte[] other = whole.clone();
-        other[0] = 2;
-        assertEquals(SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, rejectionOf(other));
-        byte[] kind = whole.clone();
-        kind[1] = 99;
-        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(kind));
+        byte[] encoded = ControlCodec.encode(MESSAGES.get(0));
+        byte[] otherVersion = encoded.clone();
+        otherVersion[0] = 2;
+        assertEquals(SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION, rejectionOf(otherVersion));
+        byte[] otherKind = encoded.clone();
+        otherKind[1] = 99;
+        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(otherKind));
         assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(new byte[] {1}));
-        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(Arrays.copyOf(whole, whole.length - 3)));
-        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(Arrays.copyOf(whole, whole.length + 3)));
+        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(Arrays.copyOf(encoded, encoded.length - 3)));
+        assertEquals(SubscriptionRejection.UNREADABLE, rejectionOf(Arrays.copyOf(encoded, encoded.length + 3)));
     }
 
     @Test
@@ -95,9 +95,9 @@
     }
 
     @Property(tries = 1000)
-    void corruptedMessagesAreReadOrRejected(@ForAll int which, @ForAll int at, @ForAll byte value) {
-        byte[] bytes = ControlCodec.encode(MESSAGES.get(Math.floorMod(which, MESSAGES.size())));
-        bytes[Math.floorMod(at, bytes.length)] = value;
+    void corruptedMessagesAreReadOrRejected(@ForAll int messageIndex, @ForAll int byteIndex, @ForAll byte value) {
+        byte[] bytes = ControlCodec.encode(MESSAGES.get(Math.floorMod(messageIndex, MESSAGES.size())));
+        bytes[Math.floorMod(byteIndex, bytes.length)] = value;
         try {
             ControlCodec.decode(bytes);
         } catch (ProtocolException e) {
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlLimitsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlLimitsTest.java
@@ -9,9 +9,9 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-/** The deadline by construction, and the bound on subscriptions that begin. */
+/** The propagation deadline that follows from the limits, and the limiter of admissions. */
 class ControlLimitsTest {
-    /** The target, the time of an agreement with its leader in place, and its lease; docs/design/control.md. */
+    /** The target, the time of an agreement under a stable leader, and its lease; see docs/design/control.md. */
     private static final double TARGET_MS = 13_000;
 
     private static final double AGREEMENT_MS = 2000;
@@ -19,16 +19,16 @@
 
     @Test
     void changeMeetsTheDeadlineWithTwoUnresponsiveMachinesInARow() {
-        double worst = AGREEMENT_MS + ControlLimits.DEFAULTS.maxPropagationMs(2, LEASE_MS);
-        assertTrue(worst <= TARGET_MS, worst + " ms");
+        double worstMs = AGREEMENT_MS + ControlLimits.DEFAULTS.maxPropagationMs(2, LEASE_MS);
+        assertTrue(worstMs <= TARGET_MS, worstMs + " ms");
         assertTrue(
                 AGREEMENT_MS + ControlLimits.DEFAULTS.maxPropagationMs(4, LEASE_MS) > TARGET_MS,
-                "with four it is not promised");
+                "the deadline does not cover four unresponsive machines");
     }
 
     @Test
     void inconsistentLimitsAreRejected() {
-        ControlLimits usual = ControlLimits.DEFAULTS;
+        ControlLimits defaults = ControlLimits.DEFAULTS;
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new ControlLimits(
@@ -36,9 +36,9 @@
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new ControlLimits(
-                        usual.heartbeatMs(),
-                        usual.silenceTimeoutMs(),
-                        usual.unconfirmedTimeoutMs(),
+                        defaults.heartbeatMs(),
+                        defaults.silenceTimeoutMs(),
+                        defaults.unconfirmedTimeoutMs(),
                         50,
                         3000,
                         1000,
@@ -54,9 +54,9 @@
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new ControlLimits(
-                        usual.heartbeatMs(),
-                        usual.silenceTimeoutMs(),
-                        usual.unconfirmedTimeoutMs(),
+                        defaults.heartbeatMs(),
+                        defaults.silenceTimeoutMs(),
+                        defaults.unconfirmedTimeoutMs(),
                         50,
                         3000,
                         1000,
@@ -74,22 +74,23 @@
     @Test
     void rejectedSubscriptionsRetryAtTheAdmissionRate() {
         AdmissionLimiter limiter = new AdmissionLimiter(100, 20);
-        List<Double> told = new ArrayList<>();
+        List<Double> retryAfterMs = new ArrayList<>();
         int admitted = 0;
         for (int i = 0; i < 120; i++) {
             OptionalDouble retryAfter = limiter.admit(0);
             if (retryAfter.isEmpty()) {
                 admitted++;
             } else {
-                told.add(retryAfter.getAsDouble());
+                retryAfterMs.add(retryAfter.getAsDouble());
             }
         }
         assertEquals(20, admitted);
-        for (int i = 0; i < told.size(); i++) {
-            assertEquals(10.0 * (i + 1), told.get(i), 1e-6, "each is told a later time than the one before");
+        for (int i = 0; i < retryAfterMs.size(); i++) {
+            assertEquals(
+                    10.0 * (i + 1), retryAfterMs.get(i), 1e-6, "each gets a later Retry-After than the one before");
         }
-        for (double at : told) {
-            assertTrue(limiter.admit(at).isEmpty(), "who comes back when told to is admitted, at " + at);
+        for (double retryAtMs : retryAfterMs) {
+            assertTrue(limiter.admit(retryAtMs).isEmpty(), "a retry at its Retry-After is admitted, at " + retryAtMs);
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
@@ -38,13 +38,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Control machines and nodes over real sockets: what goes wrong at one connection is noticed at no other. */
+/** Control machines and nodes over real sockets: a fault of one connection does not affect another. */
 class ControlServerTest {
     private static final ControlLimits FAST =
             new ControlLimits(50, 150, 150, 5, 300, 300, 20, 200, 10, 300, 600, 1000, 100, 50, 20);
     private static final String SETTINGS = "settings/tier-1";
 
-    /** A machine whose lease the test decides on. */
+    /** A control machine whose lease is controlled by the test. */
     private static final class Machine implements AutoCloseable {
         private final SimpleMeterRegistry metrics = new SimpleMeterRegistry();
         private final ControlServer server;
@@ -77,9 +77,9 @@
             server.publish(new Resource(SETTINGS, version, content.getBytes(StandardCharsets.UTF_8)));
         }
 
-        double rejections(SubscriptionRejection refusal) {
+        double rejections(SubscriptionRejection rejection) {
             return metrics.get("control.refused")
-                    .tag("reason", refusal.name().toLowerCase(Locale.ROOT))
+                    .tag("reason", rejection.name().toLowerCase(Locale.ROOT))
                     .counter()
                     .count();
         }
@@ -148,13 +148,13 @@
     void nodeConnectsOnceItCanOpenASocket() throws Exception {
         Machine machine = startMachine("c1", "here", FAST);
         machine.publish(1, "good");
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger attempts = new AtomicInteger();
         startNode(
                 "n1",
                 "here",
                 FAST,
                 () -> {
-                    if (asked.incrementAndGet() <= 3) {
+                    if (attempts.incrementAndGet() <= 3) {
                         throw new ChannelException(
                                 "Failed to open a socket.", new SocketException("Too many open files"));
                     }
@@ -162,14 +162,14 @@
                 },
                 machine);
         await(() -> appliedVersions.getOrDefault("n1", 0L) == 1);
-        assertEquals(4, asked.get());
+        assertEquals(4, attempts.get());
     }
 
     @Test
     void nodeRetriesAfterAFailedConnect() throws Exception {
         Machine machine = startMachine("c1", "here", FAST);
         machine.publish(1, "good");
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger attempts = new AtomicInteger();
         startNode(
                 "n1",
                 "here",
@@ -177,7 +177,7 @@
                 () -> new NioSocketChannel() {
                     @Override
                     protected boolean doConnect(SocketAddress to, SocketAddress from) throws Exception {
-                        if (asked.incrementAndGet() <= 3) {
+                        if (attempts.incrementAndGet() <= 3) {
                             throw new java.net.BindException("Cannot assign requested address");
                         }
                         return super.doConnect(to, from);
@@ -185,7 +185,7 @@
                 },
                 machine);
         await(() -> appliedVersions.getOrDefault("n1", 0L) == 1);
-        assertEquals(4, asked.get());
+        assertEquals(4, attempts.get());
     }
 
     private static void await(java.util.concurrent.Callable<Boolean> condition) {
@@ -250,31 +250,32 @@
         await(() -> appliedVersions.getOrDefault("n1", 0L) == 2);
         home.confirmed = true;
         await(() -> node.status().machine().equals("c1"));
-        assertEquals(2, appliedVersions.get("n1"), "a machine that lags takes nothing back");
+        assertEquals(2, appliedVersions.get("n1"), "a machine that lags behind does not revert a version");
     }
 
     @Test
     void slowReaderIsDisconnectedAndResumes() throws IOException {
         Machine machine = startMachine("c1", "north", FAST);
-        ControlClient slow = startNode("n1", "north", FAST, machine);
+        ControlClient slowReader = startNode("n1", "north", FAST, machine);
         startNode("n2", "north", FAST, machine);
         machine.publish(1, "one");
         await(() -> appliedVersions.size() == 2);
-        slow.setReadingPaused(true);
+        slowReader.setReadingPaused(true);
         await(() -> machine.rejections(SubscriptionRejection.SLOW_READER) >= 1);
         machine.publish(2, "two");
         await(() -> appliedVersions.get("n2") == 2);
         assertEquals(1, appliedVersions.get("n1"));
-        slow.setReadingPaused(false);
+        slowReader.setReadingPaused(false);
         await(() -> appliedVersions.get("n1") == 2);
     }
 
     @Test
     void nodesAboveTheAdmissionRateAreServedAfterRetryAfter() throws IOException {
-        ControlLimits narrow = new ControlLimits(50, 150, 150, 5, 300, 300, 20, 200, 10, 300, 600, 40, 2, 50, 20);
-        Machine machine = startMachine("c1", "north", narrow);
+        ControlLimits lowAdmissionRate =
+                new ControlLimits(50, 150, 150, 5, 300, 300, 20, 200, 10, 300, 600, 40, 2, 50, 20);
+        Machine machine = startMachine("c1", "north", lowAdmissionRate);
         for (int i = 0; i < 12; i++) {
-            startNode("n" + i, "north", narrow, machine);
+            startNode("n" + i, "north", lowAdmissionRate, machine);
         }
         await(() -> machine.nodes() == 12);
         assertTrue(machine.rejections(SubscriptionRejection.BUSY) >= 1);
@@ -282,17 +283,18 @@
 
     @Test
     void fullMachineMakesNodesTryTheNext() throws IOException {
-        ControlLimits two = new ControlLimits(50, 150, 150, 5, 300, 300, 20, 200, 10, 60_000, 60_000, 1000, 100, 2, 20);
-        Machine home = startMachine("c1", "north", two);
+        ControlLimits twoSubscribers =
+                new ControlLimits(50, 150, 150, 5, 300, 300, 20, 200, 10, 60_000, 60_000, 1000, 100, 2, 20);
+        Machine home = startMachine("c1", "north", twoSubscribers);
         Machine away = startMachine("c2", "south", FAST);
         for (int i = 0; i < 5; i++) {
-            startNode("n" + i, "north", two, home, away);
+            startNode("n" + i, "north", twoSubscribers, home, away);
         }
         await(() -> home.nodes() == 2 && away.nodes() == 3);
         assertTrue(home.rejections(SubscriptionRejection.FULL) >= 3);
     }
 
-    /** A connection that speaks the protocol by hand. */
+    /** A connection on which the test sends and receives frames itself. */
     private static final class RawConnection implements AutoCloseable {
         private final Socket socket;
         private final DataInputStream in;
@@ -318,7 +320,7 @@
             return ControlCodec.decode(body);
         }
 
-        /** The reason that it is told, before the connection ends. */
+        /** Waits for a rejection, which must be the last message, and returns its reason. */
         SubscriptionRejection awaitRejection() throws IOException {
             ControlMessage message = read();
             while (!(message instanceof Reject)) {
@@ -326,7 +328,7 @@
             }
             try {
                 in.readInt();
-                throw new AssertionError("the connection goes on behind a refusal");
+                throw new AssertionError("the connection continues after a rejection");
             } catch (EOFException e) {
                 return ((Reject) message).rejection();
             }
@@ -348,9 +350,9 @@
 
     private void assertRejected(Machine machine, byte[] bytes, SubscriptionRejection expected) throws IOException {
         double before = machine.rejections(expected);
-        try (RawConnection raw = new RawConnection(machine)) {
-            raw.send(bytes);
-            assertEquals(expected, raw.awaitRejection());
+        try (RawConnection connection = new RawConnection(machine)) {
+            connection.send(bytes);
+            assertEquals(expected, connection.awaitRejection());
         }
         assertEquals(before + 1, machine.rejections(expected), expected + " is counted once");
     }
@@ -360,8 +362,8 @@
         Machine machine = startMachine("c1", "north", FAST);
         ControlClient bystander = startNode("n1", "north", FAST, machine);
         await(() -> bystander.status().machine().equals("c1"));
-        byte[] good = ControlFrames.encode(subscribe("fleet", "n9", 1));
-        byte[] otherVersion = good.clone();
+        byte[] validFrame = ControlFrames.encode(subscribe("fleet", "n9", 1));
+        byte[] otherVersion = validFrame.clone();
         otherVersion[ControlFrames.LENGTH_BYTES] = 9;
         assertRejected(machine, otherVersion, SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION);
         assertRejected(machine, new byte[] {0x7f, 0, 0, 0, 1}, SubscriptionRejection.FRAME_TOO_LONG);
@@ -380,15 +382,18 @@
                 ControlFrames.encode(subscribe("fleet", "n9", ControlMessage.MAX_RESOURCES + 1)),
                 SubscriptionRejection.TOO_MANY_RESOURCES);
         assertRejected(machine, new byte[0], SubscriptionRejection.NO_SUBSCRIPTION);
-        assertRejected(machine, java.util.Arrays.copyOf(good, good.length / 2), SubscriptionRejection.NO_SUBSCRIPTION);
+        assertRejected(
+                machine,
+                java.util.Arrays.copyOf(validFrame, validFrame.length / 2),
+                SubscriptionRejection.NO_SUBSCRIPTION);
         try (RawConnection silent = new RawConnection(machine)) {
-            silent.send(good);
+            silent.send(validFrame);
             assertTrue(silent.read() instanceof Welcome);
             assertEquals(SubscriptionRejection.SILENT, silent.awaitRejection());
         }
-        machine.publish(5, "after all that");
+        machine.publish(5, "after malformed input");
         await(() -> appliedVersions.getOrDefault("n1", 0L) == 5);
-        assertEquals(1, bystander.status().connections(), "the bystander's connection is the first one still");
+        assertEquals(1, bystander.status().connections(), "the bystander keeps its first connection");
     }
 
     @Test
@@ -417,29 +422,29 @@
             }
             await(() -> machine.rejections(SubscriptionRejection.BUSY) >= 5);
         } finally {
-            for (RawConnection raw : idle) {
-                raw.close();
+            for (RawConnection connection : idle) {
+                connection.close();
             }
         }
         ControlClient node = startNode("n1", "north", FAST, machine);
         await(() -> node.status().machine().equals("c1"));
     }
 
-    /** A machine or a node that is short of processor time is late with its first message, not wrong. */
+    /** A machine or a node that is short of CPU time is late with its first message, not misconfigured. */
     @Test
     void rejectionsCausedByDelayAreTransient() {
-        for (SubscriptionRejection refusal : List.of(
+        for (SubscriptionRejection rejection : List.of(
                 SubscriptionRejection.NO_SUBSCRIPTION,
                 SubscriptionRejection.SILENT,
                 SubscriptionRejection.SLOW_READER,
                 SubscriptionRejection.BUSY)) {
-            assertTrue(refusal.isTransient(), refusal + " would keep a node away for 30 to 90 s");
+            assertTrue(rejection.isTransient(), rejection + " would keep a node away for 30 to 90 s");
         }
-        for (SubscriptionRejection refusal : List.of(
+        for (SubscriptionRejection rejection : List.of(
                 SubscriptionRejection.OTHER_FLEET,
                 SubscriptionRejection.UNKNOWN_NODE,
                 SubscriptionRejection.TOO_MANY_RESOURCES)) {
-            assertTrue(!refusal.isTransient(), refusal + " needs another configuration");
+            assertTrue(!rejection.isTransient(), rejection + " needs another configuration");
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
@@ -9,12 +9,11 @@
 import java.util.Optional;
 
 /**
- * A node, control machines that learn decided versions at their own pace, and connections whose messages are still on
- * their way; for tests. The decisions are those of the real classes, only the sockets are not there. Each step checks
- * what must hold at every moment.
+ * A model of a node, of control machines that learn decided versions at different times, and of connections with
+ * messages in flight. It runs the production classes without sockets. Each step checks the invariants.
  */
 final class DistributionModel {
-    /** What takes a version at the node; the real one, or one with a deliberate mistake. */
+    /** Receives versions at the node: the production class, or one with a deliberate fault. */
     interface Receiver {
         Optional<Acknowledge> offer(Resource resource);
 
@@ -23,21 +22,22 @@
         List<ControlMessage.HeldVersion> versions();
     }
 
-    /** The real one; refuses the versions that the test names. */
+    /** The production class; rejects the versions listed by the test. */
     static final class ResourcesReceiver implements Receiver {
         private final SubscribedResources held;
-        private final List<Long> refused;
+        private final List<Long> rejectedVersions;
 
-        ResourcesReceiver(List<String> names, List<Long> refused) {
+        ResourcesReceiver(List<String> names, List<Long> rejectedVersions) {
             held = new SubscribedResources(names);
-            this.refused = refused;
+            this.rejectedVersions = rejectedVersions;
         }
 
         @Override
         public Optional<Acknowledge> offer(Resource resource) {
             return held.offer(
                     resource,
-                    offered -> refused.contains(offered.version()) ? Optional.of("refused") : Optional.empty());
+                    offered ->
+                            rejectedVersions.contains(offered.version()) ? Optional.of("refused") : Optional.empty());
         }
 
         @Override
@@ -51,7 +51,7 @@
         }
     }
 
-    /** A heartbeat on its way, with the versions that the machine had when it sent it. */
+    /** A heartbeat in flight, with the versions that the machine had when it sent it. */
     private record SentHeartbeat(long[] versions) {}
 
     private final class Connection {
@@ -97,7 +97,7 @@
         decided[name]++;
     }
 
-    /** A machine learns the newest version of a name; it pushes it if the node is connected to it. */
+    /** A machine learns the newest version of a name and sends it if the node is connected to it. */
     void learn(int machine, int name) {
         if (decided[name] == 0) {
             return;
@@ -109,7 +109,7 @@
         }
     }
 
-    /** The node connects to a machine; what was on its way on the connection before may still arrive late. */
+    /** The node connects to a machine; messages in flight on the previous connection may still arrive late. */
     void connect(int machine) {
         if (current != null) {
             abandonedConnections.add(current);
@@ -118,7 +118,7 @@
         current.sendPending();
     }
 
-    /** The machine sends a heartbeat, behind all that is pending. */
+    /** The machine sends a heartbeat after all pending versions. */
     void heartbeat() {
         if (current != null) {
             current.sendPending();
@@ -141,7 +141,7 @@
                 long received = receiver.versions().get(i).received();
                 require(
                         received >= heartbeat.versions()[i],
-                        "a heartbeat came before version " + heartbeat.versions()[i]
+                        "a heartbeat arrived before version " + heartbeat.versions()[i]
                                 + " that was in force when it was sent; received " + received);
             }
         } else {
@@ -149,7 +149,7 @@
         }
     }
 
-    /** A message of a connection that was given up arrives late; its acknowledgement goes nowhere. */
+    /** A message of an abandoned connection arrives late; its acknowledgement is lost. */
     void deliverLate() {
         for (Connection connection : abandonedConnections) {
             Object message = connection.inFlight.poll();
@@ -166,12 +166,12 @@
         Optional<Acknowledge> acknowledge = receiver.offer(resource);
         long after = receiver.applied(resource.name());
         require(after >= before, resource.name() + " went back from " + before + " to " + after);
-        require(after <= decided[name], resource.name() + " acts by " + after + ", decided " + decided[name]);
+        require(after <= decided[name], resource.name() + " applies " + after + ", decided " + decided[name]);
         return acknowledge;
     }
 
-    /** All machines learn all, the node connects once more and everything arrives: then it acts by the newest. */
-    void settle(List<Long> refused) {
+    /** All machines learn all versions, the node reconnects and receives everything: it must apply the newest ones. */
+    void settle(List<Long> rejectedVersions) {
         for (int name = 0; name < names.size(); name++) {
             for (int machine = 0; machine < tables.size(); machine++) {
                 learn(machine, name);
@@ -184,21 +184,21 @@
         }
         for (int name = 0; name < names.size(); name++) {
             long applied = receiver.applied(names.get(name));
-            boolean newestRefused = refused.contains(decided[name]);
+            boolean newestRejected = rejectedVersions.contains(decided[name]);
             require(
-                    newestRefused || applied == decided[name],
+                    newestRejected || applied == decided[name],
                     names.get(name) + " stays at " + applied + ", decided " + decided[name]);
             require(
-                    newestRefused || current.subscription.applied(names.get(name)) == applied,
-                    "the machine believes " + current.subscription.applied(names.get(name)) + ", the node acts by "
+                    newestRejected || current.subscription.applied(names.get(name)) == applied,
+                    "the machine records " + current.subscription.applied(names.get(name)) + ", the node applies "
                             + applied);
         }
-        require(!current.subscription.hasPending(), "something is pending still");
+        require(!current.subscription.hasPending(), "a resource is still pending");
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new AssertionError(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionTest.java
@@ -18,9 +18,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every short history of one node, two control machines of which each may lag, reconnections and late messages; and
- * long random ones of three names and three machines. No version goes back, a heartbeat never overtakes what was in
- * force when it was sent, and whatever happened, one more connection brings the node up to date.
+ * Explores every short history of one node and two control machines, with lagging machines, reconnects and late
+ * messages; and long random histories of three names and three machines. A version is never replaced by an older one, a
+ * heartbeat never overtakes a version that was in force when it was sent, and one more connection brings the node up to
+ * date.
  */
 class DistributionTest {
     private static final String NAME = "settings/tier-1";
@@ -43,7 +44,7 @@
         }
     }
 
-    /** Plays every history of this length; each is settled at its end. */
+    /** Runs every history of {@link #DEPTH} actions and settles each at its end. */
     private static int explore(Supplier<Receiver> receiver) {
         int histories = 1;
         for (int i = 0; i < DEPTH; i++) {
@@ -64,7 +65,7 @@
         assertTrue(explore(() -> new ResourcesReceiver(List.of(NAME), List.of())) > 4_000_000);
     }
 
-    /** A node that acts by whatever comes last. */
+    /** A faulty node that applies every version that it receives. */
     private static final class AcceptAllReceiver implements Receiver {
         private final Function<Resource, HeldVersion> toHeldVersion;
         private HeldVersion held = new HeldVersion(NAME, 0, 0);
@@ -108,23 +109,23 @@
     @Property(tries = 400)
     void longRandomHistoriesKeepTheNewestVersions(
             @ForAll @Size(max = 300) List<@IntRange(max = 35) Integer> actions,
-            @ForAll @Size(max = 3) List<@IntRange(min = 1, max = 6) Integer> refused) {
+            @ForAll @Size(max = 3) List<@IntRange(min = 1, max = 6) Integer> rejected) {
         List<String> names = List.of("a", "b", "c");
-        List<Long> refusedVersions = refused.stream().map(Integer::longValue).toList();
-        DistributionModel model = new DistributionModel(names, 3, new ResourcesReceiver(names, refusedVersions));
+        List<Long> rejectedVersions = rejected.stream().map(Integer::longValue).toList();
+        DistributionModel model = new DistributionModel(names, 3, new ResourcesReceiver(names, rejectedVersions));
         for (int action : actions) {
-            int which = action % 3;
+            int index = action % 3;
             switch (action / 3) {
-                case 0 -> model.decide(which);
-                case 1, 2 -> model.learn(which, 0);
-                case 3, 4 -> model.learn(which, 1);
-                case 5 -> model.learn(which, 2);
-                case 6 -> model.connect(which);
+                case 0 -> model.decide(index);
+                case 1, 2 -> model.learn(index, 0);
+                case 3, 4 -> model.learn(index, 1);
+                case 5 -> model.learn(index, 2);
+                case 6 -> model.connect(index);
                 case 7 -> model.deliverLate();
                 case 8 -> model.heartbeat();
                 default -> model.deliver();
             }
         }
-        model.settle(refusedVersions);
+        model.settle(rejectedVersions);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulation.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulation.java
@@ -9,13 +9,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Nodes and control machines in simulated time, with the real decisions of whom to connect to, when, and who is
- * admitted; for tests. A region that is cut off has no majority: its machines are not confirmed.
+ * Simulates nodes and control machines, with the production classes for selecting machines and admitting nodes. An
+ * isolated region has no majority: the heartbeats of its machines are not confirmed.
  */
 final class FleetSimulation {
     private static final double ONE_WAY_DELAY_MS = 20;
 
-    /** Something that happens at a node; an older visit than the node's own is void. */
+    /** An event at a node; ignored if its generation is older than the node's. */
     private record Event(double atMs, long order, Node node, long generation, Runnable action) {}
 
     /** A control machine. */
@@ -67,10 +67,10 @@
                 onFailed();
                 return;
             }
-            OptionalDouble retryAfter = machine.admissions.admit(nowMs);
-            if (retryAfter.isPresent()) {
+            OptionalDouble retryAfterMs = machine.admissions.admit(nowMs);
+            if (retryAfterMs.isPresent()) {
                 rejected++;
-                selector.onRetryAfter(retryAfter.getAsDouble());
+                selector.onRetryAfter(retryAfterMs.getAsDouble());
                 connectNext();
                 return;
             }
@@ -81,10 +81,10 @@
             onHeartbeat(nowMs, homeAtMs);
         }
 
-        /** Looks at each heartbeat whether it stays. */
+        /** Decides at each heartbeat whether the node stays connected. */
         private void onHeartbeat(double lastConfirmedMs, double homeAtMs) {
-            boolean silent = !isReachable(region, servingMachine.address.region());
-            boolean confirmed = !silent && !servingMachine.address.region().equals(isolatedRegion);
+            boolean unreachable = !isReachable(region, servingMachine.address.region());
+            boolean confirmed = !unreachable && !servingMachine.address.region().equals(isolatedRegion);
             double confirmedMs = confirmed ? nowMs : lastConfirmedMs;
             if (confirmed) {
                 selector.onConfirmed();
@@ -92,7 +92,7 @@
             } else {
                 confirmedSinceMs = Double.NaN;
             }
-            if (silent && nowMs - confirmedMs > limits.silenceTimeoutMs()
+            if (unreachable && nowMs - confirmedMs > limits.silenceTimeoutMs()
                     || nowMs - confirmedMs > selector.unconfirmedTimeoutMs()) {
                 disconnect();
                 onFailed();
@@ -147,11 +147,11 @@
         events.add(new Event(atMs, ++order, node, ++node.generation, run));
     }
 
-    private boolean isReachable(String one, String other) {
-        return one.equals(other) || !one.equals(isolatedRegion) && !other.equals(isolatedRegion);
+    private boolean isReachable(String first, String second) {
+        return first.equals(second) || !first.equals(isolatedRegion) && !second.equals(isolatedRegion);
     }
 
-    /** From now on nothing comes through between this region and the others; empty: all comes through. */
+    /** Isolates this region from the others from now on; an empty name ends the isolation. */
     void isolatedRegion(String region) {
         isolatedRegion = region;
     }
@@ -167,14 +167,14 @@
         nowMs = untilMs;
     }
 
-    /** Nodes that a confirmed machine serves; of this region, or of all but it. */
-    long countConfirmed(String region, boolean inside) {
+    /** The number of nodes served by a confirmed machine, in this region or in all others. */
+    long countConfirmed(String region, boolean inRegion) {
         return nodes.stream()
-                .filter(node -> node.region.equals(region) == inside && !Double.isNaN(node.confirmedSinceMs))
+                .filter(node -> node.region.equals(region) == inRegion && !Double.isNaN(node.confirmedSinceMs))
                 .count();
     }
 
-    /** Nodes that their own region's machine serves. */
+    /** The number of nodes served by a machine of their own region. */
     long countAtHome() {
         return nodes.stream()
                 .filter(node -> node.servingMachine != null
@@ -182,7 +182,7 @@
                 .count();
     }
 
-    /** When the last node was served by a confirmed machine; infinite if one is not. */
+    /** When the last node got a confirmed machine; infinite if one has none. */
     double lastConfirmedMs() {
         return nodes.stream()
                 .mapToDouble(
@@ -191,7 +191,7 @@
                 .orElse(0);
     }
 
-    /** The most connections that all nodes together began in a second of this time. */
+    /** The maximum number of connection attempts of all nodes per second in this period. */
     int maxAttemptsPerSecond(double fromMs, double untilMs) {
         return attemptsBySecond.entrySet().stream()
                 .filter(entry -> entry.getKey() * 1000 >= fromMs && entry.getKey() * 1000 < untilMs)
--- a/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulationTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/FleetSimulationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** 1,600 nodes and nine control machines in simulated time: a start, and a region cut off for ten minutes. */
+/** Simulates 1,600 nodes and nine control machines: a start, and a region isolated for ten minutes. */
 class FleetSimulationTest {
     private static final int NODES = 1600;
     private static final double TEN_MINUTES_MS = 600_000;
@@ -29,9 +29,9 @@
     void allNodesConnectToTheirOwnRegionWithinSeconds(long seed) {
         FleetSimulation fleet = newFleet(seed);
         fleet.runUntil(10_000);
-        assertTrue(fleet.lastConfirmedMs() < 5000, "the last after " + fleet.lastConfirmedMs());
+        assertTrue(fleet.lastConfirmedMs() < 5000, "last node confirmed after " + fleet.lastConfirmedMs() + " ms");
         assertEquals(NODES, fleet.countAtHome());
-        assertTrue(fleet.maxNodesPerMachine() < 300, fleet.maxNodesPerMachine() + " at one machine");
+        assertTrue(fleet.maxNodesPerMachine() < 300, fleet.maxNodesPerMachine() + " nodes at one machine");
     }
 
     @ParameterizedTest
@@ -43,20 +43,23 @@
             long outside = NODES - fleet.countConfirmed(region, true);
             fleet.isolatedRegion(region);
             fleet.runUntil(10_000 + DEADLINE_MS);
-            assertEquals(outside, fleet.countConfirmed(region, false), "nodes outside are served within the deadline");
+            assertEquals(
+                    outside,
+                    fleet.countConfirmed(region, false),
+                    "nodes of other regions are served within the deadline");
             fleet.runUntil(10_000 + TEN_MINUTES_MS);
             assertEquals(0, fleet.countConfirmed(region, true));
             assertEquals(outside, fleet.countConfirmed(region, false));
-            int most = fleet.maxAttemptsPerSecond(70_000, 10_000 + TEN_MINUTES_MS);
-            assertTrue(most < 400, most + " connections begun in a second while it is cut off");
-            double backMs = 10_000 + TEN_MINUTES_MS;
+            int maxAttempts = fleet.maxAttemptsPerSecond(70_000, 10_000 + TEN_MINUTES_MS);
+            assertTrue(maxAttempts < 400, maxAttempts + " connection attempts per second while the region is isolated");
+            double reconnectedAtMs = 10_000 + TEN_MINUTES_MS;
             fleet.isolatedRegion("");
-            fleet.runUntil(backMs + DEADLINE_MS);
+            fleet.runUntil(reconnectedAtMs + DEADLINE_MS);
             assertTrue(
-                    fleet.lastConfirmedMs() - backMs < DEADLINE_MS,
-                    "the last after " + (fleet.lastConfirmedMs() - backMs) + " ms");
-            fleet.runUntil(backMs + 4 * ControlLimits.DEFAULTS.returnHomeMaxMs());
-            assertEquals(NODES, fleet.countAtHome(), "all are at home again");
+                    fleet.lastConfirmedMs() - reconnectedAtMs < DEADLINE_MS,
+                    "last node confirmed after " + (fleet.lastConfirmedMs() - reconnectedAtMs) + " ms");
+            fleet.runUntil(reconnectedAtMs + 4 * ControlLimits.DEFAULTS.returnHomeMaxMs());
+            assertEquals(NODES, fleet.countAtHome(), "all nodes returned to their own region");
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -20,10 +20,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The forms of the messages between nodes and control machines, against the golden files. */
+/** Checks the encoding of messages between nodes and control machines against the golden files. */
 class GoldenFormsTest {
     private static final byte[] CONTENT = {0, 1, 127, -128, -1};
-    /** Listed one by one, so that each keeps its file when it is renamed. */
+    /** Listed explicitly, so that each constant keeps its golden file when it is renamed. */
     private static final List<SubscriptionRejection> REJECTIONS = List.of(
             SubscriptionRejection.UNREADABLE,
             SubscriptionRejection.FRAME_TOO_LONG,
@@ -83,9 +83,9 @@
         }
     }
 
-    private static ControlMessage readFrame(byte[] form) throws IOException {
+    private static ControlMessage readFrame(byte[] bytes) throws IOException {
         EmbeddedChannel channel = new EmbeddedChannel(ControlFrames.decoder());
-        channel.writeInbound(Unpooled.wrappedBuffer(form));
+        channel.writeInbound(Unpooled.wrappedBuffer(bytes));
         ByteBuf frame = channel.readInbound();
         try {
             return ControlFrames.decode(frame);
@@ -107,10 +107,10 @@
         return recording.sent;
     }
 
-    private static MachineReport decodeReport(byte[] form) {
+    private static MachineReport decodeReport(byte[] bytes) {
         RecordingLinks recording = new RecordingLinks();
         ReportExchange exchange = new ReportExchange(recording, Clock.system());
-        recording.receiver.onMessage("c1", 1, form);
+        recording.receiver.onMessage("c1", 1, bytes);
         return exchange.latestReports().get(0).report();
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/control/MachineSelectorTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/MachineSelectorTest.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Which machine a node tries next, when, and how a fleet of nodes spreads over them. */
+/** The order and delay of connection attempts, and the distribution of nodes over machines. */
 class MachineSelectorTest {
     private static final ControlLimits LIMITS = ControlLimits.DEFAULTS;
 
@@ -34,14 +34,14 @@
     @Test
     void ownRegionComesFirstThenEveryOtherMachineOnce() {
         MachineSelector selector = selector("b", 1);
-        Set<String> tried = new HashSet<>();
+        Set<String> triedNames = new HashSet<>();
         for (int i = 0; i < 9; i++) {
             ControlMachine machine = selector.next().machine();
             assertEquals(i < 2, machine.region().equals("b"), "attempt " + i);
-            assertTrue(tried.add(machine.name()), "tried twice in a round: " + machine);
+            assertTrue(triedNames.add(machine.name()), "tried twice in a round: " + machine);
             selector.onFailed();
         }
-        assertEquals("b", selector.next().machine().region(), "the next round begins at home");
+        assertEquals("b", selector.next().machine().region(), "the next round begins in the own region");
     }
 
     @Test
@@ -55,38 +55,38 @@
             load.merge(selector.next().machine().name(), 1, Integer::sum);
         }
         assertEquals(8, load.size());
-        load.forEach((machine, nodes) -> assertTrue(nodes > 70 && nodes < 130, machine + " gets " + nodes));
+        load.forEach((machine, nodes) -> assertTrue(nodes > 70 && nodes < 130, machine + " gets " + nodes + " nodes"));
     }
 
     @Test
     void backoffHasFullJitterUnderADoublingCappedBound() {
-        double longestFirst = 0;
-        double longestLate = 0;
-        double shortestLate = Double.POSITIVE_INFINITY;
+        double maxFirstMs = 0;
+        double maxLateMs = 0;
+        double minLateMs = Double.POSITIVE_INFINITY;
         for (int seed = 0; seed < 300; seed++) {
             MachineSelector selector = selector("a", seed);
             assertTrue(selector.next().delayMs() <= LIMITS.startSpreadMs());
             selector.onFailed();
-            longestFirst = Math.max(longestFirst, selector.next().delayMs());
+            maxFirstMs = Math.max(maxFirstMs, selector.next().delayMs());
             for (int i = 0; i < 12; i++) {
                 selector.onFailed();
             }
-            double late = selector.next().delayMs();
-            longestLate = Math.max(longestLate, late);
-            shortestLate = Math.min(shortestLate, late);
+            double lateMs = selector.next().delayMs();
+            maxLateMs = Math.max(maxLateMs, lateMs);
+            minLateMs = Math.min(minLateMs, lateMs);
         }
-        assertTrue(longestFirst <= LIMITS.retryBaseMs() && longestFirst > 0.9 * LIMITS.retryBaseMs());
-        assertTrue(longestLate <= LIMITS.retryMaxMs() && longestLate > 0.9 * LIMITS.retryMaxMs());
-        assertTrue(shortestLate < 0.1 * LIMITS.retryMaxMs());
+        assertTrue(maxFirstMs <= LIMITS.retryBaseMs() && maxFirstMs > 0.9 * LIMITS.retryBaseMs());
+        assertTrue(maxLateMs <= LIMITS.retryMaxMs() && maxLateMs > 0.9 * LIMITS.retryMaxMs());
+        assertTrue(minLateMs < 0.1 * LIMITS.retryMaxMs());
     }
 
     @Test
     void retryAfterIsHonouredAtTheSameMachine() {
         MachineSelector selector = selector("d", 3);
-        ControlMachine asked = selector.next().machine();
+        ControlMachine busyMachine = selector.next().machine();
         selector.onRetryAfter(700);
         MachineSelector.Attempt next = selector.next();
-        assertEquals(asked, next.machine());
+        assertEquals(busyMachine, next.machine());
         assertTrue(next.delayMs() >= 700 && next.delayMs() <= 700 + LIMITS.heartbeatMs());
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
@@ -6,7 +6,7 @@
 import brackenbridge.fleet.peer.PeerLinks;
 import java.util.List;
 
-/** Links to one peer that keep the last message sent and who receives. */
+/** Links to one peer that record the last sent message and the receiver. */
 final class RecordingLinks implements PeerLinks {
     byte[] sent;
     Receiver receiver;
@@ -44,7 +44,7 @@
 
     @Override
     public void addWatcher(Watcher watcher) {
-        // Nobody's standing changes.
+        // Statuses never change.
     }
 
     @Override
