--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlMessage.java
@@ -21,9 +21,9 @@
      * @param applied the version that the node applies; 0 if none
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record HeldVersion(String name, long received, long applied) {
+    record ResumeVersion(String name, long received, long applied) {
         /** Rejects what is out of bounds. */
-        public HeldVersion {
+        public ResumeVersion {
             Resource.checkName(name);
             if (applied < 0 || received < applied) {
                 throw new IllegalArgumentException(name + ": received " + received + ", applied " + applied);
@@ -41,7 +41,7 @@
      * @param resources the resources to subscribe to
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record Subscribe(String fleet, String node, String region, long connectionNumber, List<HeldVersion> resources)
+    record Subscribe(String fleet, String node, String region, long connectionNumber, List<ResumeVersion> resources)
             implements ControlMessage {
         /** Validates the names; the machine checks the number of resources, as it has a rejection for that. */
         public Subscribe {
--- a/fleet/src/main/java/brackenbridge/fleet/control/SubscribedResources.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/SubscribedResources.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.control;
 
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -62,9 +62,10 @@
     }
 
     /** The versions from which a new connection resumes. */
-    List<HeldVersion> versions() {
-        List<HeldVersion> versions = new ArrayList<>();
-        resources.forEach((name, progress) -> versions.add(new HeldVersion(name, progress.received, progress.applied)));
+    List<ResumeVersion> versions() {
+        List<ResumeVersion> versions = new ArrayList<>();
+        resources.forEach(
+                (name, progress) -> versions.add(new ResumeVersion(name, progress.received, progress.applied)));
         return versions;
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.control;
 
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -33,12 +33,12 @@
 
     /** Creates a subscription; resources of which the table has a newer version are pending at once. */
     Subscription(Subscribe request, ResourceTable table) {
-        for (HeldVersion heldVersion : request.resources()) {
+        for (ResumeVersion resumeVersion : request.resources()) {
             Progress progress = new Progress();
-            progress.received = heldVersion.received();
-            progress.applied = heldVersion.applied();
-            resources.put(heldVersion.name(), progress);
-            onResourceChanged(heldVersion.name(), table);
+            progress.received = resumeVersion.received();
+            progress.applied = resumeVersion.applied();
+            resources.put(resumeVersion.name(), progress);
+            onResourceChanged(resumeVersion.name(), table);
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlCodecTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
 import brackenbridge.fleet.control.ControlMessage.MachineHeartbeat;
 import brackenbridge.fleet.control.ControlMessage.NodeHeartbeat;
 import brackenbridge.fleet.control.ControlMessage.Reject;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
@@ -23,7 +23,7 @@
 /** Messages survive encoding; malformed input causes a {@link ProtocolException} with a reason. */
 class ControlCodecTest {
     private static final List<ControlMessage> MESSAGES = List.of(
-            new Subscribe("fleet", "n1", "north", 7, List.of(new HeldVersion("settings/tier-1", 4, 3))),
+            new Subscribe("fleet", "n1", "north", 7, List.of(new ResumeVersion("settings/tier-1", 4, 3))),
             new Acknowledge("settings/tier-1", 5, false, "no settings.classes"),
             new NodeHeartbeat(12),
             new Welcome("c1", 750),
@@ -75,7 +75,7 @@
         assertThrows(IllegalArgumentException.class, () -> new Resource("", 1, new byte[0]));
         assertThrows(
                 IllegalArgumentException.class, () -> new Resource("a", 1, new byte[Resource.MAX_CONTENT_BYTES + 1]));
-        assertThrows(IllegalArgumentException.class, () -> new HeldVersion("a", 1, 2));
+        assertThrows(IllegalArgumentException.class, () -> new ResumeVersion("a", 1, 2));
     }
 
     @Property(tries = 2000)
--- a/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/ControlServerTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
 import brackenbridge.fleet.control.ControlMessage.NodeHeartbeat;
 import brackenbridge.fleet.control.ControlMessage.Reject;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
@@ -341,9 +341,9 @@
     }
 
     private static Subscribe subscribe(String fleet, String node, int resources) {
-        List<HeldVersion> versions = new ArrayList<>();
+        List<ResumeVersion> versions = new ArrayList<>();
         for (int i = 0; i < resources; i++) {
-            versions.add(new HeldVersion("r" + i, 0, 0));
+            versions.add(new ResumeVersion("r" + i, 0, 0));
         }
         return new Subscribe(fleet, node, "north", 1, versions);
     }
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
@@ -19,7 +19,7 @@
 
         long applied(String name);
 
-        List<ControlMessage.HeldVersion> versions();
+        List<ControlMessage.ResumeVersion> versions();
     }
 
     /** The production class; rejects the versions listed by the test. */
@@ -46,7 +46,7 @@
         }
 
         @Override
-        public List<ControlMessage.HeldVersion> versions() {
+        public List<ControlMessage.ResumeVersion> versions() {
             return held.versions();
         }
     }
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import brackenbridge.fleet.control.DistributionModel.Receiver;
 import brackenbridge.fleet.control.DistributionModel.ResourcesReceiver;
 import java.util.List;
@@ -67,27 +67,27 @@
 
     /** A faulty node that applies every version that it receives. */
     private static final class AcceptAllReceiver implements Receiver {
-        private final Function<Resource, HeldVersion> toHeldVersion;
-        private HeldVersion held = new HeldVersion(NAME, 0, 0);
+        private final Function<Resource, ResumeVersion> toResumeVersion;
+        private ResumeVersion resumeVersion = new ResumeVersion(NAME, 0, 0);
 
-        AcceptAllReceiver(Function<Resource, HeldVersion> remembers) {
-            this.toHeldVersion = remembers;
+        AcceptAllReceiver(Function<Resource, ResumeVersion> remembers) {
+            this.toResumeVersion = remembers;
         }
 
         @Override
         public Optional<Acknowledge> offer(Resource resource) {
-            held = toHeldVersion.apply(resource);
+            resumeVersion = toResumeVersion.apply(resource);
             return Optional.of(new Acknowledge(NAME, resource.version(), true, ""));
         }
 
         @Override
         public long applied(String name) {
-            return held.applied();
+            return resumeVersion.applied();
         }
 
         @Override
-        public List<HeldVersion> versions() {
-            return List.of(held);
+        public List<ResumeVersion> versions() {
+            return List.of(resumeVersion);
         }
     }
 
@@ -96,14 +96,14 @@
         assertThrows(
                 AssertionError.class,
                 () -> explore(() -> new AcceptAllReceiver(
-                        resource -> new HeldVersion(NAME, resource.version(), resource.version()))));
+                        resource -> new ResumeVersion(NAME, resource.version(), resource.version()))));
     }
 
     @Test
     void modelDetectsANodeThatForgetsItsVersions() {
         assertThrows(
                 AssertionError.class,
-                () -> explore(() -> new AcceptAllReceiver(resource -> new HeldVersion(NAME, 0, 0))));
+                () -> explore(() -> new AcceptAllReceiver(resource -> new ResumeVersion(NAME, 0, 0))));
     }
 
     @Property(tries = 400)
--- a/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -4,7 +4,7 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.fleet.GoldenFiles;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import brackenbridge.fleet.control.MachineReport.NodeBehind;
 import brackenbridge.fleet.control.MachineReport.RegionReport;
 import brackenbridge.fleet.control.MachineReport.VersionCount;
@@ -58,7 +58,7 @@
                         "n7",
                         "eu-1",
                         1_700_000_000_001L,
-                        List.of(new HeldVersion("settings/tier-1", 9, 8), new HeldVersion("shares", 0, 0))));
+                        List.of(new ResumeVersion("settings/tier-1", 9, 8), new ResumeVersion("shares", 0, 0))));
         messages.put("acknowledge", new ControlMessage.Acknowledge("shares", 3, false, "floor: is over the ceiling"));
         messages.put("node-heartbeat", new ControlMessage.NodeHeartbeat(70_000));
         messages.put("welcome", new ControlMessage.Welcome("c1", 1000.5));
