--- a/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ReportExchange.java
@@ -62,8 +62,7 @@
         try {
             MachineReport report = body.length > MAX_BYTES ? null : MAPPER.readValue(body, MachineReport.class);
             if (report == null || !report.machine().equals(peer)) {
-                throw new IOException("expected a report of " + peer + " of at most " + MAX_BYTES + " bytes, got "
-                        + body.length + " bytes");
+                throw new IOException("report of " + body.length + " bytes is empty, too long or names another sender");
             }
             latest.put(peer, new Received(report, clock.nowMs()));
         } catch (IOException | RuntimeException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/FailureDetector.java
@@ -16,10 +16,10 @@
  *
  * <p>Two things differ from the papers. First, the evidence is a lower bound of the time at which a member was last
  * alive, by this member's clock: a message acknowledges one of our messages and states the delay since its sender
- * received it, so it was sent no earlier than the two together. A message that spent ten seconds in a full socket
- * buffer therefore does not count as a sign of the present. Evidence is gossiped with its age, so a member that any
- * other hears is alive for all. Second, time during which this process itself was paused is subtracted from every
- * silence.
+ * received it, so it was sent no earlier than our send time plus that delay. A message that spent ten seconds in a full
+ * socket buffer therefore does not prove that its sender is alive now. Evidence is gossiped with its age, so a member
+ * that any other hears is alive for all. Second, time during which this process itself was paused is subtracted from
+ * every silence.
  *
  * <p>A member's incarnation is the process that runs under its name: it grows with each start.
  *
--- a/fleet/src/main/java/brackenbridge/fleet/peer/LinkContext.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/LinkContext.java
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Waits on the lock, which the caller holds. An interrupt is only recorded in the thread, so that the caller's
-     * cleanup is completed.
+     * Waits on the lock, which the caller holds. An interrupt only sets the thread's interrupt status, so that the
+     * caller's cleanup is completed.
      */
     void awaitChange(double timeoutMs) {
         try {
--- a/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/PeerLinks.java
@@ -33,7 +33,7 @@
     /** This member's incarnation: grows with each start. */
     long incarnation();
 
-    /** The other configured members. */
+    /** The other members, configured at the start or joined since. */
     List<Member> peers();
 
     /** The peer's status in this member's view. */
--- a/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/WatcherQueue.java
@@ -20,8 +20,8 @@
     private boolean ended;
 
     /** Creates an empty queue that counts dropped and failed calls in these metrics. */
-    WatcherQueue(LinkMetrics figures) {
-        this.metrics = figures;
+    WatcherQueue(LinkMetrics metrics) {
+        this.metrics = metrics;
     }
 
     /** Queues a call about this peer. */
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
@@ -24,17 +24,17 @@
 
     /** The production class; rejects the versions listed by the test. */
     static final class ResourcesReceiver implements Receiver {
-        private final SubscribedResources held;
+        private final SubscribedResources resources;
         private final List<Long> rejectedVersions;
 
         ResourcesReceiver(List<String> names, List<Long> rejectedVersions) {
-            held = new SubscribedResources(names);
+            resources = new SubscribedResources(names);
             this.rejectedVersions = rejectedVersions;
         }
 
         @Override
         public Optional<Acknowledge> offer(Resource resource) {
-            return held.offer(
+            return resources.offer(
                     resource,
                     offered ->
                             rejectedVersions.contains(offered.version()) ? Optional.of("refused") : Optional.empty());
@@ -42,12 +42,12 @@
 
         @Override
         public long applied(String name) {
-            return held.applied(name);
+            return resources.applied(name);
         }
 
         @Override
         public List<ControlMessage.ResumeVersion> versions() {
-            return held.versions();
+            return resources.versions();
         }
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/TcpPeerLinksTest.java
@@ -129,10 +129,10 @@
         void run() throws IOException;
     }
 
-    private static void startThread(IoTask work) {
+    private static void startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
                 // The socket was closed: the thread terminates.
                 return;
