--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlServer.java
@@ -4,7 +4,7 @@
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
 import brackenbridge.fleet.control.ControlMessage.MachineHeartbeat;
 import brackenbridge.fleet.control.ControlMessage.NodeHeartbeat;
-import brackenbridge.fleet.control.ControlMessage.Refuse;
+import brackenbridge.fleet.control.ControlMessage.Reject;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import brackenbridge.fleet.control.ControlMessage.Update;
 import brackenbridge.fleet.control.ControlMessage.Welcome;
@@ -44,29 +44,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves the subscriptions of nodes at a control machine. All of it runs on one event loop; there is no lock and no
- * thread for each connection. A resource is serialized once for all nodes that it goes to.
+ * Serves the subscriptions of nodes at a control machine. Everything runs on one event loop, without locks or a thread
+ * per connection. A resource is serialized once for all nodes that receive it.
  */
 public final class ControlServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
-    private static final int BACKLOG = 1024;
-    /** Above the high mark a connection is not written to until it has fallen below the low one; in bytes. */
+    private static final int LISTEN_BACKLOG = 1024;
+    /** In bytes: above the high mark nothing is written to a connection until its buffer falls below the low mark. */
     private static final WriteBufferWaterMark WRITE_MARKS = new WriteBufferWaterMark(32 * 1024, 64 * 1024);
-    /** What a refused connection still sends is dropped for so long, so that it can read why. */
+    /**
+     * For how long input of a rejected connection is discarded before it is closed, so that the node can read the
+     * reason.
+     */
     private static final long LINGER_MS = 500;
 
-    private static final long STOP_MS = 2000;
-    /** Log lines for refusals in a second at most; the counters have all of them. */
-    private static final int LOGGED_PER_SECOND = 20;
+    private static final long STOP_TIMEOUT_MS = 2000;
+    /** Maximum number of logged rejections per second; the counters include all of them. */
+    private static final int MAX_LOGGED_PER_SECOND = 20;
 
     /**
-     * What a control machine serves.
+     * Settings of a control server.
      *
      * @param fleet the fleet's name
      * @param machine the machine's name
-     * @param address where nodes reach it
-     * @param nodes who may subscribe
-     * @param limits limits
+     * @param address the listen address
+     * @param nodes the nodes that may subscribe
+     * @param limits limits and timeouts
      */
     public record Settings(
             String fleet, String machine, InetSocketAddress address, NodeNames nodes, ControlLimits limits) {}
@@ -79,26 +82,26 @@
     private final EventLoop loop = group.next();
     private final ControlMetrics metrics;
     private volatile MachineReport report;
-    private Channel listening;
+    private Channel serverChannel;
 
-    // The event loop's only, from here on.
+    // The fields below are confined to the event loop.
     private final ResourceTable table = new ResourceTable();
     private final Map<String, byte[]> frames = new HashMap<>();
     private final AdmissionLimiter admissions;
     private final Set<NodeConnection> connections = new LinkedHashSet<>();
     private final Map<String, NodeConnection> byNode = new HashMap<>();
     private final Map<String, Set<NodeConnection>> byResource = new HashMap<>();
-    private final Set<NodeConnection> dirty = new LinkedHashSet<>();
+    private final Set<NodeConnection> pendingConnections = new LinkedHashSet<>();
     private boolean flushScheduled;
     private boolean stopping;
-    private long heartbeats;
-    private long loggedInSecond;
-    private double loggedSinceMs = Double.NEGATIVE_INFINITY;
+    private long heartbeatSequence;
+    private long loggedInWindow;
+    private double logWindowStartMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A server that is not started.
+     * Creates a server without starting it.
      *
-     * @param confirmed whether this machine holds a lease of the agreement now; asked on the event loop
+     * @param confirmed returns whether this machine holds a lease of the agreement; called on the event loop
      */
     public ControlServer(Settings settings, Clock clock, BooleanSupplier confirmed, MeterRegistry metrics) {
         this.settings = settings;
@@ -111,17 +114,17 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
-     * @throws IOException if the address is not to be had
+     * @throws IOException if the address cannot be bound
      */
     public void start() throws IOException {
         try {
-            listening = new ServerBootstrap()
+            serverChannel = new ServerBootstrap()
                     .group(group)
                     .channel(NioServerSocketChannel.class)
                     .handler(new AcceptRecovery(LOG::warn))
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_MARKS)
                     .childHandler(new ChannelInitializer<>() {
@@ -134,20 +137,20 @@
                     .syncUninterruptibly()
                     .channel();
         } catch (Exception e) {
-            // Netty throws a failed bind as it is, and that is no RuntimeException.
+            // Netty rethrows the checked exception of a failed bind without declaring it.
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-            throw new IOException("can't listen on " + settings.address() + ": " + e.getMessage(), e);
+            throw new IOException("cannot listen on " + settings.address() + ": " + e.getMessage(), e);
         }
         loop.scheduleAtFixedRate(
                 this::tick, (long) limits.heartbeatMs(), (long) limits.heartbeatMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Where it listens. */
+    /** The local listen address. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    /** A version is in force: nodes that subscribe to it are sent it, unless a newer one is known. From any thread. */
+    /** Sends a version in force to the subscribed nodes, unless a newer one is known. Thread-safe. */
     public void publish(Resource resource) {
         loop.execute(() -> {
             if (!table.offer(resource)) {
@@ -155,45 +158,45 @@
             }
             frames.remove(resource.name());
             for (NodeConnection connection : byResource.getOrDefault(resource.name(), Set.of())) {
-                if (connection.subscription.changed(resource.name(), table)) {
-                    dirty.add(connection);
+                if (connection.subscription.onResourceChanged(resource.name(), table)) {
+                    pendingConnections.add(connection);
                 }
             }
-            if (!dirty.isEmpty() && !flushScheduled) {
+            if (!pendingConnections.isEmpty() && !flushScheduled) {
                 flushScheduled = true;
                 loop.schedule(this::flush, (long) limits.coalesceMs(), TimeUnit.MILLISECONDS);
             }
         });
     }
 
-    /** What it last knew of its nodes; a heartbeat old at most. */
+    /** The last report about the connected nodes; at most one heartbeat interval old. */
     public MachineReport report() {
         return report;
     }
 
     private void flush() {
         flushScheduled = false;
-        List<NodeConnection> now = new ArrayList<>(dirty);
-        dirty.clear();
-        now.forEach(NodeConnection::sendPending);
+        List<NodeConnection> flushed = new ArrayList<>(pendingConnections);
+        pendingConnections.clear();
+        flushed.forEach(NodeConnection::sendPending);
     }
 
     private byte[] frame(Resource resource) {
-        return frames.computeIfAbsent(resource.name(), name -> ControlFrames.bytes(new Update(resource)));
+        return frames.computeIfAbsent(resource.name(), name -> ControlFrames.encode(new Update(resource)));
     }
 
     private void tick() {
         try {
             boolean holdsLease = confirmed.getAsBoolean();
-            byte[] heartbeat = ControlFrames.bytes(new MachineHeartbeat(++heartbeats, holdsLease));
-            double now = clock.nowMs();
+            byte[] heartbeat = ControlFrames.encode(new MachineHeartbeat(++heartbeatSequence, holdsLease));
+            double nowMs = clock.nowMs();
             for (NodeConnection connection : List.copyOf(connections)) {
-                connection.tick(now, heartbeat);
+                connection.tick(nowMs, heartbeat);
             }
             report = currentReport(holdsLease);
         } catch (RuntimeException e) {
-            // Guards the next tick: a schedule ends with the first exception.
-            LOG.error("control server {}: a tick failed", settings.machine(), e);
+            // Guards the next tick: an exception would cancel the periodic task.
+            LOG.error("control server {}: periodic task failed", settings.machine(), e);
         }
     }
 
@@ -211,32 +214,32 @@
         return new MachineReport(settings.machine(), holdsLease, reports);
     }
 
-    private void recordRejection(SubscriptionRejection refusal, String who, String why) {
-        metrics.countRejection(refusal);
-        double now = clock.nowMs();
-        if (now >= loggedSinceMs + 1000) {
-            loggedSinceMs = now;
-            loggedInSecond = 0;
+    private void recordRejection(SubscriptionRejection rejection, String remote, String detail) {
+        metrics.countRejection(rejection);
+        double nowMs = clock.nowMs();
+        if (nowMs >= logWindowStartMs + 1000) {
+            logWindowStartMs = nowMs;
+            loggedInWindow = 0;
         }
-        if (loggedInSecond++ < LOGGED_PER_SECOND) {
-            LOG.info("control server {}: refused {} reason={} {}", settings.machine(), who, refusal, why);
+        if (loggedInWindow++ < MAX_LOGGED_PER_SECOND) {
+            LOG.info("control server {}: rejected {} reason={} {}", settings.machine(), remote, rejection, detail);
         }
     }
 
-    /** One connection, from its accept on; a node's subscription once it has sent one. */
+    /** An accepted connection; it has a subscription once the node has sent one. */
     private final class NodeConnection extends ChannelInboundHandlerAdapter {
         private final Channel channel;
         private final double acceptedMs = clock.nowMs();
         private double lastReadMs = acceptedMs;
         private double blockedSinceMs = Double.NaN;
-        /** The oldest heartbeat that the node has not answered, and when it was sent; NaN if none. */
+        /** The oldest heartbeat that the node has not acknowledged, and when it was sent; NaN if none. */
         private long unansweredHeartbeat;
 
         private double unansweredSinceMs = Double.NaN;
         private Subscription subscription;
         private String node = "";
         private String region = "";
-        private long number;
+        private long connectionNumber;
         private boolean ended;
 
         NodeConnection(Channel channel) {
@@ -247,20 +250,20 @@
         public void channelActive(ChannelHandlerContext context) {
             connections.add(this);
             if (stopping) {
-                refuse(SubscriptionRejection.STOPPING, 0, "");
-            } else if (connections.size() - byNode.size() > limits.maxUnsubscribed()) {
-                refuse(SubscriptionRejection.BUSY, limits.retryMaxMs(), "too many connections without a subscription");
+                reject(SubscriptionRejection.STOPPING, 0, "");
+            } else if (connections.size() - byNode.size() > limits.maxUnsubscribedConnections()) {
+                reject(SubscriptionRejection.BUSY, limits.retryMaxMs(), "too many connections without a subscription");
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            forget();
+            removeConnection();
         }
 
-        private void forget() {
+        private void removeConnection() {
             connections.remove(this);
-            dirty.remove(this);
+            pendingConnections.remove(this);
             byNode.remove(node, this);
             if (subscription != null) {
                 subscription
@@ -279,10 +282,10 @@
                 if (!ended) {
                     metrics.bytesIn.increment(frame.readableBytes() + (double) ControlFrames.LENGTH_BYTES);
                     lastReadMs = clock.nowMs();
-                    received(ControlFrames.read(frame));
+                    onMessage(ControlFrames.decode(frame));
                 }
             } catch (ProtocolException e) {
-                refuse(e.refusal(), 0, e.getMessage());
+                reject(e.rejection(), 0, e.getMessage());
             } finally {
                 frame.release();
             }
@@ -291,23 +294,23 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                refuse(SubscriptionRejection.FRAME_TOO_LONG, 0, String.valueOf(cause.getMessage()));
+                reject(SubscriptionRejection.FRAME_TOO_LONG, 0, String.valueOf(cause.getMessage()));
             } else if (cause instanceof DecoderException) {
-                refuse(SubscriptionRejection.UNREADABLE, 0, String.valueOf(cause.getMessage()));
+                reject(SubscriptionRejection.UNREADABLE, 0, String.valueOf(cause.getMessage()));
             } else {
                 channel.close();
             }
         }
 
-        private void received(ControlMessage message) throws ProtocolException {
+        private void onMessage(ControlMessage message) throws ProtocolException {
             if (message instanceof Subscribe subscribe && subscription == null) {
-                subscribe(subscribe);
+                onSubscribe(subscribe);
             } else if (message instanceof Acknowledge acknowledge && subscription != null) {
-                subscription.acknowledged(acknowledge);
+                subscription.onAcknowledge(acknowledge);
                 if (!acknowledge.accepted()) {
                     metrics.rejectedVersions.increment();
                     LOG.warn(
-                            "control server {}: {} can't use version {} of {}: {}",
+                            "control server {}: {} rejected version {} of {}: {}",
                             settings.machine(),
                             node,
                             acknowledge.version(),
@@ -320,50 +323,54 @@
                 }
             } else {
                 throw new ProtocolException(
-                        SubscriptionRejection.UNREADABLE, message.getClass().getSimpleName() + " is not expected here");
+                        SubscriptionRejection.UNREADABLE,
+                        message.getClass().getSimpleName() + " is not expected in this state");
             }
         }
 
-        private void subscribe(Subscribe request) {
+        private void onSubscribe(Subscribe request) {
             if (!request.fleet().equals(settings.fleet())) {
-                refuse(SubscriptionRejection.OTHER_FLEET, 0, request.node() + " of fleet " + request.fleet());
+                reject(SubscriptionRejection.OTHER_FLEET, 0, request.node() + " of fleet " + request.fleet());
                 return;
             }
             if (!settings.nodes().contains(request.node())) {
-                refuse(SubscriptionRejection.UNKNOWN_NODE, 0, request.node());
+                reject(SubscriptionRejection.UNKNOWN_NODE, 0, request.node());
                 return;
             }
             if (request.resources().size() > ControlMessage.MAX_RESOURCES) {
-                refuse(
+                reject(
                         SubscriptionRejection.TOO_MANY_RESOURCES,
                         0,
                         request.node() + ": " + request.resources().size());
                 return;
             }
-            NodeConnection before = byNode.get(request.node());
-            if (before != null && before.number >= request.connection()) {
-                refuse(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection is here");
+            NodeConnection previous = byNode.get(request.node());
+            if (previous != null && previous.connectionNumber >= request.connectionNumber()) {
+                reject(
+                        SubscriptionRejection.REPLACED,
+                        0,
+                        request.node() + ": a later connection is already established");
                 return;
             }
-            if (before == null && byNode.size() >= limits.maxSubscribers()) {
-                refuse(SubscriptionRejection.FULL, 0, request.node());
+            if (previous == null && byNode.size() >= limits.maxSubscribers()) {
+                reject(SubscriptionRejection.FULL, 0, request.node());
                 return;
             }
             OptionalDouble retryAfterMs = admissions.admit(clock.nowMs());
             if (retryAfterMs.isPresent()) {
-                refuse(SubscriptionRejection.BUSY, retryAfterMs.getAsDouble(), request.node());
+                reject(SubscriptionRejection.BUSY, retryAfterMs.getAsDouble(), request.node());
                 return;
             }
-            if (before != null) {
-                before.refuse(SubscriptionRejection.REPLACED, 0, request.node() + ": a later connection has come");
+            if (previous != null) {
+                previous.reject(SubscriptionRejection.REPLACED, 0, request.node() + ": replaced by a later connection");
             }
-            admitted(request);
+            startSubscription(request);
         }
 
-        private void admitted(Subscribe request) {
+        private void startSubscription(Subscribe request) {
             node = request.node();
             region = request.region();
-            number = request.connection();
+            connectionNumber = request.connectionNumber();
             subscription = new Subscription(request, table);
             byNode.put(node, this);
             subscription
@@ -372,7 +379,7 @@
                             .computeIfAbsent(name, key -> new HashSet<>())
                             .add(this));
             metrics.subscriptions.increment();
-            write(ControlFrames.bytes(new Welcome(settings.machine(), limits.heartbeatMs())));
+            write(ControlFrames.encode(new Welcome(settings.machine(), limits.heartbeatMs())));
             sendPending();
         }
 
@@ -381,7 +388,7 @@
             channel.write(Unpooled.wrappedBuffer(frame));
         }
 
-        /** Writes what is pending, as far as the connection takes it. */
+        /** Writes pending resources while the connection is writable. */
         void sendPending() {
             if (ended || subscription == null) {
                 return;
@@ -395,10 +402,10 @@
                 metrics.updates.increment();
             }
             channel.flush();
-            noteWritability();
+            updateBlockedSince();
         }
 
-        private void noteWritability() {
+        private void updateBlockedSince() {
             if (channel.isWritable()) {
                 blockedSinceMs = Double.NaN;
             } else if (Double.isNaN(blockedSinceMs)) {
@@ -408,7 +415,7 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            noteWritability();
+            updateBlockedSince();
             if (channel.isWritable()) {
                 sendPending();
             }
@@ -419,42 +426,45 @@
                 return;
             }
             if (subscription == null) {
-                if (nowMs - acceptedMs > limits.silenceMs()) {
-                    refuse(SubscriptionRejection.NO_SUBSCRIPTION, 0, "");
+                if (nowMs - acceptedMs > limits.silenceTimeoutMs()) {
+                    reject(SubscriptionRejection.NO_SUBSCRIPTION, 0, "");
                 }
-            } else if (nowMs - lastReadMs > limits.silenceMs()) {
-                refuse(SubscriptionRejection.SILENT, 0, node);
-            } else if (nowMs - blockedSinceMs > limits.slowReaderMs()
-                    || nowMs - unansweredSinceMs > limits.slowReaderMs()) {
-                refuse(SubscriptionRejection.SLOW_READER, 0, node);
+            } else if (nowMs - lastReadMs > limits.silenceTimeoutMs()) {
+                reject(SubscriptionRejection.SILENT, 0, node);
+            } else if (nowMs - blockedSinceMs > limits.slowReaderTimeoutMs()
+                    || nowMs - unansweredSinceMs > limits.slowReaderTimeoutMs()) {
+                reject(SubscriptionRejection.SLOW_READER, 0, node);
             } else if (channel.isWritable()) {
                 write(heartbeat);
                 channel.flush();
-                noteWritability();
+                updateBlockedSince();
                 if (Double.isNaN(unansweredSinceMs)) {
-                    unansweredHeartbeat = heartbeats;
+                    unansweredHeartbeat = heartbeatSequence;
                     unansweredSinceMs = nowMs;
                 }
             }
         }
 
-        /** Tells why, and closes; what still comes in is dropped for a moment, else it would reset the connection. */
-        void refuse(SubscriptionRejection refusal, double retryAfterMs, String why) {
+        /**
+         * Sends the reason and closes the connection. Input is discarded for a while before the close, because unread
+         * input would reset the connection before the node reads the reason.
+         */
+        void reject(SubscriptionRejection rejection, double retryAfterMs, String detail) {
             if (ended) {
                 return;
             }
             ended = true;
-            recordRejection(refusal, String.valueOf(channel.remoteAddress()), why);
-            forget();
+            recordRejection(rejection, String.valueOf(channel.remoteAddress()), detail);
+            removeConnection();
             channel.pipeline().remove(io.netty.handler.codec.LengthFieldBasedFrameDecoder.class);
-            write(ControlFrames.bytes(new Refuse(refusal, retryAfterMs)));
+            write(ControlFrames.encode(new Reject(rejection, retryAfterMs)));
             channel.flush();
             ((DuplexChannel) channel).shutdownOutput();
             loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Refuses whoever is connected, so that nodes go elsewhere at once, and ends. */
+    /** Rejects all connected nodes, so that they move to another machine at once, and shuts down. */
     @Override
     public void close() {
         if (group.isShuttingDown()) {
@@ -464,15 +474,15 @@
             loop.submit(() -> {
                         stopping = true;
                         List.copyOf(connections)
-                                .forEach(connection -> connection.refuse(SubscriptionRejection.STOPPING, 0, ""));
-                        if (listening != null) {
-                            listening.close();
+                                .forEach(connection -> connection.reject(SubscriptionRejection.STOPPING, 0, ""));
+                        if (serverChannel != null) {
+                            serverChannel.close();
                         }
                     })
-                    .await(STOP_MS);
+                    .await(STOP_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        group.shutdownGracefully(0, STOP_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_MS);
+        group.shutdownGracefully(0, STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_TIMEOUT_MS);
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/MachineSelector.java
@@ -5,31 +5,31 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which control machine a node connects to next and when: the machines of its own region first, in an order
- * drawn for this node, so that nodes spread over them without a coordinator; then the others, in an order drawn anew
- * for each round, so that the nodes of a lost machine spread over all that are left. Waits have full jitter.
+ * Selects the control machine that a node connects to next, and the delay before. The machines of its own region come
+ * first, in a random order per node, so that nodes spread over them without a coordinator; then the others, in a random
+ * order per round, so that the nodes of a lost machine spread over all remaining ones. Backoff has full jitter.
  */
 final class MachineSelector {
-    /** Doubling ends here; the wait's bound is reached long before. */
+    /** Guards against overflow of the doubled bound, whose limit is reached long before. */
     private static final int MAX_DOUBLINGS = 16;
 
-    /** The next connection: to whom, and after how many milliseconds. */
+    /** The next connection attempt: the machine, and the delay before in milliseconds. */
     record Attempt(ControlMachine machine, double delayMs) {}
 
     private final List<ControlMachine> machines;
     private final String region;
     private final ControlLimits limits;
     private final RandomGenerator random;
-    private List<ControlMachine> round = List.of();
+    private List<ControlMachine> currentRound = List.of();
     private int position;
     private int failures;
     private int unconfirmedRounds;
     private boolean started;
-    private double askedToWaitMs;
+    private double pendingRetryAfterMs;
 
     MachineSelector(List<ControlMachine> machines, String region, ControlLimits limits, RandomGenerator random) {
         if (machines.isEmpty()) {
-            throw new IllegalArgumentException("no control machine");
+            throw new IllegalArgumentException("no control machine is configured");
         }
         this.machines = List.copyOf(machines);
         this.region = region;
@@ -41,39 +41,39 @@
     Attempt next() {
         if (!started) {
             started = true;
-            beginRound();
-            return new Attempt(round.get(0), random.nextDouble() * limits.startSpreadMs());
+            startRound();
+            return new Attempt(currentRound.get(0), random.nextDouble() * limits.startSpreadMs());
         }
-        if (position >= round.size()) {
-            beginRound();
+        if (position >= currentRound.size()) {
+            startRound();
         }
-        double delayMs = askedToWaitMs > 0 ? askedToWaitMs : random.nextDouble() * boundMs();
-        askedToWaitMs = 0;
-        return new Attempt(round.get(position), delayMs);
+        double delayMs = pendingRetryAfterMs > 0 ? pendingRetryAfterMs : random.nextDouble() * retryBoundMs();
+        pendingRetryAfterMs = 0;
+        return new Attempt(currentRound.get(position), delayMs);
     }
 
-    private double boundMs() {
-        double bound = limits.retryBaseMs() * (1L << Math.min(Math.max(0, failures - 1), MAX_DOUBLINGS));
-        return Math.min(limits.retryMaxMs(), bound);
+    private double retryBoundMs() {
+        double boundMs = limits.retryBaseMs() * (1L << Math.min(Math.max(0, failures - 1), MAX_DOUBLINGS));
+        return Math.min(limits.retryMaxMs(), boundMs);
     }
 
-    private void beginRound() {
-        List<ControlMachine> home = new ArrayList<>();
-        List<ControlMachine> away = new ArrayList<>();
-        machines.forEach(machine -> (isHome(machine) ? home : away).add(machine));
-        shuffle(home);
-        shuffle(away);
-        home.addAll(away);
-        round = home;
+    private void startRound() {
+        List<ControlMachine> ownRegion = new ArrayList<>();
+        List<ControlMachine> otherRegions = new ArrayList<>();
+        machines.forEach(machine -> (isHome(machine) ? ownRegion : otherRegions).add(machine));
+        shuffle(ownRegion);
+        shuffle(otherRegions);
+        ownRegion.addAll(otherRegions);
+        currentRound = ownRegion;
         position = 0;
     }
 
     private void shuffle(List<ControlMachine> list) {
         for (int i = list.size() - 1; i > 0; i--) {
-            int other = random.nextInt(i + 1);
-            ControlMachine moved = list.get(i);
-            list.set(i, list.get(other));
-            list.set(other, moved);
+            int swapIndex = random.nextInt(i + 1);
+            ControlMachine swapped = list.get(i);
+            list.set(i, list.get(swapIndex));
+            list.set(swapIndex, swapped);
         }
     }
 
@@ -81,43 +81,44 @@
         return machine.region().equals(region);
     }
 
-    /** The machine serves this node and its heartbeats are confirmed. */
-    void confirmed() {
+    /** The serving machine sent a confirmed heartbeat. */
+    void onConfirmed() {
         failures = 0;
         unconfirmedRounds = 0;
     }
 
-    /** The connection failed, was lost or was refused: the next machine's turn. */
-    void failed() {
+    /** The connection failed, was lost or was rejected: moves on to the next machine. */
+    void onFailed() {
         failures++;
         position++;
-        if (position >= round.size()) {
+        if (position >= currentRound.size()) {
             unconfirmedRounds++;
         }
     }
 
-    /** The machine asked the node to come back to it after so many milliseconds. */
-    void askedToWait(double retryAfterMs) {
-        // A little later at random: the machine spreads the times, two clocks may still agree to the millisecond.
-        askedToWaitMs = retryAfterMs + random.nextDouble() * limits.heartbeatMs() / 2;
+    /** The machine sent a Retry-After: the next attempt goes to the same machine after this delay. */
+    void onRetryAfter(double retryAfterMs) {
+        // Adds jitter: the machine spreads its Retry-After values, but two nodes may still retry in the same
+        // millisecond.
+        pendingRetryAfterMs = retryAfterMs + random.nextDouble() * limits.heartbeatMs() / 2;
     }
 
     /** The node returns to its own region. */
-    void goHome() {
-        beginRound();
+    void returnHome() {
+        startRound();
     }
 
     /**
-     * How long to stay with a machine whose heartbeats are not confirmed. It doubles with each round in which no
-     * machine was: while no majority can be reached, nodes do not wander from machine to machine all the time.
+     * How long to stay with a machine whose heartbeats are not confirmed. Doubles with each round without a confirmed
+     * machine, so that nodes do not keep moving from machine to machine while no majority can be reached.
      */
-    double patienceMs() {
-        double longest = limits.homeMaxMs();
-        return Math.min(longest, limits.unconfirmedMs() * (1L << Math.min(unconfirmedRounds, MAX_DOUBLINGS)));
+    double unconfirmedTimeoutMs() {
+        double maxMs = limits.returnHomeMaxMs();
+        return Math.min(maxMs, limits.unconfirmedTimeoutMs() * (1L << Math.min(unconfirmedRounds, MAX_DOUBLINGS)));
     }
 
-    /** How long to stay with a machine of another region. */
-    double homeAfterMs() {
-        return limits.homeMinMs() + random.nextDouble() * (limits.homeMaxMs() - limits.homeMinMs());
+    /** How long to stay with a machine of another region; drawn at random. */
+    double returnHomeDelayMs() {
+        return limits.returnHomeMinMs() + random.nextDouble() * (limits.returnHomeMaxMs() - limits.returnHomeMinMs());
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ProtocolException.java
@@ -2,21 +2,21 @@
 
 import java.io.IOException;
 
-/** Bytes from the other side that break the protocol. */
+/** The other side violated the protocol. */
 public final class ProtocolException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** What is refused. */
-    private final SubscriptionRejection refusal;
+    /** The reason that is sent to the other side. */
+    private final SubscriptionRejection rejection;
 
-    /** With the reason to tell and to count, and a text for the log. */
-    public ProtocolException(SubscriptionRejection refusal, String text) {
+    /** Creates an exception with the reason to send and to count, and a text for the log. */
+    public ProtocolException(SubscriptionRejection rejection, String text) {
         super(text);
-        this.refusal = refusal;
+        this.rejection = rejection;
     }
 
     /** The reason. */
-    public SubscriptionRejection refusal() {
-        return refusal;
+    public SubscriptionRejection rejection() {
+        return rejection;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/Subscription.java
@@ -1,7 +1,7 @@
 package brackenbridge.fleet.control;
 
 import brackenbridge.fleet.control.ControlMessage.Acknowledge;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import brackenbridge.fleet.control.ControlMessage.Subscribe;
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -13,32 +13,32 @@
 import java.util.Set;
 
 /**
- * One node's subscription at a control machine: what the node has been sent, and what is still to be sent. At most one
- * version of each resource waits, the newest, so a node that reads slowly costs no more memory than one that does not.
+ * A node's subscription at a control machine: the versions that were sent and the resources still to be sent. At most
+ * one version of each resource is pending, the newest, so a slow reader costs no more memory than a fast one.
  *
- * <p>A resource is sent when the table has a newer version than the one that the node has received. The node's own
- * versions are the start, whichever machine it was connected to before: resuming needs no history, and a machine that
- * lags behind sends nothing.
+ * <p>A resource is sent when the table has a newer version than the one that the node has received. A subscription
+ * starts from the versions that the node reports, whichever machine it was connected to before: resuming needs no
+ * history, and a machine that lags behind sends nothing.
  */
 final class Subscription {
-    /** What a node is known to have of one resource. */
+    /** The known versions of one resource at the node. */
     private static final class Progress {
         private long received;
         private long applied;
-        private String refusedBecause = "";
+        private String rejectionReason = "";
     }
 
     private final Map<String, Progress> resources = new LinkedHashMap<>();
     private final Set<String> pending = new LinkedHashSet<>();
 
-    /** A subscription that begins; what the table has newer is pending at once. */
+    /** Creates a subscription; resources of which the table has a newer version are pending at once. */
     Subscription(Subscribe request, ResourceTable table) {
-        for (HeldVersion held : request.resources()) {
+        for (ResumeVersion resumeVersion : request.resources()) {
             Progress progress = new Progress();
-            progress.received = held.received();
-            progress.applied = held.applied();
-            resources.put(held.name(), progress);
-            changed(held.name(), table);
+            progress.received = resumeVersion.received();
+            progress.applied = resumeVersion.applied();
+            resources.put(resumeVersion.name(), progress);
+            onResourceChanged(resumeVersion.name(), table);
         }
     }
 
@@ -46,8 +46,8 @@
         return resources.keySet();
     }
 
-    /** The table may have a newer version of this resource; returns whether something is to be sent now. */
-    boolean changed(String name, ResourceTable table) {
+    /** Marks a resource as pending if the table has a newer version; returns whether it was newly marked. */
+    boolean onResourceChanged(String name, ResourceTable table) {
         Progress progress = resources.get(name);
         if (progress == null || table.version(name) <= progress.received) {
             return false;
@@ -59,7 +59,7 @@
         return !pending.isEmpty();
     }
 
-    /** The next resource to write to the node, at its newest version; it counts as received from now on. */
+    /** Removes the next pending resource, at its newest version, and records it as received. */
     Optional<Resource> next(ResourceTable table) {
         Iterator<String> names = pending.iterator();
         while (names.hasNext()) {
@@ -73,8 +73,8 @@
         return Optional.empty();
     }
 
-    /** The node has taken or refused a version. One that was not sent, or that is older, changes nothing. */
-    void acknowledged(Acknowledge acknowledge) {
+    /** Processes the acknowledgement of a version; one that was not sent, or is outdated, is ignored. */
+    void onAcknowledge(Acknowledge acknowledge) {
         Progress progress = resources.get(acknowledge.name());
         if (progress == null
                 || acknowledge.version() > progress.received
@@ -84,34 +84,34 @@
         if (acknowledge.accepted()) {
             progress.applied = acknowledge.version();
         }
-        progress.refusedBecause = acknowledge.reason();
+        progress.rejectionReason = acknowledge.reason();
     }
 
-    /** The resources by whose newest version the node does not act yet. */
+    /** The resources whose newest version the node does not apply yet. */
     List<Lag> behind(ResourceTable table) {
         List<Lag> behind = new ArrayList<>();
         resources.forEach((name, progress) -> {
-            long newest = table.version(name);
-            if (progress.applied < newest) {
-                behind.add(new Lag(name, progress.applied, newest, progress.refusedBecause));
+            long newestVersion = table.version(name);
+            if (progress.applied < newestVersion) {
+                behind.add(new Lag(name, progress.applied, newestVersion, progress.rejectionReason));
             }
         });
         return behind;
     }
 
-    /** The version that the node acts by; 0 if none is known. */
+    /** The version that the node applies; 0 if none is known. */
     long applied(String name) {
         Progress progress = resources.get(name);
         return progress == null ? 0 : progress.applied;
     }
 
     /**
-     * A resource by whose newest version a node does not act.
+     * A resource whose newest version a node does not apply.
      *
      * @param name the resource
-     * @param applied the version that the node acts by
-     * @param newest the newest that the machine knows
-     * @param reason why the node refused a version; empty if it did not
+     * @param applied the version that the node applies
+     * @param newest the newest version known to the machine
+     * @param reason why the node rejected a version; empty if it did not
      */
     record Lag(String name, long applied, long newest, String reason) {}
 }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Dialer.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Dials the peers. Each peer has one thread, which dials with backoff while there is no connection and writes the
- * queued messages while there is one, also one that the peer has dialled.
+ * Dials the peers. Each peer has one thread. While the peer is disconnected, the thread dials it with backoff; while it
+ * is connected, by whichever side, the thread writes the queued messages.
  */
 final class Dialer {
     private static final Logger LOG = LoggerFactory.getLogger(Dialer.class);
@@ -19,7 +19,7 @@
     private final HandshakeValidator validator;
     private final RejectionHandler rejections;
     private final ConnectionReader reader;
-    /** Numbers the dials of this process, so that a peer can ignore one that was overtaken; guarded by the lock. */
+    /** Numbers the dials of this process, so that a peer can ignore an outdated one; guarded by the lock. */
     private long dialNumber;
 
     Dialer(
@@ -35,9 +35,12 @@
         this.reader = reader;
     }
 
-    /** With the lock: starts the peer's thread. The lower name dials first, so that dials seldom cross. */
+    /**
+     * Starts the peer's thread. The member with the lower name dials first, so that simultaneous dials are rare. The
+     * caller holds the lock.
+     */
     void start(Peer peer) {
-        double waitMs = context.self().name().compareTo(peer.name()) < 0 ? 0 : context.limits.dialMinMs();
+        double waitMs = context.self().name().compareTo(peer.name()) < 0 ? 0 : context.limits.dialBackoffMinMs();
         peer.nextDialAtMs = context.clock.nowMs() + waitMs * (1 + context.random.nextDouble());
         peer.dialerThread = context.startThread("peer-to-" + peer.name(), () -> keepConnected(peer));
     }
@@ -53,7 +56,7 @@
             if (connection != null) {
                 write(peer, connection);
             } else if (leftMs > 0) {
-                // Parked, not waiting on the lock: changes of other peers wake nobody here.
+                // Parks rather than waits on the lock, so that changes of other peers do not wake this thread.
                 LockSupport.parkNanos(this, (long) Math.ceil(leftMs * 1e6));
             } else {
                 dial(peer);
@@ -64,7 +67,7 @@
         }
         synchronized (context.lock) {
             if (peer.connection != null) {
-                peer.connection.close("no member any more");
+                peer.connection.close("removed from the members");
             }
         }
     }
@@ -73,15 +76,15 @@
         try {
             connection.write();
         } catch (IOException e) {
-            connection.close("write: " + e.getMessage());
+            connection.close("write failed: " + e.getMessage());
         } catch (InterruptedException e) {
-            connection.close("this member ends");
+            connection.close("this member shuts down");
         }
         if (context.closing()) {
-            // The farewell is under way; the reader closes the connection.
+            // The leave message is in flight; the reader closes the connection.
             return;
         }
-        connection.close("ended");
+        connection.close("closed");
         reader.detach(connection);
         synchronized (context.lock) {
             if (peer.connection == connection) {
@@ -100,7 +103,7 @@
             }
             peer.dialingSocket = socket;
             peer.dialAttempts++;
-            // The address that a peer has announced is dialled in turn with the configured one.
+            // Alternates between the configured address and the one that the peer announced.
             boolean announced = peer.announcedAddress != null && peer.dialAttempts % 2 == 0;
             target = announced ? peer.announcedAddress : peer.member.address();
             hello = newHello(peer);
@@ -108,14 +111,14 @@
         PeerConnection connection = null;
         boolean attached = false;
         try {
-            connection = connect(peer, socket, target, hello.life());
+            connection = connect(peer, socket, target, hello.incarnation());
             attached = beginHandshake(peer, connection) && exchangeHellos(peer, connection, hello);
             if (attached) {
                 startReader(peer, connection);
             }
         } catch (IOException | IllegalArgumentException e) {
             context.metrics.count("dials_failed");
-            LOG.debug("dial {} at {}: {}", peer.name(), target, e.getMessage());
+            LOG.debug("dialing {} at {} failed: {}", peer.name(), target, e.getMessage());
         } finally {
             endDial(peer, socket, connection, attached);
         }
@@ -129,56 +132,60 @@
                 self.name(),
                 peer.name(),
                 self.address(),
-                context.life(),
+                context.incarnation(),
                 context.instance,
                 ++dialNumber);
     }
 
-    private PeerConnection connect(Peer peer, Socket socket, String target, long life) throws IOException {
+    private PeerConnection connect(Peer peer, Socket socket, String target, long incarnation) throws IOException {
         InetSocketAddress address = PeerAddress.parse(target);
-        socket.connect(new InetSocketAddress(address.getHostString(), address.getPort()), context.limits.handshakeMs());
+        socket.connect(
+                new InetSocketAddress(address.getHostString(), address.getPort()), context.limits.handshakeTimeoutMs());
         PeerConnection connection = new PeerConnection(socket, true, context.limits, context.clock, context.metrics);
         connection.peerName = peer.name();
-        connection.announcedLife = life;
+        connection.announcedIncarnation = incarnation;
         return connection;
     }
 
-    /** From here on an accepted connection does not end this dial; false if the dial is of no use any more. */
+    /** From here on an accepted connection does not cancel this dial. Returns false if the dial is obsolete. */
     private boolean beginHandshake(Peer peer, PeerConnection connection) {
         synchronized (context.lock) {
             if (peer.connection != null) {
                 return false;
             }
             peer.dialingSocket = null;
-            peer.handshaking = connection;
+            peer.handshakingConnection = connection;
             return !context.closing() && !peer.removed;
         }
     }
 
     private boolean exchangeHellos(Peer peer, PeerConnection connection, Handshake.Hello hello) throws IOException {
         connection.send(hello);
-        Handshake.Part part = Handshake.read(connection.in);
+        Handshake.Message message = Handshake.read(connection.in);
         String name = peer.name();
-        if (part instanceof Handshake.Refuse refuse) {
-            rejections.onRejectedBy(name, refuse);
+        if (message instanceof Handshake.Reject reject) {
+            rejections.onRejectedBy(name, reject);
             return false;
         }
-        if (part instanceof Handshake.Foreign) {
+        if (message instanceof Handshake.IncompatibleVersion) {
             rejections.onRejectedBy(
-                    name, new Handshake.Refuse(HandshakeRejection.VERSION_MISMATCH, 0, "answers in another version"));
+                    name,
+                    new Handshake.Reject(
+                            HandshakeRejection.VERSION_MISMATCH, 0, "responded in an unsupported version"));
             return false;
         }
-        if (!(part instanceof Handshake.Hello welcome) || !welcome.welcome()) {
-            throw new WireException("no welcome");
+        if (!(message instanceof Handshake.Hello welcome) || !welcome.welcome()) {
+            throw new WireException(
+                    "expected a welcome, got " + message.getClass().getSimpleName());
         }
         connection.remoteHello = welcome;
         HandshakeRejection rejection =
                 welcome.from().equals(name) ? validator.validate(connection, welcome) : HandshakeRejection.WRONG_MEMBER;
         if (rejection != null) {
             synchronized (context.lock) {
-                peer.dialFailures = Math.max(peer.dialFailures, rejection.lasting() ? Peer.MAX_DIAL_FAILURES : 0);
+                peer.dialFailures = Math.max(peer.dialFailures, rejection.isPermanent() ? Peer.MAX_DIAL_FAILURES : 0);
             }
-            rejections.reject(connection, rejection, validator.knownLife(name), welcome);
+            rejections.reject(connection, rejection, validator.knownIncarnation(name), welcome);
             return false;
         }
         connection.send(new Handshake.Ready());
@@ -194,11 +201,11 @@
     private void endDial(Peer peer, Socket socket, PeerConnection connection, boolean attached) {
         synchronized (context.lock) {
             peer.dialingSocket = null;
-            peer.handshaking = null;
+            peer.handshakingConnection = null;
             if (!attached) {
                 Peer.closeQuietly(socket);
                 if (connection != null) {
-                    connection.close("no link");
+                    connection.close("handshake failed");
                 }
                 registry.backOff(peer);
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/GossipReceiver.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Applies what peers tell of members (SWIM, section 4.1), with the age of the evidence. */
+/** Applies gossip about members (SWIM, section 4.1), taking the age of its evidence into account. */
 final class GossipReceiver {
-    /** So many suspected members are told of in one message at most. */
+    /** Maximum number of entries about suspected members in one message. */
     static final int MAX_SUSPECTS = 16;
 
     private final String self;
@@ -25,8 +25,8 @@
     /**
      * Applies one entry of a message.
      *
-     * @param sentMs a time no later than the sending of the message
-     * @param replies receives the entries that the sender should have at once
+     * @param sentMs a lower bound of the time at which the message was sent
+     * @param replies receives the entries to send back at once
      */
     void apply(double now, MemberState from, double sentMs, SwimMessage.Entry entry, List<SwimMessage.Entry> replies) {
         if (entry.name().equals(self)) {
@@ -35,29 +35,29 @@
         }
         MemberState member = members.get(entry.name());
         boolean useless = member == null || member == from || entry.status() == MemberStatus.UNKNOWN;
-        if (useless || member.known && entry.life() < member.life) {
+        if (useless || member.known && entry.incarnation() < member.incarnation) {
             return;
         }
-        if (!member.known || entry.life() > member.life) {
-            beginLife(now, member, sentMs, entry);
+        if (!member.known || entry.incarnation() > member.incarnation) {
+            beginIncarnation(now, member, sentMs, entry);
         }
         if (entry.instance() != member.instance) {
-            members.recordConflict(now, member, entry.life(), entry.instance());
+            members.recordConflict(now, member, entry.incarnation(), entry.instance());
             return;
         }
-        member.raiseIncarnation(now, entry.incarnation());
+        member.raiseRefutationNumber(now, entry.refutationNumber());
         if (entry.ageMs() >= 0 && sentMs - entry.ageMs() > member.lastAliveMs) {
-            member.helper = from.name;
+            member.preferredHelper = from.name;
             member.recordAlive(sentMs - entry.ageMs());
         }
         applyStatus(now, from, member, entry, replies);
         suspicion.evaluate(now, member);
     }
 
-    private void beginLife(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
-        // A process that is dead already is not reported as alive first.
-        suspicion.beginLife(now, member, entry.life(), entry.instance(), entry.status());
-        member.deadIncarnation = entry.status() == MemberStatus.DEAD ? entry.incarnation() : -1;
+    private void beginIncarnation(double now, MemberState member, double sentMs, SwimMessage.Entry entry) {
+        // Starts with the reported status, so that a dead process is not first reported as alive.
+        suspicion.beginIncarnation(now, member, entry.incarnation(), entry.instance(), entry.status());
+        member.deadRefutationNumber = entry.status() == MemberStatus.DEAD ? entry.refutationNumber() : -1;
         if (entry.ageMs() < 0) {
             member.recordAlive(sentMs);
         }
@@ -73,9 +73,9 @@
             suspicion.markLeft(now, member);
         } else if (entry.status() == MemberStatus.ALIVE) {
             member.suspectedBy.remove(from.name);
-        } else if (entry.incarnation() >= member.incarnation) {
+        } else if (entry.refutationNumber() >= member.refutationNumber) {
             member.suspectedBy.add(from.name);
-            boolean heardHere = member.silenceMs(now) < FailureDetector.PROBE_AFTER_INTERVALS * limits.beatMs();
+            boolean heardHere = member.silenceMs(now) < FailureDetector.PROBE_AFTER_INTERVALS * limits.heartbeatMs();
             if (!member.left && heardHere && replies.size() < MAX_SUSPECTS) {
                 replies.add(member.toEntry(now));
             }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Handshake.java
@@ -7,150 +7,163 @@
 import java.util.Arrays;
 
 /**
- * What two members say before the first message: the dialler a {@link Hello}, the other its own hello as a welcome,
- * the dialler {@link Ready}; each of them {@link Refuse} instead. On the wire: magic (4 bytes), length (2), kind,
- * lowest and highest version the sender speaks (1 each), the fields, CRC32C of all before it (4). The head stays as it
- * is in every later version, so that two versions can refuse each other in words.
+ * The handshake that precedes the frames of a connection. The dialer sends a {@link Hello}, the accepting member its
+ * own hello as a welcome, the dialer {@link Ready}; each may send {@link Reject} instead. On the wire: magic (4 bytes),
+ * length (2), kind, lowest and highest supported version (1 each), the fields, CRC32C of all before it (4). The header
+ * must not change in later versions, so that members without a common version can still reject each other with a
+ * reason.
  */
 final class Handshake {
-    static final int LOWEST = 1;
-    static final int HIGHEST = 1;
-    /** Longest handshake: bounds what a stranger makes this side allocate. */
-    static final int MOST = 1024;
+    static final int MIN_VERSION = 1;
+    static final int MAX_VERSION = 1;
+    /**
+     * Maximum length of a handshake message: bounds the memory that an unidentified peer can make this side allocate.
+     */
+    static final int MAX_BYTES = 1024;
 
     private static final int MAGIC = 0x42425031;
-    private static final int HEAD = 9;
-    private static final HandshakeRejection[] REFUSALS = HandshakeRejection.values();
+    private static final int HEADER_BYTES = 9;
+    private static final HandshakeRejection[] REJECTIONS = HandshakeRejection.values();
 
     private Handshake() {}
 
-    /** One part of a handshake. */
-    sealed interface Part permits Hello, Ready, Refuse, Foreign {}
+    /** A message of the handshake. */
+    sealed interface Message permits Hello, Ready, Reject, IncompatibleVersion {}
 
     /**
-     * Who speaks.
+     * Identifies the sender and the intended receiver.
      *
-     * @param welcome whether it answers a hello
+     * @param welcome whether it is the response to a hello
      * @param fleet name of the fleet
-     * @param from who speaks
-     * @param to whom it means
-     * @param address where the speaker listens
-     * @param life the speaker's life
-     * @param instance drawn at each start: tells two processes of one name and life apart
-     * @param dial counts the speaker's dials, so that an old one that arrives late does not replace a newer
+     * @param from name of the sender
+     * @param to name of the intended receiver
+     * @param address where the sender listens
+     * @param incarnation the sender's incarnation
+     * @param instance random number drawn at each start: distinguishes two processes of one name and incarnation
+     * @param dialNumber counts the sender's dials, so that an old one that arrives late does not replace a newer one
      */
     record Hello(
-            boolean welcome, String fleet, String from, String to, String address, long life, long instance, long dial)
-            implements Part {}
+            boolean welcome,
+            String fleet,
+            String from,
+            String to,
+            String address,
+            long incarnation,
+            long instance,
+            long dialNumber)
+            implements Message {}
 
-    /** The link stands. */
-    record Ready() implements Part {}
+    /** The dialer accepts the welcome: the connection is established. */
+    record Ready() implements Message {}
 
     /**
-     * No link.
+     * The sender rejects the connection.
      *
-     * @param why the reason
-     * @param life a life that the refusing side knows, for {@link HandshakeRejection#STALE_LIFE}
-     * @param text what staff should read
+     * @param reason the reason
+     * @param incarnation the incarnation known to the rejecting side, for {@link HandshakeRejection#STALE_INCARNATION}
+     * @param text an explanation for operators
      */
-    record Refuse(HandshakeRejection why, long life, String text) implements Part {}
+    record Reject(HandshakeRejection reason, long incarnation, String text) implements Message {}
 
-    /** A part whose versions have none in common with ours: its fields are not read. */
-    record Foreign(int lowest, int highest) implements Part {}
+    /** A message of a sender that supports no common version; its fields are not read. */
+    record IncompatibleVersion(int minVersion, int maxVersion) implements Message {}
 
-    static byte[] bytes(Part part) {
-        ByteBuffer out = ByteBuffer.allocate(MOST);
-        out.position(HEAD);
-        int kind = write(part, out);
-        int length = out.position() - HEAD;
-        out.putInt(0, MAGIC).putShort(4, (short) length).put(6, (byte) kind).put(7, (byte) LOWEST);
-        out.put(8, (byte) HIGHEST);
-        out.putInt(WireFormat.crc(out.array(), 0, HEAD + length));
+    static byte[] encode(Message message) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
+        out.position(HEADER_BYTES);
+        int kind = encodeFields(message, out);
+        int length = out.position() - HEADER_BYTES;
+        out.putInt(0, MAGIC).putShort(4, (short) length).put(6, (byte) kind).put(7, (byte) MIN_VERSION);
+        out.put(8, (byte) MAX_VERSION);
+        out.putInt(WireFormat.crc32c(out.array(), 0, HEADER_BYTES + length));
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    private static int write(Part part, ByteBuffer out) {
-        if (part instanceof Hello hello) {
-            WireFormat.text(out, hello.fleet());
-            WireFormat.text(out, hello.from());
-            WireFormat.text(out, hello.to());
-            WireFormat.text(out, hello.address());
-            out.putLong(hello.life()).putLong(hello.instance()).putLong(hello.dial());
+    private static int encodeFields(Message message, ByteBuffer out) {
+        if (message instanceof Hello hello) {
+            WireFormat.writeText(out, hello.fleet());
+            WireFormat.writeText(out, hello.from());
+            WireFormat.writeText(out, hello.to());
+            WireFormat.writeText(out, hello.address());
+            out.putLong(hello.incarnation()).putLong(hello.instance()).putLong(hello.dialNumber());
             return hello.welcome() ? 2 : 1;
         }
-        if (part instanceof Refuse refuse) {
-            String text = refuse.text();
-            out.put((byte) refuse.why().ordinal()).putLong(refuse.life());
-            WireFormat.text(out, text.length() > 80 ? text.substring(0, 80) : text);
+        if (message instanceof Reject reject) {
+            String text = reject.text();
+            out.put((byte) reject.reason().ordinal()).putLong(reject.incarnation());
+            WireFormat.writeText(out, text.length() > 80 ? text.substring(0, 80) : text);
             return 4;
         }
         return 3;
     }
 
     /**
-     * The next part.
+     * Reads the next message.
      *
-     * @throws WireException for anything that is none
-     * @throws EOFException if the other has ended
+     * @throws WireException if the message is malformed
+     * @throws EOFException if the other side closed the connection
      */
-    static Part read(InputStream in) throws IOException {
-        byte[] head = exactly(in, HEAD);
-        ByteBuffer fields = ByteBuffer.wrap(head);
+    static Message read(InputStream in) throws IOException {
+        byte[] header = readExactly(in, HEADER_BYTES);
+        ByteBuffer fields = ByteBuffer.wrap(header);
         if (fields.getInt() != MAGIC) {
-            throw new WireException("no handshake of this protocol");
+            throw new WireException("not a handshake of this protocol");
         }
         int length = fields.getShort() & 0xffff;
         int kind = fields.get() & 0xff;
         int lowest = fields.get() & 0xff;
         int highest = fields.get() & 0xff;
-        if (length > MOST - HEAD - 4) {
-            throw new WireException("a handshake of " + length + " bytes");
+        if (length > MAX_BYTES - HEADER_BYTES - 4) {
+            throw new WireException("handshake of " + length + " bytes exceeds the limit");
         }
-        byte[] rest = exactly(in, length + 4);
-        byte[] all = Arrays.copyOf(head, HEAD + length);
-        System.arraycopy(rest, 0, all, HEAD, length);
-        if (ByteBuffer.wrap(rest).getInt(length) != WireFormat.crc(all, 0, all.length)) {
-            throw new WireException("the sum of a handshake is wrong");
+        byte[] rest = readExactly(in, length + 4);
+        byte[] checked = Arrays.copyOf(header, HEADER_BYTES + length);
+        System.arraycopy(rest, 0, checked, HEADER_BYTES, length);
+        if (ByteBuffer.wrap(rest).getInt(length) != WireFormat.crc32c(checked, 0, checked.length)) {
+            throw new WireException("handshake checksum mismatch");
         }
         if (lowest > highest) {
-            throw new WireException("versions from " + lowest + " to " + highest);
+            throw new WireException("lowest version " + lowest + " is above the highest " + highest);
         }
-        if (lowest > HIGHEST || highest < LOWEST) {
-            return new Foreign(lowest, highest);
+        if (lowest > MAX_VERSION || highest < MIN_VERSION) {
+            return new IncompatibleVersion(lowest, highest);
         }
-        return WireFormat.whole(Arrays.copyOf(rest, length), body -> part(kind, body));
+        return WireFormat.readAll(Arrays.copyOf(rest, length), body -> decode(kind, body));
     }
 
-    private static Part part(int kind, ByteBuffer in) throws WireException {
+    private static Message decode(int kind, ByteBuffer in) throws WireException {
         switch (kind) {
             case 1:
             case 2:
                 return new Hello(
                         kind == 2,
-                        WireFormat.name(in),
-                        WireFormat.name(in),
-                        WireFormat.name(in),
-                        WireFormat.text(in),
+                        WireFormat.readName(in),
+                        WireFormat.readName(in),
+                        WireFormat.readName(in),
+                        WireFormat.readText(in),
                         in.getLong(),
                         in.getLong(),
                         in.getLong());
             case 3:
                 return new Ready();
             case 4:
-                int why = in.get() & 0xff;
-                long life = in.getLong();
-                String text = WireFormat.text(in);
-                // Guards against a reason of a later build: it is still a refusal.
-                return new Refuse(why < REFUSALS.length ? REFUSALS[why] : HandshakeRejection.MALFORMED, life, text);
+                int reasonCode = in.get() & 0xff;
+                long incarnation = in.getLong();
+                String text = WireFormat.readText(in);
+                // Guards against a reason added in a later build: it is still a rejection.
+                return new Reject(
+                        reasonCode < REJECTIONS.length ? REJECTIONS[reasonCode] : HandshakeRejection.MALFORMED,
+                        incarnation,
+                        text);
             default:
-                throw new WireException("a handshake of the unknown kind " + kind);
+                throw new WireException("unknown handshake kind " + kind);
         }
     }
 
-    private static byte[] exactly(InputStream in, int count) throws IOException {
+    private static byte[] readExactly(InputStream in, int count) throws IOException {
         byte[] bytes = in.readNBytes(count);
         if (bytes.length < count) {
-            throw new EOFException("ended within the handshake");
+            throw new EOFException("end of stream within the handshake");
         }
         return bytes;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/IndirectProber.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** SWIM's indirect probe (section 3.1, ping-req): others are asked for a silent member before it is suspected. */
+/** SWIM's indirect probe (section 3.1, ping-req): other members probe a silent member before it is suspected. */
 final class IndirectProber {
     private final PeerLimits limits;
     private final MemberTable members;
@@ -17,20 +17,20 @@
         this.localHealth = localHealth;
     }
 
-    /** Whether others are to be asked for this member now; forgets its helper where there is no need. */
+    /** Whether other members should probe this member now; resets its preferred helper if not needed any more. */
     boolean needsProbe(double now, MemberState member) {
         boolean watched = member.known && !member.left && member.status != MemberStatus.DEAD;
-        double directSilenceMs = now - member.lastDirectMs - member.excusedMs;
-        if (watched && directSilenceMs > FailureDetector.PROBE_AFTER_INTERVALS * limits.beatMs()) {
+        double directSilenceMs = now - member.lastDirectMs - member.discountedMs;
+        if (watched && directSilenceMs > FailureDetector.PROBE_AFTER_INTERVALS * limits.heartbeatMs()) {
             return true;
         }
         if (!watched || member.lastAliveMs == member.lastDirectMs) {
-            member.helper = null;
+            member.preferredHelper = null;
         }
         return false;
     }
 
-    /** Chooses helpers: the silent members that each of them is asked for, by the helper's name. */
+    /** Chooses helpers; returns the silent members that each is asked to probe, by the helper's name. */
     Map<String, List<String>> chooseHelpers(List<MemberState> silent) {
         Map<String, List<String>> requests = new HashMap<>();
         for (MemberState target : silent) {
@@ -44,16 +44,18 @@
 
     private void chooseHelpers(MemberState target, Map<String, List<String>> requests) {
         List<MemberState> order = members.all();
-        int missing = limits.asked();
-        if (target.helper != null && addRequest(requests, members.get(target.helper), target.name)) {
+        int missing = limits.probeHelpers();
+        if (target.preferredHelper != null && addRequest(requests, members.get(target.preferredHelper), target.name)) {
             missing--;
         }
         for (int i = 0; i < order.size() && missing > 0; i++) {
-            MemberState helper = order.get(target.helperTurn++ % order.size());
-            if (target.helperTurn == Integer.MAX_VALUE) {
-                target.helperTurn = 0;
+            MemberState helper = order.get(target.nextHelperIndex++ % order.size());
+            if (target.nextHelperIndex == Integer.MAX_VALUE) {
+                target.nextHelperIndex = 0;
             }
-            if (helper != target && !helper.name.equals(target.helper) && addRequest(requests, helper, target.name)) {
+            if (helper != target
+                    && !helper.name.equals(target.preferredHelper)
+                    && addRequest(requests, helper, target.name)) {
                 missing--;
             }
         }
@@ -68,12 +70,12 @@
     }
 
     /**
-     * A peer asks for this member: its present entry is to be told.
+     * Processes a peer's request to probe this member.
      *
-     * @return whether the member is to be probed now on the peer's behalf
+     * @return whether to send the member a probe now on the peer's behalf
      */
     boolean onRequest(double now, MemberState target, String requester) {
-        if (!target.connected || now - target.lastDirectMs <= limits.beatMs()) {
+        if (!target.connected || now - target.lastDirectMs <= limits.heartbeatMs()) {
             return false;
         }
         boolean first = target.probeRequesters.isEmpty();
--- a/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/RejectionHandler.java
@@ -7,20 +7,20 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
 
-/** Sends, receives, counts and logs rejections of handshakes; those that last raise an alarm. */
+/** Sends, receives, counts and logs handshake rejections; permanent ones are reported to fault listeners. */
 final class RejectionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RejectionHandler.class);
-    /** Least time between two log lines about strangers rejected for one reason. */
-    private static final double STRANGER_LOG_INTERVAL_MS = 1000;
-    /** Least time between two log lines about one peer rejected for one reason. */
+    /** Minimum time between two log lines about unknown members rejected for the same reason. */
+    private static final double UNKNOWN_LOG_INTERVAL_MS = 1000;
+    /** Minimum time between two log lines about one peer rejected for the same reason. */
     private static final double PEER_LOG_INTERVAL_MS = 600_000;
-    /** How often in a row a peer may not know this member before an alarm is raised. */
+    /** Number of consecutive rejections as an unknown member before a fault is reported. */
     private static final int UNKNOWN_MEMBER_TOLERANCE = 6;
 
     private final LinkContext context;
     private final ConnectionRegistry registry;
     private final Membership membership;
-    private final Map<HandshakeRejection, Double> strangerLoggedAtMs = new EnumMap<>(HandshakeRejection.class);
+    private final Map<HandshakeRejection, Double> unknownLoggedAtMs = new EnumMap<>(HandshakeRejection.class);
 
     RejectionHandler(LinkContext context, ConnectionRegistry registry, Membership membership) {
         this.context = context;
@@ -28,35 +28,35 @@
         this.membership = membership;
     }
 
-    /** Rejects a hello or welcome that this member has read, and tells the peer which life is known of it. */
-    void reject(PeerConnection connection, HandshakeRejection reason, long knownLife, Handshake.Hello hello)
+    /** Rejects a hello or welcome and sends the peer the incarnation known of it. */
+    void reject(PeerConnection connection, HandshakeRejection reason, long knownIncarnation, Handshake.Hello hello)
             throws IOException {
-        String description = hello.from() + " of fleet " + hello.fleet() + " at " + hello.address() + ", life "
-                + hello.life() + ", for " + hello.to();
-        reject(connection, reason, knownLife, description);
+        String description = hello.from() + " of fleet " + hello.fleet() + " at " + hello.address() + ", incarnation "
+                + hello.incarnation() + ", for " + hello.to();
+        reject(connection, reason, knownIncarnation, description);
     }
 
-    /** Rejects a handshake and tells the peer why. */
-    void reject(PeerConnection connection, HandshakeRejection reason, long knownLife, String description)
+    /** Rejects a handshake and sends the peer the reason. */
+    void reject(PeerConnection connection, HandshakeRejection reason, long knownIncarnation, String description)
             throws IOException {
         onRejected(connection, reason, description);
-        String text = reason == HandshakeRejection.STALE_LIFE
-                ? "life " + knownLife + " is known"
+        String text = reason == HandshakeRejection.STALE_INCARNATION
+                ? "life " + knownIncarnation + " is known"
                 : "by " + context.self().name() + " of " + context.fleet;
-        connection.send(new Handshake.Refuse(reason, knownLife, text));
+        connection.send(new Handshake.Reject(reason, knownIncarnation, text));
     }
 
-    /** Counts and logs a handshake that this member rejects. */
+    /** Counts and logs a handshake that this member rejects, and reports it if it is a fault. */
     void onRejected(PeerConnection connection, HandshakeRejection reason, String description) {
         context.metrics.count(reason.rejectedCounter());
         boolean logged;
         synchronized (context.lock) {
-            // An unknown member may be configured by now: of two lists one is always the first to change.
+            // An unknown member may be configured by now: members update their lists at different times.
             Peer peer = reason == HandshakeRejection.UNKNOWN_MEMBER ? null : registry.peer(connection.peerName);
-            logged = reason.lasting()
+            logged = reason.isPermanent()
                     && (peer != null
                             ? reportPeer(peer, reason, description)
-                            : reportStranger(connection.peerName, reason, description));
+                            : reportUnknown(connection.peerName, reason, description));
         }
         if (logged || reason == HandshakeRejection.MALFORMED) {
             LOG.atLevel(logged ? Level.WARN : Level.DEBUG)
@@ -76,59 +76,61 @@
         }
         peer.lastLoggedRejection = reason;
         peer.lastLoggedRejectionAtMs = now;
-        membership.raise(peer.name(), reason, description);
+        membership.raiseFault(peer.name(), reason, description);
         return true;
     }
 
-    /** Guards against a stranger that fills the log: each reason is logged once a second. */
-    private boolean reportStranger(String name, HandshakeRejection reason, String description) {
+    /** Guards against unknown members that fill the log: each reason is logged once per second. */
+    private boolean reportUnknown(String name, HandshakeRejection reason, String description) {
         double now = context.clock.nowMs();
-        double lastMs = strangerLoggedAtMs.getOrDefault(reason, Double.NEGATIVE_INFINITY);
-        if (now - lastMs <= STRANGER_LOG_INTERVAL_MS) {
+        double lastMs = unknownLoggedAtMs.getOrDefault(reason, Double.NEGATIVE_INFINITY);
+        if (now - lastMs <= UNKNOWN_LOG_INTERVAL_MS) {
             return false;
         }
-        strangerLoggedAtMs.put(reason, now);
+        unknownLoggedAtMs.put(reason, now);
         if (name.equals(context.self().name())) {
-            membership.raise(name, reason, description);
+            membership.raiseFault(name, reason, description);
         }
         return true;
     }
 
     /** A peer has rejected this member. */
-    void onRejectedBy(String name, Handshake.Refuse refuse) {
-        HandshakeRejection reason = refuse.why();
+    void onRejectedBy(String name, Handshake.Reject reject) {
+        HandshakeRejection reason = reject.reason();
         context.metrics.count(reason.rejectedByPeerCounter());
         synchronized (context.lock) {
             Peer peer = registry.peer(name);
-            if (peer == null || !reason.lasting()) {
-                LOG.debug("{} rejects: {}: {}", name, reason.text(), refuse.text());
+            if (peer == null || !reason.isPermanent()) {
+                LOG.debug("{} rejected this member: {}: {}", name, reason.text(), reject.text());
                 return;
             }
-            if (reason == HandshakeRejection.STALE_LIFE && refuse.life() < context.life()) {
-                // The rejection was meant for the life before.
+            if (reason == HandshakeRejection.STALE_INCARNATION && reject.incarnation() < context.incarnation()) {
+                // The rejection concerns the previous incarnation.
                 return;
             }
             boolean ownIdentity =
-                    reason == HandshakeRejection.DUPLICATE_NAME || reason == HandshakeRejection.STALE_LIFE;
-            if (ownIdentity && !membership.connectedInThisLife() && membership.renewLife(refuse.life())) {
+                    reason == HandshakeRejection.DUPLICATE_NAME || reason == HandshakeRejection.STALE_INCARNATION;
+            if (ownIdentity
+                    && !membership.connectedInThisIncarnation()
+                    && membership.renewIncarnation(reject.incarnation())) {
                 return;
             }
             if (reason == HandshakeRejection.UNKNOWN_MEMBER
                     && ++peer.unknownMemberRejections < UNKNOWN_MEMBER_TOLERANCE) {
-                // Guards against an alarm at each join: of two lists one is always the first to change.
+                // Guards against a fault at each join: members update their lists at different times.
                 return;
             }
-            // Dialling again soon is of no use.
+            // An early retry is useless.
             peer.dialFailures = Math.max(peer.dialFailures, Peer.MAX_DIAL_FAILURES);
             if (peer.lastRejectionByPeer != reason) {
                 peer.lastRejectionByPeer = reason;
                 LOG.warn(
-                        "{} at {} rejects this member: {}: {}",
+                        "{} at {} rejected this member: {}: {}",
                         name,
                         peer.member.address(),
                         reason.text(),
-                        refuse.text());
-                membership.raise(ownIdentity ? context.self().name() : name, reason, refuse.text());
+                        reject.text());
+                membership.raiseFault(ownIdentity ? context.self().name() : name, reason, reject.text());
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SelfRefutation.java
@@ -1,80 +1,81 @@
 package brackenbridge.fleet.peer;
 
 /**
- * What peers hold of this member itself. Suspicions are refuted by a greater incarnation (SWIM, section 4.2); other
- * processes of this member's name are told apart into ended ones and a second one that lives.
+ * Handles gossip about this member itself. Refutes suspicions by a greater refutation number (SWIM, section 4.2), and
+ * distinguishes ended processes of this member's name from a second one that is running.
  */
 final class SelfRefutation {
     private final String self;
     private final long instance;
     private final MemberTable members;
-    private long life;
-    private int incarnation;
+    private long incarnation;
+    private int refutationNumber;
     private double startedMs = MemberState.NEVER;
-    private long endedLife = Long.MIN_VALUE;
+    private long endedIncarnation = Long.MIN_VALUE;
     private long reportedInstance;
     private long refutations;
 
-    SelfRefutation(String self, long life, long instance, MemberTable members) {
+    SelfRefutation(String self, long incarnation, long instance, MemberTable members) {
         this.self = self;
-        this.life = life;
+        this.incarnation = incarnation;
         this.instance = instance;
         this.members = members;
     }
 
-    /** This member has taken another life. */
-    void beginLife(long nextLife) {
-        life = nextLife;
-        incarnation = 0;
+    /** This member takes another incarnation. */
+    void beginIncarnation(long nextIncarnation) {
+        incarnation = nextIncarnation;
+        refutationNumber = 0;
         reportedInstance = 0;
     }
 
-    /** Notes the time of the first call as that of this member's start. */
+    /** Records the time of the first call as the start of this member. */
     void onStarted(double now) {
         startedMs = startedMs == MemberState.NEVER ? now : startedMs;
     }
 
-    /** A peer tells at this time what it holds of this member. */
-    void onEntry(double at, SwimMessage.Entry entry) {
-        if (entry.life() > life || entry.life() == life && entry.instance() != instance) {
-            onOtherProcess(at, entry);
+    /** Processes a peer's entry about this member, sent at this time. */
+    void onEntry(double sentMs, SwimMessage.Entry entry) {
+        if (entry.incarnation() > incarnation || entry.incarnation() == incarnation && entry.instance() != instance) {
+            onOtherProcess(sentMs, entry);
             return;
         }
-        boolean doubted = entry.status() == MemberStatus.SUSPECT || entry.status() == MemberStatus.DEAD;
-        if (entry.life() == life
-                && doubted
-                && entry.incarnation() >= incarnation
-                && entry.incarnation() < Integer.MAX_VALUE) {
-            incarnation = entry.incarnation() + 1;
+        boolean suspected = entry.status() == MemberStatus.SUSPECT || entry.status() == MemberStatus.DEAD;
+        if (entry.incarnation() == incarnation
+                && suspected
+                && entry.refutationNumber() >= refutationNumber
+                && entry.refutationNumber() < Integer.MAX_VALUE) {
+            refutationNumber = entry.refutationNumber() + 1;
             refutations++;
         }
     }
 
-    private void onOtherProcess(double at, SwimMessage.Entry entry) {
-        if (hasEnded(at, entry)) {
-            endedLife = Math.max(endedLife, entry.life());
+    private void onOtherProcess(double sentMs, SwimMessage.Entry entry) {
+        if (hasEnded(sentMs, entry)) {
+            endedIncarnation = Math.max(endedIncarnation, entry.incarnation());
         } else if (reportedInstance != entry.instance()) {
             reportedInstance = entry.instance();
-            members.addConflict(new FailureDetector.Conflict(self, life, instance, entry.life(), entry.instance()));
+            members.addConflict(
+                    new FailureDetector.Conflict(self, incarnation, instance, entry.incarnation(), entry.instance()));
         }
     }
 
-    /** Whether the other process is an earlier one, not a second one that lives. */
-    private boolean hasEnded(double at, SwimMessage.Entry entry) {
-        return entry.status() == MemberStatus.DEAD || entry.ageMs() >= 0 && at - entry.ageMs() < startedMs;
+    /** Whether the other process has ended, rather than running beside this one. */
+    private boolean hasEnded(double sentMs, SwimMessage.Entry entry) {
+        return entry.status() == MemberStatus.DEAD || entry.ageMs() >= 0 && sentMs - entry.ageMs() < startedMs;
     }
 
-    /** See {@link FailureDetector#endedLife}. */
-    long endedLife() {
-        return endedLife >= life ? endedLife : Long.MIN_VALUE;
+    /** See {@link FailureDetector#endedIncarnation}. */
+    long endedIncarnation() {
+        return endedIncarnation >= incarnation ? endedIncarnation : Long.MIN_VALUE;
     }
 
-    /** This member's incarnation number in its present life. */
-    int incarnation() {
-        return incarnation;
+    /** This member's refutation number in its present incarnation. */
+    int refutationNumber() {
+        return refutationNumber;
     }
 
-    /** Suspicions of this member that it has refuted. */
+    /** The number of suspicions that this member has refuted. */
     long refutations() {
         return refutations;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/peer/SendQueue.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/SendQueue.java
@@ -3,21 +3,21 @@
 import java.util.ArrayDeque;
 
 /**
- * What waits to be written at one connection: a bounded queue for each stream. Liveness goes first, for it is rare and
- * short; the others take turns by bytes (deficit round robin, Shreedhar and Varghese, SIGCOMM 1995), so that a stream
- * of long messages takes no more than its part.
+ * The send queue of a connection, with a bounded queue per stream. The liveness stream has priority, as its messages
+ * are few and short; the others share the connection by bytes (deficit round robin, Shreedhar and Varghese, SIGCOMM
+ * 1995), so that a stream of long messages gets no more than its fair share.
  */
 final class SendQueue {
-    /** What a stream may write in one turn; a longer message waits for several turns. */
+    /** Bytes added to a stream's deficit counter per round; a longer message waits for several rounds. */
     static final int QUANTUM = 32 << 10;
 
     private static final MessageStream[] STREAMS = MessageStream.values();
 
-    private final long bytesMost;
-    private final int messagesMost;
+    private final long maxBytes;
+    private final int maxMessages;
     private final Queue[] queues = new Queue[STREAMS.length];
-    private int turn = 1;
-    private boolean granted;
+    private int currentQueue = 1;
+    private boolean quantumGranted;
     private boolean ended;
 
     private static final class Queue {
@@ -27,17 +27,17 @@
     }
 
     SendQueue(long bytesMost, int messagesMost) {
-        this.bytesMost = bytesMost;
-        this.messagesMost = messagesMost;
+        this.maxBytes = bytesMost;
+        this.maxMessages = messagesMost;
         for (int i = 0; i < queues.length; i++) {
             queues[i] = new Queue();
         }
     }
 
-    /** Takes the message, or says that the stream's queue is full. */
+    /** Queues a message; returns false if the stream's queue is full or the connection has ended. */
     synchronized boolean offer(MessageStream stream, byte[] body) {
         Queue queue = queues[stream.ordinal()];
-        if (ended || queue.messages.size() >= messagesMost || queue.bytes + body.length > bytesMost) {
+        if (ended || queue.messages.size() >= maxMessages || queue.bytes + body.length > maxBytes) {
             return false;
         }
         queue.messages.add(body);
@@ -46,43 +46,43 @@
         return true;
     }
 
-    /** The next message by turn; null if there is none now. */
+    /** The next message in order of service; null if there is none now. */
     synchronized FrameCodec.Frame poll() {
         if (!queues[0].messages.isEmpty()) {
-            return taken(0);
+            return dequeue(0);
         }
         if (isEmpty()) {
             return null;
         }
         while (true) {
-            Queue queue = queues[turn];
+            Queue queue = queues[currentQueue];
             if (!queue.messages.isEmpty()) {
-                if (!granted) {
+                if (!quantumGranted) {
                     queue.deficit += QUANTUM;
-                    granted = true;
+                    quantumGranted = true;
                 }
-                int cost = queue.messages.peek().length + FrameCodec.HEAD;
+                int cost = queue.messages.peek().length + FrameCodec.HEADER_BYTES;
                 if (cost <= queue.deficit) {
                     queue.deficit -= cost;
-                    return taken(turn);
+                    return dequeue(currentQueue);
                 }
             }
             if (queue.messages.isEmpty()) {
                 queue.deficit = 0;
             }
-            granted = false;
-            turn = turn + 1 < queues.length ? turn + 1 : 1;
+            quantumGranted = false;
+            currentQueue = currentQueue + 1 < queues.length ? currentQueue + 1 : 1;
         }
     }
 
-    /** Waits until there is a message or the end. */
+    /** Waits until there is a message or {@link #end} was called. */
     synchronized void await() throws InterruptedException {
         while (isEmpty() && !ended) {
             wait();
         }
     }
 
-    /** Nothing is taken any more; what waits may still be polled. */
+    /** Rejects further messages; queued ones can still be polled. */
     synchronized void end() {
         ended = true;
         notifyAll();
@@ -92,8 +92,8 @@
         return ended;
     }
 
-    /** Messages that wait in a stream. */
-    synchronized int waiting(MessageStream stream) {
+    /** The number of messages queued for a stream. */
+    synchronized int queuedMessages(MessageStream stream) {
         return queues[stream.ordinal()].messages.size();
     }
 
@@ -106,7 +106,7 @@
         return true;
     }
 
-    private FrameCodec.Frame taken(int stream) {
+    private FrameCodec.Frame dequeue(int stream) {
         byte[] body = queues[stream].messages.poll();
         queues[stream].bytes -= body.length;
         return new FrameCodec.Frame(STREAMS[stream], body);
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Suspicion.java
@@ -1,14 +1,14 @@
 package brackenbridge.fleet.peer;
 
 /**
- * Decides from a member's silence whether it is alive, suspect or dead. Suspicion comes before death and can be refuted
- * (SWIM, section 4.2); its timeout shrinks as other members confirm it and grows with the local health multiplier
- * (Lifeguard's LHA-Suspicion).
+ * Derives a member's status from its silence. A member is suspected before it is declared dead and can refute the
+ * suspicion (SWIM, section 4.2). The timeout of a suspicion shrinks as other members confirm it and grows with the
+ * local health multiplier (Lifeguard's LHA-Suspicion).
  */
 final class Suspicion {
-    /** Confirmations after which the timeout is at its least; Lifeguard's K. */
+    /** Number of confirmations at which the timeout reaches its minimum; Lifeguard's K. */
     private static final int MAX_CONFIRMATIONS = 3;
-    /** The timeout without any confirmation, in units of the least one. */
+    /** The timeout without any confirmation, as a multiple of the minimum. */
     private static final double UNCONFIRMED_FACTOR = 2;
 
     private final PeerLimits limits;
@@ -24,15 +24,15 @@
         this.localHealth = localHealth;
     }
 
-    /** Sets the member's status by its silence. */
+    /** Updates the member's status from its silence. */
     void evaluate(double now, MemberState member) {
         if (!member.known || member.left) {
             return;
         }
         double silenceMs = member.silenceMs(now);
-        double suspectMs = limits.suspectMs() * localHealth.multiplier();
+        double suspectMs = limits.suspectAfterMs() * localHealth.multiplier();
         if (member.status == MemberStatus.DEAD) {
-            if (member.incarnation > member.deadIncarnation && silenceMs < suspectMs) {
+            if (member.refutationNumber > member.deadRefutationNumber && silenceMs < suspectMs) {
                 setStatus(now, member, MemberStatus.ALIVE, false);
             }
         } else if (silenceMs < suspectMs) {
@@ -40,14 +40,14 @@
         } else if (silenceMs < deadAfterMs(member)) {
             setStatus(now, member, MemberStatus.SUSPECT, false);
         } else {
-            member.deadIncarnation = member.incarnation;
+            member.deadRefutationNumber = member.refutationNumber;
             setStatus(now, member, MemberStatus.DEAD, false);
         }
     }
 
     /**
-     * Lifeguard's timeout of suspicion: it falls with the logarithm of the number of members that suspect the same one,
-     * from twice the configured time to that time.
+     * Lifeguard's suspicion timeout: falls with the logarithm of the number of members that suspect the same one, from
+     * twice the configured time to the configured time.
      */
     private double deadAfterMs(MemberState suspect) {
         int others = 0;
@@ -60,16 +60,16 @@
         }
         int expected = Math.min(MAX_CONFIRMATIONS, others);
         double confirmed = expected == 0 ? 1 : Math.log(1 + Math.min(confirmations, expected)) / Math.log(1 + expected);
-        return limits.goneMs() * (UNCONFIRMED_FACTOR - confirmed) * localHealth.multiplier();
+        return limits.deadAfterMs() * (UNCONFIRMED_FACTOR - confirmed) * localHealth.multiplier();
     }
 
-    /** Another process of the member was heard of, with this status. */
-    void beginLife(double now, MemberState member, long life, long instance, MemberStatus status) {
-        member.beginLife(now, life, instance);
+    /** Starts tracking another process of the member, with this status. */
+    void beginIncarnation(double now, MemberState member, long incarnation, long instance, MemberStatus status) {
+        member.beginIncarnation(now, incarnation, instance);
         setStatus(now, member, status, true);
     }
 
-    /** The member has said farewell. */
+    /** The member announced its shutdown. */
     void markLeft(double now, MemberState member) {
         if (!member.left) {
             member.left = true;
@@ -78,15 +78,15 @@
         }
     }
 
-    private void setStatus(double now, MemberState member, MemberStatus status, boolean newLife) {
-        if (member.status == status && !newLife) {
+    private void setStatus(double now, MemberState member, MemberStatus status, boolean newIncarnation) {
+        if (member.status == status && !newIncarnation) {
             return;
         }
         if (status == MemberStatus.SUSPECT) {
             suspicions++;
         } else if (status == MemberStatus.DEAD && !member.left) {
             deaths++;
-        } else if (member.status == MemberStatus.SUSPECT && !newLife) {
+        } else if (member.status == MemberStatus.SUSPECT && !newIncarnation) {
             falseSuspicions++;
         }
         if (status == MemberStatus.ALIVE) {
@@ -101,7 +101,7 @@
         return suspicions;
     }
 
-    /** Suspicions that ended with the member alive in the same life. */
+    /** Suspicions that ended with the member alive in the same incarnation. */
     long falseSuspicions() {
         return falseSuspicions;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/replica/ReplicaNode.java
@@ -103,8 +103,9 @@
         this.clock = clock;
         long nonce = new java.security.SecureRandom().nextLong() | 1;
         long incarnation = Math.max(
-                links.life(), disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation());
-        store = new RecordStore(links.me().name(), incarnation, nonce, true);
+                links.incarnation(),
+                disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation());
+        store = new RecordStore(links.self().name(), incarnation, nonce, true);
         notifier = new ChangeNotifier(monitor, store, clock);
         diskWriter = disk == null ? null : new DiskWriter(monitor, store, disk);
         if (disk != null) {
@@ -113,11 +114,11 @@
             diskWriter.enqueueAll();
         }
         protocol = new ReplicationProtocol(store, limits, new SplittableRandom(nonce), clock.nowMs());
-        links.receive(
+        links.setReceiver(
                 MessageStream.REPLICA,
                 (peer, peerIncarnation, body) ->
                         runStep(() -> protocol.onMessage(peer, peerIncarnation, body, clock.nowMs())));
-        links.watch((peer, status, peerIncarnation) -> runStep(() -> {
+        links.addWatcher((peer, status, peerIncarnation) -> runStep(() -> {
             peersChanged = true;
             if (status == MemberStatus.ALIVE) {
                 protocol.onPeerReachable(peer);
@@ -216,7 +217,7 @@
             peersChanged = false;
             List<String> names = links.peers().stream().map(Member::name).toList();
             List<String> reachable = names.stream()
-                    .filter(peer -> links.standing(peer) != MemberStatus.DEAD)
+                    .filter(peer -> links.status(peer) != MemberStatus.DEAD)
                     .toList();
             protocol.setPeers(names, reachable);
         }
@@ -300,7 +301,7 @@
     /** The state of the copy of each member's log; shown by {@code state status}. */
     public List<Status> status() {
         Map<String, MemberStatus> standings = new TreeMap<>();
-        links.peers().forEach(peer -> standings.put(peer.name(), links.standing(peer.name())));
+        links.peers().forEach(peer -> standings.put(peer.name(), links.status(peer.name())));
         standings.put(store.localMember(), MemberStatus.ALIVE);
         return monitor.locked(() -> {
             List<Status> statuses = new ArrayList<>();
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/AgreedFigures.java
@@ -175,9 +175,9 @@
         PeerLinks memberLinks = links.get("m8");
         AtomicLong responses = new AtomicLong();
         members.remove("m8").halt();
-        memberLinks.receive(MessageStream.AGREED, (peer, incarnation, body) -> responses.incrementAndGet());
+        memberLinks.setReceiver(MessageStream.AGREED, (peer, incarnation, body) -> responses.incrementAndGet());
         byte[] request = AgreementCodec.frame(new AgreementMessage.RenewalRequest(
-                memberLinks.life(),
+                memberLinks.incarnation(),
                 1,
                 List.of(new AgreementMessage.NameState(AgreedValues.SETTINGS, 1000, 0, List.of(inForce("m10"))))));
         long startNanos = System.nanoTime();
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/InMemoryNetwork.java
@@ -80,12 +80,12 @@
         }
 
         @Override
-        public Member me() {
+        public Member self() {
             return me;
         }
 
         @Override
-        public long life() {
+        public long incarnation() {
             return incarnation;
         }
 
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public MemberStatus standing(String peer) {
+        public MemberStatus status(String peer) {
             return MemberStatus.ALIVE;
         }
 
@@ -132,12 +132,12 @@
         }
 
         @Override
-        public void receive(MessageStream stream, Receiver receiver) {
+        public void setReceiver(MessageStream stream, Receiver receiver) {
             receivers.put(stream, receiver);
         }
 
         @Override
-        public void watch(Watcher watcher) {}
+        public void addWatcher(Watcher watcher) {}
 
         @Override
         public void start() {}
--- a/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/agreed/StalePreVoteTest.java
@@ -70,7 +70,7 @@
     /** A voter that answers hellos and records the library's messages to the leader; the test does everything else. */
     private PeerLinks scriptedVoter(String name) {
         PeerLinks links = network.links(name);
-        links.receive(MessageStream.AGREED, (peer, incarnation, body) -> {
+        links.setReceiver(MessageStream.AGREED, (peer, incarnation, body) -> {
             AgreementCodec.Frame frame = frame(body);
             if (frame.message() instanceof AgreementMessage.Hello) {
                 links.send(
--- a/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/DistributionModel.java
@@ -9,55 +9,55 @@
 import java.util.Optional;
 
 /**
- * A node, control machines that learn decided versions at their own pace, and connections whose messages are still on
- * their way; for tests. The decisions are those of the real classes, only the sockets are not there. Each step checks
- * what must hold at every moment.
+ * A model of a node, of control machines that learn decided versions at different times, and of connections with
+ * messages in flight. It runs the production classes without sockets. Each step checks the invariants.
  */
 final class DistributionModel {
-    /** What takes a version at the node; the real one, or one with a deliberate mistake. */
+    /** Receives versions at the node: the production class, or one with a deliberate fault. */
     interface Receiver {
         Optional<Acknowledge> offer(Resource resource);
 
         long applied(String name);
 
-        List<ControlMessage.HeldVersion> versions();
+        List<ControlMessage.ResumeVersion> versions();
     }
 
-    /** The real one; refuses the versions that the test names. */
-    static final class RealReceiver implements Receiver {
-        private final HeldResources held;
-        private final List<Long> refused;
+    /** The production class; rejects the versions listed by the test. */
+    static final class ResourcesReceiver implements Receiver {
+        private final SubscribedResources resources;
+        private final List<Long> rejectedVersions;
 
-        RealReceiver(List<String> names, List<Long> refused) {
-            held = new HeldResources(names);
-            this.refused = refused;
+        ResourcesReceiver(List<String> names, List<Long> rejectedVersions) {
+            resources = new SubscribedResources(names);
+            this.rejectedVersions = rejectedVersions;
         }
 
         @Override
         public Optional<Acknowledge> offer(Resource resource) {
-            return held.offer(
+            return resources.offer(
                     resource,
-                    offered -> refused.contains(offered.version()) ? Optional.of("refused") : Optional.empty());
+                    offered ->
+                            rejectedVersions.contains(offered.version()) ? Optional.of("refused") : Optional.empty());
         }
 
         @Override
         public long applied(String name) {
-            return held.applied(name);
+            return resources.applied(name);
         }
 
         @Override
-        public List<ControlMessage.HeldVersion> versions() {
-            return held.versions();
+        public List<ControlMessage.ResumeVersion> versions() {
+            return resources.versions();
         }
     }
 
-    /** A heartbeat on its way, with the versions that the machine had when it sent it. */
+    /** A heartbeat in flight, with the versions that the machine had when it sent it. */
     private record SentHeartbeat(long[] versions) {}
 
     private final class Connection {
         private final int machine;
         private final Subscription subscription;
-        private final Deque<Object> toNode = new ArrayDeque<>();
+        private final Deque<Object> inFlight = new ArrayDeque<>();
 
         Connection(int machine) {
             this.machine = machine;
@@ -66,10 +66,10 @@
                     tables.get(machine));
         }
 
-        void pump() {
+        void sendPending() {
             Optional<Resource> next = subscription.next(tables.get(machine));
             while (next.isPresent()) {
-                toNode.add(next.get());
+                inFlight.add(next.get());
                 next = subscription.next(tables.get(machine));
             }
         }
@@ -79,7 +79,7 @@
     private final List<ResourceTable> tables = new ArrayList<>();
     private final long[] decided;
     private final Receiver receiver;
-    private final List<Connection> old = new ArrayList<>();
+    private final List<Connection> abandonedConnections = new ArrayList<>();
     private Connection current;
     private long connectionNumber;
 
@@ -97,81 +97,81 @@
         decided[name]++;
     }
 
-    /** A machine learns the newest version of a name; it pushes it if the node is connected to it. */
+    /** A machine learns the newest version of a name and sends it if the node is connected to it. */
     void learn(int machine, int name) {
         if (decided[name] == 0) {
             return;
         }
         tables.get(machine).offer(new Resource(names.get(name), decided[name], new byte[0]));
         if (current != null && current.machine == machine) {
-            current.subscription.changed(names.get(name), tables.get(machine));
-            current.pump();
+            current.subscription.onResourceChanged(names.get(name), tables.get(machine));
+            current.sendPending();
         }
     }
 
-    /** The node connects to a machine; what was on its way on the connection before may still arrive late. */
+    /** The node connects to a machine; messages in flight on the previous connection may still arrive late. */
     void connect(int machine) {
         if (current != null) {
-            old.add(current);
+            abandonedConnections.add(current);
         }
         current = new Connection(machine);
-        current.pump();
+        current.sendPending();
     }
 
-    /** The machine sends a heartbeat, behind all that is pending. */
+    /** The machine sends a heartbeat after all pending versions. */
     void heartbeat() {
         if (current != null) {
-            current.pump();
+            current.sendPending();
             long[] versions = new long[names.size()];
             for (int i = 0; i < versions.length; i++) {
                 versions[i] = tables.get(current.machine).version(names.get(i));
             }
-            current.toNode.add(new SentHeartbeat(versions));
+            current.inFlight.add(new SentHeartbeat(versions));
         }
     }
 
     /** The next message of the connection arrives. */
     void deliver() {
-        if (current == null || current.toNode.isEmpty()) {
+        if (current == null || current.inFlight.isEmpty()) {
             return;
         }
-        Object message = current.toNode.poll();
+        Object message = current.inFlight.poll();
         if (message instanceof SentHeartbeat heartbeat) {
             for (int i = 0; i < heartbeat.versions().length; i++) {
                 long received = receiver.versions().get(i).received();
                 require(
                         received >= heartbeat.versions()[i],
-                        "a heartbeat came before version " + heartbeat.versions()[i]
+                        "a heartbeat arrived before version " + heartbeat.versions()[i]
                                 + " that was in force when it was sent; received " + received);
             }
         } else {
-            take((Resource) message).ifPresent(current.subscription::acknowledged);
+            receive((Resource) message).ifPresent(current.subscription::onAcknowledge);
         }
     }
 
-    /** A message of a connection that was given up arrives late; its acknowledgement goes nowhere. */
+    /** A message of an abandoned connection arrives late; its acknowledgement is lost. */
     void deliverLate() {
-        for (Connection connection : old) {
-            Object message = connection.toNode.poll();
+        for (Connection connection : abandonedConnections) {
+            Object message = connection.inFlight.poll();
             if (message instanceof Resource resource) {
-                take(resource);
+                receive(resource);
                 return;
             }
         }
     }
 
-    private Optional<Acknowledge> take(Resource resource) {
+    private Optional<Acknowledge> receive(Resource resource) {
         int name = names.indexOf(resource.name());
         long before = receiver.applied(resource.name());
         Optional<Acknowledge> acknowledge = receiver.offer(resource);
         long after = receiver.applied(resource.name());
         require(after >= before, resource.name() + " went back from " + before + " to " + after);
-        require(after <= decided[name], resource.name() + " acts by " + after + ", decided " + decided[name]);
+        require(after <= decided[name], resource.name() + " applies " + after + ", decided " + decided[name]);
         return acknowledge;
     }
 
-    /** All machines learn all, the node connects once more and everything arrives: then it acts by the newest. */
-    void settle(List<Long> refused) {
+    /** All machines learn all versions, the node reconnects and receives everything: it must apply the newest ones. */
+    void settle(List<Long> rejectedVersions) {
         for (int name = 0; name < names.size(); name++) {
             for (int machine = 0; machine < tables.size(); machine++) {
                 learn(machine, name);
@@ -179,26 +179,26 @@
         }
         connect(0);
         heartbeat();
-        while (!current.toNode.isEmpty()) {
+        while (!current.inFlight.isEmpty()) {
             deliver();
         }
         for (int name = 0; name < names.size(); name++) {
             long applied = receiver.applied(names.get(name));
-            boolean newestRefused = refused.contains(decided[name]);
+            boolean newestRejected = rejectedVersions.contains(decided[name]);
             require(
-                    newestRefused || applied == decided[name],
+                    newestRejected || applied == decided[name],
                     names.get(name) + " stays at " + applied + ", decided " + decided[name]);
             require(
-                    newestRefused || current.subscription.applied(names.get(name)) == applied,
-                    "the machine believes " + current.subscription.applied(names.get(name)) + ", the node acts by "
+                    newestRejected || current.subscription.applied(names.get(name)) == applied,
+                    "the machine records " + current.subscription.applied(names.get(name)) + ", the node applies "
                             + applied);
         }
-        require(!current.subscription.hasPending(), "something is pending still");
+        require(!current.subscription.hasPending(), "a resource is still pending");
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new AssertionError(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/GoldenFormsTest.java
@@ -4,7 +4,7 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.fleet.GoldenFiles;
-import brackenbridge.fleet.control.ControlMessage.HeldVersion;
+import brackenbridge.fleet.control.ControlMessage.ResumeVersion;
 import brackenbridge.fleet.control.MachineReport.NodeBehind;
 import brackenbridge.fleet.control.MachineReport.RegionReport;
 import brackenbridge.fleet.control.MachineReport.VersionCount;
@@ -20,11 +20,11 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The forms of the messages between nodes and control machines, against the golden files. */
+/** Checks the encoding of messages between nodes and control machines against the golden files. */
 class GoldenFormsTest {
     private static final byte[] CONTENT = {0, 1, 127, -128, -1};
-    /** Listed one by one, so that each keeps its file when it is renamed. */
-    private static final List<SubscriptionRejection> REFUSALS = List.of(
+    /** Listed explicitly, so that each constant keeps its golden file when it is renamed. */
+    private static final List<SubscriptionRejection> REJECTIONS = List.of(
             SubscriptionRejection.UNREADABLE,
             SubscriptionRejection.FRAME_TOO_LONG,
             SubscriptionRejection.UNKNOWN_PROTOCOL_VERSION,
@@ -58,37 +58,37 @@
                         "n7",
                         "eu-1",
                         1_700_000_000_001L,
-                        List.of(new HeldVersion("settings/tier-1", 9, 8), new HeldVersion("shares", 0, 0))));
+                        List.of(new ResumeVersion("settings/tier-1", 9, 8), new ResumeVersion("shares", 0, 0))));
         messages.put("acknowledge", new ControlMessage.Acknowledge("shares", 3, false, "floor: is over the ceiling"));
         messages.put("node-heartbeat", new ControlMessage.NodeHeartbeat(70_000));
         messages.put("welcome", new ControlMessage.Welcome("c1", 1000.5));
         messages.put("update", new ControlMessage.Update(new Resource("shares", 3, CONTENT)));
         messages.put("machine-heartbeat", new ControlMessage.MachineHeartbeat(70_001, true));
-        for (int i = 0; i < REFUSALS.size(); i++) {
-            messages.put("refuse-" + i, new ControlMessage.Refuse(REFUSALS.get(i), 250.25));
+        for (int i = 0; i < REJECTIONS.size(); i++) {
+            messages.put("refuse-" + i, new ControlMessage.Reject(REJECTIONS.get(i), 250.25));
         }
         return messages;
     }
 
     @Test
-    void eachMessageWithItsFrame() throws IOException {
+    void messagesMatchTheirGoldenFiles() throws IOException {
         GoldenFiles.assertAllCovered(ControlMessage.class, messages().values());
-        assertEquals(SubscriptionRejection.values().length, REFUSALS.size());
+        assertEquals(SubscriptionRejection.values().length, REJECTIONS.size());
         for (Map.Entry<String, ControlMessage> message : messages().entrySet()) {
             GoldenFiles.check(
                     "control/" + message.getKey(),
                     message.getValue(),
-                    ControlFrames::bytes,
+                    ControlFrames::encode,
                     GoldenFormsTest::readFrame);
         }
     }
 
-    private static ControlMessage readFrame(byte[] form) throws IOException {
+    private static ControlMessage readFrame(byte[] bytes) throws IOException {
         EmbeddedChannel channel = new EmbeddedChannel(ControlFrames.decoder());
-        channel.writeInbound(Unpooled.wrappedBuffer(form));
+        channel.writeInbound(Unpooled.wrappedBuffer(bytes));
         ByteBuf frame = channel.readInbound();
         try {
-            return ControlFrames.read(frame);
+            return ControlFrames.decode(frame);
         } finally {
             frame.release();
             channel.finishAndReleaseAll();
@@ -96,32 +96,33 @@
     }
 
     @Test
-    void reportOfAMachine() throws IOException {
-        GoldenFiles.check("control/machine-report", REPORT, GoldenFormsTest::sent, GoldenFormsTest::received);
+    void machineReportMatchesItsGoldenFile() throws IOException {
+        GoldenFiles.check(
+                "control/machine-report", REPORT, GoldenFormsTest::encodeReport, GoldenFormsTest::decodeReport);
     }
 
-    private static byte[] sent(MachineReport report) {
+    private static byte[] encodeReport(MachineReport report) {
         RecordingLinks recording = new RecordingLinks();
         new ReportExchange(recording, Clock.system()).send(report);
         return recording.sent;
     }
 
-    private static MachineReport received(byte[] form) {
+    private static MachineReport decodeReport(byte[] bytes) {
         RecordingLinks recording = new RecordingLinks();
         ReportExchange exchange = new ReportExchange(recording, Clock.system());
-        recording.receiver.onMessage("c1", 1, form);
-        return exchange.all().get(0).report();
+        recording.receiver.onMessage("c1", 1, bytes);
+        return exchange.latestReports().get(0).report();
     }
 
     @Test
-    void namesOfTheMetrics() throws IOException {
+    void metricNamesMatchTheirGoldenFile() throws IOException {
         SimpleMeterRegistry metrics = new SimpleMeterRegistry();
         ControlServer.Settings settings = new ControlServer.Settings(
                 "fleet",
                 "c1",
                 new InetSocketAddress("127.0.0.1", 0),
                 new NodeNames(List.of("n*")),
-                ControlLimits.STANDARD);
+                ControlLimits.DEFAULTS);
         new ControlServer(settings, Clock.system(), () -> true, metrics).close();
         String names = metrics.getMeters().stream()
                 .map(meter -> meter.getId().getName() + " " + meter.getId().getTags() + "\n")
--- a/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
+++ b/fleet/src/test/java/brackenbridge/fleet/control/RecordingLinks.java
@@ -6,18 +6,18 @@
 import brackenbridge.fleet.peer.PeerLinks;
 import java.util.List;
 
-/** Links to one peer that keep the last message sent and who receives. */
+/** Links to one peer that record the last sent message and the receiver. */
 final class RecordingLinks implements PeerLinks {
     byte[] sent;
     Receiver receiver;
 
     @Override
-    public Member me() {
+    public Member self() {
         return new Member("c1", "127.0.0.1:1", "z1");
     }
 
     @Override
-    public long life() {
+    public long incarnation() {
         return 1;
     }
 
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public MemberStatus standing(String peer) {
+    public MemberStatus status(String peer) {
         return MemberStatus.ALIVE;
     }
 
@@ -38,13 +38,13 @@
     }
 
     @Override
-    public void receive(MessageStream stream, Receiver newReceiver) {
+    public void setReceiver(MessageStream stream, Receiver newReceiver) {
         receiver = newReceiver;
     }
 
     @Override
-    public void watch(Watcher watcher) {
-        // Nobody's standing changes.
+    public void addWatcher(Watcher watcher) {
+        // Statuses never change.
     }
 
     @Override
--- a/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/peer/PeerProcessTest.java
@@ -19,9 +19,9 @@
     private final class Child {
         final String name;
         final Process process;
-        final List<String> said = new CopyOnWriteArrayList<>();
+        final List<String> output = new CopyOnWriteArrayList<>();
 
-        Child(String name, long life) throws IOException {
+        Child(String name, long incarnation) throws IOException {
             this.name = name;
             ProcessBuilder builder = new ProcessBuilder(
                     System.getProperty("java.home") + "/bin/java",
@@ -32,13 +32,13 @@
                     System.getProperty("java.class.path"),
                     PeerProcess.class.getName(),
                     name,
-                    Long.toString(life));
+                    Long.toString(incarnation));
             process = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
             children.add(this);
             Thread reader = new Thread(() -> {
                 try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8)) {
                     for (String line = in.readLine(); line != null; line = in.readLine()) {
-                        said.add(line);
+                        output.add(line);
                     }
                 } catch (IOException e) {
                     // The process was killed: there is nothing more to read.
@@ -50,12 +50,12 @@
         }
 
         String address() {
-            await().until(() -> said.stream().anyMatch(l -> l.startsWith("at ")));
-            return said.get(0).substring(3);
+            await().until(() -> output.stream().anyMatch(text -> text.startsWith("at ")));
+            return output.get(0).substring(3);
         }
 
-        void hears(String line) {
-            await().until(() -> said.contains(line));
+        void awaitLine(String line) {
+            await().until(() -> output.contains(line));
         }
 
         void signal(String signal) throws IOException, InterruptedException {
@@ -66,12 +66,14 @@
                             .waitFor());
         }
 
-        long count(String standing) {
-            return said.stream().filter(l -> l.contains(" " + standing + " ")).count();
+        long count(String status) {
+            return output.stream()
+                    .filter(text -> text.contains(" " + status + " "))
+                    .count();
         }
     }
 
-    private void meet(Child... all) throws IOException {
+    private void connectAll(Child... all) throws IOException {
         StringBuilder members = new StringBuilder();
         for (Child child : all) {
             members.append(child.name).append('=').append(child.address()).append(' ');
@@ -83,36 +85,41 @@
     }
 
     @AfterEach
-    void end() {
-        children.forEach(c -> c.process.destroyForcibly());
+    void killChildren() {
+        children.forEach(child -> child.process.destroyForcibly());
     }
 
     @Test
-    void stoppedKilledAndReplacedProcessesAreToldApart() throws Exception {
-        Child a = new Child("a", 1);
-        Child b = new Child("b", 1);
-        Child c = new Child("c", 1);
-        meet(a, b, c);
-        for (Child child : List.of(a, b)) {
-            child.hears("c ALIVE 1");
+    void pausedKilledAndRestartedProcessesAreDistinguished() throws Exception {
+        Child memberA = new Child("a", 1);
+        Child memberB = new Child("b", 1);
+        Child memberC = new Child("c", 1);
+        connectAll(memberA, memberB, memberC);
+        for (Child child : List.of(memberA, memberB)) {
+            child.awaitLine("c ALIVE 1");
         }
-        c.hears("a ALIVE 1");
-        c.signal("-STOP");
-        a.hears("c SUSPECT 1");
-        a.hears("c DEAD 1");
-        b.hears("c DEAD 1");
-        c.signal("-CONT");
-        await().until(() -> a.count("ALIVE") == 3 && b.count("ALIVE") == 3);
-        assertEquals(0, c.count("DEAD") + c.count("SUSPECT"), "who stood still takes nobody for dead: " + c.said);
-        c.process.destroyForcibly();
-        await().until(() -> a.count("DEAD") == 2 && b.count("DEAD") == 2);
+        memberC.awaitLine("a ALIVE 1");
+        memberC.signal("-STOP");
+        memberA.awaitLine("c SUSPECT 1");
+        memberA.awaitLine("c DEAD 1");
+        memberB.awaitLine("c DEAD 1");
+        memberC.signal("-CONT");
+        await().until(() -> memberA.count("ALIVE") == 3 && memberB.count("ALIVE") == 3);
+        assertEquals(
+                0,
+                memberC.count("DEAD") + memberC.count("SUSPECT"),
+                "the paused member declares nobody dead: " + memberC.output);
+        memberC.process.destroyForcibly();
+        await().until(() -> memberA.count("DEAD") == 2 && memberB.count("DEAD") == 2);
         Child later = new Child("c", 2);
-        meet(a, b, later);
-        a.hears("c ALIVE 2");
-        b.hears("c ALIVE 2");
-        b.process.getOutputStream().close();
-        a.hears("b DEAD 1");
-        later.hears("b DEAD 1");
-        assertTrue(a.said.stream().noneMatch("b SUSPECT 1"::equals), "a farewell is no silence: " + a.said);
+        connectAll(memberA, memberB, later);
+        memberA.awaitLine("c ALIVE 2");
+        memberB.awaitLine("c ALIVE 2");
+        memberB.process.getOutputStream().close();
+        memberA.awaitLine("b DEAD 1");
+        later.awaitLine("b DEAD 1");
+        assertTrue(
+                memberA.output.stream().noneMatch("b SUSPECT 1"::equals),
+                "a member that leaves is not suspected first: " + memberA.output);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/replica/InMemoryLinks.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/InMemoryLinks.java
@@ -77,12 +77,12 @@
         }
 
         @Override
-        public Member me() {
+        public Member self() {
             return new Member(name, "127.0.0.1:1", "z");
         }
 
         @Override
-        public long life() {
+        public long incarnation() {
             return incarnation;
         }
 
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public MemberStatus standing(String peer) {
+        public MemberStatus status(String peer) {
             return links.containsKey(peer) ? MemberStatus.ALIVE : MemberStatus.DEAD;
         }
 
@@ -128,12 +128,12 @@
         }
 
         @Override
-        public void receive(MessageStream stream, Receiver messageReceiver) {
+        public void setReceiver(MessageStream stream, Receiver messageReceiver) {
             receiver = messageReceiver;
         }
 
         @Override
-        public void watch(Watcher watcher) {
+        public void addWatcher(Watcher watcher) {
             watchers.add(watcher);
         }
 
--- a/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/replica/SteppedClockTest.java
@@ -89,7 +89,7 @@
     private static void connect(Process... processesToConnect) {
         List<Member> members = new ArrayList<>();
         for (Process process : processesToConnect) {
-            members.add(process.links().me());
+            members.add(process.links().self());
         }
         for (Process process : processesToConnect) {
             process.links().update(members);
@@ -101,7 +101,7 @@
                 .pollInterval(Duration.ofMillis(5))
                 .untilAsserted(() -> {
                     assertEquals(value, reader.readValue(name));
-                    assertEquals(MemberStatus.ALIVE, reader.links().standing(name));
+                    assertEquals(MemberStatus.ALIVE, reader.links().status(name));
                 });
     }
 
