--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
@@ -180,7 +180,7 @@
                         channel.pipeline().addLast(ControlFrames.decoder(), dialled);
                     }
                 });
-        dialled.channel = ConnectAttempt.begin(attempt, loop, address, dialled);
+        dialled.channel = ConnectAttempt.start(attempt, loop, address, dialled);
     }
 
     private static InetSocketAddress addressOf(String text) {
@@ -228,17 +228,17 @@
         }
 
         @Override
-        public void connected() {
+        public void onConnected() {
             // The handler speaks first.
         }
 
         @Override
-        public void connectFailed(Throwable cause) {
+        public void onConnectFailed(Throwable cause) {
             end(this, "not connected: " + cause.getMessage());
         }
 
         @Override
-        public void notBegun(Throwable cause) {
+        public void onSocketUnavailable(Throwable cause) {
             end(this, "no socket: " + cause.getMessage());
         }
 
--- a/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
+++ b/fleet/src/main/java/brackenbridge/fleet/peer/Acceptor.java
@@ -88,7 +88,7 @@
         while (!context.closing()) {
             try {
                 Socket socket = listener.accept();
-                backoff.accepted();
+                backoff.onAccepted();
                 failing = false;
                 if (!admit(socket)) {
                     Peer.closeQuietly(socket);
@@ -107,7 +107,7 @@
         if (!failedBefore) {
             LOG.warn("accept: {}", e.getMessage());
         }
-        long pauseMs = backoff.pauseMs(e);
+        long pauseMs = backoff.onAcceptFailed(e);
         if (pauseMs > 0) {
             synchronized (context.lock) {
                 // Guards against a busy loop where no socket can be had.
--- a/lab/src/main/java/brackenbridge/lab/bench/CodecBench.java
+++ b/lab/src/main/java/brackenbridge/lab/bench/CodecBench.java
@@ -48,7 +48,7 @@
     public HttpRequest request() throws HttpException {
         request.readerIndex(0);
         requests.decode(request);
-        return requests.take();
+        return requests.takeRequest();
     }
 
     /** Decodes an answer. */
@@ -56,7 +56,7 @@
     public HttpResponse answer() throws HttpException {
         answer.readerIndex(0);
         answers.decode(answer);
-        return answers.take();
+        return answers.takeResponse();
     }
 
     /** Encodes a forward. */
--- a/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LiveWorld.java
@@ -150,7 +150,7 @@
             ByteBuf in = (ByteBuf) msg;
             try {
                 while (in.isReadable() && decoder.decode(in)) {
-                    HttpResponse r = decoder.take();
+                    HttpResponse r = decoder.takeResponse();
                     entry.answered(
                             clock.nowMs(),
                             r.status() == 200
@@ -222,7 +222,7 @@
                     ? next.get(from.index)
                     : next.get(random.nextInt(next.size()));
             String named = spec.tiers().get(tier).callClass() == null
-                    ? r.firstPart()
+                    ? r.firstPathSegment()
                     : spec.tiers().get(tier).callClass();
             double now = clock.nowMs();
             if (to.node == null || deadlineMs - now < 1) {
--- a/lab/src/main/java/brackenbridge/lab/live/LoadClient.java
+++ b/lab/src/main/java/brackenbridge/lab/live/LoadClient.java
@@ -97,7 +97,7 @@
                     if (!decoder.decode(in)) {
                         break;
                     }
-                    answered(decoder.take());
+                    answered(decoder.takeResponse());
                 }
             } catch (HttpException e) {
                 ctx.close();
--- a/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
+++ b/lab/src/main/java/brackenbridge/lab/live/Rehearsal.java
@@ -218,7 +218,7 @@
 
     private String call(String call) {
         try {
-            return ManagementCall.make(management, call);
+            return ManagementCall.send(management, call);
         } catch (IOException e) {
             return "";
         }
--- a/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInDiscovery.java
@@ -57,7 +57,7 @@
                 reset();
                 return;
             }
-            if (!r.firstPart().equals("registry")) {
+            if (!r.firstPathSegment().equals("registry")) {
                 answer(404, new Headers(), new byte[0]);
                 return;
             }
--- a/lab/src/main/java/brackenbridge/lab/live/StandInHttp.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInHttp.java
@@ -58,7 +58,7 @@
             try {
                 if (!busy && pending != null && decoder.decode(pending)) {
                     busy = true;
-                    request(decoder.take());
+                    request(decoder.takeRequest());
                 }
             } catch (HttpException e) {
                 write(HttpEncoder.response(channel.alloc(), e.status(), new Headers(), new byte[0], true), true);
--- a/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
+++ b/lab/src/main/java/brackenbridge/lab/live/StandInServer.java
@@ -187,7 +187,7 @@
             ServerModel.Job[] begun = new ServerModel.Job[1];
             boolean[] over = {false};
             begun[0] = model.begin(
-                    r.firstPart(),
+                    r.firstPathSegment(),
                     behaviour.parts(r),
                     deadline,
                     (number, done) -> behaviour.call(StandInServer.this, r, deadline, number, done),
--- a/lab/src/main/java/brackenbridge/lab/soak/SoakConnection.java
+++ b/lab/src/main/java/brackenbridge/lab/soak/SoakConnection.java
@@ -89,7 +89,7 @@
                 }
                 midAnswer = false;
                 answers++;
-                listener.answered(this, decoder.take());
+                listener.answered(this, decoder.takeResponse());
             }
         } catch (HttpException e) {
             context.close();
--- a/lab/src/main/java/brackenbridge/lab/soak/SoakNode.java
+++ b/lab/src/main/java/brackenbridge/lab/soak/SoakNode.java
@@ -328,7 +328,7 @@
 
     private static String call(NodeInstance instance, String call) {
         try {
-            return ManagementCall.make(instance.management(), call);
+            return ManagementCall.send(instance.management(), call);
         } catch (IOException e) {
             return "";
         }
--- a/lab/src/main/java/brackenbridge/lab/soak/SoakRunner.java
+++ b/lab/src/main/java/brackenbridge/lab/soak/SoakRunner.java
@@ -202,7 +202,7 @@
         if (instance == null || !onLoop(() -> node.starts() == 1)) {
             return;
         }
-        String answer = ManagementCall.make(instance.management(), "INFO");
+        String answer = ManagementCall.send(instance.management(), "INFO");
         String info = faults.has(SoakFault.WRONG_COUNTS) ? CountCheck.inflated(answer) : answer;
         onLoop(() -> {
             countsChecked = true;
--- a/node/src/main/java/brackenbridge/cli/CommandLine.java
+++ b/node/src/main/java/brackenbridge/cli/CommandLine.java
@@ -88,7 +88,7 @@
             Main.fail("no address: give --at ADDRESS:PORT or set PROXY_MGMT");
         }
         try {
-            String answer = ManagementCall.make(manage.at, manage.call);
+            String answer = ManagementCall.send(manage.at, manage.call);
             System.out.print(answer);
             System.exit(answer.startsWith("+OK") ? 0 : 1);
         } catch (IllegalArgumentException e) {
--- a/node/src/main/java/brackenbridge/cli/ServeCommand.java
+++ b/node/src/main/java/brackenbridge/cli/ServeCommand.java
@@ -57,7 +57,7 @@
 
     private static Path handoverPath(Config config) {
         String directory = System.getenv("TMPDIR");
-        return directory == null ? null : Handover.path(directory, config.name(), config.listen());
+        return directory == null ? null : Handover.socketPath(directory, config.name(), config.listen());
     }
 
     private static void start(Node node, Main.NodeExtension extension, Config config) {
--- a/node/src/main/java/brackenbridge/discovery/ObjectCutter.java
+++ b/node/src/main/java/brackenbridge/discovery/JsonObjectSplitter.java
@@ -7,17 +7,17 @@
  * Cuts what comes on a watch into the objects it is made of, however their lines are broken and in whatever pieces
  * they arrive. An object ends with its last brace: nothing waits for the line behind it.
  */
-public final class ObjectCutter {
+public final class JsonObjectSplitter {
     /** What one byte has completed. */
-    public enum Cut {
+    public enum Progress {
         /** Nothing yet. */
-        NOTHING,
+        INCOMPLETE,
         /** The first byte of a text that is not whole yet. */
-        BEGUN,
+        TEXT_STARTED,
         /** An empty line: discovery says that nothing has changed. */
         EMPTY_LINE,
         /** A text to be parsed, see {@link #take}: an object, or a line that is none. */
-        TEXT,
+        TEXT_COMPLETE,
         /** More than is believed of one object; nothing of it is kept. */
         TOO_LONG
     }
@@ -32,21 +32,21 @@
     private boolean said;
 
     /** Cuts objects of at most so many bytes. */
-    public ObjectCutter(int limit) {
+    public JsonObjectSplitter(int limit) {
         this.limit = limit;
     }
 
     /** Takes the next byte. */
-    public Cut add(byte b) {
+    public Progress add(byte b) {
         boolean blank = b == ' ' || b == '\t' || b == '\r' || b == '\n';
         if (text.size() == 0 && blank) {
             boolean empty = b == '\n' && !said;
             said &= b != '\n';
-            return empty ? Cut.EMPTY_LINE : Cut.NOTHING;
+            return empty ? Progress.EMPTY_LINE : Progress.INCOMPLETE;
         }
         if (text.size() >= limit) {
             text.reset();
-            return Cut.TOO_LONG;
+            return Progress.TOO_LONG;
         }
         object = text.size() > 0 ? object : b == '{';
         text.write(b);
@@ -63,11 +63,11 @@
         // Of what is no object a line is all there is: guards the watch against waiting for the end of nonsense.
         boolean whole = object ? depth == 0 : b == '\n';
         said = whole ? object : said;
-        return whole ? Cut.TEXT : text.size() == 1 ? Cut.BEGUN : Cut.NOTHING;
+        return whole ? Progress.TEXT_COMPLETE : text.size() == 1 ? Progress.TEXT_STARTED : Progress.INCOMPLETE;
     }
 
     /** The text that is whole; the next one begins behind it. */
-    public String take() {
+    public String takeText() {
         String whole = text.toString(StandardCharsets.UTF_8);
         // Not reset: a watch lasts, and would keep the room of its longest list.
         text = new ByteArrayOutputStream();
--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -20,13 +20,13 @@
          * A successor has connected: completes, on the event loop, with the state that it gets. The process gives up
          * that part of its descriptors.
          */
-        CompletableFuture<HandoverState> offer();
+        CompletableFuture<HandoverState> prepareState();
 
         /** The successor serves clients, or there is none any more. */
-        void successorServes(boolean on);
+        void onSuccessorChanged(boolean on);
 
         /** The predecessor has ended. */
-        void predecessorEnded();
+        void onPredecessorEnded();
     }
 
     private final PredecessorClient predecessorClient;
@@ -39,7 +39,7 @@
     }
 
     /** The path at which the processes of a node meet; null if the directory's name is too long for a socket's. */
-    public static Path path(String directory, String node, String listen) {
+    public static Path socketPath(String directory, String node, String listen) {
         Path path = Path.of(directory, "bb-" + Integer.toHexString((node + " " + listen).hashCode()) + ".sock");
         return path.toString().length() > MAX_PATH_LENGTH ? null : path;
     }
--- a/node/src/main/java/brackenbridge/handover/HandoverState.java
+++ b/node/src/main/java/brackenbridge/handover/HandoverState.java
@@ -15,7 +15,7 @@
 public record HandoverState(int sockets, EndpointList endpoints) {
 
     /** The state as the text of a line. */
-    String json() {
+    String toJson() {
         return Json.object()
                 .add("sockets", sockets)
                 .add("list", EndpointListParser.toJson(endpoints))
--- a/node/src/main/java/brackenbridge/handover/PredecessorClient.java
+++ b/node/src/main/java/brackenbridge/handover/PredecessorClient.java
@@ -48,7 +48,7 @@
                 .group(loop)
                 .channel(NioDomainSocketChannel.class)
                 .handler(new LineHandler());
-        ConnectAttempt.begin(bootstrap, loop, UnixDomainSocketAddress.of(path), new ConnectListener());
+        ConnectAttempt.start(bootstrap, loop, UnixDomainSocketAddress.of(path), new ConnectListener());
         loop.schedule(this::endStateRequest, HandoverProtocol.STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         return state;
     }
@@ -81,18 +81,18 @@
 
     private final class ConnectListener implements ConnectAttempt.Listener {
         @Override
-        public void connected() {
+        public void onConnected() {
             // The handler writes the first line.
         }
 
         @Override
-        public void connectFailed(Throwable cause) {
+        public void onConnectFailed(Throwable cause) {
             log.info("no old process answers at " + path);
             state.complete(null);
         }
 
         @Override
-        public void notBegun(Throwable cause) {
+        public void onSocketUnavailable(Throwable cause) {
             log.warn("the old process can't be asked, no socket: " + cause.getMessage());
             state.complete(null);
         }
@@ -137,7 +137,7 @@
             predecessor = null;
             state.complete(null);
             takeOverOnce();
-            process.predecessorEnded();
+            process.onPredecessorEnded();
         }
     }
 }
--- a/node/src/main/java/brackenbridge/handover/SuccessorListener.java
+++ b/node/src/main/java/brackenbridge/handover/SuccessorListener.java
@@ -158,8 +158,8 @@
         private void sendState(Channel channel) {
             successor = channel;
             log.info("a new process has connected");
-            process.offer().thenAccept(state -> {
-                writeLine(channel, HandoverProtocol.GREETING + state.json());
+            process.prepareState().thenAccept(state -> {
+                writeLine(channel, HandoverProtocol.GREETING + state.toJson());
                 loop.schedule(() -> requireReady(channel), HandoverProtocol.START_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             });
         }
@@ -168,7 +168,7 @@
             ready = true;
             // The path is left before the successor takes it: closing later would remove the successor's.
             leavePath();
-            process.successorServes(true);
+            process.onSuccessorChanged(true);
             log.info("the new process serves");
             writeLine(channel, HandoverProtocol.GO);
         }
@@ -183,7 +183,7 @@
             if (successor == channel && !closed) {
                 successor = null;
                 log.warn("the new process has ended");
-                process.successorServes(false);
+                process.onSuccessorChanged(false);
                 if (server == null) {
                     listen();
                 }
--- a/node/src/main/java/brackenbridge/http/Headers.java
+++ b/node/src/main/java/brackenbridge/http/Headers.java
@@ -29,7 +29,7 @@
     /** Returns a copy without the fields of this name. */
     public Headers without(String name) {
         Headers others = new Headers();
-        each((otherName, value) -> {
+        forEach((otherName, value) -> {
             if (!otherName.equalsIgnoreCase(name)) {
                 others.add(otherName, value);
             }
@@ -49,7 +49,7 @@
     }
 
     /** Whether the comma-separated list in a field of this name contains this element. */
-    public boolean lists(String name, String element) {
+    public boolean hasListElement(String name, String element) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name) && containsElement(values.get(i), element)) {
                 return true;
@@ -68,7 +68,7 @@
     }
 
     /** Calls the consumer with the name and value of each field, in order. */
-    public void each(BiConsumer<String, String> field) {
+    public void forEach(BiConsumer<String, String> field) {
         for (int i = 0; i < names.size(); i++) {
             field.accept(names.get(i), values.get(i));
         }
--- a/node/src/main/java/brackenbridge/http/HttpEncoder.java
+++ b/node/src/main/java/brackenbridge/http/HttpEncoder.java
@@ -72,9 +72,9 @@
     private static String encodeRequestHead(HttpRequest request, double timeLeftMs, long length) {
         StringBuilder head = new StringBuilder(REQUEST_HEAD_CHARS);
         head.append(request.method()).append(' ').append(request.target()).append(" HTTP/1.1\r\n");
-        request.headers().each((name, value) -> {
+        request.headers().forEach((name, value) -> {
             String lowerCaseName = name.toLowerCase(Locale.ROOT);
-            if (!HOP_BY_HOP_FIELDS.contains(lowerCaseName) && !request.headers().lists("Connection", name)) {
+            if (!HOP_BY_HOP_FIELDS.contains(lowerCaseName) && !request.headers().hasListElement("Connection", name)) {
                 appendField(head, name, value);
             }
         });
@@ -128,7 +128,7 @@
                 .append(' ')
                 .append(REASON_PHRASES.getOrDefault(status, "Status"))
                 .append("\r\n");
-        fields.each((name, value) -> appendField(head, name, value));
+        fields.forEach((name, value) -> appendField(head, name, value));
         appendFraming(head, length);
         if (close) {
             appendField(head, "Connection", "close");
--- a/node/src/main/java/brackenbridge/http/HttpRequest.java
+++ b/node/src/main/java/brackenbridge/http/HttpRequest.java
@@ -14,7 +14,7 @@
         String method, String target, boolean http11, boolean keepAlive, Headers headers, byte[] body) {
 
     /** The first segment of the path. */
-    public String firstPart() {
+    public String firstPathSegment() {
         int end = 1;
         while (end < target.length() && "/?#".indexOf(target.charAt(end)) < 0) {
             end++;
--- a/node/src/main/java/brackenbridge/http/MessageDecoder.java
+++ b/node/src/main/java/brackenbridge/http/MessageDecoder.java
@@ -46,7 +46,7 @@
     /** Receives a body piece by piece. */
     public interface Sink {
         /** Reads exactly this many bytes from the buffer. */
-        void take(ByteBuf from, int length) throws HttpException;
+        void read(ByteBuf from, int length) throws HttpException;
     }
 
     private final StringBuilder line = new StringBuilder();
@@ -127,7 +127,7 @@
             throw new HttpException(413, "body over " + bodyLimit + " bytes");
         }
         if (sink != null) {
-            sink.take(in, length);
+            sink.read(in, length);
             return;
         }
         if (body.size() == 0 && step == Step.FIXED_BODY) {
@@ -305,7 +305,7 @@
     }
 
     /** Whether a message has been received in part. */
-    public boolean hasBegun() {
+    public boolean isMessageStarted() {
         return step != Step.START_LINE || line.length() > 0 || carriageReturn;
     }
 
@@ -320,7 +320,7 @@
     }
 
     /** Whether the body buffer is full: the rest of the body has to be streamed, by {@link #stream}. */
-    public boolean isLong() {
+    public boolean isBodyBufferFull() {
         return sink == null && awaitsBody() && body.size() >= MAX_BUFFERED_BODY_BYTES;
     }
 
@@ -330,7 +330,7 @@
     }
 
     /** Returns the buffered part of the body and passes the rest of this body to the sink. */
-    public byte[] stream(Sink bodySink) {
+    public byte[] streamBody(Sink bodySink) {
         byte[] buffered = body.toByteArray();
         body = new ByteArrayOutputStream(0);
         sink = bodySink;
--- a/node/src/main/java/brackenbridge/http/RequestDecoder.java
+++ b/node/src/main/java/brackenbridge/http/RequestDecoder.java
@@ -76,24 +76,24 @@
 
     /** Whether the client waits for {@code 100 Continue} before it sends the body. */
     public boolean expectsContinue() {
-        return awaitsBody() && http11 && headers().lists("Expect", "100-continue");
+        return awaitsBody() && http11 && headers().hasListElement("Expect", "100-continue");
     }
 
     /** Returns the complete request and resets the decoder for the next one. */
-    public HttpRequest take() {
-        HttpRequest head = part(null);
+    public HttpRequest takeRequest() {
+        HttpRequest head = withBody(null);
         blankLines = 0;
         return new HttpRequest(head.method(), head.target(), http11, head.keepAlive(), head.headers(), takeBody());
     }
 
     /** Returns the request whose head is complete, with this part of its body. */
-    public HttpRequest part(byte[] bodyPart) {
+    public HttpRequest withBody(byte[] bodyPart) {
         Headers fields = headers();
         if (authority != null) {
             // RFC 9112, 3.2.2: the authority of an absolute target replaces the Host field.
             fields = fields.without("Host").add("Host", authority);
         }
-        boolean keepAlive = http11 && !fields.lists("Connection", "close");
+        boolean keepAlive = http11 && !fields.hasListElement("Connection", "close");
         return new HttpRequest(method, target, http11, keepAlive, fields, bodyPart);
     }
 }
--- a/node/src/main/java/brackenbridge/http/ResponseDecoder.java
+++ b/node/src/main/java/brackenbridge/http/ResponseDecoder.java
@@ -76,16 +76,18 @@
     }
 
     /** Returns the complete response and resets the decoder for the next one. */
-    public HttpResponse take() {
-        HttpResponse head = part(null);
+    public HttpResponse takeResponse() {
+        HttpResponse head = withBody(null);
         return new HttpResponse(status, head.keepAlive(), head.headers(), takeBody());
     }
 
     /** Returns the response whose head is complete, with this part of its body. */
-    public HttpResponse part(byte[] bodyPart) {
+    public HttpResponse withBody(byte[] bodyPart) {
         Headers fields = headers();
-        boolean keepAlive =
-                framed && (http11 ? !fields.lists("Connection", "close") : fields.lists("Connection", "keep-alive"));
+        boolean keepAlive = framed
+                && (http11
+                        ? !fields.hasListElement("Connection", "close")
+                        : fields.hasListElement("Connection", "keep-alive"));
         return new HttpResponse(status, keepAlive, fields, bodyPart);
     }
 }
--- a/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
@@ -20,7 +20,7 @@
      *
      * @throws IllegalArgumentException if the address or the call can't be used
      */
-    public static String make(String at, String call) throws IOException {
+    public static String send(String at, String call) throws IOException {
         int colon = at.lastIndexOf(':');
         if (colon < 1 || !at.substring(colon + 1).matches("[0-9]{1,5}") || call.contains("\n")) {
             throw new IllegalArgumentException("not an address and port, or not a call: " + at + " " + call);
--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -3,7 +3,7 @@
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.Event;
 import brackenbridge.discovery.EndpointListParser;
-import brackenbridge.discovery.ObjectCutter;
+import brackenbridge.discovery.JsonObjectSplitter;
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.ResponseDecoder;
@@ -71,7 +71,7 @@
             call.end("no address: " + call.address);
             return;
         }
-        call.channel = ConnectAttempt.begin(bootstrap.clone().handler(call), loop, socketAddress, call);
+        call.channel = ConnectAttempt.start(bootstrap.clone().handler(call), loop, socketAddress, call);
     }
 
     /** One call to discovery, from its connection to its end. */
@@ -79,7 +79,7 @@
         private final long id;
         private final String address;
         private final String path;
-        private final ObjectCutter cutter = new ObjectCutter(MAX_LIST_BYTES);
+        private final JsonObjectSplitter cutter = new JsonObjectSplitter(MAX_LIST_BYTES);
         private final ResponseDecoder decoder = new ResponseDecoder(this::readBody);
         private Channel channel;
         private boolean answered;
@@ -103,17 +103,17 @@
         }
 
         @Override
-        public void connected() {
+        public void onConnected() {
             channel.writeAndFlush(HttpEncoder.get(channel.alloc(), path, address));
         }
 
         @Override
-        public void connectFailed(Throwable cause) {
+        public void onConnectFailed(Throwable cause) {
             end("no connection: " + cause.getMessage());
         }
 
         @Override
-        public void notBegun(Throwable cause) {
+        public void onSocketUnavailable(Throwable cause) {
             end("no socket: " + cause.getMessage());
         }
 
@@ -128,9 +128,9 @@
 
         private void readListByte(byte next) throws HttpException {
             switch (cutter.add(next)) {
-                case TEXT -> onList(cutter.take());
+                case TEXT_COMPLETE -> onList(cutter.takeText());
                 // Of a list that comes in pieces only the first byte counts: guards against one that never ends.
-                case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryHeartbeat(id));
+                case EMPTY_LINE, TEXT_STARTED -> events.raise(new Event.DiscoveryHeartbeat(id));
                 case TOO_LONG -> end("list too long");
                 default -> {
                     // The list is not complete yet.
--- a/node/src/main/java/brackenbridge/net/Replacement.java
+++ b/node/src/main/java/brackenbridge/net/Replacement.java
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public CompletableFuture<HandoverState> offer() {
+    public CompletableFuture<HandoverState> prepareState() {
         ReusePortSteering.prepare();
         descriptors.shareWithOtherProcess(true);
         CompletableFuture<HandoverState> offered = new CompletableFuture<>();
@@ -117,13 +117,13 @@
     }
 
     @Override
-    public void successorServes(boolean on) {
+    public void onSuccessorChanged(boolean on) {
         descriptors.shareWithOtherProcess(on);
         events.raise(new Event.SuccessorServes(on));
     }
 
     @Override
-    public void predecessorEnded() {
+    public void onPredecessorEnded() {
         log.info("the old process has exited: its descriptors are available");
         predecessorGone.complete(null);
         descriptors.shareWithOtherProcess(false);
--- a/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
@@ -179,7 +179,7 @@
         if (!on) {
             onBacklogNotEmpty();
         }
-        recovery.admit(channel, on);
+        recovery.setAccepting(channel, on);
     }
 
     /**
@@ -226,16 +226,16 @@
                 if (client == null) {
                     break;
                 }
-                backoff.accepted();
+                backoff.onAccepted();
                 markWait(client);
                 channel.pipeline().fireChannelRead(client);
             } catch (IOException e) {
-                long pauseMs = backoff.pauseMs(e);
+                long pauseMs = backoff.onAcceptFailed(e);
                 if (pauseMs > 0 && pausesLeft == 0) {
                     break;
                 }
                 if (pauseMs > 0) {
-                    if (SocketErrors.isShortage(e)) {
+                    if (SocketErrors.isResourceShortage(e)) {
                         room.makeRoom();
                     }
                     scheduleEmptying(pauseMs, pausesLeft - 1);
--- a/node/src/main/java/brackenbridge/net/client/RequestReader.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestReader.java
@@ -73,12 +73,12 @@
 
     /** Whether a part of a request has been decoded. */
     boolean hasBegunRequest() {
-        return decoder.hasBegun();
+        return decoder.isMessageStarted();
     }
 
     /** Whether nothing of a further request has come. */
     boolean isEmpty() {
-        return !decoder.hasBegun() && (unread == null || !unread.isReadable());
+        return !decoder.isMessageStarted() && (unread == null || !unread.isReadable());
     }
 
     /** Whether the client has sent more after the connection's end than is read and discarded. */
@@ -129,7 +129,7 @@
     }
 
     private void endUnseenWait() {
-        if (unread == null && !decoder.hasBegun()) {
+        if (unread == null && !decoder.isMessageStarted()) {
             opener.clearUnseenWait();
         }
     }
@@ -212,13 +212,13 @@
 
     /** Decodes one request; false if it is incomplete. */
     private boolean decodeNext() {
-        boolean first = !decoder.hasBegun();
+        boolean first = !decoder.isMessageStarted();
         try {
             if (decoder.decode(unread)) {
                 continueSent = false;
-                HttpRequest request = decoder.take();
+                HttpRequest request = decoder.takeRequest();
                 opener.handleRequest(request, request, true);
-            } else if (decoder.isLong()) {
+            } else if (decoder.isBodyBufferFull()) {
                 continueSent = false;
                 upload.start();
             } else {
@@ -244,7 +244,7 @@
 
     /** Checks the time that a request takes to come since the last sweep; rejects one that is too slow. */
     void checkPace(double nowMs) {
-        boolean readingRequest = connection.isReading() && decoder.hasBegun();
+        boolean readingRequest = connection.isReading() && decoder.isMessageStarted();
         if (decoder.awaitsBody() && !upload.isPaused() && (readingRequest || upload.isActive())) {
             boolean tooSlow = pace.isTooSlow(nowMs);
             if (tooSlow && upload.isActive()) {
@@ -259,7 +259,7 @@
 
     /** Whether a request's head has begun and is incomplete. */
     boolean isReadingHead() {
-        return connection.isReading() && decoder.hasBegun() && !decoder.awaitsBody();
+        return connection.isReading() && decoder.isMessageStarted() && !decoder.awaitsBody();
     }
 
     /** The next check of the pace measures from here. */
--- a/node/src/main/java/brackenbridge/net/client/RequestValidator.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestValidator.java
@@ -33,7 +33,7 @@
 
     /** The class that a request's path names; null if there is none. */
     RequestClass classOf(HttpRequest request) {
-        return classes.get(request.firstPart());
+        return classes.get(request.firstPathSegment());
     }
 
     /**
@@ -66,7 +66,7 @@
 
     private RequestRejection validateClass(HttpRequest request, RequestClass requestClass) {
         if (requestClass == null) {
-            counters.countDropped(request.firstPart());
+            counters.countDropped(request.firstPathSegment());
             return RequestRejection.UNKNOWN_CLASS;
         }
         String namedClass = request.headers().get(SERVICE_CLASS);
--- a/node/src/main/java/brackenbridge/net/client/UploadReader.java
+++ b/node/src/main/java/brackenbridge/net/client/UploadReader.java
@@ -70,7 +70,7 @@
     /** The first part has come: the request opens, and what follows waits until a server takes it. */
     void start() throws HttpException {
         long length = decoder.declaredLength();
-        HttpRequest head = decoder.part(decoder.stream((from, n) -> body.piece(from.readRetainedSlice(n))));
+        HttpRequest head = decoder.withBody(decoder.streamBody((from, n) -> body.piece(from.readRetainedSlice(n))));
         body = new BodyStream(this);
         lastByteHeld = false;
         reader.opener().handleRequest(new StreamedRequest(head, length, body), head, false);
@@ -97,7 +97,7 @@
                 return;
             }
             if (decoder.decode(unread)) {
-                decoder.take();
+                decoder.takeRequest();
                 lastByteHeld = true;
                 reader.onLastByteHeld();
             } else {
--- a/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
@@ -64,10 +64,10 @@
     void read(ByteBuf in) throws HttpException {
         if (decoder.decode(in)) {
             completeResponse(in.isReadable());
-        } else if (decoder.isLong()) {
+        } else if (decoder.isBodyBufferFull()) {
             readLongResponse(in);
         } else {
-            lastProgressMs = decoder.hasBegun() ? clock.nowMs() : 0;
+            lastProgressMs = decoder.isMessageStarted() ? clock.nowMs() : 0;
             setBufferedBytes(decoder.bufferedBytes());
             if (upstream.responses().isOverBufferLimit()) {
                 // Guards memory against many long responses at once.
@@ -88,7 +88,7 @@
 
     /** The response is complete; with {@code extraBytes} the connection can't be used for another. */
     void completeResponse(boolean extraBytes) {
-        HttpResponse response = decoder.take();
+        HttpResponse response = decoder.takeResponse();
         RunningAttempt attempt = connection.detachAttempt();
         lastProgressMs = 0;
         // After a response that came before the complete request was sent, the rest would be read as the next request.
@@ -177,8 +177,8 @@
         upstream.responses().addStreaming(this);
         context.counters().count(Counter.RESPONSES_STREAMED);
         streamedBody.piece(Unpooled.wrappedBuffer(
-                decoder.stream((from, length) -> streamedBody.piece(from.readRetainedSlice(length)))));
-        HttpResponse head = decoder.part(null);
+                decoder.streamBody((from, length) -> streamedBody.piece(from.readRetainedSlice(length)))));
+        HttpResponse head = decoder.withBody(null);
         raiseAnswered(attempt, ServerReply.SERVED, new StreamedResponse(head, contentLength(), streamedBody), head);
     }
 
@@ -210,7 +210,7 @@
             lastProgressMs = clock.nowMs();
             if (decoder.decode(in)) {
                 endStreaming(true);
-                HttpResponse response = decoder.take();
+                HttpResponse response = decoder.takeResponse();
                 lastProgressMs = 0;
                 connection.reuseOrClose(response, in.isReadable());
             } else {
--- a/node/src/main/java/brackenbridge/net/upstream/UpstreamConnection.java
+++ b/node/src/main/java/brackenbridge/net/upstream/UpstreamConnection.java
@@ -54,7 +54,7 @@
 
     /** Starts to connect; the channel stays null if no socket could be made. */
     void open(Bootstrap bootstrap, InetSocketAddress address) {
-        channel = ConnectAttempt.begin(bootstrap, context.loop(), address, this);
+        channel = ConnectAttempt.start(bootstrap, context.loop(), address, this);
     }
 
     long id() {
@@ -70,14 +70,14 @@
     }
 
     @Override
-    public void connected() {
+    public void onConnected() {
         context.counters().count(Counter.CONNECTIONS_OPENED);
         // As when an attempt is queued: the end of the client that waits for it may be there as well.
         context.loop().execute(() -> upstream.onConnected(id));
     }
 
     @Override
-    public void connectFailed(Throwable cause) {
+    public void onConnectFailed(Throwable cause) {
         if (SocketErrors.isLocal(cause)) {
             upstream.removeConnection(id);
             upstream.connectFailures().warn(endpoint, cause);
@@ -88,9 +88,9 @@
     }
 
     @Override
-    public void notBegun(Throwable cause) {
+    public void onSocketUnavailable(Throwable cause) {
         upstream.connectFailures().warn(endpoint, cause);
-        if (SocketErrors.isShortage(cause)) {
+        if (SocketErrors.isResourceShortage(cause)) {
             upstream.makeRoom();
         }
         upstream.onLocalFailure(id);
--- a/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
@@ -13,13 +13,13 @@
     private int immediateRetries;
 
     /** Records a successful accept. */
-    public void accepted() {
+    public void onAccepted() {
         immediateRetries = 0;
     }
 
     /** Records a failed accept; returns the pause before the next in milliseconds, 0 to retry at once. */
-    public long pauseMs(Throwable failure) {
-        if (SocketErrors.endsOneConnection(failure) && immediateRetries < MAX_IMMEDIATE_RETRIES) {
+    public long onAcceptFailed(Throwable failure) {
+        if (SocketErrors.affectsOneConnectionOnly(failure) && immediateRetries < MAX_IMMEDIATE_RETRIES) {
             immediateRetries++;
             return 0;
         }
--- a/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
@@ -36,14 +36,14 @@
     }
 
     /** The owner takes clients, or lets them wait in the backlog. */
-    public void admit(Channel listening, boolean on) {
+    public void setAccepting(Channel listening, boolean on) {
         admits = on;
         apply(listening);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object accepted) {
-        backoff.accepted();
+        backoff.onAccepted();
         failing = false;
         context.fireChannelRead(accepted);
     }
@@ -54,12 +54,12 @@
             failing = true;
             warn.accept("accept failed: " + cause);
         }
-        long pauseMs = backoff.pauseMs(cause);
+        long pauseMs = backoff.onAcceptFailed(cause);
         // Without a pause the selector reports the same socket in its next turn.
         if (pauseMs == 0 || pausing) {
             return;
         }
-        if (SocketErrors.isShortage(cause)) {
+        if (SocketErrors.isResourceShortage(cause)) {
             makeRoom.run();
         }
         pausing = true;
--- a/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
+++ b/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
@@ -16,13 +16,13 @@
     /** Who waits for a connection. */
     public interface Listener {
         /** It is up. */
-        void connected();
+        void onConnected();
 
         /** The channel, if there is one, could not be connected. */
-        void connectFailed(Throwable cause);
+        void onConnectFailed(Throwable cause);
 
         /** No connect was begun: the socket itself was not to be had. */
-        void notBegun(Throwable cause);
+        void onSocketUnavailable(Throwable cause);
     }
 
     private ConnectAttempt() {}
@@ -32,10 +32,10 @@
      *
      * @return the channel; null if there is none, and the listener will be told that nothing was begun
      */
-    public static Channel begin(Bootstrap bootstrap, EventLoop loop, SocketAddress to, Listener listener) {
+    public static Channel start(Bootstrap bootstrap, EventLoop loop, SocketAddress to, Listener listener) {
         ChannelFuture attempt = bootstrap.connect(to);
         if (attempt.isDone() && !attempt.isSuccess()) {
-            loop.execute(() -> listener.notBegun(attempt.cause()));
+            loop.execute(() -> listener.onSocketUnavailable(attempt.cause()));
             return null;
         }
         attempt.addListener(done -> {
@@ -51,9 +51,9 @@
 
     private static void tell(Listener listener, Throwable cause) {
         if (cause == null) {
-            listener.connected();
+            listener.onConnected();
         } else {
-            listener.connectFailed(cause);
+            listener.onConnectFailed(cause);
         }
     }
 }
--- a/node/src/main/java/brackenbridge/transport/SocketErrors.java
+++ b/node/src/main/java/brackenbridge/transport/SocketErrors.java
@@ -39,7 +39,7 @@
     private SocketErrors() {}
 
     /** Whether this machine lacked descriptors, buffers or memory, so that closing a connection helps. */
-    public static boolean isShortage(Throwable failure) {
+    public static boolean isResourceShortage(Throwable failure) {
         return hasMessage(failure, SHORTAGE_MESSAGES);
     }
 
@@ -59,11 +59,11 @@
             }
             cause = cause.getCause();
         }
-        return isShortage(failure) || hasMessage(failure, NO_ROUTE_MESSAGES);
+        return isResourceShortage(failure) || hasMessage(failure, NO_ROUTE_MESSAGES);
     }
 
     /** Whether a failed accept affects only that connection, so that the next can be accepted at once. */
-    public static boolean endsOneConnection(Throwable acceptFailure) {
+    public static boolean affectsOneConnectionOnly(Throwable acceptFailure) {
         return hasMessage(acceptFailure, CONNECTION_MESSAGES);
     }
 
--- a/node/src/test/java/brackenbridge/cli/ExitTest.java
+++ b/node/src/test/java/brackenbridge/cli/ExitTest.java
@@ -86,7 +86,7 @@
     private static void awaitReady(String management, Process process) throws InterruptedException {
         while (process.isAlive()) {
             try {
-                if (ManagementCall.make(management, "PING").startsWith("+OK")) {
+                if (ManagementCall.send(management, "PING").startsWith("+OK")) {
                     return;
                 }
             } catch (IOException e) {
--- a/node/src/test/java/brackenbridge/cli/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/cli/GoldenFormsTest.java
@@ -62,7 +62,7 @@
     @Test
     void infoOfTheManagementCall() throws IOException {
         String at = "127.0.0.1:" + node.managementAddress().getPort();
-        GoldenText.check("manage-info.txt", maskNumbers(ManagementCall.make(at, "INFO")));
+        GoldenText.check("manage-info.txt", maskNumbers(ManagementCall.send(at, "INFO")));
     }
 
     @Test
--- a/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
+++ b/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
@@ -33,7 +33,7 @@
     /** A process and its second address. */
     private record Running(Process process, String management) {
         String call(String call) throws IOException {
-            return ManagementCall.make(management, call);
+            return ManagementCall.send(management, call);
         }
     }
 
--- a/node/src/test/java/brackenbridge/discovery/ObjectCutterTest.java
+++ b/node/src/test/java/brackenbridge/discovery/ObjectCutterTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import brackenbridge.discovery.ObjectCutter.Cut;
+import brackenbridge.discovery.JsonObjectSplitter.Progress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,12 +14,12 @@
 /** Lists, however their lines are broken; "-" stands for an empty line. */
 class ObjectCutterTest {
     private static List<String> cut(int limit, String text) {
-        ObjectCutter cutter = new ObjectCutter(limit);
+        JsonObjectSplitter cutter = new JsonObjectSplitter(limit);
         List<String> all = new ArrayList<>();
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
-            Cut c = cutter.add(b);
-            if (c != Cut.NOTHING && c != Cut.BEGUN) {
-                all.add(c == Cut.TEXT ? cutter.take() : c == Cut.EMPTY_LINE ? "-" : c.name());
+            Progress c = cutter.add(b);
+            if (c != Progress.INCOMPLETE && c != Progress.TEXT_STARTED) {
+                all.add(c == Progress.TEXT_COMPLETE ? cutter.takeText() : c == Progress.EMPTY_LINE ? "-" : c.name());
             }
         }
         return all;
@@ -64,13 +64,13 @@
 
     @Test
     void eachObjectBeginsOnceHoweverManyBytesItHas() {
-        ObjectCutter cutter = new ObjectCutter(100);
+        JsonObjectSplitter cutter = new JsonObjectSplitter(100);
         int begun = 0;
         for (byte b : "\n{\n \"a\":{}\n}\n\n{ }\n".getBytes(StandardCharsets.UTF_8)) {
-            Cut c = cutter.add(b);
-            begun += c == Cut.BEGUN ? 1 : 0;
-            if (c == Cut.TEXT) {
-                cutter.take();
+            Progress c = cutter.add(b);
+            begun += c == Progress.TEXT_STARTED ? 1 : 0;
+            if (c == Progress.TEXT_COMPLETE) {
+                cutter.takeText();
             }
         }
         assertEquals(2, begun);
--- a/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
@@ -43,17 +43,17 @@
                             new ServerEndpoint("s-3", "127.0.0.1:7003", "b", -1, 1, 0, EndpointState.REMOVED))));
     private static final Handover.Participant PROCESS = new Handover.Participant() {
         @Override
-        public CompletableFuture<HandoverState> offer() {
+        public CompletableFuture<HandoverState> prepareState() {
             return CompletableFuture.completedFuture(OFFER);
         }
 
         @Override
-        public void successorServes(boolean on) {
+        public void onSuccessorChanged(boolean on) {
             // Only the lines are looked at.
         }
 
         @Override
-        public void predecessorEnded() {
+        public void onPredecessorEnded() {
             // Only the lines are looked at.
         }
     };
@@ -87,12 +87,12 @@
     void whereProcessesMeet() throws IOException {
         GoldenText.check(
                 "handover-path.txt",
-                Handover.path("/run", "n3", "127.0.0.1:8080").toString());
+                Handover.socketPath("/run", "n3", "127.0.0.1:8080").toString());
     }
 
     @Test
     void offerIsWordedAndReadAsEver() throws IOException {
-        GoldenText.check("handover-offer.txt", OFFER.json());
+        GoldenText.check("handover-offer.txt", OFFER.toJson());
         assertEquals(OFFER, HandoverState.parse(GoldenText.read("handover-offer.txt")));
     }
 
@@ -119,7 +119,7 @@
                     loop.submit(handover::requestState).get();
             try (SocketChannel predecessor = listening.accept()) {
                 String said = hear(predecessor);
-                say(predecessor, "brackenbridge-handover 1 " + OFFER.json() + "\n");
+                say(predecessor, "brackenbridge-handover 1 " + OFFER.toJson() + "\n");
                 assertEquals(OFFER, asked.get(10, TimeUnit.SECONDS));
                 CompletableFuture<Void> serves = new CompletableFuture<>();
                 loop.submit(() -> handover.announceReady(() -> serves.complete(null)))
--- a/node/src/test/java/brackenbridge/handover/SuccessorListenerTest.java
+++ b/node/src/test/java/brackenbridge/handover/SuccessorListenerTest.java
@@ -32,17 +32,17 @@
 
     private static final Handover.Participant PROCESS = new Handover.Participant() {
         @Override
-        public CompletableFuture<HandoverState> offer() {
+        public CompletableFuture<HandoverState> prepareState() {
             return CompletableFuture.completedFuture(new HandoverState(1, new EndpointList(1, true, List.of())));
         }
 
         @Override
-        public void successorServes(boolean on) {
+        public void onSuccessorChanged(boolean on) {
             // Only the connect is looked at.
         }
 
         @Override
-        public void predecessorEnded() {
+        public void onPredecessorEnded() {
             // Only the connect is looked at.
         }
     };
--- a/node/src/test/java/brackenbridge/http/DecoderTest.java
+++ b/node/src/test/java/brackenbridge/http/DecoderTest.java
@@ -33,7 +33,7 @@
         for (byte[] piece : pieces) {
             in.writeBytes(piece);
             while (d.decode(in)) {
-                whole.add(d.take());
+                whole.add(d.takeRequest());
             }
         }
         return whole;
@@ -68,7 +68,7 @@
         for (byte[] piece : Bytes.cuts(ANSWERS, seed)) {
             in.writeBytes(piece);
             while (d.decode(in)) {
-                HttpResponse r = d.take();
+                HttpResponse r = d.takeResponse();
                 whole.add(r.status() + new String(r.body(), StandardCharsets.UTF_8));
             }
         }
@@ -128,12 +128,13 @@
             in.discardReadBytes().writeBytes(piece);
             while (true) {
                 if (d.decode(in)) {
-                    got.append(new String(d.take().body(), StandardCharsets.ISO_8859_1));
+                    got.append(new String(d.takeRequest().body(), StandardCharsets.ISO_8859_1));
                     bodies.add(got.toString());
                     got.setLength(0);
-                } else if (d.isLong()) {
+                } else if (d.isBodyBufferFull()) {
                     got.append(new String(
-                            d.stream((from, n) -> got.append(from.readCharSequence(n, StandardCharsets.ISO_8859_1))),
+                            d.streamBody(
+                                    (from, n) -> got.append(from.readCharSequence(n, StandardCharsets.ISO_8859_1))),
                             StandardCharsets.ISO_8859_1));
                 } else {
                     break;
@@ -149,7 +150,7 @@
         RequestDecoder d = new RequestDecoder();
         d.decode(Unpooled.copiedBuffer(
                 "POST /file HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2000001\r\n", StandardCharsets.US_ASCII));
-        d.stream((from, n) -> from.skipBytes(n));
+        d.streamBody((from, n) -> from.skipBytes(n));
         ByteBuf piece = Unpooled.wrappedBuffer(new byte[1 << 20]);
         for (int i = 0; i < 32; i++) {
             assertFalse(d.decode(piece.duplicate()));
@@ -182,7 +183,7 @@
             assertFalse(answered(d, "hel"));
             assertFalse(answered(d, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "all is body up to the connection's end");
             assertTrue(d.onConnectionEnd());
-            HttpResponse r = d.take();
+            HttpResponse r = d.takeResponse();
             assertEquals("hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(r.body(), StandardCharsets.US_ASCII), head);
             assertFalse(r.keepAlive(), head);
         }
@@ -208,7 +209,7 @@
     void otherStatusesNeedNoFraming() throws HttpException {
         ResponseDecoder d = new ResponseDecoder();
         assertTrue(answered(d, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
-        assertFalse(d.take().keepAlive());
+        assertFalse(d.takeResponse().keepAlive());
     }
 
     @Test
@@ -236,7 +237,7 @@
         d.decode(Unpooled.copiedBuffer(POST.substring(0, POST.length() - 1), StandardCharsets.US_ASCII));
         assertTrue(d.bufferedBytes() > 40, "held " + d.bufferedBytes());
         assertTrue(d.decode(Unpooled.copiedBuffer("o", StandardCharsets.US_ASCII)));
-        d.take();
+        d.takeRequest();
         assertEquals(0, d.bufferedBytes());
     }
 }
--- a/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
+++ b/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
@@ -78,20 +78,20 @@
 
     @Test
     void eachCallHasItsAnswer() throws IOException {
-        assertEquals("+OK\n", ManagementCall.make(at, "PING"));
-        assertEquals("+OK\nproxy.tries:3|c\n.\n", ManagementCall.make(at, "INFO\r"));
-        assertEquals("+OK\n", ManagementCall.make(at, "LAMEDUCK"));
-        assertEquals("+OK\n", ManagementCall.make(at, "REJOIN"));
+        assertEquals("+OK\n", ManagementCall.send(at, "PING"));
+        assertEquals("+OK\nproxy.tries:3|c\n.\n", ManagementCall.send(at, "INFO\r"));
+        assertEquals("+OK\n", ManagementCall.send(at, "LAMEDUCK"));
+        assertEquals("+OK\n", ManagementCall.send(at, "REJOIN"));
         assertEquals(List.of(true, false), drains);
         stopping = true;
-        assertEquals("-ERR takes no clients\n", ManagementCall.make(at, "PING"));
-        assertEquals("-ERR the node is stopping\n", ManagementCall.make(at, "LAMEDUCK"));
+        assertEquals("-ERR takes no clients\n", ManagementCall.send(at, "PING"));
+        assertEquals("-ERR the node is stopping\n", ManagementCall.send(at, "LAMEDUCK"));
     }
 
     @Test
     void whatIsNoCallGetsOneLineAndTheEnd() throws IOException {
-        assertEquals("-ERR unknown call\n", ManagementCall.make(at, "ping"));
-        assertEquals("-ERR unknown call\n", ManagementCall.make(at, ""));
+        assertEquals("-ERR unknown call\n", ManagementCall.send(at, "ping"));
+        assertEquals("-ERR unknown call\n", ManagementCall.send(at, ""));
         assertEquals("-ERR not a call\n", raw("x".repeat(257).getBytes(StandardCharsets.US_ASCII)));
         assertEquals("-ERR not a call\n", raw(new byte[] {'P', (byte) 0xff}));
         assertEquals(List.of(), drains);
@@ -113,7 +113,7 @@
                 silent.get(i).getOutputStream().write('P');
             }
         }
-        assertEquals("+OK\n", ManagementCall.make(at, "PING"));
+        assertEquals("+OK\n", ManagementCall.send(at, "PING"));
         int open = 0;
         for (Socket s : silent) {
             s.setSoTimeout(1);
@@ -145,7 +145,7 @@
 
     @Test
     void commandLineTurnsDownWhatIsNoAddress() {
-        assertThrows(IllegalArgumentException.class, () -> ManagementCall.make("nowhere", "PING"));
-        assertThrows(IllegalArgumentException.class, () -> ManagementCall.make("127.0.0.1:70000", "PING"));
+        assertThrows(IllegalArgumentException.class, () -> ManagementCall.send("nowhere", "PING"));
+        assertThrows(IllegalArgumentException.class, () -> ManagementCall.send("127.0.0.1:70000", "PING"));
     }
 }
--- a/node/src/test/java/brackenbridge/net/BadInputTest.java
+++ b/node/src/test/java/brackenbridge/net/BadInputTest.java
@@ -56,7 +56,7 @@
     void start() throws Exception {
         server = new FakeServer();
         agent = new FakeServer();
-        meeting = Handover.path(directory.toString(), "n3", "127.0.0.1:0");
+        meeting = Handover.socketPath(directory.toString(), "n3", "127.0.0.1:0");
         Clock clock = Clock.system();
         node = new Node(
                 Config.parse(text()),
--- a/node/src/test/java/brackenbridge/net/DescriptorsTest.java
+++ b/node/src/test/java/brackenbridge/net/DescriptorsTest.java
@@ -120,14 +120,14 @@
                 crowd.add(connect());
             }
             served(server, "amongSilentOnes");
-            assertEquals("+OK\n", ManagementCall.make(management, "PING"));
+            assertEquals("+OK\n", ManagementCall.send(management, "PING"));
             for (int i = 0; i < LIMIT; i++) {
                 Socket s = connect();
                 crowd.add(s);
                 assertTrue(asks(s, "GET /health/live HTTP/1.1\r\n\r\n").endsWith("live\n"), "client " + i);
             }
             served(server, "amongThoseThatAskedAndRest");
-            assertEquals("+OK\n", ManagementCall.make(management, "PING"));
+            assertEquals("+OK\n", ManagementCall.send(management, "PING"));
             try (ServerSocket back = new ServerSocket()) {
                 back.bind(new InetSocketAddress("127.0.0.1", discovery));
                 back.setSoTimeout(15_000);
--- a/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
+++ b/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
@@ -47,7 +47,7 @@
 
     @BeforeEach
     void findMeeting() {
-        meeting = brackenbridge.handover.Handover.path(directory.toString(), "n3", "127.0.0.1:0");
+        meeting = brackenbridge.handover.Handover.socketPath(directory.toString(), "n3", "127.0.0.1:0");
     }
 
     @AfterEach
--- a/node/src/test/java/brackenbridge/transport/AcceptRecoveryTest.java
+++ b/node/src/test/java/brackenbridge/transport/AcceptRecoveryTest.java
@@ -72,17 +72,17 @@
     @Test
     void pauseOfTheOwnerOutlastsThatOfAFailure() {
         fail(NO_DESCRIPTOR);
-        recovery.admit(listening, false);
+        recovery.setAccepting(listening, false);
         pass(2000);
         assertFalse(accepts(), "as its owner has set it");
-        recovery.admit(listening, true);
+        recovery.setAccepting(listening, true);
         assertTrue(accepts());
     }
 
     @Test
     void ownerThatAdmitsAgainDoesNotCutThePauseShort() {
         fail(NO_DESCRIPTOR);
-        recovery.admit(listening, true);
+        recovery.setAccepting(listening, true);
         assertFalse(accepts());
         pass(AcceptBackoff.PAUSE_MS);
         assertTrue(accepts());
@@ -90,7 +90,7 @@
 
     @Test
     void failureWhileTheOwnerPausesChangesNothing() {
-        recovery.admit(listening, false);
+        recovery.setAccepting(listening, false);
         fail(NO_DESCRIPTOR);
         pass(2000);
         assertFalse(accepts());
--- a/node/src/test/java/brackenbridge/transport/ConnectAttemptTest.java
+++ b/node/src/test/java/brackenbridge/transport/ConnectAttemptTest.java
@@ -37,17 +37,17 @@
 
     private final class Told implements ConnectAttempt.Listener {
         @Override
-        public void connected() {
+        public void onConnected() {
             tell("connected");
         }
 
         @Override
-        public void connectFailed(Throwable cause) {
+        public void onConnectFailed(Throwable cause) {
             tell("failed: " + cause.getMessage());
         }
 
         @Override
-        public void notBegun(Throwable cause) {
+        public void onSocketUnavailable(Throwable cause) {
             tell("not begun: " + cause.getCause().getMessage());
         }
 
@@ -60,7 +60,7 @@
         Bootstrap bootstrap =
                 new Bootstrap().group(loop).channelFactory(sockets).handler(new ChannelInboundHandlerAdapter());
         return loop.submit(() -> {
-                    Channel channel = ConnectAttempt.begin(bootstrap, loop, to, new Told());
+                    Channel channel = ConnectAttempt.start(bootstrap, loop, to, new Told());
                     assertEquals(0, told.size(), "not within the call");
                     return channel;
                 })
