--- a/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
@@ -23,9 +23,9 @@
  * 0; 1 where the member said no or did not answer; 2 for a command line that can't be used.
  */
 abstract class AdminCommand implements Extension {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
-    private static final class Line {
+    private static final class Options {
         @Parameter(names = "--at", description = "A member's page, address:port; by default $BRACKENBRIDGE_FLEET")
         private String at = System.getenv("BRACKENBRIDGE_FLEET");
 
@@ -54,7 +54,7 @@
 
     @Override
     public int run(String[] args) {
-        Line line = new Line();
+        Options line = new Options();
         byte[] body = new byte[0];
         try {
             JCommander.newBuilder()
@@ -66,10 +66,11 @@
                 body = Files.readAllBytes(Path.of(line.file));
             }
         } catch (ParameterException | IOException e) {
-            return unusable(String.valueOf(e.getMessage()));
+            return reportUsageError(String.valueOf(e.getMessage()));
         }
         if (line.words.isEmpty() || line.at == null) {
-            return unusable(line.at == null ? "no member: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET" : usage);
+            return reportUsageError(
+                    line.at == null ? "no member: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET" : usage);
         }
         try {
             String path = line.words.stream()
@@ -79,7 +80,7 @@
                     .send(
                             HttpRequest.newBuilder(URI.create("http://" + line.at + "/call/" + name + "/" + path
                                             + (line.json ? "?json" : "")))
-                                    .timeout(PATIENCE)
+                                    .timeout(TIMEOUT)
                                     .POST(HttpRequest.BodyPublishers.ofByteArray(body))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
@@ -90,7 +91,7 @@
                                     : answer.body().stripTrailing());
             return answer.statusCode() == 200 ? 0 : 1;
         } catch (IllegalArgumentException e) {
-            return unusable(e.getMessage());
+            return reportUsageError(e.getMessage());
         } catch (IOException e) {
             System.err.println("brackenbridge: no answer from " + line.at + ": " + e.getMessage());
             return 1;
@@ -100,7 +101,7 @@
         }
     }
 
-    private static int unusable(String why) {
+    private static int reportUsageError(String why) {
         System.err.println("brackenbridge: " + why);
         return 2;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
@@ -2,8 +2,8 @@
 
 import brackenbridge.cli.Extension;
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.config.FileFaults;
 import brackenbridge.fleet.config.FleetFile;
+import brackenbridge.fleet.config.FleetFileException;
 import brackenbridge.fleet.node.ControlService;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
@@ -13,9 +13,9 @@
 
 /** Runs a control machine until a signal ends it. */
 public final class ControlCommand implements Extension {
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
-    private static final class Line {
+    private static final class Options {
         @Parameter(names = "--fleet", description = "The fleet's file", required = true)
         private String fleet;
 
@@ -36,7 +36,7 @@
 
     @Override
     public int run(String[] args) {
-        Line line = new Line();
+        Options line = new Options();
         ControlService service;
         try {
             JCommander.newBuilder()
@@ -51,10 +51,10 @@
             service.start();
         } catch (ParameterException | IllegalArgumentException | IOException e) {
             System.err.println("brackenbridge: " + e.getMessage());
-            return USAGE;
-        } catch (FileFaults e) {
+            return EXIT_USAGE;
+        } catch (FleetFileException e) {
             System.err.println(String.join("; ", e.faults()));
-            return USAGE;
+            return EXIT_USAGE;
         }
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
--- a/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
@@ -2,8 +2,8 @@
 
 import brackenbridge.cli.Extension;
 import brackenbridge.cli.Main;
-import brackenbridge.fleet.config.FileFaults;
 import brackenbridge.fleet.config.FleetFile;
+import brackenbridge.fleet.config.FleetFileException;
 import brackenbridge.fleet.node.FleetParticipant;
 import brackenbridge.fleet.node.NodeSubscription;
 import com.beust.jcommander.JCommander;
@@ -13,7 +13,7 @@
 
 /** Serves as a node with its part of the fleet in the same process: as a member, or as a subscriber of one. */
 public final class NodeCommand implements Extension {
-    private static final class Line {
+    private static final class Options {
         @Parameter(names = "--config", description = "The node's configuration; by default $PROXY_CONFIG")
         private String config = System.getenv("PROXY_CONFIG");
 
@@ -40,7 +40,7 @@
 
     @Override
     public int run(String[] args) {
-        Line line = new Line();
+        Options line = new Options();
         FleetFile file;
         try {
             JCommander.newBuilder()
@@ -61,7 +61,7 @@
         } catch (ParameterException e) {
             System.err.println("brackenbridge: " + e.getMessage());
             return 2;
-        } catch (FileFaults e) {
+        } catch (FleetFileException e) {
             System.err.println(String.join("; ", e.faults()));
             return 2;
         }
--- a/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
@@ -38,13 +38,13 @@
         Path directory,
         List<Member> members,
         Links links,
-        Agreement agreed,
-        Replication replica,
+        Agreement agreement,
+        Replication replication,
         Shares shares,
         Evacuation evacuation,
         Control control,
-        Map<String, String> page,
-        Map<String, String> listen) {
+        Map<String, String> adminAddresses,
+        Map<String, String> listenAddresses) {
 
     /**
      * Bounds of links.
@@ -55,7 +55,8 @@
      * @param frameBytes the longest message
      * @param queueBytes what waits at most for one peer in one stream
      */
-    public record Links(double beatMs, double suspectMs, double goneMs, int frameBytes, long queueBytes) {}
+    public record Links(
+            double heartbeatMs, double suspectAfterMs, double deadAfterMs, int maxFrameBytes, long maxQueueBytes) {}
 
     /**
      * Bounds of agreement.
@@ -64,7 +65,7 @@
      * @param leaseMs for how long a member acts by what it was told, in milliseconds
      * @param drift by how much clocks' rates may be off, as a part
      */
-    public record Agreement(int voters, double leaseMs, double drift) {}
+    public record Agreement(int voters, double leaseMs, double maxClockDrift) {}
 
     /**
      * Bounds of replication.
@@ -73,7 +74,7 @@
      * @param logEntries how many writes of each owner are kept beside its records
      * @param compareMs how often copies are compared at rest, in milliseconds
      */
-    public record Replication(long bytesPerSecond, int logEntries, double compareMs) {}
+    public record Replication(long bytesPerSecond, int logEntries, double compareIntervalMs) {}
 
     /**
      * Tenants' shares.
@@ -83,7 +84,8 @@
      * @param guaranteed the part of all connections that stays with the nodes, whatever becomes of the fleet
      * @param hungryMs under its floor with demand for so long, a tenant is reported hungry
      */
-    public record Shares(double connectionsPerServer, double leaseMs, double guaranteed, double hungryMs) {}
+    public record Shares(
+            double connectionsPerServer, double leaseMs, double guaranteedFraction, double starvedAfterMs) {}
 
     /**
      * Bounds of rehearsals.
@@ -93,7 +95,8 @@
      * @param bound use of slots at which a rehearsal halts
      * @param off by which a foretold figure may be off, as a part
      */
-    public record Evacuation(double part, double stepMs, double bound, double off) {}
+    public record Evacuation(
+            double rehearsalFraction, double rehearsalStepMs, double maxSlotUtilization, double maxForecastError) {}
 
     /**
      * Distribution of agreed values to nodes.
@@ -118,17 +121,17 @@
         }
     }
 
-    private static final long LONGEST = 1 << 20;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
-    private static final Pattern NODES = Pattern.compile("[A-Za-z0-9._-]{1,64}\\*?|\\*");
-    private static final Pattern ADDRESS = Pattern.compile("[^\\s:]+:[0-9]{1,5}");
-    private static final Pattern ANY = Pattern.compile("[^\\p{Cntrl}]+");
+    private static final long MAX_FILE_BYTES = 1 << 20;
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+    private static final Pattern NODE_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}\\*?|\\*");
+    private static final Pattern ADDRESS_PATTERN = Pattern.compile("[^\\s:]+:[0-9]{1,5}");
+    private static final Pattern PRINTABLE_PATTERN = Pattern.compile("[^\\p{Cntrl}]+");
 
     /** Keeps its own copies. */
     public FleetFile {
         members = List.copyOf(members);
-        page = Map.copyOf(page);
-        listen = Map.copyOf(listen);
+        adminAddresses = Map.copyOf(adminAddresses);
+        listenAddresses = Map.copyOf(listenAddresses);
     }
 
     /** The member of this name; null if there is none. */
@@ -137,116 +140,118 @@
     }
 
     /** Reads the file; one that can't be used is reported whole. */
-    public static FleetFile read(Path file) throws FileFaults {
+    public static FleetFile read(Path file) throws FleetFileException {
         try {
             if (Files.exists(file) && !Files.isRegularFile(file)) {
-                throw new FileFaults(List.of(file + ":1:1: not a file"));
+                throw new FleetFileException(List.of(file + ":1:1: not a file"));
             }
-            if (Files.size(file) > LONGEST) {
-                throw new FileFaults(List.of(file + ":1:1: over " + LONGEST + " bytes"));
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new FleetFileException(List.of(file + ":1:1: over " + MAX_FILE_BYTES + " bytes"));
             }
             return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new FileFaults(List.of(file + ":1:1: can't be read: " + e.getMessage()));
+            throw new FleetFileException(List.of(file + ":1:1: can't be read: " + e.getMessage()));
         }
     }
 
     /** Reads the file's text; {@code name} stands before each fault. */
-    public static FleetFile parse(String name, String text) throws FileFaults {
-        Table.Faults faults = new Table.Faults(name);
+    public static FleetFile parse(String name, String text) throws FleetFileException {
+        TomlTableReader.FaultCollector faults = new TomlTableReader.FaultCollector(name);
         TomlParseResult toml;
         try {
             toml = Toml.parse(text);
         } catch (StackOverflowError e) {
-            throw new FileFaults(List.of(name + ":1:1: syntax: nested too deep"));
+            throw new FleetFileException(List.of(name + ":1:1: syntax: nested too deep"));
         }
         toml.errors()
                 .forEach(e -> faults.add(e.position(), "syntax", e.getMessage().replaceAll("\\s+", " ")));
-        faults.none();
-        Table t = new Table("", toml, null, faults);
-        String fleet = t.text("fleet", null, NAME);
-        String directory = t.text("directory", "-", ANY);
+        faults.throwIfAny();
+        TomlTableReader t = new TomlTableReader("", toml, null, faults);
+        String fleet = t.string("fleet", null, NAME_PATTERN);
+        String directory = t.string("directory", "-", PRINTABLE_PATTERN);
         List<Member> members = new ArrayList<>();
         Map<String, String> page = new TreeMap<>();
         Map<String, String> listen = new TreeMap<>();
         Set<String> names = new HashSet<>();
         Set<String> addresses = new HashSet<>();
-        for (Table m : t.tables("member")) {
-            Member member =
-                    new Member(m.text("name", null, NAME), m.text("address", null, ADDRESS), m.text("zone", "-", NAME));
-            String at = m.text("page", "-", ADDRESS);
+        for (TomlTableReader m : t.tables("member")) {
+            Member member = new Member(
+                    m.string("name", null, NAME_PATTERN),
+                    m.string("address", null, ADDRESS_PATTERN),
+                    m.string("zone", "-", NAME_PATTERN));
+            String at = m.string("page", "-", ADDRESS_PATTERN);
             if (!at.equals("-")) {
                 page.put(member.name(), at);
             }
-            String listens = m.text("listen", "-", ADDRESS);
+            String listens = m.string("listen", "-", ADDRESS_PATTERN);
             if (!listens.equals("-")) {
                 listen.put(member.name(), listens);
             }
-            m.end();
+            m.rejectUnknownKeys();
             if (!names.add(member.name())) {
-                m.fault("name", "'" + member.name() + "' is another member's");
+                m.addFault("name", "'" + member.name() + "' is another member's");
             }
             if (!addresses.add(member.address()) || page.containsValue(member.address())) {
-                m.fault("address", member.address() + " is used already");
+                m.addFault("address", member.address() + " is used already");
             }
             members.add(member);
         }
         if (members.isEmpty()) {
-            t.fault("member", "a fleet needs members");
+            t.addFault("member", "a fleet needs members");
         }
-        Table l = t.table("links");
+        TomlTableReader l = t.table("links");
         Links links = new Links(
-                l.span("beat", 250, 10, 10_000),
-                l.span("suspect", 1250, 20, 60_000),
-                l.span("gone", 4000, 50, 600_000),
+                l.durationMs("beat", 250, 10, 10_000),
+                l.durationMs("suspect", 1250, 20, 60_000),
+                l.durationMs("gone", 4000, 50, 600_000),
                 (int) l.size("frame", 1 << 20, 4096, 16 << 20),
                 l.size("queue", 4 << 20, 65_536, 256 << 20));
-        if (links.suspectMs() < 4 * links.beatMs()) {
-            l.fault("suspect", "is less than four beats: a few that come late would be a suspicion");
+        if (links.suspectAfterMs() < 4 * links.heartbeatMs()) {
+            l.addFault("suspect", "is less than four beats: a few that come late would be a suspicion");
         }
-        if (links.goneMs() < 2 * links.suspectMs()) {
-            l.fault("gone", "is less than twice suspect: nobody could refute in time");
+        if (links.deadAfterMs() < 2 * links.suspectAfterMs()) {
+            l.addFault("gone", "is less than twice suspect: nobody could refute in time");
         }
-        if (links.queueBytes() < links.frameBytes()) {
-            l.fault("queue", "is less than one frame");
+        if (links.maxQueueBytes() < links.maxFrameBytes()) {
+            l.addFault("queue", "is less than one frame");
         }
-        l.end();
-        Table a = t.table("agreed");
+        l.rejectUnknownKeys();
+        TomlTableReader a = t.table("agreed");
         Agreement agreed = new Agreement(
-                a.whole("voters", odd(Math.min(5, members.size())), 1, 7),
-                a.span("lease", 1600, 200, 60_000),
+                a.integer("voters", largestOddUpTo(Math.min(5, members.size())), 1, 7),
+                a.durationMs("lease", 1600, 200, 60_000),
                 a.number("drift", 0.01, 0, 0.2));
         if (agreed.voters() % 2 == 0) {
-            a.fault("voters", agreed.voters() + " is even: one less bears as many failures");
+            a.addFault("voters", agreed.voters() + " is even: one less bears as many failures");
         }
         if (!members.isEmpty() && agreed.voters() > members.size()) {
-            a.fault("voters", "there are only " + members.size() + " members");
+            a.addFault("voters", "there are only " + members.size() + " members");
         }
-        a.end();
-        Table r = t.table("replica");
+        a.rejectUnknownKeys();
+        TomlTableReader r = t.table("replica");
         Replication replica = new Replication(
                 r.size("catch_up", 1 << 20, 4096, 1L << 30),
-                r.whole("log", 4096, 16, 1_000_000),
-                r.span("compare", 1000, 50, 600_000));
-        r.end();
-        Table s = t.table("shares");
-        boolean shared = s.flag("on", false);
+                r.integer("log", 4096, 16, 1_000_000),
+                r.durationMs("compare", 1000, 50, 600_000));
+        r.rejectUnknownKeys();
+        TomlTableReader s = t.table("shares");
+        boolean shared = s.bool("on", false);
         Shares shares = new Shares(
                 s.number("connections_per_server", 4, 0.01, 1e6),
-                s.span("lease", 2000, 200, 60_000),
+                s.durationMs("lease", 2000, 200, 60_000),
                 s.number("guaranteed", 0.2, 0, 1),
-                s.span("hungry", 5000, 100, 600_000));
-        s.end();
-        Table e = t.table("evacuation");
+                s.durationMs("hungry", 5000, 100, 600_000));
+        s.rejectUnknownKeys();
+        TomlTableReader e = t.table("evacuation");
         Evacuation evacuation = new Evacuation(
                 e.number("part", 0.2, 0.01, 1),
-                e.span("step", 5000, 500, 600_000),
+                e.durationMs("step", 5000, 500, 600_000),
                 e.number("bound", 0.85, 0.1, 1),
                 e.number("off", 0.25, 0.01, 1));
-        e.end();
+        e.rejectUnknownKeys();
         Control control = t.has("control") ? control(t.table("control"), names) : null;
-        t.end();
-        faults.none();
+        t.rejectUnknownKeys();
+        faults.throwIfAny();
         return new FleetFile(
                 fleet,
                 directory.equals("-") ? null : Path.of(directory),
@@ -261,33 +266,33 @@
                 listen);
     }
 
-    private static Control control(Table table, Set<String> members) {
+    private static Control control(TomlTableReader table, Set<String> members) {
         List<ControlMachine> machines = new ArrayList<>();
         Set<String> known = new HashSet<>();
-        for (Table entry : table.tables("machine")) {
+        for (TomlTableReader entry : table.tables("machine")) {
             ControlMachine machine = new ControlMachine(
-                    entry.text("name", null, NAME),
-                    entry.text("region", null, NAME),
-                    entry.text("address", null, ADDRESS));
-            entry.end();
+                    entry.string("name", null, NAME_PATTERN),
+                    entry.string("region", null, NAME_PATTERN),
+                    entry.string("address", null, ADDRESS_PATTERN));
+            entry.rejectUnknownKeys();
             if (!members.contains(machine.name())) {
-                entry.fault("name", "'" + machine.name() + "' is no member");
+                entry.addFault("name", "'" + machine.name() + "' is no member");
             }
             if (!known.add(machine.name()) || !known.add(machine.address())) {
-                entry.fault("name", "'" + machine.name() + "' or its address is used already");
+                entry.addFault("name", "'" + machine.name() + "' or its address is used already");
             }
             machines.add(machine);
         }
         if (machines.isEmpty()) {
-            table.fault("machine", "nobody serves: name one member at least");
+            table.addFault("machine", "nobody serves: name one member at least");
         }
         ControlLimits usual = ControlLimits.STANDARD;
-        List<String> nodes = table.texts("nodes", NODES);
-        double heartbeat = table.span("heartbeat", usual.heartbeatMs(), 10, 60_000);
-        double silence = table.span("silence", usual.silenceMs(), 30, 600_000);
+        List<String> nodes = table.strings("nodes", NODE_PATTERN);
+        double heartbeat = table.durationMs("heartbeat", usual.heartbeatMs(), 10, 60_000);
+        double silence = table.durationMs("silence", usual.silenceMs(), 30, 600_000);
         double admissions = table.number("admissions", usual.admissionsPerSecond(), 0.1, 1e6);
-        int maxNodes = table.whole("max_nodes", usual.maxSubscribers(), 1, 100_000);
-        table.end();
+        int maxNodes = table.integer("max_nodes", usual.maxSubscribers(), 1, 100_000);
+        table.rejectUnknownKeys();
         try {
             return new Control(
                     machines,
@@ -309,12 +314,12 @@
                             maxNodes,
                             usual.maxUnsubscribed()));
         } catch (IllegalArgumentException e) {
-            table.fault("silence", e.getMessage());
+            table.addFault("silence", e.getMessage());
             return null;
         }
     }
 
-    private static int odd(int n) {
+    private static int largestOddUpTo(int n) {
         return n % 2 == 0 ? Math.max(1, n - 1) : n;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/config/Table.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/TomlTableReader.java
@@ -18,78 +18,79 @@
  * One table of the file while it is read: each value is asked for once, with its range and what holds without it.
  * Faults are kept, and reading goes on with the absent value, so that all are reported in one go.
  */
-final class Table {
-    private static final Pattern SPAN = Pattern.compile("([0-9]+(?:\\.[0-9]+)?) ?(ms|s|min|h)");
-    private static final Map<String, Double> SPANS = Map.of("ms", 1.0, "s", 1e3, "min", 6e4, "h", 3.6e6);
-    private static final Pattern SIZE = Pattern.compile("([0-9]+) ?(B|KiB|MiB|GiB)");
-    private static final Map<String, Long> SIZES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
+final class TomlTableReader {
+    private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]+(?:\\.[0-9]+)?) ?(ms|s|min|h)");
+    private static final Map<String, Double> DURATION_UNITS_MS = Map.of("ms", 1.0, "s", 1e3, "min", 6e4, "h", 3.6e6);
+    private static final Pattern SIZE_PATTERN = Pattern.compile("([0-9]+) ?(B|KiB|MiB|GiB)");
+    private static final Map<String, Long> SIZE_UNITS_BYTES =
+            Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
     /** A fault at its place. */
     private record Fault(int line, int column, String text) {}
 
     /** What all tables of a file share. */
-    static final class Faults {
+    static final class FaultCollector {
         private final String file;
-        private final List<Fault> found = new ArrayList<>();
+        private final List<Fault> faults = new ArrayList<>();
 
-        Faults(String file) {
+        FaultCollector(String file) {
             this.file = file;
         }
 
         void add(TomlPosition at, String key, String why) {
             int line = at == null ? 1 : at.line();
             int column = at == null ? 1 : at.column();
-            found.add(new Fault(line, column, file + ":" + line + ":" + column + ": " + key + ": " + why));
+            faults.add(new Fault(line, column, file + ":" + line + ":" + column + ": " + key + ": " + why));
         }
 
-        void none() throws FileFaults {
-            if (!found.isEmpty()) {
-                found.sort(Comparator.comparingInt(Fault::line).thenComparingInt(Fault::column));
-                throw new FileFaults(found.stream().map(Fault::text).toList());
+        void throwIfAny() throws FleetFileException {
+            if (!faults.isEmpty()) {
+                faults.sort(Comparator.comparingInt(Fault::line).thenComparingInt(Fault::column));
+                throw new FleetFileException(faults.stream().map(Fault::text).toList());
             }
         }
     }
 
     private final String path;
     private final TomlTable toml;
-    private final TomlPosition at;
-    private final Faults faults;
-    private final Set<String> known = new HashSet<>();
+    private final TomlPosition position;
+    private final FaultCollector faults;
+    private final Set<String> readKeys = new HashSet<>();
 
-    Table(String path, TomlTable toml, TomlPosition at, Faults faults) {
+    TomlTableReader(String path, TomlTable toml, TomlPosition at, FaultCollector faults) {
         this.path = path;
         this.toml = toml;
-        this.at = at;
+        this.position = at;
         this.faults = faults;
     }
 
-    private String name(String key) {
+    private String qualifiedKey(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    private TomlPosition place(String key) {
+    private TomlPosition positionOf(String key) {
         TomlPosition p = toml == null ? null : toml.inputPositionOf(List.of(key));
-        return p == null ? at : p;
+        return p == null ? position : p;
     }
 
-    void fault(String key, String why) {
-        faults.add(place(key), name(key), why);
+    void addFault(String key, String why) {
+        faults.add(positionOf(key), qualifiedKey(key), why);
     }
 
     private Object value(String key) {
-        known.add(key);
+        readKeys.add(key);
         return toml == null ? null : toml.get(List.of(key));
     }
 
     /** A text; where there must be one, {@code absent} is null. */
-    String text(String key, String absent, Pattern form) {
+    String string(String key, String absent, Pattern form) {
         Object v = value(key);
         if (v == null && absent == null) {
-            fault(key, "is missing");
+            addFault(key, "is missing");
         } else if (v != null && !(v instanceof String)) {
-            fault(key, "is not a text: " + v);
+            addFault(key, "is not a text: " + v);
         } else if (v != null && !form.matcher((String) v).matches()) {
-            fault(key, "'" + v + "' does not have the form " + form);
+            addFault(key, "'" + v + "' does not have the form " + form);
         } else if (v != null) {
             return (String) v;
         }
@@ -102,17 +103,17 @@
     }
 
     /** A list of texts; an absent one is empty. */
-    List<String> texts(String key, Pattern form) {
+    List<String> strings(String key, Pattern form) {
         Object v = value(key);
         List<String> all = new ArrayList<>();
         if (v != null && !(v instanceof TomlArray)) {
-            fault(key, "is not a list of texts");
+            addFault(key, "is not a list of texts");
         }
         for (int i = 0; v instanceof TomlArray a && i < a.size(); i++) {
             if (a.get(i) instanceof String text && form.matcher(text).matches()) {
                 all.add(text);
             } else {
-                faults.add(a.inputPositionOf(i), name(key) + "[" + i + "]", "does not have the form " + form);
+                faults.add(a.inputPositionOf(i), qualifiedKey(key) + "[" + i + "]", "does not have the form " + form);
             }
         }
         return all;
@@ -125,39 +126,39 @@
         }
         double d = v instanceof Long l ? l : v instanceof Double x ? x : Double.NaN;
         if (!(d >= least && d <= most)) {
-            fault(key, v + " is not a number from " + least + " to " + most);
+            addFault(key, v + " is not a number from " + least + " to " + most);
             return absent;
         }
         return d;
     }
 
-    int whole(String key, int absent, int least, int most) {
+    int integer(String key, int absent, int least, int most) {
         double d = number(key, absent, least, most);
         if (d != Math.rint(d)) {
-            fault(key, d + " is not a whole number");
+            addFault(key, d + " is not a whole number");
         }
         return (int) d;
     }
 
-    boolean flag(String key, boolean absent) {
+    boolean bool(String key, boolean absent) {
         Object v = value(key);
         if (v != null && !(v instanceof Boolean)) {
-            fault(key, "is neither true nor false: " + v);
+            addFault(key, "is neither true nor false: " + v);
         }
         return v instanceof Boolean b ? b : absent;
     }
 
     /** A time in milliseconds, written with its unit. */
-    double span(String key, double absentMs, double leastMs, double mostMs) {
-        String text = text(key, absentMs + "ms", Pattern.compile(".*"));
-        Matcher m = SPAN.matcher(text);
+    double durationMs(String key, double absentMs, double leastMs, double mostMs) {
+        String text = string(key, absentMs + "ms", Pattern.compile(".*"));
+        Matcher m = DURATION_PATTERN.matcher(text);
         if (!m.matches()) {
-            fault(key, "'" + text + "' is not a time such as 250ms or 1.5s");
+            addFault(key, "'" + text + "' is not a time such as 250ms or 1.5s");
             return absentMs;
         }
-        double ms = Double.parseDouble(m.group(1)) * SPANS.get(m.group(2));
+        double ms = Double.parseDouble(m.group(1)) * DURATION_UNITS_MS.get(m.group(2));
         if (!(ms >= leastMs && ms <= mostMs)) {
-            fault(key, text + " is not from " + leastMs + "ms to " + mostMs + "ms");
+            addFault(key, text + " is not from " + leastMs + "ms to " + mostMs + "ms");
             return absentMs;
         }
         return ms;
@@ -165,40 +166,40 @@
 
     /** A size in bytes, written with its unit. */
     long size(String key, long absent, long least, long most) {
-        String text = text(key, absent + "B", Pattern.compile(".*"));
-        Matcher m = SIZE.matcher(text);
+        String text = string(key, absent + "B", Pattern.compile(".*"));
+        Matcher m = SIZE_PATTERN.matcher(text);
         if (!m.matches() || m.group(1).length() > 12) {
-            fault(key, "'" + text + "' is not a size such as 64KiB");
+            addFault(key, "'" + text + "' is not a size such as 64KiB");
             return absent;
         }
-        long bytes = Long.parseLong(m.group(1)) * SIZES.get(m.group(2));
+        long bytes = Long.parseLong(m.group(1)) * SIZE_UNITS_BYTES.get(m.group(2));
         if (bytes < least || bytes > most) {
-            fault(key, text + " is not from " + least + "B to " + most + "B");
+            addFault(key, text + " is not from " + least + "B to " + most + "B");
             return absent;
         }
         return bytes;
     }
 
     /** A table of this one; an absent one is empty. */
-    Table table(String key) {
+    TomlTableReader table(String key) {
         Object v = value(key);
         if (v != null && !(v instanceof TomlTable)) {
-            fault(key, "is not a table");
+            addFault(key, "is not a table");
         }
-        return new Table(name(key), v instanceof TomlTable t ? t : null, place(key), faults);
+        return new TomlTableReader(qualifiedKey(key), v instanceof TomlTable t ? t : null, positionOf(key), faults);
     }
 
     /** A list of tables; an absent one is empty. */
-    List<Table> tables(String key) {
+    List<TomlTableReader> tables(String key) {
         Object v = value(key);
-        List<Table> all = new ArrayList<>();
+        List<TomlTableReader> all = new ArrayList<>();
         if (v != null && !(v instanceof TomlArray)) {
-            fault(key, "is not a list of tables");
+            addFault(key, "is not a list of tables");
         }
         for (int i = 0; v instanceof TomlArray a && i < a.size(); i++) {
-            String item = name(key) + "[" + i + "]";
+            String item = qualifiedKey(key) + "[" + i + "]";
             if (a.get(i) instanceof TomlTable t) {
-                all.add(new Table(item, t, a.inputPositionOf(i), faults));
+                all.add(new TomlTableReader(item, t, a.inputPositionOf(i), faults));
             } else {
                 faults.add(a.inputPositionOf(i), item, "is not a table");
             }
@@ -208,7 +209,7 @@
 
     /** Numbers by name. */
     Map<String, Double> numbers(String key, double least, double most) {
-        Table t = table(key);
+        TomlTableReader t = table(key);
         Map<String, Double> all = new TreeMap<>();
         if (t.toml != null) {
             for (String k : t.toml.keySet()) {
@@ -219,18 +220,18 @@
     }
 
     /** Nobody asked for any other key. */
-    void end() {
+    void rejectUnknownKeys() {
         if (toml == null) {
             return;
         }
         for (String key : toml.keySet()) {
-            if (!known.contains(key)) {
-                String near = known.stream()
+            if (!readKeys.contains(key)) {
+                String near = readKeys.stream()
                         .min(Comparator.comparingInt((String k) ->
                                         LevenshteinDistance.getDefaultInstance().apply(key, k))
                                 .thenComparing(k -> k))
                         .orElse("");
-                fault(key, "is unknown" + (near.isEmpty() ? "" : "; did you mean '" + near + "'?"));
+                addFault(key, "is unknown" + (near.isEmpty() ? "" : "; did you mean '" + near + "'?"));
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
@@ -23,10 +23,10 @@
  */
 public final class AdminHttpServer implements AutoCloseable {
     /** The longest body of a call: a plan or settings. */
-    private static final int LONGEST = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private static final int THREADS = 4;
-    private static final int WAITING = 16;
+    private static final int MAX_WAITING_REQUESTS = 16;
     private static final Logger LOG = LoggerFactory.getLogger(AdminHttpServer.class);
 
     /**
@@ -35,11 +35,11 @@
      * @param done whether it did what it was told; a command exits with 1 where it is false
      * @param text for people, or JSON where that was asked for
      */
-    public record Answer(boolean done, String text) {}
+    public record Reply(boolean succeeded, String text) {}
 
     /** A room's calls. */
     @FunctionalInterface
-    public interface Calls {
+    public interface CommandHandler {
         /**
          * Answers a call.
          *
@@ -47,25 +47,25 @@
          * @param body the file that the command names; empty if none
          * @param json whether a program reads the answer
          */
-        Answer call(List<String> words, byte[] body, boolean json);
+        Reply handle(List<String> words, byte[] body, boolean json);
     }
 
     private final HttpServer server;
     private final ThreadPoolExecutor threads;
 
     /** Listens; fails if the address is not to be had. */
-    public AdminHttpServer(InetSocketAddress at, PrometheusMeterRegistry metrics, Map<String, Calls> rooms)
+    public AdminHttpServer(InetSocketAddress at, PrometheusMeterRegistry metrics, Map<String, CommandHandler> rooms)
             throws IOException {
         // Guards the few threads against callers that send nothing: by default the server waits for them for ever.
         System.setProperty("sun.net.httpserver.maxReqTime", "10");
         System.setProperty("sun.net.httpserver.maxRspTime", "10");
-        server = HttpServer.create(at, WAITING);
+        server = HttpServer.create(at, MAX_WAITING_REQUESTS);
         threads = new ThreadPoolExecutor(
                 THREADS,
                 THREADS,
                 1,
                 TimeUnit.MINUTES,
-                new ArrayBlockingQueue<>(WAITING),
+                new ArrayBlockingQueue<>(MAX_WAITING_REQUESTS),
                 r -> {
                     Thread t = new Thread(r, "fleet-page");
                     t.setDaemon(true);
@@ -75,12 +75,12 @@
         server.setExecutor(threads);
         server.createContext("/metrics", x -> {
             try (x) {
-                answer(x, 200, "text/plain; version=0.0.4; charset=utf-8", metrics.scrape());
+                respond(x, 200, "text/plain; version=0.0.4; charset=utf-8", metrics.scrape());
             }
         });
         server.createContext("/call/", x -> {
             try (x) {
-                call(x, rooms);
+                handleCall(x, rooms);
             }
         });
         server.start();
@@ -91,35 +91,35 @@
         return server.getAddress();
     }
 
-    private static void call(HttpExchange x, Map<String, Calls> rooms) throws IOException {
+    private static void handleCall(HttpExchange x, Map<String, CommandHandler> rooms) throws IOException {
         byte[] body;
         try (InputStream in = x.getRequestBody()) {
-            body = in.readNBytes(LONGEST + 1);
+            body = in.readNBytes(MAX_BODY_BYTES + 1);
         }
         List<String> words = new ArrayList<>();
         for (String part :
                 x.getRequestURI().getRawPath().substring("/call/".length()).split("/")) {
             words.add(URLDecoder.decode(part, StandardCharsets.UTF_8));
         }
-        Calls room = rooms.get(words.remove(0));
-        if (!x.getRequestMethod().equals("POST") || body.length > LONGEST || room == null) {
-            answer(x, room == null ? 404 : body.length > LONGEST ? 413 : 405, "text/plain", "");
+        CommandHandler room = rooms.get(words.remove(0));
+        if (!x.getRequestMethod().equals("POST") || body.length > MAX_BODY_BYTES || room == null) {
+            respond(x, room == null ? 404 : body.length > MAX_BODY_BYTES ? 413 : 405, "text/plain", "");
             return;
         }
         boolean json = "json".equals(x.getRequestURI().getQuery());
-        Answer a;
+        Reply a;
         try {
-            a = room.call(words, body, json);
+            a = room.handle(words, body, json);
         } catch (IllegalArgumentException e) {
-            a = new Answer(false, e.getMessage());
+            a = new Reply(false, e.getMessage());
         } catch (RuntimeException e) {
             LOG.error("call {} failed", words, e);
-            a = new Answer(false, "failed: " + e);
+            a = new Reply(false, "failed: " + e);
         }
-        answer(x, a.done() ? 200 : 409, json ? "application/json" : "text/plain; charset=utf-8", a.text());
+        respond(x, a.succeeded() ? 200 : 409, json ? "application/json" : "text/plain; charset=utf-8", a.text());
     }
 
-    private static void answer(HttpExchange x, int status, String type, String text) throws IOException {
+    private static void respond(HttpExchange x, int status, String type, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         x.getResponseHeaders().set("Content-Type", type);
         x.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
--- a/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
@@ -20,7 +20,7 @@
 /** A control machine in a process: a member of the agreement that passes agreed values on to the nodes. */
 public final class ControlService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlService.class);
-    private static final long REPORT_MS = 1000;
+    private static final long REPORT_INTERVAL_MS = 1000;
 
     private final FleetNode member;
     private final ControlServer server;
@@ -43,7 +43,7 @@
             throw new IllegalArgumentException("the fleet's file names no control machine '" + name + "'");
         }
         member = new FleetNode(file, name, clock);
-        AgreementMember agreed = member.agreed();
+        AgreementMember agreed = member.agreement();
         int colon = machine.address().lastIndexOf(':');
         InetSocketAddress address = new InetSocketAddress(
                 machine.address().substring(0, colon),
@@ -59,7 +59,7 @@
                 agreed::confirmed,
                 member.metrics());
         exchange = new ReportExchange(member.links(), clock);
-        member.statusOfNodes(() -> FleetStatus.text(exchange.all()));
+        member.nodeStatusSupplier(() -> FleetStatus.text(exchange.all()));
         agreed.listen(value -> agreed.known(value)
                 .ifPresent(known -> server.publish(new Resource(known.name(), known.generation(), known.content()))));
     }
@@ -68,11 +68,11 @@
     public void start() throws IOException {
         member.start();
         server.start();
-        timer.scheduleWithFixedDelay(this::report, REPORT_MS, REPORT_MS, TimeUnit.MILLISECONDS);
-        LOG.info("control machine {} serves nodes at {}", member.me().name(), server.address());
+        timer.scheduleWithFixedDelay(this::sendReport, REPORT_INTERVAL_MS, REPORT_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        LOG.info("control machine {} serves nodes at {}", member.self().name(), server.address());
     }
 
-    private void report() {
+    private void sendReport() {
         try {
             exchange.send(server.report());
         } catch (RuntimeException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -32,11 +32,11 @@
 /** A member of the fleet in a process: its links, its copy of the records, its part of the agreement, and its page. */
 public final class FleetNode implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FleetNode.class);
-    private static final double AGREED_BEAT_MS = 150;
-    private static final int AGREED_PATIENCE = 5;
-    private static final double LONGEST_ROLE_MS = 60_000;
+    private static final double AGREEMENT_HEARTBEAT_MS = 150;
+    private static final int LEADER_TIMEOUT_HEARTBEATS = 5;
+    private static final double MAX_ROLE_LEASE_MS = 60_000;
     /** How long staff wait for a majority. */
-    private static final double PATIENCE_MS = 10_000;
+    private static final double MAJORITY_TIMEOUT_MS = 10_000;
 
     /** Counts of the links that come into being only with their first event. */
     private static final List<String> LINK_COUNTS = List.of(
@@ -53,15 +53,15 @@
             "frames_unreadable");
 
     private final FleetFile file;
-    private final Member me;
+    private final Member self;
     private final ReplicaDisk disk;
     private final TcpPeerLinks links;
     private final ReplicaNode replica;
-    private final AgreementMember agreed;
+    private final AgreementMember agreement;
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final Map<String, AdminHttpServer.Calls> rooms = new LinkedHashMap<>();
-    private AdminHttpServer page;
-    private Supplier<String> statusOfNodes = () -> "";
+    private final Map<String, AdminHttpServer.CommandHandler> commandHandlers = new LinkedHashMap<>();
+    private AdminHttpServer adminServer;
+    private Supplier<String> nodeStatusSupplier = () -> "";
 
     /**
      * A member that is not started; its disk is read.
@@ -71,8 +71,8 @@
      */
     public FleetNode(FleetFile file, String name, Clock clock) throws IOException {
         this.file = file;
-        me = file.member(name);
-        if (me == null) {
+        self = file.member(name);
+        if (self == null) {
             throw new IllegalArgumentException("the fleet's file names no member '" + name + "'");
         }
         Path directory = file.directory() == null ? null : file.directory().resolve(name);
@@ -82,21 +82,21 @@
         FleetFile.Links l = file.links();
         List<Member> peers =
                 file.members().stream().filter(m -> !m.name().equals(name)).toList();
-        String listenAddress = file.listen().getOrDefault(name, me.address());
+        String listenAddress = file.listenAddresses().getOrDefault(name, self.address());
         links = new TcpPeerLinks(
-                me,
+                self,
                 listenAddress,
                 life,
                 file.fleet(),
                 peers,
                 clock,
                 new PeerLimits(
-                        l.frameBytes(),
-                        l.queueBytes(),
+                        l.maxFrameBytes(),
+                        l.maxQueueBytes(),
                         usual.queueMessages(),
-                        l.beatMs(),
-                        l.suspectMs(),
-                        l.goneMs(),
+                        l.heartbeatMs(),
+                        l.suspectAfterMs(),
+                        l.deadAfterMs(),
                         usual.handshakeMs(),
                         usual.dialMinMs(),
                         usual.dialMaxMs(),
@@ -106,9 +106,9 @@
                 links,
                 disk,
                 clock,
-                ReplicationLimits.DEFAULT.sending(file.replica().bytesPerSecond()));
-        FleetFile.Agreement a = file.agreed();
-        agreed = new AgreementMember(
+                ReplicationLimits.DEFAULT.sending(file.replication().bytesPerSecond()));
+        FleetFile.Agreement a = file.agreement();
+        agreement = new AgreementMember(
                 links,
                 directory,
                 clock,
@@ -118,10 +118,10 @@
                                 .map(Member::name)
                                 .limit(a.voters())
                                 .toList(),
-                        new LeaseTerms(a.leaseMs(), a.drift()),
-                        AGREED_BEAT_MS,
-                        AGREED_PATIENCE,
-                        LONGEST_ROLE_MS,
+                        new LeaseTerms(a.leaseMs(), a.maxClockDrift()),
+                        AGREEMENT_HEARTBEAT_MS,
+                        LEADER_TIMEOUT_HEARTBEATS,
+                        MAX_ROLE_LEASE_MS,
                         life));
         Set<String> shown = new TreeSet<>(links.figures().keySet());
         shown.addAll(LINK_COUNTS);
@@ -136,23 +136,25 @@
         Gauge.builder("fleet.replica.on.disk", () -> replica.figures().onDisk() ? 1 : 0)
                 .description("1 while the disk takes what the replica writes; 0 without a disk")
                 .register(metrics);
-        agreed.bind(metrics);
-        rooms.put("state", new StateAdminHandler(replica));
-        SettingsAdminHandler settings = new SettingsAdminHandler(agreed, PATIENCE_MS);
-        rooms.put("settings", (words, body, json) -> {
-            SettingsAdminHandler.Reply r = settings(settings, words, new String(body, StandardCharsets.UTF_8));
-            return new AdminHttpServer.Answer(
-                    r.done(), words.equals(List.of("status")) ? r.text() + statusOfNodes.get() : r.text());
+        agreement.bind(metrics);
+        commandHandlers.put("state", new StateAdminHandler(replica));
+        SettingsAdminHandler settings = new SettingsAdminHandler(agreement, MAJORITY_TIMEOUT_MS);
+        commandHandlers.put("settings", (words, body, json) -> {
+            SettingsAdminHandler.Reply r =
+                    runSettingsCommand(settings, words, new String(body, StandardCharsets.UTF_8));
+            return new AdminHttpServer.Reply(
+                    r.done(), words.equals(List.of("status")) ? r.text() + nodeStatusSupplier.get() : r.text());
         });
     }
 
-    private static SettingsAdminHandler.Reply settings(SettingsAdminHandler calls, List<String> words, String file) {
+    private static SettingsAdminHandler.Reply runSettingsCommand(
+            SettingsAdminHandler calls, List<String> words, String file) {
         String name = words.size() > 1 && !words.get(0).equals("withdraw") ? words.get(1) : AgreedValues.SETTINGS;
         return switch (words.get(0)) {
             case "propose" -> calls.propose(name, file, -1);
             case "show" -> calls.show(name);
             case "history" -> calls.history(name);
-            case "withdraw" -> calls.withdraw(AgreedValues.SETTINGS, generation(words));
+            case "withdraw" -> calls.withdraw(AgreedValues.SETTINGS, parseGeneration(words));
             case "status" -> calls.status();
             default ->
                 throw new IllegalArgumentException(
@@ -160,7 +162,7 @@
         };
     }
 
-    private static long generation(List<String> words) {
+    private static long parseGeneration(List<String> words) {
         try {
             return Long.parseLong(words.size() > 1 ? words.get(1) : "");
         } catch (NumberFormatException e) {
@@ -175,8 +177,8 @@
     }
 
     /** Itself, as the file has it. */
-    public Member me() {
-        return me;
+    public Member self() {
+        return self;
     }
 
     /** Its links. */
@@ -190,8 +192,8 @@
     }
 
     /** Its part of the agreement. */
-    public AgreementMember agreed() {
-        return agreed;
+    public AgreementMember agreement() {
+        return agreement;
     }
 
     /** Its figures. */
@@ -200,31 +202,31 @@
     }
 
     /** What {@code settings status} says of nodes beside the agreement; before {@link #start}. */
-    public void statusOfNodes(Supplier<String> status) {
-        statusOfNodes = status;
+    public void nodeStatusSupplier(Supplier<String> status) {
+        nodeStatusSupplier = status;
     }
 
     /** A room of this member that staff may call; before {@link #start}. */
-    public void room(String name, AdminHttpServer.Calls calls) {
-        rooms.put(name, calls);
+    public void addCommandHandler(String name, AdminHttpServer.CommandHandler calls) {
+        commandHandlers.put(name, calls);
     }
 
     /** Begins; fails if an address is not to be had. */
     public void start() throws IOException {
         replica.start();
-        agreed.start();
+        agreement.start();
         links.start();
-        String at = file.page().get(me.name());
+        String at = file.adminAddresses().get(self.name());
         if (at != null) {
             int colon = at.lastIndexOf(':');
-            page = new AdminHttpServer(
+            adminServer = new AdminHttpServer(
                     new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
                     metrics,
-                    rooms);
+                    commandHandlers);
         }
         LOG.info(
                 "member {} of fleet {}, life {}, {} peers, {} disk",
-                me.name(),
+                self.name(),
                 file.fleet(),
                 links.life(),
                 links.peers().size(),
@@ -232,16 +234,16 @@
     }
 
     /** Where its page is; null if it has none. */
-    public InetSocketAddress page() {
-        return page == null ? null : page.address();
+    public InetSocketAddress adminServer() {
+        return adminServer == null ? null : adminServer.address();
     }
 
     @Override
     public void close() {
-        if (page != null) {
-            page.close();
+        if (adminServer != null) {
+            adminServer.close();
         }
-        agreed.close();
+        agreement.close();
         links.close();
         replica.close();
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -32,10 +32,10 @@
  */
 public final class FleetParticipant implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(FleetParticipant.class);
-    private static final long POOLS_MS = 1000;
-    private static final long DEMAND_MS = 500;
+    private static final long POOL_REPORT_INTERVAL_MS = 1000;
+    private static final long DEMAND_REPORT_INTERVAL_MS = 500;
 
-    private final FleetFile file;
+    private final FleetFile fleetFile;
     private final Config config;
     private final String pool;
     private final ObjectMapper json = new ObjectMapper();
@@ -44,49 +44,51 @@
         t.setDaemon(true);
         return t;
     });
-    private FleetNode fleet;
-    private final Set<String> wanted = new HashSet<>();
-    private final Set<String> reported = new HashSet<>();
+    private FleetNode member;
+    private final Set<String> publishedDemandKeys = new HashSet<>();
+    private final Set<String> publishedPoolKeys = new HashSet<>();
 
     /** The part of the node that this configuration names. */
     public FleetParticipant(FleetFile file, Config config) {
-        this.file = file;
+        this.fleetFile = file;
         this.config = config;
         pool = "tier-" + config.settings().tier();
     }
 
     @Override
-    public void begin(Node node) throws IOException {
+    public void onStarting(Node node) throws IOException {
         Clock clock = Clock.system();
-        fleet = new FleetNode(file, config.name(), clock);
-        double slots = file.shares() == null ? 0 : file.shares().connectionsPerServer();
-        PoolReports reports = new PoolReports(
+        member = new FleetNode(fleetFile, config.name(), clock);
+        double slots = fleetFile.shares() == null ? 0 : fleetFile.shares().connectionsPerServer();
+        PoolReporter reports = new PoolReporter(
                 pool,
                 slots,
                 config.settings().coldCapacityRatio(),
                 config.settings().warmUpTime() / 1000.0);
-        CommandFilter orders = new CommandFilter(file.agreed().drift());
-        fleet.links().receive(MessageStream.EVACUATION, (peer, life, body) -> {
+        CommandFilter orders = new CommandFilter(fleetFile.agreement().maxClockDrift());
+        member.links().receive(MessageStream.EVACUATION, (peer, life, body) -> {
             try {
-                take(orders, WeightCommand.read(body), clock.nowMs(), node);
+                applyCommand(orders, WeightCommand.read(body), clock.nowMs(), node);
             } catch (IOException e) {
                 LOG.warn("{} sends what is no order: {}", peer, e.getMessage());
             }
         });
-        fleet.start();
+        member.start();
         node.startObserving();
-        every(POOLS_MS, () -> publish(RecordSpace.POOLS, reports.report(node.observation()), reported));
-        every(DEMAND_MS, () -> {
+        scheduleEvery(
+                POOL_REPORT_INTERVAL_MS,
+                () -> publish(RecordSpace.POOLS, reports.report(node.observation()), publishedPoolKeys));
+        scheduleEvery(DEMAND_REPORT_INTERVAL_MS, () -> {
             List<TenantUse> all = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
             all.forEach(u -> uses.put(
                     pool + "/" + u.tenant(), new PoolUse(u.demand(), u.used(), u.rejectedPerSecond(), u.meanMs())));
-            publish(RecordSpace.DEMAND, uses, wanted);
+            publish(RecordSpace.DEMAND, uses, publishedDemandKeys);
         });
     }
 
     /** Peers' threads bring orders; one at a time is looked at. */
-    private static void take(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
+    private static void applyCommand(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
         synchronized (orders) {
             orders.take(order, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
         }
@@ -96,19 +98,19 @@
     private void publish(RecordSpace space, Map<String, ?> now, Set<String> before) {
         now.forEach((key, value) -> {
             try {
-                fleet.replica().put(space, key, json.writeValueAsBytes(value));
+                member.replica().put(space, key, json.writeValueAsBytes(value));
             } catch (JsonProcessingException e) {
                 throw new IllegalStateException(e);
             }
         });
         before.stream()
                 .filter(k -> !now.containsKey(k))
-                .forEach(k -> fleet.replica().remove(space, k));
+                .forEach(k -> member.replica().remove(space, k));
         before.clear();
         before.addAll(now.keySet());
     }
 
-    private void every(long ms, Runnable work) {
+    private void scheduleEvery(long ms, Runnable work) {
         timer.scheduleWithFixedDelay(
                 () -> {
                     try {
@@ -124,8 +126,8 @@
     }
 
     @Override
-    public void end() {
+    public void onStopped() {
         timer.shutdownNow();
-        fleet.close();
+        member.close();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
@@ -33,15 +33,15 @@
  */
 public final class NodeSubscription implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(NodeSubscription.class);
-    private static final long RECONCILE_MS = 1000;
-    private static final String APPLIED_FIGURE = "proxy.config_applied:";
+    private static final long RECONCILE_INTERVAL_MS = 1000;
+    private static final String RELOAD_COUNTER = "proxy.config_applied:";
 
-    private final FleetFile file;
+    private final FleetFile fleetFile;
     private final Path configFile;
     private final String region;
-    private final Config started;
+    private final Config startConfig;
     /** By resource: the key of the configuration that its content stands for. */
-    private final Map<String, String> keys = new TreeMap<>();
+    private final Map<String, String> configKeys = new TreeMap<>();
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -49,9 +49,9 @@
     private ControlClient client;
 
     // The event loop's only.
-    private final Map<String, String> contents = new TreeMap<>();
+    private final Map<String, String> appliedContents = new TreeMap<>();
     private long ownReloads;
-    private long reloadsSeen;
+    private long handledReloads;
 
     /**
      * The subscription of the node that this configuration names.
@@ -66,31 +66,32 @@
         if (file.control() == null) {
             throw new IllegalArgumentException("the fleet's file names no control machine");
         }
-        this.file = file;
+        this.fleetFile = file;
         this.configFile = configFile;
         this.region = region;
-        this.started = started;
-        keys.put("settings/tier-" + started.settings().tier(), "settings");
-        keys.put("list/tier-" + started.settings().tier(), "known");
+        this.startConfig = started;
+        configKeys.put("settings/tier-" + started.settings().tier(), "settings");
+        configKeys.put("list/tier-" + started.settings().tier(), "known");
     }
 
     @Override
-    public void begin(Node served) {
+    public void onStarting(Node served) {
         node = served;
         client = new ControlClient(
                 new ControlClient.Settings(
-                        file.fleet(),
-                        started.name(),
+                        fleetFile.fleet(),
+                        startConfig.name(),
                         region,
-                        file.control().machines(),
-                        List.copyOf(keys.keySet()),
-                        file.control().limits()),
+                        fleetFile.control().machines(),
+                        List.copyOf(configKeys.keySet()),
+                        fleetFile.control().limits()),
                 loop,
                 Clock.system(),
                 new SplittableRandom(),
                 this::apply);
         client.start();
-        loop.scheduleWithFixedDelay(this::reconcile, RECONCILE_MS, RECONCILE_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::reconcile, RECONCILE_INTERVAL_MS, RECONCILE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** How the subscription stands. */
@@ -99,10 +100,10 @@
     }
 
     private Optional<String> apply(Resource resource) {
-        Map<String, String> next = new TreeMap<>(contents);
-        next.put(keys.get(resource.name()), new String(resource.content(), StandardCharsets.UTF_8));
+        Map<String, String> next = new TreeMap<>(appliedContents);
+        next.put(configKeys.get(resource.name()), new String(resource.content(), StandardCharsets.UTF_8));
         try {
-            reload(merged(next));
+            reload(mergeIntoFile(next));
         } catch (IllegalArgumentException | IOException e) {
             LOG.warn(
                     "version {} of {} can't be used, the one before stays: {}",
@@ -111,18 +112,18 @@
                     e.getMessage());
             return Optional.of(String.valueOf(e.getMessage()));
         }
-        contents.clear();
-        contents.putAll(next);
+        appliedContents.clear();
+        appliedContents.putAll(next);
         LOG.info("acts by version {} of {}", resource.version(), resource.name());
         return Optional.empty();
     }
 
     /** The file's configuration with these contents in their places; checked as a reload is. */
-    private Config merged(Map<String, String> with) throws IOException {
+    private Config mergeIntoFile(Map<String, String> with) throws IOException {
         JsonObject whole = StrictJson.parse(Files.readString(configFile)).asObject();
         with.forEach((key, content) -> whole.set(key, StrictJson.parse(content)));
         Config config = Config.parse(whole.toString()).withManagement(System.getenv("PROXY_MGMT"));
-        started.schema().requireSameKeysIn(config.schema());
+        startConfig.schema().requireSameKeysIn(config.schema());
         return config;
     }
 
@@ -134,28 +135,28 @@
     /** After a SIGHUP the file's settings hold: what was agreed is put back in its place. */
     private void reconcile() {
         try {
-            long reloads = reloads(node.metricsText());
-            long others = reloads - reloadsSeen - ownReloads;
-            if (reloads <= reloadsSeen) {
+            long reloads = countReloads(node.metricsText());
+            long others = reloads - handledReloads - ownReloads;
+            if (reloads <= handledReloads) {
                 return;
             }
-            reloadsSeen = reloads;
+            handledReloads = reloads;
             ownReloads = Math.max(0, -others);
-            if (others > 0 && !contents.isEmpty()) {
+            if (others > 0 && !appliedContents.isEmpty()) {
                 LOG.info("the file was read anew; agreed values are put back in their place");
-                reload(merged(contents));
+                reload(mergeIntoFile(appliedContents));
             }
         } catch (IllegalArgumentException | IOException e) {
             LOG.warn("agreed values can't be put back: {}", e.getMessage());
         }
     }
 
-    private static long reloads(String figures) {
-        int at = figures.indexOf(APPLIED_FIGURE);
+    private static long countReloads(String figures) {
+        int at = figures.indexOf(RELOAD_COUNTER);
         if (at < 0) {
             return 0;
         }
-        int end = at + APPLIED_FIGURE.length();
+        int end = at + RELOAD_COUNTER.length();
         int begin = end;
         while (end < figures.length() && Character.isDigit(figures.charAt(end))) {
             end++;
@@ -164,7 +165,7 @@
     }
 
     @Override
-    public void end() {
+    public void onStopped() {
         client.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReports.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
@@ -14,20 +14,20 @@
  * Turns what a node counted into records of its pools: what went there over the last seconds, and what answers took.
  * Plain values in and out; one thread.
  */
-final class PoolReports {
+final class PoolReporter {
     /** What lies further back counts no more; milliseconds. */
-    private static final double OVER_MS = 10_000;
+    private static final double WINDOW_MS = 10_000;
     /** A mean of fewer answers says nothing of the time at ease. */
-    private static final long ENOUGH = 20;
+    private static final long MIN_LATENCY_SAMPLES = 20;
     /** The least mean rises by so much a report, so that servers that became slower for good are not measured by it. */
-    private static final double RISE = 1.0005;
+    private static final double BASELINE_GROWTH_FACTOR = 1.0005;
 
     private final String tier;
-    private final double connections;
-    private final double coldFrom;
-    private final double coldMs;
-    private final ArrayDeque<TrafficSnapshot> seen = new ArrayDeque<>();
-    private final Map<PoolKey, Double> leastMs = new HashMap<>();
+    private final double connectionsPerWeight;
+    private final double initialCapacityRatio;
+    private final double warmUpMs;
+    private final ArrayDeque<TrafficSnapshot> snapshots = new ArrayDeque<>();
+    private final Map<PoolKey, Double> baselineLatencyMs = new HashMap<>();
 
     /**
      * Reports of one node.
@@ -37,20 +37,20 @@
      * @param coldFrom the part of its speed that a server has at its start
      * @param coldMs after what time it has all, in milliseconds
      */
-    PoolReports(String tier, double connections, double coldFrom, double coldMs) {
+    PoolReporter(String tier, double connections, double coldFrom, double coldMs) {
         this.tier = tier;
-        this.connections = connections;
-        this.coldFrom = coldFrom;
-        this.coldMs = coldMs;
+        this.connectionsPerWeight = connections;
+        this.initialCapacityRatio = coldFrom;
+        this.warmUpMs = coldMs;
     }
 
     /** The records by key, {@code tier/zone/kind/class}, as they are once this snapshot was taken. */
     Map<String, PoolObservation> report(TrafficSnapshot now) {
-        while (seen.size() > 1 && now.atMs() - seen.peekFirst().atMs() > OVER_MS) {
-            seen.pollFirst();
+        while (snapshots.size() > 1 && now.atMs() - snapshots.peekFirst().atMs() > WINDOW_MS) {
+            snapshots.pollFirst();
         }
         Map<String, PoolObservation> all = new TreeMap<>();
-        TrafficSnapshot before = seen.peekFirst();
+        TrafficSnapshot before = snapshots.peekFirst();
         if (before != null && now.atMs() > before.atMs()) {
             double seconds = (now.atMs() - before.atMs()) / 1000;
             Map<String, Double> refused = new HashMap<>();
@@ -61,17 +61,19 @@
                     .forEach((k, t) -> firstOfClass.merge(
                             k.className(),
                             t.firstAttempts()
-                                    - before.pools().getOrDefault(k, NONE).firstAttempts(),
+                                    - before.pools()
+                                            .getOrDefault(k, EMPTY_TALLY)
+                                            .firstAttempts(),
                             Long::sum));
             now.pools().forEach((k, t) -> {
-                PoolTally was = before.pools().getOrDefault(k, NONE);
+                PoolTally was = before.pools().getOrDefault(k, EMPTY_TALLY);
                 // What was turned away went nowhere: it counts with each pool by its part of what did go.
                 double part = firstOfClass.get(k.className()) == 0
                         ? 0
                         : (t.firstAttempts() - was.firstAttempts()) / (double) firstOfClass.get(k.className());
                 all.put(
-                        name(k) + "/" + k.className(),
-                        one(
+                        poolName(k) + "/" + k.className(),
+                        observe(
                                 k,
                                 t,
                                 was,
@@ -80,24 +82,25 @@
                                 now.servers().getOrDefault(new PoolKey(k.zone(), k.weight(), ""), 0)));
             });
         }
-        seen.addLast(now);
+        snapshots.addLast(now);
         return all;
     }
 
-    private static final PoolTally NONE = new PoolTally(0, 0, 0, 0, 0, 0, 0, 0);
+    private static final PoolTally EMPTY_TALLY = new PoolTally(0, 0, 0, 0, 0, 0, 0, 0);
 
-    private PoolName name(PoolKey k) {
+    private PoolName poolName(PoolKey k) {
         // Servers of one zone and weight are one pool: nothing else in a list tells kinds apart.
         return new PoolName(tier, k.zone().isEmpty() ? "-" : k.zone().replace('/', '_'), "w" + k.weight());
     }
 
-    private PoolObservation one(PoolKey k, PoolTally now, PoolTally was, double seconds, double refused, int servers) {
+    private PoolObservation observe(
+            PoolKey k, PoolTally now, PoolTally was, double seconds, double refused, int servers) {
         long served = now.served() - was.served();
         long ended = served + now.failed() - was.failed();
         double mean = served == 0 ? 0 : (now.sumMs() - was.sumMs()) / served;
         double square = served == 0 ? 0 : (now.sumSquaredMs() - was.sumSquaredMs()) / served;
-        if (served >= ENOUGH) {
-            leastMs.merge(k, mean, (old, m) -> Math.min(old * RISE, m));
+        if (served >= MIN_LATENCY_SAMPLES) {
+            baselineLatencyMs.merge(k, mean, (old, m) -> Math.min(old * BASELINE_GROWTH_FACTOR, m));
         }
         return new PoolObservation(
                 (now.firstAttempts() - was.firstAttempts()) / seconds,
@@ -106,15 +109,15 @@
                 servers,
                 0,
                 (now.inFlightMs() - was.inFlightMs()) / (seconds * 1000),
-                leastMs.getOrDefault(k, 0.0),
+                baselineLatencyMs.getOrDefault(k, 0.0),
                 mean,
                 mean == 0 ? 0 : Math.max(0, square / (mean * mean) - 1),
                 ended == 0 ? 0 : (now.failed() - was.failed()) / (double) ended,
                 seconds * 1000,
                 -1,
-                connections * k.weight(),
-                coldFrom,
-                coldMs,
+                connectionsPerWeight * k.weight(),
+                initialCapacityRatio,
+                warmUpMs,
                 1,
                 0);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** Answers {@code state status} and {@code state diff}: how far each member is, and which copies differ. */
-final class StateAdminHandler implements AdminHttpServer.Calls {
+final class StateAdminHandler implements AdminHttpServer.CommandHandler {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final ReplicaNode replica;
 
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public AdminHttpServer.Answer call(List<String> words, byte[] body, boolean json) {
+    public AdminHttpServer.Reply handle(List<String> words, byte[] body, boolean json) {
         return switch (words.isEmpty() ? "" : words.get(0)) {
             case "status" -> status(json);
             case "diff" -> diff(json);
@@ -28,7 +28,7 @@
         };
     }
 
-    private AdminHttpServer.Answer status(boolean json) {
+    private AdminHttpServer.Reply status(boolean json) {
         Replica.Level level = replica.level();
         List<ReplicaNode.Status> all = replica.status();
         if (json) {
@@ -36,7 +36,7 @@
             out.put("level", level);
             out.put("members", all);
             out.put("figures", replica.figures());
-            return new AdminHttpServer.Answer(true, json(out));
+            return new AdminHttpServer.Reply(true, toJson(out));
         }
         StringBuilder s = new StringBuilder(String.format(
                 Locale.ROOT,
@@ -64,22 +64,22 @@
                     m.standing().label(),
                     m.aside() == null ? "" : m.aside()));
         }
-        return new AdminHttpServer.Answer(true, s.toString());
+        return new AdminHttpServer.Reply(true, s.toString());
     }
 
-    private AdminHttpServer.Answer diff(boolean json) {
+    private AdminHttpServer.Reply diff(boolean json) {
         List<Difference> found = replica.diff();
         if (json) {
-            return new AdminHttpServer.Answer(true, json(found));
+            return new AdminHttpServer.Reply(true, toJson(found));
         }
         StringBuilder s = new StringBuilder(found.size() + " differences found\n");
         for (Difference d : found) {
             s.append(d).append('\n');
         }
-        return new AdminHttpServer.Answer(true, s.toString());
+        return new AdminHttpServer.Reply(true, s.toString());
     }
 
-    private static String json(Object o) {
+    private static String toJson(Object o) {
         try {
             return JSON.writeValueAsString(o);
         } catch (JsonProcessingException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -51,14 +51,14 @@
  */
 public final class StateMember implements AutoCloseable {
     /** Own records of this space are written and told of. */
-    private static final RecordSpace OWN = RecordSpace.SERVERS;
-
-    private static final RecordSpace COUNTED = RecordSpace.ATTEMPTS;
-    private static final double PROPOSED_WITHIN_MS = 5000;
-    private static final long SAMPLE_MS = 10;
-    private static final double SAY_EACH_MS = 200;
-    private static final int MOST_WAITING = 20_000;
-    private static final int MOST_NAMES = 64;
+    private static final RecordSpace REGISTER_SPACE = RecordSpace.SERVERS;
+
+    private static final RecordSpace COUNTER_SPACE = RecordSpace.ATTEMPTS;
+    private static final double PROPOSAL_TIMEOUT_MS = 5000;
+    private static final long SAMPLE_INTERVAL_MS = 10;
+    private static final double REPORT_INTERVAL_MS = 200;
+    private static final int MAX_QUEUED_LINES = 20_000;
+    private static final int MAX_WATCHED_NAMES = 64;
     /** The state of a role that this member does not hold, in place of a token. */
     private static final String NOT_HELD = "none";
 
@@ -85,13 +85,13 @@
         @Parameter(names = "--fleet", description = "The fleet's name")
         String fleet = "laboratory";
 
-        Member me() {
+        Member self() {
             return new Member(name, listen, zone);
         }
 
         /** All members, this one too, in the same order at each of them. */
         List<Member> members() {
-            List<Member> all = new ArrayList<>(List.of(me()));
+            List<Member> all = new ArrayList<>(List.of(self()));
             for (String p : peers) {
                 int is = p.indexOf('=');
                 int slash = p.lastIndexOf('/');
@@ -108,75 +108,75 @@
     /** What a member was last seen to act by or to hold, and since when. */
     private static final class Span {
         Object state;
-        double from;
-        double until;
-        double said;
+        double observedSinceMs;
+        double observedUntilMs;
+        double reportedAtMs;
     }
 
     private final ObjectMapper json = new ObjectMapper();
-    private final BlockingQueue<String> out = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final AtomicLong dropped = new AtomicLong();
+    private final BlockingQueue<String> outputQueue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final AtomicLong droppedLines = new AtomicLong();
     private final PeerLinks links;
     private final Replica replica;
-    private final AgreedValues agreed;
-    private final Map<String, Span> watched = new ConcurrentHashMap<>();
-    private final Map<String, Span> roles = new ConcurrentHashMap<>();
-    private final Map<String, List<String>> contents = new ConcurrentHashMap<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final AgreedValues agreement;
+    private final Map<String, Span> watchedValues = new ConcurrentHashMap<>();
+    private final Map<String, Span> watchedRoles = new ConcurrentHashMap<>();
+    private final Map<String, List<String>> watchedContents = new ConcurrentHashMap<>();
+    private final CountDownLatch stopRequested = new CountDownLatch(1);
     private final Thread sampler;
-    private final Thread teller;
-    private final Span level = new Span();
+    private final Thread writer;
+    private final Span syncState = new Span();
 
     /** A member with its parts, which are not started yet; its lines go there. */
     StateMember(PeerLinks links, Replica replica, AgreedValues agreed, PrintStream to) {
         this.links = links;
         this.replica = replica;
-        this.agreed = agreed;
-        replica.listen(this::changed);
-        sampler = daemon(this::sample, "sample");
-        teller = daemon(() -> print(to), "tell");
+        this.agreement = agreed;
+        replica.listen(this::onRecordChanged);
+        sampler = createDaemon(this::sample, "sample");
+        writer = createDaemon(() -> writeLines(to), "tell");
     }
 
-    private static Thread daemon(Runnable task, String name) {
+    private static Thread createDaemon(Runnable task, String name) {
         Thread t = new Thread(task, name);
         t.setDaemon(true);
         return t;
     }
 
-    private static double now() {
+    private static double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
     /** Starts to tell; its parts run. */
     void start() {
-        teller.start();
-        say(now(), "ready", Map.of("life", links.life()));
+        writer.start();
+        report(nowMs(), "ready", Map.of("life", links.life()));
         sampler.start();
     }
 
-    private void say(double at, String what, Map<String, ?> more) {
+    private void report(double at, String what, Map<String, ?> more) {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("at", at);
         line.put("what", what);
         line.putAll(more);
         try {
             // Guards against a reader that does not read: no thread of the fleet's waits for it.
-            if (!out.offer(json.writeValueAsString(line))) {
-                dropped.incrementAndGet();
+            if (!outputQueue.offer(json.writeValueAsString(line))) {
+                droppedLines.incrementAndGet();
             }
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void print(PrintStream to) {
+    private void writeLines(PrintStream to) {
         try {
             while (true) {
-                to.println(out.take());
-                if (out.isEmpty()) {
+                to.println(outputQueue.take());
+                if (outputQueue.isEmpty()) {
                     to.flush();
                 }
-                long lost = dropped.getAndSet(0);
+                long lost = droppedLines.getAndSet(0);
                 if (lost > 0) {
                     to.println("{\"what\":\"dropped\",\"lines\":" + lost + "}");
                 }
@@ -186,19 +186,19 @@
         }
     }
 
-    private void changed(RecordSpace space, String owner, String key, Replica.Seen now) {
-        if (space != OWN || owner.equals(links.me().name())) {
+    private void onRecordChanged(RecordSpace space, String owner, String key, Replica.Seen now) {
+        if (space != REGISTER_SPACE || owner.equals(links.me().name())) {
             return;
         }
-        say(
-                now(),
+        report(
+                nowMs(),
                 "saw",
                 now == null
                         ? Map.of("owner", owner, "key", key, "gone", true)
-                        : Map.of("owner", owner, "key", key, "n", number(now.value())));
+                        : Map.of("owner", owner, "key", key, "n", parseNumber(now.value())));
     }
 
-    private static long number(byte[] value) {
+    private static long parseNumber(byte[] value) {
         try {
             return Long.parseLong(new String(value, StandardCharsets.UTF_8));
         } catch (NumberFormatException e) {
@@ -207,10 +207,10 @@
         }
     }
 
-    private Map<String, Map<String, Long>> have() {
+    private Map<String, Map<String, Long>> recordsByOwner() {
         Map<String, Map<String, Long>> all = new LinkedHashMap<>();
-        for (Replica.Seen s : replica.seen(OWN)) {
-            all.computeIfAbsent(s.owner(), o -> new LinkedHashMap<>()).put(s.key(), number(s.value()));
+        for (Replica.Seen s : replica.seen(REGISTER_SPACE)) {
+            all.computeIfAbsent(s.owner(), o -> new LinkedHashMap<>()).put(s.key(), parseNumber(s.value()));
         }
         return all;
     }
@@ -219,15 +219,15 @@
     private void sample() {
         try {
             while (true) {
-                double before = now();
+                double before = nowMs();
                 Replica.Level l = replica.level();
-                span(
-                        level,
+                recordSample(
+                        syncState,
                         l,
                         before,
                         () -> {},
-                        () -> say(
-                                now(),
+                        () -> report(
+                                nowMs(),
                                 "level",
                                 Map.of(
                                         "level",
@@ -239,20 +239,20 @@
                                         "out",
                                         l.outOfDecision(),
                                         "have",
-                                        have())));
-                watched.forEach((name, s) -> sampleActs(name, s));
-                roles.forEach((role, s) -> sampleHolds(role, s));
-                Thread.sleep(SAMPLE_MS);
+                                        recordsByOwner())));
+                watchedValues.forEach((name, s) -> sampleEffectiveValues(name, s));
+                watchedRoles.forEach((role, s) -> sampleLease(role, s));
+                Thread.sleep(SAMPLE_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void sampleActs(String name, Span s) {
-        double before = now();
+    private void sampleEffectiveValues(String name, Span s) {
+        double before = nowMs();
         List<AgreedValues.Value> values = new ArrayList<>();
-        agreed.acting(name).ifPresent(a -> {
+        agreement.acting(name).ifPresent(a -> {
             values.add(a.one());
             if (a.other() != null) {
                 values.add(a.other());
@@ -262,8 +262,8 @@
                 values.stream().map(AgreedValues.Value::generation).toList();
         Runnable tell = () -> {
             if (!((List<?>) s.state).isEmpty()) {
-                say(
-                        now(),
+                report(
+                        nowMs(),
                         "acts",
                         Map.of(
                                 "name",
@@ -271,75 +271,79 @@
                                 "generations",
                                 s.state,
                                 "contents",
-                                contents.get(name),
+                                watchedContents.get(name),
                                 "from",
-                                s.from,
+                                s.observedSinceMs,
                                 "until",
-                                s.until));
+                                s.observedUntilMs));
             }
         };
-        span(s, generations, before, tell, tell);
-        contents.put(
+        recordSample(s, generations, before, tell, tell);
+        watchedContents.put(
                 name,
                 values.stream()
                         .map(v -> new String(v.content(), StandardCharsets.UTF_8))
                         .toList());
     }
 
-    private void sampleHolds(String role, Span s) {
-        double before = now();
+    private void sampleLease(String role, Span s) {
+        double before = nowMs();
         Object state =
-                agreed.heldLease(role).<Object>map(AgreedValues.Lease::token).orElse(NOT_HELD);
+                agreement.heldLease(role).<Object>map(AgreedValues.Lease::token).orElse(NOT_HELD);
         Runnable tell = () -> {
             if (s.state instanceof Long held) {
-                say(now(), "holds", Map.of("role", role, "token", held, "from", s.from, "until", s.until));
+                report(
+                        nowMs(),
+                        "holds",
+                        Map.of("role", role, "token", held, "from", s.observedSinceMs, "until", s.observedUntilMs));
             }
         };
-        span(s, state, before, tell, tell);
+        recordSample(s, state, before, tell, tell);
     }
 
     /** The state was so at some moment after {@code before} and before now. */
-    private void span(Span s, Object state, double before, Runnable changes, Runnable tell) {
+    private void recordSample(Span s, Object state, double before, Runnable changes, Runnable tell) {
         if (!state.equals(s.state)) {
             if (s.state != null) {
                 changes.run();
             }
             s.state = state;
-            s.from = now();
-            s.until = before;
-            s.said = 0;
+            s.observedSinceMs = nowMs();
+            s.observedUntilMs = before;
+            s.reportedAtMs = 0;
         } else {
-            s.until = before;
+            s.observedUntilMs = before;
         }
-        if (now() - s.said >= SAY_EACH_MS && s.until >= s.from || s == level && s.said == 0) {
+        if (nowMs() - s.reportedAtMs >= REPORT_INTERVAL_MS && s.observedUntilMs >= s.observedSinceMs
+                || s == syncState && s.reportedAtMs == 0) {
             tell.run();
-            s.said = now();
+            s.reportedAtMs = nowMs();
         }
     }
 
     /** Does what a line says; one that is not understood is answered so. */
-    void take(String line) {
+    void execute(String line) {
         String[] w = line.trim().split("\\s+");
         try {
             switch (w[0]) {
                 case "put" -> {
-                    replica.put(OWN, w[1], w[2].getBytes(StandardCharsets.UTF_8));
-                    say(now(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2])));
+                    replica.put(REGISTER_SPACE, w[1], w[2].getBytes(StandardCharsets.UTF_8));
+                    report(nowMs(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2])));
                 }
                 case "remove" -> {
-                    replica.remove(OWN, w[1]);
-                    say(now(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2]), "gone", true));
+                    replica.remove(REGISTER_SPACE, w[1]);
+                    report(nowMs(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2]), "gone", true));
                 }
                 case "add" -> {
-                    replica.add(COUNTED, w[1], Long.parseLong(w[2]));
-                    say(now(), "added", Map.of("key", w[1], "by", Long.parseLong(w[2])));
+                    replica.add(COUNTER_SPACE, w[1], Long.parseLong(w[2]));
+                    report(nowMs(), "added", Map.of("key", w[1], "by", Long.parseLong(w[2])));
                 }
-                case "sum" -> say(now(), "sum", Map.of("key", w[1], "sum", replica.sum(COUNTED, w[1])));
-                case "seen" -> say(now(), "seen", Map.of("have", have()));
-                case "level" -> level.said = 0;
+                case "sum" -> report(nowMs(), "sum", Map.of("key", w[1], "sum", replica.sum(COUNTER_SPACE, w[1])));
+                case "seen" -> report(nowMs(), "seen", Map.of("have", recordsByOwner()));
+                case "level" -> syncState.reportedAtMs = 0;
                 case "diff" ->
-                    say(
-                            now(),
+                    report(
+                            nowMs(),
                             "diff",
                             Map.of(
                                     "behind",
@@ -347,14 +351,14 @@
                                     "differing",
                                     replica.level().differing()));
                 case "status" ->
-                    say(
-                            now(),
+                    report(
+                            nowMs(),
                             "status",
                             Map.of(
                                     "agreed",
-                                    agreed.status(),
+                                    agreement.status(),
                                     "peers",
-                                    peers(),
+                                    peerStatuses(),
                                     "level",
                                     replica.level().level(),
                                     "links",
@@ -362,49 +366,50 @@
                                     "replica",
                                     replica instanceof ReplicaNode n ? n.figures() : Map.of()));
                 case "propose" -> propose(w[1], w[2]);
-                case "watch" -> put(watched, w[1]);
+                case "watch" -> watch(watchedValues, w[1]);
                 case "acting" ->
-                    say(
-                            now(),
+                    report(
+                            nowMs(),
                             "acting",
                             Map.of(
                                     "name",
                                     w[1],
                                     "generations",
-                                    agreed.acting(w[1])
+                                    agreement
+                                            .acting(w[1])
                                             .map(a -> a.other() == null
                                                     ? List.of(a.one().generation())
                                                     : List.of(
                                                             a.one().generation(),
                                                             a.other().generation()))
                                             .orElse(List.of())));
-                case "known" -> say(now(), "known", Map.of("name", w[1], "value", known(w[1])));
-                case "hold" -> hold(w[1], Double.parseDouble(w[2]));
-                case "holds" -> say(now(), "asked", Map.of("role", w[1], "holds", agreed.holds(w[1])));
-                case "final" -> sayAll(w);
-                case "end" -> ended.countDown();
-                default -> say(now(), "unknown", Map.of("line", line));
+                case "known" -> report(nowMs(), "known", Map.of("name", w[1], "value", lastKnownValue(w[1])));
+                case "hold" -> acquireRole(w[1], Double.parseDouble(w[2]));
+                case "holds" -> report(nowMs(), "asked", Map.of("role", w[1], "holds", agreement.holds(w[1])));
+                case "final" -> reportFinalState(w);
+                case "end" -> stopRequested.countDown();
+                default -> report(nowMs(), "unknown", Map.of("line", line));
             }
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            say(now(), "unknown", Map.of("line", line, "why", String.valueOf(e.getMessage())));
+            report(nowMs(), "unknown", Map.of("line", line, "why", String.valueOf(e.getMessage())));
         }
     }
 
-    private static void put(Map<String, Span> all, String name) {
+    private static void watch(Map<String, Span> all, String name) {
         // Guards against names without end on the command channel.
-        if (all.size() < MOST_NAMES) {
+        if (all.size() < MAX_WATCHED_NAMES) {
             all.putIfAbsent(name, new Span());
         }
     }
 
-    private Map<String, String> peers() {
+    private Map<String, String> peerStatuses() {
         Map<String, String> all = new LinkedHashMap<>();
         links.peers().forEach(p -> all.put(p.name(), links.standing(p.name()).text()));
         return all;
     }
 
-    private Map<String, Object> known(String name) {
-        Optional<AgreedValues.Value> v = agreed.known(name);
+    private Map<String, Object> lastKnownValue(String name) {
+        Optional<AgreedValues.Value> v = agreement.known(name);
         return v.isEmpty()
                 ? Map.of()
                 : Map.of(
@@ -415,10 +420,12 @@
     }
 
     private void propose(String name, String content) {
-        long expected = agreed.known(name).map(AgreedValues.Value::generation).orElse(0L);
-        agreed.propose(name, expected, content.getBytes(StandardCharsets.UTF_8), PROPOSED_WITHIN_MS)
-                .whenComplete((verdict, fault) -> say(
-                        now(),
+        long expected =
+                agreement.known(name).map(AgreedValues.Value::generation).orElse(0L);
+        agreement
+                .propose(name, expected, content.getBytes(StandardCharsets.UTF_8), PROPOSAL_TIMEOUT_MS)
+                .whenComplete((verdict, fault) -> report(
+                        nowMs(),
                         "proposed",
                         Map.of(
                                 "name",
@@ -433,25 +440,25 @@
                                         : "failed: " + fault.getMessage())));
     }
 
-    private void hold(String role, double forMs) {
-        put(roles, role);
-        agreed.acquire(role, forMs);
+    private void acquireRole(String role, double forMs) {
+        watch(watchedRoles, role);
+        agreement.acquire(role, forMs);
     }
 
-    private void sayAll(String[] w) {
+    private void reportFinalState(String[] w) {
         Map<String, Long> sums = new LinkedHashMap<>();
         for (int i = 1; i < w.length; i++) {
-            sums.put(w[i], replica.sum(COUNTED, w[i]));
+            sums.put(w[i], replica.sum(COUNTER_SPACE, w[i]));
         }
         Map<String, Object> known = new LinkedHashMap<>();
-        watched.keySet().forEach(n -> known.put(n, known(n)));
-        say(now(), "final", Map.of("have", have(), "sums", sums, "known", known));
+        watchedValues.keySet().forEach(n -> known.put(n, lastKnownValue(n)));
+        report(nowMs(), "final", Map.of("have", recordsByOwner(), "sums", sums, "known", known));
     }
 
     @Override
     public void close() {
         sampler.interrupt();
-        teller.interrupt();
+        writer.interrupt();
     }
 
     /** Runs a member until its standard input ends or a line says so. */
@@ -487,7 +494,7 @@
         Path disk = Path.of(o.disk);
         try (ReplicaDisk records = ReplicaDisk.open(disk.resolve("replica"), o.fleet, o.name, clock.nowMs());
                 TcpPeerLinks links =
-                        new TcpPeerLinks(o.me(), records.life(), o.fleet, members, clock, PeerLimits.standard());
+                        new TcpPeerLinks(o.self(), records.life(), o.fleet, members, clock, PeerLimits.standard());
                 ReplicaNode replica = new ReplicaNode(links, records, clock, ReplicationLimits.DEFAULT);
                 AgreementMember agreed = new AgreementMember(
                         links,
@@ -499,20 +506,20 @@
             replica.start();
             links.start();
             member.start();
-            Thread reader = daemon(() -> member.read(), "lines");
+            Thread reader = createDaemon(() -> member.readCommands(), "lines");
             reader.start();
-            member.ended.await();
+            member.stopRequested.await();
         }
     }
 
-    private void read() {
+    private void readCommands() {
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                take(line);
+                execute(line);
             }
         } catch (IOException e) {
-            say(now(), "unknown", Map.of("line", "", "why", String.valueOf(e.getMessage())));
+            report(nowMs(), "unknown", Map.of("line", "", "why", String.valueOf(e.getMessage())));
         }
-        ended.countDown();
+        stopRequested.countDown();
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
@@ -13,7 +13,7 @@
 /** The file is checked whole, and what is at fault is said with its place. */
 class FleetFileTest {
     @Test
-    void exampleNamesWhatHoldsWhereNothingIsSaid() throws FileFaults {
+    void exampleNamesWhatHoldsWhereNothingIsSaid() throws FleetFileException {
         FleetFile example = FleetFile.read(Path.of("../deploy/fleet.toml"));
         FleetFile bare = FleetFile.parse("bare", """
                 fleet = "example"
@@ -38,8 +38,7 @@
 
     @Test
     void allFaultsAreReportedAtOnceEachWithItsPlace() {
-        List<String> faults =
-                assertThrows(FileFaults.class, () -> FleetFile.parse("f", """
+        List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", """
                 fleet = "a b"
                 [[member]]
                 name = "n0"
@@ -55,7 +54,8 @@
                 voters = 2
                 [replica]
                 catchup = "1MiB"
-                """)).faults();
+                """))
+                .faults();
         assertEquals(7, faults.size(), faults.toString());
         assertTrue(faults.get(0).startsWith("f:1:1: fleet: "), faults.get(0));
         assertTrue(faults.get(1).startsWith("f:4:1: member[0].address: "), faults.get(1));
@@ -68,19 +68,19 @@
 
     @Test
     void textThatIsNoTomlIsOneFaultWithItsPlace() {
-        List<String> faults = assertThrows(FileFaults.class, () -> FleetFile.parse("f", "fleet = \n"))
+        List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", "fleet = \n"))
                 .faults();
         assertTrue(faults.get(0).startsWith("f:1:9: syntax: "), faults.toString());
     }
 
     @Test
-    void theControlExampleNamesWhatHoldsWhereNothingIsSaid() throws FileFaults {
+    void theControlExampleNamesWhatHoldsWhereNothingIsSaid() throws FleetFileException {
         FleetFile example = FleetFile.read(Path.of("../deploy/control.toml"));
         assertEquals(ControlLimits.STANDARD, example.control().limits());
         assertEquals(List.of("*"), example.control().nodes());
         assertEquals("south", example.control().machine("c2").region());
         assertEquals(3, example.control().machines().size());
-        assertEquals(Map.of("c1", "127.0.0.1:9700"), example.listen());
+        assertEquals(Map.of("c1", "127.0.0.1:9700"), example.listenAddresses());
     }
 
     @Test
@@ -97,8 +97,8 @@
     }
 
     private static void assertFault(String expected, String text) {
-        List<String> faults =
-                assertThrows(FileFaults.class, () -> FleetFile.parse("f", text)).faults();
+        List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", text))
+                .faults();
         assertTrue(faults.stream().anyMatch(fault -> fault.contains(expected)), faults.toString());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/node/AdminHttpServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/AdminHttpServerTest.java
@@ -38,7 +38,7 @@
                     if (words.get(0).equals("fault")) {
                         throw new IllegalStateException("broken");
                     }
-                    return new AdminHttpServer.Answer(!words.get(0).equals("no"), words + " " + json);
+                    return new AdminHttpServer.Reply(!words.get(0).equals("no"), words + " " + json);
                 }));
         System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
         System.setErr(System.out);
--- a/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
@@ -6,8 +6,8 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.config.Config;
-import brackenbridge.fleet.config.FileFaults;
 import brackenbridge.fleet.config.FleetFile;
+import brackenbridge.fleet.config.FleetFileException;
 import brackenbridge.fleet.control.ControlServer;
 import brackenbridge.fleet.control.FleetStatus;
 import brackenbridge.fleet.control.NodeNames;
@@ -58,7 +58,7 @@
     }
 
     @BeforeEach
-    void start() throws IOException, FileFaults {
+    void start() throws IOException, FleetFileException {
         configFile = directory.resolve("config.json");
         Files.writeString(configFile, config(settings(requestClass("view", 900_000))));
         FleetFile any = fleet(1);
@@ -76,11 +76,11 @@
         Config config = Config.read(configFile);
         node = new Node(config, Clock.system(), new Log(Clock.system(), new PrintStream(logged, true)));
         subscription = new NodeSubscription(fleet(server.address().getPort()), configFile, "r", config);
-        subscription.begin(node);
+        subscription.onStarting(node);
         node.start();
     }
 
-    private static FleetFile fleet(int port) throws FileFaults {
+    private static FleetFile fleet(int port) throws FleetFileException {
         return FleetFile.parse(
                 "f",
                 "fleet = \"f\"\n[[member]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n[control]\n"
@@ -91,7 +91,7 @@
 
     @AfterEach
     void end() throws Exception {
-        subscription.end();
+        subscription.onStopped();
         server.close();
         node.stop().get();
     }
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aFleetWithoutControlMachinesIsRejected() throws FileFaults {
+    void aFleetWithoutControlMachinesIsRejected() throws FleetFileException {
         FleetFile none = FleetFile.parse("f", "fleet = \"f\"\n[[member]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n");
         assertEquals(
                 "the fleet's file names no control machine",
--- a/fleet/src/test/java/brackenbridge/fleet/node/OperatorFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/OperatorFormsTest.java
@@ -4,8 +4,8 @@
 
 import brackenbridge.clock.Clock;
 import brackenbridge.fleet.GoldenFiles;
-import brackenbridge.fleet.config.FileFaults;
 import brackenbridge.fleet.config.FleetFile;
+import brackenbridge.fleet.config.FleetFileException;
 import io.micrometer.core.instrument.Meter;
 import java.io.IOException;
 import java.util.List;
@@ -27,7 +27,7 @@
     private FleetNode member;
 
     @BeforeEach
-    void create() throws IOException, FileFaults {
+    void create() throws IOException, FleetFileException {
         String text = """
                 fleet = "f"
                 [[member]]
@@ -51,8 +51,8 @@
 
     /** The answer with what depends on the moment masked: an incarnation is made from the time. */
     private String answer(String word, boolean json) {
-        AdminHttpServer.Answer answer = new StateAdminHandler(member.replica()).call(List.of(word), NO_BODY, json);
-        assertTrue(answer.done(), answer.text());
+        AdminHttpServer.Reply answer = new StateAdminHandler(member.replica()).handle(List.of(word), NO_BODY, json);
+        assertTrue(answer.succeeded(), answer.text());
         return INCARNATION.matcher(answer.text()).replaceAll("N".repeat(INCARNATION_DIGITS));
     }
 
--- a/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/PoolReportsTest.java
@@ -13,7 +13,7 @@
     private static final PoolKey A = new PoolKey("a", 1, "view");
     private static final PoolKey B = new PoolKey("b", 2, "view");
     private final TrafficObserver observer = new TrafficObserver();
-    private final PoolReports reports = new PoolReports("tier-0", 4, 0.3, 8500);
+    private final PoolReporter reports = new PoolReporter("tier-0", 4, 0.3, 8500);
     private double now = 1_000_000;
 
     private Map<String, PoolObservation> second(int toA, int toB, double ms, int refused) {
--- a/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
@@ -45,12 +45,12 @@
             member.start();
             agreement.lease = FIRST_LEASE;
             agreement.claim.complete(FIRST_LEASE);
-            member.take("hold " + ROLE + " 1000");
+            member.execute("hold " + ROLE + " 1000");
             assertEquals(FIRST_LEASE.token(), nextToken(reported));
 
             agreement.lease = null;
             agreement.claim = new CompletableFuture<>();
-            member.take("hold " + ROLE + " 1000");
+            member.execute("hold " + ROLE + " 1000");
             // The lease counts as soon as the member knows of it, before whoever asked hears the answer.
             agreement.lease = LATER_LEASE;
             assertEquals(LATER_LEASE.token(), nextTokenAfter(FIRST_LEASE, reported));
--- a/node/src/main/java/brackenbridge/cli/CommandLine.java
+++ b/node/src/main/java/brackenbridge/cli/CommandLine.java
@@ -41,7 +41,7 @@
     @Parameters(commandDescription = "Make a management call to a running node: PING, INFO, LAMEDUCK or REJOIN")
     private static final class Manage {
         @Parameter(names = "--at", description = "Its second address; by default $PROXY_MGMT")
-        private String at = System.getenv("PROXY_MGMT");
+        private String address = System.getenv("PROXY_MGMT");
 
         @Parameter(description = "CALL", required = true)
         private String call;
@@ -84,17 +84,17 @@
 
     /** Makes the management call and ends the process: with 0 if the node has done it, else with 1. */
     private void callNode() {
-        if (manage.at == null) {
+        if (manage.address == null) {
             Main.fail("no address: give --at ADDRESS:PORT or set PROXY_MGMT");
         }
         try {
-            String answer = ManagementCall.send(manage.at, manage.call);
+            String answer = ManagementCall.send(manage.address, manage.call);
             System.out.print(answer);
             System.exit(answer.startsWith("+OK") ? 0 : 1);
         } catch (IllegalArgumentException e) {
             Main.fail(e.getMessage());
         } catch (IOException e) {
-            System.err.println("brackenbridge: no answer from " + manage.at + ": " + e.getMessage());
+            System.err.println("brackenbridge: no answer from " + manage.address + ": " + e.getMessage());
             System.exit(1);
         }
     }
--- a/node/src/main/java/brackenbridge/cli/Main.java
+++ b/node/src/main/java/brackenbridge/cli/Main.java
@@ -63,10 +63,10 @@
     /** What another module runs in a node's process. */
     public interface NodeExtension {
         /** The node is about to start. */
-        void begin(Node node) throws IOException;
+        void onStarting(Node node) throws IOException;
 
         /** The node has answered every request. */
-        void end();
+        void onStopped();
     }
 
     static void serve(String file) {
--- a/node/src/main/java/brackenbridge/cli/ServeCommand.java
+++ b/node/src/main/java/brackenbridge/cli/ServeCommand.java
@@ -63,7 +63,7 @@
     private static void start(Node node, Main.NodeExtension extension, Config config) {
         try {
             if (extension != null) {
-                extension.begin(node);
+                extension.onStarting(node);
             }
             node.start();
         } catch (Exception e) {
@@ -78,7 +78,7 @@
         try {
             node.stop().get(MAX_STOP_MINUTES, TimeUnit.MINUTES);
             if (extension != null) {
-                extension.end();
+                extension.onStopped();
             }
             log.flush();
             node.holdEventLoops();
--- a/node/src/main/java/brackenbridge/discovery/JsonObjectSplitter.java
+++ b/node/src/main/java/brackenbridge/discovery/JsonObjectSplitter.java
@@ -22,47 +22,47 @@
         TOO_LONG
     }
 
-    private final int limit;
+    private final int maxTextBytes;
     private ByteArrayOutputStream text = new ByteArrayOutputStream();
-    private boolean object;
+    private boolean inObject;
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
     /** Whether this line has held the end of an object: its own end is no empty line then. */
-    private boolean said;
+    private boolean objectEndedOnLine;
 
     /** Cuts objects of at most so many bytes. */
     public JsonObjectSplitter(int limit) {
-        this.limit = limit;
+        this.maxTextBytes = limit;
     }
 
     /** Takes the next byte. */
     public Progress add(byte b) {
         boolean blank = b == ' ' || b == '\t' || b == '\r' || b == '\n';
         if (text.size() == 0 && blank) {
-            boolean empty = b == '\n' && !said;
-            said &= b != '\n';
+            boolean empty = b == '\n' && !objectEndedOnLine;
+            objectEndedOnLine &= b != '\n';
             return empty ? Progress.EMPTY_LINE : Progress.INCOMPLETE;
         }
-        if (text.size() >= limit) {
+        if (text.size() >= maxTextBytes) {
             text.reset();
             return Progress.TOO_LONG;
         }
-        object = text.size() > 0 ? object : b == '{';
+        inObject = text.size() > 0 ? inObject : b == '{';
         text.write(b);
-        if (quoted) {
-            quoted = escaped || b != '"';
+        if (inString) {
+            inString = escaped || b != '"';
             escaped = !escaped && b == '\\';
         } else if (b == '"') {
-            quoted = object;
+            inString = inObject;
         } else if (b == '{') {
             depth++;
         } else if (b == '}') {
             depth--;
         }
         // Of what is no object a line is all there is: guards the watch against waiting for the end of nonsense.
-        boolean whole = object ? depth == 0 : b == '\n';
-        said = whole ? object : said;
+        boolean whole = inObject ? depth == 0 : b == '\n';
+        objectEndedOnLine = whole ? inObject : objectEndedOnLine;
         return whole ? Progress.TEXT_COMPLETE : text.size() == 1 ? Progress.TEXT_STARTED : Progress.INCOMPLETE;
     }
 
--- a/node/src/main/java/brackenbridge/discovery/StrictJson.java
+++ b/node/src/main/java/brackenbridge/discovery/StrictJson.java
@@ -14,7 +14,7 @@
  */
 public final class StrictJson {
     /** A list of 15,000 servers has fewer. */
-    private static final int MOST_VALUES = 150_000;
+    private static final int MAX_VALUES = 150_000;
 
     private StrictJson() {}
 
@@ -22,7 +22,7 @@
     public static JsonValue parse(String text) {
         try {
             // Counts first and keeps nothing: by the time the values are there it would be too late.
-            new JsonParser(new Counter()).parse(text);
+            new JsonParser(new Validator()).parse(text);
             return Json.parse(text);
         } catch (ParseException e) {
             throw new IllegalArgumentException("not JSON: " + e.getMessage(), e);
@@ -31,44 +31,44 @@
         }
     }
 
-    private static final class Counter extends JsonHandler<Object, Set<String>> {
+    private static final class Validator extends JsonHandler<Object, Set<String>> {
         private int values;
 
-        private void value() {
-            if (++values > MOST_VALUES) {
-                throw new IllegalArgumentException("more than " + MOST_VALUES + " values");
+        private void countValue() {
+            if (++values > MAX_VALUES) {
+                throw new IllegalArgumentException("more than " + MAX_VALUES + " values");
             }
         }
 
         @Override
         public void startNull() {
-            value();
+            countValue();
         }
 
         @Override
         public void startBoolean() {
-            value();
+            countValue();
         }
 
         @Override
         public void startString() {
-            value();
+            countValue();
         }
 
         @Override
         public void startNumber() {
-            value();
+            countValue();
         }
 
         @Override
         public Object startArray() {
-            value();
+            countValue();
             return null;
         }
 
         @Override
         public Set<String> startObject() {
-            value();
+            countValue();
             return new HashSet<>();
         }
 
--- a/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
@@ -13,10 +13,10 @@
  */
 public final class AcceptRecovery extends ChannelInboundHandlerAdapter {
     private final AcceptBackoff backoff = new AcceptBackoff();
-    private final Runnable makeRoom;
+    private final Runnable releaseDescriptors;
     private final Consumer<String> warn;
     private boolean failing;
-    private boolean admits = true;
+    private boolean accepting = true;
     private boolean pausing;
 
     /** For an owner that has nothing to close when descriptors are lacking. */
@@ -31,14 +31,14 @@
      * @param warn is told of the first failure after an accept that succeeded
      */
     public AcceptRecovery(Runnable makeRoom, Consumer<String> warn) {
-        this.makeRoom = makeRoom;
+        this.releaseDescriptors = makeRoom;
         this.warn = warn;
     }
 
     /** The owner takes clients, or lets them wait in the backlog. */
     public void setAccepting(Channel listening, boolean on) {
-        admits = on;
-        apply(listening);
+        accepting = on;
+        updateAutoRead(listening);
     }
 
     @Override
@@ -60,21 +60,21 @@
             return;
         }
         if (SocketErrors.isResourceShortage(cause)) {
-            makeRoom.run();
+            releaseDescriptors.run();
         }
         pausing = true;
-        apply(context.channel());
+        updateAutoRead(context.channel());
         context.executor().schedule(() -> resume(context.channel()), pauseMs, TimeUnit.MILLISECONDS);
     }
 
     private void resume(Channel listening) {
         pausing = false;
         if (listening.isRegistered()) {
-            apply(listening);
+            updateAutoRead(listening);
         }
     }
 
-    private void apply(Channel listening) {
-        listening.config().setAutoRead(admits && !pausing);
+    private void updateAutoRead(Channel listening) {
+        listening.config().setAutoRead(accepting && !pausing);
     }
 }
--- a/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
+++ b/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
@@ -41,15 +41,15 @@
         attempt.addListener(done -> {
             // A channel whose registration failed has no event loop and tells it on another thread.
             if (loop.inEventLoop()) {
-                tell(listener, done.cause());
+                notifyListener(listener, done.cause());
             } else {
-                loop.execute(() -> tell(listener, done.cause()));
+                loop.execute(() -> notifyListener(listener, done.cause()));
             }
         });
         return attempt.channel();
     }
 
-    private static void tell(Listener listener, Throwable cause) {
+    private static void notifyListener(Listener listener, Throwable cause) {
         if (cause == null) {
             listener.onConnected();
         } else {
--- a/node/src/main/java/brackenbridge/transport/ListeningSockets.java
+++ b/node/src/main/java/brackenbridge/transport/ListeningSockets.java
@@ -66,7 +66,7 @@
 
     /** The inodes of the sockets that listen at the address, by the lines of one table. */
     static Set<String> inodesAt(InetSocketAddress address, List<String> tableLines) {
-        Set<String> written = writtenForms(address);
+        Set<String> written = tableForms(address);
         Set<String> inodes = new HashSet<>();
         for (String line : tableLines) {
             String[] columns = COLUMN_SEPARATOR.split(line.strip());
@@ -103,7 +103,7 @@
     }
 
     /** The address as the tables may write it: an IPv4 address may belong to an IPv6 socket. */
-    private static Set<String> writtenForms(InetSocketAddress address) {
+    private static Set<String> tableForms(InetSocketAddress address) {
         String port = String.format(Locale.ROOT, ":%04X", address.getPort());
         InetAddress host = address.getAddress();
         String words = wordsInHostOrder(host.getAddress());
--- a/node/src/main/java/brackenbridge/wire/EndpointLists.java
+++ b/node/src/main/java/brackenbridge/wire/EndpointLists.java
@@ -9,13 +9,13 @@
 
 /** The endpoint lists that the simulator has sent, by their number; events name a list by it. */
 final class EndpointLists {
-    private static final int LIST_COUNT = 16;
+    private static final int MAX_LISTS = 16;
     /** Guards memory against a count that no list follows. */
     private static final int MAX_INITIAL_CAPACITY = 1 << 16;
 
     private static final long NO_CELL = -1;
 
-    private final List<List<Endpoint>> lists = new ArrayList<>(Collections.nCopies(LIST_COUNT, null));
+    private final List<List<Endpoint>> lists = new ArrayList<>(Collections.nCopies(MAX_LISTS, null));
 
     /** Reads a list, from the fields after its message's name to its last entry, and keeps it in place of the last. */
     void readList(WireReader reader) throws IOException {
@@ -50,7 +50,7 @@
 
     private static int readListId(WireReader reader) {
         long id = reader.readNumber("setId");
-        if (id < 0 || id >= LIST_COUNT) {
+        if (id < 0 || id >= MAX_LISTS) {
             throw reader.error("setId", "outside 0 to 15: " + id);
         }
         return (int) id;
--- a/node/src/main/java/brackenbridge/wire/WireFields.java
+++ b/node/src/main/java/brackenbridge/wire/WireFields.java
@@ -22,8 +22,8 @@
         AttemptOutcome.NEVER_STARTED
     };
 
-    private static final int LOAD_FIGURES = 6;
-    private static final int UNKNOWN_FIGURE = -1;
+    private static final int LOAD_REPORT_FIELDS = 6;
+    private static final int UNKNOWN_FIELD = -1;
 
     private WireFields() {}
 
@@ -43,25 +43,25 @@
         if (pairs == null) {
             return null;
         }
-        double[] figures = new double[LOAD_FIGURES];
+        double[] figures = new double[LOAD_REPORT_FIELDS];
         Arrays.fill(figures, Double.NaN);
         int pairStart = 0;
         while (pairStart < pairs.length()) {
             int comma = pairs.indexOf(',', pairStart);
             int pairEnd = comma < 0 ? pairs.length() : comma;
-            readFigure(reader, pairs.substring(pairStart, pairEnd), figures);
+            readLoadReportField(reader, pairs.substring(pairStart, pairEnd), figures);
             pairStart = pairEnd + 1;
         }
         return new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5]);
     }
 
-    private static void readFigure(WireReader reader, String pair, double[] figures) {
+    private static void readLoadReportField(WireReader reader, String pair, double[] figures) {
         int colon = pair.indexOf(':');
         if (colon < 0) {
             throw reader.error("pressure", "not a pair: '" + pair + "'");
         }
-        int figure = figureIndex(pair.substring(0, colon));
-        if (figure == UNKNOWN_FIGURE) {
+        int figure = fieldIndex(pair.substring(0, colon));
+        if (figure == UNKNOWN_FIELD) {
             return;
         }
         String value = pair.substring(colon + 1);
@@ -73,7 +73,7 @@
     }
 
     /** The place of a figure among the parameters of {@link LoadReport}. */
-    private static int figureIndex(String name) {
+    private static int fieldIndex(String name) {
         return switch (name) {
             case "concurrent" -> 0;
             case "depth" -> 1;
@@ -81,7 +81,7 @@
             case "mean_ms" -> 3;
             case "tps" -> 4;
             case "err_ps" -> 5;
-            default -> UNKNOWN_FIGURE;
+            default -> UNKNOWN_FIELD;
         };
     }
 
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -42,7 +42,7 @@
     private final EndpointLists endpointLists = new EndpointLists();
     private long nowUs;
     private long instanceId;
-    private boolean addressed;
+    private boolean instanceSelected;
 
     WireHost(InputStream in, OutputStream out) {
         reader = new WireReader(in);
@@ -77,7 +77,7 @@
 
     /** Handles the events up to the end of the batch. */
     private void handleBatch() throws IOException {
-        addressed = false;
+        instanceSelected = false;
         while (true) {
             if (!reader.nextLine()) {
                 throw reader.error(null, "input ends inside a batch");
@@ -110,23 +110,25 @@
     }
 
     private WireInstance instance() {
-        WireInstance instance = addressed ? instances.get(instanceId) : null;
+        WireInstance instance = instanceSelected ? instances.get(instanceId) : null;
         if (instance == null) {
             throw reader.error(
                     null,
-                    addressed ? "instance " + instanceId + " has not been started" : "no CONTEXT before this event");
+                    instanceSelected
+                            ? "instance " + instanceId + " has not been started"
+                            : "no CONTEXT before this event");
         }
         return instance;
     }
 
     private void selectInstance() {
         instanceId = reader.readNumber("sidecar");
-        addressed = true;
+        instanceSelected = true;
         reader.requireEndOfMessage();
     }
 
     private void startInstance() {
-        if (!addressed) {
+        if (!instanceSelected) {
             throw reader.error(null, "no CONTEXT before this event");
         }
         long seed = reader.readNumber("prng");
