--- a/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
@@ -19,20 +19,22 @@
 import java.util.stream.Collectors;
 
 /**
- * A command that a running member answers: its words go to the member's page, what comes back is printed. Exit status:
- * 0; 1 where the member said no or did not answer; 2 for a command line that can't be used.
+ * A command that is sent to the admin server of a running member and prints the response. The exit status is 0 on
+ * success, 1 if the member rejected the command or did not respond, and 2 for an invalid command line.
  */
 abstract class AdminCommand implements Extension {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private static final class Options {
-        @Parameter(names = "--at", description = "A member's page, address:port; by default $BRACKENBRIDGE_FLEET")
+        @Parameter(
+                names = "--at",
+                description = "The admin address of a member, address:port; by default $BRACKENBRIDGE_FLEET")
         private String at = System.getenv("BRACKENBRIDGE_FLEET");
 
-        @Parameter(names = "--json", description = "For programs")
+        @Parameter(names = "--json", description = "Print the response as JSON")
         private boolean json;
 
-        @Parameter(names = "--file", description = "A file that goes with the call")
+        @Parameter(names = "--file", description = "A file to send with the command")
         private String file;
 
         @Parameter(description = "WORDS")
@@ -70,7 +72,7 @@
         }
         if (line.words.isEmpty() || line.at == null) {
             return reportUsageError(
-                    line.at == null ? "no member: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET" : usage);
+                    line.at == null ? "no member address: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET" : usage);
         }
         try {
             String path = line.words.stream()
@@ -87,13 +89,13 @@
             (answer.statusCode() == 200 ? System.out : System.err)
                     .println(
                             answer.body().isEmpty()
-                                    ? "brackenbridge: " + line.at + " answers " + answer.statusCode()
+                                    ? "brackenbridge: " + line.at + " responded with status " + answer.statusCode()
                                     : answer.body().stripTrailing());
             return answer.statusCode() == 200 ? 0 : 1;
         } catch (IllegalArgumentException e) {
             return reportUsageError(e.getMessage());
         } catch (IOException e) {
-            System.err.println("brackenbridge: no answer from " + line.at + ": " + e.getMessage());
+            System.err.println("brackenbridge: no response from " + line.at + ": " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
@@ -11,22 +11,22 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Runs a control machine until a signal ends it. */
+/** Runs a control machine until the process receives a signal. */
 public final class ControlCommand implements Extension {
     private static final int EXIT_USAGE = 2;
 
     private static final class Options {
-        @Parameter(names = "--fleet", description = "The fleet's file", required = true)
+        @Parameter(names = "--fleet", description = "The fleet file", required = true)
         private String fleet;
 
-        @Parameter(names = "--name", description = "This machine's name in it", required = true)
+        @Parameter(names = "--name", description = "This machine's name in the fleet file", required = true)
         private String name;
 
-        @Parameter(names = "--json-log", description = "The log lines as JSON")
+        @Parameter(names = "--json-log", description = "Write log lines as JSON")
         private boolean json;
     }
 
-    /** For the ServiceLoader. */
+    /** Called by the ServiceLoader. */
     public ControlCommand() {}
 
     @Override
@@ -60,7 +60,7 @@
                 .addShutdownHook(new Thread(
                         () -> {
                             service.close();
-                            // A signal would exit with 143; a stop that ends well ends with 0.
+                            // After its hooks the runtime would exit with 143; a clean shutdown has to exit with 0.
                             Runtime.getRuntime().halt(0);
                         },
                         "stop"));
--- a/fleet/src/main/java/brackenbridge/fleet/cli/EvacuationCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/EvacuationCommand.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.cli;
 
-/** Plans of a zone's evacuation. */
+/** Forecasts, rehearses and runs plans to evacuate a zone. */
 public final class EvacuationCommand extends AdminCommand {
-    /** For the ServiceLoader. */
+    /** Called by the ServiceLoader. */
     public EvacuationCommand() {
         super("evacuation", "evacuation forecast | rehearse | run --file PLAN | status | halt | history");
     }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
@@ -11,26 +11,28 @@
 import com.beust.jcommander.ParameterException;
 import java.nio.file.Path;
 
-/** Serves as a node with its part of the fleet in the same process: as a member, or as a subscriber of one. */
+/** Runs a node that is a member of a fleet, or that subscribes to the control machines of one. */
 public final class NodeCommand implements Extension {
     private static final class Options {
-        @Parameter(names = "--config", description = "The node's configuration; by default $PROXY_CONFIG")
+        @Parameter(names = "--config", description = "The node's configuration file; by default $PROXY_CONFIG")
         private String config = System.getenv("PROXY_CONFIG");
 
-        @Parameter(names = "--fleet", description = "The fleet's file, of which the node is a member")
+        @Parameter(names = "--fleet", description = "The file of the fleet that the node is a member of")
         private String fleet;
 
-        @Parameter(names = "--control", description = "The fleet's file, at whose control machines the node subscribes")
+        @Parameter(
+                names = "--control",
+                description = "The file of the fleet whose control machines the node subscribes to")
         private String control;
 
-        @Parameter(names = "--region", description = "Where the node runs, for --control")
+        @Parameter(names = "--region", description = "The region of the node, for --control")
         private String region = "default";
 
-        @Parameter(names = "--json-log", description = "The fleet's log lines as JSON")
+        @Parameter(names = "--json-log", description = "Write the fleet's log lines as JSON")
         private boolean json;
     }
 
-    /** For the ServiceLoader. */
+    /** Called by the ServiceLoader. */
     public NodeCommand() {}
 
     @Override
@@ -56,7 +58,7 @@
             }
             file = FleetFile.read(Path.of(line.fleet == null ? line.control : line.fleet));
             if (line.control != null && file.control() == null) {
-                throw new ParameterException(line.control + ": names no control machine");
+                throw new ParameterException(line.control + ": contains no control machine");
             }
         } catch (ParameterException e) {
             System.err.println("brackenbridge: " + e.getMessage());
@@ -70,7 +72,7 @@
                 config -> line.fleet != null
                         ? new FleetParticipant(file, config)
                         : new NodeSubscription(file, Path.of(line.config), line.region, config));
-        // The signal ends the process; what returns here would end it at once.
+        // Returning would end the process; the shutdown hook ends it on a signal.
         try {
             Thread.currentThread().join();
         } catch (InterruptedException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/cli/SettingsCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/SettingsCommand.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.cli;
 
-/** Settings that a majority decides. */
+/** Proposes, shows and withdraws settings that a majority of the voters decides. */
 public final class SettingsCommand extends AdminCommand {
-    /** For the ServiceLoader. */
+    /** Called by the ServiceLoader. */
     public SettingsCommand() {
         super("settings", "settings propose --file FILE | show | history | withdraw GENERATION | status");
     }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/SharesCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/SharesCommand.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.cli;
 
-/** Tenants' shares of connections. */
+/** Shows and sets tenants' shares of connections. */
 public final class SharesCommand extends AdminCommand {
-    /** For the ServiceLoader. */
+    /** Called by the ServiceLoader. */
     public SharesCommand() {
         super("shares", "shares status | hungry | set --file FILE");
     }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/StateCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/StateCommand.java
@@ -1,8 +1,8 @@
 package brackenbridge.fleet.cli;
 
-/** How far each member is, and which copies differ. */
+/** Shows how up to date each member's replica is, and which replicas differ. */
 public final class StateCommand extends AdminCommand {
-    /** For the ServiceLoader. */
+    /** Called by the ServiceLoader. */
     public StateCommand() {
         super("state", "state status | diff");
     }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The fleet's commands. */
+/** The commands of the fleet, which extend the node's command line. */
 package brackenbridge.fleet.cli;
--- a/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
@@ -18,20 +18,21 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * The fleet's file: who belongs to it, and by which bounds its members deal with each other. One serves all of them.
+ * The fleet file: the members of a fleet and the limits and timeouts that they share. All members read the same file;
  * {@code deploy/fleet.toml} is an example with each key.
  *
- * @param fleet its name: members of another fleet are refused
- * @param directory below which each member keeps its disk; null for none
- * @param members who belongs to it
- * @param links bounds of links
- * @param agreed bounds of agreement
- * @param replica bounds of replication
- * @param shares tenants' shares; null if they are not shared
- * @param evacuation bounds of rehearsals
- * @param control distribution to nodes; null if there is none
- * @param page where each member's page of metrics is, by member; absent for none
- * @param listen where a member listens for its peers, by member; absent where it is its address
+ * @param fleet the fleet's name; members of another fleet are rejected
+ * @param directory the directory under which each member stores its data; null to store nothing on disk
+ * @param members the members of the fleet
+ * @param links limits and timeouts of the links between members
+ * @param agreement settings of the agreement protocol
+ * @param replication limits of replication
+ * @param shares settings of tenants' shares; null if shares are disabled
+ * @param evacuation settings of evacuation rehearsals
+ * @param control settings of the distribution of values to nodes; null if there is none
+ * @param adminAddresses the address of each member's admin server, by member name; absent for none
+ * @param listenAddresses the address at which a member listens for its peers, by member name; absent where it is the
+ *     member's own address
  */
 public record FleetFile(
         String fleet,
@@ -47,53 +48,53 @@
         Map<String, String> listenAddresses) {
 
     /**
-     * Bounds of links.
+     * Limits and timeouts of the links between members.
      *
-     * @param beatMs how often a member says that it lives, in milliseconds
-     * @param suspectMs unheard of for so long, it is suspected
-     * @param goneMs suspected for so long, it is taken for dead
-     * @param frameBytes the longest message
-     * @param queueBytes what waits at most for one peer in one stream
+     * @param heartbeatMs the interval between heartbeats, in milliseconds
+     * @param suspectAfterMs how long a member may be silent before it is suspected, in milliseconds
+     * @param deadAfterMs how long a member may be silent before it is declared dead, in milliseconds
+     * @param maxFrameBytes the maximum size of a message
+     * @param maxQueueBytes the maximum size of the send queue of one stream to one peer
      */
     public record Links(
             double heartbeatMs, double suspectAfterMs, double deadAfterMs, int maxFrameBytes, long maxQueueBytes) {}
 
     /**
-     * Bounds of agreement.
+     * Settings of the agreement protocol.
      *
-     * @param voters how many members decide, the first of the file; odd
-     * @param leaseMs for how long a member acts by what it was told, in milliseconds
-     * @param drift by how much clocks' rates may be off, as a part
+     * @param voters the number of voters, which are the first members of the file; odd
+     * @param leaseMs how long a member may use an agreed value without renewal, in milliseconds
+     * @param maxClockDrift the maximum relative difference between the rates of two clocks
      */
     public record Agreement(int voters, double leaseMs, double maxClockDrift) {}
 
     /**
-     * Bounds of replication.
+     * Limits of replication.
      *
-     * @param bytesPerSecond what catching up and comparing may cost a member
-     * @param logEntries how many writes of each owner are kept beside its records
-     * @param compareMs how often copies are compared at rest, in milliseconds
+     * @param bytesPerSecond the bandwidth that a member may use to catch up and to compare replicas
+     * @param logEntries how many writes of each owner are kept in its log, in addition to its records
+     * @param compareIntervalMs how often replicas are compared while there are no writes, in milliseconds
      */
     public record Replication(long bytesPerSecond, int logEntries, double compareIntervalMs) {}
 
     /**
-     * Tenants' shares.
+     * Settings of tenants' shares.
      *
-     * @param connectionsPerServer connections that one server of the target group bears
-     * @param leaseMs for how long a node's connections are its own, in milliseconds
-     * @param guaranteed the part of all connections that stays with the nodes, whatever becomes of the fleet
-     * @param hungryMs under its floor with demand for so long, a tenant is reported hungry
+     * @param connectionsPerServer how many connections one server of the target group can handle
+     * @param leaseMs the duration of a node's lease of connections, in milliseconds
+     * @param guaranteedFraction the fraction of all connections that nodes keep even when the fleet is unavailable
+     * @param starvedAfterMs how long a tenant with demand may stay below its floor before it is reported as starved
      */
     public record Shares(
             double connectionsPerServer, double leaseMs, double guaranteedFraction, double starvedAfterMs) {}
 
     /**
-     * Bounds of rehearsals.
+     * Settings of evacuation rehearsals.
      *
-     * @param part of a zone's load that a rehearsal moves
-     * @param stepMs for how long, in milliseconds
-     * @param bound use of slots at which a rehearsal halts
-     * @param off by which a foretold figure may be off, as a part
+     * @param rehearsalFraction the fraction of a zone's load that a rehearsal moves
+     * @param rehearsalStepMs how long the load stays moved, in milliseconds
+     * @param maxSlotUtilization the slot utilization at which a rehearsal halts
+     * @param maxForecastError the maximum relative error of a forecast value
      */
     public record Evacuation(
             double rehearsalFraction, double rehearsalStepMs, double maxSlotUtilization, double maxForecastError) {}
@@ -101,18 +102,18 @@
     /**
      * Distribution of agreed values to nodes.
      *
-     * @param machines members that serve subscriptions
-     * @param nodes names of the nodes that may subscribe, or beginnings of names with {@code *} behind them
-     * @param limits limits
+     * @param machines the members that serve subscriptions
+     * @param nodes the names of the nodes that may subscribe; a name that ends in {@code *} is a prefix
+     * @param limits limits and timeouts of the distribution
      */
     public record Control(List<ControlMachine> machines, List<String> nodes, ControlLimits limits) {
-        /** Keeps its own copies. */
+        /** Copies the collections, so that later changes to the arguments have no effect. */
         public Control {
             machines = List.copyOf(machines);
             nodes = List.copyOf(nodes);
         }
 
-        /** The control machine of this name; null if there is none. */
+        /** Returns the control machine with this name; null if there is none. */
         public ControlMachine machine(String name) {
             return machines.stream()
                     .filter(machine -> machine.name().equals(name))
@@ -127,19 +128,19 @@
     private static final Pattern ADDRESS_PATTERN = Pattern.compile("[^\\s:]+:[0-9]{1,5}");
     private static final Pattern PRINTABLE_PATTERN = Pattern.compile("[^\\p{Cntrl}]+");
 
-    /** Keeps its own copies. */
+    /** Copies the collections, so that later changes to the arguments have no effect. */
     public FleetFile {
         members = List.copyOf(members);
         adminAddresses = Map.copyOf(adminAddresses);
         listenAddresses = Map.copyOf(listenAddresses);
     }
 
-    /** The member of this name; null if there is none. */
+    /** Returns the member with this name; null if there is none. */
     public Member member(String name) {
         return members.stream().filter(m -> m.name().equals(name)).findFirst().orElse(null);
     }
 
-    /** Reads the file; one that can't be used is reported whole. */
+    /** Reads and validates the file; the exception lists all faults. */
     public static FleetFile read(Path file) throws FleetFileException {
         try {
             if (Files.exists(file) && !Files.isRegularFile(file)) {
@@ -154,14 +155,14 @@
         }
     }
 
-    /** Reads the file's text; {@code name} stands before each fault. */
+    /** Parses and validates the text of a file; each fault begins with {@code name}. */
     public static FleetFile parse(String name, String text) throws FleetFileException {
         TomlTableReader.FaultCollector faults = new TomlTableReader.FaultCollector(name);
         TomlParseResult toml;
         try {
             toml = Toml.parse(text);
         } catch (StackOverflowError e) {
-            throw new FleetFileException(List.of(name + ":1:1: syntax: nested too deep"));
+            throw new FleetFileException(List.of(name + ":1:1: syntax: nested too deeply"));
         }
         toml.errors()
                 .forEach(e -> faults.add(e.position(), "syntax", e.getMessage().replaceAll("\\s+", " ")));
@@ -207,10 +208,10 @@
                 (int) l.size("frame", 1 << 20, 4096, 16 << 20),
                 l.size("queue", 4 << 20, 65_536, 256 << 20));
         if (links.suspectAfterMs() < 4 * links.heartbeatMs()) {
-            l.addFault("suspect", "is less than four beats: a few that come late would be a suspicion");
+            l.addFault("suspect", "is less than four beats: a few late heartbeats would cause a suspicion");
         }
         if (links.deadAfterMs() < 2 * links.suspectAfterMs()) {
-            l.addFault("gone", "is less than twice suspect: nobody could refute in time");
+            l.addFault("gone", "is less than twice suspect: a suspected member could not refute in time");
         }
         if (links.maxQueueBytes() < links.maxFrameBytes()) {
             l.addFault("queue", "is less than one frame");
@@ -222,7 +223,7 @@
                 a.durationMs("lease", 1600, 200, 60_000),
                 a.number("drift", 0.01, 0, 0.2));
         if (agreed.voters() % 2 == 0) {
-            a.addFault("voters", agreed.voters() + " is even: one less bears as many failures");
+            a.addFault("voters", agreed.voters() + " is even: one voter fewer tolerates as many failures");
         }
         if (!members.isEmpty() && agreed.voters() > members.size()) {
             a.addFault("voters", "there are only " + members.size() + " members");
@@ -284,7 +285,7 @@
             machines.add(machine);
         }
         if (machines.isEmpty()) {
-            table.addFault("machine", "nobody serves: name one member at least");
+            table.addFault("machine", "nobody serves: name at least one member");
         }
         ControlLimits usual = ControlLimits.STANDARD;
         List<String> nodes = table.strings("nodes", NODE_PATTERN);
--- a/fleet/src/main/java/brackenbridge/fleet/config/FleetFileException.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/FleetFileException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A file that can't be used: every fault found in it, each as {@code FILE:LINE:COLUMN: key: reason}. */
+/** An invalid fleet file, with every fault found in it as {@code FILE:LINE:COLUMN: key: reason}. */
 public final class FleetFileException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient List<String> faults;
@@ -12,7 +12,7 @@
         this.faults = List.copyOf(faults);
     }
 
-    /** One line for each fault, in the order of the file. */
+    /** The faults, one line each, in the order of the file. */
     public List<String> faults() {
         return faults;
     }
--- a/fleet/src/main/java/brackenbridge/fleet/config/TomlTableReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/TomlTableReader.java
@@ -15,8 +15,8 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of the file while it is read: each value is asked for once, with its range and what holds without it.
- * Faults are kept, and reading goes on with the absent value, so that all are reported in one go.
+ * Reads the values of one TOML table, each with its valid range and its default. A fault is recorded, and reading
+ * continues with the default, so that all faults of a file are reported at once.
  */
 final class TomlTableReader {
     private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]+(?:\\.[0-9]+)?) ?(ms|s|min|h)");
@@ -25,10 +25,10 @@
     private static final Map<String, Long> SIZE_UNITS_BYTES =
             Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
-    /** A fault at its place. */
+    /** A fault and its position in the file. */
     private record Fault(int line, int column, String text) {}
 
-    /** What all tables of a file share. */
+    /** Collects the faults of all tables of a file. */
     static final class FaultCollector {
         private final String file;
         private final List<Fault> faults = new ArrayList<>();
@@ -82,13 +82,13 @@
         return toml == null ? null : toml.get(List.of(key));
     }
 
-    /** A text; where there must be one, {@code absent} is null. */
+    /** Reads a string; a required one has null for {@code absent}. */
     String string(String key, String absent, Pattern form) {
         Object v = value(key);
         if (v == null && absent == null) {
             addFault(key, "is missing");
         } else if (v != null && !(v instanceof String)) {
-            addFault(key, "is not a text: " + v);
+            addFault(key, "is not a string: " + v);
         } else if (v != null && !form.matcher((String) v).matches()) {
             addFault(key, "'" + v + "' does not have the form " + form);
         } else if (v != null) {
@@ -97,17 +97,17 @@
         return absent == null ? "" : absent;
     }
 
-    /** Whether the key is there. */
+    /** Whether the key is present. */
     boolean has(String key) {
         return value(key) != null;
     }
 
-    /** A list of texts; an absent one is empty. */
+    /** Reads a list of strings; empty if absent. */
     List<String> strings(String key, Pattern form) {
         Object v = value(key);
         List<String> all = new ArrayList<>();
         if (v != null && !(v instanceof TomlArray)) {
-            addFault(key, "is not a list of texts");
+            addFault(key, "is not a list of strings");
         }
         for (int i = 0; v instanceof TomlArray a && i < a.size(); i++) {
             if (a.get(i) instanceof String text && form.matcher(text).matches()) {
@@ -148,7 +148,7 @@
         return v instanceof Boolean b ? b : absent;
     }
 
-    /** A time in milliseconds, written with its unit. */
+    /** Reads a duration with its unit; returns milliseconds. */
     double durationMs(String key, double absentMs, double leastMs, double mostMs) {
         String text = string(key, absentMs + "ms", Pattern.compile(".*"));
         Matcher m = DURATION_PATTERN.matcher(text);
@@ -164,7 +164,7 @@
         return ms;
     }
 
-    /** A size in bytes, written with its unit. */
+    /** Reads a size with its unit; returns bytes. */
     long size(String key, long absent, long least, long most) {
         String text = string(key, absent + "B", Pattern.compile(".*"));
         Matcher m = SIZE_PATTERN.matcher(text);
@@ -180,7 +180,7 @@
         return bytes;
     }
 
-    /** A table of this one; an absent one is empty. */
+    /** Returns the reader of a nested table; an absent table counts as empty. */
     TomlTableReader table(String key) {
         Object v = value(key);
         if (v != null && !(v instanceof TomlTable)) {
@@ -189,7 +189,7 @@
         return new TomlTableReader(qualifiedKey(key), v instanceof TomlTable t ? t : null, positionOf(key), faults);
     }
 
-    /** A list of tables; an absent one is empty. */
+    /** Returns the readers of an array of tables; empty if absent. */
     List<TomlTableReader> tables(String key) {
         Object v = value(key);
         List<TomlTableReader> all = new ArrayList<>();
@@ -207,7 +207,7 @@
         return all;
     }
 
-    /** Numbers by name. */
+    /** Reads a table of numbers by key. */
     Map<String, Double> numbers(String key, double least, double most) {
         TomlTableReader t = table(key);
         Map<String, Double> all = new TreeMap<>();
@@ -219,7 +219,7 @@
         return all;
     }
 
-    /** Nobody asked for any other key. */
+    /** Records a fault for each key that was not read. */
     void rejectUnknownKeys() {
         if (toml == null) {
             return;
--- a/fleet/src/main/java/brackenbridge/fleet/config/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/package-info.java
@@ -1,2 +1,2 @@
-/** The fleet's file, checked whole. */
+/** Reads and validates the fleet file, and reports all of its faults at once. */
 package brackenbridge.fleet.config;
--- a/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
@@ -18,11 +18,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where staff and a metrics system reach a member: {@code GET /metrics} for Prometheus, {@code POST /call/ROOM/WORD...}
- * for the commands, each word of the command a part of the path, a file of the command as the body.
+ * The HTTP server for operators and monitoring of a member. It serves {@code GET /metrics} for Prometheus and
+ * {@code POST /call/COMMAND/WORD...} for commands; each word of a command is a path segment, and its file is the body.
  */
 public final class AdminHttpServer implements AutoCloseable {
-    /** The longest body of a call: a plan or settings. */
+    /** Limits the body of a call, which is a plan or settings. */
     private static final int MAX_BODY_BYTES = 1 << 20;
 
     private static final int THREADS = 4;
@@ -30,22 +30,22 @@
     private static final Logger LOG = LoggerFactory.getLogger(AdminHttpServer.class);
 
     /**
-     * What a room answers.
+     * The response to a command.
      *
-     * @param done whether it did what it was told; a command exits with 1 where it is false
-     * @param text for people, or JSON where that was asked for
+     * @param succeeded whether the command succeeded; if not, the command line exits with 1
+     * @param text the response, as JSON if that was requested
      */
     public record Reply(boolean succeeded, String text) {}
 
-    /** A room's calls. */
+    /** Handles the calls of one command. */
     @FunctionalInterface
     public interface CommandHandler {
         /**
-         * Answers a call.
+         * Handles a call and returns the response.
          *
-         * @param words the command's words after the room's name
-         * @param body the file that the command names; empty if none
-         * @param json whether a program reads the answer
+         * @param words the words after the name of the command
+         * @param body the content of the command's file; empty if there is none
+         * @param json whether the response has to be JSON
          */
         Reply handle(List<String> words, byte[] body, boolean json);
     }
@@ -53,10 +53,10 @@
     private final HttpServer server;
     private final ThreadPoolExecutor threads;
 
-    /** Listens; fails if the address is not to be had. */
+    /** Starts to listen; fails if the address can't be bound. */
     public AdminHttpServer(InetSocketAddress at, PrometheusMeterRegistry metrics, Map<String, CommandHandler> rooms)
             throws IOException {
-        // Guards the few threads against callers that send nothing: by default the server waits for them for ever.
+        // Guards the small thread pool against idle callers: by default the server waits for a request without limit.
         System.setProperty("sun.net.httpserver.maxReqTime", "10");
         System.setProperty("sun.net.httpserver.maxRspTime", "10");
         server = HttpServer.create(at, MAX_WAITING_REQUESTS);
@@ -86,7 +86,7 @@
         server.start();
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens at. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
@@ -113,7 +113,7 @@
         } catch (IllegalArgumentException e) {
             a = new Reply(false, e.getMessage());
         } catch (RuntimeException e) {
-            LOG.error("call {} failed", words, e);
+            LOG.error("admin command {} failed", words, e);
             a = new Reply(false, "failed: " + e);
         }
         respond(x, a.succeeded() ? 200 : 409, json ? "application/json" : "text/plain; charset=utf-8", a.text());
--- a/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A control machine in a process: a member of the agreement that passes agreed values on to the nodes. */
+/** A control machine: a member of the fleet that distributes agreed values to the subscribed nodes. */
 public final class ControlService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlService.class);
     private static final long REPORT_INTERVAL_MS = 1000;
@@ -32,15 +32,15 @@
     });
 
     /**
-     * A control machine that is not started; its disk is read.
+     * Creates a control machine, which reads its data from disk and is not started yet.
      *
-     * @throws IllegalArgumentException if the file does not name it
-     * @throws IOException if its disk can't be used
+     * @throws IllegalArgumentException if the fleet file does not contain a control machine with this name
+     * @throws IOException if the data on disk can't be used
      */
     public ControlService(FleetFile file, String name, Clock clock) throws IOException {
         ControlMachine machine = file.control() == null ? null : file.control().machine(name);
         if (machine == null) {
-            throw new IllegalArgumentException("the fleet's file names no control machine '" + name + "'");
+            throw new IllegalArgumentException("the fleet file contains no control machine named '" + name + "'");
         }
         member = new FleetNode(file, name, clock);
         AgreementMember agreed = member.agreement();
@@ -59,12 +59,12 @@
                 agreed::confirmed,
                 member.metrics());
         exchange = new ReportExchange(member.links(), clock);
-        member.nodeStatusSupplier(() -> FleetStatus.text(exchange.all()));
+        member.setNodeStatusSupplier(() -> FleetStatus.text(exchange.all()));
         agreed.listen(value -> agreed.known(value)
                 .ifPresent(known -> server.publish(new Resource(known.name(), known.generation(), known.content()))));
     }
 
-    /** Begins; fails if an address is not to be had. */
+    /** Starts the control machine; fails if an address can't be bound. */
     public void start() throws IOException {
         member.start();
         server.start();
@@ -76,12 +76,12 @@
         try {
             exchange.send(server.report());
         } catch (RuntimeException e) {
-            // Guards the next report: a schedule ends with the first exception.
-            LOG.error("a report failed", e);
+            // Guards the next report: the scheduler cancels a task that throws.
+            LOG.error("failed to send the report of subscribed nodes", e);
         }
     }
 
-    /** Where nodes reach it. */
+    /** Returns the address at which nodes connect. */
     public InetSocketAddress address() {
         return server.address();
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -29,16 +29,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A member of the fleet in a process: its links, its copy of the records, its part of the agreement, and its page. */
+/** A member of a fleet: its links to peers, its replica, its part in the agreement protocol and its admin server. */
 public final class FleetNode implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FleetNode.class);
     private static final double AGREEMENT_HEARTBEAT_MS = 150;
     private static final int LEADER_TIMEOUT_HEARTBEATS = 5;
     private static final double MAX_ROLE_LEASE_MS = 60_000;
-    /** How long staff wait for a majority. */
+    /** How long an operator's command waits for a majority. */
     private static final double MAJORITY_TIMEOUT_MS = 10_000;
 
-    /** Counts of the links that come into being only with their first event. */
+    /** Counters of the links that do not exist before their first event. */
     private static final List<String> LINK_COUNTS = List.of(
             "bytes_in",
             "bytes_out",
@@ -64,16 +64,16 @@
     private Supplier<String> nodeStatusSupplier = () -> "";
 
     /**
-     * A member that is not started; its disk is read.
+     * Creates a member, which reads its data from disk and is not started yet.
      *
-     * @throws IllegalArgumentException if the file does not name it
-     * @throws IOException if its disk can't be used: it is another fleet's or another member's
+     * @throws IllegalArgumentException if the fleet file does not contain a member with this name
+     * @throws IOException if the data on disk can't be used, for example because it belongs to another member
      */
     public FleetNode(FleetFile file, String name, Clock clock) throws IOException {
         this.file = file;
         self = file.member(name);
         if (self == null) {
-            throw new IllegalArgumentException("the fleet's file names no member '" + name + "'");
+            throw new IllegalArgumentException("the fleet file contains no member named '" + name + "'");
         }
         Path directory = file.directory() == null ? null : file.directory().resolve(name);
         disk = directory == null ? null : ReplicaDisk.open(directory, file.fleet(), name, clock.nowMs());
@@ -134,7 +134,7 @@
         Gauge.builder("fleet.replica.level", () -> replica.level().level() ? 1 : 0)
                 .register(metrics);
         Gauge.builder("fleet.replica.on.disk", () -> replica.figures().onDisk() ? 1 : 0)
-                .description("1 while the disk takes what the replica writes; 0 without a disk")
+                .description("1 while writes of the replica to disk succeed; 0 without a disk")
                 .register(metrics);
         agreement.bind(metrics);
         commandHandlers.put("state", new StateAdminHandler(replica));
@@ -167,51 +167,51 @@
             return Long.parseLong(words.size() > 1 ? words.get(1) : "");
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(
-                    "settings withdraw GENERATION: the generation whose content is to hold " + "again", e);
+                    "settings withdraw GENERATION: the generation whose content is to be restored", e);
         }
     }
 
-    /** Its fleet's file. */
+    /** Returns the fleet file. */
     public FleetFile file() {
         return file;
     }
 
-    /** Itself, as the file has it. */
+    /** Returns this member's entry of the fleet file. */
     public Member self() {
         return self;
     }
 
-    /** Its links. */
+    /** Returns the links to the peers. */
     public TcpPeerLinks links() {
         return links;
     }
 
-    /** Its copy of the records. */
+    /** Returns the replica of the fleet's records. */
     public ReplicaNode replica() {
         return replica;
     }
 
-    /** Its part of the agreement. */
+    /** Returns this member's part in the agreement protocol. */
     public AgreementMember agreement() {
         return agreement;
     }
 
-    /** Its figures. */
+    /** Returns the metrics of this member. */
     public PrometheusMeterRegistry metrics() {
         return metrics;
     }
 
-    /** What {@code settings status} says of nodes beside the agreement; before {@link #start}. */
-    public void nodeStatusSupplier(Supplier<String> status) {
+    /** Sets what {@code settings status} reports about nodes; to be called before {@link #start}. */
+    public void setNodeStatusSupplier(Supplier<String> status) {
         nodeStatusSupplier = status;
     }
 
-    /** A room of this member that staff may call; before {@link #start}. */
+    /** Adds a command that operators may call; to be called before {@link #start}. */
     public void addCommandHandler(String name, AdminHttpServer.CommandHandler calls) {
         commandHandlers.put(name, calls);
     }
 
-    /** Begins; fails if an address is not to be had. */
+    /** Starts the member; fails if an address can't be bound. */
     public void start() throws IOException {
         replica.start();
         agreement.start();
@@ -225,7 +225,7 @@
                     commandHandlers);
         }
         LOG.info(
-                "member {} of fleet {}, life {}, {} peers, {} disk",
+                "member {} of fleet {} started: incarnation {}, {} peers, {} disk",
                 self.name(),
                 file.fleet(),
                 links.life(),
@@ -233,8 +233,8 @@
                 disk == null ? "no" : "with a");
     }
 
-    /** Where its page is; null if it has none. */
-    public InetSocketAddress adminServer() {
+    /** Returns the address of the admin server; null if there is none. */
+    public InetSocketAddress adminAddress() {
         return adminServer == null ? null : adminServer.address();
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -27,8 +27,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A node and its part of the fleet in one process: what the node sees goes into records, what the fleet decides goes to
- * the node's reducer as events. The node's loop waits for nothing here.
+ * A node that is also a member of a fleet. It publishes the node's observations as replicated records and passes the
+ * fleet's decisions to the node's reducer as events. It never blocks the node's event loop.
  */
 public final class FleetParticipant implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(FleetParticipant.class);
@@ -48,7 +48,7 @@
     private final Set<String> publishedDemandKeys = new HashSet<>();
     private final Set<String> publishedPoolKeys = new HashSet<>();
 
-    /** The part of the node that this configuration names. */
+    /** Creates the member for the node with this configuration. */
     public FleetParticipant(FleetFile file, Config config) {
         this.fleetFile = file;
         this.config = config;
@@ -70,7 +70,7 @@
             try {
                 applyCommand(orders, WeightCommand.read(body), clock.nowMs(), node);
             } catch (IOException e) {
-                LOG.warn("{} sends what is no order: {}", peer, e.getMessage());
+                LOG.warn("malformed weight command from {}: {}", peer, e.getMessage());
             }
         });
         member.start();
@@ -87,14 +87,14 @@
         });
     }
 
-    /** Peers' threads bring orders; one at a time is looked at. */
+    /** Applies a command; synchronized, since commands arrive on the threads of several peers. */
     private static void applyCommand(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
         synchronized (orders) {
             orders.take(order, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
         }
     }
 
-    /** Writes these records and removes those that were written before and are not among them. */
+    /** Writes these records, and removes earlier ones whose keys are not among them. */
     private void publish(RecordSpace space, Map<String, ?> now, Set<String> before) {
         now.forEach((key, value) -> {
             try {
@@ -116,8 +116,8 @@
                     try {
                         work.run();
                     } catch (RuntimeException e) {
-                        // Guards the next turn: a scheduler drops what has failed once.
-                        LOG.error("a turn failed", e);
+                        // Guards the next run: the scheduler cancels a task that throws.
+                        LOG.error("failed to publish records", e);
                     }
                 },
                 ms,
--- a/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
@@ -26,10 +26,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A node's subscription to its settings and its list of servers. What arrives takes the way of a checked reload: it
- * stands in the configuration's place of the same kind, the whole is checked, and only then does the node go by it. One
- * that can't be used is refused whole and reported back; the one before stays. Without a control machine the node goes
- * by what it was told last, and before the first answer by its file.
+ * A node's subscription to its settings and its endpoint list. A received value replaces the same part of the node's
+ * configuration, and the complete configuration is validated as in a reload before it is applied. An invalid value is
+ * rejected and reported to the control machine, and the previous value stays in force. Without a connection to a control
+ * machine the node keeps the values received last, or those of its file if it has received none.
  */
 public final class NodeSubscription implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(NodeSubscription.class);
@@ -40,7 +40,7 @@
     private final Path configFile;
     private final String region;
     private final Config startConfig;
-    /** By resource: the key of the configuration that its content stands for. */
+    /** For each resource, the key of the configuration whose value its content replaces. */
     private final Map<String, String> configKeys = new TreeMap<>();
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -48,23 +48,23 @@
     private Node node;
     private ControlClient client;
 
-    // The event loop's only.
+    // Accessed only on the event loop.
     private final Map<String, String> appliedContents = new TreeMap<>();
     private long ownReloads;
     private long handledReloads;
 
     /**
-     * The subscription of the node that this configuration names.
+     * Creates the subscription of the node with this configuration.
      *
-     * @param file the fleet's file
+     * @param file the fleet file
      * @param configFile the node's configuration file
-     * @param region where the node runs
-     * @param started the configuration that the node starts with
-     * @throws IllegalArgumentException if the fleet's file names no control machine
+     * @param region the region in which the node runs
+     * @param startConfig the configuration that the node starts with
+     * @throws IllegalArgumentException if the fleet file contains no control machine
      */
     public NodeSubscription(FleetFile file, Path configFile, String region, Config started) {
         if (file.control() == null) {
-            throw new IllegalArgumentException("the fleet's file names no control machine");
+            throw new IllegalArgumentException("the fleet file contains no control machine");
         }
         this.fleetFile = file;
         this.configFile = configFile;
@@ -94,7 +94,7 @@
                 this::reconcile, RECONCILE_INTERVAL_MS, RECONCILE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** How the subscription stands. */
+    /** Returns the status of the subscription. */
     public ControlClient.Status status() {
         return client.status();
     }
@@ -106,7 +106,7 @@
             reload(mergeIntoFile(next));
         } catch (IllegalArgumentException | IOException e) {
             LOG.warn(
-                    "version {} of {} can't be used, the one before stays: {}",
+                    "rejected version {} of {}, the previous version stays in force: {}",
                     resource.version(),
                     resource.name(),
                     e.getMessage());
@@ -114,11 +114,11 @@
         }
         appliedContents.clear();
         appliedContents.putAll(next);
-        LOG.info("acts by version {} of {}", resource.version(), resource.name());
+        LOG.info("applied version {} of {}", resource.version(), resource.name());
         return Optional.empty();
     }
 
-    /** The file's configuration with these contents in their places; checked as a reload is. */
+    /** Returns the configuration of the file with these contents in place of its own, validated as in a reload. */
     private Config mergeIntoFile(Map<String, String> with) throws IOException {
         JsonObject whole = StrictJson.parse(Files.readString(configFile)).asObject();
         with.forEach((key, content) -> whole.set(key, StrictJson.parse(content)));
@@ -132,7 +132,7 @@
         ownReloads++;
     }
 
-    /** After a SIGHUP the file's settings hold: what was agreed is put back in its place. */
+    /** Applies the received values again after a SIGHUP, which reloads the values of the file. */
     private void reconcile() {
         try {
             long reloads = countReloads(node.metricsText());
@@ -143,11 +143,11 @@
             handledReloads = reloads;
             ownReloads = Math.max(0, -others);
             if (others > 0 && !appliedContents.isEmpty()) {
-                LOG.info("the file was read anew; agreed values are put back in their place");
+                LOG.info("the configuration file was reloaded; agreed values are applied again");
                 reload(mergeIntoFile(appliedContents));
             }
         } catch (IllegalArgumentException | IOException e) {
-            LOG.warn("agreed values can't be put back: {}", e.getMessage());
+            LOG.warn("agreed values can't be applied again: {}", e.getMessage());
         }
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
@@ -11,15 +11,15 @@
 import java.util.TreeMap;
 
 /**
- * Turns what a node counted into records of its pools: what went there over the last seconds, and what answers took.
- * Plain values in and out; one thread.
+ * Computes the observations of a node's pools, such as rates and latencies, from snapshots of its traffic over a sliding
+ * window. It does no I/O and is confined to one thread.
  */
 final class PoolReporter {
-    /** What lies further back counts no more; milliseconds. */
+    /** The length of the sliding window, in milliseconds. */
     private static final double WINDOW_MS = 10_000;
-    /** A mean of fewer answers says nothing of the time at ease. */
+    /** A mean over fewer responses is too noisy to be used for the latency without load. */
     private static final long MIN_LATENCY_SAMPLES = 20;
-    /** The least mean rises by so much a report, so that servers that became slower for good are not measured by it. */
+    /** Raises the lowest mean with each report, so that it adapts to servers that became permanently slower. */
     private static final double BASELINE_GROWTH_FACTOR = 1.0005;
 
     private final String tier;
@@ -30,12 +30,12 @@
     private final Map<PoolKey, Double> baselineLatencyMs = new HashMap<>();
 
     /**
-     * Reports of one node.
+     * Creates the reporter of one node.
      *
-     * @param tier the tier that it sends to
-     * @param connections calls that a server of weight 1 may have open; 0 if not known
-     * @param coldFrom the part of its speed that a server has at its start
-     * @param coldMs after what time it has all, in milliseconds
+     * @param tier the tier that the node sends requests to
+     * @param connections the requests that a server of weight 1 may have in flight; 0 if unknown
+     * @param coldFrom the fraction of its capacity that a server has when it starts
+     * @param coldMs the time until a server reaches its full capacity, in milliseconds
      */
     PoolReporter(String tier, double connections, double coldFrom, double coldMs) {
         this.tier = tier;
@@ -44,7 +44,7 @@
         this.warmUpMs = coldMs;
     }
 
-    /** The records by key, {@code tier/zone/kind/class}, as they are once this snapshot was taken. */
+    /** Adds a snapshot and returns the observations by key, {@code tier/zone/kind/class}. */
     Map<String, PoolObservation> report(TrafficSnapshot now) {
         while (snapshots.size() > 1 && now.atMs() - snapshots.peekFirst().atMs() > WINDOW_MS) {
             snapshots.pollFirst();
@@ -67,7 +67,8 @@
                             Long::sum));
             now.pools().forEach((k, t) -> {
                 PoolTally was = before.pools().getOrDefault(k, EMPTY_TALLY);
-                // What was turned away went nowhere: it counts with each pool by its part of what did go.
+                // A rejected request was sent to no pool: rejections are divided by the pools' fractions of the sent
+                // requests.
                 double part = firstOfClass.get(k.className()) == 0
                         ? 0
                         : (t.firstAttempts() - was.firstAttempts()) / (double) firstOfClass.get(k.className());
@@ -89,7 +90,7 @@
     private static final PoolTally EMPTY_TALLY = new PoolTally(0, 0, 0, 0, 0, 0, 0, 0);
 
     private PoolName poolName(PoolKey k) {
-        // Servers of one zone and weight are one pool: nothing else in a list tells kinds apart.
+        // Servers of the same zone and weight form a pool, since an endpoint list does not distinguish them further.
         return new PoolName(tier, k.zone().isEmpty() ? "-" : k.zone().replace('/', '_'), "w" + k.weight());
     }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Answers {@code state status} and {@code state diff}: how far each member is, and which copies differ. */
+/** Handles {@code state status}, the replication status of each member, and {@code state diff}, the differences. */
 final class StateAdminHandler implements AdminHttpServer.CommandHandler {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final ReplicaNode replica;
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -40,17 +40,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A member that shares state and serves nobody: links, replica and agreement of a directory, told what to do by lines
- * on standard input. What it does, sees and acts by goes out as JSON lines, each with the moment {@code at} by the
- * machine's monotonic clock, so that many members' lines make one log.
+ * A process that runs a fleet member without a node: links, replica and agreement with their data in a directory,
+ * controlled by commands on standard input. It reports what it does, receives and uses as JSON lines, each with the time
+ * {@code at} of the machine's monotonic clock, so that the lines of many members can be merged into one log.
  *
- * <p>Lines: {@code put KEY N}, {@code remove KEY N}, {@code add KEY BY}, {@code sum KEY}, {@code seen}, {@code level},
+ * <p>Commands, one on each line: {@code put KEY N}, {@code remove KEY N}, {@code add KEY BY}, {@code sum KEY}, {@code seen}, {@code level},
  * {@code diff}, {@code status}, {@code propose NAME CONTENT}, {@code watch NAME}, {@code acting NAME},
- * {@code known NAME}, {@code hold ROLE MS}, {@code holds ROLE}, {@code final SUM...}, {@code end}. A number N grows
- * with each write; it is the record's value.
+ * {@code known NAME}, {@code hold ROLE MS}, {@code holds ROLE}, {@code final SUM...}, {@code end}. N is the
+ * record's value, a number that increases with each write.
  */
 public final class StateMember implements AutoCloseable {
-    /** Own records of this space are written and told of. */
+    /** The space whose records {@code put} and {@code remove} write, and whose changes are reported. */
     private static final RecordSpace REGISTER_SPACE = RecordSpace.SERVERS;
 
     private static final RecordSpace COUNTER_SPACE = RecordSpace.ATTEMPTS;
@@ -59,37 +59,37 @@
     private static final double REPORT_INTERVAL_MS = 200;
     private static final int MAX_QUEUED_LINES = 20_000;
     private static final int MAX_WATCHED_NAMES = 64;
-    /** The state of a role that this member does not hold, in place of a token. */
+    /** Stands in place of a token for a role that this member does not hold. */
     private static final String NOT_HELD = "none";
 
-    /** What it is started with. */
+    /** The command line. */
     static final class Options {
-        @Parameter(names = "--name", description = "Its name", required = true)
+        @Parameter(names = "--name", description = "The name of the member", required = true)
         String name;
 
-        @Parameter(names = "--zone", description = "Its zone")
+        @Parameter(names = "--zone", description = "The zone of the member")
         String zone = "a";
 
-        @Parameter(names = "--listen", description = "ADDRESS:PORT for its peers", required = true)
+        @Parameter(names = "--listen", description = "ADDRESS:PORT to listen at for peers", required = true)
         String listen;
 
         @Parameter(
                 names = "--peers",
-                description = "NAME=ADDRESS:PORT/ZONE of each other member, with commas",
+                description = "NAME=ADDRESS:PORT/ZONE of each other member, separated by commas",
                 required = true)
         List<String> peers = List.of();
 
-        @Parameter(names = "--disk", description = "Its directory", required = true)
+        @Parameter(names = "--disk", description = "The directory for the data of the member", required = true)
         String disk;
 
-        @Parameter(names = "--fleet", description = "The fleet's name")
+        @Parameter(names = "--fleet", description = "The name of the fleet")
         String fleet = "laboratory";
 
         Member self() {
             return new Member(name, listen, zone);
         }
 
-        /** All members, this one too, in the same order at each of them. */
+        /** Returns all members including this one, in the same order at each member. */
         List<Member> members() {
             List<Member> all = new ArrayList<>(List.of(self()));
             for (String p : peers) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** What a member was last seen to act by or to hold, and since when. */
+    /** A sampled state, and the interval in which it was observed unchanged. */
     private static final class Span {
         Object state;
         double observedSinceMs;
@@ -127,7 +127,7 @@
     private final Thread writer;
     private final Span syncState = new Span();
 
-    /** A member with its parts, which are not started yet; its lines go there. */
+    /** Creates a member from components that are not started yet; its JSON lines are written to the stream. */
     StateMember(PeerLinks links, Replica replica, AgreedValues agreed, PrintStream to) {
         this.links = links;
         this.replica = replica;
@@ -147,7 +147,7 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** Starts to tell; its parts run. */
+    /** Starts to report; the components have to be started already. */
     void start() {
         writer.start();
         report(nowMs(), "ready", Map.of("life", links.life()));
@@ -160,7 +160,7 @@
         line.put("what", what);
         line.putAll(more);
         try {
-            // Guards against a reader that does not read: no thread of the fleet's waits for it.
+            // Guards the threads of the fleet against a slow reader: a line that does not fit the queue is dropped.
             if (!outputQueue.offer(json.writeValueAsString(line))) {
                 droppedLines.incrementAndGet();
             }
@@ -202,7 +202,7 @@
         try {
             return Long.parseLong(new String(value, StandardCharsets.UTF_8));
         } catch (NumberFormatException e) {
-            // Not one that a line has put.
+            // The value was not written by a command of this program.
             return -1;
         }
     }
@@ -215,7 +215,7 @@
         return all;
     }
 
-    /** Asks all the time, as a member does before each act: a change that lasts is seen, and between which moments. */
+    /** Samples the state continuously, so that each lasting change is reported with the interval in which it happened. */
     private void sample() {
         try {
             while (true) {
@@ -301,7 +301,7 @@
         recordSample(s, state, before, tell, tell);
     }
 
-    /** The state was so at some moment after {@code before} and before now. */
+    /** Records a state that was observed at some time between {@code before} and now. */
     private void recordSample(Span s, Object state, double before, Runnable changes, Runnable tell) {
         if (!state.equals(s.state)) {
             if (s.state != null) {
@@ -321,7 +321,7 @@
         }
     }
 
-    /** Does what a line says; one that is not understood is answered so. */
+    /** Executes a command; an invalid one is reported as unknown. */
     void execute(String line) {
         String[] w = line.trim().split("\\s+");
         try {
@@ -396,7 +396,7 @@
     }
 
     private static void watch(Map<String, Span> all, String name) {
-        // Guards against names without end on the command channel.
+        // Guards memory against an unlimited number of names in commands.
         if (all.size() < MAX_WATCHED_NAMES) {
             all.putIfAbsent(name, new Span());
         }
@@ -461,7 +461,7 @@
         writer.interrupt();
     }
 
-    /** Runs a member until its standard input ends or a line says so. */
+    /** Runs a member until its standard input ends or it receives the command {@code end}. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Options o = new Options();
         List<Member> members;
@@ -478,7 +478,7 @@
             return;
         }
         PrintStream to = new PrintStream(new FileOutputStream(FileDescriptor.out), false, StandardCharsets.UTF_8);
-        // What the log writes to standard output goes to standard error: lines of JSON stay lines of JSON.
+        // Log lines that are meant for standard output go to standard error, so that the output has only JSON lines.
         System.setOut(System.err);
         try {
             run(o, members, to);
--- a/fleet/src/main/java/brackenbridge/fleet/node/package-info.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/package-info.java
@@ -1,2 +1,2 @@
-/** A node and its part of the fleet in one process: values to its reducer, observations from it. */
+/** The processes of the fleet: members, control machines, and nodes that exchange settings and observations with it. */
 package brackenbridge.fleet.node;
--- a/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
@@ -161,7 +161,7 @@
     void aFleetWithoutControlMachinesIsRejected() throws FleetFileException {
         FleetFile none = FleetFile.parse("f", "fleet = \"f\"\n[[member]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n");
         assertEquals(
-                "the fleet's file names no control machine",
+                "the fleet file contains no control machine",
                 assertThrows(
                                 IllegalArgumentException.class,
                                 () -> new NodeSubscription(none, configFile, "r", Config.read(configFile)))
