--- a/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
@@ -56,46 +56,48 @@
 
     @Override
     public int run(String[] args) {
-        Options line = new Options();
+        Options options = new Options();
         byte[] body = new byte[0];
         try {
             JCommander.newBuilder()
                     .programName("brackenbridge " + name)
-                    .addObject(line)
+                    .addObject(options)
                     .build()
                     .parse(args);
-            if (line.file != null) {
-                body = Files.readAllBytes(Path.of(line.file));
+            if (options.file != null) {
+                body = Files.readAllBytes(Path.of(options.file));
             }
         } catch (ParameterException | IOException e) {
             return reportUsageError(String.valueOf(e.getMessage()));
         }
-        if (line.words.isEmpty() || line.at == null) {
+        if (options.words.isEmpty() || options.at == null) {
             return reportUsageError(
-                    line.at == null ? "no member address: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET" : usage);
+                    options.at == null
+                            ? "no member address: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET"
+                            : usage);
         }
         try {
-            String path = line.words.stream()
+            String path = options.words.stream()
                     .map(w -> URLEncoder.encode(w, StandardCharsets.UTF_8))
                     .collect(Collectors.joining("/"));
-            HttpResponse<String> answer = HttpClient.newHttpClient()
+            HttpResponse<String> response = HttpClient.newHttpClient()
                     .send(
-                            HttpRequest.newBuilder(URI.create("http://" + line.at + "/call/" + name + "/" + path
-                                            + (line.json ? "?json" : "")))
+                            HttpRequest.newBuilder(URI.create("http://" + options.at + "/call/" + name + "/" + path
+                                            + (options.json ? "?json" : "")))
                                     .timeout(TIMEOUT)
                                     .POST(HttpRequest.BodyPublishers.ofByteArray(body))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            (answer.statusCode() == 200 ? System.out : System.err)
+            (response.statusCode() == 200 ? System.out : System.err)
                     .println(
-                            answer.body().isEmpty()
-                                    ? "brackenbridge: " + line.at + " responded with status " + answer.statusCode()
-                                    : answer.body().stripTrailing());
-            return answer.statusCode() == 200 ? 0 : 1;
+                            response.body().isEmpty()
+                                    ? "brackenbridge: " + options.at + " responded with status " + response.statusCode()
+                                    : response.body().stripTrailing());
+            return response.statusCode() == 200 ? 0 : 1;
         } catch (IllegalArgumentException e) {
             return reportUsageError(e.getMessage());
         } catch (IOException e) {
-            System.err.println("brackenbridge: no response from " + line.at + ": " + e.getMessage());
+            System.err.println("brackenbridge: no response from " + options.at + ": " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -103,8 +105,8 @@
         }
     }
 
-    private static int reportUsageError(String why) {
-        System.err.println("brackenbridge: " + why);
+    private static int reportUsageError(String reason) {
+        System.err.println("brackenbridge: " + reason);
         return 2;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
@@ -36,18 +36,18 @@
 
     @Override
     public int run(String[] args) {
-        Options line = new Options();
+        Options options = new Options();
         ControlService service;
         try {
             JCommander.newBuilder()
                     .programName("brackenbridge control")
-                    .addObject(line)
+                    .addObject(options)
                     .build()
                     .parse(args);
-            if (line.json) {
+            if (options.json) {
                 System.setProperty("logback.configurationFile", "logback-json.xml");
             }
-            service = new ControlService(FleetFile.read(Path.of(line.fleet)), line.name, Clock.system());
+            service = new ControlService(FleetFile.read(Path.of(options.fleet)), options.name, Clock.system());
             service.start();
         } catch (ParameterException | IllegalArgumentException | IOException e) {
             System.err.println("brackenbridge: " + e.getMessage());
@@ -64,7 +64,7 @@
                             Runtime.getRuntime().halt(0);
                         },
                         "stop"));
-        System.out.println("control machine " + line.name + " serves nodes at "
+        System.out.println("control machine " + options.name + " serves nodes at "
                 + service.address().getAddress().getHostAddress() + ":"
                 + service.address().getPort());
         try {
--- a/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/NodeCommand.java
@@ -42,23 +42,23 @@
 
     @Override
     public int run(String[] args) {
-        Options line = new Options();
+        Options options = new Options();
         FleetFile file;
         try {
             JCommander.newBuilder()
                     .programName("brackenbridge node")
-                    .addObject(line)
+                    .addObject(options)
                     .build()
                     .parse(args);
-            if (line.json) {
+            if (options.json) {
                 System.setProperty("logback.configurationFile", "logback-json.xml");
             }
-            if ((line.fleet == null) == (line.control == null)) {
+            if ((options.fleet == null) == (options.control == null)) {
                 throw new ParameterException("give one of --fleet and --control");
             }
-            file = FleetFile.read(Path.of(line.fleet == null ? line.control : line.fleet));
-            if (line.control != null && file.control() == null) {
-                throw new ParameterException(line.control + ": contains no control machine");
+            file = FleetFile.read(Path.of(options.fleet == null ? options.control : options.fleet));
+            if (options.control != null && file.control() == null) {
+                throw new ParameterException(options.control + ": contains no control machine");
             }
         } catch (ParameterException e) {
             System.err.println("brackenbridge: " + e.getMessage());
@@ -68,10 +68,10 @@
             return 2;
         }
         Main.serve(
-                line.config,
-                config -> line.fleet != null
+                options.config,
+                config -> options.fleet != null
                         ? new FleetParticipant(file, config)
-                        : new NodeSubscription(file, Path.of(line.config), line.region, config));
+                        : new NodeSubscription(file, Path.of(options.config), options.region, config));
         // Returning would end the process; the shutdown hook ends it on a signal.
         try {
             Thread.currentThread().join();
--- a/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/FleetFile.java
@@ -167,109 +167,110 @@
         toml.errors()
                 .forEach(e -> faults.add(e.position(), "syntax", e.getMessage().replaceAll("\\s+", " ")));
         faults.throwIfAny();
-        TomlTableReader t = new TomlTableReader("", toml, null, faults);
-        String fleet = t.string("fleet", null, NAME_PATTERN);
-        String directory = t.string("directory", "-", PRINTABLE_PATTERN);
+        TomlTableReader root = new TomlTableReader("", toml, null, faults);
+        String fleet = root.string("fleet", null, NAME_PATTERN);
+        String directory = root.string("directory", "-", PRINTABLE_PATTERN);
         List<Member> members = new ArrayList<>();
-        Map<String, String> page = new TreeMap<>();
-        Map<String, String> listen = new TreeMap<>();
+        Map<String, String> adminAddresses = new TreeMap<>();
+        Map<String, String> listenAddresses = new TreeMap<>();
         Set<String> names = new HashSet<>();
         Set<String> addresses = new HashSet<>();
-        for (TomlTableReader m : t.tables("member")) {
+        for (TomlTableReader entry : root.tables("member")) {
             Member member = new Member(
-                    m.string("name", null, NAME_PATTERN),
-                    m.string("address", null, ADDRESS_PATTERN),
-                    m.string("zone", "-", NAME_PATTERN));
-            String at = m.string("page", "-", ADDRESS_PATTERN);
-            if (!at.equals("-")) {
-                page.put(member.name(), at);
+                    entry.string("name", null, NAME_PATTERN),
+                    entry.string("address", null, ADDRESS_PATTERN),
+                    entry.string("zone", "-", NAME_PATTERN));
+            String adminAddress = entry.string("page", "-", ADDRESS_PATTERN);
+            if (!adminAddress.equals("-")) {
+                adminAddresses.put(member.name(), adminAddress);
             }
-            String listens = m.string("listen", "-", ADDRESS_PATTERN);
-            if (!listens.equals("-")) {
-                listen.put(member.name(), listens);
+            String listenAddress = entry.string("listen", "-", ADDRESS_PATTERN);
+            if (!listenAddress.equals("-")) {
+                listenAddresses.put(member.name(), listenAddress);
             }
-            m.rejectUnknownKeys();
+            entry.rejectUnknownKeys();
             if (!names.add(member.name())) {
-                m.addFault("name", "'" + member.name() + "' is another member's");
+                entry.addFault("name", "'" + member.name() + "' is another member's");
             }
-            if (!addresses.add(member.address()) || page.containsValue(member.address())) {
-                m.addFault("address", member.address() + " is used already");
+            if (!addresses.add(member.address()) || adminAddresses.containsValue(member.address())) {
+                entry.addFault("address", member.address() + " is used already");
             }
             members.add(member);
         }
         if (members.isEmpty()) {
-            t.addFault("member", "a fleet needs members");
+            root.addFault("member", "a fleet needs members");
         }
-        TomlTableReader l = t.table("links");
+        TomlTableReader linkTable = root.table("links");
         Links links = new Links(
-                l.durationMs("beat", 250, 10, 10_000),
-                l.durationMs("suspect", 1250, 20, 60_000),
-                l.durationMs("gone", 4000, 50, 600_000),
-                (int) l.size("frame", 1 << 20, 4096, 16 << 20),
-                l.size("queue", 4 << 20, 65_536, 256 << 20));
+                linkTable.durationMs("beat", 250, 10, 10_000),
+                linkTable.durationMs("suspect", 1250, 20, 60_000),
+                linkTable.durationMs("gone", 4000, 50, 600_000),
+                (int) linkTable.size("frame", 1 << 20, 4096, 16 << 20),
+                linkTable.size("queue", 4 << 20, 65_536, 256 << 20));
         if (links.suspectAfterMs() < 4 * links.heartbeatMs()) {
-            l.addFault("suspect", "is less than four beats: a few late heartbeats would cause a suspicion");
+            linkTable.addFault("suspect", "is less than four beats: a few late heartbeats would cause a suspicion");
         }
         if (links.deadAfterMs() < 2 * links.suspectAfterMs()) {
-            l.addFault("gone", "is less than twice suspect: a suspected member could not refute in time");
+            linkTable.addFault("gone", "is less than twice suspect: a suspected member could not refute in time");
         }
         if (links.maxQueueBytes() < links.maxFrameBytes()) {
-            l.addFault("queue", "is less than one frame");
+            linkTable.addFault("queue", "is less than one frame");
         }
-        l.rejectUnknownKeys();
-        TomlTableReader a = t.table("agreed");
-        Agreement agreed = new Agreement(
-                a.integer("voters", largestOddUpTo(Math.min(5, members.size())), 1, 7),
-                a.durationMs("lease", 1600, 200, 60_000),
-                a.number("drift", 0.01, 0, 0.2));
-        if (agreed.voters() % 2 == 0) {
-            a.addFault("voters", agreed.voters() + " is even: one voter fewer tolerates as many failures");
+        linkTable.rejectUnknownKeys();
+        TomlTableReader agreementTable = root.table("agreed");
+        Agreement agreement = new Agreement(
+                agreementTable.integer("voters", largestOddUpTo(Math.min(5, members.size())), 1, 7),
+                agreementTable.durationMs("lease", 1600, 200, 60_000),
+                agreementTable.number("drift", 0.01, 0, 0.2));
+        if (agreement.voters() % 2 == 0) {
+            agreementTable.addFault(
+                    "voters", agreement.voters() + " is even: one voter fewer tolerates as many failures");
         }
-        if (!members.isEmpty() && agreed.voters() > members.size()) {
-            a.addFault("voters", "there are only " + members.size() + " members");
+        if (!members.isEmpty() && agreement.voters() > members.size()) {
+            agreementTable.addFault("voters", "there are only " + members.size() + " members");
         }
-        a.rejectUnknownKeys();
-        TomlTableReader r = t.table("replica");
-        Replication replica = new Replication(
-                r.size("catch_up", 1 << 20, 4096, 1L << 30),
-                r.integer("log", 4096, 16, 1_000_000),
-                r.durationMs("compare", 1000, 50, 600_000));
-        r.rejectUnknownKeys();
-        TomlTableReader s = t.table("shares");
-        boolean shared = s.bool("on", false);
+        agreementTable.rejectUnknownKeys();
+        TomlTableReader replicationTable = root.table("replica");
+        Replication replication = new Replication(
+                replicationTable.size("catch_up", 1 << 20, 4096, 1L << 30),
+                replicationTable.integer("log", 4096, 16, 1_000_000),
+                replicationTable.durationMs("compare", 1000, 50, 600_000));
+        replicationTable.rejectUnknownKeys();
+        TomlTableReader shareTable = root.table("shares");
+        boolean sharesEnabled = shareTable.bool("on", false);
         Shares shares = new Shares(
-                s.number("connections_per_server", 4, 0.01, 1e6),
-                s.durationMs("lease", 2000, 200, 60_000),
-                s.number("guaranteed", 0.2, 0, 1),
-                s.durationMs("hungry", 5000, 100, 600_000));
-        s.rejectUnknownKeys();
-        TomlTableReader e = t.table("evacuation");
+                shareTable.number("connections_per_server", 4, 0.01, 1e6),
+                shareTable.durationMs("lease", 2000, 200, 60_000),
+                shareTable.number("guaranteed", 0.2, 0, 1),
+                shareTable.durationMs("hungry", 5000, 100, 600_000));
+        shareTable.rejectUnknownKeys();
+        TomlTableReader evacuationTable = root.table("evacuation");
         Evacuation evacuation = new Evacuation(
-                e.number("part", 0.2, 0.01, 1),
-                e.durationMs("step", 5000, 500, 600_000),
-                e.number("bound", 0.85, 0.1, 1),
-                e.number("off", 0.25, 0.01, 1));
-        e.rejectUnknownKeys();
-        Control control = t.has("control") ? control(t.table("control"), names) : null;
-        t.rejectUnknownKeys();
+                evacuationTable.number("part", 0.2, 0.01, 1),
+                evacuationTable.durationMs("step", 5000, 500, 600_000),
+                evacuationTable.number("bound", 0.85, 0.1, 1),
+                evacuationTable.number("off", 0.25, 0.01, 1));
+        evacuationTable.rejectUnknownKeys();
+        Control control = root.has("control") ? control(root.table("control"), names) : null;
+        root.rejectUnknownKeys();
         faults.throwIfAny();
         return new FleetFile(
                 fleet,
                 directory.equals("-") ? null : Path.of(directory),
                 members,
                 links,
-                agreed,
-                replica,
-                shared ? shares : null,
+                agreement,
+                replication,
+                sharesEnabled ? shares : null,
                 evacuation,
                 control,
-                page,
-                listen);
+                adminAddresses,
+                listenAddresses);
     }
 
     private static Control control(TomlTableReader table, Set<String> members) {
         List<ControlMachine> machines = new ArrayList<>();
-        Set<String> known = new HashSet<>();
+        Set<String> namesAndAddresses = new HashSet<>();
         for (TomlTableReader entry : table.tables("machine")) {
             ControlMachine machine = new ControlMachine(
                     entry.string("name", null, NAME_PATTERN),
@@ -279,7 +280,7 @@
             if (!members.contains(machine.name())) {
                 entry.addFault("name", "'" + machine.name() + "' is no member");
             }
-            if (!known.add(machine.name()) || !known.add(machine.address())) {
+            if (!namesAndAddresses.add(machine.name()) || !namesAndAddresses.add(machine.address())) {
                 entry.addFault("name", "'" + machine.name() + "' or its address is used already");
             }
             machines.add(machine);
@@ -287,12 +288,12 @@
         if (machines.isEmpty()) {
             table.addFault("machine", "nobody serves: name at least one member");
         }
-        ControlLimits usual = ControlLimits.STANDARD;
+        ControlLimits defaults = ControlLimits.STANDARD;
         List<String> nodes = table.strings("nodes", NODE_PATTERN);
-        double heartbeat = table.durationMs("heartbeat", usual.heartbeatMs(), 10, 60_000);
-        double silence = table.durationMs("silence", usual.silenceMs(), 30, 600_000);
-        double admissions = table.number("admissions", usual.admissionsPerSecond(), 0.1, 1e6);
-        int maxNodes = table.integer("max_nodes", usual.maxSubscribers(), 1, 100_000);
+        double heartbeat = table.durationMs("heartbeat", defaults.heartbeatMs(), 10, 60_000);
+        double silence = table.durationMs("silence", defaults.silenceMs(), 30, 600_000);
+        double admissions = table.number("admissions", defaults.admissionsPerSecond(), 0.1, 1e6);
+        int maxNodes = table.integer("max_nodes", defaults.maxSubscribers(), 1, 100_000);
         table.rejectUnknownKeys();
         try {
             return new Control(
@@ -302,18 +303,18 @@
                             heartbeat,
                             silence,
                             silence,
-                            usual.coalesceMs(),
-                            Math.max(silence, usual.slowReaderMs()),
-                            usual.connectMs(),
-                            usual.retryBaseMs(),
-                            usual.retryMaxMs(),
-                            usual.startSpreadMs(),
-                            usual.homeMinMs(),
-                            usual.homeMaxMs(),
+                            defaults.coalesceMs(),
+                            Math.max(silence, defaults.slowReaderMs()),
+                            defaults.connectMs(),
+                            defaults.retryBaseMs(),
+                            defaults.retryMaxMs(),
+                            defaults.startSpreadMs(),
+                            defaults.homeMinMs(),
+                            defaults.homeMaxMs(),
                             admissions,
-                            usual.admissionBurst(),
+                            defaults.admissionBurst(),
                             maxNodes,
-                            usual.maxUnsubscribed()));
+                            defaults.maxUnsubscribed()));
         } catch (IllegalArgumentException e) {
             table.addFault("silence", e.getMessage());
             return null;
--- a/fleet/src/main/java/brackenbridge/fleet/config/TomlTableReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/TomlTableReader.java
@@ -37,10 +37,10 @@
             this.file = file;
         }
 
-        void add(TomlPosition at, String key, String why) {
-            int line = at == null ? 1 : at.line();
-            int column = at == null ? 1 : at.column();
-            faults.add(new Fault(line, column, file + ":" + line + ":" + column + ": " + key + ": " + why));
+        void add(TomlPosition position, String key, String reason) {
+            int line = position == null ? 1 : position.line();
+            int column = position == null ? 1 : position.column();
+            faults.add(new Fault(line, column, file + ":" + line + ":" + column + ": " + key + ": " + reason));
         }
 
         void throwIfAny() throws FleetFileException {
@@ -57,10 +57,10 @@
     private final FaultCollector faults;
     private final Set<String> readKeys = new HashSet<>();
 
-    TomlTableReader(String path, TomlTable toml, TomlPosition at, FaultCollector faults) {
+    TomlTableReader(String path, TomlTable toml, TomlPosition position, FaultCollector faults) {
         this.path = path;
         this.toml = toml;
-        this.position = at;
+        this.position = position;
         this.faults = faults;
     }
 
@@ -69,12 +69,12 @@
     }
 
     private TomlPosition positionOf(String key) {
-        TomlPosition p = toml == null ? null : toml.inputPositionOf(List.of(key));
-        return p == null ? position : p;
+        TomlPosition keyPosition = toml == null ? null : toml.inputPositionOf(List.of(key));
+        return keyPosition == null ? position : keyPosition;
     }
 
-    void addFault(String key, String why) {
-        faults.add(positionOf(key), qualifiedKey(key), why);
+    void addFault(String key, String reason) {
+        faults.add(positionOf(key), qualifiedKey(key), reason);
     }
 
     private Object value(String key) {
@@ -83,18 +83,18 @@
     }
 
     /** Reads a string; a required one has null for {@code absent}. */
-    String string(String key, String absent, Pattern form) {
+    String string(String key, String defaultValue, Pattern pattern) {
         Object v = value(key);
-        if (v == null && absent == null) {
+        if (v == null && defaultValue == null) {
             addFault(key, "is missing");
         } else if (v != null && !(v instanceof String)) {
             addFault(key, "is not a string: " + v);
-        } else if (v != null && !form.matcher((String) v).matches()) {
-            addFault(key, "'" + v + "' does not have the form " + form);
+        } else if (v != null && !pattern.matcher((String) v).matches()) {
+            addFault(key, "'" + v + "' does not have the form " + pattern);
         } else if (v != null) {
             return (String) v;
         }
-        return absent == null ? "" : absent;
+        return defaultValue == null ? "" : defaultValue;
     }
 
     /** Whether the key is present. */
@@ -103,79 +103,80 @@
     }
 
     /** Reads a list of strings; empty if absent. */
-    List<String> strings(String key, Pattern form) {
+    List<String> strings(String key, Pattern pattern) {
         Object v = value(key);
         List<String> all = new ArrayList<>();
         if (v != null && !(v instanceof TomlArray)) {
             addFault(key, "is not a list of strings");
         }
         for (int i = 0; v instanceof TomlArray a && i < a.size(); i++) {
-            if (a.get(i) instanceof String text && form.matcher(text).matches()) {
+            if (a.get(i) instanceof String text && pattern.matcher(text).matches()) {
                 all.add(text);
             } else {
-                faults.add(a.inputPositionOf(i), qualifiedKey(key) + "[" + i + "]", "does not have the form " + form);
+                faults.add(
+                        a.inputPositionOf(i), qualifiedKey(key) + "[" + i + "]", "does not have the form " + pattern);
             }
         }
         return all;
     }
 
-    double number(String key, double absent, double least, double most) {
+    double number(String key, double defaultValue, double min, double max) {
         Object v = value(key);
         if (v == null) {
-            return absent;
+            return defaultValue;
         }
         double d = v instanceof Long l ? l : v instanceof Double x ? x : Double.NaN;
-        if (!(d >= least && d <= most)) {
-            addFault(key, v + " is not a number from " + least + " to " + most);
-            return absent;
+        if (!(d >= min && d <= max)) {
+            addFault(key, v + " is not a number from " + min + " to " + max);
+            return defaultValue;
         }
         return d;
     }
 
-    int integer(String key, int absent, int least, int most) {
-        double d = number(key, absent, least, most);
+    int integer(String key, int defaultValue, int min, int max) {
+        double d = number(key, defaultValue, min, max);
         if (d != Math.rint(d)) {
             addFault(key, d + " is not a whole number");
         }
         return (int) d;
     }
 
-    boolean bool(String key, boolean absent) {
+    boolean bool(String key, boolean defaultValue) {
         Object v = value(key);
         if (v != null && !(v instanceof Boolean)) {
             addFault(key, "is neither true nor false: " + v);
         }
-        return v instanceof Boolean b ? b : absent;
+        return v instanceof Boolean b ? b : defaultValue;
     }
 
     /** Reads a duration with its unit; returns milliseconds. */
-    double durationMs(String key, double absentMs, double leastMs, double mostMs) {
-        String text = string(key, absentMs + "ms", Pattern.compile(".*"));
+    double durationMs(String key, double defaultMs, double minMs, double maxMs) {
+        String text = string(key, defaultMs + "ms", Pattern.compile(".*"));
         Matcher m = DURATION_PATTERN.matcher(text);
         if (!m.matches()) {
             addFault(key, "'" + text + "' is not a time such as 250ms or 1.5s");
-            return absentMs;
+            return defaultMs;
         }
         double ms = Double.parseDouble(m.group(1)) * DURATION_UNITS_MS.get(m.group(2));
-        if (!(ms >= leastMs && ms <= mostMs)) {
-            addFault(key, text + " is not from " + leastMs + "ms to " + mostMs + "ms");
-            return absentMs;
+        if (!(ms >= minMs && ms <= maxMs)) {
+            addFault(key, text + " is not from " + minMs + "ms to " + maxMs + "ms");
+            return defaultMs;
         }
         return ms;
     }
 
     /** Reads a size with its unit; returns bytes. */
-    long size(String key, long absent, long least, long most) {
-        String text = string(key, absent + "B", Pattern.compile(".*"));
+    long size(String key, long defaultBytes, long minBytes, long maxBytes) {
+        String text = string(key, defaultBytes + "B", Pattern.compile(".*"));
         Matcher m = SIZE_PATTERN.matcher(text);
         if (!m.matches() || m.group(1).length() > 12) {
             addFault(key, "'" + text + "' is not a size such as 64KiB");
-            return absent;
+            return defaultBytes;
         }
         long bytes = Long.parseLong(m.group(1)) * SIZE_UNITS_BYTES.get(m.group(2));
-        if (bytes < least || bytes > most) {
-            addFault(key, text + " is not from " + least + "B to " + most + "B");
-            return absent;
+        if (bytes < minBytes || bytes > maxBytes) {
+            addFault(key, text + " is not from " + minBytes + "B to " + maxBytes + "B");
+            return defaultBytes;
         }
         return bytes;
     }
@@ -208,12 +209,12 @@
     }
 
     /** Reads a table of numbers by key. */
-    Map<String, Double> numbers(String key, double least, double most) {
+    Map<String, Double> numbers(String key, double min, double max) {
         TomlTableReader t = table(key);
         Map<String, Double> all = new TreeMap<>();
         if (t.toml != null) {
             for (String k : t.toml.keySet()) {
-                all.put(k, t.number(k, least, least, most));
+                all.put(k, t.number(k, min, min, max));
             }
         }
         return all;
@@ -226,12 +227,12 @@
         }
         for (String key : toml.keySet()) {
             if (!readKeys.contains(key)) {
-                String near = readKeys.stream()
+                String closest = readKeys.stream()
                         .min(Comparator.comparingInt((String k) ->
                                         LevenshteinDistance.getDefaultInstance().apply(key, k))
                                 .thenComparing(k -> k))
                         .orElse("");
-                addFault(key, "is unknown" + (near.isEmpty() ? "" : "; did you mean '" + near + "'?"));
+                addFault(key, "is unknown" + (closest.isEmpty() ? "" : "; did you mean '" + closest + "'?"));
             }
         }
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
@@ -54,12 +54,13 @@
     private final ThreadPoolExecutor threads;
 
     /** Starts to listen; fails if the address can't be bound. */
-    public AdminHttpServer(InetSocketAddress at, PrometheusMeterRegistry metrics, Map<String, CommandHandler> rooms)
+    public AdminHttpServer(
+            InetSocketAddress address, PrometheusMeterRegistry metrics, Map<String, CommandHandler> handlers)
             throws IOException {
         // Guards the small thread pool against idle callers: by default the server waits for a request without limit.
         System.setProperty("sun.net.httpserver.maxReqTime", "10");
         System.setProperty("sun.net.httpserver.maxRspTime", "10");
-        server = HttpServer.create(at, MAX_WAITING_REQUESTS);
+        server = HttpServer.create(address, MAX_WAITING_REQUESTS);
         threads = new ThreadPoolExecutor(
                 THREADS,
                 THREADS,
@@ -67,20 +68,20 @@
                 TimeUnit.MINUTES,
                 new ArrayBlockingQueue<>(MAX_WAITING_REQUESTS),
                 r -> {
-                    Thread t = new Thread(r, "fleet-page");
-                    t.setDaemon(true);
-                    return t;
+                    Thread thread = new Thread(r, "fleet-page");
+                    thread.setDaemon(true);
+                    return thread;
                 },
                 new ThreadPoolExecutor.CallerRunsPolicy());
         server.setExecutor(threads);
-        server.createContext("/metrics", x -> {
-            try (x) {
-                respond(x, 200, "text/plain; version=0.0.4; charset=utf-8", metrics.scrape());
+        server.createContext("/metrics", exchange -> {
+            try (exchange) {
+                respond(exchange, 200, "text/plain; version=0.0.4; charset=utf-8", metrics.scrape());
             }
         });
-        server.createContext("/call/", x -> {
-            try (x) {
-                handleCall(x, rooms);
+        server.createContext("/call/", exchange -> {
+            try (exchange) {
+                handleCall(exchange, handlers);
             }
         });
         server.start();
@@ -91,39 +92,45 @@
         return server.getAddress();
     }
 
-    private static void handleCall(HttpExchange x, Map<String, CommandHandler> rooms) throws IOException {
+    private static void handleCall(HttpExchange exchange, Map<String, CommandHandler> handlers) throws IOException {
         byte[] body;
-        try (InputStream in = x.getRequestBody()) {
+        try (InputStream in = exchange.getRequestBody()) {
             body = in.readNBytes(MAX_BODY_BYTES + 1);
         }
         List<String> words = new ArrayList<>();
-        for (String part :
-                x.getRequestURI().getRawPath().substring("/call/".length()).split("/")) {
+        for (String part : exchange.getRequestURI()
+                .getRawPath()
+                .substring("/call/".length())
+                .split("/")) {
             words.add(URLDecoder.decode(part, StandardCharsets.UTF_8));
         }
-        CommandHandler room = rooms.get(words.remove(0));
-        if (!x.getRequestMethod().equals("POST") || body.length > MAX_BODY_BYTES || room == null) {
-            respond(x, room == null ? 404 : body.length > MAX_BODY_BYTES ? 413 : 405, "text/plain", "");
+        CommandHandler handler = handlers.get(words.remove(0));
+        if (!exchange.getRequestMethod().equals("POST") || body.length > MAX_BODY_BYTES || handler == null) {
+            respond(exchange, handler == null ? 404 : body.length > MAX_BODY_BYTES ? 413 : 405, "text/plain", "");
             return;
         }
-        boolean json = "json".equals(x.getRequestURI().getQuery());
-        Reply a;
+        boolean json = "json".equals(exchange.getRequestURI().getQuery());
+        Reply reply;
         try {
-            a = room.handle(words, body, json);
+            reply = handler.handle(words, body, json);
         } catch (IllegalArgumentException e) {
-            a = new Reply(false, e.getMessage());
+            reply = new Reply(false, e.getMessage());
         } catch (RuntimeException e) {
             LOG.error("admin command {} failed", words, e);
-            a = new Reply(false, "failed: " + e);
+            reply = new Reply(false, "failed: " + e);
         }
-        respond(x, a.succeeded() ? 200 : 409, json ? "application/json" : "text/plain; charset=utf-8", a.text());
+        respond(
+                exchange,
+                reply.succeeded() ? 200 : 409,
+                json ? "application/json" : "text/plain; charset=utf-8",
+                reply.text());
     }
 
-    private static void respond(HttpExchange x, int status, String type, String text) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String type, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        x.getResponseHeaders().set("Content-Type", type);
-        x.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
-        x.getResponseBody().write(bytes);
+        exchange.getResponseHeaders().set("Content-Type", type);
+        exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
+        exchange.getResponseBody().write(bytes);
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -77,37 +77,37 @@
         }
         Path directory = file.directory() == null ? null : file.directory().resolve(name);
         disk = directory == null ? null : ReplicaDisk.open(directory, file.fleet(), name, clock.nowMs());
-        long life = disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life();
-        PeerLimits usual = PeerLimits.standard();
-        FleetFile.Links l = file.links();
+        long incarnation = disk == null ? ReplicaDisk.lifeWithout(clock.nowMs()) : disk.life();
+        PeerLimits defaults = PeerLimits.standard();
+        FleetFile.Links linkSettings = file.links();
         List<Member> peers =
                 file.members().stream().filter(m -> !m.name().equals(name)).toList();
         String listenAddress = file.listenAddresses().getOrDefault(name, self.address());
         links = new TcpPeerLinks(
                 self,
                 listenAddress,
-                life,
+                incarnation,
                 file.fleet(),
                 peers,
                 clock,
                 new PeerLimits(
-                        l.maxFrameBytes(),
-                        l.maxQueueBytes(),
-                        usual.queueMessages(),
-                        l.heartbeatMs(),
-                        l.suspectAfterMs(),
-                        l.deadAfterMs(),
-                        usual.handshakeMs(),
-                        usual.dialMinMs(),
-                        usual.dialMaxMs(),
-                        usual.strangers(),
-                        usual.asked()));
+                        linkSettings.maxFrameBytes(),
+                        linkSettings.maxQueueBytes(),
+                        defaults.queueMessages(),
+                        linkSettings.heartbeatMs(),
+                        linkSettings.suspectAfterMs(),
+                        linkSettings.deadAfterMs(),
+                        defaults.handshakeMs(),
+                        defaults.dialMinMs(),
+                        defaults.dialMaxMs(),
+                        defaults.strangers(),
+                        defaults.asked()));
         replica = new ReplicaNode(
                 links,
                 disk,
                 clock,
                 ReplicationLimits.DEFAULT.sending(file.replication().bytesPerSecond()));
-        FleetFile.Agreement a = file.agreement();
+        FleetFile.Agreement agreementSettings = file.agreement();
         agreement = new AgreementMember(
                 links,
                 directory,
@@ -116,16 +116,16 @@
                         file.fleet(),
                         file.members().stream()
                                 .map(Member::name)
-                                .limit(a.voters())
+                                .limit(agreementSettings.voters())
                                 .toList(),
-                        new LeaseTerms(a.leaseMs(), a.maxClockDrift()),
+                        new LeaseTerms(agreementSettings.leaseMs(), agreementSettings.maxClockDrift()),
                         AGREEMENT_HEARTBEAT_MS,
                         LEADER_TIMEOUT_HEARTBEATS,
                         MAX_ROLE_LEASE_MS,
-                        life));
-        Set<String> shown = new TreeSet<>(links.figures().keySet());
-        shown.addAll(LINK_COUNTS);
-        shown.forEach(k -> Gauge.builder(
+                        incarnation));
+        Set<String> linkMetrics = new TreeSet<>(links.figures().keySet());
+        linkMetrics.addAll(LINK_COUNTS);
+        linkMetrics.forEach(k -> Gauge.builder(
                         "fleet.links." + k, () -> links.figures().getOrDefault(k, 0.0))
                 .register(metrics));
         Gauge.builder("fleet.replica.behind", () -> replica.level().behind()).register(metrics);
@@ -140,22 +140,23 @@
         commandHandlers.put("state", new StateAdminHandler(replica));
         SettingsAdminHandler settings = new SettingsAdminHandler(agreement, MAJORITY_TIMEOUT_MS);
         commandHandlers.put("settings", (words, body, json) -> {
-            SettingsAdminHandler.Reply r =
+            SettingsAdminHandler.Reply reply =
                     runSettingsCommand(settings, words, new String(body, StandardCharsets.UTF_8));
             return new AdminHttpServer.Reply(
-                    r.done(), words.equals(List.of("status")) ? r.text() + nodeStatusSupplier.get() : r.text());
+                    reply.done(),
+                    words.equals(List.of("status")) ? reply.text() + nodeStatusSupplier.get() : reply.text());
         });
     }
 
     private static SettingsAdminHandler.Reply runSettingsCommand(
-            SettingsAdminHandler calls, List<String> words, String file) {
+            SettingsAdminHandler handler, List<String> words, String file) {
         String name = words.size() > 1 && !words.get(0).equals("withdraw") ? words.get(1) : AgreedValues.SETTINGS;
         return switch (words.get(0)) {
-            case "propose" -> calls.propose(name, file, -1);
-            case "show" -> calls.show(name);
-            case "history" -> calls.history(name);
-            case "withdraw" -> calls.withdraw(AgreedValues.SETTINGS, parseGeneration(words));
-            case "status" -> calls.status();
+            case "propose" -> handler.propose(name, file, -1);
+            case "show" -> handler.show(name);
+            case "history" -> handler.history(name);
+            case "withdraw" -> handler.withdraw(AgreedValues.SETTINGS, parseGeneration(words));
+            case "status" -> handler.status();
             default ->
                 throw new IllegalArgumentException(
                         "settings propose --file FILE | show | history | withdraw GENERATION | status");
@@ -207,8 +208,8 @@
     }
 
     /** Adds a command that operators may call; to be called before {@link #start}. */
-    public void addCommandHandler(String name, AdminHttpServer.CommandHandler calls) {
-        commandHandlers.put(name, calls);
+    public void addCommandHandler(String name, AdminHttpServer.CommandHandler handler) {
+        commandHandlers.put(name, handler);
     }
 
     /** Starts the member; fails if an address can't be bound. */
@@ -216,11 +217,11 @@
         replica.start();
         agreement.start();
         links.start();
-        String at = file.adminAddresses().get(self.name());
-        if (at != null) {
-            int colon = at.lastIndexOf(':');
+        String address = file.adminAddresses().get(self.name());
+        if (address != null) {
+            int colon = address.lastIndexOf(':');
             adminServer = new AdminHttpServer(
-                    new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
+                    new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
                     metrics,
                     commandHandlers);
         }
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -40,9 +40,9 @@
     private final String pool;
     private final ObjectMapper json = new ObjectMapper();
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2, r -> {
-        Thread t = new Thread(r, "fleet-values");
-        t.setDaemon(true);
-        return t;
+        Thread thread = new Thread(r, "fleet-values");
+        thread.setDaemon(true);
+        return thread;
     });
     private FleetNode member;
     private final Set<String> publishedDemandKeys = new HashSet<>();
@@ -65,10 +65,10 @@
                 slots,
                 config.settings().coldCapacityRatio(),
                 config.settings().warmUpTime() / 1000.0);
-        CommandFilter orders = new CommandFilter(fleetFile.agreement().maxClockDrift());
-        member.links().receive(MessageStream.EVACUATION, (peer, life, body) -> {
+        CommandFilter commandFilter = new CommandFilter(fleetFile.agreement().maxClockDrift());
+        member.links().receive(MessageStream.EVACUATION, (peer, incarnation, body) -> {
             try {
-                applyCommand(orders, WeightCommand.read(body), clock.nowMs(), node);
+                applyCommand(commandFilter, WeightCommand.read(body), clock.nowMs(), node);
             } catch (IOException e) {
                 LOG.warn("malformed weight command from {}: {}", peer, e.getMessage());
             }
@@ -79,35 +79,35 @@
                 POOL_REPORT_INTERVAL_MS,
                 () -> publish(RecordSpace.POOLS, reports.report(node.observation()), publishedPoolKeys));
         scheduleEvery(DEMAND_REPORT_INTERVAL_MS, () -> {
-            List<TenantUse> all = node.tenantUse().join();
+            List<TenantUse> tenants = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
-            all.forEach(u -> uses.put(
+            tenants.forEach(u -> uses.put(
                     pool + "/" + u.tenant(), new PoolUse(u.demand(), u.used(), u.rejectedPerSecond(), u.meanMs())));
             publish(RecordSpace.DEMAND, uses, publishedDemandKeys);
         });
     }
 
     /** Applies a command; synchronized, since commands arrive on the threads of several peers. */
-    private static void applyCommand(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
-        synchronized (orders) {
-            orders.take(order, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
+    private static void applyCommand(CommandFilter commandFilter, WeightCommand command, double nowMs, Node node) {
+        synchronized (commandFilter) {
+            commandFilter.take(command, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
         }
     }
 
     /** Writes these records, and removes earlier ones whose keys are not among them. */
-    private void publish(RecordSpace space, Map<String, ?> now, Set<String> before) {
-        now.forEach((key, value) -> {
+    private void publish(RecordSpace space, Map<String, ?> records, Set<String> publishedKeys) {
+        records.forEach((key, value) -> {
             try {
                 member.replica().put(space, key, json.writeValueAsBytes(value));
             } catch (JsonProcessingException e) {
                 throw new IllegalStateException(e);
             }
         });
-        before.stream()
-                .filter(k -> !now.containsKey(k))
+        publishedKeys.stream()
+                .filter(k -> !records.containsKey(k))
                 .forEach(k -> member.replica().remove(space, k));
-        before.clear();
-        before.addAll(now.keySet());
+        publishedKeys.clear();
+        publishedKeys.addAll(records.keySet());
     }
 
     private void scheduleEvery(long ms, Runnable work) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
@@ -28,8 +28,8 @@
 /**
  * A node's subscription to its settings and its endpoint list. A received value replaces the same part of the node's
  * configuration, and the complete configuration is validated as in a reload before it is applied. An invalid value is
- * rejected and reported to the control machine, and the previous value stays in force. Without a connection to a control
- * machine the node keeps the values received last, or those of its file if it has received none.
+ * rejected and reported to the control machine, and the previous value stays in force. Without a connection to a
+ * control machine the node keeps the values received last, or those of its file if it has received none.
  */
 public final class NodeSubscription implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(NodeSubscription.class);
@@ -62,21 +62,21 @@
      * @param startConfig the configuration that the node starts with
      * @throws IllegalArgumentException if the fleet file contains no control machine
      */
-    public NodeSubscription(FleetFile file, Path configFile, String region, Config started) {
+    public NodeSubscription(FleetFile file, Path configFile, String region, Config startConfig) {
         if (file.control() == null) {
             throw new IllegalArgumentException("the fleet file contains no control machine");
         }
         this.fleetFile = file;
         this.configFile = configFile;
         this.region = region;
-        this.startConfig = started;
-        configKeys.put("settings/tier-" + started.settings().tier(), "settings");
-        configKeys.put("list/tier-" + started.settings().tier(), "known");
+        this.startConfig = startConfig;
+        configKeys.put("settings/tier-" + startConfig.settings().tier(), "settings");
+        configKeys.put("list/tier-" + startConfig.settings().tier(), "known");
     }
 
     @Override
-    public void onStarting(Node served) {
-        node = served;
+    public void onStarting(Node startingNode) {
+        node = startingNode;
         client = new ControlClient(
                 new ControlClient.Settings(
                         fleetFile.fleet(),
@@ -100,10 +100,10 @@
     }
 
     private Optional<String> apply(Resource resource) {
-        Map<String, String> next = new TreeMap<>(appliedContents);
-        next.put(configKeys.get(resource.name()), new String(resource.content(), StandardCharsets.UTF_8));
+        Map<String, String> nextContents = new TreeMap<>(appliedContents);
+        nextContents.put(configKeys.get(resource.name()), new String(resource.content(), StandardCharsets.UTF_8));
         try {
-            reload(mergeIntoFile(next));
+            reload(mergeIntoFile(nextContents));
         } catch (IllegalArgumentException | IOException e) {
             LOG.warn(
                     "rejected version {} of {}, the previous version stays in force: {}",
@@ -113,16 +113,16 @@
             return Optional.of(String.valueOf(e.getMessage()));
         }
         appliedContents.clear();
-        appliedContents.putAll(next);
+        appliedContents.putAll(nextContents);
         LOG.info("applied version {} of {}", resource.version(), resource.name());
         return Optional.empty();
     }
 
     /** Returns the configuration of the file with these contents in place of its own, validated as in a reload. */
-    private Config mergeIntoFile(Map<String, String> with) throws IOException {
-        JsonObject whole = StrictJson.parse(Files.readString(configFile)).asObject();
-        with.forEach((key, content) -> whole.set(key, StrictJson.parse(content)));
-        Config config = Config.parse(whole.toString()).withManagement(System.getenv("PROXY_MGMT"));
+    private Config mergeIntoFile(Map<String, String> overrides) throws IOException {
+        JsonObject json = StrictJson.parse(Files.readString(configFile)).asObject();
+        overrides.forEach((key, content) -> json.set(key, StrictJson.parse(content)));
+        Config config = Config.parse(json.toString()).withManagement(System.getenv("PROXY_MGMT"));
         startConfig.schema().requireSameKeysIn(config.schema());
         return config;
     }
@@ -136,13 +136,13 @@
     private void reconcile() {
         try {
             long reloads = countReloads(node.metricsText());
-            long others = reloads - handledReloads - ownReloads;
+            long fileReloads = reloads - handledReloads - ownReloads;
             if (reloads <= handledReloads) {
                 return;
             }
             handledReloads = reloads;
-            ownReloads = Math.max(0, -others);
-            if (others > 0 && !appliedContents.isEmpty()) {
+            ownReloads = Math.max(0, -fileReloads);
+            if (fileReloads > 0 && !appliedContents.isEmpty()) {
                 LOG.info("the configuration file was reloaded; agreed values are applied again");
                 reload(mergeIntoFile(appliedContents));
             }
@@ -151,17 +151,17 @@
         }
     }
 
-    private static long countReloads(String figures) {
-        int at = figures.indexOf(RELOAD_COUNTER);
-        if (at < 0) {
+    private static long countReloads(String metrics) {
+        int counterStart = metrics.indexOf(RELOAD_COUNTER);
+        if (counterStart < 0) {
             return 0;
         }
-        int end = at + RELOAD_COUNTER.length();
-        int begin = end;
-        while (end < figures.length() && Character.isDigit(figures.charAt(end))) {
+        int end = counterStart + RELOAD_COUNTER.length();
+        int digitsStart = end;
+        while (end < metrics.length() && Character.isDigit(metrics.charAt(end))) {
             end++;
         }
-        return end == begin ? 0 : Long.parseLong(figures.substring(begin, end));
+        return end == digitsStart ? 0 : Long.parseLong(metrics.substring(digitsStart, end));
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * Computes the observations of a node's pools, such as rates and latencies, from snapshots of its traffic over a sliding
- * window. It does no I/O and is confined to one thread.
+ * Computes the observations of a node's pools, such as rates and latencies, from snapshots of its traffic over a
+ * sliding window. It does no I/O and is confined to one thread.
  */
 final class PoolReporter {
     /** The length of the sliding window, in milliseconds. */
@@ -37,61 +37,63 @@
      * @param coldFrom the fraction of its capacity that a server has when it starts
      * @param coldMs the time until a server reaches its full capacity, in milliseconds
      */
-    PoolReporter(String tier, double connections, double coldFrom, double coldMs) {
+    PoolReporter(String tier, double connectionsPerWeight, double initialCapacityRatio, double warmUpMs) {
         this.tier = tier;
-        this.connectionsPerWeight = connections;
-        this.initialCapacityRatio = coldFrom;
-        this.warmUpMs = coldMs;
+        this.connectionsPerWeight = connectionsPerWeight;
+        this.initialCapacityRatio = initialCapacityRatio;
+        this.warmUpMs = warmUpMs;
     }
 
     /** Adds a snapshot and returns the observations by key, {@code tier/zone/kind/class}. */
-    Map<String, PoolObservation> report(TrafficSnapshot now) {
-        while (snapshots.size() > 1 && now.atMs() - snapshots.peekFirst().atMs() > WINDOW_MS) {
+    Map<String, PoolObservation> report(TrafficSnapshot snapshot) {
+        while (snapshots.size() > 1 && snapshot.atMs() - snapshots.peekFirst().atMs() > WINDOW_MS) {
             snapshots.pollFirst();
         }
-        Map<String, PoolObservation> all = new TreeMap<>();
-        TrafficSnapshot before = snapshots.peekFirst();
-        if (before != null && now.atMs() > before.atMs()) {
-            double seconds = (now.atMs() - before.atMs()) / 1000;
-            Map<String, Double> refused = new HashMap<>();
-            now.rejected()
-                    .forEach((c, n) -> refused.put(c, (n - before.rejected().getOrDefault(c, 0L)) / seconds));
-            Map<String, Long> firstOfClass = new HashMap<>();
-            now.pools()
-                    .forEach((k, t) -> firstOfClass.merge(
+        Map<String, PoolObservation> observations = new TreeMap<>();
+        TrafficSnapshot earlier = snapshots.peekFirst();
+        if (earlier != null && snapshot.atMs() > earlier.atMs()) {
+            double seconds = (snapshot.atMs() - earlier.atMs()) / 1000;
+            Map<String, Double> rejectionRates = new HashMap<>();
+            snapshot.rejected()
+                    .forEach((c, n) ->
+                            rejectionRates.put(c, (n - earlier.rejected().getOrDefault(c, 0L)) / seconds));
+            Map<String, Long> firstAttemptsByClass = new HashMap<>();
+            snapshot.pools()
+                    .forEach((k, t) -> firstAttemptsByClass.merge(
                             k.className(),
                             t.firstAttempts()
-                                    - before.pools()
+                                    - earlier.pools()
                                             .getOrDefault(k, EMPTY_TALLY)
                                             .firstAttempts(),
                             Long::sum));
-            now.pools().forEach((k, t) -> {
-                PoolTally was = before.pools().getOrDefault(k, EMPTY_TALLY);
+            snapshot.pools().forEach((k, t) -> {
+                PoolTally earlierTally = earlier.pools().getOrDefault(k, EMPTY_TALLY);
                 // A rejected request was sent to no pool: rejections are divided by the pools' fractions of the sent
                 // requests.
-                double part = firstOfClass.get(k.className()) == 0
+                double fraction = firstAttemptsByClass.get(k.className()) == 0
                         ? 0
-                        : (t.firstAttempts() - was.firstAttempts()) / (double) firstOfClass.get(k.className());
-                all.put(
+                        : (t.firstAttempts() - earlierTally.firstAttempts())
+                                / (double) firstAttemptsByClass.get(k.className());
+                observations.put(
                         poolName(k) + "/" + k.className(),
                         observe(
                                 k,
                                 t,
-                                was,
+                                earlierTally,
                                 seconds,
-                                refused.getOrDefault(k.className(), 0.0) * part,
-                                now.servers().getOrDefault(new PoolKey(k.zone(), k.weight(), ""), 0)));
+                                rejectionRates.getOrDefault(k.className(), 0.0) * fraction,
+                                snapshot.servers().getOrDefault(new PoolKey(k.zone(), k.weight(), ""), 0)));
             });
         }
-        snapshots.addLast(now);
-        return all;
+        snapshots.addLast(snapshot);
+        return observations;
     }
 
     private static final PoolTally EMPTY_TALLY = new PoolTally(0, 0, 0, 0, 0, 0, 0, 0);
 
-    private PoolName poolName(PoolKey k) {
+    private PoolName poolName(PoolKey key) {
         // Servers of the same zone and weight form a pool, since an endpoint list does not distinguish them further.
-        return new PoolName(tier, k.zone().isEmpty() ? "-" : k.zone().replace('/', '_'), "w" + k.weight());
+        return new PoolName(tier, key.zone().isEmpty() ? "-" : key.zone().replace('/', '_'), "w" + key.weight());
     }
 
     private PoolObservation observe(
@@ -99,7 +101,7 @@
         long served = now.served() - was.served();
         long ended = served + now.failed() - was.failed();
         double mean = served == 0 ? 0 : (now.sumMs() - was.sumMs()) / served;
-        double square = served == 0 ? 0 : (now.sumSquaredMs() - was.sumSquaredMs()) / served;
+        double meanSquare = served == 0 ? 0 : (now.sumSquaredMs() - was.sumSquaredMs()) / served;
         if (served >= MIN_LATENCY_SAMPLES) {
             baselineLatencyMs.merge(k, mean, (old, m) -> Math.min(old * BASELINE_GROWTH_FACTOR, m));
         }
@@ -112,7 +114,7 @@
                 (now.inFlightMs() - was.inFlightMs()) / (seconds * 1000),
                 baselineLatencyMs.getOrDefault(k, 0.0),
                 mean,
-                mean == 0 ? 0 : Math.max(0, square / (mean * mean) - 1),
+                mean == 0 ? 0 : Math.max(0, meanSquare / (mean * mean) - 1),
                 ended == 0 ? 0 : (now.failed() - was.failed()) / (double) ended,
                 seconds * 1000,
                 -1,
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
@@ -29,22 +29,22 @@
     }
 
     private AdminHttpServer.Reply status(boolean json) {
-        Replica.Level level = replica.level();
-        List<ReplicaNode.Status> all = replica.status();
+        Replica.Level syncState = replica.level();
+        List<ReplicaNode.Status> members = replica.status();
         if (json) {
             Map<String, Object> out = new LinkedHashMap<>();
-            out.put("level", level);
-            out.put("members", all);
+            out.put("level", syncState);
+            out.put("members", members);
             out.put("figures", replica.figures());
             return new AdminHttpServer.Reply(true, toJson(out));
         }
-        StringBuilder s = new StringBuilder(String.format(
+        StringBuilder table = new StringBuilder(String.format(
                 Locale.ROOT,
                 "level %s, behind %d, differing %d, out of decision %s%n%-16s %16s %10s %10s %9s %-8s %s%n",
-                level.level(),
-                level.behind(),
-                level.differing(),
-                level.outOfDecision(),
+                syncState.level(),
+                syncState.behind(),
+                syncState.differing(),
+                syncState.outOfDecision(),
                 "member",
                 "life",
                 "wrote",
@@ -52,31 +52,31 @@
                 "heard ms",
                 "standing",
                 "put aside"));
-        for (ReplicaNode.Status m : all) {
-            s.append(String.format(
+        for (ReplicaNode.Status member : members) {
+            table.append(String.format(
                     Locale.ROOT,
                     "%-16s %16d %10d %10d %9.0f %-8s %s%n",
-                    m.member(),
-                    m.life(),
-                    m.wrote(),
-                    m.have(),
-                    m.heardMs(),
-                    m.standing().label(),
-                    m.aside() == null ? "" : m.aside()));
+                    member.member(),
+                    member.life(),
+                    member.wrote(),
+                    member.have(),
+                    member.heardMs(),
+                    member.standing().label(),
+                    member.aside() == null ? "" : member.aside()));
         }
-        return new AdminHttpServer.Reply(true, s.toString());
+        return new AdminHttpServer.Reply(true, table.toString());
     }
 
     private AdminHttpServer.Reply diff(boolean json) {
-        List<Difference> found = replica.diff();
+        List<Difference> differences = replica.diff();
         if (json) {
-            return new AdminHttpServer.Reply(true, toJson(found));
+            return new AdminHttpServer.Reply(true, toJson(differences));
         }
-        StringBuilder s = new StringBuilder(found.size() + " differences found\n");
-        for (Difference d : found) {
-            s.append(d).append('\n');
+        StringBuilder list = new StringBuilder(differences.size() + " differences found\n");
+        for (Difference difference : differences) {
+            list.append(difference).append('\n');
         }
-        return new AdminHttpServer.Reply(true, s.toString());
+        return new AdminHttpServer.Reply(true, list.toString());
     }
 
     private static String toJson(Object o) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -41,13 +41,13 @@
 
 /**
  * A process that runs a fleet member without a node: links, replica and agreement with their data in a directory,
- * controlled by commands on standard input. It reports what it does, receives and uses as JSON lines, each with the time
- * {@code at} of the machine's monotonic clock, so that the lines of many members can be merged into one log.
+ * controlled by commands on standard input. It reports what it does, receives and uses as JSON lines, each with the
+ * time {@code at} of the machine's monotonic clock, so that the lines of many members can be merged into one log.
  *
- * <p>Commands, one on each line: {@code put KEY N}, {@code remove KEY N}, {@code add KEY BY}, {@code sum KEY}, {@code seen}, {@code level},
- * {@code diff}, {@code status}, {@code propose NAME CONTENT}, {@code watch NAME}, {@code acting NAME},
- * {@code known NAME}, {@code hold ROLE MS}, {@code holds ROLE}, {@code final SUM...}, {@code end}. N is the
- * record's value, a number that increases with each write.
+ * <p>Commands, one on each line: {@code put KEY N}, {@code remove KEY N}, {@code add KEY BY}, {@code sum KEY},
+ * {@code seen}, {@code level}, {@code diff}, {@code status}, {@code propose NAME CONTENT}, {@code watch NAME},
+ * {@code acting NAME}, {@code known NAME}, {@code hold ROLE MS}, {@code holds ROLE}, {@code final SUM...}, {@code end}.
+ * N is the record's value, a number that increases with each write.
  */
 public final class StateMember implements AutoCloseable {
     /** The space whose records {@code put} and {@code remove} write, and whose changes are reported. */
@@ -92,13 +92,16 @@
         /** Returns all members including this one, in the same order at each member. */
         List<Member> members() {
             List<Member> all = new ArrayList<>(List.of(self()));
-            for (String p : peers) {
-                int is = p.indexOf('=');
-                int slash = p.lastIndexOf('/');
-                if (is < 1 || slash < is) {
-                    throw new ParameterException("--peers: '" + p + "' is not NAME=ADDRESS:PORT/ZONE");
+            for (String peer : peers) {
+                int equalsSign = peer.indexOf('=');
+                int slash = peer.lastIndexOf('/');
+                if (equalsSign < 1 || slash < equalsSign) {
+                    throw new ParameterException("--peers: '" + peer + "' is not NAME=ADDRESS:PORT/ZONE");
                 }
-                all.add(new Member(p.substring(0, is), p.substring(is + 1, slash), p.substring(slash + 1)));
+                all.add(new Member(
+                        peer.substring(0, equalsSign),
+                        peer.substring(equalsSign + 1, slash),
+                        peer.substring(slash + 1)));
             }
             all.sort(Comparator.comparing(Member::name));
             return all;
@@ -128,19 +131,19 @@
     private final Span syncState = new Span();
 
     /** Creates a member from components that are not started yet; its JSON lines are written to the stream. */
-    StateMember(PeerLinks links, Replica replica, AgreedValues agreed, PrintStream to) {
+    StateMember(PeerLinks links, Replica replica, AgreedValues agreement, PrintStream out) {
         this.links = links;
         this.replica = replica;
-        this.agreement = agreed;
+        this.agreement = agreement;
         replica.listen(this::onRecordChanged);
         sampler = createDaemon(this::sample, "sample");
-        writer = createDaemon(() -> writeLines(to), "tell");
+        writer = createDaemon(() -> writeLines(out), "tell");
     }
 
     private static Thread createDaemon(Runnable task, String name) {
-        Thread t = new Thread(task, name);
-        t.setDaemon(true);
-        return t;
+        Thread thread = new Thread(task, name);
+        thread.setDaemon(true);
+        return thread;
     }
 
     private static double nowMs() {
@@ -154,11 +157,11 @@
         sampler.start();
     }
 
-    private void report(double at, String what, Map<String, ?> more) {
+    private void report(double atMs, String what, Map<String, ?> fields) {
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("at", at);
+        line.put("at", atMs);
         line.put("what", what);
-        line.putAll(more);
+        line.putAll(fields);
         try {
             // Guards the threads of the fleet against a slow reader: a line that does not fit the queue is dropped.
             if (!outputQueue.offer(json.writeValueAsString(line))) {
@@ -169,16 +172,16 @@
         }
     }
 
-    private void writeLines(PrintStream to) {
+    private void writeLines(PrintStream out) {
         try {
             while (true) {
-                to.println(outputQueue.take());
+                out.println(outputQueue.take());
                 if (outputQueue.isEmpty()) {
-                    to.flush();
+                    out.flush();
                 }
                 long lost = droppedLines.getAndSet(0);
                 if (lost > 0) {
-                    to.println("{\"what\":\"dropped\",\"lines\":" + lost + "}");
+                    out.println("{\"what\":\"dropped\",\"lines\":" + lost + "}");
                 }
             }
         } catch (InterruptedException e) {
@@ -186,16 +189,16 @@
         }
     }
 
-    private void onRecordChanged(RecordSpace space, String owner, String key, Replica.Seen now) {
+    private void onRecordChanged(RecordSpace space, String owner, String key, Replica.Seen record) {
         if (space != REGISTER_SPACE || owner.equals(links.me().name())) {
             return;
         }
         report(
                 nowMs(),
                 "saw",
-                now == null
+                record == null
                         ? Map.of("owner", owner, "key", key, "gone", true)
-                        : Map.of("owner", owner, "key", key, "n", parseNumber(now.value())));
+                        : Map.of("owner", owner, "key", key, "n", parseNumber(record.value())));
     }
 
     private static long parseNumber(byte[] value) {
@@ -208,36 +211,39 @@
     }
 
     private Map<String, Map<String, Long>> recordsByOwner() {
-        Map<String, Map<String, Long>> all = new LinkedHashMap<>();
-        for (Replica.Seen s : replica.seen(REGISTER_SPACE)) {
-            all.computeIfAbsent(s.owner(), o -> new LinkedHashMap<>()).put(s.key(), parseNumber(s.value()));
+        Map<String, Map<String, Long>> records = new LinkedHashMap<>();
+        for (Replica.Seen record : replica.seen(REGISTER_SPACE)) {
+            records.computeIfAbsent(record.owner(), o -> new LinkedHashMap<>())
+                    .put(record.key(), parseNumber(record.value()));
         }
-        return all;
+        return records;
     }
 
-    /** Samples the state continuously, so that each lasting change is reported with the interval in which it happened. */
+    /**
+     * Samples the state continuously, so that each lasting change is reported with the interval in which it happened.
+     */
     private void sample() {
         try {
             while (true) {
-                double before = nowMs();
-                Replica.Level l = replica.level();
+                double beforeMs = nowMs();
+                Replica.Level state = replica.level();
                 recordSample(
                         syncState,
-                        l,
-                        before,
+                        state,
+                        beforeMs,
                         () -> {},
                         () -> report(
                                 nowMs(),
                                 "level",
                                 Map.of(
                                         "level",
-                                        l.level(),
+                                        state.level(),
                                         "behind",
-                                        l.behind(),
+                                        state.behind(),
                                         "differing",
-                                        l.differing(),
+                                        state.differing(),
                                         "out",
-                                        l.outOfDecision(),
+                                        state.outOfDecision(),
                                         "have",
                                         recordsByOwner())));
                 watchedValues.forEach((name, s) -> sampleEffectiveValues(name, s));
@@ -249,8 +255,8 @@
         }
     }
 
-    private void sampleEffectiveValues(String name, Span s) {
-        double before = nowMs();
+    private void sampleEffectiveValues(String name, Span span) {
+        double beforeMs = nowMs();
         List<AgreedValues.Value> values = new ArrayList<>();
         agreement.acting(name).ifPresent(a -> {
             values.add(a.one());
@@ -260,8 +266,8 @@
         });
         List<Long> generations =
                 values.stream().map(AgreedValues.Value::generation).toList();
-        Runnable tell = () -> {
-            if (!((List<?>) s.state).isEmpty()) {
+        Runnable reportSpan = () -> {
+            if (!((List<?>) span.state).isEmpty()) {
                 report(
                         nowMs(),
                         "acts",
@@ -269,16 +275,16 @@
                                 "name",
                                 name,
                                 "generations",
-                                s.state,
+                                span.state,
                                 "contents",
                                 watchedContents.get(name),
                                 "from",
-                                s.observedSinceMs,
+                                span.observedSinceMs,
                                 "until",
-                                s.observedUntilMs));
+                                span.observedUntilMs));
             }
         };
-        recordSample(s, generations, before, tell, tell);
+        recordSample(span, generations, beforeMs, reportSpan, reportSpan);
         watchedContents.put(
                 name,
                 values.stream()
@@ -286,59 +292,68 @@
                         .toList());
     }
 
-    private void sampleLease(String role, Span s) {
-        double before = nowMs();
+    private void sampleLease(String role, Span span) {
+        double beforeMs = nowMs();
         Object state =
                 agreement.heldLease(role).<Object>map(AgreedValues.Lease::token).orElse(NOT_HELD);
-        Runnable tell = () -> {
-            if (s.state instanceof Long held) {
+        Runnable reportSpan = () -> {
+            if (span.state instanceof Long held) {
                 report(
                         nowMs(),
                         "holds",
-                        Map.of("role", role, "token", held, "from", s.observedSinceMs, "until", s.observedUntilMs));
+                        Map.of(
+                                "role",
+                                role,
+                                "token",
+                                held,
+                                "from",
+                                span.observedSinceMs,
+                                "until",
+                                span.observedUntilMs));
             }
         };
-        recordSample(s, state, before, tell, tell);
+        recordSample(span, state, beforeMs, reportSpan, reportSpan);
     }
 
     /** Records a state that was observed at some time between {@code before} and now. */
-    private void recordSample(Span s, Object state, double before, Runnable changes, Runnable tell) {
-        if (!state.equals(s.state)) {
-            if (s.state != null) {
-                changes.run();
+    private void recordSample(Span span, Object state, double beforeMs, Runnable onChange, Runnable onReport) {
+        if (!state.equals(span.state)) {
+            if (span.state != null) {
+                onChange.run();
             }
-            s.state = state;
-            s.observedSinceMs = nowMs();
-            s.observedUntilMs = before;
-            s.reportedAtMs = 0;
+            span.state = state;
+            span.observedSinceMs = nowMs();
+            span.observedUntilMs = beforeMs;
+            span.reportedAtMs = 0;
         } else {
-            s.observedUntilMs = before;
+            span.observedUntilMs = beforeMs;
         }
-        if (nowMs() - s.reportedAtMs >= REPORT_INTERVAL_MS && s.observedUntilMs >= s.observedSinceMs
-                || s == syncState && s.reportedAtMs == 0) {
-            tell.run();
-            s.reportedAtMs = nowMs();
+        if (nowMs() - span.reportedAtMs >= REPORT_INTERVAL_MS && span.observedUntilMs >= span.observedSinceMs
+                || span == syncState && span.reportedAtMs == 0) {
+            onReport.run();
+            span.reportedAtMs = nowMs();
         }
     }
 
     /** Executes a command; an invalid one is reported as unknown. */
     void execute(String line) {
-        String[] w = line.trim().split("\\s+");
+        String[] words = line.trim().split("\\s+");
         try {
-            switch (w[0]) {
+            switch (words[0]) {
                 case "put" -> {
-                    replica.put(REGISTER_SPACE, w[1], w[2].getBytes(StandardCharsets.UTF_8));
-                    report(nowMs(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2])));
+                    replica.put(REGISTER_SPACE, words[1], words[2].getBytes(StandardCharsets.UTF_8));
+                    report(nowMs(), "wrote", Map.of("key", words[1], "n", Long.parseLong(words[2])));
                 }
                 case "remove" -> {
-                    replica.remove(REGISTER_SPACE, w[1]);
-                    report(nowMs(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2]), "gone", true));
+                    replica.remove(REGISTER_SPACE, words[1]);
+                    report(nowMs(), "wrote", Map.of("key", words[1], "n", Long.parseLong(words[2]), "gone", true));
                 }
                 case "add" -> {
-                    replica.add(COUNTER_SPACE, w[1], Long.parseLong(w[2]));
-                    report(nowMs(), "added", Map.of("key", w[1], "by", Long.parseLong(w[2])));
+                    replica.add(COUNTER_SPACE, words[1], Long.parseLong(words[2]));
+                    report(nowMs(), "added", Map.of("key", words[1], "by", Long.parseLong(words[2])));
                 }
-                case "sum" -> report(nowMs(), "sum", Map.of("key", w[1], "sum", replica.sum(COUNTER_SPACE, w[1])));
+                case "sum" ->
+                    report(nowMs(), "sum", Map.of("key", words[1], "sum", replica.sum(COUNTER_SPACE, words[1])));
                 case "seen" -> report(nowMs(), "seen", Map.of("have", recordsByOwner()));
                 case "level" -> syncState.reportedAtMs = 0;
                 case "diff" ->
@@ -365,28 +380,28 @@
                                     links instanceof TcpPeerLinks t ? t.figures() : Map.of(),
                                     "replica",
                                     replica instanceof ReplicaNode n ? n.figures() : Map.of()));
-                case "propose" -> propose(w[1], w[2]);
-                case "watch" -> watch(watchedValues, w[1]);
+                case "propose" -> propose(words[1], words[2]);
+                case "watch" -> watch(watchedValues, words[1]);
                 case "acting" ->
                     report(
                             nowMs(),
                             "acting",
                             Map.of(
                                     "name",
-                                    w[1],
+                                    words[1],
                                     "generations",
                                     agreement
-                                            .acting(w[1])
+                                            .acting(words[1])
                                             .map(a -> a.other() == null
                                                     ? List.of(a.one().generation())
                                                     : List.of(
                                                             a.one().generation(),
                                                             a.other().generation()))
                                             .orElse(List.of())));
-                case "known" -> report(nowMs(), "known", Map.of("name", w[1], "value", lastKnownValue(w[1])));
-                case "hold" -> acquireRole(w[1], Double.parseDouble(w[2]));
-                case "holds" -> report(nowMs(), "asked", Map.of("role", w[1], "holds", agreement.holds(w[1])));
-                case "final" -> reportFinalState(w);
+                case "known" -> report(nowMs(), "known", Map.of("name", words[1], "value", lastKnownValue(words[1])));
+                case "hold" -> acquireRole(words[1], Double.parseDouble(words[2]));
+                case "holds" -> report(nowMs(), "asked", Map.of("role", words[1], "holds", agreement.holds(words[1])));
+                case "final" -> reportFinalState(words);
                 case "end" -> stopRequested.countDown();
                 default -> report(nowMs(), "unknown", Map.of("line", line));
             }
@@ -395,28 +410,29 @@
         }
     }
 
-    private static void watch(Map<String, Span> all, String name) {
+    private static void watch(Map<String, Span> watched, String name) {
         // Guards memory against an unlimited number of names in commands.
-        if (all.size() < MAX_WATCHED_NAMES) {
-            all.putIfAbsent(name, new Span());
+        if (watched.size() < MAX_WATCHED_NAMES) {
+            watched.putIfAbsent(name, new Span());
         }
     }
 
     private Map<String, String> peerStatuses() {
-        Map<String, String> all = new LinkedHashMap<>();
-        links.peers().forEach(p -> all.put(p.name(), links.standing(p.name()).text()));
-        return all;
+        Map<String, String> statuses = new LinkedHashMap<>();
+        links.peers()
+                .forEach(p -> statuses.put(p.name(), links.standing(p.name()).text()));
+        return statuses;
     }
 
     private Map<String, Object> lastKnownValue(String name) {
-        Optional<AgreedValues.Value> v = agreement.known(name);
-        return v.isEmpty()
+        Optional<AgreedValues.Value> value = agreement.known(name);
+        return value.isEmpty()
                 ? Map.of()
                 : Map.of(
                         "generation",
-                        v.get().generation(),
+                        value.get().generation(),
                         "content",
-                        new String(v.get().content(), StandardCharsets.UTF_8));
+                        new String(value.get().content(), StandardCharsets.UTF_8));
     }
 
     private void propose(String name, String content) {
@@ -445,10 +461,10 @@
         agreement.acquire(role, forMs);
     }
 
-    private void reportFinalState(String[] w) {
+    private void reportFinalState(String[] words) {
         Map<String, Long> sums = new LinkedHashMap<>();
-        for (int i = 1; i < w.length; i++) {
-            sums.put(w[i], replica.sum(COUNTER_SPACE, w[i]));
+        for (int i = 1; i < words.length; i++) {
+            sums.put(words[i], replica.sum(COUNTER_SPACE, words[i]));
         }
         Map<String, Object> known = new LinkedHashMap<>();
         watchedValues.keySet().forEach(n -> known.put(n, lastKnownValue(n)));
@@ -463,25 +479,25 @@
 
     /** Runs a member until its standard input ends or it receives the command {@code end}. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        Options o = new Options();
+        Options options = new Options();
         List<Member> members;
         try {
             JCommander.newBuilder()
                     .programName("state-member")
-                    .addObject(o)
+                    .addObject(options)
                     .build()
                     .parse(args);
-            members = o.members();
+            members = options.members();
         } catch (ParameterException e) {
             System.err.println("brackenbridge: " + e.getMessage());
             System.exit(2);
             return;
         }
-        PrintStream to = new PrintStream(new FileOutputStream(FileDescriptor.out), false, StandardCharsets.UTF_8);
+        PrintStream out = new PrintStream(new FileOutputStream(FileDescriptor.out), false, StandardCharsets.UTF_8);
         // Log lines that are meant for standard output go to standard error, so that the output has only JSON lines.
         System.setOut(System.err);
         try {
-            run(o, members, to);
+            run(options, members, out);
             System.exit(0);
         } catch (IOException e) {
             System.err.println("brackenbridge: " + e.getMessage());
@@ -489,20 +505,22 @@
         }
     }
 
-    private static void run(Options o, List<Member> members, PrintStream to) throws IOException, InterruptedException {
+    private static void run(Options options, List<Member> members, PrintStream out)
+            throws IOException, InterruptedException {
         Clock clock = Clock.system();
-        Path disk = Path.of(o.disk);
-        try (ReplicaDisk records = ReplicaDisk.open(disk.resolve("replica"), o.fleet, o.name, clock.nowMs());
-                TcpPeerLinks links =
-                        new TcpPeerLinks(o.self(), records.life(), o.fleet, members, clock, PeerLimits.standard());
+        Path directory = Path.of(options.disk);
+        try (ReplicaDisk records =
+                        ReplicaDisk.open(directory.resolve("replica"), options.fleet, options.name, clock.nowMs());
+                TcpPeerLinks links = new TcpPeerLinks(
+                        options.self(), records.life(), options.fleet, members, clock, PeerLimits.standard());
                 ReplicaNode replica = new ReplicaNode(links, records, clock, ReplicationLimits.DEFAULT);
-                AgreementMember agreed = new AgreementMember(
+                AgreementMember agreement = new AgreementMember(
                         links,
-                        disk.resolve("agreed"),
+                        directory.resolve("agreed"),
                         clock,
-                        AgreedSettings.of(o.fleet, members, records.life() ^ o.name.hashCode()));
-                StateMember member = new StateMember(links, replica, agreed, to)) {
-            agreed.start();
+                        AgreedSettings.of(options.fleet, members, records.life() ^ options.name.hashCode()));
+                StateMember member = new StateMember(links, replica, agreement, out)) {
+            agreement.start();
             replica.start();
             links.start();
             member.start();
--- a/node/src/main/java/brackenbridge/cli/CommandLine.java
+++ b/node/src/main/java/brackenbridge/cli/CommandLine.java
@@ -9,7 +9,7 @@
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
 
-/** The node's own commands with their options, parsed and run. */
+/** Parses the command line and runs the node's own commands. */
 final class CommandLine {
     private final Serve serve = new Serve();
     private final CheckConfig checkConfig = new CheckConfig();
@@ -23,24 +23,24 @@
             .addCommand("version", new Version())
             .build();
 
-    @Parameters(commandDescription = "Serve as a node")
+    @Parameters(commandDescription = "Run a node")
     private static final class Serve {
         @Parameter(names = "--config", description = "The configuration file; by default $PROXY_CONFIG")
         private String config = System.getenv("PROXY_CONFIG");
     }
 
-    @Parameters(commandDescription = "Check a configuration file and say what it holds")
+    @Parameters(commandDescription = "Check a configuration file and print a summary")
     private static final class CheckConfig {
         @Parameter(names = "--config", description = "The configuration file; by default $PROXY_CONFIG")
         private String config = System.getenv("PROXY_CONFIG");
     }
 
-    @Parameters(commandDescription = "Speak the simulator's wire on standard input and output")
+    @Parameters(commandDescription = "Run balancer instances for the simulator on standard input and output")
     private static final class Wire {}
 
     @Parameters(commandDescription = "Make a management call to a running node: PING, INFO, LAMEDUCK or REJOIN")
     private static final class Manage {
-        @Parameter(names = "--at", description = "Its second address; by default $PROXY_MGMT")
+        @Parameter(names = "--at", description = "The management address of the node; by default $PROXY_MGMT")
         private String address = System.getenv("PROXY_MGMT");
 
         @Parameter(description = "CALL", required = true)
@@ -73,7 +73,7 @@
     private static void printSummary(Config config) {
         System.out.println(config.name() + ": tier " + config.settings().tier() + ", "
                 + config.settings().classes().size() + " classes, "
-                + config.configuredEndpoints().endpoints().size() + " targets known, " + config.sockets()
+                + config.configuredEndpoints().endpoints().size() + " known endpoints, " + config.sockets()
                 + " sockets");
     }
 
@@ -82,7 +82,7 @@
         System.out.println("brackenbridge " + (version == null ? "(not packaged)" : version));
     }
 
-    /** Makes the management call and ends the process: with 0 if the node has done it, else with 1. */
+    /** Sends the management call and ends the process: with 0 if the node accepted it, otherwise with 1. */
     private void callNode() {
         if (manage.address == null) {
             Main.fail("no address: give --at ADDRESS:PORT or set PROXY_MGMT");
@@ -94,7 +94,7 @@
         } catch (IllegalArgumentException e) {
             Main.fail(e.getMessage());
         } catch (IOException e) {
-            System.err.println("brackenbridge: no answer from " + manage.address + ": " + e.getMessage());
+            System.err.println("brackenbridge: no response from " + manage.address + ": " + e.getMessage());
             System.exit(1);
         }
     }
--- a/node/src/main/java/brackenbridge/cli/HangupSignal.java
+++ b/node/src/main/java/brackenbridge/cli/HangupSignal.java
@@ -2,7 +2,7 @@
 
 import java.lang.reflect.Proxy;
 
-/** The signal SIGHUP. The platform's class for signals is used by reflection, since it is not part of the API. */
+/** Handles the signal SIGHUP. The platform's signal class is used by reflection, since it is not part of the API. */
 final class HangupSignal {
     private HangupSignal() {}
 
--- a/node/src/main/java/brackenbridge/cli/Main.java
+++ b/node/src/main/java/brackenbridge/cli/Main.java
@@ -8,14 +8,14 @@
 import java.util.ServiceLoader;
 import java.util.function.Function;
 
-/** The program's entry: runs one of the node's commands or one that another module adds. */
+/** The program's entry point: runs one of the node's commands or one that another module adds. */
 public final class Main {
-    /** The exit status for arguments or a configuration that can't be used. */
+    /** The exit status for invalid arguments or an invalid configuration. */
     static final int EXIT_USAGE = 2;
 
     private Main() {}
 
-    /** Runs the command that the arguments begin with. */
+    /** Runs the command named by the first argument. */
     public static void main(String[] args) throws IOException {
         if (args.length == 1) {
             runWithoutOptions(args[0]);
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Both programs of the deployment start without the parser of the command line, which takes a fifth of the time
-     * from a node's start to its listener: clients wait for a node that restarts.
+     * Runs the commands of the deployment without the command line parser, which takes a fifth of the time from the
+     * start of a node to its listener. Clients of a restarting node wait for that time.
      */
     private static void runWithoutOptions(String command) throws IOException {
         switch (command) {
@@ -54,18 +54,18 @@
         return null;
     }
 
-    /** Says why the command line or a file can't be used, and ends the process. */
+    /** Prints the reason why the command line or a file can't be used, and ends the process. */
     public static void fail(String why) {
         System.err.println("brackenbridge: " + why);
         System.exit(EXIT_USAGE);
     }
 
-    /** What another module runs in a node's process. */
+    /** A component of another module that runs in the process of a node. */
     public interface NodeExtension {
-        /** The node is about to start. */
+        /** Called before the node starts. */
         void onStarting(Node node) throws IOException;
 
-        /** The node has answered every request. */
+        /** Called once the node has answered every request. */
         void onStopped();
     }
 
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Serves by this configuration until a signal ends the process.
+     * Runs a node with this configuration until a signal ends the process.
      *
-     * @param extensionFactory makes what runs in the node's process; null if nothing does
+     * @param extensionFactory creates the extension of the node; null for a node without one
      */
     public static void serve(String file, Function<Config, NodeExtension> extensionFactory) {
         ServeCommand.run(file, extensionFactory);
--- a/node/src/main/java/brackenbridge/cli/ServeCommand.java
+++ b/node/src/main/java/brackenbridge/cli/ServeCommand.java
@@ -18,25 +18,24 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Function;
 
-/** The command {@code serve}: a node that serves until a signal ends its process. */
+/** The command {@code serve}: runs a node until a signal ends the process. */
 final class ServeCommand {
     private static final long MAX_STOP_MINUTES = 1;
 
     private ServeCommand() {}
 
-    /** Starts a node by this configuration; {@code extensionFactory} makes what runs in its process, or is null. */
+    /** Starts a node with this configuration; {@code extensionFactory} creates its extension, or is null. */
     static void run(String file, Function<Config, Main.NodeExtension> extensionFactory) {
         Config config = readConfig(file);
         Main.NodeExtension extension = extensionFactory == null ? null : extensionFactory.apply(config);
-        // Netty's flight recorder events are not used here; to look for them costs a start more than the listener.
+        // Netty's flight recorder events are not used, and probing for them takes longer than opening the listener.
         System.setProperty("io.netty.jfr.enabled", "false");
         Clock clock = Clock.system();
         FileChannel errors = new FileOutputStream(FileDescriptor.err).getChannel();
         Log log = new Log(clock, new PrintStream(Channels.newOutputStream(errors), true, StandardCharsets.UTF_8));
         Node node = new Node(config, clock, log, handoverPath(config));
         if (!HangupSignal.handle(() -> node.reconfigure(() -> Config.read(Path.of(file))))) {
-            log.warn("no SIGHUP will be heard, it is ignored here (as under nohup) or unknown: the configuration is"
-                    + " read at the start only");
+            log.warn("SIGHUP is ignored (as under nohup) or not supported: the configuration can't be reloaded");
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, extension, log, errors), "stop"));
         start(node, extension, config);
@@ -67,7 +66,7 @@
             }
             node.start();
         } catch (Exception e) {
-            // Netty throws a failed bind as it is, and that is no RuntimeException.
+            // Netty rethrows the checked exception of a failed bind, although start() does not declare it.
             System.err.println("brackenbridge: can't listen on " + config.listen() + ": " + e.getMessage());
             Runtime.getRuntime().halt(Main.EXIT_USAGE);
         }
@@ -82,7 +81,7 @@
             }
             log.flush();
             node.holdEventLoops();
-            // Ends a write that nobody reads: the exit would wait for it.
+            // Unblocks a write to a pipe that nobody reads, for which the exit would wait.
             errors.close();
             Runtime.getRuntime().halt(0);
         } catch (IOException | InterruptedException | ExecutionException | TimeoutException e) {
--- a/node/src/main/java/brackenbridge/cli/Training.java
+++ b/node/src/main/java/brackenbridge/cli/Training.java
@@ -45,7 +45,8 @@
             trainNode();
             System.exit(0);
         } catch (IOException | InterruptedException e) {
-            // The build goes on without an archive, for example without loopback; nodes then start more slowly.
+            // The build continues without an archive, for example where there is no loopback; nodes then start more
+            // slowly.
             System.err.println("brackenbridge: training: " + e);
             System.exit(1);
         }
--- a/node/src/main/java/brackenbridge/config/Config.java
+++ b/node/src/main/java/brackenbridge/config/Config.java
@@ -27,7 +27,7 @@
  * @param listen the address that accepts clients, as {@code address:port}
  * @param discovery the address of the discovery service, as {@code address:port}
  * @param management the address that accepts operators' calls, as {@code address:port}; null for none
- * @param sockets the most file descriptors that the node may have open
+ * @param sockets the maximum number of file descriptors that the node may have open
  * @param settings the settings of the balancer and the node
  * @param configuredEndpoints the endpoints to start with, until discovery has sent its list
  * @param schema the keys of the configuration and the types of their values
@@ -44,7 +44,7 @@
 
     /** Guards the heap against a large file that was named by mistake. */
     private static final int MAX_FILE_BYTES = 4 << 20;
-    /** An error may quote a value, and that value may be nearly as long as the file. */
+    /** Limits an error message, which may quote a value that is nearly as long as the file. */
     private static final int MAX_ERROR_CHARS = 300;
 
     private static final int DEFAULT_SOCKETS = 1024;
@@ -139,7 +139,7 @@
             EndpointList endpoints = EndpointListParser.fromJson(list);
             if (!endpoints.unreadableHosts().isEmpty()) {
                 throw new IllegalArgumentException(
-                        "entry of " + endpoints.unreadableHosts().get(0));
+                        "malformed entry of host " + endpoints.unreadableHosts().get(0));
             }
             return endpoints;
         } catch (RuntimeException e) {
@@ -201,10 +201,10 @@
         }
     }
 
-    /** Guards against a key with dots in it, which could give another value to the path of a nested key. */
+    /** Guards against a key with dots in it, which could set another value for the path of a nested key. */
     private static void putOnce(Map<String, String> pairs, String path, String value) {
         if (pairs.put(path, value) != null) {
-            throw new IllegalArgumentException("told twice: " + path);
+            throw new IllegalArgumentException("duplicate key: " + path);
         }
     }
 }
--- a/node/src/main/java/brackenbridge/config/ConfigSchema.java
+++ b/node/src/main/java/brackenbridge/config/ConfigSchema.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * The keys of a configuration and the types of their values. The running configuration is the schema of those that
- * replace it. Guards against a file that was truncated, or that lost a key, and can still be parsed.
+ * The keys of a configuration and the types of their values. A new configuration has to match the schema of the running
+ * one. Guards against a file that was truncated, or that lost a key, and can still be parsed.
  */
 public final class ConfigSchema {
     private static final String EMPTY_ARRAY_TYPE = "empty array";
@@ -38,7 +38,7 @@
                 throw new IllegalArgumentException("no " + path);
             }
             if (otherType != null && !ignoringLength(otherType).equals(ignoringLength(type))) {
-                throw new IllegalArgumentException(path + " is no " + type);
+                throw new IllegalArgumentException(path + " is not of type " + type);
             }
         });
     }
--- a/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
+++ b/node/src/main/java/brackenbridge/discovery/EndpointListParser.java
@@ -12,7 +12,7 @@
 
 /** Parses and formats the endpoint lists of discovery: a complete list, or one line of a watch. */
 public final class EndpointListParser {
-    /** The largest integer up to which every number in JSON is exact. */
+    /** The largest integer up to which a double, and so every number in JSON, is exact. */
     private static final double MAX_VERSION = 0x1p53 - 1;
 
     private static final int MAX_PORT = 65_535;
@@ -27,12 +27,12 @@
         try {
             return fromJson(StrictJson.parse(text).asObject());
         } catch (RuntimeException e) {
-            throw new IllegalArgumentException("not a target list: " + e.getMessage(), e);
+            throw new IllegalArgumentException("not an endpoint list: " + e.getMessage(), e);
         }
     }
 
     /**
-     * Reads the list from its JSON. A malformed entry that names its host makes only that host unreadable. An entry
+     * Reads the list from its JSON. A malformed entry that names its host marks only that host as malformed. An entry
      * without a host makes the list malformed, since a host that is missing from a list counts as removed.
      */
     public static EndpointList fromJson(JsonObject json) {
@@ -63,7 +63,7 @@
         return (long) version;
     }
 
-    /** Formats a list as discovery does. */
+    /** Formats a list in the format of discovery. */
     public static JsonObject toJson(EndpointList list) {
         JsonArray hosts = new JsonArray();
         for (ServerEndpoint endpoint : list.endpoints()) {
--- a/node/src/main/java/brackenbridge/discovery/JsonObjectSplitter.java
+++ b/node/src/main/java/brackenbridge/discovery/JsonObjectSplitter.java
@@ -4,21 +4,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts what comes on a watch into the objects it is made of, however their lines are broken and in whatever pieces
- * they arrive. An object ends with its last brace: nothing waits for the line behind it.
+ * Splits the byte stream of a watch into JSON objects, independent of line breaks and of how the bytes are split into
+ * reads. An object is complete at its closing brace, so that it is handled without waiting for a line end.
  */
 public final class JsonObjectSplitter {
-    /** What one byte has completed. */
+    /** The state of the stream after a byte. */
     public enum Progress {
-        /** Nothing yet. */
+        /** The byte completes nothing. */
         INCOMPLETE,
-        /** The first byte of a text that is not whole yet. */
+        /** The byte is the first of a text. */
         TEXT_STARTED,
-        /** An empty line: discovery says that nothing has changed. */
+        /** The byte ends an empty line, by which discovery reports that nothing has changed. */
         EMPTY_LINE,
-        /** A text to be parsed, see {@link #take}: an object, or a line that is none. */
+        /** A text is complete, see {@link #takeText}: an object, or a line that is not one. */
         TEXT_COMPLETE,
-        /** More than is believed of one object; nothing of it is kept. */
+        /** The text exceeds the size limit and has been discarded. */
         TOO_LONG
     }
 
@@ -28,15 +28,15 @@
     private int depth;
     private boolean inString;
     private boolean escaped;
-    /** Whether this line has held the end of an object: its own end is no empty line then. */
+    /** Whether an object has ended on this line, whose own end is then not an empty line. */
     private boolean objectEndedOnLine;
 
-    /** Cuts objects of at most so many bytes. */
+    /** Creates a splitter for objects of at most this many bytes. */
     public JsonObjectSplitter(int limit) {
         this.maxTextBytes = limit;
     }
 
-    /** Takes the next byte. */
+    /** Processes the next byte. */
     public Progress add(byte b) {
         boolean blank = b == ' ' || b == '\t' || b == '\r' || b == '\n';
         if (text.size() == 0 && blank) {
@@ -60,16 +60,16 @@
         } else if (b == '}') {
             depth--;
         }
-        // Of what is no object a line is all there is: guards the watch against waiting for the end of nonsense.
+        // Guards the watch against malformed input: a text that is not an object ends with its line.
         boolean whole = inObject ? depth == 0 : b == '\n';
         objectEndedOnLine = whole ? inObject : objectEndedOnLine;
         return whole ? Progress.TEXT_COMPLETE : text.size() == 1 ? Progress.TEXT_STARTED : Progress.INCOMPLETE;
     }
 
-    /** The text that is whole; the next one begins behind it. */
+    /** Returns the complete text and resets the splitter for the next one. */
     public String takeText() {
         String whole = text.toString(StandardCharsets.UTF_8);
-        // Not reset: a watch lasts, and would keep the room of its longest list.
+        // Not reset: a buffer keeps its capacity, and a watch lives long after its largest list.
         text = new ByteArrayOutputStream();
         depth = 0;
         return whole;
--- a/node/src/main/java/brackenbridge/discovery/StrictJson.java
+++ b/node/src/main/java/brackenbridge/discovery/StrictJson.java
@@ -9,25 +9,25 @@
 import java.util.Set;
 
 /**
- * Reads JSON that comes from outside. Guards the heap, which small texts of very many values could fill many times
- * over, and guards against a key that stands twice in one object, which two readers would read in two ways.
+ * Parses JSON from untrusted sources. Guards the heap against short texts with very many values, which take many times
+ * their size in memory, and guards against duplicate keys, which parsers interpret differently.
  */
 public final class StrictJson {
-    /** A list of 15,000 servers has fewer. */
+    /** Enough for a list of 15,000 servers. */
     private static final int MAX_VALUES = 150_000;
 
     private StrictJson() {}
 
-    /** Reads the text; what can't be used is an IllegalArgumentException. */
+    /** Parses the text; invalid text is an IllegalArgumentException. */
     public static JsonValue parse(String text) {
         try {
-            // Counts first and keeps nothing: by the time the values are there it would be too late.
+            // The first pass only counts values: a limit checked after parsing would not protect the heap.
             new JsonParser(new Validator()).parse(text);
             return Json.parse(text);
         } catch (ParseException e) {
             throw new IllegalArgumentException("not JSON: " + e.getMessage(), e);
         } catch (StackOverflowError e) {
-            throw new IllegalArgumentException("not JSON: nested too deep", e);
+            throw new IllegalArgumentException("not JSON: nested too deeply", e);
         }
     }
 
@@ -75,7 +75,7 @@
         @Override
         public void endObjectName(Set<String> names, String name) {
             if (!names.add(name)) {
-                throw new IllegalArgumentException("key given twice: " + name);
+                throw new IllegalArgumentException("duplicate key: " + name);
             }
         }
     }
--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -7,49 +7,49 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One process's part in the replacement of a node's process: at its start it is the successor of the process that
- * serves already, later the predecessor of the one that comes next. On the node's event loop only.
+ * Replaces a node's process without losing connections. A process starts as the successor of the running process, and
+ * later is the predecessor of the next one. Confined to the node's event loop.
  */
 public final class Handover {
-    /** Below the limit of the systems for the name of a Unix socket, which is 104 bytes or more. */
+    /** Below the limit of operating systems for the path of a Unix socket, which is 104 bytes or more. */
     private static final int MAX_PATH_LENGTH = 100;
 
-    /** The process that hands over or takes over. */
+    /** The process that takes part in a handover. */
     public interface Participant {
         /**
-         * A successor has connected: completes, on the event loop, with the state that it gets. The process gives up
-         * that part of its descriptors.
+         * Called when a successor has connected. Completes on the event loop with the state for the successor; the
+         * process gives up the descriptors in it.
          */
         CompletableFuture<HandoverState> prepareState();
 
-        /** The successor serves clients, or there is none any more. */
+        /** Called when the successor begins to serve clients, or has ended. */
         void onSuccessorChanged(boolean on);
 
-        /** The predecessor has ended. */
+        /** Called when the predecessor has ended. */
         void onPredecessorEnded();
     }
 
     private final PredecessorClient predecessorClient;
     private final SuccessorListener successorListener;
 
-    /** A handover that has not begun: neither a connection nor a listener is open. */
+    /** Creates a handover without opening a connection or a listener. */
     public Handover(EventLoop loop, Path path, Participant process, Counters counters, Log log) {
         predecessorClient = new PredecessorClient(loop, path, process, counters, log);
         successorListener = new SuccessorListener(loop, path, process, counters, log);
     }
 
-    /** The path at which the processes of a node meet; null if the directory's name is too long for a socket's. */
+    /** Returns the path of the socket for handovers of a node; null if the path would be too long for a socket. */
     public static Path socketPath(String directory, String node, String listen) {
         Path path = Path.of(directory, "bb-" + Integer.toHexString((node + " " + listen).hashCode()) + ".sock");
         return path.toString().length() > MAX_PATH_LENGTH ? null : path;
     }
 
-    /** Asks for a predecessor; completes with its state, or with null if there is none that can be read. */
+    /** Connects to a predecessor; completes with its state, or with null if there is no readable one. */
     public CompletableFuture<HandoverState> requestState() {
         return predecessorClient.requestState();
     }
 
-    /** This process listens and can serve; the action runs once the predecessor knows and the path is taken over. */
+    /** Notifies the predecessor that this process can serve, takes over the path and then runs the action. */
     public void announceReady(Runnable action) {
         predecessorClient.announceReady(() -> {
             successorListener.listen();
@@ -57,7 +57,7 @@
         });
     }
 
-    /** This process ends: it leaves the path to its successor. */
+    /** Stops listening and leaves the path to the successor, as this process ends. */
     public void close() {
         successorListener.close();
     }
--- a/node/src/main/java/brackenbridge/handover/HandoverProtocol.java
+++ b/node/src/main/java/brackenbridge/handover/HandoverProtocol.java
@@ -1,19 +1,19 @@
 package brackenbridge.handover;
 
-/** The lines of a handover's connection and the time limits of its steps. */
+/** The lines of the handover protocol and the timeouts of its steps. */
 final class HandoverProtocol {
-    /** Begins the first line of both processes: the protocol's name and version. */
+    /** Prefix of the first line of both processes: the protocol's name and version. */
     static final String GREETING = "brackenbridge-handover 1 ";
 
     static final String SUCCESSOR_GREETING = GREETING + "successor";
-    /** The successor listens and can serve. */
+    /** Sent by the successor once it listens and can serve. */
     static final String READY = "ready";
-    /** The predecessor has left the path to the successor. */
+    /** Sent by the predecessor once it has left the path to the successor. */
     static final String GO = "go";
 
-    /** For each step of the other process but the successor's start. */
+    /** The timeout of each step of the other process, except the start of the successor. */
     static final long STEP_TIMEOUT_MS = 1000;
-    /** For the successor, from the state that it gets until it listens. */
+    /** The timeout of the successor, from receiving the state until it listens. */
     static final long START_TIMEOUT_MS = 5000;
 
     private HandoverProtocol() {}
--- a/node/src/main/java/brackenbridge/handover/HandoverState.java
+++ b/node/src/main/java/brackenbridge/handover/HandoverState.java
@@ -7,14 +7,14 @@
 import com.eclipsesource.json.JsonObject;
 
 /**
- * The state that a process gives its successor.
+ * The state that a process sends to its successor.
  *
- * @param sockets the successor's part of the descriptors
+ * @param sockets the number of descriptors that the successor may use
  * @param endpoints the endpoint list with its version
  */
 public record HandoverState(int sockets, EndpointList endpoints) {
 
-    /** The state as the text of a line. */
+    /** Formats the state as one line. */
     String toJson() {
         return Json.object()
                 .add("sockets", sockets)
@@ -22,7 +22,7 @@
                 .toString();
     }
 
-    /** Reads a state from the text of a line; throws IllegalArgumentException if it can't be read. */
+    /** Parses a state from one line; throws IllegalArgumentException if it is malformed. */
     static HandoverState parse(String text) {
         try {
             JsonObject json = StrictJson.parse(text).asObject();
@@ -30,7 +30,7 @@
                     json.get("sockets").asInt(),
                     EndpointListParser.fromJson(json.get("list").asObject()));
         } catch (RuntimeException e) {
-            throw new IllegalArgumentException("not an offer: " + e.getMessage(), e);
+            throw new IllegalArgumentException("not a handover state: " + e.getMessage(), e);
         }
     }
 }
--- a/node/src/main/java/brackenbridge/handover/LineProtocolHandler.java
+++ b/node/src/main/java/brackenbridge/handover/LineProtocolHandler.java
@@ -9,19 +9,19 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a handover's connection: writes lines and reads lines of bounded length. */
+/** One end of a handover connection: writes lines, and reads lines of bounded length. */
 abstract class LineProtocolHandler extends ChannelInboundHandlerAdapter {
     private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-    /** A line has been received. */
+    /** Called when a line has been received. */
     abstract void onLine(Channel channel, String text);
 
-    /** The input can't be used, and the connection is closed. */
+    /** Called when invalid input has been received and the connection is closed. */
     abstract void onRejected(RejectionReason reason);
 
-    /** The connection is closed. */
+    /** Called when the connection has been closed. */
     abstract void onClosed(Channel channel);
 
     /** Writes a line and flushes it. */
--- a/node/src/main/java/brackenbridge/handover/PredecessorClient.java
+++ b/node/src/main/java/brackenbridge/handover/PredecessorClient.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** This process as the successor: its connection to the process that served here before. On the event loop only. */
+/** The successor's side of a handover: the connection to the running process. Confined to the event loop. */
 final class PredecessorClient {
     private final EventLoop loop;
     private final Path path;
@@ -26,7 +26,7 @@
     private Channel predecessor;
 
     private CompletableFuture<HandoverState> state;
-    /** What to do once the predecessor has left the path; null before {@link #announceReady} and once it is done. */
+    /** Runs once the predecessor has left the path; null before {@link #announceReady} and after it has run. */
     private Runnable takeOver;
 
     PredecessorClient(EventLoop loop, Path path, Handover.Participant process, Counters counters, Log log) {
@@ -37,7 +37,7 @@
         rejections = new RejectionReporter(counters, log, "connection to the old process");
     }
 
-    /** Completes with the predecessor's state, or with null if there is none that can be read. */
+    /** Completes with the predecessor's state, or with null if there is no readable one. */
     CompletableFuture<HandoverState> requestState() {
         state = new CompletableFuture<>();
         if (!Files.exists(path)) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Tells the predecessor that this process can serve; the action runs once the predecessor has left the path. */
+    /** Notifies the predecessor that this process can serve; runs the action once the predecessor has left the path. */
     void announceReady(Runnable action) {
         if (predecessor == null) {
             action.run();
@@ -87,13 +87,13 @@
 
         @Override
         public void onConnectFailed(Throwable cause) {
-            log.info("no old process answers at " + path);
+            log.info("no old process listens at " + path);
             state.complete(null);
         }
 
         @Override
         public void onSocketUnavailable(Throwable cause) {
-            log.warn("the old process can't be asked, no socket: " + cause.getMessage());
+            log.warn("can't connect to the old process, no socket: " + cause.getMessage());
             state.complete(null);
         }
     }
@@ -121,7 +121,7 @@
             try {
                 state.complete(HandoverState.parse(json));
             } catch (IllegalArgumentException e) {
-                log.warn("the state of the old process can't be read: " + e.getMessage());
+                log.warn("malformed state from the old process: " + e.getMessage());
                 onRejected(RejectionReason.MALFORMED);
                 channel.close();
             }
--- a/node/src/main/java/brackenbridge/handover/RejectionReporter.java
+++ b/node/src/main/java/brackenbridge/handover/RejectionReporter.java
@@ -4,13 +4,13 @@
 import brackenbridge.counters.RejectionReason;
 import brackenbridge.log.Log;
 
-/** Counts and logs the end of a connection whose other process can't be used. */
+/** Counts and logs handover connections that are closed because of the other process. */
 final class RejectionReporter {
     private final Counters counters;
     private final Log log;
     private final String rejected;
 
-    /** A reporter whose log lines begin with what is rejected. */
+    /** Creates a reporter whose log lines begin with the description of the rejected connection. */
     RejectionReporter(Counters counters, Log log, String rejected) {
         this.counters = counters;
         this.log = log;
--- a/node/src/main/java/brackenbridge/handover/SuccessorListener.java
+++ b/node/src/main/java/brackenbridge/handover/SuccessorListener.java
@@ -18,14 +18,14 @@
 import java.nio.file.StandardCopyOption;
 import java.util.concurrent.TimeUnit;
 
-/** This process as the predecessor: it listens for a successor and hands over to it. On the event loop only. */
+/** The predecessor's side of a handover: listens for a successor and hands over to it. Confined to the event loop. */
 final class SuccessorListener {
-    /** Short, as the name of a Unix socket is limited. */
+    /** Short, since the length of the path of a Unix socket is limited. */
     private static final String UNPUBLISHED_SUFFIX = ".n";
 
     private final EventLoop loop;
     private final Path path;
-    /** Where the socket is bound, until it listens. */
+    /** The path at which the socket is bound until it listens. */
     private final Path unpublishedPath;
 
     private final Handover.Participant process;
@@ -47,7 +47,7 @@
         rejections = new RejectionReporter(counters, log, "connection of a new process");
     }
 
-    /** Listens for a successor; without it a replacement happens without notice to this process. */
+    /** Listens for a successor; if that fails, this process is not notified of a replacement. */
     void listen() {
         try {
             Files.deleteIfExists(unpublishedPath);
@@ -70,19 +70,19 @@
                     if (bound.isSuccess()) {
                         publish(bound.channel());
                     } else {
-                        // Not on the event loop where the socket could not be opened; only the log is touched.
+                        // Runs on another thread if the socket could not be opened, so only the log may be used.
                         onListenFailed(bound.cause());
                     }
                 });
     }
 
     /**
-     * Moves the socket to the path at which processes meet. Guards a successor against the moment between bind and
-     * listen, in which its connect would be refused.
+     * Moves the listening socket to the handover path. Guards a successor against the time between bind and listen, in
+     * which its connect would be refused.
      */
     private void publish(Channel listening) {
         try {
-            // A file that is there belongs to a process that was killed, or to nobody.
+            // An existing file is left over from a process that was killed.
             Files.move(unpublishedPath, path, StandardCopyOption.ATOMIC_MOVE);
             server = listening;
         } catch (IOException e) {
@@ -92,10 +92,10 @@
     }
 
     private void onListenFailed(Throwable cause) {
-        log.warn("no new process can announce itself: " + cause);
+        log.warn("can't listen for a new process: " + cause);
     }
 
-    /** Stops listening; a successor that is connected keeps its connection. */
+    /** Stops listening; a connected successor keeps its connection. */
     void close() {
         closed = true;
         leavePath();
@@ -113,7 +113,7 @@
         try {
             Files.deleteIfExists(path);
         } catch (IOException e) {
-            log.warn("the path of the new process can't be left: " + e);
+            log.warn("can't remove the path for the new process: " + e);
         }
     }
 
@@ -133,7 +133,7 @@
             }
         }
 
-        /** Guards half of the descriptors, and the place of a good successor, against one that stops in its start. */
+        /** Guards the descriptors and the slot of the successor against a successor that hangs during its start. */
         private void requireReady(Channel channel) {
             if (!ready && channel.isActive()) {
                 onRejected(RejectionReason.TOO_SLOW);
@@ -166,7 +166,7 @@
 
         private void handOver(Channel channel) {
             ready = true;
-            // The path is left before the successor takes it: closing later would remove the successor's.
+            // Leaves the path before the successor listens there; later, closing would remove the successor's socket.
             leavePath();
             process.onSuccessorChanged(true);
             log.info("the new process serves");
--- a/node/src/main/java/brackenbridge/http/Headers.java
+++ b/node/src/main/java/brackenbridge/http/Headers.java
@@ -16,7 +16,7 @@
         return this;
     }
 
-    /** The first value of this name, or null. */
+    /** Returns the first value of this name, or null. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -37,7 +37,7 @@
         return others;
     }
 
-    /** How many fields have this name. */
+    /** Returns the number of fields with this name. */
     public int count(String name) {
         int count = 0;
         for (String otherName : names) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The number of fields. */
+    /** Returns the number of fields. */
     public int size() {
         return names.size();
     }
--- a/node/src/main/java/brackenbridge/http/HttpEncoder.java
+++ b/node/src/main/java/brackenbridge/http/HttpEncoder.java
@@ -9,11 +9,11 @@
 
 /** Encodes HTTP requests and responses. */
 public final class HttpEncoder {
-    /** The field with the time that remains until the client's deadline, in whole milliseconds. */
+    /** The field with the remaining time until the client's deadline, in integral milliseconds. */
     public static final String TIME_LEFT = "X-Time-Left-Ms";
-    /** In place of a length: the body is sent in chunks. */
+    /** Used instead of a length: the body is sent in chunks. */
     public static final long CHUNKED = -1;
-    /** In place of a length: no framing is declared; there is no body, or it ends with the connection. */
+    /** Used instead of a length: no framing is declared; there is no body, or it ends with the connection. */
     public static final long NO_BODY = -2;
 
     private static final byte[] NO_BYTES = new byte[0];
@@ -53,7 +53,7 @@
         return encode(alloc, "HTTP/1.1 100 Continue\r\n\r\n", NO_BYTES);
     }
 
-    /** A complete request to a server: the client's, without its hop-by-hop fields. */
+    /** A complete request to a server: the client's request without its hop-by-hop fields. */
     public static ByteBuf request(ByteBufAllocator alloc, HttpRequest request, double timeLeftMs) {
         boolean declaresLength = request.body().length > 0
                 || request.headers().get("Content-Length") != null
--- a/node/src/main/java/brackenbridge/http/HttpException.java
+++ b/node/src/main/java/brackenbridge/http/HttpException.java
@@ -1,6 +1,6 @@
 package brackenbridge.http;
 
-/** A malformed message. The status is that of the response to a client that sent it. */
+/** A malformed message, with the status of the response to a client that sent it. */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1;
     private final int status;
@@ -10,7 +10,7 @@
         this.status = status;
     }
 
-    /** The status of the response to such a request. */
+    /** Returns the status of the response to such a request. */
     public int status() {
         return status;
     }
--- a/node/src/main/java/brackenbridge/http/HttpRequest.java
+++ b/node/src/main/java/brackenbridge/http/HttpRequest.java
@@ -5,7 +5,7 @@
  *
  * @param method its method
  * @param target the path and query, unchanged
- * @param http11 whether its client speaks HTTP/1.1
+ * @param http11 whether the client uses HTTP/1.1
  * @param keepAlive whether its connection may carry another request
  * @param headers its header fields
  * @param body its body, without framing
@@ -13,7 +13,7 @@
 public record HttpRequest(
         String method, String target, boolean http11, boolean keepAlive, Headers headers, byte[] body) {
 
-    /** The first segment of the path. */
+    /** Returns the first segment of the path. */
     public String firstPathSegment() {
         int end = 1;
         while (end < target.length() && "/?#".indexOf(target.charAt(end)) < 0) {
--- a/node/src/main/java/brackenbridge/http/LoadReportParser.java
+++ b/node/src/main/java/brackenbridge/http/LoadReportParser.java
@@ -32,7 +32,7 @@
         return any ? new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]) : null;
     }
 
-    /** The position of a value in the report: each has a name used by servers and one used by the settings. */
+    /** Returns the index of a value in the report; servers and settings use different names for the same value. */
     private static int fieldIndex(String name) {
         return switch (name) {
             case "inflight", "concurrent" -> 0;
--- a/node/src/main/java/brackenbridge/http/MessageDecoder.java
+++ b/node/src/main/java/brackenbridge/http/MessageDecoder.java
@@ -5,14 +5,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes one HTTP/1.1 message after another from a byte stream that may be split at any byte. It reads no byte
- * beyond the end of a message, so that the rest stays in the buffer for the next one. It is strict on purpose: a
- * framing that two parties read differently allows request smuggling.
+ * Decodes successive HTTP/1.1 messages from a byte stream that may be split at any byte. It reads no byte beyond the
+ * end of a message, so that the rest stays in the buffer for the next one. It is strict on purpose: framing that two
+ * parties interpret differently allows request smuggling.
  */
 abstract class MessageDecoder {
-    /** The longest body that is buffered; a longer one has to be streamed. */
+    /** The maximum size of a buffered body; a longer one has to be streamed. */
     public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
-    /** The longest body that is accepted, buffered or streamed. */
+    /** The maximum size of a body, buffered or streamed. */
     public static final long MAX_BODY_BYTES = 32L * 1024 * 1024;
 
     static final int MAX_START_LINE_CHARS = 8 * 1024;
@@ -58,10 +58,10 @@
     private Step step = Step.START_LINE;
     private boolean carriageReturn;
     private int headBytes;
-    /** Size of the fields in {@link #headers}. */
+    /** The size of the fields in {@link #headers}. */
     private int fieldChars;
 
-    /** Bytes that remain of the body or of the current chunk. */
+    /** The remaining bytes of the body or of the current chunk. */
     private long remainingBytes;
 
     private Headers headers = new Headers();
@@ -107,7 +107,7 @@
         return step == Step.DONE;
     }
 
-    /** How many bytes of the body can be read now; 0 if the body buffer is full. */
+    /** Returns how many bytes of the body can be read now; 0 if the body buffer is full. */
     private int readableBodyBytes(ByteBuf in) {
         int length = (int) Math.min(in.readableBytes(), remainingBytes);
         return sink != null ? length : Math.min(length, MAX_BUFFERED_BODY_BYTES - body.size());
@@ -304,12 +304,12 @@
         return false;
     }
 
-    /** Whether a message has been received in part. */
+    /** Whether a part of a message has been received. */
     public boolean isMessageStarted() {
         return step != Step.START_LINE || line.length() > 0 || carriageReturn;
     }
 
-    /** The size of what is buffered of the current message. */
+    /** Returns the number of bytes that are buffered for the current message. */
     public int bufferedBytes() {
         return line.length() + fieldChars + body.size();
     }
@@ -319,7 +319,7 @@
         return step.compareTo(Step.FIELDS) > 0 && step != Step.DONE;
     }
 
-    /** Whether the body buffer is full: the rest of the body has to be streamed, by {@link #stream}. */
+    /** Whether the body buffer is full: the rest of the body has to be streamed, by {@link #streamBody}. */
     public boolean isBodyBufferFull() {
         return sink == null && awaitsBody() && body.size() >= MAX_BUFFERED_BODY_BYTES;
     }
@@ -337,7 +337,7 @@
         return buffered;
     }
 
-    /** The length of the body that the head declares, or -1. */
+    /** Returns the length of the body that the head declares, or -1. */
     public long declaredLength() throws HttpException {
         return headers.count("Content-Length") == 1 ? contentLength(headers) : -1;
     }
--- a/node/src/main/java/brackenbridge/http/RequestDecoder.java
+++ b/node/src/main/java/brackenbridge/http/RequestDecoder.java
@@ -6,7 +6,7 @@
 public final class RequestDecoder extends MessageDecoder {
     private static final Pattern VERSION_PATTERN = Pattern.compile("HTTP/[0-9]\\.[0-9]");
     private static final String SCHEME = "http://";
-    /** Empty lines that are accepted in front of a request line. */
+    /** How many empty lines are accepted before a request line. */
     private static final int MAX_BLANK_LINES = 4;
 
     private String method;
@@ -60,11 +60,11 @@
     @Override
     Framing parseHead(Headers fields) throws HttpException {
         if (fields.count("Host") > 1) {
-            throw new HttpException(400, "more than one host");
+            throw new HttpException(400, "more than one Host field");
         }
         Framing framing = declaredFraming(fields);
         if (framing == Framing.CHUNKED && !http11) {
-            throw new HttpException(400, "chunks in HTTP/1.0");
+            throw new HttpException(400, "chunked body in HTTP/1.0");
         }
         return framing == null ? Framing.NONE : framing;
     }
--- a/node/src/main/java/brackenbridge/http/ResponseDecoder.java
+++ b/node/src/main/java/brackenbridge/http/ResponseDecoder.java
@@ -4,7 +4,7 @@
 
 /** Decodes HTTP responses to requests other than HEAD and CONNECT, whose responses have no body. */
 public final class ResponseDecoder extends MessageDecoder {
-    /** Interim responses (1xx) that may precede a final one. */
+    /** How many interim responses (1xx) may precede a final one. */
     private static final int MAX_INTERIM_RESPONSES = 16;
 
     private static final Pattern STATUS_LINE_PATTERN = Pattern.compile("HTTP/1\\.[0-9] [1-5][0-9][0-9]( .*)?");
@@ -41,12 +41,12 @@
     @Override
     Framing parseHead(Headers fields) throws HttpException {
         if (status == 101) {
-            throw new HttpException(502, "switch of protocols unasked");
+            throw new HttpException(502, "unrequested switch of protocols");
         }
         if (status < 200) {
             // Guards against a server that never sends its final response.
             if (++interimResponses > MAX_INTERIM_RESPONSES) {
-                throw new HttpException(502, "interim answers without end");
+                throw new HttpException(502, "too many interim responses");
             }
             return null;
         }
--- a/node/src/main/java/brackenbridge/log/Log.java
+++ b/node/src/main/java/brackenbridge/log/Log.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A logger that writes one line for each entry and limits the lines of a second. Entries above the limit are dropped
- * and counted; the count is logged in the next second. A thread of its own writes, so that a slow reader of the log
+ * A logger that writes one line for each entry and limits the lines per second. Entries above the limit are dropped and
+ * counted; the count is logged in the next second. A separate thread writes the lines, so that a slow reader of the log
  * does not block the event loop.
  */
 public final class Log {
@@ -17,21 +17,21 @@
     private static final int QUEUE_CAPACITY = 256;
     private static final double WINDOW_MS = 1000;
     private static final double MS_PER_SECOND = 1000;
-    /** A part of what a stopping process has left before it is killed. */
+    /** Only a part of the time that a stopping process has left before it is killed. */
     private static final double MAX_FLUSH_MS = 50;
 
     private static final long FLUSH_CHECK_INTERVAL_MS = 2;
 
     private final Clock clock;
     private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
-    /** Entries that are not yet on the stream, the one that is being written included. */
+    /** The entries that are not yet written, including the one that is being written. */
     private final AtomicInteger unwritten = new AtomicInteger();
 
     private double windowStartMs;
     private int linesInWindow;
     private int droppedLines;
 
-    /** A log that writes to this stream from now on. */
+    /** Creates a log and starts the thread that writes to the stream. */
     public Log(Clock clock, PrintStream out) {
         this.clock = clock;
         Thread writer = new Thread(() -> writeLines(out), "log");
@@ -101,7 +101,7 @@
                 clean.length() > MAX_ENTRY_CHARACTERS ? clean.substring(0, MAX_ENTRY_CHARACTERS) + "..." : clean);
     }
 
-    /** Waits a short time at most until all entries so far are written; for the end of the process. */
+    /** Waits until all entries so far are written, for a short time at most; called before the process exits. */
     public void flush() throws InterruptedException {
         double endMs = clock.nowMs() + MAX_FLUSH_MS;
         while (unwritten.get() > 0 && clock.nowMs() < endMs) {
--- a/node/src/main/java/brackenbridge/mgmt/AdminOperations.java
+++ b/node/src/main/java/brackenbridge/mgmt/AdminOperations.java
@@ -5,15 +5,15 @@
 
 /** The operations of a running node for its operators; called on the management listener's own thread. */
 public interface AdminOperations {
-    /** Whether this process accepts clients, as published last. */
+    /** Whether this process accepts clients, as last published. */
     boolean acceptsClients();
 
-    /** The metrics as published last, one a line. */
+    /** Returns the metrics as last published, one per line. */
     String metricsText();
 
-    /** Begins or ends a drain; completes once the node has handled the call, false if it is stopping. */
+    /** Starts or ends a drain; completes once the node has handled the call, with false if it is stopping. */
     CompletableFuture<Boolean> drain(boolean on);
 
-    /** A call was rejected, or its connection closed for this reason. */
+    /** Called when a call is rejected, or its connection closed, for this reason. */
     void onRejectedCall(RejectionReason why);
 }
--- a/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
@@ -5,7 +5,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A call from the command line to a running node. */
+/** Sends a management call to a running node. */
 public final class ManagementCall {
     private static final int TIMEOUT_MS = 5000;
     /** Guards the command line against another program that listens at the address. */
@@ -16,9 +16,9 @@
     private ManagementCall() {}
 
     /**
-     * Makes the call at this address and returns the complete answer.
+     * Sends the call to this address and returns the complete answer.
      *
-     * @throws IllegalArgumentException if the address or the call can't be used
+     * @throws IllegalArgumentException if the address or the call is invalid
      */
     public static String send(String at, String call) throws IOException {
         int colon = at.lastIndexOf(':');
--- a/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementListener.java
@@ -25,23 +25,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The listener for operators' calls: one line in, one answer out. It has an event loop of its own, so that the load of
- * clients does not delay a call.
+ * The listener for operators' calls; each connection carries one line with a call, and its answer. It has its own event
+ * loop, so that the load of clients does not delay a call.
  */
 public final class ManagementListener {
-    /** When one more comes, the connection that has been open longest is closed. */
+    /** Above this limit, the connection that has been open longest is closed. */
     private static final int MAX_CONNECTIONS = 16;
-    /** A connection that has just come, the listening socket and the event loop's own descriptors. */
+    /** A newly accepted connection, the listening socket and the event loop's own descriptors. */
     private static final int OTHER_DESCRIPTORS = 6;
 
-    /** Descriptors that are reserved for this listener. */
+    /** The number of descriptors that are reserved for this listener. */
     public static final int RESERVED_DESCRIPTORS = MAX_CONNECTIONS + OTHER_DESCRIPTORS;
 
     private static final int ACCEPT_BACKLOG = 256;
     private static final int MAX_CALL_BYTES = 256;
-    /** From the start of the connection until the call is complete. */
+    /** The time from the start of a connection until its call is complete. */
     private static final long CALL_TIMEOUT_MS = 2000;
-    /** From the answer's writing until its caller has taken it. */
+    /** The time from writing an answer until its caller has read it. */
     private static final long ANSWER_TIMEOUT_MS = 2000;
 
     private static final int DELETE_CHARACTER = 0x7f;
@@ -53,13 +53,13 @@
     private final Set<Channel> connections = new LinkedHashSet<>();
     private Channel server;
 
-    /** A listener that does not listen yet. */
+    /** Creates a listener that does not listen yet. */
     public ManagementListener(AdminOperations operations, Log log) {
         this.operations = operations;
         this.log = log;
     }
 
-    /** Listens at this address; throws what a failed bind throws. */
+    /** Listens at this address; rethrows the exception of a failed bind. */
     public void listen(InetSocketAddress address) {
         if (address == null) {
             throw new IllegalArgumentException("mgmt: not a literal address");
@@ -84,7 +84,7 @@
         log.info("operators' calls are served at " + server.localAddress());
     }
 
-    /** The address that it listens at. */
+    /** Returns the address that it listens at. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.localAddress();
     }
@@ -94,12 +94,12 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Runs a task on the thread that serves operators. */
+    /** Runs a task on this listener's event loop. */
     public void execute(Runnable task) {
         group.execute(task);
     }
 
-    /** A connection, which carries one call. */
+    /** Handles a connection, which carries one call. */
     private final class CallHandler extends ChannelInboundHandlerAdapter {
         private final StringBuilder line = new StringBuilder();
         private boolean callComplete;
@@ -113,7 +113,7 @@
             ctx.executor().schedule(() -> closeIncomplete(ctx), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        /** Guards good callers against those that send nothing. */
+        /** Guards callers against others that connect and send nothing. */
         private void closeOldestConnection() {
             Channel oldest = connections.iterator().next();
             connections.remove(oldest);
--- a/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
@@ -5,9 +5,9 @@
  * which is longer than the deadline of many requests.
  */
 public final class AcceptBackoff {
-    /** The pause after a failure that would affect the next accept too. */
+    /** The pause after a failure that would affect the next accept as well. */
     public static final long PAUSE_MS = 5;
-    /** Failures in a row that are retried at once; guards the thread against a persistent error. */
+    /** How many consecutive failures are retried at once; guards the thread against a persistent error. */
     private static final int MAX_IMMEDIATE_RETRIES = 16;
 
     private int immediateRetries;
--- a/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * The handler of a listening channel that decides when it accepts: while its owner admits clients, except for a short
- * pause after an accept that failed for lack of something. It stands before Netty's own acceptor and keeps failed
- * accepts from it. On the channel's event loop only.
+ * Decides when a listening channel accepts connections: while its owner allows it, except for a short pause after a
+ * failed accept. The handler precedes Netty's own acceptor and does not pass failures on to it. Confined to the
+ * channel's event loop.
  */
 public final class AcceptRecovery extends ChannelInboundHandlerAdapter {
     private final AcceptBackoff backoff = new AcceptBackoff();
@@ -19,23 +19,23 @@
     private boolean accepting = true;
     private boolean pausing;
 
-    /** For an owner that has nothing to close when descriptors are lacking. */
+    /** Creates a handler for an owner that can't release descriptors. */
     public AcceptRecovery(Consumer<String> warn) {
         this(() -> {}, warn);
     }
 
     /**
-     * For an owner that can close something.
+     * Creates a handler for an owner that can release descriptors.
      *
-     * @param makeRoom runs before each pause for lack of descriptors or buffers
-     * @param warn is told of the first failure after an accept that succeeded
+     * @param releaseDescriptors runs before each pause that is due to a shortage of descriptors or buffers
+     * @param warn receives a message about the first failure after a successful accept
      */
     public AcceptRecovery(Runnable makeRoom, Consumer<String> warn) {
         this.releaseDescriptors = makeRoom;
         this.warn = warn;
     }
 
-    /** The owner takes clients, or lets them wait in the backlog. */
+    /** Sets whether the owner accepts clients or leaves them in the backlog. */
     public void setAccepting(Channel listening, boolean on) {
         accepting = on;
         updateAutoRead(listening);
@@ -55,7 +55,7 @@
             warn.accept("accept failed: " + cause);
         }
         long pauseMs = backoff.onAcceptFailed(cause);
-        // Without a pause the selector reports the same socket in its next turn.
+        // Without a pause the selector reports the same socket in its next iteration.
         if (pauseMs == 0 || pausing) {
             return;
         }
--- a/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
+++ b/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
@@ -7,30 +7,30 @@
 import java.net.SocketAddress;
 
 /**
- * Opens a connection whose outcome is told exactly once, on the owner's event loop, whichever system call fails.
+ * Opens a connection and reports the outcome exactly once, on the owner's event loop, whichever system call fails.
  *
- * <p>When {@code socket()} fails, Netty answers with a channel that can't be closed, whose close future never
- * completes and whose listeners run on another thread. Here that is no channel at all.
+ * <p>When {@code socket()} fails, Netty returns a channel that can't be closed, whose close future never completes and
+ * whose listeners run on another thread. This class returns no channel in that case.
  */
 public final class ConnectAttempt {
-    /** Who waits for a connection. */
+    /** Receives the outcome of a connect. */
     public interface Listener {
-        /** It is up. */
+        /** The connection is established. */
         void onConnected();
 
-        /** The channel, if there is one, could not be connected. */
+        /** The channel could not be connected. */
         void onConnectFailed(Throwable cause);
 
-        /** No connect was begun: the socket itself was not to be had. */
+        /** The socket could not be created, so that no connect was started. */
         void onSocketUnavailable(Throwable cause);
     }
 
     private ConnectAttempt() {}
 
     /**
-     * Begins to connect; on the bootstrap's event loop only. The listener never hears of it within this call.
+     * Starts to connect; to be called on the bootstrap's event loop. The listener is never called within this call.
      *
-     * @return the channel; null if there is none, and the listener will be told that nothing was begun
+     * @return the channel; null if the socket could not be created, which is also reported to the listener
      */
     public static Channel start(Bootstrap bootstrap, EventLoop loop, SocketAddress to, Listener listener) {
         ChannelFuture attempt = bootstrap.connect(to);
@@ -39,7 +39,7 @@
             return null;
         }
         attempt.addListener(done -> {
-            // A channel whose registration failed has no event loop and tells it on another thread.
+            // A channel whose registration failed has no event loop and notifies on another thread.
             if (loop.inEventLoop()) {
                 notifyListener(listener, done.cause());
             } else {
--- a/node/src/main/java/brackenbridge/transport/ListeningSockets.java
+++ b/node/src/main/java/brackenbridge/transport/ListeningSockets.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Which sockets listen at an address, by the kernel's tables of TCP sockets and of this process's descriptors; see
- * proc_net(5) and proc_pid_fd(5).
+ * Finds the sockets that listen at an address in the kernel's tables of TCP sockets and of this process's descriptors;
+ * see proc_net(5) and proc_pid_fd(5).
  */
 final class ListeningSockets {
     private static final List<Path> SOCKET_TABLES = List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
@@ -31,12 +31,12 @@
     private static final int STATE_COLUMN = 3;
     private static final int INODE_COLUMN = 9;
     private static final String LISTEN_STATE = "0A";
-    /** How the tables write {@code ::ffff:0:0/96}, the IPv4 addresses of an IPv6 socket. */
+    /** The prefix {@code ::ffff:0:0/96} of IPv4-mapped addresses of IPv6 sockets, as written in the tables. */
     private static final String MAPPED_PREFIX = "0000000000000000FFFF0000";
 
     private ListeningSockets() {}
 
-    /** The inodes of the sockets that listen at the address, of all processes. */
+    /** Returns the inodes of the sockets of all processes that listen at the address. */
     static Set<String> inodesAt(InetSocketAddress address) throws IOException {
         Set<String> inodes = new HashSet<>();
         for (Path table : SOCKET_TABLES) {
@@ -47,11 +47,11 @@
         return inodes;
     }
 
-    /** The table's first lines: listening sockets come first, and tens of thousands of others may follow. */
+    /** Reads the table's first lines: listening sockets come first, and tens of thousands of others may follow. */
     private static List<String> readListening(Path table) throws IOException {
         List<String> listening = new ArrayList<>();
         try (BufferedReader reader = Files.newBufferedReader(table)) {
-            // The headings.
+            // Skips the header line.
             String line = reader.readLine();
             while ((line = reader.readLine()) != null && isListening(COLUMN_SEPARATOR.split(line.strip()))) {
                 listening.add(line);
@@ -64,7 +64,7 @@
         return columns.length > INODE_COLUMN && columns[STATE_COLUMN].equals(LISTEN_STATE);
     }
 
-    /** The inodes of the sockets that listen at the address, by the lines of one table. */
+    /** Returns the inodes of the sockets that listen at the address, from the lines of one table. */
     static Set<String> inodesAt(InetSocketAddress address, List<String> tableLines) {
         Set<String> written = tableForms(address);
         Set<String> inodes = new HashSet<>();
@@ -77,7 +77,7 @@
         return inodes;
     }
 
-    /** A descriptor of this process for one of the sockets; -1 if it has none. */
+    /** Returns a descriptor of this process for one of the sockets; -1 if it has none. */
     static int ownDescriptor(Set<String> inodes) throws IOException {
         List<Path> descriptors;
         try (var entries = Files.list(OWN_DESCRIPTORS)) {
@@ -91,7 +91,7 @@
         return -1;
     }
 
-    /** The inode of the socket behind the descriptor; empty if it is another kind of file or has been closed. */
+    /** Returns the inode of the descriptor's socket; empty if it is another kind of file or has been closed. */
     private static String socketInode(Path descriptor) {
         try {
             Matcher target =
@@ -102,7 +102,7 @@
         }
     }
 
-    /** The address as the tables may write it: an IPv4 address may belong to an IPv6 socket. */
+    /** Returns the forms of the address in the tables: an IPv4 address may belong to an IPv6 socket. */
     private static Set<String> tableForms(InetSocketAddress address) {
         String port = String.format(Locale.ROOT, ":%04X", address.getPort());
         InetAddress host = address.getAddress();
@@ -114,7 +114,7 @@
         return host instanceof Inet4Address ? Set.of(words + port, MAPPED_PREFIX + words + port) : Set.of(words + port);
     }
 
-    /** The tables write an address in words of 32 bits, each as a number of the machine's byte order. */
+    /** Formats an address as the tables do: words of 32 bits, each a number in the machine's byte order. */
     private static String wordsInHostOrder(byte[] address) {
         ByteBuffer bytes = ByteBuffer.wrap(address).order(ByteOrder.nativeOrder());
         StringBuilder words = new StringBuilder();
--- a/node/src/main/java/brackenbridge/transport/ReusePortSteering.java
+++ b/node/src/main/java/brackenbridge/transport/ReusePortSteering.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Directs the new connections to an address at which two sockets listen with SO_REUSEPORT to the newer one, so that
- * the older one can be emptied and closed. The kernel resets what is queued at a listening socket when it closes, and
- * without this a connection may be queued there at any time.
+ * Directs new connections to the newer of two sockets that listen at the same address with SO_REUSEPORT, so that the
+ * queue of the older one can be drained before it is closed. The kernel resets the connections that are queued at a
+ * listening socket when it is closed, and without steering it may queue connections there at any time.
  *
  * <p>It attaches a program of one instruction to the group of sockets (SO_ATTACH_REUSEPORT_CBPF, Linux 4.5; see
- * socket(7)): return the index of the newer socket. Handshakes that have begun complete where they began. The
- * program stays with the group; an index without a socket means the kernel's own choice, by a hash of the addresses.
+ * socket(7)): return the index of the newer socket. Handshakes in progress complete at the socket where they started.
+ * The program stays attached to the group; for an index without a socket the kernel selects by a hash of the addresses.
  */
 public final class ReusePortSteering {
-    /** Values of the architectures that {@link #isSupported} names. */
+    /** The constants of the architectures that {@link #isSupported} accepts. */
     private static final int SOL_SOCKET = 1;
 
     private static final int SO_ATTACH_REUSEPORT_CBPF = 51;
@@ -31,7 +31,7 @@
     private static final int GROUP_SIZE = 2;
     private static final int NEWER_INDEX = 1;
 
-    /** {@code BPF_RET | BPF_K}: ends the program with the instruction's own value. */
+    /** {@code BPF_RET | BPF_K}: returns the value of the instruction. */
     private static final short RETURN_CONSTANT = 0x06;
     /** {@code struct sock_filter}: a code of 16 bits, two offsets of a jump, a value of 32 bits. */
     private static final int INSTRUCTION_BYTES = 8;
@@ -44,7 +44,7 @@
 
     private ReusePortSteering() {}
 
-    /** The C library's call. */
+    /** The binding of the C library's function. */
     private interface SocketLibrary extends Library {
         int setsockopt(int socket, int level, int option, Pointer value, int length) throws LastErrorException;
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Loads what {@link #steerToNewer} needs, on a thread of its own; a failure shows at that call. */
+    /** Loads the library for {@link #steerToNewer} on a separate thread; a failure is reported by that method. */
     public static void prepare() {
         startThread(ReusePortSteering::loadLibrary);
     }
@@ -77,8 +77,8 @@
 
     /**
      * Directs new connections to the newer of the two sockets that listen at the address, one of them this process's.
-     * Works on a thread of its own. Completes once it is so; completes exceptionally with an {@link IOException} that
-     * says why it can't be.
+     * Runs on a separate thread. Completes once the program is attached, or exceptionally with an {@link IOException}
+     * that describes the failure.
      */
     public static CompletableFuture<Void> steerToNewer(InetSocketAddress address) {
         return CompletableFuture.runAsync(() -> attach(address), ReusePortSteering::startThread);
--- a/node/src/main/java/brackenbridge/transport/SocketErrors.java
+++ b/node/src/main/java/brackenbridge/transport/SocketErrors.java
@@ -11,7 +11,7 @@
  * peer for a connect, and to the listening socket for an accept.
  */
 public final class SocketErrors {
-    /** EMFILE and ENFILE begin with the same words; ENOBUFS; ENOMEM. */
+    /** EMFILE and ENFILE, whose messages begin alike; ENOBUFS; ENOMEM. */
     private static final List<String> SHORTAGE_MESSAGES =
             List.of("Too many open files", "No buffer space available", "Cannot allocate memory");
     /** EAGAIN (no local port or no entry for the route), ENETUNREACH, ENETDOWN. */
@@ -33,7 +33,7 @@
             "Operation not supported",
             "Network is unreachable",
             "Operation not permitted");
-    /** The most causes that are examined; guards against a cyclic chain of causes. */
+    /** The maximum number of causes that are examined; guards against a cyclic chain of causes. */
     private static final int MAX_CAUSES = 10;
 
     private SocketErrors() {}
--- a/node/src/main/java/brackenbridge/transport/package-info.java
+++ b/node/src/main/java/brackenbridge/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Handling of connects and accepts whose system calls fail, shared by all sockets of the program. */
+/** Handles failed system calls of connects and accepts, for all sockets of the program. */
 package brackenbridge.transport;
--- a/node/src/main/java/brackenbridge/wire/EndpointLists.java
+++ b/node/src/main/java/brackenbridge/wire/EndpointLists.java
@@ -7,17 +7,17 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The endpoint lists that the simulator has sent, by their number; events name a list by it. */
+/** The endpoint lists that the simulator has sent, by number; events refer to a list by its number. */
 final class EndpointLists {
     private static final int MAX_LISTS = 16;
-    /** Guards memory against a count that no list follows. */
+    /** Guards memory against a count that is much larger than the list. */
     private static final int MAX_INITIAL_CAPACITY = 1 << 16;
 
     private static final long NO_CELL = -1;
 
     private final List<List<Endpoint>> lists = new ArrayList<>(Collections.nCopies(MAX_LISTS, null));
 
-    /** Reads a list, from the fields after its message's name to its last entry, and keeps it in place of the last. */
+    /** Reads a list, from the fields after the name of its message, and replaces the earlier list of this number. */
     void readList(WireReader reader) throws IOException {
         int id = readListId(reader);
         long count = reader.readNumber("rowsIn");
@@ -38,7 +38,7 @@
         lists.set(id, List.copyOf(entries));
     }
 
-    /** The list that the next field names. */
+    /** Returns the list whose number is the next field. */
     List<Endpoint> readReference(WireReader reader) {
         int id = readListId(reader);
         List<Endpoint> entries = lists.get(id);
--- a/node/src/main/java/brackenbridge/wire/WireException.java
+++ b/node/src/main/java/brackenbridge/wire/WireException.java
@@ -1,6 +1,6 @@
 package brackenbridge.wire;
 
-/** What is wrong with the input, with the line it is in and the field where there is one. */
+/** An error in the input, with its line and, where there is one, its field. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/node/src/main/java/brackenbridge/wire/WireFields.java
+++ b/node/src/main/java/brackenbridge/wire/WireFields.java
@@ -8,9 +8,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads the fields of a message that hold more than a word or a number. */
+/** Reads the structured fields of messages: outcomes, load reports and settings. */
 final class WireFields {
-    /** By the wire's numbers, from 1 on. */
+    /** Indexed by the number on the wire, which starts at 1. */
     private static final AttemptOutcome[] OUTCOMES = {
         AttemptOutcome.OK,
         AttemptOutcome.ERROR,
@@ -36,7 +36,7 @@
         return OUTCOMES[(int) code - 1];
     }
 
-    /** Reads the rest of a message, which is a server's load report; null if there is none. */
+    /** Reads the rest of a message as a server's load report; null if there is none. */
     static LoadReport readLoadReport(WireReader reader) {
         String pairs = reader.readOptionalText("pressure");
         reader.requireEndOfMessage();
@@ -72,7 +72,7 @@
         }
     }
 
-    /** The place of a figure among the parameters of {@link LoadReport}. */
+    /** Returns the index of a field among the components of {@link LoadReport}. */
     private static int fieldIndex(String name) {
         return switch (name) {
             case "concurrent" -> 0;
@@ -85,7 +85,7 @@
         };
     }
 
-    /** Reads the rest of a message, which is the settings of an instance as fields {@code path=value}. */
+    /** Reads the rest of a message as the settings of an instance, in fields {@code path=value}. */
     static BalancerSettings readSettings(WireReader reader, long seed) {
         Map<String, String> pairs = new HashMap<>();
         while (reader.hasMoreFields()) {
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -21,14 +21,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Hosts instances of the balancer on the simulator's wire. Reads batches of events, gives each event to the instance
- * that it addresses, and writes what the instances do. Translates only; decisions are the balancer's.
+ * Hosts instances of the balancer for the simulator. Reads batches of events, passes each event to the instance that it
+ * is addressed to, and writes the actions of the instances. It only translates; the balancer decides.
  */
 public final class WireHost {
     private static final double MICROSECONDS_PER_MS = 1000.0;
     private static final long NO_OBJECT_KEY = -1;
     private static final long NO_EXPECTED_COST = -1;
-    /** The tenant field of a request that belongs to no tenant. */
+    /** The tenant field of a request without a tenant. */
     private static final String NO_TENANT = "0";
 
     /** The bits of a request's options. */
@@ -49,7 +49,7 @@
         writer = new WireWriter(out);
     }
 
-    /** Serves the simulator on standard input and output; the process's exit code. */
+    /** Serves the simulator on standard input and output; returns the exit code of the process. */
     public static int serve() throws IOException {
         try {
             new WireHost(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out)).run();
@@ -144,7 +144,7 @@
 
     private static DiscoveryWatch discoveryWatch(BalancerSettings settings, long seed) {
         DiscoverySource source = new DiscoverySource(true, settings.maxPollInterval() / MICROSECONDS_PER_MS);
-        // The simulator reports the end of each call, so that silence has no meaning.
+        // The simulator reports the end of each call, so that no timeout is needed to detect a silent one.
         double maxSilenceMs = Double.POSITIVE_INFINITY;
         return new DiscoveryWatch(source, maxSilenceMs, new SplittableRandom(~seed));
     }
@@ -237,7 +237,7 @@
         instance().decide(balancer -> balancer.onHealthCheckEnded(nowUs, endpoint, outcome, latency, report));
     }
 
-    /** The balancer sends no messages to its peers and acts on none. */
+    /** Skips a message from a peer; the balancer exchanges none. */
     private void ignorePeerMessage() {
         reader.readNumber("neighbour");
         reader.readRest("raw");
--- a/node/src/main/java/brackenbridge/wire/WireInstance.java
+++ b/node/src/main/java/brackenbridge/wire/WireInstance.java
@@ -9,11 +9,11 @@
 import java.util.function.Consumer;
 
 /**
- * One hosted instance: a balancer and, where the instance polls discovery, the state of its polls. Where lists are
- * pushed, the simulator sends them without a request and there are no polls.
+ * One hosted instance: a balancer and, if the instance polls discovery, the state of its polls. If lists are pushed,
+ * the simulator sends them without a request and there are no polls.
  */
 final class WireInstance {
-    /** Begins the token of a timer that belongs to discovery and not to the balancer. */
+    /** Prefix of the token of a timer that belongs to discovery and not to the balancer. */
     private static final String DISCOVERY_TIMER_PREFIX = "discovery ";
 
     private static final double MICROSECONDS_PER_MS = 1000.0;
@@ -26,7 +26,7 @@
     private final WireWriter writer;
     private long discoveryCall = NO_CALL;
 
-    /** An instance; {@code discoveryWatch} is null where lists are pushed. */
+    /** Creates an instance; {@code discoveryWatch} is null if lists are pushed. */
     WireInstance(long id, Balancer balancer, DiscoveryWatch discoveryWatch, WireWriter writer) {
         this.id = id;
         this.balancer = balancer;
@@ -34,7 +34,7 @@
         this.writer = writer;
     }
 
-    /** Lets the balancer decide; an exception in it is reported to the simulator with its cause. */
+    /** Runs a decision of the balancer; an exception is reported to the simulator with its cause. */
     void decide(Consumer<Balancer> decision) {
         try {
             decision.accept(balancer);
@@ -43,7 +43,7 @@
         }
     }
 
-    /** A timer that the instance has set is due. */
+    /** Handles a timer of the instance that is due. */
     void onTimer(long nowUs, String token) {
         if (discoveryWatch != null && token.startsWith(DISCOVERY_TIMER_PREFIX)) {
             execute(discoveryWatch.onTimer(nowUs / MICROSECONDS_PER_MS, discoveryTimer(token)));
@@ -52,7 +52,7 @@
         }
     }
 
-    /** An endpoint list of this kind has come. */
+    /** Handles an endpoint list of this kind. */
     void onEndpointList(long nowUs, EndpointListKind kind, List<Endpoint> endpoints, long version) {
         decide(target -> target.onEndpointList(nowUs, kind, endpoints));
         if (discoveryWatch == null) {
@@ -62,12 +62,12 @@
         if (kind == EndpointListKind.CACHED) {
             execute(discoveryWatch.start(nowMs, version));
         } else {
-            // The simulator sends lists in order, so that no list is out of date.
+            // The simulator sends lists in order, so that no list is stale.
             discoveryWatch.onEndpointList(nowMs, discoveryCall, version, kind == EndpointListKind.FULL);
         }
     }
 
-    /** The call to discovery has failed. */
+    /** Handles the failure of a call to discovery. */
     void onDiscoveryFailed(long nowUs) {
         if (discoveryWatch != null) {
             execute(discoveryWatch.onCallEnded(nowUs / MICROSECONDS_PER_MS, discoveryCall));
--- a/node/src/main/java/brackenbridge/wire/WireReader.java
+++ b/node/src/main/java/brackenbridge/wire/WireReader.java
@@ -5,13 +5,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads tab-separated lines and their fields, straight from the bytes. */
+/** Reads tab-separated lines and their fields directly from the bytes of a stream. */
 final class WireReader {
     /** Guards memory against input without line ends. */
     private static final int MAX_LINE_BYTES = 1 << 24;
 
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
-    /** No number of so many digits exceeds a {@code long}. */
+    /** No number with this many digits overflows a {@code long}. */
     private static final int MAX_DIGITS = 18;
 
     private final InputStream in;
@@ -26,7 +26,7 @@
         this.in = in;
     }
 
-    /** Steps to the next line; false at the end of input. */
+    /** Advances to the next line; returns false at the end of input. */
     boolean nextLine() throws IOException {
         int from = start;
         while (true) {
@@ -81,7 +81,7 @@
         return end;
     }
 
-    /** The next field as text. */
+    /** Reads the next field as text. */
     String readText(String field) {
         int end = fieldEnd(field);
         String value = new String(buffer, position, end - position, StandardCharsets.UTF_8);
@@ -89,7 +89,7 @@
         return value;
     }
 
-    /** The rest of the line, tabs included. */
+    /** Reads the rest of the line, including tabs. */
     String readRest(String field) {
         if (!hasMoreFields()) {
             throw error(field, "missing");
@@ -99,7 +99,7 @@
         return value;
     }
 
-    /** A field that may be absent, written as a dash or left out at the end of the line. */
+    /** Reads a field that may be absent: a dash, or left out at the end of the line. */
     String readOptionalText(String field) {
         if (!hasMoreFields()) {
             return null;
@@ -108,7 +108,7 @@
         return value.equals("-") || value.isEmpty() ? null : value;
     }
 
-    /** The next field, a whole number. */
+    /** Reads the next field as an integer. */
     long readNumber(String field) {
         int end = fieldEnd(field);
         long value = parseWholeNumber(field, end);
@@ -116,7 +116,7 @@
         return value;
     }
 
-    /** A whole number that may be absent, written as a dash or left out at the end of the line. */
+    /** Reads an integer that may be absent: a dash, or left out at the end of the line. */
     long readOptionalNumber(String field, long absent) {
         if (!hasMoreFields()) {
             return absent;
@@ -154,7 +154,7 @@
         return error(field, "not a whole number: '" + found + "'");
     }
 
-    /** The next field, a decimal number. */
+    /** Reads the next field as a decimal number. */
     double readDecimal(String field) {
         String value = readText(field);
         try {
@@ -164,7 +164,7 @@
         }
     }
 
-    /** The next field, 0 or 1. */
+    /** Reads the next field as a flag, 0 or 1. */
     boolean readFlag(String field) {
         long value = readNumber(field);
         if (value != 0 && value != 1) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /** The error at the current line, and at this field unless that is null; to be thrown by the caller. */
+    /** Creates the error for the current line, and for this field unless it is null; the caller throws it. */
     WireException error(String field, String what) {
         return new WireException("line " + line + (field == null ? "" : ", field " + field) + ": " + what);
     }
--- a/node/src/main/java/brackenbridge/wire/WireWriter.java
+++ b/node/src/main/java/brackenbridge/wire/WireWriter.java
@@ -24,7 +24,7 @@
         this.out = out;
     }
 
-    /** Writes the actions of one instance. */
+    /** Returns the actions of one instance, which write their lines to the reply. */
     BalancerActions actionsOf(long instance) {
         return new BalancerActions() {
             @Override
@@ -59,12 +59,12 @@
         };
     }
 
-    /** An instance opens a watch at discovery. */
+    /** Writes that an instance opens a watch at discovery. */
     void writeWatch(long instance) {
         from(instance).text("OBSERVE").number(1).end();
     }
 
-    /** An exception in the instance, with its cause and place on one line. */
+    /** Writes an exception of an instance, with its cause and location on one line. */
     void writeFault(long instance, RuntimeException fault) {
         StackTraceElement[] trace = fault.getStackTrace();
         String cause = fault + (trace.length == 0 ? "" : " at " + trace[0]);
@@ -80,7 +80,7 @@
         currentInstance = NO_INSTANCE;
     }
 
-    /** The lines that follow are this instance's. */
+    /** Selects the instance of the lines that follow. */
     private WireWriter from(long instance) {
         if (currentInstance != instance) {
             currentInstance = instance;
