--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
@@ -76,7 +76,7 @@
                                 / (double) firstAttemptsByClass.get(k.className());
                 observations.put(
                         poolName(k) + "/" + k.className(),
-                        observe(
+                        createObservation(
                                 k,
                                 t,
                                 earlierTally,
@@ -96,29 +96,29 @@
         return new PoolName(tier, key.zone().isEmpty() ? "-" : key.zone().replace('/', '_'), "w" + key.weight());
     }
 
-    private PoolObservation observe(
-            PoolKey k, PoolTally now, PoolTally was, double seconds, double refused, int servers) {
-        long served = now.served() - was.served();
-        long ended = served + now.failed() - was.failed();
-        double mean = served == 0 ? 0 : (now.sumMs() - was.sumMs()) / served;
-        double meanSquare = served == 0 ? 0 : (now.sumSquaredMs() - was.sumSquaredMs()) / served;
+    private PoolObservation createObservation(
+            PoolKey key, PoolTally tally, PoolTally earlierTally, double seconds, double rejectionRate, int servers) {
+        long served = tally.served() - earlierTally.served();
+        long ended = served + tally.failed() - earlierTally.failed();
+        double mean = served == 0 ? 0 : (tally.sumMs() - earlierTally.sumMs()) / served;
+        double meanSquare = served == 0 ? 0 : (tally.sumSquaredMs() - earlierTally.sumSquaredMs()) / served;
         if (served >= MIN_LATENCY_SAMPLES) {
-            baselineLatencyMs.merge(k, mean, (old, m) -> Math.min(old * BASELINE_GROWTH_FACTOR, m));
+            baselineLatencyMs.merge(key, mean, (old, m) -> Math.min(old * BASELINE_GROWTH_FACTOR, m));
         }
         return new PoolObservation(
-                (now.firstAttempts() - was.firstAttempts()) / seconds,
-                (now.attempts() - was.attempts()) / seconds,
-                refused,
+                (tally.firstAttempts() - earlierTally.firstAttempts()) / seconds,
+                (tally.attempts() - earlierTally.attempts()) / seconds,
+                rejectionRate,
                 servers,
                 0,
-                (now.inFlightMs() - was.inFlightMs()) / (seconds * 1000),
-                baselineLatencyMs.getOrDefault(k, 0.0),
+                (tally.inFlightMs() - earlierTally.inFlightMs()) / (seconds * 1000),
+                baselineLatencyMs.getOrDefault(key, 0.0),
                 mean,
                 mean == 0 ? 0 : Math.max(0, meanSquare / (mean * mean) - 1),
-                ended == 0 ? 0 : (now.failed() - was.failed()) / (double) ended,
+                ended == 0 ? 0 : (tally.failed() - earlierTally.failed()) / (double) ended,
                 seconds * 1000,
                 -1,
-                connectionsPerWeight * k.weight(),
+                connectionsPerWeight * key.weight(),
                 initialCapacityRatio,
                 warmUpMs,
                 1,
--- a/node/src/main/java/brackenbridge/cli/Main.java
+++ b/node/src/main/java/brackenbridge/cli/Main.java
@@ -55,8 +55,8 @@
     }
 
     /** Prints the reason why the command line or a file can't be used, and ends the process. */
-    public static void fail(String why) {
-        System.err.println("brackenbridge: " + why);
+    public static void fail(String reason) {
+        System.err.println("brackenbridge: " + reason);
         System.exit(EXIT_USAGE);
     }
 
--- a/node/src/main/java/brackenbridge/discovery/JsonObjectSplitter.java
+++ b/node/src/main/java/brackenbridge/discovery/JsonObjectSplitter.java
@@ -32,46 +32,46 @@
     private boolean objectEndedOnLine;
 
     /** Creates a splitter for objects of at most this many bytes. */
-    public JsonObjectSplitter(int limit) {
-        this.maxTextBytes = limit;
+    public JsonObjectSplitter(int maxTextBytes) {
+        this.maxTextBytes = maxTextBytes;
     }
 
     /** Processes the next byte. */
-    public Progress add(byte b) {
-        boolean blank = b == ' ' || b == '\t' || b == '\r' || b == '\n';
+    public Progress add(byte next) {
+        boolean blank = next == ' ' || next == '\t' || next == '\r' || next == '\n';
         if (text.size() == 0 && blank) {
-            boolean empty = b == '\n' && !objectEndedOnLine;
-            objectEndedOnLine &= b != '\n';
+            boolean empty = next == '\n' && !objectEndedOnLine;
+            objectEndedOnLine &= next != '\n';
             return empty ? Progress.EMPTY_LINE : Progress.INCOMPLETE;
         }
         if (text.size() >= maxTextBytes) {
             text.reset();
             return Progress.TOO_LONG;
         }
-        inObject = text.size() > 0 ? inObject : b == '{';
-        text.write(b);
+        inObject = text.size() > 0 ? inObject : next == '{';
+        text.write(next);
         if (inString) {
-            inString = escaped || b != '"';
-            escaped = !escaped && b == '\\';
-        } else if (b == '"') {
+            inString = escaped || next != '"';
+            escaped = !escaped && next == '\\';
+        } else if (next == '"') {
             inString = inObject;
-        } else if (b == '{') {
+        } else if (next == '{') {
             depth++;
-        } else if (b == '}') {
+        } else if (next == '}') {
             depth--;
         }
         // Guards the watch against malformed input: a text that is not an object ends with its line.
-        boolean whole = inObject ? depth == 0 : b == '\n';
-        objectEndedOnLine = whole ? inObject : objectEndedOnLine;
-        return whole ? Progress.TEXT_COMPLETE : text.size() == 1 ? Progress.TEXT_STARTED : Progress.INCOMPLETE;
+        boolean complete = inObject ? depth == 0 : next == '\n';
+        objectEndedOnLine = complete ? inObject : objectEndedOnLine;
+        return complete ? Progress.TEXT_COMPLETE : text.size() == 1 ? Progress.TEXT_STARTED : Progress.INCOMPLETE;
     }
 
     /** Returns the complete text and resets the splitter for the next one. */
     public String takeText() {
-        String whole = text.toString(StandardCharsets.UTF_8);
+        String completeText = text.toString(StandardCharsets.UTF_8);
         // Not reset: a buffer keeps its capacity, and a watch lives long after its largest list.
         text = new ByteArrayOutputStream();
         depth = 0;
-        return whole;
+        return completeText;
     }
 }
--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -23,7 +23,7 @@
         CompletableFuture<HandoverState> prepareState();
 
         /** Called when the successor begins to serve clients, or has ended. */
-        void onSuccessorChanged(boolean on);
+        void onSuccessorChanged(boolean serving);
 
         /** Called when the predecessor has ended. */
         void onPredecessorEnded();
--- a/node/src/main/java/brackenbridge/mgmt/AdminOperations.java
+++ b/node/src/main/java/brackenbridge/mgmt/AdminOperations.java
@@ -12,8 +12,8 @@
     String metricsText();
 
     /** Starts or ends a drain; completes once the node has handled the call, with false if it is stopping. */
-    CompletableFuture<Boolean> drain(boolean on);
+    CompletableFuture<Boolean> drain(boolean enabled);
 
     /** Called when a call is rejected, or its connection closed, for this reason. */
-    void onRejectedCall(RejectionReason why);
+    void onRejectedCall(RejectionReason reason);
 }
--- a/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
@@ -20,17 +20,17 @@
      *
      * @throws IllegalArgumentException if the address or the call is invalid
      */
-    public static String send(String at, String call) throws IOException {
-        int colon = at.lastIndexOf(':');
-        if (colon < 1 || !at.substring(colon + 1).matches("[0-9]{1,5}") || call.contains("\n")) {
-            throw new IllegalArgumentException("not an address and port, or not a call: " + at + " " + call);
+    public static String send(String address, String call) throws IOException {
+        int colon = address.lastIndexOf(':');
+        if (colon < 1 || !address.substring(colon + 1).matches("[0-9]{1,5}") || call.contains("\n")) {
+            throw new IllegalArgumentException("not an address and port, or not a call: " + address + " " + call);
         }
-        int port = Integer.parseInt(at.substring(colon + 1));
+        int port = Integer.parseInt(address.substring(colon + 1));
         if (port > MAX_PORT) {
             throw new IllegalArgumentException("not a port: " + port);
         }
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(at.substring(0, colon), port), TIMEOUT_MS);
+            socket.connect(new InetSocketAddress(address.substring(0, colon), port), TIMEOUT_MS);
             socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readNBytes(MAX_ANSWER_BYTES), StandardCharsets.US_ASCII);
--- a/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
@@ -30,14 +30,14 @@
      * @param releaseDescriptors runs before each pause that is due to a shortage of descriptors or buffers
      * @param warn receives a message about the first failure after a successful accept
      */
-    public AcceptRecovery(Runnable makeRoom, Consumer<String> warn) {
-        this.releaseDescriptors = makeRoom;
+    public AcceptRecovery(Runnable releaseDescriptors, Consumer<String> warn) {
+        this.releaseDescriptors = releaseDescriptors;
         this.warn = warn;
     }
 
     /** Sets whether the owner accepts clients or leaves them in the backlog. */
-    public void setAccepting(Channel listening, boolean on) {
-        accepting = on;
+    public void setAccepting(Channel listening, boolean enabled) {
+        accepting = enabled;
         updateAutoRead(listening);
     }
 
--- a/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
+++ b/node/src/main/java/brackenbridge/transport/ConnectAttempt.java
@@ -32,8 +32,8 @@
      *
      * @return the channel; null if the socket could not be created, which is also reported to the listener
      */
-    public static Channel start(Bootstrap bootstrap, EventLoop loop, SocketAddress to, Listener listener) {
-        ChannelFuture attempt = bootstrap.connect(to);
+    public static Channel start(Bootstrap bootstrap, EventLoop loop, SocketAddress remoteAddress, Listener listener) {
+        ChannelFuture attempt = bootstrap.connect(remoteAddress);
         if (attempt.isDone() && !attempt.isSuccess()) {
             loop.execute(() -> listener.onSocketUnavailable(attempt.cause()));
             return null;
--- a/node/src/main/java/brackenbridge/transport/ListeningSockets.java
+++ b/node/src/main/java/brackenbridge/transport/ListeningSockets.java
@@ -66,11 +66,11 @@
 
     /** Returns the inodes of the sockets that listen at the address, from the lines of one table. */
     static Set<String> inodesAt(InetSocketAddress address, List<String> tableLines) {
-        Set<String> written = tableForms(address);
+        Set<String> forms = tableForms(address);
         Set<String> inodes = new HashSet<>();
         for (String line : tableLines) {
             String[] columns = COLUMN_SEPARATOR.split(line.strip());
-            if (isListening(columns) && written.contains(columns[LOCAL_ADDRESS_COLUMN])) {
+            if (isListening(columns) && forms.contains(columns[LOCAL_ADDRESS_COLUMN])) {
                 inodes.add(columns[INODE_COLUMN]);
             }
         }
--- a/node/src/main/java/brackenbridge/wire/EndpointLists.java
+++ b/node/src/main/java/brackenbridge/wire/EndpointLists.java
@@ -69,12 +69,12 @@
     }
 
     private static EndpointState readState(WireReader reader) {
-        String word = reader.readText("condition");
-        return switch (word) {
+        String condition = reader.readText("condition");
+        return switch (condition) {
             case "up" -> EndpointState.UP;
             case "draining" -> EndpointState.DRAINING;
             case "removed" -> EndpointState.REMOVED;
-            default -> throw reader.error("condition", "unknown: '" + word + "'");
+            default -> throw reader.error("condition", "unknown: '" + condition + "'");
         };
     }
 }
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -156,13 +156,13 @@
     }
 
     private void onEndpointList() {
-        String how = reader.readText("how");
-        EndpointListKind kind = switch (how) {
+        String kindName = reader.readText("how");
+        EndpointListKind kind = switch (kindName) {
             case "INCREMENTAL" -> EndpointListKind.CHANGES;
             case "FULL" -> EndpointListKind.FULL;
             case "SAVED" -> EndpointListKind.CACHED;
             case "FAILED" -> null;
-            default -> throw reader.error("how", "unknown: '" + how + "'");
+            default -> throw reader.error("how", "unknown: '" + kindName + "'");
         };
         if (kind == null) {
             reader.readOptionalNumber("setId", 0);
--- a/node/src/main/java/brackenbridge/wire/WireReader.java
+++ b/node/src/main/java/brackenbridge/wire/WireReader.java
@@ -117,14 +117,14 @@
     }
 
     /** Reads an integer that may be absent: a dash, or left out at the end of the line. */
-    long readOptionalNumber(String field, long absent) {
+    long readOptionalNumber(String field, long defaultValue) {
         if (!hasMoreFields()) {
-            return absent;
+            return defaultValue;
         }
         int end = fieldEnd(field);
         if (end == position + 1 && buffer[position] == '-') {
             position = end + 1;
-            return absent;
+            return defaultValue;
         }
         return readNumber(field);
     }
@@ -181,7 +181,7 @@
     }
 
     /** Creates the error for the current line, and for this field unless it is null; the caller throws it. */
-    WireException error(String field, String what) {
-        return new WireException("line " + line + (field == null ? "" : ", field " + field) + ": " + what);
+    WireException error(String field, String reason) {
+        return new WireException("line " + line + (field == null ? "" : ", field " + field) + ": " + reason);
     }
 }
