--- a/fleet/src/test/java/brackenbridge/fleet/cli/NodeCommandTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/cli/NodeCommandTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A fleet's file that can't be used, at the start of a real process: one line on standard error, exit code 2. */
+/** A real process that is started with an invalid fleet file prints one line on standard error and exits with 2. */
 class NodeCommandTest {
     @TempDir
     private Path directory;
 
     @ParameterizedTest
     @ValueSource(strings = {"directory", "missing", "long", "cut", "twice", "two faults", "binary", "deep", "number"})
-    void badFleetFileIsOneLineAndExitCodeTwo(String what) throws Exception {
+    void invalidFleetFileGivesOneLineAndExitCodeTwo(String what) throws Exception {
         String member = "[[member]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n";
         Path file = directory.resolve("fleet.toml");
         switch (what) {
@@ -54,15 +54,15 @@
                 .redirectOutput(directory.resolve("output").toFile())
                 .start();
         try {
-            assertTrue(p.waitFor(60, TimeUnit.SECONDS), "it ends by itself");
+            assertTrue(p.waitFor(60, TimeUnit.SECONDS), "the process exits");
         } finally {
             p.destroyForcibly();
         }
-        oneLine(Files.readString(errors, StandardCharsets.UTF_8), file);
+        assertOneLineNamingFile(Files.readString(errors, StandardCharsets.UTF_8), file);
         assertEquals(2, p.exitValue());
     }
 
-    private static void oneLine(String told, Path file) throws IOException {
+    private static void assertOneLineNamingFile(String told, Path file) throws IOException {
         assertTrue(told.indexOf('\n') == told.length() - 1 && told.length() < 1000, told);
         assertTrue(told.startsWith(file + ":"), told);
     }
--- a/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The file is checked whole, and what is at fault is said with its place. */
+/** The complete file is validated, and each fault is reported with its position. */
 class FleetFileTest {
     @Test
-    void exampleNamesWhatHoldsWhereNothingIsSaid() throws FleetFileException {
+    void exampleFileContainsTheDefaults() throws FleetFileException {
         FleetFile example = FleetFile.read(Path.of("../deploy/fleet.toml"));
         FleetFile bare = FleetFile.parse("bare", """
                 fleet = "example"
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void allFaultsAreReportedAtOnceEachWithItsPlace() {
+    void allFaultsAreReportedWithTheirPositions() {
         List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", """
                 fleet = "a b"
                 [[member]]
@@ -67,14 +67,14 @@
     }
 
     @Test
-    void textThatIsNoTomlIsOneFaultWithItsPlace() {
+    void syntaxErrorIsReportedWithItsPosition() {
         List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", "fleet = \n"))
                 .faults();
         assertTrue(faults.get(0).startsWith("f:1:9: syntax: "), faults.toString());
     }
 
     @Test
-    void theControlExampleNamesWhatHoldsWhereNothingIsSaid() throws FleetFileException {
+    void controlExampleFileContainsTheDefaults() throws FleetFileException {
         FleetFile example = FleetFile.read(Path.of("../deploy/control.toml"));
         assertEquals(ControlLimits.STANDARD, example.control().limits());
         assertEquals(List.of("*"), example.control().nodes());
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void controlMachinesAreMembersEachOnceAndLimitsCanBeKept() {
+    void controlMachinesAndLimitsAreValidated() {
         String fleet = "fleet = \"f\"\n[[member]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n[control]\n";
         String machine = "[[control.machine]]\nname = \"%s\"\nregion = \"r\"\naddress = \"127.0.0.1:2\"\n";
         String a = String.format(machine, "a");
--- a/fleet/src/test/java/brackenbridge/fleet/node/AdminHttpServerTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/AdminHttpServerTest.java
@@ -20,18 +20,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Staff's commands reach the room they name, and what it says decides the exit status. */
+/** Commands reach their handler, and its response determines the exit status of the command line. */
 class AdminHttpServerTest {
-    private final PrintStream out = System.out;
-    private final PrintStream err = System.err;
-    private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private AdminHttpServer page;
+    private final PrintStream originalOut = System.out;
+    private final PrintStream originalErr = System.err;
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+    private AdminHttpServer server;
 
     @BeforeEach
     void open() throws Exception {
         PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         metrics.counter("fleet.tests", "kind", "page").increment(3);
-        page = new AdminHttpServer(
+        server = new AdminHttpServer(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 metrics,
                 Map.of("state", (words, body, json) -> {
@@ -40,50 +40,51 @@
                     }
                     return new AdminHttpServer.Reply(!words.get(0).equals("no"), words + " " + json);
                 }));
-        System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
+        System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
         System.setErr(System.out);
     }
 
     @AfterEach
     void close() {
-        System.setOut(out);
-        System.setErr(err);
-        page.close();
+        System.setOut(originalOut);
+        System.setErr(originalErr);
+        server.close();
     }
 
-    private String at() {
-        return "127.0.0.1:" + page.address().getPort();
+    private String serverAddress() {
+        return "127.0.0.1:" + server.address().getPort();
     }
 
     private String run(int status, String... words) {
-        said.reset();
-        assertEquals(status, new StateCommand().run(words), () -> said.toString(StandardCharsets.UTF_8));
-        return said.toString(StandardCharsets.UTF_8).strip();
+        output.reset();
+        assertEquals(status, new StateCommand().run(words), () -> output.toString(StandardCharsets.UTF_8));
+        return output.toString(StandardCharsets.UTF_8).strip();
     }
 
     @Test
-    void wordsArriveAsTheyWereGiven() {
-        assertEquals("[diff, a b/c?] false", run(0, "--at", at(), "diff", "a b/c?"));
-        assertEquals("[status] true", run(0, "--json", "status", "--at", at()));
+    void wordsArriveUnchanged() {
+        assertEquals("[diff, a b/c?] false", run(0, "--at", serverAddress(), "diff", "a b/c?"));
+        assertEquals("[status] true", run(0, "--json", "status", "--at", serverAddress()));
     }
 
     @Test
-    void roomThatSaysNoAndOneThatFailsEndWithOne() {
-        assertEquals("[no] false", run(1, "--at", at(), "no"));
-        assertTrue(run(1, "--at", at(), "fault").contains("broken"));
+    void failedAndBrokenCommandsExitWithOne() {
+        assertEquals("[no] false", run(1, "--at", serverAddress(), "no"));
+        assertTrue(run(1, "--at", serverAddress(), "fault").contains("broken"));
     }
 
     @Test
-    void lineThatCannotBeUsedEndsWithTwo() {
-        assertTrue(run(2, "--at", at()).contains("state status"));
-        assertTrue(run(2, "status", "--file", "no/such/file", "--at", at()).contains("no/such/file"));
+    void invalidCommandLineExitsWithTwo() {
+        assertTrue(run(2, "--at", serverAddress()).contains("state status"));
+        assertTrue(run(2, "status", "--file", "no/such/file", "--at", serverAddress())
+                .contains("no/such/file"));
     }
 
     @Test
-    void metricsArePublishedAndOtherRoomsAreNone() throws Exception {
+    void metricsAreServedAndUnknownCommandsAreNotFound() throws Exception {
         HttpClient client = HttpClient.newHttpClient();
         String metrics = client.send(
-                        HttpRequest.newBuilder(URI.create("http://" + at() + "/metrics"))
+                        HttpRequest.newBuilder(URI.create("http://" + serverAddress() + "/metrics"))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString())
                 .body();
@@ -91,7 +92,7 @@
         assertEquals(
                 404,
                 client.send(
-                                HttpRequest.newBuilder(URI.create("http://" + at() + "/call/none/x"))
+                                HttpRequest.newBuilder(URI.create("http://" + serverAddress() + "/call/none/x"))
                                         .POST(HttpRequest.BodyPublishers.noBody())
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString())
--- a/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real node goes by what a control machine tells it, the way of a checked reload. */
+/** A real node validates and applies the values that a control machine sends, as in a reload. */
 class NodeSubscriptionTest {
     private static final String SETTINGS = "settings/tier-0";
 
@@ -42,7 +42,7 @@
     private ControlServer server;
     private Node node;
     private NodeSubscription subscription;
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
 
     private static String settings(String classes) {
         return "{\"tier\":0,\"me\":0,\"replicasOfMe\":1,\"discovery\":\"pushed\",\"classes\":[" + classes + "]}";
@@ -74,7 +74,7 @@
                 new SimpleMeterRegistry());
         server.start();
         Config config = Config.read(configFile);
-        node = new Node(config, Clock.system(), new Log(Clock.system(), new PrintStream(logged, true)));
+        node = new Node(config, Clock.system(), new Log(Clock.system(), new PrintStream(logOutput, true)));
         subscription = new NodeSubscription(fleet(server.address().getPort()), configFile, "r", config);
         subscription.onStarting(node);
         node.start();
@@ -107,7 +107,7 @@
                 .until(condition);
     }
 
-    private boolean hasClass(String name) {
+    private boolean servesClass(String name) {
         return node.metricsText().contains("proxy.ok." + name + ":");
     }
 
@@ -116,22 +116,22 @@
     }
 
     @Test
-    void agreedSettingsHoldFromThenOnAndABadOneLeavesThemInPlaceAndIsReported() {
+    void agreedSettingsAreAppliedAndInvalidOnesAreRejectedAndReported() {
         publish(3, settings(requestClass("view", 700_000) + "," + requestClass("tag", 500_000)));
-        await(() -> hasClass("tag"));
+        await(() -> servesClass("tag"));
         await(() -> fleetStatus().contains("1 nodes, 1 act by the newest versions"));
         publish(4, "{\"tier\":0}");
         await(() -> fleetStatus().contains("n1: " + SETTINGS + " at version 3, newest 4, refused: "));
         publish(5, "no settings at all");
         await(() -> subscription.status().rejected() == 2);
-        assertTrue(hasClass("tag"));
+        assertTrue(servesClass("tag"));
         publish(6, settings(requestClass("view", 700_000) + "," + requestClass("sign", 500_000)));
-        await(() -> hasClass("sign"));
+        await(() -> servesClass("sign"));
         await(() -> fleetStatus().contains("1 nodes, 1 act by the newest versions"));
     }
 
     @Test
-    void anAgreedListIsTakenOver() {
+    void agreedEndpointListIsApplied() {
         server.publish(new Resource(
                 "list/tier-0",
                 1,
@@ -144,21 +144,21 @@
     }
 
     @Test
-    void aFileThatIsReadAnewDoesNotTakeAgreedSettingsBack() {
+    void agreedSettingsAreAppliedAgainAfterAReload() {
         publish(1, settings(requestClass("view", 700_000) + "," + requestClass("tag", 500_000)));
-        await(() -> hasClass("tag"));
-        int before = applied();
+        await(() -> servesClass("tag"));
+        int before = reloadCount();
         node.reconfigure(() -> Config.read(configFile));
-        await(() -> applied() >= before + 2);
-        await(() -> hasClass("tag"));
+        await(() -> reloadCount() >= before + 2);
+        await(() -> servesClass("tag"));
     }
 
-    private int applied() {
+    private int reloadCount() {
         return Integer.parseInt(node.metricsText().replaceAll("(?s).*proxy.config_applied:([0-9]+).*", "$1"));
     }
 
     @Test
-    void aFleetWithoutControlMachinesIsRejected() throws FleetFileException {
+    void fleetWithoutControlMachinesIsRejected() throws FleetFileException {
         FleetFile none = FleetFile.parse("f", "fleet = \"f\"\n[[member]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n");
         assertEquals(
                 "the fleet file contains no control machine",
--- a/fleet/src/test/java/brackenbridge/fleet/node/OperatorFormsTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/OperatorFormsTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What operators read of a member, against the golden files: the answers of the command {@code state} and the names of
- * all metrics. The member has just been made, so that its figures are always the same; its incarnation is masked.
+ * Compares the output of a member for operators with the golden files: the responses of the command {@code state} and
+ * the names of all metrics. The member has just been created, so that its values are always the same; its incarnation
+ * is masked.
  */
 class OperatorFormsTest {
     private static final int INCARNATION_DIGITS = 13;
@@ -49,19 +50,19 @@
         GoldenFiles.check("node/" + name, text, String::getBytes, String::new);
     }
 
-    /** The answer with what depends on the moment masked: an incarnation is made from the time. */
-    private String answer(String word, boolean json) {
+    /** Returns the response with incarnations masked, since they are derived from the time. */
+    private String maskedResponse(String word, boolean json) {
         AdminHttpServer.Reply answer = new StateAdminHandler(member.replica()).handle(List.of(word), NO_BODY, json);
         assertTrue(answer.succeeded(), answer.text());
         return INCARNATION.matcher(answer.text()).replaceAll("N".repeat(INCARNATION_DIGITS));
     }
 
     @Test
-    void answersOfTheStateCommand() throws IOException {
-        check("state-status", answer("status", false));
-        check("state-status-json", answer("status", true));
-        check("state-diff", answer("diff", false));
-        check("state-diff-json", answer("diff", true));
+    void responsesOfTheStateCommand() throws IOException {
+        check("state-status", maskedResponse("status", false));
+        check("state-status-json", maskedResponse("status", true));
+        check("state-diff", maskedResponse("diff", false));
+        check("state-diff-json", maskedResponse("diff", true));
     }
 
     @Test
--- /dev/null
+++ b/fleet/src/test/java/brackenbridge/fleet/node/PoolReporterTest.java
@@ -0,0 +1,65 @@
+package brackenbridge.fleet.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import brackenbridge.core.observe.TrafficObserver;
+import brackenbridge.core.observe.TrafficObserver.PoolKey;
+import brackenbridge.fleet.evacuation.PoolObservation;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** Traffic counters of a node are reported as rates and latencies over a sliding window. */
+class PoolReporterTest {
+    private static final PoolKey POOL_A = new PoolKey("a", 1, "view");
+    private static final PoolKey POOL_B = new PoolKey("b", 2, "view");
+    private final TrafficObserver observer = new TrafficObserver();
+    private final PoolReporter reporter = new PoolReporter("tier-0", 4, 0.3, 8500);
+    private double nowMs = 1_000_000;
+
+    private Map<String, PoolObservation> reportSecond(int toA, int toB, double ms, int refused) {
+        for (int i = 0; i < toA; i++) {
+            observer.onAttemptStarted(POOL_A, true);
+            observer.onAttemptEnded(POOL_A, true, true, ms);
+        }
+        for (int i = 0; i < toB; i++) {
+            observer.onAttemptStarted(POOL_B, i % 2 == 0);
+            observer.onAttemptEnded(POOL_B, i % 2 == 1, true, ms);
+        }
+        for (int i = 0; i < refused; i++) {
+            observer.onRejected("view");
+        }
+        nowMs += 1000;
+        return reporter.report(
+                observer.snapshot(nowMs, Map.of(new PoolKey("a", 1, ""), 3, new PoolKey("b", 2, ""), 5)));
+    }
+
+    @Test
+    void ratesLatenciesAndServersOfEachPool() {
+        reportSecond(0, 0, 0, 0);
+        Map<String, PoolObservation> all = reportSecond(40, 20, 50, 10);
+        PoolObservation a = all.get("tier-0/a/w1.0/view");
+        PoolObservation b = all.get("tier-0/b/w2.0/view");
+        assertEquals(40, a.arrivals(), 1e-9);
+        assertEquals(2, a.busy(), 1e-9, "40 requests of 50 ms within a second");
+        assertEquals(50, a.latencyMs(), 1e-9);
+        assertEquals(0, a.squaredVariation(), 1e-9);
+        assertEquals(8, a.refused(), 1e-9, "four of five first attempts went to a");
+        assertEquals(10, b.arrivals(), 1e-9);
+        assertEquals(20, b.attempts(), 1e-9);
+        assertEquals(0.5, b.failed(), 1e-9);
+        assertEquals(5, b.servers());
+        assertEquals(8, b.connections(), 1e-9, "a server of weight 2 can handle twice as many");
+    }
+
+    @Test
+    void baselineLatencyPersistsAndOldTrafficLeavesTheWindow() {
+        reportSecond(0, 0, 0, 0);
+        reportSecond(50, 0, 20, 0);
+        for (int i = 0; i < 12; i++) {
+            reportSecond(50, 0, 200, 0);
+        }
+        PoolObservation a = reportSecond(50, 0, 200, 0).get("tier-0/a/w1.0/view");
+        assertEquals(20, a.serviceMs(), 0.5);
+        assertEquals(200, a.latencyMs(), 1e-9, "the fast second has left the window");
+    }
+}
--- a/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/StateMemberTest.java
@@ -30,9 +30,9 @@
     private static final AgreedValues.Lease FIRST_LEASE = new AgreedValues.Lease("m0", 1, Double.POSITIVE_INFINITY);
     private static final AgreedValues.Lease LATER_LEASE = new AgreedValues.Lease("m0", 3, Double.POSITIVE_INFINITY);
 
-    // Guards against a lease that is reported with the token of an earlier one, as when a role is won back.
+    // Guards against reporting a lease with the token of an earlier one when a role is acquired again.
     @Test
-    void aRoleThatIsWonBackIsReportedWithItsNewToken() throws IOException {
+    void reacquiredRoleIsReportedWithItsNewToken() throws IOException {
         StubAgreement agreement = new StubAgreement();
         PipedOutputStream lines = new PipedOutputStream();
         try (BufferedReader reported =
@@ -51,7 +51,7 @@
             agreement.lease = null;
             agreement.claim = new CompletableFuture<>();
             member.execute("hold " + ROLE + " 1000");
-            // The lease counts as soon as the member knows of it, before whoever asked hears the answer.
+            // The lease is valid as soon as the member knows of it, before the future of the request completes.
             agreement.lease = LATER_LEASE;
             assertEquals(LATER_LEASE.token(), nextTokenAfter(FIRST_LEASE, reported));
         }
@@ -61,7 +61,7 @@
         return nextLine(reported, "holds").get("token").asLong();
     }
 
-    /** Reads past lines about the earlier lease from before the later one. */
+    /** Skips lines about the earlier lease that were written before the later one. */
     private static long nextTokenAfter(AgreedValues.Lease earlier, BufferedReader reported) throws IOException {
         double laterLeaseMs = System.nanoTime() / 1e6;
         while (true) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** An agreement in which the test decides what is held and when a claim is answered. */
+    /** An agreement in which the test controls the held lease and when a request for one completes. */
     private static final class StubAgreement implements AgreedValues {
         private volatile Lease lease;
         private volatile CompletableFuture<Lease> claim = new CompletableFuture<>();
--- a/node/src/test/java/brackenbridge/cli/ExitTest.java
+++ b/node/src/test/java/brackenbridge/cli/ExitTest.java
@@ -18,26 +18,26 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The exit of a real process: it comes before the platform would kill it, 0.7 s after the longest deadline. */
+/** A real process exits before the platform would kill it, 0.7 s after the longest deadline. */
 @Timeout(20)
 class ExitTest {
-    private static final int LONGEST_DEADLINE_MS = 400;
+    private static final int MAX_DEADLINE_MS = 400;
     private static final int KILL_AFTER_DEADLINE_MS = 700;
-    /** What a pipe holds on Linux: the next write waits for a reader. */
+    /** Writes as much as a pipe holds on Linux, so that the next write blocks until there is a reader. */
     private static final String FILL_PIPE = "head -c 65536 /dev/zero >&2; ";
 
     @TempDir
     private Path directory;
 
-    // Guards against an exit that waits for threads which are inside system calls.
+    // Guards against an exit that waits for threads inside system calls.
     @Test
-    void aProcessWithAnIncompleteRequestExitsBeforeItsKill() throws Exception {
+    void processWithAnIncompleteRequestExitsBeforeItIsKilled() throws Exception {
         assertExitsBeforeKill("2>" + directory.resolve("log"));
     }
 
-    // Guards against an exit that waits for the thread which writes a log that nobody reads.
+    // Guards against an exit that waits for the thread that writes a log nobody reads.
     @Test
-    void aProcessWhoseLogNobodyReadsExitsBeforeItsKill() throws Exception {
+    void processWithAnUnreadLogExitsBeforeItIsKilled() throws Exception {
         assertExitsBeforeKill("");
     }
 
@@ -48,8 +48,8 @@
                 directory.resolve("config.json"),
                 ConfigTest.TEXT
                         .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                        .replaceAll("\"aim\":[0-9]+", "\"aim\":" + LONGEST_DEADLINE_MS * 500)
-                        .replaceAll("\"giveUp\":[0-9]+", "\"giveUp\":" + LONGEST_DEADLINE_MS * 1000));
+                        .replaceAll("\"aim\":[0-9]+", "\"aim\":" + MAX_DEADLINE_MS * 500)
+                        .replaceAll("\"giveUp\":[0-9]+", "\"giveUp\":" + MAX_DEADLINE_MS * 1000));
         ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
@@ -63,13 +63,13 @@
         Process process = builder.start();
         try (Socket client = new Socket()) {
             awaitReady(management, process);
-            // Its request stays incomplete: the process waits for the rest for as long as it may.
+            // The request stays incomplete, so the process waits for the rest for as long as it may.
             client.connect(new InetSocketAddress("127.0.0.1", port));
             client.getOutputStream().write("GET /view HTTP/1.1\r\n".getBytes(StandardCharsets.US_ASCII));
             long stopNs = System.nanoTime();
             process.destroy();
             assertTrue(
-                    process.waitFor(LONGEST_DEADLINE_MS + KILL_AFTER_DEADLINE_MS, TimeUnit.MILLISECONDS),
+                    process.waitFor(MAX_DEADLINE_MS + KILL_AFTER_DEADLINE_MS, TimeUnit.MILLISECONDS),
                     () -> "still running " + (System.nanoTime() - stopNs) / 1_000_000 + " ms after SIGTERM");
             assertEquals(0, process.exitValue());
         } finally {
@@ -90,7 +90,7 @@
                     return;
                 }
             } catch (IOException e) {
-                // Nobody listens there yet.
+                // The management address is not open yet.
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
--- a/node/src/test/java/brackenbridge/cli/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/cli/GoldenFormsTest.java
@@ -23,21 +23,21 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What a running node tells its operators, against the golden files. Numbers depend on the moment and are masked by
- * {@code N}; their form and order are checked by the golden files of the counters.
+ * Compares the output of a running node for operators with the golden files. Numbers vary and are masked by {@code N};
+ * their form and order are checked by the golden files of the counters.
  */
 @Timeout(60)
 class GoldenFormsTest {
     private static final int READ_TIMEOUT_MS = 10_000;
     private static final long POLL_INTERVAL_NANOS = 2_000_000;
     private static final int MAX_POLLS = 5000;
-    /** A value, a length or a time; not the version and the status of a response. */
+    /** Matches a value, a length or a time, but not the version and the status of a response. */
     private static final Pattern NUMBER =
             Pattern.compile("(?m)(?<!HTTP/1\\.1 )(?<=[:= ]|^)-?[0-9]+(\\.[0-9]+)?(?=[\\s|]|$)");
 
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private final Clock clock = Clock.system();
-    private final Log log = new Log(clock, new PrintStream(logged, true, StandardCharsets.UTF_8));
+    private final Log log = new Log(clock, new PrintStream(logOutput, true, StandardCharsets.UTF_8));
     private Node node;
 
     @BeforeEach
@@ -51,8 +51,8 @@
         node.kill();
     }
 
-    private String logged() {
-        return logged.toString(StandardCharsets.UTF_8);
+    private String logOutput() {
+        return logOutput.toString(StandardCharsets.UTF_8);
     }
 
     private static String maskNumbers(String text) {
@@ -60,13 +60,13 @@
     }
 
     @Test
-    void infoOfTheManagementCall() throws IOException {
+    void responseToTheInfoCall() throws IOException {
         String at = "127.0.0.1:" + node.managementAddress().getPort();
         GoldenText.check("manage-info.txt", maskNumbers(ManagementCall.send(at, "INFO")));
     }
 
     @Test
-    void countersOfTheHealthPage() throws IOException {
+    void responseOfTheCountersEndpoint() throws IOException {
         try (Socket client = new Socket("127.0.0.1", node.address().getPort())) {
             client.setSoTimeout(READ_TIMEOUT_MS);
             String request = "GET /health/counters HTTP/1.1\r\nConnection: close\r\n\r\n";
@@ -77,18 +77,19 @@
     }
 
     @Test
-    void logLineAtTheEnd() throws Exception {
-        // The line names what is not 0: the call to discovery, where nobody listens, has to be counted before.
-        for (int i = 0; i < MAX_POLLS && !logged().contains("discovery call 1 ended"); i++) {
+    void logLineOfAStoppedNode() throws Exception {
+        // The line contains the counters that are not 0, so the failed call to discovery has to be counted first.
+        for (int i = 0; i < MAX_POLLS && !logOutput().contains("discovery call 1 ended"); i++) {
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
         node.stop().get(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         log.flush();
-        String line = logged().lines()
+        String line = logOutput()
+                .lines()
                 .filter(text -> text.contains("stopped: "))
                 .findFirst()
                 .orElse(null);
-        assertNotNull(line, "the node logs its end");
+        assertNotNull(line, "the node logs that it has stopped");
         GoldenText.check("log-stopped.txt", maskNumbers(line) + "\n");
     }
 }
--- a/node/src/test/java/brackenbridge/cli/HangupSignalTest.java
+++ b/node/src/test/java/brackenbridge/cli/HangupSignalTest.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The real signal, sent to the process that runs the tests. */
+/** Sends the real signal to the process that runs the tests. */
 class HangupSignalTest {
     @Test
-    void eachSignalRunsTheWorkAndEndsNothing() throws Exception {
+    void eachSignalRunsTheActionAndTheProcessContinues() throws Exception {
         Semaphore heard = new Semaphore(0);
         assertTrue(HangupSignal.handle(heard::release));
         for (int i = 0; i < 2; i++) {
@@ -25,14 +25,14 @@
         }
     }
 
-    /** Says whether the signal will be heard. */
-    static final class Asked {
+    /** Prints whether the signal will be handled. */
+    static final class HandlerProgram {
         public static void main(String[] args) {
-            System.out.println("heard: " + HangupSignal.handle(() -> {}));
+            System.out.println("handled: " + HangupSignal.handle(() -> {}));
         }
     }
 
-    private static String asked(String before) throws Exception {
+    private static String outputOfProgram(String before) throws Exception {
         String java = ProcessHandle.current().info().command().orElse("java");
         Process p = new ProcessBuilder(
                         "sh",
@@ -41,7 +41,7 @@
                         java,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Asked.class.getName())
+                        HandlerProgram.class.getName())
                 .start();
         String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         assertEquals(0, p.waitFor());
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void processThatWasStartedWithTheSignalIgnoredSaysSo() throws Exception {
-        assertEquals("heard: false", asked("trap '' HUP; "));
+    void ignoredSignalIsDetected() throws Exception {
+        assertEquals("handled: false", outputOfProgram("trap '' HUP; "));
     }
 }
--- a/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
+++ b/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
@@ -21,18 +21,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Replacements of real processes, one after the other, each at an awkward moment. */
+/** Replaces real processes one after another: after a crash of a successor, during a drain and after a reload. */
 class ProcessReplacementTest {
     @TempDir
     private Path directory;
 
     private final List<Process> processes = new ArrayList<>();
-    private final List<Exception> failed = Collections.synchronizedList(new ArrayList<>());
+    private final List<Exception> failures = Collections.synchronizedList(new ArrayList<>());
     private int port;
 
-    /** A process and its second address. */
+    /** A process and its management address. */
     private record Running(Process process, String management) {
-        String call(String call) throws IOException {
+        String send(String call) throws IOException {
             return ManagementCall.send(management, call);
         }
     }
@@ -60,7 +60,7 @@
         b.environment().put("TMPDIR", directory.toString());
         Running r = new Running(b.start(), management);
         processes.add(r.process());
-        await(() -> r.call("PING").equals("+OK\n"));
+        await(() -> r.send("PING").equals("+OK\n"));
         return r;
     }
 
@@ -71,15 +71,15 @@
                     return;
                 }
             } catch (IOException e) {
-                // Nobody listens there yet.
+                // The management address is not open yet.
                 assertTrue(i < 2999, e.toString());
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        throw new AssertionError("waited in vain");
+        throw new AssertionError("the condition was not met in time");
     }
 
-    private String ask(String path) throws IOException {
+    private String get(String path) throws IOException {
         try (Socket s = new Socket("127.0.0.1", port)) {
             s.setSoTimeout(10_000);
             s.getOutputStream()
@@ -89,7 +89,7 @@
         }
     }
 
-    private void stops(Running old) throws InterruptedException {
+    private void stop(Running old) throws InterruptedException {
         old.process().destroy();
         assertTrue(old.process().waitFor(10, TimeUnit.SECONDS));
         assertEquals(0, old.process().exitValue());
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void successorsComeAtAwkwardMomentsAndNoConnectionIsLost() throws Exception {
+    void noConnectionIsLostInConsecutiveReplacements() throws Exception {
         port = freePort();
         String host = "{\"host\":\"s-1\",\"dial\":\"127.0.0.1:1\",\"health\":\"active\"}";
         Files.writeString(
@@ -113,32 +113,32 @@
         Running dies = start();
         dies.process().destroyForcibly().waitFor();
         await(() -> Files.readString(directory.resolve("log0")).contains("the new process has ended"));
-        assertEquals("+OK\n", first.call("PING"));
+        assertEquals("+OK\n", first.send("PING"));
         Thread storm = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
                 try {
-                    assertTrue(ask("/health/live").startsWith("HTTP/1.1 200 "));
+                    assertTrue(get("/health/live").startsWith("HTTP/1.1 200 "));
                 } catch (IOException | AssertionError e) {
-                    failed.add(new Exception(e));
+                    failures.add(new Exception(e));
                 }
             }
         });
         storm.start();
-        first.call("LAMEDUCK");
+        first.send("LAMEDUCK");
         Running second = start();
-        assertEquals("+OK\n", first.call("PING"), "a drained process still takes who comes");
-        stops(first);
-        assertTrue(ask("/health/ready").startsWith("HTTP/1.1 200 "), "the new process serves");
+        assertEquals("+OK\n", first.send("PING"), "a drained process still accepts clients");
+        stop(first);
+        assertTrue(get("/health/ready").startsWith("HTTP/1.1 200 "), "the new process serves");
         new ProcessBuilder("kill", "-HUP", Long.toString(second.process().pid()))
                 .start()
                 .waitFor();
         Running third = start();
-        await(() -> second.call("INFO").contains("proxy.config_applied:1|c\n"));
-        stops(second);
-        assertTrue(ask("/health/ready").startsWith("HTTP/1.1 200 "));
-        assertTrue(third.call("INFO").contains("proxy.pool_size:1|g\n"), "the list came along");
+        await(() -> second.send("INFO").contains("proxy.config_applied:1|c\n"));
+        stop(second);
+        assertTrue(get("/health/ready").startsWith("HTTP/1.1 200 "));
+        assertTrue(third.send("INFO").contains("proxy.pool_size:1|g\n"), "the endpoint list was handed over");
         storm.interrupt();
         storm.join();
-        assertEquals(List.of(), failed);
+        assertEquals(List.of(), failures);
     }
 }
--- a/node/src/test/java/brackenbridge/cli/StartTest.java
+++ b/node/src/test/java/brackenbridge/cli/StartTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts of a real process that can't be: one line on standard error that names the fault, and exit code 2. */
+/** A real process that can't start prints one line on standard error that names the fault, and exits with 2. */
 class StartTest {
     @TempDir
     private Path directory;
 
-    private void refused(Path file, String named) throws Exception {
+    private void assertRejected(Path file, String named) throws Exception {
         Path errors = directory.resolve("errors");
         ProcessBuilder b = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -40,7 +40,7 @@
         b.environment().put("TMPDIR", directory.toString());
         Process p = b.start();
         try {
-            assertTrue(p.waitFor(60, TimeUnit.SECONDS), "it ends by itself");
+            assertTrue(p.waitFor(60, TimeUnit.SECONDS), "the process exits");
         } finally {
             p.destroyForcibly();
         }
@@ -55,43 +55,50 @@
         return Files.writeString(directory.resolve("config.json"), text);
     }
 
-    private static String with(String before, String after) {
+    private static String replaceInConfig(String before, String after) {
         assertTrue(ConfigTest.TEXT.contains(before));
         return ConfigTest.TEXT.replace(before, after);
     }
 
     @Test
-    void directoryAsFileIsRefused() throws Exception {
-        refused(directory, "not a file");
+    void directoryAsFileIsRejected() throws Exception {
+        assertRejected(directory, "not a file");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"long", "cut", "twice", "number", "absurd", "no address", "name for an address", "known"})
-    void badFileIsRefused(String what) throws Exception {
+    void invalidFileIsRejected(String what) throws Exception {
         String[] textAndName = Map.of(
                         "long", new String[] {" ".repeat(5 << 20), "over"},
                         "cut", new String[] {ConfigTest.TEXT.substring(0, 300), "not JSON"},
-                        "twice", new String[] {with("\"tier\":1", "\"tier\":1,\"tier\":2"), "tier"},
-                        "number", new String[] {with("\"name\":\"n3\"", "\"name\":3"), "name"},
-                        "absurd", new String[] {with("\"maxAttempts\":5", "\"maxAttempts\":9e99"), "maxAttempts"},
+                        "twice", new String[] {replaceInConfig("\"tier\":1", "\"tier\":1,\"tier\":2"), "tier"},
+                        "number", new String[] {replaceInConfig("\"name\":\"n3\"", "\"name\":3"), "name"},
+                        "absurd",
+                                new String[] {
+                                    replaceInConfig("\"maxAttempts\":5", "\"maxAttempts\":9e99"), "maxAttempts"
+                                },
                         "no address",
-                                new String[] {with("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1\""), "listen"},
-                        "name for an address", new String[] {with("127.0.0.1:1\"", "nowhere:1\""), "discovery"},
-                        "known", new String[] {with("\"hosts\":[]", "\"hosts\":[{\"host\":\"a\"}]"), "known"})
+                                new String[] {
+                                    replaceInConfig("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1\""), "listen"
+                                },
+                        "name for an address",
+                                new String[] {replaceInConfig("127.0.0.1:1\"", "nowhere:1\""), "discovery"},
+                        "known",
+                                new String[] {replaceInConfig("\"hosts\":[]", "\"hosts\":[{\"host\":\"a\"}]"), "known"})
                 .get(what);
-        refused(write(textAndName[0]), textAndName[1]);
+        assertRejected(write(textAndName[0]), textAndName[1]);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"listen", "mgmt"})
-    void takenAddressIsRefusedByName(String key) throws Exception {
+    void addressInUseIsRejectedAndNamed(String key) throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             String at = "127.0.0.1:" + taken.getLocalPort();
-            refused(
+            assertRejected(
                     write(
                             key.equals("listen")
-                                    ? with("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + at + "\"")
-                                    : with("\"listen\":", "\"mgmt\":\"" + at + "\",\"listen\":")),
+                                    ? replaceInConfig("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + at + "\"")
+                                    : replaceInConfig("\"listen\":", "\"mgmt\":\"" + at + "\",\"listen\":")),
                     key.equals("mgmt") ? "mgmt " + at : at);
         }
     }
--- a/node/src/test/java/brackenbridge/config/ConfigFileTest.java
+++ b/node/src/test/java/brackenbridge/config/ConfigFileTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Files that are no configuration, and values in one that can't hold: one line that names what is wrong. */
+/** Invalid files and invalid values are rejected with a message of one line that names the fault. */
 class ConfigFileTest {
     @TempDir
     private Path directory;
@@ -26,7 +26,7 @@
         return Files.writeString(directory.resolve("config.json"), text);
     }
 
-    private static String turnedDown(Path file) {
+    private static String rejectionMessage(Path file) {
         return assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
             String why = assertThrows(IllegalArgumentException.class, () -> Config.read(file))
                     .getMessage();
@@ -36,46 +36,47 @@
     }
 
     @Test
-    void usualFileIsRead() throws IOException {
+    void validFileIsRead() throws IOException {
         assertEquals("n3", Config.read(write(ConfigTest.TEXT)).name());
     }
 
     @Test
-    void fileThatIsNoneIsTurnedDown() throws IOException {
-        assertTrue(turnedDown(directory.resolve("none")).contains("no such file"));
-        assertTrue(turnedDown(directory).contains("not a file"));
+    void missingBinaryAndDirectoryFilesAreRejected() throws IOException {
+        assertTrue(rejectionMessage(directory.resolve("none")).contains("no such file"));
+        assertTrue(rejectionMessage(directory).contains("not a file"));
         Path binary = Files.write(directory.resolve("binary"), new byte[] {'{', (byte) 0xff, (byte) 0xfe, '}'});
-        assertTrue(turnedDown(binary).contains("not text"));
+        assertTrue(rejectionMessage(binary).contains("not text"));
     }
 
     @Test
-    void pipeThatNobodyWritesToHoldsNothingUp() throws Exception {
+    void pipeIsRejectedWithoutBlocking() throws Exception {
         Path pipe = directory.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        assertTrue(turnedDown(pipe).contains("not a file"));
+        assertTrue(rejectionMessage(pipe).contains("not a file"));
     }
 
     @Test
-    void hugeFileIsTurnedDownUnread() throws IOException {
+    void hugeFileIsRejectedUnread() throws IOException {
         Path huge = directory.resolve("huge");
-        // Holes take no room: three gigabytes could not be read into any array.
+        // A sparse file of 3 GiB, which takes no disk space and does not fit into an array.
         try (RandomAccessFile f = new RandomAccessFile(huge.toFile(), "rw")) {
             f.setLength(3L << 30);
         }
-        assertTrue(turnedDown(huge).contains("over"), "the limit is named");
+        assertTrue(rejectionMessage(huge).contains("over"), "the message names the limit");
     }
 
     @Test
-    void fileOfVeryManyValuesIsTurnedDown() throws IOException {
-        // Three bytes each in the file, some hundred in memory: the heap holds 96 MB.
+    void fileWithTooManyValuesIsRejected() throws IOException {
+        // Each value takes three bytes in the file and about a hundred in memory; the heap has 96 MB.
         String many = "{},".repeat(1_000_000);
-        assertTrue(turnedDown(write(ConfigTest.TEXT.replace("\"hosts\":[", "\"more\":[" + many + "{}],\"hosts\":[")))
-                .contains("values"));
-        assertTrue(turnedDown(write("[".repeat(500_000))).length() < 300);
+        assertTrue(
+                rejectionMessage(write(ConfigTest.TEXT.replace("\"hosts\":[", "\"more\":[" + many + "{}],\"hosts\":[")))
+                        .contains("values"));
+        assertTrue(rejectionMessage(write("[".repeat(500_000))).length() < 300);
     }
 
     @Test
-    void fleetOfThousandsOfServersFits() throws IOException {
+    void listOfThousandsOfServersIsAccepted() throws IOException {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < 10_000; i++) {
             hosts.append(i == 0 ? "" : ",")
@@ -119,31 +120,31 @@
                 "listen; \"127.0.0.1:0\"; \"127.0.0.1:65536\"",
                 "listen; \"127.0.0.1:0\"; 5",
             })
-    void valueThatCanNotHoldIsTurnedDownByKey(String key, String before, String value) throws IOException {
+    void invalidValueIsRejectedAndItsKeyNamed(String key, String before, String value) throws IOException {
         String text = ConfigTest.TEXT.replace("\"" + key + "\":" + before, "\"" + key + "\":" + value);
         assertNotEquals(ConfigTest.TEXT, text);
-        String why = turnedDown(write(text));
+        String why = rejectionMessage(write(text));
         assertTrue(why.contains(key), why);
     }
 
     @Test
-    void twoReadingsOfOneFileAreTurnedDown() throws IOException {
+    void duplicateKeysAreRejected() throws IOException {
         String twice = ConfigTest.TEXT.replace("\"maxAttempts\":5", "\"maxAttempts\":5,\"maxAttempts\":1");
-        assertTrue(turnedDown(write(twice)).contains("maxAttempts"));
+        assertTrue(rejectionMessage(write(twice)).contains("maxAttempts"));
         String dotted = ConfigTest.TEXT.replace("\"tier\":1", "\"tier\":1,\"policyLimits.maxAttempts\":1");
-        assertTrue(turnedDown(write(dotted)).contains("policyLimits.maxAttempts"));
+        assertTrue(rejectionMessage(write(dotted)).contains("policyLimits.maxAttempts"));
         String count = ConfigTest.TEXT.replace("\"tier\":1", "\"tier\":1,\"classes.count\":1");
-        assertTrue(turnedDown(write(count)).contains("classes.count"));
+        assertTrue(rejectionMessage(write(count)).contains("classes.count"));
     }
 
     @Test
-    void unreadableEntryOfTheKnownListIsTurnedDown() throws IOException {
+    void malformedEntryOfTheEndpointListIsRejected() throws IOException {
         for (String entry : new String[] {
             "{\"host\":\"a\",\"dial\":\"127.0.0.1:70000\",\"health\":\"active\"}",
             "7",
             "{\"dial\":\"127.0.0.1:7\",\"health\":\"active\"}"
         }) {
-            String why = turnedDown(write(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + entry + "]")));
+            String why = rejectionMessage(write(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + entry + "]")));
             assertTrue(why.contains("known"), why);
         }
     }
--- a/node/src/test/java/brackenbridge/config/ConfigTest.java
+++ b/node/src/test/java/brackenbridge/config/ConfigTest.java
@@ -13,9 +13,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The configuration's mapping, and what becomes of one that is not one. */
+/** Parses configurations and rejects invalid ones. */
 public class ConfigTest {
-    /** A whole configuration, also for the tests of the node. */
+    /** A complete configuration, also used by the tests of the node. */
     public static final String TEXT = "{\"name\":\"n3\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
             + "\"seed\":\"fc1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
             + "\"known\":{\"seq\":41,\"whole\":true,\"hosts\":[]},\"settings\":{\"classes\":["
@@ -28,7 +28,7 @@
             + "\"fallMultiple\":2.5,\"fall\":1500000}}}";
 
     @Test
-    void nestedJsonIsTheWiresSettings() {
+    void nestedJsonIsParsedToSettings() {
         Config c = Config.parse(TEXT);
         assertEquals("n3", c.name());
         assertEquals(
@@ -38,23 +38,26 @@
         assertEquals(1, c.settings().tier());
         assertEquals(List.of("depth", "tps"), c.settings().network().reportFields());
         assertEquals(0xfc1f30d27a5be964L, c.settings().seed());
-        assertEquals(3_000_000, c.settings().maxRetryAfter(), "advice is free on sockets");
+        assertEquals(
+                3_000_000, c.settings().maxRetryAfter(), "retryAfter is ignored: responses always carry the delay");
         assertEquals(41, c.configuredEndpoints().version());
         assertEquals(2.5, c.settings().overloadMultiple());
         assertEquals(1_500_000, c.settings().overloadWindow());
     }
 
     @Property(seed = "31", tries = 1000)
-    void garbageIsReadOrToldOnOneLine(@ForAll long seed) {
+    void garbageIsParsedOrRejectedInOneLine(@ForAll long seed) {
         try {
-            assertFalse(
-                    Config.parse(Bytes.garbage(TEXT, seed)).settings().classes().isEmpty());
+            assertFalse(Config.parse(Bytes.mutateRandomly(TEXT, seed))
+                    .settings()
+                    .classes()
+                    .isEmpty());
         } catch (IllegalArgumentException e) {
             assertFalse(e.getMessage().isEmpty() || e.getMessage().contains("\n"));
         }
     }
 
-    private static String turnedDown(String text) {
+    private static String rejectionMessage(String text) {
         try {
             Config.parse(TEXT).schema().requireSameKeysIn(Config.parse(text).schema());
             return null;
@@ -64,27 +67,27 @@
     }
 
     @Test
-    void everyPrefixOfAFileIsTurnedDown() {
+    void everyPrefixOfAFileIsRejected() {
         for (int i = 0; i < TEXT.length(); i++) {
-            assertNotNull(turnedDown(TEXT.substring(0, i)), "the first " + i);
+            assertNotNull(rejectionMessage(TEXT.substring(0, i)), "the first " + i);
         }
     }
 
     @Test
-    void everyKeyThatIsLostIsMissed() {
+    void everyMissingKeyIsDetected() {
         java.util.regex.Matcher key =
                 java.util.regex.Pattern.compile("\"([A-Za-z_]+)\":").matcher(TEXT);
         int keys = 0;
         while (key.find()) {
             String without = TEXT.substring(0, key.start(1)) + "x" + TEXT.substring(key.start(1));
-            assertNotNull(turnedDown(without), key.group(1));
+            assertNotNull(rejectionMessage(without), key.group(1));
             keys++;
         }
         assertEquals(43, keys);
     }
 
     @Test
-    void valuesThatCanNotHoldAreTurnedDown() {
+    void invalidValuesAreRejected() {
         for (String[] change : new String[][] {
             {"8000000", "0"},
             {"8000000", "-5"},
@@ -102,13 +105,13 @@
         }) {
             String text = TEXT.replace(change[0], change[1]);
             assertNotEquals(TEXT, text);
-            assertNotNull(turnedDown(text), change[1] + " for " + change[0]);
+            assertNotNull(rejectionMessage(text), change[1] + " for " + change[0]);
         }
-        assertNull(turnedDown(TEXT.replace("\"view\"", "\"seen\"").replace("8000000", "9000000")));
+        assertNull(rejectionMessage(TEXT.replace("\"view\"", "\"seen\"").replace("8000000", "9000000")));
     }
 
     @Test
-    void whatIsMissingIsNamed() {
+    void missingKeyIsNamed() {
         assertEquals(
                 "no object known",
                 assertThrows(IllegalArgumentException.class, () -> Config.parse(TEXT.replace("\"known\"", "\"old\"")))
--- a/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The names of all counters and figures, against the golden files. */
+/** Compares the names of all counters and metrics with the golden files. */
 class GoldenFormsTest {
-    private static Counters counted() {
+    private static Counters createCounters() {
         Counters counters = new Counters();
         for (Counter kind : Counter.values()) {
             for (int i = 0; i <= kind.ordinal(); i++) {
@@ -25,17 +25,17 @@
     }
 
     @Test
-    void countersAsTheHealthPageAndTheLogHaveThem() throws IOException {
-        GoldenText.check("counters-text.txt", counted().text());
-        GoldenText.check("counters-line.txt", counted().line());
+    void countersOfTheHealthEndpointAndTheLog() throws IOException {
+        GoldenText.check("counters-text.txt", createCounters().text());
+        GoldenText.check("counters-line.txt", createCounters().line());
     }
 
     @Test
-    void figuresOfStaff() throws IOException {
+    void operatorMetrics() throws IOException {
         GoldenText.check(
                 "figures.txt",
                 OperatorMetrics.lines(
-                        counted(), List.of("read", "write"), new OperatorMetrics.Gauges(3, 40, 2, 1234.5)));
+                        createCounters(), List.of("read", "write"), new OperatorMetrics.Gauges(3, 40, 2, 1234.5)));
         GoldenText.check(
                 "figures-without-discovery.txt",
                 OperatorMetrics.lines(
--- a/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
+++ b/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
@@ -21,7 +21,7 @@
             + "\"site\":\"a\",\"class\":\"m2\",\"block\":3,\"health\":\"leaving\",\"share\":1.5,\"born_ms\":7}]}";
 
     @Test
-    void readsALine() {
+    void parsesALine() {
         assertEquals(
                 new EndpointList(
                         43,
@@ -32,9 +32,9 @@
     }
 
     @Property(seed = "21", tries = 1000)
-    void garbageIsAListOrAnIllegalArgument(@ForAll long seed) {
+    void garbageIsParsedOrRejected(@ForAll long seed) {
         try {
-            EndpointListParser.parse(Bytes.garbage(LINE, seed))
+            EndpointListParser.parse(Bytes.mutateRandomly(LINE, seed))
                     .endpoints()
                     .forEach(t -> assertFalse(t.host().isEmpty()));
         } catch (IllegalArgumentException e) {
@@ -65,7 +65,7 @@
                 "\"active\"->\"active\",\"born_ms\":true",
                 "\"active\"->\"active\",\"site\":5"
             })
-    void unreadableEntryCostsOnlyItself(String change) {
+    void malformedEntryAffectsOnlyItself(String change) {
         EndpointList read = list(entry("a", "a->a"), entry("b", change), entry("c", "c->c"));
         assertEquals(
                 List.of("a", "c"),
@@ -83,20 +83,20 @@
                 "{\"host\":\"\",\"dial\":\"1.1.1.1:1\",\"health\":\"active\"}",
                 "{\"host\":7,\"dial\":\"1.1.1.1:1\",\"health\":\"active\"}"
             })
-    void entryOfNobodyCostsTheLine(String entry) {
-        // Whom it speaks of can't be known, so what the rest leaves out can't be known to be gone either.
+    void entryWithoutAHostMakesTheListMalformed(String entry) {
+        // The entry could be of any host, so a host that is missing from the rest can't be treated as removed.
         assertThrows(IllegalArgumentException.class, () -> list(entry("a", "a->a"), entry));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"1e300", "9007199254740993", "-2", "4.5", "\"4\"", "null", "true"})
-    void versionThatNoCounterHoldsCostsTheLine(String version) {
-        // Taken as the greatest number it would make every later list stale.
+    void invalidVersionMakesTheListMalformed(String version) {
+        // Clamped to the largest number it would make every later list stale.
         assertThrows(IllegalArgumentException.class, () -> EndpointListParser.parse(LINE.replace("43", version)));
     }
 
     @Test
-    void veryManyValuesOnOneLineCostTheLine() {
+    void tooManyValuesMakeTheListMalformed() {
         String many = "{},".repeat(300_000);
         assertThrows(
                 IllegalArgumentException.class,
--- a/node/src/test/java/brackenbridge/discovery/ObjectCutterTest.java
+++ b/node/src/test/java/brackenbridge/discovery/JsonObjectSplitterTest.java
@@ -11,9 +11,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Lists, however their lines are broken; "-" stands for an empty line. */
-class ObjectCutterTest {
-    private static List<String> cut(int limit, String text) {
+/** Splits lists independent of line breaks; "-" stands for an empty line. */
+class JsonObjectSplitterTest {
+    private static List<String> split(int limit, String text) {
         JsonObjectSplitter cutter = new JsonObjectSplitter(limit);
         List<String> all = new ArrayList<>();
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
@@ -26,29 +26,29 @@
     }
 
     @Test
-    void indentedObjectsAreWholeWithTheirLastBrace() {
+    void objectIsCompleteAtItsClosingBrace() {
         String indented = "{\r\n  \"seq\": 4,\r\n\r\n  \"hosts\": [\r\n    {\r\n    }\r\n  ]\r\n}";
         assertEquals(
                 List.of("-", indented, "-", "{}", "{\"a\":{}}"),
-                cut(100, "\n" + indented + "\r\n  \r\n{} {\"a\":{}}\n"));
+                split(100, "\n" + indented + "\r\n  \r\n{} {\"a\":{}}\n"));
     }
 
     @Test
-    void bracesInTextsEndNothing() {
+    void bracesInStringsAreIgnored() {
         String text = "{\"host\":\"}\\\"}\\\\\",\"site\":\"\u00e9{\"}";
-        assertEquals(List.of(text), cut(100, text + "\n"));
+        assertEquals(List.of(text), split(100, text + "\n"));
     }
 
     @Test
-    void nonsenseEndsWithItsLineAndWhatBrokeOffHidesTheEmptyLinesBehindIt() {
-        assertEquals(List.of("what {\n", "\"[\n", "]}\n"), cut(100, "what {\n\"[\n]}\n"));
-        assertEquals(List.of(), cut(100, "{\"seq\":4,\n\n\n\n"));
-        assertEquals("TOO_LONG", cut(8, "{\"seq\":4}").get(0));
+    void malformedTextEndsWithItsLineAndIncompleteObjectContinues() {
+        assertEquals(List.of("what {\n", "\"[\n", "]}\n"), split(100, "what {\n\"[\n]}\n"));
+        assertEquals(List.of(), split(100, "{\"seq\":4,\n\n\n\n"));
+        assertEquals("TOO_LONG", split(8, "{\"seq\":4}").get(0));
     }
 
-    /** Of lists that span no lines it makes what a reader of lines makes, whatever stands between them. */
+    /** Objects that each take one line are split as a line reader would split them, whatever is between them. */
     @Property(seed = "59", tries = 500)
-    void linesAreCutAsBefore(@ForAll long seed) {
+    void objectsOnSingleLinesAreSplitAsLines(@ForAll long seed) {
         SplittableRandom r = new SplittableRandom(seed);
         String[] parts = {"\n", "\r\n", "{\"seq\":4,\"hosts\":[{\"host\":\"a}\"}]}\n", "{}\r\n", " \n", "what {\n"};
         StringBuilder text = new StringBuilder();
@@ -59,11 +59,11 @@
             lines.add(part.isBlank() ? "-" : part.strip());
         }
         assertEquals(
-                lines, cut(100, text.toString()).stream().map(String::strip).toList());
+                lines, split(100, text.toString()).stream().map(String::strip).toList());
     }
 
     @Test
-    void eachObjectBeginsOnceHoweverManyBytesItHas() {
+    void eachObjectIsReportedAsStartedOnce() {
         JsonObjectSplitter cutter = new JsonObjectSplitter(100);
         int begun = 0;
         for (byte b : "\n{\n \"a\":{}\n}\n\n{ }\n".getBytes(StandardCharsets.UTF_8)) {
--- a/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lines between a process and its successor, and the name of the path where they meet, against golden files. */
+/** Compares the lines of the handover protocol and the path of its socket with the golden files. */
 class GoldenFormsTest {
-    private static final HandoverState OFFER = new HandoverState(
+    private static final HandoverState STATE = new HandoverState(
             500,
             new EndpointList(
                     41,
@@ -41,20 +41,20 @@
                                     "s-1", "127.0.0.1:7001", "a", 3, 1.5, 1_700_000_000_001.0, EndpointState.UP),
                             new ServerEndpoint("s-2", "127.0.0.1:7002", "b", -1, 1, 0, EndpointState.DRAINING),
                             new ServerEndpoint("s-3", "127.0.0.1:7003", "b", -1, 1, 0, EndpointState.REMOVED))));
-    private static final Handover.Participant PROCESS = new Handover.Participant() {
+    private static final Handover.Participant PARTICIPANT = new Handover.Participant() {
         @Override
         public CompletableFuture<HandoverState> prepareState() {
-            return CompletableFuture.completedFuture(OFFER);
+            return CompletableFuture.completedFuture(STATE);
         }
 
         @Override
         public void onSuccessorChanged(boolean on) {
-            // Only the lines are looked at.
+            // Only the lines are checked.
         }
 
         @Override
         public void onPredecessorEnded() {
-            // Only the lines are looked at.
+            // Only the lines are checked.
         }
     };
 
@@ -66,77 +66,78 @@
 
     @AfterEach
     void end() {
-        // A predecessor whose successor has gone listens again: not while the directory is being deleted.
+        // A predecessor listens again once its successor has disconnected, which must not happen during the deletion of
+        // the directory.
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     private Path path() {
-        return directory.resolve("meet.sock");
+        return directory.resolve("handover.sock");
     }
 
     private Handover handover() {
         return new Handover(
                 loop,
                 path(),
-                PROCESS,
+                PARTICIPANT,
                 new Counters(),
                 new Log(Clock.system(), new PrintStream(OutputStream.nullOutputStream())));
     }
 
     @Test
-    void whereProcessesMeet() throws IOException {
+    void pathOfTheHandoverSocket() throws IOException {
         GoldenText.check(
                 "handover-path.txt",
                 Handover.socketPath("/run", "n3", "127.0.0.1:8080").toString());
     }
 
     @Test
-    void offerIsWordedAndReadAsEver() throws IOException {
-        GoldenText.check("handover-offer.txt", OFFER.toJson());
-        assertEquals(OFFER, HandoverState.parse(GoldenText.read("handover-offer.txt")));
+    void stateIsFormattedAndParsed() throws IOException {
+        GoldenText.check("handover-offer.txt", STATE.toJson());
+        assertEquals(STATE, HandoverState.parse(GoldenText.read("handover-offer.txt")));
     }
 
     @Test
-    void whatAPredecessorSays() throws Exception {
+    void linesOfThePredecessor() throws Exception {
         Handover handover = handover();
         loop.submit(() -> handover.announceReady(() -> {})).get();
-        // The bind was queued on the loop by the call before.
+        // The previous call has queued the bind on the loop.
         loop.submit(() -> {}).get();
         try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(path()))) {
-            say(successor, "brackenbridge-handover 1 successor\n");
-            String offer = hear(successor);
-            say(successor, "ready\n");
-            GoldenText.check("handover-predecessor.txt", offer + hear(successor));
+            write(successor, "brackenbridge-handover 1 successor\n");
+            String offer = readLine(successor);
+            write(successor, "ready\n");
+            GoldenText.check("handover-predecessor.txt", offer + readLine(successor));
         }
     }
 
     @Test
-    void whatASuccessorSays() throws Exception {
+    void linesOfTheSuccessor() throws Exception {
         try (ServerSocketChannel listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             listening.bind(UnixDomainSocketAddress.of(path()));
             Handover handover = handover();
             CompletableFuture<HandoverState> asked =
                     loop.submit(handover::requestState).get();
             try (SocketChannel predecessor = listening.accept()) {
-                String said = hear(predecessor);
-                say(predecessor, "brackenbridge-handover 1 " + OFFER.toJson() + "\n");
-                assertEquals(OFFER, asked.get(10, TimeUnit.SECONDS));
+                String said = readLine(predecessor);
+                write(predecessor, "brackenbridge-handover 1 " + STATE.toJson() + "\n");
+                assertEquals(STATE, asked.get(10, TimeUnit.SECONDS));
                 CompletableFuture<Void> serves = new CompletableFuture<>();
                 loop.submit(() -> handover.announceReady(() -> serves.complete(null)))
                         .get();
-                GoldenText.check("handover-successor.txt", said + hear(predecessor));
-                say(predecessor, "go\n");
+                GoldenText.check("handover-successor.txt", said + readLine(predecessor));
+                write(predecessor, "go\n");
                 serves.get(10, TimeUnit.SECONDS);
             }
         }
     }
 
-    private static void say(SocketChannel channel, String line) throws IOException {
+    private static void write(SocketChannel channel, String line) throws IOException {
         channel.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** The next line, with its end. */
-    private static String hear(SocketChannel channel) throws IOException {
+    /** Reads the next line, including its line end. */
+    private static String readLine(SocketChannel channel) throws IOException {
         StringBuilder line = new StringBuilder();
         ByteBuffer one = ByteBuffer.allocate(1);
         while (line.indexOf("\n") < 0 && channel.read(one.clear()) > 0) {
--- a/node/src/test/java/brackenbridge/handover/SuccessorListenerTest.java
+++ b/node/src/test/java/brackenbridge/handover/SuccessorListenerTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A successor that comes in the first moment of the socket at which the processes of a node meet. */
+/** A successor may connect as soon as the path of the handover socket exists. */
 class SuccessorListenerTest {
     private static final int ROUNDS = 3000;
 
-    private static final Handover.Participant PROCESS = new Handover.Participant() {
+    private static final Handover.Participant PARTICIPANT = new Handover.Participant() {
         @Override
         public CompletableFuture<HandoverState> prepareState() {
             return CompletableFuture.completedFuture(new HandoverState(1, new EndpointList(1, true, List.of())));
@@ -38,12 +38,12 @@
 
         @Override
         public void onSuccessorChanged(boolean on) {
-            // Only the connect is looked at.
+            // Only the connect is checked.
         }
 
         @Override
         public void onPredecessorEnded() {
-            // Only the connect is looked at.
+            // Only the connect is checked.
         }
     };
 
@@ -58,15 +58,15 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Guards against a path that can be seen before the socket listens: a connect would be refused there. */
+    /** Guards against a path that exists before the socket listens, where a connect would be refused. */
     @Test
     @Timeout(60)
-    void pathThatExistsTakesConnections() throws Exception {
+    void existingPathAcceptsConnections() throws Exception {
         Log log = new Log(Clock.system(), new PrintStream(OutputStream.nullOutputStream()));
         List<String> refused = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
-            Path path = directory.resolve("meet-" + i);
-            SuccessorListener listener = new SuccessorListener(loop, path, PROCESS, new Counters(), log);
+            Path path = directory.resolve("handover-" + i);
+            SuccessorListener listener = new SuccessorListener(loop, path, PARTICIPANT, new Counters(), log);
             loop.execute(listener::listen);
             while (!Files.exists(path)) {
                 Thread.onSpinWait();
@@ -81,14 +81,14 @@
         assertEquals(List.of(), refused);
     }
 
-    /** Nothing that a later process would take for this one stays behind. */
+    /** A leftover file would look like a running process to a later one. */
     @Test
     void closedListenerLeavesNoFile() throws Exception {
-        Path path = directory.resolve("meet");
+        Path path = directory.resolve("handover");
         Log log = new Log(Clock.system(), new PrintStream(OutputStream.nullOutputStream()));
-        SuccessorListener listener = new SuccessorListener(loop, path, PROCESS, new Counters(), log);
+        SuccessorListener listener = new SuccessorListener(loop, path, PARTICIPANT, new Counters(), log);
         loop.submit(listener::listen).get();
-        // The bind was queued on the loop by the call before.
+        // The previous call has queued the bind on the loop.
         loop.submit(() -> {}).get();
         assertTrue(Files.exists(path));
         loop.submit(listener::close).get();
--- a/node/src/test/java/brackenbridge/http/DecoderTest.java
+++ b/node/src/test/java/brackenbridge/http/DecoderTest.java
@@ -22,11 +22,11 @@
     private static final String CHUNKED = "POST /file HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             + "3;a=b\r\nhel\r\n2\r\nlo\r\n0\r\nTrailer: t\r\n\r\n";
     private static final String GET = "GET /view HTTP/1.0\r\nConnection: keep-alive\r\n\r\n";
-    private static final String ANSWERS = "HTTP/1.1 100 Continue\r\n\r\n"
+    private static final String RESPONSES = "HTTP/1.1 100 Continue\r\n\r\n"
             + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
             + "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
-    private static List<HttpRequest> requests(List<byte[]> pieces) throws HttpException {
+    private static List<HttpRequest> decodeRequests(List<byte[]> pieces) throws HttpException {
         RequestDecoder d = new RequestDecoder();
         List<HttpRequest> whole = new ArrayList<>();
         ByteBuf in = Unpooled.buffer();
@@ -39,14 +39,14 @@
         return whole;
     }
 
-    private static int status(String text) {
-        return assertThrows(HttpException.class, () -> requests(Bytes.cuts(text, 1)), text)
+    private static int rejectionStatus(String text) {
+        return assertThrows(HttpException.class, () -> decodeRequests(Bytes.splitRandomly(text, 1)), text)
                 .status();
     }
 
     @Property(seed = "11", tries = 300)
-    void requestsCutAnywhereAreTheSame(@ForAll long seed) throws HttpException {
-        List<HttpRequest> r = requests(Bytes.cuts(POST + CHUNKED + GET + POST, seed));
+    void requestsSplitAnywhereDecodeTheSame(@ForAll long seed) throws HttpException {
+        List<HttpRequest> r = decodeRequests(Bytes.splitRandomly(POST + CHUNKED + GET + POST, seed));
         assertEquals(
                 List.of("/file/x?y=1", "/file", "/view", "/file/x?y=1"),
                 r.stream().map(HttpRequest::target).toList());
@@ -61,11 +61,11 @@
     }
 
     @Property(seed = "12", tries = 300)
-    void answersCutAnywhereAreTheSame(@ForAll long seed) throws HttpException {
+    void responsesSplitAnywhereDecodeTheSame(@ForAll long seed) throws HttpException {
         ResponseDecoder d = new ResponseDecoder();
         List<String> whole = new ArrayList<>();
         ByteBuf in = Unpooled.buffer();
-        for (byte[] piece : Bytes.cuts(ANSWERS, seed)) {
+        for (byte[] piece : Bytes.splitRandomly(RESPONSES, seed)) {
             in.writeBytes(piece);
             while (d.decode(in)) {
                 HttpResponse r = d.takeResponse();
@@ -77,10 +77,10 @@
     }
 
     @Property(seed = "13", tries = 1000)
-    void garbageIsRefusedOrReadAndNeverTakenForMore(@ForAll long seed) {
-        String text = Bytes.garbage(POST + CHUNKED + GET, seed);
+    void garbageIsRejectedOrDecodedWithinItsSize(@ForAll long seed) {
+        String text = Bytes.mutateRandomly(POST + CHUNKED + GET, seed);
         try {
-            int bodies = requests(Bytes.cuts(text, seed)).stream()
+            int bodies = decodeRequests(Bytes.splitRandomly(text, seed)).stream()
                     .mapToInt(r -> r.body().length)
                     .sum();
             assertTrue(bodies < text.length());
@@ -90,31 +90,31 @@
     }
 
     @Test
-    void badFramingHasItsStatus() {
+    void malformedRequestsHaveTheirStatus() {
         String head = "POST /file HTTP/1.1\r\n";
-        assertEquals(400, status(head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"));
-        assertEquals(400, status(head + "Content-Length: 5\r\nContent-Length: 5\r\n\r\n"));
-        assertEquals(400, status(head + "Content-Length: 5, 5\r\n\r\n"));
-        assertEquals(400, status(head + "Content-Length: +5\r\n\r\n"));
-        assertEquals(400, status(head + "Transfer-Encoding: gzip, chunked\r\n\r\n"));
-        assertEquals(400, status(head + "Transfer-Encoding : chunked\r\n\r\n"));
-        assertEquals(400, status(head + "A: b\r\n folded\r\n\r\n"));
-        assertEquals(400, status(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n"));
-        assertEquals(400, status("\u0016\u0003\u0001 bare junk\r\n"));
-        assertEquals(400, status("GET /view HTTP/1.1\nHost: a\n\n"));
-        assertEquals(413, status(head + "Content-Length: 33554433\r\n\r\n"));
-        assertEquals(414, status("GET /" + "x".repeat(9000)));
-        assertEquals(431, status(head + "A: " + "x".repeat(17000)));
-        assertEquals(431, status(head + "A: b\r\n".repeat(101)));
-        assertEquals(505, status("GET /view HTTP/2.0\r\n"));
-    }
-
-    private static boolean answered(ResponseDecoder d, String text) throws HttpException {
+        assertEquals(400, rejectionStatus(head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Content-Length: 5\r\nContent-Length: 5\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Content-Length: 5, 5\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Content-Length: +5\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Transfer-Encoding: gzip, chunked\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Transfer-Encoding : chunked\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "A: b\r\n folded\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n"));
+        assertEquals(400, rejectionStatus("\u0016\u0003\u0001 bare junk\r\n"));
+        assertEquals(400, rejectionStatus("GET /view HTTP/1.1\nHost: a\n\n"));
+        assertEquals(413, rejectionStatus(head + "Content-Length: 33554433\r\n\r\n"));
+        assertEquals(414, rejectionStatus("GET /" + "x".repeat(9000)));
+        assertEquals(431, rejectionStatus(head + "A: " + "x".repeat(17000)));
+        assertEquals(431, rejectionStatus(head + "A: b\r\n".repeat(101)));
+        assertEquals(505, rejectionStatus("GET /view HTTP/2.0\r\n"));
+    }
+
+    private static boolean decode(ResponseDecoder d, String text) throws HttpException {
         return d.decode(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     }
 
     @Property(seed = "14", tries = 60)
-    void longBodiesCutAnywhereComeOutInOrder(@ForAll long seed) throws HttpException {
+    void longBodiesSplitAnywhereAreStreamedInOrder(@ForAll long seed) throws HttpException {
         String body = "0123456789abcdef".repeat(9000);
         String sized = "POST /file HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
         String chunked = "POST /file HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n" + "0000000010000;a=\"b;c\"\r\n"
@@ -124,7 +124,7 @@
         ByteBuf in = Unpooled.buffer();
         List<String> bodies = new ArrayList<>();
         StringBuilder got = new StringBuilder();
-        for (byte[] piece : Bytes.cuts(sized + chunked + GET, seed)) {
+        for (byte[] piece : Bytes.splitRandomly(sized + chunked + GET, seed)) {
             in.discardReadBytes().writeBytes(piece);
             while (true) {
                 if (d.decode(in)) {
@@ -140,13 +140,14 @@
                     break;
                 }
             }
-            assertTrue(d.bufferedBytes() <= MessageDecoder.MAX_BUFFERED_BODY_BYTES + 200, "held " + d.bufferedBytes());
+            assertTrue(
+                    d.bufferedBytes() <= MessageDecoder.MAX_BUFFERED_BODY_BYTES + 200, "buffered " + d.bufferedBytes());
         }
         assertEquals(List.of(body, body, ""), bodies);
     }
 
     @Test
-    void bodyThatIsCountedOverTheLimitIsTooLong() throws HttpException {
+    void chunkedBodyOverTheLimitIsRejected() throws HttpException {
         RequestDecoder d = new RequestDecoder();
         d.decode(Unpooled.copiedBuffer(
                 "POST /file HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2000001\r\n", StandardCharsets.US_ASCII));
@@ -162,15 +163,15 @@
     }
 
     @Test
-    void targetInAbsoluteFormNamesTheHost() throws HttpException {
-        HttpRequest r = requests(Bytes.cuts("GET HTTP://b:80/view?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", 3))
+    void absoluteTargetReplacesTheHost() throws HttpException {
+        HttpRequest r = decodeRequests(Bytes.splitRandomly("GET HTTP://b:80/view?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", 3))
                 .get(0);
         assertEquals("/view?x=1", r.target());
         assertEquals("b:80", r.headers().get("host"));
     }
 
     @Test
-    void successWithoutFramingEndsWithItsConnection() throws HttpException {
+    void successWithoutFramingEndsWithTheConnection() throws HttpException {
         for (String head : new String[] {
             "HTTP/1.1 200 OK\r\nConnection: x, Close\r\n",
             "HTTP/1.1 200 OK\r\n",
@@ -179,9 +180,9 @@
             "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n"
         }) {
             ResponseDecoder d = new ResponseDecoder();
-            assertFalse(answered(d, head + "\r\n"), "an empty body has no end yet either");
-            assertFalse(answered(d, "hel"));
-            assertFalse(answered(d, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "all is body up to the connection's end");
+            assertFalse(decode(d, head + "\r\n"), "an empty body is not complete yet");
+            assertFalse(decode(d, "hel"));
+            assertFalse(decode(d, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "the body extends to the end of the connection");
             assertTrue(d.onConnectionEnd());
             HttpResponse r = d.takeResponse();
             assertEquals("hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(r.body(), StandardCharsets.US_ASCII), head);
@@ -190,7 +191,7 @@
     }
 
     @Test
-    void endOfTheConnectionIsNoEndOfAHeadOrOfABodyThatIsFramed() throws HttpException {
+    void endOfTheConnectionDoesNotCompleteAHeadOrAFramedBody() throws HttpException {
         for (String half : new String[] {
             "",
             "HTTP/1.1 200 OK\r\n",
@@ -200,7 +201,7 @@
             "HTTP/1.1 100 Continue\r\n\r\n"
         }) {
             ResponseDecoder d = new ResponseDecoder();
-            assertFalse(answered(d, half));
+            assertFalse(decode(d, half));
             assertFalse(d.onConnectionEnd(), half);
         }
     }
@@ -208,34 +209,34 @@
     @Test
     void otherStatusesNeedNoFraming() throws HttpException {
         ResponseDecoder d = new ResponseDecoder();
-        assertTrue(answered(d, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
+        assertTrue(decode(d, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
         assertFalse(d.takeResponse().keepAlive());
     }
 
     @Test
-    void listWithoutFramingEndsWithItsConnection() throws HttpException {
+    void streamedBodyWithoutFramingEndsWithTheConnection() throws HttpException {
         StringBuilder body = new StringBuilder();
         ResponseDecoder d =
                 new ResponseDecoder((from, n) -> body.append(from.readCharSequence(n, StandardCharsets.US_ASCII)));
-        assertFalse(answered(d, "HTTP/1.1 200 OK\r\n\r\nhel"));
+        assertFalse(decode(d, "HTTP/1.1 200 OK\r\n\r\nhel"));
         assertTrue(d.onConnectionEnd());
         assertEquals("hel", body.toString());
     }
 
     @Test
-    void interimAnswersArePassedOverButNotForEver() throws HttpException {
+    void interimResponsesAreSkippedUpToALimit() throws HttpException {
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
         ResponseDecoder d = new ResponseDecoder();
-        assertFalse(answered(d, interim.repeat(16)));
-        assertTrue(answered(d, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-        assertThrows(HttpException.class, () -> answered(new ResponseDecoder(), interim.repeat(17)));
+        assertFalse(decode(d, interim.repeat(16)));
+        assertTrue(decode(d, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+        assertThrows(HttpException.class, () -> decode(new ResponseDecoder(), interim.repeat(17)));
     }
 
     @Test
-    void whatIsHeldOfARequestIsCountedAndLetGo() throws HttpException {
+    void bufferedBytesAreCountedAndReleased() throws HttpException {
         RequestDecoder d = new RequestDecoder();
         d.decode(Unpooled.copiedBuffer(POST.substring(0, POST.length() - 1), StandardCharsets.US_ASCII));
-        assertTrue(d.bufferedBytes() > 40, "held " + d.bufferedBytes());
+        assertTrue(d.bufferedBytes() > 40, "buffered " + d.bufferedBytes());
         assertTrue(d.decode(Unpooled.copiedBuffer("o", StandardCharsets.US_ASCII)));
         d.takeRequest();
         assertEquals(0, d.bufferedBytes());
--- a/node/src/test/java/brackenbridge/http/LoadReportTest.java
+++ b/node/src/test/java/brackenbridge/http/LoadReportTest.java
@@ -12,7 +12,7 @@
 
 class LoadReportTest {
     @Test
-    void onlyTheFieldsThatCameAreTold() {
+    void absentAndInvalidFieldsAreNaN() {
         LoadReport r = LoadReportParser.parse("queue=2, qps=7.5,unheard_of=3,util=NaN");
         assertEquals(2, r.queued());
         assertEquals(7.5, r.requestsPerSecond());
@@ -22,8 +22,8 @@
     }
 
     @Property(seed = "41", tries = 500)
-    void garbageNeverBecomesANegativeOrEndlessFigure(@ForAll long seed) {
-        LoadReport r = LoadReportParser.parse(Bytes.garbage("queue=2,qps=7.5", seed));
+    void garbageNeverGivesANegativeOrInfiniteValue(@ForAll long seed) {
+        LoadReport r = LoadReportParser.parse(Bytes.mutateRandomly("queue=2,qps=7.5", seed));
         assertTrue(r == null || !(r.queued() < 0 || r.requestsPerSecond() < 0 || Double.isInfinite(r.queued())));
     }
 }
--- a/node/src/test/java/brackenbridge/log/LogTest.java
+++ b/node/src/test/java/brackenbridge/log/LogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class LogTest {
-    /** What a stopping process has left behind its last answers, before it is killed. */
+    /** The time that a stopping process has after its last responses before it is killed. */
     private static final double MAX_FLUSH_TEST_MS = 140;
 
     private final Clock.Settable clock = new Clock.Settable(1000);
@@ -20,7 +20,7 @@
     private final Log log = new Log(clock, new PrintStream(out, true, StandardCharsets.UTF_8));
 
     @Test
-    void flushWaitsForTheLineThatIsBeingWritten() throws InterruptedException {
+    void flushWaitsForTheLineBeingWritten() throws InterruptedException {
         for (int i = 0; i < 30; i++) {
             log.info("line " + i);
             log.flush();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void linesOverTheLimitAreCountedAndNothingBreaksALine() throws InterruptedException {
+    void linesOverTheLimitAreCountedAndLineBreaksAreRemoved() throws InterruptedException {
         for (int i = 0; i < 100; i++) {
             log.warn("a\nb");
         }
@@ -41,9 +41,9 @@
         assertTrue(text.contains("60 log lines dropped"), text);
     }
 
-    /** Guards the exit of a process before its kill against a log that nobody reads. */
+    /** Guards the exit of a process, which has to happen before it is killed, against a log that nobody reads. */
     @Test
-    void flushOfALogThatNobodyReadsEndsSoon() throws InterruptedException {
+    void flushOfAnUnreadLogReturnsSoon() throws InterruptedException {
         CountDownLatch read = new CountDownLatch(1);
         Clock system = Clock.system();
         Log unread = new Log(system, new PrintStream(new BlockedStream(read)));
@@ -55,7 +55,7 @@
         assertTrue(tookMs < MAX_FLUSH_TEST_MS, "took " + tookMs + " ms");
     }
 
-    /** Takes nothing until it is told to. */
+    /** Blocks each write until the latch is released. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch read;
 
--- a/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
+++ b/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Operators' calls, good and bad. */
+/** Valid and invalid calls of operators. */
 class ManagementListenerTest {
     private final List<Boolean> drains = new ArrayList<>();
-    private final List<RejectionReason> refused = Collections.synchronizedList(new ArrayList<>());
+    private final List<RejectionReason> rejections = Collections.synchronizedList(new ArrayList<>());
     private boolean stopping;
     private final ManagementListener listener = new ManagementListener(
             new AdminOperations() {
@@ -46,16 +46,16 @@
 
                 @Override
                 public void onRejectedCall(RejectionReason why) {
-                    refused.add(why);
+                    rejections.add(why);
                 }
             },
             new Log(Clock.system(), new PrintStream(OutputStream.nullOutputStream())));
-    private String at;
+    private String address;
 
     @BeforeEach
     void listen() {
         listener.listen(new InetSocketAddress("127.0.0.1", 0));
-        at = "127.0.0.1:" + listener.address().getPort();
+        address = "127.0.0.1:" + listener.address().getPort();
     }
 
     @AfterEach
@@ -69,7 +69,7 @@
         return s;
     }
 
-    private String raw(byte[] bytes) throws IOException {
+    private String sendBytes(byte[] bytes) throws IOException {
         try (Socket s = connect()) {
             s.getOutputStream().write(bytes);
             return new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
@@ -77,23 +77,23 @@
     }
 
     @Test
-    void eachCallHasItsAnswer() throws IOException {
-        assertEquals("+OK\n", ManagementCall.send(at, "PING"));
-        assertEquals("+OK\nproxy.tries:3|c\n.\n", ManagementCall.send(at, "INFO\r"));
-        assertEquals("+OK\n", ManagementCall.send(at, "LAMEDUCK"));
-        assertEquals("+OK\n", ManagementCall.send(at, "REJOIN"));
+    void eachCallIsAnswered() throws IOException {
+        assertEquals("+OK\n", ManagementCall.send(address, "PING"));
+        assertEquals("+OK\nproxy.tries:3|c\n.\n", ManagementCall.send(address, "INFO\r"));
+        assertEquals("+OK\n", ManagementCall.send(address, "LAMEDUCK"));
+        assertEquals("+OK\n", ManagementCall.send(address, "REJOIN"));
         assertEquals(List.of(true, false), drains);
         stopping = true;
-        assertEquals("-ERR takes no clients\n", ManagementCall.send(at, "PING"));
-        assertEquals("-ERR the node is stopping\n", ManagementCall.send(at, "LAMEDUCK"));
+        assertEquals("-ERR takes no clients\n", ManagementCall.send(address, "PING"));
+        assertEquals("-ERR the node is stopping\n", ManagementCall.send(address, "LAMEDUCK"));
     }
 
     @Test
-    void whatIsNoCallGetsOneLineAndTheEnd() throws IOException {
-        assertEquals("-ERR unknown call\n", ManagementCall.send(at, "ping"));
-        assertEquals("-ERR unknown call\n", ManagementCall.send(at, ""));
-        assertEquals("-ERR not a call\n", raw("x".repeat(257).getBytes(StandardCharsets.US_ASCII)));
-        assertEquals("-ERR not a call\n", raw(new byte[] {'P', (byte) 0xff}));
+    void invalidCallGetsOneLineAndIsClosed() throws IOException {
+        assertEquals("-ERR unknown call\n", ManagementCall.send(address, "ping"));
+        assertEquals("-ERR unknown call\n", ManagementCall.send(address, ""));
+        assertEquals("-ERR not a call\n", sendBytes("x".repeat(257).getBytes(StandardCharsets.US_ASCII)));
+        assertEquals("-ERR not a call\n", sendBytes(new byte[] {'P', (byte) 0xff}));
         assertEquals(List.of(), drains);
         assertEquals(
                 List.of(
@@ -101,11 +101,11 @@
                         RejectionReason.UNKNOWN,
                         RejectionReason.OVERSIZED,
                         RejectionReason.MALFORMED),
-                refused);
+                rejections);
     }
 
     @Test
-    void hundredsOfSilentAndHalfCallsLeaveRoomForAGoodOne() throws IOException {
+    void idleAndIncompleteCallsDoNotBlockAValidOne() throws IOException {
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             silent.add(connect());
@@ -113,7 +113,7 @@
                 silent.get(i).getOutputStream().write('P');
             }
         }
-        assertEquals("+OK\n", ManagementCall.send(at, "PING"));
+        assertEquals("+OK\n", ManagementCall.send(address, "PING"));
         int open = 0;
         for (Socket s : silent) {
             s.setSoTimeout(1);
@@ -125,26 +125,26 @@
                 continue;
             }
         }
-        assertEquals(true, open <= 16, open + " are open");
+        assertEquals(true, open <= 16, open + " connections are open");
         silent.get(299).setSoTimeout(10_000);
-        assertEquals(-1, silent.get(299).getInputStream().read(), "silence ends");
+        assertEquals(-1, silent.get(299).getInputStream().read(), "an idle connection is closed");
         assertEquals(
                 List.of(),
-                // A copy: the listener may still be counting calls that it ends.
-                List.copyOf(refused).stream()
+                // A copy, since the listener may still be adding rejections.
+                List.copyOf(rejections).stream()
                         .filter(r -> r != RejectionReason.SHED && r != RejectionReason.TOO_SLOW)
                         .toList());
         assertTrue(
-                refused.contains(RejectionReason.TOO_SLOW) && refused.contains(RejectionReason.SHED),
-                refused.toString());
-        assertTrue(refused.size() <= 300, "each is counted once: " + refused.size());
+                rejections.contains(RejectionReason.TOO_SLOW) && rejections.contains(RejectionReason.SHED),
+                rejections.toString());
+        assertTrue(rejections.size() <= 300, "each rejection is counted once: " + rejections.size());
         for (Socket s : silent) {
             s.close();
         }
     }
 
     @Test
-    void commandLineTurnsDownWhatIsNoAddress() {
+    void invalidAddressIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> ManagementCall.send("nowhere", "PING"));
         assertThrows(IllegalArgumentException.class, () -> ManagementCall.send("127.0.0.1:70000", "PING"));
     }
--- a/node/src/test/java/brackenbridge/testing/Bytes.java
+++ b/node/src/test/java/brackenbridge/testing/Bytes.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Random;
 
-/** The one helper of the parser tests: cuts valid messages anywhere, and makes garbage that looks like them. */
+/** Helps to test parsers: splits messages at random positions, and mutates them at random. */
 public final class Bytes {
     private Bytes() {}
 
-    /** The text in pieces, cut at random. */
-    public static List<byte[]> cuts(String text, long seed) {
+    /** Splits the text at random positions. */
+    public static List<byte[]> splitRandomly(String text, long seed) {
         Random random = new Random(seed);
         byte[] all = text.getBytes(StandardCharsets.ISO_8859_1);
         List<byte[]> pieces = new ArrayList<>();
@@ -22,8 +22,8 @@
         return pieces;
     }
 
-    /** The text with a few of its bytes changed, taken out or doubled. */
-    public static String garbage(String text, long seed) {
+    /** Returns the text with a few bytes changed, removed or inserted. */
+    public static String mutateRandomly(String text, long seed) {
         Random random = new Random(seed);
         StringBuilder s = new StringBuilder(text);
         for (int i = 1 + random.nextInt(6); i > 0 && s.length() > 1; i--) {
--- a/node/src/test/java/brackenbridge/testing/GoldenText.java
+++ b/node/src/test/java/brackenbridge/testing/GoldenText.java
@@ -10,16 +10,16 @@
 import java.nio.file.Path;
 
 /**
- * Texts that go out as files under {@code src/test/resources/golden}. With the system property {@value #WRITE_PROPERTY}
- * the files are written first; see the README beside them.
+ * Compares output with the golden files in {@code src/test/resources/golden}. With the system property
+ * {@value #WRITE_PROPERTY} the files are written first; see the README in that directory.
  */
 public final class GoldenText {
-    /** Set to the directory of the golden files, their content is replaced by what goes out now. */
+    /** If set to the directory of the golden files, the files are replaced by the present output. */
     public static final String WRITE_PROPERTY = "golden.write";
 
     private GoldenText() {}
 
-    /** What goes out is what the golden file has. */
+    /** Asserts that the output equals the golden file. */
     public static void check(String name, String actual) throws IOException {
         String directory = System.getProperty(WRITE_PROPERTY);
         if (directory != null) {
@@ -28,7 +28,7 @@
         assertEquals(read(name), actual, name);
     }
 
-    /** A golden file's content. */
+    /** Returns the content of a golden file. */
     public static String read(String name) throws IOException {
         String directory = System.getProperty(WRITE_PROPERTY);
         if (directory != null) {
--- a/node/src/test/java/brackenbridge/transport/AcceptRecoveryTest.java
+++ b/node/src/test/java/brackenbridge/transport/AcceptRecoveryTest.java
@@ -12,98 +12,98 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** When a listening channel accepts, between its owner's wish and failed accepts. */
+/** A listening channel accepts unless its owner or a failed accept has paused it. */
 class AcceptRecoveryTest {
     private static final IOException NO_DESCRIPTOR = new IOException("Too many open files");
     private static final IOException ABORTED = new IOException("Software caused connection abort");
 
-    private final AtomicInteger roomMade = new AtomicInteger();
+    private final AtomicInteger releases = new AtomicInteger();
     private final List<String> warnings = new ArrayList<>();
-    private final AcceptRecovery recovery = new AcceptRecovery(roomMade::incrementAndGet, warnings::add);
+    private final AcceptRecovery recovery = new AcceptRecovery(releases::incrementAndGet, warnings::add);
     private final EmbeddedChannel listening = new EmbeddedChannel(recovery);
 
     AcceptRecoveryTest() {
         listening.freezeTime();
     }
 
-    private void fail(IOException failure) {
+    private void failAccept(IOException failure) {
         listening.pipeline().fireExceptionCaught(failure);
     }
 
-    private void pass(long ms) {
+    private void advanceTime(long ms) {
         listening.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         listening.runScheduledPendingTasks();
     }
 
-    private boolean accepts() {
+    private boolean isAccepting() {
         return listening.config().isAutoRead();
     }
 
     @Test
-    void lackOfDescriptorsMakesRoomAndPausesForAMoment() {
-        fail(NO_DESCRIPTOR);
-        assertFalse(accepts());
-        assertEquals(1, roomMade.get());
-        pass(AcceptBackoff.PAUSE_MS - 1);
-        assertFalse(accepts());
-        pass(1);
-        assertTrue(accepts());
+    void shortageReleasesDescriptorsAndPausesBriefly() {
+        failAccept(NO_DESCRIPTOR);
+        assertFalse(isAccepting());
+        assertEquals(1, releases.get());
+        advanceTime(AcceptBackoff.PAUSE_MS - 1);
+        assertFalse(isAccepting());
+        advanceTime(1);
+        assertTrue(isAccepting());
     }
 
     @Test
-    void abortedConnectionPausesNothing() {
-        fail(ABORTED);
-        assertTrue(accepts());
-        assertEquals(0, roomMade.get());
+    void abortedConnectionDoesNotPause() {
+        failAccept(ABORTED);
+        assertTrue(isAccepting());
+        assertEquals(0, releases.get());
     }
 
     @Test
-    void abortsWithoutAnAcceptBetweenThemPauseInTheEnd() {
+    void manyConsecutiveAbortsPause() {
         for (int i = 0; i < 16; i++) {
-            fail(ABORTED);
-            assertTrue(accepts());
+            failAccept(ABORTED);
+            assertTrue(isAccepting());
         }
-        fail(ABORTED);
-        assertFalse(accepts());
-        pass(AcceptBackoff.PAUSE_MS);
-        assertTrue(accepts());
+        failAccept(ABORTED);
+        assertFalse(isAccepting());
+        advanceTime(AcceptBackoff.PAUSE_MS);
+        assertTrue(isAccepting());
     }
 
     @Test
-    void pauseOfTheOwnerOutlastsThatOfAFailure() {
-        fail(NO_DESCRIPTOR);
+    void failurePauseDoesNotEndThePauseOfTheOwner() {
+        failAccept(NO_DESCRIPTOR);
         recovery.setAccepting(listening, false);
-        pass(2000);
-        assertFalse(accepts(), "as its owner has set it");
+        advanceTime(2000);
+        assertFalse(isAccepting(), "the owner has paused it");
         recovery.setAccepting(listening, true);
-        assertTrue(accepts());
+        assertTrue(isAccepting());
     }
 
     @Test
-    void ownerThatAdmitsAgainDoesNotCutThePauseShort() {
-        fail(NO_DESCRIPTOR);
+    void ownerDoesNotEndThePauseOfAFailure() {
+        failAccept(NO_DESCRIPTOR);
         recovery.setAccepting(listening, true);
-        assertFalse(accepts());
-        pass(AcceptBackoff.PAUSE_MS);
-        assertTrue(accepts());
+        assertFalse(isAccepting());
+        advanceTime(AcceptBackoff.PAUSE_MS);
+        assertTrue(isAccepting());
     }
 
     @Test
     void failureWhileTheOwnerPausesChangesNothing() {
         recovery.setAccepting(listening, false);
-        fail(NO_DESCRIPTOR);
-        pass(2000);
-        assertFalse(accepts());
+        failAccept(NO_DESCRIPTOR);
+        advanceTime(2000);
+        assertFalse(isAccepting());
     }
 
     @Test
-    void runOfFailuresIsLoggedOnce() {
-        fail(NO_DESCRIPTOR);
-        pass(10);
-        fail(NO_DESCRIPTOR);
+    void consecutiveFailuresAreLoggedOnce() {
+        failAccept(NO_DESCRIPTOR);
+        advanceTime(10);
+        failAccept(NO_DESCRIPTOR);
         assertEquals(1, warnings.size());
         listening.writeInbound("a client");
-        fail(NO_DESCRIPTOR);
+        failAccept(NO_DESCRIPTOR);
         assertEquals(2, warnings.size());
     }
 }
--- a/node/src/test/java/brackenbridge/transport/ConnectAttemptTest.java
+++ b/node/src/test/java/brackenbridge/transport/ConnectAttemptTest.java
@@ -24,70 +24,70 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Each outcome of a connect is told once, on the owner's loop. */
+/** Each outcome of a connect is reported once, on the owner's event loop. */
 class ConnectAttemptTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() throws InterruptedException {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2000);
     }
 
-    private final class Told implements ConnectAttempt.Listener {
+    private final class RecordingListener implements ConnectAttempt.Listener {
         @Override
         public void onConnected() {
-            tell("connected");
+            record("connected");
         }
 
         @Override
         public void onConnectFailed(Throwable cause) {
-            tell("failed: " + cause.getMessage());
+            record("failed: " + cause.getMessage());
         }
 
         @Override
         public void onSocketUnavailable(Throwable cause) {
-            tell("not begun: " + cause.getCause().getMessage());
+            record("not begun: " + cause.getCause().getMessage());
         }
 
-        private void tell(String outcome) {
-            told.add((loop.inEventLoop() ? "" : "on another thread, ") + outcome);
+        private void record(String outcome) {
+            outcomes.add((loop.inEventLoop() ? "" : "on another thread, ") + outcome);
         }
     }
 
-    private Channel begin(ChannelFactory<Channel> sockets, SocketAddress to) throws Exception {
+    private Channel connect(ChannelFactory<Channel> sockets, SocketAddress to) throws Exception {
         Bootstrap bootstrap =
                 new Bootstrap().group(loop).channelFactory(sockets).handler(new ChannelInboundHandlerAdapter());
         return loop.submit(() -> {
-                    Channel channel = ConnectAttempt.start(bootstrap, loop, to, new Told());
-                    assertEquals(0, told.size(), "not within the call");
+                    Channel channel = ConnectAttempt.start(bootstrap, loop, to, new RecordingListener());
+                    assertEquals(0, outcomes.size(), "the listener is not called within the call");
                     return channel;
                 })
                 .get(10, TimeUnit.SECONDS);
     }
 
-    private void awaitOnce(String outcome) throws Exception {
-        assertEquals(outcome, told.poll(10, TimeUnit.SECONDS));
+    private void awaitSingleOutcome(String outcome) throws Exception {
+        assertEquals(outcome, outcomes.poll(10, TimeUnit.SECONDS));
         loop.submit(() -> {}).get(10, TimeUnit.SECONDS);
-        assertEquals(0, told.size(), "once");
+        assertEquals(0, outcomes.size(), "the outcome is reported once");
     }
 
     @Test
-    void socketThatIsNotToBeHadIsNoChannelAndToldOnTheLoop() throws Exception {
+    void unavailableSocketGivesNoChannelAndIsReportedOnTheLoop() throws Exception {
         SocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-        assertNull(begin(
+        assertNull(connect(
                 () -> {
                     throw new ChannelException("Failed to open a socket.", new SocketException("Too many open files"));
                 },
                 anywhere));
-        awaitOnce("not begun: Too many open files");
+        awaitSingleOutcome("not begun: Too many open files");
     }
 
     @Test
-    void failedConnectIsToldOnTheLoopAndEndsItsChannel() throws Exception {
+    void failedConnectIsReportedOnTheLoopAndClosesItsChannel() throws Exception {
         SocketAddress anywhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-        Channel channel = begin(
+        Channel channel = connect(
                 () -> new NioSocketChannel() {
                     @Override
                     protected boolean doConnect(SocketAddress to, SocketAddress from) throws Exception {
@@ -97,14 +97,14 @@
                 anywhere);
         assertNotNull(channel);
         channel.closeFuture().get(10, TimeUnit.SECONDS);
-        awaitOnce("failed: refused by the test: " + anywhere);
+        awaitSingleOutcome("failed: refused by the test: " + anywhere);
     }
 
     @Test
-    void connectionThatIsUpIsToldOnTheLoop() throws Exception {
+    void establishedConnectionIsReportedOnTheLoop() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            assertNotNull(begin(NioSocketChannel::new, server.getLocalSocketAddress()));
-            awaitOnce("connected");
+            assertNotNull(connect(NioSocketChannel::new, server.getLocalSocketAddress()));
+            awaitSingleOutcome("connected");
         }
     }
 }
--- a/node/src/test/java/brackenbridge/transport/ListeningSocketsTest.java
+++ b/node/src/test/java/brackenbridge/transport/ListeningSocketsTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The kernel's tables of sockets, as written in a file and as they are. */
+/** Reads the kernel's tables of sockets, from a fixed text and from the running system. */
 class ListeningSocketsTest {
     private static final List<String> TABLE = List.of(
             "  sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode",
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void onlyListeningSocketsOfThisVeryAddressCount() throws Exception {
+    void onlyListeningSocketsOfTheAddressAreFound() throws Exception {
         assertEquals(Set.of("7001", "7004"), inodes("127.0.0.1", 8080));
         assertEquals(Set.of("7003"), inodes("127.0.0.2", 8080));
         assertEquals(Set.of("7005"), inodes("0.0.0.0", 8080));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void socketsOfThisProcessAreFoundWithTheirDescriptors() throws IOException {
+    void ownSocketsAreFoundWithTheirDescriptors() throws IOException {
         try (ServerSocketChannel first = listen(0)) {
             InetSocketAddress address = (InetSocketAddress) first.getLocalAddress();
             Set<String> alone = ListeningSockets.inodesAt(address);
--- a/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/wire/GoldenFormsTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The simulator's wire, against the golden files. */
+/** Compares the messages of the simulator's protocol with the golden files. */
 class GoldenFormsTest {
     @Test
     void eachMessageToTheSimulator() throws IOException {
@@ -22,7 +22,7 @@
         writer.actionsOf(4).startHealthCheck(102);
         writer.writeWatch(4);
         RuntimeException fault = new IllegalStateException("of\nits own");
-        // The place in the source would change with every edit.
+        // The source position would change with every edit.
         fault.setStackTrace(new StackTraceElement[0]);
         writer.writeFault(5, fault);
         writer.finishBatch(12);
@@ -32,25 +32,25 @@
     }
 
     @Test
-    void aScriptIsAnsweredAsEver() throws IOException {
+    void repliesToAScript() throws IOException {
         byte[] script = GoldenText.read("wire-script-in.txt").getBytes(StandardCharsets.UTF_8);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new WireHost(new ByteArrayInputStream(script), out).run();
         GoldenText.check("wire-script-out.txt", out.toString(StandardCharsets.UTF_8));
     }
 
-    /** Each line of the script is the body of a batch of its own; what comes of it is one line of the golden file. */
+    /** Each line of the script is the body of a separate batch, and its result is one line of the golden file. */
     @Test
-    void eachComplaintAboutBadInput() throws IOException {
+    void errorsOfInvalidInput() throws IOException {
         StringBuilder complaints = new StringBuilder();
         for (String bad : GoldenText.read("wire-bad-in.txt").split("\n")) {
             String batch = "SYNC\t5\t1\n" + bad.replace(" | ", "\n") + "\nEOF_BATCH\n";
-            complaints.append(complaint(batch)).append('\n');
+            complaints.append(errorOf(batch)).append('\n');
         }
         GoldenText.check("wire-bad-out.txt", complaints.toString());
     }
 
-    private static String complaint(String input) throws IOException {
+    private static String errorOf(String input) throws IOException {
         ByteArrayInputStream in = new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8));
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
