--- a/fleet/src/test/java/brackenbridge/fleet/cli/NodeCommandTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/cli/NodeCommandTest.java
@@ -20,10 +20,10 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"directory", "missing", "long", "cut", "twice", "two faults", "binary", "deep", "number"})
-    void invalidFleetFileGivesOneLineAndExitCodeTwo(String what) throws Exception {
+    void invalidFleetFileGivesOneLineAndExitCodeTwo(String fault) throws Exception {
         String member = "[[member]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n";
         Path file = directory.resolve("fleet.toml");
-        switch (what) {
+        switch (fault) {
             case "directory" -> Files.createDirectory(file);
             case "missing" -> assertTrue(Files.notExists(file));
             case "binary" -> Files.write(file, new byte[] {'f', (byte) 0xff, (byte) 0xfe});
@@ -37,10 +37,10 @@
                                         "two faults", "fleet = \"a b\"\n" + member + "colour = 3\n",
                                         "deep", "fleet = " + "[".repeat(1_000_000),
                                         "number", "fleet = 3\n" + member)
-                                .get(what));
+                                .get(fault));
         }
         Path errors = directory.resolve("errors");
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
@@ -54,16 +54,16 @@
                 .redirectOutput(directory.resolve("output").toFile())
                 .start();
         try {
-            assertTrue(p.waitFor(60, TimeUnit.SECONDS), "the process exits");
+            assertTrue(process.waitFor(60, TimeUnit.SECONDS), "the process exits");
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
         }
         assertOneLineNamingFile(Files.readString(errors, StandardCharsets.UTF_8), file);
-        assertEquals(2, p.exitValue());
+        assertEquals(2, process.exitValue());
     }
 
-    private static void assertOneLineNamingFile(String told, Path file) throws IOException {
-        assertTrue(told.indexOf('\n') == told.length() - 1 && told.length() < 1000, told);
-        assertTrue(told.startsWith(file + ":"), told);
+    private static void assertOneLineNamingFile(String output, Path file) throws IOException {
+        assertTrue(output.indexOf('\n') == output.length() - 1 && output.length() < 1000, output);
+        assertTrue(output.startsWith(file + ":"), output);
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/NodeSubscriptionTest.java
@@ -61,14 +61,14 @@
     void start() throws IOException, FleetFileException {
         configFile = directory.resolve("config.json");
         Files.writeString(configFile, config(settings(requestClass("view", 900_000))));
-        FleetFile any = fleet(1);
+        FleetFile anyFleet = fleet(1);
         server = new ControlServer(
                 new ControlServer.Settings(
                         "f",
                         "c1",
                         new InetSocketAddress("127.0.0.1", 0),
                         new NodeNames(List.of("n*")),
-                        any.control().limits()),
+                        anyFleet.control().limits()),
                 Clock.system(),
                 () -> true,
                 new SimpleMeterRegistry());
@@ -147,9 +147,9 @@
     void agreedSettingsAreAppliedAgainAfterAReload() {
         publish(1, settings(requestClass("view", 700_000) + "," + requestClass("tag", 500_000)));
         await(() -> servesClass("tag"));
-        int before = reloadCount();
+        int reloadsBefore = reloadCount();
         node.reconfigure(() -> Config.read(configFile));
-        await(() -> reloadCount() >= before + 2);
+        await(() -> reloadCount() >= reloadsBefore + 2);
         await(() -> servesClass("tag"));
     }
 
@@ -159,12 +159,13 @@
 
     @Test
     void fleetWithoutControlMachinesIsRejected() throws FleetFileException {
-        FleetFile none = FleetFile.parse("f", "fleet = \"f\"\n[[member]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n");
+        FleetFile withoutControl =
+                FleetFile.parse("f", "fleet = \"f\"\n[[member]]\nname = \"c1\"\naddress = \"127.0.0.1:1\"\n");
         assertEquals(
                 "the fleet file contains no control machine",
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> new NodeSubscription(none, configFile, "r", Config.read(configFile)))
+                                () -> new NodeSubscription(withoutControl, configFile, "r", Config.read(configFile)))
                         .getMessage());
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/node/PoolReporterTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/node/PoolReporterTest.java
@@ -16,16 +16,16 @@
     private final PoolReporter reporter = new PoolReporter("tier-0", 4, 0.3, 8500);
     private double nowMs = 1_000_000;
 
-    private Map<String, PoolObservation> reportSecond(int toA, int toB, double ms, int refused) {
+    private Map<String, PoolObservation> reportSecond(int toA, int toB, double latencyMs, int rejected) {
         for (int i = 0; i < toA; i++) {
             observer.onAttemptStarted(POOL_A, true);
-            observer.onAttemptEnded(POOL_A, true, true, ms);
+            observer.onAttemptEnded(POOL_A, true, true, latencyMs);
         }
         for (int i = 0; i < toB; i++) {
             observer.onAttemptStarted(POOL_B, i % 2 == 0);
-            observer.onAttemptEnded(POOL_B, i % 2 == 1, true, ms);
+            observer.onAttemptEnded(POOL_B, i % 2 == 1, true, latencyMs);
         }
-        for (int i = 0; i < refused; i++) {
+        for (int i = 0; i < rejected; i++) {
             observer.onRejected("view");
         }
         nowMs += 1000;
@@ -36,19 +36,19 @@
     @Test
     void ratesLatenciesAndServersOfEachPool() {
         reportSecond(0, 0, 0, 0);
-        Map<String, PoolObservation> all = reportSecond(40, 20, 50, 10);
-        PoolObservation a = all.get("tier-0/a/w1.0/view");
-        PoolObservation b = all.get("tier-0/b/w2.0/view");
-        assertEquals(40, a.arrivals(), 1e-9);
-        assertEquals(2, a.busy(), 1e-9, "40 requests of 50 ms within a second");
-        assertEquals(50, a.latencyMs(), 1e-9);
-        assertEquals(0, a.squaredVariation(), 1e-9);
-        assertEquals(8, a.refused(), 1e-9, "four of five first attempts went to a");
-        assertEquals(10, b.arrivals(), 1e-9);
-        assertEquals(20, b.attempts(), 1e-9);
-        assertEquals(0.5, b.failed(), 1e-9);
-        assertEquals(5, b.servers());
-        assertEquals(8, b.connections(), 1e-9, "a server of weight 2 can handle twice as many");
+        Map<String, PoolObservation> observations = reportSecond(40, 20, 50, 10);
+        PoolObservation poolA = observations.get("tier-0/a/w1.0/view");
+        PoolObservation poolB = observations.get("tier-0/b/w2.0/view");
+        assertEquals(40, poolA.arrivals(), 1e-9);
+        assertEquals(2, poolA.busy(), 1e-9, "40 requests of 50 ms within a second");
+        assertEquals(50, poolA.latencyMs(), 1e-9);
+        assertEquals(0, poolA.squaredVariation(), 1e-9);
+        assertEquals(8, poolA.refused(), 1e-9, "four of five first attempts went to a");
+        assertEquals(10, poolB.arrivals(), 1e-9);
+        assertEquals(20, poolB.attempts(), 1e-9);
+        assertEquals(0.5, poolB.failed(), 1e-9);
+        assertEquals(5, poolB.servers());
+        assertEquals(8, poolB.connections(), 1e-9, "a server of weight 2 can handle twice as many");
     }
 
     @Test
@@ -58,8 +58,8 @@
         for (int i = 0; i < 12; i++) {
             reportSecond(50, 0, 200, 0);
         }
-        PoolObservation a = reportSecond(50, 0, 200, 0).get("tier-0/a/w1.0/view");
-        assertEquals(20, a.serviceMs(), 0.5);
-        assertEquals(200, a.latencyMs(), 1e-9, "the fast second has left the window");
+        PoolObservation poolA = reportSecond(50, 0, 200, 0).get("tier-0/a/w1.0/view");
+        assertEquals(20, poolA.serviceMs(), 0.5);
+        assertEquals(200, poolA.latencyMs(), 1e-9, "the fast second has left the window");
     }
 }
--- a/node/src/test/java/brackenbridge/cli/HangupSignalTest.java
+++ b/node/src/test/java/brackenbridge/cli/HangupSignalTest.java
@@ -12,8 +12,8 @@
 class HangupSignalTest {
     @Test
     void eachSignalRunsTheActionAndTheProcessContinues() throws Exception {
-        Semaphore heard = new Semaphore(0);
-        assertTrue(HangupSignal.handle(heard::release));
+        Semaphore handled = new Semaphore(0);
+        assertTrue(HangupSignal.handle(handled::release));
         for (int i = 0; i < 2; i++) {
             new ProcessBuilder(
                             "kill",
@@ -21,7 +21,7 @@
                             Long.toString(ProcessHandle.current().pid()))
                     .start()
                     .waitFor();
-            assertTrue(heard.tryAcquire(10, TimeUnit.SECONDS));
+            assertTrue(handled.tryAcquire(10, TimeUnit.SECONDS));
         }
     }
 
@@ -32,20 +32,20 @@
         }
     }
 
-    private static String outputOfProgram(String before) throws Exception {
+    private static String outputOfProgram(String shellCommands) throws Exception {
         String java = ProcessHandle.current().info().command().orElse("java");
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         "sh",
                         "-c",
-                        before + "exec \"$0\" \"$@\"",
+                        shellCommands + "exec \"$0\" \"$@\"",
                         java,
                         "-cp",
                         System.getProperty("java.class.path"),
                         HandlerProgram.class.getName())
                 .start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-        assertEquals(0, p.waitFor());
-        return said.strip();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        assertEquals(0, process.waitFor());
+        return output.strip();
     }
 
     @Test
--- a/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
+++ b/node/src/test/java/brackenbridge/cli/ProcessReplacementTest.java
@@ -38,14 +38,14 @@
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            return s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            return socket.getLocalPort();
         }
     }
 
     private Running start() throws Exception {
         String management = "127.0.0.1:" + freePort();
-        ProcessBuilder b = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
@@ -55,19 +55,20 @@
                         "serve")
                 .redirectErrorStream(true)
                 .redirectOutput(directory.resolve("log" + processes.size()).toFile());
-        b.environment().put("PROXY_CONFIG", directory.resolve("config.json").toString());
-        b.environment().put("PROXY_MGMT", management);
-        b.environment().put("TMPDIR", directory.toString());
-        Running r = new Running(b.start(), management);
-        processes.add(r.process());
-        await(() -> r.send("PING").equals("+OK\n"));
-        return r;
+        builder.environment()
+                .put("PROXY_CONFIG", directory.resolve("config.json").toString());
+        builder.environment().put("PROXY_MGMT", management);
+        builder.environment().put("TMPDIR", directory.toString());
+        Running running = new Running(builder.start(), management);
+        processes.add(running.process());
+        await(() -> running.send("PING").equals("+OK\n"));
+        return running;
     }
 
-    private static void await(Callable<Boolean> what) throws Exception {
+    private static void await(Callable<Boolean> condition) throws Exception {
         for (int i = 0; i < 3000; i++) {
             try {
-                if (what.call()) {
+                if (condition.call()) {
                     return;
                 }
             } catch (IOException e) {
@@ -110,11 +111,11 @@
                         .replace("127.0.0.1:0", "127.0.0.1:" + port)
                         .replace("\"hosts\":[]", "\"hosts\":[" + host + "]"));
         Running first = start();
-        Running dies = start();
-        dies.process().destroyForcibly().waitFor();
+        Running crashing = start();
+        crashing.process().destroyForcibly().waitFor();
         await(() -> Files.readString(directory.resolve("log0")).contains("the new process has ended"));
         assertEquals("+OK\n", first.send("PING"));
-        Thread storm = new Thread(() -> {
+        Thread requester = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
                 try {
                     assertTrue(get("/health/live").startsWith("HTTP/1.1 200 "));
@@ -123,7 +124,7 @@
                 }
             }
         });
-        storm.start();
+        requester.start();
         first.send("LAMEDUCK");
         Running second = start();
         assertEquals("+OK\n", first.send("PING"), "a drained process still accepts clients");
@@ -137,8 +138,8 @@
         stop(second);
         assertTrue(get("/health/ready").startsWith("HTTP/1.1 200 "));
         assertTrue(third.send("INFO").contains("proxy.pool_size:1|g\n"), "the endpoint list was handed over");
-        storm.interrupt();
-        storm.join();
+        requester.interrupt();
+        requester.join();
         assertEquals(List.of(), failures);
     }
 }
--- a/node/src/test/java/brackenbridge/cli/StartTest.java
+++ b/node/src/test/java/brackenbridge/cli/StartTest.java
@@ -22,9 +22,9 @@
     @TempDir
     private Path directory;
 
-    private void assertRejected(Path file, String named) throws Exception {
+    private void assertRejected(Path file, String expected) throws Exception {
         Path errors = directory.resolve("errors");
-        ProcessBuilder b = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
@@ -35,19 +35,19 @@
                         "serve")
                 .redirectError(errors.toFile())
                 .redirectOutput(directory.resolve("output").toFile());
-        b.environment().put("PROXY_CONFIG", file.toString());
-        b.environment().remove("PROXY_MGMT");
-        b.environment().put("TMPDIR", directory.toString());
-        Process p = b.start();
+        builder.environment().put("PROXY_CONFIG", file.toString());
+        builder.environment().remove("PROXY_MGMT");
+        builder.environment().put("TMPDIR", directory.toString());
+        Process process = builder.start();
         try {
-            assertTrue(p.waitFor(60, TimeUnit.SECONDS), "the process exits");
+            assertTrue(process.waitFor(60, TimeUnit.SECONDS), "the process exits");
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
         }
-        String told = Files.readString(errors, StandardCharsets.UTF_8);
-        assertEquals(2, p.exitValue(), told);
-        assertTrue(told.startsWith("brackenbridge: ") && told.indexOf('\n') == told.length() - 1, told);
-        assertTrue(told.contains(named) && told.length() < 500, told);
+        String output = Files.readString(errors, StandardCharsets.UTF_8);
+        assertEquals(2, process.exitValue(), output);
+        assertTrue(output.startsWith("brackenbridge: ") && output.indexOf('\n') == output.length() - 1, output);
+        assertTrue(output.contains(expected) && output.length() < 500, output);
         assertEquals("", Files.readString(directory.resolve("output")));
     }
 
@@ -67,7 +67,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"long", "cut", "twice", "number", "absurd", "no address", "name for an address", "known"})
-    void invalidFileIsRejected(String what) throws Exception {
+    void invalidFileIsRejected(String fault) throws Exception {
         String[] textAndName = Map.of(
                         "long", new String[] {" ".repeat(5 << 20), "over"},
                         "cut", new String[] {ConfigTest.TEXT.substring(0, 300), "not JSON"},
@@ -85,7 +85,7 @@
                                 new String[] {replaceInConfig("127.0.0.1:1\"", "nowhere:1\""), "discovery"},
                         "known",
                                 new String[] {replaceInConfig("\"hosts\":[]", "\"hosts\":[{\"host\":\"a\"}]"), "known"})
-                .get(what);
+                .get(fault);
         assertRejected(write(textAndName[0]), textAndName[1]);
     }
 
@@ -93,13 +93,13 @@
     @ValueSource(strings = {"listen", "mgmt"})
     void addressInUseIsRejectedAndNamed(String key) throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            String at = "127.0.0.1:" + taken.getLocalPort();
+            String address = "127.0.0.1:" + taken.getLocalPort();
             assertRejected(
                     write(
                             key.equals("listen")
-                                    ? replaceInConfig("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + at + "\"")
-                                    : replaceInConfig("\"listen\":", "\"mgmt\":\"" + at + "\",\"listen\":")),
-                    key.equals("mgmt") ? "mgmt " + at : at);
+                                    ? replaceInConfig("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + address + "\"")
+                                    : replaceInConfig("\"listen\":", "\"mgmt\":\"" + address + "\",\"listen\":")),
+                    key.equals("mgmt") ? "mgmt " + address : address);
         }
     }
 }
--- a/node/src/test/java/brackenbridge/config/ConfigFileTest.java
+++ b/node/src/test/java/brackenbridge/config/ConfigFileTest.java
@@ -28,10 +28,10 @@
 
     private static String rejectionMessage(Path file) {
         return assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-            String why = assertThrows(IllegalArgumentException.class, () -> Config.read(file))
+            String message = assertThrows(IllegalArgumentException.class, () -> Config.read(file))
                     .getMessage();
-            assertFalse(why.contains("\n"), why);
-            return why;
+            assertFalse(message.contains("\n"), message);
+            return message;
         });
     }
 
@@ -59,8 +59,8 @@
     void hugeFileIsRejectedUnread() throws IOException {
         Path huge = directory.resolve("huge");
         // A sparse file of 3 GiB, which takes no disk space and does not fit into an array.
-        try (RandomAccessFile f = new RandomAccessFile(huge.toFile(), "rw")) {
-            f.setLength(3L << 30);
+        try (RandomAccessFile file = new RandomAccessFile(huge.toFile(), "rw")) {
+            file.setLength(3L << 30);
         }
         assertTrue(rejectionMessage(huge).contains("over"), "the message names the limit");
     }
@@ -86,8 +86,8 @@
                             + "\"site\":\"a\",\"class\":\"m2\",\"block\":3,"
                             + "\"health\":\"active\",\"share\":1.0,\"born_ms\":0}");
         }
-        Config c = Config.read(write(ConfigTest.TEXT.replace("\"hosts\":[", "\"hosts\":[" + hosts)));
-        assertEquals(10_000, c.configuredEndpoints().endpoints().size());
+        Config config = Config.read(write(ConfigTest.TEXT.replace("\"hosts\":[", "\"hosts\":[" + hosts)));
+        assertEquals(10_000, config.configuredEndpoints().endpoints().size());
     }
 
     @ParameterizedTest
@@ -123,8 +123,8 @@
     void invalidValueIsRejectedAndItsKeyNamed(String key, String before, String value) throws IOException {
         String text = ConfigTest.TEXT.replace("\"" + key + "\":" + before, "\"" + key + "\":" + value);
         assertNotEquals(ConfigTest.TEXT, text);
-        String why = rejectionMessage(write(text));
-        assertTrue(why.contains(key), why);
+        String message = rejectionMessage(write(text));
+        assertTrue(message.contains(key), message);
     }
 
     @Test
@@ -144,8 +144,9 @@
             "7",
             "{\"dial\":\"127.0.0.1:7\",\"health\":\"active\"}"
         }) {
-            String why = rejectionMessage(write(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + entry + "]")));
-            assertTrue(why.contains("known"), why);
+            String message =
+                    rejectionMessage(write(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + entry + "]")));
+            assertTrue(message.contains("known"), message);
         }
     }
 }
--- a/node/src/test/java/brackenbridge/config/ConfigTest.java
+++ b/node/src/test/java/brackenbridge/config/ConfigTest.java
@@ -29,20 +29,20 @@
 
     @Test
     void nestedJsonIsParsedToSettings() {
-        Config c = Config.parse(TEXT);
-        assertEquals("n3", c.name());
+        Config config = Config.parse(TEXT);
+        assertEquals("n3", config.name());
         assertEquals(
                 List.of("view", "file"),
-                c.settings().classes().stream().map(k -> k.name()).toList());
-        assertEquals(8_000_000, c.settings().classes().get(0).deadline());
-        assertEquals(1, c.settings().tier());
-        assertEquals(List.of("depth", "tps"), c.settings().network().reportFields());
-        assertEquals(0xfc1f30d27a5be964L, c.settings().seed());
+                config.settings().classes().stream().map(k -> k.name()).toList());
+        assertEquals(8_000_000, config.settings().classes().get(0).deadline());
+        assertEquals(1, config.settings().tier());
+        assertEquals(List.of("depth", "tps"), config.settings().network().reportFields());
+        assertEquals(0xfc1f30d27a5be964L, config.settings().seed());
         assertEquals(
-                3_000_000, c.settings().maxRetryAfter(), "retryAfter is ignored: responses always carry the delay");
-        assertEquals(41, c.configuredEndpoints().version());
-        assertEquals(2.5, c.settings().overloadMultiple());
-        assertEquals(1_500_000, c.settings().overloadWindow());
+                3_000_000, config.settings().maxRetryAfter(), "rejections on sockets may always carry Retry-After");
+        assertEquals(41, config.configuredEndpoints().version());
+        assertEquals(2.5, config.settings().overloadMultiple());
+        assertEquals(1_500_000, config.settings().overloadWindow());
     }
 
     @Property(seed = "31", tries = 1000)
--- a/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
@@ -9,15 +9,15 @@
 class GoldenFormsTest {
     private static Counters createCounters() {
         Counters counters = new Counters();
-        for (Counter kind : Counter.values()) {
-            for (int i = 0; i <= kind.ordinal(); i++) {
-                counters.count(kind, "read");
+        for (Counter counter : Counter.values()) {
+            for (int i = 0; i <= counter.ordinal(); i++) {
+                counters.count(counter, "read");
             }
         }
         for (RejectionReason.Port port : RejectionReason.Port.values()) {
-            for (RejectionReason why : RejectionReason.values()) {
-                for (int i = 0; i <= port.ordinal() * 10 + why.ordinal(); i++) {
-                    counters.countRejection(port, why);
+            for (RejectionReason reason : RejectionReason.values()) {
+                for (int i = 0; i <= port.ordinal() * 10 + reason.ordinal(); i++) {
+                    counters.countRejection(port, reason);
                 }
             }
         }
--- a/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
+++ b/node/src/test/java/brackenbridge/discovery/EndpointListParserTest.java
@@ -47,8 +47,8 @@
     }
 
     private static String entry(String host, String change) {
-        String usual = "{\"host\":\"" + host + "\",\"dial\":\"127.1.0.18:9000\",\"health\":\"active\"}";
-        return usual.replaceFirst(change.split("->", -1)[0], change.split("->", -1)[1]);
+        String valid = "{\"host\":\"" + host + "\",\"dial\":\"127.1.0.18:9000\",\"health\":\"active\"}";
+        return valid.replaceFirst(change.split("->", -1)[0], change.split("->", -1)[1]);
     }
 
     @ParameterizedTest
--- a/node/src/test/java/brackenbridge/discovery/JsonObjectSplitterTest.java
+++ b/node/src/test/java/brackenbridge/discovery/JsonObjectSplitterTest.java
@@ -14,15 +14,18 @@
 /** Splits lists independent of line breaks; "-" stands for an empty line. */
 class JsonObjectSplitterTest {
     private static List<String> split(int limit, String text) {
-        JsonObjectSplitter cutter = new JsonObjectSplitter(limit);
-        List<String> all = new ArrayList<>();
+        JsonObjectSplitter splitter = new JsonObjectSplitter(limit);
+        List<String> results = new ArrayList<>();
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
-            Progress c = cutter.add(b);
-            if (c != Progress.INCOMPLETE && c != Progress.TEXT_STARTED) {
-                all.add(c == Progress.TEXT_COMPLETE ? cutter.takeText() : c == Progress.EMPTY_LINE ? "-" : c.name());
+            Progress progress = splitter.add(b);
+            if (progress != Progress.INCOMPLETE && progress != Progress.TEXT_STARTED) {
+                results.add(
+                        progress == Progress.TEXT_COMPLETE
+                                ? splitter.takeText()
+                                : progress == Progress.EMPTY_LINE ? "-" : progress.name());
             }
         }
-        return all;
+        return results;
     }
 
     @Test
@@ -49,12 +52,12 @@
     /** Objects that each take one line are split as a line reader would split them, whatever is between them. */
     @Property(seed = "59", tries = 500)
     void objectsOnSingleLinesAreSplitAsLines(@ForAll long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         String[] parts = {"\n", "\r\n", "{\"seq\":4,\"hosts\":[{\"host\":\"a}\"}]}\n", "{}\r\n", " \n", "what {\n"};
         StringBuilder text = new StringBuilder();
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            String part = parts[r.nextInt(parts.length - (i < 29 ? 1 : 0))];
+            String part = parts[random.nextInt(parts.length - (i < 29 ? 1 : 0))];
             text.append(part);
             lines.add(part.isBlank() ? "-" : part.strip());
         }
@@ -64,15 +67,15 @@
 
     @Test
     void eachObjectIsReportedAsStartedOnce() {
-        JsonObjectSplitter cutter = new JsonObjectSplitter(100);
-        int begun = 0;
+        JsonObjectSplitter splitter = new JsonObjectSplitter(100);
+        int started = 0;
         for (byte b : "\n{\n \"a\":{}\n}\n\n{ }\n".getBytes(StandardCharsets.UTF_8)) {
-            Progress c = cutter.add(b);
-            begun += c == Progress.TEXT_STARTED ? 1 : 0;
-            if (c == Progress.TEXT_COMPLETE) {
-                cutter.takeText();
+            Progress progress = splitter.add(b);
+            started += progress == Progress.TEXT_STARTED ? 1 : 0;
+            if (progress == Progress.TEXT_COMPLETE) {
+                splitter.takeText();
             }
         }
-        assertEquals(2, begun);
+        assertEquals(2, started);
     }
 }
--- a/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/handover/GoldenFormsTest.java
@@ -105,9 +105,9 @@
         loop.submit(() -> {}).get();
         try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(path()))) {
             write(successor, "brackenbridge-handover 1 successor\n");
-            String offer = readLine(successor);
+            String state = readLine(successor);
             write(successor, "ready\n");
-            GoldenText.check("handover-predecessor.txt", offer + readLine(successor));
+            GoldenText.check("handover-predecessor.txt", state + readLine(successor));
         }
     }
 
@@ -116,16 +116,16 @@
         try (ServerSocketChannel listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             listening.bind(UnixDomainSocketAddress.of(path()));
             Handover handover = handover();
-            CompletableFuture<HandoverState> asked =
+            CompletableFuture<HandoverState> requested =
                     loop.submit(handover::requestState).get();
             try (SocketChannel predecessor = listening.accept()) {
-                String said = readLine(predecessor);
+                String greeting = readLine(predecessor);
                 write(predecessor, "brackenbridge-handover 1 " + STATE.toJson() + "\n");
-                assertEquals(STATE, asked.get(10, TimeUnit.SECONDS));
+                assertEquals(STATE, requested.get(10, TimeUnit.SECONDS));
                 CompletableFuture<Void> serves = new CompletableFuture<>();
                 loop.submit(() -> handover.announceReady(() -> serves.complete(null)))
                         .get();
-                GoldenText.check("handover-successor.txt", said + readLine(predecessor));
+                GoldenText.check("handover-successor.txt", greeting + readLine(predecessor));
                 write(predecessor, "go\n");
                 serves.get(10, TimeUnit.SECONDS);
             }
--- a/node/src/test/java/brackenbridge/handover/SuccessorListenerTest.java
+++ b/node/src/test/java/brackenbridge/handover/SuccessorListenerTest.java
@@ -63,7 +63,7 @@
     @Timeout(60)
     void existingPathAcceptsConnections() throws Exception {
         Log log = new Log(Clock.system(), new PrintStream(OutputStream.nullOutputStream()));
-        List<String> refused = new ArrayList<>();
+        List<String> failures = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
             Path path = directory.resolve("handover-" + i);
             SuccessorListener listener = new SuccessorListener(loop, path, PARTICIPANT, new Counters(), log);
@@ -74,11 +74,11 @@
             try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
                 assertTrue(successor.isConnected());
             } catch (IOException e) {
-                refused.add(e.getMessage());
+                failures.add(e.getMessage());
             }
             loop.submit(listener::close).get();
         }
-        assertEquals(List.of(), refused);
+        assertEquals(List.of(), failures);
     }
 
     /** A leftover file would look like a running process to a later one. */
--- a/node/src/test/java/brackenbridge/http/DecoderTest.java
+++ b/node/src/test/java/brackenbridge/http/DecoderTest.java
@@ -27,16 +27,16 @@
             + "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
     private static List<HttpRequest> decodeRequests(List<byte[]> pieces) throws HttpException {
-        RequestDecoder d = new RequestDecoder();
-        List<HttpRequest> whole = new ArrayList<>();
+        RequestDecoder decoder = new RequestDecoder();
+        List<HttpRequest> requests = new ArrayList<>();
         ByteBuf in = Unpooled.buffer();
         for (byte[] piece : pieces) {
             in.writeBytes(piece);
-            while (d.decode(in)) {
-                whole.add(d.takeRequest());
+            while (decoder.decode(in)) {
+                requests.add(decoder.takeRequest());
             }
         }
-        return whole;
+        return requests;
     }
 
     private static int rejectionStatus(String text) {
@@ -46,34 +46,34 @@
 
     @Property(seed = "11", tries = 300)
     void requestsSplitAnywhereDecodeTheSame(@ForAll long seed) throws HttpException {
-        List<HttpRequest> r = decodeRequests(Bytes.splitRandomly(POST + CHUNKED + GET + POST, seed));
+        List<HttpRequest> requests = decodeRequests(Bytes.splitRandomly(POST + CHUNKED + GET + POST, seed));
         assertEquals(
                 List.of("/file/x?y=1", "/file", "/view", "/file/x?y=1"),
-                r.stream().map(HttpRequest::target).toList());
+                requests.stream().map(HttpRequest::target).toList());
         assertEquals(
                 List.of("hello", "hello", "", "hello"),
-                r.stream()
+                requests.stream()
                         .map(q -> new String(q.body(), StandardCharsets.UTF_8))
                         .toList());
         assertEquals(
                 List.of(true, true, false, true),
-                r.stream().map(HttpRequest::keepAlive).toList());
+                requests.stream().map(HttpRequest::keepAlive).toList());
     }
 
     @Property(seed = "12", tries = 300)
     void responsesSplitAnywhereDecodeTheSame(@ForAll long seed) throws HttpException {
-        ResponseDecoder d = new ResponseDecoder();
-        List<String> whole = new ArrayList<>();
+        ResponseDecoder decoder = new ResponseDecoder();
+        List<String> responses = new ArrayList<>();
         ByteBuf in = Unpooled.buffer();
         for (byte[] piece : Bytes.splitRandomly(RESPONSES, seed)) {
             in.writeBytes(piece);
-            while (d.decode(in)) {
-                HttpResponse r = d.takeResponse();
-                whole.add(r.status() + new String(r.body(), StandardCharsets.UTF_8));
+            while (decoder.decode(in)) {
+                HttpResponse response = decoder.takeResponse();
+                responses.add(response.status() + new String(response.body(), StandardCharsets.UTF_8));
             }
         }
-        assertEquals(List.of("200hello", "503hello"), whole);
-        assertFalse(d.onConnectionEnd());
+        assertEquals(List.of("200hello", "503hello"), responses);
+        assertFalse(decoder.onConnectionEnd());
     }
 
     @Property(seed = "13", tries = 1000)
@@ -109,8 +109,8 @@
         assertEquals(505, rejectionStatus("GET /view HTTP/2.0\r\n"));
     }
 
-    private static boolean decode(ResponseDecoder d, String text) throws HttpException {
-        return d.decode(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+    private static boolean decode(ResponseDecoder decoder, String text) throws HttpException {
+        return decoder.decode(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     }
 
     @Property(seed = "14", tries = 60)
@@ -120,54 +120,56 @@
         String chunked = "POST /file HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n" + "0000000010000;a=\"b;c\"\r\n"
                 + body.substring(0, 65536) + "\r\n" + Integer.toHexString(body.length() - 65536) + "\r\n"
                 + body.substring(65536) + "\r\n0\r\nTrailer: t\r\n\r\n";
-        RequestDecoder d = new RequestDecoder();
+        RequestDecoder decoder = new RequestDecoder();
         ByteBuf in = Unpooled.buffer();
         List<String> bodies = new ArrayList<>();
-        StringBuilder got = new StringBuilder();
+        StringBuilder received = new StringBuilder();
         for (byte[] piece : Bytes.splitRandomly(sized + chunked + GET, seed)) {
             in.discardReadBytes().writeBytes(piece);
             while (true) {
-                if (d.decode(in)) {
-                    got.append(new String(d.takeRequest().body(), StandardCharsets.ISO_8859_1));
-                    bodies.add(got.toString());
-                    got.setLength(0);
-                } else if (d.isBodyBufferFull()) {
-                    got.append(new String(
-                            d.streamBody(
-                                    (from, n) -> got.append(from.readCharSequence(n, StandardCharsets.ISO_8859_1))),
+                if (decoder.decode(in)) {
+                    received.append(new String(decoder.takeRequest().body(), StandardCharsets.ISO_8859_1));
+                    bodies.add(received.toString());
+                    received.setLength(0);
+                } else if (decoder.isBodyBufferFull()) {
+                    received.append(new String(
+                            decoder.streamBody((from, n) ->
+                                    received.append(from.readCharSequence(n, StandardCharsets.ISO_8859_1))),
                             StandardCharsets.ISO_8859_1));
                 } else {
                     break;
                 }
             }
             assertTrue(
-                    d.bufferedBytes() <= MessageDecoder.MAX_BUFFERED_BODY_BYTES + 200, "buffered " + d.bufferedBytes());
+                    decoder.bufferedBytes() <= MessageDecoder.MAX_BUFFERED_BODY_BYTES + 200,
+                    "buffered " + decoder.bufferedBytes());
         }
         assertEquals(List.of(body, body, ""), bodies);
     }
 
     @Test
     void chunkedBodyOverTheLimitIsRejected() throws HttpException {
-        RequestDecoder d = new RequestDecoder();
-        d.decode(Unpooled.copiedBuffer(
+        RequestDecoder decoder = new RequestDecoder();
+        decoder.decode(Unpooled.copiedBuffer(
                 "POST /file HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2000001\r\n", StandardCharsets.US_ASCII));
-        d.streamBody((from, n) -> from.skipBytes(n));
+        decoder.streamBody((from, n) -> from.skipBytes(n));
         ByteBuf piece = Unpooled.wrappedBuffer(new byte[1 << 20]);
         for (int i = 0; i < 32; i++) {
-            assertFalse(d.decode(piece.duplicate()));
+            assertFalse(decoder.decode(piece.duplicate()));
         }
         assertEquals(
                 413,
-                assertThrows(HttpException.class, () -> d.decode(piece.duplicate()))
+                assertThrows(HttpException.class, () -> decoder.decode(piece.duplicate()))
                         .status());
     }
 
     @Test
     void absoluteTargetReplacesTheHost() throws HttpException {
-        HttpRequest r = decodeRequests(Bytes.splitRandomly("GET HTTP://b:80/view?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", 3))
+        HttpRequest request = decodeRequests(
+                        Bytes.splitRandomly("GET HTTP://b:80/view?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", 3))
                 .get(0);
-        assertEquals("/view?x=1", r.target());
-        assertEquals("b:80", r.headers().get("host"));
+        assertEquals("/view?x=1", request.target());
+        assertEquals("b:80", request.headers().get("host"));
     }
 
     @Test
@@ -179,14 +181,16 @@
             "HTTP/1.0 200 OK\r\n",
             "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n"
         }) {
-            ResponseDecoder d = new ResponseDecoder();
-            assertFalse(decode(d, head + "\r\n"), "an empty body is not complete yet");
-            assertFalse(decode(d, "hel"));
-            assertFalse(decode(d, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "the body extends to the end of the connection");
-            assertTrue(d.onConnectionEnd());
-            HttpResponse r = d.takeResponse();
-            assertEquals("hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(r.body(), StandardCharsets.US_ASCII), head);
-            assertFalse(r.keepAlive(), head);
+            ResponseDecoder decoder = new ResponseDecoder();
+            assertFalse(decode(decoder, head + "\r\n"), "an empty body is not complete yet");
+            assertFalse(decode(decoder, "hel"));
+            assertFalse(
+                    decode(decoder, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "the body extends to the end of the connection");
+            assertTrue(decoder.onConnectionEnd());
+            HttpResponse response = decoder.takeResponse();
+            assertEquals(
+                    "hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(response.body(), StandardCharsets.US_ASCII), head);
+            assertFalse(response.keepAlive(), head);
         }
     }
 
@@ -200,45 +204,45 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhell\r\n",
             "HTTP/1.1 100 Continue\r\n\r\n"
         }) {
-            ResponseDecoder d = new ResponseDecoder();
-            assertFalse(decode(d, half));
-            assertFalse(d.onConnectionEnd(), half);
+            ResponseDecoder decoder = new ResponseDecoder();
+            assertFalse(decode(decoder, half));
+            assertFalse(decoder.onConnectionEnd(), half);
         }
     }
 
     @Test
     void otherStatusesNeedNoFraming() throws HttpException {
-        ResponseDecoder d = new ResponseDecoder();
-        assertTrue(decode(d, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
-        assertFalse(d.takeResponse().keepAlive());
+        ResponseDecoder decoder = new ResponseDecoder();
+        assertTrue(decode(decoder, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
+        assertFalse(decoder.takeResponse().keepAlive());
     }
 
     @Test
     void streamedBodyWithoutFramingEndsWithTheConnection() throws HttpException {
         StringBuilder body = new StringBuilder();
-        ResponseDecoder d =
+        ResponseDecoder decoder =
                 new ResponseDecoder((from, n) -> body.append(from.readCharSequence(n, StandardCharsets.US_ASCII)));
-        assertFalse(decode(d, "HTTP/1.1 200 OK\r\n\r\nhel"));
-        assertTrue(d.onConnectionEnd());
+        assertFalse(decode(decoder, "HTTP/1.1 200 OK\r\n\r\nhel"));
+        assertTrue(decoder.onConnectionEnd());
         assertEquals("hel", body.toString());
     }
 
     @Test
     void interimResponsesAreSkippedUpToALimit() throws HttpException {
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
-        ResponseDecoder d = new ResponseDecoder();
-        assertFalse(decode(d, interim.repeat(16)));
-        assertTrue(decode(d, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+        ResponseDecoder decoder = new ResponseDecoder();
+        assertFalse(decode(decoder, interim.repeat(16)));
+        assertTrue(decode(decoder, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
         assertThrows(HttpException.class, () -> decode(new ResponseDecoder(), interim.repeat(17)));
     }
 
     @Test
     void bufferedBytesAreCountedAndReleased() throws HttpException {
-        RequestDecoder d = new RequestDecoder();
-        d.decode(Unpooled.copiedBuffer(POST.substring(0, POST.length() - 1), StandardCharsets.US_ASCII));
-        assertTrue(d.bufferedBytes() > 40, "buffered " + d.bufferedBytes());
-        assertTrue(d.decode(Unpooled.copiedBuffer("o", StandardCharsets.US_ASCII)));
-        d.takeRequest();
-        assertEquals(0, d.bufferedBytes());
+        RequestDecoder decoder = new RequestDecoder();
+        decoder.decode(Unpooled.copiedBuffer(POST.substring(0, POST.length() - 1), StandardCharsets.US_ASCII));
+        assertTrue(decoder.bufferedBytes() > 40, "buffered " + decoder.bufferedBytes());
+        assertTrue(decoder.decode(Unpooled.copiedBuffer("o", StandardCharsets.US_ASCII)));
+        decoder.takeRequest();
+        assertEquals(0, decoder.bufferedBytes());
     }
 }
--- a/node/src/test/java/brackenbridge/http/LoadReportTest.java
+++ b/node/src/test/java/brackenbridge/http/LoadReportTest.java
@@ -13,17 +13,18 @@
 class LoadReportTest {
     @Test
     void absentAndInvalidFieldsAreNaN() {
-        LoadReport r = LoadReportParser.parse("queue=2, qps=7.5,unheard_of=3,util=NaN");
-        assertEquals(2, r.queued());
-        assertEquals(7.5, r.requestsPerSecond());
-        assertTrue(Double.isNaN(r.inFlight()) && Double.isNaN(r.utilization()));
+        LoadReport report = LoadReportParser.parse("queue=2, qps=7.5,unheard_of=3,util=NaN");
+        assertEquals(2, report.queued());
+        assertEquals(7.5, report.requestsPerSecond());
+        assertTrue(Double.isNaN(report.inFlight()) && Double.isNaN(report.utilization()));
         assertNull(LoadReportParser.parse(null));
         assertNull(LoadReportParser.parse("queue=,qps"));
     }
 
     @Property(seed = "41", tries = 500)
     void garbageNeverGivesANegativeOrInfiniteValue(@ForAll long seed) {
-        LoadReport r = LoadReportParser.parse(Bytes.mutateRandomly("queue=2,qps=7.5", seed));
-        assertTrue(r == null || !(r.queued() < 0 || r.requestsPerSecond() < 0 || Double.isInfinite(r.queued())));
+        LoadReport report = LoadReportParser.parse(Bytes.mutateRandomly("queue=2,qps=7.5", seed));
+        assertTrue(report == null
+                || !(report.queued() < 0 || report.requestsPerSecond() < 0 || Double.isInfinite(report.queued())));
     }
 }
--- a/node/src/test/java/brackenbridge/log/LogTest.java
+++ b/node/src/test/java/brackenbridge/log/LogTest.java
@@ -44,14 +44,14 @@
     /** Guards the exit of a process, which has to happen before it is killed, against a log that nobody reads. */
     @Test
     void flushOfAnUnreadLogReturnsSoon() throws InterruptedException {
-        CountDownLatch read = new CountDownLatch(1);
+        CountDownLatch released = new CountDownLatch(1);
         Clock system = Clock.system();
-        Log unread = new Log(system, new PrintStream(new BlockedStream(read)));
+        Log unread = new Log(system, new PrintStream(new BlockedStream(released)));
         unread.info("a line");
-        double beginMs = system.nowMs();
+        double startMs = system.nowMs();
         unread.flush();
-        double tookMs = system.nowMs() - beginMs;
-        read.countDown();
+        double tookMs = system.nowMs() - startMs;
+        released.countDown();
         assertTrue(tookMs < MAX_FLUSH_TEST_MS, "took " + tookMs + " ms");
     }
 
--- a/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
+++ b/node/src/test/java/brackenbridge/mgmt/ManagementListenerTest.java
@@ -64,15 +64,15 @@
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket("127.0.0.1", listener.address().getPort());
-        s.setSoTimeout(10_000);
-        return s;
+        Socket socket = new Socket("127.0.0.1", listener.address().getPort());
+        socket.setSoTimeout(10_000);
+        return socket;
     }
 
     private String sendBytes(byte[] bytes) throws IOException {
-        try (Socket s = connect()) {
-            s.getOutputStream().write(bytes);
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        try (Socket socket = connect()) {
+            socket.getOutputStream().write(bytes);
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
@@ -106,16 +106,16 @@
 
     @Test
     void idleAndIncompleteCallsDoNotBlockAValidOne() throws IOException {
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            silent.add(connect());
+            idle.add(connect());
             if (i % 2 == 0) {
-                silent.get(i).getOutputStream().write('P');
+                idle.get(i).getOutputStream().write('P');
             }
         }
         assertEquals("+OK\n", ManagementCall.send(address, "PING"));
         int open = 0;
-        for (Socket s : silent) {
+        for (Socket s : idle) {
             s.setSoTimeout(1);
             try {
                 s.getInputStream().read();
@@ -126,8 +126,8 @@
             }
         }
         assertEquals(true, open <= 16, open + " connections are open");
-        silent.get(299).setSoTimeout(10_000);
-        assertEquals(-1, silent.get(299).getInputStream().read(), "an idle connection is closed");
+        idle.get(299).setSoTimeout(10_000);
+        assertEquals(-1, idle.get(299).getInputStream().read(), "an idle connection is closed");
         assertEquals(
                 List.of(),
                 // A copy, since the listener may still be adding rejections.
@@ -138,7 +138,7 @@
                 rejections.contains(RejectionReason.TOO_SLOW) && rejections.contains(RejectionReason.SHED),
                 rejections.toString());
         assertTrue(rejections.size() <= 300, "each rejection is counted once: " + rejections.size());
-        for (Socket s : silent) {
+        for (Socket s : idle) {
             s.close();
         }
     }
--- a/node/src/test/java/brackenbridge/wire/WireHostTest.java
+++ b/node/src/test/java/brackenbridge/wire/WireHostTest.java
@@ -51,11 +51,11 @@
 
     @Test
     void rejectionsCarryRetryAfter() throws IOException {
-        StringBuilder many = new StringBuilder(FIRST_BATCH + "SYNC\t2000\t2\nCONTEXT\t3\n");
+        StringBuilder requests = new StringBuilder(FIRST_BATCH + "SYNC\t2000\t2\nCONTEXT\t3\n");
         for (int i = 0; i < 40; i++) {
-            many.append("ORDER\t").append(i).append("\tread\t-\t-\t900000\t-\t0\n");
+            requests.append("ORDER\t").append(i).append("\tread\t-\t-\t900000\t-\t0\n");
         }
-        assertTrue(run(many + "EOF_BATCH\n").contains("REJECT\t39\t"));
+        assertTrue(run(requests + "EOF_BATCH\n").contains("REJECT\t39\t"));
     }
 
     @Test
@@ -70,13 +70,13 @@
 
     @Test
     void pollingInstanceOpensAWatchAndRetriesAfterAFailure() throws IOException {
-        String asks = FIRST_BATCH.replace("discovery=pushed", "discovery=on_request\trules.mustAskIn=10000000");
-        String first = run(asks);
+        String polling = FIRST_BATCH.replace("discovery=pushed", "discovery=on_request\trules.mustAskIn=10000000");
+        String first = run(polling);
         assertTrue(first.matches("(?s).*SET_ALARM\t\\d+\tdiscovery 1\n.*"), first);
         assertTrue(!run(FIRST_BATCH).contains("discovery"), "pushed lists need no polls");
         String fired = "SYNC\t5000000\t2\nCONTEXT\t3\nTIMEOUT_FIRED\tdiscovery 1\nEOF_BATCH\n";
-        assertTrue(run(asks + fired).endsWith("FROM\t3\nOBSERVE\t1\nFINISHED\t2\n"));
-        String failed = run(asks + fired + "SYNC\t5100000\t3\nCONTEXT\t3\nENDPOINTS\tFAILED\t-\t-\n"
+        assertTrue(run(polling + fired).endsWith("FROM\t3\nOBSERVE\t1\nFINISHED\t2\n"));
+        String failed = run(polling + fired + "SYNC\t5100000\t3\nCONTEXT\t3\nENDPOINTS\tFAILED\t-\t-\n"
                 + "TIMEOUT_FIRED\tdiscovery 1\nTIMEOUT_FIRED\tdiscovery x\nEOF_BATCH\n"
                 + "SYNC\t7000000\t4\nCONTEXT\t3\nTIMEOUT_FIRED\tdiscovery 2\nEOF_BATCH\n");
         assertTrue(
