--- a/fleet/src/main/java/brackenbridge/fleet/config/TomlTableReader.java
+++ b/fleet/src/main/java/brackenbridge/fleet/config/TomlTableReader.java
@@ -82,7 +82,7 @@
         return toml == null ? null : toml.get(List.of(key));
     }
 
-    /** Reads a string; a required one has null for {@code absent}. */
+    /** Reads a string; a required one has null for {@code defaultValue}. */
     String string(String key, String defaultValue, Pattern pattern) {
         Object v = value(key);
         if (v == null && defaultValue == null) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -134,7 +134,7 @@
         Gauge.builder("fleet.replica.level", () -> replica.level().level() ? 1 : 0)
                 .register(metrics);
         Gauge.builder("fleet.replica.on.disk", () -> replica.figures().onDisk() ? 1 : 0)
-                .description("1 while writes of the replica to disk succeed; 0 without a disk")
+                .description("1 while the disk takes what the replica writes; 0 without a disk")
                 .register(metrics);
         agreement.bind(metrics);
         commandHandlers.put("state", new StateAdminHandler(replica));
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
@@ -33,9 +33,9 @@
      * Creates the reporter of one node.
      *
      * @param tier the tier that the node sends requests to
-     * @param connections the requests that a server of weight 1 may have in flight; 0 if unknown
-     * @param coldFrom the fraction of its capacity that a server has when it starts
-     * @param coldMs the time until a server reaches its full capacity, in milliseconds
+     * @param connectionsPerWeight the requests that a server of weight 1 may have in flight; 0 if unknown
+     * @param initialCapacityRatio the fraction of its capacity that a server has when it starts
+     * @param warmUpMs the time until a server reaches its full capacity, in milliseconds
      */
     PoolReporter(String tier, double connectionsPerWeight, double initialCapacityRatio, double warmUpMs) {
         this.tier = tier;
@@ -68,8 +68,8 @@
                             Long::sum));
             snapshot.pools().forEach((k, t) -> {
                 PoolTally earlierTally = earlier.pools().getOrDefault(k, EMPTY_TALLY);
-                // A rejected request was sent to no pool: rejections are divided by the pools' fractions of the sent
-                // requests.
+                // A rejected request was sent to no pool: rejections are divided among the pools in proportion to their
+                // first attempts.
                 double fraction = firstAttemptsByClass.get(k.className()) == 0
                         ? 0
                         : (t.firstAttempts() - earlierTally.firstAttempts())
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -315,7 +315,7 @@
         recordSample(span, state, beforeMs, reportSpan, reportSpan);
     }
 
-    /** Records a state that was observed at some time between {@code before} and now. */
+    /** Records a state that was observed at some time between {@code beforeMs} and now. */
     private void recordSample(Span span, Object state, double beforeMs, Runnable onChange, Runnable onReport) {
         if (!state.equals(span.state)) {
             if (span.state != null) {
--- a/node/src/main/java/brackenbridge/handover/Handover.java
+++ b/node/src/main/java/brackenbridge/handover/Handover.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Replaces a node's process without losing connections. A process starts as the successor of the running process, and
- * later is the predecessor of the next one. Confined to the node's event loop.
+ * One process's side of the replacement of a node's process. A process starts as the successor of the running process,
+ * and later is the predecessor of the next one. Confined to the node's event loop.
  */
 public final class Handover {
     /** Below the limit of operating systems for the path of a Unix socket, which is 104 bytes or more. */
--- a/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Decides when a listening channel accepts connections: while its owner allows it, except for a short pause after a
- * failed accept. The handler precedes Netty's own acceptor and does not pass failures on to it. Confined to the
- * channel's event loop.
+ * Decides when a listening channel accepts connections: while its owner allows it, except for a short pause after an
+ * accept that failed for lack of a resource. The handler precedes Netty's own acceptor and does not pass failures on to
+ * it. Confined to the channel's event loop.
  */
 public final class AcceptRecovery extends ChannelInboundHandlerAdapter {
     private final AcceptBackoff backoff = new AcceptBackoff();
