--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -138,10 +138,10 @@
                 .register(metrics);
         agreement.bind(metrics);
         commandHandlers.put("state", new StateAdminHandler(replica));
-        SettingsAdminHandler settings = new SettingsAdminHandler(agreement, MAJORITY_TIMEOUT_MS);
+        SettingsAdminHandler settingsHandler = new SettingsAdminHandler(agreement, MAJORITY_TIMEOUT_MS);
         commandHandlers.put("settings", (words, body, json) -> {
             SettingsAdminHandler.Reply reply =
-                    runSettingsCommand(settings, words, new String(body, StandardCharsets.UTF_8));
+                    runSettingsCommand(settingsHandler, words, new String(body, StandardCharsets.UTF_8));
             return new AdminHttpServer.Reply(
                     reply.done(),
                     words.equals(List.of("status")) ? reply.text() + nodeStatusSupplier.get() : reply.text());
@@ -203,8 +203,8 @@
     }
 
     /** Sets what {@code settings status} reports about nodes; to be called before {@link #start}. */
-    public void setNodeStatusSupplier(Supplier<String> status) {
-        nodeStatusSupplier = status;
+    public void setNodeStatusSupplier(Supplier<String> supplier) {
+        nodeStatusSupplier = supplier;
     }
 
     /** Adds a command that operators may call; to be called before {@link #start}. */
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -59,10 +59,11 @@
     public void onStarting(Node node) throws IOException {
         Clock clock = Clock.system();
         member = new FleetNode(fleetFile, config.name(), clock);
-        double slots = fleetFile.shares() == null ? 0 : fleetFile.shares().connectionsPerServer();
-        PoolReporter reports = new PoolReporter(
+        double connectionsPerServer =
+                fleetFile.shares() == null ? 0 : fleetFile.shares().connectionsPerServer();
+        PoolReporter reporter = new PoolReporter(
                 pool,
-                slots,
+                connectionsPerServer,
                 config.settings().coldCapacityRatio(),
                 config.settings().warmUpTime() / 1000.0);
         CommandFilter commandFilter = new CommandFilter(fleetFile.agreement().maxClockDrift());
@@ -77,7 +78,7 @@
         node.startObserving();
         scheduleEvery(
                 POOL_REPORT_INTERVAL_MS,
-                () -> publish(RecordSpace.POOLS, reports.report(node.observation()), publishedPoolKeys));
+                () -> publish(RecordSpace.POOLS, reporter.report(node.observation()), publishedPoolKeys));
         scheduleEvery(DEMAND_REPORT_INTERVAL_MS, () -> {
             List<TenantUse> tenants = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -377,9 +377,9 @@
                                     "level",
                                     replica.level().level(),
                                     "links",
-                                    links instanceof TcpPeerLinks t ? t.figures() : Map.of(),
+                                    links instanceof TcpPeerLinks tcpLinks ? tcpLinks.figures() : Map.of(),
                                     "replica",
-                                    replica instanceof ReplicaNode n ? n.figures() : Map.of()));
+                                    replica instanceof ReplicaNode replicaNode ? replicaNode.figures() : Map.of()));
                 case "propose" -> propose(words[1], words[2]);
                 case "watch" -> watch(watchedValues, words[1]);
                 case "acting" ->
@@ -456,9 +456,9 @@
                                         : "failed: " + fault.getMessage())));
     }
 
-    private void acquireRole(String role, double forMs) {
+    private void acquireRole(String role, double durationMs) {
         watch(watchedRoles, role);
-        agreement.acquire(role, forMs);
+        agreement.acquire(role, durationMs);
     }
 
     private void reportFinalState(String[] words) {
