--- a/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/AdminCommand.java
@@ -19,20 +19,22 @@
 import java.util.stream.Collectors;
 
 /**
- * A command that a running member answers: its words go to the member's page, what comes back is printed. Exit status:
- * 0; 1 where the member said no or did not answer; 2 for a command line that can't be used.
+ * A command that is sent to the admin server of a running member and prints the response. The exit status is 0 on
+ * success, 1 if the member rejected the command or did not respond, and 2 for an invalid command line.
  */
 abstract class AdminCommand implements Extension {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
-    private static final class Line {
-        @Parameter(names = "--at", description = "A member's page, address:port; by default $BRACKENBRIDGE_FLEET")
+    private static final class Options {
+        @Parameter(
+                names = "--at",
+                description = "The admin address of a member, address:port; by default $BRACKENBRIDGE_FLEET")
         private String at = System.getenv("BRACKENBRIDGE_FLEET");
 
-        @Parameter(names = "--json", description = "For programs")
+        @Parameter(names = "--json", description = "Print the response as JSON")
         private boolean json;
 
-        @Parameter(names = "--file", description = "A file that goes with the call")
+        @Parameter(names = "--file", description = "A file to send with the command")
         private String file;
 
         @Parameter(description = "WORDS")
@@ -54,45 +56,48 @@
 
     @Override
     public int run(String[] args) {
-        Line line = new Line();
+        Options options = new Options();
         byte[] body = new byte[0];
         try {
             JCommander.newBuilder()
                     .programName("brackenbridge " + name)
-                    .addObject(line)
+                    .addObject(options)
                     .build()
                     .parse(args);
-            if (line.file != null) {
-                body = Files.readAllBytes(Path.of(line.file));
+            if (options.file != null) {
+                body = Files.readAllBytes(Path.of(options.file));
             }
         } catch (ParameterException | IOException e) {
-            return unusable(String.valueOf(e.getMessage()));
+            return reportUsageError(String.valueOf(e.getMessage()));
         }
-        if (line.words.isEmpty() || line.at == null) {
-            return unusable(line.at == null ? "no member: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET" : usage);
+        if (options.words.isEmpty() || options.at == null) {
+            return reportUsageError(
+                    options.at == null
+                            ? "no member address: give --at ADDRESS:PORT or set BRACKENBRIDGE_FLEET"
+                            : usage);
         }
         try {
-            String path = line.words.stream()
+            String path = options.words.stream()
                     .map(w -> URLEncoder.encode(w, StandardCharsets.UTF_8))
                     .collect(Collectors.joining("/"));
-            HttpResponse<String> answer = HttpClient.newHttpClient()
+            HttpResponse<String> response = HttpClient.newHttpClient()
                     .send(
-                            HttpRequest.newBuilder(URI.create("http://" + line.at + "/call/" + name + "/" + path
-                                            + (line.json ? "?json" : "")))
-                                    .timeout(PATIENCE)
+                            HttpRequest.newBuilder(URI.create("http://" + options.at + "/call/" + name + "/" + path
+                                            + (options.json ? "?json" : "")))
+                                    .timeout(TIMEOUT)
                                     .POST(HttpRequest.BodyPublishers.ofByteArray(body))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            (answer.statusCode() == 200 ? System.out : System.err)
+            (response.statusCode() == 200 ? System.out : System.err)
                     .println(
-                            answer.body().isEmpty()
-                                    ? "brackenbridge: " + line.at + " answers " + answer.statusCode()
-                                    : answer.body().stripTrailing());
-            return answer.statusCode() == 200 ? 0 : 1;
+                            response.body().isEmpty()
+                                    ? "brackenbridge: " + options.at + " responded with status " + response.statusCode()
+                                    : response.body().stripTrailing());
+            return response.statusCode() == 200 ? 0 : 1;
         } catch (IllegalArgumentException e) {
-            return unusable(e.getMessage());
+            return reportUsageError(e.getMessage());
         } catch (IOException e) {
-            System.err.println("brackenbridge: no answer from " + line.at + ": " + e.getMessage());
+            System.err.println("brackenbridge: no response from " + options.at + ": " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -100,8 +105,8 @@
         }
     }
 
-    private static int unusable(String why) {
-        System.err.println("brackenbridge: " + why);
+    private static int reportUsageError(String reason) {
+        System.err.println("brackenbridge: " + reason);
         return 2;
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
+++ b/fleet/src/main/java/brackenbridge/fleet/cli/ControlCommand.java
@@ -2,8 +2,8 @@
 
 import brackenbridge.cli.Extension;
 import brackenbridge.clock.Clock;
-import brackenbridge.fleet.config.FileFaults;
 import brackenbridge.fleet.config.FleetFile;
+import brackenbridge.fleet.config.FleetFileException;
 import brackenbridge.fleet.node.ControlService;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
@@ -11,22 +11,22 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Runs a control machine until a signal ends it. */
+/** Runs a control machine until the process receives a signal. */
 public final class ControlCommand implements Extension {
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
-    private static final class Line {
-        @Parameter(names = "--fleet", description = "The fleet's file", required = true)
+    private static final class Options {
+        @Parameter(names = "--fleet", description = "The fleet file", required = true)
         private String fleet;
 
-        @Parameter(names = "--name", description = "This machine's name in it", required = true)
+        @Parameter(names = "--name", description = "This machine's name in the fleet file", required = true)
         private String name;
 
-        @Parameter(names = "--json-log", description = "The log lines as JSON")
+        @Parameter(names = "--json-log", description = "Write log lines as JSON")
         private boolean json;
     }
 
-    /** For the ServiceLoader. */
+    /** Called by the ServiceLoader. */
     public ControlCommand() {}
 
     @Override
@@ -36,35 +36,35 @@
 
     @Override
     public int run(String[] args) {
-        Line line = new Line();
+        Options options = new Options();
         ControlService service;
         try {
             JCommander.newBuilder()
                     .programName("brackenbridge control")
-                    .addObject(line)
+                    .addObject(options)
                     .build()
                     .parse(args);
-            if (line.json) {
+            if (options.json) {
                 System.setProperty("logback.configurationFile", "logback-json.xml");
             }
-            service = new ControlService(FleetFile.read(Path.of(line.fleet)), line.name, Clock.system());
+            service = new ControlService(FleetFile.read(Path.of(options.fleet)), options.name, Clock.system());
             service.start();
         } catch (ParameterException | IllegalArgumentException | IOException e) {
             System.err.println("brackenbridge: " + e.getMessage());
-            return USAGE;
-        } catch (FileFaults e) {
+            return EXIT_USAGE;
+        } catch (FleetFileException e) {
             System.err.println(String.join("; ", e.faults()));
-            return USAGE;
+            return EXIT_USAGE;
         }
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
                             service.close();
-                            // A signal would exit with 143; a stop that ends well ends with 0.
+                            // After its hooks the runtime would exit with 143; a clean shutdown has to exit with 0.
                             Runtime.getRuntime().halt(0);
                         },
                         "stop"));
-        System.out.println("control machine " + line.name + " serves nodes at "
+        System.out.println("control machine " + options.name + " serves nodes at "
                 + service.address().getAddress().getHostAddress() + ":"
                 + service.address().getPort());
         try {
--- a/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
+++ b/fleet/src/main/java/brackenbridge/fleet/control/ControlClient.java
@@ -183,7 +183,7 @@
                         channel.pipeline().addLast(ControlFrames.decoder(), newSession);
                     }
                 });
-        newSession.channel = ConnectAttempt.begin(attempt, loop, address, newSession);
+        newSession.channel = ConnectAttempt.start(attempt, loop, address, newSession);
     }
 
     private static InetSocketAddress parseAddress(String text) {
@@ -232,17 +232,17 @@
         }
 
         @Override
-        public void connected() {
+        public void onConnected() {
             // The subscription is sent when the channel becomes active.
         }
 
         @Override
-        public void connectFailed(Throwable cause) {
+        public void onConnectFailed(Throwable cause) {
             failSession(this, "connect failed: " + cause.getMessage());
         }
 
         @Override
-        public void notBegun(Throwable cause) {
+        public void onSocketUnavailable(Throwable cause) {
             failSession(this, "opening a socket failed: " + cause.getMessage());
         }
 
--- a/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/AdminHttpServer.java
@@ -18,112 +18,119 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where staff and a metrics system reach a member: {@code GET /metrics} for Prometheus, {@code POST /call/ROOM/WORD...}
- * for the commands, each word of the command a part of the path, a file of the command as the body.
+ * The HTTP server for operators and monitoring of a member. It serves {@code GET /metrics} for Prometheus and
+ * {@code POST /call/COMMAND/WORD...} for commands; each word of a command is a path segment, and its file is the body.
  */
 public final class AdminHttpServer implements AutoCloseable {
-    /** The longest body of a call: a plan or settings. */
-    private static final int LONGEST = 1 << 20;
+    /** Limits the body of a call, which is a plan or settings. */
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private static final int THREADS = 4;
-    private static final int WAITING = 16;
+    private static final int MAX_WAITING_REQUESTS = 16;
     private static final Logger LOG = LoggerFactory.getLogger(AdminHttpServer.class);
 
     /**
-     * What a room answers.
+     * The response to a command.
      *
-     * @param done whether it did what it was told; a command exits with 1 where it is false
-     * @param text for people, or JSON where that was asked for
+     * @param succeeded whether the command succeeded; if not, the command line exits with 1
+     * @param text the response, as JSON if that was requested
      */
-    public record Answer(boolean done, String text) {}
+    public record Reply(boolean succeeded, String text) {}
 
-    /** A room's calls. */
+    /** Handles the calls of one command. */
     @FunctionalInterface
-    public interface Calls {
+    public interface CommandHandler {
         /**
-         * Answers a call.
+         * Handles a call and returns the response.
          *
-         * @param words the command's words after the room's name
-         * @param body the file that the command names; empty if none
-         * @param json whether a program reads the answer
+         * @param words the words after the name of the command
+         * @param body the content of the command's file; empty if there is none
+         * @param json whether the response has to be JSON
          */
-        Answer call(List<String> words, byte[] body, boolean json);
+        Reply handle(List<String> words, byte[] body, boolean json);
     }
 
     private final HttpServer server;
     private final ThreadPoolExecutor threads;
 
-    /** Listens; fails if the address is not to be had. */
-    public AdminHttpServer(InetSocketAddress at, PrometheusMeterRegistry metrics, Map<String, Calls> rooms)
+    /** Starts to listen; fails if the address can't be bound. */
+    public AdminHttpServer(
+            InetSocketAddress address, PrometheusMeterRegistry metrics, Map<String, CommandHandler> handlers)
             throws IOException {
-        // Guards the few threads against callers that send nothing: by default the server waits for them for ever.
+        // Guards the small thread pool against idle callers: by default the server waits for a request without limit.
         System.setProperty("sun.net.httpserver.maxReqTime", "10");
         System.setProperty("sun.net.httpserver.maxRspTime", "10");
-        server = HttpServer.create(at, WAITING);
+        server = HttpServer.create(address, MAX_WAITING_REQUESTS);
         threads = new ThreadPoolExecutor(
                 THREADS,
                 THREADS,
                 1,
                 TimeUnit.MINUTES,
-                new ArrayBlockingQueue<>(WAITING),
+                new ArrayBlockingQueue<>(MAX_WAITING_REQUESTS),
                 r -> {
-                    Thread t = new Thread(r, "fleet-page");
-                    t.setDaemon(true);
-                    return t;
+                    Thread thread = new Thread(r, "fleet-page");
+                    thread.setDaemon(true);
+                    return thread;
                 },
                 new ThreadPoolExecutor.CallerRunsPolicy());
         server.setExecutor(threads);
-        server.createContext("/metrics", x -> {
-            try (x) {
-                answer(x, 200, "text/plain; version=0.0.4; charset=utf-8", metrics.scrape());
+        server.createContext("/metrics", exchange -> {
+            try (exchange) {
+                respond(exchange, 200, "text/plain; version=0.0.4; charset=utf-8", metrics.scrape());
             }
         });
-        server.createContext("/call/", x -> {
-            try (x) {
-                call(x, rooms);
+        server.createContext("/call/", exchange -> {
+            try (exchange) {
+                handleCall(exchange, handlers);
             }
         });
         server.start();
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens at. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
 
-    private static void call(HttpExchange x, Map<String, Calls> rooms) throws IOException {
+    private static void handleCall(HttpExchange exchange, Map<String, CommandHandler> handlers) throws IOException {
         byte[] body;
-        try (InputStream in = x.getRequestBody()) {
-            body = in.readNBytes(LONGEST + 1);
+        try (InputStream in = exchange.getRequestBody()) {
+            body = in.readNBytes(MAX_BODY_BYTES + 1);
         }
         List<String> words = new ArrayList<>();
-        for (String part :
-                x.getRequestURI().getRawPath().substring("/call/".length()).split("/")) {
+        for (String part : exchange.getRequestURI()
+                .getRawPath()
+                .substring("/call/".length())
+                .split("/")) {
             words.add(URLDecoder.decode(part, StandardCharsets.UTF_8));
         }
-        Calls room = rooms.get(words.remove(0));
-        if (!x.getRequestMethod().equals("POST") || body.length > LONGEST || room == null) {
-            answer(x, room == null ? 404 : body.length > LONGEST ? 413 : 405, "text/plain", "");
+        CommandHandler handler = handlers.get(words.remove(0));
+        if (!exchange.getRequestMethod().equals("POST") || body.length > MAX_BODY_BYTES || handler == null) {
+            respond(exchange, handler == null ? 404 : body.length > MAX_BODY_BYTES ? 413 : 405, "text/plain", "");
             return;
         }
-        boolean json = "json".equals(x.getRequestURI().getQuery());
-        Answer a;
+        boolean json = "json".equals(exchange.getRequestURI().getQuery());
+        Reply reply;
         try {
-            a = room.call(words, body, json);
+            reply = handler.handle(words, body, json);
         } catch (IllegalArgumentException e) {
-            a = new Answer(false, e.getMessage());
+            reply = new Reply(false, e.getMessage());
         } catch (RuntimeException e) {
-            LOG.error("call {} failed", words, e);
-            a = new Answer(false, "failed: " + e);
+            LOG.error("admin command {} failed", words, e);
+            reply = new Reply(false, "failed: " + e);
         }
-        answer(x, a.done() ? 200 : 409, json ? "application/json" : "text/plain; charset=utf-8", a.text());
+        respond(
+                exchange,
+                reply.succeeded() ? 200 : 409,
+                json ? "application/json" : "text/plain; charset=utf-8",
+                reply.text());
     }
 
-    private static void answer(HttpExchange x, int status, String type, String text) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String type, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        x.getResponseHeaders().set("Content-Type", type);
-        x.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
-        x.getResponseBody().write(bytes);
+        exchange.getResponseHeaders().set("Content-Type", type);
+        exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
+        exchange.getResponseBody().write(bytes);
     }
 
     @Override
--- a/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/ControlService.java
@@ -17,10 +17,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A control machine in a process: a member of the agreement that passes agreed values on to the nodes. */
+/** A control machine: a member of the fleet that distributes agreed values to the subscribed nodes. */
 public final class ControlService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlService.class);
-    private static final long REPORT_MS = 1000;
+    private static final long REPORT_INTERVAL_MS = 1000;
 
     private final FleetNode member;
     private final ControlServer server;
@@ -32,18 +32,18 @@
     });
 
     /**
-     * A control machine that is not started; its disk is read.
+     * Creates a control machine, which reads its data from disk and is not started yet.
      *
-     * @throws IllegalArgumentException if the file does not name it
-     * @throws IOException if its disk can't be used
+     * @throws IllegalArgumentException if the fleet file does not contain a control machine with this name
+     * @throws IOException if the data on disk can't be used
      */
     public ControlService(FleetFile file, String name, Clock clock) throws IOException {
         ControlMachine machine = file.control() == null ? null : file.control().machine(name);
         if (machine == null) {
-            throw new IllegalArgumentException("the fleet's file names no control machine '" + name + "'");
+            throw new IllegalArgumentException("the fleet file contains no control machine named '" + name + "'");
         }
         member = new FleetNode(file, name, clock);
-        AgreementMember agreed = member.agreed();
+        AgreementMember agreed = member.agreement();
         int colon = machine.address().lastIndexOf(':');
         InetSocketAddress address = new InetSocketAddress(
                 machine.address().substring(0, colon),
@@ -59,29 +59,29 @@
                 agreed::hasValidLease,
                 member.metrics());
         exchange = new ReportExchange(member.links(), clock);
-        member.statusOfNodes(() -> FleetStatus.format(exchange.latestReports()));
+        member.setNodeStatusSupplier(() -> FleetStatus.format(exchange.latestReports()));
         agreed.addValueListener(value -> agreed.lastKnown(value)
                 .ifPresent(known -> server.publish(new Resource(known.name(), known.generation(), known.content()))));
     }
 
-    /** Begins; fails if an address is not to be had. */
+    /** Starts the control machine; fails if an address can't be bound. */
     public void start() throws IOException {
         member.start();
         server.start();
-        timer.scheduleWithFixedDelay(this::report, REPORT_MS, REPORT_MS, TimeUnit.MILLISECONDS);
-        LOG.info("control machine {} serves nodes at {}", member.me().name(), server.address());
+        timer.scheduleWithFixedDelay(this::sendReport, REPORT_INTERVAL_MS, REPORT_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        LOG.info("control machine {} serves nodes at {}", member.self().name(), server.address());
     }
 
-    private void report() {
+    private void sendReport() {
         try {
             exchange.send(server.report());
         } catch (RuntimeException e) {
-            // Guards the next report: a schedule ends with the first exception.
-            LOG.error("a report failed", e);
+            // Guards the next report: the scheduler cancels a task that throws.
+            LOG.error("failed to send the report of subscribed nodes", e);
         }
     }
 
-    /** Where nodes reach it. */
+    /** Returns the address at which nodes connect. */
     public InetSocketAddress address() {
         return server.address();
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -29,16 +29,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A member of the fleet in a process: its links, its copy of the records, its part of the agreement, and its page. */
+/** A member of a fleet: its links to peers, its replica, its part in the agreement protocol and its admin server. */
 public final class FleetNode implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(FleetNode.class);
-    private static final double AGREED_BEAT_MS = 150;
-    private static final int AGREED_PATIENCE = 5;
-    private static final double LONGEST_ROLE_MS = 60_000;
-    /** How long staff wait for a majority. */
-    private static final double PATIENCE_MS = 10_000;
+    private static final double AGREEMENT_HEARTBEAT_MS = 150;
+    private static final int LEADER_TIMEOUT_HEARTBEATS = 5;
+    private static final double MAX_ROLE_LEASE_MS = 60_000;
+    /** How long an operator's command waits for a majority. */
+    private static final double MAJORITY_TIMEOUT_MS = 10_000;
 
-    /** Counts of the links that come into being only with their first event. */
+    /** Counters of the links that do not exist before their first event. */
     private static final List<String> LINK_COUNTS = List.of(
             "bytes_in",
             "bytes_out",
@@ -53,62 +53,62 @@
             "frames_unreadable");
 
     private final FleetFile file;
-    private final Member me;
+    private final Member self;
     private final ReplicaDisk disk;
     private final TcpPeerLinks links;
     private final ReplicaNode replica;
-    private final AgreementMember agreed;
+    private final AgreementMember agreement;
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final Map<String, AdminHttpServer.Calls> rooms = new LinkedHashMap<>();
-    private AdminHttpServer page;
-    private Supplier<String> statusOfNodes = () -> "";
+    private final Map<String, AdminHttpServer.CommandHandler> commandHandlers = new LinkedHashMap<>();
+    private AdminHttpServer adminServer;
+    private Supplier<String> nodeStatusSupplier = () -> "";
 
     /**
-     * A member that is not started; its disk is read.
+     * Creates a member, which reads its data from disk and is not started yet.
      *
-     * @throws IllegalArgumentException if the file does not name it
-     * @throws IOException if its disk can't be used: it is another fleet's or another member's
+     * @throws IllegalArgumentException if the fleet file does not contain a member with this name
+     * @throws IOException if the data on disk can't be used, for example because it belongs to another member
      */
     public FleetNode(FleetFile file, String name, Clock clock) throws IOException {
         this.file = file;
-        me = file.member(name);
-        if (me == null) {
-            throw new IllegalArgumentException("the fleet's file names no member '" + name + "'");
+        self = file.member(name);
+        if (self == null) {
+            throw new IllegalArgumentException("the fleet file contains no member named '" + name + "'");
         }
         Path directory = file.directory() == null ? null : file.directory().resolve(name);
         disk = directory == null ? null : ReplicaDisk.open(directory, file.fleet(), name, clock.nowMs());
-        long life = disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation();
-        PeerLimits usual = PeerLimits.defaults();
-        FleetFile.Links l = file.links();
+        long incarnation = disk == null ? ReplicaDisk.incarnationWithoutDisk(clock.nowMs()) : disk.incarnation();
+        PeerLimits defaults = PeerLimits.defaults();
+        FleetFile.Links linkSettings = file.links();
         List<Member> peers =
                 file.members().stream().filter(m -> !m.name().equals(name)).toList();
-        String listenAddress = file.listen().getOrDefault(name, me.address());
+        String listenAddress = file.listenAddresses().getOrDefault(name, self.address());
         links = new TcpPeerLinks(
-                me,
+                self,
                 listenAddress,
-                life,
+                incarnation,
                 file.fleet(),
                 peers,
                 clock,
                 new PeerLimits(
-                        l.frameBytes(),
-                        l.queueBytes(),
-                        usual.maxQueueMessages(),
-                        l.beatMs(),
-                        l.suspectMs(),
-                        l.goneMs(),
-                        usual.handshakeTimeoutMs(),
-                        usual.dialBackoffMinMs(),
-                        usual.dialBackoffMaxMs(),
-                        usual.maxPendingHandshakes(),
-                        usual.probeHelpers()));
+                        linkSettings.maxFrameBytes(),
+                        linkSettings.maxQueueBytes(),
+                        defaults.maxQueueMessages(),
+                        linkSettings.heartbeatMs(),
+                        linkSettings.suspectAfterMs(),
+                        linkSettings.deadAfterMs(),
+                        defaults.handshakeTimeoutMs(),
+                        defaults.dialBackoffMinMs(),
+                        defaults.dialBackoffMaxMs(),
+                        defaults.maxPendingHandshakes(),
+                        defaults.probeHelpers()));
         replica = new ReplicaNode(
                 links,
                 disk,
                 clock,
-                ReplicationLimits.DEFAULT.withBytesPerSecond(file.replica().bytesPerSecond()));
-        FleetFile.Agreement a = file.agreed();
-        agreed = new AgreementMember(
+                ReplicationLimits.DEFAULT.withBytesPerSecond(file.replication().bytesPerSecond()));
+        FleetFile.Agreement agreementSettings = file.agreement();
+        agreement = new AgreementMember(
                 links,
                 directory,
                 clock,
@@ -116,20 +116,19 @@
                         file.fleet(),
                         file.members().stream()
                                 .map(Member::name)
-                                .limit(a.voters())
+                                .limit(agreementSettings.voters())
                                 .toList(),
-                        new LeaseTerms(a.leaseMs(), a.drift()),
-                        AGREED_BEAT_MS,
-                        AGREED_PATIENCE,
-                        LONGEST_ROLE_MS,
-                        life));
-        Set<String> shown = new TreeSet<>(links.metrics().keySet());
-        shown.addAll(LINK_COUNTS);
-        shown.forEach(k -> Gauge.builder(
+                        new LeaseTerms(agreementSettings.leaseMs(), agreementSettings.maxClockDrift()),
+                        AGREEMENT_HEARTBEAT_MS,
+                        LEADER_TIMEOUT_HEARTBEATS,
+                        MAX_ROLE_LEASE_MS,
+                        incarnation));
+        Set<String> linkMetrics = new TreeSet<>(links.metrics().keySet());
+        linkMetrics.addAll(LINK_COUNTS);
+        linkMetrics.forEach(k -> Gauge.builder(
                         "fleet.links." + k, () -> links.metrics().getOrDefault(k, 0.0))
                 .register(metrics));
-        Gauge.builder("fleet.replica.behind", () -> replica.syncState().missingWrites())
-                .register(metrics);
+        Gauge.builder("fleet.replica.behind", () -> replica.syncState().missingWrites()).register(metrics);
         Gauge.builder("fleet.replica.differing", () -> replica.syncState().differingLogs())
                 .register(metrics);
         Gauge.builder("fleet.replica.level", () -> replica.syncState().caughtUp() ? 1 : 0)
@@ -137,112 +136,115 @@
         Gauge.builder("fleet.replica.on.disk", () -> replica.statistics().diskHealthy() ? 1 : 0)
                 .description("1 while the disk takes what the replica writes; 0 without a disk")
                 .register(metrics);
-        agreed.registerMetrics(metrics);
-        rooms.put("state", new StateAdminHandler(replica));
-        SettingsAdminHandler settings = new SettingsAdminHandler(agreed, PATIENCE_MS);
-        rooms.put("settings", (words, body, json) -> {
-            SettingsAdminHandler.Reply r = settings(settings, words, new String(body, StandardCharsets.UTF_8));
-            return new AdminHttpServer.Answer(
-                    r.succeeded(), words.equals(List.of("status")) ? r.text() + statusOfNodes.get() : r.text());
+        agreement.registerMetrics(metrics);
+        commandHandlers.put("state", new StateAdminHandler(replica));
+        SettingsAdminHandler settingsHandler = new SettingsAdminHandler(agreement, MAJORITY_TIMEOUT_MS);
+        commandHandlers.put("settings", (words, body, json) -> {
+            SettingsAdminHandler.Reply reply =
+                    runSettingsCommand(settingsHandler, words, new String(body, StandardCharsets.UTF_8));
+            return new AdminHttpServer.Reply(
+                    reply.succeeded(),
+                    words.equals(List.of("status")) ? reply.text() + nodeStatusSupplier.get() : reply.text());
         });
     }
 
-    private static SettingsAdminHandler.Reply settings(SettingsAdminHandler calls, List<String> words, String file) {
+    private static SettingsAdminHandler.Reply runSettingsCommand(
+            SettingsAdminHandler handler, List<String> words, String file) {
         String name = words.size() > 1 && !words.get(0).equals("withdraw") ? words.get(1) : AgreedValues.SETTINGS;
         return switch (words.get(0)) {
-            case "propose" -> calls.propose(name, file, -1);
-            case "show" -> calls.show(name);
-            case "history" -> calls.history(name);
-            case "withdraw" -> calls.withdraw(AgreedValues.SETTINGS, generation(words));
-            case "status" -> calls.status();
+            case "propose" -> handler.propose(name, file, -1);
+            case "show" -> handler.show(name);
+            case "history" -> handler.history(name);
+            case "withdraw" -> handler.withdraw(AgreedValues.SETTINGS, parseGeneration(words));
+            case "status" -> handler.status();
             default ->
                 throw new IllegalArgumentException(
                         "settings propose --file FILE | show | history | withdraw GENERATION | status");
         };
     }
 
-    private static long generation(List<String> words) {
+    private static long parseGeneration(List<String> words) {
         try {
             return Long.parseLong(words.size() > 1 ? words.get(1) : "");
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(
-                    "settings withdraw GENERATION: the generation whose content is to hold " + "again", e);
+                    "settings withdraw GENERATION: the generation whose content is to be restored", e);
         }
     }
 
-    /** Its fleet's file. */
+    /** Returns the fleet file. */
     public FleetFile file() {
         return file;
     }
 
-    /** Itself, as the file has it. */
-    public Member me() {
-        return me;
+    /** Returns this member's entry of the fleet file. */
+    public Member self() {
+        return self;
     }
 
-    /** Its links. */
+    /** Returns the links to the peers. */
     public TcpPeerLinks links() {
         return links;
     }
 
-    /** Its copy of the records. */
+    /** Returns the replica of the fleet's records. */
     public ReplicaNode replica() {
         return replica;
     }
 
-    /** Its part of the agreement. */
-    public AgreementMember agreed() {
-        return agreed;
+    /** Returns this member's part in the agreement protocol. */
+    public AgreementMember agreement() {
+        return agreement;
     }
 
-    /** Its figures. */
+    /** Returns the metrics of this member. */
     public PrometheusMeterRegistry metrics() {
         return metrics;
     }
 
-    /** What {@code settings status} says of nodes beside the agreement; before {@link #start}. */
-    public void statusOfNodes(Supplier<String> status) {
-        statusOfNodes = status;
+    /** Sets what {@code settings status} reports about nodes; to be called before {@link #start}. */
+    public void setNodeStatusSupplier(Supplier<String> supplier) {
+        nodeStatusSupplier = supplier;
     }
 
-    /** A room of this member that staff may call; before {@link #start}. */
-    public void room(String name, AdminHttpServer.Calls calls) {
-        rooms.put(name, calls);
+    /** Adds a command that operators may call; to be called before {@link #start}. */
+    public void addCommandHandler(String name, AdminHttpServer.CommandHandler handler) {
+        commandHandlers.put(name, handler);
     }
 
-    /** Begins; fails if an address is not to be had. */
+    /** Starts the member; fails if an address can't be bound. */
     public void start() throws IOException {
         replica.start();
-        agreed.start();
+        agreement.start();
         links.start();
-        String at = file.page().get(me.name());
-        if (at != null) {
-            int colon = at.lastIndexOf(':');
-            page = new AdminHttpServer(
-                    new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
+        String address = file.adminAddresses().get(self.name());
+        if (address != null) {
+            int colon = address.lastIndexOf(':');
+            adminServer = new AdminHttpServer(
+                    new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
                     metrics,
-                    rooms);
+                    commandHandlers);
         }
         LOG.info(
-                "member {} of fleet {}, life {}, {} peers, {} disk",
-                me.name(),
+                "member {} of fleet {} started: incarnation {}, {} peers, {} disk",
+                self.name(),
                 file.fleet(),
                 links.incarnation(),
                 links.peers().size(),
                 disk == null ? "no" : "with a");
     }
 
-    /** Where its page is; null if it has none. */
-    public InetSocketAddress page() {
-        return page == null ? null : page.address();
+    /** Returns the address of the admin server; null if there is none. */
+    public InetSocketAddress adminAddress() {
+        return adminServer == null ? null : adminServer.address();
     }
 
     @Override
     public void close() {
-        if (page != null) {
-            page.close();
+        if (adminServer != null) {
+            adminServer.close();
         }
-        agreed.close();
+        agreement.close();
         links.close();
         replica.close();
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -27,96 +27,98 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A node and its part of the fleet in one process: what the node sees goes into records, what the fleet decides goes to
- * the node's reducer as events. The node's loop waits for nothing here.
+ * A node that is also a member of a fleet. It publishes the node's observations as replicated records and passes the
+ * fleet's decisions to the node's reducer as events. It never blocks the node's event loop.
  */
 public final class FleetParticipant implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(FleetParticipant.class);
-    private static final long POOLS_MS = 1000;
-    private static final long DEMAND_MS = 500;
+    private static final long POOL_REPORT_INTERVAL_MS = 1000;
+    private static final long DEMAND_REPORT_INTERVAL_MS = 500;
 
-    private final FleetFile file;
+    private final FleetFile fleetFile;
     private final Config config;
     private final String pool;
     private final ObjectMapper json = new ObjectMapper();
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2, r -> {
-        Thread t = new Thread(r, "fleet-values");
-        t.setDaemon(true);
-        return t;
+        Thread thread = new Thread(r, "fleet-values");
+        thread.setDaemon(true);
+        return thread;
     });
-    private FleetNode fleet;
-    private final Set<String> wanted = new HashSet<>();
-    private final Set<String> reported = new HashSet<>();
+    private FleetNode member;
+    private final Set<String> publishedDemandKeys = new HashSet<>();
+    private final Set<String> publishedPoolKeys = new HashSet<>();
 
-    /** The part of the node that this configuration names. */
+    /** Creates the member for the node with this configuration. */
     public FleetParticipant(FleetFile file, Config config) {
-        this.file = file;
+        this.fleetFile = file;
         this.config = config;
         pool = "tier-" + config.settings().tier();
     }
 
     @Override
-    public void begin(Node node) throws IOException {
+    public void onStarting(Node node) throws IOException {
         Clock clock = Clock.system();
-        fleet = new FleetNode(file, config.name(), clock);
-        double slots = file.shares() == null ? 0 : file.shares().connectionsPerServer();
-        PoolReports reports = new PoolReports(
+        member = new FleetNode(fleetFile, config.name(), clock);
+        double connectionsPerServer =
+                fleetFile.shares() == null ? 0 : fleetFile.shares().connectionsPerServer();
+        PoolReporter reporter = new PoolReporter(
                 pool,
-                slots,
+                connectionsPerServer,
                 config.settings().coldCapacityRatio(),
                 config.settings().warmUpTime() / 1000.0);
-        CommandFilter orders = new CommandFilter(file.agreed().drift());
-        fleet.links().setReceiver(MessageStream.EVACUATION, (peer, life, body) -> {
+        CommandFilter commandFilter = new CommandFilter(fleetFile.agreement().maxClockDrift());
+        member.links().setReceiver(MessageStream.EVACUATION, (peer, incarnation, body) -> {
             try {
-                take(orders, WeightCommand.decode(body), clock.nowMs(), node);
+                applyCommand(commandFilter, WeightCommand.decode(body), clock.nowMs(), node);
             } catch (IOException e) {
-                LOG.warn("{} sends what is no order: {}", peer, e.getMessage());
+                LOG.warn("malformed weight command from {}: {}", peer, e.getMessage());
             }
         });
-        fleet.start();
+        member.start();
         node.startObserving();
-        every(POOLS_MS, () -> publish(RecordSpace.POOLS, reports.report(node.observation()), reported));
-        every(DEMAND_MS, () -> {
-            List<TenantUsage> all = node.tenantUse().join();
+        scheduleEvery(
+                POOL_REPORT_INTERVAL_MS,
+                () -> publish(RecordSpace.POOLS, reporter.report(node.observation()), publishedPoolKeys));
+        scheduleEvery(DEMAND_REPORT_INTERVAL_MS, () -> {
+            List<TenantUsage> tenants = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
-            all.forEach(u -> uses.put(
-                    pool + "/" + u.tenant(),
-                    new PoolUse(u.demand(), u.meanRunning(), u.rejectedPerSecond(), u.meanHoldMs())));
-            publish(RecordSpace.DEMAND, uses, wanted);
+            tenants.forEach(u -> uses.put(
+                    pool + "/" + u.tenant(), new PoolUse(u.demand(), u.meanRunning(), u.rejectedPerSecond(), u.meanHoldMs())));
+            publish(RecordSpace.DEMAND, uses, publishedDemandKeys);
         });
     }
 
-    /** Peers' threads bring orders; one at a time is looked at. */
-    private static void take(CommandFilter orders, WeightCommand order, double nowMs, Node node) {
-        synchronized (orders) {
-            orders.accept(order, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
+    /** Applies a command; synchronized, since commands arrive on the threads of several peers. */
+    private static void applyCommand(CommandFilter commandFilter, WeightCommand command, double nowMs, Node node) {
+        synchronized (commandFilter) {
+            commandFilter.accept(command, nowMs).ifPresent(w -> node.enqueue(new Event.ZoneWeightsReceived(w)));
         }
     }
 
-    /** Writes these records and removes those that were written before and are not among them. */
-    private void publish(RecordSpace space, Map<String, ?> now, Set<String> before) {
-        now.forEach((key, value) -> {
+    /** Writes these records, and removes earlier ones whose keys are not among them. */
+    private void publish(RecordSpace space, Map<String, ?> records, Set<String> publishedKeys) {
+        records.forEach((key, value) -> {
             try {
-                fleet.replica().put(space, key, json.writeValueAsBytes(value));
+                member.replica().put(space, key, json.writeValueAsBytes(value));
             } catch (JsonProcessingException e) {
                 throw new IllegalStateException(e);
             }
         });
-        before.stream()
-                .filter(k -> !now.containsKey(k))
-                .forEach(k -> fleet.replica().remove(space, k));
-        before.clear();
-        before.addAll(now.keySet());
+        publishedKeys.stream()
+                .filter(k -> !records.containsKey(k))
+                .forEach(k -> member.replica().remove(space, k));
+        publishedKeys.clear();
+        publishedKeys.addAll(records.keySet());
     }
 
-    private void every(long ms, Runnable work) {
+    private void scheduleEvery(long ms, Runnable work) {
         timer.scheduleWithFixedDelay(
                 () -> {
                     try {
                         work.run();
                     } catch (RuntimeException e) {
-                        // Guards the next turn: a scheduler drops what has failed once.
-                        LOG.error("a turn failed", e);
+                        // Guards the next run: the scheduler cancels a task that throws.
+                        LOG.error("failed to publish records", e);
                     }
                 },
                 ms,
@@ -125,8 +127,8 @@
     }
 
     @Override
-    public void end() {
+    public void onStopped() {
         timer.shutdownNow();
-        fleet.close();
+        member.close();
     }
 }
--- a/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/NodeSubscription.java
@@ -26,103 +26,104 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A node's subscription to its settings and its list of servers. What arrives takes the way of a checked reload: it
- * stands in the configuration's place of the same kind, the whole is checked, and only then does the node go by it. One
- * that can't be used is refused whole and reported back; the one before stays. Without a control machine the node goes
- * by what it was told last, and before the first answer by its file.
+ * A node's subscription to its settings and its endpoint list. A received value replaces the same part of the node's
+ * configuration, and the complete configuration is validated as in a reload before it is applied. An invalid value is
+ * rejected and reported to the control machine, and the previous value stays in force. Without a connection to a
+ * control machine the node keeps the values received last, or those of its file if it has received none.
  */
 public final class NodeSubscription implements Main.NodeExtension {
     private static final Logger LOG = LoggerFactory.getLogger(NodeSubscription.class);
-    private static final long RECONCILE_MS = 1000;
-    private static final String APPLIED_FIGURE = "proxy.config_applied:";
+    private static final long RECONCILE_INTERVAL_MS = 1000;
+    private static final String RELOAD_COUNTER = "proxy.config_applied:";
 
-    private final FleetFile file;
+    private final FleetFile fleetFile;
     private final Path configFile;
     private final String region;
-    private final Config started;
-    /** By resource: the key of the configuration that its content stands for. */
-    private final Map<String, String> keys = new TreeMap<>();
+    private final Config startConfig;
+    /** For each resource, the key of the configuration whose value its content replaces. */
+    private final Map<String, String> configKeys = new TreeMap<>();
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private Node node;
     private ControlClient client;
 
-    // The event loop's only.
-    private final Map<String, String> contents = new TreeMap<>();
+    // Accessed only on the event loop.
+    private final Map<String, String> appliedContents = new TreeMap<>();
     private long ownReloads;
-    private long reloadsSeen;
+    private long handledReloads;
 
     /**
-     * The subscription of the node that this configuration names.
+     * Creates the subscription of the node with this configuration.
      *
-     * @param file the fleet's file
+     * @param file the fleet file
      * @param configFile the node's configuration file
-     * @param region where the node runs
-     * @param started the configuration that the node starts with
-     * @throws IllegalArgumentException if the fleet's file names no control machine
+     * @param region the region in which the node runs
+     * @param startConfig the configuration that the node starts with
+     * @throws IllegalArgumentException if the fleet file contains no control machine
      */
-    public NodeSubscription(FleetFile file, Path configFile, String region, Config started) {
+    public NodeSubscription(FleetFile file, Path configFile, String region, Config startConfig) {
         if (file.control() == null) {
-            throw new IllegalArgumentException("the fleet's file names no control machine");
+            throw new IllegalArgumentException("the fleet file contains no control machine");
         }
-        this.file = file;
+        this.fleetFile = file;
         this.configFile = configFile;
         this.region = region;
-        this.started = started;
-        keys.put("settings/tier-" + started.settings().tier(), "settings");
-        keys.put("list/tier-" + started.settings().tier(), "known");
+        this.startConfig = startConfig;
+        configKeys.put("settings/tier-" + startConfig.settings().tier(), "settings");
+        configKeys.put("list/tier-" + startConfig.settings().tier(), "known");
     }
 
     @Override
-    public void begin(Node served) {
-        node = served;
+    public void onStarting(Node startingNode) {
+        node = startingNode;
         client = new ControlClient(
                 new ControlClient.Settings(
-                        file.fleet(),
-                        started.name(),
+                        fleetFile.fleet(),
+                        startConfig.name(),
                         region,
-                        file.control().machines(),
-                        List.copyOf(keys.keySet()),
-                        file.control().limits()),
+                        fleetFile.control().machines(),
+                        List.copyOf(configKeys.keySet()),
+                        fleetFile.control().limits()),
                 loop,
                 Clock.system(),
                 new SplittableRandom(),
                 this::apply);
         client.start();
-        loop.scheduleWithFixedDelay(this::reconcile, RECONCILE_MS, RECONCILE_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::reconcile, RECONCILE_INTERVAL_MS, RECONCILE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** How the subscription stands. */
+    /** Returns the status of the subscription. */
     public ControlClient.Status status() {
         return client.status();
     }
 
     private Optional<String> apply(Resource resource) {
-        Map<String, String> next = new TreeMap<>(contents);
-        next.put(keys.get(resource.name()), new String(resource.content(), StandardCharsets.UTF_8));
+        Map<String, String> nextContents = new TreeMap<>(appliedContents);
+        nextContents.put(configKeys.get(resource.name()), new String(resource.content(), StandardCharsets.UTF_8));
         try {
-            reload(merged(next));
+            reload(mergeIntoFile(nextContents));
         } catch (IllegalArgumentException | IOException e) {
             LOG.warn(
-                    "version {} of {} can't be used, the one before stays: {}",
+                    "rejected version {} of {}, the previous version stays in force: {}",
                     resource.version(),
                     resource.name(),
                     e.getMessage());
             return Optional.of(String.valueOf(e.getMessage()));
         }
-        contents.clear();
-        contents.putAll(next);
-        LOG.info("acts by version {} of {}", resource.version(), resource.name());
+        appliedContents.clear();
+        appliedContents.putAll(nextContents);
+        LOG.info("applied version {} of {}", resource.version(), resource.name());
         return Optional.empty();
     }
 
-    /** The file's configuration with these contents in their places; checked as a reload is. */
-    private Config merged(Map<String, String> with) throws IOException {
-        JsonObject whole = StrictJson.parse(Files.readString(configFile)).asObject();
-        with.forEach((key, content) -> whole.set(key, StrictJson.parse(content)));
-        Config config = Config.parse(whole.toString()).withManagement(System.getenv("PROXY_MGMT"));
-        started.schema().requireSameKeysIn(config.schema());
+    /** Returns the configuration of the file with these contents in place of its own, validated as in a reload. */
+    private Config mergeIntoFile(Map<String, String> overrides) throws IOException {
+        JsonObject json = StrictJson.parse(Files.readString(configFile)).asObject();
+        overrides.forEach((key, content) -> json.set(key, StrictJson.parse(content)));
+        Config config = Config.parse(json.toString()).withManagement(System.getenv("PROXY_MGMT"));
+        startConfig.schema().requireSameKeysIn(config.schema());
         return config;
     }
 
@@ -131,40 +132,40 @@
         ownReloads++;
     }
 
-    /** After a SIGHUP the file's settings hold: what was agreed is put back in its place. */
+    /** Applies the received values again after a SIGHUP, which reloads the values of the file. */
     private void reconcile() {
         try {
-            long reloads = reloads(node.metricsText());
-            long others = reloads - reloadsSeen - ownReloads;
-            if (reloads <= reloadsSeen) {
+            long reloads = countReloads(node.metricsText());
+            long fileReloads = reloads - handledReloads - ownReloads;
+            if (reloads <= handledReloads) {
                 return;
             }
-            reloadsSeen = reloads;
-            ownReloads = Math.max(0, -others);
-            if (others > 0 && !contents.isEmpty()) {
-                LOG.info("the file was read anew; agreed values are put back in their place");
-                reload(merged(contents));
+            handledReloads = reloads;
+            ownReloads = Math.max(0, -fileReloads);
+            if (fileReloads > 0 && !appliedContents.isEmpty()) {
+                LOG.info("the configuration file was reloaded; agreed values are applied again");
+                reload(mergeIntoFile(appliedContents));
             }
         } catch (IllegalArgumentException | IOException e) {
-            LOG.warn("agreed values can't be put back: {}", e.getMessage());
+            LOG.warn("agreed values can't be applied again: {}", e.getMessage());
         }
     }
 
-    private static long reloads(String figures) {
-        int at = figures.indexOf(APPLIED_FIGURE);
-        if (at < 0) {
+    private static long countReloads(String metrics) {
+        int counterStart = metrics.indexOf(RELOAD_COUNTER);
+        if (counterStart < 0) {
             return 0;
         }
-        int end = at + APPLIED_FIGURE.length();
-        int begin = end;
-        while (end < figures.length() && Character.isDigit(figures.charAt(end))) {
+        int end = counterStart + RELOAD_COUNTER.length();
+        int digitsStart = end;
+        while (end < metrics.length() && Character.isDigit(metrics.charAt(end))) {
             end++;
         }
-        return end == begin ? 0 : Long.parseLong(figures.substring(begin, end));
+        return end == digitsStart ? 0 : Long.parseLong(metrics.substring(digitsStart, end));
     }
 
     @Override
-    public void end() {
+    public void onStopped() {
         client.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateAdminHandler.java
@@ -10,8 +10,8 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Answers {@code state status} and {@code state diff}: how far each member is, and which copies differ. */
-final class StateAdminHandler implements AdminHttpServer.Calls {
+/** Handles {@code state status}, the replication status of each member, and {@code state diff}, the differences. */
+final class StateAdminHandler implements AdminHttpServer.CommandHandler {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final ReplicaNode replica;
 
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public AdminHttpServer.Answer call(List<String> words, byte[] body, boolean json) {
+    public AdminHttpServer.Reply handle(List<String> words, byte[] body, boolean json) {
         return switch (words.isEmpty() ? "" : words.get(0)) {
             case "status" -> status(json);
             case "diff" -> diff(json);
@@ -28,23 +28,23 @@
         };
     }
 
-    private AdminHttpServer.Answer status(boolean json) {
-        Replica.SyncState level = replica.syncState();
-        List<ReplicaNode.Status> all = replica.status();
+    private AdminHttpServer.Reply status(boolean json) {
+        Replica.SyncState syncState = replica.syncState();
+        List<ReplicaNode.Status> members = replica.status();
         if (json) {
             Map<String, Object> out = new LinkedHashMap<>();
-            out.put("level", level);
-            out.put("members", all);
+            out.put("level", syncState);
+            out.put("members", members);
             out.put("figures", replica.statistics());
-            return new AdminHttpServer.Answer(true, json(out));
+            return new AdminHttpServer.Reply(true, toJson(out));
         }
-        StringBuilder s = new StringBuilder(String.format(
+        StringBuilder table = new StringBuilder(String.format(
                 Locale.ROOT,
                 "level %s, behind %d, differing %d, out of decision %s%n%-16s %16s %10s %10s %9s %-8s %s%n",
-                level.caughtUp(),
-                level.missingWrites(),
-                level.differingLogs(),
-                level.excludedFromDecisions(),
+                syncState.caughtUp(),
+                syncState.missingWrites(),
+                syncState.differingLogs(),
+                syncState.excludedFromDecisions(),
                 "member",
                 "life",
                 "wrote",
@@ -52,34 +52,34 @@
                 "heard ms",
                 "standing",
                 "put aside"));
-        for (ReplicaNode.Status m : all) {
-            s.append(String.format(
+        for (ReplicaNode.Status member : members) {
+            table.append(String.format(
                     Locale.ROOT,
                     "%-16s %16d %10d %10d %9.0f %-8s %s%n",
-                    m.member(),
-                    m.incarnation(),
-                    m.announcedSequence(),
-                    m.appliedSequence(),
-                    m.heartbeatAgeMs(),
-                    m.status().label(),
-                    m.quarantineReason() == null ? "" : m.quarantineReason()));
+                    member.member(),
+                    member.incarnation(),
+                    member.announcedSequence(),
+                    member.appliedSequence(),
+                    member.heartbeatAgeMs(),
+                    member.status().label(),
+                    member.quarantineReason() == null ? "" : member.quarantineReason()));
         }
-        return new AdminHttpServer.Answer(true, s.toString());
+        return new AdminHttpServer.Reply(true, table.toString());
     }
 
-    private AdminHttpServer.Answer diff(boolean json) {
-        List<Difference> found = replica.recentDifferences();
+    private AdminHttpServer.Reply diff(boolean json) {
+        List<Difference> differences = replica.recentDifferences();
         if (json) {
-            return new AdminHttpServer.Answer(true, json(found));
+            return new AdminHttpServer.Reply(true, toJson(differences));
         }
-        StringBuilder s = new StringBuilder(found.size() + " differences found\n");
-        for (Difference d : found) {
-            s.append(d).append('\n');
+        StringBuilder list = new StringBuilder(differences.size() + " differences found\n");
+        for (Difference difference : differences) {
+            list.append(difference).append('\n');
         }
-        return new AdminHttpServer.Answer(true, s.toString());
+        return new AdminHttpServer.Reply(true, list.toString());
     }
 
-    private static String json(Object o) {
+    private static String toJson(Object o) {
         try {
             return JSON.writeValueAsString(o);
         } catch (JsonProcessingException e) {
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -40,145 +40,148 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A member that shares state and serves nobody: links, replica and agreement of a directory, told what to do by lines
- * on standard input. What it does, sees and acts by goes out as JSON lines, each with the moment {@code at} by the
- * machine's monotonic clock, so that many members' lines make one log.
+ * A process that runs a fleet member without a node: links, replica and agreement with their data in a directory,
+ * controlled by commands on standard input. It reports what it does, receives and uses as JSON lines, each with the
+ * time {@code at} of the machine's monotonic clock, so that the lines of many members can be merged into one log.
  *
- * <p>Lines: {@code put KEY N}, {@code remove KEY N}, {@code add KEY BY}, {@code sum KEY}, {@code seen}, {@code level},
- * {@code diff}, {@code status}, {@code propose NAME CONTENT}, {@code watch NAME}, {@code acting NAME},
- * {@code known NAME}, {@code hold ROLE MS}, {@code holds ROLE}, {@code final SUM...}, {@code end}. A number N grows
- * with each write; it is the record's value.
+ * <p>Commands, one on each line: {@code put KEY N}, {@code remove KEY N}, {@code add KEY BY}, {@code sum KEY},
+ * {@code seen}, {@code level}, {@code diff}, {@code status}, {@code propose NAME CONTENT}, {@code watch NAME},
+ * {@code acting NAME}, {@code known NAME}, {@code hold ROLE MS}, {@code holds ROLE}, {@code final SUM...}, {@code end}.
+ * N is the record's value, a number that increases with each write.
  */
 public final class StateMember implements AutoCloseable {
-    /** Own records of this space are written and told of. */
-    private static final RecordSpace OWN = RecordSpace.SERVERS;
-
-    private static final RecordSpace COUNTED = RecordSpace.ATTEMPTS;
-    private static final double PROPOSED_WITHIN_MS = 5000;
-    private static final long SAMPLE_MS = 10;
-    private static final double SAY_EACH_MS = 200;
-    private static final int MOST_WAITING = 20_000;
-    private static final int MOST_NAMES = 64;
-    /** The state of a role that this member does not hold, in place of a token. */
+    /** The space whose records {@code put} and {@code remove} write, and whose changes are reported. */
+    private static final RecordSpace REGISTER_SPACE = RecordSpace.SERVERS;
+
+    private static final RecordSpace COUNTER_SPACE = RecordSpace.ATTEMPTS;
+    private static final double PROPOSAL_TIMEOUT_MS = 5000;
+    private static final long SAMPLE_INTERVAL_MS = 10;
+    private static final double REPORT_INTERVAL_MS = 200;
+    private static final int MAX_QUEUED_LINES = 20_000;
+    private static final int MAX_WATCHED_NAMES = 64;
+    /** Stands in place of a token for a role that this member does not hold. */
     private static final String NOT_HELD = "none";
 
-    /** What it is started with. */
+    /** The command line. */
     static final class Options {
-        @Parameter(names = "--name", description = "Its name", required = true)
+        @Parameter(names = "--name", description = "The name of the member", required = true)
         String name;
 
-        @Parameter(names = "--zone", description = "Its zone")
+        @Parameter(names = "--zone", description = "The zone of the member")
         String zone = "a";
 
-        @Parameter(names = "--listen", description = "ADDRESS:PORT for its peers", required = true)
+        @Parameter(names = "--listen", description = "ADDRESS:PORT to listen at for peers", required = true)
         String listen;
 
         @Parameter(
                 names = "--peers",
-                description = "NAME=ADDRESS:PORT/ZONE of each other member, with commas",
+                description = "NAME=ADDRESS:PORT/ZONE of each other member, separated by commas",
                 required = true)
         List<String> peers = List.of();
 
-        @Parameter(names = "--disk", description = "Its directory", required = true)
+        @Parameter(names = "--disk", description = "The directory for the data of the member", required = true)
         String disk;
 
-        @Parameter(names = "--fleet", description = "The fleet's name")
+        @Parameter(names = "--fleet", description = "The name of the fleet")
         String fleet = "laboratory";
 
-        Member me() {
+        Member self() {
             return new Member(name, listen, zone);
         }
 
-        /** All members, this one too, in the same order at each of them. */
+        /** Returns all members including this one, in the same order at each member. */
         List<Member> members() {
-            List<Member> all = new ArrayList<>(List.of(me()));
-            for (String p : peers) {
-                int is = p.indexOf('=');
-                int slash = p.lastIndexOf('/');
-                if (is < 1 || slash < is) {
-                    throw new ParameterException("--peers: '" + p + "' is not NAME=ADDRESS:PORT/ZONE");
+            List<Member> all = new ArrayList<>(List.of(self()));
+            for (String peer : peers) {
+                int equalsSign = peer.indexOf('=');
+                int slash = peer.lastIndexOf('/');
+                if (equalsSign < 1 || slash < equalsSign) {
+                    throw new ParameterException("--peers: '" + peer + "' is not NAME=ADDRESS:PORT/ZONE");
                 }
-                all.add(new Member(p.substring(0, is), p.substring(is + 1, slash), p.substring(slash + 1)));
+                all.add(new Member(
+                        peer.substring(0, equalsSign),
+                        peer.substring(equalsSign + 1, slash),
+                        peer.substring(slash + 1)));
             }
             all.sort(Comparator.comparing(Member::name));
             return all;
         }
     }
 
-    /** What a member was last seen to act by or to hold, and since when. */
+    /** A sampled state, and the interval in which it was observed unchanged. */
     private static final class Span {
         Object state;
-        double from;
-        double until;
-        double said;
+        double observedSinceMs;
+        double observedUntilMs;
+        double reportedAtMs;
     }
 
     private final ObjectMapper json = new ObjectMapper();
-    private final BlockingQueue<String> out = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final AtomicLong dropped = new AtomicLong();
+    private final BlockingQueue<String> outputQueue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final AtomicLong droppedLines = new AtomicLong();
     private final PeerLinks links;
     private final Replica replica;
-    private final AgreedValues agreed;
-    private final Map<String, Span> watched = new ConcurrentHashMap<>();
-    private final Map<String, Span> roles = new ConcurrentHashMap<>();
-    private final Map<String, List<String>> contents = new ConcurrentHashMap<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final AgreedValues agreement;
+    private final Map<String, Span> watchedValues = new ConcurrentHashMap<>();
+    private final Map<String, Span> watchedRoles = new ConcurrentHashMap<>();
+    private final Map<String, List<String>> watchedContents = new ConcurrentHashMap<>();
+    private final CountDownLatch stopRequested = new CountDownLatch(1);
     private final Thread sampler;
-    private final Thread teller;
-    private final Span level = new Span();
+    private final Thread writer;
+    private final Span syncState = new Span();
 
-    /** A member with its parts, which are not started yet; its lines go there. */
-    StateMember(PeerLinks links, Replica replica, AgreedValues agreed, PrintStream to) {
+    /** Creates a member from components that are not started yet; its JSON lines are written to the stream. */
+    StateMember(PeerLinks links, Replica replica, AgreedValues agreement, PrintStream out) {
         this.links = links;
         this.replica = replica;
-        this.agreed = agreed;
-        replica.addListener(this::changed);
-        sampler = daemon(this::sample, "sample");
-        teller = daemon(() -> print(to), "tell");
+        this.agreement = agreement;
+        replica.addListener(this::onRecordChanged);
+        sampler = createDaemon(this::sample, "sample");
+        writer = createDaemon(() -> writeLines(out), "tell");
     }
 
-    private static Thread daemon(Runnable task, String name) {
-        Thread t = new Thread(task, name);
-        t.setDaemon(true);
-        return t;
+    private static Thread createDaemon(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
+        thread.setDaemon(true);
+        return thread;
     }
 
-    private static double now() {
+    private static double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
-    /** Starts to tell; its parts run. */
+    /** Starts to report; the components have to be started already. */
     void start() {
-        teller.start();
-        say(now(), "ready", Map.of("life", links.incarnation()));
+        writer.start();
+        report(nowMs(), "ready", Map.of("life", links.incarnation()));
         sampler.start();
     }
 
-    private void say(double at, String what, Map<String, ?> more) {
+    private void report(double atMs, String what, Map<String, ?> fields) {
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("at", at);
+        line.put("at", atMs);
         line.put("what", what);
-        line.putAll(more);
+        line.putAll(fields);
         try {
-            // Guards against a reader that does not read: no thread of the fleet's waits for it.
-            if (!out.offer(json.writeValueAsString(line))) {
-                dropped.incrementAndGet();
+            // Guards the threads of the fleet against a slow reader: a line that does not fit the queue is dropped.
+            if (!outputQueue.offer(json.writeValueAsString(line))) {
+                droppedLines.incrementAndGet();
             }
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void print(PrintStream to) {
+    private void writeLines(PrintStream out) {
         try {
             while (true) {
-                to.println(out.take());
-                if (out.isEmpty()) {
-                    to.flush();
+                out.println(outputQueue.take());
+                if (outputQueue.isEmpty()) {
+                    out.flush();
                 }
-                long lost = dropped.getAndSet(0);
+                long lost = droppedLines.getAndSet(0);
                 if (lost > 0) {
-                    to.println("{\"what\":\"dropped\",\"lines\":" + lost + "}");
+                    out.println("{\"what\":\"dropped\",\"lines\":" + lost + "}");
                 }
             }
         } catch (InterruptedException e) {
@@ -186,73 +189,76 @@
         }
     }
 
-    private void changed(RecordSpace space, String owner, String key, Replica.ReadRecord now) {
-        if (space != OWN || owner.equals(links.self().name())) {
+    private void onRecordChanged(RecordSpace space, String owner, String key, Replica.ReadRecord record) {
+        if (space != REGISTER_SPACE || owner.equals(links.self().name())) {
             return;
         }
-        say(
-                now(),
+        report(
+                nowMs(),
                 "saw",
-                now == null
+                record == null
                         ? Map.of("owner", owner, "key", key, "gone", true)
-                        : Map.of("owner", owner, "key", key, "n", number(now.value())));
+                        : Map.of("owner", owner, "key", key, "n", parseNumber(record.value())));
     }
 
-    private static long number(byte[] value) {
+    private static long parseNumber(byte[] value) {
         try {
             return Long.parseLong(new String(value, StandardCharsets.UTF_8));
         } catch (NumberFormatException e) {
-            // Not one that a line has put.
+            // The value was not written by a command of this program.
             return -1;
         }
     }
 
-    private Map<String, Map<String, Long>> have() {
-        Map<String, Map<String, Long>> all = new LinkedHashMap<>();
-        for (Replica.ReadRecord s : replica.readAll(OWN)) {
-            all.computeIfAbsent(s.owner(), o -> new LinkedHashMap<>()).put(s.key(), number(s.value()));
+    private Map<String, Map<String, Long>> recordsByOwner() {
+        Map<String, Map<String, Long>> records = new LinkedHashMap<>();
+        for (Replica.ReadRecord record : replica.readAll(REGISTER_SPACE)) {
+            records.computeIfAbsent(record.owner(), o -> new LinkedHashMap<>())
+                    .put(record.key(), parseNumber(record.value()));
         }
-        return all;
+        return records;
     }
 
-    /** Asks all the time, as a member does before each act: a change that lasts is seen, and between which moments. */
+    /**
+     * Samples the state continuously, so that each lasting change is reported with the interval in which it happened.
+     */
     private void sample() {
         try {
             while (true) {
-                double before = now();
-                Replica.SyncState l = replica.syncState();
-                span(
-                        level,
-                        l,
-                        before,
+                double beforeMs = nowMs();
+                Replica.SyncState state = replica.syncState();
+                recordSample(
+                        syncState,
+                        state,
+                        beforeMs,
                         () -> {},
-                        () -> say(
-                                now(),
+                        () -> report(
+                                nowMs(),
                                 "level",
                                 Map.of(
                                         "level",
-                                        l.caughtUp(),
+                                        state.caughtUp(),
                                         "behind",
-                                        l.missingWrites(),
+                                        state.missingWrites(),
                                         "differing",
-                                        l.differingLogs(),
+                                        state.differingLogs(),
                                         "out",
-                                        l.excludedFromDecisions(),
+                                        state.excludedFromDecisions(),
                                         "have",
-                                        have())));
-                watched.forEach((name, s) -> sampleActs(name, s));
-                roles.forEach((role, s) -> sampleHolds(role, s));
-                Thread.sleep(SAMPLE_MS);
+                                        recordsByOwner())));
+                watchedValues.forEach((name, s) -> sampleEffectiveValues(name, s));
+                watchedRoles.forEach((role, s) -> sampleLease(role, s));
+                Thread.sleep(SAMPLE_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void sampleActs(String name, Span s) {
-        double before = now();
+    private void sampleEffectiveValues(String name, Span span) {
+        double beforeMs = nowMs();
         List<AgreedValues.Value> values = new ArrayList<>();
-        agreed.effectiveValues(name).ifPresent(a -> {
+        agreement.effectiveValues(name).ifPresent(a -> {
             values.add(a.inForce());
             if (a.staged() != null) {
                 values.add(a.staged());
@@ -260,86 +266,99 @@
         });
         List<Long> generations =
                 values.stream().map(AgreedValues.Value::generation).toList();
-        Runnable tell = () -> {
-            if (!((List<?>) s.state).isEmpty()) {
-                say(
-                        now(),
+        Runnable reportSpan = () -> {
+            if (!((List<?>) span.state).isEmpty()) {
+                report(
+                        nowMs(),
                         "acts",
                         Map.of(
                                 "name",
                                 name,
                                 "generations",
-                                s.state,
+                                span.state,
                                 "contents",
-                                contents.get(name),
+                                watchedContents.get(name),
                                 "from",
-                                s.from,
+                                span.observedSinceMs,
                                 "until",
-                                s.until));
+                                span.observedUntilMs));
             }
         };
-        span(s, generations, before, tell, tell);
-        contents.put(
+        recordSample(span, generations, beforeMs, reportSpan, reportSpan);
+        watchedContents.put(
                 name,
                 values.stream()
                         .map(v -> new String(v.content(), StandardCharsets.UTF_8))
                         .toList());
     }
 
-    private void sampleHolds(String role, Span s) {
-        double before = now();
+    private void sampleLease(String role, Span span) {
+        double beforeMs = nowMs();
         Object state =
-                agreed.heldLease(role).<Object>map(AgreedValues.Lease::token).orElse(NOT_HELD);
-        Runnable tell = () -> {
-            if (s.state instanceof Long held) {
-                say(now(), "holds", Map.of("role", role, "token", held, "from", s.from, "until", s.until));
+                agreement.heldLease(role).<Object>map(AgreedValues.Lease::token).orElse(NOT_HELD);
+        Runnable reportSpan = () -> {
+            if (span.state instanceof Long held) {
+                report(
+                        nowMs(),
+                        "holds",
+                        Map.of(
+                                "role",
+                                role,
+                                "token",
+                                held,
+                                "from",
+                                span.observedSinceMs,
+                                "until",
+                                span.observedUntilMs));
             }
         };
-        span(s, state, before, tell, tell);
+        recordSample(span, state, beforeMs, reportSpan, reportSpan);
     }
 
-    /** The state was so at some moment after {@code before} and before now. */
-    private void span(Span s, Object state, double before, Runnable changes, Runnable tell) {
-        if (!state.equals(s.state)) {
-            if (s.state != null) {
-                changes.run();
+    /** Records a state that was observed at some time between {@code beforeMs} and now. */
+    private void recordSample(Span span, Object state, double beforeMs, Runnable onChange, Runnable onReport) {
+        if (!state.equals(span.state)) {
+            if (span.state != null) {
+                onChange.run();
             }
-            s.state = state;
-            s.from = now();
-            s.until = before;
-            s.said = 0;
+            span.state = state;
+            span.observedSinceMs = nowMs();
+            span.observedUntilMs = beforeMs;
+            span.reportedAtMs = 0;
         } else {
-            s.until = before;
+            span.observedUntilMs = beforeMs;
         }
-        if (now() - s.said >= SAY_EACH_MS && s.until >= s.from || s == level && s.said == 0) {
-            tell.run();
-            s.said = now();
+        if (nowMs() - span.reportedAtMs >= REPORT_INTERVAL_MS && span.observedUntilMs >= span.observedSinceMs
+                || span == syncState && span.reportedAtMs == 0) {
+            onReport.run();
+            span.reportedAtMs = nowMs();
         }
     }
 
-    /** Does what a line says; one that is not understood is answered so. */
-    void take(String line) {
-        String[] w = line.trim().split("\\s+");
+    /** Executes a command; an invalid one is reported as unknown. */
+    void execute(String line) {
+        String[] words = line.trim().split("\\s+");
         try {
-            switch (w[0]) {
+            switch (words[0]) {
                 case "put" -> {
-                    replica.put(OWN, w[1], w[2].getBytes(StandardCharsets.UTF_8));
-                    say(now(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2])));
+                    replica.put(REGISTER_SPACE, words[1], words[2].getBytes(StandardCharsets.UTF_8));
+                    report(nowMs(), "wrote", Map.of("key", words[1], "n", Long.parseLong(words[2])));
                 }
                 case "remove" -> {
-                    replica.remove(OWN, w[1]);
-                    say(now(), "wrote", Map.of("key", w[1], "n", Long.parseLong(w[2]), "gone", true));
+                    replica.remove(REGISTER_SPACE, words[1]);
+                    report(nowMs(), "wrote", Map.of("key", words[1], "n", Long.parseLong(words[2]), "gone", true));
                 }
                 case "add" -> {
-                    replica.add(COUNTED, w[1], Long.parseLong(w[2]));
-                    say(now(), "added", Map.of("key", w[1], "by", Long.parseLong(w[2])));
+                    replica.add(COUNTER_SPACE, words[1], Long.parseLong(words[2]));
+                    report(nowMs(), "added", Map.of("key", words[1], "by", Long.parseLong(words[2])));
                 }
-                case "sum" -> say(now(), "sum", Map.of("key", w[1], "sum", replica.sum(COUNTED, w[1])));
-                case "seen" -> say(now(), "seen", Map.of("have", have()));
-                case "level" -> level.said = 0;
+                case "sum" ->
+                    report(nowMs(), "sum", Map.of("key", words[1], "sum", replica.sum(COUNTER_SPACE, words[1])));
+                case "seen" -> report(nowMs(), "seen", Map.of("have", recordsByOwner()));
+                case "level" -> syncState.reportedAtMs = 0;
                 case "diff" ->
-                    say(
-                            now(),
+                    report(
+                            nowMs(),
                             "diff",
                             Map.of(
                                     "behind",
@@ -347,79 +366,82 @@
                                     "differing",
                                     replica.syncState().differingLogs()));
                 case "status" ->
-                    say(
-                            now(),
+                    report(
+                            nowMs(),
                             "status",
                             Map.of(
                                     "agreed",
-                                    agreed.status(),
+                                    agreement.status(),
                                     "peers",
-                                    peers(),
+                                    peerStatuses(),
                                     "level",
                                     replica.syncState().caughtUp(),
                                     "links",
-                                    links instanceof TcpPeerLinks t ? t.metrics() : Map.of(),
+                                    links instanceof TcpPeerLinks tcpLinks ? tcpLinks.metrics() : Map.of(),
                                     "replica",
-                                    replica instanceof ReplicaNode n ? n.statistics() : Map.of()));
-                case "propose" -> propose(w[1], w[2]);
-                case "watch" -> put(watched, w[1]);
+                                    replica instanceof ReplicaNode replicaNode ? replicaNode.statistics() : Map.of()));
+                case "propose" -> propose(words[1], words[2]);
+                case "watch" -> watch(watchedValues, words[1]);
                 case "acting" ->
-                    say(
-                            now(),
+                    report(
+                            nowMs(),
                             "acting",
                             Map.of(
                                     "name",
-                                    w[1],
+                                    words[1],
                                     "generations",
-                                    agreed.effectiveValues(w[1])
+                                    agreement
+                                            .effectiveValues(words[1])
                                             .map(a -> a.staged() == null
                                                     ? List.of(a.inForce().generation())
                                                     : List.of(
                                                             a.inForce().generation(),
                                                             a.staged().generation()))
                                             .orElse(List.of())));
-                case "known" -> say(now(), "known", Map.of("name", w[1], "value", known(w[1])));
-                case "hold" -> hold(w[1], Double.parseDouble(w[2]));
-                case "holds" -> say(now(), "asked", Map.of("role", w[1], "holds", agreed.holdsLease(w[1])));
-                case "final" -> sayAll(w);
-                case "end" -> ended.countDown();
-                default -> say(now(), "unknown", Map.of("line", line));
+                case "known" -> report(nowMs(), "known", Map.of("name", words[1], "value", lastKnownValue(words[1])));
+                case "hold" -> acquireRole(words[1], Double.parseDouble(words[2]));
+                case "holds" -> report(nowMs(), "asked", Map.of("role", words[1], "holds", agreement.holdsLease(words[1])));
+                case "final" -> reportFinalState(words);
+                case "end" -> stopRequested.countDown();
+                default -> report(nowMs(), "unknown", Map.of("line", line));
             }
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            say(now(), "unknown", Map.of("line", line, "why", String.valueOf(e.getMessage())));
+            report(nowMs(), "unknown", Map.of("line", line, "why", String.valueOf(e.getMessage())));
         }
     }
 
-    private static void put(Map<String, Span> all, String name) {
-        // Guards against names without end on the command channel.
-        if (all.size() < MOST_NAMES) {
-            all.putIfAbsent(name, new Span());
+    private static void watch(Map<String, Span> watched, String name) {
+        // Guards memory against an unlimited number of names in commands.
+        if (watched.size() < MAX_WATCHED_NAMES) {
+            watched.putIfAbsent(name, new Span());
         }
     }
 
-    private Map<String, String> peers() {
-        Map<String, String> all = new LinkedHashMap<>();
-        links.peers().forEach(p -> all.put(p.name(), links.status(p.name()).text()));
-        return all;
+    private Map<String, String> peerStatuses() {
+        Map<String, String> statuses = new LinkedHashMap<>();
+        links.peers()
+                .forEach(p -> statuses.put(p.name(), links.status(p.name()).text()));
+        return statuses;
     }
 
-    private Map<String, Object> known(String name) {
-        Optional<AgreedValues.Value> v = agreed.lastKnown(name);
-        return v.isEmpty()
+    private Map<String, Object> lastKnownValue(String name) {
+        Optional<AgreedValues.Value> value = agreement.lastKnown(name);
+        return value.isEmpty()
                 ? Map.of()
                 : Map.of(
                         "generation",
-                        v.get().generation(),
+                        value.get().generation(),
                         "content",
-                        new String(v.get().content(), StandardCharsets.UTF_8));
+                        new String(value.get().content(), StandardCharsets.UTF_8));
     }
 
     private void propose(String name, String content) {
         long expected =
-                agreed.lastKnown(name).map(AgreedValues.Value::generation).orElse(0L);
-        agreed.propose(name, expected, content.getBytes(StandardCharsets.UTF_8), PROPOSED_WITHIN_MS)
-                .whenComplete((verdict, fault) -> say(
-                        now(),
+                agreement.lastKnown(name).map(AgreedValues.Value::generation).orElse(0L);
+        agreement
+                .propose(name, expected, content.getBytes(StandardCharsets.UTF_8), PROPOSAL_TIMEOUT_MS)
+                .whenComplete((verdict, fault) -> report(
+                        nowMs(),
                         "proposed",
                         Map.of(
                                 "name",
@@ -434,48 +456,48 @@
                                         : "failed: " + fault.getMessage())));
     }
 
-    private void hold(String role, double forMs) {
-        put(roles, role);
-        agreed.acquire(role, forMs);
+    private void acquireRole(String role, double durationMs) {
+        watch(watchedRoles, role);
+        agreement.acquire(role, durationMs);
     }
 
-    private void sayAll(String[] w) {
+    private void reportFinalState(String[] words) {
         Map<String, Long> sums = new LinkedHashMap<>();
-        for (int i = 1; i < w.length; i++) {
-            sums.put(w[i], replica.sum(COUNTED, w[i]));
+        for (int i = 1; i < words.length; i++) {
+            sums.put(words[i], replica.sum(COUNTER_SPACE, words[i]));
         }
         Map<String, Object> known = new LinkedHashMap<>();
-        watched.keySet().forEach(n -> known.put(n, known(n)));
-        say(now(), "final", Map.of("have", have(), "sums", sums, "known", known));
+        watchedValues.keySet().forEach(n -> known.put(n, lastKnownValue(n)));
+        report(nowMs(), "final", Map.of("have", recordsByOwner(), "sums", sums, "known", known));
     }
 
     @Override
     public void close() {
         sampler.interrupt();
-        teller.interrupt();
+        writer.interrupt();
     }
 
-    /** Runs a member until its standard input ends or a line says so. */
+    /** Runs a member until its standard input ends or it receives the command {@code end}. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        Options o = new Options();
+        Options options = new Options();
         List<Member> members;
         try {
             JCommander.newBuilder()
                     .programName("state-member")
-                    .addObject(o)
+                    .addObject(options)
                     .build()
                     .parse(args);
-            members = o.members();
+            members = options.members();
         } catch (ParameterException e) {
             System.err.println("brackenbridge: " + e.getMessage());
             System.exit(2);
             return;
         }
-        PrintStream to = new PrintStream(new FileOutputStream(FileDescriptor.out), false, StandardCharsets.UTF_8);
-        // What the log writes to standard output goes to standard error: lines of JSON stay lines of JSON.
+        PrintStream out = new PrintStream(new FileOutputStream(FileDescriptor.out), false, StandardCharsets.UTF_8);
+        // Log lines that are meant for standard output go to standard error, so that the output has only JSON lines.
         System.setOut(System.err);
         try {
-            run(o, members, to);
+            run(options, members, out);
             System.exit(0);
         } catch (IOException e) {
             System.err.println("brackenbridge: " + e.getMessage());
@@ -483,37 +505,39 @@
         }
     }
 
-    private static void run(Options o, List<Member> members, PrintStream to) throws IOException, InterruptedException {
+    private static void run(Options options, List<Member> members, PrintStream out)
+            throws IOException, InterruptedException {
         Clock clock = Clock.system();
-        Path disk = Path.of(o.disk);
-        try (ReplicaDisk records = ReplicaDisk.open(disk.resolve("replica"), o.fleet, o.name, clock.nowMs());
+        Path directory = Path.of(options.disk);
+        try (ReplicaDisk records =
+                        ReplicaDisk.open(directory.resolve("replica"), options.fleet, options.name, clock.nowMs());
                 TcpPeerLinks links = new TcpPeerLinks(
-                        o.me(), records.incarnation(), o.fleet, members, clock, PeerLimits.defaults());
+                        options.self(), records.incarnation(), options.fleet, members, clock, PeerLimits.defaults());
                 ReplicaNode replica = new ReplicaNode(links, records, clock, ReplicationLimits.DEFAULT);
-                AgreementMember agreed = new AgreementMember(
+                AgreementMember agreement = new AgreementMember(
                         links,
-                        disk.resolve("agreed"),
+                        directory.resolve("agreed"),
                         clock,
-                        AgreedSettings.withDefaults(o.fleet, members, records.incarnation() ^ o.name.hashCode()));
-                StateMember member = new StateMember(links, replica, agreed, to)) {
-            agreed.start();
+                        AgreedSettings.withDefaults(options.fleet, members, records.incarnation() ^ options.name.hashCode()));
+                StateMember member = new StateMember(links, replica, agreement, out)) {
+            agreement.start();
             replica.start();
             links.start();
             member.start();
-            Thread reader = daemon(() -> member.read(), "lines");
+            Thread reader = createDaemon(() -> member.readCommands(), "lines");
             reader.start();
-            member.ended.await();
+            member.stopRequested.await();
         }
     }
 
-    private void read() {
+    private void readCommands() {
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                take(line);
+                execute(line);
             }
         } catch (IOException e) {
-            say(now(), "unknown", Map.of("line", "", "why", String.valueOf(e.getMessage())));
+            report(nowMs(), "unknown", Map.of("line", "", "why", String.valueOf(e.getMessage())));
         }
-        ended.countDown();
+        stopRequested.countDown();
     }
 }
--- a/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
+++ b/fleet/src/test/java/brackenbridge/fleet/config/FleetFileTest.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The file is checked whole, and what is at fault is said with its place. */
+/** The complete file is validated, and each fault is reported with its position. */
 class FleetFileTest {
     @Test
-    void exampleNamesWhatHoldsWhereNothingIsSaid() throws FileFaults {
+    void exampleFileContainsTheDefaults() throws FleetFileException {
         FleetFile example = FleetFile.read(Path.of("../deploy/fleet.toml"));
         FleetFile bare = FleetFile.parse("bare", """
                 fleet = "example"
@@ -37,9 +37,8 @@
     }
 
     @Test
-    void allFaultsAreReportedAtOnceEachWithItsPlace() {
-        List<String> faults =
-                assertThrows(FileFaults.class, () -> FleetFile.parse("f", """
+    void allFaultsAreReportedWithTheirPositions() {
+        List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", """
                 fleet = "a b"
                 [[member]]
                 name = "n0"
@@ -55,7 +54,8 @@
                 voters = 2
                 [replica]
                 catchup = "1MiB"
-                """)).faults();
+                """))
+                .faults();
         assertEquals(7, faults.size(), faults.toString());
         assertTrue(faults.get(0).startsWith("f:1:1: fleet: "), faults.get(0));
         assertTrue(faults.get(1).startsWith("f:4:1: member[0].address: "), faults.get(1));
@@ -67,24 +67,24 @@
     }
 
     @Test
-    void textThatIsNoTomlIsOneFaultWithItsPlace() {
-        List<String> faults = assertThrows(FileFaults.class, () -> FleetFile.parse("f", "fleet = \n"))
+    void syntaxErrorIsReportedWithItsPosition() {
+        List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", "fleet = \n"))
                 .faults();
         assertTrue(faults.get(0).startsWith("f:1:9: syntax: "), faults.toString());
     }
 
     @Test
-    void theControlExampleNamesWhatHoldsWhereNothingIsSaid() throws FileFaults {
+    void controlExampleFileContainsTheDefaults() throws FleetFileException {
         FleetFile example = FleetFile.read(Path.of("../deploy/control.toml"));
         assertEquals(ControlLimits.DEFAULTS, example.control().limits());
         assertEquals(List.of("*"), example.control().nodes());
         assertEquals("south", example.control().machine("c2").region());
         assertEquals(3, example.control().machines().size());
-        assertEquals(Map.of("c1", "127.0.0.1:9700"), example.listen());
+        assertEquals(Map.of("c1", "127.0.0.1:9700"), example.listenAddresses());
     }
 
     @Test
-    void controlMachinesAreMembersEachOnceAndLimitsCanBeKept() {
+    void controlMachinesAndLimitsAreValidated() {
         String fleet = "fleet = \"f\"\n[[member]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n[control]\n";
         String machine = "[[control.machine]]\nname = \"%s\"\nregion = \"r\"\naddress = \"127.0.0.1:2\"\n";
         String a = String.format(machine, "a");
@@ -97,8 +97,8 @@
     }
 
     private static void assertFault(String expected, String text) {
-        List<String> faults =
-                assertThrows(FileFaults.class, () -> FleetFile.parse("f", text)).faults();
+        List<String> faults = assertThrows(FleetFileException.class, () -> FleetFile.parse("f", text))
+                .faults();
         assertTrue(faults.stream().anyMatch(fault -> fault.contains(expected)), faults.toString());
     }
 }
--- a/node/src/main/java/brackenbridge/http/Headers.java
+++ b/node/src/main/java/brackenbridge/http/Headers.java
@@ -16,7 +16,7 @@
         return this;
     }
 
-    /** The first value of this name, or null. */
+    /** Returns the first value of this name, or null. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -29,7 +29,7 @@
     /** Returns a copy without the fields of this name. */
     public Headers without(String name) {
         Headers others = new Headers();
-        each((otherName, value) -> {
+        forEach((otherName, value) -> {
             if (!otherName.equalsIgnoreCase(name)) {
                 others.add(otherName, value);
             }
@@ -37,7 +37,7 @@
         return others;
     }
 
-    /** How many fields have this name. */
+    /** Returns the number of fields with this name. */
     public int count(String name) {
         int count = 0;
         for (String otherName : names) {
@@ -49,7 +49,7 @@
     }
 
     /** Whether the comma-separated list in a field of this name contains this element. */
-    public boolean lists(String name, String element) {
+    public boolean hasListElement(String name, String element) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name) && containsElement(values.get(i), element)) {
                 return true;
@@ -68,13 +68,13 @@
     }
 
     /** Calls the consumer with the name and value of each field, in order. */
-    public void each(BiConsumer<String, String> field) {
+    public void forEach(BiConsumer<String, String> field) {
         for (int i = 0; i < names.size(); i++) {
             field.accept(names.get(i), values.get(i));
         }
     }
 
-    /** The number of fields. */
+    /** Returns the number of fields. */
     public int size() {
         return names.size();
     }
--- a/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
+++ b/node/src/main/java/brackenbridge/mgmt/ManagementCall.java
@@ -5,7 +5,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A call from the command line to a running node. */
+/** Sends a management call to a running node. */
 public final class ManagementCall {
     private static final int TIMEOUT_MS = 5000;
     /** Guards the command line against another program that listens at the address. */
@@ -16,21 +16,21 @@
     private ManagementCall() {}
 
     /**
-     * Makes the call at this address and returns the complete answer.
+     * Sends the call to this address and returns the complete answer.
      *
-     * @throws IllegalArgumentException if the address or the call can't be used
+     * @throws IllegalArgumentException if the address or the call is invalid
      */
-    public static String make(String at, String call) throws IOException {
-        int colon = at.lastIndexOf(':');
-        if (colon < 1 || !at.substring(colon + 1).matches("[0-9]{1,5}") || call.contains("\n")) {
-            throw new IllegalArgumentException("not an address and port, or not a call: " + at + " " + call);
+    public static String send(String address, String call) throws IOException {
+        int colon = address.lastIndexOf(':');
+        if (colon < 1 || !address.substring(colon + 1).matches("[0-9]{1,5}") || call.contains("\n")) {
+            throw new IllegalArgumentException("not an address and port, or not a call: " + address + " " + call);
         }
-        int port = Integer.parseInt(at.substring(colon + 1));
+        int port = Integer.parseInt(address.substring(colon + 1));
         if (port > MAX_PORT) {
             throw new IllegalArgumentException("not a port: " + port);
         }
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(at.substring(0, colon), port), TIMEOUT_MS);
+            socket.connect(new InetSocketAddress(address.substring(0, colon), port), TIMEOUT_MS);
             socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readNBytes(MAX_ANSWER_BYTES), StandardCharsets.US_ASCII);
--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -3,7 +3,7 @@
 import brackenbridge.core.EndpointList;
 import brackenbridge.core.Event;
 import brackenbridge.discovery.EndpointListParser;
-import brackenbridge.discovery.ObjectCutter;
+import brackenbridge.discovery.JsonObjectSplitter;
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpException;
 import brackenbridge.http.ResponseDecoder;
@@ -71,7 +71,7 @@
             call.end("no address: " + call.address);
             return;
         }
-        call.channel = ConnectAttempt.begin(bootstrap.clone().handler(call), loop, socketAddress, call);
+        call.channel = ConnectAttempt.start(bootstrap.clone().handler(call), loop, socketAddress, call);
     }
 
     /** One call to discovery, from its connection to its end. */
@@ -79,10 +79,10 @@
         private final long id;
         private final String address;
         private final String path;
-        private final ObjectCutter cutter = new ObjectCutter(MAX_LIST_BYTES);
+        private final JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_LIST_BYTES);
         private final ResponseDecoder decoder = new ResponseDecoder(this::readBody);
         private Channel channel;
-        private boolean answered;
+        private boolean headReceived;
         private boolean ended;
 
         Call(long id, String address, String path) {
@@ -103,17 +103,17 @@
         }
 
         @Override
-        public void connected() {
+        public void onConnected() {
             channel.writeAndFlush(HttpEncoder.get(channel.alloc(), path, address));
         }
 
         @Override
-        public void connectFailed(Throwable cause) {
+        public void onConnectFailed(Throwable cause) {
             end("no connection: " + cause.getMessage());
         }
 
         @Override
-        public void notBegun(Throwable cause) {
+        public void onSocketUnavailable(Throwable cause) {
             end("no socket: " + cause.getMessage());
         }
 
@@ -127,10 +127,10 @@
         }
 
         private void readListByte(byte next) throws HttpException {
-            switch (cutter.add(next)) {
-                case TEXT -> onList(cutter.take());
+            switch (splitter.add(next)) {
+                case TEXT_COMPLETE -> onList(splitter.takeText());
                 // Of a list that comes in pieces only the first byte counts: guards against one that never ends.
-                case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryHeartbeat(id));
+                case EMPTY_LINE, TEXT_STARTED -> events.raise(new Event.DiscoveryHeartbeat(id));
                 case TOO_LONG -> end("list too long");
                 default -> {
                     // The list is not complete yet.
@@ -173,9 +173,9 @@
                 if (complete || decoder.awaitsBody() && decoder.status() != OK) {
                     // Guards against waiting for the end of an error response.
                     endWithResponse();
-                } else if (!answered && decoder.awaitsBody()) {
+                } else if (!headReceived && decoder.awaitsBody()) {
                     // Guards a call that had to wait for its response: the first empty line is due 2 s after it.
-                    answered = true;
+                    headReceived = true;
                     events.raise(new Event.DiscoveryHeartbeat(id));
                 }
             } catch (HttpException e) {
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -46,7 +46,7 @@
     private static final long SWEEP_INTERVAL_MS = 100;
     private static final int CONNECT_TIMEOUT_MS = 1000;
     /** A part of what a stopping process has left before it is killed. */
-    private static final long MAX_HOLD_MS = 50;
+    private static final long MAX_PARK_WAIT_MS = 50;
 
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int BUFFER_PAGE_BYTES = 8192;
@@ -171,7 +171,7 @@
     private ConnectionAcceptor.ClientRoom clientRoom() {
         return new ConnectionAcceptor.ClientRoom() {
             @Override
-            public int free() {
+            public int freeSlots() {
                 return descriptors.roomForClients();
             }
 
@@ -259,7 +259,7 @@
     }
 
     /** The state of the event loop at one moment: the sockets that it counts, and the metrics. */
-    record Snapshot(int clients, int servers, String figures) {}
+    record Snapshot(int clients, int servers, String metrics) {}
 
     /** Read on the loop, with nothing in between; for tests. */
     CompletableFuture<Snapshot> snapshot() {
@@ -290,17 +290,17 @@
      * Holds the event loops of a stopped node still, until the process exits; waits a short time at most. The virtual
      * machine waits 300 ms at its exit for threads that are inside a system call, as a waiting event loop is.
      */
-    public void holdEventLoops() throws InterruptedException {
+    public void parkEventLoops() throws InterruptedException {
         List<Executor> loops = new ArrayList<>(List.of(loop));
         if (management != null) {
             loops.add(management::execute);
         }
         CountDownLatch held = new CountDownLatch(loops.size());
-        loops.forEach(each -> each.execute(() -> holdThread(held)));
-        held.await(MAX_HOLD_MS, TimeUnit.MILLISECONDS);
+        loops.forEach(each -> each.execute(() -> parkThread(held)));
+        held.await(MAX_PARK_WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static void holdThread(CountDownLatch held) {
+    private static void parkThread(CountDownLatch held) {
         held.countDown();
         while (true) {
             LockSupport.park();
--- a/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptBackoff.java
@@ -5,21 +5,21 @@
  * which is longer than the deadline of many requests.
  */
 public final class AcceptBackoff {
-    /** The pause after a failure that would affect the next accept too. */
+    /** The pause after a failure that would affect the next accept as well. */
     public static final long PAUSE_MS = 5;
-    /** Failures in a row that are retried at once; guards the thread against a persistent error. */
+    /** How many consecutive failures are retried at once; guards the thread against a persistent error. */
     private static final int MAX_IMMEDIATE_RETRIES = 16;
 
     private int immediateRetries;
 
     /** Records a successful accept. */
-    public void accepted() {
+    public void onAccepted() {
         immediateRetries = 0;
     }
 
     /** Records a failed accept; returns the pause before the next in milliseconds, 0 to retry at once. */
-    public long pauseMs(Throwable failure) {
-        if (SocketErrors.endsOneConnection(failure) && immediateRetries < MAX_IMMEDIATE_RETRIES) {
+    public long onAcceptFailed(Throwable failure) {
+        if (SocketErrors.affectsOneConnectionOnly(failure) && immediateRetries < MAX_IMMEDIATE_RETRIES) {
             immediateRetries++;
             return 0;
         }
--- a/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
+++ b/node/src/main/java/brackenbridge/transport/AcceptRecovery.java
@@ -7,43 +7,43 @@
 import java.util.function.Consumer;
 
 /**
- * The handler of a listening channel that decides when it accepts: while its owner admits clients, except for a short
- * pause after an accept that failed for lack of something. It stands before Netty's own acceptor and keeps failed
- * accepts from it. On the channel's event loop only.
+ * Decides when a listening channel accepts connections: while its owner allows it, except for a short pause after an
+ * accept that failed for lack of a resource. The handler precedes Netty's own acceptor and does not pass failures on to
+ * it. Confined to the channel's event loop.
  */
 public final class AcceptRecovery extends ChannelInboundHandlerAdapter {
     private final AcceptBackoff backoff = new AcceptBackoff();
-    private final Runnable makeRoom;
+    private final Runnable releaseDescriptors;
     private final Consumer<String> warn;
     private boolean failing;
-    private boolean admits = true;
+    private boolean accepting = true;
     private boolean pausing;
 
-    /** For an owner that has nothing to close when descriptors are lacking. */
+    /** Creates a handler for an owner that can't release descriptors. */
     public AcceptRecovery(Consumer<String> warn) {
         this(() -> {}, warn);
     }
 
     /**
-     * For an owner that can close something.
+     * Creates a handler for an owner that can release descriptors.
      *
-     * @param makeRoom runs before each pause for lack of descriptors or buffers
-     * @param warn is told of the first failure after an accept that succeeded
+     * @param releaseDescriptors runs before each pause that is due to a shortage of descriptors or buffers
+     * @param warn receives a message about the first failure after a successful accept
      */
-    public AcceptRecovery(Runnable makeRoom, Consumer<String> warn) {
-        this.makeRoom = makeRoom;
+    public AcceptRecovery(Runnable releaseDescriptors, Consumer<String> warn) {
+        this.releaseDescriptors = releaseDescriptors;
         this.warn = warn;
     }
 
-    /** The owner takes clients, or lets them wait in the backlog. */
-    public void admit(Channel listening, boolean on) {
-        admits = on;
-        apply(listening);
+    /** Sets whether the owner accepts clients or leaves them in the backlog. */
+    public void setAccepting(Channel listening, boolean enabled) {
+        accepting = enabled;
+        updateAutoRead(listening);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object accepted) {
-        backoff.accepted();
+        backoff.onAccepted();
         failing = false;
         context.fireChannelRead(accepted);
     }
@@ -54,27 +54,27 @@
             failing = true;
             warn.accept("accept failed: " + cause);
         }
-        long pauseMs = backoff.pauseMs(cause);
-        // Without a pause the selector reports the same socket in its next turn.
+        long pauseMs = backoff.onAcceptFailed(cause);
+        // Without a pause the selector reports the same socket in its next iteration.
         if (pauseMs == 0 || pausing) {
             return;
         }
-        if (SocketErrors.isShortage(cause)) {
-            makeRoom.run();
+        if (SocketErrors.isResourceShortage(cause)) {
+            releaseDescriptors.run();
         }
         pausing = true;
-        apply(context.channel());
+        updateAutoRead(context.channel());
         context.executor().schedule(() -> resume(context.channel()), pauseMs, TimeUnit.MILLISECONDS);
     }
 
     private void resume(Channel listening) {
         pausing = false;
         if (listening.isRegistered()) {
-            apply(listening);
+            updateAutoRead(listening);
         }
     }
 
-    private void apply(Channel listening) {
-        listening.config().setAutoRead(admits && !pausing);
+    private void updateAutoRead(Channel listening) {
+        listening.config().setAutoRead(accepting && !pausing);
     }
 }
--- a/node/src/main/java/brackenbridge/wire/WireFields.java
+++ b/node/src/main/java/brackenbridge/wire/WireFields.java
@@ -8,9 +8,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads the fields of a message that hold more than a word or a number. */
+/** Reads the structured fields of messages: outcomes, load reports and settings. */
 final class WireFields {
-    /** By the wire's numbers, from 1 on. */
+    /** Indexed by the number on the wire, which starts at 1. */
     private static final AttemptOutcome[] OUTCOMES = {
         AttemptOutcome.OK,
         AttemptOutcome.ERROR,
@@ -22,8 +22,8 @@
         AttemptOutcome.NEVER_STARTED
     };
 
-    private static final int LOAD_FIGURES = 6;
-    private static final int UNKNOWN_FIGURE = -1;
+    private static final int LOAD_REPORT_FIELDS = 6;
+    private static final int UNKNOWN_FIELD = -1;
 
     private WireFields() {}
 
@@ -36,32 +36,32 @@
         return OUTCOMES[(int) code - 1];
     }
 
-    /** Reads the rest of a message, which is a server's load report; null if there is none. */
+    /** Reads the rest of a message as a server's load report; null if there is none. */
     static LoadReport readLoadReport(WireReader reader) {
         String pairs = reader.readOptionalText("pressure");
         reader.requireEndOfMessage();
         if (pairs == null) {
             return null;
         }
-        double[] figures = new double[LOAD_FIGURES];
+        double[] figures = new double[LOAD_REPORT_FIELDS];
         Arrays.fill(figures, Double.NaN);
         int pairStart = 0;
         while (pairStart < pairs.length()) {
             int comma = pairs.indexOf(',', pairStart);
             int pairEnd = comma < 0 ? pairs.length() : comma;
-            readFigure(reader, pairs.substring(pairStart, pairEnd), figures);
+            readLoadReportField(reader, pairs.substring(pairStart, pairEnd), figures);
             pairStart = pairEnd + 1;
         }
         return new LoadReport(figures[0], figures[1], figures[2], figures[3], figures[4], figures[5]);
     }
 
-    private static void readFigure(WireReader reader, String pair, double[] figures) {
+    private static void readLoadReportField(WireReader reader, String pair, double[] figures) {
         int colon = pair.indexOf(':');
         if (colon < 0) {
             throw reader.error("pressure", "not a pair: '" + pair + "'");
         }
-        int figure = figureIndex(pair.substring(0, colon));
-        if (figure == UNKNOWN_FIGURE) {
+        int figure = fieldIndex(pair.substring(0, colon));
+        if (figure == UNKNOWN_FIELD) {
             return;
         }
         String value = pair.substring(colon + 1);
@@ -72,8 +72,8 @@
         }
     }
 
-    /** The place of a figure among the parameters of {@link LoadReport}. */
-    private static int figureIndex(String name) {
+    /** Returns the index of a field among the components of {@link LoadReport}. */
+    private static int fieldIndex(String name) {
         return switch (name) {
             case "concurrent" -> 0;
             case "depth" -> 1;
@@ -81,11 +81,11 @@
             case "mean_ms" -> 3;
             case "tps" -> 4;
             case "err_ps" -> 5;
-            default -> UNKNOWN_FIGURE;
+            default -> UNKNOWN_FIELD;
         };
     }
 
-    /** Reads the rest of a message, which is the settings of an instance as fields {@code path=value}. */
+    /** Reads the rest of a message as the settings of an instance, in fields {@code path=value}. */
     static BalancerSettings readSettings(WireReader reader, long seed) {
         Map<String, String> pairs = new HashMap<>();
         while (reader.hasMoreFields()) {
--- a/node/src/main/java/brackenbridge/wire/WireHost.java
+++ b/node/src/main/java/brackenbridge/wire/WireHost.java
@@ -21,14 +21,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Hosts instances of the balancer on the simulator's wire. Reads batches of events, gives each event to the instance
- * that it addresses, and writes what the instances do. Translates only; decisions are the balancer's.
+ * Hosts instances of the balancer for the simulator. Reads batches of events, passes each event to the instance that it
+ * is addressed to, and writes the actions of the instances. It only translates; the balancer decides.
  */
 public final class WireHost {
     private static final double MICROSECONDS_PER_MS = 1000.0;
     private static final long NO_OBJECT_KEY = -1;
     private static final long NO_EXPECTED_COST = -1;
-    /** The tenant field of a request that belongs to no tenant. */
+    /** The tenant field of a request without a tenant. */
     private static final String NO_TENANT = "0";
 
     /** The bits of a request's options. */
@@ -42,14 +42,14 @@
     private final EndpointLists endpointLists = new EndpointLists();
     private long nowUs;
     private long instanceId;
-    private boolean addressed;
+    private boolean instanceSelected;
 
     WireHost(InputStream in, OutputStream out) {
         reader = new WireReader(in);
         writer = new WireWriter(out);
     }
 
-    /** Serves the simulator on standard input and output; the process's exit code. */
+    /** Serves the simulator on standard input and output; returns the exit code of the process. */
     public static int serve() throws IOException {
         try {
             new WireHost(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out)).run();
@@ -77,7 +77,7 @@
 
     /** Handles the events up to the end of the batch. */
     private void handleBatch() throws IOException {
-        addressed = false;
+        instanceSelected = false;
         while (true) {
             if (!reader.nextLine()) {
                 throw reader.error(null, "input ends inside a batch");
@@ -110,23 +110,25 @@
     }
 
     private WireInstance instance() {
-        WireInstance instance = addressed ? instances.get(instanceId) : null;
+        WireInstance instance = instanceSelected ? instances.get(instanceId) : null;
         if (instance == null) {
             throw reader.error(
                     null,
-                    addressed ? "instance " + instanceId + " has not been started" : "no CONTEXT before this event");
+                    instanceSelected
+                            ? "instance " + instanceId + " has not been started"
+                            : "no CONTEXT before this event");
         }
         return instance;
     }
 
     private void selectInstance() {
         instanceId = reader.readNumber("sidecar");
-        addressed = true;
+        instanceSelected = true;
         reader.requireEndOfMessage();
     }
 
     private void startInstance() {
-        if (!addressed) {
+        if (!instanceSelected) {
             throw reader.error(null, "no CONTEXT before this event");
         }
         long seed = reader.readNumber("prng");
@@ -142,7 +144,7 @@
 
     private static DiscoveryWatch discoveryWatch(BalancerSettings settings, long seed) {
         DiscoverySource source = new DiscoverySource(true, settings.maxPollInterval() / MICROSECONDS_PER_MS);
-        // The simulator reports the end of each call, so that silence has no meaning.
+        // The simulator reports the end of each call, so that no timeout is needed to detect a silent one.
         double maxSilenceMs = Double.POSITIVE_INFINITY;
         return new DiscoveryWatch(source, maxSilenceMs, new SplittableRandom(~seed));
     }
@@ -154,13 +156,13 @@
     }
 
     private void onEndpointList() {
-        String how = reader.readText("how");
-        EndpointListKind kind = switch (how) {
+        String kindName = reader.readText("how");
+        EndpointListKind kind = switch (kindName) {
             case "INCREMENTAL" -> EndpointListKind.CHANGES;
             case "FULL" -> EndpointListKind.FULL;
             case "SAVED" -> EndpointListKind.CACHED;
             case "FAILED" -> null;
-            default -> throw reader.error("how", "unknown: '" + how + "'");
+            default -> throw reader.error("how", "unknown: '" + kindName + "'");
         };
         if (kind == null) {
             reader.readOptionalNumber("setId", 0);
@@ -235,7 +237,7 @@
         instance().decide(balancer -> balancer.onHealthCheckEnded(nowUs, endpoint, outcome, latency, report));
     }
 
-    /** The balancer sends no messages to its peers and acts on none. */
+    /** Skips a message from a peer; the balancer exchanges none. */
     private void ignorePeerMessage() {
         reader.readNumber("neighbour");
         reader.readRest("raw");
--- a/node/src/test/java/brackenbridge/cli/HangupSignalTest.java
+++ b/node/src/test/java/brackenbridge/cli/HangupSignalTest.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The real signal, sent to the process that runs the tests. */
+/** Sends the real signal to the process that runs the tests. */
 class HangupSignalTest {
     @Test
-    void eachSignalRunsTheWorkAndEndsNothing() throws Exception {
-        Semaphore heard = new Semaphore(0);
-        assertTrue(HangupSignal.handle(heard::release));
+    void eachSignalRunsTheActionAndTheProcessContinues() throws Exception {
+        Semaphore handled = new Semaphore(0);
+        assertTrue(HangupSignal.handle(handled::release));
         for (int i = 0; i < 2; i++) {
             new ProcessBuilder(
                             "kill",
@@ -21,35 +21,35 @@
                             Long.toString(ProcessHandle.current().pid()))
                     .start()
                     .waitFor();
-            assertTrue(heard.tryAcquire(10, TimeUnit.SECONDS));
+            assertTrue(handled.tryAcquire(10, TimeUnit.SECONDS));
         }
     }
 
-    /** Says whether the signal will be heard. */
-    static final class Asked {
+    /** Prints whether the signal will be handled. */
+    static final class HandlerProgram {
         public static void main(String[] args) {
-            System.out.println("heard: " + HangupSignal.handle(() -> {}));
+            System.out.println("handled: " + HangupSignal.handle(() -> {}));
         }
     }
 
-    private static String asked(String before) throws Exception {
+    private static String outputOfProgram(String shellCommands) throws Exception {
         String java = ProcessHandle.current().info().command().orElse("java");
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         "sh",
                         "-c",
-                        before + "exec \"$0\" \"$@\"",
+                        shellCommands + "exec \"$0\" \"$@\"",
                         java,
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Asked.class.getName())
+                        HandlerProgram.class.getName())
                 .start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-        assertEquals(0, p.waitFor());
-        return said.strip();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        assertEquals(0, process.waitFor());
+        return output.strip();
     }
 
     @Test
-    void processThatWasStartedWithTheSignalIgnoredSaysSo() throws Exception {
-        assertEquals("heard: false", asked("trap '' HUP; "));
+    void ignoredSignalIsDetected() throws Exception {
+        assertEquals("handled: false", outputOfProgram("trap '' HUP; "));
     }
 }
--- a/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
+++ b/node/src/test/java/brackenbridge/counters/GoldenFormsTest.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The names of all counters and figures, against the golden files. */
+/** Compares the names of all counters and metrics with the golden files. */
 class GoldenFormsTest {
-    private static Counters counted() {
+    private static Counters createCounters() {
         Counters counters = new Counters();
-        for (Counter kind : Counter.values()) {
-            for (int i = 0; i <= kind.ordinal(); i++) {
-                counters.count(kind, "read");
+        for (Counter counter : Counter.values()) {
+            for (int i = 0; i <= counter.ordinal(); i++) {
+                counters.count(counter, "read");
             }
         }
         for (RejectionReason.Port port : RejectionReason.Port.values()) {
-            for (RejectionReason why : RejectionReason.values()) {
-                for (int i = 0; i <= port.ordinal() * 10 + why.ordinal(); i++) {
-                    counters.countRejection(port, why);
+            for (RejectionReason reason : RejectionReason.values()) {
+                for (int i = 0; i <= port.ordinal() * 10 + reason.ordinal(); i++) {
+                    counters.countRejection(port, reason);
                 }
             }
         }
@@ -25,17 +25,17 @@
     }
 
     @Test
-    void countersAsTheHealthPageAndTheLogHaveThem() throws IOException {
-        GoldenText.check("counters-text.txt", counted().toText());
-        GoldenText.check("counters-line.txt", counted().toLine());
+    void countersOfTheHealthEndpointAndTheLog() throws IOException {
+        GoldenText.check("counters-text.txt", createCounters().toText());
+        GoldenText.check("counters-line.txt", createCounters().toLine());
     }
 
     @Test
-    void figuresOfStaff() throws IOException {
+    void operatorMetrics() throws IOException {
         GoldenText.check(
                 "figures.txt",
                 OperatorMetrics.format(
-                        counted(), List.of("read", "write"), new OperatorMetrics.Gauges(3, 40, 2, 1234.5)));
+                        createCounters(), List.of("read", "write"), new OperatorMetrics.Gauges(3, 40, 2, 1234.5)));
         GoldenText.check(
                 "figures-without-discovery.txt",
                 OperatorMetrics.format(
--- a/node/src/test/java/brackenbridge/http/DecoderTest.java
+++ b/node/src/test/java/brackenbridge/http/DecoderTest.java
@@ -22,65 +22,65 @@
     private static final String CHUNKED = "POST /file HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             + "3;a=b\r\nhel\r\n2\r\nlo\r\n0\r\nTrailer: t\r\n\r\n";
     private static final String GET = "GET /view HTTP/1.0\r\nConnection: keep-alive\r\n\r\n";
-    private static final String ANSWERS = "HTTP/1.1 100 Continue\r\n\r\n"
+    private static final String RESPONSES = "HTTP/1.1 100 Continue\r\n\r\n"
             + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
             + "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
 
-    private static List<HttpRequest> requests(List<byte[]> pieces) throws HttpException {
-        RequestDecoder d = new RequestDecoder();
-        List<HttpRequest> whole = new ArrayList<>();
+    private static List<HttpRequest> decodeRequests(List<byte[]> pieces) throws HttpException {
+        RequestDecoder decoder = new RequestDecoder();
+        List<HttpRequest> requests = new ArrayList<>();
         ByteBuf in = Unpooled.buffer();
         for (byte[] piece : pieces) {
             in.writeBytes(piece);
-            while (d.decode(in)) {
-                whole.add(d.take());
+            while (decoder.decode(in)) {
+                requests.add(decoder.takeRequest());
             }
         }
-        return whole;
+        return requests;
     }
 
-    private static int status(String text) {
-        return assertThrows(HttpException.class, () -> requests(Bytes.cuts(text, 1)), text)
+    private static int rejectionStatus(String text) {
+        return assertThrows(HttpException.class, () -> decodeRequests(Bytes.splitRandomly(text, 1)), text)
                 .status();
     }
 
     @Property(seed = "11", tries = 300)
-    void requestsCutAnywhereAreTheSame(@ForAll long seed) throws HttpException {
-        List<HttpRequest> r = requests(Bytes.cuts(POST + CHUNKED + GET + POST, seed));
+    void requestsSplitAnywhereDecodeTheSame(@ForAll long seed) throws HttpException {
+        List<HttpRequest> requests = decodeRequests(Bytes.splitRandomly(POST + CHUNKED + GET + POST, seed));
         assertEquals(
                 List.of("/file/x?y=1", "/file", "/view", "/file/x?y=1"),
-                r.stream().map(HttpRequest::target).toList());
+                requests.stream().map(HttpRequest::target).toList());
         assertEquals(
                 List.of("hello", "hello", "", "hello"),
-                r.stream()
+                requests.stream()
                         .map(q -> new String(q.body(), StandardCharsets.UTF_8))
                         .toList());
         assertEquals(
                 List.of(true, true, false, true),
-                r.stream().map(HttpRequest::keepAlive).toList());
+                requests.stream().map(HttpRequest::keepAlive).toList());
     }
 
     @Property(seed = "12", tries = 300)
-    void answersCutAnywhereAreTheSame(@ForAll long seed) throws HttpException {
-        ResponseDecoder d = new ResponseDecoder();
-        List<String> whole = new ArrayList<>();
+    void responsesSplitAnywhereDecodeTheSame(@ForAll long seed) throws HttpException {
+        ResponseDecoder decoder = new ResponseDecoder();
+        List<String> responses = new ArrayList<>();
         ByteBuf in = Unpooled.buffer();
-        for (byte[] piece : Bytes.cuts(ANSWERS, seed)) {
+        for (byte[] piece : Bytes.splitRandomly(RESPONSES, seed)) {
             in.writeBytes(piece);
-            while (d.decode(in)) {
-                HttpResponse r = d.take();
-                whole.add(r.status() + new String(r.body(), StandardCharsets.UTF_8));
+            while (decoder.decode(in)) {
+                HttpResponse response = decoder.takeResponse();
+                responses.add(response.status() + new String(response.body(), StandardCharsets.UTF_8));
             }
         }
-        assertEquals(List.of("200hello", "503hello"), whole);
-        assertFalse(d.onConnectionEnd());
+        assertEquals(List.of("200hello", "503hello"), responses);
+        assertFalse(decoder.onConnectionEnd());
     }
 
     @Property(seed = "13", tries = 1000)
-    void garbageIsRefusedOrReadAndNeverTakenForMore(@ForAll long seed) {
-        String text = Bytes.garbage(POST + CHUNKED + GET, seed);
+    void garbageIsRejectedOrDecodedWithinItsSize(@ForAll long seed) {
+        String text = Bytes.mutateRandomly(POST + CHUNKED + GET, seed);
         try {
-            int bodies = requests(Bytes.cuts(text, seed)).stream()
+            int bodies = decodeRequests(Bytes.splitRandomly(text, seed)).stream()
                     .mapToInt(r -> r.body().length)
                     .sum();
             assertTrue(bodies < text.length());
@@ -90,86 +90,90 @@
     }
 
     @Test
-    void badFramingHasItsStatus() {
+    void malformedRequestsHaveTheirStatus() {
         String head = "POST /file HTTP/1.1\r\n";
-        assertEquals(400, status(head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"));
-        assertEquals(400, status(head + "Content-Length: 5\r\nContent-Length: 5\r\n\r\n"));
-        assertEquals(400, status(head + "Content-Length: 5, 5\r\n\r\n"));
-        assertEquals(400, status(head + "Content-Length: +5\r\n\r\n"));
-        assertEquals(400, status(head + "Transfer-Encoding: gzip, chunked\r\n\r\n"));
-        assertEquals(400, status(head + "Transfer-Encoding : chunked\r\n\r\n"));
-        assertEquals(400, status(head + "A: b\r\n folded\r\n\r\n"));
-        assertEquals(400, status(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n"));
-        assertEquals(400, status("\u0016\u0003\u0001 bare junk\r\n"));
-        assertEquals(400, status("GET /view HTTP/1.1\nHost: a\n\n"));
-        assertEquals(413, status(head + "Content-Length: 33554433\r\n\r\n"));
-        assertEquals(414, status("GET /" + "x".repeat(9000)));
-        assertEquals(431, status(head + "A: " + "x".repeat(17000)));
-        assertEquals(431, status(head + "A: b\r\n".repeat(101)));
-        assertEquals(505, status("GET /view HTTP/2.0\r\n"));
-    }
-
-    private static boolean answered(ResponseDecoder d, String text) throws HttpException {
-        return d.decode(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+        assertEquals(400, rejectionStatus(head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Content-Length: 5\r\nContent-Length: 5\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Content-Length: 5, 5\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Content-Length: +5\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Transfer-Encoding: gzip, chunked\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Transfer-Encoding : chunked\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "A: b\r\n folded\r\n\r\n"));
+        assertEquals(400, rejectionStatus(head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n"));
+        assertEquals(400, rejectionStatus("\u0016\u0003\u0001 bare junk\r\n"));
+        assertEquals(400, rejectionStatus("GET /view HTTP/1.1\nHost: a\n\n"));
+        assertEquals(413, rejectionStatus(head + "Content-Length: 33554433\r\n\r\n"));
+        assertEquals(414, rejectionStatus("GET /" + "x".repeat(9000)));
+        assertEquals(431, rejectionStatus(head + "A: " + "x".repeat(17000)));
+        assertEquals(431, rejectionStatus(head + "A: b\r\n".repeat(101)));
+        assertEquals(505, rejectionStatus("GET /view HTTP/2.0\r\n"));
+    }
+
+    private static boolean decode(ResponseDecoder decoder, String text) throws HttpException {
+        return decoder.decode(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     }
 
     @Property(seed = "14", tries = 60)
-    void longBodiesCutAnywhereComeOutInOrder(@ForAll long seed) throws HttpException {
+    void longBodiesSplitAnywhereAreStreamedInOrder(@ForAll long seed) throws HttpException {
         String body = "0123456789abcdef".repeat(9000);
         String sized = "POST /file HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
         String chunked = "POST /file HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n" + "0000000010000;a=\"b;c\"\r\n"
                 + body.substring(0, 65536) + "\r\n" + Integer.toHexString(body.length() - 65536) + "\r\n"
                 + body.substring(65536) + "\r\n0\r\nTrailer: t\r\n\r\n";
-        RequestDecoder d = new RequestDecoder();
+        RequestDecoder decoder = new RequestDecoder();
         ByteBuf in = Unpooled.buffer();
         List<String> bodies = new ArrayList<>();
-        StringBuilder got = new StringBuilder();
-        for (byte[] piece : Bytes.cuts(sized + chunked + GET, seed)) {
+        StringBuilder received = new StringBuilder();
+        for (byte[] piece : Bytes.splitRandomly(sized + chunked + GET, seed)) {
             in.discardReadBytes().writeBytes(piece);
             while (true) {
-                if (d.decode(in)) {
-                    got.append(new String(d.take().body(), StandardCharsets.ISO_8859_1));
-                    bodies.add(got.toString());
-                    got.setLength(0);
-                } else if (d.isLong()) {
-                    got.append(new String(
-                            d.stream((from, n) -> got.append(from.readCharSequence(n, StandardCharsets.ISO_8859_1))),
+                if (decoder.decode(in)) {
+                    received.append(new String(decoder.takeRequest().body(), StandardCharsets.ISO_8859_1));
+                    bodies.add(received.toString());
+                    received.setLength(0);
+                } else if (decoder.isBodyBufferFull()) {
+                    received.append(new String(
+                            decoder.streamBody((from, n) ->
+                                    received.append(from.readCharSequence(n, StandardCharsets.ISO_8859_1))),
                             StandardCharsets.ISO_8859_1));
                 } else {
                     break;
                 }
             }
-            assertTrue(d.bufferedBytes() <= MessageDecoder.MAX_BUFFERED_BODY_BYTES + 200, "held " + d.bufferedBytes());
+            assertTrue(
+                    decoder.bufferedBytes() <= MessageDecoder.MAX_BUFFERED_BODY_BYTES + 200,
+                    "buffered " + decoder.bufferedBytes());
         }
         assertEquals(List.of(body, body, ""), bodies);
     }
 
     @Test
-    void bodyThatIsCountedOverTheLimitIsTooLong() throws HttpException {
-        RequestDecoder d = new RequestDecoder();
-        d.decode(Unpooled.copiedBuffer(
+    void chunkedBodyOverTheLimitIsRejected() throws HttpException {
+        RequestDecoder decoder = new RequestDecoder();
+        decoder.decode(Unpooled.copiedBuffer(
                 "POST /file HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2000001\r\n", StandardCharsets.US_ASCII));
-        d.stream((from, n) -> from.skipBytes(n));
+        decoder.streamBody((from, n) -> from.skipBytes(n));
         ByteBuf piece = Unpooled.wrappedBuffer(new byte[1 << 20]);
         for (int i = 0; i < 32; i++) {
-            assertFalse(d.decode(piece.duplicate()));
+            assertFalse(decoder.decode(piece.duplicate()));
         }
         assertEquals(
                 413,
-                assertThrows(HttpException.class, () -> d.decode(piece.duplicate()))
+                assertThrows(HttpException.class, () -> decoder.decode(piece.duplicate()))
                         .status());
     }
 
     @Test
-    void targetInAbsoluteFormNamesTheHost() throws HttpException {
-        HttpRequest r = requests(Bytes.cuts("GET HTTP://b:80/view?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", 3))
+    void absoluteTargetReplacesTheHost() throws HttpException {
+        HttpRequest request = decodeRequests(
+                        Bytes.splitRandomly("GET HTTP://b:80/view?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", 3))
                 .get(0);
-        assertEquals("/view?x=1", r.target());
-        assertEquals("b:80", r.headers().get("host"));
+        assertEquals("/view?x=1", request.target());
+        assertEquals("b:80", request.headers().get("host"));
     }
 
     @Test
-    void successWithoutFramingEndsWithItsConnection() throws HttpException {
+    void successWithoutFramingEndsWithTheConnection() throws HttpException {
         for (String head : new String[] {
             "HTTP/1.1 200 OK\r\nConnection: x, Close\r\n",
             "HTTP/1.1 200 OK\r\n",
@@ -177,19 +181,21 @@
             "HTTP/1.0 200 OK\r\n",
             "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n"
         }) {
-            ResponseDecoder d = new ResponseDecoder();
-            assertFalse(answered(d, head + "\r\n"), "an empty body has no end yet either");
-            assertFalse(answered(d, "hel"));
-            assertFalse(answered(d, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "all is body up to the connection's end");
-            assertTrue(d.onConnectionEnd());
-            HttpResponse r = d.take();
-            assertEquals("hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(r.body(), StandardCharsets.US_ASCII), head);
-            assertFalse(r.keepAlive(), head);
+            ResponseDecoder decoder = new ResponseDecoder();
+            assertFalse(decode(decoder, head + "\r\n"), "an empty body is not complete yet");
+            assertFalse(decode(decoder, "hel"));
+            assertFalse(
+                    decode(decoder, "\r\n\r\nHTTP/1.1 200 OK\r\n"), "the body extends to the end of the connection");
+            assertTrue(decoder.onConnectionEnd());
+            HttpResponse response = decoder.takeResponse();
+            assertEquals(
+                    "hel\r\n\r\nHTTP/1.1 200 OK\r\n", new String(response.body(), StandardCharsets.US_ASCII), head);
+            assertFalse(response.keepAlive(), head);
         }
     }
 
     @Test
-    void endOfTheConnectionIsNoEndOfAHeadOrOfABodyThatIsFramed() throws HttpException {
+    void endOfTheConnectionDoesNotCompleteAHeadOrAFramedBody() throws HttpException {
         for (String half : new String[] {
             "",
             "HTTP/1.1 200 OK\r\n",
@@ -198,45 +204,45 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhell\r\n",
             "HTTP/1.1 100 Continue\r\n\r\n"
         }) {
-            ResponseDecoder d = new ResponseDecoder();
-            assertFalse(answered(d, half));
-            assertFalse(d.onConnectionEnd(), half);
+            ResponseDecoder decoder = new ResponseDecoder();
+            assertFalse(decode(decoder, half));
+            assertFalse(decoder.onConnectionEnd(), half);
         }
     }
 
     @Test
     void otherStatusesNeedNoFraming() throws HttpException {
-        ResponseDecoder d = new ResponseDecoder();
-        assertTrue(answered(d, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
-        assertFalse(d.take().keepAlive());
+        ResponseDecoder decoder = new ResponseDecoder();
+        assertTrue(decode(decoder, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\n\r\n"));
+        assertFalse(decoder.takeResponse().keepAlive());
     }
 
     @Test
-    void listWithoutFramingEndsWithItsConnection() throws HttpException {
+    void streamedBodyWithoutFramingEndsWithTheConnection() throws HttpException {
         StringBuilder body = new StringBuilder();
-        ResponseDecoder d =
+        ResponseDecoder decoder =
                 new ResponseDecoder((from, n) -> body.append(from.readCharSequence(n, StandardCharsets.US_ASCII)));
-        assertFalse(answered(d, "HTTP/1.1 200 OK\r\n\r\nhel"));
-        assertTrue(d.onConnectionEnd());
+        assertFalse(decode(decoder, "HTTP/1.1 200 OK\r\n\r\nhel"));
+        assertTrue(decoder.onConnectionEnd());
         assertEquals("hel", body.toString());
     }
 
     @Test
-    void interimAnswersArePassedOverButNotForEver() throws HttpException {
+    void interimResponsesAreSkippedUpToALimit() throws HttpException {
         String interim = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
-        ResponseDecoder d = new ResponseDecoder();
-        assertFalse(answered(d, interim.repeat(16)));
-        assertTrue(answered(d, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
-        assertThrows(HttpException.class, () -> answered(new ResponseDecoder(), interim.repeat(17)));
+        ResponseDecoder decoder = new ResponseDecoder();
+        assertFalse(decode(decoder, interim.repeat(16)));
+        assertTrue(decode(decoder, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+        assertThrows(HttpException.class, () -> decode(new ResponseDecoder(), interim.repeat(17)));
     }
 
     @Test
-    void whatIsHeldOfARequestIsCountedAndLetGo() throws HttpException {
-        RequestDecoder d = new RequestDecoder();
-        d.decode(Unpooled.copiedBuffer(POST.substring(0, POST.length() - 1), StandardCharsets.US_ASCII));
-        assertTrue(d.bufferedBytes() > 40, "held " + d.bufferedBytes());
-        assertTrue(d.decode(Unpooled.copiedBuffer("o", StandardCharsets.US_ASCII)));
-        d.take();
-        assertEquals(0, d.bufferedBytes());
+    void bufferedBytesAreCountedAndReleased() throws HttpException {
+        RequestDecoder decoder = new RequestDecoder();
+        decoder.decode(Unpooled.copiedBuffer(POST.substring(0, POST.length() - 1), StandardCharsets.US_ASCII));
+        assertTrue(decoder.bufferedBytes() > 40, "buffered " + decoder.bufferedBytes());
+        assertTrue(decoder.decode(Unpooled.copiedBuffer("o", StandardCharsets.US_ASCII)));
+        decoder.takeRequest();
+        assertEquals(0, decoder.bufferedBytes());
     }
 }
--- a/node/src/test/java/brackenbridge/net/FakeServer.java
+++ b/node/src/test/java/brackenbridge/net/FakeServer.java
@@ -17,18 +17,18 @@
 /** A server on loopback that keeps each request and answers with the next of its scripted answers. */
 final class FakeServer implements AutoCloseable {
     /** Instead of an answer: end the connection once the request is in. */
-    static final String HANG_UP = "";
+    static final String CLOSE_CONNECTION = "";
 
     final LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    final LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
     final LinkedBlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
-    private final List<Socket> fillers = new ArrayList<>();
+    private final List<Socket> backlogFillers = new ArrayList<>();
     private final Set<Integer> fillerPorts = new HashSet<>();
     private final ServerSocket listening;
 
     FakeServer() throws IOException {
         this(50);
-        accept();
+        startAccepting();
     }
 
     private FakeServer(int backlog) throws IOException {
@@ -36,13 +36,13 @@
     }
 
     /** A server whose backlog is full: no connection to it comes up before it accepts. */
-    static FakeServer full() throws IOException {
+    static FakeServer withFullBacklog() throws IOException {
         FakeServer s = new FakeServer(1);
         try {
             while (true) {
                 Socket filler = new Socket();
                 filler.connect(s.listening.getLocalSocketAddress(), 100);
-                s.fillers.add(filler);
+                s.backlogFillers.add(filler);
                 s.fillerPorts.add(filler.getLocalPort());
             }
         } catch (SocketTimeoutException e) {
@@ -51,24 +51,24 @@
     }
 
     /** Accepts and serves from now on. */
-    void accept() throws IOException {
-        for (Socket filler : fillers) {
+    void startAccepting() throws IOException {
+        for (Socket filler : backlogFillers) {
             filler.close();
         }
-        daemon(this::acceptAll);
+        startDaemon(this::acceptAll);
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread t = new Thread(work);
         t.setDaemon(true);
         t.start();
     }
 
-    String dial() {
+    String address() {
         return "127.0.0.1:" + listening.getLocalPort();
     }
 
-    String next() throws InterruptedException {
+    String nextRequest() throws InterruptedException {
         return requests.poll(10, TimeUnit.SECONDS);
     }
 
@@ -81,7 +81,7 @@
                     continue;
                 }
                 connections.add(s);
-                daemon(() -> serve(s));
+                startDaemon(() -> serve(s));
             }
         } catch (IOException e) {
             return;
@@ -91,10 +91,10 @@
     private void serve(Socket s) {
         try (s) {
             String request;
-            while ((request = message(s.getInputStream())) != null) {
+            while ((request = readMessage(s.getInputStream())) != null) {
                 requests.add(request);
-                String answer = answers.take();
-                if (answer.equals(HANG_UP)) {
+                String answer = responses.take();
+                if (answer.equals(CLOSE_CONNECTION)) {
                     return;
                 }
                 s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
@@ -105,7 +105,7 @@
     }
 
     /** Reads one message framed by a length; null at the end. */
-    static String message(InputStream in) throws IOException {
+    static String readMessage(InputStream in) throws IOException {
         StringBuilder s = new StringBuilder();
         int length = 0;
         int end = -1;
--- a/node/src/test/java/brackenbridge/net/ReplacementTest.java
+++ b/node/src/test/java/brackenbridge/net/ReplacementTest.java
@@ -39,7 +39,7 @@
     @TempDir
     private Path directory;
 
-    private Path meeting;
+    private Path handoverPath;
     private FakeServer server;
     private int port;
     private final List<Node> nodes = new ArrayList<>();
@@ -47,7 +47,7 @@
     @BeforeEach
     void start() throws IOException {
         server = new FakeServer();
-        meeting = brackenbridge.handover.Handover.path(directory.toString(), "n3", "127.0.0.1:0");
+        handoverPath = brackenbridge.handover.Handover.socketPath(directory.toString(), "n3", "127.0.0.1:0");
     }
 
     @AfterEach
@@ -57,25 +57,25 @@
     }
 
     /** A node that knows version 41 of the list, or none. */
-    private Node node(boolean knows) {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+    private Node startNode(boolean knows) {
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         Config config = Config.parse(ConfigTest.TEXT
                 .replace("127.0.0.1:0", "127.0.0.1:" + port)
                 .replace("\"seq\":41", knows ? "\"seq\":41" : "\"seq\":3")
                 .replace("\"hosts\":[]", knows ? "\"hosts\":[" + host + "]" : "\"hosts\":[]"));
         Clock clock = Clock.system();
-        Node n = new Node(config, clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())), meeting);
+        Node n = new Node(config, clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())), handoverPath);
         nodes.add(n);
         n.start();
         port = n.address().getPort();
         return n;
     }
 
-    private String ask(String request) throws IOException {
+    private String exchange(String request) throws IOException {
         try (Socket s = new Socket("127.0.0.1", port)) {
             s.setSoTimeout(10_000);
             s.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            return String.valueOf(FakeServer.message(s.getInputStream()));
+            return String.valueOf(FakeServer.readMessage(s.getInputStream()));
         }
     }
 
@@ -90,10 +90,10 @@
      * Connects as a successor. The socket's file appears when the node binds, a moment before it listens: until then
      * connects are refused.
      */
-    private SocketChannel connectToMeeting() throws IOException, InterruptedException {
+    private SocketChannel connectToHandoverPath() throws IOException, InterruptedException {
         for (int i = 1; ; i++) {
             try {
-                return SocketChannel.open(UnixDomainSocketAddress.of(meeting));
+                return SocketChannel.open(UnixDomainSocketAddress.of(handoverPath));
             } catch (ConnectException e) {
                 if (i == MAX_CONNECT_TRIES) {
                     throw e;
@@ -104,8 +104,8 @@
     }
 
     @Test
-    void twoReplacementsUnderAStormOfConnectsLoseNoConnection() throws Exception {
-        Node old = node(true);
+    void twoReplacementsUnderConcurrentConnectsLoseNoConnection() throws Exception {
+        Node old = startNode(true);
         AtomicInteger answered = new AtomicInteger();
         List<Exception> failed = java.util.Collections.synchronizedList(new ArrayList<>());
         Thread[] storm = new Thread[4];
@@ -113,7 +113,7 @@
             storm[i] = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try {
-                        assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
+                        assertTrue(exchange(LIVE).startsWith("HTTP/1.1 200 "));
                         answered.incrementAndGet();
                     } catch (IOException | AssertionError e) {
                         failed.add(new Exception(e));
@@ -124,7 +124,7 @@
             storm[i].start();
         }
         for (int i = 0; i < 2; i++) {
-            Node next = node(false);
+            Node next = startNode(false);
             await(next::acceptsClients);
             int before = answered.get();
             old.stop().get(10, TimeUnit.SECONDS);
@@ -137,54 +137,54 @@
             t.join();
         }
         assertEquals(List.of(), failed);
-        server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        String back = ask("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n");
+        server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        String back = exchange("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n");
         assertTrue(back.endsWith("done"), "the list came along: " + back);
     }
 
     @Test
-    void requestThatTheOldProcessHasIsAnsweredAndItsConnectionEnds() throws Exception {
-        Node old = node(true);
+    void openRequestOfTheOldProcessIsAnsweredAndItsConnectionEnds() throws Exception {
+        Node old = startNode(true);
         try (Socket client = new Socket("127.0.0.1", port);
                 Socket idle = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(10_000);
             client.getOutputStream()
                     .write("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            server.next();
-            await(node(false)::acceptsClients);
+            server.nextRequest();
+            await(startNode(false)::acceptsClients);
             var ended = old.stop();
             assertEquals(-1, idle.getInputStream().read(), "idle connections end after a while");
             assertFalse(ended.isDone());
-            server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-            String back = FakeServer.message(client.getInputStream());
+            server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+            String back = FakeServer.readMessage(client.getInputStream());
             assertTrue(back.contains("Connection: close\r\n") && back.endsWith("done"), back);
             ended.get(10, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void whateverLiesAtThePathANodeStartsAndCanBeReplaced() throws Exception {
-        Files.writeString(meeting, "garbage");
-        await(node(true)::acceptsClients);
-        await(node(false)::acceptsClients);
-        assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
+    void nodeStartsWhateverFileIsAtTheHandoverPath() throws Exception {
+        Files.writeString(handoverPath, "garbage");
+        await(startNode(true)::acceptsClients);
+        await(startNode(false)::acceptsClients);
+        assertTrue(exchange(LIVE).startsWith("HTTP/1.1 200 "));
         nodes.forEach(Node::kill);
-        Files.deleteIfExists(meeting);
+        Files.deleteIfExists(handoverPath);
         ServerSocketChannel.open(StandardProtocolFamily.UNIX)
-                .bind(UnixDomainSocketAddress.of(meeting))
+                .bind(UnixDomainSocketAddress.of(handoverPath))
                 .close();
-        await(node(true)::acceptsClients);
+        await(startNode(true)::acceptsClients);
         // A killed process's file makes way.
-        await(() -> Files.exists(meeting));
+        await(() -> Files.exists(handoverPath));
     }
 
     @Test
-    void predecessorThatTalksNonsenseOrNotAtAllIsPassedOver() throws Exception {
+    void unresponsiveOrMalformedPredecessorIsIgnored() throws Exception {
         for (String word : List.of("brackenbridge-handover 1 {\"sockets\":\n", "HTTP/1.1 400\n", "")) {
             nodes.forEach(Node::kill);
-            Files.deleteIfExists(meeting);
+            Files.deleteIfExists(handoverPath);
             try (ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-                other.bind(UnixDomainSocketAddress.of(meeting));
+                other.bind(UnixDomainSocketAddress.of(handoverPath));
                 Thread talk = new Thread(() -> {
                     try {
                         SocketChannel c = other.accept();
@@ -194,18 +194,18 @@
                     }
                 });
                 talk.start();
-                await(node(true)::acceptsClients);
+                await(startNode(true)::acceptsClients);
                 talk.join();
             }
         }
     }
 
     @Test
-    void successorThatDiesLeavesTheOldProcessAsItWas() throws Exception {
-        Node old = node(true);
+    void oldProcessKeepsServingIfItsSuccessorDies() throws Exception {
+        Node old = startNode(true);
         for (String more : List.of("", "ready\n")) {
-            await(() -> Files.exists(meeting));
-            try (SocketChannel dying = connectToMeeting()) {
+            await(() -> Files.exists(handoverPath));
+            try (SocketChannel dying = connectToHandoverPath()) {
                 dying.write(ByteBuffer.wrap(
                         ("brackenbridge-handover 1 successor\n" + more).getBytes(StandardCharsets.US_ASCII)));
                 ByteBuffer offer = ByteBuffer.allocate(4096);
@@ -213,10 +213,10 @@
                     assertTrue(dying.read(offer) > 0);
                 }
             }
-            await(() -> Files.exists(meeting));
+            await(() -> Files.exists(handoverPath));
         }
         assertTrue(old.acceptsClients());
-        await(node(false)::acceptsClients);
-        assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
+        await(startNode(false)::acceptsClients);
+        assertTrue(exchange(LIVE).startsWith("HTTP/1.1 200 "));
     }
 }
--- a/node/src/test/java/brackenbridge/net/TimeToldTest.java
+++ b/node/src/test/java/brackenbridge/net/TimeLeftHeaderTest.java
@@ -18,27 +18,27 @@
 import org.junit.jupiter.api.Test;
 
 /** What a server is told of its client's time, and what is not sent any more, when a node or a connection is late. */
-class TimeToldTest {
+class TimeLeftHeaderTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     /** A wait for a connection outlasts every test. */
-    private static final String PATIENT =
+    private static final String LONG_CONNECT_TIMEOUT_CONFIG =
             ConfigTest.TEXT.replace("\"connectTimeout\":120000", "\"connectTimeout\":10000000");
     /** What the rules allow a server to be told beyond what is left. */
     private static final double SLACK_MS = 150;
 
-    private final HeldClock clock = new HeldClock();
+    private final PausableClock clock = new PausableClock();
     private FakeServer server;
-    private Node node;
+    private Node startNode;
     private Socket client;
 
     @BeforeEach
     void start() throws IOException {
         server = new FakeServer();
-        node = node(PATIENT);
+        startNode = startNode(LONG_CONNECT_TIMEOUT_CONFIG);
         client = connect();
     }
 
-    private Node node(String text) {
+    private Node startNode(String text) {
         Node n = new Node(
                 config(text, "active"), clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
         n.start();
@@ -46,34 +46,34 @@
     }
 
     private Config config(String text, String health) {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"" + health + "\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"" + health + "\"}";
         return Config.parse(text.replace("\"hosts\":[]", "\"hosts\":[" + host + "]"));
     }
 
     /** The server's connections do not come up until it is told to accept. */
-    private void notUpYet() throws IOException {
-        node.kill();
+    private void restartWithFullBacklog() throws IOException {
+        startNode.kill();
         server.close();
-        server = FakeServer.full();
-        node = node(PATIENT);
+        server = FakeServer.withFullBacklog();
+        startNode = startNode(LONG_CONNECT_TIMEOUT_CONFIG);
         client = connect();
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
+        Socket s = new Socket(startNode.address().getAddress(), startNode.address().getPort());
         s.setSoTimeout(10_000);
         return s;
     }
 
     @AfterEach
     void end() throws IOException {
-        clock.release();
+        clock.resume();
         client.close();
         server.close();
-        node.kill();
+        startNode.kill();
     }
 
-    private void ask(String method, String path, int left, int length) throws IOException {
+    private void sendRequest(String method, String path, int left, int length) throws IOException {
         send(
                 client,
                 method + " " + path + " HTTP/1.1\r\nX-Correlation-Id: " + left + "\r\nX-Time-Left-Ms: " + left
@@ -84,11 +84,11 @@
         s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private String answer() throws IOException {
-        return String.valueOf(FakeServer.message(client.getInputStream()));
+    private String readResponse() throws IOException {
+        return String.valueOf(FakeServer.readMessage(client.getInputStream()));
     }
 
-    private static int told(String request) {
+    private static int timeLeftMs(String request) {
         assertNotNull(request);
         return Integer.parseInt(request.replaceAll("(?s).*X-Time-Left-Ms: ([0-9]+).*", "$1"));
     }
@@ -96,16 +96,16 @@
     /** All that had come to the node has been taken in. */
     private void settle() throws Exception {
         for (int i = 0; i < 3; i++) {
-            node.tenantUse().get(10, TimeUnit.SECONDS);
+            startNode.tenantUse().get(10, TimeUnit.SECONDS);
         }
     }
 
-    private void await(String count) throws IOException {
+    private void awaitCounter(String count) throws IOException {
         String counted = "";
         for (int i = 0; i < 2000 && !counted.contains(count + "\n"); i++) {
             try (Socket s = connect()) {
                 send(s, "GET /health/counters HTTP/1.1\r\n\r\n");
-                counted = FakeServer.message(s.getInputStream());
+                counted = FakeServer.readMessage(s.getInputStream());
             }
         }
         assertTrue(counted.contains(count + "\n"), count + " is not among\n" + counted);
@@ -115,140 +115,140 @@
     private void awaitConnectBegun() throws Exception {
         int servers = 0;
         for (int i = 0; i < 2000 && servers == 0; i++) {
-            servers = node.snapshot().get(10, TimeUnit.SECONDS).servers();
+            servers = startNode.snapshot().get(10, TimeUnit.SECONDS).servers();
         }
         assertTrue(servers > 0, "no connection to the server was begun");
     }
 
     /** While the node rests, the connection that a request waits for comes up: it must have begun to connect before. */
-    private void comesUpWhileTheNodeRests() throws Exception {
+    private void openConnectionWhilePaused() throws Exception {
         awaitConnectBegun();
         // The system call is made in a later task than the one that counts the connection.
         settle();
-        clock.hold();
-        server.accept();
+        clock.pause();
+        server.startAccepting();
         assertNotNull(server.connections.poll(20, TimeUnit.SECONDS));
     }
 
     @Test
-    void connectionThatComesUpLateCarriesWhatIsLeftThen() throws Exception {
+    void connectionThatOpensLateCarriesTheRemainingTime() throws Exception {
         for (int length : new int[] {1, 200_000}) {
-            notUpYet();
-            ask("POST", "/file", 5000, length);
-            await("flows_in 1");
-            comesUpWhileTheNodeRests();
+            restartWithFullBacklog();
+            sendRequest("POST", "/file", 5000, length);
+            awaitCounter("flows_in 1");
+            openConnectionWhilePaused();
             clock.pass(1500);
-            clock.release();
-            int told = told(server.next());
+            clock.resume();
+            int told = timeLeftMs(server.nextRequest());
             assertTrue(told > 0 && told <= 3500, "told " + told + " of a body of " + length);
         }
     }
 
     @Test
-    void attemptThatHasNothingLeftWhenItsConnectionComesUpIsNotSent() throws Exception {
-        notUpYet();
-        ask("POST", "/file", 60_000, 1);
-        await("flows_in 1");
-        comesUpWhileTheNodeRests();
+    void attemptWithoutTimeLeftWhenItsConnectionOpensIsNotSent() throws Exception {
+        restartWithFullBacklog();
+        sendRequest("POST", "/file", 60_000, 1);
+        awaitCounter("flows_in 1");
+        openConnectionWhilePaused();
         clock.pass(60_000);
-        clock.release();
-        assertTrue(answer().startsWith("HTTP/1.1 503 "), "refused: it never began");
-        await("forwards_moot 1");
-        await("forwards_written 0");
-        server.answers.add(OK);
-        ask("POST", "/file", 5000, 2);
-        assertTrue(answer().endsWith("done"), "the connection serves the next, and its server is in use");
-        assertTrue(server.next().endsWith("\r\n\r\nxx"), "the first request that the server sees");
+        clock.resume();
+        assertTrue(readResponse().startsWith("HTTP/1.1 503 "), "refused: it never began");
+        awaitCounter("forwards_moot 1");
+        awaitCounter("forwards_written 0");
+        server.responses.add(OK);
+        sendRequest("POST", "/file", 5000, 2);
+        assertTrue(readResponse().endsWith("done"), "the connection serves the next, and its server is in use");
+        assertTrue(server.nextRequest().endsWith("\r\n\r\nxx"), "the first request that the server sees");
     }
 
     @Test
-    void retryIsToldWhatIsLeftThen() throws Exception {
-        ask("GET", "/view", 5000, 0);
-        assertTrue(told(server.next()) <= 5000);
+    void retryCarriesTheRemainingTime() throws Exception {
+        sendRequest("GET", "/view", 5000, 0);
+        assertTrue(timeLeftMs(server.nextRequest()) <= 5000);
         clock.pass(1000);
-        server.answers.add(FakeServer.HANG_UP);
-        int second = told(server.next());
+        server.responses.add(FakeServer.CLOSE_CONNECTION);
+        int second = timeLeftMs(server.nextRequest());
         assertTrue(second > 0 && second <= 4000, "told " + second);
     }
 
     @Test
-    void nodeThatIsHeldUpBehindItsLastReadingStaysWithinTheSlack() throws Exception {
-        clock.holdBehindReadingIn("ReducerStartCheck.timeLeftMs");
+    void delayAfterTheLastClockReadingStaysWithinTheSlack() throws Exception {
+        clock.pauseAfterReadingIn("ReducerStartCheck.timeLeftMs");
         double asked = clock.nowMs();
-        ask("POST", "/file", 5000, 1);
-        clock.awaitHeld();
+        sendRequest("POST", "/file", 5000, 1);
+        clock.awaitPaused();
         clock.pass(SLACK_MS);
         double left = asked + 5000 - clock.nowMs();
-        clock.release();
-        int told = told(server.next());
+        clock.resume();
+        int told = timeLeftMs(server.nextRequest());
         assertTrue(told <= left + SLACK_MS, "told " + told + " of " + left);
     }
 
     @Test
-    void requestWhoseClientGoesWhileTheNodeIsHeldUpBeforeItSendsIsNotSent() throws Exception {
-        clock.holdBehindReadingIn("UpstreamConnections.startAttempt");
-        ask("POST", "/file", 5000, 1);
-        clock.awaitHeld();
+    void requestIsNotSentIfItsClientDisconnectsWhileTheNodeIsDelayed() throws Exception {
+        clock.pauseAfterReadingIn("UpstreamConnections.startAttempt");
+        sendRequest("POST", "/file", 5000, 1);
+        clock.awaitPaused();
         client.close();
         clock.pass(SLACK_MS);
-        clock.release();
-        onlyTheNextIsServed();
+        clock.resume();
+        assertOnlyNextRequestIsServed();
     }
 
     @Test
-    void requestWhoseClientGoesWhileItsConnectionComesUpIsNotSent() throws Exception {
-        notUpYet();
-        ask("POST", "/file", 5000, 1);
-        await("flows_in 1");
-        comesUpWhileTheNodeRests();
+    void requestIsNotSentIfItsClientDisconnectsWhileItsConnectionOpens() throws Exception {
+        restartWithFullBacklog();
+        sendRequest("POST", "/file", 5000, 1);
+        awaitCounter("flows_in 1");
+        openConnectionWhilePaused();
         client.close();
-        clock.release();
-        onlyTheNextIsServed();
+        clock.resume();
+        assertOnlyNextRequestIsServed();
     }
 
-    private void onlyTheNextIsServed() throws Exception {
-        server.answers.add(OK);
+    private void assertOnlyNextRequestIsServed() throws Exception {
+        server.responses.add(OK);
         client = connect();
-        ask("POST", "/file", 9000, 2);
-        assertTrue(answer().endsWith("done"));
-        assertTrue(server.next().endsWith("\r\n\r\nxx"), "the first request that the server sees");
-        await("forwards_written 1");
-        await("flows_gone 1");
+        sendRequest("POST", "/file", 9000, 2);
+        assertTrue(readResponse().endsWith("done"));
+        assertTrue(server.nextRequest().endsWith("\r\n\r\nxx"), "the first request that the server sees");
+        awaitCounter("forwards_written 1");
+        awaitCounter("flows_gone 1");
     }
 
     /** It is told of the drain, rests, and finds the connection up before it comes to its own timers. */
     @Test
-    void requestWhoseConnectionComesUpBehindTheGraceIsNotSent() throws Exception {
-        notUpYet();
-        ask("POST", "/file", 60_000, 1);
-        await("flows_in 1");
-        clock.stand();
-        node.reconfigure(() -> config(PATIENT.replace("\"seq\":41", "\"seq\":42"), "leaving"));
-        await("reconfigured 1");
-        comesUpWhileTheNodeRests();
-        clock.standAhead(400);
-        clock.release();
-        await("forwards_unconnected 1");
+    void requestWhoseConnectionOpensAfterTheDrainGraceIsNotSent() throws Exception {
+        restartWithFullBacklog();
+        sendRequest("POST", "/file", 60_000, 1);
+        awaitCounter("flows_in 1");
+        clock.freeze();
+        startNode.reconfigure(() -> config(LONG_CONNECT_TIMEOUT_CONFIG.replace("\"seq\":41", "\"seq\":42"), "leaving"));
+        awaitCounter("reconfigured 1");
+        openConnectionWhilePaused();
+        clock.advanceFrozen(400);
+        clock.resume();
+        awaitCounter("forwards_unconnected 1");
         settle();
         assertEquals(0, server.requests.size());
     }
 
     /** Servers may drop what has so little time left without a word. */
     @Test
-    void requestsWithVeryLittleTimeLeftHaveOneAnswerEachAndHarmNoServer() throws Exception {
+    void requestsWithLittleTimeLeftGetOneResponseEachAndEjectNoServer() throws Exception {
         for (int left = 0; left <= 20; left++) {
             double asked = System.nanoTime();
-            ask(left % 2 == 0 ? "GET" : "POST", left % 2 == 0 ? "/view" : "/file", left, 0);
-            String back = answer();
+            sendRequest(left % 2 == 0 ? "GET" : "POST", left % 2 == 0 ? "/view" : "/file", left, 0);
+            String back = readResponse();
             double took = (System.nanoTime() - asked) / 1e6;
             assertTrue(back.matches("(?s)HTTP/1.1 50[34] .*"), left + ": " + back);
             assertTrue(took < left + 500, "an answer after " + took + " ms of " + left);
         }
-        await("flows_in 21");
-        for (int i = 0; i < 1000 && !node.metricsText().contains("proxy.active:0|g\n"); i++) {
+        awaitCounter("flows_in 21");
+        for (int i = 0; i < 1000 && !startNode.metricsText().contains("proxy.active:0|g\n"); i++) {
             settle();
         }
-        assertTrue(node.metricsText().contains("proxy.pool_ejected:0|g\n"), node.metricsText());
+        assertTrue(startNode.metricsText().contains("proxy.pool_ejected:0|g\n"), startNode.metricsText());
         client.setSoTimeout(100);
         try {
             assertEquals(-1, client.getInputStream().read(), "a second answer");
--- a/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
@@ -33,7 +33,7 @@
 
     // Guards against a task that runs before the loop has polled again, in a turn that takes longer than its delay.
     @Test
-    void whatHasComeIsReadBeforeTheTaskRunsHoweverLongTheTurnTakes() throws Exception {
+    void pendingBytesAreReadBeforeTheTaskRunsInASlowTurn() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         Channel server = new ServerBootstrap()
@@ -78,7 +78,7 @@
             toWrite = null;
             // After this turn's poll: only another one finds it.
             write(second);
-            SocketPolls.runAfterNext(loop, () -> readBeforeTask.complete(secondRead.get()));
+            SocketPolls.runAfterNextPoll(loop, () -> readBeforeTask.complete(secondRead.get()));
             LockSupport.parkNanos(SLOW_TURN_NS);
         }
 
--- a/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
+++ b/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
@@ -20,7 +20,7 @@
     private static final class FakeInput implements ClientPresence.InputState {
         private boolean ending;
         private boolean discarding;
-        private boolean room = true;
+        private boolean hasRoom = true;
         private int presentCount;
 
         @Override
@@ -35,7 +35,7 @@
 
         @Override
         public boolean hasRoomForPresenceRead() {
-            return room;
+            return hasRoom;
         }
 
         @Override
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void clientIsHiddenUntilATurnInWhichNothingIsRead() {
+    void clientIsUnknownUntilATurnInWhichNothingIsRead() {
         read(ReceiveBuffers.MAX_READS_PER_TURN);
         assertFalse(presence.isPresentNow(), "more may be at the socket");
         presence.onBytesRead();
@@ -109,10 +109,10 @@
         assertFalse(presence.isPresentNow());
         clock.advance(ClientPresence.MAX_PRESENCE_AGE_MS);
         assertTrue(presence.isPresent(NEVER));
-        assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertFalse(presence.isUnknownTooLong(clock.nowMs(), NEVER));
         clock.advance(1);
         assertFalse(presence.isPresent(NEVER));
-        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertTrue(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
@@ -120,16 +120,16 @@
         clock.advance(500);
         assertFalse(presence.isPresent(NEVER));
         assertTrue(presence.isPresent(clock.nowMs() - ClientPresence.MAX_PRESENCE_AGE_MS));
-        assertFalse(presence.isHiddenTooLong(clock.nowMs(), clock.nowMs()));
-        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertFalse(presence.isUnknownTooLong(clock.nowMs(), clock.nowMs()));
+        assertTrue(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
-    void clientThatIsPresentIsNeverHiddenTooLong() {
+    void presentClientIsNeverUnknownTooLong() {
         read(1);
         clock.advance(10_000);
         assertTrue(presence.isPresent(NEVER));
-        assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertFalse(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
@@ -156,13 +156,13 @@
     }
 
     @Test
-    void clientStaysHiddenWithoutRoomForABoundedRead() {
-        input.room = false;
+    void clientStaysUnknownWithoutRoomForABoundedRead() {
+        input.hasRoom = false;
         presence.setReading(false);
         presence.startChecking();
         pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
         assertFalse(presence.isPresentNow());
-        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertTrue(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void connectionThatEndsIsCheckedNoMore() {
+    void endingConnectionIsNotCheckedAnyMore() {
         presence.setReading(false);
         presence.startChecking();
         input.ending = true;
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void connectionThatDiscardsItsInputIsCheckedNoMore() {
+    void discardingConnectionIsNotCheckedAnyMore() {
         presence.setReading(false);
         presence.startChecking();
         input.discarding = true;
