--- a/node/src/main/java/brackenbridge/cli/ServeCommand.java
+++ b/node/src/main/java/brackenbridge/cli/ServeCommand.java
@@ -81,7 +81,7 @@
                 extension.end();
             }
             log.flush();
-            node.holdEventLoops();
+            node.parkEventLoops();
             // Ends a write that nobody reads: the exit would wait for it.
             errors.close();
             Runtime.getRuntime().halt(0);
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -290,7 +290,7 @@
      * Holds the event loops of a stopped node still, until the process exits; waits a short time at most. The virtual
      * machine waits 300 ms at its exit for threads that are inside a system call, as a waiting event loop is.
      */
-    public void holdEventLoops() throws InterruptedException {
+    public void parkEventLoops() throws InterruptedException {
         List<Executor> loops = new ArrayList<>(List.of(loop));
         if (management != null) {
             loops.add(management::execute);
