--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -82,7 +82,7 @@
         private final ObjectCutter cutter = new ObjectCutter(MAX_LIST_BYTES);
         private final ResponseDecoder decoder = new ResponseDecoder(this::readBody);
         private Channel channel;
-        private boolean answered;
+        private boolean headReceived;
         private boolean ended;
 
         Call(long id, String address, String path) {
@@ -173,9 +173,9 @@
                 if (complete || decoder.awaitsBody() && decoder.status() != OK) {
                     // Guards against waiting for the end of an error response.
                     endWithResponse();
-                } else if (!answered && decoder.awaitsBody()) {
+                } else if (!headReceived && decoder.awaitsBody()) {
                     // Guards a call that had to wait for its response: the first empty line is due 2 s after it.
-                    answered = true;
+                    headReceived = true;
                     events.raise(new Event.DiscoveryHeartbeat(id));
                 }
             } catch (HttpException e) {
--- a/node/src/main/java/brackenbridge/net/EffectRunner.java
+++ b/node/src/main/java/brackenbridge/net/EffectRunner.java
@@ -52,7 +52,7 @@
                 Effect.SendLocalReply.class,
                 effect -> listener.respondLocally(effect.requestId(), effect.reply(), effect.retryAfterMs()));
         on(Effect.AnnounceClose.class, effect -> listener.announceClose(effect.on()));
-        on(Effect.LeaveNewConnections.class, effect -> listener.leaveNewConnections());
+        on(Effect.LeaveNewConnections.class, effect -> listener.steerNewConnections());
         on(Effect.StopAccepting.class, effect -> listener.stopAccepting());
         on(Effect.CloseIdleClients.class, effect -> listener.closeIdleConnections());
         on(Effect.CloseClientsWhenIdle.class, effect -> listener.closeWhenIdle(effect.on()));
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -46,7 +46,7 @@
     private static final long SWEEP_INTERVAL_MS = 100;
     private static final int CONNECT_TIMEOUT_MS = 1000;
     /** A part of what a stopping process has left before it is killed. */
-    private static final long MAX_HOLD_MS = 50;
+    private static final long MAX_PARK_WAIT_MS = 50;
 
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int BUFFER_PAGE_BYTES = 8192;
@@ -171,7 +171,7 @@
     private ConnectionAcceptor.ClientRoom clientRoom() {
         return new ConnectionAcceptor.ClientRoom() {
             @Override
-            public int free() {
+            public int freeSlots() {
                 return descriptors.roomForClients();
             }
 
@@ -259,7 +259,7 @@
     }
 
     /** The state of the event loop at one moment: the sockets that it counts, and the metrics. */
-    record Snapshot(int clients, int servers, String figures) {}
+    record Snapshot(int clients, int servers, String metrics) {}
 
     /** Read on the loop, with nothing in between; for tests. */
     CompletableFuture<Snapshot> snapshot() {
@@ -295,13 +295,13 @@
         if (management != null) {
             loops.add(management::execute);
         }
-        CountDownLatch held = new CountDownLatch(loops.size());
-        loops.forEach(each -> each.execute(() -> holdThread(held)));
-        held.await(MAX_HOLD_MS, TimeUnit.MILLISECONDS);
+        CountDownLatch parked = new CountDownLatch(loops.size());
+        loops.forEach(each -> each.execute(() -> parkThread(parked)));
+        parked.await(MAX_PARK_WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static void holdThread(CountDownLatch held) {
-        held.countDown();
+    private static void parkThread(CountDownLatch parked) {
+        parked.countDown();
         while (true) {
             LockSupport.park();
         }
@@ -327,8 +327,8 @@
     }
 
     @Override
-    public void onFault(String what, RuntimeException cause) {
-        log.error(what, cause);
+    public void onFault(String operation, RuntimeException cause) {
+        log.error(operation, cause);
     }
 
     @Override
@@ -354,8 +354,8 @@
     }
 
     @Override
-    public void onRejectedCall(RejectionReason why) {
-        loop.execute(() -> counters.countRejection(RejectionReason.Port.MANAGEMENT, why));
+    public void onRejectedCall(RejectionReason reason) {
+        loop.execute(() -> counters.countRejection(RejectionReason.Port.MANAGEMENT, reason));
     }
 
     private void sweep() {
--- a/node/src/main/java/brackenbridge/net/Replacement.java
+++ b/node/src/main/java/brackenbridge/net/Replacement.java
@@ -31,9 +31,9 @@
     private final Handover handover;
 
     /** Completes once no process from before this one is left. */
-    private CompletableFuture<Void> predecessorGone = CompletableFuture.completedFuture(null);
+    private CompletableFuture<Void> predecessorExit = CompletableFuture.completedFuture(null);
     /** A successor came while this process's own predecessor was still there, so the kernel's order is not known. */
-    private boolean joinedBesidePredecessor;
+    private boolean joinedBeforePredecessorExit;
 
     /**
      * Makes the part of a node that meets other processes at this path.
@@ -64,7 +64,7 @@
         }
         CompletableFuture<HandoverState> answered = new CompletableFuture<>();
         loop.execute(() -> handover.requestState().thenAccept(offered -> {
-            predecessorGone = offered == null ? predecessorGone : new CompletableFuture<>();
+            predecessorExit = offered == null ? predecessorExit : new CompletableFuture<>();
             answered.complete(offered);
         }));
         HandoverState inherited = answered.join();
@@ -86,7 +86,7 @@
 
     /** Directs new connections to the successor; fails if it can't be told which of the sockets is the successor's. */
     CompletableFuture<Void> steerToSuccessor(InetSocketAddress address, SocketCalls.SteerCall steer) {
-        if (joinedBesidePredecessor) {
+        if (joinedBeforePredecessorExit) {
             return CompletableFuture.failedFuture(new IOException("the process before this one was still there"));
         }
         return steer.steerToNewer(address);
@@ -104,14 +104,14 @@
         ReusePortSteering.prepare();
         descriptors.shareWithOtherProcess(true);
         CompletableFuture<HandoverState> offered = new CompletableFuture<>();
-        predecessorGone.thenRun(() -> completeOffer(offered));
+        predecessorExit.thenRun(() -> completeOffer(offered));
         loop.schedule(() -> completeOffer(offered), MAX_PREDECESSOR_WAIT_MS, TimeUnit.MILLISECONDS);
         return offered;
     }
 
     private void completeOffer(CompletableFuture<HandoverState> offered) {
         if (!offered.isDone()) {
-            joinedBesidePredecessor = !predecessorGone.isDone();
+            joinedBeforePredecessorExit = !predecessorExit.isDone();
             offered.complete(state.get());
         }
     }
@@ -125,7 +125,7 @@
     @Override
     public void predecessorEnded() {
         log.info("the old process has exited: its descriptors are available");
-        predecessorGone.complete(null);
+        predecessorExit.complete(null);
         descriptors.shareWithOtherProcess(false);
     }
 }
--- a/node/src/main/java/brackenbridge/net/channel/BodyStream.java
+++ b/node/src/main/java/brackenbridge/net/channel/BodyStream.java
@@ -20,7 +20,7 @@
     /** The connection that the body is written to. */
     public interface Sink {
         /** Takes ownership of a piece, which it releases. */
-        void piece(ByteBuf piece);
+        void write(ByteBuf piece);
 
         /** Writes out the pieces so far: the next one may take a while. */
         void flush();
@@ -48,13 +48,13 @@
     }
 
     /** The source has read a piece; ownership passes to the stream. */
-    public void piece(ByteBuf piece) {
+    public void add(ByteBuf piece) {
         if (cancelled) {
             piece.release();
         } else if (sink == null) {
             unsent.add(piece);
         } else {
-            sink.piece(piece);
+            sink.write(piece);
         }
     }
 
@@ -86,7 +86,7 @@
     public void connect(Sink newSink) {
         sink = newSink;
         while (!unsent.isEmpty()) {
-            sink.piece(unsent.poll());
+            sink.write(unsent.poll());
         }
         sink.flush();
         if (ended) {
--- a/node/src/main/java/brackenbridge/net/channel/DescriptorBudget.java
+++ b/node/src/main/java/brackenbridge/net/channel/DescriptorBudget.java
@@ -7,37 +7,37 @@
     /** Descriptors kept back for discovery and what the runtime opens by itself. */
     private static final int RESERVED_DESCRIPTORS = 24;
 
-    private final int ownDescriptors;
+    private final int openAtStart;
     private int limit;
     private boolean shared;
-    private int forClients;
-    private int forAll;
+    private int clientLimit;
+    private int connectionLimit;
     private int clients;
     private int servers;
 
     /** A budget of this many descriptors, those included that the process has open already. */
     public DescriptorBudget(int limit) {
         String[] open = new File("/proc/self/fd").list();
-        ownDescriptors = open == null ? 32 : open.length;
+        openAtStart = open == null ? 32 : open.length;
         setLimit(limit);
     }
 
     /** Applies another limit from now on. */
-    public void setLimit(int to) {
-        limit = to;
-        divide();
+    public void setLimit(int newLimit) {
+        limit = newLimit;
+        computeLimits();
     }
 
     /** Whether another process of this node is running: each then has half of the descriptors. */
     public void shareWithOtherProcess(boolean on) {
         shared = on;
-        divide();
+        computeLimits();
     }
 
-    private void divide() {
-        forAll = Math.max(16, (shared ? limit / 2 : limit) - RESERVED_DESCRIPTORS - ownDescriptors);
+    private void computeLimits() {
+        connectionLimit = Math.max(16, (shared ? limit / 2 : limit) - RESERVED_DESCRIPTORS - openAtStart);
         // Usual clients need a third of all descriptors, and their requests as many towards the servers.
-        forClients = (int) (forAll * 11L / 20);
+        clientLimit = (int) (connectionLimit * 11L / 20);
     }
 
     /** Whether one more client connection fits. */
@@ -47,17 +47,17 @@
 
     /** How many more client connections fit; 0 or less if none does. */
     public int roomForClients() {
-        return Math.min(forClients - clients, forAll - clients - servers);
+        return Math.min(clientLimit - clients, connectionLimit - clients - servers);
     }
 
     /** Whether clients have more than half of their part of the descriptors. */
     public boolean isCrowdedByClients() {
-        return clients > forClients / 2;
+        return clients > clientLimit / 2;
     }
 
     /** Whether one more connection to a server fits. */
     public boolean hasRoomForServer() {
-        return clients + servers < forAll;
+        return clients + servers < connectionLimit;
     }
 
     /** Connections of clients that are counted now. */
--- a/node/src/main/java/brackenbridge/net/channel/EventSink.java
+++ b/node/src/main/java/brackenbridge/net/channel/EventSink.java
@@ -8,5 +8,5 @@
     void raise(Event event);
 
     /** A step of the node itself has failed; what it was for has been answered or closed. */
-    void onFault(String what, RuntimeException cause);
+    void onFault(String operation, RuntimeException cause);
 }
--- a/node/src/main/java/brackenbridge/net/channel/SocketCalls.java
+++ b/node/src/main/java/brackenbridge/net/channel/SocketCalls.java
@@ -23,7 +23,7 @@
     @FunctionalInterface
     public interface AcceptCall {
         /** Returns the channel of the next client; null if none waits. */
-        NioSocketChannel next(Channel parent, ServerSocketChannel listening) throws IOException;
+        NioSocketChannel acceptNext(Channel parent, ServerSocketChannel listening) throws IOException;
     }
 
     /** Directs the new connections to an address to the newer of the two sockets that listen there. */
--- a/node/src/main/java/brackenbridge/net/channel/SocketPolls.java
+++ b/node/src/main/java/brackenbridge/net/channel/SocketPolls.java
@@ -14,7 +14,7 @@
      * A task that is scheduled while sockets are handled may be due before the turn's tasks are fetched; one that is
      * scheduled by a task of this turn can't be.
      */
-    public static void runAfterNext(EventLoop loop, Runnable task) {
+    public static void runAfterNextPoll(EventLoop loop, Runnable task) {
         loop.execute(() -> loop.schedule(task, 0, TimeUnit.NANOSECONDS));
     }
 }
--- a/node/src/main/java/brackenbridge/net/client/BodyPace.java
+++ b/node/src/main/java/brackenbridge/net/client/BodyRateMonitor.java
@@ -1,20 +1,20 @@
 package brackenbridge.net.client;
 
 /** Measures how far a request's body is behind the pace that a client must keep. */
-final class BodyPace {
+final class BodyRateMonitor {
     /** How far a body may be behind its pace, and how long it may stay silent. */
-    static final double MAX_DELAY_MS = 2500;
+    static final double MAX_LAG_MS = 2500;
 
-    private static final double MIN_BYTES_PER_MS = 32;
+    private static final double MIN_RATE_BYTES_PER_MS = 32;
 
-    private double behindMs;
+    private double lagMs;
     /** How long nothing of the body has come: a client that was quick at first may have stopped. */
     private double silentMs;
 
     private double checkedAtMs;
     private int bytesSinceCheck;
 
-    BodyPace(double nowMs) {
+    BodyRateMonitor(double nowMs) {
         checkedAtMs = nowMs;
     }
 
@@ -25,15 +25,15 @@
 
     /** The first bytes of a request have come. */
     void startRequest() {
-        behindMs = 0;
+        lagMs = 0;
     }
 
     /** Measures the time since the last check; whether the body is too slow. */
     boolean isTooSlow(double nowMs) {
         double elapsedMs = nowMs - checkedAtMs;
-        behindMs = Math.max(-MAX_DELAY_MS, behindMs + elapsedMs - bytesSinceCheck / MIN_BYTES_PER_MS);
+        lagMs = Math.max(-MAX_LAG_MS, lagMs + elapsedMs - bytesSinceCheck / MIN_RATE_BYTES_PER_MS);
         silentMs = bytesSinceCheck > 0 ? 0 : silentMs + elapsedMs;
-        return behindMs > MAX_DELAY_MS || silentMs > MAX_DELAY_MS;
+        return lagMs > MAX_LAG_MS || silentMs > MAX_LAG_MS;
     }
 
     /** No body was waited for since the last check. */
--- a/node/src/main/java/brackenbridge/net/client/ClientBodySink.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientBodySink.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void piece(ByteBuf piece) {
+    public void write(ByteBuf piece) {
         if (chunked && piece.isReadable()) {
             channel.write(HttpEncoder.chunkHead(channel.alloc(), piece.readableBytes()));
             channel.write(piece);
@@ -46,7 +46,7 @@
 
     @Override
     public void flush() {
-        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> connection.touch());
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> connection.markProgress());
         if (!channel.isWritable()) {
             writer.pauseDownload();
         }
--- a/node/src/main/java/brackenbridge/net/client/ClientConnection.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientConnection.java
@@ -32,7 +32,7 @@
         request = new CurrentRequest(this, context);
     }
 
-    private void enter(ConnectionState next) {
+    private void enterState(ConnectionState next) {
         if (state != ConnectionState.CLOSED) {
             state = next;
         }
@@ -84,7 +84,7 @@
     }
 
     /** The client has made progress in the present state. */
-    void touch() {
+    void markProgress() {
         stateSinceMs = context.clock().nowMs();
     }
 
@@ -95,7 +95,7 @@
 
     /** Sets the bytes of requests that are buffered for this connection. */
     void reserveBytes(int bytes) {
-        context.memory().change(reservedBytes, bytes);
+        context.memory().adjustReservation(reservedBytes, bytes);
         reservedBytes = bytes;
     }
 
@@ -138,7 +138,7 @@
     private void onDisconnected() {
         context.registry().remove(this);
         reader.discardUnread();
-        enter(ConnectionState.CLOSED);
+        enterState(ConnectionState.CLOSED);
         reserveBytes(0);
         request.onDisconnected();
         reader.upload().end(false);
@@ -152,7 +152,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        guarded(() -> reader.onBytes((ByteBuf) message));
+        runGuarded(() -> reader.onBytes((ByteBuf) message));
     }
 
     @Override
@@ -166,7 +166,7 @@
     }
 
     /** Reads; if the node itself fails at that, no request that was read stays without a response. */
-    void guarded(Runnable reading) {
+    void runGuarded(Runnable reading) {
         try {
             reading.run();
         } catch (RuntimeException e) {
@@ -179,7 +179,7 @@
     void onFirstBytes() {
         // The time of the first head counts from the connection's begin.
         if (hasSentRequest) {
-            touch();
+            markProgress();
         }
     }
 
@@ -194,13 +194,13 @@
         request.setCorrelationId(reservedCorrelationId);
         stateSinceMs = context.clock().nowMs();
         long requestId = request.open();
-        enter(ConnectionState.AWAITING_RESPONSE);
+        enterState(ConnectionState.AWAITING_RESPONSE);
         return requestId;
     }
 
     /** The open request ends as if its client had disconnected, and the connection can say why. */
     void withdrawRequest() {
-        enter(ConnectionState.READING);
+        enterState(ConnectionState.READING);
         request.withdraw();
     }
 
@@ -209,13 +209,13 @@
         stateSinceMs = nowMs;
         reader.upload().onResponse();
         long requestId = request.beginResponse();
-        enter(ConnectionState.RESPONDING);
+        enterState(ConnectionState.RESPONDING);
         return requestId;
     }
 
     /** All of a response has been written, or never will be. */
     void onResponseWritten(ResponseEnd end, boolean close) {
-        enter(ConnectionState.READING);
+        enterState(ConnectionState.READING);
         stateSinceMs = context.clock().nowMs();
         if (end != ResponseEnd.COMPLETE) {
             channel.close();
@@ -229,7 +229,7 @@
 
     /** The next request is decoded; what is taken out of the bytes that wait makes room for more. */
     private void readNext() {
-        guarded(() -> {
+        runGuarded(() -> {
             reader.readNext();
             reader.adjustReading();
         });
@@ -240,7 +240,7 @@
      * these are read and discarded; a client sends a request that crosses this once more.
      */
     private void startLingering() {
-        enter(ConnectionState.LINGERING);
+        enterState(ConnectionState.LINGERING);
         stateSinceMs = context.clock().nowMs();
         reader.discardUnread();
         reserveBytes(0);
@@ -271,15 +271,15 @@
     }
 
     /** Whether the client can't be seen and won't be soon: an attempt that has not begun for it never begins. */
-    boolean isHiddenFromWaiting(double nowMs) {
+    boolean hasPresenceExpired(double nowMs) {
         return request.isOpen()
                 && reader.upload().awaitsPresence()
-                && reader.presence().isHiddenTooLong(nowMs, stateSinceMs);
+                && reader.presence().isUnknownTooLong(nowMs, stateSinceMs);
     }
 
     /** Ends what takes too long; called several times a second. */
     void sweep(double nowMs) {
-        if (isHiddenFromWaiting(nowMs)) {
+        if (hasPresenceExpired(nowMs)) {
             context.events().raise(new Event.ClientPresenceUnknown(request.id()));
         }
         double ageMs = nowMs - stateSinceMs;
@@ -290,8 +290,8 @@
         } else if (reader.isReadingHead() && ageMs > ConnectionTimeouts.HEAD_TIMEOUT_MS) {
             writer.rejectMalformed(408, "request too slow");
         } else {
-            reader.checkPace(nowMs);
+            reader.checkBodyRate(nowMs);
         }
-        reader.endPaceCheck(nowMs);
+        reader.endBodyRateCheck(nowMs);
     }
 }
--- a/node/src/main/java/brackenbridge/net/client/ClientPresence.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientPresence.java
@@ -56,9 +56,9 @@
     private final InputState input;
 
     /** Reading is paused, and bounded reads take its place. */
-    private boolean checking;
+    private boolean boundedReadsActive;
     /** The latest bounded read has found nothing yet. */
-    private boolean checkFoundNothing;
+    private boolean lastReadWasEmpty;
 
     private int readsInTurn;
     /** Grows with each read, and whenever reading resumes. */
@@ -69,13 +69,13 @@
     private boolean present;
 
     private double lastPresentMs = Double.NEGATIVE_INFINITY;
-    private double hiddenSinceMs;
+    private double unknownSinceMs;
 
     ClientPresence(Channel channel, Clock clock, double nowMs, InputState input) {
         this.channel = channel;
         this.clock = clock;
         this.input = input;
-        hiddenSinceMs = nowMs;
+        unknownSinceMs = nowMs;
     }
 
     /** Whether the client has been seen within the limit, or since the time {@code assumedPresentMs} was. */
@@ -89,16 +89,16 @@
     }
 
     /** Whether the client has been hidden for longer than the limit, counted from {@code fromMs} at the earliest. */
-    boolean isHiddenTooLong(double nowMs, double fromMs) {
-        return !present && nowMs - Math.max(hiddenSinceMs, fromMs) > MAX_PRESENCE_AGE_MS;
+    boolean isUnknownTooLong(double nowMs, double fromMs) {
+        return !present && nowMs - Math.max(unknownSinceMs, fromMs) > MAX_PRESENCE_AGE_MS;
     }
 
     /** Bytes have been read: an end may be behind them. */
     void onBytesRead() {
         readsInTurn++;
         readCount++;
-        checkFoundNothing = false;
-        markHidden();
+        lastReadWasEmpty = false;
+        markUnknown();
     }
 
     /** The reads of this turn of the event loop are done. */
@@ -120,8 +120,8 @@
         if (on == channel.config().isAutoRead()) {
             return;
         }
-        markHidden();
-        checkFoundNothing = false;
+        markUnknown();
+        lastReadWasEmpty = false;
         channel.config().setAutoRead(on);
         if (on) {
             readCount++;
@@ -131,21 +131,21 @@
 
     /** Begins the bounded reads of a connection whose reading is paused. */
     void startChecking() {
-        if (!checking) {
-            checking = true;
+        if (!boundedReadsActive) {
+            boundedReadsActive = true;
             checkPresence();
         }
     }
 
     /** Protects servers from requests of a client that disconnected while its connection was not read. */
     private void checkPresence() {
-        checking =
+        boundedReadsActive =
                 !input.isEnding() && !input.isDiscarding() && !channel.config().isAutoRead() && channel.isActive();
-        if (checking) {
-            if (checkFoundNothing) {
+        if (boundedReadsActive) {
+            if (lastReadWasEmpty) {
                 markPresent();
             } else if (input.hasRoomForPresenceRead()) {
-                checkFoundNothing = true;
+                lastReadWasEmpty = true;
                 channel.read();
             }
             channel.eventLoop().schedule(this::checkPresence, PRESENCE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -157,7 +157,7 @@
         if (!nextTurnScheduled) {
             nextTurnScheduled = true;
             int readCountBefore = readCount;
-            SocketPolls.runAfterNext(channel.eventLoop(), () -> onNextTurn(readCountBefore));
+            SocketPolls.runAfterNextPoll(channel.eventLoop(), () -> onNextTurn(readCountBefore));
         }
     }
 
@@ -179,10 +179,10 @@
         input.onPresent();
     }
 
-    private void markHidden() {
+    private void markUnknown() {
         if (present) {
             present = false;
-            hiddenSinceMs = clock.nowMs();
+            unknownSinceMs = clock.nowMs();
         }
     }
 }
--- a/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
@@ -40,7 +40,7 @@
     /** The descriptors that clients may take. */
     public interface ClientRoom {
         /** How many more clients fit. */
-        int free();
+        int freeSlots();
 
         /** Closes something that is idle. */
         void makeRoom();
@@ -57,7 +57,7 @@
     private final ClientRoom room;
     private final Consumer<String> warn;
     private final AcceptRecovery recovery;
-    private boolean leaving;
+    private boolean steeringToSuccessor;
     private boolean closing;
     /** Since when clients may wait in the backlog; not a number if it was empty at the last accept. */
     private double waitingSinceMs = Double.NaN;
@@ -119,7 +119,7 @@
 
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            if (!accepted.isEmpty() && accepted.size() >= room.free()) {
+            if (!accepted.isEmpty() && accepted.size() >= room.freeSlots()) {
                 // Those accepted in this turn are counted only after it: more would take the descriptors that their
                 // own requests need towards servers.
                 onBacklogNotEmpty();
@@ -127,7 +127,7 @@
             }
             NioSocketChannel client;
             try {
-                client = accept.next(this, socket);
+                client = accept.acceptNext(this, socket);
             } catch (IOException e) {
                 // Clients that the failed accept leaves in the backlog wait from now on.
                 onBacklogNotEmpty();
@@ -150,11 +150,11 @@
 
     /** Whether new connections are to come here. */
     public boolean isOpen() {
-        return !leaving && !closing;
+        return !steeringToSuccessor && !closing;
     }
 
     /** Whether it has been told to close, and clients may still wait in its backlog. */
-    public boolean isEmptying() {
+    public boolean isEmptyingBacklog() {
         return closing && socket.isOpen();
     }
 
@@ -172,7 +172,7 @@
     }
 
     /** Accepts clients, or lets them wait in the backlog. */
-    public void admit(boolean on) {
+    public void setAccepting(boolean on) {
         if (closing) {
             return;
         }
@@ -186,15 +186,15 @@
      * Leaves new connections to the process that listens beside this one, and still accepts those whose handshake has
      * begun. Where the system can't do that, accepts no more clients.
      */
-    public void leaveToSuccessor() {
-        if (leaving || closing) {
+    public void steerToSuccessor() {
+        if (steeringToSuccessor || closing) {
             return;
         }
-        leaving = true;
-        steer.steerToNewer(address()).whenCompleteAsync(this::onSteered, channel.eventLoop());
+        steeringToSuccessor = true;
+        steer.steerToNewer(address()).whenCompleteAsync(this::onSteeringDone, channel.eventLoop());
     }
 
-    private void onSteered(Void done, Throwable failure) {
+    private void onSteeringDone(Void done, Throwable failure) {
         if (failure != null) {
             warn.accept("new connections can't be left to the new process alone: " + failure);
             close();
@@ -210,19 +210,19 @@
             return;
         }
         closing = true;
-        channel.deregister().addListener(f -> scheduleEmptying(DEREGISTRATION_DELAY_MS, MAX_EMPTYING_PAUSES));
+        channel.deregister().addListener(f -> scheduleEmptyingBacklog(DEREGISTRATION_DELAY_MS, MAX_EMPTYING_PAUSES));
     }
 
-    private void scheduleEmptying(long delayMs, int pausesLeft) {
-        channel.eventLoop().schedule(() -> emptyAndClose(pausesLeft), delayMs, TimeUnit.MILLISECONDS);
+    private void scheduleEmptyingBacklog(long delayMs, int pausesLeft) {
+        channel.eventLoop().schedule(() -> emptyBacklogAndClose(pausesLeft), delayMs, TimeUnit.MILLISECONDS);
     }
 
     /** Accepts all that wait and closes; an accept that fails is tried again, after this many pauses at most. */
-    private void emptyAndClose(int pausesLeft) {
+    private void emptyBacklogAndClose(int pausesLeft) {
         AcceptBackoff backoff = new AcceptBackoff();
         while (true) {
             try {
-                NioSocketChannel client = accept.next(channel, socket);
+                NioSocketChannel client = accept.acceptNext(channel, socket);
                 if (client == null) {
                     break;
                 }
@@ -238,7 +238,7 @@
                     if (SocketErrors.isShortage(e)) {
                         room.makeRoom();
                     }
-                    scheduleEmptying(pauseMs, pausesLeft - 1);
+                    scheduleEmptyingBacklog(pauseMs, pausesLeft - 1);
                     return;
                 }
             }
--- a/node/src/main/java/brackenbridge/net/client/ConnectionRegistry.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionRegistry.java
@@ -63,7 +63,7 @@
         if (!descriptors.hasRoomForClient()) {
             makeRoom.run();
             if (!descriptors.hasRoomForClient() && acceptor != null) {
-                acceptor.admit(false);
+                acceptor.setAccepting(false);
                 onPaused.run();
             }
         }
@@ -77,16 +77,16 @@
     /** Accepts clients again if one more fits; whether it does. */
     boolean resumeAccepting() {
         if (acceptor != null && descriptors.hasRoomForClient()) {
-            acceptor.admit(true);
+            acceptor.setAccepting(true);
             return true;
         }
         return false;
     }
 
     /** Leaves new connections to the process that listens beside this one. */
-    void leaveNewConnections() {
+    void steerNewConnections() {
         if (acceptor != null) {
-            acceptor.leaveToSuccessor();
+            acceptor.steerToSuccessor();
         }
     }
 
@@ -99,6 +99,6 @@
 
     /** Whether clients that the kernel has accepted are still being taken after {@link #stopAccepting}. */
     boolean isEmptyingBacklog() {
-        return acceptor != null && acceptor.isEmptying();
+        return acceptor != null && acceptor.isEmptyingBacklog();
     }
 }
--- a/node/src/main/java/brackenbridge/net/client/Listener.java
+++ b/node/src/main/java/brackenbridge/net/client/Listener.java
@@ -43,7 +43,7 @@
         this.clock = clock;
         this.events = events;
         validator = new RequestValidator(settings, counters, openRequests);
-        registry = new ConnectionRegistry(descriptors, counters, makeRoom, this::scheduleAdmission);
+        registry = new ConnectionRegistry(descriptors, counters, makeRoom, this::scheduleResumeAccepting);
         shedding = new ConnectionShedding(registry, clock, counters);
         context = new ClientContext(
                 clock,
@@ -103,7 +103,7 @@
             events.raise(new Event.ResponseFinished(requestId, ResponseEnd.ABANDONED));
             return;
         }
-        if (connection.isHiddenFromWaiting(clock.nowMs())) {
+        if (connection.hasPresenceExpired(clock.nowMs())) {
             // Behind more than may wait, each further request would only be withdrawn as well.
             connection.request().endConnectionAfterResponse();
         }
@@ -146,8 +146,8 @@
     }
 
     /** Leaves new connections to the process that listens beside this one. */
-    public void leaveNewConnections() {
-        registry.leaveNewConnections();
+    public void steerNewConnections() {
+        registry.steerNewConnections();
     }
 
     /** Accepts no more clients, for good. */
@@ -187,16 +187,16 @@
         for (ClientConnection connection : registry.copy()) {
             connection.sweep(now);
         }
-        admitWaiting();
+        resumeAcceptingOrShed();
     }
 
     /** The clients that were accepted last may be closed by then; the next sweep may come much later. */
-    private void scheduleAdmission() {
-        registry.scheduleIfAccepting(this::admitWaiting, ConnectionTimeouts.MIN_IDLE_BEFORE_CLOSE_MS + 1);
+    private void scheduleResumeAccepting() {
+        registry.scheduleIfAccepting(this::resumeAcceptingOrShed, ConnectionTimeouts.MIN_IDLE_BEFORE_CLOSE_MS + 1);
     }
 
     /** At the limit others wait in the backlog: all that has been idle for a moment makes room. */
-    private void admitWaiting() {
+    private void resumeAcceptingOrShed() {
         if (!registry.resumeAccepting()) {
             shedding.shedAll();
         }
--- a/node/src/main/java/brackenbridge/net/client/RequestMemoryBudget.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestMemoryBudget.java
@@ -28,7 +28,7 @@
     }
 
     /** A connection's reservation has changed. */
-    void change(int fromBytes, int toBytes) {
+    void adjustReservation(int fromBytes, int toBytes) {
         reservedBytes += toBytes - fromBytes;
     }
 
--- a/node/src/main/java/brackenbridge/net/client/RequestOpener.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestOpener.java
@@ -9,28 +9,28 @@
 
 /** Opens the requests of one connection for the reducer, or responds to those that don't concern it. */
 final class RequestOpener {
-    private static final String TENANT = "X-Account";
-    private static final String CLIENT_RETRY = "X-Repeat";
+    private static final String TENANT_HEADER = "X-Account";
+    private static final String CLIENT_RETRY_HEADER = "X-Repeat";
 
     private final ClientConnection connection;
     private final ClientContext context;
     /** The longest that bytes found by the connection's first read may have waited in the backlog. */
-    private double maxUnseenWaitMs;
+    private double maxBacklogWaitMs;
 
     RequestOpener(ClientConnection connection, ClientContext context, double maxUnseenWaitMs) {
         this.connection = connection;
         this.context = context;
-        this.maxUnseenWaitMs = maxUnseenWaitMs;
+        this.maxBacklogWaitMs = maxUnseenWaitMs;
     }
 
     /** Whether the next request may have waited in the backlog before it was read. */
-    boolean mayHaveWaitedUnseen() {
-        return maxUnseenWaitMs > 0;
+    boolean mayHaveWaitedInBacklog() {
+        return maxBacklogWaitMs > 0;
     }
 
     /** The next request can't have waited in the backlog. */
-    void clearUnseenWait() {
-        maxUnseenWaitMs = 0;
+    void clearBacklogWait() {
+        maxBacklogWaitMs = 0;
     }
 
     /** Opens or rejects a request; its message is the request itself, or the part of it that has come. */
@@ -42,7 +42,7 @@
             return;
         }
         Headers headers = request.headers();
-        String correlationId = headers.get(RequestValidator.CORRELATION_ID);
+        String correlationId = headers.get(RequestValidator.CORRELATION_ID_HEADER);
         String timeLeft = headers.get(HttpEncoder.TIME_LEFT);
         RequestClass requestClass = context.validator().classOf(request);
         RequestRejection rejection = context.validator().validate(request, requestClass, correlationId, timeLeft);
@@ -53,14 +53,14 @@
         long requestId = connection.openRequest(correlationId);
         ClientRequest opened = new ClientRequest(
                 requestClass.name(),
-                headers.get(TENANT),
+                headers.get(TENANT_HEADER),
                 timeLeft == null ? -1 : Integer.parseInt(timeLeft),
-                "1".equals(headers.get(CLIENT_RETRY)),
+                "1".equals(headers.get(CLIENT_RETRY_HEADER)),
                 complete,
-                maxUnseenWaitMs,
+                maxBacklogWaitMs,
                 message);
         context.events().raise(new Event.RequestReceived(requestId, opened));
-        clearUnseenWait();
+        clearBacklogWait();
     }
 
     private void respondHealth(HttpRequest request, String path) {
--- a/node/src/main/java/brackenbridge/net/client/RequestReader.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestReader.java
@@ -30,7 +30,7 @@
     private final ClientPresence presence;
     private final RequestDecoder decoder = new RequestDecoder();
     private final UploadReader upload;
-    private final BodyPace pace;
+    private final BodyRateMonitor bodyRate;
     private final RequestOpener opener;
     /** Bytes that no request has been made of yet; null if there are none. */
     private ByteBuf unread;
@@ -47,7 +47,7 @@
         this.channel = channel;
         presence = new ClientPresence(channel, context.clock(), nowMs, this);
         upload = new UploadReader(connection, context, this, decoder);
-        pace = new BodyPace(nowMs);
+        bodyRate = new BodyRateMonitor(nowMs);
         opener = new RequestOpener(connection, context, ConnectionAcceptor.maxBacklogWaitMs(channel));
     }
 
@@ -105,38 +105,38 @@
     @Override
     public void onPresent() {
         if (upload.isLastByteHeld()) {
-            passLastByteSoon();
+            scheduleLastByteForward();
         }
     }
 
     /** The last byte of a long body is held. If all of it was read before its turn, no read shows the client. */
     void onLastByteHeld() {
         if (presence.isPresentNow()) {
-            passLastByteSoon();
+            scheduleLastByteForward();
         }
     }
 
-    private void passLastByteSoon() {
+    private void scheduleLastByteForward() {
         // Not at once: if this read has found the client's end, the connection is closed in the same turn.
-        channel.eventLoop().execute(() -> connection.guarded(() -> upload.passLastByte(presence.isPresentNow())));
+        channel.eventLoop().execute(() -> connection.runGuarded(() -> upload.forwardLastByte(presence.isPresentNow())));
     }
 
     /** The connection is open: only bytes that its first read finds may have waited in the backlog. */
     void onConnected() {
-        if (opener.mayHaveWaitedUnseen()) {
-            SocketPolls.runAfterNext(channel.eventLoop(), this::endUnseenWait);
+        if (opener.mayHaveWaitedInBacklog()) {
+            SocketPolls.runAfterNextPoll(channel.eventLoop(), this::endBacklogWait);
         }
     }
 
-    private void endUnseenWait() {
+    private void endBacklogWait() {
         if (unread == null && !decoder.hasBegun()) {
-            opener.clearUnseenWait();
+            opener.clearBacklogWait();
         }
     }
 
     /** Takes ownership of bytes that have come. */
     void onBytes(ByteBuf bytes) {
-        pace.onBytes(bytes.readableBytes());
+        bodyRate.onBytes(bytes.readableBytes());
         presence.onBytesRead();
         if (connection.isEnding() || discarding) {
             discard(bytes);
@@ -234,7 +234,7 @@
     private void onIncompleteRequest(boolean first) {
         if (first) {
             connection.onFirstBytes();
-            pace.startRequest();
+            bodyRate.startRequest();
         }
         if (!continueSent && decoder.expectsContinue()) {
             continueSent = true;
@@ -243,17 +243,17 @@
     }
 
     /** Checks the time that a request takes to come since the last sweep; rejects one that is too slow. */
-    void checkPace(double nowMs) {
+    void checkBodyRate(double nowMs) {
         boolean readingRequest = connection.isReading() && decoder.hasBegun();
         if (decoder.awaitsBody() && !upload.isPaused() && (readingRequest || upload.isActive())) {
-            boolean tooSlow = pace.isTooSlow(nowMs);
+            boolean tooSlow = bodyRate.isTooSlow(nowMs);
             if (tooSlow && upload.isActive()) {
                 upload.fail(408, "body too slow");
             } else if (tooSlow) {
                 connection.writer().rejectMalformed(408, "body too slow");
             }
         } else {
-            pace.resetSilence();
+            bodyRate.resetSilence();
         }
     }
 
@@ -263,8 +263,8 @@
     }
 
     /** The next check of the pace measures from here. */
-    void endPaceCheck(double nowMs) {
-        pace.endCheck(nowMs);
+    void endBodyRateCheck(double nowMs) {
+        bodyRate.endCheck(nowMs);
     }
 
     /** Releases all that is buffered; what the client sends from now on is not served. */
--- a/node/src/main/java/brackenbridge/net/client/RequestValidator.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestValidator.java
@@ -11,9 +11,9 @@
 /** Decides by the settings in force whether a request may be opened. */
 final class RequestValidator {
     /** Names the request of a client, at the client and at the servers. */
-    static final String CORRELATION_ID = "X-Correlation-Id";
+    static final String CORRELATION_ID_HEADER = "X-Correlation-Id";
 
-    private static final String SERVICE_CLASS = "X-Service-Class";
+    private static final String SERVICE_CLASS_HEADER = "X-Service-Class";
 
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Counters counters;
@@ -56,7 +56,7 @@
         if (correlationId == null || correlationId.isEmpty()) {
             return RequestRejection.NO_CORRELATION_ID;
         }
-        if (request.headers().count(CORRELATION_ID) > 1 || timeLeft != null && !timeLeft.matches("[0-9]{1,9}")) {
+        if (request.headers().count(CORRELATION_ID_HEADER) > 1 || timeLeft != null && !timeLeft.matches("[0-9]{1,9}")) {
             return RequestRejection.MALFORMED_FIELD;
         }
         // The same id twice at the servers would be a second copy of the request that is open.
@@ -69,7 +69,7 @@
             counters.countDropped(request.firstPart());
             return RequestRejection.UNKNOWN_CLASS;
         }
-        String namedClass = request.headers().get(SERVICE_CLASS);
+        String namedClass = request.headers().get(SERVICE_CLASS_HEADER);
         if (namedClass != null && !namedClass.equals(requestClass.name())) {
             return RequestRejection.UNKNOWN_CLASS;
         }
--- a/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
+++ b/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
@@ -15,7 +15,7 @@
 
 /** Writes the responses of one connection, each request's once, and reports when they have gone out. */
 final class ResponseWriter {
-    private static final List<String> PASSED_ON_FIELDS = List.of("Content-Type", "Content-Encoding");
+    private static final List<String> FORWARDED_HEADERS = List.of("Content-Type", "Content-Encoding");
     private static final long NO_REQUEST = -1;
 
     private final ClientConnection connection;
@@ -39,7 +39,7 @@
 
     /** Responds with a server's complete response. */
     void respond(HttpResponse response) {
-        respond(200, passedOnFields(response), response.body());
+        respond(200, forwardedHeaders(response), response.body());
     }
 
     /** Responds with this text and no fields of its own. */
@@ -56,7 +56,7 @@
 
     /** Begins a streamed response, whose body is written as its client takes it. */
     void respondStreaming(StreamedResponse response) {
-        Headers fields = passedOnFields(response.head());
+        Headers fields = forwardedHeaders(response.head());
         boolean lengthKnown = response.length() >= 0;
         boolean chunked = !lengthKnown && connection.request().isHttp11();
         if (!lengthKnown && !chunked) {
@@ -70,9 +70,9 @@
         response.body().connect(new ClientBodySink(connection, this, channel, chunked, !lengthKnown, close));
     }
 
-    private static Headers passedOnFields(HttpResponse response) {
+    private static Headers forwardedHeaders(HttpResponse response) {
         Headers fields = new Headers();
-        for (String name : PASSED_ON_FIELDS) {
+        for (String name : FORWARDED_HEADERS) {
             String value = response.headers().get(name);
             if (value != null) {
                 fields.add(name, value);
@@ -144,7 +144,7 @@
     /** The client takes more of a streamed response. */
     void onWritable() {
         if (download != null && channel.isWritable()) {
-            connection.touch();
+            connection.markProgress();
             download.setDemand(true);
         }
     }
--- a/node/src/main/java/brackenbridge/net/client/UploadReader.java
+++ b/node/src/main/java/brackenbridge/net/client/UploadReader.java
@@ -70,7 +70,7 @@
     /** The first part has come: the request opens, and what follows waits until a server takes it. */
     void start() throws HttpException {
         long length = decoder.declaredLength();
-        HttpRequest head = decoder.part(decoder.stream((from, n) -> body.piece(from.readRetainedSlice(n))));
+        HttpRequest head = decoder.part(decoder.stream((from, n) -> body.add(from.readRetainedSlice(n))));
         body = new BodyStream(this);
         lastByteHeld = false;
         reader.opener().handleRequest(new StreamedRequest(head, length, body), head, false);
@@ -109,7 +109,7 @@
     }
 
     /** Passes on the last byte if it is held and the client is known to be present. */
-    void passLastByte(boolean clientPresent) {
+    void forwardLastByte(boolean clientPresent) {
         if (body != null && lastByteHeld && clientPresent) {
             end(true);
             paused = false;
--- a/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
+++ b/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public void piece(ByteBuf piece) {
+        public void write(ByteBuf piece) {
             if (!released) {
                 released = true;
                 events.raise(new Event.RequestBodyReleased(attempt.requestId()));
--- a/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
@@ -116,13 +116,13 @@
      * Closes the connection, as nothing that comes on it can be trusted any more: the attempt has failed and may have
      * been executed. The balancer gets a lost connection, which says less about a server than its own error status.
      */
-    void rejectResponse(RejectionReason reason, String why) {
+    void rejectResponse(RejectionReason reason, String detail) {
         setBufferedBytes(0);
         RunningAttempt attempt = connection.detachAttempt();
         connection.endRequestStreaming();
         context.counters().count(Counter.RESPONSES_MALFORMED);
         context.counters().countRejection(RejectionReason.Port.RESPONSES, reason);
-        context.log().warn("malformed response from " + connection.host() + ", " + reason.key() + ": " + why);
+        context.log().warn("malformed response from " + connection.host() + ", " + reason.key() + ": " + detail);
         connection.close();
         if (attempt != null) {
             upstream.attempts().connectionLost(attempt);
@@ -176,8 +176,8 @@
         streamedBody = new BodyStream(this);
         upstream.responses().addStreaming(this);
         context.counters().count(Counter.RESPONSES_STREAMED);
-        streamedBody.piece(Unpooled.wrappedBuffer(
-                decoder.stream((from, length) -> streamedBody.piece(from.readRetainedSlice(length)))));
+        streamedBody.add(Unpooled.wrappedBuffer(
+                decoder.stream((from, length) -> streamedBody.add(from.readRetainedSlice(length)))));
         HttpResponse head = decoder.part(null);
         raiseAnswered(attempt, ServerReply.SERVED, new StreamedResponse(head, contentLength(), streamedBody), head);
     }
@@ -231,9 +231,9 @@
     }
 
     /** Ends the stream without the end of the response, so that its client can tell that it is incomplete. */
-    private void truncate(String why) {
+    private void truncate(String detail) {
         context.counters().count(Counter.RESPONSES_TRUNCATED);
-        context.log().warn("long answer of " + connection.host() + " cut: " + why);
+        context.log().warn("long answer of " + connection.host() + " cut: " + detail);
         endStreaming(false);
         connection.close();
     }
--- a/node/src/test/java/brackenbridge/net/AcceptLimitTest.java
+++ b/node/src/test/java/brackenbridge/net/AcceptLimitTest.java
@@ -42,7 +42,7 @@
         SocketCalls system = SocketCalls.system();
         SocketCalls.AcceptCall accept = (parent, listening) -> {
             awaitAllConnected();
-            return system.accept().next(parent, listening);
+            return system.accept().acceptNext(parent, listening);
         };
         Clock clock = Clock.system();
         Log log = new Log(clock, new PrintStream(OutputStream.nullOutputStream()));
--- a/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
@@ -68,7 +68,7 @@
                         sockets.calls().accept(), sockets.calls().steer()),
                 new ConnectionAcceptor.ClientRoom() {
                     @Override
-                    public int free() {
+                    public int freeSlots() {
                         return CLIENTS;
                     }
 
@@ -78,7 +78,7 @@
                     }
                 },
                 text -> {});
-        group.submit(() -> acceptor.admit(false)).sync();
+        group.submit(() -> acceptor.setAccepting(false)).sync();
         for (int i = 0; i < CLIENTS; i++) {
             Socket client = new Socket(
                     acceptor.address().getAddress(), acceptor.address().getPort());
--- a/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
+++ b/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
@@ -60,8 +60,8 @@
         private volatile boolean armed;
 
         @Override
-        public NioSocketChannel next(Channel parent, ServerSocketChannel listening) throws IOException {
-            NioSocketChannel client = SocketCalls.system().accept().next(parent, listening);
+        public NioSocketChannel acceptNext(Channel parent, ServerSocketChannel listening) throws IOException {
+            NioSocketChannel client = SocketCalls.system().accept().acceptNext(parent, listening);
             if (client == null && armed) {
                 for (int i = 0; i < CONNECTS_PER_GAP; i++) {
                     Socket socket = new Socket("127.0.0.1", port);
--- a/node/src/test/java/brackenbridge/net/SystemCallsTest.java
+++ b/node/src/test/java/brackenbridge/net/SystemCallsTest.java
@@ -223,7 +223,7 @@
     }
 
     private boolean avoidsServer() throws Exception {
-        return !snapshot().figures().contains("proxy.pool_ejected:0|g");
+        return !snapshot().metrics().contains("proxy.pool_ejected:0|g");
     }
 
     /** Asks on a new connection, and says whether the server was seen avoided meanwhile. */
--- a/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
@@ -78,7 +78,7 @@
             toWrite = null;
             // After this turn's poll: only another one finds it.
             write(second);
-            SocketPolls.runAfterNext(loop, () -> readBeforeTask.complete(secondRead.get()));
+            SocketPolls.runAfterNextPoll(loop, () -> readBeforeTask.complete(secondRead.get()));
             LockSupport.parkNanos(SLOW_TURN_NS);
         }
 
--- a/node/src/test/java/brackenbridge/net/client/BodyPaceTest.java
+++ b/node/src/test/java/brackenbridge/net/client/BodyPaceTest.java
@@ -10,7 +10,7 @@
     private static final double CHECK_MS = 100;
     private static final int BYTES_AT_PACE = 3200;
 
-    private final BodyPace pace = new BodyPace(0);
+    private final BodyRateMonitor pace = new BodyRateMonitor(0);
     private double now;
 
     /** One check of a sweep in which these bytes have come since the one before. */
@@ -31,7 +31,7 @@
 
     @Test
     void bodyThatIsSilentIsTooSlowBehindTheLimit() {
-        for (double waited = CHECK_MS; waited <= BodyPace.MAX_DELAY_MS; waited += CHECK_MS) {
+        for (double waited = CHECK_MS; waited <= BodyRateMonitor.MAX_LAG_MS; waited += CHECK_MS) {
             assertFalse(isTooSlowWith(0));
         }
         assertTrue(isTooSlowWith(0));
@@ -40,7 +40,7 @@
     @Test
     void bodyThatWasQuickAtFirstMayNotBeSilentForLonger() {
         assertFalse(isTooSlowWith(100 * BYTES_AT_PACE));
-        for (double waited = CHECK_MS; waited <= BodyPace.MAX_DELAY_MS; waited += CHECK_MS) {
+        for (double waited = CHECK_MS; waited <= BodyRateMonitor.MAX_LAG_MS; waited += CHECK_MS) {
             assertFalse(isTooSlowWith(0));
         }
         assertTrue(isTooSlowWith(0));
@@ -48,7 +48,7 @@
 
     @Test
     void bodyAtHalfItsPaceIsTooSlowAfterTwiceTheLimit() {
-        for (double waited = CHECK_MS; waited <= 2 * BodyPace.MAX_DELAY_MS; waited += CHECK_MS) {
+        for (double waited = CHECK_MS; waited <= 2 * BodyRateMonitor.MAX_LAG_MS; waited += CHECK_MS) {
             assertFalse(isTooSlowWith(BYTES_AT_PACE / 2));
         }
         assertTrue(isTooSlowWith(BYTES_AT_PACE / 2));
--- a/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
+++ b/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
@@ -109,10 +109,10 @@
         assertFalse(presence.isPresentNow());
         clock.pass(ClientPresence.MAX_PRESENCE_AGE_MS);
         assertTrue(presence.isPresent(NEVER));
-        assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertFalse(presence.isUnknownTooLong(clock.nowMs(), NEVER));
         clock.pass(1);
         assertFalse(presence.isPresent(NEVER));
-        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertTrue(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
@@ -120,8 +120,8 @@
         clock.pass(500);
         assertFalse(presence.isPresent(NEVER));
         assertTrue(presence.isPresent(clock.nowMs() - ClientPresence.MAX_PRESENCE_AGE_MS));
-        assertFalse(presence.isHiddenTooLong(clock.nowMs(), clock.nowMs()));
-        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertFalse(presence.isUnknownTooLong(clock.nowMs(), clock.nowMs()));
+        assertTrue(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
@@ -129,7 +129,7 @@
         read(1);
         clock.pass(10_000);
         assertTrue(presence.isPresent(NEVER));
-        assertFalse(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertFalse(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
@@ -162,7 +162,7 @@
         presence.startChecking();
         pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
         assertFalse(presence.isPresentNow());
-        assertTrue(presence.isHiddenTooLong(clock.nowMs(), NEVER));
+        assertTrue(presence.isUnknownTooLong(clock.nowMs(), NEVER));
     }
 
     @Test
--- a/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
@@ -29,7 +29,7 @@
         }
 
         private void reserve(int bytes) {
-            budget.change(reserved, bytes);
+            budget.adjustReservation(reserved, bytes);
             reserved = bytes;
         }
 
