--- a/node/src/test/java/brackenbridge/net/AcceptLimitTest.java
+++ b/node/src/test/java/brackenbridge/net/AcceptLimitTest.java
@@ -34,8 +34,8 @@
     @BeforeEach
     void start() throws Exception {
         server = new FakeServer();
-        server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         Config config = Config.parse(ConfigTest.TEXT
                 .replace("\"hosts\":[]", "\"hosts\":[" + host + "]")
                 .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS));
@@ -83,7 +83,7 @@
         Socket last = connect();
         last.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
         allConnected.countDown();
-        String back = String.valueOf(FakeServer.message(last.getInputStream()));
+        String back = String.valueOf(FakeServer.readMessage(last.getInputStream()));
         assertTrue(back.startsWith("HTTP/1.1 200 "), back);
     }
 }
--- a/node/src/test/java/brackenbridge/net/ClassRulesTest.java
+++ b/node/src/test/java/brackenbridge/net/ClassChangeTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A flow goes by the rules that its class had when it opened, whatever SIGHUP brings while it waits. */
-class ClassRulesTest {
+class ClassChangeTest {
     private FakeServer server;
     private Node node;
 
@@ -45,27 +45,28 @@
     }
 
     private Config config(String text) {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         return Config.parse(text.replace("\"hosts\":[]", "\"hosts\":[" + host + "]"));
     }
 
     private Socket send(String method, String path, int id) throws IOException {
-        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
-        s.setSoTimeout(3000);
-        s.getOutputStream()
+        Socket socket = new Socket(node.address().getAddress(), node.address().getPort());
+        socket.setSoTimeout(3000);
+        socket.getOutputStream()
                 .write((method + " " + path + " HTTP/1.1\r\nHost: a\r\nX-Account: a\r\nX-Correlation-Id: " + id
                                 + "\r\nX-Time-Left-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        return s;
+        return socket;
     }
 
     private void awaitCounter(String line) throws IOException {
         String counted = "";
         for (int i = 0; i < 2000 && !counted.contains(line); i++) {
-            try (Socket s =
+            try (Socket socket =
                     new Socket(node.address().getAddress(), node.address().getPort())) {
-                s.getOutputStream().write("GET /health/counters HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                counted = FakeServer.message(s.getInputStream());
+                socket.getOutputStream()
+                        .write("GET /health/counters HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                counted = FakeServer.readMessage(socket.getInputStream());
             }
         }
         assertTrue(counted.contains(line), counted);
@@ -78,17 +79,18 @@
                 "\"name\":\"file\" | \"name\":\"sign\"",
                 "\"effect\":\"unsafe\" | \"effect\":\"safe\"",
             })
-    void flowThatWaitsItsTurnWhileItsClassChangesIsRefusedAtOnce(String before, String after) throws Exception {
+    void queuedRequestIsRejectedWhenItsClassChanges(String before, String after) throws Exception {
         try (Socket first = send("GET", "/view", 1)) {
-            assertNotNull(server.next());
-            try (Socket waits = send("POST", "/file", 2)) {
+            assertNotNull(server.nextRequest());
+            try (Socket queued = send("POST", "/file", 2)) {
                 awaitCounter("flows_in 2\n");
                 node.reconfigure(() -> config(ConfigTest.TEXT.replace(before, after)));
-                String back = FakeServer.message(waits.getInputStream());
+                String back = FakeServer.readMessage(queued.getInputStream());
                 assertTrue(back.startsWith("HTTP/1.1 503 "), back);
             }
-            server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-            assertTrue(FakeServer.message(first.getInputStream()).endsWith("done"), "the open one ends as it began");
+            server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+            assertTrue(
+                    FakeServer.readMessage(first.getInputStream()).endsWith("done"), "the open one ends as it began");
         }
         assertEquals(0, server.requests.size());
     }
--- a/node/src/test/java/brackenbridge/net/ClientNode.java
+++ b/node/src/test/java/brackenbridge/net/ClientNode.java
@@ -18,7 +18,7 @@
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     static final String LIVE = "GET /health/live HTTP/1.1\r\n\r\n";
 
-    final HeldClock clock = new HeldClock();
+    final PausableClock clock = new PausableClock();
     final FakeServer server = new FakeServer();
     final Node node;
     private final List<Socket> clients = new ArrayList<>();
@@ -29,7 +29,7 @@
 
     /** With this configuration, and the server as its only one. */
     ClientNode(String text) throws IOException {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         node = new Node(
                 Config.parse(text.replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
                 clock,
@@ -45,36 +45,36 @@
     }
 
     Socket connect() throws IOException {
-        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
-        s.setSoTimeout(10_000);
-        clients.add(s);
-        return s;
+        Socket socket = new Socket(node.address().getAddress(), node.address().getPort());
+        socket.setSoTimeout(10_000);
+        clients.add(socket);
+        return socket;
     }
 
-    static String file(String id, int leftMs, String body) {
+    static String fileRequest(String id, int leftMs, String body) {
         return "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + leftMs
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static void send(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** The next answer on it; null at the connection's end. */
-    static String answer(Socket s) throws IOException {
-        return FakeServer.message(s.getInputStream());
+    static String readResponse(Socket socket) throws IOException {
+        return FakeServer.readMessage(socket.getInputStream());
     }
 
     /** Asks something that the node answers by itself. */
-    static void live(Socket s) throws IOException {
-        send(s, LIVE);
-        assertTrue(answer(s).endsWith("live\n"));
+    static void requestLive(Socket socket) throws IOException {
+        send(socket, LIVE);
+        assertTrue(readResponse(socket).endsWith("live\n"));
     }
 
     @Override
     public void close() throws IOException {
-        for (Socket s : clients) {
-            s.close();
+        for (Socket socket : clients) {
+            socket.close();
         }
         server.close();
         node.kill();
--- a/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
@@ -35,7 +35,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final FaultySockets sockets = new FaultySockets("127.0.0.1:1");
     private final Semaphore accepted = new Semaphore(0);
-    private final AtomicInteger roomMade = new AtomicInteger();
+    private final AtomicInteger makeRoomCalls = new AtomicInteger();
     private final List<Double> backlogWaitsMs = new CopyOnWriteArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
     private ConnectionAcceptor acceptor;
@@ -74,7 +74,7 @@
 
                     @Override
                     public void makeRoom() {
-                        roomMade.incrementAndGet();
+                        makeRoomCalls.incrementAndGet();
                     }
                 },
                 text -> {});
@@ -107,17 +107,17 @@
                 "No buffer space available",
                 "Unknown error 512"
             })
-    void failedAcceptsLeaveNobodyInTheBacklog(String error) throws Exception {
-        sockets.fail(FaultySockets.Call.ACCEPT, 20, () -> new IOException(error));
+    void failedAcceptsLeaveNoClientInTheBacklog(String error) throws Exception {
+        sockets.injectFault(FaultySockets.Call.ACCEPT, 20, () -> new IOException(error));
         close();
         assertTrue(accepted.tryAcquire(CLIENTS, 10, TimeUnit.SECONDS), "accepted " + accepted.availablePermits());
         boolean shortage = !error.startsWith("Software") && !error.startsWith("Unknown");
-        assertEquals(shortage ? 20 : 0, roomMade.get());
+        assertEquals(shortage ? 20 : 0, makeRoomCalls.get());
     }
 
     // Guards against a client that waited in the backlog until the close and is told to servers as one that did not.
     @Test
-    void clientsThatAreAcceptedAtTheCloseAreKnownToHaveWaited() throws Exception {
+    void backlogWaitIsRecordedForClientsAcceptedAtTheClose() throws Exception {
         close();
         assertTrue(accepted.tryAcquire(CLIENTS, 10, TimeUnit.SECONDS), "accepted " + accepted.availablePermits());
         assertEquals(CLIENTS, backlogWaitsMs.size());
@@ -125,8 +125,9 @@
     }
 
     @Test
-    void acceptsThatAlwaysFailEndInTheClose() throws Exception {
-        sockets.fail(FaultySockets.Call.ACCEPT, FaultySockets.ALWAYS, () -> new IOException("Too many open files"));
+    void closeCompletesWhenEveryAcceptFails() throws Exception {
+        sockets.injectFault(
+                FaultySockets.Call.ACCEPT, FaultySockets.ALWAYS, () -> new IOException("Too many open files"));
         close();
         for (Socket client : clients) {
             int read;
--- a/node/src/test/java/brackenbridge/net/LastConnectionsTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionEndTest.java
@@ -21,98 +21,99 @@
 import org.junit.jupiter.api.Test;
 
 /** What a node that ends connections, or itself, still owes on them in that instant. */
-class LastConnectionsTest {
+class ConnectionEndTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     private static final String LIVE = "GET /health/live HTTP/1.1\r\n\r\n";
     /** Deadlines of 0.5 s: a stopping node serves for 0.6 s and answers all after 0.9 s. */
-    private static final String BRIEF = ConfigTest.TEXT
+    private static final String SHORT_DEADLINES_CONFIG = ConfigTest.TEXT
             .replace("\"aim\":4000000,\"giveUp\":8000000", "\"aim\":9000,\"giveUp\":500000")
             .replace("\"aim\":3000000,\"giveUp\":6000000", "\"aim\":9000,\"giveUp\":500000");
 
-    private final HeldClock clock = new HeldClock();
+    private final PausableClock clock = new PausableClock();
     private FakeServer server;
-    private Node node;
+    private Node startNode;
     private Socket client;
 
     @BeforeEach
     void start() throws IOException {
         server = new FakeServer();
-        node = node(server.dial());
+        startNode = startNode(server.address());
         client = connect();
     }
 
-    private Node node(String... dials) {
+    private Node startNode(String... dials) {
         String hosts = "";
         for (String dial : dials) {
             hosts += (hosts.isEmpty() ? "" : ",") + "{\"host\":\"s" + hosts.length() + "\",\"dial\":\"" + dial
                     + "\",\"health\":\"active\"}";
         }
-        Node n = new Node(
-                Config.parse(BRIEF.replace("\"hosts\":[]", "\"hosts\":[" + hosts + "]")),
+        Node started = new Node(
+                Config.parse(SHORT_DEADLINES_CONFIG.replace("\"hosts\":[]", "\"hosts\":[" + hosts + "]")),
                 clock,
                 new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
-        n.start();
-        return n;
+        started.start();
+        return started;
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
-        s.setSoTimeout(10_000);
-        return s;
+        Socket socket =
+                new Socket(startNode.address().getAddress(), startNode.address().getPort());
+        socket.setSoTimeout(10_000);
+        return socket;
     }
 
     @AfterEach
     void end() throws IOException {
         client.close();
         server.close();
-        node.kill();
+        startNode.kill();
     }
 
-    private static String file(String id, int left) {
-        return "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + left
+    private static String fileRequest(String id, int timeLeftMs) {
+        return "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + timeLeftMs
                 + "\r\nContent-Length: 1\r\n\r\na";
     }
 
-    private static void send(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String answer(Socket s) throws IOException {
-        return FakeServer.message(s.getInputStream());
+    private static String readResponse(Socket socket) throws IOException {
+        return FakeServer.readMessage(socket.getInputStream());
     }
 
-    private void live(Socket s) throws IOException {
-        send(s, LIVE);
-        assertTrue(answer(s).endsWith("live\n"));
+    private void requestLive(Socket socket) throws IOException {
+        send(socket, LIVE);
+        assertTrue(readResponse(socket).endsWith("live\n"));
     }
 
     /** Stops the node, and returns once it has ended the connections that rest. */
-    private CompletableFuture<Void> stopUntilIdleOnesEnd() throws Exception {
+    private CompletableFuture<Void> stopAndAwaitIdleClose() throws Exception {
         Socket idle = connect();
-        live(idle);
-        CompletableFuture<Void> ended = node.stop();
+        requestLive(idle);
+        CompletableFuture<Void> ended = startNode.stop();
         assertEquals(-1, idle.getInputStream().read());
         idle.close();
         return ended;
     }
 
     @Test
-    void requestThatCrossesTheEndOfARestingConnectionIsNeitherResetNorSentOn() throws Exception {
+    void requestThatCrossesTheCloseOfAnIdleConnectionIsNeitherResetNorForwarded() throws Exception {
         Socket busy = connect();
-        send(busy, file("busy", 9000));
-        assertNotNull(server.next());
-        live(client);
-        CompletableFuture<Void> ended = stopUntilIdleOnesEnd();
+        send(busy, fileRequest("busy", 9000));
+        assertNotNull(server.nextRequest());
+        requestLive(client);
+        CompletableFuture<Void> ended = stopAndAwaitIdleClose();
         assertEquals(-1, client.getInputStream().read(), "output is shut");
-        send(client, file("late0", 400));
-        server.answers.add(OK);
-        assertTrue(answer(busy).contains("Connection: close\r\n"));
+        send(client, fileRequest("late0", 400));
+        server.responses.add(OK);
+        assertTrue(readResponse(busy).contains("Connection: close\r\n"));
         assertEquals(-1, busy.getInputStream().read());
         // A connection that was closed would have been reset by now, and writing would fail.
-        node.tenantUse().get(10, TimeUnit.SECONDS);
-        send(client, file("late1", 400));
-        node.tenantUse().get(10, TimeUnit.SECONDS);
-        send(client, file("late2", 400));
+        startNode.tenantUse().get(10, TimeUnit.SECONDS);
+        send(client, fileRequest("late1", 400));
+        startNode.tenantUse().get(10, TimeUnit.SECONDS);
+        send(client, fileRequest("late2", 400));
         busy.close();
         client.close();
         ended.get(10, TimeUnit.SECONDS);
@@ -120,75 +121,75 @@
     }
 
     @Test
-    void connectionThatIsIdleForTooLongEndsWithNoReset() throws Exception {
-        live(client);
+    void connectionIdleForTooLongEndsWithoutReset() throws Exception {
+        requestLive(client);
         // Its answer has been noted as written once others have been answered after it.
-        live(connect());
-        live(connect());
+        requestLive(connect());
+        requestLive(connect());
         clock.pass(61_000);
         assertEquals(-1, client.getInputStream().read());
         for (int i = 0; i < 3; i++) {
-            send(client, file("late" + i, 400));
-            live(connect());
+            send(client, fileRequest("late" + i, 400));
+            requestLive(connect());
         }
         assertNull(server.requests.poll());
     }
 
     @Test
-    void nodeExitsOnceItsLastClientHasSeenItsEnd() throws Exception {
-        send(client, file("a", 9000));
-        assertNotNull(server.next());
-        CompletableFuture<Void> ended = stopUntilIdleOnesEnd();
-        clock.stand();
-        server.answers.add(OK);
-        assertTrue(answer(client).endsWith("done"));
+    void nodeExitsOnceItsLastClientHasSeenTheEndOfItsConnection() throws Exception {
+        send(client, fileRequest("a", 9000));
+        assertNotNull(server.nextRequest());
+        CompletableFuture<Void> ended = stopAndAwaitIdleClose();
+        clock.freeze();
+        server.responses.add(OK);
+        assertTrue(readResponse(client).endsWith("done"));
         assertEquals(-1, client.getInputStream().read());
-        node.tenantUse().get(10, TimeUnit.SECONDS);
+        startNode.tenantUse().get(10, TimeUnit.SECONDS);
         assertFalse(ended.isDone(), "a process that exits now resets what its client still sends, and the answer");
         client.close();
         ended.get(10, TimeUnit.SECONDS);
     }
 
     @Test
-    void halfARequestIsRefusedBeforeTheNodeExits() throws Exception {
-        send(client, file("a", 400).substring(0, 40));
-        live(connect());
-        CompletableFuture<Void> ended = node.stop();
-        String last = answer(client);
+    void incompleteRequestIsRejectedBeforeTheNodeExits() throws Exception {
+        send(client, fileRequest("a", 400).substring(0, 40));
+        requestLive(connect());
+        CompletableFuture<Void> ended = startNode.stop();
+        String last = readResponse(client);
         assertTrue(last.startsWith("HTTP/1.1 503 ") && last.contains("Connection: close\r\n"), last);
         assertEquals(-1, client.getInputStream().read());
         ended.get(10, TimeUnit.SECONDS);
     }
 
     @Test
-    void requestThatIsWholeOnlyAfterTheLastAnswersIsRefusedAndNotBegun() throws Exception {
-        String late = file("late", 400);
+    void requestCompletedAfterTheLastResponsesIsRejectedAndNotForwarded() throws Exception {
+        String late = fileRequest("late", 400);
         // The other server is free to take it.
-        FakeServer other = new FakeServer();
-        node.kill();
-        node = node(server.dial(), other.dial());
+        FakeServer secondServer = new FakeServer();
+        startNode.kill();
+        startNode = startNode(server.address(), secondServer.address());
         client = connect();
-        Socket half = connect();
-        send(half, late.substring(0, late.length() - 1));
-        send(client, file("a", 9000));
-        while (server.requests.size() + other.requests.size() == 0) {
+        Socket incomplete = connect();
+        send(incomplete, late.substring(0, late.length() - 1));
+        send(client, fileRequest("a", 9000));
+        while (server.requests.size() + secondServer.requests.size() == 0) {
             Thread.onSpinWait();
         }
-        node.stop();
+        startNode.stop();
         // Its server says nothing: the node answers it as time is up.
-        assertTrue(answer(client).startsWith("HTTP/1.1 504 "));
-        send(half, late.substring(late.length() - 1));
-        assertTrue(answer(half).startsWith("HTTP/1.1 503 "));
-        assertEquals(1, server.requests.size() + other.requests.size());
-        half.close();
-        other.close();
+        assertTrue(readResponse(client).startsWith("HTTP/1.1 504 "));
+        send(incomplete, late.substring(late.length() - 1));
+        assertTrue(readResponse(incomplete).startsWith("HTTP/1.1 503 "));
+        assertEquals(1, server.requests.size() + secondServer.requests.size());
+        incomplete.close();
+        secondServer.close();
     }
 
     @Test
-    void clientThatIsServedIsAnsweredAlsoWhenItHoldsTheMostOfTooMuch() throws Exception {
-        send(client, file("a", 9000));
-        assertNotNull(server.next());
-        send(client, file("b", 9000).repeat(2000));
+    void clientWithTheLargestBufferStillGetsItsResponse() throws Exception {
+        send(client, fileRequest("a", 9000));
+        assertNotNull(server.nextRequest());
+        send(client, fileRequest("b", 9000).repeat(2000));
         Socket[] many = new Socket[150];
         for (int i = 0; i < many.length; i++) {
             many[i] = connect();
@@ -196,15 +197,15 @@
                     many[i],
                     "POST /file HTTP/1.1\r\nX-Correlation-Id: m\r\nContent-Length: 65000\r\n\r\n" + "x".repeat(60_000));
         }
-        String counted = "";
-        for (int i = 0; i < 10_000 && !counted.matches("(?s).*clients_shed_for_memory [1-9].*"); i++) {
+        String counters = "";
+        for (int i = 0; i < 10_000 && !counters.matches("(?s).*clients_shed_for_memory [1-9].*"); i++) {
             try (Socket s = connect()) {
                 send(s, "GET /health/counters HTTP/1.1\r\n\r\n");
-                counted = answer(s);
+                counters = readResponse(s);
             }
         }
-        server.answers.add(OK);
-        String last = answer(client);
+        server.responses.add(OK);
+        String last = readResponse(client);
         assertTrue(last != null && last.startsWith("HTTP/1.1 200 ") && last.contains("Connection: close\r\n"), last);
         assertEquals(-1, client.getInputStream().read());
         assertNull(server.requests.poll());
@@ -214,15 +215,15 @@
     }
 
     @Test
-    void whatClientsPipelineBehindTheLastAnswerDoesNotResetIt() throws Exception {
-        send(client, file("a", 9000));
-        assertNotNull(server.next());
-        CompletableFuture<Void> ended = stopUntilIdleOnesEnd();
-        server.answers.add(OK);
-        send(client, file("b", 9000).repeat(500));
-        String last = answer(client);
+    void pipelinedRequestsDoNotResetTheLastResponse() throws Exception {
+        send(client, fileRequest("a", 9000));
+        assertNotNull(server.nextRequest());
+        CompletableFuture<Void> ended = stopAndAwaitIdleClose();
+        server.responses.add(OK);
+        send(client, fileRequest("b", 9000).repeat(500));
+        String last = readResponse(client);
         assertTrue(last.startsWith("HTTP/1.1 200 ") && last.contains("Connection: close\r\n"), last);
-        send(client, file("c", 9000));
+        send(client, fileRequest("c", 9000));
         assertEquals(-1, client.getInputStream().read(), "an end, and no reset");
         ended.get(10, TimeUnit.SECONDS);
         assertNull(server.requests.poll());
--- a/node/src/test/java/brackenbridge/net/DescriptorsTest.java
+++ b/node/src/test/java/brackenbridge/net/DescriptorExhaustionTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real process with few descriptors, while discovery is down and idle clients come in crowds. */
-class DescriptorsTest {
+class DescriptorExhaustionTest {
     private static final int LIMIT = 200;
 
     @TempDir
     private Path directory;
 
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleClients = new ArrayList<>();
     private Process process;
     private int port;
 
@@ -39,7 +39,7 @@
     private String start(int discovery, FakeServer server) throws Exception {
         port = freePort();
         String management = "127.0.0.1:" + freePort();
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         Files.writeString(
                 directory.resolve("config.json"),
                 ConfigTest.TEXT
@@ -47,7 +47,7 @@
                         .replace("127.0.0.1:1\"", "127.0.0.1:" + discovery + "\"")
                         .replace("\"sockets\":1024", "\"sockets\":" + LIMIT)
                         .replace("\"hosts\":[]", "\"hosts\":[" + host + "]"));
-        ProcessBuilder b = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                         "sh",
                         "-c",
                         "ulimit -n " + LIMIT + "; exec \"$0\" \"$@\"",
@@ -60,25 +60,26 @@
                         "serve")
                 .redirectErrorStream(true)
                 .redirectOutput(directory.resolve("log").toFile());
-        b.environment().put("PROXY_CONFIG", directory.resolve("config.json").toString());
-        b.environment().put("PROXY_MGMT", management);
-        b.environment().put("TMPDIR", directory.toString());
-        process = b.start();
+        builder.environment()
+                .put("PROXY_CONFIG", directory.resolve("config.json").toString());
+        builder.environment().put("PROXY_MGMT", management);
+        builder.environment().put("TMPDIR", directory.toString());
+        process = builder.start();
         return management;
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket("127.0.0.1", port);
-        s.setSoTimeout(2000);
-        return s;
+        Socket socket = new Socket("127.0.0.1", port);
+        socket.setSoTimeout(2000);
+        return socket;
     }
 
     /** Asks on a new connection until this comes, and says after how many milliseconds it did. */
-    private long readyAfter() throws Exception {
+    private long awaitReadyMs() throws Exception {
         long start = System.nanoTime();
         while (process.isAlive() && System.nanoTime() - start < 30_000_000_000L) {
-            try (Socket s = connect()) {
-                if (asks(s, "GET /health/ready HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 200 ")) {
+            try (Socket socket = connect()) {
+                if (exchange(socket, "GET /health/ready HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 200 ")) {
                     return (System.nanoTime() - start) / 1_000_000;
                 }
             } catch (IOException e) {
@@ -88,55 +89,56 @@
         throw new AssertionError("never ready: " + Files.readString(directory.resolve("log")));
     }
 
-    private static String asks(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        return String.valueOf(FakeServer.message(s.getInputStream()));
+    private static String exchange(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+        return String.valueOf(FakeServer.readMessage(socket.getInputStream()));
     }
 
-    private void served(FakeServer server, String id) throws IOException {
-        server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        try (Socket s = connect()) {
-            String a = asks(s, "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
-            assertTrue(a.endsWith("done"), id + " got " + a);
+    private void assertServed(FakeServer server, String id) throws IOException {
+        server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        try (Socket socket = connect()) {
+            String response = exchange(
+                    socket, "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
+            assertTrue(response.endsWith("done"), id + " got " + response);
         }
     }
 
     @AfterEach
     void end() throws IOException {
-        for (Socket s : crowd) {
+        for (Socket s : idleClients) {
             s.close();
         }
         process.destroyForcibly();
     }
 
     @Test
-    void crowdsOfIdleClientsTakeNoDescriptorFromDiscoveryStaffOrServers() throws Exception {
+    void idleClientsTakeNoDescriptorFromDiscoveryManagementOrServers() throws Exception {
         int discovery = freePort();
         try (FakeServer server = new FakeServer()) {
             String management = start(discovery, server);
-            long ready = readyAfter();
+            long ready = awaitReadyMs();
             assertTrue(ready < 10_000, "with discovery down ready after " + ready + " ms");
             for (int i = 0; i < 3 * LIMIT; i++) {
-                crowd.add(connect());
+                idleClients.add(connect());
             }
-            served(server, "amongSilentOnes");
+            assertServed(server, "amongSilentOnes");
             assertEquals("+OK\n", ManagementCall.make(management, "PING"));
             for (int i = 0; i < LIMIT; i++) {
-                Socket s = connect();
-                crowd.add(s);
-                assertTrue(asks(s, "GET /health/live HTTP/1.1\r\n\r\n").endsWith("live\n"), "client " + i);
+                Socket socket = connect();
+                idleClients.add(socket);
+                assertTrue(exchange(socket, "GET /health/live HTTP/1.1\r\n\r\n").endsWith("live\n"), "client " + i);
             }
-            served(server, "amongThoseThatAskedAndRest");
+            assertServed(server, "amongThoseThatAskedAndRest");
             assertEquals("+OK\n", ManagementCall.make(management, "PING"));
             try (ServerSocket back = new ServerSocket()) {
                 back.bind(new InetSocketAddress("127.0.0.1", discovery));
                 back.setSoTimeout(15_000);
                 try (Socket watch = back.accept()) {
-                    String call = FakeServer.message(watch.getInputStream());
+                    String call = FakeServer.readMessage(watch.getInputStream());
                     assertTrue(call.startsWith("GET /registry/instances?watch=1"), call);
                 }
             }
-            served(server, "afterDiscoveryIsBack");
+            assertServed(server, "afterDiscoveryIsBack");
             String log = Files.readString(directory.resolve("log"));
             assertTrue(!log.contains("Too many open files"), log);
         }
--- a/node/src/test/java/brackenbridge/net/GoneClientTest.java
+++ b/node/src/test/java/brackenbridge/net/DisconnectedClientTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A client that has closed its connection, or ended its sending, is disconnected: no attempt begins for it. */
-class GoneClientTest {
+class DisconnectedClientTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     private static final String UNPROCESSED_503 =
             "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -36,10 +36,10 @@
     private enum ConnectionEnd {
         CLOSE,
         RESET,
-        END_OF_SENDING;
+        HALF_CLOSE;
 
         void apply(Socket socket) throws IOException {
-            if (this == END_OF_SENDING) {
+            if (this == HALF_CLOSE) {
                 socket.shutdownOutput();
                 return;
             }
@@ -48,7 +48,7 @@
         }
     }
 
-    private final HeldClock clock = new HeldClock();
+    private final PausableClock clock = new PausableClock();
     private FakeServer server;
     private Node node;
     private Socket client;
@@ -61,14 +61,14 @@
     }
 
     private static String hostJson(String name, FakeServer server) {
-        return "{\"host\":\"" + name + "\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        return "{\"host\":\"" + name + "\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
     }
 
     private Node startNode(String text) {
-        return startNodeOf(text.replace("\"hosts\":[]", "\"hosts\":[" + hostJson("s-1", server) + "]"));
+        return startNodeWithConfig(text.replace("\"hosts\":[]", "\"hosts\":[" + hostJson("s-1", server) + "]"));
     }
 
-    private Node startNodeOf(String text) {
+    private Node startNodeWithConfig(String text) {
         Node newNode =
                 new Node(Config.parse(text), clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
         newNode.start();
@@ -76,10 +76,10 @@
     }
 
     /** Restarts with a server whose connections open only once it accepts. */
-    private void restartWithServerNotAccepting(String text) throws IOException {
+    private void restartWithFullBacklog(String text) throws IOException {
         node.kill();
         server.close();
-        server = FakeServer.full();
+        server = FakeServer.withFullBacklog();
         node = startNode(text);
         client = connect();
     }
@@ -87,7 +87,7 @@
     /** Restarts with an empty endpoint list. */
     private void restartWithoutServers() throws IOException {
         node.kill();
-        node = startNodeOf(ConfigTest.TEXT);
+        node = startNodeWithConfig(ConfigTest.TEXT);
         client = connect();
     }
 
@@ -106,7 +106,7 @@
     @AfterEach
     void end() throws IOException {
         // A test may have failed while its node is held.
-        clock.release();
+        clock.resume();
         client.close();
         server.close();
         node.kill();
@@ -124,7 +124,7 @@
     private String countersText() throws IOException {
         try (Socket socket = connect()) {
             send(socket, COUNTERS_REQUEST);
-            return FakeServer.message(socket.getInputStream());
+            return FakeServer.readMessage(socket.getInputStream());
         }
     }
 
@@ -148,24 +148,24 @@
 
     /** Another client's request is the first that the server receives. */
     private void assertOnlyNextRequestIsServed() throws Exception {
-        server.answers.add(OK);
+        server.responses.add(OK);
         client = connect();
         send(client, fileRequest("next", "next"));
-        String answer = FakeServer.message(client.getInputStream());
+        String answer = FakeServer.readMessage(client.getInputStream());
         assertTrue(answer != null && answer.endsWith("done"), answer + "\n" + countersText());
-        assertTrue(server.next().endsWith("next"));
+        assertTrue(server.nextRequest().endsWith("next"));
         awaitCounter("forwards_written 1");
         assertEquals(0, server.requests.size());
     }
 
     @Test
-    void requestThatComesWithItsClientsEndIsNotSentOn() throws Exception {
+    void requestReadTogetherWithTheDisconnectIsNotForwarded() throws Exception {
         for (ConnectionEnd end : ConnectionEnd.values()) {
             client = connect();
-            clock.hold();
+            clock.pause();
             send(client, fileRequest("a", "a"));
             end.apply(client);
-            clock.release();
+            clock.resume();
             // A later connection is answered only once what came before it has been read.
             countersText();
             countersText();
@@ -175,9 +175,9 @@
     }
 
     @Test
-    void endOfSendingEndsTheRequestThatIsOut() throws Exception {
+    void halfCloseCancelsTheRequestInFlight() throws Exception {
         send(client, fileRequest("a", "a"));
-        assertNotNull(server.next());
+        assertNotNull(server.nextRequest());
         client.shutdownOutput();
         awaitCounter("flows_gone 1");
         awaitCounter("forwards_cancelled 1");
@@ -185,11 +185,11 @@
     }
 
     @Test
-    void clientThatGoesBehindHundredsOfRequestsIsNoticed() throws Exception {
+    void disconnectBehindHundredsOfRequestsIsDetected() throws Exception {
         for (ConnectionEnd end : ConnectionEnd.values()) {
             client = connect();
             send(client, fileRequest("a", "a"));
-            assertNotNull(server.next());
+            assertNotNull(server.nextRequest());
             send(client, fileRequest("b", "b").repeat(2000));
             awaitCounter("flows_gone " + end.ordinal());
             end.apply(client);
@@ -200,9 +200,9 @@
     }
 
     @Test
-    void clientThatGoesBehindMoreThanMayWaitIsNoticedWhileTheRestIsSmall() throws Exception {
+    void disconnectBehindTheReadAheadLimitIsDetectedWhileTheExcessIsSmall() throws Exception {
         send(client, fileRequest("a", "a"));
-        assertNotNull(server.next());
+        assertNotNull(server.nextRequest());
         String one = fileRequest("b", "b");
         send(client, one.repeat(290_000 / one.length()));
         awaitCounter("flows_in 1");
@@ -212,29 +212,29 @@
     }
 
     @Test
-    void clientThatGoesWhileItsBodyWaitsForAConnectionIsNoticed() throws Exception {
-        restartWithServerNotAccepting(LONG_CONNECT_TIMEOUT);
+    void disconnectIsDetectedWhileABodyWaitsForAConnection() throws Exception {
+        restartWithFullBacklog(LONG_CONNECT_TIMEOUT);
         send(client, fileRequest("a", "x".repeat(300_000)).substring(0, 250_000));
         awaitCounter("requests_streamed 1");
         client.close();
         awaitCounter("flows_gone 1");
-        server.accept();
+        server.startAccepting();
         assertOnlyNextRequestIsServed();
     }
 
     @Test
-    void requestThatWaitsForAConnectionIsWithdrawnWhateverTheSettingsSayOfCancelling() throws Exception {
-        restartWithServerNotAccepting(LONG_CONNECT_TIMEOUT.replace("\"mayCancel\":true", "\"mayCancel\":false"));
+    void requestWaitingForAConnectionIsWithdrawnEvenIfCancellingIsDisabled() throws Exception {
+        restartWithFullBacklog(LONG_CONNECT_TIMEOUT.replace("\"mayCancel\":true", "\"mayCancel\":false"));
         send(client, fileRequest("a", "a"));
         awaitCounter("flows_in 1");
         client.close();
         awaitCounter("flows_gone 1");
-        server.accept();
+        server.startAccepting();
         assertOnlyNextRequestIsServed();
     }
 
     @Test
-    void requestThatTheModuleHoldsIsNotSentOnceAServerComes() throws Exception {
+    void queuedRequestOfADisconnectedClientIsNotForwardedWhenAServerIsAdded() throws Exception {
         restartWithoutServers();
         send(client, fileRequest("a", "a"));
         awaitCounter("flows_in 1");
@@ -246,8 +246,8 @@
 
     /** What comes behind a long body must not move the parts of it that nobody has taken yet. */
     @Test
-    void bodyThatWaitsIsNotOverwrittenByWhatComesBehindIt() throws Exception {
-        restartWithServerNotAccepting(LONG_CONNECT_TIMEOUT);
+    void waitingBodyIsNotOverwrittenByLaterBytes() throws Exception {
+        restartWithFullBacklog(LONG_CONNECT_TIMEOUT);
         StringBuilder body = new StringBuilder();
         for (int i = 0; body.length() < 70_000; i++) {
             body.append(i).append(' ');
@@ -259,13 +259,13 @@
         awaitCounter("flows_in 1");
         send(client, next.substring(40));
         awaitCounter("flows_in 1");
-        server.answers.add(OK);
-        server.answers.add(OK);
-        server.accept();
-        assertTrue(FakeServer.message(client.getInputStream()).endsWith("done"));
-        assertTrue(server.next().endsWith("\r\n\r\n" + body));
-        assertTrue(FakeServer.message(client.getInputStream()).endsWith("done"));
-        assertTrue(server.next().endsWith("behind"));
+        server.responses.add(OK);
+        server.responses.add(OK);
+        server.startAccepting();
+        assertTrue(FakeServer.readMessage(client.getInputStream()).endsWith("done"));
+        assertTrue(server.nextRequest().endsWith("\r\n\r\n" + body));
+        assertTrue(FakeServer.readMessage(client.getInputStream()).endsWith("done"));
+        assertTrue(server.nextRequest().endsWith("behind"));
     }
 
     /** Pipelined requests of this many bytes together. */
@@ -283,10 +283,10 @@
     }
 
     @Test
-    void requestThatTheModuleHoldsIsRefusedOnceUnreadBytesHideItsClient() throws Exception {
+    void queuedRequestIsRejectedOnceUnreadBytesHideItsClient() throws Exception {
         restartWithoutServers();
         send(client, fileRequest("a", "a") + pipelinedRequests(MORE_THAN_READ_AHEAD_BYTES));
-        String answer = FakeServer.message(client.getInputStream());
+        String answer = FakeServer.readMessage(client.getInputStream());
         assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), answer);
         client.close();
         addServer();
@@ -294,8 +294,8 @@
     }
 
     @Test
-    void requestWhoseClientsEndIsHiddenIsNotSentOnceAServerComes() throws Exception {
-        for (ConnectionEnd end : List.of(ConnectionEnd.CLOSE, ConnectionEnd.END_OF_SENDING)) {
+    void queuedRequestWithAnUndetectedDisconnectIsNotForwardedWhenAServerIsAdded() throws Exception {
+        for (ConnectionEnd end : List.of(ConnectionEnd.CLOSE, ConnectionEnd.HALF_CLOSE)) {
             restartWithoutServers();
             send(client, fileRequest("a", "a") + pipelinedRequests(MORE_THAN_READ_AHEAD_BYTES));
             end.apply(client);
@@ -307,40 +307,40 @@
     }
 
     @Test
-    void longBodyWhoseClientsEndIsHiddenIsNotSentOnceAConnectionOpens() throws Exception {
-        restartWithServerNotAccepting(LONG_CONNECT_TIMEOUT);
+    void longBodyWithAnUndetectedDisconnectIsNotForwardedWhenAConnectionOpens() throws Exception {
+        restartWithFullBacklog(LONG_CONNECT_TIMEOUT);
         send(client, fileRequest("a", "x".repeat(MORE_THAN_READ_AHEAD_BYTES)));
         client.close();
         awaitCounter("requests_streamed 1");
-        server.accept();
+        server.startAccepting();
         assertOnlyNextRequestIsServed();
     }
 
     @Test
-    void longBodyThatWaitsIsRefusedOnceUnreadBytesHideItsClient() throws Exception {
-        restartWithServerNotAccepting(LONG_CONNECT_TIMEOUT);
+    void waitingLongBodyIsRejectedOnceUnreadBytesHideItsClient() throws Exception {
+        restartWithFullBacklog(LONG_CONNECT_TIMEOUT);
         send(client, fileRequest("a", "x".repeat(MORE_THAN_READ_AHEAD_BYTES)));
-        String answer = FakeServer.message(client.getInputStream());
+        String answer = FakeServer.readMessage(client.getInputStream());
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
         awaitCounter("forwards_moot 1");
-        server.accept();
+        server.startAccepting();
         assertOnlyNextRequestIsServed();
     }
 
     @Test
-    void nothingIsSentAgainOnceUnreadBytesHideTheClient() throws Exception {
+    void noRetryOnceUnreadBytesHideTheClient() throws Exception {
         node.kill();
         try (FakeServer other = new FakeServer()) {
             String hosts = hostJson("s-1", server) + "," + hostJson("s-2", other);
-            node = startNodeOf(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + hosts + "]"));
+            node = startNodeWithConfig(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + hosts + "]"));
             client = connect();
             send(client, fileRequest("a", "a"));
             awaitCounter("forwards_written 1");
             send(client, pipelinedRequests(MORE_THAN_READ_AHEAD_BYTES));
             client.close();
             letPresenceExpire();
-            server.answers.add(UNPROCESSED_503);
-            other.answers.add(UNPROCESSED_503);
+            server.responses.add(UNPROCESSED_503);
+            other.responses.add(UNPROCESSED_503);
             awaitCounter("forwards_turned_away 1");
             awaitCounter("forwards_moot 1");
             awaitCounter("forwards_written 1");
@@ -349,58 +349,58 @@
     }
 
     @Test
-    void whatIsOutWhenUnreadBytesHideItsClientIsAnswered() throws Exception {
+    void attemptInFlightIsAnsweredAfterUnreadBytesHideItsClient() throws Exception {
         send(client, fileRequest("a", "a"));
-        assertTrue(server.next().endsWith("a"));
+        assertTrue(server.nextRequest().endsWith("a"));
         send(client, pipelinedRequests(MORE_THAN_READ_AHEAD_BYTES));
         letPresenceExpire();
         // The node's sweep has time to find it.
         letPresenceExpire();
-        server.answers.add(OK);
-        assertTrue(FakeServer.message(client.getInputStream()).endsWith("done"));
+        server.responses.add(OK);
+        assertTrue(FakeServer.readMessage(client.getInputStream()).endsWith("done"));
         awaitCounter("answered_served 1");
     }
 
     @Test
-    void requestWhoseClientsEndIsBehindTheReadsOfOneTurnIsNotSent() throws Exception {
+    void requestIsNotForwardedIfTheDisconnectIsReadInALaterTurn() throws Exception {
         String request = fileRequest("a", "x".repeat(BYTES_READ_IN_ONE_TURN));
         int disconnectedCount = 0;
-        for (ConnectionEnd end : List.of(ConnectionEnd.CLOSE, ConnectionEnd.END_OF_SENDING)) {
+        for (ConnectionEnd end : List.of(ConnectionEnd.CLOSE, ConnectionEnd.HALF_CLOSE)) {
             client = connect();
-            clock.hold();
+            clock.pause();
             send(client, request);
             end.apply(client);
-            clock.release();
+            clock.resume();
             awaitCounter("flows_gone " + ++disconnectedCount);
         }
         assertOnlyNextRequestIsServed();
     }
 
     @Test
-    void connectionThatOpensInTheTurnOfItsClientsEndCarriesNothing() throws Exception {
-        restartWithServerNotAccepting(LONG_CONNECT_TIMEOUT);
+    void connectionOpenedInTheTurnOfTheDisconnectCarriesNothing() throws Exception {
+        restartWithFullBacklog(LONG_CONNECT_TIMEOUT);
         send(client, fileRequest("a", "a"));
         awaitConnectBegun();
-        clock.hold();
-        server.accept();
+        clock.pause();
+        server.startAccepting();
         // The kernel opens it while the node rests; then the node finds the connection up, and the end behind it.
         assertNotNull(server.connections.poll(20, TimeUnit.SECONDS), "nobody connects");
         client.close();
-        clock.release();
+        clock.resume();
         assertOnlyNextRequestIsServed();
     }
 
     @Test
-    void lastBytesOfALongBodyAreNotPassedOnIfTheClientsEndIsBehindThem() throws Exception {
+    void lastBytesOfALongBodyAreNotForwardedIfADisconnectFollows() throws Exception {
         String body = "x".repeat(200_000);
         String request = fileRequest("a", body);
         int first = request.length() - 100;
         send(client, request.substring(0, first));
         awaitCounter("forwards_sent 1");
-        clock.hold();
+        clock.pause();
         send(client, request.substring(first));
         client.close();
-        clock.release();
+        clock.resume();
         awaitCounter("flows_gone 1");
         assertOnlyNextRequestIsServed();
     }
--- a/node/src/test/java/brackenbridge/net/DiscoveryTest.java
+++ b/node/src/test/java/brackenbridge/net/DiscoveryTest.java
@@ -21,7 +21,7 @@
 
 /** A node on loopback, against a discovery that says what it says at a bad moment. */
 class DiscoveryTest {
-    private static final String ASKED = ConfigTest.TEXT;
+    private static final String CONFIG_TEXT = ConfigTest.TEXT;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
     private FakeServer discovery;
@@ -53,8 +53,8 @@
         node.start();
     }
 
-    private void move(String dial) {
-        node.reconfigure(() -> Config.parse(ASKED.replace("127.0.0.1:1\"", dial + "\"")));
+    private void moveDiscovery(String dial) {
+        node.reconfigure(() -> Config.parse(CONFIG_TEXT.replace("127.0.0.1:1\"", dial + "\"")));
     }
 
     private static String host(int i, String health) {
@@ -62,8 +62,8 @@
     }
 
     /** Discovery's next call, with its connection. */
-    private Socket call() throws InterruptedException {
-        assertNotNull(discovery.next(), "no call");
+    private Socket nextCall() throws InterruptedException {
+        assertNotNull(discovery.nextRequest(), "no call");
         return discovery.connections.poll(10, TimeUnit.SECONDS);
     }
 
@@ -77,19 +77,19 @@
     }
 
     @Test
-    void discoveryThatRefusedForAWhileIsAskedSoonAndHeardOnceItIsBack() throws Exception {
-        start(ASKED, "127.0.0.1:1");
-        move(discovery.dial());
+    void discoveryThatFailedForAWhileIsPolledSoonAfterItIsBack() throws Exception {
+        start(CONFIG_TEXT, "127.0.0.1:1");
+        moveDiscovery(discovery.address());
         for (int refused = 0; refused < 4; refused++) {
-            discovery.answers.add(FakeServer.HANG_UP);
-            call();
+            discovery.responses.add(FakeServer.CLOSE_CONNECTION);
+            nextCall();
         }
-        long back = System.nanoTime();
-        discovery.answers.add(HEAD + "{\"seq\":42,\"whole\":true,\"hosts\":[" + host(1, "active") + "]}\n");
-        call();
+        long backNs = System.nanoTime();
+        discovery.responses.add(HEAD + "{\"seq\":42,\"whole\":true,\"hosts\":[" + host(1, "active") + "]}\n");
+        nextCall();
         awaitServers(1);
-        double ms = (System.nanoTime() - back) / 1e6;
-        assertTrue(ms < 3000, "known " + ms + " ms after discovery is back");
+        double elapsedMs = (System.nanoTime() - backNs) / 1e6;
+        assertTrue(elapsedMs < 3000, "known " + elapsedMs + " ms after discovery is back");
     }
 
     /** A list as somebody who reads it would like it; it spans lines and has empty ones. */
@@ -98,9 +98,9 @@
                 + hosts.replace(":\"", ": \"").replace(",", ",\n      ") + "\n  ]\n}";
     }
 
-    private static void say(Socket on, String text) throws IOException {
-        on.setTcpNoDelay(true);
-        on.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.setTcpNoDelay(true);
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     private static String chunk(String text) {
@@ -110,32 +110,32 @@
     private void awaitCounter(String text) throws Exception {
         String counted = "";
         for (int i = 0; i < 10_000 && !counted.contains(text); i++) {
-            try (Socket s =
+            try (Socket socket =
                     new Socket(node.address().getAddress(), node.address().getPort())) {
-                say(s, "GET /health/counters HTTP/1.1\r\n\r\n");
-                counted = FakeServer.message(s.getInputStream());
+                send(socket, "GET /health/counters HTTP/1.1\r\n\r\n");
+                counted = FakeServer.readMessage(socket.getInputStream());
             }
         }
         assertTrue(counted.contains(text), counted);
     }
 
     @Test
-    void indentedListsInPiecesCutAnywhereAreHeardOnOneWatch() throws Exception {
-        start(ASKED, "127.0.0.1:1");
-        move(discovery.dial());
-        Socket watch = call();
-        say(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    void indentedListsSplitAnywhereAreReadOnOneWatch() throws Exception {
+        start(CONFIG_TEXT, "127.0.0.1:1");
+        moveDiscovery(discovery.address());
+        Socket watch = nextCall();
+        send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int lists = 0;
         for (int cut = 0; cut < indented(42, host(1, "active")).length(); cut++) {
             String list = indented(42 + lists++, host(1, "active"));
             // A chunk border there, and a piece of the connection's bytes that ends inside of the chunk's frame.
             String framed = chunk(list.substring(0, cut)) + chunk(list.substring(cut));
-            say(watch, framed.substring(0, cut));
-            say(watch, framed.substring(cut));
+            send(watch, framed.substring(0, cut));
+            send(watch, framed.substring(cut));
         }
         String last = indented(42 + lists++, host(1, "active") + "," + host(2, "leaving") + "," + host(3, "active"));
         for (char c : last.toCharArray()) {
-            say(watch, chunk(String.valueOf(c)));
+            send(watch, chunk(String.valueOf(c)));
         }
         awaitCounter("target_lists " + lists + "\n");
         awaitCounter("discovery_calls 1\n");
@@ -143,84 +143,84 @@
     }
 
     @Test
-    void watchThatEndsWithItsNewsIsHeardInEveryForm() throws Exception {
-        start(ASKED, "127.0.0.1:1");
-        move(discovery.dial());
+    void listIsReadHoweverItsWatchEnds() throws Exception {
+        start(CONFIG_TEXT, "127.0.0.1:1");
+        moveDiscovery(discovery.address());
         String two = indented(42, host(1, "active") + "," + host(2, "active"));
-        call();
+        nextCall();
         // The whole list leaves out s-0 and s-3, and nothing stands behind its last brace.
-        discovery.answers.add("HTTP/1.1 200 OK\r\nContent-Length: " + two.length() + "\r\n\r\n" + two);
+        discovery.responses.add("HTTP/1.1 200 OK\r\nContent-Length: " + two.length() + "\r\n\r\n" + two);
         awaitServers(2);
-        String asked = discovery.next();
-        assertTrue(asked.startsWith("GET /registry/instances?watch=1&after=42 "), asked);
+        String request = discovery.nextRequest();
+        assertTrue(request.startsWith("GET /registry/instances?watch=1&after=42 "), request);
         Socket toEnd = discovery.connections.take();
-        say(toEnd, HEAD + indented(43, host(1, "active")));
+        send(toEnd, HEAD + indented(43, host(1, "active")));
         toEnd.close();
         awaitServers(1);
-        asked = discovery.next();
-        assertTrue(asked.startsWith("GET /registry/instances?watch=1&after=43 "), asked);
+        request = discovery.nextRequest();
+        assertTrue(request.startsWith("GET /registry/instances?watch=1&after=43 "), request);
     }
 
     @Test
-    void listThatBreaksOffHoldsNothingAndIsAskedForAgain() throws Exception {
-        start(ASKED, "127.0.0.1:1");
-        move(discovery.dial());
+    void truncatedListChangesNothingAndIsPolledAgain() throws Exception {
+        start(CONFIG_TEXT, "127.0.0.1:1");
+        moveDiscovery(discovery.address());
         String list = indented(42, host(1, "active"));
-        Socket reset = call();
-        say(reset, HEAD + list.substring(0, list.length() - 1));
+        Socket reset = nextCall();
+        send(reset, HEAD + list.substring(0, list.length() - 1));
         reset.setSoLinger(true, 0);
         reset.close();
-        Socket silent = call();
-        long fell = System.nanoTime();
-        say(silent, HEAD + list.substring(0, list.length() - 1));
-        Socket next = call();
-        double ms = (System.nanoTime() - fell) / 1e6;
-        assertTrue(ms > 2500 && ms < 4000, "asked again after " + ms + " ms");
+        Socket silent = nextCall();
+        long sentNs = System.nanoTime();
+        send(silent, HEAD + list.substring(0, list.length() - 1));
+        Socket next = nextCall();
+        double elapsedMs = (System.nanoTime() - sentNs) / 1e6;
+        assertTrue(elapsedMs > 2500 && elapsedMs < 4000, "asked again after " + elapsedMs + " ms");
         awaitServers(4);
-        say(next, HEAD + list);
+        send(next, HEAD + list);
         awaitServers(1);
     }
 
     @Test
-    void movedDiscoveryIsAskedInTheMiddleOfAListAndTheOldCallEnds() throws Exception {
+    void movedDiscoveryIsPolledDuringAListAndTheOldCallEnds() throws Exception {
         try (FakeServer other = new FakeServer()) {
-            start(ASKED, "127.0.0.1:1");
-            move(other.dial());
-            assertNotNull(other.next());
+            start(CONFIG_TEXT, "127.0.0.1:1");
+            moveDiscovery(other.address());
+            assertNotNull(other.nextRequest());
             Socket old = other.connections.take();
             String late = indented(99, host(1, "active"));
-            say(old, HEAD + late.substring(0, late.length() - 1));
-            move(discovery.dial());
-            Socket call = call();
+            send(old, HEAD + late.substring(0, late.length() - 1));
+            moveDiscovery(discovery.address());
+            Socket call = nextCall();
             assertEquals(-1, old.getInputStream().read(), "there is no place left for a late word");
-            say(call, HEAD + indented(7, host(1, "active") + "," + host(2, "active")));
+            send(call, HEAD + indented(7, host(1, "active") + "," + host(2, "active")));
             awaitServers(2);
             awaitCounter("target_lists 1\n");
         }
     }
 
     @Test
-    void refusalThatLeavesItsConnectionOpenIsNotTakenForSilence() throws Exception {
-        start(ASKED, "127.0.0.1:1");
-        move(discovery.dial());
-        Socket refused = call();
-        long at = System.nanoTime();
-        say(refused, "HTTP/1.1 503 Service Unavailable\r\n\r\n");
-        call();
-        double ms = (System.nanoTime() - at) / 1e6;
-        assertTrue(ms < 2000, "asked again after " + ms + " ms");
+    void errorResponseEndsTheCallWithoutWaitingForItsBody() throws Exception {
+        start(CONFIG_TEXT, "127.0.0.1:1");
+        moveDiscovery(discovery.address());
+        Socket refused = nextCall();
+        long sentNs = System.nanoTime();
+        send(refused, "HTTP/1.1 503 Service Unavailable\r\n\r\n");
+        nextCall();
+        double elapsedMs = (System.nanoTime() - sentNs) / 1e6;
+        assertTrue(elapsedMs < 2000, "asked again after " + elapsedMs + " ms");
     }
 
     /** As with a call that had to wait: its first empty line is due 2 s behind its head. */
     @Test
-    void headOfAnAnswerIsAWord() throws Exception {
-        start(ASKED, "127.0.0.1:1");
-        move(discovery.dial());
-        Socket watch = call();
+    void responseHeadCountsAsHeartbeat() throws Exception {
+        start(CONFIG_TEXT, "127.0.0.1:1");
+        moveDiscovery(discovery.address());
+        Socket watch = nextCall();
         assertNull(discovery.requests.poll(1500, TimeUnit.MILLISECONDS));
-        say(watch, HEAD);
+        send(watch, HEAD);
         assertNull(discovery.requests.poll(2000, TimeUnit.MILLISECONDS), "asked again while the answer was on its way");
-        say(watch, "\n");
+        send(watch, "\n");
         assertNull(discovery.requests.poll(1500, TimeUnit.MILLISECONDS));
     }
 }
--- a/node/src/test/java/brackenbridge/net/FakeServer.java
+++ b/node/src/test/java/brackenbridge/net/FakeServer.java
@@ -17,18 +17,18 @@
 /** A server on loopback that keeps each request and answers with the next of its scripted answers. */
 final class FakeServer implements AutoCloseable {
     /** Instead of an answer: end the connection once the request is in. */
-    static final String HANG_UP = "";
+    static final String CLOSE_CONNECTION = "";
 
     final LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    final LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
     final LinkedBlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
-    private final List<Socket> fillers = new ArrayList<>();
+    private final List<Socket> backlogFillers = new ArrayList<>();
     private final Set<Integer> fillerPorts = new HashSet<>();
     private final ServerSocket listening;
 
     FakeServer() throws IOException {
         this(50);
-        accept();
+        startAccepting();
     }
 
     private FakeServer(int backlog) throws IOException {
@@ -36,68 +36,68 @@
     }
 
     /** A server whose backlog is full: no connection to it comes up before it accepts. */
-    static FakeServer full() throws IOException {
-        FakeServer s = new FakeServer(1);
+    static FakeServer withFullBacklog() throws IOException {
+        FakeServer server = new FakeServer(1);
         try {
             while (true) {
                 Socket filler = new Socket();
-                filler.connect(s.listening.getLocalSocketAddress(), 100);
-                s.fillers.add(filler);
-                s.fillerPorts.add(filler.getLocalPort());
+                filler.connect(server.listening.getLocalSocketAddress(), 100);
+                server.backlogFillers.add(filler);
+                server.fillerPorts.add(filler.getLocalPort());
             }
         } catch (SocketTimeoutException e) {
-            return s;
+            return server;
         }
     }
 
     /** Accepts and serves from now on. */
-    void accept() throws IOException {
-        for (Socket filler : fillers) {
+    void startAccepting() throws IOException {
+        for (Socket filler : backlogFillers) {
             filler.close();
         }
-        daemon(this::acceptAll);
+        startDaemon(this::acceptAll);
     }
 
-    private static void daemon(Runnable work) {
-        Thread t = new Thread(work);
-        t.setDaemon(true);
-        t.start();
+    private static void startDaemon(Runnable work) {
+        Thread thread = new Thread(work);
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    String dial() {
+    String address() {
         return "127.0.0.1:" + listening.getLocalPort();
     }
 
-    String next() throws InterruptedException {
+    String nextRequest() throws InterruptedException {
         return requests.poll(10, TimeUnit.SECONDS);
     }
 
     private void acceptAll() {
         try {
             while (true) {
-                Socket s = listening.accept();
-                if (fillerPorts.contains(s.getPort())) {
-                    s.close();
+                Socket connection = listening.accept();
+                if (fillerPorts.contains(connection.getPort())) {
+                    connection.close();
                     continue;
                 }
-                connections.add(s);
-                daemon(() -> serve(s));
+                connections.add(connection);
+                startDaemon(() -> serve(connection));
             }
         } catch (IOException e) {
             return;
         }
     }
 
-    private void serve(Socket s) {
-        try (s) {
+    private void serve(Socket connection) {
+        try (connection) {
             String request;
-            while ((request = message(s.getInputStream())) != null) {
+            while ((request = readMessage(connection.getInputStream())) != null) {
                 requests.add(request);
-                String answer = answers.take();
-                if (answer.equals(HANG_UP)) {
+                String response = responses.take();
+                if (response.equals(CLOSE_CONNECTION)) {
                     return;
                 }
-                s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                connection.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
             }
         } catch (IOException | InterruptedException e) {
             return;
@@ -105,24 +105,24 @@
     }
 
     /** Reads one message framed by a length; null at the end. */
-    static String message(InputStream in) throws IOException {
-        StringBuilder s = new StringBuilder();
+    static String readMessage(InputStream in) throws IOException {
+        StringBuilder text = new StringBuilder();
         int length = 0;
         int end = -1;
-        while (end < 0 || s.length() < end + length) {
+        while (end < 0 || text.length() < end + length) {
             int b = in.read();
             if (b < 0) {
                 return null;
             }
-            s.append((char) b);
-            if (end < 0 && b == '\n' && s.toString().endsWith("\r\n\r\n")) {
-                end = s.length();
-                var m = java.util.regex.Pattern.compile("(?i)content-length: *([0-9]+)")
-                        .matcher(s);
-                length = m.find() ? Integer.parseInt(m.group(1)) : 0;
+            text.append((char) b);
+            if (end < 0 && b == '\n' && text.toString().endsWith("\r\n\r\n")) {
+                end = text.length();
+                var matcher = java.util.regex.Pattern.compile("(?i)content-length: *([0-9]+)")
+                        .matcher(text);
+                length = matcher.find() ? Integer.parseInt(matcher.group(1)) : 0;
             }
         }
-        return s.toString();
+        return text.toString();
     }
 
     @Override
--- a/node/src/test/java/brackenbridge/net/FaultySockets.java
+++ b/node/src/test/java/brackenbridge/net/FaultySockets.java
@@ -39,9 +39,9 @@
     private record Fault(int left, Supplier<IOException> error) {}
 
     private final Map<Call, Fault> faults = new EnumMap<>(Call.class);
-    private final Queue<Connection> toServer = new ConcurrentLinkedQueue<>();
+    private final Queue<Connection> serverConnections = new ConcurrentLinkedQueue<>();
     private final InetSocketAddress server;
-    private final CountDownLatch met = new CountDownLatch(1);
+    private final CountDownLatch faultThrown = new CountDownLatch(1);
     private int bytesPerRead = Integer.MAX_VALUE;
 
     /** Only connections to this server have faults. */
@@ -49,22 +49,22 @@
         server = Addresses.parse(serverDial);
     }
 
-    synchronized void fail(Call call, int times, Supplier<IOException> error) {
+    synchronized void injectFault(Call call, int times, Supplier<IOException> error) {
         faults.put(call, new Fault(times, error));
     }
 
-    synchronized void failNoMore() {
+    synchronized void clearFaults() {
         faults.clear();
     }
 
     /** From now on each read brings so many bytes at most. */
-    void readShort(int bytes) {
+    void limitReads(int bytes) {
         bytesPerRead = bytes;
     }
 
     /** Waits until a fault has been met. */
     void awaitFault() throws InterruptedException {
-        met.await();
+        faultThrown.await();
     }
 
     SocketCalls calls() {
@@ -73,22 +73,22 @@
     }
 
     /** How many sockets to the server are open. */
-    long openToServer() {
-        return toServer.stream().filter(Channel::isOpen).count();
+    long openServerConnections() {
+        return serverConnections.stream().filter(Channel::isOpen).count();
     }
 
-    private synchronized void meet(Call call) throws IOException {
+    private synchronized void throwIfFaulty(Call call) throws IOException {
         Fault fault = faults.get(call);
         if (fault != null && fault.left > 0) {
             faults.put(call, new Fault(fault.left == ALWAYS ? ALWAYS : fault.left - 1, fault.error));
-            met.countDown();
+            faultThrown.countDown();
             throw fault.error.get();
         }
     }
 
     private Channel outgoing() {
         try {
-            meet(Call.SOCKET);
+            throwIfFaulty(Call.SOCKET);
         } catch (IOException e) {
             throw new ChannelException("Failed to open a socket.", e);
         }
@@ -96,7 +96,7 @@
     }
 
     private NioSocketChannel accept(Channel parent, ServerSocketChannel listening) throws IOException {
-        meet(Call.ACCEPT);
+        throwIfFaulty(Call.ACCEPT);
         SocketChannel client = listening.accept();
         return client == null ? null : new Connection(parent, client);
     }
@@ -120,8 +120,8 @@
         protected boolean doConnect(SocketAddress to, SocketAddress from) throws Exception {
             faulty = to.equals(server);
             if (faulty) {
-                toServer.add(this);
-                meet(Call.CONNECT);
+                serverConnections.add(this);
+                throwIfFaulty(Call.CONNECT);
             }
             return super.doConnect(to, from);
         }
@@ -129,7 +129,7 @@
         @Override
         protected void doFinishConnect() throws Exception {
             if (faulty) {
-                meet(Call.FINISH_CONNECT);
+                throwIfFaulty(Call.FINISH_CONNECT);
             }
             super.doFinishConnect();
         }
@@ -137,7 +137,7 @@
         @Override
         protected int doReadBytes(ByteBuf to) throws Exception {
             if (faulty) {
-                meet(fromClient ? Call.CLIENT_READ : Call.READ);
+                throwIfFaulty(fromClient ? Call.CLIENT_READ : Call.READ);
             }
             if (to.writableBytes() <= bytesPerRead) {
                 return super.doReadBytes(to);
@@ -148,7 +148,7 @@
         @Override
         protected void doWrite(ChannelOutboundBuffer out) throws Exception {
             if (faulty && !out.isEmpty()) {
-                meet(fromClient ? Call.CLIENT_WRITE : Call.WRITE);
+                throwIfFaulty(fromClient ? Call.CLIENT_WRITE : Call.WRITE);
             }
             super.doWrite(out);
         }
--- a/node/src/test/java/brackenbridge/net/BadInputTest.java
+++ b/node/src/test/java/brackenbridge/net/InvalidInputTest.java
@@ -39,7 +39,7 @@
  * while another client's request is open and is served after all.
  */
 @Timeout(60)
-class BadInputTest {
+class InvalidInputTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
     @TempDir
@@ -47,44 +47,44 @@
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private FakeServer server;
-    private FakeServer agent;
-    private Path meeting;
+    private FakeServer discovery;
+    private Path handoverPath;
     private Node node;
-    private Socket other;
+    private Socket otherClient;
 
     @BeforeEach
     void start() throws Exception {
         server = new FakeServer();
-        agent = new FakeServer();
-        meeting = Handover.path(directory.toString(), "n3", "127.0.0.1:0");
+        discovery = new FakeServer();
+        handoverPath = Handover.path(directory.toString(), "n3", "127.0.0.1:0");
         Clock clock = Clock.system();
         node = new Node(
-                Config.parse(text()),
+                Config.parse(configText()),
                 clock,
                 new Log(clock, new PrintStream(log, true, StandardCharsets.UTF_8)),
-                meeting);
+                handoverPath);
         node.start();
-        other = send(node.address(), request("POST", "/file", "other", ""));
-        assertNotNull(server.next());
+        otherClient = send(node.address(), request("POST", "/file", "other", ""));
+        assertNotNull(server.nextRequest());
     }
 
     @AfterEach
     void end() throws IOException {
-        other.close();
+        otherClient.close();
         server.close();
-        agent.close();
+        discovery.close();
         node.kill();
     }
 
     /** The text of a configuration whose lists the agent pushes, with one server, and an address for staff. */
-    private String text() {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+    private String configText() {
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         return ConfigTest.TEXT
                 .replace("\"hosts\":[]", "\"hosts\":[" + host + "]")
                 .replace("\"discovery\":\"on_request\"", "\"discovery\":\"pushed\"")
                 .replace(
                         "\"discovery\":\"127.0.0.1:1\"",
-                        "\"mgmt\":\"127.0.0.1:0\",\"discovery\":\"" + agent.dial() + "\"");
+                        "\"mgmt\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address() + "\"");
     }
 
     private static String request(String method, String path, String id, String more) {
@@ -92,28 +92,28 @@
     }
 
     private static Socket send(InetSocketAddress to, String text) throws IOException {
-        Socket s = new Socket(to.getAddress(), to.getPort());
-        s.setSoTimeout(10_000);
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        return s;
+        Socket socket = new Socket(to.getAddress(), to.getPort());
+        socket.setSoTimeout(10_000);
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+        return socket;
     }
 
     /** All that comes back until the end, which there has to be. */
-    private static String answers(InetSocketAddress to, String text) throws IOException {
-        try (Socket s = send(to, text)) {
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    private static String exchange(InetSocketAddress to, String text) throws IOException {
+        try (Socket socket = send(to, text)) {
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
     private String counters() throws IOException {
-        return answers(node.address(), "GET /health/counters HTTP/1.1\r\nConnection: close\r\n\r\n");
+        return exchange(node.address(), "GET /health/counters HTTP/1.1\r\nConnection: close\r\n\r\n");
     }
 
-    private static void await(BooleanSupplier what, String why) {
-        for (int i = 0; i < 5000 && !what.getAsBoolean(); i++) {
+    private static void awaitCondition(BooleanSupplier condition, String message) {
+        for (int i = 0; i < 5000 && !condition.getAsBoolean(); i++) {
             LockSupport.parkNanos(2_000_000);
         }
-        assertTrue(what.getAsBoolean(), why);
+        assertTrue(condition.getAsBoolean(), message);
     }
 
     private void awaitCounter(String line) throws IOException {
@@ -125,12 +125,12 @@
         assertEquals(line.startsWith("refused_") ? 1 : 0, counted.split("\nrefused_", -1).length - 1, counted);
     }
 
-    private void nobodyElseIsDisturbed() throws IOException {
-        server.answers.add(OK);
-        assertTrue(FakeServer.message(other.getInputStream()).endsWith("done"));
+    private void assertOtherClientIsServed() throws IOException {
+        server.responses.add(OK);
+        assertTrue(FakeServer.readMessage(otherClient.getInputStream()).endsWith("done"));
     }
 
-    private int logged(String part) {
+    private int countLogged(String part) {
         return log.toString(StandardCharsets.UTF_8).split(java.util.regex.Pattern.quote(part), -1).length - 1;
     }
 
@@ -140,7 +140,7 @@
         "malformed, version", "malformed, time", "oversized, target", "oversized, head", "oversized, fields",
         "oversized, body", "unknown, class", "unknown, method", "unknown, expectation", "out_of_turn, id",
     })
-    void badRequestHasOneAnswerAndOneReason(String reason, String what) throws IOException {
+    void invalidRequestGetsOneResponseAndOneCountedReason(String reason, String what) throws IOException {
         String text = Map.ofEntries(
                         Map.entry("bytes", "\u0016\u0003\u0001\u0002\u0000\u0001\r\n\r\n"),
                         Map.entry("binary", request("GET", "/view", "1", "A: \u0000\r\n")),
@@ -159,11 +159,11 @@
                         Map.entry("expectation", request("GET", "/view", "1", "Expect: miracles\r\n")),
                         Map.entry("id", request("POST", "/file", "other", "")))
                 .get(what);
-        String back = answers(node.address(), text);
+        String back = exchange(node.address(), text);
         assertTrue(back.matches("(?s)HTTP/1.1 [45][0-9][0-9] .*"), back);
         assertEquals(1, back.split("HTTP/1.1 ", -1).length - 1, back);
         awaitCounter("refused_requests_" + reason + " 1");
-        nobodyElseIsDisturbed();
+        assertOtherClientIsServed();
         assertEquals(0, server.requests.size(), "nothing of it goes on");
     }
 
@@ -174,32 +174,32 @@
         "oversized, HTTP/1.1 200 OK, Content-Length: 99999999999",
         "malformed, HTTP/1.1 101 Now something else, A: b"
     })
-    void badAnswerFailsItsOwnRequestUnderItsReason(String reason, String status, String field) throws Exception {
+    void invalidResponseFailsItsOwnRequestOnly(String reason, String status, String field) throws Exception {
         String head = "\r\n" + field + "\r\n\r\nx";
         try (Socket mine = send(node.address(), request("POST", "/file", "mine", ""))) {
-            assertNotNull(server.next());
+            assertNotNull(server.nextRequest());
             // Either connection may have it: the servers answer in any order, and both requests have gone out.
-            server.answers.add(status + head);
+            server.responses.add(status + head);
             awaitCounter("refused_answers_" + reason + " 1");
-            server.answers.add(OK);
-            String a = FakeServer.message(mine.getInputStream());
-            String b = FakeServer.message(other.getInputStream());
+            server.responses.add(OK);
+            String ownResponse = FakeServer.readMessage(mine.getInputStream());
+            String otherResponse = FakeServer.readMessage(otherClient.getInputStream());
             assertTrue(
-                    a.startsWith("HTTP/1.1 502 ") && b.endsWith("done")
-                            || b.startsWith("HTTP/1.1 502 ") && a.endsWith("done"),
-                    a + b);
+                    ownResponse.startsWith("HTTP/1.1 502 ") && otherResponse.endsWith("done")
+                            || otherResponse.startsWith("HTTP/1.1 502 ") && ownResponse.endsWith("done"),
+                    ownResponse + otherResponse);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"list", "nobody", "cut", "long", "status", "head"})
-    void badWordOfDiscoveryEndsItsCallAndTheListStays(String what) throws Exception {
-        assertNotNull(agent.next());
+    void invalidDiscoveryResponseEndsItsCallAndKeepsTheList(String what) throws Exception {
+        assertNotNull(discovery.nextRequest());
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
         // Before the answer: the agent reads the end behind its answer and closes its socket, which then has no input
         // to shut down.
-        agent.connections.poll().shutdownInput();
-        agent.answers.add(Map.of(
+        discovery.connections.poll().shutdownInput();
+        discovery.responses.add(Map.of(
                         "list", head + "{\"seq\":43,\"whole\":true}\n",
                         "nobody", head + "{\"seq\":43,\"whole\":true,\"hosts\":[{\"dial\":\"127.0.0.1:7\"}]}\n",
                         "cut", head + "{\"seq\":43,\"whole\":true,\"hosts\":[",
@@ -207,34 +207,34 @@
                         "status", "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
                         "head", "{\"seq\":43,\"whole\":true,\"hosts\":[]}\n\n")
                 .get(what));
-        await(() -> logged("discovery call ") > 0, "the call ends");
+        awaitCondition(() -> countLogged("discovery call ") > 0, "the call ends");
         awaitCounter("discovery_failed 1");
-        assertEquals(1, logged("discovery call "), log.toString(StandardCharsets.UTF_8));
-        nobodyElseIsDisturbed();
-        server.answers.add(OK);
+        assertEquals(1, countLogged("discovery call "), log.toString(StandardCharsets.UTF_8));
+        assertOtherClientIsServed();
+        server.responses.add(OK);
         assertTrue(
-                answers(node.address(), request("POST", "/file", "next", "Connection: close\r\n"))
+                exchange(node.address(), request("POST", "/file", "next", "Connection: close\r\n"))
                         .endsWith("done"),
                 "the list stays");
     }
 
     @ParameterizedTest
     @CsvSource({"malformed, P\u0001NG", "oversized, long", "unknown, HELP", "cut, cut", "slow, silent"})
-    void badCallOfStaffHasOneLineAndOneReason(String reason, String what) throws IOException {
+    void invalidManagementCallGetsOneLineAndOneCountedReason(String reason, String what) throws IOException {
         String text = what.equals("long") ? "x".repeat(1000) : what.equals("silent") ? "" : what + "\n";
         if (what.equals("cut")) {
             send(node.managementAddress(), "PIN").close();
         } else {
             try {
-                String back = answers(node.managementAddress(), text);
+                String back = exchange(node.managementAddress(), text);
                 assertTrue(what.equals("silent") ? back.isEmpty() : back.matches("-ERR [a-z ]+\n"), back);
             } catch (SocketException e) {
                 assertEquals("long", what, "a close over unread bytes may reset: " + e);
             }
         }
         awaitCounter("refused_calls_" + reason + " 1");
-        assertEquals("+OK\n", answers(node.managementAddress(), "PING\n"));
-        nobodyElseIsDisturbed();
+        assertEquals("+OK\n", exchange(node.managementAddress(), "PING\n"));
+        assertOtherClientIsServed();
     }
 
     @ParameterizedTest
@@ -247,56 +247,57 @@
         "slow, brackenbridge-handover 1 successor\\n",
         "malformed, brackenbridge-handover 1 successor\\njunk\\n",
     })
-    void badWordOfASuccessorIsClosedUnderItsReason(String reason, String what) throws Exception {
-        await(() -> Files.exists(meeting), "it listens for a successor");
+    void invalidSuccessorMessageClosesTheConnectionAndIsCounted(String reason, String what) throws Exception {
+        awaitCondition(() -> Files.exists(handoverPath), "it listens for a successor");
         String text = what.equals("long")
                 ? "x".repeat((1 << 20) + 1)
                 : what.equals("silent") ? "" : what.replace("\\n", "\n");
-        try (SocketChannel c = SocketChannel.open(UnixDomainSocketAddress.of(meeting))) {
+        try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(handoverPath))) {
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
             while (bytes.hasRemaining()) {
-                c.write(bytes);
+                channel.write(bytes);
             }
             ByteBuffer back = ByteBuffer.allocate(4096);
             if (reason.equals("cut")) {
-                c.shutdownOutput();
+                channel.shutdownOutput();
             }
-            while (c.read(back) >= 0) {
+            while (channel.read(back) >= 0) {
                 back.clear();
             }
         }
         awaitCounter("refused_handovers_" + reason + " 1");
         // The log's own thread writes it.
-        await(() -> logged("rejected: ") > 0, "it is logged");
-        assertEquals(1, logged("rejected: " + reason), log.toString(StandardCharsets.UTF_8));
-        nobodyElseIsDisturbed();
+        awaitCondition(() -> countLogged("rejected: ") > 0, "it is logged");
+        assertEquals(1, countLogged("rejected: " + reason), log.toString(StandardCharsets.UTF_8));
+        assertOtherClientIsServed();
     }
 
     @Test
-    void successorThatStaffCanNotCallTakesNothingFromTheOldProcess() throws Exception {
-        await(() -> Files.exists(meeting), "it listens for a successor");
+    void successorWithoutManagementPortDoesNotReplaceTheOldProcess() throws Exception {
+        awaitCondition(() -> Files.exists(handoverPath), "it listens for a successor");
         Clock clock = Clock.system();
         String taken = "127.0.0.1:" + node.managementAddress().getPort();
         Node next = new Node(
-                Config.parse(text().replace(
+                Config.parse(configText()
+                                .replace(
                                         "\"listen\":\"127.0.0.1:0",
                                         "\"listen\":\"127.0.0.1:"
                                                 + node.address().getPort()))
                         .withManagement(taken),
                 clock,
                 new Log(clock, new PrintStream(OutputStream.nullOutputStream())),
-                meeting);
+                handoverPath);
         String why = assertThrows(IllegalArgumentException.class, next::start).getMessage();
         assertTrue(why.startsWith("mgmt " + taken), why);
         next.kill();
-        await(() -> logged("the new process has ended") > 0, "the old process notices");
-        assertEquals(0, logged("the new process serves"), "no client could have reached it");
-        nobodyElseIsDisturbed();
+        awaitCondition(() -> countLogged("the new process has ended") > 0, "the old process notices");
+        assertEquals(0, countLogged("the new process serves"), "no client could have reached it");
+        assertOtherClientIsServed();
     }
 
     @Test
-    void eachBadFileAtAHangupIsOneCountAndOneLineAndOpenRequestsKeepTheirRules() throws Exception {
-        String good = text();
+    void invalidConfigurationIsCountedAndLoggedOnceAndChangesNothing() throws Exception {
+        String good = configText();
         String[] texts = {
             "",
             good.substring(0, 200),
@@ -307,7 +308,7 @@
             good.replace("\"tier\":1", "\"tier\":1,\"tier\":2"),
             good.replace("\"name\":\"n3\"", "\"name\":3"),
             good.replace("\"giveUp\":8000000", "\"giveUp\":1e30"),
-            good.replace(agent.dial(), "nowhere:80"),
+            good.replace(discovery.address(), "nowhere:80"),
             good.replace("\"health\":\"active\"", "\"health\":7")
         };
         for (int i = 0; i < texts.length; i++) {
@@ -318,8 +319,9 @@
         node.reconfigure(() -> Config.parse(good));
         awaitCounter("reconfigured 1");
         awaitCounter("reconfigure_failed " + (texts.length + 1));
-        await(() -> logged("the old configuration stays: ") > texts.length, "each is logged");
-        assertEquals(texts.length + 1, logged("the old configuration stays: "), log.toString(StandardCharsets.UTF_8));
-        nobodyElseIsDisturbed();
+        awaitCondition(() -> countLogged("the old configuration stays: ") > texts.length, "each is logged");
+        assertEquals(
+                texts.length + 1, countLogged("the old configuration stays: "), log.toString(StandardCharsets.UTF_8));
+        assertOtherClientIsServed();
     }
 }
--- a/node/src/test/java/brackenbridge/net/LateBytesTest.java
+++ b/node/src/test/java/brackenbridge/net/LateResponseBytesTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What a server sends too late, in part, or without an end. */
-class LateBytesTest {
+class LateResponseBytesTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
-    private final HeldClock clock = new HeldClock();
+    private final PausableClock clock = new PausableClock();
     private FakeServer server;
     private Node node;
     private Socket client;
@@ -29,7 +29,7 @@
     @BeforeEach
     void start() throws IOException {
         server = new FakeServer();
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         node = new Node(
                 Config.parse(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
                 clock,
@@ -41,33 +41,33 @@
 
     @AfterEach
     void end() throws IOException {
-        clock.release();
+        clock.resume();
         client.close();
         server.close();
         node.kill();
     }
 
-    private void ask(String id, int left) throws IOException {
+    private void sendRequest(String id, int timeLeftMs) throws IOException {
         write(
                 client,
-                "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + left
+                "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + timeLeftMs
                         + "\r\nContent-Length: 1\r\n\r\na");
     }
 
-    private static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private String answer() throws IOException {
-        return String.valueOf(FakeServer.message(client.getInputStream()));
+    private String readResponse() throws IOException {
+        return String.valueOf(FakeServer.readMessage(client.getInputStream()));
     }
 
     /** The connection to the server has rested and is kept. */
-    private Socket kept() throws Exception {
-        server.answers.add(OK);
-        ask("first", 5000);
-        assertTrue(answer().endsWith("done"));
-        assertNotNull(server.next());
+    private Socket serveAndKeepConnection() throws Exception {
+        server.responses.add(OK);
+        sendRequest("first", 5000);
+        assertTrue(readResponse().endsWith("done"));
+        assertNotNull(server.nextRequest());
         long start = System.nanoTime();
         while (System.nanoTime() - start < 8_000_000) {
             node.tenantUse().get(10, TimeUnit.SECONDS);
@@ -76,20 +76,20 @@
     }
 
     @Test
-    void halfALineOnAKeptConnectionIsNoPartOfTheNextAnswer() throws Exception {
+    void bytesOnAnIdleConnectionAreNoPartOfTheNextResponse() throws Exception {
         for (String late : new String[] {"HTTP/1.1 2", "\r\n", OK}) {
             for (boolean closes : new boolean[] {true, false}) {
-                Socket connection = kept();
-                clock.hold();
-                ask("next", 5000);
+                Socket connection = serveAndKeepConnection();
+                clock.pause();
+                sendRequest("next", 5000);
                 write(connection, late);
                 if (closes) {
                     connection.close();
                 }
-                server.answers.add(OK.replace("done", "mine"));
-                clock.release();
-                assertTrue(answer().endsWith("mine"));
-                assertNotNull(server.next());
+                server.responses.add(OK.replace("done", "mine"));
+                clock.resume();
+                assertTrue(readResponse().endsWith("mine"));
+                assertNotNull(server.nextRequest());
                 assertEquals(0, server.requests.size());
                 server.connections.take().close();
             }
@@ -97,7 +97,7 @@
     }
 
     /** Heads of answers that end with their connection. */
-    private static final String[] NO_LENGTH = {
+    private static final String[] HEADS_WITHOUT_LENGTH = {
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n\r\n",
@@ -107,41 +107,41 @@
     /** When the connection ends behind the last byte. */
     private enum When {
         /** The node has read all that came before. */
-        LATER,
+        AFTER_READING,
         /** All is there at the node's next look. */
-        TOGETHER
+        WITH_LAST_BYTES
     }
 
     /** The server says this and ends the connection, with a reset or in order; gives the node's answer back. */
-    private String answerThatEnds(String text, When when, boolean reset) throws Exception {
+    private String exchangeThenEnd(String text, When when, boolean reset) throws Exception {
         // With a new node each: one that meets breaks again and again takes its server out for a while.
         end();
         start();
-        ask("a", 5000);
-        assertNotNull(server.next());
+        sendRequest("a", 5000);
+        assertNotNull(server.nextRequest());
         Socket connection = server.connections.take();
-        if (when == When.TOGETHER) {
-            clock.hold();
+        if (when == When.WITH_LAST_BYTES) {
+            clock.pause();
         }
         write(connection, text);
-        if (when == When.LATER) {
+        if (when == When.AFTER_READING) {
             node.tenantUse().get(10, TimeUnit.SECONDS);
             node.tenantUse().get(10, TimeUnit.SECONDS);
         }
         connection.setSoLinger(reset, 0);
         connection.close();
-        if (when == When.TOGETHER) {
-            clock.release();
+        if (when == When.WITH_LAST_BYTES) {
+            clock.resume();
         }
-        return answer();
+        return readResponse();
     }
 
     @Test
-    void answerThatHasNoLengthEndsWithItsConnection() throws Exception {
-        for (String head : NO_LENGTH) {
+    void responseWithoutLengthEndsWithItsConnection() throws Exception {
+        for (String head : HEADS_WITHOUT_LENGTH) {
             for (When when : When.values()) {
                 for (String body : new String[] {"whole", "", "x".repeat(60_000)}) {
-                    String back = answerThatEnds(head + body, when, false);
+                    String back = exchangeThenEnd(head + body, when, false);
                     assertTrue(back.startsWith("HTTP/1.1 200 "), head + when + back);
                     assertEquals(body, back.substring(back.indexOf("\r\n\r\n") + 4));
                 }
@@ -150,31 +150,31 @@
     }
 
     @Test
-    void resetIsNoEndOfAnAnswerThatHasNoLength() throws Exception {
-        for (String head : NO_LENGTH) {
+    void resetDoesNotCompleteAResponseWithoutLength() throws Exception {
+        for (String head : HEADS_WITHOUT_LENGTH) {
             for (When when : When.values()) {
-                String back = answerThatEnds(head + "half", when, true);
+                String back = exchangeThenEnd(head + "half", when, true);
                 assertTrue(back.startsWith("HTTP/1.1 502 "), head + when + back);
             }
         }
     }
 
     @Test
-    void endOfTheConnectionIsNoEndOfAnAnswerThatSaysItsLength() throws Exception {
+    void closeDoesNotCompleteAResponseWithLength() throws Exception {
         for (String half : new String[] {
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
             "HTTP/1.1 200 OK\r\nConnection: close\r\n"
         }) {
             for (When when : When.values()) {
-                assertTrue(answerThatEnds(half, when, false).startsWith("HTTP/1.1 502 "), half + when);
+                assertTrue(exchangeThenEnd(half, when, false).startsWith("HTTP/1.1 502 "), half + when);
             }
         }
     }
 
     /** A write that fails takes the reset's word away from the read behind it, which then sees an end in order. */
     @Test
-    void resetThatAWriteMeetsFirstIsNoEndOfAnAnswerEither() throws Exception {
+    void resetSeenByAWriteFirstDoesNotCompleteAResponse() throws Exception {
         write(
                 client,
                 "POST /file HTTP/1.1\r\nX-Correlation-Id: w\r\nX-Time-Left-Ms: 5000\r\nContent-Length: 300000\r\n\r\n"
@@ -184,19 +184,19 @@
         write(connection, "HTTP/1.1 200 OK\r\n\r\nhalf");
         node.tenantUse().get(10, TimeUnit.SECONDS);
         node.tenantUse().get(10, TimeUnit.SECONDS);
-        clock.hold();
+        clock.pause();
         write(client, "x".repeat(100_000));
         connection.setSoLinger(true, 0);
         connection.close();
-        clock.release();
-        String back = answer();
+        clock.resume();
+        String back = readResponse();
         assertTrue(!back.startsWith("HTTP/1.1 200 "), back);
     }
 
     @Test
-    void answerThatNeverEndsIsGivenUpInItsTime() throws Exception {
-        ask("a", 400);
-        assertNotNull(server.next());
+    void endlessResponseFailsAtTheDeadline() throws Exception {
+        sendRequest("a", 400);
+        assertNotNull(server.nextRequest());
         Socket connection = server.connections.take();
         write(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         Thread trickle = new Thread(() -> {
@@ -211,7 +211,7 @@
         });
         trickle.setDaemon(true);
         trickle.start();
-        assertTrue(answer().startsWith("HTTP/1.1 504 "));
+        assertTrue(readResponse().startsWith("HTTP/1.1 504 "));
         trickle.join(10_000);
         assertTrue(!trickle.isAlive(), "its connection is ended");
     }
--- a/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
+++ b/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
@@ -35,19 +35,19 @@
     private static final int CONNECTS_PER_GAP = 16;
 
     private static final int REPLACEMENTS = 2;
-    private static final int MAX_LOOKS = 5000;
+    private static final int MAX_POLLS = 5000;
 
     @TempDir
     private Path directory;
 
-    private Path meeting;
+    private Path handoverPath;
     private final List<Node> nodes = new ArrayList<>();
-    private final LinkedBlockingQueue<Socket> late = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Socket> lateConnections = new LinkedBlockingQueue<>();
     private int port;
 
     @BeforeEach
-    void findMeeting() {
-        meeting = brackenbridge.handover.Handover.path(directory.toString(), "n3", "127.0.0.1:0");
+    void setHandoverPath() {
+        handoverPath = brackenbridge.handover.Handover.path(directory.toString(), "n3", "127.0.0.1:0");
     }
 
     @AfterEach
@@ -66,7 +66,7 @@
                 for (int i = 0; i < CONNECTS_PER_GAP; i++) {
                     Socket socket = new Socket("127.0.0.1", port);
                     socket.setSoTimeout(10_000);
-                    late.add(socket);
+                    lateConnections.add(socket);
                 }
             }
             return client;
@@ -77,7 +77,7 @@
         Config config = Config.parse(ConfigTest.TEXT.replace("127.0.0.1:0", "127.0.0.1:" + port));
         Clock clock = Clock.system();
         Log log = new Log(clock, new PrintStream(OutputStream.nullOutputStream()));
-        Node node = new Node(config, clock, log, meeting, calls);
+        Node node = new Node(config, clock, log, handoverPath, calls);
         nodes.add(node);
         node.start();
         port = node.address().getPort();
@@ -85,7 +85,7 @@
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        for (int i = 0; i < MAX_LOOKS && !condition.getAsBoolean(); i++) {
+        for (int i = 0; i < MAX_POLLS && !condition.getAsBoolean(); i++) {
             TimeUnit.MILLISECONDS.sleep(2);
         }
         assertTrue(condition.getAsBoolean());
@@ -105,11 +105,12 @@
                 acceptOfOld.armed = true;
                 old.stop().get(10, TimeUnit.SECONDS);
                 old.kill();
-                assertTrue(late.size() >= CONNECTS_PER_GAP, "connects in the gap: " + late.size());
+                assertTrue(
+                        lateConnections.size() >= CONNECTS_PER_GAP, "connects in the gap: " + lateConnections.size());
                 assertEquals(
                         List.of("HTTP/1.1 200 OK"),
                         statusLines().stream().distinct().toList());
-                late.clear();
+                lateConnections.clear();
             }
             old = next;
             acceptOfOld = accept;
@@ -118,10 +119,10 @@
 
     private List<String> statusLines() {
         List<String> answers = new ArrayList<>();
-        for (Socket socket : late) {
+        for (Socket socket : lateConnections) {
             try (socket) {
                 socket.getOutputStream().write(LIVE.getBytes(StandardCharsets.US_ASCII));
-                answers.add(String.valueOf(FakeServer.message(socket.getInputStream()))
+                answers.add(String.valueOf(FakeServer.readMessage(socket.getInputStream()))
                         .lines()
                         .findFirst()
                         .orElse(""));
@@ -136,7 +137,7 @@
     @Test
     void withoutSteeringTheListenerIsEmptiedAndClosed() throws Exception {
         SocketCalls system = SocketCalls.system();
-        Node old = start(new SocketCalls(system.outgoing(), system.accept(), ListenerHandoverTest::refuse));
+        Node old = start(new SocketCalls(system.outgoing(), system.accept(), ListenerHandoverTest::failSteering));
         await(old::acceptsClients);
         await(start(system)::acceptsClients);
         old.stop().get(10, TimeUnit.SECONDS);
@@ -144,11 +145,11 @@
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(LIVE.getBytes(StandardCharsets.US_ASCII));
-            assertTrue(FakeServer.message(socket.getInputStream()).startsWith("HTTP/1.1 200 "));
+            assertTrue(FakeServer.readMessage(socket.getInputStream()).startsWith("HTTP/1.1 200 "));
         }
     }
 
-    private static java.util.concurrent.CompletableFuture<Void> refuse(InetSocketAddress address) {
+    private static java.util.concurrent.CompletableFuture<Void> failSteering(InetSocketAddress address) {
         return java.util.concurrent.CompletableFuture.failedFuture(new IOException("Protocol not available"));
     }
 }
--- a/node/src/test/java/brackenbridge/net/NodeCapacityTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeCapacityTest.java
@@ -19,9 +19,9 @@
             idle[i] = connect();
         }
         client = connect();
-        server.answers.add(OK);
-        send(file("a"));
-        String back = String.valueOf(answer());
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        String back = String.valueOf(readResponse());
         assertTrue(back.startsWith("HTTP/1.1 200 "), back);
         for (Socket s : idle) {
             s.close();
@@ -47,13 +47,13 @@
         for (Socket s : busy) {
             s.close();
         }
-        String back = answer();
+        String back = readResponse();
         assertTrue(back != null && back.startsWith("HTTP/1.1 200 "), back);
     }
 
     /** What it waits in the backlog the node can't see, but it knows how long nobody was taken. */
     @Test
-    void attemptsAfterAWaitInTheBacklogAnnounceTheTimeThatIsCertainlyLeft() throws Exception {
+    void timeLeftAccountsForTheLongestPossibleBacklogWait() throws Exception {
         node.kill();
         node = node(64);
         Socket[] busy = new Socket[40];
@@ -68,16 +68,16 @@
         assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
         client.setSoTimeout(10_000);
         clock.pass(1200);
-        server.answers.add(FakeServer.HANG_UP);
-        server.answers.add(OK);
+        server.responses.add(FakeServer.CLOSE_CONNECTION);
+        server.responses.add(OK);
         for (Socket s : busy) {
             s.close();
         }
-        int first = timeLeft(server.next());
+        int first = timeLeftMs(server.nextRequest());
         assertTrue(first > 2000 && first <= 3800, "told " + first);
-        int second = timeLeft(server.next());
+        int second = timeLeftMs(server.nextRequest());
         assertTrue(second > 2000 && second <= 3800, "told " + second);
-        assertTrue(answer().endsWith("done"));
+        assertTrue(readResponse().endsWith("done"));
     }
 
     @Test
@@ -92,18 +92,18 @@
         String counted = "";
         for (int i = 0; i < 10_000 && !counted.matches("(?s).*clients_shed_for_memory [1-9].*"); i++) {
             send("GET /health/counters HTTP/1.1\r\n\r\n");
-            counted = answer();
+            counted = readResponse();
         }
         assertTrue(counted.matches("(?s).*clients_shed_for_memory [1-9].*"), counted);
-        server.answers.add(OK);
-        send(file("a"));
-        assertTrue(answer().endsWith("done"));
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        assertTrue(readResponse().endsWith("done"));
         for (Socket s : many) {
             s.close();
         }
     }
 
-    private static int timeLeft(String request) {
+    private static int timeLeftMs(String request) {
         return Integer.parseInt(request.replaceAll("(?s).*X-Time-Left-Ms: ([0-9]+).*", "$1"));
     }
 }
--- a/node/src/test/java/brackenbridge/net/NodeFaultTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeFaultTest.java
@@ -2,9 +2,9 @@
 
 import static brackenbridge.net.ClientNode.LIVE;
 import static brackenbridge.net.ClientNode.OK;
-import static brackenbridge.net.ClientNode.answer;
-import static brackenbridge.net.ClientNode.file;
-import static brackenbridge.net.ClientNode.live;
+import static brackenbridge.net.ClientNode.fileRequest;
+import static brackenbridge.net.ClientNode.readResponse;
+import static brackenbridge.net.ClientNode.requestLive;
 import static brackenbridge.net.ClientNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -33,7 +33,7 @@
     }
 
     private void expectLastResponse(int status) throws IOException {
-        String response = answer(client);
+        String response = readResponse(client);
         assertTrue(
                 response != null
                         && response.startsWith("HTTP/1.1 " + status + " ")
@@ -43,20 +43,20 @@
     }
 
     private void assertOthersAreServed() throws Exception {
-        harness.server.answers.add(OK);
+        harness.server.responses.add(OK);
         Socket other = harness.connect();
-        send(other, file("other", 9000, "a"));
-        assertTrue(answer(other).endsWith("done"));
-        assertTrue(harness.server.next().contains("X-Correlation-Id: other\r\n"));
+        send(other, fileRequest("other", 9000, "a"));
+        assertTrue(readResponse(other).endsWith("done"));
+        assertTrue(harness.server.nextRequest().contains("X-Correlation-Id: other\r\n"));
         assertEquals(0, harness.server.requests.size());
     }
 
     @Test
     void responseThatCannotBeWrittenFails() throws Exception {
-        send(client, file("a", 9000, "a"));
-        assertNotNull(harness.server.next());
+        send(client, fileRequest("a", 9000, "a"));
+        assertNotNull(harness.server.nextRequest());
         harness.clock.failIn("ResponseWriter.beginResponse");
-        harness.server.answers.add(OK);
+        harness.server.responses.add(OK);
         expectLastResponse(502);
         assertOthersAreServed();
         while (!harness.node.metricsText().contains("proxy.active:0|g")) {
@@ -67,14 +67,14 @@
     @Test
     void rejectionThatCannotBeWrittenFails() throws Exception {
         harness.clock.failIn("ResponseWriter.beginResponse");
-        send(client, file("a", 1, "a"));
+        send(client, fileRequest("a", 1, "a"));
         expectLastResponse(502);
     }
 
     @Test
     void requestThatCannotBeOpenedIsRejected() throws Exception {
         harness.clock.failIn("ClientConnection.openRequest");
-        send(client, file("a", 9000, "a"));
+        send(client, fileRequest("a", 9000, "a"));
         expectLastResponse(503);
         assertOthersAreServed();
     }
@@ -82,10 +82,10 @@
     @Test
     void pipelinedRequestThatCannotBeOpenedIsRejected() throws Exception {
         harness.clock.failIn("ClientConnection.openRequest");
-        send(client, LIVE + file("a", 9000, "a"));
-        assertTrue(answer(client).endsWith("live\n"));
+        send(client, LIVE + fileRequest("a", 9000, "a"));
+        assertTrue(readResponse(client).endsWith("live\n"));
         expectLastResponse(503);
-        live(harness.connect());
+        requestLive(harness.connect());
         assertOthersAreServed();
     }
 }
--- a/node/src/test/java/brackenbridge/net/NodeReconfigurationTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeReconfigurationTest.java
@@ -16,15 +16,15 @@
     void reconfiguredNodeFollowsDiscoveryAndAnInvalidFileChangesNothing() throws Exception {
         try (FakeServer moved = new FakeServer()) {
             node.reconfigure(() -> Config.parse("{"));
-            node.reconfigure(() -> Config.parse(ConfigTest.TEXT.replace("127.0.0.1:1\"", moved.dial() + "\"")));
-            assertTrue(moved.next().startsWith("GET /registry/instances?watch=1&after=41 "));
+            node.reconfigure(() -> Config.parse(ConfigTest.TEXT.replace("127.0.0.1:1\"", moved.address() + "\"")));
+            assertTrue(moved.nextRequest().startsWith("GET /registry/instances?watch=1&after=41 "));
             send("GET /health/counters HTTP/1.1\r\n\r\n");
-            String counted = answer();
+            String counted = readResponse();
             assertTrue(counted.contains("reconfigured 1\nreconfigure_failed 1\n"), counted);
         }
-        server.answers.add(OK);
-        send(file("a"));
-        assertTrue(answer().endsWith("done"));
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        assertTrue(readResponse().endsWith("done"));
     }
 
     @Test
@@ -33,22 +33,22 @@
                 FakeServer second = new FakeServer();
                 FakeServer last = new FakeServer();
                 FakeServer listed = new FakeServer()) {
-            last.answers.add("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":7,\"whole\":true,\"hosts\":"
-                    + "[{\"host\":\"s-2\",\"dial\":\"" + listed.dial() + "\",\"health\":\"active\"}]}\n");
+            last.responses.add("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":7,\"whole\":true,\"hosts\":"
+                    + "[{\"host\":\"s-2\",\"dial\":\"" + listed.address() + "\",\"health\":\"active\"}]}\n");
             for (FakeServer at : List.of(first, second, last)) {
-                node.reconfigure(() -> Config.parse(ConfigTest.TEXT.replace("127.0.0.1:1\"", at.dial() + "\"")));
+                node.reconfigure(() -> Config.parse(ConfigTest.TEXT.replace("127.0.0.1:1\"", at.address() + "\"")));
             }
-            assertTrue(last.next().startsWith("GET /registry/instances?watch=1"));
+            assertTrue(last.nextRequest().startsWith("GET /registry/instances?watch=1"));
             String counted = "";
             for (int i = 0; i < 10_000 && !counted.contains("target_lists 1\n"); i++) {
                 send("GET /health/counters HTTP/1.1\r\n\r\n");
-                counted = answer();
+                counted = readResponse();
             }
             assertTrue(counted.contains("target_lists 1\n") && counted.contains("reconfigured 3\n"), counted);
-            listed.answers.add(OK);
-            send(file("a"));
-            assertTrue(answer().endsWith("done"));
-            assertNotNull(listed.next());
+            listed.responses.add(OK);
+            send(fileRequest("a"));
+            assertTrue(readResponse().endsWith("done"));
+            assertNotNull(listed.nextRequest());
             assertEquals(0, server.requests.size());
         }
     }
@@ -56,20 +56,20 @@
     @Test
     void nodeWithPushedListsOpensItsWatchAtOnceAndReceivesADrain() throws Exception {
         try (FakeServer agent = new FakeServer()) {
-            agent.answers.add("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":42,\"whole\":false,\"hosts\":"
-                    + "[{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"leaving\"}]}\n");
+            agent.responses.add("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"seq\":42,\"whole\":false,\"hosts\":"
+                    + "[{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"leaving\"}]}\n");
             node.kill();
             node = node(
                     1024,
                     1,
                     ConfigTest.TEXT
                             .replace("\"discovery\":\"on_request\"", "\"discovery\":\"pushed\"")
-                            .replace("127.0.0.1:1\"", agent.dial() + "\""));
-            assertTrue(agent.next().startsWith("GET /registry/instances?watch=1&after=41 "));
+                            .replace("127.0.0.1:1\"", agent.address() + "\""));
+            assertTrue(agent.nextRequest().startsWith("GET /registry/instances?watch=1&after=41 "));
             while (!node.metricsText().contains("proxy.pool_size:1|g")) {
                 Thread.onSpinWait();
             }
-            expect(503, "GET /health/ready HTTP/1.1\r\n\r\n");
+            expectStatus(503, "GET /health/ready HTTP/1.1\r\n\r\n");
         }
     }
 
@@ -82,20 +82,20 @@
         assertTrue(
                 node.metricsText().contains("proxy.config_applied:0|c\nproxy.config_rejected:2|c\n"),
                 node.metricsText());
-        server.answers.add(OK);
-        expect(200, file("still here"));
-        send(file("a"));
+        server.responses.add(OK);
+        expectStatus(200, fileRequest("still here"));
+        send(fileRequest("a"));
         Socket open = client;
-        assertNotNull(server.next());
-        assertNotNull(server.next());
+        assertNotNull(server.nextRequest());
+        assertNotNull(server.nextRequest());
         node.reconfigure(() -> Config.parse(other));
         settle();
-        expect(404, file("gone").replace("Id: 9b", "Id: 9c"));
+        expectStatus(404, fileRequest("gone").replace("Id: 9b", "Id: 9c"));
         client = open;
-        server.answers.add(OK);
-        assertTrue(answer().endsWith("done"), "the open request ends as it began");
-        server.answers.add(OK);
-        expect(200, file("new").replace("/file", "/sign"));
+        server.responses.add(OK);
+        assertTrue(readResponse().endsWith("done"), "the open request ends as it began");
+        server.responses.add(OK);
+        expectStatus(200, fileRequest("new").replace("/file", "/sign"));
         String metrics = node.metricsText();
         for (int i = 0;
                 i < 500 && !(metrics.contains("proxy.errors.file:1|c\n") && metrics.contains("proxy.ok.sign:1|c\n"));
@@ -113,17 +113,17 @@
 
     @Test
     void newIdleTimeoutAppliesToConnectionsThatAreAlreadyIdle() throws Exception {
-        server.answers.add(OK);
-        server.answers.add(OK);
-        send(file("a"));
-        assertTrue(answer().endsWith("done"));
+        server.responses.add(OK);
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        assertTrue(readResponse().endsWith("done"));
         settle();
         String shorter = ConfigTest.TEXT.replace("\"idleClose\":30000000", "\"idleClose\":2000000");
         node.reconfigure(() -> Config.parse(shorter));
         settle();
         clock.pass(1500);
-        send(file("b"));
-        assertTrue(answer().endsWith("done"));
+        send(fileRequest("b"));
+        assertTrue(readResponse().endsWith("done"));
         assertEquals(2, server.connections.size(), "half of the old time has not passed, half of the new one has");
     }
 }
--- a/node/src/test/java/brackenbridge/net/NodeShutdownTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeShutdownTest.java
@@ -20,25 +20,25 @@
         node = node(1024, 2);
         client = connect();
         Socket idle = connect();
-        send(file("a"));
-        assertNotNull(server.next());
+        send(fileRequest("a"));
+        assertNotNull(server.nextRequest());
         Socket late = connect();
         assertTrue(node.drain(true).get(10, TimeUnit.SECONDS));
         assertTrue(node.acceptsClients(), "the listening socket stays open");
         assertEquals(-1, idle.getInputStream().read(), "idle connections end");
-        server.answers.add(OK);
-        String back = answer();
+        server.responses.add(OK);
+        String back = readResponse();
         assertTrue(back.endsWith("done") && back.contains("Connection: close\r\n"), back);
         assertEquals(-1, client.getInputStream().read());
         assertEquals(-1, late.getInputStream().read());
-        expect(503, "GET /health/ready HTTP/1.1\r\n\r\n");
+        expectStatus(503, "GET /health/ready HTTP/1.1\r\n\r\n");
         assertTrue(node.drain(false).get(10, TimeUnit.SECONDS));
-        expect(200, "GET /health/ready HTTP/1.1\r\n\r\n");
-        server.answers.add(OK);
-        expect(200, file("b"));
-        send(file("c"));
-        server.answers.add(OK);
-        assertTrue(answer().endsWith("done"), "connections are kept again");
+        expectStatus(200, "GET /health/ready HTTP/1.1\r\n\r\n");
+        server.responses.add(OK);
+        expectStatus(200, fileRequest("b"));
+        send(fileRequest("c"));
+        server.responses.add(OK);
+        assertTrue(readResponse().endsWith("done"), "connections are kept again");
         String metrics = "";
         for (int i = 0; i < 500 && !metrics.contains("proxy.ok.file:3|c\n"); i++) {
             settle();
@@ -61,25 +61,25 @@
                 ConfigTest.TEXT
                         .replace("\"aim\":4000000,\"giveUp\":8000000", brief)
                         .replace("\"aim\":3000000,\"giveUp\":6000000", brief));
-        expect(200, "GET /health/live HTTP/1.1\r\n\r\n");
+        expectStatus(200, "GET /health/live HTTP/1.1\r\n\r\n");
         Socket idle = client;
         client = connect();
-        send(file("a"));
-        assertNotNull(server.next());
+        send(fileRequest("a"));
+        assertNotNull(server.nextRequest());
         CompletableFuture<Void> ended = node.stop();
         Socket first = client;
         String ready = "";
         for (int i = 0; i < 1000 && !ready.startsWith("HTTP/1.1 503 "); i++) {
             client = connect();
             send("GET /health/ready HTTP/1.1\r\n\r\n");
-            ready = answer();
+            ready = readResponse();
         }
         assertFalse(ready.contains("Connection: close\r\n"), "the connections it has are served for a while");
-        assertNull(FakeServer.message(idle.getInputStream()), "then those that carry nothing end");
+        assertNull(FakeServer.readMessage(idle.getInputStream()), "then those that carry nothing end");
         client = first;
         assertFalse(ended.isDone());
-        server.answers.add(OK);
-        String back = answer();
+        server.responses.add(OK);
+        String back = readResponse();
         assertTrue(back.startsWith("HTTP/1.1 200 ") && back.contains("Connection: close\r\n"), back);
         ended.get(10, TimeUnit.SECONDS);
     }
--- a/node/src/test/java/brackenbridge/net/NodeUpstreamTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeUpstreamTest.java
@@ -16,43 +16,43 @@
 class NodeUpstreamTest extends RunningNode {
     @Test
     void nonIdempotentRequestIsNotRetriedAfterItsLastByteWasWritten() throws Exception {
-        server.answers.add(FakeServer.HANG_UP);
-        send(file("once"));
-        assertTrue(answer().startsWith("HTTP/1.1 502 "));
-        assertNotNull(server.next());
+        server.responses.add(FakeServer.CLOSE_CONNECTION);
+        send(fileRequest("once"));
+        assertTrue(readResponse().startsWith("HTTP/1.1 502 "));
+        assertNotNull(server.nextRequest());
         assertNull(server.requests.poll());
     }
 
     @Test
     void connectionClosedByTheServerIsNotReused() throws Exception {
-        server.answers.add(OK);
-        send(file("a"));
-        assertTrue(answer().endsWith("done"));
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        assertTrue(readResponse().endsWith("done"));
         server.connections.take().close();
         send("GET /health/live HTTP/1.1\r\n\r\n");
-        assertTrue(answer().endsWith("live\n"));
-        server.answers.add(OK);
-        server.answers.add(OK);
-        send(file("b"));
-        assertTrue(answer().endsWith("done"));
+        assertTrue(readResponse().endsWith("live\n"));
+        server.responses.add(OK);
+        server.responses.add(OK);
+        send(fileRequest("b"));
+        assertTrue(readResponse().endsWith("done"));
         assertEquals(1, server.connections.size());
     }
 
     @Test
     void idleConnectionsAreNotReusedForAWhileAfterAStaleOne() throws Exception {
-        server.answers.add(OK);
-        send(file("a"));
-        assertTrue(answer().endsWith("done"));
-        assertNotNull(server.next());
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        assertTrue(readResponse().endsWith("done"));
+        assertNotNull(server.nextRequest());
         settle();
         clock.pass(400);
-        server.answers.add(FakeServer.HANG_UP);
-        send(file("b"));
-        assertTrue(answer().startsWith("HTTP/1.1 502 "));
+        server.responses.add(FakeServer.CLOSE_CONNECTION);
+        send(fileRequest("b"));
+        assertTrue(readResponse().startsWith("HTTP/1.1 502 "));
         for (int i = 0; i < 2; i++) {
-            server.answers.add(OK);
-            send(file("c"));
-            assertTrue(answer().endsWith("done"));
+            server.responses.add(OK);
+            send(fileRequest("c"));
+            assertTrue(readResponse().endsWith("done"));
             settle();
             clock.pass(400);
         }
@@ -61,12 +61,12 @@
 
     @Test
     void malformedResponseFailsItsAttemptOnly() throws Exception {
-        server.answers.add("nonsense\r\n\r\n");
-        server.answers.add(OK);
-        send(file("a"));
-        assertTrue(answer().startsWith("HTTP/1.1 502 "));
-        send(file("b"));
-        assertTrue(answer().endsWith("done"), "the server is still in use");
+        server.responses.add("nonsense\r\n\r\n");
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        assertTrue(readResponse().startsWith("HTTP/1.1 502 "));
+        send(fileRequest("b"));
+        assertTrue(readResponse().endsWith("done"), "the server is still in use");
     }
 
     /** All clients come in one instant, and the only server is cold: what it bears then is 1.9 calls. */
@@ -82,14 +82,14 @@
                                 "\"fallMultiple\":0.5,\"fall\":5000000,\"coldFrom\":0.19,\"warmAfter\":1000000000000")
                         .replace(
                                 "\"hosts\":[]",
-                                "\"hosts\":[{\"host\":\"s-1\",\"dial\":\"" + server.dial()
+                                "\"hosts\":[{\"host\":\"s-1\",\"dial\":\"" + server.address()
                                         + "\",\"health\":\"active\",\"born_ms\":" + Math.round(clock.nowMs()) + "}]"));
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            Socket s = connect();
-            clients.add(s);
-            s.getOutputStream()
-                    .write(file("hello")
+            Socket socket = connect();
+            clients.add(socket);
+            socket.getOutputStream()
+                    .write(fileRequest("hello")
                             .replace("9b", "c" + i)
                             .replace("5000", "700")
                             .getBytes(StandardCharsets.ISO_8859_1));
@@ -97,9 +97,9 @@
         int sent = 0;
         for (Socket s : clients) {
             // The server says nothing: a call that reached it has no answer in time, any other is refused.
-            String a = FakeServer.message(s.getInputStream());
-            assertTrue(a != null && a.matches("(?s)HTTP/1.1 50[34] .*"), a);
-            sent += a.startsWith("HTTP/1.1 504 ") ? 1 : 0;
+            String response = FakeServer.readMessage(s.getInputStream());
+            assertTrue(response != null && response.matches("(?s)HTTP/1.1 50[34] .*"), response);
+            sent += response.startsWith("HTTP/1.1 504 ") ? 1 : 0;
             s.close();
         }
         assertTrue(sent >= 1 && sent <= 2, "calls that the cold server got: " + sent);
@@ -108,46 +108,46 @@
 
     @Test
     void bytesBehindAResponseAreNeverTheNextResponse() throws Exception {
-        server.answers.add(OK);
-        send(file("a"));
-        assertTrue(answer().endsWith("done"));
+        server.responses.add(OK);
+        send(fileRequest("a"));
+        assertTrue(readResponse().endsWith("done"));
         server.connections.take().getOutputStream().write(OK.getBytes(StandardCharsets.US_ASCII));
-        server.answers.add(OK.replace("done", "mine"));
-        server.answers.add(OK.replace("done", "mine"));
-        send(file("b"));
-        assertTrue(answer().endsWith("mine"));
+        server.responses.add(OK.replace("done", "mine"));
+        server.responses.add(OK.replace("done", "mine"));
+        send(fileRequest("b"));
+        assertTrue(readResponse().endsWith("mine"));
     }
 
     @Test
     void longResponseIsPassedCompletelyAndAnOversizedOneFailsAtOnce() throws Exception {
         String body = "0123456789".repeat(40_000);
-        server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + body);
-        send(file("a"));
-        assertTrue(answer().endsWith("\r\n\r\n" + body));
-        server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + body);
-        send(file("b"));
-        assertTrue(answer().startsWith("HTTP/1.1 502 "));
+        server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + body);
+        send(fileRequest("a"));
+        assertTrue(readResponse().endsWith("\r\n\r\n" + body));
+        server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + body);
+        send(fileRequest("b"));
+        assertTrue(readResponse().startsWith("HTTP/1.1 502 "));
     }
 
     @Test
     void stalledResponseFailsSoon() throws Exception {
-        send(file("a"));
-        assertNotNull(server.next());
+        send(fileRequest("a"));
+        assertNotNull(server.nextRequest());
         server.connections
                 .take()
                 .getOutputStream()
                 .write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
         settle();
         clock.pass(1100);
-        assertTrue(answer().startsWith("HTTP/1.1 502 "));
+        assertTrue(readResponse().startsWith("HTTP/1.1 502 "));
     }
 
     @Test
     void clientErrorOfAServerIsPassedOnWithoutRetry() throws Exception {
-        server.answers.add("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+        server.responses.add("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
         send(request("GET", "/view", "", ""));
-        assertTrue(answer().startsWith("HTTP/1.1 400 "));
-        assertNotNull(server.next());
+        assertTrue(readResponse().startsWith("HTTP/1.1 400 "));
+        assertNotNull(server.nextRequest());
         assertNull(server.requests.poll());
     }
 }
--- a/node/src/test/java/brackenbridge/net/HeldClock.java
+++ b/node/src/test/java/brackenbridge/net/PausableClock.java
@@ -11,37 +11,37 @@
  * The system's clock, which a test can put forward, or stop the node at: its event loop rests where it asks next, or
  * where a certain method asks. It can also fail where a certain method asks.
  */
-final class HeldClock extends Clock {
+final class PausableClock extends Clock {
     /** Where the methods that tests name are looked for. */
     private static final List<String> PACKAGES =
             List.of("brackenbridge.net.", "brackenbridge.net.client.", "brackenbridge.net.upstream.");
 
     private final Clock system = Clock.system();
-    private final Thread test = Thread.currentThread();
-    private volatile double ahead;
-    private volatile double stands = Double.NaN;
-    private volatile CountDownLatch entered;
-    private volatile CountDownLatch released;
+    private final Thread testThread = Thread.currentThread();
+    private volatile double aheadMs;
+    private volatile double frozenMs = Double.NaN;
+    private volatile CountDownLatch paused;
+    private volatile CountDownLatch resumeSignal;
     /** The method, as {@code Class.method}, whose question for the time stops the loop; null if any does. */
-    private volatile String onlyIn;
+    private volatile String pauseMethod;
 
-    private volatile String failsIn;
+    private volatile String failMethod;
     /** The method in which the event loop is to rest; null if anywhere. */
-    private volatile String where;
+    private volatile String pauseAfterMethod;
 
     void pass(double ms) {
-        ahead += ms;
-        stands += ms;
+        aheadMs += ms;
+        frozenMs += ms;
     }
 
     /** From now on no time passes by itself. */
-    void stand() {
-        stands = system.nowMs() + ahead;
+    void freeze() {
+        frozenMs = system.nowMs() + aheadMs;
     }
 
     /** The time that stands is put forward. */
-    void standAhead(double ms) {
-        stands += ms;
+    void advanceFrozen(double ms) {
+        frozenMs += ms;
     }
 
     /**
@@ -49,52 +49,52 @@
      * {@code Class.method}, or in one that it calls: it goes on with that reading, however late. To be followed by
      * {@link #awaitHeld}.
      */
-    void holdBehindReadingIn(String method) {
+    void pauseAfterReadingIn(String method) {
         requireMethod(method);
-        onlyIn = null;
-        entered = new CountDownLatch(1);
-        where = method;
-        released = new CountDownLatch(1);
+        pauseMethod = null;
+        paused = new CountDownLatch(1);
+        pauseAfterMethod = method;
+        resumeSignal = new CountDownLatch(1);
     }
 
     /** Returns once the node's event loop rests. */
-    void awaitHeld() throws InterruptedException {
-        if (!entered.await(10, TimeUnit.SECONDS)) {
+    void awaitPaused() throws InterruptedException {
+        if (!paused.await(10, TimeUnit.SECONDS)) {
             throw new IllegalStateException("nobody asks for the time there");
         }
     }
 
     /** Returns once the node's event loop rests; what comes to its sockets from now on waits there. */
-    void hold() throws InterruptedException {
-        holdWhereAsked(null);
-        awaitHeld();
+    void pause() throws InterruptedException {
+        startPause(null);
+        awaitPaused();
     }
 
     /** The event loop rests once this method, named as {@code Class.method}, asks for the time. */
-    void holdIn(String method) {
+    void pauseIn(String method) {
         requireMethod(method);
-        holdWhereAsked(method);
+        startPause(method);
     }
 
-    private void holdWhereAsked(String method) {
-        onlyIn = method;
-        entered = new CountDownLatch(1);
-        where = null;
-        released = new CountDownLatch(1);
+    private void startPause(String method) {
+        pauseMethod = method;
+        paused = new CountDownLatch(1);
+        pauseAfterMethod = null;
+        resumeSignal = new CountDownLatch(1);
     }
 
-    void release() {
-        CountDownLatch r = released;
-        released = null;
-        if (r != null) {
-            r.countDown();
+    void resume() {
+        CountDownLatch signal = resumeSignal;
+        resumeSignal = null;
+        if (signal != null) {
+            signal.countDown();
         }
     }
 
     /** The next time that this method, named as {@code Class.method}, asks for the time, it gets an exception. */
     void failIn(String method) {
         requireMethod(method);
-        failsIn = method;
+        failMethod = method;
     }
 
     /** Guards tests against a method that has been renamed or moved: none would ever be held or fail there. */
@@ -126,36 +126,36 @@
     private static String caller() {
         return StackWalker.getInstance()
                 .walk(frames ->
-                        frames.skip(2).findFirst().map(HeldClock::methodOf).orElse(""));
+                        frames.skip(2).findFirst().map(PausableClock::methodOf).orElse(""));
     }
 
     @Override
     public double nowMs() {
-        if (failsIn != null && Thread.currentThread() != test && caller().equals(failsIn)) {
-            failsIn = null;
+        if (failMethod != null && Thread.currentThread() != testThread && caller().equals(failMethod)) {
+            failMethod = null;
             throw new IllegalStateException("a fault that the test wants");
         }
-        CountDownLatch r = released;
-        if (r == null || Thread.currentThread() == test) {
+        CountDownLatch signal = resumeSignal;
+        if (signal == null || Thread.currentThread() == testThread) {
             return reading();
         }
-        String method = where;
+        String method = pauseAfterMethod;
         if (method == null) {
-            if (onlyIn == null || caller().equals(onlyIn)) {
-                rest(r);
+            if (pauseMethod == null || caller().equals(pauseMethod)) {
+                awaitResume(signal);
             }
             return reading();
         }
         double before = reading();
         if (StackWalker.getInstance()
                 .walk(frames -> frames.anyMatch(f -> methodOf(f).equals(method)))) {
-            rest(r);
+            awaitResume(signal);
         }
         return before;
     }
 
-    private void rest(CountDownLatch until) {
-        entered.countDown();
+    private void awaitResume(CountDownLatch until) {
+        paused.countDown();
         try {
             until.await();
         } catch (InterruptedException e) {
@@ -164,6 +164,6 @@
     }
 
     private double reading() {
-        return Double.isNaN(stands) ? system.nowMs() + ahead : stands;
+        return Double.isNaN(frozenMs) ? system.nowMs() + aheadMs : frozenMs;
     }
 }
--- a/node/src/test/java/brackenbridge/net/ReplacementTest.java
+++ b/node/src/test/java/brackenbridge/net/ReplacementTest.java
@@ -39,7 +39,7 @@
     @TempDir
     private Path directory;
 
-    private Path meeting;
+    private Path handoverPath;
     private FakeServer server;
     private int port;
     private final List<Node> nodes = new ArrayList<>();
@@ -47,7 +47,7 @@
     @BeforeEach
     void start() throws IOException {
         server = new FakeServer();
-        meeting = brackenbridge.handover.Handover.path(directory.toString(), "n3", "127.0.0.1:0");
+        handoverPath = brackenbridge.handover.Handover.path(directory.toString(), "n3", "127.0.0.1:0");
     }
 
     @AfterEach
@@ -57,43 +57,44 @@
     }
 
     /** A node that knows version 41 of the list, or none. */
-    private Node node(boolean knows) {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+    private Node startNode(boolean knowsList) {
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         Config config = Config.parse(ConfigTest.TEXT
                 .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                .replace("\"seq\":41", knows ? "\"seq\":41" : "\"seq\":3")
-                .replace("\"hosts\":[]", knows ? "\"hosts\":[" + host + "]" : "\"hosts\":[]"));
+                .replace("\"seq\":41", knowsList ? "\"seq\":41" : "\"seq\":3")
+                .replace("\"hosts\":[]", knowsList ? "\"hosts\":[" + host + "]" : "\"hosts\":[]"));
         Clock clock = Clock.system();
-        Node n = new Node(config, clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())), meeting);
-        nodes.add(n);
-        n.start();
-        port = n.address().getPort();
-        return n;
+        Node started =
+                new Node(config, clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())), handoverPath);
+        nodes.add(started);
+        started.start();
+        port = started.address().getPort();
+        return started;
     }
 
-    private String ask(String request) throws IOException {
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            s.setSoTimeout(10_000);
-            s.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            return String.valueOf(FakeServer.message(s.getInputStream()));
+    private String exchange(String request) throws IOException {
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(10_000);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            return String.valueOf(FakeServer.readMessage(socket.getInputStream()));
         }
     }
 
-    private static void await(java.util.function.BooleanSupplier what) throws InterruptedException {
-        for (int i = 0; i < 5000 && !what.getAsBoolean(); i++) {
+    private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
+        for (int i = 0; i < 5000 && !condition.getAsBoolean(); i++) {
             TimeUnit.MILLISECONDS.sleep(2);
         }
-        assertTrue(what.getAsBoolean());
+        assertTrue(condition.getAsBoolean());
     }
 
     /**
      * Connects as a successor. The socket's file appears when the node binds, a moment before it listens: until then
      * connects are refused.
      */
-    private SocketChannel connectToMeeting() throws IOException, InterruptedException {
+    private SocketChannel connectToHandoverPath() throws IOException, InterruptedException {
         for (int i = 1; ; i++) {
             try {
-                return SocketChannel.open(UnixDomainSocketAddress.of(meeting));
+                return SocketChannel.open(UnixDomainSocketAddress.of(handoverPath));
             } catch (ConnectException e) {
                 if (i == MAX_CONNECT_TRIES) {
                     throw e;
@@ -104,16 +105,16 @@
     }
 
     @Test
-    void twoReplacementsUnderAStormOfConnectsLoseNoConnection() throws Exception {
-        Node old = node(true);
+    void twoReplacementsUnderConcurrentConnectsLoseNoConnection() throws Exception {
+        Node old = startNode(true);
         AtomicInteger answered = new AtomicInteger();
         List<Exception> failed = java.util.Collections.synchronizedList(new ArrayList<>());
-        Thread[] storm = new Thread[4];
-        for (int i = 0; i < storm.length; i++) {
-            storm[i] = new Thread(() -> {
+        Thread[] clients = new Thread[4];
+        for (int i = 0; i < clients.length; i++) {
+            clients[i] = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try {
-                        assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
+                        assertTrue(exchange(LIVE).startsWith("HTTP/1.1 200 "));
                         answered.incrementAndGet();
                     } catch (IOException | AssertionError e) {
                         failed.add(new Exception(e));
@@ -121,10 +122,10 @@
                     }
                 }
             });
-            storm[i].start();
+            clients[i].start();
         }
         for (int i = 0; i < 2; i++) {
-            Node next = node(false);
+            Node next = startNode(false);
             await(next::acceptsClients);
             int before = answered.get();
             old.stop().get(10, TimeUnit.SECONDS);
@@ -132,91 +133,92 @@
             await(() -> answered.get() > before + 100);
             old = next;
         }
-        for (Thread t : storm) {
+        for (Thread t : clients) {
             t.interrupt();
             t.join();
         }
         assertEquals(List.of(), failed);
-        server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        String back = ask("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n");
+        server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        String back = exchange("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n");
         assertTrue(back.endsWith("done"), "the list came along: " + back);
     }
 
     @Test
-    void requestThatTheOldProcessHasIsAnsweredAndItsConnectionEnds() throws Exception {
-        Node old = node(true);
+    void openRequestOfTheOldProcessIsAnsweredAndItsConnectionEnds() throws Exception {
+        Node old = startNode(true);
         try (Socket client = new Socket("127.0.0.1", port);
                 Socket idle = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(10_000);
             client.getOutputStream()
                     .write("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            server.next();
-            await(node(false)::acceptsClients);
+            server.nextRequest();
+            await(startNode(false)::acceptsClients);
             var ended = old.stop();
             assertEquals(-1, idle.getInputStream().read(), "idle connections end after a while");
             assertFalse(ended.isDone());
-            server.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-            String back = FakeServer.message(client.getInputStream());
+            server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+            String back = FakeServer.readMessage(client.getInputStream());
             assertTrue(back.contains("Connection: close\r\n") && back.endsWith("done"), back);
             ended.get(10, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void whateverLiesAtThePathANodeStartsAndCanBeReplaced() throws Exception {
-        Files.writeString(meeting, "garbage");
-        await(node(true)::acceptsClients);
-        await(node(false)::acceptsClients);
-        assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
+    void nodeStartsWhateverFileIsAtTheHandoverPath() throws Exception {
+        Files.writeString(handoverPath, "garbage");
+        await(startNode(true)::acceptsClients);
+        await(startNode(false)::acceptsClients);
+        assertTrue(exchange(LIVE).startsWith("HTTP/1.1 200 "));
         nodes.forEach(Node::kill);
-        Files.deleteIfExists(meeting);
+        Files.deleteIfExists(handoverPath);
         ServerSocketChannel.open(StandardProtocolFamily.UNIX)
-                .bind(UnixDomainSocketAddress.of(meeting))
+                .bind(UnixDomainSocketAddress.of(handoverPath))
                 .close();
-        await(node(true)::acceptsClients);
+        await(startNode(true)::acceptsClients);
         // A killed process's file makes way.
-        await(() -> Files.exists(meeting));
+        await(() -> Files.exists(handoverPath));
     }
 
     @Test
-    void predecessorThatTalksNonsenseOrNotAtAllIsPassedOver() throws Exception {
-        for (String word : List.of("brackenbridge-handover 1 {\"sockets\":\n", "HTTP/1.1 400\n", "")) {
+    void unresponsiveOrMalformedPredecessorIsIgnored() throws Exception {
+        for (String message : List.of("brackenbridge-handover 1 {\"sockets\":\n", "HTTP/1.1 400\n", "")) {
             nodes.forEach(Node::kill);
-            Files.deleteIfExists(meeting);
+            Files.deleteIfExists(handoverPath);
             try (ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-                other.bind(UnixDomainSocketAddress.of(meeting));
-                Thread talk = new Thread(() -> {
+                other.bind(UnixDomainSocketAddress.of(handoverPath));
+                Thread responder = new Thread(() -> {
                     try {
-                        SocketChannel c = other.accept();
-                        c.write(ByteBuffer.wrap(word.getBytes(StandardCharsets.US_ASCII)));
+                        SocketChannel channel = other.accept();
+                        channel.write(ByteBuffer.wrap(message.getBytes(StandardCharsets.US_ASCII)));
                     } catch (IOException e) {
                         return;
                     }
                 });
-                talk.start();
-                await(node(true)::acceptsClients);
-                talk.join();
+                responder.start();
+                await(startNode(true)::acceptsClients);
+                responder.join();
             }
         }
     }
 
     @Test
-    void successorThatDiesLeavesTheOldProcessAsItWas() throws Exception {
-        Node old = node(true);
-        for (String more : List.of("", "ready\n")) {
-            await(() -> Files.exists(meeting));
-            try (SocketChannel dying = connectToMeeting()) {
+    void oldProcessKeepsServingIfItsSuccessorDies() throws Exception {
+        Node old = startNode(true);
+        for (String secondLine : List.of("", "ready\n")) {
+            await(() -> Files.exists(handoverPath));
+            try (SocketChannel dying = connectToHandoverPath()) {
                 dying.write(ByteBuffer.wrap(
-                        ("brackenbridge-handover 1 successor\n" + more).getBytes(StandardCharsets.US_ASCII)));
+                        ("brackenbridge-handover 1 successor\n" + secondLine).getBytes(StandardCharsets.US_ASCII)));
                 ByteBuffer offer = ByteBuffer.allocate(4096);
-                while (!new String(offer.array(), StandardCharsets.US_ASCII).contains(more.isEmpty() ? "\n" : "go\n")) {
+                while (!new String(offer.array(), StandardCharsets.US_ASCII)
+                        .contains(secondLine.isEmpty() ? "\n" : "go\n")) {
                     assertTrue(dying.read(offer) > 0);
                 }
             }
-            await(() -> Files.exists(meeting));
+            await(() -> Files.exists(handoverPath));
         }
         assertTrue(old.acceptsClients());
-        await(node(false)::acceptsClients);
-        assertTrue(ask(LIVE).startsWith("HTTP/1.1 200 "));
+        await(startNode(false)::acceptsClients);
+        assertTrue(exchange(LIVE).startsWith("HTTP/1.1 200 "));
     }
 }
--- a/node/src/test/java/brackenbridge/net/RunningNode.java
+++ b/node/src/test/java/brackenbridge/net/RunningNode.java
@@ -61,7 +61,7 @@
     }
 
     Node node(int sockets, int peers, String text) {
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         Node started = new Node(
                 Config.parse(text.replace("\"hosts\":[]", "\"hosts\":[" + host + "]")
                         .replace("\"sockets\":1024", "\"sockets\":" + sockets)
@@ -84,7 +84,7 @@
                 + headers + "\r\n" + body;
     }
 
-    static String file(String body) {
+    static String fileRequest(String body) {
         return request("POST", "/file/a?b=c", "Content-Length: " + body.length() + "\r\n", body);
     }
 
@@ -92,15 +92,15 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    String answer() throws IOException {
-        return FakeServer.message(client.getInputStream());
+    String readResponse() throws IOException {
+        return FakeServer.readMessage(client.getInputStream());
     }
 
     /** Sends the text on a new connection and asserts the status of the response. */
-    void expect(int status, String text) throws IOException {
+    void expectStatus(int status, String text) throws IOException {
         client = connect();
         send(text);
-        String response = answer();
+        String response = readResponse();
         assertTrue(response != null && response.startsWith("HTTP/1.1 " + status + " "), text + " got " + response);
     }
 
@@ -115,7 +115,7 @@
                 connection
                         .getOutputStream()
                         .write("GET /health/live HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                assertTrue(FakeServer.message(connection.getInputStream()).startsWith("HTTP/1.1 200 "));
+                assertTrue(FakeServer.readMessage(connection.getInputStream()).startsWith("HTTP/1.1 200 "));
             }
         }
     }
--- a/node/src/test/java/brackenbridge/net/ShortDeadlinesTest.java
+++ b/node/src/test/java/brackenbridge/net/ShortDeadlinesTest.java
@@ -20,16 +20,16 @@
     private static final long DEADLINE_MS = 100;
     private static final double KILL_MS = DEADLINE_MS + 700;
     /** The end is waited for by real time, of which the node's clock shows a quarter. */
-    private static final double SLOWER = 4;
+    private static final double CLOCK_SLOWDOWN = 4;
 
-    private final SlowClock clock = new SlowClock(SLOWER);
+    private final SlowClock clock = new SlowClock(CLOCK_SLOWDOWN);
     private FakeServer server;
     private Node node;
 
     @BeforeEach
     void start() throws IOException {
         server = new FakeServer();
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         node = new Node(
                 Config.parse(ClientNode.withDeadlines(DEADLINE_MS).replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
                 clock,
@@ -44,17 +44,17 @@
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
-        s.setSoTimeout(10_000);
-        return s;
+        Socket socket = new Socket(node.address().getAddress(), node.address().getPort());
+        socket.setSoTimeout(10_000);
+        return socket;
     }
 
     /** Asks again and again while the connection is open, and says what the last answer was. */
-    private String askUntilItEnds(Socket client) throws IOException {
+    private String requestUntilClose(Socket client) throws IOException {
         String last = "";
         for (int i = 0; !last.contains("Connection: close\r\n"); i++) {
-            ClientNode.send(client, ClientNode.file("r" + i, (int) DEADLINE_MS, "a"));
-            last = ClientNode.answer(client);
+            ClientNode.send(client, ClientNode.fileRequest("r" + i, (int) DEADLINE_MS, "a"));
+            last = ClientNode.readResponse(client);
             assertTrue(last != null && last.matches("(?s)HTTP/1.1 50[34] .*"), i + " got " + last);
         }
         return last;
@@ -62,19 +62,20 @@
 
     /** Its server hangs, its clients go on asking, one of them stops in the middle of a request. */
     @Test
-    void nodeThatIsStoppedAnswersAllAndExitsBeforeItIsKilled() throws Exception {
+    void stoppedNodeAnswersAllAndExitsBeforeItIsKilled() throws Exception {
         try (Socket client = connect();
-                Socket half = connect()) {
+                Socket incomplete = connect()) {
             ClientNode.send(
-                    half, ClientNode.file("half", (int) DEADLINE_MS, "a").substring(0, 40));
-            ClientNode.live(connect());
-            double asked = clock.nowMs();
+                    incomplete,
+                    ClientNode.fileRequest("half", (int) DEADLINE_MS, "a").substring(0, 40));
+            ClientNode.requestLive(connect());
+            double stopRequestedMs = clock.nowMs();
             CompletableFuture<Double> ended = node.stop().thenApply(v -> clock.nowMs());
-            askUntilItEnds(client);
-            assertTrue(ClientNode.answer(half).startsWith("HTTP/1.1 503 "));
-            assertEquals(-1, half.getInputStream().read());
-            double took = ended.get(20, TimeUnit.SECONDS) - asked;
-            assertTrue(took < KILL_MS - 100, "it took " + took + " ms");
+            requestUntilClose(client);
+            assertTrue(ClientNode.readResponse(incomplete).startsWith("HTTP/1.1 503 "));
+            assertEquals(-1, incomplete.getInputStream().read());
+            double elapsedMs = ended.get(20, TimeUnit.SECONDS) - stopRequestedMs;
+            assertTrue(elapsedMs < KILL_MS - 100, "it took " + elapsedMs + " ms");
         }
     }
 }
--- a/node/src/test/java/brackenbridge/net/QuietTimeTest.java
+++ b/node/src/test/java/brackenbridge/net/StaleConnectionsTest.java
@@ -29,10 +29,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** All connections that are kept to servers end in the same quiet time, and requests come all at once behind it. */
-class QuietTimeTest {
+class StaleConnectionsTest {
     private static final int SERVERS = 8;
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
-    private static final double QUIET_MS = 12_000;
+    private static final double IDLE_MS = 12_000;
     /** More than the time between two ticks of the decision module. */
     private static final long TICK_MS = 300;
     /** More than the time for which a connection rests behind an answer. */
@@ -40,12 +40,12 @@
 
     private static final int ROUNDS = 3;
 
-    private final HeldClock clock = new HeldClock();
+    private final PausableClock clock = new PausableClock();
     private final List<Server> servers = new ArrayList<>();
     /** The requests that servers have read whole, on connections that they knew. */
     private final LinkedBlockingQueue<String> served = new LinkedBlockingQueue<>();
     /** Those that they have read whole on connections that they had forgotten. */
-    private final LinkedBlockingQueue<String> lost = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> readOnStale = new LinkedBlockingQueue<>();
 
     private Node node;
     private final List<Socket> clients = new ArrayList<>();
@@ -56,48 +56,48 @@
         final List<Socket> connections = new CopyOnWriteArrayList<>();
         final List<Thread> readers = new CopyOnWriteArrayList<>();
         /** So many of its connections it has forgotten, the oldest. */
-        volatile int forgotten;
+        volatile int staleConnections;
 
         Server() throws IOException {
-            daemon(this::accept);
+            startDaemon(this::accept);
         }
 
         private void accept() {
             try {
                 while (true) {
-                    Socket s = listening.accept();
-                    connections.add(s);
+                    Socket connection = listening.accept();
+                    connections.add(connection);
                     int number = connections.size();
-                    readers.add(daemon(() -> serve(s, number)));
+                    readers.add(startDaemon(() -> serve(connection, number)));
                 }
             } catch (IOException e) {
                 return;
             }
         }
 
-        private void serve(Socket s, int number) {
-            try (s) {
+        private void serve(Socket connection, int number) {
+            try (connection) {
                 String request;
-                while ((request = FakeServer.message(s.getInputStream())) != null) {
-                    if (number <= forgotten) {
-                        lost.add(request);
-                        s.setSoLinger(true, 0);
+                while ((request = FakeServer.readMessage(connection.getInputStream())) != null) {
+                    if (number <= staleConnections) {
+                        readOnStale.add(request);
+                        connection.setSoLinger(true, 0);
                         return;
                     }
                     served.add(request);
-                    s.getOutputStream().write(OK.getBytes(StandardCharsets.US_ASCII));
+                    connection.getOutputStream().write(OK.getBytes(StandardCharsets.US_ASCII));
                 }
             } catch (IOException e) {
                 return;
             }
         }
 
-        void forgetAll() {
-            forgotten = connections.size();
+        void makeAllStale() {
+            staleConnections = connections.size();
         }
 
         /** Returns once the ends have left: a socket that a thread reads ends with that thread's read. */
-        void endAll(boolean reset) throws Exception {
+        void closeAll(boolean reset) throws Exception {
             for (Socket s : connections) {
                 s.setSoLinger(reset, 0);
                 s.close();
@@ -109,21 +109,21 @@
         }
     }
 
-    private static Thread daemon(Runnable work) {
-        Thread t = new Thread(work);
-        t.setDaemon(true);
-        t.start();
-        return t;
+    private static Thread startDaemon(Runnable work) {
+        Thread thread = new Thread(work);
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
     @BeforeEach
     void start() throws Exception {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < SERVERS; i++) {
-            Server s = new Server();
-            servers.add(s);
+            Server server = new Server();
+            servers.add(server);
             hosts.append(i == 0 ? "" : ",")
-                    .append("{\"host\":\"s-" + i + "\",\"dial\":\"127.0.0.1:" + s.listening.getLocalPort()
+                    .append("{\"host\":\"s-" + i + "\",\"dial\":\"127.0.0.1:" + server.listening.getLocalPort()
                             + "\",\"health\":\"active\"}");
         }
         node = new Node(
@@ -138,23 +138,23 @@
         }
         for (int i = 0; i < ROUNDS; i++) {
             // Requests that are out together open a connection to each server.
-            clock.hold();
-            askAll("first", "POST", "/file");
-            clock.release();
-            assertEquals(SERVERS, answers("200"));
-            letRun(REST_MS);
+            clock.pause();
+            sendAll("first", "POST", "/file");
+            clock.resume();
+            assertEquals(SERVERS, countResponses("200"));
+            awaitLoopTurns(REST_MS);
         }
         assertTrue(servers.stream().noneMatch(s -> s.connections.isEmpty()), "a server without a kept connection");
         served.clear();
         // The tick that takes in the last answers is over before the quiet begins, and one falls into the quiet.
-        letRun(TICK_MS);
-        clock.pass(QUIET_MS);
-        letRun(TICK_MS);
+        awaitLoopTurns(TICK_MS);
+        clock.pass(IDLE_MS);
+        awaitLoopTurns(TICK_MS);
     }
 
     @AfterEach
     void end() throws IOException {
-        clock.release();
+        clock.resume();
         for (Socket s : clients) {
             s.close();
         }
@@ -165,7 +165,7 @@
     }
 
     /** What the node's event loop was to do within this time, it has done: it asks the system for the delay. */
-    private void letRun(long ms) throws Exception {
+    private void awaitLoopTurns(long ms) throws Exception {
         long start = System.nanoTime();
         while (System.nanoTime() - start < ms * 1_000_000) {
             node.tenantUse().get(10, TimeUnit.SECONDS);
@@ -175,16 +175,17 @@
         }
     }
 
-    private int counted(String name) throws IOException {
-        try (Socket s = new Socket(node.address().getAddress(), node.address().getPort())) {
-            s.setSoTimeout(10_000);
-            s.getOutputStream().write("GET /health/counters HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            String all = FakeServer.message(s.getInputStream());
-            return Integer.parseInt(all.replaceAll("(?s).*\n" + name + " ([0-9]+)\n.*", "$1"));
+    private int readCounter(String name) throws IOException {
+        try (Socket socket =
+                new Socket(node.address().getAddress(), node.address().getPort())) {
+            socket.setSoTimeout(10_000);
+            socket.getOutputStream().write("GET /health/counters HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            String counters = FakeServer.readMessage(socket.getInputStream());
+            return Integer.parseInt(counters.replaceAll("(?s).*\n" + name + " ([0-9]+)\n.*", "$1"));
         }
     }
 
-    private void askAll(String round, String method, String path) throws IOException {
+    private void sendAll(String round, String method, String path) throws IOException {
         for (int i = 0; i < SERVERS; i++) {
             String text = method + " " + path + " HTTP/1.1\r\nX-Correlation-Id: " + round + i
                     + "\r\nX-Time-Left-Ms: 3000\r\nContent-Length: 0\r\n\r\n";
@@ -193,14 +194,14 @@
     }
 
     /** How many of the clients' answers have this status; each client gets one. */
-    private int answers(String status) throws IOException {
-        int n = 0;
+    private int countResponses(String status) throws IOException {
+        int count = 0;
         for (Socket s : clients) {
-            String a = String.valueOf(FakeServer.message(s.getInputStream()));
-            assertTrue(a.startsWith("HTTP/1.1 "), a);
-            n += a.startsWith("HTTP/1.1 " + status + " ") ? 1 : 0;
+            String response = String.valueOf(FakeServer.readMessage(s.getInputStream()));
+            assertTrue(response.startsWith("HTTP/1.1 "), response);
+            count += response.startsWith("HTTP/1.1 " + status + " ") ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     private static Set<String> ids(Iterable<String> requests) {
@@ -214,46 +215,46 @@
     /** Servers end all of them in the very moment in which the requests come; the node sees both at once. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void connectionsThatServersHaveEndedAllAtOnceCostNoRequest(boolean reset) throws Exception {
-        int opened = counted("connections_opened") - counted("connections_joined");
-        clock.hold();
+    void connectionsClosedByServersAllAtOnceCostNoRequest(boolean reset) throws Exception {
+        int opened = readCounter("connections_opened") - readCounter("connections_joined");
+        clock.pause();
         for (Server s : servers) {
-            s.endAll(reset);
+            s.closeAll(reset);
         }
-        askAll("next", "POST", "/file");
-        clock.release();
-        assertEquals(SERVERS, answers("200"));
+        sendAll("next", "POST", "/file");
+        clock.resume();
+        assertEquals(SERVERS, countResponses("200"));
         assertEquals(SERVERS, ids(served).size());
-        int now = counted("connections_opened") - counted("connections_joined");
+        int now = readCounter("connections_opened") - readCounter("connections_joined");
         assertTrue(now - opened <= SERVERS, "connections for " + SERVERS + " requests: " + (now - opened));
     }
 
     @Test
-    void safeRequestsOnConnectionsThatServersHaveForgottenAreServedAllTheSame() throws Exception {
-        servers.forEach(Server::forgetAll);
-        clock.hold();
-        askAll("next", "GET", "/view");
-        clock.release();
-        assertEquals(SERVERS, answers("200"));
+    void idempotentRequestsOnStaleConnectionsAreServed() throws Exception {
+        servers.forEach(Server::makeAllStale);
+        clock.pause();
+        sendAll("next", "GET", "/view");
+        clock.resume();
+        assertEquals(SERVERS, countResponses("200"));
         assertEquals(SERVERS, ids(served).size());
-        assertTrue(lost.size() >= 1, "some went out on a connection that was dead");
+        assertTrue(readOnStale.size() >= 1, "some went out on a connection that was dead");
     }
 
     /** Nobody can tell whether they have run: they fail at once, and only they. */
     @Test
-    void unsafeRequestsOnConnectionsThatServersHaveForgottenFailAtOnceAndAreNotRepeated() throws Exception {
-        servers.forEach(Server::forgetAll);
-        clock.hold();
-        askAll("next", "POST", "/file");
-        clock.release();
-        int failed = answers("502");
+    void nonIdempotentRequestsOnStaleConnectionsFailAtOnceAndAreNotRetried() throws Exception {
+        servers.forEach(Server::makeAllStale);
+        clock.pause();
+        sendAll("next", "POST", "/file");
+        clock.resume();
+        int failed = countResponses("502");
         assertTrue(failed >= 1, "some went out on a connection that was dead");
-        assertEquals(failed, ids(lost).size(), "each that was lost, once");
+        assertEquals(failed, ids(readOnStale).size(), "each that was lost, once");
         assertEquals(SERVERS - failed, ids(served).size());
-        assertTrue(Collections.disjoint(ids(lost), ids(served)), "lost and sent again");
+        assertTrue(Collections.disjoint(ids(readOnStale), ids(served)), "lost and sent again");
         served.clear();
-        askAll("then", "POST", "/file");
-        assertEquals(SERVERS, answers("200"), "no kept connection is trusted now");
+        sendAll("then", "POST", "/file");
+        assertEquals(SERVERS, countResponses("200"), "no kept connection is trusted now");
         assertEquals(SERVERS, ids(served).size());
     }
 }
--- a/node/src/test/java/brackenbridge/net/StalledClientTest.java
+++ b/node/src/test/java/brackenbridge/net/StalledClientTest.java
@@ -1,9 +1,9 @@
 package brackenbridge.net;
 
 import static brackenbridge.net.ClientNode.OK;
-import static brackenbridge.net.ClientNode.answer;
-import static brackenbridge.net.ClientNode.file;
-import static brackenbridge.net.ClientNode.live;
+import static brackenbridge.net.ClientNode.fileRequest;
+import static brackenbridge.net.ClientNode.readResponse;
+import static brackenbridge.net.ClientNode.requestLive;
 import static brackenbridge.net.ClientNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,7 +25,7 @@
     void start() throws IOException {
         harness = new ClientNode();
         client = harness.connect();
-        live(client);
+        requestLive(client);
     }
 
     @AfterEach
@@ -36,12 +36,12 @@
     /** Lets the node's sweep see so often what has come, then this much time passes and no more. */
     private void stall(int sweeps, double ms) throws Exception {
         for (int i = 0; i < sweeps; i++) {
-            harness.clock.holdIn("Listener.sweep");
-            harness.clock.awaitHeld();
-            harness.clock.release();
+            harness.clock.pauseIn("Listener.sweep");
+            harness.clock.awaitPaused();
+            harness.clock.resume();
         }
         harness.clock.pass(ms);
-        harness.clock.stand();
+        harness.clock.freeze();
     }
 
     private void stall() throws Exception {
@@ -49,7 +49,7 @@
     }
 
     private void expect408() throws IOException {
-        String response = answer(client);
+        String response = readResponse(client);
         assertTrue(
                 response != null && response.startsWith("HTTP/1.1 408 ") && response.contains("Connection: close\r\n"),
                 response);
@@ -57,24 +57,24 @@
     }
 
     @Test
-    void inTheHead() throws Exception {
-        send(client, file("a", 9000, "").substring(0, 40));
+    void clientThatStopsInTheHeadGets408() throws Exception {
+        send(client, fileRequest("a", 9000, "").substring(0, 40));
         stall();
         expect408();
     }
 
     @Test
-    void inABodyThatCameQuicklyUntilThen() throws Exception {
-        send(client, file("a", 9000, BODY).substring(0, 55_000));
+    void clientThatStopsInAFastBodyGets408() throws Exception {
+        send(client, fileRequest("a", 9000, BODY).substring(0, 55_000));
         stall();
         expect408();
         assertEquals(0, harness.server.requests.size());
     }
 
     @Test
-    void inALongBodyThatIsOnItsWayToAServer() throws Exception {
-        String whole = file("a", 9000, BODY.repeat(3));
-        send(client, whole.substring(0, 150_000));
+    void clientThatStopsInAStreamedBodyGets408() throws Exception {
+        String request = fileRequest("a", 9000, BODY.repeat(3));
+        send(client, request.substring(0, 150_000));
         harness.server.connections.take();
         // The server needs a moment to take what has come; meanwhile its client is not asked for more.
         stall(10, 1900);
@@ -83,11 +83,11 @@
     }
 
     @Test
-    void requestsThatArePipelinedBehindAreNotBegun() throws Exception {
-        send(client, file("a", 9000, "a") + file("b", 9000, BODY).substring(0, 55_000));
-        harness.server.next();
-        harness.server.answers.add(OK);
-        assertTrue(answer(client).endsWith("done"));
+    void incompletePipelinedRequestIsNotForwarded() throws Exception {
+        send(client, fileRequest("a", 9000, "a") + fileRequest("b", 9000, BODY).substring(0, 55_000));
+        harness.server.nextRequest();
+        harness.server.responses.add(OK);
+        assertTrue(readResponse(client).endsWith("done"));
         stall();
         expect408();
         assertEquals(0, harness.server.requests.size());
--- a/node/src/test/java/brackenbridge/net/SystemCallsTest.java
+++ b/node/src/test/java/brackenbridge/net/SystemCallFailureTest.java
@@ -27,11 +27,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** System calls fail in the ways that Linux documents: what a client gets, whom it is blamed on, what stays counted. */
-class SystemCallsTest {
+class SystemCallFailureTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     private static final int ALWAYS = FaultySockets.ALWAYS;
     /** Failed accepts in a row: 0.9 s of the node's pauses, 5.6 s of Netty's, which the node's sweeps cut short. */
-    private static final int MANY = 150;
+    private static final int MANY_FAILURES = 150;
     /** A client waits so long for an accept: between the two. */
     private static final int ACCEPTED_MS = 4500;
 
@@ -80,16 +80,16 @@
 
     /** One line of the table. */
     private enum Row {
-        ACCEPT_ECONNABORTED(Call.ACCEPT, Errno.ECONNABORTED, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EINTR(Call.ACCEPT, Errno.EINTR, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EPROTO(Call.ACCEPT, Errno.EPROTO, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_ENETUNREACH(Call.ACCEPT, Errno.ENETUNREACH, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EMFILE(Call.ACCEPT, Errno.EMFILE, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EMFILE_KEPT(Call.ACCEPT, Errno.EMFILE, MANY, Have.KEPT, "file", 200, Blame.NONE),
-        ACCEPT_ENFILE(Call.ACCEPT, Errno.ENFILE, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_ENOBUFS(Call.ACCEPT, Errno.ENOBUFS, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_ENOMEM(Call.ACCEPT, Errno.ENOMEM, MANY, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_UNKNOWN(Call.ACCEPT, Errno.UNKNOWN, MANY, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ECONNABORTED(Call.ACCEPT, Errno.ECONNABORTED, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EINTR(Call.ACCEPT, Errno.EINTR, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EPROTO(Call.ACCEPT, Errno.EPROTO, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENETUNREACH(Call.ACCEPT, Errno.ENETUNREACH, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EMFILE(Call.ACCEPT, Errno.EMFILE, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EMFILE_KEPT(Call.ACCEPT, Errno.EMFILE, MANY_FAILURES, Have.KEPT, "file", 200, Blame.NONE),
+        ACCEPT_ENFILE(Call.ACCEPT, Errno.ENFILE, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENOBUFS(Call.ACCEPT, Errno.ENOBUFS, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENOMEM(Call.ACCEPT, Errno.ENOMEM, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_UNKNOWN(Call.ACCEPT, Errno.UNKNOWN, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
 
         SOCKET_EMFILE(Call.SOCKET, Errno.EMFILE, 1, Have.NONE, "file", 200, Blame.NONE),
         SOCKET_ENFILE(Call.SOCKET, Errno.ENFILE, 1, Have.NONE, "file", 200, Blame.NONE),
@@ -168,9 +168,9 @@
     @BeforeEach
     void start() throws Exception {
         server = new FakeServer();
-        sockets = new FaultySockets(server.dial());
+        sockets = new FaultySockets(server.address());
         Clock clock = Clock.system();
-        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.dial() + "\",\"health\":\"active\"}";
+        String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         node = new Node(
                 Config.parse(ConfigTest.TEXT.replace("\"hosts\":[]", "\"hosts\":[" + host + "]")),
                 clock,
@@ -199,7 +199,7 @@
                 + timeLeftMs + "\r\nContent-Length: 0\r\n\r\n";
         try {
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            String answer = FakeServer.message(client.getInputStream());
+            String answer = FakeServer.readMessage(client.getInputStream());
             return answer == null ? 0 : Integer.parseInt(answer.substring(9, 12));
         } catch (SocketException e) {
             return 0;
@@ -208,14 +208,14 @@
 
     private void awaitSockets(int clients) throws Exception {
         long start = System.nanoTime();
-        String held;
+        String counted;
         String open;
         do {
-            open = clients + " clients, " + sockets.openToServer() + " servers";
+            open = clients + " clients, " + sockets.openServerConnections() + " servers";
             Node.Snapshot now = snapshot();
-            held = now.clients() + " clients, " + now.servers() + " servers";
-        } while (!held.equals(open) && System.nanoTime() - start < 10_000_000_000L);
-        assertEquals(open, held, "sockets that are open, and that are counted");
+            counted = now.clients() + " clients, " + now.servers() + " servers";
+        } while (!counted.equals(open) && System.nanoTime() - start < 10_000_000_000L);
+        assertEquals(open, counted, "sockets that are open, and that are counted");
     }
 
     private Node.Snapshot snapshot() throws Exception {
@@ -250,9 +250,9 @@
 
     @ParameterizedTest
     @EnumSource(Row.class)
-    void whatAClientGetsWhenACallFails(Row row) throws Exception {
+    void failedCallHasItsDocumentedEffect(Row row) throws Exception {
         for (int i = 0; i < 6; i++) {
-            server.answers.add(OK);
+            server.responses.add(OK);
         }
         if (row.have == Have.KEPT) {
             try (Socket client = connect()) {
@@ -260,10 +260,10 @@
             }
             awaitSockets(0);
         }
-        sockets.fail(row.call, row.times, row.errno.error);
+        sockets.injectFault(row.call, row.times, row.errno.error);
         boolean avoided = avoidsServerWhile(row);
         assertEquals(row.blame == Blame.SERVER, avoided);
-        sockets.failNoMore();
+        sockets.clearFaults();
         awaitSockets(0);
         if (row.blame == Blame.NONE) {
             try (Socket client = connect()) {
@@ -274,9 +274,9 @@
     }
 
     @Test
-    void shortReadsLoseNothing() throws Exception {
-        sockets.readShort(1);
-        server.answers.add(OK);
+    void oneByteReadsLoseNothing() throws Exception {
+        sockets.limitReads(1);
+        server.responses.add(OK);
         try (Socket client = connect()) {
             assertEquals(200, status(client, "file", 5000));
         }
--- a/node/src/test/java/brackenbridge/net/channel/DescriptorBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/DescriptorBudgetTest.java
@@ -10,11 +10,11 @@
     @Test
     void anyLimitAdmitsClientsAndServers() {
         for (int limit : new int[] {64, 1024, 1 << 20, 300_000_000, Integer.MAX_VALUE}) {
-            DescriptorBudget s = new DescriptorBudget(limit);
-            assertTrue(s.hasRoomForClient() && s.hasRoomForServer(), "limit " + limit);
-            assertFalse(s.isCrowdedByClients(), "limit " + limit);
-            s.shareWithOtherProcess(true);
-            assertTrue(s.hasRoomForClient() && s.hasRoomForServer(), "half of limit " + limit);
+            DescriptorBudget budget = new DescriptorBudget(limit);
+            assertTrue(budget.hasRoomForClient() && budget.hasRoomForServer(), "limit " + limit);
+            assertFalse(budget.isCrowdedByClients(), "limit " + limit);
+            budget.shareWithOtherProcess(true);
+            assertTrue(budget.hasRoomForClient() && budget.hasRoomForServer(), "half of limit " + limit);
         }
     }
 }
--- a/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
@@ -33,7 +33,7 @@
 
     // Guards against a task that runs before the loop has polled again, in a turn that takes longer than its delay.
     @Test
-    void whatHasComeIsReadBeforeTheTaskRunsHoweverLongTheTurnTakes() throws Exception {
+    void pendingBytesAreReadBeforeTheTaskRunsInASlowTurn() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         Channel server = new ServerBootstrap()
--- a/node/src/test/java/brackenbridge/net/client/BodyPaceTest.java
+++ b/node/src/test/java/brackenbridge/net/client/BodyRateMonitorTest.java
@@ -6,31 +6,31 @@
 import org.junit.jupiter.api.Test;
 
 /** A body is too slow if it stays behind its pace or silent for too long. */
-class BodyPaceTest {
+class BodyRateMonitorTest {
     private static final double CHECK_MS = 100;
-    private static final int BYTES_AT_PACE = 3200;
+    private static final int BYTES_AT_MIN_RATE = 3200;
 
-    private final BodyRateMonitor pace = new BodyRateMonitor(0);
+    private final BodyRateMonitor monitor = new BodyRateMonitor(0);
     private double now;
 
     /** One check of a sweep in which these bytes have come since the one before. */
     private boolean isTooSlowWith(int bytes) {
         now += CHECK_MS;
-        pace.onBytes(bytes);
-        boolean tooSlow = pace.isTooSlow(now);
-        pace.endCheck(now);
+        monitor.onBytes(bytes);
+        boolean tooSlow = monitor.isTooSlow(now);
+        monitor.endCheck(now);
         return tooSlow;
     }
 
     @Test
-    void bodyAtItsPaceIsNeverTooSlow() {
+    void bodyAtTheMinimumRateIsNeverTooSlow() {
         for (int i = 0; i < 1000; i++) {
-            assertFalse(isTooSlowWith(BYTES_AT_PACE));
+            assertFalse(isTooSlowWith(BYTES_AT_MIN_RATE));
         }
     }
 
     @Test
-    void bodyThatIsSilentIsTooSlowBehindTheLimit() {
+    void silentBodyIsTooSlowAfterTheLimit() {
         for (double waited = CHECK_MS; waited <= BodyRateMonitor.MAX_LAG_MS; waited += CHECK_MS) {
             assertFalse(isTooSlowWith(0));
         }
@@ -38,8 +38,8 @@
     }
 
     @Test
-    void bodyThatWasQuickAtFirstMayNotBeSilentForLonger() {
-        assertFalse(isTooSlowWith(100 * BYTES_AT_PACE));
+    void fastStartDoesNotExtendTheLimitOfSilence() {
+        assertFalse(isTooSlowWith(100 * BYTES_AT_MIN_RATE));
         for (double waited = CHECK_MS; waited <= BodyRateMonitor.MAX_LAG_MS; waited += CHECK_MS) {
             assertFalse(isTooSlowWith(0));
         }
@@ -47,10 +47,10 @@
     }
 
     @Test
-    void bodyAtHalfItsPaceIsTooSlowAfterTwiceTheLimit() {
+    void bodyAtHalfTheMinimumRateIsTooSlowAfterTwiceTheLimit() {
         for (double waited = CHECK_MS; waited <= 2 * BodyRateMonitor.MAX_LAG_MS; waited += CHECK_MS) {
-            assertFalse(isTooSlowWith(BYTES_AT_PACE / 2));
+            assertFalse(isTooSlowWith(BYTES_AT_MIN_RATE / 2));
         }
-        assertTrue(isTooSlowWith(BYTES_AT_PACE / 2));
+        assertTrue(isTooSlowWith(BYTES_AT_MIN_RATE / 2));
     }
 }
--- a/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
+++ b/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
@@ -20,7 +20,7 @@
     private static final class FakeInput implements ClientPresence.InputState {
         private boolean ending;
         private boolean discarding;
-        private boolean room = true;
+        private boolean hasRoom = true;
         private int presentCount;
 
         @Override
@@ -35,7 +35,7 @@
 
         @Override
         public boolean hasRoomForPresenceRead() {
-            return room;
+            return hasRoom;
         }
 
         @Override
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void clientIsHiddenUntilATurnInWhichNothingIsRead() {
+    void clientIsUnknownUntilATurnInWhichNothingIsRead() {
         read(ReceiveBuffers.MAX_READS_PER_TURN);
         assertFalse(presence.isPresentNow(), "more may be at the socket");
         presence.onBytesRead();
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void clientThatIsPresentIsNeverHiddenTooLong() {
+    void presentClientIsNeverUnknownTooLong() {
         read(1);
         clock.pass(10_000);
         assertTrue(presence.isPresent(NEVER));
@@ -156,8 +156,8 @@
     }
 
     @Test
-    void clientStaysHiddenWithoutRoomForABoundedRead() {
-        input.room = false;
+    void clientStaysUnknownWithoutRoomForABoundedRead() {
+        input.hasRoom = false;
         presence.setReading(false);
         presence.startChecking();
         pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void connectionThatEndsIsCheckedNoMore() {
+    void endingConnectionIsNotCheckedAnyMore() {
         presence.setReading(false);
         presence.startChecking();
         input.ending = true;
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void connectionThatDiscardsItsInputIsCheckedNoMore() {
+    void discardingConnectionIsNotCheckedAnyMore() {
         presence.setReading(false);
         presence.startChecking();
         input.discarding = true;
--- a/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void nobodyGivesUpAtTheLimit() {
+    void noConnectionGivesUpAtTheLimit() {
         budget.enforce(List.of(new FakeHolder("a", RequestMemoryBudget.MAX_BUFFERED_BYTES)));
         assertEquals(List.of(), gaveUp);
         assertEquals(0, counters.of(Counter.CLIENTS_SHED_FOR_MEMORY));
     }
 
     @Test
-    void theLargestGivesUpFirstAndAloneIfThatIsEnough() {
+    void onlyTheLargestGivesUpIfThatIsEnough() {
         budget.enforce(List.of(
                 new FakeHolder("small", MIB), new FakeHolder("large", 5 * MIB), new FakeHolder("medium", 3 * MIB)));
         assertEquals(List.of("large"), gaveUp);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void furtherOnesGiveUpUntilTheBudgetIsKept() {
+    void connectionsGiveUpUntilTheBudgetIsKept() {
         budget.enforce(List.of(
                 new FakeHolder("third", 4 * MIB), new FakeHolder("first", 7 * MIB), new FakeHolder("second", 6 * MIB)));
         assertEquals(List.of("first", "second"), gaveUp);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void theOldestOfEqualsGivesUp() {
+    void oldestOfEqualReservationsGivesUp() {
         budget.enforce(List.of(new FakeHolder("old", 5 * MIB), new FakeHolder("new", 5 * MIB)));
         assertEquals(List.of("old"), gaveUp);
     }
