--- a/node/src/main/java/brackenbridge/net/client/BodyRateMonitor.java
+++ b/node/src/main/java/brackenbridge/net/client/BodyRateMonitor.java
@@ -1,14 +1,14 @@
 package brackenbridge.net.client;
 
-/** Measures how far a request's body is behind the pace that a client must keep. */
+/** Measures how far a request's body is behind the minimum rate at which a client must send it. */
 final class BodyRateMonitor {
-    /** How far a body may be behind its pace, and how long it may stay silent. */
+    /** Maximum lag of a body behind its minimum rate, and maximum time without any byte. */
     static final double MAX_LAG_MS = 2500;
 
     private static final double MIN_RATE_BYTES_PER_MS = 32;
 
     private double lagMs;
-    /** How long nothing of the body has come: a client that was quick at first may have stopped. */
+    /** Time since the last byte of the body; detects a client that was fast at first and then stopped. */
     private double silentMs;
 
     private double checkedAtMs;
@@ -18,17 +18,17 @@
         checkedAtMs = nowMs;
     }
 
-    /** Bytes have come on the connection. */
+    /** Counts bytes received on the connection. */
     void onBytes(int bytes) {
         bytesSinceCheck += bytes;
     }
 
-    /** The first bytes of a request have come. */
+    /** Resets the lag when the first bytes of a request are received. */
     void startRequest() {
         lagMs = 0;
     }
 
-    /** Measures the time since the last check; whether the body is too slow. */
+    /** Adds the time since the last check to the lag; returns whether the body is too slow. */
     boolean isTooSlow(double nowMs) {
         double elapsedMs = nowMs - checkedAtMs;
         lagMs = Math.max(-MAX_LAG_MS, lagMs + elapsedMs - bytesSinceCheck / MIN_RATE_BYTES_PER_MS);
@@ -36,12 +36,12 @@
         return lagMs > MAX_LAG_MS || silentMs > MAX_LAG_MS;
     }
 
-    /** No body was waited for since the last check. */
+    /** Resets the silence when no body was awaited since the last check. */
     void resetSilence() {
         silentMs = 0;
     }
 
-    /** The next check measures from here. */
+    /** Ends a check: the next one measures from this time. */
     void endCheck(double nowMs) {
         bytesSinceCheck = 0;
         checkedAtMs = nowMs;
--- a/node/src/main/java/brackenbridge/net/client/ClientBodySink.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientBodySink.java
@@ -8,7 +8,7 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
 
-/** Writes the body of a streamed response as its client takes it. */
+/** Writes the body of a streamed response at the rate at which its client reads it. */
 final class ClientBodySink implements BodyStream.Sink {
     private final ClientConnection connection;
     private final ResponseWriter writer;
@@ -17,7 +17,7 @@
     private final boolean lengthUnknown;
     private final boolean close;
 
-    /** Writes in chunks or as they come; {@code close} ends the connection behind the body. */
+    /** Creates a sink that writes chunked or raw bytes; {@code close} closes the connection after the body. */
     ClientBodySink(
             ClientConnection connection,
             ResponseWriter writer,
@@ -61,8 +61,8 @@
                             f -> writer.onWritten(f.isSuccess() ? ResponseEnd.COMPLETE : ResponseEnd.ABANDONED, close));
             return;
         }
-        // Short of its length or without its last chunk. Where the body's end is the connection's, only a reset tells
-        // the client.
+        // The body ends before its declared length or without its last chunk. If the body is delimited by the end of
+        // the connection, only a reset tells the client that it is truncated.
         if (!chunked && lengthUnknown) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
--- a/node/src/main/java/brackenbridge/net/client/ClientConnection.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientConnection.java
@@ -9,7 +9,7 @@
 import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.SocketChannel;
 
-/** One client's connection, on which one request is served at a time and in order; see {@link ConnectionState}. */
+/** A client's connection, which serves its requests one at a time and in order; see {@link ConnectionState}. */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements RequestMemoryBudget.Holder {
     private final ClientContext context;
     private final Channel channel;
@@ -17,7 +17,7 @@
     private final ResponseWriter writer;
     private final CurrentRequest request;
     private ConnectionState state = ConnectionState.READING;
-    /** When the state was entered, or the client last took or sent something that counts as progress. */
+    /** When the state was entered, or when the client last read or sent something that counts as progress. */
     private double stateSinceMs;
 
     private boolean hasSentRequest;
@@ -43,7 +43,7 @@
         return writer;
     }
 
-    /** When the state was entered, or progress was last made in it. */
+    /** Time at which the state was entered, or progress was last made in it. */
     double stateSinceMs() {
         return stateSinceMs;
     }
@@ -58,7 +58,7 @@
         return state == ConnectionState.READING;
     }
 
-    /** Whether a part of a request has come and the rest has not. */
+    /** Whether a request has been received in part. */
     boolean isReadingRequest() {
         return state == ConnectionState.READING && reader.hasBegunRequest();
     }
@@ -68,7 +68,7 @@
         return state == ConnectionState.READING && reader.isEmpty();
     }
 
-    /** Whether the connection has been ended by the node or has ended. */
+    /** Whether the connection is closed, or being closed by the node. */
     boolean isEnding() {
         return state == ConnectionState.LINGERING || state == ConnectionState.CLOSED;
     }
@@ -78,12 +78,12 @@
         return channel.isActive();
     }
 
-    /** Closes the socket at once. */
+    /** Closes the socket immediately. */
     void close() {
         channel.close();
     }
 
-    /** The client has made progress in the present state. */
+    /** Records that the client has made progress in the current state. */
     void markProgress() {
         stateSinceMs = context.clock().nowMs();
     }
@@ -93,31 +93,34 @@
         return reservedBytes;
     }
 
-    /** Sets the bytes of requests that are buffered for this connection. */
+    /** Sets the number of request bytes that are buffered for this connection. */
     void reserveBytes(int bytes) {
         context.memory().adjustReservation(reservedBytes, bytes);
         reservedBytes = bytes;
     }
 
     /**
-     * Whether its descriptor may be used for others: it is idle, or its last response has been out for a while.
+     * Whether it may be closed to free its descriptor: it is idle, or its last response was written a while ago.
      *
-     * @param havingSentRequest whether connections are wanted that have sent a request, or those that never have
+     * @param havingSentRequest true to select connections that have sent a request, false for those that never have
      */
     boolean canBeShed(boolean havingSentRequest, double nowMs) {
         boolean idle = isIdle() && hasSentRequest == havingSentRequest;
-        // A close over more bytes than are discarded would reset the connection before its last response is read.
+        // Closing a socket with unread bytes would reset the connection before the client has read its last response.
         boolean over = state == ConnectionState.LINGERING && !havingSentRequest && !reader.hasDiscardedTooMuch();
         boolean longEnough = nowMs - stateSinceMs > ConnectionTimeouts.MIN_IDLE_BEFORE_CLOSE_MS;
         return (idle || over) && longEnough && channel.isActive();
     }
 
-    /** Reads what has come at the socket: a connection may seem idle because its turn to be read has not come. */
+    /**
+     * Reads the bytes that are available at the socket: a connection may only seem idle because the event loop has not
+     * read it yet.
+     */
     void readAvailable() {
         ((AbstractNioChannel) channel).unsafe().read();
     }
 
-    /** Ends the connection, unless a request turns out to have come. */
+    /** Closes the connection if it is idle, unless a request is found to have arrived. */
     void endIfIdle() {
         readAvailable();
         if (isIdle() && channel.isActive()) {
@@ -129,12 +132,13 @@
     public void channelActive(ChannelHandlerContext ctx) {
         context.registry().add(this);
         reader.onConnected();
-        // At once, not as the channel's last event: what is still to begin for this client comes before that.
+        // Runs as soon as the channel closes, not with its channelInactive event: attempts for this client could still
+        // start before that event.
         channel.closeFuture().addListener(f -> onDisconnected());
         context.registry().makeRoomForNext();
     }
 
-    /** The connection has ended; a client that only ends its sending counts as disconnected as well. */
+    /** Handles the end of the connection; a half-closed connection counts as disconnected as well. */
     private void onDisconnected() {
         context.registry().remove(this);
         reader.discardUnread();
@@ -165,7 +169,7 @@
         writer.onWritable();
     }
 
-    /** Reads; if the node itself fails at that, no request that was read stays without a response. */
+    /** Runs a read step; if the node itself fails in it, the request that was being read still gets a response. */
     void runGuarded(Runnable reading) {
         try {
             reading.run();
@@ -175,15 +179,15 @@
         }
     }
 
-    /** The first bytes of a request have come. */
+    /** Handles the first bytes of a request. */
     void onFirstBytes() {
-        // The time of the first head counts from the connection's begin.
+        // The timeout of the first head runs from the start of the connection.
         if (hasSentRequest) {
             markProgress();
         }
     }
 
-    /** The head of a request is complete. */
+    /** Handles the complete head of a request. */
     void onRequestHead(boolean isHttp11, boolean isKeptAlive) {
         hasSentRequest = true;
         request.onHead(isHttp11, isKeptAlive);
@@ -198,13 +202,13 @@
         return requestId;
     }
 
-    /** The open request ends as if its client had disconnected, and the connection can say why. */
+    /** Ends the open request as if its client had disconnected; the connection can still send a reason. */
     void withdrawRequest() {
         enterState(ConnectionState.READING);
         request.withdraw();
     }
 
-    /** The open request, if there is one, gets its response; returns its id, or a negative one. */
+    /** Begins the response to the open request, if any; returns its id, or a negative value. */
     long beginResponse(double nowMs) {
         stateSinceMs = nowMs;
         reader.upload().onResponse();
@@ -213,7 +217,7 @@
         return requestId;
     }
 
-    /** All of a response has been written, or never will be. */
+    /** Handles the end of writing a response, complete or not. */
     void onResponseWritten(ResponseEnd end, boolean close) {
         enterState(ConnectionState.READING);
         stateSinceMs = context.clock().nowMs();
@@ -227,7 +231,7 @@
         }
     }
 
-    /** The next request is decoded; what is taken out of the bytes that wait makes room for more. */
+    /** Decodes the next request, then adjusts reading: decoded bytes free buffer space for more. */
     private void readNext() {
         runGuarded(() -> {
             reader.readNext();
@@ -236,8 +240,8 @@
     }
 
     /**
-     * Ends the output. Closing over unread bytes would reset the connection before the client has read its response, so
-     * these are read and discarded; a client sends a request that crosses this once more.
+     * Shuts down the output. Closing a socket with unread bytes would reset the connection before the client has read
+     * its response, so these bytes are read and discarded; a client resends a request that crosses the close.
      */
     private void startLingering() {
         enterState(ConnectionState.LINGERING);
@@ -262,22 +266,24 @@
         reserveBytes(0);
     }
 
-    /** Whether an attempt may begin for this client. */
+    /** Whether an attempt may start for this client. */
     boolean isClientPresent() {
-        // A body that is still to come shows its client when the request opens: its last byte is not passed on before
-        // the client has been seen again.
+        // While a body is still being received, the client counts as present from the opening of the request: the last
+        // byte is not forwarded before the client has been confirmed again.
         boolean uploading = reader.upload().isActive();
         return reader.presence().isPresent(uploading ? stateSinceMs : Double.NEGATIVE_INFINITY);
     }
 
-    /** Whether the client can't be seen and won't be soon: an attempt that has not begun for it never begins. */
+    /**
+     * Whether the client's presence has been unknown for too long: no further attempt may start for the open request.
+     */
     boolean hasPresenceExpired(double nowMs) {
         return request.isOpen()
                 && reader.upload().awaitsPresence()
                 && reader.presence().isUnknownTooLong(nowMs, stateSinceMs);
     }
 
-    /** Ends what takes too long; called several times a second. */
+    /** Enforces the timeouts of the connection; called several times a second. */
     void sweep(double nowMs) {
         if (hasPresenceExpired(nowMs)) {
             context.events().raise(new Event.ClientPresenceUnknown(request.id()));
--- a/node/src/main/java/brackenbridge/net/client/ClientContext.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientContext.java
@@ -5,18 +5,18 @@
 import brackenbridge.net.channel.EventSink;
 
 /**
- * What all client connections of a node share.
+ * The components that all client connections of a node share.
  *
- * @param clock the time that every limit is measured on
- * @param events where requests, ends of responses and faults are reported
- * @param counters what is counted for operators
+ * @param clock clock of all timeouts
+ * @param events receives requests, ends of responses and faults
+ * @param counters counters for operators
  * @param registry the open connections
- * @param openRequests the requests that are open
- * @param validator the check of each request by the settings in force
- * @param health the paths that the node answers itself
- * @param memory the bound on buffered bytes of requests
- * @param closePolicy how the node's life cycle ends connections
- * @param timeouts how long a connection may take for each of its states
+ * @param openRequests the open requests
+ * @param validator validates each request by the settings in force
+ * @param health the health paths that the node serves itself
+ * @param memory the limit on buffered bytes of requests
+ * @param closePolicy when connections are closed because the node drains or stops
+ * @param timeouts the timeouts of each connection state
  */
 record ClientContext(
         Clock clock,
--- a/node/src/main/java/brackenbridge/net/client/ClientPresence.java
+++ b/node/src/main/java/brackenbridge/net/client/ClientPresence.java
@@ -7,47 +7,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells whether the client of a connection is known to be still connected. No attempt begins for a client that has not
- * been seen within {@link #MAX_PRESENCE_AGE_MS}.
+ * Tracks whether the client of a connection is known to be still connected. No attempt starts for a client whose
+ * presence has not been confirmed within {@link #MAX_PRESENCE_AGE_MS}.
  *
- * <p>Java reports the end of a connection only as the result of a read, and a read returns the bytes in front of the
- * end first. So a client is known to be present only when all that it has sent was read and no end was found behind it.
- * While reading continues, this holds after a turn of the event loop whose reads did not use up their limit, or when
- * nothing was read between two turns. While reading is paused, because the client has sent too much ahead, one bounded
- * read every {@link #PRESENCE_CHECK_INTERVAL_MS} takes its place: if it finds nothing, the client is present.
+ * <p>Java reports the end of a connection only as the result of a read, after all bytes that precede it. A client is
+ * therefore known to be present only once everything it has sent was read and no end of stream followed. While reading
+ * is active, this holds after a turn of the event loop whose reads stayed below their limit, or when nothing was read
+ * between two turns. While reading is paused, because the client has sent too much ahead, a bounded read every
+ * {@link #PRESENCE_CHECK_INTERVAL_MS} replaces it: if it finds nothing, the client is present.
  *
  * <pre>
- *                 all has been read, no end found
+ *                 all bytes read, no end of stream
  *             +-------------------------------------+
  *             |                                     v
- *          HIDDEN                                PRESENT     isPresent: at once
+ *          UNKNOWN                               PRESENT     isPresent: immediately
  *             ^                                     |
  *             +-------------------------------------+
  *                 bytes are read; reading pauses or resumes
  *
- *          HIDDEN: isPresent for MAX_PRESENCE_AGE_MS from the last PRESENT on
+ *          UNKNOWN: isPresent for MAX_PRESENCE_AGE_MS after the last PRESENT
  * </pre>
  */
 final class ClientPresence {
-    /** The interval of the bounded reads of a connection whose reading is paused. */
+    /** Interval of the bounded reads while reading is paused. */
     static final long PRESENCE_CHECK_INTERVAL_MS = 50;
-    /** Bytes that bounded reads may add to what a client may have sent ahead. */
+    /** Bytes that bounded reads may add beyond the read-ahead limit. */
     static final int PRESENCE_READ_BYTES = 64 * 1024;
-    /** A little under the 100 ms that are promised to servers. */
+    /** Slightly less than the 100 ms that are guaranteed to servers. */
     static final double MAX_PRESENCE_AGE_MS = 80;
 
-    /** What a connection does with the bytes that are read. */
+    /** State of a connection's input, as far as presence checks depend on it. */
     interface InputState {
         /** Whether the connection is ending or has ended. */
         boolean isEnding();
 
-        /** Whether all further bytes are discarded. */
+        /** Whether all further input is discarded. */
         boolean isDiscarding();
 
-        /** Whether a bounded read may add to the bytes that wait. */
+        /** Whether the buffer has room for a bounded read. */
         boolean hasRoomForPresenceRead();
 
-        /** The client has been seen. */
+        /** Called when the client is known to be present. */
         void onPresent();
     }
 
@@ -55,17 +55,19 @@
     private final Clock clock;
     private final InputState input;
 
-    /** Reading is paused, and bounded reads take its place. */
+    /** Whether reading is paused and replaced by bounded reads. */
     private boolean boundedReadsActive;
-    /** The latest bounded read has found nothing yet. */
+    /** Whether the latest bounded read has found nothing so far. */
     private boolean lastReadWasEmpty;
 
     private int readsInTurn;
-    /** Grows with each read, and whenever reading resumes. */
+    /** Incremented by each read and whenever reading resumes. */
     private int readCount;
 
     private boolean nextTurnScheduled;
-    /** All that had come by the latest turn of the event loop is read, and no end was found. */
+    /**
+     * Whether all bytes that had arrived by the latest turn of the event loop were read and no end of stream was found.
+     */
     private boolean present;
 
     private double lastPresentMs = Double.NEGATIVE_INFINITY;
@@ -78,22 +80,22 @@
         unknownSinceMs = nowMs;
     }
 
-    /** Whether the client has been seen within the limit, or since the time {@code assumedPresentMs} was. */
+    /** Whether the client was present within the limit; it is assumed to have been so at {@code assumedPresentMs}. */
     boolean isPresent(double assumedPresentMs) {
         return present || clock.nowMs() - Math.max(lastPresentMs, assumedPresentMs) <= MAX_PRESENCE_AGE_MS;
     }
 
-    /** Whether the client is known to be present at this moment. */
+    /** Whether the client is currently known to be present. */
     boolean isPresentNow() {
         return present;
     }
 
-    /** Whether the client has been hidden for longer than the limit, counted from {@code fromMs} at the earliest. */
+    /** Whether presence has been unknown for longer than the limit, counted from {@code fromMs} at the earliest. */
     boolean isUnknownTooLong(double nowMs, double fromMs) {
         return !present && nowMs - Math.max(unknownSinceMs, fromMs) > MAX_PRESENCE_AGE_MS;
     }
 
-    /** Bytes have been read: an end may be behind them. */
+    /** Handles a read that returned bytes: an end of stream may follow them. */
     void onBytesRead() {
         readsInTurn++;
         readCount++;
@@ -101,7 +103,7 @@
         markUnknown();
     }
 
-    /** The reads of this turn of the event loop are done. */
+    /** Handles the end of this event loop turn's reads. */
     void onReadComplete() {
         boolean allRead = readsInTurn < ReceiveBuffers.MAX_READS_PER_TURN;
         readsInTurn = 0;
@@ -129,7 +131,7 @@
         }
     }
 
-    /** Begins the bounded reads of a connection whose reading is paused. */
+    /** Starts the bounded reads of a connection whose reading is paused. */
     void startChecking() {
         if (!boundedReadsActive) {
             boundedReadsActive = true;
@@ -137,7 +139,7 @@
         }
     }
 
-    /** Protects servers from requests of a client that disconnected while its connection was not read. */
+    /** Guards servers against requests of a client that disconnected while reading was paused. */
     private void checkPresence() {
         boundedReadsActive =
                 !input.isEnding() && !input.isDiscarding() && !channel.config().isAutoRead() && channel.isActive();
@@ -152,7 +154,7 @@
         }
     }
 
-    /** If nothing is read by the next turn of the event loop, nothing was left. */
+    /** Marks the client present if nothing is read by the next turn of the event loop: then nothing was left. */
     private void checkNextTurn() {
         if (!nextTurnScheduled) {
             nextTurnScheduled = true;
--- a/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionAcceptor.java
@@ -19,30 +19,30 @@
 import java.util.function.Consumer;
 
 /**
- * The socket that accepts clients. Other processes of this node may listen at the same address; closing it rejects no
- * client that the kernel has accepted already.
+ * The listening socket. Other processes of this node may listen on the same address; closing it drops no connection
+ * that the kernel has already accepted.
  */
 public final class ConnectionAcceptor {
-    /** The selector needs a turn to let go of the channel; until then closing it would only mark it. */
+    /** The selector needs a turn to deregister the channel; a close before that would not take effect immediately. */
     private static final long DEREGISTRATION_DELAY_MS = 2;
 
-    /** Pauses while the backlog is emptied, so a node that can't accept closes after a quarter of a second. */
+    /** Maximum pauses while the backlog is emptied: a node that can't accept closes after a quarter of a second. */
     private static final int MAX_EMPTYING_PAUSES = 50;
 
     /**
-     * What the acceptor does at its socket.
+     * The system calls that the acceptor makes on its socket.
      *
-     * @param accept takes the next connection
-     * @param steer directs new connections to the process that listens beside this one
+     * @param accept accepts the next connection
+     * @param steer directs new connections to the successor process that listens on the same address
      */
     public record Calls(SocketCalls.AcceptCall accept, SocketCalls.SteerCall steer) {}
 
-    /** The descriptors that clients may take. */
+    /** The descriptors that are available to clients. */
     public interface ClientRoom {
-        /** How many more clients fit. */
+        /** The number of further client connections that fit. */
         int freeSlots();
 
-        /** Closes something that is idle. */
+        /** Closes an idle connection. */
         void makeRoom();
     }
 
@@ -59,12 +59,12 @@
     private final AcceptRecovery recovery;
     private boolean steeringToSuccessor;
     private boolean closing;
-    /** Since when clients may wait in the backlog; not a number if it was empty at the last accept. */
+    /** Time since which clients may wait in the backlog; NaN if it was empty at the last accept. */
     private double waitingSinceMs = Double.NaN;
 
     /**
-     * Listens at the address; fails if it can't. When an accept fails for lack of descriptors or buffers, room is
-     * made.
+     * Listens on the address; throws if that fails. When an accept fails for lack of descriptors or buffers, an idle
+     * connection is closed.
      */
     public ConnectionAcceptor(
             ServerBootstrap bootstrap,
@@ -94,24 +94,24 @@
                 .channel();
     }
 
-    /** How long a client may have waited in the backlog before it was accepted, at the most; in milliseconds. */
+    /** Upper bound on the time that a client waited in the backlog before it was accepted, in milliseconds. */
     public static double maxBacklogWaitMs(Channel client) {
         Double waitMs = client.attr(BACKLOG_WAIT_MS).get();
         return waitMs == null ? 0 : waitMs;
     }
 
-    /** Clients may wait in the backlog from now on, if they don't already. */
+    /** Records that clients may wait in the backlog from now on. */
     private void onBacklogNotEmpty() {
         waitingSinceMs = Double.isNaN(waitingSinceMs) ? clock.nowMs() : waitingSinceMs;
     }
 
-    /** A client has been accepted; it has waited no longer than the backlog was not empty. */
+    /** Records the backlog wait of an accepted client: at most the time since the backlog was last empty. */
     private void markWait(Channel client) {
         onBacklogNotEmpty();
         client.attr(BACKLOG_WAIT_MS).set(clock.nowMs() - waitingSinceMs);
     }
 
-    /** Notes with each client how long the backlog had not been empty when it was accepted. */
+    /** Accepts connections and records with each client an upper bound on its backlog wait. */
     private final class BacklogChannel extends NioServerSocketChannel {
         BacklogChannel(ServerSocketChannel socket) {
             super(socket);
@@ -120,8 +120,8 @@
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
             if (!accepted.isEmpty() && accepted.size() >= room.freeSlots()) {
-                // Those accepted in this turn are counted only after it: more would take the descriptors that their
-                // own requests need towards servers.
+                // Connections accepted in this turn are counted only after it: accepting more would take the
+                // descriptors that their requests need for connections to servers.
                 onBacklogNotEmpty();
                 return 0;
             }
@@ -129,7 +129,7 @@
             try {
                 client = accept.acceptNext(this, socket);
             } catch (IOException e) {
-                // Clients that the failed accept leaves in the backlog wait from now on.
+                // The failed accept leaves clients in the backlog.
                 onBacklogNotEmpty();
                 throw e;
             }
@@ -143,22 +143,22 @@
         }
     }
 
-    /** The address that it listens at. */
+    /** The address that the socket listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Whether new connections are to come here. */
+    /** Whether this socket is to receive new connections. */
     public boolean isOpen() {
         return !steeringToSuccessor && !closing;
     }
 
-    /** Whether it has been told to close, and clients may still wait in its backlog. */
+    /** Whether it is being closed and clients may still wait in its backlog. */
     public boolean isEmptyingBacklog() {
         return closing && socket.isOpen();
     }
 
-    /** Runs this after a delay in milliseconds, unless the socket has been told to close by then. */
+    /** Runs the action after a delay in milliseconds, unless the socket is being closed by then. */
     void scheduleIfOpen(Runnable action, long delayMs) {
         channel.eventLoop()
                 .schedule(
@@ -171,7 +171,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Accepts clients, or lets them wait in the backlog. */
+    /** Resumes or pauses accepting; while it is paused, clients wait in the backlog. */
     public void setAccepting(boolean on) {
         if (closing) {
             return;
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Leaves new connections to the process that listens beside this one, and still accepts those whose handshake has
-     * begun. Where the system can't do that, accepts no more clients.
+     * Directs new connections to the successor process, and still accepts those whose handshake has begun. If the
+     * system does not support that, stops accepting.
      */
     public void steerToSuccessor() {
         if (steeringToSuccessor || closing) {
@@ -196,14 +196,15 @@
 
     private void onSteeringDone(Void done, Throwable failure) {
         if (failure != null) {
-            warn.accept("new connections can't be left to the new process alone: " + failure);
+            warn.accept(
+                    "can't direct new connections to the successor process, closing the listening socket: " + failure);
             close();
         }
     }
 
     /**
-     * Accepts no more clients, for good. Closing a listening socket resets all that the kernel has queued there, so the
-     * queue is emptied first, with nothing between the last accept and the close.
+     * Stops accepting permanently. Closing a listening socket resets all connections that the kernel has queued on it,
+     * so the backlog is emptied first, and the close follows the last accept immediately.
      */
     public void close() {
         if (closing) {
@@ -217,7 +218,10 @@
         channel.eventLoop().schedule(() -> emptyBacklogAndClose(pausesLeft), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Accepts all that wait and closes; an accept that fails is tried again, after this many pauses at most. */
+    /**
+     * Accepts all clients in the backlog and closes the socket; failed accepts are retried after at most this many
+     * pauses.
+     */
     private void emptyBacklogAndClose(int pausesLeft) {
         AcceptBackoff backoff = new AcceptBackoff();
         while (true) {
--- a/node/src/main/java/brackenbridge/net/client/ConnectionRegistry.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionRegistry.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The open client connections, and whether further ones are accepted: with no descriptor left they wait. */
+/** The open client connections. Pauses accepting while no descriptor is left for further ones. */
 final class ConnectionRegistry {
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final DescriptorBudget descriptors;
@@ -17,10 +17,10 @@
     private ConnectionAcceptor acceptor;
 
     /**
-     * With no connection yet.
+     * Creates an empty registry.
      *
-     * @param makeRoom is to close something that is idle when no client connection fits any more
-     * @param onPaused runs when there was nothing to close, and further clients wait
+     * @param makeRoom closes an idle connection when no further client connection fits
+     * @param onPaused runs when nothing could be closed and accepting has been paused
      */
     ConnectionRegistry(DescriptorBudget descriptors, Counters counters, Runnable makeRoom, Runnable onPaused) {
         this.descriptors = descriptors;
@@ -29,7 +29,7 @@
         this.onPaused = onPaused;
     }
 
-    /** Sets the acceptor that is paused and resumed here. */
+    /** Sets the acceptor that this registry pauses and resumes. */
     void setAcceptor(ConnectionAcceptor newAcceptor) {
         acceptor = newAcceptor;
     }
@@ -44,21 +44,21 @@
         return List.copyOf(connections);
     }
 
-    /** Registers a connection that has been accepted. */
+    /** Adds an accepted connection. */
     void add(ClientConnection connection) {
         counters.count(Counter.CLIENTS_ACCEPTED);
         descriptors.addClients(1);
         connections.add(connection);
     }
 
-    /** Removes a connection that has ended. */
+    /** Removes a closed connection. */
     void remove(ClientConnection connection) {
         connections.remove(connection);
         descriptors.addClients(-1);
         resumeAccepting();
     }
 
-    /** Makes room for the next client; with nothing idle to shed, clients wait in the backlog. */
+    /** Frees a descriptor for the next client; if no idle connection can be shed, accepting is paused. */
     void makeRoomForNext() {
         if (!descriptors.hasRoomForClient()) {
             makeRoom.run();
@@ -69,12 +69,12 @@
         }
     }
 
-    /** Runs this after a delay in milliseconds, unless nothing is accepted any more. */
+    /** Runs the action after a delay in milliseconds, unless the acceptor is being closed by then. */
     void scheduleIfAccepting(Runnable action, long delayMs) {
         acceptor.scheduleIfOpen(action, delayMs);
     }
 
-    /** Accepts clients again if one more fits; whether it does. */
+    /** Resumes accepting if one more client fits; returns whether it does. */
     boolean resumeAccepting() {
         if (acceptor != null && descriptors.hasRoomForClient()) {
             acceptor.setAccepting(true);
@@ -83,21 +83,21 @@
         return false;
     }
 
-    /** Leaves new connections to the process that listens beside this one. */
+    /** Directs new connections to the successor process. */
     void steerNewConnections() {
         if (acceptor != null) {
             acceptor.steerToSuccessor();
         }
     }
 
-    /** Accepts no more clients, for good. */
+    /** Stops accepting permanently. */
     void stopAccepting() {
         if (acceptor != null) {
             acceptor.close();
         }
     }
 
-    /** Whether clients that the kernel has accepted are still being taken after {@link #stopAccepting}. */
+    /** Whether the backlog is still being emptied after {@link #stopAccepting}. */
     boolean isEmptyingBacklog() {
         return acceptor != null && acceptor.isEmptyingBacklog();
     }
--- a/node/src/main/java/brackenbridge/net/client/ConnectionShedding.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionShedding.java
@@ -16,7 +16,7 @@
         this.counters = counters;
     }
 
-    /** Closes all connections that can be shed: those that never sent a request before the others. */
+    /** Closes all connections that can be shed, first those that never sent a request. */
     void shedAll() {
         boolean closed = true;
         while (closed) {
@@ -25,21 +25,22 @@
     }
 
     /**
-     * Closes the longest idle of the connections that have sent a request, or of those that never have or are
-     * lingering.
+     * Closes the connection that has been idle longest among those that have sent a request, or among those that never
+     * have or are lingering; returns whether one was closed.
      */
     boolean shedOne(boolean havingSentRequest) {
         double now = clock.nowMs();
         ClientConnection candidate = longestIdle(havingSentRequest, now);
         while (candidate != null) {
-            // A request that has come already makes it busy; what is still unread at a close would reset it.
+            // A request that has already arrived makes the connection busy; closing with unread bytes would reset it.
             candidate.readAvailable();
             if (!candidate.isActive()) {
                 return true;
             }
             if (candidate.canBeShed(havingSentRequest, now)) {
                 counters.count(Counter.CONNECTIONS_SHED);
-                // Its descriptor is needed now. A request that crosses the close is sent again by its client.
+                // Closes without lingering, as the descriptor is needed now. A client resends a request that crosses
+                // the close.
                 candidate.close();
                 return true;
             }
--- a/node/src/main/java/brackenbridge/net/client/ConnectionState.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionState.java
@@ -1,7 +1,7 @@
 package brackenbridge.net.client;
 
 /**
- * What a client connection does at the moment.
+ * State of a client connection.
  *
  * <pre>
  *      READING --request complete--&gt; AWAITING_RESPONSE --response begins--&gt; RESPONDING
@@ -11,18 +11,18 @@
  *       +--idle for too long--&gt; LINGERING &lt;--response written, not kept alive----+
  * </pre>
  *
- * A request that is rejected, or answered by the node itself, goes from READING to RESPONDING. Every state goes to
+ * A request that is rejected, or served by the node itself, leads from READING to RESPONDING. Every state leads to
  * CLOSED when the connection ends.
  */
 enum ConnectionState {
-    /** Waits for a request, or has a part of one. */
+    /** No request, or an incomplete one. */
     READING,
-    /** A request is open and has no response yet. */
+    /** A request is open and its response has not begun. */
     AWAITING_RESPONSE,
     /** A response is being written. */
     RESPONDING,
-    /** The output is shut down; what the client still sends is read and discarded. */
+    /** The output is shut down; further input is read and discarded. */
     LINGERING,
-    /** The connection has ended. */
+    /** The connection is closed. */
     CLOSED
 }
--- a/node/src/main/java/brackenbridge/net/client/ConnectionTimeouts.java
+++ b/node/src/main/java/brackenbridge/net/client/ConnectionTimeouts.java
@@ -2,22 +2,22 @@
 
 import brackenbridge.net.channel.DescriptorBudget;
 
-/** How long a client connection may take for each of its states. */
+/** Timeouts of client connections, by state. */
 final class ConnectionTimeouts {
-    /** A head must be complete this long after its first byte, the first one after the connection was accepted. */
+    /** Maximum time for a request head from its first byte, or for the first head from the accept of the connection. */
     static final double HEAD_TIMEOUT_MS = 2500;
-    /** A connection is not shed before it has been idle this long: its request may be on the way already. */
+    /** Minimum idle time before a connection is shed: its request may already be on the way. */
     static final long MIN_IDLE_BEFORE_CLOSE_MS = 100;
-    /** After a last response, what the client still sends is read and discarded for this long. */
+    /** Time for which input is read and discarded after the last response. */
     private static final double LINGER_TIMEOUT_MS = 1000;
 
-    /** A client must take some of a streamed response within this time. */
+    /** Maximum time in which a client reads nothing of a streamed response. */
     private static final double STALLED_STREAM_TIMEOUT_MS = 20_000;
-    /** A client must take any other response within this time. */
+    /** Maximum time for a client to read any other response. */
     private static final double STALLED_RESPONSE_TIMEOUT_MS = 5000;
-    /** A connection without a request is kept this long. */
+    /** Idle timeout of a connection that has sent a request. */
     private static final double IDLE_TIMEOUT_MS = 60_000;
-    /** And this long once clients have half of the descriptors that they may have. */
+    /** Idle timeout once clients use more than half of their descriptors. */
     private static final double CROWDED_IDLE_TIMEOUT_MS = 3000;
 
     private final ClosePolicy closePolicy;
@@ -28,7 +28,7 @@
         this.descriptors = descriptors;
     }
 
-    /** Whether the client of a connection in this state takes too long to read a response, or the connection's end. */
+    /** Whether a client takes too long to read a response, or to close its side of a lingering connection. */
     static boolean isStalled(ConnectionState state, boolean streaming, double ageMs) {
         return switch (state) {
             case READING, AWAITING_RESPONSE -> false;
@@ -37,7 +37,7 @@
         };
     }
 
-    /** How long a connection may be idle that has sent a request, or none yet. */
+    /** Idle timeout of a connection that has sent a request, or has not yet. */
     double idleTimeoutMs(boolean hasSentRequest) {
         if (closePolicy.closesWhenIdle()) {
             return MIN_IDLE_BEFORE_CLOSE_MS;
--- a/node/src/main/java/brackenbridge/net/client/CurrentRequest.java
+++ b/node/src/main/java/brackenbridge/net/client/CurrentRequest.java
@@ -2,15 +2,15 @@
 
 import brackenbridge.core.Event;
 
-/** The latest request of one connection: whether it is open, and what it says of the connection. */
+/** The latest request of a connection: whether it is open, and whether the connection stays open after it. */
 final class CurrentRequest {
     private static final long NO_REQUEST = -1;
 
     private final ClientConnection connection;
     private final ClientContext context;
-    /** The open request, which stays known here after its client has disconnected. */
+    /** Id of the open request; kept after its client has disconnected. */
     private long requestId = NO_REQUEST;
-    /** The correlation id of the open request; null if there is none. */
+    /** Correlation id of the open request; null if there is none. */
     private String correlationId;
 
     private boolean keepAlive;
@@ -31,28 +31,28 @@
         return requestId >= 0;
     }
 
-    /** Whether the client speaks HTTP/1.1. */
+    /** Whether the request uses HTTP/1.1. */
     boolean isHttp11() {
         return http11;
     }
 
-    /** Whether the connection is kept for a next request. */
+    /** Whether the connection is kept alive for another request. */
     boolean isKeptAlive() {
         return keepAlive;
     }
 
-    /** The connection ends behind the response in progress, or the next one. */
+    /** Closes the connection after the response in progress, or after the next one. */
     void endConnectionAfterResponse() {
         keepAlive = false;
     }
 
-    /** The head of a request is complete. */
+    /** Handles the complete head of a request. */
     void onHead(boolean isHttp11, boolean isKeptAlive) {
         http11 = isHttp11;
         keepAlive = isKeptAlive;
     }
 
-    /** The request has reserved this correlation id, which is released with its response. */
+    /** Sets the correlation id that the request has reserved; it is released with the response. */
     void setCorrelationId(String reserved) {
         correlationId = reserved;
     }
@@ -63,7 +63,7 @@
         return requestId;
     }
 
-    /** The open request, if there is one, gets its response; returns its id, or a negative one. */
+    /** Closes the open request, if any, as its response begins; returns its id, or a negative value. */
     long beginResponse() {
         long respondedRequest = requestId;
         requestId = NO_REQUEST;
@@ -72,14 +72,14 @@
         return respondedRequest;
     }
 
-    /** Ends the open request as if its client had disconnected; the connection stays and can say why. */
+    /** Ends the open request as if its client had disconnected; the connection stays open and can send a reason. */
     void withdraw() {
         long withdrawn = requestId;
         requestId = NO_REQUEST;
         reportDisconnected(withdrawn);
     }
 
-    /** The connection has ended. */
+    /** Handles the end of the connection. */
     void onDisconnected() {
         context.openRequests().releaseCorrelationId(correlationId);
         if (isOpen()) {
--- a/node/src/main/java/brackenbridge/net/client/HealthEndpoints.java
+++ b/node/src/main/java/brackenbridge/net/client/HealthEndpoints.java
@@ -4,7 +4,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 
-/** The paths that the node answers itself. No request class can be called "health", so they never hide a class. */
+/**
+ * The health paths that the node serves itself. No request class can be named "health", so they never shadow a class.
+ */
 final class HealthEndpoints {
     private static final String READY_PATH = "/health/ready";
     private static final String LIVE_PATH = "/health/live";
@@ -24,12 +26,12 @@
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** Whether the node answers requests for this path itself. */
+    /** Whether this path is served here. */
     boolean serves(String path) {
         return path.equals(READY_PATH) || path.equals(LIVE_PATH) || path.equals(COUNTERS_PATH);
     }
 
-    /** Answers a GET request for a path that is served here. */
+    /** Responds to a GET request for a path that is served here. */
     void respond(String path, ResponseWriter writer) {
         if (path.equals(READY_PATH)) {
             boolean isReady = ready.getAsBoolean();
--- a/node/src/main/java/brackenbridge/net/client/Listener.java
+++ b/node/src/main/java/brackenbridge/net/client/Listener.java
@@ -17,9 +17,9 @@
 import java.util.Locale;
 import java.util.function.BooleanSupplier;
 
-/** The client connections of a node: raises their requests as events and runs the reducer's effects on them. */
+/** The client side of a node: raises requests as events and runs the reducer's effects on client connections. */
 public final class Listener {
-    /** A process that exits gives its last clients this long to see the end of their responses. */
+    /** Time that a process that exits gives its last clients to read the end of their responses. */
     private static final double EXIT_LINGER_MS = 100;
 
     private final Clock clock;
@@ -31,7 +31,7 @@
     private final ConnectionShedding shedding;
     private final ClientContext context;
 
-    /** With no connection yet; {@code makeRoom} is to close something idle when no further client connection fits. */
+    /** Creates a listener; {@code makeRoom} closes an idle connection when no further client connection fits. */
     public Listener(
             BalancerSettings settings,
             Clock clock,
@@ -58,7 +58,7 @@
                 new ConnectionTimeouts(closePolicy, descriptors));
     }
 
-    /** Makes the handlers of each connection that is accepted. */
+    /** Returns the initializer of accepted channels. */
     public ChannelInitializer<Channel> initializer() {
         return new ChannelInitializer<>() {
             @Override
@@ -68,17 +68,17 @@
         };
     }
 
-    /** Requests that are complete from now on are handled by these settings. */
+    /** Applies these settings to requests that are completed from now on. */
     public void applySettings(BalancerSettings settings) {
         validator.applySettings(settings);
     }
 
-    /** Sets the acceptor that connections come from: it is paused while no further one fits. */
+    /** Sets the acceptor, which is paused while no further connection fits. */
     public void setAcceptor(ConnectionAcceptor acceptor) {
         registry.setAcceptor(acceptor);
     }
 
-    /** Responds with what a server sent: a complete response, or a streamed one on its way. */
+    /** Responds with a server's response, complete or streamed. */
     public void respond(long requestId, Object message) {
         ClientConnection connection = openRequests.close(requestId);
         if (connection == null) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Responds with what the node itself says; after this time, if not zero, the client may try again. */
+    /** Responds with a reply of the node itself; a positive {@code retryAfterMs} is sent as Retry-After. */
     public void respondLocally(long requestId, LocalReply reply, double retryAfterMs) {
         ClientConnection connection = openRequests.close(requestId);
         if (connection == null) {
@@ -104,7 +104,8 @@
             return;
         }
         if (connection.hasPresenceExpired(clock.nowMs())) {
-            // Behind more than may wait, each further request would only be withdrawn as well.
+            // While the read-ahead limit is exceeded, presence stays unknown and each further request would be
+            // withdrawn as well.
             connection.request().endConnectionAfterResponse();
         }
         Headers fields = new Headers();
@@ -126,17 +127,17 @@
         return body.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Sets whether each response announces the end of its connection. */
+    /** Sets whether each response announces that its connection will be closed. */
     public void announceClose(boolean on) {
         closePolicy.setAnnounceClose(on);
     }
 
-    /** Sets whether connections that carry nothing are ended, those of the moment and later ones. */
+    /** Sets whether idle connections, present and later ones, are closed. */
     public void closeWhenIdle(boolean on) {
         closePolicy.setCloseWhenIdle(on);
     }
 
-    /** Rejects with this status the requests that have begun and are incomplete, and ends their connections. */
+    /** Rejects incomplete requests with this status and closes their connections. */
     public void rejectIncomplete(int status) {
         for (ClientConnection connection : registry.copy()) {
             if (connection.isReadingRequest()) {
@@ -145,17 +146,17 @@
         }
     }
 
-    /** Leaves new connections to the process that listens beside this one. */
+    /** Directs new connections to the successor process. */
     public void steerNewConnections() {
         registry.steerNewConnections();
     }
 
-    /** Accepts no more clients, for good. */
+    /** Stops accepting permanently. */
     public void stopAccepting() {
         registry.stopAccepting();
     }
 
-    /** Ends the connections that carry nothing. */
+    /** Closes idle connections. */
     public void closeIdleConnections() {
         for (ClientConnection connection : registry.copy()) {
             if (connection.isIdle()) {
@@ -164,7 +165,7 @@
         }
     }
 
-    /** Whether no client awaits anything, and those whose connection has been ended had time to see it. */
+    /** Whether all connections are closed or have been lingering long enough for their clients to notice the close. */
     public boolean isQuiet() {
         double now = clock.nowMs();
         return !registry.isEmptyingBacklog()
@@ -173,15 +174,15 @@
     }
 
     /**
-     * Whether the request's client is known to be present, see {@link ClientPresence}. No attempt begins without this;
-     * a client that stays hidden has its request withdrawn by the sweep.
+     * Whether the request's client is known to be present, see {@link ClientPresence}. No attempt starts otherwise; the
+     * sweep withdraws the request of a client whose presence stays unknown.
      */
     public boolean isClientPresent(long requestId) {
         ClientConnection connection = openRequests.connectionOf(requestId);
         return connection != null && connection.isClientPresent();
     }
 
-    /** Ends what takes too long; called several times a second. */
+    /** Enforces the timeouts of all connections; called several times a second. */
     public void sweep() {
         double now = clock.nowMs();
         for (ClientConnection connection : registry.copy()) {
@@ -190,19 +191,25 @@
         resumeAcceptingOrShed();
     }
 
-    /** The clients that were accepted last may be closed by then; the next sweep may come much later. */
+    /**
+     * Schedules another try to accept: connections that were just accepted can be shed by then, while the next sweep
+     * may run much later.
+     */
     private void scheduleResumeAccepting() {
         registry.scheduleIfAccepting(this::resumeAcceptingOrShed, ConnectionTimeouts.MIN_IDLE_BEFORE_CLOSE_MS + 1);
     }
 
-    /** At the limit others wait in the backlog: all that has been idle for a moment makes room. */
+    /** Resumes accepting; at the descriptor limit, sheds all idle connections, as clients wait in the backlog. */
     private void resumeAcceptingOrShed() {
         if (!registry.resumeAccepting()) {
             shedding.shedAll();
         }
     }
 
-    /** Closes the longest idle of the connections that have sent a request, or of those that never have. */
+    /**
+     * Closes the longest idle of the connections that have sent a request, or of those that never have; returns whether
+     * one was closed.
+     */
     public boolean shedOne(boolean havingSentRequest) {
         return shedding.shedOne(havingSentRequest);
     }
--- a/node/src/main/java/brackenbridge/net/client/OpenRequests.java
+++ b/node/src/main/java/brackenbridge/net/client/OpenRequests.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The requests that have been received and not answered, by request id, and the correlation ids in use. */
+/** The open requests by request id, and the correlation ids in use. */
 final class OpenRequests {
     private final Map<Long, ClientConnection> connections = new HashMap<>();
     private final Set<String> correlationIds = new HashSet<>();
     private long requestCount;
 
-    /** Reserves a correlation id; false if another open request has it. */
+    /** Reserves a correlation id; returns false if another open request uses it. */
     boolean reserveCorrelationId(String correlationId) {
         return correlationIds.add(correlationId);
     }
 
-    /** Releases a correlation id; null if the connection has none. */
+    /** Releases a correlation id; does nothing for null. */
     void releaseCorrelationId(String correlationId) {
         correlationIds.remove(correlationId);
     }
--- a/node/src/main/java/brackenbridge/net/client/RequestMemoryBudget.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestMemoryBudget.java
@@ -4,19 +4,19 @@
 import brackenbridge.counters.Counters;
 
 /**
- * Bounds the bytes that all clients together have buffered in requests that are incomplete or not started. Protects the
- * node's memory against many clients that each stay within their own limit.
+ * Limits the bytes buffered for all clients together in requests that are incomplete or not started. Guards the node's
+ * memory against many clients that each stay within their own limit.
  */
 final class RequestMemoryBudget {
-    /** Bytes that all clients together may have buffered. */
+    /** Maximum bytes buffered for all clients together. */
     static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-    /** A connection that buffers bytes of requests. */
+    /** A connection that buffers request bytes. */
     interface Holder {
-        /** The bytes that it has reserved. */
+        /** The bytes that the connection has reserved. */
         int reservedBytes();
 
-        /** Releases all that it has buffered and serves nothing more than the request in progress. */
+        /** Releases all buffered bytes; nothing after the request in progress is served. */
         void giveUpReading(String reason);
     }
 
@@ -27,7 +27,7 @@
         this.counters = counters;
     }
 
-    /** A connection's reservation has changed. */
+    /** Applies a change of a connection's reservation. */
     void adjustReservation(int fromBytes, int toBytes) {
         reservedBytes += toBytes - fromBytes;
     }
@@ -37,7 +37,7 @@
         return reservedBytes > MAX_BUFFERED_BYTES / 2;
     }
 
-    /** Makes the connections with the largest reservations give up until the budget is kept. */
+    /** Makes the connections with the largest reservations give up reading until the limit is met. */
     void enforce(Iterable<? extends Holder> holders) {
         while (reservedBytes > MAX_BUFFERED_BYTES) {
             counters.count(Counter.CLIENTS_SHED_FOR_MEMORY);
--- a/node/src/main/java/brackenbridge/net/client/RequestOpener.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestOpener.java
@@ -7,14 +7,14 @@
 import brackenbridge.http.HttpEncoder;
 import brackenbridge.http.HttpRequest;
 
-/** Opens the requests of one connection for the reducer, or responds to those that don't concern it. */
+/** Opens the requests of a connection in the reducer; serves health requests and rejects invalid ones itself. */
 final class RequestOpener {
     private static final String TENANT_HEADER = "X-Account";
     private static final String CLIENT_RETRY_HEADER = "X-Repeat";
 
     private final ClientConnection connection;
     private final ClientContext context;
-    /** The longest that bytes found by the connection's first read may have waited in the backlog. */
+    /** Upper bound on the time that bytes found by the connection's first read waited in the backlog. */
     private double maxBacklogWaitMs;
 
     RequestOpener(ClientConnection connection, ClientContext context, double maxUnseenWaitMs) {
@@ -28,12 +28,12 @@
         return maxBacklogWaitMs > 0;
     }
 
-    /** The next request can't have waited in the backlog. */
+    /** Records that the next request can't have waited in the backlog. */
     void clearBacklogWait() {
         maxBacklogWaitMs = 0;
     }
 
-    /** Opens or rejects a request; its message is the request itself, or the part of it that has come. */
+    /** Opens or rejects a request; {@code message} is the request itself, or a streamed request with its first part. */
     void handleRequest(Object message, HttpRequest request, boolean complete) {
         connection.onRequestHead(request.http11(), request.keepAlive());
         String path = HealthEndpoints.pathOf(request.target());
--- a/node/src/main/java/brackenbridge/net/client/RequestReader.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestReader.java
@@ -9,19 +9,22 @@
 import io.netty.channel.Channel;
 
 /**
- * Makes requests of the bytes that a client sends, one at a time and in order. What the client sends while a request is
- * being served waits, up to a bound beyond which reading pauses.
+ * Decodes a client's requests one at a time and in order. Bytes that arrive while a request is being served are
+ * buffered up to a limit, beyond which reading pauses.
  */
 final class RequestReader implements ClientPresence.InputState {
     /**
-     * Bytes that may wait behind a request that is being served, or of a body that nobody takes yet. An end of the
-     * connection is found only behind all that the client sent before it, which may be hundreds of requests. Beyond
-     * this, and what the presence checks add, an end stays hidden, and no attempt begins for this client.
+     * Maximum bytes buffered behind a request that is being served, or of a body that no server accepts yet. The end of
+     * a connection is found only after all bytes sent before it, which may be hundreds of requests. Beyond this limit,
+     * and what presence checks add, an end stays undetected, and no attempt starts for this client.
      */
     private static final int READ_AHEAD_BYTES = 256 * 1024;
-    /** The same bound while the memory budget is crowded: looking for an end must not cost anybody a connection. */
+    /**
+     * The same limit while the memory budget is crowded: detecting disconnects must not cost other clients their
+     * connections.
+     */
     private static final int CROWDED_READ_AHEAD_BYTES = 16 * 1024;
-    /** Bytes that are read and discarded of one connection at most: reading more would cost the others. */
+    /** Maximum bytes of a connection that are read and discarded: reading more would delay other connections. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
     private final ClientConnection connection;
@@ -32,11 +35,11 @@
     private final UploadReader upload;
     private final BodyRateMonitor bodyRate;
     private final RequestOpener opener;
-    /** Bytes that no request has been made of yet; null if there are none. */
+    /** Bytes that have not been decoded yet; null if there are none. */
     private ByteBuf unread;
-    /** The client has been told to send the body that it announced. */
+    /** Whether 100 Continue has been sent for the current request. */
     private boolean continueSent;
-    /** The client had too much buffered: what comes behind the request that is being served is discarded. */
+    /** Whether the client exceeded the memory budget: input after the request that is being served is discarded. */
     private boolean discarding;
 
     private int discardedBytes;
@@ -51,42 +54,42 @@
         opener = new RequestOpener(connection, context, ConnectionAcceptor.maxBacklogWaitMs(channel));
     }
 
-    /** Whether the client is known to be present. */
+    /** Tracks whether the client is known to be present. */
     ClientPresence presence() {
         return presence;
     }
 
-    /** The long body that is being read, if any. */
+    /** The reader of long bodies. */
     UploadReader upload() {
         return upload;
     }
 
-    /** Opens or rejects what has been read of a request. */
+    /** Opens or rejects requests that have been decoded. */
     RequestOpener opener() {
         return opener;
     }
 
-    /** Bytes that no request has been made of yet; null if there are none. */
+    /** Bytes that have not been decoded yet; null if there are none. */
     ByteBuf unread() {
         return unread;
     }
 
-    /** Whether a part of a request has been decoded. */
+    /** Whether a request has been decoded in part. */
     boolean hasBegunRequest() {
         return decoder.hasBegun();
     }
 
-    /** Whether nothing of a further request has come. */
+    /** Whether no byte of a further request has been received. */
     boolean isEmpty() {
         return !decoder.hasBegun() && (unread == null || !unread.isReadable());
     }
 
-    /** Whether the client has sent more after the connection's end than is read and discarded. */
+    /** Whether more input has been discarded than the limit allows. */
     boolean hasDiscardedTooMuch() {
         return discardedBytes > MAX_DISCARDED_BYTES;
     }
 
-    /** The connection ends behind the request that is being served. */
+    /** Whether further input is discarded and the connection closes after the request that is being served. */
     @Override
     public boolean isDiscarding() {
         return discarding;
@@ -109,7 +112,10 @@
         }
     }
 
-    /** The last byte of a long body is held. If all of it was read before its turn, no read shows the client. */
+    /**
+     * Handles that the last byte of a long body is held back. If the body was read completely before it was decoded, no
+     * further read would confirm the client's presence.
+     */
     void onLastByteHeld() {
         if (presence.isPresentNow()) {
             scheduleLastByteForward();
@@ -117,11 +123,11 @@
     }
 
     private void scheduleLastByteForward() {
-        // Not at once: if this read has found the client's end, the connection is closed in the same turn.
+        // Deferred: if this read has found the end of the connection, it is closed in the same turn.
         channel.eventLoop().execute(() -> connection.runGuarded(() -> upload.forwardLastByte(presence.isPresentNow())));
     }
 
-    /** The connection is open: only bytes that its first read finds may have waited in the backlog. */
+    /** Handles the opening of the connection: only bytes that its first read finds may have waited in the backlog. */
     void onConnected() {
         if (opener.mayHaveWaitedInBacklog()) {
             SocketPolls.runAfterNextPoll(channel.eventLoop(), this::endBacklogWait);
@@ -134,7 +140,7 @@
         }
     }
 
-    /** Takes ownership of bytes that have come. */
+    /** Takes ownership of received bytes. */
     void onBytes(ByteBuf bytes) {
         bodyRate.onBytes(bytes.readableBytes());
         presence.onBytesRead();
@@ -142,7 +148,7 @@
             discard(bytes);
             return;
         }
-        // Bytes that are appended to unread ones are counted with those.
+        // Bytes that are appended to the unread buffer are counted as part of it.
         int newBytes = unread == null ? bytes.readableBytes() : 0;
         append(bytes);
         if (upload.isActive()) {
@@ -167,7 +173,7 @@
             return;
         }
         if (unread.refCnt() > 1) {
-            // Parts of the body in front are still on their way and must not be overwritten.
+            // Slices of the preceding body have not been written yet and must not be overwritten.
             ByteBuf copy = channel.alloc().buffer(waitingBytes()).writeBytes(unread);
             discardUnread();
             unread = copy;
@@ -176,7 +182,7 @@
         bytes.release();
     }
 
-    /** Bytes that wait for somebody to take them. */
+    /** Bytes that are buffered until they are decoded or forwarded. */
     private int waitingBytes() {
         return upload.bytesWhilePaused() + (unread == null ? 0 : unread.readableBytes());
     }
@@ -185,7 +191,7 @@
         return context.memory().isCrowded() ? CROWDED_READ_AHEAD_BYTES : READ_AHEAD_BYTES;
     }
 
-    /** Resumes or pauses reading. Protects memory against a client that sends ahead without reading its responses. */
+    /** Resumes or pauses reading. Guards memory against a client that sends ahead without reading its responses. */
     void adjustReading() {
         if (connection.isEnding() || discarding) {
             return;
@@ -197,7 +203,7 @@
         }
     }
 
-    /** Decodes requests out of the bytes that have come, as long as none is being served. */
+    /** Decodes buffered requests as long as none is being served. */
     void readNext() {
         boolean mayContinue = true;
         while (mayContinue && connection.isReading() && unread != null) {
@@ -210,7 +216,7 @@
                 connection.isEnding() ? 0 : decoder.bufferedBytes() + waitingBytes() + upload.replayableBytes());
     }
 
-    /** Decodes one request; false if it is incomplete. */
+    /** Decodes one request; returns false if it is incomplete. */
     private boolean decodeNext() {
         boolean first = !decoder.hasBegun();
         try {
@@ -242,7 +248,7 @@
         }
     }
 
-    /** Checks the time that a request takes to come since the last sweep; rejects one that is too slow. */
+    /** Checks the rate of the request body since the last sweep; rejects a request that is too slow. */
     void checkBodyRate(double nowMs) {
         boolean readingRequest = connection.isReading() && decoder.hasBegun();
         if (decoder.awaitsBody() && !upload.isPaused() && (readingRequest || upload.isActive())) {
@@ -257,24 +263,24 @@
         }
     }
 
-    /** Whether a request's head has begun and is incomplete. */
+    /** Whether the head of a request has been received in part. */
     boolean isReadingHead() {
         return connection.isReading() && decoder.hasBegun() && !decoder.awaitsBody();
     }
 
-    /** The next check of the pace measures from here. */
+    /** Ends a check of the body rate: the next one measures from this time. */
     void endBodyRateCheck(double nowMs) {
         bodyRate.endCheck(nowMs);
     }
 
-    /** Releases all that is buffered; what the client sends from now on is not served. */
+    /** Releases the buffered bytes and discards all further input. */
     void startDiscarding() {
         discarding = true;
         discardUnread();
         presence.setReading(true);
     }
 
-    /** Releases the bytes that no request has been made of. */
+    /** Releases the bytes that have not been decoded. */
     void discardUnread() {
         if (unread != null) {
             unread.release();
--- a/node/src/main/java/brackenbridge/net/client/RequestRejection.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestRejection.java
@@ -1,6 +1,6 @@
 package brackenbridge.net.client;
 
-/** Why a request is rejected before it is opened; the connection ends behind the response. */
+/** Why a request is rejected before it is opened; the connection is closed after the response. */
 enum RequestRejection {
     UNKNOWN_CLASS(404, "no such class", null),
     METHOD_MUST_BE_GET(405, "only GET", "GET"),
@@ -25,7 +25,7 @@
         return status;
     }
 
-    /** What the response's body says. */
+    /** The text of the response's body. */
     String reason() {
         return reason;
     }
--- a/node/src/main/java/brackenbridge/net/client/RequestValidator.java
+++ b/node/src/main/java/brackenbridge/net/client/RequestValidator.java
@@ -8,9 +8,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Decides by the settings in force whether a request may be opened. */
+/** Validates requests against the settings in force. */
 final class RequestValidator {
-    /** Names the request of a client, at the client and at the servers. */
+    /** Header that identifies a request at its client and at the servers. */
     static final String CORRELATION_ID_HEADER = "X-Correlation-Id";
 
     private static final String SERVICE_CLASS_HEADER = "X-Service-Class";
@@ -25,24 +25,24 @@
         applySettings(settings);
     }
 
-    /** Requests that are complete from now on are validated by these settings. */
+    /** Applies these settings to requests that are validated from now on. */
     void applySettings(BalancerSettings settings) {
         classes.clear();
         settings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
     }
 
-    /** The class that a request's path names; null if there is none. */
+    /** The request class named by the path; null if there is none. */
     RequestClass classOf(HttpRequest request) {
         return classes.get(request.firstPart());
     }
 
     /**
-     * Why the request is rejected; null if it may be opened, and its correlation id is then reserved.
+     * Returns why the request is rejected, or null if it may be opened; in that case its correlation id is reserved.
      *
-     * @param request the request, whose path the node doesn't answer itself
-     * @param requestClass the class that its path names; null if there is none
+     * @param request the request, whose path is not a health path
+     * @param requestClass the class named by its path; null if there is none
      * @param correlationId its correlation id; null if it has none
-     * @param timeLeft the time that its client waits, as sent; null if not sent
+     * @param timeLeft value of the time-left header; null if absent
      */
     RequestRejection validate(HttpRequest request, RequestClass requestClass, String correlationId, String timeLeft) {
         RequestRejection rejection = validateClass(request, requestClass);
@@ -59,7 +59,7 @@
         if (request.headers().count(CORRELATION_ID_HEADER) > 1 || timeLeft != null && !timeLeft.matches("[0-9]{1,9}")) {
             return RequestRejection.MALFORMED_FIELD;
         }
-        // The same id twice at the servers would be a second copy of the request that is open.
+        // Servers would take a second request with the same id for a duplicate of the open one.
         boolean reserved = openRequests.reserveCorrelationId(correlationId);
         return reserved ? null : RequestRejection.DUPLICATE_CORRELATION_ID;
     }
--- a/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
+++ b/node/src/main/java/brackenbridge/net/client/ResponseWriter.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes the responses of one connection, each request's once, and reports when they have gone out. */
+/** Writes the responses of a connection, one per request, and reports when they have been written. */
 final class ResponseWriter {
     private static final List<String> FORWARDED_HEADERS = List.of("Content-Type", "Content-Encoding");
     private static final long NO_REQUEST = -1;
@@ -42,19 +42,19 @@
         respond(200, forwardedHeaders(response), response.body());
     }
 
-    /** Responds with this text and no fields of its own. */
+    /** Responds with this body and no additional headers. */
     void respond(int status, byte[] body) {
         respond(status, new Headers(), body);
     }
 
-    /** Writes a response; it ends the connection if this is to be its last. */
+    /** Writes a response, and closes the connection after it if it is not kept alive. */
     void respond(int status, Headers fields, byte[] body) {
         boolean close = beginResponse();
         channel.writeAndFlush(HttpEncoder.response(channel.alloc(), status, fields, body, close))
                 .addListener(f -> onWritten(f.isSuccess() ? ResponseEnd.COMPLETE : ResponseEnd.ABANDONED, close));
     }
 
-    /** Begins a streamed response, whose body is written as its client takes it. */
+    /** Begins a streamed response, whose body is written at the rate at which its client reads it. */
     void respondStreaming(StreamedResponse response) {
         Headers fields = forwardedHeaders(response.head());
         boolean lengthKnown = response.length() >= 0;
@@ -81,13 +81,16 @@
         return fields;
     }
 
-    /** Says what is wrong and ends the connection: where the next request begins can't be known. */
+    /** Responds with the reason and closes the connection: the start of the next request is unknown. */
     void rejectMalformed(int status, String reason) {
         countRejection(status);
         respond(status, text(reason));
     }
 
-    /** Rejects a request that is not opened. A client that sends such at full speed must connect for each. */
+    /**
+     * Rejects a request that is not opened, and closes the connection: a client that floods the node with invalid
+     * requests has to reconnect for each.
+     */
     void reject(RequestRejection rejection) {
         countRejection(rejection.status());
         Headers fields = new Headers();
@@ -107,12 +110,12 @@
         return (reason + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Responds; if the node itself fails at that, the client gets one response that says so, and is closed. */
+    /** Writes a response; if the node itself fails to, sends one error response and closes the connection. */
     void respondOrFail(Runnable response) {
         try {
             response.run();
         } catch (RuntimeException e) {
-            context.events().onFault("an answer failed", e);
+            context.events().onFault("writing a response failed", e);
             respondFailed();
         }
     }
@@ -120,28 +123,28 @@
     private void respondFailed() {
         connection.request().endConnectionAfterResponse();
         if (download != null) {
-            // Its head is out: only the end of the connection tells that the rest is missing.
+            // The head has been written: only closing the connection tells the client that the rest is missing.
             channel.close();
             return;
         }
         try {
             respond(502, text("failed"));
         } catch (RuntimeException e) {
-            context.events().onFault("no answer is possible", e);
+            context.events().onFault("writing the error response failed", e);
             channel.close();
         }
     }
 
-    /** The open request gets its response; whether the connection ends behind it. */
+    /** Begins the response to the open request; returns whether the connection closes after it. */
     private boolean beginResponse() {
-        // What may fail comes first: the response can then be tried once more.
+        // The clock is read first: if that fails, nothing has changed and the error response can still be sent.
         double now = context.clock().nowMs();
         long requestId = connection.beginResponse(now);
         respondingTo = requestId >= 0 ? requestId : respondingTo;
         return !connection.request().isKeptAlive() || context.closePolicy().announcesClose();
     }
 
-    /** The client takes more of a streamed response. */
+    /** Resumes a streamed response when the client reads again. */
     void onWritable() {
         if (download != null && channel.isWritable()) {
             connection.markProgress();
@@ -149,17 +152,17 @@
         }
     }
 
-    /** The client takes no more for now. */
+    /** Pauses the streamed response while the client does not read. */
     void pauseDownload() {
         download.setDemand(false);
     }
 
-    /** The streamed body has ended, in whatever way. */
+    /** Handles the end of the streamed body, complete or not. */
     void onDownloadEnd() {
         download = null;
     }
 
-    /** The connection has ended: nothing more can be written. */
+    /** Cancels the response when the connection has ended. */
     void onDisconnected() {
         if (download != null) {
             download.cancel();
@@ -168,7 +171,7 @@
         reportFinished(ResponseEnd.ABANDONED);
     }
 
-    /** All of a response has been written, or never will be. */
+    /** Handles the end of writing a response, complete or not. */
     void onWritten(ResponseEnd end, boolean close) {
         reportFinished(end);
         connection.onResponseWritten(end, close);
--- a/node/src/main/java/brackenbridge/net/client/UploadReader.java
+++ b/node/src/main/java/brackenbridge/net/client/UploadReader.java
@@ -10,24 +10,24 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Reads a request whose body is too long to be kept complete. The request opens with the first part of the body; what
- * follows is passed on as a server takes it. The last byte is held until the client is known to be present, because
- * from then on the request may run.
+ * Reads a request whose body is too long to be buffered completely. The request is opened with the first part of the
+ * body; the rest is forwarded at the rate at which the server accepts it. The last byte is held back until the client
+ * is known to be present, because the server may execute the request once it has the last byte.
  */
 final class UploadReader implements BodyStream.Source {
     private final ClientConnection connection;
     private final ClientContext context;
     private final RequestReader reader;
     private final RequestDecoder decoder;
-    /** The rest of the body until its last byte has been passed on; null if there is no upload. */
+    /** The rest of the body until its last byte has been forwarded; null if there is no upload. */
     private BodyStream body;
-    /** The last byte has come and is passed on once the client is known to be present. */
+    /** Whether the last byte is held back until the client is known to be present. */
     private boolean lastByteHeld;
-    /** Bytes that are kept so that the request can be sent again. */
+    /** Bytes that are kept so that the request can be retried. */
     private int replayableBytes;
-    /** Whoever takes the body has enough for now. */
+    /** Whether the sink accepts no more for now. */
     private boolean paused;
-    /** Bytes of the body that have come since it was paused. */
+    /** Bytes of the body received since it was paused. */
     private int bytesWhilePaused;
 
     UploadReader(ClientConnection connection, ClientContext context, RequestReader reader, RequestDecoder decoder) {
@@ -42,32 +42,35 @@
         return body != null;
     }
 
-    /** Whether whoever takes the body has enough for now. */
+    /** Whether reading is paused because the sink accepts no more for now. */
     boolean isPaused() {
         return paused;
     }
 
-    /** Bytes of the body that wait because it is paused. */
+    /** Bytes of the body that are buffered while it is paused. */
     int bytesWhilePaused() {
         return bytesWhilePaused;
     }
 
-    /** Bytes that are kept so that the request can be sent again. */
+    /** Bytes that are kept so that the request can be retried. */
     int replayableBytes() {
         return replayableBytes;
     }
 
-    /** Whether the last byte is held until the client is known to be present. */
+    /** Whether the last byte is held back until the client is known to be present. */
     boolean isLastByteHeld() {
         return lastByteHeld;
     }
 
-    /** Whether the request can't proceed unless its client is present; a body on its way shows that by itself. */
+    /**
+     * Whether the request can't proceed unless its client is present; while a body is being forwarded, its bytes show
+     * that.
+     */
     boolean awaitsPresence() {
         return body == null || !body.isConnected() || lastByteHeld;
     }
 
-    /** The first part has come: the request opens, and what follows waits until a server takes it. */
+    /** Opens the request with the first part of its body; the rest is buffered until a server accepts it. */
     void start() throws HttpException {
         long length = decoder.declaredLength();
         HttpRequest head = decoder.part(decoder.stream((from, n) -> body.add(from.readRetainedSlice(n))));
@@ -83,7 +86,7 @@
         decode(reader.unread());
     }
 
-    /** Takes bytes of the body that have come; {@code newBytes} of them are not counted as unread elsewhere. */
+    /** Decodes received bytes of the body; {@code newBytes} of them are not yet counted as unread. */
     void onBytes(ByteBuf unread, int newBytes) {
         if (paused) {
             bytesWhilePaused += newBytes;
@@ -108,7 +111,7 @@
         }
     }
 
-    /** Passes on the last byte if it is held and the client is known to be present. */
+    /** Forwards the last byte if it is held back and the client is known to be present. */
     void forwardLastByte(boolean clientPresent) {
         if (body != null && lastByteHeld && clientPresent) {
             end(true);
@@ -118,7 +121,9 @@
         }
     }
 
-    /** The request itself is at fault, in the middle of its body: it ends as if its client had disconnected. */
+    /**
+     * Ends a request whose body is invalid or too slow as if its client had disconnected, and responds with the reason.
+     */
     void fail(int status, String reason) {
         BodyStream failed = body;
         body = null;
@@ -127,7 +132,7 @@
         connection.writer().rejectMalformed(status, reason);
     }
 
-    /** Ends the body, complete or not, if there is one. */
+    /** Ends the body, if there is one, as complete or truncated. */
     void end(boolean complete) {
         if (body != null) {
             BodyStream ended = body;
@@ -136,10 +141,10 @@
         }
     }
 
-    /** The request gets its response: the rest of the body is dropped. */
+    /** Drops the rest of the body when the response begins. */
     void onResponse() {
         if (body != null) {
-            // Its request is incomplete and stays so: where the next one begins can't be known.
+            // The request stays incomplete, so the start of the next one is unknown.
             connection.request().endConnectionAfterResponse();
             BodyStream cancelled = body;
             body = null;
@@ -150,7 +155,7 @@
         paused = false;
     }
 
-    /** Nothing is kept any more to be sent again. */
+    /** Forgets the bytes that were kept for a retry. */
     void dropReplayable() {
         replayableBytes = 0;
     }
@@ -164,7 +169,7 @@
 
     @Override
     public void onCancelled() {
-        // The request has its response, or will have it at once; what still comes of the body is dropped.
+        // The request has its response or gets it immediately; the rest of the body is discarded.
         setReading(true);
     }
 }
