--- a/node/src/main/java/brackenbridge/net/channel/Addresses.java
+++ b/node/src/main/java/brackenbridge/net/channel/Addresses.java
@@ -5,11 +5,11 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code address:port}; only literal addresses, since a look-up of a name would block. */
+/** Parses {@code address:port}. Accepts literal addresses only, since a name lookup would block the event loop. */
 public final class Addresses {
     private Addresses() {}
 
-    /** The address, or null if it is none. */
+    /** Returns the address, or null if the text is not a literal address with a port. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/node/src/main/java/brackenbridge/net/channel/BodyStream.java
+++ b/node/src/main/java/brackenbridge/net/channel/BodyStream.java
@@ -4,28 +4,28 @@
 import java.util.ArrayDeque;
 
 /**
- * A long body that is streamed from one connection to another, with demand flowing back: the source is not read until
- * there is a sink, nor while the sink has enough. Used on the event loop only.
+ * A long body that is streamed from one connection to another with backpressure: the source is not read until there is
+ * a sink, nor while the sink accepts no more. Used on the event loop only.
  */
 public final class BodyStream {
     /** The connection that the body is read from. */
     public interface Source {
-        /** Continues or pauses reading. */
+        /** Resumes or pauses reading. */
         void setReading(boolean on);
 
-        /** The sink takes no more of the body. */
+        /** Called when the sink accepts no more of the body, permanently. */
         void onCancelled();
     }
 
     /** The connection that the body is written to. */
     public interface Sink {
-        /** Takes ownership of a piece, which it releases. */
+        /** Writes a piece of the body and takes ownership of it. */
         void write(ByteBuf piece);
 
-        /** Writes out the pieces so far: the next one may take a while. */
+        /** Flushes the pieces written so far, as the next one may take a while. */
         void flush();
 
-        /** The body has ended: after its last piece, or, if not complete, before it. */
+        /** Handles the end of the body: after its last piece, or, if not complete, before it. */
         void onEnd(boolean complete);
     }
 
@@ -36,18 +36,18 @@
     private boolean complete;
     private boolean cancelled;
 
-    /** Makes the stream of this source, whose reading is paused until there is a sink. */
+    /** Creates a stream of this source and pauses its reading until there is a sink. */
     public BodyStream(Source source) {
         this.source = source;
         source.setReading(false);
     }
 
-    /** Whether it has a sink, or was cancelled by one. */
+    /** Whether the stream has a sink, or was cancelled. */
     public boolean isConnected() {
         return sink != null || cancelled;
     }
 
-    /** The source has read a piece; ownership passes to the stream. */
+    /** Adds a piece that the source has read; ownership passes to the stream. */
     public void add(ByteBuf piece) {
         if (cancelled) {
             piece.release();
@@ -58,14 +58,14 @@
         }
     }
 
-    /** The source has read all that was there. */
+    /** Flushes the sink when the source has read all available bytes. */
     public void flush() {
         if (sink != null && !cancelled) {
             sink.flush();
         }
     }
 
-    /** The source has read the whole body, or will never have; counts once. */
+    /** Ends the body, complete or truncated; later calls have no effect. */
     public void end(boolean isComplete) {
         if (ended) {
             return;
@@ -75,14 +75,14 @@
         if (sink != null && !cancelled) {
             sink.onEnd(complete);
         } else if (sink == null) {
-            // A complete body may still get a sink; of one that broke before it had a sink nothing is of use.
+            // A complete body may still get a sink; a truncated one without a sink is of no use.
             if (!complete) {
                 release();
             }
         }
     }
 
-    /** Writes the body to this sink from now on, beginning with the pieces that have come already. */
+    /** Writes the body to this sink, beginning with the pieces that have been buffered. */
     public void connect(Sink newSink) {
         sink = newSink;
         while (!unsent.isEmpty()) {
@@ -96,14 +96,14 @@
         }
     }
 
-    /** The sink wants more, or has enough for now. */
+    /** Resumes or pauses the source on behalf of the sink. */
     public void setDemand(boolean on) {
         if (!ended && !cancelled) {
             source.setReading(on);
         }
     }
 
-    /** The sink takes no more: what is left of the body is dropped. */
+    /** Cancels the stream on behalf of the sink: the rest of the body is dropped. */
     public void cancel() {
         if (!cancelled) {
             cancelled = true;
--- a/node/src/main/java/brackenbridge/net/channel/EventSink.java
+++ b/node/src/main/java/brackenbridge/net/channel/EventSink.java
@@ -2,11 +2,13 @@
 
 import brackenbridge.core.Event;
 
-/** Receives what the connections of a node report. Used on the event loop only. */
+/** Receives events and faults from the connections of a node. Used on the event loop only. */
 public interface EventSink {
-    /** Something has happened that the reducer is to know. */
+    /** Hands an event to the reducer. */
     void raise(Event event);
 
-    /** A step of the node itself has failed; what it was for has been answered or closed. */
+    /**
+     * Reports that an operation of the node itself has failed; its request has been answered or its connection closed.
+     */
     void onFault(String operation, RuntimeException cause);
 }
--- a/node/src/main/java/brackenbridge/net/channel/ReceiveBuffers.java
+++ b/node/src/main/java/brackenbridge/net/channel/ReceiveBuffers.java
@@ -2,9 +2,11 @@
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 
-/** How much is read from one connection before the next one is served. */
+/** Limits how much is read from one connection before the next one is read. */
 public final class ReceiveBuffers {
-    /** Reads of one connection before the next has its turn; fewer than these have found all that had come. */
+    /**
+     * Maximum reads of one connection per turn of the event loop; fewer reads mean that all available bytes were read.
+     */
     public static final int MAX_READS_PER_TURN = 4;
 
     private static final int SMALLEST_BYTES = 512;
@@ -13,7 +15,9 @@
 
     private ReceiveBuffers() {}
 
-    /** An allocator whose bounds protect memory and well-behaved clients from those that send at full speed. */
+    /**
+     * Returns an allocator whose limits guard memory and well-behaved clients against clients that send at full speed.
+     */
     public static AdaptiveRecvByteBufAllocator allocator() {
         AdaptiveRecvByteBufAllocator allocator =
                 new AdaptiveRecvByteBufAllocator(SMALLEST_BYTES, INITIAL_BYTES, LARGEST_BYTES);
--- a/node/src/main/java/brackenbridge/net/channel/SocketCalls.java
+++ b/node/src/main/java/brackenbridge/net/channel/SocketCalls.java
@@ -11,29 +11,31 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * How a node comes by its sockets; tests put in calls that fail.
+ * The system calls with which a node gets its sockets; tests substitute calls that fail.
  *
- * @param outgoing makes the channels of connections to servers and discovery
- * @param accept takes clients' connections from the listening socket
- * @param steer directs new connections to the process that listens beside this one
+ * @param outgoing creates the channels of connections to servers and discovery
+ * @param accept accepts client connections from the listening socket
+ * @param steer directs new connections to the successor process that listens on the same address
  */
 public record SocketCalls(ChannelFactory<? extends Channel> outgoing, AcceptCall accept, SteerCall steer) {
 
-    /** Takes the next connection from a listening socket. */
+    /** Accepts the next connection from a listening socket. */
     @FunctionalInterface
     public interface AcceptCall {
-        /** Returns the channel of the next client; null if none waits. */
+        /** Returns the channel of the next client; null if the backlog is empty. */
         NioSocketChannel acceptNext(Channel parent, ServerSocketChannel listening) throws IOException;
     }
 
-    /** Directs the new connections to an address to the newer of the two sockets that listen there. */
+    /** Directs new connections to an address to the newer of the two sockets that listen on it. */
     @FunctionalInterface
     public interface SteerCall {
-        /** Completes, on any thread, once no further connection comes to the older one; exceptionally if it can't. */
+        /**
+         * Completes, on any thread, once no further connection reaches the older socket; exceptionally if that fails.
+         */
         CompletableFuture<Void> steerToNewer(InetSocketAddress address);
     }
 
-    /** The system's own. */
+    /** Returns the operating system's calls. */
     public static SocketCalls system() {
         return new SocketCalls(NioSocketChannel::new, SocketCalls::acceptNext, ReusePortSteering::steerToNewer);
     }
--- a/node/src/main/java/brackenbridge/net/channel/package-info.java
+++ b/node/src/main/java/brackenbridge/net/channel/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What client connections and connections to servers share: the descriptor budget, bodies that are streamed from one
- * connection to another, receive buffers, literal addresses and the calls that make sockets.
+ * Components shared by client connections and connections to servers: the descriptor budget, bodies that are streamed
+ * from one connection to another, receive buffers, literal addresses and the system calls that create sockets.
  */
 package brackenbridge.net.channel;
