--- a/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
+++ b/node/src/main/java/brackenbridge/net/upstream/AttemptWriter.java
@@ -13,15 +13,15 @@
 
 /** Writes attempts on one connection, one after another, and streams long request bodies with backpressure. */
 final class AttemptWriter {
-    /** Longest time for which a server may accept nothing of a streamed request body. */
+    /** Maximum time for which a server may accept nothing of a streamed request body. */
     private static final double STREAM_STALL_TIMEOUT_MS = 10_000;
 
     private final UpstreamConnection connection;
     private final Clock clock;
     private final EventSink events;
-    /** When the attempt started, or its server last accepted some of its streamed body. */
+    /** When the attempt started, or when its server last accepted a part of its streamed body. */
     private double lastProgressMs;
-    /** The request whose body is being streamed; null if none is. */
+    /** The request whose body is being streamed; null if there is none. */
     private StreamedRequest streamedRequest;
 
     AttemptWriter(UpstreamConnection connection, UpstreamContext context) {
@@ -43,14 +43,14 @@
         return streamedRequest != null;
     }
 
-    /** Writes the attempt, announcing this much time left. */
+    /** Writes the attempt and announces this remaining time to the server. */
     void write(RunningAttempt attempt, double timeLeftMs) {
         if (attempt.message() instanceof StreamedRequest request) {
             writeStreamed(attempt, request, timeLeftMs);
         } else {
             Channel channel = connection.channel();
             ByteBuf bytes = HttpEncoder.request(channel.alloc(), (HttpRequest) attempt.message(), timeLeftMs);
-            // The promise of the last byte, not its place in a queue, tells whether the request may run.
+            // The server may execute the request once the write of its last byte has completed, not once it is queued.
             channel.writeAndFlush(bytes).addListener(done -> onWritten(attempt, done.cause()));
         }
     }
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Writes the head and the buffered first part; once they have been sent, the rest as it arrives. */
+    /** Writes the head and the buffered first part; once they have been written, streams the rest of the body. */
     private void writeStreamed(RunningAttempt attempt, StreamedRequest request, double timeLeftMs) {
         Channel channel = connection.channel();
         boolean chunked = request.length() < 0;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** The connection accepts bytes again: the rest of a streamed body may continue. */
+    /** Resumes a streamed body when the connection accepts bytes again. */
     void onWritable() {
         if (streamedRequest != null) {
             markProgress();
@@ -111,7 +111,7 @@
                 && nowMs - lastProgressMs > STREAM_STALL_TIMEOUT_MS;
     }
 
-    /** Nothing more of a streamed body is sent on this connection. */
+    /** Stops sending a streamed body on this connection. */
     void endStreaming() {
         if (streamedRequest != null) {
             StreamedRequest request = streamedRequest;
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Sends the rest of a streamed request body. */
+    /** Writes the rest of a streamed request body to the server. */
     private final class RequestBodySink implements BodyStream.Sink {
         private final RunningAttempt attempt;
         private final boolean chunked;
@@ -145,7 +145,8 @@
         @Override
         public void flush() {
             Channel channel = connection.channel();
-            // Guards the time limit of a server that accepts nothing against what its client still sends ahead.
+            // Guards the stall timeout: bytes that the client sends while the server accepts nothing don't count as
+            // progress.
             lastProgressMs = channel.isWritable() ? clock.nowMs() : lastProgressMs;
             channel.flush();
             if (!channel.isWritable()) {
--- a/node/src/main/java/brackenbridge/net/upstream/ConnectFailureLog.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ConnectFailureLog.java
@@ -4,7 +4,7 @@
 import brackenbridge.core.connection.EndpointIdentity;
 import brackenbridge.log.Log;
 
-/** Logs connections that failed on this machine, at a bounded rate. */
+/** Logs connections that failed because of a system call on this machine, at a limited rate. */
 final class ConnectFailureLog {
     private static final double MIN_INTERVAL_MS = 1000;
 
@@ -22,7 +22,7 @@
         double now = clock.nowMs();
         if (now - lastLoggedMs >= MIN_INTERVAL_MS) {
             lastLoggedMs = now;
-            log.warn("no connection to " + endpoint.host() + ", failed on this machine: " + cause.getMessage());
+            log.warn("connection to " + endpoint.host() + " failed on this machine: " + cause.getMessage());
         }
     }
 }
--- a/node/src/main/java/brackenbridge/net/upstream/ResponseClassifier.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponseClassifier.java
@@ -3,7 +3,7 @@
 import brackenbridge.core.Event.ServerReply;
 import brackenbridge.http.HttpResponse;
 
-/** Decides which reply to the balancer a server's response stands for. */
+/** Maps a server's response to the reply that the balancer receives. */
 final class ResponseClassifier {
     private static final int OK = 200;
     private static final int FIRST_CLIENT_ERROR = 400;
@@ -26,7 +26,7 @@
         return isClientError(status) ? ServerReply.INVALID_REQUEST : ServerReply.ERROR;
     }
 
-    /** Whether the server says that it did not process the request at all. */
+    /** Whether the server reports that it did not process the request at all. */
     private static boolean isUnprocessed(HttpResponse response) {
         return (response.status() == SERVICE_UNAVAILABLE || response.status() == GATEWAY_TIMEOUT)
                 && "1".equals(response.headers().get("X-Unprocessed"));
--- a/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponseReader.java
@@ -18,11 +18,11 @@
 
 /** Reads the responses on one connection, one after another, and streams long ones to the client. */
 final class ResponseReader implements BodyStream.Source {
-    /** Longest pause in a response that is buffered, or in waiting for a client to take a streamed one. */
+    /** Maximum pause in a buffered response, or in waiting for a client to start reading a streamed one. */
     private static final double RESPONSE_STALL_TIMEOUT_MS = 1000;
-    /** Longest pause in a streamed response that its client is ready to take. */
+    /** Maximum pause in a streamed response while its client is ready to read. */
     private static final double STREAM_STALL_TIMEOUT_MS = 10_000;
-    /** A long response is streamed once its first part is complete, or so long after its latest bytes. */
+    /** A long response is streamed once its first part is complete, or this long after its latest bytes. */
     private static final double FIRST_PART_TIMEOUT_MS = 200;
 
     private static final int OK = 200;
@@ -32,11 +32,11 @@
     private final UpstreamContext context;
     private final Clock clock;
     private final ResponseDecoder decoder = new ResponseDecoder();
-    /** The body of the response that is being streamed; null if none is. */
+    /** The body of the response that is being streamed; null if there is none. */
     private BodyStream streamedBody;
-    /** When the latest bytes of the response came, or its stream was resumed; 0 before them. */
+    /** When the latest bytes of the response were read, or its stream was resumed; 0 before the first byte. */
     private double lastProgressMs;
-    /** The part of the shared bound on buffered bytes that this response uses. */
+    /** Bytes of this response that count against the shared buffer limit. */
     private int bufferedBytes;
 
     ResponseReader(UpstreamConnection connection, UpstreamConnections upstream, UpstreamContext context) {
@@ -50,17 +50,17 @@
         return streamedBody != null;
     }
 
-    /** Whether bytes of a response have come that is not complete yet. */
+    /** Whether a response has been received in part. */
     boolean hasBegun() {
         return lastProgressMs != 0;
     }
 
-    /** Whether what was read so far is a complete response if the connection ends in order here. */
+    /** Whether the bytes read so far are a complete response if the server closes the connection in order now. */
     boolean isCompleteAtEnd() {
         return decoder.onConnectionEnd();
     }
 
-    /** Takes what was read from the connection while an attempt is out on it, or its response is being streamed. */
+    /** Decodes bytes of the response to the attempt in flight. */
     void read(ByteBuf in) throws HttpException {
         if (decoder.decode(in)) {
             completeResponse(in.isReadable());
@@ -70,8 +70,8 @@
             lastProgressMs = decoder.hasBegun() ? clock.nowMs() : 0;
             setBufferedBytes(decoder.bufferedBytes());
             if (upstream.responses().isOverBufferLimit()) {
-                // Guards memory against many long responses at once.
-                rejectResponse(RejectionReason.OVERSIZED, "too much is buffered of all responses");
+                // Guards memory against many long responses at the same time.
+                rejectResponse(RejectionReason.OVERSIZED, "incomplete responses together exceed the buffer limit");
             }
         }
     }
@@ -81,17 +81,18 @@
             startStreaming();
             readStreamed(in);
         } else {
-            // The body of an error response of such length is of no use to the client.
+            // The client does not get the body of an error response, so its rest is not read.
             completeResponse(true);
         }
     }
 
-    /** The response is complete; with {@code extraBytes} the connection can't be used for another. */
+    /** Completes the attempt; with {@code extraBytes} after the response, the connection can't be reused. */
     void completeResponse(boolean extraBytes) {
         HttpResponse response = decoder.take();
         RunningAttempt attempt = connection.detachAttempt();
         lastProgressMs = 0;
-        // After a response that came before the complete request was sent, the rest would be read as the next request.
+        // The server responded before it had the complete request: on a reused connection, it would read the rest of
+        // that request as the next one.
         boolean early = !attempt.isWritten();
         connection.endRequestStreaming();
         setBufferedBytes(0);
@@ -113,8 +114,8 @@
     }
 
     /**
-     * Closes the connection, as nothing that comes on it can be trusted any more: the attempt has failed and may have
-     * been executed. The balancer gets a lost connection, which says less about a server than its own error status.
+     * Closes the connection, as its input can't be trusted any more: the attempt has failed and may have been executed.
+     * The balancer receives a lost connection, which is weaker evidence against a server than an error status.
      */
     void rejectResponse(RejectionReason reason, String detail) {
         setBufferedBytes(0);
@@ -129,7 +130,7 @@
         }
     }
 
-    /** Releases this response's part of the shared bound on buffered bytes. */
+    /** Releases this response's bytes from the shared buffer limit. */
     void releaseBufferedBytes() {
         setBufferedBytes(0);
     }
@@ -139,7 +140,7 @@
         bufferedBytes = bytes;
     }
 
-    /** Ends the wait for a response that makes no progress; returns whether it did. */
+    /** Ends the wait for a buffered response that makes no progress; returns whether it did. */
     boolean sweep(double nowMs) {
         if (lastProgressMs <= 0) {
             return false;
@@ -150,23 +151,24 @@
             return true;
         }
         if (pauseMs > RESPONSE_STALL_TIMEOUT_MS) {
-            rejectResponse(RejectionReason.TOO_SLOW, "stopped before its end");
+            rejectResponse(
+                    RejectionReason.TOO_SLOW, "no byte received for " + (long) RESPONSE_STALL_TIMEOUT_MS + " ms");
             return true;
         }
         return false;
     }
 
-    /** Truncates the streamed response if its client doesn't take it, or its server doesn't continue it. */
+    /** Truncates the streamed response if its client does not start reading it, or its server stops sending. */
     void sweepStreaming(double nowMs) {
         double pauseMs = nowMs - lastProgressMs;
         if (!streamedBody.isConnected() && pauseMs > RESPONSE_STALL_TIMEOUT_MS) {
-            truncate("no client takes it");
+            truncate("not connected to its client after " + (long) RESPONSE_STALL_TIMEOUT_MS + " ms");
         } else if (connection.channel().config().isAutoRead() && pauseMs > STREAM_STALL_TIMEOUT_MS) {
-            truncate("stopped before its end");
+            truncate("no byte received for " + (long) STREAM_STALL_TIMEOUT_MS + " ms");
         }
     }
 
-    /** Head and framing are valid: from now on the response goes to the client piece by piece. */
+    /** Starts to stream the response to the client; its head and framing are valid. */
     private void startStreaming() {
         RunningAttempt attempt = connection.detachAttempt();
         connection.endRequestStreaming();
@@ -198,13 +200,13 @@
 
     @Override
     public void onCancelled() {
-        // The client has disconnected: the server is not at fault, so nothing counts as truncated.
+        // The client has disconnected: the server is not at fault, so the response does not count as truncated.
         upstream.responses().removeStreaming(this);
         streamedBody = null;
         connection.close();
     }
 
-    /** Takes what was read of a streamed response. */
+    /** Decodes bytes of the streamed response. */
     void readStreamed(ByteBuf in) {
         try {
             lastProgressMs = clock.nowMs();
@@ -221,19 +223,19 @@
         }
     }
 
-    /** The connection has ended while the response was being streamed. */
+    /** Handles the end of the connection while the response is being streamed. */
     void onConnectionEnd(boolean responseComplete) {
         if (responseComplete) {
             endStreaming(true);
         } else {
-            truncate("its connection ended");
+            truncate("the connection ended before the response");
         }
     }
 
-    /** Ends the stream without the end of the response, so that its client can tell that it is incomplete. */
+    /** Ends the stream before the end of the response, in a way that tells the client that it is incomplete. */
     private void truncate(String detail) {
         context.counters().count(Counter.RESPONSES_TRUNCATED);
-        context.log().warn("long answer of " + connection.host() + " cut: " + detail);
+        context.log().warn("truncated the streamed response of " + connection.host() + ": " + detail);
         endStreaming(false);
         connection.close();
     }
--- a/node/src/main/java/brackenbridge/net/upstream/ResponsesInProgress.java
+++ b/node/src/main/java/brackenbridge/net/upstream/ResponsesInProgress.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** What the response readers of all connections share: the bytes they buffer and the responses being streamed. */
+/** State shared by the response readers of all connections: the buffered bytes and the responses being streamed. */
 final class ResponsesInProgress {
-    /** Bytes that all incomplete responses together may buffer. */
+    /** Maximum bytes buffered by all incomplete responses together. */
     private static final int MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 
     private final Set<ResponseReader> streaming = new HashSet<>();
     private int bufferedBytes;
 
-    /** One response buffers this many bytes more, or fewer if negative. */
+    /** Adds buffered bytes of one response, or subtracts them if negative. */
     void addBufferedBytes(int change) {
         bufferedBytes += change;
     }
--- a/node/src/main/java/brackenbridge/net/upstream/RunningAttempt.java
+++ b/node/src/main/java/brackenbridge/net/upstream/RunningAttempt.java
@@ -3,9 +3,9 @@
 import brackenbridge.core.Effect;
 import brackenbridge.core.connection.EndpointIdentity;
 
-/** An attempt from its effect until its outcome has been reported. */
+/** An attempt, from the effect that starts it until its outcome is reported. */
 final class RunningAttempt {
-    /** The waiter number of an attempt that has not asked the pool for a connection yet. */
+    /** Waiter number of an attempt that has not requested a connection from the pool yet. */
     private static final long NO_WAITER = -1;
 
     private final Effect.StartAttempt effect;
@@ -33,7 +33,7 @@
         return new EndpointIdentity(effect.host(), effect.address());
     }
 
-    /** The connection that it is sent on; null before the first byte. */
+    /** The connection on which the attempt is sent; null before its first byte. */
     UpstreamConnection connection() {
         return connection;
     }
@@ -42,7 +42,7 @@
         connection = carrier;
     }
 
-    /** Whether the last byte of the request has been written: from then on its server may have executed it. */
+    /** Whether the last byte of the request has been written: from then on the server may have executed it. */
     boolean isWritten() {
         return written;
     }
@@ -51,7 +51,7 @@
         written = true;
     }
 
-    /** Its waiter number in the connection pool. */
+    /** The attempt's waiter number in the connection pool. */
     long waiter() {
         return waiter;
     }
--- a/node/src/main/java/brackenbridge/net/upstream/RunningAttempts.java
+++ b/node/src/main/java/brackenbridge/net/upstream/RunningAttempts.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The attempts whose outcome is still open, by request; those that wait for a connection also by waiter number. */
+/** The attempts without an outcome, by request; those that wait for a connection also by waiter number. */
 final class RunningAttempts {
     private final EventSink events;
     private final Map<Long, RunningAttempt> byRequest = new HashMap<>();
@@ -31,7 +31,7 @@
         return byRequest.remove(attempt.requestId(), attempt);
     }
 
-    /** Removes the attempt of this request with this number; null if it is not running. */
+    /** Removes and returns the attempt of this request with this number; null if it is not running. */
     RunningAttempt cancel(long requestId, int attempt) {
         RunningAttempt running = byRequest.get(requestId);
         if (running == null || running.attempt() != attempt) {
@@ -42,42 +42,42 @@
         return running;
     }
 
-    /** Gives the attempt a new waiter number and records it as waiting for a connection. */
+    /** Assigns a new waiter number to the attempt and records it as waiting for a connection. */
     void addWaiter(RunningAttempt attempt) {
         attempt.setWaiter(nextWaiter++);
         byWaiter.put(attempt.waiter(), attempt);
     }
 
-    /** Records the attempt as waiting once more, under the number that it has. */
+    /** Records the attempt as waiting again, under its existing number. */
     void restoreWaiter(long waiter, RunningAttempt attempt) {
         byWaiter.put(waiter, attempt);
     }
 
-    /** Removes a waiter; null if its attempt has been cancelled. */
+    /** Removes a waiter and returns its attempt; null if that has been cancelled. */
     RunningAttempt removeWaiter(long waiter) {
         return byWaiter.remove(waiter);
     }
 
-    /** A copy, to be iterated over while attempts end. */
+    /** Returns a copy for iterations during which attempts may end. */
     List<RunningAttempt> snapshot() {
         return List.copyOf(byRequest.values());
     }
 
-    /** Ends the attempt: no byte of it was written. */
+    /** Ends the attempt, of which no byte was written. */
     void attemptNotStarted(RunningAttempt attempt) {
         if (remove(attempt)) {
             events.raise(new Event.AttemptNotStarted(attempt.requestId(), attempt.attempt()));
         }
     }
 
-    /** Ends the attempt: its connection could not be opened, or broke, or can't be trusted any more. */
+    /** Ends the attempt, whose connection could not be opened, broke, or can't be trusted any more. */
     void connectionLost(RunningAttempt attempt) {
         if (remove(attempt)) {
             events.raise(new Event.AttemptConnectionLost(attempt.requestId(), attempt.attempt()));
         }
     }
 
-    /** Ends the attempt: a system call on this machine failed before the request was completely written. */
+    /** Ends the attempt, for which a system call on this machine failed before the request was completely written. */
     void failLocally(RunningAttempt attempt) {
         if (remove(attempt)) {
             events.raise(new Event.AttemptFailedLocally(attempt.requestId(), attempt.attempt()));
--- a/node/src/main/java/brackenbridge/net/upstream/UpstreamConnection.java
+++ b/node/src/main/java/brackenbridge/net/upstream/UpstreamConnection.java
@@ -17,14 +17,14 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to a server, which carries one attempt at a time. */
+/** A connection to a server, which carries one attempt at a time. */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter implements ConnectAttempt.Listener {
     /**
-     * How long a connection is not reused after a response. Guards the next attempt against bytes that a server still
-     * sends behind its response: they would be read as the next response.
+     * Time after a response before the connection is reused. Guards the next attempt against extra bytes that a server
+     * sends after its response: they would be read as the next response.
      */
     private static final long REUSE_DELAY_MS = 5;
-    /** A connection that breaks so soon after an attempt started on it may have been closed before. */
+    /** A connection that breaks within this time after the start of an attempt may have been closed before it. */
     private static final double STALE_CONNECTION_WINDOW_MS = 50;
 
     private final long id;
@@ -34,13 +34,13 @@
     private final AttemptWriter writer;
     private final ResponseReader reader;
     private Channel channel;
-    /** The attempt that is out on it; null if none is, or its response is being streamed. */
+    /** The attempt in flight; null if there is none, or its response is being streamed. */
     private RunningAttempt attempt;
-    /** The server has ended its sending in order. */
+    /** Whether the server has shut down its output in order. */
     private boolean inputEnded;
-    /** Why reading from it failed; null if it didn't. */
+    /** Cause of a failed read; null if none failed. */
     private Throwable readFailure;
-    /** Why writing to it failed; null if it didn't. */
+    /** Cause of a failed write; null if none failed. */
     private Throwable writeFailure;
 
     UpstreamConnection(long id, EndpointIdentity endpoint, UpstreamConnections upstream, UpstreamContext context) {
@@ -52,7 +52,7 @@
         reader = new ResponseReader(this, upstream, context);
     }
 
-    /** Starts to connect; the channel stays null if no socket could be made. */
+    /** Starts to connect; the channel stays null if no socket could be created. */
     void open(Bootstrap bootstrap, InetSocketAddress address) {
         channel = ConnectAttempt.begin(bootstrap, context.loop(), address, this);
     }
@@ -72,7 +72,8 @@
     @Override
     public void connected() {
         context.counters().count(Counter.CONNECTIONS_OPENED);
-        // As when an attempt is queued: the end of the client that waits for it may be there as well.
+        // Deferred, as when an attempt is queued: the disconnect of the waiting client may have arrived in the same
+        // turn.
         context.loop().execute(() -> upstream.onConnected(id));
     }
 
@@ -116,19 +117,19 @@
         return attempt == candidate;
     }
 
-    /** Takes the attempt off the connection; null if there is none. */
+    /** Detaches the attempt from the connection; returns null if there is none. */
     RunningAttempt detachAttempt() {
         RunningAttempt detached = attempt;
         attempt = null;
         return detached;
     }
 
-    /** Nothing more of a streamed request body is sent. */
+    /** Stops sending a streamed request body. */
     void endRequestStreaming() {
         writer.endStreaming();
     }
 
-    /** Closes the connection under its attempt, which has been cancelled. */
+    /** Closes the connection of an attempt that has been cancelled. */
     void cancelAttempt() {
         attempt = null;
         writer.endStreaming();
@@ -150,11 +151,11 @@
     /** Ends an attempt whose request or response makes no progress. */
     void sweep(double nowMs) {
         if (!reader.sweep(nowMs) && writer.isStalled(attempt, nowMs)) {
-            reader.rejectResponse(RejectionReason.TOO_SLOW, "takes no more of a long request body");
+            reader.rejectResponse(RejectionReason.TOO_SLOW, "server stopped accepting the streamed request body");
         }
     }
 
-    /** Returns the connection to the pool after a while, or closes it if it can't be used again. */
+    /** Returns the connection to the pool after a short delay, or closes it if it can't be reused. */
     void reuseOrClose(HttpResponse response, boolean extraBytes) {
         if (response.keepAlive() && !extraBytes) {
             context.loop().schedule(this::returnToPool, REUSE_DELAY_MS, TimeUnit.MILLISECONDS);
@@ -169,7 +170,7 @@
         }
     }
 
-    /** Closes the connection; nothing more is sent on it. */
+    /** Closes the connection and removes it from the pool. */
     void close() {
         upstream.onConnectionEnded(id);
         channel.close();
@@ -182,7 +183,7 @@
             if (reader.isStreaming()) {
                 reader.readStreamed(in);
             } else if (isReadUnexpected()) {
-                // What follows on this connection can't be trusted.
+                // Further input on this connection can't be trusted.
                 close();
             } else {
                 reader.read(in);
@@ -194,12 +195,12 @@
         }
     }
 
-    /** Whether no response can be due: no attempt is out, or not all of its request has been written. */
+    /** Whether no response can be due: no attempt is in flight, or its request has not been completely written. */
     private boolean isReadUnexpected() {
         return attempt == null || !attempt.isWritten() && !writer.isStreaming();
     }
 
-    /** Whether the end of the connection is that of a complete response. */
+    /** Whether the end of the connection completes a response. */
     private boolean endsCompleteResponse() {
         return inputEnded && readFailure == null && reader.isCompleteAtEnd();
     }
@@ -227,7 +228,7 @@
         }
     }
 
-    /** The connection has ended under the attempt, before the end of a response. */
+    /** Ends an attempt whose connection ended before its response was complete. */
     private void endAttempt(RunningAttempt ended) {
         writer.endStreaming();
         Throwable failure = writeFailure == null ? readFailure : writeFailure;
@@ -248,10 +249,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // Guards clients against half a response: a reset is no end, whatever the response says of its end.
+        // Guards clients against truncated responses: a reset never completes a response, however it is framed.
         readFailure = cause;
         if (!(cause instanceof IOException)) {
-            context.log().error("fault on a connection to " + endpoint.host(), cause);
+            context.log().error("unexpected exception on a connection to " + endpoint.host(), cause);
         }
         ctx.close();
     }
--- a/node/src/main/java/brackenbridge/net/upstream/UpstreamConnections.java
+++ b/node/src/main/java/brackenbridge/net/upstream/UpstreamConnections.java
@@ -16,13 +16,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Hands attempts to the connection pool and executes the commands of the pool, which decides who gets which connection
- * and when one is opened. Used on the event loop only.
+ * Passes attempts to the connection pool and executes its commands; the pool decides which attempt gets which
+ * connection and when one is opened. Used on the event loop only.
  */
 public final class UpstreamConnections {
-    /** An attempt dispatched so long after it was decided waits for one more poll: its client may have disconnected. */
+    /**
+     * An attempt that is dispatched this long after it was decided waits for another poll: its client may have
+     * disconnected.
+     */
     private static final double DISPATCH_DELAY_LIMIT_MS = 50;
-    /** After so long an attempt whose client is not known to be connected is checked again. */
+    /** Delay before an attempt whose client is not known to be connected is checked again. */
     private static final long CLIENT_RECHECK_DELAY_MS = 1;
 
     private static final double MICROSECONDS_PER_MS = 1000.0;
@@ -40,9 +43,9 @@
     private BalancerSettings settings;
 
     /**
-     * Makes the connections of a node; none is open yet.
+     * Creates the connections of a node; none is open yet.
      *
-     * @param startCheck asked just before the first byte of each attempt
+     * @param startCheck consulted just before the first byte of each attempt
      * @param makeRoom closes idle connections when descriptors are short
      */
     public UpstreamConnections(
@@ -66,7 +69,10 @@
         return Math.max(MIN_CONNECT_TIMEOUT_MS, settings.network().connectTimeout() / MICROSECONDS_PER_MS);
     }
 
-    /** Half: guards against a server that closes its idle connection early; what is written from then on is lost. */
+    /**
+     * Half of the configured timeout: guards against servers that close idle connections early, as a request written
+     * after the close would be lost.
+     */
     private static double idleTimeoutMs(BalancerSettings settings) {
         return settings.idleTimeout() / (2 * MICROSECONDS_PER_MS);
     }
@@ -75,14 +81,14 @@
     public void startAttempt(Effect.StartAttempt effect) {
         RunningAttempt attempt = new RunningAttempt(effect);
         attempts.add(attempt);
-        // Not before all that has come by now is read: among it may be the end of the very connection that this
-        // attempt would get, or bytes that make that connection unusable.
+        // Deferred until all bytes that have arrived by now are read: among them may be the end of the connection that
+        // this attempt would get, or bytes that make it unusable.
         double decidedMs = nowMs();
         context.loop().execute(() -> {
             if (nowMs() - decidedMs < DISPATCH_DELAY_LIMIT_MS) {
                 dispatch(attempt);
             } else {
-                // Only what is scheduled surely runs after all sockets have been polled once more.
+                // Only a scheduled task is certain to run after all sockets have been polled again.
                 context.loop().schedule(() -> dispatch(attempt), 0, TimeUnit.NANOSECONDS);
             }
         });
@@ -111,7 +117,7 @@
         execute(pool.closeIdle(new EndpointIdentity(host, address)));
     }
 
-    /** Closes connections that have been idle for long, and those whose response makes no progress. */
+    /** Closes connections that have been idle too long, and those whose response makes no progress. */
     public void sweep() {
         double now = nowMs();
         for (RunningAttempt attempt : attempts.snapshot()) {
@@ -163,7 +169,7 @@
         if (address == null) {
             execute(pool.onConnectionEnded(nowMs(), command.connection()));
         } else if (!context.descriptors().hasRoomForServer()) {
-            // Guards the health of servers against a node that has too many connections itself.
+            // A lack of descriptors on this node must not count against the health of the server.
             execute(pool.onNoDescriptor(nowMs(), command.connection()));
         } else {
             connect(command, address);
@@ -176,8 +182,8 @@
         Bootstrap bootstrap = context.bootstrap()
                 .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
-                // So that an orderly end of the server's sending is reported as such: a closed channel may as well
-                // have been reset, or its writes may have failed.
+                // Reports an orderly shutdown by the server as a separate event: a closed channel may also have been
+                // reset, or its writes may have failed.
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .handler(connection);
         connection.open(bootstrap, address);
@@ -198,12 +204,13 @@
         UpstreamConnection connection = connections.get(command.connection());
         RunningAttempt attempt = attempts.removeWaiter(command.waiter());
         if (attempt == null) {
-            // Cancelled by what an earlier command has raised, or while its client was being checked.
+            // The attempt was cancelled by an event that an earlier command raised, or while its client was being
+            // checked.
             release(command.connection());
         } else if (connection != null && connection.channel().isActive()) {
             send(command, connection, attempt);
         } else {
-            // It has ended, and its end has not been reported yet.
+            // The connection has ended, which has not been reported to the pool yet.
             execute(pool.onConnectionEnded(nowMs(), command.connection()));
             dispatch(attempt);
         }
@@ -215,7 +222,8 @@
             release(command.connection());
             attempts.attemptNotStarted(attempt);
         } else if (result == SendResult.CLIENT_UNCONFIRMED) {
-            // Ends by itself: soon the client is seen, is found to have disconnected, or counts as hidden.
+            // The retries end: soon the client is confirmed, found to have disconnected, or its presence has been
+            // unknown for too long.
             attempts.restoreWaiter(command.waiter(), attempt);
             context.loop().schedule(() -> assignConnection(command), CLIENT_RECHECK_DELAY_MS, TimeUnit.MILLISECONDS);
         }
@@ -267,7 +275,7 @@
         return connectFailures;
     }
 
-    /** Whether load reports in the headers of responses are read. */
+    /** Whether load reports in response headers are read. */
     boolean readsLoadReports() {
         return settings.network().reportsInAnswers();
     }
@@ -280,7 +288,7 @@
         execute(pool.onConnected(nowMs(), connection));
     }
 
-    /** The connection can be used for another attempt. */
+    /** Returns a connection to the pool for reuse. */
     void release(long connection) {
         execute(pool.release(nowMs(), connection));
     }
@@ -294,12 +302,12 @@
         execute(pool.onConnectionEnded(nowMs(), connection));
     }
 
-    /** The connection could not be opened because a system call failed on this machine. */
+    /** Reports a connection that could not be opened because a system call failed on this machine. */
     void onLocalFailure(long connection) {
         execute(pool.onLocalFailure(nowMs(), connection));
     }
 
-    /** The connection broke just after an attempt started; returns whether it was one that had been kept. */
+    /** Reports a connection that broke just after an attempt started; returns whether it was a reused one. */
     boolean onBrokenAtOnce(long connection) {
         return pool.onBrokenAtOnce(connection);
     }
--- a/node/src/main/java/brackenbridge/net/upstream/UpstreamContext.java
+++ b/node/src/main/java/brackenbridge/net/upstream/UpstreamContext.java
@@ -14,7 +14,7 @@
  * @param bootstrap the options of every outgoing connection
  * @param loop the node's event loop
  * @param clock the node's monotonic clock
- * @param events receives what becomes of attempts
+ * @param events receives the outcomes of attempts
  * @param descriptors the budget that each connection is counted in
  * @param counters the node's counters
  * @param log the node's log
