--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -22,9 +22,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Makes the calls to discovery that the reducer requests, each on a connection of its own. */
+/** Makes the discovery calls that the reducer requests, each on its own connection. */
 final class DiscoveryClient {
-    /** Guards the heap; a list of 15,000 servers is shorter, even if it is indented. */
+    /** Guards the heap; an indented list of 15,000 servers is shorter. */
     private static final int MAX_LIST_BYTES = 4 << 20;
 
     private static final int CONNECT_TIMEOUT_MS = 1000;
@@ -46,17 +46,17 @@
         this.log = log;
     }
 
-    /** All further calls go to this address. */
+    /** Sets the address of all further calls. */
     void setAddress(String newAddress) {
         address = newAddress;
     }
 
-    /** Starts a call that reports all changes of the list after this version. */
+    /** Starts a watch call that reports all changes of the list after this version. */
     void watch(long callId, long afterVersion) {
         startCall(new Call(callId, address, LIST_PATH + "?watch=1&after=" + afterVersion));
     }
 
-    /** Ends a call; nothing more is reported of it. */
+    /** Ends a call without reporting its end. */
     void endCall(long callId) {
         Call call = calls.remove(callId);
         if (call != null) {
@@ -68,7 +68,7 @@
         calls.put(call.id, call);
         InetSocketAddress socketAddress = Addresses.parse(call.address);
         if (socketAddress == null) {
-            call.end("no address: " + call.address);
+            call.end("not a literal address: " + call.address);
             return;
         }
         call.channel = ConnectAttempt.begin(bootstrap.clone().handler(call), loop, socketAddress, call);
@@ -109,12 +109,12 @@
 
         @Override
         public void connectFailed(Throwable cause) {
-            end("no connection: " + cause.getMessage());
+            end("can't connect: " + cause.getMessage());
         }
 
         @Override
         public void notBegun(Throwable cause) {
-            end("no socket: " + cause.getMessage());
+            end("can't open a socket: " + cause.getMessage());
         }
 
         private void readBody(ByteBuf from, int length) throws HttpException {
@@ -129,9 +129,9 @@
         private void readListByte(byte next) throws HttpException {
             switch (cutter.add(next)) {
                 case TEXT -> onList(cutter.take());
-                // Of a list that comes in pieces only the first byte counts: guards against one that never ends.
+                // Only the first byte of a list counts as a heartbeat: guards against a list that never ends.
                 case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryHeartbeat(id));
-                case TOO_LONG -> end("list too long");
+                case TOO_LONG -> end("list longer than " + MAX_LIST_BYTES + " bytes");
                 default -> {
                     // The list is not complete yet.
                 }
@@ -142,7 +142,7 @@
             try {
                 EndpointList endpoints = EndpointListParser.parse(text);
                 if (!endpoints.unreadableHosts().isEmpty()) {
-                    log.warn("entries that can't be read, so these hosts stay as they were: "
+                    log.warn("unreadable entries in the endpoint list; these hosts keep their previous state: "
                             + endpoints.unreadableHosts());
                 }
                 events.raise(new Event.EndpointListReceived(id, endpoints));
@@ -151,7 +151,7 @@
             }
         }
 
-        /** Ends the call and reports that, once. */
+        /** Ends the call and reports its end, once. */
         private void end(String reason) {
             ended = true;
             if (calls.remove(id, this)) {
@@ -162,7 +162,7 @@
         }
 
         private void endWithResponse() {
-            end(decoder.status() == OK ? "the answer ended" : "status " + decoder.status());
+            end(decoder.status() == OK ? "response ended" : "status " + decoder.status());
         }
 
         @Override
@@ -171,10 +171,11 @@
             try {
                 boolean complete = decoder.decode(in);
                 if (complete || decoder.awaitsBody() && decoder.status() != OK) {
-                    // Guards against waiting for the end of an error response.
+                    // Guards against waiting for the body of an error response.
                     endWithResponse();
                 } else if (!headReceived && decoder.awaitsBody()) {
-                    // Guards a call that had to wait for its response: the first empty line is due 2 s after it.
+                    // Guards a call that waited for its response head: the head counts as a heartbeat, as the first
+                    // empty line is due only 2 s after it.
                     headReceived = true;
                     events.raise(new Event.DiscoveryHeartbeat(id));
                 }
@@ -190,7 +191,7 @@
             if (decoder.onConnectionEnd()) {
                 endWithResponse();
             } else {
-                end("connection ended");
+                end("connection ended before the response was complete");
             }
         }
 
--- a/node/src/main/java/brackenbridge/net/EffectRunner.java
+++ b/node/src/main/java/brackenbridge/net/EffectRunner.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Runs the reducer's effects, each by the handler of its type. Used on the event loop only. */
+/** Runs the reducer's effects, each with the handler of its type. Used on the event loop only. */
 final class EffectRunner {
     private static final int REQUEST_TIMEOUT_STATUS = 408;
 
@@ -34,7 +34,7 @@
         on(Effect.CancelTimer.class, timers::cancel);
         on(Effect.WatchDiscovery.class, effect -> discovery.watch(effect.call(), effect.afterVersion()));
         on(Effect.EndDiscoveryCall.class, effect -> discovery.endCall(effect.call()));
-        on(Effect.Fault.class, effect -> log.error("fault in a decision", effect.cause()));
+        on(Effect.Fault.class, effect -> log.error("fault in the decision module", effect.cause()));
         on(Effect.Exit.class, effect -> shutdown.exit(effect.immediately()));
         registerUpstream();
         registerListener(listener);
@@ -63,10 +63,10 @@
         handlers.put(type, effect -> handler.accept(type.cast(effect)));
     }
 
-    /** Runs the effect; a failure is logged, and an attempt that could not start is reported. */
+    /** Runs the effect; logs a failure, and reports an attempt that could not be started. */
     void run(Effect effect) {
         try {
-            // Health checks are the laboratory's alone: they have no handler here.
+            // Health check effects are used by the laboratory only and have no handler here.
             Consumer<Effect> handler = handlers.get(effect.getClass());
             if (handler != null) {
                 handler.accept(effect);
@@ -74,7 +74,7 @@
         } catch (RuntimeException e) {
             log.error("effect " + effect.getClass().getSimpleName() + " failed", e);
             if (effect instanceof Effect.StartAttempt start) {
-                // Guards its request against waiting in vain: nothing has been sent.
+                // Guards the request against waiting for an attempt of which nothing has been sent.
                 upstream.cancelAttempt(start.requestId(), start.attempt());
                 events.raise(new Event.AttemptNotStarted(start.requestId(), start.attempt()));
             }
--- a/node/src/main/java/brackenbridge/net/Node.java
+++ b/node/src/main/java/brackenbridge/net/Node.java
@@ -41,16 +41,16 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Supplier;
 
-/** A running node: hands events to the reducer and runs the effects, all on one event loop. */
+/** A running node: passes events to the reducer and runs the resulting effects, all on one event loop. */
 public final class Node implements EventSink, AdminOperations {
     private static final long SWEEP_INTERVAL_MS = 100;
     private static final int CONNECT_TIMEOUT_MS = 1000;
-    /** A part of what a stopping process has left before it is killed. */
+    /** Short compared with the time that a stopping process has left before it is killed. */
     private static final long MAX_PARK_WAIT_MS = 50;
 
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int BUFFER_PAGE_BYTES = 8192;
-    /** A chunk of pooled memory has 2 to this power pages. */
+    /** Base-2 logarithm of the pages in a chunk of pooled memory. */
     private static final int BUFFER_CHUNK_ORDER = 7;
 
     private static final int CACHED_SMALL_BUFFERS = 64;
@@ -79,17 +79,19 @@
     private boolean reducing;
     private ConnectionAcceptor acceptor;
 
-    /** Makes a node ready to start that no other process can replace while it serves. */
+    /** Creates a node that no other process can replace while it serves. */
     public Node(Config config, Clock clock, Log log) {
         this(config, clock, log, null);
     }
 
-    /** Makes a node ready to start; at this path it meets the process it replaces, and the one that replaces it. */
+    /**
+     * Creates a node that hands over at this path: from the process that it replaces, and to the one that replaces it.
+     */
     public Node(Config config, Clock clock, Log log, Path replacementPath) {
         this(config, clock, log, replacementPath, SocketCalls.system());
     }
 
-    /** As the others, with other sockets than the system's. */
+    /** Creates a node with substitutes for the system's socket calls. */
     Node(Config config, Clock clock, Log log, Path replacementPath, SocketCalls socketCalls) {
         this.clock = clock;
         this.log = log;
@@ -139,7 +141,7 @@
         return new HandoverState(reconfiguration.config().sockets() / 2, reducer.endpointList());
     }
 
-    /** Starts to serve; fails if the address can't be listened on. */
+    /** Starts to serve; throws if the node can't listen on its address. */
     public void start() {
         Config config = reconfiguration.config();
         InetSocketAddress address = Addresses.parse(config.listen());
@@ -148,7 +150,8 @@
         }
         HandoverState inherited = replacement.inheritState();
         loop.submit(() -> startReducer(config, inherited)).syncUninterruptibly();
-        // Before any client can come: guards those who would lose their connection to a process that ends at once.
+        // Before any client can connect: guards clients against losing their connections to a process that exits
+        // immediately.
         listenForOperators(config);
         acceptor = new ConnectionAcceptor(
                 acceptingBootstrap(),
@@ -197,7 +200,7 @@
         try {
             management.listen(Addresses.parse(config.management()));
         } catch (Exception e) {
-            // Netty throws a failed bind as it is, and that is no RuntimeException.
+            // Netty rethrows the checked exception of a failed bind.
             throw new IllegalArgumentException("mgmt " + config.management() + ": " + e.getMessage(), e);
         }
     }
@@ -208,7 +211,8 @@
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.ALLOCATOR, buffers)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Guards servers against the request of a client whose end is there as well, read a turn too late.
+                // Guards servers against the request of a client that has already disconnected: with the default, the
+                // end of the connection may be read one turn late.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         ReceiveBuffers.allocator().respectMaybeMoreData(false))
@@ -225,43 +229,43 @@
         return acceptor.address();
     }
 
-    /** Reads the configuration anew and applies it; one that is not valid changes nothing. From any thread. */
+    /** Reads the configuration again and applies it; an invalid one changes nothing. Callable from any thread. */
     public void reconfigure(Supplier<Config> reader) {
         reconfiguration.reconfigure(reader);
     }
 
-    /** From now on the node counts what goes to each pool; before {@link #start}. */
+    /** Makes the node observe the traffic to each pool; to be called before {@link #start}. */
     public void startObserving() {
         loop.submit(reducer::startObserving).syncUninterruptibly();
         status.startObserving();
     }
 
-    /** The traffic of each pool as of the latest tenth of a second of the node's clock; from any thread. */
+    /** The traffic of each pool as of the latest sweep, which runs every 100 ms; callable from any thread. */
     public TrafficObserver.TrafficSnapshot observation() {
         return status.observation();
     }
 
-    /** Passes zone weights of the fleet to the event loop; from any thread, without waiting. */
+    /** Passes the fleet's zone weights to the event loop; callable from any thread, doesn't block. */
     public void enqueue(Event.ZoneWeightsReceived weights) {
         loop.execute(() -> raise(weights));
     }
 
-    /** Passes tenant quotas of the fleet to the event loop; from any thread, without waiting. */
+    /** Passes the fleet's tenant quotas to the event loop; callable from any thread, doesn't block. */
     public void enqueue(Event.TenantQuotasReceived quotas) {
         loop.execute(() -> raise(quotas));
     }
 
-    /** What each tenant requested and used since the previous call; from any thread. */
+    /** What each tenant requested and used since the previous call; callable from any thread. */
     public CompletableFuture<List<TenantUse>> tenantUse() {
         CompletableFuture<List<TenantUse>> read = new CompletableFuture<>();
         loop.execute(() -> read.complete(reducer.tenantUse(clock.nowMs())));
         return read;
     }
 
-    /** The state of the event loop at one moment: the sockets that it counts, and the metrics. */
+    /** A consistent snapshot of the event loop's state: the open sockets and the metrics. */
     record Snapshot(int clients, int servers, String metrics) {}
 
-    /** Read on the loop, with nothing in between; for tests. */
+    /** Takes a snapshot on the event loop; for tests. */
     CompletableFuture<Snapshot> snapshot() {
         CompletableFuture<Snapshot> read = new CompletableFuture<>();
         loop.execute(() -> read.complete(
@@ -269,7 +273,7 @@
         return read;
     }
 
-    /** Begins to stop; the future that is returned completes when all requests are answered. */
+    /** Starts a graceful shutdown; the returned future completes when all requests are answered. */
     public CompletableFuture<Void> stop() {
         loop.execute(() -> {
             log.info("stopping");
@@ -278,7 +282,7 @@
         return shutdown.completed();
     }
 
-    /** Ends at once, as if the process were killed. */
+    /** Stops immediately, as if the process were killed. */
     public void kill() {
         if (management != null) {
             management.close();
@@ -287,8 +291,9 @@
     }
 
     /**
-     * Holds the event loops of a stopped node still, until the process exits; waits a short time at most. The virtual
-     * machine waits 300 ms at its exit for threads that are inside a system call, as a waiting event loop is.
+     * Parks the event loop threads of a stopped node until the process exits; waits for that for a short time only. At
+     * its exit, the virtual machine waits 300 ms for threads inside a system call, which includes an event loop that
+     * polls.
      */
     public void parkEventLoops() throws InterruptedException {
         List<Executor> loops = new ArrayList<>(List.of(loop));
@@ -313,7 +318,8 @@
         if (reducing) {
             return;
         }
-        // An effect may raise an event at once, such as a write that fails: it waits until this one is done.
+        // An effect may raise an event synchronously, such as a write that fails: it is queued until the current one is
+        // done.
         reducing = true;
         try {
             while (!inbox.isEmpty()) {
@@ -368,7 +374,9 @@
         }
     }
 
-    /** Closes one idle connection: a client's without a request yet, else a server's, else another client's. */
+    /**
+     * Closes one idle connection: of a client that has sent no request yet, else to a server, else of another client.
+     */
     private void makeRoom() {
         if (!listener.shedOne(false) && !upstream.closeOneIdleConnection()) {
             listener.shedOne(true);
--- a/node/src/main/java/brackenbridge/net/Reconfiguration.java
+++ b/node/src/main/java/brackenbridge/net/Reconfiguration.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Holds the configuration that the node runs with, and replaces it by a new one as a whole or not at all. */
+/** Holds the configuration in force, and replaces it by a new one completely or not at all. */
 final class Reconfiguration {
     private final EventLoop loop;
     private final Consumer<Config> applySettings;
@@ -21,9 +21,9 @@
     private Config config;
 
     /**
-     * Makes the holder of this configuration.
+     * Creates the holder of this initial configuration.
      *
-     * @param applySettings gives a new configuration to the parts of the node that need it, but for the reducer
+     * @param applySettings applies a new configuration to the components of the node, except the reducer
      * @param publishStatus publishes the metrics after each attempt to reconfigure
      */
     Reconfiguration(
@@ -43,14 +43,14 @@
         this.publishStatus = publishStatus;
     }
 
-    /** The configuration that is applied; on the event loop, or before the node has started. */
+    /** The configuration in force; to be read on the event loop, or before the node has started. */
     Config config() {
         return config;
     }
 
     /** Reads a configuration on the calling thread, then applies it on the event loop if it is valid. */
     synchronized void reconfigure(Supplier<Config> reader) {
-        // In turn: of two configurations, the one that was read last must be the one that stays.
+        // Synchronized: of two configurations, the one that was read last must be applied last.
         Config newConfig;
         try {
             newConfig = reader.get();
@@ -63,7 +63,7 @@
 
     private void reject(IllegalArgumentException cause) {
         counters.count(Counter.RECONFIGURE_FAILED);
-        log.warn("the old configuration stays: " + cause.getMessage());
+        log.warn("configuration rejected, the previous one stays in force: " + cause.getMessage());
         publishStatus.run();
     }
 
@@ -82,7 +82,7 @@
         log.info("reconfigured, " + newConfig.settings().classes().size() + " classes, "
                 + newConfig.settings().maxAttempts()
                 + " attempts, discovery at " + newConfig.discovery()
-                + (restartNeeded ? "; name and listen address change at the next start only" : ""));
+                + (restartNeeded ? "; a new name or listen address applies from the next start" : ""));
         events.raise(new Event.Reconfigured(newConfig.settings(), newConfig.configuredEndpoints(), discoveryMoved));
         publishStatus.run();
     }
--- a/node/src/main/java/brackenbridge/net/ReducerStartCheck.java
+++ b/node/src/main/java/brackenbridge/net/ReducerStartCheck.java
@@ -5,7 +5,7 @@
 import brackenbridge.net.client.Listener;
 import brackenbridge.net.upstream.AttemptStartCheck;
 
-/** Asks the reducer and the client's connection whether an attempt may start. */
+/** Consults the reducer and the client's connection on whether an attempt may start. */
 final class ReducerStartCheck implements AttemptStartCheck {
     private final Clock clock;
     private final Reducer reducer;
--- a/node/src/main/java/brackenbridge/net/Replacement.java
+++ b/node/src/main/java/brackenbridge/net/Replacement.java
@@ -17,9 +17,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** The node's side of a replacement: as successor of the process that serves, and as predecessor of the next one. */
+/** The node's part in a handover: as successor of the process that serves, and as predecessor of the next one. */
 final class Replacement implements Handover.Participant {
-    /** A successor waits so long at most for the end of this process's own predecessor; it waits a second itself. */
+    /**
+     * Maximum time that a successor waits for the exit of this process's own predecessor; its own timeout is a second.
+     */
     private static final long MAX_PREDECESSOR_WAIT_MS = 800;
 
     private final EventLoop loop;
@@ -30,16 +32,19 @@
     /** Null if this node can't be replaced while it serves. */
     private final Handover handover;
 
-    /** Completes once no process from before this one is left. */
+    /** Completes once no earlier process is left. */
     private CompletableFuture<Void> predecessorExit = CompletableFuture.completedFuture(null);
-    /** A successor came while this process's own predecessor was still there, so the kernel's order is not known. */
+    /**
+     * Whether a successor joined while this process's own predecessor was still running: the order of their sockets in
+     * the kernel is then unknown.
+     */
     private boolean joinedBeforePredecessorExit;
 
     /**
-     * Makes the part of a node that meets other processes at this path.
+     * Creates the handover of a node at this path.
      *
-     * @param path null if the node meets none
-     * @param state what a successor gets
+     * @param path null if the node takes part in no handover
+     * @param state the state that a successor receives
      */
     Replacement(
             EventLoop loop,
@@ -57,7 +62,10 @@
         handover = path == null ? null : new Handover(loop, path, this, counters, log);
     }
 
-    /** Waits for the state of the process that serves already; null if there is none. Not on the event loop. */
+    /**
+     * Waits for the state of the process that is already serving; returns null if there is none. Must not be called on
+     * the event loop.
+     */
     HandoverState inheritState() {
         if (handover == null) {
             return null;
@@ -75,7 +83,7 @@
         return inherited;
     }
 
-    /** The node can serve: runs this once the predecessor, if there is one, has been notified. */
+    /** Announces that the node can serve; runs the action once the predecessor, if any, has been notified. */
     void announceReady(Runnable onServing) {
         if (handover == null) {
             onServing.run();
@@ -84,15 +92,16 @@
         }
     }
 
-    /** Directs new connections to the successor; fails if it can't be told which of the sockets is the successor's. */
+    /** Directs new connections to the successor; fails if the successor's socket can't be identified. */
     CompletableFuture<Void> steerToSuccessor(InetSocketAddress address, SocketCalls.SteerCall steer) {
         if (joinedBeforePredecessorExit) {
-            return CompletableFuture.failedFuture(new IOException("the process before this one was still there"));
+            return CompletableFuture.failedFuture(
+                    new IOException("this process's predecessor was still running when its successor joined"));
         }
         return steer.steerToNewer(address);
     }
 
-    /** Meets no other process any more. */
+    /** Ends the part in any handover. */
     void close() {
         if (handover != null) {
             handover.close();
--- a/node/src/main/java/brackenbridge/net/Shutdown.java
+++ b/node/src/main/java/brackenbridge/net/Shutdown.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The last steps of a stopping node, once the reducer has decided that it exits. Used on the event loop only. */
+/** The last steps of a graceful shutdown, after the reducer has decided to exit. Used on the event loop only. */
 final class Shutdown {
     private static final long QUIET_CHECK_INTERVAL_MS = 20;
     private static final int SERVICE_UNAVAILABLE_STATUS = 503;
@@ -28,15 +28,17 @@
         this.log = log;
     }
 
-    /** Completes when the node has stopped; may be waited for on any thread. */
+    /** Completes when the node has stopped; any thread may wait for it. */
     CompletableFuture<Void> completed() {
         return completed;
     }
 
-    /** Exits once the last clients have received their responses; soon if it must be immediately. */
+    /**
+     * Exits once the last clients have received their responses; after a fixed short delay if it must be immediately.
+     */
     void exit(boolean immediately) {
         if (immediately) {
-            // An incomplete request is rejected now: its rest would meet a process that has exited.
+            // Incomplete requests are rejected now: the process will have exited before the rest of them arrives.
             listener.rejectIncomplete(SERVICE_UNAVAILABLE_STATUS);
             loop.schedule(this::complete, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
         }
--- a/node/src/main/java/brackenbridge/net/StatusPublisher.java
+++ b/node/src/main/java/brackenbridge/net/StatusPublisher.java
@@ -4,7 +4,7 @@
 import brackenbridge.core.observe.TrafficObserver;
 import java.util.function.BooleanSupplier;
 
-/** Publishes the state of the event loop to other threads: its metrics, its traffic and whether it accepts clients. */
+/** Publishes state of the event loop to other threads: metrics, traffic and whether clients are accepted. */
 final class StatusPublisher {
     private final Reducer reducer;
     private final BooleanSupplier isListening;
@@ -15,27 +15,27 @@
     private volatile TrafficObserver.TrafficSnapshot observation = TrafficObserver.TrafficSnapshot.NONE;
 
     /**
-     * Makes a publisher that has published nothing yet.
+     * Creates a publisher that has published nothing yet.
      *
-     * @param isListening whether the listening socket is open; asked only once the node serves
+     * @param isListening whether the listening socket is open; called only once the node serves
      */
     StatusPublisher(Reducer reducer, BooleanSupplier isListening) {
         this.reducer = reducer;
         this.isListening = isListening;
     }
 
-    /** The node serves from now on; on the event loop only. */
+    /** Records that the node serves; called on the event loop only. */
     void startServing() {
         serving = true;
         publish();
     }
 
-    /** The traffic is published from now on. */
+    /** Starts to publish the traffic. */
     void startObserving() {
         observing = true;
     }
 
-    /** Publishes the present state; on the event loop only. */
+    /** Publishes the current state; called on the event loop only. */
     void publish() {
         metricsText = reducer.metricsText();
         if (observing) {
--- a/node/src/main/java/brackenbridge/net/Timers.java
+++ b/node/src/main/java/brackenbridge/net/Timers.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The reducer's timers, scheduled on the event loop by the node's clock. Used on the event loop only. */
+/** Schedules the reducer's timers on the event loop, by the node's clock. Used on the event loop only. */
 final class Timers {
     private static final double NANOSECONDS_PER_MS = 1e6;
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventSink events;
-    /** Only deadlines of requests are cancelled; other timers fire and are ignored if they are not due any more. */
+    /** Only request deadlines are cancelled; other timers fire and are ignored by the reducer if they are obsolete. */
     private final Map<TimerKey, ScheduledFuture<?>> requestDeadlines = new HashMap<>();
 
     Timers(EventLoop loop, Clock clock, EventSink events) {
--- a/node/src/test/java/brackenbridge/net/InvalidInputTest.java
+++ b/node/src/test/java/brackenbridge/net/InvalidInputTest.java
@@ -319,9 +319,13 @@
         node.reconfigure(() -> Config.parse(good));
         awaitCounter("reconfigured 1");
         awaitCounter("reconfigure_failed " + (texts.length + 1));
-        awaitCondition(() -> countLogged("the old configuration stays: ") > texts.length, "each is logged");
+        awaitCondition(
+                () -> countLogged("configuration rejected, the previous one stays in force: ") > texts.length,
+                "each is logged");
         assertEquals(
-                texts.length + 1, countLogged("the old configuration stays: "), log.toString(StandardCharsets.UTF_8));
+                texts.length + 1,
+                countLogged("configuration rejected, the previous one stays in force: "),
+                log.toString(StandardCharsets.UTF_8));
         assertOtherClientIsServed();
     }
 }
