--- a/node/src/test/java/brackenbridge/net/AcceptLimitTest.java
+++ b/node/src/test/java/brackenbridge/net/AcceptLimitTest.java
@@ -18,9 +18,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** More clients wait in the backlog than the node has descriptors for. */
+/** More clients wait in the backlog than the node has descriptors. */
 class AcceptLimitTest {
-    /** The least that a configuration may say: beside what a test process has open, 16 are left, 8 for clients. */
+    /**
+     * Minimum of the setting: besides the files that a test process has open, 16 descriptors are left, 8 of them for
+     * clients.
+     */
     private static final int SOCKETS = 64;
 
     private static final int IDLE_CLIENTS = 15;
@@ -74,7 +77,10 @@
         return client;
     }
 
-    /** Guards the requests of clients accepted in one turn against the others, whose descriptors they would lack. */
+    /**
+     * Guards against accepting so many clients in one turn that their requests lack descriptors for connections to
+     * servers.
+     */
     @Test
     void clientsAcceptedInOneTurnLeaveDescriptorsForTheirRequests() throws Exception {
         for (int i = 0; i < IDLE_CLIENTS; i++) {
--- a/node/src/test/java/brackenbridge/net/ClassChangeTest.java
+++ b/node/src/test/java/brackenbridge/net/ClassChangeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A flow goes by the rules that its class had when it opened, whatever SIGHUP brings while it waits. */
+/** A request keeps the rules that its class had when it was opened, whatever a SIGHUP changes while it is queued. */
 class ClassChangeTest {
     private FakeServer server;
     private Node node;
@@ -33,7 +33,7 @@
         node = new Node(
                 config(ConfigTest.TEXT), clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
         node.start();
-        // One connection in all: the next flow waits for its tenant's turn.
+        // A quota of one connection: the tenant's next request is queued.
         node.enqueue(new Event.TenantQuotasReceived(
                 new TenantQuotas(1, Map.of("a", 1.0), 0, Map.of(), clock.nowMs() + 60_000, Map.of("a", 1.0))));
     }
@@ -90,7 +90,8 @@
             }
             server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
             assertTrue(
-                    FakeServer.readMessage(first.getInputStream()).endsWith("done"), "the open one ends as it began");
+                    FakeServer.readMessage(first.getInputStream()).endsWith("done"),
+                    "the open request keeps its rules");
         }
         assertEquals(0, server.requests.size());
     }
--- a/node/src/test/java/brackenbridge/net/ClientNode.java
+++ b/node/src/test/java/brackenbridge/net/ClientNode.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node with one server, by a clock that the test rules, and the clients that the test has connected to it. */
+/** A node with one server and a clock that the test controls, and the clients that the test has connected. */
 final class ClientNode implements AutoCloseable {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     static final String LIVE = "GET /health/live HTTP/1.1\r\n\r\n";
@@ -27,7 +27,7 @@
         this(ConfigTest.TEXT);
     }
 
-    /** With this configuration, and the server as its only one. */
+    /** Starts a node with this configuration and one server. */
     ClientNode(String text) throws IOException {
         String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         node = new Node(
@@ -37,7 +37,7 @@
         node.start();
     }
 
-    /** The usual configuration with these deadlines in place of its own, in milliseconds. */
+    /** Returns the test configuration with this deadline for all classes, in milliseconds. */
     static String withDeadlines(long ms) {
         return ConfigTest.TEXT
                 .replace("\"aim\":4000000,\"giveUp\":8000000", "\"aim\":9000,\"giveUp\":" + ms * 1000)
@@ -60,12 +60,12 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer on it; null at the connection's end. */
+    /** Reads the next response; null at the end of the connection. */
     static String readResponse(Socket socket) throws IOException {
         return FakeServer.readMessage(socket.getInputStream());
     }
 
-    /** Asks something that the node answers by itself. */
+    /** Makes a request that the node serves itself. */
     static void requestLive(Socket socket) throws IOException {
         send(socket, LIVE);
         assertTrue(readResponse(socket).endsWith("live\n"));
--- a/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionAcceptorTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The listening socket closes while clients stand in its backlog and accepts fail. */
+/** The listening socket is closed while clients wait in its backlog and accepts fail. */
 class ConnectionAcceptorTest {
     private static final int CLIENTS = 4;
 
@@ -54,7 +54,7 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                        // The test's clients end as they like.
+                        // The clients of the test may end with a reset.
                         context.close();
                     }
                 });
@@ -115,13 +115,13 @@
         assertEquals(shortage ? 20 : 0, makeRoomCalls.get());
     }
 
-    // Guards against a client that waited in the backlog until the close and is told to servers as one that did not.
+    // Guards against announcing too much time to servers for a client that waited in the backlog until the close.
     @Test
     void backlogWaitIsRecordedForClientsAcceptedAtTheClose() throws Exception {
         close();
         assertTrue(accepted.tryAcquire(CLIENTS, 10, TimeUnit.SECONDS), "accepted " + accepted.availablePermits());
         assertEquals(CLIENTS, backlogWaitsMs.size());
-        backlogWaitsMs.forEach(waitMs -> assertTrue(waitMs > 0, "no wait is known: " + backlogWaitsMs));
+        backlogWaitsMs.forEach(waitMs -> assertTrue(waitMs > 0, "no wait was recorded: " + backlogWaitsMs));
     }
 
     @Test
@@ -134,11 +134,11 @@
             try {
                 read = client.getInputStream().read();
             } catch (java.net.SocketTimeoutException e) {
-                throw new AssertionError("the door never closes", e);
+                throw new AssertionError("the listening socket was not closed", e);
             } catch (IOException e) {
                 read = -1;
             }
-            assertEquals(-1, read, "reset, or ended");
+            assertEquals(-1, read, "neither reset nor closed");
         }
         assertEquals(0, accepted.availablePermits());
     }
--- a/node/src/test/java/brackenbridge/net/ConnectionCloseRaceTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionCloseRaceTest.java
@@ -14,9 +14,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A request that lies at the node's socket when the node ends that connection, for whatever reason, is answered. */
+/**
+ * A request that has reached the node's socket when the node is about to close the connection is served, whatever the
+ * reason for the close.
+ */
 class ConnectionCloseRaceTest {
-    /** Eight clients are all that fit, however many files this process has open. */
+    /** Exactly eight clients fit, however many files this process has open. */
     private static final int MAX_CLIENTS = 8;
 
     private ClientNode harness;
@@ -74,7 +77,7 @@
         for (int i = 0; i < MAX_CLIENTS - 2; i++) {
             requestLive(harness.connect());
         }
-        assertEquals(-1, idle.getInputStream().read(), "the one that is idle");
+        assertEquals(-1, idle.getInputStream().read(), "the idle connection was not shed");
         harness.server.responses.add(OK);
         send(client, request.substring(30));
         assertServed(client, "half");
@@ -121,9 +124,9 @@
         harness.clock.freeze();
         harness.node.drain(true).get();
         harness.clock.pass(650);
-        assertEquals(-1, resting.getInputStream().read(), "from now on idle connections end");
+        assertEquals(-1, resting.getInputStream().read(), "the idle connection was not closed");
         Socket client = harness.connect();
-        // A later connection is answered: this one has been accepted.
+        // A response on a later connection shows that this one has been accepted.
         requestLive(harness.connect());
         harness.clock.pauseIn("Listener.sweep");
         harness.clock.awaitPaused();
--- a/node/src/test/java/brackenbridge/net/ConnectionEndTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionEndTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a node that ends connections, or itself, still owes on them in that instant. */
+/** A node that closes connections, or exits, still serves what clients have sent and does not reset their responses. */
 class ConnectionEndTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     private static final String LIVE = "GET /health/live HTTP/1.1\r\n\r\n";
-    /** Deadlines of 0.5 s: a stopping node serves for 0.6 s and answers all after 0.9 s. */
+    /** Deadlines of 0.5 s: a stopping node serves for 0.6 s and has answered all requests after 0.9 s. */
     private static final String SHORT_DEADLINES_CONFIG = ConfigTest.TEXT
             .replace("\"aim\":4000000,\"giveUp\":8000000", "\"aim\":9000,\"giveUp\":500000")
             .replace("\"aim\":3000000,\"giveUp\":6000000", "\"aim\":9000,\"giveUp\":500000");
@@ -87,7 +87,7 @@
         assertTrue(readResponse(socket).endsWith("live\n"));
     }
 
-    /** Stops the node, and returns once it has ended the connections that rest. */
+    /** Stops the node and waits until it has closed its idle connections. */
     private CompletableFuture<Void> stopAndAwaitIdleClose() throws Exception {
         Socket idle = connect();
         requestLive(idle);
@@ -104,12 +104,12 @@
         assertNotNull(server.nextRequest());
         requestLive(client);
         CompletableFuture<Void> ended = stopAndAwaitIdleClose();
-        assertEquals(-1, client.getInputStream().read(), "output is shut");
+        assertEquals(-1, client.getInputStream().read(), "the output was not shut down");
         send(client, fileRequest("late0", 400));
         server.responses.add(OK);
         assertTrue(readResponse(busy).contains("Connection: close\r\n"));
         assertEquals(-1, busy.getInputStream().read());
-        // A connection that was closed would have been reset by now, and writing would fail.
+        // A closed connection would have been reset by now, and writing would fail.
         startNode.tenantUse().get(10, TimeUnit.SECONDS);
         send(client, fileRequest("late1", 400));
         startNode.tenantUse().get(10, TimeUnit.SECONDS);
@@ -123,7 +123,7 @@
     @Test
     void connectionIdleForTooLongEndsWithoutReset() throws Exception {
         requestLive(client);
-        // Its answer has been noted as written once others have been answered after it.
+        // Once later requests have been answered, its response is recorded as written.
         requestLive(connect());
         requestLive(connect());
         clock.pass(61_000);
@@ -145,7 +145,7 @@
         assertTrue(readResponse(client).endsWith("done"));
         assertEquals(-1, client.getInputStream().read());
         startNode.tenantUse().get(10, TimeUnit.SECONDS);
-        assertFalse(ended.isDone(), "a process that exits now resets what its client still sends, and the answer");
+        assertFalse(ended.isDone(), "exiting now would reset the connection and lose the response");
         client.close();
         ended.get(10, TimeUnit.SECONDS);
     }
@@ -164,7 +164,7 @@
     @Test
     void requestCompletedAfterTheLastResponsesIsRejectedAndNotForwarded() throws Exception {
         String late = fileRequest("late", 400);
-        // The other server is free to take it.
+        // The second server has free capacity for the late request.
         FakeServer secondServer = new FakeServer();
         startNode.kill();
         startNode = startNode(server.address(), secondServer.address());
@@ -176,7 +176,7 @@
             Thread.onSpinWait();
         }
         startNode.stop();
-        // Its server says nothing: the node answers it as time is up.
+        // Its server sends no response: the node answers at the deadline.
         assertTrue(readResponse(client).startsWith("HTTP/1.1 504 "));
         send(incomplete, late.substring(late.length() - 1));
         assertTrue(readResponse(incomplete).startsWith("HTTP/1.1 503 "));
@@ -224,7 +224,7 @@
         String last = readResponse(client);
         assertTrue(last.startsWith("HTTP/1.1 200 ") && last.contains("Connection: close\r\n"), last);
         send(client, fileRequest("c", 9000));
-        assertEquals(-1, client.getInputStream().read(), "an end, and no reset");
+        assertEquals(-1, client.getInputStream().read(), "the connection was not closed in order");
         ended.get(10, TimeUnit.SECONDS);
         assertNull(server.requests.poll());
     }
--- a/node/src/test/java/brackenbridge/net/DescriptorExhaustionTest.java
+++ b/node/src/test/java/brackenbridge/net/DescriptorExhaustionTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process with few descriptors, while discovery is down and idle clients come in crowds. */
+/** A separate process with few descriptors, while discovery is down and many idle clients connect. */
 class DescriptorExhaustionTest {
     private static final int LIMIT = 200;
 
@@ -74,7 +74,7 @@
         return socket;
     }
 
-    /** Asks on a new connection until this comes, and says after how many milliseconds it did. */
+    /** Polls the readiness of the process; returns after how many milliseconds it was ready. */
     private long awaitReadyMs() throws Exception {
         long start = System.nanoTime();
         while (process.isAlive() && System.nanoTime() - start < 30_000_000_000L) {
@@ -86,7 +86,7 @@
                 Thread.onSpinWait();
             }
         }
-        throw new AssertionError("never ready: " + Files.readString(directory.resolve("log")));
+        throw new AssertionError("not ready within 30 s: " + Files.readString(directory.resolve("log")));
     }
 
     private static String exchange(Socket socket, String text) throws IOException {
@@ -117,18 +117,18 @@
         try (FakeServer server = new FakeServer()) {
             String management = start(discovery, server);
             long ready = awaitReadyMs();
-            assertTrue(ready < 10_000, "with discovery down ready after " + ready + " ms");
+            assertTrue(ready < 10_000, "without discovery, ready after " + ready + " ms");
             for (int i = 0; i < 3 * LIMIT; i++) {
                 idleClients.add(connect());
             }
-            assertServed(server, "amongSilentOnes");
+            assertServed(server, "amongSilentClients");
             assertEquals("+OK\n", ManagementCall.make(management, "PING"));
             for (int i = 0; i < LIMIT; i++) {
                 Socket socket = connect();
                 idleClients.add(socket);
                 assertTrue(exchange(socket, "GET /health/live HTTP/1.1\r\n\r\n").endsWith("live\n"), "client " + i);
             }
-            assertServed(server, "amongThoseThatAskedAndRest");
+            assertServed(server, "amongIdleClients");
             assertEquals("+OK\n", ManagementCall.make(management, "PING"));
             try (ServerSocket back = new ServerSocket()) {
                 back.bind(new InetSocketAddress("127.0.0.1", discovery));
--- a/node/src/test/java/brackenbridge/net/DisconnectedClientTest.java
+++ b/node/src/test/java/brackenbridge/net/DisconnectedClientTest.java
@@ -18,17 +18,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A client that has closed its connection, or ended its sending, is disconnected: no attempt begins for it. */
+/** A client that has closed or half-closed its connection is disconnected: no attempt starts for it. */
 class DisconnectedClientTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     private static final String UNPROCESSED_503 =
             "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     private static final String COUNTERS_REQUEST = "GET /health/counters HTTP/1.1\r\n\r\n";
-    /** More than the node buffers for one client; the kernels of both sides hold the rest. */
+    /** More than the node buffers for one client; the rest stays in the socket buffers of both sides. */
     private static final int MORE_THAN_READ_AHEAD_BYTES = 700_000;
-    /** What a new connection gets in the reads of one turn: an end behind it is read in a later turn. */
+    /** What a new connection's reads return in one turn: the end of stream after it is read in a later turn. */
     private static final int BYTES_READ_IN_ONE_TURN = 24_000;
-    /** A connect timeout that no test reaches. */
+    /** A configuration with a connect timeout that no test reaches. */
     private static final String LONG_CONNECT_TIMEOUT =
             ConfigTest.TEXT.replace("\"connectTimeout\":120000", "\"connectTimeout\":10000000");
 
@@ -75,7 +75,7 @@
         return newNode;
     }
 
-    /** Restarts with a server whose connections open only once it accepts. */
+    /** Restarts the node with a server whose connections open only once it accepts. */
     private void restartWithFullBacklog(String text) throws IOException {
         node.kill();
         server.close();
@@ -84,7 +84,7 @@
         client = connect();
     }
 
-    /** Restarts with an empty endpoint list. */
+    /** Restarts the node with an empty endpoint list. */
     private void restartWithoutServers() throws IOException {
         node.kill();
         node = startNodeWithConfig(ConfigTest.TEXT);
@@ -105,7 +105,7 @@
 
     @AfterEach
     void end() throws IOException {
-        // A test may have failed while its node is held.
+        // A test may have failed while its node was paused.
         clock.resume();
         client.close();
         server.close();
@@ -138,15 +138,15 @@
         assertTrue(counters.contains(expected + "\n"), expected + " is not among\n" + counters);
     }
 
-    /** Returns once the node has begun to connect to its server. */
+    /** Waits until the node has started to connect to its server. */
     private void awaitConnectBegun() throws Exception {
         long start = System.nanoTime();
         while (node.snapshot().get().servers() == 0) {
-            assertTrue(System.nanoTime() - start < 10_000_000_000L, "no connection is called for");
+            assertTrue(System.nanoTime() - start < 10_000_000_000L, "the node did not start to connect");
         }
     }
 
-    /** Another client's request is the first that the server receives. */
+    /** Asserts that another client's request is the first one that the server receives. */
     private void assertOnlyNextRequestIsServed() throws Exception {
         server.responses.add(OK);
         client = connect();
@@ -166,11 +166,11 @@
             send(client, fileRequest("a", "a"));
             end.apply(client);
             clock.resume();
-            // A later connection is answered only once what came before it has been read.
+            // A response on a later connection shows that earlier input has been read.
             countersText();
             countersText();
         }
-        assertTrue(countersText().matches("(?s).*flows_gone [23]\n.*"), "a reset may take its request away unread");
+        assertTrue(countersText().matches("(?s).*flows_gone [23]\n.*"), "a reset may discard its request unread");
         assertOnlyNextRequestIsServed();
     }
 
@@ -244,7 +244,7 @@
         assertOnlyNextRequestIsServed();
     }
 
-    /** What comes behind a long body must not move the parts of it that nobody has taken yet. */
+    /** Guards against bytes after a long body overwriting parts of it that have not been sent yet. */
     @Test
     void waitingBodyIsNotOverwrittenByLaterBytes() throws Exception {
         restartWithFullBacklog(LONG_CONNECT_TIMEOUT);
@@ -268,13 +268,13 @@
         assertTrue(server.nextRequest().endsWith("behind"));
     }
 
-    /** Pipelined requests of this many bytes together. */
+    /** Returns pipelined requests of about this many bytes together. */
     private static String pipelinedRequests(int bytes) {
         String one = fileRequest("b", "b");
         return one.repeat(bytes / one.length());
     }
 
-    /** Lets the node read all that it buffers, then time pass until the client's presence is unknown. */
+    /** Lets the node read up to its limit, then advances the clock until the client's presence has expired. */
     private void letPresenceExpire() throws IOException {
         for (int i = 0; i < 50; i++) {
             countersText();
@@ -354,7 +354,7 @@
         assertTrue(server.nextRequest().endsWith("a"));
         send(client, pipelinedRequests(MORE_THAN_READ_AHEAD_BYTES));
         letPresenceExpire();
-        // The node's sweep has time to find it.
+        // Gives the node's sweep time to find the expired presence.
         letPresenceExpire();
         server.responses.add(OK);
         assertTrue(FakeServer.readMessage(client.getInputStream()).endsWith("done"));
@@ -383,8 +383,9 @@
         awaitConnectBegun();
         clock.pause();
         server.startAccepting();
-        // The kernel opens it while the node rests; then the node finds the connection up, and the end behind it.
-        assertNotNull(server.connections.poll(20, TimeUnit.SECONDS), "nobody connects");
+        // The kernel opens the connection while the node is paused; then the node finds it open and the client
+        // disconnected in the same turn.
+        assertNotNull(server.connections.poll(20, TimeUnit.SECONDS), "the node did not connect");
         client.close();
         clock.resume();
         assertOnlyNextRequestIsServed();
--- a/node/src/test/java/brackenbridge/net/DiscoveryTest.java
+++ b/node/src/test/java/brackenbridge/net/DiscoveryTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A node on loopback, against a discovery that says what it says at a bad moment. */
+/** A node on loopback with a discovery service that fails, moves, or sends lists in unusual forms. */
 class DiscoveryTest {
     private static final String CONFIG_TEXT = ConfigTest.TEXT;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
@@ -38,7 +38,7 @@
         discovery.close();
     }
 
-    /** A node that knows s-0 to s-3 as version 41. */
+    /** Starts a node whose configured list, version 41, has the servers s-0 to s-3. */
     private void start(String text, String dial) {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < 4; i++) {
@@ -61,13 +61,13 @@
         return "{\"host\":\"s-" + i + "\",\"dial\":\"127.0.0.1:" + (2 + i) + "\",\"health\":\"" + health + "\"}";
     }
 
-    /** Discovery's next call, with its connection. */
+    /** Returns the connection of the next discovery call. */
     private Socket nextCall() throws InterruptedException {
-        assertNotNull(discovery.nextRequest(), "no call");
+        assertNotNull(discovery.nextRequest(), "no discovery call");
         return discovery.connections.poll(10, TimeUnit.SECONDS);
     }
 
-    /** Waits until the node holds so many servers that it knows to run. */
+    /** Waits until the node's pool has this many servers. */
     private void awaitServers(int listed) {
         long start = System.nanoTime();
         while (!node.metricsText().contains("proxy.pool_size:" + listed + "|g")) {
@@ -89,10 +89,10 @@
         nextCall();
         awaitServers(1);
         double elapsedMs = (System.nanoTime() - backNs) / 1e6;
-        assertTrue(elapsedMs < 3000, "known " + elapsedMs + " ms after discovery is back");
+        assertTrue(elapsedMs < 3000, "known " + elapsedMs + " ms after discovery was back");
     }
 
-    /** A list as somebody who reads it would like it; it spans lines and has empty ones. */
+    /** An indented list that spans several lines, some of them empty. */
     private static String indented(int seq, String hosts) {
         return "\n{\n  \"seq\": " + seq + ",\r\n\n  \"whole\": true,\n\t\"hosts\": [\n    "
                 + hosts.replace(":\"", ": \"").replace(",", ",\n      ") + "\n  ]\n}";
@@ -128,7 +128,7 @@
         int lists = 0;
         for (int cut = 0; cut < indented(42, host(1, "active")).length(); cut++) {
             String list = indented(42 + lists++, host(1, "active"));
-            // A chunk border there, and a piece of the connection's bytes that ends inside of the chunk's frame.
+            // Splits the list into two chunks there, and the bytes on the connection inside a chunk's framing.
             String framed = chunk(list.substring(0, cut)) + chunk(list.substring(cut));
             send(watch, framed.substring(0, cut));
             send(watch, framed.substring(cut));
@@ -148,7 +148,7 @@
         moveDiscovery(discovery.address());
         String two = indented(42, host(1, "active") + "," + host(2, "active"));
         nextCall();
-        // The whole list leaves out s-0 and s-3, and nothing stands behind its last brace.
+        // The complete list lacks s-0 and s-3, and nothing follows its last brace.
         discovery.responses.add("HTTP/1.1 200 OK\r\nContent-Length: " + two.length() + "\r\n\r\n" + two);
         awaitServers(2);
         String request = discovery.nextRequest();
@@ -175,7 +175,7 @@
         send(silent, HEAD + list.substring(0, list.length() - 1));
         Socket next = nextCall();
         double elapsedMs = (System.nanoTime() - sentNs) / 1e6;
-        assertTrue(elapsedMs > 2500 && elapsedMs < 4000, "asked again after " + elapsedMs + " ms");
+        assertTrue(elapsedMs > 2500 && elapsedMs < 4000, "polled again after " + elapsedMs + " ms");
         awaitServers(4);
         send(next, HEAD + list);
         awaitServers(1);
@@ -192,7 +192,7 @@
             send(old, HEAD + late.substring(0, late.length() - 1));
             moveDiscovery(discovery.address());
             Socket call = nextCall();
-            assertEquals(-1, old.getInputStream().read(), "there is no place left for a late word");
+            assertEquals(-1, old.getInputStream().read(), "the old call was not ended");
             send(call, HEAD + indented(7, host(1, "active") + "," + host(2, "active")));
             awaitServers(2);
             awaitCounter("target_lists 1\n");
@@ -208,10 +208,10 @@
         send(refused, "HTTP/1.1 503 Service Unavailable\r\n\r\n");
         nextCall();
         double elapsedMs = (System.nanoTime() - sentNs) / 1e6;
-        assertTrue(elapsedMs < 2000, "asked again after " + elapsedMs + " ms");
+        assertTrue(elapsedMs < 2000, "polled again after " + elapsedMs + " ms");
     }
 
-    /** As with a call that had to wait: its first empty line is due 2 s behind its head. */
+    /** Guards a call that waits for its response head: its first empty line is due 2 s after the head. */
     @Test
     void responseHeadCountsAsHeartbeat() throws Exception {
         start(CONFIG_TEXT, "127.0.0.1:1");
@@ -219,7 +219,7 @@
         Socket watch = nextCall();
         assertNull(discovery.requests.poll(1500, TimeUnit.MILLISECONDS));
         send(watch, HEAD);
-        assertNull(discovery.requests.poll(2000, TimeUnit.MILLISECONDS), "asked again while the answer was on its way");
+        assertNull(discovery.requests.poll(2000, TimeUnit.MILLISECONDS), "polled again during the response");
         send(watch, "\n");
         assertNull(discovery.requests.poll(1500, TimeUnit.MILLISECONDS));
     }
--- a/node/src/test/java/brackenbridge/net/FakeServer.java
+++ b/node/src/test/java/brackenbridge/net/FakeServer.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on loopback that keeps each request and answers with the next of its scripted answers. */
+/** A server on loopback that records each request and sends the next scripted response. */
 final class FakeServer implements AutoCloseable {
-    /** Instead of an answer: end the connection once the request is in. */
+    /** Instead of a response, closes the connection once the request has been read. */
     static final String CLOSE_CONNECTION = "";
 
     final LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
@@ -35,7 +35,7 @@
         listening = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
     }
 
-    /** A server whose backlog is full: no connection to it comes up before it accepts. */
+    /** Creates a server whose backlog is full: no connection to it opens before it accepts. */
     static FakeServer withFullBacklog() throws IOException {
         FakeServer server = new FakeServer(1);
         try {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Accepts and serves from now on. */
+    /** Starts to accept and serve connections. */
     void startAccepting() throws IOException {
         for (Socket filler : backlogFillers) {
             filler.close();
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Reads one message framed by a length; null at the end. */
+    /** Reads one message that is framed by its length; null at the end of the stream. */
     static String readMessage(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         int length = 0;
--- a/node/src/test/java/brackenbridge/net/FaultySockets.java
+++ b/node/src/test/java/brackenbridge/net/FaultySockets.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
 
-/** Real sockets whose system calls fail as a test says; what doesn't fail is the system's own. */
+/** Real sockets with injected failures of system calls; all other calls go to the system. */
 final class FaultySockets {
-    /** Stands for as many failures as are asked for. */
+    /** Number of failures of a call that always fails. */
     static final int ALWAYS = Integer.MAX_VALUE;
 
     /** Where a system call can fail. */
@@ -44,7 +44,7 @@
     private final CountDownLatch faultThrown = new CountDownLatch(1);
     private int bytesPerRead = Integer.MAX_VALUE;
 
-    /** Only connections to this server have faults. */
+    /** Creates sockets of which only the connections to this server, and those from clients, can be faulty. */
     FaultySockets(String serverDial) {
         server = Addresses.parse(serverDial);
     }
@@ -57,12 +57,12 @@
         faults.clear();
     }
 
-    /** From now on each read brings so many bytes at most. */
+    /** Limits each read to this many bytes. */
     void limitReads(int bytes) {
         bytesPerRead = bytes;
     }
 
-    /** Waits until a fault has been met. */
+    /** Waits until a fault has been thrown. */
     void awaitFault() throws InterruptedException {
         faultThrown.await();
     }
@@ -72,7 +72,7 @@
                 this::outgoing, this::accept, SocketCalls.system().steer());
     }
 
-    /** How many sockets to the server are open. */
+    /** The number of open sockets to the server. */
     long openServerConnections() {
         return serverConnections.stream().filter(Channel::isOpen).count();
     }
@@ -101,7 +101,7 @@
         return client == null ? null : new Connection(parent, client);
     }
 
-    /** One connection, to the server or from a client. */
+    /** A connection to the server or from a client. */
     private final class Connection extends NioSocketChannel {
         private final boolean fromClient;
         private boolean faulty;
--- a/node/src/test/java/brackenbridge/net/InvalidInputTest.java
+++ b/node/src/test/java/brackenbridge/net/InvalidInputTest.java
@@ -35,8 +35,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What is malformed, cut off or too long, at each port of a node: one refusal or one close, counted under its reason,
- * while another client's request is open and is served after all.
+ * Malformed, truncated or oversized input at each port of a node gets one rejection or one close, counted under its
+ * reason, while the open request of another client is still served.
  */
 @Timeout(60)
 class InvalidInputTest {
@@ -76,7 +76,7 @@
         node.kill();
     }
 
-    /** The text of a configuration whose lists the agent pushes, with one server, and an address for staff. */
+    /** A configuration with pushed endpoint lists, one server and a management address. */
     private String configText() {
         String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         return ConfigTest.TEXT
@@ -98,7 +98,7 @@
         return socket;
     }
 
-    /** All that comes back until the end, which there has to be. */
+    /** Sends the text on a new connection and returns everything received until the end of the connection. */
     private static String exchange(InetSocketAddress to, String text) throws IOException {
         try (Socket socket = send(to, text)) {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -164,7 +164,7 @@
         assertEquals(1, back.split("HTTP/1.1 ", -1).length - 1, back);
         awaitCounter("refused_requests_" + reason + " 1");
         assertOtherClientIsServed();
-        assertEquals(0, server.requests.size(), "nothing of it goes on");
+        assertEquals(0, server.requests.size(), "nothing is forwarded");
     }
 
     @ParameterizedTest
@@ -178,7 +178,7 @@
         String head = "\r\n" + field + "\r\n\r\nx";
         try (Socket mine = send(node.address(), request("POST", "/file", "mine", ""))) {
             assertNotNull(server.nextRequest());
-            // Either connection may have it: the servers answer in any order, and both requests have gone out.
+            // Either request may get it: both have been forwarded, and the server's connections respond in any order.
             server.responses.add(status + head);
             awaitCounter("refused_answers_" + reason + " 1");
             server.responses.add(OK);
@@ -196,8 +196,8 @@
     void invalidDiscoveryResponseEndsItsCallAndKeepsTheList(String what) throws Exception {
         assertNotNull(discovery.nextRequest());
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-        // Before the answer: the agent reads the end behind its answer and closes its socket, which then has no input
-        // to shut down.
+        // Before the response: afterwards the server reads the end of the connection and closes its socket, which then
+        // has no input to shut down.
         discovery.connections.poll().shutdownInput();
         discovery.responses.add(Map.of(
                         "list", head + "{\"seq\":43,\"whole\":true}\n",
@@ -207,7 +207,7 @@
                         "status", "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
                         "head", "{\"seq\":43,\"whole\":true,\"hosts\":[]}\n\n")
                 .get(what));
-        awaitCondition(() -> countLogged("discovery call ") > 0, "the call ends");
+        awaitCondition(() -> countLogged("discovery call ") > 0, "the call has not ended");
         awaitCounter("discovery_failed 1");
         assertEquals(1, countLogged("discovery call "), log.toString(StandardCharsets.UTF_8));
         assertOtherClientIsServed();
@@ -215,7 +215,7 @@
         assertTrue(
                 exchange(node.address(), request("POST", "/file", "next", "Connection: close\r\n"))
                         .endsWith("done"),
-                "the list stays");
+                "the endpoint list was not kept");
     }
 
     @ParameterizedTest
@@ -229,7 +229,7 @@
                 String back = exchange(node.managementAddress(), text);
                 assertTrue(what.equals("silent") ? back.isEmpty() : back.matches("-ERR [a-z ]+\n"), back);
             } catch (SocketException e) {
-                assertEquals("long", what, "a close over unread bytes may reset: " + e);
+                assertEquals("long", what, "a close with unread bytes may reset: " + e);
             }
         }
         awaitCounter("refused_calls_" + reason + " 1");
@@ -248,7 +248,7 @@
         "malformed, brackenbridge-handover 1 successor\\njunk\\n",
     })
     void invalidSuccessorMessageClosesTheConnectionAndIsCounted(String reason, String what) throws Exception {
-        awaitCondition(() -> Files.exists(handoverPath), "it listens for a successor");
+        awaitCondition(() -> Files.exists(handoverPath), "the node does not listen for a successor");
         String text = what.equals("long")
                 ? "x".repeat((1 << 20) + 1)
                 : what.equals("silent") ? "" : what.replace("\\n", "\n");
@@ -266,15 +266,15 @@
             }
         }
         awaitCounter("refused_handovers_" + reason + " 1");
-        // The log's own thread writes it.
-        awaitCondition(() -> countLogged("rejected: ") > 0, "it is logged");
+        // Lines are written by the log's own thread.
+        awaitCondition(() -> countLogged("rejected: ") > 0, "the rejection was not logged");
         assertEquals(1, countLogged("rejected: " + reason), log.toString(StandardCharsets.UTF_8));
         assertOtherClientIsServed();
     }
 
     @Test
     void successorWithoutManagementPortDoesNotReplaceTheOldProcess() throws Exception {
-        awaitCondition(() -> Files.exists(handoverPath), "it listens for a successor");
+        awaitCondition(() -> Files.exists(handoverPath), "the node does not listen for a successor");
         Clock clock = Clock.system();
         String taken = "127.0.0.1:" + node.managementAddress().getPort();
         Node next = new Node(
@@ -290,8 +290,8 @@
         String why = assertThrows(IllegalArgumentException.class, next::start).getMessage();
         assertTrue(why.startsWith("mgmt " + taken), why);
         next.kill();
-        awaitCondition(() -> countLogged("the new process has ended") > 0, "the old process notices");
-        assertEquals(0, countLogged("the new process serves"), "no client could have reached it");
+        awaitCondition(() -> countLogged("the new process has ended") > 0, "the old process did not notice the end");
+        assertEquals(0, countLogged("the new process serves"), "no client could have reached the new process");
         assertOtherClientIsServed();
     }
 
@@ -321,7 +321,7 @@
         awaitCounter("reconfigure_failed " + (texts.length + 1));
         awaitCondition(
                 () -> countLogged("configuration rejected, the previous one stays in force: ") > texts.length,
-                "each is logged");
+                "not every rejection was logged");
         assertEquals(
                 texts.length + 1,
                 countLogged("configuration rejected, the previous one stays in force: "),
--- a/node/src/test/java/brackenbridge/net/LateResponseBytesTest.java
+++ b/node/src/test/java/brackenbridge/net/LateResponseBytesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a server sends too late, in part, or without an end. */
+/** Responses whose bytes arrive late, in part, or without an end. */
 class LateResponseBytesTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
@@ -62,7 +62,7 @@
         return String.valueOf(FakeServer.readMessage(client.getInputStream()));
     }
 
-    /** The connection to the server has rested and is kept. */
+    /** Serves one request and waits until the connection to the server may be reused. */
     private Socket serveAndKeepConnection() throws Exception {
         server.responses.add(OK);
         sendRequest("first", 5000);
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Heads of answers that end with their connection. */
+    /** Heads of responses that are delimited by the end of the connection. */
     private static final String[] HEADS_WITHOUT_LENGTH = {
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n",
@@ -104,17 +104,17 @@
         "HTTP/1.0 200 OK\r\n\r\n"
     };
 
-    /** When the connection ends behind the last byte. */
+    /** When the connection ends after the last byte. */
     private enum When {
-        /** The node has read all that came before. */
+        /** After the node has read everything before it. */
         AFTER_READING,
-        /** All is there at the node's next look. */
+        /** Together with the last bytes, in the same poll of the node. */
         WITH_LAST_BYTES
     }
 
-    /** The server says this and ends the connection, with a reset or in order; gives the node's answer back. */
+    /** Lets the server send this text and end the connection, in order or with a reset; returns the node's response. */
     private String exchangeThenEnd(String text, When when, boolean reset) throws Exception {
-        // With a new node each: one that meets breaks again and again takes its server out for a while.
+        // Uses a new node each time: after repeated broken connections, a node ejects the server for a while.
         end();
         start();
         sendRequest("a", 5000);
@@ -172,7 +172,7 @@
         }
     }
 
-    /** A write that fails takes the reset's word away from the read behind it, which then sees an end in order. */
+    /** Guards against a failed write that consumes the error of a reset, so that the next read sees an orderly end. */
     @Test
     void resetSeenByAWriteFirstDoesNotCompleteAResponse() throws Exception {
         write(
@@ -213,6 +213,6 @@
         trickle.start();
         assertTrue(readResponse().startsWith("HTTP/1.1 504 "));
         trickle.join(10_000);
-        assertTrue(!trickle.isAlive(), "its connection is ended");
+        assertTrue(!trickle.isAlive(), "the connection was not closed");
     }
 }
--- a/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
+++ b/node/src/test/java/brackenbridge/net/ListenerHandoverTest.java
@@ -28,10 +28,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients connect in the very moment in which a replaced process has accepted its last connection. */
+/** Clients connect just after a replaced process has accepted its last connection. */
 class ListenerHandoverTest {
     private static final String LIVE = "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n";
-    /** The kernel spreads connections by a hash, so that some of these reach each socket that takes any. */
+    /** The kernel distributes connections by a hash: this many reach each listening socket that still receives any. */
     private static final int CONNECTS_PER_GAP = 16;
 
     private static final int REPLACEMENTS = 2;
@@ -55,7 +55,7 @@
         nodes.forEach(Node::kill);
     }
 
-    /** As the system's accept; once it is armed, clients connect behind each call that finds nobody. */
+    /** The system's accept; once armed, clients connect after each call that finds the backlog empty. */
     private final class ConnectingAccept implements SocketCalls.AcceptCall {
         private volatile boolean armed;
 
@@ -133,7 +133,10 @@
         return answers;
     }
 
-    /** Where connections can't be directed, the replaced process still accepts what waits and closes at once. */
+    /**
+     * If connections can't be directed, the replaced process accepts the waiting clients and closes its socket
+     * immediately.
+     */
     @Test
     void withoutSteeringTheListenerIsEmptiedAndClosed() throws Exception {
         SocketCalls system = SocketCalls.system();
--- a/node/src/test/java/brackenbridge/net/LongBodyTest.java
+++ b/node/src/test/java/brackenbridge/net/LongBodyTest.java
@@ -27,12 +27,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Long bodies streamed through a node, and the failures on the way. */
+/** Long bodies streamed through a node, and failures during the transfer. */
 class LongBodyTest {
     private static final int BODY_BYTES = 3_000_000;
-    /** Long enough to be streamed, and within what may wait behind a request. */
+    /** Long enough to be streamed, and within the read-ahead limit behind a request. */
     private static final int BODY_BEHIND_REQUEST_BYTES = 150_000;
-    /** Each takes a turn of the node's event loop, which reads 128 KB of a connection at most. */
+    /** Each round takes a turn of the node's event loop, which reads at most 128 KB of a connection. */
     private static final int ROUNDS_UNTIL_ALL_READ = 20;
 
     private static final int LIVE_BODY_BYTES = "live\n".length();
@@ -127,7 +127,7 @@
         return text.toString();
     }
 
-    /** A body in chunks; what has come of it if the last chunk is missing, with a byte more. */
+    /** Reads a chunked body; if the last chunk is missing, returns what was received and one extra byte. */
     private static byte[] readChunks(InputStream in) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         while (true) {
@@ -161,7 +161,7 @@
         write(client, "GET /view HTTP/" + version + "\r\nX-Correlation-Id: 7\r\n" + fields + "\r\n");
     }
 
-    /** A server that reads one head and then sends this head and this much of a body. */
+    /** Returns a script that reads one head and then sends these headers and this much of a body. */
     private static ServerScript sendsResponse(String fields, byte[] body, int bytesSent) {
         return s -> {
             readHead(s.getInputStream());
@@ -181,10 +181,10 @@
         client = connect();
         scripts.add(sendsResponse("Content-Length: 2\r\n", body, 2));
         write(client, "GET /view HTTP/1.1\r\nX-Correlation-Id: 8\r\n\r\n");
-        assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 200 "), "others are served meanwhile");
+        assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 200 "), "other clients are served meanwhile");
         assertArrayEquals(body, slow.getInputStream().readNBytes(body.length));
         write(slow, "GET /health/live HTTP/1.1\r\n\r\n");
-        assertTrue(readHead(slow.getInputStream()).startsWith("HTTP/1.1 200 "), "the connection goes on");
+        assertTrue(readHead(slow.getInputStream()).startsWith("HTTP/1.1 200 "), "the connection is kept alive");
         slow.close();
     }
 
@@ -215,7 +215,7 @@
         assertArrayEquals(body, client.getInputStream().readAllBytes());
     }
 
-    /** Reads requests on another connection until all that has come to the node before them has been read. */
+    /** Makes requests on another connection until everything that reached the node before them has been read. */
     private void awaitAllRead() throws IOException {
         try (Socket other = connect()) {
             for (int i = 0; i < ROUNDS_UNTIL_ALL_READ; i++) {
@@ -226,7 +226,7 @@
         }
     }
 
-    /** Guards against a last byte that waits for a sign of a client that has nothing more to say. */
+    /** Guards against holding back the last byte until a client sends more, when it has nothing more to send. */
     @Test
     void longBodyThatWasReadBeforeItsTurnIsPassedOn() throws Exception {
         CountDownLatch bodyRead = new CountDownLatch(1);
@@ -276,7 +276,7 @@
         awaitMetric("proxy.errors.view:2|c");
     }
 
-    /** The client can tell by a last chunk that is missing, or by a reset where there are no chunks. */
+    /** The client detects the truncation by the missing last chunk, or by a reset if the response is not chunked. */
     @Test
     void responseWithoutALengthThatIsResetIsTruncated() throws Exception {
         byte[] body = patternBytes(BODY_BYTES);
@@ -315,7 +315,7 @@
         assertTrue(node.metricsText().contains(figure + "\n"), node.metricsText());
     }
 
-    /** Adds a server that reads a long request to its end and reports the body. */
+    /** Adds a script that reads a long request to its end and records the body. */
     private void addUploadServer(boolean chunked, int size) {
         scripts.add(s -> {
             String head = readHead(s.getInputStream());
@@ -352,7 +352,7 @@
         assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 200 "));
         assertEquals("done", new String(client.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
         assertArrayEquals(body, (byte[]) observed.poll(10, TimeUnit.SECONDS));
-        assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 200 "), "what waits behind it has its turn");
+        assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 200 "), "the pipelined request is served");
     }
 
     @Test
@@ -365,7 +365,7 @@
                 client.getOutputStream().write(piece);
             }
         } catch (IOException e) {
-            // The node need not read what nobody wants any more.
+            // The node may stop reading a body that is not forwarded any more.
             assertTrue(e.getMessage() != null);
         }
         awaitMetric("proxy.shed.file:1|c");
--- a/node/src/test/java/brackenbridge/net/NodeCapacityTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeCapacityTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** A node at its limits on descriptors and memory. */
+/** A node at its limits of descriptors and memory. */
 class NodeCapacityTest extends RunningNode {
     @Test
     void idleClientsAreClosedAtTheDescriptorLimit() throws Exception {
@@ -40,7 +40,7 @@
         }
         client = connect();
         send("GET /health/live HTTP/1.1\r\n\r\n");
-        // It waits in the backlog: neither an answer nor an end comes while nothing can be shed.
+        // The client waits in the backlog: it gets neither a response nor a close while nothing can be shed.
         client.setSoTimeout(300);
         assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
         client.setSoTimeout(10_000);
@@ -51,7 +51,9 @@
         assertTrue(back != null && back.startsWith("HTTP/1.1 200 "), back);
     }
 
-    /** What it waits in the backlog the node can't see, but it knows how long nobody was taken. */
+    /**
+     * The node can't see how long a client has waited in the backlog, but it knows since when it has not accepted any.
+     */
     @Test
     void timeLeftAccountsForTheLongestPossibleBacklogWait() throws Exception {
         node.kill();
@@ -74,9 +76,9 @@
             s.close();
         }
         int first = timeLeftMs(server.nextRequest());
-        assertTrue(first > 2000 && first <= 3800, "told " + first);
+        assertTrue(first > 2000 && first <= 3800, "announced " + first);
         int second = timeLeftMs(server.nextRequest());
-        assertTrue(second > 2000 && second <= 3800, "told " + second);
+        assertTrue(second > 2000 && second <= 3800, "announced " + second);
         assertTrue(readResponse().endsWith("done"));
     }
 
--- a/node/src/test/java/brackenbridge/net/NodeFaultTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeFaultTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A fault of the node's own takes no client's answer away. */
+/** A fault in the node itself leaves no request without a response. */
 class NodeFaultTest {
     private ClientNode harness;
     private Socket client;
--- a/node/src/test/java/brackenbridge/net/NodeReconfigurationTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeReconfigurationTest.java
@@ -93,7 +93,7 @@
         expectStatus(404, fileRequest("gone").replace("Id: 9b", "Id: 9c"));
         client = open;
         server.responses.add(OK);
-        assertTrue(readResponse().endsWith("done"), "the open request ends as it began");
+        assertTrue(readResponse().endsWith("done"), "the open request keeps its settings");
         server.responses.add(OK);
         expectStatus(200, fileRequest("new").replace("/file", "/sign"));
         String metrics = node.metricsText();
@@ -124,6 +124,6 @@
         clock.pass(1500);
         send(fileRequest("b"));
         assertTrue(readResponse().endsWith("done"));
-        assertEquals(2, server.connections.size(), "half of the old time has not passed, half of the new one has");
+        assertEquals(2, server.connections.size(), "half of the old timeout has not passed, half of the new one has");
     }
 }
--- a/node/src/test/java/brackenbridge/net/NodeShutdownTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeShutdownTest.java
@@ -25,7 +25,7 @@
         Socket late = connect();
         assertTrue(node.drain(true).get(10, TimeUnit.SECONDS));
         assertTrue(node.acceptsClients(), "the listening socket stays open");
-        assertEquals(-1, idle.getInputStream().read(), "idle connections end");
+        assertEquals(-1, idle.getInputStream().read(), "the idle connection was not closed");
         server.responses.add(OK);
         String back = readResponse();
         assertTrue(back.endsWith("done") && back.contains("Connection: close\r\n"), back);
@@ -38,7 +38,7 @@
         expectStatus(200, fileRequest("b"));
         send(fileRequest("c"));
         server.responses.add(OK);
-        assertTrue(readResponse().endsWith("done"), "connections are kept again");
+        assertTrue(readResponse().endsWith("done"), "connections are kept alive again");
         String metrics = "";
         for (int i = 0; i < 500 && !metrics.contains("proxy.ok.file:3|c\n"); i++) {
             settle();
@@ -74,8 +74,8 @@
             send("GET /health/ready HTTP/1.1\r\n\r\n");
             ready = readResponse();
         }
-        assertFalse(ready.contains("Connection: close\r\n"), "the connections it has are served for a while");
-        assertNull(FakeServer.readMessage(idle.getInputStream()), "then those that carry nothing end");
+        assertFalse(ready.contains("Connection: close\r\n"), "existing connections are served for a while");
+        assertNull(FakeServer.readMessage(idle.getInputStream()), "the idle connection was not closed");
         client = first;
         assertFalse(ended.isDone());
         server.responses.add(OK);
--- a/node/src/test/java/brackenbridge/net/NodeTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeTest.java
@@ -10,7 +10,7 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** Client requests through a whole node on loopback. */
+/** Client requests through a complete node on loopback. */
 class NodeTest extends RunningNode {
     @Test
     void requestAndResponsePassUnchanged() throws Exception {
@@ -92,7 +92,7 @@
         send(request("POST", "/file", "Content-Length: 32100\r\n", "x"));
         settle();
         clock.pass(2000);
-        // As much as a second's worth of the least pace: three seconds in all are not too long then.
+        // As many bytes as the minimum rate requires in a second: three seconds in total are not too long then.
         send("y".repeat(32_000));
         settle();
         clock.pass(1000);
@@ -103,7 +103,7 @@
         settle();
         clock.pass(2600);
         assertTrue(readResponse().startsWith("HTTP/1.1 408 "));
-        assertEquals(1, server.requests.size(), "of the stalled one nothing went on");
+        assertEquals(1, server.requests.size(), "nothing of the stalled request is forwarded");
     }
 
     @Test
--- a/node/src/test/java/brackenbridge/net/NodeUpstreamTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeUpstreamTest.java
@@ -56,7 +56,7 @@
             settle();
             clock.pass(400);
         }
-        assertEquals(3, server.connections.size(), "one that was stale, and a new one for each that came after");
+        assertEquals(3, server.connections.size(), "the stale connection, and a new one for each later request");
     }
 
     @Test
@@ -69,7 +69,7 @@
         assertTrue(readResponse().endsWith("done"), "the server is still in use");
     }
 
-    /** All clients come in one instant, and the only server is cold: what it bears then is 1.9 calls. */
+    /** All clients arrive at the same time while the only server is cold: its capacity is then 1.9 requests. */
     @Test
     void coldServerIsNotOverloadedWhenAllClientsArriveAtOnce() throws Exception {
         node.kill();
@@ -96,13 +96,13 @@
         }
         int sent = 0;
         for (Socket s : clients) {
-            // The server says nothing: a call that reached it has no answer in time, any other is refused.
+            // The server sends no response: a request that reached it times out, any other is rejected.
             String response = FakeServer.readMessage(s.getInputStream());
             assertTrue(response != null && response.matches("(?s)HTTP/1.1 50[34] .*"), response);
             sent += response.startsWith("HTTP/1.1 504 ") ? 1 : 0;
             s.close();
         }
-        assertTrue(sent >= 1 && sent <= 2, "calls that the cold server got: " + sent);
+        assertTrue(sent >= 1 && sent <= 2, "requests that the cold server received: " + sent);
         assertEquals(sent, server.requests.size());
     }
 
--- a/node/src/test/java/brackenbridge/net/PausableClock.java
+++ b/node/src/test/java/brackenbridge/net/PausableClock.java
@@ -8,11 +8,11 @@
 import java.util.stream.Stream;
 
 /**
- * The system's clock, which a test can put forward, or stop the node at: its event loop rests where it asks next, or
- * where a certain method asks. It can also fail where a certain method asks.
+ * The system's clock with hooks for tests: it can be advanced or frozen, it can pause the node's event loop at its next
+ * reading of the clock or at one in a certain method, and it can fail there.
  */
 final class PausableClock extends Clock {
-    /** Where the methods that tests name are looked for. */
+    /** Packages in which methods named by tests are looked up. */
     private static final List<String> PACKAGES =
             List.of("brackenbridge.net.", "brackenbridge.net.client.", "brackenbridge.net.upstream.");
 
@@ -22,11 +22,11 @@
     private volatile double frozenMs = Double.NaN;
     private volatile CountDownLatch paused;
     private volatile CountDownLatch resumeSignal;
-    /** The method, as {@code Class.method}, whose question for the time stops the loop; null if any does. */
+    /** The method, as {@code Class.method}, whose reading of the clock pauses the loop; null for any reading. */
     private volatile String pauseMethod;
 
     private volatile String failMethod;
-    /** The method in which the event loop is to rest; null if anywhere. */
+    /** The method in which the loop pauses after a reading; null if it pauses before one. */
     private volatile String pauseAfterMethod;
 
     void pass(double ms) {
@@ -34,20 +34,19 @@
         frozenMs += ms;
     }
 
-    /** From now on no time passes by itself. */
+    /** Stops time; it advances only by calls from now on. */
     void freeze() {
         frozenMs = system.nowMs() + aheadMs;
     }
 
-    /** The time that stands is put forward. */
+    /** Advances the frozen time. */
     void advanceFrozen(double ms) {
         frozenMs += ms;
     }
 
     /**
-     * From now on the node's event loop rests as soon as it has read the clock in this method, named as
-     * {@code Class.method}, or in one that it calls: it goes on with that reading, however late. To be followed by
-     * {@link #awaitHeld}.
+     * Pauses the node's event loop as soon as it has read the clock in this method, named as {@code Class.method}, or
+     * in one that it calls: it resumes with that reading, however late. To be followed by {@link #awaitPaused}.
      */
     void pauseAfterReadingIn(String method) {
         requireMethod(method);
@@ -57,20 +56,20 @@
         resumeSignal = new CountDownLatch(1);
     }
 
-    /** Returns once the node's event loop rests. */
+    /** Waits until the node's event loop is paused. */
     void awaitPaused() throws InterruptedException {
         if (!paused.await(10, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("nobody asks for the time there");
+            throw new IllegalStateException("the clock was not read there within 10 s");
         }
     }
 
-    /** Returns once the node's event loop rests; what comes to its sockets from now on waits there. */
+    /** Pauses the node's event loop at its next reading and waits for that; input from now on stays in its sockets. */
     void pause() throws InterruptedException {
         startPause(null);
         awaitPaused();
     }
 
-    /** The event loop rests once this method, named as {@code Class.method}, asks for the time. */
+    /** Pauses the event loop when this method, named as {@code Class.method}, reads the clock next. */
     void pauseIn(String method) {
         requireMethod(method);
         startPause(method);
@@ -91,13 +90,13 @@
         }
     }
 
-    /** The next time that this method, named as {@code Class.method}, asks for the time, it gets an exception. */
+    /** Makes the next reading of the clock in this method, named as {@code Class.method}, throw an exception. */
     void failIn(String method) {
         requireMethod(method);
         failMethod = method;
     }
 
-    /** Guards tests against a method that has been renamed or moved: none would ever be held or fail there. */
+    /** Guards tests against a renamed or moved method, in which nothing would ever pause or fail. */
     private static void requireMethod(String name) {
         int dot = name.lastIndexOf('.');
         String className = name.substring(0, dot);
@@ -133,7 +132,7 @@
     public double nowMs() {
         if (failMethod != null && Thread.currentThread() != testThread && caller().equals(failMethod)) {
             failMethod = null;
-            throw new IllegalStateException("a fault that the test wants");
+            throw new IllegalStateException("fault injected by the test");
         }
         CountDownLatch signal = resumeSignal;
         if (signal == null || Thread.currentThread() == testThread) {
--- a/node/src/test/java/brackenbridge/net/ReplacementTest.java
+++ b/node/src/test/java/brackenbridge/net/ReplacementTest.java
@@ -30,10 +30,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process's place taken by another, under connects from all sides; and whatever may lie where they meet. */
+/** One process replaces another while many clients connect; and any kind of file may exist at the handover path. */
 class ReplacementTest {
     private static final String LIVE = "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n";
-    /** As often as other awaited events are looked for. */
+    /** As many tries as for other awaited conditions. */
     private static final int MAX_CONNECT_TRIES = 5000;
 
     @TempDir
@@ -56,7 +56,7 @@
         nodes.forEach(Node::kill);
     }
 
-    /** A node that knows version 41 of the list, or none. */
+    /** Starts a node that knows version 41 of the endpoint list, or an older, empty one. */
     private Node startNode(boolean knowsList) {
         String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         Config config = Config.parse(ConfigTest.TEXT
@@ -140,7 +140,7 @@
         assertEquals(List.of(), failed);
         server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         String back = exchange("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n");
-        assertTrue(back.endsWith("done"), "the list came along: " + back);
+        assertTrue(back.endsWith("done"), "the endpoint list was not inherited: " + back);
     }
 
     @Test
@@ -154,7 +154,7 @@
             server.nextRequest();
             await(startNode(false)::acceptsClients);
             var ended = old.stop();
-            assertEquals(-1, idle.getInputStream().read(), "idle connections end after a while");
+            assertEquals(-1, idle.getInputStream().read(), "the idle connection was not closed");
             assertFalse(ended.isDone());
             server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
             String back = FakeServer.readMessage(client.getInputStream());
@@ -175,7 +175,7 @@
                 .bind(UnixDomainSocketAddress.of(handoverPath))
                 .close();
         await(startNode(true)::acceptsClients);
-        // A killed process's file makes way.
+        // The file of a killed process is replaced.
         await(() -> Files.exists(handoverPath));
     }
 
--- a/node/src/test/java/brackenbridge/net/RunningNode.java
+++ b/node/src/test/java/brackenbridge/net/RunningNode.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A whole node on loopback with one client and one server that responds as the test says. */
+/** A complete node on loopback with one client and one server with scripted responses. */
 abstract class RunningNode {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Exchanges messages until all that had come to the node before them has been read, and for so long that a
+     * Makes requests until everything that reached the node before them has been read, and long enough that a
      * connection to a server may be reused.
      */
     void settle() throws IOException {
--- a/node/src/test/java/brackenbridge/net/ShortDeadlinesTest.java
+++ b/node/src/test/java/brackenbridge/net/ShortDeadlinesTest.java
@@ -15,11 +15,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A node whose longest deadline is 0.1 s may be killed 0.8 s after SIGTERM: it has answered all and exits before. */
+/**
+ * A node whose longest deadline is 0.1 s may be killed 0.8 s after SIGTERM: it answers all requests and exits before
+ * that.
+ */
 class ShortDeadlinesTest {
     private static final long DEADLINE_MS = 100;
     private static final double KILL_MS = DEADLINE_MS + 700;
-    /** The end is waited for by real time, of which the node's clock shows a quarter. */
+    /** The test waits in real time, while the node's clock runs at a quarter of its speed. */
     private static final double CLOCK_SLOWDOWN = 4;
 
     private final SlowClock clock = new SlowClock(CLOCK_SLOWDOWN);
@@ -49,7 +52,7 @@
         return socket;
     }
 
-    /** Asks again and again while the connection is open, and says what the last answer was. */
+    /** Makes requests until the connection is closed; returns the last response. */
     private String requestUntilClose(Socket client) throws IOException {
         String last = "";
         for (int i = 0; !last.contains("Connection: close\r\n"); i++) {
@@ -60,7 +63,7 @@
         return last;
     }
 
-    /** Its server hangs, its clients go on asking, one of them stops in the middle of a request. */
+    /** The server hangs, one client keeps making requests, another one stops in the middle of a request. */
     @Test
     void stoppedNodeAnswersAllAndExitsBeforeItIsKilled() throws Exception {
         try (Socket client = connect();
@@ -75,7 +78,7 @@
             assertTrue(ClientNode.readResponse(incomplete).startsWith("HTTP/1.1 503 "));
             assertEquals(-1, incomplete.getInputStream().read());
             double elapsedMs = ended.get(20, TimeUnit.SECONDS) - stopRequestedMs;
-            assertTrue(elapsedMs < KILL_MS - 100, "it took " + elapsedMs + " ms");
+            assertTrue(elapsedMs < KILL_MS - 100, "exited after " + elapsedMs + " ms");
         }
     }
 }
--- a/node/src/test/java/brackenbridge/net/SlowClock.java
+++ b/node/src/test/java/brackenbridge/net/SlowClock.java
@@ -2,7 +2,9 @@
 
 import brackenbridge.clock.Clock;
 
-/** Runs slower than real time, so that a crowded machine's delays weigh less against what a test measures by it. */
+/**
+ * A clock that runs slower than real time, so that delays on a busy machine weigh less in what a test measures with it.
+ */
 final class SlowClock extends Clock {
     private final Clock system = Clock.system();
     private final double startMs = system.nowMs();
--- a/node/src/test/java/brackenbridge/net/StaleConnectionsTest.java
+++ b/node/src/test/java/brackenbridge/net/StaleConnectionsTest.java
@@ -28,34 +28,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** All connections that are kept to servers end in the same quiet time, and requests come all at once behind it. */
+/**
+ * All idle connections to servers become stale in the same period without traffic, and requests arrive all at once
+ * after it.
+ */
 class StaleConnectionsTest {
     private static final int SERVERS = 8;
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     private static final double IDLE_MS = 12_000;
-    /** More than the time between two ticks of the decision module. */
+    /** Longer than the interval between two ticks of the decision module. */
     private static final long TICK_MS = 300;
-    /** More than the time for which a connection rests behind an answer. */
+    /** Longer than the delay after a response before a connection is reused. */
     private static final long REST_MS = 8;
 
     private static final int ROUNDS = 3;
 
     private final PausableClock clock = new PausableClock();
     private final List<Server> servers = new ArrayList<>();
-    /** The requests that servers have read whole, on connections that they knew. */
+    /** Requests that servers have read completely on connections that are not stale. */
     private final LinkedBlockingQueue<String> served = new LinkedBlockingQueue<>();
-    /** Those that they have read whole on connections that they had forgotten. */
+    /** Requests that servers have read completely on stale connections. */
     private final LinkedBlockingQueue<String> readOnStale = new LinkedBlockingQueue<>();
 
     private Node node;
     private final List<Socket> clients = new ArrayList<>();
 
-    /** Serves each request on each connection that it knows, and answers others with a reset. */
+    /** A server that serves requests, but resets a stale connection once it has read a request on it. */
     private final class Server {
         final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         final List<Socket> connections = new CopyOnWriteArrayList<>();
         final List<Thread> readers = new CopyOnWriteArrayList<>();
-        /** So many of its connections it has forgotten, the oldest. */
+        /** Number of stale connections; these are the oldest ones. */
         volatile int staleConnections;
 
         Server() throws IOException {
@@ -96,7 +99,10 @@
             staleConnections = connections.size();
         }
 
-        /** Returns once the ends have left: a socket that a thread reads ends with that thread's read. */
+        /**
+         * Closes all connections and waits until that has been sent: a socket is closed only once the thread that reads
+         * it has returned.
+         */
         void closeAll(boolean reset) throws Exception {
             for (Socket s : connections) {
                 s.setSoLinger(reset, 0);
@@ -137,16 +143,17 @@
             clients.add(s);
         }
         for (int i = 0; i < ROUNDS; i++) {
-            // Requests that are out together open a connection to each server.
+            // Concurrent requests open a connection to each server.
             clock.pause();
             sendAll("first", "POST", "/file");
             clock.resume();
             assertEquals(SERVERS, countResponses("200"));
             awaitLoopTurns(REST_MS);
         }
-        assertTrue(servers.stream().noneMatch(s -> s.connections.isEmpty()), "a server without a kept connection");
+        assertTrue(servers.stream().noneMatch(s -> s.connections.isEmpty()), "a server has no connection");
         served.clear();
-        // The tick that takes in the last answers is over before the quiet begins, and one falls into the quiet.
+        // The tick that processes the last responses is over before the idle period begins, and another one falls into
+        // it.
         awaitLoopTurns(TICK_MS);
         clock.pass(IDLE_MS);
         awaitLoopTurns(TICK_MS);
@@ -164,7 +171,10 @@
         }
     }
 
-    /** What the node's event loop was to do within this time, it has done: it asks the system for the delay. */
+    /**
+     * Waits for this time, then until the event loop has run the tasks that were due; their delays follow the system's
+     * clock.
+     */
     private void awaitLoopTurns(long ms) throws Exception {
         long start = System.nanoTime();
         while (System.nanoTime() - start < ms * 1_000_000) {
@@ -193,7 +203,7 @@
         }
     }
 
-    /** How many of the clients' answers have this status; each client gets one. */
+    /** Reads one response per client and returns how many have this status. */
     private int countResponses(String status) throws IOException {
         int count = 0;
         for (Socket s : clients) {
@@ -212,7 +222,7 @@
         return ids;
     }
 
-    /** Servers end all of them in the very moment in which the requests come; the node sees both at once. */
+    /** Servers close all connections just as the requests arrive; the node sees both in the same poll. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void connectionsClosedByServersAllAtOnceCostNoRequest(boolean reset) throws Exception {
@@ -237,10 +247,10 @@
         clock.resume();
         assertEquals(SERVERS, countResponses("200"));
         assertEquals(SERVERS, ids(served).size());
-        assertTrue(readOnStale.size() >= 1, "some went out on a connection that was dead");
+        assertTrue(readOnStale.size() >= 1, "no request was sent on a stale connection");
     }
 
-    /** Nobody can tell whether they have run: they fail at once, and only they. */
+    /** It is unknown whether they were executed: they fail immediately, and no others do. */
     @Test
     void nonIdempotentRequestsOnStaleConnectionsFailAtOnceAndAreNotRetried() throws Exception {
         servers.forEach(Server::makeAllStale);
@@ -248,13 +258,13 @@
         sendAll("next", "POST", "/file");
         clock.resume();
         int failed = countResponses("502");
-        assertTrue(failed >= 1, "some went out on a connection that was dead");
-        assertEquals(failed, ids(readOnStale).size(), "each that was lost, once");
+        assertTrue(failed >= 1, "no request was sent on a stale connection");
+        assertEquals(failed, ids(readOnStale).size(), "each failed request was sent once");
         assertEquals(SERVERS - failed, ids(served).size());
-        assertTrue(Collections.disjoint(ids(readOnStale), ids(served)), "lost and sent again");
+        assertTrue(Collections.disjoint(ids(readOnStale), ids(served)), "a failed request was retried");
         served.clear();
         sendAll("then", "POST", "/file");
-        assertEquals(SERVERS, countResponses("200"), "no kept connection is trusted now");
+        assertEquals(SERVERS, countResponses("200"), "an idle connection was reused after stale ones");
         assertEquals(SERVERS, ids(served).size());
     }
 }
--- a/node/src/test/java/brackenbridge/net/StalledClientTest.java
+++ b/node/src/test/java/brackenbridge/net/StalledClientTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A client that stops in the middle of a request and stays gets its error within 3 s of its last byte. */
+/**
+ * A client that stops sending in the middle of a request and stays connected gets a 408 within 3 s of its last byte.
+ */
 class StalledClientTest {
     private static final String BODY = "x".repeat(60_000);
 
@@ -33,7 +35,7 @@
         harness.close();
     }
 
-    /** Lets the node's sweep see so often what has come, then this much time passes and no more. */
+    /** Lets the node's sweep run this often, then advances the clock by this time and freezes it. */
     private void stall(int sweeps, double ms) throws Exception {
         for (int i = 0; i < sweeps; i++) {
             harness.clock.pauseIn("Listener.sweep");
@@ -76,7 +78,7 @@
         String request = fileRequest("a", 9000, BODY.repeat(3));
         send(client, request.substring(0, 150_000));
         harness.server.connections.take();
-        // The server needs a moment to take what has come; meanwhile its client is not asked for more.
+        // The server takes a moment to accept the first part; meanwhile the minimum rate is not applied to the client.
         stall(10, 1900);
         expect408();
         assertEquals(0, harness.server.requests.size());
--- a/node/src/test/java/brackenbridge/net/SystemCallFailureTest.java
+++ b/node/src/test/java/brackenbridge/net/SystemCallFailureTest.java
@@ -26,16 +26,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** System calls fail in the ways that Linux documents: what a client gets, whom it is blamed on, what stays counted. */
+/**
+ * System calls fail with the errors that Linux documents: checks the client's response, whether the server is blamed,
+ * and that socket counts stay correct.
+ */
 class SystemCallFailureTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
     private static final int ALWAYS = FaultySockets.ALWAYS;
-    /** Failed accepts in a row: 0.9 s of the node's pauses, 5.6 s of Netty's, which the node's sweeps cut short. */
+    /**
+     * Consecutive failed accepts: they cost 0.9 s of the node's own pauses, or 5.6 s of Netty's, which the node's
+     * sweeps cut short.
+     */
     private static final int MANY_FAILURES = 150;
-    /** A client waits so long for an accept: between the two. */
+    /** Time that a client waits for an accept, between the two. */
     private static final int ACCEPTED_MS = 4500;
 
-    /** What Java throws for an error number. */
+    /** The exception that Java throws for an error number. */
     private enum Errno {
         ECONNABORTED(() -> new IOException("Software caused connection abort")),
         EINTR(() -> new IOException("Interrupted system call")),
@@ -62,23 +68,23 @@
         }
     }
 
-    /** What the node has when the call fails. */
+    /** The node's connection to the server when the call fails. */
     private enum Have {
         /** No connection to the server. */
         NONE,
-        /** One that is kept from an earlier request. */
+        /** An idle connection from an earlier request. */
         KEPT
     }
 
-    /** Whose fault the node takes it for. */
+    /** Whom the node blames for the failure. */
     private enum Blame {
-        /** Nobody's: no server is ever avoided. */
+        /** Nobody: the server is not ejected. */
         NONE,
-        /** The server's, which is avoided; as there is no other, the call is refused before its time is over. */
+        /** The server, which is ejected; as there is no other, the request is rejected before its deadline. */
         SERVER
     }
 
-    /** One line of the table. */
+    /** A row of the table of failures. */
     private enum Row {
         ACCEPT_ECONNABORTED(Call.ACCEPT, Errno.ECONNABORTED, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
         ACCEPT_EINTR(Call.ACCEPT, Errno.EINTR, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
@@ -145,7 +151,7 @@
         private final int times;
         private final Have have;
         private final String requestClass;
-        /** The answer's status; 0 if the connection ends without one. */
+        /** The status of the response; 0 if the connection ends without one. */
         private final int status;
 
         private final Blame blame;
@@ -192,7 +198,7 @@
         return client;
     }
 
-    /** Asks, and returns the answer's status; 0 if the connection ended without one. */
+    /** Makes a request and returns the status of the response; 0 if the connection ended without one. */
     private static int status(Socket client, String requestClass, int timeLeftMs) throws IOException {
         String method = requestClass.equals("view") ? "GET" : "POST";
         String request = method + " /" + requestClass + " HTTP/1.1\r\nX-Correlation-Id: a\r\nX-Time-Left-Ms: "
@@ -215,7 +221,7 @@
             Node.Snapshot now = snapshot();
             counted = now.clients() + " clients, " + now.servers() + " servers";
         } while (!counted.equals(open) && System.nanoTime() - start < 10_000_000_000L);
-        assertEquals(open, counted, "sockets that are open, and that are counted");
+        assertEquals(open, counted, "open sockets differ from counted ones");
     }
 
     private Node.Snapshot snapshot() throws Exception {
@@ -226,7 +232,7 @@
         return !snapshot().metrics().contains("proxy.pool_ejected:0|g");
     }
 
-    /** Asks on a new connection, and says whether the server was seen avoided meanwhile. */
+    /** Makes a request on a new connection; returns whether the server was ejected meanwhile. */
     private boolean avoidsServerWhile(Row row) throws Exception {
         try (Socket client = connect()) {
             client.setSoTimeout(row.call == Call.ACCEPT ? ACCEPTED_MS : 10_000);
@@ -267,7 +273,7 @@
         awaitSockets(0);
         if (row.blame == Blame.NONE) {
             try (Socket client = connect()) {
-                assertEquals(200, status(client, "file", 5000), "afterwards all is as before");
+                assertEquals(200, status(client, "file", 5000), "requests are served again afterwards");
             }
         }
         awaitSockets(0);
--- a/node/src/test/java/brackenbridge/net/TimeLeftHeaderTest.java
+++ b/node/src/test/java/brackenbridge/net/TimeLeftHeaderTest.java
@@ -17,13 +17,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a server is told of its client's time, and what is not sent any more, when a node or a connection is late. */
+/**
+ * The remaining time that a node announces to servers, and which requests it no longer sends, when the node or a
+ * connection is delayed.
+ */
 class TimeLeftHeaderTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
-    /** A wait for a connection outlasts every test. */
+    /** A configuration with a connect timeout that no test reaches. */
     private static final String LONG_CONNECT_TIMEOUT_CONFIG =
             ConfigTest.TEXT.replace("\"connectTimeout\":120000", "\"connectTimeout\":10000000");
-    /** What the rules allow a server to be told beyond what is left. */
+    /** Maximum time that may be announced beyond the remaining time. */
     private static final double SLACK_MS = 150;
 
     private final PausableClock clock = new PausableClock();
@@ -50,7 +53,7 @@
         return Config.parse(text.replace("\"hosts\":[]", "\"hosts\":[" + host + "]"));
     }
 
-    /** The server's connections do not come up until it is told to accept. */
+    /** Restarts the node with a server whose connections open only once it accepts. */
     private void restartWithFullBacklog() throws IOException {
         startNode.kill();
         server.close();
@@ -94,7 +97,7 @@
         return Integer.parseInt(request.replaceAll("(?s).*X-Time-Left-Ms: ([0-9]+).*", "$1"));
     }
 
-    /** All that had come to the node has been taken in. */
+    /** Waits until the node has processed everything that has reached it. */
     private void settle() throws Exception {
         for (int i = 0; i < 3; i++) {
             startNode.tenantUse().get(10, TimeUnit.SECONDS);
@@ -112,19 +115,22 @@
         assertTrue(counted.contains(count + "\n"), count + " is not among\n" + counted);
     }
 
-    /** An attempt that the node was slow to dispatch starts to connect later than its request is counted. */
+    /** Waits until the node has started to connect: a delayed attempt does so later than its request is counted. */
     private void awaitConnectBegun() throws Exception {
         int servers = 0;
         for (int i = 0; i < 2000 && servers == 0; i++) {
             servers = startNode.snapshot().get(10, TimeUnit.SECONDS).servers();
         }
-        assertTrue(servers > 0, "no connection to the server was begun");
+        assertTrue(servers > 0, "the node did not start to connect");
     }
 
-    /** While the node rests, the connection that a request waits for comes up: it must have begun to connect before. */
+    /**
+     * Opens the connection that a request waits for while the node is paused; the node must have started to connect
+     * before.
+     */
     private void openConnectionWhilePaused() throws Exception {
         awaitConnectBegun();
-        // The system call is made in a later task than the one that counts the connection.
+        // The connect call is made in a later task than the one that counts the connection.
         settle();
         clock.pause();
         server.startAccepting();
@@ -141,7 +147,8 @@
             clock.pass(1500);
             clock.resume();
             int announcedMs = timeLeftMs(server.nextRequest());
-            assertTrue(announcedMs > 0 && announcedMs <= 3500, "told " + announcedMs + " of a body of " + length);
+            assertTrue(
+                    announcedMs > 0 && announcedMs <= 3500, "announced " + announcedMs + " with a body of " + length);
         }
     }
 
@@ -153,13 +160,13 @@
         openConnectionWhilePaused();
         clock.pass(60_000);
         clock.resume();
-        assertTrue(readResponse().startsWith("HTTP/1.1 503 "), "refused: it never began");
+        assertTrue(readResponse().startsWith("HTTP/1.1 503 "), "the request was not rejected");
         awaitCounter("forwards_moot 1");
         awaitCounter("forwards_written 0");
         server.responses.add(OK);
         sendRequest("POST", "/file", 5000, 2);
-        assertTrue(readResponse().endsWith("done"), "the connection serves the next, and its server is in use");
-        assertTrue(server.nextRequest().endsWith("\r\n\r\nxx"), "the first request that the server sees");
+        assertTrue(readResponse().endsWith("done"), "the connection and the server are used for the next request");
+        assertTrue(server.nextRequest().endsWith("\r\n\r\nxx"), "not the first request that the server received");
     }
 
     @Test
@@ -169,7 +176,7 @@
         clock.pass(1000);
         server.responses.add(FakeServer.CLOSE_CONNECTION);
         int secondMs = timeLeftMs(server.nextRequest());
-        assertTrue(secondMs > 0 && secondMs <= 4000, "told " + secondMs);
+        assertTrue(secondMs > 0 && secondMs <= 4000, "announced " + secondMs);
     }
 
     @Test
@@ -182,7 +189,7 @@
         double leftMs = sentMs + 5000 - clock.nowMs();
         clock.resume();
         int announcedMs = timeLeftMs(server.nextRequest());
-        assertTrue(announcedMs <= leftMs + SLACK_MS, "told " + announcedMs + " of " + leftMs);
+        assertTrue(announcedMs <= leftMs + SLACK_MS, "announced " + announcedMs + " of " + leftMs);
     }
 
     @Test
@@ -212,12 +219,12 @@
         client = connect();
         sendRequest("POST", "/file", 9000, 2);
         assertTrue(readResponse().endsWith("done"));
-        assertTrue(server.nextRequest().endsWith("\r\n\r\nxx"), "the first request that the server sees");
+        assertTrue(server.nextRequest().endsWith("\r\n\r\nxx"), "not the first request that the server received");
         awaitCounter("forwards_written 1");
         awaitCounter("flows_gone 1");
     }
 
-    /** It is told of the drain, rests, and finds the connection up before it comes to its own timers. */
+    /** The node learns of the drain, is paused, and finds the connection open before it runs its timers. */
     @Test
     void requestWhoseConnectionOpensAfterTheDrainGraceIsNotSent() throws Exception {
         restartWithFullBacklog();
@@ -234,7 +241,7 @@
         assertEquals(0, server.requests.size());
     }
 
-    /** Servers may drop what has so little time left without a word. */
+    /** Servers may drop requests with so little time left without a response. */
     @Test
     void requestsWithLittleTimeLeftGetOneResponseEachAndEjectNoServer() throws Exception {
         for (int left = 0; left <= 20; left++) {
@@ -243,7 +250,7 @@
             String back = readResponse();
             double elapsedMs = (System.nanoTime() - sentNs) / 1e6;
             assertTrue(back.matches("(?s)HTTP/1.1 50[34] .*"), left + ": " + back);
-            assertTrue(elapsedMs < left + 500, "an answer after " + elapsedMs + " ms of " + left);
+            assertTrue(elapsedMs < left + 500, "response after " + elapsedMs + " ms of " + left);
         }
         awaitCounter("flows_in 21");
         for (int i = 0; i < 1000 && !startNode.metricsText().contains("proxy.active:0|g\n"); i++) {
--- a/node/src/test/java/brackenbridge/net/channel/DescriptorBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/DescriptorBudgetTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Limits at both ends of their range leave room for clients and for servers. */
+/** Limits at both ends of their range leave descriptors for clients and for servers. */
 class DescriptorBudgetTest {
     @Test
     void anyLimitAdmitsClientsAndServers() {
--- a/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/SocketPollsTest.java
@@ -31,7 +31,8 @@
     private final AtomicBoolean secondRead = new AtomicBoolean();
     private final CompletableFuture<Boolean> readBeforeTask = new CompletableFuture<>();
 
-    // Guards against a task that runs before the loop has polled again, in a turn that takes longer than its delay.
+    // Guards against a task that runs before the loop has polled again, in a turn that takes longer than the task's
+    // delay.
     @Test
     void pendingBytesAreReadBeforeTheTaskRunsInASlowTurn() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -76,7 +77,7 @@
             }
             Socket second = toWrite;
             toWrite = null;
-            // After this turn's poll: only another one finds it.
+            // Written after this turn's poll, so that only the next one finds it.
             write(second);
             SocketPolls.runAfterNextPoll(loop, () -> readBeforeTask.complete(secondRead.get()));
             LockSupport.parkNanos(SLOW_TURN_NS);
--- a/node/src/test/java/brackenbridge/net/client/BodyRateMonitorTest.java
+++ b/node/src/test/java/brackenbridge/net/client/BodyRateMonitorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A body is too slow if it stays behind its pace or silent for too long. */
+/** A body is too slow if it lags behind the minimum rate, or stays silent, for too long. */
 class BodyRateMonitorTest {
     private static final double CHECK_MS = 100;
     private static final int BYTES_AT_MIN_RATE = 3200;
@@ -13,7 +13,7 @@
     private final BodyRateMonitor monitor = new BodyRateMonitor(0);
     private double now;
 
-    /** One check of a sweep in which these bytes have come since the one before. */
+    /** Runs one check, with this many bytes received since the previous one. */
     private boolean isTooSlowWith(int bytes) {
         now += CHECK_MS;
         monitor.onBytes(bytes);
--- a/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
+++ b/node/src/test/java/brackenbridge/net/client/ClientPresenceTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When a client counts as present: after reads that have found all it sent and no end. */
+/** A client counts as present after reads that found everything it sent and no end of stream. */
 class ClientPresenceTest {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    /** The connection around the presence, as each test sets it. */
+    /** The state of the connection's input, as set by each test. */
     private static final class FakeInput implements ClientPresence.InputState {
         private boolean ending;
         private boolean discarding;
@@ -59,14 +59,14 @@
         channel.close();
     }
 
-    /** Lets time pass for the clock and for what the event loop has scheduled. */
+    /** Advances the clock and runs the tasks that are due on the event loop. */
     private void pass(long ms) {
         clock.pass(ms);
         channel.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         channel.runPendingTasks();
     }
 
-    /** Lets the event loop go through one turn. */
+    /** Runs one turn of the event loop. */
     private void passTurn() {
         channel.runPendingTasks();
     }
@@ -94,10 +94,10 @@
     @Test
     void clientIsUnknownUntilATurnInWhichNothingIsRead() {
         read(ReceiveBuffers.MAX_READS_PER_TURN);
-        assertFalse(presence.isPresentNow(), "more may be at the socket");
+        assertFalse(presence.isPresentNow(), "more bytes may be available");
         presence.onBytesRead();
         passTurn();
-        assertFalse(presence.isPresentNow(), "a read since then");
+        assertFalse(presence.isPresentNow(), "a read has returned bytes since then");
         passTurn();
         assertTrue(presence.isPresentNow());
     }
@@ -171,7 +171,7 @@
         presence.startChecking();
         presence.setReading(true);
         passTurn();
-        assertTrue(presence.isPresentNow(), "nothing came in a whole turn");
+        assertTrue(presence.isPresentNow(), "nothing was read for a complete turn");
         int presentCount = input.presentCount;
         pass(10 * ClientPresence.PRESENCE_CHECK_INTERVAL_MS);
         assertEquals(presentCount, input.presentCount);
--- a/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/client/RequestMemoryBudgetTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The bound on the bytes that all clients have buffered, and who gives up when it is passed. */
+/** The limit on bytes buffered for all clients, and which connections give up when it is exceeded. */
 class RequestMemoryBudgetTest {
     private static final int MIB = 1024 * 1024;
 
