--- a/node/src/main/java/brackenbridge/net/DiscoveryClient.java
+++ b/node/src/main/java/brackenbridge/net/DiscoveryClient.java
@@ -79,7 +79,7 @@
         private final long id;
         private final String address;
         private final String path;
-        private final ObjectCutter cutter = new ObjectCutter(MAX_LIST_BYTES);
+        private final ObjectCutter splitter = new ObjectCutter(MAX_LIST_BYTES);
         private final ResponseDecoder decoder = new ResponseDecoder(this::readBody);
         private Channel channel;
         private boolean headReceived;
@@ -127,8 +127,8 @@
         }
 
         private void readListByte(byte next) throws HttpException {
-            switch (cutter.add(next)) {
-                case TEXT -> onList(cutter.take());
+            switch (splitter.add(next)) {
+                case TEXT -> onList(splitter.take());
                 // Only the first byte of a list counts as a heartbeat: guards against a list that never ends.
                 case EMPTY_LINE, BEGUN -> events.raise(new Event.DiscoveryHeartbeat(id));
                 case TOO_LONG -> end("list longer than " + MAX_LIST_BYTES + " bytes");
--- a/node/src/main/java/brackenbridge/net/Shutdown.java
+++ b/node/src/main/java/brackenbridge/net/Shutdown.java
@@ -10,7 +10,7 @@
 
 /** The last steps of a graceful shutdown, after the reducer has decided to exit. Used on the event loop only. */
 final class Shutdown {
-    private static final long QUIET_CHECK_INTERVAL_MS = 20;
+    private static final long FINISH_CHECK_INTERVAL_MS = 20;
     private static final int SERVICE_UNAVAILABLE_STATUS = 503;
 
     private final EventLoop loop;
@@ -42,15 +42,15 @@
             listener.rejectIncomplete(SERVICE_UNAVAILABLE_STATUS);
             loop.schedule(this::complete, ShutdownSchedule.LAST_LINGER_MS, TimeUnit.MILLISECONDS);
         }
-        awaitQuiet();
+        awaitConnectionsFinished();
     }
 
-    private void awaitQuiet() {
+    private void awaitConnectionsFinished() {
         listener.closeIdleConnections();
-        if (listener.isQuiet()) {
+        if (listener.allConnectionsFinished()) {
             complete();
         } else if (!completed.isDone()) {
-            loop.schedule(this::awaitQuiet, QUIET_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::awaitConnectionsFinished, FINISH_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/node/src/main/java/brackenbridge/net/client/Listener.java
+++ b/node/src/main/java/brackenbridge/net/client/Listener.java
@@ -166,7 +166,7 @@
     }
 
     /** Whether all connections are closed or have been lingering long enough for their clients to notice the close. */
-    public boolean isQuiet() {
+    public boolean allConnectionsFinished() {
         double now = clock.nowMs();
         return !registry.isEmptyingBacklog()
                 && registry.connections().stream()
--- a/node/src/test/java/brackenbridge/net/ConnectionCloseRaceTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionCloseRaceTest.java
@@ -119,12 +119,12 @@
     @Test
     void requestThatIsThereWhenADrainedNodeEndsIdleConnectionsIsServed() throws Exception {
         harness = new ClientNode();
-        Socket resting = harness.connect();
-        requestLive(resting);
+        Socket idle = harness.connect();
+        requestLive(idle);
         harness.clock.freeze();
         harness.node.drain(true).get();
         harness.clock.pass(650);
-        assertEquals(-1, resting.getInputStream().read(), "the idle connection was not closed");
+        assertEquals(-1, idle.getInputStream().read(), "the idle connection was not closed");
         Socket client = harness.connect();
         // A response on a later connection shows that this one has been accepted.
         requestLive(harness.connect());
--- a/node/src/test/java/brackenbridge/net/DiscoveryTest.java
+++ b/node/src/test/java/brackenbridge/net/DiscoveryTest.java
@@ -126,12 +126,12 @@
         Socket watch = nextCall();
         send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int lists = 0;
-        for (int cut = 0; cut < indented(42, host(1, "active")).length(); cut++) {
+        for (int splitAt = 0; splitAt < indented(42, host(1, "active")).length(); splitAt++) {
             String list = indented(42 + lists++, host(1, "active"));
             // Splits the list into two chunks there, and the bytes on the connection inside a chunk's framing.
-            String framed = chunk(list.substring(0, cut)) + chunk(list.substring(cut));
-            send(watch, framed.substring(0, cut));
-            send(watch, framed.substring(cut));
+            String framed = chunk(list.substring(0, splitAt)) + chunk(list.substring(splitAt));
+            send(watch, framed.substring(0, splitAt));
+            send(watch, framed.substring(splitAt));
         }
         String last = indented(42 + lists++, host(1, "active") + "," + host(2, "leaving") + "," + host(3, "active"));
         for (char c : last.toCharArray()) {
--- a/node/src/test/java/brackenbridge/net/LongBodyTest.java
+++ b/node/src/test/java/brackenbridge/net/LongBodyTest.java
@@ -68,11 +68,11 @@
                 () -> {
                     while (true) {
                         try {
-                            Socket s = server.accept();
+                            Socket connection = server.accept();
                             CompletableFuture.runAsync(
                                     () -> {
-                                        try (s) {
-                                            scripts.take().play(s);
+                                        try (connection) {
+                                            scripts.take().play(connection);
                                         } catch (Exception e) {
                                             observed.add(e);
                                         }
--- a/node/src/test/java/brackenbridge/net/SystemCallFailureTest.java
+++ b/node/src/test/java/brackenbridge/net/SystemCallFailureTest.java
@@ -69,7 +69,7 @@
     }
 
     /** The node's connection to the server when the call fails. */
-    private enum Have {
+    private enum ServerConnection {
         /** No connection to the server. */
         NONE,
         /** An idle connection from an earlier request. */
@@ -86,81 +86,89 @@
 
     /** A row of the table of failures. */
     private enum Row {
-        ACCEPT_ECONNABORTED(Call.ACCEPT, Errno.ECONNABORTED, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EINTR(Call.ACCEPT, Errno.EINTR, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EPROTO(Call.ACCEPT, Errno.EPROTO, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_ENETUNREACH(Call.ACCEPT, Errno.ENETUNREACH, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EMFILE(Call.ACCEPT, Errno.EMFILE, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_EMFILE_KEPT(Call.ACCEPT, Errno.EMFILE, MANY_FAILURES, Have.KEPT, "file", 200, Blame.NONE),
-        ACCEPT_ENFILE(Call.ACCEPT, Errno.ENFILE, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_ENOBUFS(Call.ACCEPT, Errno.ENOBUFS, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_ENOMEM(Call.ACCEPT, Errno.ENOMEM, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
-        ACCEPT_UNKNOWN(Call.ACCEPT, Errno.UNKNOWN, MANY_FAILURES, Have.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ECONNABORTED(
+                Call.ACCEPT, Errno.ECONNABORTED, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EINTR(Call.ACCEPT, Errno.EINTR, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EPROTO(Call.ACCEPT, Errno.EPROTO, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENETUNREACH(
+                Call.ACCEPT, Errno.ENETUNREACH, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EMFILE(Call.ACCEPT, Errno.EMFILE, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_EMFILE_KEPT(Call.ACCEPT, Errno.EMFILE, MANY_FAILURES, ServerConnection.KEPT, "file", 200, Blame.NONE),
+        ACCEPT_ENFILE(Call.ACCEPT, Errno.ENFILE, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENOBUFS(Call.ACCEPT, Errno.ENOBUFS, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_ENOMEM(Call.ACCEPT, Errno.ENOMEM, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
+        ACCEPT_UNKNOWN(Call.ACCEPT, Errno.UNKNOWN, MANY_FAILURES, ServerConnection.NONE, "file", 200, Blame.NONE),
 
-        SOCKET_EMFILE(Call.SOCKET, Errno.EMFILE, 1, Have.NONE, "file", 200, Blame.NONE),
-        SOCKET_ENFILE(Call.SOCKET, Errno.ENFILE, 1, Have.NONE, "file", 200, Blame.NONE),
-        SOCKET_ENOBUFS(Call.SOCKET, Errno.ENOBUFS, 1, Have.NONE, "file", 200, Blame.NONE),
-        SOCKET_ENOMEM(Call.SOCKET, Errno.ENOMEM, 3, Have.NONE, "file", 200, Blame.NONE),
-        SOCKET_EMFILE_ALWAYS(Call.SOCKET, Errno.EMFILE, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
-        SOCKET_EMFILE_ALWAYS_KEPT(Call.SOCKET, Errno.EMFILE, ALWAYS, Have.KEPT, "file", 200, Blame.NONE),
+        SOCKET_EMFILE(Call.SOCKET, Errno.EMFILE, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        SOCKET_ENFILE(Call.SOCKET, Errno.ENFILE, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        SOCKET_ENOBUFS(Call.SOCKET, Errno.ENOBUFS, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        SOCKET_ENOMEM(Call.SOCKET, Errno.ENOMEM, 3, ServerConnection.NONE, "file", 200, Blame.NONE),
+        SOCKET_EMFILE_ALWAYS(Call.SOCKET, Errno.EMFILE, ALWAYS, ServerConnection.NONE, "file", 503, Blame.NONE),
+        SOCKET_EMFILE_ALWAYS_KEPT(Call.SOCKET, Errno.EMFILE, ALWAYS, ServerConnection.KEPT, "file", 200, Blame.NONE),
 
-        CONNECT_EADDRNOTAVAIL(Call.CONNECT, Errno.EADDRNOTAVAIL, 1, Have.NONE, "file", 200, Blame.NONE),
-        CONNECT_EADDRNOTAVAIL_ALWAYS(Call.CONNECT, Errno.EADDRNOTAVAIL, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
-        CONNECT_EAGAIN(Call.CONNECT, Errno.EAGAIN, 3, Have.NONE, "file", 200, Blame.NONE),
-        CONNECT_EAGAIN_ALWAYS(Call.CONNECT, Errno.EAGAIN, ALWAYS, Have.NONE, "view", 503, Blame.NONE),
-        CONNECT_ENETUNREACH(Call.CONNECT, Errno.ENETUNREACH, 1, Have.NONE, "file", 200, Blame.NONE),
-        CONNECT_ENETUNREACH_ALWAYS(Call.CONNECT, Errno.ENETUNREACH, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
-        CONNECT_ENETDOWN(Call.CONNECT, Errno.ENETDOWN, 1, Have.NONE, "file", 200, Blame.NONE),
-        CONNECT_ENOBUFS(Call.CONNECT, Errno.ENOBUFS, 1, Have.NONE, "file", 200, Blame.NONE),
-        CONNECT_ENOMEM(Call.CONNECT, Errno.ENOMEM, 1, Have.NONE, "file", 200, Blame.NONE),
-        FINISH_ENETUNREACH(Call.FINISH_CONNECT, Errno.ENETUNREACH, 1, Have.NONE, "file", 200, Blame.NONE),
-        CONNECT_ECONNREFUSED_ALWAYS(Call.CONNECT, Errno.ECONNREFUSED, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
-        CONNECT_ECONNRESET_ALWAYS(Call.CONNECT, Errno.ECONNRESET, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+        CONNECT_EADDRNOTAVAIL(Call.CONNECT, Errno.EADDRNOTAVAIL, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        CONNECT_EADDRNOTAVAIL_ALWAYS(
+                Call.CONNECT, Errno.EADDRNOTAVAIL, ALWAYS, ServerConnection.NONE, "file", 503, Blame.NONE),
+        CONNECT_EAGAIN(Call.CONNECT, Errno.EAGAIN, 3, ServerConnection.NONE, "file", 200, Blame.NONE),
+        CONNECT_EAGAIN_ALWAYS(Call.CONNECT, Errno.EAGAIN, ALWAYS, ServerConnection.NONE, "view", 503, Blame.NONE),
+        CONNECT_ENETUNREACH(Call.CONNECT, Errno.ENETUNREACH, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        CONNECT_ENETUNREACH_ALWAYS(
+                Call.CONNECT, Errno.ENETUNREACH, ALWAYS, ServerConnection.NONE, "file", 503, Blame.NONE),
+        CONNECT_ENETDOWN(Call.CONNECT, Errno.ENETDOWN, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        CONNECT_ENOBUFS(Call.CONNECT, Errno.ENOBUFS, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        CONNECT_ENOMEM(Call.CONNECT, Errno.ENOMEM, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        FINISH_ENETUNREACH(Call.FINISH_CONNECT, Errno.ENETUNREACH, 1, ServerConnection.NONE, "file", 200, Blame.NONE),
+        CONNECT_ECONNREFUSED_ALWAYS(
+                Call.CONNECT, Errno.ECONNREFUSED, ALWAYS, ServerConnection.NONE, "file", 503, Blame.SERVER),
+        CONNECT_ECONNRESET_ALWAYS(
+                Call.CONNECT, Errno.ECONNRESET, ALWAYS, ServerConnection.NONE, "file", 503, Blame.SERVER),
         FINISH_ECONNREFUSED_ALWAYS(
-                Call.FINISH_CONNECT, Errno.ECONNREFUSED, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
-        FINISH_ETIMEDOUT_ALWAYS(Call.FINISH_CONNECT, Errno.ETIMEDOUT, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+                Call.FINISH_CONNECT, Errno.ECONNREFUSED, ALWAYS, ServerConnection.NONE, "file", 503, Blame.SERVER),
+        FINISH_ETIMEDOUT_ALWAYS(
+                Call.FINISH_CONNECT, Errno.ETIMEDOUT, ALWAYS, ServerConnection.NONE, "file", 503, Blame.SERVER),
         FINISH_EHOSTUNREACH_ALWAYS(
-                Call.FINISH_CONNECT, Errno.EHOSTUNREACH, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
-        FINISH_ECONNREFUSED(Call.FINISH_CONNECT, Errno.ECONNREFUSED, 1, Have.NONE, "file", 503, Blame.SERVER),
+                Call.FINISH_CONNECT, Errno.EHOSTUNREACH, ALWAYS, ServerConnection.NONE, "file", 503, Blame.SERVER),
+        FINISH_ECONNREFUSED(
+                Call.FINISH_CONNECT, Errno.ECONNREFUSED, 1, ServerConnection.NONE, "file", 503, Blame.SERVER),
 
-        WRITE_EPIPE(Call.WRITE, Errno.EPIPE, 1, Have.NONE, "file", 503, Blame.SERVER),
-        WRITE_EPIPE_KEPT(Call.WRITE, Errno.EPIPE, 1, Have.KEPT, "file", 503, Blame.SERVER),
-        WRITE_ECONNRESET_KEPT(Call.WRITE, Errno.ECONNRESET, 1, Have.KEPT, "file", 503, Blame.SERVER),
-        WRITE_ETIMEDOUT_KEPT(Call.WRITE, Errno.ETIMEDOUT, 1, Have.KEPT, "file", 503, Blame.SERVER),
-        WRITE_EHOSTUNREACH_KEPT(Call.WRITE, Errno.EHOSTUNREACH, 1, Have.KEPT, "file", 503, Blame.SERVER),
-        WRITE_ENOBUFS_KEPT(Call.WRITE, Errno.ENOBUFS, 1, Have.KEPT, "file", 200, Blame.NONE),
-        WRITE_ENOBUFS_ALWAYS(Call.WRITE, Errno.ENOBUFS, ALWAYS, Have.NONE, "file", 503, Blame.NONE),
-        WRITE_EPIPE_ALWAYS(Call.WRITE, Errno.EPIPE, ALWAYS, Have.NONE, "file", 503, Blame.SERVER),
+        WRITE_EPIPE(Call.WRITE, Errno.EPIPE, 1, ServerConnection.NONE, "file", 503, Blame.SERVER),
+        WRITE_EPIPE_KEPT(Call.WRITE, Errno.EPIPE, 1, ServerConnection.KEPT, "file", 503, Blame.SERVER),
+        WRITE_ECONNRESET_KEPT(Call.WRITE, Errno.ECONNRESET, 1, ServerConnection.KEPT, "file", 503, Blame.SERVER),
+        WRITE_ETIMEDOUT_KEPT(Call.WRITE, Errno.ETIMEDOUT, 1, ServerConnection.KEPT, "file", 503, Blame.SERVER),
+        WRITE_EHOSTUNREACH_KEPT(Call.WRITE, Errno.EHOSTUNREACH, 1, ServerConnection.KEPT, "file", 503, Blame.SERVER),
+        WRITE_ENOBUFS_KEPT(Call.WRITE, Errno.ENOBUFS, 1, ServerConnection.KEPT, "file", 200, Blame.NONE),
+        WRITE_ENOBUFS_ALWAYS(Call.WRITE, Errno.ENOBUFS, ALWAYS, ServerConnection.NONE, "file", 503, Blame.NONE),
+        WRITE_EPIPE_ALWAYS(Call.WRITE, Errno.EPIPE, ALWAYS, ServerConnection.NONE, "file", 503, Blame.SERVER),
 
-        READ_ECONNRESET(Call.READ, Errno.ECONNRESET, 1, Have.NONE, "file", 502, Blame.NONE),
-        READ_ECONNRESET_SAFE(Call.READ, Errno.ECONNRESET, 1, Have.NONE, "view", 200, Blame.NONE),
-        READ_ECONNRESET_KEPT(Call.READ, Errno.ECONNRESET, 1, Have.KEPT, "file", 502, Blame.NONE),
-        READ_ETIMEDOUT(Call.READ, Errno.ETIMEDOUT, 1, Have.NONE, "file", 502, Blame.NONE),
-        READ_ETIMEDOUT_SAFE(Call.READ, Errno.ETIMEDOUT, 1, Have.NONE, "view", 200, Blame.NONE),
-        READ_EHOSTUNREACH(Call.READ, Errno.EHOSTUNREACH, 1, Have.NONE, "file", 502, Blame.NONE),
-        READ_EHOSTUNREACH_SAFE(Call.READ, Errno.EHOSTUNREACH, 1, Have.KEPT, "view", 200, Blame.NONE),
-        READ_ENOMEM(Call.READ, Errno.ENOMEM, 1, Have.NONE, "file", 502, Blame.NONE),
+        READ_ECONNRESET(Call.READ, Errno.ECONNRESET, 1, ServerConnection.NONE, "file", 502, Blame.NONE),
+        READ_ECONNRESET_SAFE(Call.READ, Errno.ECONNRESET, 1, ServerConnection.NONE, "view", 200, Blame.NONE),
+        READ_ECONNRESET_KEPT(Call.READ, Errno.ECONNRESET, 1, ServerConnection.KEPT, "file", 502, Blame.NONE),
+        READ_ETIMEDOUT(Call.READ, Errno.ETIMEDOUT, 1, ServerConnection.NONE, "file", 502, Blame.NONE),
+        READ_ETIMEDOUT_SAFE(Call.READ, Errno.ETIMEDOUT, 1, ServerConnection.NONE, "view", 200, Blame.NONE),
+        READ_EHOSTUNREACH(Call.READ, Errno.EHOSTUNREACH, 1, ServerConnection.NONE, "file", 502, Blame.NONE),
+        READ_EHOSTUNREACH_SAFE(Call.READ, Errno.EHOSTUNREACH, 1, ServerConnection.KEPT, "view", 200, Blame.NONE),
+        READ_ENOMEM(Call.READ, Errno.ENOMEM, 1, ServerConnection.NONE, "file", 502, Blame.NONE),
 
-        CLIENT_READ_ECONNRESET(Call.CLIENT_READ, Errno.ECONNRESET, 1, Have.NONE, "file", 0, Blame.NONE),
-        CLIENT_READ_ETIMEDOUT(Call.CLIENT_READ, Errno.ETIMEDOUT, 1, Have.KEPT, "file", 0, Blame.NONE),
-        CLIENT_WRITE_EPIPE(Call.CLIENT_WRITE, Errno.EPIPE, 1, Have.NONE, "file", 0, Blame.NONE),
-        CLIENT_WRITE_ECONNRESET(Call.CLIENT_WRITE, Errno.ECONNRESET, 1, Have.NONE, "file", 0, Blame.NONE);
+        CLIENT_READ_ECONNRESET(Call.CLIENT_READ, Errno.ECONNRESET, 1, ServerConnection.NONE, "file", 0, Blame.NONE),
+        CLIENT_READ_ETIMEDOUT(Call.CLIENT_READ, Errno.ETIMEDOUT, 1, ServerConnection.KEPT, "file", 0, Blame.NONE),
+        CLIENT_WRITE_EPIPE(Call.CLIENT_WRITE, Errno.EPIPE, 1, ServerConnection.NONE, "file", 0, Blame.NONE),
+        CLIENT_WRITE_ECONNRESET(Call.CLIENT_WRITE, Errno.ECONNRESET, 1, ServerConnection.NONE, "file", 0, Blame.NONE);
 
         private final Call call;
         private final Errno errno;
         private final int times;
-        private final Have have;
+        private final ServerConnection serverConnection;
         private final String requestClass;
         /** The status of the response; 0 if the connection ends without one. */
         private final int status;
 
         private final Blame blame;
 
-        Row(Call call, Errno errno, int times, Have have, String requestClass, int status, Blame blame) {
+        Row(Call call, Errno errno, int times, ServerConnection have, String requestClass, int status, Blame blame) {
             this.call = call;
             this.errno = errno;
             this.times = times;
-            this.have = have;
+            this.serverConnection = have;
             this.requestClass = requestClass;
             this.status = status;
             this.blame = blame;
@@ -228,21 +236,21 @@
         return node.snapshot().get(10, TimeUnit.SECONDS);
     }
 
-    private boolean avoidsServer() throws Exception {
+    private boolean isServerEjected() throws Exception {
         return !snapshot().metrics().contains("proxy.pool_ejected:0|g");
     }
 
     /** Makes a request on a new connection; returns whether the server was ejected meanwhile. */
-    private boolean avoidsServerWhile(Row row) throws Exception {
+    private boolean isServerEjectedDuring(Row row) throws Exception {
         try (Socket client = connect()) {
             client.setSoTimeout(row.call == Call.ACCEPT ? ACCEPTED_MS : 10_000);
             CompletableFuture<Integer> status = CompletableFuture.supplyAsync(() -> statusUnchecked(client, row));
-            boolean avoided = false;
+            boolean ejected = false;
             while (!status.isDone()) {
-                avoided |= avoidsServer();
+                ejected |= isServerEjected();
             }
             assertEquals(row.status, status.get());
-            return avoided | avoidsServer();
+            return ejected | isServerEjected();
         }
     }
 
@@ -260,15 +268,15 @@
         for (int i = 0; i < 6; i++) {
             server.responses.add(OK);
         }
-        if (row.have == Have.KEPT) {
+        if (row.serverConnection == ServerConnection.KEPT) {
             try (Socket client = connect()) {
                 assertEquals(200, status(client, "file", 5000));
             }
             awaitSockets(0);
         }
         sockets.injectFault(row.call, row.times, row.errno.error);
-        boolean avoided = avoidsServerWhile(row);
-        assertEquals(row.blame == Blame.SERVER, avoided);
+        boolean ejected = isServerEjectedDuring(row);
+        assertEquals(row.blame == Blame.SERVER, ejected);
         sockets.clearFaults();
         awaitSockets(0);
         if (row.blame == Blame.NONE) {
