--- a/node/src/test/java/brackenbridge/net/InvalidInputTest.java
+++ b/node/src/test/java/brackenbridge/net/InvalidInputTest.java
@@ -192,7 +192,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"list", "nobody", "cut", "long", "status", "head"})
+    @CsvSource({"list", "unnamed", "truncated", "long", "status", "head"})
     void invalidDiscoveryResponseEndsItsCallAndKeepsTheList(String what) throws Exception {
         assertNotNull(discovery.nextRequest());
         String head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
@@ -201,8 +201,8 @@
         discovery.connections.poll().shutdownInput();
         discovery.responses.add(Map.of(
                         "list", head + "{\"seq\":43,\"whole\":true}\n",
-                        "nobody", head + "{\"seq\":43,\"whole\":true,\"hosts\":[{\"dial\":\"127.0.0.1:7\"}]}\n",
-                        "cut", head + "{\"seq\":43,\"whole\":true,\"hosts\":[",
+                        "unnamed", head + "{\"seq\":43,\"whole\":true,\"hosts\":[{\"dial\":\"127.0.0.1:7\"}]}\n",
+                        "truncated", head + "{\"seq\":43,\"whole\":true,\"hosts\":[",
                         "long", head + " ".repeat((1 << 20) + 1),
                         "status", "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
                         "head", "{\"seq\":43,\"whole\":true,\"hosts\":[]}\n\n")
--- a/node/src/test/java/brackenbridge/net/LateResponseBytesTest.java
+++ b/node/src/test/java/brackenbridge/net/LateResponseBytesTest.java
@@ -140,7 +140,7 @@
     void responseWithoutLengthEndsWithItsConnection() throws Exception {
         for (String head : HEADS_WITHOUT_LENGTH) {
             for (When when : When.values()) {
-                for (String body : new String[] {"whole", "", "x".repeat(60_000)}) {
+                for (String body : new String[] {"complete", "", "x".repeat(60_000)}) {
                     String back = exchangeThenEnd(head + body, when, false);
                     assertTrue(back.startsWith("HTTP/1.1 200 "), head + when + back);
                     assertEquals(body, back.substring(back.indexOf("\r\n\r\n") + 4));
