--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetNode.java
@@ -128,7 +128,8 @@
         linkMetrics.forEach(k -> Gauge.builder(
                         "fleet.links." + k, () -> links.metrics().getOrDefault(k, 0.0))
                 .register(metrics));
-        Gauge.builder("fleet.replica.behind", () -> replica.syncState().missingWrites()).register(metrics);
+        Gauge.builder("fleet.replica.behind", () -> replica.syncState().missingWrites())
+                .register(metrics);
         Gauge.builder("fleet.replica.differing", () -> replica.syncState().differingLogs())
                 .register(metrics);
         Gauge.builder("fleet.replica.level", () -> replica.syncState().caughtUp() ? 1 : 0)
--- a/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/FleetParticipant.java
@@ -83,7 +83,8 @@
             List<TenantUsage> tenants = node.tenantUse().join();
             Map<String, PoolUse> uses = new TreeMap<>();
             tenants.forEach(u -> uses.put(
-                    pool + "/" + u.tenant(), new PoolUse(u.demand(), u.meanRunning(), u.rejectedPerSecond(), u.meanHoldMs())));
+                    pool + "/" + u.tenant(),
+                    new PoolUse(u.demand(), u.meanRunning(), u.rejectedPerSecond(), u.meanHoldMs())));
             publish(RecordSpace.DEMAND, uses, publishedDemandKeys);
         });
     }
--- a/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/PoolReporter.java
@@ -101,7 +101,8 @@
         long served = tally.served() - earlierTally.served();
         long ended = served + tally.failed() - earlierTally.failed();
         double mean = served == 0 ? 0 : (tally.latencySumMs() - earlierTally.latencySumMs()) / served;
-        double meanSquare = served == 0 ? 0 : (tally.squaredLatencySumMs() - earlierTally.squaredLatencySumMs()) / served;
+        double meanSquare =
+                served == 0 ? 0 : (tally.squaredLatencySumMs() - earlierTally.squaredLatencySumMs()) / served;
         if (served >= MIN_LATENCY_SAMPLES) {
             baselineLatencyMs.merge(key, mean, (old, m) -> Math.min(old * BASELINE_GROWTH_FACTOR, m));
         }
--- a/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
+++ b/fleet/src/main/java/brackenbridge/fleet/node/StateMember.java
@@ -400,7 +400,8 @@
                                             .orElse(List.of())));
                 case "known" -> report(nowMs(), "known", Map.of("name", words[1], "value", lastKnownValue(words[1])));
                 case "hold" -> acquireRole(words[1], Double.parseDouble(words[2]));
-                case "holds" -> report(nowMs(), "asked", Map.of("role", words[1], "holds", agreement.holdsLease(words[1])));
+                case "holds" ->
+                    report(nowMs(), "asked", Map.of("role", words[1], "holds", agreement.holdsLease(words[1])));
                 case "final" -> reportFinalState(words);
                 case "end" -> stopRequested.countDown();
                 default -> report(nowMs(), "unknown", Map.of("line", line));
@@ -419,8 +420,7 @@
 
     private Map<String, String> peerStatuses() {
         Map<String, String> statuses = new LinkedHashMap<>();
-        links.peers()
-                .forEach(p -> statuses.put(p.name(), links.status(p.name()).text()));
+        links.peers().forEach(p -> statuses.put(p.name(), links.status(p.name()).text()));
         return statuses;
     }
 
@@ -518,7 +518,8 @@
                         links,
                         directory.resolve("agreed"),
                         clock,
-                        AgreedSettings.withDefaults(options.fleet, members, records.incarnation() ^ options.name.hashCode()));
+                        AgreedSettings.withDefaults(
+                                options.fleet, members, records.incarnation() ^ options.name.hashCode()));
                 StateMember member = new StateMember(links, replica, agreement, out)) {
             agreement.start();
             replica.start();
--- a/node/src/test/java/brackenbridge/net/ClassChangeTest.java
+++ b/node/src/test/java/brackenbridge/net/ClassChangeTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A flow goes by the rules that its class had when it opened, whatever SIGHUP brings while it waits. */
+/** A request keeps the rules that its class had when it was opened, whatever a SIGHUP changes while it is queued. */
 class ClassChangeTest {
     private FakeServer server;
     private Node node;
@@ -33,7 +33,7 @@
         node = new Node(
                 config(ConfigTest.TEXT), clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())));
         node.start();
-        // One connection in all: the next flow waits for its tenant's turn.
+        // A quota of one connection: the tenant's next request is queued.
         node.enqueue(new Event.TenantQuotasReceived(
                 new TenantQuotas(1, Map.of("a", 1.0), 0, Map.of(), clock.nowMs() + 60_000, Map.of("a", 1.0))));
     }
@@ -50,22 +50,23 @@
     }
 
     private Socket send(String method, String path, int id) throws IOException {
-        Socket s = new Socket(node.address().getAddress(), node.address().getPort());
-        s.setSoTimeout(3000);
-        s.getOutputStream()
+        Socket socket = new Socket(node.address().getAddress(), node.address().getPort());
+        socket.setSoTimeout(3000);
+        socket.getOutputStream()
                 .write((method + " " + path + " HTTP/1.1\r\nHost: a\r\nX-Account: a\r\nX-Correlation-Id: " + id
                                 + "\r\nX-Time-Left-Ms: 60000\r\nContent-Length: 0\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        return s;
+        return socket;
     }
 
     private void awaitCounter(String line) throws IOException {
         String counted = "";
         for (int i = 0; i < 2000 && !counted.contains(line); i++) {
-            try (Socket s =
+            try (Socket socket =
                     new Socket(node.address().getAddress(), node.address().getPort())) {
-                s.getOutputStream().write("GET /health/counters HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                counted = FakeServer.readMessage(s.getInputStream());
+                socket.getOutputStream()
+                        .write("GET /health/counters HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                counted = FakeServer.readMessage(socket.getInputStream());
             }
         }
         assertTrue(counted.contains(line), counted);
@@ -81,14 +82,16 @@
     void queuedRequestIsRejectedWhenItsClassChanges(String before, String after) throws Exception {
         try (Socket first = send("GET", "/view", 1)) {
             assertNotNull(server.nextRequest());
-            try (Socket waits = send("POST", "/file", 2)) {
+            try (Socket queued = send("POST", "/file", 2)) {
                 awaitCounter("flows_in 2\n");
                 node.reconfigure(() -> config(ConfigTest.TEXT.replace(before, after)));
-                String back = FakeServer.readMessage(waits.getInputStream());
+                String back = FakeServer.readMessage(queued.getInputStream());
                 assertTrue(back.startsWith("HTTP/1.1 503 "), back);
             }
             server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-            assertTrue(FakeServer.readMessage(first.getInputStream()).endsWith("done"), "the open one ends as it began");
+            assertTrue(
+                    FakeServer.readMessage(first.getInputStream()).endsWith("done"),
+                    "the open request keeps its rules");
         }
         assertEquals(0, server.requests.size());
     }
--- a/node/src/test/java/brackenbridge/net/ConnectionCloseRaceTest.java
+++ b/node/src/test/java/brackenbridge/net/ConnectionCloseRaceTest.java
@@ -1,8 +1,8 @@
 package brackenbridge.net;
 
 import static brackenbridge.net.ClientNode.OK;
-import static brackenbridge.net.ClientNode.readResponse;
 import static brackenbridge.net.ClientNode.fileRequest;
+import static brackenbridge.net.ClientNode.readResponse;
 import static brackenbridge.net.ClientNode.requestLive;
 import static brackenbridge.net.ClientNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,9 +14,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A request that lies at the node's socket when the node ends that connection, for whatever reason, is answered. */
+/**
+ * A request that has reached the node's socket when the node is about to close the connection is served, whatever the
+ * reason for the close.
+ */
 class ConnectionCloseRaceTest {
-    /** Eight clients are all that fit, however many files this process has open. */
+    /** Exactly eight clients fit, however many files this process has open. */
     private static final int MAX_CLIENTS = 8;
 
     private ClientNode harness;
@@ -27,8 +30,8 @@
     }
 
     private void assertServed(Socket client, String id) throws Exception {
-        String a = readResponse(client);
-        assertTrue(a != null && a.startsWith("HTTP/1.1 200 ") && a.endsWith("done"), a);
+        String response = readResponse(client);
+        assertTrue(response != null && response.startsWith("HTTP/1.1 200 ") && response.endsWith("done"), response);
         assertTrue(harness.server.nextRequest().contains("X-Correlation-Id: " + id + "\r\n"));
     }
 
@@ -66,17 +69,17 @@
     void clientInTheMiddleOfARequestIsNotShedForItsDescriptor() throws Exception {
         harness = new ClientNode(ConfigTest.TEXT.replace("\"sockets\":1024", "\"sockets\":64"));
         Socket client = harness.connect();
-        String whole = fileRequest("half", 9000, "a");
-        send(client, whole.substring(0, 30));
+        String request = fileRequest("half", 9000, "a");
+        send(client, request.substring(0, 30));
         Socket idle = harness.connect();
         requestLive(idle);
         harness.clock.pass(200);
         for (int i = 0; i < MAX_CLIENTS - 2; i++) {
             requestLive(harness.connect());
         }
-        assertEquals(-1, idle.getInputStream().read(), "the one that is idle");
+        assertEquals(-1, idle.getInputStream().read(), "the idle connection was not shed");
         harness.server.responses.add(OK);
-        send(client, whole.substring(30));
+        send(client, request.substring(30));
         assertServed(client, "half");
     }
 
@@ -116,14 +119,14 @@
     @Test
     void requestThatIsThereWhenADrainedNodeEndsIdleConnectionsIsServed() throws Exception {
         harness = new ClientNode();
-        Socket resting = harness.connect();
-        requestLive(resting);
+        Socket idle = harness.connect();
+        requestLive(idle);
         harness.clock.freeze();
         harness.node.drain(true).get();
         harness.clock.pass(650);
-        assertEquals(-1, resting.getInputStream().read(), "from now on idle connections end");
+        assertEquals(-1, idle.getInputStream().read(), "the idle connection was not closed");
         Socket client = harness.connect();
-        // A later connection is answered: this one has been accepted.
+        // A response on a later connection shows that this one has been accepted.
         requestLive(harness.connect());
         harness.clock.pauseIn("Listener.sweep");
         harness.clock.awaitPaused();
--- a/node/src/test/java/brackenbridge/net/DescriptorExhaustionTest.java
+++ b/node/src/test/java/brackenbridge/net/DescriptorExhaustionTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process with few descriptors, while discovery is down and idle clients come in crowds. */
+/** A separate process with few descriptors, while discovery is down and many idle clients connect. */
 class DescriptorExhaustionTest {
     private static final int LIMIT = 200;
 
@@ -47,7 +47,7 @@
                         .replace("127.0.0.1:1\"", "127.0.0.1:" + discovery + "\"")
                         .replace("\"sockets\":1024", "\"sockets\":" + LIMIT)
                         .replace("\"hosts\":[]", "\"hosts\":[" + host + "]"));
-        ProcessBuilder b = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                         "sh",
                         "-c",
                         "ulimit -n " + LIMIT + "; exec \"$0\" \"$@\"",
@@ -60,44 +60,46 @@
                         "serve")
                 .redirectErrorStream(true)
                 .redirectOutput(directory.resolve("log").toFile());
-        b.environment().put("PROXY_CONFIG", directory.resolve("config.json").toString());
-        b.environment().put("PROXY_MGMT", management);
-        b.environment().put("TMPDIR", directory.toString());
-        process = b.start();
+        builder.environment()
+                .put("PROXY_CONFIG", directory.resolve("config.json").toString());
+        builder.environment().put("PROXY_MGMT", management);
+        builder.environment().put("TMPDIR", directory.toString());
+        process = builder.start();
         return management;
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket("127.0.0.1", port);
-        s.setSoTimeout(2000);
-        return s;
+        Socket socket = new Socket("127.0.0.1", port);
+        socket.setSoTimeout(2000);
+        return socket;
     }
 
-    /** Asks on a new connection until this comes, and says after how many milliseconds it did. */
+    /** Polls the readiness of the process; returns after how many milliseconds it was ready. */
     private long awaitReadyMs() throws Exception {
         long start = System.nanoTime();
         while (process.isAlive() && System.nanoTime() - start < 30_000_000_000L) {
-            try (Socket s = connect()) {
-                if (exchange(s, "GET /health/ready HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 200 ")) {
+            try (Socket socket = connect()) {
+                if (exchange(socket, "GET /health/ready HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 200 ")) {
                     return (System.nanoTime() - start) / 1_000_000;
                 }
             } catch (IOException e) {
                 Thread.onSpinWait();
             }
         }
-        throw new AssertionError("never ready: " + Files.readString(directory.resolve("log")));
+        throw new AssertionError("not ready within 30 s: " + Files.readString(directory.resolve("log")));
     }
 
-    private static String exchange(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        return String.valueOf(FakeServer.readMessage(s.getInputStream()));
+    private static String exchange(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+        return String.valueOf(FakeServer.readMessage(socket.getInputStream()));
     }
 
     private void assertServed(FakeServer server, String id) throws IOException {
         server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        try (Socket s = connect()) {
-            String a = exchange(s, "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
-            assertTrue(a.endsWith("done"), id + " got " + a);
+        try (Socket socket = connect()) {
+            String response = exchange(
+                    socket, "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nContent-Length: 0\r\n\r\n");
+            assertTrue(response.endsWith("done"), id + " got " + response);
         }
     }
 
@@ -115,18 +117,18 @@
         try (FakeServer server = new FakeServer()) {
             String management = start(discovery, server);
             long ready = awaitReadyMs();
-            assertTrue(ready < 10_000, "with discovery down ready after " + ready + " ms");
+            assertTrue(ready < 10_000, "without discovery, ready after " + ready + " ms");
             for (int i = 0; i < 3 * LIMIT; i++) {
                 idleClients.add(connect());
             }
-            assertServed(server, "amongSilentOnes");
+            assertServed(server, "amongSilentClients");
             assertEquals("+OK\n", ManagementCall.send(management, "PING"));
             for (int i = 0; i < LIMIT; i++) {
-                Socket s = connect();
-                idleClients.add(s);
-                assertTrue(exchange(s, "GET /health/live HTTP/1.1\r\n\r\n").endsWith("live\n"), "client " + i);
+                Socket socket = connect();
+                idleClients.add(socket);
+                assertTrue(exchange(socket, "GET /health/live HTTP/1.1\r\n\r\n").endsWith("live\n"), "client " + i);
             }
-            assertServed(server, "amongThoseThatAskedAndRest");
+            assertServed(server, "amongIdleClients");
             assertEquals("+OK\n", ManagementCall.send(management, "PING"));
             try (ServerSocket back = new ServerSocket()) {
                 back.bind(new InetSocketAddress("127.0.0.1", discovery));
--- a/node/src/test/java/brackenbridge/net/FakeServer.java
+++ b/node/src/test/java/brackenbridge/net/FakeServer.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on loopback that keeps each request and answers with the next of its scripted answers. */
+/** A server on loopback that records each request and sends the next scripted response. */
 final class FakeServer implements AutoCloseable {
-    /** Instead of an answer: end the connection once the request is in. */
+    /** Instead of a response, closes the connection once the request has been read. */
     static final String CLOSE_CONNECTION = "";
 
     final LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
@@ -35,22 +35,22 @@
         listening = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
     }
 
-    /** A server whose backlog is full: no connection to it comes up before it accepts. */
+    /** Creates a server whose backlog is full: no connection to it opens before it accepts. */
     static FakeServer withFullBacklog() throws IOException {
-        FakeServer s = new FakeServer(1);
+        FakeServer server = new FakeServer(1);
         try {
             while (true) {
                 Socket filler = new Socket();
-                filler.connect(s.listening.getLocalSocketAddress(), 100);
-                s.backlogFillers.add(filler);
-                s.fillerPorts.add(filler.getLocalPort());
+                filler.connect(server.listening.getLocalSocketAddress(), 100);
+                server.backlogFillers.add(filler);
+                server.fillerPorts.add(filler.getLocalPort());
             }
         } catch (SocketTimeoutException e) {
-            return s;
+            return server;
         }
     }
 
-    /** Accepts and serves from now on. */
+    /** Starts to accept and serve connections. */
     void startAccepting() throws IOException {
         for (Socket filler : backlogFillers) {
             filler.close();
@@ -59,9 +59,9 @@
     }
 
     private static void startDaemon(Runnable work) {
-        Thread t = new Thread(work);
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(work);
+        thread.setDaemon(true);
+        thread.start();
     }
 
     String address() {
@@ -75,54 +75,54 @@
     private void acceptAll() {
         try {
             while (true) {
-                Socket s = listening.accept();
-                if (fillerPorts.contains(s.getPort())) {
-                    s.close();
+                Socket connection = listening.accept();
+                if (fillerPorts.contains(connection.getPort())) {
+                    connection.close();
                     continue;
                 }
-                connections.add(s);
-                startDaemon(() -> serve(s));
+                connections.add(connection);
+                startDaemon(() -> serve(connection));
             }
         } catch (IOException e) {
             return;
         }
     }
 
-    private void serve(Socket s) {
-        try (s) {
+    private void serve(Socket connection) {
+        try (connection) {
             String request;
-            while ((request = readMessage(s.getInputStream())) != null) {
+            while ((request = readMessage(connection.getInputStream())) != null) {
                 requests.add(request);
-                String answer = responses.take();
-                if (answer.equals(CLOSE_CONNECTION)) {
+                String response = responses.take();
+                if (response.equals(CLOSE_CONNECTION)) {
                     return;
                 }
-                s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                connection.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
             }
         } catch (IOException | InterruptedException e) {
             return;
         }
     }
 
-    /** Reads one message framed by a length; null at the end. */
+    /** Reads one message that is framed by its length; null at the end of the stream. */
     static String readMessage(InputStream in) throws IOException {
-        StringBuilder s = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         int length = 0;
         int end = -1;
-        while (end < 0 || s.length() < end + length) {
+        while (end < 0 || text.length() < end + length) {
             int b = in.read();
             if (b < 0) {
                 return null;
             }
-            s.append((char) b);
-            if (end < 0 && b == '\n' && s.toString().endsWith("\r\n\r\n")) {
-                end = s.length();
-                var m = java.util.regex.Pattern.compile("(?i)content-length: *([0-9]+)")
-                        .matcher(s);
-                length = m.find() ? Integer.parseInt(m.group(1)) : 0;
+            text.append((char) b);
+            if (end < 0 && b == '\n' && text.toString().endsWith("\r\n\r\n")) {
+                end = text.length();
+                var matcher = java.util.regex.Pattern.compile("(?i)content-length: *([0-9]+)")
+                        .matcher(text);
+                length = matcher.find() ? Integer.parseInt(matcher.group(1)) : 0;
             }
         }
-        return s.toString();
+        return text.toString();
     }
 
     @Override
--- a/node/src/test/java/brackenbridge/net/LateResponseBytesTest.java
+++ b/node/src/test/java/brackenbridge/net/LateResponseBytesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a server sends too late, in part, or without an end. */
+/** Responses whose bytes arrive late, in part, or without an end. */
 class LateResponseBytesTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 
@@ -47,22 +47,22 @@
         node.kill();
     }
 
-    private void sendRequest(String id, int left) throws IOException {
+    private void sendRequest(String id, int timeLeftMs) throws IOException {
         write(
                 client,
-                "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + left
+                "POST /file HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left-Ms: " + timeLeftMs
                         + "\r\nContent-Length: 1\r\n\r\na");
     }
 
-    private static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     private String readResponse() throws IOException {
         return String.valueOf(FakeServer.readMessage(client.getInputStream()));
     }
 
-    /** The connection to the server has rested and is kept. */
+    /** Serves one request and waits until the connection to the server may be reused. */
     private Socket serveAndKeepConnection() throws Exception {
         server.responses.add(OK);
         sendRequest("first", 5000);
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Heads of answers that end with their connection. */
+    /** Heads of responses that are delimited by the end of the connection. */
     private static final String[] HEADS_WITHOUT_LENGTH = {
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n",
@@ -104,17 +104,17 @@
         "HTTP/1.0 200 OK\r\n\r\n"
     };
 
-    /** When the connection ends behind the last byte. */
+    /** When the connection ends after the last byte. */
     private enum When {
-        /** The node has read all that came before. */
+        /** After the node has read everything before it. */
         AFTER_READING,
-        /** All is there at the node's next look. */
+        /** Together with the last bytes, in the same poll of the node. */
         WITH_LAST_BYTES
     }
 
-    /** The server says this and ends the connection, with a reset or in order; gives the node's answer back. */
+    /** Lets the server send this text and end the connection, in order or with a reset; returns the node's response. */
     private String exchangeThenEnd(String text, When when, boolean reset) throws Exception {
-        // With a new node each: one that meets breaks again and again takes its server out for a while.
+        // Uses a new node each time: after repeated broken connections, a node ejects the server for a while.
         end();
         start();
         sendRequest("a", 5000);
@@ -140,7 +140,7 @@
     void responseWithoutLengthEndsWithItsConnection() throws Exception {
         for (String head : HEADS_WITHOUT_LENGTH) {
             for (When when : When.values()) {
-                for (String body : new String[] {"whole", "", "x".repeat(60_000)}) {
+                for (String body : new String[] {"complete", "", "x".repeat(60_000)}) {
                     String back = exchangeThenEnd(head + body, when, false);
                     assertTrue(back.startsWith("HTTP/1.1 200 "), head + when + back);
                     assertEquals(body, back.substring(back.indexOf("\r\n\r\n") + 4));
@@ -172,7 +172,7 @@
         }
     }
 
-    /** A write that fails takes the reset's word away from the read behind it, which then sees an end in order. */
+    /** Guards against a failed write that consumes the error of a reset, so that the next read sees an orderly end. */
     @Test
     void resetSeenByAWriteFirstDoesNotCompleteAResponse() throws Exception {
         write(
@@ -213,6 +213,6 @@
         trickle.start();
         assertTrue(readResponse().startsWith("HTTP/1.1 504 "));
         trickle.join(10_000);
-        assertTrue(!trickle.isAlive(), "its connection is ended");
+        assertTrue(!trickle.isAlive(), "the connection was not closed");
     }
 }
--- a/node/src/test/java/brackenbridge/net/NodeFaultTest.java
+++ b/node/src/test/java/brackenbridge/net/NodeFaultTest.java
@@ -2,8 +2,8 @@
 
 import static brackenbridge.net.ClientNode.LIVE;
 import static brackenbridge.net.ClientNode.OK;
-import static brackenbridge.net.ClientNode.readResponse;
 import static brackenbridge.net.ClientNode.fileRequest;
+import static brackenbridge.net.ClientNode.readResponse;
 import static brackenbridge.net.ClientNode.requestLive;
 import static brackenbridge.net.ClientNode.send;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A fault of the node's own takes no client's answer away. */
+/** A fault in the node itself leaves no request without a response. */
 class NodeFaultTest {
     private ClientNode harness;
     private Socket client;
--- a/node/src/test/java/brackenbridge/net/ReplacementTest.java
+++ b/node/src/test/java/brackenbridge/net/ReplacementTest.java
@@ -30,10 +30,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process's place taken by another, under connects from all sides; and whatever may lie where they meet. */
+/** One process replaces another while many clients connect; and any kind of file may exist at the handover path. */
 class ReplacementTest {
     private static final String LIVE = "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n";
-    /** As often as other awaited events are looked for. */
+    /** As many tries as for other awaited conditions. */
     private static final int MAX_CONNECT_TRIES = 5000;
 
     @TempDir
@@ -56,34 +56,35 @@
         nodes.forEach(Node::kill);
     }
 
-    /** A node that knows version 41 of the list, or none. */
-    private Node startNode(boolean knows) {
+    /** Starts a node that knows version 41 of the endpoint list, or an older, empty one. */
+    private Node startNode(boolean knowsList) {
         String host = "{\"host\":\"s-1\",\"dial\":\"" + server.address() + "\",\"health\":\"active\"}";
         Config config = Config.parse(ConfigTest.TEXT
                 .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                .replace("\"seq\":41", knows ? "\"seq\":41" : "\"seq\":3")
-                .replace("\"hosts\":[]", knows ? "\"hosts\":[" + host + "]" : "\"hosts\":[]"));
+                .replace("\"seq\":41", knowsList ? "\"seq\":41" : "\"seq\":3")
+                .replace("\"hosts\":[]", knowsList ? "\"hosts\":[" + host + "]" : "\"hosts\":[]"));
         Clock clock = Clock.system();
-        Node n = new Node(config, clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())), handoverPath);
-        nodes.add(n);
-        n.start();
-        port = n.address().getPort();
-        return n;
+        Node started =
+                new Node(config, clock, new Log(clock, new PrintStream(OutputStream.nullOutputStream())), handoverPath);
+        nodes.add(started);
+        started.start();
+        port = started.address().getPort();
+        return started;
     }
 
     private String exchange(String request) throws IOException {
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            s.setSoTimeout(10_000);
-            s.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            return String.valueOf(FakeServer.readMessage(s.getInputStream()));
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(10_000);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            return String.valueOf(FakeServer.readMessage(socket.getInputStream()));
         }
     }
 
-    private static void await(java.util.function.BooleanSupplier what) throws InterruptedException {
-        for (int i = 0; i < 5000 && !what.getAsBoolean(); i++) {
+    private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
+        for (int i = 0; i < 5000 && !condition.getAsBoolean(); i++) {
             TimeUnit.MILLISECONDS.sleep(2);
         }
-        assertTrue(what.getAsBoolean());
+        assertTrue(condition.getAsBoolean());
     }
 
     /**
@@ -108,9 +109,9 @@
         Node old = startNode(true);
         AtomicInteger answered = new AtomicInteger();
         List<Exception> failed = java.util.Collections.synchronizedList(new ArrayList<>());
-        Thread[] storm = new Thread[4];
-        for (int i = 0; i < storm.length; i++) {
-            storm[i] = new Thread(() -> {
+        Thread[] clients = new Thread[4];
+        for (int i = 0; i < clients.length; i++) {
+            clients[i] = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try {
                         assertTrue(exchange(LIVE).startsWith("HTTP/1.1 200 "));
@@ -121,7 +122,7 @@
                     }
                 }
             });
-            storm[i].start();
+            clients[i].start();
         }
         for (int i = 0; i < 2; i++) {
             Node next = startNode(false);
@@ -132,14 +133,14 @@
             await(() -> answered.get() > before + 100);
             old = next;
         }
-        for (Thread t : storm) {
+        for (Thread t : clients) {
             t.interrupt();
             t.join();
         }
         assertEquals(List.of(), failed);
         server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         String back = exchange("GET /view HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n");
-        assertTrue(back.endsWith("done"), "the list came along: " + back);
+        assertTrue(back.endsWith("done"), "the endpoint list was not inherited: " + back);
     }
 
     @Test
@@ -153,7 +154,7 @@
             server.nextRequest();
             await(startNode(false)::acceptsClients);
             var ended = old.stop();
-            assertEquals(-1, idle.getInputStream().read(), "idle connections end after a while");
+            assertEquals(-1, idle.getInputStream().read(), "the idle connection was not closed");
             assertFalse(ended.isDone());
             server.responses.add("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
             String back = FakeServer.readMessage(client.getInputStream());
@@ -174,28 +175,28 @@
                 .bind(UnixDomainSocketAddress.of(handoverPath))
                 .close();
         await(startNode(true)::acceptsClients);
-        // A killed process's file makes way.
+        // The file of a killed process is replaced.
         await(() -> Files.exists(handoverPath));
     }
 
     @Test
     void unresponsiveOrMalformedPredecessorIsIgnored() throws Exception {
-        for (String word : List.of("brackenbridge-handover 1 {\"sockets\":\n", "HTTP/1.1 400\n", "")) {
+        for (String message : List.of("brackenbridge-handover 1 {\"sockets\":\n", "HTTP/1.1 400\n", "")) {
             nodes.forEach(Node::kill);
             Files.deleteIfExists(handoverPath);
             try (ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
                 other.bind(UnixDomainSocketAddress.of(handoverPath));
-                Thread talk = new Thread(() -> {
+                Thread responder = new Thread(() -> {
                     try {
-                        SocketChannel c = other.accept();
-                        c.write(ByteBuffer.wrap(word.getBytes(StandardCharsets.US_ASCII)));
+                        SocketChannel channel = other.accept();
+                        channel.write(ByteBuffer.wrap(message.getBytes(StandardCharsets.US_ASCII)));
                     } catch (IOException e) {
                         return;
                     }
                 });
-                talk.start();
+                responder.start();
                 await(startNode(true)::acceptsClients);
-                talk.join();
+                responder.join();
             }
         }
     }
@@ -203,13 +204,14 @@
     @Test
     void oldProcessKeepsServingIfItsSuccessorDies() throws Exception {
         Node old = startNode(true);
-        for (String more : List.of("", "ready\n")) {
+        for (String secondLine : List.of("", "ready\n")) {
             await(() -> Files.exists(handoverPath));
             try (SocketChannel dying = connectToHandoverPath()) {
                 dying.write(ByteBuffer.wrap(
-                        ("brackenbridge-handover 1 successor\n" + more).getBytes(StandardCharsets.US_ASCII)));
+                        ("brackenbridge-handover 1 successor\n" + secondLine).getBytes(StandardCharsets.US_ASCII)));
                 ByteBuffer offer = ByteBuffer.allocate(4096);
-                while (!new String(offer.array(), StandardCharsets.US_ASCII).contains(more.isEmpty() ? "\n" : "go\n")) {
+                while (!new String(offer.array(), StandardCharsets.US_ASCII)
+                        .contains(secondLine.isEmpty() ? "\n" : "go\n")) {
                     assertTrue(dying.read(offer) > 0);
                 }
             }
--- a/node/src/test/java/brackenbridge/net/channel/DescriptorBudgetTest.java
+++ b/node/src/test/java/brackenbridge/net/channel/DescriptorBudgetTest.java
@@ -5,16 +5,16 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Limits at both ends of their range leave room for clients and for servers. */
+/** Limits at both ends of their range leave descriptors for clients and for servers. */
 class DescriptorBudgetTest {
     @Test
     void anyLimitAdmitsClientsAndServers() {
         for (int limit : new int[] {64, 1024, 1 << 20, 300_000_000, Integer.MAX_VALUE}) {
-            DescriptorBudget s = new DescriptorBudget(limit);
-            assertTrue(s.hasRoomForClient() && s.hasRoomForServer(), "limit " + limit);
-            assertFalse(s.isCrowdedByClients(), "limit " + limit);
-            s.shareWithOtherProcess(true);
-            assertTrue(s.hasRoomForClient() && s.hasRoomForServer(), "half of limit " + limit);
+            DescriptorBudget budget = new DescriptorBudget(limit);
+            assertTrue(budget.hasRoomForClient() && budget.hasRoomForServer(), "limit " + limit);
+            assertFalse(budget.isCrowdedByClients(), "limit " + limit);
+            budget.shareWithOtherProcess(true);
+            assertTrue(budget.hasRoomForClient() && budget.hasRoomForServer(), "half of limit " + limit);
         }
     }
 }
